--- a/benchmarks/consul/run.py
+++ b/benchmarks/consul/run.py
@@ -26,9 +26,9 @@
 import numpy as np
 import uvloop
 
-from cottonhold.discovery.belief import Belief
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.checks import Entry, Reading
+from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Guard, Names, Report
 from cottonhold.emulator.consul.catalog import Catalog
 from cottonhold.emulator.consul.script import Step
--- a/benchmarks/fleet/check.py
+++ b/benchmarks/fleet/check.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-from cottonhold.emulator.check import Found, World, explore, walk
+from cottonhold.emulator.model_checker import Found, World, explore, walk
 from cottonhold.emulator.models import PinWorld, RegisterWorld, pin_end, register_end
 
 
--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -27,13 +27,22 @@
 
 import uvloop
 
-from cottonhold.emulator.rig.clients import Kind, Manner
-from cottonhold.emulator.rig.cuts import Cut, CutSeen, Draw, Tally, When, seen_at, timeline, unanswered
-from cottonhold.emulator.rig.defects import DEFECTS
-from cottonhold.emulator.rig.machines import Machines
-from cottonhold.emulator.rig.script import Day, Fault
-from cottonhold.emulator.rig.seen import Line
-from cottonhold.emulator.rig.trial import Trial, TrialError
+from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.defects import DEFECTS
+from cottonhold.emulator.fault_injection.event_log import Line
+from cottonhold.emulator.fault_injection.harness import Trial, TrialError
+from cottonhold.emulator.fault_injection.machines import Machines
+from cottonhold.emulator.fault_injection.power_losses import (
+    Cut,
+    CutSeen,
+    Draw,
+    Tally,
+    When,
+    seen_at,
+    timeline,
+    unanswered,
+)
+from cottonhold.emulator.fault_injection.script import Day, Fault
 
 PATIENCE_S = 5.0
 HOLD_S = 2 * PATIENCE_S + 10.0
--- a/benchmarks/fleet/outlook.py
+++ b/benchmarks/fleet/outlook.py
@@ -17,10 +17,10 @@
 from pathlib import Path
 from typing import Any
 
-from cottonhold.emulator.outlook import Setup, World
-from cottonhold.emulator.outlook_service import ServiceWorld
-from cottonhold.fleet.outlook.outlook import OutlookSettings
-from cottonhold.fleet.outlook.projection import CostSettings
+from cottonhold.emulator.outages import Setup, World
+from cottonhold.emulator.outages_in_service import ServiceWorld
+from cottonhold.fleet.failover_cost.estimator import OutlookSettings
+from cottonhold.fleet.failover_cost.projection import CostSettings
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "outlook-core.md"
 ZONES = ("a", "b", "c")
--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -14,8 +14,8 @@
 import numpy as np
 
 from cottonhold.emulator.overload import Alone, Credits, OnePrice, Overload, Policy, QueueDelay
-from cottonhold.fleet.price.loads import LoadSettings
-from cottonhold.fleet.price.pricing import PriceSettings
+from cottonhold.fleet.admission.loads import LoadSettings
+from cottonhold.fleet.admission.threshold import PriceSettings
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "overload-core.md"
 POLICIES: dict[str, Callable[[int], Policy]] = {
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -16,7 +16,7 @@
 import numpy as np
 
 from cottonhold.emulator.fleet import World
-from cottonhold.fleet.zones.leaving import Phase
+from cottonhold.fleet.zone_failover.evacuation import Phase
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "fleet-core.md"
 FAULT, MEND, END = 4000.0, 10_000.0, 20_000.0
--- a/benchmarks/fleet/swap.py
+++ b/benchmarks/fleet/swap.py
@@ -14,9 +14,9 @@
 import time
 from pathlib import Path
 
-from cottonhold.emulator.swap_cases import CASES, Found
-from cottonhold.emulator.swap_defects import DEFECTS, planted
-from cottonhold.fleet.swap.order import Job, Limits, Order
+from cottonhold.emulator.rolling_replacement_cases import CASES, Found
+from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted
+from cottonhold.fleet.rolling_replacement.schedule import Job, Limits, Order
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "swap-core.md"
 ORDERS = 150
--- a/benchmarks/fleet/swap_engines.py
+++ b/benchmarks/fleet/swap_engines.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from cottonhold.emulator.swap_engine_cases import CASES, DEFECTS, STEPS, planted
+from cottonhold.emulator.engine_replacement_cases import CASES, DEFECTS, STEPS, planted
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "swap-engines-core.md"
 HEAD = """# Engines in a swap, in virtual time: measured
--- a/benchmarks/fleet/trials.py
+++ b/benchmarks/fleet/trials.py
@@ -16,11 +16,11 @@
 
 import matplotlib
 
-from cottonhold.emulator.rig.days import DAYS, without_fleet, without_price
-from cottonhold.emulator.rig.judge import summary
-from cottonhold.emulator.rig.script import Day
-from cottonhold.emulator.rig.seen import BIN, Verdict
-from cottonhold.emulator.rig.trial import judge_again, play
+from cottonhold.emulator.fault_injection.checker import summary
+from cottonhold.emulator.fault_injection.event_log import BIN, Verdict
+from cottonhold.emulator.fault_injection.harness import judge_again, play
+from cottonhold.emulator.fault_injection.scenarios import DAYS, without_fleet, without_price
+from cottonhold.emulator.fault_injection.script import Day
 
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
--- a/benchmarks/membership/processes.py
+++ b/benchmarks/membership/processes.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from cottonhold.emulator.tier import PROBE_MS, Tier
+from cottonhold.emulator.process_fleet import PROBE_MS, Tier
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "membership-processes.md"
 
--- a/cottonhold/__init__.py
+++ b/cottonhold/__init__.py
@@ -1,5 +1,5 @@
 """cottonhold: the decisions of a workload manager in front of analytic query engines."""
 
-from cottonhold.decide.scheduler import Scheduler
+from cottonhold.scheduler.scheduler import Scheduler
 
 __all__ = ["Scheduler"]
--- /dev/null
+++ b/cottonhold/backend/__init__.py
@@ -0,0 +1,1 @@
+"""Engines: their protocol, connections, and the attempts on them."""
--- a/cottonhold/node/engines.py
+++ b/cottonhold/backend/connection_pool.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from cottonhold.backend.resp import RespError, RespReader, Rows, encode, read_count, read_fields, read_rows
 from cottonhold.config.relay import Links
 from cottonhold.config.settings import REPORT
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import EngineState, Outcome
 from cottonhold.discovery.model import Address, Change
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.resp import RespError, RespReader, Rows, encode, read_count, read_fields, read_rows
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import EngineState, Outcome
 
 IDLE_MARGIN_MS = 2000.0  # so long before its idle limit a connection gets nothing new: it may just be closing
 IDLE_MARGIN_PART = 0.5  # of a short idle limit, at most
--- a/cottonhold/cli/trial.py
+++ b/cottonhold/cli/trial.py
@@ -10,7 +10,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from cottonhold.emulator.rig.script import Day
+    from cottonhold.emulator.fault_injection.script import Day
 
 app = typer.Typer(help="Play days of faults on several real processes.", no_args_is_help=True)
 
@@ -18,7 +18,7 @@
 @app.command(name="list")
 def list_() -> None:
     """Print the days by name."""
-    from cottonhold.emulator.rig.days import DAYS
+    from cottonhold.emulator.fault_injection.scenarios import DAYS
 
     for day in DAYS:
         print(f"{day.name:18} {day.seconds:4.0f} s  {day.about}")
@@ -34,11 +34,11 @@
     """Play days, one after another; code 1 if a rule was broken."""
     import msgspec
 
-    from cottonhold.emulator.rig import script
-    from cottonhold.emulator.rig.days import BY_NAME, DAYS
-    from cottonhold.emulator.rig.foretold import missed
-    from cottonhold.emulator.rig.judge import summary
-    from cottonhold.emulator.rig.trial import TrialError, play
+    from cottonhold.emulator.fault_injection import script
+    from cottonhold.emulator.fault_injection.checker import summary
+    from cottonhold.emulator.fault_injection.harness import TrialError, play
+    from cottonhold.emulator.fault_injection.projection_check import missed
+    from cottonhold.emulator.fault_injection.scenarios import BY_NAME, DAYS
 
     folder = out or Path(tempfile.mkdtemp(prefix="cottonhold-trial-"))
     rows, broken = [], False
@@ -69,7 +69,7 @@
 
 
 def _day(name: str, known: dict[str, Day]) -> Day:
-    from cottonhold.emulator.rig import script
+    from cottonhold.emulator.fault_injection import script
 
     if name in known:
         return known[name]
@@ -87,10 +87,10 @@
     ] = None,
 ) -> None:
     """Write one HTML page of a run, with charts. Needs the extra `lab`."""
-    from cottonhold.emulator.rig.script import ScriptError
+    from cottonhold.emulator.fault_injection.script import ScriptError
 
     try:
-        from cottonhold.emulator.rig.report import page as make
+        from cottonhold.emulator.fault_injection.report import page as make
 
         text = make(folder)
     except ImportError:
--- a/cottonhold/config/contradictions.py
+++ b/cottonhold/config/contradictions.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from cottonhold.config.schema import Class, ConsulSource, File, Fleet, Membership, Peers, Register
-from cottonhold.fleet.swap.table import MOST
-from cottonhold.fleet.zones.words import MOST_ZONES, zone_number
+from cottonhold.fleet.session_affinity.membership_table import MOST
+from cottonhold.fleet.zone_failover.messages import MOST_ZONES, zone_number
 
 Path = tuple[str | int, ...]
 Report = Callable[[Path, str], None]
--- a/cottonhold/config/installation.py
+++ b/cottonhold/config/installation.py
@@ -15,13 +15,13 @@
 from cottonhold.config.problems import Problem, path_text
 from cottonhold.config.relay import Config, Links
 from cottonhold.config.template import evaluate
-from cottonhold.decide import interface as io
 from cottonhold.discovery.bus import SOURCE
 from cottonhold.discovery.consul.checks import Reading
 from cottonhold.discovery.consul.registration import RegistrationSettings
 from cottonhold.discovery.consul.watch import WatchSettings
 from cottonhold.discovery.model import Address, Guard, Names, Observation, Report, Verdict
 from cottonhold.membership.codec import Keys
+from cottonhold.scheduler import interface as io
 
 MOST_SECRET = 4096
 
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -12,11 +12,11 @@
 import orjson
 
 from cottonhold.config.settings import read_settings
-from cottonhold.decide import interface as io
 from cottonhold.discovery.bus import read_batch
 from cottonhold.discovery.model import Address, Names, Report
+from cottonhold.message_validation import NUMBER, Json, WireError, read, read_list
 from cottonhold.observe.counters import Counters
-from cottonhold.wire import NUMBER, Json, WireError, read, read_list
+from cottonhold.scheduler import interface as io
 
 # What the settings always hold, of what is used here. The simulator's adapter and other installations read
 # settings that are less whole; here one that lacks a key was cut off, or is not what was meant.
--- a/cottonhold/config/settings.py
+++ b/cottonhold/config/settings.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from cottonhold.decide import interface as io
-from cottonhold.wire import NUMBER, Json, read, read_list, word
+from cottonhold.message_validation import NUMBER, Json, read, read_list, word
+from cottonhold.scheduler import interface as io
 
 EFFECTS = {"retryable": io.Effect.SAFE, "dedup": io.Effect.KEYED, "fragile": io.Effect.UNSAFE}
 SHORT = {"queue": io.WhenShort.WAIT, "trim": io.WhenShort.SHRINK, "swap": io.WhenShort.PAGE}
--- a/cottonhold/discovery/bus.py
+++ b/cottonhold/discovery/bus.py
@@ -9,8 +9,8 @@
 import orjson
 
 from cottonhold.discovery.model import Address, Names, Observation, Report, Verdict
+from cottonhold.message_validation import NUMBER, WireError, read, word
 from cottonhold.observe.counters import Counters
-from cottonhold.wire import NUMBER, WireError, read, word
 
 HOLD_MS = 2000  # short, so that a silently cut link shows well within the 7 s after which news counts as told
 # The first call of a connection is shorter: a link that broke may come back dead, and what the bus has to
--- a/cottonhold/discovery/consul/answers.py
+++ b/cottonhold/discovery/consul/answers.py
@@ -15,7 +15,7 @@
 
 from cottonhold.discovery.consul.checks import Entry, Reading, engine_id, observe
 from cottonhold.discovery.model import Names, Observation
-from cottonhold.wire import WireError
+from cottonhold.message_validation import WireError
 
 Malformed = Callable[[str], None]
 
--- a/cottonhold/discovery/consul/checks.py
+++ b/cottonhold/discovery/consul/checks.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from cottonhold.discovery.model import Address, Names, Observation, Verdict
-from cottonhold.wire import WireError
+from cottonhold.message_validation import WireError
 
 NODE_MAINTENANCE = "_node_maintenance"
 SERVICE_MAINTENANCE = "_service_maintenance:"
--- a/cottonhold/discovery/consul/exchange.py
+++ b/cottonhold/discovery/consul/exchange.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from cottonhold.wire import WireError
+from cottonhold.message_validation import WireError
 
 MOST_HEADERS = 100
 MOST_HEADER_BYTES = 32 << 10  # also of anything else that brings the body no further
--- a/cottonhold/discovery/consul/watch.py
+++ b/cottonhold/discovery/consul/watch.py
@@ -15,7 +15,7 @@
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.exchange import Answer, Call
 from cottonhold.discovery.model import Address, Event, Lost, Report
-from cottonhold.wire import WireError
+from cottonhold.message_validation import WireError
 
 WAIT_JITTER = 1 / 16  # of the wait, which Consul adds so that not all watchers wake at once
 FORBIDDEN = 403
--- a/cottonhold/discovery/belief.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -18,8 +18,6 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import EngineState
 from cottonhold.discovery.model import (
     Action,
     Address,
@@ -32,7 +30,9 @@
     Remark,
     Report,
 )
-from cottonhold.discovery.view import Claim, View
+from cottonhold.discovery.source_view import Claim, View
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import EngineState
 
 Named = tuple[View, Claim]
 
--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -12,8 +12,8 @@
 from enum import Enum
 from typing import Any
 
-from cottonhold.decide import interface as io
-from cottonhold.wire import WireError
+from cottonhold.message_validation import WireError
+from cottonhold.scheduler import interface as io
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/discovery/held.py
+++ b/cottonhold/discovery/quarantine.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import EngineState
 from cottonhold.discovery.model import Change
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import EngineState
 
 
 class Held:
--- a/cottonhold/discovery/view.py
+++ b/cottonhold/discovery/source_view.py
@@ -18,10 +18,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from cottonhold.decide.interface import EngineState
 from cottonhold.discovery.damping import Damping
 from cottonhold.discovery.model import Address, Confirm, Guard, Lost, Observation, Remark, Report, Verdict
-from cottonhold.discovery.starts import Starts
+from cottonhold.discovery.start_times import Starts
+from cottonhold.scheduler.interface import EngineState
 
 STATES = {
     Verdict.IN: EngineState.LIVE,
--- a/cottonhold/emulator/engine.py
+++ b/cottonhold/emulator/engine.py
@@ -10,8 +10,8 @@
 import time
 from typing import Any
 
+from cottonhold.backend.resp import RespError, encode
 from cottonhold.emulator.serving import Listener, engine_calls, run_until_told
-from cottonhold.node.resp import RespError, encode
 
 TTL_S = 3.0
 
--- a/cottonhold/emulator/swap_engines.py
+++ b/cottonhold/emulator/engine_replacement.py
@@ -12,10 +12,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cottonhold.emulator.swap import JOIN, TICK, Host, Trouble, World
-from cottonhold.fleet.swap.engines import Drains, DrainSettings, Knock, Settled, Tell, fresh
-from cottonhold.fleet.swap.plan import Flag, Machine, Record, Step, ident, read_record, register
-from cottonhold.fleet.swap.steps import Action, Drain, Ready, Undrain
+from cottonhold.emulator.rolling_replacement import JOIN, TICK, Host, Trouble, World
+from cottonhold.fleet.engine_drain import Drains, DrainSettings, Knock, Settled, Tell, fresh
+from cottonhold.fleet.rolling_replacement.plan import (
+    Flag,
+    Machine,
+    Record,
+    Step,
+    ident,
+    read_record,
+    register,
+)
+from cottonhold.fleet.rolling_replacement.step_decision import Action, Drain, Ready, Undrain
 
 SETTINGS = DrainSettings()
 ANSWER = 15.0  # a probe's way there and back
--- a/cottonhold/emulator/swap_engine_cases.py
+++ b/cottonhold/emulator/engine_replacement_cases.py
@@ -8,12 +8,12 @@
 from functools import partial
 from typing import Any
 
-from cottonhold.emulator import swap_engines
-from cottonhold.emulator.swap import Trouble
-from cottonhold.emulator.swap_engines import EngineWorld, world_of
-from cottonhold.fleet.swap import steps
-from cottonhold.fleet.swap.engines import Drains, DrainSettings, Settled
-from cottonhold.fleet.swap.plan import Item, Record, Step
+from cottonhold.emulator import engine_replacement
+from cottonhold.emulator.engine_replacement import EngineWorld, world_of
+from cottonhold.emulator.rolling_replacement import Trouble
+from cottonhold.fleet.engine_drain import Drains, DrainSettings, Settled
+from cottonhold.fleet.rolling_replacement import step_decision
+from cottonhold.fleet.rolling_replacement.plan import Item, Record, Step
 
 ONE = "x0"  # whose steps the faults wait for
 ASKED = (Item("x0"), Item("x1", "y1"), Item("x2", cores=16.0))
@@ -145,7 +145,13 @@
         "stood",
         lambda *a: False,
     ),
-    "the old one passes for the new": ("calm", "has put a new one", steps, "_another", lambda *a: True),
+    "the old one passes for the new": (
+        "calm",
+        "has put a new one",
+        step_decision,
+        "_another",
+        lambda *a: True,
+    ),
     "one instance's word for away": (
         "link lost: out",
         "has put a new one",
@@ -156,7 +162,7 @@
     "a pause passes for a new one": (
         "engine pauses: out",
         "has put a new one",
-        swap_engines,
+        engine_replacement,
         "SETTINGS",
         DrainSettings(absent=1000.0),
     ),
--- a/cottonhold/emulator/rig/__init__.py
+++ b/cottonhold/emulator/fault_injection/__init__.py
@@ -1,3 +1,3 @@
-"""Processes of the program, engines and clients with scripted faults between them, and a judge from
+"""Processes of the program, engines and clients with scripted faults between them, and a checker from
 outside.
 """
--- a/cottonhold/emulator/rig/judge.py
+++ b/cottonhold/emulator/fault_injection/checker.py
@@ -10,13 +10,8 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
 
-from cottonhold.emulator.rig.distances import weigh_distance
-from cottonhold.emulator.rig.engine import slower_cold
-from cottonhold.emulator.rig.executions import check_executions
-from cottonhold.emulator.rig.foretold import weigh_foretold
-from cottonhold.emulator.rig.returns import weigh_return
-from cottonhold.emulator.rig.script import Day
-from cottonhold.emulator.rig.seen import (
+from cottonhold.emulator.fault_injection.engine import slower_cold
+from cottonhold.emulator.fault_injection.event_log import (
     BIN,
     Asked,
     Execution,
@@ -28,6 +23,11 @@
     runs_of,
     sends_of,
 )
+from cottonhold.emulator.fault_injection.executions import check_executions
+from cottonhold.emulator.fault_injection.projection_check import weigh_foretold
+from cottonhold.emulator.fault_injection.recovery_quality import weigh_return
+from cottonhold.emulator.fault_injection.remote_service_cost import weigh_distance
+from cottonhold.emulator.fault_injection.script import Day
 
 SOMETIMES = (
     "return_first_3s",
--- a/cottonhold/emulator/rig/clients.py
+++ b/cottonhold/emulator/fault_injection/clients.py
@@ -1,7 +1,7 @@
 """Clients as a process: open-loop arrivals in the MySQL protocol, retries, a front that notices late, a
 ledger.
 
-    python -m cottonhold.emulator.rig.clients '{"ports": [...], "rate": 270, ...}'
+    python -m cottonhold.emulator.fault_injection.clients '{"ports": [...], "rate": 270, ...}'
 
 The ledger has one JSON array a line: [seconds (monotonic), what, reference, more].
 """
@@ -22,7 +22,7 @@
 
 import uvloop
 
-from cottonhold.emulator.rig.places import apart
+from cottonhold.emulator.fault_injection.zone_distances import apart
 
 LOGIN = (0x8208).to_bytes(4, "little") + bytes(28) + b"app\0\0dw\0"
 COOLDOWN = re.compile(r"cooldown=(\d+)")
--- a/cottonhold/emulator/rig/engine.py
+++ b/cottonhold/emulator/fault_injection/engine.py
@@ -1,6 +1,6 @@
 """An engine as a process: servers and a line, a cold start, faults by lines on standard input, a ledger.
 
-    python -m cottonhold.emulator.rig.engine '{"id": "a0", "port": 0, "ledger": "a0.jsonl", ...}'
+    python -m cottonhold.emulator.fault_injection.engine '{"id": "a0", "port": 0, "ledger": "a0.jsonl", ...}'
 
 With `--waits` in place of the settings they are the first line of standard input. Standard output says where
 it listens. A line on standard input is a JSON object of fields to change. The ledger has one JSON array a
@@ -23,9 +23,9 @@
 
 import uvloop
 
-from cottonhold.emulator.rig.guard import WAITS, told
+from cottonhold.backend.resp import RespError, encode
+from cottonhold.emulator.fault_injection.parent_death_signal import WAITS, told
 from cottonhold.emulator.serving import engine_calls
-from cottonhold.node.resp import RespError, encode
 
 KEY = re.compile(rb"'(k\d+)', (\d+)")
 SET = re.compile(rb"sales_\d+")
--- a/cottonhold/emulator/rig/seen.py
+++ b/cottonhold/emulator/fault_injection/event_log.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cottonhold.emulator.rig.script import Day
+from cottonhold.emulator.fault_injection.script import Day
 
 Line = list[Any]  # [seconds, what, reference, more]
 BIN = 0.5  # s: the step of series by time
--- a/cottonhold/emulator/rig/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -11,8 +11,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from cottonhold.emulator.rig.script import Day
-from cottonhold.emulator.rig.seen import Asked, Execution, Send, Verdict
+from cottonhold.emulator.fault_injection.event_log import Asked, Execution, Send, Verdict
+from cottonhold.emulator.fault_injection.script import Day
 
 NEVER_RAN = ("overload", "nobody", "crashed")  # answers that prove that nothing of it was done
 
--- a/cottonhold/emulator/rig/outlook_days.py
+++ b/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
@@ -8,8 +8,8 @@
 
 from typing import Any
 
-from cottonhold.emulator.rig.clients import Manner
-from cottonhold.emulator.rig.script import Day, Fault
+from cottonhold.emulator.fault_injection.clients import Manner
+from cottonhold.emulator.fault_injection.script import Day, Fault
 
 OUT, BACK = 8.0, 18.0
 DISTANCE = {"a-b": 6.0, "b-c": 14.0, "a-c": 20.0}
--- a/cottonhold/emulator/rig/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -13,16 +13,16 @@
 from typing import TYPE_CHECKING, Any
 
 from cottonhold.emulator.consul.script import Step
-from cottonhold.emulator.rig.links import Link, Way
-from cottonhold.emulator.rig.operators import Operators
-from cottonhold.emulator.rig.places import apart, zone_of
-from cottonhold.emulator.rig.script import Fault
-from cottonhold.fleet.zones.words import Vote, Word, ZoneWord, pack_words, zone_number
+from cottonhold.emulator.fault_injection.links import Link, Way
+from cottonhold.emulator.fault_injection.operators import Operators
+from cottonhold.emulator.fault_injection.script import Fault
+from cottonhold.emulator.fault_injection.zone_distances import apart, zone_of
+from cottonhold.fleet.zone_failover.messages import Vote, Word, ZoneWord, pack_words, zone_number
 from cottonhold.membership.codec import Codec, Keys, Kind, Message, member_id
 from cottonhold.node.status import ask
 
 if TYPE_CHECKING:
-    from cottonhold.emulator.rig.trial import Trial
+    from cottonhold.emulator.fault_injection.harness import Trial
 
 KEY = b"a shared key of the rig"
 
--- a/cottonhold/emulator/rig/trial.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -25,16 +25,16 @@
 import uvloop
 
 from cottonhold.emulator.consul.server import Server
-from cottonhold.emulator.rig.clients import Load
-from cottonhold.emulator.rig.faults import KEY, Faults, link_of
-from cottonhold.emulator.rig.guard import WAITS
-from cottonhold.emulator.rig.judge import judge
-from cottonhold.emulator.rig.links import Switch, TcpLink
-from cottonhold.emulator.rig.machines import Machines
-from cottonhold.emulator.rig.script import Day, Fault, check, read, write
-from cottonhold.emulator.rig.seen import Ledgers, Line, Verdict
-from cottonhold.emulator.rig.zygote import PROGRAMS, Process, Zygote
-from cottonhold.emulator.tier import free_ports
+from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.clients import Load
+from cottonhold.emulator.fault_injection.event_log import Ledgers, Line, Verdict
+from cottonhold.emulator.fault_injection.faults import KEY, Faults, link_of
+from cottonhold.emulator.fault_injection.links import Switch, TcpLink
+from cottonhold.emulator.fault_injection.machines import Machines
+from cottonhold.emulator.fault_injection.parent_death_signal import WAITS
+from cottonhold.emulator.fault_injection.script import Day, Fault, check, read, write
+from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, Process, Zygote
+from cottonhold.emulator.process_fleet import free_ports
 from cottonhold.node.status import ask
 
 START_S = 30.0
@@ -96,7 +96,13 @@
         return process
 
     def _open(self, name: str, program: list[str], **streams: Any) -> Process:
-        guard = [sys.executable, "-m", "cottonhold.emulator.rig.guard", str(os.getpid()), sys.executable]
+        guard = [
+            sys.executable,
+            "-m",
+            "cottonhold.emulator.fault_injection.parent_death_signal",
+            str(os.getpid()),
+            sys.executable,
+        ]
         with (self.folder / f"{name}.log").open("ab") as log:
             if self.zygote is not None and program[1] in PROGRAMS:
                 return self.zygote.start(program[1], program[2:], log, bool(streams))
@@ -111,7 +117,11 @@
         again = any(f.verb == "start" and name in self.day.pick(f.target) for f in self.day.faults)
         if self.day.state and again and name not in self.ready and self.zygote is None:
             engine = name in self.ports
-            program = ["-m", f"cottonhold.emulator.rig.{'engine' if engine else 'instance'}", WAITS]
+            program = [
+                "-m",
+                f"cottonhold.emulator.fault_injection.{'engine' if engine else 'instance'}",
+                WAITS,
+            ]
             stdout = subprocess.PIPE if engine else None  # nobody reads what an instance prints
             self.ready[name] = self._open(name, program, stdin=subprocess.PIPE, stdout=stdout)
 
@@ -136,7 +146,7 @@
             "seed": self.day.seed * 100 + number,
         }
         if not self._release(name, settings):
-            program = ["-m", "cottonhold.emulator.rig.engine", json.dumps(settings)]
+            program = ["-m", "cottonhold.emulator.fault_injection.engine", json.dumps(settings)]
             self._spawn(name, program, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
 
     def start_instance(self, name: str) -> None:
@@ -150,7 +160,7 @@
         if not self.day.state:
             return ["-m", "cottonhold.cli.main", "serve", "--config", str(path)]
         machine = json.dumps(self.machines.start(name))
-        return ["-m", "cottonhold.emulator.rig.instance", str(path), machine]
+        return ["-m", "cottonhold.emulator.fault_injection.instance", str(path), machine]
 
     def start_twice(self, name: str) -> None:
         """A second process that takes the same state folder to be its own. Its datagrams reach nobody, since
@@ -342,7 +352,7 @@
             "distance": day.distance,
         }
         assert set(load) <= {f.name for f in dataclasses.fields(Load)}
-        program = ["-m", "cottonhold.emulator.rig.clients", json.dumps(load)]
+        program = ["-m", "cottonhold.emulator.fault_injection.clients", json.dumps(load)]
         clients = self._spawn("clients", program, stdout=subprocess.PIPE)
         assert clients.stdout is not None
         await asyncio.to_thread(clients.stdout.readline)
--- a/cottonhold/emulator/rig/instance.py
+++ b/cottonhold/emulator/fault_injection/instance.py
@@ -1,6 +1,8 @@
-"""An instance on a machine that is not quite well: its wall clock is off, its disk loses what was not synced.
+"""An instance on a faulty machine: its wall clock is off, its disk loses what was not synced.
 
-    python -m cottonhold.emulator.rig.instance n3.json '{"clock_s": -86400, "disk": "n3.disk.json"}'
+    python -m cottonhold.emulator.fault_injection.instance n3.json FAULTS
+
+FAULTS is JSON such as {"clock_s": -86400, "disk": "n3.disk.json"}.
 
 The program is the same; what is replaced is the machine under it. The wall clock as C code reads it
 (datetime) stays as it is.
@@ -15,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from cottonhold.emulator.rig.guard import WAITS, told
+from cottonhold.emulator.fault_injection.parent_death_signal import WAITS, told
 
 
 def shift(offset_s: float) -> None:
@@ -49,10 +51,10 @@
     if machine.get("disk"):
         put_disk(machine["disk"])
     if machine.get("defect"):
-        from cottonhold.emulator.rig.defects import DEFECTS
+        from cottonhold.emulator.fault_injection.defects import DEFECTS
 
         DEFECTS[machine["defect"]]()
-    from cottonhold.node.installation import serve
+    from cottonhold.node.standalone_dispatcher import serve
 
     return serve(Path(path))
 
@@ -61,7 +63,11 @@
     """Load the program, and serve once a line says by which file and on which machine; end if none does."""
     from importlib import import_module, util
 
-    for name in ("cottonhold.node.installation", "cottonhold.store.ledger", "cottonhold.emulator.disk"):
+    for name in (
+        "cottonhold.node.standalone_dispatcher",
+        "cottonhold.store.ledger",
+        "cottonhold.emulator.disk",
+    ):
         if util.find_spec(name.rpartition(".")[0]) and util.find_spec(name):
             import_module(name)
     words = told()
--- a/cottonhold/emulator/rig/links.py
+++ b/cottonhold/emulator/fault_injection/links.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Coroutine
 from dataclasses import dataclass, field
 
-from cottonhold.node.resp import RespError, RespReader
+from cottonhold.backend.resp import RespError, RespReader
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
 CHUNK = 65536
--- a/cottonhold/emulator/rig/machines.py
+++ b/cottonhold/emulator/fault_injection/machines.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from cottonhold.node.fleet.recovery import BASE
+from cottonhold.fleet_adapters.recovery import BASE
 from cottonhold.store.ledger import Ledger, LedgerSettings
 from cottonhold.store.records import Kind, Record
 
--- a/cottonhold/emulator/rig/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -7,11 +7,11 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from cottonhold.emulator.rig.script import Fault
+from cottonhold.emulator.fault_injection.script import Fault
 from cottonhold.node.status import ask
 
 if TYPE_CHECKING:
-    from cottonhold.emulator.rig.trial import Trial
+    from cottonhold.emulator.fault_injection.harness import Trial
 
 LOOK_S = 0.2  # between two looks at the views
 ASK_S = 1.0  # until one that could not be asked is asked again
--- a/cottonhold/emulator/rig/cuts.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cottonhold.emulator.rig.seen import ENDS, Line
+from cottonhold.emulator.fault_injection.event_log import ENDS, Line
 
 SENT_BEFORE = "was sent before"  # how an instance says that it didn't send a retry
 
--- a/cottonhold/emulator/rig/foretold.py
+++ b/cottonhold/emulator/fault_injection/projection_check.py
@@ -9,9 +9,9 @@
 import math
 from collections.abc import Mapping, Sequence
 
-from cottonhold.emulator.rig.places import apart, zone_of
-from cottonhold.emulator.rig.script import Day
-from cottonhold.emulator.rig.seen import BIN, Asked, Execution, Ledgers, Verdict
+from cottonhold.emulator.fault_injection.event_log import BIN, Asked, Execution, Ledgers, Verdict
+from cottonhold.emulator.fault_injection.script import Day
+from cottonhold.emulator.fault_injection.zone_distances import apart, zone_of
 
 # In s after the fault: what broke with the zone has been asked again, and the fleet has left it. The plan
 # counts cold work for five seconds.
--- a/cottonhold/emulator/rig/returns.py
+++ b/cottonhold/emulator/fault_injection/recovery_quality.py
@@ -6,9 +6,9 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
 
-from cottonhold.emulator.rig.engine import slower_cold
-from cottonhold.emulator.rig.script import Day
-from cottonhold.emulator.rig.seen import BIN, Asked, Ledgers, Line, Verdict
+from cottonhold.emulator.fault_injection.engine import slower_cold
+from cottonhold.emulator.fault_injection.event_log import BIN, Asked, Ledgers, Line, Verdict
+from cottonhold.emulator.fault_injection.script import Day
 
 TOLD_S = 12  # so many seconds from the return on are told one by one
 ENOUGH = 10  # tries of a class in a second, for an instance to be compared in it
--- a/cottonhold/emulator/rig/recover_days.py
+++ b/cottonhold/emulator/fault_injection/recovery_scenarios.py
@@ -8,8 +8,8 @@
 
 from typing import Any
 
-from cottonhold.emulator.rig.clients import Kind, Manner
-from cottonhold.emulator.rig.script import Day, Fault
+from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.script import Day, Fault
 
 GONE, POWER = 6.0, 8.0
 APART = 0.5  # from one instance's start to the next one's
--- a/cottonhold/emulator/rig/distances.py
+++ b/cottonhold/emulator/fault_injection/remote_service_cost.py
@@ -5,9 +5,9 @@
 import math
 from collections.abc import Callable, Mapping, Sequence
 
-from cottonhold.emulator.rig.places import apart, zone_of
-from cottonhold.emulator.rig.script import Day
-from cottonhold.emulator.rig.seen import Asked, Execution, Ledgers, Verdict
+from cottonhold.emulator.fault_injection.event_log import Asked, Execution, Ledgers, Verdict
+from cottonhold.emulator.fault_injection.script import Day
+from cottonhold.emulator.fault_injection.zone_distances import apart, zone_of
 
 Within = Callable[[float], bool]
 
--- a/cottonhold/emulator/rig/swap_days.py
+++ b/cottonhold/emulator/fault_injection/replacement_scenarios.py
@@ -7,8 +7,8 @@
 
 from typing import Any
 
-from cottonhold.emulator.rig.clients import Kind, Manner
-from cottonhold.emulator.rig.script import Day, Fault
+from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.script import Day, Fault
 
 FIRST, EACH, GONE = 3.0, 2.5, 1.5
 KINDS = (
--- a/cottonhold/emulator/rig/report.py
+++ b/cottonhold/emulator/fault_injection/report.py
@@ -11,8 +11,8 @@
 
 import matplotlib
 
-from cottonhold.emulator.rig.script import Day, read
-from cottonhold.emulator.rig.seen import BIN
+from cottonhold.emulator.fault_injection.event_log import BIN
+from cottonhold.emulator.fault_injection.script import Day, read
 
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
--- a/cottonhold/emulator/rig/days.py
+++ b/cottonhold/emulator/fault_injection/scenarios.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from cottonhold.emulator.rig.clients import Kind, Manner
-from cottonhold.emulator.rig.outlook_days import DAYS as OUTLOOK
-from cottonhold.emulator.rig.recover_days import DAYS as RECOVER
-from cottonhold.emulator.rig.script import Day, Fault
-from cottonhold.emulator.rig.swap_days import DAYS as SWAP
+from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.failover_cost_scenarios import DAYS as OUTLOOK
+from cottonhold.emulator.fault_injection.recovery_scenarios import DAYS as RECOVER
+from cottonhold.emulator.fault_injection.replacement_scenarios import DAYS as SWAP
+from cottonhold.emulator.fault_injection.script import Day, Fault
 
 OUT, BACK = 5.0, 13.0
 
--- a/cottonhold/emulator/rig/script.py
+++ b/cottonhold/emulator/fault_injection/script.py
@@ -29,7 +29,7 @@
 
 import msgspec
 
-from cottonhold.emulator.rig.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.clients import Kind, Manner
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/cottonhold/emulator/rig/zygote.py
+++ b/cottonhold/emulator/fault_injection/worker_pool.py
@@ -2,7 +2,7 @@
 also on a machine so busy that loading takes many seconds.
 
     zygote = Zygote()
-    process = zygote.start("cottonhold.emulator.rig.engine", [settings], log, pipes=True)
+    process = zygote.start("cottonhold.emulator.fault_injection.engine", [settings], log, pipes=True)
 
 It ends with the rig, and each program with it: the kernel sends the signal.
 """
@@ -22,15 +22,15 @@
 from importlib import import_module
 from typing import IO, Protocol
 
-from cottonhold.emulator.rig.guard import PR_SET_PDEATHSIG
+from cottonhold.emulator.fault_injection.parent_death_signal import PR_SET_PDEATHSIG
 
-PROGRAMS = ("cottonhold.emulator.rig.engine", "cottonhold.emulator.rig.instance")
+PROGRAMS = ("cottonhold.emulator.fault_injection.engine", "cottonhold.emulator.fault_injection.instance")
 LOADED = (
     *PROGRAMS,
     "cottonhold.emulator.disk",
-    "cottonhold.emulator.rig.defects",
-    "cottonhold.node.fleet.recovery",
-    "cottonhold.node.installation",
+    "cottonhold.emulator.fault_injection.defects",
+    "cottonhold.fleet_adapters.recovery",
+    "cottonhold.node.standalone_dispatcher",
     "cottonhold.store.ledger",
 )
 ROOM = 1 << 16  # bytes of an order
@@ -98,8 +98,14 @@
 
     def __init__(self) -> None:
         self.link, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        guard = [sys.executable, "-m", "cottonhold.emulator.rig.guard", str(os.getpid()), sys.executable]
-        program = [*guard, "-m", "cottonhold.emulator.rig.zygote"]
+        guard = [
+            sys.executable,
+            "-m",
+            "cottonhold.emulator.fault_injection.parent_death_signal",
+            str(os.getpid()),
+            sys.executable,
+        ]
+        program = [*guard, "-m", "cottonhold.emulator.fault_injection.worker_pool"]
         with there:
             self.process = subprocess.Popen(program, stdin=there.fileno())
 
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -16,8 +16,8 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.network import Network
-from cottonhold.fleet.core import Bound, Fleet, FleetSettings, Say
-from cottonhold.fleet.zones.leaving import Turn
+from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings, Say
+from cottonhold.fleet.zone_failover.evacuation import Turn
 
 PATIENCE = 2000.0
 PROBED = 500.0  # so often each engine is asked
--- a/cottonhold/emulator/check.py
+++ b/cottonhold/emulator/model_checker.py
@@ -20,7 +20,7 @@
 from enum import Enum
 from typing import Any
 
-from cottonhold.fleet.swap.words import Keep, Say
+from cottonhold.fleet.consensus.messages import Keep, Say
 
 Choice = tuple[Any, ...]
 
--- a/cottonhold/emulator/models.py
+++ b/cottonhold/emulator/models.py
@@ -6,9 +6,9 @@
 import random
 from typing import Any
 
-from cottonhold.emulator.check import Choice, World
-from cottonhold.fleet.swap.pins import Moved, Pins, PinSettings
-from cottonhold.fleet.swap.register import Changed, How, Outcome, Registers, RegisterSettings
+from cottonhold.emulator.model_checker import Choice, World
+from cottonhold.fleet.consensus.register import Changed, How, Outcome, Registers, RegisterSettings
+from cottonhold.fleet.session_affinity.ownership import Moved, Pins, PinSettings
 
 
 class RegisterWorld(World):
--- a/cottonhold/emulator/outlook.py
+++ b/cottonhold/emulator/outages.py
@@ -16,13 +16,13 @@
 from functools import partial
 
 from cottonhold.emulator.network import Network
-from cottonhold.emulator.outlook_log import Log, Row
-from cottonhold.fleet.core import FLOOR_LEAST
-from cottonhold.fleet.outlook.outlook import Outlook, OutlookSettings
-from cottonhold.fleet.outlook.words import BITS, pack_sites, read_sites
-from cottonhold.fleet.price.demand import step_of
-from cottonhold.fleet.price.loads import Loads
-from cottonhold.fleet.zones.leaving import ZoneSettings
+from cottonhold.emulator.outage_log import Log, Row
+from cottonhold.fleet.admission.demand import step_of
+from cottonhold.fleet.admission.loads import Loads
+from cottonhold.fleet.coordinator import FLOOR_LEAST
+from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
+from cottonhold.fleet.failover_cost.messages import BITS, pack_sites, read_sites
+from cottonhold.fleet.zone_failover.evacuation import ZoneSettings
 
 STEP, HEARD, ENDING, BROKEN = 100.0, 250.0, 60.0, 300.0
 PATIENT = 100.0  # held longer than this, a request may go to any engine that idles
--- a/cottonhold/emulator/outlook_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -14,9 +14,9 @@
 from functools import partial
 
 from cottonhold.emulator.fleet import Allowance
-from cottonhold.emulator.outlook import STEP, Instance, Request, Server, Setup, World
-from cottonhold.emulator.outlook_log import Row
-from cottonhold.fleet.core import Action, Bound, Fleet, FleetSettings, Say
+from cottonhold.emulator.outage_log import Row
+from cottonhold.emulator.outages import STEP, Instance, Request, Server, Setup, World
+from cottonhold.fleet.coordinator import Action, Bound, Fleet, FleetSettings, Say
 
 DRAWN = 8  # engines that the module compares
 DOUBT = 2000.0  # so long it passes over an engine that failed
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field, replace
 
 from cottonhold.emulator.network import Network
-from cottonhold.fleet.price import demand
-from cottonhold.fleet.price.loads import Loads, LoadSettings, pack_loads, read_loads
-from cottonhold.fleet.price.pricing import Price, curve_price
+from cottonhold.fleet.admission import demand
+from cottonhold.fleet.admission.loads import Loads, LoadSettings, pack_loads, read_loads
+from cottonhold.fleet.admission.threshold import Price, curve_price
 
 ROOM = 2  # requests at an engine, from all instances together, as far as they know
 HEARD = 250.0  # so often an instance hears what the others have out
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -14,8 +14,8 @@
 
 from cottonhold.emulator.fleet import Allowance
 from cottonhold.emulator.overload import HEARD, ROOM, STEP, Instance, Kind, OnePrice, Overload, Request
-from cottonhold.fleet.core import Bound, Fleet, FleetSettings, Priced, Say
-from cottonhold.fleet.recovery.ramp import Lost, first_prober
+from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings, Priced, Say
+from cottonhold.fleet.recovery.slow_start import Lost, first_prober
 
 KINDS = (Kind(1.0, share=0.48), Kind(6.0, share=0.32), Kind(6.0, 60.0, 4000.0, 0.2))
 MEAN = sum(k.work * k.share for k in KINDS)
--- a/cottonhold/emulator/swap.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -15,8 +15,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.swap.driving import SwapSettings
-from cottonhold.fleet.swap.plan import (
+from cottonhold.fleet.rolling_replacement.coordinator import Swap
+from cottonhold.fleet.rolling_replacement.machine_driver import SwapSettings
+from cottonhold.fleet.rolling_replacement.plan import (
     NAME,
     OVER,
     Item,
@@ -30,7 +31,7 @@
     read_whole,
     register,
 )
-from cottonhold.fleet.swap.steps import (
+from cottonhold.fleet.rolling_replacement.step_decision import (
     Action,
     Answer,
     Change,
@@ -42,7 +43,6 @@
     StepSettings,
     Undrain,
 )
-from cottonhold.fleet.swap.swap import Swap
 
 NOTICE = 1200.0  # until membership tells of a death
 JOIN = 300.0  # until it tells of one that has come
--- a/cottonhold/emulator/swap_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from cottonhold.emulator.swap import NOTICE, Trouble, World
-from cottonhold.fleet.swap.plan import Item, Reason, Record, State, Step, ident
-from cottonhold.fleet.swap.steps import MovePins
+from cottonhold.emulator.rolling_replacement import NOTICE, Trouble, World
+from cottonhold.fleet.rolling_replacement.plan import Item, Reason, Record, State, Step, ident
+from cottonhold.fleet.rolling_replacement.step_decision import MovePins
 
 STEPS = (Step.AGREED, Step.MOVING, Step.DRAINING, Step.OUT, Step.IN_PLACE, Step.RAMPING)
 ONE = "d3"  # whose steps the faults wait for
--- a/cottonhold/emulator/swap_defects.py
+++ b/cottonhold/emulator/rolling_replacement_defects.py
@@ -7,12 +7,12 @@
 from dataclasses import replace
 from typing import Any
 
-from cottonhold.fleet.swap import starts, steps
-from cottonhold.fleet.swap.driving import Driver
-from cottonhold.fleet.swap.order import Limits
-from cottonhold.fleet.swap.plan import Step
+from cottonhold.fleet.rolling_replacement import start_conditions, step_decision
+from cottonhold.fleet.rolling_replacement.machine_driver import Driver
+from cottonhold.fleet.rolling_replacement.plan import Step
+from cottonhold.fleet.rolling_replacement.schedule import Limits
 
-_limits = starts.Starts._limits
+_limits = start_conditions.Starts._limits
 
 
 def _spare(*given: Any) -> Limits:
@@ -23,13 +23,13 @@
     return replace(_limits(*given), zones=9)
 
 
-def _unmoved(name: str, record: Any, view: Any, settings: Any) -> steps.Verdict:
-    return steps.Verdict(replace(record, step=Step.DRAINING))
+def _unmoved(name: str, record: Any, view: Any, settings: Any) -> step_decision.Verdict:
+    return step_decision.Verdict(replace(record, step=Step.DRAINING))
 
 
-def _count_of_before(name: str, record: Any, view: Any, settings: Any) -> steps.Verdict:
+def _count_of_before(name: str, record: Any, view: Any, settings: Any) -> step_decision.Verdict:
     pins = 0 if view.pins is None else view.pins
-    return steps._draining(name, record, replace(view, pins=pins), settings)
+    return step_decision._draining(name, record, replace(view, pins=pins), settings)
 
 
 # name -> the case that shows it, what the check says, and what is put in whose place
@@ -38,15 +38,15 @@
     "no quorum check": (
         "four at once",
         "goes out and leaves",
-        [(starts.Starts, "_limits", _spare), (Driver, "_spare", lambda *a: True)],
+        [(start_conditions.Starts, "_limits", _spare), (Driver, "_spare", lambda *a: True)],
     ),
     "start while a zone is out": ("zone lost: moving", "is in trouble", [(Driver, "_held", lambda *a: [])]),
-    "two zones at once": ("calm", "in more than 1 zones", [(starts.Starts, "_limits", _zones)]),
-    "drained before its pins are moved": ("calm", "pins", [(steps.STEPS, "MOVING", _unmoved)]),
+    "two zones at once": ("calm", "in more than 1 zones", [(start_conditions.Starts, "_limits", _zones)]),
+    "drained before its pins are moved": ("calm", "pins", [(step_decision.STEPS, "MOVING", _unmoved)]),
     "a count of the step before": (
         "calm",
         "with its place in the table",
-        [(steps.STEPS, "DRAINING", _count_of_before)],
+        [(step_decision.STEPS, "DRAINING", _count_of_before)],
     ),
     "nobody takes over": ("driver dies: out", "not at its end", [(Driver, "_orphaned", lambda *a: False)]),
 }
--- a/cottonhold/emulator/serving.py
+++ b/cottonhold/emulator/serving.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from typing import Any
 
-from cottonhold.node.resp import RespReader
+from cottonhold.backend.resp import RespReader
 
 READ_BYTES = 65536
 
--- /dev/null
+++ b/cottonhold/fleet/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Overload handled by the fleet as one: the demand of all instances and the admission threshold. Pure."""
--- a/cottonhold/fleet/price/loads.py
+++ b/cottonhold/fleet/admission/loads.py
@@ -15,10 +15,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.price import demand
-from cottonhold.fleet.price.demand import Demand
-from cottonhold.fleet.price.pricing import Price, PriceSettings, Pricing, Told
-from cottonhold.fleet.zones.words import LOADS, ROOM, WordError, Words
+from cottonhold.fleet.admission import demand
+from cottonhold.fleet.admission.demand import Demand
+from cottonhold.fleet.admission.threshold import Price, PriceSettings, Pricing, Told
+from cottonhold.fleet.zone_failover.messages import LOADS, ROOM, WordError, Words
 
 HEAD = struct.Struct("!QIIBBBB")
 GAINS, WAITS = 128.0, 255.0  # a gain of one, and a wait of a whole patience, on the wire
--- a/cottonhold/fleet/price/pricing.py
+++ b/cottonhold/fleet/admission/threshold.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from cottonhold.fleet.price import demand
-from cottonhold.fleet.zones.leaving import lower_middle
+from cottonhold.fleet.admission import demand
+from cottonhold.fleet.zone_failover.evacuation import lower_middle
 
 ENDED_MOST = 200.0  # requests that one instance's waits count for
 
--- a/cottonhold/fleet/swap/voter.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -29,9 +29,19 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.swap import words
-from cottonhold.fleet.swap.words import NONE, Asked, Ballot, Greeting, Keep, Message, Recalled, Say, State
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.consensus import messages
+from cottonhold.fleet.consensus.messages import (
+    NONE,
+    Asked,
+    Ballot,
+    Greeting,
+    Keep,
+    Message,
+    Recalled,
+    Say,
+    State,
+)
+from cottonhold.fleet.zone_failover.messages import WordError
 
 VOTER, REGISTER = "voter", "reg/"  # names of records
 MOST_WHO = 2**64 - 1
@@ -48,14 +58,14 @@
 
 def pack_register(register: Register) -> bytes:
     """A register's record on disk."""
-    return words.BALLOT.pack(register.promised.number, register.promised.who) + words.pack_state(
+    return messages.BALLOT.pack(register.promised.number, register.promised.who) + messages.pack_state(
         register.state
     )
 
 
 def read_register(data: bytes) -> Register:
     """A register from its record. Raises WordError."""
-    reader = words.Reader(data)
+    reader = messages.Reader(data)
     register = Register(reader.ballot(), reader.state())
     reader.end()
     return register
@@ -141,22 +151,22 @@
     def hear(self, sender: int, data: bytes) -> None:
         """A message for a voter. Raises WordError."""
         kind = data[0]
-        if kind in (words.PREPARE, words.ACCEPT, words.FORGET):
-            message = words.read_message(data)
+        if kind in (messages.PREPARE, messages.ACCEPT, messages.FORGET):
+            message = messages.read_message(data)
             if self.votes:
-                {words.PREPARE: self._promise, words.ACCEPT: self._accept}.get(kind, self._forget)(
+                {messages.PREPARE: self._promise, messages.ACCEPT: self._accept}.get(kind, self._forget)(
                     sender, message
                 )
         elif sender not in self.others:
             return
-        elif kind == words.HELLO:
-            self._greet(sender, words.read_asked(data).round)
-        elif kind == words.RECALL:
-            self._copy(sender, words.read_asked(data))
-        elif kind == words.HELLO_BACK:
-            self._greeted(sender, words.read_greeting(data))
-        elif kind == words.RECALLED:
-            self._recalled(sender, words.read_recalled(data))
+        elif kind == messages.HELLO:
+            self._greet(sender, messages.read_asked(data).round)
+        elif kind == messages.RECALL:
+            self._copy(sender, messages.read_asked(data))
+        elif kind == messages.HELLO_BACK:
+            self._greeted(sender, messages.read_greeting(data))
+        elif kind == messages.RECALLED:
+            self._recalled(sender, messages.read_recalled(data))
 
     # --- voting ---
 
@@ -168,8 +178,8 @@
         if m.ballot > register.promised:
             register.promised = m.ballot
             self._hold(m.name, register)
-        answer = Message(words.PROMISE, m.name, m.ballot, register.state, tuple(self.epochs))
-        self._answer(REGISTER + m.name, sender, words.pack_message(answer))
+        answer = Message(messages.PROMISE, m.name, m.ballot, register.state, tuple(self.epochs))
+        self._answer(REGISTER + m.name, sender, messages.pack_message(answer))
 
     def _accept(self, sender: int, m: Message) -> None:
         register = self._known(m.name)
@@ -179,8 +189,8 @@
         if register.state.ballot != m.ballot:
             register.promised, register.state = m.ballot, m.state
             self._hold(m.name, register)
-        answer = Message(words.ACCEPTED, m.name, m.ballot, epochs=tuple(self.epochs))
-        self._answer(REGISTER + m.name, sender, words.pack_message(answer))
+        answer = Message(messages.ACCEPTED, m.name, m.ballot, epochs=tuple(self.epochs))
+        self._answer(REGISTER + m.name, sender, messages.pack_message(answer))
 
     def _forget(self, sender: int, m: Message) -> None:
         """All voters have accepted that this register is finished: it may go."""
@@ -214,8 +224,8 @@
         self._keep(REGISTER + name, pack_register(register))
 
     def _refuse(self, sender: int, m: Message, register: Register) -> None:
-        refusal = Message(words.REFUSED, m.name, m.ballot, State(register.promised))
-        self.actions.append(Say(sender, words.pack_message(refusal)))
+        refusal = Message(messages.REFUSED, m.name, m.ballot, State(register.promised))
+        self.actions.append(Say(sender, messages.pack_message(refusal)))
 
     def _answer(self, record: str, member: int, data: bytes) -> None:
         """Say it once what it rests on is on disk."""
@@ -245,7 +255,7 @@
         if not self.durable:
             return
         votes = self.votes
-        data = words.pack_greeting(Greeting(self.run, round_, votes, tuple(self.epochs), tuple(self.born)))
+        data = messages.pack_greeting(Greeting(self.run, round_, votes, tuple(self.epochs), tuple(self.born)))
         self._answer(VOTER, sender, data)
 
     def _copy(self, sender: int, asked: Asked) -> None:
@@ -271,7 +281,7 @@
             asked.round, asked.epoch, asked.index, len(copy), self.floor, name, register.promised,
             register.state, tuple(self.epochs),
         )  # fmt: skip
-        self._answer(VOTER, sender, words.pack_recalled(page))
+        self._answer(VOTER, sender, messages.pack_recalled(page))
 
     # --- as one that returns ---
 
@@ -298,7 +308,7 @@
         self.round = (self.round + 1) & 0xFFFFFFFF
         self.greeted, self.copies = {}, {}
         for voter in self.others:
-            self.actions.append(Say(voter, words.pack_asked(Asked(words.HELLO, self.run, self.round))))
+            self.actions.append(Say(voter, messages.pack_asked(Asked(messages.HELLO, self.run, self.round))))
 
     def _greeted(self, sender: int, g: Greeting) -> None:
         if self.votes or g.round != self.round or len(g.epochs) != len(self.voters):
@@ -320,8 +330,8 @@
                     self._recall(voter, 0)
 
     def _recall(self, voter: int, index: int) -> None:
-        asked = Asked(words.RECALL, self.run, self.round, self.wanted, index)
-        self.actions.append(Say(voter, words.pack_asked(asked)))
+        asked = Asked(messages.RECALL, self.run, self.round, self.wanted, index)
+        self.actions.append(Say(voter, messages.pack_asked(asked)))
 
     def _recalled(self, sender: int, page: Recalled) -> None:
         if self.votes or self.returning is not None or len(page.epochs) != len(self.voters):
@@ -367,20 +377,20 @@
 
     def _keep_voter(self, votes: bool = False) -> int:
         epochs = bytes((len(self.epochs), *self.epochs))
-        runs = b"".join(words.LONG.pack(run) for run in [*self.runs, *self.born])
+        runs = b"".join(messages.LONG.pack(run) for run in [*self.runs, *self.born])
         return self._keep(VOTER, HEAD.pack(self.run, self.votes or votes, self.floor) + epochs + runs)
 
     def _read(self, kept: Mapping[str, bytes]) -> None:
         if VOTER not in kept:
             return
-        reader = words.Reader(kept[VOTER])
+        reader = messages.Reader(kept[VOTER])
         run, votes, self.floor = reader.fixed(HEAD)
-        epochs = list(reader.counted(words.VOTERS_MOST))
+        epochs = list(reader.counted(messages.VOTERS_MOST))
         # Danger: epochs by place in another list of voters would be another's. Voters never change in place.
         if len(epochs) != len(self.voters):
             raise WordError("voters have changed")
         self.run, self.votes, self.epochs, self.durable = run, bool(votes), epochs, True
-        drawn = [reader.fixed(words.LONG)[0] for _ in range(2 * len(epochs))]
+        drawn = [reader.fixed(messages.LONG)[0] for _ in range(2 * len(epochs))]
         self.runs, self.born = drawn[: len(epochs)], drawn[len(epochs) :]
         reader.end()
         if self.votes:
--- a/cottonhold/fleet/swap/words.py
+++ b/cottonhold/fleet/consensus/messages.py
@@ -11,7 +11,7 @@
 import struct
 from dataclasses import dataclass
 
-from cottonhold.fleet.zones.words import ROOM, WordError
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 
 PREPARE, PROMISE, ACCEPT, ACCEPTED, REFUSED, CHOSEN, FORGET = range(64, 71)
 HELLO, HELLO_BACK, RECALL, RECALLED = range(71, 75)
--- a/cottonhold/fleet/swap/register.py
+++ b/cottonhold/fleet/consensus/register.py
@@ -25,10 +25,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cottonhold.fleet.swap import words
-from cottonhold.fleet.swap.voter import Acceptor
-from cottonhold.fleet.swap.words import Ballot, Keep, Message, Say, State
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.consensus import messages
+from cottonhold.fleet.consensus.acceptor import Acceptor
+from cottonhold.fleet.consensus.messages import Ballot, Keep, Message, Say, State
+from cottonhold.fleet.zone_failover.messages import WordError
 
 __all__ = ["Action", "Changed", "How", "Keep", "Outcome", "Registers", "RegisterSettings", "Say"]
 
@@ -91,7 +91,7 @@
     token: int
     writer: tuple[int, int]
     until: float
-    ballot: Ballot = words.NONE
+    ballot: Ballot = messages.NONE
     accepting: State | None = None  # set in the second phase
     answers: dict[int, Message] = field(default_factory=dict)
     risked: bool = False  # an ACCEPT with this change has gone out
@@ -165,24 +165,24 @@
     def hear(self, now: float, sender: int, m: Message) -> None:
         """An answer from a voter, or a settled state."""
         self.highest = max(self.highest, m.ballot.number, m.state.ballot.number)
-        if m.kind == words.CHOSEN:
+        if m.kind == messages.CHOSEN:
             self._learn(m.name, m.state)
             return
-        if sender not in self.voters or (m.kind != words.REFUSED and len(m.epochs) != len(self.voters)):
+        if sender not in self.voters or (m.kind != messages.REFUSED and len(m.epochs) != len(self.voters)):
             return
         told = self.told.get(m.name)
-        if m.kind == words.ACCEPTED and told is not None and told.state.ballot == m.ballot:
+        if m.kind == messages.ACCEPTED and told is not None and told.state.ballot == m.ballot:
             told.accepted.add(sender)
         asking = self.asking.get(m.name)
         # Danger: an answer to an earlier round, come late, is a promise that the voter has since outrun.
         if asking is None or asking.waits or asking.ballot != m.ballot:
             return
-        if m.kind == words.REFUSED:
+        if m.kind == messages.REFUSED:
             asking.refusals += 1
             most = min(self.settings.backoff * 2**asking.refusals, self.settings.longest)
             asking.waits, asking.due = True, now + most * (0.25 + 0.75 * self.draw.random())
             return
-        if m.kind != (words.PROMISE if asking.accepting is None else words.ACCEPTED):
+        if m.kind != (messages.PROMISE if asking.accepting is None else messages.ACCEPTED):
             return
         asking.answers[sender] = m
         valid = self._valid(asking.answers)
@@ -211,10 +211,10 @@
             asking.waits, asking.accepting, asking.answers = False, None, {}
         asking.due = now + self.settings.retry
         if asking.accepting is None:
-            message = Message(words.PREPARE, asking.name, asking.ballot)
+            message = Message(messages.PREPARE, asking.name, asking.ballot)
         else:
-            message = Message(words.ACCEPT, asking.name, asking.ballot, asking.accepting)
-        data = words.pack_message(message)
+            message = Message(messages.ACCEPT, asking.name, asking.ballot, asking.accepting)
+        data = messages.pack_message(message)
         # Sent again to all: an answer under an old epoch is mended only by a new one.
         self.actions += [Say(voter, data) for voter in self.voters]
 
@@ -222,7 +222,7 @@
         """A majority has promised: the newest accepted state, changed or as it is, is to be accepted."""
         found = max(states, key=lambda state: state.ballot)
         version, value, writer = found.version, found.value, found.writer
-        if found.ballot == words.NONE and asking.expected != 0:
+        if found.ballot == messages.NONE and asking.expected != 0:
             # Nothing was there at the time; to write that down would only fill the voters.
             lost = How.UNKNOWN if asking.risked else How.LOST
             self._end(now, asking, How.WON if asking.expected is None else lost, found)
@@ -277,7 +277,7 @@
             del self.told[name]
             return
         if told.times <= self.settings.again:
-            chosen = words.pack_message(Message(words.CHOSEN, name, state.ballot, state))
+            chosen = messages.pack_message(Message(messages.CHOSEN, name, state.ballot, state))
             self.actions += [Say(member, chosen) for member in sorted({*self.voters, *self.listeners})]
         if finished:
             self._finish(now, name, told)
@@ -289,12 +289,12 @@
         for a change that has gone out already must have given up: it would find the register not there, as
         before its own change, and make it a second time.
         """
-        accept = words.pack_message(Message(words.ACCEPT, name, told.state.ballot, told.state))
+        accept = messages.pack_message(Message(messages.ACCEPT, name, told.state.ballot, told.state))
         self.actions += [Say(voter, accept) for voter in self.voters if voter not in told.accepted]
         if now < told.since + self.settings.patience * 1.25:
             return
         if len(told.accepted) == len(self.voters):
-            forget = words.pack_message(Message(words.FORGET, name, told.state.ballot))
+            forget = messages.pack_message(Message(messages.FORGET, name, told.state.ballot))
             self.actions += [Say(voter, forget) for voter in self.voters]
         if now > told.since + self.settings.patience * 3:
             del self.told[name]  # by now it is done, or a voter is away: one of them looks again later
@@ -318,8 +318,8 @@
         settings: RegisterSettings | None = None,
     ) -> None:
         self.me, self.voters, self.settings = me, tuple(sorted(set(voters))), settings or RegisterSettings()
-        if not 0 < len(self.voters) <= words.VOTERS_MOST:
-            raise ValueError(f"1 to {words.VOTERS_MOST} voters, not {len(self.voters)}")
+        if not 0 < len(self.voters) <= messages.VOTERS_MOST:
+            raise ValueError(f"1 to {messages.VOTERS_MOST} voters, not {len(self.voters)}")
         self.draw = random.Random(seed)
         drawn = struct.pack("!QQQQ", me, life & (2**64 - 1), boot & (2**64 - 1), self.draw.getrandbits(64))
         who = int.from_bytes(hashlib.blake2b(drawn, digest_size=8).digest(), "big")
@@ -335,7 +335,7 @@
     def change(self, now: float, name: str, expected: int, value: bytes, token: int) -> list[Action]:
         """Set a register to a value (at most 120 bytes; empty: it is finished and will be forgotten) if its
         version is `expected` (0: it isn't there). Ends in an Outcome with this token."""
-        if not name or len(name.encode()) > words.NAME_MOST or len(value) > words.VALUE_MOST:
+        if not name or len(name.encode()) > messages.NAME_MOST or len(value) > messages.VALUE_MOST:
             raise ValueError("name or value too long")
         self.proposer.ask(now, name, expected, value, token)
         return self._run(now)
@@ -397,9 +397,9 @@
     def _take(self, now: float, sender: int, data: bytes) -> None:
         try:
             kind = data[0] if data else 0
-            if kind in (words.PROMISE, words.ACCEPTED, words.REFUSED, words.CHOSEN):
-                self.proposer.hear(now, sender, words.read_message(data))
-            elif not words.PREPARE <= kind <= words.RECALLED:
+            if kind in (messages.PROMISE, messages.ACCEPTED, messages.REFUSED, messages.CHOSEN):
+                self.proposer.hear(now, sender, messages.read_message(data))
+            elif not messages.PREPARE <= kind <= messages.RECALLED:
                 raise WordError("kind")
             elif self.acceptor is not None:
                 self.acceptor.hear(sender, data)
@@ -436,7 +436,7 @@
             heard = known is not None and known.ballot >= ballot
             if not ballot.number or (heard and register.state.value):
                 self.unsettled.pop(name, None)
-            elif self.unsettled.get(name, (words.NONE, False, 0.0))[:2] != (ballot, heard):
+            elif self.unsettled.get(name, (messages.NONE, False, 0.0))[:2] != (ballot, heard):
                 # One that is finished is looked at again until it is forgotten.
                 wait = self.settings.settle + heard * 4 * self.settings.patience
                 wait *= 0.75 + 0.5 * self.draw.random()
--- a/cottonhold/fleet/swap/ledger.py
+++ b/cottonhold/fleet/consensus/register_cache.py
@@ -11,7 +11,7 @@
 import random
 from dataclasses import dataclass
 
-from cottonhold.fleet.swap.steps import Change, Read
+from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
 
 REREAD = 1000.0  # ms: a read does no harm, so it is asked again soon
 
--- a/cottonhold/fleet/core.py
+++ b/cottonhold/fleet/coordinator.py
@@ -13,17 +13,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cottonhold.fleet.outlook.outlook import Outlook, OutlookSettings
-from cottonhold.fleet.outlook.words import SITES
-from cottonhold.fleet.price.loads import Loads, LoadSettings
-from cottonhold.fleet.price.pricing import Price
-from cottonhold.fleet.recovery import shown
-from cottonhold.fleet.recovery.ramp import BUDGET, Lost, Ramp, RampSettings
-from cottonhold.fleet.zones import orders as by_hand
-from cottonhold.fleet.zones import parts, words
-from cottonhold.fleet.zones.evidence import Evidence, EvidenceSettings
-from cottonhold.fleet.zones.leaving import Own, Phase, Turn, Zones, ZoneSettings
-from cottonhold.fleet.zones.words import Vote, Word, ZoneWord
+from cottonhold.fleet.admission.loads import Loads, LoadSettings
+from cottonhold.fleet.admission.threshold import Price
+from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
+from cottonhold.fleet.failover_cost.messages import SITES
+from cottonhold.fleet.recovery import warmup_messages
+from cottonhold.fleet.recovery.slow_start import BUDGET, Lost, Ramp, RampSettings
+from cottonhold.fleet.zone_failover import messages, quota_lending
+from cottonhold.fleet.zone_failover import operator_overrides as by_hand
+from cottonhold.fleet.zone_failover.evacuation import Own, Phase, Turn, Zones, ZoneSettings
+from cottonhold.fleet.zone_failover.failure_evidence import Evidence, EvidenceSettings
+from cottonhold.fleet.zone_failover.messages import Vote, Word, ZoneWord
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,7 +57,7 @@
     evidence: EvidenceSettings = field(default_factory=EvidenceSettings)
     zones: ZoneSettings = field(default_factory=ZoneSettings)
     loads: LoadSettings = field(default_factory=LoadSettings)
-    parts: parts.PartSettings = field(default_factory=parts.PartSettings)
+    parts: quota_lending.PartSettings = field(default_factory=quota_lending.PartSettings)
     recovery: RampSettings | None = None
     outlook: OutlookSettings | None = None
     home: str = ""
@@ -106,15 +106,17 @@
         self.me, self.life, self.settings, self.started = me, life & 0xFFFFFFFF, settings, now
         self.draw = random.Random(seed)
         self.evidence, self.zones = Evidence(settings.evidence), Zones(settings.zones)
-        self.words, self.orders = words.Words[Word](me), by_hand.Orders(me)
-        self.parts = parts.Parts(now, 1 / settings.dispatchers, self.draw.getrandbits(30), settings.parts)
+        self.words, self.orders = messages.Words[Word](me), by_hand.Orders(me)
+        self.parts = quota_lending.Parts(
+            now, 1 / settings.dispatchers, self.draw.getrandbits(30), settings.parts
+        )
         self.loads = Loads(me, life, now, seed, settings.loads) if settings.price else None
         self.priced = False
         self.ramp: Ramp | None = None
         if settings.recovery is not None:
             owned, term = 1 / settings.dispatchers, self.draw.getrandbits(30)
             self.ramp = Ramp(me, life, now, settings.recovery, seed)
-            self.cold_parts = parts.Parts(now, owned, term, settings.recovery.parts, only)
+            self.cold_parts = quota_lending.Parts(now, owned, term, settings.recovery.parts, only)
         self.outlook: Outlook | None = None
         if settings.outlook is not None:
             self.outlook = Outlook(me, life, now, settings.home, seed, settings.outlook)
@@ -141,7 +143,7 @@
         """Exactly these zones with these engines, and the cores of each, are there."""
         self.engines = {zone: dict(there) for zone, there in engines.items() if there}
         self.zone_of = {engine: zone for zone, there in self.engines.items() for engine in there}
-        self.numbers = {zone: words.zone_number(zone) for zone in self.engines}
+        self.numbers = {zone: messages.zone_number(zone) for zone in self.engines}
         self.evidence.know(self.engines)
         self.zones.know(self.engines)
         if self.outlook is not None:
@@ -214,35 +216,35 @@
         newer: bytes | None = None  # for a sender that is behind its own words
         try:
             kind = data[0] if data else 0
-            if kind == words.WORDS:
+            if kind == messages.WORDS:
                 newer = self._hear_words(now, sender, data)
-            elif kind == words.LOADS:
+            elif kind == messages.LOADS:
                 if self.loads is not None:
                     newer = self.loads.hear(now, data, sender)
-            elif kind == shown.RAMP:
+            elif kind == warmup_messages.RAMP:
                 if self.ramp is not None:
                     self.ramp.hear(now, data)
             elif kind == SITES:
                 if self.outlook is not None:
                     newer = self.outlook.hear(now, data, sender)
-            elif kind == words.ORDERS:
+            elif kind == messages.ORDERS:
                 if any([self.orders.take(order) for order in by_hand.read_orders(now, data)]):
                     self.next_step = now
             else:
-                loan = parts.read_loan(data)
+                loan = quota_lending.read_loan(data)
                 answers = self._purse(loan.zone).receive(now, sender, loan)
-                return self._say([(a.member, parts.pack_loan(a.what)) for a in answers])
-        except words.WordError:
+                return self._say([(a.member, quota_lending.pack_loan(a.what)) for a in answers])
+        except messages.WordError:
             self.counts["malformed"] += 1
         return self._say([(sender, newer)]) if newer is not None else []
 
     def _hear_words(self, now: float, sender: int, data: bytes) -> bytes | None:
-        told = words.read_words(data)
+        told = messages.read_words(data)
         news = [word for word in told if self.words.take(now, word)]
         if self.next_words > self.next_step and any(map(self._alarming, news)):
             self.next_words = self.next_step
         newer = self.words.passed_by(sender, told)
-        return words.pack_words([newer], words.ROOM) if newer is not None else None
+        return messages.pack_words([newer], messages.ROOM) if newer is not None else None
 
     def order(self, now: float, zone: str, mode: by_hand.Mode, last: float, who: str, why: str) -> bool:
         """An order by hand at this instance; false if there is no such zone."""
@@ -439,7 +441,7 @@
         asks = []
         for budget in budgets:
             asks += self._purse(budget).want(now, budget, demand, self.me)
-        return self._say([(a.member, parts.pack_loan(a.what)) for a in asks])
+        return self._say([(a.member, quota_lending.pack_loan(a.what)) for a in asks])
 
     def _price(self, now: float) -> list[Action]:
         """The price of all, and what is to be told for it."""
@@ -474,7 +476,7 @@
         lacking = sum(rates.values()) - free - owned * len(rates)
         return free, max(owned, 1e-6), self.ramp.cooldown(lacking)
 
-    def _purse(self, budget: int) -> parts.Parts:
+    def _purse(self, budget: int) -> quota_lending.Parts:
         """The parts of a zone's budget, or of that of cold engines."""
         return self.cold_parts if self.ramp is not None and budget == BUDGET else self.parts
 
@@ -511,7 +513,7 @@
         targets, passed = sorted(self.live), list[Word]()
         if len(targets) >= self.settings.close:
             targets, passed = self.draw.sample(targets, self.settings.fanout), self._passed(now)
-        data = words.pack_words([mine, *passed], words.ROOM)
+        data = messages.pack_words([mine, *passed], messages.ROOM)
         said = [(member, data) for member in targets]
         digest = self.orders.digest()
         for member in targets:
@@ -519,7 +521,7 @@
             if self.orders.known and (known is None or known.word.orders != digest):
                 newest = sorted(self.orders.known.values(), key=lambda o: -o.until)
                 for i in range(0, len(newest)):
-                    said.append((member, by_hand.pack_orders(now, newest[i : i + 1], words.ROOM)))
+                    said.append((member, by_hand.pack_orders(now, newest[i : i + 1], messages.ROOM)))
         return self._say(said)
 
     def _passed(self, now: float) -> list[Word]:
--- a/cottonhold/fleet/swap/engines.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass
 from enum import IntFlag
 
-from cottonhold.fleet.recovery.shown import engine_number
-from cottonhold.fleet.swap import plan
-from cottonhold.fleet.swap.plan import Flag, Machine, Step
-from cottonhold.fleet.zones.words import ROOM, WordError, Words
+from cottonhold.fleet.recovery.warmup_messages import engine_number
+from cottonhold.fleet.rolling_replacement import plan
+from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Step
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError, Words
 from cottonhold.store.records import MOST, Hint, Kind, Record
 
 DRAINS = 96  # the kind of message
--- a/cottonhold/fleet/outlook/divide.py
+++ b/cottonhold/fleet/failover_cost/allocation.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.price import demand as sketch
+from cottonhold.fleet.admission import demand as sketch
 
 MIDDLE = 2 ** (0.5 / sketch.STEPS_PER_OCTAVE)  # a step's middle over its lowest density
 TINY = 1e-9
--- a/cottonhold/fleet/outlook/divide_exact.py
+++ b/cottonhold/fleet/failover_cost/allocation_reference.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cottonhold.fleet.outlook.divide import Case, Division, Flow
+from cottonhold.fleet.failover_cost.allocation import Case, Division, Flow
 
 
 def divide(case: Case) -> Division:
--- a/cottonhold/fleet/outlook/outlook.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -14,14 +14,21 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from cottonhold.fleet.outlook.guests import GuestSettings, Scene, Shaky, allowed, by_engine, in_order
-from cottonhold.fleet.outlook.holding import Held, Steady, Use
-from cottonhold.fleet.outlook.picture import PictureSettings, draw
-from cottonhold.fleet.outlook.plan import Plan, Shares, in_parts, ordered
-from cottonhold.fleet.outlook.projection import CostSettings, Projection
-from cottonhold.fleet.outlook.words import Seen, Site, bits_of, pack_sites, read_sites, set_number
-from cottonhold.fleet.price.demand import Demand, step_of
-from cottonhold.fleet.zones.words import Words, zone_number
+from cottonhold.fleet.admission.demand import Demand, step_of
+from cottonhold.fleet.failover_cost.cross_zone_limits import (
+    GuestSettings,
+    Scene,
+    Shaky,
+    allowed,
+    by_engine,
+    in_order,
+)
+from cottonhold.fleet.failover_cost.fleet_snapshot import PictureSettings, draw
+from cottonhold.fleet.failover_cost.hysteresis import Held, Steady, Use
+from cottonhold.fleet.failover_cost.messages import Seen, Site, bits_of, pack_sites, read_sites, set_number
+from cottonhold.fleet.failover_cost.projection import CostSettings, Projection
+from cottonhold.fleet.failover_cost.snapshot_plan import Plan, Shares, in_parts, ordered
+from cottonhold.fleet.zone_failover.messages import Words, zone_number
 
 LATELY = 700.0  # ms: the memory of the quicker count of an instance's own demand
 
--- a/cottonhold/fleet/outlook/picture.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -12,10 +12,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.outlook.words import Site
-from cottonhold.fleet.price import demand
-from cottonhold.fleet.zones.leaving import lower_middle
-from cottonhold.fleet.zones.words import zone_number
+from cottonhold.fleet.admission import demand
+from cottonhold.fleet.failover_cost.messages import Site
+from cottonhold.fleet.zone_failover.evacuation import lower_middle
+from cottonhold.fleet.zone_failover.messages import zone_number
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/outlook/words.py
+++ b/cottonhold/fleet/failover_cost/messages.py
@@ -18,8 +18,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.price import demand
-from cottonhold.fleet.zones.words import ROOM, WordError
+from cottonhold.fleet.admission import demand
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 
 SITES = 49  # kind of message; 48 were sites that told of paces, not of what is served where
 HEAD = struct.Struct("!QIIHBBBBB")
--- a/cottonhold/fleet/outlook/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -11,11 +11,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from cottonhold.fleet.outlook import cold
-from cottonhold.fleet.outlook.divide import Case, Division, Flow, divide, value
-from cottonhold.fleet.outlook.picture import Picture
-from cottonhold.fleet.outlook.words import is_warm
-from cottonhold.fleet.price.pricing import Price, curve_price
+from cottonhold.fleet.admission.threshold import Price, curve_price
+from cottonhold.fleet.failover_cost import cold_cache
+from cottonhold.fleet.failover_cost.allocation import Case, Division, Flow, divide, value
+from cottonhold.fleet.failover_cost.fleet_snapshot import Picture
+from cottonhold.fleet.failover_cost.messages import is_warm
 
 
 @dataclass(slots=True, frozen=True)
@@ -121,7 +121,7 @@
     if total <= 0:
         return 0.0
     first = math.fsum(
-        cold.runs(rate, view.engines, is_warm(view.warm, number), window, math.inf)
+        cold_cache.runs(rate, view.engines, is_warm(view.warm, number), window, math.inf)
         for number, rate in rates.items()
     )
     return min(first / total, 1.0)
@@ -238,9 +238,9 @@
 def cold_work(picture: Picture, flows: Mapping[tuple[str, str], float], zone: str, s: CostSettings) -> float:
     """Cores of cold work in a zone, mean of the window: sets not warm yet, and sets pushed out by others."""
     view, rates = picture.zones[zone], zone_uses(picture, flows, zone)
-    stay = cold.stays(rates.values(), view.engines, s.keeps)
+    stay = cold_cache.stays(rates.values(), view.engines, s.keeps)
     runs = math.fsum(
-        cold.runs(rate, view.engines, is_warm(view.warm, number), s.window / 1000, stay)
+        cold_cache.runs(rate, view.engines, is_warm(view.warm, number), s.window / 1000, stay)
         for number, rate in rates.items()
     )
     there = [(x, picture.homes[home].mean) for (home, at), x in flows.items() if at == zone]
@@ -298,7 +298,7 @@
         fresh = {number: rate for number, rate in rates.items() if not is_warm(view.warm, number)}
         share = math.fsum(fresh.values()) / max(math.fsum(rates.values()), 1e-9)
         if share > 0.1:
-            slowest = max(slowest, 1000 * cold.warm_in(fresh, view.engines, 0.1 / share))
+            slowest = max(slowest, 1000 * cold_cache.warm_in(fresh, view.engines, 0.1 / share))
     return slowest
 
 
@@ -312,8 +312,8 @@
         warm, view = 0.0, picture.zones[zone]
         if zone in picture.homes:
             rates = _uses(picture, zone, 1.0)
-            warm = 1000 * cold.warm_in(rates, view.engines)
-            runs = math.fsum(cold.runs(r, view.engines, False, 600.0, math.inf) for r in rates.values())
+            warm = 1000 * cold_cache.warm_in(rates, view.engines)
+            runs = math.fsum(cold_cache.runs(r, view.engines, False, 600.0, math.inf) for r in rates.values())
             work.append(runs * picture.homes[zone].mean * (s.cold - 1))
         slowest = max(slowest, ramp + warm)
     return slowest, math.fsum(work)
--- a/cottonhold/fleet/outlook/plan.py
+++ b/cottonhold/fleet/failover_cost/snapshot_plan.py
@@ -6,10 +6,17 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.outlook.divide import Case, Division
-from cottonhold.fleet.outlook.guests import Scene
-from cottonhold.fleet.outlook.picture import Picture
-from cottonhold.fleet.outlook.projection import CostSettings, Projection, by_pair, project, room_of, settle
+from cottonhold.fleet.failover_cost.allocation import Case, Division
+from cottonhold.fleet.failover_cost.cross_zone_limits import Scene
+from cottonhold.fleet.failover_cost.fleet_snapshot import Picture
+from cottonhold.fleet.failover_cost.projection import (
+    CostSettings,
+    Projection,
+    by_pair,
+    project,
+    room_of,
+    settle,
+)
 
 Parts = tuple[tuple[str, float], ...]  # of zones that have less than all, in order
 
--- a/cottonhold/fleet/recovery/__init__.py
+++ b/cottonhold/fleet/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet after a power loss: what is remembered, who is asked, and the order in which service returns."""
+"""The fleet after a power loss: what is known from before, and the order in which service returns. Pure."""
--- a/cottonhold/fleet/recovery/remembered.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import EngineState
 from cottonhold.discovery.model import Address, Change, Names, Observation, Verdict
+from cottonhold.message_validation import WireError
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import EngineState
 from cottonhold.store.records import MOST, Hint, Kind, Record, RecordError
-from cottonhold.wire import WireError
 
 REASON = "remembered from before the start"
 
--- a/cottonhold/fleet/recovery/memory.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -45,9 +45,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.recovery.census import Gone
-from cottonhold.fleet.recovery.own import How, Known, LoadKept, Own, hold_for, identity
-from cottonhold.fleet.recovery.words import (
+from cottonhold.fleet.recovery.local_loads import How, Known, LoadKept, Own, hold_for, identity
+from cottonhold.fleet.recovery.membership_survey import Gone
+from cottonhold.fleet.recovery.messages import (
     LONG,
     Answer,
     Ask,
--- a/cottonhold/fleet/recovery/census.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -38,7 +38,9 @@
 import math
 from collections.abc import Iterable, Mapping
 
-from cottonhold.fleet.recovery.found import (
+from cottonhold.fleet.recovery.messages import BASE_STEP, LONG, PAIRS_MOST, Here, MemoryState, Pair, pack
+from cottonhold.fleet.recovery.peer_observations import Peer, Silent
+from cottonhold.fleet.recovery.survey_results import (
     Action,
     Boot,
     CensusSettings,
@@ -51,8 +53,6 @@
     View,
     Whole,
 )
-from cottonhold.fleet.recovery.heard import Peer, Silent
-from cottonhold.fleet.recovery.words import BASE_STEP, LONG, PAIRS_MOST, Here, MemoryState, Pair, pack
 
 __all__ = ["Action", "Boot", "Census", "CensusSettings", "Changed", "Gone", "Knew", "Say", "Twice"]
 __all__ += ["Verdict", "View", "Whole"]
--- a/cottonhold/fleet/recovery/words.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zones.words import ROOM, WordError
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 
 HERE, ASK, ANSWER, OPEN = 6, 7, 8, 9  # kinds of message of the fleet; 1 to 5 are zones' and price's
 HEAD = struct.Struct("!BHIQIIBB")
--- a/cottonhold/fleet/recovery/heard.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.recovery.words import Here, MemoryState, Pair
+from cottonhold.fleet.recovery.messages import Here, MemoryState, Pair
 
 
 @dataclass(slots=True)
--- a/cottonhold/fleet/recovery/ramp.py
+++ b/cottonhold/fleet/recovery/slow_start.py
@@ -17,10 +17,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cottonhold.fleet.recovery import shown
-from cottonhold.fleet.recovery.shown import FREE, WINDOW, Pooled, RampWord, Row
-from cottonhold.fleet.zones.parts import PartSettings
-from cottonhold.fleet.zones.words import Words, zone_number
+from cottonhold.fleet.recovery import warmup_messages
+from cottonhold.fleet.recovery.warmup_messages import FREE, WINDOW, Pooled, RampWord, Row
+from cottonhold.fleet.zone_failover.messages import Words, zone_number
+from cottonhold.fleet.zone_failover.quota_lending import PartSettings
 from cottonhold.membership.rendezvous import score
 
 FREE_TOLD = 5  # free engines that others still hold for young, in a word of many
@@ -97,7 +97,7 @@
         age = now - self.since
         if not self.answers:
             return Row(0.0, 0.0, self.share, age)
-        speed = shown.upper([work / max(elapsed, 0.1) for _, work, elapsed in self.answers])
+        speed = warmup_messages.upper([work / max(elapsed, 0.1) for _, work, elapsed in self.answers])
         # Danger: one that has answered for less than the window would look as if it did little.
         seen = min(max(age, 100.0), WINDOW)
         done = sum(work for _, work, _ in self.answers) / seen / self.cores
@@ -127,7 +127,7 @@
         """Exactly these engines, with their cores, are there, by list or hint; new ones are young."""
         came = [engine for engine in engines if engine not in self.engines]
         self.engines = dict(engines)
-        self.numbers = {shown.engine_number(engine) for engine in engines}
+        self.numbers = {warmup_messages.engine_number(engine) for engine in engines}
         self.young = {e: y for e, y in self.young.items() if e in engines}
         self.alive = {e: at for e, at in self.alive.items() if e in engines}
         for engine, young in self.young.items():
@@ -227,7 +227,7 @@
 
     def hear(self, now: float, data: bytes) -> None:
         """A message of ramps. Raises WordError."""
-        for word in shown.read_words(data):
+        for word in warmup_messages.read_words(data):
             self.words.take(now, word)
 
     # --- what follows ---
@@ -302,7 +302,7 @@
     # --- inside ---
 
     def _start(self, now: float, engine: str, not_before: float) -> Young:
-        number = shown.engine_number(engine)
+        number = warmup_messages.engine_number(engine)
         young = Young(self.engines[engine], number, self.settings.first, now, not_before, self.listed)
         young.stepped_at = now
         self.young[engine] = young
@@ -319,7 +319,7 @@
         if not told and not own.speed and young.proven and now - young.since <= self.settings.longest:
             young.stepped_at = now
             return
-        pooled = shown.pool([own, *told] if young.proven else told, unheard)
+        pooled = warmup_messages.pool([own, *told] if young.proven else told, unheard)
         passed, young.stepped_at = now - young.stepped_at, now
         if pooled.speed > 0 and not young.proven:
             young.proven, young.since = True, now  # another's attempt was answered
@@ -371,10 +371,10 @@
         self.life, self.version = self.words.following(self.life, self.version)
         mine = RampWord(self.me, self.life, self.version, self._rows(few))
         if few:
-            data = shown.pack_words([mine])
+            data = warmup_messages.pack_words([mine])
             return [(member, data) for member in members]
         passed = [h.word for h in self.words.newest() if now - h.at <= self.settings.fresh]
-        data = shown.pack_words([mine, *passed])
+        data = warmup_messages.pack_words([mine, *passed])
         return [(member, data) for member in self.draw.sample(members, self.settings.fanout)]
 
     def _rows(self, few: bool) -> dict[int, Row]:
@@ -385,11 +385,11 @@
         free = (self.wanted & self.numbers) - {young.number for young in self.young.values()}
         for number in sorted(free)[:: 1 if few else max(len(free) // FREE_TOLD, 1)]:
             rows[number] = Row(0.0, 0.0, FREE, 0.0)
-        if len(rows) <= shown.MOST_ROWS:
+        if len(rows) <= warmup_messages.MOST_ROWS:
             return rows
         turn = self.version * 0x9E3779B1
         ranked = sorted(rows, key=lambda n: (rows[n].speed <= 0, n + turn & 0xFFFFFFFF))
-        return {number: rows[number] for number in ranked[: shown.MOST_ROWS]}
+        return {number: rows[number] for number in ranked[: warmup_messages.MOST_ROWS]}
 
 
 @functools.lru_cache(maxsize=4096)
--- a/cottonhold/fleet/recovery/shown.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -18,8 +18,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from cottonhold.fleet.zones.leaving import lower_middle
-from cottonhold.fleet.zones.words import ROOM, WordError
+from cottonhold.fleet.zone_failover.evacuation import lower_middle
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 
 RAMP = 16  # the kind of message
 HEAD = struct.Struct("!QIIB")
--- /dev/null
+++ b/cottonhold/fleet/request_forwarding/__init__.py
@@ -0,0 +1,1 @@
+"""Requests forwarded to the dispatcher that owns their key, and the answer back. Pure."""
--- a/cottonhold/fleet/swap/handon.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -11,12 +11,23 @@
 import math
 from collections import Counter
 
-from cottonhold.fleet.swap.handoffer import Offering
-from cottonhold.fleet.swap.handtaking import Taking
-from cottonhold.fleet.swap.handterms import Action, Ended, Gone, HandSettings, Take
-from cottonhold.fleet.swap.handwords import U32, Ack, Answer, End, Got, Lives, Part, Probe, Withdraw, read
-from cottonhold.fleet.swap.words import Say
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.request_forwarding.interface import Action, Ended, Gone, HandSettings, Take
+from cottonhold.fleet.request_forwarding.messages import (
+    U32,
+    Ack,
+    Answer,
+    End,
+    Got,
+    Lives,
+    Part,
+    Probe,
+    Withdraw,
+    read,
+)
+from cottonhold.fleet.request_forwarding.origin import Offering
+from cottonhold.fleet.request_forwarding.owner import Taking
+from cottonhold.fleet.zone_failover.messages import WordError
 
 __all__ = ["Action", "End", "Ended", "Gone", "HandOn", "HandSettings", "Say", "Take"]
 
--- a/cottonhold/fleet/swap/parcels.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -11,8 +11,8 @@
 import heapq
 import math
 
-from cottonhold.fleet.swap.handwords import parts_of
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.request_forwarding.messages import parts_of
+from cottonhold.fleet.zone_failover.messages import WordError
 
 FIRST, LEAST = 16.0, 4.0  # parts on their way to a neighbour that has said nothing yet, and to a silent one
 
--- a/cottonhold/fleet/swap/handterms.py
+++ b/cottonhold/fleet/request_forwarding/interface.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from cottonhold.fleet.swap.handwords import End
-from cottonhold.fleet.swap.words import Say
+from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.request_forwarding.messages import End
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/swap/handwords.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zones.words import ROOM, WordError
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 
 HAND = 79
 PROBE, LIFE, PART, WITHDRAW, ACK, ANSWER, GOT = range(7)
--- a/cottonhold/fleet/swap/handoffer.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -21,8 +21,10 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from cottonhold.fleet.swap.handterms import Action, Ended, HandSettings
-from cottonhold.fleet.swap.handwords import (
+from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
+from cottonhold.fleet.request_forwarding.interface import Action, Ended, HandSettings
+from cottonhold.fleet.request_forwarding.messages import (
     ANSWER_ROOM,
     LARGEST,
     PART_ROOM,
@@ -41,9 +43,7 @@
     number_of,
     pack,
 )
-from cottonhold.fleet.swap.parcels import Gather, Lane, Parcel
-from cottonhold.fleet.swap.words import Say
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.zone_failover.messages import WordError
 
 
 class Phase(IntEnum):
--- a/cottonhold/fleet/swap/handtaking.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -18,8 +18,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.swap.handterms import Action, Gone, HandSettings, Take
-from cottonhold.fleet.swap.handwords import (
+from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
+from cottonhold.fleet.request_forwarding.interface import Action, Gone, HandSettings, Take
+from cottonhold.fleet.request_forwarding.messages import (
     ANSWER_ROOM,
     LARGEST,
     PART_ROOM,
@@ -36,9 +38,7 @@
     Word,
     pack,
 )
-from cottonhold.fleet.swap.parcels import Gather, Lane, Parcel
-from cottonhold.fleet.swap.words import Say
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.zone_failover.messages import WordError
 
 STAMPS = 1000.0  # a ms
 
--- a/cottonhold/fleet/swap/requests.py
+++ b/cottonhold/fleet/request_forwarding/request_codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.zone_failover.messages import WordError
 
 HEAD = struct.Struct("!BddiQ")  # flags, effort, room, tables, round
 SIZE = struct.Struct("!H")
--- /dev/null
+++ b/cottonhold/fleet/rolling_replacement/__init__.py
@@ -0,0 +1,1 @@
+"""The rolling replacement of machines: planned, ordered and stepped by all dispatchers together. Pure."""
--- a/cottonhold/fleet/swap/swap.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -13,11 +13,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from cottonhold.fleet.swap import plan
-from cottonhold.fleet.swap.driving import Driver, Mine, Scene, SwapSettings, order_of
-from cottonhold.fleet.swap.laying import Laying, unlocked
-from cottonhold.fleet.swap.ledger import Ledger
-from cottonhold.fleet.swap.plan import (
+from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.rolling_replacement import plan
+from cottonhold.fleet.rolling_replacement.machine_driver import Driver, Mine, Scene, SwapSettings, order_of
+from cottonhold.fleet.rolling_replacement.plan import (
     NAME,
     Flag,
     Machine,
@@ -29,8 +28,9 @@
     ident,
     register,
 )
-from cottonhold.fleet.swap.starts import Bearable
-from cottonhold.fleet.swap.steps import (
+from cottonhold.fleet.rolling_replacement.plan_submission import Laying, unlocked
+from cottonhold.fleet.rolling_replacement.start_conditions import Bearable
+from cottonhold.fleet.rolling_replacement.step_decision import (
     Action,
     Answer,
     Drain,
@@ -38,7 +38,7 @@
     Say,
     Undrain,
 )
-from cottonhold.fleet.zones.words import WordError, zone_number
+from cottonhold.fleet.zone_failover.messages import WordError, zone_number
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/swap/driving.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -10,12 +10,29 @@
 import hashlib
 from dataclasses import dataclass, field, replace
 
-from cottonhold.fleet.swap import plan
-from cottonhold.fleet.swap.ledger import Cell, Ledger
-from cottonhold.fleet.swap.plan import NAME, Flag, Machine, Reason, Record, Step, Whole, ident, register
-from cottonhold.fleet.swap.starts import Bearable, Starts, up
-from cottonhold.fleet.swap.steps import Action, MovePins, Ready, StepSettings, View, decide
-from cottonhold.fleet.zones.leaving import majority
+from cottonhold.fleet.consensus.register_cache import Cell, Ledger
+from cottonhold.fleet.rolling_replacement import plan
+from cottonhold.fleet.rolling_replacement.plan import (
+    NAME,
+    Flag,
+    Machine,
+    Reason,
+    Record,
+    Step,
+    Whole,
+    ident,
+    register,
+)
+from cottonhold.fleet.rolling_replacement.start_conditions import Bearable, Starts, up
+from cottonhold.fleet.rolling_replacement.step_decision import (
+    Action,
+    MovePins,
+    Ready,
+    StepSettings,
+    View,
+    decide,
+)
+from cottonhold.fleet.zone_failover.evacuation import majority
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/swap/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -24,8 +24,8 @@
 from enum import IntEnum, IntFlag
 from functools import lru_cache
 
-from cottonhold.fleet.zones.orders import cut
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.zone_failover.operator_overrides import cut
 from cottonhold.membership.codec import MOST_NAME, member_id
 
 WHOLE = struct.Struct("!BBIIIQBB")
--- a/cottonhold/fleet/swap/laying.py
+++ b/cottonhold/fleet/rolling_replacement/plan_submission.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from cottonhold.fleet.swap.ledger import Ledger
-from cottonhold.fleet.swap.plan import (
+from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.rolling_replacement.plan import (
     NAME,
     Item,
     Machine,
@@ -25,7 +25,7 @@
     pack_whole,
     register,
 )
-from cottonhold.fleet.swap.steps import Action
+from cottonhold.fleet.rolling_replacement.step_decision import Action
 
 
 class Laying:
--- a/cottonhold/fleet/swap/asking.py
+++ b/cottonhold/fleet/rolling_replacement/request_parsing.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from cottonhold.fleet.swap.plan import Item, Machine, PlanError, Request
+from cottonhold.fleet.rolling_replacement.plan import Item, Machine, PlanError, Request
 
 
 def request_of(who: str, call: Mapping[str, Any], there: Mapping[str, Machine]) -> Request:
--- a/cottonhold/fleet/swap/starts.py
+++ b/cottonhold/fleet/rolling_replacement/start_conditions.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Mapping
 
-from cottonhold.fleet.swap.order import STUCK, Job, Limits, Order, Schedule
-from cottonhold.fleet.swap.plan import BEFORE, Flag, Machine, Reason, Record, Whole, ident
-from cottonhold.fleet.zones.leaving import majority
-from cottonhold.fleet.zones.words import zone_number
+from cottonhold.fleet.rolling_replacement.plan import BEFORE, Flag, Machine, Reason, Record, Whole, ident
+from cottonhold.fleet.rolling_replacement.schedule import STUCK, Job, Limits, Order, Schedule
+from cottonhold.fleet.zone_failover.evacuation import majority
+from cottonhold.fleet.zone_failover.messages import zone_number
 
 Bearable = Callable[[Mapping[str, float]], list[str]]
 ASKED_AGAIN = 500.0  # ms: so old may the outlook's answers be
--- a/cottonhold/fleet/swap/steps.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
 
-from cottonhold.fleet.swap.plan import Flag, Machine, Reason, Record, Request, Step, tenths
+from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Reason, Record, Request, Step, tenths
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/swap/handover.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -4,11 +4,11 @@
 
 import math
 
-from cottonhold.fleet.swap import pinwords
-from cottonhold.fleet.swap.book import Action, Moved, Pin, Pinned
-from cottonhold.fleet.swap.pinwords import DOUBT, GONE, TENTATIVE, Entry, Step
-from cottonhold.fleet.swap.transfer import Transfer
-from cottonhold.fleet.swap.words import Say
+from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.session_affinity import messages
+from cottonhold.fleet.session_affinity.messages import DOUBT, GONE, TENTATIVE, Entry, Step
+from cottonhold.fleet.session_affinity.migration import Transfer
+from cottonhold.fleet.session_affinity.record_book import Action, Moved, Pin, Pinned
 
 
 class Handover(Transfer):
@@ -78,14 +78,14 @@
         untold = {self.home(k) for k in self.busy if not (self.pins[k].placed or self.pins[k].told)}
         for member in waiting:
             if member not in untold:
-                self._say(member, pinwords.pack_short(pinwords.DONE, False, self.me, standing.epoch))
+                self._say(member, messages.pack_short(messages.DONE, False, self.me, standing.epoch))
 
     def _done(self, sender: int, answer: bool, epoch: int) -> None:
         if answer:
             self.done[sender] = epoch
             return
         self.heard[sender] = max(epoch, self.heard.get(sender, 0))
-        self._say(sender, pinwords.pack_short(pinwords.DONE, True, self.me, epoch))
+        self._say(sender, messages.pack_short(messages.DONE, True, self.me, epoch))
 
     def _place(self, now: float, sender: int, e: Entry) -> None:
         """An owner tells this home of a pin."""
@@ -235,8 +235,8 @@
             self.token += 1
             self.actions.append(self.standing.keep(self.token))
         for (member, step), entries in self.says.items():
-            for i in range(0, len(entries), pinwords.A_BATCH):
-                self._say(member, pinwords.pack_batch(step, entries[i : i + pinwords.A_BATCH]))
+            for i in range(0, len(entries), messages.A_BATCH):
+                self._say(member, messages.pack_batch(step, entries[i : i + messages.A_BATCH]))
         self.says = {}
         actions = [*self.actions, *self.standing.actions]
         self.actions, self.standing.actions = [], []
--- a/cottonhold/fleet/swap/standing.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -18,8 +18,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.swap import pinwords
-from cottonhold.fleet.swap.words import Keep, Reader, Say
+from cottonhold.fleet.consensus.messages import Keep, Reader, Say
+from cottonhold.fleet.session_affinity import messages
 from cottonhold.membership.leases import Ask, Leases, LeaseSettings, To, Word
 
 TABLE = "table"  # name of the record
@@ -129,7 +129,7 @@
             if fence.since < math.inf or now < fence.due:
                 continue
             fence.due = now + retry
-            ask = pinwords.pack_short(pinwords.REFUSE, False, member, self.epoch)
+            ask = messages.pack_short(messages.REFUSE, False, member, self.epoch)
             for voter in {*self.voters, member} - fence.refusing - {self.me}:
                 self.actions.append(Say(voter, ask))
             if self.me in self.voters:
@@ -155,7 +155,7 @@
             if member == self.me:
                 # It may only say so where it knows: then it has stopped.
                 if self.me not in self.inside and self.epoch >= epoch and self.durable >= self.version:
-                    self._say(sender, pinwords.pack_short(pinwords.REFUSE, True, member, epoch))
+                    self._say(sender, messages.pack_short(messages.REFUSE, True, member, epoch))
             elif self.me in self.voters and not self.barred:
                 self._refuse(now, sender, member, epoch)
             return
@@ -179,7 +179,7 @@
         self.waiting = [(needs, say) for needs, say in self.waiting if needs > self.durable]
         for say in due:
             if say.member == self.me:
-                self.refuse(now, self.me, *pinwords.read_short(say.data))
+                self.refuse(now, self.me, *messages.read_short(say.data))
             else:
                 self.actions.append(say)
 
@@ -210,7 +210,7 @@
 
     def _refuse(self, now: float, asker: int, member: int, epoch: int) -> None:
         """Danger: a word that is not on disk would be forgotten in a restart, and the lease renewed."""
-        say = Say(asker, pinwords.pack_short(pinwords.REFUSE, True, member, epoch))
+        say = Say(asker, messages.pack_short(messages.REFUSE, True, member, epoch))
         if self.refused.get(member, 0) < epoch:
             self.refused[member] = epoch
             self.version += 1
@@ -224,7 +224,7 @@
                 self._tell(action.member, action.what)
 
     def _tell(self, member: int, what: Ask | Word) -> None:
-        self._say(member, pinwords.pack_lease(what, self.epoch))
+        self._say(member, messages.pack_lease(what, self.epoch))
 
     def _say(self, member: int, data: bytes) -> None:
         self.actions.append(Say(member, data))
--- a/cottonhold/fleet/swap/table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -20,11 +20,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cottonhold.fleet.swap.driving import order_of
-from cottonhold.fleet.swap.ledger import Ledger
-from cottonhold.fleet.swap.steps import Change, Read
-from cottonhold.fleet.swap.words import VALUE_MOST
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.consensus.messages import VALUE_MOST
+from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.rolling_replacement.machine_driver import order_of
+from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
+from cottonhold.fleet.zone_failover.messages import WordError
 
 NAME = "pins"
 HEAD = struct.Struct("!IBBH")  # epoch, members, changes, mask of those that are in
--- a/cottonhold/fleet/swap/pinwords.py
+++ b/cottonhold/fleet/session_affinity/messages.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zones.words import ROOM, WordError
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 from cottonhold.membership import leases
 
 BATCH, LEASE, REFUSE, DONE = 75, 76, 77, 78
--- a/cottonhold/fleet/swap/transfer.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -4,8 +4,8 @@
 
 import math
 
-from cottonhold.fleet.swap.book import Book, Moved, Pin, Pinned
-from cottonhold.fleet.swap.pinwords import DOUBT, Entry, Step
+from cottonhold.fleet.session_affinity.messages import DOUBT, Entry, Step
+from cottonhold.fleet.session_affinity.record_book import Book, Moved, Pin, Pinned
 
 
 class Transfer(Book):
--- a/cottonhold/fleet/swap/pins.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -27,8 +27,10 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
-from cottonhold.fleet.swap import pinwords
-from cottonhold.fleet.swap.book import (
+from cottonhold.fleet.session_affinity import messages
+from cottonhold.fleet.session_affinity.announcements import Handover
+from cottonhold.fleet.session_affinity.messages import TENTATIVE, Entry, Step
+from cottonhold.fleet.session_affinity.record_book import (
     Action,
     Back,
     Forward,
@@ -39,9 +41,7 @@
     PinSettings,
     Took,
 )
-from cottonhold.fleet.swap.handover import Handover
-from cottonhold.fleet.swap.pinwords import TENTATIVE, Entry, Step
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.membership.rendezvous import score
 
 __all__ = ["Action", "Back", "Forward", "Moved", "Own", "PinSettings", "Pins", "Took"]
@@ -176,16 +176,16 @@
         """A message of pins (first byte 75 to 78); one that makes no sense is counted."""
         try:
             kind = data[0] if data else 0
-            if kind == pinwords.BATCH:
-                step, entries = pinwords.read_batch(data)
+            if kind == messages.BATCH:
+                step, entries = messages.read_batch(data)
                 for entry in entries:
                     self._entry(now, sender, step, entry)
-            elif kind == pinwords.LEASE:
-                self.standing.lease(now, sender, *pinwords.read_lease(data))
-            elif kind == pinwords.REFUSE:
-                self.standing.refuse(now, sender, *pinwords.read_short(data))
-            elif kind == pinwords.DONE:
-                answer, _, epoch = pinwords.read_short(data)
+            elif kind == messages.LEASE:
+                self.standing.lease(now, sender, *messages.read_lease(data))
+            elif kind == messages.REFUSE:
+                self.standing.refuse(now, sender, *messages.read_short(data))
+            elif kind == messages.DONE:
+                answer, _, epoch = messages.read_short(data)
                 self._done(sender, answer, epoch)
             else:
                 raise WordError("kind")
--- a/cottonhold/fleet/swap/book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from cottonhold.fleet.swap.pinwords import Entry, Step
-from cottonhold.fleet.swap.standing import Standing
-from cottonhold.fleet.swap.words import Keep, Reader, Say
+from cottonhold.fleet.consensus.messages import Keep, Reader, Say
+from cottonhold.fleet.session_affinity.membership_lease import Standing
+from cottonhold.fleet.session_affinity.messages import Entry, Step
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.rendezvous import score
 
--- a/cottonhold/fleet/swap/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from cottonhold.fleet.swap import book
-from cottonhold.fleet.swap.pins import Back, Forward, Own, Pins, PinSettings
-from cottonhold.fleet.swap.standing import TABLE
-from cottonhold.fleet.swap.steps import Change, Read
-from cottonhold.fleet.swap.table import Seen, Table, TableSettings
-from cottonhold.fleet.swap.words import Keep
-
-Action = book.Action | Change | Read
+from cottonhold.fleet.consensus.messages import Keep
+from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
+from cottonhold.fleet.session_affinity import record_book
+from cottonhold.fleet.session_affinity.membership_lease import TABLE
+from cottonhold.fleet.session_affinity.membership_table import Seen, Table, TableSettings
+from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own, Pins, PinSettings
+
+Action = record_book.Action | Change | Read
 LIFE = 1 << 32  # tokens of one beginning
 LINGER = 500.0  # ms that one stays up once it is out of the table: by then the others know
 
@@ -76,7 +76,7 @@
         if self.pins is None:
             # Danger: one that is back takes clients before its folder is judged, which may last for 3 s, and
             # what came to it waited. Whoever is asked for a key checks for itself whether it is the owner.
-            home = book.first(self.table.value.inside - {self.me}, key) if self.table.known else 0
+            home = record_book.first(self.table.value.inside - {self.me}, key) if self.table.known else 0
             return Forward(key, home) if home else Back(self.settings.back)
         found = self.pins.take(now, key)
         # Danger: begun while this member's own fence was on its way to the register, a load ran here while
@@ -117,7 +117,7 @@
         found = []
         for key in keys:
             pin = pins.pins.get(key)
-            on_way = pin is not None and pin.state is not book.Pinned.HELD
+            on_way = pin is not None and pin.state is not record_book.Pinned.HELD
             if not on_way and key not in waiting and pins.owns(now, key) is not None:
                 found.append(key)
         return found
@@ -238,7 +238,7 @@
         """What this member holds can't be relied on any more."""
         assert self.pins is not None
         self.counts["gaps"] += 1
-        self.kept_names |= {TABLE, *(book.RECORD + key.hex() for key in self.pins.pins)}
+        self.kept_names |= {TABLE, *(record_book.RECORD + key.hex() for key in self.pins.pins)}
         self.pins, self.records = None, {}
         self.loads.clear()
         self.recent.clear()
@@ -277,14 +277,14 @@
             self.around.out,
         )
 
-    def _out(self, actions: Iterable[book.Action]) -> list[Action]:
+    def _out(self, actions: Iterable[record_book.Action]) -> list[Action]:
         found: list[Action] = []
         for action in actions:
             if isinstance(action, Keep):
                 action = Keep(action.name, action.data, self.began * LIFE + action.then)
-            elif isinstance(action, book.Moved):
+            elif isinstance(action, record_book.Moved):
                 self.counts["moved" if action.done else "stayed"] += 1
-            elif isinstance(action, book.Took):
+            elif isinstance(action, record_book.Took):
                 self.counts["took"] += 1
             found.append(action)
         return found
--- a/cottonhold/fleet/swap/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""A rolling hardware swap: settled, ordered and stepped by all dispatchers together."""
--- /dev/null
+++ b/cottonhold/fleet/zone_failover/__init__.py
@@ -0,0 +1,1 @@
+"""Leaving a failing zone as one fleet, and returning to it. Pure."""
--- a/cottonhold/fleet/zones/leaving.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from cottonhold.fleet.zones.evidence import Verdict
-from cottonhold.fleet.zones.words import Vote, ZoneWord
+from cottonhold.fleet.zone_failover.failure_evidence import Verdict
+from cottonhold.fleet.zone_failover.messages import Vote, ZoneWord
 
 Signs = tuple[int, int, int]  # good, late, bad
 WELL_LEAST, WELL_BAD = 3, 0.1  # served attempts, and share of bad signs, that speak against joining others
--- a/cottonhold/fleet/zones/orders.py
+++ b/cottonhold/fleet/zone_failover/operator_overrides.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zones.words import ORDERS, WordError
+from cottonhold.fleet.zone_failover.messages import ORDERS, WordError
 
 ORDER = struct.Struct("!HBIQI")
 MOST_WHO, MOST_WHY = 24, 80  # bytes
--- a/cottonhold/fleet/zones/parts.py
+++ b/cottonhold/fleet/zone_failover/quota_lending.py
@@ -27,7 +27,7 @@
 import struct
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.zones.words import ASK, GRANT, WordError
+from cottonhold.fleet.zone_failover.messages import ASK, GRANT, WordError
 
 LOAN = struct.Struct("!BHIH")  # kind, zone, term, amount in steps
 STEPS = 0xFFFF  # of the whole
--- a/cottonhold/fleet/zones/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Leaving a failing zone as one fleet, and returning to it."""
--- a/cottonhold/node/fleet/drains.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -6,19 +6,19 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from cottonhold.discovery.held import Held
+from cottonhold.backend.connection_pool import Engines
 from cottonhold.discovery.model import Change
-from cottonhold.fleet.core import Fleet
-from cottonhold.fleet.swap import steps
-from cottonhold.fleet.swap.engines import DRAINS, Drains, DrainSettings, Kept, Knock, Settled, Tell, fresh
-from cottonhold.fleet.swap.plan import Flag, Machine, Record, Step
-from cottonhold.fleet.swap.swap import Swap
+from cottonhold.discovery.quarantine import Held
+from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.engine_drain import DRAINS, Drains, DrainSettings, Kept, Knock, Settled, Tell, fresh
+from cottonhold.fleet.rolling_replacement import step_decision
+from cottonhold.fleet.rolling_replacement.coordinator import Swap
+from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Record, Step
+from cottonhold.fleet_adapters.membership import MembershipRim
+from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, life_of
+from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.node.dispatcher import Logs
-from cottonhold.node.engines import Engines
-from cottonhold.node.fleet.inorder import InOrder
-from cottonhold.node.fleet.membership import MembershipRim
-from cottonhold.node.fleet.recovery import BOOT_STEP, LIFE_BASE, life_of
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Kind
@@ -91,10 +91,10 @@
             if ramp is not None and record.step in (Step.IN_PLACE, Step.RAMPING):
                 swap.pace(now, record.new, ramp.share(record.new) if record.new in ramp.engines else 0.0)
 
-    def act(self, now: float, swap: Swap, action: steps.Drain | steps.Undrain) -> None:
+    def act(self, now: float, swap: Swap, action: step_decision.Drain | step_decision.Undrain) -> None:
         """Nothing new goes to an engine, or the way back."""
         engine, record = action.machine, swap.scene.chain.get(action.machine)
-        if isinstance(action, steps.Drain):
+        if isinstance(action, step_decision.Drain):
             if record is not None:
                 self.owner.counters.add("engine_drains")
                 self.owner.republish(self.owner.held.hold(engine))
--- a/cottonhold/node/fleet/pinned.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -13,17 +13,17 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cottonhold.decide.interface import Outcome
-from cottonhold.fleet.swap.handon import End, Ended
-from cottonhold.fleet.swap.pins import Back, Forward, Own
-from cottonhold.fleet.swap.requests import pin_key, read_rows
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.request_forwarding.forwarder import End, Ended
+from cottonhold.fleet.request_forwarding.request_codec import pin_key, read_rows
+from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
+from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet_adapters.load_records import NEVER_RAN
 from cottonhold.node.clock import Clock
-from cottonhold.node.engines import Attempt
-from cottonhold.node.fleet.loads import NEVER_RAN
 from cottonhold.node.gateway import Gateway, LoadGuard, Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler.interface import Outcome
 
 KNOWN_ENDS = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other end a load may run on
 WAIT_MS = 2000.0  # so long a request waits here for its key to have an owner: longer than a fence takes
--- a/cottonhold/node/fleet/loads.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import Outcome
-from cottonhold.fleet.recovery.memory import Action, How, Known, LoadKept, Memory, Settled, identity
-from cottonhold.node.engines import Attempt
+from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.recovery.load_history import Action, How, Known, LoadKept, Memory, Settled, identity
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import Outcome
 from cottonhold.store.ledger import Ledger, State
 from cottonhold.store.records import Kind, LoadRecord, LoadState, Record, forget_loads, loads
 
--- a/cottonhold/node/fleet/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from cottonhold.config.installation import Installation
-from cottonhold.decide.interface import Outcome
 from cottonhold.discovery.model import Address
 from cottonhold.membership.codec import MAGIC, Status, member_id
 from cottonhold.membership.duties import Duties, Duty, Run, Stop
@@ -16,6 +15,7 @@
 from cottonhold.membership.swim import Changed, Datagram, Send, Swim, SwimSettings
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler.interface import Outcome
 
 PROBE, REPORT, FLEET = "probe", "report", "fleet"
 UNKNOWN = 0xFFFFFFFF  # a detail that tells no load
--- a/cottonhold/node/fleet/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -8,19 +8,19 @@
 from typing import Any
 
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.core import Fleet
-from cottonhold.fleet.outlook.outlook import Outlook
-from cottonhold.fleet.recovery import census as census_of
-from cottonhold.fleet.recovery import memory as memory_of
-from cottonhold.fleet.recovery.census import Census, CensusSettings, Gone, Verdict, View
-from cottonhold.fleet.recovery.memory import Around, Memory, MemorySettings, hold_for
-from cottonhold.fleet.recovery.ramp import Lost
-from cottonhold.fleet.recovery.words import ANSWER, BASE_STEP, HERE, Here, MemoryState, read
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.failover_cost.estimator import Outlook
+from cottonhold.fleet.recovery import load_history as memory_of
+from cottonhold.fleet.recovery import membership_survey as census_of
+from cottonhold.fleet.recovery.load_history import Around, Memory, MemorySettings, hold_for
+from cottonhold.fleet.recovery.membership_survey import Census, CensusSettings, Gone, Verdict, View
+from cottonhold.fleet.recovery.messages import ANSWER, BASE_STEP, HERE, Here, MemoryState, read
+from cottonhold.fleet.recovery.slow_start import Lost
+from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet_adapters.load_records import Loads, Unkept, guarded, kept_loads
+from cottonhold.fleet_adapters.write_queue import AGAIN_MS
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.fleet.inorder import AGAIN_MS
-from cottonhold.node.fleet.loads import Loads, Unkept, guarded, kept_loads
 from cottonhold.observe.counters import Counters
 from cottonhold.store import ledger as ledger_of
 from cottonhold.store.ledger import Ledger
--- a/cottonhold/node/fleet/swap.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -12,21 +12,21 @@
 from typing import Any, Protocol
 
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.core import Fleet
-from cottonhold.fleet.recovery.census import Census, Verdict
-from cottonhold.fleet.swap import register
-from cottonhold.fleet.swap import steps as steps_of
-from cottonhold.fleet.swap.asking import request_of
-from cottonhold.fleet.swap.driving import SwapSettings
-from cottonhold.fleet.swap.plan import Machine, PlanError
-from cottonhold.fleet.swap.register import Registers
-from cottonhold.fleet.swap.swap import Swap
-from cottonhold.fleet.zones.leaving import Phase
+from cottonhold.fleet.consensus import register
+from cottonhold.fleet.consensus.register import Registers
+from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.recovery.membership_survey import Census, Verdict
+from cottonhold.fleet.rolling_replacement import step_decision as steps_of
+from cottonhold.fleet.rolling_replacement.coordinator import Swap
+from cottonhold.fleet.rolling_replacement.machine_driver import SwapSettings
+from cottonhold.fleet.rolling_replacement.plan import Machine, PlanError
+from cottonhold.fleet.rolling_replacement.request_parsing import request_of
+from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet_adapters.engine_drain import DrainRim
+from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.fleet.drains import DrainRim
-from cottonhold.node.fleet.inorder import InOrder
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
--- a/cottonhold/node/fleet/pins.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -10,28 +10,30 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
+from cottonhold.backend.resp import Rows
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.core import Fleet
-from cottonhold.fleet.recovery.census import Census
-from cottonhold.fleet.recovery.words import MemoryState
-from cottonhold.fleet.swap import handon, pinwords, steps, table
-from cottonhold.fleet.swap.book import GAPS_MS
-from cottonhold.fleet.swap.handon import End, HandOn, HandSettings
-from cottonhold.fleet.swap.handwords import U32
-from cottonhold.fleet.swap.pins import Back, Forward, Own
-from cottonhold.fleet.swap.plan import Record as Swapped
-from cottonhold.fleet.swap.plan import Step, ident
-from cottonhold.fleet.swap.requests import Handed, pack_request, pack_rows, read_request
-from cottonhold.fleet.swap.service import Action, Around, Going, PinService
-from cottonhold.fleet.swap.words import Keep, Say
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.consensus.messages import Keep, Say
+from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.recovery.membership_survey import Census
+from cottonhold.fleet.recovery.messages import MemoryState
+from cottonhold.fleet.request_forwarding import forwarder
+from cottonhold.fleet.request_forwarding.forwarder import End, HandOn, HandSettings
+from cottonhold.fleet.request_forwarding.messages import U32
+from cottonhold.fleet.request_forwarding.request_codec import Handed, pack_request, pack_rows, read_request
+from cottonhold.fleet.rolling_replacement import step_decision
+from cottonhold.fleet.rolling_replacement.plan import Record as Swapped
+from cottonhold.fleet.rolling_replacement.plan import Step, ident
+from cottonhold.fleet.session_affinity import membership_table, messages
+from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
+from cottonhold.fleet.session_affinity.record_book import GAPS_MS
+from cottonhold.fleet.session_affinity.service import Action, Around, Going, PinService
+from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet_adapters.keyed_loads import WAITS_MS, Pinned
+from cottonhold.fleet_adapters.recovery import life_of
+from cottonhold.fleet_adapters.rolling_replacement import SwapRim
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.fleet.pinned import WAITS_MS, Pinned
-from cottonhold.node.fleet.recovery import life_of
-from cottonhold.node.fleet.swap import SwapRim
 from cottonhold.node.gateway import DuplicateRef, Gateway, LoadGuard, Request, Taken
-from cottonhold.node.resp import Rows
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Kind, Record
@@ -116,7 +118,7 @@
 
     def told(self, member: int, payload: bytes) -> bool:
         """Whether bytes from another instance are of pins, or of a request that is handed on."""
-        if not payload or not pinwords.BATCH <= payload[0] <= HANDED_ON:
+        if not payload or not messages.BATCH <= payload[0] <= HANDED_ON:
             return False
         now = self.clock.now()
         if payload[0] == HANDED_ON:
@@ -172,7 +174,7 @@
 
     # --- requests that others hand on to here ---
 
-    def _taken(self, action: handon.Take) -> None:
+    def _taken(self, action: forwarder.Take) -> None:
         now, place = self.clock.now(), (action.origin, action.number)
         try:
             asked = read_request(action.body)
@@ -215,16 +217,16 @@
             self.guard.remote.pop(found[1].ref, None)
             self.gateway.client_gone(found[0])
 
-    def _hands(self, actions: Iterable[handon.Action]) -> None:
+    def _hands(self, actions: Iterable[forwarder.Action]) -> None:
         for action in actions:
             match action:
                 case Say(member, data):
                     self.say(member, data)
-                case handon.Take():
+                case forwarder.Take():
                     self._taken(action)
-                case handon.Gone(origin, number):
+                case forwarder.Gone(origin, number):
                     self._gone(origin, number)
-                case handon.Ended():
+                case forwarder.Ended():
                     self.guard.handed(action)
         self._arm(LEAST_MS)
 
@@ -237,7 +239,7 @@
 
     def changed(self, name: str, version: int, value: bytes) -> None:
         """A register has changed."""
-        if name == table.NAME:
+        if name == membership_table.NAME:
             self.service.changed(self.clock.now(), name, version, value)
             self._arm(LEAST_MS)
 
@@ -328,7 +330,7 @@
                     self.say(member, data)
                 case Keep(name, data, then):
                     self._keep(name, data, then)
-                case steps.Change() | steps.Read():
+                case step_decision.Change() | step_decision.Read():
                     self.swap.ask(action)
 
     def _keep(self, name: str, data: bytes, then: int) -> None:
--- a/cottonhold/node/fleet/zones.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -6,22 +6,22 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
+from cottonhold.backend.connection_pool import Attempt
 from cottonhold.config.installation import Installation
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import Outcome
-from cottonhold.fleet.core import Action, Bound, Fleet, FleetSettings, Priced, Say
-from cottonhold.fleet.outlook.outlook import OutlookSettings
-from cottonhold.fleet.price.loads import density, draw_of
-from cottonhold.fleet.recovery.ramp import RampSettings, first_prober
-from cottonhold.fleet.zones.evidence import EvidenceSettings
-from cottonhold.fleet.zones.leaving import Turn, ZoneSettings
-from cottonhold.fleet.zones.orders import Mode
+from cottonhold.fleet.admission.loads import density, draw_of
+from cottonhold.fleet.coordinator import Action, Bound, Fleet, FleetSettings, Priced, Say
+from cottonhold.fleet.failover_cost.estimator import OutlookSettings
+from cottonhold.fleet.recovery.slow_start import RampSettings, first_prober
+from cottonhold.fleet.zone_failover.evacuation import Turn, ZoneSettings
+from cottonhold.fleet.zone_failover.failure_evidence import EvidenceSettings
+from cottonhold.fleet.zone_failover.operator_overrides import Mode
 from cottonhold.membership.codec import Status
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.engines import Attempt
 from cottonhold.node.gateway import Taken
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import Outcome
 
 # What an end says of the engine; one turned away, given up or never sent says nothing. Danger: a query that
 # had waited here until its last 100 ms ran out of time at a well engine, and two of those in a crowd made a
--- /dev/null
+++ b/cottonhold/frontend/__init__.py
@@ -0,0 +1,1 @@
+"""Client protocols as state machines that are fed bytes: MySQL."""
--- a/cottonhold/node/mysql.py
+++ b/cottonhold/frontend/mysql_session.py
@@ -8,14 +8,14 @@
 from collections import deque
 from typing import Protocol
 
-from cottonhold.decide import interface as io
+from cottonhold.backend.resp import Rows
+from cottonhold.frontend.query_comment import FieldError, Statement, parse
 from cottonhold.node.clock import Clock
 from cottonhold.node.gateway import DuplicateRef, Gateway, Request, Taken
 from cottonhold.node.lifecycle import Lifecycle
-from cottonhold.node.resp import Rows
-from cottonhold.node.seats import Ids
-from cottonhold.node.statement import FieldError, Statement, parse
+from cottonhold.node.sibling_processes import Ids
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
 
 VERSION = b"8.0.0-cottonhold"
 USER, DATABASE = b"app", b"dw"
--- a/cottonhold/node/__init__.py
+++ b/cottonhold/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real dispatcher: the decision module on sockets."""
+"""One dispatcher put together: the gateway, the lifecycle, the operators' calls."""
--- a/cottonhold/node/ops.py
+++ b/cottonhold/node/admin_api.py
@@ -6,9 +6,9 @@
 
 import httptools
 
+from cottonhold.frontend.mysql_session import Line
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.lifecycle import Lifecycle, Phase
-from cottonhold.node.mysql import Line
 from cottonhold.observe.counters import Counters
 
 CALL_MS = 2000.0  # a call that is not whole by then is told so
--- a/cottonhold/node/consul.py
+++ b/cottonhold/node/consul_client.py
@@ -10,10 +10,10 @@
 from cottonhold.discovery.consul.registration import Registration
 from cottonhold.discovery.consul.watch import Watch
 from cottonhold.discovery.model import Event
-from cottonhold.node.driver import Driver
-from cottonhold.node.http import HttpLink, Tls
+from cottonhold.message_validation import WireError
+from cottonhold.node.http_client import HttpLink, Tls
 from cottonhold.observe.counters import Counters
-from cottonhold.wire import WireError
+from cottonhold.transport.event_loop import Driver
 
 LEAST_PAUSE_MS = 1.0  # also between calls that fail at once, so that the loop gets its turn
 LAG_TICK_S = 0.05
--- a/cottonhold/node/descriptors.py
+++ b/cottonhold/node/descriptors.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from cottonhold.node.seats import Record
+from cottonhold.node.sibling_processes import Record
 
 CLIENTS_PART = 0.48  # usual clients hold a third at most; the rest of this is for those that go nowhere
 ENGINES_PART = 0.33
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -15,23 +15,23 @@
 
 import uvloop
 
+from cottonhold.backend.connection_pool import Engines
 from cottonhold.config.relay import Config, ConfigError, check_change, load
-from cottonhold.decide import interface as io
-from cottonhold.discovery.belief import Belief
 from cottonhold.discovery.bus import SOURCE, Bus
+from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Address, Change, Confirm, Event, Guard, Publish, Remark
+from cottonhold.frontend.mysql_session import Front
+from cottonhold.node.admin_api import Calls
 from cottonhold.node.clock import Timer
 from cottonhold.node.descriptors import Descriptors
-from cottonhold.node.driver import Driver
-from cottonhold.node.engines import Engines
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
-from cottonhold.node.mysql import Front
-from cottonhold.node.ops import Calls
-from cottonhold.node.peers import Peers
-from cottonhold.node.seats import Record, Seats
-from cottonhold.node.sockets import MakeSocket
+from cottonhold.node.peer_datagrams import Peers
+from cottonhold.node.sibling_processes import Record, Seats
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.socket_factory import MakeSocket
 
 CHECK_S = 0.02
 BESIDE_MS = 300.0  # so often other processes of this dispatcher are looked for
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -13,14 +13,14 @@
 from enum import Enum
 from typing import Protocol
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import Outcome
-from cottonhold.decide.scheduler import Scheduler
+from cottonhold.backend.connection_pool import Attempt, Engines
+from cottonhold.backend.resp import Rows
 from cottonhold.discovery.model import Change
 from cottonhold.node.clock import Clock
-from cottonhold.node.engines import Attempt, Engines
-from cottonhold.node.resp import Rows
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.scheduler import Scheduler
 
 # Danger: in a burst one turn of the loop takes 100 ms. A request is read a turn late, its time-out is seen a
 # turn late, and the answer takes two more: it came after the client's limit and was lost. So the module is
--- a/cottonhold/node/http.py
+++ b/cottonhold/node/http_client.py
@@ -14,8 +14,8 @@
 
 from cottonhold.discovery.consul.exchange import Answer, Call, Exchange
 from cottonhold.discovery.model import Address
-from cottonhold.node.driver import Driver
-from cottonhold.wire import WireError
+from cottonhold.message_validation import WireError
+from cottonhold.transport.event_loop import Driver
 
 CONNECT_S = 1.0
 READ_BYTES = 64 << 10
--- a/cottonhold/node/peers.py
+++ b/cottonhold/node/peer_datagrams.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from cottonhold.decide import interface as io
 from cottonhold.discovery.model import Address
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
 
 MOST_BYTES = 256
 
--- a/cottonhold/node/installation.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -14,31 +14,31 @@
 
 from cottonhold.config import schema
 from cottonhold.config.installation import Installation, Unusable, Watched, known_report, read
-from cottonhold.decide import interface as io
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.registration import Registration
 from cottonhold.discovery.consul.watch import Watch
-from cottonhold.discovery.held import Held
 from cottonhold.discovery.model import Address, Change, Event, Publish
-from cottonhold.fleet.core import Fleet
-from cottonhold.fleet.recovery.found import Verdict
-from cottonhold.fleet.recovery.remembered import Remembered
-from cottonhold.fleet.swap.engines import DrainSettings, Kept
-from cottonhold.fleet.swap.plan import Machine, Step
+from cottonhold.discovery.quarantine import Held
+from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.engine_drain import DrainSettings, Kept
+from cottonhold.fleet.recovery.cached_engines import Remembered
+from cottonhold.fleet.recovery.survey_results import Verdict
+from cottonhold.fleet.rolling_replacement.plan import Machine, Step
+from cottonhold.fleet_adapters.engine_drain import DrainRim
+from cottonhold.fleet_adapters.ledger_opener import Opening
+from cottonhold.fleet_adapters.load_records import Unkept
+from cottonhold.fleet_adapters.membership import MembershipRim, make_instance
+from cottonhold.fleet_adapters.recovery import BOOT_STEP, RecoveryRim, life_of, open_ledger, unkept_guard
+from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
+from cottonhold.fleet_adapters.session_affinity import PinsRim
+from cottonhold.fleet_adapters.zone_failover import FleetRim, OrderError, make_fleet
 from cottonhold.membership.codec import Status
-from cottonhold.node import consul, status
+from cottonhold.node import consul_client, status
 from cottonhold.node.dispatcher import Dispatcher, run_program
-from cottonhold.node.fleet.drains import DrainRim
-from cottonhold.node.fleet.loads import Unkept
-from cottonhold.node.fleet.membership import MembershipRim, make_instance
-from cottonhold.node.fleet.opening import Opening
-from cottonhold.node.fleet.pins import PinsRim
-from cottonhold.node.fleet.recovery import BOOT_STEP, RecoveryRim, life_of, open_ledger, unkept_guard
-from cottonhold.node.fleet.swap import SwapError, SwapRim
-from cottonhold.node.fleet.zones import FleetRim, OrderError, make_fleet
-from cottonhold.node.http import Tls
+from cottonhold.node.http_client import Tls
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
+from cottonhold.scheduler import interface as io
 from cottonhold.store.ledger import Ledger, StoreBusy
 from cottonhold.store.records import Kind
 
@@ -74,7 +74,7 @@
         self.path, self.installation, self.structured = path, installation, log
         self.held = Held()
         self.watches: dict[str, tuple[Watched, Watch, asyncio.Task[None]]] = {}
-        self.entry: consul.Entry | None = None
+        self.entry: consul_client.Entry | None = None
         self.membership: MembershipRim | None = None
         self.fleet: FleetRim | None = None
         self.recovery: RecoveryRim | None = None
@@ -358,7 +358,7 @@
         for watched in self.installation.watched:
             self._watch(watched)
         if self.installation.registration is not None:
-            self.entry = consul.Entry(
+            self.entry = consul_client.Entry(
                 self.driver,
                 Registration(self.installation.registration),
                 tls_of(self.installation.registration_tls),
@@ -445,7 +445,7 @@
         settings = watched.settings
         answers = Answers(self.config.names, watched.reading, lambda why: self._malformed(settings.name, why))
         watch = Watch(settings, answers, self.config.seed)
-        work = consul.follow(self.driver, watch, tls_of(watched.tls), self.believe, self.counters)
+        work = consul_client.follow(self.driver, watch, tls_of(watched.tls), self.believe, self.counters)
         self.watches[settings.name] = (watched, watch, self.driver.spawn(work))
 
     def _malformed(self, source: str, why: str) -> None:
--- a/cottonhold/node/status.py
+++ b/cottonhold/node/status.py
@@ -16,7 +16,7 @@
 
 import orjson
 
-from cottonhold.node.driver import Driver
+from cottonhold.transport.event_loop import Driver
 
 SEND_S = 1.0
 CALL_S = 0.1  # so long is waited for a call: who says nothing wants the view
--- a/cottonhold/decide/admission.py
+++ b/cottonhold/scheduler/admission.py
@@ -2,12 +2,20 @@
 
 from __future__ import annotations
 
-from cottonhold.decide import answers, engine_health, failover, ordering, placement, retry, slow_start
-from cottonhold.decide import interface as io
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import Effect
-from cottonhold.decide.parameters import CANDIDATES, REPORT_FRESH_MS
-from cottonhold.decide.state import Query
+from cottonhold.scheduler import (
+    engine_health,
+    key_ordering,
+    placement,
+    responses,
+    retry_policy,
+    slow_start,
+    straggler_cancellation,
+)
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import Effect
+from cottonhold.scheduler.parameters import CANDIDATES, REPORT_FRESH_MS
+from cottonhold.scheduler.state import Query
 
 PROBES_SPARE = 2  # probes that stay for doubts: load is asked for with what is left over
 PATIENCE_ALIKE = 0.02  # of the time that most clients leave a first try: ticks and the way here scatter it
@@ -24,7 +32,7 @@
     query.began = _first_tried(gateway, query, event.retry)
     gateway.queries[query.id] = query
     _count(gateway, query)
-    ordering.join(gateway, query)
+    key_ordering.join(gateway, query)
     gateway.deadlines.add(query)
     placement.place(gateway, query)
     slow_start.count(gateway, query)
@@ -34,12 +42,12 @@
         return
     worthless_repeat = query.density <= 0 and query.began < query.arrived
     if _late_load(query) or _below_threshold(gateway, query, event.draw) or worthless_repeat:
-        answers.answer(gateway, query)
+        responses.answer(gateway, query)
 
 
 def _count(gateway: GatewayState, query: Query) -> None:
     """Count what was taken: for the allowance of attempts, the traffic, the probes and its tenant."""
-    retry.count_taken(gateway)
+    retry_policy.count_taken(gateway)
     gateway.traffic.add(gateway.now)
     gateway.probes = min(gateway.probes + gateway.probe_part, CANDIDATES)
     _probe_oldest_report(gateway)
@@ -100,8 +108,8 @@
     query.leave_plan()
     # Danger: the attempt of a client that left runs on for nobody. A load still runs to its end.
     if gateway.settings.permits.cancel and query.cls.effect is not Effect.UNSAFE:
-        failover.cancel(gateway, query)
-    answers.close(gateway, query)
+        straggler_cancellation.cancel(gateway, query)
+    responses.close(gateway, query)
 
 
 def on_threshold(gateway: GatewayState, event: io.Price) -> None:
--- a/cottonhold/decide/outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -2,12 +2,21 @@
 
 from __future__ import annotations
 
-from cottonhold.decide import answers, engine_health, learning, ordering, placement, pressure, release, retry
-from cottonhold.decide import interface as io
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import Outcome
-from cottonhold.decide.parameters import LEFT_LEAST
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler import (
+    engine_health,
+    key_ordering,
+    placement,
+    rate_estimation,
+    release,
+    responses,
+    retry_policy,
+    utilization,
+)
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.parameters import LEFT_LEAST
+from cottonhold.scheduler.state import EngineView, Query
 
 WAITS_FOR_MEMORY = 1  # value of a note that an attempt waits: for memory, else for a load on its tables
 
@@ -26,10 +35,10 @@
         _leave_engine(gateway, query, engine)
     if event.outcome is Outcome.TIMEOUT and not gateway.settings.permits.cancel:
         _count_unseen(gateway, query)
-    retry.note_risk(query, engine, event.outcome)
-    ordering.rest_after(gateway, query, event.outcome)
+    retry_policy.note_risk(query, engine, event.outcome)
+    key_ordering.rest_after(gateway, query, event.outcome)
     if query.over or event.final:
-        answers.close(gateway, query, served=True)
+        responses.close(gateway, query, served=True)
         return
     _try_again(gateway, query, event.outcome)
 
@@ -52,8 +61,8 @@
 def _try_again(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
     """Try elsewhere if rules and time allow, else answer at once."""
     late = gateway.now + max(query.p / 2, gateway.slack) > query.due
-    if outcome is Outcome.MOOT or retry.repeat_barred(gateway, query) or late:
-        answers.answer(gateway, query)
+    if outcome is Outcome.MOOT or retry_policy.repeat_barred(gateway, query) or late:
+        responses.answer(gateway, query)
     else:
         # Danger: its deadline had come up while its attempt was out. Held again, under settings with a
         # shorter slack, nothing looked at it any more, and it was never answered.
@@ -70,13 +79,13 @@
         return
     engine_health.heard_from(gateway, engine, query.sent_at)
     if event.kind is io.NoteKind.PROGRESS:
-        learning.learn_progress(gateway, query, engine, event.value)
+        rate_estimation.learn_progress(gateway, query, engine, event.value)
     elif event.kind is io.NoteKind.SPILL:
-        learning.learn_spill(query, event.value)
+        rate_estimation.learn_spill(query, event.value)
     elif event.value == WAITS_FOR_MEMORY:
         query.waits = True
         query.run_at = gateway.now
-        engine.pressed_until = gateway.now + pressure.FULL_REST_MS
+        engine.pressed_until = gateway.now + utilization.FULL_REST_MS
     elif query.tables not in engine.locks or engine.locks[query.tables] < gateway.now:
         engine.locks[query.tables] = gateway.now + gateway.settings.note_period
 
--- a/cottonhold/decide/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -6,10 +6,10 @@
 import math
 from collections.abc import Iterable
 
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import EngineState
-from cottonhold.decide.parameters import CANDIDATES, PEER_GAPS, REPORT_FRESH_MS, THREADS_PER_CORE
-from cottonhold.decide.state import EngineView
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.parameters import CANDIDATES, PEER_GAPS, REPORT_FRESH_MS, THREADS_PER_CORE
+from cottonhold.scheduler.state import EngineView
 
 MEMORY_ROOM = 0.9  # share of an engine's memory planned for; needs are estimates
 CHANCE = 1.5  # standard deviations of an engine's memory in use left free for chance
--- a/cottonhold/decide/class_history.py
+++ b/cottonhold/scheduler/class_history.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from cottonhold.decide.averages import Traffic
+from cottonhold.scheduler.moving_average import Traffic
 
 if TYPE_CHECKING:
-    from cottonhold.decide.state import Query
+    from cottonhold.scheduler.state import Query
 
 
 @dataclass(slots=True)
--- a/cottonhold/decide/timeouts.py
+++ b/cottonhold/scheduler/deadlines.py
@@ -4,10 +4,10 @@
 
 import math
 
-from cottonhold.decide import answers
-from cottonhold.decide import interface as io
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.parameters import HEARTBEAT_MS, TRAFFIC_YOUNG_MS
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import responses
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.parameters import HEARTBEAT_MS, TRAFFIC_YOUNG_MS
 
 
 def is_due(gateway: GatewayState, at: float) -> bool:
@@ -33,7 +33,7 @@
     """Answer the queries whose time is up; those with an attempt out wait for its end."""
     for query in gateway.deadlines.take(gateway.now + gateway.slack):
         if not query.out and not query.over:
-            answers.answer(gateway, query)
+            responses.answer(gateway, query)
 
 
 def on_leaving(gateway: GatewayState, event: io.Leaving) -> None:
--- a/cottonhold/decide/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -6,12 +6,12 @@
 
 from __future__ import annotations
 
-from cottonhold.decide import interface as io
-from cottonhold.decide import learning, placement, pressure, slow_start
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import Outcome
-from cottonhold.decide.parameters import SUSPICION_MS
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import placement, rate_estimation, slow_start, utilization
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.parameters import SUSPICION_MS
+from cottonhold.scheduler.state import EngineView, Query
 
 DEAD, DEAF, ERRORS, SILENT = "dead", "deaf", "errors", "silent"
 UNHEARD = (SILENT, DEAF)  # suspicions of engines that take work and say nothing
@@ -64,13 +64,13 @@
     """What the outcome of an attempt says of the engine."""
     outcome = event.outcome
     sent_at = gateway.now - event.elapsed
-    learning.hear_report(gateway, engine, event.report)
+    rate_estimation.hear_report(gateway, engine, event.report)
     if outcome in (Outcome.OK, Outcome.ERROR):  # a hung engine still turns work away
         heard_from(gateway, engine, sent_at)
     if outcome is Outcome.OK:
         _note_success(gateway, engine, sent_at)
         if query is not None and query.out:
-            learning.learn_answer(gateway, query, engine, event)
+            rate_estimation.learn_answer(gateway, query, engine, event)
     elif outcome is Outcome.FULL:
         _pass_over(gateway, engine)
     elif outcome in (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET):
@@ -82,8 +82,8 @@
     # Danger: a jammed or hung engine turns work away at once, and gets yet more. So it is passed over
     # for a time that doubles; may hurt where it had room again sooner.
     engine.jams += 1
-    engine.pressed_until = gateway.now + pressure.FULL_REST_MS
-    engine.rest_until = gateway.now + min(pressure.FULL_REST_MS * 2**engine.jams, SUSPICION_MS)
+    engine.pressed_until = gateway.now + utilization.FULL_REST_MS
+    engine.rest_until = gateway.now + min(utilization.FULL_REST_MS * 2**engine.jams, SUSPICION_MS)
 
 
 def _note_success(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
@@ -177,7 +177,7 @@
         if engine.out and event.outcome in (Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
             suspect(gateway, engine, DEAF if event.outcome is Outcome.TIMEOUT else DEAD)
         return
-    learning.hear_report(gateway, engine, event.report)
+    rate_estimation.hear_report(gateway, engine, event.report)
     if engine.suspect == DEAF:  # ends by the kind of evidence that it came from
         trust(gateway, engine)
     elif engine.suspect == DEAD:
--- a/cottonhold/decide/engine_list.py
+++ b/cottonhold/scheduler/engine_list.py
@@ -5,11 +5,11 @@
 import dataclasses
 import math
 
-from cottonhold.decide import capacity, engine_health, placement, slow_start
-from cottonhold.decide import interface as io
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import EngineState
-from cottonhold.decide.state import EngineView
+from cottonhold.scheduler import capacity, engine_health, placement, slow_start
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.state import EngineView
 
 ASK_AGAIN_MS = 400.0  # after a call for the list that failed
 
--- a/cottonhold/decide/estimates.py
+++ b/cottonhold/scheduler/estimates.py
@@ -4,9 +4,9 @@
 
 import math
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.state import EngineView, Query
 
 UNTOLD_COST_OF_AIM = 0.25  # of the aim: the cost of a query of a class that nothing is known of
 LATE_FALL = 0.5  # of the aim: how fast worth falls to its late value behind the aim (finish is a guess)
--- a/cottonhold/decide/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -12,13 +12,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.averages import Rate, Traffic, Window
-from cottonhold.decide.class_history import Learned
-from cottonhold.decide.levels import Pool
-from cottonhold.decide.parameters import PEER_GAP_MOST_MS, TRAFFIC_MEMORY_MS, TRAFFIC_YOUNG_MS
-from cottonhold.decide.queues import Deadlines, Turns
-from cottonhold.decide.state import EngineView, Peers, Query
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.class_history import Learned
+from cottonhold.scheduler.in_flight import Pool
+from cottonhold.scheduler.moving_average import Rate, Traffic, Window
+from cottonhold.scheduler.parameters import PEER_GAP_MOST_MS, TRAFFIC_MEMORY_MS, TRAFFIC_YOUNG_MS
+from cottonhold.scheduler.queues import Deadlines, Turns
+from cottonhold.scheduler.state import EngineView, Peers, Query
 
 
 @dataclass(slots=True, eq=False)
--- a/cottonhold/decide/levels.py
+++ b/cottonhold/scheduler/in_flight.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cottonhold.decide.state import EngineView, Query
+    from cottonhold.scheduler.state import EngineView, Query
 
 LANES = 4  # priorities that engines know, from 0
 
--- a/cottonhold/decide/ordering.py
+++ b/cottonhold/scheduler/key_ordering.py
@@ -4,9 +4,9 @@
 
 import math
 
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import Outcome
-from cottonhold.decide.state import Query
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.state import Query
 
 MAY_RUN_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may run on unseen
 
--- a/cottonhold/decide/peers.py
+++ b/cottonhold/scheduler/peer_load.py
@@ -4,11 +4,11 @@
 
 import math
 
-from cottonhold.decide import interface as io
-from cottonhold.decide import peer_messages
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.parameters import ALPHA, CANDIDATES, LEFT_LEAST, PASSED, PEER_GAP_MOST_MS, PEER_GAPS
-from cottonhold.decide.state import EngineView, Query, Told
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import peer_messages
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.parameters import ALPHA, CANDIDATES, LEFT_LEAST, PASSED, PEER_GAP_MOST_MS, PEER_GAPS
+from cottonhold.scheduler.state import EngineView, Query, Told
 
 PEER_PRICE = 0.003  # of the result that messages on loads may cost: their gap follows from it
 PEER_GAP_LEAST_MS = 250.0  # the shortest gap between messages on loads
--- a/cottonhold/decide/peer_messages.py
+++ b/cottonhold/scheduler/peer_messages.py
@@ -5,7 +5,7 @@
 import math
 import struct
 
-from cottonhold.decide.state import EngineView, Told
+from cottonhold.scheduler.state import EngineView, Told
 
 LOAD_KIND, WORK_KIND = 2, 3  # first byte of a message
 LOAD = struct.Struct(">BIHf")  # kind, engine's code, tables and planned length of a load
--- a/cottonhold/decide/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -10,11 +10,11 @@
 import math
 from typing import NamedTuple
 
-from cottonhold.decide import answers, estimates, learning, pressure, retry, slow_start
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import Effect, EngineState
-from cottonhold.decide.parameters import ALPHA, CANDIDATES, EPSILON, LEFT_LEAST, PASSED
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler import estimates, rate_estimation, responses, retry_policy, slow_start, utilization
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import Effect, EngineState
+from cottonhold.scheduler.parameters import ALPHA, CANDIDATES, EPSILON, LEFT_LEAST, PASSED
+from cottonhold.scheduler.state import EngineView, Query
 
 BETA = 0.2  # share of the slack that is reserved: tentative run time is 1.4 p
 REDRAWN = 2  # engines drawn anew for a held query where engines are rarely heard of: more is only CPU
@@ -37,7 +37,7 @@
 def tentative(gateway: GatewayState, query: Query, engine: EngineView) -> Tentative:
     """What would become of a query on an engine, at the densest place that it may take there."""
     work = query.cost * (1 + query.learned.delta)
-    run_time = work / (query.cls.threads * max(learning.rate(gateway, engine), RATE_LEAST))
+    run_time = work / (query.cls.threads * max(rate_estimation.rate(gateway, engine), RATE_LEAST))
     start = _earliest_finish(gateway, query, engine, run_time)
     area, space = engine.held_area, engine.held_space
     finish = start + max(area / engine.own_room, space / engine.own_memory)
@@ -58,7 +58,7 @@
     finish += engine.ahead(now, LEFT_LEAST, passing, ALPHA, PASSED)
     others = engine.sum_told(now, gateway.alike)
     wide = max(1 / engine.room, others.memory / max(others.threads, 1) / engine.memory_room)
-    finish += others.area * wide * pressure.not_passed(gateway, passing)
+    finish += others.area * wide * utilization.not_passed(gateway, passing)
     if engine.locks and (cls.waits or cls.loads):  # it stands still behind a load that holds its tables
         finish += max(0.0, engine.locks.get(query.tables, 0.0) - now)
     if cls.loads and engine.line:  # loads on the same tables run one at a time, all gateways' in turn
@@ -150,7 +150,7 @@
         return False
     if cls.models is not None and info.model not in cls.models:
         return False
-    return retry.in_first_group(query, engine)
+    return retry_policy.in_first_group(query, engine)
 
 
 def place(gateway: GatewayState, query: Query, count: int = CANDIDATES) -> None:
@@ -208,4 +208,4 @@
     for query in sorted(held, key=lambda q: q.order):
         place(gateway, query, count)
         if query.engine is not None and (query.density <= 0 or gateway.now + query.p > query.due):
-            answers.answer(gateway, query)
+            responses.answer(gateway, query)
--- a/cottonhold/decide/queues.py
+++ b/cottonhold/scheduler/queues.py
@@ -7,7 +7,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from cottonhold.decide.state import Query
+from cottonhold.scheduler.state import Query
 
 
 @dataclass(slots=True)
--- a/cottonhold/decide/learning.py
+++ b/cottonhold/scheduler/rate_estimation.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from cottonhold.decide import class_history
-from cottonhold.decide import interface as io
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.parameters import HEARTBEAT_MS
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler import class_history
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.parameters import HEARTBEAT_MS
+from cottonhold.scheduler.state import EngineView, Query
 
 RATE_HALF_LIFE_MS = 3000.0  # of an engine's learned rate: some queries long, yet seconds short
 RATE_PRIOR_MS = 800.0  # thread time for which the fleet's rate stands in while an engine taught little
--- a/cottonhold/decide/release.py
+++ b/cottonhold/scheduler/release.py
@@ -4,21 +4,21 @@
 
 import math
 
-from cottonhold.decide import (
+from cottonhold.scheduler import (
     engine_health,
     estimates,
-    learning,
-    ordering,
-    peers,
+    key_ordering,
+    peer_load,
     placement,
-    pressure,
-    retry,
+    rate_estimation,
+    retry_policy,
     slow_start,
+    utilization,
 )
-from cottonhold.decide import interface as io
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.parameters import ALPHA, GOLDEN, PASSED, REPLAN_MS
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.parameters import ALPHA, GOLDEN, PASSED, REPLAN_MS
+from cottonhold.scheduler.state import EngineView, Query
 
 OVERFULL = 1.25  # times the room is too full also for what passes: work done falls steeply from there
 
@@ -57,7 +57,7 @@
 
 def _worthless_on_full_fleet(gateway: GatewayState, query: Query) -> bool:
     """Whether a query that looks worthless would cost another one its room."""
-    return query.density <= 0 and pressure.fleet_fill(gateway, gateway.util) > pressure.IDLE_FILL
+    return query.density <= 0 and utilization.fleet_fill(gateway, gateway.util) > utilization.IDLE_FILL
 
 
 def barred(gateway: GatewayState, query: Query, engine: EngineView) -> str:
@@ -68,9 +68,9 @@
     # if another one was tried again in the same step, though nothing could answer it in time.
     if query.due <= gateway.now + gateway.slack:
         return "time"
-    if ordering.out_of_turn(gateway, query):
+    if key_ordering.out_of_turn(gateway, query):
         return "order"
-    if query.attempts and (why := retry.repeat_barred(gateway, query)):
+    if query.attempts and (why := retry_policy.repeat_barred(gateway, query)):
         return why
     if slow_start.barred(gateway, query, engine):
         return "cold engine"
@@ -79,7 +79,7 @@
 
 def has_room(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
     """Thread and memory room bind only under pressure; one query of this gateway may always be out."""
-    pressed = pressure.pressed(gateway, engine)
+    pressed = utilization.pressed(gateway, engine)
     # Danger: a lookup waited for room until reports of seconds ended, and was refused as too late, though
     # the engine would have let it pass them. So what q passes holds it back in part only.
     passing = query.density if gateway.settings.permits.priorities else 0.0
@@ -98,7 +98,7 @@
     above, memory_above, _ = engine.levels.held_by(passing, ALPHA)
     threads = above + (engine.threads_out - above) * PASSED + query.cls.threads
     memory = memory_above + ((engine.memory_out - memory_above) * PASSED + query.memory)
-    part = pressure.not_passed(gateway, passing)
+    part = utilization.not_passed(gateway, passing)
     wide = (threads + others.threads * part) / engine.room
     needed = (memory + others.memory * part) / engine.memory_room
     # Danger: each of forty saw its own few out and let more in, till memory ran over and all spilled.
@@ -149,11 +149,11 @@
     _tell_terms(gateway, query, engine)
     timeout = 0.0
     if query.trickle:
-        timeout = learning.TEACH_LIMIT * query.p + engine_health.SILENCE_MIN_MS
-    begin_by = retry.latest_begin(gateway, query)
+        timeout = rate_estimation.TEACH_LIMIT * query.p + engine_health.SILENCE_MIN_MS
+    begin_by = retry_policy.latest_begin(gateway, query)
     gateway.actions.append(io.Send(query.id, engine.id, timeout, begin_by))
     if query.attempts:
-        retry.count_further_attempt(gateway)
+        retry_policy.count_further_attempt(gateway)
     query.attempts += 1
     query.begin_attempt(gateway.now, engine)
     gateway.pool.add_out(query, engine)
@@ -161,7 +161,7 @@
     if query.cls.loads:
         until = gateway.now + query.p
         engine.locks[query.tables] = max(engine.locks.get(query.tables, 0.0), until)
-        peers.tell_load(gateway, query, engine)
+        peer_load.tell_load(gateway, query, engine)
 
 
 def _tell_terms(gateway: GatewayState, query: Query, engine: EngineView) -> None:
--- a/cottonhold/decide/answers.py
+++ b/cottonhold/scheduler/responses.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from cottonhold.decide import interface as io
-from cottonhold.decide import ordering, retry
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.state import Query
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import key_ordering, retry_policy
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.state import Query
 
 RETRY_AFTER_LEAST_MS = 400.0  # shortest advice on when to come back
 
@@ -13,7 +13,7 @@
 def answer(gateway: GatewayState, query: Query) -> None:
     """The one place for every final answer that is no result."""
     query.leave_plan()
-    if retry.harmless_to_try_again(query):
+    if retry_policy.harmless_to_try_again(query):
         gateway.actions.append(io.Refuse(query.id, _retry_after(gateway)))
     else:
         gateway.actions.append(io.Fail(query.id))
@@ -37,4 +37,4 @@
     if query.out:
         return
     gateway.queries.pop(query.id, None)
-    ordering.leave(gateway, query)
+    key_ordering.leave(gateway, query)
--- a/cottonhold/decide/retry.py
+++ b/cottonhold/scheduler/retry_policy.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import Effect, Group, Outcome
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import Effect, Group, Outcome
+from cottonhold.scheduler.state import EngineView, Query
 
 FAILURES_MOST = 2  # engines that could not run a query: then it is the query
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)  # proof that the attempt never ran
--- a/cottonhold/decide/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -1,6 +1,6 @@
 """The decisions of one query gateway in front of analytic query engines: the entry point.
 
-Interface: cottonhold/decide/interface.py (settings, events, actions). `Scheduler` passes each event to the
+Interface: cottonhold/scheduler/interface.py (settings, events, actions). `Scheduler` passes each event to the
 part that it concerns; the parts are the other modules of this package, functions over one shared state
 (gateway_state.py).
 
@@ -15,31 +15,31 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from cottonhold.decide import (
+from cottonhold.scheduler import (
     admission,
+    attempt_outcomes,
     capacity,
+    deadlines,
     engine_health,
     engine_list,
-    failover,
-    learning,
-    outcomes,
-    peers,
+    peer_load,
     placement,
+    rate_estimation,
     release,
-    timeouts,
+    straggler_cancellation,
 )
-from cottonhold.decide import interface as io
-from cottonhold.decide.averages import Traffic
-from cottonhold.decide.class_history import Learned
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.parameters import (
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.class_history import Learned
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.moving_average import Traffic
+from cottonhold.scheduler.parameters import (
     HEARTBEAT_MS,
     REPLAN_MS,
     SUSPICION_MS,
     THREADS_PER_CORE,
     TRAFFIC_MEMORY_MS,
 )
-from cottonhold.decide.peers import PEER_PRICE
+from cottonhold.scheduler.peer_load import PEER_PRICE
 
 __all__ = ["PEER_PRICE", "THREADS_PER_CORE", "Scheduler"]
 
@@ -58,7 +58,7 @@
 
     def step(self, now: float, events: Iterable[io.Event]) -> list[io.Action]:
         """Take in what happened by now and decide; the one entry point."""
-        timeouts.begin_step(self, now)
+        deadlines.begin_step(self, now)
         for event in events:
             # Danger: counted anew for each change of a list of thousands, room took seconds in a release.
             if self.relisted and type(event) is not io.EngineList:
@@ -66,16 +66,16 @@
             HANDLERS[type(event)](self, event)
         if self.relisted:
             capacity.take_list(self)
-        timeouts.answer_due(self)
-        if timeouts.is_due(self, self.next_beat):
+        deadlines.answer_due(self)
+        if deadlines.is_due(self, self.next_beat):
             self._sweep()
         if now >= self.next_peer:
-            peers.tell_work(self)
+            peer_load.tell_work(self)
         if now >= self.next_ask:
             engine_list.ask(self)
         if self.changed:
             release.release(self)
-        timeouts.wake(self)
+        deadlines.wake(self)
         return self.actions
 
     def adopt(self, settings: io.Settings) -> None:
@@ -93,11 +93,11 @@
         """Silence, failover retries and suspicions that end, every heartbeat; plans made anew less often."""
         self.next_beat = math.inf
         self.changed = True
-        learning.follow_best(self)
+        rate_estimation.follow_best(self)
         for engine in list(self.active.values()):
             engine_health.check_silence(self, engine)
             if self.settings.permits.cancel:
-                failover.cancel_stragglers(self, engine)
+                straggler_cancellation.cancel_stragglers(self, engine)
             if not engine.out and not engine.plan:
                 del self.active[engine.id]
         engine_health.check_suspicions(self)
@@ -118,17 +118,17 @@
 # Each event with the part that takes it in: a handler's argument is of the type of its key.
 HANDLERS: dict[type, Callable[[Scheduler, Any], None]] = {
     io.Arrival: admission.on_arrival,
-    io.AttemptEnded: outcomes.on_ended,
-    io.Note: outcomes.on_note,
+    io.AttemptEnded: attempt_outcomes.on_ended,
+    io.Note: attempt_outcomes.on_note,
     io.EngineList: engine_list.on_list,
     io.ClientGone: admission.on_gone,
     io.Probed: engine_health.on_probed,
-    io.PeerMessage: peers.on_message,
-    io.StreamStarted: outcomes.on_stream,
+    io.PeerMessage: peer_load.on_message,
+    io.StreamStarted: attempt_outcomes.on_stream,
     io.ListFailed: engine_list.on_list_failed,
     io.Bounds: engine_list.on_bounds,
     io.Price: admission.on_threshold,
-    io.Leaving: timeouts.on_leaving,
+    io.Leaving: deadlines.on_leaving,
     io.Retune: _on_retune,
     io.Timer: _on_timer,
 }
--- a/cottonhold/decide/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -9,10 +9,10 @@
 
 import math
 
-from cottonhold.decide.estimates import UNTOLD_COST_OF_AIM
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.parameters import GOLDEN
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler.estimates import UNTOLD_COST_OF_AIM
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.parameters import GOLDEN
+from cottonhold.scheduler.state import EngineView, Query
 
 COLD_MARGIN = 0.5  # of a cold engine's budget: true speed, cost estimates and shares are all guesses
 MOST_PART = 1.5  # times an even part of the fleet's traffic: the most that counts as this gateway's share
--- a/cottonhold/decide/state.py
+++ b/cottonhold/scheduler/state.py
@@ -6,10 +6,10 @@
 import zlib
 from dataclasses import InitVar, dataclass, field
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.averages import Rate
-from cottonhold.decide.class_history import Learned
-from cottonhold.decide.levels import Levels
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.class_history import Learned
+from cottonhold.scheduler.in_flight import Levels
+from cottonhold.scheduler.moving_average import Rate
 
 FRESH_MS = 5.0  # so long what is left of the work out or held counts as it was: runs take far longer
 
--- a/cottonhold/decide/failover.py
+++ b/cottonhold/scheduler/straggler_cancellation.py
@@ -4,12 +4,12 @@
 
 import math
 
-from cottonhold.decide import interface as io
-from cottonhold.decide import placement, pressure, retry
-from cottonhold.decide.engine_health import UNHEARD
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.interface import Effect
-from cottonhold.decide.state import EngineView, Query
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import placement, retry_policy, utilization
+from cottonhold.scheduler.engine_health import UNHEARD
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.interface import Effect
+from cottonhold.scheduler.state import EngineView, Query
 
 FAILOVER_FACTOR = 2.0  # plans run before a retry, times run that are guessed to be left, times sooner than it
 DONE_LEAST = 0.05  # part of a run taken to be done where notes told of less
@@ -20,7 +20,7 @@
     # Danger: bad plans, hung or slowed engines hold a query far past its plan; cancel where a fresh
     # attempt ends much sooner. On a full fleet most runs pass two plans, and those given up there were a
     # fifth of all work: where engines are rarely heard of, up to twice as many are waited for then.
-    full = pressure.fleet_fill(gateway, 0.0) > pressure.IDLE_FILL  # own work only: reports lag
+    full = utilization.fleet_fill(gateway, 0.0) > utilization.IDLE_FILL  # own work only: reports lag
     plans = FAILOVER_FACTOR * (1 + gateway.blind * full)
     for query in list(engine.out.values()):
         if _may_move(gateway, query, engine, plans) and _overtaken(gateway, query, engine):
@@ -35,7 +35,7 @@
     in_plan = gateway.now - query.sent_at < plans * query.p
     if not _given_up(engine) and in_plan and not told:
         return False
-    return not retry.repeat_barred(gateway, query)
+    return not retry_policy.repeat_barred(gateway, query)
 
 
 def _overtaken(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
--- a/cottonhold/decide/pressure.py
+++ b/cottonhold/scheduler/utilization.py
@@ -4,11 +4,11 @@
 
 import math
 
-from cottonhold.decide import interface as io
-from cottonhold.decide import learning
-from cottonhold.decide.gateway_state import GatewayState
-from cottonhold.decide.parameters import ALPHA, PASSED, REPORT_FRESH_MS, THREADS_PER_CORE
-from cottonhold.decide.state import EngineView
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import rate_estimation
+from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.parameters import ALPHA, PASSED, REPORT_FRESH_MS, THREADS_PER_CORE
+from cottonhold.scheduler.state import EngineView
 
 PRESSED_RATE = 0.6  # of the fleet's best rate: a slower engine is under pressure
 PRESSED_UTIL = 0.9  # reported share of cores busy that means pressure
@@ -23,7 +23,7 @@
     # Danger: reports lag, and a jammed engine's cores idle, so own work out is a sign too; others fill an
     # engine as own work fills the own part of the fleet. Its report may deny up to twice the room.
     now = gateway.now
-    if now < engine.pressed_until or learning.rate(gateway, engine) < PRESSED_RATE * gateway.best:
+    if now < engine.pressed_until or rate_estimation.rate(gateway, engine) < PRESSED_RATE * gateway.best:
         return True
     report = engine.report if now - engine.report_at < REPORT_FRESH_MS else {}
     if report.get("util", 0.0) > PRESSED_UTIL or report.get("queue", 0.0) > 0:
--- a/cottonhold/adapter.py
+++ b/cottonhold/simulator_adapter.py
@@ -1,6 +1,6 @@
 """The simulator's wire on standard input and output, for many gateways in one process.
 
-Translates only; every decision is in cottonhold/decide. Runs as `python -m cottonhold.adapter`.
+Translates only; every decision is in cottonhold/scheduler. Runs as `python -m cottonhold.simulator_adapter`.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from typing import TextIO
 
 from cottonhold.config.settings import read_settings
-from cottonhold.decide import interface as io
-from cottonhold.decide.scheduler import Scheduler
-from cottonhold.wire import NUMBER, Json, WireError, read, word
+from cottonhold.message_validation import NUMBER, Json, WireError, read, word
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.scheduler import Scheduler
 
 __all__ = ["read_probed", "read_settings", "run"]
 
--- a/cottonhold/store/ledger.py
+++ b/cottonhold/store/ledger.py
@@ -25,8 +25,8 @@
 import apsw
 
 from cottonhold.store import files as store_files
-from cottonhold.store.book import Book, BookError, Sizes, log_of
-from cottonhold.store.life import Life
+from cottonhold.store.boot_file import Life
+from cottonhold.store.record_file import Book, BookError, Sizes, log_of
 from cottonhold.store.records import Kind, Record
 
 # The VFS a ledger opens by when none is given: the rig sets it to a disk's that fails.
--- /dev/null
+++ b/cottonhold/transport/__init__.py
@@ -0,0 +1,1 @@
+"""The only reader and writer of sockets."""
--- a/cottonhold/node/driver.py
+++ b/cottonhold/transport/event_loop.py
@@ -13,16 +13,16 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Protocol
 
-from cottonhold.decide import interface as io
+from cottonhold.backend.connection_pool import Connection
 from cottonhold.discovery.bus import ANSWER_MS, MOST_ANSWER_MS, Bus
 from cottonhold.discovery.model import Address
-from cottonhold.node.engines import Connection
-from cottonhold.node.mysql import Front, Session
-from cottonhold.node.ops import Calls
-from cottonhold.node.peers import Peers
-from cottonhold.node.sockets import LACKING, LACKING_TO_CONNECT, OF_ONE_CONNECTION, MakeSocket
+from cottonhold.frontend.mysql_session import Front, Session
+from cottonhold.message_validation import WireError
+from cottonhold.node.admin_api import Calls
+from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.counters import Counters
-from cottonhold.wire import WireError
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.socket_factory import LACKING, LACKING_TO_CONNECT, OF_ONE_CONNECTION, MakeSocket
 
 CLIENT_BYTES, ENGINE_BYTES = 4096, 32768  # what one read takes
 # What one read drops of a client that was told to go and still sends; all reads share the buffer.
--- a/tests/test_first_byte.py
+++ b/tests/backend/test_attempt_begin.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from cottonhold.decide.interface import EngineState, Outcome
-from cottonhold.node.engines import LEAST_MS, Attempt
-from tests.scenario import World
+from cottonhold.backend.connection_pool import LEAST_MS, Attempt
+from cottonhold.scheduler.interface import EngineState, Outcome
+from tests.support.scenario import World
 
 Change = Callable[[World, Attempt], None]
 
--- a/tests/test_engine_restarts.py
+++ b/tests/backend/test_engine_restarts.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from cottonhold.decide import interface as io
-from cottonhold.discovery.belief import Belief
 from cottonhold.discovery.bus import SOURCE
+from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Address, Change, Guard, Observation, Publish, Report, Verdict
-from tests.scenario import World
+from cottonhold.scheduler import interface as io
+from tests.support.scenario import World
 
 UNIX = 1_790_000_000_000.0
 STEPS = [0.0, 5.0, -5.0, 3600.0, -3600.0]  # seconds that the wall clock is off by at the own start
--- a/tests/config/test_bad_relay.py
+++ b/tests/config/test_bad_relay.py
@@ -14,14 +14,14 @@
 
 from cottonhold.__main__ import serve
 from cottonhold.config.relay import ConfigError, decode, load
-from cottonhold.decide.scheduler import Scheduler
+from cottonhold.message_validation import WireError
 from cottonhold.node.dispatcher import Dispatcher
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.log import Log
-from cottonhold.wire import WireError
-from tests.drawn import ODD, changed, places, untroubled
-from tests.scenario import World
-from tests.test_parts import CONFIG
+from cottonhold.scheduler.scheduler import Scheduler
+from tests.node.test_small_parts import CONFIG
+from tests.support.drawn_cases import ODD, changed, places, untroubled
+from tests.support.scenario import World
 
 USABLE = {**CONFIG, "listen": "127.0.0.1:80"}
 VALUES = st.one_of(ODD, st.just(...), st.sampled_from([0, -1, 1e308, 1e-308, 2**63, -0.0, ""]))
--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -10,15 +10,15 @@
 
 import orjson
 
-from cottonhold.decide import interface as io
 from cottonhold.discovery.bus import FIRST_HOLD_MS, HOLD_MS, Bus
 from cottonhold.discovery.model import Address, Names, Report, Verdict
-from cottonhold.node.driver import LoopClock
-from cottonhold.node.peers import Peers
-from cottonhold.node.statement import table_group
+from cottonhold.frontend.query_comment import table_group
+from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import LoopClock
 from tests.conformance.rows import Direct, Machine, Row
-from tests.scenario import LOGIN, PERMITS, READ, SETTINGS, Client, World, packet
+from tests.support.scenario import LOGIN, PERMITS, READ, SETTINGS, Client, World, packet
 
 OUT = "c1 query lookup r1\ne1 expect GET r1 *\n"
 LOAD_OUT = "c1 query load r1 allow=20000\ne1 expect GET r1 *\n"
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -2,7 +2,7 @@
 
 A row says in our own words what a page asks of the dispatcher, where on the page, and how it is seen: at the
 module (`Module`, a script of events into Scheduler.step), at the state machines of sockets (`Machine`, a
-script in the language of tests/scenario.py), or by a function that asserts (`Direct`: parts, process).
+script in the language of tests/support/scenario.py), or by a function that asserts (`Direct`).
 
 A module script is lines `TIME EVENT; EVENT -> ACTION, ACTION`. The scheduler is stepped each 10 ms up to TIME
 and then with the events; the actions are all sends and final answers since the line before. Events: `list
@@ -18,9 +18,9 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Protocol
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.scheduler import Scheduler
-from tests.scenario import SETTINGS, World
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.scheduler import Scheduler
+from tests.support.scenario import SETTINGS, World
 
 LOOKUP = io.QueryClass("lookup", aim=1000, deadline=5000, worth=1.0)
 PERMITS = io.Permits(cancel=True, priorities=True, retry_after=True, max_retry_after=500.0, max_attempts=3)
@@ -158,7 +158,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Machine:
-    """A script for the gateway between fake clients and engines (tests/scenario.py)."""
+    """A script for the gateway between fake clients and engines (tests/support/scenario.py)."""
 
     script: str
     settings: io.Settings = SETTINGS
--- a/tests/conformance/sockets.py
+++ b/tests/conformance/sockets.py
@@ -6,9 +6,9 @@
 import errno
 
 from tests.conformance.rows import Direct, Row
-from tests.faulty_sockets import ACCEPTED, MADE, OK, Short
-from tests.loopback import GREETED, REF, Rig, play
-from tests.loopback import ROWS as RESULT
+from tests.support.faulty_sockets import ACCEPTED, MADE, OK, Short
+from tests.support.loopback import GREETED, REF, Rig, play
+from tests.support.loopback import ROWS as RESULT
 
 S, E = "The rules on sockets, {}".format, "Dispatchers to engines, {}".format
 
--- a/tests/test_bad_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -9,17 +9,17 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cottonhold.decide import interface as io
+from cottonhold.backend.resp import RespError, RespReader, encode, read_count, read_fields, read_rows
 from cottonhold.discovery.bus import Bus
 from cottonhold.discovery.model import Address, Names
-from cottonhold.node.mysql import MOST_PACKET
-from cottonhold.node.ops import Calls
-from cottonhold.node.peers import Peers
-from cottonhold.node.resp import RespError, RespReader, encode, read_count, read_fields, read_rows
-from cottonhold.node.statement import FieldError, parse
+from cottonhold.frontend.mysql_session import MOST_PACKET
+from cottonhold.frontend.query_comment import FieldError, parse
+from cottonhold.node.admin_api import Calls
+from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.log import BURST, Log
-from tests.drawn import CASES, untroubled
-from tests.scenario import LOGIN, FakeClock, World, packet
+from cottonhold.scheduler import interface as io
+from tests.support.drawn_cases import CASES, untroubled
+from tests.support.scenario import LOGIN, FakeClock, World, packet
 
 MOST_SECONDS = 2.0  # of processor time for one statement; a quadratic reader takes over 10
 
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -7,11 +7,12 @@
 
 import pytest
 
-from cottonhold.decide import retry, slow_start
-from cottonhold.decide.state import Query
-from cottonhold.node import driver, lifecycle, peers
-from cottonhold.node.engines import Engines
+from cottonhold.backend.connection_pool import Engines
+from cottonhold.node import lifecycle, peer_datagrams
 from cottonhold.node.gateway import Gateway
+from cottonhold.scheduler import retry_policy, slow_start
+from cottonhold.scheduler.state import Query
+from cottonhold.transport import event_loop
 from tests.conformance import protocol, sockets, wire
 from tests.conformance.rows import Row
 
@@ -39,7 +40,7 @@
 DEFECTS: list[tuple[type | object, str, Any, str]] = [
     (Engines, "_open_place", lambda self, engine: self.places.get(engine), "pro-bus-told-connect"),
     (
-        retry,
+        retry_policy,
         "repeat_barred",
         lambda gateway, query: "",
         "wire-unsafe-reset wire-keyed-window-over wire-budget",
@@ -47,8 +48,8 @@
     (slow_start, "barred", lambda gateway, query, engine: False, "wire-cold-budget"),
     (Gateway, "wants", lambda self, attempt: True, "pro-kill-connect pro-kill-connect-kept"),
     (Query, "window_end", lambda self: math.inf, "pro-window-connect wire-keyed-window-over"),
-    (peers, "MOST_BYTES", 300, "pro-peer-most"),
-    (driver, "LACKING", frozenset(), "pro-sock-whole"),
+    (peer_datagrams, "MOST_BYTES", 300, "pro-peer-most"),
+    (event_loop, "LACKING", frozenset(), "pro-sock-whole"),
     (lifecycle, "KILL_MARGIN_MS", -3000.0, "pro-term-short"),
 ]
 
--- a/tests/conformance/wire.py
+++ b/tests/conformance/wire.py
@@ -6,8 +6,8 @@
 
 from dataclasses import replace
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.scheduler import Scheduler
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.scheduler import Scheduler
 from tests.conformance.rows import LOOKUP, SITE, Direct, Module, Play, Row
 
 LOAD = replace(LOOKUP, name="load", effect=io.Effect.UNSAFE)
--- a/tests/discovery/test_consul_parts.py
+++ b/tests/discovery/test_consul_parts.py
@@ -16,8 +16,8 @@
 from cottonhold.discovery.consul.registration import Phase, Registration, RegistrationSettings
 from cottonhold.discovery.consul.watch import Watch, WatchSettings
 from cottonhold.discovery.model import Address, Lost, Names, Report, Verdict
-from cottonhold.wire import WireError
-from tests.drawn import ODD, changed, places
+from cottonhold.message_validation import WireError
+from tests.support.drawn_cases import ODD, changed, places
 
 NAMES = Names(("z0", "z1"), ("std", "big"))
 SERF = {"CheckID": "serfHealth", "Status": "passing", "Output": "Agent alive"}
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -24,14 +24,14 @@
 import uvloop
 
 from cottonhold.config.installation import read
-from cottonhold.decide.interface import EngineState
 from cottonhold.emulator.consul.script import parse
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.engine import StandInEngine
-from cottonhold.node.consul import LagMeter
-from cottonhold.node.installation import ServedInstallation
+from cottonhold.node.consul_client import LagMeter
+from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.structured import StructuredLog
-from tests.scenario import LOGIN, packet
+from cottonhold.scheduler.interface import EngineState
+from tests.support.scenario import LOGIN, packet
 
 LIVE, DRAINING = EngineState.LIVE, EngineState.DRAINING
 BASE: dict[str, Any] = {
--- a/tests/discovery/test_belief.py
+++ b/tests/discovery/test_engine_catalog.py
@@ -8,9 +8,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import EngineState
-from cottonhold.discovery.belief import Belief
+from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import (
     Action,
     Address,
@@ -24,6 +22,8 @@
     Report,
     Verdict,
 )
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import EngineState
 
 LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.GONE
 IN, TROUBLED, DRAINED, ENDED = Verdict.IN, Verdict.TROUBLED, Verdict.DRAINED, Verdict.ENDED
--- a/tests/test_watch.py
+++ b/tests/discovery/test_event_stream.py
@@ -14,9 +14,9 @@
 from cottonhold.discovery import bus as watch
 from cottonhold.discovery.bus import ANSWER_MS, FIRST_HOLD_MS, HOLD_MS, Bus
 from cottonhold.discovery.model import Address, Names, Report
-from cottonhold.node import driver as driver_module
-from cottonhold.node.driver import BACKOFF_S, Driver
 from cottonhold.observe.counters import Counters
+from cottonhold.transport import event_loop as driver_module
+from cottonhold.transport.event_loop import BACKOFF_S, Driver
 
 BREAK_TOLD_MS, RELOAD_TOLD_MS, STOP_TOLD_MS = 2000.0, 4000.0, 2000.0  # when news counts as told
 LIMIT_MS = 300.0  # of a call that an answer outlasts
--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -17,11 +17,11 @@
 from cottonhold.discovery.consul.exchange import MOST_HEADER_BYTES, Answer, Call, Exchange
 from cottonhold.discovery.consul.watch import Watch, WatchSettings
 from cottonhold.discovery.model import Address, Event, Lost, Names, Report
-from cottonhold.node.consul import follow
-from cottonhold.node.driver import Driver
-from cottonhold.node.http import HttpLink, Tls
+from cottonhold.message_validation import WireError
+from cottonhold.node.consul_client import follow
+from cottonhold.node.http_client import HttpLink, Tls
 from cottonhold.observe.counters import Counters
-from cottonhold.wire import WireError
+from cottonhold.transport.event_loop import Driver
 
 OK = "HTTP/1.1 200 OK\r\nX-Consul-Index: 7\r\n"
 GOOD = f"{OK}Content-Length: 2\r\n\r\n[]".encode()
--- a/tests/discovery/test_bad_lists.py
+++ b/tests/discovery/test_malformed_lists.py
@@ -8,13 +8,13 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cottonhold.discovery.belief import Belief
 from cottonhold.discovery.bus import SOURCE, Bus
+from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Guard, Names, Publish, Report
+from cottonhold.message_validation import WireError
 from cottonhold.observe.counters import Counters
-from cottonhold.wire import WireError
-from tests.drawn import CASES, ODD, untroubled
-from tests.scenario import World
+from tests.support.drawn_cases import CASES, ODD, untroubled
+from tests.support.scenario import World
 
 ENTRY: dict[str, Any] = {
     "instanceId": "s-1",
