--- a/tests/discovery/test_starts.py
+++ b/tests/discovery/test_start_times.py
@@ -8,15 +8,15 @@
 import pytest
 
 from cottonhold import Scheduler
-from cottonhold.decide import interface as io
-from cottonhold.discovery.belief import Belief
 from cottonhold.discovery.bus import SOURCE, Bus, read_batch
+from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Guard, Names, Publish, Report
-from cottonhold.discovery.starts import Starts
-from cottonhold.discovery.view import MOST_ENDED
-from cottonhold.node.driver import ORIGIN_MS, LoopClock
+from cottonhold.discovery.source_view import MOST_ENDED
+from cottonhold.discovery.start_times import Starts
 from cottonhold.observe.counters import Counters
-from tests.test_scheduler import RULES, settings
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import ORIGIN_MS, LoopClock
+from tests.scheduler.test_scheduler import RULES, settings
 
 STEPS = [0.0, 5.0, -5.0, 3600.0, -3600.0]  # seconds that a wall clock is stepped by
 UNIX, DAY = 1_790_000_000_000.0, 86_400_000.0
--- a/tests/emulator/test_judge_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -17,13 +17,13 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.rig.clients import Kind, Manner
-from cottonhold.emulator.rig.instance import shift
-from cottonhold.emulator.rig.judge import judge
-from cottonhold.emulator.rig.machines import Machines
-from cottonhold.emulator.rig.script import Day, Fault, ScriptError, check
-from cottonhold.emulator.rig.seen import Ledgers, Line
-from cottonhold.emulator.rig.trial import ownerless
+from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.event_log import Ledgers, Line
+from cottonhold.emulator.fault_injection.harness import ownerless
+from cottonhold.emulator.fault_injection.instance import shift
+from cottonhold.emulator.fault_injection.machines import Machines
+from cottonhold.emulator.fault_injection.script import Day, Fault, ScriptError, check
 
 DAY = check(
     Day(
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("module", ["engine", "instance"])
 def test_a_process_that_was_prepared_ends_if_it_is_never_told(module: str) -> None:
-    program = [sys.executable, "-m", f"cottonhold.emulator.rig.{module}", "--waits"]
+    program = [sys.executable, "-m", f"cottonhold.emulator.fault_injection.{module}", "--waits"]
     assert subprocess.run(program, stdin=subprocess.DEVNULL, timeout=60).returncode == 0
 
 
@@ -212,7 +212,7 @@
     ledger = tmp_path / "a0.jsonl"
     settings = {"id": "a0", "port": 0, "ledger": str(ledger), "traits": {}}
     lines = json.dumps(settings) + "\n" + json.dumps({"slow": 7.0}) + "\n"
-    program = [sys.executable, "-m", "cottonhold.emulator.rig.engine", "--waits"]
+    program = [sys.executable, "-m", "cottonhold.emulator.fault_injection.engine", "--waits"]
     done = subprocess.run(program, input=lines.encode(), capture_output=True, timeout=60)
     assert done.returncode == 0 and int(done.stdout) > 0
     words = [json.loads(line)[1:] for line in ledger.read_text().splitlines()]
--- a/tests/emulator/test_judge_foretold.py
+++ b/tests/emulator/test_checker_projections.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from cottonhold.emulator.rig.foretold import foretold, missed
-from cottonhold.emulator.rig.judge import judge
-from cottonhold.emulator.rig.outlook_days import DAYS
-from cottonhold.emulator.rig.script import Day
-from cottonhold.emulator.rig.seen import Ledgers, Line
+from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.event_log import Ledgers, Line
+from cottonhold.emulator.fault_injection.failover_cost_scenarios import DAYS
+from cottonhold.emulator.fault_injection.projection_check import foretold, missed
+from cottonhold.emulator.fault_injection.script import Day
 
 BY_NAME = {day.name: day for day in DAYS}
 LOST = BY_NAME["outlook-lost"]
--- a/tests/emulator/test_judge_returns.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -15,16 +15,16 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.rig.clients import Clients, Kind, Load, Session
-from cottonhold.emulator.rig.days import BY_NAME, DAYS, SHORT
-from cottonhold.emulator.rig.engine import RigEngine, Sets, Traits
-from cottonhold.emulator.rig.judge import judge, relative, summary
-from cottonhold.emulator.rig.links import Way
-from cottonhold.emulator.rig.places import apart
-from cottonhold.emulator.rig.recover_days import again
-from cottonhold.emulator.rig.returns import possible
-from cottonhold.emulator.rig.script import Day, ScriptError, check
-from cottonhold.emulator.rig.seen import BIN, Asked, Ledgers, Line
+from cottonhold.emulator.fault_injection.checker import judge, relative, summary
+from cottonhold.emulator.fault_injection.clients import Clients, Kind, Load, Session
+from cottonhold.emulator.fault_injection.engine import RigEngine, Sets, Traits
+from cottonhold.emulator.fault_injection.event_log import BIN, Asked, Ledgers, Line
+from cottonhold.emulator.fault_injection.links import Way
+from cottonhold.emulator.fault_injection.recovery_quality import possible
+from cottonhold.emulator.fault_injection.recovery_scenarios import again
+from cottonhold.emulator.fault_injection.scenarios import BY_NAME, DAYS, SHORT
+from cottonhold.emulator.fault_injection.script import Day, ScriptError, check
+from cottonhold.emulator.fault_injection.zone_distances import apart
 
 RETURN = check(
     Day(
--- a/tests/emulator/test_rig.py
+++ b/tests/emulator/test_fault_injection.py
@@ -20,13 +20,13 @@
 from typer.testing import CliRunner
 
 from cottonhold.cli.main import app
-from cottonhold.emulator.rig.clients import Kind
-from cottonhold.emulator.rig.days import DAYS, without_fleet
-from cottonhold.emulator.rig.judge import judge, summary
-from cottonhold.emulator.rig.links import Link, Switch, TcpLink, Way
-from cottonhold.emulator.rig.report import page
-from cottonhold.emulator.rig.script import Day, Fault, ScriptError, check, read, write
-from cottonhold.emulator.rig.seen import Ledgers, Line
+from cottonhold.emulator.fault_injection.checker import judge, summary
+from cottonhold.emulator.fault_injection.clients import Kind
+from cottonhold.emulator.fault_injection.event_log import Ledgers, Line
+from cottonhold.emulator.fault_injection.links import Link, Switch, TcpLink, Way
+from cottonhold.emulator.fault_injection.report import page
+from cottonhold.emulator.fault_injection.scenarios import DAYS, without_fleet
+from cottonhold.emulator.fault_injection.script import Day, Fault, ScriptError, check, read, write
 
 # --- links ---
 
@@ -164,7 +164,7 @@
 def test_what_the_rig_started_ends_with_it(tmp_path: Path) -> None:
     """Killed, and not ended in order."""
     pids = tmp_path / "pids"
-    guard = "cottonhold.emulator.rig.guard"
+    guard = "cottonhold.emulator.fault_injection.parent_death_signal"
     code = (
         "import os, subprocess, sys, time\n"
         f"p = subprocess.Popen([sys.executable, '-m', '{guard}', str(os.getpid()), sys.executable,"
--- a/tests/emulator/test_cuts.py
+++ b/tests/emulator/test_power_losses.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from cottonhold.emulator.rig.cuts import Draw, Tally, When, seen_at, timeline, unanswered
-from cottonhold.emulator.rig.seen import Line
-from cottonhold.emulator.rig.zygote import PROGRAMS, Zygote
+from cottonhold.emulator.fault_injection.event_log import Line
+from cottonhold.emulator.fault_injection.power_losses import Draw, Tally, When, seen_at, timeline, unanswered
+from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, Zygote
 
 CUT = 103.0
 NAMES = ("n0", "n1", "n2", "n3")
--- a/tests/fleet/test_price.py
+++ b/tests/fleet/test_admission.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator.overload import OnePrice, Overload, Policy
-from cottonhold.fleet.price import demand
-from cottonhold.fleet.price.demand import STEPS, TOLD, Demand
-from cottonhold.fleet.price.loads import Load, Loads, draw_of, pack_loads, read_loads
-from cottonhold.fleet.price.pricing import Price, Pricing, Told, curve_price
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.admission import demand
+from cottonhold.fleet.admission.demand import STEPS, TOLD, Demand
+from cottonhold.fleet.admission.loads import Load, Loads, draw_of, pack_loads, read_loads
+from cottonhold.fleet.admission.threshold import Price, Pricing, Told, curve_price
+from cottonhold.fleet.zone_failover.messages import WordError
 
 unhurried = settings(deadline=None)  # the same verdict on a busy machine
 RATES = st.dictionaries(st.integers(0, STEPS - 1), st.floats(0.01, 50.0), max_size=30)
--- a/tests/fleet/test_overload.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from cottonhold.decide import interface as io
-from cottonhold.fleet.core import Fleet, FleetSettings, Priced
-from cottonhold.fleet.price.loads import Load, density, draw_of, pack_loads
-from cottonhold.fleet.price.pricing import Told
-from cottonhold.fleet.zones.orders import Mode
+from cottonhold.fleet.admission.loads import Load, density, draw_of, pack_loads
+from cottonhold.fleet.admission.threshold import Told
+from cottonhold.fleet.coordinator import Fleet, FleetSettings, Priced
+from cottonhold.fleet.zone_failover.operator_overrides import Mode
 from cottonhold.node.gateway import Taken
-from tests.scenario import World
-from tests.test_scheduler import LOOKUP, answers, arrival, settings, started
+from cottonhold.scheduler import interface as io
+from tests.scheduler.test_scheduler import LOOKUP, answers, arrival, settings, started
+from tests.support.scenario import World
 
 FREE = io.Price()
 
--- a/tests/fleet/test_outlook_divide.py
+++ b/tests/fleet/test_allocation.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cottonhold.fleet.outlook import divide_exact
-from cottonhold.fleet.outlook.divide import Case, Simplex, divide, value
+from cottonhold.fleet.failover_cost import allocation_reference
+from cottonhold.fleet.failover_cost.allocation import Case, Simplex, divide, value
 
 
 def drawn(seed: int, zones: int, steps: int = 10) -> Case:
@@ -45,7 +45,7 @@
 def test_the_division_is_as_good_as_the_one_of_highs_and_takes_no_more_than_it_may(zones: int) -> None:
     for seed in range(25):
         case = drawn(seed, zones)
-        own, exact = divide(case), divide_exact.divide(case)
+        own, exact = divide(case), allocation_reference.divide(case)
         assert own.worth == pytest.approx(exact.worth, rel=1e-6, abs=1e-9)
         assert own.bound == pytest.approx(own.worth, rel=1e-6, abs=1e-6)
         assert not broken(case, dict(own.flows))
--- a/tests/fleet/test_remembered.py
+++ b/tests/fleet/test_cached_engines.py
@@ -11,18 +11,18 @@
 import pytest
 
 from cottonhold.config.installation import read
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import EngineState
 from cottonhold.discovery.model import Address, Change, Names, Observation, Report, Verdict
 from cottonhold.emulator import disk as disk_of
-from cottonhold.fleet.recovery.ramp import Lost, Ramp, RampSettings
-from cottonhold.fleet.recovery.remembered import Remembered
-from cottonhold.fleet.swap import plan
-from cottonhold.fleet.swap.plan import Step
-from cottonhold.fleet.swap.steps import Drain
-from cottonhold.node.fleet import inorder
-from cottonhold.node.installation import ServedInstallation
+from cottonhold.fleet.recovery.cached_engines import Remembered
+from cottonhold.fleet.recovery.slow_start import Lost, Ramp, RampSettings
+from cottonhold.fleet.rolling_replacement import plan
+from cottonhold.fleet.rolling_replacement.plan import Step
+from cottonhold.fleet.rolling_replacement.step_decision import Drain
+from cottonhold.fleet_adapters import write_queue
+from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.structured import StructuredLog
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import EngineState
 from cottonhold.store import ledger
 from cottonhold.store.records import MOST, Hint, Kind, Record
 from tests.observe.test_metrics import FILE, FLEET, VOTERS
@@ -217,7 +217,7 @@
     path = tmp_path / "n1.json"
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
     monkeypatch.setattr(ledger, "VFS", "drains")
-    monkeypatch.setattr(inorder, "AGAIN_MS", 1.0)
+    monkeypatch.setattr(write_queue, "AGAIN_MS", 1.0)
 
     async def life(story: Callable[[ServedInstallation], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
--- a/tests/fleet/test_outlook_guests.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -10,18 +10,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.core import Bound, Fleet, FleetSettings
-from cottonhold.fleet.outlook.guests import GuestSettings, Scene, Shaky, allowed, by_engine
-from cottonhold.fleet.outlook.outlook import Outlook, OutlookSettings
-from cottonhold.fleet.outlook.plan import Plan
-from cottonhold.fleet.outlook.words import pack_sites
-from cottonhold.fleet.recovery.ramp import Lost, Ramp, RampSettings
-from cottonhold.fleet.zones.leaving import Phase
-from cottonhold.fleet.zones.parts import Parts
-from cottonhold.node.fleet.recovery import SITE, keep_site, recall_site
+from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings
+from cottonhold.fleet.failover_cost.cross_zone_limits import GuestSettings, Scene, Shaky, allowed, by_engine
+from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
+from cottonhold.fleet.failover_cost.messages import pack_sites
+from cottonhold.fleet.failover_cost.snapshot_plan import Plan
+from cottonhold.fleet.recovery.slow_start import Lost, Ramp, RampSettings
+from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet.zone_failover.quota_lending import Parts
+from cottonhold.fleet_adapters.recovery import SITE, keep_site, recall_site
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Kind, Record
-from tests.fleet.test_outlook import ENGINES, ZONES, fleet, site, steps
+from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, site, steps
 
 S = GuestSettings()
 
--- a/tests/fleet/test_swap_engines.py
+++ b/tests/fleet/test_engine_drain.py
@@ -8,14 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cottonhold.decide.interface import Engine, EngineState
-from cottonhold.discovery.held import Held
 from cottonhold.discovery.model import Change
-from cottonhold.emulator.swap_engine_cases import CASES, DEFECTS, planted
-from cottonhold.fleet.recovery.shown import engine_number
-from cottonhold.fleet.swap import plan
-from cottonhold.fleet.swap.asking import request_of
-from cottonhold.fleet.swap.engines import (
+from cottonhold.discovery.quarantine import Held
+from cottonhold.emulator.engine_replacement_cases import CASES, DEFECTS, planted
+from cottonhold.fleet.engine_drain import (
     MOST_ROWS,
     Drains,
     DrainSettings,
@@ -28,10 +24,24 @@
     pack_word,
     read_word,
 )
-from cottonhold.fleet.swap.plan import Flag, Item, Machine, PlanError, Reason, Record, Step, Whole, ident
-from cottonhold.fleet.swap.starts import Starts
-from cottonhold.fleet.swap.steps import StepSettings, View, decide
-from cottonhold.fleet.zones.words import ROOM, WordError
+from cottonhold.fleet.recovery.warmup_messages import engine_number
+from cottonhold.fleet.rolling_replacement import plan
+from cottonhold.fleet.rolling_replacement.plan import (
+    Flag,
+    Item,
+    Machine,
+    PlanError,
+    Reason,
+    Record,
+    Step,
+    Whole,
+    ident,
+)
+from cottonhold.fleet.rolling_replacement.request_parsing import request_of
+from cottonhold.fleet.rolling_replacement.start_conditions import Starts
+from cottonhold.fleet.rolling_replacement.step_decision import StepSettings, View, decide
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from cottonhold.scheduler.interface import Engine, EngineState
 from cottonhold.store import records as kept_records
 from cottonhold.store.records import TRUST, Kind, Trust
 
--- a/tests/fleet/test_swap_engines_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -14,11 +14,11 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.rig.script import Fault
-from cottonhold.emulator.rig.trial import Trial
+from cottonhold.emulator.fault_injection.harness import Trial
+from cottonhold.emulator.fault_injection.script import Fault
 from tests.fleet.test_recovery_processes import ALL, served
 from tests.fleet.test_recovery_processes import DAY as POWER
-from tests.fleet.test_swap_processes import call, played, rows
+from tests.fleet.test_rolling_replacement_processes import call, played, rows
 
 # Little load: on a machine that is busy with other things zones look slow, and nothing starts meanwhile.
 DAY = msgspec.structs.replace(POWER, name="swap of engines", seconds=580.0, rate=20.0)
--- a/tests/fleet/test_outlook.py
+++ b/tests/fleet/test_failover_cost.py
@@ -11,16 +11,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.emulator.outlook import Setup, World
-from cottonhold.fleet.outlook import picture as pictures
-from cottonhold.fleet.outlook.divide import value
-from cottonhold.fleet.outlook.holding import Held, Steady
-from cottonhold.fleet.outlook.outlook import Outlook, OutlookSettings
-from cottonhold.fleet.outlook.picture import PictureSettings, draw
-from cottonhold.fleet.outlook.projection import CostSettings, Projection, project
-from cottonhold.fleet.outlook.words import BITS, Seen, Site, bits_of, pack_sites, read_sites, set_number
-from cottonhold.fleet.price.demand import STEPS, step_of
-from cottonhold.fleet.zones.words import ROOM, WordError, Words, zone_number
+from cottonhold.emulator.outages import Setup, World
+from cottonhold.fleet.admission.demand import STEPS, step_of
+from cottonhold.fleet.failover_cost import fleet_snapshot as pictures
+from cottonhold.fleet.failover_cost.allocation import value
+from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
+from cottonhold.fleet.failover_cost.fleet_snapshot import PictureSettings, draw
+from cottonhold.fleet.failover_cost.hysteresis import Held, Steady
+from cottonhold.fleet.failover_cost.messages import (
+    BITS,
+    Seen,
+    Site,
+    bits_of,
+    pack_sites,
+    read_sites,
+    set_number,
+)
+from cottonhold.fleet.failover_cost.projection import CostSettings, Projection, project
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError, Words, zone_number
 
 ZONES = ("a", "b", "c")
 ENGINES = {zone: {f"{zone}{i}": 1.0 for i in range(4)} for zone in ZONES}
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_failure_evidence.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cottonhold.fleet.zones.evidence import Evidence, Verdict
+from cottonhold.fleet.zone_failover.failure_evidence import Evidence, Verdict
 
 ZONES = {"a": ["a1", "a2", "a3"], "b": ["b1", "b2", "b3"], "c": ["c1", "c2", "c3"]}
 Answer = Callable[[str, float], tuple[bool | None, float]]  # engine and time -> good, elapsed
--- a/tests/fleet/test_incarnations.py
+++ b/tests/fleet/test_incarnations.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from cottonhold.fleet.core import Fleet, FleetSettings, Say
-from cottonhold.fleet.outlook.outlook import OutlookSettings
-from cottonhold.fleet.outlook.words import SITES
-from cottonhold.fleet.price.loads import Load
-from cottonhold.fleet.zones.words import LOADS, WORDS, Word, Words
+from cottonhold.fleet.admission.loads import Load
+from cottonhold.fleet.coordinator import Fleet, FleetSettings, Say
+from cottonhold.fleet.failover_cost.estimator import OutlookSettings
+from cottonhold.fleet.failover_cost.messages import SITES
+from cottonhold.fleet.zone_failover.messages import LOADS, WORDS, Word, Words
 
 BEGAN = 1_790_000_000  # seconds of Unix time; a life without a folder is the second of its start
 HIGHEST = 0xFFFFFFFF
--- a/tests/fleet/test_memory.py
+++ b/tests/fleet/test_load_history.py
@@ -9,11 +9,11 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.recovery import memory as m
-from cottonhold.fleet.recovery.census import Census
-from cottonhold.fleet.recovery.own import Own
-from cottonhold.fleet.recovery.words import Answer, Ask, MemoryState, Said, Verdict, read
-from tests.fleet.recovering import CENSUS, LONGEST, MEMORY, World, asks, settled
+from cottonhold.fleet.recovery import load_history as m
+from cottonhold.fleet.recovery.local_loads import Own
+from cottonhold.fleet.recovery.membership_survey import Census
+from cottonhold.fleet.recovery.messages import Answer, Ask, MemoryState, Said, Verdict, read
+from tests.support.recovery_world import CENSUS, LONGEST, MEMORY, World, asks, settled
 
 LOAD = m.identity("orders", "7", b"insert into t values (1)")
 WHOLE = m.Around(True, True, MemoryState.KEPT, {})
--- a/tests/fleet/test_census.py
+++ b/tests/fleet/test_membership_survey.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.recovery import census as c
-from cottonhold.fleet.recovery.words import (
+from cottonhold.fleet.recovery import membership_survey as c
+from cottonhold.fleet.recovery.messages import (
     BASE_STEP,
     LOADS_MOST,
     PAIRS_MOST,
@@ -25,8 +25,8 @@
     pack,
     read,
 )
-from cottonhold.fleet.zones.words import WordError
-from tests.fleet.recovering import CENSUS, World, settled
+from cottonhold.fleet.zone_failover.messages import WordError
+from tests.support.recovery_world import CENSUS, World, settled
 
 V = c.Verdict
 U32 = st.integers(0, 2**32 - 1)
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_messages.py
@@ -8,9 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.zones.orders import MOST_ORDERS, Mode, Order, Orders, pack_orders, read_orders
-from cottonhold.fleet.zones.parts import Ask, Grant, pack_loan, read_loan
-from cottonhold.fleet.zones.words import (
+from cottonhold.fleet.zone_failover.messages import (
     Vote,
     Word,
     WordError,
@@ -21,6 +19,15 @@
     read_words,
     zone_number,
 )
+from cottonhold.fleet.zone_failover.operator_overrides import (
+    MOST_ORDERS,
+    Mode,
+    Order,
+    Orders,
+    pack_orders,
+    read_orders,
+)
+from cottonhold.fleet.zone_failover.quota_lending import Ask, Grant, pack_loan, read_loan
 
 SMALL = st.integers(0, 255)
 ZONE = st.builds(
--- a/tests/fleet/test_check.py
+++ b/tests/fleet/test_model_checker.py
@@ -7,12 +7,13 @@
 
 import pytest
 
-from cottonhold.emulator.check import World, explore, walk
+from cottonhold.emulator.model_checker import World, explore, walk
 from cottonhold.emulator.models import PinWorld, RegisterWorld, pin_end, register_end
-from cottonhold.fleet.swap import handover, register, standing, voter
-from cottonhold.fleet.swap.book import Pin, Pinned
-from cottonhold.fleet.swap.pinwords import Entry
-from cottonhold.fleet.swap.words import Say
+from cottonhold.fleet.consensus import acceptor, register
+from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.session_affinity import announcements, membership_lease
+from cottonhold.fleet.session_affinity.messages import Entry
+from cottonhold.fleet.session_affinity.record_book import Pin, Pinned
 
 
 def many_registers() -> World:
@@ -49,13 +50,13 @@
 
 def forgetful(monkeypatch: pytest.MonkeyPatch) -> None:
     """A voter with an empty folder votes as if it had never voted."""
-    begin = voter.Acceptor.__init__
+    begin = acceptor.Acceptor.__init__
 
     def anew(self: Any, *args: Any) -> None:
         begin(self, *args)
         self.votes = True
 
-    monkeypatch.setattr(voter.Acceptor, "__init__", anew)
+    monkeypatch.setattr(acceptor.Acceptor, "__init__", anew)
 
 
 def old_epochs(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -66,30 +67,30 @@
 def unwritten(monkeypatch: pytest.MonkeyPatch) -> None:
     """A voter answers before its record is on disk."""
     monkeypatch.setattr(
-        voter.Acceptor, "_answer", lambda self, _, to, data: self.actions.append(Say(to, data))
+        acceptor.Acceptor, "_answer", lambda self, _, to, data: self.actions.append(Say(to, data))
     )
 
 
 def no_fence(monkeypatch: pytest.MonkeyPatch) -> None:
     """A mover whose target has accepted releases, and goes on while loads are open."""
-    ready = handover.Handover._ready
+    ready = announcements.Handover._ready
 
     def loose(self: Any, now: float, key: bytes, pin: Pin) -> None:
         there, self.open = self.open, {}
         ready(self, now, key, pin)
         self.open = there
 
-    monkeypatch.setattr(handover.Handover, "_ready", loose)
+    monkeypatch.setattr(announcements.Handover, "_ready", loose)
 
 
 def no_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """A fence is in force at once: the fenced one's lease may still run."""
-    monkeypatch.setattr(standing.Standing, "settled", lambda self, now: True)
+    monkeypatch.setattr(membership_lease.Standing, "settled", lambda self, now: True)
 
 
 def early_release(monkeypatch: pytest.MonkeyPatch) -> None:
     """A target takes an offer for a release: it holds the pin before the mover has let it go."""
-    offered = handover.Handover._offered
+    offered = announcements.Handover._offered
 
     def taken(self: Any, now: float, sender: int, e: Entry) -> None:
         offered(self, now, sender, e)
@@ -97,7 +98,7 @@
         if pin is not None and pin.state is Pinned.ACCEPTED:
             self._held(now, e.key, pin, False)
 
-    monkeypatch.setattr(handover.Handover, "_offered", taken)
+    monkeypatch.setattr(announcements.Handover, "_offered", taken)
 
 
 def not_told(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -106,7 +107,7 @@
     def at_once(self: Any, now: float) -> None:
         self.standing.complete = self.standing.epoch
 
-    monkeypatch.setattr(handover.Handover, "_sync", at_once)
+    monkeypatch.setattr(announcements.Handover, "_sync", at_once)
 
 
 @pytest.mark.parametrize("plant", [no_quorum, forgetful, unwritten])
--- a/tests/fleet/test_pins.py
+++ b/tests/fleet/test_ownership.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from cottonhold.fleet.swap import book
-from cottonhold.fleet.swap.pins import Back, Forward, Moved, Own, Pins, PinSettings, Took
-from tests.fleet.swapnet import Net
+from cottonhold.fleet.session_affinity import record_book
+from cottonhold.fleet.session_affinity.ownership import Back, Forward, Moved, Own, Pins, PinSettings, Took
+from tests.support.member_network import Net
 
 A, B, C, D = 101, 102, 103, 104
 ON = PinSettings(on=True)
@@ -126,7 +126,7 @@
             for k in mine:
                 fleet.act(A, fleet.up[A].ended(fleet.now, k, 1))
             runs = 0.0
-    gaps = dict(zip((*book.GAPS_MS, math.inf), fleet.up[A].gaps, strict=True))
+    gaps = dict(zip((*record_book.GAPS_MS, math.inf), fleet.up[A].gaps, strict=True))
     assert sum(gaps.values()) == len(mine) and 0 < len(truth) <= len(mine)  # some are over between two looks
     # What is counted is a trip longer than what was seen from outside, and falls into its step or the next.
     longest = max(edge for edge, n in gaps.items() if n)
@@ -235,7 +235,7 @@
 def test_pins_go_at_most_so_many_a_second_and_what_is_gone_is_forgotten(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(book, "PURGE", 20)
+    monkeypatch.setattr(record_book, "PURGE", 20)
     fleet = Fleet(keys=300, settings=PinSettings(on=True, rate=100.0, window=10))
     fleet.watch = lambda: None
     fleet.run(1500)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -15,9 +15,9 @@
 from typer.testing import CliRunner
 
 from cottonhold.cli.main import app
-from cottonhold.emulator.rig.judge import judge
-from cottonhold.emulator.rig.script import Day, Fault
-from cottonhold.emulator.rig.trial import Trial
+from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.harness import Trial
+from cottonhold.emulator.fault_injection.script import Day, Fault
 
 DAY = Day(
     name="short", about="in CI", instances=4, engines=2, rate=120.0, seconds=600.0, weights=(1, 1, 2, 3)
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_quota_lending.py
@@ -17,8 +17,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from cottonhold.fleet.zones import parts
-from cottonhold.fleet.zones.parts import STEPS, Ask, Grant, Parts, PartSettings, To
+from cottonhold.fleet.zone_failover import quota_lending
+from cottonhold.fleet.zone_failover.quota_lending import STEPS, Ask, Grant, Parts, PartSettings, To
 
 ZONE, TICK = 1, 5.0
 SETTINGS = PartSettings(last=20.0, renew=0.5, drift=0.1, wait=1.5)
@@ -57,14 +57,16 @@
             q.purses = {}
             for zone, purse in p.purses.items():
                 lent = {m: list(loans) for m, loans in purse.lent.items()}
-                q.purses[zone] = parts.Purse(lent, {m: copy.copy(b) for m, b in purse.borrowed.items()})
+                q.purses[zone] = quota_lending.Purse(
+                    lent, {m: copy.copy(b) for m, b in purse.borrowed.items()}
+                )
         return made
 
     def key(self) -> object:
         """Two worlds with one key go on alike."""
         now, rows = self.now, list[object]()
         for p in self.members.values():
-            purse = p.purses.get(ZONE, parts.Purse())
+            purse = p.purses.get(ZONE, quota_lending.Purse())
             lent = [(m, u - now, a) for m, loans in purse.lent.items() for u, a in loans if u > now]
             held = [
                 (m, max(b.until - now, 0), b.amount, max(b.asked_at - now, -50), b.asked, b.term)
@@ -170,12 +172,12 @@
     assert seen > 5000 and worst <= 1.0
 
 
-def newest_only(purse: parts.Purse, now: float, member: int) -> int:
+def newest_only(purse: quota_lending.Purse, now: float, member: int) -> int:
     loans = purse.lent.get(member, [])
     return loans[-1][1] if loans and loans[-1][0] > now else 0
 
 
-def lends_all(self: Parts, now: float, purse: parts.Purse, member: int, ask: Ask) -> int:
+def lends_all(self: Parts, now: float, purse: quota_lending.Purse, member: int, ask: Ask) -> int:
     kept, self.kept = self.kept, 0
     amount = LEND(self, now, purse, member, ask)
     self.kept = kept
@@ -194,7 +196,7 @@
     "place, name, defect, settings",
     [
         (Parts, "__init__", unwary, SETTINGS),
-        (parts.Purse, "held", newest_only, SETTINGS),
+        (quota_lending.Purse, "held", newest_only, SETTINGS),
         (Parts, "_lend", lends_all, KEPT),
     ],
     ids=["a lender that forgets", "a smaller loan after a larger", "what is kept is lent"],
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -11,10 +11,10 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.rig.clients import Kind, Manner, Session
-from cottonhold.emulator.rig.judge import judge
-from cottonhold.emulator.rig.script import Day, Fault
-from cottonhold.emulator.rig.trial import Trial
+from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.clients import Kind, Manner, Session
+from cottonhold.emulator.fault_injection.harness import Trial
+from cottonhold.emulator.fault_injection.script import Day, Fault
 
 DAY = Day(
     name="power",
--- a/tests/fleet/test_ramp.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -10,18 +10,18 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator.recovery import MEAN, Plan, Return
-from cottonhold.fleet.core import Fleet, FleetSettings, Priced
-from cottonhold.fleet.price.loads import Load, pack_loads
-from cottonhold.fleet.price.pricing import Told
-from cottonhold.fleet.recovery import shown
-from cottonhold.fleet.recovery.ramp import BUDGET, Lost, Ramp, RampSettings, Young, first_prober
-from cottonhold.fleet.recovery.shown import Pooled, RampWord, Row, pack_words, pool, read_words
-from cottonhold.fleet.zones.parts import Ask, Parts
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.admission.loads import Load, pack_loads
+from cottonhold.fleet.admission.threshold import Told
+from cottonhold.fleet.coordinator import Fleet, FleetSettings, Priced
+from cottonhold.fleet.recovery import warmup_messages
+from cottonhold.fleet.recovery.slow_start import BUDGET, Lost, Ramp, RampSettings, Young, first_prober
+from cottonhold.fleet.recovery.warmup_messages import Pooled, RampWord, Row, pack_words, pool, read_words
+from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.zone_failover.quota_lending import Ask, Parts
 
 unhurried = settings(deadline=None)  # the same verdict on a busy machine
 ENGINES = {f"a{i}": 1.0 for i in range(3)}
-NUMBER = shown.engine_number("a0")
+NUMBER = warmup_messages.engine_number("a0")
 
 
 def ramp(**fields: object) -> Ramp:
@@ -207,7 +207,7 @@
 WORDS = st.builds(
     RampWord,
     *(st.integers(1, 2**32 - 1) for _ in range(3)),
-    st.dictionaries(st.integers(0, 2**32 - 1), ROWS, max_size=shown.MOST_ROWS),
+    st.dictionaries(st.integers(0, 2**32 - 1), ROWS, max_size=warmup_messages.MOST_ROWS),
 )
 
 
--- a/tests/fleet/test_register.py
+++ b/tests/fleet/test_register.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.swap import words
-from cottonhold.fleet.swap.register import Changed, How, Outcome, Registers, RegisterSettings
-from cottonhold.fleet.swap.words import Ballot, Message, State
-from cottonhold.fleet.zones.words import WordError
-from tests.fleet.swapnet import Net
+from cottonhold.fleet.consensus import messages
+from cottonhold.fleet.consensus.messages import Ballot, Message, State
+from cottonhold.fleet.consensus.register import Changed, How, Outcome, Registers, RegisterSettings
+from cottonhold.fleet.zone_failover.messages import WordError
+from tests.support.member_network import Net
 
 SETTINGS = RegisterSettings()
 
@@ -138,7 +138,7 @@
     state = fleet.up[102].acceptor.registers["a"].state
     fleet.change(101, "a", 1, b"")
     fleet.run(30_000)
-    late = words.pack_message(Message(words.ACCEPT, "a", state.ballot, state))
+    late = messages.pack_message(Message(messages.ACCEPT, "a", state.ballot, state))
     fleet.act(102, fleet.up[102].hear(fleet.now, 101, late))
     fleet.run(10)
     assert "a" not in fleet.up[102].acceptor.registers
@@ -171,8 +171,8 @@
 @given(st.integers(0, 2**31), st.binary(max_size=120), st.text(min_size=1, max_size=4))
 def test_words_are_read_as_written(number: int, value: bytes, name: str) -> None:
     ballot = Ballot(number, 2**64 - 1)
-    message = Message(words.PROMISE, name, ballot, State(ballot, 7, value, (1, 2)), (0, 1, 2) * 3)
-    data = words.pack_message(message)
-    assert words.read_message(data) == message
+    message = Message(messages.PROMISE, name, ballot, State(ballot, 7, value, (1, 2)), (0, 1, 2) * 3)
+    data = messages.pack_message(message)
+    assert messages.read_message(data) == message
     with pytest.raises(WordError):
-        words.read_message(data[:-1])
+        messages.read_message(data[:-1])
--- a/tests/fleet/test_handon.py
+++ b/tests/fleet/test_request_forwarding.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from cottonhold.fleet.swap import handwords as words
-from cottonhold.fleet.swap.handoffer import Offering, Phase
-from cottonhold.fleet.swap.handon import End, Ended, HandOn, HandSettings
-from cottonhold.fleet.swap.handtaking import Taking
-from cottonhold.fleet.zones.words import ROOM, WordError
-from tests.fleet.handnet import LIAR, A, B, C, HandNet, bad_day
+from cottonhold.fleet.request_forwarding import messages as words
+from cottonhold.fleet.request_forwarding.forwarder import End, Ended, HandOn, HandSettings
+from cottonhold.fleet.request_forwarding.origin import Offering, Phase
+from cottonhold.fleet.request_forwarding.owner import Taking
+from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from tests.support.forwarding_network import LIAR, A, B, C, HandNet, bad_day
 
 
 @pytest.mark.parametrize("block", range(10))
--- a/tests/fleet/test_swap.py
+++ b/tests/fleet/test_rolling_replacement.py
@@ -9,15 +9,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cottonhold.emulator import swap_cases
-from cottonhold.emulator.swap import Trouble, World
-from cottonhold.emulator.swap_cases import CASES
-from cottonhold.emulator.swap_defects import DEFECTS, planted
-from cottonhold.fleet.swap import plan
-from cottonhold.fleet.swap.ledger import Ledger
-from cottonhold.fleet.swap.plan import Item, Machine, PlanError, Record, Request, Step, Whole
-from cottonhold.fleet.swap.steps import Change, Read, StepSettings, View, decide
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.emulator import rolling_replacement_cases
+from cottonhold.emulator.rolling_replacement import Trouble, World
+from cottonhold.emulator.rolling_replacement_cases import CASES
+from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted
+from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.rolling_replacement import plan
+from cottonhold.fleet.rolling_replacement.plan import Item, Machine, PlanError, Record, Request, Step, Whole
+from cottonhold.fleet.rolling_replacement.step_decision import Change, Read, StepSettings, View, decide
+from cottonhold.fleet.zone_failover.messages import WordError
 
 THERE = {f"d{i}": Machine(f"d{i}", "abc"[i % 3], 8.0, voter=True) for i in range(6)} | {
     "x1": Machine("x1", "a", 16.0, engine=True)
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_is_noticed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(swap_cases, "LONG", 30_000.0)
+    monkeypatch.setattr(rolling_replacement_cases, "LONG", 30_000.0)
     with planted(name) as (case, says):
         found = CASES[case](2)
     assert any(says in breach for breach in found.breaches), found.breaches
--- a/tests/fleet/test_swap_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from cottonhold.emulator.rig.judge import judge
-from cottonhold.emulator.rig.script import Day, Fault
-from cottonhold.emulator.rig.trial import Trial
+from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.harness import Trial
+from cottonhold.emulator.fault_injection.script import Day, Fault
 from cottonhold.node.status import ask
 from tests.fleet.test_recovery_processes import ALL, DAY, more, recovery
 
--- a/tests/fleet/test_swap_order.py
+++ b/tests/fleet/test_schedule.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cottonhold.fleet.swap.order import Job, Limits, Order
+from cottonhold.fleet.rolling_replacement.schedule import Job, Limits, Order
 
 
 def bears(lost: Mapping[int, float]) -> list[str]:
--- a/tests/fleet/test_pins_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -10,11 +10,18 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.rig.clients import Manner
-from cottonhold.emulator.rig.script import Day, Fault
-from cottonhold.emulator.rig.trial import Trial
+from cottonhold.emulator.fault_injection.clients import Manner
+from cottonhold.emulator.fault_injection.harness import Trial
+from cottonhold.emulator.fault_injection.script import Day, Fault
 from tests.fleet.test_recovery_processes import ALL, DAY, more
-from tests.fleet.test_swap_processes import ask_for, done, one_after_another, played, rows, step
+from tests.fleet.test_rolling_replacement_processes import (
+    ask_for,
+    done,
+    one_after_another,
+    played,
+    rows,
+    step,
+)
 
 # Long enough for a busy machine, and calm enough: the stories end it.
 PINNED = msgspec.structs.replace(DAY, name="pins", pins=True, order_across=True, rate=30.0, seconds=300.0)
--- a/tests/fleet/test_pin_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -7,16 +7,17 @@
 
 import pytest
 
-from cottonhold.fleet.swap import pinwords, register
-from cottonhold.fleet.swap.pins import Back, Forward, Own, Pins, PinSettings
-from cottonhold.fleet.swap.register import Registers
-from cottonhold.fleet.swap.service import Around, Going, PinService
-from cottonhold.fleet.swap.steps import Change, Read
-from cottonhold.fleet.swap.table import MOST, REMEMBERED, Value, pack, read
-from cottonhold.fleet.swap.words import VALUE_MOST, Keep, Say
-from cottonhold.fleet.zones.words import WordError
+from cottonhold.fleet.consensus import register
+from cottonhold.fleet.consensus.messages import VALUE_MOST, Keep, Say
+from cottonhold.fleet.consensus.register import Registers
+from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
+from cottonhold.fleet.session_affinity import messages
+from cottonhold.fleet.session_affinity.membership_table import MOST, REMEMBERED, Value, pack, read
+from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own, Pins, PinSettings
+from cottonhold.fleet.session_affinity.service import Around, Going, PinService
+from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.membership.leases import Ask, Word
-from tests.fleet.swapnet import Net
+from tests.support.member_network import Net
 
 A, B, C, D = 101, 102, 103, 104
 KEYS = [n.to_bytes(8, "big") for n in range(24)]
@@ -329,6 +330,6 @@
     """C was fenced, and admitted with epoch 21 as far as C knows. B has lost its folder since."""
     pins = Pins(B, {A, D}, [A, B, C], 0.0, 1, {}, PinSettings(on=True), whole=False, epoch=19)
     pins.admit(0.0, B, 20)
-    said = pins.hear(2000.0, C, pinwords.pack_lease(Ask(C, 7), epoch))
-    words = [pinwords.read_lease(a.data)[0] for a in said if isinstance(a, Say) and a.member == C]
+    said = pins.hear(2000.0, C, messages.pack_lease(Ask(C, 7), epoch))
+    words = [messages.read_lease(a.data)[0] for a in said if isinstance(a, Say) and a.member == C]
     assert [w.granted for w in words if isinstance(w, Word)] == [granted]
--- a/tests/fleet/test_outlook_plan.py
+++ b/tests/fleet/test_snapshot_plan.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from cottonhold.fleet.core import Fleet
-from cottonhold.fleet.outlook import plan as plans
-from cottonhold.fleet.outlook import projection
-from cottonhold.fleet.outlook.outlook import Outlook, OutlookSettings
-from cottonhold.fleet.outlook.words import Site, pack_sites
-from tests.fleet.test_outlook import ENGINES, ZONES, fleet, steps
-from tests.fleet.test_outlook_guests import core, leave
+from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.failover_cost import projection
+from cottonhold.fleet.failover_cost import snapshot_plan as plans
+from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
+from cottonhold.fleet.failover_cost.messages import Site, pack_sites
+from tests.fleet.test_cross_zone_limits import core, leave
+from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, steps
 
 S = OutlookSettings()
 
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zone_failover.py
@@ -9,11 +9,11 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.fleet import World
-from cottonhold.fleet.core import Bound, Fleet, FleetSettings, Say
-from cottonhold.fleet.zones.evidence import Verdict
-from cottonhold.fleet.zones.leaving import Own, Phase, Signs, Zones, pool
-from cottonhold.fleet.zones.orders import Mode
-from cottonhold.fleet.zones.words import Vote, Word, ZoneWord, pack_words, zone_number
+from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings, Say
+from cottonhold.fleet.zone_failover.evacuation import Own, Phase, Signs, Zones, pool
+from cottonhold.fleet.zone_failover.failure_evidence import Verdict
+from cottonhold.fleet.zone_failover.messages import Vote, Word, ZoneWord, pack_words, zone_number
+from cottonhold.fleet.zone_failover.operator_overrides import Mode
 
 FAULT, MEND = 4000.0, 10_000.0
 SKEW = (1, 1, 1, 2, 3, 4, 2, 2)
--- a/tests/fleet/test_pinned_rim.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -8,17 +8,24 @@
 
 import pytest
 
-from cottonhold.decide.interface import Outcome
-from cottonhold.fleet.swap.handon import End, Ended
-from cottonhold.fleet.swap.pins import Back, Forward, Own
-from cottonhold.fleet.swap.requests import Handed, pack_request, pack_rows, pin_key, read_request, read_rows
-from cottonhold.fleet.zones.words import WordError
-from cottonhold.node.engines import Attempt
-from cottonhold.node.fleet.pinned import GUEST_MS, WAIT_MS, Pinned
+from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.request_forwarding.forwarder import End, Ended
+from cottonhold.fleet.request_forwarding.request_codec import (
+    Handed,
+    pack_request,
+    pack_rows,
+    pin_key,
+    read_request,
+    read_rows,
+)
+from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
+from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
 from cottonhold.node.gateway import Gateway, Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
-from tests.scenario import FakeClock
+from cottonhold.scheduler.interface import Outcome
+from tests.support.scenario import FakeClock
 
 ME, X, Y = 11, 12, 13
 OWN = Own(1, 1e9)
--- a/tests/fleet/test_loads_rim.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -8,16 +8,16 @@
 
 import pytest
 
-from cottonhold.decide.interface import Outcome
-from cottonhold.fleet.recovery.memory import Around, Memory, MemorySettings, Settled
-from cottonhold.fleet.recovery.words import MemoryState
-from cottonhold.node.engines import Attempt
-from cottonhold.node.fleet.loads import Loads
+from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.recovery.load_history import Around, Memory, MemorySettings, Settled
+from cottonhold.fleet.recovery.messages import MemoryState
+from cottonhold.fleet_adapters.load_records import Loads
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler.interface import Outcome
 from cottonhold.store.ledger import Health, Ledger, State
 from cottonhold.store.records import LoadRecord, LoadState, Record
-from tests.scenario import FakeClock
+from tests.support.scenario import FakeClock
 
 
 class FakeLedger:
--- a/tests/fleet/test_loads_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -11,16 +11,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.decide.interface import Outcome
-from cottonhold.fleet.recovery.memory import Memory, MemorySettings
-from cottonhold.node.engines import Attempt
-from cottonhold.node.fleet import loads as loads_module
-from cottonhold.node.fleet.loads import Loads, kept_loads
+from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.recovery.load_history import Memory, MemorySettings
+from cottonhold.fleet_adapters import load_records as loads_module
+from cottonhold.fleet_adapters.load_records import Loads, kept_loads
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler.interface import Outcome
 from cottonhold.store.ledger import Health, Ledger, State
 from cottonhold.store.records import Record, loads
-from tests.scenario import FakeClock
+from tests.support.scenario import FakeClock
 
 Done = Callable[[bool], None]
 HOLD = 1e9
--- a/tests/fleet/test_unkept.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -12,20 +12,20 @@
 import pytest
 
 from cottonhold.config.installation import Installation, read
-from cottonhold.fleet.recovery.memory import How, Known, LoadKept, Memory, MemorySettings, identity
-from cottonhold.fleet.swap.engines import DrainSettings
-from cottonhold.node import installation as installation_module
-from cottonhold.node.fleet.loads import Unkept
-from cottonhold.node.fleet.recovery import open_ledger
+from cottonhold.fleet.engine_drain import DrainSettings
+from cottonhold.fleet.recovery.load_history import How, Known, LoadKept, Memory, MemorySettings, identity
+from cottonhold.fleet_adapters.load_records import Unkept
+from cottonhold.fleet_adapters.recovery import open_ledger
+from cottonhold.node import standalone_dispatcher as installation_module
 from cottonhold.node.gateway import Taken
-from cottonhold.node.installation import ServedInstallation
+from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.store.ledger import Ledger, StoreBusy, StoreError
 from cottonhold.store.ledger import Memory as Folder
 from cottonhold.store.records import Hint, Kind, LoadRecord, LoadState, Record
 from tests.observe.test_metrics import FILE, FLEET
-from tests.scenario import FakeClock
+from tests.support.scenario import FakeClock
 
 MOST_TURNS = 2000  # of the event loop, each 10 ms at most: a bound for a test that has failed
 
--- a/tests/fleet/test_inorder.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -10,15 +10,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.swap.register import How
-from cottonhold.fleet.swap.voter import Acceptor, Register
-from cottonhold.fleet.swap.words import Ballot, Keep
-from cottonhold.node.fleet import inorder
-from cottonhold.node.fleet.inorder import InOrder
+from cottonhold.fleet.consensus.acceptor import Acceptor, Register
+from cottonhold.fleet.consensus.messages import Ballot, Keep
+from cottonhold.fleet.consensus.register import How
+from cottonhold.fleet_adapters import write_queue
+from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.store.ledger import Health, Ledger, State
 from cottonhold.store.records import Kind, Record
 from tests.fleet.test_register import Fleet
-from tests.scenario import FakeClock
+from tests.support.scenario import FakeClock
 
 Done = Callable[[bool], None]
 
@@ -86,7 +86,7 @@
     world.ledger.answer(False)
     world.put("c", "1")
     assert world.told == ["-a1"] and not world.ledger.given
-    world.wait(inorder.AGAIN_MS + 1)
+    world.wait(write_queue.AGAIN_MS + 1)
     world.ledger.answer(True)
     assert world.ledger.disk == [b"b1", b"a2", b"c1"]
     assert world.told == ["-a1", "b1", "a2", "c1"], "the later record of a key stands for the earlier one"
@@ -100,10 +100,10 @@
     world.put("b", "1")
     assert world.told == ["-b1"], "behind one that hangs it isn't waited for"
     world.ledger.answer(False)
-    world.wait(20 * inorder.AGAIN_MS)
+    world.wait(20 * write_queue.AGAIN_MS)
     assert set(world.told) == {"-a1", "-b1"} and not world.ledger.given
     world.ledger.state = State.WELL
-    world.wait(inorder.AGAIN_MS + 1)
+    world.wait(write_queue.AGAIN_MS + 1)
     world.ledger.answer(True)
     assert world.ledger.disk == [b"a1", b"b1"] and world.told[-2:] == ["a1", "b1"]
 
@@ -111,13 +111,13 @@
 def test_many_records_are_several_transactions() -> None:
     world = World()
     world.put("first", "")
-    for number in range(inorder.GROUP + 5):
+    for number in range(write_queue.GROUP + 5):
         world.put(f"{number}", "")
     sizes = []
     while world.ledger.given:
         sizes.append(len(world.ledger.given[0][0]))
         world.ledger.answer(True)
-    assert sizes == [1, inorder.GROUP, 5] and len(world.told) == sum(sizes)
+    assert sizes == [1, write_queue.GROUP, 5] and len(world.told) == sum(sizes)
 
 
 STEPS = st.lists(
@@ -132,7 +132,7 @@
     world, last = World(), dict[str, str]()
     for number, step in enumerate(steps):
         if step == "wait":
-            world.wait(inorder.AGAIN_MS + 1)
+            world.wait(write_queue.AGAIN_MS + 1)
         elif step in ("ok", "no"):
             if world.ledger.given:
                 world.ledger.answer(step == "ok")
@@ -142,7 +142,7 @@
         kept = [name for name in world.told if not name.startswith("-")]
         assert set(kept) <= {name.decode() for name in world.ledger.disk}
     for _ in range(2 * len(last) + 2):
-        world.wait(inorder.AGAIN_MS + 1)
+        world.wait(write_queue.AGAIN_MS + 1)
         if world.ledger.given:
             world.ledger.answer(True)
     disk = [name.decode() for name in world.ledger.disk]
--- a/tests/fleet/test_rim.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -10,23 +10,23 @@
 
 import pytest
 
-from cottonhold.decide import interface as io
+from cottonhold.backend.connection_pool import Attempt
 from cottonhold.discovery.model import Address
-from cottonhold.fleet.core import Fleet, FleetSettings
-from cottonhold.fleet.zones.leaving import Phase
+from cottonhold.fleet.coordinator import Fleet, FleetSettings
+from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet_adapters.membership import REPORT, MembershipRim
+from cottonhold.fleet_adapters.zone_failover import FleetRim, OrderError
 from cottonhold.membership.codec import Keys
 from cottonhold.membership.duties import Duties, Duty
 from cottonhold.membership.instance import Instance
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.swim import Datagram, Heard, Send, Swim, SwimSettings
 from cottonhold.node import status
-from cottonhold.node.driver import Driver
-from cottonhold.node.engines import Attempt
-from cottonhold.node.fleet.membership import REPORT, MembershipRim
-from cottonhold.node.fleet.zones import FleetRim, OrderError
 from cottonhold.node.gateway import Taken
 from cottonhold.observe.counters import Counters
-from tests.scenario import FakeClock
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import Driver
+from tests.support.scenario import FakeClock
 
 PLACE = Address("127.0.0.1", 7000)
 
--- a/tests/test_client_gone.py
+++ b/tests/frontend/test_client_departure.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from cottonhold.decide import interface as io
-from tests.scenario import LOAD, PERMITS, READ, SETTINGS, World
+from cottonhold.scheduler import interface as io
+from tests.support.scenario import LOAD, PERMITS, READ, SETTINGS, World
 
 KEYED = replace(READ, name="keyed", effect=io.Effect.KEYED, window=4000.0)
 CLASSES = (READ, LOAD, KEYED)
--- a/tests/test_client_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -10,18 +10,18 @@
 
 import pytest
 
+from cottonhold.backend.connection_pool import Connection, Engines
+from cottonhold.backend.resp import RespReader, encode
 from cottonhold.config.relay import Links
-from cottonhold.decide import interface as io
 from cottonhold.discovery.model import Address, Change
-from cottonhold.node.driver import Driver, Wire
-from cottonhold.node.engines import Connection, Engines
+from cottonhold.frontend.mysql_session import EOF, Front
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
-from cottonhold.node.mysql import EOF, Front
-from cottonhold.node.resp import RespReader, encode
 from cottonhold.observe.counters import Counters
-from tests.scenario import LOGIN, packet
-from tests.test_client_gone import SITES
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import Driver, Wire
+from tests.frontend.test_client_departure import SITES
+from tests.support.scenario import LOGIN, packet
 
 SERVED = [b"served", b"count=1", b"a\tb\tc\n"]
 
--- a/tests/test_slow_readers.py
+++ b/tests/frontend/test_slow_readers.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from cottonhold.node.mysql import Session
-from tests.scenario import LOGIN, World, packet
+from cottonhold.frontend.mysql_session import Session
+from tests.support.scenario import LOGIN, World, packet
 
 MOST_OF_ONE = 240 * 1024  # bytes, with the longest result under way
 ROWS = "/".join(["a" * 50 + "|" + "b" * 50 + "|" + "c" * 50] * 38) + "/"  # a page of nearly 6,000 bytes
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -15,7 +15,7 @@
 from typer.testing import CliRunner
 
 from cottonhold.cli.main import app
-from cottonhold.emulator.tier import Tier
+from cottonhold.emulator.process_fleet import Tier
 
 
 @pytest.fixture
--- a/tests/test_ops.py
+++ b/tests/node/test_admin_api.py
@@ -9,13 +9,13 @@
 
 from cottonhold.config.relay import decode
 from cottonhold.discovery.model import Address
-from cottonhold.node.driver import Driver
+from cottonhold.message_validation import WireError
+from cottonhold.node.admin_api import CALL_MS, MOST_BODY, MOST_HEAD, Call, Calls
 from cottonhold.node.lifecycle import IDLE_MS, LEAVE_MS, LONG_MS, SETTLED_MS, TAKE_MS, Lifecycle, Phase
-from cottonhold.node.ops import CALL_MS, MOST_BODY, MOST_HEAD, Call, Calls
 from cottonhold.observe.counters import Counters
-from cottonhold.wire import WireError
-from tests.scenario import FakeLine, World
-from tests.test_adapter import PARAMS
+from cottonhold.transport.event_loop import Driver
+from tests.support.scenario import FakeLine, World
+from tests.test_simulator_adapter import PARAMS
 
 DRAIN = {
     "a ping says no at once, and its connection is closed behind the answer": """
--- a/tests/test_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from cottonhold.decide import interface as io
-from cottonhold.discovery.belief import Belief
 from cottonhold.discovery.bus import SOURCE
+from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Address, Change, Guard, Observation, Publish, Report, Verdict
-from tests.scenario import World, packet
+from cottonhold.scheduler import interface as io
+from tests.support.scenario import World, packet
 
 LEFT = ["draining", "gone"]
 QUERY = b"/* service=lookup,ref=%016x,allow=5000 */ SELECT a FROM s_7.t"
--- a/tests/test_node.py
+++ b/tests/node/test_gateway.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from cottonhold.decide.interface import Outcome
-from cottonhold.node.engines import IDLE_MARGIN_MS, MOST_GIVEN_UP
+from cottonhold.backend.connection_pool import IDLE_MARGIN_MS, MOST_GIVEN_UP
+from cottonhold.frontend.mysql_session import CHECK_MS, MOST_PACKET
 from cottonhold.node.lifecycle import LEAVE_MS
-from cottonhold.node.mysql import CHECK_MS, MOST_PACKET
-from tests.scenario import LOGIN, Client, World, packet
+from cottonhold.scheduler.interface import Outcome
+from tests.support.scenario import LOGIN, Client, World, packet
 
 SCENARIOS = {
     "one page is served unchanged": """
--- a/tests/test_loads.py
+++ b/tests/node/test_load_guard.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from cottonhold.decide.interface import Outcome
-from cottonhold.node.engines import Attempt
+from cottonhold.backend.connection_pool import Attempt
 from cottonhold.node.gateway import Past, Settled, Taken
-from tests.scenario import World
+from cottonhold.scheduler.interface import Outcome
+from tests.support.scenario import World
 
 
 class Guard:
--- a/tests/test_repeats.py
+++ b/tests/node/test_retries.py
@@ -8,11 +8,11 @@
 import pytest
 
 from cottonhold.config.relay import load
-from cottonhold.decide import interface as io
 from cottonhold.observe.counters import Counters
-from tests.scenario import READ, SETTINGS, World
-from tests.test_client_gone import NAMES, SITES, Turns, nothing_left
-from tests.test_parts import write
+from cottonhold.scheduler import interface as io
+from tests.frontend.test_client_departure import NAMES, SITES, Turns, nothing_left
+from tests.node.test_small_parts import write
+from tests.support.scenario import READ, SETTINGS, World
 
 
 @pytest.mark.parametrize("site", SITES)
--- a/tests/test_step_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.interface import Outcome
-from cottonhold.node.engines import Attempt, Connection, Engines, Place
+from cottonhold.backend.connection_pool import Attempt, Connection, Engines, Place
+from cottonhold.frontend.mysql_session import Session
 from cottonhold.node.gateway import Past, Settled, Taken
-from cottonhold.node.mysql import Session
-from tests.test_client_gone import SITES, Turns, left_over
-from tests.test_loads import Guard
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.interface import Outcome
+from tests.frontend.test_client_departure import SITES, Turns, left_over
+from tests.node.test_load_guard import Guard
 
 BAD = f"{9:016x}"
 
--- a/tests/test_retune.py
+++ b/tests/node/test_settings_reload.py
@@ -13,13 +13,13 @@
 
 from cottonhold import Scheduler
 from cottonhold.config.relay import ConfigError, load
-from cottonhold.decide import interface as io
-from cottonhold.decide import slow_start
 from cottonhold.node.dispatcher import Dispatcher
 from cottonhold.observe.counters import Counters
-from tests.scenario import LOAD, PERMITS, READ, SETTINGS, World
-from tests.test_parts import CONFIG, write
-from tests.test_scheduler import LOOKUP, arrival, ended, engines, sends, settings
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import slow_start
+from tests.node.test_small_parts import CONFIG, write
+from tests.scheduler.test_scheduler import LOOKUP, arrival, ended, engines, sends, settings
+from tests.support.scenario import LOAD, PERMITS, READ, SETTINGS, World
 
 SCENARIOS = {
     "a new class is served, and one that is gone is a clear error": """
--- a/tests/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -15,16 +15,16 @@
 import pytest
 
 from cottonhold.config.relay import load
-from cottonhold.decide import interface as io
 from cottonhold.discovery.model import Address
 from cottonhold.node.dispatcher import STARTING_MS, Dispatcher
-from cottonhold.node.driver import Driver
 from cottonhold.node.lifecycle import Lifecycle
-from cottonhold.node.seats import Record, Seats
+from cottonhold.node.sibling_processes import Record, Seats
 from cottonhold.observe.counters import Counters
-from tests.scenario import READ, SETTINGS, World, packet
-from tests.test_parts import CONFIG, write
-from tests.test_retune import Lines
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import Driver
+from tests.node.test_settings_reload import Lines
+from tests.node.test_small_parts import CONFIG, write
+from tests.support.scenario import READ, SETTINGS, World, packet
 
 DEADLINES = (100.0, 400.0, 1000.0, 3000.0, 25000.0)
 COMING_MS = 600.0  # after SIGTERM requests come for so long on open connections
--- a/tests/test_seat_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -13,9 +13,9 @@
 
 from cottonhold.config.relay import load
 from cottonhold.node.dispatcher import Dispatcher
-from cottonhold.node.seats import Record, Seats
+from cottonhold.node.sibling_processes import Record, Seats
 from cottonhold.observe.counters import Counters
-from tests.test_parts import write
+from tests.node.test_small_parts import write
 
 CALLS = ["os.open", "os.pread", "os.pwrite", "fcntl.flock"]
 ERRORS = [errno.ENOSPC, errno.EIO, errno.EDQUOT, errno.EMFILE, errno.ENOLCK, errno.EROFS]
@@ -57,7 +57,7 @@
     async def scenario() -> None:
         inside = descriptors()
         with monkeypatch.context() as patched:
-            patched.setattr(f"cottonhold.node.seats.{call}", failing(error))
+            patched.setattr(f"cottonhold.node.sibling_processes.{call}", failing(error))
             dispatcher = Dispatcher(config, Counters(), asyncio.get_running_loop(), log)
             for _ in range(3):
                 dispatcher.look_beside()
@@ -80,7 +80,7 @@
     log = list[str]()
     first, second = (Seats(str(tmp_path), "here", log.append) for _ in range(2))
     with monkeypatch.context() as patched:
-        patched.setattr(f"cottonhold.node.seats.{call}", failing(error))
+        patched.setattr(f"cottonhold.node.sibling_processes.{call}", failing(error))
         for clients in range(3):
             first.tell(Record(first.record.start, clients + 1))
             second.others()
@@ -97,7 +97,9 @@
     first, second = (Seats(str(tmp_path), "here", log.append) for _ in range(2))
     whole = os.pwrite
     with monkeypatch.context() as patched:
-        patched.setattr("cottonhold.node.seats.os.pwrite", lambda file, data, at: whole(file, data[:9], at))
+        patched.setattr(
+            "cottonhold.node.sibling_processes.os.pwrite", lambda file, data, at: whole(file, data[:9], at)
+        )
         first.tell(Record(first.record.start, 3))
     first.tell(Record(first.record.start, 3))
     assert second.others() == [first.record] and len(log) == 1
--- a/tests/test_parts.py
+++ b/tests/node/test_small_parts.py
@@ -14,19 +14,19 @@
 import orjson
 import pytest
 
+from cottonhold.backend.resp import RespError, RespReader, encode
 from cottonhold.config.relay import ConfigError, load
-from cottonhold.decide import interface as io
 from cottonhold.discovery.bus import Bus
 from cottonhold.discovery.model import Address, Names, Observation, Report, Verdict
-from cottonhold.node.driver import Driver, Wire
-from cottonhold.node.peers import Peers
-from cottonhold.node.resp import RespError, RespReader, encode
-from cottonhold.node.statement import parse, table_group
+from cottonhold.frontend.query_comment import parse, table_group
+from cottonhold.message_validation import WireError
+from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.log import BURST, Log
-from cottonhold.wire import WireError
-from tests.scenario import LOGIN, World, packet
-from tests.test_adapter import PARAMS
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import Driver, Wire
+from tests.support.scenario import LOGIN, World, packet
+from tests.test_simulator_adapter import PARAMS
 
 
 @pytest.mark.parametrize(
--- a/tests/test_start_faults.py
+++ b/tests/node/test_start_faults.py
@@ -15,9 +15,9 @@
 from cottonhold.node.dispatcher import Dispatcher, run_program
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.log import Log
-from tests.faulty_sockets import OK, Faults
-from tests.loopback import HANG_S
-from tests.test_parts import write
+from tests.node.test_small_parts import write
+from tests.support.faulty_sockets import OK, Faults
+from tests.support.loopback import HANG_S
 
 LACKING = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 FREE = Address("127.0.0.1", 0)
@@ -66,7 +66,7 @@
 def test_what_can_not_be_had_ends_the_start(
     call: str, error: int, config: Config, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr("cottonhold.node.driver.OPEN_S", 0.1)
+    monkeypatch.setattr("cottonhold.transport.event_loop.OPEN_S", 0.1)
     faults = Faults()
     faults.always(call, error)
 
--- a/tests/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cottonhold.node.gateway import ANSWER_MS, LAG_MS, LAG_PART
-from tests.test_client_gone import NAMES, SITES, Turns, nothing_left
+from tests.frontend.test_client_departure import NAMES, SITES, Turns, nothing_left
 
 LITTLE = {
     "with nothing else going on": """
--- a/tests/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -15,13 +15,13 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.engine import StandInEngine
+from cottonhold.frontend.mysql_session import Front
 from cottonhold.node.descriptors import LEAST, OTHERS_BASE, Descriptors
-from cottonhold.node.driver import Driver
-from cottonhold.node.mysql import Front
-from cottonhold.node.seats import Ids, Record, Seats
+from cottonhold.node.sibling_processes import Ids, Record, Seats
 from cottonhold.observe.counters import Counters
-from tests.scenario import LOGIN, World, packet
-from tests.test_parts import ENTRY, PROGRAM, write
+from cottonhold.transport.event_loop import Driver
+from tests.node.test_small_parts import ENTRY, PROGRAM, write
+from tests.support.scenario import LOGIN, World, packet
 
 
 def seats(folder: Path | str | None, log: list[str] | None = None) -> Seats:
--- a/tests/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -11,14 +11,14 @@
 
 import pytest
 
+from cottonhold.backend.resp import encode, read_fields
 from cottonhold.emulator.engine import StandInEngine
-from cottonhold.node.resp import encode, read_fields
-from tests.scenario import LOGIN, packet
-from tests.test_parts import CONFIG, ENTRY, write
+from tests.node.test_small_parts import CONFIG, ENTRY, write
+from tests.support.scenario import LOGIN, packet
 
 PROGRAM = """
 import itertools, sys, time
-from cottonhold.emulator.rig.instance import shift
+from cottonhold.emulator.fault_injection.instance import shift
 wrong, step = map(float, sys.argv[1:])
 shift(wrong)
 wall, read = time.time, itertools.count()
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -13,7 +13,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from cottonhold.config.installation import Unusable, read
-from cottonhold.node.installation import ServedInstallation
+from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.metrics import Metrics, Readings, tally
 from cottonhold.observe.structured import StructuredLog
 
--- a/tests/test_bounds.py
+++ b/tests/scheduler/test_engine_bounds.py
@@ -8,8 +8,8 @@
 import pytest
 
 from cottonhold import Scheduler
-from cottonhold.decide import interface as io
-from tests.test_scheduler import LOOKUP, answers, arrival, ended, engines, sends, settings, started
+from cottonhold.scheduler import interface as io
+from tests.scheduler.test_scheduler import LOOKUP, answers, arrival, ended, engines, sends, settings, started
 
 
 def bound(until: float = 1e9, **work: float) -> io.Bounds:
--- a/tests/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from cottonhold.decide import capacity
-from cottonhold.decide import interface as io
-from cottonhold.decide.scheduler import Scheduler
-from cottonhold.decide.state import EngineView
+from cottonhold.backend.connection_pool import Engines, Place
 from cottonhold.discovery.model import Address
-from cottonhold.node.engines import Engines, Place
-from tests.scenario import World
+from cottonhold.scheduler import capacity
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.scheduler import Scheduler
+from cottonhold.scheduler.state import EngineView
+from tests.support.scenario import World
 
 MOST = 3200  # engines of the largest fleets
 
--- a/tests/test_size.py
+++ b/tests/scheduler/test_many_gateways.py
@@ -9,10 +9,20 @@
 import pytest
 
 from cottonhold import Scheduler
-from cottonhold.decide import interface as io
-from cottonhold.decide import peers
-from cottonhold.decide.scheduler import PEER_PRICE
-from tests.test_scheduler import LOOKUP, PERMITS, RULES, answers, arrival, ended, engines, sends, settings
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import peer_load
+from cottonhold.scheduler.scheduler import PEER_PRICE
+from tests.scheduler.test_scheduler import (
+    LOOKUP,
+    PERMITS,
+    RULES,
+    answers,
+    arrival,
+    ended,
+    engines,
+    sends,
+    settings,
+)
 
 REPORT = dataclasses.replace(LOOKUP, name="report", aim=4000.0, deadline=20000.0, worth=6.0, threads=2)
 MODEL = io.Model(8, 16000.0)
@@ -108,7 +118,7 @@
         for name, engine in sends(done):
             s.step(t + 100.0, [ended(name, io.Outcome.OK, engine=engine, final=True)])
     assert 0.01 * sum(len(a.data) for a in told) / 256 < 1.3 * PEER_PRICE * 160
-    near = {m for e in s.live if e.id in s.mine for m in peers.users(s, e)}
+    near = {m for e in s.live if e.id in s.mine for m in peer_load.users(s, e)}
     assert told and 2 not in near and {a.peer for a in told} <= near and all(len(a.data) <= 256 for a in told)
 
 
--- a/tests/test_repeat_matrix.py
+++ b/tests/scheduler/test_retry_matrix.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from cottonhold.decide import interface as io
 from cottonhold.discovery.model import Address, Change
-from tests.scenario import PERMITS, READ, SETTINGS, World
-from tests.test_client_gone import nothing_left
+from cottonhold.scheduler import interface as io
+from tests.frontend.test_client_departure import nothing_left
+from tests.support.scenario import PERMITS, READ, SETTINGS, World
 
 ALLOW_MS, WINDOW_MS = 4000, 2000.0
 PROOF, MAY, OVER, LATE = "never ran", "may have run", "was over", "may have run, past the window"
--- a/tests/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -9,9 +9,9 @@
 import pytest
 
 from cottonhold import Scheduler
-from cottonhold.decide import interface as io
-from cottonhold.decide import pressure
-from cottonhold.decide.scheduler import THREADS_PER_CORE
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import utilization
+from cottonhold.scheduler.scheduler import THREADS_PER_CORE
 
 ROOM = math.ceil(8 * THREADS_PER_CORE)  # threads that fill the one engine of 8 cores
 LOOKUP = io.QueryClass("lookup", aim=1000, deadline=5000, worth=1.0, late_worth=0.1)
@@ -486,4 +486,4 @@
     report = {"inflight": inflight, "util": 0.5}
     s.step(2.0, [ended("r0", io.Outcome.OK, final=True, elapsed=1.0, report=report)])
     e = s.engines["e1"]
-    assert e.threads_out > e.room and pressure.pressed(s, e) is pressed
+    assert e.threads_out > e.room and utilization.pressed(s, e) is pressed
--- a/tests/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from cottonhold.decide import interface as io
-from cottonhold.decide import slow_start
-from cottonhold.decide.scheduler import Scheduler
-from tests.coldfleet import COLD_MS, START_MS, ColdFleet, Site
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import slow_start
+from cottonhold.scheduler.scheduler import Scheduler
+from tests.support.cold_fleet import COLD_MS, START_MS, ColdFleet, Site
 
 COLDER = {"cold_from": 0.1, "factor": 2.0, "tip_ms": 2000.0}
 SITES = {
--- a/tests/test_signals.py
+++ b/tests/scheduler/test_sparse_signals.py
@@ -8,9 +8,9 @@
 import pytest
 
 from cottonhold import Scheduler
-from cottonhold.decide import interface as io
-from cottonhold.decide import pressure
-from tests.test_scheduler import LOOKUP, PERMITS, arrival, ended, engines, sends, settings
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler import utilization
+from tests.scheduler.test_scheduler import LOOKUP, PERMITS, arrival, ended, engines, sends, settings
 
 ASKING = dataclasses.replace(PERMITS, probes=True, max_attempts=5)
 
@@ -134,7 +134,7 @@
     s.step(10.0, [arrival(f"a{i}", cost=3000.0, due=30000.0) for i in range(3)])
     e = s.engines["e1"]
     assert 1 < e.threads_out / e.own_room + s.blind * s.util <= 2
-    assert pressure.pressed(s, e) is pressed
+    assert utilization.pressed(s, e) is pressed
 
 
 def test_memory_counts_as_the_engine_grants_it_where_only_it_grants() -> None:
@@ -243,4 +243,4 @@
     s.step(5.0, [io.Probed("e1", io.Outcome.OK, {"util": 0.48})])
     s.step(10.0, [arrival(f"a{i}", cost=3000.0, due=30000.0) for i in range(3)])
     e = s.engines["e1"]
-    assert 1 < e.threads_out / e.own_room + s.blind * s.util <= 2 and not pressure.pressed(s, e)
+    assert 1 < e.threads_out / e.own_room + s.blind * s.util <= 2 and not utilization.pressed(s, e)
--- a/tests/store/history.py
+++ b/tests/store/history.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from cottonhold.emulator.disk import Disk, Orders, install
-from cottonhold.store.book import Sizes
 from cottonhold.store.ledger import WHOLE, Ledger, LedgerSettings, Memory, State, StoreError
+from cottonhold.store.record_file import Sizes
 from cottonhold.store.records import Kind, LoadRecord, LoadState, Record
 
 SMALL = LedgerSettings(stall=60_000.0, retry=1.0, sizes=Sizes(page=512, reserve=16 << 10, checkpoint=8))
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -14,9 +14,9 @@
 
 from cottonhold.emulator import disk as disk_module
 from cottonhold.emulator.disk import Orders, install
-from cottonhold.store.book import Book
 from cottonhold.store.files import Files
 from cottonhold.store.ledger import Ledger, State
+from cottonhold.store.record_file import Book
 from cottonhold.store.records import LoadState
 from tests.store.history import SMALL, VFS, Play, script
 
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -9,11 +9,11 @@
 import pytest
 
 from cottonhold.emulator.disk import install
-from cottonhold.store import book as book_module
 from cottonhold.store import files
-from cottonhold.store.book import Book, BookError
+from cottonhold.store import record_file as book_module
 from cottonhold.store.files import Files
 from cottonhold.store.ledger import Ledger, Memory, StoreBusy
+from cottonhold.store.record_file import Book, BookError
 from cottonhold.store.records import Kind, LoadState
 from tests.store.history import SMALL, VFS, Play, load
 
--- a/tests/store/test_faults.py
+++ b/tests/store/test_faults.py
@@ -15,8 +15,8 @@
 import pytest
 
 from cottonhold.emulator.disk import Disk, DiskFiles, Orders, install
-from cottonhold.store import book as book_module
 from cottonhold.store import files as store_files
+from cottonhold.store import record_file as book_module
 from cottonhold.store.ledger import Ledger, Memory, State, StoreError
 from cottonhold.store.records import Hint, Kind, LoadState, Record
 from tests.store.history import SMALL, VFS, Play, load
--- a/tests/coldfleet.py
+++ b/tests/support/cold_fleet.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from cottonhold.decide import interface as io
-from cottonhold.decide.scheduler import Scheduler
+from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.scheduler import Scheduler
 
 PERMITS = io.Permits(priorities=True, probes=True, peers=True, retry_after=True, max_retry_after=500.0)
 START_MS, COLD_MS = 1000.0, 3500.0  # gateways start; all engines start anew, and the burst begins
--- a/tests/drawn.py
+++ b/tests/support/drawn_cases.py
@@ -8,7 +8,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from tests.scenario import World
+from tests.support.scenario import World
 
 CASES = settings(max_examples=300)
 FAULTS = ("step_faults", "action_faults", "answer_faults", "connection_faults")
--- a/tests/fleet/handnet.py
+++ b/tests/support/forwarding_network.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cottonhold.fleet.swap.handon import Action, End, Ended, Gone, HandOn, HandSettings, Take
-from cottonhold.fleet.swap.words import Say
-from tests.fleet.swapnet import Net
+from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.request_forwarding.forwarder import Action, End, Ended, Gone, HandOn, HandSettings, Take
+from tests.support.member_network import Net
 
 A, B, C, LIAR = 101, 102, 103, 104
 NOTHING_RAN = (End.REFUSED, End.MOVED, End.NOBODY, End.TOO_LARGE)
--- a/tests/loopback.py
+++ b/tests/support/loopback.py
@@ -12,12 +12,12 @@
 
 import uvloop
 
-from cottonhold.decide import interface as io
+from cottonhold.backend.resp import RespReader, encode
 from cottonhold.discovery.model import Address, Change
-from cottonhold.node.driver import Driver
-from cottonhold.node.resp import RespReader, encode
-from tests.faulty_sockets import Faults
-from tests.scenario import LOGIN, SETTINGS, World, packet
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import Driver
+from tests.support.faulty_sockets import Faults
+from tests.support.scenario import LOGIN, SETTINGS, World, packet
 
 HANG_S = 5.0  # a test that has not come to its end by then has failed
 GREETED = ["greeting", "ok"]
--- a/tests/fleet/swapnet.py
+++ b/tests/support/member_network.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from cottonhold.fleet.swap.words import Keep, Say
+from cottonhold.fleet.consensus.messages import Keep, Say
 
 
 class Net:
--- a/tests/fleet/recovering.py
+++ b/tests/support/recovery_world.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.recovery import census as c
-from cottonhold.fleet.recovery import memory as m
-from cottonhold.fleet.recovery.words import Here, MemoryState, read
+from cottonhold.fleet.recovery import load_history as m
+from cottonhold.fleet.recovery import membership_survey as c
+from cottonhold.fleet.recovery.messages import Here, MemoryState, read
 
 LONGEST = 2000.0  # clients' deadline, ms
 HOLD = m.hold_for([LONGEST], slack=2000.0)
--- a/tests/scenario.py
+++ b/tests/support/scenario.py
@@ -14,16 +14,16 @@
 from dataclasses import replace
 from fnmatch import fnmatchcase
 
+from cottonhold.backend.connection_pool import Connection, Engines
+from cottonhold.backend.resp import RespReader, encode
 from cottonhold.config.relay import Links
-from cottonhold.decide import interface as io
 from cottonhold.discovery.model import Address, Change
+from cottonhold.frontend.mysql_session import Front, Session
 from cottonhold.node.descriptors import Descriptors
-from cottonhold.node.engines import Connection, Engines
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
-from cottonhold.node.mysql import Front, Session
-from cottonhold.node.resp import RespReader, encode
 from cottonhold.observe.counters import Counters
+from cottonhold.scheduler import interface as io
 
 READ = io.QueryClass("lookup", aim=1000, deadline=5000, worth=1.0)
 LOAD = io.QueryClass("load", 3000, 25000, worth=6.0, effect=io.Effect.UNSAFE, in_order=True)
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from cottonhold import adapter
-from cottonhold.decide.interface import Effect, Outcome, Probed, WhenShort
+from cottonhold import simulator_adapter
+from cottonhold.scheduler.interface import Effect, Outcome, Probed, WhenShort
 
 ROOT = Path(__file__).parent.parent
 LOOKUP = {"aim": 1000.0, "hard_limit": 5000.0, "effect": "retryable", "worth": 1.0, "late_worth": 0.0}
@@ -97,7 +97,7 @@
 def serve(*messages: dict[str, Any] | str) -> tuple[int, list[dict[str, Any]], str]:
     lines = [m if isinstance(m, str) else json.dumps(m) for m in messages]
     out, errors = io.StringIO(), io.StringIO()
-    code = adapter.run(io.StringIO("\n".join(lines) + "\n"), out, errors)
+    code = simulator_adapter.run(io.StringIO("\n".join(lines) + "\n"), out, errors)
     return code, [json.loads(line) for line in out.getvalue().splitlines()], errors.getvalue()
 
 
@@ -130,7 +130,7 @@
     report = {"how": "on_probe", "fields": ["waiting", "cpu", "x1", "x0"]}
     rules = {"key_quiet": 500.0, "stop_sending_within": 1000.0}
     more = {"domain": domain, "classes": [load], "caps": caps, "report": report, "obligations": rules}
-    got = adapter.read_settings({**PARAMS, **more})
+    got = simulator_adapter.read_settings({**PARAMS, **more})
     assert got.when_short is WhenShort.SHRINK and got.note_period == 0.0 and not got.permits.grants
     assert got.permits.probes and got.report_fields == ("queue", "util", "x1", "x0")
     assert got.rules.key_quiet == 500.0 and got.rules.drain_grace == 1000.0
@@ -152,7 +152,9 @@
     ending: int, gauge: list[Any] | None, outcome: Outcome, report: dict[str, float]
 ) -> None:
     sampled = {"event_type": "SAMPLED", "gateway_id": 3, "elapsed": 1.4, "ending": ending, "node": NODE}
-    event = adapter.read_probed({**sampled, "gauge": gauge}, adapter.read_settings(PARAMS))
+    event = simulator_adapter.read_probed(
+        {**sampled, "gauge": gauge}, simulator_adapter.read_settings(PARAMS)
+    )
     assert event == Probed(NODE, outcome, report)
 
 
@@ -198,7 +200,7 @@
     def broken(*_: object) -> None:
         raise RuntimeError("broken on purpose")
 
-    monkeypatch.setattr("cottonhold.decide.scheduler.Scheduler.step", broken)
+    monkeypatch.setattr("cottonhold.scheduler.scheduler.Scheduler.step", broken)
     _, out, _ = serve(tick(1), HELLO, TURN)
     assert out[0] == {
         "event_type": "GIVE_IN",
@@ -208,7 +210,7 @@
 
 
 def test_the_module_stays_within_its_size() -> None:
-    lines = (ROOT / "cottonhold" / "decide" / "scheduler.py").read_text().splitlines()
+    lines = (ROOT / "cottonhold" / "scheduler" / "scheduler.py").read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= 860
     assert max(map(len, lines)) <= 110
 
--- a/tests/test_accept_faults.py
+++ b/tests/transport/test_accept_faults.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from cottonhold.node.sockets import OF_ONE_CONNECTION
-from tests.faulty_sockets import ACCEPTED, OK
-from tests.loopback import GREETED, Rig, play
+from cottonhold.transport.socket_factory import OF_ONE_CONNECTION
+from tests.support.faulty_sockets import ACCEPTED, OK
+from tests.support.loopback import GREETED, Rig, play
 
 LACKING = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
@@ -35,7 +35,7 @@
         await sleep(0)
 
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr("cottonhold.node.driver.asyncio.sleep", counted)
+        monkeypatch.setattr("cottonhold.transport.event_loop.asyncio.sleep", counted)
         rig.faults.always("accept", error)
         client = rig.client()
         while len([p for p in pauses if p >= 0.02]) < 10:
@@ -63,7 +63,7 @@
         await sleep(0)
 
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr("cottonhold.node.driver.asyncio.sleep", counted)
+        monkeypatch.setattr("cottonhold.transport.event_loop.asyncio.sleep", counted)
         rig.faults.plan("accept", *[error] * 30, OK, *[error] * 30)
         clients = [rig.client() for _ in range(2)]
         while any(client.answers() != GREETED for client in clients):
--- a/tests/test_connect_faults.py
+++ b/tests/transport/test_connect_faults.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.faulty_sockets import MADE
-from tests.loopback import GREETED, REF, ROWS, Rig, play
-from tests.scenario import World
+from tests.support.faulty_sockets import MADE
+from tests.support.loopback import GREETED, REF, ROWS, Rig, play
+from tests.support.scenario import World
 
 PROOFS = [
     errno.ECONNREFUSED,
--- a/tests/test_closing.py
+++ b/tests/transport/test_connection_close.py
@@ -12,12 +12,12 @@
 import pytest
 import uvloop
 
+from cottonhold.frontend.mysql_session import IDLE_MS, SETTLE_MS, Session
 from cottonhold.node.dispatcher import Dispatcher
-from cottonhold.node.driver import Driver
 from cottonhold.node.lifecycle import SETTLED_MS
-from cottonhold.node.mysql import IDLE_MS, SETTLE_MS, Session
 from cottonhold.observe.counters import Counters
-from tests.scenario import LOGIN, World, packet
+from cottonhold.transport.event_loop import Driver
+from tests.support.scenario import LOGIN, World, packet
 
 PING, QUIT = packet(0, b"\x0e"), packet(0, b"\x01")
 OK, ROWS, REFUSED = b"\x00\x00\x00\x02\x00\x00\x00", b"\xfe\x00\x00\x02\x00", b"\xff\xca\x04"
--- a/tests/test_datagram_faults.py
+++ b/tests/transport/test_datagram_faults.py
@@ -10,14 +10,14 @@
 import pytest
 import uvloop
 
-from cottonhold.decide import interface as io
 from cottonhold.discovery.model import Address
 from cottonhold.node import status
-from cottonhold.node.driver import DATAGRAMS, Driver
-from cottonhold.node.peers import Peers
+from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.counters import Counters
-from tests.faulty_sockets import Faults
-from tests.loopback import HANG_S
+from cottonhold.scheduler import interface as io
+from cottonhold.transport.event_loop import DATAGRAMS, Driver
+from tests.support.faulty_sockets import Faults
+from tests.support.loopback import HANG_S
 
 BRIEF = [errno.EAGAIN, errno.EINTR]
 ERRORS = [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENOBUFS, errno.ENOMEM, errno.EPERM]
--- a/tests/test_faulty_sockets.py
+++ b/tests/transport/test_faulty_sockets.py
@@ -10,7 +10,7 @@
 import pytest
 import uvloop
 
-from tests.faulty_sockets import ACCEPTED, OK, Faults, Short
+from tests.support.faulty_sockets import ACCEPTED, OK, Faults, Short
 
 LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]
 
--- a/tests/test_transfer_faults.py
+++ b/tests/transport/test_transfer_faults.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tests.faulty_sockets import ACCEPTED, MADE, OK, Short, Step
-from tests.loopback import GREETED, REF, ROWS, Rig, play
+from tests.support.faulty_sockets import ACCEPTED, MADE, OK, Short, Step
+from tests.support.loopback import GREETED, REF, ROWS, Rig, play
 
 BRIEF = [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]  # the call did nothing; the next one may
 ENDS = [errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENOTCONN]
--- a/tests/test_driver.py
+++ b/tests/transport/test_write_order.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from cottonhold.decide.interface import Outcome
+from cottonhold.backend.connection_pool import MOST_TAKEN, Attempt, Connection
+from cottonhold.backend.resp import RespReader, encode
 from cottonhold.discovery.model import Address
-from cottonhold.node.driver import Driver, Wire
-from cottonhold.node.engines import MOST_TAKEN, Attempt, Connection
-from cottonhold.node.resp import RespReader, encode
 from cottonhold.observe.counters import Counters
-from tests.scenario import World
+from cottonhold.scheduler.interface import Outcome
+from cottonhold.transport.event_loop import Driver, Wire
+from tests.support.scenario import World
 
 SMALL = b"select"
 LARGE, MANY = b"s" * 8000, 24  # together more than a socket of so small a buffer takes at once
