--- a/cottonhold/config/contradictions.py
+++ b/cottonhold/config/contradictions.py
@@ -9,7 +9,7 @@
 
 from cottonhold.config.schema import Class, ConsulSource, File, Fleet, Membership, Peers, Register
 from cottonhold.fleet.session_affinity.membership_table import MOST
-from cottonhold.fleet.zone_failover.messages import MOST_ZONES, zone_number
+from cottonhold.fleet.zone_failover.messages import MAX_ZONES, zone_number
 
 Path = tuple[str | int, ...]
 Report = Callable[[Path, str], None]
@@ -172,8 +172,8 @@
         report(("fleet", "outlook"), "needs price: what requests are worth is told for it")
     if fleet.pins:
         _check_pins(file, report)
-    if len(file.zones) > MOST_ZONES:
-        report(("zones",), f"names {len(file.zones)}; a datagram has room for {MOST_ZONES}")
+    if len(file.zones) > MAX_ZONES:
+        report(("zones",), f"names {len(file.zones)}; a datagram has room for {MAX_ZONES}")
     numbers: dict[int, str] = {}
     for i, zone in enumerate(file.zones):
         other = numbers.setdefault(zone_number(zone), zone)
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -17,7 +17,13 @@
 from cottonhold.emulator.fault_injection.operators import Operators
 from cottonhold.emulator.fault_injection.script import Fault
 from cottonhold.emulator.fault_injection.zone_distances import apart, zone_of
-from cottonhold.fleet.zone_failover.messages import Vote, Word, ZoneWord, pack_words, zone_number
+from cottonhold.fleet.zone_failover.messages import (
+    MemberReport,
+    Vote,
+    ZoneReport,
+    encode_reports,
+    zone_number,
+)
 from cottonhold.membership.codec import Codec, Keys, Kind, Message, member_id
 from cottonhold.node.status import ask
 
@@ -159,10 +165,10 @@
         """Words in an instance's name that it never said: it is sure that a zone is out."""
         number, me = int(name[1:]), member_id(name)
         codec = Codec(me, random.Random(self.trial.day.seed).getrandbits(32), Keys({1: KEY}, 1))
-        said = ZoneWord(Vote.OUT, 0, 0, 200, 0.0, sure=True, accuses=True)
+        said = ZoneReport(Vote.EVACUATE, 0, 0, 200, 0.0, is_certain=True, suspects_failure=True)
         for version in range(1_000_000, 2_000_000):
-            word = Word(me, int(time.time()), version, 100, 0, {zone_number(zone): said})
-            data = codec.encode(Message(Kind.FLEET, me, 0), pack_words([word], 200))
+            word = MemberReport(me, int(time.time()), version, 100, 0, {zone_number(zone): said})
+            data = codec.encode(Message(Kind.FLEET, me, 0), encode_reports([word], 200))
             for j in range(self.trial.day.instances):
                 if j != number:
                     self.trial.switch.pass_on(self.trial.switch.ports[number], j, data)
--- a/cottonhold/fleet/admission/loads.py
+++ b/cottonhold/fleet/admission/loads.py
@@ -18,7 +18,9 @@
 from cottonhold.fleet.admission import demand
 from cottonhold.fleet.admission.demand import Demand
 from cottonhold.fleet.admission.threshold import Price, PriceSettings, Pricing, Told
-from cottonhold.fleet.zone_failover.messages import LOADS, ROOM, WordError, Words
+from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
+from cottonhold.fleet.zone_failover.messages import DEMAND_REPORTS
 
 HEAD = struct.Struct("!QIIBBBB")
 GAINS, WAITS = 128.0, 255.0  # a gain of one, and a wait of a whole patience, on the wire
@@ -67,20 +69,20 @@
 
 def pack_loads(loads: Iterable[Load]) -> bytes:
     """A message with as many of these as fit, first ones first."""
-    parts, left = list[bytes](), ROOM - 2
+    parts, left = list[bytes](), MAX_MESSAGE_BYTES - 2
     for load in loads:
         part = pack_load(load)
         if len(part) > left:
             break
         parts.append(part)
         left -= len(part)
-    return bytes((LOADS, len(parts))) + b"".join(parts)
+    return bytes((DEMAND_REPORTS, len(parts))) + b"".join(parts)
 
 
 def read_loads(data: bytes) -> list[Load]:
-    """The loads of a message. Raises WordError; then none of them counts."""
-    if len(data) < 2 or data[0] != LOADS:
-        raise WordError("no loads")
+    """The loads of a message. Raises MessageError; then none of them counts."""
+    if len(data) < 2 or data[0] != DEMAND_REPORTS:
+        raise MessageError("no loads")
     loads, at = [], 2
     try:
         for _ in range(data[1]):
@@ -88,13 +90,13 @@
             at += HEAD.size
             rates = demand.read(data[at : at + 2 * steps])
             if not member or rates is None or len(data) < at + 2 * steps:
-                raise WordError("load")
+                raise MessageError("load")
             at += 2 * steps
             loads.append(Load(member, life, version, Told(rates, gain / GAINS, float(ended), wait / WAITS)))
     except struct.error:
-        raise WordError("truncated") from None
+        raise MessageError("truncated") from None
     if at != len(data):
-        raise WordError("too long")
+        raise MessageError("too long")
     return loads
 
 
@@ -107,7 +109,7 @@
         self.me, self.life, self.settings = me, life & 0xFFFFFFFF, settings or LoadSettings()
         self.draw = random.Random(seed)
         self.demand, self.pricing = Demand(now), Pricing(now, self.settings.price)
-        self.words = Words[Load](me)
+        self.words = LatestReports[Load](me)
         self.version, self.next_round = 0, now
 
     @property
@@ -129,11 +131,11 @@
         self.pricing.ended(wait, lost)
 
     def hear(self, now: float, data: bytes, sender: int = 0) -> bytes | None:
-        """A message of loads; returns one for its sender, if that is behind. Raises WordError."""
+        """A message of loads; returns one for its sender, if that is behind. Raises MessageError."""
         loads = read_loads(data)
         for load in loads:
-            self.words.take(now, load)
-        newer = self.words.passed_by(sender, loads)
+            self.words.apply(now, load)
+        newer = self.words.newer_than(sender, loads)
         return pack_loads([newer]) if newer is not None else None
 
     def step(
@@ -156,12 +158,12 @@
         if not members or now < self.next_round and not hot:
             return []
         self.next_round = now + s.rest * (0.8 + 0.4 * self.draw.random())
-        self.life, self.version = self.words.following(self.life, self.version)
+        self.life, self.version = self.words.next_stamp(self.life, self.version)
         mine = Load(self.me, self.life, self.version, own)
         if len(members) < s.close:
             data = pack_loads([mine])
             return [(member, data) for member in members]
-        passed = [h.word for h in self.words.newest() if now - h.at <= s.fresh]
+        passed = [h.report for h in self.words.newest() if now - h.received_at <= s.fresh]
         data = pack_loads([mine, *passed])
         return [(member, data) for member in self.draw.sample(members, s.fanout)]
 
--- a/cottonhold/fleet/consensus/acceptor.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -41,7 +41,7 @@
     Say,
     State,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 
 VOTER, REGISTER = "voter", "reg/"  # names of records
 MOST_WHO = 2**64 - 1
@@ -388,7 +388,7 @@
         epochs = list(reader.counted(messages.VOTERS_MOST))
         # Danger: epochs by place in another list of voters would be another's. Voters never change in place.
         if len(epochs) != len(self.voters):
-            raise WordError("voters have changed")
+            raise MessageError("voters have changed")
         self.run, self.votes, self.epochs, self.durable = run, bool(votes), epochs, True
         drawn = [reader.fixed(messages.LONG)[0] for _ in range(2 * len(epochs))]
         self.runs, self.born = drawn[: len(epochs)], drawn[len(epochs) :]
--- a/cottonhold/fleet/consensus/messages.py
+++ b/cottonhold/fleet/consensus/messages.py
@@ -11,7 +11,7 @@
 import struct
 from dataclasses import dataclass
 
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
 PREPARE, PROMISE, ACCEPT, ACCEPTED, REFUSED, CHOSEN, FORGET = range(64, 71)
 HELLO, HELLO_BACK, RECALL, RECALLED = range(71, 75)
@@ -129,7 +129,7 @@
         try:
             found = form.unpack_from(self.data, self.at)
         except struct.error:
-            raise WordError("truncated") from None
+            raise MessageError("truncated") from None
         self.at += form.size
         return found
 
@@ -138,7 +138,7 @@
         (size,) = self.fixed(BYTE)
         found = self.data[self.at : self.at + size]
         if size > most or len(found) != size:
-            raise WordError("length")
+            raise MessageError("length")
         self.at += size
         return found
 
@@ -147,13 +147,13 @@
         try:
             return self.counted(NAME_MOST).decode()
         except UnicodeDecodeError:
-            raise WordError("name") from None
+            raise MessageError("name") from None
 
     def ballot(self) -> Ballot:
         """A round."""
         number, who = self.fixed(BALLOT)
         if number > NUMBER_MOST:
-            raise WordError("ballot")
+            raise MessageError("ballot")
         return Ballot(number, who)
 
     def state(self) -> State:
@@ -165,13 +165,13 @@
         """Drawn numbers of 8 bytes after their count."""
         (count,) = self.fixed(BYTE)
         if count > VOTERS_MOST:
-            raise WordError("voters")
+            raise MessageError("voters")
         return tuple(self.fixed(LONG)[0] for _ in range(count))
 
     def end(self) -> None:
         """Nothing may follow."""
         if self.at != len(self.data):
-            raise WordError("too long")
+            raise MessageError("too long")
 
 
 BYTE, LONG = struct.Struct("!B"), struct.Struct("!Q")
@@ -191,14 +191,14 @@
         data += BALLOT.pack(m.state.ballot.number, m.state.ballot.who)
     if m.kind in WITH_EPOCHS:
         data += bytes((len(m.epochs), *m.epochs))
-    assert len(data) <= ROOM
+    assert len(data) <= MAX_MESSAGE_BYTES
     return data
 
 
 def read_message(data: bytes) -> Message:
     """The meaning of a message about a register. Raises WordError."""
     if not data or not PREPARE <= data[0] <= FORGET:
-        raise WordError("kind")
+        raise MessageError("kind")
     reader, kind, state, epochs = Reader(data, 1), data[0], State(), b""
     name, ballot = reader.name(), reader.ballot()
     if kind in WITH_STATE:
@@ -209,7 +209,7 @@
         epochs = reader.counted(VOTERS_MOST)
     reader.end()
     if not name:
-        raise WordError("no name")
+        raise MessageError("no name")
     return Message(kind, name, ballot, state, tuple(epochs))
 
 
--- a/cottonhold/fleet/consensus/register.py
+++ b/cottonhold/fleet/consensus/register.py
@@ -28,7 +28,7 @@
 from cottonhold.fleet.consensus import messages
 from cottonhold.fleet.consensus.acceptor import Acceptor
 from cottonhold.fleet.consensus.messages import Ballot, Keep, Message, Say, State
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 
 __all__ = ["Action", "Changed", "How", "Keep", "Outcome", "Registers", "RegisterSettings", "Say"]
 
@@ -400,10 +400,10 @@
             if kind in (messages.PROMISE, messages.ACCEPTED, messages.REFUSED, messages.CHOSEN):
                 self.proposer.hear(now, sender, messages.read_message(data))
             elif not messages.PREPARE <= kind <= messages.RECALLED:
-                raise WordError("kind")
+                raise MessageError("kind")
             elif self.acceptor is not None:
                 self.acceptor.hear(sender, data)
-        except WordError:
+        except MessageError:
             self.counts["malformed"] += 1
 
     def _run(self, now: float) -> list[Action]:
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -17,13 +17,15 @@
 from cottonhold.fleet.admission.threshold import Price
 from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
 from cottonhold.fleet.failover_cost.messages import SITES
+from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.recovery import warmup_messages
 from cottonhold.fleet.recovery.slow_start import BUDGET, Lost, Ramp, RampSettings
 from cottonhold.fleet.zone_failover import messages, quota_lending
 from cottonhold.fleet.zone_failover import operator_overrides as by_hand
 from cottonhold.fleet.zone_failover.evacuation import Own, Phase, Turn, Zones, ZoneSettings
 from cottonhold.fleet.zone_failover.failure_evidence import Evidence, EvidenceSettings
-from cottonhold.fleet.zone_failover.messages import Vote, Word, ZoneWord
+from cottonhold.fleet.zone_failover.messages import MemberReport, Vote, ZoneReport
 
 
 @dataclass(slots=True, frozen=True)
@@ -106,7 +108,7 @@
         self.me, self.life, self.settings, self.started = me, life & 0xFFFFFFFF, settings, now
         self.draw = random.Random(seed)
         self.evidence, self.zones = Evidence(settings.evidence), Zones(settings.zones)
-        self.words, self.orders = messages.Words[Word](me), by_hand.Orders(me)
+        self.words, self.orders = LatestReports[MemberReport](me), by_hand.Orders(me)
         self.parts = quota_lending.Parts(
             now, 1 / settings.dispatchers, self.draw.getrandbits(30), settings.parts
         )
@@ -126,7 +128,7 @@
         self.live: set[int] = set()
         self.seen: dict[int, float] = {}  # member -> when it was last live
         self.voters, self.counted = [me], frozenset[int]()  # and of whom they were chosen
-        self.heard: list[Word] = []  # fresh words of live members, as of this step
+        self.heard: list[MemberReport] = []  # fresh words of live members, as of this step
         self.accused: set[str] = set()  # zones that the last step spoke against
         self.answered: dict[str, float] = {}  # engine -> its last good answer to a probe
         self.serves: dict[str, float] = {}  # zone -> share of good signs when it was last in use
@@ -216,9 +218,9 @@
         newer: bytes | None = None  # for a sender that is behind its own words
         try:
             kind = data[0] if data else 0
-            if kind == messages.WORDS:
+            if kind == messages.ZONE_REPORTS:
                 newer = self._hear_words(now, sender, data)
-            elif kind == messages.LOADS:
+            elif kind == messages.DEMAND_REPORTS:
                 if self.loads is not None:
                     newer = self.loads.hear(now, data, sender)
             elif kind == warmup_messages.RAMP:
@@ -227,24 +229,24 @@
             elif kind == SITES:
                 if self.outlook is not None:
                     newer = self.outlook.hear(now, data, sender)
-            elif kind == messages.ORDERS:
+            elif kind == messages.OVERRIDES:
                 if any([self.orders.take(order) for order in by_hand.read_orders(now, data)]):
                     self.next_step = now
             else:
                 loan = quota_lending.read_loan(data)
                 answers = self._purse(loan.zone).receive(now, sender, loan)
                 return self._say([(a.member, quota_lending.pack_loan(a.what)) for a in answers])
-        except messages.WordError:
+        except MessageError:
             self.counts["malformed"] += 1
         return self._say([(sender, newer)]) if newer is not None else []
 
     def _hear_words(self, now: float, sender: int, data: bytes) -> bytes | None:
-        told = messages.read_words(data)
-        news = [word for word in told if self.words.take(now, word)]
+        told = messages.decode_reports(data)
+        news = [word for word in told if self.words.apply(now, word)]
         if self.next_words > self.next_step and any(map(self._alarming, news)):
             self.next_words = self.next_step
-        newer = self.words.passed_by(sender, told)
-        return messages.pack_words([newer], messages.ROOM) if newer is not None else None
+        newer = self.words.newer_than(sender, told)
+        return messages.encode_reports([newer], MAX_MESSAGE_BYTES) if newer is not None else None
 
     def order(self, now: float, zone: str, mode: by_hand.Mode, last: float, who: str, why: str) -> bool:
         """An order by hand at this instance; false if there is no such zone."""
@@ -316,7 +318,7 @@
             self.voters = everybody if few else sorted(everybody, key=_rank)[: self.settings.jury]
         return self.voters
 
-    def _told(self, now: float, voters: list[int]) -> dict[str, list[ZoneWord]]:
+    def _told(self, now: float, voters: list[int]) -> dict[str, list[ZoneReport]]:
         fresh = self.words.fresh(now, self.settings.zones.fresh, (m for m in voters if m != self.me))
         return {
             zone: [w.zones[number] for w in fresh if number in w.zones]
@@ -331,7 +333,9 @@
             if good + late + bad:
                 self.serves[zone] = self.evidence.serving(zone)
             order = self.orders.on(now, self.numbers[zone])
-            ordered = None if order is None else Vote.OUT if order.mode is by_hand.Mode.LEAVE else Vote.IN
+            ordered = (
+                None if order is None else Vote.EVACUATE if order.mode is by_hand.Mode.LEAVE else Vote.KEEP
+            )
             floor = self._kept(now, offered, zone)
             floor = floor if floor >= FLOOR_LEAST else 0.0
             own[zone] = Own(
@@ -377,13 +381,13 @@
     def _rates(self, now: float) -> dict[int, float]:
         """Work offered to each instance that is heard of, in cores."""
         self._fade(now)
-        return {self.me: self.work / 1000, **{w.member: w.rate / 100 for w in self.heard}}
+        return {self.me: self.work / 1000, **{w.member: w.offered_centicores / 100 for w in self.heard}}
 
     def _fade(self, now: float) -> None:
         self.work *= math.exp((self.work_at - now) / 1000)
         self.work_at = now
 
-    def _bounds(self, now: float, told: dict[str, list[ZoneWord]]) -> list[Action]:
+    def _bounds(self, now: float, told: dict[str, list[ZoneReport]]) -> list[Action]:
         work, until = dict[str, float](), now + self.settings.bound
         for zone, there in self.engines.items():
             pace = self.zones.pace(zone, told[zone])
@@ -486,16 +490,16 @@
 
     # --- words ---
 
-    def _word(self, now: float) -> Word:
-        self.life, self.version = self.words.following(self.life, self.version)
+    def _word(self, now: float) -> MemberReport:
+        self.life, self.version = self.words.next_stamp(self.life, self.version)
         zones = {}
         for zone, state in self.zones.states.items():
             pace = {Phase.IN: 1.0, Phase.OUT: 0.0, Phase.RETURN: state.pace}[state.phase]
-            zones[self.numbers[zone]] = ZoneWord(
+            zones[self.numbers[zone]] = ZoneReport(
                 state.vote, *self.evidence.counts(zone), pace, state.sure, self.evidence.accuses(zone)
             )
         rate = min(round(self.work / 10), 0xFFFF)
-        return Word(self.me, self.life, self.version, rate, self.orders.digest(), zones)
+        return MemberReport(self.me, self.life, self.version, rate, self.orders.digest(), zones)
 
     def _trouble(self, now: float) -> bool:
         """Something is not as it should be somewhere, so words go out each step."""
@@ -503,35 +507,35 @@
             return True
         return any(map(self._alarming, self.heard))
 
-    def _alarming(self, word: Word) -> bool:
-        if word.orders != self.orders.digest():
+    def _alarming(self, word: MemberReport) -> bool:
+        if word.overrides_digest != self.orders.digest():
             return True
-        return any(z.vote or z.accuses or z.pace < 1.0 for z in word.zones.values())
+        return any(z.vote or z.suspects_failure or z.traffic_share < 1.0 for z in word.zones.values())
 
     def _tell(self, now: float) -> list[Action]:
         mine = self._word(now)
-        targets, passed = sorted(self.live), list[Word]()
+        targets, passed = sorted(self.live), list[MemberReport]()
         if len(targets) >= self.settings.close:
             targets, passed = self.draw.sample(targets, self.settings.fanout), self._passed(now)
-        data = messages.pack_words([mine, *passed], messages.ROOM)
+        data = messages.encode_reports([mine, *passed], MAX_MESSAGE_BYTES)
         said = [(member, data) for member in targets]
         digest = self.orders.digest()
         for member in targets:
-            known = self.words.heard.get(member)
-            if self.orders.known and (known is None or known.word.orders != digest):
+            known = self.words.received.get(member)
+            if self.orders.known and (known is None or known.report.overrides_digest != digest):
                 newest = sorted(self.orders.known.values(), key=lambda o: -o.until)
                 for i in range(0, len(newest)):
-                    said.append((member, by_hand.pack_orders(now, newest[i : i + 1], messages.ROOM)))
+                    said.append((member, by_hand.pack_orders(now, newest[i : i + 1], MAX_MESSAGE_BYTES)))
         return self._say(said)
 
-    def _passed(self, now: float) -> list[Word]:
+    def _passed(self, now: float) -> list[MemberReport]:
         """Others' words worth passing on: those of voters first, then the newest."""
         late = now - self.settings.zones.fresh
         voters = set(self._voters(now))
-        votes = [h for m in voters if (h := self.words.heard.get(m)) is not None]
-        votes.sort(key=lambda h: -h.at)
-        others = [h for h in self.words.newest() if h.word.member not in voters]
-        return [h.word for h in [*votes, *others] if h.at >= late]
+        votes = [h for m in voters if (h := self.words.received.get(m)) is not None]
+        votes.sort(key=lambda h: -h.received_at)
+        others = [h for h in self.words.newest() if h.report.member not in voters]
+        return [h.report for h in [*votes, *others] if h.received_at >= late]
 
     def _say(self, said: list[tuple[int, bytes]]) -> list[Action]:
         self.counts["words_sent"] += len(said)
@@ -549,7 +553,7 @@
             good, late, bad = self.evidence.counts(zone)
             order = self.orders.on(now, self.numbers[zone])
             fresh = {w.member: w for w in self.words.fresh(now, self.settings.zones.fresh, self.seen)}
-            confirmed = [m for m, w in fresh.items() if w.orders == digest]
+            confirmed = [m for m, w in fresh.items() if w.overrides_digest == digest]
             rows.append(
                 {
                     "zone": zone,
@@ -557,7 +561,8 @@
                     "since_ms": round(now - state.since) if state.since > -math.inf else None,
                     "why": state.why,
                     "fleet_out": state.fleet_out,
-                    "votes_out": sum(z.vote is Vote.OUT for z in told[zone]) + (state.vote is Vote.OUT),
+                    "votes_out": sum(z.vote is Vote.EVACUATE for z in told[zone])
+                    + (state.vote is Vote.EVACUATE),
                     "heard": len(told[zone]) + 1,
                     "electorate": len(voters),
                     "pace": round(self.zones.pace(zone, told[zone]), 3),
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -16,16 +16,17 @@
 from dataclasses import dataclass
 from enum import IntFlag
 
+from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.recovery.warmup_messages import engine_number
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Step
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError, Words
 from cottonhold.store.records import MOST, Hint, Kind, Record
 
 DRAINS = 96  # the kind of message
 HEAD = struct.Struct("!BQIIB")
 ROW = struct.Struct("!IIHB")
-MOST_ROWS = (ROOM - HEAD.size) // ROW.size
+MOST_ROWS = (MAX_MESSAGE_BYTES - HEAD.size) // ROW.size
 U16, U32 = 0xFFFF, 0xFFFFFFFF
 TOLD = (Step.DRAINING, Step.OUT)
 
@@ -74,13 +75,13 @@
     try:
         kind, member, life, version, count = HEAD.unpack_from(data)
     except struct.error:
-        raise WordError("truncated") from None
+        raise MessageError("truncated") from None
     if kind != DRAINS or not member or count > MOST_ROWS or len(data) != HEAD.size + count * ROW.size:
-        raise WordError("drains")
+        raise MessageError("drains")
     rows = {}
     for number, serial, open_there, flags in ROW.iter_unpack(data[HEAD.size :]):
         if flags > int(Says.AWAY):
-            raise WordError("flags")
+            raise MessageError("flags")
         rows[number] = Row(serial, open_there, bool(flags & Says.AWAY))
     return DrainWord(member, life, version, rows)
 
@@ -140,7 +141,7 @@
         self, me: int, life: int, now: float, settings: DrainSettings, expected: Iterable[int] = ()
     ) -> None:
         self.me, self.life, self.settings = me, life & U32, settings
-        self.words = Words[DrainWord](me)
+        self.words = LatestReports[DrainWord](me)
         self.live: dict[int, int] = {}
         self.seen = dict.fromkeys(set(expected) - {me}, now)  # member -> when it was last live
         self.listed: dict[str, Machine] = {}
@@ -188,8 +189,8 @@
     def hear(self, now: float, data: bytes) -> None:
         """A word from another instance; one that makes no sense is counted and changes nothing."""
         try:
-            self.words.take(now, read_word(data))
-        except WordError:
+            self.words.apply(now, read_word(data))
+        except MessageError:
             self.malformed += 1
 
     # --- what follows ---
@@ -247,7 +248,7 @@
         due = now - self.told_at >= self.settings.tell or rows != self.told
         if rows and due:
             self.told_at, self.told = now, rows
-            self.life, self.version = self.words.following(self.life, self.version)
+            self.life, self.version = self.words.next_stamp(self.life, self.version)
             data = pack_word(DrainWord(self.me, self.life, self.version, rows))
             actions += [Tell(member, data) for member in sorted(drivers)]
         return actions
@@ -260,11 +261,15 @@
 
     def _row(self, now: float, member: int, engine: str, serial: int) -> Row | None:
         """What a live dispatcher tells of an engine that it has drained, in its life of now."""
-        heard = self.words.heard.get(member)
+        heard = self.words.received.get(member)
         # Danger: the last word of a life that has ended said zero, while its next life had requests out.
-        if heard is None or now - heard.at > self.settings.fresh or heard.word.life < self.live[member]:
+        if (
+            heard is None
+            or now - heard.received_at > self.settings.fresh
+            or heard.report.life < self.live[member]
+        ):
             return None
-        row = heard.word.rows.get(engine_number(engine))
+        row = heard.report.rows.get(engine_number(engine))
         return row if row is not None and row.serial == serial & U32 else None
 
     def _away(self, engine: str, drained: Drained) -> bool:
--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -28,7 +28,8 @@
 from cottonhold.fleet.failover_cost.messages import Seen, Site, bits_of, pack_sites, read_sites, set_number
 from cottonhold.fleet.failover_cost.projection import CostSettings, Projection
 from cottonhold.fleet.failover_cost.snapshot_plan import Plan, Shares, in_parts, ordered
-from cottonhold.fleet.zone_failover.messages import Words, zone_number
+from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.zone_failover.messages import zone_number
 
 LATELY = 700.0  # ms: the memory of the quicker count of an instance's own demand
 
@@ -75,7 +76,7 @@
         self.me, self.life, self.home = me, life & 0xFFFFFFFF, home
         self.settings = s = settings or OutlookSettings()
         self.draw = random.Random(seed)
-        self.words, self.demand = Words[Site](me), Demand(now)
+        self.words, self.demand = LatestReports[Site](me), Demand(now)
         self.lately = Demand(now, LATELY)
         self.kept: dict[int, Site] = {}  # from before a power loss
         self.sets, self.answers = Use(2000.0), Use(s.memory)
@@ -129,15 +130,15 @@
         self.trips[zone] = self.trips.get(zone, trip) * 0.9 + trip * 0.1
 
     def hear(self, now: float, data: bytes, sender: int = 0) -> bytes | None:
-        """A message of sites; returns one for its sender, if that is behind. Raises WordError."""
+        """A message of sites; returns one for its sender, if that is behind. Raises MessageError."""
         sites = read_sites(data)
         for site in sites:
-            self.words.take(now, site)
-        newer = self.words.passed_by(sender, sites)
+            self.words.apply(now, site)
+        newer = self.words.newer_than(sender, sites)
         return pack_sites([newer]) if newer is not None else None
 
     def hint(self, data: bytes) -> None:
-        """A message of sites that was kept over a power loss. Raises WordError."""
+        """A message of sites that was kept over a power loss. Raises MessageError."""
         # Danger: taken as heard now, a memory of last week would stand beside fresh words and outweigh them.
         # So it counts only until there is a first plan, and only for where clients are served first.
         for site in read_sites(data):
@@ -408,7 +409,7 @@
 
     def _say(self, now: float) -> Site:
         """This instance's next word, as others read it."""
-        self.life, self.version = self.words.following(self.life, self.version)
+        self.life, self.version = self.words.next_stamp(self.life, self.version)
         return read_sites(pack_sites([self.site(now)]))[0]
 
     def _tell(self, now: float, members: list[int]) -> list[tuple[int, bytes]]:
@@ -423,6 +424,6 @@
         # Danger: a word nearly fills a datagram. With the own one alone each of fifty heard of twenty in the
         # time for which a word is fresh, less than half of them, and there was never a plan.
         most = math.ceil(len(members) / s.fanout * 2 * s.rest / s.fresh)
-        passed = [h.word for h in self.words.newest() if now - h.at <= s.fresh][:most]
+        passed = [h.report for h in self.words.newest() if now - h.received_at <= s.fresh][:most]
         told = [pack_sites([site]) for site in (mine, *passed)]
         return [(member, data) for member in self.draw.sample(members, s.fanout) for data in told]
--- a/cottonhold/fleet/failover_cost/messages.py
+++ b/cottonhold/fleet/failover_cost/messages.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 
 from cottonhold.fleet.admission import demand
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
 SITES = 49  # kind of message; 48 were sites that told of paces, not of what is served where
 HEAD = struct.Struct("!QIIHBBBBB")
@@ -111,7 +111,7 @@
 
 def pack_sites(sites: Iterable[Site]) -> bytes:
     """A message with as many of these as fit, first ones first."""
-    parts, left = list[bytes](), ROOM - 2
+    parts, left = list[bytes](), MAX_MESSAGE_BYTES - 2
     for site in sites:
         part = pack_site(site)
         if len(part) > left:
@@ -122,18 +122,18 @@
 
 
 def read_sites(data: bytes) -> list[Site]:
-    """The sites of a message. Raises WordError; then none of them counts."""
+    """The sites of a message. Raises MessageError; then none of them counts."""
     if len(data) < 2 or data[0] != SITES:
-        raise WordError("no sites")
+        raise MessageError("no sites")
     sites, at = [], 2
     try:
         for _ in range(data[1]):
             site, at = _read_site(data, at)
             sites.append(site)
     except struct.error:
-        raise WordError("truncated") from None
+        raise MessageError("truncated") from None
     if at != len(data):
-        raise WordError("too long")
+        raise MessageError("too long")
     return sites
 
 
@@ -148,9 +148,9 @@
         at += SET.size
         shares[number] = part
     if not member or rates is None or len(data) < at or sets > SETS_MOST or zones > ZONES_MOST:
-        raise WordError("site")
+        raise MessageError("site")
     if len(shares) < sets or sum(shares.values()) > SHARES:
-        raise WordError("data sets")
+        raise MessageError("data sets")
     parts = {number: part / SHARES for number, part in shares.items()}
     seen = {}
     for _ in range(zones):
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
 HERE, ASK, ANSWER, OPEN = 6, 7, 8, 9  # kinds of message of the fleet; 1 to 5 are zones' and price's
 HEAD = struct.Struct("!BHIQIIBB")
@@ -28,8 +28,8 @@
 SERIAL = struct.Struct("!BIIB")
 SAID = struct.Struct("!BB")
 LOAD = 16  # bytes of a load's identity
-PAIRS_MOST = (ROOM - HEAD.size) // PAIR.size
-LOADS_MOST = (ROOM - SERIAL.size) // LOAD
+PAIRS_MOST = (MAX_MESSAGE_BYTES - HEAD.size) // PAIR.size
+LOADS_MOST = (MAX_MESSAGE_BYTES - SERIAL.size) // LOAD
 LONG = 0xFFFFFFFF
 BASE_STEP = 1 << 32  # of a base for each boot; below it are the marks of one life
 AGE_STEP = 10.0  # ms
@@ -156,7 +156,7 @@
 
 
 def read(data: bytes) -> Message:
-    """A message's meaning. Raises WordError; then nothing of it counts."""
+    """A message's meaning. Raises MessageError; then nothing of it counts."""
     try:
         if data[:1] == bytes((HERE,)):
             return _read_here(data)
@@ -168,20 +168,20 @@
         if kind == ANSWER:
             return Answer(boot, serial, _verdicts(data, count))
     except (struct.error, IndexError):
-        raise WordError("truncated") from None
-    raise WordError("no word of recovery")
+        raise MessageError("truncated") from None
+    raise MessageError("no word of recovery")
 
 
 def _read_here(data: bytes) -> Here:
     _, number, boot, base, life, up, flags, count = HEAD.unpack_from(data)
     if len(data) != HEAD.size + count * PAIR.size:
-        raise WordError("length")
+        raise MessageError("length")
     if not boot or flags > 7 or flags & 3 > MemoryState.OLD:
-        raise WordError("boot or memory")
+        raise MessageError("boot or memory")
     pairs = []
     for of, its, whose, lasted, age, bits in PAIR.iter_unpack(data[HEAD.size :]):
         if bits > 3:
-            raise WordError("pair")
+            raise MessageError("pair")
         ago = None if age == NEVER_HEARD else age * AGE_STEP
         pairs.append(Pair(of, its, whose, lasted, ago, bool(bits & 1), bool(bits & 2)))
     return Here(number, boot, base, life, up, MemoryState(flags & 3), bool(flags & 4), tuple(pairs))
@@ -189,17 +189,17 @@
 
 def _loads(data: bytes, start: int, count: int) -> tuple[bytes, ...]:
     if not count or len(data) != start + count * LOAD:
-        raise WordError("length")
+        raise MessageError("length")
     return tuple(data[at : at + LOAD] for at in range(start, len(data), LOAD))
 
 
 def _verdicts(data: bytes, count: int) -> tuple[Verdict, ...]:
     if not count or len(data) != SERIAL.size + count * SAID.size:
-        raise WordError("length")
+        raise MessageError("length")
     try:
         return tuple(Verdict(place, Said(said)) for place, said in SAID.iter_unpack(data[SERIAL.size :]))
     except ValueError:
-        raise WordError("said") from None
+        raise MessageError("said") from None
 
 
 def batches(loads: Iterable[bytes]) -> list[tuple[bytes, ...]]:
--- a/cottonhold/fleet/recovery/slow_start.py
+++ b/cottonhold/fleet/recovery/slow_start.py
@@ -17,9 +17,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from cottonhold.fleet.latest_reports import LatestReports
 from cottonhold.fleet.recovery import warmup_messages
 from cottonhold.fleet.recovery.warmup_messages import FREE, WINDOW, Pooled, RampWord, Row
-from cottonhold.fleet.zone_failover.messages import Words, zone_number
+from cottonhold.fleet.zone_failover.messages import zone_number
 from cottonhold.fleet.zone_failover.quota_lending import PartSettings
 from cottonhold.membership.rendezvous import score
 
@@ -110,7 +111,7 @@
     def __init__(self, me: int, life: int, now: float, settings: RampSettings, seed: int) -> None:
         self.me, self.life, self.settings, self.began = me, life & 0xFFFFFFFF, settings, now
         self.draw = random.Random(seed)
-        self.words = Words[RampWord](me)
+        self.words = LatestReports[RampWord](me)
         self.engines: dict[str, float] = {}  # all, with their cores
         self.numbers: set[int] = set()
         self.young: dict[str, Young] = {}
@@ -226,9 +227,9 @@
             self.alive.setdefault(engine, now)
 
     def hear(self, now: float, data: bytes) -> None:
-        """A message of ramps. Raises WordError."""
+        """A message of ramps. Raises MessageError."""
         for word in warmup_messages.read_words(data):
-            self.words.take(now, word)
+            self.words.apply(now, word)
 
     # --- what follows ---
 
@@ -368,12 +369,12 @@
         if not members or not self.growing and not self.wanted & self.numbers:
             return []
         few = len(members) < self.settings.close
-        self.life, self.version = self.words.following(self.life, self.version)
+        self.life, self.version = self.words.next_stamp(self.life, self.version)
         mine = RampWord(self.me, self.life, self.version, self._rows(few))
         if few:
             data = warmup_messages.pack_words([mine])
             return [(member, data) for member in members]
-        passed = [h.word for h in self.words.newest() if now - h.at <= self.settings.fresh]
+        passed = [h.report for h in self.words.newest() if now - h.received_at <= self.settings.fresh]
         data = warmup_messages.pack_words([mine, *passed])
         return [(member, data) for member in self.draw.sample(members, self.settings.fanout)]
 
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -18,8 +18,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.zone_failover.evacuation import lower_middle
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 
 RAMP = 16  # the kind of message
 HEAD = struct.Struct("!QIIB")
@@ -29,7 +29,7 @@
 DONE = 1000.0  # steps of work done: its square root is told, since one of many does little
 FREE = 1.0  # a share that bounds nothing
 AGE = 100.0  # ms of a step of age
-MOST_ROWS = (ROOM - 2 - HEAD.size) // ROW.size
+MOST_ROWS = (MAX_MESSAGE_BYTES - 2 - HEAD.size) // ROW.size
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,7 +64,7 @@
 
 def pack_words(words: Iterable[RampWord]) -> bytes:
     """A message with as many of these words as fit, first ones first."""
-    parts, left = list[bytes](), ROOM - 2
+    parts, left = list[bytes](), MAX_MESSAGE_BYTES - 2
     for word in words:
         size = HEAD.size + len(word.rows) * ROW.size
         if size > left:
@@ -85,16 +85,16 @@
 
 
 def read_words(data: bytes) -> list[RampWord]:
-    """The words of a message. Raises WordError; then none of them counts."""
+    """The words of a message. Raises MessageError; then none of them counts."""
     if len(data) < 2 or data[0] != RAMP:
-        raise WordError("no ramp")
+        raise MessageError("no ramp")
     words, at = [], 2
     try:
         for _ in range(data[1]):
             member, life, version, count = HEAD.unpack_from(data, at)
             at += HEAD.size
             if not member or count > MOST_ROWS:
-                raise WordError("member or rows")
+                raise MessageError("member or rows")
             rows = {}
             for _ in range(count):
                 number, speed, done, share, age = ROW.unpack_from(data, at)
@@ -102,9 +102,9 @@
                 rows[number] = Row(speed / SCALE, (done / 5) ** 2 / DONE, share / 255, age * AGE)
             words.append(RampWord(member, life, version, rows))
     except struct.error:
-        raise WordError("truncated") from None
+        raise MessageError("truncated") from None
     if at != len(data):
-        raise WordError("too long")
+        raise MessageError("too long")
     return words
 
 
--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -12,6 +12,7 @@
 from collections import Counter
 
 from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.interface import Action, Ended, Gone, HandSettings, Take
 from cottonhold.fleet.request_forwarding.messages import (
     U32,
@@ -27,7 +28,6 @@
 )
 from cottonhold.fleet.request_forwarding.origin import Offering
 from cottonhold.fleet.request_forwarding.owner import Taking
-from cottonhold.fleet.zone_failover.messages import WordError
 
 __all__ = ["Action", "End", "Ended", "Gone", "HandOn", "HandSettings", "Say", "Take"]
 
@@ -78,7 +78,7 @@
         self.offering.expire(now)
         try:
             self._hear(now, sender, data)
-        except WordError:
+        except MessageError:
             self.counts["malformed"] += 1
         self.taking.heard(now, sender)
         return self._flush()
--- a/cottonhold/fleet/request_forwarding/fragmentation.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -11,8 +11,8 @@
 import heapq
 import math
 
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.messages import parts_of
-from cottonhold.fleet.zone_failover.messages import WordError
 
 FIRST, LEAST = 16.0, 4.0  # parts on their way to a neighbour that has said nothing yet, and to a silent one
 
@@ -64,7 +64,7 @@
     def ack(self, bits: int) -> None:
         """These parts have arrived. Raises WordError where one of them was never sent."""
         if bits >> self.next:
-            raise WordError("a part that was not sent")
+            raise MessageError("a part that was not sent")
         self.acked |= bits
         for index in [i for i in self.flight if bits >> i & 1]:
             del self.flight[index]
@@ -186,7 +186,7 @@
     def check(self, size: int, index: int, data: bytes) -> None:
         """Raises WordError where a part contradicts an earlier one."""
         if size != self.size or self.parts.get(index, data) != data:
-            raise WordError("contradicts an earlier part")
+            raise MessageError("contradicts an earlier part")
 
     def body(self) -> bytes:
         """All of it."""
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
 HAND = 79
 PROBE, LIFE, PART, WITHDRAW, ACK, ANSWER, GOT = range(7)
@@ -134,8 +134,8 @@
 PROBED, LIVED = struct.Struct("!BBI"), struct.Struct("!BBIIQ")
 ACKED, ANSWERED = struct.Struct("!BBQIQB"), struct.Struct("!BBQIBfHB")
 GOTTEN = struct.Struct("!BBQB")
-PART_ROOM = ROOM - HEAD.size - PARTED.size  # bytes of a request in one datagram
-ANSWER_ROOM = ROOM - ANSWERED.size
+PART_ROOM = MAX_MESSAGE_BYTES - HEAD.size - PARTED.size  # bytes of a request in one datagram
+ANSWER_ROOM = MAX_MESSAGE_BYTES - ANSWERED.size
 BITS_MOST = 16  # bytes; more parts than LARGEST has
 
 
@@ -188,20 +188,20 @@
 
 def read(data: bytes) -> Word:
     """The meaning of a word. Raises WordError."""
-    if len(data) < 2 or data[0] != HAND or data[1] not in READERS or len(data) > ROOM:
-        raise WordError("kind")
+    if len(data) < 2 or data[0] != HAND or data[1] not in READERS or len(data) > MAX_MESSAGE_BYTES:
+        raise MessageError("kind")
     try:
         return READERS[data[1]](data)
     except struct.error:
-        raise WordError("truncated") from None
+        raise MessageError("truncated") from None
     except ValueError:
-        raise WordError("end or state") from None
+        raise MessageError("end or state") from None
 
 
 def _head(data: bytes) -> Head:
     _, _, number, life, stamp, held, left, floor = HEAD.unpack_from(data)
     if not 0 < floor <= number & U32 or not life:
-        raise WordError("floor or life")
+        raise MessageError("floor or life")
     return Head(number, life, stamp, held * TICK, left * TICK, floor)
 
 
@@ -215,33 +215,33 @@
 def _check_part(index: int, size: int, length: int, room: int) -> None:
     """All parts but the last are full, and the last has what is left."""
     if size > LARGEST or index >= parts_of(size, room) or length != min(room, size - index * room):
-        raise WordError("part")
+        raise MessageError("part")
 
 
 def _withdraw(data: bytes) -> Withdraw:
     if len(data) != HEAD.size + 1 or data[-1] > 1:
-        raise WordError("withdraw")
+        raise MessageError("withdraw")
     return Withdraw(_head(data), bool(data[-1]))
 
 
 def _probe(data: bytes) -> Probe:
     if len(data) != PROBED.size:
-        raise WordError("probe")
+        raise MessageError("probe")
     return Probe(PROBED.unpack(data)[2])
 
 
 def _lives(data: bytes) -> Lives:
     if len(data) != LIVED.size:
-        raise WordError("life")
+        raise MessageError("life")
     _, _, asked, life, stamp = LIVED.unpack(data)
     if not life:
-        raise WordError("life")
+        raise MessageError("life")
     return Lives(asked, life, stamp)
 
 
 def _bits(data: bytes) -> int:
     if not data or data[0] > BITS_MOST or len(data) != 1 + data[0]:
-        raise WordError("bits")
+        raise MessageError("bits")
     return int.from_bytes(data[1:], "big")
 
 
@@ -255,14 +255,14 @@
     body = data[ANSWERED.size :]
     _check_part(index, size, len(body), ANSWER_ROOM)
     if not (math.isfinite(ms) and ms >= 0.0):
-        raise WordError("ms")
+        raise MessageError("ms")
     return Answer(number, life, End(end), ms, size, index, body)
 
 
 def _got(data: bytes) -> Got:
     _, _, number, whole = GOTTEN.unpack_from(data)
     if whole > 1:
-        raise WordError("got")
+        raise MessageError("got")
     return Got(number, bool(whole), _bits(data[GOTTEN.size :]))
 
 
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -22,6 +22,7 @@
 from enum import IntEnum
 
 from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
 from cottonhold.fleet.request_forwarding.interface import Action, Ended, HandSettings
 from cottonhold.fleet.request_forwarding.messages import (
@@ -43,7 +44,6 @@
     number_of,
     pack,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
 
 
 class Phase(IntEnum):
@@ -174,7 +174,7 @@
             self._send(now, peer)
             return
         if w.state is State.TAKEN and not order.parcel.whole:
-            raise WordError("taken before it was sent")
+            raise MessageError("taken before it was sent")
         if order.phase is Phase.SENDING:
             peer.lane.ack(w.number, w.bits)
         self._stamp(now, peer, w.stamp)
@@ -194,11 +194,11 @@
             self._say(sender, Got(w.number, True))  # nobody needs it
             return
         if w.life != order.life or not order.parcel.whole:
-            raise WordError("answer to what was not asked")
+            raise MessageError("answer to what was not asked")
         if order.answer is None:
             order.answer, order.end = Gather(w.size, ANSWER_ROOM), (w.end, w.ms)
         if order.end != (w.end, w.ms):
-            raise WordError("two ends")
+            raise MessageError("two ends")
         whole = order.answer.put(w.size, w.index, w.data)
         if order.phase is not Phase.TAKEN:
             self._taken(peer, order)
@@ -251,7 +251,7 @@
         if number >> 32 != self.life:
             return peer, None
         if peer is None or not 0 < number & U32 <= peer.count:
-            raise WordError("number")
+            raise MessageError("number")
         return peer, peer.open.get(number)
 
     def _wake(self, order: Order, due: float) -> None:
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -19,6 +19,7 @@
 from dataclasses import dataclass, field
 
 from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
 from cottonhold.fleet.request_forwarding.interface import Action, Gone, HandSettings, Take
 from cottonhold.fleet.request_forwarding.messages import (
@@ -38,7 +39,6 @@
     Word,
     pack,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
 
 STAMPS = 1000.0  # a ms
 
@@ -196,12 +196,12 @@
         """On this clock: the request's time is not over before. Raises WordError for what can't be."""
         s = self.settings
         if head.left > s.longest:
-            raise WordError("time left")
+            raise MessageError("time left")
         if head.life != self.life:
             return -math.inf
         began, even = head.stamp / STAMPS, 1.0 - s.drift
         if began + head.held * even > now:
-            raise WordError("stamp")
+            raise MessageError("stamp")
         return began + (head.held + head.left) * even - s.margin
 
     def _keep(self, now: float, head: Head) -> float:
--- a/cottonhold/fleet/request_forwarding/request_codec.py
+++ b/cottonhold/fleet/request_forwarding/request_codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 
 HEAD = struct.Struct("!BddiQ")  # flags, effort, room, tables, round
 SIZE = struct.Struct("!H")
@@ -56,12 +56,12 @@
             (size,) = SIZE.unpack_from(data, at)
             at += SIZE.size + size
             if at > len(data):
-                raise WordError("truncated")
+                raise MessageError("truncated")
             texts.append(data[at - size : at].decode())
     except (struct.error, UnicodeDecodeError):
-        raise WordError("request") from None
+        raise MessageError("request") from None
     if not (0.0 <= effort < 1e12 and 0.0 <= room < 1e12) or flags > RETRY | NAMED or not all(texts[:3]):
-        raise WordError("request")
+        raise MessageError("request")
     ref, service, key, *named = texts
     tenant, token = named or ("", "")
     retry = bool(flags & RETRY)
@@ -90,7 +90,7 @@
                 row.append(data[at - size : at])
             rows.append(row)
     except struct.error:
-        raise WordError("rows") from None
+        raise MessageError("rows") from None
     if at != len(data):
-        raise WordError("rows")
+        raise MessageError("rows")
     return rows
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -14,6 +14,7 @@
 from dataclasses import dataclass, replace
 
 from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.machine_driver import Driver, Mine, Scene, SwapSettings, order_of
 from cottonhold.fleet.rolling_replacement.plan import (
@@ -38,7 +39,7 @@
     Say,
     Undrain,
 )
-from cottonhold.fleet.zone_failover.messages import WordError, zone_number
+from cottonhold.fleet.zone_failover.messages import zone_number
 
 
 @dataclass(slots=True, frozen=True)
@@ -188,7 +189,7 @@
         try:
             self.scene.whole = plan.read_whole(cell.value if cell else b"")
             chain = self._walk(now, actions, every)
-        except WordError:
+        except MessageError:
             self.malformed += 1
             chain, self.scene.complete = {}, False
         self.scene.complete = self.scene.complete and cell is not None
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -24,7 +24,7 @@
 from enum import IntEnum, IntFlag
 from functools import lru_cache
 
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.zone_failover.operator_overrides import cut
 from cottonhold.membership.codec import MOST_NAME, member_id
 
@@ -334,10 +334,10 @@
         (first, who), at = _texts(data, WHOLE.size, (MOST_NAME, MOST_WHO))
         out = struct.unpack(f"!{data[at]}Q", data[at + 1 :])
         if form != FORM or len(out) > MOST_OUT:
-            raise WordError("swap")
+            raise MessageError("swap")
         return Whole(State(state), serial, base, epoch, locker, most, zones, first, who, out)
     except (struct.error, IndexError, ValueError):
-        raise WordError("swap") from None
+        raise MessageError("swap") from None
 
 
 def pack_record(r: Record) -> bytes:
@@ -360,14 +360,14 @@
         )
         texts, at = _texts(data, RECORD.size, (MOST_NAME, MOST_NAME, MOST_WHO))
         if form != FORM or at != len(data):
-            raise WordError("swap")
+            raise MessageError("swap")
         return Record(
             Step(step), serial, epoch, driver, took, Flag(flags), zone, cores, told, seen, life,
             Reason(reason),
             *texts,
         )  # fmt: skip
     except (struct.error, IndexError, ValueError):
-        raise WordError("swap") from None
+        raise MessageError("swap") from None
 
 
 def _text(text: str) -> bytes:
@@ -380,7 +380,7 @@
     for most in mosts:
         size = data[at]
         if size > most or at + 1 + size > len(data):
-            raise WordError("text")
+            raise MessageError("text")
         texts.append(data[at + 1 : at + 1 + size].decode())
         at += 1 + size
     return texts, at
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -22,9 +22,9 @@
 
 from cottonhold.fleet.consensus.messages import VALUE_MOST
 from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.rolling_replacement.machine_driver import order_of
 from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
-from cottonhold.fleet.zone_failover.messages import WordError
 
 NAME = "pins"
 HEAD = struct.Struct("!IBBH")  # epoch, members, changes, mask of those that are in
@@ -93,14 +93,14 @@
     if not data:
         return Value()
     if len(data) < HEAD.size:
-        raise WordError("truncated")
+        raise MessageError("truncated")
     epoch, count, changed, mask = HEAD.unpack_from(data)
     ids, changes = data[HEAD.size : HEAD.size + count * MEMBER.size], data[HEAD.size + count * MEMBER.size :]
     if len(ids) != count * MEMBER.size or len(changes) != changed or changed > epoch:
-        raise WordError("length")
+        raise MessageError("length")
     members = [member for (member,) in MEMBER.iter_unpack(ids)]
     if mask >> count or any(byte >> 1 >= count for byte in changes):
-        raise WordError("member")
+        raise MessageError("member")
     inside = frozenset(member for i, member in enumerate(members) if mask >> i & 1)
     return Value(epoch, inside, tuple((members[byte >> 1], bool(byte & 1)) for byte in changes))
 
@@ -167,7 +167,7 @@
         cell = self.ledger.known(NAME)
         try:
             self.value = read(cell.value if cell is not None else b"")
-        except WordError:
+        except MessageError:
             self.malformed += 1
             self.known = False
         self.next_step = now
--- a/cottonhold/fleet/session_affinity/messages.py
+++ b/cottonhold/fleet/session_affinity/messages.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.membership import leases
 
 BATCH, LEASE, REFUSE, DONE = 75, 76, 77, 78
@@ -21,7 +21,7 @@
 HEAD = struct.Struct("!BBB")
 LEASED = struct.Struct("!BBQIQf")  # kind, what, duty, term, epoch, wait
 SHORT = struct.Struct("!BBQQ")  # kind, answer, member, epoch
-A_BATCH = (ROOM - HEAD.size) // ENTRY.size
+A_BATCH = (MAX_MESSAGE_BYTES - HEAD.size) // ENTRY.size
 
 
 class Step(IntEnum):
@@ -53,11 +53,11 @@
 def read_batch(data: bytes) -> tuple[Step, list[Entry]]:
     """The meaning of a batch. Raises WordError; then none of it counts."""
     if len(data) < HEAD.size or data[0] != BATCH or len(data) != HEAD.size + data[2] * ENTRY.size:
-        raise WordError("batch")
+        raise MessageError("batch")
     try:
         step = Step(data[1])
     except ValueError:
-        raise WordError("step") from None
+        raise MessageError("step") from None
     found = ENTRY.iter_unpack(data[HEAD.size :])
     return step, [Entry(key, epoch, flags) for key, epoch, flags in found]
 
@@ -72,11 +72,11 @@
 def read_lease(data: bytes) -> tuple[leases.Ask | leases.Word, int]:
     """The meaning of an ask or word, and the sender's epoch. Raises WordError."""
     if len(data) != LEASED.size or data[0] != LEASE or data[1] > 2:
-        raise WordError("lease")
+        raise MessageError("lease")
     _, what, duty, term, epoch, wait = LEASED.unpack(data)
     if what == 1:
         if not wait < 1e9:
-            raise WordError("wait")
+            raise MessageError("wait")
         return leases.Word(duty, term, wait < 0, max(wait, 0.0)), epoch
     return leases.Ask(duty, term, what == 2), epoch
 
@@ -89,6 +89,6 @@
 def read_short(data: bytes) -> tuple[bool, int, int]:
     """Whether it is an answer, the member and the epoch. Raises WordError."""
     if len(data) != SHORT.size or data[1] > 1:
-        raise WordError("short")
+        raise MessageError("short")
     _, answer, member, epoch = SHORT.unpack(data)
     return bool(answer), member, epoch
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -27,6 +27,7 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.announcements import Handover
 from cottonhold.fleet.session_affinity.messages import TENTATIVE, Entry, Step
@@ -41,7 +42,6 @@
     PinSettings,
     Took,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.membership.rendezvous import score
 
 __all__ = ["Action", "Back", "Forward", "Moved", "Own", "PinSettings", "Pins", "Took"]
@@ -188,8 +188,8 @@
                 answer, _, epoch = messages.read_short(data)
                 self._done(sender, answer, epoch)
             else:
-                raise WordError("kind")
-        except WordError:
+                raise MessageError("kind")
+        except MessageError:
             self.counts["malformed"] += 1
         return self._run(now)
 
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from cottonhold.fleet.zone_failover.failure_evidence import Verdict
-from cottonhold.fleet.zone_failover.messages import Vote, ZoneWord
+from cottonhold.fleet.zone_failover.messages import Vote, ZoneReport
 
 Signs = tuple[int, int, int]  # good, late, bad
 WELL_LEAST, WELL_BAD = 3, 0.1  # served attempts, and share of bad signs, that speak against joining others
@@ -87,7 +87,7 @@
     @property
     def vote(self) -> Vote:
         """What it tells."""
-        return Vote.OUT if self.phase is Phase.OUT and not self.willing else Vote.IN
+        return Vote.EVACUATE if self.phase is Phase.OUT and not self.willing else Vote.KEEP
 
 
 @dataclass(slots=True, frozen=True)
@@ -134,7 +134,7 @@
         self.states = {name: self.states.get(name) or State(hold=self.settings.hold) for name in names}
 
     def step(
-        self, now: float, own: Mapping[str, Own], told: Mapping[str, list[ZoneWord]], electorate: int
+        self, now: float, own: Mapping[str, Own], told: Mapping[str, list[ZoneReport]], electorate: int
     ) -> list[Turn]:
         """Decide. `told`: the others' fresh words by zone; `electorate`: all that count, with this one."""
         self.now, self.turns = now, []
@@ -145,7 +145,7 @@
                 self._decide(name, state, own[name], told.get(name, []), electorate)
         return self.turns
 
-    def pace(self, name: str, told: Iterable[ZoneWord] = ()) -> float:
+    def pace(self, name: str, told: Iterable[ZoneReport] = ()) -> float:
         """Share of its full load that all instances together may send to a zone, as this one sees it."""
         state = self.states.get(name)
         if state is None:
@@ -156,12 +156,14 @@
             return 1.0
         # Danger: one that is quicker than the others, or lies, would set the pace for all. So the lower
         # middle of what all that are back would let it have counts.
-        return min(state.pace, lower_middle([state.pace, *(z.pace for z in told if z.vote is Vote.IN)]))
+        return min(
+            state.pace, lower_middle([state.pace, *(z.traffic_share for z in told if z.vote is Vote.KEEP)])
+        )
 
     # --- votes ---
 
-    def _count(self, state: State, told: list[ZoneWord], electorate: int) -> None:
-        out = sum(z.vote is Vote.OUT for z in told) + (state.vote is Vote.OUT)
+    def _count(self, state: State, told: list[ZoneReport], electorate: int) -> None:
+        out = sum(z.vote is Vote.EVACUATE for z in told) + (state.vote is Vote.EVACUATE)
         back = len(told) + 1 - out
         need = majority(electorate)
         if len(told) + 1 >= need:
@@ -174,16 +176,16 @@
             state.fleet_out = False  # cut off for long: own evidence, own part
         state.followed = state.followed or state.fleet_out
 
-    def _decide(self, name: str, state: State, own: Own, told: list[ZoneWord], electorate: int) -> None:
+    def _decide(self, name: str, state: State, own: Own, told: list[ZoneReport], electorate: int) -> None:
         s = self.settings
         sick = own.verdict >= Verdict.SLOW
         if own.verdict < Verdict.FAILING and self._recovering(name):
             sick = False
         if state.phase is Phase.OUT:
             self._stay(name, state, own, told, electorate)
-        elif own.ordered is Vote.OUT:
+        elif own.ordered is Vote.EVACUATE:
             self._leave(name, state, own, "by hand", sure=True)
-        elif own.ordered is Vote.IN:
+        elif own.ordered is Vote.KEEP:
             self._advance(name, state, own, told)
         elif sick:
             self._leave(name, state, own, f"own evidence: {own.verdict.name.lower()}", sure=True)
@@ -196,12 +198,12 @@
         elif self.now - max(state.since, state.calm_at) > s.quiet and state.hold > s.hold:
             state.hold, state.calm_at = max(s.hold, state.hold / 2), self.now
 
-    def _stay(self, name: str, state: State, own: Own, told: list[ZoneWord], electorate: int) -> None:
+    def _stay(self, name: str, state: State, own: Own, told: list[ZoneReport], electorate: int) -> None:
         """Whether it is time for the return."""
         state.floor = own.floor if own.ordered is None else 0.0
-        if own.ordered is Vote.OUT:
+        if own.ordered is Vote.EVACUATE:
             return
-        if own.ordered is Vote.IN:
+        if own.ordered is Vote.KEEP:
             self._turn(name, state, Phase.RETURN, "by hand")
             return
         # Danger: the first one whose hold was over went back by itself, found the zone still out by the
@@ -214,13 +216,15 @@
             self._turn(name, state, Phase.RETURN, "its engines answer")
         elif self._others_back(state, told, electorate):
             self._turn(name, state, Phase.RETURN, "the fleet returns")
-            state.pace = max(state.pace, lower_middle([z.pace for z in told if z.vote is Vote.IN]) / 4)
+            state.pace = max(
+                state.pace, lower_middle([z.traffic_share for z in told if z.vote is Vote.KEEP]) / 4
+            )
 
-    def _others_back(self, state: State, told: list[ZoneWord], electorate: int) -> bool:
+    def _others_back(self, state: State, told: list[ZoneReport], electorate: int) -> bool:
         """More than half have gone back while this one still stays out, and it has no evidence of its own."""
         # Danger: one that had joined a few before there was a majority took the many that had not left yet
         # for a fleet that returns.
-        back = sum(z.vote is Vote.IN for z in told)
+        back = sum(z.vote is Vote.KEEP for z in told)
         return state.followed and back >= majority(electorate) and not state.sure
 
     def _recovering(self, name: str) -> bool:
@@ -231,14 +235,16 @@
         others = [state for other, state in self.states.items() if other != name]
         return any(s.phase is Phase.RETURN or s.phase is Phase.IN and s.since > late for s in others)
 
-    def _joins(self, name: str, state: State, own: Own, told: list[ZoneWord], electorate: int) -> bool:
+    def _joins(self, name: str, state: State, own: Own, told: list[ZoneReport], electorate: int) -> bool:
         # Danger: those with little traffic need seconds to be sure, and hold the majority up. Two at least,
         # so that one alone, which lies or has a bad link, never moves another.
         # Where nobody is sure yet, as with three in ten failing, it takes half of all to see the same.
         # Danger: where the zone was cut from half of the fleet one of the other half joined in a moment of
         # few signs, and made the majority. So it takes bad signs of its own, or too few to say.
-        sure = sum(z.vote is Vote.OUT and z.sure for z in told)
-        accuse = sum(z.accuses or z.vote is Vote.OUT and z.sure for z in told) + own.accuses
+        sure = sum(z.vote is Vote.EVACUATE and z.is_certain for z in told)
+        accuse = (
+            sum(z.suspects_failure or z.vote is Vote.EVACUATE and z.is_certain for z in told) + own.accuses
+        )
         if sure < max(2, electorate // 3 + 1) and accuse < max(3, majority(electorate)):
             state.called_at = math.inf
             return False
@@ -256,7 +262,7 @@
         s = self.settings
         if self.now - state.returned_at < s.quiet and why != "by hand":
             state.hold = min(state.hold * 2, s.hold_most)
-        state.floor = 0.0 if own.verdict is Verdict.LOST or own.ordered is Vote.OUT else own.floor
+        state.floor = 0.0 if own.verdict is Verdict.LOST or own.ordered is Vote.EVACUATE else own.floor
         state.sure = sure
         self._turn(name, state, Phase.OUT, why)
 
@@ -270,12 +276,12 @@
 
     # --- return ---
 
-    def _advance(self, name: str, state: State, own: Own, told: list[ZoneWord]) -> None:
+    def _advance(self, name: str, state: State, own: Own, told: list[ZoneReport]) -> None:
         """Double the pace, stand still, or give the return up, by the signs of all that are back."""
         s = self.settings
         if state.phase is not Phase.RETURN or self.now - state.stepped_at < s.step:
             return
-        back = [(z.good, z.late, z.bad) for z in told if z.vote is Vote.IN]
+        back = [(z.good, z.late, z.bad) for z in told if z.vote is Vote.KEEP]
         (good, late, bad), accusers = pool([own.signs, *back])
         total = good + late + bad
         # Danger: where the whole fleet has more than it can serve, all zones show bad signs, and one that an
@@ -300,12 +306,12 @@
             # Danger: kept up while a line forms, the pace itself makes cold engines late, then bad.
             state.pace, state.stepped_at = max(s.first, state.pace / 2), self.now
 
-    def _elsewhere(self, own: Mapping[str, Own], told: Mapping[str, list[ZoneWord]]) -> None:
+    def _elsewhere(self, own: Mapping[str, Own], told: Mapping[str, list[ZoneReport]]) -> None:
         """Shares of good and of bad signs in the best of the zones that are in use."""
         goods, bads = [0.0], list[float]()
         for name, state in self.states.items():
             if state.phase is Phase.IN and name in own:
-                words = [(z.good, z.late, z.bad) for z in told.get(name, []) if z.vote is Vote.IN]
+                words = [(z.good, z.late, z.bad) for z in told.get(name, []) if z.vote is Vote.KEEP]
                 (good, late, bad), _ = pool([own[name].signs, *words])
                 if good + late + bad:
                     goods.append(good / (good + late + bad))
--- a/cottonhold/fleet/zone_failover/operator_overrides.py
+++ b/cottonhold/fleet/zone_failover/operator_overrides.py
@@ -15,7 +15,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zone_failover.messages import ORDERS, WordError
+from cottonhold.fleet.message_format import MessageError
+from cottonhold.fleet.zone_failover.messages import OVERRIDES
 
 ORDER = struct.Struct("!HBIQI")
 MOST_WHO, MOST_WHY = 24, 80  # bytes
@@ -63,11 +64,11 @@
         if len(part) <= left and len(parts) < MOST_ORDERS:
             parts.append(part)
             left -= len(part)
-    return bytes((ORDERS, len(parts))) + b"".join(parts)
+    return bytes((OVERRIDES, len(parts))) + b"".join(parts)
 
 
 def read_orders(now: float, data: bytes) -> list[Order]:
-    """The orders of a message. Raises WordError."""
+    """The orders of a message. Raises MessageError."""
     found, at = [], 2
     try:
         for _ in range(data[1]):
@@ -77,14 +78,14 @@
             for most in (MOST_WHO, MOST_WHY):
                 size = data[at]
                 if size > most or at + 1 + size > len(data):
-                    raise WordError("text")
+                    raise MessageError("text")
                 texts.append(data[at + 1 : at + 1 + size].decode())
                 at += 1 + size
             found.append(Order(zone, Mode(mode), serial, author, now + left, *texts))
     except (struct.error, IndexError, ValueError):
-        raise WordError("order") from None
+        raise MessageError("order") from None
     if at != len(data):
-        raise WordError("too long")
+        raise MessageError("too long")
     return found
 
 
--- a/cottonhold/fleet/zone_failover/quota_lending.py
+++ b/cottonhold/fleet/zone_failover/quota_lending.py
@@ -27,7 +27,8 @@
 import struct
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.zone_failover.messages import ASK, GRANT, WordError
+from cottonhold.fleet.message_format import MessageError
+from cottonhold.fleet.zone_failover.messages import QUOTA_GRANT, QUOTA_REQUEST
 
 LOAN = struct.Struct("!BHIH")  # kind, zone, term, amount in steps
 STEPS = 0xFFFF  # of the whole
@@ -74,15 +75,17 @@
 
 def pack_loan(what: Ask | Grant) -> bytes:
     """A message's bytes."""
-    return LOAN.pack(ASK if isinstance(what, Ask) else GRANT, what.zone, what.term, what.amount)
+    return LOAN.pack(
+        QUOTA_REQUEST if isinstance(what, Ask) else QUOTA_GRANT, what.zone, what.term, what.amount
+    )
 
 
 def read_loan(data: bytes) -> Ask | Grant:
-    """A message's meaning. Raises WordError."""
-    if len(data) != LOAN.size or data[0] not in (ASK, GRANT):
-        raise WordError("loan")
+    """A message's meaning. Raises MessageError."""
+    if len(data) != LOAN.size or data[0] not in (QUOTA_REQUEST, QUOTA_GRANT):
+        raise MessageError("loan")
     kind, zone, term, amount = LOAN.unpack(data)
-    return Ask(zone, term, amount) if kind == ASK else Grant(zone, term, amount)
+    return Ask(zone, term, amount) if kind == QUOTA_REQUEST else Grant(zone, term, amount)
 
 
 @dataclass(slots=True)
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -14,10 +14,10 @@
 from typing import Protocol
 
 from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.forwarder import End, Ended
 from cottonhold.fleet.request_forwarding.request_codec import pin_key, read_rows
 from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.load_records import NEVER_RAN
 from cottonhold.node.clock import Clock
 from cottonhold.node.gateway import Gateway, LoadGuard, Past, Taken
@@ -199,7 +199,7 @@
         if ended.end is End.SERVED:
             try:
                 rows = read_rows(ended.data)
-            except WordError:
+            except MessageError:
                 held.settled(Past.MAY, 0.0)
                 return
             self.gateway.end(ended.ref, "served", lambda client: client.served(rows))
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -10,13 +10,13 @@
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.coordinator import Fleet
 from cottonhold.fleet.failover_cost.estimator import Outlook
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import load_history as memory_of
 from cottonhold.fleet.recovery import membership_survey as census_of
 from cottonhold.fleet.recovery.load_history import Around, Memory, MemorySettings, hold_for
 from cottonhold.fleet.recovery.membership_survey import Census, CensusSettings, Gone, Verdict, View
 from cottonhold.fleet.recovery.messages import ANSWER, BASE_STEP, HERE, Here, MemoryState, read
 from cottonhold.fleet.recovery.slow_start import Lost
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.load_records import Loads, Unkept, guarded, kept_loads
 from cottonhold.fleet_adapters.write_queue import AGAIN_MS
 from cottonhold.membership.swim import Swim
@@ -76,7 +76,7 @@
     try:
         if value is not None:
             outlook.hint(Hint.read(value).value)
-    except (RecordError, WordError):
+    except (RecordError, MessageError):
         return False
     return True
 
@@ -169,7 +169,7 @@
         now = self.clock.now()
         try:
             word = read(payload)
-        except WordError:
+        except MessageError:
             self.counters.add("recovery_malformed")
             return True
         if isinstance(word, Here):
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -14,6 +14,7 @@
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.consensus.messages import Keep, Say
 from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery.membership_survey import Census
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet.request_forwarding import forwarder
@@ -27,7 +28,6 @@
 from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
 from cottonhold.fleet.session_affinity.record_book import GAPS_MS
 from cottonhold.fleet.session_affinity.service import Action, Around, Going, PinService
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.keyed_loads import WAITS_MS, Pinned
 from cottonhold.fleet_adapters.recovery import life_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
@@ -178,7 +178,7 @@
         now, place = self.clock.now(), (action.origin, action.number)
         try:
             asked = read_request(action.body)
-        except WordError:
+        except MessageError:
             self.counters.add("pins_malformed")
             self._hands(self.handing.answered(now, *place, End.REFUSED))
             return
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -14,7 +14,7 @@
 from cottonhold.fleet.admission.demand import STEPS, TOLD, Demand
 from cottonhold.fleet.admission.loads import Load, Loads, draw_of, pack_loads, read_loads
 from cottonhold.fleet.admission.threshold import Price, Pricing, Told, curve_price
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 
 unhurried = settings(deadline=None)  # the same verdict on a busy machine
 RATES = st.dictionaries(st.integers(0, STEPS - 1), st.floats(0.01, 50.0), max_size=30)
@@ -233,9 +233,9 @@
 )
 def test_loads_that_make_no_sense_change_nothing(data: bytes) -> None:
     loads = Loads(1, 1, 0.0, 1)
-    with pytest.raises(WordError):
+    with pytest.raises(MessageError):
         loads.hear(0.0, data)
-    assert not loads.words.heard
+    assert not loads.words.received
 
 
 def test_loads_merge_by_version_and_the_owner_passes_a_forged_one() -> None:
@@ -245,7 +245,7 @@
     ]
     for load in news:
         loads.hear(0.0, pack_loads([load]))
-    assert list(loads.words.heard[2].word.told.rates) == [1]
+    assert list(loads.words.received[2].report.told.rates) == [1]
     loads.hear(0.0, pack_loads([Load(1, 1, 90, Told({}))]))
     ((_, data),) = loads.step(100.0, [1, 2], 10.0)
     assert read_loads(data)[0].version == 91
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -24,6 +24,7 @@
     pack_word,
     read_word,
 )
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.recovery.warmup_messages import engine_number
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import (
@@ -40,7 +41,6 @@
 from cottonhold.fleet.rolling_replacement.request_parsing import request_of
 from cottonhold.fleet.rolling_replacement.start_conditions import Starts
 from cottonhold.fleet.rolling_replacement.step_decision import StepSettings, View, decide
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 from cottonhold.scheduler.interface import Engine, EngineState
 from cottonhold.store import records as kept_records
 from cottonhold.store.records import TRUST, Kind, Trust
@@ -58,9 +58,9 @@
 @given(st.builds(DrainWord, st.integers(1, 2**64 - 1), U32, U32, ROWS))
 def test_a_word_comes_back_fits_and_is_refused_cut(word: DrainWord) -> None:
     data = pack_word(word)
-    assert read_word(data) == word and len(data) <= ROOM
+    assert read_word(data) == word and len(data) <= MAX_MESSAGE_BYTES
     for cut in range(len(data)):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read_word(data[:cut])
 
 
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -28,7 +28,9 @@
     set_number,
 )
 from cottonhold.fleet.failover_cost.projection import CostSettings, Projection, project
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError, Words, zone_number
+from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
+from cottonhold.fleet.zone_failover.messages import zone_number
 
 ZONES = ("a", "b", "c")
 ENGINES = {zone: {f"{zone}{i}": 1.0 for i in range(4)} for zone in ZONES}
@@ -87,7 +89,7 @@
 def test_a_site_fits_a_datagram_and_is_read_as_it_was_told(told: Site) -> None:
     data = pack_sites([told])
     [read] = read_sites(data)
-    assert len(data) <= ROOM and read.stamp == told.stamp and read.home == told.home
+    assert len(data) <= MAX_MESSAGE_BYTES and read.stamp == told.stamp and read.home == told.home
     assert math.isclose(sum(read.rates.values()), sum(told.rates.values()), rel_tol=0.06, abs_tol=0.01)
     for number, seen in read.zones.items():
         assert seen.warm == told.zones[number].warm
@@ -99,7 +101,7 @@
 def test_a_message_that_makes_no_sense_is_refused(cut: int) -> None:
     data = pack_sites([site(1, "a")])
     for bad in (data[:cut], data + b"\0", b"\x05" + data[1:], data[:2] + bytes(8) + data[10:]):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read_sites(bad)
 
 
@@ -110,10 +112,10 @@
         site(m, "a", dear=v / 10, life=life, version=v) for m in (1, 2) for life in (1, 2) for v in (1, 2)
     ]
     order.shuffle(said)
-    words = Words[Site](9)
+    words = LatestReports[Site](9)
     for word in [*said, *said]:
-        words.take(0.0, word)
-    assert {m: h.word.stamp for m, h in words.heard.items()} == {1: (2, 2), 2: (2, 2)}
+        words.apply(0.0, word)
+    assert {m: h.report.stamp for m, h in words.received.items()} == {1: (2, 2), 2: (2, 2)}
 
 
 # --- the picture, and what follows from it ---
--- a/tests/fleet/test_incarnations.py
+++ b/tests/fleet/test_incarnations.py
@@ -8,11 +8,12 @@
 from cottonhold.fleet.coordinator import Fleet, FleetSettings, Say
 from cottonhold.fleet.failover_cost.estimator import OutlookSettings
 from cottonhold.fleet.failover_cost.messages import SITES
-from cottonhold.fleet.zone_failover.messages import LOADS, WORDS, Word, Words
+from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.zone_failover.messages import DEMAND_REPORTS, ZONE_REPORTS, MemberReport
 
 BEGAN = 1_790_000_000  # seconds of Unix time; a life without a folder is the second of its start
 HIGHEST = 0xFFFFFFFF
-KINDS = (WORDS, LOADS, SITES)
+KINDS = (ZONE_REPORTS, DEMAND_REPORTS, SITES)
 
 
 class Crowd:
@@ -59,7 +60,7 @@
             if me != of:
                 assert fleet.loads is not None and fleet.outlook is not None
                 for words in (fleet.words, fleet.loads.words, fleet.outlook.words):
-                    found.append(of in words.heard and words.heard[of].at > at)
+                    found.append(of in words.received and words.received[of].received_at > at)
         return found
 
 
@@ -89,22 +90,26 @@
 
 def test_no_stamp_told_of_an_instance_stops_its_words() -> None:
     """A forged one may be as high as can be written."""
-    view = Words[Word](1)
-    assert view.following(7, 0) == (7, 1)
-    view.take(0.0, Word(1, 6, 900, 0, 0, {}))
-    assert view.following(7, 3) == (7, 4)
-    view.take(0.0, Word(1, 7, 900, 0, 0, {}))
-    assert view.following(7, 3) == (7, 901)
-    view.take(0.0, Word(1, 9, HIGHEST, 0, 0, {}))
-    assert view.following(7, 901) == (10, 1) and view.following(10, 1) == (10, 2)
-    view.take(0.0, Word(1, HIGHEST, HIGHEST, 0, 0, {}))
-    assert view.following(10, 2) == (HIGHEST, HIGHEST)
+    view = LatestReports[MemberReport](1)
+    assert view.next_stamp(7, 0) == (7, 1)
+    view.apply(0.0, MemberReport(1, 6, 900, 0, 0, {}))
+    assert view.next_stamp(7, 3) == (7, 4)
+    view.apply(0.0, MemberReport(1, 7, 900, 0, 0, {}))
+    assert view.next_stamp(7, 3) == (7, 901)
+    view.apply(0.0, MemberReport(1, 9, HIGHEST, 0, 0, {}))
+    assert view.next_stamp(7, 901) == (10, 1) and view.next_stamp(10, 1) == (10, 2)
+    view.apply(0.0, MemberReport(1, HIGHEST, HIGHEST, 0, 0, {}))
+    assert view.next_stamp(10, 2) == (HIGHEST, HIGHEST)
 
 
 def test_only_an_older_word_of_the_sender_itself_is_answered() -> None:
-    view = Words[Load | Word](1)
-    new, old, other = Word(2, 9, 5, 0, 0, {}), Word(2, 8, 70, 0, 0, {}), Word(3, 1, 1, 0, 0, {})
-    assert not view.passed_by(2, [new]), "none is known"
-    view.take(0.0, new)
-    assert view.passed_by(2, [old]) is new
-    assert not view.passed_by(2, [new]) and not view.passed_by(3, [other, old])
+    view = LatestReports[Load | MemberReport](1)
+    new, old, other = (
+        MemberReport(2, 9, 5, 0, 0, {}),
+        MemberReport(2, 8, 70, 0, 0, {}),
+        MemberReport(3, 1, 1, 0, 0, {}),
+    )
+    assert not view.newer_than(2, [new]), "none is known"
+    view.apply(0.0, new)
+    assert view.newer_than(2, [old]) is new
+    assert not view.newer_than(2, [new]) and not view.newer_than(3, [other, old])
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -8,6 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import membership_survey as c
 from cottonhold.fleet.recovery.messages import (
     BASE_STEP,
@@ -25,7 +26,6 @@
     pack,
     read,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
 from tests.support.recovery_world import CENSUS, World, settled
 
 V = c.Verdict
@@ -59,9 +59,9 @@
     data = pack(word)
     assert len(data) <= 200 and read(data) == word
     for cut in range(len(data)):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read(data[:cut])
-    with pytest.raises(WordError):
+    with pytest.raises(MessageError):
         read(data + b"\0")
 
 
@@ -70,7 +70,7 @@
 def test_anything_else_is_a_word_error(data: bytes) -> None:
     try:
         read(data)
-    except WordError:
+    except MessageError:
         pass
 
 
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -8,15 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.zone_failover.messages import (
+    MemberReport,
     Vote,
-    Word,
-    WordError,
-    Words,
-    ZoneWord,
-    pack_word,
-    pack_words,
-    read_words,
+    ZoneReport,
+    decode_reports,
+    encode_report,
+    encode_reports,
     zone_number,
 )
 from cottonhold.fleet.zone_failover.operator_overrides import (
@@ -31,7 +31,7 @@
 
 SMALL = st.integers(0, 255)
 ZONE = st.builds(
-    ZoneWord,
+    ZoneReport,
     st.sampled_from(Vote),
     SMALL,
     SMALL,
@@ -41,7 +41,7 @@
     st.booleans(),
 )
 WORD = st.builds(
-    Word,
+    MemberReport,
     st.integers(1, 5),
     st.integers(0, 3),
     st.integers(0, 3),
@@ -62,28 +62,30 @@
 
 
 @given(st.lists(WORD, max_size=6))
-def test_words_come_back_as_they_went(words: list[Word]) -> None:
-    data = pack_words(words, 200)
+def test_words_come_back_as_they_went(words: list[MemberReport]) -> None:
+    data = encode_reports(words, 200)
     assert len(data) <= 200
-    got = read_words(data)
+    got = decode_reports(data)
     left = iter(words)
     assert all(any(word == other for other in left) for word in got), "in their order"
     assert got[:1] == words[:1]
 
 
 @given(st.lists(WORD, max_size=12), st.randoms())
-def test_words_merge_in_any_order_and_any_number_of_times(words: list[Word], draw: random.Random) -> None:
-    newest = dict[object, Word]()
+def test_words_merge_in_any_order_and_any_number_of_times(
+    words: list[MemberReport], draw: random.Random
+) -> None:
+    newest = dict[object, MemberReport]()
     for word in words:  # one stamp, one word: an instance never says two things under one version
         newest.setdefault((word.member, word.stamp), word)
     views = []
     for _ in range(2):
         told = [*newest.values(), *draw.sample(list(newest.values()), len(newest) // 2)]
         draw.shuffle(told)
-        view = Words[Word](5)
+        view = LatestReports[MemberReport](5)
         for word in told:
-            view.take(1.0, word)
-        views.append({member: heard.word for member, heard in view.heard.items()})
+            view.apply(1.0, word)
+        views.append({member: heard.report for member, heard in view.received.items()})
     assert views[0] == views[1] and 5 not in views[0]
 
 
@@ -105,26 +107,26 @@
 @given(st.binary(max_size=220))
 @settings(max_examples=300)
 def test_bytes_that_make_no_sense_are_an_error_and_nothing_else(data: bytes) -> None:
-    for read in (read_words, read_loan, lambda d: read_orders(0.0, d)):
+    for read in (decode_reports, read_loan, lambda d: read_orders(0.0, d)):
         try:
             read(data)
-        except WordError:
+        except MessageError:
             pass
 
 
 @pytest.mark.parametrize("cut", [1, 5, 20, -1])
 def test_a_word_cut_short_or_too_long_counts_for_nothing(cut: int) -> None:
-    data = pack_words([Word(1, 1, 1, 0, 0, {7: ZoneWord()})], 200)
-    with pytest.raises(WordError):
-        read_words(data[:cut] if cut > 0 else data + b"\0")
+    data = encode_reports([MemberReport(1, 1, 1, 0, 0, {7: ZoneReport()})], 200)
+    with pytest.raises(MessageError):
+        decode_reports(data[:cut] if cut > 0 else data + b"\0")
 
 
 def test_a_replayed_word_changes_nothing_and_a_forged_one_of_its_own_is_passed() -> None:
-    view = Words[Word](1)
-    old, new = Word(2, 1, 5, 0, 0, {}), Word(2, 1, 6, 0, 0, {})
-    assert view.take(1.0, new) and not view.take(2.0, old) and not view.take(3.0, new)
+    view = LatestReports[MemberReport](1)
+    old, new = MemberReport(2, 1, 5, 0, 0, {}), MemberReport(2, 1, 6, 0, 0, {})
+    assert view.apply(1.0, new) and not view.apply(2.0, old) and not view.apply(3.0, new)
     assert view.fresh(100.0, 50.0, [2]) == [] and view.fresh(40.0, 50.0, [2]) == [new]
-    assert not view.take(4.0, Word(1, 1, 900, 0, 0, {})) and view.following(1, 6) == (1, 901)
+    assert not view.apply(4.0, MemberReport(1, 1, 900, 0, 0, {})) and view.next_stamp(1, 6) == (1, 901)
 
 
 def test_orders_are_bounded_and_the_newest_on_a_zone_counts() -> None:
@@ -144,5 +146,5 @@
 
 def test_a_word_of_three_zones_is_small() -> None:
     """The cost at rest is one such word a second to each of a few members."""
-    word = Word(2**63, 1, 1, 100, 0, {zone_number(z): ZoneWord() for z in "abc"})
-    assert len(pack_word(word)) == 44
+    word = MemberReport(2**63, 1, 1, 100, 0, {zone_number(z): ZoneReport() for z in "abc"})
+    assert len(encode_report(word)) == 44
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -13,10 +13,10 @@
 from cottonhold.fleet.admission.loads import Load, pack_loads
 from cottonhold.fleet.admission.threshold import Told
 from cottonhold.fleet.coordinator import Fleet, FleetSettings, Priced
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import warmup_messages
 from cottonhold.fleet.recovery.slow_start import BUDGET, Lost, Ramp, RampSettings, Young, first_prober
 from cottonhold.fleet.recovery.warmup_messages import Pooled, RampWord, Row, pack_words, pool, read_words
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet.zone_failover.quota_lending import Ask, Parts
 
 unhurried = settings(deadline=None)  # the same verdict on a busy machine
@@ -238,10 +238,10 @@
 )
 def test_words_that_make_no_sense_change_nothing(data: bytes) -> None:
     made = Fleet(1, 1, 0.0, FleetSettings(dispatchers=3, recovery=RampSettings()), 1)
-    with pytest.raises(WordError):
+    with pytest.raises(MessageError):
         read_words(data)
     made.hear(0.0, 2, data)
-    assert made.ramp is not None and not made.ramp.words.heard
+    assert made.ramp is not None and not made.ramp.words.received
 
 
 @unhurried
--- a/tests/fleet/test_register.py
+++ b/tests/fleet/test_register.py
@@ -11,7 +11,7 @@
 from cottonhold.fleet.consensus import messages
 from cottonhold.fleet.consensus.messages import Ballot, Message, State
 from cottonhold.fleet.consensus.register import Changed, How, Outcome, Registers, RegisterSettings
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 from tests.support.member_network import Net
 
 SETTINGS = RegisterSettings()
@@ -174,5 +174,5 @@
     message = Message(messages.PROMISE, name, ballot, State(ballot, 7, value, (1, 2)), (0, 1, 2) * 3)
     data = messages.pack_message(message)
     assert messages.read_message(data) == message
-    with pytest.raises(WordError):
+    with pytest.raises(MessageError):
         messages.read_message(data[:-1])
--- a/tests/fleet/test_request_forwarding.py
+++ b/tests/fleet/test_request_forwarding.py
@@ -9,11 +9,11 @@
 
 import pytest
 
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.request_forwarding import messages as words
 from cottonhold.fleet.request_forwarding.forwarder import End, Ended, HandOn, HandSettings
 from cottonhold.fleet.request_forwarding.origin import Offering, Phase
 from cottonhold.fleet.request_forwarding.owner import Taking
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 from tests.support.forwarding_network import LIAR, A, B, C, HandNet, bad_day
 
 
@@ -295,11 +295,11 @@
         words.Got(8, False, 5),
     ):
         data = words.pack(word)
-        assert words.read(data) == word and len(data) <= ROOM
+        assert words.read(data) == word and len(data) <= MAX_MESSAGE_BYTES
         for cut in range(len(data)):
-            with pytest.raises(WordError):
+            with pytest.raises(MessageError):
                 words.read(data[:cut])
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             words.read(data + b"\0")
 
 
--- a/tests/fleet/test_rolling_replacement.py
+++ b/tests/fleet/test_rolling_replacement.py
@@ -14,10 +14,10 @@
 from cottonhold.emulator.rolling_replacement_cases import CASES
 from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted
 from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Item, Machine, PlanError, Record, Request, Step, Whole
 from cottonhold.fleet.rolling_replacement.step_decision import Change, Read, StepSettings, View, decide
-from cottonhold.fleet.zone_failover.messages import WordError
 
 THERE = {f"d{i}": Machine(f"d{i}", "abc"[i % 3], 8.0, voter=True) for i in range(6)} | {
     "x1": Machine("x1", "a", 16.0, engine=True)
@@ -89,7 +89,7 @@
     data = plan.pack_record(record)
     assert len(data) <= plan.MOST_BYTES and plan.read_record(data) == record
     for cut in range(1, len(data)):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             plan.read_record(data[:cut])
 
 
@@ -102,7 +102,7 @@
 def test_the_whole_fits_into_a_register_and_comes_back(whole: Whole) -> None:
     data = plan.pack_whole(whole)
     assert len(data) <= plan.MOST_BYTES and plan.read_whole(data) == whole
-    with pytest.raises(WordError):
+    with pytest.raises(MessageError):
         plan.read_whole(data[:-1])
 
 
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -10,12 +10,12 @@
 from cottonhold.fleet.consensus import register
 from cottonhold.fleet.consensus.messages import VALUE_MOST, Keep, Say
 from cottonhold.fleet.consensus.register import Registers
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.membership_table import MOST, REMEMBERED, Value, pack, read
 from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own, Pins, PinSettings
 from cottonhold.fleet.session_affinity.service import Around, Going, PinService
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.membership.leases import Ask, Word
 from tests.support.member_network import Net
 
@@ -186,7 +186,7 @@
     assert value.since(value.epoch - REMEMBERED - 1) is None
     good = pack(value)
     for bad in (good[:3], good[:-1], good + b"\0", good[:-1] + b"\xff"):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read(bad)
     assert read(b"") == Value()
 
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -12,7 +12,13 @@
 from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings, Say
 from cottonhold.fleet.zone_failover.evacuation import Own, Phase, Signs, Zones, pool
 from cottonhold.fleet.zone_failover.failure_evidence import Verdict
-from cottonhold.fleet.zone_failover.messages import Vote, Word, ZoneWord, pack_words, zone_number
+from cottonhold.fleet.zone_failover.messages import (
+    MemberReport,
+    Vote,
+    ZoneReport,
+    encode_reports,
+    zone_number,
+)
 from cottonhold.fleet.zone_failover.operator_overrides import Mode
 
 FAULT, MEND = 4000.0, 10_000.0
@@ -185,17 +191,21 @@
     return fleet
 
 
-def word(member: int, version: int, vote: Vote = Vote.OUT, life: int = 1, **fields: bool) -> Word:
-    zone = ZoneWord(vote, 0, 0, 5, 0.0, fields.get("sure", True), fields.get("accuses", False))
-    return Word(member, life, version, 100, 0, {zone_number("a"): zone})
+def word(
+    member: int, version: int, vote: Vote = Vote.EVACUATE, life: int = 1, **fields: bool
+) -> MemberReport:
+    zone = ZoneReport(vote, 0, 0, 5, 0.0, fields.get("sure", True), fields.get("accuses", False))
+    return MemberReport(member, life, version, 100, 0, {zone_number("a"): zone})
 
 
-def drive(fleet: Fleet, until: float, say: Callable[[float], list[Word]], start: float = 0.0) -> list[Bound]:
+def drive(
+    fleet: Fleet, until: float, say: Callable[[float], list[MemberReport]], start: float = 0.0
+) -> list[Bound]:
     """Let others say words each 100 ms; the bounds that followed."""
     bounds, now = list[Bound](), start
     while now < until:
         for told in say(now):
-            fleet.hear(now, told.member, pack_words([told], 200))
+            fleet.hear(now, told.member, encode_reports([told], 200))
         bounds += [a for a in fleet.step(now) if isinstance(a, Bound)]
         now += 100.0
     return bounds
@@ -226,7 +236,7 @@
         "strange",
     ],
 )
-def test_whose_words_move_an_instance(say: Callable[[float], list[Word]], moved: bool) -> None:
+def test_whose_words_move_an_instance(say: Callable[[float], list[MemberReport]], moved: bool) -> None:
     fleet = lone()
     drive(fleet, 4000.0, say)
     assert (fleet.zones.states["a"].phase is Phase.OUT) is moved
@@ -245,7 +255,7 @@
     """
     fleet = lone()
 
-    def others(now: float) -> list[Word]:
+    def others(now: float) -> list[MemberReport]:
         for n in range(well + bad if now == 1000.0 else 0):
             fleet.sent(now, f"{now}-{n}", f"a{n % 3}", 0)
             fleet.ended(now, f"{now}-{n}", n < well, 1.0)
@@ -260,7 +270,7 @@
     """Found on processes (half-cut): with two served in its window one joined five seconds late."""
     fleet = lone()
 
-    def others(now: float) -> list[Word]:
+    def others(now: float) -> list[MemberReport]:
         for n in range(6 if now == 1500.0 else bad if now == 4000.0 else 0):
             fleet.sent(now, f"{now}-{n}", f"a{n % 3}", 0)
             fleet.ended(now, f"{now}-{n}", now < 4000.0, 1.0)
@@ -273,7 +283,7 @@
 def test_one_that_joined_does_not_take_those_that_have_not_left_yet_for_a_return() -> None:
     """Found on processes (lossy-words): it went back 100 ms after it had joined."""
     fleet = lone()
-    drive(fleet, 1500.0, lambda t: [word(m, int(t), Vote.IN, accuses=t < 500) for m in range(2, 7)])
+    drive(fleet, 1500.0, lambda t: [word(m, int(t), Vote.KEEP, accuses=t < 500) for m in range(2, 7)])
     state = fleet.zones.states["a"]
     assert state.phase is Phase.OUT and not state.fleet_out and state.since < 500.0
 
@@ -296,15 +306,15 @@
 def test_passing_on_costs_the_same_of_five_hundred() -> None:
     fleet = lone(500)
     for member in range(2, 501):
-        fleet.hear(float(member), member, pack_words([word(member, 1, Vote.IN)], 200))
+        fleet.hear(float(member), member, encode_reports([word(member, 1, Vote.KEEP)], 200))
     voters, passed = set(fleet._voters(600.0)), list(fleet._passed(600.0))
     assert len(passed) <= 32 and {w.member for w in passed} >= voters - {1}
     assert next(w.member for w in passed if w.member not in voters) == max(set(range(2, 501)) - voters)
 
 
 def test_replayed_words_of_another_day_move_nobody() -> None:
-    fleet, old = lone(), [pack_words([word(m, 5)], 200) for m in (2, 3, 4, 5)]
-    drive(fleet, 3000.0, lambda t: [word(m, 1000 + int(t), Vote.IN) for m in (2, 3, 4, 5)])
+    fleet, old = lone(), [encode_reports([word(m, 5)], 200) for m in (2, 3, 4, 5)]
+    drive(fleet, 3000.0, lambda t: [word(m, 1000 + int(t), Vote.KEEP) for m in (2, 3, 4, 5)])
     for data in old:
         fleet.hear(3000.0, 2, data)
     drive(fleet, 4000.0, lambda t: [], 3000.0)
@@ -313,7 +323,7 @@
 
 def test_half_of_a_fleet_that_lost_sight_of_the_other_is_no_majority_for_a_minute() -> None:
     fleet = lone()
-    drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.IN) for m in (2, 3, 4, 5, 6)])
+    drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
     fleet.members(1000.0, [2, 3])
     drive(fleet, 5000.0, lambda t: [word(m, int(t), sure=False) for m in (2, 3)], 1000.0)
     assert not fleet.zones.states["a"].fleet_out
@@ -323,7 +333,7 @@
 
 def test_one_that_says_good_bye_counts_no_longer() -> None:
     fleet = lone()
-    drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.IN) for m in (2, 3, 4, 5, 6)])
+    drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
     fleet.members(1000.0, [2, 3], left=[4, 5, 6])
     drive(fleet, 3000.0, lambda t: [word(m, int(t)) for m in (2, 3)], 1000.0)
     assert fleet.zones.states["a"].fleet_out
@@ -384,7 +394,7 @@
     zones.know(["a"])
     state = zones.states["a"]
     state.phase, state.pace = Phase.RETURN, 0.8
-    told = [ZoneWord(Vote.IN, pace=p) for p in (0.1, 0.2, 1.0)]
+    told = [ZoneReport(Vote.KEEP, traffic_share=p) for p in (0.1, 0.2, 1.0)]
     assert zones.pace("a", told) == 0.2 and zones.pace("nowhere") == 1.0
 
 
@@ -397,7 +407,7 @@
     zones.know("ab")
     state = zones.states["a"]
     state.phase, state.pace, state.returned_at = Phase.RETURN, 0.1, 0.0
-    told = {"a": [ZoneWord(Vote.IN, 7, 0, 3)] * 3, "b": [ZoneWord(Vote.IN, *elsewhere)] * 3}
+    told = {"a": [ZoneReport(Vote.KEEP, 7, 0, 3)] * 3, "b": [ZoneReport(Vote.KEEP, *elsewhere)] * 3}
     own = {
         name: Own(Verdict.UNSURE, signs, False, True)
         for name, signs in {"a": (7, 0, 3), "b": elsewhere}.items()
@@ -420,4 +430,4 @@
     fleet = lone()
     for data in (b"", b"\x01", b"\x01\xff", b"\x04\x01", b"\x02", b"\x09" * 200):
         assert fleet.hear(1.0, 2, data) == []
-    assert fleet.counts["malformed"] == 6 and not fleet.words.heard
+    assert fleet.counts["malformed"] == 6 and not fleet.words.received
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -9,6 +9,7 @@
 import pytest
 
 from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.forwarder import End, Ended
 from cottonhold.fleet.request_forwarding.request_codec import (
     Handed,
@@ -19,7 +20,6 @@
     read_rows,
 )
 from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
 from cottonhold.node.gateway import Gateway, Past, Taken
 from cottonhold.node.gateway import Settled as Tell
@@ -276,8 +276,8 @@
     rows = [[b"a", b"", b"c" * 300], [], [b"\t\n"]]
     assert read_rows(pack_rows(rows)) == rows and len(pin_key("k")) == 8
     for cut in (0, 5, 25, 30):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read_request(pack_request(asked)[:cut])
     for bad in (b"", pack_rows(rows)[:-1], pack_rows(rows) + b"x"):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read_rows(bad)
