--- a/benchmarks/fleet/outlook.py
+++ b/benchmarks/fleet/outlook.py
@@ -19,7 +19,7 @@
 
 from cottonhold.emulator.outages import Setup, World
 from cottonhold.emulator.outages_in_service import ServiceWorld
-from cottonhold.fleet.failover_cost.estimator import OutlookSettings
+from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.projection import CostSettings
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "outlook-core.md"
@@ -53,7 +53,7 @@
 }
 
 
-SETTINGS = OutlookSettings(every=3000.0, cost=CostSettings(keeps=10))
+SETTINGS = CostEstimatorSettings(snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=10))
 
 
 def play(
@@ -61,7 +61,7 @@
 ) -> dict[str, float]:
     """One day: what was projected in the second before the fault, and what came."""
     rates, speed, left = DAYS[day]
-    settings = replace(SETTINGS, cost=CostSettings(keeps=keeps))
+    settings = replace(SETTINGS, cost=CostSettings(cached_data_sets=keeps))
     setup = Setup(
         dict(zip(ZONES, rates, strict=True)),
         TRIPS,
@@ -76,10 +76,15 @@
     found = {}
     outlook = world.instances[seed % 5].outlook
     if decides == "outlook":
-        kept = outlook.share_kept(FAULT - 500, "b", speed) if speed else None
-        told = outlook.if_left(left if kept is None else {"b": kept})
+        kept = outlook.retained_share(FAULT - 500, "b", speed) if speed else None
+        told = outlook.projection_with(left if kept is None else {"b": kept})
         assert told is not None
-        found = {"worth": told.share(), "added": told.added, "extra": told.extra, "warm": told.warm_ms}
+        found = {
+            "worth": told.served_share(),
+            "added": told.added_round_trip_ms,
+            "extra": told.extra_cold_cores,
+            "warm": told.warm_ms,
+        }
     world.play(FAULT)
     for zone, part in left.items():
         if speed:
@@ -108,7 +113,7 @@
 def play_service(day: str, seed: int, who: str) -> dict[str, float]:
     """One day with the core deciding: what was told of it half a second before, and what came."""
     rates, speed, left = DAYS[day]
-    settings = replace(SETTINGS, every=1000.0, **WHO[who])
+    settings = replace(SETTINGS, snapshot_interval_ms=1000.0, **WHO[who])
     decides = "today" if who == "today" else "outlook"
     setup = Setup(dict(zip(ZONES, rates, strict=True)), TRIPS, decides=decides, keeps=10, settings=settings)
     world = ServiceWorld(seed, setup)
@@ -124,7 +129,11 @@
     world.play(END)
     found = {"served in calm": world.log.share(3000, FAULT - 500)}
     if told is not None:
-        found |= {"worth": told.share(), "added": told.added, "extra": told.extra}
+        found |= {
+            "worth": told.served_share(),
+            "added": told.added_round_trip_ms,
+            "extra": told.extra_cold_cores,
+        }
     return found | counted(world)
 
 
--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -14,8 +14,8 @@
 import numpy as np
 
 from cottonhold.emulator.overload import Alone, Credits, OnePrice, Overload, Policy, QueueDelay
-from cottonhold.fleet.admission.loads import LoadSettings
-from cottonhold.fleet.admission.threshold import PriceSettings
+from cottonhold.fleet.admission.loads import DemandSettings
+from cottonhold.fleet.admission.threshold import ThresholdSettings
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "overload-core.md"
 POLICIES: dict[str, Callable[[int], Policy]] = {
@@ -26,7 +26,7 @@
     "one price, no gain": lambda i: OnePrice(),
     "one price": lambda i: OnePrice(),
 }
-NO_GAIN = LoadSettings(price=PriceSettings(pull=0.0, learn=0.0))
+NO_GAIN = DemandSettings(threshold=ThresholdSettings(wait_correction=0.0, gain_rate=0.0))
 SKEW = (1, 1, 1, 2, 3, 4)
 LOADS = (1.0, 1.2, 1.5, 2.0, 3.0, 5.0)
 BEGIN, END = 6000.0, 18_000.0
--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -20,7 +20,7 @@
 
 from cottonhold.emulator.recovery import MEAN, Plan, Return
 from cottonhold.fleet.coordinator import FleetSettings
-from cottonhold.fleet.recovery.slow_start import RampSettings
+from cottonhold.fleet.recovery.slow_start import SlowStartSettings
 
 USUAL = 0.6  # of what warm engines do
 SIZES = {5: 9, 50: 75, 500: 150}  # instances: engines
@@ -81,7 +81,9 @@
         instances=lambda i: max(-case.begins, 0.0) + gap * i + (case.later if i > half else 0.0),
         again=case.again,
     )
-    settings = FleetSettings(dispatchers=count, price=True, recovery=RampSettings() if on else None)
+    settings = FleetSettings(
+        dispatchers=count, sheds_load=True, slow_start=SlowStartSettings() if on else None
+    )
     rate = case.times * USUAL * SIZES[count] * 1000 / MEAN
     weights = [(1.0, 1.0, 1.0, 2.0, 3.0)[i % 5] for i in range(count)] if case.skew else ()
     return Return(seed, rate, count, SIZES[count], plan, settings, weights=weights, **case.fields)
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -43,9 +43,9 @@
     seed, times = job
     w = world(seed, 6, 6 * PER_INSTANCE * times, 0.3)
     w.run(END)
-    outs = [turn for node in w.nodes.values() for _, turn in node.turns if turn.phase is Phase.OUT]
+    outs = [turn for node in w.nodes.values() for _, turn in node.turns if turn.phase is Phase.EVACUATED]
     followed = {"the fleet leaves", "others are sure"}
-    return len(outs), int(any(turn.why in followed for turn in outs))
+    return len(outs), int(any(turn.reason in followed for turn in outs))
 
 
 def faulty(job: tuple[int, int, str, float]) -> dict[str, float]:
@@ -66,7 +66,7 @@
                 engine.busy_until, engine.cold_until = MEND, MEND + 3000.0
     w.run(END)
     left = [
-        min((t for t, turn in n.turns if turn.zone == "a" and turn.phase is Phase.OUT), default=np.inf)
+        min((t for t, turn in n.turns if turn.zone == "a" and turn.phase is Phase.EVACUATED), default=np.inf)
         - FAULT
         for n in w.nodes.values()
     ]
@@ -80,7 +80,9 @@
         "first second back": after[0],
         "most": max(after) / fair,
         "full": full[0] if full else np.inf,
-        "wrong": sum(t.zone != "a" and t.phase is Phase.OUT for n in w.nodes.values() for _, t in n.turns),
+        "wrong": sum(
+            t.zone != "a" and t.phase is Phase.EVACUATED for n in w.nodes.values() for _, t in n.turns
+        ),
         "calm bytes": calm_bytes / instances / (FAULT / 1000),
         "bytes": bytes_ / instances / ((MEND - FAULT) / 1000),
         "calm cpu": 1000 * calm_cpu / instances / (FAULT / 1000),
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -21,7 +21,7 @@
     MemberReport,
     Vote,
     ZoneReport,
-    encode_reports,
+    encode_zone_reports,
     zone_number,
 )
 from cottonhold.membership.codec import Codec, Keys, Kind, Message, member_id
@@ -168,7 +168,7 @@
         said = ZoneReport(Vote.EVACUATE, 0, 0, 200, 0.0, is_certain=True, suspects_failure=True)
         for version in range(1_000_000, 2_000_000):
             word = MemberReport(me, int(time.time()), version, 100, 0, {zone_number(zone): said})
-            data = codec.encode(Message(Kind.FLEET, me, 0), encode_reports([word], 200))
+            data = codec.encode(Message(Kind.FLEET, me, 0), encode_zone_reports([word], 200))
             for j in range(self.trial.day.instances):
                 if j != number:
                     self.trial.switch.pass_on(self.trial.switch.ports[number], j, data)
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -16,8 +16,8 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.network import Network
-from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings, Say
-from cottonhold.fleet.zone_failover.evacuation import Turn
+from cottonhold.fleet.coordinator import EngineBounds, FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.zone_failover.evacuation import PhaseChange
 
 PATIENCE = 2000.0
 PROBED = 500.0  # so often each engine is asked
@@ -64,15 +64,15 @@
 
     number: int
     cold: bool = False
-    bound: Bound = field(default_factory=lambda: Bound({}, 0.0))
+    bound: EngineBounds = field(default_factory=lambda: EngineBounds({}, 0.0))
     saved: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def allows(self, now: float, engine: str, place: int, work: float) -> bool:
         """Whether a query of so much work may go to an engine now."""
-        bound = self.bound.work.get(engine)
+        bound = self.bound.work_rates.get(engine)
         if bound is None:
             return True
-        if not bound or now >= self.bound.until:
+        if not bound or now >= self.bound.expires_at:
             return False
         saved, at = self.saved.get(engine, (0.0, now))
         saved = min(max(bound * 250.0, work), saved + bound * (now - at))
@@ -81,16 +81,16 @@
         turn = (place * 0.7548 + (self.number + (0 if self.cold else now // 2000)) * GOLDEN) % 1
         return saved >= max(work * turn, 1e-3)
 
-    def change(self, now: float, bound: Bound) -> None:
+    def change(self, now: float, bound: EngineBounds) -> None:
         """Other bounds; at cold engines what was saved before was saved under those before."""
         before, self.bound = self.bound, bound
-        for engine, work in before.work.items() if self.cold else ():
+        for engine, work in before.work_rates.items() if self.cold else ():
             saved, at = self.saved.get(engine, (0.0, now))
-            self.saved[engine] = saved + work * max(0.0, min(now, before.until) - at), now
+            self.saved[engine] = saved + work * max(0.0, min(now, before.expires_at) - at), now
 
     def spend(self, engine: str, work: float) -> None:
         """A query has gone there."""
-        if engine in self.bound.work:
+        if engine in self.bound.work_rates:
             saved, at = self.saved[engine]
             self.saved[engine] = saved - work, at
 
@@ -101,15 +101,15 @@
     def __init__(self, world: World, number: int, rate: float, now: float, life: int) -> None:
         self.world, self.number, self.rate = world, number, rate
         self.draw = random.Random(world.seed * 1000 + number * 10 + life)
-        self.fleet = Fleet(number + 1, life, now, world.settings, self.draw.getrandbits(30))
-        self.fleet.know(world.zones)
+        self.fleet = FleetCoordinator(number + 1, life, now, world.settings, self.draw.getrandbits(30))
+        self.fleet.set_engines(world.zones)
         self.told_members = False
         self.allowance = Allowance(number)
         self.next_arrival = now + self.draw.expovariate(rate / 1000)
         self.ends: list[tuple[float, int, str, bool | None]] = []
         self.serial = itertools.count()
         self.cut: set[str] = set()  # zones that this instance can't reach
-        self.turns: list[tuple[float, Turn]] = []
+        self.turns: list[tuple[float, PhaseChange]] = []
         self.cpu = 0.0
 
     def next_at(self) -> float:
@@ -120,10 +120,10 @@
         """Take in what came, serve clients, and let the core decide."""
         begun, said = time.perf_counter(), list[tuple[bytes, Address]]()
         for data, sender in received:
-            said += self._carry_out(now, self.fleet.hear(now, sender.port, data))
+            said += self._carry_out(now, self.fleet.on_message(now, sender.port, data))
         while self.ends and self.ends[0][0] <= now:
             at, _, ref, good = heapq.heappop(self.ends)
-            self.fleet.ended(now, ref, good, at - float(ref.split("@")[1]))
+            self.fleet.on_attempt_ended(now, ref, good, at - float(ref.split("@")[1]))
         self.cpu += time.perf_counter() - begun
         while self.next_arrival <= now:
             self.next_arrival += self.draw.expovariate(self.rate / 1000)
@@ -134,7 +134,7 @@
         return said
 
     def _serve(self, now: float) -> None:
-        self.fleet.arrived(now, 0)
+        self.fleet.on_request(now, 0)
         free = self._two(now)
         if not free:
             self.world.refused += 1
@@ -142,7 +142,7 @@
         engine = min(free, key=lambda e: self._line(now, e))
         self.allowance.spend(engine.id, engine.work)
         ref = f"{next(self.serial)}@{now}"
-        self.fleet.sent(now, ref, engine.id, 0)
+        self.fleet.on_attempt_sent(now, ref, engine.id, 0)
         cut = engine.zone in self.cut
         good, after = (False, 1.0) if cut else engine.take(now, self.draw)
         self.world.note(now, engine.zone, bool(good), cut)
@@ -170,11 +170,11 @@
         said = []
         for action in actions:
             match action:
-                case Say(member, data):
+                case SendMessage(member, data):
                     said.append((data, Address("fleet", member)))
-                case Bound():
+                case EngineBounds():
                     self.allowance.change(now, action)
-                case Turn():
+                case PhaseChange():
                     self.turns.append((now, action))
         return said
 
@@ -216,7 +216,7 @@
         for engine in self.engines.values():
             good = not engine.dead and now >= engine.silent_until
             for node in self.nodes.values() if good else ():
-                node.fleet.probed(now, engine.id, True)
+                node.fleet.on_health_check(now, engine.id, True)
         self.network.at(now + PROBED, self._probe)
 
     def start(self, i: int, life: int) -> None:
@@ -235,7 +235,7 @@
     def tell_members(self) -> None:
         """What membership would tell."""
         for node in self.nodes.values():
-            node.fleet.members(self.network.now, self.live)
+            node.fleet.set_members(self.network.now, self.live)
 
     def note(self, now: float, zone: str, good: bool, cut: bool) -> None:
         """An attempt has gone out."""
@@ -252,4 +252,4 @@
 
     def phases(self, zone: str) -> dict[int, str]:
         """Each instance's phase of a zone; "fleet" where it is out by the count alone."""
-        return {i: n.fleet.zones.states[zone].phase.value for i, n in self.nodes.items()}
+        return {i: n.fleet.evacuation.states[zone].phase.value for i, n in self.nodes.items()}
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -17,12 +17,12 @@
 
 from cottonhold.emulator.network import Network
 from cottonhold.emulator.outage_log import Log, Row
-from cottonhold.fleet.admission.demand import step_of
-from cottonhold.fleet.admission.loads import Loads
-from cottonhold.fleet.coordinator import FLOOR_LEAST
-from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
-from cottonhold.fleet.failover_cost.messages import BITS, pack_sites, read_sites
-from cottonhold.fleet.zone_failover.evacuation import ZoneSettings
+from cottonhold.fleet.admission.demand import density_step
+from cottonhold.fleet.admission.loads import DemandSharing
+from cottonhold.fleet.coordinator import MIN_RETAINED_SHARE
+from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.messages import FILTER_BITS, decode_site_reports, encode_site_reports
+from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings
 
 STEP, HEARD, ENDING, BROKEN = 100.0, 250.0, 60.0, 300.0
 PATIENT = 100.0  # held longer than this, a request may go to any engine that idles
@@ -49,7 +49,7 @@
     worths: tuple[tuple[float, float], ...] = ((1.0, 0.6), (6.0, 0.4))  # and their part of all
     decides: str = "outlook"
     loss: float = 0.0
-    settings: OutlookSettings = field(default_factory=OutlookSettings)
+    settings: CostEstimatorSettings = field(default_factory=CostEstimatorSettings)
 
 
 @dataclass(slots=True, eq=False)
@@ -92,18 +92,18 @@
         self.world, self.number, self.home = world, number, home
         self.held: list[tuple[float, int, Request]] = []
         self.others: list[int] = []  # what others have at each engine, as of the last word
-        self.loads = Loads(number + 1, 1, 0.0, number)
-        self.outlook = Outlook(number + 1, 1, 0.0, home, number, world.setup.settings)
-        self.outlook.know(world.listed)
+        self.loads = DemandSharing(number + 1, 1, 0.0, number)
+        self.outlook = CostEstimator(number + 1, 1, 0.0, home, number, world.setup.settings)
+        self.outlook.set_engines(world.listed)
         self.credit: dict[str, float] = {}
 
     def arrive(self, now: float, request: Request) -> None:
         """A request comes: counted, then let in or turned away."""
         w = self.world
-        self.loads.offered(now, request.worth, w.setup.work, False)
-        self.outlook.offered(now, request.worth, w.setup.work, request.data_set)
-        price = self.loads.price
-        if price is not None and not price.admits(step_of(request.worth, w.setup.work), request.draw):
+        self.loads.on_request(now, request.worth, w.setup.work, False)
+        self.outlook.on_request(now, request.worth, w.setup.work, request.data_set)
+        price = self.loads.threshold
+        if price is not None and not price.admits(density_step(request.worth, w.setup.work), request.draw):
             w.log.append(Row(now, "refused", self.home, request.worth))
             return
         self.hold(now, request)
@@ -121,14 +121,14 @@
             request = self.held[0][2]
             if request.came + w.setup.patience - ENDING <= now:
                 heapq.heappop(self.held)
-                self.loads.ended(1.0, True)
+                self.loads.on_admitted(1.0, True)
                 w.log.append(Row(now, "late", self.home, request.worth))
                 continue
             place = self._place(now, request)
             if place is None:
                 return
             heapq.heappop(self.held)
-            self.loads.ended((now - request.came) / w.setup.patience, False)
+            self.loads.on_admitted((now - request.came) / w.setup.patience, False)
             w.run(now, self, place, request)
 
     def useful(self, now: float, cores: float) -> float:
@@ -136,7 +136,7 @@
         if not self.world.left:
             return cores
         whole = [zone for zone in self.world.out if self.world.left[zone] <= 0]
-        found = self.outlook.useful(*whole)
+        found = self.outlook.useful_cores(*whole)
         return cores if found is None else min(cores, found)
 
     def _place(self, now: float, request: Request) -> int | None:
@@ -246,13 +246,13 @@
     def leave(self, now: float, zone: str, gives: float) -> float:
         """An ill zone is left in part: how much of its load is kept, by who decides."""
         if self.setup.decides == "outlook":
-            kept = self.instances[0].outlook.share_kept(now, zone, gives) or 0.0
+            kept = self.instances[0].outlook.retained_share(now, zone, gives) or 0.0
         else:
-            s, cores = ZoneSettings(), float(self.setup.engines)
+            s, cores = EvacuationSettings(), float(self.setup.engines)
             offered = sum(self.setup.rates.values()) * self.setup.work / 1000
-            lacking = (offered - s.reserve * cores * (len(self.names) - 1)) / cores
+            lacking = (offered - s.usable_capacity_share * cores * (len(self.names) - 1)) / cores
             kept = min(max(lacking, 0.0), gives)
-            kept = kept if kept >= FLOOR_LEAST else 0.0
+            kept = kept if kept >= MIN_RETAINED_SHARE else 0.0
         self.see({zone: kept})
         return kept
 
@@ -281,10 +281,10 @@
     def shares(self, now: float, here: Instance) -> tuple[tuple[str, float], ...]:
         """Which zones serve an instance's clients now, by its outlook."""
         plan = here.outlook.plan
-        if plan is not None and dict(plan.left) == {z: x for z, x in self.left.items() if x < 1.0}:
-            return here.outlook.serving(here.home)
+        if plan is not None and dict(plan.remaining) == {z: x for z, x in self.left.items() if x < 1.0}:
+            return here.outlook.serving_zones(here.home)
         whole = [z for z in self.out if self.left[z] <= 0]
-        return here.outlook.serving(here.home, *whole)
+        return here.outlook.serving_zones(here.home, *whole)
 
     # --- requests ---
 
@@ -334,7 +334,7 @@
             self._broken(now, here, server, request)
             return
         server.out[here.number] -= 1
-        here.outlook.answered(now, server.zone, request.data_set, row.trip)
+        here.outlook.on_answer(now, server.zone, request.data_set, row.trip)
         late = now > request.came + self.setup.patience
         what = "late" if late else "served"
         self.log.append(replace(row, at=now, what=what, came=request.came))
@@ -351,8 +351,8 @@
         for member, data in here.loads.step(now, live, capacity):
             self.at(now + 2, partial(self._told, self.instances[member - 1].loads, data))
         for zone in self.names:  # distances are measured by probes too
-            if zone not in here.outlook.trips:
-                here.outlook.trips[zone] = self.setup.trips[here.home, zone]
+            if zone not in here.outlook.round_trips_ms:
+                here.outlook.round_trips_ms[zone] = self.setup.trips[here.home, zone]
         if self.setup.decides == "outlook":
             for member, data in here.outlook.step(now, live, self.left):
                 data = self._claim(here, data)
@@ -365,13 +365,16 @@
         times = self.lie.get(here.number, 1.0)
         if times == 1.0:
             return data
-        [site] = read_sites(data)
+        [site] = decode_site_reports(data)
         rates = {step: work * times for step, work in site.rates.items()}
-        zones = {n: replace(seen, warm=2**BITS - 1, trip=0.1) for n, seen in site.zones.items()}
-        return pack_sites([replace(site, rates=rates, zones=zones)])
+        zones = {
+            n: replace(seen, warm_filter=2**FILTER_BITS - 1, round_trip_ms=0.1)
+            for n, seen in site.zones.items()
+        }
+        return encode_site_reports([replace(site, rates=rates, zones=zones)])
 
-    def _told(self, who: Loads | Outlook, data: bytes, now: float) -> None:
-        who.hear(now, data)
+    def _told(self, who: DemandSharing | CostEstimator, data: bytes, now: float) -> None:
+        who.on_message(now, data)
 
     def _hear(self, here: Instance, now: float) -> None:
         here.others = [sum(n for i, n in s.out.items() if i != here.number) for s in self.servers]
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -16,7 +16,7 @@
 from cottonhold.emulator.fleet import Allowance
 from cottonhold.emulator.outage_log import Row
 from cottonhold.emulator.outages import STEP, Instance, Request, Server, Setup, World
-from cottonhold.fleet.coordinator import Action, Bound, Fleet, FleetSettings, Say
+from cottonhold.fleet.coordinator import Action, EngineBounds, FleetCoordinator, FleetSettings, SendMessage
 
 DRAWN = 8  # engines that the module compares
 DOUBT = 2000.0  # so long it passes over an engine that failed
@@ -32,27 +32,27 @@
         super().__init__(world, number, home)
         settings = FleetSettings(
             dispatchers=len(world.names) * world.setup.instances,
-            price=True,
-            outlook=world.setup.settings if world.setup.decides == "outlook" else None,
-            home=home,
+            sheds_load=True,
+            failover_cost=world.setup.settings if world.setup.decides == "outlook" else None,
+            home_zone=home,
         )
-        self.fleet = Fleet(number + 1, 1, 0.0, settings, number)
-        self.fleet.know(world.listed, 0.0)
-        assert self.fleet.loads is not None
-        self.loads = self.fleet.loads
-        self.outlook = self.fleet.outlook or self.outlook
+        self.fleet = FleetCoordinator(number + 1, 1, 0.0, settings, number)
+        self.fleet.set_engines(world.listed, 0.0)
+        assert self.fleet.demand is not None
+        self.loads = self.fleet.demand
+        self.outlook = self.fleet.failover_cost or self.outlook
         self.allowance, self.doubted = Allowance(number), dict[int, float]()
         self.refs = dict[int, tuple[str, float]]()  # what is out
         self.serial = itertools.count()
 
     def arrive(self, now: float, request: Request) -> None:
         """A request comes."""
-        self.fleet.arrived(now, 0)
+        self.fleet.on_request(now, 0)
         super().arrive(now, request)
 
     def _place(self, now: float, request: Request) -> int | None:
         w, drawn = self.world, list[tuple[float, int]]()
-        bounds = self.allowance.bound.work
+        bounds = self.allowance.bound.work_rates
         for at, server in enumerate(w.servers):
             used = server.out.get(self.number, 0) + (self.others[at] if self.others else 0)
             if self.doubted.get(at, 0.0) > now or used >= w.room(server.zone):
@@ -73,26 +73,26 @@
         self.allowance.spend(engine, self.world.setup.work)
         ref = str(next(self.serial))
         self.refs[id(request)] = ref, now
-        self.fleet.sent(now, ref, engine, 0)
+        self.fleet.on_attempt_sent(now, ref, engine, 0)
 
     def ended(self, now: float, request: Request, good: bool, work: float = 0.0) -> None:
         """An attempt has ended."""
         ref, at = self.refs.pop(id(request))
-        self.fleet.ended(now, ref, good, now - at, work)
+        self.fleet.on_attempt_ended(now, ref, good, now - at, work)
 
     def carry_out(self, now: float, actions: Iterable[Action]) -> None:
         """Tell others, and keep the bounds."""
         for action in actions:
-            if isinstance(action, Say):
+            if isinstance(action, SendMessage):
                 there = self.world.instances[action.member - 1]
                 assert isinstance(there, Served)
-                self.world.at(now + 2, partial(there.told, self.fleet.me, action.data))
-            elif isinstance(action, Bound):
+                self.world.at(now + 2, partial(there.told, self.fleet.self_id, action.data))
+            elif isinstance(action, EngineBounds):
                 self.allowance.change(now, action)
 
     def told(self, sender: int, data: bytes, now: float) -> None:
         """Bytes from another."""
-        self.carry_out(now, self.fleet.hear(now, sender, data))
+        self.carry_out(now, self.fleet.on_message(now, sender, data))
 
 
 class ServiceWorld(World):
@@ -111,8 +111,8 @@
         for here in self.instances:
             assert isinstance(here, Served)
             for at, server in enumerate(self.servers):
-                here.fleet.probed(now, self.ids[at], server.up)
-                here.outlook.answered_probe(server.zone, self.setup.trips[here.home, server.zone])
+                here.fleet.on_health_check(now, self.ids[at], server.up)
+                here.outlook.on_health_check_answer(server.zone, self.setup.trips[here.home, server.zone])
         self.at(now + PROBED, self._probe)
 
     def run(self, now: float, here: Instance, place: int, request: Request) -> None:
@@ -137,7 +137,7 @@
         assert isinstance(here, Served)
         here.send(now)
         if now < STEP * 2:
-            here.fleet.members(now, range(1, len(self.instances) + 1))
+            here.fleet.set_members(now, range(1, len(self.instances) + 1))
         here.carry_out(now, here.fleet.step(now))
         self.at(now + STEP / 2, partial(self._step, here))
 
@@ -146,6 +146,6 @@
         found = 0.0
         for here in self.instances:
             if isinstance(here, Served) and here.home == home:
-                work = here.allowance.bound.work
+                work = here.allowance.bound.work_rates
                 found += math.fsum(work.get(engine, math.inf) for engine in self.listed[zone])
         return found
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -15,8 +15,13 @@
 
 from cottonhold.emulator.network import Network
 from cottonhold.fleet.admission import demand
-from cottonhold.fleet.admission.loads import Loads, LoadSettings, pack_loads, read_loads
-from cottonhold.fleet.admission.threshold import Price, curve_price
+from cottonhold.fleet.admission.loads import (
+    DemandSettings,
+    DemandSharing,
+    decode_demand_reports,
+    encode_demand_reports,
+)
+from cottonhold.fleet.admission.threshold import AdmissionThreshold, threshold_for
 
 ROOM = 2  # requests at an engine, from all instances together, as far as they know
 HEARD = 250.0  # so often an instance hears what the others have out
@@ -65,15 +70,15 @@
         self.world, self.number, self.policy = world, number, policy
         self.held: list[tuple[float, int, Request]] = []
         self.others: dict[int, int] = {}  # engine -> what others have out, as of the last word
-        self.loads = Loads(number + 1, 1, 0.0, number, world.settings)
+        self.loads = DemandSharing(number + 1, 1, 0.0, number, world.settings)
 
     def arrive(self, now: float, request: Request) -> None:
         """A request comes: counted, then let in or turned away."""
         kind = self.world.kinds[request.kind]
         request.came = now
-        step = demand.step_of(kind.worth, kind.work)
+        step = demand.density_step(kind.worth, kind.work)
         again = request.tries > 0 and self.world.marked
-        self.loads.offered(now, kind.worth, kind.work, again)
+        self.loads.on_request(now, kind.worth, kind.work, again)
         self.world.log.append((now, self.number, request.kind, "try"))
         if not self.policy.admits(self, request, step):
             self.world.turn_away(now, request)
@@ -112,7 +117,7 @@
     def ended(self, wait: float, lost: bool) -> None:
         """One that was let in was sent, or its time ran out."""
         self.policy.ended(wait, lost)
-        self.loads.ended(wait, lost)
+        self.loads.on_admitted(wait, lost)
 
     def _roomy(self) -> int | None:
         mine = [e.out.get(self.number, 0) for e in self.world.engines]
@@ -124,7 +129,7 @@
 class Policy:
     """Nothing is turned away but by time: today. With a price of its own, what is under it."""
 
-    price: Price | None = None
+    price: AdmissionThreshold | None = None
 
     def admits(self, here: Instance, request: Request, step: int) -> bool:
         """Whether a request is let in."""
@@ -150,7 +155,7 @@
         self.share = self.share * 0.9 if self.lost else min(self.share + 0.01, 1.0)
         self.lost = False
         rates = here.loads.demand.rates(now)
-        self.price = curve_price(rates, self.share * sum(rates.values())) if self.share < 1.0 else None
+        self.price = threshold_for(rates, self.share * sum(rates.values())) if self.share < 1.0 else None
 
 
 class QueueDelay(Policy):
@@ -182,17 +187,17 @@
     def step(self, now: float, here: Instance) -> None:
         own = here.loads.demand.rates(now)
         everybody = range(1, len(here.world.instances) + 1)
-        others = sum(sum(told.rates.values()) for told in here.loads.others(now, everybody))
+        others = sum(sum(told.rates.values()) for told in here.loads.reported_loads(now, everybody))
         total = sum(own.values()) + others
         part = here.world.capacity() * sum(own.values()) / max(total, 1e-9)
-        self.price = curve_price(own, part) if total > here.world.capacity() else None
+        self.price = threshold_for(own, part) if total > here.world.capacity() else None
 
 
 class OnePrice(Policy):
     """The price of all."""
 
     def admits(self, here: Instance, request: Request, step: int) -> bool:
-        return here.loads.price is None or here.loads.price.admits(step, request.draw)
+        return here.loads.threshold is None or here.loads.threshold.admits(step, request.draw)
 
 
 class Overload:
@@ -211,7 +216,7 @@
         loss: float = 0.0,
         speed: float = 1.0,
         marked: bool = True,
-        settings: LoadSettings | None = None,
+        settings: DemandSettings | None = None,
     ) -> None:
         self.draw, self.serial = random.Random(seed), itertools.count()
         self.rate, self.weights, self.tries, self.kinds = rate, list(weights), tries, list(kinds)
@@ -293,7 +298,7 @@
             self.bytes += len(data)
             if not self.cut(here.number, member - 1) and self.draw.random() >= self.loss:
                 data, to = self._claim(here, data), self.instances[member - 1].loads
-                self.at(now + self.delay, lambda t, to=to, data=data: to.hear(t, data))  # type: ignore[misc]
+                self.at(now + self.delay, lambda t, to=to, data=data: to.on_message(t, data))  # type: ignore[misc]
         self.at(now + STEP, lambda t: self._step(t, here))
 
     def _claim(self, here: Instance, data: bytes) -> bytes:
@@ -301,9 +306,9 @@
         times = self.lie.get(here.number, 1.0)
         if times == 1.0:
             return data
-        own, *others = read_loads(data)
-        rates = {step: work * times for step, work in own.told.rates.items()}
-        return pack_loads([replace(own, told=replace(own.told, rates=rates)), *others])
+        own, *others = decode_demand_reports(data)
+        rates = {step: work * times for step, work in own.load.rates.items()}
+        return encode_demand_reports([replace(own, load=replace(own.load, rates=rates)), *others])
 
     def _hear(self, now: float, here: Instance) -> None:
         """What the others have out, all at once: the module's words on loads."""
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -14,8 +14,14 @@
 
 from cottonhold.emulator.fleet import Allowance
 from cottonhold.emulator.overload import HEARD, ROOM, STEP, Instance, Kind, OnePrice, Overload, Request
-from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings, Priced, Say
-from cottonhold.fleet.recovery.slow_start import Lost, first_prober
+from cottonhold.fleet.coordinator import (
+    EngineBounds,
+    FleetCoordinator,
+    FleetSettings,
+    SendMessage,
+    ThresholdUpdate,
+)
+from cottonhold.fleet.recovery.slow_start import OutageScope, first_prober
 
 KINDS = (Kind(1.0, share=0.48), Kind(6.0, share=0.32), Kind(6.0, 60.0, 4000.0, 0.2))
 MEAN = sum(k.work * k.share for k in KINDS)
@@ -53,22 +59,29 @@
     def __init__(self, world: Return, number: int, now: float) -> None:
         super().__init__(world, number, OnePrice())
         self.back, self.began = world, now
-        self.fleet = Fleet(number + 1, int(now) + 1, now, world.fleet_settings, world.draw.getrandbits(30))
-        self.fleet.know(world.zones, now)
-        assert self.fleet.loads is not None
-        self.loads = self.fleet.loads
+        self.fleet = FleetCoordinator(
+            number + 1, int(now) + 1, now, world.fleet_settings, world.draw.getrandbits(30)
+        )
+        self.fleet.set_engines(world.zones, now)
+        assert self.fleet.demand is not None
+        self.loads = self.fleet.demand
         self.allowance = Allowance(number, cold=True)
         self.down: dict[int, float] = {}
-        self.lost: Lost | None = None  # what its census has found
+        self.lost: OutageScope | None = None  # what its census has found
 
     def _roomy(self) -> int | None:
         world, now = self.back, self.back.network.now
-        if self.fleet.ramp is None and now < self.began + LISTED:
+        if self.fleet.slow_start is None and now < self.began + LISTED:
             return None  # nothing is known of engines yet
         # As the module does, by its own share of the room: else those that hold all places of a full engine
         # keep them, since they are the first to see one free.
         fair = ROOM * len(world.engines) / len(world.there)
-        number, draw, names, work = self.number, world.draw.random, world.names, self.allowance.bound.work
+        number, draw, names, work = (
+            self.number,
+            world.draw.random,
+            world.names,
+            self.allowance.bound.work_rates,
+        )
         usual = self.back.kinds[self.held[0][2].kind].work  # as the module asks for what this query takes
         mine = 0
         for engine in world.engines:
@@ -93,12 +106,12 @@
         """What the core says."""
         for action in actions:
             match action:
-                case Say(member, data):
+                case SendMessage(member, data):
                     self.back.say(now, self.number, member - 1, data)
-                case Bound():
+                case EngineBounds():
                     self.allowance.change(now, action)
-                case Priced():
-                    self.cooldown = action.cooldown
+                case ThresholdUpdate():
+                    self.cooldown = action.retry_after_ms
 
     cooldown = 0.0
 
@@ -175,18 +188,18 @@
             return
         fleet, age = here.fleet, now - here.began
         others = {o.number + 1 for o in self.there if o is not None and now - o.began >= SETTLE}
-        fleet.members(now, others - {here.number + 1} if age >= SETTLE else ())
-        if fleet.ramp is not None:
-            if age >= LISTED and not fleet.ramp.listed:
-                fleet.ramp.list_heard(now)
+        fleet.set_members(now, others - {here.number + 1} if age >= SETTLE else ())
+        if fleet.slow_start is not None:
+            if age >= LISTED and not fleet.slow_start.is_listed:
+                fleet.slow_start.on_list_received(now)
             self._judge(now, here, 1 + len(fleet.live))
             self._probe(now, here)
         here.expire(now)
         here.carry_out(now, fleet.step(now))
-        if fleet.ramp is None:
+        if fleet.slow_start is None:
             # The module's own cold budget: its part of it for as long as the engine is young.
             work = {n: OWN / len(self.there) for at, n in enumerate(self.names) if self.speed(now, at) < 1.0}
-            here.allowance.bound = Bound(work, now + 500.0)
+            here.allowance.bound = EngineBounds(work, now + 500.0)
         here.send(now)
         self.at(max(fleet.next_at(), now) + 1e-3, lambda t: self._step(t, here))
 
@@ -194,12 +207,12 @@
         """What an instance's census finds: it alone, then the loss of all once more than half are heard,
         since the first of them came back."""
         if here.lost is None and now - here.began >= ALONE:
-            here.lost = Lost.ALONE
-            here.fleet.lost(now, Lost.ALONE)
-        if here.lost is Lost.ALONE and 2 * heard > len(self.there):
-            here.lost = Lost.FLEET
+            here.lost = OutageScope.ALONE
+            here.fleet.on_loss(now, OutageScope.ALONE)
+        if here.lost is OutageScope.ALONE and 2 * heard > len(self.there):
+            here.lost = OutageScope.FLEET
             first = min(o.began for o in self.there if o is not None)
-            here.fleet.lost(now, Lost.FLEET, since=first)
+            here.fleet.on_loss(now, OutageScope.FLEET, since=first)
 
     def _probe(self, now: float, here: Reborn) -> None:
         """Its turn at each engine; a good answer is told to all members that are known."""
@@ -207,13 +220,13 @@
         for place in self.probed[turn].get(here.number, ()):
             name = self.names[place]
             good = self.engine_at[place] <= now
-            here.fleet.probed(now, name, good)
+            here.fleet.on_health_check(now, name, good)
             if good:
                 here.down.pop(place, None)
             for member in here.fleet.live if good else ():
                 other = self.there[member - 1]
                 if other is not None and self.draw.random() >= self.loss:
-                    other.fleet.probed(now, name, True)
+                    other.fleet.on_health_check(now, name, True)
                     other.down.pop(place, None)
 
     def _hear(self, now: float, here: Instance) -> None:
@@ -229,7 +242,7 @@
         def come(then: float) -> None:
             there = self.there[target]
             if there is not None:
-                there.carry_out(then, there.fleet.hear(then, sender + 1, data))
+                there.carry_out(then, there.fleet.on_message(then, sender + 1, data))
 
         self.at(now + self.delay, come)
 
@@ -243,7 +256,7 @@
             request = Request(kind, self.draw.random(), home)
             request.first = now
             self.log.append((now, home, kind, "came"))
-            here.fleet.arrived(now, kind)
+            here.fleet.on_request(now, kind)
             here.arrive(now, request)
         self.at(now + self.draw.expovariate(self.rate(now) / 1000), self._arrival)
 
@@ -263,14 +276,14 @@
         assert isinstance(here, Reborn)
         engine, kind, name = self.engines[place], self.kinds[request.kind], self.names[place]
         work, ref = kind.work * self.draw.lognormvariate(-0.08, 0.4), str(next(self.serial))
-        here.fleet.sent(now, ref, name, request.kind)
+        here.fleet.on_attempt_sent(now, ref, name, request.kind)
         here.allowance.spend(name, work)
         if self.engine_at[place] > now:
             self.blind += (
                 now < here.began + LISTED
             )  # neither listed nor answering: nothing can have proven it
             here.down[place] = now + DOWN
-            here.fleet.ended(now, ref, False, 1.0)
+            here.fleet.on_attempt_ended(now, ref, False, 1.0)
             here.again(now, request)
             return
         self._press(now, place, work)
@@ -283,7 +296,7 @@
             if life == self.life and self._alive(here):
                 engine.out[here.number] -= 1
                 late = then > request.came + kind.patience
-                here.fleet.ended(then, ref, True, then - now, work)
+                here.fleet.on_attempt_ended(then, ref, True, then - now, work)
                 self.served.append((request.first, then, request.home, request.kind, not late))
                 here.send(then)
 
@@ -305,19 +318,19 @@
 
     def _check(self, now: float) -> None:
         """The bounds of all never add up to more than the ramp of any."""
-        up = [here for here in self.there if here is not None and here.fleet.ramp is not None]
+        up = [here for here in self.there if here is not None and here.fleet.slow_start is not None]
         room = 0.0
         for place, name in enumerate(self.names if up else ()):
-            given = [h.fleet.ramp.share(name) if h.fleet.ramp else 1.0 for h in up]
+            given = [h.fleet.slow_start.share(name) if h.fleet.slow_start else 1.0 for h in up]
             cold = len(up) / len(self.there) if self.speed(now, place) < 1.0 else 1.0
             room += min(sum(given) / len(given), self.speed(now, place)) * cold
         self.ramped[int(now // STEP)] = room
         for name in self.names if up else ():
             bounds = [h.allowance.bound for h in up]
-            if all(name in b.work for b in bounds):
-                total = sum(b.work[name] for b in bounds if now < b.until)
-                ramps = [h.fleet.ramp for h in up if h.fleet.ramp is not None]
-                share = max(r.young[name].share if name in r.young else 1.0 for r in ramps)
+            if all(name in b.work_rates for b in bounds):
+                total = sum(b.work_rates[name] for b in bounds if now < b.expires_at)
+                ramps = [h.fleet.slow_start for h in up if h.fleet.slow_start is not None]
+                share = max(r.warming[name].share if name in r.warming else 1.0 for r in ramps)
                 self.checked += 1
                 # A bound stands until the next step, so what the ramp was then counts as well.
                 before, self.before[name] = self.before.get(name, 1.0), share
--- a/cottonhold/fleet/failover_cost/allocation.py
+++ b/cottonhold/fleet/failover_cost/allocation.py
@@ -23,21 +23,21 @@
 
 from cottonhold.fleet.admission import demand as sketch
 
-MIDDLE = 2 ** (0.5 / sketch.STEPS_PER_OCTAVE)  # a step's middle over its lowest density
-TINY = 1e-9
-ROUNDS_MOST = 600
+STEP_MIDDLE = 2 ** (0.5 / sketch.STEPS_PER_OCTAVE)  # a step's middle over its lowest density
+EPSILON = 1e-9
+MAX_ROUNDS = 600
 
 Flow = tuple[str, str, int]  # home, zone, step
 
 
-@functools.lru_cache(maxsize=sketch.STEPS)
-def value(step: int) -> float:
+@functools.lru_cache(maxsize=sketch.DENSITY_STEPS)
+def utility_of_step(step: int) -> float:
     """Worth a second that a core of work brings at a step; nothing at the lowest one."""
-    return 1000 * sketch.LOWEST * MIDDLE * 2 ** (step / sketch.STEPS_PER_OCTAVE) if step else 0.0
+    return 1000 * sketch.MIN_DENSITY * STEP_MIDDLE * 2 ** (step / sketch.STEPS_PER_OCTAVE) if step else 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Case:
+class AllocationProblem:
     """demand: cores by home and step; capacity, guests: cores by zone. keeps: part of the worth that is left
     where home is served by zone, after distance and failures; uses: cores that a core of home's work takes
     there, by cold data. Pairs that are not named keep and use one. busy: cores on top of the capacity, each
@@ -45,33 +45,33 @@
 
     demand: Mapping[str, Mapping[int, float]]
     capacity: Mapping[str, float]
-    guests: Mapping[str, float]
-    keeps: Mapping[tuple[str, str], float] = field(default_factory=dict)
-    uses: Mapping[tuple[str, str], float] = field(default_factory=dict)
-    busy: Mapping[str, float] = field(default_factory=dict)
-    wait: float = 0.0
+    cross_zone_capacity: Mapping[str, float]
+    retained_utility: Mapping[tuple[str, str], float] = field(default_factory=dict)
+    cost_factors: Mapping[tuple[str, str], float] = field(default_factory=dict)
+    congested_capacity: Mapping[str, float] = field(default_factory=dict)
+    congestion_cost: float = 0.0
 
-    def gain(self, flow: Flow) -> float:
+    def utility(self, flow: Flow) -> float:
         """Worth a second of a core of this flow."""
-        return value(flow[2]) * self.keeps.get(flow[:2], 1.0)
+        return utility_of_step(flow[2]) * self.retained_utility.get(flow[:2], 1.0)
 
-    def open(self, home: str) -> list[str]:
+    def open_zones(self, home: str) -> list[str]:
         """Zones that may serve a home's clients."""
         return [
             zone
             for zone in sorted(self.capacity)
-            if self.capacity[zone] + self.busy.get(zone, 0.0) > TINY
-            and (zone == home or self.guests.get(zone, 0.0) > TINY)
+            if self.capacity[zone] + self.congested_capacity.get(zone, 0.0) > EPSILON
+            and (zone == home or self.cross_zone_capacity.get(zone, 0.0) > EPSILON)
         ]
 
 
 @dataclass(slots=True, frozen=True)
-class Division:
+class Allocation:
     """flows: work in cores, in order; worth: what it brings a second; bound: no division brings more."""
 
     flows: Mapping[Flow, float]
-    worth: float
-    bound: float
+    utility: float
+    upper_bound: float
 
 
 @dataclass(slots=True)
@@ -79,9 +79,11 @@
     """One home's answer to prices, or what a row leaves unused. takes: by row."""
 
     gain: float
-    takes: dict[int, float]
+    usage: dict[int, float]
     home: str = ""
-    picks: list[tuple[str, int, int]] = field(default_factory=list)  # zone, from and up to which of its steps
+    assignments: list[tuple[str, int, int]] = field(
+        default_factory=list
+    )  # zone, from and up to which of its steps
 
 
 Lines = tuple[list[int], list[float], list[float], list[float]]
@@ -91,7 +93,7 @@
 def _lines(rates: Mapping[int, float]) -> Lines:
     """A home's steps in order, their values, and sums of work and of worth below each of them."""
     steps = sorted(step for step, work in rates.items() if work > 0)
-    values = [value(step) for step in steps]
+    values = [utility_of_step(step) for step in steps]
     works, worths = [0.0], [0.0]
     for step, worth in zip(steps, values, strict=True):
         works.append(works[-1] + rates[step])
@@ -102,7 +104,7 @@
 def _cost(column: Column, prices: list[float]) -> float:
     """What a column takes, at these prices."""
     total = 0.0
-    for row, x in column.takes.items():
+    for row, x in column.usage.items():
         total += prices[row] * x
     return total
 
@@ -110,29 +112,37 @@
 class Simplex:
     """The mix of answers. Rows: capacity, guests and busy part of each zone, then one for each home."""
 
-    def __init__(self, case: Case) -> None:
+    def __init__(self, case: AllocationProblem) -> None:
         self.case = case
         self.zones, self.homes = sorted(case.capacity), sorted(case.demand)
         self.row = {zone: i for i, zone in enumerate(self.zones)}
         count = len(self.zones)
-        right = [case.capacity[z] for z in self.zones] + [case.guests.get(z, 0.0) for z in self.zones]
-        right += [case.busy.get(z, 0.0) for z in self.zones]
-        self.right = [max(r, TINY) for r in right] + [1.0] * len(self.homes)
+        right = [case.capacity[z] for z in self.zones] + [
+            case.cross_zone_capacity.get(z, 0.0) for z in self.zones
+        ]
+        right += [case.congested_capacity.get(z, 0.0) for z in self.zones]
+        self.right = [max(r, EPSILON) for r in right] + [1.0] * len(self.homes)
         self.size = size = len(self.right)
         self.level = list(self.right)
         self.inverse = [[float(i == j) for j in range(size)] for i in range(size)]
         self.basis = [Column(0.0, {i: 1.0}) for i in range(size)]
-        self.more = [Column(-case.wait, {i: -1.0, 2 * count + i: 1.0}) for i in range(count)]
+        self.more = [Column(-case.congestion_cost, {i: -1.0, 2 * count + i: 1.0}) for i in range(count)]
         self.at = {home: 3 * count + i for i, home in enumerate(self.homes)}
-        self.ways = {home: [self._way(home, zone) for zone in case.open(home)] for home in self.homes}
+        self.ways = {home: [self._way(home, zone) for zone in case.open_zones(home)] for home in self.homes}
         self.lines = {home: _lines(case.demand[home]) for home in self.homes}
-        most = max((value(s) for rates in case.demand.values() for s in rates), default=0.0)
-        self.least = TINY * max(most, TINY)
+        most = max((utility_of_step(s) for rates in case.demand.values() for s in rates), default=0.0)
+        self.least = EPSILON * max(most, EPSILON)
 
     def _way(self, home: str, zone: str) -> Way:
         row, pair = self.row[zone], (home, zone)
         guest = len(self.zones) + row if zone != home else -1
-        return zone, row, guest, self.case.uses.get(pair, 1.0), self.case.keeps.get(pair, 1.0)
+        return (
+            zone,
+            row,
+            guest,
+            self.case.cost_factors.get(pair, 1.0),
+            self.case.retained_utility.get(pair, 1.0),
+        )
 
     def prices(self) -> list[float]:
         """What one more of each row is worth."""
@@ -196,7 +206,10 @@
     def busier(self, prices: list[float]) -> float:
         """The most that the busy parts could still gain at these prices."""
         gains = [c.gain - _cost(c, prices) for c in self.more]
-        return sum(max(g, 0.0) * self.case.busy.get(z, 0.0) for z, g in zip(self.zones, gains, strict=True))
+        return sum(
+            max(g, 0.0) * self.case.congested_capacity.get(z, 0.0)
+            for z, g in zip(self.zones, gains, strict=True)
+        )
 
     def waits(self) -> float:
         """What the busy parts in use cost a second."""
@@ -207,7 +220,7 @@
         ways = [_cost(column, row) for row in self.inverse]
         leaving, least = -1, math.inf
         for i, way in enumerate(ways):
-            if way > TINY and self.level[i] / way < least - 1e-12:
+            if way > EPSILON and self.level[i] / way < least - 1e-12:
                 leaving, least = i, self.level[i] / way
         if leaving < 0:
             return False
@@ -226,17 +239,17 @@
         """The mix as work by home, zone and step."""
         found = dict[Flow, float]()
         for column, part in zip(self.basis, self.level, strict=True):
-            for zone, begin, end in column.picks if part > TINY else ():
+            for zone, begin, end in column.assignments if part > EPSILON else ():
                 for step in self.lines[column.home][0][begin:end]:
                     key = column.home, zone, step
                     found[key] = found.get(key, 0.0) + part * self.case.demand[column.home][step]
         return dict(sorted(found.items()))
 
 
-def divide(case: Case, near: float = 0.0) -> Division:
+def allocate(case: AllocationProblem, near: float = 0.0) -> Allocation:
     """The division that serves most worth, or one that is known to be off by no more than a part `near`."""
     simplex, bound = Simplex(case), math.inf
-    for _ in range(ROUNDS_MOST):
+    for _ in range(MAX_ROUNDS):
         prices = simplex.prices()
         column, more = simplex.best(prices)
         if min(prices) >= -simplex.least:
@@ -248,4 +261,6 @@
         if column is None or not simplex.enter(column):
             break
     flows = simplex.flows()
-    return Division(flows, sum(case.gain(flow) * x for flow, x in flows.items()) - simplex.waits(), bound)
+    return Allocation(
+        flows, sum(case.utility(flow) * x for flow, x in flows.items()) - simplex.waits(), bound
+    )
--- a/cottonhold/fleet/failover_cost/allocation_reference.py
+++ b/cottonhold/fleet/failover_cost/allocation_reference.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from cottonhold.fleet.failover_cost.allocation import Case, Division, Flow
+from cottonhold.fleet.failover_cost.allocation import Allocation, AllocationProblem, Flow
 
 
-def divide(case: Case) -> Division:
+def allocate(case: AllocationProblem) -> Allocation:
     """The division that serves most worth. Raises ImportError without scipy, RuntimeError without one."""
     from scipy.optimize import linprog
 
     flows: list[Flow] = [
         (home, zone, step)
         for home in sorted(case.demand)
-        for zone in case.open(home)
+        for zone in case.open_zones(home)
         for step in sorted(case.demand[home])
     ]
     if not flows:
-        return Division({}, 0.0, 0.0)
+        return Allocation({}, 0.0, 0.0)
     rows, right = list[list[float]](), list[float]()
     for home in sorted(case.demand):
         for step, work in sorted(case.demand[home].items()):
@@ -26,17 +26,17 @@
     rows = [row + [0.0] * len(zones) for row in rows]
     for at, zone in enumerate(zones):
         more = [-1.0 if i == at else 0.0 for i in range(len(zones))]
-        used = [case.uses.get((h, z), 1.0) if z == zone else 0.0 for h, z, _ in flows]
+        used = [case.cost_factors.get((h, z), 1.0) if z == zone else 0.0 for h, z, _ in flows]
         rows.append(used + more)
         right.append(case.capacity[zone])
         rows.append(
             [u if h != zone else 0.0 for u, (h, _, _) in zip(used, flows, strict=True)] + [0.0] * len(zones)
         )
-        right.append(case.guests.get(zone, 0.0))
-    costs = [-case.gain(f) for f in flows] + [case.wait] * len(zones)
-    bounds = [(0.0, None)] * len(flows) + [(0.0, case.busy.get(zone, 0.0)) for zone in zones]
+        right.append(case.cross_zone_capacity.get(zone, 0.0))
+    costs = [-case.utility(f) for f in flows] + [case.congestion_cost] * len(zones)
+    bounds = [(0.0, None)] * len(flows) + [(0.0, case.congested_capacity.get(zone, 0.0)) for zone in zones]
     found = linprog(costs, A_ub=rows, b_ub=right, bounds=bounds, method="highs")
     if found.status:
         raise RuntimeError(found.message)
     works = {flow: float(x) for flow, x in zip(flows, found.x[: len(flows)], strict=True) if x > 1e-9}
-    return Division(works, -float(found.fun), -float(found.fun))
+    return Allocation(works, -float(found.fun), -float(found.fun))
--- a/cottonhold/fleet/failover_cost/cold_cache.py
+++ b/cottonhold/fleet/failover_cost/cold_cache.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 
 
-def stays(rates: Iterable[float], engines: int, keeps: int) -> float:
+def seconds_until_evicted(rates: Iterable[float], engines: int, keeps: int) -> float:
     """Seconds after which an unused set is pushed out; infinite where all fit."""
     each = sorted(rate / max(engines, 1) for rate in rates if rate > 0)
     if not keeps or len(each) <= keeps:
@@ -29,7 +29,7 @@
     return high
 
 
-def runs(rate: float, engines: int, warm: bool, window: float, stay: float) -> float:
+def cold_uses(rate: float, engines: int, warm: bool, window: float, stay: float) -> float:
     """Cold uses of a set within so many seconds. warm: at the start, in all engines of the zone."""
     if warm and stay == math.inf:
         return 0.0
@@ -43,7 +43,9 @@
     return count * (1 - math.exp(-each * min(window, stay))) + later
 
 
-def warm_in(rates: Mapping[int, float], engines: int, within: float = 0.1, most: float = 600.0) -> float:
+def seconds_until_warm(
+    rates: Mapping[int, float], engines: int, within: float = 0.1, most: float = 600.0
+) -> float:
     """Seconds until at most a part `within` of the uses of these cold sets are first ones at an engine."""
     total = math.fsum(rates.values())
     if total <= 0:
--- a/cottonhold/fleet/failover_cost/cross_zone_limits.py
+++ b/cottonhold/fleet/failover_cost/cross_zone_limits.py
@@ -10,34 +10,34 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-LEAST = 1e-6  # no bound is nothing: that would mean that the fleet has left the engine
+MIN_WORK_RATE = 1e-6  # no bound is nothing: that would mean that the fleet has left the engine
 
 
 @dataclass(slots=True, frozen=True)
-class GuestSettings:
+class CrossZoneSettings:
     """slack: that much more than the plan says may go to a zone. spill: and that part of what the plan leaves
     free there. fails: so many attempts failed in a row tell that an engine is gone; warm: so long, in ms, it
     may be cold once it is back; cold: part of its cores that all guests together may send it then."""
 
     slack: float = 0.25
-    spill: float = 0.5
-    cool: float = 0.3
-    fails: int = 3
-    warm: float = 15_000.0
-    cold: float = 0.15
+    spill_share: float = 0.5
+    min_share: float = 0.3
+    failures_until_unstable: int = 3
+    warm_up_ms: float = 15_000.0
+    cold_share: float = 0.15
 
 
 @dataclass(slots=True, frozen=True)
-class Scene:
+class OutageAllocation:
     """What a plan says of now. demand: by home. flows: by home and zone. rights: by zone, what guests may
     take there; room: what is left free there."""
 
     demand: Mapping[str, float]
     flows: Mapping[tuple[str, str], float]
-    rights: Mapping[str, float]
-    room: Mapping[str, float]
+    cross_zone_capacity: Mapping[str, float]
+    free_cores: Mapping[str, float]
 
-    def served(self, home: str) -> float:
+    def served_share(self, home: str) -> float:
         """Part of a home's work that is let in."""
         # Danger: the price is one for all homes. By what the plan serves of this home alone, which is less
         # where its zone is out, a third of what was let in had no place to go to.
@@ -46,30 +46,30 @@
         return min(max(own / max(self.demand.get(home, 0.0), 1e-9), every), 1.0)
 
 
-def allowed(
+def cross_zone_work(
     home: str,
     shares: Mapping[str, float],
     mine: float,
-    scene: Scene,
+    scene: OutageAllocation,
     away: bool,
-    settings: GuestSettings | None = None,
+    settings: CrossZoneSettings | None = None,
 ) -> dict[str, float]:
     """By zone the work that an instance may send there; its own zone is not named, nor any if it has no work.
 
     shares: parts of its home's served work by zone. mine: its own demand now. away: its own zone is left, so
     all of its work has to find its place elsewhere.
     """
-    s = settings or GuestSettings()
-    need = mine * scene.served(home) * (1 + s.slack)
+    s = settings or CrossZoneSettings()
+    need = mine * scene.served_share(home) * (1 + s.slack)
     if need <= 0:
         return {}
     total = max(math.fsum(scene.demand.values()), mine)
     part = min(mine / max(scene.demand.get(home, 0.0), 1e-9), 1.0)
     most, found = dict[str, float](), dict[str, float]()
-    for zone, rights in scene.rights.items():
+    for zone, rights in scene.cross_zone_capacity.items():
         if zone != home:
             most[zone] = _right(home, zone, rights, mine, part, scene)
-            spill = s.spill * scene.room.get(zone, 0.0) * mine / total
+            spill = s.spill_share * scene.free_cores.get(zone, 0.0) * mine / total
             found[zone] = min(shares.get(zone, 0.0) * need + spill, most[zone])
     # Danger: cut to what guests may take in each zone, the parts added up to less than the demand, and work
     # was held back that had a place in another zone.
@@ -78,10 +78,10 @@
     spare = math.fsum(free.values())
     if lacking > 0 and spare > 0:
         found = {zone: x + free[zone] * min(lacking / spare, 1.0) for zone, x in found.items()}
-    return {zone: max(x, LEAST) for zone, x in found.items()}
+    return {zone: max(x, MIN_WORK_RATE) for zone, x in found.items()}
 
 
-def _right(home: str, zone: str, rights: float, mine: float, part: float, scene: Scene) -> float:
+def _right(home: str, zone: str, rights: float, mine: float, part: float, scene: OutageAllocation) -> float:
     """What an instance's clients may take of a zone: its part of the plan, and by demand of what guests have
     left there."""
     guests = math.fsum(x for (h, z), x in scene.flows.items() if z == zone and h != zone)
@@ -91,32 +91,32 @@
 
 
 @dataclass(slots=True)
-class Shaky:
+class UnstableEngines:
     """Engines that may have just started, by what was heard of them."""
 
-    settings: GuestSettings = field(default_factory=GuestSettings)
-    failed: dict[str, int] = field(default_factory=dict)  # attempts in a row
-    gone_at: dict[str, float] = field(default_factory=dict)  # when it was last known to be gone
+    settings: CrossZoneSettings = field(default_factory=CrossZoneSettings)
+    failures: dict[str, int] = field(default_factory=dict)  # attempts in a row
+    unreachable_at: dict[str, float] = field(default_factory=dict)  # when it was last known to be gone
 
-    def ended(self, now: float, engine: str, good: bool) -> None:
+    def on_result(self, now: float, engine: str, good: bool) -> None:
         """An attempt, or a probe, has ended."""
-        self.failed[engine] = 0 if good else self.failed.get(engine, 0) + 1
-        if self.failed[engine] >= self.settings.fails:
-            self.gone_at[engine] = now
+        self.failures[engine] = 0 if good else self.failures.get(engine, 0) + 1
+        if self.failures[engine] >= self.settings.failures_until_unstable:
+            self.unreachable_at[engine] = now
 
-    def know(self, engines: Iterable[str]) -> None:
+    def set_engines(self, engines: Iterable[str]) -> None:
         """Exactly these are there."""
         there = set(engines)
-        self.failed = {engine: n for engine, n in self.failed.items() if engine in there}
-        self.gone_at = {engine: at for engine, at in self.gone_at.items() if engine in there}
+        self.failures = {engine: n for engine, n in self.failures.items() if engine in there}
+        self.unreachable_at = {engine: at for engine, at in self.unreachable_at.items() if engine in there}
 
     def __call__(self, now: float, engine: str) -> bool:
         """Whether an engine may be cold."""
-        return now - self.gone_at.get(engine, -math.inf) < self.settings.warm
+        return now - self.unreachable_at.get(engine, -math.inf) < self.settings.warm_up_ms
 
 
-def by_engine(
-    work: float, there: Mapping[str, float], shaky: Iterable[str], ours: float, s: GuestSettings
+def divide_among_engines(
+    work: float, there: Mapping[str, float], shaky: Iterable[str], ours: float, s: CrossZoneSettings
 ) -> dict[str, float]:
     """A zone's part by engine. there: cores of each; shaky: may be cold; ours: this instance's part of all
     demand."""
@@ -126,26 +126,26 @@
     # to one query a second. More than half at once is more likely the observer.
     few = [engine for engine in shaky if engine in there]
     few = few if 2 * len(few) <= len(there) else []
-    cold = {engine: min(s.cold * there[engine] * ours, work) for engine in few}
+    cold = {engine: min(s.cold_share * there[engine] * ours, work) for engine in few}
     sound = math.fsum(cores for engine, cores in there.items() if engine not in cold)
     left = max(work - math.fsum(cold.values()), 0.0)
     return {
-        engine: max(cold[engine] if engine in cold else left * cores / sound, LEAST)
+        engine: max(cold[engine] if engine in cold else left * cores / sound, MIN_WORK_RATE)
         for engine, cores in there.items()
     }
 
 
-def in_order(
-    order: Iterable[str], need: float, most: Mapping[str, float], settings: GuestSettings | None = None
+def fill_in_order(
+    order: Iterable[str], need: float, most: Mapping[str, float], settings: CrossZoneSettings | None = None
 ) -> dict[str, float]:
     """By zone, the part of what an instance may send there that it uses, so that zones first in the order are
     filled first. need: its work; most: what it may send."""
     # Danger: held back where all together are less than the work, the first seconds would serve yet less. So
     # nothing is, before the zones that come first can take all.
-    s, found = settings or GuestSettings(), dict.fromkeys(most, 1.0)
+    s, found = settings or CrossZoneSettings(), dict.fromkeys(most, 1.0)
     left = need * (1 + s.slack)
     for zone in dict.fromkeys([*order, *sorted(most)]):
         if most.get(zone, 0.0) > 0:
-            found[zone] = max(min(left / most[zone], 1.0), s.cool)
+            found[zone] = max(min(left / most[zone], 1.0), s.min_share)
             left = max(left - most[zone], 0.0)
     return found
--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -20,17 +20,17 @@
 REASON = "remembered from before the start"
 
 
-class Place(msgspec.Struct, array_like=True, frozen=True):
+class CachedEngine(msgspec.Struct, array_like=True, frozen=True):
     """What is kept of one engine. Zone and machine type by name: their numbers are of one configuration."""
 
     address: str
     zone: str
-    model: str
+    machine_type: str
     cell: int
     size: float
 
 
-class Remembered:
+class EngineCache:
     """Feed it changes of the list that a source has answered for; it says what is to be kept.
 
     kept: the folder's records of engines, by id. `malformed` counts those that can't be read.
@@ -38,12 +38,12 @@
 
     def __init__(self, kept: Mapping[bytes, bytes], names: Names) -> None:
         self.names, self.malformed = names, 0
-        self.places: dict[str, Place] = {}
+        self.engines: dict[str, CachedEngine] = {}
         for key, value in kept.items():
             try:
-                place: Place = msgspec.msgpack.decode(Hint.read(value).value, type=Place)
+                place: CachedEngine = msgspec.msgpack.decode(Hint.read(value).value, type=CachedEngine)
                 Address.parse(place.address)
-                self.places[key.decode()] = place
+                self.engines[key.decode()] = place
             except (RecordError, WireError, msgspec.MsgspecError, UnicodeDecodeError):
                 self.malformed += 1
 
@@ -53,43 +53,43 @@
         # Danger: an address has one engine. What was remembered at one that the file gives to another is old.
         taken = {o.address for o in known}
         found = list(known)
-        for id, place in sorted(self.places.items()):
+        for id, place in sorted(self.engines.items()):
             address = Address.parse(place.address)
             # One in a zone that is no longer configured would pass for one of the first zone.
             if id in named or address in taken or place.zone not in self.names.zones:
                 continue
             taken.add(address)
-            zone, model = self.names.zone(place.zone), self.names.model(place.model)
+            zone, model = self.names.zone(place.zone), self.names.model(place.machine_type)
             found.append(Observation(id, Verdict.IN, REASON, address, zone, model, place.cell, place.size))
         return tuple(found)
 
-    def take(self, change: Change) -> list[Record]:
+    def apply(self, change: Change) -> list[Record]:
         """What has to be written for a change of the list."""
         records = []
         if change.whole:
-            gone = self.places.keys() - {engine.id for engine in change.engines}
+            gone = self.engines.keys() - {engine.id for engine in change.engines}
             records += [self._forget(id) for id in sorted(gone)]
         for engine in change.engines:
             if engine.state is not EngineState.LIVE:
-                records += [self._forget(engine.id)] if engine.id in self.places else []
+                records += [self._forget(engine.id)] if engine.id in self.engines else []
             elif (place := self._place(engine, change.addresses.get(engine.id))) is not None:
-                if place != self.places.get(engine.id):
-                    self.places[engine.id] = place
+                if place != self.engines.get(engine.id):
+                    self.engines[engine.id] = place
                     data = Hint(msgspec.msgpack.encode(place), 0.0).pack()
                     records.append(Record(Kind.ENGINE, engine.id.encode(), data))
         return records
 
     def _forget(self, id: str) -> Record:
-        del self.places[id]
+        del self.engines[id]
         return Record(Kind.ENGINE, id.encode(), None)
 
-    def _place(self, engine: io.Engine, address: Address | None) -> Place | None:
+    def _place(self, engine: io.Engine, address: Address | None) -> CachedEngine | None:
         """Where it is; None where that isn't told, or where too many are remembered already."""
-        known = self.places.get(engine.id)
+        known = self.engines.get(engine.id)
         where = str(address) if address is not None else known.address if known is not None else ""
-        if not where or known is None and len(self.places) >= MOST[Kind.ENGINE]:
+        if not where or known is None and len(self.engines) >= MOST[Kind.ENGINE]:
             return None
         zones, models = self.names.zones, self.names.models
         zone = zones[engine.zone] if engine.zone < len(zones) else ""
         model = models[engine.model] if engine.model < len(models) else ""
-        return Place(where, zone, model, engine.cell, engine.size)
+        return CachedEngine(where, zone, model, engine.cell, engine.size)
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -45,55 +45,57 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.recovery.local_loads import How, Known, LoadKept, Own, hold_for, identity
-from cottonhold.fleet.recovery.membership_survey import Gone
+from cottonhold.fleet.recovery.local_loads import (
+    LoadKnowledge,
+    LoadResult,
+    LocalLoads,
+    RecordedLoad,
+)
 from cottonhold.fleet.recovery.messages import (
-    LONG,
-    Answer,
-    Ask,
+    MAX_UINT32,
+    LoadAnswer,
+    LoadQuery,
+    LoadStatement,
+    LoadVerdict,
     MemoryState,
-    Open,
-    Said,
-    Verdict,
+    OpenLoads,
     batches,
-    pack,
+    encode,
 )
-
-__all__ = ["Around", "How", "Known", "LoadKept", "Memory", "MemorySettings", "Settled", "To"]
-__all__ += ["hold_for", "identity"]
+from cottonhold.fleet.recovery.survey_results import ProvenSilence
 
 
 @dataclass(slots=True, frozen=True)
-class MemorySettings:
+class LoadHistorySettings:
     """Times in ms. hold: see `hold_for`. again, most_again: an ask that isn't answered goes out again after
     so long, doubled up to the second. cooldown: told with LATER. alone: for so long a retry that too few
     others have heard of is told LATER; less than the slack of `hold_for` by a few cooldowns. announce: loads
     of earlier boots are told of so many times. most: loads remembered, asked about and in hand, each; beyond,
     retries are told LATER at once."""
 
-    hold: float
-    again: float = 60.0
-    most_again: float = 1000.0
-    cooldown: float = 1000.0
-    alone: float = 5000.0
-    announce: int = 3
-    most: int = 20_000
+    hold_ms: float
+    retry_ms: float = 60.0
+    max_retry_ms: float = 1000.0
+    retry_after_ms: float = 1000.0
+    max_unconfirmed_ms: float = 5000.0
+    announcements: int = 3
+    max_loads: int = 20_000
 
 
 @dataclass(slots=True, frozen=True)
-class Around:
+class FleetState:
     """What the census knows. may_send: this instance may send loads. confirmed: its own memory is whole.
     memory: its state, OLD once that was found out. apart: one that isn't gone can't be heard."""
 
-    may_send: bool
-    confirmed: bool
+    may_send_loads: bool
+    has_confirmed_memory: bool
     memory: MemoryState
-    gone: Mapping[int, Gone]
-    apart: bool = False
+    silent: Mapping[int, ProvenSilence]
+    is_partitioned: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class To:
+class SendToDispatcher:
     """A message for a number."""
 
     number: int
@@ -101,41 +103,41 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Settled:
+class LoadSettled:
     """What is known now of the load that `ref` asked about. cooldown: ms, with LATER."""
 
-    ref: str
+    request_id: str
     load: bytes
-    known: Known
-    cooldown: float = 0.0
+    knowledge: LoadKnowledge
+    retry_after_ms: float = 0.0
 
 
-Action = To | Settled
+Action = SendToDispatcher | LoadSettled
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingRetry:
     """A retry in hand. refs: who waits, and until when. noted: who has heard of it. said, next_at, wait: by
     number."""
 
-    begun: float
-    refs: dict[str, float]
-    said: dict[int, Said] = field(default_factory=dict)
-    next_at: dict[int, float] = field(default_factory=dict)
-    wait: dict[int, float] = field(default_factory=dict)
-    noted: set[int] = field(default_factory=set)
+    started_at: float
+    deadlines: dict[str, float]
+    statements: dict[int, LoadStatement] = field(default_factory=dict)
+    query_at: dict[int, float] = field(default_factory=dict)
+    retry_ms: dict[int, float] = field(default_factory=dict)
+    noted_by: set[int] = field(default_factory=set)
 
 
 @dataclass(slots=True)
-class Sent:
+class SentQuery:
     """An ask that went out, so that its answer can be told from a forged or late one."""
 
-    at: float
-    number: int
+    sent_at: float
+    dispatcher: int
     loads: tuple[bytes, ...]
 
 
-class Memory:
+class LoadHistory:
     """One instance's side. me: its number, of 0 to `dispatchers` - 1; boot: of this start; remembered: the
     folder's loads; seed: for serials."""
 
@@ -145,148 +147,148 @@
         dispatchers: int,
         boot: int,
         now: float,
-        remembered: Iterable[LoadKept],
-        settings: MemorySettings,
+        remembered: Iterable[RecordedLoad],
+        settings: LoadHistorySettings,
         seed: int,
     ) -> None:
-        self.me, self.boot, self.settings = me, boot & LONG, settings
+        self.number, self.boot, self.settings = me, boot & MAX_UINT32, settings
         self.others = [n for n in range(dispatchers) if n != me]
-        self.around = Around(dispatchers == 1, dispatchers == 1, MemoryState.KEPT, {})
-        self.own = Own(now, list(remembered), settings.hold, settings.most)
-        self.pending: dict[bytes, Pending] = {}
+        self.fleet = FleetState(dispatchers == 1, dispatchers == 1, MemoryState.INTACT, {})
+        self.local = LocalLoads(now, list(remembered), settings.hold_ms, settings.max_loads)
+        self.pending: dict[bytes, PendingRetry] = {}
         self.granted: dict[bytes, str] = {}  # settled as NEVER, and not sent yet
-        self.refs: dict[str, bytes] = {}
-        self.asks: dict[int, Sent] = {}
+        self.load_by_request: dict[str, bytes] = {}
+        self.queries: dict[int, SentQuery] = {}
         self.serial = random.Random(seed).getrandbits(32)
         self.announced, self.next_announce = 0, now
         self.actions: list[Action] = []
         self.next_clean = now + 1000.0
-        self.counts = {"asks": 0, "void": 0, "full": 0}
+        self.counters = {"asks": 0, "void": 0, "full": 0}
 
     @property
-    def waiting(self) -> bool:
+    def has_pending(self) -> bool:
         """A retry waits for others' words."""
         return bool(self.pending)
 
     # --- loads of this instance ---
 
-    def take(self, now: float, load: bytes) -> bool:
+    def begin(self, now: float, load: bytes) -> bool:
         """A load that isn't marked as a retry is about to be made durable and sent; see the module."""
         # Danger: a first request stood in line here, its client gave up and asked elsewhere, where it was run
         # on this instance's word; then the line moved.
-        if load in self.own.asked or load in self.granted:
+        if load in self.local.queried or load in self.granted:
             return False
-        if self.own.full(load):
-            self.counts["full"] += 1
+        if self.local.is_full(load):
+            self.counters["full"] += 1
             return False
-        self.own.begin(load)
+        self.local.begin(load)
         return True
 
-    def sent(self, now: float, load: bytes) -> None:
+    def on_sent(self, now: float, load: bytes) -> None:
         """It goes out now: after `take`, or as what a retry was told NEVER for."""
         ref = self.granted.pop(load, None)
         if ref is not None:
-            self.refs.pop(ref, None)
-            self.own.begin(load)
+            self.load_by_request.pop(ref, None)
+            self.local.begin(load)
 
-    def ended(self, now: float, load: bytes, how: How) -> None:
+    def on_ended(self, now: float, load: bytes, how: LoadResult) -> None:
         """Its end."""
-        self.own.end(now, load, how)
+        self.local.end(now, load, how)
 
     # --- retries ---
 
-    def ask(self, now: float, ref: str, load: bytes, until: float) -> Known | None:
+    def on_retry(self, now: float, ref: str, load: bytes, until: float) -> LoadKnowledge | None:
         """A client's retry of a load. None: a Settled follows."""
         known = self._known(now, load)
         if known is not None:
             return known
         pending = self.pending.get(load)
         if pending is not None:
-            pending.refs[ref], self.refs[ref] = until, load
+            pending.deadlines[ref], self.load_by_request[ref] = until, load
             return None
-        asked = None if self.own.full(load) else self.own.note(now, load, self.me)
-        if asked is None or len(self.pending) >= self.settings.most:
-            self.counts["full"] += 1
-            return Known.LATER
-        if self.around.memory is not MemoryState.KEPT and self.own.blind(asked):
-            return Known.MAY
-        if not self.others and self.around.may_send:
-            self.granted[load], self.refs[ref] = ref, load
-            return Known.NEVER
-        self.refs[ref] = load
-        self.pending[load] = Pending(now, {ref: until}, next_at=dict.fromkeys(self.others, now))
+        asked = None if self.local.is_full(load) else self.local.note_query(now, load, self.number)
+        if asked is None or len(self.pending) >= self.settings.max_loads:
+            self.counters["full"] += 1
+            return LoadKnowledge.NOT_KNOWN_YET
+        if self.fleet.memory is not MemoryState.INTACT and self.local.may_predate_start(asked):
+            return LoadKnowledge.MAY_HAVE_RUN
+        if not self.others and self.fleet.may_send_loads:
+            self.granted[load], self.load_by_request[ref] = ref, load
+            return LoadKnowledge.NEVER_SENT
+        self.load_by_request[ref] = load
+        self.pending[load] = PendingRetry(now, {ref: until}, query_at=dict.fromkeys(self.others, now))
         return None
 
-    def drop(self, now: float, ref: str) -> None:
+    def cancel(self, now: float, ref: str) -> None:
         """Whoever asked went away."""
-        load = self.refs.pop(ref, None)
+        load = self.load_by_request.pop(ref, None)
         if load is None:
             return
         if self.granted.get(load) == ref:
             del self.granted[load]
         pending = self.pending.get(load)
         if pending is not None:
-            pending.refs.pop(ref, None)
-            if not pending.refs:
+            pending.deadlines.pop(ref, None)
+            if not pending.deadlines:
                 del self.pending[load]
 
-    def _known(self, now: float, load: bytes) -> Known | None:
+    def _known(self, now: float, load: bytes) -> LoadKnowledge | None:
         """What this instance knows without asking, if that decides."""
-        return Known.MAY if load in self.granted else self.own.known(now, load)
+        return LoadKnowledge.MAY_HAVE_RUN if load in self.granted else self.local.knowledge(now, load)
 
     # --- others ---
 
-    def hear(self, now: float, number: int, word: Ask | Answer | Open) -> list[Action]:
+    def on_message(self, now: float, number: int, word: LoadQuery | LoadAnswer | OpenLoads) -> list[Action]:
         """A word of another number."""
         self.actions = []
         if number not in self.others:
             return []
-        if isinstance(word, Ask):
-            said = tuple(Verdict(i, self._said(now, number, load)) for i, load in enumerate(word.loads))
-            self.actions.append(To(number, pack(Answer(word.boot, word.serial, said))))
-        elif isinstance(word, Answer):
+        if isinstance(word, LoadQuery):
+            said = tuple(LoadVerdict(i, self._said(now, number, load)) for i, load in enumerate(word.loads))
+            self.actions.append(SendToDispatcher(number, encode(LoadAnswer(word.boot, word.serial, said))))
+        elif isinstance(word, LoadAnswer):
             self._answered(now, number, word)
         else:
-            self.own.tell(now, word.loads)
+            self.local.add_reported(now, word.loads)
         return self.actions
 
-    def _said(self, now: float, number: int, load: bytes) -> Said:
+    def _said(self, now: float, number: int, load: bytes) -> LoadStatement:
         """What this instance says of a load to another that has a retry of it."""
-        asked = self.own.note(now, load, number)
+        asked = self.local.note_query(now, load, number)
         if asked is None:
-            return Said.UNKNOWN  # nothing is noted of it here, while WAIT says that it is
+            return LoadStatement.UNKNOWN  # nothing is noted of it here, while WAIT says that it is
         known = self._known(now, load)
         if known is not None:
-            return Said.WELL if known is Known.WELL else Said.MAY
+            return LoadStatement.SUCCEEDED if known is LoadKnowledge.SUCCEEDED else LoadStatement.MAY_HAVE_RUN
         if load in self.pending:
-            if _rank(self.me, load) > _rank(number, load):
-                return Said.MAY
-            self._settle(load, Known.MAY)
-        if self.own.late(now, asked):
-            return Said.UNKNOWN
-        if self.own.blind(asked):
+            if _rank(self.number, load) > _rank(number, load):
+                return LoadStatement.MAY_HAVE_RUN
+            self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
+        if self.local.is_late(now, asked):
+            return LoadStatement.UNKNOWN
+        if self.local.may_predate_start(asked):
             # Danger: an empty folder has no record of what its last boot sent; that is not 'never'.
-            if self.around.memory is not MemoryState.KEPT:
-                return Said.UNKNOWN
-            if not self.around.confirmed:
-                return Said.WAIT
-        return Said.ASKED if asked.by - {number} else Said.NEVER
-
-    def _answered(self, now: float, number: int, answer: Answer) -> None:
-        sent = self.asks.get(answer.serial)
-        if sent is None or answer.boot != self.boot or sent.number != number:
-            self.counts["void"] += 1
+            if self.fleet.memory is not MemoryState.INTACT:
+                return LoadStatement.UNKNOWN
+            if not self.fleet.has_confirmed_memory:
+                return LoadStatement.NOT_KNOWN_YET
+        return LoadStatement.ALSO_QUERIED if asked.dispatchers - {number} else LoadStatement.NEVER_SENT
+
+    def _answered(self, now: float, number: int, answer: LoadAnswer) -> None:
+        sent = self.queries.get(answer.serial)
+        if sent is None or answer.boot != self.boot or sent.dispatcher != number:
+            self.counters["void"] += 1
             return
         for verdict in answer.verdicts:
-            load = sent.loads[verdict.place] if verdict.place < len(sent.loads) else b""
+            load = sent.loads[verdict.index] if verdict.index < len(sent.loads) else b""
             pending = self.pending.get(load)
             # Danger: an answer from before this retry began doesn't bind whoever gave it any more.
-            if pending is None or sent.at < pending.begun:
+            if pending is None or sent.sent_at < pending.started_at:
                 continue
-            pending.noted.add(number)
-            if verdict.said is not Said.WAIT:
-                pending.said[number] = verdict.said
-                pending.next_at.pop(number, None)
+            pending.noted_by.add(number)
+            if verdict.statement is not LoadStatement.NOT_KNOWN_YET:
+                pending.statements[number] = verdict.statement
+                pending.query_at.pop(number, None)
                 self._weigh(now, load, pending)
 
     # --- step ---
@@ -294,17 +296,17 @@
     def next_at(self) -> float:
         """When `step` is due."""
         times = [self.next_clean]
-        if self.own.open and self.announced < self.settings.announce:
+        if self.local.open and self.announced < self.settings.announcements:
             times.append(self.next_announce)
         for pending in self.pending.values():
-            times += [*pending.next_at.values(), *pending.refs.values()]
+            times += [*pending.query_at.values(), *pending.deadlines.values()]
         return min(times)
 
-    def step(self, now: float, around: Around) -> list[Action]:
+    def step(self, now: float, around: FleetState) -> list[Action]:
         """Time has passed, or the census found something."""
-        self.actions, self.around = [], around
-        if around.apart:
-            self.own.apart_at = now
+        self.actions, self.fleet = [], around
+        if around.is_partitioned:
+            self.local.partitioned_at = now
         for load, pending in list(self.pending.items()):
             self._weigh(now, load, pending)
             if self.pending.get(load) is pending:
@@ -313,112 +315,133 @@
         self._announce(now)
         if now >= self.next_clean:
             self.next_clean = now + 1000.0
-            self.own.forget(now, self.pending.keys() | self.granted.keys())
-            late = now - 10 * self.settings.most_again
-            self.asks = {serial: sent for serial, sent in self.asks.items() if sent.at > late}
+            self.local.expire(now, self.pending.keys() | self.granted.keys())
+            late = now - 10 * self.settings.max_retry_ms
+            self.queries = {serial: sent for serial, sent in self.queries.items() if sent.sent_at > late}
         return self.actions
 
-    def _weigh(self, now: float, load: bytes, pending: Pending) -> None:
+    def _weigh(self, now: float, load: bytes, pending: PendingRetry) -> None:
         """Settle a retry as soon as what is known decides."""
-        said = pending.said.values()
-        if Said.WELL in said or Said.MAY in said:
-            self._settle(load, Known.WELL if Said.WELL in said else Known.MAY)
+        said = pending.statements.values()
+        if LoadStatement.SUCCEEDED in said or LoadStatement.MAY_HAVE_RUN in said:
+            self._settle(
+                load,
+                LoadKnowledge.SUCCEEDED if LoadStatement.SUCCEEDED in said else LoadKnowledge.MAY_HAVE_RUN,
+            )
             return
-        asked = self.own.asked[load]
-        silent = [n for n in self.others if n not in pending.said]
+        asked = self.local.queried[load]
+        silent = [n for n in self.others if n not in pending.statements]
         # Danger: one that isn't heard may have sent it, and be back with its record in a moment.
-        if not all(self._gone(n, pending.begun, pending) for n in silent):
+        if not all(self._gone(n, pending.started_at, pending) for n in silent):
             return
         # Danger: told LATER often enough, a client came back after the time that it was thought to wait.
-        doubt = not all(self._gone(n, asked.first, pending) for n in silent)
-        blind = self.own.blind(asked)
+        doubt = not all(self._gone(n, asked.first_at, pending) for n in silent)
+        blind = self.local.may_predate_start(asked)
         # Danger: two that take each other for gone both got everyone else's word; who asked second was told.
-        disputed = bool(silent) and (Said.ASKED in said or bool(asked.by - {self.me}))
+        disputed = bool(silent) and (
+            LoadStatement.ALSO_QUERIED in said or bool(asked.dispatchers - {self.number})
+        )
         # Danger: told LATER on one side of a cut, a client came back to a sender on the other that had
         # forgotten its load by then, and it ran again.
-        doubt |= self.own.late(now, asked)
-        if Said.UNKNOWN in said or disputed or doubt or blind and self.around.memory is not MemoryState.KEPT:
-            self._settle(load, Known.MAY)
-        elif self.around.may_send and (self.around.confirmed or not blind):
-            self._settle(load, Known.NEVER)
-
-    def _gone(self, number: int, asked: float, pending: Pending) -> bool:
+        doubt |= self.local.is_late(now, asked)
+        if (
+            LoadStatement.UNKNOWN in said
+            or disputed
+            or doubt
+            or blind
+            and self.fleet.memory is not MemoryState.INTACT
+        ):
+            self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
+        elif self.fleet.may_send_loads and (self.fleet.has_confirmed_memory or not blind):
+            self._settle(load, LoadKnowledge.NEVER_SENT)
+
+    def _gone(self, number: int, asked: float, pending: PendingRetry) -> bool:
         """Nothing that a number sent is first asked about so late, and it has sent nothing since."""
-        gone = self.around.gone.get(number)
-        if gone is None or gone.as_of < pending.begun:
+        gone = self.fleet.silent.get(number)
+        if gone is None or gone.valid_until < pending.started_at:
             return False
-        return gone.sent_before + self.settings.hold < asked
+        return gone.nothing_sent_after + self.settings.hold_ms < asked
 
-    def _settle(self, load: bytes, known: Known) -> None:
+    def _settle(self, load: bytes, known: LoadKnowledge) -> None:
         """All that wait for a load learn what is known; where nobody sent it, the first of them sends it."""
-        for ref in self.pending.pop(load).refs:
-            if known is Known.NEVER and load not in self.granted:
+        for ref in self.pending.pop(load).deadlines:
+            if known is LoadKnowledge.NEVER_SENT and load not in self.granted:
                 self.granted[load] = ref
-                self.actions.append(Settled(ref, load, known))
+                self.actions.append(LoadSettled(ref, load, known))
             else:
-                self._tell(ref, load, Known.MAY if known is Known.NEVER else known)
+                self._tell(
+                    ref, load, LoadKnowledge.MAY_HAVE_RUN if known is LoadKnowledge.NEVER_SENT else known
+                )
 
-    def _lapse(self, now: float, load: bytes, pending: Pending) -> None:
+    def _lapse(self, now: float, load: bytes, pending: PendingRetry) -> None:
         """Clients whose patience is over."""
-        for ref in [ref for ref, until in pending.refs.items() if until <= now]:
-            del pending.refs[ref]
+        for ref in [ref for ref, until in pending.deadlines.items() if until <= now]:
+            del pending.deadlines[ref]
             self._tell(ref, load, self._put_off(now, load, pending))
-        if not pending.refs:
+        if not pending.deadlines:
             del self.pending[load]
 
-    def _put_off(self, now: float, load: bytes, pending: Pending) -> Known:
+    def _put_off(self, now: float, load: bytes, pending: PendingRetry) -> LoadKnowledge:
         """What a retry is told that could not be settled in time."""
         # Danger: an emptied one said that it did not know, the client was told LATER for another that was
         # away, and by then the first said NEVER of what it had sent before it was emptied.
-        if Said.UNKNOWN in pending.said.values():
-            return Known.MAY
+        if LoadStatement.UNKNOWN in pending.statements.values():
+            return LoadKnowledge.MAY_HAVE_RUN
         # Danger: one that nobody heard told a client LATER until whoever had sent its load had forgotten it;
         # the client went elsewhere, and it ran again. Half that heard of the retry are among any that can
         # settle it as NEVER, and say then for how long it has been asked about.
-        noted = 2 * (1 + len(pending.noted)) > len(self.others)
-        return Known.LATER if noted else self._alone(now, load)
+        noted = 2 * (1 + len(pending.noted_by)) > len(self.others)
+        return LoadKnowledge.NOT_KNOWN_YET if noted else self._alone(now, load)
 
-    def later(self, now: float, load: bytes) -> Known:
+    def answer_unavailable(self, now: float, load: bytes) -> LoadKnowledge:
         """What a client's retry is told while this instance can't take its load at all."""
         known = self._known(now, load)
         if known is not None:
             return known
-        return Known.MAY if self.own.note(now, load, self.me) is None else self._alone(now, load)
+        return (
+            LoadKnowledge.MAY_HAVE_RUN
+            if self.local.note_query(now, load, self.number) is None
+            else self._alone(now, load)
+        )
 
-    def _alone(self, now: float, load: bytes) -> Known:
+    def _alone(self, now: float, load: bytes) -> LoadKnowledge:
         """What a retry is told that too few others have heard of: to come later, but not for long."""
-        return Known.LATER if now - self.own.asked[load].first <= self.settings.alone else Known.MAY
+        return (
+            LoadKnowledge.NOT_KNOWN_YET
+            if now - self.local.queried[load].first_at <= self.settings.max_unconfirmed_ms
+            else LoadKnowledge.MAY_HAVE_RUN
+        )
 
-    def _tell(self, ref: str, load: bytes, known: Known) -> None:
-        self.refs.pop(ref, None)
-        cooldown = self.settings.cooldown if known is Known.LATER else 0.0
-        self.actions.append(Settled(ref, load, known, cooldown))
+    def _tell(self, ref: str, load: bytes, known: LoadKnowledge) -> None:
+        self.load_by_request.pop(ref, None)
+        cooldown = self.settings.retry_after_ms if known is LoadKnowledge.NOT_KNOWN_YET else 0.0
+        self.actions.append(LoadSettled(ref, load, known, cooldown))
 
     def _ask(self, now: float) -> None:
         """All asks that are due, a datagram for as many loads as fit."""
         due: dict[int, list[bytes]] = {}
         for load, pending in self.pending.items():
-            for number, at in pending.next_at.items():
+            for number, at in pending.query_at.items():
                 if at <= now:
-                    wait = pending.wait.get(number, self.settings.again)
-                    pending.wait[number] = min(2 * wait, self.settings.most_again)
-                    pending.next_at[number] = now + wait
+                    wait = pending.retry_ms.get(number, self.settings.retry_ms)
+                    pending.retry_ms[number] = min(2 * wait, self.settings.max_retry_ms)
+                    pending.query_at[number] = now + wait
                     due.setdefault(number, []).append(load)
         for number, loads in due.items():
             for lot in batches(loads):
-                self.serial = (self.serial + 1) & LONG
-                self.asks[self.serial] = Sent(now, number, lot)
-                self.actions.append(To(number, pack(Ask(self.boot, self.serial, lot))))
-                self.counts["asks"] += 1
+                self.serial = (self.serial + 1) & MAX_UINT32
+                self.queries[self.serial] = SentQuery(now, number, lot)
+                self.actions.append(SendToDispatcher(number, encode(LoadQuery(self.boot, self.serial, lot))))
+                self.counters["asks"] += 1
 
     def _announce(self, now: float) -> None:
         """Tell others at once which loads of earlier boots have no end."""
-        left = self.announced < self.settings.announce and bool(self.own.open)
+        left = self.announced < self.settings.announcements and bool(self.local.open)
         if left and now >= self.next_announce:
-            self.announced, self.next_announce = self.announced + 1, now + self.settings.most_again
-            for lot in batches(self.own.open):
-                data = pack(Open(lot))
-                self.actions += [To(number, data) for number in self.others]
+            self.announced, self.next_announce = self.announced + 1, now + self.settings.max_retry_ms
+            for lot in batches(self.local.open):
+                data = encode(OpenLoads(lot))
+                self.actions += [SendToDispatcher(number, data) for number in self.others]
 
 
 def _rank(number: int, load: bytes) -> bytes:
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -15,7 +15,7 @@
 from enum import Enum, IntEnum
 
 
-def identity(service: str, key: str, body: bytes) -> bytes:
+def load_identity(service: str, key: str, body: bytes) -> bytes:
     """A load's identity: the same wherever a client sends it again."""
     parts = (service.encode(), key.encode(), body)
     digest = hashlib.blake2b(digest_size=16)
@@ -24,135 +24,139 @@
     return digest.digest()
 
 
-def hold_for(deadlines: Iterable[float], slack: float = 10_000.0) -> float:
+def hold_ms_for(deadlines: Iterable[float], slack: float = 10_000.0) -> float:
     """How long after it was sent a load can still be asked about: see the module."""
     return 2 * max(deadlines, default=0.0) + slack
 
 
-class How(Enum):
+class LoadResult(Enum):
     """How a load ended. NEVER: with proof that it never ran."""
 
-    WELL = "well"
+    SUCCEEDED = "well"
     FAILED = "failed"
-    NEVER = "never"
+    NEVER_RAN = "never"
 
 
-class Known(IntEnum):
+class LoadKnowledge(IntEnum):
     """What is known of a load that a client asks about again."""
 
-    NEVER = 0
-    WELL = 1
-    MAY = 2
-    LATER = 3
+    NEVER_SENT = 0
+    SUCCEEDED = 1
+    MAY_HAVE_RUN = 2
+    NOT_KNOWN_YET = 3
 
 
 @dataclass(slots=True, frozen=True)
-class LoadKept:
+class RecordedLoad:
     """A load of an earlier boot, as the folder had it. how: its end; None: not known."""
 
     load: bytes
-    how: How | None = None
+    result: LoadResult | None = None
 
 
 @dataclass(slots=True)
 class Entry:
     """What this instance knows of a load. open: runs without an end. may: one ended otherwise than well."""
 
-    open: int = 0
-    may: bool = False
-    well: bool = False
-    until: float = math.inf
+    open_runs: int = 0
+    may_have_run: bool = False
+    succeeded: bool = False
+    expires_at: float = math.inf
 
 
 @dataclass(slots=True)
-class Asked:
+class QueriedLoad:
     """Retries of a load that were heard of here: when first and last, and the numbers that asked."""
 
-    first: float
-    last: float
-    by: set[int] = field(default_factory=set)
+    first_at: float
+    last_at: float
+    dispatchers: set[int] = field(default_factory=set)
 
 
-class Own:
+class LocalLoads:
     """This instance's records, `most` of each kind at most."""
 
-    def __init__(self, now: float, remembered: Sequence[LoadKept], hold: float, most: int) -> None:
-        self.hold, self.most, self.started = hold, most, now
-        self.apart_at = -math.inf  # when last one that isn't gone could not be heard
+    def __init__(self, now: float, remembered: Sequence[RecordedLoad], hold: float, most: int) -> None:
+        self.hold_ms, self.max_loads, self.started_at = hold, most, now
+        self.partitioned_at = -math.inf  # when last one that isn't gone could not be heard
         self.entries: dict[bytes, Entry] = {}
-        self.asked: dict[bytes, Asked] = {}
-        self.told: dict[bytes, float] = {}  # others' loads of earlier boots, until when
+        self.queried: dict[bytes, QueriedLoad] = {}
+        self.reported: dict[bytes, float] = {}  # others' loads of earlier boots, until when
         for kept in remembered:
-            if kept.how is not How.NEVER:
-                well = kept.how is How.WELL
+            if kept.result is not LoadResult.NEVER_RAN:
+                well = kept.result is LoadResult.SUCCEEDED
                 self.entries[kept.load] = Entry(0, not well, well, now + hold)
-        self.open = [kept.load for kept in remembered if kept.how is None]
+        self.open = [kept.load for kept in remembered if kept.result is None]
 
-    def full(self, load: bytes) -> bool:
+    def is_full(self, load: bytes) -> bool:
         """There is no room for another load."""
-        return load not in self.entries and len(self.entries) >= self.most
+        return load not in self.entries and len(self.entries) >= self.max_loads
 
     def begin(self, load: bytes) -> None:
         """It may be sent from now on."""
         entry = self.entries.setdefault(load, Entry())
-        entry.open, entry.until = entry.open + 1, math.inf
+        entry.open_runs, entry.expires_at = entry.open_runs + 1, math.inf
 
-    def end(self, now: float, load: bytes, how: How) -> None:
+    def end(self, now: float, load: bytes, how: LoadResult) -> None:
         """Its end."""
         entry = self.entries.get(load)
-        if entry is None or not entry.open:
+        if entry is None or not entry.open_runs:
             return
-        entry.open -= 1
-        entry.well |= how is How.WELL
-        entry.may |= how is How.FAILED
-        if not entry.open:
-            entry.until = now + self.hold
-            if not entry.well and not entry.may:
+        entry.open_runs -= 1
+        entry.succeeded |= how is LoadResult.SUCCEEDED
+        entry.may_have_run |= how is LoadResult.FAILED
+        if not entry.open_runs:
+            entry.expires_at = now + self.hold_ms
+            if not entry.succeeded and not entry.may_have_run:
                 del self.entries[load]
 
-    def known(self, now: float, load: bytes) -> Known | None:
+    def knowledge(self, now: float, load: bytes) -> LoadKnowledge | None:
         """What the records say, if they decide."""
         entry = self.entries.get(load)
-        if entry is not None and (entry.open or entry.may) or self.told.get(load, -math.inf) > now:
-            return Known.MAY
-        return Known.WELL if entry is not None and entry.well else None
-
-    def note(self, now: float, load: bytes, number: int) -> Asked | None:
+        if (
+            entry is not None
+            and (entry.open_runs or entry.may_have_run)
+            or self.reported.get(load, -math.inf) > now
+        ):
+            return LoadKnowledge.MAY_HAVE_RUN
+        return LoadKnowledge.SUCCEEDED if entry is not None and entry.succeeded else None
+
+    def note_query(self, now: float, load: bytes, number: int) -> QueriedLoad | None:
         """Remember that a number has a retry of it in hand; None where there is no room."""
-        asked = self.asked.get(load)
+        asked = self.queried.get(load)
         if asked is None:
-            if len(self.asked) >= self.most:
+            if len(self.queried) >= self.max_loads:
                 return None
-            asked = self.asked[load] = Asked(now, now)
-        asked.last = now
-        asked.by.add(number)
+            asked = self.queried[load] = QueriedLoad(now, now)
+        asked.last_at = now
+        asked.dispatchers.add(number)
         return asked
 
-    def tell(self, now: float, loads: Iterable[bytes]) -> None:
+    def add_reported(self, now: float, loads: Iterable[bytes]) -> None:
         """Another's loads of earlier boots."""
         for load in loads:
-            if len(self.told) < self.most:
-                self.told.setdefault(load, now + self.hold)
+            if len(self.reported) < self.max_loads:
+                self.reported.setdefault(load, now + self.hold_ms)
 
-    def blind(self, asked: Asked) -> bool:
+    def may_predate_start(self, asked: QueriedLoad) -> bool:
         """Whether a load first asked about then may be of a time before this start."""
-        return asked.first <= self.started + self.hold
+        return asked.first_at <= self.started_at + self.hold_ms
 
-    def late(self, now: float, asked: Asked) -> bool:
+    def is_late(self, now: float, asked: QueriedLoad) -> bool:
         """Whether its client has come back for so long that whoever sent it may have forgotten it. What was
         sent at s is kept until s + `hold` at least; its client asked first at s + longest at the latest; and
         half a hold is no more than what is left."""
-        return now - asked.first > self.hold / 2
+        return now - asked.first_at > self.hold_ms / 2
 
-    def forget(self, now: float, keep: Iterable[bytes]) -> None:
+    def expire(self, now: float, keep: Iterable[bytes]) -> None:
         """What can't be asked about any more, but for these."""
-        kept, old = set(keep), now - self.hold
-        over = {load for load, e in self.entries.items() if e.until <= now}
+        kept, old = set(keep), now - self.hold_ms
+        over = {load for load, e in self.entries.items() if e.expires_at <= now}
         # Danger: a client was told to come later across a cut for as long as its load was remembered on the
         # other side; then the cut healed, and it ran again.
-        if self.apart_at > old:
-            surplus = len(self.entries) - self.most // 2
-            over = set(sorted(over, key=lambda load: self.entries[load].until)[: max(surplus, 0)])
+        if self.partitioned_at > old:
+            surplus = len(self.entries) - self.max_loads // 2
+            over = set(sorted(over, key=lambda load: self.entries[load].expires_at)[: max(surplus, 0)])
         self.entries = {load: e for load, e in self.entries.items() if load not in over}
-        self.asked = {load: a for load, a in self.asked.items() if a.last > old or load in kept}
-        self.told = {load: until for load, until in self.told.items() if until > now}
+        self.queried = {load: a for load, a in self.queried.items() if a.last_at > old or load in kept}
+        self.reported = {load: until for load, until in self.reported.items() if until > now}
--- a/cottonhold/fleet/recovery/slow_start.py
+++ b/cottonhold/fleet/recovery/slow_start.py
@@ -19,18 +19,24 @@
 
 from cottonhold.fleet.latest_reports import LatestReports
 from cottonhold.fleet.recovery import warmup_messages
-from cottonhold.fleet.recovery.warmup_messages import FREE, WINDOW, Pooled, RampWord, Row
+from cottonhold.fleet.recovery.warmup_messages import (
+    UNLIMITED_SHARE,
+    WINDOW_MS,
+    EngineObservation,
+    PooledObservation,
+    WarmupReport,
+)
 from cottonhold.fleet.zone_failover.messages import zone_number
-from cottonhold.fleet.zone_failover.quota_lending import PartSettings
+from cottonhold.fleet.zone_failover.quota_lending import QuotaSettings
 from cottonhold.membership.rendezvous import score
 
-FREE_TOLD = 5  # free engines that others still hold for young, in a word of many
-LEAST = 1e-9  # no work, said as some
-BUDGET = zone_number("cold engines")  # the budget of all cold engines, in parts as a zone's is
+MAX_WARM_ROWS = 5  # free engines that others still hold for young, in a word of many
+MIN_WORK_RATE = 1e-9  # no work, said as some
+WARMUP_BUDGET = zone_number("cold engines")  # the budget of all cold engines, in parts as a zone's is
 
 
 @dataclass(slots=True, frozen=True)
-class RampSettings:
+class SlowStartSettings:
     """Times in ms; shares are of an engine's full capacity.
 
     first: what a cold engine bears. step: a share doubles at most so often. push: so much more than what was
@@ -46,28 +52,28 @@
     never lent.
     """
 
-    first: float = 0.3
-    step: float = 250.0
-    push: float = 1.15
-    line: float = 0.4
-    ease: float = 0.9
-    bears: float = 0.48
-    free: float = 0.85
-    doubt: float = 0.65
-    sure: float = 400.0
-    fresh: float = 1000.0
-    turn: float = 100.0
-    longest: float = 30_000.0
-    warm: float = 13_000.0
-    close: int = 9
-    fanout: int = 4
-    far: float = 200.0
-    settle: float = 600.0
-    cooldown: float = 1500.0
-    parts: PartSettings = field(default_factory=lambda: PartSettings(last=300.0, kept=0.6))
-
-
-class Lost(Enum):
+    initial_share: float = 0.3
+    doubling_ms: float = 250.0
+    growth_factor: float = 1.15
+    queueing_ratio: float = 0.4
+    drain_factor: float = 0.9
+    max_cold_share: float = 0.48
+    warm_speed: float = 0.85
+    doubtful_speed: float = 0.65
+    warm_confirmation_ms: float = 400.0
+    max_report_age_ms: float = 1000.0
+    prober_turn_ms: float = 100.0
+    max_duration_ms: float = 30_000.0
+    warm_after_ms: float = 13_000.0
+    gossip_from_members: int = 9
+    gossip_fanout: int = 4
+    gossip_interval_ms: float = 200.0
+    settle_ms: float = 600.0
+    retry_after_ms: float = 1500.0
+    quota: QuotaSettings = field(default_factory=lambda: QuotaSettings(loan_ms=300.0, unlent_share=0.6))
+
+
+class OutageScope(Enum):
     """What the census found to have been away."""
 
     ALONE = "alone"  # only this instance
@@ -76,76 +82,80 @@
 
 
 @dataclass(slots=True)
-class Young:
+class WarmingEngine:
     """An engine that is not known to be warm."""
 
     cores: float
     number: int
     share: float
-    since: float
+    started_at: float
     not_before: float = -math.inf  # seen by one that holds it for started earlier: of another life
-    proven: bool = False
-    tried: bool = False  # a probe or an attempt has ended, here or as another tells
+    has_answered: bool = False
+    was_tried: bool = False  # a probe or an attempt has ended, here or as another tells
     answers: deque[tuple[float, float, float]] = field(default_factory=deque)  # at, work, elapsed
-    stepped_at: float = 0.0
-    warm_at: float = math.inf  # since when it has shown the speed of a warm one
-    seen: Row = Row(0.0, 0.0, 0.0, 0.0)  # as of the last step
+    updated_at: float = 0.0
+    warm_since: float = math.inf  # since when it has shown the speed of a warm one
+    observation: EngineObservation = EngineObservation(0.0, 0.0, 0.0, 0.0)  # as of the last step
 
-    def row(self, now: float) -> Row:
+    def observe(self, now: float) -> EngineObservation:
         """What this instance saw of it."""
-        while self.answers and self.answers[0][0] <= now - WINDOW:
+        while self.answers and self.answers[0][0] <= now - WINDOW_MS:
             self.answers.popleft()
-        age = now - self.since
+        age = now - self.started_at
         if not self.answers:
-            return Row(0.0, 0.0, self.share, age)
-        speed = warmup_messages.upper([work / max(elapsed, 0.1) for _, work, elapsed in self.answers])
+            return EngineObservation(0.0, 0.0, self.share, age)
+        speed = warmup_messages.upper_quartile(
+            [work / max(elapsed, 0.1) for _, work, elapsed in self.answers]
+        )
         # Danger: one that has answered for less than the window would look as if it did little.
-        seen = min(max(age, 100.0), WINDOW)
+        seen = min(max(age, 100.0), WINDOW_MS)
         done = sum(work for _, work, _ in self.answers) / seen / self.cores
-        return Row(speed, done, self.share, age)
+        return EngineObservation(speed, done, self.share, age)
 
 
-class Ramp:
+class SlowStart:
     """Feed it what is listed, lost, probed and answered, and others' words; ask for `share` and `cores`."""
 
-    def __init__(self, me: int, life: int, now: float, settings: RampSettings, seed: int) -> None:
-        self.me, self.life, self.settings, self.began = me, life & 0xFFFFFFFF, settings, now
+    def __init__(self, me: int, life: int, now: float, settings: SlowStartSettings, seed: int) -> None:
+        self.self_id, self.incarnation, self.settings, self.began = me, life & 0xFFFFFFFF, settings, now
         self.draw = random.Random(seed)
-        self.words = LatestReports[RampWord](me)
+        self.reports = LatestReports[WarmupReport](me)
         self.engines: dict[str, float] = {}  # all, with their cores
         self.numbers: set[int] = set()
-        self.young: dict[str, Young] = {}
-        self.alive: dict[str, float] = {}  # since when an engine has answered without a fault, as seen here
-        self.listed = False  # the own list has been heard since the start
-        self.alone = False  # nobody else was away, as far as is known
-        self.wanted: set[int] = set()  # engines that others hold for young
+        self.warming: dict[str, WarmingEngine] = {}
+        self.answering_since: dict[
+            str, float
+        ] = {}  # since when an engine has answered without a fault, as seen here
+        self.is_listed = False  # the own list has been heard since the start
+        self.was_lost_alone = False  # nobody else was away, as far as is known
+        self.reported_warming: set[int] = set()  # engines that others hold for young
         self.version = 0
         self.stepped_at = -math.inf
 
     # --- what happens ---
 
-    def know(self, now: float, engines: Mapping[str, float]) -> None:
+    def set_engines(self, now: float, engines: Mapping[str, float]) -> None:
         """Exactly these engines, with their cores, are there, by list or hint; new ones are young."""
         came = [engine for engine in engines if engine not in self.engines]
         self.engines = dict(engines)
         self.numbers = {warmup_messages.engine_number(engine) for engine in engines}
-        self.young = {e: y for e, y in self.young.items() if e in engines}
-        self.alive = {e: at for e, at in self.alive.items() if e in engines}
-        for engine, young in self.young.items():
+        self.warming = {e: y for e, y in self.warming.items() if e in engines}
+        self.answering_since = {e: at for e, at in self.answering_since.items() if e in engines}
+        for engine, young in self.warming.items():
             young.cores = engines[engine]
         for engine in came:
             self._start(now, engine, -math.inf)
 
-    def list_heard(self, now: float) -> None:
+    def on_list_received(self, now: float) -> None:
         """The own list has been heard: what it names may be tried without a probe, but what failed one."""
-        self.listed = True
-        for engine, young in list(self.young.items()):
+        self.is_listed = True
+        for engine, young in list(self.warming.items()):
             # Danger: a dark zone's engines counted, and were tried again, since the list still named them.
-            if not young.proven and not young.tried:
-                self._prove(engine, young, young.since)
+            if not young.has_answered and not young.was_tried:
+                self._prove(engine, young, young.started_at)
 
-    def lost(
-        self, now: float, what: Lost, engines: Iterable[str] | None = None, since: float = math.inf
+    def on_loss(
+        self, now: float, what: OutageScope, engines: Iterable[str] | None = None, since: float = math.inf
     ) -> None:
         """The census tells what has been away; with a zone, its engines; since: when the first came back.
 
@@ -155,242 +165,272 @@
         free that no other holds for young.
         """
         of = set(self.engines) if engines is None else set(engines) & set(self.engines)
-        self.alone = what is Lost.ALONE
-        if self.alone:
+        self.was_lost_alone = what is OutageScope.ALONE
+        if self.was_lost_alone:
             # Danger: one that has answered nothing yet, and that no list names, would be sent to unproven.
-            self.young = {
+            self.warming = {
                 e: y
-                for e, y in self.young.items()
-                if e not in of or y.number in self.wanted or not (self.listed or y.proven)
+                for e, y in self.warming.items()
+                if e not in of or y.number in self.reported_warming or not (self.is_listed or y.has_answered)
             }
             return
-        for engine in sorted(of - set(self.young)):
-            alive = self.alive.get(engine, -math.inf)
+        for engine in sorted(of - set(self.warming)):
+            alive = self.answering_since.get(engine, -math.inf)
             young = self._start(now, engine, min(now, since))
-            young.proven = alive >= since
-            if young.proven:
+            young.has_answered = alive >= since
+            if young.has_answered:
                 # Danger: the loss of all is known when more than half are back, two seconds after the first.
                 # Engines that it had warmed up meanwhile began once more as the coldest, and from nothing.
-                young.since = alive
-                young.share = max(young.share, min(self._of_age(now, young), self.settings.bears))
+                young.started_at = alive
+                young.share = max(young.share, min(self._of_age(now, young), self.settings.max_cold_share))
 
-    def started(self, now: float, engine: str) -> None:
+    def on_engine_started(self, now: float, engine: str) -> None:
         """It has just started, as the list tells, or answered a probe for the first time after silence."""
-        self.alive.pop(engine, None)
+        self.answering_since.pop(engine, None)
         if engine in self.engines:
-            self._start(now, engine, now).proven = True
+            self._start(now, engine, now).has_answered = True
 
-    def gone(self, now: float, engine: str) -> None:
+    def on_engine_unreachable(self, now: float, engine: str) -> None:
         """It can't be reached: nothing goes there until it has answered, and then as to one that starts."""
-        self.alive.pop(engine, None)
+        self.answering_since.pop(engine, None)
         if engine in self.engines:
-            self._start(now, engine, now).proven = False
+            self._start(now, engine, now).has_answered = False
 
-    def probed(self, now: float, engine: str, good: bool) -> None:
+    def on_health_check(self, now: float, engine: str, good: bool) -> None:
         """A probe has ended, by this instance or, if good, as another tells."""
         self._lives(now, engine, good)
-        young = self.young.get(engine)
+        young = self.warming.get(engine)
         if young is not None:
-            young.tried = True
-        if young is not None and good and not young.proven:
+            young.was_tried = True
+        if young is not None and good and not young.has_answered:
             self._prove(engine, young, now)
         elif young is not None and not good and not young.answers:
-            young.proven = False
+            young.has_answered = False
 
-    def answered(self, now: float, engine: str, good: bool, work: float, elapsed: float) -> None:
+    def on_answer(self, now: float, engine: str, good: bool, work: float, elapsed: float) -> None:
         """An attempt has ended with an answer. work: as the engine tells it, else as such a query usually
         is, in ms; 0: not known, and it only proves that the engine answers."""
         self._lives(now, engine, good)
-        young = self.young.get(engine)
+        young = self.warming.get(engine)
         if young is None:
             return
-        young.tried = True
+        young.was_tried = True
         if not good:
             # Danger: listed but dark engines counted as capacity for good where only others probed them.
-            young.proven = young.proven and bool(young.answers)
+            young.has_answered = young.has_answered and bool(young.answers)
             return
-        if not young.proven:
+        if not young.has_answered:
             self._prove(engine, young, now)
         if work > 0:
             young.answers.append((now, work, elapsed))
 
-    def _prove(self, engine: str, young: Young, since: float) -> None:
+    def _prove(self, engine: str, young: WarmingEngine, since: float) -> None:
         """It is there: a list names it, or it has answered."""
-        young.proven, young.since = True, since
-        if self.alone and young.number not in self.wanted:
-            del self.young[engine]  # only this instance was away
+        young.has_answered, young.started_at = True, since
+        if self.was_lost_alone and young.number not in self.reported_warming:
+            del self.warming[engine]  # only this instance was away
 
     def _lives(self, now: float, engine: str, good: bool) -> None:
         if not good:
-            self.alive.pop(engine, None)  # it may have started anew since
+            self.answering_since.pop(engine, None)  # it may have started anew since
         elif engine in self.engines:
-            self.alive.setdefault(engine, now)
+            self.answering_since.setdefault(engine, now)
 
-    def hear(self, now: float, data: bytes) -> None:
+    def on_message(self, now: float, data: bytes) -> None:
         """A message of ramps. Raises MessageError."""
-        for word in warmup_messages.read_words(data):
-            self.words.apply(now, word)
+        for word in warmup_messages.decode_warmup_reports(data):
+            self.reports.apply(now, word)
 
     # --- what follows ---
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether any engine is bounded."""
-        return bool(self.young)
+        return bool(self.warming)
 
     @property
-    def growing(self) -> bool:
+    def is_growing(self) -> bool:
         """Whether any engine that has answered, or is listed, is bounded: dark ones need no words."""
-        return any(young.proven for young in self.young.values())
+        return any(young.has_answered for young in self.warming.values())
 
     def share(self, engine: str) -> float:
         """Share of its capacity that all instances together may send to an engine; 0 before it is proven."""
-        young = self.young.get(engine)
-        return FREE if young is None else young.share if young.proven else 0.0
+        young = self.warming.get(engine)
+        return UNLIMITED_SHARE if young is None else young.share if young.has_answered else 0.0
 
-    def bounds(self, part: float) -> dict[str, float]:
+    def work_limits(self, part: float) -> dict[str, float]:
         """Work in ms a ms that may be sent to each young engine, with so much of the budget of all."""
-        work = {e: y.cores * self.share(e) * part for e, y in self.young.items()}
+        work = {e: y.cores * self.share(e) * part for e, y in self.warming.items()}
         if len(work) == len(self.engines) and not any(work.values()):
             # Danger: the module skips bounds that leave no engine at all, and would send everything.
-            return dict.fromkeys(work, LEAST)
+            return dict.fromkeys(work, MIN_WORK_RATE)
         return work
 
     def cores(self) -> tuple[float, float]:
         """Cores of free engines, and those that the ramp has set free of the others."""
-        warm = sum(cores for engine, cores in self.engines.items() if engine not in self.young)
-        return warm, sum(young.cores * young.share for young in self.young.values() if young.proven)
+        warm = sum(cores for engine, cores in self.engines.items() if engine not in self.warming)
+        return warm, sum(young.cores * young.share for young in self.warming.values() if young.has_answered)
 
-    def hoped(self) -> float:
+    def assumed_share(self) -> float:
         """What an engine that was not tried yet counts for at one that has just started: what engines bear,
         times the part that answers of those tried."""
         # Danger: a dark zone's engines counted as others' do, and one that came late let in and held what all
         # others refused.
-        tried = [young.proven for young in self.young.values() if young.tried]
-        return self.settings.bears * (sum(tried) + 1) / (len(tried) + 1)
+        tried = [young.has_answered for young in self.warming.values() if young.was_tried]
+        return self.settings.max_cold_share * (sum(tried) + 1) / (len(tried) + 1)
 
-    def guess(self, engine: str, hoped: float) -> float:
+    def share_after_start(self, engine: str, hoped: float) -> float:
         """Its share at one that has just started."""
-        young, share = self.young.get(engine), self.share(engine)
-        if young is None or young.tried:
-            return max(share, self.settings.bears) if share else 0.0
+        young, share = self.warming.get(engine), self.share(engine)
+        if young is None or young.was_tried:
+            return max(share, self.settings.max_cold_share) if share else 0.0
         return hoped
 
-    def cooldown(self, lacking: float) -> float:
+    def retry_after_ms(self, lacking: float) -> float:
         """How long one turned away now should wait, in ms, where so many cores are lacking."""
         # Danger: by how fast the ramp grew, one that had just started, and only caught up with the others,
         # told clients to come soon. They had used up their tries before engines were warm.
-        return self.settings.cooldown if lacking > 0 else 0.0
+        return self.settings.retry_after_ms if lacking > 0 else 0.0
 
     def step(self, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
         """Weigh what engines show, and say what is due, as (member, message). Ten times a second."""
-        members = sorted(set(live) - {self.me})
-        if len(members) >= self.settings.close and now < self.stepped_at + self.settings.far - 1.0:
+        members = sorted(set(live) - {self.self_id})
+        if (
+            len(members) >= self.settings.gossip_from_members
+            and now < self.stepped_at + self.settings.gossip_interval_ms - 1.0
+        ):
             return []
         self.stepped_at = now
-        fresh = self.words.fresh(now, self.settings.fresh, members)
-        told: dict[int, list[Row]] = {}
+        fresh = self.reports.fresh(now, self.settings.max_report_age_ms, members)
+        told: dict[int, list[EngineObservation]] = {}
         for word in fresh:
-            for number, row in word.rows.items():
+            for number, row in word.engines.items():
                 told.setdefault(number, []).append(row)
-        self.wanted = {n for n, rows in told.items() if any(row.share < FREE for row in rows)}
+        self.reported_warming = {
+            n for n, rows in told.items() if any(row.share < UNLIMITED_SHARE for row in rows)
+        }
         unheard = (1 + len(members)) / (1 + len(fresh))
-        for engine, young in list(self.young.items()):
-            rows = [r for r in told.get(young.number, ()) if now - r.age >= young.not_before - WINDOW]
+        for engine, young in list(self.warming.items()):
+            rows = [r for r in told.get(young.number, ()) if now - r.age_ms >= young.not_before - WINDOW_MS]
             self._weigh(now, engine, young, rows, unheard)
         return self._tell(now, members, fresh)
 
     # --- inside ---
 
-    def _start(self, now: float, engine: str, not_before: float) -> Young:
+    def _start(self, now: float, engine: str, not_before: float) -> WarmingEngine:
         number = warmup_messages.engine_number(engine)
-        young = Young(self.engines[engine], number, self.settings.first, now, not_before, self.listed)
-        young.stepped_at = now
-        self.young[engine] = young
+        young = WarmingEngine(
+            self.engines[engine], number, self.settings.initial_share, now, not_before, self.is_listed
+        )
+        young.updated_at = now
+        self.warming[engine] = young
         return young
 
-    def _weigh(self, now: float, engine: str, young: Young, told: list[Row], unheard: float) -> None:
+    def _weigh(
+        self, now: float, engine: str, young: WarmingEngine, told: list[EngineObservation], unheard: float
+    ) -> None:
         """Its share from now on."""
         # Danger: by its own first answer alone, one that had just come held an engine for colder than others
         # did. Two must tell of such an age: one that lies would set it free.
-        ages = sorted((row.age for row in told if row.share < FREE), reverse=True)
+        ages = sorted((row.age_ms for row in told if row.share < UNLIMITED_SHARE), reverse=True)
         if len(ages) > 1:
-            young.since = min(young.since, now - ages[1])
-        own = young.seen = young.row(now)
-        if not told and not own.speed and young.proven and now - young.since <= self.settings.longest:
-            young.stepped_at = now
+            young.started_at = min(young.started_at, now - ages[1])
+        own = young.observation = young.observe(now)
+        if (
+            not told
+            and not own.speed
+            and young.has_answered
+            and now - young.started_at <= self.settings.max_duration_ms
+        ):
+            young.updated_at = now
             return
-        pooled = warmup_messages.pool([own, *told] if young.proven else told, unheard)
-        passed, young.stepped_at = now - young.stepped_at, now
-        if pooled.speed > 0 and not young.proven:
-            young.proven, young.since = True, now  # another's attempt was answered
-        if not young.proven:
+        pooled = warmup_messages.pool_observations([own, *told] if young.has_answered else told, unheard)
+        passed, young.updated_at = now - young.updated_at, now
+        if pooled.speed > 0 and not young.has_answered:
+            young.has_answered, young.started_at = True, now  # another's attempt was answered
+        if not young.has_answered:
             return
         if pooled.share is not None:
             young.share = pooled.share
-        free = pooled.share is not None and pooled.share >= FREE  # most that tell hold it for warm
-        if free or self._shows(young, pooled, passed) or now - young.since > self.settings.longest:
-            del self.young[engine]
-
-    def _shows(self, young: Young, pooled: Pooled, passed: float) -> bool:
+        free = pooled.share is not None and pooled.share >= UNLIMITED_SHARE  # most that tell hold it for warm
+        if (
+            free
+            or self._shows(young, pooled, passed)
+            or now - young.started_at > self.settings.max_duration_ms
+        ):
+            del self.warming[engine]
+
+    def _shows(self, young: WarmingEngine, pooled: PooledObservation, passed: float) -> bool:
         """Follow what it shows; true if it is warm."""
         s = self.settings
         # Danger: by the clock alone, one that stays slow is pushed over. Without an answer nothing grows.
         if pooled.speed <= 0:
             return False
-        best = max(pooled.speed, pooled.done)
-        lined = pooled.speed < s.line * pooled.done
+        best = max(pooled.speed, pooled.work_done)
+        lined = pooled.speed < s.queueing_ratio * pooled.work_done
         # Danger: set free at the first sign, one that was not warm yet got all that was held, and fell over.
-        if best >= s.free:
-            young.warm_at = min(young.warm_at, self.stepped_at)
-        elif best < s.doubt:
-            young.warm_at = math.inf
-        warm = self.stepped_at - young.warm_at >= s.sure
-        limit = min(best * (s.ease if lined else s.push), FREE if warm else s.bears)
+        if best >= s.warm_speed:
+            young.warm_since = min(young.warm_since, self.stepped_at)
+        elif best < s.doubtful_speed:
+            young.warm_since = math.inf
+        warm = self.stepped_at - young.warm_since >= s.warm_confirmation_ms
+        limit = min(
+            best * (s.drain_factor if lined else s.growth_factor),
+            UNLIMITED_SHARE if warm else s.max_cold_share,
+        )
         # Danger: by what it shows alone, one that few requests come to, or whose answers are late from a busy
         # machine, showed less than it was let have, and service never came back. So one that answers, and
         # without a line, bears what the settings say that one of its age does.
         told = self._of_age(self.stepped_at, young)
-        limit, warm = max(limit, 0.0 if lined else told), warm or told >= FREE
-        factor = 2 ** (passed / s.step)
+        limit, warm = max(limit, 0.0 if lined else told), warm or told >= UNLIMITED_SHARE
+        factor = 2 ** (passed / s.doubling_ms)
         if lined:
-            young.share = min(max(limit, young.share / factor, s.first / 2), young.share * factor)
+            young.share = min(max(limit, young.share / factor, s.initial_share / 2), young.share * factor)
         else:
             # Danger: with few answers, all of which had waited, the share fell where nothing was wrong.
             young.share = max(min(limit, young.share * factor), young.share)
-        return warm and young.share >= s.free
+        return warm and young.share >= s.warm_speed
 
-    def _of_age(self, now: float, young: Young) -> float:
+    def _of_age(self, now: float, young: WarmingEngine) -> float:
         """What the settings say that one of its age bears, if it is as old as is known."""
         s = self.settings
-        return min(s.first + (1 - s.first) * (now - young.since) / s.warm, FREE)
+        return min(
+            s.initial_share + (1 - s.initial_share) * (now - young.started_at) / s.warm_after_ms,
+            UNLIMITED_SHARE,
+        )
 
-    def _tell(self, now: float, members: list[int], fresh: list[RampWord]) -> list[tuple[int, bytes]]:
-        if not members or not self.growing and not self.wanted & self.numbers:
+    def _tell(self, now: float, members: list[int], fresh: list[WarmupReport]) -> list[tuple[int, bytes]]:
+        if not members or not self.is_growing and not self.reported_warming & self.numbers:
             return []
-        few = len(members) < self.settings.close
-        self.life, self.version = self.words.next_stamp(self.life, self.version)
-        mine = RampWord(self.me, self.life, self.version, self._rows(few))
+        few = len(members) < self.settings.gossip_from_members
+        self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
+        mine = WarmupReport(self.self_id, self.incarnation, self.version, self._rows(few))
         if few:
-            data = warmup_messages.pack_words([mine])
+            data = warmup_messages.encode_warmup_reports([mine])
             return [(member, data) for member in members]
-        passed = [h.report for h in self.words.newest() if now - h.received_at <= self.settings.fresh]
-        data = warmup_messages.pack_words([mine, *passed])
-        return [(member, data) for member in self.draw.sample(members, self.settings.fanout)]
+        passed = [
+            h.report for h in self.reports.newest() if now - h.received_at <= self.settings.max_report_age_ms
+        ]
+        data = warmup_messages.encode_warmup_reports([mine, *passed])
+        return [(member, data) for member in self.draw.sample(members, self.settings.gossip_fanout)]
 
-    def _rows(self, few: bool) -> dict[int, Row]:
+    def _rows(self, few: bool) -> dict[int, EngineObservation]:
         """What to tell: of engines with answers first, of others in turn."""
         # Danger: of many instances each has few answers. With rows that show nothing, words grew so long that
         # none was passed on.
-        rows = {y.number: y.seen for y in self.young.values() if y.proven and (few or y.seen.speed > 0)}
-        free = (self.wanted & self.numbers) - {young.number for young in self.young.values()}
-        for number in sorted(free)[:: 1 if few else max(len(free) // FREE_TOLD, 1)]:
-            rows[number] = Row(0.0, 0.0, FREE, 0.0)
-        if len(rows) <= warmup_messages.MOST_ROWS:
+        rows = {
+            y.number: y.observation
+            for y in self.warming.values()
+            if y.has_answered and (few or y.observation.speed > 0)
+        }
+        free = (self.reported_warming & self.numbers) - {young.number for young in self.warming.values()}
+        for number in sorted(free)[:: 1 if few else max(len(free) // MAX_WARM_ROWS, 1)]:
+            rows[number] = EngineObservation(0.0, 0.0, UNLIMITED_SHARE, 0.0)
+        if len(rows) <= warmup_messages.MAX_ENGINES:
             return rows
         turn = self.version * 0x9E3779B1
         ranked = sorted(rows, key=lambda n: (rows[n].speed <= 0, n + turn & 0xFFFFFFFF))
-        return {number: rows[number] for number in ranked[: warmup_messages.MOST_ROWS]}
+        return {number: rows[number] for number in ranked[: warmup_messages.MAX_ENGINES]}
 
 
 @functools.lru_cache(maxsize=4096)
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CensusSettings:
+class SurveySettings:
     """Times in ms.
 
     young: so long after its start an instance counts as just back: longer than the slowest start of a
@@ -25,22 +25,22 @@
     copy of a folder is found out if a mark was made and told after it.
     """
 
-    young: float = 60_000.0
-    wait: float = 3000.0
-    fresh: float = 5000.0
-    period: float = 200.0
-    rest: float = 1000.0
-    most: int = 64
-    lease: float = 30_000.0
-    drift: float = 0.02
-    rebind: float = 30_000.0
-    flips: int = 3
-    hold: float = 60_000.0
-    mark: float = 2000.0
-    mark_each: float = 100.0
-
-
-class Verdict(Enum):
+    recent_start_ms: float = 60_000.0
+    settle_ms: float = 3000.0
+    max_report_age_ms: float = 5000.0
+    busy_interval_ms: float = 200.0
+    idle_interval_ms: float = 1000.0
+    max_messages: int = 64
+    lease_ms: float = 30_000.0
+    clock_drift: float = 0.02
+    rebind_ms: float = 30_000.0
+    min_alternations: int = 3
+    hold_ms: float = 60_000.0
+    mark_interval_ms: float = 2000.0
+    mark_interval_per_dispatcher_ms: float = 100.0
+
+
+class OutageVerdict(Enum):
     """What was away. ALONE: this instance and no other. SOME: one or several, no whole zone of them. ZONE:
     all dispatchers of a zone or more. FLEET: more than half of the configured ones. CUT_OFF: fewer than half
     are heard, this one counted, and not more than half are known to be young."""
@@ -54,21 +54,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class View:
+class SurveyView:
     """What is known. since: start of the first that was lost, on this clock. settled: nobody is waited for
     any more. lost, heard, missing: numbers; zones: those lost whole."""
 
-    verdict: Verdict = Verdict.NOTHING
-    since: float = -math.inf
-    settled: bool = False
-    zones: frozenset[str] = frozenset()
-    lost: frozenset[int] = frozenset()
-    heard: frozenset[int] = frozenset()
+    verdict: OutageVerdict = OutageVerdict.NOTHING
+    first_start: float = -math.inf
+    is_settled: bool = False
+    lost_zones: frozenset[str] = frozenset()
+    restarted: frozenset[int] = frozenset()
+    reachable: frozenset[int] = frozenset()
     missing: frozenset[int] = frozenset()
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class SendMessage:
     """A message for a member."""
 
     member: int
@@ -76,29 +76,29 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class ViewChanged:
     """What is known has changed."""
 
-    view: View
+    view: SurveyView
 
 
 @dataclass(slots=True, frozen=True)
-class Boot:
+class RaiseBoot:
     """The boot must be raised to at least this and stored."""
 
-    least: int
+    min_boot: int
 
 
 @dataclass(slots=True, frozen=True)
-class Twice:
+class DuplicateIdentity:
     """Another process stands for this number. later: it was there first, and this one must not serve
     loads."""
 
-    later: bool
+    is_later: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Knew:
+class PeerBootLearned:
     """A hint to store: the highest boot and base known of a number."""
 
     number: int
@@ -107,19 +107,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Whole:
+class StoreBase:
     """To be stored as the folder's base: the boot and the mark up to which its loads are whole; 0: they are
     not. Danger: an empty or old folder that is started twice would be taken for whole."""
 
     base: int
 
 
-Action = Say | Changed | Boot | Twice | Knew | Whole
+Action = SendMessage | ViewChanged | RaiseBoot | DuplicateIdentity | PeerBootLearned | StoreBase
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class ProvenSilence:
     """No load was sent by it between these two moments; what holds after `as_of` is not known yet."""
 
-    sent_before: float
-    as_of: float
+    nothing_sent_after: float
+    valid_until: float
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -19,42 +19,42 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
-from cottonhold.fleet.zone_failover.evacuation import lower_middle
+from cottonhold.fleet.zone_failover.evacuation import lower_median
 
-RAMP = 16  # the kind of message
+WARMUP_REPORTS = 16  # the kind of message
 HEAD = struct.Struct("!QIIB")
 ROW = struct.Struct("!IBBBB")
-WINDOW = 600.0  # ms of answers that a row tells of
-SCALE = 170.0  # steps of a speed of one on the wire, so that 1.5 can be told
-DONE = 1000.0  # steps of work done: its square root is told, since one of many does little
-FREE = 1.0  # a share that bounds nothing
-AGE = 100.0  # ms of a step of age
-MOST_ROWS = (MAX_MESSAGE_BYTES - 2 - HEAD.size) // ROW.size
+WINDOW_MS = 600.0  # ms of answers that a row tells of
+SPEED_STEPS = 170.0  # steps of a speed of one on the wire, so that 1.5 can be told
+WORK_STEPS = 1000.0  # steps of work done: its square root is told, since one of many does little
+UNLIMITED_SHARE = 1.0  # a share that bounds nothing
+AGE_STEP_MS = 100.0  # ms of a step of age
+MAX_ENGINES = (MAX_MESSAGE_BYTES - 2 - HEAD.size) // ROW.size
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class EngineObservation:
     """What one instance saw of one engine. No speed: it had no answer within the window."""
 
     speed: float
-    done: float
+    work_done: float
     share: float
-    age: float
+    age_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class RampWord:
+class WarmupReport:
     """All that one instance tells of engines that are not warm, by their numbers."""
 
     member: int
-    life: int
+    incarnation: int
     version: int
-    rows: dict[int, Row]
+    engines: dict[int, EngineObservation]
 
     @property
     def stamp(self) -> tuple[int, int]:
         """What decides which of two words of one member is newer."""
-        return self.life, self.version
+        return self.incarnation, self.version
 
 
 def engine_number(engine: str) -> int:
@@ -62,45 +62,47 @@
     return zlib.crc32(engine.encode())
 
 
-def pack_words(words: Iterable[RampWord]) -> bytes:
+def encode_warmup_reports(words: Iterable[WarmupReport]) -> bytes:
     """A message with as many of these words as fit, first ones first."""
     parts, left = list[bytes](), MAX_MESSAGE_BYTES - 2
     for word in words:
-        size = HEAD.size + len(word.rows) * ROW.size
+        size = HEAD.size + len(word.engines) * ROW.size
         if size > left:
             break
         rows = [
             ROW.pack(
                 number,
-                min(math.ceil(row.speed * SCALE), 255),
-                min(round(math.sqrt(max(row.done, 0.0) * DONE) * 5), 255),
+                min(math.ceil(row.speed * SPEED_STEPS), 255),
+                min(round(math.sqrt(max(row.work_done, 0.0) * WORK_STEPS) * 5), 255),
                 min(round(row.share * 255), 255),
-                min(int(row.age / AGE), 255),
+                min(int(row.age_ms / AGE_STEP_MS), 255),
             )
-            for number, row in word.rows.items()
+            for number, row in word.engines.items()
         ]
-        parts.append(HEAD.pack(word.member, word.life, word.version, len(rows)) + b"".join(rows))
+        parts.append(HEAD.pack(word.member, word.incarnation, word.version, len(rows)) + b"".join(rows))
         left -= size
-    return bytes((RAMP, len(parts))) + b"".join(parts)
+    return bytes((WARMUP_REPORTS, len(parts))) + b"".join(parts)
 
 
-def read_words(data: bytes) -> list[RampWord]:
+def decode_warmup_reports(data: bytes) -> list[WarmupReport]:
     """The words of a message. Raises MessageError; then none of them counts."""
-    if len(data) < 2 or data[0] != RAMP:
+    if len(data) < 2 or data[0] != WARMUP_REPORTS:
         raise MessageError("no ramp")
     words, at = [], 2
     try:
         for _ in range(data[1]):
             member, life, version, count = HEAD.unpack_from(data, at)
             at += HEAD.size
-            if not member or count > MOST_ROWS:
+            if not member or count > MAX_ENGINES:
                 raise MessageError("member or rows")
             rows = {}
             for _ in range(count):
                 number, speed, done, share, age = ROW.unpack_from(data, at)
                 at += ROW.size
-                rows[number] = Row(speed / SCALE, (done / 5) ** 2 / DONE, share / 255, age * AGE)
-            words.append(RampWord(member, life, version, rows))
+                rows[number] = EngineObservation(
+                    speed / SPEED_STEPS, (done / 5) ** 2 / WORK_STEPS, share / 255, age * AGE_STEP_MS
+                )
+            words.append(WarmupReport(member, life, version, rows))
     except struct.error:
         raise MessageError("truncated") from None
     if at != len(data):
@@ -109,16 +111,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pooled:
+class PooledObservation:
     """What all that are heard of saw of an engine: its speed, the work done, and the share they would give.
     No share: too few tell."""
 
     speed: float
-    done: float
+    work_done: float
     share: float | None
 
 
-def upper(values: Sequence[float]) -> float:
+def upper_quartile(values: Sequence[float]) -> float:
     """The upper quarter's lowest value.
 
     Danger: by the middle, engines under full load, where most answers waited, looked slow; by the highest,
@@ -127,14 +129,16 @@
     return sorted(values)[math.ceil(0.75 * len(values)) - 1]
 
 
-def pool(rows: Sequence[Row], unheard: float, quorum: int = 3) -> Pooled:
+def pool_observations(
+    rows: Sequence[EngineObservation], unheard: float, quorum: int = 3
+) -> PooledObservation:
     """Rows of one engine taken together. unheard: so many times as many are there as were heard."""
     seen = [row for row in rows if row.speed > 0]
-    done = [row.done for row in seen]
+    done = [row.work_done for row in seen]
     # Danger: one that claims to have done what the whole engine could would lift the ramp for all.
-    most = 3 * lower_middle(done) if len(done) > 2 else math.inf
-    share = lower_middle([row.share for row in rows]) if len(rows) >= quorum else None
+    most = 3 * lower_median(done) if len(done) > 2 else math.inf
+    share = lower_median([row.share for row in rows]) if len(rows) >= quorum else None
     speeds = sorted(row.speed for row in seen)
     # Danger: of several tellers one that lies must not be the one that counts.
-    speed = upper(speeds[:-1] if len(speeds) > 2 else speeds) if speeds else 0.0
-    return Pooled(speed, sum(min(d, most) for d in done) * unheard, share)
+    speed = upper_quartile(speeds[:-1] if len(speeds) > 2 else speeds) if speeds else 0.0
+    return PooledObservation(speed, sum(min(d, most) for d in done) * unheard, share)
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -25,7 +25,7 @@
 from functools import lru_cache
 
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.zone_failover.operator_overrides import cut
+from cottonhold.fleet.zone_failover.operator_overrides import truncate_utf8
 from cottonhold.membership.codec import MOST_NAME, member_id
 
 WHOLE = struct.Struct("!BBIIIQBB")
@@ -293,7 +293,7 @@
             life=machine.life & 0xFFFFFFFF,
             new=item.new or item.machine,
             next=after,
-            who=cut(request.who, MOST_WHO),
+            who=truncate_utf8(request.who, MOST_WHO),
         )
     return records
 
@@ -311,7 +311,7 @@
         first=first,
         most_out=most,
         zones=min(zones, 255),
-        who=cut(request.who, MOST_WHO),
+        who=truncate_utf8(request.who, MOST_WHO),
     )
 
 
--- a/cottonhold/fleet/zone_failover/messages.py
+++ b/cottonhold/fleet/zone_failover/messages.py
@@ -87,7 +87,7 @@
     return zlib.crc32(name.encode()) & 0xFFFF
 
 
-def encode_report(report: MemberReport) -> bytes:
+def encode_zone_report(report: MemberReport) -> bytes:
     """A report's bytes."""
     header = REPORT_HEADER.pack(
         report.member,
@@ -106,20 +106,20 @@
     return ZONE_ENTRY.pack(number, bits, *counts, round(zone.traffic_share * SHARE_STEPS))
 
 
-def encode_reports(reports: Iterable[MemberReport], max_bytes: int) -> bytes:
+def encode_zone_reports(reports: Iterable[MemberReport], max_bytes: int) -> bytes:
     """A message with as many of these reports as fit, first ones first."""
     parts, remaining = list[bytes](), max_bytes - 2
     for report in reports:
         size = REPORT_HEADER.size + len(report.zones) * ZONE_ENTRY.size
         if size <= remaining and len(parts) < MAX_REPORTS:
-            parts.append(encode_report(report))
+            parts.append(encode_zone_report(report))
             remaining -= size
         elif remaining < REPORT_HEADER.size + ZONE_ENTRY.size:
             break
     return bytes((ZONE_REPORTS, len(parts))) + b"".join(parts)
 
 
-def decode_reports(data: bytes) -> list[MemberReport]:
+def decode_zone_reports(data: bytes) -> list[MemberReport]:
     """The reports of a message. Raises MessageError; then none of them is applied."""
     if len(data) < 2 or data[0] != ZONE_REPORTS:
         raise MessageError("no zone reports")
--- a/cottonhold/fleet/zone_failover/operator_overrides.py
+++ b/cottonhold/fleet/zone_failover/operator_overrides.py
@@ -20,28 +20,35 @@
 
 ORDER = struct.Struct("!HBIQI")
 MOST_WHO, MOST_WHY = 24, 80  # bytes
-MOST_ORDERS = 16
+MAX_OVERRIDES = 16
 
 
-class Mode(IntEnum):
+class OverrideMode(IntEnum):
     """What is ordered."""
 
-    LEAVE = 1
+    EVACUATE = 1
     RETURN = 2  # back by hand: evidence against it is passed over until the end
-    FREE = 3  # the order before is taken back
+    CLEAR = 3  # the order before is taken back
+
+
+MODE_NAMES = {
+    OverrideMode.EVACUATE: "leave",
+    OverrideMode.RETURN: "return",
+    OverrideMode.CLEAR: "free",
+}  # as operators know them
 
 
 @dataclass(slots=True, frozen=True)
-class Order:
+class Override:
     """An order on a zone. `until`: on this instance's clock."""
 
     zone: int
-    mode: Mode
+    mode: OverrideMode
     serial: int
     author: int
-    until: float
-    who: str
-    why: str
+    expires_at: float
+    requested_by: str
+    reason: str
 
     @property
     def stamp(self) -> tuple[int, int]:
@@ -49,25 +56,30 @@
         return self.serial, self.author
 
 
-def cut(text: str, most: int) -> str:
+def truncate_utf8(text: str, most: int) -> str:
     """So much of a text as has at most so many bytes."""
     return text.encode()[:most].decode(errors="ignore")
 
 
-def pack_orders(now: float, orders: Iterable[Order], room: int) -> bytes:
+def encode_overrides(now: float, orders: Iterable[Override], room: int) -> bytes:
     """A message with as many of these orders as fit."""
     parts, left = list[bytes](), room - 2
     for o in orders:
-        who, why = cut(o.who, MOST_WHO).encode(), cut(o.why, MOST_WHY).encode()
-        head = ORDER.pack(o.zone, o.mode, o.serial, o.author, min(max(int(o.until - now), 0), 0xFFFFFFFF))
+        who, why = (
+            truncate_utf8(o.requested_by, MOST_WHO).encode(),
+            truncate_utf8(o.reason, MOST_WHY).encode(),
+        )
+        head = ORDER.pack(
+            o.zone, o.mode, o.serial, o.author, min(max(int(o.expires_at - now), 0), 0xFFFFFFFF)
+        )
         part = head + bytes([len(who)]) + who + bytes([len(why)]) + why
-        if len(part) <= left and len(parts) < MOST_ORDERS:
+        if len(part) <= left and len(parts) < MAX_OVERRIDES:
             parts.append(part)
             left -= len(part)
     return bytes((OVERRIDES, len(parts))) + b"".join(parts)
 
 
-def read_orders(now: float, data: bytes) -> list[Order]:
+def decode_overrides(now: float, data: bytes) -> list[Override]:
     """The orders of a message. Raises MessageError."""
     found, at = [], 2
     try:
@@ -81,7 +93,7 @@
                     raise MessageError("text")
                 texts.append(data[at + 1 : at + 1 + size].decode())
                 at += 1 + size
-            found.append(Order(zone, Mode(mode), serial, author, now + left, *texts))
+            found.append(Override(zone, OverrideMode(mode), serial, author, now + left, *texts))
     except (struct.error, IndexError, ValueError):
         raise MessageError("order") from None
     if at != len(data):
@@ -89,35 +101,47 @@
     return found
 
 
-class Orders:
+class Overrides:
     """The newest order on each zone."""
 
     def __init__(self, me: int) -> None:
-        self.me = me
-        self.known: dict[int, Order] = {}
+        self.self_id = me
+        self.known: dict[int, Override] = {}
 
-    def give(self, zone: int, mode: Mode, until: float, who: str, why: str) -> Order:
+    def issue(self, zone: int, mode: OverrideMode, until: float, who: str, why: str) -> Override:
         """A new order of this instance."""
         before = self.known.get(zone)
         serial = (before.serial if before else 0) + 1
-        order = Order(zone, mode, serial, self.me, until, cut(who, MOST_WHO), cut(why, MOST_WHY))
+        order = Override(
+            zone,
+            mode,
+            serial,
+            self.self_id,
+            until,
+            truncate_utf8(who, MOST_WHO),
+            truncate_utf8(why, MOST_WHY),
+        )
         self.known[zone] = order
         return order
 
-    def take(self, order: Order) -> bool:
+    def apply(self, order: Override) -> bool:
         """Merge an order; true if it was news."""
         before = self.known.get(order.zone)
         if before is not None and order.stamp <= before.stamp:
             return False
-        if len(self.known) >= MOST_ORDERS and before is None:
+        if len(self.known) >= MAX_OVERRIDES and before is None:
             return False
         self.known[order.zone] = order
         return True
 
-    def on(self, now: float, zone: int) -> Order | None:
+    def in_force(self, now: float, zone: int) -> Override | None:
         """The order in force on a zone."""
         order = self.known.get(zone)
-        return order if order is not None and order.mode is not Mode.FREE and now < order.until else None
+        return (
+            order
+            if order is not None and order.mode is not OverrideMode.CLEAR and now < order.expires_at
+            else None
+        )
 
     def digest(self) -> int:
         """Equal where the same orders are known."""
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -9,13 +9,13 @@
 from cottonhold.backend.connection_pool import Engines
 from cottonhold.discovery.model import Change
 from cottonhold.discovery.quarantine import Held
-from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import DRAINS, Drains, DrainSettings, Kept, Knock, Settled, Tell, fresh
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.coordinator import Swap
 from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Record, Step
 from cottonhold.fleet_adapters.membership import MembershipRim
-from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, life_of
+from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, incarnation_of
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.node.dispatcher import Logs
@@ -47,7 +47,7 @@
         owner: Listed,
         ledger: Ledger,
         membership: MembershipRim,
-        fleet: Fleet,
+        fleet: FleetCoordinator,
         voters: Iterable[str],
         hop: Callable[[Callable[[], None]], object],
     ) -> None:
@@ -56,7 +56,7 @@
         self.swim, self.clock = membership.instance.swim, membership.clock
         swim, self.voters = self.swim, {member_id(name) for name in voters}
         now, settings = self.clock.now(), DrainSettings()
-        self.drains = Drains(swim.id, life_of(ledger), now, settings, self.voters)
+        self.drains = Drains(swim.id, incarnation_of(ledger), now, settings, self.voters)
         self.settled = Settled(now, settings)
         self.kept = Kept(ledger.records(Kind.DRAIN))
         self.writing: dict[str, Record] = {}  # drains that the disk doesn't have yet
@@ -83,8 +83,8 @@
 
     def tell(self, now: float, swap: Swap) -> None:
         """What is open at engines that are swapped, and how far new ones are."""
-        ramp = self.fleet.ramp
-        for zone in swap.scene.zones.keys() - self.fleet.zones.states.keys():
+        ramp = self.fleet.slow_start
+        for zone in swap.scene.zones.keys() - self.fleet.evacuation.states.keys():
             swap.zone(now, zone, "")  # its last engine is held: nothing is told of its trouble any more
         for name, record in _engines(swap).items():
             swap.open_left(now, name, self.drains.open(now, name, record.serial))
@@ -107,7 +107,7 @@
     def step(self, now: float, swap: Swap) -> None:
         """Tell drivers, and ask engines that are out."""
         drains, live = self.drains, set(self.swim.live())
-        drains.life = life_of(self.ledger)
+        drains.life = incarnation_of(self.ledger)
         lives = {id: _life(m.incarnation) for id, m in self.swim.members.items() if id in live}
         drains.members(now, lives)
         self._settle(now, swap, live)
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, replace
 
 from cottonhold.backend.connection_pool import Attempt
-from cottonhold.fleet.recovery.load_history import Action, How, Known, LoadKept, Memory, Settled, identity
+from cottonhold.fleet.recovery.load_history import Action, LoadHistory, LoadSettled
+from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
@@ -20,30 +21,34 @@
 from cottonhold.store.records import Kind, LoadRecord, LoadState, Record, forget_loads, loads
 
 NEVER_RAN = (None, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)  # what proves that it never ran
-STATES = {How.WELL: LoadState.WELL, How.FAILED: LoadState.FAILED, How.NEVER: LoadState.NEVER}
+STATES = {
+    LoadResult.SUCCEEDED: LoadState.WELL,
+    LoadResult.FAILED: LoadState.FAILED,
+    LoadResult.NEVER_RAN: LoadState.NEVER,
+}
 ENDS = {
     LoadState.SENT: None,
-    LoadState.WELL: How.WELL,
-    LoadState.FAILED: How.FAILED,
-    LoadState.NEVER: How.NEVER,
+    LoadState.WELL: LoadResult.SUCCEEDED,
+    LoadState.FAILED: LoadResult.FAILED,
+    LoadState.NEVER: LoadResult.NEVER_RAN,
 }
 FORGET_MS = 1000.0
 
 
-def guarded(settings: io.Settings) -> frozenset[int]:
+def guarded_class_indices(settings: io.Settings) -> frozenset[int]:
     """The classes whose requests are remembered: loads, and all that must not run twice."""
     places = enumerate(settings.classes)
     return frozenset(i for i, c in places if c.loads or c.effect is io.Effect.UNSAFE)
 
 
-def kept_loads(folder: Mapping[bytes, bytes]) -> tuple[list[LoadKept], dict[bytes, LoadRecord]]:
+def recorded_loads(folder: Mapping[bytes, bytes]) -> tuple[list[RecordedLoad], dict[bytes, LoadRecord]]:
     """What the folder remembers of loads; one that can't be read may have run."""
     found = loads(folder)
-    known = [LoadKept(load, ENDS.get(record.state)) for load, record in found.known.items()]
-    return [*known, *(LoadKept(load) for load in found.unread)], dict(found.known)
+    known = [RecordedLoad(load, ENDS.get(record.state)) for load, record in found.known.items()]
+    return [*known, *(RecordedLoad(load) for load in found.unread)], dict(found.known)
 
 
-class Unkept:
+class UnavailableLoadGuard:
     """The guard while there is no ledger: its folder is another process's still, or its disk fails. No load
     goes out, all else does."""
 
@@ -51,7 +56,7 @@
         self,
         classes: Mapping[int, bool],
         cooldown: float,
-        memory: Memory,
+        memory: LoadHistory,
         now: Callable[[], float],
         counters: Counters,
     ) -> None:
@@ -65,15 +70,17 @@
     def came(self, taken: Taken, until: float, settled: Tell) -> None:
         """Told at once: to come later, or what is known of a retry."""
         self.counters.add("loads_unkept")
-        known, now = Known.LATER, self.now()
+        known, now = LoadKnowledge.NOT_KNOWN_YET, self.now()
         if taken.retry:
             # Danger: told to come later for as long as the folder could not be had, a client came back after
             # whoever had sent its load had forgotten it, and it ran again.
-            known = self.memory.later(now, identity(taken.service, taken.key or "", taken.body))
+            known = self.memory.answer_unavailable(
+                now, load_identity(taken.service, taken.key or "", taken.body)
+            )
         settled(_past(known, self.classes[taken.query_class]), self.cooldown)
         if now - self.forgotten_at >= FORGET_MS:
             self.forgotten_at = now
-            self.memory.own.forget(now, ())
+            self.memory.local.expire(now, ())
 
     def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
         """One that was taken under another ledger."""
@@ -87,17 +94,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class Run:
+class LoadRun:
     """A request's load, from its first attempt to its end."""
 
     load: bytes
-    open: bool = False  # the memory has it in flight
-    out: bool = False  # an attempt is on its way
-    closed: bool = False  # the request is over
+    is_begun: bool = False  # the memory has it in flight
+    is_attempt_in_flight: bool = False  # an attempt is on its way
+    is_closed: bool = False  # the request is over
 
 
 @dataclass(slots=True, eq=False)
-class Waiter:
+class QueuedRequest:
     """A load that came behind a retry of its key which is still asked about."""
 
     taken: Taken
@@ -105,12 +112,12 @@
     settled: Tell
 
 
-class Loads:
+class LoadRecorder:
     """The gateway's guard: see gateway.LoadGuard."""
 
     def __init__(
         self,
-        memory: Memory,
+        memory: LoadHistory,
         ledger: Ledger,
         records: dict[bytes, LoadRecord],
         classes: Mapping[int, bool],
@@ -128,9 +135,11 @@
         self.hold, self.now, self.clock_ms, self.call_in, self.hop = hold, now, clock_ms, call_in, hop
         self.may_send, self.carry_out, self.counters, self.note = may_send, carry_out, counters, note
         self.started, self.forgotten_at = now(), now()
-        self.runs: dict[str, Run] = {}
+        self.runs: dict[str, LoadRun] = {}
         self.waiting: dict[str, tuple[Tell, bool]] = {}  # who asked, and whether a good end may be said
-        self.lines: dict[str, deque[Waiter]] = {}  # by key: who came behind a retry that is asked about
+        self.lines: dict[
+            str, deque[QueuedRequest]
+        ] = {}  # by key: who came behind a retry that is asked about
         self.heads: dict[str, str] = {}  # ref of such a retry -> its key
         self.state = State.WELL
 
@@ -146,13 +155,17 @@
         if unkept or unheard and not taken.retry:
             self.counters.add("loads_unkept" if unkept else "loads_unheard")
             # Danger: told to come later without being noted, a client came back after its load was forgotten.
-            known = self.memory.later(self.now(), self._identity(taken)) if taken.retry else Known.LATER
-            settled(_past(known, self.classes[taken.query_class]), self.memory.settings.cooldown)
+            known = (
+                self.memory.answer_unavailable(self.now(), self._identity(taken))
+                if taken.retry
+                else LoadKnowledge.NOT_KNOWN_YET
+            )
+            settled(_past(known, self.classes[taken.query_class]), self.memory.settings.retry_after_ms)
             return
         if taken.key is not None and taken.key in self.lines:
             # Danger: what came behind a retry that was still asked about went out before it, out of its
             # key's order.
-            waiter = Waiter(taken, until, settled)
+            waiter = QueuedRequest(taken, until, settled)
             self.lines[taken.key].append(waiter)
             self.call_in(max(until - self.now(), 0.0), lambda: self._too_late(waiter))
         else:
@@ -166,21 +179,21 @@
         self.counters.add("loads_asked")
         load, said = self._identity(taken), self.classes[taken.query_class]
         self.waiting[taken.ref] = settled, said
-        known = self.memory.ask(self.now(), taken.ref, load, until)
+        known = self.memory.on_retry(self.now(), taken.ref, load, until)
         if known is not None:
-            self._tell(taken.ref, known, self.memory.settings.cooldown)
+            self._tell(taken.ref, known, self.memory.settings.retry_after_ms)
             return
         if taken.key is not None:
             self.heads[taken.ref] = taken.key
             self.lines[taken.key] = deque()
         self.carry_out(())
 
-    def _too_late(self, waiter: Waiter) -> None:
+    def _too_late(self, waiter: QueuedRequest) -> None:
         """One whose time ran out behind another."""
         line = self.lines.get(waiter.taken.key or "", deque())
         if waiter in line:
             line.remove(waiter)
-            waiter.settled(Past.LATER, self.memory.settings.cooldown)
+            waiter.settled(Past.LATER, self.memory.settings.retry_after_ms)
 
     def _go_on(self, ref: str) -> None:
         """A retry is no longer asked about: those behind it come next, up to the next such one."""
@@ -196,18 +209,18 @@
     def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
         """Remember it, and say so once the disk has it."""
         now = self.now()
-        run = self.runs.setdefault(taken.ref, Run(self._identity(taken)))
-        if not run.open:
+        run = self.runs.setdefault(taken.ref, LoadRun(self._identity(taken)))
+        if not run.is_begun:
             # Danger: told to the memory only once durable, another instance that asks meanwhile would hear
             # 'never' of a load that is about to go out. So it counts as sent from here on.
             if run.load in self.memory.granted and taken.retry:
-                self.memory.sent(now, run.load)
-            elif not self.memory.take(now, run.load):
+                self.memory.on_sent(now, run.load)
+            elif not self.memory.begin(now, run.load):
                 self.counters.add("loads_asked_elsewhere")
                 kept(False)
                 return
-            run.open = True
-        run.out = True
+            run.is_begun = True
+        run.is_attempt_in_flight = True
         record = LoadRecord(
             load=run.load,
             ref=taken.ref,
@@ -230,48 +243,50 @@
         run = self.runs.get(attempt.query)
         if run is None:
             return
-        run.out = False
+        run.is_attempt_in_flight = False
         if outcome not in NEVER_RAN:
-            self._finish(attempt.query, run, How.WELL if outcome is Outcome.OK else How.FAILED)
-        elif run.closed:
-            self._finish(attempt.query, run, How.NEVER)
+            self._finish(
+                attempt.query, run, LoadResult.SUCCEEDED if outcome is Outcome.OK else LoadResult.FAILED
+            )
+        elif run.is_closed:
+            self._finish(attempt.query, run, LoadResult.NEVER_RAN)
 
     def closed(self, ref: str) -> None:
         """A request is over for its client."""
         self.waiting.pop(ref, None)
-        self.memory.drop(self.now(), ref)
+        self.memory.cancel(self.now(), ref)
         self._go_on(ref)
         run = self.runs.get(ref)
-        if run is not None and run.out:
-            run.closed = True
+        if run is not None and run.is_attempt_in_flight:
+            run.is_closed = True
         elif run is not None:
-            self._finish(ref, run, How.NEVER)
+            self._finish(ref, run, LoadResult.NEVER_RAN)
 
     # --- inside ---
 
     def _identity(self, taken: Taken) -> bytes:
-        return identity(taken.service, taken.key or "", taken.body)
+        return load_identity(taken.service, taken.key or "", taken.body)
 
-    def _finish(self, ref: str, run: Run, how: How) -> None:
+    def _finish(self, ref: str, run: LoadRun, how: LoadResult) -> None:
         del self.runs[ref]
-        if not run.open:
+        if not run.is_begun:
             return
         now = self.now()
-        self.memory.ended(now, run.load, how)
-        record, entry = self.records.get(run.load), self.memory.own.entries.get(run.load)
+        self.memory.on_ended(now, run.load, how)
+        record, entry = self.records.get(run.load), self.memory.local.entries.get(run.load)
         # Danger: two requests may be one load; a good end of the one must not hide that the other still runs.
-        if record is not None and (entry is None or not entry.open):
+        if record is not None and (entry is None or not entry.open_runs):
             self.records[run.load] = ended = replace(record, state=STATES[how], ended_ms=now)
             self.ledger.put([ended.record()])
 
-    def settled(self, action: Settled) -> None:
+    def on_settled(self, action: LoadSettled) -> None:
         """The memory knows what became of a load that was asked about."""
-        self._tell(action.ref, action.known, action.cooldown)
+        self._tell(action.request_id, action.knowledge, action.retry_after_ms)
 
-    def _tell(self, ref: str, known: Known, cooldown: float) -> None:
+    def _tell(self, ref: str, known: LoadKnowledge, cooldown: float) -> None:
         tell, said = self.waiting.pop(ref, (None, False))
         if tell is None:
-            self.memory.drop(self.now(), ref)
+            self.memory.cancel(self.now(), ref)
             return
         tell(_past(known, said), cooldown)
         self._go_on(ref)
@@ -285,7 +300,7 @@
             self.note("disk", state=health.state.value, why=health.reason)
         return self.state
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Once a second: what can't be asked about any more goes from the disk too."""
         now = self.now()
         if now - self.forgotten_at < FORGET_MS:
@@ -303,7 +318,7 @@
         if found.early:
             self.counters.add("loads_forgotten_early", found.early)
         # What the memory still holds may yet be asked about, also after a power loss.
-        keys = [key for key in found.keys if found.early or key not in self.memory.own.entries]
+        keys = [key for key in found.keys if found.early or key not in self.memory.local.entries]
         if keys and self.state is State.WELL:
             gone = {key: self.records.pop(key) for key in keys}
 
@@ -319,7 +334,11 @@
         self.records = {**gone, **self.records}
 
 
-def _past(known: Known, said: bool) -> Past:
+def _past(known: LoadKnowledge, said: bool) -> Past:
     """What the gateway is told; said: a good end may be said."""
-    past = {Known.NEVER: Past.NEVER, Known.MAY: Past.MAY, Known.LATER: Past.LATER}.get(known)
+    past = {
+        LoadKnowledge.NEVER_SENT: Past.NEVER,
+        LoadKnowledge.MAY_HAVE_RUN: Past.MAY,
+        LoadKnowledge.NOT_KNOWN_YET: Past.LATER,
+    }.get(known)
     return past or (Past.WELL if said else Past.MAY)
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -14,8 +14,9 @@
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.consensus import register
 from cottonhold.fleet.consensus.register import Registers
-from cottonhold.fleet.coordinator import Fleet
-from cottonhold.fleet.recovery.membership_survey import Census, Verdict
+from cottonhold.fleet.coordinator import FleetCoordinator
+from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
+from cottonhold.fleet.recovery.survey_results import OutageVerdict
 from cottonhold.fleet.rolling_replacement import step_decision as steps_of
 from cottonhold.fleet.rolling_replacement.coordinator import Swap
 from cottonhold.fleet.rolling_replacement.machine_driver import SwapSettings
@@ -36,7 +37,7 @@
 FIRST, LAST = 64, 79  # kinds of message
 LEAST_MS, MOST_MS = 5.0, 250.0
 ENDS = {register.How.WON: True, register.How.LOST: False, register.How.UNKNOWN: None}
-UNREST = (Verdict.FLEET, Verdict.ZONE, Verdict.CUT_OFF)
+UNREST = (OutageVerdict.FLEET, OutageVerdict.ZONE, OutageVerdict.CUT_OFF)
 
 
 class PinsHere(Protocol):
@@ -70,8 +71,8 @@
         installation: Installation,
         ledger: Ledger,
         swim: Swim,
-        fleet: Fleet,
-        census: Census,
+        fleet: FleetCoordinator,
+        census: MembershipSurvey,
         lifecycle: Lifecycle,
         clock: Clock,
         hop: Callable[[Callable[[], None]], object],
@@ -99,7 +100,7 @@
             secrets.randbits(63),
             {key.decode(): value for key, value in kept.items()},
         )
-        bearable = fleet.outlook.bearable if fleet.outlook is not None else None
+        bearable = fleet.failover_cost.removal_objections if fleet.failover_cost is not None else None
         self.swap = Swap(file.name, now, SwapSettings(len(self.voters)), secrets.randbits(63), bearable)
         self.answers: list[dict[str, str]] = []
         self.ready: dict[str, int] = {}
@@ -184,28 +185,32 @@
     def _tell(self, now: float) -> None:
         """What this instance sees."""
         swap, live = self.swap, set(self.swim.live())
-        there = [self._machine(self.name, self.swim.id, self.census.me, self.census.life)]
+        there = [self._machine(self.name, self.swim.id, self.census.number, self.census.incarnation)]
         there[0] = replace(there[0], votes=self.registers.votes())
         for member in self.swim.members.values():
             number = self.census.number_of(member.id)
             if member.id in live and number is not None:
-                there.append(self._machine(member.name, member.id, number, self.census.life_of(number)))
+                there.append(
+                    self._machine(member.name, member.id, number, self.census.incarnation_of(number))
+                )
         swap.present(now, [*self.drains.machines(now, swap), *there])
         self.drains.tell(now, swap)
         swap.open_left(now, self.name, self.open_requests())
         swap.pins_left(now, self.name, self.pins.left_here() if self.pins is not None else 0)
         for machine, count in (self.pins.left_there() if self.pins is not None else {}).items():
             swap.pins_left(now, machine, count)
-        for zone, state in self.fleet.zones.states.items():
-            swap.zone(now, zone, "" if state.phase is Phase.IN else f"is {state.phase.value}")
-        loads = self.fleet.loads
-        shed = loads is not None and loads.price is not None and loads.price.step > 0
+        for zone, state in self.fleet.evacuation.states.items():
+            swap.zone(now, zone, "" if state.phase is Phase.IN_SERVICE else f"is {state.phase.value}")
+        loads = self.fleet.demand
+        shed = loads is not None and loads.threshold is not None and loads.threshold.step > 0
         # Danger: told as anything else than "sheds", an engine that drains held up its own swap for good:
         # requests were turned away for want of it.
         swap.fleet(now, "sheds", "the fleet turns requests away" if shed else "")
         verdict = self.census.view.verdict
-        ramping = self.fleet.ramp is not None and self.fleet.ramp.active
-        unrest = verdict in UNREST and (ramping or not self.census.view.settled or verdict is Verdict.CUT_OFF)
+        ramping = self.fleet.slow_start is not None and self.fleet.slow_start.is_active
+        unrest = verdict in UNREST and (
+            ramping or not self.census.view.is_settled or verdict is OutageVerdict.CUT_OFF
+        )
         swap.fleet(now, "recovery", f"the fleet recovers: {verdict.value}" if unrest else "")
 
     def _machine(self, name: str, member: int, number: int, life: int) -> Machine:
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -13,9 +13,9 @@
 from cottonhold.backend.resp import Rows
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.consensus.messages import Keep, Say
-from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.recovery.membership_survey import Census
+from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet.request_forwarding import forwarder
 from cottonhold.fleet.request_forwarding.forwarder import End, HandOn, HandSettings
@@ -29,7 +29,7 @@
 from cottonhold.fleet.session_affinity.record_book import GAPS_MS
 from cottonhold.fleet.session_affinity.service import Action, Around, Going, PinService
 from cottonhold.fleet_adapters.keyed_loads import WAITS_MS, Pinned
-from cottonhold.fleet_adapters.recovery import life_of
+from cottonhold.fleet_adapters.recovery import incarnation_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
@@ -76,8 +76,8 @@
         installation: Installation,
         ledger: Ledger,
         swim: Swim,
-        fleet: Fleet,
-        census: Census,
+        fleet: FleetCoordinator,
+        census: MembershipSurvey,
         swap: SwapRim,
         loads: LoadGuard,
         gateway: Gateway,
@@ -95,7 +95,7 @@
         kept = {key.decode(): value for key, value in ledger.records(Kind.PIN).items()}
         self.service = PinService(swim.id, swap.voters, now, secrets.randbits(30), kept)
         self.me, self.back = swim.id, self.service.settings.back
-        life = life_of(ledger) & U32 or 1
+        life = incarnation_of(ledger) & U32 or 1
         self.handing = HandOn(swim.id, life, HandSettings(), secrets.randbits(30))
         self.guard = Pinned(loads, self, gateway, clock, counters)
         self.guests: dict[tuple[int, int], tuple[Request, HandedClient]] = {}
@@ -267,9 +267,9 @@
         chain = self.swap.swap.scene.chain
         going = {ident(name) for name, record in chain.items() if record.step in ON_WAY}
         there = [m for m in self.swim.live() if m != self.swim.id and m not in going]
-        outlook = self.fleet.outlook
+        outlook = self.fleet.failover_cost
         # Danger: asked for the loss of no zone, which is never projected, the outlook had no say in this.
-        left = outlook.plan.room if outlook is not None and outlook.plan is not None else {}
+        left = outlook.plan.free_cores if outlook is not None and outlook.plan is not None else {}
         zones = {member: self._zone(member) for member in there}
         count = Counter(zones.values())
         found = {member: left.get(zone, 0.0) / count[zone] for member, zone in zones.items()}
@@ -303,9 +303,9 @@
 
     def _whole(self) -> bool | None:
         """Whether the folder is the one this number last had, as far as others bear it out."""
-        if self.census.memory is not MemoryState.KEPT:
+        if self.census.memory is not MemoryState.INTACT:
             return False
-        return True if self.census.confirmed() or self.service.around.whole else None
+        return True if self.census.has_confirmed_memory() or self.service.around.whole else None
 
     def _going(self, record: Swapped | None) -> Going:
         return GOING.get(record.step, Going.STAYS) if record is not None else Going.STAYS
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -19,19 +19,25 @@
 from cottonhold.discovery.consul.watch import Watch
 from cottonhold.discovery.model import Address, Change, Event, Publish
 from cottonhold.discovery.quarantine import Held
-from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import DrainSettings, Kept
-from cottonhold.fleet.recovery.cached_engines import Remembered
-from cottonhold.fleet.recovery.survey_results import Verdict
+from cottonhold.fleet.recovery.cached_engines import EngineCache
+from cottonhold.fleet.recovery.survey_results import OutageVerdict
 from cottonhold.fleet.rolling_replacement.plan import Machine, Step
 from cottonhold.fleet_adapters.engine_drain import DrainRim
 from cottonhold.fleet_adapters.ledger_opener import Opening
-from cottonhold.fleet_adapters.load_records import Unkept
+from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
 from cottonhold.fleet_adapters.membership import MembershipRim, make_instance
-from cottonhold.fleet_adapters.recovery import BOOT_STEP, RecoveryRim, life_of, open_ledger, unkept_guard
+from cottonhold.fleet_adapters.recovery import (
+    BOOT_STEP,
+    RecoveryAdapter,
+    incarnation_of,
+    open_ledger,
+    unavailable_guard,
+)
 from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
 from cottonhold.fleet_adapters.session_affinity import PinsRim
-from cottonhold.fleet_adapters.zone_failover import FleetRim, OrderError, make_fleet
+from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
 from cottonhold.membership.codec import Status
 from cottonhold.node import consul_client, status
 from cottonhold.node.dispatcher import Dispatcher, run_program
@@ -76,14 +82,14 @@
         self.watches: dict[str, tuple[Watched, Watch, asyncio.Task[None]]] = {}
         self.entry: consul_client.Entry | None = None
         self.membership: MembershipRim | None = None
-        self.fleet: FleetRim | None = None
-        self.recovery: RecoveryRim | None = None
+        self.fleet: ZoneFailoverAdapter | None = None
+        self.recovery: RecoveryAdapter | None = None
         self.swap: SwapRim | None = None
         self.pins: PinsRim | None = None
-        self.remembered: Remembered | None = None
+        self.remembered: EngineCache | None = None
         self.began = self.driver.clock.now()
         self.ledger_why = ""
-        self.unkept: Unkept | None = None
+        self.unkept: UnavailableLoadGuard | None = None
         self.opening = Opening(self._open)
         self.opening.wait(OPENING_S)
         self.metrics = self._measure() if installation.file.metrics else None
@@ -133,7 +139,7 @@
             error = self.opening.error if self.opening.over else None
             found = error.kept if error is not None else {}
             loads = found.get(Kind.LOAD, {})
-            self.unkept = unkept_guard(self.installation, loads, self.driver.clock, self.counters)
+            self.unkept = unavailable_guard(self.installation, loads, self.driver.clock, self.counters)
             self.gateway.loads = self.unkept
             self._hold_drained(found.get(Kind.DRAIN, {}))
         if self.opening.over:
@@ -147,11 +153,11 @@
             self._do_without()
             return
         membership, fleet = self.membership, self.fleet
-        self.recovery = RecoveryRim(
+        self.recovery = RecoveryAdapter(
             self.installation,
             ledger,
             membership.instance.swim if membership is not None else None,
-            fleet.fleet if fleet is not None else None,
+            fleet.coordinator if fleet is not None else None,
             self.driver.clock,
             self.driver.loop.call_soon_threadsafe,
             membership.say if membership is not None else lambda member, data: None,
@@ -159,27 +165,27 @@
             self.log.note,
         )
         if self.unkept is not None:  # retries count from when they were first heard of
-            self.recovery.memory.own.asked.update(self.unkept.memory.own.asked)
-        self.gateway.loads = self.recovery.loads
+            self.recovery.history.local.queried.update(self.unkept.memory.local.queried)
+        self.gateway.loads = self.recovery.load_guard
         file = self.installation.file
         if fleet is not None and file.sources:
             # Without the ramp nobody would await the answer that proves what is remembered.
-            self.remembered = Remembered(ledger.records(Kind.ENGINE), self.config.names)
+            self.remembered = EngineCache(ledger.records(Kind.ENGINE), self.config.names)
             # Danger: an engine may stand in a remembered list that is drained since then.
-            self.recovery.knows = self._listed
+            self.recovery.has_other_prerequisites = self._listed
             self.counters.add("recovery_malformed", self.remembered.malformed)
         if membership is not None and fleet is not None and file.membership and file.membership.voters:
             hop, voters = self.driver.loop.call_soon_threadsafe, file.membership.voters
-            drains = DrainRim(self, ledger, membership, fleet.fleet, voters, hop)
+            drains = DrainRim(self, ledger, membership, fleet.coordinator, voters, hop)
             # Danger: a load went to an engine that was about to be powered off, before its drain was read of.
             # What may be repeated goes out at once: after a power loss it waited up to 5 s for a majority.
-            self.recovery.knows = lambda: drains.knows() and self._listed()
+            self.recovery.has_other_prerequisites = lambda: drains.knows() and self._listed()
             self.swap = SwapRim(
                 self.installation,
                 ledger,
                 membership.instance.swim,
-                fleet.fleet,
-                self.recovery.census,
+                fleet.coordinator,
+                self.recovery.survey,
                 self.lifecycle,
                 self.driver.clock,
                 hop,
@@ -190,9 +196,9 @@
                 drains,
             )
             if file.fleet is not None and file.fleet.pins:
-                self._pin(ledger, membership, fleet.fleet, self.recovery, self.swap)
+                self._pin(ledger, membership, fleet.coordinator, self.recovery, self.swap)
         if fleet is not None:
-            fleet.fleet.live_on(life_of(ledger))
+            fleet.coordinator.set_incarnation(incarnation_of(ledger))
         if self.serving:
             self.recovery.start()
             if self.swap is not None:
@@ -201,7 +207,12 @@
                 self.pins.start()
 
     def _pin(
-        self, ledger: Ledger, membership: MembershipRim, fleet: Fleet, recovery: RecoveryRim, swap: SwapRim
+        self,
+        ledger: Ledger,
+        membership: MembershipRim,
+        fleet: FleetCoordinator,
+        recovery: RecoveryAdapter,
+        swap: SwapRim,
     ) -> None:
         """Loads with a key begin where that is owned."""
         self.pins = PinsRim(
@@ -209,9 +220,9 @@
             ledger,
             membership.instance.swim,
             fleet,
-            recovery.census,
+            recovery.survey,
             swap,
-            recovery.loads,
+            recovery.load_guard,
             self.gateway,
             self.driver.clock,
             self.driver.loop.call_soon_threadsafe,
@@ -227,7 +238,7 @@
             if part is not None and part.told(member, payload):
                 return
         if self.fleet is not None:
-            self.fleet.told(member, payload)
+            self.fleet.on_message(member, payload)
 
     def _join(self, ledger: Ledger | None) -> None:
         """Make the parts of membership; they say hello once the sources are followed."""
@@ -248,9 +259,9 @@
         gateway.heard_probe = self._heard_probe
         if self.installation.file.fleet is not None:
             swim = rim.instance.swim
-            life = life_of(ledger) if ledger is not None else max(int(clock.unix() / 1000), 1)
-            core = make_fleet(self.installation, swim.id, clock.now(), life)
-            self.fleet = FleetRim(
+            life = incarnation_of(ledger) if ledger is not None else max(int(clock.unix() / 1000), 1)
+            core = make_coordinator(self.installation, swim.id, clock.now(), life)
+            self.fleet = ZoneFailoverAdapter(
                 core,
                 swim,
                 clock,
@@ -269,35 +280,35 @@
         # Danger: each part looked for itself, at its next round. One that came back late knew of nobody for
         # half a second, took itself for the only one, and let in and served what all others turned away.
         if self.recovery is not None:
-            self.recovery.joined()
+            self.recovery.on_member_joined()
         if self.fleet is not None:
-            self.fleet.joined()
+            self.fleet.on_member_joined()
 
     def _learned(self, engine: str, report: dict[str, float]) -> None:
         """Another instance's probe had a good end."""
         self.gateway.push(io.Probed(engine, io.Outcome.OK, report))
         if self.fleet is not None:
-            self.fleet.probed(engine, io.Outcome.OK)
+            self.fleet.on_health_check(engine, io.Outcome.OK)
 
     def _heard_probe(self, engine: str, outcome: io.Outcome, report: dict[str, float]) -> None:
         """A probe of this instance has ended."""
         if self.membership is not None:
             self.membership.probed(engine, outcome, report)
         if self.fleet is not None:
-            self.fleet.probed(engine, outcome)
+            self.fleet.on_health_check(engine, outcome)
             if outcome is io.Outcome.OK:
-                self.fleet.trip(engine, self.engines.probe_took)
+                self.fleet.on_health_check_time(engine, self.engines.probe_took)
 
     def retune(self) -> None:
         """As the dispatcher does; the parts of budgets follow as well."""
         super().retune()
         if self.fleet is not None:
-            self.fleet.beside(1 + self.beside)
+            self.fleet.set_process_count(1 + self.beside)
 
     def publish(self, change: Change) -> None:
         """Engines in service are also what the duty of probing is about."""
         if self.remembered is not None and self.recovery is not None and self._answered():
-            if records := self.remembered.take(change):
+            if records := self.remembered.apply(change):
                 self.recovery.ledger.put(records)
         self.republish(self.held.take(change))
 
@@ -319,7 +330,7 @@
             live = self.held.live()
             self.membership.engines(live)
             if self.fleet is not None:
-                self.fleet.engines(self._by_zone(live))
+                self.fleet.set_engines(self._by_zone(live))
 
     def _by_zone(self, live: Mapping[str, io.Engine]) -> dict[str, dict[str, float]]:
         """Engines by the name of their zone, with the cores of each."""
@@ -388,8 +399,8 @@
             if self.fleet is None:
                 return {"error": "this instance has no section 'fleet'"}
             try:
-                return view | self.fleet.order(call)
-            except OrderError as error:
+                return view | self.fleet.issue_override(call)
+            except OverrideError as error:
                 return {"error": str(error)}
         if call.get("call") in ("swap", "abort"):
             if self.swap is None:
@@ -423,7 +434,7 @@
                 self.gateway.open,
                 tally(io.EngineState, (p.info.state.value for p in self.engines.places.values())),
                 tally(Status, (m["status"] for m in view["members"])) if "members" in view else {},
-                tally(Verdict, (view["recovery"]["verdict"],)) if "recovery" in view else {},
+                tally(OutageVerdict, (view["recovery"]["verdict"],)) if "recovery" in view else {},
                 tally(Step, (m["step"] for m in view["swap"]["machines"])) if "swap" in view else {},
             )
 
@@ -457,7 +468,7 @@
         known = [event for event in events if event.source in self.belief.views]
         super().believe(known)
         if self.fleet is not None and self._answered():
-            self.fleet.list_heard()
+            self.fleet.on_list_received()
 
     def confirm(self, source: str, absent: tuple[str, ...]) -> None:
         """Ask the catalogue before the next health call."""
