--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -11,13 +11,24 @@
 
 from cottonhold.emulator.overload import OnePrice, Overload, Policy
 from cottonhold.fleet.admission import demand
-from cottonhold.fleet.admission.demand import STEPS, TOLD, Demand
-from cottonhold.fleet.admission.loads import Load, Loads, draw_of, pack_loads, read_loads
-from cottonhold.fleet.admission.threshold import Price, Pricing, Told, curve_price
+from cottonhold.fleet.admission.demand import DENSITY_STEPS, MAX_ENCODED_STEPS, Demand
+from cottonhold.fleet.admission.loads import (
+    DemandReport,
+    DemandSharing,
+    admission_draw,
+    decode_demand_reports,
+    encode_demand_reports,
+)
+from cottonhold.fleet.admission.threshold import (
+    AdmissionThreshold,
+    ReportedLoad,
+    ThresholdController,
+    threshold_for,
+)
 from cottonhold.fleet.message_format import MessageError
 
 unhurried = settings(deadline=None)  # the same verdict on a busy machine
-RATES = st.dictionaries(st.integers(0, STEPS - 1), st.floats(0.01, 50.0), max_size=30)
+RATES = st.dictionaries(st.integers(0, DENSITY_STEPS - 1), st.floats(0.01, 50.0), max_size=30)
 SKEW = (1, 1, 1, 2, 3, 4)
 
 
@@ -27,11 +38,13 @@
 @unhurried
 @given(RATES)
 def test_a_told_demand_keeps_its_sum_and_its_dear_part(rates: dict[int, float]) -> None:
-    data = demand.pack(rates)
-    told = demand.read(data)
-    assert told is not None and len(data) <= 2 * TOLD
+    data = demand.encode_rates(rates)
+    told = demand.decode_rates(data)
+    assert told is not None and len(data) <= 2 * MAX_ENCODED_STEPS
     assert sum(told.values()) == pytest.approx(sum(rates.values()), rel=0.06, abs=0.01)
-    for step in range(STEPS):  # it is never told as dearer than it is, but for what is below all that is told
+    for step in range(
+        DENSITY_STEPS
+    ):  # it is never told as dearer than it is, but for what is below all that is told
         dear = sum(work for s, work in told.items() if s >= step and s > min(told))
         assert dear <= sum(work for s, work in rates.items() if s >= step) * 1.06 + 0.01
 
@@ -41,21 +54,21 @@
 def test_demands_add_up_in_any_order_and_none_counts_for_more_than_its_bound(
     demands: list[dict[int, float]], most: float, order: object
 ) -> None:
-    merged = demand.merge(demands, most)
+    merged = demand.merge_rates(demands, most)
     order.shuffle(demands)  # type: ignore[attr-defined]
-    again = demand.merge(demands, most)
+    again = demand.merge_rates(demands, most)
     assert merged == pytest.approx(again)
     assert sum(merged.values()) <= most * len(demands) + 1e-6
 
 
 @pytest.mark.parametrize("data", [b"\x01", b"\xff\x01", b"\x01\x01" * 11], ids=["odd", "step", "long"])
 def test_a_told_demand_that_makes_no_sense_is_none(data: bytes) -> None:
-    assert demand.read(data) is None
+    assert demand.decode_rates(data) is None
 
 
 @pytest.mark.parametrize("worth, work", [(0.0, 20.0), (-1.0, 20.0), (1e-12, 1e9), (1e12, 1e-9)])
 def test_a_request_of_any_worth_has_a_step(worth: float, work: float) -> None:
-    assert 0 <= demand.step_of(worth, work) < STEPS
+    assert 0 <= demand.density_step(worth, work) < DENSITY_STEPS
 
 
 def test_a_young_demand_is_told_in_full() -> None:
@@ -71,30 +84,32 @@
 @unhurried
 @given(RATES, st.floats(0.1, 200.0))
 def test_what_a_price_lets_in_fills_the_capacity(rates: dict[int, float], capacity: float) -> None:
-    price = curve_price(rates, capacity)
+    price = threshold_for(rates, capacity)
     if price is None:
         assert sum(rates.values()) <= capacity + 1e-9
     else:
         above = sum(work for step, work in rates.items() if step > price.step)
-        assert above + price.share * rates[price.step] == pytest.approx(capacity)
+        assert above + price.admitted_share * rates[price.step] == pytest.approx(capacity)
 
 
 def test_at_the_price_a_request_meets_one_answer_and_comes_again_in_vain() -> None:
-    price = Price(7, 0.4)
-    draws = [draw_of(str(n).encode(), retry=False) for n in range(4000)]
+    price = AdmissionThreshold(7, 0.4)
+    draws = [admission_draw(str(n).encode(), retry=False) for n in range(4000)]
     let_in = [price.admits(7, draw) for draw in draws]
     assert let_in == [price.admits(7, draw) for draw in draws] and 0.36 < sum(let_in) / 4000 < 0.44
-    assert not price.admits(7, draw_of(b"1", retry=True)) and price.admits(8, draw_of(b"1", retry=True))
+    assert not price.admits(7, admission_draw(b"1", retry=True)) and price.admits(
+        8, admission_draw(b"1", retry=True)
+    )
     assert price.admits(8, 0.9) and not price.admits(6, 0.1)
 
 
 @pytest.mark.parametrize("priced", [False, True], ids=["no price", "a price"])
 def test_tries_of_one_request_count_once(priced: bool) -> None:
-    loads = Loads(1, 1, 0.0, 1)
-    loads.pricing.price = Price(demand.step_of(6.0, 20.0), 0.4) if priced else None
+    loads = DemandSharing(1, 1, 0.0, 1)
+    loads.controller.threshold = AdmissionThreshold(demand.density_step(6.0, 20.0), 0.4) if priced else None
     for t in range(0, 4000, 10):
         for retry in (False, True, True):
-            loads.offered(float(t), 6.0, 20.0, retry)
+            loads.on_request(float(t), 6.0, 20.0, retry)
     assert sum(loads.demand.rates(4000.0).values()) == pytest.approx(2.0, rel=0.05)
 
 
@@ -104,7 +119,7 @@
     ids=["all heard", "four of six", "half", "alone of six", "one in all"],
 )
 def test_a_price_takes_the_words_of_more_than_half(others: int, alive: int, priced: bool) -> None:
-    pricing, word = Pricing(0.0), Told({60: 1.0, 70: 1.0})
+    pricing, word = ThresholdController(0.0), ReportedLoad({60: 1.0, 70: 1.0})
     price = pricing.step(100.0, word, [word] * others, alive, alive * 1.2)
     assert (price is not None) is priced
     assert price is None or price.step == 60
@@ -113,24 +128,24 @@
 def test_the_waits_of_a_few_requests_say_little_of_what_there_is() -> None:
     word, shares = {60: 10.0}, list[float]()
     for ended in (0, 3, 300):
-        pricing = Pricing(0.0)
+        pricing = ThresholdController(0.0)
         for _ in range(ended):
-            pricing.ended(0.0, lost=False)
-        price = pricing.step(10.0, pricing.word(word), [], 1, 5.0)
+            pricing.on_admitted(0.0, lost=False)
+        price = pricing.step(10.0, pricing.report(word), [], 1, 5.0)
         assert price is not None
-        shares.append(price.share / 0.97 * 2)
+        shares.append(price.admitted_share / 0.97 * 2)
     assert shares == pytest.approx([1.0, 1.03, 1.19], abs=0.01)
 
 
 def test_without_an_overload_a_gain_is_forgotten_and_it_stays_within_bounds() -> None:
-    pricing, word = Pricing(0.0), Told({60: 100.0})
+    pricing, word = ThresholdController(0.0), ReportedLoad({60: 100.0})
     for t in range(100, 60_000, 100):
-        pricing.ended(1.0, lost=True)
-        pricing.step(float(t), pricing.word(word.rates), [], 1, 10.0)
-    assert pricing.gain == pricing.settings.least
+        pricing.on_admitted(1.0, lost=True)
+        pricing.step(float(t), pricing.report(word.rates), [], 1, 10.0)
+    assert pricing.gain == pricing.settings.min_gain
     for t in range(60_000, 90_000, 100):
-        pricing.step(float(t), pricing.word({60: 1.0}), [], 1, 10.0)
-    assert pricing.price is None and math.isclose(pricing.gain, 1.0, abs_tol=0.05)
+        pricing.step(float(t), pricing.report({60: 1.0}), [], 1, 10.0)
+    assert pricing.threshold is None and math.isclose(pricing.gain, 1.0, abs_tol=0.05)
 
 
 # --- a fleet in virtual time ---
@@ -199,7 +214,7 @@
     world = Overload(2, lambda now: 900.0, SKEW, lambda i: OnePrice())
     world.cut = lambda a, b: (a < 3) != (b < 3)
     world.play(12_000.0)
-    assert all(here.loads.price is None for here in world.instances)
+    assert all(here.loads.threshold is None for here in world.instances)
     got, most = world.worth(5000.0, 12_000.0)
     assert got >= 0.85 * most
 
@@ -232,29 +247,33 @@
     ids=["empty", "short", "truncated", "other", "nobody", "long", "steps"],
 )
 def test_loads_that_make_no_sense_change_nothing(data: bytes) -> None:
-    loads = Loads(1, 1, 0.0, 1)
+    loads = DemandSharing(1, 1, 0.0, 1)
     with pytest.raises(MessageError):
-        loads.hear(0.0, data)
-    assert not loads.words.received
+        loads.on_message(0.0, data)
+    assert not loads.reports.received
 
 
 def test_loads_merge_by_version_and_the_owner_passes_a_forged_one() -> None:
-    loads = Loads(1, 1, 0.0, 1)
+    loads = DemandSharing(1, 1, 0.0, 1)
     news = [
-        Load(2, life, version, Told({version: 1.0})) for life, version in ((1, 5), (1, 4), (2, 1), (1, 9))
+        DemandReport(2, life, version, ReportedLoad({version: 1.0}))
+        for life, version in ((1, 5), (1, 4), (2, 1), (1, 9))
     ]
     for load in news:
-        loads.hear(0.0, pack_loads([load]))
-    assert list(loads.words.received[2].report.told.rates) == [1]
-    loads.hear(0.0, pack_loads([Load(1, 1, 90, Told({}))]))
+        loads.on_message(0.0, encode_demand_reports([load]))
+    assert list(loads.reports.received[2].report.load.rates) == [1]
+    loads.on_message(0.0, encode_demand_reports([DemandReport(1, 1, 90, ReportedLoad({}))]))
     ((_, data),) = loads.step(100.0, [1, 2], 10.0)
-    assert read_loads(data)[0].version == 91
+    assert decode_demand_reports(data)[0].version == 91
 
 
 def test_of_many_members_each_round_goes_to_a_few_and_fits_a_datagram() -> None:
-    loads = Loads(1, 1, 0.0, 1)
+    loads = DemandSharing(1, 1, 0.0, 1)
     for member in range(2, 100):
-        loads.hear(float(member), pack_loads([Load(member, 1, 1, Told({s: 1.0 for s in range(30)}))]))
+        loads.on_message(
+            float(member),
+            encode_demand_reports([DemandReport(member, 1, 1, ReportedLoad({s: 1.0 for s in range(30)}))]),
+        )
     said = loads.step(200.0, range(1, 100), 1000.0)
     assert len(said) == 4 and all(len(data) <= 200 for _, data in said)
-    assert [load.member for load in read_loads(said[0][1])] == [1, 99, 98, 97, 96]
+    assert [load.member for load in decode_demand_reports(said[0][1])] == [1, 99, 98, 97, 96]
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -6,10 +6,15 @@
 
 import pytest
 
-from cottonhold.fleet.admission.loads import Load, density, draw_of, pack_loads
-from cottonhold.fleet.admission.threshold import Told
-from cottonhold.fleet.coordinator import Fleet, FleetSettings, Priced
-from cottonhold.fleet.zone_failover.operator_overrides import Mode
+from cottonhold.fleet.admission.loads import (
+    DemandReport,
+    admission_draw,
+    density_of_step,
+    encode_demand_reports,
+)
+from cottonhold.fleet.admission.threshold import ReportedLoad
+from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
+from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode
 from cottonhold.node.gateway import Taken
 from cottonhold.scheduler import interface as io
 from tests.scheduler.test_scheduler import LOOKUP, answers, arrival, settings, started
@@ -72,7 +77,7 @@
         self.heard: list[str] = []
 
     def arrived(self, taken: Taken) -> float:
-        return draw_of(taken.ref.encode(), taken.retry)
+        return admission_draw(taken.ref.encode(), taken.retry)
 
     def offered(self, taken: Taken, worth: float, work: float) -> None:
         self.heard.append("offered")
@@ -108,35 +113,45 @@
     assert sorted(set(notes.heard) - {"ended"}) == sorted(heard)
 
 
-def fleet(price: bool = True) -> Fleet:
-    made = Fleet(1, 1, 0.0, FleetSettings(dispatchers=3, probed=False, price=price), 1)
-    made.know({zone: {f"{zone}0": 1.0} for zone in "abc"})
-    made.members(0.0, [1, 2, 3])
+def fleet(price: bool = True) -> FleetCoordinator:
+    made = FleetCoordinator(
+        1, 1, 0.0, FleetSettings(dispatchers=3, checks_are_shared=False, sheds_load=price), 1
+    )
+    made.set_engines({zone: {f"{zone}0": 1.0} for zone in "abc"})
+    made.set_members(0.0, [1, 2, 3])
     return made
 
 
 @pytest.mark.parametrize("price", [True, False], ids=["on", "off"])
 def test_a_price_follows_from_what_all_are_offered_and_ends_with_it(price: bool) -> None:
-    made, said = fleet(price), list[Priced]()
+    made, said = fleet(price), list[ThresholdUpdate]()
     for t in range(0, 12_000, 100):
         for member in (2, 3):
             rates = {20: 4.0, 40: 1.0} if t < 6000 else {40: 0.1}
-            made.hear(float(t), member, pack_loads([Load(member, 1, t + 1, Told(rates))]))
-        said += [a for a in made.step(float(t)) if isinstance(a, Priced)]
+            made.on_message(
+                float(t), member, encode_demand_reports([DemandReport(member, 1, t + 1, ReportedLoad(rates))])
+            )
+        said += [a for a in made.step(float(t)) if isinstance(a, ThresholdUpdate)]
     if not price:
-        assert not said and made.counts["malformed"] == 0
+        assert not said and made.counters["malformed"] == 0
         return
-    assert said[0].price is not None and said[0].price.step == 20 and 0.4 < said[0].price.share < 0.7
-    assert said[-1].price is None and said[-1].until < 10_000.0
-    assert density(20) < density(21) and density(0) == 0.0
+    assert (
+        said[0].threshold is not None
+        and said[0].threshold.step == 20
+        and 0.4 < said[0].threshold.admitted_share < 0.7
+    )
+    assert said[-1].threshold is None and said[-1].expires_at < 10_000.0
+    assert density_of_step(20) < density_of_step(21) and density_of_step(0) == 0.0
 
 
 def test_a_left_zone_is_no_capacity() -> None:
     made = fleet()
-    load = pack_loads([Load(member, 1, 1, Told({20: 0.7, 40: 0.7})) for member in (2, 3)])
-    made.hear(0.0, 2, load)
-    assert not [a for a in made.step(0.0) if isinstance(a, Priced)]
-    made.order(100.0, "a", Mode.LEAVE, 5000.0, "me", "test")
+    load = encode_demand_reports(
+        [DemandReport(member, 1, 1, ReportedLoad({20: 0.7, 40: 0.7})) for member in (2, 3)]
+    )
+    made.on_message(0.0, 2, load)
+    assert not [a for a in made.step(0.0) if isinstance(a, ThresholdUpdate)]
+    made.issue_override(100.0, "a", OverrideMode.EVACUATE, 5000.0, "me", "test")
     made.step(100.0)
-    (priced,) = [a for a in made.step(200.0) if isinstance(a, Priced)]
-    assert priced.price is not None and priced.price.step == 20
+    (priced,) = [a for a in made.step(200.0) if isinstance(a, ThresholdUpdate)]
+    assert priced.threshold is not None and priced.threshold.step == 20
--- a/tests/fleet/test_allocation.py
+++ b/tests/fleet/test_allocation.py
@@ -8,10 +8,10 @@
 import pytest
 
 from cottonhold.fleet.failover_cost import allocation_reference
-from cottonhold.fleet.failover_cost.allocation import Case, Simplex, divide, value
+from cottonhold.fleet.failover_cost.allocation import AllocationProblem, Simplex, allocate, utility_of_step
 
 
-def drawn(seed: int, zones: int, steps: int = 10) -> Case:
+def drawn(seed: int, zones: int, steps: int = 10) -> AllocationProblem:
     """A case with zones out, cold and far ones."""
     r = random.Random(seed)
     names = [f"z{i}" for i in range(zones)]
@@ -22,17 +22,17 @@
     keeps = {pair: 1 - r.uniform(0, 0.1) for pair in pairs}
     uses = {pair: 1 + r.uniform(0, 1.5) for pair in pairs}
     busy = {n: capacity[n] * r.choice([0.0, 0.15]) for n in names}
-    return Case(demand, capacity, guests, keeps, uses, busy, r.choice([0.0, 0.5, 20.0]))
+    return AllocationProblem(demand, capacity, guests, keeps, uses, busy, r.choice([0.0, 0.5, 20.0]))
 
 
-def broken(case: Case, flows: dict[tuple[str, str, int], float]) -> list[str]:
+def broken(case: AllocationProblem, flows: dict[tuple[str, str, int], float]) -> list[str]:
     """What a division takes that it may not."""
     found = []
     for zone in case.capacity:
-        used = {f: x * case.uses.get(f[:2], 1.0) for f, x in flows.items() if f[1] == zone}
-        if sum(used.values()) > case.capacity[zone] + case.busy.get(zone, 0.0) + 1e-6:
+        used = {f: x * case.cost_factors.get(f[:2], 1.0) for f, x in flows.items() if f[1] == zone}
+        if sum(used.values()) > case.capacity[zone] + case.congested_capacity.get(zone, 0.0) + 1e-6:
             found.append(f"{zone} is over its capacity")
-        if sum(x for (home, _, _), x in used.items() if home != zone) > case.guests[zone] + 1e-6:
+        if sum(x for (home, _, _), x in used.items() if home != zone) > case.cross_zone_capacity[zone] + 1e-6:
             found.append(f"guests take the reserved part of {zone}")
     for home, rates in case.demand.items():
         for step, work in rates.items():
@@ -45,13 +45,13 @@
 def test_the_division_is_as_good_as_the_one_of_highs_and_takes_no_more_than_it_may(zones: int) -> None:
     for seed in range(25):
         case = drawn(seed, zones)
-        own, exact = divide(case), allocation_reference.divide(case)
-        assert own.worth == pytest.approx(exact.worth, rel=1e-6, abs=1e-9)
-        assert own.bound == pytest.approx(own.worth, rel=1e-6, abs=1e-6)
+        own, exact = allocate(case), allocation_reference.allocate(case)
+        assert own.utility == pytest.approx(exact.utility, rel=1e-6, abs=1e-9)
+        assert own.upper_bound == pytest.approx(own.utility, rel=1e-6, abs=1e-6)
         assert not broken(case, dict(own.flows))
 
 
-def brute(case: Case, parts: int) -> float:
+def brute(case: AllocationProblem, parts: int) -> float:
     """The best of all divisions of each demand into so many parts."""
     flows = [(h, s) for h in sorted(case.demand) for s in sorted(case.demand[h])]
     zones = sorted(case.capacity)
@@ -62,10 +62,13 @@
         for (home, step), way in zip(flows, chosen, strict=True):
             for zone, n in zip(zones, way, strict=True):
                 work = n / parts * case.demand[home][step]
-                total[zone] += work * case.uses.get((home, zone), 1.0)
-                guest[zone] += work * case.uses.get((home, zone), 1.0) * (home != zone)
-                worth += work * case.gain((home, zone, step))
-        if all(total[z] <= case.capacity[z] + 1e-9 and guest[z] <= case.guests[z] + 1e-9 for z in zones):
+                total[zone] += work * case.cost_factors.get((home, zone), 1.0)
+                guest[zone] += work * case.cost_factors.get((home, zone), 1.0) * (home != zone)
+                worth += work * case.utility((home, zone, step))
+        if all(
+            total[z] <= case.capacity[z] + 1e-9 and guest[z] <= case.cross_zone_capacity[z] + 1e-9
+            for z in zones
+        ):
             best = max(best, worth)
     return best
 
@@ -82,25 +85,34 @@
     capacity = {n: float(r.randint(0, 10 // len(names))) for n in names}
     guests = {n: float(r.randint(0, int(capacity[n]))) for n in names}
     keeps = {(h, z): 1 - r.uniform(0, 0.1) for h in names for z in names if h != z}
-    case = Case(demand, capacity, guests, keeps)
-    assert divide(case).worth == pytest.approx(brute(case, parts), rel=0.01, abs=1e-6)
+    case = AllocationProblem(demand, capacity, guests, keeps)
+    assert allocate(case).utility == pytest.approx(brute(case, parts), rel=0.01, abs=1e-6)
 
 
 def test_a_division_that_forgets_the_guests_bound_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    case = Case({"a": {80: 4.0}, "b": {70: 1.0}}, {"a": 0.0, "b": 3.0}, {"a": 0.0, "b": 1.8})
-    assert not broken(case, dict(divide(case).flows))
+    case = AllocationProblem({"a": {80: 4.0}, "b": {70: 1.0}}, {"a": 0.0, "b": 3.0}, {"a": 0.0, "b": 1.8})
+    assert not broken(case, dict(allocate(case).flows))
     fair = Simplex.__init__
 
-    def all_open(self: Simplex, case: Case) -> None:
-        fair(self, Case(case.demand, case.capacity, case.capacity, case.keeps, case.uses))
+    def all_open(self: Simplex, case: AllocationProblem) -> None:
+        fair(
+            self,
+            AllocationProblem(
+                case.demand, case.capacity, case.capacity, case.retained_utility, case.cost_factors
+            ),
+        )
 
     monkeypatch.setattr(Simplex, "__init__", all_open)
-    assert broken(case, dict(divide(case).flows)) == ["guests take the reserved part of b"]
+    assert broken(case, dict(allocate(case).flows)) == ["guests take the reserved part of b"]
 
 
 def test_distance_and_cold_data_decide_between_neighbours_of_equal_room() -> None:
-    case = Case({"a": {80: 1.0}}, {"b": 5.0, "c": 5.0}, {"b": 3.0, "c": 3.0}, {("a", "b"): 0.95})
-    assert {zone for _, zone, _ in divide(case).flows} == {"c"}
-    tight = Case({"a": {80: 4.0}}, {"b": 3.0, "c": 3.0}, {"b": 3.0, "c": 3.0}, {}, {("a", "b"): 2.0})
-    served = divide(tight)
-    assert sum(served.flows.values()) == pytest.approx(4.0) and served.worth == pytest.approx(4 * value(80))
+    case = AllocationProblem({"a": {80: 1.0}}, {"b": 5.0, "c": 5.0}, {"b": 3.0, "c": 3.0}, {("a", "b"): 0.95})
+    assert {zone for _, zone, _ in allocate(case).flows} == {"c"}
+    tight = AllocationProblem(
+        {"a": {80: 4.0}}, {"b": 3.0, "c": 3.0}, {"b": 3.0, "c": 3.0}, {}, {("a", "b"): 2.0}
+    )
+    served = allocate(tight)
+    assert sum(served.flows.values()) == pytest.approx(4.0) and served.utility == pytest.approx(
+        4 * utility_of_step(80)
+    )
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -13,8 +13,8 @@
 from cottonhold.config.installation import read
 from cottonhold.discovery.model import Address, Change, Names, Observation, Report, Verdict
 from cottonhold.emulator import disk as disk_of
-from cottonhold.fleet.recovery.cached_engines import Remembered
-from cottonhold.fleet.recovery.slow_start import Lost, Ramp, RampSettings
+from cottonhold.fleet.recovery.cached_engines import EngineCache
+from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart, SlowStartSettings
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.rolling_replacement.step_decision import Drain
@@ -53,7 +53,7 @@
 FIRST = change(("e1", 0, LIVE), ("e2", 1, LIVE))
 
 
-def ids(remembered: Remembered) -> list[str]:
+def ids(remembered: EngineCache) -> list[str]:
     return [o.id for o in remembered.observations()]
 
 
@@ -71,19 +71,19 @@
 def test_what_is_remembered_is_the_list_without_what_should_get_nothing_new(
     then: Change, left: list[str]
 ) -> None:
-    made = Remembered({}, NAMES)
-    folder = kept(made.take(FIRST))
-    assert made.take(FIRST) == []  # nothing is written twice
-    folder = kept(made.take(then), folder)
-    assert ids(Remembered(folder, NAMES)) == left == ids(made)
+    made = EngineCache({}, NAMES)
+    folder = kept(made.apply(FIRST))
+    assert made.apply(FIRST) == []  # nothing is written twice
+    folder = kept(made.apply(then), folder)
+    assert ids(EngineCache(folder, NAMES)) == left == ids(made)
 
 
 def test_an_engine_comes_back_as_it_was_and_by_the_names_of_its_zone_and_type() -> None:
-    folder = kept(Remembered({}, NAMES).take(FIRST))
-    [one, two] = Remembered(folder, Names(("b", "c", "a"), ("large",))).observations()
+    folder = kept(EngineCache({}, NAMES).apply(FIRST))
+    [one, two] = EngineCache(folder, Names(("b", "c", "a"), ("large",))).observations()
     assert (one.address, one.zone, one.model, one.cell, one.size) == (Address("10.0.0.1", 7001), 2, 0, 3, 2.0)
     assert one.verdict is Verdict.IN and two.zone == 0 and not one.process and one.started_at == 0.0
-    assert ids(Remembered(folder, Names(("b",), ("large",)))) == ["e2"]  # a's zone is no longer configured
+    assert ids(EngineCache(folder, Names(("b",), ("large",)))) == ["e2"]  # a's zone is no longer configured
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
     ids=["the same engine elsewhere", "another engine at its address"],
 )
 def test_the_configuration_goes_before_what_is_remembered(known: Observation, found: list[str]) -> None:
-    made = Remembered(kept(Remembered({}, NAMES).take(FIRST)), NAMES)
+    made = EngineCache(kept(EngineCache({}, NAMES).apply(FIRST)), NAMES)
     observations = made.observations((known,))
     assert [o.id for o in observations] == found and observations[0] == known
 
@@ -112,36 +112,36 @@
     ids=["empty", "version", "nothing", "short", "no address"],
 )
 def test_a_record_that_makes_no_sense_is_counted_and_the_others_count(value: bytes) -> None:
-    folder = kept(Remembered({}, NAMES).take(FIRST))
-    made = Remembered({**folder, b"e1": value}, NAMES)
+    folder = kept(EngineCache({}, NAMES).apply(FIRST))
+    made = EngineCache({**folder, b"e1": value}, NAMES)
     assert made.malformed == 1 and ids(made) == ["e2"]
 
 
 def test_no_more_are_remembered_than_the_store_keeps() -> None:
-    made = Remembered({}, NAMES)
+    made = EngineCache({}, NAMES)
     many = change(*((f"e{i}", 0, LIVE) for i in range(1, MOST[Kind.ENGINE] + 50)))
-    assert len(made.take(many)) == MOST[Kind.ENGINE] == len(ids(made))
+    assert len(made.apply(many)) == MOST[Kind.ENGINE] == len(ids(made))
 
 
 @pytest.mark.parametrize("proof", ["probe", "attempt", "another's word of all", "the list"])
 def test_of_what_is_remembered_nothing_is_sent_to_before_it_is_proven(proof: str) -> None:
     """Also by one that takes itself for the only one that was away: then it is free once it has answered."""
-    made = Ramp(1, 1, 0.0, RampSettings(), 1)
-    made.know(0.0, {"e1": 1.0, "e2": 1.0})
-    made.lost(20.0, Lost.ALONE)
-    assert made.share("e1") == made.share("e2") == 0.0 and max(made.bounds(1.0).values()) < 1e-6
+    made = SlowStart(1, 1, 0.0, SlowStartSettings(), 1)
+    made.set_engines(0.0, {"e1": 1.0, "e2": 1.0})
+    made.on_loss(20.0, OutageScope.ALONE)
+    assert made.share("e1") == made.share("e2") == 0.0 and max(made.work_limits(1.0).values()) < 1e-6
     if proof == "probe":
-        made.probed(100.0, "e1", True)
+        made.on_health_check(100.0, "e1", True)
     elif proof == "attempt":
-        made.answered(100.0, "e1", True, 20.0, 60.0)
+        made.on_answer(100.0, "e1", True, 20.0, 60.0)
     elif proof == "another's word of all":
-        made.lost(100.0, Lost.FLEET, since=0.0)
-        made.probed(110.0, "e1", True)
-        assert made.share("e1") == made.settings.first
+        made.on_loss(100.0, OutageScope.FLEET, since=0.0)
+        made.on_health_check(110.0, "e1", True)
+        assert made.share("e1") == made.settings.initial_share
         return
     else:
-        made.list_heard(100.0)
-        assert not made.active
+        made.on_list_received(100.0)
+        assert not made.is_active
         return
     assert made.share("e1") == 1.0 and made.share("e2") == 0.0
 
@@ -157,10 +157,10 @@
         node = ServedInstallation(path, read(path), log, asyncio.get_running_loop())
         node.believe_known()
         assert node.recovery is not None
-        may = [node.recovery.knows(), node._listed()]
+        may = [node.recovery.has_other_prerequisites(), node._listed()]
         seen = Observation("e1", Verdict.IN, address=Address("127.0.0.1", 3))
         node.believe([Report("dc1", 1, (seen,), whole=True)])
-        may += [node.recovery.knows(), node._listed()]
+        may += [node.recovery.has_other_prerequisites(), node._listed()]
         for part in (node.swap, node.recovery):
             if part is not None:
                 part.close()
@@ -295,15 +295,15 @@
         assert rim is not None
         with monkeypatch.context() as patched:
             disk, told = Scripted(node, patched), list[int]()
-            patched.setattr(rim.census, "based", lambda now, base: told.append(base))
-            rim.census.stored = 0
+            patched.setattr(rim.survey, "on_base_stored", lambda now, base: told.append(base))
+            rim.survey.requested_base = 0
             rim._base(0)
             assert told == [] and len(disk.timers) == 1, "not told before it is kept"
             disk.fire()
             assert told == [] and len(disk.timers) == 1, "and tried until it is"
             disk.well = True
             if later:
-                rim.census.stored = 7
+                rim.survey.requested_base = 7
             disk.fire()
             assert told == ([] if later else [0]) and len(disk.put_of) == len(told) and not disk.timers
 
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -10,29 +10,35 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings
-from cottonhold.fleet.failover_cost.cross_zone_limits import GuestSettings, Scene, Shaky, allowed, by_engine
-from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
-from cottonhold.fleet.failover_cost.messages import pack_sites
-from cottonhold.fleet.failover_cost.snapshot_plan import Plan
-from cottonhold.fleet.recovery.slow_start import Lost, Ramp, RampSettings
+from cottonhold.fleet.coordinator import EngineBounds, FleetCoordinator, FleetSettings
+from cottonhold.fleet.failover_cost.cross_zone_limits import (
+    CrossZoneSettings,
+    OutageAllocation,
+    UnstableEngines,
+    cross_zone_work,
+    divide_among_engines,
+)
+from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.messages import encode_site_reports
+from cottonhold.fleet.failover_cost.snapshot_plan import SnapshotPlan
+from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart, SlowStartSettings
 from cottonhold.fleet.zone_failover.evacuation import Phase
-from cottonhold.fleet.zone_failover.quota_lending import Parts
-from cottonhold.fleet_adapters.recovery import SITE, keep_site, recall_site
+from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount
+from cottonhold.fleet_adapters.recovery import SITE, restore_site_report, save_site_report
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Kind, Record
 from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, site, steps
 
-S = GuestSettings()
+S = CrossZoneSettings()
 
 
-def scene(load: float = 0.7, out: str = "a", rights: float = 2.4, **flows: float) -> Scene:
+def scene(load: float = 0.7, out: str = "a", rights: float = 2.4, **flows: float) -> OutageAllocation:
     """Three zones of four cores with a load each; flows as `ab`: the work of a's clients in b."""
     demand = dict.fromkeys(ZONES, 4 * load)
     given_flows = {(pair[0], pair[1]): x for pair, x in flows.items()}
     there = [z for z in ZONES if z != out]
     taken = {z: math.fsum(x for (_, at), x in given_flows.items() if at == z) for z in there}
-    return Scene(
+    return OutageAllocation(
         demand, given_flows, dict.fromkeys(there, rights), {z: max(3.9 - taken[z], 0) for z in there}
     )
 
@@ -43,10 +49,14 @@
 @pytest.mark.parametrize("instances", [1, 2, 5])
 def test_instances_of_one_home_share_what_the_plan_gives_it(instances: int) -> None:
     shares = {"b": 1.6 / 2.6, "c": 1.0 / 2.6}
-    found = [allowed("a", shares, 2.8 / instances, SPLIT, True) for _ in range(instances)]
+    found = [cross_zone_work("a", shares, 2.8 / instances, SPLIT, True) for _ in range(instances)]
     for zone, flow in (("b", 1.6), ("c", 1.0)):
         total = math.fsum(x[zone] for x in found)
-        assert flow * 0.99 <= total <= min(flow * (1 + S.slack) + S.spill * SPLIT.room[zone], 2.4) + 1e-9
+        assert (
+            flow * 0.99
+            <= total
+            <= min(flow * (1 + S.slack) + S.spill_share * SPLIT.free_cores[zone], 2.4) + 1e-9
+        )
 
 
 @settings(max_examples=80, deadline=None)
@@ -66,65 +76,69 @@
     ac = min(work - ab, 2.4)
     drawn = scene(ab=ab, ac=ac, bb=1.2, cc=1.2)
     demand = {zone: 4 * part for zone, part in zip(ZONES, weights, strict=True)}
-    drawn = Scene(demand, drawn.flows, drawn.rights, drawn.room)
+    drawn = OutageAllocation(demand, drawn.flows, drawn.cross_zone_capacity, drawn.free_cores)
     mine = work * min(grown, 1.2) / instances
-    found = allowed("a", {"b": ab / (ab + ac), "c": ac / (ab + ac)}, mine, drawn, True)
+    found = cross_zone_work("a", {"b": ab / (ab + ac), "c": ac / (ab + ac)}, mine, drawn, True)
     served = (ab + ac) / work * mine
     assert math.fsum(found.values()) >= min(served, (ab + ac) / instances) - 1e-6
     for zone in ("b", "c"):
         other = "c" if zone == "b" else "b"
-        others = allowed(other, {zone: 0.3}, demand[other], drawn, False).get(zone, 0.0)
+        others = cross_zone_work(other, {zone: 0.3}, demand[other], drawn, False).get(zone, 0.0)
         assert found[zone] * instances + others <= 2.4 * max(grown, 1.0) + 1e-4
 
 
 def test_what_is_lacking_for_a_home_finds_room_in_another_zone(monkeypatch: pytest.MonkeyPatch) -> None:
     # The plan of a moment ago sends all to b, where guests may take half of it.
-    tight = Scene(SPLIT.demand, {("a", "b"): 1.2, ("b", "b"): 2.8}, {"b": 1.2, "c": 2.4}, {"c": 3.9})
-    found = allowed("a", {"b": 1.0}, 1.4, tight, True, GuestSettings(spill=0.0))
-    assert found["b"] <= 1.2 and found["b"] + found["c"] >= 1.4 * tight.served("a")
-    assert allowed("a", {"b": 1.0}, 1.4, tight, False, GuestSettings(spill=0.0))["c"] < 0.01
+    tight = OutageAllocation(
+        SPLIT.demand, {("a", "b"): 1.2, ("b", "b"): 2.8}, {"b": 1.2, "c": 2.4}, {"c": 3.9}
+    )
+    found = cross_zone_work("a", {"b": 1.0}, 1.4, tight, True, CrossZoneSettings(spill_share=0.0))
+    assert found["b"] <= 1.2 and found["b"] + found["c"] >= 1.4 * tight.served_share("a")
+    assert cross_zone_work("a", {"b": 1.0}, 1.4, tight, False, CrossZoneSettings(spill_share=0.0))["c"] < 0.01
 
 
 def test_an_engine_that_may_be_cold_gets_a_small_part_and_none_gets_nothing() -> None:
-    shaky = Shaky(S)
-    for _ in range(S.fails):
-        shaky.ended(1000.0, "b0", False)
-        shaky.ended(1000.0, "b1", False)
-        shaky.ended(1000.0, "b1", True)
+    shaky = UnstableEngines(S)
+    for _ in range(S.failures_until_unstable):
+        shaky.on_result(1000.0, "b0", False)
+        shaky.on_result(1000.0, "b1", False)
+        shaky.on_result(1000.0, "b1", True)
     cold = [engine for engine in ENGINES["b"] if shaky(5000.0, engine)]
-    assert cold == ["b0"] and not shaky(1000.0 + S.warm, "b0")
-    found = by_engine(1.5, ENGINES["b"], cold, 0.5, S)
-    assert found["b0"] == pytest.approx(S.cold / 2) and sum(found.values()) == pytest.approx(1.5)
-    assert min(by_engine(0.0, ENGINES["b"], cold, 0.5, S).values()) > 0
+    assert cold == ["b0"] and not shaky(1000.0 + S.warm_up_ms, "b0")
+    found = divide_among_engines(1.5, ENGINES["b"], cold, 0.5, S)
+    assert found["b0"] == pytest.approx(S.cold_share / 2) and sum(found.values()) == pytest.approx(1.5)
+    assert min(divide_among_engines(0.0, ENGINES["b"], cold, 0.5, S).values()) > 0
     # Where most look so at once it is more likely the observer.
-    assert sum(by_engine(1.5, ENGINES["b"], ENGINES["b"], 0.5, S).values()) == pytest.approx(1.5)
+    assert sum(divide_among_engines(1.5, ENGINES["b"], ENGINES["b"], 0.5, S).values()) == pytest.approx(1.5)
 
 
 # --- by the core ---
 
 
-def core(home: str, plan: bool = True, **fields: object) -> Fleet:
+def core(home: str, plan: bool = True, **fields: object) -> FleetCoordinator:
     """One instance of `home` among six, with a plan by the words of the others."""
-    outlook = OutlookSettings(**fields)  # type: ignore[arg-type]
-    made = Fleet(99, 1, 0.0, FleetSettings(dispatchers=7, price=True, outlook=outlook, home=home), 1)
-    made.know(ENGINES)
-    assert made.outlook is not None
-    steps(made.outlook, fleet() if plan else [], 0.0, 2500.0)
-    made.members(2500.0, [s.member for s in fleet()])
+    outlook = CostEstimatorSettings(**fields)  # type: ignore[arg-type]
+    made = FleetCoordinator(
+        99, 1, 0.0, FleetSettings(dispatchers=7, sheds_load=True, failover_cost=outlook, home_zone=home), 1
+    )
+    made.set_engines(ENGINES)
+    assert made.failover_cost is not None
+    steps(made.failover_cost, fleet() if plan else [], 0.0, 2500.0)
+    made.set_members(2500.0, [s.member for s in fleet()])
     for i in range(100):  # 0.7 cores
-        made.outlook.offered(500.0 + i * 20.0, 6.0, 14.0)
+        made.failover_cost.on_request(500.0 + i * 20.0, 6.0, 14.0)
     return made
 
 
-def bound(made: Fleet, now: float) -> dict[str, float]:
+def bound(made: FleetCoordinator, now: float) -> dict[str, float]:
     """What a step bounds, by engine."""
-    [found] = [a for a in made.step(now) if isinstance(a, Bound)] or [Bound({}, 0.0)]
-    return found.work
+    [found] = [a for a in made.step(now) if isinstance(a, EngineBounds)] or [EngineBounds({}, 0.0)]
+    return found.work_rates
 
 
-def leave(made: Fleet, zone: str) -> None:
+def leave(made: FleetCoordinator, zone: str) -> None:
     """A zone is out."""
-    made.zones.states[zone].phase = Phase.OUT
+    made.evacuation.states[zone].phase = Phase.EVACUATED
 
 
 @pytest.mark.parametrize("home, bounded", [("a", {"b", "c"}), ("b", {"c"}), ("c", {"b"})])
@@ -136,7 +150,7 @@
     assert all(work[engine] == 0 for engine in ENGINES["a"])
     assert {engine[0] for engine in work} - {"a"} == bounded
     by_zone = {zone: math.fsum(work[engine] for engine in ENGINES[zone]) for zone in bounded}
-    demand = math.fsum(made.outlook.demand.rates(2700.0).values()) if made.outlook else 0.0
+    demand = math.fsum(made.failover_cost.demand.rates(2700.0).values()) if made.failover_cost else 0.0
     if home == "a":
         assert math.fsum(by_zone.values()) >= 0.95 * demand and by_zone["b"] > by_zone["c"]
     else:
@@ -144,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    "fields", [{"plan": False}, {"guests": None}], ids=["without a plan", "switched off"]
+    "fields", [{"plan": False}, {"cross_zone": None}], ids=["without a plan", "switched off"]
 )
 def test_without_a_plan_todays_rule_stands(fields: dict[str, object]) -> None:
     made = core("a", **fields)  # type: ignore[arg-type]
@@ -154,70 +168,70 @@
 
 def test_an_engine_that_starts_is_no_outage() -> None:
     made = core("a")
-    made.ramp = Ramp(99, 1, 2500.0, RampSettings(), 1)
-    made.cold_parts = Parts(0.0, 1 / 7, 1)
-    made.ramp.know(2500.0, {engine: 1.0 for engine in made.zone_of})
-    made.ramp.young = {"b0": made.ramp.young["b0"]}
+    made.slow_start = SlowStart(99, 1, 2500.0, SlowStartSettings(), 1)
+    made.warmup_quotas = QuotaAccount(0.0, 1 / 7, 1)
+    made.slow_start.set_engines(2500.0, {engine: 1.0 for engine in made.zone_of})
+    made.slow_start.warming = {"b0": made.slow_start.warming["b0"]}
     assert set(bound(made, 2600.0)) == {"b0"}
     leave(made, "c")
     assert {"b0", "c0"} <= set(bound(made, 2700.0))
 
 
 def test_neighbours_change_only_where_others_are_clearly_wanted(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = Outlook(99, 1, 0.0, "a", 1)
-    made.know(ENGINES)
+    made = CostEstimator(99, 1, 0.0, "a", 1)
+    made.set_engines(ENGINES)
 
     def shares(now: float, cheap: float) -> dict[str, float]:
         told = fleet()
         told[1] = site(2, "b", cheap=cheap)
         steps(made, told, now, 2000.0, a=0.0)
         for _ in range(20):
-            made.offered(now + 1900.0, 6.0, 20.0)
-        made.bounds(now + 2000.0, {"a": 0.0})
-        return dict(made.held["now", "a"].value)
+            made.on_request(now + 1900.0, 6.0, 20.0)
+        made.engine_limits(now + 2000.0, {"a": 0.0})
+        return dict(made.held_shares["now", "a"].shares)
 
     first = shares(0.0, 0.8)
     assert shares(2000.0, 0.85) == first != shares(4000.0, 2.4)
-    made.bounds(6100.0, {})
-    assert ("now", "a") not in made.held
+    made.engine_limits(6100.0, {})
+    assert ("now", "a") not in made.held_shares
 
 
 def test_a_question_that_is_the_same_is_divided_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    made, asked = Outlook(99, 1, 0.0, "a", 1), list[str]()
-    made.know(ENGINES)
+    made, asked = CostEstimator(99, 1, 0.0, "a", 1), list[str]()
+    made.set_engines(ENGINES)
     steps(made, fleet(), 0.0, 2000.0)
-    keep = Outlook._keep
+    keep = CostEstimator._keep
 
-    def counted(self: Outlook, plan: Plan, zone: str, gives: float, good: float) -> float:
+    def counted(self: CostEstimator, plan: SnapshotPlan, zone: str, gives: float, good: float) -> float:
         asked.append(zone)
         return keep(self, plan, zone, gives, good)
 
-    monkeypatch.setattr(Outlook, "_keep", counted)
+    monkeypatch.setattr(CostEstimator, "_keep", counted)
     for i in range(20):
-        made.share_kept(2000.0 + i * 100.0, "a", 1.0, 0.95 + i * 0.002)
+        made.retained_share(2000.0 + i * 100.0, "a", 1.0, 0.95 + i * 0.002)
     assert asked == ["a"]
 
 
 # --- while all engines are cold ---
 
 
-def back(work: float, **fields: Any) -> tuple[Fleet, dict[str, float]]:
+def back(work: float, **fields: Any) -> tuple[FleetCoordinator, dict[str, float]]:
     """An instance of zone a after a power loss of all, its engines proven, with so many cores of clients'
     work; what it kept says that it is at home in a. And what it may send by engine."""
-    now, outlook = 10_000.0, OutlookSettings(**fields)
-    s = FleetSettings(dispatchers=6, recovery=RampSettings(), outlook=outlook, home="a")
-    made = Fleet(99, 2, now, s, 1)
-    assert made.outlook is not None and made.ramp is not None
-    made.outlook.hint(pack_sites([site(99, "a")]))
-    made.know(ENGINES, now)
-    made.lost(now, Lost.FLEET)
-    made.ramp.list_heard(now)
+    now, outlook = 10_000.0, CostEstimatorSettings(**fields)
+    s = FleetSettings(dispatchers=6, slow_start=SlowStartSettings(), failover_cost=outlook, home_zone="a")
+    made = FleetCoordinator(99, 2, now, s, 1)
+    assert made.failover_cost is not None and made.slow_start is not None
+    made.failover_cost.restore(encode_site_reports([site(99, "a")]))
+    made.set_engines(ENGINES, now)
+    made.on_loss(now, OutageScope.FLEET)
+    made.slow_start.on_list_received(now)
     for engine in made.zone_of:
-        made.probed(now, engine, True)
+        made.on_health_check(now, engine, True)
     for t in range(0, 1500, 100):
-        made.outlook.offered(now + t, 6.0, 100.0 * work)
-        found = [a for a in made.step(now + t + 50) if isinstance(a, Bound)]
-    return made, found[-1].work
+        made.failover_cost.on_request(now + t, 6.0, 100.0 * work)
+        found = [a for a in made.step(now + t + 50) if isinstance(a, EngineBounds)]
+    return made, found[-1].work_rates
 
 
 def zone_sums(work: dict[str, float]) -> dict[str, float]:
@@ -227,56 +241,58 @@
 
 def test_after_a_power_loss_clients_are_served_first_from_where_the_kept_word_says() -> None:
     made, work = back(0.08)
-    _, without = back(0.08, guests=None)
+    _, without = back(0.08, cross_zone=None)
     near, any_ = zone_sums(work), zone_sums(without)
-    assert made.outlook is not None and made.outlook.first("a")[0][0] == "a"
+    assert made.failover_cost is not None and made.failover_cost.first_serving_zones("a")[0][0] == "a"
     assert any_["a"] == pytest.approx(any_["c"]) and 0.08 <= near["a"] <= any_["a"]
-    assert near["c"] == pytest.approx(S.cool * any_["c"])
+    assert near["c"] == pytest.approx(S.min_share * any_["c"])
     # Where all that cold engines bear is less than what clients ask for, none of it is held back.
     assert zone_sums(back(2.0)[1]) == pytest.approx(any_)
 
 
 def test_the_own_word_is_kept_now_and_then_and_never_an_empty_one() -> None:
-    made = Outlook(99, 1, 0.0, "a", 1)
-    made.know(ENGINES)
+    made = CostEstimator(99, 1, 0.0, "a", 1)
+    made.set_engines(ENGINES)
     made.step(0.0, {1, 2})
-    assert not made.to_keep(0.0)
+    assert not made.report_to_save(0.0)
     kept = []
     for t in range(0, 20_000, 100):
-        made.offered(t, 6.0, 20.0)
-        made.answered(t, "a", "x")
+        made.on_request(t, 6.0, 20.0)
+        made.on_answer(t, "a", "x")
         made.step(float(t), {1, 2})
-        kept.append(made.to_keep(float(t)))
+        kept.append(made.report_to_save(float(t)))
     assert 3 <= sum(map(bool, kept)) <= 5
 
 
 @pytest.mark.parametrize("value, well", [(None, True), (b"\x01garbled", False)], ids=["kept", "garbled"])
 def test_what_was_kept_is_read_in_the_next_life(value: bytes | None, well: bool, tmp_path: Path) -> None:
-    made = Outlook(99, 1, 0.0, "a", 1)
-    made.know(ENGINES)
+    made = CostEstimator(99, 1, 0.0, "a", 1)
+    made.set_engines(ENGINES)
     for t in range(0, 3000, 100):
-        made.offered(t, 6.0, 20.0)
+        made.on_request(t, 6.0, 20.0)
         made.step(float(t), {1, 2})
     ledger = Ledger.open(tmp_path, "n0")
-    keep_site(ledger, made, 3000.0)
+    save_site_report(ledger, made, 3000.0)
     if value is not None:
         ledger.put([Record(Kind.WARM, SITE, value)])
     ledger.close(clean=False)
-    ledger, again = Ledger.open(tmp_path, "n0"), Outlook(99, 2, 0.0, "a", 1)
+    ledger, again = Ledger.open(tmp_path, "n0"), CostEstimator(99, 2, 0.0, "a", 1)
     try:
-        assert recall_site(ledger, again) == well
-        assert [bool(site.rates) for site in again.kept.values()] == [True] * well
+        assert restore_site_report(ledger, again) == well
+        assert [bool(site.rates) for site in again.restored_reports.values()] == [True] * well
         # What was warm has gone with the power.
-        assert not any(seen.warm for site in again.kept.values() for seen in site.zones.values())
+        assert not any(
+            seen.warm_filter for site in again.restored_reports.values() for seen in site.zones.values()
+        )
     finally:
         ledger.close(clean=True)
 
 
 @pytest.mark.parametrize("left, most", [({}, 5), ({"a": 0.0}, 11)], ids=["calm", "out"])
 def test_in_calm_it_is_divided_less_often(left: dict[str, float], most: int) -> None:
-    made, drawn = Outlook(99, 1, 0.0, "a", 1), set[float]()
-    made.know(ENGINES)
+    made, drawn = CostEstimator(99, 1, 0.0, "a", 1), set[float]()
+    made.set_engines(ENGINES)
     for t in range(0, 10_000, 1000):
         steps(made, fleet(), float(t), 1000.0, **left)
-        drawn.add(made.plan.at if made.plan is not None else 0.0)
+        drawn.add(made.plan.made_at if made.plan is not None else 0.0)
     assert most - 3 <= len(drawn) <= most
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -12,20 +12,20 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator.outages import Setup, World
-from cottonhold.fleet.admission.demand import STEPS, step_of
+from cottonhold.fleet.admission.demand import DENSITY_STEPS, density_step
 from cottonhold.fleet.failover_cost import fleet_snapshot as pictures
-from cottonhold.fleet.failover_cost.allocation import value
-from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
-from cottonhold.fleet.failover_cost.fleet_snapshot import PictureSettings, draw
-from cottonhold.fleet.failover_cost.hysteresis import Held, Steady
+from cottonhold.fleet.failover_cost.allocation import utility_of_step
+from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.fleet_snapshot import SnapshotSettings, take_snapshot
+from cottonhold.fleet.failover_cost.hysteresis import HeldShares, HysteresisSettings
 from cottonhold.fleet.failover_cost.messages import (
-    BITS,
-    Seen,
-    Site,
-    bits_of,
-    pack_sites,
-    read_sites,
-    set_number,
+    FILTER_BITS,
+    SiteReport,
+    ZoneObservation,
+    data_set_number,
+    decode_site_reports,
+    encode_site_reports,
+    filter_bits,
 )
 from cottonhold.fleet.failover_cost.projection import CostSettings, Projection, project
 from cottonhold.fleet.latest_reports import LatestReports
@@ -36,28 +36,33 @@
 ENGINES = {zone: {f"{zone}{i}": 1.0 for i in range(4)} for zone in ZONES}
 FAR = {("a", "b"): 15.0, ("b", "c"): 25.0, ("a", "c"): 60.0}
 TRIPS = {(x, y): 1.0 if x == y else FAR[min(x, y), max(x, y)] for x in ZONES for y in ZONES}
-DEAR, CHEAP = step_of(6.0, 20.0), step_of(1.0, 20.0)
-SETS = {zone: {set_number(f"{zone}/{i}"): 0.25 for i in range(4)} for zone in ZONES}
+DEAR, CHEAP = density_step(6.0, 20.0), density_step(1.0, 20.0)
+SETS = {zone: {data_set_number(f"{zone}/{i}"): 0.25 for i in range(4)} for zone in ZONES}
 
 
-def site(member: int, home: str, dear: float = 0.6, cheap: float = 0.8, **fields: object) -> Site:
+def site(member: int, home: str, dear: float = 0.6, cheap: float = 0.8, **fields: object) -> SiteReport:
     """One instance's word: so many cores of each kind, own data sets warm at home."""
     warm = 0
     for number in SETS[home]:
-        warm |= bits_of(number)
-    zones = {zone_number(z): Seen(TRIPS[home, z], float(z == home), warm if z == home else 0) for z in ZONES}
-    made = Site(member, 1, 1, zone_number(home), 20.0, {DEAR: dear, CHEAP: cheap}, dict(SETS[home]), zones)
+        warm |= filter_bits(number)
+    zones = {
+        zone_number(z): ZoneObservation(TRIPS[home, z], float(z == home), warm if z == home else 0)
+        for z in ZONES
+    }
+    made = SiteReport(
+        member, 1, 1, zone_number(home), 20.0, {DEAR: dear, CHEAP: cheap}, dict(SETS[home]), zones
+    )
     return replace(made, **fields)  # type: ignore[arg-type]
 
 
-def fleet(**fields: object) -> list[Site]:
+def fleet(**fields: object) -> list[SiteReport]:
     """Two instances a zone; 8.4 cores of work on twelve."""
     return [site(i + 1, zone, **fields) for i, zone in enumerate((*ZONES, *ZONES))]  # type: ignore[arg-type]
 
 
-def shown(sites: list[Site], **left: float) -> Projection:
+def shown(sites: list[SiteReport], **left: float) -> Projection:
     """The projection of a fleet with so much left of zones."""
-    picture = draw(sites, ENGINES, len(sites))
+    picture = take_snapshot(sites, ENGINES, len(sites))
     assert picture is not None
     return project(picture, left)
 
@@ -65,19 +70,19 @@
 # --- words ---
 
 SITES = st.builds(
-    Site,
+    SiteReport,
     st.integers(1, 2**64 - 1),
     st.integers(0, 2**32 - 1),
     st.integers(0, 2**32 - 1),
     st.integers(0, 2**16 - 1),
     st.floats(0.0, 20_000.0),
-    st.dictionaries(st.integers(0, STEPS - 1), st.floats(0.01, 50.0), max_size=20),
+    st.dictionaries(st.integers(0, DENSITY_STEPS - 1), st.floats(0.01, 50.0), max_size=20),
     st.lists(st.integers(0, 2**16 - 1), max_size=20, unique=True).map(
         lambda ns: {n: 1 / len(ns) for n in ns}
     ),
     st.dictionaries(
         st.integers(0, 2**16 - 1),
-        st.builds(Seen, st.floats(0, 5000), st.floats(0, 1), st.integers(0, 2**BITS - 1)),
+        st.builds(ZoneObservation, st.floats(0, 5000), st.floats(0, 1), st.integers(0, 2**FILTER_BITS - 1)),
         max_size=12,
     ),
     st.one_of(st.just(-1.0), st.floats(0.0, 400.0)),
@@ -86,33 +91,38 @@
 
 @settings(deadline=None)
 @given(SITES)
-def test_a_site_fits_a_datagram_and_is_read_as_it_was_told(told: Site) -> None:
-    data = pack_sites([told])
-    [read] = read_sites(data)
-    assert len(data) <= MAX_MESSAGE_BYTES and read.stamp == told.stamp and read.home == told.home
+def test_a_site_fits_a_datagram_and_is_read_as_it_was_told(told: SiteReport) -> None:
+    data = encode_site_reports([told])
+    [read] = decode_site_reports(data)
+    assert len(data) <= MAX_MESSAGE_BYTES and read.stamp == told.stamp and read.home_zone == told.home_zone
     assert math.isclose(sum(read.rates.values()), sum(told.rates.values()), rel_tol=0.06, abs_tol=0.01)
     for number, seen in read.zones.items():
-        assert seen.warm == told.zones[number].warm
-        assert math.isclose(seen.trip, told.zones[number].trip, rel_tol=0.03, abs_tol=0.11)
-    assert read_sites(pack_sites([read])) == [read]  # what was read is told on without change
+        assert seen.warm_filter == told.zones[number].warm_filter
+        assert math.isclose(seen.round_trip_ms, told.zones[number].round_trip_ms, rel_tol=0.03, abs_tol=0.11)
+    assert decode_site_reports(encode_site_reports([read])) == [
+        read
+    ]  # what was read is told on without change
 
 
 @pytest.mark.parametrize("cut", [0, 1, 2, 10, 30, -1], ids=str)
 def test_a_message_that_makes_no_sense_is_refused(cut: int) -> None:
-    data = pack_sites([site(1, "a")])
+    data = encode_site_reports([site(1, "a")])
     for bad in (data[:cut], data + b"\0", b"\x05" + data[1:], data[:2] + bytes(8) + data[10:]):
         with pytest.raises(MessageError):
-            read_sites(bad)
+            decode_site_reports(bad)
 
 
 @settings(deadline=None)
 @given(st.randoms(use_true_random=False))
 def test_sites_merge_in_any_order_any_number_of_times(order: random.Random) -> None:
     said = [
-        site(m, "a", dear=v / 10, life=life, version=v) for m in (1, 2) for life in (1, 2) for v in (1, 2)
+        site(m, "a", dear=v / 10, incarnation=life, version=v)
+        for m in (1, 2)
+        for life in (1, 2)
+        for v in (1, 2)
     ]
     order.shuffle(said)
-    words = LatestReports[Site](9)
+    words = LatestReports[SiteReport](9)
     for word in [*said, *said]:
         words.apply(0.0, word)
     assert {m: h.report.stamp for m, h in words.received.items()} == {1: (2, 2), 2: (2, 2)}
@@ -144,9 +154,13 @@
 def test_a_pair_is_no_sum_of_two_zones() -> None:
     sites = fleet()
     one, other, both = shown(sites, a=0.0), shown(sites, b=0.0), shown(sites, a=0.0, b=0.0)
-    assert both.lost > 2 * (one.lost + other.lost) and both.worth <= 4 * 0.97 * value(DEAR)
-    assert set(z for _, z in both.flows) == {"c"} and both.price is not None and both.price.step >= CHEAP
-    assert both.added > one.added
+    assert both.lost_utility > 2 * (
+        one.lost_utility + other.lost_utility
+    ) and both.served_utility <= 4 * 0.97 * utility_of_step(DEAR)
+    assert (
+        set(z for _, z in both.flows) == {"c"} and both.threshold is not None and both.threshold.step >= CHEAP
+    )
+    assert both.added_round_trip_ms > one.added_round_trip_ms
 
 
 def test_guests_never_take_their_hosts_part_even_if_they_are_dearer() -> None:
@@ -157,10 +171,10 @@
         assert found.flows[zone, zone] >= 1.2
 
 
-def most_off(lie: Callable[[Site], Site]) -> float:
+def most_off(lie: Callable[[SiteReport], SiteReport]) -> float:
     """How much one liar of six shifts the part of the worth that is projected."""
     honest, sites = shown(fleet(), a=0.0), fleet()
-    return abs(shown([*sites[:5], lie(sites[5])], a=0.0).share() - honest.share())
+    return abs(shown([*sites[:5], lie(sites[5])], a=0.0).served_share() - honest.served_share())
 
 
 @pytest.mark.parametrize(
@@ -168,46 +182,69 @@
     [
         (lambda s: replace(s, rates={DEAR: 400.0}), 0.1),
         (lambda s: replace(s, rates={}), 0.05),
-        (lambda s: replace(s, zones={n: replace(z, warm=2**BITS - 1) for n, z in s.zones.items()}), 0.001),
-        (lambda s: replace(s, zones={n: replace(z, trip=9000.0) for n, z in s.zones.items()}), 0.001),
-        (lambda s: replace(s, zones={n: replace(z, served=0.0) for n, z in s.zones.items()}), 0.001),
-        (lambda s: replace(s, mean=0.1, sets={1: 1.0}), 0.03),
+        (
+            lambda s: replace(
+                s, zones={n: replace(z, warm_filter=2**FILTER_BITS - 1) for n, z in s.zones.items()}
+            ),
+            0.001,
+        ),
+        (
+            lambda s: replace(s, zones={n: replace(z, round_trip_ms=9000.0) for n, z in s.zones.items()}),
+            0.001,
+        ),
+        (lambda s: replace(s, zones={n: replace(z, served_share=0.0) for n, z in s.zones.items()}), 0.001),
+        (lambda s: replace(s, mean_work_ms=0.1, data_set_shares={1: 1.0}), 0.03),
     ],
     ids=["much", "nothing", "warm", "far", "served", "sets"],
 )
 def test_what_one_instance_tells_moves_the_projection_by_a_bounded_part(
-    lie: Callable[[Site], Site], bound: float
+    lie: Callable[[SiteReport], SiteReport], bound: float
 ) -> None:
     assert most_off(lie) <= bound
 
 
 def test_a_claim_that_is_not_capped_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    def much(s: Site) -> Site:
+    def much(s: SiteReport) -> SiteReport:
         return replace(s, rates={DEAR: 400.0})
 
     assert most_off(much) <= 0.1
-    monkeypatch.setattr(PictureSettings, "__init__", lambda self: None)
-    for name, free in (("claim", 1e6), ("skew", 1e6), ("quorum", 0.5), ("trip", 50.0)):
-        monkeypatch.setattr(PictureSettings, name, free)
+    monkeypatch.setattr(SnapshotSettings, "__init__", lambda self: None)
+    for name, free in (
+        ("max_claim_share", 1e6),
+        ("max_skew", 1e6),
+        ("quorum_share", 0.5),
+        ("default_round_trip_ms", 50.0),
+    ):
+        monkeypatch.setattr(SnapshotSettings, name, free)
     assert most_off(much) > 0.30
 
 
 def test_cold_sets_far_zones_and_sets_pushed_out_cost() -> None:
     near = shown(fleet(), b=0.0)
-    assert near.added > 10 and near.extra > 0 and near.warm_ms > 0 and near.back_ms > 1000
-    picture = draw(fleet(), ENGINES, 6)
+    assert (
+        near.added_round_trip_ms > 10
+        and near.extra_cold_cores > 0
+        and near.warm_ms > 0
+        and near.return_ms > 1000
+    )
+    picture = take_snapshot(fleet(), ENGINES, 6)
     assert picture is not None
-    tight = project(picture, {"b": 0.0}, CostSettings(keeps=5))
-    assert tight.extra > 2 * near.extra and tight.useful < near.useful and tight.worth < near.worth
+    tight = project(picture, {"b": 0.0}, CostSettings(cached_data_sets=5))
+    assert (
+        tight.extra_cold_cores > 2 * near.extra_cold_cores
+        and tight.useful_cores < near.useful_cores
+        and tight.served_utility < near.served_utility
+    )
     everywhere = [
-        replace(s, zones={n: replace(z, warm=2**BITS - 1) for n, z in s.zones.items()}) for s in fleet()
+        replace(s, zones={n: replace(z, warm_filter=2**FILTER_BITS - 1) for n, z in s.zones.items()})
+        for s in fleet()
     ]
-    assert shown(everywhere, b=0.0).extra == pytest.approx(0.0, abs=1e-9)
+    assert shown(everywhere, b=0.0).extra_cold_cores == pytest.approx(0.0, abs=1e-9)
 
 
-def spread(s: Site) -> Site:
+def spread(s: SiteReport) -> SiteReport:
     """One whose clients are served in all zones alike."""
-    return replace(s, zones={n: replace(z, served=1 / len(ZONES)) for n, z in s.zones.items()})
+    return replace(s, zones={n: replace(z, served_share=1 / len(ZONES)) for n, z in s.zones.items()})
 
 
 @pytest.mark.parametrize(
@@ -220,14 +257,16 @@
     ids=["at home", "in all zones", "not known"],
 )
 def test_a_loss_is_compared_with_where_clients_are_served_now(
-    told: Callable[[Site], Site], added: float, calm: dict[str, float]
+    told: Callable[[SiteReport], SiteReport], added: float, calm: dict[str, float]
 ) -> None:
     sites = [told(s) for s in fleet(dear=0.3, cheap=0.4)]
-    picture = draw(sites, ENGINES, len(sites))
-    assert picture is not None and picture.homes["a"].served == pytest.approx(calm)
+    picture = take_snapshot(sites, ENGINES, len(sites))
+    assert picture is not None and picture.homes["a"].served_shares == pytest.approx(calm)
     found = project(picture, {"a": 0.0})
-    assert found.added == pytest.approx(added, abs=6.0)
-    assert found.worth == pytest.approx(found.offered, rel=0.01)  # only what the loss adds differs
+    assert found.added_round_trip_ms == pytest.approx(added, abs=6.0)
+    assert found.served_utility == pytest.approx(
+        found.offered_utility, rel=0.01
+    )  # only what the loss adds differs
 
 
 @pytest.mark.parametrize(
@@ -236,50 +275,52 @@
     ids=["not known", "told by all", "told by half", "one lies"],
 )
 def test_cold_work_is_compared_with_what_requests_take_now(told: list[float], now: float) -> None:
-    sites = [replace(s, cold=cold) for s, cold in zip(fleet(dear=0.3, cheap=0.4), told, strict=True)]
+    sites = [replace(s, excess_cores=cold) for s, cold in zip(fleet(dear=0.3, cheap=0.4), told, strict=True)]
     found, usual = shown(sites, a=0.0), shown(fleet(dear=0.3, cheap=0.4), a=0.0)
-    assert usual.extra > 0.1 and found.extra == pytest.approx(usual.extra - now, abs=0.01)
-    assert found.worth == usual.worth
+    assert usual.extra_cold_cores > 0.1 and found.extra_cold_cores == pytest.approx(
+        usual.extra_cold_cores - now, abs=0.01
+    )
+    assert found.served_utility == usual.served_utility
 
 
 def test_what_requests_take_beyond_what_they_were_told_to_need_is_told_once_it_is_known() -> None:
     made = told(fleet())
-    assert made.site(2000.0).cold == -1.0
+    assert made.build_report(2000.0).excess_cores == -1.0
     for t in range(2000, 12_000, 50):  # each needs 20 ms; one in four takes 60
-        made.offered(float(t), 6.0, 20.0, "x")
-        made.answered(float(t), "a", "x", beyond=40.0 if t % 200 == 0 else 0.0)
-        assert t > 4000 or made.site(float(t)).cold == -1.0
-    [read] = read_sites(pack_sites([made.site(12_000.0)]))
-    assert read.cold == pytest.approx(0.2, abs=0.03)  # five of 40 ms a second
+        made.on_request(float(t), 6.0, 20.0, "x")
+        made.on_answer(float(t), "a", "x", beyond=40.0 if t % 200 == 0 else 0.0)
+        assert t > 4000 or made.build_report(float(t)).excess_cores == -1.0
+    [read] = decode_site_reports(encode_site_reports([made.build_report(12_000.0)]))
+    assert read.excess_cores == pytest.approx(0.2, abs=0.03)  # five of 40 ms a second
 
 
 def test_one_that_tells_wrongly_where_it_is_served_moves_the_way_by_its_part() -> None:
     honest = [spread(s) for s in fleet(dear=0.3, cheap=0.4)]
-    far = {n: replace(z, served=float(n == zone_number("c"))) for n, z in honest[0].zones.items()}
+    far = {n: replace(z, served_share=float(n == zone_number("c"))) for n, z in honest[0].zones.items()}
     before, after = shown(honest, a=0.0), shown([replace(honest[0], zones=far), *honest[1:]], a=0.0)
     # It is half of its home, whose mean way can seem longer by half of the longest one at most.
-    assert abs(after.added - before.added) <= TRIPS["a", "c"] / 2
-    assert after.worth == before.worth
+    assert abs(after.added_round_trip_ms - before.added_round_trip_ms) <= TRIPS["a", "c"] / 2
+    assert after.served_utility == before.served_utility
 
 
 # --- what it decides ---
 
 
-def told(sites: list[Site], now: float = 0.0, me: str = "a", **fields: object) -> Outlook:
+def told(sites: list[SiteReport], now: float = 0.0, me: str = "a", **fields: object) -> CostEstimator:
     """An outlook with a plan, by these words of the others."""
-    made = Outlook(99, 1, now, me, 1, OutlookSettings(**fields))  # type: ignore[arg-type]
-    made.know(ENGINES)
+    made = CostEstimator(99, 1, now, me, 1, CostEstimatorSettings(**fields))  # type: ignore[arg-type]
+    made.set_engines(ENGINES)
     steps(made, sites, now, 2000.0)
     return made
 
 
-def steps(made: Outlook, sites: list[Site], begin: float, last: float, **left: float) -> None:
+def steps(made: CostEstimator, sites: list[SiteReport], begin: float, last: float, **left: float) -> None:
     """So many ms of steps, in which these words come once a second, each time with a higher version."""
     for t in range(int(last // 100)):
         now = begin + t * 100.0
         if t % 10 == 0 and sites:
             for s in sites:
-                made.hear(now, pack_sites([replace(s, version=int(now) + 1)]))
+                made.on_message(now, encode_site_reports([replace(s, version=int(now) + 1)]))
         made.step(now, {s.member for s in [*fleet(), *sites]}, left)
 
 
@@ -289,25 +330,31 @@
     assert nearest == "b" and part > 0.9
     full = told([*fleet(dear=0.3, cheap=0.4), site(7, "b", dear=1.5, cheap=0.5)])
     assert dict(full.neighbours("a")).get("c", 0.0) > 0.1
-    assert dict(made.serving("b")) == {"b": 1.0} and made.serving("a", "a") == made.neighbours("a")
+    assert dict(made.serving_zones("b")) == {"b": 1.0} and made.serving_zones("a", "a") == made.neighbours(
+        "a"
+    )
     assert made.projection("c", "a") is not None and made.projection("a", "b", "c") is None
 
 
 def test_an_ill_zone_keeps_what_the_others_cannot_carry_and_it_still_serves() -> None:
     calm, full = told(fleet(dear=0.3, cheap=0.4)), told(fleet(dear=0.8, cheap=0.9))
-    assert calm.share_kept(2000.0, "a", 0.5, 0.7) == 0.0
-    kept = full.share_kept(2000.0, "a", 0.5, 0.7)
+    assert calm.retained_share(2000.0, "a", 0.5, 0.7) == 0.0
+    kept = full.retained_share(2000.0, "a", 0.5, 0.7)
     assert kept is not None and 0.3 < kept <= 0.5
-    assert full.share_kept(2000.0, "a", 0.0) == 0.0
-    assert Outlook(1, 1, 0.0, "a", 1).share_kept(0.0, "a") is None
+    assert full.retained_share(2000.0, "a", 0.0) == 0.0
+    assert CostEstimator(1, 1, 0.0, "a", 1).retained_share(0.0, "a") is None
 
 
 def test_a_swap_may_take_out_only_what_leaves_each_loss_bearable() -> None:
     calm, full = told(fleet(dear=0.3, cheap=0.4)), told(fleet(dear=0.6, cheap=0.8))
-    assert not calm.bearable({}) and not calm.bearable({"a": 2.0}) and not full.bearable({})
-    reasons = full.bearable({"a": 2.0}, {"b": 3.0})
+    assert (
+        not calm.removal_objections({})
+        and not calm.removal_objections({"a": 2.0})
+        and not full.removal_objections({})
+    )
+    reasons = full.removal_objections({"a": 2.0}, {"b": 3.0})
     assert reasons and all("lost" in why for why in reasons)
-    assert Outlook(1, 1, 0.0, "a", 1).bearable({})  # nothing known: nothing may start
+    assert CostEstimator(1, 1, 0.0, "a", 1).removal_objections({})  # nothing known: nothing may start
 
 
 def test_the_plan_of_today_stands_without_news_and_runs_out() -> None:
@@ -316,30 +363,38 @@
     steps(made, [], 2000.0, 20_000.0)
     assert before and made.neighbours("a") == before and made.projection("a") is not None
     steps(made, [], 22_000.0, 15_000.0)
-    assert made.neighbours("a") == () and made.bearable({}) and made.share_kept(37_000.0, "a") is None
+    assert (
+        made.neighbours("a") == ()
+        and made.removal_objections({})
+        and made.retained_share(37_000.0, "a") is None
+    )
 
 
 def test_what_was_kept_over_a_power_loss_says_only_who_is_served_first() -> None:
-    made = Outlook(99, 2, 0.0, "a", 1)
-    made.know(ENGINES)
-    made.hint(pack_sites([site(1, "a")]))
-    made.hint(pack_sites([site(2, "b", dear=3.0)]))
+    made = CostEstimator(99, 2, 0.0, "a", 1)
+    made.set_engines(ENGINES)
+    made.restore(encode_site_reports([site(1, "a")]))
+    made.restore(encode_site_reports([site(2, "b", dear=3.0)]))
     for t in range(0, 2000, 100):
         made.step(float(t), {1, 2, 3})
-    assert made.first("b") and made.first("b")[0][0] == "b" and made.neighbours("b") == ()
-    assert made.bearable({})
+    assert (
+        made.first_serving_zones("b")
+        and made.first_serving_zones("b")[0][0] == "b"
+        and made.neighbours("b") == ()
+    )
+    assert made.removal_objections({})
 
 
 def test_small_changes_wait_and_large_ones_do_not() -> None:
-    s, held = Steady(), Held({"b": 0.6, "c": 0.4})
+    s, held = HysteresisSettings(), HeldShares({"b": 0.6, "c": 0.4})
     held.follow(0.0, {"b": 0.55, "c": 0.45}, s)
     held.follow(100.0, {"b": 0.4, "c": 0.6}, s)
     held.follow(3000.0, {"b": 0.4, "c": 0.6}, s)
-    assert held.value == {"b": 0.6, "c": 0.4}
+    assert held.shares == {"b": 0.6, "c": 0.4}
     held.follow(3200.0, {"b": 0.4, "c": 0.6}, s)
-    assert held.value == {"b": 0.4, "c": 0.6}
+    assert held.shares == {"b": 0.4, "c": 0.6}
     held.follow(3300.0, {"b": 1.0}, s)  # c can serve nothing any more
-    assert held.value == {"b": 1.0}
+    assert held.shares == {"b": 1.0}
 
 
 @settings(max_examples=25, deadline=None)
@@ -350,33 +405,36 @@
     sites = [site(i + 1, ZONES[i % 3], dear, cheap) for i, (dear, cheap) in enumerate(kinds)]
     left = {z: data.draw(st.sampled_from([0.0, 0.5, 1.0])) for z in ZONES}
     found = shown(sites, **left)
-    assert found.worth <= found.offered * (1 + 1e-9) and found.lost >= 0
+    assert found.served_utility <= found.offered_utility * (1 + 1e-9) and found.lost_utility >= 0
     for zone in ZONES:
         served = sum(x for (_, z), x in found.flows.items() if z == zone)
         assert served <= 4 * 0.97 * left[zone] + 1e-6
 
 
 def test_thirty_instances_hear_of_one_another_in_few_datagrams() -> None:
-    instances = {m: Outlook(m, 1, 0.0, ZONES[m % 3], m, OutlookSettings(every=1e9)) for m in range(1, 31)}
+    instances = {
+        m: CostEstimator(m, 1, 0.0, ZONES[m % 3], m, CostEstimatorSettings(snapshot_interval_ms=1e9))
+        for m in range(1, 31)
+    }
     sent = 0
     for now in range(0, 10_000, 100):
         for one in instances.values():
-            one.know(ENGINES)
-            one.offered(float(now), 6.0, 20.0, "x")
+            one.set_engines(ENGINES)
+            one.on_request(float(now), 6.0, 20.0, "x")
             for member, data in one.step(float(now), instances):
                 sent += len(data)
-                instances[member].hear(float(now), data)
-    heard = [len(one.words.fresh(10_000.0, 5000.0, instances)) for one in instances.values()]
+                instances[member].on_message(float(now), data)
+    heard = [len(one.reports.fresh(10_000.0, 5000.0, instances)) for one in instances.values()]
     assert min(heard) >= 22 and sent / 30 / 10 < 3000  # bytes a second
 
 
 def test_names_of_data_sets_that_come_once_are_forgotten() -> None:
     made = told(fleet())
     for i in range(2000):
-        made.offered(2000.0, 1.0, 20.0, f"once/{i}")
-        made.answered(2000.0, "a", f"once/{i}")
-    made.site(200_000.0)
-    assert not made.sets.weights and not made.answers.weights
+        made.on_request(2000.0, 1.0, 20.0, f"once/{i}")
+        made.on_answer(2000.0, "a", f"once/{i}")
+    made.build_report(200_000.0)
+    assert not made.data_set_use.weights and not made.answer_use.weights
 
 
 # --- whether it comes true ---
@@ -384,7 +442,7 @@
 
 def lost(seed: int, decides: str) -> tuple[Projection | None, float, float]:
     """A day on which zone a is lost: what was projected, the part of the worth served, cold work on top."""
-    plans = OutlookSettings(every=3000.0, cost=CostSettings(keeps=10))
+    plans = CostEstimatorSettings(snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=10))
     rates = dict.fromkeys(ZONES, 140.0)
     world = World(seed, Setup(rates, TRIPS, keeps=10, decides=decides, settings=plans))
     world.play(5500)
@@ -403,8 +461,8 @@
     for seed in (4, 5, 6):
         told, served, cold = lost(seed, "outlook")
         assert told is not None
-        worth.append(abs(told.share() - served))
-        extra.append(abs(told.extra - cold) / cold)
+        worth.append(abs(told.served_share() - served))
+        extra.append(abs(told.extra_cold_cores - cold) / cold)
     assert sorted(worth)[1] <= 0.05 and sorted(extra)[1] <= 0.35
     told, today, _ = lost(4, "today")
     assert told is None and today < 0.9
--- a/tests/fleet/test_failure_evidence.py
+++ b/tests/fleet/test_failure_evidence.py
@@ -7,17 +7,17 @@
 
 import pytest
 
-from cottonhold.fleet.zone_failover.failure_evidence import Evidence, Verdict
+from cottonhold.fleet.zone_failover.failure_evidence import FailureEvidence, ZoneHealth
 
 ZONES = {"a": ["a1", "a2", "a3"], "b": ["b1", "b2", "b3"], "c": ["c1", "c2", "c3"]}
 Answer = Callable[[str, float], tuple[bool | None, float]]  # engine and time -> good, elapsed
-Seen = tuple[float, dict[str, Verdict]]  # ms from the fault
+Seen = tuple[float, dict[str, ZoneHealth]]  # ms from the fault
 
 
 def play(answer: Answer, per_s: float = 90.0, seconds: float = 3.0, seed: int = 1) -> list[Seen]:
     """Attempts spread over all engines, two seconds of them well; then the verdicts, each 100 ms."""
-    draw, evidence, now = random.Random(seed), Evidence(), 0.0
-    evidence.know(ZONES)
+    draw, evidence, now = random.Random(seed), FailureEvidence(), 0.0
+    evidence.set_engines(ZONES)
     ends, verdicts = list[tuple[float, str, bool | None, float]](), list[Seen]()
     n, next_weigh = 0, 0.0
     while now < 2000 + seconds * 1000:
@@ -25,12 +25,12 @@
         while next_weigh < now:
             next_weigh += 100
             for end in sorted(e for e in ends if e[0] <= next_weigh):
-                evidence.ended(end[0], end[1], end[2], end[3])
+                evidence.on_ended(end[0], end[1], end[2], end[3])
             ends = [e for e in ends if e[0] > next_weigh]
-            verdicts.append((next_weigh - 2000, evidence.weigh(next_weigh)))
+            verdicts.append((next_weigh - 2000, evidence.assess(next_weigh)))
         engine = draw.choice([e for there in ZONES.values() for e in there])
         n += 1
-        evidence.sent(now, f"q{n}", engine, engine[0], 0)
+        evidence.on_sent(now, f"q{n}", engine, engine[0], 0)
         good, elapsed = answer(engine, now - 2000) if now >= 2000 else (True, 0.0)
         elapsed = elapsed or 20 * draw.lognormvariate(0, 0.4)
         ends.append((now + elapsed, f"q{n}", good, elapsed))
@@ -39,7 +39,7 @@
 
 def first(verdicts: list[Seen], zone: str) -> float | None:
     """When a zone was first seen ill or lost, in ms from the fault."""
-    return next((t for t, v in verdicts if v[zone] >= Verdict.SLOW), None)
+    return next((t for t, v in verdicts if v[zone] >= ZoneHealth.SLOW), None)
 
 
 def in_zone(zones: str, good: bool | None, elapsed: float, share: float = 1.0) -> Answer:
@@ -88,7 +88,7 @@
 def test_a_lost_zone_is_told_from_one_that_fails_in_part() -> None:
     lost = {v["a"] for t, v in play(in_zone("a", False, 1.0)) if t > 2000}
     part = {v["a"] for t, v in play(in_zone("a", False, 1.0, share=0.6)) if t > 2000}
-    assert lost == {Verdict.LOST} and Verdict.LOST not in part and Verdict.FAILING in part
+    assert lost == {ZoneHealth.DOWN} and ZoneHealth.DOWN not in part and ZoneHealth.FAILING in part
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -100,17 +100,17 @@
 def test_what_is_usual_does_not_become_what_the_fault_makes_of_it() -> None:
     """Found in virtual time: by a memory of a second the slow zone was usual before anybody was sure."""
     verdicts = play(in_zone("a", True, 250.0), seconds=6.0)
-    assert all(v["a"] >= Verdict.SLOW for t, v in verdicts if 1500 < t)
+    assert all(v["a"] >= ZoneHealth.SLOW for t, v in verdicts if 1500 < t)
 
 
 def test_attempts_of_engines_and_zones_that_have_gone_say_nothing() -> None:
-    evidence = Evidence()
-    evidence.know(ZONES)
-    evidence.sent(0.0, "q", "a1", "a", 0)
-    evidence.know({"b": ["b1"]})
-    evidence.ended(5.0, "q", False, 5.0)
-    evidence.ended(5.0, "never", False, 5.0)
-    assert evidence.weigh(10.0) == {"b": Verdict.UNSURE} and not evidence.open
+    evidence = FailureEvidence()
+    evidence.set_engines(ZONES)
+    evidence.on_sent(0.0, "q", "a1", "a", 0)
+    evidence.set_engines({"b": ["b1"]})
+    evidence.on_ended(5.0, "q", False, 5.0)
+    evidence.on_ended(5.0, "never", False, 5.0)
+    assert evidence.assess(10.0) == {"b": ZoneHealth.UNKNOWN} and not evidence.open_attempts
 
 
 @pytest.mark.parametrize("returning", [True, False])
@@ -118,13 +118,13 @@
     """Found on processes: a zone in return was left again after 100 ms, before anything had been sent
     there.
     """
-    evidence = Evidence()
-    evidence.know(ZONES)
+    evidence = FailureEvidence()
+    evidence.set_engines(ZONES)
     for n in range(400):
         engine = f"{'abc'[n % 3]}{n // 3 % 3 + 1}"
-        evidence.sent(5.0 * n, f"q{n}", engine, engine[0], 0)
-        evidence.ended(5.0 * n + 4, f"q{n}", engine[0] != "a" or n < 200, 20.0)
-        verdicts = evidence.weigh(5.0 * n + 4)
-    assert verdicts["a"] is Verdict.LOST
-    evidence.start_over("a", absent=not returning, returning=returning)
-    assert evidence.weigh(2010.0)["a"] is Verdict.UNSURE
+        evidence.on_sent(5.0 * n, f"q{n}", engine, engine[0], 0)
+        evidence.on_ended(5.0 * n + 4, f"q{n}", engine[0] != "a" or n < 200, 20.0)
+        verdicts = evidence.assess(5.0 * n + 4)
+    assert verdicts["a"] is ZoneHealth.DOWN
+    evidence.reset("a", absent=not returning, returning=returning)
+    assert evidence.assess(2010.0)["a"] is ZoneHealth.UNKNOWN
--- a/tests/fleet/test_incarnations.py
+++ b/tests/fleet/test_incarnations.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from cottonhold.fleet.admission.loads import Load
-from cottonhold.fleet.coordinator import Fleet, FleetSettings, Say
-from cottonhold.fleet.failover_cost.estimator import OutlookSettings
-from cottonhold.fleet.failover_cost.messages import SITES
+from cottonhold.fleet.admission.loads import DemandReport
+from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
+from cottonhold.fleet.failover_cost.messages import SITE_REPORTS
 from cottonhold.fleet.latest_reports import LatestReports
 from cottonhold.fleet.zone_failover.messages import DEMAND_REPORTS, ZONE_REPORTS, MemberReport
 
 BEGAN = 1_790_000_000  # seconds of Unix time; a life without a folder is the second of its start
 HIGHEST = 0xFFFFFFFF
-KINDS = (ZONE_REPORTS, DEMAND_REPORTS, SITES)
+KINDS = (ZONE_REPORTS, DEMAND_REPORTS, SITE_REPORTS)
 
 
 class Crowd:
@@ -22,21 +22,25 @@
     def __init__(self, count: int) -> None:
         self.now, self.told_back = 0.0, 0
         self.settings = FleetSettings(
-            dispatchers=count, price=True, probed=False, outlook=OutlookSettings(), home="a"
+            dispatchers=count,
+            sheds_load=True,
+            checks_are_shared=False,
+            failover_cost=CostEstimatorSettings(),
+            home_zone="a",
         )
         self.fleets = {me: self.start(me, BEGAN) for me in range(1, count + 1)}
         self.meet()
 
-    def start(self, me: int, life: int) -> Fleet:
-        fleet = Fleet(me, life, self.now, self.settings, me)
-        fleet.know({zone: {f"{zone}{i}": 4.0 for i in range(2)} for zone in "ab"}, self.now)
+    def start(self, me: int, life: int) -> FleetCoordinator:
+        fleet = FleetCoordinator(me, life, self.now, self.settings, me)
+        fleet.set_engines({zone: {f"{zone}{i}": 4.0 for i in range(2)} for zone in "ab"}, self.now)
         return fleet
 
     def meet(self) -> None:
         for fleet in self.fleets.values():
-            fleet.members(self.now, self.fleets)
+            fleet.set_members(self.now, self.fleets)
 
-    def restart(self, me: int, life: int) -> Fleet:
+    def restart(self, me: int, life: int) -> FleetCoordinator:
         self.fleets[me] = self.start(me, life)
         self.meet()
         return self.fleets[me]
@@ -48,18 +52,18 @@
             told = [(me, a) for me, fleet in self.fleets.items() for a in fleet.step(self.now)]
             while told:
                 sender, action = told.pop()
-                if isinstance(action, Say):
-                    answers = self.fleets[action.member].hear(self.now, sender, action.data)
+                if isinstance(action, SendMessage):
+                    answers = self.fleets[action.member].on_message(self.now, sender, action.data)
                     told += [(action.member, answer) for answer in answers]
-                    self.told_back += sum(isinstance(a, Say) and a.data[0] in KINDS for a in answers)
+                    self.told_back += sum(isinstance(a, SendMessage) and a.data[0] in KINDS for a in answers)
 
     def heard_since(self, at: float, of: int) -> list[bool]:
         """By each other instance and kind of words: whether one of this instance came since."""
         found = []
         for me, fleet in self.fleets.items():
             if me != of:
-                assert fleet.loads is not None and fleet.outlook is not None
-                for words in (fleet.words, fleet.loads.words, fleet.outlook.words):
+                assert fleet.demand is not None and fleet.failover_cost is not None
+                for words in (fleet.reports, fleet.demand.reports, fleet.failover_cost.reports):
                     found.append(of in words.received and words.received[of].received_at > at)
         return found
 
@@ -76,7 +80,7 @@
     crowd.run(10_000)
     assert all(crowd.heard_since(begun + 4000, 1))
     new = crowd.fleets[1]
-    assert new.loads is not None and new.loads.life == new.life == BEGAN + max(step, 0)
+    assert new.demand is not None and new.demand.incarnation == new.incarnation == BEGAN + max(step, 0)
 
 
 def test_the_usual_run_of_things_needs_no_words_told_back() -> None:
@@ -103,7 +107,7 @@
 
 
 def test_only_an_older_word_of_the_sender_itself_is_answered() -> None:
-    view = LatestReports[Load | MemberReport](1)
+    view = LatestReports[DemandReport | MemberReport](1)
     new, old, other = (
         MemberReport(2, 9, 5, 0, 0, {}),
         MemberReport(2, 8, 70, 0, 0, {}),
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -9,19 +9,28 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.recovery import load_history as m
-from cottonhold.fleet.recovery.local_loads import Own
-from cottonhold.fleet.recovery.membership_survey import Census
-from cottonhold.fleet.recovery.messages import Answer, Ask, MemoryState, Said, Verdict, read
+from cottonhold.fleet.recovery import load_history, local_loads
+from cottonhold.fleet.recovery.local_loads import LocalLoads
+from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
+from cottonhold.fleet.recovery.messages import (
+    LoadAnswer,
+    LoadQuery,
+    LoadStatement,
+    LoadVerdict,
+    MemoryState,
+    decode,
+)
 from tests.support.recovery_world import CENSUS, LONGEST, MEMORY, World, asks, settled
 
-LOAD = m.identity("orders", "7", b"insert into t values (1)")
-WHOLE = m.Around(True, True, MemoryState.KEPT, {})
+LOAD = local_loads.load_identity("orders", "7", b"insert into t values (1)")
+WHOLE = load_history.FleetState(True, True, MemoryState.INTACT, {})
 
 
 def test_a_load_is_known_by_class_key_and_statement() -> None:
-    same = [m.identity("a", "b", b"c"), m.identity("a", "b", b"c")]
-    others = [m.identity(*parts) for parts in (("ab", "", b"c"), ("a", "bc", b""), ("a", "b", b"d"))]
+    same = [local_loads.load_identity("a", "b", b"c"), local_loads.load_identity("a", "b", b"c")]
+    others = [
+        local_loads.load_identity(*parts) for parts in (("ab", "", b"c"), ("a", "bc", b""), ("a", "b", b"d"))
+    ]
     assert len(LOAD) == 16 and len({*same, *others}) == 4
 
 
@@ -30,10 +39,10 @@
     client = asks(world, 2, LOAD)
     world.run(300.0)
     assert (client.heard, world.runs[LOAD], world.wrong) == ("ran", 1, [])
-    assert [asks(world, n, LOAD).heard for n in (2,)] == ["WELL"]
+    assert [asks(world, n, LOAD).heard for n in (2,)] == ["SUCCEEDED"]
     again = asks(world, 4, LOAD)
     world.run(300.0)
-    assert again.heard == "WELL" and world.runs[LOAD] == 1
+    assert again.heard == "SUCCEEDED" and world.runs[LOAD] == 1
 
 
 def test_in_flight_and_broken_may_have_run() -> None:
@@ -41,13 +50,13 @@
     world.first(1, LOAD, lasts=1500.0)
     early = [asks(world, n, LOAD) for n in (1, 3)]
     world.run(200.0)
-    assert [x.heard for x in early] == ["MAY", "MAY"]
-    broken = m.identity("orders", "8", b"")
+    assert [x.heard for x in early] == ["MAY_HAVE_RUN", "MAY_HAVE_RUN"]
+    broken = local_loads.load_identity("orders", "8", b"")
     world.first(1, broken, lasts=500.0, ends=False)
     world.run(1600.0)
     late = [asks(world, n, broken) for n in (1, 0)]
     world.run(300.0)
-    assert [x.heard for x in late] == ["MAY", "MAY"] and world.runs[broken] == 1
+    assert [x.heard for x in late] == ["MAY_HAVE_RUN", "MAY_HAVE_RUN"] and world.runs[broken] == 1
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
@@ -62,8 +71,8 @@
     world.run(50.0)
     clients = [asks(world, n, LOAD) for n in range(6)]
     world.run(LONGEST + 100.0)
-    assert {x.heard for x in clients} == {"MAY"} and world.runs[LOAD] == 1
-    fresh = asks(world, 5, m.identity("orders", "9", b""))
+    assert {x.heard for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
+    fresh = asks(world, 5, local_loads.load_identity("orders", "9", b""))
     world.run(LONGEST)
     assert fresh.heard == "ran"
 
@@ -75,19 +84,19 @@
     world.kill(1)
     patient = asks(world, 2, LOAD)
     world.run(LONGEST + 10.0)
-    assert patient.heard == "LATER"
+    assert patient.heard == "NOT_KNOWN_YET"
     patient = asks(world, 3, LOAD)
     world.run(500.0)
     assert patient.heard == ""
     world.start(1)
     world.run(1000.0)
-    assert patient.heard == "MAY" and world.runs[LOAD] == 1
+    assert patient.heard == "MAY_HAVE_RUN" and world.runs[LOAD] == 1
 
 
 def test_an_owner_gone_for_longer_than_clients_wait_holds_nothing_up() -> None:
     world = settled(5)
     world.kill(1)
-    world.run(CENSUS.lease + MEMORY.hold + CENSUS.fresh + 2000.0)
+    world.run(CENSUS.lease_ms + MEMORY.hold_ms + CENSUS.max_report_age_ms + 2000.0)
     client = asks(world, 2, LOAD)
     world.run(LONGEST + 10.0)
     assert client.heard == "ran"
@@ -103,7 +112,11 @@
         client = asks(world, (0, 2, 3, 4)[turn % 4], LOAD)
         world.run(LONGEST + 100.0)
         told.append(client.heard)
-    assert set(told) == {"LATER", "MAY"} and told[0] == "LATER" and told[-1] == "MAY"
+    assert (
+        set(told) == {"NOT_KNOWN_YET", "MAY_HAVE_RUN"}
+        and told[0] == "NOT_KNOWN_YET"
+        and told[-1] == "MAY_HAVE_RUN"
+    )
     assert world.runs[LOAD] == 1 and not world.wrong
 
 
@@ -121,9 +134,9 @@
     world.start(1, folder=folder)
     clients = [asks(world, n, LOAD) for n in range(5)]
     world.run(LONGEST + 10.0)
-    assert {x.heard for x in clients} == {"MAY"} and world.runs[LOAD] == 1
-    world.run(MEMORY.hold)
-    fresh = asks(world, 1, m.identity("orders", "10", b""))
+    assert {x.heard for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
+    world.run(MEMORY.hold_ms)
+    fresh = asks(world, 1, local_loads.load_identity("orders", "10", b""))
     world.run(1000.0)
     assert fresh.heard == "ran"  # by now nobody asks for what it has forgotten
 
@@ -133,7 +146,7 @@
     world = settled(5)
     world.run(3000.0)
     copied = copy.deepcopy(world.folders[1])
-    world.run(CENSUS.mark + 2 * CENSUS.rest)
+    world.run(CENSUS.mark_interval_ms + 2 * CENSUS.idle_interval_ms)
     world.first(1, LOAD, lasts=1900.0)
     world.clients[0].asked = 6
     world.run(300.0)
@@ -142,7 +155,7 @@
     world.start(*range(5))
     clients = [asks(world, n, LOAD) for n in range(5)]
     world.run(LONGEST + 10.0)
-    assert {x.heard for x in clients} == {"MAY"} and world.runs[LOAD] == 1 and not world.wrong
+    assert {x.heard for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1 and not world.wrong
 
 
 def test_half_back_first_answers_nothing_as_never() -> None:
@@ -153,12 +166,12 @@
     world.start(0, 1, 2)
     client = asks(world, 1, LOAD)
     world.run(LONGEST + 10.0)
-    assert client.heard == "LATER"
+    assert client.heard == "NOT_KNOWN_YET"
     world.start(3, 4, 5)
     world.run(300.0)
     client = asks(world, 2, LOAD)
     world.run(LONGEST)
-    assert client.heard == "MAY" and world.runs[LOAD] == 1
+    assert client.heard == "MAY_HAVE_RUN" and world.runs[LOAD] == 1
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -171,14 +184,16 @@
         world.run(world.draw.uniform(0.0, 40.0))
     world.run(LONGEST + 500.0)
     assert world.runs[LOAD] <= 1 and not world.wrong
-    assert all(x.heard in ("ran", "MAY", "WELL", "LATER") for x in clients)
+    assert all(x.heard in ("ran", "MAY_HAVE_RUN", "SUCCEEDED", "NOT_KNOWN_YET") for x in clients)
 
 
 def test_two_at_one_instance_are_sent_once() -> None:
     world = settled(4)
     clients = [asks(world, 2, LOAD) for _ in range(3)]
     world.run(300.0)
-    assert sorted(x.heard for x in clients) == ["MAY", "MAY", "ran"] and world.runs[LOAD] == 1
+    assert (
+        sorted(x.heard for x in clients) == ["MAY_HAVE_RUN", "MAY_HAVE_RUN", "ran"] and world.runs[LOAD] == 1
+    )
 
 
 def test_a_first_request_in_line_is_not_sent_once_another_has_asked() -> None:
@@ -186,90 +201,102 @@
     asks(world, 2, LOAD)
     world.run(300.0)
     node = world.nodes[0]
-    assert not node.memory.take(node.clock(world.now), LOAD)
-    world.run(MEMORY.hold + 2000.0)
-    assert node.memory.take(node.clock(world.now), LOAD)
+    assert not node.memory.begin(node.clock(world.now), LOAD)
+    world.run(MEMORY.hold_ms + 2000.0)
+    assert node.memory.begin(node.clock(world.now), LOAD)
 
 
 def test_whoever_went_away_holds_nothing() -> None:
     world = settled(4)
     client = asks(world, 2, LOAD)
-    world.nodes[2].memory.drop(0.0, client.name)
+    world.nodes[2].memory.cancel(0.0, client.name)
     other = asks(world, 3, LOAD)
     world.run(300.0)
     assert other.heard == "ran" and not world.nodes[2].memory.pending
 
 
-def one(count: int = 3, **changes: int) -> m.Memory:
-    memory = m.Memory(0, count, 5, 0.0, [], m.MemorySettings(6000.0, **changes), seed=3)
+def one(count: int = 3, **changes: int) -> load_history.LoadHistory:
+    memory = load_history.LoadHistory(
+        0, count, 5, 0.0, [], load_history.LoadHistorySettings(6000.0, **changes), seed=3
+    )
     memory.step(0.0, WHOLE)
     return memory
 
 
-def asked(memory: m.Memory, now: float) -> dict[int, Ask]:
+def asked(memory: load_history.LoadHistory, now: float) -> dict[int, LoadQuery]:
     found = {}
     for action in memory.step(now, WHOLE):
-        if isinstance(action, m.To) and isinstance(word := read(action.data), Ask):
+        if isinstance(action, load_history.SendToDispatcher) and isinstance(
+            word := decode(action.data), LoadQuery
+        ):
             found[action.number] = word
     return found
 
 
 def test_forged_late_and_strange_answers_settle_nothing() -> None:
     memory = one()
-    memory.ask(1.0, "a", LOAD, 900.0)
+    memory.on_retry(1.0, "a", LOAD, 900.0)
     asks = asked(memory, 1.0)
-    never = (Verdict(0, Said.NEVER),)
+    never = (LoadVerdict(0, LoadStatement.NEVER_SENT),)
     serial = asks[1].serial
     for number, answer in [
-        (2, Answer(5, serial, never)),  # another's serial
-        (1, Answer(4, serial, never)),  # to an earlier boot
-        (1, Answer(5, serial + 77, never)),
-        (1, Answer(5, serial, (Verdict(9, Said.NEVER),))),
-        (7, Answer(5, serial, never)),
+        (2, LoadAnswer(5, serial, never)),  # another's serial
+        (1, LoadAnswer(4, serial, never)),  # to an earlier boot
+        (1, LoadAnswer(5, serial + 77, never)),
+        (1, LoadAnswer(5, serial, (LoadVerdict(9, LoadStatement.NEVER_SENT),))),
+        (7, LoadAnswer(5, serial, never)),
     ]:
-        assert memory.hear(2.0, number, answer) == []
-    memory.drop(3.0, "a")
-    memory.ask(4.0, "b", LOAD, 900.0)
+        assert memory.on_message(2.0, number, answer) == []
+    memory.cancel(3.0, "a")
+    memory.on_retry(4.0, "b", LOAD, 900.0)
     for number, ask in asks.items():  # to a retry that is over
-        assert memory.hear(5.0, number, Answer(5, ask.serial, never)) == []
-    assert not memory.pending[LOAD].said
+        assert memory.on_message(5.0, number, LoadAnswer(5, ask.serial, never)) == []
+    assert not memory.pending[LOAD].statements
     for number, ask in asked(memory, 5.0).items():
-        found = memory.hear(6.0, number, Answer(5, ask.serial, never))
-    assert found == [m.Settled("b", LOAD, m.Known.NEVER)]
+        found = memory.on_message(6.0, number, LoadAnswer(5, ask.serial, never))
+    assert found == [load_history.LoadSettled("b", LOAD, local_loads.LoadKnowledge.NEVER_SENT)]
 
 
 def test_asks_are_batched_repeated_with_backoff_and_bounded() -> None:
-    memory = one(most=50)
-    loads = [m.identity("x", str(n), b"") for n in range(60)]
-    known = [memory.ask(0.0, str(n), load, 5000.0) for n, load in enumerate(loads)]
-    assert known.count(m.Known.LATER) == 10
+    memory = one(max_loads=50)
+    loads = [local_loads.load_identity("x", str(n), b"") for n in range(60)]
+    known = [memory.on_retry(0.0, str(n), load, 5000.0) for n, load in enumerate(loads)]
+    assert known.count(local_loads.LoadKnowledge.NOT_KNOWN_YET) == 10
     sent, now = [], 0.0
     while now < 5000.0:
         now = memory.next_at()
-        sent.append((now, sum(isinstance(a, m.To) for a in memory.step(now, WHOLE))))
+        sent.append((now, sum(isinstance(a, load_history.SendToDispatcher) for a in memory.step(now, WHOLE))))
     assert sent[0] == (0.0, 2 * 5)  # 50 loads, 11 a datagram, to two
     gaps = [b[0] - a[0] for a, b in zip(sent, sent[1:], strict=False) if b[1]]
     assert gaps[:4] == [60.0, 120.0, 240.0, 480.0] and len(sent) < 30
-    assert not memory.waiting and not memory.refs
+    assert not memory.has_pending and not memory.load_by_request
     memory.step(20_000.0, WHOLE)
-    assert not memory.own.asked and not memory.asks
+    assert not memory.local.queried and not memory.queries
 
 
 def test_what_is_remembered_is_forgotten_a_hold_after_its_end() -> None:
-    kept = [m.LoadKept(LOAD), m.LoadKept(b"w" * 16, m.How.WELL), m.LoadKept(b"n" * 16, m.How.NEVER)]
-    memory = m.Memory(0, 1, 5, 0.0, kept, m.MemorySettings(6000.0), seed=3)
-    around = [memory.ask(1.0, str(n), x.load, 9.0) for n, x in enumerate(kept)]
-    assert around == [m.Known.MAY, m.Known.WELL, m.Known.NEVER]
-    memory.sent(2.0, b"n" * 16)
-    memory.ended(3.0, b"n" * 16, m.How.NEVER)
-    assert memory.take(4.0, b"r" * 16)
+    kept = [
+        local_loads.RecordedLoad(LOAD),
+        local_loads.RecordedLoad(b"w" * 16, local_loads.LoadResult.SUCCEEDED),
+        local_loads.RecordedLoad(b"n" * 16, local_loads.LoadResult.NEVER_RAN),
+    ]
+    memory = load_history.LoadHistory(0, 1, 5, 0.0, kept, load_history.LoadHistorySettings(6000.0), seed=3)
+    around = [memory.on_retry(1.0, str(n), x.load, 9.0) for n, x in enumerate(kept)]
+    assert around == [
+        local_loads.LoadKnowledge.MAY_HAVE_RUN,
+        local_loads.LoadKnowledge.SUCCEEDED,
+        local_loads.LoadKnowledge.NEVER_SENT,
+    ]
+    memory.on_sent(2.0, b"n" * 16)
+    memory.on_ended(3.0, b"n" * 16, local_loads.LoadResult.NEVER_RAN)
+    assert memory.begin(4.0, b"r" * 16)
     memory.step(7001.0, WHOLE)
-    assert set(memory.own.entries) == {b"r" * 16}  # still running
-    memory.ended(8000.0, b"r" * 16, m.How.WELL)
+    assert set(memory.local.entries) == {b"r" * 16}  # still running
+    memory.on_ended(8000.0, b"r" * 16, local_loads.LoadResult.SUCCEEDED)
     memory.step(13_999.0, WHOLE)
-    assert set(memory.own.entries) == {b"r" * 16}
+    assert set(memory.local.entries) == {b"r" * 16}
     memory.step(15_000.0, WHOLE)
-    assert not memory.own.entries
+    assert not memory.local.entries
 
 
 def test_others_learn_of_open_loads_without_asking() -> None:
@@ -280,7 +307,7 @@
     world.start(1)
     world.run(100.0)
     world.kill(1)  # gone again
-    assert asks(world, 3, LOAD).heard == "MAY"
+    assert asks(world, 3, LOAD).heard == "MAY_HAVE_RUN"
 
 
 # --- drawn histories ---
@@ -297,7 +324,7 @@
         up = [n.number for n in world.nodes.values() if n.alive]
         if up:
             lasts = draw.uniform(50.0, 1.5 * LONGEST)
-            name = m.identity("orders", str(next(world.names)), b"")
+            name = local_loads.load_identity("orders", str(next(world.names)), b"")
             world.first(draw.choice(up), name, lasts, ends=draw.random() < 0.8)
         if world.now < stop:
             world.at(world.now + draw.uniform(20.0, 300.0), load)
@@ -310,7 +337,7 @@
         world.run(float(after))
     world.part(range(count))
     world.start(*[n for n in range(count) if not world.nodes[n].alive])
-    world.run(max(stop - world.now, 0.0) + 6 * (LONGEST + 600.0) + CENSUS.lease + MEMORY.hold)
+    world.run(max(stop - world.now, 0.0) + 6 * (LONGEST + 600.0) + CENSUS.lease_ms + MEMORY.hold_ms)
     return world
 
 
@@ -371,7 +398,7 @@
     world = history(count, seed, faults, loss)
     assert not world.wrong
     assert all(x.heard for x in world.clients)
-    assert not any(n.memory.waiting for n in world.up())
+    assert not any(n.memory.has_pending for n in world.up())
 
 
 def wrongs(seeds: range = range(14, 22)) -> int:
@@ -395,28 +422,28 @@
 
 
 def test_planted_empty_taken_for_never_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Own, "blind", lambda self, asked: False)
+    monkeypatch.setattr(LocalLoads, "may_predate_start", lambda self, asked: False)
     with pytest.raises(AssertionError):
         test_an_emptied_folder_is_unknown_and_not_never("empty")
 
 
 def test_planted_missing_taken_for_never_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(m.Memory, "_gone", lambda self, *of: True)
+    monkeypatch.setattr(load_history.LoadHistory, "_gone", lambda self, *of: True)
     with pytest.raises(AssertionError):
         test_the_owner_is_waited_for_and_else_it_is_later()
 
 
 def test_planted_no_rank_between_two_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = m.Memory._said
+    plain = load_history.LoadHistory._said
 
-    def said(self: m.Memory, now: float, number: int, load: bytes) -> Said:
+    def said(self: load_history.LoadHistory, now: float, number: int, load: bytes) -> LoadStatement:
         pending = self.pending.pop(load, None)
         told = plain(self, now, number, load)
         if pending is not None:
             self.pending[load] = pending
         return told
 
-    monkeypatch.setattr(m.Memory, "_said", said)
+    monkeypatch.setattr(load_history.LoadHistory, "_said", said)
     wrong = 0
     for seed in range(12):
         try:
@@ -427,14 +454,16 @@
 
 
 def test_planted_lines_that_move_on_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(m.Memory, "take", lambda self, now, load: self.own.begin(load) or True)
+    monkeypatch.setattr(
+        load_history.LoadHistory, "begin", lambda self, now, load: self.local.begin(load) or True
+    )
     with pytest.raises(AssertionError):
         test_a_first_request_in_line_is_not_sent_once_another_has_asked()
 
 
 def test_planted_unconfirmed_memory_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Census, "confirmed", lambda self: True)
-    monkeypatch.setattr(Census, "_above", lambda self, pair: False)
+    monkeypatch.setattr(MembershipSurvey, "has_confirmed_memory", lambda self: True)
+    monkeypatch.setattr(MembershipSurvey, "_above", lambda self, pair: False)
     with pytest.raises(AssertionError):
         test_an_emptied_folder_is_unknown_and_not_never("old")
 
@@ -442,9 +471,14 @@
 @pytest.mark.parametrize(
     "seed, of, name, defect",
     [
-        (426, Own, "late", lambda self, now, asked: False),
-        (1536, Census, "apart", lambda self, gone: False),
-        (631, m.Memory, "_alone", lambda self, now, load: m.Known.LATER),
+        (426, LocalLoads, "is_late", lambda self, now, asked: False),
+        (1536, MembershipSurvey, "is_partitioned", lambda self, gone: False),
+        (
+            631,
+            load_history.LoadHistory,
+            "_alone",
+            lambda self, now, load: local_loads.LoadKnowledge.NOT_KNOWN_YET,
+        ),
     ],
     ids=["ages of retries", "holds while cut off", "later from one that nobody hears"],
 )
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -9,36 +9,40 @@
 from hypothesis import strategies as st
 
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.recovery import membership_survey as c
+from cottonhold.fleet.recovery import membership_survey, survey_results
 from cottonhold.fleet.recovery.messages import (
-    BASE_STEP,
-    LOADS_MOST,
-    PAIRS_MOST,
-    Answer,
-    Ask,
-    Here,
+    BASE_PER_BOOT,
+    MAX_LOADS,
+    MAX_PEER_STATES,
+    LoadAnswer,
+    LoadQuery,
+    LoadStatement,
+    LoadVerdict,
     MemoryState,
     Message,
-    Open,
-    Pair,
-    Said,
-    Verdict,
-    pack,
-    read,
+    OpenLoads,
+    PeerState,
+    Presence,
+    decode,
+    encode,
 )
 from tests.support.recovery_world import CENSUS, World, settled
 
-V = c.Verdict
+V = survey_results.OutageVerdict
 U32 = st.integers(0, 2**32 - 1)
 LOAD = st.binary(min_size=16, max_size=16)
 AGE = st.none() | st.integers(0, 65534).map(lambda n: n * 10.0)
-PAIR = st.builds(Pair, st.integers(0, 65535), U32, U32, U32.map(float), AGE, st.booleans(), st.booleans())
-LOADS = st.lists(LOAD, min_size=1, max_size=LOADS_MOST).map(tuple)
+PAIR = st.builds(
+    PeerState, st.integers(0, 65535), U32, U32, U32.map(float), AGE, st.booleans(), st.booleans()
+)
+LOADS = st.lists(LOAD, min_size=1, max_size=MAX_LOADS).map(tuple)
 VERDICTS = st.lists(
-    st.builds(Verdict, st.integers(0, 255), st.sampled_from(Said)), min_size=1, max_size=LOADS_MOST
+    st.builds(LoadVerdict, st.integers(0, 255), st.sampled_from(LoadStatement)),
+    min_size=1,
+    max_size=MAX_LOADS,
 ).map(tuple)
 HERE = st.builds(
-    Here,
+    Presence,
     st.integers(0, 65535),
     st.integers(1, 2**32 - 1),
     U32,
@@ -46,30 +50,33 @@
     U32.map(float),
     st.sampled_from(MemoryState),
     st.booleans(),
-    st.lists(PAIR, max_size=PAIRS_MOST).map(tuple),
+    st.lists(PAIR, max_size=MAX_PEER_STATES).map(tuple),
 )
 MESSAGE = st.one_of(
-    HERE, st.builds(Ask, U32, U32, LOADS), st.builds(Answer, U32, U32, VERDICTS), st.builds(Open, LOADS)
+    HERE,
+    st.builds(LoadQuery, U32, U32, LOADS),
+    st.builds(LoadAnswer, U32, U32, VERDICTS),
+    st.builds(OpenLoads, LOADS),
 )
 
 
 @given(MESSAGE)
 @settings(max_examples=200, deadline=None)
 def test_words_come_back_as_they_were_and_fit(word: Message) -> None:
-    data = pack(word)
-    assert len(data) <= 200 and read(data) == word
+    data = encode(word)
+    assert len(data) <= 200 and decode(data) == word
     for cut in range(len(data)):
         with pytest.raises(MessageError):
-            read(data[:cut])
+            decode(data[:cut])
     with pytest.raises(MessageError):
-        read(data + b"\0")
+        decode(data + b"\0")
 
 
 @given(st.binary(max_size=200))
 @settings(max_examples=300, deadline=None)
 def test_anything_else_is_a_word_error(data: bytes) -> None:
     try:
-        read(data)
+        decode(data)
     except MessageError:
         pass
 
@@ -97,12 +104,12 @@
     assert world.verdicts() == {V.NOTHING}
     world.loss = world.again = loss
     lose(world, numbers)
-    world.run(CENSUS.wait)
+    world.run(CENSUS.settle_ms)
     assert {n: world.nodes[n].census.view.verdict for n in found} == found
     if loss == 0:
-        assert len({(n.census.view.lost, n.census.view.zones) for n in world.up()}) == 1
+        assert len({(n.census.view.restarted, n.census.view.lost_zones) for n in world.up()}) == 1
     world.loss = world.again = 0.0
-    world.run(CENSUS.young + 2000.0)
+    world.run(CENSUS.recent_start_ms + 2000.0)
     assert world.verdicts() == {V.NOTHING}
 
 
@@ -122,13 +129,13 @@
     world.start(0, 1, 2)
     world.run(8000.0)
     assert world.verdicts() == {V.SOME}  # three of six are no more than half
-    assert all(n.census.view.settled for n in world.up())
+    assert all(n.census.view.is_settled for n in world.up())
     world.start(3, 4, 5)
     world.run(2000.0)
     assert world.verdicts() == {V.FLEET}
     for node in world.up():
-        assert node.world(node.census.view.since) == pytest.approx(back, abs=100)
-    world.run(CENSUS.young - 9500.0)
+        assert node.world(node.census.view.first_start) == pytest.approx(back, abs=100)
+    world.run(CENSUS.recent_start_ms - 9500.0)
     assert world.verdicts() == {V.NOTHING}  # it ends for the late ones with the first ones
 
 
@@ -140,21 +147,21 @@
         assert world.verdicts() == {V.FLEET}
     world.kill(*range(5))
     world.start(0, 1, 2)
-    world.run(CENSUS.wait + 100.0)
+    world.run(CENSUS.settle_ms + 100.0)
     view = world.nodes[0].census.view
-    assert (view.verdict, view.settled, view.missing) == (V.FLEET, True, frozenset({3, 4}))
+    assert (view.verdict, view.is_settled, view.missing) == (V.FLEET, True, frozenset({3, 4}))
 
 
 def test_cut_off_is_told_from_being_alone() -> None:
     world = settled(6)
     world.part([0, 1], [2, 3, 4, 5])
-    world.run(CENSUS.fresh + CENSUS.wait + 2000.0)
+    world.run(CENSUS.max_report_age_ms + CENSUS.settle_ms + 2000.0)
     assert [world.nodes[n].census.view.verdict for n in (0, 1, 2, 5)] == [V.CUT_OFF] * 2 + [V.NOTHING] * 2
-    assert not world.nodes[0].census.loads(world.nodes[0].clock(world.now))
+    assert not world.nodes[0].census.may_send_loads(world.nodes[0].clock(world.now))
     world.part(range(6))
     world.run(2000.0)
     assert world.verdicts() == {V.NOTHING}
-    assert all(n.census.loads(n.clock(world.now)) for n in world.up())
+    assert all(n.census.may_send_loads(n.clock(world.now)) for n in world.up())
 
 
 def test_halves_both_go_on_and_neither_takes_the_other_for_gone() -> None:
@@ -162,7 +169,9 @@
     world.part([0, 1, 2], [3, 4, 5])
     world.run(30_000.0)
     for node in world.up():
-        assert node.census.loads(node.clock(world.now)) and not node.census.gone(node.clock(world.now))
+        assert node.census.may_send_loads(node.clock(world.now)) and not node.census.proven_silent(
+            node.clock(world.now)
+        )
 
 
 def test_gone_only_after_it_could_not_send_any_more() -> None:
@@ -172,14 +181,14 @@
     for _ in range(200):
         world.run(100.0)
         for n in (0, 1):
-            if not world.nodes[n].census.loads(world.nodes[n].clock(world.now)):
+            if not world.nodes[n].census.may_send_loads(world.nodes[n].clock(world.now)):
                 stopped.setdefault(n, world.now)
         for n in (2, 3, 4):
             node = world.nodes[n]
-            for number, gone in node.census.gone(node.clock(world.now)).items():
-                before, as_of = node.world(gone.sent_before), node.world(gone.as_of)
+            for number, gone in node.census.proven_silent(node.clock(world.now)).items():
+                before, as_of = node.world(gone.nothing_sent_after), node.world(gone.valid_until)
                 assert before >= as_of or stopped[number] - 100 <= before
-    last = world.nodes[3].census.gone(world.nodes[3].clock(world.now))
+    last = world.nodes[3].census.proven_silent(world.nodes[3].clock(world.now))
     assert set(last) == {0, 1} == set(stopped)
 
 
@@ -196,12 +205,12 @@
     assert world.folders[0].boot <= known
     world.run(2000.0)
     census = world.nodes[0].census
-    assert census.memory is (MemoryState.EMPTY if folder == "empty" else MemoryState.OLD)
-    assert not census.confirmed() and census.boot > known and world.folders[0].boot == census.boot
+    assert census.memory is (MemoryState.EMPTY if folder == "empty" else MemoryState.STALE)
+    assert not census.has_confirmed_memory() and census.boot > known and world.folders[0].boot == census.boot
     boot = census.boot
     world.run(5000.0)
     assert census.boot == boot  # once
-    assert all(world.nodes[n].census.confirmed() for n in (1, 2, 3, 4))
+    assert all(world.nodes[n].census.has_confirmed_memory() for n in (1, 2, 3, 4))
     assert world.nodes[1].folder.known[0].boot == boot
 
 
@@ -219,30 +228,34 @@
         world.start(0)
     world.run(2000.0)
     census = world.nodes[0].census
-    assert census.memory is MemoryState.OLD and not census.confirmed() and not world.folders[0].base
-    world.run(CENSUS.hold)
-    assert world.folders[0].base // BASE_STEP == census.boot  # what it has forgotten is asked about no more
+    assert (
+        census.memory is MemoryState.STALE and not census.has_confirmed_memory() and not world.folders[0].base
+    )
+    world.run(CENSUS.hold_ms)
+    assert (
+        world.folders[0].base // BASE_PER_BOOT == census.boot
+    )  # what it has forgotten is asked about no more
     world.kill(0)
     world.start(0)
     world.run(2000.0)
-    assert world.nodes[0].census.confirmed()
+    assert world.nodes[0].census.has_confirmed_memory()
 
 
 def test_an_old_folder_that_few_remember_is_not_whole_once_it_is_up_for_a_hold() -> None:
     world = settled(3)
     world.part([0, 1], [2])
     lose(world, [0])
-    world.run(CENSUS.wait + 2000.0)
+    world.run(CENSUS.settle_ms + 2000.0)
     world.kill(0, 1, 2)
     world.run(100.0)  # nothing is under way any more
     world.start(0, folder="old")
     world.part(range(3))
     world.start(1, 2)  # 1 alone knows better: one name
-    world.run(CENSUS.hold - 500.0)
+    world.run(CENSUS.hold_ms - 500.0)
     census = world.nodes[0].census
-    assert census.memory.name == "KEPT" and not census.confirmed()
+    assert census.memory.name == "INTACT" and not census.has_confirmed_memory()
     world.run(2000.0)
-    assert census.memory.name == "OLD"
+    assert census.memory.name == "STALE"
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
@@ -253,7 +266,7 @@
     world.run(15_000.0)
     first, second = world.nodes[2], world.twins[0]
     assert (first.twice, second.twice) == ([False], [True])
-    assert not second.census.loads(second.clock(world.now))
+    assert not second.census.may_send_loads(second.clock(world.now))
     assert not any(n.twice for n in world.up() if n.number != 2)
 
 
@@ -265,45 +278,51 @@
     assert not any(n.twice for n in world.up())
 
 
-def one() -> c.Census:
+def one() -> membership_survey.MembershipSurvey:
     numbers = range(5)
     zones, known = dict.fromkeys(numbers, "z"), dict.fromkeys(numbers, 7)
-    return c.Census(0, 5, zones, 7, 11, MemoryState.KEPT, True, known, 0.0, CENSUS)
+    return membership_survey.MembershipSurvey(
+        0, 5, zones, 7, 11, MemoryState.INTACT, True, known, 0.0, CENSUS
+    )
 
 
-def here(number: int, up: float, **changes: object) -> Here:
-    word = Here(number, 8, 8, 100 + number, up, MemoryState.KEPT, False)
+def here(number: int, up: float, **changes: object) -> Presence:
+    word = Presence(number, 8, 8, 100 + number, up, MemoryState.INTACT, False)
     return dataclasses.replace(word, **changes)  # type: ignore[arg-type]
 
 
 def test_one_name_speaks_for_one_number_only() -> None:
     census = one()
     for number in (1, 2, 3, 4):
-        census.hear(10.0, 1001, here(number, 5.0))
+        census.on_message(10.0, 1001, here(number, 5.0))
     census.step(50.0)
-    assert census.view.lost == {1} and census.counts["unbound"] == 3
+    assert census.view.restarted == {1} and census.counters["unbound"] == 3
 
 
 def test_one_name_can_neither_age_a_memory_nor_stop_an_instance() -> None:
-    def lie(up: float) -> tuple[Pair, ...]:
-        return (Pair(0, 4_000_000_000, 11, up, 0.0, twice=True, stale=True),)
+    def lie(up: float) -> tuple[PeerState, ...]:
+        return (PeerState(0, 4_000_000_000, 11, up, 0.0, is_duplicate=True, is_stale=True),)
 
     census = one()
     for up in range(1, 50):
-        census.hear(up * 100.0, 1001, here(1, up * 100.0, pairs=lie(up)))
-        assert not [a for a in census.step(up * 100.0) if isinstance(a, c.Boot | c.Twice)]
-    assert census.memory is MemoryState.KEPT
-    census.hear(6000.0, 1002, here(2, 6000.0, pairs=(Pair(0, 9, 11, 1.0, 10.0, stale=True),)))
-    boots = [a.least for a in census.step(6100.0) if isinstance(a, c.Boot)]
+        census.on_message(up * 100.0, 1001, here(1, up * 100.0, peers=lie(up)))
+        assert not [
+            a
+            for a in census.step(up * 100.0)
+            if isinstance(a, survey_results.RaiseBoot | survey_results.DuplicateIdentity)
+        ]
+    assert census.memory is MemoryState.INTACT
+    census.on_message(6000.0, 1002, here(2, 6000.0, peers=(PeerState(0, 9, 11, 1.0, 10.0, is_stale=True),)))
+    boots = [a.min_boot for a in census.step(6100.0) if isinstance(a, survey_results.RaiseBoot)]
     assert boots == [10]  # two say that there was more: raised by what both bear out
 
 
 def test_words_merge_in_any_order_and_old_ones_change_nothing() -> None:
     census = one()
-    census.hear(100.0, 1001, here(1, 90.0))
-    census.hear(101.0, 1001, here(1, 30.0, clean=True))
-    census.hear(102.0, 1001, here(1, 90.0, clean=True))
-    assert not census.peers[1].clean and census.counts["old"] == 2
+    census.on_message(100.0, 1001, here(1, 90.0))
+    census.on_message(101.0, 1001, here(1, 30.0, was_clean_shutdown=True))
+    census.on_message(102.0, 1001, here(1, 90.0, was_clean_shutdown=True))
+    assert not census.peers[1].was_clean_shutdown and census.counters["old"] == 2
 
 
 def test_a_clock_that_jumps_by_years_changes_nothing() -> None:
@@ -320,34 +339,34 @@
 
 
 def test_planted_a_census_by_one_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(c.Census, "_most", lambda self, lost: bool(lost))
+    monkeypatch.setattr(membership_survey.MembershipSurvey, "_most", lambda self, lost: bool(lost))
     with pytest.raises(AssertionError):
         test_what_was_away_is_told_by_all_alike("one", 0.0)
 
 
 def test_planted_a_wall_clock_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = c.Census.word
+    plain = membership_survey.MembershipSurvey.presence_for
 
-    def word(self: c.Census, now: float, to: int | None = None) -> Here:
+    def word(self: membership_survey.MembershipSurvey, now: float, to: int | None = None) -> Presence:
         return dataclasses.replace(
-            plain(self, now, to), up=now + 2e11
+            plain(self, now, to), uptime_ms=now + 2e11
         )  # a time, where time since a start is due
 
-    monkeypatch.setattr(c.Census, "word", word)
+    monkeypatch.setattr(membership_survey.MembershipSurvey, "presence_for", word)
     with pytest.raises(AssertionError):
         test_what_was_away_is_told_by_all_alike("all", 0.0)
 
 
 def test_planted_one_name_for_many_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def bind(self: c.Census, now: float, member: int, number: int) -> object:
+    def bind(self: membership_survey.MembershipSurvey, now: float, member: int, number: int) -> object:
         return self.peers.get(number)
 
-    monkeypatch.setattr(c.Census, "_bind", bind)
+    monkeypatch.setattr(membership_survey.MembershipSurvey, "_bind", bind)
     with pytest.raises(AssertionError):
         test_one_name_speaks_for_one_number_only()
 
 
 def test_planted_boots_not_compared_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(c.Census, "_above", lambda self, pair: False)
+    monkeypatch.setattr(membership_survey.MembershipSurvey, "_above", lambda self, pair: False)
     with pytest.raises(AssertionError):
         test_a_folder_that_forgot_is_told_so_and_boots_go_on("old")
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -14,20 +14,25 @@
     MemberReport,
     Vote,
     ZoneReport,
-    decode_reports,
-    encode_report,
-    encode_reports,
+    decode_zone_reports,
+    encode_zone_report,
+    encode_zone_reports,
     zone_number,
 )
 from cottonhold.fleet.zone_failover.operator_overrides import (
-    MOST_ORDERS,
-    Mode,
-    Order,
-    Orders,
-    pack_orders,
-    read_orders,
+    MAX_OVERRIDES,
+    Override,
+    OverrideMode,
+    Overrides,
+    decode_overrides,
+    encode_overrides,
+)
+from cottonhold.fleet.zone_failover.quota_lending import (
+    QuotaGrant,
+    QuotaRequest,
+    decode_quota_message,
+    encode_quota_message,
 )
-from cottonhold.fleet.zone_failover.quota_lending import Ask, Grant, pack_loan, read_loan
 
 SMALL = st.integers(0, 255)
 ZONE = st.builds(
@@ -50,9 +55,9 @@
     st.dictionaries(st.integers(0, 65535), ZONE, max_size=4),
 )
 ORDER = st.builds(
-    Order,
+    Override,
     st.integers(0, 3),
-    st.sampled_from(Mode),
+    st.sampled_from(OverrideMode),
     st.integers(0, 3),
     st.integers(1, 4),
     st.integers(0, 10**6).map(float),
@@ -63,9 +68,9 @@
 
 @given(st.lists(WORD, max_size=6))
 def test_words_come_back_as_they_went(words: list[MemberReport]) -> None:
-    data = encode_reports(words, 200)
+    data = encode_zone_reports(words, 200)
     assert len(data) <= 200
-    got = decode_reports(data)
+    got = decode_zone_reports(data)
     left = iter(words)
     assert all(any(word == other for other in left) for word in got), "in their order"
     assert got[:1] == words[:1]
@@ -90,16 +95,16 @@
 
 
 @given(st.lists(ORDER, max_size=10), st.randoms())
-def test_orders_merge_alike_and_travel_whole(orders: list[Order], draw: random.Random) -> None:
+def test_orders_merge_alike_and_travel_whole(orders: list[Override], draw: random.Random) -> None:
     unique = list({(o.zone, o.stamp): o for o in orders}.values())
     digests = set()
     for _ in range(3):
         draw.shuffle(unique)
-        view = Orders(9)
+        view = Overrides(9)
         for order in unique:
-            (got,) = read_orders(0.0, pack_orders(0.0, [order], 200))
+            (got,) = decode_overrides(0.0, encode_overrides(0.0, [order], 200))
             assert got == order
-            view.take(got)
+            view.apply(got)
         digests.add(view.digest())
     assert len(digests) == 1
 
@@ -107,7 +112,7 @@
 @given(st.binary(max_size=220))
 @settings(max_examples=300)
 def test_bytes_that_make_no_sense_are_an_error_and_nothing_else(data: bytes) -> None:
-    for read in (decode_reports, read_loan, lambda d: read_orders(0.0, d)):
+    for read in (decode_zone_reports, decode_quota_message, lambda d: decode_overrides(0.0, d)):
         try:
             read(data)
         except MessageError:
@@ -116,9 +121,9 @@
 
 @pytest.mark.parametrize("cut", [1, 5, 20, -1])
 def test_a_word_cut_short_or_too_long_counts_for_nothing(cut: int) -> None:
-    data = encode_reports([MemberReport(1, 1, 1, 0, 0, {7: ZoneReport()})], 200)
+    data = encode_zone_reports([MemberReport(1, 1, 1, 0, 0, {7: ZoneReport()})], 200)
     with pytest.raises(MessageError):
-        decode_reports(data[:cut] if cut > 0 else data + b"\0")
+        decode_zone_reports(data[:cut] if cut > 0 else data + b"\0")
 
 
 def test_a_replayed_word_changes_nothing_and_a_forged_one_of_its_own_is_passed() -> None:
@@ -130,21 +135,25 @@
 
 
 def test_orders_are_bounded_and_the_newest_on_a_zone_counts() -> None:
-    view = Orders(1)
-    first = view.give(zone_number("a"), Mode.LEAVE, 100.0, "x" * 90, "why" * 90)
-    assert view.on(50.0, first.zone) == first and view.on(100.0, first.zone) is None
-    assert len(first.who) == 24 and len(first.why) == 80
-    freed = view.give(first.zone, Mode.FREE, 100.0, "someone", "done")
-    assert view.on(50.0, first.zone) is None and not view.take(first) and freed.serial == 2
-    assert not any([view.take(Order(n, Mode.LEAVE, 9, 9, 1e9, "", "")) for n in range(100)][MOST_ORDERS:])
+    view = Overrides(1)
+    first = view.issue(zone_number("a"), OverrideMode.EVACUATE, 100.0, "x" * 90, "why" * 90)
+    assert view.in_force(50.0, first.zone) == first and view.in_force(100.0, first.zone) is None
+    assert len(first.requested_by) == 24 and len(first.reason) == 80
+    freed = view.issue(first.zone, OverrideMode.CLEAR, 100.0, "someone", "done")
+    assert view.in_force(50.0, first.zone) is None and not view.apply(first) and freed.serial == 2
+    assert not any(
+        [view.apply(Override(n, OverrideMode.EVACUATE, 9, 9, 1e9, "", "")) for n in range(100)][
+            MAX_OVERRIDES:
+        ]
+    )
 
 
-@pytest.mark.parametrize("what", [Ask(7, 2**32 - 1, 65535), Grant(0, 0, 0)])
-def test_loans_travel(what: Ask | Grant) -> None:
-    assert read_loan(pack_loan(what)) == what
+@pytest.mark.parametrize("what", [QuotaRequest(7, 2**32 - 1, 65535), QuotaGrant(0, 0, 0)])
+def test_loans_travel(what: QuotaRequest | QuotaGrant) -> None:
+    assert decode_quota_message(encode_quota_message(what)) == what
 
 
 def test_a_word_of_three_zones_is_small() -> None:
     """The cost at rest is one such word a second to each of a few members."""
     word = MemberReport(2**63, 1, 1, 100, 0, {zone_number(z): ZoneReport() for z in "abc"})
-    assert len(encode_report(word)) == 44
+    assert len(encode_zone_report(word)) == 44
--- a/tests/fleet/test_quota_lending.py
+++ b/tests/fleet/test_quota_lending.py
@@ -18,11 +18,18 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from cottonhold.fleet.zone_failover import quota_lending
-from cottonhold.fleet.zone_failover.quota_lending import STEPS, Ask, Grant, Parts, PartSettings, To
+from cottonhold.fleet.zone_failover.quota_lending import (
+    QUOTA_STEPS,
+    QuotaAccount,
+    QuotaGrant,
+    QuotaMessage,
+    QuotaRequest,
+    QuotaSettings,
+)
 
 ZONE, TICK = 1, 5.0
-SETTINGS = PartSettings(last=20.0, renew=0.5, drift=0.1, wait=1.5)
-KEPT = replace(SETTINGS, kept=0.6)
+SETTINGS = QuotaSettings(loan_ms=20.0, renew_after_share=0.5, clock_drift=0.1, restart_wait_loans=1.5)
+KEPT = replace(SETTINGS, unlent_share=0.6)
 COUNT, DEPTH = 3, 7
 
 
@@ -31,18 +38,18 @@
     """The whole world: instances by number, messages under way, the time."""
 
     now: float = 100.0
-    members: dict[int, Parts] = field(default_factory=dict)
+    members: dict[int, QuotaAccount] = field(default_factory=dict)
     stopped: frozenset[int] = frozenset()
-    flying: tuple[tuple[int, int, Ask | Grant], ...] = ()
+    flying: tuple[tuple[int, int, QuotaRequest | QuotaGrant], ...] = ()
     lives: int = 0
-    settings: PartSettings = SETTINGS
+    settings: QuotaSettings = SETTINGS
 
     @classmethod
-    def begin(cls, settings: PartSettings = SETTINGS) -> Small:
+    def begin(cls, settings: QuotaSettings = SETTINGS) -> Small:
         """Three that have been there for long."""
         world = cls(settings=settings)
         for i in range(COUNT):
-            world.members[i] = Parts(-1000.0, 1 / COUNT, 100 * i, settings)
+            world.members[i] = QuotaAccount(-1000.0, 1 / COUNT, 100 * i, settings)
         return world
 
     def used(self) -> float:
@@ -54,10 +61,10 @@
         made = Small(self.now, {}, self.stopped, self.flying, self.lives, self.settings)
         for i, p in self.members.items():
             made.members[i] = q = copy.copy(p)
-            q.purses = {}
-            for zone, purse in p.purses.items():
+            q.loans = {}
+            for zone, purse in p.loans.items():
                 lent = {m: list(loans) for m, loans in purse.lent.items()}
-                q.purses[zone] = quota_lending.Purse(
+                q.loans[zone] = quota_lending.ZoneLoans(
                     lent, {m: copy.copy(b) for m, b in purse.borrowed.items()}
                 )
         return made
@@ -66,16 +73,23 @@
         """Two worlds with one key go on alike."""
         now, rows = self.now, list[object]()
         for p in self.members.values():
-            purse = p.purses.get(ZONE, quota_lending.Purse())
+            purse = p.loans.get(ZONE, quota_lending.ZoneLoans())
             lent = [(m, u - now, a) for m, loans in purse.lent.items() for u, a in loans if u > now]
             held = [
-                (m, max(b.until - now, 0), b.amount, max(b.asked_at - now, -50), b.asked, b.term)
+                (
+                    m,
+                    max(b.expires_at - now, 0),
+                    b.amount,
+                    max(b.requested_at - now, -50),
+                    b.requested_amount,
+                    b.term,
+                )
                 for m, b in purse.borrowed.items()
             ]
             rows.append(
                 (
                     max(p.usable_from - now, 0),
-                    max(p.kept_from - now, 0),
+                    max(p.unlent_usable_from - now, 0),
                     tuple(sorted(lent)),
                     tuple(sorted(held)),
                 )
@@ -88,7 +102,7 @@
         if i in self.stopped:
             return None
         demand = {m: share if m == i else (1 - share) / (COUNT - 1) for m in range(COUNT)}
-        return self._fly(i, p.want(self.now, ZONE, demand, i))
+        return self._fly(i, p.request(self.now, ZONE, demand, i))
 
     def deliver(self, place: int, keep: bool) -> Small | None:
         """A message arrives, and may arrive again."""
@@ -100,7 +114,7 @@
         p = self.members[target]
         if target in self.stopped:
             return self
-        return self._fly(target, p.receive(self.now, sender, what))
+        return self._fly(target, p.on_message(self.now, sender, what))
 
     def lose(self, place: int) -> Small | None:
         """A message is lost."""
@@ -119,8 +133,8 @@
         self.lives += 1
         if self.lives > 1:
             return None
-        term, kept = 10_000 * self.lives + 100 * i, self.settings.kept > 0
-        self.members[i] = Parts(self.now, 1 / COUNT, term, self.settings, only=kept)
+        term, kept = 10_000 * self.lives + 100 * i, self.settings.unlent_share > 0
+        self.members[i] = QuotaAccount(self.now, 1 / COUNT, term, self.settings, only=kept)
         self.stopped -= {i}
         return self
 
@@ -129,8 +143,8 @@
         self.stopped ^= {i}
         return self
 
-    def _fly(self, sender: int, messages: list[To]) -> Small:
-        self.flying += tuple((sender, to.member, to.what) for to in messages)
+    def _fly(self, sender: int, messages: list[QuotaMessage]) -> Small:
+        self.flying += tuple((sender, to.member, to.message) for to in messages)
         return self
 
 
@@ -148,7 +162,7 @@
     return found + [lambda w: w.die(0), lambda w: w.die(1), lambda w: w.stop(0)]
 
 
-def search(depth: int, settings: PartSettings = SETTINGS) -> tuple[int, float]:
+def search(depth: int, settings: QuotaSettings = SETTINGS) -> tuple[int, float]:
     """How many different worlds were seen, and the most that all could use in one of them. Bound: so many
     steps, four messages under way, one death."""
     seen, front, worst = set[object](), [Small.begin(settings)], 0.0
@@ -167,37 +181,39 @@
 
 
 @pytest.mark.parametrize("settings, depth", [(SETTINGS, DEPTH), (KEPT, DEPTH - 1)], ids=["all lent", "kept"])
-def test_in_every_interleaving_the_parts_add_up_to_at_most_one(settings: PartSettings, depth: int) -> None:
+def test_in_every_interleaving_the_parts_add_up_to_at_most_one(settings: QuotaSettings, depth: int) -> None:
     seen, worst = search(depth, settings)
     assert seen > 5000 and worst <= 1.0
 
 
-def newest_only(purse: quota_lending.Purse, now: float, member: int) -> int:
+def newest_only(purse: quota_lending.ZoneLoans, now: float, member: int) -> int:
     loans = purse.lent.get(member, [])
     return loans[-1][1] if loans and loans[-1][0] > now else 0
 
 
-def lends_all(self: Parts, now: float, purse: quota_lending.Purse, member: int, ask: Ask) -> int:
-    kept, self.kept = self.kept, 0
+def lends_all(
+    self: QuotaAccount, now: float, purse: quota_lending.ZoneLoans, member: int, ask: QuotaRequest
+) -> int:
+    kept, self.unlent = self.unlent, 0
     amount = LEND(self, now, purse, member, ask)
-    self.kept = kept
+    self.unlent = kept
     return amount
 
 
-def unwary(self: Parts, now: float, *args: object, **fields: object) -> None:
+def unwary(self: QuotaAccount, now: float, *args: object, **fields: object) -> None:
     PLAIN(self, now, *args, **fields)  # type: ignore[arg-type]
     self.usable_from = -1e9
 
 
-PLAIN, LEND = Parts.__init__, Parts._lend
+PLAIN, LEND = QuotaAccount.__init__, QuotaAccount._grant
 
 
 @pytest.mark.parametrize(
     "place, name, defect, settings",
     [
-        (Parts, "__init__", unwary, SETTINGS),
-        (quota_lending.Purse, "held", newest_only, SETTINGS),
-        (Parts, "_lend", lends_all, KEPT),
+        (QuotaAccount, "__init__", unwary, SETTINGS),
+        (quota_lending.ZoneLoans, "reserved", newest_only, SETTINGS),
+        (QuotaAccount, "_grant", lends_all, KEPT),
     ],
     ids=["a lender that forgets", "a smaller loan after a larger", "what is kept is lent"],
 )
@@ -206,7 +222,7 @@
     place: type,
     name: str,
     defect: Callable[..., object],
-    settings: PartSettings,
+    settings: QuotaSettings,
 ) -> None:
     monkeypatch.setattr(place, name, defect)
     assert search(DEPTH, settings)[1] > 1.0
@@ -221,10 +237,10 @@
         super().__init__()
         self.now = 0.0
         self.rates = [1.0, 1.04, 0.96]
-        self.held: list[list[Parts]] = [
-            [Parts(-1000.0, 1 / COUNT, 0, self.settings_used)] for _ in range(COUNT)
+        self.held: list[list[QuotaAccount]] = [
+            [QuotaAccount(-1000.0, 1 / COUNT, 0, self.settings_used)] for _ in range(COUNT)
         ]
-        self.flying: list[tuple[int, int, Ask | Grant]] = []
+        self.flying: list[tuple[int, int, QuotaRequest | QuotaGrant]] = []
         self.lives = 1
 
     def clock(self, i: int) -> float:
@@ -237,33 +253,35 @@
     @rule(i=st.integers(0, COUNT - 1), share=st.floats(0.0, 1.0))
     def ask(self, i: int, share: float) -> None:
         demand = {m: share if m == i else (1 - share) / (COUNT - 1) for m in range(COUNT)}
-        for to in self.held[i][-1].want(self.clock(i), ZONE, demand, i):
-            self.flying.append((i, to.member, to.what))
+        for to in self.held[i][-1].request(self.clock(i), ZONE, demand, i):
+            self.flying.append((i, to.member, to.message))
 
     @rule(place=st.integers(0, 20), keep=st.booleans())
     def deliver(self, place: int, keep: bool) -> None:
         if place < len(self.flying):
             sender, target, what = self.flying[place] if keep else self.flying.pop(place)
-            for to in self.held[target][-1].receive(self.clock(target), sender, what):
-                self.flying.append((target, to.member, to.what))
+            for to in self.held[target][-1].on_message(self.clock(target), sender, what):
+                self.flying.append((target, to.member, to.message))
 
     @rule(i=st.integers(0, COUNT - 1))
     def restart(self, i: int) -> None:
         self.lives += 1
-        kept = self.settings_used.kept > 0
-        self.held[i] = [Parts(self.clock(i), 1 / COUNT, 1000 * self.lives, self.settings_used, only=kept)]
+        kept = self.settings_used.unlent_share > 0
+        self.held[i] = [
+            QuotaAccount(self.clock(i), 1 / COUNT, 1000 * self.lives, self.settings_used, only=kept)
+        ]
 
     @rule(i=st.integers(0, COUNT - 1))
     def upgrade(self, i: int) -> None:
         """A second process begins beside the first one, which learns of it; then the first one ends."""
         if len(self.held[i]) == 1:
             self.lives += 1
-            self.held[i][0].beside = 2
-            self.held[i].append(Parts(self.clock(i), 1 / COUNT, 1000 * self.lives, self.settings_used))
-            self.held[i][1].beside = 2
+            self.held[i][0].process_count = 2
+            self.held[i].append(QuotaAccount(self.clock(i), 1 / COUNT, 1000 * self.lives, self.settings_used))
+            self.held[i][1].process_count = 2
         elif self.clock(i) >= self.held[i][1].usable_from:
             self.held[i] = [self.held[i][1]]
-            self.held[i][0].beside = 1
+            self.held[i][0].process_count = 1
 
     @invariant()
     def never_more_than_the_whole(self) -> None:
@@ -289,6 +307,6 @@
     while world.flying:
         world.deliver(0, keep=False)
     part, ends = world.members[0].usable(world.now, ZONE)
-    assert part > 0.75 and ends == world.now + SETTINGS.last and world.used() <= 1.0
-    world.now += 2 * SETTINGS.last
-    assert abs(world.used() - 1.0) < COUNT / STEPS + 1e-9, "loans that ran out are the lenders' again"
+    assert part > 0.75 and ends == world.now + SETTINGS.loan_ms and world.used() <= 1.0
+    world.now += 2 * SETTINGS.loan_ms
+    assert abs(world.used() - 1.0) < COUNT / QUOTA_STEPS + 1e-9, "loans that ran out are the lenders' again"
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -10,23 +10,37 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator.recovery import MEAN, Plan, Return
-from cottonhold.fleet.admission.loads import Load, pack_loads
-from cottonhold.fleet.admission.threshold import Told
-from cottonhold.fleet.coordinator import Fleet, FleetSettings, Priced
+from cottonhold.fleet.admission.loads import DemandReport, encode_demand_reports
+from cottonhold.fleet.admission.threshold import ReportedLoad
+from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import warmup_messages
-from cottonhold.fleet.recovery.slow_start import BUDGET, Lost, Ramp, RampSettings, Young, first_prober
-from cottonhold.fleet.recovery.warmup_messages import Pooled, RampWord, Row, pack_words, pool, read_words
-from cottonhold.fleet.zone_failover.quota_lending import Ask, Parts
+from cottonhold.fleet.recovery.slow_start import (
+    WARMUP_BUDGET,
+    OutageScope,
+    SlowStart,
+    SlowStartSettings,
+    WarmingEngine,
+    first_prober,
+)
+from cottonhold.fleet.recovery.warmup_messages import (
+    EngineObservation,
+    PooledObservation,
+    WarmupReport,
+    decode_warmup_reports,
+    encode_warmup_reports,
+    pool_observations,
+)
+from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount, QuotaRequest
 
 unhurried = settings(deadline=None)  # the same verdict on a busy machine
 ENGINES = {f"a{i}": 1.0 for i in range(3)}
 NUMBER = warmup_messages.engine_number("a0")
 
 
-def ramp(**fields: object) -> Ramp:
-    made = Ramp(1, 1, 0.0, RampSettings(**fields), 1)  # type: ignore[arg-type]
-    made.know(0.0, ENGINES)
+def ramp(**fields: object) -> SlowStart:
+    made = SlowStart(1, 1, 0.0, SlowStartSettings(**fields), 1)  # type: ignore[arg-type]
+    made.set_engines(0.0, ENGINES)
     return made
 
 
@@ -41,7 +55,7 @@
 ) -> Return:
     """Five instances that come within 2.5 s, nine engines, clients with 0.6 of what those do when warm."""
     plan = Plan(lambda place: engines, lambda i: 600.0 * i, warm, again)
-    settings = FleetSettings(dispatchers=5, price=True, recovery=RampSettings() if on else None)
+    settings = FleetSettings(dispatchers=5, sheds_load=True, slow_start=SlowStartSettings() if on else None)
     world = Return(seed, times * 0.6 * 9 * 1000 / MEAN, 5, 9, plan, settings)
     world.play(until)
     return world
@@ -53,60 +67,69 @@
 @pytest.mark.parametrize("proof", ["list", "probe", "attempt", "another's attempt"])
 def test_nothing_goes_to_an_engine_before_it_is_listed_or_has_answered(proof: str) -> None:
     made = ramp()
-    assert made.share("a0") == 0.0 and 0 < max(made.bounds(1.0).values()) < 1e-6
+    assert made.share("a0") == 0.0 and 0 < max(made.work_limits(1.0).values()) < 1e-6
     if proof == "list":
-        made.list_heard(10.0)
+        made.on_list_received(10.0)
     elif proof == "probe":
-        made.probed(10.0, "a0", True)
+        made.on_health_check(10.0, "a0", True)
     elif proof == "attempt":
-        made.answered(10.0, "a0", True, 20.0, 60.0)
+        made.on_answer(10.0, "a0", True, 20.0, 60.0)
     else:
-        made.hear(10.0, pack_words([RampWord(2, 1, 1, {NUMBER: Row(0.3, 0.1, 0.3, 0.0)})]))
+        made.on_message(
+            10.0,
+            encode_warmup_reports([WarmupReport(2, 1, 1, {NUMBER: EngineObservation(0.3, 0.1, 0.3, 0.0)})]),
+        )
         made.step(10.0, [2])
-    assert made.settings.first <= made.share("a0") < 0.32 and (made.share("a1") > 0) is (proof == "list")
-    made.probed(20.0, "a1", False)
+    assert made.settings.initial_share <= made.share("a0") < 0.32 and (made.share("a1") > 0) is (
+        proof == "list"
+    )
+    made.on_health_check(20.0, "a1", False)
     assert made.share("a1") == 0.0
 
 
 def test_a_list_does_not_prove_an_engine_that_has_failed_a_probe() -> None:
     made = ramp()
-    made.probed(10.0, "a0", False)
-    made.list_heard(300.0)
-    assert made.share("a0") == 0.0 and made.share("a1") == made.settings.first
-    made.probed(400.0, "a0", True)
-    assert made.share("a0") == made.settings.first
+    made.on_health_check(10.0, "a0", False)
+    made.on_list_received(300.0)
+    assert made.share("a0") == 0.0 and made.share("a1") == made.settings.initial_share
+    made.on_health_check(400.0, "a0", True)
+    assert made.share("a0") == made.settings.initial_share
 
 
 def test_a_share_follows_what_is_shown_and_not_the_clock() -> None:
-    made = ramp(warm=60_000.0)
-    made.list_heard(0.0)
+    made = ramp(warm_after_ms=60_000.0)
+    made.on_list_received(0.0)
     for t in range(100, 5000, 100):
-        made.answered(float(t), "a0", True, 20.0, 60.0)  # stays three times slower
-        made.answered(float(t), "a1", True, 20.0, 20.0 if t > 2000 else 60.0)
+        made.on_answer(float(t), "a0", True, 20.0, 60.0)  # stays three times slower
+        made.on_answer(float(t), "a1", True, 20.0, 20.0 if t > 2000 else 60.0)
         made.step(float(t), [])
-        assert made.share("a1") <= made.settings.bears or t > 2000 + made.settings.sure
-    assert made.share("a0") < 0.4 and made.share("a1") == 1.0 and made.share("a2") == made.settings.first
+        assert (
+            made.share("a1") <= made.settings.max_cold_share or t > 2000 + made.settings.warm_confirmation_ms
+        )
+    assert (
+        made.share("a0") < 0.4 and made.share("a1") == 1.0 and made.share("a2") == made.settings.initial_share
+    )
 
 
 def test_one_that_answers_late_is_free_when_the_settings_say_and_a_silent_one_is_not() -> None:
-    made = ramp(warm=3000.0)
-    made.list_heard(0.0)
+    made = ramp(warm_after_ms=3000.0)
+    made.on_list_received(0.0)
     for t in range(100, 3400, 100):
-        made.answered(float(t), "a0", True, 20.0, 120.0)  # 20 ms of work, and a machine that is busy
+        made.on_answer(float(t), "a0", True, 20.0, 120.0)  # 20 ms of work, and a machine that is busy
         made.step(float(t), [])
-    assert made.share("a0") == 1.0 and made.share("a2") == made.settings.first
+    assert made.share("a0") == 1.0 and made.share("a2") == made.settings.initial_share
 
 
 def test_of_a_loss_all_engines_start_anew_and_alone_they_are_free() -> None:
     made = ramp()
-    made.list_heard(0.0)
-    made.lost(0.0, Lost.ALONE)
-    assert not made.active
-    made.lost(10.0, Lost.ZONE, ["a1"])
+    made.on_list_received(0.0)
+    made.on_loss(0.0, OutageScope.ALONE)
+    assert not made.is_active
+    made.on_loss(10.0, OutageScope.ZONE, ["a1"])
     assert made.share("a1") == 0.0 and made.share("a0") == 1.0
-    made.started(20.0, "a1")
-    made.lost(30.0, Lost.FLEET)  # the one that has begun since goes on
-    assert made.share("a1") == made.settings.first and made.share("a0") == 0.0
+    made.on_engine_started(20.0, "a1")
+    made.on_loss(30.0, OutageScope.FLEET)  # the one that has begun since goes on
+    assert made.share("a1") == made.settings.initial_share and made.share("a0") == 0.0
 
 
 @pytest.mark.parametrize(
@@ -118,72 +141,72 @@
     since: float, failed: bool, share: float
 ) -> None:
     """More than half of the fleet are back after two seconds, and only then all know that it was lost."""
-    made = ramp(warm=3000.0)
-    made.lost(0.0, Lost.ALONE)
-    made.answered(100.0, "a0", True, 20.0, 60.0)
+    made = ramp(warm_after_ms=3000.0)
+    made.on_loss(0.0, OutageScope.ALONE)
+    made.on_answer(100.0, "a0", True, 20.0, 60.0)
     if failed:
-        made.answered(900.0, "a0", False, 0.0, 1.0)
-    made.lost(2000.0, Lost.FLEET, since=since)
+        made.on_answer(900.0, "a0", False, 0.0, 1.0)
+    made.on_loss(2000.0, OutageScope.FLEET, since=since)
     assert made.share("a0") == share and made.share("a1") == 0.0
     if share:
-        assert made.young["a0"].since == 100.0
+        assert made.warming["a0"].started_at == 100.0
         for t in (2100.0, 2200.0, 2300.0, 2400.0):
-            made.answered(t, "a0", True, 20.0, 30.0)
+            made.on_answer(t, "a0", True, 20.0, 30.0)
             made.step(t, [])
         assert made.share("a0") == pytest.approx(0.3 + 0.7 * 2300 / 3000, abs=0.02)
 
 
 @pytest.mark.parametrize("tellers, older", [(1, False), (2, True), (3, True)], ids=str)
 def test_an_engine_is_as_old_as_two_others_know(tellers: int, older: bool) -> None:
-    made = ramp(warm=3000.0)
-    made.list_heard(0.0)
+    made = ramp(warm_after_ms=3000.0)
+    made.on_list_received(0.0)
     for t in (100.0, 200.0, 300.0, 400.0, 500.0):
-        made.answered(t, "a0", True, 20.0, 60.0)
+        made.on_answer(t, "a0", True, 20.0, 60.0)
         for member in range(2, 2 + tellers):
             age = 60_000.0 if member == 2 else 1500.0 + t  # the first one lies
-            row = Row(0.3, 0.02, 0.6, age)
-            made.hear(t, pack_words([RampWord(member, 1, int(t), {NUMBER: row})]))
+            row = EngineObservation(0.3, 0.02, 0.6, age)
+            made.on_message(t, encode_warmup_reports([WarmupReport(member, 1, int(t), {NUMBER: row})]))
         made.step(t, range(2, 2 + tellers))
-    assert made.young["a0"].since == pytest.approx(-1500.0 if older else 0.0, abs=100.0)
+    assert made.warming["a0"].started_at == pytest.approx(-1500.0 if older else 0.0, abs=100.0)
     assert made.share("a0") < 1.0
 
 
 def test_what_others_saw_of_an_engines_earlier_life_does_not_count() -> None:
     made = ramp()
-    made.lost(0.0, Lost.ALONE)
-    made.started(5000.0, "a0")
+    made.on_loss(0.0, OutageScope.ALONE)
+    made.on_engine_started(5000.0, "a0")
     for version, age, share in ((1, 4000.0, 0.3), (2, 0.0, 0.345 * 1.15)):
         for member in (2, 3):
-            row = Row(0.3, 0.2, 0.345, age)
-            made.hear(5100.0, pack_words([RampWord(member, 1, version, {NUMBER: row})]))
+            row = EngineObservation(0.3, 0.2, 0.345, age)
+            made.on_message(5100.0, encode_warmup_reports([WarmupReport(member, 1, version, {NUMBER: row})]))
         made.step(5100.0 + 50 * version, [2, 3])
         assert made.share("a0") == pytest.approx(share, abs=0.02)
 
 
 def test_a_line_at_an_engine_eases_the_ramp() -> None:
     made = ramp()
-    made.list_heard(0.0)
-    made.young["a0"].share, made.young["a0"].since = 0.48, -2000.0
+    made.on_list_received(0.0)
+    made.warming["a0"].share, made.warming["a0"].started_at = 0.48, -2000.0
     for t in range(100, 1500, 20):  # 0.4 of its capacity, each after a line of half a second
-        made.answered(float(t), "a0", True, 8.0, 500.0)
+        made.on_answer(float(t), "a0", True, 8.0, 500.0)
         made.step(float(t), [])
     assert 0.3 < made.share("a0") < 0.4
 
 
 def test_one_that_has_just_started_tells_clients_to_wait_as_long_as_the_others() -> None:
     early, late, told = ramp(), ramp(), set[float]()
-    early.list_heard(0.0)
+    early.on_list_received(0.0)
     for t in range(100, 2500, 100):
         for engine in ENGINES:
-            early.answered(float(t), engine, True, 20.0, 40.0)
+            early.on_answer(float(t), engine, True, 20.0, 40.0)
         words = early.step(float(t), [2])
         if t >= 2000:  # it hears of engines, and goes from nothing to where the other is
             for _, data in words:
-                late.hear(float(t), data.replace(bytes(7) + b"\x01", bytes(7) + b"\x02", 1))
-            late.list_heard(float(t))
+                late.on_message(float(t), data.replace(bytes(7) + b"\x01", bytes(7) + b"\x02", 1))
+            late.on_list_received(float(t))
             late.step(float(t), [2])
-            told |= {early.cooldown(0.5), late.cooldown(0.5)}
-    assert len(told) == 1 and told.pop() >= 1000.0 and early.cooldown(0.0) == 0.0
+            told |= {early.retry_after_ms(0.5), late.retry_after_ms(0.5)}
+    assert len(told) == 1 and told.pop() >= 1000.0 and early.retry_after_ms(0.0) == 0.0
 
 
 def test_each_engine_is_probed_by_each_dispatcher_in_turn() -> None:
@@ -194,33 +217,33 @@
 
 @pytest.mark.parametrize("only", [True, False], ids=["alone", "beside another"])
 def test_of_a_part_what_is_kept_is_there_at_once_and_never_lent(only: bool) -> None:
-    made = Parts(0.0, 0.5, 1, RampSettings().parts, only)
-    assert made.usable(0.0, BUDGET)[0] == pytest.approx(0.3 if only else 0.0, abs=1e-4)
+    made = QuotaAccount(0.0, 0.5, 1, SlowStartSettings().quota, only)
+    assert made.usable(0.0, WARMUP_BUDGET)[0] == pytest.approx(0.3 if only else 0.0, abs=1e-4)
     for now in (1.0, 1000.0):
-        made.receive(now, 2, Ask(BUDGET, 1, 0xFFFF))
-    assert made.usable(1000.0, BUDGET)[0] == pytest.approx(0.3, abs=1e-4)
+        made.on_message(now, 2, QuotaRequest(WARMUP_BUDGET, 1, 0xFFFF))
+    assert made.usable(1000.0, WARMUP_BUDGET)[0] == pytest.approx(0.3, abs=1e-4)
 
 
 # --- words ---
 
-ROWS = st.builds(Row, *(st.floats(0, 1) for _ in range(3)), st.floats(0, 20_000))
+ROWS = st.builds(EngineObservation, *(st.floats(0, 1) for _ in range(3)), st.floats(0, 20_000))
 WORDS = st.builds(
-    RampWord,
+    WarmupReport,
     *(st.integers(1, 2**32 - 1) for _ in range(3)),
-    st.dictionaries(st.integers(0, 2**32 - 1), ROWS, max_size=warmup_messages.MOST_ROWS),
+    st.dictionaries(st.integers(0, 2**32 - 1), ROWS, max_size=warmup_messages.MAX_ENGINES),
 )
 
 
 @unhurried
 @given(st.lists(WORDS, max_size=4))
-def test_words_keep_their_meaning_and_fit_a_datagram(words: list[RampWord]) -> None:
-    data = pack_words(words)
-    back = read_words(data)
+def test_words_keep_their_meaning_and_fit_a_datagram(words: list[WarmupReport]) -> None:
+    data = encode_warmup_reports(words)
+    back = decode_warmup_reports(data)
     assert len(data) <= 200 and [w.stamp for w in back] == [w.stamp for w in words[: len(back)]]
     for sent, heard in zip(words, back, strict=False):
-        for number, row in sent.rows.items():
-            assert heard.rows[number].speed == pytest.approx(row.speed, abs=0.01)
-            assert heard.rows[number].done == pytest.approx(row.done, abs=0.02)
+        for number, row in sent.engines.items():
+            assert heard.engines[number].speed == pytest.approx(row.speed, abs=0.01)
+            assert heard.engines[number].work_done == pytest.approx(row.work_done, abs=0.02)
 
 
 @pytest.mark.parametrize(
@@ -237,11 +260,11 @@
     ids=["empty", "short", "other", "truncated", "long", "nobody", "rows"],
 )
 def test_words_that_make_no_sense_change_nothing(data: bytes) -> None:
-    made = Fleet(1, 1, 0.0, FleetSettings(dispatchers=3, recovery=RampSettings()), 1)
+    made = FleetCoordinator(1, 1, 0.0, FleetSettings(dispatchers=3, slow_start=SlowStartSettings()), 1)
     with pytest.raises(MessageError):
-        read_words(data)
-    made.hear(0.0, 2, data)
-    assert made.ramp is not None and not made.ramp.words.received
+        decode_warmup_reports(data)
+    made.on_message(0.0, 2, data)
+    assert made.slow_start is not None and not made.slow_start.reports.received
 
 
 @unhurried
@@ -249,9 +272,9 @@
 def test_one_that_lies_moves_nothing_beyond_what_others_saw(
     speeds: list[float], speed: float, share: float
 ) -> None:
-    rows = [Row(s, 0.02, s, 0.0) for s in speeds]
-    pooled = pool([*rows, Row(speed, 1.0, share, 0.0)], 1.0)
-    assert pooled.speed <= max(speeds) and pooled.done <= 0.02 * (len(speeds) + 3) + 1e-9
+    rows = [EngineObservation(s, 0.02, s, 0.0) for s in speeds]
+    pooled = pool_observations([*rows, EngineObservation(speed, 1.0, share, 0.0)], 1.0)
+    assert pooled.speed <= max(speeds) and pooled.work_done <= 0.02 * (len(speeds) + 3) + 1e-9
     assert pooled.share is not None and min(speeds) <= pooled.share <= max(speeds)
 
 
@@ -259,44 +282,55 @@
 
 
 def test_the_price_takes_the_ramp_as_capacity_and_says_how_long_to_wait() -> None:
-    settings = FleetSettings(dispatchers=4, probed=False, price=True, recovery=RampSettings())
-    made = Fleet(1, 1, 0.0, settings, 1)
-    made.know({z: {f"{z}{i}": 1.0 for i in range(2)} for z in "abc"}, 0.0)
-    made.members(0.0, [1, 2])
-    assert made.ramp is not None
-    made.ramp.list_heard(0.0)
-    priced = list[Priced]()
+    settings = FleetSettings(
+        dispatchers=4, checks_are_shared=False, sheds_load=True, slow_start=SlowStartSettings()
+    )
+    made = FleetCoordinator(1, 1, 0.0, settings, 1)
+    made.set_engines({z: {f"{z}{i}": 1.0 for i in range(2)} for z in "abc"}, 0.0)
+    made.set_members(0.0, [1, 2])
+    assert made.slow_start is not None
+    made.slow_start.on_list_received(0.0)
+    priced = list[ThresholdUpdate]()
     for t in range(0, 3000, 100):
         # Of four configured two are there: half of 0.3 of six cores is for what those are offered.
-        made.hear(float(t), 2, pack_loads([Load(2, 1, t + 1, Told({20: 1.0, 40: 0.5}))]))
-        priced += [a for a in made.step(float(t)) if isinstance(a, Priced)]
+        made.on_message(
+            float(t), 2, encode_demand_reports([DemandReport(2, 1, t + 1, ReportedLoad({20: 1.0, 40: 0.5}))])
+        )
+        priced += [a for a in made.step(float(t)) if isinstance(a, ThresholdUpdate)]
     last = priced[-1]
-    assert last.price is not None and last.price.step == 20
-    assert last.price.share == pytest.approx(0.9 * 0.97 - 0.5, abs=0.1) and last.cooldown == 1500.0
+    assert last.threshold is not None and last.threshold.step == 20
+    assert (
+        last.threshold.admitted_share == pytest.approx(0.9 * 0.97 - 0.5, abs=0.1)
+        and last.retry_after_ms == 1500.0
+    )
 
 
 def test_one_that_has_just_started_has_a_price_before_a_whole_period_is_over() -> None:
-    made = Fleet(1, 1, 0.0, FleetSettings(dispatchers=4, price=True, recovery=RampSettings()), 1)
-    made.know({"a": ENGINES}, 0.0)
-    assert made.loads is not None
+    made = FleetCoordinator(
+        1, 1, 0.0, FleetSettings(dispatchers=4, sheds_load=True, slow_start=SlowStartSettings()), 1
+    )
+    made.set_engines({"a": ENGINES}, 0.0)
+    assert made.demand is not None
     due = list[float]()
     while made.next_at() < 1000.0:
         due.append(made.next_at())
-        made.loads.offered(due[-1], 6.0, 60.0, False)
+        made.demand.on_request(due[-1], 6.0, 60.0, False)
         made.step(due[-1])
-        assert made.loads.price is not None or due[-1] < 50.0
+        assert made.demand.threshold is not None or due[-1] < 50.0
     assert len(due) < 25  # not for long: words go out each step
 
 
 def test_dark_engines_that_were_tried_are_no_capacity_to_one_that_has_just_started() -> None:
-    made = Fleet(1, 1, 0.0, FleetSettings(dispatchers=2, price=True, recovery=RampSettings()), 1)
-    made.know({"a": ENGINES}, 0.0)
-    assert made.ramp is not None
+    made = FleetCoordinator(
+        1, 1, 0.0, FleetSettings(dispatchers=2, sheds_load=True, slow_start=SlowStartSettings()), 1
+    )
+    made.set_engines({"a": ENGINES}, 0.0)
+    assert made.slow_start is not None
     owned = [made._ramped(10.0)[1]]
     for engine, good in (("a0", False), ("a1", True)):
-        made.probed(20.0, engine, good)
+        made.on_health_check(20.0, engine, good)
         owned.append(made._ramped(20.0)[1])
-    bears = made.ramp.settings.bears / 2  # of an engine
+    bears = made.slow_start.settings.max_cold_share / 2  # of an engine
     assert owned == pytest.approx([3 * bears, 2 * bears / 2, bears + bears * 2 / 3])
 
 
@@ -322,27 +356,27 @@
     assert served[1] > 0.9 * served[0] and twice.over == 0
 
 
-def greedy_step(self: Ramp, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
+def greedy_step(self: SlowStart, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
     self.present = 1 + len(set(live))  # type: ignore[attr-defined]
     return STEP(self, now, live)
 
 
-def greedy_bounds(self: Ramp, part: float) -> dict[str, float]:
+def greedy_bounds(self: SlowStart, part: float) -> dict[str, float]:
     return BOUNDS(self, 1 / getattr(self, "present", 1))
 
 
-def by_the_clock(self: Ramp, young: Young, pooled: Pooled, passed: float) -> bool:
+def by_the_clock(self: SlowStart, young: WarmingEngine, pooled: PooledObservation, passed: float) -> bool:
     young.share = min(young.share * 2 ** (passed / 1000), 1.0)
     return False
 
 
-def trusting(self: Ramp, now: float, engine: str, not_before: float) -> Young:
+def trusting(self: SlowStart, now: float, engine: str, not_before: float) -> WarmingEngine:
     young = START(self, now, engine, not_before)
-    young.proven = True
+    young.has_answered = True
     return young
 
 
-STEP, BOUNDS, START = Ramp.step, Ramp.bounds, Ramp._start
+STEP, BOUNDS, START = SlowStart.step, SlowStart.work_limits, SlowStart._start
 
 
 def most(world: Return) -> float:
@@ -353,7 +387,7 @@
 @pytest.mark.parametrize(
     "defects, seen, least, seeds, warm, engines",
     [
-        ({"step": greedy_step, "bounds": greedy_bounds}, lambda w: w.over, 0.0, 1, 3000.0, 0.0),
+        ({"step": greedy_step, "work_limits": greedy_bounds}, lambda w: w.over, 0.0, 1, 3000.0, 0.0),
         # The largest of nine engines differs by chance, 1.25 to 1.35 by seed, so it is held to by the mean.
         ({"_shows": by_the_clock}, most, 1.3, 8, 20_000.0, 0.0),
         ({"_start": trusting}, lambda w: w.blind, 0.0, 1, 3000.0, 1000.0),
@@ -375,14 +409,14 @@
 
     assert mean() <= least
     for name, defect in defects.items():
-        monkeypatch.setattr(Ramp, name, defect)
+        monkeypatch.setattr(SlowStart, name, defect)
     assert mean() > least
 
 
 def test_a_slow_engine_is_free_at_last() -> None:
-    made = ramp(longest=3000.0)
-    made.list_heard(0.0)
+    made = ramp(max_duration_ms=3000.0)
+    made.on_list_received(0.0)
     for t in range(0, 4000, 100):
-        made.answered(float(t), "a0", True, 20.0, 60.0)
+        made.on_answer(float(t), "a0", True, 20.0, 60.0)
         made.step(float(t), [])
     assert made.share("a0") == 1.0 and math.isclose(sum(made.cores()), 3.0)
--- a/tests/fleet/test_snapshot_plan.py
+++ b/tests/fleet/test_snapshot_plan.py
@@ -7,44 +7,44 @@
 
 import pytest
 
-from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.failover_cost import projection
 from cottonhold.fleet.failover_cost import snapshot_plan as plans
-from cottonhold.fleet.failover_cost.estimator import Outlook, OutlookSettings
-from cottonhold.fleet.failover_cost.messages import Site, pack_sites
+from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.messages import SiteReport, encode_site_reports
 from tests.fleet.test_cross_zone_limits import core, leave
 from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, steps
 
-S = OutlookSettings()
+S = CostEstimatorSettings()
 
 
 def divisions(monkeypatch: pytest.MonkeyPatch) -> list[Mapping[str, float]]:
     """What is divided from now on, by what is left of zones."""
     found = list[Mapping[str, float]]()
-    settle = projection.settle
+    settle = projection.solve_with_cold_work
 
     def counted(picture, left, settings, good=None):  # type: ignore[no-untyped-def]
         found.append({zone: part for zone, part in left.items() if part < 1.0})
         return settle(picture, left, settings, good)
 
-    monkeypatch.setattr(plans, "settle", counted)
-    monkeypatch.setattr(projection, "settle", counted)
+    monkeypatch.setattr(plans, "solve_with_cold_work", counted)
+    monkeypatch.setattr(projection, "solve_with_cold_work", counted)
     return found
 
 
-def run(made: Fleet, begin: float, last: float, sites: list[Site], **out: float) -> None:
+def run(made: FleetCoordinator, begin: float, last: float, sites: list[SiteReport], **out: float) -> None:
     """So many ms of the core's steps, with words once a second. out: zones that are, and the part of their
     attempts that ended well; others serve as they should."""
-    assert made.outlook is not None
+    assert made.failover_cost is not None
     for t in range(0, int(last), 100):
         now = begin + t
         made.serves = dict.fromkeys(ZONES, 0.97) | out
         if t % 1000 == 0:
             for s in sites:
-                made.outlook.hear(now, pack_sites([replace(s, version=int(now) + 1)]))
+                made.failover_cost.on_message(now, encode_site_reports([replace(s, version=int(now) + 1)]))
         for zone in out:
             leave(made, zone)
-        made.members(now, [s.member for s in fleet()])
+        made.set_members(now, [s.member for s in fleet()])
         made.step(now)
 
 
@@ -68,18 +68,18 @@
 def test_pairs_and_costs_are_computed_when_they_are_asked_for_and_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made, found = Outlook(99, 1, 0.0, "a", 1), divisions(monkeypatch)
-    made.know(ENGINES)
+    made, found = CostEstimator(99, 1, 0.0, "a", 1), divisions(monkeypatch)
+    made.set_engines(ENGINES)
     steps(made, fleet(), 0.0, 2000.0)
     assert not found
     for _ in range(3):
-        assert made.projection("a", "b") is not None and made.serving("a", "a", "b")
-        assert made.neighbours("a") and made.first("a")
+        assert made.projection("a", "b") is not None and made.serving_zones("a", "a", "b")
+        assert made.neighbours("a") and made.first_serving_zones("a")
     # The pair, what is left now, one zone, and all engines cold.
     assert len(found) == 4 and {"a": 0.0, "b": 0.0} in found
 
 
-def more(home_a: float) -> list[Site]:
+def more(home_a: float) -> list[SiteReport]:
     """Words with so many times the demand of zone a's clients."""
     return [
         replace(s, rates={step: x * (home_a if s.member in (1, 4) else 1.0) for step, x in s.rates.items()})
@@ -87,30 +87,34 @@
     ]
 
 
-@pytest.mark.parametrize("left, within", [({}, S.idle), ({"b": 0.0}, S.every)], ids=["calm", "out"])
+@pytest.mark.parametrize(
+    "left, within",
+    [({}, S.idle_snapshot_interval_ms), ({"b": 0.0}, S.snapshot_interval_ms)],
+    ids=["calm", "out"],
+)
 def test_other_demand_is_seen_within_the_period(left: dict[str, float], within: float) -> None:
-    made = Outlook(99, 1, 0.0, "a", 1)
-    made.know(ENGINES)
+    made = CostEstimator(99, 1, 0.0, "a", 1)
+    made.set_engines(ENGINES)
     steps(made, fleet(), 0.0, 10_100.0, **left)
     assert made.plan is not None
-    before = made.plan.picture.homes["a"].work
+    before = made.plan.snapshot.homes["a"].cores
     steps(made, more(2.0), 10_100.0, within + 100.0, **left)
-    assert made.plan.picture.homes["a"].work > 1.5 * before
+    assert made.plan.snapshot.homes["a"].cores > 1.5 * before
 
 
 def test_a_zone_that_is_out_is_planned_with_in_the_same_step() -> None:
-    made = Outlook(99, 1, 0.0, "a", 1)
-    made.know(ENGINES)
+    made = CostEstimator(99, 1, 0.0, "a", 1)
+    made.set_engines(ENGINES)
     steps(made, fleet(), 0.0, 5000.0)
     steps(made, [], 5000.0, 100.0)
     made.step(5100.0, {s.member for s in fleet()}, {"b": 0.0})
-    assert made.plan is not None and (made.plan.at, made.plan.left) == (5100.0, {"b": 0.0})
+    assert made.plan is not None and (made.plan.made_at, made.plan.remaining) == (5100.0, {"b": 0.0})
 
 
 def test_what_was_last_asked_for_long_ago_is_not_held_against_what_is_wanted_now() -> None:
     def neighbours(asked: bool) -> dict[str, float]:
-        made = Outlook(99, 1, 0.0, "a", 1)
-        made.know(ENGINES)
+        made = CostEstimator(99, 1, 0.0, "a", 1)
+        made.set_engines(ENGINES)
         steps(made, fleet(), 0.0, 2000.0)
         if asked:
             made.neighbours("a")
@@ -122,9 +126,9 @@
 
 def test_the_room_of_zones_is_told_as_things_are_now() -> None:
     made = core("a")
-    assert made.outlook is not None and made.outlook.plan is not None
-    before = made.outlook.plan.room
+    assert made.failover_cost is not None and made.failover_cost.plan is not None
+    before = made.failover_cost.plan.free_cores
     assert before.keys() == set(ZONES) and all(room > 0 for room in before.values())
     run(made, 2600.0, 4000.0, fleet(), a=0.0)
-    after = made.outlook.plan.room
+    after = made.failover_cost.plan.free_cores
     assert after["a"] < before["a"] and sum(after.values()) < sum(before.values())
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -9,17 +9,17 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.fleet import World
-from cottonhold.fleet.coordinator import Bound, Fleet, FleetSettings, Say
-from cottonhold.fleet.zone_failover.evacuation import Own, Phase, Signs, Zones, pool
-from cottonhold.fleet.zone_failover.failure_evidence import Verdict
+from cottonhold.fleet.coordinator import EngineBounds, FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.zone_failover.evacuation import Evacuation, LocalEvidence, Phase, Signs, pool_counts
+from cottonhold.fleet.zone_failover.failure_evidence import ZoneHealth
 from cottonhold.fleet.zone_failover.messages import (
     MemberReport,
     Vote,
     ZoneReport,
-    encode_reports,
+    encode_zone_reports,
     zone_number,
 )
-from cottonhold.fleet.zone_failover.operator_overrides import Mode
+from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode
 
 FAULT, MEND = 4000.0, 10_000.0
 SKEW = (1, 1, 1, 2, 3, 4, 2, 2)
@@ -55,9 +55,9 @@
 def left(world: World, zone: str = "a") -> dict[int, float]:
     """When each instance first left a zone, in ms from the fault."""
     return {
-        i: min(t for t, turn in node.turns if turn.zone == zone and turn.phase is Phase.OUT) - FAULT
+        i: min(t for t, turn in node.turns if turn.zone == zone and turn.phase is Phase.EVACUATED) - FAULT
         for i, node in world.nodes.items()
-        if any(turn.zone == zone and turn.phase is Phase.OUT for _, turn in node.turns)
+        if any(turn.zone == zone and turn.phase is Phase.EVACUATED for _, turn in node.turns)
     }
 
 
@@ -126,7 +126,7 @@
 
     world = play(fault, end=25_000.0)
     assert len(left(world)) == 6 and set(world.phases("a").values()) == {"in"}
-    assert not any(n.fleet.zones.states["a"].fleet_out for n in world.nodes.values())
+    assert not any(n.fleet.evacuation.states["a"].is_fleet_evacuated for n in world.nodes.values())
 
 
 def test_deaths_while_leaving_do_not_hold_the_others_up() -> None:
@@ -174,20 +174,20 @@
 
     world = play(fault, end=25_000.0)
     for node in world.nodes.values():
-        outs = [t for t, turn in node.turns if turn.zone == "a" and turn.phase is Phase.OUT]
-        backs = [t for t, turn in node.turns if turn.zone == "a" and turn.phase is Phase.RETURN]
+        outs = [t for t, turn in node.turns if turn.zone == "a" and turn.phase is Phase.EVACUATED]
+        backs = [t for t, turn in node.turns if turn.zone == "a" and turn.phase is Phase.RETURNING]
         holds = [b - o for o, b in zip(outs, backs, strict=False)]
-        hold = world.settings.zones.hold
+        hold = world.settings.evacuation.hold_ms
         assert len(holds) >= 2 and holds[0] >= hold and holds[1] >= 2 * hold
 
 
 # --- one instance against scripted words ---
 
 
-def lone(count: int = 6, dispatchers: int = 6) -> Fleet:
-    fleet = Fleet(1, 1, 0.0, FleetSettings(dispatchers=dispatchers, probed=False), 1)
-    fleet.know({z: {f"{z}{i}": 1.0 for i in range(3)} for z in "abc"})
-    fleet.members(0.0, range(2, count + 1))
+def lone(count: int = 6, dispatchers: int = 6) -> FleetCoordinator:
+    fleet = FleetCoordinator(1, 1, 0.0, FleetSettings(dispatchers=dispatchers, checks_are_shared=False), 1)
+    fleet.set_engines({z: {f"{z}{i}": 1.0 for i in range(3)} for z in "abc"})
+    fleet.set_members(0.0, range(2, count + 1))
     return fleet
 
 
@@ -199,14 +199,14 @@
 
 
 def drive(
-    fleet: Fleet, until: float, say: Callable[[float], list[MemberReport]], start: float = 0.0
-) -> list[Bound]:
+    fleet: FleetCoordinator, until: float, say: Callable[[float], list[MemberReport]], start: float = 0.0
+) -> list[EngineBounds]:
     """Let others say words each 100 ms; the bounds that followed."""
-    bounds, now = list[Bound](), start
+    bounds, now = list[EngineBounds](), start
     while now < until:
         for told in say(now):
-            fleet.hear(now, told.member, encode_reports([told], 200))
-        bounds += [a for a in fleet.step(now) if isinstance(a, Bound)]
+            fleet.on_message(now, told.member, encode_zone_reports([told], 200))
+        bounds += [a for a in fleet.step(now) if isinstance(a, EngineBounds)]
         now += 100.0
     return bounds
 
@@ -239,7 +239,7 @@
 def test_whose_words_move_an_instance(say: Callable[[float], list[MemberReport]], moved: bool) -> None:
     fleet = lone()
     drive(fleet, 4000.0, say)
-    assert (fleet.zones.states["a"].phase is Phase.OUT) is moved
+    assert (fleet.evacuation.states["a"].phase is Phase.EVACUATED) is moved
 
 
 @pytest.mark.parametrize(
@@ -257,12 +257,12 @@
 
     def others(now: float) -> list[MemberReport]:
         for n in range(well + bad if now == 1000.0 else 0):
-            fleet.sent(now, f"{now}-{n}", f"a{n % 3}", 0)
-            fleet.ended(now, f"{now}-{n}", n < well, 1.0)
+            fleet.on_attempt_sent(now, f"{now}-{n}", f"a{n % 3}", 0)
+            fleet.on_attempt_ended(now, f"{now}-{n}", n < well, 1.0)
         return [word(m, int(now)) for m in (2, 3, 4)] if now >= 1000.0 else []
 
     drive(fleet, 2500.0, others)
-    assert (fleet.zones.states["a"].phase is Phase.OUT) is joins
+    assert (fleet.evacuation.states["a"].phase is Phase.EVACUATED) is joins
 
 
 @pytest.mark.parametrize("bad, joins", [(0, False), (2, True)], ids=["still well", "bad signs"])
@@ -272,20 +272,20 @@
 
     def others(now: float) -> list[MemberReport]:
         for n in range(6 if now == 1500.0 else bad if now == 4000.0 else 0):
-            fleet.sent(now, f"{now}-{n}", f"a{n % 3}", 0)
-            fleet.ended(now, f"{now}-{n}", now < 4000.0, 1.0)
+            fleet.on_attempt_sent(now, f"{now}-{n}", f"a{n % 3}", 0)
+            fleet.on_attempt_ended(now, f"{now}-{n}", now < 4000.0, 1.0)
         return [word(m, int(now)) for m in (2, 3, 4)] if now >= 1500.0 else []
 
     drive(fleet, 6000.0, others)
-    assert (fleet.zones.states["a"].phase is Phase.OUT) is joins
+    assert (fleet.evacuation.states["a"].phase is Phase.EVACUATED) is joins
 
 
 def test_one_that_joined_does_not_take_those_that_have_not_left_yet_for_a_return() -> None:
     """Found on processes (lossy-words): it went back 100 ms after it had joined."""
     fleet = lone()
     drive(fleet, 1500.0, lambda t: [word(m, int(t), Vote.KEEP, accuses=t < 500) for m in range(2, 7)])
-    state = fleet.zones.states["a"]
-    assert state.phase is Phase.OUT and not state.fleet_out and state.since < 500.0
+    state = fleet.evacuation.states["a"]
+    assert state.phase is Phase.EVACUATED and not state.is_fleet_evacuated and state.since < 500.0
 
 
 @pytest.mark.parametrize("bad, spoken", [(0, False), (4, True), (20, True)], ids=["well", "accused", "left"])
@@ -294,83 +294,90 @@
     later."""
     fleet = lone()
     fleet.step(0.0)
-    assert fleet.next_words > 700.0, "nothing is wrong: a round a second"
+    assert fleet.next_report > 700.0, "nothing is wrong: a round a second"
     for n in range(40):
         zone, good = "abc"[n % 3], n % 3 > 0 or n >= 3 * bad
-        fleet.sent(90.0, f"{n}", f"{zone}{n // 3 % 3}", 0)
-        fleet.ended(90.0, f"{n}", good, 1.0)
-    said = [a for a in fleet.step(100.0) if isinstance(a, Say)]
+        fleet.on_attempt_sent(90.0, f"{n}", f"{zone}{n // 3 % 3}", 0)
+        fleet.on_attempt_ended(90.0, f"{n}", good, 1.0)
+    said = [a for a in fleet.step(100.0) if isinstance(a, SendMessage)]
     assert {a.member for a in said} == ({2, 3, 4, 5, 6} if spoken else set())
 
 
 def test_passing_on_costs_the_same_of_five_hundred() -> None:
     fleet = lone(500)
     for member in range(2, 501):
-        fleet.hear(float(member), member, encode_reports([word(member, 1, Vote.KEEP)], 200))
+        fleet.on_message(float(member), member, encode_zone_reports([word(member, 1, Vote.KEEP)], 200))
     voters, passed = set(fleet._voters(600.0)), list(fleet._passed(600.0))
     assert len(passed) <= 32 and {w.member for w in passed} >= voters - {1}
     assert next(w.member for w in passed if w.member not in voters) == max(set(range(2, 501)) - voters)
 
 
 def test_replayed_words_of_another_day_move_nobody() -> None:
-    fleet, old = lone(), [encode_reports([word(m, 5)], 200) for m in (2, 3, 4, 5)]
+    fleet, old = lone(), [encode_zone_reports([word(m, 5)], 200) for m in (2, 3, 4, 5)]
     drive(fleet, 3000.0, lambda t: [word(m, 1000 + int(t), Vote.KEEP) for m in (2, 3, 4, 5)])
     for data in old:
-        fleet.hear(3000.0, 2, data)
+        fleet.on_message(3000.0, 2, data)
     drive(fleet, 4000.0, lambda t: [], 3000.0)
-    assert fleet.zones.states["a"].phase is Phase.IN
+    assert fleet.evacuation.states["a"].phase is Phase.IN_SERVICE
 
 
 def test_half_of_a_fleet_that_lost_sight_of_the_other_is_no_majority_for_a_minute() -> None:
     fleet = lone()
     drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
-    fleet.members(1000.0, [2, 3])
+    fleet.set_members(1000.0, [2, 3])
     drive(fleet, 5000.0, lambda t: [word(m, int(t), sure=False) for m in (2, 3)], 1000.0)
-    assert not fleet.zones.states["a"].fleet_out
+    assert not fleet.evacuation.states["a"].is_fleet_evacuated
     drive(fleet, 70_000.0, lambda t: [word(m, int(t), sure=False) for m in (2, 3)], 5000.0)
-    assert fleet.zones.states["a"].fleet_out, "the others are gone for good"
+    assert fleet.evacuation.states["a"].is_fleet_evacuated, "the others are gone for good"
 
 
 def test_one_that_says_good_bye_counts_no_longer() -> None:
     fleet = lone()
     drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
-    fleet.members(1000.0, [2, 3], left=[4, 5, 6])
+    fleet.set_members(1000.0, [2, 3], left=[4, 5, 6])
     drive(fleet, 3000.0, lambda t: [word(m, int(t)) for m in (2, 3)], 1000.0)
-    assert fleet.zones.states["a"].fleet_out
+    assert fleet.evacuation.states["a"].is_fleet_evacuated
 
 
 def test_one_back_from_nothing_learns_that_a_zone_is_out_from_the_first_words() -> None:
     fleet = lone()
     bounds = drive(fleet, 300.0, lambda t: [word(m, int(t)) for m in (2, 3, 4, 5)])
-    assert bounds and bounds[-1].work == {"a0": 0.0, "a1": 0.0, "a2": 0.0}
+    assert bounds and bounds[-1].work_rates == {"a0": 0.0, "a1": 0.0, "a2": 0.0}
 
 
-@pytest.mark.parametrize("mode, phase", [(Mode.LEAVE, Phase.OUT), (Mode.RETURN, Phase.IN)])
-def test_by_hand_goes_before_evidence_until_its_end_and_is_told_to_all(mode: Mode, phase: Phase) -> None:
-    fleet, other = lone(), Fleet(2, 1, 0.0, FleetSettings(dispatchers=6, probed=False), 2)
-    other.know(fleet.engines)
-    other.members(0.0, [1])
-    assert not fleet.order(0.0, "nowhere", mode, 1000.0, "me", "no such zone")
-    assert fleet.order(0.0, "a", mode, 5000.0, "someone", "a test")
+@pytest.mark.parametrize(
+    "mode, phase", [(OverrideMode.EVACUATE, Phase.EVACUATED), (OverrideMode.RETURN, Phase.IN_SERVICE)]
+)
+def test_by_hand_goes_before_evidence_until_its_end_and_is_told_to_all(
+    mode: OverrideMode, phase: Phase
+) -> None:
+    fleet, other = (
+        lone(),
+        FleetCoordinator(2, 1, 0.0, FleetSettings(dispatchers=6, checks_are_shared=False), 2),
+    )
+    other.set_engines(fleet.engines)
+    other.set_members(0.0, [1])
+    assert not fleet.issue_override(0.0, "nowhere", mode, 1000.0, "me", "no such zone")
+    assert fleet.issue_override(0.0, "a", mode, 5000.0, "someone", "a test")
     said = []
     for t in range(0, 20_000, 100):
-        if mode is Mode.RETURN:  # against evidence
+        if mode is OverrideMode.RETURN:  # against evidence
             for i in range(6):
-                fleet.sent(float(t), f"q{t}{i}", f"a{i % 3}", 0)
-                fleet.ended(float(t), f"q{t}{i}", False, 1.0)
+                fleet.on_attempt_sent(float(t), f"q{t}{i}", f"a{i % 3}", 0)
+                fleet.on_attempt_ended(float(t), f"q{t}{i}", False, 1.0)
         for action in fleet.step(float(t)):
             if getattr(action, "member", 0) == 2:
-                other.hear(float(t), 1, action.data)  # type: ignore[union-attr]
+                other.on_message(float(t), 1, action.data)  # type: ignore[union-attr]
         other.step(float(t))
-        said.append((t, fleet.zones.states["a"].phase, other.zones.states["a"].phase))
+        said.append((t, fleet.evacuation.states["a"].phase, other.evacuation.states["a"].phase))
     during = {phases for t, *phases_ in said if 500 < t < 4900 for phases in phases_}
     assert during == {phase}
     (row,) = [r for r in other.status(4000.0, {1: "n0"}) if r["zone"] == "a"]
     assert row["order"]["who"] == "someone" and row["order"]["author"] == "n0"
-    if mode is Mode.LEAVE:
-        assert said[-1][1:] == (Phase.IN, Phase.IN), "it runs out"
+    if mode is OverrideMode.EVACUATE:
+        assert said[-1][1:] == (Phase.IN_SERVICE, Phase.IN_SERVICE), "it runs out"
     else:
-        assert said[-1][1] is Phase.OUT, "evidence counts again"
+        assert said[-1][1] is Phase.EVACUATED, "evidence counts again"
 
 
 def test_a_zone_whose_load_the_others_cannot_carry_is_left_in_part_unless_it_serves_nothing() -> None:
@@ -385,31 +392,33 @@
 
 
 def test_a_pool_of_signs_is_not_spoken_for_by_one() -> None:
-    (good, _, bad), accusers = pool([(0, 0, 250), (20, 0, 0), (20, 0, 1)])
+    (good, _, bad), accusers = pool_counts([(0, 0, 250), (20, 0, 0), (20, 0, 1)])
     assert accusers == 2 and bad < 0.4 * (good + bad)
 
 
 def test_a_pace_waits_for_the_lower_middle_of_all() -> None:
-    zones = Zones()
-    zones.know(["a"])
+    zones = Evacuation()
+    zones.set_zones(["a"])
     state = zones.states["a"]
-    state.phase, state.pace = Phase.RETURN, 0.8
+    state.phase, state.traffic_share = Phase.RETURNING, 0.8
     told = [ZoneReport(Vote.KEEP, traffic_share=p) for p in (0.1, 0.2, 1.0)]
-    assert zones.pace("a", told) == 0.2 and zones.pace("nowhere") == 1.0
+    assert zones.traffic_share("a", told) == 0.2 and zones.traffic_share("nowhere") == 1.0
 
 
 @pytest.mark.parametrize(
-    "elsewhere, phase", [((20, 0, 0), Phase.OUT), ((14, 0, 6), Phase.RETURN)], ids=["it alone", "all zones"]
+    "elsewhere, phase",
+    [((20, 0, 0), Phase.EVACUATED), ((14, 0, 6), Phase.RETURNING)],
+    ids=["it alone", "all zones"],
 )
 def test_a_return_fails_by_what_is_bad_elsewhere(elsewhere: Signs, phase: Phase) -> None:
     """Found in the model: at 0.96 of the load one instance had left alone, and gave up each return."""
-    zones = Zones()
-    zones.know("ab")
+    zones = Evacuation()
+    zones.set_zones("ab")
     state = zones.states["a"]
-    state.phase, state.pace, state.returned_at = Phase.RETURN, 0.1, 0.0
+    state.phase, state.traffic_share, state.return_started_at = Phase.RETURNING, 0.1, 0.0
     told = {"a": [ZoneReport(Vote.KEEP, 7, 0, 3)] * 3, "b": [ZoneReport(Vote.KEEP, *elsewhere)] * 3}
     own = {
-        name: Own(Verdict.UNSURE, signs, False, True)
+        name: LocalEvidence(ZoneHealth.UNKNOWN, signs, False, True)
         for name, signs in {"a": (7, 0, 3), "b": elsewhere}.items()
     }
     zones.step(300.0, own, told, 4)
@@ -417,17 +426,17 @@
 
 
 def test_quiet_time_wears_the_hold_off() -> None:
-    zones = Zones()
-    zones.know(["a"])
-    zones.states["a"].hold = 16_000.0
-    own = {"a": Own(Verdict.WELL, (10, 0, 0), False, True)}
+    zones = Evacuation()
+    zones.set_zones(["a"])
+    zones.states["a"].hold_ms = 16_000.0
+    own = {"a": LocalEvidence(ZoneHealth.HEALTHY, (10, 0, 0), False, True)}
     for t in range(0, 200_000, 1000):
         zones.step(float(t), own, {}, 1)
-    assert zones.states["a"].hold == zones.settings.hold
+    assert zones.states["a"].hold_ms == zones.settings.hold_ms
 
 
 def test_messages_that_make_no_sense_are_counted_and_change_nothing() -> None:
     fleet = lone()
     for data in (b"", b"\x01", b"\x01\xff", b"\x04\x01", b"\x02", b"\x09" * 200):
-        assert fleet.hear(1.0, 2, data) == []
-    assert fleet.counts["malformed"] == 6 and not fleet.words.received
+        assert fleet.on_message(1.0, 2, data) == []
+    assert fleet.counters["malformed"] == 6 and not fleet.reports.received
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -9,9 +9,9 @@
 import pytest
 
 from cottonhold.backend.connection_pool import Attempt
-from cottonhold.fleet.recovery.load_history import Around, Memory, MemorySettings, Settled
+from cottonhold.fleet.recovery.load_history import FleetState, LoadHistory, LoadHistorySettings, LoadSettled
 from cottonhold.fleet.recovery.messages import MemoryState
-from cottonhold.fleet_adapters.load_records import Loads
+from cottonhold.fleet_adapters.load_records import LoadRecorder
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.interface import Outcome
@@ -51,9 +51,9 @@
 
     def __init__(self) -> None:
         self.clock, self.ledger, self.heard = FakeClock(), FakeLedger(), list[tuple[str, str]]()
-        self.memory = Memory(0, 3, 3, self.clock.now(), (), MemorySettings(20_000.0), 1)
+        self.memory = LoadHistory(0, 3, 3, self.clock.now(), (), LoadHistorySettings(20_000.0), 1)
         self.may_send, self.start = True, self.clock.now()
-        self.loads = Loads(
+        self.loads = LoadRecorder(
             self.memory,
             cast(Ledger, self.ledger),
             {},
@@ -155,16 +155,16 @@
         world.clock.run_until(world.start + at, lambda: None)
         world.come(ref, retry=True, wait=500.0)
         world.clock.run_until(world.start + at + 500.0, lambda: None)
-        world.memory.step(world.clock.now(), world.memory.around)
+        world.memory.step(world.clock.now(), world.memory.fleet)
         for action in world.memory.actions:
-            if isinstance(action, Settled):
-                world.loads.settled(action)
+            if isinstance(action, LoadSettled):
+                world.loads.on_settled(action)
     assert world.heard == [("a1", "later"), ("a2", "later"), ("a3", "may")]
 
 
 def test_what_the_memory_still_holds_stays_on_the_disk() -> None:
     """Its own hold is over, but one that isn't gone can't be heard."""
-    world, apart = World(), Around(True, True, MemoryState.KEPT, {}, apart=True)
+    world, apart = World(), FleetState(True, True, MemoryState.INTACT, {}, is_partitioned=True)
     attempt, _ = world.send("a1")
     world.ledger.durable()
     world.loads.ended(attempt, Outcome.RESET)
@@ -172,12 +172,12 @@
     for ms, around, left in (
         (30_000.0, apart, 1),
         (60_000.0, apart, 1),
-        (75_000.0, replace(apart, apart=False), 1),
-        (90_000.0, replace(apart, apart=False), 0),
+        (75_000.0, replace(apart, is_partitioned=False), 1),
+        (90_000.0, replace(apart, is_partitioned=False), 0),
     ):
         world.clock.run_until(world.start + ms, lambda: None)
         world.memory.step(world.clock.now(), around)
-        world.loads.forget()
+        world.loads.expire()
         assert len(world.loads.records) == left, ms
 
 
@@ -190,8 +190,8 @@
     left = []
     for ms, durable in ((30_000.0, False), (35_000.0, True), (40_000.0, True)):
         world.clock.run_until(world.start + ms, lambda: None)
-        world.memory.step(world.clock.now(), world.memory.around)
-        world.loads.forget()
+        world.memory.step(world.clock.now(), world.memory.fleet)
+        world.loads.expire()
         left.append(len(world.loads.records))
         world.ledger.durable(durable)
     deletions = [r for records, _ in world.ledger.put_of for r in records if r.value is None]
@@ -205,8 +205,8 @@
     world.loads.ended(attempt, Outcome.RESET)
     world.loads.closed("a1")
     world.clock.run_until(world.start + 30_000.0, lambda: None)
-    world.memory.step(world.clock.now(), world.memory.around)
-    world.loads.forget()
+    world.memory.step(world.clock.now(), world.memory.fleet)
+    world.loads.expire()
     world.send("a2")
     world.ledger.durable(False)
     (record,) = world.loads.records.values()
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from cottonhold.backend.connection_pool import Attempt
-from cottonhold.fleet.recovery.load_history import Memory, MemorySettings
+from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
 from cottonhold.fleet_adapters import load_records as loads_module
-from cottonhold.fleet_adapters.load_records import Loads, kept_loads
+from cottonhold.fleet_adapters.load_records import LoadRecorder, recorded_loads
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.interface import Outcome
@@ -89,10 +89,10 @@
         self.boot += 1
         self.ledger = FaultyLedger(self.disk, self.boot)
         self.requests = list[Request]()
-        kept, records = kept_loads(self.disk)
-        settings = MemorySettings(HOLD)
-        memory = Memory(0, 1, self.boot, self.clock.now(), kept, settings, 1)
-        self.loads = Loads(
+        kept, records = recorded_loads(self.disk)
+        settings = LoadHistorySettings(HOLD)
+        memory = LoadHistory(0, 1, self.boot, self.clock.now(), kept, settings, 1)
+        self.loads = LoadRecorder(
             memory,
             cast(Ledger, self.ledger),
             records,
@@ -169,7 +169,7 @@
                 self.ledger.answer(argument)
             elif what == "wait":
                 self.clock.run_until(self.clock.now() + argument, lambda: None)
-                self.loads.forget()
+                self.loads.expire()
             elif what == "ask":
                 self.ask(argument)
             elif what == "end":
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -13,8 +13,9 @@
 
 from cottonhold.config.installation import Installation, read
 from cottonhold.fleet.engine_drain import DrainSettings
-from cottonhold.fleet.recovery.load_history import How, Known, LoadKept, Memory, MemorySettings, identity
-from cottonhold.fleet_adapters.load_records import Unkept
+from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
+from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
+from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
 from cottonhold.fleet_adapters.recovery import open_ledger
 from cottonhold.node import standalone_dispatcher as installation_module
 from cottonhold.node.gateway import Taken
@@ -95,14 +96,14 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.loads, Unkept) and node.recovery is None
+        assert isinstance(node.gateway.loads, UnavailableLoadGuard) and node.recovery is None
         for _ in range(20):  # the loop goes on meanwhile
             await asyncio.sleep(0.002)
         assert world.tries == 1, "one try at a time"
         assert len(world.lines()) == 1 and "has not answered" in world.lines()[0]
         world.hangs.set()
         await kept(node)
-        assert node.gateway.loads is not None and not isinstance(node.gateway.loads, Unkept)
+        assert node.gateway.loads is not None and not isinstance(node.gateway.loads, UnavailableLoadGuard)
         end(node)
 
     play(story)
@@ -120,7 +121,7 @@
             if world.tries == 2 and len(world.lines()) == 2:
                 break
             await asyncio.sleep(0.002)
-        assert isinstance(node.gateway.loads, Unkept) and world.tries == 2
+        assert isinstance(node.gateway.loads, UnavailableLoadGuard) and world.tries == 2
         assert ["planted" in world.lines()[0], "has not answered" in world.lines()[1]] == [True, True]
         world.hangs.set()
         await kept(node)
@@ -145,7 +146,7 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.loads, Unkept)
+        assert isinstance(node.gateway.loads, UnavailableLoadGuard)
         await kept(node)
         assert world.tries == len(errors) + 1 and len(world.lines()) == 1
         end(node)
@@ -176,7 +177,7 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.loads, Unkept) and len(world.lines()) == 1
+        assert isinstance(node.gateway.loads, UnavailableLoadGuard) and len(world.lines()) == 1
         assert str(folder) in world.lines()[0]
         folder.rename(folder.with_name("away"))
         await kept(node)
@@ -188,7 +189,7 @@
 # --- what loads are told meanwhile ---
 
 
-def told(unkept: Unkept, body: bytes, retry: bool) -> str:
+def told(unkept: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
     heard = list[str]()
     taken = Taken("ref", 1, "load", unkept.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
     unkept.came(taken, unkept.now() + 500.0, lambda past, ms: heard.append(past.value))
@@ -196,13 +197,13 @@
     return past
 
 
-def unkept_with(clock: FakeClock, loads: dict[bytes, How | None]) -> Unkept:
-    kept = [LoadKept(identity("load", "k", body), how) for body, how in loads.items()]
-    memory = Memory(0, 3, 0, clock.now(), kept, MemorySettings(20_000.0), 0)
-    return Unkept({1: True, 2: False}, 1000.0, memory, clock.now, Counters())
+def unkept_with(clock: FakeClock, loads: dict[bytes, LoadResult | None]) -> UnavailableLoadGuard:
+    kept = [RecordedLoad(load_identity("load", "k", body), how) for body, how in loads.items()]
+    memory = LoadHistory(0, 3, 0, clock.now(), kept, LoadHistorySettings(20_000.0), 0)
+    return UnavailableLoadGuard({1: True, 2: False}, 1000.0, memory, clock.now, Counters())
 
 
-def put_off_by_turns(unkept: Unkept, clock: FakeClock) -> None:
+def put_off_by_turns(unkept: UnavailableLoadGuard, clock: FakeClock) -> None:
     """Its load was sent elsewhere, and is forgotten there after a hold."""
     start, heard = clock.now(), list[str]()
     for second in range(8):
@@ -214,15 +215,21 @@
 def test_a_retry_is_not_put_off_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
     put_off_by_turns(unkept_with(clock, {}), clock)
-    monkeypatch.setattr(Memory, "later", lambda memory, now, load: Known.LATER)
+    monkeypatch.setattr(LoadHistory, "later", lambda memory, now, load: LoadKnowledge.NOT_KNOWN_YET)
     with pytest.raises(AssertionError):
         put_off_by_turns(unkept_with(clock, {}), clock)
 
 
 @pytest.mark.parametrize(
-    "how, retried", [(None, "may"), (How.FAILED, "may"), (How.WELL, "well"), (How.NEVER, "later")]
+    "how, retried",
+    [
+        (None, "may"),
+        (LoadResult.FAILED, "may"),
+        (LoadResult.SUCCEEDED, "well"),
+        (LoadResult.NEVER_RAN, "later"),
+    ],
 )
-def test_a_retry_is_told_what_could_be_read(how: How | None, retried: str) -> None:
+def test_a_retry_is_told_what_could_be_read(how: LoadResult | None, retried: str) -> None:
     unkept = unkept_with(FakeClock(), {b"INSERT a": how})
     assert told(unkept, b"INSERT a", True) == retried
     assert told(unkept, b"INSERT a", False) == told(unkept, b"INSERT b", False) == "later"
@@ -234,7 +241,7 @@
     for number in range(50):
         clock.run_until(clock.now() + 1000.0, lambda: None)
         told(unkept, b"INSERT %d" % number, True)
-    assert len(unkept.memory.own.asked) <= 22
+    assert len(unkept.memory.local.queried) <= 22
 
 
 def test_a_retry_counts_from_its_first_time_once_the_folder_is_had(world: World) -> None:
@@ -243,10 +250,10 @@
     async def story() -> None:
         node = world.make()
         assert node.unkept is not None
-        node.unkept.memory.later(node.unkept.now() - 4000.0, b"x" * 16)
-        first = node.unkept.memory.own.asked[b"x" * 16].first
+        node.unkept.memory.answer_unavailable(node.unkept.now() - 4000.0, b"x" * 16)
+        first = node.unkept.memory.local.queried[b"x" * 16].first_at
         await kept(node)
-        assert node.recovery is not None and node.recovery.memory.own.asked[b"x" * 16].first == first
+        assert node.recovery is not None and node.recovery.history.local.queried[b"x" * 16].first_at == first
         end(node)
 
     play(story)
@@ -255,14 +262,17 @@
 def test_a_full_folder_still_tells_what_became_of_loads(world: World) -> None:
     """Of one that could be read, but whose boot could not be counted."""
     body = b"INSERT a"
-    record = LoadRecord(identity("load", "k", body), "r", "k", b"", "e1", 1, 0.0, LoadState.SENT)
+    record = LoadRecord(load_identity("load", "k", body), "r", "k", b"", "e1", 1, 0.0, LoadState.SENT)
     error = StoreError("full", Folder.KEPT, {Kind.LOAD: {record.load: record.pack()}})
     world.errors = [error]
 
     async def story() -> None:
         node = world.make()
         assert node.unkept is not None
-        assert node.unkept.memory.later(node.unkept.now(), record.load) is Known.MAY
+        assert (
+            node.unkept.memory.answer_unavailable(node.unkept.now(), record.load)
+            is LoadKnowledge.MAY_HAVE_RUN
+        )
         await kept(node)
         end(node)
 
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -12,10 +12,10 @@
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.discovery.model import Address
-from cottonhold.fleet.coordinator import Fleet, FleetSettings
+from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings
 from cottonhold.fleet.zone_failover.evacuation import Phase
 from cottonhold.fleet_adapters.membership import REPORT, MembershipRim
-from cottonhold.fleet_adapters.zone_failover import FleetRim, OrderError
+from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter
 from cottonhold.membership.codec import Keys
 from cottonhold.membership.duties import Duties, Duty
 from cottonhold.membership.instance import Instance
@@ -31,10 +31,10 @@
 PLACE = Address("127.0.0.1", 7000)
 
 
-def make(clock: FakeClock) -> tuple[FleetRim, list[Any]]:
+def make(clock: FakeClock) -> tuple[ZoneFailoverAdapter, list[Any]]:
     bounds = list[Any]()
-    fleet = Fleet(1, 1, clock.now(), FleetSettings(dispatchers=1, probed=False), 1)
-    rim = FleetRim(
+    fleet = FleetCoordinator(1, 1, clock.now(), FleetSettings(dispatchers=1, checks_are_shared=False), 1)
+    rim = ZoneFailoverAdapter(
         fleet,
         Swim("n0", PLACE, SwimSettings(), 1, 1),
         clock,
@@ -44,7 +44,7 @@
         lambda event, **fields: None,
         lambda engine: True,
     )
-    rim.engines({zone: {f"{zone}{i}": 1.0 for i in range(3)} for zone in "ab"})
+    rim.set_engines({zone: {f"{zone}{i}": 1.0 for i in range(3)} for zone in "ab"})
     rim.start()
     return rim, bounds
 
@@ -75,8 +75,8 @@
         )
         rim.ended(attempt, end)
         clock.run_until(clock.now() + 5.0, lambda: None)
-    assert (rim.fleet.zones.states["a"].phase is Phase.OUT) is left
-    assert rim.fleet.zones.states["b"].phase is Phase.IN
+    assert (rim.coordinator.evacuation.states["a"].phase is Phase.EVACUATED) is left
+    assert rim.coordinator.evacuation.states["b"].phase is Phase.IN_SERVICE
     assert bool(bounds) is left and (not left or set(bounds[-1].work.values()) == {0.0})
 
 
@@ -98,10 +98,10 @@
 def test_an_order_that_makes_no_sense_is_refused_by_name(changes: dict[str, Any], wanted: str) -> None:
     rim, bounds = make(FakeClock())
     good = {"zone": "a", "mode": "leave", "for_ms": 1000, "who": "me", "why": "work"}
-    with pytest.raises(OrderError, match=wanted):
-        rim.order(good | changes)
+    with pytest.raises(OverrideError, match=wanted):
+        rim.issue_override(good | changes)
     assert not bounds
-    (row, _) = rim.order(good)["zones"]
+    (row, _) = rim.issue_override(good)["zones"]
     assert row["phase"] == "out" and row["order"]["why"] == "work" and bounds
 
 
