--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -15,14 +15,20 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.recovery import load_history as m
-from cottonhold.fleet.recovery import membership_survey as c
-from cottonhold.fleet.recovery.messages import Here, MemoryState, read
+from cottonhold.fleet.recovery import load_history, local_loads, membership_survey, survey_results
+from cottonhold.fleet.recovery.messages import MemoryState, Presence, decode
 
 LONGEST = 2000.0  # clients' deadline, ms
-HOLD = m.hold_for([LONGEST], slack=2000.0)
-CENSUS = c.CensusSettings(young=12_000.0, lease=3000.0, rebind=3000.0, fresh=2500.0, rest=500.0, hold=HOLD)
-MEMORY = m.MemorySettings(HOLD, cooldown=300.0, alone=1000.0)
+HOLD = local_loads.hold_ms_for([LONGEST], slack=2000.0)
+CENSUS = survey_results.SurveySettings(
+    recent_start_ms=12_000.0,
+    lease_ms=3000.0,
+    rebind_ms=3000.0,
+    max_report_age_ms=2500.0,
+    idle_interval_ms=500.0,
+    hold_ms=HOLD,
+)
+MEMORY = load_history.LoadHistorySettings(HOLD, retry_after_ms=300.0, max_unconfirmed_ms=1000.0)
 
 
 @dataclass
@@ -32,8 +38,8 @@
     boot: int = 0
     clean: bool = True
     base: int = 0
-    loads: dict[bytes, m.How | None] = field(default_factory=dict)
-    known: dict[int, c.Knew] = field(default_factory=dict)
+    loads: dict[bytes, local_loads.LoadResult | None] = field(default_factory=dict)
+    known: dict[int, survey_results.PeerBootLearned] = field(default_factory=dict)
 
 
 @dataclass
@@ -42,13 +48,13 @@
 
     number: int
     member: int
-    census: c.Census
-    memory: m.Memory
+    census: membership_survey.MembershipSurvey
+    memory: load_history.LoadHistory
     folder: Folder
     offset: float
     rate: float
     alive: bool = True
-    views: list[c.View] = field(default_factory=list)
+    views: list[survey_results.SurveyView] = field(default_factory=list)
     twice: list[bool] = field(default_factory=list)
     wake: float = math.inf
 
@@ -114,19 +120,19 @@
     def _start(self, number: int, twin: bool) -> None:
         kept = self.folders[number]
         self.earlier[number].append(copy.deepcopy(kept))
-        whole = MemoryState.KEPT if kept.base else MemoryState.OLD
+        whole = MemoryState.INTACT if kept.base else MemoryState.STALE
         state = whole if kept.boot else MemoryState.EMPTY
         kept.boot += 1
         offset, rate = self.draw.uniform(-1e11, 1e11), self.draw.uniform(0.998, 1.002)
         clock = offset + self.now * rate
-        remembered = [m.LoadKept(load, how) for load, how in kept.loads.items()]
+        remembered = [local_loads.RecordedLoad(load, how) for load, how in kept.loads.items()]
         known = {n: hint.boot for n, hint in kept.known.items()}
         bases = {n: hint.base for n, hint in kept.known.items()}
         life, seed = self.draw.getrandbits(32), self.draw.getrandbits(32)
         node = Node(
             number,
             1000 + number,
-            c.Census(
+            membership_survey.MembershipSurvey(
                 number,
                 self.count,
                 self.zones,
@@ -140,7 +146,7 @@
                 kept.base,
                 bases,
             ),
-            m.Memory(number, self.count, kept.boot, clock, remembered, MEMORY, seed),
+            load_history.LoadHistory(number, self.count, kept.boot, clock, remembered, MEMORY, seed),
             kept,
             offset,
             rate,
@@ -173,18 +179,20 @@
         if not node.alive:
             return
         clock = node.clock(self.now)
-        node.census.members(clock, [1000 + n for n in range(self.count) if n != node.number])
-        if node.memory.waiting:
-            node.census.hurry(clock)
+        node.census.set_members(clock, [1000 + n for n in range(self.count) if n != node.number])
+        if node.memory.has_pending:
+            node.census.expedite(clock)
         self._carry_out(node, node.census.step(clock))
         self._memory(node, node.memory.step(clock, self._around(node)))
         self._schedule(node)
 
-    def _around(self, node: Node) -> m.Around:
+    def _around(self, node: Node) -> load_history.FleetState:
         clock, census = node.clock(self.now), node.census
-        gone = census.gone(clock)
-        apart = census.apart(gone)
-        return m.Around(census.loads(clock), census.confirmed(), census.memory, gone, apart)
+        gone = census.proven_silent(clock)
+        apart = census.is_partitioned(gone)
+        return load_history.FleetState(
+            census.may_send_loads(clock), census.has_confirmed_memory(), census.memory, gone, apart
+        )
 
     def _schedule(self, node: Node) -> None:
         due = min(node.census.next_at(), node.memory.next_at())
@@ -193,33 +201,33 @@
             node.wake = when
             self.at(when, lambda: self._tick(node) if node.wake == when else None)
 
-    def _carry_out(self, node: Node, actions: list[c.Action]) -> None:
+    def _carry_out(self, node: Node, actions: list[survey_results.Action]) -> None:
         for action in actions:
-            if isinstance(action, c.Say):
+            if isinstance(action, survey_results.SendMessage):
                 self.send(node, action.member - 1000, action.data)
-            elif isinstance(action, c.Boot):
-                node.folder.boot = max(node.folder.boot, action.least)
-                node.census.booted(node.clock(self.now), action.least)
-            elif isinstance(action, c.Whole):
+            elif isinstance(action, survey_results.RaiseBoot):
+                node.folder.boot = max(node.folder.boot, action.min_boot)
+                node.census.on_boot_stored(node.clock(self.now), action.min_boot)
+            elif isinstance(action, survey_results.StoreBase):
                 node.folder.base = action.base
-                node.census.based(node.clock(self.now), action.base)
-            elif isinstance(action, c.Knew):
+                node.census.on_base_stored(node.clock(self.now), action.base)
+            elif isinstance(action, survey_results.PeerBootLearned):
                 node.folder.known[action.number] = action
-            elif isinstance(action, c.Changed):
+            elif isinstance(action, survey_results.ViewChanged):
                 node.views.append(action.view)
             else:
-                node.twice.append(action.later)
+                node.twice.append(action.is_later)
 
-    def _memory(self, node: Node, actions: list[m.Action]) -> None:
+    def _memory(self, node: Node, actions: list[load_history.Action]) -> None:
         for action in actions:
-            if isinstance(action, m.To):
+            if isinstance(action, load_history.SendToDispatcher):
                 self.send(node, action.number, action.data)
             else:
-                client = self.waits.pop(action.ref, None)
+                client = self.waits.pop(action.request_id, None)
                 if client is None:
-                    node.memory.drop(node.clock(self.now), action.ref)
+                    node.memory.cancel(node.clock(self.now), action.request_id)
                 else:
-                    self._settled(node, client, action.known)
+                    self._settled(node, client, action.knowledge)
 
     # --- network ---
 
@@ -234,13 +242,13 @@
         if frozenset((source, number)) in self.cut:
             return
         for node in [n for n in self.up() if n.number == number]:
-            clock, word = node.clock(self.now), read(data)
-            if isinstance(word, Here):
-                node.census.hear(clock, member, word)
+            clock, word = node.clock(self.now), decode(data)
+            if isinstance(word, Presence):
+                node.census.on_message(clock, member, word)
             else:
                 of = node.census.number_of(member)
                 if of is not None:
-                    self._memory(node, node.memory.hear(clock, of, word))
+                    self._memory(node, node.memory.on_message(clock, of, word))
             self._schedule(node)
 
     # --- clients ---
@@ -250,8 +258,8 @@
         client = Client(load, f"{number}/{next(self.names)}")
         self.clients.append(client)
         node, took = self.nodes[number], False
-        if node.alive and node.census.loads(node.clock(self.now)):
-            took = node.memory.take(node.clock(self.now), load)
+        if node.alive and node.census.may_send_loads(node.clock(self.now)):
+            took = node.memory.begin(node.clock(self.now), load)
         if took:
             self._sent(node, client, lasts, ends)
         else:
@@ -260,7 +268,7 @@
 
     def _sent(self, node: Node, client: Client, lasts: float, ends: bool) -> None:
         node.folder.loads[client.load] = None
-        node.memory.sent(node.clock(self.now), client.load)
+        node.memory.on_sent(node.clock(self.now), client.load)
         self.runs[client.load] += 1
         if self.runs[client.load] > 1:
             self.wrong.append(f"{client.load!r} was sent twice")
@@ -270,9 +278,9 @@
     def _ended(self, node: Node, client: Client, well: bool) -> None:
         if not node.alive:
             return
-        how = m.How.WELL if well else m.How.FAILED
+        how = local_loads.LoadResult.SUCCEEDED if well else local_loads.LoadResult.FAILED
         node.folder.loads[client.load] = how
-        node.memory.ended(node.clock(self.now), client.load, how)
+        node.memory.on_ended(node.clock(self.now), client.load, how)
         if self.waits.pop(client.name, None) is not None:
             if well:
                 self._done(client, "ran")
@@ -296,30 +304,30 @@
             return
         client.name = f"{number}/{next(self.names)}"
         clock = node.clock(self.now)
-        known = node.memory.ask(clock, client.name, client.load, clock + LONGEST)
+        known = node.memory.on_retry(clock, client.name, client.load, clock + LONGEST)
         if known is None:
             self.waits[client.name] = client
             self._tick(node)
         else:
             self._settled(node, client, known)
 
-    def _settled(self, node: Node, client: Client, known: m.Known) -> None:
-        if known is m.Known.NEVER:
+    def _settled(self, node: Node, client: Client, known: local_loads.LoadKnowledge) -> None:
+        if known is local_loads.LoadKnowledge.NEVER_SENT:
             if self.runs[client.load]:
                 self.wrong.append(f"{client.load!r} told NEVER at {node.number}, was sent")
             self._sent(node, client, 50.0, True)
-        elif known is m.Known.LATER:
-            client.heard = "LATER"
-            self.at(self.now + MEMORY.cooldown, lambda: self._again(client))
+        elif known is local_loads.LoadKnowledge.NOT_KNOWN_YET:
+            client.heard = "NOT_KNOWN_YET"
+            self.at(self.now + MEMORY.retry_after_ms, lambda: self._again(client))
         else:
-            if known is m.Known.WELL and not self.runs[client.load]:
+            if known is local_loads.LoadKnowledge.SUCCEEDED and not self.runs[client.load]:
                 self.wrong.append(f"{client.load!r} told WELL, never ran")
             self._done(client, known.name)
 
     def _done(self, client: Client, heard: str) -> None:
         client.heard, client.settled_at = heard, self.now
 
-    def verdicts(self) -> set[c.Verdict]:
+    def verdicts(self) -> set[survey_results.OutageVerdict]:
         return {node.census.view.verdict for node in self.up()}
 
 
@@ -327,10 +335,10 @@
     """A fleet that has been up for long: no loss counts any more."""
     world = World(count, seed, **links)  # type: ignore[arg-type]
     world.start(*range(count), folder="kept")
-    world.run(MEMORY.hold + 1100.0)
+    world.run(MEMORY.hold_ms + 1100.0)
     world.kill(*range(count), clean=True)  # the second start finds folders
     world.start(*range(count))
-    world.run(CENSUS.young + 3000.0)
+    world.run(CENSUS.recent_start_ms + 3000.0)
     return world
 
 
