--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -14,8 +14,7 @@
 from cottonhold.discovery.model import Address, Change
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import EngineState, Outcome
+from cottonhold.scheduler.events import AttemptEnded, Engine, EngineState, Outcome
 
 IDLE_MARGIN_MS = 2000.0  # so long before its idle limit a connection gets nothing new: it may just be closing
 IDLE_MARGIN_PART = 0.5  # of a short idle limit, at most
@@ -102,7 +101,7 @@
     def wants(self, attempt: Attempt) -> bool:
         """Whether an attempt that has not begun may still begin."""
 
-    def attempt_ended(self, attempt: Attempt, event: io.AttemptEnded) -> None:
+    def attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt is over."""
 
     def probed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
@@ -234,7 +233,7 @@
 class Place:
     """An engine of the list with its connections."""
 
-    info: io.Engine
+    info: Engine
     address: Address | None
     connections: list[Connection] = field(default_factory=list)
     restarted_at: float = -math.inf  # when a new start was last told
@@ -276,7 +275,7 @@
         if change.whole:
             for name in [name for name in self.places if name not in named]:
                 place = self.places[name]
-                place.info = io.Engine(name, state=EngineState.GONE)
+                place.info = Engine(name, state=EngineState.REMOVED)
                 self._left(place)
 
     def _moved(self, place: Place, at: float) -> None:
@@ -301,7 +300,7 @@
         for connection in list(place.connections):
             self.check_queue(connection)
         self._close(place, Connection.unused)
-        if place.info.state is EngineState.GONE:
+        if place.info.state is EngineState.REMOVED:
             quiet = self.clock.now() - SILENT_MS
             self._close(place, lambda c: c.heard_at < quiet or not c.attempts)
             # Danger: an engine that left with work out was kept for good, with its connections.
@@ -385,7 +384,7 @@
 
         Danger: where only this machine's own descriptors ran out, each engine in turn was taken for dead.
         """
-        return Outcome.FULL if self.open >= self.most else Outcome.CONNECT_FAILED
+        return Outcome.OVERLOADED if self.open >= self.most else Outcome.CONNECT_FAILED
 
     def _pick(self, engine: str, ref: bytes) -> Connection | None:
         """The fullest connection with room, so that spare ones run idle and close; else a new one.
@@ -451,7 +450,7 @@
         if self._open_place(attempt.engine) is None:
             self._end(attempt, Outcome.CONNECT_FAILED)
         elif late or not self.listener.wants(attempt):
-            self._end(attempt, Outcome.MOOT)
+            self._end(attempt, Outcome.ALREADY_FINISHED)
         return attempt.connection is not None
 
     def frame(self, attempt: Attempt) -> bytes:
@@ -505,7 +504,7 @@
             return
         # Danger: an engine was left as dead for seconds by a request that had less time than a connect has.
         patient = self.clock.now() - connection.opened_at < self.links.connect_ms
-        self.drop(attempt, Outcome.MOOT if patient else Outcome.CONNECT_FAILED)
+        self.drop(attempt, Outcome.ALREADY_FINISHED if patient else Outcome.CONNECT_FAILED)
 
     def _end(self, attempt: Attempt, outcome: Outcome, words: dict[str, str] | None = None) -> None:
         """Tell of an attempt's end, once."""
@@ -520,15 +519,15 @@
         words = words or {}
         elapsed = (attempt.answered_at or self.clock.now()) - attempt.began
         self.counters.add(f"attempts_{outcome.value}")
-        event = io.AttemptEnded(
+        event = AttemptEnded(
             attempt.query,
             attempt.number,
             attempt.engine,
             outcome,
             elapsed,
-            cost=number(words.get("ticks")),
-            memory=number(words.get("footprint")),
-            report=read_gauges(words),
+            actual_work_ms=number(words.get("ticks")),
+            actual_memory_mb=number(words.get("footprint")),
+            load_report=read_gauges(words),
         )
         self.listener.attempt_ended(attempt, event)
 
@@ -559,7 +558,9 @@
         elif word == b"served":
             self._served(attempt, fields, body)
         else:
-            self._end(attempt, Outcome.FULL if word == b"overload" else Outcome.MOOT, fields)
+            self._end(
+                attempt, Outcome.OVERLOADED if word == b"overload" else Outcome.ALREADY_FINISHED, fields
+            )
 
     def _served(self, attempt: Attempt, fields: dict[str, str], body: bytes) -> None:
         """Page 0 has come: ask for the others. All are collected and read before the first row goes out, so
@@ -589,7 +590,7 @@
         if place is not None and connection in place.connections:
             place.connections.remove(connection)
             self.open -= 1
-        never = Outcome.FULL if connection.lacking else Outcome.CONNECT_FAILED
+        never = Outcome.OVERLOADED if connection.lacking else Outcome.CONNECT_FAILED
         for probe in filter(lambda probe: probe.told, list(connection.probes.values())):
             self._probe_ended(probe, Outcome.RESET if connection.up else never)
         for attempt in list(connection.attempts.values()):
@@ -608,7 +609,7 @@
         """Ask an engine that gets nothing new for a sign of life; false where it can't be asked. The module
         is told nothing of it."""
         place = self.places.get(engine)
-        if place is None or place.address is None or place.info.state is EngineState.GONE:
+        if place is None or place.address is None or place.info.state is EngineState.REMOVED:
             return False
         connection = self._line(place, b"")
         if connection is not None:
--- a/cottonhold/config/installation.py
+++ b/cottonhold/config/installation.py
@@ -21,7 +21,15 @@
 from cottonhold.discovery.consul.watch import WatchSettings
 from cottonhold.discovery.model import Address, Guard, Names, Observation, Report, Verdict
 from cottonhold.membership.codec import Keys
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.settings import (
+    DeduplicationScope,
+    Features,
+    Idempotency,
+    MachineType,
+    QueryClass,
+    Rules,
+    Settings,
+)
 
 MOST_SECRET = 4096
 
@@ -262,61 +270,66 @@
     return schema.Tls(**found, server_name=tls.server_name)
 
 
-EFFECTS = {"safe": io.Effect.SAFE, "keyed": io.Effect.KEYED, "unsafe": io.Effect.UNSAFE}
+EFFECTS = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.IDEMPOTENT_WITH_KEY,
+    "unsafe": Idempotency.NOT_IDEMPOTENT,
+}
 
 
-def _settings(file: schema.File) -> io.Settings:
+def _settings(file: schema.File) -> Settings:
     """The decision module's settings."""
     types = [m.name for m in file.machine_types]
     permits, rules = file.permits, file.rules
-    return io.Settings(
+    return Settings(
         classes=tuple(
-            io.QueryClass(
+            QueryClass(
                 name=c.name,
-                aim=c.aim_ms,
-                deadline=c.deadline_ms,
-                worth=c.worth,
-                late_worth=c.late_worth,
-                aim_stretch=c.aim_stretch,
-                effect=EFFECTS[c.effect],
-                group=io.Group(c.group),
-                window=c.window_ms,
-                in_order=c.in_order,
+                latency_objective_ms=c.aim_ms,
+                deadline_ms=c.deadline_ms,
+                utility=c.worth,
+                late_utility=c.late_worth,
+                latency_objective_stretch=c.aim_stretch,
+                idempotency=EFFECTS[c.effect],
+                deduplication_scope=DeduplicationScope(c.group),
+                deduplication_window_ms=c.window_ms,
+                is_ordered_by_key=c.in_order,
                 zones=None
                 if c.zones is None
                 else tuple(file.zones.index(z) for z in c.zones if z in file.zones),
-                models=None
+                machine_types=None
                 if c.machine_types is None
                 else tuple(types.index(m) for m in c.machine_types if m in types),
                 threads=c.threads,
-                loads=c.loads,
-                waits=c.waits,
+                is_load=c.loads,
+                waits_for_loads=c.waits,
             )
             for c in file.classes
         ),
-        models=tuple(io.Model(m.cores, m.memory_mb) for m in file.machine_types) or (io.Model(),),
-        permits=io.Permits(
-            cancel=permits.cancel,
-            priorities=permits.priorities,
-            probes=permits.probes,
-            peers=file.peers is not None,
-            retry_after=permits.cooldown_most_ms > 0,
-            max_retry_after=permits.cooldown_most_ms,
+        machine_types=tuple(MachineType(m.cores, m.memory_mb) for m in file.machine_types)
+        or (MachineType(),),
+        features=Features(
+            can_cancel=permits.cancel,
+            has_priorities=permits.priorities,
+            has_health_checks=permits.probes,
+            has_peer_messages=file.peers is not None,
+            has_retry_after=permits.cooldown_most_ms > 0,
+            max_retry_after_ms=permits.cooldown_most_ms,
             max_attempts=permits.attempts,
         ),
-        rules=io.Rules(
-            answer_slack=rules.answer_slack_ms,
-            drain_grace=rules.drain_grace_ms,
-            cold_from=rules.cold_from,
-            warm_within=rules.warm_within_ms,
+        rules=Rules(
+            answer_slack_ms=rules.answer_slack_ms,
+            drain_grace_ms=rules.drain_grace_ms,
+            cold_capacity_share=rules.cold_from,
+            warm_up_ms=rules.warm_within_ms,
             overload_factor=rules.overload_factor,
-            tip_after=rules.tip_after_ms,
-            key_quiet=rules.key_quiet_ms,
+            overload_window_ms=rules.tip_after_ms,
+            key_quiet_ms=rules.key_quiet_ms,
         ),
-        me=file.number,
-        gateways=file.dispatchers,
-        report_fields=file.report_fields,
-        cost_told=True,
+        gateway_index=file.number,
+        gateway_count=file.dispatchers,
+        load_report_fields=file.report_fields,
+        reports_actual_work=True,
     )
 
 
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -16,7 +16,7 @@
 from cottonhold.discovery.model import Address, Names, Report
 from cottonhold.message_validation import NUMBER, Json, WireError, read, read_list
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.settings import Settings
 
 # What the settings always hold, of what is used here. The simulator's adapter and other installations read
 # settings that are less whole; here one that lacks a key was cut off, or is not what was meant.
@@ -65,7 +65,7 @@
     offset: int
     known: tuple[Report, ...]
     names: Names
-    settings: io.Settings
+    settings: Settings
     links: Links
 
 
@@ -134,12 +134,15 @@
 def check_change(old: Config, new: Config) -> None:
     """Name what a running dispatcher can't take over: its place, and the names that entries are read by."""
     pairs = {
-        "settings.me": (old.settings.me, new.settings.me),
-        "settings.siblings": (old.settings.gateways, new.settings.gateways),
+        "settings.me": (old.settings.gateway_index, new.settings.gateway_index),
+        "settings.siblings": (old.settings.gateway_count, new.settings.gateway_count),
         "settings.zone": (old.settings.zone, new.settings.zone),
         "settings.zones": (old.names.zones, new.names.zones),
         "settings.models": (old.names.models, new.names.models),
-        "settings.domain.size_cores, ram_of_kind_mb": (old.settings.models, new.settings.models),
+        "settings.domain.size_cores, ram_of_kind_mb": (
+            old.settings.machine_types,
+            new.settings.machine_types,
+        ),
     }
     for key, (was, now) in pairs.items():
         if was != now:
@@ -166,7 +169,7 @@
     check_whole(params)
     caps = read(params, "caps", dict)
     connect_ms = read(caps, "connect_timeout", NUMBER, 250.0)
-    settings = replace(read_settings(params), begin_late=connect_ms)
+    settings = replace(read_settings(params), max_connect_ms=connect_ms)
     check_numbers(settings, "settings")
     names = Names(tuple(read_list(params, "zones", str)), tuple(read_list(params, "models", str)))
     offset, known = read_batch(read(source, "known", dict), names, counters)
@@ -188,6 +191,6 @@
             idle_ms=read(caps, "conn_idle", NUMBER, 15000.0),
             connect_ms=connect_ms,
             streams=read(caps, "streams_per_conn", int, 32),
-            probe_price=settings.prices.probe,
+            probe_price=settings.overhead_costs.per_health_check,
         ),
     )
--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -31,8 +31,7 @@
     Report,
 )
 from cottonhold.discovery.source_view import Claim, View
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.events import Engine, EngineState
 
 Named = tuple[View, Claim]
 
@@ -58,7 +57,7 @@
 class Standing:
     """What was published of an engine, and the ends told of it that others have not answered yet."""
 
-    engine: io.Engine
+    engine: Engine
     address: Address | None
     ended_at: float = -math.inf
     rivals: set[str] = field(default_factory=set)  # ids that lost this one's address
@@ -147,7 +146,7 @@
         for id in self.doubtful:
             touched.setdefault(id, [])
         self.doubtful.clear()
-        changed: dict[str, io.Engine] = {}
+        changed: dict[str, Engine] = {}
         remarks: list[Action] = []
         # Danger: what leaves an address must be judged before what comes there, whatever the order of names.
         order = sorted(touched, key=lambda id: (bool(self._claims(id)), id))
@@ -157,7 +156,7 @@
         if not changed:
             return None, remarks
         addresses = {id: a for id in changed if (s := self.standing.get(id)) and (a := s.address) is not None}
-        for id in [id for id, e in changed.items() if e.state is EngineState.GONE]:
+        for id in [id for id, e in changed.items() if e.state is EngineState.REMOVED]:
             del self.standing[id]
         return Change(tuple(changed.values()), addresses, whole=False), remarks
 
@@ -166,7 +165,7 @@
         now: float,
         id: str,
         told_by: list[View],
-        changed: dict[str, io.Engine],
+        changed: dict[str, Engine],
         remarks: list[Action],
         order: list[str],
     ) -> None:
@@ -175,12 +174,12 @@
         if not claims:
             if standing is not None:
                 self._vacate(id, standing, order)
-                changed[id] = standing.engine = io.Engine(id, state=EngineState.GONE)
+                changed[id] = standing.engine = Engine(id, state=EngineState.REMOVED)
             return
         view, first = claims[0]
         address = first.seen.address
         if standing is None:
-            standing = self.standing[id] = Standing(io.Engine(id, state=EngineState.GONE), None)
+            standing = self.standing[id] = Standing(Engine(id, state=EngineState.REMOVED), None)
         if any(id not in v.claims for v in told_by):
             standing.ended_at = now
         state = self._state(claims, standing)
@@ -190,10 +189,10 @@
             if state is EngineState.LIVE:
                 remarks.append(Remark("address_taken", {"engine": id, "by": self.owners[address]}))
                 state = EngineState.DRAINING
-        engine = io.Engine(
+        engine = Engine(
             id,
             zone=first.seen.zone,
-            model=first.seen.model,
+            machine_type=first.seen.model,
             cell=first.seen.cell,
             state=state,
             size=first.seen.size,
@@ -206,7 +205,7 @@
     def _claims(self, id: str) -> list[Named]:
         """The claims on an engine, by precedence."""
         found = [(view, view.claims[id]) for view in self.views.values() if id in view.claims]
-        return [named for named in found if named[1].state is not EngineState.GONE]
+        return [named for named in found if named[1].state is not EngineState.REMOVED]
 
     def _state(self, claims: list[Named], standing: Standing) -> EngineState:
         if any(claim.state is not EngineState.LIVE for _, claim in claims):
--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from cottonhold.message_validation import WireError
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import Engine
 
 
 @dataclass(slots=True, frozen=True)
@@ -53,7 +53,7 @@
 class Change:
     """Engines as they are believed to be from now on: the whole list or what changed, with the addresses."""
 
-    engines: tuple[io.Engine, ...]
+    engines: tuple[Engine, ...]
     addresses: dict[str, Address]
     whole: bool
 
--- a/cottonhold/discovery/quarantine.py
+++ b/cottonhold/discovery/quarantine.py
@@ -11,15 +11,14 @@
 from dataclasses import replace
 
 from cottonhold.discovery.model import Change
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.events import Engine, EngineState
 
 
 class Held:
     """Give it each change of the list; it says what the other parts are told instead."""
 
     def __init__(self) -> None:
-        self.known: dict[str, io.Engine] = {}  # as the list has them, those that are gone left out
+        self.known: dict[str, Engine] = {}  # as the list has them, those that are gone left out
         self.held: set[str] = set()
         self.starts: dict[str, float] = {}  # engine -> when the process that is there now began, own clock
 
@@ -28,7 +27,7 @@
         if change.whole:
             self.known.clear()
         for engine in change.engines:
-            if engine.state is EngineState.GONE:
+            if engine.state is EngineState.REMOVED:
                 self.known.pop(engine.id, None)
                 self.starts.pop(engine.id, None)
             else:
@@ -51,7 +50,7 @@
             self.starts[engine] = started
         return self._again(engine)
 
-    def live(self) -> Mapping[str, io.Engine]:
+    def live(self) -> Mapping[str, Engine]:
         """Engines in service by the list that nobody holds."""
         return {
             id: engine
@@ -63,8 +62,8 @@
         known = self.known.get(id)
         return Change((self._shown(known),), {}, whole=False) if known is not None else None
 
-    def _shown(self, engine: io.Engine) -> io.Engine:
-        if engine.state is EngineState.GONE:
+    def _shown(self, engine: Engine) -> Engine:
+        if engine.state is EngineState.REMOVED:
             return engine
         started = max(engine.started_at, self.starts.get(engine.id, 0.0))
         back = engine.state is EngineState.LIVE and engine.id in self.held
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -21,13 +21,13 @@
 from cottonhold.discovery.damping import Damping
 from cottonhold.discovery.model import Address, Confirm, Guard, Lost, Observation, Remark, Report, Verdict
 from cottonhold.discovery.start_times import Starts
-from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.events import EngineState
 
 STATES = {
     Verdict.IN: EngineState.LIVE,
     Verdict.TROUBLED: EngineState.DRAINING,
     Verdict.DRAINED: EngineState.DRAINING,
-    Verdict.ENDED: EngineState.GONE,
+    Verdict.ENDED: EngineState.REMOVED,
 }
 BAD = (Verdict.TROUBLED, Verdict.ENDED)  # what the floor weighs
 MOST_ENDED = 1024  # engines that are gone, whose starts are remembered
--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -13,8 +13,7 @@
 
 from cottonhold.discovery.model import Address, Change, Names, Observation, Verdict
 from cottonhold.message_validation import WireError
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store.records import MOST, Hint, Kind, Record, RecordError
 
 REASON = "remembered from before the start"
@@ -83,7 +82,7 @@
         del self.places[id]
         return Record(Kind.ENGINE, id.encode(), None)
 
-    def _place(self, engine: io.Engine, address: Address | None) -> Place | None:
+    def _place(self, engine: Engine, address: Address | None) -> Place | None:
         """Where it is; None where that isn't told, or where too many are remembered already."""
         known = self.places.get(engine.id)
         where = str(address) if address is not None else known.address if known is not None else ""
@@ -91,5 +90,5 @@
             return None
         zones, models = self.names.zones, self.names.models
         zone = zones[engine.zone] if engine.zone < len(zones) else ""
-        model = models[engine.model] if engine.model < len(models) else ""
+        model = models[engine.machine_type] if engine.machine_type < len(models) else ""
         return Place(where, zone, model, engine.cell, engine.size)
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -23,7 +23,7 @@
 from cottonhold.node.gateway import Gateway, LoadGuard, Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 
 KNOWN_ENDS = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other end a load may run on
 WAIT_MS = 2000.0  # so long a request waits here for its key to have an owner: longer than a fence takes
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -14,12 +14,17 @@
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
+from cottonhold.scheduler.settings import Idempotency, Settings
 from cottonhold.store.ledger import Ledger, State
 from cottonhold.store.records import Kind, LoadRecord, LoadState, Record, forget_loads, loads
 
-NEVER_RAN = (None, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)  # what proves that it never ran
+NEVER_RAN = (
+    None,
+    Outcome.OVERLOADED,
+    Outcome.CONNECT_FAILED,
+    Outcome.ALREADY_FINISHED,
+)  # what proves that it never ran
 STATES = {How.WELL: LoadState.WELL, How.FAILED: LoadState.FAILED, How.NEVER: LoadState.NEVER}
 ENDS = {
     LoadState.SENT: None,
@@ -30,10 +35,10 @@
 FORGET_MS = 1000.0
 
 
-def guarded(settings: io.Settings) -> frozenset[int]:
+def guarded(settings: Settings) -> frozenset[int]:
     """The classes whose requests are remembered: loads, and all that must not run twice."""
     places = enumerate(settings.classes)
-    return frozenset(i for i, c in places if c.loads or c.effect is io.Effect.UNSAFE)
+    return frozenset(i for i, c in places if c.is_load or c.idempotency is Idempotency.NOT_IDEMPOTENT)
 
 
 def kept_loads(folder: Mapping[bytes, bytes]) -> tuple[list[LoadKept], dict[bytes, LoadRecord]]:
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -15,7 +15,7 @@
 from cottonhold.membership.swim import Changed, Datagram, Send, Swim, SwimSettings
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 
 PROBE, REPORT, FLEET = "probe", "report", "fleet"
 UNKNOWN = 0xFFFFFFFF  # a detail that tells no load
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -61,7 +61,7 @@
     file, hold = installation.file, hold_of(installation)
     kept, _ = kept_loads(found)
     memory = Memory(file.number, file.dispatchers, 0, clock.now(), kept, MemorySettings(hold), 0)
-    cooldown = min(installation.config.settings.permits.max_retry_after, memory.settings.cooldown)
+    cooldown = min(installation.config.settings.features.max_retry_after_ms, memory.settings.cooldown)
     return Unkept(guarded_by(installation), cooldown, memory, clock.now, counters)
 
 
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -20,8 +20,7 @@
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.gateway import Taken
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
 
 # What an end says of the engine; one turned away, given up or never sent says nothing. Danger: a query that
 # had waited here until its last 100 ms ran out of time at a well engine, and two of those in a crowd made a
@@ -81,7 +80,7 @@
         clock: Clock,
         counters: Counters,
         say: Callable[[int, bytes], None],
-        push: Callable[[io.Bounds | io.Price], None],
+        push: Callable[[EngineQuotas | AdmissionThreshold], None],
         note: Callable[..., None],
         probe: Callable[[str], bool],
         number: int = 0,
@@ -96,7 +95,7 @@
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
         if self.fleet.loads is not None:
-            self.push(io.Price())  # of nothing yet
+            self.push(AdmissionThreshold())  # of nothing yet
         self._step()
 
     def joined(self) -> None:
@@ -128,15 +127,15 @@
         """An attempt has gone out."""
         self.fleet.sent(self.clock.now(), _ref(attempt), attempt.engine, query_class)
 
-    def ended(self, attempt: Attempt, event: io.AttemptEnded) -> None:
+    def ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt has ended."""
         now, good = self.clock.now(), SAYS.get(event.outcome)
         if self.fleet.outlook is not None and good:
             tables, told = self.sets.get(attempt.query, (-1, 0.0))
-            beyond = event.cost - told if told > 0 and event.cost > 0 else None
+            beyond = event.actual_work_ms - told if told > 0 and event.actual_work_ms > 0 else None
             zone = self.fleet.zone_of.get(attempt.engine, "")
             self.fleet.outlook.answered(now, zone, _data_set(tables), beyond=beyond)
-        self.fleet.ended(now, _ref(attempt), good, event.elapsed, event.cost)
+        self.fleet.ended(now, _ref(attempt), good, event.elapsed_ms, event.actual_work_ms)
 
     def closed(self, ref: str) -> None:
         """A request is over for its client."""
@@ -262,13 +261,13 @@
                 case Say(member, data):
                     self.say(member, data)
                 case Bound(work, until):
-                    self.push(io.Bounds(work, until))
+                    self.push(EngineQuotas(work, until))
                 case Priced(price, until, cooldown):
                     if price is None:
-                        self.push(io.Price())
+                        self.push(AdmissionThreshold())
                     else:
                         steps = density(price.step), density(price.step + 1)
-                        self.push(io.Price(*steps, price.share, until, cooldown))
+                        self.push(AdmissionThreshold(*steps, price.share, until, cooldown))
                 case Turn(zone, phase, why):
                     self.counters.add(f"zones_{phase.value}")
                     self.note("zone", zone=zone, phase=phase.value, why=why)
--- a/cottonhold/frontend/mysql_session.py
+++ b/cottonhold/frontend/mysql_session.py
@@ -15,7 +15,7 @@
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.node.sibling_processes import Ids
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.settings import QueryClass
 
 VERSION = b"8.0.0-cottonhold"
 USER, DATABASE = b"app", b"dw"
@@ -189,7 +189,7 @@
         kind = self.gateway.kinds.get(statement.service)
         if kind is None:
             raise FieldError(f"field 'service' names no class: '{statement.service[:40]}'")
-        cls: io.QueryClass = self.gateway.settings.classes[kind]
+        cls: QueryClass = self.gateway.settings.classes[kind]
         return Taken(
             statement.ref,
             kind,
@@ -199,7 +199,7 @@
             statement.effort,
             statement.room,
             statement.tables,
-            statement.key if cls.in_order else None,
+            statement.key if cls.is_ordered_by_key else None,
             statement.retry,
             statement.body,
             self._tenant(statement),
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -29,7 +29,7 @@
 from cottonhold.node.peer_datagrams import Peers
 from cottonhold.node.sibling_processes import Record, Seats
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import SendToPeer
 from cottonhold.transport.event_loop import Driver
 from cottonhold.transport.socket_factory import MakeSocket
 
@@ -89,11 +89,11 @@
         self.stop, self.serving = asyncio.Event(), False
         self.following: asyncio.Task[None] | None = None
 
-    def tell(self, tell: io.Tell) -> None:
+    def tell(self, tell: SendToPeer) -> None:
         """Send a message to a peer."""
         target = self.peers.target(tell)
         if target is not None:
-            self.driver.tell(tell.data, target)
+            self.driver.tell(tell.payload, target)
 
     def believe(self, events: Iterable[Event]) -> None:
         """Sources have told something, or a wait is over: what follows from it is carried out at once."""
@@ -149,7 +149,7 @@
 
     def retune(self) -> None:
         """Have the settings in force follow the file, and the processes that stand for this dispatcher."""
-        self.gateway.retune(dataclasses.replace(self.config.settings, beside=1 + self.beside))
+        self.gateway.retune(dataclasses.replace(self.config.settings, concurrent_processes=1 + self.beside))
 
     async def stay_for_newer(self) -> None:
         """Go on taking clients while a newer process does not serve yet, within limits."""
@@ -244,7 +244,7 @@
 
     def end(self) -> None:
         """Leave: from now on, not from when the loop comes to it."""
-        longest = max(cls.deadline for cls in self.gateway.settings.classes)
+        longest = max(cls.deadline_ms for cls in self.gateway.settings.classes)
         self.lifecycle.leave(self.driver.clock.now(), longest)
         self.stop.set()
 
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -18,9 +18,33 @@
 from cottonhold.discovery.model import Change
 from cottonhold.node.clock import Clock
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.actions import (
+    Action,
+    Cancel,
+    CheckHealth,
+    DemandEstimate,
+    Fail,
+    LogLine,
+    Reject,
+    Send,
+    SendToPeer,
+    SetTimer,
+    UpdateAttempt,
+)
+from cottonhold.scheduler.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EngineList,
+    Event,
+    HealthCheckCompleted,
+    Outcome,
+    QueryArrived,
+    SettingsChanged,
+    ShutdownStarted,
+    TimerExpired,
+)
 from cottonhold.scheduler.scheduler import Scheduler
+from cottonhold.scheduler.settings import Settings
 
 # Danger: in a burst one turn of the loop takes 100 ms. A request is read a turn late, its time-out is seen a
 # turn late, and the answer takes two more: it came after the client's limit and was lost. So the module is
@@ -52,7 +76,7 @@
     def sent(self, attempt: Attempt, query_class: int) -> None:
         """An attempt has gone out."""
 
-    def ended(self, attempt: Attempt, event: io.AttemptEnded) -> None:
+    def ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt has ended."""
 
 
@@ -141,7 +165,7 @@
 
     def __init__(
         self,
-        settings: io.Settings,
+        settings: Settings,
         seed: int,
         clock: Clock,
         engines: Engines,
@@ -153,23 +177,23 @@
         self.counters, self.say = counters, say
         self.scheduler = Scheduler(settings, seed)
         self.requests: dict[str, Request] = {}
-        self.events: list[io.Event] = []
+        self.events: list[Event] = []
         self.stepping = False
         self.distrusted = False  # a step has failed
         self.until = math.inf  # what has no answer by then never gets one
         self.open = 0
-        self.tell: Callable[[io.Tell], None] = lambda tell: None
+        self.tell: Callable[[SendToPeer], None] = lambda tell: None
         self.heard_probe: HeardProbe = lambda engine, outcome, report: None
         self.watch: Watch | None = None
         self.loads: LoadGuard | None = None
         engines.listener = self
 
-    def retune(self, settings: io.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         """Other settings from now on; requests that are open keep what they were taken under."""
         self._adopt(settings)
-        self.push(io.Retune(settings))
+        self.push(SettingsChanged(settings))
 
-    def _adopt(self, settings: io.Settings) -> None:
+    def _adopt(self, settings: Settings) -> None:
         """The settings in force, and the places of their classes and tenants by name."""
         self.settings = settings
         self.kinds = {cls.name: place for place, cls in enumerate(settings.classes)}
@@ -187,13 +211,13 @@
             request.due = min(request.due, until)
             if request.attempt is not None:
                 self.engines.hasten(request.attempt, request.due - ANSWER_MS)
-                if self.settings.permits.priorities:
+                if self.settings.features.has_priorities:
                     self.engines.rank(request.attempt, MOST_PRIORITY)
-        self.push(io.Leaving(until))
+        self.push(ShutdownStarted(until))
 
     # --- what happens ---
 
-    def push(self, event: io.Event) -> None:
+    def push(self, event: Event) -> None:
         """Note an event; all of one turn of the loop go into one step."""
         self.events.append(event)
         if not self.stepping:
@@ -203,7 +227,7 @@
     def change_list(self, change: Change) -> None:
         """The engine list has changed."""
         self.engines.apply(change)
-        self.push(io.EngineList(change.engines, change.whole))
+        self.push(EngineList(change.engines, change.whole))
 
     def take(self, taken: Taken, client: Client) -> Request:
         """A request has come whole."""
@@ -254,17 +278,17 @@
         taken = request.taken
         draw = self.watch.arrived(taken) if self.watch is not None else None
         self.push(
-            io.Arrival(
+            QueryArrived(
                 taken.ref,
                 taken.query_class,
                 request.due,
-                cost=taken.effort,
-                memory=taken.room,
-                tables=taken.tables,
+                estimated_work_ms=taken.effort,
+                estimated_memory_mb=taken.room,
+                table_group=taken.tables,
                 tenant=taken.tenant,
-                order_key=taken.key,
-                retry=taken.retry,
-                draw=draw,
+                ordering_key=taken.key,
+                is_retry=taken.retry,
+                admission_draw=draw,
             )
         )
 
@@ -274,21 +298,21 @@
         request = self.requests.get(ref)
         if request is not None and request.attempt is None and (client := self._finish(request)):
             self.counters.add(f"answers_{word}")
-            self.push(io.ClientGone(ref))
+            self.push(ClientDisconnected(ref))
             self._answer(lambda: answer(client))
 
     def client_gone(self, request: Request) -> None:
         """The client has left: nothing is owed, but an attempt that is out still ends."""
         if self._finish(request) is not None:
             self.counters.add("clients_gone")
-            self.push(io.ClientGone(request.taken.ref))
+            self.push(ClientDisconnected(request.taken.ref))
 
     def wants(self, attempt: Attempt) -> bool:
         """Whether an attempt that has not begun may still begin: its client waits, and for this attempt."""
         request = self.requests.get(attempt.query)
         return request is not None and request.client is not None and request.attempt is attempt
 
-    def attempt_ended(self, attempt: Attempt, event: io.AttemptEnded) -> None:
+    def attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """The engines tell of an attempt's end; a served one answers the client at once."""
         if self.watch is not None or self.loads is not None:
             self._tell_of_end(attempt, event)
@@ -301,7 +325,7 @@
             self._answer(lambda: client.served(attempt.rows()))
         self._report(request, event)
 
-    def _tell_of_end(self, attempt: Attempt, event: io.AttemptEnded) -> None:
+    def _tell_of_end(self, attempt: Attempt, event: AttemptEnded) -> None:
         # Danger: where one of these failed, nobody else heard of the end: the request was never answered.
         try:
             if self.watch is not None:
@@ -315,15 +339,15 @@
         self.counters.add("watch_faults")
         self.say(f"watch: {type(error).__name__}: {error}")
 
-    def _report(self, request: Request, event: io.AttemptEnded) -> None:
+    def _report(self, request: Request, event: AttemptEnded) -> None:
         over = request.client is None
         if over:
             self.requests.pop(request.taken.ref, None)
-        self.push(dataclasses.replace(event, final=over))
+        self.push(dataclasses.replace(event, is_final=over))
 
     def probed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
         """The engines tell of a probe's end."""
-        self.push(io.Probed(engine, outcome, report))
+        self.push(HealthCheckCompleted(engine, outcome, report))
         self.heard_probe(engine, outcome, report)
 
     # --- what is decided ---
@@ -349,7 +373,7 @@
                 self.say(f"{type(action).__name__}: {type(error).__name__}: {error}")
                 self._undo(action)
 
-    def _contain(self, events: list[io.Event], left: list[io.Event]) -> None:
+    def _contain(self, events: list[Event], left: list[Event]) -> None:
         """A step broke off with some events left: they are its own no more than those before the last one."""
         # Danger: all that the step was about failed, a change of the list in it was lost, what the scheduler
         # still held of it kept its room, and without its wake what was held elsewhere got no answer at all.
@@ -359,10 +383,10 @@
         else:
             at_fault = events[taken_in - 1 : taken_in]
         for event in at_fault:
-            if not isinstance(event, io.ClientGone):
-                self._abandon(getattr(event, "query", ""))
-            if isinstance(event, io.AttemptEnded) and event.outcome is not Outcome.MOOT:
-                self._forget_attempt(event.query, event.engine)
+            if not isinstance(event, ClientDisconnected):
+                self._abandon(getattr(event, "query_id", ""))
+            if isinstance(event, AttemptEnded) and event.outcome is not Outcome.ALREADY_FINISHED:
+                self._forget_attempt(event.query_id, event.engine)
         for event in left:
             self.push(event)
         if not self.distrusted:
@@ -372,9 +396,9 @@
     def _abandon(self, query: str) -> None:
         """A fault has struck a request: it fails, and is over for the scheduler too."""
         if query in self.requests:
-            self._fail(io.Fail(query))
+            self._fail(Fail(query))
         if query:
-            self.push(io.ClientGone(query))
+            self.push(ClientDisconnected(query))
 
     def _look_after(self) -> None:
         """Once a step has failed: see that there is a next one, and end what the scheduler may have lost."""
@@ -382,15 +406,15 @@
         for request in [r for r in self.requests.values() if r.client is not None and now >= r.due]:
             self.counters.add("requests_lost_by_step")
             self._abandon(request.taken.ref)
-        self.push(io.Timer(0))
+        self.push(TimerExpired(0))
         self.clock.call_in(LOOK_MS, self._look_after)
 
-    def _undo(self, action: io.Action) -> None:
+    def _undo(self, action: Action) -> None:
         """An action could not be carried out: the request that it was about must not wait for it."""
-        query = getattr(action, "query", "")
+        query = getattr(action, "query_id", "")
         request = self.requests.get(query)
         self._abandon(query)
-        if not isinstance(action, io.Send):
+        if not isinstance(action, Send):
             return
         if request is not None and request.attempt is not None and request.attempt.connection is None:
             request.attempt = None
@@ -399,53 +423,55 @@
 
     def _forget_attempt(self, query: str, engine: str) -> None:
         """Tell the scheduler no more of an attempt than that it is over."""
-        self.push(io.AttemptEnded(query, 0, engine, Outcome.MOOT, 0.0, final=True))
+        self.push(AttemptEnded(query, 0, engine, Outcome.ALREADY_FINISHED, 0.0, is_final=True))
 
-    def _carry_out(self, action: io.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case io.Send():
+            case Send():
                 self._send(action)
-            case io.Terms():
+            case UpdateAttempt():
                 self._terms(action)
-            case io.Cancel():
+            case Cancel():
                 self._cancel(action)
-            case io.Refuse():
+            case Reject():
                 self._refuse(action)
-            case io.Fail():
+            case Fail():
                 self._fail(action)
-            case io.Probe(engine):
+            case CheckHealth(engine):
                 if not self.engines.probe(engine):
-                    self.push(io.Probed(engine, self.engines.unsendable()))
-            case io.Tell():
+                    self.push(HealthCheckCompleted(engine, self.engines.unsendable()))
+            case SendToPeer():
                 self.tell(action)
-            case io.Wake(after, token):
-                self.clock.call_in(after, lambda: self.push(io.Timer(token)))
-            case io.LogLine(text):
+            case SetTimer(after, token):
+                self.clock.call_in(after, lambda: self.push(TimerExpired(token)))
+            case LogLine(text):
                 self.say(text)
-            case io.Offered():
+            case DemandEstimate():
                 self._offered(action)
 
-    def _offered(self, action: io.Offered) -> None:
-        request = self.requests.get(action.query)
+    def _offered(self, action: DemandEstimate) -> None:
+        request = self.requests.get(action.query_id)
         if self.watch is not None and request is not None:
-            self.watch.offered(request.taken, action.worth, action.work)
+            self.watch.offered(request.taken, action.utility, action.work_ms)
             self.clock.call_soon(lambda: self._let_in(request))
 
     def _let_in(self, request: Request) -> None:
         request.let_in = True
 
-    def _send(self, action: io.Send) -> None:
-        request, now = self.requests.get(action.query), self.clock.now()
+    def _send(self, action: Send) -> None:
+        request, now = self.requests.get(action.query_id), self.clock.now()
         if request is None or request.client is None:
             # Danger: where a client left in the turn in which its next attempt was decided on, that attempt
             # stayed out for good: it kept its room and its key's turn, and its engine was doubted as silent.
-            self._forget_attempt(action.query, action.engine)
+            self._forget_attempt(action.query_id, action.engine)
             return
         number, request.attempts = request.attempts, request.attempts + 1
-        until = min(request.due - ANSWER_MS, now + action.timeout if action.timeout > 0 else request.due)
+        until = min(
+            request.due - ANSWER_MS, now + action.timeout_ms if action.timeout_ms > 0 else request.due
+        )
         taken = request.taken
         attempt = Attempt(
-            action.query,
+            action.query_id,
             number,
             action.engine,
             taken.service,
@@ -453,7 +479,7 @@
             request.priority,
             began=now,
             until=until,
-            begin_by=action.begin_by,
+            begin_by=action.begin_deadline,
             token=taken.token,
         )
         request.attempt = attempt
@@ -477,7 +503,7 @@
         if kept and request.client is not None:
             self._start(request, attempt)
         else:
-            self._never(request, attempt, Outcome.MOOT)
+            self._never(request, attempt, Outcome.ALREADY_FINISHED)
 
     def _start(self, request: Request, attempt: Attempt) -> None:
         if not self.engines.send(attempt):
@@ -486,35 +512,35 @@
     def _never(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
         """An attempt of which nothing was tried."""
         request.attempt = None
-        never = io.AttemptEnded(attempt.query, attempt.number, attempt.engine, outcome, 0.0)
+        never = AttemptEnded(attempt.query, attempt.number, attempt.engine, outcome, 0.0)
         if self.watch is not None:  # it says nothing of the engine
-            self.watch.ended(attempt, dataclasses.replace(never, outcome=Outcome.MOOT))
+            self.watch.ended(attempt, dataclasses.replace(never, outcome=Outcome.ALREADY_FINISHED))
         if self.loads is not None:
             self.loads.ended(attempt, None)
         self._report(request, never)
 
-    def _terms(self, action: io.Terms) -> None:
-        if request := self.requests.get(action.query):
+    def _terms(self, action: UpdateAttempt) -> None:
+        if request := self.requests.get(action.query_id):
             request.priority = action.priority
             if request.attempt is not None:
                 self.engines.rank(request.attempt, action.priority)
 
-    def _cancel(self, action: io.Cancel) -> None:
-        request = self.requests.get(action.query)
+    def _cancel(self, action: Cancel) -> None:
+        request = self.requests.get(action.query_id)
         if request and request.attempt is not None and request.attempt.number == action.attempt:
             self._kept(request, request.attempt, False)
             if request.attempt is not None:
                 self.engines.drop(request.attempt, Outcome.CANCELLED)
 
-    def _refuse(self, action: io.Refuse) -> None:
-        if (request := self.requests.get(action.query)) and (client := self._finish(request)):
+    def _refuse(self, action: Reject) -> None:
+        if (request := self.requests.get(action.query_id)) and (client := self._finish(request)):
             self.counters.add("answers_refused")
             if self.watch is not None and request.let_in and not request.attempts:
                 self.watch.let_in(1.0, lost=True)
-            self._answer(lambda: client.refused(action.retry_after))
+            self._answer(lambda: client.refused(action.retry_after_ms))
 
-    def _fail(self, action: io.Fail) -> None:
-        if (request := self.requests.get(action.query)) and (client := self._finish(request)):
+    def _fail(self, action: Fail) -> None:
+        if (request := self.requests.get(action.query_id)) and (client := self._finish(request)):
             self.counters.add("answers_failed")
             self._answer(lambda: client.failed("the query failed; it may have run"))
 
--- a/cottonhold/node/peer_datagrams.py
+++ b/cottonhold/node/peer_datagrams.py
@@ -6,7 +6,8 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import SendToPeer
+from cottonhold.scheduler.events import PeerMessage
 
 MOST_BYTES = 256
 
@@ -24,7 +25,7 @@
         self.addresses, self.all_peers, self.counters, self.say = addresses, all_peers, counters, say
         self.numbers = {(a.host, a.port): number for number, a in enumerate(addresses)}
 
-    def receive(self, data: bytes, sender: tuple[str, int]) -> io.PeerMessage | None:
+    def receive(self, data: bytes, sender: tuple[str, int]) -> PeerMessage | None:
         """A datagram as an event; one of a stranger is passed over."""
         number = self.numbers.get(sender)
         if number is None or len(data) > MOST_BYTES:
@@ -32,11 +33,11 @@
             self.say(f"peers: {len(data)} bytes from {sender[0]}:{sender[1]} are no message of a peer")
             return None
         self.counters.add("peer_received")
-        return io.PeerMessage(number, data)
+        return PeerMessage(number, data)
 
-    def target(self, tell: io.Tell) -> Address | None:
+    def target(self, tell: SendToPeer) -> Address | None:
         """Where a message goes; None where it can't: a datagram over the limit would void the run."""
-        if len(tell.data) > MOST_BYTES:
+        if len(tell.payload) > MOST_BYTES:
             self.counters.add("peer_too_long")
             return None
         if tell.peer is None:
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -38,7 +38,7 @@
 from cottonhold.node.http_client import Tls
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import Engine, EngineState, HealthCheckCompleted, Outcome
 from cottonhold.store.ledger import Ledger, StoreBusy
 from cottonhold.store.records import Kind
 
@@ -275,17 +275,17 @@
 
     def _learned(self, engine: str, report: dict[str, float]) -> None:
         """Another instance's probe had a good end."""
-        self.gateway.push(io.Probed(engine, io.Outcome.OK, report))
+        self.gateway.push(HealthCheckCompleted(engine, Outcome.OK, report))
         if self.fleet is not None:
-            self.fleet.probed(engine, io.Outcome.OK)
+            self.fleet.probed(engine, Outcome.OK)
 
-    def _heard_probe(self, engine: str, outcome: io.Outcome, report: dict[str, float]) -> None:
+    def _heard_probe(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
         """A probe of this instance has ended."""
         if self.membership is not None:
             self.membership.probed(engine, outcome, report)
         if self.fleet is not None:
             self.fleet.probed(engine, outcome)
-            if outcome is io.Outcome.OK:
+            if outcome is Outcome.OK:
                 self.fleet.trip(engine, self.engines.probe_took)
 
     def retune(self) -> None:
@@ -321,16 +321,16 @@
             if self.fleet is not None:
                 self.fleet.engines(self._by_zone(live))
 
-    def _by_zone(self, live: Mapping[str, io.Engine]) -> dict[str, dict[str, float]]:
+    def _by_zone(self, live: Mapping[str, Engine]) -> dict[str, dict[str, float]]:
         """Engines by the name of their zone, with the cores of each."""
         zones, found = self.installation.file.zones, dict[str, dict[str, float]]()
         for id, info in live.items():
             found.setdefault(zones[info.zone], {})[id] = self._cores(info)
         return found
 
-    def _cores(self, info: io.Engine) -> float:
-        models = self.config.settings.models
-        cores = models[info.model].cores if info.model < len(models) else 0
+    def _cores(self, info: Engine) -> float:
+        models = self.config.settings.machine_types
+        cores = models[info.machine_type].cores if info.machine_type < len(models) else 0
         return float(cores) or max(info.size, 1.0)
 
     def listed(self) -> dict[str, Machine]:
@@ -421,7 +421,7 @@
             return Readings(
                 self.counters.counts,
                 self.gateway.open,
-                tally(io.EngineState, (p.info.state.value for p in self.engines.places.values())),
+                tally(EngineState, (p.info.state.value for p in self.engines.places.values())),
                 tally(Status, (m["status"] for m in view["members"])) if "members" in view else {},
                 tally(Verdict, (view["recovery"]["verdict"],)) if "recovery" in view else {},
                 tally(Step, (m["step"] for m in view["swap"]["machines"])) if "swap" in view else {},
--- a/cottonhold/scheduler/admission.py
+++ b/cottonhold/scheduler/admission.py
@@ -11,10 +11,11 @@
     slow_start,
     straggler_cancellation,
 )
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import DemandEstimate
+from cottonhold.scheduler.events import AdmissionThreshold, ClientDisconnected, QueryArrived
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.interface import Effect
 from cottonhold.scheduler.parameters import CANDIDATES, REPORT_FRESH_MS
+from cottonhold.scheduler.settings import Idempotency
 from cottonhold.scheduler.state import Query
 
 PROBES_SPARE = 2  # probes that stay for doubts: load is asked for with what is left over
@@ -25,23 +26,23 @@
 WORK_LEAST_MS = 1e-3  # a query without a known cost has so much work where worth is divided by it
 
 
-def on_arrival(gateway: GatewayState, event: io.Arrival) -> None:
+def on_arrival(gateway: GatewayState, event: QueryArrived) -> None:
     """A query was taken: hold it for an engine, or answer it where waiting would be in vain."""
     learned = gateway.classes[event.query_class]
     query = Query(event, gateway.settings, learned, gateway.now, next(gateway.serial))
-    query.began = _first_tried(gateway, query, event.retry)
+    query.began = _first_tried(gateway, query, event.is_retry)
     gateway.queries[query.id] = query
     _count(gateway, query)
     key_ordering.join(gateway, query)
     gateway.deadlines.add(query)
     placement.place(gateway, query)
     slow_start.count(gateway, query)
-    if event.draw is not None:
-        gateway.actions.append(io.Offered(query.id, query.top, query.work()))
+    if event.admission_draw is not None:
+        gateway.actions.append(DemandEstimate(query.id, query.top, query.work()))
     if query.engine is None:
         return
     worthless_repeat = query.density <= 0 and query.began < query.arrived
-    if _late_load(query) or _below_threshold(gateway, query, event.draw) or worthless_repeat:
+    if _late_load(query) or _below_threshold(gateway, query, event.admission_draw) or worthless_repeat:
         responses.answer(gateway, query)
 
 
@@ -59,7 +60,7 @@
     """Ask the engine that has told of its load the longest ago."""
     # Danger: where only probes tell load, or answers are rare, load is a guess. A probe fills in where
     # the report is oldest, within what is left over from doubts; may hurt where probes cost more.
-    if gateway.settings.permits.probes and gateway.probes >= PROBES_SPARE and gateway.near:
+    if gateway.settings.features.has_health_checks and gateway.probes >= PROBES_SPARE and gateway.near:
         oldest = min(gateway.near, key=lambda e: (max(e.report_at, e.probed_at), e.rank))
         if gateway.now - oldest.report_at > REPORT_FRESH_MS:
             engine_health.probe(gateway, oldest)
@@ -69,7 +70,7 @@
     """Whether a load would be late behind those held for the same tables."""
     # Danger: loads that came faster than their tables come free stood in line to the deadline, all late,
     # each with a client's connection. So one is held if it can be in time; may hurt in a short burst.
-    if not query.cls.loads or query.finish <= query.aim_at or query.engine is None:
+    if not query.cls.is_load or query.finish <= query.aim_at or query.engine is None:
         return False
     return query.engine.line.get(query.tables, 0.0) > query.p
 
@@ -79,10 +80,10 @@
     # Danger: each shed by its own plan: cheap ones were served at one gateway and dear ones refused at
     # another. May hurt where the price is wrong; it holds for a second at most.
     threshold = gateway.threshold
-    if draw is None or gateway.now >= threshold.until:
+    if draw is None or gateway.now >= threshold.expires_at:
         return False
     worth = query.top / max(query.work(), WORK_LEAST_MS)
-    return worth < (threshold.density if draw < threshold.share else threshold.above)
+    return worth < (threshold.marginal_density if draw < threshold.marginal_share else threshold.full_density)
 
 
 def _first_tried(gateway: GatewayState, query: Query, marked: bool) -> float:
@@ -97,21 +98,21 @@
     # Only what was turned away can come again: more than that are no repeats.
     can_repeat = learned.unlike.per_s(now) <= REPEATS_MOST * learned.turned.per_s(now)
     repeat = marked or not alike and can_repeat and learned.votes > PATIENCE_SETTLED
-    return min(now, query.due - query.cls.deadline) if repeat else now
+    return min(now, query.due - query.cls.deadline_ms) if repeat else now
 
 
-def on_gone(gateway: GatewayState, event: io.ClientGone) -> None:
+def on_gone(gateway: GatewayState, event: ClientDisconnected) -> None:
     """The client has left: the query is over."""
-    query = gateway.queries.get(event.query)
+    query = gateway.queries.get(event.query_id)
     if query is None or query.over:
         return
     query.leave_plan()
     # Danger: the attempt of a client that left runs on for nobody. A load still runs to its end.
-    if gateway.settings.permits.cancel and query.cls.effect is not Effect.UNSAFE:
+    if gateway.settings.features.can_cancel and query.cls.idempotency is not Idempotency.NOT_IDEMPOTENT:
         straggler_cancellation.cancel(gateway, query)
     responses.close(gateway, query)
 
 
-def on_threshold(gateway: GatewayState, event: io.Price) -> None:
+def on_threshold(gateway: GatewayState, event: AdmissionThreshold) -> None:
     """The fleet has another admission threshold."""
     gateway.threshold = event
--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -6,8 +6,8 @@
 import math
 from collections.abc import Iterable
 
+from cottonhold.scheduler.events import EngineState
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.interface import EngineState
 from cottonhold.scheduler.parameters import CANDIDATES, PEER_GAPS, REPORT_FRESH_MS, THREADS_PER_CORE
 from cottonhold.scheduler.state import EngineView
 
@@ -108,7 +108,7 @@
     # k at least. Suspect ones are replaced. Hurts if `me` is not set.
     # Danger: with k times its share of the fleet a gateway connected to most of thousands of small engines,
     # each for a query or two. So the spare ones grow with the root of its share, and the share is covered.
-    first = round(gateway.settings.me * len(ranked) / gateway.settings.gateways)
+    first = round(gateway.settings.gateway_index * len(ranked) / gateway.settings.gateway_count)
     own = len(ranked) * gateway.share  # engines that its traffic could fill
     count = math.ceil(max(CANDIDATES * math.sqrt(max(1.0, own)), OWN_COVERED * own))
     turned = ranked[first:] + ranked[:first]
--- a/cottonhold/scheduler/deadlines.py
+++ b/cottonhold/scheduler/deadlines.py
@@ -4,15 +4,16 @@
 
 import math
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler import responses
+from cottonhold.scheduler.actions import SetTimer
+from cottonhold.scheduler.events import ShutdownStarted
 from cottonhold.scheduler.gateway_state import GatewayState
 from cottonhold.scheduler.parameters import HEARTBEAT_MS, TRAFFIC_YOUNG_MS
 
 
 def is_due(gateway: GatewayState, at: float) -> bool:
     """Whether a time has come, to half a tick: timers are that exact."""
-    return gateway.now >= at - gateway.settings.tick / 2
+    return gateway.now >= at - gateway.settings.tick_ms / 2
 
 
 def begin_step(gateway: GatewayState, now: float) -> None:
@@ -36,9 +37,9 @@
             responses.answer(gateway, query)
 
 
-def on_leaving(gateway: GatewayState, event: io.Leaving) -> None:
+def on_leaving(gateway: GatewayState, event: ShutdownStarted) -> None:
     """This gateway ends: no query has longer than until then."""
-    gateway.deadlines.cut(event.until)
+    gateway.deadlines.cut(event.ends_at)
 
 
 def wake(gateway: GatewayState) -> None:
@@ -49,4 +50,4 @@
     due = min(gateway.next_beat, gateway.next_peer, gateway.next_ask, first_deadline)
     if due < gateway.wake_at:
         gateway.wake_at = due
-        gateway.actions.append(io.Wake(max(due - gateway.now, gateway.settings.tick), 0))
+        gateway.actions.append(SetTimer(max(due - gateway.now, gateway.settings.tick_ms), 0))
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler import placement, rate_estimation, slow_start, utilization
+from cottonhold.scheduler.actions import CheckHealth, LogLine
+from cottonhold.scheduler.events import AttemptEnded, HealthCheckCompleted, Outcome
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.interface import Outcome
 from cottonhold.scheduler.parameters import SUSPICION_MS
 from cottonhold.scheduler.state import EngineView, Query
 
@@ -36,7 +36,7 @@
         engine.suspect_at = now
         gateway.pool.hide(engine)
         engine.trickle_at = now + placement.TRICKLE_MS / gateway.share * gateway.random.random()
-        gateway.actions.append(io.LogLine(f"engine {engine.id} suspect: {why}"))
+        gateway.actions.append(LogLine(f"engine {engine.id} suspect: {why}"))
     engine.suspect = why
     engine.good = 0
     for query in engine.empty():
@@ -46,7 +46,7 @@
 def trust(gateway: GatewayState, engine: EngineView) -> None:
     """End the suspicion of an engine, if there is one."""
     if engine.suspect:
-        gateway.actions.append(io.LogLine(f"engine {engine.id} trusted again"))
+        gateway.actions.append(LogLine(f"engine {engine.id} trusted again"))
         del gateway.doubted[engine.id]
         gateway.pool.show(engine)
     engine.suspect = ""
@@ -60,18 +60,18 @@
         trust(gateway, engine)
 
 
-def judge(gateway: GatewayState, engine: EngineView, query: Query | None, event: io.AttemptEnded) -> None:
+def judge(gateway: GatewayState, engine: EngineView, query: Query | None, event: AttemptEnded) -> None:
     """What the outcome of an attempt says of the engine."""
     outcome = event.outcome
-    sent_at = gateway.now - event.elapsed
-    rate_estimation.hear_report(gateway, engine, event.report)
+    sent_at = gateway.now - event.elapsed_ms
+    rate_estimation.hear_report(gateway, engine, event.load_report)
     if outcome in (Outcome.OK, Outcome.ERROR):  # a hung engine still turns work away
         heard_from(gateway, engine, sent_at)
     if outcome is Outcome.OK:
         _note_success(gateway, engine, sent_at)
         if query is not None and query.out:
             rate_estimation.learn_answer(gateway, query, engine, event)
-    elif outcome is Outcome.FULL:
+    elif outcome is Outcome.OVERLOADED:
         _pass_over(gateway, engine)
     elif outcome in (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET):
         _note_failure(gateway, engine, query, outcome)
@@ -93,7 +93,7 @@
     engine.jams = 0
     first = engine.good == 1 and sent_at >= engine.suspect_at
     if first and engine.suspect in (DEAD, *UNHEARD):
-        slow_start.begin(gateway, engine, gateway.now + gateway.settings.rules.warm_within)
+        slow_start.begin(gateway, engine, gateway.now + gateway.settings.rules.warm_up_ms)
     if engine.suspect and engine.good >= TRICKLE_GOOD and engine.errors < ERROR_CLEAR:
         trust(gateway, engine)
 
@@ -109,7 +109,7 @@
         if engine.broke_at == gateway.now:
             return
         engine.broke_at = gateway.now
-        if gateway.settings.permits.probes:
+        if gateway.settings.features.has_health_checks:
             probe(gateway, engine)
     engine.errors += ERROR_GAIN * (1 - engine.errors)
     engine.good = 0
@@ -141,8 +141,8 @@
     # hang, its engine left and its queries cancelled. May hurt where an engine hangs with a line only.
     overdue_from = [q.sent_at + OVERDUE * q.p for q in engine.out.values() if not q.waits]
     silence = gateway.now - max(engine.last_word, min(overdue_from, default=gateway.now))
-    note_period = gateway.settings.note_period
-    if note_period or not gateway.settings.permits.probes:
+    note_period = gateway.settings.progress_interval_ms
+    if note_period or not gateway.settings.features.has_health_checks:
         return silence > max(SILENCE_MIN_MS, note_period)
     # Danger: without notes one long query is silence, and its engine was doubted and left by all. So a
     # probe is asked, and only one unanswered is a sign; may hurt where hung engines still answer probes.
@@ -156,7 +156,7 @@
     for engine in list(gateway.doubted.values()):
         if gateway.now >= engine.suspect_until:
             trust(gateway, engine)
-        elif gateway.settings.permits.probes and engine.bound:
+        elif gateway.settings.features.has_health_checks and engine.bound:
             probe(gateway, engine)
 
 
@@ -165,10 +165,10 @@
     if gateway.probes >= 1 and gateway.now - engine.probed_at >= SILENCE_MIN_MS:
         gateway.probes -= 1
         engine.probed_at = gateway.now
-        gateway.actions.append(io.Probe(engine.id))
+        gateway.actions.append(CheckHealth(engine.id))
 
 
-def on_probed(gateway: GatewayState, event: io.Probed) -> None:
+def on_probed(gateway: GatewayState, event: HealthCheckCompleted) -> None:
     """A probe has ended."""
     engine = gateway.engines.get(event.engine)
     if engine is None:
@@ -177,7 +177,7 @@
         if engine.out and event.outcome in (Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
             suspect(gateway, engine, DEAF if event.outcome is Outcome.TIMEOUT else DEAD)
         return
-    rate_estimation.hear_report(gateway, engine, event.report)
+    rate_estimation.hear_report(gateway, engine, event.load_report)
     if engine.suspect == DEAF:  # ends by the kind of evidence that it came from
         trust(gateway, engine)
     elif engine.suspect == DEAD:
--- a/cottonhold/scheduler/estimates.py
+++ b/cottonhold/scheduler/estimates.py
@@ -4,8 +4,8 @@
 
 import math
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.settings import MemoryShortage
 from cottonhold.scheduler.state import EngineView, Query
 
 UNTOLD_COST_OF_AIM = 0.25  # of the aim: the cost of a query of a class that nothing is known of
@@ -20,11 +20,13 @@
     if query.told > 0:
         query.cost = query.told * math.exp(learned.bias)
     else:
-        query.cost = learned.cost or cls.aim * UNTOLD_COST_OF_AIM
+        query.cost = learned.cost or cls.latency_objective_ms * UNTOLD_COST_OF_AIM
     query.memory = _memory(gateway, query)
-    query.aim = min(cls.aim + cls.aim_stretch * query.cost / cls.threads, cls.deadline)
+    query.aim = min(
+        cls.latency_objective_ms + cls.latency_objective_stretch * query.cost / cls.threads, cls.deadline_ms
+    )
     query.aim_at = query.began + query.aim
-    query.top = cls.worth * _tenant_scale(gateway, query)
+    query.top = cls.utility * _tenant_scale(gateway, query)
 
 
 def _memory(gateway: GatewayState, query: Query) -> float:
@@ -32,11 +34,11 @@
     if query.told_memory <= 0:
         return query.learned.memory
     needed = query.told_memory * math.exp(query.learned.memory_bias)
-    if gateway.settings.permits.grants:
+    if gateway.settings.features.has_memory_grants:
         return needed
     # The engine grants what was told and some more, whatever is needed; a paging one counts need too.
     granted = GRANT_TIGHT * query.told_memory
-    return min(granted, needed) if gateway.settings.when_short is io.WhenShort.PAGE else granted
+    return min(granted, needed) if gateway.settings.on_memory_shortage is MemoryShortage.PAGE else granted
 
 
 def _tenant_scale(gateway: GatewayState, query: Query) -> float:
@@ -46,7 +48,7 @@
     per_s = gateway.tenants[query.tenant].per_s(gateway.now)
     quota_per_s = gateway.settings.tenants[query.tenant].quota_per_s * gateway.share
     over = max(0.0, per_s - quota_per_s)
-    return 1 - (1 - gateway.settings.over_share_worth) * over / per_s if over else 1.0
+    return 1 - (1 - gateway.settings.over_quota_utility) * over / per_s if over else 1.0
 
 
 def density(query: Query, run_time: float, finish: float) -> float:
@@ -55,7 +57,7 @@
     if finish > query.due or query.top <= 0:
         return 0.0
     over = (finish - query.aim_at) / (LATE_FALL * query.aim)
-    late = query.cls.late_worth
+    late = query.cls.late_utility
     kept = 1.0 if over <= 0 else late + (1 - late) * max(0.0, 1 - over)
     worth_per_ms = query.top * kept / (run_time * query.cls.threads)
     return math.ldexp(0.5, math.frexp(worth_per_ms)[1]) if worth_per_ms > 0 else 0.0
@@ -63,9 +65,9 @@
 
 def grant(gateway: GatewayState, query: Query, engine: EngineView) -> int:
     """The MB that the engine is told to grant; 0 where it chooses."""
-    if not gateway.settings.permits.grants:
+    if not gateway.settings.features.has_memory_grants:
         return 0
     # Too small a grant spills; too big a one starves others, save where only used memory counts.
-    over = GRANT_PAGE if gateway.settings.when_short is io.WhenShort.PAGE else GRANT_TIGHT
+    over = GRANT_PAGE if gateway.settings.on_memory_shortage is MemoryShortage.PAGE else GRANT_TIGHT
     most = engine.memory * gateway.settings.max_grant_share or math.inf
     return int(min(most, over * query.memory))
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -12,12 +12,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import Action
 from cottonhold.scheduler.class_history import Learned
+from cottonhold.scheduler.events import AdmissionThreshold
 from cottonhold.scheduler.in_flight import Pool
 from cottonhold.scheduler.moving_average import Rate, Traffic, Window
 from cottonhold.scheduler.parameters import PEER_GAP_MOST_MS, TRAFFIC_MEMORY_MS, TRAFFIC_YOUNG_MS
 from cottonhold.scheduler.queues import Deadlines, Turns
+from cottonhold.scheduler.settings import Settings
 from cottonhold.scheduler.state import EngineView, Peers, Query
 
 
@@ -25,13 +27,13 @@
 class GatewayState:
     """What one gateway knows, owes and has out, and the actions of the step under way."""
 
-    settings: io.Settings
+    settings: Settings
     random: random.Random
 
     # the step under way (scheduler)
     now: float = 0.0
     begun: bool = False  # there has been a step
-    actions: list[io.Action] = field(default_factory=list)
+    actions: list[Action] = field(default_factory=list)
     changed: bool = False  # something happened that may let a held query go
     slack: float = 0.0  # ms before a deadline at which a query without an attempt out is answered
 
@@ -41,7 +43,7 @@
     deadlines: Deadlines = field(default_factory=Deadlines)
     turns: Turns = field(default_factory=Turns)
     serial: Iterator[int] = field(default_factory=itertools.count)
-    threshold: io.Price = field(default_factory=lambda: io.Price(told=False))
+    threshold: AdmissionThreshold = field(default_factory=lambda: AdmissionThreshold(is_fleet_wide=False))
 
     # attempts and the allowance of further ones (retry)
     extra: Window = field(default_factory=Window)
--- a/cottonhold/scheduler/key_ordering.py
+++ b/cottonhold/scheduler/key_ordering.py
@@ -4,8 +4,8 @@
 
 import math
 
+from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.interface import Outcome
 from cottonhold.scheduler.state import Query
 
 MAY_RUN_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may run on unseen
@@ -30,7 +30,7 @@
 def rest_after(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
     """Let the key rest where the attempt that ended may run on unseen."""
     if query.key is not None and outcome in MAY_RUN_ON:
-        gateway.turns.rest(query.key, gateway.now, gateway.now + gateway.settings.rules.key_quiet)
+        gateway.turns.rest(query.key, gateway.now, gateway.now + gateway.settings.rules.key_quiet_ms)
 
 
 def leave(gateway: GatewayState, query: Query) -> None:
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -11,9 +11,10 @@
 from typing import NamedTuple
 
 from cottonhold.scheduler import estimates, rate_estimation, responses, retry_policy, slow_start, utilization
+from cottonhold.scheduler.events import EngineState
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.interface import Effect, EngineState
 from cottonhold.scheduler.parameters import ALPHA, CANDIDATES, EPSILON, LEFT_LEAST, PASSED
+from cottonhold.scheduler.settings import Idempotency
 from cottonhold.scheduler.state import EngineView, Query
 
 BETA = 0.2  # share of the slack that is reserved: tentative run time is 1.4 p
@@ -53,15 +54,17 @@
     now, cls = gateway.now, query.cls
     finish = now + (1 + BETA * EPSILON) * run_time
     passing = 0.0
-    if gateway.settings.permits.priorities:
+    if gateway.settings.features.has_priorities:
         passing = estimates.density(query, run_time, finish)
     finish += engine.ahead(now, LEFT_LEAST, passing, ALPHA, PASSED)
     others = engine.sum_told(now, gateway.alike)
     wide = max(1 / engine.room, others.memory / max(others.threads, 1) / engine.memory_room)
     finish += others.area * wide * utilization.not_passed(gateway, passing)
-    if engine.locks and (cls.waits or cls.loads):  # it stands still behind a load that holds its tables
+    if engine.locks and (
+        cls.waits_for_loads or cls.is_load
+    ):  # it stands still behind a load that holds its tables
         finish += max(0.0, engine.locks.get(query.tables, 0.0) - now)
-    if cls.loads and engine.line:  # loads on the same tables run one at a time, all gateways' in turn
+    if cls.is_load and engine.line:  # loads on the same tables run one at a time, all gateways' in turn
         finish += engine.line.get(query.tables, 0.0) / gateway.share
     return finish
 
@@ -97,8 +100,8 @@
 def candidates(gateway: GatewayState, query: Query, count: int = CANDIDATES) -> list[EngineView]:
     """Random engines drawn by size; suspect ones and those just tried only if nothing else is left."""
     near = gateway.near
-    if query.cls.loads or query.cls.waits:
-        if query.cls.loads and (pool := _homes_for_load(gateway, query)):
+    if query.cls.is_load or query.cls.waits_for_loads:
+        if query.cls.is_load and (pool := _homes_for_load(gateway, query)):
             return pool
         # Danger: readers kept off all homes at all times left homes of much read tables half idle,
         # and waited in line elsewhere till they were refused. So they keep off while a load is there.
@@ -148,7 +151,7 @@
         return False
     if cls.zones is not None and info.zone not in cls.zones:
         return False
-    if cls.models is not None and info.model not in cls.models:
+    if cls.machine_types is not None and info.machine_type not in cls.machine_types:
         return False
     return retry_policy.in_first_group(query, engine)
 
@@ -180,7 +183,7 @@
         other.finish += query.area / engine.own_room
     lanes = [other.lane for other in behind]
     lanes += engine.levels.lanes_below(query.density, ALPHA)
-    priorities = gateway.settings.permits.priorities
+    priorities = gateway.settings.features.has_priorities
     query.lane = min(LANE_MOST, 1 + max(lanes)) if lanes and priorities else 1
     gateway.active[engine.id] = engine
     gateway.changed = True
@@ -189,7 +192,11 @@
 
 def _trickle(gateway: GatewayState, query: Query) -> EngineView | None:
     """A suspect engine gets single safe queries, so that its recovery is seen at little risk."""
-    if query.cls.effect is not Effect.SAFE or query.attempts or query.cost > query.cls.aim:
+    if (
+        query.cls.idempotency is not Idempotency.IDEMPOTENT
+        or query.attempts
+        or query.cost > query.cls.latency_objective_ms
+    ):
         return None
     for engine in gateway.doubted.values():
         if gateway.now < engine.trickle_at or not fits(query, engine):
--- a/cottonhold/scheduler/rate_estimation.py
+++ b/cottonhold/scheduler/rate_estimation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cottonhold.scheduler import class_history
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import AttemptEnded
 from cottonhold.scheduler.gateway_state import GatewayState
 from cottonhold.scheduler.parameters import HEARTBEAT_MS
 from cottonhold.scheduler.state import EngineView, Query
@@ -52,19 +52,19 @@
         learned.learn(gateway.now, RATE_HALF_LIFE_MS, work, thread_ms)
 
 
-def learn_answer(gateway: GatewayState, query: Query, engine: EngineView, event: io.AttemptEnded) -> None:
+def learn_answer(gateway: GatewayState, query: Query, engine: EngineView, event: AttemptEnded) -> None:
     """What a served query needed corrects its class and the engine's rate."""
     learned, now = query.learned, gateway.now
     engine_rate = rate(gateway, engine)  # before this answer, which counts from the next step on
-    cost = event.cost or query.cost
-    implied = event.cost or _implied_cost(query, engine_rate, event.elapsed, cost)
-    learned.answer(max(CLASS_GAIN, 1 / (learned.seen + 2)), query, cost, implied, event.memory)
-    if query.told > 0 and not event.cost:
+    cost = event.actual_work_ms or query.cost
+    implied = event.actual_work_ms or _implied_cost(query, engine_rate, event.elapsed_ms, cost)
+    learned.answer(max(CLASS_GAIN, 1 / (learned.seen + 2)), query, cost, implied, event.actual_memory_mb)
+    if query.told > 0 and not event.actual_work_ms:
         # only biases between classes can be told from an engine's rate
         class_history.centre_bias(gateway.classes)
-    miss = min(max(event.elapsed / query.p - 1, 0.0), 1.0) if query.p else 0.0
+    miss = min(max(event.elapsed_ms / query.p - 1, 0.0), 1.0) if query.p else 0.0
     learned.delta += CLASS_GAIN * ERROR_OF_RUN_GAIN * (miss - learned.delta)
-    if not query.cls.loads and (now - query.sent_at <= TEACH_LIMIT * query.p or event.cost):
+    if not query.cls.is_load and (now - query.sent_at <= TEACH_LIMIT * query.p or event.actual_work_ms):
         work = cost * max(0.0, 1 - query.done)
         learn_rate(gateway, engine, work, (now - query.seen_at) * query.cls.threads)
 
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -15,9 +15,10 @@
     slow_start,
     utilization,
 )
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import Send, UpdateAttempt
 from cottonhold.scheduler.gateway_state import GatewayState
 from cottonhold.scheduler.parameters import ALPHA, GOLDEN, PASSED, REPLAN_MS
+from cottonhold.scheduler.settings import MemoryShortage
 from cottonhold.scheduler.state import EngineView, Query
 
 OVERFULL = 1.25  # times the room is too full also for what passes: work done falls steeply from there
@@ -41,11 +42,11 @@
         # asked for room at each step, those that wait for their tables took most of the CPU.
         if blocked and query.density <= ALPHA * blocked:
             place += 1
-        elif query.cls.loads and engine.loading.get(query.tables):
+        elif query.cls.is_load and engine.loading.get(query.tables):
             place += 1
         elif not has_room(gateway, query, engine) or _worthless_on_full_fleet(gateway, query):
             blocked = query.density  # above any before it, else it was passed over
-            if not blocked or not gateway.settings.permits.priorities:
+            if not blocked or not gateway.settings.features.has_priorities:
                 return
             place += 1
         elif barred(gateway, query, engine):
@@ -82,7 +83,7 @@
     pressed = utilization.pressed(gateway, engine)
     # Danger: a lookup waited for room until reports of seconds ended, and was refused as too late, though
     # the engine would have let it pass them. So what q passes holds it back in part only.
-    passing = query.density if gateway.settings.permits.priorities else 0.0
+    passing = query.density if gateway.settings.features.has_priorities else 0.0
     if _engine_full(gateway, query, engine, pressed, passing):
         return False
     return _share_has_room(gateway, query, pressed, passing)
@@ -130,17 +131,17 @@
     """How far the share of memory binds without pressure."""
     # Memory binds also without pressure: paging shows only in the jam. Where grants are trimmed one query
     # pays, not all, so there it binds as far as the fleet is reported busy.
-    short = gateway.settings.when_short
-    if short is io.WhenShort.WAIT:
+    short = gateway.settings.on_memory_shortage
+    if short is MemoryShortage.WAIT:
         return 0.0
-    return gateway.util if short is io.WhenShort.SHRINK else 1.0
+    return gateway.util if short is MemoryShortage.SHRINK else 1.0
 
 
 def _turn(gateway: GatewayState, query: Query) -> float:
     """Part of a query that the share is stretched by now: gateways take turns with what is left over."""
-    if not gateway.threshold.told:
+    if not gateway.threshold.is_fleet_wide:
         return 0.0
-    turn = gateway.settings.me + gateway.now // max(REPLAN_MS, query.p)
+    turn = gateway.settings.gateway_index + gateway.now // max(REPLAN_MS, query.p)
     return turn * GOLDEN % 1
 
 
@@ -151,14 +152,14 @@
     if query.trickle:
         timeout = rate_estimation.TEACH_LIMIT * query.p + engine_health.SILENCE_MIN_MS
     begin_by = retry_policy.latest_begin(gateway, query)
-    gateway.actions.append(io.Send(query.id, engine.id, timeout, begin_by))
+    gateway.actions.append(Send(query.id, engine.id, timeout, begin_by))
     if query.attempts:
         retry_policy.count_further_attempt(gateway)
     query.attempts += 1
     query.begin_attempt(gateway.now, engine)
     gateway.pool.add_out(query, engine)
     slow_start.spend(query, engine)
-    if query.cls.loads:
+    if query.cls.is_load:
         until = gateway.now + query.p
         engine.locks[query.tables] = max(engine.locks.get(query.tables, 0.0), until)
         peer_load.tell_load(gateway, query, engine)
@@ -168,7 +169,7 @@
     """Tell the memory grant and the priority of the next attempts, where they are others than before."""
     grant = estimates.grant(gateway, query, engine)
     if grant != query.grant or query.lane != query.lane_told:
-        gateway.actions.append(io.Terms(query.id, grant, query.lane))
+        gateway.actions.append(UpdateAttempt(query.id, grant, query.lane))
         query.grant = grant
         query.lane_told = query.lane
 
--- a/cottonhold/scheduler/responses.py
+++ b/cottonhold/scheduler/responses.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler import key_ordering, retry_policy
+from cottonhold.scheduler.actions import Fail, Reject
 from cottonhold.scheduler.gateway_state import GatewayState
 from cottonhold.scheduler.state import Query
 
@@ -14,18 +14,18 @@
     """The one place for every final answer that is no result."""
     query.leave_plan()
     if retry_policy.harmless_to_try_again(query):
-        gateway.actions.append(io.Refuse(query.id, _retry_after(gateway)))
+        gateway.actions.append(Reject(query.id, _retry_after(gateway)))
     else:
-        gateway.actions.append(io.Fail(query.id))
+        gateway.actions.append(Fail(query.id))
     close(gateway, query)
 
 
 def _retry_after(gateway: GatewayState) -> float:
     """Advice on when to come back, in ms: when the plans have drained, within what the deployment allows."""
     drained = sum(e.held_area for e in gateway.active.values()) / gateway.own_room
-    permits = gateway.settings.permits
-    most = permits.max_retry_after if permits.retry_after else 0.0
-    return min(most, max(RETRY_AFTER_LEAST_MS, drained, gateway.threshold.cooldown))
+    permits = gateway.settings.features
+    most = permits.max_retry_after_ms if permits.has_retry_after else 0.0
+    return min(most, max(RETRY_AFTER_LEAST_MS, drained, gateway.threshold.retry_after_ms))
 
 
 def close(gateway: GatewayState, query: Query, served: bool = False) -> None:
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -1,6 +1,6 @@
 """The decisions of one query gateway in front of analytic query engines: the entry point.
 
-Interface: cottonhold/scheduler/interface.py (settings, events, actions). `Scheduler` passes each event to the
+What goes in and out: settings.py, events.py, actions.py. `Scheduler` passes each event to the
 part that it concerns; the parts are the other modules of this package, functions over one shared state
 (gateway_state.py).
 
@@ -28,8 +28,25 @@
     release,
     straggler_cancellation,
 )
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import Action
 from cottonhold.scheduler.class_history import Learned
+from cottonhold.scheduler.events import (
+    AdmissionThreshold,
+    AttemptEnded,
+    ClientDisconnected,
+    EngineList,
+    EngineListFailed,
+    EngineQuotas,
+    Event,
+    HealthCheckCompleted,
+    PeerMessage,
+    ProgressNote,
+    QueryArrived,
+    SettingsChanged,
+    ShutdownStarted,
+    StreamStarted,
+    TimerExpired,
+)
 from cottonhold.scheduler.gateway_state import GatewayState
 from cottonhold.scheduler.moving_average import Traffic
 from cottonhold.scheduler.parameters import (
@@ -40,6 +57,7 @@
     TRAFFIC_MEMORY_MS,
 )
 from cottonhold.scheduler.peer_load import PEER_PRICE
+from cottonhold.scheduler.settings import Settings
 
 __all__ = ["PEER_PRICE", "THREADS_PER_CORE", "Scheduler"]
 
@@ -50,18 +68,18 @@
 class Scheduler(GatewayState):
     """Decides for one gateway: call step with the clock and what happened, carry out what it returns."""
 
-    def __init__(self, settings: io.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         """A gateway that has seen nothing yet; the seed sets all of its random draws."""
-        share = 1.0 / settings.gateways
+        share = 1.0 / settings.gateway_count
         super().__init__(settings, random.Random(seed), share=share, reach=share)
         self.adopt(settings)
 
-    def step(self, now: float, events: Iterable[io.Event]) -> list[io.Action]:
+    def step(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Take in what happened by now and decide; the one entry point."""
         deadlines.begin_step(self, now)
         for event in events:
             # Danger: counted anew for each change of a list of thousands, room took seconds in a release.
-            if self.relisted and type(event) is not io.EngineList:
+            if self.relisted and type(event) is not EngineList:
                 capacity.take_list(self)
             HANDLERS[type(event)](self, event)
         if self.relisted:
@@ -78,16 +96,20 @@
         deadlines.wake(self)
         return self.actions
 
-    def adopt(self, settings: io.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         """The settings in force from now on; a query keeps its class and its attempts to its end."""
         # Danger: known by place, a class that moved or came back with another effect got what another taught.
         known = dict(zip(self.settings.classes, self.classes, strict=False))
         self.classes = [known.get(cls) or Learned.blank(SUSPICION_MS) for cls in settings.classes]
         self.tenants = [Traffic(TRAFFIC_MEMORY_MS) for _ in settings.tenants]
         self.settings = settings
-        self.slack = HEARTBEAT_MS + 2 * settings.tick
-        self.probe_part = min(PROBES_PER_QUERY, PROBE_PRICE / max(settings.prices.probe, 1e-9))
-        self.next_peer = 0.0 if settings.permits.peers and settings.gateways > 1 else math.inf
+        self.slack = HEARTBEAT_MS + 2 * settings.tick_ms
+        self.probe_part = min(
+            PROBES_PER_QUERY, PROBE_PRICE / max(settings.overhead_costs.per_health_check, 1e-9)
+        )
+        self.next_peer = (
+            0.0 if settings.features.has_peer_messages and settings.gateway_count > 1 else math.inf
+        )
 
     def _sweep(self) -> None:
         """Silence, failover retries and suspicions that end, every heartbeat; plans made anew less often."""
@@ -96,7 +118,7 @@
         rate_estimation.follow_best(self)
         for engine in list(self.active.values()):
             engine_health.check_silence(self, engine)
-            if self.settings.permits.cancel:
+            if self.settings.features.can_cancel:
                 straggler_cancellation.cancel_stragglers(self, engine)
             if not engine.out and not engine.plan:
                 del self.active[engine.id]
@@ -107,28 +129,28 @@
             placement.replan(self)
 
 
-def _on_retune(scheduler: Scheduler, event: io.Retune) -> None:
+def _on_retune(scheduler: Scheduler, event: SettingsChanged) -> None:
     scheduler.adopt(event.settings)
 
 
-def _on_timer(scheduler: Scheduler, event: io.Timer) -> None:
+def _on_timer(scheduler: Scheduler, event: TimerExpired) -> None:
     """What is due is looked after in each step."""
 
 
 # Each event with the part that takes it in: a handler's argument is of the type of its key.
 HANDLERS: dict[type, Callable[[Scheduler, Any], None]] = {
-    io.Arrival: admission.on_arrival,
-    io.AttemptEnded: attempt_outcomes.on_ended,
-    io.Note: attempt_outcomes.on_note,
-    io.EngineList: engine_list.on_list,
-    io.ClientGone: admission.on_gone,
-    io.Probed: engine_health.on_probed,
-    io.PeerMessage: peer_load.on_message,
-    io.StreamStarted: attempt_outcomes.on_stream,
-    io.ListFailed: engine_list.on_list_failed,
-    io.Bounds: engine_list.on_bounds,
-    io.Price: admission.on_threshold,
-    io.Leaving: deadlines.on_leaving,
-    io.Retune: _on_retune,
-    io.Timer: _on_timer,
+    QueryArrived: admission.on_arrival,
+    AttemptEnded: attempt_outcomes.on_ended,
+    ProgressNote: attempt_outcomes.on_note,
+    EngineList: engine_list.on_list,
+    ClientDisconnected: admission.on_gone,
+    HealthCheckCompleted: engine_health.on_probed,
+    PeerMessage: peer_load.on_message,
+    StreamStarted: attempt_outcomes.on_stream,
+    EngineListFailed: engine_list.on_list_failed,
+    EngineQuotas: engine_list.on_bounds,
+    AdmissionThreshold: admission.on_threshold,
+    ShutdownStarted: deadlines.on_leaving,
+    SettingsChanged: _on_retune,
+    TimerExpired: _on_timer,
 }
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -49,7 +49,7 @@
         return engine.allowance < turn * usual
     # Danger: gateways whose turn was too late for a long query sent a short one, the others the long one, and
     # each of the two spent the whole of all parts. So only a part of the turns is for long ones.
-    large = usual > own_part(gateway, engine) * gateway.settings.rules.tip_after
+    large = usual > own_part(gateway, engine) * gateway.settings.rules.overload_window_ms
     return engine.allowance < turn * usual / (LARGE_PART if large else 1.0)
 
 
@@ -58,7 +58,7 @@
     # Danger: one query of many times the mean work tips a small cold engine by itself, whoever's turn it is.
     rules = gateway.settings.rules
     capacity = engine.cores * engine.warmth(gateway.now, rules)
-    return rules.overload_factor * capacity * rules.tip_after + ALONE_SLACK * gateway.mean_work
+    return rules.overload_factor * capacity * rules.overload_window_ms + ALONE_SLACK * gateway.mean_work
 
 
 def _usual(query: Query) -> float:
@@ -73,7 +73,7 @@
 def count(gateway: GatewayState, query: Query) -> None:
     """A query was taken: it counts for the mean work."""
     if not gateway.arrivals:
-        aims = [cls.aim for cls in gateway.settings.classes]
+        aims = [cls.latency_objective_ms for cls in gateway.settings.classes]
         gateway.mean_work, gateway.arrivals = sum(aims) / len(aims) * UNTOLD_COST_OF_AIM, MEAN_PRIOR
     gateway.arrivals = min(gateway.arrivals + 1, MEAN_OVER)
     gateway.mean_work += (query.cost - gateway.mean_work) / gateway.arrivals
@@ -85,8 +85,8 @@
     passed = gateway.now - engine.allowance_at
     if bound == math.inf:
         fill = own_part(gateway, engine)
-        most = fill * rules.tip_after
-        fill *= engine.warmth(gateway.now, rules) / rules.cold_from
+        most = fill * rules.overload_window_ms
+        fill *= engine.warmth(gateway.now, rules) / rules.cold_capacity_share
     else:  # the fleet's pace follows what a cold engine shows
         fill = bound
         most = max(fill * BOUND_BURST_MS, usual)
@@ -96,26 +96,26 @@
 
 def _turn(gateway: GatewayState, engine: EngineView, cold: bool, free: bool) -> float:
     """Part of a usual query that has to be saved up: gateways come up one after the other."""
-    turn = gateway.settings.me
+    turn = gateway.settings.gateway_index
     if free or not cold:
-        turn += math.floor(gateway.now / gateway.settings.rules.tip_after)
+        turn += math.floor(gateway.now / gateway.settings.rules.overload_window_ms)
     return (engine.code / CODES + turn * GOLDEN) % 1
 
 
 def own_part(gateway: GatewayState, engine: EngineView) -> float:
     """This gateway's part of the work a cold engine may be sent, in ms a ms; half may come as one burst."""
     rules, settings = gateway.settings.rules, gateway.settings
-    part = gateway.reach / settings.beside  # an upgrade's other process too
+    part = gateway.reach / settings.concurrent_processes  # an upgrade's other process too
     # Danger: what peers told when they had just started, or before a burst, was far below the own traffic
     # now. Every gateway took itself for a busy one, and their shares added up to three and a half.
-    part *= min(1.0, MOST_PART / (settings.gateways * gateway.share))
-    return COLD_MARGIN * rules.overload_factor * rules.cold_from * engine.cores * part / 2
+    part *= min(1.0, MOST_PART / (settings.gateway_count * gateway.share))
+    return COLD_MARGIN * rules.overload_factor * rules.cold_capacity_share * engine.cores * part / 2
 
 
 def begin(gateway: GatewayState, engine: EngineView, until: float) -> None:
     """The engine may have started: hold it to the cold budget."""
     if gateway.now >= engine.cold_until:
-        engine.allowance = own_part(gateway, engine) * gateway.settings.rules.tip_after
+        engine.allowance = own_part(gateway, engine) * gateway.settings.rules.overload_window_ms
         engine.allowance_at = gateway.now
     engine.cold_until = max(engine.cold_until, until)
 
--- a/cottonhold/scheduler/state.py
+++ b/cottonhold/scheduler/state.py
@@ -6,10 +6,11 @@
 import zlib
 from dataclasses import InitVar, dataclass, field
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler.class_history import Learned
+from cottonhold.scheduler.events import Engine, QueryArrived
 from cottonhold.scheduler.in_flight import Levels
 from cottonhold.scheduler.moving_average import Rate
+from cottonhold.scheduler.settings import Idempotency, MachineType, QueryClass, Rules, Settings
 
 FRESH_MS = 5.0  # so long what is left of the work out or held counts as it was: runs take far longer
 
@@ -18,14 +19,14 @@
 class Query:
     """A query this gateway owes an answer, or whose attempt still lacks its outcome."""
 
-    arrival: InitVar[io.Arrival]
-    settings: InitVar[io.Settings]  # in force as it came; later ones do not concern it
+    arrival: InitVar[QueryArrived]
+    settings: InitVar[Settings]  # in force as it came; later ones do not concern it
     learned: Learned
     arrived: float
     order: int  # its place among all queries taken
 
     # as it came
-    cls: io.QueryClass = field(init=False)
+    cls: QueryClass = field(init=False)
     most: int = 1  # attempts that it may have
     id: str = ""
     due: float = 0.0  # when its client gives up
@@ -71,17 +72,17 @@
     blamed: EngineView | None = None  # the first of them
     over: bool = False  # it has its final answer
 
-    def __post_init__(self, arrival: io.Arrival, settings: io.Settings) -> None:
+    def __post_init__(self, arrival: QueryArrived, settings: Settings) -> None:
         """What the client told, and the rules that hold for it to its end."""
         self.cls = settings.classes[arrival.query_class]
-        self.most = settings.permits.max_attempts
-        self.id = arrival.query
-        self.due = arrival.due
-        self.tables = arrival.tables
+        self.most = settings.features.max_attempts
+        self.id = arrival.query_id
+        self.due = arrival.deadline_at
+        self.tables = arrival.table_group
         self.tenant = arrival.tenant
-        self.told = arrival.cost
-        self.told_memory = arrival.memory
-        self.key = arrival.order_key if self.cls.in_order else None
+        self.told = arrival.estimated_work_ms
+        self.told_memory = arrival.estimated_memory_mb
+        self.key = arrival.ordering_key if self.cls.is_ordered_by_key else None
 
     def work(self) -> float:
         """Its work in thread ms for the admission threshold: by what it tells, which is alike everywhere."""
@@ -101,9 +102,9 @@
 
     def window_end(self) -> float:
         """Until when engines drop its repeats; infinity as long as it can't have run, or where none does."""
-        if self.risk_at is None or self.cls.effect is not io.Effect.KEYED:
+        if self.risk_at is None or self.cls.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return math.inf
-        return self.risk_at + self.cls.window
+        return self.risk_at + self.cls.deduplication_window_ms
 
     def leave_plan(self) -> None:
         """Remove the query from the plan it is held in, if any."""
@@ -112,7 +113,7 @@
             engine.plan.remove(self)
             engine.held_area -= self.area
             engine.held_space -= self.p * self.memory
-            if self.cls.loads:
+            if self.cls.is_load:
                 engine.line[self.tables] = max(engine.line[self.tables] - self.p, 0.0)
 
 
@@ -121,7 +122,7 @@
     """What this gateway knows of one engine."""
 
     id: str
-    info: io.Engine
+    info: Engine
     cores: float
     memory: float  # MB; 0 where it is not known
     code: int = 0  # short, for messages; the same at every gateway
@@ -183,15 +184,15 @@
         self.code = zlib.crc32(self.id.encode())
 
     @classmethod
-    def listed(cls, info: io.Engine, models: tuple[io.Model, ...], now: float) -> EngineView:
+    def listed(cls, info: Engine, models: tuple[MachineType, ...], now: float) -> EngineView:
         """One that has come to the list; where its model is not known its size counts as cores."""
-        model = models[info.model] if info.model < len(models) else io.Model()
-        return cls(info.id, info, model.cores or max(info.size, 1.0), model.memory, last_word=now)
+        model = models[info.machine_type] if info.machine_type < len(models) else MachineType()
+        return cls(info.id, info, model.cores or max(info.size, 1.0), model.memory_mb, last_word=now)
 
-    def warmth(self, now: float, rules: io.Rules) -> float:
+    def warmth(self, now: float, rules: Rules) -> float:
         """Part of its capacity that it is taken to have: evenly up from where it starts to all of it."""
-        cold = min(1.0, max(0.0, self.cold_until - now) / rules.warm_within)
-        return 1 - (1 - rules.cold_from) * cold
+        cold = min(1.0, max(0.0, self.cold_until - now) / rules.warm_up_ms)
+        return 1 - (1 - rules.cold_capacity_share) * cold
 
     def sound(self) -> bool:
         """Neither doubted here nor left by the fleet."""
@@ -296,7 +297,7 @@
         self.plan.insert(place, query)
         self.held_area += query.area
         self.held_space += query.p * query.memory
-        if query.cls.loads:
+        if query.cls.is_load:
             self.line[query.tables] = self.line.get(query.tables, 0.0) + query.p
 
     def empty(self) -> list[Query]:
@@ -311,7 +312,7 @@
     def add_out(self, query: Query) -> None:
         """An attempt of the query is out here now."""
         self.out[query.id] = query
-        if query.cls.loads:
+        if query.cls.is_load:
             self.loading[query.tables] = self.loading.get(query.tables, 0) + 1
         self.levels.add(query)
         self._add_left(query, 1.0)
@@ -324,7 +325,7 @@
         if self.out.pop(query.id, None) is None:
             return False
         self.levels.drop(query)
-        if query.cls.loads:
+        if query.cls.is_load:
             self.loading[query.tables] -= 1
         self._add_left(query, -query.left(max(self.ahead_at, query.sent_at), least))
         self.threads_out -= query.cls.threads
--- a/cottonhold/scheduler/straggler_cancellation.py
+++ b/cottonhold/scheduler/straggler_cancellation.py
@@ -4,11 +4,11 @@
 
 import math
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler import placement, retry_policy, utilization
+from cottonhold.scheduler.actions import Cancel
 from cottonhold.scheduler.engine_health import UNHEARD
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.interface import Effect
+from cottonhold.scheduler.settings import Idempotency
 from cottonhold.scheduler.state import EngineView, Query
 
 FAILOVER_FACTOR = 2.0  # plans run before a retry, times run that are guessed to be left, times sooner than it
@@ -29,7 +29,12 @@
 
 def _may_move(gateway: GatewayState, query: Query, engine: EngineView, plans: float) -> bool:
     """Whether the attempt is late enough, or its engine given up, and a further attempt is allowed."""
-    if query.cancelled or query.over or query.streaming or query.cls.effect is not Effect.SAFE:
+    if (
+        query.cancelled
+        or query.over
+        or query.streaming
+        or query.cls.idempotency is not Idempotency.IDEMPOTENT
+    ):
         return False
     told = query.seen_at > query.run_at  # a note told its pace: a bad plan shows in the first one
     in_plan = gateway.now - query.sent_at < plans * query.p
@@ -56,7 +61,7 @@
     """How long the attempt is taken to run on: by its notes, else guessed from the time run."""
     if _given_up(engine):
         return math.inf
-    if gateway.settings.note_period:
+    if gateway.settings.progress_interval_ms:
         return (gateway.now - query.run_at) / max(query.done, DONE_LEAST) * (1 - query.done)
     return FAILOVER_FACTOR * (gateway.now - query.sent_at)
 
@@ -65,4 +70,4 @@
     """Give up the attempt that is out, once."""
     if query.out and not query.cancelled:
         query.cancelled = True
-        gateway.actions.append(io.Cancel(query.id, query.attempts - 1))
+        gateway.actions.append(Cancel(query.id, query.attempts - 1))
--- a/cottonhold/scheduler/utilization.py
+++ b/cottonhold/scheduler/utilization.py
@@ -4,10 +4,10 @@
 
 import math
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler import rate_estimation
 from cottonhold.scheduler.gateway_state import GatewayState
 from cottonhold.scheduler.parameters import ALPHA, PASSED, REPORT_FRESH_MS, THREADS_PER_CORE
+from cottonhold.scheduler.settings import MemoryShortage
 from cottonhold.scheduler.state import EngineView
 
 PRESSED_RATE = 0.6  # of the fleet's best rate: a slower engine is under pressure
@@ -35,7 +35,7 @@
     if used < 1 or used > USED_BEYOND_DENIAL or late:
         return used >= 1
     # Cores idle in a jam on memory: where engines page, half busy is no proof of room.
-    pages = gateway.settings.when_short is io.WhenShort.PAGE
+    pages = gateway.settings.on_memory_shortage is MemoryShortage.PAGE
     util_most = 1 / THREADS_PER_CORE if pages else PRESSED_UTIL
     busy_cores = report.get("util", gateway.util) / util_most * engine.cores
     return report.get("inflight", busy_cores) > engine.cores
--- a/cottonhold/simulator_adapter.py
+++ b/cottonhold/simulator_adapter.py
@@ -12,34 +12,65 @@
 
 from cottonhold.config.settings import read_settings
 from cottonhold.message_validation import NUMBER, Json, WireError, read, word
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import (
+    Action,
+    Cancel,
+    CheckHealth,
+    DemandEstimate,
+    Fail,
+    LogLine,
+    Reject,
+    Send,
+    SendToPeer,
+    SetTimer,
+    Subscribe,
+    UpdateAttempt,
+)
+from cottonhold.scheduler.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Engine,
+    EngineList,
+    EngineListFailed,
+    EngineState,
+    Event,
+    HealthCheckCompleted,
+    Outcome,
+    PeerMessage,
+    ProgressKind,
+    ProgressNote,
+    QueryArrived,
+    StreamStarted,
+    TimerExpired,
+)
 from cottonhold.scheduler.scheduler import Scheduler
+from cottonhold.scheduler.settings import Settings
 
 __all__ = ["read_probed", "read_settings", "run"]
 
 OUTCOMES = {
-    200: io.Outcome.OK,
-    502: io.Outcome.ERROR,
-    429: io.Outcome.FULL,
-    408: io.Outcome.TIMEOUT,
-    521: io.Outcome.CONNECT_FAILED,
-    520: io.Outcome.RESET,
-    444: io.Outcome.CANCELLED,
-    409: io.Outcome.MOOT,
+    200: Outcome.OK,
+    502: Outcome.ERROR,
+    429: Outcome.OVERLOADED,
+    408: Outcome.TIMEOUT,
+    521: Outcome.CONNECT_FAILED,
+    520: Outcome.RESET,
+    444: Outcome.CANCELLED,
+    409: Outcome.ALREADY_FINISHED,
 }
 STATES = {
-    "live": io.EngineState.LIVE,
-    "quiescing": io.EngineState.DRAINING,
-    "dead": io.EngineState.GONE,
+    "live": EngineState.LIVE,
+    "quiescing": EngineState.DRAINING,
+    "dead": EngineState.REMOVED,
 }
 
 
-def read_engine(source: Json) -> io.Engine:
+def read_engine(source: Json) -> Engine:
     """One line of an engine list."""
-    return io.Engine(
+    return Engine(
         id=read(source, "node", str),
         zone=read(source, "campus", int, 0),
-        model=read(source, "type", int, 0),
+        machine_type=read(source, "type", int, 0),
         cell=read(source, "pod", int, 0),
         state=word(source, "stage_state", STATES),
         size=read(source, "heft", NUMBER, 1.0),
@@ -47,47 +78,49 @@
     )
 
 
-def read_report(source: Json, settings: io.Settings) -> dict[str, float]:
+def read_report(source: Json, settings: Settings) -> dict[str, float]:
     """A load report under the field's names."""
     values = read(source, "gauge", list, [])
-    return {name: v for name, v in zip(settings.report_fields, values, strict=False) if isinstance(v, NUMBER)}
+    return {
+        name: v for name, v in zip(settings.load_report_fields, values, strict=False) if isinstance(v, NUMBER)
+    }
 
 
-def read_arrival(m: Json, settings: io.Settings) -> io.Event:
+def read_arrival(m: Json, settings: Settings) -> Event:
     kind, tenant = read(m, "kind", int), read(m, "party", int, 0)
     if not 0 <= kind < len(settings.classes):
         raise WireError(f"field 'kind' names no class: {kind}")
-    return io.Arrival(
-        query=read(m, "req", str),
+    return QueryArrived(
+        query_id=read(m, "req", str),
         query_class=kind,
-        due=read(m, "due", NUMBER),
-        cost=read(m, "est_cost", NUMBER, 0.0),
-        memory=read(m, "footprint_mb", NUMBER, 0.0),
-        tables=read(m, "source_set", NUMBER, -1),
+        deadline_at=read(m, "due", NUMBER),
+        estimated_work_ms=read(m, "est_cost", NUMBER, 0.0),
+        estimated_memory_mb=read(m, "footprint_mb", NUMBER, 0.0),
+        table_group=read(m, "source_set", NUMBER, -1),
         tenant=tenant,
-        order_key=read(m, "order_key", str, None),
-        retry=read(m, "retry", bool, False),
+        ordering_key=read(m, "order_key", str, None),
+        is_retry=read(m, "retry", bool, False),
     )
 
 
-def read_ended(m: Json, settings: io.Settings) -> io.Event:
+def read_ended(m: Json, settings: Settings) -> Event:
     used = read(m, "used_up", int, 0)
-    return io.AttemptEnded(
-        query=read(m, "req", str),
+    return AttemptEnded(
+        query_id=read(m, "req", str),
         attempt=read(m, "attempt", int),
         engine=read(m, "node", str),
         outcome=word(m, "ending", OUTCOMES, int),
-        elapsed=read(m, "elapsed", NUMBER, 0.0),
-        final=read(m, "last", bool, False),
-        cost=float(used >> 12),
-        memory=float(used & 4095) * 4,
-        report=read_report(m, settings),
+        elapsed_ms=read(m, "elapsed", NUMBER, 0.0),
+        is_final=read(m, "last", bool, False),
+        actual_work_ms=float(used >> 12),
+        actual_memory_mb=float(used & 4095) * 4,
+        load_report=read_report(m, settings),
     )
 
 
-def read_note(m: Json, settings: io.Settings) -> io.Event:
-    kinds = {k.value: k for k in io.NoteKind}
-    return io.Note(
+def read_note(m: Json, settings: Settings) -> Event:
+    kinds = {k.value: k for k in ProgressKind}
+    return ProgressNote(
         read(m, "req", str),
         read(m, "attempt", int),
         read(m, "node", str),
@@ -96,58 +129,58 @@
     )
 
 
-def read_first(m: Json, settings: io.Settings) -> io.Event:
-    return io.StreamStarted(read(m, "req", str), read(m, "attempt", int), read(m, "node", str))
+def read_first(m: Json, settings: Settings) -> Event:
+    return StreamStarted(read(m, "req", str), read(m, "attempt", int), read(m, "node", str))
 
 
-def read_peer(m: Json, settings: io.Settings) -> io.Event:
+def read_peer(m: Json, settings: Settings) -> Event:
     try:
-        return io.PeerMessage(read(m, "src_peer", int), bytes.fromhex(read(m, "data", str)))
+        return PeerMessage(read(m, "src_peer", int), bytes.fromhex(read(m, "data", str)))
     except ValueError as error:
         raise WireError("field 'data' is not hex") from error
 
 
-def read_probed(m: Json, settings: io.Settings) -> io.Event:
+def read_probed(m: Json, settings: Settings) -> Event:
     ending = word(m, "ending", OUTCOMES, int)
-    return io.Probed(read(m, "node", str), ending, read_report(m, settings))
+    return HealthCheckCompleted(read(m, "node", str), ending, read_report(m, settings))
 
 
-READERS: dict[str, Callable[[Json, io.Settings], io.Event]] = {
+READERS: dict[str, Callable[[Json, Settings], Event]] = {
     "NEW_REQUEST": read_arrival,
     "DONE": read_ended,
     "HINT_UPDATE": read_note,
     "FIRST": read_first,
     "DATAGRAM": read_peer,
     "SAMPLED": read_probed,
-    "LAPSED": lambda m, s: io.ClientGone(read(m, "req", str)),
-    "ELAPSED": lambda m, s: io.Timer(read(m, "name", int)),
+    "LAPSED": lambda m, s: ClientDisconnected(read(m, "req", str)),
+    "ELAPSED": lambda m, s: TimerExpired(read(m, "name", int)),
 }
 
 
-def write_action(action: io.Action) -> Json:
+def write_action(action: Action) -> Json:
     """An action in the wire's words. Raises ValueError for one that the wire has no word for."""
     match action:
-        case io.Send(query, engine, timeout):
+        case Send(query, engine, timeout):
             return {"event_type": "ISSUE", "req": query, "node": engine, "allow_for": timeout}
-        case io.Terms(query, memory, priority):
+        case UpdateAttempt(query, memory, priority):
             return {"event_type": "PROVIDE", "req": query, "workspace_mb": memory, "lane": priority}
-        case io.Cancel(query, attempt):
+        case Cancel(query, attempt):
             return {"event_type": "ABANDON", "req": query, "attempt": attempt}
-        case io.Refuse(query, retry_after):
+        case Reject(query, retry_after):
             return {"event_type": "SAY_NO", "req": query, "retry_after": retry_after}
-        case io.Fail(query):
+        case Fail(query):
             return {"event_type": "RESPOND_ERROR", "req": query}
-        case io.Probe(engine):
+        case CheckHealth(engine):
             return {"event_type": "HEALTH_CHECK", "node": engine}
-        case io.Subscribe(on):
+        case Subscribe(on):
             return {"event_type": "TAIL", "enable": on}
-        case io.Tell(data, peer):
+        case SendToPeer(data, peer):
             return {"event_type": "BROADCAST_TO", "neighbour_id": peer, "data": data.hex()}
-        case io.Wake(after, token):
+        case SetTimer(after, token):
             return {"event_type": "WAKE_ME", "offset": after, "name": token}
-        case io.LogLine(text):
+        case LogLine(text):
             return {"event_type": "LOG", "reason_text": text}
-        case io.Offered():
+        case DemandEstimate():
             raise ValueError("the wire has no word for what is offered")
 
 
@@ -157,8 +190,8 @@
     def __init__(self, out: TextIO) -> None:
         self.out = out
         self.instances: dict[int, Scheduler] = {}
-        self.pending: dict[int, list[io.Event]] = {}
-        self.lists: dict[int, tuple[io.Engine, ...]] = {}
+        self.pending: dict[int, list[Event]] = {}
+        self.lists: dict[int, tuple[Engine, ...]] = {}
         self.now = 0.0
         self.round = 0
 
@@ -203,15 +236,15 @@
         else:
             raise WireError(f"field 'event_type' names an unknown event: {name}")
 
-    def view(self, message: Json) -> io.Event:
+    def view(self, message: Json) -> Event:
         """A change of the engine list, resolved against the lists named so far."""
         form = read(message, "form", str)
         if form == "X":
-            return io.ListFailed()
+            return EngineListFailed()
         sheet = read(message, "sheet", int)
         if sheet not in self.lists:
             raise WireError(f"field 'sheet' names an unknown list: {sheet}")
-        return io.EngineList(self.lists[sheet], whole=form != "D")
+        return EngineList(self.lists[sheet], is_complete=form != "D")
 
     def reply(self) -> None:
         """Let every instance with events decide and write the reply."""
--- a/cottonhold/transport/event_loop.py
+++ b/cottonhold/transport/event_loop.py
@@ -21,7 +21,7 @@
 from cottonhold.node.admin_api import Calls
 from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import PeerMessage
 from cottonhold.transport.socket_factory import LACKING, LACKING_TO_CONNECT, OF_ONE_CONNECTION, MakeSocket
 
 CLIENT_BYTES, ENGINE_BYTES = 4096, 32768  # what one read takes
@@ -632,7 +632,7 @@
         self,
         sock: socket.socket,
         peers: Peers,
-        push: Callable[[io.PeerMessage], None],
+        push: Callable[[PeerMessage], None],
         others: Callable[[bytes, Address], bool] = lambda data, sender: False,
     ) -> None:
         """Take in datagrams from now on; `others` is offered each first, and says whether it was its own."""
--- a/tests/backend/test_attempt_begin.py
+++ b/tests/backend/test_attempt_begin.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cottonhold.backend.connection_pool import LEAST_MS, Attempt
-from cottonhold.scheduler.interface import EngineState, Outcome
+from cottonhold.scheduler.events import EngineState, Outcome
 from tests.support.scenario import World
 
 Change = Callable[[World, Attempt], None]
@@ -38,9 +38,9 @@
 CHANGES: dict[Change, Outcome] = {
     engine_drains: Outcome.CONNECT_FAILED,
     engine_is_gone: Outcome.CONNECT_FAILED,
-    time_is_over: Outcome.MOOT,
-    client_left: Outcome.MOOT,
-    another_is_current: Outcome.MOOT,
+    time_is_over: Outcome.ALREADY_FINISHED,
+    client_left: Outcome.ALREADY_FINISHED,
+    another_is_current: Outcome.ALREADY_FINISHED,
 }
 
 
--- a/tests/backend/test_engine_restarts.py
+++ b/tests/backend/test_engine_restarts.py
@@ -7,7 +7,7 @@
 from cottonhold.discovery.bus import SOURCE
 from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Address, Change, Guard, Observation, Publish, Report, Verdict
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import Engine
 from tests.support.scenario import World
 
 UNIX = 1_790_000_000_000.0
@@ -114,7 +114,7 @@
     world.run("c1 query lookup r1 allow=9000\ne1 expect GET r1 *")
     if not out:
         world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
-    moved = Change((io.Engine("a"),), {"a": Address("elsewhere", 1)}, whole=False)
+    moved = Change((Engine("a"),), {"a": Address("elsewhere", 1)}, whole=False)
     world.gateway.change_list(moved)
     world.run("c2 query lookup r2 allow=9000\ne2 expect GET r2 *\ne1 expect nothing")
     assert world.lines[0].connection.over is not out
--- a/tests/config/test_bad_relay.py
+++ b/tests/config/test_bad_relay.py
@@ -112,7 +112,7 @@
         assert dispatcher.config is config and dispatcher.gateway.events == events
         path.write_bytes(orjson.dumps(changed(USABLE, ("settings", "classes", 0, "aim"), 1500.0)))
         dispatcher.reload()
-        assert dispatcher.config.settings.classes[0].aim == 1500.0
+        assert dispatcher.config.settings.classes[0].latency_objective_ms == 1500.0
 
     asyncio.run(scenario())
     assert (counters.counts["reloads_failed"], counters.counts["reloads"]) == (1, 1)
--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -15,7 +15,9 @@
 from cottonhold.frontend.query_comment import table_group
 from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import SendToPeer, UpdateAttempt
+from cottonhold.scheduler.events import PeerMessage
+from cottonhold.scheduler.settings import Idempotency, Rules, Tenant
 from cottonhold.transport.event_loop import LoopClock
 from tests.conformance.rows import Direct, Machine, Row
 from tests.support.scenario import LOGIN, PERMITS, READ, SETTINGS, Client, World, packet
@@ -24,14 +26,21 @@
 LOAD_OUT = "c1 query load r1 allow=20000\ne1 expect GET r1 *\n"
 PING = "send 010000000e\n"
 SERVED = "served count=1 a|b|c/\nc1 expect rows a|b|c\n"
-BRIEF = replace(SETTINGS, classes=(replace(READ, name="brief", aim=100.0, deadline=400.0),))
+BRIEF = replace(
+    SETTINGS, classes=(replace(READ, name="brief", latency_objective_ms=100.0, deadline_ms=400.0),)
+)
 RENEWED = "Renewed terms, item {}".format
 TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-TENANTS = (io.Tenant("acme", 5.0), io.Tenant("zenith", 9.0))
-UNCANCELLED = replace(SETTINGS, permits=replace(PERMITS, cancel=False))
-KEYED = replace(UNCANCELLED, classes=(replace(READ, effect=io.Effect.KEYED, window=1000.0),))
+TENANTS = (Tenant("acme", 5.0), Tenant("zenith", 9.0))
+UNCANCELLED = replace(SETTINGS, features=replace(PERMITS, can_cancel=False))
+KEYED = replace(
+    UNCANCELLED,
+    classes=(replace(READ, idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_ms=1000.0),),
+)
 ONE_MORE = replace(
-    UNCANCELLED, rules=io.Rules(budget_free=1, budget_share=0.0, budget_window=1000.0), begin_late=250.0
+    UNCANCELLED,
+    rules=Rules(retry_budget_free=1, retry_budget_share=0.0, retry_budget_window_ms=1000.0),
+    max_connect_ms=250.0,
 )
 STATEMENT = "SELECT a FROM s_7.t WHERE b = '/* x */'"
 
@@ -153,16 +162,18 @@
 
 
 def peers_most() -> None:
-    assert peers().target(io.Tell(bytes(256), 1)) == Address("10.3.0.2", 7)
-    assert peers().target(io.Tell(bytes(257), 1)) is None and peers().target(io.Tell(bytes(257))) is None
+    assert peers().target(SendToPeer(bytes(256), 1)) == Address("10.3.0.2", 7)
+    assert (
+        peers().target(SendToPeer(bytes(257), 1)) is None and peers().target(SendToPeer(bytes(257))) is None
+    )
 
 
 def peers_all() -> None:
-    assert peers().target(io.Tell(b"x")) == Address("10.3.255.1", 7)
+    assert peers().target(SendToPeer(b"x")) == Address("10.3.255.1", 7)
 
 
 def peers_by_address() -> None:
-    assert peers().receive(b"x", ("10.3.0.2", 7)) == io.PeerMessage(1, b"x")
+    assert peers().receive(b"x", ("10.3.0.2", 7)) == PeerMessage(1, b"x")
     assert peers().receive(b"x", ("10.9.9.9", 7)) is None
 
 
@@ -185,13 +196,13 @@
 def sent_priority() -> None:
     world = World(engines="a").run("c1 query lookup r1 effort=100.0\ne1 expect GET * *order=1 *")
     request = world.gateway.requests[f"{1:016x}"]
-    world.gateway._carry_out(io.Terms(request.taken.ref, 0, 3))
+    world.gateway._carry_out(UpdateAttempt(request.taken.ref, 0, 3))
     world.wait(0)
     world.run("e1 expect RANK r1 3")
 
 
 def no_priority() -> None:
-    world = World(replace(SETTINGS, permits=replace(PERMITS, priorities=False)))
+    world = World(replace(SETTINGS, features=replace(PERMITS, has_priorities=False)))
     world.run("c1 query load r1 allow=20000\ne1 expect GET r1 *order=1 *")
     world.gateway.leave(world.clock.now() + 3000.0)
     world.wait(100)
@@ -398,7 +409,7 @@
         "and says nothing of it where the site gives its clients no such word",
         Machine(
             "c1 query load r1 allow=100\nc1 expect error 1226 query refused, it did not run or may be repeated",
-            replace(SETTINGS, permits=replace(PERMITS, retry_after=False)),
+            replace(SETTINGS, features=replace(PERMITS, has_retry_after=False)),
         ),
     ),
     Row(
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -18,13 +18,27 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Protocol
 
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import Action, Cancel, Fail, Reject, Send, Subscribe
+from cottonhold.scheduler.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Engine,
+    EngineList,
+    EngineListFailed,
+    EngineState,
+    Event,
+    Outcome,
+    QueryArrived,
+)
 from cottonhold.scheduler.scheduler import Scheduler
+from cottonhold.scheduler.settings import Features, MachineType, QueryClass, Rules, Settings
 from tests.support.scenario import SETTINGS, World
 
-LOOKUP = io.QueryClass("lookup", aim=1000, deadline=5000, worth=1.0)
-PERMITS = io.Permits(cancel=True, priorities=True, retry_after=True, max_retry_after=500.0, max_attempts=3)
-SITE = io.Settings((LOOKUP,), (io.Model(8, 16000.0),), permits=PERMITS, rules=io.Rules(warm_within=10000.0))
+LOOKUP = QueryClass("lookup", latency_objective_ms=1000, deadline_ms=5000, utility=1.0)
+PERMITS = Features(
+    can_cancel=True, has_priorities=True, has_retry_after=True, max_retry_after_ms=500.0, max_attempts=3
+)
+SITE = Settings((LOOKUP,), (MachineType(8, 16000.0),), features=PERMITS, rules=Rules(warm_up_ms=10000.0))
 STEP_MS = 10.0
 EXPECTS = re.compile(r"^(c\d+|e[\d.]+|any) (expect|closing|nothing)\b", re.MULTILINE)
 
@@ -64,11 +78,11 @@
     }
 
 
-def engine(text: str) -> io.Engine:
+def engine(text: str) -> Engine:
     """NAME[:FIELD=VALUE,...]: one line of the list."""
     name, _, rest = text.partition(":")
     given = fields(rest)
-    return io.Engine(name, **{**given, "state": io.EngineState(given.get("state", "live"))})
+    return Engine(name, **{**given, "state": EngineState(given.get("state", "live"))})
 
 
 @dataclass(slots=True)
@@ -79,35 +93,35 @@
     now: float = 0.0
     sent: dict[str, tuple[int, str]] = field(default_factory=dict)
 
-    def event(self, text: str) -> io.Event:
+    def event(self, text: str) -> Event:
         """An event's words as the event."""
         verb, *rest = text.split()
         if verb in ("list", "change"):
-            return io.EngineList(tuple(map(engine, rest)), whole=verb == "list")
+            return EngineList(tuple(map(engine, rest)), is_complete=verb == "list")
         if verb == "ask":
             given = fields(",".join(rest[1:]))
             kind, due = int(given.pop("kind", 0)), given.pop("allow", 5000.0) + self.now
-            return io.Arrival(rest[0], kind, due, **{"cost": 100.0, **given})
+            return QueryArrived(rest[0], kind, due, **{"estimated_work_ms": 100.0, **given})
         if verb == "end":
             attempt, at = self.sent[rest[0]]
-            return io.AttemptEnded(rest[0], attempt, at, io.Outcome(rest[1]), 10.0, final=rest[1] == "ok")
-        return io.ClientGone(rest[0]) if verb == "gone" else io.ListFailed()
+            return AttemptEnded(rest[0], attempt, at, Outcome(rest[1]), 10.0, is_final=rest[1] == "ok")
+        return ClientDisconnected(rest[0]) if verb == "gone" else EngineListFailed()
 
-    def word(self, action: io.Action) -> str:
+    def word(self, action: Action) -> str:
         """An action in the script's words; empty for those that a script does not name."""
         match action:
-            case io.Send(query, at):
+            case Send(query, at):
                 self.sent[query] = (self.sent[query][0] + 1 if query in self.sent else 0, at)
                 return f"send {query} {at}"
-            case io.Refuse(query) | io.Fail(query) | io.Cancel(query):
+            case Reject(query) | Fail(query) | Cancel(query):
                 return f"{type(action).__name__.lower()} {query}"
-            case io.Subscribe():
+            case Subscribe():
                 return "subscribe"
         return ""
 
     def line(self, at: float, events: str) -> list[str]:
         """Steps up to a time, then the events; what was done."""
-        done: list[io.Action] = []
+        done: list[Action] = []
         while self.now + STEP_MS < at:
             self.now += STEP_MS
             done += self.scheduler.step(self.now, [])
@@ -123,7 +137,7 @@
     """A script of events into Scheduler.step."""
 
     script: str
-    classes: tuple[io.QueryClass, ...] = (LOOKUP,)
+    classes: tuple[QueryClass, ...] = (LOOKUP,)
     site: dict[str, Any] = field(default_factory=dict)
     rules: dict[str, Any] = field(default_factory=dict)
     permits: dict[str, Any] = field(default_factory=dict)
@@ -133,7 +147,7 @@
             SITE,
             classes=self.classes,
             rules=replace(SITE.rules, **self.rules),
-            permits=replace(PERMITS, **self.permits),
+            features=replace(PERMITS, **self.permits),
             **self.site,
         )
         play = Play(Scheduler(site, 1))
@@ -161,7 +175,7 @@
     """A script for the gateway between fake clients and engines (tests/support/scenario.py)."""
 
     script: str
-    settings: io.Settings = SETTINGS
+    settings: Settings = SETTINGS
     engines: str = "a b"
 
     def run(self) -> None:
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -17,7 +17,7 @@
 from cottonhold.node.admin_api import Calls
 from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.log import BURST, Log
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import EngineListFailed
 from tests.support.drawn_cases import CASES, untroubled
 from tests.support.scenario import LOGIN, FakeClock, World, packet
 
@@ -155,7 +155,7 @@
     peers = Peers((Address("a", 1), Address("b", 1)), None, world.counters)
     message = peers.receive(data, ("abc"[sender], 1))
     assert (message is None) == (sender == 2 or len(data) > 256)
-    world.gateway.push(message or io.ListFailed())
+    world.gateway.push(message or EngineListFailed())
     world.wait(50.0)
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
     assert untroubled(world), world.log
--- a/tests/conformance/wire.py
+++ b/tests/conformance/wire.py
@@ -6,18 +6,20 @@
 
 from dataclasses import replace
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler.scheduler import Scheduler
+from cottonhold.scheduler.settings import DeduplicationScope, Idempotency, MachineType
 from tests.conformance.rows import LOOKUP, SITE, Direct, Module, Play, Row
 
-LOAD = replace(LOOKUP, name="load", effect=io.Effect.UNSAFE)
-KEYED = replace(LOOKUP, name="keyed", effect=io.Effect.KEYED, window=1000.0)
-ZONAL = replace(KEYED, group=io.Group.ZONE, window=4000.0)
-CELL = replace(KEYED, group=io.Group.CELL, window=4000.0)
-TURNS = replace(LOAD, in_order=True)
+LOAD = replace(LOOKUP, name="load", idempotency=Idempotency.NOT_IDEMPOTENT)
+KEYED = replace(
+    LOOKUP, name="keyed", idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_ms=1000.0
+)
+ZONAL = replace(KEYED, deduplication_scope=DeduplicationScope.ZONE, deduplication_window_ms=4000.0)
+CELL = replace(KEYED, deduplication_scope=DeduplicationScope.CELL, deduplication_window_ms=4000.0)
+TURNS = replace(LOAD, is_ordered_by_key=True)
 TWO = "0 list e1 e2\n"
-QUIET = {"key_quiet": 300.0}
-BUDGET = {"budget_free": 1, "budget_share": 0.1, "budget_window": 1000.0}
+QUIET = {"key_quiet_ms": 300.0}
+BUDGET = {"retry_budget_free": 1, "retry_budget_share": 0.1, "retry_budget_window_ms": 1000.0}
 TEN = "; ".join(f"ask q{i}" for i in range(10))
 SENT = ", ".join(f"send q{i}" for i in range(10))
 ALL_FAIL = "; ".join(f"end q{i} error" for i in range(10))
@@ -29,13 +31,13 @@
     play.line(1000.0, "list e1:started_at=990")
     for n in range(200):
         at = 1010.0 + 20 * n
-        for word in play.line(at, f"ask q{n} cost=200"):
+        for word in play.line(at, f"ask q{n} estimated_work_ms=200"):
             if word.startswith("send"):
                 sent.append(at)
                 play.line(at, f"end {word.split()[1]} ok")
     rules = SITE.rules
-    most = rules.cold_from * 8 * rules.overload_factor * rules.tip_after
-    assert sent and max(200 * sum(a <= t < a + rules.tip_after for t in sent) for a in sent) < most
+    most = rules.cold_capacity_share * 8 * rules.overload_factor * rules.overload_window_ms
+    assert sent and max(200 * sum(a <= t < a + rules.overload_window_ms for t in sent) for a in sent) < most
 
 
 RULE = "2 Obligations, rule {}, sentence {}".format
@@ -44,27 +46,27 @@
         "wire-answer-held",
         RULE(1, 1),
         "A query that was held to its end gets one final answer by its deadline, and no other",
-        Module("0 list\n5 ask q allow=500\n520 -> refuse q\n900 list e1\n1100 -> nothing"),
+        Module("0 list\n5 ask q allow=500\n520 -> reject q\n900 list e1\n1100 -> nothing"),
     ),
     Row(
         "wire-answer-timeout",
         RULE(1, 2),
         "An attempt that timed out at the deadline is answered in the same step",
-        Module("0 list e1\n5 ask q allow=400 -> send q\n405 end q timeout -> refuse q"),
+        Module("0 list e1\n5 ask q allow=400 -> send q\n405 end q timeout -> reject q"),
     ),
     Row(
         "wire-finished-not-sent",
         RULE(1, 3),
         "Nothing is sent for a query that was answered, or whose client has left",
         Module(
-            "0 list\n5 ask q allow=300; ask r\n300 -> refuse q\n310 gone r\n320 list e1 e2 -> nothing\n900 -> nothing"
+            "0 list\n5 ask q allow=300; ask r\n300 -> reject q\n310 gone r\n320 list e1 e2 -> nothing\n900 -> nothing"
         ),
     ),
     Row(
         "wire-due-counts",
         RULE(1, 6),
         "The query's own deadline counts, though its class allows longer",
-        Module("0 list\n5 ask q allow=400\n280 -> nothing\n410 -> refuse q"),
+        Module("0 list\n5 ask q allow=400\n280 -> nothing\n410 -> reject q"),
     ),
     Row(
         "wire-safe-repeat",
@@ -76,7 +78,7 @@
         "wire-safe-refused",
         RULE(2, 1),
         "and is refused after attempts that may have run",
-        Module(TWO + "5 ask q -> send q\n20 end q reset -> refuse q", permits={"max_attempts": 1}),
+        Module(TWO + "5 ask q -> send q\n20 end q reset -> reject q", permits={"max_attempts": 1}),
     ),
     *(
         Row(
@@ -100,7 +102,7 @@
         "wire-unsafe-refused",
         RULE(2, 2),
         "and may be refused when each attempt is proven not to have run",
-        Module(TWO + "5 ask q -> send q\n20 end q full -> refuse q", (LOAD,), permits={"max_attempts": 1}),
+        Module(TWO + "5 ask q -> send q\n20 end q full -> reject q", (LOAD,), permits={"max_attempts": 1}),
     ),
     Row(
         "wire-unsafe-any-doubt",
@@ -118,7 +120,7 @@
         "wire-keyed-window-over",
         RULE(2, 3),
         "and not past it, counted from the send",
-        Module(TWO + "5 ask q -> send q\n1010 end q reset -> refuse q\n1500 -> nothing", (KEYED,)),
+        Module(TWO + "5 ask q -> send q\n1010 end q reset -> reject q\n1500 -> nothing", (KEYED,)),
     ),
     *(
         Row(
@@ -143,13 +145,13 @@
         "wire-keyed-refusal-all",
         RULE(2, 3),
         "and is refused where all engines know it",
-        Module(TWO + "5 ask q -> send q\n20 end q reset -> refuse q", (KEYED,), permits={"max_attempts": 1}),
+        Module(TWO + "5 ask q -> send q\n20 end q reset -> reject q", (KEYED,), permits={"max_attempts": 1}),
     ),
     Row(
         "wire-one-attempt",
         RULE(2, 4),
         "A query has one attempt out at a time, however long it takes",
-        Module(TWO + "5 ask q allow=20000 -> send q\n9000 -> nothing", permits={"cancel": False}),
+        Module(TWO + "5 ask q allow=20000 -> send q\n9000 -> nothing", permits={"can_cancel": False}),
     ),
     *(
         Row(
@@ -184,7 +186,7 @@
         "Of one key one query runs, in the order in which they came; other keys and none go on",
         Module(
             TWO
-            + "5 ask a order_key=k; ask b order_key=k; ask c order_key=j; ask d -> send a, send c, send d\n"
+            + "5 ask a ordering_key=k; ask b ordering_key=k; ask c ordering_key=j; ask d -> send a, send c, send d\n"
             "50 end a ok -> send b",
             (TURNS,),
         ),
@@ -195,9 +197,9 @@
         "A query of a key waits also for the attempt of one whose client has left",
         Module(
             TWO
-            + "5 ask a order_key=k; ask b order_key=k -> send a\n20 gone a\n200 -> nothing\n210 end a ok -> send b",
+            + "5 ask a ordering_key=k; ask b ordering_key=k -> send a\n20 gone a\n200 -> nothing\n210 end a ok -> send b",
             (TURNS,),
-            permits={"cancel": False},
+            permits={"can_cancel": False},
         ),
     ),
     *(
@@ -206,7 +208,7 @@
             RULE(5, 2),
             f"After {how} its key rests for the told time before the next one goes out",
             Module(
-                TWO + f"5 ask a order_key=k; ask b order_key=k -> send a\n100 end a {how} -> fail a\n"
+                TWO + f"5 ask a ordering_key=k; ask b ordering_key=k -> send a\n100 end a {how} -> fail a\n"
                 "390 -> nothing\n510 -> send b",
                 (TURNS,),
                 rules=QUIET,
@@ -219,7 +221,8 @@
         RULE(5, 3),
         "Classes in order share their keys",
         Module(
-            TWO + "5 ask a kind=0 order_key=k; ask b kind=1 order_key=k -> send a\n50 end a ok -> send b",
+            TWO
+            + "5 ask a kind=0 ordering_key=k; ask b kind=1 ordering_key=k -> send a\n50 end a ok -> send b",
             (TURNS, replace(TURNS, name="other")),
         ),
     ),
@@ -228,8 +231,8 @@
         RULE(5, 6),
         "A query's own next attempt does not wait for its key's rest",
         Module(
-            TWO + "5 ask a order_key=k -> send a\n50 end a reset -> send a",
-            (replace(TURNS, effect=io.Effect.SAFE),),
+            TWO + "5 ask a ordering_key=k -> send a\n50 end a reset -> send a",
+            (replace(TURNS, idempotency=Idempotency.IDEMPOTENT),),
             rules=QUIET,
         ),
     ),
@@ -248,9 +251,9 @@
         RULE(6, 2),
         "One that names kinds only may be in any zone",
         Module(
-            "0 list e1:model=0 e2:model=1,zone=3\n5 ask q; ask r -> send q e2, send r e2",
-            (replace(LOOKUP, models=(1,)),),
-            site={"models": (io.Model(8, 16000.0), io.Model(8, 16000.0))},
+            "0 list e1:machine_type=0 e2:machine_type=1,zone=3\n5 ask q; ask r -> send q e2, send r e2",
+            (replace(LOOKUP, machine_types=(1,)),),
+            site={"machine_types": (MachineType(8, 16000.0), MachineType(8, 16000.0))},
         ),
     ),
     Row(
@@ -263,7 +266,7 @@
             + f" -> {SENT}\n20 "
             + ALL_FAIL
             + " -> send q0, send q1, "
-            + ", ".join(f"refuse q{i}" for i in range(2, 10)),
+            + ", ".join(f"reject q{i}" for i in range(2, 10)),
             rules=BUDGET,
         ),
     ),
@@ -272,7 +275,7 @@
         "15 Parameters, caps.most_tries",
         "No more attempts than the site allows",
         Module(
-            TWO + "5 ask q -> send q\n20 end q full -> send q\n30 end q full -> refuse q",
+            TWO + "5 ask q -> send q\n20 end q full -> send q\n30 end q full -> reject q",
             permits={"max_attempts": 2},
         ),
     ),
@@ -280,13 +283,16 @@
         "wire-no-cancel",
         "17 Protocol errors, sentence 1",
         "Nothing is cancelled where the settings do not allow it",
-        Module(TWO + "5 ask q allow=20000 -> send q\n4000 -> nothing", permits={"cancel": False}),
+        Module(TWO + "5 ask q allow=20000 -> send q\n4000 -> nothing", permits={"can_cancel": False}),
     ),
     Row(
         "wire-list-asked",
         "7 Discovery, TAIL",
         "Where the list has to be asked for it is asked for at once, and again after a failure",
-        Module("0 list e1 -> subscribe\n10 fails -> nothing\n900 -> subscribe", permits={"ask_list": True}),
+        Module(
+            "0 list e1 -> subscribe\n10 fails -> nothing\n900 -> subscribe",
+            permits={"polls_engine_list": True},
+        ),
     ),
     Row(
         "wire-lapsed",
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -30,7 +30,7 @@
 from cottonhold.node.consul_client import LagMeter
 from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.structured import StructuredLog
-from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.events import EngineState
 from tests.support.scenario import LOGIN, packet
 
 LIVE, DRAINING = EngineState.LIVE, EngineState.DRAINING
--- a/tests/discovery/test_engine_catalog.py
+++ b/tests/discovery/test_engine_catalog.py
@@ -22,10 +22,9 @@
     Report,
     Verdict,
 )
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.events import Engine, EngineState
 
-LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.GONE
+LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.REMOVED
 IN, TROUBLED, DRAINED, ENDED = Verdict.IN, Verdict.TROUBLED, Verdict.DRAINED, Verdict.ENDED
 GUARD = Guard(jitter=0.0)
 
@@ -41,7 +40,7 @@
 
     def __init__(self, *sources: tuple[str, Guard], seed: int = 1) -> None:
         self.belief = Belief(sources or (("dc1", GUARD),), seed)
-        self.engines: dict[str, io.Engine] = {}
+        self.engines: dict[str, Engine] = {}
         self.addresses: dict[str, Address] = {}
         self.published: list[tuple[float, str, EngineState]] = []
         self.actions: list[Action] = []
@@ -169,7 +168,7 @@
     told = Told()
     told.tell(*five())
     told.tell(*five()[1:], seen("e0", registered=9), at=5000)
-    assert told.engines["e0"] == io.Engine("e0", started_at=5000.0)
+    assert told.engines["e0"] == Engine("e0", started_at=5000.0)
 
 
 def test_an_old_id_at_a_new_address_is_a_new_process() -> None:
@@ -233,7 +232,7 @@
     told.tell(*five(), seen("e9"), source="b")
     actions = told.belief.reload(2000.0, (("a", GUARD),))
     (publish,) = [a for a in actions if isinstance(a, Publish)]
-    assert publish.change.engines == (io.Engine("e9", state=GONE),)
+    assert publish.change.engines == (Engine("e9", state=GONE),)
 
 
 def test_the_trusted_bus_is_taken_at_its_word() -> None:
--- a/tests/discovery/test_start_times.py
+++ b/tests/discovery/test_start_times.py
@@ -14,13 +14,13 @@
 from cottonhold.discovery.source_view import MOST_ENDED
 from cottonhold.discovery.start_times import Starts
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import EngineList
 from cottonhold.transport.event_loop import ORIGIN_MS, LoopClock
 from tests.scheduler.test_scheduler import RULES, settings
 
 STEPS = [0.0, 5.0, -5.0, 3600.0, -3600.0]  # seconds that a wall clock is stepped by
 UNIX, DAY = 1_790_000_000_000.0, 86_400_000.0
-WARM = RULES.warm_within
+WARM = RULES.warm_up_ms
 
 
 class Machine:
@@ -74,7 +74,7 @@
         now = self.machine.clock.now()
         for action in self.belief.step(now, reports):
             if isinstance(action, Publish):
-                self.module.step(now, [io.EngineList(action.change.engines, whole=False)])
+                self.module.step(now, [EngineList(action.change.engines, is_complete=False)])
 
     def wait(self, seconds: float, step: float = 0.0) -> None:
         self.machine.up_s += seconds
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -11,58 +11,66 @@
 from cottonhold.fleet.coordinator import Fleet, FleetSettings, Priced
 from cottonhold.fleet.zone_failover.operator_overrides import Mode
 from cottonhold.node.gateway import Taken
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import DemandEstimate, Reject
+from cottonhold.scheduler.events import AdmissionThreshold
+from cottonhold.scheduler.settings import Features
 from tests.scheduler.test_scheduler import LOOKUP, answers, arrival, settings, started
 from tests.support.scenario import World
 
-FREE = io.Price()
+FREE = AdmissionThreshold()
 
 
 @pytest.mark.parametrize(
     "price, draw, refused",
     [
         (FREE, 0.9, False),
-        (io.Price(2.0, 3.0, 0.0, 1e9), None, False),  # nobody prices here
-        (io.Price(0.1, 0.2, 0.0, 1e9), 0.0, False),  # worth more than the price
-        (io.Price(2.0, 3.0, 1.0, 1e9), 0.0, True),
-        (io.Price(0.9, 1.1, 0.5, 1e9), 0.4, False),  # at the price: by its draw
-        (io.Price(0.9, 1.1, 0.5, 1e9), 0.6, True),
-        (io.Price(2.0, 3.0, 0.0, 5.0), 0.9, False),  # the price has run out
+        (AdmissionThreshold(2.0, 3.0, 0.0, 1e9), None, False),  # nobody prices here
+        (AdmissionThreshold(0.1, 0.2, 0.0, 1e9), 0.0, False),  # worth more than the price
+        (AdmissionThreshold(2.0, 3.0, 1.0, 1e9), 0.0, True),
+        (AdmissionThreshold(0.9, 1.1, 0.5, 1e9), 0.4, False),  # at the price: by its draw
+        (AdmissionThreshold(0.9, 1.1, 0.5, 1e9), 0.6, True),
+        (AdmissionThreshold(2.0, 3.0, 0.0, 5.0), 0.9, False),  # the price has run out
     ],
     ids=["none", "no draw", "above", "below", "within the share", "beyond the share", "run out"],
 )
 def test_a_price_turns_away_what_is_worth_less_a_ms_of_work(
-    price: io.Price, draw: float | None, refused: bool
+    price: AdmissionThreshold, draw: float | None, refused: bool
 ) -> None:
-    cls = dataclasses.replace(LOOKUP, worth=60.0)
+    cls = dataclasses.replace(LOOKUP, utility=60.0)
     s = started(settings(classes=(cls,)), "e1")
     s.step(4.0, [price])
-    come = dataclasses.replace(arrival("q", cost=60.0), draw=draw)
+    come = dataclasses.replace(arrival("q", estimated_work_ms=60.0), admission_draw=draw)
     actions = s.step(6.0, [come])
-    assert [type(a) for a in answers(actions)] == ([io.Refuse] if refused else [])
-    offered = [a for a in actions if isinstance(a, io.Offered)]
-    assert offered == ([] if draw is None else [io.Offered("q", 60.0, 60.0)])
+    assert [type(a) for a in answers(actions)] == ([Reject] if refused else [])
+    offered = [a for a in actions if isinstance(a, DemandEstimate)]
+    assert offered == ([] if draw is None else [DemandEstimate("q", 60.0, 60.0)])
 
 
 @pytest.mark.parametrize(
     "prices, most, told",
     [
-        ([io.Price(2.0, 3.0, 1.0, 1e9)], 1000.0, 400.0),
-        ([io.Price(2.0, 3.0, 1.0, 1e9, 700.0)], 1000.0, 700.0),
-        ([io.Price(2.0, 3.0, 1.0, 1e9, 700.0)], 300.0, 300.0),
-        ([io.Price(2.0, 3.0, 1.0, 1e9, 700.0), io.Price(2.0, 3.0, 1.0, 1e9)], 1000.0, 400.0),
+        ([AdmissionThreshold(2.0, 3.0, 1.0, 1e9)], 1000.0, 400.0),
+        ([AdmissionThreshold(2.0, 3.0, 1.0, 1e9, 700.0)], 1000.0, 700.0),
+        ([AdmissionThreshold(2.0, 3.0, 1.0, 1e9, 700.0)], 300.0, 300.0),
+        (
+            [AdmissionThreshold(2.0, 3.0, 1.0, 1e9, 700.0), AdmissionThreshold(2.0, 3.0, 1.0, 1e9)],
+            1000.0,
+            400.0,
+        ),
     ],
     ids=["none", "as the fleet says", "as much as is allowed", "no longer"],
 )
 def test_who_is_turned_away_hears_the_fleets_cooldown(
-    prices: list[io.Price], most: float, told: float
+    prices: list[AdmissionThreshold], most: float, told: float
 ) -> None:
-    cls = dataclasses.replace(LOOKUP, worth=60.0)
-    permits = io.Permits(retry_after=True, max_retry_after=most)
-    s = started(settings(classes=(cls,), permits=permits), "e1")
+    cls = dataclasses.replace(LOOKUP, utility=60.0)
+    permits = Features(has_retry_after=True, max_retry_after_ms=most)
+    s = started(settings(classes=(cls,), features=permits), "e1")
     s.step(4.0, list(prices))
-    found = answers(s.step(6.0, [dataclasses.replace(arrival("q", cost=60.0), draw=0.0)]))
-    assert [a.retry_after for a in found if isinstance(a, io.Refuse)] == [told]
+    found = answers(
+        s.step(6.0, [dataclasses.replace(arrival("q", estimated_work_ms=60.0), admission_draw=0.0)])
+    )
+    assert [a.retry_after_ms for a in found if isinstance(a, Reject)] == [told]
 
 
 class Notes:
@@ -94,12 +102,14 @@
     "engines, price, heard",
     [
         ("a", FREE, ["offered", "let in False", "sent"]),
-        ("a", io.Price(1e9, 1e9, 0.0, 1e9), ["offered"]),
+        ("a", AdmissionThreshold(1e9, 1e9, 0.0, 1e9), ["offered"]),
         ("", FREE, ["offered", "let in True"]),
     ],
     ids=["sent", "turned away", "ran out of time"],
 )
-def test_the_gateway_tells_what_became_of_requests(engines: str, price: io.Price, heard: list[str]) -> None:
+def test_the_gateway_tells_what_became_of_requests(
+    engines: str, price: AdmissionThreshold, heard: list[str]
+) -> None:
     world, notes = World(engines=engines), Notes()
     world.gateway.watch = notes
     world.gateway.push(price)
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -21,8 +21,7 @@
 from cottonhold.fleet_adapters import write_queue
 from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.structured import StructuredLog
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import EngineState
+from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store import ledger
 from cottonhold.store.records import MOST, Hint, Kind, Record
 from tests.observe.test_metrics import FILE, FLEET, VOTERS
@@ -33,7 +32,7 @@
 def change(*engines: tuple[str, int, EngineState], whole: bool = False, port: int = 7000) -> Change:
     """Engines by name, number of the zone and state; each at a port of its own."""
     made = tuple(
-        io.Engine(id, zone=zone, model=1, cell=3, state=state, size=2.0) for id, zone, state in engines
+        Engine(id, zone=zone, machine_type=1, cell=3, state=state, size=2.0) for id, zone, state in engines
     )
     return Change(made, {e.id: Address("10.0.0.1", port + int(e.id[1:])) for e in made}, whole)
 
@@ -49,7 +48,7 @@
     return folder
 
 
-LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.GONE
+LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.REMOVED
 FIRST = change(("e1", 0, LIVE), ("e2", 1, LIVE))
 
 
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -41,7 +41,7 @@
 from cottonhold.fleet.rolling_replacement.start_conditions import Starts
 from cottonhold.fleet.rolling_replacement.step_decision import StepSettings, View, decide
 from cottonhold.fleet.zone_failover.messages import ROOM, WordError
-from cottonhold.scheduler.interface import Engine, EngineState
+from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store import records as kept_records
 from cottonhold.store.records import TRUST, Kind, Trust
 
@@ -233,8 +233,8 @@
     back = held.free("a", 70.0)
     assert back is not None and back.engines == (Engine("a", zone=1, started_at=70.0),)
     assert held.free("a") is None
-    again = held.take(Change((a, Engine("b", state=EngineState.GONE)), {}, whole=False))
-    assert again.engines[0].started_at == 70.0 and again.engines[1].state is EngineState.GONE
+    again = held.take(Change((a, Engine("b", state=EngineState.REMOVED)), {}, whole=False))
+    assert again.engines[0].started_at == 70.0 and again.engines[1].state is EngineState.REMOVED
     assert set(held.known) == {"a"} and held.hold("z") is None
 
 
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -24,7 +24,7 @@
 from cottonhold.node.gateway import Gateway, Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import FakeClock
 
 ME, X, Y = 11, 12, 13
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -14,7 +14,7 @@
 from cottonhold.fleet_adapters.load_records import Loads
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 from cottonhold.store.ledger import Health, Ledger, State
 from cottonhold.store.records import LoadRecord, LoadState, Record
 from tests.support.scenario import FakeClock
@@ -106,7 +106,7 @@
         (Outcome.ERROR, LoadState.FAILED),
         (Outcome.RESET, LoadState.FAILED),
         (Outcome.TIMEOUT, LoadState.FAILED),
-        (Outcome.FULL, LoadState.NEVER),
+        (Outcome.OVERLOADED, LoadState.NEVER),
         (Outcome.CONNECT_FAILED, LoadState.NEVER),
         (None, LoadState.NEVER),
     ],
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -17,7 +17,7 @@
 from cottonhold.fleet_adapters.load_records import Loads, kept_loads
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 from cottonhold.store.ledger import Health, Ledger, State
 from cottonhold.store.records import Record, loads
 from tests.support.scenario import FakeClock
@@ -142,7 +142,7 @@
         request.over = True
         if outcome is Outcome.OK:
             self.ended_well.add(request.load)
-        if outcome is Outcome.FULL:
+        if outcome is Outcome.OVERLOADED:
             self.ran[request.load] -= 1
         self.loads.ended(request.attempt, outcome)
         self.loads.closed(request.attempt.query)
@@ -194,7 +194,7 @@
         assert self.ran[99] == 1
 
 
-ENDS = [Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.FULL]
+ENDS = [Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.OVERLOADED]
 STEP = st.one_of(
     st.tuples(st.just("ask"), st.integers(1, 3)),
     st.tuples(st.just("ask"), st.integers(1, 3)),
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -24,7 +24,7 @@
 from cottonhold.node import status
 from cottonhold.node.gateway import Taken
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import AttemptEnded, Outcome
 from cottonhold.transport.event_loop import Driver
 from tests.support.scenario import FakeClock
 
@@ -52,16 +52,16 @@
 @pytest.mark.parametrize(
     "outcome, left",  # each bad end 1 ms after the attempt, whose usual time is 20 ms
     [
-        (io.Outcome.CONNECT_FAILED, True),
-        (io.Outcome.RESET, True),
-        (io.Outcome.ERROR, True),
-        (io.Outcome.TIMEOUT, False),
-        (io.Outcome.FULL, False),
-        (io.Outcome.MOOT, False),
-        (io.Outcome.CANCELLED, False),
+        (Outcome.CONNECT_FAILED, True),
+        (Outcome.RESET, True),
+        (Outcome.ERROR, True),
+        (Outcome.TIMEOUT, False),
+        (Outcome.OVERLOADED, False),
+        (Outcome.ALREADY_FINISHED, False),
+        (Outcome.CANCELLED, False),
     ],
 )
-def test_how_attempts_end_decides_whether_a_zone_is_left(outcome: io.Outcome, left: bool) -> None:
+def test_how_attempts_end_decides_whether_a_zone_is_left(outcome: Outcome, left: bool) -> None:
     clock = FakeClock()
     rim, bounds = make(clock)
     for n in range(300):
@@ -70,9 +70,7 @@
         rim.arrived(Taken(f"q{n}", 0, "lookup", clock.now(), 1000.0, 0.0, 0.0, -1, None, False, b""))
         rim.sent(attempt, 0)
         bad = n >= 100 and engine[0] == "a"
-        end = io.AttemptEnded(
-            attempt.query, 0, engine, outcome if bad else io.Outcome.OK, 1.0 if bad else 20.0
-        )
+        end = AttemptEnded(attempt.query, 0, engine, outcome if bad else Outcome.OK, 1.0 if bad else 20.0)
         rim.ended(attempt, end)
         clock.run_until(clock.now() + 5.0, lambda: None)
     assert (rim.fleet.zones.states["a"].phase is Phase.OUT) is left
--- a/tests/frontend/test_client_departure.py
+++ b/tests/frontend/test_client_departure.py
@@ -6,15 +6,17 @@
 
 import pytest
 
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.settings import Idempotency
 from tests.support.scenario import LOAD, PERMITS, READ, SETTINGS, World
 
-KEYED = replace(READ, name="keyed", effect=io.Effect.KEYED, window=4000.0)
+KEYED = replace(
+    READ, name="keyed", idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_ms=4000.0
+)
 CLASSES = (READ, LOAD, KEYED)
-FEW = replace(PERMITS, cancel=False, priorities=False, retry_after=False, max_attempts=2)
+FEW = replace(PERMITS, can_cancel=False, has_priorities=False, has_retry_after=False, max_attempts=2)
 SITES = {
     "much allowed": replace(SETTINGS, classes=CLASSES),
-    "little allowed": replace(SETTINGS, classes=CLASSES, permits=FEW),
+    "little allowed": replace(SETTINGS, classes=CLASSES, features=FEW),
 }
 LEAVES = {"closes": "c1 close", "kills": "c8 say KILL QUERY 1"}
 NAMES = ("lookup", "load", "keyed")
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -18,7 +18,7 @@
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import Engine
 from cottonhold.transport.event_loop import Driver, Wire
 from tests.frontend.test_client_departure import SITES
 from tests.support.scenario import LOGIN, packet
@@ -41,7 +41,7 @@
         self.connecting: list[Connection] = []
         self.clients: list[socket.socket] = []
         self.engine: socket.socket | None = None
-        engine = io.Engine("a")
+        engine = Engine("a")
         self.gateway.change_list(Change((engine,), {"a": Address("a", 1)}, True))
 
     def connect(self, address: Address, connection: Connection) -> Wire:
--- a/tests/node/test_engine_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -9,7 +9,7 @@
 from cottonhold.discovery.bus import SOURCE
 from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Address, Change, Guard, Observation, Publish, Report, Verdict
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import Engine, EngineState
 from tests.support.scenario import World, packet
 
 LEFT = ["draining", "gone"]
@@ -69,8 +69,8 @@
     world.unmet.append("new")
 
     def change() -> None:
-        left = [io.Engine(name, state=io.EngineState(state)) for name in ("a", "b")]
-        world.gateway.change_list(Change((*left, io.Engine("new")), {"new": Address("new", 1)}, whole=False))
+        left = [Engine(name, state=EngineState(state)) for name in ("a", "b")]
+        world.gateway.change_list(Change((*left, Engine("new")), {"new": Address("new", 1)}, whole=False))
 
     cross(world, change)
     world.wait(400)
@@ -81,10 +81,10 @@
 def test_a_new_engine_at_the_address_of_one_that_goes_gets_a_connection_of_its_own(together: bool) -> None:
     """The old one's answer to what was out may still come, and counts once."""
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *")
-    gone, new = io.Engine("a", state=io.EngineState.GONE), io.Engine("fresh", started_at=900.0)
+    gone, new = Engine("a", state=EngineState.REMOVED), Engine("fresh", started_at=900.0)
     at = {"fresh": Address("a", 1)}
     world.unmet.append("a")
-    changes: list[tuple[io.Engine, ...]] = [(gone, new)] if together else [(gone,), (new,)]
+    changes: list[tuple[Engine, ...]] = [(gone, new)] if together else [(gone,), (new,)]
     for engines in changes:
         world.gateway.change_list(Change(engines, at, whole=False))
     world.run(f"c2 query lookup r2\ne1 send r1 {SERVED}")
@@ -97,7 +97,7 @@
 def test_a_drained_engine_that_is_ready_again_gets_work_again(started: float) -> None:
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining")
     world.run(f"c2 query lookup r2\ntime wait 300\ne1 expect nothing\ne1 send r1 {SERVED}")
-    world.gateway.change_list(Change((io.Engine("a", started_at=started),), {}, whole=False))
+    world.gateway.change_list(Change((Engine("a", started_at=started),), {}, whole=False))
     world.wait(3000)
     assert any(words[1] == b"%016x" % 2 for line in world.lines for words in line.heard)
 
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -9,7 +9,7 @@
 from cottonhold.backend.connection_pool import IDLE_MARGIN_MS, MOST_GIVEN_UP
 from cottonhold.frontend.mysql_session import CHECK_MS, MOST_PACKET
 from cottonhold.node.lifecycle import LEAVE_MS
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import LOGIN, Client, World, packet
 
 SCENARIOS = {
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -8,7 +8,7 @@
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.node.gateway import Past, Settled, Taken
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import World
 
 
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -9,7 +9,7 @@
 
 from cottonhold.config.relay import load
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.settings import DeduplicationScope, Idempotency, Rules
 from tests.frontend.test_client_departure import NAMES, SITES, Turns, nothing_left
 from tests.node.test_small_parts import write
 from tests.support.scenario import READ, SETTINGS, World
@@ -39,7 +39,12 @@
 
 def keyed(group: str) -> World:
     """Two engines, of one cell, and a class whose repeats they drop for a time."""
-    cls = replace(READ, effect=io.Effect.KEYED, group=io.Group(group), window=WINDOW_MS)
+    cls = replace(
+        READ,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope(group),
+        deduplication_window_ms=WINDOW_MS,
+    )
     return World(replace(SETTINGS, classes=(cls,)))
 
 
@@ -69,9 +74,9 @@
 @pytest.mark.parametrize("gap", [300, 980, 1020, 1200, 1270, 1600])
 def test_no_two_further_attempts_begin_within_the_span_of_an_allowance_of_one(gap: int, connect: int) -> None:
     """Counted when they begin, which a connect puts off."""
-    rules = io.Rules(budget_free=1, budget_share=0.0, budget_window=SPAN_MS)
-    few = replace(SETTINGS.permits, cancel=False)
-    world = World(replace(SETTINGS, rules=rules, permits=few, begin_late=SEND_LATE_MS))
+    rules = Rules(retry_budget_free=1, retry_budget_share=0.0, retry_budget_window_ms=SPAN_MS)
+    few = replace(SETTINGS.features, can_cancel=False)
+    world = World(replace(SETTINGS, rules=rules, features=few, max_connect_ms=SEND_LATE_MS))
     world.run("c1 query lookup r1\ne1 expect GET r1 *\ne2 will vanish\ne1 send r1 overload -")
     world.run(f"time wait {connect}\ne2 will up\ntime wait 0\ne2 expect GET r1 *")
     world.run(f"time wait {gap - connect - 10}\nc2 query lookup r2")
@@ -86,7 +91,7 @@
 
 def test_the_settings_of_a_dispatcher_say_how_late_an_attempt_may_begin(tmp_path: Path) -> None:
     config = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
-    assert config.settings.begin_late == config.links.connect_ms > 0
+    assert config.settings.max_connect_ms == config.links.connect_ms > 0
 
 
 @pytest.mark.parametrize("before", [True, False])
@@ -119,7 +124,7 @@
 def test_no_request_has_more_attempts_than_the_settings_allow(name: str, most: int) -> None:
     """Each is turned away, so that each could go out again."""
     site = SITES["little allowed"]
-    world = Turns(replace(site, permits=replace(site.permits, max_attempts=most)), engines="a b c d")
+    world = Turns(replace(site, features=replace(site.features, max_attempts=most)), engines="a b c d")
     world.run(f"c1 query {name} r1 allow=20000")
     for _ in range(most):
         (line,) = [line for line in world.lines if line.heard]
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -9,8 +9,8 @@
 from cottonhold.backend.connection_pool import Attempt, Connection, Engines, Place
 from cottonhold.frontend.mysql_session import Session
 from cottonhold.node.gateway import Past, Settled, Taken
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.actions import Action, Reject, Send
+from cottonhold.scheduler.events import Event, Outcome
 from tests.frontend.test_client_departure import SITES, Turns, left_over
 from tests.node.test_load_guard import Guard
 
@@ -28,16 +28,18 @@
         for client in ("c1", "c2", "c9"):
             self.client(client)
 
-    def broken(self, now: float, events: Iterable[io.Event]) -> list[io.Action]:
+    def broken(self, now: float, events: Iterable[Event]) -> list[Action]:
         actions = self.step(now, self.spoilt(events))
         if self.fails == "behind the events" and self.faults < 3:
             self.fail()
         return actions
 
-    def spoilt(self, events: Iterable[io.Event]) -> Iterator[io.Event]:
+    def spoilt(self, events: Iterable[Event]) -> Iterator[Event]:
         for event in events:
-            over = getattr(event, "outcome", None) is Outcome.MOOT  # which tells no more than that
-            if self.fails == type(event).__name__ and getattr(event, "query", "") == BAD and not over:
+            over = (
+                getattr(event, "outcome", None) is Outcome.ALREADY_FINISHED
+            )  # which tells no more than that
+            if self.fails == type(event).__name__ and getattr(event, "query_id", "") == BAD and not over:
                 self.fail()
             yield event
 
@@ -56,7 +58,7 @@
 
 
 def test_an_arrival_that_fails_ends_that_request_and_the_others_go_out() -> None:
-    world = Faulty("Arrival")
+    world = Faulty("QueryArrived")
     world.run("""
         turn begins now
         c1 query lookup r1
@@ -74,7 +76,7 @@
 
 
 def test_a_change_of_the_list_behind_a_fault_still_holds() -> None:
-    world = Faulty("Arrival")
+    world = Faulty("QueryArrived")
     world.run("""
         c1 query lookup r1
         e1 expect GET r1 *
@@ -115,7 +117,7 @@
     world.gateway.scheduler.queries.clear()
     world.gateway.scheduler.homeless.clear()
     world.gateway.scheduler.deadlines.heap.clear()
-    world.fails = "Arrival"
+    world.fails = "QueryArrived"
     world.run("c9 query lookup r9\nc9 expect error 1105 *\ntime wait 950\nc1 expect error 1105 *")
     world.settled()
 
@@ -136,8 +138,8 @@
     world = Faulty("")
     carried_out = getattr(world.gateway, name)
 
-    def broken(action: io.Send | io.Refuse) -> None:
-        if action.query == BAD:
+    def broken(action: Send | Reject) -> None:
+        if action.query_id == BAD:
             world.fail()
         carried_out(action)
 
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -15,8 +15,9 @@
 from cottonhold.config.relay import ConfigError, load
 from cottonhold.node.dispatcher import Dispatcher
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler import slow_start
+from cottonhold.scheduler.events import Outcome, SettingsChanged
+from cottonhold.scheduler.settings import Idempotency, QueryClass
 from tests.node.test_small_parts import CONFIG, write
 from tests.scheduler.test_scheduler import LOOKUP, arrival, ended, engines, sends, settings
 from tests.support.scenario import LOAD, PERMITS, READ, SETTINGS, World
@@ -101,10 +102,10 @@
 
 def test_a_request_whose_attempt_was_out_as_its_time_came_up_is_answered_after_a_change_too() -> None:
     """Times are looked at the earlier, the longer a tick is; the change made it a short one."""
-    few = dataclasses.replace(PERMITS, cancel=False)
-    long = dataclasses.replace(SETTINGS, permits=few, tick=50.0)
+    few = dataclasses.replace(PERMITS, can_cancel=False)
+    long = dataclasses.replace(SETTINGS, features=few, tick_ms=50.0)
     world = World(long).run("c1 query load r1 allow=2000,effort=20.0\ne1 expect GET r1 *\ntime wait 1425")
-    world.gateway.retune(dataclasses.replace(long, tick=5.0))
+    world.gateway.retune(dataclasses.replace(long, tick_ms=5.0))
     world.run("list tell e1 draining\nlist tell e2 draining\ne1 send r1 overload -\nc1 expect nothing")
     world.run("time wait 175\nc1 expect error 1226 *")
 
@@ -112,9 +113,14 @@
 def teach(s: Scheduler, at: float, place: int, cost: float) -> None:
     for i in range(30):
         name = f"t{at}-{place}-{i}"
-        ((_, engine),) = sends(s.step(at, [arrival(name, due=at + 5000, cost=100.0, query_class=place)]))
+        ((_, engine),) = sends(
+            s.step(at, [arrival(name, deadline_at=at + 5000, estimated_work_ms=100.0, query_class=place)])
+        )
         at += 50
-        s.step(at, [ended(name, io.Outcome.OK, engine=engine, final=True, cost=cost, elapsed=cost)])
+        s.step(
+            at,
+            [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=cost, elapsed_ms=cost)],
+        )
 
 
 @pytest.mark.parametrize(
@@ -122,22 +128,22 @@
     [
         ((READ, LOOKUP), (None, 0)),  # moved behind a new one
         ((dataclasses.replace(LOOKUP, name="other"), READ), (None, None)),  # renamed
-        ((dataclasses.replace(LOOKUP, effect=io.Effect.UNSAFE),), (None,)),
-        ((dataclasses.replace(LOOKUP, deadline=LOOKUP.deadline / 2),), (None,)),
+        ((dataclasses.replace(LOOKUP, idempotency=Idempotency.NOT_IDEMPOTENT),), (None,)),
+        ((dataclasses.replace(LOOKUP, deadline_ms=LOOKUP.deadline_ms / 2),), (None,)),
     ],
 )
 def test_what_was_learned_of_a_class_goes_to_no_other(
-    after: tuple[io.QueryClass, ...], places: tuple[int | None, ...]
+    after: tuple[QueryClass, ...], places: tuple[int | None, ...]
 ) -> None:
     setup = settings(classes=(LOOKUP, LOAD))
     s = Scheduler(setup, 1)
     s.step(0.0, [engines("e1", "e2")])
     teach(s, 100.0, 0, 400.0)
     before = list(s.classes)
-    s.step(5000.0, [io.Retune(dataclasses.replace(setup, classes=after))])
+    s.step(5000.0, [SettingsChanged(dataclasses.replace(setup, classes=after))])
     found = [next((i for i, b in enumerate(before) if b is c), None) for c in s.classes]
     assert found == list(places)
-    s.step(5050.0, [io.Retune(setup)])
+    s.step(5050.0, [SettingsChanged(setup)])
     assert s.classes[0].seen == (30 if 0 in places else 0)
 
 
@@ -146,9 +152,12 @@
     setup = settings(classes=(LOOKUP, LOAD))
     s = Scheduler(setup, 1)
     s.step(0.0, [engines("e1")])
-    ((name, engine),) = sends(s.step(100.0, [arrival("q", due=5000.0, cost=100.0)]))
-    s.step(150.0, [io.Retune(dataclasses.replace(setup, classes=(dataclasses.replace(LOOKUP, name="new"),)))])
-    s.step(200.0, [ended(name, io.Outcome.OK, engine=engine, final=True, elapsed=100.0)])
+    ((name, engine),) = sends(s.step(100.0, [arrival("q", deadline_at=5000.0, estimated_work_ms=100.0)]))
+    s.step(
+        150.0,
+        [SettingsChanged(dataclasses.replace(setup, classes=(dataclasses.replace(LOOKUP, name="new"),)))],
+    )
+    s.step(200.0, [ended(name, Outcome.OK, engine=engine, is_final=True, elapsed_ms=100.0)])
     assert not s.queries and not s.engines["e1"].out and s.classes[0].seen == 0
 
 
@@ -158,9 +167,11 @@
     s.step(0.0, [engines("e1", "e2")])
     for i in range(50):
         classes = tuple(dataclasses.replace(LOOKUP, name=f"c{n}") for n in range(i % 3 + 1))
-        changed = io.Retune(dataclasses.replace(setup, classes=classes))
-        ((name, engine),) = sends(s.step(100.0 * i, [changed, arrival(f"q{i}", due=100.0 * i + 5000)]))
-        s.step(100.0 * i + 50, [ended(name, io.Outcome.OK, engine=engine, final=True, cost=50.0)])
+        changed = SettingsChanged(dataclasses.replace(setup, classes=classes))
+        ((name, engine),) = sends(
+            s.step(100.0 * i, [changed, arrival(f"q{i}", deadline_at=100.0 * i + 5000)])
+        )
+        s.step(100.0 * i + 50, [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=50.0)])
     assert len(s.classes) == len(s.settings.classes) and not s.queries and not s.active["e1"].out
 
 
@@ -169,7 +180,7 @@
     s = Scheduler(settings(), 1)
     s.step(0.0, [engines("e1")])
     alone = slow_start.own_part(s, s.engines["e1"])
-    s.step(10.0, [io.Retune(dataclasses.replace(settings(), beside=2))])
+    s.step(10.0, [SettingsChanged(dataclasses.replace(settings(), concurrent_processes=2))])
     assert slow_start.own_part(s, s.engines["e1"]) == alone / 2
 
 
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -20,7 +20,7 @@
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.node.sibling_processes import Record, Seats
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.settings import Idempotency
 from cottonhold.transport.event_loop import Driver
 from tests.node.test_settings_reload import Lines
 from tests.node.test_small_parts import CONFIG, write
@@ -30,8 +30,8 @@
 COMING_MS = 600.0  # after SIGTERM requests come for so long on open connections
 
 
-def world(deadline: float, effect: io.Effect = io.Effect.SAFE) -> World:
-    return World(replace(SETTINGS, classes=(replace(READ, deadline=deadline, effect=effect),)))
+def world(deadline: float, effect: Idempotency = Idempotency.IDEMPOTENT) -> World:
+    return World(replace(SETTINGS, classes=(replace(READ, deadline_ms=deadline, idempotency=effect),)))
 
 
 def killed_in(deadline: float) -> float:
@@ -39,11 +39,11 @@
     return min(deadline, 3000.0) + 700.0
 
 
-@pytest.mark.parametrize("effect", [io.Effect.SAFE, io.Effect.UNSAFE])
+@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT])
 @pytest.mark.parametrize("allow", [0.0, 20000.0])
 @pytest.mark.parametrize("deadline", DEADLINES)
 def test_engines_that_hang_through_the_whole_end_leave_no_request_without_an_answer(
-    deadline: float, allow: float, effect: io.Effect
+    deadline: float, allow: float, effect: Idempotency
 ) -> None:
     """Clients wait for a deadline, or for longer, as where the settings have become shorter. Seen with fixed
     times: SIGKILL came before the answers and the closes."""
@@ -70,9 +70,9 @@
     assert all(client.session.closing for client in w.clients.values()) and w.gateway.open == 0
 
 
-@pytest.mark.parametrize("effect", [io.Effect.SAFE, io.Effect.UNSAFE])
+@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT])
 @pytest.mark.parametrize("deadline", DEADLINES)
-def test_what_waits_behind_a_request_that_hangs_is_answered_too(deadline: float, effect: io.Effect) -> None:
+def test_what_waits_behind_a_request_that_hangs_is_answered_too(deadline: float, effect: Idempotency) -> None:
     w = world(deadline, effect)
     w.client("c1")
     for ref in range(1, 6):
@@ -86,7 +86,10 @@
 
 
 def test_a_hang_is_refused_only_where_a_repeat_does_no_harm() -> None:
-    for effect, answer in ((io.Effect.SAFE, "error 1226 *"), (io.Effect.UNSAFE, "error 1105 *may have run")):
+    for effect, answer in (
+        (Idempotency.IDEMPOTENT, "error 1226 *"),
+        (Idempotency.NOT_IDEMPOTENT, "error 1105 *may have run"),
+    ):
         w = world(400.0, effect).run("c1 query lookup r1 allow=20000\nany expect GET r1 *\nops terminate")
         w.run(f"time wait 900\nc1 expect {answer}\nc1 closing")
 
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -23,7 +23,8 @@
 from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.log import BURST, Log
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import SendToPeer
+from cottonhold.scheduler.events import PeerMessage
 from cottonhold.transport.event_loop import Driver, Wire
 from tests.support.scenario import LOGIN, World, packet
 from tests.test_simulator_adapter import PARAMS
@@ -136,11 +137,11 @@
 
 def test_datagrams_are_known_by_their_sender_and_never_too_long() -> None:
     peers = Peers((Address("127.0.0.1", 1), Address("127.0.0.2", 1)), Address("127.0.0.3", 1), Counters())
-    assert peers.receive(b"x", ("127.0.0.2", 1)) == io.PeerMessage(1, b"x")
+    assert peers.receive(b"x", ("127.0.0.2", 1)) == PeerMessage(1, b"x")
     assert peers.receive(b"x", ("127.0.0.9", 1)) is None
-    assert peers.target(io.Tell(b"x", 1)) == Address("127.0.0.2", 1)
-    assert peers.target(io.Tell(b"x")) == Address("127.0.0.3", 1)
-    assert peers.target(io.Tell(bytes(257), 1)) is None and peers.target(io.Tell(b"x", 2)) is None
+    assert peers.target(SendToPeer(b"x", 1)) == Address("127.0.0.2", 1)
+    assert peers.target(SendToPeer(b"x")) == Address("127.0.0.3", 1)
+    assert peers.target(SendToPeer(bytes(257), 1)) is None and peers.target(SendToPeer(b"x", 2)) is None
 
 
 def test_a_storm_of_log_lines_is_cut_short(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -10,8 +10,19 @@
 from cottonhold.backend.connection_pool import Engines, Place
 from cottonhold.discovery.model import Address
 from cottonhold.scheduler import capacity
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import Send
+from cottonhold.scheduler.events import (
+    AttemptEnded,
+    Engine,
+    EngineList,
+    EngineState,
+    Event,
+    Outcome,
+    PeerMessage,
+    QueryArrived,
+)
 from cottonhold.scheduler.scheduler import Scheduler
+from cottonhold.scheduler.settings import Features, MachineType, QueryClass, Settings
 from cottonhold.scheduler.state import EngineView
 from tests.support.scenario import World
 
@@ -55,8 +66,8 @@
     assert any(words[1] == b"%016x" % 2 for line in world.lines for words in line.heard)
 
 
-READ = io.QueryClass("read", 1000, 5000, 1.0, waits=True)
-PERMITS = io.Permits(priorities=True, peers=True)
+READ = QueryClass("read", 1000, 5000, 1.0, waits_for_loads=True)
+PERMITS = Features(has_priorities=True, has_peer_messages=True)
 
 
 class Gateway:
@@ -70,12 +81,17 @@
             (capacity, "take_list", "listed"),
         ):
             self.count(owner, name, key, monkeypatch)
-        rules = io.Settings(
-            (READ,), (io.Model(8, 16000.0),), permits=PERMITS, gateways=engines, me=7, tick=5.0
+        rules = Settings(
+            (READ,),
+            (MachineType(8, 16000.0),),
+            features=PERMITS,
+            gateway_count=engines,
+            gateway_index=7,
+            tick_ms=5.0,
         )
         self.scheduler = Scheduler(rules, 1)
         self.names = [f"e{n:04}" for n in range(engines)]
-        self.scheduler.step(1000.0, [io.EngineList(tuple(map(io.Engine, self.names)), whole=True)])
+        self.scheduler.step(1000.0, [EngineList(tuple(map(Engine, self.names)), is_complete=True)])
         self.counts.update(sized=0, told=0, listed=0)
 
     def count(self, owner: object, name: str, key: str, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -92,17 +108,17 @@
         draw = random.Random(1)
         for number in range(20 * seconds):
             now = 1000.0 + 50 * number
-            events: list[io.Event] = [
-                io.Arrival(f"q{number}", 0, now + 4000, 200.0, tables=draw.randrange(9))
+            events: list[Event] = [
+                QueryArrived(f"q{number}", 0, now + 4000, 200.0, table_group=draw.randrange(9))
             ]
             if number % 5 == 0:
                 told = [
                     struct.pack(">IBHH", draw.choice(self.scheduler.near).code, 1, 9, 9) for _ in range(5)
                 ]
-                events.append(io.PeerMessage(number % 8, struct.pack(">Bf", 3, 20.0) + b"".join(told)))
+                events.append(PeerMessage(number % 8, struct.pack(">Bf", 3, 20.0) + b"".join(told)))
             for action in self.scheduler.step(now, events):
-                if isinstance(action, io.Send):
-                    end = io.AttemptEnded(action.query, 0, action.engine, io.Outcome.OK, 30.0, final=True)
+                if isinstance(action, Send):
+                    end = AttemptEnded(action.query_id, 0, action.engine, Outcome.OK, 30.0, is_final=True)
                     self.scheduler.step(now + 30, [end])
 
 
@@ -123,19 +139,19 @@
 ) -> None:
     gateway = Gateway(engines, monkeypatch)
     s, names = gateway.scheduler, gateway.names
-    gone = [io.EngineList((io.Engine(name, state=io.EngineState.GONE),), whole=False) for name in names[:50]]
-    come = [io.EngineList((io.Engine(f"n{n:04}"),), whole=False) for n in range(50)]
+    gone = [EngineList((Engine(name, state=EngineState.REMOVED),), is_complete=False) for name in names[:50]]
+    come = [EngineList((Engine(f"n{n:04}"),), is_complete=False) for n in range(50)]
     s.step(2000.0, [*gone, *come])
     assert gateway.counts["listed"] == 1 and len(s.live) == engines
     assert {e.id for e in s.ranked} == set(names[50:]) | {f"n{n:04}" for n in range(50)}
-    s.step(2001.0, [io.EngineList((), whole=True)])
+    s.step(2001.0, [EngineList((), is_complete=True)])
     assert not s.live and not s.near and not s.engines
 
 
 def test_a_query_after_a_change_in_the_same_step_sees_the_change(monkeypatch: pytest.MonkeyPatch) -> None:
     s = Gateway(MOST, monkeypatch).scheduler
-    usual = tuple(io.Engine(e.id, state=io.EngineState.DRAINING) for e in s.near)
-    s.step(2000.0, [io.EngineList(usual, whole=False), io.Arrival("q", 0, 6000.0, 200.0)])
+    usual = tuple(Engine(e.id, state=EngineState.DRAINING) for e in s.near)
+    s.step(2000.0, [EngineList(usual, is_complete=False), QueryArrived("q", 0, 6000.0, 200.0)])
     (engine,) = [e.id for e in s.active.values() if e.out]
     assert engine not in {e.id for e in usual} and engine in s.mine
     assert s.engines[engine].own_room > 1  # counted, though all are counted again only later
@@ -150,8 +166,8 @@
     def drawn_on(count: int) -> list[set[str]]:
         crowd = []
         for me in range(gateways):
-            scheduler = Scheduler(io.Settings((READ,), gateways=gateways, me=me), 1)
-            scheduler.step(1000.0, [io.EngineList(tuple(io.Engine(f"e{n:04}") for n in range(count)), True)])
+            scheduler = Scheduler(Settings((READ,), gateway_count=gateways, gateway_index=me), 1)
+            scheduler.step(1000.0, [EngineList(tuple(Engine(f"e{n:04}") for n in range(count)), True)])
             crowd.append(scheduler.mine)
         return crowd
 
--- a/tests/scheduler/test_retry_matrix.py
+++ b/tests/scheduler/test_retry_matrix.py
@@ -7,7 +7,8 @@
 import pytest
 
 from cottonhold.discovery.model import Address, Change
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import Engine, EngineState
+from cottonhold.scheduler.settings import DeduplicationScope, Idempotency
 from tests.frontend.test_client_departure import nothing_left
 from tests.support.scenario import PERMITS, READ, SETTINGS, World
 
@@ -41,7 +42,7 @@
 
 
 def told(world: World, name: str, zone: int, cell: int, state: str = "live") -> None:
-    entry = io.Engine(name, zone=zone, cell=cell, state=io.EngineState(state))
+    entry = Engine(name, zone=zone, cell=cell, state=EngineState(state))
     world.gateway.change_list(Change((entry,), {name: Address(name, 1)}, False))
     world.wait(0)
 
@@ -65,9 +66,14 @@
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize(("effect", "group"), CASES)
 def test_what_follows_an_attempt(effect: str, group: str, end: str, elsewhere: str) -> None:
-    cls = replace(READ, effect=io.Effect(effect), group=io.Group(group), window=WINDOW_MS)
-    permits = replace(PERMITS, cancel=False)  # else a slow safe one is moved before its end
-    world = World(replace(SETTINGS, classes=(cls,), permits=permits), engines="a")
+    cls = replace(
+        READ,
+        idempotency=Idempotency(effect),
+        deduplication_scope=DeduplicationScope(group),
+        deduplication_window_ms=WINDOW_MS,
+    )
+    permits = replace(PERMITS, can_cancel=False)  # else a slow safe one is moved before its end
+    world = World(replace(SETTINGS, classes=(cls,), features=permits), engines="a")
     world.gateway.scheduler.util = 0.1  # else what is late already is not sent where the fleet may be full
     told(world, "a", 0, 1)
     world.run(f"c1 query lookup r1 allow={ALLOW_MS}\ne1 expect GET r1 *")
@@ -93,7 +99,7 @@
 @pytest.mark.parametrize("late", [True, False])
 def test_a_deadline_between_two_attempts_is_kept(allow: int, late: bool) -> None:
     """A request whose first attempt ends too late for another one is answered in the turn of that end."""
-    world = World(replace(SETTINGS, permits=replace(PERMITS, cancel=False)))
+    world = World(replace(SETTINGS, features=replace(PERMITS, can_cancel=False)))
     world.gateway.scheduler.util = 0.1
     wait = allow - min(400, 0.2 * allow) - (105 if late else 125)
     world.run(f"c1 query lookup r1 allow={allow},effort=20.0\ne1 expect GET r1 *\ntime wait {wait}")
