--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -9,46 +9,83 @@
 import pytest
 
 from cottonhold import Scheduler
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler import utilization
+from cottonhold.scheduler.actions import (
+    Action,
+    Cancel,
+    Fail,
+    LogLine,
+    Reject,
+    Send,
+    SendToPeer,
+    Subscribe,
+    UpdateAttempt,
+)
+from cottonhold.scheduler.events import (
+    AdmissionThreshold,
+    AttemptEnded,
+    ClientDisconnected,
+    Engine,
+    EngineList,
+    EngineListFailed,
+    EngineState,
+    Event,
+    Outcome,
+    PeerMessage,
+    QueryArrived,
+)
 from cottonhold.scheduler.scheduler import THREADS_PER_CORE
+from cottonhold.scheduler.settings import (
+    DeduplicationScope,
+    Features,
+    Idempotency,
+    MachineType,
+    QueryClass,
+    Rules,
+    Settings,
+)
 
 ROOM = math.ceil(8 * THREADS_PER_CORE)  # threads that fill the one engine of 8 cores
-LOOKUP = io.QueryClass("lookup", aim=1000, deadline=5000, worth=1.0, late_worth=0.1)
-RULES = io.Rules(cold_from=0.3, warm_within=10000, overload_factor=2, tip_after=2000)
-PERMITS = io.Permits(cancel=True, priorities=True, max_attempts=3)
-
-
-def settings(cls: io.QueryClass = LOOKUP, **changes: Any) -> io.Settings:
-    base = io.Settings(
-        classes=(cls,), models=(io.Model(8, 16000.0),), permits=PERMITS, rules=RULES, report_fields=("util",)
+LOOKUP = QueryClass("lookup", latency_objective_ms=1000, deadline_ms=5000, utility=1.0, late_utility=0.1)
+RULES = Rules(cold_capacity_share=0.3, warm_up_ms=10000, overload_factor=2, overload_window_ms=2000)
+PERMITS = Features(can_cancel=True, has_priorities=True, max_attempts=3)
+
+
+def settings(cls: QueryClass = LOOKUP, **changes: Any) -> Settings:
+    base = Settings(
+        classes=(cls,),
+        machine_types=(MachineType(8, 16000.0),),
+        features=PERMITS,
+        rules=RULES,
+        load_report_fields=("util",),
     )
     return dataclasses.replace(base, **changes)
 
 
-def engines(*names: str, **fields: Any) -> io.EngineList:
-    return io.EngineList(tuple(io.Engine(n, **fields) for n in names), whole=True)
+def engines(*names: str, **fields: Any) -> EngineList:
+    return EngineList(tuple(Engine(n, **fields) for n in names), is_complete=True)
 
 
-def arrival(name: str, due: float = 5000.0, cost: float = 100.0, **fields: Any) -> io.Arrival:
-    return io.Arrival(name, fields.pop("query_class", 0), due, cost=cost, **fields)
+def arrival(
+    name: str, deadline_at: float = 5000.0, estimated_work_ms: float = 100.0, **fields: Any
+) -> QueryArrived:
+    query_class = fields.pop("query_class", 0)
+    return QueryArrived(name, query_class, deadline_at, estimated_work_ms=estimated_work_ms, **fields)
 
 
-def ended(
-    name: str, outcome: io.Outcome, attempt: int = 0, engine: str = "e1", **fields: Any
-) -> io.AttemptEnded:
-    return io.AttemptEnded(name, attempt, engine, outcome, fields.pop("elapsed", 10.0), **fields)
+def ended(name: str, outcome: Outcome, attempt: int = 0, engine: str = "e1", **fields: Any) -> AttemptEnded:
+    return AttemptEnded(name, attempt, engine, outcome, fields.pop("elapsed_ms", 10.0), **fields)
 
 
-def sends(actions: list[io.Action]) -> list[tuple[str, str]]:
-    return [(a.query, a.engine) for a in actions if isinstance(a, io.Send)]
+def sends(actions: list[Action]) -> list[tuple[str, str]]:
+    return [(a.query_id, a.engine) for a in actions if isinstance(a, Send)]
 
 
-def answers(actions: list[io.Action]) -> list[io.Action]:
-    return [a for a in actions if isinstance(a, io.Refuse | io.Fail)]
+def answers(actions: list[Action]) -> list[Action]:
+    return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
-def started(setup: io.Settings, *names: str, **fields: Any) -> Scheduler:
+def started(setup: Settings, *names: str, **fields: Any) -> Scheduler:
     scheduler = Scheduler(setup, 1)
     scheduler.step(0.0, [engines(*names, **fields)])
     return scheduler
@@ -61,67 +98,82 @@
 
 def test_held_query_is_answered_by_its_deadline_and_never_sent_after() -> None:
     s = started(settings())
-    assert sends(s.step(5.0, [arrival("q", due=500.0)])) == []
+    assert sends(s.step(5.0, [arrival("q", deadline_at=500.0)])) == []
     told = [a for t in range(10, 520, 5) for a in answers(s.step(float(t), []))]
-    assert told == [io.Refuse("q", 0.0)]
+    assert told == [Reject("q", 0.0)]
     assert sends(s.step(600.0, [engines("e1")])) == []
 
 
 def test_query_with_almost_no_time_is_answered_in_its_first_step() -> None:
     s = started(settings())
     s.step(5.0, [])
-    assert answers(s.step(6.0, [arrival("q", due=20.0)])) == [io.Refuse("q", 0.0)]
+    assert answers(s.step(6.0, [arrival("q", deadline_at=20.0)])) == [Reject("q", 0.0)]
 
 
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
     s = started(settings(), "e1")
-    s.step(5.0, [arrival("q", due=400.0)])
-    assert answers(s.step(400.0, [ended("q", io.Outcome.TIMEOUT)])) == [io.Refuse("q", 0.0)]
+    s.step(5.0, [arrival("q", deadline_at=400.0)])
+    assert answers(s.step(400.0, [ended("q", Outcome.TIMEOUT)])) == [Reject("q", 0.0)]
 
 
 @pytest.mark.parametrize(
     "effect, outcome, wanted",
     [
-        (io.Effect.SAFE, io.Outcome.RESET, "send"),
-        (io.Effect.KEYED, io.Outcome.RESET, "send"),
-        (io.Effect.UNSAFE, io.Outcome.RESET, "fail"),
-        (io.Effect.UNSAFE, io.Outcome.ERROR, "fail"),
-        (io.Effect.UNSAFE, io.Outcome.CONNECT_FAILED, "send"),
-        (io.Effect.UNSAFE, io.Outcome.FULL, "send"),
+        (Idempotency.IDEMPOTENT, Outcome.RESET, "send"),
+        (Idempotency.IDEMPOTENT_WITH_KEY, Outcome.RESET, "send"),
+        (Idempotency.NOT_IDEMPOTENT, Outcome.RESET, "fail"),
+        (Idempotency.NOT_IDEMPOTENT, Outcome.ERROR, "fail"),
+        (Idempotency.NOT_IDEMPOTENT, Outcome.CONNECT_FAILED, "send"),
+        (Idempotency.NOT_IDEMPOTENT, Outcome.OVERLOADED, "send"),
     ],
 )
 def test_repeat_only_where_no_effect_can_happen_twice(
-    effect: io.Effect, outcome: io.Outcome, wanted: str
+    effect: Idempotency, outcome: Outcome, wanted: str
 ) -> None:
-    s = started(settings(dataclasses.replace(LOOKUP, effect=effect, window=3000.0)), "e1", "e2")
+    s = started(
+        settings(dataclasses.replace(LOOKUP, idempotency=effect, deduplication_window_ms=3000.0)), "e1", "e2"
+    )
     ((_, engine),) = sends(s.step(5.0, [arrival("q")]))
     done = s.step(20.0, [ended("q", outcome, engine=engine)])
     if wanted == "send":
         assert [q for q, _ in sends(done)] == ["q"] and answers(done) == []
     else:
-        assert sends(done) == [] and answers(done) == [io.Fail("q")]
+        assert sends(done) == [] and answers(done) == [Fail("q")]
 
 
 def test_keyed_query_is_not_repeated_past_its_window() -> None:
-    s = started(settings(dataclasses.replace(LOOKUP, effect=io.Effect.KEYED, window=1000.0)), "e1", "e2")
+    s = started(
+        settings(
+            dataclasses.replace(
+                LOOKUP, idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_ms=1000.0
+            )
+        ),
+        "e1",
+        "e2",
+    )
     ((_, engine),) = sends(s.step(5.0, [arrival("q")]))
-    done = s.step(1010.0, [ended("q", io.Outcome.RESET, engine=engine)])
-    assert sends(done) == [] and answers(done) == [io.Refuse("q", 0.0)]
+    done = s.step(1010.0, [ended("q", Outcome.RESET, engine=engine)])
+    assert sends(done) == [] and answers(done) == [Reject("q", 0.0)]
 
 
 def test_keyed_query_stays_in_the_group_that_drops_repeats() -> None:
-    cls = dataclasses.replace(LOOKUP, effect=io.Effect.KEYED, group=io.Group.CELL, window=4000.0)
+    cls = dataclasses.replace(
+        LOOKUP,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window_ms=4000.0,
+    )
     s = Scheduler(settings(cls), 1)
-    s.step(0.0, [io.EngineList((io.Engine("e1", cell=1),), whole=True)])
+    s.step(0.0, [EngineList((Engine("e1", cell=1),), is_complete=True)])
     assert sends(s.step(5.0, [arrival("q")])) == [("q", "e1")]
-    s.step(6.0, [io.EngineList((io.Engine("e2", cell=2), io.Engine("e3", cell=1)), whole=False)])
-    assert sends(s.step(20.0, [ended("q", io.Outcome.RESET)])) == [("q", "e3")]
+    s.step(6.0, [EngineList((Engine("e2", cell=2), Engine("e3", cell=1)), is_complete=False)])
+    assert sends(s.step(20.0, [ended("q", Outcome.RESET)])) == [("q", "e3")]
 
 
-@pytest.mark.parametrize("state", [io.EngineState.DRAINING, io.EngineState.GONE])
-def test_nothing_new_goes_to_an_engine_told_to_drain(state: io.EngineState) -> None:
+@pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.REMOVED])
+def test_nothing_new_goes_to_an_engine_told_to_drain(state: EngineState) -> None:
     s = started(settings(), "e1")
-    s.step(5.0, [io.EngineList((io.Engine("e1", state=state),), whole=False)])
+    s.step(5.0, [EngineList((Engine("e1", state=state),), is_complete=False)])
     assert sends(s.step(10.0, [arrival("q")])) == []
 
 
@@ -137,9 +189,11 @@
     s.step(1000.0, [engines("e1", started_at=900.0)])
     sent = []
     for t in range(1001, 5000, 20):
-        for name, engine in sends(s.step(float(t), [arrival(f"q{t}", due=t + 5000.0, cost=200.0)])):
+        for name, engine in sends(
+            s.step(float(t), [arrival(f"q{t}", deadline_at=t + 5000.0, estimated_work_ms=200.0)])
+        ):
             sent.append(t)
-            s.step(float(t), [ended(name, io.Outcome.OK, engine=engine, final=True, cost=200.0)])
+            s.step(float(t), [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=200.0)])
     lowest = 0.3 * 8 * 2000 * 2
     assert sent and all(sum(200 for t in sent if a <= t < a + 2000) <= lowest for a in sent)
 
@@ -149,66 +203,73 @@
     s, got = Scheduler(settings(), 1), dict.fromkeys(range(5), 0)
     s.step(1000.0, [engines("e1", started_at=1000.0)])
     for t in range(1001, 11000, 10):
-        for name, engine in sends(s.step(float(t), [arrival(f"q{t}", due=t + 500.0, cost=200.0)])):
+        for name, engine in sends(
+            s.step(float(t), [arrival(f"q{t}", deadline_at=t + 500.0, estimated_work_ms=200.0)])
+        ):
             got[(t - 1000) // 2000] += 1
-            s.step(float(t), [ended(name, io.Outcome.OK, engine=engine, final=True, cost=200.0)])
+            s.step(float(t), [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=200.0)])
     assert 1.5 * got[1] < got[3] < got[4] < 5 * got[1]
 
 
 def test_order_waits_for_the_earlier_query_and_the_rest_of_its_key() -> None:
-    cls = dataclasses.replace(LOOKUP, in_order=True, effect=io.Effect.UNSAFE)
-    s = started(settings(cls, rules=dataclasses.replace(RULES, key_quiet=300.0)), "e1", "e2")
-    sent = s.step(5.0, [arrival("a", order_key="k"), arrival("b", order_key="k"), arrival("c")])
+    cls = dataclasses.replace(LOOKUP, is_ordered_by_key=True, idempotency=Idempotency.NOT_IDEMPOTENT)
+    s = started(settings(cls, rules=dataclasses.replace(RULES, key_quiet_ms=300.0)), "e1", "e2")
+    sent = s.step(5.0, [arrival("a", ordering_key="k"), arrival("b", ordering_key="k"), arrival("c")])
     assert {q for q, _ in sends(sent)} == {"a", "c"}
     engine = dict(sends(sent))["a"]
-    assert sends(s.step(100.0, [ended("a", io.Outcome.RESET, engine=engine)])) == []
+    assert sends(s.step(100.0, [ended("a", Outcome.RESET, engine=engine)])) == []
     assert sends(s.step(390.0, [])) == []
     assert [q for q, _ in sends(s.step(505.0, []))] == ["b"]
 
 
 def test_placement_holds_even_when_all_permitted_engines_are_gone() -> None:
     s = Scheduler(settings(dataclasses.replace(LOOKUP, zones=(1,))), 1)
-    s.step(0.0, [io.EngineList((io.Engine("e1", zone=0), io.Engine("e2", zone=1)), whole=True)])
+    s.step(0.0, [EngineList((Engine("e1", zone=0), Engine("e2", zone=1)), is_complete=True)])
     assert sends(s.step(5.0, [arrival("q")])) == [("q", "e2")]
-    s.step(6.0, [io.EngineList((io.Engine("e2", zone=1, state=io.EngineState.GONE),), whole=False)])
-    assert sends(s.step(20.0, [ended("q", io.Outcome.CONNECT_FAILED, engine="e2")])) == []
+    s.step(6.0, [EngineList((Engine("e2", zone=1, state=EngineState.REMOVED),), is_complete=False)])
+    assert sends(s.step(20.0, [ended("q", Outcome.CONNECT_FAILED, engine="e2")])) == []
 
 
 def test_budget_bounds_further_attempts_in_a_window() -> None:
-    rules = dataclasses.replace(RULES, budget_free=1, budget_share=0.1, budget_window=1000.0)
+    rules = dataclasses.replace(
+        RULES, retry_budget_free=1, retry_budget_share=0.1, retry_budget_window_ms=1000.0
+    )
     s = started(settings(rules=rules), "e1", "e2", "e3")
     first = sends(s.step(5.0, [arrival(f"q{i}") for i in range(10)]))
-    done = s.step(20.0, [ended(q, io.Outcome.ERROR, engine=e) for q, e in first])
+    done = s.step(20.0, [ended(q, Outcome.ERROR, engine=e) for q, e in first])
     assert len(sends(done)) == 2 and len(answers(done)) == 8
 
 
 def test_attempts_stop_at_the_most_allowed() -> None:
-    s = started(settings(permits=dataclasses.replace(PERMITS, max_attempts=2)), "e1", "e2")
+    s = started(settings(features=dataclasses.replace(PERMITS, max_attempts=2)), "e1", "e2")
     ((_, engine),) = sends(s.step(5.0, [arrival("q")]))
-    ((_, engine),) = sends(s.step(10.0, [ended("q", io.Outcome.ERROR, engine=engine)]))
-    done = s.step(15.0, [ended("q", io.Outcome.ERROR, 1, engine)])
+    ((_, engine),) = sends(s.step(10.0, [ended("q", Outcome.ERROR, engine=engine)]))
+    done = s.step(15.0, [ended("q", Outcome.ERROR, 1, engine)])
     assert sends(done) == [] and len(answers(done)) == 1
 
 
 def test_outcome_of_a_query_already_over_is_ignored() -> None:
     s = started(settings(), "e1")
     s.step(5.0, [arrival("q")])
-    s.step(10.0, [io.ClientGone("q")])
-    done = s.step(20.0, [ended("q", io.Outcome.RESET), ended("never", io.Outcome.OK)])
+    s.step(10.0, [ClientDisconnected("q")])
+    done = s.step(20.0, [ended("q", Outcome.RESET), ended("never", Outcome.OK)])
     assert sends(done) == [] and answers(done) == []
 
 
 def full_engine(count: int, **changes: Any) -> Scheduler:
     """One engine of 8 cores whose thread room (12 threads) this gateway has filled."""
     s = started(settings(**changes), "e1")
-    s.step(1.0, [arrival(f"r{i}", cost=1000.0) for i in range(count)])
+    s.step(1.0, [arrival(f"r{i}", estimated_work_ms=1000.0) for i in range(count)])
     return s
 
 
 def test_thread_room_binds_under_pressure_and_plan_order_releases() -> None:
     s = full_engine(ROOM)
-    assert sends(s.step(2.0, [arrival("a", cost=1000.0), arrival("b", cost=1000.0)])) == []
-    done = s.step(900.0, [ended("r0", io.Outcome.OK, final=True, elapsed=899.0)])
+    assert (
+        sends(s.step(2.0, [arrival("a", estimated_work_ms=1000.0), arrival("b", estimated_work_ms=1000.0)]))
+        == []
+    )
+    done = s.step(900.0, [ended("r0", Outcome.OK, is_final=True, elapsed_ms=899.0)])
     assert sends(done) == [("a", "e1")]
 
 
@@ -218,20 +279,20 @@
 
     Held "wide" queries of 1000 ms fill the plan so far that a newcomer at the end misses its aim.
     """
-    s = full_engine(ROOM, permits=dataclasses.replace(PERMITS, priorities=False))
-    held = [arrival(f"w{i}", cost=1000.0, due=60000.0) for i in range(6)]
+    s = full_engine(ROOM, features=dataclasses.replace(PERMITS, has_priorities=False))
+    held = [arrival(f"w{i}", estimated_work_ms=1000.0, deadline_at=60000.0) for i in range(6)]
     s.step(2.0, held)
-    s.step(3.0, [arrival("new", cost=cost)])
+    s.step(3.0, [arrival("new", estimated_work_ms=cost)])
     order = [q.id for q in s.engines["e1"].plan]
     assert (order[0] == "new") is passes and len(order) == 7
 
 
 def test_passing_query_gets_one_priority_step_above_those_it_passed() -> None:
     s = full_engine(ROOM)
-    s.step(2.0, [arrival(f"w{i}", cost=1000.0, due=60000.0) for i in range(6)])
-    done = s.step(3.0, [arrival("new", cost=50.0)])
+    s.step(2.0, [arrival(f"w{i}", estimated_work_ms=1000.0, deadline_at=60000.0) for i in range(6)])
+    done = s.step(3.0, [arrival("new", estimated_work_ms=50.0)])
     assert sends(done)[0] == ("new", "e1")
-    assert [a.priority for a in done if isinstance(a, io.Terms) and a.query == "new"] == [2]
+    assert [a.priority for a in done if isinstance(a, UpdateAttempt) and a.query_id == "new"] == [2]
 
 
 def test_fast_errors_do_not_make_an_engine_look_quick() -> None:
@@ -239,7 +300,7 @@
     before = s.engines["e1"].rate
     for i in range(5):
         s.step(10.0 + i, [arrival(f"q{i}")])
-        s.step(10.5 + i, [ended(f"q{i}", io.Outcome.ERROR, elapsed=0.5)])
+        s.step(10.5 + i, [ended(f"q{i}", Outcome.ERROR, elapsed_ms=0.5)])
     assert s.engines["e1"].rate <= before and s.engines["e1"].suspect == "errors"
 
 
@@ -247,25 +308,29 @@
     """Found on the first scored days: a low util report let a gateway send without limit."""
     s = started(settings(), "e1")
     s.step(1.0, [arrival("x")])
-    s.step(2.0, [ended("x", io.Outcome.OK, final=True, report={"util": 0.1})])
-    sent = sends(s.step(3.0, [arrival(f"q{i}", cost=1000.0) for i in range(60)]))
+    s.step(2.0, [ended("x", Outcome.OK, is_final=True, load_report={"util": 0.1})])
+    sent = sends(s.step(3.0, [arrival(f"q{i}", estimated_work_ms=1000.0) for i in range(60)]))
     assert len(sent) <= 2 * ROOM + 1
 
 
 def test_silent_engine_is_left_and_its_safe_work_moved_where_cancel_is_allowed() -> None:
-    s = started(settings(dataclasses.replace(LOOKUP, deadline=20000.0), note_period=500.0), "e1", "e2")
-    ((_, engine),) = sends(s.step(5.0, [arrival("q", due=20000.0)]))
+    s = started(
+        settings(dataclasses.replace(LOOKUP, deadline_ms=20000.0), progress_interval_ms=500.0), "e1", "e2"
+    )
+    ((_, engine),) = sends(s.step(5.0, [arrival("q", deadline_at=20000.0)]))
     done = [a for t in range(10, 4000, 50) for a in s.step(float(t), [])]
-    assert io.Cancel("q", 0) in done
-    ((_, other),) = sends(s.step(4000.0, [ended("q", io.Outcome.CANCELLED, engine=engine)]))
+    assert Cancel("q", 0) in done
+    ((_, other),) = sends(s.step(4000.0, [ended("q", Outcome.CANCELLED, engine=engine)]))
     assert other != engine
 
 
 def test_peer_traffic_sets_the_share_of_room() -> None:
-    s = started(settings(gateways=2, permits=dataclasses.replace(PERMITS, peers=True)), "e1")
+    s = started(
+        settings(gateway_count=2, features=dataclasses.replace(PERMITS, has_peer_messages=True)), "e1"
+    )
     told = [a for t in range(0, 1100, 50) for a in s.step(float(t), [arrival(f"q{t}")])]
-    message = [a for a in told if isinstance(a, io.Tell)][-1]
-    s.step(1100.0, [io.PeerMessage(1, message.data), io.PeerMessage(1, b"nonsense")])
+    message = [a for a in told if isinstance(a, SendToPeer)][-1]
+    s.step(1100.0, [PeerMessage(1, message.payload), PeerMessage(1, b"nonsense")])
     for t in range(1150, 2300, 50):
         s.step(float(t), [arrival(f"q{t}")])
     assert 0.4 < s.share < 0.8
@@ -274,13 +339,19 @@
 @pytest.mark.parametrize("begun", [0.0, 8000.0], ids=["both just started", "one back after the other"])
 def test_a_young_gateway_tells_of_its_traffic_in_full(begun: float) -> None:
     """Counted against the memory of an old one, it told half of its traffic, and took half of its share."""
-    permits = dataclasses.replace(PERMITS, peers=True)
-    old, young = (started(settings(gateways=2, me=me, permits=permits), "e1") for me in (0, 1))
+    permits = dataclasses.replace(PERMITS, has_peer_messages=True)
+    old, young = (
+        started(settings(gateway_count=2, gateway_index=me, features=permits), "e1") for me in (0, 1)
+    )
     for t in range(0, int(begun) + 1500, 50):
         for s, other, since in ((old, young, 0.0), (young, old, begun)):
             if t >= since:
-                done = s.step(float(t), [arrival(f"q{t}", due=t + 5000.0)])
-                told = [io.PeerMessage(s.settings.me, a.data) for a in done if isinstance(a, io.Tell)]
+                done = s.step(float(t), [arrival(f"q{t}", deadline_at=t + 5000.0)])
+                told = [
+                    PeerMessage(s.settings.gateway_index, a.payload)
+                    for a in done
+                    if isinstance(a, SendToPeer)
+                ]
                 other.step(float(t), told)
     assert old.share == pytest.approx(0.5, abs=0.08) and young.share == pytest.approx(0.5, abs=0.08)
     assert young.traffic.per_s(begun + 1500.0) == pytest.approx(20.0, rel=0.1)
@@ -295,25 +366,25 @@
 ) -> None:
     """Rounded down, twelve gateways used 12 of 18 threads, and clients that the fleet's price had let in
     waited in vain at small ones. Without a fleet it stays rounded: used up, it cost days of 200 a little."""
-    cls = dataclasses.replace(LOOKUP, aim=1e7, deadline=1e7)
-    permits, small = dataclasses.replace(PERMITS, peers=True), (io.Model(1, 2000.0),)
+    cls = dataclasses.replace(LOOKUP, latency_objective_ms=1e7, deadline_ms=1e7)
+    permits, small = dataclasses.replace(PERMITS, has_peer_messages=True), (MachineType(1, 2000.0),)
     most = list[float]()
     for me in range(gateways):
         s = started(
-            settings(cls, gateways=gateways, me=me, permits=permits, models=small),
+            settings(cls, gateway_count=gateways, gateway_index=me, features=permits, machine_types=small),
             *(f"e{i}" for i in range(9)),
         )
-        s.step(0.0, [io.Price()] if priced else [])
+        s.step(0.0, [AdmissionThreshold()] if priced else [])
         out, area, serial = dict[str, tuple[str, float]](), 0.0, 0
         for t in range(0, 6000, 20):
             over = {q: e for q, (e, at) in out.items() if t - at >= 100.0}
-            events: list[io.Event] = [
-                ended(q, io.Outcome.OK, engine=e, final=True, elapsed=100.0, report={"util": 1.0})
+            events: list[Event] = [
+                ended(q, Outcome.OK, engine=e, is_final=True, elapsed_ms=100.0, load_report={"util": 1.0})
                 for q, e in over.items()
             ]
             for _ in range(6 - len(s.queries) + len(over)):  # some are always held
                 serial += 1
-                events.append(arrival(f"q{serial}", due=1e7, cost=100.0))
+                events.append(arrival(f"q{serial}", deadline_at=1e7, estimated_work_ms=100.0))
             out = {q: at for q, at in out.items() if q not in over}
             out |= {q: (e, float(t)) for q, e in sends(s.step(float(t), events))}
             area += len(out) * (t >= 2000) / 200
@@ -323,7 +394,7 @@
 
 
 def test_same_events_give_the_same_actions() -> None:
-    def play() -> list[io.Action]:
+    def play() -> list[Action]:
         s = started(settings(), *(f"e{i}" for i in range(9)))
         return [a for i in range(50) for a in s.step(5.0 + i, [arrival(f"q{i}")])]
 
@@ -331,19 +402,19 @@
 
 
 def test_list_is_asked_for_again_after_a_failure() -> None:
-    s = started(settings(permits=dataclasses.replace(PERMITS, ask_list=True)), "e1")
-    s.step(10.0, [io.ListFailed()])
-    assert io.Subscribe(True) in [a for t in range(50, 1000, 50) for a in s.step(float(t), [])]
+    s = started(settings(features=dataclasses.replace(PERMITS, polls_engine_list=True)), "e1")
+    s.step(10.0, [EngineListFailed()])
+    assert Subscribe(True) in [a for t in range(50, 1000, 50) for a in s.step(float(t), [])]
 
 
 @pytest.mark.parametrize(
     "change, name",
     [
         ({"classes": ()}, "classes"),
-        ({"gateways": 0}, "gateways"),
-        ({"tick": 0.0}, "tick"),
-        ({"rules": dataclasses.replace(RULES, cold_from=0.0)}, "rules.cold_from"),
-        ({"classes": (dataclasses.replace(LOOKUP, aim=-1.0),)}, r"classes\[0\].aim"),
+        ({"gateway_count": 0}, "gateways"),
+        ({"tick_ms": 0.0}, "tick"),
+        ({"rules": dataclasses.replace(RULES, cold_capacity_share=0.0)}, "rules.cold_from"),
+        ({"classes": (dataclasses.replace(LOOKUP, latency_objective_ms=-1.0),)}, r"classes\[0\].aim"),
     ],
 )
 def test_settings_that_make_no_sense_are_named(change: dict[str, Any], name: str) -> None:
@@ -353,19 +424,22 @@
 
 def test_one_long_query_without_a_word_is_no_silence() -> None:
     """Found on a quiet day: engines flapped while a single long query was out and not overdue."""
-    s = started(settings(dataclasses.replace(LOOKUP, deadline=20000.0)), "e1", "e2")
-    s.step(5.0, [arrival("q", due=20000.0, cost=4000.0)])
+    s = started(settings(dataclasses.replace(LOOKUP, deadline_ms=20000.0)), "e1", "e2")
+    s.step(5.0, [arrival("q", deadline_at=20000.0, estimated_work_ms=4000.0)])
     done = [a for t in range(10, 4000, 50) for a in s.step(float(t), [])]
-    assert not [a for a in done if isinstance(a, io.LogLine | io.Cancel)]
+    assert not [a for a in done if isinstance(a, LogLine | Cancel)]
 
 
 def test_query_passes_one_that_keeps_its_worth_by_waiting() -> None:
     """Found on overloaded days: short queries died behind reports that had seconds of slack."""
-    wide = dataclasses.replace(LOOKUP, name="wide", aim=30000.0, deadline=60000.0)
-    s = started(settings(classes=(dataclasses.replace(LOOKUP, aim=2000.0), wide)), "e1")
-    s.step(1.0, [arrival(f"r{i}", cost=1000.0) for i in range(ROOM)])
-    s.step(2.0, [arrival(f"w{i}", cost=1000.0, due=60000.0, query_class=1) for i in range(20)])
-    s.step(3.0, [arrival("new", cost=400.0)])
+    wide = dataclasses.replace(LOOKUP, name="wide", latency_objective_ms=30000.0, deadline_ms=60000.0)
+    s = started(settings(classes=(dataclasses.replace(LOOKUP, latency_objective_ms=2000.0), wide)), "e1")
+    s.step(1.0, [arrival(f"r{i}", estimated_work_ms=1000.0) for i in range(ROOM)])
+    s.step(
+        2.0,
+        [arrival(f"w{i}", estimated_work_ms=1000.0, deadline_at=60000.0, query_class=1) for i in range(20)],
+    )
+    s.step(3.0, [arrival("new", estimated_work_ms=400.0)])
     order = [q.id for q in s.engines["e1"].plan]
     assert order.index("new") < 15 and [n for n in order if n != "new"] == [f"w{i}" for i in range(20)]
 
@@ -374,12 +448,20 @@
     s = started(settings(), "e1", "e2")
     ((_, engine),) = sends(s.step(5.0, [arrival("q")]))
     for t in range(10, 2500, 50):
-        s.step(float(t), [arrival(f"q{t}", cost=50.0), ended(f"q{t - 50}", io.Outcome.FULL, engine=engine)])
+        s.step(
+            float(t),
+            [
+                arrival(f"q{t}", estimated_work_ms=50.0),
+                ended(f"q{t - 50}", Outcome.OVERLOADED, engine=engine),
+            ],
+        )
     assert s.engines[engine].suspect == "silent"
 
 
-LOAD = io.QueryClass("load", 3000, 25000, worth=6.0, effect=io.Effect.UNSAFE, threads=2, loads=True)
-READ = dataclasses.replace(LOOKUP, waits=True)
+LOAD = QueryClass(
+    "load", 3000, 25000, utility=6.0, idempotency=Idempotency.NOT_IDEMPOTENT, threads=2, is_load=True
+)
+READ = dataclasses.replace(LOOKUP, waits_for_loads=True)
 
 
 def load_site(*names: str) -> Scheduler:
@@ -389,39 +471,49 @@
 @pytest.mark.parametrize("tables", range(7))
 def test_readers_keep_off_the_engines_that_take_the_loads_on_their_tables(tables: int) -> None:
     s = load_site("e1", "e2", "e3", "e4", "e5")
-    first = [arrival(f"l{i}", due=25000.0, query_class=1, tables=tables) for i in range(2)]
+    first = [arrival(f"l{i}", deadline_at=25000.0, query_class=1, table_group=tables) for i in range(2)]
     loads = {engine for _, engine in sends(s.step(5.0, first))}
-    reads = {engine for _, engine in sends(s.step(6.0, [arrival(f"r{i}", tables=tables) for i in range(40)]))}
+    reads = {
+        engine for _, engine in sends(s.step(6.0, [arrival(f"r{i}", table_group=tables) for i in range(40)]))
+    }
     assert len(loads) == 2 and len(reads) == 3 and not loads & reads
 
 
 def test_readers_keep_off_a_home_while_a_load_is_there_and_use_it_then() -> None:
     s = load_site("e1", "e2", "e3", "e4", "e5")
-    [(load, home)] = sends(s.step(5.0, [arrival("l", due=25000.0, query_class=1, tables=3)]))
-    few = {engine for _, engine in sends(s.step(6.0, [arrival(f"a{i}", tables=3) for i in range(9)]))}
+    [(load, home)] = sends(s.step(5.0, [arrival("l", deadline_at=25000.0, query_class=1, table_group=3)]))
+    few = {engine for _, engine in sends(s.step(6.0, [arrival(f"a{i}", table_group=3) for i in range(9)]))}
     homes = {e.id for e in s.homes[3]}
     assert home in homes and few and home not in few
-    s.step(7.0, [ended(load, io.Outcome.OK, engine=home, final=True)])
-    many = {engine for _, engine in sends(s.step(8.0, [arrival(f"b{i}", tables=3) for i in range(80)]))}
+    s.step(7.0, [ended(load, Outcome.OK, engine=home, is_final=True)])
+    many = {engine for _, engine in sends(s.step(8.0, [arrival(f"b{i}", table_group=3) for i in range(80)]))}
     assert many == set(s.engines)
 
 
 def test_a_second_load_on_the_same_tables_waits_for_the_first_to_end_there() -> None:
     s = load_site("e1", "e2")
-    two = [arrival(f"l{i}", due=25000.0, query_class=1, tables=3) for i in range(2)]
+    two = [arrival(f"l{i}", deadline_at=25000.0, query_class=1, table_group=3) for i in range(2)]
     [(first, engine)] = sends(s.step(5.0, two))
-    assert sends(s.step(100.0, [ended(first, io.Outcome.OK, engine=engine, final=True)])) == [("l1", engine)]
+    assert sends(s.step(100.0, [ended(first, Outcome.OK, engine=engine, is_final=True)])) == [("l1", engine)]
 
 
 def test_counts_of_what_is_out_end_at_nothing_through_doubt_and_trust() -> None:
     s = started(settings(), "e1", "e2")
-    out = sends(s.step(5.0, [arrival(f"q{i}", cost=100.0 + 50 * i, memory=10.0 + i) for i in range(12)]))
+    out = sends(
+        s.step(
+            5.0,
+            [
+                arrival(f"q{i}", estimated_work_ms=100.0 + 50 * i, estimated_memory_mb=10.0 + i)
+                for i in range(12)
+            ],
+        )
+    )
     (q, engine), *rest = out
-    s.step(50.0, [ended(q, io.Outcome.CONNECT_FAILED, engine=engine)])
+    s.step(50.0, [ended(q, Outcome.CONNECT_FAILED, engine=engine)])
     assert engine in s.doubted
-    s.step(60.0, [ended(q, io.Outcome.OK, engine=e, final=True) for q, e in rest])
+    s.step(60.0, [ended(q, Outcome.OK, engine=e, is_final=True) for q, e in rest])
     again = [(q.id, e.id) for e in s.engines.values() for q in e.out.values()]
-    s.step(70.0, [ended(q, io.Outcome.OK, attempt=1, engine=e, final=True) for q, e in again])
+    s.step(70.0, [ended(q, Outcome.OK, attempt=1, engine=e, is_final=True) for q, e in again])
     assert (s.pool.threads, s.pool.memory, s.pool.sound.by_density) == (0, 0.0, {})
     assert all(not e.levels.by_density and not e.threads_out for e in s.engines.values())
 
@@ -431,9 +523,9 @@
     out = sends(s.step(5.0, [arrival(f"q{i}") for i in range(30)]))
     lost = [q for q, engine in out if engine == "e1"]
     assert len(lost) > 5
-    s.step(50.0, [ended(q, io.Outcome.RESET) for q in lost])
+    s.step(50.0, [ended(q, Outcome.RESET) for q in lost])
     assert not s.doubted and s.engines["e1"].errors < 0.2
-    s.step(60.0, [ended("q", io.Outcome.CONNECT_FAILED)])
+    s.step(60.0, [ended("q", Outcome.CONNECT_FAILED)])
     assert list(s.doubted) == ["e1"]
 
 
@@ -441,37 +533,37 @@
     s = started(settings(), "e1", "e2", "e3")
     for i in range(3):
         assert not s.doubted
-        s.step(50.0 + i, [ended("q", io.Outcome.RESET)])
+        s.step(50.0 + i, [ended("q", Outcome.RESET)])
     assert list(s.doubted) == ["e1"]
 
 
 def test_a_query_that_no_engine_can_run_fails_and_costs_no_engine_its_trust() -> None:
     s = started(settings(), "e1", "e2", "e3", "e4")
     for i in range(20):
-        ((q, first),) = sends(s.step(100.0 * i, [arrival(f"q{i}", due=5000.0 + 100 * i)]))
-        ((q, second),) = sends(s.step(100.0 * i + 10, [ended(q, io.Outcome.ERROR, engine=first)]))
+        ((q, first),) = sends(s.step(100.0 * i, [arrival(f"q{i}", deadline_at=5000.0 + 100 * i)]))
+        ((q, second),) = sends(s.step(100.0 * i + 10, [ended(q, Outcome.ERROR, engine=first)]))
         assert second != first
-        last = s.step(100.0 * i + 20, [ended(q, io.Outcome.ERROR, attempt=1, engine=second)])
-        assert answers(last) == [io.Fail(q)] and not sends(last)
+        last = s.step(100.0 * i + 20, [ended(q, Outcome.ERROR, attempt=1, engine=second)])
+        assert answers(last) == [Fail(q)] and not sends(last)
         assert not s.doubted and all(e.errors == 0 for e in s.engines.values())
 
 
 def test_what_only_a_budget_asks_for_is_not_kept_without_one() -> None:
     s = started(settings(), "e1")
     for i in range(10):
-        s.step(10.0 * i, [arrival(f"q{i}", due=5000.0 + 10 * i)])
+        s.step(10.0 * i, [arrival(f"q{i}", deadline_at=5000.0 + 10 * i)])
     assert not s.taken.items
 
 
 def test_a_short_query_passes_the_long_ones_that_fill_an_engine() -> None:
-    report = io.QueryClass("report", aim=30000, deadline=60000, worth=5.0, threads=3)
+    report = QueryClass("report", latency_objective_ms=30000, deadline_ms=60000, utility=5.0, threads=3)
     s = started(settings(classes=(LOOKUP, report)), "e1")
-    long = [arrival(f"r{i}", due=60000.0, cost=9000.0, query_class=1) for i in range(20)]
+    long = [arrival(f"r{i}", deadline_at=60000.0, estimated_work_ms=9000.0, query_class=1) for i in range(20)]
     out = len(sends(s.step(5.0, long)))
     assert out < 20 and out * 3 >= ROOM - 3  # some are held: the engine has no room for them
-    short = s.step(100.0, [arrival("q", due=5100.0)])
-    assert sends(short) == [("q", "e1")] and io.Terms("q", 0, 2) in short
-    many = sends(s.step(200.0, [arrival(f"q{i}", due=5200.0) for i in range(100)]))
+    short = s.step(100.0, [arrival("q", deadline_at=5100.0)])
+    assert sends(short) == [("q", "e1")] and UpdateAttempt("q", 0, 2) in short
+    many = sends(s.step(200.0, [arrival(f"q{i}", deadline_at=5200.0) for i in range(100)]))
     assert 0 < len(many) <= ROOM  # but not without end
 
 
@@ -481,9 +573,9 @@
 ) -> None:
     """Found on a day of late reports: one engine was filled to twice its room."""
     wide = dataclasses.replace(LOOKUP, threads=3)
-    s = started(settings(wide, models=(io.Model(32, 64000.0),)), "e1")
-    s.step(1.0, [arrival(f"r{i}", cost=1000.0) for i in range(26)])
+    s = started(settings(wide, machine_types=(MachineType(32, 64000.0),)), "e1")
+    s.step(1.0, [arrival(f"r{i}", estimated_work_ms=1000.0) for i in range(26)])
     report = {"inflight": inflight, "util": 0.5}
-    s.step(2.0, [ended("r0", io.Outcome.OK, final=True, elapsed=1.0, report=report)])
+    s.step(2.0, [ended("r0", Outcome.OK, is_final=True, elapsed_ms=1.0, load_report=report)])
     e = s.engines["e1"]
     assert e.threads_out > e.room and utilization.pressed(s, e) is pressed
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cottonhold.scheduler import interface as io
 from cottonhold.scheduler import slow_start
+from cottonhold.scheduler.events import Engine, EngineList
 from cottonhold.scheduler.scheduler import Scheduler
 from tests.support.cold_fleet import COLD_MS, START_MS, ColdFleet, Site
 
@@ -55,8 +55,8 @@
     site = Site(gateways, 4, 10.0)
     parts = 0.0
     for me in range(gateways):
-        gateway = Scheduler(replace(site.settings(), me=me), me)
-        gateway.step(1000.0, [io.EngineList((io.Engine("e0", started_at=900.0),), whole=True)])
+        gateway = Scheduler(replace(site.settings(), gateway_index=me), me)
+        gateway.step(1000.0, [EngineList((Engine("e0", started_at=900.0),), is_complete=True)])
         gateway.share = gateway.reach = 1.0  # peers told that they have no traffic at all
         parts += slow_start.own_part(gateway, gateway.engines["e0"])
     budget = site.factor * site.cold_from * site.cores
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -10,10 +10,36 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.actions import CheckHealth, Send, SendToPeer, SetTimer
+from cottonhold.scheduler.events import (
+    AttemptEnded,
+    Engine,
+    EngineList,
+    Event,
+    HealthCheckCompleted,
+    Outcome,
+    PeerMessage,
+    QueryArrived,
+    TimerExpired,
+)
 from cottonhold.scheduler.scheduler import Scheduler
-
-PERMITS = io.Permits(priorities=True, probes=True, peers=True, retry_after=True, max_retry_after=500.0)
+from cottonhold.scheduler.settings import (
+    Features,
+    MachineType,
+    MemoryShortage,
+    OverheadCosts,
+    QueryClass,
+    Rules,
+    Settings,
+)
+
+PERMITS = Features(
+    has_priorities=True,
+    has_health_checks=True,
+    has_peer_messages=True,
+    has_retry_after=True,
+    max_retry_after_ms=500.0,
+)
 START_MS, COLD_MS = 1000.0, 3500.0  # gateways start; all engines start anew, and the burst begins
 BURST = 4.0
 PROBE_WORK_MS = 0.6
@@ -40,29 +66,29 @@
     def mean_work(self) -> float:
         return self.costs[0] * (1 - LONG_PART) + self.costs[1] * LONG_PART
 
-    def settings(self) -> io.Settings:
-        rules = io.Rules(
-            cold_from=self.cold_from,
-            warm_within=13000.0,
+    def settings(self) -> Settings:
+        rules = Rules(
+            cold_capacity_share=self.cold_from,
+            warm_up_ms=13000.0,
             overload_factor=self.factor,
-            tip_after=self.tip_ms,
-            drain_grace=500.0,
+            overload_window_ms=self.tip_ms,
+            drain_grace_ms=500.0,
         )
         short, long = self.costs
         classes = (
-            io.QueryClass("short", max(1000.0, 2 * short), max(5000.0, 5 * short), 1.0, 0.3, 2.0),
-            io.QueryClass("long", max(1000.0, 2 * long), max(5000.0, 5 * long), 5.0, 0.3, 2.0, threads=3),
+            QueryClass("short", max(1000.0, 2 * short), max(5000.0, 5 * short), 1.0, 0.3, 2.0),
+            QueryClass("long", max(1000.0, 2 * long), max(5000.0, 5 * long), 5.0, 0.3, 2.0, threads=3),
         )
-        return io.Settings(
+        return Settings(
             classes=classes,
-            models=(io.Model(self.cores, 16000.0),),
-            permits=PERMITS,
-            prices=io.Prices(0.011, 0.01),
+            machine_types=(MachineType(self.cores, 16000.0),),
+            features=PERMITS,
+            overhead_costs=OverheadCosts(0.011, 0.01),
             rules=rules,
-            gateways=self.gateways,
-            tick=5.0,
-            cost_told=True,
-            when_short=io.WhenShort.SHRINK,
+            gateway_count=self.gateways,
+            tick_ms=5.0,
+            reports_actual_work=True,
+            on_memory_shortage=MemoryShortage.SHRINK,
         )
 
 
@@ -107,15 +133,17 @@
 
     def start(self, now: float, me: int) -> None:
         """A gateway starts, or starts again with nothing known."""
-        self.gateways[me] = Scheduler(replace(self.settings, me=me), self.random.randrange(1 << 30))
+        self.gateways[me] = Scheduler(
+            replace(self.settings, gateway_index=me), self.random.randrange(1 << 30)
+        )
         self._tell(now, me)
 
     def _turn_cold(self, now: float) -> None:
         self.started = now
 
     def _tell(self, now: float, me: int) -> None:
-        engines = tuple(io.Engine(name, started_at=self.started) for name in self.names)
-        self.step(now, me, io.EngineList(engines, whole=True))
+        engines = tuple(Engine(name, started_at=self.started) for name in self.names)
+        self.step(now, me, EngineList(engines, is_complete=True))
 
     def _arrivals(self, me: int, until: float) -> None:
         mean = self.site.per_s * math.exp(self.random.gauss(0, self.site.uneven)) / 1000
@@ -130,23 +158,29 @@
         name, cls = f"q{next(self.serial)}", self.settings.classes[kind]
         self.work[name] = work, cls.threads, self.site.costs[kind]
         told = work * math.exp(self.random.gauss(0, 0.2))
-        self.step(now, me, io.Arrival(name, kind, now + 0.9 * cls.deadline, cost=told, memory=50.0))
+        self.step(
+            now,
+            me,
+            QueryArrived(
+                name, kind, now + 0.9 * cls.deadline_ms, estimated_work_ms=told, estimated_memory_mb=50.0
+            ),
+        )
 
-    def step(self, now: float, me: int, *events: io.Event) -> None:
+    def step(self, now: float, me: int, *events: Event) -> None:
         gateway = self.gateways[me]
         for action in gateway.step(now, events) if gateway is not None else ():
             match action:
-                case io.Send(query, engine):
+                case Send(query, engine):
                     self._run(now, me, query, engine)
-                case io.Wake(after, token):
-                    self._later(now + after, me, io.Timer(token))
-                case io.Probe(engine):
+                case SetTimer(after, token):
+                    self._later(now + after, me, TimerExpired(token))
+                case CheckHealth(engine):
                     self.sent[engine].append(Sent(now, PROBE_WORK_MS, PROBE_WORK_MS))
-                    self._later(now + 3, me, io.Probed(engine, io.Outcome.OK))
-                case io.Tell(data, peer) if peer is not None:
-                    self._later(now + 5, peer, io.PeerMessage(me, data))
+                    self._later(now + 3, me, HealthCheckCompleted(engine, Outcome.OK))
+                case SendToPeer(data, peer) if peer is not None:
+                    self._later(now + 5, peer, PeerMessage(me, data))
 
-    def _later(self, when: float, me: int, event: io.Event) -> None:
+    def _later(self, when: float, me: int, event: Event) -> None:
         self.at(when, lambda now: self.step(now, me, event))
 
     def _run(self, now: float, me: int, query: str, engine: str) -> None:
@@ -157,14 +191,23 @@
 
         def end(now: float) -> None:
             self.running[engine] -= threads
-            done = io.AttemptEnded(query, 0, engine, io.Outcome.OK, took, final=True, cost=work, memory=50.0)
+            done = AttemptEnded(
+                query,
+                0,
+                engine,
+                Outcome.OK,
+                took,
+                is_final=True,
+                actual_work_ms=work,
+                actual_memory_mb=50.0,
+            )
             self.step(now, me, done)
 
         self.at(now + took, end)
 
     def capacity(self, now: float) -> float:
         """Work in ms a ms: from the cold share evenly up to all of it."""
-        warm = min(1.0, (now - self.started) / self.settings.rules.warm_within) if self.started else 1.0
+        warm = min(1.0, (now - self.started) / self.settings.rules.warm_up_ms) if self.started else 1.0
         return self.site.cores * (self.site.cold_from + (1 - self.site.cold_from) * warm)
 
     def fullest(self, weigh: Callable[[Sent], float]) -> float:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -14,7 +14,8 @@
 
 from cottonhold.backend.resp import RespReader, encode
 from cottonhold.discovery.model import Address, Change
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import Engine as ListedEngine
+from cottonhold.scheduler.settings import Settings
 from cottonhold.transport.event_loop import Driver
 from tests.support.faulty_sockets import Faults
 from tests.support.scenario import LOGIN, SETTINGS, World, packet
@@ -112,7 +113,7 @@
 class Rig:
     """The driver with its gateway, some engines and clients."""
 
-    def __init__(self, settings: io.Settings = SETTINGS, engines: int = 1, sockets: int = 256) -> None:
+    def __init__(self, settings: Settings = SETTINGS, engines: int = 1, sockets: int = 256) -> None:
         self.world = World(settings, engines="", sockets=sockets)
         self.counts, self.log = self.world.counters.counts, self.world.log
         self.faults = Faults()
@@ -122,7 +123,7 @@
         self.world.engines.connect = self.driver.connect
         self.engines = [Engine() for _ in range(engines)]
         addresses = {f"e{n}": Address(*e.sock.getsockname()) for n, e in enumerate(self.engines)}
-        infos = tuple(io.Engine(name) for name in addresses)
+        infos = tuple(ListedEngine(name) for name in addresses)
         self.world.gateway.change_list(Change(infos, addresses, True))
         self.listener = self.driver.listen(Address("127.0.0.1", 0))
         self.address = self.listener.getsockname()
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -23,12 +23,19 @@
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
-
-READ = io.QueryClass("lookup", aim=1000, deadline=5000, worth=1.0)
-LOAD = io.QueryClass("load", 3000, 25000, worth=6.0, effect=io.Effect.UNSAFE, in_order=True)
-PERMITS = io.Permits(cancel=True, priorities=True, retry_after=True, max_retry_after=500.0, max_attempts=5)
-SETTINGS = io.Settings(classes=(READ, LOAD), models=(io.Model(8, 16000.0),), permits=PERMITS, tick=5.0)
+from cottonhold.scheduler.events import Engine, EngineState
+from cottonhold.scheduler.settings import Features, Idempotency, MachineType, QueryClass, Settings
+
+READ = QueryClass("lookup", latency_objective_ms=1000, deadline_ms=5000, utility=1.0)
+LOAD = QueryClass(
+    "load", 3000, 25000, utility=6.0, idempotency=Idempotency.NOT_IDEMPOTENT, is_ordered_by_key=True
+)
+PERMITS = Features(
+    can_cancel=True, has_priorities=True, has_retry_after=True, max_retry_after_ms=500.0, max_attempts=5
+)
+SETTINGS = Settings(
+    classes=(READ, LOAD), machine_types=(MachineType(8, 16000.0),), features=PERMITS, tick_ms=5.0
+)
 LOGIN = (0x8208).to_bytes(4, "little") + bytes(28) + b"app\0\0dw\0"
 
 
@@ -163,7 +170,7 @@
 class World:
     """A gateway between fake clients and fake engines."""
 
-    def __init__(self, settings: io.Settings = SETTINGS, engines: str = "a b", sockets: int = 256) -> None:
+    def __init__(self, settings: Settings = SETTINGS, engines: str = "a b", sockets: int = 256) -> None:
         self.clock, self.counters, self.log = FakeClock(), Counters(), list[str]()
         links = Links(idle_ms=15000.0, connect_ms=250.0, streams=32)
         self.lifecycle, parts = Lifecycle(), Descriptors.divide(sockets)
@@ -192,7 +199,7 @@
         return line
 
     def change(self, names: list[str], state: str, whole: bool = False) -> None:
-        infos = tuple(io.Engine(name, state=io.EngineState(state)) for name in names)
+        infos = tuple(Engine(name, state=EngineState(state)) for name in names)
         self.gateway.change_list(Change(infos, {name: Address(name, 1) for name in names}, whole))
 
     def settle(self) -> None:
@@ -325,14 +332,14 @@
         for text in names:
             name, _, effect = text.partition(":")
             cls = known.get(name, replace(READ, name=name))
-            classes.append(replace(cls, effect=io.Effect(effect)) if effect else cls)
-        self.gateway.retune(replace(SETTINGS, classes=tuple(classes), permits=permits))
+            classes.append(replace(cls, idempotency=Idempotency(effect)) if effect else cls)
+        self.gateway.retune(replace(SETTINGS, classes=tuple(classes), features=permits))
 
     def ops_drain(self, who: str, rest: str) -> None:
         self.lifecycle.drain(self.clock.now())
 
     def ops_leave(self, who: str, rest: str) -> None:
-        self.lifecycle.leave(self.clock.now(), max(cls.deadline for cls in self.gateway.settings.classes))
+        self.lifecycle.leave(self.clock.now(), max(cls.deadline_ms for cls in self.gateway.settings.classes))
 
     def ops_terminate(self, who: str, rest: str) -> None:
         """As a dispatcher does on SIGTERM: the gateway is told by when all has to have its answer."""
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,8 @@
 import pytest
 
 from cottonhold import simulator_adapter
-from cottonhold.scheduler.interface import Effect, Outcome, Probed, WhenShort
+from cottonhold.scheduler.events import HealthCheckCompleted, Outcome
+from cottonhold.scheduler.settings import Idempotency, MemoryShortage
 
 ROOT = Path(__file__).parent.parent
 LOOKUP = {"aim": 1000.0, "hard_limit": 5000.0, "effect": "retryable", "worth": 1.0, "late_worth": 0.0}
@@ -131,11 +132,17 @@
     rules = {"key_quiet": 500.0, "stop_sending_within": 1000.0}
     more = {"domain": domain, "classes": [load], "caps": caps, "report": report, "obligations": rules}
     got = simulator_adapter.read_settings({**PARAMS, **more})
-    assert got.when_short is WhenShort.SHRINK and got.note_period == 0.0 and not got.permits.grants
-    assert got.permits.probes and got.report_fields == ("queue", "util", "x1", "x0")
-    assert got.rules.key_quiet == 500.0 and got.rules.drain_grace == 1000.0
+    assert (
+        got.on_memory_shortage is MemoryShortage.SHRINK
+        and got.progress_interval_ms == 0.0
+        and not got.features.has_memory_grants
+    )
+    assert got.features.has_health_checks and got.load_report_fields == ("queue", "util", "x1", "x0")
+    assert got.rules.key_quiet_ms == 500.0 and got.rules.drain_grace_ms == 1000.0
     (cls,) = got.classes
-    assert cls.in_order and cls.models == (0,) and cls.effect is Effect.UNSAFE
+    assert (
+        cls.is_ordered_by_key and cls.machine_types == (0,) and cls.idempotency is Idempotency.NOT_IDEMPOTENT
+    )
 
 
 @pytest.mark.parametrize(
@@ -155,7 +162,7 @@
     event = simulator_adapter.read_probed(
         {**sampled, "gauge": gauge}, simulator_adapter.read_settings(PARAMS)
     )
-    assert event == Probed(NODE, outcome, report)
+    assert event == HealthCheckCompleted(NODE, outcome, report)
 
 
 def test_an_overdue_engine_is_probed_over_the_wire_and_its_answer_survives_an_engine_that_left() -> None:
--- a/tests/transport/test_datagram_faults.py
+++ b/tests/transport/test_datagram_faults.py
@@ -14,7 +14,7 @@
 from cottonhold.node import status
 from cottonhold.node.peer_datagrams import Peers
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
+from cottonhold.scheduler.events import PeerMessage
 from cottonhold.transport.event_loop import DATAGRAMS, Driver
 from tests.support.faulty_sockets import Faults
 from tests.support.loopback import HANG_S
@@ -27,7 +27,7 @@
     """A dispatcher's socket for datagrams, with one peer that the test holds."""
 
     def __init__(self) -> None:
-        self.faults, self.counters, self.heard = Faults(), Counters(), list[io.PeerMessage]()
+        self.faults, self.counters, self.heard = Faults(), Counters(), list[PeerMessage]()
         self.driver = Driver(asyncio.get_running_loop(), self.counters, print, self.faults.make)
         self.far = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.far.bind(("127.0.0.1", 0))
@@ -40,7 +40,7 @@
     async def hears(self, data: bytes) -> None:
         self.far.sendto(data, self.at)
         async with asyncio.timeout(HANG_S):
-            while not self.heard or self.heard[-1].data != data:
+            while not self.heard or self.heard[-1].payload != data:
                 await asyncio.sleep(0)
 
     def close(self) -> None:
--- a/tests/transport/test_write_order.py
+++ b/tests/transport/test_write_order.py
@@ -14,7 +14,7 @@
 from cottonhold.backend.resp import RespReader, encode
 from cottonhold.discovery.model import Address
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 from cottonhold.transport.event_loop import Driver, Wire
 from tests.support.scenario import World
 
@@ -243,7 +243,7 @@
         assert await rig.heard("a", begun) == [b"GET"] * begun
         while len(rig.ends) < MANY - begun:
             await asyncio.sleep(0)
-        assert rig.ends == [Outcome.MOOT] * (MANY - begun) and rig.there("a") == []
+        assert rig.ends == [Outcome.ALREADY_FINISHED] * (MANY - begun) and rig.there("a") == []
 
     played(story)
 
