--- /dev/null
+++ b/tests/conformance/test_golden_bytes.py
@@ -0,0 +1,406 @@
+"""The exact bytes of each message and record that a codec writes, against the recorded table.
+
+A rename inside the program changes the calls here and never `golden.json`: that table is what instances of
+other versions, folders on disk, engines and clients rely on.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import sqlite3
+import threading
+from collections.abc import Callable
+from pathlib import Path
+
+import pytest
+
+from cottonhold.discovery.model import Address, Change, Names
+from cottonhold.fleet import engine_drain
+from cottonhold.fleet.admission import loads
+from cottonhold.fleet.admission.threshold import Told
+from cottonhold.fleet.consensus import acceptor, messages
+from cottonhold.fleet.consensus.messages import Ballot, Keep, State
+from cottonhold.fleet.failover_cost import messages as site_messages
+from cottonhold.fleet.recovery import cached_engines, warmup_messages
+from cottonhold.fleet.recovery import messages as recovery_messages
+from cottonhold.fleet.request_forwarding import messages as forwarding
+from cottonhold.fleet.request_forwarding import request_codec
+from cottonhold.fleet.rolling_replacement import plan
+from cottonhold.fleet.session_affinity import membership_table
+from cottonhold.fleet.session_affinity import messages as pin_messages
+from cottonhold.fleet.session_affinity.membership_lease import Standing
+from cottonhold.fleet.session_affinity.ownership import Pins, PinSettings
+from cottonhold.fleet.zone_failover import messages as zone_messages
+from cottonhold.fleet.zone_failover import operator_overrides, quota_lending
+from cottonhold.fleet_adapters import membership as membership_adapter
+from cottonhold.membership import codec
+from cottonhold.membership import leases as membership_leases
+from cottonhold.membership.codec import Codec, Keys, Kind, Status, Update, encode_update
+from cottonhold.node import sibling_processes
+from cottonhold.scheduler import interface as scheduler_interface
+from cottonhold.scheduler import peer_messages
+from cottonhold.scheduler.state import EngineView
+from cottonhold.store import boot_file, records
+from cottonhold.store.ledger import Ledger
+from tests.conformance.golden import RECORD
+from tests.support.member_network import Net
+
+MEMBER, LIFE, VERSION = 0x0102030405060708, 0x80000011, 0x22
+BALLOT = Ballot(7, 0x1122334455667788)
+STATE = State(Ballot(6, 0x99), 5, b"a value", (0xAA, 3))
+IDENTITY = bytes(range(16))
+HEAD = forwarding.Head(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
+KEYS = Keys({3: b"a shared key"}, 3)
+
+
+def datagram(kind: Kind, sequence: int, updates: bytes = b"", keys: Keys | None = None) -> bytes:
+    """The first datagram of a sender's life."""
+    message = codec.Message(kind, MEMBER, sequence, 0x42)
+    return Codec(MEMBER, LIFE, keys).encode(message, updates)
+
+
+def updates() -> bytes:
+    """One update of each form."""
+    return b"".join(
+        (
+            encode_update(Update(Status.ALIVE, 1, 2, 0, Address("10.1.2.3", 4500), "n1")),
+            encode_update(Update(Status.ALIVE, 2, 3, 0, Address("fd00::7", 4501), "n2")),
+            encode_update(Update(Status.SUSPECT, 3, 4, 5)),
+            encode_update(Update(Status.DEAD, 4, 5, 6)),
+            encode_update(Update(Status.LEFT, 5, 6, 7)),
+        )
+    )
+
+
+def zone_words() -> bytes:
+    """Words on zones of two instances."""
+    failing = zone_messages.ZoneWord(zone_messages.Vote.OUT, 1, 2, 300, 0.25, True, True)
+    healthy = zone_messages.ZoneWord(zone_messages.Vote.IN, 9, 0, 0, 1.0)
+    first = zone_messages.Word(MEMBER, LIFE, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
+    return zone_messages.pack_words([first, zone_messages.Word(2, 3, 4, 5, 6, {})], 200)
+
+
+def orders() -> bytes:
+    """Operators' orders on zones."""
+    return operator_overrides.pack_orders(
+        1000.0,
+        [
+            operator_overrides.Order(9, operator_overrides.Mode.LEAVE, 3, MEMBER, 61_000.5, "ana", "fire"),
+            operator_overrides.Order(4, operator_overrides.Mode.RETURN, 2, 7, 0.0, "\u0101" * 40, "w" * 90),
+            operator_overrides.Order(5, operator_overrides.Mode.FREE, 1, 7, 2000.0, "", ""),
+        ],
+        200,
+    )
+
+
+def price_loads() -> bytes:
+    """Two instances' loads."""
+    busy = Told({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
+    return loads.pack_loads([loads.Load(MEMBER, LIFE, VERSION, busy), loads.Load(2, 3, 4, Told({}))])
+
+
+def here() -> bytes:
+    """One instance's word of recovery on itself."""
+    pairs = (
+        recovery_messages.Pair(1, 5, 0x77, 123_456.7, 999.0, True, False),
+        recovery_messages.Pair(2, 0),
+        recovery_messages.Pair(3, 6, 1, 2.0, 0.0, False, True),
+    )
+    memory = recovery_messages.MemoryState.OLD
+    return recovery_messages.pack(
+        recovery_messages.Here(9, 12, 11 << 32 | 5, LIFE, 4321.9, memory, True, pairs)
+    )
+
+
+def warmups() -> bytes:
+    """What two instances saw of cold engines."""
+    rows = {
+        warmup_messages.engine_number("e1"): warmup_messages.Row(1.5, 0.25, 0.5, 1250.0),
+        warmup_messages.engine_number("e2"): warmup_messages.Row(0.0, 0.0, 1.0, 0.0),
+    }
+    word = warmup_messages.RampWord(MEMBER, LIFE, VERSION, rows)
+    return warmup_messages.pack_words([word, warmup_messages.RampWord(2, 3, 4, {})])
+
+
+def site() -> site_messages.Site:
+    """A site with everything in it."""
+    zones = {
+        9: site_messages.Seen(0.4, 0.75, site_messages.bits_of(5) | site_messages.bits_of(77)),
+        4: site_messages.Seen(31.0, 0.25, 0),
+    }
+    sets = {site_messages.set_number("7"): 0.6, site_messages.set_number("8"): 0.3999}
+    return site_messages.Site(MEMBER, LIFE, VERSION, 9, 187.5, {40: 3.25, 41: 0.5}, sets, zones, 1.75)
+
+
+def sites() -> bytes:
+    """Two sites, one of which knows nothing."""
+    return site_messages.pack_sites([site(), site_messages.Site(2, 3, 4, 5)])
+
+
+def register_message(kind: int, epochs: tuple[int, ...] = ()) -> bytes:
+    """A message about a register."""
+    return messages.pack_message(messages.Message(kind, "swap/n1", BALLOT, STATE, epochs))
+
+
+def affinity_table() -> bytes:
+    """The table of members after some changes."""
+    value = membership_table.Value()
+    for member, inside in ((MEMBER, True), (2, True), (3, True), (2, False)):
+        value = value.after(member, inside)
+    return membership_table.pack(value)
+
+
+def drain_word() -> bytes:
+    """One dispatcher's word on drained engines."""
+    rows = {7: engine_drain.Row(3, 70_000, True), 8: engine_drain.Row(4, 0)}
+    return engine_drain.pack_word(engine_drain.DrainWord(MEMBER, LIFE, VERSION, rows))
+
+
+def handed_request(named: bool) -> bytes:
+    """A request as it is handed on."""
+    names = ("acme", "key-1") if named else ("", "")
+    return request_codec.pack_request(
+        request_codec.Handed("r1", "load", "k1", 250.5, 64.0, -1, True, b"INSERT 1", 77, *names)
+    )
+
+
+def plan_register() -> bytes:
+    """The register of a whole replacement."""
+    state = plan.State.LAYING
+    return plan.pack_whole(plan.Whole(state, 5, 4, 3, MEMBER, 2, 1, "n1", "ana", (MEMBER, 9)))
+
+
+def machine_register() -> bytes:
+    """The register of one machine."""
+    return plan.pack_record(
+        plan.Record(
+            plan.Step.DRAINING,
+            5,
+            epoch=4,
+            driver=MEMBER,
+            took=33,
+            flags=plan.Flag.ENGINE | plan.Flag.AWAY,
+            zone=9,
+            cores=80,
+            told=160,
+            seen=150,
+            life=LIFE,
+            reason=plan.Reason.LATE,
+            new="n1b",
+            next="n2",
+            who="ana",
+        )
+    )
+
+
+def peer_work() -> bytes:
+    """What a gateway has on two engines, as its peers are told."""
+    busy = EngineView("e1", scheduler_interface.Engine("e1"), 8.0, 16_000.0, code=0x01020304)
+    busy.threads_out, busy.memory_out, busy.held_area = 300, 1234.5, 5678.9
+    busy.left[0.5] = (1000.0, 2.0)
+    idle = EngineView("e2", scheduler_interface.Engine("e2"), 8.0, 16_000.0, code=5)
+    return peer_messages.pack_work(12.5, [busy, idle])
+
+
+def peer_load() -> bytes:
+    """A load that a gateway sent, as its peers are told."""
+    engine = EngineView("e1", scheduler_interface.Engine("e1"), 8.0, 16_000.0, code=0x01020304)
+    return peer_messages.pack_load(engine, 0x12345, 2750.25)
+
+
+def load_record(state: records.LoadState) -> bytes:
+    """A load as the ledger keeps it."""
+    return records.LoadRecord(IDENTITY, "r1", "k1", b"digest", "e1", 9, 1234.5, state, 2345.75).pack()
+
+
+def kept(actions: list[object]) -> bytes:
+    """Names and values of what is to be made durable."""
+    return b"".join(a.name.encode() + b"=" + a.data + b";" for a in actions if isinstance(a, Keep))
+
+
+def voter_records() -> bytes:
+    """What a voter keeps of itself when its folder is empty, and of a promise."""
+    voter = acceptor.Acceptor(1, [1, 2, 3], 0x5566, {}, 10, 100.0)
+    voter.step(0.0)
+    return kept(list(voter.take())) + acceptor.pack_register(acceptor.Register(BALLOT, STATE))
+
+
+def standing_record() -> bytes:
+    """The affinity table as a member keeps it."""
+    standing = Standing(2, [1, 2, 3], [1, 2, 3], 0.0, 1, {}, True, PinSettings().lease, 4, [9])
+    return standing.keep(5).data
+
+
+def pin_records() -> bytes:
+    """A pin that moves from one member to another, as both keep it at each step."""
+    found = dict[bytes, None]()
+
+    def make(member: int, life: int, disk: dict[str, bytes]) -> Pins:
+        return Pins(member, [1, 2], [1], 0.0, life, disk, PinSettings(on=True), True)
+
+    def watch() -> None:
+        for disk in net.disks.values():
+            found.update({f"{name}=".encode() + data: None for name, data in disk.items() if "pin/" in name})
+
+    net = Net([1, 2], make)
+    net.watch = watch
+    net.run(1000.0)
+    net.act(1, net.up[1].move(net.now, [b"pinned-1"], 2))
+    net.run(1000.0)
+    return b";".join(found)
+
+
+def engine_records() -> bytes:
+    """What is kept of an engine of the list."""
+    names = Names(("a", "b"), ("std", "big"))
+    info = scheduler_interface.Engine("e1", zone=1, model=1, cell=3, size=2.5)
+    change = Change((info,), {"e1": Address("10.1.2.3", 4500)}, True)
+    taken = cached_engines.Remembered({}, names).take(change)
+    return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
+
+
+def drain_records() -> bytes:
+    """What is kept of a drained engine."""
+    taken = engine_drain.Kept({}).drain("e1")
+    return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
+
+
+def kinds() -> bytes:
+    """The numbers of all kinds of records, and of a load's states."""
+    return bytes(int(kind) for kind in records.Kind) + bytes(int(state) for state in records.LoadState)
+
+
+PARTS = forwarding.Part(HEAD, 1, 200, bytes(200 - forwarding.PART_ROOM))
+ANSWERED = forwarding.Answer(9, 7, forwarding.End.FAILED, 12.5, 5, 0, b"12345")
+CASES: dict[str, Callable[[], bytes]] = {
+    "membership ping with updates": lambda: datagram(Kind.PING, 7, updates()),
+    "membership ping under a key": lambda: datagram(Kind.PING, 7, b"", KEYS),
+    **{f"membership kind {int(kind)}": lambda kind=kind: datagram(kind, 9) for kind in Kind},  # type: ignore[misc]
+    "member id": lambda: codec.member_id("n1").to_bytes(8, "big"),
+    "probe report": lambda: membership_adapter.pack_report({"inflight": 70.0, "util": 0.5}).to_bytes(
+        4, "big"
+    ),
+    "probe report unknown": lambda: membership_adapter.pack_report({}).to_bytes(4, "big"),
+    "zone number": lambda: zone_messages.zone_number("a").to_bytes(2, "big"),
+    "zone words": zone_words,
+    "zone loan ask": lambda: quota_lending.pack_loan(quota_lending.Ask(9, 77, 1234)),
+    "zone loan grant": lambda: quota_lending.pack_loan(quota_lending.Grant(9, 77, 1234)),
+    "zone orders": orders,
+    "price loads": price_loads,
+    "recovery here": here,
+    "recovery ask": lambda: recovery_messages.pack(recovery_messages.Ask(3, 4, (IDENTITY, bytes(16)))),
+    "recovery answer": lambda: recovery_messages.pack(
+        recovery_messages.Answer(
+            3, 4, tuple(recovery_messages.Verdict(i, s) for i, s in enumerate(recovery_messages.Said))
+        )
+    ),
+    "recovery open": lambda: recovery_messages.pack(recovery_messages.Open((IDENTITY,))),
+    "warm-up words": warmups,
+    "sites": sites,
+    "register prepare": lambda: register_message(messages.PREPARE),
+    "register promise": lambda: register_message(messages.PROMISE, (1, 2, 3)),
+    "register accept": lambda: register_message(messages.ACCEPT),
+    "register accepted": lambda: register_message(messages.ACCEPTED, (1, 2, 3)),
+    "register refused": lambda: register_message(messages.REFUSED),
+    "register chosen": lambda: register_message(messages.CHOSEN),
+    "register forget": lambda: register_message(messages.FORGET),
+    "register hello": lambda: messages.pack_asked(messages.Asked(messages.HELLO, 0x99, 3)),
+    "register recall": lambda: messages.pack_asked(messages.Asked(messages.RECALL, 0x99, 3, 2, 1)),
+    "register greeting": lambda: messages.pack_greeting(messages.Greeting(0x99, 3, True, (1, 0), (5, 6))),
+    "register recalled": lambda: messages.pack_recalled(
+        messages.Recalled(3, 2, 1, 4, 8, "swap", BALLOT, STATE, (1, 0, 2))
+    ),
+    **{
+        f"pins step {int(step)}": lambda step=step: pin_messages.pack_batch(  # type: ignore[misc]
+            step,
+            [
+                pin_messages.Entry(b"12345678", 9, pin_messages.DOUBT | pin_messages.GONE),
+                pin_messages.Entry(b"abcdefgh", 10, pin_messages.TENTATIVE),
+            ],
+        )
+        for step in pin_messages.Step
+    },
+    "pins lease ask": lambda: pin_messages.pack_lease(membership_leases.Ask(3, 4), 5),
+    "pins lease release": lambda: pin_messages.pack_lease(membership_leases.Ask(3, 4, True), 5),
+    "pins lease grant": lambda: pin_messages.pack_lease(membership_leases.Word(3, 4, True), 5),
+    "pins lease deny": lambda: pin_messages.pack_lease(membership_leases.Word(3, 4, False, 12.5), 5),
+    "pins refuse": lambda: pin_messages.pack_short(pin_messages.REFUSE, False, MEMBER, 7),
+    "pins done answer": lambda: pin_messages.pack_short(pin_messages.DONE, True, MEMBER, 7),
+    "pins table": affinity_table,
+    "forwarding probe": lambda: forwarding.pack(forwarding.Probe(7)),
+    "forwarding life": lambda: forwarding.pack(forwarding.Lives(7, 8, 9)),
+    "forwarding part": lambda: forwarding.pack(PARTS),
+    "forwarding withdraw": lambda: forwarding.pack(forwarding.Withdraw(HEAD, True)),
+    "forwarding ack": lambda: forwarding.pack(forwarding.Ack(9, 7, 5, forwarding.State.GONE, 0x105)),
+    "forwarding answer": lambda: forwarding.pack(ANSWERED),
+    "forwarding got": lambda: forwarding.pack(forwarding.Got(9, True, 0x3)),
+    "forwarding number": lambda: forwarding.number_of(LIFE, 9).to_bytes(8, "big"),
+    "forwarding ends": lambda: bytes(int(end) for end in forwarding.End),
+    "forwarding states": lambda: bytes(int(state) for state in forwarding.State),
+    "forwarded request": lambda: handed_request(False),
+    "forwarded request with names": lambda: handed_request(True),
+    "forwarded rows": lambda: request_codec.pack_rows([[b"a", b"", b"c" * 300], []]),
+    "pin of a key": lambda: request_codec.pin_key("k1"),
+    "replacement register": plan_register,
+    "replacement machine register": machine_register,
+    "replacement register name": lambda: plan.register("a machine with a long name").encode(),
+    "drain word": drain_word,
+    "gateway load": peer_load,
+    "gateway work": peer_work,
+    "ledger kinds": kinds,
+    **{
+        f"ledger load state {int(state)}": lambda state=state: load_record(state)  # type: ignore[misc]
+        for state in records.LoadState
+    },
+    "ledger life": lambda: records.LifeRecord(9, 10, True).pack(),
+    "ledger hint": lambda: records.Hint(b"anything", 12.5).pack(),
+    "ledger voter": voter_records,
+    "ledger pins table": standing_record,
+    "ledger pin": pin_records,
+    "ledger engine": engine_records,
+    "ledger drained engine": drain_records,
+    "boot file": lambda: boot_file.Life(9, 3, 77).pack(),
+    "boot file of an open life": lambda: boot_file.Life(9, 3, -1).pack(),
+    "seat record": lambda: sibling_processes.Record(5, 6, 7, True).pack(),
+    "connection ids": lambda: sibling_processes.Ids.of_seat(5, 2).base.to_bytes(4, "big"),
+}
+
+
+@pytest.mark.parametrize("name", CASES)
+def test_bytes_of(name: str) -> None:
+    assert CASES[name]().hex() == RECORD["bytes"][name]
+
+
+def test_no_recorded_bytes_are_left_out() -> None:
+    assert set(RECORD["bytes"]) == set(CASES)
+
+
+def ledger_folder(folder: Path) -> dict[str, object]:
+    """A ledger's files, the database's tables and rows, and the sizes kept ready."""
+    ledger = Ledger.open(folder, "n1")
+    durable = threading.Event()
+    ledger.settle(lambda well: durable.set())
+    assert durable.wait(10.0)
+    load = records.Record(records.Kind.LOAD, IDENTITY, load_record(records.LoadState.SENT))
+    ledger.put([load, records.LifeRecord(1, 2, True).record()])
+    ledger.close(clean=True)
+    names = sorted(path.name for path in folder.iterdir())
+    log_bytes = (folder / "n1.1.db-wal").stat().st_size  # read now: sqlite3 takes the log away
+    with contextlib.closing(sqlite3.connect(folder / "n1.1.db")) as database:
+        tables = [row[0] for row in database.execute("SELECT sql FROM sqlite_master WHERE sql NOT NULL")]
+        rows = database.execute("SELECT * FROM record ORDER BY kind, key").fetchall()
+        proof = database.execute("SELECT * FROM proof").fetchone()
+        page = database.execute("PRAGMA page_size").fetchone()
+    return {
+        "names": names,
+        "log bytes": log_bytes,
+        "life": (folder / "n1.life").read_bytes().hex(),
+        "tables": sorted(tables),
+        "rows": [[kind, key.hex(), value.hex(), mark] for kind, key, value, mark in rows],
+        "proof": [part.hex() if isinstance(part, bytes) else part for part in proof],
+        "page": list(page),
+    }
+
+
+def test_the_ledgers_folder(tmp_path: Path) -> None:
+    assert ledger_folder(tmp_path) == RECORD["folder"]
