--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -96,7 +96,7 @@
     file, hold = installation.file, hold_ms_of(installation)
     kept, _ = recorded_loads(found)
     memory = LoadHistory(file.number, file.dispatchers, 0, clock.now(), kept, LoadHistorySettings(hold), 0)
-    cooldown = min(installation.config.settings.permits.max_retry_after, memory.settings.retry_after_ms)
+    cooldown = min(installation.config.settings.features.max_retry_after_ms, memory.settings.retry_after_ms)
     return UnavailableLoadGuard(guarded_classes(installation), cooldown, memory, clock.now, counters)
 
 
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -28,8 +28,7 @@
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.gateway import Taken
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as io
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
 
 # What an end says of the engine; one turned away, given up or never sent says nothing. Danger: a query that
 # had waited here until its last 100 ms ran out of time at a well engine, and two of those in a crowd made a
@@ -89,7 +88,7 @@
         clock: Clock,
         counters: Counters,
         say: Callable[[int, bytes], None],
-        push: Callable[[io.Bounds | io.Price], None],
+        push: Callable[[EngineQuotas | AdmissionThreshold], None],
         note: Callable[..., None],
         probe: Callable[[str], bool],
         number: int = 0,
@@ -104,7 +103,7 @@
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
         if self.coordinator.demand is not None:
-            self.push(io.Price())  # of nothing yet
+            self.push(AdmissionThreshold())  # of nothing yet
         self._step()
 
     def on_member_joined(self) -> None:
@@ -136,15 +135,15 @@
         """An attempt has gone out."""
         self.coordinator.on_attempt_sent(self.clock.now(), _ref(attempt), attempt.engine, query_class)
 
-    def ended(self, attempt: Attempt, event: io.AttemptEnded) -> None:
+    def ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt has ended."""
         now, good = self.clock.now(), SAYS.get(event.outcome)
         if self.coordinator.failover_cost is not None and good:
             tables, told = self.sets.get(attempt.query, (-1, 0.0))
-            beyond = event.cost - told if told > 0 and event.cost > 0 else None
+            beyond = event.actual_work_ms - told if told > 0 and event.actual_work_ms > 0 else None
             zone = self.coordinator.zone_of.get(attempt.engine, "")
             self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), beyond=beyond)
-        self.coordinator.on_attempt_ended(now, _ref(attempt), good, event.elapsed, event.cost)
+        self.coordinator.on_attempt_ended(now, _ref(attempt), good, event.elapsed_ms, event.actual_work_ms)
 
     def closed(self, ref: str) -> None:
         """A request is over for its client."""
@@ -277,13 +276,13 @@
                 case SendMessage(member, data):
                     self.say(member, data)
                 case EngineBounds(work, until):
-                    self.push(io.Bounds(work, until))
+                    self.push(EngineQuotas(work, until))
                 case ThresholdUpdate(price, until, cooldown):
                     if price is None:
-                        self.push(io.Price())
+                        self.push(AdmissionThreshold())
                     else:
                         steps = density_of_step(price.step), density_of_step(price.step + 1)
-                        self.push(io.Price(*steps, price.admitted_share, until, cooldown))
+                        self.push(AdmissionThreshold(*steps, price.admitted_share, until, cooldown))
                 case PhaseChange(zone, phase, why):
                     self.counters.add(f"zones_{phase.value}")
                     self.note("zone", zone=zone, phase=phase.value, why=why)
