--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -414,17 +414,22 @@
         return view
 
     def _measure(self) -> Metrics:
-        from cottonhold.observe.metrics import Metrics, Readings, tally
+        from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
 
         def read() -> Readings:
             view = self._view()
             return Readings(
                 self.counters.counts,
                 self.gateway.open,
-                tally(EngineState, (p.info.state.value for p in self.engines.places.values())),
-                tally(Status, (m["status"] for m in view["members"])) if "members" in view else {},
-                tally(Verdict, (view["recovery"]["verdict"],)) if "recovery" in view else {},
-                tally(Step, (m["step"] for m in view["swap"]["machines"])) if "swap" in view else {},
+                tally(
+                    (state.value for state in EngineState),
+                    (p.info.state.value for p in self.engines.places.values()),
+                ),
+                tally(names_of(Status), (m["status"] for m in view["members"])) if "members" in view else {},
+                tally(names_of(Verdict), (view["recovery"]["verdict"],)) if "recovery" in view else {},
+                tally(names_of(Step), (m["step"] for m in view["swap"]["machines"]))
+                if "swap" in view
+                else {},
             )
 
         return Metrics(read)
--- a/cottonhold/observe/metrics.py
+++ b/cottonhold/observe/metrics.py
@@ -35,9 +35,14 @@
     steps: Tally = field(default_factory=dict)
 
 
-def tally(kind: type[Enum], seen: Iterable[str]) -> dict[str, int]:
-    """How often each word of a kind was seen. Also none is told: a series that ends looks like a lost one."""
-    return {word.name.lower(): 0 for word in kind} | Counter(seen)
+def tally(labels: Iterable[str], seen: Iterable[str]) -> dict[str, int]:
+    """How often each label was seen. A label that was not seen counts 0: a series that ends looks lost."""
+    return dict.fromkeys(labels, 0) | Counter(seen)
+
+
+def names_of(kind: type[Enum]) -> list[str]:
+    """The labels of an enumeration whose members' names are its labels."""
+    return [member.name.lower() for member in kind]
 
 
 class Reader(Collector):
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -37,8 +37,8 @@
 from cottonhold.membership import leases as membership_leases
 from cottonhold.membership.codec import Codec, Keys, Kind, Status, Update, encode_update
 from cottonhold.node import sibling_processes
-from cottonhold.scheduler import interface as scheduler_interface
 from cottonhold.scheduler import peer_messages
+from cottonhold.scheduler.events import Engine
 from cottonhold.scheduler.state import EngineView
 from cottonhold.store import boot_file, records
 from cottonhold.store.ledger import Ledger
@@ -74,10 +74,10 @@
 
 def zone_words() -> bytes:
     """Words on zones of two instances."""
-    failing = zone_messages.ZoneWord(zone_messages.Vote.OUT, 1, 2, 300, 0.25, True, True)
-    healthy = zone_messages.ZoneWord(zone_messages.Vote.IN, 9, 0, 0, 1.0)
-    first = zone_messages.Word(MEMBER, LIFE, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
-    return zone_messages.pack_words([first, zone_messages.Word(2, 3, 4, 5, 6, {})], 200)
+    failing = zone_messages.ZoneReport(zone_messages.Vote.EVACUATE, 1, 2, 300, 0.25, True, True)
+    healthy = zone_messages.ZoneReport(zone_messages.Vote.KEEP, 9, 0, 0, 1.0)
+    first = zone_messages.MemberReport(MEMBER, LIFE, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
+    return zone_messages.encode_reports([first, zone_messages.MemberReport(2, 3, 4, 5, 6, {})], 200)
 
 
 def orders() -> bytes:
@@ -195,16 +195,16 @@
 
 def peer_work() -> bytes:
     """What a gateway has on two engines, as its peers are told."""
-    busy = EngineView("e1", scheduler_interface.Engine("e1"), 8.0, 16_000.0, code=0x01020304)
+    busy = EngineView("e1", Engine("e1"), 8.0, 16_000.0, code=0x01020304)
     busy.threads_out, busy.memory_out, busy.held_area = 300, 1234.5, 5678.9
     busy.left[0.5] = (1000.0, 2.0)
-    idle = EngineView("e2", scheduler_interface.Engine("e2"), 8.0, 16_000.0, code=5)
+    idle = EngineView("e2", Engine("e2"), 8.0, 16_000.0, code=5)
     return peer_messages.pack_work(12.5, [busy, idle])
 
 
 def peer_load() -> bytes:
     """A load that a gateway sent, as its peers are told."""
-    engine = EngineView("e1", scheduler_interface.Engine("e1"), 8.0, 16_000.0, code=0x01020304)
+    engine = EngineView("e1", Engine("e1"), 8.0, 16_000.0, code=0x01020304)
     return peer_messages.pack_load(engine, 0x12345, 2750.25)
 
 
@@ -253,7 +253,7 @@
 def engine_records() -> bytes:
     """What is kept of an engine of the list."""
     names = Names(("a", "b"), ("std", "big"))
-    info = scheduler_interface.Engine("e1", zone=1, model=1, cell=3, size=2.5)
+    info = Engine("e1", zone=1, machine_type=1, cell=3, size=2.5)
     change = Change((info,), {"e1": Address("10.1.2.3", 4500)}, True)
     taken = cached_engines.Remembered({}, names).take(change)
     return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -31,8 +31,8 @@
 from cottonhold.node.gateway import Past
 from cottonhold.node.lifecycle import Phase
 from cottonhold.observe.counters import Counters
-from cottonhold.observe.metrics import Metrics, Readings, tally
-from cottonhold.scheduler.interface import EngineState, Outcome
+from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
+from cottonhold.scheduler.events import EngineState, Outcome
 from cottonhold.store.ledger import State as DiskState
 from tests.conformance.golden import RECORD
 from tests.test_simulator_adapter import PARAMS
@@ -116,10 +116,10 @@
     readings = Readings(
         {"attempts_ok": 3, "members_alive": 2},
         4,
-        tally(EngineState, ["live"]),
-        tally(Status, ["alive"]),
-        tally(Verdict, [next(iter(Verdict)).value]),
-        tally(Step, ["out"]),
+        tally([state.value for state in EngineState], ["live"]),
+        tally(names_of(Status), ["alive"]),
+        tally(names_of(Verdict), [next(iter(Verdict)).value]),
+        tally(names_of(Step), ["out"]),
     )
     return Metrics(lambda: readings).text()
 
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -22,7 +22,19 @@
 from cottonhold.node.admin_api import Calls
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler import interface as scheduler_interface
+from cottonhold.scheduler.actions import (
+    Action,
+    Cancel,
+    CheckHealth,
+    Fail,
+    LogLine,
+    Reject,
+    Send,
+    SendToPeer,
+    SetTimer,
+    Subscribe,
+    UpdateAttempt,
+)
 from tests.conformance.golden import RECORD
 from tests.support.scenario import LOGIN, FakeClock, FakeLine, World, packet
 from tests.test_simulator_adapter import PARAMS, REQUEST
@@ -242,18 +254,18 @@
 
 def simulator_actions() -> list[str]:
     """Each action in the simulator's words."""
-    actions: list[scheduler_interface.Action] = [
-        scheduler_interface.Send("r1", "e1", 250.5),
-        scheduler_interface.Terms("r1", 64, 2),
-        scheduler_interface.Cancel("r1", 3),
-        scheduler_interface.Refuse("r1", 125.0),
-        scheduler_interface.Fail("r1"),
-        scheduler_interface.Probe("e1"),
-        scheduler_interface.Subscribe(False),
-        scheduler_interface.Tell(b"\x01\xff", 2),
-        scheduler_interface.Tell(b"\x01\xff"),
-        scheduler_interface.Wake(12.5, 7),
-        scheduler_interface.LogLine("text"),
+    actions: list[Action] = [
+        Send("r1", "e1", 250.5),
+        UpdateAttempt("r1", 64, 2),
+        Cancel("r1", 3),
+        Reject("r1", 125.0),
+        Fail("r1"),
+        CheckHealth("e1"),
+        Subscribe(False),
+        SendToPeer(b"\x01\xff", 2),
+        SendToPeer(b"\x01\xff"),
+        SetTimer(12.5, 7),
+        LogLine("text"),
     ]
     return [json.dumps(simulator_adapter.write_action(action)) for action in actions]
 
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -52,7 +52,7 @@
 
 def test_series_are_those_of_the_moment_and_any_name_is_safe() -> None:
     counts = {"answers_served": 3, 'odd "name"\n': 1}
-    metrics = Metrics(lambda: Readings(counts, 7, steps=tally(Word, ["some", "some"])))
+    metrics = Metrics(lambda: Readings(counts, 7, steps=tally(names_of(Word), ["some", "some"])))
     counts["answers_served"] += 1
     assert parsed(metrics.text()) == {
         ("cottonhold_events_total", "answers_served"): 4,
