--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -14,7 +14,7 @@
 
 from cottonhold.config.installation import Unusable, read
 from cottonhold.node.standalone_dispatcher import ServedInstallation
-from cottonhold.observe.metrics import Metrics, Readings, tally
+from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
 from cottonhold.observe.structured import StructuredLog
 
 FILE: dict[str, Any] = {
