--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -14,7 +14,6 @@
 import msgspec
 import pytest
 import typer
-from cottonhold.scheduler.interface import EngineState, Outcome
 from typer.core import TyperGroup
 from typer.testing import CliRunner
 
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -252,7 +252,7 @@
     [
         (lambda s: s, 20.0, {"a": 1.0}),
         (spread, -12.0, {"a": 1 / 3, "b": 1 / 3, "c": 1 / 3}),
-        (lambda s: replace(s, zones={n: replace(z, served=0.0) for n, z in s.zones.items()}), 20.0, {}),
+        (lambda s: replace(s, zones={n: replace(z, served_share=0.0) for n, z in s.zones.items()}), 20.0, {}),
     ],
     ids=["at home", "in all zones", "not known"],
 )
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -215,7 +215,9 @@
 def test_a_retry_is_not_put_off_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
     put_off_by_turns(unkept_with(clock, {}), clock)
-    monkeypatch.setattr(LoadHistory, "later", lambda memory, now, load: LoadKnowledge.NOT_KNOWN_YET)
+    monkeypatch.setattr(
+        LoadHistory, "answer_unavailable", lambda memory, now, load: LoadKnowledge.NOT_KNOWN_YET
+    )
     with pytest.raises(AssertionError):
         put_off_by_turns(unkept_with(clock, {}), clock)
 
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -75,7 +75,7 @@
         clock.run_until(clock.now() + 5.0, lambda: None)
     assert (rim.coordinator.evacuation.states["a"].phase is Phase.EVACUATED) is left
     assert rim.coordinator.evacuation.states["b"].phase is Phase.IN_SERVICE
-    assert bool(bounds) is left and (not left or set(bounds[-1].work.values()) == {0.0})
+    assert bool(bounds) is left and (not left or set(bounds[-1].work_rate_by_engine.values()) == {0.0})
 
 
 @pytest.mark.parametrize(
