--- a/cottonhold/emulator/model_checker.py
+++ b/cottonhold/emulator/model_checker.py
@@ -20,7 +20,7 @@
 from enum import Enum
 from typing import Any
 
-from cottonhold.fleet.consensus.messages import Keep, Say
+from cottonhold.fleet.consensus.actions import PersistState, SendMessage
 
 Choice = tuple[Any, ...]
 
@@ -63,7 +63,9 @@
         self.now, self.crashes, self.forgets = 0.0, crashes, forgets
         self.ids = list(members)
         self.disks: dict[int, dict[str, bytes]] = {m: {} for m in self.ids}
-        self.queues: dict[int, list[Keep]] = {m: [] for m in self.ids}  # asked to be kept, not on disk yet
+        self.queues: dict[int, list[PersistState]] = {
+            m: [] for m in self.ids
+        }  # asked to be kept, not on disk yet
         self.net: dict[tuple[int, int, bytes], int] = {}  # to, from, data: how often it may still come
         self.life = dict.fromkeys(self.ids, 0)
         self.up: dict[int, Any] = {}
@@ -110,10 +112,10 @@
     def act(self, member: int, actions: Iterable[Any]) -> None:
         """Carry out what a machine asks for."""
         for action in actions:
-            if isinstance(action, Say):
+            if isinstance(action, SendMessage):
                 if action.member in self.disks:
-                    self.net[action.member, member, action.data] = self.copies
-            elif isinstance(action, Keep):
+                    self.net[action.member, member, action.payload] = self.copies
+            elif isinstance(action, PersistState):
                 self.queues[member].append(action)
             else:
                 self.told(member, action)
@@ -139,7 +141,7 @@
             if not self.net[message]:
                 del self.net[message]
             to, sender, data = message
-            self.act(to, self.up[to].hear(self.now, sender, data))
+            self.act(to, self.up[to].on_message(self.now, sender, data))
         elif kind == "write":
             self.write(choice[1])
         elif kind == "step":
@@ -160,7 +162,7 @@
         self.disks[member].pop(keep.name, None)
         if keep.data:
             self.disks[member][keep.name] = keep.data
-        self.act(member, self.up[member].kept(self.now, keep.then))
+        self.act(member, self.up[member].on_persisted(self.now, keep.token))
 
     def crash(self, member: int, forget: bool) -> None:
         """A process is gone, with what wasn't written; maybe its folder too."""
@@ -196,7 +198,7 @@
                 del self.net[message]
                 to, sender, data = message
                 if to in self.up:
-                    self.act(to, self.up[to].hear(self.now, sender, data))
+                    self.act(to, self.up[to].on_message(self.now, sender, data))
             self.wrong = self.wrong or self.check()
 
     def print(self) -> bytes:
--- a/cottonhold/emulator/models.py
+++ b/cottonhold/emulator/models.py
@@ -7,7 +7,9 @@
 from typing import Any
 
 from cottonhold.emulator.model_checker import Choice, World
-from cottonhold.fleet.consensus.register import Changed, How, Outcome, Registers, RegisterSettings
+from cottonhold.fleet.consensus.actions import ChangeResult, OperationOutcome, RegisterChanged
+from cottonhold.fleet.consensus.register import Registers
+from cottonhold.fleet.consensus.settings import RegisterSettings
 from cottonhold.fleet.session_affinity.ownership import Moved, Pins, PinSettings
 
 
@@ -27,7 +29,13 @@
     def make(self, member: int, disk: dict[str, bytes]) -> Registers:
         seed = member * 1000 + self.life[member]
         return Registers(
-            member, (1, 2, 3), self.life[member], 1, seed, disk, RegisterSettings(patience=20_000.0)
+            member,
+            (1, 2, 3),
+            self.life[member],
+            1,
+            seed,
+            disk,
+            RegisterSettings(operation_timeout_ms=20_000.0),
         )
 
     def more(self) -> list[Choice]:
@@ -37,24 +45,24 @@
         member = choice[1]
         self.asks[member] -= 1
         token = member * 10 + self.asks[member]
-        version, _ = self.up[member].known("r")
+        version, _ = self.up[member].last_known("r")
         self.asked[token] = version, b"%d" % token
         self.act(member, self.up[member].change(self.now, "r", version, b"%d" % token, token))
 
     def told(self, member: int, action: Any) -> None:
-        if isinstance(action, Changed):
+        if isinstance(action, RegisterChanged):
             self.settle(action.version, action.value)
-        elif isinstance(action, Outcome) and action.token:
+        elif isinstance(action, OperationOutcome) and action.token:
             self.outcome(action)
 
-    def outcome(self, end: Outcome) -> None:
+    def outcome(self, end: OperationOutcome) -> None:
         """A proposer was told how its change ended."""
         if end.version >= 0:
             self.settle(end.version, end.value)
         from_, value = self.asked[end.token]
-        if end.how is How.WON:
+        if end.result is ChangeResult.WON:
             self.settle(from_ + 1, value)
-        elif end.how is How.LOST:
+        elif end.result is ChangeResult.LOST:
             self.lost_values.add(value)
 
     def settle(self, version: int, value: bytes) -> None:
@@ -70,11 +78,11 @@
 def register_end(world: World) -> str:
     """After all faults: every asker got an answer, and all voters vote and agree."""
     assert isinstance(world, RegisterWorld)
-    if not all(world.up[voter].votes() for voter in (1, 2, 3)):
+    if not all(world.up[voter].is_voting() for voter in (1, 2, 3)):
         return "a voter doesn't vote"
-    if any(one.proposer.asking or one.proposer.line for one in world.up.values()):
+    if any(one.proposer.in_progress or one.proposer.queue for one in world.up.values()):
         return "a change has no end"
-    known = {world.up[voter].known("r") for voter in (1, 2, 3) if world.up[voter].known("r")[0]}
+    known = {world.up[voter].last_known("r") for voter in (1, 2, 3) if world.up[voter].last_known("r")[0]}
     return "voters know different values" if len(known) > 1 else ""
 
 
--- a/cottonhold/emulator/rolling_replacement.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -15,6 +15,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
+from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
 from cottonhold.fleet.rolling_replacement.coordinator import Swap
 from cottonhold.fleet.rolling_replacement.machine_driver import SwapSettings
 from cottonhold.fleet.rolling_replacement.plan import (
@@ -34,10 +35,8 @@
 from cottonhold.fleet.rolling_replacement.step_decision import (
     Action,
     Answer,
-    Change,
     Drain,
     MovePins,
-    Read,
     Ready,
     Say,
     StepSettings,
@@ -235,7 +234,7 @@
     # --- actions ---
 
     def _act(self, host: Host, action: Action) -> None:
-        if isinstance(action, Change | Read):
+        if isinstance(action, ChangeRegister | ReadRegister):
             self._operate(host, action)
         elif isinstance(action, MovePins):
             self._effect(host, action.machine, action.epoch)
@@ -255,7 +254,7 @@
         else:
             self.says.append((self.now, host.name, action))
 
-    def _operate(self, host: Host, action: Change | Read) -> None:
+    def _operate(self, host: Host, action: ChangeRegister | ReadRegister) -> None:
         """An operation is sent again until it gets through, or its patience is over."""
         t, draw, life, asked = self.trouble, self.draw, host.life, self.now
         swap = host.swap
@@ -286,9 +285,9 @@
 
         self.at(self.now + t.delay * (0.2 + draw.random()), attempt)
 
-    def _apply(self, action: Change | Read) -> tuple[bool, int, bytes]:
+    def _apply(self, action: ChangeRegister | ReadRegister) -> tuple[bool, int, bytes]:
         version, value = self.registers.get(action.name, (0, b""))
-        if isinstance(action, Read):
+        if isinstance(action, ReadRegister):
             return True, version, value
         if action.version != version:
             return False, version, value
--- a/cottonhold/fleet/consensus/acceptor.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -1,401 +1,388 @@
-"""A voter's memory of registers: what it promised and accepted, and how one with an empty folder votes again.
-Pure.
+"""A voter: what it promised and accepted for each register, on disk before it answers. Pure.
 
-Each promise and each accepted state is on disk before its answer goes out: an answer waits for the token of
-the record that it rests on.
-
-One that has forgotten must not vote: what two voters of three accepted would be unknown to the next two. It
-*returns* so (each step is sent again until it is answered, each answer is on disk before it goes out):
-
-1. It asks how often the others know it to have returned (its epoch), and takes the next number.
-2. Each of the others records that number and from then on tells it with each promise and acceptance; in the
-   same moment it copies its registers for the one that returns.
-3. With the copies of more than half of *the others* it holds for each register the newest accepted state and
-   skips all rounds up to the highest promised.
-
-Why that is enough: a round's quorum with the one that forgot has at least half of the others in it, so one of
-them also gave a copy. If that one promised (accepted) first, the copy tells of it. If it gave the copy first,
-its answer tells the proposer the new epoch, and the forgotten answer of the lower epoch counts no more.
-
-A fleet that is new has only empty folders. Only where each of *all* voters says in two rounds, one after the
-other, that it has never voted, under the same drawn number (`run`) of its folder, is the fleet new: then all
-of them had forgotten at one moment, and there is nothing left to keep. One whose run was there at that birth
-has missed nothing since and votes at once.
+An answer waits for the token of the record that it depends on. See voter_recovery.py for a voter that starts
+with an empty folder.
 """
 
 from __future__ import annotations
 
+import math
 import struct
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from cottonhold.fleet.consensus import messages
+from cottonhold.fleet.consensus.actions import PersistState, SendMessage
 from cottonhold.fleet.consensus.messages import (
-    NONE,
-    Asked,
+    NO_BALLOT,
+    AcceptedState,
     Ballot,
-    Greeting,
-    Keep,
-    Message,
-    Recalled,
-    Say,
-    State,
+    HelloReply,
+    RecoveryRequest,
+    RegisterMessage,
+    RegisterPage,
 )
+from cottonhold.fleet.consensus.voter_recovery import RecoveredMemory, VoterRecovery
 from cottonhold.fleet.zone_failover.messages import WordError
 
-VOTER, REGISTER = "voter", "reg/"  # names of records
-MOST_WHO = 2**64 - 1
-HEAD = struct.Struct("!Q?I")
+VOTER_RECORD, REGISTER_RECORD_PREFIX = "voter", "reg/"  # names of records
+MAX_PROPOSER_ID = 2**64 - 1
+VOTER_RECORD_FORMAT = struct.Struct("!Q?I")  # folder id, whether it votes, ballot floor
 
 
 @dataclass(slots=True)
-class Register:
-    """One register at a voter: the highest round promised, and what was accepted last."""
+class VoterRegister:
+    """One register at a voter: the highest ballot promised, and the state accepted last."""
 
-    promised: Ballot = NONE
-    state: State = State()
+    promised: Ballot = NO_BALLOT
+    state: AcceptedState = AcceptedState()
 
 
-def pack_register(register: Register) -> bytes:
-    """A register's record on disk."""
-    return messages.BALLOT.pack(register.promised.number, register.promised.who) + messages.pack_state(
-        register.state
-    )
+def encode_register(register: VoterRegister) -> bytes:
+    """Encode a register's record."""
+    return messages.encode_ballot(register.promised) + messages.encode_state(register.state)
 
 
-def read_register(data: bytes) -> Register:
-    """A register from its record. Raises WordError."""
-    reader = messages.Reader(data)
-    register = Register(reader.ballot(), reader.state())
-    reader.end()
+def decode_register(data: bytes) -> VoterRegister:
+    """Decode a register's record. Raises WordError."""
+    reader = messages.MessageReader(data)
+    register = VoterRegister(reader.read_ballot(), reader.read_state())
+    reader.expect_end()
     return register
 
 
-@dataclass(slots=True)
-class Copies:
-    """What another voter told of its registers to the one that returns."""
-
-    pages: dict[int, Recalled] = field(default_factory=dict)
+@dataclass(slots=True, frozen=True)
+class ServedCopy:
+    """The copy of this voter's registers that a recovering voter reads, and the round of its requests."""
 
-    def whole(self) -> bool:
-        """All pages of one copy are there."""
-        return 0 in self.pages and len(self.pages) >= max(self.pages[0].count, 1)
+    round: int
+    registers: list[tuple[str, VoterRegister]]
 
 
 class Acceptor:
-    """One voter. `run`: drawn, used where the folder is empty; `most`: so many registers at most."""
+    """One voter.
+
+    folder_id: drawn anew, and used if the folder is empty. records: of the previous start, by name. Raises
+    WordError if they are unusable.
+    """
 
     def __init__(
-        self, me: int, voters: Sequence[int], run: int, kept: Mapping[str, bytes], most: int, retry: float
+        self,
+        member: int,
+        voters: Sequence[int],
+        folder_id: int,
+        records: Mapping[str, bytes],
+        max_registers: int,
+        retry_interval_ms: float,
     ) -> None:
-        self.me, self.voters, self.most, self.retry = me, tuple(voters), most, retry
-        self.index = self.voters.index(me)
-        self.others = [v for v in self.voters if v != me]
-        self.enough = len(self.others) // 2 + 1  # more than half of the others
-        self.run, self.votes, self.floor = run, False, 0
-        self.epochs = [0] * len(self.voters)
-        self.runs = [0] * len(self.voters)  # of those that returned: whose epoch that is
-        self.born = [0] * len(self.voters)
-        self.registers: dict[str, Register] = {}
-        self.token = 0
-        self.durable = False  # this folder's run is on disk: until then it tells nobody of it
-        self.waiting: dict[int, list[Say]] = {}  # answers by the token that they wait for
-        self.pending: dict[str, int] = {}  # the last record of a name that isn't on disk yet
-        self.dropping: dict[int, list[str]] = {}  # registers to be removed once the floor is on disk
-        self.copied: dict[int, tuple[int, list[tuple[str, Register]]]] = {}  # by voter: its round, our copy
-        self.round = run & 0x7FFFFFFF
-        self.greeted: dict[int, Greeting] = {}
-        self.before: dict[int, int] = {}  # runs of those that had never voted in the round before
-        self.wanted = 0  # the epoch under which it returns
-        self.copies: dict[int, Copies] = {}
-        self.paged = 0  # pages of copies at the last asking
-        self.returning: int | None = None  # waits for this token to vote
-        self.next_ask = 0.0
-        self.actions: list[Say | Keep] = []
-        self._read(kept)
-
-    # --- what happens ---
-
-    def take(self) -> list[Say | Keep]:
-        """What is to be done now; once."""
+        self.voters = tuple(voters)
+        self.max_registers = max_registers
+        self.retry_interval_ms = retry_interval_ms
+        self.index = self.voters.index(member)
+        self.is_voting = False
+        self.ballot_floor = 0  # ballots up to it are refused for registers that this voter does not hold
+        self.epochs = [0] * len(self.voters)  # how often each voter has recovered
+        self.recovered_folder_ids = [0] * len(self.voters)  # the folder to which each epoch belongs
+        self.founding_folder_ids = [0] * len(self.voters)
+        self.registers: dict[str, VoterRegister] = {}
+        self.last_token = 0
+        self.folder_id_durable = False  # before, no other voter may learn of the folder id
+        self.answers_by_token: dict[int, list[SendMessage]] = {}  # that wait for a record
+        self.pending_writes: dict[str, int] = {}  # the last token of each record that is not on disk yet
+        self.removals_by_token: dict[int, list[str]] = {}  # registers to remove once the floor is on disk
+        self.served_copies: dict[int, ServedCopy] = {}  # by recovering voter
+        self.recovery = VoterRecovery(member, self.voters, folder_id)
+        self.voting_token: int | None = None  # of the record with which it begins to vote
+        self.next_request_at = 0.0
+        self.actions: list[SendMessage | PersistState] = []
+        self._load(records)
+
+    @property
+    def folder_id(self) -> int:
+        """The number drawn when this voter's folder was created."""
+        return self.recovery.folder_id
+
+    def take_actions(self) -> list[SendMessage | PersistState]:
+        """Return the actions to be carried out, once."""
         actions, self.actions = self.actions, []
         return actions
 
+    def next_at(self) -> float:
+        """Return when `step` is due."""
+        return math.inf if self.is_voting or self.voting_token is not None else self.next_request_at
+
     def step(self, now: float) -> None:
-        """Time has passed; one that doesn't vote yet asks again."""
-        if self.votes or now < self.next_ask or self.returning is not None:
+        """Continue the recovery of a voter that does not vote yet."""
+        if now < self.next_at():
             return
-        self.next_ask = now + self.retry
-        if not self.durable:
-            if VOTER not in self.pending:
-                self._keep_voter()
-            return
-        if not self.others:
-            self._begin()
-            return
-        self._ask()
-
-    def kept(self, token: int) -> None:
-        """The disk has the record of this token; tokens come in the order in which they were asked."""
-        for name in [name for name, last in self.pending.items() if last == token]:
-            del self.pending[name]
-            if name == VOTER:
-                self.durable = True
-        self.actions += self.waiting.pop(token, [])
-        for name in self.dropping.pop(token, []):
+        self.next_request_at = now + self.retry_interval_ms
+        if not self.folder_id_durable:
+            if VOTER_RECORD not in self.pending_writes:
+                self._persist_voter()
+        elif not self.recovery.other_voters:
+            self._start_voting()
+        else:
+            self._after_recovery_step(self.recovery.next_round())
+
+    def on_persisted(self, token: int) -> None:
+        """The record with this token is on disk; tokens arrive in the order of the requests."""
+        for name in [name for name, last in self.pending_writes.items() if last == token]:
+            del self.pending_writes[name]
+            if name == VOTER_RECORD:
+                self.folder_id_durable = True
+        self.actions += self.answers_by_token.pop(token, [])
+        for name in self.removals_by_token.pop(token, []):
             if name not in self.registers:
-                self._keep(REGISTER + name, b"")
-        if self.returning == token:
-            self.returning, self.votes = None, True
-
-    def hear(self, sender: int, data: bytes) -> None:
-        """A message for a voter. Raises WordError."""
-        kind = data[0]
+                self._persist(REGISTER_RECORD_PREFIX + name, b"")
+        if self.voting_token == token:
+            self.voting_token = None
+            self.is_voting = True
+
+    def on_message(self, sender: int, payload: bytes) -> None:
+        """Apply a message for a voter. Raises WordError if it is malformed."""
+        kind = payload[0]
         if kind in (messages.PREPARE, messages.ACCEPT, messages.FORGET):
-            message = messages.read_message(data)
-            if self.votes:
-                {messages.PREPARE: self._promise, messages.ACCEPT: self._accept}.get(kind, self._forget)(
-                    sender, message
-                )
-        elif sender not in self.others:
+            message = messages.decode_message(payload)
+            if self.is_voting:
+                self._on_proposer_message(sender, message)
+        elif sender not in self.recovery.other_voters:
             return
         elif kind == messages.HELLO:
-            self._greet(sender, messages.read_asked(data).round)
-        elif kind == messages.RECALL:
-            self._copy(sender, messages.read_asked(data))
-        elif kind == messages.HELLO_BACK:
-            self._greeted(sender, messages.read_greeting(data))
-        elif kind == messages.RECALLED:
-            self._recalled(sender, messages.read_recalled(data))
-
-    # --- voting ---
-
-    def _promise(self, sender: int, m: Message) -> None:
-        register = self._known(m.name)
-        if m.ballot < register.promised or not self._room(m.name):
-            self._refuse(sender, m, register)
+            self._on_hello(sender, messages.decode_recovery_request(payload).round)
+        elif kind == messages.PAGE_REQUEST:
+            self._on_page_request(sender, messages.decode_recovery_request(payload))
+        elif kind == messages.HELLO_REPLY:
+            self._on_hello_reply(sender, messages.decode_hello_reply(payload))
+        elif kind == messages.REGISTER_PAGE:
+            self._on_register_page(sender, messages.decode_register_page(payload))
+
+    def _on_proposer_message(self, sender: int, message: RegisterMessage) -> None:
+        if message.kind == messages.PREPARE:
+            self._on_prepare(sender, message)
+        elif message.kind == messages.ACCEPT:
+            self._on_accept(sender, message)
+        else:
+            self._on_forget(message)
+
+    def _on_prepare(self, sender: int, message: RegisterMessage) -> None:
+        """Promise a ballot that is not lower than the one promised before."""
+        register = self._register(message.name)
+        if message.ballot < register.promised or not self._has_capacity(message.name):
+            self._refuse(sender, message, register)
             return
-        if m.ballot > register.promised:
-            register.promised = m.ballot
-            self._hold(m.name, register)
-        answer = Message(messages.PROMISE, m.name, m.ballot, register.state, tuple(self.epochs))
-        self._answer(REGISTER + m.name, sender, messages.pack_message(answer))
-
-    def _accept(self, sender: int, m: Message) -> None:
-        register = self._known(m.name)
-        if m.ballot < register.promised or m.state.ballot != m.ballot or not self._room(m.name):
-            self._refuse(sender, m, register)
+        if message.ballot > register.promised:
+            register.promised = message.ballot
+            self._persist_register(message.name, register)
+        epochs = tuple(self.epochs)
+        answer = RegisterMessage(messages.PROMISE, message.name, message.ballot, register.state, epochs)
+        self._send_after_write(REGISTER_RECORD_PREFIX + message.name, sender, messages.encode_message(answer))
+
+    def _on_accept(self, sender: int, message: RegisterMessage) -> None:
+        """Accept a state whose ballot is not lower than the one promised."""
+        register = self._register(message.name)
+        ballot = message.ballot
+        is_acceptable = ballot >= register.promised and message.state.ballot == ballot
+        if not is_acceptable or not self._has_capacity(message.name):
+            self._refuse(sender, message, register)
             return
-        if register.state.ballot != m.ballot:
-            register.promised, register.state = m.ballot, m.state
-            self._hold(m.name, register)
-        answer = Message(messages.ACCEPTED, m.name, m.ballot, epochs=tuple(self.epochs))
-        self._answer(REGISTER + m.name, sender, messages.pack_message(answer))
-
-    def _forget(self, sender: int, m: Message) -> None:
-        """All voters have accepted that this register is finished: it may go."""
-        register = self.registers.get(m.name)
-        if register is None or register.promised != m.ballot or register.state.ballot != m.ballot:
+        if register.state.ballot != ballot:
+            register.promised = ballot
+            register.state = message.state
+            self._persist_register(message.name, register)
+        answer = RegisterMessage(messages.ACCEPTED, message.name, ballot, epochs=tuple(self.epochs))
+        self._send_after_write(REGISTER_RECORD_PREFIX + message.name, sender, messages.encode_message(answer))
+
+    def _on_forget(self, message: RegisterMessage) -> None:
+        """Remove a finished register: all voters have accepted its final state."""
+        register = self.registers.get(message.name)
+        if register is None or register.promised != message.ballot or register.state.ballot != message.ballot:
             return
         if not register.state.value:
-            self._drop(m.name)
-
-    def _room(self, name: str) -> bool:
-        """There is room for this register. Those that were only asked for give way: the floor keeps their
-        promise."""
-        if name in self.registers or len(self.registers) < self.most:
-            return True
-        empty = [n for n, r in self.registers.items() if r.state.ballot == NONE]
-        for other in empty:
-            self._drop(other)
-        return bool(empty)
-
-    def _drop(self, name: str) -> None:
-        """Danger: without the floor, an ACCEPT of an old round that comes late would bring an old value
-        back; so the record goes only once the floor is on disk."""
-        self.floor = max(self.floor, self.registers.pop(name).promised.number)
-        self.dropping.setdefault(self._keep_voter(), []).append(name)
+            self._remove_register(message.name)
 
-    def _known(self, name: str) -> Register:
-        return self.registers.get(name) or Register(Ballot(self.floor, MOST_WHO if self.floor else 0))
+    def _has_capacity(self, name: str) -> bool:
+        """Whether there is capacity for this register.
 
-    def _hold(self, name: str, register: Register) -> None:
+        Registers without an accepted state are removed if need be: the ballot floor keeps their promises.
+        """
+        if name in self.registers or len(self.registers) < self.max_registers:
+            return True
+        without_state = [other for other, r in self.registers.items() if r.state.ballot == NO_BALLOT]
+        for other in without_state:
+            self._remove_register(other)
+        return bool(without_state)
+
+    def _remove_register(self, name: str) -> None:
+        """Raise the ballot floor, and remove the register's record once the floor is on disk.
+
+        Without the floor, a late ACCEPT of an old ballot would bring an old value back.
+        """
+        self.ballot_floor = max(self.ballot_floor, self.registers.pop(name).promised.number)
+        self.removals_by_token.setdefault(self._persist_voter(), []).append(name)
+
+    def _register(self, name: str) -> VoterRegister:
+        register = self.registers.get(name)
+        if register is not None:
+            return register
+        return VoterRegister(Ballot(self.ballot_floor, MAX_PROPOSER_ID if self.ballot_floor else 0))
+
+    def _persist_register(self, name: str, register: VoterRegister) -> None:
         self.registers[name] = register
-        self._keep(REGISTER + name, pack_register(register))
+        self._persist(REGISTER_RECORD_PREFIX + name, encode_register(register))
 
-    def _refuse(self, sender: int, m: Message, register: Register) -> None:
-        refusal = Message(messages.REFUSED, m.name, m.ballot, State(register.promised))
-        self.actions.append(Say(sender, messages.pack_message(refusal)))
+    def _refuse(self, sender: int, message: RegisterMessage, register: VoterRegister) -> None:
+        promised = AcceptedState(register.promised)
+        refusal = RegisterMessage(messages.REFUSED, message.name, message.ballot, promised)
+        self.actions.append(SendMessage(sender, messages.encode_message(refusal)))
 
-    def _answer(self, record: str, member: int, data: bytes) -> None:
-        """Say it once what it rests on is on disk."""
-        token = self.pending.get(record)
+    def _send_after_write(self, record_name: str, member: int, payload: bytes) -> None:
+        """Send an answer once the record that it depends on is on disk."""
+        answer = SendMessage(member, payload)
+        token = self.pending_writes.get(record_name)
         if token is None:
-            self.actions.append(Say(member, data))
+            self.actions.append(answer)
             return
-        waiting = self.waiting.setdefault(token, [])
-        if Say(member, data) not in waiting:
-            waiting.append(Say(member, data))
-
-    def _keep(self, name: str, data: bytes) -> int:
-        self.token += 1
-        earlier = self.pending.get(name)
-        self.pending[name] = self.token
-        # Danger: the earlier record is overwritten and may never be on disk; its answers rest on this one.
-        if earlier is not None and earlier in self.waiting:
-            self.waiting.setdefault(self.token, []).extend(self.waiting.pop(earlier))
-        if earlier is not None and earlier in self.dropping:
-            self.dropping.setdefault(self.token, []).extend(self.dropping.pop(earlier))
-        self.actions.append(Keep(name, data, self.token))
-        return self.token
-
-    # --- for one that returns ---
-
-    def _greet(self, sender: int, round_: int) -> None:
-        if not self.durable:
+        waiting = self.answers_by_token.setdefault(token, [])
+        if answer not in waiting:
+            waiting.append(answer)
+
+    def _persist(self, name: str, data: bytes) -> int:
+        """Write a record and return its token.
+
+        An earlier record of the name may be overwritten before it reaches the disk, so whatever waits for it
+        now waits for this one.
+        """
+        self.last_token += 1
+        token = self.last_token
+        earlier_token = self.pending_writes.get(name)
+        self.pending_writes[name] = token
+        if earlier_token is not None and earlier_token in self.answers_by_token:
+            answers = self.answers_by_token.pop(earlier_token)
+            self.answers_by_token.setdefault(token, []).extend(answers)
+        if earlier_token is not None and earlier_token in self.removals_by_token:
+            removals = self.removals_by_token.pop(earlier_token)
+            self.removals_by_token.setdefault(token, []).extend(removals)
+        self.actions.append(PersistState(name, data, token))
+        return token
+
+    def _on_hello(self, sender: int, round_: int) -> None:
+        """Answer a recovering voter, or one that wonders whether the fleet is new."""
+        if not self.folder_id_durable:
             return
-        votes = self.votes
-        data = messages.pack_greeting(Greeting(self.run, round_, votes, tuple(self.epochs), tuple(self.born)))
-        self._answer(VOTER, sender, data)
+        epochs, founding_folder_ids = tuple(self.epochs), tuple(self.founding_folder_ids)
+        reply = HelloReply(self.folder_id, round_, self.is_voting, epochs, founding_folder_ids)
+        self._send_after_write(VOTER_RECORD, sender, messages.encode_hello_reply(reply))
 
-    def _copy(self, sender: int, asked: Asked) -> None:
-        if not self.votes:
-            return
-        at = self.voters.index(sender)
-        known = self.epochs[at], self.runs[at]
-        if asked.epoch < known[0] or (asked.epoch == known[0] and asked.run != known[1]):
-            self._greet(sender, asked.round)  # late, or another return of it took this number
-            return
-        if asked.epoch > known[0]:
-            self.epochs[at], self.runs[at] = asked.epoch, asked.run
-            self._keep_voter()
-        if asked.index == 0 and self.copied.get(sender, (-1, []))[0] != asked.round:
-            copy = [(n, Register(r.promised, r.state)) for n, r in sorted(self.registers.items())]
-            self.copied[sender] = asked.round, copy
-        round_, copy = self.copied.get(sender, (-1, []))
-        # Danger: after a restart there is another copy; pages of two copies may miss what moved between them.
-        if round_ != asked.round or asked.index >= max(len(copy), 1):
-            return
-        name, register = copy[asked.index] if copy else ("", Register())
-        page = Recalled(
-            asked.round, asked.epoch, asked.index, len(copy), self.floor, name, register.promised,
-            register.state, tuple(self.epochs),
-        )  # fmt: skip
-        self._answer(VOTER, sender, messages.pack_recalled(page))
-
-    # --- as one that returns ---
-
-    def _ask(self) -> None:
-        """Another round of HELLO; and RECALL for the pages that lack."""
-        young = {v: g.run for v, g in self.greeted.items() if not g.votes}
-        if len(young) == len(self.others):
-            if young == self.before:
-                self.born = [self.run if v == self.me else young[v] for v in self.voters]
-                self._begin()
-                return
-            self.before = young
-        else:
-            self.before = {}
-        pages = sum(len(copy.pages) for copy in self.copies.values())
-        if pages > self.paged:  # it goes on: only what was lost is asked again
-            self.paged = pages
-            for voter, copy in self.copies.items():
-                lacking = [i for i in range(copy.pages[min(copy.pages)].count) if i not in copy.pages]
-                if lacking:
-                    self._recall(voter, lacking[0])
-            return
-        self.paged = 0
-        self.round = (self.round + 1) & 0xFFFFFFFF
-        self.greeted, self.copies = {}, {}
-        for voter in self.others:
-            self.actions.append(Say(voter, messages.pack_asked(Asked(messages.HELLO, self.run, self.round))))
-
-    def _greeted(self, sender: int, g: Greeting) -> None:
-        if self.votes or g.round != self.round or len(g.epochs) != len(self.voters):
+    def _on_page_request(self, sender: int, request: RecoveryRequest) -> None:
+        """Record a recovering voter's epoch, and send a page of the copy made at that moment."""
+        if not self.is_voting:
             return
-        if self.returning is not None or len(g.born) != len(self.voters):
+        voter_index = self.voters.index(sender)
+        known_epoch = self.epochs[voter_index]
+        is_other_folder = request.folder_id != self.recovered_folder_ids[voter_index]
+        if request.epoch < known_epoch or (request.epoch == known_epoch and is_other_folder):
+            # The request is late, or another recovery of that voter took this epoch.
+            self._on_hello(sender, request.round)
             return
-        self.greeted[sender] = g
-        if not g.votes:
+        if request.epoch > known_epoch:
+            self.epochs[voter_index] = request.epoch
+            self.recovered_folder_ids[voter_index] = request.folder_id
+            self._persist_voter()
+        served = self.served_copies.get(sender)
+        if request.page_index == 0 and (served is None or served.round != request.round):
+            copies = [(n, VoterRegister(r.promised, r.state)) for n, r in sorted(self.registers.items())]
+            served = self.served_copies[sender] = ServedCopy(request.round, copies)
+        # After a restart there is another copy, and pages of two copies may miss what changed between them.
+        if served is None or served.round != request.round:
             return
-        if g.born[self.index] == self.run:
-            self.born = list(g.born)
-            self._begin()
+        if request.page_index < max(len(served.registers), 1):
+            self._send_page(sender, request, served)
+
+    def _send_page(self, sender: int, request: RecoveryRequest, served: ServedCopy) -> None:
+        registers = served.registers
+        name, register = registers[request.page_index] if registers else ("", VoterRegister())
+        page = RegisterPage(
+            round=request.round,
+            epoch=request.epoch,
+            page_index=request.page_index,
+            page_count=len(registers),
+            ballot_floor=self.ballot_floor,
+            name=name,
+            promised=register.promised,
+            state=register.state,
+            epochs=tuple(self.epochs),
+        )
+        self._send_after_write(VOTER_RECORD, sender, messages.encode_register_page(page))
+
+    def _on_hello_reply(self, sender: int, reply: HelloReply) -> None:
+        if self.is_voting or reply.round != self.recovery.round or len(reply.epochs) != len(self.voters):
             return
-        voting = {v: h for v, h in self.greeted.items() if h.votes}
-        if len(voting) >= self.enough:
-            self.wanted = max([self.wanted, *(h.epochs[self.index] + 1 for h in voting.values())])
-            if self.wanted < 256:
-                for voter in voting:
-                    self._recall(voter, 0)
-
-    def _recall(self, voter: int, index: int) -> None:
-        asked = Asked(messages.RECALL, self.run, self.round, self.wanted, index)
-        self.actions.append(Say(voter, messages.pack_asked(asked)))
-
-    def _recalled(self, sender: int, page: Recalled) -> None:
-        if self.votes or self.returning is not None or len(page.epochs) != len(self.voters):
+        if self.voting_token is not None or len(reply.founding_folder_ids) != len(self.voters):
             return
-        if page.round != self.round or page.epoch != self.wanted:
-            return
-        copy = self.copies.setdefault(sender, Copies())
-        copy.pages[page.index] = page
-        lacking = [i for i in range(page.count) if i not in copy.pages]
-        if lacking:
-            self._recall(sender, lacking[0])
+        self._after_recovery_step(self.recovery.on_hello_reply(sender, reply))
+
+    def _after_recovery_step(self, founding_folder_ids: list[int] | None) -> None:
+        """Send what the recovery requests; vote at once if this folder belongs to the fleet's founding."""
+        self.actions += self.recovery.take_messages()
+        if founding_folder_ids is not None:
+            self.founding_folder_ids = founding_folder_ids
+            self._start_voting()
+
+    def _on_register_page(self, sender: int, page: RegisterPage) -> None:
+        if self.is_voting or self.voting_token is not None or len(page.epochs) != len(self.voters):
             return
-        whole = [v for v, c in self.copies.items() if c.whole()]
-        # Danger: two may return at once. A copy by one that has itself forgotten since is void.
-        told = [self.copies[v].pages[0].epochs for v in whole]
-        newest = [max(column) for column in zip(*told, strict=True)]
-        whole = [v for v in whole if self._epoch(v, self.copies[v]) >= newest[self.voters.index(v)]]
-        if len(whole) >= self.enough:
-            self._return([self.copies[v] for v in whole], newest)
-
-    def _epoch(self, voter: int, copy: Copies) -> int:
-        return copy.pages[0].epochs[self.voters.index(voter)]
-
-    def _return(self, copies: list[Copies], epochs: list[int]) -> None:
+        recovered = self.recovery.on_register_page(sender, page)
+        self.actions += self.recovery.take_messages()
+        if recovered is not None:
+            self._adopt(recovered)
+
+    def _adopt(self, recovered: RecoveredMemory) -> None:
+        """Take over the highest promise and the newest state of each register from the copies."""
         self.registers = {}
-        for page in (page for copy in copies for page in copy.pages.values()):
-            self.floor = max(self.floor, page.floor)
+        for page in (page for copy in recovered.copies for page in copy.pages.values()):
+            self.ballot_floor = max(self.ballot_floor, page.ballot_floor)
             if page.name:
-                register = self.registers.setdefault(page.name, Register())
+                register = self.registers.setdefault(page.name, VoterRegister())
                 register.promised = max(register.promised, page.promised)
-                register.state = max(register.state, page.state, key=lambda s: s.ballot)
-        self.epochs = epochs
-        self.epochs[self.index] = self.wanted
+                register.state = max(register.state, page.state, key=lambda state: state.ballot)
+        self.epochs = recovered.epochs
+        self.epochs[self.index] = self.recovery.epoch
         for name, register in self.registers.items():
-            self._keep(REGISTER + name, pack_register(register))
-        self._begin()
-
-    def _begin(self) -> None:
-        """Votes once this is on disk."""
-        self.returning = self._keep_voter(votes=True)
+            self._persist(REGISTER_RECORD_PREFIX + name, encode_register(register))
+        self._start_voting()
 
-    # --- the own record ---
+    def _start_voting(self) -> None:
+        """Vote once the record that says so is on disk."""
+        self.voting_token = self._persist_voter(is_voting=True)
 
-    def _keep_voter(self, votes: bool = False) -> int:
+    def _persist_voter(self, is_voting: bool = False) -> int:
+        """Write this voter's own record; return its token."""
+        fixed = VOTER_RECORD_FORMAT.pack(self.folder_id, self.is_voting or is_voting, self.ballot_floor)
         epochs = bytes((len(self.epochs), *self.epochs))
-        runs = b"".join(messages.LONG.pack(run) for run in [*self.runs, *self.born])
-        return self._keep(VOTER, HEAD.pack(self.run, self.votes or votes, self.floor) + epochs + runs)
+        folder_ids = [*self.recovered_folder_ids, *self.founding_folder_ids]
+        encoded_ids = b"".join(messages.UINT64_FORMAT.pack(folder_id) for folder_id in folder_ids)
+        return self._persist(VOTER_RECORD, fixed + epochs + encoded_ids)
 
-    def _read(self, kept: Mapping[str, bytes]) -> None:
-        if VOTER not in kept:
+    def _load(self, records: Mapping[str, bytes]) -> None:
+        if VOTER_RECORD not in records:
             return
-        reader = messages.Reader(kept[VOTER])
-        run, votes, self.floor = reader.fixed(HEAD)
-        epochs = list(reader.counted(messages.VOTERS_MOST))
-        # Danger: epochs by place in another list of voters would be another's. Voters never change in place.
+        reader = messages.MessageReader(records[VOTER_RECORD])
+        folder_id, is_voting, self.ballot_floor = reader.read_struct(VOTER_RECORD_FORMAT)
+        epochs = list(reader.read_counted_bytes(messages.MAX_VOTERS))
+        # Epochs are stored by position, so they cannot be assigned if the list of voters was changed.
         if len(epochs) != len(self.voters):
             raise WordError("voters have changed")
-        self.run, self.votes, self.epochs, self.durable = run, bool(votes), epochs, True
-        drawn = [reader.fixed(messages.LONG)[0] for _ in range(2 * len(epochs))]
-        self.runs, self.born = drawn[: len(epochs)], drawn[len(epochs) :]
-        reader.end()
-        if self.votes:
+        self.recovery.folder_id = folder_id
+        self.is_voting = bool(is_voting)
+        self.epochs = epochs
+        self.folder_id_durable = True
+        folder_ids = [reader.read_struct(messages.UINT64_FORMAT)[0] for _ in range(2 * len(epochs))]
+        self.recovered_folder_ids = folder_ids[: len(epochs)]
+        self.founding_folder_ids = folder_ids[len(epochs) :]
+        reader.expect_end()
+        if self.is_voting:
             self.registers = {
-                name.removeprefix(REGISTER): read_register(data)
-                for name, data in kept.items()
-                if name.startswith(REGISTER) and data
+                name.removeprefix(REGISTER_RECORD_PREFIX): decode_register(data)
+                for name, data in records.items()
+                if name.startswith(REGISTER_RECORD_PREFIX) and data
             }
--- a/cottonhold/fleet/consensus/messages.py
+++ b/cottonhold/fleet/consensus/messages.py
@@ -1,9 +1,9 @@
-"""Messages of registers, and what the pure parts of a swap ask of the rim. Pure.
+"""Codec of the messages between proposers and voters, and of states on disk. Pure.
 
     kind 1 | name's length 1, name | the kind's fixed part | value's length 1, value | voters' epochs, 1 each
 
-Each message stands for itself, may come any number of times and in any order: what it is about (name, ballot,
-run) is in it, and who takes it compares that with what it waits for.
+Messages may arrive any number of times and in any order. Each names what it is about (register, ballot,
+folder), and the receiver compares that with what it waits for.
 """
 
 from __future__ import annotations
@@ -14,248 +14,253 @@
 from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 
 PREPARE, PROMISE, ACCEPT, ACCEPTED, REFUSED, CHOSEN, FORGET = range(64, 71)
-HELLO, HELLO_BACK, RECALL, RECALLED = range(71, 75)
-NUMBER_MOST = 2**31  # of a round: it can always be passed by one
-NAME_MOST, VALUE_MOST, VOTERS_MOST = 16, 120, 9
-BALLOT = struct.Struct("!IQ")
-STATE = struct.Struct("!IQIQI")  # accepted ballot, version, writer
-
-
-@dataclass(slots=True, frozen=True)
-class Say:
-    """A message for a member."""
-
-    member: int
-    data: bytes
-
-
-@dataclass(slots=True, frozen=True)
-class Keep:
-    """A record to be made durable under a name (emptied: removed); the rim calls `kept(now, then)` once the
-    disk has it, and never where it failed: whatever waits for it then stays unsaid."""
-
-    name: str
-    data: bytes
-    then: int
+HELLO, HELLO_REPLY, PAGE_REQUEST, REGISTER_PAGE = range(71, 75)
+KINDS_WITH_STATE = (PROMISE, ACCEPT, CHOSEN)
+KINDS_WITH_EPOCHS = (PROMISE, ACCEPTED)
+MAX_BALLOT_NUMBER = 2**31  # leaves a higher number for the next ballot
+MAX_NAME_BYTES, MAX_VALUE_BYTES, MAX_VOTERS = 16, 120, 9
+BYTE_FORMAT = struct.Struct("!B")
+UINT64_FORMAT = struct.Struct("!Q")
+BALLOT_FORMAT = struct.Struct("!IQ")
+STATE_FORMAT = struct.Struct("!IQIQI")  # accepted ballot, version, writer
+RECOVERY_REQUEST_FORMAT = struct.Struct("!QIBB")
+HELLO_REPLY_FORMAT = struct.Struct("!QI?")
+REGISTER_PAGE_FORMAT = struct.Struct("!IBBBI")
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Ballot:
-    """A round of a register. `who` is drawn for each start of a proposer, so two starts never share one."""
+    """A ballot of a register: a number, and a proposer id that is drawn anew at each start."""
 
     number: int = 0
-    who: int = 0
+    proposer_id: int = 0
 
 
-NONE = Ballot()
+NO_BALLOT = Ballot()
 
 
 @dataclass(slots=True, frozen=True)
-class State:
-    """What a voter has accepted: in which round, the register's version and value, and which change wrote it
-    (`writer`: a proposer's start, and its count)."""
+class AcceptedState:
+    """What a voter has accepted: the ballot, the register's version and value, and the change that wrote it.
+
+    writer is the proposer id and that proposer's count of changes.
+    """
 
-    ballot: Ballot = NONE
+    ballot: Ballot = NO_BALLOT
     version: int = 0
     value: bytes = b""
     writer: tuple[int, int] = (0, 0)
 
 
 @dataclass(slots=True, frozen=True)
-class Message:
-    """A message about one register. epochs: PROMISE and ACCEPTED tell how often the sender knows each voter
-    to have returned from nothing."""
+class RegisterMessage:
+    """A message about one register.
+
+    epochs (in PROMISE and ACCEPTED): for each voter, how often the sender knows it to have recovered from an
+    empty folder.
+    """
 
     kind: int
     name: str
     ballot: Ballot
-    state: State = State()
+    state: AcceptedState = AcceptedState()
     epochs: tuple[int, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """One with an empty memory asks (HELLO, RECALL). run: drawn for its folder. round: of its asking. epoch:
-    how often it will have returned from nothing. index: which register it wants next."""
+class RecoveryRequest:
+    """A request of a voter with an empty folder: HELLO or PAGE_REQUEST.
+
+    folder_id: drawn when its folder was created. round: of its requests. epoch: how often it will have
+    recovered. page_index: the register that it requests next.
+    """
 
     kind: int
-    run: int
+    folder_id: int
     round: int
     epoch: int = 0
-    index: int = 0
+    page_index: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Greeting:
-    """A voter's answer to HELLO: its own run, whether it votes, what it knows of epochs, and with which runs
-    the fleet was born, as far as it knows."""
+class HelloReply:
+    """A voter's answer to HELLO.
 
-    run: int
+    founding_folder_ids: the folders with which the fleet began, as far as the voter knows; 0 for an unknown
+    one.
+    """
+
+    folder_id: int
     round: int
-    votes: bool
+    is_voting: bool
     epochs: tuple[int, ...]
-    born: tuple[int, ...]
+    founding_folder_ids: tuple[int, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Recalled:
-    """A voter's answer to RECALL: one of its `count` registers, in the order of names."""
+class RegisterPage:
+    """A voter's answer to PAGE_REQUEST: one of its registers, in the order of names."""
 
     round: int
     epoch: int
-    index: int
-    count: int
-    floor: int
+    page_index: int
+    page_count: int
+    ballot_floor: int
     name: str
     promised: Ballot
-    state: State
+    state: AcceptedState
     epochs: tuple[int, ...]
 
 
-def pack_state(state: State) -> bytes:
-    """A state's bytes."""
-    fixed = STATE.pack(state.ballot.number, state.ballot.who, state.version, *state.writer)
+def encode_ballot(ballot: Ballot) -> bytes:
+    """Encode a ballot."""
+    return BALLOT_FORMAT.pack(ballot.number, ballot.proposer_id)
+
+
+def encode_state(state: AcceptedState) -> bytes:
+    """Encode an accepted state."""
+    fixed = STATE_FORMAT.pack(state.ballot.number, state.ballot.proposer_id, state.version, *state.writer)
     return fixed + bytes((len(state.value),)) + state.value
 
 
-class Reader:
-    """Reads a message from the front. Raises WordError where it ends too early or makes no sense."""
+class MessageReader:
+    """Reads a message from the front. Its methods raise WordError if the message is truncated or invalid."""
 
-    def __init__(self, data: bytes, at: int = 0) -> None:
-        self.data, self.at = data, at
+    def __init__(self, data: bytes, position: int = 0) -> None:
+        self.data, self.position = data, position
 
-    def fixed(self, form: struct.Struct) -> tuple[int, ...]:
-        """A fixed part."""
+    def read_struct(self, struct_format: struct.Struct) -> tuple[int, ...]:
+        """Read a fixed part."""
         try:
-            found = form.unpack_from(self.data, self.at)
+            fields = struct_format.unpack_from(self.data, self.position)
         except struct.error:
             raise WordError("truncated") from None
-        self.at += form.size
-        return found
-
-    def counted(self, most: int) -> bytes:
-        """Bytes after their count."""
-        (size,) = self.fixed(BYTE)
-        found = self.data[self.at : self.at + size]
-        if size > most or len(found) != size:
+        self.position += struct_format.size
+        return fields
+
+    def read_counted_bytes(self, max_bytes: int) -> bytes:
+        """Read bytes that follow their count."""
+        (size,) = self.read_struct(BYTE_FORMAT)
+        content = self.data[self.position : self.position + size]
+        if size > max_bytes or len(content) != size:
             raise WordError("length")
-        self.at += size
-        return found
+        self.position += size
+        return content
 
-    def name(self) -> str:
-        """A register's name."""
+    def read_name(self) -> str:
+        """Read a register's name."""
         try:
-            return self.counted(NAME_MOST).decode()
+            return self.read_counted_bytes(MAX_NAME_BYTES).decode()
         except UnicodeDecodeError:
             raise WordError("name") from None
 
-    def ballot(self) -> Ballot:
-        """A round."""
-        number, who = self.fixed(BALLOT)
-        if number > NUMBER_MOST:
+    def read_ballot(self) -> Ballot:
+        """Read a ballot."""
+        number, proposer_id = self.read_struct(BALLOT_FORMAT)
+        if number > MAX_BALLOT_NUMBER:
             raise WordError("ballot")
-        return Ballot(number, who)
-
-    def state(self) -> State:
-        """An accepted state."""
-        number, who, version, start, count = self.fixed(STATE)
-        return State(Ballot(number, who), version, self.counted(VALUE_MOST), (start, count))
-
-    def runs(self) -> tuple[int, ...]:
-        """Drawn numbers of 8 bytes after their count."""
-        (count,) = self.fixed(BYTE)
-        if count > VOTERS_MOST:
+        return Ballot(number, proposer_id)
+
+    def read_state(self) -> AcceptedState:
+        """Read an accepted state."""
+        number, proposer_id, version, writer_id, change_count = self.read_struct(STATE_FORMAT)
+        value = self.read_counted_bytes(MAX_VALUE_BYTES)
+        return AcceptedState(Ballot(number, proposer_id), version, value, (writer_id, change_count))
+
+    def read_folder_ids(self) -> tuple[int, ...]:
+        """Read folder ids that follow their count."""
+        (count,) = self.read_struct(BYTE_FORMAT)
+        if count > MAX_VOTERS:
             raise WordError("voters")
-        return tuple(self.fixed(LONG)[0] for _ in range(count))
+        return tuple(self.read_struct(UINT64_FORMAT)[0] for _ in range(count))
 
-    def end(self) -> None:
-        """Nothing may follow."""
-        if self.at != len(self.data):
+    def expect_end(self) -> None:
+        """Check that nothing follows."""
+        if self.position != len(self.data):
             raise WordError("too long")
 
 
-BYTE, LONG = struct.Struct("!B"), struct.Struct("!Q")
-ASKED, GREETING = struct.Struct("!QIBB"), struct.Struct("!QI?")
-RECALL_HEAD = struct.Struct("!IBBBI")
-WITH_STATE = (PROMISE, ACCEPT, CHOSEN)
-WITH_EPOCHS = (PROMISE, ACCEPTED)
-
-
-def pack_message(m: Message) -> bytes:
-    """A message about a register."""
-    name = m.name.encode()
-    data = bytes((m.kind, len(name))) + name + BALLOT.pack(m.ballot.number, m.ballot.who)
-    if m.kind in WITH_STATE:
-        data += pack_state(m.state)
-    elif m.kind == REFUSED:
-        data += BALLOT.pack(m.state.ballot.number, m.state.ballot.who)
-    if m.kind in WITH_EPOCHS:
-        data += bytes((len(m.epochs), *m.epochs))
+def encode_message(message: RegisterMessage) -> bytes:
+    """Encode a message about a register."""
+    name = message.name.encode()
+    data = bytes((message.kind, len(name))) + name + encode_ballot(message.ballot)
+    if message.kind in KINDS_WITH_STATE:
+        data += encode_state(message.state)
+    elif message.kind == REFUSED:
+        data += encode_ballot(message.state.ballot)
+    if message.kind in KINDS_WITH_EPOCHS:
+        data += bytes((len(message.epochs), *message.epochs))
     assert len(data) <= ROOM
     return data
 
 
-def read_message(data: bytes) -> Message:
-    """The meaning of a message about a register. Raises WordError."""
+def decode_message(data: bytes) -> RegisterMessage:
+    """Decode a message about a register. Raises WordError."""
     if not data or not PREPARE <= data[0] <= FORGET:
         raise WordError("kind")
-    reader, kind, state, epochs = Reader(data, 1), data[0], State(), b""
-    name, ballot = reader.name(), reader.ballot()
-    if kind in WITH_STATE:
-        state = reader.state()
+    reader = MessageReader(data, 1)
+    kind, name, ballot = data[0], reader.read_name(), reader.read_ballot()
+    state, epochs = AcceptedState(), b""
+    if kind in KINDS_WITH_STATE:
+        state = reader.read_state()
     elif kind == REFUSED:
-        state = State(reader.ballot())
-    if kind in WITH_EPOCHS:
-        epochs = reader.counted(VOTERS_MOST)
-    reader.end()
+        state = AcceptedState(reader.read_ballot())
+    if kind in KINDS_WITH_EPOCHS:
+        epochs = reader.read_counted_bytes(MAX_VOTERS)
+    reader.expect_end()
     if not name:
         raise WordError("no name")
-    return Message(kind, name, ballot, state, tuple(epochs))
-
-
-def pack_asked(a: Asked) -> bytes:
-    """A HELLO or RECALL."""
-    return bytes((a.kind,)) + ASKED.pack(a.run, a.round, a.epoch, a.index)
-
-
-def read_asked(data: bytes) -> Asked:
-    """The meaning of a HELLO or RECALL. Raises WordError."""
-    reader = Reader(data, 1)
-    asked = Asked(data[0], *reader.fixed(ASKED))
-    reader.end()
-    return asked
-
-
-def pack_greeting(g: Greeting) -> bytes:
-    """An answer to HELLO."""
-    born = bytes((len(g.born),)) + b"".join(LONG.pack(run) for run in g.born)
-    fixed = GREETING.pack(g.run, g.round, g.votes)
-    return bytes((HELLO_BACK,)) + fixed + bytes((len(g.epochs), *g.epochs)) + born
-
-
-def read_greeting(data: bytes) -> Greeting:
-    """The meaning of an answer to HELLO. Raises WordError."""
-    reader = Reader(data, 1)
-    run, round_, votes = reader.fixed(GREETING)
-    greeting = Greeting(run, round_, bool(votes), tuple(reader.counted(VOTERS_MOST)), reader.runs())
-    reader.end()
-    return greeting
-
-
-def pack_recalled(r: Recalled) -> bytes:
-    """An answer to RECALL."""
-    name = r.name.encode()
-    head = RECALL_HEAD.pack(r.round, r.epoch, r.index, r.count, r.floor)
-    what = bytes((len(name),)) + name + BALLOT.pack(r.promised.number, r.promised.who) + pack_state(r.state)
-    data = bytes((RECALLED,)) + head + what + bytes((len(r.epochs), *r.epochs))
-    return data
-
-
-def read_recalled(data: bytes) -> Recalled:
-    """The meaning of an answer to RECALL. Raises WordError."""
-    reader = Reader(data, 1)
-    round_, epoch, index, count, floor = reader.fixed(RECALL_HEAD)
-    name, promised, state = reader.name(), reader.ballot(), reader.state()
-    epochs = tuple(reader.counted(VOTERS_MOST))
-    reader.end()
-    return Recalled(round_, epoch, index, count, floor, name, promised, state, epochs)
+    return RegisterMessage(kind, name, ballot, state, tuple(epochs))
+
+
+def encode_recovery_request(request: RecoveryRequest) -> bytes:
+    """Encode a HELLO or PAGE_REQUEST."""
+    return bytes((request.kind,)) + RECOVERY_REQUEST_FORMAT.pack(
+        request.folder_id, request.round, request.epoch, request.page_index
+    )
+
+
+def decode_recovery_request(data: bytes) -> RecoveryRequest:
+    """Decode a HELLO or PAGE_REQUEST. Raises WordError."""
+    reader = MessageReader(data, 1)
+    request = RecoveryRequest(data[0], *reader.read_struct(RECOVERY_REQUEST_FORMAT))
+    reader.expect_end()
+    return request
+
+
+def encode_hello_reply(reply: HelloReply) -> bytes:
+    """Encode an answer to HELLO."""
+    fixed = HELLO_REPLY_FORMAT.pack(reply.folder_id, reply.round, reply.is_voting)
+    epochs = bytes((len(reply.epochs), *reply.epochs))
+    folder_ids = b"".join(UINT64_FORMAT.pack(folder_id) for folder_id in reply.founding_folder_ids)
+    return bytes((HELLO_REPLY,)) + fixed + epochs + bytes((len(reply.founding_folder_ids),)) + folder_ids
+
+
+def decode_hello_reply(data: bytes) -> HelloReply:
+    """Decode an answer to HELLO. Raises WordError."""
+    reader = MessageReader(data, 1)
+    folder_id, round_, is_voting = reader.read_struct(HELLO_REPLY_FORMAT)
+    epochs = tuple(reader.read_counted_bytes(MAX_VOTERS))
+    reply = HelloReply(folder_id, round_, bool(is_voting), epochs, reader.read_folder_ids())
+    reader.expect_end()
+    return reply
+
+
+def encode_register_page(page: RegisterPage) -> bytes:
+    """Encode an answer to PAGE_REQUEST."""
+    name = page.name.encode()
+    head = REGISTER_PAGE_FORMAT.pack(
+        page.round, page.epoch, page.page_index, page.page_count, page.ballot_floor
+    )
+    register = bytes((len(name),)) + name + encode_ballot(page.promised) + encode_state(page.state)
+    return bytes((REGISTER_PAGE,)) + head + register + bytes((len(page.epochs), *page.epochs))
+
+
+def decode_register_page(data: bytes) -> RegisterPage:
+    """Decode an answer to PAGE_REQUEST. Raises WordError."""
+    reader = MessageReader(data, 1)
+    round_, epoch, page_index, page_count, ballot_floor = reader.read_struct(REGISTER_PAGE_FORMAT)
+    name, promised, state = reader.read_name(), reader.read_ballot(), reader.read_state()
+    epochs = tuple(reader.read_counted_bytes(MAX_VOTERS))
+    reader.expect_end()
+    return RegisterPage(round_, epoch, page_index, page_count, ballot_floor, name, promised, state, epochs)
--- a/cottonhold/fleet/consensus/register_cache.py
+++ b/cottonhold/fleet/consensus/register_cache.py
@@ -1,8 +1,8 @@
-"""What this instance knows of registers: values, how sure it is of them, and what is on its way. Pure.
+"""What this instance knows of registers: their values, how current these are, and pending operations. Pure.
 
-A value is *confirmed* for a while from the moment at which a read or a change that showed it was asked:
-whoever acts only on confirmed values has stopped before another, who waits that long after a take-over,
-begins.
+A value is *confirmed* for a while from the moment at which the read or change that returned it was requested.
+An instance that acts only on confirmed values has stopped before another, which waits that long after it took
+over, begins.
 """
 
 from __future__ import annotations
@@ -11,108 +11,139 @@
 import random
 from dataclasses import dataclass
 
-from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
+from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
 
-REREAD = 1000.0  # ms: a read does no harm, so it is asked again soon
+READ_TIMEOUT_MS = 1000.0  # shorter than that of a change, because a read may safely be repeated
+UNKNOWN_VERSION = -1
 
 
 @dataclass(slots=True)
-class Cell:
-    """One register. seen_at: when this version was first seen here. changed: a change of ours is on its
-    way."""
+class CachedRegister:
+    """One register as this instance knows it. Times are of the own clock.
 
-    version: int = -1
+    first_seen_at: when this value was first received. outcome_unknown: the result of the last operation is
+    not known, so the register is read before the next change.
+    """
+
+    version: int = UNKNOWN_VERSION
     value: bytes = b""
-    seen_at: float = 0.0
+    first_seen_at: float = 0.0
     confirmed_at: float = -math.inf
-    learnt_at: float = -math.inf
-    token: int = 0
-    asked_at: float = -math.inf
-    changed: bool = False
-    dirty: bool = False  # an operation's end is not known: read before the next change
-
-
-class Ledger:
-    """All registers of the swap. `late`: ms after which an operation counts as lost."""
-
-    def __init__(self, draw: random.Random, late: float) -> None:
-        self.draw, self.late = draw, late
-        self.cells: dict[str, Cell] = {}
-        self.tokens: dict[int, str] = {}
-        self.token = draw.getrandbits(30) << 20
-
-    def cell(self, name: str) -> Cell:
-        """A register, known or not."""
-        return self.cells.setdefault(name, Cell())
-
-    def known(self, name: str) -> Cell | None:
-        """A register of which something has been heard."""
-        cell = self.cells.get(name)
-        return cell if cell is not None and cell.version >= 0 else None
-
-    def free(self, now: float, name: str) -> bool:
-        """Nothing of ours is on its way to it."""
-        cell = self.cell(name)
-        late = self.late if cell.changed else min(self.late, REREAD)
-        return not cell.token or now - cell.asked_at > late
-
-    def read(self, now: float, name: str, every: float = 0.0) -> list[Read]:
-        """Ask for it, unless it was asked within so many ms or something is on its way."""
-        cell = self.cell(name)
-        if not self.free(now, name) or now - cell.asked_at < every and not cell.dirty:
+    version_received_at: float = -math.inf
+    pending_token: int = 0
+    requested_at: float = -math.inf
+    change_pending: bool = False
+    outcome_unknown: bool = False
+
+
+class RegisterCache:
+    """All registers that one part of this instance uses.
+
+    operation_timeout_ms: a change that takes longer counts as lost.
+    """
+
+    def __init__(self, random_source: random.Random, operation_timeout_ms: float) -> None:
+        self.operation_timeout_ms = operation_timeout_ms
+        self.registers: dict[str, CachedRegister] = {}
+        self.names_by_token: dict[int, str] = {}
+        self.last_token = random_source.getrandbits(30) << 20
+
+    def register(self, name: str) -> CachedRegister:
+        """Return a register, whether or not anything is known of it."""
+        return self.registers.setdefault(name, CachedRegister())
+
+    def received(self, name: str) -> CachedRegister | None:
+        """Return a register if a version of it has been received."""
+        register = self.registers.get(name)
+        return register if register is not None and register.version >= 0 else None
+
+    def can_send(self, now: float, name: str) -> bool:
+        """Whether no operation of this instance on the register is pending."""
+        register = self.register(name)
+        timeout_ms = self.operation_timeout_ms
+        if not register.change_pending:
+            timeout_ms = min(timeout_ms, READ_TIMEOUT_MS)
+        return not register.pending_token or now - register.requested_at > timeout_ms
+
+    def read(self, now: float, name: str, min_interval_ms: float = 0.0) -> list[ReadRegister]:
+        """Read the register, unless an operation is pending or one was requested within the interval."""
+        register = self.register(name)
+        if not self.can_send(now, name):
+            return []
+        if now - register.requested_at < min_interval_ms and not register.outcome_unknown:
             return []
-        return [Read(name, self._ask(now, name, cell, False))]
-
-    def change(self, now: float, name: str, value: bytes) -> list[Change | Read]:
-        """Set it, if nothing is on its way; read it first where the last end is not known."""
-        cell = self.cell(name)
-        # Danger: held up by reads, which go out whenever there is nothing on its way, a change waited for
-        # good where answers take longer than the time between two reads.
-        if cell.changed and not self.free(now, name):
+        return [ReadRegister(name, self._start_operation(now, name, register, False))]
+
+    def change(self, now: float, name: str, value: bytes) -> list[ChangeRegister | ReadRegister]:
+        """Set the register unless a change is pending; read it first if the last outcome is unknown.
+
+        A pending read does not delay a change: reads are frequent, and where answers take longer than the
+        time between two reads the change would never be sent.
+        """
+        register = self.register(name)
+        if register.change_pending and not self.can_send(now, name):
             return []
-        if cell.dirty or cell.version < 0 or cell.token and cell.changed:
+        timed_out = register.pending_token and register.change_pending
+        if register.outcome_unknown or register.version < 0 or timed_out:
             return list(self.read(now, name))
-        return [Change(name, cell.version, value, self._ask(now, name, cell, True))]
+        token = self._start_operation(now, name, register, True)
+        return [ChangeRegister(name, register.version, value, token)]
+
+    def on_outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> str:
+        """Apply the end of an operation; return the register's name, or "" for an operation of others.
 
-    def outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> str:
-        """An operation has ended; the register's name, nothing if it is none of ours."""
-        name = self.tokens.pop(token, "")
+        won is None if the outcome is unknown.
+        """
+        name = self.names_by_token.pop(token, "")
         if not name:
             return ""
-        cell, unknown = self.cell(name), won is None or version < 0
-        asked = cell.asked_at if cell.token == token else -math.inf
-        if cell.token == token:
-            cell.token, cell.dirty, cell.changed = 0, unknown, False
-        if not unknown:
-            self._learn(now, cell, version, value, asked)
+        register = self.register(name)
+        is_unknown = won is None or version < 0
+        requested_at = -math.inf
+        if register.pending_token == token:
+            requested_at = register.requested_at
+            register.pending_token = 0
+            register.outcome_unknown = is_unknown
+            register.change_pending = False
+        if not is_unknown:
+            self._update(now, register, version, value, requested_at)
         return name
 
-    def heard(self, now: float, name: str, version: int, value: bytes) -> None:
-        """Another tells of a register: a hint, which confirms nothing."""
-        self._learn(now, self.cell(name), version, value, -math.inf)
+    def on_hint(self, now: float, name: str, version: int, value: bytes) -> None:
+        """Apply a version that another member announced, which confirms nothing."""
+        self._update(now, self.register(name), version, value, -math.inf)
+
+    def is_confirmed(self, now: float, name: str, max_age_ms: float) -> bool:
+        """Whether the known value was the register's at some moment within `max_age_ms`."""
+        register = self.registers.get(name)
+        return register is not None and now - register.confirmed_at <= max_age_ms
 
-    def confirmed(self, now: float, name: str, within: float) -> bool:
-        """Whether the value was the register's at some moment within the last so many ms."""
-        cell = self.cells.get(name)
-        return cell is not None and now - cell.confirmed_at <= within
+    def _update(
+        self, now: float, register: CachedRegister, version: int, value: bytes, requested_at: float
+    ) -> None:
+        """Take over a version, unless the answer was overtaken by a newer one.
 
-    def _learn(self, now: float, cell: Cell, version: int, value: bytes, asked: float) -> None:
-        # Danger: an answer that was overtaken shows an older version; taken, it would undo what is known.
-        # Only a register that was finished and forgotten counts from the beginning.
-        if version < cell.version and asked < cell.learnt_at:
+        Only a register that was finished and forgotten counts its versions from the beginning, and then its
+        answer was requested after the newer version was received.
+        """
+        if version < register.version and requested_at < register.version_received_at:
             return
-        if version != cell.version:
-            if value != cell.value or cell.version < 0:
-                cell.seen_at = now
-            cell.learnt_at = now
-            cell.version, cell.value, cell.confirmed_at = version, value, -math.inf
-        cell.confirmed_at = max(cell.confirmed_at, asked)
-
-    def _ask(self, now: float, name: str, cell: Cell, changed: bool) -> int:
-        if cell.token:
-            cell.dirty = cell.dirty or cell.changed
-            self.tokens.pop(cell.token, None)
-        self.token += 1
-        cell.token, cell.asked_at, cell.changed = self.token, now, changed
-        self.tokens[self.token] = name
-        return self.token
+        if version != register.version:
+            if value != register.value or register.version < 0:
+                register.first_seen_at = now
+            register.version_received_at = now
+            register.version = version
+            register.value = value
+            register.confirmed_at = -math.inf
+        register.confirmed_at = max(register.confirmed_at, requested_at)
+
+    def _start_operation(self, now: float, name: str, register: CachedRegister, is_change: bool) -> int:
+        if register.pending_token:
+            register.outcome_unknown = register.outcome_unknown or register.change_pending
+            self.names_by_token.pop(register.pending_token, None)
+        self.last_token += 1
+        register.pending_token = self.last_token
+        register.requested_at = now
+        register.change_pending = is_change
+        self.names_by_token[self.last_token] = name
+        return self.last_token
--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -11,7 +11,7 @@
 import math
 from collections import Counter
 
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.request_forwarding.interface import Action, Ended, Gone, HandSettings, Take
 from cottonhold.fleet.request_forwarding.messages import (
     U32,
@@ -29,7 +29,7 @@
 from cottonhold.fleet.request_forwarding.owner import Taking
 from cottonhold.fleet.zone_failover.messages import WordError
 
-__all__ = ["Action", "End", "Ended", "Gone", "HandOn", "HandSettings", "Say", "Take"]
+__all__ = ["Action", "End", "Ended", "Gone", "HandOn", "HandSettings", "SendMessage", "Take"]
 
 
 class HandOn:
@@ -73,7 +73,7 @@
 
     # --- both ---
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[Action]:
+    def on_message(self, now: float, sender: int, data: bytes) -> list[Action]:
         """A word (first byte 79) of a member; one that makes no sense is counted and changes nothing."""
         self.offering.expire(now)
         try:
--- a/cottonhold/fleet/request_forwarding/interface.py
+++ b/cottonhold/fleet/request_forwarding/interface.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.request_forwarding.messages import End
 
 
@@ -70,4 +70,4 @@
     data: bytes = b""
 
 
-Action = Say | Take | Gone | Ended
+Action = SendMessage | Take | Gone | Ended
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
 from cottonhold.fleet.request_forwarding.interface import Action, Ended, HandSettings
 from cottonhold.fleet.request_forwarding.messages import (
@@ -381,4 +381,4 @@
             self._say(peer.id, Part(head, index, len(parcel.body), parcel.part(index)))
 
     def _say(self, member: int, word: Word) -> None:
-        self.out.append(Say(member, pack(word)))
+        self.out.append(SendMessage(member, pack(word)))
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
 from cottonhold.fleet.request_forwarding.interface import Action, Gone, HandSettings, Take
 from cottonhold.fleet.request_forwarding.messages import (
@@ -336,4 +336,4 @@
         self.sweep_at = now + self.settings.poll if self.callers else math.inf
 
     def _say(self, member: int, word: Word) -> None:
-        self.out.append(Say(member, pack(word)))
+        self.out.append(SendMessage(member, pack(word)))
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.consensus.register_cache import RegisterCache
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.machine_driver import Driver, Mine, Scene, SwapSettings, order_of
 from cottonhold.fleet.rolling_replacement.plan import (
@@ -63,7 +63,7 @@
     ) -> None:
         self.settings, self.draw = settings, random.Random(seed)
         self.scene = Scene(me, now, unrest_at=now)
-        self.ledger = Ledger(self.draw, settings.late)
+        self.ledger = RegisterCache(self.draw, settings.late)
         self.driver = Driver(self.scene, self.ledger, settings, bearable)
         self.drained: set[str] = set()
         self.laying: Laying | None = None
@@ -129,13 +129,13 @@
     def outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended: won or lost with what it holds now, or not known
         (None)."""
-        if self.ledger.outcome(now, token, won, version, value):
+        if self.ledger.on_outcome(now, token, won, version, value):
             self.next_step = now
 
     def changed(self, now: float, name: str, version: int, value: bytes) -> None:
         """Another has told of a register."""
         if name.startswith(NAME):
-            self.ledger.heard(now, name, version, value)
+            self.ledger.on_hint(now, name, version, value)
             self.next_step = min(self.next_step, now + self.settings.period)
 
     def _note(self, now: float, where: dict[str, str], key: str, trouble: str) -> None:
@@ -171,7 +171,7 @@
         names = {m.id: m.name for m in self.scene.there.values()}
         return [
             Row(
-                name, r.new, r.step, self.ledger.cell(register(name)).seen_at, r.who,
+                name, r.new, r.step, self.ledger.register(register(name)).first_seen_at, r.who,
                 names.get(r.driver, f"{r.driver:x}" if r.driver else ""), r.epoch, self.driver.mine[name].why,
             )
             for name, r in self.scene.chain.items()
@@ -184,7 +184,7 @@
         s, actions = self.settings, list[Action]()
         every = s.follow * (0.8 + 0.4 * self.draw.random())
         actions += self.ledger.read(now, NAME, every)
-        cell = self.ledger.known(NAME)
+        cell = self.ledger.received(NAME)
         try:
             self.scene.whole = plan.read_whole(cell.value if cell else b"")
             chain = self._walk(now, actions, every)
@@ -214,7 +214,7 @@
         self.scene.complete = False
         while name and name not in chain:
             key = register(name)
-            cell = self.ledger.known(key)
+            cell = self.ledger.received(key)
             record = plan.read_record(cell.value) if cell else None
             # Danger: what is known of an earlier swap's register would lead along an earlier chain.
             if (
@@ -277,7 +277,7 @@
         `unsettle`."""
         if not self.was_settled and self.scene.complete:
             names = [NAME, *(register(n) for n, r in self.scene.chain.items() if not r.over)]
-            self.was_settled = all(self.ledger.cell(n).confirmed_at >= self.settled_from for n in names)
+            self.was_settled = all(self.ledger.register(n).confirmed_at >= self.settled_from for n in names)
         return self.was_settled
 
     def unsettle(self, now: float) -> None:
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -10,7 +10,7 @@
 import hashlib
 from dataclasses import dataclass, field, replace
 
-from cottonhold.fleet.consensus.register_cache import Cell, Ledger
+from cottonhold.fleet.consensus.register_cache import CachedRegister, RegisterCache
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import (
     NAME,
@@ -117,7 +117,7 @@
     """This instance's side of all swaps that it drives or may take over."""
 
     def __init__(
-        self, scene: Scene, ledger: Ledger, settings: SwapSettings, bearable: Bearable | None
+        self, scene: Scene, ledger: RegisterCache, settings: SwapSettings, bearable: Bearable | None
     ) -> None:
         self.scene, self.ledger, self.settings = scene, ledger, settings
         self.starts = Starts(settings.voters, settings.lasts, bearable)
@@ -126,7 +126,7 @@
         self.aborts: dict[str, float] = {}  # machine -> until when it is tried
 
     def step(self, now: float, name: str, record: Record) -> list[Action]:
-        mine, cell = self.mine[name], self.ledger.cell(register(name))
+        mine, cell = self.mine[name], self.ledger.register(register(name))
         if record.over:
             mine.orphan_at, mine.why = None, told(record)
             self.aborts.pop(name, None)
@@ -141,7 +141,9 @@
         mine.why = [*told(record), "driven by another"]
         return self._take_over(now, name, record, mine, cell)
 
-    def _take_over(self, now: float, name: str, record: Record, mine: Mine, cell: Cell) -> list[Action]:
+    def _take_over(
+        self, now: float, name: str, record: Record, mine: Mine, cell: CachedRegister
+    ) -> list[Action]:
         if not self._orphaned(now, name, record, cell):
             mine.orphan_at = None
             return []
@@ -155,7 +157,7 @@
         step = Step.AGREED if record.step is Step.ASKED else record.step
         return self._set(now, name, replace(record, step=step, driver=self.scene.id, epoch=record.epoch + 1))
 
-    def _orphaned(self, now: float, name: str, record: Record, cell: Cell) -> bool:
+    def _orphaned(self, now: float, name: str, record: Record, cell: CachedRegister) -> bool:
         """Nobody who may drive this machine does."""
         if record.driver == self.scene.id:
             return record.step <= Step.DRAINING or name != self.scene.me
@@ -165,7 +167,7 @@
         if record.driver not in live or record.driver == ident(name) and record.step > Step.DRAINING:
             return True
         active = record.step in (Step.MOVING, Step.DRAINING, Step.IN_PLACE)
-        return active and now - cell.seen_at > self.settings.stale
+        return active and now - cell.first_seen_at > self.settings.stale
 
     def _rank(self, name: str, record: Record) -> int | None:
         """This one's place among those that may drive a machine; nothing if it may not."""
@@ -182,7 +184,7 @@
 
     # --- as the driver ---
 
-    def _drive(self, now: float, name: str, record: Record, mine: Mine, cell: Cell) -> list[Action]:
+    def _drive(self, now: float, name: str, record: Record, mine: Mine, cell: CachedRegister) -> list[Action]:
         if record.step is Step.AGREED and not record.has(Flag.ABORT):
             return self._start(now, name, record, mine)
         view = self._view(now, name, record, mine, cell)
@@ -210,7 +212,9 @@
         """Whether this is the one driver at this moment: its epoch was the register's lately, and the one
         before has stopped."""
         s = self.settings
-        return self.ledger.confirmed(now, register(name), s.confirm) and now - mine.won_at > s.confirm * 1.1
+        return (
+            self.ledger.is_confirmed(now, register(name), s.confirm) and now - mine.won_at > s.confirm * 1.1
+        )
 
     def _handed(self, name: str, record: Record, after: Record) -> Record:
         """A machine that goes out can't drive what follows."""
@@ -220,7 +224,7 @@
         driver = ident(others[0]) if others else 0
         return replace(after, driver=driver, epoch=record.epoch + 1)
 
-    def _view(self, now: float, name: str, record: Record, mine: Mine, cell: Cell) -> View:
+    def _view(self, now: float, name: str, record: Record, mine: Mine, cell: CachedRegister) -> View:
         # Danger: an engine that only its driver can't reach still runs what others have out there.
         here = name == self.scene.me or record.has(Flag.ENGINE)
         return View(
--- a/cottonhold/fleet/rolling_replacement/plan_submission.py
+++ b/cottonhold/fleet/rolling_replacement/plan_submission.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.consensus.register_cache import RegisterCache
 from cottonhold.fleet.rolling_replacement.plan import (
     NAME,
     Item,
@@ -42,7 +42,7 @@
     def step(
         self,
         now: float,
-        ledger: Ledger,
+        ledger: RegisterCache,
         whole: Whole,
         chain: Mapping[str, Record] | None,
         there: Mapping[str, Machine],
@@ -67,9 +67,11 @@
         first = chain.get(self.items[0].machine)
         return first is not None and first.serial == self.serial
 
-    def _lock(self, now: float, ledger: Ledger, whole: Whole, chain: Mapping[str, Record]) -> list[Action]:
+    def _lock(
+        self, now: float, ledger: RegisterCache, whole: Whole, chain: Mapping[str, Record]
+    ) -> list[Action]:
         # Danger: refused or taken by what was known of old, two requests would both be told yes.
-        if not ledger.confirmed(now, NAME, 1000.0):
+        if not ledger.is_confirmed(now, NAME, 1000.0):
             return list(ledger.read(now, NAME, 100.0))
         try:
             self.items = fits(self.request, chain)
@@ -86,7 +88,7 @@
     def _write(
         self,
         now: float,
-        ledger: Ledger,
+        ledger: RegisterCache,
         whole: Whole,
         there: Mapping[str, Machine],
         zones: Mapping[str, int],
@@ -98,7 +100,7 @@
             self.records = lay(self.request, self.items, there, whole, zones)
         actions, left = list[Action](), 0
         for machine, record in self.records.items():
-            value, cell = pack_record(record), ledger.known(register(machine))
+            value, cell = pack_record(record), ledger.received(register(machine))
             if cell is None or cell.value != value:
                 left += 1
                 actions += ledger.change(now, register(machine), value)
@@ -107,7 +109,7 @@
             actions += ledger.change(now, NAME, pack_whole(whole))
         return actions
 
-    def _give_up(self, now: float, ledger: Ledger, whole: Whole, mine: bool) -> list[Action]:
+    def _give_up(self, now: float, ledger: RegisterCache, whole: Whole, mine: bool) -> list[Action]:
         self.answer = self.answer or "the registers could not be changed in time"
         if not mine:
             return []
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -12,27 +12,10 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
 
+from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
 from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Reason, Record, Request, Step, tenths
 
 
-@dataclass(slots=True, frozen=True)
-class Change:
-    """Set a register if it still has that version. The outcome comes back by its token."""
-
-    name: str
-    version: int
-    value: bytes
-    token: int
-
-
-@dataclass(slots=True, frozen=True)
-class Read:
-    """Read a register over a majority."""
-
-    name: str
-    token: int
-
-
 @dataclass(slots=True, frozen=True)
 class MovePins:
     """At most so many of a machine's pins go to a target, under this epoch of the machine's swap."""
@@ -84,7 +67,7 @@
 
 
 SPARE = "a majority of voters must stay up"
-Action = Change | Read | MovePins | Drain | Undrain | Ready | Say | Answer
+Action = ChangeRegister | ReadRegister | MovePins | Drain | Undrain | Ready | Say | Answer
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -4,7 +4,7 @@
 
 import math
 
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.messages import DOUBT, GONE, TENTATIVE, Entry, Step
 from cottonhold.fleet.session_affinity.migration import Transfer
@@ -240,5 +240,5 @@
         self.says = {}
         actions = [*self.actions, *self.standing.actions]
         self.actions, self.standing.actions = [], []
-        self.counts["said"] += sum(isinstance(action, Say) for action in actions)
+        self.counts["said"] += sum(isinstance(action, SendMessage) for action in actions)
         return actions
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -18,7 +18,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.consensus.messages import Keep, Reader, Say
+from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.messages import MessageReader
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.membership.leases import Ask, Leases, LeaseSettings, To, Word
 
@@ -73,8 +74,8 @@
         self.leases = Leases(me, self.voters, settings, now, first_term)
         self.version, self.asked, self.durable = 0, 0, 0  # of the table's record: now, asked to be kept, kept
         self.saving: dict[int, int] = {}  # token -> version
-        self.waiting: list[tuple[int, Say]] = []  # what is said once the disk has a version
-        self.actions: list[Say | Keep] = []
+        self.waiting: list[tuple[int, SendMessage]] = []  # what is said once the disk has a version
+        self.actions: list[SendMessage | PersistState] = []
 
     # --- questions ---
 
@@ -131,7 +132,7 @@
             fence.due = now + retry
             ask = messages.pack_short(messages.REFUSE, False, member, self.epoch)
             for voter in {*self.voters, member} - fence.refusing - {self.me}:
-                self.actions.append(Say(voter, ask))
+                self.actions.append(SendMessage(voter, ask))
             if self.me in self.voters:
                 self._refuse(now, self.me, member, self.epoch)
 
@@ -179,13 +180,13 @@
         self.waiting = [(needs, say) for needs, say in self.waiting if needs > self.durable]
         for say in due:
             if say.member == self.me:
-                self.refuse(now, self.me, *messages.read_short(say.data))
+                self.refuse(now, self.me, *messages.read_short(say.payload))
             else:
                 self.actions.append(say)
 
     # --- inside ---
 
-    def keep(self, token: int) -> Keep:
+    def keep(self, token: int) -> PersistState:
         """The table's record, as it is now."""
         self.asked = self.saving[token] = self.version
         pairs = list(self.refused.items())
@@ -193,24 +194,24 @@
         data = HEAD.pack(self.epoch, self.complete + 1, self.past, self.barred, *counts)
         members = *sorted(self.inside), *sorted(self.fences), *self.fenced_at
         data += b"".join(MEMBER.pack(member) for member in members)
-        return Keep(TABLE, data + b"".join(PAIR.pack(*pair) for pair in pairs), token)
+        return PersistState(TABLE, data + b"".join(PAIR.pack(*pair) for pair in pairs), token)
 
     def _read(self, now: float, data: bytes) -> None:
-        reader = Reader(data)
-        self.epoch, complete, self.past, barred, inside, fences, lately, pairs = reader.fixed(HEAD)
+        reader = MessageReader(data)
+        self.epoch, complete, self.past, barred, inside, fences, lately, pairs = reader.read_struct(HEAD)
         self.complete, self.barred = complete - 1, bool(barred)
-        self.inside = {reader.fixed(MEMBER)[0] for _ in range(inside)}
+        self.inside = {reader.read_struct(MEMBER)[0] for _ in range(inside)}
         # Danger: a fence that was under way begins anew; without it a restart would cut its wait short.
-        self.fences = {reader.fixed(MEMBER)[0]: Fence() for _ in range(fences)}
+        self.fences = {reader.read_struct(MEMBER)[0]: Fence() for _ in range(fences)}
         # Their loads may still run: counted from now, for the time since then is not known.
-        self.fenced_at = {reader.fixed(MEMBER)[0]: now for _ in range(lately)}
-        found = [reader.fixed(PAIR) for _ in range(pairs)]
+        self.fenced_at = {reader.read_struct(MEMBER)[0]: now for _ in range(lately)}
+        found = [reader.read_struct(PAIR) for _ in range(pairs)]
         self.refused = {member: epoch for member, epoch in found}
-        reader.end()
+        reader.expect_end()
 
     def _refuse(self, now: float, asker: int, member: int, epoch: int) -> None:
         """Danger: a word that is not on disk would be forgotten in a restart, and the lease renewed."""
-        say = Say(asker, messages.pack_short(messages.REFUSE, True, member, epoch))
+        say = SendMessage(asker, messages.pack_short(messages.REFUSE, True, member, epoch))
         if self.refused.get(member, 0) < epoch:
             self.refused[member] = epoch
             self.version += 1
@@ -227,4 +228,4 @@
         self._say(member, messages.pack_lease(what, self.epoch))
 
     def _say(self, member: int, data: bytes) -> None:
-        self.actions.append(Say(member, data))
+        self.actions.append(SendMessage(member, data))
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -20,10 +20,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cottonhold.fleet.consensus.messages import VALUE_MOST
-from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
+from cottonhold.fleet.consensus.messages import MAX_VALUE_BYTES
+from cottonhold.fleet.consensus.register_cache import RegisterCache
 from cottonhold.fleet.rolling_replacement.machine_driver import order_of
-from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
 from cottonhold.fleet.zone_failover.messages import WordError
 
 NAME = "pins"
@@ -60,7 +60,7 @@
         members = self.inside | {member} if inside else self.inside - {member}
         changes = (*self.changes, (member, inside))[-REMEMBERED:]
         value = Value(self.epoch + 1, members, changes)
-        while len(pack(value)) > VALUE_MOST:
+        while len(pack(value)) > MAX_VALUE_BYTES:
             value = Value(value.epoch, members, value.changes[1:])
         return value
 
@@ -140,7 +140,7 @@
     ) -> None:
         self.me, self.voters, self.settings = me, frozenset(voters), settings
         self.majority = len(self.voters) // 2 + 1
-        self.ledger = Ledger(random.Random(seed), settings.late)
+        self.ledger = RegisterCache(random.Random(seed), settings.late)
         self.value = Value()
         self.known = False  # a majority has told it to this life
         self.wish: Wish | None = None
@@ -153,18 +153,18 @@
 
     def outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended; one that isn't this part's says nothing here."""
-        if self.ledger.outcome(now, token, won, version, value):
+        if self.ledger.on_outcome(now, token, won, version, value):
             self.known = self.known or (won is not None and version >= 0)
             self._learnt(now)
 
     def changed(self, now: float, name: str, version: int, value: bytes) -> None:
         """Another has told of a register."""
         if name == NAME:
-            self.ledger.heard(now, name, version, value)
+            self.ledger.on_hint(now, name, version, value)
             self._learnt(now)
 
     def _learnt(self, now: float) -> None:
-        cell = self.ledger.known(NAME)
+        cell = self.ledger.received(NAME)
         try:
             self.value = read(cell.value if cell is not None else b"")
         except WordError:
@@ -178,7 +178,7 @@
         """When `step` is due."""
         return self.next_step
 
-    def step(self, now: float, seen: Seen) -> list[Change | Read]:
+    def step(self, now: float, seen: Seen) -> list[ChangeRegister | ReadRegister]:
         """Propose what is needed, once it is this one's turn; and look at the register from time to time."""
         s = self.settings
         for member in self.value.inside | {self.me}:
@@ -193,7 +193,7 @@
             self.wish = Wish(*wanted, now)
         self.why = self._against(seen, *wanted)
         if not self.why and now - self.wish.since >= self._rank(seen, wanted[0]) * s.spread:
-            if self.ledger.confirmed(now, NAME, s.confirm):
+            if self.ledger.is_confirmed(now, NAME, s.confirm):
                 return list(self.ledger.change(now, NAME, pack(self.value.after(*wanted))))
             return list(self.ledger.read(now, NAME))
         return list(self.ledger.read(now, NAME, s.poll))
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -172,7 +172,7 @@
             self._changed(now, 0)
         return self._run(now)
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[Action]:
+    def on_message(self, now: float, sender: int, data: bytes) -> list[Action]:
         """A message of pins (first byte 75 to 78); one that makes no sense is counted."""
         try:
             kind = data[0] if data else 0
@@ -193,7 +193,7 @@
             self.counts["malformed"] += 1
         return self._run(now)
 
-    def kept(self, now: float, token: int) -> list[Action]:
+    def on_persisted(self, now: float, token: int) -> list[Action]:
         """The disk has the record that was asked to be kept under this token."""
         self.standing.kept(now, token)
         key = self.keeping.pop(token, None)
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from cottonhold.fleet.consensus.messages import Keep, Reader, Say
+from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.messages import MessageReader
 from cottonhold.fleet.session_affinity.membership_lease import Standing
 from cottonhold.fleet.session_affinity.messages import Entry, Step
 from cottonhold.membership.leases import LeaseSettings
@@ -94,7 +95,7 @@
     doubt: bool
 
 
-Action = Say | Keep | Moved | Took
+Action = SendMessage | PersistState | Moved | Took
 
 
 @dataclass(slots=True)
@@ -243,7 +244,7 @@
         self.says.setdefault((member, step), []).append(entry)
 
     def _say(self, member: int, data: bytes) -> None:
-        self.actions.append(Say(member, data))
+        self.actions.append(SendMessage(member, data))
 
     def _keep(self, key: bytes, pin: Pin) -> None:
         self.token += 1
@@ -254,22 +255,22 @@
         data = FORM.pack(
             pin.epoch, pin.owner, pin.peer, pin.offered, pin.state, pin.doubt > -math.inf
         ) + bytes((pin.taken,))
-        self.actions.append(Keep(RECORD + key.hex(), data, self.token))
+        self.actions.append(PersistState(RECORD + key.hex(), data, self.token))
 
     def _forget(self, key: bytes) -> None:
         del self.pins[key]
         self.busy.discard(key)
         self.token += 1
-        self.actions.append(Keep(RECORD + key.hex(), b"", self.token))
+        self.actions.append(PersistState(RECORD + key.hex(), b"", self.token))
 
     def _read(self, now: float, kept: Mapping[str, bytes]) -> None:
         for name, data in kept.items():
             if not name.startswith(RECORD) or not data:
                 continue
-            reader, key = Reader(data), bytes.fromhex(name.removeprefix(RECORD))
-            epoch, owner, peer, offered, state, doubt = reader.fixed(FORM)
-            (taken,) = reader.fixed(TAKEN)
-            reader.end()
+            reader, key = MessageReader(data), bytes.fromhex(name.removeprefix(RECORD))
+            epoch, owner, peer, offered, state, doubt = reader.read_struct(FORM)
+            (taken,) = reader.read_struct(TAKEN)
+            reader.expect_end()
             pin = self.pins[key] = Pin(epoch, owner, Pinned(state), peer, offered, taken=bool(taken))
             if doubt or owner == self.me:  # what was in flight when the last life ended may have run
                 pin.doubt = now + self.settings.doubt
--- a/cottonhold/fleet/session_affinity/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -12,14 +12,13 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from cottonhold.fleet.consensus.messages import Keep
-from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
+from cottonhold.fleet.consensus.actions import ChangeRegister, PersistState, ReadRegister
 from cottonhold.fleet.session_affinity import record_book
 from cottonhold.fleet.session_affinity.membership_lease import TABLE
 from cottonhold.fleet.session_affinity.membership_table import Seen, Table, TableSettings
 from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own, Pins, PinSettings
 
-Action = record_book.Action | Change | Read
+Action = record_book.Action | ChangeRegister | ReadRegister
 LIFE = 1 << 32  # tokens of one beginning
 LINGER = 500.0  # ms that one stays up once it is out of the table: by then the others know
 
@@ -167,16 +166,16 @@
         queued = [key for line in self.pins.queue.values() for key in line]
         return self._out(self.pins.abort(now, [*self.pins.pins, *queued]))
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[Action]:
+    def on_message(self, now: float, sender: int, data: bytes) -> list[Action]:
         """A message of pins."""
-        return self._out(self.pins.hear(now, sender, data)) if self.pins is not None else []
+        return self._out(self.pins.on_message(now, sender, data)) if self.pins is not None else []
 
-    def kept(self, now: float, token: int) -> list[Action]:
+    def on_persisted(self, now: float, token: int) -> list[Action]:
         """The disk has a record."""
         # Danger: a record from before it began anew, on disk only now, would pass for one of this beginning.
         if self.pins is None or token // LIFE != self.began:
             return []
-        return self._out(self.pins.kept(now, token % LIFE))
+        return self._out(self.pins.on_persisted(now, token % LIFE))
 
     def outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended."""
@@ -218,7 +217,7 @@
             )
         elif self.table.known:
             self.began += 1
-            self.actions += [Keep(name, b"", 0) for name in sorted(self.kept_names)]
+            self.actions += [PersistState(name, b"", 0) for name in sorted(self.kept_names)]
             value = self.table.value
             self.pins = Pins(
                 self.me,
@@ -280,8 +279,8 @@
     def _out(self, actions: Iterable[record_book.Action]) -> list[Action]:
         found: list[Action] = []
         for action in actions:
-            if isinstance(action, Keep):
-                action = Keep(action.name, action.data, self.began * LIFE + action.then)
+            if isinstance(action, PersistState):
+                action = PersistState(action.name, action.data, self.began * LIFE + action.token)
             elif isinstance(action, record_book.Moved):
                 self.counts["moved" if action.done else "stayed"] += 1
             elif isinstance(action, record_book.Took):
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -12,7 +12,16 @@
 from typing import Any, Protocol
 
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.consensus import register
+from cottonhold.fleet.consensus.actions import (
+    Action,
+    ChangeRegister,
+    ChangeResult,
+    OperationOutcome,
+    PersistState,
+    ReadRegister,
+    RegisterChanged,
+    SendMessage,
+)
 from cottonhold.fleet.consensus.register import Registers
 from cottonhold.fleet.coordinator import Fleet
 from cottonhold.fleet.recovery.membership_survey import Census, Verdict
@@ -35,7 +44,11 @@
 
 FIRST, LAST = 64, 79  # kinds of message
 LEAST_MS, MOST_MS = 5.0, 250.0
-ENDS = {register.How.WON: True, register.How.LOST: False, register.How.UNKNOWN: None}
+ENDS = {
+    ChangeResult.WON: True,
+    ChangeResult.LOST: False,
+    ChangeResult.UNKNOWN: None,
+}
 UNREST = (Verdict.FLEET, Verdict.ZONE, Verdict.CUT_OFF)
 
 
@@ -121,7 +134,7 @@
             return True
         if not payload or not FIRST <= payload[0] <= LAST:
             return False
-        self._carry_out(self.registers.hear(self.clock.now(), member, payload))
+        self._carry_out(self.registers.on_message(self.clock.now(), member, payload))
         self._arm(LEAST_MS)
         return True
 
@@ -162,14 +175,14 @@
             | self.drains.row(now, self.swap, row.machine)
             for row in self.swap.status()
         ]
-        return {"swap": {"machines": rows, "answers": self.answers[-4:], "votes": self.registers.votes()}}
+        return {"swap": {"machines": rows, "answers": self.answers[-4:], "votes": self.registers.is_voting()}}
 
     # --- steps ---
 
     def _step(self) -> None:
         now = self.clock.now()
         self._tell(now)
-        self.registers.members(self.swim.live())
+        self.registers.set_listeners(self.swim.live())
         self._carry_out(self.registers.step(now))
         for action in self.swap.step(now):
             self._act(now, action)
@@ -185,7 +198,7 @@
         """What this instance sees."""
         swap, live = self.swap, set(self.swim.live())
         there = [self._machine(self.name, self.swim.id, self.census.me, self.census.life)]
-        there[0] = replace(there[0], votes=self.registers.votes())
+        there[0] = replace(there[0], votes=self.registers.is_voting())
         for member in self.swim.members.values():
             number = self.census.number_of(member.id)
             if member.id in live and number is not None:
@@ -215,7 +228,7 @@
 
     def _act(self, now: float, action: steps_of.Action) -> None:
         match action:
-            case steps_of.Change() | steps_of.Read():
+            case ChangeRegister() | ReadRegister():
                 self.ask(action)
             case steps_of.MovePins(machine, _, most) if machine == self.name and self.pins is not None:
                 self.pins.move(most)
@@ -236,28 +249,28 @@
                 self.answers.append({"who": request.who, "refused": refused})
                 self.note("swap_answer", who=request.who, refused=refused or "no")
 
-    def ask(self, action: steps_of.Change | steps_of.Read) -> None:
+    def ask(self, action: ChangeRegister | ReadRegister) -> None:
         """A change or read of a register, for this part or for pins; its outcome goes to both."""
         now = self.clock.now()
-        if isinstance(action, steps_of.Read):
+        if isinstance(action, ReadRegister):
             self._carry_out(self.registers.read(now, action.name, action.token))
         else:
             words = action.name, action.version, action.value, action.token
             self._carry_out(self.registers.change(now, *words))
         self._arm(LEAST_MS)
 
-    def _carry_out(self, actions: Iterable[register.Action]) -> None:
+    def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case register.Say(member, data):
+                case SendMessage(member, data):
                     self.say(member, data)
-                case register.Keep(name, data, then):
+                case PersistState(name, data, then):
                     self._keep(name, data, then)
-                case register.Changed(name, version, value):
+                case RegisterChanged(name, version, value):
                     self.swap.changed(self.clock.now(), name, version, value)
                     if self.pins is not None:
                         self.pins.changed(name, version, value)
-                case register.Outcome(token, how, version, value) if token:
+                case OperationOutcome(token, how, version, value) if token:
                     # One that was lost without an answer says nothing of what stands.
                     won = ENDS[how] if version >= 0 else None
                     self.swap.outcome(self.clock.now(), token, won, version, value)
@@ -272,5 +285,5 @@
         self.promises.put(record, lambda: self._kept(then))
 
     def _kept(self, then: int) -> None:
-        self._carry_out(self.registers.kept(self.clock.now(), then))
+        self._carry_out(self.registers.on_persisted(self.clock.now(), then))
         self._arm(LEAST_MS)
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -12,7 +12,7 @@
 
 from cottonhold.backend.resp import Rows
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.consensus.messages import Keep, Say
+from cottonhold.fleet.consensus.actions import ChangeRegister, PersistState, ReadRegister, SendMessage
 from cottonhold.fleet.coordinator import Fleet
 from cottonhold.fleet.recovery.membership_survey import Census
 from cottonhold.fleet.recovery.messages import MemoryState
@@ -20,7 +20,6 @@
 from cottonhold.fleet.request_forwarding.forwarder import End, HandOn, HandSettings
 from cottonhold.fleet.request_forwarding.messages import U32
 from cottonhold.fleet.request_forwarding.request_codec import Handed, pack_request, pack_rows, read_request
-from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.plan import Record as Swapped
 from cottonhold.fleet.rolling_replacement.plan import Step, ident
 from cottonhold.fleet.session_affinity import membership_table, messages
@@ -122,9 +121,9 @@
             return False
         now = self.clock.now()
         if payload[0] == HANDED_ON:
-            self._hands(self.handing.hear(now, member, payload))
+            self._hands(self.handing.on_message(now, member, payload))
         else:
-            self._carry_out(self.service.hear(now, member, payload))
+            self._carry_out(self.service.on_message(now, member, payload))
         self._arm(LEAST_MS)
         return True
 
@@ -220,7 +219,7 @@
     def _hands(self, actions: Iterable[forwarder.Action]) -> None:
         for action in actions:
             match action:
-                case Say(member, data):
+                case SendMessage(member, data):
                     self.say(member, data)
                 case forwarder.Take():
                     self._taken(action)
@@ -326,11 +325,11 @@
     def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Say(member, data):
+                case SendMessage(member, data):
                     self.say(member, data)
-                case Keep(name, data, then):
+                case PersistState(name, data, then):
                     self._keep(name, data, then)
-                case step_decision.Change() | step_decision.Read():
+                case ChangeRegister() | ReadRegister():
                     self.swap.ask(action)
 
     def _keep(self, name: str, data: bytes, then: int) -> None:
@@ -346,7 +345,7 @@
         if durable:
             if self.puts.get(name) == then:
                 del self.puts[name]
-            self._carry_out(self.service.kept(self.clock.now(), then))
+            self._carry_out(self.service.on_persisted(self.clock.now(), then))
             self._arm(LEAST_MS)
         elif self.puts.get(name) == then:
             # Danger: a record that the disk did not take, and that nobody puts again, holds its pin for good.
--- a/tests/fleet/test_model_checker.py
+++ b/tests/fleet/test_model_checker.py
@@ -9,8 +9,8 @@
 
 from cottonhold.emulator.model_checker import World, explore, walk
 from cottonhold.emulator.models import PinWorld, RegisterWorld, pin_end, register_end
-from cottonhold.fleet.consensus import acceptor, register
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus import acceptor, proposer
+from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.session_affinity import announcements, membership_lease
 from cottonhold.fleet.session_affinity.messages import Entry
 from cottonhold.fleet.session_affinity.record_book import Pin, Pinned
@@ -39,13 +39,13 @@
 
 def no_quorum(monkeypatch: pytest.MonkeyPatch) -> None:
     """One voter's word is enough."""
-    begin = register.Proposer.__init__
+    begin = proposer.Proposer.__init__
 
     def alone(self: Any, *args: Any) -> None:
         begin(self, *args)
         self.majority = 1
 
-    monkeypatch.setattr(register.Proposer, "__init__", alone)
+    monkeypatch.setattr(proposer.Proposer, "__init__", alone)
 
 
 def forgetful(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -54,20 +54,22 @@
 
     def anew(self: Any, *args: Any) -> None:
         begin(self, *args)
-        self.votes = True
+        self.is_voting = True
 
     monkeypatch.setattr(acceptor.Acceptor, "__init__", anew)
 
 
 def old_epochs(monkeypatch: pytest.MonkeyPatch) -> None:
     """A voter returns properly, but its answers from before count on."""
-    monkeypatch.setattr(register.Proposer, "_valid", lambda self, answers: dict(answers))
+    monkeypatch.setattr(proposer.Proposer, "_current_answers", lambda self, answers: dict(answers))
 
 
 def unwritten(monkeypatch: pytest.MonkeyPatch) -> None:
     """A voter answers before its record is on disk."""
     monkeypatch.setattr(
-        acceptor.Acceptor, "_answer", lambda self, _, to, data: self.actions.append(Say(to, data))
+        acceptor.Acceptor,
+        "_send_after_write",
+        lambda self, _, to, data: self.actions.append(SendMessage(to, data)),
     )
 
 
@@ -137,7 +139,7 @@
                 world.write(member)
         for message in [m for m in world.net if passes(m[0], m[1])]:
             del world.net[message]
-            world.act(message[0], world.up[message[0]].hear(world.now, *message[1:]))
+            world.act(message[0], world.up[message[0]].on_message(world.now, *message[1:]))
         for member, one in world.up.items():
             if one.next_at() <= world.now and member != 4:
                 world.act(member, one.step(world.now))
@@ -152,14 +154,14 @@
     if broken:
         old_epochs(monkeypatch)
     world = RegisterWorld()
-    world.up[4].proposer.highest = 10
+    world.up[4].proposer.highest_ballot_number = 10
     world.do(("ask", 4))
     pump(world, 20, lambda to, sender: {to, sender} == {3, 4})
     world.net.clear()
     world.crash(3, True)
     world.start(3)
     pump(world, 2000, lambda to, sender: 4 not in (to, sender))
-    assert world.up[3].votes()
+    assert world.up[3].is_voting()
     world.do(("ask", 1))
     pump(world, 60, lambda to, sender: {to, sender} == {1, 3})
     assert world.values == {1: b"11"}
--- a/tests/fleet/test_request_forwarding.py
+++ b/tests/fleet/test_request_forwarding.py
@@ -241,14 +241,14 @@
     settings = HandSettings(gathering=64 * 1024, remembered=100, callers=4, lives=2)
     owner = HandOn(B, 1, settings, 1)
     for number in range(1, 5000):
-        owner.hear(1.0, LIAR, part(words.number_of(number % 7 + 1, number), size=16_000))
-        owner.hear(1.0, 1000 + number, part(words.number_of(1, 1)))
+        owner.on_message(1.0, LIAR, part(words.number_of(number % 7 + 1, number), size=16_000))
+        owner.on_message(1.0, 1000 + number, part(words.number_of(1, 1)))
     status = owner.status()
     assert status["gathering_bytes"] <= 64 * 1024 + 3 * 1000 and status["here"] <= 8
     assert len(owner.taking.callers) == 4
     for number in range(1, 5000):
         head = words.Head(words.number_of(1, number), 1, 0, 0.0, 500_000.0, 1)
-        owner.hear(1.0, LIAR, words.pack(words.Withdraw(head, False)))
+        owner.on_message(1.0, LIAR, words.pack(words.Withdraw(head, False)))
     assert owner.status()["remembered"] <= 100
     owner.step(600_000.0)
     assert not owner.taking.callers and owner.next_at() == math.inf  # their time is over
@@ -270,12 +270,12 @@
         words.Part(held, 0, 0, b""),
         words.Withdraw(words.Head(number + 1, owner.life, 0, 0.0, 1e7, 1), True),
     ):
-        assert owner.hear(now_b, A, words.pack(word)) == []
+        assert owner.on_message(now_b, A, words.pack(word)) == []
     for data in (words.Ack(number + 1, owner.life, 1, words.State.VOID),):
-        assert origin.hear(now_a, B, words.pack(data)) == []
-        assert origin.hear(now_a, LIAR, words.pack(data)) == []
+        assert origin.on_message(now_a, B, words.pack(data)) == []
+        assert origin.on_message(now_a, LIAR, words.pack(data)) == []
     for noise in (b"", b"O", b"O\x07", b"O\x01" + bytes(16), b"O\x02" + bytes(40), b"O\x06" + bytes(9)):
-        assert origin.hear(now_a, B, noise) == owner.hear(now_b, A, noise) == []
+        assert origin.on_message(now_a, B, noise) == owner.on_message(now_b, A, noise) == []
     for one, was, count in ((origin, before[0], 8), (owner, before[1], 9)):
         assert one.status() == {**was, "malformed": count}
     net.run(4000)
--- a/tests/fleet/test_rolling_replacement.py
+++ b/tests/fleet/test_rolling_replacement.py
@@ -13,10 +13,11 @@
 from cottonhold.emulator.rolling_replacement import Trouble, World
 from cottonhold.emulator.rolling_replacement_cases import CASES
 from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted
-from cottonhold.fleet.consensus.register_cache import Ledger
+from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
+from cottonhold.fleet.consensus.register_cache import RegisterCache
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Item, Machine, PlanError, Record, Request, Step, Whole
-from cottonhold.fleet.rolling_replacement.step_decision import Change, Read, StepSettings, View, decide
+from cottonhold.fleet.rolling_replacement.step_decision import StepSettings, View, decide
 from cottonhold.fleet.zone_failover.messages import WordError
 
 THERE = {f"d{i}": Machine(f"d{i}", "abc"[i % 3], 8.0, voter=True) for i in range(6)} | {
@@ -112,20 +113,20 @@
 
 
 def test_an_answer_that_was_overtaken_changes_nothing_and_an_unknown_end_is_read_first() -> None:
-    ledger = Ledger(random.Random(1), 6000.0)
+    ledger = RegisterCache(random.Random(1), 6000.0)
     (read,) = ledger.read(0.0, "r")
-    ledger.outcome(10.0, read.token, True, 3, b"three")
-    assert ledger.confirmed(400.0, "r", 400.0) and not ledger.confirmed(401.0, "r", 400.0)
+    ledger.on_outcome(10.0, read.token, True, 3, b"three")
+    assert ledger.is_confirmed(400.0, "r", 400.0) and not ledger.is_confirmed(401.0, "r", 400.0)
     (change,) = ledger.change(20.0, "r", b"four")
-    assert isinstance(change, Change) and change.version == 3
+    assert isinstance(change, ChangeRegister) and change.version == 3
     assert ledger.change(30.0, "r", b"four") == [], "one at a time"
-    ledger.heard(35.0, "r", 5, b"five")
-    ledger.outcome(40.0, change.token, None, -1, b"")
-    ledger.heard(45.0, "r", 4, b"four")
-    assert (ledger.cell("r").version, ledger.cell("r").value) == (5, b"five")
-    assert not ledger.confirmed(50.0, "r", 400.0), "what others tell confirms nothing"
+    ledger.on_hint(35.0, "r", 5, b"five")
+    ledger.on_outcome(40.0, change.token, None, -1, b"")
+    ledger.on_hint(45.0, "r", 4, b"four")
+    assert (ledger.register("r").version, ledger.register("r").value) == (5, b"five")
+    assert not ledger.is_confirmed(50.0, "r", 400.0), "what others tell confirms nothing"
     (again,) = ledger.change(50.0, "r", b"six")
-    assert isinstance(again, Read)
+    assert isinstance(again, ReadRegister)
 
 
 def test_a_malformed_register_is_counted_and_nothing_is_done() -> None:
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -7,10 +7,17 @@
 
 import pytest
 
-from cottonhold.fleet.consensus import register
-from cottonhold.fleet.consensus.messages import VALUE_MOST, Keep, Say
+from cottonhold.fleet.consensus.actions import (
+    ChangeRegister,
+    ChangeResult,
+    OperationOutcome,
+    PersistState,
+    ReadRegister,
+    RegisterChanged,
+    SendMessage,
+)
+from cottonhold.fleet.consensus.messages import MAX_VALUE_BYTES
 from cottonhold.fleet.consensus.register import Registers
-from cottonhold.fleet.rolling_replacement.step_decision import Change, Read
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.membership_table import MOST, REMEMBERED, Value, pack, read
 from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own, Pins, PinSettings
@@ -21,7 +28,11 @@
 
 A, B, C, D = 101, 102, 103, 104
 KEYS = [n.to_bytes(8, "big") for n in range(24)]
-ENDS = {register.How.WON: True, register.How.LOST: False, register.How.UNKNOWN: None}
+ENDS = {
+    ChangeResult.WON: True,
+    ChangeResult.LOST: False,
+    ChangeResult.UNKNOWN: None,
+}
 
 
 class Member:
@@ -42,34 +53,34 @@
 
     def step(self, now: float) -> list[Any]:
         self.next = now + 50
-        self.registers.members(self.fleet.live - {self.me})
+        self.registers.set_listeners(self.fleet.live - {self.me})
         going = self.fleet.going.get(self.me, Going.STAYS)
         out = frozenset(m for m, g in self.fleet.going.items() if g is Going.OUT)
         around = Around(self.fleet.whole[self.me], going, frozenset(self.fleet.live), out)
         found = self.carry(now, self.registers.step(now))
         return found + self.pins(now, self.service.step(now, around))
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[Any]:
+    def on_message(self, now: float, sender: int, data: bytes) -> list[Any]:
         if data[0] < 75:
-            return self.carry(now, self.registers.hear(now, sender, data))
-        return self.pins(now, self.service.hear(now, sender, data))
+            return self.carry(now, self.registers.on_message(now, sender, data))
+        return self.pins(now, self.service.on_message(now, sender, data))
 
-    def kept(self, now: float, token: int) -> list[Any]:
+    def on_persisted(self, now: float, token: int) -> list[Any]:
         if token % 2:
-            return self.pins(now, self.service.kept(now, token // 2))
-        return self.carry(now, self.registers.kept(now, token // 2))
+            return self.pins(now, self.service.on_persisted(now, token // 2))
+        return self.carry(now, self.registers.on_persisted(now, token // 2))
 
     def carry(self, now: float, actions: Iterable[Any]) -> list[Any]:
         found: list[Any] = []
         for a in actions:
             match a:
-                case Keep(name, data, then):
-                    found.append(Keep("r:" + name, data, then * 2))
-                case register.Outcome(token, how, version, value):
+                case PersistState(name, data, then):
+                    found.append(PersistState("r:" + name, data, then * 2))
+                case OperationOutcome(token, how, version, value):
                     if not self.fleet.lose(self.me):
                         won = ENDS[how] if version >= 0 else None
                         self.service.outcome(now, token, won, version, value)
-                case register.Changed(name, version, value):
+                case RegisterChanged(name, version, value):
                     self.service.changed(now, name, version, value)
                 case _:
                     found.append(a)
@@ -79,12 +90,12 @@
         found: list[Any] = []
         for a in actions:
             match a:
-                case Change(name, version, value, token):
+                case ChangeRegister(name, version, value, token):
                     found += self.carry(now, self.registers.change(now, name, version, value, token))
-                case Read(name, token):
+                case ReadRegister(name, token):
                     found += self.carry(now, self.registers.read(now, name, token))
-                case Keep(name, data, then):
-                    found.append(Keep("p:" + name, data, then * 2 + 1))
+                case PersistState(name, data, then):
+                    found.append(PersistState("p:" + name, data, then * 2 + 1))
                 case _:
                     found.append(a)
         return found
@@ -177,7 +188,7 @@
     value = Value()
     for n in range(40):
         value = value.after(1 + n % MOST, n < MOST or n % 3 > 0)
-        assert read(pack(value)) == value and len(pack(value)) <= VALUE_MOST
+        assert read(pack(value)) == value and len(pack(value)) <= MAX_VALUE_BYTES
     assert value.since(value.epoch) == [] and value.since(value.epoch + 1) is None
     assert value.since(value.epoch - 2) == [
         (value.epoch - 1, *value.changes[-2]),
@@ -330,6 +341,6 @@
     """C was fenced, and admitted with epoch 21 as far as C knows. B has lost its folder since."""
     pins = Pins(B, {A, D}, [A, B, C], 0.0, 1, {}, PinSettings(on=True), whole=False, epoch=19)
     pins.admit(0.0, B, 20)
-    said = pins.hear(2000.0, C, messages.pack_lease(Ask(C, 7), epoch))
-    words = [messages.read_lease(a.data)[0] for a in said if isinstance(a, Say) and a.member == C]
+    said = pins.on_message(2000.0, C, messages.pack_lease(Ask(C, 7), epoch))
+    words = [messages.read_lease(a.payload)[0] for a in said if isinstance(a, SendMessage) and a.member == C]
     assert [w.granted for w in words if isinstance(w, Word)] == [granted]
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.consensus.acceptor import Acceptor, Register
-from cottonhold.fleet.consensus.messages import Ballot, Keep
-from cottonhold.fleet.consensus.register import How
+from cottonhold.fleet.consensus.acceptor import Acceptor, VoterRegister
+from cottonhold.fleet.consensus.actions import ChangeResult, PersistState
+from cottonhold.fleet.consensus.messages import Ballot
 from cottonhold.fleet_adapters import write_queue
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.store.ledger import Health, Ledger, State
@@ -241,17 +241,17 @@
     def act(self, member: int, actions: Iterable[Any]) -> None:
         others = []
         for action in actions:
-            if isinstance(action, Keep):
+            if isinstance(action, PersistState):
                 self.keep(member, action)
             else:
                 others.append(action)
         super().act(member, others)
 
-    def keep(self, member: int, action: Keep) -> None:
+    def keep(self, member: int, action: PersistState) -> None:
         record = Record(Kind.PROMISE, action.name.encode(), action.data or None)
 
         def kept() -> None:
-            self.act(member, self.up[member].kept(self.now, action.then))
+            self.act(member, self.up[member].kept(self.now, action.token))
 
         self.writers[member].put(record, kept)
 
@@ -264,7 +264,7 @@
     fleet.run(10_000)
     assert all(one.votes() for one in fleet.up.values())
     fleet.stop(103)
-    assert fleet.change(101, "a", 0, b"x").how is How.WON, "its voice counts again"
+    assert fleet.change(101, "a", 0, b"x").result is ChangeResult.WON, "its voice counts again"
 
 
 def test_a_voter_votes_after_its_disk_failed_at_the_start() -> None:
@@ -280,9 +280,11 @@
 def test_promises_keep_over_a_disk_that_failed_and_a_kill() -> None:
     fleet = FailingFleet()
     fleet.run(1000)
-    assert fleet.change(101, "a", 0, b"one").how is How.WON
+    assert fleet.change(101, "a", 0, b"one").result is ChangeResult.WON
     fleet.failing = {102, 103}
-    assert fleet.change(101, "a", 1, b"two").how is not How.WON, "nothing is told that isn't durable"
+    assert fleet.change(101, "a", 1, b"two").result is not ChangeResult.WON, (
+        "nothing is told that isn't durable"
+    )
     fleet.failing.clear()
     fleet.run(5000)
     for member in (102, 103):
@@ -297,7 +299,7 @@
     """The one that greets writes the number of the return; that record failed once."""
     fleet = FailingFleet()
     fleet.run(1000)
-    assert fleet.change(101, "a", 0, b"one").how is How.WON
+    assert fleet.change(101, "a", 0, b"one").result is ChangeResult.WON
     fleet.failing = {102}
     fleet.stop(103)
     fleet.start(103, empty=True)
@@ -313,14 +315,16 @@
     voter = Acceptor(101, [101], 7, {}, 64, 200.0)
     voter.step(0.0)
     for _ in range(2):
-        for action in voter.take():
-            if isinstance(action, Keep):
-                voter.kept(action.then)
+        for action in voter.take_actions():
+            if isinstance(action, PersistState):
+                voter.on_persisted(action.token)
         voter.step(1000.0)
-    assert voter.votes
+    assert voter.is_voting
     for name in "ab":
-        voter.registers[name] = Register(Ballot(3, 101))
-        voter._drop(name)
-    voter.kept(voter.token)
-    gone = {action.name for action in voter.take() if isinstance(action, Keep) and not action.data}
+        voter.registers[name] = VoterRegister(Ballot(3, 101))
+        voter._remove_register(name)
+    voter.on_persisted(voter.last_token)
+    gone = {
+        action.name for action in voter.take_actions() if isinstance(action, PersistState) and not action.data
+    }
     assert gone == {"reg/a", "reg/b"}
--- a/tests/support/forwarding_network.py
+++ b/tests/support/forwarding_network.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.request_forwarding.forwarder import Action, End, Ended, Gone, HandOn, HandSettings, Take
 from tests.support.member_network import Net
 
@@ -50,8 +50,8 @@
     def at(self, now: float) -> float:
         return now * self.rate + self.zero
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[Action]:
-        return self.inner.hear(self.at(now), sender, data)
+    def on_message(self, now: float, sender: int, data: bytes) -> list[Action]:
+        return self.inner.on_message(self.at(now), sender, data)
 
     def step(self, now: float) -> list[Action]:
         return self.inner.step(self.at(now))
@@ -132,8 +132,8 @@
 
     def act(self, member: int, actions: Iterable[Any]) -> None:
         for a in actions:
-            if isinstance(a, Say):
-                assert a.member != member and len(a.data) <= 200
+            if isinstance(a, SendMessage):
+                assert a.member != member and len(a.payload) <= 200
                 self.sent += 1
                 self.carry(member, a)
             elif isinstance(a, Take):
@@ -145,7 +145,7 @@
             elif isinstance(a, Gone):
                 self.told_gone.append((member, a.number))
 
-    def carry(self, member: int, say: Say) -> None:
+    def carry(self, member: int, say: SendMessage) -> None:
         """A word on its way: lost, late, twice, or forged after it."""
         if self.forged and self.draw.random() < self.forged:
             self.forge(member, say)
@@ -155,14 +155,14 @@
             delay = self.draw.uniform(0.2, self.slow)
             if self.draw.random() < self.late:
                 delay = self.draw.uniform(self.slow, 2500)
-            self.post(delay, say.member, 0, (member, say.data))
+            self.post(delay, say.member, 0, (member, say.payload))
 
     def post(self, delay: float, member: int, life: int, what: Any) -> None:
         heapq.heappush(self.events, (self.now + delay, next(self.order), member, life, what))
 
-    def forge(self, member: int, say: Say) -> None:
+    def forge(self, member: int, say: SendMessage) -> None:
         """Another repeats the word in its own name; it comes cut off, longer, or as noise."""
-        data, cut = say.data, self.draw.randrange(1, len(say.data))
+        data, cut = say.payload, self.draw.randrange(1, len(say.payload))
         noise = data[:2] + self.draw.randbytes(self.draw.randrange(60))
         for sender, word in ((LIAR, data), (member, data[:cut]), (member, data + b"\0"), (LIAR, noise)):
             self.post(self.draw.uniform(0.2, self.slow), say.member, 0, (sender, word))
--- a/tests/support/member_network.py
+++ b/tests/support/member_network.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from cottonhold.fleet.consensus.messages import Keep, Say
+from cottonhold.fleet.consensus.actions import PersistState, SendMessage
 
 
 class Net:
@@ -55,16 +55,16 @@
 
     def act(self, member: int, actions: Iterable[Any]) -> None:
         for a in actions:
-            if isinstance(a, Say):
-                assert a.member != member and len(a.data) <= 200
+            if isinstance(a, SendMessage):
+                assert a.member != member and len(a.payload) <= 200
                 if self.draw.random() < self.loss or frozenset((member, a.member)) in self.cut:
                     continue
                 for _ in range(1 + (self.draw.random() < self.twice)):
                     delay = self.draw.uniform(0.2, self.slow)
                     heapq.heappush(
-                        self.events, (self.now + delay, next(self.order), a.member, 0, (member, a.data))
+                        self.events, (self.now + delay, next(self.order), a.member, 0, (member, a.payload))
                     )
-            elif isinstance(a, Keep):
+            elif isinstance(a, PersistState):
                 if member not in self.stuck:
                     free = max(self.disk_free[member], self.now) + self.draw.uniform(0.1, 0.4)
                     self.disk_free[member] = free
@@ -96,13 +96,13 @@
             return
         if member in self.stopped:
             heapq.heappush(self.events, (self.now + 20, next(self.order), member, life, what))
-        elif isinstance(what, Keep):
+        elif isinstance(what, PersistState):
             self.disks[member].pop(what.name, None)
             if what.data:
                 self.disks[member][what.name] = what.data
-            self.act(member, one.kept(self.now, what.then))
+            self.act(member, one.on_persisted(self.now, what.token))
         else:
-            self.act(member, one.hear(self.now, *what))
+            self.act(member, one.on_message(self.now, *what))
 
     def of(self, kind: type) -> list[Any]:
         return [a for _, _, a in self.seen if isinstance(a, kind)]
