--- a/cottonhold/config/contradictions.py
+++ b/cottonhold/config/contradictions.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from cottonhold.config.schema import Class, ConsulSource, File, Fleet, Membership, Peers, Register
-from cottonhold.fleet.session_affinity.membership_table import MOST
+from cottonhold.fleet.session_affinity.membership_table import MAX_MEMBERS
 from cottonhold.fleet.zone_failover.messages import MOST_ZONES, zone_number
 
 Path = tuple[str | int, ...]
@@ -189,8 +189,8 @@
         report(where, "needs state_dir: who owns a key must outlast a power loss")
     if file.membership is None or not file.membership.voters:
         report(where, "needs membership.voters: a majority of them says who owns a key")
-    if file.dispatchers > MOST:
-        report(where, f"has room for {MOST} dispatchers, not {file.dispatchers}")
+    if file.dispatchers > MAX_MEMBERS:
+        report(where, f"has room for {MAX_MEMBERS} dispatchers, not {file.dispatchers}")
 
 
 def _check_register(register: Register, report: Report) -> None:
--- a/cottonhold/emulator/models.py
+++ b/cottonhold/emulator/models.py
@@ -10,7 +10,7 @@
 from cottonhold.fleet.consensus.actions import ChangeResult, OperationOutcome, RegisterChanged
 from cottonhold.fleet.consensus.register import Registers
 from cottonhold.fleet.consensus.settings import RegisterSettings
-from cottonhold.fleet.session_affinity.ownership import Moved, Pins, PinSettings
+from cottonhold.fleet.session_affinity.ownership import KeyOwnership, MoveEnded, OwnershipSettings
 
 
 class RegisterWorld(World):
@@ -103,10 +103,10 @@
         self.learnt: set[int] = set()
         self.begin()
 
-    def make(self, member: int, disk: dict[str, bytes]) -> Pins:
+    def make(self, member: int, disk: dict[str, bytes]) -> KeyOwnership:
         draw = random.Random(member * 1000 + self.life[member])
-        settings = PinSettings(on=True)
-        return Pins(member, (1, 2), self.ids, self.now, draw.getrandbits(32), disk, settings)
+        settings = OwnershipSettings(is_enabled=True)
+        return KeyOwnership(member, (1, 2), self.ids, self.now, draw.getrandbits(32), disk, settings)
 
     def more(self) -> list[Choice]:
         found: list[Choice] = []
@@ -124,19 +124,21 @@
     def free(self, member: int, key: bytes) -> bool:
         """A load of the key would be started here: its owner has one at a time."""
         there = self.running.get(key)
-        return (there is None or there[0] != member) and self.up[member].owns(self.now, key) is not None
+        return (there is None or there[0] != member) and self.up[member].ownership_of(
+            self.now, key
+        ) is not None
 
     def do(self, choice: Choice) -> None:
         kind, what = choice[0], choice[1]
         if kind == "move":
             self.moves -= 1
-            mine = [k for k in self.keys if self.up[what].owns(self.now, k)]
+            mine = [k for k in self.keys if self.up[what].ownership_of(self.now, k)]
             self.act(what, self.up[what].move(self.now, mine, 3 - what))
         elif kind == "load":
             self.load(what, choice[2])
         elif kind == "end":
             where, load = self.running.pop(what)
-            self.act(where, self.up[where].ended(self.now, what, load))
+            self.act(where, self.up[where].on_request_ended(self.now, what, load))
         elif kind == "fence":
             self.fences -= 1
             self.fenced = what
@@ -148,15 +150,15 @@
     def load(self, member: int, key: bytes) -> None:
         """A load of the key starts at a member that owns it."""
         self.loads -= 1
-        own = self.up[member].owns(self.now, key)
+        own = self.up[member].ownership_of(self.now, key)
         there = self.running.get(key)
         if there is not None and there[0] != self.fenced:
             self.wrong = "a load started while another was open elsewhere"
         left = there[0] if there is not None else self.unknown.get(key, member)
-        if left != member and not own.doubt:
+        if left != member and not own.may_have_run:
             self.wrong = "a load started and nobody was told that one before it may have run"
         self.running[key] = member, self.loads
-        self.act(member, self.up[member].opened(self.now, key, self.loads))
+        self.act(member, self.up[member].on_request_opened(self.now, key, self.loads))
 
     def lost(self, member: int) -> None:
         for key in [k for k, (where, _) in self.running.items() if where == member]:
@@ -165,12 +167,12 @@
         self.learnt.discard(member)
 
     def told(self, member: int, action: Any) -> None:
-        if isinstance(action, Moved) and action.done and action.target == member:
+        if isinstance(action, MoveEnded) and action.is_moved and action.target == member:
             self.wrong = "moved to itself"
 
     def check(self) -> str:
         for key in self.keys:
-            if sum(one.owns(self.now, key) is not None for one in self.up.values()) > 1:
+            if sum(one.ownership_of(self.now, key) is not None for one in self.up.values()) > 1:
                 return "a key has two owners"
         return ""
 
@@ -182,11 +184,13 @@
         if world.fenced:
             world.do(("learn", member))
     for key, (where, load) in list(world.running.items()):
-        world.act(where, world.up[where].ended(world.now, key, load))
+        world.act(where, world.up[where].on_request_ended(world.now, key, load))
     world.calm(80)
     for key in world.keys:
         for one in world.up.values():  # a home takes over what it is asked for
-            one.take(world.now, key)
+            one.route(world.now, key)
     world.calm(8)
-    owners = [sum(one.owns(world.now, key) is not None for one in world.up.values()) for key in world.keys]
+    owners = [
+        sum(one.ownership_of(world.now, key) is not None for one in world.up.values()) for key in world.keys
+    ]
     return world.wrong or ("" if owners == [1, 1] else f"owners of the keys: {owners}")
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -1,4 +1,4 @@
-"""What homes are told of pins, changes of the table, and what is due to be said. Pure."""
+"""Announcement of owned keys to their homes, changes of the membership table, and what is due. Pure."""
 
 from __future__ import annotations
 
@@ -6,239 +6,316 @@
 
 from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.session_affinity import messages
-from cottonhold.fleet.session_affinity.messages import DOUBT, GONE, TENTATIVE, Entry, Step
-from cottonhold.fleet.session_affinity.migration import Transfer
-from cottonhold.fleet.session_affinity.record_book import Action, Moved, Pin, Pinned
-
-
-class Handover(Transfer):
-    """All steps of pins between members."""
-
-    def _changed(self, now: float, gone: int) -> None:
-        """The table has changed; `gone`: who is out of it now, 0 where nobody is."""
-        inside, before = self.standing.inside, self.homes
-        if self.tables is not None:
-            self.tables.append(frozenset(inside))
-            if self.standing.complete < 0 or len(self.tables) > 8:
-                self.tables = None
-        self.homes = {}
-        if self.me not in inside:
-            for key in list(self.pins):
+from cottonhold.fleet.session_affinity.messages import (
+    MAY_HAVE_RUN,
+    TARGET_REMOVED,
+    TENTATIVE,
+    EntryKind,
+    MigrationEntry,
+)
+from cottonhold.fleet.session_affinity.migration import Migration
+from cottonhold.fleet.session_affinity.record_book import (
+    NO_MEMBER,
+    Action,
+    Candidate,
+    MoveEnded,
+    OwnershipRecord,
+    OwnershipState,
+    PendingAnswer,
+    WithdrawnOffer,
+)
+
+MAX_RECENT_TABLES = 8
+
+
+class Announcements(Migration):
+    """The exchange between owners and homes, and all that is due to be sent."""
+
+    def _on_table_changed(self, now: float, removed: int) -> None:
+        """Apply a change of the table; `removed` is the member that is out of it now, or NO_MEMBER."""
+        members, previous_homes = self.lease.members, self.home_cache
+        if self.recent_tables is not None:
+            self.recent_tables.append(frozenset(members))
+            if self.lease.complete_epoch < 0 or len(self.recent_tables) > MAX_RECENT_TABLES:
+                self.recent_tables = None
+        self.home_cache = {}
+        if self.member not in members:
+            for key in list(self.records):
                 self._forget(key)
-            self.open.clear()
-            self.offers.clear()
-        for key in self.open:
-            # Without this, the new home would start what still has loads open here.
-            if key not in self.pins and self.home(key) != self.me:
-                self.pins[key] = pin = Pin(self._next(0), self.me, Pinned.HELD)
-                self._keep(key, pin)
-        for key, pin in list(self.pins.items()):
-            moved = before.get(key) != self.home(key)
-            if moved or gone in (pin.peer, pin.owner):
-                self._retell(now, key, pin, gone)
-        for target, line in self.queue.items():
-            if target not in inside or self.me not in inside:
-                self.actions += [Moved(key, 0, target, False) for key in line]
-                line.clear()
-        self.withdrawn = {k: v for k, v in self.withdrawn.items() if v[0] in inside and self.me in inside}
-        self.maybe.clear()
-        self.done_due = now
-
-    def _retell(self, now: float, key: bytes, pin: Pin, gone: int) -> None:
-        """Another home must know of this pin; or its peer is gone."""
-        if gone and pin.peer == gone:
-            if pin.state in (Pinned.OFFERED, Pinned.FENCED):
-                self._keep_here(now, key, pin)
-            elif pin.state is Pinned.RELEASED and not pin.taken:
-                self._moved(key, pin, True)
-                pin.taken = pin.gone = True
-        # Danger: it may be admitted again, with nothing. What it owned or had offered stays gone.
-        if gone and pin.state is Pinned.RELEASED and pin.owner == gone:
-            pin.owner = 0
-            self._keep(key, pin)
-        elif gone and pin.state is Pinned.ACCEPTED and pin.peer == gone:
-            pin.peer = 0
-            self._keep(key, pin)
-        if pin.owner == self.me or pin.gone or (pin.state is Pinned.RELEASED and not pin.taken):
-            pin.placed, pin.told = self.home(key) == self.me, False
-            self._wake(now, key, pin)
-
-    def _sync(self, now: float) -> None:
-        """Tell others that all has been told; see whether all others have."""
-        standing, others = self.standing, self._others()
-        if standing.complete != standing.epoch and self.me in standing.inside:
-            if all(self.heard.get(m) == standing.epoch for m in others) and standing.settled(now):
-                standing.complete, self.tables = standing.epoch, [frozenset(standing.inside)]
-                standing.version += 1
-        waiting = [m for m in others if self.done.get(m) != standing.epoch]
-        # Danger: one that told so and wakes from a crash under the older table would be a home of old.
-        if not waiting or now < self.done_due or standing.durable < standing.version:
+            self.open_requests.clear()
+            self.pending_offers.clear()
+        self._record_open_requests()
+        for key, record in list(self.records.items()):
+            home_changed = previous_homes.get(key) != self.home(key)
+            if home_changed or removed in (record.peer, record.owner):
+                self._announce_again(now, key, record, removed)
+        self._cancel_queued_moves()
+        self.candidates.clear()
+        self.next_announcement_at = now
+
+    def _record_open_requests(self) -> None:
+        """Record keys with open requests whose home is another now, lest it start their next requests."""
+        for key in self.open_requests:
+            if key not in self.records and self.home(key) != self.member:
+                record = OwnershipRecord(self._next_epoch(0), self.member, OwnershipState.HELD)
+                self.records[key] = record
+                self._persist(key, record)
+
+    def _cancel_queued_moves(self) -> None:
+        """Drop the moves to and from members that were removed."""
+        is_member = self.member in self.lease.members
+        for target, queue in self.move_queues.items():
+            if target not in self.lease.members or not is_member:
+                self.actions += [MoveEnded(key, 0, target, False) for key in queue]
+                queue.clear()
+        self.withdrawn_offers = {
+            key_and_epoch: offer
+            for key_and_epoch, offer in self.withdrawn_offers.items()
+            if offer.target in self.lease.members and is_member
+        }
+
+    def _announce_again(self, now: float, key: bytes, record: OwnershipRecord, removed: int) -> None:
+        """Announce a key to its new home, or end what was pending with a removed member."""
+        if removed and record.peer == removed:
+            if record.state in (OwnershipState.OFFERED, OwnershipState.FENCED):
+                self._cancel_move(now, key, record)
+            elif record.state is OwnershipState.RELEASED and not record.release_confirmed:
+                self._end_move(key, record, True)
+                record.release_confirmed = True
+                record.target_removed = True
+        # The removed member may be admitted again, but then it owns nothing that it owned or offered before.
+        if removed and record.state is OwnershipState.RELEASED and record.owner == removed:
+            record.owner = 0
+            self._persist(key, record)
+        elif removed and record.state is OwnershipState.ACCEPTED and record.peer == removed:
+            record.peer = 0
+            self._persist(key, record)
+        is_releasing = record.state is OwnershipState.RELEASED and not record.release_confirmed
+        if record.owner == self.member or record.target_removed or is_releasing:
+            record.home_informed = self.home(key) == self.member
+            record.home_has_candidate = False
+            self._schedule(now, key, record)
+
+    def _synchronize(self, now: float) -> None:
+        """Tell the other members that all ownership is announced; see whether all of them have said so."""
+        lease, other_members = self.lease, self._other_members()
+        if lease.complete_epoch != lease.epoch and self.member in lease.members:
+            all_announced = all(self.announced_epochs.get(m) == lease.epoch for m in other_members)
+            if all_announced and lease.fences_in_force(now):
+                lease.complete_epoch = lease.epoch
+                self.recent_tables = [frozenset(lease.members)]
+                lease.record_version += 1
+        waiting = [m for m in other_members if self.acknowledged_epochs.get(m) != lease.epoch]
+        # The table must be on disk first: after a crash this member would act as a home under the old one.
+        if not waiting or now < self.next_announcement_at or lease.durable_version < lease.record_version:
             return
-        self.done_due = now + self.settings.retry
-        untold = {self.home(k) for k in self.busy if not (self.pins[k].placed or self.pins[k].told)}
+        self.next_announcement_at = now + self.settings.retry_interval_ms
+        uninformed_homes = self._uninformed_homes()
+        notice = messages.encode_notice(messages.ANNOUNCED, False, self.member, lease.epoch)
         for member in waiting:
-            if member not in untold:
-                self._say(member, messages.pack_short(messages.DONE, False, self.me, standing.epoch))
+            if member not in uninformed_homes:
+                self._send(member, notice)
+
+    def _uninformed_homes(self) -> set[int]:
+        """Return the homes that do not know yet of all that this member owns of their keys."""
+        unfinished = [(key, self.records[key]) for key in self.unfinished_keys]
+        return {
+            self.home(key)
+            for key, record in unfinished
+            if not record.home_informed and not record.home_has_candidate
+        }
 
-    def _done(self, sender: int, answer: bool, epoch: int) -> None:
-        if answer:
-            self.done[sender] = epoch
+    def _on_announced(self, sender: int, is_answer: bool, epoch: int) -> None:
+        if is_answer:
+            self.acknowledged_epochs[sender] = epoch
             return
-        self.heard[sender] = max(epoch, self.heard.get(sender, 0))
-        self._say(sender, messages.pack_short(messages.DONE, True, self.me, epoch))
+        self.announced_epochs[sender] = max(epoch, self.announced_epochs.get(sender, 0))
+        self._send(sender, messages.encode_notice(messages.ANNOUNCED, True, self.member, epoch))
 
-    def _place(self, now: float, sender: int, e: Entry) -> None:
-        """An owner tells this home of a pin."""
-        if self.home(e.key) != self.me:
+    def _on_announce(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        """Apply an owner's announcement at the key's home."""
+        if self.home(entry.key) != self.member:
             return
-        pin = self.pins.get(e.key)
-        if e.flags & TENTATIVE:
-            if self._complete():
-                self._adopt(now, e.key, e.epoch, sender, late=True)
+        record = self.records.get(entry.key)
+        if entry.flags & TENTATIVE:
+            if self._is_complete():
+                self._decide_candidate(now, entry.key, entry.epoch, sender, is_late=True)
             else:
-                self.maybe[e.key] = max(self.maybe.get(e.key, (0, 0)), (e.epoch, sender))
-                self._batch(sender, Step.PLACED, e)
+                known = self.candidates.get(entry.key, Candidate(0, NO_MEMBER))
+                self.candidates[entry.key] = max(known, Candidate(entry.epoch, sender))
+                self._add_entry(sender, EntryKind.ANNOUNCE_ACK, entry)
             return
-        if pin is None or (pin.epoch < e.epoch and pin.state in (Pinned.ACCEPTED, Pinned.RELEASED)):
-            owner = 0 if e.flags & GONE else sender
-            self.pins[e.key] = pin = Pin(e.epoch, owner, Pinned.RELEASED, taken=True, placed=True)
-            self._keep(e.key, pin)
-            pin.answer = (sender, e)
-        elif pin.token:
-            pin.answer = (sender, e)
+        if record is None or self._is_outdated(record, entry):
+            owner = NO_MEMBER if entry.flags & TARGET_REMOVED else sender
+            record = self._record_other_owner(entry.key, entry.epoch, owner)
+            record.pending_answer = PendingAnswer(sender, entry)
+        elif record.pending_token:
+            record.pending_answer = PendingAnswer(sender, entry)
         else:
-            self._batch(sender, Step.PLACED, e)
-
-    def _adopt(self, now: float, key: bytes, epoch: int, member: int, late: bool = False) -> None:
-        """A target had accepted a pin whose mover is out: it becomes the owner, unless another is."""
-        pin = self.pins.get(key)
-        if pin is not None and (pin.owner, pin.epoch) == (member, epoch):
-            if not pin.token:
-                self._batch(member, Step.ADOPT, Entry(key, epoch))
-        elif pin is not None and pin.epoch > epoch:
-            self._batch(member, Step.WITHDRAW, Entry(key, epoch))
-        elif pin is not None and pin.owner in self.standing.inside:
-            return  # the mover is in, as far as is known here
-        elif late:
-            # Danger: this home may have started the key already, before this was told (again).
-            self._claim(now, key, epoch)
-            self._batch(member, Step.WITHDRAW, Entry(key, epoch))
+            self._add_entry(sender, EntryKind.ANNOUNCE_ACK, entry)
+
+    def _is_outdated(self, record: OwnershipRecord, entry: MigrationEntry) -> bool:
+        """Whether an announcement replaces the record: it is newer, and this member does not own the key."""
+        is_owned = record.state not in (OwnershipState.ACCEPTED, OwnershipState.RELEASED)
+        return record.epoch < entry.epoch and not is_owned
+
+    def _record_other_owner(self, key: bytes, epoch: int, owner: int) -> OwnershipRecord:
+        """Record at a key's home that another member owns the key."""
+        record = OwnershipRecord(
+            epoch, owner, OwnershipState.RELEASED, release_confirmed=True, home_informed=True
+        )
+        self.records[key] = record
+        self._persist(key, record)
+        return record
+
+    def _decide_candidate(
+        self, now: float, key: bytes, epoch: int, member: int, is_late: bool = False
+    ) -> None:
+        """Decide whether a target that accepted a key from a fenced member becomes its owner."""
+        record = self.records.get(key)
+        if record is not None and (record.owner, record.epoch) == (member, epoch):
+            if not record.pending_token:
+                self._add_entry(member, EntryKind.CONFIRM_OWNER, MigrationEntry(key, epoch))
+        elif record is not None and record.epoch > epoch:
+            self._add_entry(member, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
+        elif record is not None and record.owner in self.lease.members:
+            return  # the fenced member is still in the table, as far as this home knows
+        elif is_late:
+            # This home may have started requests of the key before it learnt of the candidate.
+            self._take_over(now, key, epoch)
+            self._add_entry(member, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
         else:
-            self.pins[key] = pin = Pin(epoch, member, Pinned.RELEASED, taken=True, placed=True)
-            self._keep(key, pin)
-            pin.answer = (member, Entry(key, epoch, TENTATIVE))
-
-    def _candidates(self, now: float) -> None:
-        """This home is complete: what targets of a fenced mover told is decided."""
-        for key, (epoch, member) in self.maybe.items():
-            self._adopt(now, key, epoch, member)
-        self.maybe.clear()
-
-    def _claim(self, now: float, key: bytes, epoch: int) -> None:
-        """This home takes over a key whose owner is out."""
-        doubt = now + self.settings.doubt
-        self.pins[key] = pin = Pin(self._next(epoch), self.me, Pinned.HELD, doubt=doubt, placed=True)
-        self._keep(key, pin)
-
-    # --- an owner and its home ---
-
-    def _adopted(self, now: float, sender: int, e: Entry) -> None:
-        pin = self.pins.get(e.key)
-        if pin is None or pin.state is not Pinned.ACCEPTED or pin.epoch != e.epoch:
+            record = self._record_other_owner(key, epoch, member)
+            record.pending_answer = PendingAnswer(member, MigrationEntry(key, epoch, TENTATIVE))
+
+    def _decide_candidates(self, now: float) -> None:
+        """Decide the candidates that were announced before this home's knowledge was complete."""
+        for key, (epoch, member) in self.candidates.items():
+            self._decide_candidate(now, key, epoch, member)
+        self.candidates.clear()
+
+    def _take_over(self, now: float, key: bytes, epoch: int) -> None:
+        """Become, as its home, the owner of a key whose owner was fenced."""
+        uncertain_until = now + self.settings.uncertainty_ms
+        self.records[key] = record = OwnershipRecord(
+            self._next_epoch(epoch),
+            self.member,
+            OwnershipState.HELD,
+            uncertain_until=uncertain_until,
+            home_informed=True,
+        )
+        self._persist(key, record)
+
+    def _on_confirm_owner(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        record = self.records.get(entry.key)
+        if record is None or record.state is not OwnershipState.ACCEPTED or record.epoch != entry.epoch:
             return
-        if sender == self.home(e.key) and pin.peer not in self.standing.inside:
-            self._held(now, e.key, pin, True)
-            pin.placed = True
+        if sender == self.home(entry.key) and record.peer not in self.lease.members:
+            self._acquire(now, entry.key, record, True)
+            record.home_informed = True
 
-    def _placed(self, now: float, sender: int, e: Entry) -> None:
-        pin = self.pins.get(e.key)
-        if pin is None or sender != self.home(e.key):
+    def _on_announce_ack(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        record = self.records.get(entry.key)
+        if record is None or sender != self.home(entry.key):
             return
-        if e.flags & TENTATIVE:
-            pin.told = pin.told or (pin.state is Pinned.ACCEPTED and pin.epoch == e.epoch)
-        elif e.epoch == self._placing(pin).epoch:
-            pin.placed = True
-            if pin.state is Pinned.HELD and pin.peer:
-                self._batch(pin.peer, Step.TAKEN, e)
-
-    def _placing(self, pin: Pin, key: bytes = b"") -> Entry:
-        """What the home is told of a pin."""
-        if pin.state is Pinned.RELEASED:
-            # Not taken yet: until the target says so itself, the home sends others here.
-            return Entry(key, pin.epoch, GONE) if pin.gone else Entry(key, pin.epoch - 1)
-        return Entry(key, pin.epoch, TENTATIVE if pin.state is Pinned.ACCEPTED else 0)
-
-    # --- what is due ---
-
-    def _entry(self, now: float, sender: int, step: Step, entry: Entry) -> None:
-        self.high = max(self.high, entry.epoch)
+        if entry.flags & TENTATIVE:
+            is_candidate = record.state is OwnershipState.ACCEPTED and record.epoch == entry.epoch
+            record.home_has_candidate = record.home_has_candidate or is_candidate
+        elif entry.epoch == self._announcement(record).epoch:
+            record.home_informed = True
+            if record.state is OwnershipState.HELD and record.peer:
+                self._add_entry(record.peer, EntryKind.RELEASE_ACK, entry)
+
+    def _announcement(self, record: OwnershipRecord, key: bytes = b"") -> MigrationEntry:
+        """Return what the key's home is to know of the record."""
+        if record.state is OwnershipState.RELEASED:
+            if record.target_removed:
+                return MigrationEntry(key, record.epoch, TARGET_REMOVED)
+            # Until the target itself announces the key, the home forwards requests to this member.
+            return MigrationEntry(key, record.epoch - 1)
+        return MigrationEntry(key, record.epoch, TENTATIVE if record.state is OwnershipState.ACCEPTED else 0)
+
+    def _on_entry(self, now: float, sender: int, kind: EntryKind, entry: MigrationEntry) -> None:
+        self.highest_epoch = max(self.highest_epoch, entry.epoch)
         handlers = {
-            Step.OFFER: self._offered,
-            Step.ACCEPT: self._accepted,
-            Step.TURN_DOWN: self._turned_down,
-            Step.RELEASE: self._released,
-            Step.TAKEN: self._taken,
-            Step.WITHDRAW: self._withdraw,
-            Step.DROPPED: self._dropped,
-            Step.PLACE: self._place,
-            Step.PLACED: self._placed,
-            Step.ADOPT: self._adopted,
+            EntryKind.OFFER: self._on_offer,
+            EntryKind.ACCEPT: self._on_accept,
+            EntryKind.DECLINE: self._on_decline,
+            EntryKind.RELEASE: self._on_release,
+            EntryKind.RELEASE_ACK: self._on_release_ack,
+            EntryKind.WITHDRAW: self._on_withdraw,
+            EntryKind.WITHDRAW_ACK: self._on_withdraw_ack,
+            EntryKind.ANNOUNCE: self._on_announce,
+            EntryKind.ANNOUNCE_ACK: self._on_announce_ack,
+            EntryKind.CONFIRM_OWNER: self._on_confirm_owner,
         }
-        handlers[step](now, sender, entry)
+        handlers[kind](now, sender, entry)
 
-    def _due(self, now: float, key: bytes, pin: Pin) -> None:
-        """Send what this pin still lacks an answer to; it rests where nothing lacks."""
-        if pin.token:
-            pin.due = math.inf  # `kept` wakes it
+    def _send_due(self, now: float, key: bytes, record: OwnershipRecord) -> None:
+        """Send what this key still lacks an answer to; it is finished if nothing is left."""
+        if record.pending_token:
+            record.next_send_at = math.inf  # scheduled again by `on_persisted`
             return
-        again, due = now + self.settings.retry * (0.9 + 0.2 * self.draw.random()), math.inf
-        orphan = pin.state is Pinned.ACCEPTED and pin.peer not in self.standing.inside
-        if pin.state is Pinned.OFFERED and not pin.accepted:
-            self._batch(pin.peer, Step.OFFER, Entry(key, pin.offered))
-            due = again
-        elif pin.state is Pinned.FENCED:
-            self._ready(now, key, pin)
-        elif pin.state is Pinned.OFFERED:
-            self._ready(now, key, pin)
-            due = max(pin.since + self.settings.hold, now + 1)
-        elif pin.state is Pinned.RELEASED and not pin.taken:
-            flags = DOUBT if pin.doubt > now else 0
-            self._batch(pin.peer, Step.RELEASE, Entry(key, pin.epoch, flags))
-            due = again
-        elif orphan and self.home(key) == self.me and self._complete():
-            self._held(now, key, pin, True)
-        if not pin.placed and self.home(key) not in (0, self.me) and (orphan or pin.state != Pinned.ACCEPTED):
-            self._batch(self.home(key), Step.PLACE, self._placing(pin, key))
-            due = min(due, again)
-        elif orphan:
-            due = min(due, again)
-        pin.due = due
-        if due == math.inf and not pin.token:
-            self.busy.discard(key)
-
-    def _run(self, now: float) -> list[Action]:
-        """Do what is due, and give back what is for the rim."""
-        self.standing.step(now, self.settings.retry)
-        self._sync(now)
-        if self._complete() and self.maybe:
-            self._candidates(now)
-        self._move(now)
-        for key in [key for key in self.busy if self.pins[key].due <= now]:
-            self._due(now, key, self.pins[key])
-        for (key, epoch), (target, due) in self.withdrawn.items():
-            if now >= due and not self.pins[key].token:
-                self.withdrawn[key, epoch] = target, now + self.settings.retry
-                self._batch(target, Step.WITHDRAW, Entry(key, epoch))
-        if len(self.pins) >= self.purge_at:
+        retry_at = now + self.settings.retry_interval_ms * (0.9 + 0.2 * self.random_source.random())
+        next_send_at = math.inf
+        mover_removed = record.state is OwnershipState.ACCEPTED and record.peer not in self.lease.members
+        if record.state is OwnershipState.OFFERED and not record.is_accepted:
+            self._add_entry(record.peer, EntryKind.OFFER, MigrationEntry(key, record.offered_epoch))
+            next_send_at = retry_at
+        elif record.state is OwnershipState.FENCED:
+            self._release_if_idle(now, key, record)
+        elif record.state is OwnershipState.OFFERED:
+            self._release_if_idle(now, key, record)
+            next_send_at = max(record.offered_at + self.settings.fence_delay_ms, now + 1)
+        elif record.state is OwnershipState.RELEASED and not record.release_confirmed:
+            flags = MAY_HAVE_RUN if record.uncertain_until > now else 0
+            self._add_entry(record.peer, EntryKind.RELEASE, MigrationEntry(key, record.epoch, flags))
+            next_send_at = retry_at
+        elif mover_removed and self.home(key) == self.member and self._is_complete():
+            self._acquire(now, key, record, True)
+        has_owner = mover_removed or record.state is not OwnershipState.ACCEPTED
+        needs_announcement = not record.home_informed and has_owner
+        if needs_announcement and self.home(key) not in (NO_MEMBER, self.member):
+            self._add_entry(self.home(key), EntryKind.ANNOUNCE, self._announcement(record, key))
+            next_send_at = min(next_send_at, retry_at)
+        elif mover_removed:
+            next_send_at = min(next_send_at, retry_at)
+        record.next_send_at = next_send_at
+        if next_send_at == math.inf and not record.pending_token:
+            self.unfinished_keys.discard(key)
+
+    def _drain_actions(self, now: float) -> list[Action]:
+        """Do all that is due, and return the actions to be carried out."""
+        self.lease.step(now, self.settings.retry_interval_ms)
+        self._synchronize(now)
+        if self._is_complete() and self.candidates:
+            self._decide_candidates(now)
+        self._offer_queued(now)
+        for key in [key for key in self.unfinished_keys if self.records[key].next_send_at <= now]:
+            self._send_due(now, key, self.records[key])
+        self._send_withdrawals(now)
+        if len(self.records) >= self.purge_at:
             self._purge()
-        if self.standing.version > self.standing.asked:
-            self.token += 1
-            self.actions.append(self.standing.keep(self.token))
-        for (member, step), entries in self.says.items():
-            for i in range(0, len(entries), messages.A_BATCH):
-                self._say(member, messages.pack_batch(step, entries[i : i + messages.A_BATCH]))
-        self.says = {}
-        actions = [*self.actions, *self.standing.actions]
-        self.actions, self.standing.actions = [], []
+        if self.lease.record_version > self.lease.requested_version:
+            self.last_token += 1
+            self.actions.append(self.lease.persist(self.last_token))
+        self._send_entries()
+        actions = [*self.actions, *self.lease.actions]
+        self.actions, self.lease.actions = [], []
         self.counts["said"] += sum(isinstance(action, SendMessage) for action in actions)
         return actions
+
+    def _send_withdrawals(self, now: float) -> None:
+        for (key, epoch), offer in self.withdrawn_offers.items():
+            if now >= offer.next_send_at and not self.records[key].pending_token:
+                retry_at = now + self.settings.retry_interval_ms
+                self.withdrawn_offers[key, epoch] = WithdrawnOffer(offer.target, retry_at)
+                self._add_entry(offer.target, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
+
+    def _send_entries(self) -> None:
+        """Send the entries that were added, many in a message."""
+        for (member, kind), entries in self.outgoing_entries.items():
+            for start in range(0, len(entries), messages.MAX_ENTRIES):
+                payload = messages.encode_entries(kind, entries[start : start + messages.MAX_ENTRIES])
+                self._send(member, payload)
+        self.outgoing_entries = {}
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -1,14 +1,14 @@
-"""Who is in, and whether this member may act as one that is: the table, the standing lease, the fence. Pure.
+"""The members that may own keys, this member's lease as one of them, and fences. Pure.
 
-The *table* is the list of members under an epoch. It changes only by what a register of the swap settled
-(`fence`, `admit`); each of its epochs is one change.
+The membership table is a list of members under an epoch. It changes only by what the table's register says;
+each epoch is one change, the admission or the removal (fence) of a member.
 
-A member acts on what it owns only while it *stands*: while a majority of the voters has lately said so, by
-its own clock (membership/leases.py: it counts from when it asked, a voter from when it was asked). A fence is
-in force somewhere once a majority of voters has promised there not to renew the fenced one's lease, on disk,
-and a whole lease and the clocks' margin have gone by since; or once the fenced one itself has said that it
-stopped. So one that stood still for five seconds finds its lease over when it goes on, whatever it believes
-of the table.
+A member acts on what it owns only while its lease is valid: while a majority of the voters granted it
+lately, by its own clock (membership/leases.py: a member counts from its request, a voter from the receipt).
+A fence is in force once a majority of voters has promised, on disk, not to renew the fenced member's lease,
+and a whole lease and the clock margin have passed since; or once the fenced member itself has said that it
+stopped. So a member that was paused for seconds finds its lease over when it goes on, whatever it knows of
+the table.
 """
 
 from __future__ import annotations
@@ -17,215 +17,254 @@
 import struct
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from cottonhold.fleet.consensus.actions import PersistState, SendMessage
 from cottonhold.fleet.consensus.messages import MessageReader
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.membership.leases import Ask, Leases, LeaseSettings, To, Word
 
-TABLE = "table"  # name of the record
-HEAD = struct.Struct("!QQQ?HHHH")
-MEMBER = struct.Struct("!Q")
-FENCED_MOST = 64  # remembered of late
-PAIR = struct.Struct("!QQ")
+TABLE_RECORD = "table"  # name of the record
+# Epoch, complete epoch + 1, forgotten epoch, whether barred; numbers of members, fences, fenced, refusals.
+HEAD_FORMAT = struct.Struct("!QQQ?HHHH")
+MEMBER_FORMAT = struct.Struct("!Q")
+REFUSAL_FORMAT = struct.Struct("!QQ")  # member, epoch
+MAX_RECENTLY_FENCED = 64
+NEVER_COMPLETE = -1
 
 
 @dataclass(slots=True)
 class Fence:
-    """A fence under way: voters that refuse its member, and from when on it is in force."""
+    """A pending fence: the voters that refuse the member, and from when on it is in force (own clock)."""
 
-    refusing: set[int] = field(default_factory=set)
-    since: float = math.inf  # own clock
-    due: float = -math.inf  # asked again
+    refusing_voters: set[int] = field(default_factory=set)
+    in_force_at: float = math.inf
+    next_request_at: float = -math.inf
 
 
-class Standing:
-    """One member's view of the table, its own lease, and its word as a voter."""
+class PendingAnswer(NamedTuple):
+    """An answer that is sent once the record's version is on disk."""
+
+    record_version: int
+    message: SendMessage
+
+
+class MembershipLease:
+    """One member's view of the membership table, its own lease, and its promises as a voter.
+
+    members, epoch and fenced (recently removed members) are used if there is no record of the table.
+    has_full_memory is False for a member whose folder is empty or out of date: it owns, grants and promises
+    nothing until it is admitted again. Times are in ms of the own clock.
+    """
 
     def __init__(
         self,
-        me: int,
-        dispatchers: Iterable[int],
+        member: int,
+        members: Iterable[int],
         voters: Iterable[int],
         now: float,
         first_term: int,
-        kept: Mapping[str, bytes],
-        whole: bool,
+        records: Mapping[str, bytes],
+        has_full_memory: bool,
         settings: LeaseSettings,
         epoch: int = 0,
         fenced: Iterable[int] = (),
     ) -> None:
-        self.me, self.voters, self.settings = me, tuple(sorted(set(voters))), settings
+        self.member, self.voters, self.settings = member, tuple(sorted(set(voters))), settings
         self.majority = len(self.voters) // 2 + 1
         self.epoch = epoch
-        self.inside = set(dispatchers)
-        # One with an empty folder holds nothing and says nothing until it is admitted anew.
-        if not whole:
-            self.inside.discard(me)
-        self.complete = 0 if whole else -1  # the epoch for which all have told this home what they own
-        self.past = 0  # highest epoch of a pin that is not remembered any more
-        self.refused: dict[int, int] = {}  # as a voter: no lease for a member that knows no later epoch
-        self.barred = not whole
-        # Those that were fenced of late: whether that is in force already isn't known to one that comes anew.
-        self.fences: dict[int, Fence] = {m: Fence() for m in fenced if m != me and m not in self.inside}
-        self.fenced_at: dict[int, float] = dict.fromkeys(self.fences, now)  # own clock
-        if whole and TABLE in kept:
-            self._read(now, kept[TABLE])
-        self.leases = Leases(me, self.voters, settings, now, first_term)
-        self.version, self.asked, self.durable = 0, 0, 0  # of the table's record: now, asked to be kept, kept
-        self.saving: dict[int, int] = {}  # token -> version
-        self.waiting: list[tuple[int, SendMessage]] = []  # what is said once the disk has a version
+        self.members = set(members)
+        if not has_full_memory:
+            self.members.discard(member)
+        # The epoch for which all other members have announced to this home what they own.
+        self.complete_epoch = 0 if has_full_memory else NEVER_COMPLETE
+        self.forgotten_epoch = 0  # the highest epoch of an ownership record that was purged
+        self.refused_epochs: dict[
+            int, int
+        ] = {}  # as a voter: no lease for a member that knows no later epoch
+        self.is_barred = not has_full_memory  # grants and promises nothing until it is admitted
+        # A member that starts anew does not know whether recent fences are in force already.
+        self.fences: dict[int, Fence] = {m: Fence() for m in fenced if m != member and m not in self.members}
+        self.fenced_at: dict[int, float] = dict.fromkeys(self.fences, now)
+        if has_full_memory and TABLE_RECORD in records:
+            self._load(now, records[TABLE_RECORD])
+        self.leases = Leases(member, self.voters, settings, now, first_term)
+        self.record_version = 0
+        self.requested_version = 0  # the version last passed to the disk
+        self.durable_version = 0
+        self.versions_by_token: dict[int, int] = {}
+        self.pending_answers: list[PendingAnswer] = []
         self.actions: list[SendMessage | PersistState] = []
 
-    # --- questions ---
-
-    def stands(self) -> float:
-        """Until when this member may act, on its own clock; past where it may not."""
-        bid = self.leases.bids.get(self.me)
-        return bid.held_until if bid is not None and self.me in self.inside else -math.inf
+    def valid_until(self) -> float:
+        """Return until when this member may act on what it owns; a time in the past if it may not."""
+        bid = self.leases.bids.get(self.member)
+        return bid.held_until if bid is not None and self.member in self.members else -math.inf
 
-    def settled(self, now: float) -> bool:
-        """All fences of this epoch are in force."""
-        return all(now >= fence.since for fence in self.fences.values())
+    def fences_in_force(self, now: float) -> bool:
+        """Whether all fences of this epoch are in force."""
+        return all(now >= fence.in_force_at for fence in self.fences.values())
 
     def next_at(self) -> float:
-        """When `step` is due."""
-        times = [f.due if f.since == math.inf else f.since for f in self.fences.values()]
-        return min([*times, self.leases.next_at()], default=math.inf)
+        """Return when `step` is due."""
+        times = [self.leases.next_at()]
+        for fence in self.fences.values():
+            is_pending = fence.in_force_at == math.inf
+            times.append(fence.next_request_at if is_pending else fence.in_force_at)
+        return min(times)
 
-    # --- what happens ---
-
-    def change(self, now: float, member: int, epoch: int, inside: bool) -> bool:
-        """One change of the table; false where it is known. Each epoch must be told, in order."""
+    def apply_change(self, now: float, member: int, epoch: int, is_admitted: bool) -> bool:
+        """Apply one change of the table, in the order of epochs; return False if it is known already."""
         if epoch <= self.epoch:
             return False
-        # Danger: a missed epoch may have made another the home of a key for a while.
         if epoch != self.epoch + 1:
-            self.complete = -1
+            # In a missed epoch another member may have been the home of a key.
+            self.complete_epoch = NEVER_COMPLETE
         self.epoch = epoch
-        self.version += 1
-        if inside:
-            self.inside.add(member)
+        self.record_version += 1
+        if is_admitted:
+            self.members.add(member)
             self.fences.pop(member, None)
-            self.barred = self.barred and member != self.me
+            self.is_barred = self.is_barred and member != self.member
         else:
-            self.inside.discard(member)
+            self.members.discard(member)
             self.fenced_at.pop(member, None)
             self.fenced_at[member] = now
-            for old in list(self.fenced_at)[:-FENCED_MOST]:
-                del self.fenced_at[old]
-            if member != self.me:
+            for oldest in list(self.fenced_at)[:-MAX_RECENTLY_FENCED]:
+                del self.fenced_at[oldest]
+            if member != self.member:
                 self.fences[member] = Fence()
         return True
 
-    def step(self, now: float, retry: float) -> None:
-        """Time has passed: renew the lease, ask for what a fence lacks."""
-        wanted = [self.me] if self.me in self.inside else []
+    def step(self, now: float, retry_interval_ms: float) -> None:
+        """Renew the lease and request what pending fences lack."""
+        wanted = [self.member] if self.member in self.members else []
         if set(wanted) != set(self.leases.bids):
-            self._lease(self.leases.want(now, wanted))
-        self._lease(self.leases.step(now))
-        for member in [m for m, fence in self.fences.items() if now >= fence.since]:
+            self._send_lease_actions(self.leases.want(now, wanted))
+        self._send_lease_actions(self.leases.step(now))
+        for member in [m for m, fence in self.fences.items() if now >= fence.in_force_at]:
             del self.fences[member]
         for member, fence in self.fences.items():
-            if fence.since < math.inf or now < fence.due:
+            if fence.in_force_at < math.inf or now < fence.next_request_at:
                 continue
-            fence.due = now + retry
-            ask = messages.pack_short(messages.REFUSE, False, member, self.epoch)
-            for voter in {*self.voters, member} - fence.refusing - {self.me}:
-                self.actions.append(SendMessage(voter, ask))
-            if self.me in self.voters:
-                self._refuse(now, self.me, member, self.epoch)
-
-    def lease(self, now: float, sender: int, what: Ask | Word, epoch: int) -> None:
-        """An ask for, or a word on, a standing lease."""
-        if isinstance(what, Ask):
-            if what.duty != sender or self.barred:
+            fence.next_request_at = now + retry_interval_ms
+            request = messages.encode_notice(messages.REFUSE, False, member, self.epoch)
+            for voter in {*self.voters, member} - fence.refusing_voters - {self.member}:
+                self.actions.append(SendMessage(voter, request))
+            if self.member in self.voters:
+                self._promise_refusal(now, self.member, member, self.epoch)
+
+    def on_lease_message(self, now: float, sender: int, message: Ask | Word, epoch: int) -> None:
+        """Apply a lease request or answer of a member that knows this epoch of the table."""
+        if isinstance(message, Ask):
+            if message.duty != sender or self.is_barred:
                 return
-            # Danger: a voter that lost its folder has forgotten whom it refused. With its word and its own,
-            # one that was fenced while it was cut off stood again, under the table of old.
-            if epoch < self.refused.get(sender, 0) or (epoch <= self.epoch and sender not in self.inside):
-                self._tell(sender, Word(what.duty, what.term, False, self.settings.retry))
+            if self._is_refused(sender, epoch):
+                self._send_lease_message(sender, Word(message.duty, message.term, False, self.settings.retry))
                 return
-        elif what.duty != self.me:
-            return
-        self._lease(self.leases.receive(now, sender, what))
-
-    def refuse(self, now: float, sender: int, answer: bool, member: int, epoch: int) -> None:
-        """A voter is asked to refuse a member, or has promised to."""
-        if not answer:
-            if member == self.me:
-                # It may only say so where it knows: then it has stopped.
-                if self.me not in self.inside and self.epoch >= epoch and self.durable >= self.version:
-                    self._say(sender, messages.pack_short(messages.REFUSE, True, member, epoch))
-            elif self.me in self.voters and not self.barred:
-                self._refuse(now, sender, member, epoch)
+        elif message.duty != self.member:
             return
+        self._send_lease_actions(self.leases.receive(now, sender, message))
+
+    def _is_refused(self, member: int, epoch: int) -> bool:
+        """Whether a member that knows this epoch of the table gets no lease.
+
+        A voter that lost its folder has forgotten its promises to refuse, so it goes by its table as well:
+        otherwise a member that was fenced while it was cut off would get a lease under an old table.
+        """
+        if epoch < self.refused_epochs.get(member, 0):
+            return True
+        return epoch <= self.epoch and member not in self.members
+
+    def on_refusal(self, now: float, sender: int, is_answer: bool, member: int, epoch: int) -> None:
+        """Apply a request to refuse a member from an epoch on, or the answer to one."""
+        if is_answer:
+            self._on_refusal_answer(now, sender, member, epoch)
+        elif member == self.member:
+            # A fenced member says that it stopped only if its record on disk says so.
+            is_durable = self.durable_version >= self.record_version
+            if self.member not in self.members and self.epoch >= epoch and is_durable:
+                self._send(sender, messages.encode_notice(messages.REFUSE, True, member, epoch))
+        elif self.member in self.voters and not self.is_barred:
+            self._promise_refusal(now, sender, member, epoch)
+
+    def _on_refusal_answer(self, now: float, sender: int, member: int, epoch: int) -> None:
+        """The fenced member has stopped, or a voter promises to refuse it."""
         fence = self.fences.get(member)
         if fence is None or epoch > self.epoch:
             return
         if sender == member:
-            fence.since = min(fence.since, now)
+            fence.in_force_at = min(fence.in_force_at, now)
         elif sender in self.voters:
-            fence.refusing.add(sender)
-            if len(fence.refusing) >= self.majority and fence.since == math.inf:
-                fence.since = now + self.settings.lease * (1 + self.settings.drift)
-
-    def kept(self, now: float, token: int) -> None:
-        """The disk has a record of the table."""
-        self.durable = max(self.durable, self.saving.pop(token, 0))
-        self._flush(now)
-
-    def _flush(self, now: float) -> None:
-        due = [say for needs, say in self.waiting if needs <= self.durable]
-        self.waiting = [(needs, say) for needs, say in self.waiting if needs > self.durable]
-        for say in due:
-            if say.member == self.me:
-                self.refuse(now, self.me, *messages.read_short(say.payload))
-            else:
-                self.actions.append(say)
+            fence.refusing_voters.add(sender)
+            if len(fence.refusing_voters) >= self.majority and fence.in_force_at == math.inf:
+                fence.in_force_at = now + self.settings.lease * (1 + self.settings.drift)
 
-    # --- inside ---
+    def on_persisted(self, now: float, token: int) -> None:
+        """The table's record with this token is on disk."""
+        self.durable_version = max(self.durable_version, self.versions_by_token.pop(token, 0))
+        self._send_durable_answers(now)
 
-    def keep(self, token: int) -> PersistState:
-        """The table's record, as it is now."""
-        self.asked = self.saving[token] = self.version
-        pairs = list(self.refused.items())
-        counts = len(self.inside), len(self.fences), len(self.fenced_at), len(pairs)
-        data = HEAD.pack(self.epoch, self.complete + 1, self.past, self.barred, *counts)
-        members = *sorted(self.inside), *sorted(self.fences), *self.fenced_at
-        data += b"".join(MEMBER.pack(member) for member in members)
-        return PersistState(TABLE, data + b"".join(PAIR.pack(*pair) for pair in pairs), token)
+    def _send_durable_answers(self, now: float) -> None:
+        pending = self.pending_answers
+        due = [answer.message for answer in pending if answer.record_version <= self.durable_version]
+        self.pending_answers = [a for a in pending if a.record_version > self.durable_version]
+        for message in due:
+            if message.member == self.member:
+                self.on_refusal(now, self.member, *messages.decode_notice(message.payload))
+            else:
+                self.actions.append(message)
+
+    def persist(self, token: int) -> PersistState:
+        """Return the action that writes the table's record as it is now."""
+        self.requested_version = self.versions_by_token[token] = self.record_version
+        refusals = list(self.refused_epochs.items())
+        counts = len(self.members), len(self.fences), len(self.fenced_at), len(refusals)
+        data = HEAD_FORMAT.pack(
+            self.epoch, self.complete_epoch + 1, self.forgotten_epoch, self.is_barred, *counts
+        )
+        members = *sorted(self.members), *sorted(self.fences), *self.fenced_at
+        data += b"".join(MEMBER_FORMAT.pack(member) for member in members)
+        data += b"".join(REFUSAL_FORMAT.pack(*refusal) for refusal in refusals)
+        return PersistState(TABLE_RECORD, data, token)
 
-    def _read(self, now: float, data: bytes) -> None:
+    def _load(self, now: float, data: bytes) -> None:
         reader = MessageReader(data)
-        self.epoch, complete, self.past, barred, inside, fences, lately, pairs = reader.read_struct(HEAD)
-        self.complete, self.barred = complete - 1, bool(barred)
-        self.inside = {reader.read_struct(MEMBER)[0] for _ in range(inside)}
-        # Danger: a fence that was under way begins anew; without it a restart would cut its wait short.
-        self.fences = {reader.read_struct(MEMBER)[0]: Fence() for _ in range(fences)}
-        # Their loads may still run: counted from now, for the time since then is not known.
-        self.fenced_at = {reader.read_struct(MEMBER)[0]: now for _ in range(lately)}
-        found = [reader.read_struct(PAIR) for _ in range(pairs)]
-        self.refused = {member: epoch for member, epoch in found}
+        epochs_and_counts = reader.read_struct(HEAD_FORMAT)
+        self.epoch, complete_epoch_plus_one, self.forgotten_epoch, is_barred = epochs_and_counts[:4]
+        member_count, fence_count, fenced_count, refusal_count = epochs_and_counts[4:]
+        self.complete_epoch = complete_epoch_plus_one - 1
+        self.is_barred = bool(is_barred)
+        self.members = {reader.read_struct(MEMBER_FORMAT)[0] for _ in range(member_count)}
+        # A pending fence begins anew, because a restart must not shorten its wait.
+        self.fences = {reader.read_struct(MEMBER_FORMAT)[0]: Fence() for _ in range(fence_count)}
+        # How long ago they were fenced is not known, so the time in which their requests may run begins now.
+        self.fenced_at = {reader.read_struct(MEMBER_FORMAT)[0]: now for _ in range(fenced_count)}
+        refusals = [reader.read_struct(REFUSAL_FORMAT) for _ in range(refusal_count)]
+        self.refused_epochs = {member: epoch for member, epoch in refusals}
         reader.expect_end()
 
-    def _refuse(self, now: float, asker: int, member: int, epoch: int) -> None:
-        """Danger: a word that is not on disk would be forgotten in a restart, and the lease renewed."""
-        say = SendMessage(asker, messages.pack_short(messages.REFUSE, True, member, epoch))
-        if self.refused.get(member, 0) < epoch:
-            self.refused[member] = epoch
-            self.version += 1
-        if (self.version, say) not in self.waiting:
-            self.waiting.append((self.version, say))
-        self._flush(now)
-
-    def _lease(self, actions: Iterable[object]) -> None:
+    def _promise_refusal(self, now: float, requester: int, member: int, epoch: int) -> None:
+        """Promise to refuse a member, once the promise is on disk.
+
+        A promise that were forgotten in a restart would let the lease be renewed.
+        """
+        answer = SendMessage(requester, messages.encode_notice(messages.REFUSE, True, member, epoch))
+        if self.refused_epochs.get(member, 0) < epoch:
+            self.refused_epochs[member] = epoch
+            self.record_version += 1
+        pending = PendingAnswer(self.record_version, answer)
+        if pending not in self.pending_answers:
+            self.pending_answers.append(pending)
+        self._send_durable_answers(now)
+
+    def _send_lease_actions(self, actions: Iterable[object]) -> None:
         for action in actions:
             if isinstance(action, To):
-                self._tell(action.member, action.what)
+                self._send_lease_message(action.member, action.what)
 
-    def _tell(self, member: int, what: Ask | Word) -> None:
-        self._say(member, messages.pack_lease(what, self.epoch))
+    def _send_lease_message(self, member: int, message: Ask | Word) -> None:
+        self._send(member, messages.encode_lease(message, self.epoch))
 
-    def _say(self, member: int, data: bytes) -> None:
-        self.actions.append(SendMessage(member, data))
+    def _send(self, member: int, payload: bytes) -> None:
+        self.actions.append(SendMessage(member, payload))
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -1,16 +1,16 @@
-"""The table of pins as the fleet settles it: which change it needs now, and its form in a register. Pure.
+"""The membership table of session affinity: its form in a register, and the change it needs now. Pure.
 
-The register `pins` holds the table's epoch, who is in, and the last changes, each of which is one epoch.
-Every member reads it and feeds the changes that its pins don't know yet, in order (`Value.since`). One that
-missed more than is remembered can't tell whether it was itself fenced and admitted meanwhile: it begins anew,
-as one with an empty folder.
+The table's register holds the epoch, the members, and the last changes, each of which is one epoch. Every
+member reads it and applies the changes that it does not know yet, in order (`MemberList.changes_since`). A
+member that missed more changes than are remembered cannot tell whether it was itself fenced and admitted
+meanwhile, so it starts anew as one with an empty folder.
 
-The table is born empty, and each member asks for itself to be admitted. So a folder that has no table, or is
-known to be old, needs no guess whether this is a fleet's first day: whoever is in the table without knowing
-it is fenced first, by itself, and admitted then.
+The table begins empty, and each member requests its own admission. So a member whose folder has no table, or
+is known to be out of date, need not guess whether the fleet is new: if it is in the table without knowing it,
+it first has itself fenced, and admitted then.
 
-A change is proposed only where this member's pins know the newest table and all fences in it are in force. So
-the fences that one with a gap has missed are in force, all but those that are still remembered.
+A change is proposed only by a member that has applied the newest table and for which all its fences are in
+force. So the fences that a member with a gap has missed are in force, except those still remembered.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
 import struct
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
 from cottonhold.fleet.consensus.messages import MAX_VALUE_BYTES
@@ -26,211 +27,255 @@
 from cottonhold.fleet.rolling_replacement.machine_driver import order_of
 from cottonhold.fleet.zone_failover.messages import WordError
 
-NAME = "pins"
-HEAD = struct.Struct("!IBBH")  # epoch, members, changes, mask of those that are in
-MEMBER = struct.Struct("!Q")
-REMEMBERED = 16  # changes, if there is room
-MOST = 12  # members in the table: what fits into a register
+TABLE_REGISTER = "pins"  # name of the register
+HEAD_FORMAT = struct.Struct("!IBBH")  # epoch, listed members, changes, bit mask of those in the table
+MEMBER_FORMAT = struct.Struct("!Q")
+MAX_CHANGES = 16  # that are remembered, as far as they fit into a register
+MAX_MEMBERS = 12  # that fit into a register
 
 
 @dataclass(slots=True, frozen=True)
 class TableSettings:
-    """Times in ms. dead: a member that membership hasn't seen for so long is fenced. spread: between two that
-    could propose. confirm: so old may knowledge of the register be when a change is proposed. poll: read so
-    often while a change is wanted, follow: else. late: an operation on the register counts as lost."""
+    """Times of the membership table.
 
-    dead: float = 5000.0
-    spread: float = 250.0
-    confirm: float = 400.0
-    poll: float = 300.0
-    follow: float = 2000.0
-    late: float = 6000.0
+    failure_timeout_ms: a member that membership has not seen for so long is fenced. proposer_stagger_ms:
+    between the turns of two members that could propose a change. max_read_age_ms: how old the knowledge of
+    the register may be when a change is proposed. pending_read_interval_ms: between reads while a change is
+    needed; idle_read_interval_ms: otherwise. operation_timeout_ms: after it a change counts as lost.
+    """
+
+    failure_timeout_ms: float = 5000.0
+    proposer_stagger_ms: float = 250.0
+    max_read_age_ms: float = 400.0
+    pending_read_interval_ms: float = 300.0
+    idle_read_interval_ms: float = 2000.0
+    operation_timeout_ms: float = 6000.0
+
+
+class TableChange(NamedTuple):
+    """The admission of a member to the table, or its removal."""
+
+    member: int
+    is_admitted: bool
+
+
+class NumberedChange(NamedTuple):
+    """A change and the epoch that it led to."""
+
+    epoch: int
+    member: int
+    is_admitted: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Value:
-    """The table at an epoch, and the changes that led there (member, whether it came in), oldest first."""
+class MemberList:
+    """The table at an epoch, and the last changes that led there, oldest first."""
 
     epoch: int = 0
-    inside: frozenset[int] = frozenset()
-    changes: tuple[tuple[int, bool], ...] = ()
-
-    def after(self, member: int, inside: bool) -> Value:
-        """The table after one more change; the oldest ones are forgotten as there is no room for them."""
-        members = self.inside | {member} if inside else self.inside - {member}
-        changes = (*self.changes, (member, inside))[-REMEMBERED:]
-        value = Value(self.epoch + 1, members, changes)
-        while len(pack(value)) > MAX_VALUE_BYTES:
-            value = Value(value.epoch, members, value.changes[1:])
-        return value
-
-    def since(self, epoch: int) -> list[tuple[int, int, bool]] | None:
-        """The changes after an epoch, in order, as (epoch, member, whether it came in); None where some of
-        them are forgotten, or where the epoch is none of this table's."""
-        first = self.epoch - len(self.changes)
-        if not first <= epoch <= self.epoch:
+    members: frozenset[int] = frozenset()
+    changes: tuple[TableChange, ...] = ()
+
+    def with_change(self, member: int, is_admitted: bool) -> MemberList:
+        """Return the table after one more change; the oldest changes are dropped if they do not fit."""
+        members = self.members | {member} if is_admitted else self.members - {member}
+        changes = (*self.changes, TableChange(member, is_admitted))[-MAX_CHANGES:]
+        member_list = MemberList(self.epoch + 1, members, changes)
+        while len(encode_member_list(member_list)) > MAX_VALUE_BYTES:
+            member_list = MemberList(member_list.epoch, members, member_list.changes[1:])
+        return member_list
+
+    def changes_since(self, epoch: int) -> list[NumberedChange] | None:
+        """Return the changes after an epoch, in order.
+
+        None if some of them are no longer remembered, or if the epoch is not one of this table.
+        """
+        first_epoch = self.epoch - len(self.changes)
+        if not first_epoch <= epoch <= self.epoch:
             return None
-        numbered = zip(range(first + 1, self.epoch + 1), self.changes, strict=True)
-        return [(number, member, inside) for number, (member, inside) in numbered if number > epoch]
+        numbered = enumerate(self.changes, first_epoch + 1)
+        return [NumberedChange(number, *change) for number, change in numbered if number > epoch]
 
-    def fenced(self) -> set[int]:
-        """Who was taken out, as far as that is remembered, and is out still."""
-        return {member for member, inside in self.changes if not inside} - self.inside
+    def fenced_members(self) -> set[int]:
+        """Return the members that were removed and not admitted again, as far as that is remembered."""
+        return {change.member for change in self.changes if not change.is_admitted} - self.members
 
 
-def pack(value: Value) -> bytes:
-    """A table's bytes; they may be too many for a register."""
-    members = sorted(value.inside | {member for member, _ in value.changes})
-    place = {member: i for i, member in enumerate(members)}
-    mask = sum(1 << place[member] for member in value.inside) & 0xFFFF
-    head = HEAD.pack(value.epoch, len(members), len(value.changes), mask)
-    ids = b"".join(MEMBER.pack(member) for member in members)
-    return head + ids + bytes(place[member] << 1 | inside for member, inside in value.changes)
+def encode_member_list(member_list: MemberList) -> bytes:
+    """Encode a table; the result may be too long for a register."""
+    members = sorted(member_list.members | {change.member for change in member_list.changes})
+    index_of = {member: i for i, member in enumerate(members)}
+    mask = sum(1 << index_of[member] for member in member_list.members) & 0xFFFF
+    head = HEAD_FORMAT.pack(member_list.epoch, len(members), len(member_list.changes), mask)
+    ids = b"".join(MEMBER_FORMAT.pack(member) for member in members)
+    changes = bytes(index_of[member] << 1 | is_admitted for member, is_admitted in member_list.changes)
+    return head + ids + changes
 
 
-def read(data: bytes) -> Value:
-    """The meaning of the register's value; nothing is the table that nobody has changed. Raises WordError."""
+def decode_member_list(data: bytes) -> MemberList:
+    """Decode the register's value; an empty one is the initial table. Raises WordError."""
     if not data:
-        return Value()
-    if len(data) < HEAD.size:
+        return MemberList()
+    if len(data) < HEAD_FORMAT.size:
         raise WordError("truncated")
-    epoch, count, changed, mask = HEAD.unpack_from(data)
-    ids, changes = data[HEAD.size : HEAD.size + count * MEMBER.size], data[HEAD.size + count * MEMBER.size :]
-    if len(ids) != count * MEMBER.size or len(changes) != changed or changed > epoch:
+    epoch, member_count, change_count, mask = HEAD_FORMAT.unpack_from(data)
+    changes_start = HEAD_FORMAT.size + member_count * MEMBER_FORMAT.size
+    ids, encoded_changes = data[HEAD_FORMAT.size : changes_start], data[changes_start:]
+    if len(ids) != member_count * MEMBER_FORMAT.size or len(encoded_changes) != change_count:
+        raise WordError("length")
+    if change_count > epoch:
         raise WordError("length")
-    members = [member for (member,) in MEMBER.iter_unpack(ids)]
-    if mask >> count or any(byte >> 1 >= count for byte in changes):
+    listed = [member for (member,) in MEMBER_FORMAT.iter_unpack(ids)]
+    if mask >> member_count or any(byte >> 1 >= member_count for byte in encoded_changes):
         raise WordError("member")
-    inside = frozenset(member for i, member in enumerate(members) if mask >> i & 1)
-    return Value(epoch, inside, tuple((members[byte >> 1], bool(byte & 1)) for byte in changes))
+    members = frozenset(member for i, member in enumerate(listed) if mask >> i & 1)
+    changes = tuple(TableChange(listed[byte >> 1], bool(byte & 1)) for byte in encoded_changes)
+    return MemberList(epoch, members, changes)
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
-    """What this member sees when it weighs the table.
+class LocalView:
+    """What this member knows when it considers a change of the table.
 
-    epoch: of the table that its pins know; inside: whether it is in, as they know. settled: all fences they
-    know of are in force. leaving: its swap has it go, and it has nothing left. away: its swap has it out, so
-    it isn't admitted. live: who is there by membership, itself among them. out: whom a swap has taken out.
+    applied_epoch: of the table that its ownership of keys has applied, and is_member: whether it is in that
+    table. fences_in_force: all fences of that table. is_ready_to_leave: it is being replaced, and owns
+    nothing any more. is_being_replaced: it must not be admitted. live_members: by membership, including
+    itself. removed_members: taken out by a rolling replacement.
     """
 
-    epoch: int
-    inside: bool
-    settled: bool
-    leaving: bool = False
-    away: bool = False
-    live: frozenset[int] = frozenset()
-    out: frozenset[int] = frozenset()
+    applied_epoch: int
+    is_member: bool
+    fences_in_force: bool
+    is_ready_to_leave: bool = False
+    is_being_replaced: bool = False
+    live_members: frozenset[int] = frozenset()
+    removed_members: frozenset[int] = frozenset()
 
 
-@dataclass(slots=True)
-class Wish:
-    """A change that this member holds for needed, and since when."""
+@dataclass(slots=True, frozen=True)
+class NeededChange:
+    """A change that this member considers needed, and since when."""
 
-    member: int = 0
-    inside: bool = False
-    since: float = 0.0
+    change: TableChange
+    needed_since: float
 
 
-class Table:
-    """One member's side of the table's register. seed: for tokens, drawn anew at each start."""
+class MembershipTable:
+    """One member's view of the table's register. seed: for tokens, drawn anew at each start."""
 
     def __init__(
-        self, me: int, voters: Iterable[int], now: float, settings: TableSettings, seed: int
+        self, member: int, voters: Iterable[int], now: float, settings: TableSettings, seed: int
     ) -> None:
-        self.me, self.voters, self.settings = me, frozenset(voters), settings
+        self.member = member
+        self.voters = frozenset(voters)
+        self.settings = settings
         self.majority = len(self.voters) // 2 + 1
-        self.ledger = RegisterCache(random.Random(seed), settings.late)
-        self.value = Value()
-        self.known = False  # a majority has told it to this life
-        self.wish: Wish | None = None
-        self.why = ""
-        self.seen_at: dict[int, float] = {}
-        self.malformed = 0
-        self.started = self.next_step = now
-
-    # --- what happens ---
-
-    def outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
-        """A change or read of a register has ended; one that isn't this part's says nothing here."""
-        if self.ledger.on_outcome(now, token, won, version, value):
-            self.known = self.known or (won is not None and version >= 0)
-            self._learnt(now)
-
-    def changed(self, now: float, name: str, version: int, value: bytes) -> None:
-        """Another has told of a register."""
-        if name == NAME:
-            self.ledger.on_hint(now, name, version, value)
-            self._learnt(now)
-
-    def _learnt(self, now: float) -> None:
-        cell = self.ledger.received(NAME)
+        self.registers = RegisterCache(random.Random(seed), settings.operation_timeout_ms)
+        self.member_list = MemberList()
+        self.is_known = False  # a majority has been read since this start
+        self.needed_change: NeededChange | None = None
+        self.blocked_reason = ""
+        self.last_seen_at: dict[int, float] = {}
+        self.malformed_count = 0
+        self.next_step_at = now
+
+    def on_outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
+        """Apply the end of a change or read of a register; those of other parts are ignored."""
+        if self.registers.on_outcome(now, token, won, version, value):
+            self.is_known = self.is_known or (won is not None and version >= 0)
+            self._update_member_list(now)
+
+    def on_register_changed(self, now: float, name: str, version: int, value: bytes) -> None:
+        """Apply a register's value that another member announced."""
+        if name == TABLE_REGISTER:
+            self.registers.on_hint(now, name, version, value)
+            self._update_member_list(now)
+
+    def _update_member_list(self, now: float) -> None:
+        register = self.registers.received(TABLE_REGISTER)
         try:
-            self.value = read(cell.value if cell is not None else b"")
+            self.member_list = decode_member_list(register.value if register is not None else b"")
         except WordError:
-            self.malformed += 1
-            self.known = False
-        self.next_step = now
-
-    # --- step ---
+            self.malformed_count += 1
+            self.is_known = False
+        self.next_step_at = now
 
     def next_at(self) -> float:
-        """When `step` is due."""
-        return self.next_step
-
-    def step(self, now: float, seen: Seen) -> list[ChangeRegister | ReadRegister]:
-        """Propose what is needed, once it is this one's turn; and look at the register from time to time."""
-        s = self.settings
-        for member in self.value.inside | {self.me}:
-            if member in seen.live or member not in self.seen_at:
-                self.seen_at[member] = now
-        self.next_step = now + s.poll / 2
-        wanted = self._needed(now, seen) if self.known else None
-        if wanted is None:
-            self.wish, self.why = None, "" if self.known else "the table has not been read yet"
-            return list(self.ledger.read(now, NAME, s.follow if self.known else s.poll))
-        if self.wish is None or (self.wish.member, self.wish.inside) != wanted:
-            self.wish = Wish(*wanted, now)
-        self.why = self._against(seen, *wanted)
-        if not self.why and now - self.wish.since >= self._rank(seen, wanted[0]) * s.spread:
-            if self.ledger.is_confirmed(now, NAME, s.confirm):
-                return list(self.ledger.change(now, NAME, pack(self.value.after(*wanted))))
-            return list(self.ledger.read(now, NAME))
-        return list(self.ledger.read(now, NAME, s.poll))
-
-    # --- inside ---
-
-    def _needed(self, now: float, seen: Seen) -> tuple[int, bool] | None:
-        """One change of the table; its own first, since nobody else knows of it."""
-        inside = self.value.inside
-        if self.me in inside and (seen.leaving or (seen.epoch == self.value.epoch and not seen.inside)):
-            return self.me, False
-        if self.me not in inside and not seen.away:
-            return self.me, True
-        # Danger: one that isn't in itself may have been cut off; who is dead is then its own mistake.
-        if self.me not in inside:
-            return None
-        for member in sorted(inside - {self.me}):
-            lost = now - self.seen_at.get(member, now) >= self.settings.dead
-            if lost or (member in seen.out and member not in seen.live):
-                return member, False
+        """Return when `step` is due."""
+        return self.next_step_at
+
+    def step(self, now: float, view: LocalView) -> list[ChangeRegister | ReadRegister]:
+        """Propose the change that is needed, at this member's turn; otherwise follow the register."""
+        for member in self.member_list.members | {self.member}:
+            if member in view.live_members or member not in self.last_seen_at:
+                self.last_seen_at[member] = now
+        self.next_step_at = now + self.settings.pending_read_interval_ms / 2
+        change = self._find_needed_change(now, view) if self.is_known else None
+        if change is None:
+            return self._read_idle(now)
+        if self.needed_change is None or self.needed_change.change != change:
+            self.needed_change = NeededChange(change, now)
+        self.blocked_reason = self._find_blocked_reason(view, change)
+        stagger_ms = self._proposer_position(view, change.member) * self.settings.proposer_stagger_ms
+        is_own_turn = now - self.needed_change.needed_since >= stagger_ms
+        if self.blocked_reason or not is_own_turn:
+            return list(self.registers.read(now, TABLE_REGISTER, self.settings.pending_read_interval_ms))
+        if not self.registers.is_confirmed(now, TABLE_REGISTER, self.settings.max_read_age_ms):
+            return list(self.registers.read(now, TABLE_REGISTER))
+        value = encode_member_list(self.member_list.with_change(*change))
+        return list(self.registers.change(now, TABLE_REGISTER, value))
+
+    def _read_idle(self, now: float) -> list[ChangeRegister | ReadRegister]:
+        """Follow the register while no change is needed."""
+        self.needed_change = None
+        self.blocked_reason = "" if self.is_known else "the table has not been read yet"
+        interval_ms = self.settings.pending_read_interval_ms
+        if self.is_known:
+            interval_ms = self.settings.idle_read_interval_ms
+        return list(self.registers.read(now, TABLE_REGISTER, interval_ms))
+
+    def _find_needed_change(self, now: float, view: LocalView) -> TableChange | None:
+        """Return one change that the table needs; this member's own first, since no other knows of it.
+
+        A member outside of the table may have been cut off, so what it takes for the failure of others may be
+        its own: it proposes only its own admission.
+        """
+        members = self.member_list.members
+        if self.member not in members:
+            return None if view.is_being_replaced else TableChange(self.member, True)
+        was_removed_locally = view.applied_epoch == self.member_list.epoch and not view.is_member
+        if view.is_ready_to_leave or was_removed_locally:
+            return TableChange(self.member, False)
+        for member in sorted(members - {self.member}):
+            unseen_ms = now - self.last_seen_at.get(member, now)
+            is_removed = member in view.removed_members and member not in view.live_members
+            if unseen_ms >= self.settings.failure_timeout_ms or is_removed:
+                return TableChange(member, False)
         return None
 
-    def _against(self, seen: Seen, member: int, inside: bool) -> str:
-        """Why a change may not be proposed now."""
-        if seen.epoch != self.value.epoch:
+    def _find_blocked_reason(self, view: LocalView, change: TableChange) -> str:
+        """Return why the change may not be proposed now, or "" if it may; for operators."""
+        members = self.member_list.members
+        if view.applied_epoch != self.member_list.epoch:
             return "the newest table isn't in force here yet"
-        if not seen.settled:
+        if not view.fences_in_force:
             return "a fence is not in force yet"
-        if inside and len(self.value.inside) >= MOST:
-            return f"the table is full: {MOST} members"
-        if not inside and len((self.value.inside - {member}) & self.voters) < self.majority:
+        if change.is_admitted and len(members) >= MAX_MEMBERS:
+            return f"the table is full: {MAX_MEMBERS} members"
+        remaining_voters = (members - {change.member}) & self.voters
+        if not change.is_admitted and len(remaining_voters) < self.majority:
             return "a majority of voters must stay in the table"
         return ""
 
-    def _rank(self, seen: Seen, member: int) -> int:
-        """This one's place among those that may propose a change: whom it is about, then by a hash."""
-        if member == self.me:
+    def _proposer_position(self, view: LocalView, member: int) -> int:
+        """Return this member's place among those that may propose a change of `member`.
+
+        The member itself is first, the others follow in the order of a hash: they propose one after the
+        other, so that they seldom compete.
+        """
+        if member == self.member:
             return 0
-        live = sorted(self.value.inside & seen.live - {member}, key=lambda m: order_of(NAME, f"{member}/{m}"))
-        return live.index(self.me) if self.me in live else len(live)
+        proposers = sorted(
+            self.member_list.members & view.live_members - {member},
+            key=lambda other: order_of(TABLE_REGISTER, f"{member}/{other}"),
+        )
+        return proposers.index(self.member) if self.member in proposers else len(proposers)
--- a/cottonhold/fleet/session_affinity/messages.py
+++ b/cottonhold/fleet/session_affinity/messages.py
@@ -1,9 +1,9 @@
-"""Messages of pins: many keys in one datagram, and who stands. Pure.
+"""Codec of the messages of session affinity: migration of many keys in one datagram, and membership. Pure.
 
-75 | step 1 | count 1 | entries: key 8, epoch 8, flags 1
-76 | ask or word of a standing lease
-77 | refuse a member from an epoch on, or the answer
-78 | all has been told for an epoch, or the answer
+75 | kind of entries 1 | count 1 | entries: key 8, epoch 8, flags 1
+76 | request for a membership lease, or a voter's answer
+77 | request to refuse a member from an epoch on, or the answer
+78 | all ownership was announced for an epoch, or the answer
 """
 
 from __future__ import annotations
@@ -16,79 +16,98 @@
 from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 from cottonhold.membership import leases
 
-BATCH, LEASE, REFUSE, DONE = 75, 76, 77, 78
-ENTRY = struct.Struct("!8sQB")
-HEAD = struct.Struct("!BBB")
-LEASED = struct.Struct("!BBQIQf")  # kind, what, duty, term, epoch, wait
-SHORT = struct.Struct("!BBQQ")  # kind, answer, member, epoch
-A_BATCH = (ROOM - HEAD.size) // ENTRY.size
+MIGRATION, LEASE, REFUSE, ANNOUNCED = 75, 76, 77, 78
+ENTRY_FORMAT = struct.Struct("!8sQB")
+HEAD_FORMAT = struct.Struct("!BBB")  # message kind, kind of entries, count
+LEASE_FORMAT = struct.Struct("!BBQIQf")  # kind, request or answer, duty, term, epoch, wait
+NOTICE_FORMAT = struct.Struct("!BBQQ")  # kind, answer, member, epoch
+REQUEST, ANSWER, RELEASE_REQUEST = 0, 1, 2  # second byte of LEASE
+GRANTED_WAIT = -1.0
+MAX_WAIT_MS = 1e9
+MAX_ENTRIES = (ROOM - HEAD_FORMAT.size) // ENTRY_FORMAT.size
 
 
-class Step(IntEnum):
-    """What a batch says of its pins. Mover to target: OFFER, RELEASE, WITHDRAW. Back: ACCEPT, TURN_DOWN,
-    TAKEN, DROPPED. Owner to home: PLACE; back: PLACED, ADOPT, or WITHDRAW."""
+class EntryKind(IntEnum):
+    """What the entries of a message say of their keys.
 
-    OFFER, ACCEPT, TURN_DOWN, RELEASE, TAKEN, WITHDRAW, DROPPED, PLACE, PLACED, ADOPT = range(10)
+    From the present owner to the target of a move: OFFER, RELEASE, WITHDRAW; back: ACCEPT, DECLINE,
+    RELEASE_ACK, WITHDRAW_ACK. From an owner to its key's home: ANNOUNCE; back: ANNOUNCE_ACK, CONFIRM_OWNER,
+    or WITHDRAW.
+    """
 
+    OFFER = 0
+    ACCEPT = 1
+    DECLINE = 2
+    RELEASE = 3
+    RELEASE_ACK = 4
+    WITHDRAW = 5
+    WITHDRAW_ACK = 6
+    ANNOUNCE = 7
+    ANNOUNCE_ACK = 8
+    CONFIRM_OWNER = 9
 
-DOUBT, TENTATIVE, GONE = 1, 2, 4  # flags of an entry
+
+MAY_HAVE_RUN, TENTATIVE, TARGET_REMOVED = 1, 2, 4  # flags of an entry
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
-    """One pin in a batch."""
+class MigrationEntry:
+    """One key in a message, the epoch of its ownership, and flags."""
 
     key: bytes
     epoch: int
     flags: int = 0
 
 
-def pack_batch(step: Step, entries: Sequence[Entry]) -> bytes:
-    """A batch of at most A_BATCH entries."""
-    return HEAD.pack(BATCH, step, len(entries)) + b"".join(
-        ENTRY.pack(e.key, e.epoch, e.flags) for e in entries
-    )
+def encode_entries(kind: EntryKind, entries: Sequence[MigrationEntry]) -> bytes:
+    """Encode at most MAX_ENTRIES entries of one kind."""
+    encoded = [ENTRY_FORMAT.pack(entry.key, entry.epoch, entry.flags) for entry in entries]
+    return HEAD_FORMAT.pack(MIGRATION, kind, len(entries)) + b"".join(encoded)
 
 
-def read_batch(data: bytes) -> tuple[Step, list[Entry]]:
-    """The meaning of a batch. Raises WordError; then none of it counts."""
-    if len(data) < HEAD.size or data[0] != BATCH or len(data) != HEAD.size + data[2] * ENTRY.size:
+def decode_entries(data: bytes) -> tuple[EntryKind, list[MigrationEntry]]:
+    """Decode entries. Raises WordError, and then none of them counts."""
+    if len(data) < HEAD_FORMAT.size or data[0] != MIGRATION:
+        raise WordError("batch")
+    if len(data) != HEAD_FORMAT.size + data[2] * ENTRY_FORMAT.size:
         raise WordError("batch")
     try:
-        step = Step(data[1])
+        kind = EntryKind(data[1])
     except ValueError:
         raise WordError("step") from None
-    found = ENTRY.iter_unpack(data[HEAD.size :])
-    return step, [Entry(key, epoch, flags) for key, epoch, flags in found]
+    rows = ENTRY_FORMAT.iter_unpack(data[HEAD_FORMAT.size :])
+    return kind, [MigrationEntry(key, epoch, flags) for key, epoch, flags in rows]
 
 
-def pack_lease(what: leases.Ask | leases.Word, epoch: int) -> bytes:
-    """An ask or word of a standing lease. epoch: of the table that the sender knows."""
-    if isinstance(what, leases.Ask):
-        return LEASED.pack(LEASE, 2 if what.release else 0, what.duty, what.term, epoch, 0.0)
-    return LEASED.pack(LEASE, 1, what.duty, what.term, epoch, what.wait if not what.granted else -1.0)
+def encode_lease(message: leases.Ask | leases.Word, epoch: int) -> bytes:
+    """Encode a lease request or answer, with the epoch of the table that the sender knows."""
+    if isinstance(message, leases.Ask):
+        kind = RELEASE_REQUEST if message.release else REQUEST
+        return LEASE_FORMAT.pack(LEASE, kind, message.duty, message.term, epoch, 0.0)
+    wait_ms = GRANTED_WAIT if message.granted else message.wait
+    return LEASE_FORMAT.pack(LEASE, ANSWER, message.duty, message.term, epoch, wait_ms)
 
 
-def read_lease(data: bytes) -> tuple[leases.Ask | leases.Word, int]:
-    """The meaning of an ask or word, and the sender's epoch. Raises WordError."""
-    if len(data) != LEASED.size or data[0] != LEASE or data[1] > 2:
+def decode_lease(data: bytes) -> tuple[leases.Ask | leases.Word, int]:
+    """Decode a lease request or answer, and the sender's epoch. Raises WordError."""
+    if len(data) != LEASE_FORMAT.size or data[0] != LEASE or data[1] > RELEASE_REQUEST:
         raise WordError("lease")
-    _, what, duty, term, epoch, wait = LEASED.unpack(data)
-    if what == 1:
-        if not wait < 1e9:
+    _, kind, duty, term, epoch, wait_ms = LEASE_FORMAT.unpack(data)
+    if kind == ANSWER:
+        if not wait_ms < MAX_WAIT_MS:  # also refuses a value that is not a number
             raise WordError("wait")
-        return leases.Word(duty, term, wait < 0, max(wait, 0.0)), epoch
-    return leases.Ask(duty, term, what == 2), epoch
+        return leases.Word(duty, term, wait_ms < 0, max(wait_ms, 0.0)), epoch
+    return leases.Ask(duty, term, kind == RELEASE_REQUEST), epoch
 
 
-def pack_short(kind: int, answer: bool, member: int, epoch: int) -> bytes:
-    """REFUSE or DONE, or the answer to it."""
-    return SHORT.pack(kind, answer, member, epoch)
+def encode_notice(kind: int, is_answer: bool, member: int, epoch: int) -> bytes:
+    """Encode REFUSE or ANNOUNCED, or the answer to it."""
+    return NOTICE_FORMAT.pack(kind, is_answer, member, epoch)
 
 
-def read_short(data: bytes) -> tuple[bool, int, int]:
-    """Whether it is an answer, the member and the epoch. Raises WordError."""
-    if len(data) != SHORT.size or data[1] > 1:
+def decode_notice(data: bytes) -> tuple[bool, int, int]:
+    """Decode whether it is an answer, the member and the epoch. Raises WordError."""
+    if len(data) != NOTICE_FORMAT.size or data[1] > 1:
         raise WordError("short")
-    _, answer, member, epoch = SHORT.unpack(data)
-    return bool(answer), member, epoch
+    _, is_answer, member, epoch = NOTICE_FORMAT.unpack(data)
+    return bool(is_answer), member, epoch
--- a/cottonhold/fleet/session_affinity/migration.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -1,168 +1,224 @@
-"""Hand-over of pins: what mover and target say to each other, as drawn in pins.py. Pure."""
+"""Migration of keys between an owner and the target of a move, as drawn in ownership.py. Pure."""
 
 from __future__ import annotations
 
 import math
 
-from cottonhold.fleet.session_affinity.messages import DOUBT, Entry, Step
-from cottonhold.fleet.session_affinity.record_book import Book, Moved, Pin, Pinned
+from cottonhold.fleet.session_affinity.messages import MAY_HAVE_RUN, EntryKind, MigrationEntry
+from cottonhold.fleet.session_affinity.record_book import (
+    MoveAllowance,
+    MoveEnded,
+    OwnershipRecord,
+    OwnershipState,
+    PendingAnswer,
+    RecordBook,
+    WithdrawnOffer,
+)
 
 
-class Transfer(Book):
-    """The steps between a mover and a target."""
+class Migration(RecordBook):
+    """The exchange between an owner and the target of a move."""
 
-    # --- as a mover ---
-
-    def _move(self, now: float) -> None:
-        for target, line in self.queue.items():
-            if not line:
+    def _offer_queued(self, now: float) -> None:
+        for target, queue in self.move_queues.items():
+            if not queue:
                 continue
-            left, since = self.allowance.get(target, (1.0, now))
-            left = min(left + (now - since) * self.settings.rate / 1000, max(self.settings.rate / 20, 1.0))
-            for _ in range(len(line)):
-                if left < 1 or self.offers.get(target, 0) >= self.settings.window:
+            allowance = self._move_allowance(now, target)
+            for _ in range(len(queue)):
+                if allowance < 1 or self.pending_offers.get(target, 0) >= self.settings.max_pending_offers:
                     break
-                key = line.popleft()
+                key = queue.popleft()
                 if self._offer(now, key, target):
-                    left -= 1
-            self.allowance[target] = left, now
-
-    def _when(self, now: float, target: int) -> float:
-        """When the next pin may go to this target."""
-        if self.offers.get(target, 0) >= self.settings.window:
+                    allowance -= 1
+            self.move_allowances[target] = MoveAllowance(allowance, now)
+
+    def _move_allowance(self, now: float, target: int) -> float:
+        """How many keys may be offered now: a token bucket that holds at most 50 ms of the rate."""
+        keys_per_second = self.settings.max_moves_per_second
+        earlier = self.move_allowances.get(target, MoveAllowance(1.0, now))
+        allowance = earlier.keys + (now - earlier.computed_at) * keys_per_second / 1000
+        return min(allowance, max(keys_per_second / 20, 1.0))
+
+    def _next_offer_at(self, now: float, target: int) -> float:
+        """Return when the next key may be offered to this target."""
+        if self.pending_offers.get(target, 0) >= self.settings.max_pending_offers:
             return math.inf
-        left, since = self.allowance.get(target, (1.0, now))
-        return max(since + (1 - left) * 1000 / self.settings.rate, since + 1)
+        allowance = self.move_allowances.get(target, MoveAllowance(1.0, now))
+        wait_ms = (1 - allowance.keys) * 1000 / self.settings.max_moves_per_second
+        return max(allowance.computed_at + wait_ms, allowance.computed_at + 1)
 
     def _offer(self, now: float, key: bytes, target: int) -> bool:
-        pin = self.pins.get(key)
-        if pin is not None and pin.owner == self.me and pin.state is Pinned.HELD:
-            if pin.token or any(k == key for k, _ in self.withdrawn):
-                self.queue[target].append(key)  # an earlier offer isn't taken back yet
+        """Offer a key to a target; return False if it cannot be moved, or not yet."""
+        record = self.records.get(key)
+        if record is not None and record.owner == self.member and record.state is OwnershipState.HELD:
+            if record.pending_token or any(withdrawn == key for withdrawn, _ in self.withdrawn_offers):
+                self.move_queues[target].append(key)  # an earlier offer is not withdrawn yet
                 return False
-        elif pin is None and self.home(key) == self.me and self._mine(key):
-            self.pins[key] = pin = Pin(self._next(0), self.me, Pinned.HELD, placed=True)
-            # What an earlier life of this member had in flight without a pin is known to its own store only.
-            pin.doubt = max(self._doubt(now, key), self.began + self.settings.doubt)
+        elif record is None and self.home(key) == self.member and self._may_start_without_record(key):
+            self.records[key] = record = OwnershipRecord(
+                self._next_epoch(0), self.member, OwnershipState.HELD, home_informed=True
+            )
+            # What was in flight without a record before this member's last restart may still run.
+            uncertain_until = self.started_at + self.settings.uncertainty_ms
+            record.uncertain_until = max(self._uncertain_until(now, key), uncertain_until)
         else:
-            self.actions.append(Moved(key, 0, target, False))
+            self.actions.append(MoveEnded(key, 0, target, False))
             return False
-        if target == self.me or target not in self.standing.inside:
-            self.actions.append(Moved(key, pin.epoch, target, False))
+        if target == self.member or target not in self.lease.members:
+            self.actions.append(MoveEnded(key, record.epoch, target, False))
             return False
-        pin.state, pin.peer, pin.accepted, pin.since = Pinned.OFFERED, target, False, now
-        pin.offered = self._next(pin.epoch)
-        self.offers[target] = self.offers.get(target, 0) + 1
-        self._keep(key, pin)
+        record.state = OwnershipState.OFFERED
+        record.peer = target
+        record.is_accepted = False
+        record.offered_at = now
+        record.offered_epoch = self._next_epoch(record.epoch)
+        self.pending_offers[target] = self.pending_offers.get(target, 0) + 1
+        self._persist(key, record)
         return True
 
-    def _ready(self, now: float, key: bytes, pin: Pin) -> None:
-        """An accepted pin: release it as soon as nothing is open, fence it before if that takes long."""
-        if pin.owner != self.me or not pin.accepted or pin.state not in (Pinned.OFFERED, Pinned.FENCED):
+    def _release_if_idle(self, now: float, key: bytes, record: OwnershipRecord) -> None:
+        """Release an accepted key once no request of it is open; fence it before if that takes long."""
+        is_moving = record.state in (OwnershipState.OFFERED, OwnershipState.FENCED)
+        if record.owner != self.member or not record.is_accepted or not is_moving:
             return
-        if not self.open.get(key):
-            # The record of RELEASED says all that one of FENCED would.
-            self._parted(now, pin)
-            pin.state, pin.owner, pin.epoch, pin.taken = Pinned.RELEASED, pin.peer, pin.offered, False
-            pin.placed = pin.placed or self.home(key) == self.me
-            self._keep(key, pin)
-        elif pin.state is Pinned.OFFERED and now >= pin.since + self.settings.hold:
-            self._parted(now, pin)
-            pin.state = Pinned.FENCED
-            self._keep(key, pin)
-
-    def _keep_here(self, now: float, key: bytes, pin: Pin) -> None:
-        """The mover keeps it after all, under an epoch above the one it had offered."""
-        if pin.peer in self.standing.inside:
-            self.withdrawn[key, pin.offered] = pin.peer, now
-        self._moved(key, pin, False)
-        pin.parted = math.nan
-        pin.epoch, pin.state, pin.accepted = self._next(pin.offered), Pinned.HELD, False
-        pin.placed, pin.told = self.home(key) == self.me, False
-        self._keep(key, pin)
-
-    def _moved(self, key: bytes, pin: Pin, done: bool) -> None:
-        self.offers[pin.peer] = max(self.offers.get(pin.peer, 0) - 1, 0)
-        self.actions.append(Moved(key, pin.offered, pin.peer, done))
-
-    def _accepted(self, now: float, sender: int, e: Entry) -> None:
-        pin = self.pins.get(e.key)
-        if pin is not None and pin.peer == sender and pin.offered == e.epoch:
-            if pin.state in (Pinned.OFFERED, Pinned.FENCED):
-                pin.accepted = True
-                self._ready(now, e.key, pin)
-                self._wake(now, e.key, pin)
+        if not self.open_requests.get(key):
+            # The RELEASED record implies FENCED, so one write is enough.
+            self._on_stopped(now, record)
+            record.state = OwnershipState.RELEASED
+            record.owner = record.peer
+            record.epoch = record.offered_epoch
+            record.release_confirmed = False
+            record.home_informed = record.home_informed or self.home(key) == self.member
+            self._persist(key, record)
+        elif record.state is OwnershipState.OFFERED and self._fence_is_due(now, record):
+            self._on_stopped(now, record)
+            record.state = OwnershipState.FENCED
+            self._persist(key, record)
+
+    def _fence_is_due(self, now: float, record: OwnershipRecord) -> bool:
+        return now >= record.offered_at + self.settings.fence_delay_ms
+
+    def _cancel_move(self, now: float, key: bytes, record: OwnershipRecord) -> None:
+        """Keep the key after all, under an epoch above the offered one."""
+        if record.peer in self.lease.members:
+            self.withdrawn_offers[key, record.offered_epoch] = WithdrawnOffer(record.peer, now)
+        self._end_move(key, record, False)
+        record.stopped_at = math.nan
+        record.epoch = self._next_epoch(record.offered_epoch)
+        record.state = OwnershipState.HELD
+        record.is_accepted = False
+        record.home_informed = self.home(key) == self.member
+        record.home_has_candidate = False
+        self._persist(key, record)
+
+    def _end_move(self, key: bytes, record: OwnershipRecord, is_moved: bool) -> None:
+        self.pending_offers[record.peer] = max(self.pending_offers.get(record.peer, 0) - 1, 0)
+        self.actions.append(MoveEnded(key, record.offered_epoch, record.peer, is_moved))
+
+    def _on_accept(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        record = self.records.get(entry.key)
+        if record is not None and record.peer == sender and record.offered_epoch == entry.epoch:
+            if record.state in (OwnershipState.OFFERED, OwnershipState.FENCED):
+                record.is_accepted = True
+                self._release_if_idle(now, entry.key, record)
+                self._schedule(now, entry.key, record)
                 return
-            if pin.state is Pinned.RELEASED:
+            if record.state is OwnershipState.RELEASED:
                 return
-        self._batch(sender, Step.WITHDRAW, e)
+        self._add_entry(sender, EntryKind.WITHDRAW, entry)
 
-    def _turned_down(self, now: float, sender: int, e: Entry) -> None:
-        pin = self.pins.get(e.key)
-        if pin is None or pin.state is not Pinned.OFFERED or pin.peer != sender or pin.accepted:
+    def _on_decline(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        record = self.records.get(entry.key)
+        if record is None or record.state is not OwnershipState.OFFERED:
+            return
+        if record.peer != sender or record.is_accepted:
             return
-        if e.epoch >= pin.offered:  # it has forgotten something newer: offered anew
-            pin.offered = self._next(e.epoch)
-            self._keep(e.key, pin)
+        if entry.epoch >= record.offered_epoch:
+            # The target has forgotten a record that is newer than the offer: offer again, above it.
+            record.offered_epoch = self._next_epoch(entry.epoch)
+            self._persist(entry.key, record)
         else:
-            self._keep_here(now, e.key, pin)
+            self._cancel_move(now, entry.key, record)
 
-    def _taken(self, now: float, sender: int, e: Entry) -> None:
-        pin = self.pins.get(e.key)
-        if pin is None or pin.state is not Pinned.RELEASED or pin.taken:
+    def _on_release_ack(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        record = self.records.get(entry.key)
+        if record is None or record.state is not OwnershipState.RELEASED or record.release_confirmed:
             return
-        if pin.peer == sender and pin.epoch == e.epoch and not pin.token:
-            pin.taken = pin.placed = True
-            self._met(now, pin)
-            self._moved(e.key, pin, True)
-
-    def _dropped(self, now: float, sender: int, e: Entry) -> None:
-        if self.withdrawn.get((e.key, e.epoch), (0, 0.0))[0] == sender:
-            del self.withdrawn[e.key, e.epoch]
-
-    # --- as a target, or an owner to its home ---
-
-    def _offered(self, now: float, sender: int, e: Entry) -> None:
-        pin, inside = self.pins.get(e.key), self.standing.inside
-        if pin is not None and pin.epoch == e.epoch and pin.state is Pinned.ACCEPTED and pin.peer == sender:
-            if not pin.token:
-                self._batch(sender, Step.ACCEPT, e)
+        if record.peer == sender and record.epoch == entry.epoch and not record.pending_token:
+            record.release_confirmed = True
+            record.home_informed = True
+            self._on_target_started(now, record)
+            self._end_move(entry.key, record, True)
+
+    def _on_withdraw_ack(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        offer = self.withdrawn_offers.get((entry.key, entry.epoch))
+        if offer is not None and offer.target == sender:
+            del self.withdrawn_offers[entry.key, entry.epoch]
+
+    def _on_offer(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        record = self.records.get(entry.key)
+        if record is not None and self._has_accepted(record, sender, entry):
+            if not record.pending_token:
+                self._add_entry(sender, EntryKind.ACCEPT, entry)
             return
-        known = max(self.standing.past, pin.epoch if pin is not None else 0)
-        if e.epoch <= known:
-            self._batch(sender, Step.TURN_DOWN, Entry(e.key, known))
+        known_epoch = max(self.lease.forgotten_epoch, record.epoch if record is not None else 0)
+        if entry.epoch <= known_epoch:
+            self._add_entry(sender, EntryKind.DECLINE, MigrationEntry(entry.key, known_epoch))
             return
-        owns = pin is not None and pin.owner == self.me and pin.state is not Pinned.ACCEPTED
-        owns = owns and pin is not None and pin.state is not Pinned.RELEASED
-        if owns or self.me not in inside or sender not in inside or len(self.pins) >= 2 * self.settings.most:
-            self._batch(sender, Step.TURN_DOWN, Entry(e.key, e.epoch - 1))
+        if not self._may_accept(record, sender):
+            self._add_entry(sender, EntryKind.DECLINE, MigrationEntry(entry.key, entry.epoch - 1))
             return
-        self.pins[e.key] = pin = Pin(e.epoch, self.me, Pinned.ACCEPTED, sender)
-        pin.placed = self.home(e.key) == self.me
-        self._keep(e.key, pin)
-
-    def _released(self, now: float, sender: int, e: Entry) -> None:
-        pin = self.pins.get(e.key)
-        if pin is None:
-            if e.epoch <= self.standing.past:
-                self._batch(sender, Step.TAKEN, e)
-        elif pin.state is Pinned.ACCEPTED and pin.peer == sender and pin.epoch == e.epoch:
-            self._held(now, e.key, pin, bool(e.flags & DOUBT))
-        elif pin.epoch > e.epoch or (pin.epoch == e.epoch and pin.placed and not pin.token):
-            self._batch(sender, Step.TAKEN, e)
-
-    def _held(self, now: float, key: bytes, pin: Pin, doubt: bool) -> None:
-        pin.state, pin.doubt = Pinned.HELD, now + self.settings.doubt if doubt else -math.inf
-        pin.placed = self.home(key) == self.me
-        pin.took = True
-        self._keep(key, pin)
-
-    def _withdraw(self, now: float, sender: int, e: Entry) -> None:
-        pin = self.pins.get(e.key)
-        if pin is None or pin.epoch != e.epoch or pin.state is not Pinned.ACCEPTED:
-            if pin is None or not pin.token:
-                self._batch(sender, Step.DROPPED, Entry(e.key, e.epoch))
+        self.records[entry.key] = record = OwnershipRecord(
+            entry.epoch, self.member, OwnershipState.ACCEPTED, sender
+        )
+        record.home_informed = self.home(entry.key) == self.member
+        self._persist(entry.key, record)
+
+    def _has_accepted(self, record: OwnershipRecord, sender: int, entry: MigrationEntry) -> bool:
+        """Whether this member has accepted the key from the sender under the entry's epoch."""
+        is_accepted = record.state is OwnershipState.ACCEPTED and record.peer == sender
+        return is_accepted and record.epoch == entry.epoch
+
+    def _may_accept(self, record: OwnershipRecord | None, sender: int) -> bool:
+        """Whether a key may be accepted: both are members, this one does not own it and has capacity."""
+        if self.member not in self.lease.members or sender not in self.lease.members:
+            return False
+        if len(self.records) >= 2 * self.settings.max_records:
+            return False
+        if record is None or record.owner != self.member:
+            return True
+        return record.state in (OwnershipState.ACCEPTED, OwnershipState.RELEASED)
+
+    def _on_release(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        record = self.records.get(entry.key)
+        if record is None:
+            if entry.epoch <= self.lease.forgotten_epoch:
+                self._add_entry(sender, EntryKind.RELEASE_ACK, entry)
+        elif self._has_accepted(record, sender, entry):
+            self._acquire(now, entry.key, record, bool(entry.flags & MAY_HAVE_RUN))
+        elif record.epoch > entry.epoch or self._has_acquired(record, entry):
+            self._add_entry(sender, EntryKind.RELEASE_ACK, entry)
+
+    def _has_acquired(self, record: OwnershipRecord, entry: MigrationEntry) -> bool:
+        """Whether the ownership under the entry's epoch is on disk, and the key's home knows it."""
+        return record.epoch == entry.epoch and record.home_informed and not record.pending_token
+
+    def _acquire(self, now: float, key: bytes, record: OwnershipRecord, may_have_run: bool) -> None:
+        record.state = OwnershipState.HELD
+        record.uncertain_until = now + self.settings.uncertainty_ms if may_have_run else -math.inf
+        record.home_informed = self.home(key) == self.member
+        record.is_newly_acquired = True
+        self._persist(key, record)
+
+    def _on_withdraw(self, now: float, sender: int, entry: MigrationEntry) -> None:
+        record = self.records.get(entry.key)
+        if record is None or record.epoch != entry.epoch or record.state is not OwnershipState.ACCEPTED:
+            if record is None or not record.pending_token:
+                self._add_entry(sender, EntryKind.WITHDRAW_ACK, MigrationEntry(entry.key, entry.epoch))
             return
-        pin.state, pin.owner, pin.taken, pin.placed = Pinned.RELEASED, pin.peer, True, True
-        self._keep(e.key, pin)
-        pin.answer = (sender, e)
+        record.state = OwnershipState.RELEASED
+        record.owner = record.peer
+        record.release_confirmed = True
+        record.home_informed = True
+        self._persist(entry.key, record)
+        record.pending_answer = PendingAnswer(sender, entry)
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -1,24 +1,26 @@
-"""Pins: which dispatcher a key's loads go through, one at a time, and how that moves. Pure.
+"""Which member owns a key, one at a time, and how ownership moves between members. Pure.
 
-Each key has a *home*: the member that rendezvous hashing puts first among those in the table. A key without
-a pin is its home's. A pin (key, epoch, owner) stands where that is another; the home knows the owner.
-Hand-over:
+Each key has a *home*: the member of the table that rendezvous hashing ranks first. A key without an ownership
+record belongs to its home. A record (key, epoch, owner) exists where another member owns the key; the home
+knows that owner. A move takes these steps:
 
-    mover                                             target
+    owner                                             target
     HELD --OFFER--> (OFFERED on disk)                 ACCEPTED on disk --ACCEPT-->
-    nothing open for the key, or waited long enough:
-    FENCED on disk: starts no more                    (loads of the key wait or come back)
-    nothing open any more, or known as may-have-run:
-    RELEASED on disk --RELEASE-->                     HELD on disk: starts. --TAKEN-->
-
-Every message is sent again until it is answered; batches carry many. At each moment at most one member may
-start loads of a key: the mover until FENCED, the target from its HELD on. An epoch is never used twice: the
-epochs of one member only grow, and one that forgot a pin turns down what is not newer than all it forgot.
-
-Where a member is fenced (standing.py), the homes change. The new home acts once the fence is in force and all
-others in the table have told it what they own of its keys (`DONE`), because one of them may be the owner.
-Then it takes over what the fenced one owned, with `doubt`: a load of it may have run. A target that had
-accepted from the fenced mover becomes owner by its home's word (ADOPT) alone.
+    no request of the key is open, or the fence delay is over:
+    FENCED on disk: starts no further request         (requests of the key wait or are retried)
+    no request is open any more, or its outcome is unknown:
+    RELEASED on disk --RELEASE-->                     HELD on disk: starts requests. --RELEASE_ACK-->
+
+Every message is sent again until it is answered, and a message carries many keys. At each moment at most one
+member may start requests of a key: the owner until FENCED, the target from its HELD on. An epoch is never
+used twice: the epochs of one member only grow, and a member that forgot a record declines offers that are
+not newer than all it forgot.
+
+When a member is fenced (membership_lease.py), homes change. A new home acts once the fence is in force and
+all other members have announced to it what they own of its keys (ANNOUNCED), because one of them may be the
+owner. Then it takes over what the fenced member owned, as *uncertain*: a request of it may have run. A
+target that had accepted a key from the fenced member becomes the owner only if the key's home confirms it
+(CONFIRM_OWNER).
 """
 
 from __future__ import annotations
@@ -28,205 +30,238 @@
 from collections.abc import Iterable, Mapping
 
 from cottonhold.fleet.session_affinity import messages
-from cottonhold.fleet.session_affinity.announcements import Handover
-from cottonhold.fleet.session_affinity.messages import TENTATIVE, Entry, Step
+from cottonhold.fleet.session_affinity.announcements import Announcements
+from cottonhold.fleet.session_affinity.messages import TENTATIVE, EntryKind, MigrationEntry
 from cottonhold.fleet.session_affinity.record_book import (
+    NO_MEMBER,
     Action,
-    Back,
-    Forward,
-    Moved,
-    Own,
-    Pin,
-    Pinned,
-    PinSettings,
-    Took,
+    MoveEnded,
+    OwnedElsewhere,
+    OwnedHere,
+    OwnershipAcquired,
+    OwnershipRecord,
+    OwnershipSettings,
+    OwnershipState,
+    RetryAfter,
 )
 from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.membership.rendezvous import score
 
-__all__ = ["Action", "Back", "Forward", "Moved", "Own", "PinSettings", "Pins", "Took"]
-
-
-class Pins(Handover):
-    """One member's pins. `dispatchers`: the table as of `epoch`, where no record of it is kept; fenced: those
-    that were taken out of it of late. whole: this member's folder is the one it last had; where it is known
-    to be empty or old, False: it then owns nothing until it was fenced and admitted."""
-
-    # --- questions ---
-
-    def take(self, now: float, key: bytes) -> Own | Forward | Back:
-        """A load of the key has arrived: where it belongs. After `Own`, `opened` follows at once."""
-        own = self.owns(now, key)
-        if own is not None:
-            return own
-        home, pin = self.home(key), self.pins.get(key)
-        here = pin is not None and pin.owner == self.me
-        if pin is not None and not here and pin.owner in self.standing.inside:
-            return Forward(key, pin.owner)
-        if home not in (0, self.me) and not here:
-            return Forward(key, home)
-        if pin is not None and not here and self._complete() and key not in self.maybe:
-            self._claim(now, key, pin.epoch)
-        return Back(self.settings.back)
-
-    def owns(self, now: float, key: bytes) -> Own | None:
-        """Whether loads of the key may start here now; changes nothing."""
-        if not self.settings.on:
-            return Own(0, math.inf)
-        pin, until = self.pins.get(key), self.standing.stands()
-        if until <= now:
+__all__ = [
+    "Action",
+    "RetryAfter",
+    "OwnedElsewhere",
+    "MoveEnded",
+    "OwnedHere",
+    "OwnershipSettings",
+    "KeyOwnership",
+    "OwnershipAcquired",
+]
+
+
+class KeyOwnership(Announcements):
+    """One member's ownership of keys.
+
+    members: the table as of `epoch`, and fenced: the recently removed members, if there is no record of the
+    table. has_full_memory: whether this member's folder is the one that it last had; if it is empty or out
+    of date, the member owns nothing until it was fenced and admitted. seed: drawn anew at each start.
+    records: of the folder, by name. Times are in ms of the own clock.
+    """
+
+    def route(self, now: float, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
+        """Return where an arriving request of the key belongs.
+
+        After OwnedHere, the caller calls `on_request_opened` at once.
+        """
+        owned = self.ownership_of(now, key)
+        if owned is not None:
+            return owned
+        home = self.home(key)
+        record = self.records.get(key)
+        is_owner = record is not None and record.owner == self.member
+        if record is not None and not is_owner and record.owner in self.lease.members:
+            return OwnedElsewhere(key, record.owner)
+        if home not in (NO_MEMBER, self.member) and not is_owner:
+            return OwnedElsewhere(key, home)
+        if record is not None and not is_owner and self._is_complete() and key not in self.candidates:
+            self._take_over(now, key, record.epoch)
+        return RetryAfter(self.settings.retry_after_ms)
+
+    def ownership_of(self, now: float, key: bytes) -> OwnedHere | None:
+        """Return under which ownership requests of the key may start here now, or None; changes nothing."""
+        if not self.settings.is_enabled:
+            return OwnedHere(0, math.inf)
+        record = self.records.get(key)
+        valid_until = self.lease.valid_until()
+        if valid_until <= now:
             return None
-        if pin is None:
-            if self.home(key) != self.me or not self._mine(key):
+        if record is None:
+            if self.home(key) != self.member or not self._may_start_without_record(key):
                 return None
-            return Own(0, until, self._doubt(now, key) > now)
-        # Danger: a new epoch that isn't on disk would be undone by a restart, after a load began under it.
-        held = pin.state is Pinned.OFFERED or (pin.state is Pinned.HELD and not pin.token)
-        return Own(pin.epoch, until, pin.doubt > now) if held and pin.owner == self.me else None
-
-    def targets(self, keys: Iterable[bytes], room: Mapping[int, float]) -> dict[bytes, int]:
-        """A target for each key: the first in rendezvous order that has less than its part of the pins, by
-        its room (of any unit, e.g. cores to spare); none where nobody has room. Bounded load as in
-        "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup, Zadimoghaddam)."""
-        wanted = sorted(keys)
-        there = {m: r for m, r in room.items() if r > 0 and m in self.standing.inside and m != self.me}
-        total = sum(there.values())
-        left = {m: math.ceil(self.settings.spread * len(wanted) * r / total) for m, r in there.items()}
+            return OwnedHere(0, valid_until, self._uncertain_until(now, key) > now)
+        # A restart would undo an epoch that is not on disk, after requests had begun under it.
+        is_durably_held = record.state is OwnershipState.HELD and not record.pending_token
+        may_start = is_durably_held or record.state is OwnershipState.OFFERED
+        if not may_start or record.owner != self.member:
+            return None
+        return OwnedHere(record.epoch, valid_until, record.uncertain_until > now)
+
+    def choose_targets(self, keys: Iterable[bytes], capacities: Mapping[int, float]) -> dict[bytes, int]:
+        """Choose a target for each key, by consistent hashing with bounded loads.
+
+        Each key goes to the first member in rendezvous order that has received less than its share, which is
+        in proportion to its capacity (in any unit, e.g. spare cores). A key gets no target if no member has
+        capacity. See "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup, Zadimoghaddam).
+        """
+        sorted_keys = sorted(keys)
+        other_members = self.lease.members - {self.member}
+        usable = {m: capacity for m, capacity in capacities.items() if capacity > 0 and m in other_members}
+        total = sum(usable.values())
+        max_keys = self.settings.max_overload_factor * len(sorted_keys)
+        remaining = {m: math.ceil(max_keys * capacity / total) for m, capacity in usable.items()}
         chosen: dict[bytes, int] = {}
-        for key in wanted:
-            open_ = [m for m in there if left[m] > 0]
-            if open_:
-                best = max(open_, key=lambda m: score(m, there[m], key.hex()))
-                left[best] -= 1
+        for key in sorted_keys:
+            candidates = [member for member in usable if remaining[member] > 0]
+            if candidates:
+                best = max(candidates, key=lambda member: score(member, usable[member], key.hex()))
+                remaining[best] -= 1
                 chosen[key] = best
         return chosen
 
-    def owned(self) -> list[bytes]:
-        """Keys that this member would have to move to leave: its pins, and what is open here without one."""
-        mine = {key for key, pin in self.pins.items() if pin.owner == self.me}
-        return sorted(mine | {key for key in self.open if self.pins.get(key) is None})
+    def owned_keys(self) -> list[bytes]:
+        """Return the keys to be moved before this member leaves: recorded, or with open requests."""
+        recorded = {key for key, record in self.records.items() if record.owner == self.member}
+        unrecorded = {key for key in self.open_requests if key not in self.records}
+        return sorted(recorded | unrecorded)
 
-    def moving(self) -> int:
-        """Pins that are still to go from here."""
-        return sum(map(len, self.queue.values())) + sum(self.offers.values())
+    def moving_count(self) -> int:
+        """Return how many keys are still to be moved from here."""
+        return sum(map(len, self.move_queues.values())) + sum(self.pending_offers.values())
 
     def next_at(self, now: float = 0.0) -> float:
-        """When `step` is due."""
-        times = [self.pins[key].due for key in self.busy]
-        times += [self._when(now, target) for target, line in self.queue.items() if line]
-        saved = self.standing.durable >= self.standing.version
-        if saved and any(self.done.get(m) != self.standing.epoch for m in self._others()):
-            times.append(self.done_due)
-        return min([*times, self.standing.next_at()], default=math.inf)
-
-    # --- what happens ---
-
-    def opened(self, now: float, key: bytes, load: int) -> list[Action]:
-        """A load of the key waits in line or runs here: the pin stays until it has ended."""
-        self.open.setdefault(key, set()).add(load)
+        """Return when `step` is due."""
+        times = [self.records[key].next_send_at for key in self.unfinished_keys]
+        times += [self._next_offer_at(now, target) for target, queue in self.move_queues.items() if queue]
+        is_durable = self.lease.durable_version >= self.lease.record_version
+        acknowledged = [self.acknowledged_epochs.get(member) for member in self._other_members()]
+        if is_durable and any(epoch != self.lease.epoch for epoch in acknowledged):
+            times.append(self.next_announcement_at)
+        return min([*times, self.lease.next_at()])
+
+    def on_request_opened(self, now: float, key: bytes, request_id: int) -> list[Action]:
+        """A request of the key waits or runs here: the key stays until it has ended."""
+        self.open_requests.setdefault(key, set()).add(request_id)
         return []
 
-    def ended(self, now: float, key: bytes, load: int, known: bool = True) -> list[Action]:
-        """It has ended; known False: it may have run, and the next owner is told of that."""
-        there = self.open.get(key, set())
-        there.discard(load)
-        if not there:
-            self.open.pop(key, None)
-        pin = self.pins.get(key)
-        if not known and pin is None and self.home(key) == self.me and self.settings.on:
-            self.pins[key] = pin = Pin(self._next(0), self.me, Pinned.HELD, placed=True)
-            self._keep(key, pin)
-        if pin is None:
-            return self._run(now) if not known else []
-        if not known:
-            pin.doubt = now + self.settings.doubt
-        self._ready(now, key, pin)
-        return self._run(now)
+    def on_request_ended(
+        self, now: float, key: bytes, request_id: int, outcome_known: bool = True
+    ) -> list[Action]:
+        """A request of the key has ended.
+
+        If its outcome is not known it may have run, and the key's next owner learns that.
+        """
+        open_requests = self.open_requests.get(key, set())
+        open_requests.discard(request_id)
+        if not open_requests:
+            self.open_requests.pop(key, None)
+        record = self.records.get(key)
+        is_own_home = self.home(key) == self.member and self.settings.is_enabled
+        if not outcome_known and record is None and is_own_home:
+            epoch = self._next_epoch(0)
+            record = OwnershipRecord(epoch, self.member, OwnershipState.HELD, home_informed=True)
+            self.records[key] = record
+            self._persist(key, record)
+        if record is None:
+            return self._drain_actions(now) if not outcome_known else []
+        if not outcome_known:
+            record.uncertain_until = now + self.settings.uncertainty_ms
+        self._release_if_idle(now, key, record)
+        return self._drain_actions(now)
 
     def move(self, now: float, keys: Iterable[bytes], target: int) -> list[Action]:
-        """Hand these keys over; each ends in a `Moved`. Those that aren't this member's are left out."""
-        line = self.queue.setdefault(target, deque())
-        line.extend(key for key in keys if key not in line)
-        return self._run(now)
-
-    def abort(self, now: float, keys: Iterable[bytes]) -> list[Action]:
-        """Keep these here after all; those that are released already go on."""
-        wanted = set(keys)
-        for target, line in self.queue.items():
-            self.queue[target] = deque(key for key in line if key not in wanted)
-        for key in wanted:
-            pin = self.pins.get(key)
-            if pin is not None and pin.owner == self.me and pin.state in (Pinned.OFFERED, Pinned.FENCED):
-                self._keep_here(now, key, pin)
-        return self._run(now)
+        """Move keys to a target; each ends in a MoveEnded, as do keys that this member does not own."""
+        queue = self.move_queues.setdefault(target, deque())
+        queue.extend(key for key in keys if key not in queue)
+        return self._drain_actions(now)
+
+    def cancel_moves(self, now: float, keys: Iterable[bytes]) -> list[Action]:
+        """Keep these keys; those that are released already go on to their targets."""
+        kept_keys = set(keys)
+        for target, queue in self.move_queues.items():
+            self.move_queues[target] = deque(key for key in queue if key not in kept_keys)
+        for key in kept_keys:
+            record = self.records.get(key)
+            if record is None or record.owner != self.member:
+                continue
+            if record.state in (OwnershipState.OFFERED, OwnershipState.FENCED):
+                self._cancel_move(now, key, record)
+        return self._drain_actions(now)
 
     def fence(self, now: float, owner: int, epoch: int) -> list[Action]:
-        """A register settled that a member is out from this epoch of the table on."""
-        if self.standing.change(now, owner, epoch, False):
-            self._changed(now, owner)
-        return self._run(now)
+        """Apply the removal of a member with this epoch of the table."""
+        if self.lease.apply_change(now, owner, epoch, False):
+            self._on_table_changed(now, owner)
+        return self._drain_actions(now)
 
     def admit(self, now: float, member: int, epoch: int) -> list[Action]:
-        """A register settled that a member is in from this epoch of the table on, owning nothing yet."""
-        if self.standing.change(now, member, epoch, True):
-            self._changed(now, 0)
-        return self._run(now)
+        """Apply the admission of a member, which owns nothing yet, with this epoch of the table."""
+        if self.lease.apply_change(now, member, epoch, True):
+            self._on_table_changed(now, 0)
+        return self._drain_actions(now)
 
-    def on_message(self, now: float, sender: int, data: bytes) -> list[Action]:
-        """A message of pins (first byte 75 to 78); one that makes no sense is counted."""
+    def on_message(self, now: float, sender: int, payload: bytes) -> list[Action]:
+        """Apply a message of session affinity (first byte 75 to 78); a malformed one is counted."""
         try:
-            kind = data[0] if data else 0
-            if kind == messages.BATCH:
-                step, entries = messages.read_batch(data)
+            message_kind = payload[0] if payload else 0
+            if message_kind == messages.MIGRATION:
+                kind, entries = messages.decode_entries(payload)
                 for entry in entries:
-                    self._entry(now, sender, step, entry)
-            elif kind == messages.LEASE:
-                self.standing.lease(now, sender, *messages.read_lease(data))
-            elif kind == messages.REFUSE:
-                self.standing.refuse(now, sender, *messages.read_short(data))
-            elif kind == messages.DONE:
-                answer, _, epoch = messages.read_short(data)
-                self._done(sender, answer, epoch)
+                    self._on_entry(now, sender, kind, entry)
+            elif message_kind == messages.LEASE:
+                self.lease.on_lease_message(now, sender, *messages.decode_lease(payload))
+            elif message_kind == messages.REFUSE:
+                self.lease.on_refusal(now, sender, *messages.decode_notice(payload))
+            elif message_kind == messages.ANNOUNCED:
+                is_answer, _, epoch = messages.decode_notice(payload)
+                self._on_announced(sender, is_answer, epoch)
             else:
                 raise WordError("kind")
         except WordError:
             self.counts["malformed"] += 1
-        return self._run(now)
+        return self._drain_actions(now)
 
     def on_persisted(self, now: float, token: int) -> list[Action]:
-        """The disk has the record that was asked to be kept under this token."""
-        self.standing.kept(now, token)
-        key = self.keeping.pop(token, None)
-        pin = self.pins.get(key) if key is not None else None
-        if key is not None and pin is not None and pin.token == token:
-            pin.token = 0
-            self._durable(now, key, pin)
-        return self._run(now)
+        """The record with this token is on disk."""
+        self.lease.on_persisted(now, token)
+        key = self.keys_by_token.pop(token, None)
+        record = self.records.get(key) if key is not None else None
+        if key is not None and record is not None and record.pending_token == token:
+            record.pending_token = 0
+            self._on_record_durable(now, key, record)
+        return self._drain_actions(now)
 
     def step(self, now: float) -> list[Action]:
-        """Time has passed; call at `next_at` at the latest, and once at the start."""
-        return self._run(now)
-
-    # --- inside ---
+        """Do what is due; call at `next_at` at the latest, and once at the start."""
+        return self._drain_actions(now)
 
-    def _durable(self, now: float, key: bytes, pin: Pin) -> None:
-        """A pin's record is on disk: say what waited for that."""
-        self._wake(now, key, pin)
-        answer, pin.answer = pin.answer, None
+    def _on_record_durable(self, now: float, key: bytes, record: OwnershipRecord) -> None:
+        """Send what waited for a key's record to be on disk."""
+        self._schedule(now, key, record)
+        answer, record.pending_answer = record.pending_answer, None
         if answer is not None:
             sender, entry = answer
-            home = pin.state is Pinned.RELEASED and pin.owner == sender
-            if pin.state is Pinned.RELEASED and pin.peer and pin.epoch == entry.epoch:
-                self._batch(sender, Step.DROPPED, Entry(key, entry.epoch))
-            elif home and entry.flags & TENTATIVE:
-                self._batch(sender, Step.ADOPT, Entry(key, entry.epoch))
+            is_sender_owner = record.state is OwnershipState.RELEASED and record.owner == sender
+            if record.state is OwnershipState.RELEASED and record.peer and record.epoch == entry.epoch:
+                self._add_entry(sender, EntryKind.WITHDRAW_ACK, MigrationEntry(key, entry.epoch))
+            elif is_sender_owner and entry.flags & TENTATIVE:
+                self._add_entry(sender, EntryKind.CONFIRM_OWNER, MigrationEntry(key, entry.epoch))
             else:
-                self._batch(sender, Step.PLACED, entry)
-        if pin.state is Pinned.ACCEPTED and pin.peer:
-            self._batch(pin.peer, Step.ACCEPT, Entry(key, pin.epoch))
-        elif pin.state is Pinned.HELD and pin.took:
-            pin.took = False
-            self.actions.append(Took(key, pin.epoch, pin.doubt > now))
-            if pin.placed and pin.peer:
-                self._batch(pin.peer, Step.TAKEN, Entry(key, pin.epoch))
-        self._ready(now, key, pin)
+                self._add_entry(sender, EntryKind.ANNOUNCE_ACK, entry)
+        if record.state is OwnershipState.ACCEPTED and record.peer:
+            self._add_entry(record.peer, EntryKind.ACCEPT, MigrationEntry(key, record.epoch))
+        elif record.state is OwnershipState.HELD and record.is_newly_acquired:
+            record.is_newly_acquired = False
+            self.actions.append(OwnershipAcquired(key, record.epoch, record.uncertain_until > now))
+            if record.home_informed and record.peer:
+                self._add_entry(record.peer, EntryKind.RELEASE_ACK, MigrationEntry(key, record.epoch))
+        self._release_if_idle(now, key, record)
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -1,4 +1,4 @@
-"""What one member holds of pins: their kinds, their records, homes and epochs. Pure."""
+"""What one member knows of the ownership of keys: records, homes and epochs. Pure."""
 
 from __future__ import annotations
 
@@ -10,296 +10,368 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from enum import IntEnum
+from typing import NamedTuple
 
 from cottonhold.fleet.consensus.actions import PersistState, SendMessage
 from cottonhold.fleet.consensus.messages import MessageReader
-from cottonhold.fleet.session_affinity.membership_lease import Standing
-from cottonhold.fleet.session_affinity.messages import Entry, Step
+from cottonhold.fleet.session_affinity.membership_lease import MembershipLease
+from cottonhold.fleet.session_affinity.messages import EntryKind, MigrationEntry
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.rendezvous import score
 
-RECORD = "pin/"  # names of records
-FORM = struct.Struct("!QQQQBB")
-TAKEN = struct.Struct("!B")
-PURGE = 1000  # so many that needn't be remembered are forgotten at once
-GAPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0)  # steps of the histogram of times without an owner
+OWNERSHIP_RECORD_PREFIX = "pin/"  # names of records
+# Epoch, owner, peer, offered epoch, state, whether a request of an earlier owner may run.
+RECORD_FORMAT = struct.Struct("!QQQQBB")
+RELEASE_CONFIRMED_FORMAT = struct.Struct("!B")
+PURGE_BATCH = 1000  # records that are no longer needed are removed so many at once
+NO_MEMBER = 0
+HANDOVER_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0)  # upper bounds of the histogram
 
 
 @dataclass(slots=True, frozen=True)
-class PinSettings:
-    """Times in ms. on: without it every key is one's own. retry: what lacks an answer is sent again. rate:
-    pins a second and a target; window: offered to one target at once. hold: so long an offered pin waits for
-    its loads before it is fenced. back: when one that can't be served now is told to come again. doubt: so
-    long after a fence its loads may still run. most: pins of one owner. spread: a target of many gets at most
-    so many times its fair part."""
-
-    on: bool = False
-    retry: float = 60.0
-    rate: float = 500.0
-    window: int = 100
-    hold: float = 300.0
-    back: float = 40.0
-    doubt: float = 60_000.0
-    most: int = 20_000
-    spread: float = 1.25
+class OwnershipSettings:
+    """Limits and times of the ownership of keys.
+
+    is_enabled: if False, every member owns every key. retry_interval_ms: messages without an answer are sent
+    again after it. max_moves_per_second and max_pending_offers: of keys, for one target. fence_delay_ms: how
+    long an offered key waits for its open requests before no further request starts. retry_after_ms: after
+    which a request is tried again whose key has no owner now. uncertainty_ms: how long after a fence requests
+    of the fenced member may still run. max_records: of one owner. max_overload_factor: a target gets at most
+    so many times its proportional share of the moved keys.
+    """
+
+    is_enabled: bool = False
+    retry_interval_ms: float = 60.0
+    max_moves_per_second: float = 500.0
+    max_pending_offers: int = 100
+    fence_delay_ms: float = 300.0
+    retry_after_ms: float = 40.0
+    uncertainty_ms: float = 60_000.0
+    max_records: int = 20_000
+    max_overload_factor: float = 1.25
     lease: LeaseSettings = field(default_factory=lambda: LeaseSettings(lease=600.0, retry=60.0))
 
 
-class Pinned(IntEnum):
-    """Where a pin stands at this member. RELEASED: another owns it."""
+class OwnershipState(IntEnum):
+    """The state of a key at this member; in RELEASED another member owns it."""
 
     HELD, OFFERED, ACCEPTED, FENCED, RELEASED = range(5)
 
 
 @dataclass(slots=True, frozen=True)
-class Own:
-    """The key's loads may start here until `until` (own clock), under this epoch. doubt: a load of an earlier
-    owner may have run without its end being known here."""
+class OwnedHere:
+    """Requests of the key may start here until `valid_until` (own clock), under this epoch.
+
+    may_have_run: a request of an earlier owner may have run without its outcome being known here.
+    """
 
     epoch: int
-    until: float
-    doubt: bool = False
+    valid_until: float
+    may_have_run: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Forward:
-    """The key's loads are another's."""
+class OwnedElsewhere:
+    """Requests of the key belong to another member."""
 
     key: bytes
     owner: int
 
 
 @dataclass(slots=True, frozen=True)
-class Back:
-    """Nobody may start the key's loads now; ask again in so many ms."""
+class RetryAfter:
+    """No member may start requests of the key now; try again after the delay."""
 
-    ms: float
+    delay_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class Moved:
-    """A pin that was to be moved is its target's now (`done`), or stays here."""
+class MoveEnded:
+    """A key that was to be moved belongs to its target now, or stays here."""
 
     key: bytes
     epoch: int
     target: int
-    done: bool
+    is_moved: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Took:
-    """A pin has become this member's."""
+class OwnershipAcquired:
+    """This member has become the owner of a key."""
 
     key: bytes
     epoch: int
-    doubt: bool
+    may_have_run: bool
+
+
+Action = SendMessage | PersistState | MoveEnded | OwnershipAcquired
+
+
+class PendingAnswer(NamedTuple):
+    """The entry that is answered to a member once the record of its key is on disk."""
+
+    member: int
+    entry: MigrationEntry
 
 
-Action = SendMessage | PersistState | Moved | Took
+class MoveAllowance(NamedTuple):
+    """How many keys may be offered to a target, and at what time that was computed."""
+
+    keys: float
+    computed_at: float
+
+
+class Candidate(NamedTuple):
+    """At a key's home: an epoch that a target accepted from a fenced member, and the target."""
+
+    epoch: int
+    member: int
+
+
+class WithdrawnOffer(NamedTuple):
+    """The target of an offer that is taken back, and when that is sent next."""
+
+    target: int
+    next_send_at: float
 
 
 @dataclass(slots=True)
-class Pin:
-    """A pin as this member knows it. peer: the target of a mover, the mover of a target. offered: the epoch
-    under which it is offered."""
+class OwnershipRecord:
+    """What this member knows of a key that its home does not simply own.
+
+    peer: the target of a move, or at the target the member from which the key comes. offered_epoch: the epoch
+    under which the key is offered.
+    """
 
     epoch: int
     owner: int
-    state: Pinned
+    state: OwnershipState
     peer: int = 0
-    offered: int = 0
-    doubt: float = -math.inf  # until when a load of an earlier owner may run
-    token: int = 0  # its last record; 0 once that is on disk
-    accepted: bool = False
-    taken: bool = False  # of RELEASED: the target has said so, or needn't
-    placed: bool = False  # the home knows
-    told: bool = False  # the home has heard of it, without having decided
-    gone: bool = False  # of RELEASED: the target is out and never said that it took it
-    took: bool = False  # of HELD: it is new here
-    since: float = 0.0
-    parted: float = math.nan  # of a mover: since when it starts none; not known after a restart
-    due: float = -math.inf
-    answer: tuple[int, Entry] | None = None  # what is said once its record is on disk
-
-
-def rank(member: int, key: bytes) -> tuple[float, int]:
-    """Who has the highest is a key's home."""
+    offered_epoch: int = 0
+    uncertain_until: float = -math.inf  # until when a request of an earlier owner may still run
+    pending_token: int = 0  # of the last write; 0 once it is on disk
+    is_accepted: bool = False  # in OFFERED, FENCED: the target has accepted
+    release_confirmed: bool = False  # in RELEASED: the target has confirmed it, or need not
+    home_informed: bool = False  # the key's home knows the owner
+    home_has_candidate: bool = False  # the key's home knows of the acceptance, without having decided
+    target_removed: bool = False  # in RELEASED: the target was fenced and never confirmed the release
+    is_newly_acquired: bool = False  # in HELD: acquired by this write
+    offered_at: float = 0.0
+    stopped_at: float = math.nan  # when a mover stopped starting requests; unknown after a restart
+    next_send_at: float = -math.inf
+    pending_answer: PendingAnswer | None = None
+
+
+def home_score(member: int, key: bytes) -> tuple[float, int]:
+    """Rank a member for a key; the highest is the key's home (rendezvous hashing)."""
     return score(member, 1.0, key.hex()), member
 
 
-def first(members: Iterable[int], key: bytes) -> int:
-    """A key's home among these; 0 where there are none."""
-    return max(members, key=lambda member: rank(member, key), default=0)
+def home_among(members: Iterable[int], key: bytes) -> int:
+    """Return a key's home among these members, or NO_MEMBER."""
+    return max(members, key=lambda member: home_score(member, key), default=NO_MEMBER)
+
+
+def encode_record(record: OwnershipRecord) -> bytes:
+    """Encode a record for the disk."""
+    may_have_run = record.uncertain_until > -math.inf
+    fixed = RECORD_FORMAT.pack(
+        record.epoch, record.owner, record.peer, record.offered_epoch, record.state, may_have_run
+    )
+    return fixed + RELEASE_CONFIRMED_FORMAT.pack(record.release_confirmed)
 
 
-class Book:
-    """One member's pins, with what it keeps and says of them."""
+class RecordBook:
+    """One member's ownership records, with what it persists and sends of them.
+
+    See KeyOwnership for the arguments.
+    """
 
     def __init__(
         self,
-        me: int,
-        dispatchers: Iterable[int],
+        member: int,
+        members: Iterable[int],
         voters: Iterable[int],
         now: float,
         seed: int,
-        kept: Mapping[str, bytes],
-        settings: PinSettings | None = None,
-        whole: bool = True,
+        records: Mapping[str, bytes],
+        settings: OwnershipSettings | None = None,
+        has_full_memory: bool = True,
         epoch: int = 0,
         fenced: Iterable[int] = (),
     ) -> None:
-        self.me, self.settings, self.draw = me, settings or PinSettings(), random.Random(seed)
-        self.standing = Standing(
-            me,
-            dispatchers,
+        self.member = member
+        self.settings = settings or OwnershipSettings()
+        self.random_source = random.Random(seed)
+        self.lease = MembershipLease(
+            member,
+            members,
             voters,
             now,
-            self.draw.getrandbits(30),
-            kept,
-            whole,
+            self.random_source.getrandbits(30),
+            records,
+            has_full_memory,
             self.settings.lease,
             epoch,
             fenced,
         )
-        self.pins: dict[bytes, Pin] = {}
-        self.open: dict[bytes, set[int]] = {}
-        self.busy: set[bytes] = set()  # pins that something is still to be done for
-        self.queue: dict[int, deque[bytes]] = {}  # to be moved, by target
-        self.allowance: dict[int, tuple[float, float]] = {}  # by target: pins that may go now, as of when
-        self.offers: dict[int, int] = {}  # by target: pins on their way
-        self.maybe: dict[bytes, tuple[int, int]] = {}  # at a home: told by a target whose mover was fenced
-        self.heard: dict[int, int] = {}  # by member: the epoch for which it has told all
-        self.done: dict[int, int] = {}  # by member: the epoch for which it knows that this one told all
-        self.done_due = -math.inf
-        self.homes: dict[bytes, int] = {}
-        self.high, self.token, self.began = 0, 0, now
-        self.purge_at = PURGE
-        self.says: dict[tuple[int, Step], list[Entry]] = {}
+        self.records: dict[bytes, OwnershipRecord] = {}
+        self.open_requests: dict[bytes, set[int]] = {}
+        self.unfinished_keys: set[bytes] = set()  # keys with something left to send
+        self.move_queues: dict[int, deque[bytes]] = {}  # by target
+        self.move_allowances: dict[int, MoveAllowance] = {}  # by target
+        self.pending_offers: dict[int, int] = {}  # by target: number of keys being moved
+        self.candidates: dict[bytes, Candidate] = {}
+        self.announced_epochs: dict[int, int] = {}  # by member: the epoch for which it announced all it owns
+        self.acknowledged_epochs: dict[
+            int, int
+        ] = {}  # by member: the same of this member, as it acknowledged
+        self.next_announcement_at = -math.inf
+        self.home_cache: dict[bytes, int] = {}
+        self.highest_epoch = 0
+        self.last_token = 0
+        self.started_at = now
+        self.purge_at = PURGE_BATCH
+        self.outgoing_entries: dict[tuple[int, EntryKind], list[MigrationEntry]] = {}
         self.actions: list[Action] = []
         self.counts = {"malformed": 0, "said": 0}
-        # By key that was moved from here: how long none started its loads, up to each step, and more. It is
-        # from when this member stopped until it heard that the target has it: a trip too long.
-        self.gaps = [0] * (len(GAPS_MS) + 1)
-        self.keeping: dict[int, bytes] = {}  # token -> key
-        self.withdrawn: dict[tuple[bytes, int], tuple[int, float]] = {}  # offers taken back: from whom, due
-        self.tables: list[frozenset[int]] | None = None  # since the last complete epoch, where all are known
-        if self.standing.complete == self.standing.epoch:
-            self.tables = [frozenset(self.standing.inside)]
-        if whole:
-            self._read(now, kept)
-
-    # --- homes ---
+        # Of keys moved away: the time from when this member stopped until it received the target's
+        # confirmation, which is one network delay longer than the time without an owner.
+        self.handover_histogram = [0] * (len(HANDOVER_STEPS_MS) + 1)
+        self.keys_by_token: dict[int, bytes] = {}
+        self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
+        # The member lists since the last complete epoch; None if some are not known.
+        self.recent_tables: list[frozenset[int]] | None = None
+        if self.lease.complete_epoch == self.lease.epoch:
+            self.recent_tables = [frozenset(self.lease.members)]
+        if has_full_memory:
+            self._load(now, records)
 
     def home(self, key: bytes) -> int:
-        """Whose a key is that has no pin; 0 where nobody is in."""
-        found = self.homes.get(key)
-        if found is None:
-            if len(self.homes) > 4 * self.settings.most:
-                self.homes.clear()
-            found = self.homes[key] = first(self.standing.inside, key)
-        return found
-
-    def _others(self) -> set[int]:
-        return self.standing.inside - {self.me} if self.me in self.standing.inside else set()
-
-    def _complete(self) -> bool:
-        """All others have told this home what they own of its keys, and all fences are in force."""
-        return self.standing.complete == self.standing.epoch and self.me in self.standing.inside
-
-    def _mine(self, key: bytes) -> bool:
-        """A key without a pin may be started here: by a complete table, or because it was so all along."""
-        if self._complete():
+        """Return the member that owns a key without a record, or NO_MEMBER."""
+        home = self.home_cache.get(key)
+        if home is None:
+            if len(self.home_cache) > 4 * self.settings.max_records:
+                self.home_cache.clear()
+            home = self.home_cache[key] = home_among(self.lease.members, key)
+        return home
+
+    def _other_members(self) -> set[int]:
+        return self.lease.members - {self.member} if self.member in self.lease.members else set()
+
+    def _is_complete(self) -> bool:
+        """Whether all others have announced to this home what they own, and all fences are in force."""
+        return self.lease.complete_epoch == self.lease.epoch and self.member in self.lease.members
+
+    def _may_start_without_record(self, key: bytes) -> bool:
+        """Whether this home owns a key without a record: by a complete table, or in all tables since the last
+        one.
+        """
+        if self._is_complete():
             return True
-        return bool(self.tables) and all(first(table, key) == self.me for table in self.tables or ())
-
-    # --- small things ---
-
-    def _parted(self, now: float, pin: Pin) -> None:
-        """From now on this member starts no load of a key."""
-        if math.isnan(pin.parted):
-            pin.parted = now
-
-    def _met(self, now: float, pin: Pin) -> None:
-        """The target has said that it starts them."""
-        if not math.isnan(pin.parted):
-            self.gaps[bisect_left(GAPS_MS, now - pin.parted)] += 1
-            pin.parted = math.nan
-
-    def _next(self, epoch: int) -> int:
-        """An epoch above all that are known here."""
-        self.high = max(self.high, epoch, self.standing.past, self.standing.epoch << 32) + 1
-        return self.high
-
-    def _doubt(self, now: float, key: bytes) -> float:
-        """Until when a load of a key without a pin may run at the home that it had before a fence."""
-        mine = rank(self.me, key)
-        lately = {m: at + self.settings.doubt for m, at in self.standing.fenced_at.items()}
-        return max((until for m, until in lately.items() if rank(m, key) >= mine), default=-math.inf)
-
-    def _wake(self, now: float, key: bytes, pin: Pin) -> None:
-        pin.due = now
-        self.busy.add(key)
-
-    def _batch(self, member: int, step: Step, entry: Entry) -> None:
-        self.says.setdefault((member, step), []).append(entry)
-
-    def _say(self, member: int, data: bytes) -> None:
-        self.actions.append(SendMessage(member, data))
-
-    def _keep(self, key: bytes, pin: Pin) -> None:
-        self.token += 1
-        pin.token, pin.answer = self.token, None
-        self.keeping[self.token] = key
-        pin.due = math.inf
-        self.busy.add(key)
-        data = FORM.pack(
-            pin.epoch, pin.owner, pin.peer, pin.offered, pin.state, pin.doubt > -math.inf
-        ) + bytes((pin.taken,))
-        self.actions.append(PersistState(RECORD + key.hex(), data, self.token))
+        return bool(self.recent_tables) and all(
+            home_among(table, key) == self.member for table in self.recent_tables or ()
+        )
+
+    def _on_stopped(self, now: float, record: OwnershipRecord) -> None:
+        """This member starts no further request of the key."""
+        if math.isnan(record.stopped_at):
+            record.stopped_at = now
+
+    def _on_target_started(self, now: float, record: OwnershipRecord) -> None:
+        """The target has confirmed that it starts requests of the key."""
+        if not math.isnan(record.stopped_at):
+            self.handover_histogram[bisect_left(HANDOVER_STEPS_MS, now - record.stopped_at)] += 1
+            record.stopped_at = math.nan
+
+    def _next_epoch(self, epoch: int) -> int:
+        """Return an epoch above all that this member knows."""
+        table_epoch = self.lease.epoch << 32
+        self.highest_epoch = max(self.highest_epoch, epoch, self.lease.forgotten_epoch, table_epoch) + 1
+        return self.highest_epoch
+
+    def _uncertain_until(self, now: float, key: bytes) -> float:
+        """Return until when a request of a key without a record may run at a home that was fenced."""
+        own_score = home_score(self.member, key)
+        fenced_at = [at for m, at in self.lease.fenced_at.items() if home_score(m, key) >= own_score]
+        return max(fenced_at, default=-math.inf) + self.settings.uncertainty_ms
+
+    def _schedule(self, now: float, key: bytes, record: OwnershipRecord) -> None:
+        record.next_send_at = now
+        self.unfinished_keys.add(key)
+
+    def _add_entry(self, member: int, kind: EntryKind, entry: MigrationEntry) -> None:
+        self.outgoing_entries.setdefault((member, kind), []).append(entry)
+
+    def _send(self, member: int, payload: bytes) -> None:
+        self.actions.append(SendMessage(member, payload))
+
+    def _persist(self, key: bytes, record: OwnershipRecord) -> None:
+        self.last_token += 1
+        record.pending_token = self.last_token
+        record.pending_answer = None
+        self.keys_by_token[self.last_token] = key
+        record.next_send_at = math.inf
+        self.unfinished_keys.add(key)
+        data = encode_record(record)
+        self.actions.append(PersistState(OWNERSHIP_RECORD_PREFIX + key.hex(), data, self.last_token))
 
     def _forget(self, key: bytes) -> None:
-        del self.pins[key]
-        self.busy.discard(key)
-        self.token += 1
-        self.actions.append(PersistState(RECORD + key.hex(), b"", self.token))
-
-    def _read(self, now: float, kept: Mapping[str, bytes]) -> None:
-        for name, data in kept.items():
-            if not name.startswith(RECORD) or not data:
+        del self.records[key]
+        self.unfinished_keys.discard(key)
+        self.last_token += 1
+        self.actions.append(PersistState(OWNERSHIP_RECORD_PREFIX + key.hex(), b"", self.last_token))
+
+    def _load(self, now: float, records: Mapping[str, bytes]) -> None:
+        for name, data in records.items():
+            if not name.startswith(OWNERSHIP_RECORD_PREFIX) or not data:
                 continue
-            reader, key = MessageReader(data), bytes.fromhex(name.removeprefix(RECORD))
-            epoch, owner, peer, offered, state, doubt = reader.read_struct(FORM)
-            (taken,) = reader.read_struct(TAKEN)
-            reader.expect_end()
-            pin = self.pins[key] = Pin(epoch, owner, Pinned(state), peer, offered, taken=bool(taken))
-            if doubt or owner == self.me:  # what was in flight when the last life ended may have run
-                pin.doubt = now + self.settings.doubt
-            pin.since, pin.accepted = now, pin.state is Pinned.FENCED
-            pin.placed = self.home(key) == self.me
-            self.high = max(self.high, epoch, offered)
-            if owner == self.me or not taken:
-                self._wake(now, key, pin)
-            if pin.state in (Pinned.OFFERED, Pinned.FENCED) or (pin.state is Pinned.RELEASED and not taken):
-                self.offers[peer] = self.offers.get(peer, 0) + 1
+            self._load_record(now, bytes.fromhex(name.removeprefix(OWNERSHIP_RECORD_PREFIX)), data)
+
+    def _load_record(self, now: float, key: bytes, data: bytes) -> None:
+        reader = MessageReader(data)
+        epoch, owner, peer, offered_epoch, state, may_have_run = reader.read_struct(RECORD_FORMAT)
+        (release_confirmed,) = reader.read_struct(RELEASE_CONFIRMED_FORMAT)
+        reader.expect_end()
+        record = OwnershipRecord(epoch, owner, OwnershipState(state), peer, offered_epoch)
+        self.records[key] = record
+        record.release_confirmed = bool(release_confirmed)
+        if may_have_run or owner == self.member:
+            # What was in flight when this member's last run ended may have been executed.
+            record.uncertain_until = now + self.settings.uncertainty_ms
+        record.offered_at = now
+        record.is_accepted = record.state is OwnershipState.FENCED
+        record.home_informed = self.home(key) == self.member
+        self.highest_epoch = max(self.highest_epoch, epoch, offered_epoch)
+        if owner == self.member or not release_confirmed:
+            self._schedule(now, key, record)
+        is_releasing = record.state is OwnershipState.RELEASED and not release_confirmed
+        if is_releasing or record.state in (OwnershipState.OFFERED, OwnershipState.FENCED):
+            self.pending_offers[peer] = self.pending_offers.get(peer, 0) + 1
 
     def _purge(self) -> None:
-        """Forget many pins that are another's and that this member needn't know of.
+        """Forget old records of keys that other members own.
 
-        Danger: an offer of one that is forgotten, come late, would be accepted again; so what isn't newer
-        than all that was forgotten is turned down, and that is on disk first.
+        A late offer of a forgotten key must not be accepted again, so offers that are not newer than all
+        forgotten records are declined, and the epoch that says so is on disk first.
         """
-        old = [
-            (key, pin)
-            for key, pin in self.pins.items()
-            if pin.state is Pinned.RELEASED and pin.taken and not pin.token and key not in self.busy
-            if self.home(key) != self.me
-        ]
-        self.purge_at = len(self.pins) - len(old) * (len(old) >= PURGE) + PURGE
-        if len(old) < PURGE:
+        old_keys = [key for key, record in self.records.items() if self._may_forget(key, record)]
+        if len(old_keys) < PURGE_BATCH:
+            self.purge_at = len(self.records) + PURGE_BATCH
             return
-        self.standing.past = max(self.standing.past, *(pin.epoch for _, pin in old))
-        self.standing.version += 1
-        self.token += 1
-        self.actions.append(self.standing.keep(self.token))
-        for key, _ in old:
+        self.purge_at = len(self.records) - len(old_keys) + PURGE_BATCH
+        highest_epoch = max(self.records[key].epoch for key in old_keys)
+        self.lease.forgotten_epoch = max(self.lease.forgotten_epoch, highest_epoch)
+        self.lease.record_version += 1
+        self.last_token += 1
+        self.actions.append(self.lease.persist(self.last_token))
+        for key in old_keys:
             self._forget(key)
+
+    def _may_forget(self, key: bytes, record: OwnershipRecord) -> bool:
+        """Whether another member owns the key, and neither a pending move nor this home needs the record."""
+        if record.state is not OwnershipState.RELEASED or not record.release_confirmed:
+            return False
+        if record.pending_token or key in self.unfinished_keys:
+            return False
+        return self.home(key) != self.member
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -16,7 +16,7 @@
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.fleet.request_forwarding.forwarder import End, Ended
 from cottonhold.fleet.request_forwarding.request_codec import pin_key, read_rows
-from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
+from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.load_records import NEVER_RAN
 from cottonhold.node.clock import Clock
@@ -41,7 +41,7 @@
     me: int
     back: float
 
-    def take(self, key: bytes) -> Own | Forward | Back:
+    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
         """Where a load of the key belongs."""
 
     def owns(self, key: bytes) -> bool:
@@ -278,7 +278,7 @@
     def _place(self, held: Held) -> bool:
         """Whether it has begun here, or is on its way to where it belongs."""
         found, away = self.owners.take(held.key), self.away.get(held.key)
-        target = self._target(held.key, found.owner) if isinstance(found, Forward) else 0
+        target = self._target(held.key, found.owner) if isinstance(found, OwnedElsewhere) else 0
         held.toward = target if held.remote else 0
         if held.remote and self.bounced.get((held.remote[0], held.key)) == held.remote[1]:
             # Danger: sent back, one met the next of its key on the way, which began before it.
@@ -286,7 +286,7 @@
             return False
         if away is not None and (away.owner != target or away.back):
             return False  # what came before it is still with an owner of before
-        if isinstance(found, Own):
+        if isinstance(found, OwnedHere):
             held.opened = True
             self.owners.opened(held.key, held.number)
             self.loads.came(held.taken, held.until, held.settled)
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -23,9 +23,14 @@
 from cottonhold.fleet.rolling_replacement.plan import Record as Swapped
 from cottonhold.fleet.rolling_replacement.plan import Step, ident
 from cottonhold.fleet.session_affinity import membership_table, messages
-from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
-from cottonhold.fleet.session_affinity.record_book import GAPS_MS
-from cottonhold.fleet.session_affinity.service import Action, Around, Going, PinService
+from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
+from cottonhold.fleet.session_affinity.record_book import HANDOVER_STEPS_MS
+from cottonhold.fleet.session_affinity.service import (
+    Action,
+    DepartureState,
+    SessionAffinityService,
+    Surroundings,
+)
 from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.keyed_loads import WAITS_MS, Pinned
 from cottonhold.fleet_adapters.recovery import life_of
@@ -41,7 +46,11 @@
 HANDED_ON = 79  # first byte of words of requests that are handed on
 AGAIN_MS = 500.0  # a record that the disk did not take is put again so often
 ON_WAY = (Step.MOVING, Step.DRAINING, Step.OUT)
-GOING = {Step.MOVING: Going.MOVES, Step.DRAINING: Going.DRAINS, Step.OUT: Going.OUT}
+GOING = {
+    Step.MOVING: DepartureState.MOVING_KEYS,
+    Step.DRAINING: DepartureState.DRAINING,
+    Step.OUT: DepartureState.OUT,
+}
 
 
 class HandedClient:
@@ -92,8 +101,8 @@
         self.counters, self.note, self.name = counters, note, installation.file.name
         self.homes = installation.file.peers.zones if installation.file.peers is not None else ()
         kept = {key.decode(): value for key, value in ledger.records(Kind.PIN).items()}
-        self.service = PinService(swim.id, swap.voters, now, secrets.randbits(30), kept)
-        self.me, self.back = swim.id, self.service.settings.back
+        self.service = SessionAffinityService(swim.id, swap.voters, now, secrets.randbits(30), kept)
+        self.me, self.back = swim.id, self.service.settings.retry_after_ms
         life = life_of(ledger) & U32 or 1
         self.handing = HandOn(swim.id, life, HandSettings(), secrets.randbits(30))
         self.guard = Pinned(loads, self, gateway, clock, counters)
@@ -117,7 +126,7 @@
 
     def told(self, member: int, payload: bytes) -> bool:
         """Whether bytes from another instance are of pins, or of a request that is handed on."""
-        if not payload or not messages.BATCH <= payload[0] <= HANDED_ON:
+        if not payload or not messages.MIGRATION <= payload[0] <= HANDED_ON:
             return False
         now = self.clock.now()
         if payload[0] == HANDED_ON:
@@ -129,30 +138,30 @@
 
     # --- what the guard asks ---
 
-    def take(self, key: bytes) -> Own | Forward | Back:
+    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
         """Where a load of the key belongs."""
-        return self.service.take(self.clock.now(), key)
+        return self.service.route(self.clock.now(), key)
 
     def owns(self, key: bytes) -> bool:
         """Whether a load of the key may start here at this moment."""
-        return self.service.owns(self.clock.now(), key) is not None
+        return self.service.ownership_of(self.clock.now(), key) is not None
 
     def inside(self, member: int) -> bool:
         """Whether a member may own anything, as far as is known here."""
-        pins = self.service.pins
-        return pins is not None and member in pins.standing.inside
+        pins = self.service.ownership
+        return pins is not None and member in pins.lease.members
 
     def lost(self, key: bytes) -> bool:
         """Whether what waits here for the key won't start here any more."""
-        return self.service.lost(self.clock.now(), key)
+        return self.service.is_lost(self.clock.now(), key)
 
     def opened(self, key: bytes, load: int) -> None:
         """A load waits in line or runs here."""
-        self._carry_out(self.service.opened(self.clock.now(), key, load))
+        self._carry_out(self.service.on_request_opened(self.clock.now(), key, load))
 
     def ended(self, key: bytes, load: int, known: bool) -> None:
         """It has ended."""
-        self._carry_out(self.service.ended(self.clock.now(), key, load, known))
+        self._carry_out(self.service.on_request_ended(self.clock.now(), key, load, known))
         self._arm(LEAST_MS)
 
     def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
@@ -233,32 +242,34 @@
 
     def outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended."""
-        self.service.outcome(self.clock.now(), token, won, version, value)
+        self.service.on_outcome(self.clock.now(), token, won, version, value)
         self._arm(LEAST_MS)
 
     def changed(self, name: str, version: int, value: bytes) -> None:
         """A register has changed."""
-        if name == membership_table.NAME:
-            self.service.changed(self.clock.now(), name, version, value)
+        if name == membership_table.TABLE_REGISTER:
+            self.service.on_register_changed(self.clock.now(), name, version, value)
             self._arm(LEAST_MS)
 
     def left_here(self) -> int:
         """What still has to go before this machine may be taken out."""
         # Danger: counted by what this part had seen of the swap at its own last step, a machine that drains
         # seemed to be moving still, with nothing left but its place in the table.
-        return self.service.left(self.clock.now(), self._going(self.swap.swap.scene.chain.get(self.name)))
+        return self.service.remaining_count(
+            self.clock.now(), self._going(self.swap.swap.scene.chain.get(self.name))
+        )
 
     def left_there(self) -> dict[str, int | None]:
         """The same of all others on their way out: nothing is left of one that is not in the table, and of
         the rest that is not known here."""
-        inside, known = self.service.table.value.inside, self.service.table.known
+        inside, known = self.service.table.member_list.members, self.service.table.is_known
         others = {n for n, r in self.swap.swap.scene.chain.items() if r.step in ON_WAY} - {self.name}
         return {name: 0 if known and ident(name) not in inside else None for name in others}
 
     def move(self, most: int) -> None:
         """At most so many pins go to others."""
         self.counters.add("pins_asked_to_move")
-        self._carry_out(self.service.move(self.clock.now(), most, self._room()))
+        self._carry_out(self.service.move_keys(self.clock.now(), most, self._room()))
         self._arm(LEAST_MS)
 
     def _room(self) -> dict[int, float]:
@@ -282,35 +293,47 @@
 
     def _step(self) -> None:
         self.timer = None
-        now, before = self.clock.now(), self.service.around.going
+        now, before = self.clock.now(), self.service.surroundings.departure
         around = self._around()
-        if around.going is Going.STAYS and before in (Going.MOVES, Going.DRAINS):
-            self._carry_out(self.service.stay(now))
-        began = self.service.began
+        if around.departure is DepartureState.STAYING and before in (
+            DepartureState.MOVING_KEYS,
+            DepartureState.DRAINING,
+        ):
+            self._carry_out(self.service.cancel_moves(now))
+        began = self.service.start_count
         self._carry_out(self.service.step(now, around))
-        if self.service.began != began:
-            self.note("pins", began=self.service.began, whole=str(around.whole), epoch=self._epoch())
+        if self.service.start_count != began:
+            self.note(
+                "pins",
+                began=self.service.start_count,
+                whole=str(around.folder_is_current),
+                epoch=self._epoch(),
+            )
         self._hands(self.handing.step(now))
         self._put_again(now)
         self.guard.step()
         self._arm(min(self.service.next_at(now), self.handing.next_at()) - now)
 
-    def _around(self) -> Around:
+    def _around(self) -> Surroundings:
         chain = self.swap.swap.scene.chain
         out = frozenset(ident(name) for name, record in chain.items() if record.step is Step.OUT)
-        return Around(self._whole(), self._going(chain.get(self.name)), frozenset(self.swim.live()), out)
+        return Surroundings(
+            self._whole(), self._going(chain.get(self.name)), frozenset(self.swim.live()), out
+        )
 
     def _whole(self) -> bool | None:
         """Whether the folder is the one this number last had, as far as others bear it out."""
         if self.census.memory is not MemoryState.KEPT:
             return False
-        return True if self.census.confirmed() or self.service.around.whole else None
+        return True if self.census.confirmed() or self.service.surroundings.folder_is_current else None
 
-    def _going(self, record: Swapped | None) -> Going:
-        return GOING.get(record.step, Going.STAYS) if record is not None else Going.STAYS
+    def _going(self, record: Swapped | None) -> DepartureState:
+        return (
+            GOING.get(record.step, DepartureState.STAYING) if record is not None else DepartureState.STAYING
+        )
 
     def _epoch(self) -> int:
-        return self.service.pins.standing.epoch if self.service.pins is not None else -1
+        return self.service.ownership.lease.epoch if self.service.ownership is not None else -1
 
     def _arm(self, ms: float) -> None:
         ms = min(max(ms, LEAST_MS), MOST_MS)
@@ -368,30 +391,30 @@
 
     def _ownerless(self) -> str:
         """The same of keys that were moved from here: how long nobody started their loads."""
-        pins = self.service.pins
-        return _histogram(GAPS_MS, pins.gaps) if pins is not None else ""
+        pins = self.service.ownership
+        return _histogram(HANDOVER_STEPS_MS, pins.handover_histogram) if pins is not None else ""
 
     def status(self) -> dict[str, Any]:
         """The view of this instance."""
         now, service = self.clock.now(), self.service
-        pins = service.pins
-        inside = pins.standing.inside if pins is not None else ()
+        pins = service.ownership
+        inside = pins.lease.members if pins is not None else ()
         names = {self.swim.id: self.swim.name, **{m.id: m.name for m in self.swim.members.values()}}
         found = {
-            "began": service.began,
-            "whole": service.around.whole,
-            "owned": len(pins.owned()) if pins is not None else 0,
-            "moving": pins.moving() if pins is not None else 0,
-            "open": len(pins.open) if pins is not None else 0,
-            "stands": pins is not None and pins.standing.stands() > now,
-            "complete": pins is not None and pins.standing.complete == pins.standing.epoch,
+            "began": service.start_count,
+            "whole": service.surroundings.folder_is_current,
+            "owned": len(pins.owned_keys()) if pins is not None else 0,
+            "moving": pins.moving_count() if pins is not None else 0,
+            "open": len(pins.open_requests) if pins is not None else 0,
+            "stands": pins is not None and pins.lease.valid_until() > now,
+            "complete": pins is not None and pins.lease.complete_epoch == pins.lease.epoch,
             "epoch": self._epoch(),
             "table": sorted(names.get(member, f"{member:x}") for member in inside),
-            "left": service.left(now, service.around.going),
+            "left": service.remaining_count(now, service.surroundings.departure),
             "waiting": sum(map(len, self.guard.lines.values())),
             "waits": self._waits(),
             "ownerless": self._ownerless(),
-            "why": service.table.why,
+            "why": service.table.blocked_reason,
             "handed_on": self.handing.status(),
             **service.counts,
         }
--- a/tests/fleet/test_model_checker.py
+++ b/tests/fleet/test_model_checker.py
@@ -12,8 +12,8 @@
 from cottonhold.fleet.consensus import acceptor, proposer
 from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.session_affinity import announcements, membership_lease
-from cottonhold.fleet.session_affinity.messages import Entry
-from cottonhold.fleet.session_affinity.record_book import Pin, Pinned
+from cottonhold.fleet.session_affinity.messages import MigrationEntry
+from cottonhold.fleet.session_affinity.record_book import OwnershipRecord, OwnershipState
 
 
 def many_registers() -> World:
@@ -75,41 +75,41 @@
 
 def no_fence(monkeypatch: pytest.MonkeyPatch) -> None:
     """A mover whose target has accepted releases, and goes on while loads are open."""
-    ready = announcements.Handover._ready
+    release = announcements.Announcements._release_if_idle
 
-    def loose(self: Any, now: float, key: bytes, pin: Pin) -> None:
-        there, self.open = self.open, {}
-        ready(self, now, key, pin)
-        self.open = there
+    def loose(self: Any, now: float, key: bytes, record: OwnershipRecord) -> None:
+        open_requests, self.open_requests = self.open_requests, {}
+        release(self, now, key, record)
+        self.open_requests = open_requests
 
-    monkeypatch.setattr(announcements.Handover, "_ready", loose)
+    monkeypatch.setattr(announcements.Announcements, "_release_if_idle", loose)
 
 
 def no_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """A fence is in force at once: the fenced one's lease may still run."""
-    monkeypatch.setattr(membership_lease.Standing, "settled", lambda self, now: True)
+    monkeypatch.setattr(membership_lease.MembershipLease, "fences_in_force", lambda self, now: True)
 
 
 def early_release(monkeypatch: pytest.MonkeyPatch) -> None:
     """A target takes an offer for a release: it holds the pin before the mover has let it go."""
-    offered = announcements.Handover._offered
+    offered = announcements.Announcements._on_offer
 
-    def taken(self: Any, now: float, sender: int, e: Entry) -> None:
-        offered(self, now, sender, e)
-        pin = self.pins.get(e.key)
-        if pin is not None and pin.state is Pinned.ACCEPTED:
-            self._held(now, e.key, pin, False)
+    def taken(self: Any, now: float, sender: int, entry: MigrationEntry) -> None:
+        offered(self, now, sender, entry)
+        record = self.records.get(entry.key)
+        if record is not None and record.state is OwnershipState.ACCEPTED:
+            self._acquire(now, entry.key, record, False)
 
-    monkeypatch.setattr(announcements.Handover, "_offered", taken)
+    monkeypatch.setattr(announcements.Announcements, "_on_offer", taken)
 
 
 def not_told(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new home begins without having been told what others own."""
 
     def at_once(self: Any, now: float) -> None:
-        self.standing.complete = self.standing.epoch
+        self.lease.complete_epoch = self.lease.epoch
 
-    monkeypatch.setattr(announcements.Handover, "_sync", at_once)
+    monkeypatch.setattr(announcements.Announcements, "_synchronize", at_once)
 
 
 @pytest.mark.parametrize("plant", [no_quorum, forgetful, unwritten])
--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -1,4 +1,4 @@
-"""Pins over several members: one owner at each moment, whatever dies, stops or is lost."""
+"""Ownership of keys over several members: one owner at each moment, whatever fails, stops or is lost."""
 
 from __future__ import annotations
 
@@ -8,11 +8,19 @@
 import pytest
 
 from cottonhold.fleet.session_affinity import record_book
-from cottonhold.fleet.session_affinity.ownership import Back, Forward, Moved, Own, Pins, PinSettings, Took
+from cottonhold.fleet.session_affinity.ownership import (
+    KeyOwnership,
+    MoveEnded,
+    OwnedElsewhere,
+    OwnedHere,
+    OwnershipAcquired,
+    OwnershipSettings,
+    RetryAfter,
+)
 from tests.support.member_network import Net
 
 A, B, C, D = 101, 102, 103, 104
-ON = PinSettings(on=True)
+ON = OwnershipSettings(is_enabled=True)
 
 
 def key(n: int) -> bytes:
@@ -20,17 +28,19 @@
 
 
 class Fleet(Net):
-    """Members with pins; watches at each moment that nobody's key is another's too."""
+    """Members with key ownership; checks at each moment that no key has two owners."""
 
-    def __init__(self, members: int = 4, seed: int = 1, keys: int = 24, settings: PinSettings = ON) -> None:
+    def __init__(
+        self, members: int = 4, seed: int = 1, keys: int = 24, settings: OwnershipSettings = ON
+    ) -> None:
         self.keys = [key(n) for n in range(keys)]
         self.whole = dict.fromkeys(range(101, 101 + members), True)
         self.table: list[tuple[int, bool]] = []
         self.events_seen = 0
         ids, draws = list(self.whole), random.Random(seed)
 
-        def make(member: int, life: int, disk: dict[str, bytes]) -> Pins:
-            return Pins(
+        def make(member: int, life: int, disk: dict[str, bytes]) -> KeyOwnership:
+            return KeyOwnership(
                 member, ids, ids[:3], self.now, draws.getrandbits(32), disk, settings, self.whole[member]
             )
 
@@ -42,17 +52,17 @@
         if self.events_seen % 5:  # each event would take the test's whole time
             return
         for k in self.keys:
-            owners = [m for m, p in self.up.items() if p.owns(self.now, k) is not None]
+            owners = [m for m, p in self.up.items() if p.ownership_of(self.now, k) is not None]
             assert len(owners) <= 1, (self.now, k, owners)
 
     def owner(self, k: bytes) -> int:
-        """Where a load of the key gets to, from anywhere."""
+        """The member at which a request of the key arrives, from anywhere; 0 if it gets nowhere."""
         at = min(self.up)
         for _ in range(6):
-            found = self.up[at].take(self.now, k)
-            if isinstance(found, Own):
+            found = self.up[at].route(self.now, k)
+            if isinstance(found, OwnedHere):
                 return at
-            if isinstance(found, Back):
+            if isinstance(found, RetryAfter):
                 return 0
             at = found.owner
             if at not in self.up:
@@ -62,42 +72,45 @@
     def fence(self, member: int, inside: bool = False) -> None:
         self.table.append((member, inside))
         for m in list(self.up):
-            self.tell(m)
+            self.apply_table(m)
 
-    def tell(self, member: int) -> None:
-        """All changes of the table, as its registers tell them, once more."""
+    def apply_table(self, member: int) -> None:
+        """Apply all changes of the table at a member, once more."""
         for epoch, (who, inside) in enumerate(self.table, 1):
-            pins = self.up[member]
-            self.act(member, (pins.admit if inside else pins.fence)(self.now, who, epoch))
+            ownership = self.up[member]
+            self.act(member, (ownership.admit if inside else ownership.fence)(self.now, who, epoch))
 
     def move(self, member: int, target: int) -> list[bytes]:
-        mine = [k for k in self.keys if self.up[member].owns(self.now, k)]
+        mine = [k for k in self.keys if self.up[member].ownership_of(self.now, k)]
         self.act(member, self.up[member].move(self.now, mine, target))
         return mine
 
 
-def test_off_everything_is_ones_own() -> None:
-    pins = Pins(A, [A, B], [A, B], 0.0, 1, {})
-    assert isinstance(pins.take(0.0, key(1)), Own)
+def test_if_disabled_every_member_owns_every_key() -> None:
+    ownership = KeyOwnership(A, [A, B], [A, B], 0.0, 1, {})
+    assert isinstance(ownership.route(0.0, key(1)), OwnedHere)
 
 
-def test_each_key_has_one_owner_that_all_find() -> None:
+def test_each_key_has_one_owner_that_all_members_find() -> None:
     fleet = Fleet()
     fleet.run(1500)
     owners = {k: fleet.owner(k) for k in fleet.keys}
     assert set(owners.values()) == {A, B, C, D}
     for k, owner in owners.items():
-        assert fleet.up[B].take(fleet.now, k) in (Forward(k, owner), fleet.up[B].owns(fleet.now, k))
+        assert fleet.up[B].route(fleet.now, k) in (
+            OwnedElsewhere(k, owner),
+            fleet.up[B].ownership_of(fleet.now, k),
+        )
 
 
-def test_moved_keys_are_the_targets_and_found_everywhere() -> None:
+def test_moved_keys_belong_to_the_target_for_all_members() -> None:
     fleet = Fleet()
     fleet.run(1500)
     mine = fleet.move(A, D)
     fleet.run(1000)
-    assert {m.key for m in fleet.of(Moved) if m.done} == set(mine) and mine
+    assert {m.key for m in fleet.of(MoveEnded) if m.is_moved} == set(mine) and mine
     assert all(fleet.owner(k) == D for k in mine)
-    assert {t.key for t in fleet.of(Took)} == set(mine)
+    assert {t.key for t in fleet.of(OwnershipAcquired)} == set(mine)
 
 
 @pytest.mark.parametrize(
@@ -105,28 +118,28 @@
     [(0.0, 50.0), (200.0, 50.0), (5000.0, 1000.0)],
     ids=["nothing runs", "loads run for a moment", "loads run on for a while"],
 )
-def test_how_long_a_moved_key_had_no_owner_is_counted_by_key(runs: float, step: float) -> None:
-    """A key whose load runs stays where it is until that ends; after 300 ms nobody starts any of it."""
+def test_the_time_without_an_owner_is_counted_for_each_moved_key(runs: float, step: float) -> None:
+    """A key with an open request stays until that ends; after 300 ms no member starts its requests."""
     fleet = Fleet()
     fleet.run(1500)
-    mine = [k for k in fleet.keys if fleet.up[A].owns(fleet.now, k)]
+    mine = [k for k in fleet.keys if fleet.up[A].ownership_of(fleet.now, k)]
     for k in mine if runs else ():
-        fleet.act(A, fleet.up[A].opened(fleet.now, k, 1))
+        fleet.act(A, fleet.up[A].on_request_opened(fleet.now, k, 1))
     fleet.move(A, D)
     truth, since = list[float](), dict[bytes, float]()
     ends = fleet.now + min(runs, 700.0)
     while fleet.now < 4000.0:
         fleet.run(2.0)
         for k in mine:
-            if not any(p.owns(fleet.now, k) for p in fleet.up.values()):
+            if not any(p.ownership_of(fleet.now, k) for p in fleet.up.values()):
                 since.setdefault(k, fleet.now)
             elif k in since:
                 truth.append(fleet.now - since.pop(k))
         if runs and fleet.now >= ends:
             for k in mine:
-                fleet.act(A, fleet.up[A].ended(fleet.now, k, 1))
+                fleet.act(A, fleet.up[A].on_request_ended(fleet.now, k, 1))
             runs = 0.0
-    gaps = dict(zip((*record_book.GAPS_MS, math.inf), fleet.up[A].gaps, strict=True))
+    gaps = dict(zip((*record_book.HANDOVER_STEPS_MS, math.inf), fleet.up[A].handover_histogram, strict=True))
     assert sum(gaps.values()) == len(mine) and 0 < len(truth) <= len(mine)  # some are over between two looks
     # What is counted is a trip longer than what was seen from outside, and falls into its step or the next.
     longest = max(edge for edge, n in gaps.items() if n)
@@ -134,7 +147,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_dead_movers_pins_are_taken_over_by_the_fence_alone(seed: int) -> None:
+def test_keys_of_a_failed_owner_are_taken_over_after_its_fence(seed: int) -> None:
     fleet = Fleet(seed=seed)
     fleet.loss, fleet.twice = 0.2, 0.2
     fleet.run(2000)
@@ -148,13 +161,13 @@
         fleet.resume(A)
         fleet.run(100)
     assert mine
-    [fleet.owner(k) for k in fleet.keys]  # a home takes over what it is asked for
+    [fleet.owner(k) for k in fleet.keys]  # a home takes over the keys of requests that arrive
     fleet.run(200)
     assert all(fleet.owner(k) in (B, C, D) for k in fleet.keys)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_dead_targets_pins_come_back_or_are_taken_over(seed: int) -> None:
+def test_keys_offered_to_a_failed_target_come_back_or_are_taken_over(seed: int) -> None:
     fleet = Fleet(seed=seed)
     fleet.run(1500)
     mine = fleet.move(A, D)
@@ -169,7 +182,7 @@
 
 
 @pytest.mark.parametrize("at", [0.3, 1, 2, 4, 8, 16])
-def test_power_in_the_middle_and_all_goes_on(at: float) -> None:
+def test_moves_continue_after_a_power_loss_of_all_members(at: float) -> None:
     fleet = Fleet()
     fleet.loss, fleet.twice = 0.2, 0.3
     fleet.run(1500)
@@ -183,37 +196,37 @@
     assert mine and all(fleet.owner(k) for k in fleet.keys)
 
 
-def test_a_load_that_is_open_keeps_the_pin_until_it_ends() -> None:
+def test_an_open_request_delays_the_release_until_it_ends() -> None:
     fleet = Fleet()
     fleet.run(1500)
-    k = next(k for k in fleet.keys if fleet.up[A].owns(fleet.now, k))
-    fleet.act(A, fleet.up[A].opened(fleet.now, k, 1))
+    k = next(k for k in fleet.keys if fleet.up[A].ownership_of(fleet.now, k))
+    fleet.act(A, fleet.up[A].on_request_opened(fleet.now, k, 1))
     fleet.move(A, D)
     fleet.run(100)
     assert fleet.owner(k) == A  # not fenced yet
     fleet.run(800)
     assert fleet.owner(k) == 0  # fenced, and nobody starts
-    fleet.act(A, fleet.up[A].ended(fleet.now, k, 1, known=False))
+    fleet.act(A, fleet.up[A].on_request_ended(fleet.now, k, 1, outcome_known=False))
     fleet.run(300)
-    own = fleet.up[D].take(fleet.now, k)
-    assert isinstance(own, Own) and own.doubt
+    own = fleet.up[D].route(fleet.now, k)
+    assert isinstance(own, OwnedHere) and own.may_have_run
 
 
-def test_taken_back_before_it_is_released() -> None:
+def test_a_move_is_cancelled_before_its_release() -> None:
     fleet = Fleet()
     fleet.run(1500)
-    mine = [k for k in fleet.keys if fleet.up[A].owns(fleet.now, k)]
+    mine = [k for k in fleet.keys if fleet.up[A].ownership_of(fleet.now, k)]
     for k in mine:
-        fleet.act(A, fleet.up[A].opened(fleet.now, k, 1))
+        fleet.act(A, fleet.up[A].on_request_opened(fleet.now, k, 1))
     fleet.move(A, D)
     fleet.run(500)
-    fleet.act(A, fleet.up[A].abort(fleet.now, mine))
+    fleet.act(A, fleet.up[A].cancel_moves(fleet.now, mine))
     fleet.run(500)
     assert all(fleet.owner(k) == A for k in mine)
-    assert [m.done for m in fleet.of(Moved)] == [False] * len(mine)
+    assert [m.is_moved for m in fleet.of(MoveEnded)] == [False] * len(mine)
 
 
-def test_an_emptied_folder_owns_nothing_until_it_was_fenced_and_admitted() -> None:
+def test_a_member_with_an_empty_folder_owns_nothing_until_fenced_and_admitted() -> None:
     fleet = Fleet()
     fleet.run(1500)
     moved = fleet.move(A, D)
@@ -222,7 +235,7 @@
     fleet.whole[D] = False
     fleet.start(D, empty=True)
     fleet.run(2000)
-    assert not any(fleet.up[D].owns(fleet.now, k) for k in fleet.keys)
+    assert not any(fleet.up[D].ownership_of(fleet.now, k) for k in fleet.keys)
     fleet.fence(D)
     fleet.run(2000)
     fleet.fence(D, inside=True)
@@ -232,25 +245,28 @@
     assert moved and {fleet.owner(k) for k in fleet.keys} == {A, B, C, D}
 
 
-def test_pins_go_at_most_so_many_a_second_and_what_is_gone_is_forgotten(
+def test_moves_are_rate_limited_and_old_records_are_purged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(record_book, "PURGE", 20)
-    fleet = Fleet(keys=300, settings=PinSettings(on=True, rate=100.0, window=10))
+    monkeypatch.setattr(record_book, "PURGE_BATCH", 20)
+    fleet = Fleet(
+        keys=300,
+        settings=OwnershipSettings(is_enabled=True, max_moves_per_second=100.0, max_pending_offers=10),
+    )
     fleet.watch = lambda: None
     fleet.run(1500)
     mine = fleet.move(A, D)
     fleet.run(500)
-    assert 30 <= sum(m.done for m in fleet.of(Moved)) <= 60
+    assert 30 <= sum(m.is_moved for m in fleet.of(MoveEnded)) <= 60
     fleet.run(2000)
     back = fleet.move(D, B)
     fleet.run(4000)
     assert len(back) > len(mine) and all(fleet.owner(k) == B for k in back)
-    assert len(fleet.up[D].pins) < len(back)
+    assert len(fleet.up[D].records) < len(back)
 
 
-def test_targets_have_their_part_by_room() -> None:
-    pins = Pins(A, [A, B, C, D], [A, B, C], 0.0, 1, {}, ON)
-    chosen = pins.targets([key(n) for n in range(300)], {B: 2.0, C: 1.0, D: 0.0})
+def test_targets_get_keys_in_proportion_to_their_capacity() -> None:
+    ownership = KeyOwnership(A, [A, B, C, D], [A, B, C], 0.0, 1, {}, ON)
+    chosen = ownership.choose_targets([key(n) for n in range(300)], {B: 2.0, C: 1.0, D: 0.0})
     assert len(chosen) == 300 and D not in chosen.values()
     assert list(chosen.values()).count(C) <= 125
