--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -1,4 +1,4 @@
-"""The table of pins over registers, and pins in service: members in virtual time, with disks and a net."""
+"""The membership table over registers, and session affinity in service, in virtual time with disks and a network."""
 
 from __future__ import annotations
 
@@ -19,9 +19,21 @@
 from cottonhold.fleet.consensus.messages import MAX_VALUE_BYTES
 from cottonhold.fleet.consensus.register import Registers
 from cottonhold.fleet.session_affinity import messages
-from cottonhold.fleet.session_affinity.membership_table import MOST, REMEMBERED, Value, pack, read
-from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own, Pins, PinSettings
-from cottonhold.fleet.session_affinity.service import Around, Going, PinService
+from cottonhold.fleet.session_affinity.membership_table import (
+    MAX_CHANGES,
+    MAX_MEMBERS,
+    MemberList,
+    decode_member_list,
+    encode_member_list,
+)
+from cottonhold.fleet.session_affinity.ownership import (
+    KeyOwnership,
+    OwnedElsewhere,
+    OwnedHere,
+    OwnershipSettings,
+    RetryAfter,
+)
+from cottonhold.fleet.session_affinity.service import DepartureState, SessionAffinityService, Surroundings
 from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.membership.leases import Ask, Word
 from tests.support.member_network import Net
@@ -36,7 +48,7 @@
 
 
 class Member:
-    """Registers and pins of one member, put together as the rim does."""
+    """Registers and session affinity of one member, joined as the adapter does."""
 
     def __init__(self, fleet: Fleet, me: int, life: int, disk: dict[str, bytes]) -> None:
         now, seed = fleet.now, life * 1000 + me
@@ -46,7 +58,7 @@
         self.fleet, self.me, self.next = fleet, me, now
         whole = fleet.whole[me]
         self.registers = Registers(me, fleet.voters, life, life, seed, parts[0] if whole else {})
-        self.service = PinService(me, fleet.voters, now, seed, parts[1])
+        self.service = SessionAffinityService(me, fleet.voters, now, seed, parts[1])
 
     def next_at(self) -> float:
         return min(self.next, self.registers.next_at(), self.service.next_at(self.fleet.now))
@@ -54,9 +66,9 @@
     def step(self, now: float) -> list[Any]:
         self.next = now + 50
         self.registers.set_listeners(self.fleet.live - {self.me})
-        going = self.fleet.going.get(self.me, Going.STAYS)
-        out = frozenset(m for m, g in self.fleet.going.items() if g is Going.OUT)
-        around = Around(self.fleet.whole[self.me], going, frozenset(self.fleet.live), out)
+        going = self.fleet.going.get(self.me, DepartureState.STAYING)
+        out = frozenset(m for m, g in self.fleet.going.items() if g is DepartureState.OUT)
+        around = Surroundings(self.fleet.whole[self.me], going, frozenset(self.fleet.live), out)
         found = self.carry(now, self.registers.step(now))
         return found + self.pins(now, self.service.step(now, around))
 
@@ -79,9 +91,9 @@
                 case OperationOutcome(token, how, version, value):
                     if not self.fleet.lose(self.me):
                         won = ENDS[how] if version >= 0 else None
-                        self.service.outcome(now, token, won, version, value)
+                        self.service.on_outcome(now, token, won, version, value)
                 case RegisterChanged(name, version, value):
-                    self.service.changed(now, name, version, value)
+                    self.service.on_register_changed(now, name, version, value)
                 case _:
                     found.append(a)
         return found
@@ -102,27 +114,27 @@
 
 
 class Fleet(Net):
-    """Members of which the first three vote; nobody's key is ever another's too."""
+    """Members of which the first three vote; no key ever has two owners."""
 
     def __init__(self, members: int = 4, seed: int = 1) -> None:
         self.whole: dict[int, bool | None] = dict.fromkeys(range(101, 101 + members), False)
-        self.voters, self.going = [A, B, C], dict[int, Going]()
+        self.voters, self.going = [A, B, C], dict[int, DepartureState]()
         self.live, self.lost, self.turns = set(self.whole), 0, 0
         super().__init__(list(self.whole), lambda m, life, disk: Member(self, m, life, disk), seed)
         self.watch = self.one_owner
 
     def lose(self, member: int) -> bool:
-        """Whether the end of a change is not heard of."""
+        """Whether the outcome of a change is lost."""
         self.lost -= self.lost > 0
         return self.lost > 0
 
-    def service(self, member: int) -> PinService:
-        found: PinService = self.up[member].service
+    def service(self, member: int) -> SessionAffinityService:
+        found: SessionAffinityService = self.up[member].service
         return found
 
     def left(self, member: int) -> int:
-        """What its swap counts, which already knows where it goes."""
-        return self.service(member).left(self.now, self.going[member])
+        """What its replacement counts, which already knows its state."""
+        return self.service(member).remaining_count(self.now, self.going[member])
 
     def do(self, member: int, actions: Iterable[Any]) -> None:
         self.act(member, self.up[member].pins(self.now, actions))
@@ -132,7 +144,7 @@
         if self.turns % 7:
             return
         for key in KEYS:
-            owners = [m for m in self.up if self.service(m).owns(self.now, key) is not None]
+            owners = [m for m in self.up if self.service(m).ownership_of(self.now, key) is not None]
             assert len(owners) <= 1, (self.now, key, owners)
 
     def born(self) -> Fleet:
@@ -142,35 +154,35 @@
         return self
 
     def inside(self) -> set[int]:
-        """The table, where all that are there agree on it."""
-        found = {frozenset(self.service(m).table.value.inside) for m in self.up}
-        known = {self.service(m).pins.standing.epoch for m in self.up}  # type: ignore[union-attr]
+        """The members in the table, on which all running members agree."""
+        found = {frozenset(self.service(m).table.member_list.members) for m in self.up}
+        known = {self.service(m).ownership.lease.epoch for m in self.up}  # type: ignore[union-attr]
         assert len(found) == len(known) == 1, (found, known)
         return set(next(iter(found)))
 
     def owner(self, key: bytes) -> int:
         at = min(self.up)
         for _ in range(6):
-            found = self.service(at).take(self.now, key)
-            if isinstance(found, Own):
+            found = self.service(at).route(self.now, key)
+            if isinstance(found, OwnedHere):
                 return at
-            if isinstance(found, Back) or found.owner not in self.up:
+            if isinstance(found, RetryAfter) or found.owner not in self.up:
                 return 0
-            assert isinstance(found, Forward)
+            assert isinstance(found, OwnedElsewhere)
             at = found.owner
         return 0
 
     def owners(self) -> set[int]:
-        [self.owner(key) for key in KEYS]  # a home takes over what it is asked for
+        [self.owner(key) for key in KEYS]  # a home takes over the keys of requests that arrive
         self.run(300)
         return {self.owner(key) for key in KEYS}
 
     def churn(self, member: int, times: int) -> None:
-        """It goes out of the table and comes in again."""
+        """The member leaves the table and is admitted again."""
         for _ in range(times):
-            self.going[member] = Going.DRAINS
+            self.going[member] = DepartureState.DRAINING
             self.run(800)
-            self.going[member] = Going.STAYS
+            self.going[member] = DepartureState.STAYING
             self.run(1500)
 
     def die(self, *members: int) -> None:
@@ -184,26 +196,29 @@
         self.start(member, empty=not whole)
 
 
-def test_a_table_has_a_form_that_fits_and_tells_what_was_missed() -> None:
-    value = Value()
+def test_an_encoded_table_fits_a_register_and_holds_the_last_changes() -> None:
+    value = MemberList()
     for n in range(40):
-        value = value.after(1 + n % MOST, n < MOST or n % 3 > 0)
-        assert read(pack(value)) == value and len(pack(value)) <= MAX_VALUE_BYTES
-    assert value.since(value.epoch) == [] and value.since(value.epoch + 1) is None
-    assert value.since(value.epoch - 2) == [
+        value = value.with_change(1 + n % MAX_MEMBERS, n < MAX_MEMBERS or n % 3 > 0)
+        assert (
+            decode_member_list(encode_member_list(value)) == value
+            and len(encode_member_list(value)) <= MAX_VALUE_BYTES
+        )
+    assert value.changes_since(value.epoch) == [] and value.changes_since(value.epoch + 1) is None
+    assert value.changes_since(value.epoch - 2) == [
         (value.epoch - 1, *value.changes[-2]),
         (value.epoch, *value.changes[-1]),
     ]
-    assert value.since(value.epoch - REMEMBERED - 1) is None
-    good = pack(value)
+    assert value.changes_since(value.epoch - MAX_CHANGES - 1) is None
+    good = encode_member_list(value)
     for bad in (good[:3], good[:-1], good + b"\0", good[:-1] + b"\xff"):
         with pytest.raises(WordError):
-            read(bad)
-    assert read(b"") == Value()
+            decode_member_list(bad)
+    assert decode_member_list(b"") == MemberList()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_fleet_is_born_and_each_key_has_an_owner(seed: int) -> None:
+def test_in_a_new_fleet_each_key_gets_an_owner(seed: int) -> None:
     fleet = Fleet(seed=seed)
     fleet.loss, fleet.twice, fleet.lost = 0.1 * seed, 0.1, seed
     fleet.born()
@@ -211,54 +226,54 @@
     assert fleet.owners() == {A, B, C, D}
 
 
-def test_a_swapped_machine_leaves_the_table_before_it_goes_and_owns_nothing() -> None:
+def test_a_replaced_machine_leaves_the_table_and_owns_nothing_before_it_stops() -> None:
     fleet = Fleet().born()
     for member in (D, A):
-        before = [key for key in KEYS if fleet.service(member).owns(fleet.now, key)]
+        before = [key for key in KEYS if fleet.service(member).ownership_of(fleet.now, key)]
         for n, key in enumerate(before):
-            fleet.do(member, fleet.service(member).opened(fleet.now, key, n))
-            fleet.do(member, fleet.service(member).ended(fleet.now, key, n, True))
-        fleet.going[member] = Going.MOVES
+            fleet.do(member, fleet.service(member).on_request_opened(fleet.now, key, n))
+            fleet.do(member, fleet.service(member).on_request_ended(fleet.now, key, n, True))
+        fleet.going[member] = DepartureState.MOVING_KEYS
         fleet.run(100)
         assert fleet.left(member) == len(before) > 0
         room = dict.fromkeys((m for m in fleet.ids if m != member), 1.0)
-        fleet.do(member, fleet.service(member).move(fleet.now, 100, room))
+        fleet.do(member, fleet.service(member).move_keys(fleet.now, 100, room))
         fleet.run(1000)
         assert fleet.left(member) == 0
         assert fleet.service(member).counts["moved"] == len(before)
         assert member not in {fleet.owner(key) for key in before}
-        fleet.going[member] = Going.DRAINS  # which the service itself has not stepped with yet
+        fleet.going[member] = DepartureState.DRAINING  # which the service itself has not stepped with yet
         assert fleet.left(member) == 1 and member in fleet.inside()
-        while member in fleet.service(member).table.value.inside:
+        while member in fleet.service(member).table.member_list.members:
             fleet.run(20)
         assert fleet.left(member) == 1  # the others may not know yet
         fleet.run(1500)
         assert fleet.inside() == set(fleet.ids) - {member}
         assert fleet.left(member) == 0 and fleet.owners() == set(fleet.ids) - {member}
-        fleet.going[member] = Going.OUT
+        fleet.going[member] = DepartureState.OUT
         fleet.die(member)
         fleet.run(1000)
         fleet.come(member, whole=member == A)
         fleet.run(500)
         assert fleet.inside() == set(fleet.ids) - {member}  # its swap still has it out
-        fleet.going[member] = Going.STAYS
+        fleet.going[member] = DepartureState.STAYING
         fleet.run(4000)
         # What has moved stays where it is, so there may be nothing yet for the one that is back.
         assert fleet.inside() == set(fleet.ids) and fleet.owners() >= set(fleet.ids) - {member}
         assert 0 not in fleet.owners()
 
 
-def test_an_emptied_one_is_fenced_and_admitted() -> None:
+def test_a_member_with_an_empty_folder_is_fenced_and_admitted() -> None:
     fleet = Fleet().born()
-    epoch = fleet.service(A).table.value.epoch
+    epoch = fleet.service(A).table.member_list.epoch
     fleet.die(B)
     fleet.come(B, whole=False)
     fleet.run(4000)
-    assert fleet.inside() == set(fleet.ids) and fleet.service(A).table.value.epoch == epoch + 2
+    assert fleet.inside() == set(fleet.ids) and fleet.service(A).table.member_list.epoch == epoch + 2
     assert fleet.owners() == set(fleet.ids)
 
 
-def test_a_dead_one_is_fenced_after_long_and_a_majority_of_voters_stays() -> None:
+def test_a_failed_member_is_fenced_while_a_majority_of_voters_stays() -> None:
     fleet = Fleet().born()
     fleet.die(C)
     fleet.run(4000)
@@ -268,15 +283,15 @@
     fleet.live.discard(B)  # no longer seen by the others, and still there
     fleet.run(12_000)
     assert fleet.inside() == {A, B, D}
-    assert "majority" in fleet.service(D).table.why
+    assert "majority" in fleet.service(D).table.blocked_reason
     fleet.live.add(B)
     fleet.come(C)
     fleet.run(6000)
     assert fleet.inside() == set(fleet.ids) and fleet.owners() == set(fleet.ids)
 
 
-def test_two_that_want_contradicting_changes_settle_one_after_the_other() -> None:
-    """B and D are fenced as dead by A and by themselves come in again, at once, with ends not heard of."""
+def test_contradicting_changes_are_applied_one_after_the_other() -> None:
+    """D is fenced as failed and requests its admission at once, while outcomes of changes are lost."""
     fleet = Fleet().born()
     fleet.live -= {D}
     fleet.run(4900)
@@ -288,7 +303,7 @@
 
 
 @pytest.mark.parametrize("changes", [2, 24])
-def test_one_that_was_away_learns_what_it_missed_or_begins_anew(changes: int) -> None:
+def test_a_member_that_was_cut_off_applies_missed_changes_or_starts_anew(changes: int) -> None:
     fleet = Fleet().born()
     fleet.cut = {frozenset((D, m)) for m in (A, B, C)}
     fleet.live.discard(D)
@@ -297,50 +312,54 @@
     fleet.cut = set()
     fleet.live.add(D)
     fleet.run(8000)
-    assert fleet.service(D).counts["gaps"] == (changes > REMEMBERED)
+    assert fleet.service(D).counts["gaps"] == (changes > MAX_CHANGES)
     assert fleet.inside() == set(fleet.ids) and fleet.owners() == set(fleet.ids)
 
 
-def test_power_and_all_go_on_with_their_folders() -> None:
+def test_all_members_continue_with_their_folders_after_a_power_loss() -> None:
     fleet = Fleet().born()
     fleet.run(3000)
-    epoch = fleet.service(A).table.value.epoch
+    epoch = fleet.service(A).table.member_list.epoch
     fleet.die(*fleet.ids)
     for member in fleet.ids:
         fleet.come(member)
     fleet.run(4000)
-    assert fleet.service(A).table.value.epoch == epoch and fleet.owners() == set(fleet.ids)
+    assert fleet.service(A).table.member_list.epoch == epoch and fleet.owners() == set(fleet.ids)
 
 
-def test_one_that_is_not_judged_yet_sends_loads_to_others_and_owns_nothing() -> None:
+def test_a_member_whose_folder_is_not_checked_yet_forwards_requests_and_owns_nothing() -> None:
     fleet = Fleet().born()
     fleet.die(D)
     fleet.whole[D] = None
     fleet.live.add(D)
     fleet.start(D)
     fleet.run(1000)
-    found = [fleet.service(D).take(fleet.now, key) for key in KEYS]
-    assert {f.owner for f in found if isinstance(f, Forward)} == {A, B, C} and len(found) == len(KEYS)
-    assert not any(fleet.service(D).owns(fleet.now, key) for key in KEYS)
+    found = [fleet.service(D).route(fleet.now, key) for key in KEYS]
+    assert {f.owner for f in found if isinstance(f, OwnedElsewhere)} == {A, B, C} and len(found) == len(KEYS)
+    assert not any(fleet.service(D).ownership_of(fleet.now, key) for key in KEYS)
     fleet.whole[D] = True
     fleet.run(2000)
     assert fleet.owners() == set(fleet.ids)
 
 
-def test_a_folder_found_old_later_begins_anew() -> None:
+def test_a_member_whose_folder_is_found_out_of_date_starts_anew() -> None:
     fleet = Fleet().born()
     fleet.run(200)
     fleet.whole[D] = False
     fleet.run(4000)
-    assert fleet.service(D).counts["gaps"] == 1 and fleet.service(D).began == 2
+    assert fleet.service(D).counts["gaps"] == 1 and fleet.service(D).start_count == 2
     assert fleet.inside() == set(fleet.ids) and fleet.owners() == set(fleet.ids)
 
 
 @pytest.mark.parametrize(("epoch", "granted"), [(3, False), (20, False), (21, True)])
-def test_a_voter_that_forgot_whom_it_refused_goes_by_its_table(epoch: int, granted: bool) -> None:
+def test_a_voter_that_lost_its_refusals_refuses_by_its_table(epoch: int, granted: bool) -> None:
     """C was fenced, and admitted with epoch 21 as far as C knows. B has lost its folder since."""
-    pins = Pins(B, {A, D}, [A, B, C], 0.0, 1, {}, PinSettings(on=True), whole=False, epoch=19)
+    pins = KeyOwnership(
+        B, {A, D}, [A, B, C], 0.0, 1, {}, OwnershipSettings(is_enabled=True), has_full_memory=False, epoch=19
+    )
     pins.admit(0.0, B, 20)
-    said = pins.on_message(2000.0, C, messages.pack_lease(Ask(C, 7), epoch))
-    words = [messages.read_lease(a.payload)[0] for a in said if isinstance(a, SendMessage) and a.member == C]
+    said = pins.on_message(2000.0, C, messages.encode_lease(Ask(C, 7), epoch))
+    words = [
+        messages.decode_lease(a.payload)[0] for a in said if isinstance(a, SendMessage) and a.member == C
+    ]
     assert [w.granted for w in words if isinstance(w, Word)] == [granted]
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -18,7 +18,7 @@
     read_request,
     read_rows,
 )
-from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
+from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
 from cottonhold.node.gateway import Gateway, Past, Taken
@@ -28,7 +28,7 @@
 from tests.support.scenario import FakeClock
 
 ME, X, Y = 11, 12, 13
-OWN = Own(1, 1e9)
+OWN = OwnedHere(1, 1e9)
 
 
 class Loads:
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         self.clock, self.loads = FakeClock(), Loads()
-        self.found: Own | Forward | Back = OWN
+        self.found: OwnedHere | OwnedElsewhere | RetryAfter = OWN
         self.handed: list[tuple[str, int]] = []
         self.heard: list[tuple[str, str]] = []
         self.rounds: list[int] = []
@@ -66,11 +66,11 @@
         self.table = {ME, X, Y}
         self.guard = Pinned(self.loads, self, cast(Gateway, self), self.clock, Counters())
 
-    def take(self, key: bytes) -> Own | Forward | Back:
+    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
         return self.found
 
     def owns(self, key: bytes) -> bool:
-        return isinstance(self.found, Own)
+        return isinstance(self.found, OwnedHere)
 
     def inside(self, member: int) -> bool:
         return member in self.table
@@ -121,7 +121,7 @@
 def test_its_own_begins_here_and_without_a_key_nobody_is_asked() -> None:
     world = World()
     world.come("a")
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.come("b", key=None)
     assert world.heard == [("a", "never"), ("b", "never")] and world.events == [("opened", 1)]
 
@@ -145,7 +145,7 @@
     world.come("a")
     world.come("b")
     _, kept = world.send("a")
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.loads.kept[0](True)
     _, other = world.send("b")
     assert kept == other == [False] and len(world.loads.kept) == 1
@@ -157,14 +157,14 @@
     world.come("a")
     world.come("b")
     world.send("b")
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.later(10)
     assert world.heard[2:] == [("a", "refused")]
 
 
 def test_a_key_without_an_owner_is_waited_for_in_order_and_not_for_good() -> None:
     world = World()
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     for ref in "abc":
         world.come(ref)
     world.later(500)
@@ -175,7 +175,7 @@
     assert world.heard == [("a", "never"), ("c", "never")]
     world.guard.closed("a")
     world.guard.closed("c")
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.come("d")
     world.later(WAIT_MS)
     assert world.heard[2:] == [("d", "later")]
@@ -183,7 +183,7 @@
 
 def test_one_that_is_anothers_is_handed_on_and_its_end_told() -> None:
     world = World()
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     for ref in "abc":
         world.come(ref)
     assert world.handed == [("a", X), ("b", X), ("c", X)]
@@ -197,7 +197,7 @@
 
 def test_a_moved_one_goes_where_its_home_says_and_later_ones_go_there_at_once() -> None:
     world = World()
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.come("a")
     world.back_with("a", End.MOVED, Y.to_bytes(8, "big"))
     world.come("b")
@@ -214,7 +214,7 @@
 
 def test_none_overtakes_one_that_is_with_an_owner_of_before() -> None:
     world = World()
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.come("a")
     world.found = OWN
     world.come("b")
@@ -227,7 +227,7 @@
 
 def test_two_that_take_each_other_for_the_owner_pause() -> None:
     world = World()
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.come("a")
     for _ in range(20):
         world.back_with("a", End.MOVED, X.to_bytes(8, "big"))
@@ -239,10 +239,10 @@
 def test_one_that_was_handed_on_to_here_is_sent_back_with_the_owners_name() -> None:
     world = World()
     world.guard.remote |= {"a": (Y, 1), "b": (Y, 2), "c": (Y, 2)}
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.come("a")
     assert world.heard == [("a", "later")] and world.guard.moved == {"a": X}
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.come("b")
     world.come("c")
     world.later(GUEST_MS / 2)
@@ -255,7 +255,7 @@
     """Both were handed on before their origin heard of it; of the next round all begin."""
     world = World()
     world.guard.remote |= {"a": (Y, 1), "b": (Y, 1), "c": (Y, 1), "d": (Y, 2), "e": (X, 1)}
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.come("a")
     world.come("b")
     world.later(GUEST_MS)
