--- a/cottonhold/fleet/consensus/acceptor.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -23,7 +23,7 @@
     RegisterPage,
 )
 from cottonhold.fleet.consensus.voter_recovery import RecoveredMemory, VoterRecovery
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 
 VOTER_RECORD, REGISTER_RECORD_PREFIX = "voter", "reg/"  # names of records
 MAX_PROPOSER_ID = 2**64 - 1
@@ -44,7 +44,7 @@
 
 
 def decode_register(data: bytes) -> VoterRegister:
-    """Decode a register's record. Raises WordError."""
+    """Decode a register's record. Raises MessageError."""
     reader = messages.MessageReader(data)
     register = VoterRegister(reader.read_ballot(), reader.read_state())
     reader.expect_end()
@@ -63,7 +63,7 @@
     """One voter.
 
     folder_id: drawn anew, and used if the folder is empty. records: of the previous start, by name. Raises
-    WordError if they are unusable.
+    MessageError if they are unusable.
     """
 
     def __init__(
@@ -139,7 +139,7 @@
             self.is_voting = True
 
     def on_message(self, sender: int, payload: bytes) -> None:
-        """Apply a message for a voter. Raises WordError if it is malformed."""
+        """Apply a message for a voter. Raises MessageError if it is malformed."""
         kind = payload[0]
         if kind in (messages.PREPARE, messages.ACCEPT, messages.FORGET):
             message = messages.decode_message(payload)
@@ -371,7 +371,7 @@
         epochs = list(reader.read_counted_bytes(messages.MAX_VOTERS))
         # Epochs are stored by position, so they cannot be assigned if the list of voters was changed.
         if len(epochs) != len(self.voters):
-            raise WordError("voters have changed")
+            raise MessageError("voters have changed")
         self.recovery.folder_id = folder_id
         self.is_voting = bool(is_voting)
         self.epochs = epochs
--- a/cottonhold/fleet/consensus/messages.py
+++ b/cottonhold/fleet/consensus/messages.py
@@ -11,7 +11,7 @@
 import struct
 from dataclasses import dataclass
 
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
 PREPARE, PROMISE, ACCEPT, ACCEPTED, REFUSED, CHOSEN, FORGET = range(64, 71)
 HELLO, HELLO_REPLY, PAGE_REQUEST, REGISTER_PAGE = range(71, 75)
@@ -124,7 +124,7 @@
 
 
 class MessageReader:
-    """Reads a message from the front. Its methods raise WordError if the message is truncated or invalid."""
+    """Reads a message from the front. Its methods raise MessageError if it is truncated or invalid."""
 
     def __init__(self, data: bytes, position: int = 0) -> None:
         self.data, self.position = data, position
@@ -134,7 +134,7 @@
         try:
             fields = struct_format.unpack_from(self.data, self.position)
         except struct.error:
-            raise WordError("truncated") from None
+            raise MessageError("truncated") from None
         self.position += struct_format.size
         return fields
 
@@ -143,7 +143,7 @@
         (size,) = self.read_struct(BYTE_FORMAT)
         content = self.data[self.position : self.position + size]
         if size > max_bytes or len(content) != size:
-            raise WordError("length")
+            raise MessageError("length")
         self.position += size
         return content
 
@@ -152,13 +152,13 @@
         try:
             return self.read_counted_bytes(MAX_NAME_BYTES).decode()
         except UnicodeDecodeError:
-            raise WordError("name") from None
+            raise MessageError("name") from None
 
     def read_ballot(self) -> Ballot:
         """Read a ballot."""
         number, proposer_id = self.read_struct(BALLOT_FORMAT)
         if number > MAX_BALLOT_NUMBER:
-            raise WordError("ballot")
+            raise MessageError("ballot")
         return Ballot(number, proposer_id)
 
     def read_state(self) -> AcceptedState:
@@ -171,13 +171,13 @@
         """Read folder ids that follow their count."""
         (count,) = self.read_struct(BYTE_FORMAT)
         if count > MAX_VOTERS:
-            raise WordError("voters")
+            raise MessageError("voters")
         return tuple(self.read_struct(UINT64_FORMAT)[0] for _ in range(count))
 
     def expect_end(self) -> None:
         """Check that nothing follows."""
         if self.position != len(self.data):
-            raise WordError("too long")
+            raise MessageError("too long")
 
 
 def encode_message(message: RegisterMessage) -> bytes:
@@ -190,14 +190,14 @@
         data += encode_ballot(message.state.ballot)
     if message.kind in KINDS_WITH_EPOCHS:
         data += bytes((len(message.epochs), *message.epochs))
-    assert len(data) <= ROOM
+    assert len(data) <= MAX_MESSAGE_BYTES
     return data
 
 
 def decode_message(data: bytes) -> RegisterMessage:
-    """Decode a message about a register. Raises WordError."""
+    """Decode a message about a register. Raises MessageError."""
     if not data or not PREPARE <= data[0] <= FORGET:
-        raise WordError("kind")
+        raise MessageError("kind")
     reader = MessageReader(data, 1)
     kind, name, ballot = data[0], reader.read_name(), reader.read_ballot()
     state, epochs = AcceptedState(), b""
@@ -209,7 +209,7 @@
         epochs = reader.read_counted_bytes(MAX_VOTERS)
     reader.expect_end()
     if not name:
-        raise WordError("no name")
+        raise MessageError("no name")
     return RegisterMessage(kind, name, ballot, state, tuple(epochs))
 
 
@@ -221,7 +221,7 @@
 
 
 def decode_recovery_request(data: bytes) -> RecoveryRequest:
-    """Decode a HELLO or PAGE_REQUEST. Raises WordError."""
+    """Decode a HELLO or PAGE_REQUEST. Raises MessageError."""
     reader = MessageReader(data, 1)
     request = RecoveryRequest(data[0], *reader.read_struct(RECOVERY_REQUEST_FORMAT))
     reader.expect_end()
@@ -237,7 +237,7 @@
 
 
 def decode_hello_reply(data: bytes) -> HelloReply:
-    """Decode an answer to HELLO. Raises WordError."""
+    """Decode an answer to HELLO. Raises MessageError."""
     reader = MessageReader(data, 1)
     folder_id, round_, is_voting = reader.read_struct(HELLO_REPLY_FORMAT)
     epochs = tuple(reader.read_counted_bytes(MAX_VOTERS))
@@ -257,7 +257,7 @@
 
 
 def decode_register_page(data: bytes) -> RegisterPage:
-    """Decode an answer to PAGE_REQUEST. Raises WordError."""
+    """Decode an answer to PAGE_REQUEST. Raises MessageError."""
     reader = MessageReader(data, 1)
     round_, epoch, page_index, page_count, ballot_floor = reader.read_struct(REGISTER_PAGE_FORMAT)
     name, promised, state = reader.read_name(), reader.read_ballot(), reader.read_state()
--- a/cottonhold/fleet/consensus/register.py
+++ b/cottonhold/fleet/consensus/register.py
@@ -30,7 +30,7 @@
 from cottonhold.fleet.consensus.messages import AcceptedState, Ballot
 from cottonhold.fleet.consensus.proposer import Proposer
 from cottonhold.fleet.consensus.settings import RegisterSettings
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 
 UINT64_MASK = 2**64 - 1
 INTERNAL_READ_TOKEN = 0  # of reads that a voter begins by itself; their outcome is ignored
@@ -160,10 +160,10 @@
             if kind in (messages.PROMISE, messages.ACCEPTED, messages.REFUSED, messages.CHOSEN):
                 self.proposer.on_message(now, sender, messages.decode_message(payload))
             elif not messages.PREPARE <= kind <= messages.REGISTER_PAGE:
-                raise WordError("kind")
+                raise MessageError("kind")
             elif self.acceptor is not None:
                 self.acceptor.on_message(sender, payload)
-        except WordError:
+        except MessageError:
             self.counts["malformed"] += 1
 
     def _drain_actions(self, now: float) -> list[Action]:
--- a/cottonhold/fleet/request_forwarding/request_codec.py
+++ b/cottonhold/fleet/request_forwarding/request_codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 
 HEAD = struct.Struct("!BddiQ")  # flags, effort, room, tables, round
 SIZE = struct.Struct("!H")
@@ -48,7 +48,7 @@
 
 
 def read_request(data: bytes) -> Handed:
-    """The meaning of a request. Raises WordError."""
+    """The meaning of a request. Raises MessageError."""
     try:
         flags, effort, room, tables, round_ = HEAD.unpack_from(data)
         at, texts = HEAD.size, list[str]()
@@ -56,12 +56,12 @@
             (size,) = SIZE.unpack_from(data, at)
             at += SIZE.size + size
             if at > len(data):
-                raise WordError("truncated")
+                raise MessageError("truncated")
             texts.append(data[at - size : at].decode())
     except (struct.error, UnicodeDecodeError):
-        raise WordError("request") from None
+        raise MessageError("request") from None
     if not (0.0 <= effort < 1e12 and 0.0 <= room < 1e12) or flags > RETRY | NAMED or not all(texts[:3]):
-        raise WordError("request")
+        raise MessageError("request")
     ref, service, key, *named = texts
     tenant, token = named or ("", "")
     retry = bool(flags & RETRY)
@@ -78,7 +78,7 @@
 
 
 def read_rows(data: bytes) -> list[list[bytes]]:
-    """The meaning of rows. Raises WordError."""
+    """The meaning of rows. Raises MessageError."""
     at, rows = SIZE.size, list[list[bytes]]()
     try:
         for _ in range(SIZE.unpack_from(data)[0]):
@@ -90,7 +90,7 @@
                 row.append(data[at - size : at])
             rows.append(row)
     except struct.error:
-        raise WordError("rows") from None
+        raise MessageError("rows") from None
     if at != len(data):
-        raise WordError("rows")
+        raise MessageError("rows")
     return rows
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -24,8 +24,8 @@
 from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
 from cottonhold.fleet.consensus.messages import MAX_VALUE_BYTES
 from cottonhold.fleet.consensus.register_cache import RegisterCache
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.rolling_replacement.machine_driver import order_of
-from cottonhold.fleet.zone_failover.messages import WordError
 
 TABLE_REGISTER = "pins"  # name of the register
 HEAD_FORMAT = struct.Struct("!IBBH")  # epoch, listed members, changes, bit mask of those in the table
@@ -112,21 +112,21 @@
 
 
 def decode_member_list(data: bytes) -> MemberList:
-    """Decode the register's value; an empty one is the initial table. Raises WordError."""
+    """Decode the register's value; an empty one is the initial table. Raises MessageError."""
     if not data:
         return MemberList()
     if len(data) < HEAD_FORMAT.size:
-        raise WordError("truncated")
+        raise MessageError("truncated")
     epoch, member_count, change_count, mask = HEAD_FORMAT.unpack_from(data)
     changes_start = HEAD_FORMAT.size + member_count * MEMBER_FORMAT.size
     ids, encoded_changes = data[HEAD_FORMAT.size : changes_start], data[changes_start:]
     if len(ids) != member_count * MEMBER_FORMAT.size or len(encoded_changes) != change_count:
-        raise WordError("length")
+        raise MessageError("length")
     if change_count > epoch:
-        raise WordError("length")
+        raise MessageError("length")
     listed = [member for (member,) in MEMBER_FORMAT.iter_unpack(ids)]
     if mask >> member_count or any(byte >> 1 >= member_count for byte in encoded_changes):
-        raise WordError("member")
+        raise MessageError("member")
     members = frozenset(member for i, member in enumerate(listed) if mask >> i & 1)
     changes = tuple(TableChange(listed[byte >> 1], bool(byte & 1)) for byte in encoded_changes)
     return MemberList(epoch, members, changes)
@@ -194,7 +194,7 @@
         register = self.registers.received(TABLE_REGISTER)
         try:
             self.member_list = decode_member_list(register.value if register is not None else b"")
-        except WordError:
+        except MessageError:
             self.malformed_count += 1
             self.is_known = False
         self.next_step_at = now
--- a/cottonhold/fleet/session_affinity/messages.py
+++ b/cottonhold/fleet/session_affinity/messages.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.membership import leases
 
 MIGRATION, LEASE, REFUSE, ANNOUNCED = 75, 76, 77, 78
@@ -24,7 +24,7 @@
 REQUEST, ANSWER, RELEASE_REQUEST = 0, 1, 2  # second byte of LEASE
 GRANTED_WAIT = -1.0
 MAX_WAIT_MS = 1e9
-MAX_ENTRIES = (ROOM - HEAD_FORMAT.size) // ENTRY_FORMAT.size
+MAX_ENTRIES = (MAX_MESSAGE_BYTES - HEAD_FORMAT.size) // ENTRY_FORMAT.size
 
 
 class EntryKind(IntEnum):
@@ -66,15 +66,15 @@
 
 
 def decode_entries(data: bytes) -> tuple[EntryKind, list[MigrationEntry]]:
-    """Decode entries. Raises WordError, and then none of them counts."""
+    """Decode entries. Raises MessageError, and then none of them counts."""
     if len(data) < HEAD_FORMAT.size or data[0] != MIGRATION:
-        raise WordError("batch")
+        raise MessageError("batch")
     if len(data) != HEAD_FORMAT.size + data[2] * ENTRY_FORMAT.size:
-        raise WordError("batch")
+        raise MessageError("batch")
     try:
         kind = EntryKind(data[1])
     except ValueError:
-        raise WordError("step") from None
+        raise MessageError("step") from None
     rows = ENTRY_FORMAT.iter_unpack(data[HEAD_FORMAT.size :])
     return kind, [MigrationEntry(key, epoch, flags) for key, epoch, flags in rows]
 
@@ -89,13 +89,13 @@
 
 
 def decode_lease(data: bytes) -> tuple[leases.Ask | leases.Word, int]:
-    """Decode a lease request or answer, and the sender's epoch. Raises WordError."""
+    """Decode a lease request or answer, and the sender's epoch. Raises MessageError."""
     if len(data) != LEASE_FORMAT.size or data[0] != LEASE or data[1] > RELEASE_REQUEST:
-        raise WordError("lease")
+        raise MessageError("lease")
     _, kind, duty, term, epoch, wait_ms = LEASE_FORMAT.unpack(data)
     if kind == ANSWER:
         if not wait_ms < MAX_WAIT_MS:  # also refuses a value that is not a number
-            raise WordError("wait")
+            raise MessageError("wait")
         return leases.Word(duty, term, wait_ms < 0, max(wait_ms, 0.0)), epoch
     return leases.Ask(duty, term, kind == RELEASE_REQUEST), epoch
 
@@ -106,8 +106,8 @@
 
 
 def decode_notice(data: bytes) -> tuple[bool, int, int]:
-    """Decode whether it is an answer, the member and the epoch. Raises WordError."""
+    """Decode whether it is an answer, the member and the epoch. Raises MessageError."""
     if len(data) != NOTICE_FORMAT.size or data[1] > 1:
-        raise WordError("short")
+        raise MessageError("short")
     _, is_answer, member, epoch = NOTICE_FORMAT.unpack(data)
     return bool(is_answer), member, epoch
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -29,6 +29,7 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.announcements import Announcements
 from cottonhold.fleet.session_affinity.messages import TENTATIVE, EntryKind, MigrationEntry
@@ -44,7 +45,6 @@
     OwnershipState,
     RetryAfter,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.membership.rendezvous import score
 
 __all__ = [
@@ -225,8 +225,8 @@
                 is_answer, _, epoch = messages.decode_notice(payload)
                 self._on_announced(sender, is_answer, epoch)
             else:
-                raise WordError("kind")
-        except WordError:
+                raise MessageError("kind")
+        except MessageError:
             self.counts["malformed"] += 1
         return self._drain_actions(now)
 
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -14,16 +14,16 @@
 from typing import Protocol
 
 from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.forwarder import End, Ended
 from cottonhold.fleet.request_forwarding.request_codec import pin_key, read_rows
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.load_records import NEVER_RAN
 from cottonhold.node.clock import Clock
 from cottonhold.node.gateway import Gateway, LoadGuard, Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 
 KNOWN_ENDS = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other end a load may run on
 WAIT_MS = 2000.0  # so long a request waits here for its key to have an owner: longer than a fence takes
@@ -199,7 +199,7 @@
         if ended.end is End.SERVED:
             try:
                 rows = read_rows(ended.data)
-            except WordError:
+            except MessageError:
                 held.settled(Past.MAY, 0.0)
                 return
             self.gateway.end(ended.ref, "served", lambda client: client.served(rows))
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -14,6 +14,7 @@
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.consensus.actions import ChangeRegister, PersistState, ReadRegister, SendMessage
 from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery.membership_survey import Census
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet.request_forwarding import forwarder
@@ -31,7 +32,6 @@
     SessionAffinityService,
     Surroundings,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.keyed_loads import WAITS_MS, Pinned
 from cottonhold.fleet_adapters.recovery import life_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
@@ -186,7 +186,7 @@
         now, place = self.clock.now(), (action.origin, action.number)
         try:
             asked = read_request(action.body)
-        except WordError:
+        except MessageError:
             self.counters.add("pins_malformed")
             self._hands(self.handing.answered(now, *place, End.REFUSED))
             return
--- a/tests/fleet/test_register.py
+++ b/tests/fleet/test_register.py
@@ -13,7 +13,7 @@
 from cottonhold.fleet.consensus.messages import AcceptedState, Ballot, RegisterMessage
 from cottonhold.fleet.consensus.register import Registers
 from cottonhold.fleet.consensus.settings import RegisterSettings
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.message_format import MessageError
 from tests.support.member_network import Net
 
 SETTINGS = RegisterSettings()
@@ -180,5 +180,5 @@
     )
     data = messages.encode_message(message)
     assert messages.decode_message(data) == message
-    with pytest.raises(WordError):
+    with pytest.raises(MessageError):
         messages.decode_message(data[:-1])
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -1,4 +1,4 @@
-"""The membership table over registers, and session affinity in service, in virtual time with disks and a network."""
+"""The membership table and session affinity in service, in virtual time with disks and a network."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 )
 from cottonhold.fleet.consensus.messages import MAX_VALUE_BYTES
 from cottonhold.fleet.consensus.register import Registers
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.membership_table import (
     MAX_CHANGES,
@@ -34,7 +35,6 @@
     RetryAfter,
 )
 from cottonhold.fleet.session_affinity.service import DepartureState, SessionAffinityService, Surroundings
-from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.membership.leases import Ask, Word
 from tests.support.member_network import Net
 
@@ -212,7 +212,7 @@
     assert value.changes_since(value.epoch - MAX_CHANGES - 1) is None
     good = encode_member_list(value)
     for bad in (good[:3], good[:-1], good + b"\0", good[:-1] + b"\xff"):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             decode_member_list(bad)
     assert decode_member_list(b"") == MemberList()
 
