--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -71,7 +71,7 @@
 
 
 def read_word(data: bytes) -> DrainWord:
-    """A word's meaning. Raises WordError."""
+    """A word's meaning. Raises MessageError."""
     try:
         kind, member, life, version, count = HEAD.unpack_from(data)
     except struct.error:
--- a/cottonhold/fleet/request_forwarding/fragmentation.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -62,7 +62,7 @@
         return bool(self.again) or self.next < self.count
 
     def ack(self, bits: int) -> None:
-        """These parts have arrived. Raises WordError where one of them was never sent."""
+        """These parts have arrived. Raises MessageError where one of them was never sent."""
         if bits >> self.next:
             raise MessageError("a part that was not sent")
         self.acked |= bits
@@ -177,14 +177,14 @@
         self.bits = 0
 
     def put(self, size: int, index: int, data: bytes) -> bool:
-        """A part; whether all are there. Raises WordError where it contradicts an earlier one."""
+        """A part; whether all are there. Raises MessageError where it contradicts an earlier one."""
         self.check(size, index, data)
         self.parts[index] = data
         self.bits |= 1 << index
         return len(self.parts) == self.count
 
     def check(self, size: int, index: int, data: bytes) -> None:
-        """Raises WordError where a part contradicts an earlier one."""
+        """Raises MessageError where a part contradicts an earlier one."""
         if size != self.size or self.parts.get(index, data) != data:
             raise MessageError("contradicts an earlier part")
 
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -166,7 +166,7 @@
 
 
 def pack(word: Word) -> bytes:
-    """A word's bytes, ROOM at most."""
+    """A word's bytes, MAX_MESSAGE_BYTES at most."""
     match word:
         case Part():
             return pack_head(PART, word.head) + PARTED.pack(word.index, word.size) + word.data
@@ -187,7 +187,7 @@
 
 
 def read(data: bytes) -> Word:
-    """The meaning of a word. Raises WordError."""
+    """The meaning of a word. Raises MessageError."""
     if len(data) < 2 or data[0] != HAND or data[1] not in READERS or len(data) > MAX_MESSAGE_BYTES:
         raise MessageError("kind")
     try:
--- a/cottonhold/fleet/request_forwarding/request_codec.py
+++ b/cottonhold/fleet/request_forwarding/request_codec.py
@@ -48,7 +48,7 @@
 
 
 def read_request(data: bytes) -> Handed:
-    """The meaning of a request. Raises WordError."""
+    """The meaning of a request. Raises MessageError."""
     try:
         flags, effort, room, tables, round_ = HEAD.unpack_from(data)
         at, texts = HEAD.size, list[str]()
@@ -78,7 +78,7 @@
 
 
 def read_rows(data: bytes) -> list[list[bytes]]:
-    """The meaning of rows. Raises WordError."""
+    """The meaning of rows. Raises MessageError."""
     at, rows = SIZE.size, list[list[bytes]]()
     try:
         for _ in range(SIZE.unpack_from(data)[0]):
