--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -326,7 +326,7 @@
 
 @lru_cache(64)
 def read_whole(data: bytes) -> Whole:
-    """Its meaning; nothing is one that was never set. Raises WordError."""
+    """Its meaning; nothing is one that was never set. Raises MessageError."""
     if not data:
         return Whole()
     try:
@@ -351,7 +351,7 @@
 
 @lru_cache(1024)
 def read_record(data: bytes) -> Record | None:
-    """Its meaning; nothing if it was never set. Raises WordError."""
+    """Its meaning; nothing if it was never set. Raises MessageError."""
     if not data:
         return None
     try:
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -19,7 +19,8 @@
 from cottonhold.fleet.admission import loads
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.consensus import acceptor, messages
-from cottonhold.fleet.consensus.messages import Ballot, Keep, State
+from cottonhold.fleet.consensus.actions import PersistState
+from cottonhold.fleet.consensus.messages import AcceptedState, Ballot
 from cottonhold.fleet.failover_cost import messages as site_messages
 from cottonhold.fleet.recovery import cached_engines, warmup_messages
 from cottonhold.fleet.recovery import messages as recovery_messages
@@ -27,9 +28,9 @@
 from cottonhold.fleet.request_forwarding import request_codec
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.session_affinity import membership_table
-from cottonhold.fleet.session_affinity import messages as pin_messages
-from cottonhold.fleet.session_affinity.membership_lease import Standing
-from cottonhold.fleet.session_affinity.ownership import Pins, PinSettings
+from cottonhold.fleet.session_affinity import messages as affinity_messages
+from cottonhold.fleet.session_affinity.membership_lease import MembershipLease
+from cottonhold.fleet.session_affinity.ownership import KeyOwnership, OwnershipSettings
 from cottonhold.fleet.zone_failover import messages as zone_messages
 from cottonhold.fleet.zone_failover import operator_overrides, quota_lending
 from cottonhold.fleet_adapters import membership as membership_adapter
@@ -47,7 +48,7 @@
 
 MEMBER, LIFE, VERSION = 0x0102030405060708, 0x80000011, 0x22
 BALLOT = Ballot(7, 0x1122334455667788)
-STATE = State(Ballot(6, 0x99), 5, b"a value", (0xAA, 3))
+STATE = AcceptedState(Ballot(6, 0x99), 5, b"a value", (0xAA, 3))
 IDENTITY = bytes(range(16))
 HEAD = forwarding.Head(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
 KEYS = Keys({3: b"a shared key"}, 3)
@@ -147,15 +148,15 @@
 
 def register_message(kind: int, epochs: tuple[int, ...] = ()) -> bytes:
     """A message about a register."""
-    return messages.pack_message(messages.Message(kind, "swap/n1", BALLOT, STATE, epochs))
+    return messages.encode_message(messages.RegisterMessage(kind, "swap/n1", BALLOT, STATE, epochs))
 
 
 def affinity_table() -> bytes:
     """The table of members after some changes."""
-    value = membership_table.Value()
-    for member, inside in ((MEMBER, True), (2, True), (3, True), (2, False)):
-        value = value.after(member, inside)
-    return membership_table.pack(value)
+    table = membership_table.MemberList()
+    for member, is_admitted in ((MEMBER, True), (2, True), (3, True), (2, False)):
+        table = table.with_change(member, is_admitted)
+    return membership_table.encode_member_list(table)
 
 
 def drain_word() -> bytes:
@@ -223,28 +224,29 @@
 
 def kept(actions: list[object]) -> bytes:
     """Names and values of what is to be made durable."""
-    return b"".join(a.name.encode() + b"=" + a.data + b";" for a in actions if isinstance(a, Keep))
+    return b"".join(a.name.encode() + b"=" + a.data + b";" for a in actions if isinstance(a, PersistState))
 
 
 def voter_records() -> bytes:
     """What a voter keeps of itself when its folder is empty, and of a promise."""
     voter = acceptor.Acceptor(1, [1, 2, 3], 0x5566, {}, 10, 100.0)
     voter.step(0.0)
-    return kept(list(voter.take())) + acceptor.pack_register(acceptor.Register(BALLOT, STATE))
+    return kept(list(voter.take_actions())) + acceptor.encode_register(acceptor.VoterRegister(BALLOT, STATE))
 
 
 def standing_record() -> bytes:
     """The affinity table as a member keeps it."""
-    standing = Standing(2, [1, 2, 3], [1, 2, 3], 0.0, 1, {}, True, PinSettings().lease, 4, [9])
-    return standing.keep(5).data
+    settings = OwnershipSettings().lease
+    lease = MembershipLease(2, [1, 2, 3], [1, 2, 3], 0.0, 1, {}, True, settings, 4, [9])
+    return lease.persist(5).data
 
 
 def pin_records() -> bytes:
-    """A pin that moves from one member to another, as both keep it at each step."""
+    """A key that moves from one member to another, as both keep it at each step."""
     found = dict[bytes, None]()
 
-    def make(member: int, life: int, disk: dict[str, bytes]) -> Pins:
-        return Pins(member, [1, 2], [1], 0.0, life, disk, PinSettings(on=True), True)
+    def make(member: int, life: int, disk: dict[str, bytes]) -> KeyOwnership:
+        return KeyOwnership(member, [1, 2], [1], 0.0, life, disk, OwnershipSettings(is_enabled=True), True)
 
     def watch() -> None:
         for disk in net.disks.values():
@@ -316,28 +318,36 @@
     "register refused": lambda: register_message(messages.REFUSED),
     "register chosen": lambda: register_message(messages.CHOSEN),
     "register forget": lambda: register_message(messages.FORGET),
-    "register hello": lambda: messages.pack_asked(messages.Asked(messages.HELLO, 0x99, 3)),
-    "register recall": lambda: messages.pack_asked(messages.Asked(messages.RECALL, 0x99, 3, 2, 1)),
-    "register greeting": lambda: messages.pack_greeting(messages.Greeting(0x99, 3, True, (1, 0), (5, 6))),
-    "register recalled": lambda: messages.pack_recalled(
-        messages.Recalled(3, 2, 1, 4, 8, "swap", BALLOT, STATE, (1, 0, 2))
+    "register hello": lambda: messages.encode_recovery_request(
+        messages.RecoveryRequest(messages.HELLO, 0x99, 3)
+    ),
+    "register recall": lambda: messages.encode_recovery_request(
+        messages.RecoveryRequest(messages.PAGE_REQUEST, 0x99, 3, 2, 1)
+    ),
+    "register greeting": lambda: messages.encode_hello_reply(
+        messages.HelloReply(0x99, 3, True, (1, 0), (5, 6))
+    ),
+    "register recalled": lambda: messages.encode_register_page(
+        messages.RegisterPage(3, 2, 1, 4, 8, "swap", BALLOT, STATE, (1, 0, 2))
     ),
     **{
-        f"pins step {int(step)}": lambda step=step: pin_messages.pack_batch(  # type: ignore[misc]
+        f"pins step {int(step)}": lambda step=step: affinity_messages.encode_entries(  # type: ignore[misc]
             step,
             [
-                pin_messages.Entry(b"12345678", 9, pin_messages.DOUBT | pin_messages.GONE),
-                pin_messages.Entry(b"abcdefgh", 10, pin_messages.TENTATIVE),
+                affinity_messages.MigrationEntry(
+                    b"12345678", 9, affinity_messages.MAY_HAVE_RUN | affinity_messages.TARGET_REMOVED
+                ),
+                affinity_messages.MigrationEntry(b"abcdefgh", 10, affinity_messages.TENTATIVE),
             ],
         )
-        for step in pin_messages.Step
+        for step in affinity_messages.EntryKind
     },
-    "pins lease ask": lambda: pin_messages.pack_lease(membership_leases.Ask(3, 4), 5),
-    "pins lease release": lambda: pin_messages.pack_lease(membership_leases.Ask(3, 4, True), 5),
-    "pins lease grant": lambda: pin_messages.pack_lease(membership_leases.Word(3, 4, True), 5),
-    "pins lease deny": lambda: pin_messages.pack_lease(membership_leases.Word(3, 4, False, 12.5), 5),
-    "pins refuse": lambda: pin_messages.pack_short(pin_messages.REFUSE, False, MEMBER, 7),
-    "pins done answer": lambda: pin_messages.pack_short(pin_messages.DONE, True, MEMBER, 7),
+    "pins lease ask": lambda: affinity_messages.encode_lease(membership_leases.Ask(3, 4), 5),
+    "pins lease release": lambda: affinity_messages.encode_lease(membership_leases.Ask(3, 4, True), 5),
+    "pins lease grant": lambda: affinity_messages.encode_lease(membership_leases.Word(3, 4, True), 5),
+    "pins lease deny": lambda: affinity_messages.encode_lease(membership_leases.Word(3, 4, False, 12.5), 5),
+    "pins refuse": lambda: affinity_messages.encode_notice(affinity_messages.REFUSE, False, MEMBER, 7),
+    "pins done answer": lambda: affinity_messages.encode_notice(affinity_messages.ANNOUNCED, True, MEMBER, 7),
     "pins table": affinity_table,
     "forwarding probe": lambda: forwarding.pack(forwarding.Probe(7)),
     "forwarding life": lambda: forwarding.pack(forwarding.Lives(7, 8, 9)),
