--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -14,7 +14,7 @@
 import numpy as np
 
 from cottonhold.emulator.overload import Alone, Credits, OnePrice, Overload, Policy, QueueDelay
-from cottonhold.fleet.admission.loads import DemandSettings
+from cottonhold.fleet.admission.demand_sharing import DemandSettings
 from cottonhold.fleet.admission.threshold import ThresholdSettings
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "overload-core.md"
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -16,7 +16,8 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.network import Network
-from cottonhold.fleet.coordinator import EngineBounds, FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.zone_failover.evacuation import PhaseChange
 
 PATIENCE = 2000.0
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -18,11 +18,11 @@
 from cottonhold.emulator.network import Network
 from cottonhold.emulator.outage_log import Log, Row
 from cottonhold.fleet.admission.demand import density_step
-from cottonhold.fleet.admission.loads import DemandSharing
-from cottonhold.fleet.coordinator import MIN_RETAINED_SHARE
+from cottonhold.fleet.admission.demand_sharing import DemandSharing
 from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import FILTER_BITS, decode_site_reports, encode_site_reports
 from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings
+from cottonhold.fleet.zone_failover.zone_assessment import MIN_RETAINED_SHARE
 
 STEP, HEARD, ENDING, BROKEN = 100.0, 250.0, 60.0, 300.0
 PATIENT = 100.0  # held longer than this, a request may go to any engine that idles
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -16,7 +16,8 @@
 from cottonhold.emulator.fleet import Allowance
 from cottonhold.emulator.outage_log import Row
 from cottonhold.emulator.outages import STEP, Instance, Request, Server, Setup, World
-from cottonhold.fleet.coordinator import Action, EngineBounds, FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.coordinator import Action, FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.engine_bounds import EngineBounds
 
 DRAWN = 8  # engines that the module compares
 DOUBT = 2000.0  # so long it passes over an engine that failed
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -15,13 +15,9 @@
 
 from cottonhold.emulator.network import Network
 from cottonhold.fleet.admission import demand
-from cottonhold.fleet.admission.loads import (
-    DemandSettings,
-    DemandSharing,
-    decode_demand_reports,
-    encode_demand_reports,
-)
-from cottonhold.fleet.admission.threshold import AdmissionThreshold, threshold_for
+from cottonhold.fleet.admission.demand_messages import decode_demand_reports, encode_demand_reports
+from cottonhold.fleet.admission.demand_sharing import DemandSettings, DemandSharing
+from cottonhold.fleet.admission.threshold import DensityThreshold, threshold_for
 
 ROOM = 2  # requests at an engine, from all instances together, as far as they know
 HEARD = 250.0  # so often an instance hears what the others have out
@@ -129,7 +125,7 @@
 class Policy:
     """Nothing is turned away but by time: today. With a price of its own, what is under it."""
 
-    price: AdmissionThreshold | None = None
+    price: DensityThreshold | None = None
 
     def admits(self, here: Instance, request: Request, step: int) -> bool:
         """Whether a request is let in."""
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -14,13 +14,8 @@
 
 from cottonhold.emulator.fleet import Allowance
 from cottonhold.emulator.overload import HEARD, ROOM, STEP, Instance, Kind, OnePrice, Overload, Request
-from cottonhold.fleet.coordinator import (
-    EngineBounds,
-    FleetCoordinator,
-    FleetSettings,
-    SendMessage,
-    ThresholdUpdate,
-)
+from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage, ThresholdUpdate
+from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.recovery.slow_start import OutageScope, first_prober
 
 KINDS = (Kind(1.0, share=0.48), Kind(6.0, share=0.32), Kind(6.0, 60.0, 4000.0, 0.2))
--- /dev/null
+++ b/cottonhold/fleet/admission/demand_messages.py
@@ -0,0 +1,95 @@
+"""The format of demand reports between instances. Pure.
+
+    kind 5 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | gain 1 | finished requests 1 |
+    mean wait 1 | steps 1 | steps, each: step 1 | work 1
+
+A kind of its own beside the zone reports: instances of a version that does not know it count it as malformed
+and go on. Reports merge as `latest_reports` says.
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from cottonhold.fleet.admission import demand
+from cottonhold.fleet.admission.threshold import ReportedLoad
+from cottonhold.fleet.latest_reports import Stamp
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
+from cottonhold.fleet.zone_failover.messages import DEMAND_REPORTS
+
+HEADER = struct.Struct("!QIIBBBB")
+GAIN_STEPS = 128.0  # of a gain of one
+WAIT_STEPS = 255.0  # of a whole wait
+MAX_BYTE = 255
+
+
+@dataclass(slots=True, frozen=True)
+class DemandReport:
+    """One instance's report."""
+
+    member: int
+    incarnation: int
+    version: int
+    load: ReportedLoad
+
+    @property
+    def stamp(self) -> Stamp:
+        """Of two reports of a member the one with the higher stamp is newer."""
+        return self.incarnation, self.version
+
+
+def encode_demand_report(report: DemandReport) -> bytes:
+    """A report's bytes."""
+    load, steps = report.load, demand.encode_rates(report.load.rates)
+    header = HEADER.pack(
+        report.member,
+        report.incarnation,
+        report.version,
+        min(round(load.gain * GAIN_STEPS), MAX_BYTE),
+        min(round(load.finished_requests), MAX_BYTE),
+        min(round(load.mean_wait * WAIT_STEPS), MAX_BYTE),
+        len(steps) // 2,
+    )
+    return header + steps
+
+
+def encode_demand_reports(reports: Iterable[DemandReport]) -> bytes:
+    """A message with as many of these as fit, first ones first."""
+    parts, remaining = list[bytes](), MAX_MESSAGE_BYTES - 2
+    for report in reports:
+        part = encode_demand_report(report)
+        if len(part) > remaining:
+            break
+        parts.append(part)
+        remaining -= len(part)
+    return bytes((DEMAND_REPORTS, len(parts))) + b"".join(parts)
+
+
+def decode_demand_reports(data: bytes) -> list[DemandReport]:
+    """The reports of a message. Raises MessageError; then none of them is applied."""
+    if len(data) < 2 or data[0] != DEMAND_REPORTS:
+        raise MessageError("no demand reports")
+    reports, offset = [], 2
+    try:
+        for _ in range(data[1]):
+            report, offset = _decode(data, offset)
+            reports.append(report)
+    except struct.error:
+        raise MessageError("truncated") from None
+    if offset != len(data):
+        raise MessageError("too long")
+    return reports
+
+
+def _decode(data: bytes, offset: int) -> tuple[DemandReport, int]:
+    """The report that begins at an offset, and where it ends."""
+    member, incarnation, version, gain, finished, wait, steps = HEADER.unpack_from(data, offset)
+    begin = offset + HEADER.size
+    end = begin + 2 * steps
+    rates = demand.decode_rates(data[begin:end])
+    if not member or rates is None or len(data) < end:
+        raise MessageError("demand report")
+    load = ReportedLoad(rates, gain / GAIN_STEPS, float(finished), wait / WAIT_STEPS)
+    return DemandReport(member, incarnation, version, load), end
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -14,7 +14,7 @@
 
 from cottonhold.fleet.admission import demand
 from cottonhold.fleet.failover_cost.messages import SiteReport
-from cottonhold.fleet.zone_failover.evacuation import lower_median
+from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 from cottonhold.fleet.zone_failover.messages import zone_number
 
 
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from cottonhold.fleet.admission.threshold import AdmissionThreshold, threshold_for
+from cottonhold.fleet.admission.threshold import DensityThreshold, threshold_for
 from cottonhold.fleet.failover_cost import cold_cache
 from cottonhold.fleet.failover_cost.allocation import (
     Allocation,
@@ -67,7 +67,7 @@
     offered_utility: float
     served_utility: float
     lost_utility: float
-    threshold: AdmissionThreshold | None
+    threshold: DensityThreshold | None
     added_round_trip_ms: float
     moved_cores: float
     extra_cold_cores: float
@@ -309,7 +309,7 @@
     return case, found
 
 
-def _price(picture: FleetSnapshot, found: Allocation, s: CostSettings) -> AdmissionThreshold | None:
+def _price(picture: FleetSnapshot, found: Allocation, s: CostSettings) -> DensityThreshold | None:
     """The price at which as much is let in as a division serves."""
     asked, served = picture.total_demand(), math.fsum(found.flows.values())
     if served >= (1 - s.negligible_share) * math.fsum(asked.values()):
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
-from cottonhold.fleet.zone_failover.evacuation import lower_median
+from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 
 WARMUP_REPORTS = 16  # the kind of message
 HEAD = struct.Struct("!QIIB")
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -1,28 +1,43 @@
-"""Which zones are left, by this instance and by the fleet, and how much a zone in return may have. Pure.
+"""Which zones are evacuated, by this instance and by the fleet, and how much a returning zone may get. Pure.
 
-Each instance has a state for each zone and tells it as a vote. It leaves at once by its own evidence, alone
-if need be. It joins where more than a third are sure and it has nothing to say against it, and it follows
-where more than half of the electorate vote so. The way back starts by the same count. See
-docs/design/zones.md.
+Each instance has a state for each zone and reports it as a vote. It evacuates a zone at once by its own
+evidence, alone if need be. It joins where more than a third are certain and its own evidence does not say the
+contrary, and it follows where more than half of the electorate vote so. The return starts by the same count.
+See docs/design/zones.md.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from enum import Enum
 
-from cottonhold.fleet.zone_failover.failure_evidence import ZoneHealth
+from cottonhold.fleet.zone_failover.attempt_pool import lower_median, pool_counts
+from cottonhold.fleet.zone_failover.failure_evidence import AttemptCounts, ZoneHealth
 from cottonhold.fleet.zone_failover.messages import Vote, ZoneReport
 
-Signs = tuple[int, int, int]  # good, late, bad
+# What speaks against joining others: so many served attempts, and at most this share of bad ones.
+MIN_HEALTHY_ATTEMPTS = 3
+MAX_HEALTHY_BAD_SHARE = 0.1
+MIN_CERTAIN = 2  # one instance alone, which lies or has a bad link, never moves another
+MIN_SUSPECTING = 3
+MIN_BAD_REPORTERS = 2  # instances that have to see a return fail
+BAD_OVER_ELSEWHERE = 1.5  # times the share of bad attempts elsewhere that a return may show
+
+# Reasons as operators read them.
+BY_OPERATOR = "by hand"
+FLEET_EVACUATES = "the fleet leaves"
+OTHERS_CERTAIN = "others are sure"
+RETURN_FAILED = "its return failed"
+ENGINES_ANSWER = "its engines answer"
+FLEET_RETURNS = "the fleet returns"
+RETURNED = "returned"
 OWN_EVIDENCE = {
     ZoneHealth.SLOW: "own evidence: slow",
     ZoneHealth.FAILING: "own evidence: failing",
     ZoneHealth.DOWN: "own evidence: lost",
 }
-WELL_LEAST, WELL_BAD = 3, 0.1  # served attempts, and share of bad signs, that speak against joining others
 
 
 class Phase(Enum):
@@ -37,17 +52,18 @@
 class EvacuationSettings:
     """Times in ms.
 
-    fresh: so old may a word be that moves anybody: several rounds of words, a lost one among them.
-    hold: so long a zone is left at least; doubled by each return that failed, up to hold_most, and halved by
-    each quiet. first: the share of its full load that a return begins with. step: a return's pace may double
-    so often. idle: without any sign it doubles only so often, so that a fleet without load isn't bound for
-    good. bad_most: share of bad signs over all instances from which a return has failed. good_share: part of
-    the share of good ones elsewhere from which its pace doubles; under back_share it is halved.
-    signs_least: so many signs it takes at least, and
-    bad_rise: at most so many bad ones to each good one. late_most: so far it rises also while answers are
-    only late, since cold engines bear that much. reserve: of the other zones' room that is planned for.
-    lonely: so long without a majority's word, an instance that is cut off decides on the return by itself.
-    settle: so long after a zone's return lines elsewhere may still be long.
+    max_report_age_ms: older reports move nobody; several rounds of them, a lost one among them. hold_ms: a
+    zone stays evacuated at least so long; doubled by each return that failed, up to max_hold_ms, and halved
+    by each quiet_ms without one. initial_share: of its full load, with which a return begins. step_ms: a
+    return's share may double so often. idle_step_ms: without any attempt only so often, so that a fleet
+    without load is not bounded for good. max_bad_share: share of bad attempts over all instances from which a
+    return has failed. min_good_ratio: part of the share of good ones elsewhere from which the traffic share
+    doubles; under back_off_ratio it is halved. min_attempts: it takes so many at least, and max_bad_per_good:
+    at most so many bad ones to each good one. max_share_while_late: so far the share also rises while answers
+    are only late, since cold engines bear that much. usable_capacity_share: of the other zones' cores, what
+    an evacuation may plan with. isolation_ms: so long without a majority's reports, an isolated instance
+    decides on the return by itself. settle_ms: so long after a zone's return queues elsewhere may still be
+    long.
     """
 
     max_report_age_ms: float = 2000.0
@@ -70,41 +86,42 @@
 
 @dataclass(slots=True)
 class ZoneState:
-    """One zone as this instance has it."""
+    """One zone at this instance. Times in ms."""
 
     phase: Phase = Phase.IN_SERVICE
     since: float = -math.inf
     is_certain: bool = False
-    wants_return: bool = False  # out, and for its return
-    is_fleet_evacuated: bool = False
-    was_fleet_evacuated: bool = False  # the fleet was out as well while this instance was
-    majority_heard_at: float = 0.0  # when a majority's words were last fresh
+    wants_return: bool = False  # evacuated here, and votes for the return
+    is_fleet_evacuated: bool = False  # by a majority's votes
+    was_fleet_evacuated: bool = False  # at some time since this instance evacuated it
+    majority_heard_at: float = 0.0
     traffic_share: float = 1.0
     share_changed_at: float = 0.0
     retained_share: float = 0.0
     hold_ms: float = 0.0
     return_started_at: float = -math.inf
     hold_reduced_at: float = 0.0
-    joining_requested_at: float = math.inf  # since when enough others want it left
-    seen_healthy_at: float = -math.inf  # when own signs last spoke against that
+    joining_requested_at: float = math.inf  # since when enough others want it evacuated
+    seen_healthy_at: float = -math.inf  # when own attempts last spoke against that
     reason: str = ""
 
     @property
     def vote(self) -> Vote:
-        """What it tells."""
-        return Vote.EVACUATE if self.phase is Phase.EVACUATED and not self.wants_return else Vote.KEEP
+        """What this instance votes for."""
+        is_against = self.phase is Phase.EVACUATED and not self.wants_return
+        return Vote.EVACUATE if is_against else Vote.KEEP
 
 
 @dataclass(slots=True, frozen=True)
 class LocalEvidence:
     """What this instance brings to one zone's decision.
 
-    answers: engines of the zone answer probes, as far as anybody asked them. floor: share of the zone's load
-    that the others can't carry and it still serves. ordered: by hand, OUT or IN, or nothing.
+    engines_answer: the zone's engines pass health checks, as far as there were any. retained_share: share of
+    the zone's load that the others can't carry and it still serves. override: an operator's, or None.
     """
 
     health: ZoneHealth
-    counts: Signs
+    counts: AttemptCounts
     suspects_failure: bool
     engines_answer: bool
     retained_share: float = 0.0
@@ -121,43 +138,49 @@
 
 
 def majority(electorate: int) -> int:
-    """So many are more than half."""
+    """The smallest number that is more than half."""
     return electorate // 2 + 1
 
 
 class Evacuation:
-    """The states of all zones. `step` with own evidence and the others' fresh words; then ask `pace`."""
+    """The states of all zones. `step` with own evidence and the others' reports; then ask `traffic_share`."""
 
     def __init__(self, settings: EvacuationSettings | None = None) -> None:
         self.settings = settings or EvacuationSettings()
         self.states: dict[str, ZoneState] = {}
         self.changes: list[PhaseChange] = []
-        self.now, self.usual, self.usual_bad = 0.0, 1.0, 0.0
+        self.now = 0.0
+        self.best_good_share = 1.0  # of the zones in service
+        self.best_bad_share = 0.0
 
     def set_zones(self, names: Iterable[str]) -> None:
-        """Exactly these zones are there."""
-        self.states = {
-            name: self.states.get(name) or ZoneState(hold_ms=self.settings.hold_ms) for name in names
-        }
+        """Exactly these zones exist."""
+        new = self.settings.hold_ms
+        self.states = {name: self.states.get(name) or ZoneState(hold_ms=new) for name in names}
 
     def step(
         self,
         now: float,
         own: Mapping[str, LocalEvidence],
-        told: Mapping[str, list[ZoneReport]],
+        reports: Mapping[str, list[ZoneReport]],
         electorate: int,
     ) -> list[PhaseChange]:
-        """Decide. `told`: the others' fresh words by zone; `electorate`: all that count, with this one."""
+        """Decide on each zone. reports: the others' fresh ones by zone; electorate: the number of voters,
+        with this one."""
         self.now, self.changes = now, []
-        self._elsewhere(own, told)
+        self._compare_zones(own, reports)
         for name, state in self.states.items():
             if name in own:
-                self._count(state, told.get(name, []), electorate)
-                self._decide(name, state, own[name], told.get(name, []), electorate)
+                self._count_votes(state, reports.get(name, []), electorate)
+                self._decide(name, state, own[name], reports.get(name, []), electorate)
         return self.changes
 
-    def traffic_share(self, name: str, told: Iterable[ZoneReport] = ()) -> float:
-        """Share of its full load that all instances together may send to a zone, as this one sees it."""
+    def traffic_share(self, name: str, reports: Iterable[ZoneReport] = ()) -> float:
+        """Share of its full load that all instances together may send to a zone, as this one sees it.
+
+        For a returning zone the lower median of what all instances that serve it propose: one that lies, or
+        is quicker than the others, does not set the pace.
+        """
         state = self.states.get(name)
         if state is None:
             return 1.0
@@ -165,212 +188,206 @@
             return state.retained_share
         if state.phase is Phase.IN_SERVICE:
             return 1.0
-        # Danger: one that is quicker than the others, or lies, would set the pace for all. So the lower
-        # middle of what all that are back would let it have counts.
-        return min(
-            state.traffic_share,
-            lower_median([state.traffic_share, *(z.traffic_share for z in told if z.vote is Vote.KEEP)]),
-        )
-
-    # --- votes ---
-
-    def _count(self, state: ZoneState, told: list[ZoneReport], electorate: int) -> None:
-        out = sum(z.vote is Vote.EVACUATE for z in told) + (state.vote is Vote.EVACUATE)
-        back = len(told) + 1 - out
-        need = majority(electorate)
-        if len(told) + 1 >= need:
+        proposed = [report.traffic_share for report in reports if report.vote is Vote.KEEP]
+        return min(state.traffic_share, lower_median([state.traffic_share, *proposed]))
+
+    def _count_votes(self, state: ZoneState, reports: list[ZoneReport], electorate: int) -> None:
+        """Whether the fleet evacuates a zone. An instance that is isolated for long goes by its own evidence,
+        within its own quota."""
+        against = sum(r.vote is Vote.EVACUATE for r in reports) + (state.vote is Vote.EVACUATE)
+        in_favour = len(reports) + 1 - against
+        needed = majority(electorate)
+        if len(reports) + 1 >= needed:
             state.majority_heard_at = self.now
-        if out >= need:
+        is_isolated = self.now - state.majority_heard_at > self.settings.isolation_ms
+        if against >= needed:
             state.is_fleet_evacuated = True
-        elif back >= need:
+        elif in_favour >= needed or is_isolated:
             state.is_fleet_evacuated = False
-        elif self.now - state.majority_heard_at > self.settings.isolation_ms:
-            state.is_fleet_evacuated = False  # cut off for long: own evidence, own part
         state.was_fleet_evacuated = state.was_fleet_evacuated or state.is_fleet_evacuated
 
     def _decide(
-        self, name: str, state: ZoneState, own: LocalEvidence, told: list[ZoneReport], electorate: int
+        self, name: str, state: ZoneState, own: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> None:
-        s = self.settings
-        sick = own.health >= ZoneHealth.SLOW
-        if own.health < ZoneHealth.FAILING and self._recovering(name):
-            sick = False
+        """An operator's override first, then own evidence, then the fleet's votes."""
         if state.phase is Phase.EVACUATED:
-            self._stay(name, state, own, told, electorate)
+            self._decide_return(name, state, own, reports, electorate)
         elif own.override is Vote.EVACUATE:
-            self._leave(name, state, own, "by hand", sure=True)
+            self._evacuate(name, state, own, BY_OPERATOR, is_certain=True)
         elif own.override is Vote.KEEP:
-            self._advance(name, state, own, told)
-        elif sick:
-            self._leave(name, state, own, OWN_EVIDENCE[own.health], sure=True)
+            self._ramp_up(name, state, own, reports)
+        elif self._is_unhealthy(name, own.health):
+            self._evacuate(name, state, own, OWN_EVIDENCE[own.health], is_certain=True)
         elif state.is_fleet_evacuated:
-            self._leave(name, state, own, "the fleet leaves", sure=False)
-        elif self._joins(name, state, own, told, electorate):
-            self._leave(name, state, own, "others are sure", sure=False)
+            self._evacuate(name, state, own, FLEET_EVACUATES, is_certain=False)
+        elif self._joins_others(name, state, own, reports, electorate):
+            self._evacuate(name, state, own, OTHERS_CERTAIN, is_certain=False)
         elif state.phase is Phase.RETURNING:
-            self._advance(name, state, own, told)
-        elif self.now - max(state.since, state.hold_reduced_at) > s.quiet_ms and state.hold_ms > s.hold_ms:
+            self._ramp_up(name, state, own, reports)
+        else:
+            self._reduce_hold(state)
+
+    def _is_unhealthy(self, name: str, health: ZoneHealth) -> bool:
+        """Whether own evidence is enough. Slowness is not while another zone recovers: the zone that carried
+        its load still has a long queue."""
+        if health < ZoneHealth.FAILING and self._is_another_recovering(name):
+            return False
+        return health >= ZoneHealth.SLOW
+
+    def _reduce_hold(self, state: ZoneState) -> None:
+        """Quiet time wears off what failed returns added to the hold."""
+        s = self.settings
+        if self.now - max(state.since, state.hold_reduced_at) > s.quiet_ms and state.hold_ms > s.hold_ms:
             state.hold_ms, state.hold_reduced_at = max(s.hold_ms, state.hold_ms / 2), self.now
 
-    def _stay(
-        self, name: str, state: ZoneState, own: LocalEvidence, told: list[ZoneReport], electorate: int
+    def _decide_return(
+        self, name: str, state: ZoneState, own: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> None:
-        """Whether it is time for the return."""
+        """Whether it is time for the return.
+
+        An instance whose hold is over votes for the return and goes with the majority: one that returned by
+        itself would find the zone still evacuated by the count, and take that for a failed return.
+        """
         state.retained_share = own.retained_share if own.override is None else 0.0
         if own.override is Vote.EVACUATE:
             return
         if own.override is Vote.KEEP:
-            self._turn(name, state, Phase.RETURNING, "by hand")
+            self._change(name, state, Phase.RETURNING, BY_OPERATOR)
             return
-        # Danger: the first one whose hold was over went back by itself, found the zone still out by the
-        # count, and took that for a return that failed. So it votes for the return, and goes with the
-        # majority.
         state.wants_return = self.now - state.since >= state.hold_ms and own.engines_answer
         if state.is_fleet_evacuated:
             return
         if state.wants_return:
-            self._turn(name, state, Phase.RETURNING, "its engines answer")
-        elif self._others_back(state, told, electorate):
-            self._turn(name, state, Phase.RETURNING, "the fleet returns")
-            state.traffic_share = max(
-                state.traffic_share, lower_median([z.traffic_share for z in told if z.vote is Vote.KEEP]) / 4
-            )
-
-    def _others_back(self, state: ZoneState, told: list[ZoneReport], electorate: int) -> bool:
-        """More than half have gone back while this one still stays out, and it has no evidence of its own."""
-        # Danger: one that had joined a few before there was a majority took the many that had not left yet
-        # for a fleet that returns.
-        back = sum(z.vote is Vote.KEEP for z in told)
-        return state.was_fleet_evacuated and back >= majority(electorate) and not state.is_certain
-
-    def _recovering(self, name: str) -> bool:
-        """Another zone comes back, or has just come."""
-        # Danger: the one zone that was left to carry all had a long line yet when the first of the others was
-        # back with none, looked ill beside it, and was left in its turn.
-        late = self.now - self.settings.settle_ms
+            self._change(name, state, Phase.RETURNING, ENGINES_ANSWER)
+        elif self._has_fleet_returned(state, reports, electorate):
+            self._change(name, state, Phase.RETURNING, FLEET_RETURNS)
+            proposed = lower_median([r.traffic_share for r in reports if r.vote is Vote.KEEP])
+            state.traffic_share = max(state.traffic_share, proposed / 4)
+
+    def _has_fleet_returned(self, state: ZoneState, reports: list[ZoneReport], electorate: int) -> bool:
+        """Whether more than half have returned while this one, without evidence of its own, has not.
+
+        Only after the fleet had evacuated the zone: before, the many that have not left it yet would look
+        like a fleet that returns.
+        """
+        returned = sum(report.vote is Vote.KEEP for report in reports)
+        return state.was_fleet_evacuated and returned >= majority(electorate) and not state.is_certain
+
+    def _is_another_recovering(self, name: str) -> bool:
+        """Whether another zone returns, or has just returned."""
+        settled_before = self.now - self.settings.settle_ms
         others = [state for other, state in self.states.items() if other != name]
         return any(
-            s.phase is Phase.RETURNING or s.phase is Phase.IN_SERVICE and s.since > late for s in others
+            s.phase is Phase.RETURNING or s.phase is Phase.IN_SERVICE and s.since > settled_before
+            for s in others
         )
 
-    def _joins(
-        self, name: str, state: ZoneState, own: LocalEvidence, told: list[ZoneReport], electorate: int
+    def _joins_others(
+        self, name: str, state: ZoneState, own: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> bool:
-        # Danger: those with little traffic need seconds to be sure, and hold the majority up. Two at least,
-        # so that one alone, which lies or has a bad link, never moves another.
-        # Where nobody is sure yet, as with three in ten failing, it takes half of all to see the same.
-        # Danger: where the zone was cut from half of the fleet one of the other half joined in a moment of
-        # few signs, and made the majority. So it takes bad signs of its own, or too few to say.
-        sure = sum(z.vote is Vote.EVACUATE and z.is_certain for z in told)
-        accuse = (
-            sum(z.suspects_failure or z.vote is Vote.EVACUATE and z.is_certain for z in told)
-            + own.suspects_failure
-        )
-        if sure < max(2, electorate // 3 + 1) and accuse < max(3, majority(electorate)):
+        """Whether to evacuate a zone by others' evidence, as instances with little traffic have to.
+
+        It takes more than a third that are certain, or half of all that suspect the same. And it takes bad
+        attempts of its own, or too few attempts to tell: a zone that is cut off from one half of the fleet
+        must not be evacuated by the other. What was seen since the others spoke counts until a bad attempt.
+        """
+        if not self._is_joining_requested(own, reports, electorate):
             state.joining_requested_at = math.inf
             return False
-        # Danger: one of the well half that had sent two queries there in the last 1.5 s, both served, joined
-        # after five seconds in which it had seen dozens served. So what it saw since the others spoke counts
-        # until a bad sign comes.
         state.joining_requested_at = min(state.joining_requested_at, self.now)
         good, late, bad = own.counts
-        if good + late >= WELL_LEAST and bad <= WELL_BAD * (good + late + bad):
+        if good + late >= MIN_HEALTHY_ATTEMPTS and bad <= MAX_HEALTHY_BAD_SHARE * (good + late + bad):
             state.seen_healthy_at = self.now
-        contrary = (
-            state.seen_healthy_at == self.now
-            or not bad
-            and state.seen_healthy_at >= state.joining_requested_at
+        is_healthy_now = state.seen_healthy_at == self.now
+        was_healthy_since = not bad and state.seen_healthy_at >= state.joining_requested_at
+        if is_healthy_now or was_healthy_since:
+            return False
+        return own.health >= ZoneHealth.FAILING or not self._is_another_recovering(name)
+
+    def _is_joining_requested(self, own: LocalEvidence, reports: list[ZoneReport], electorate: int) -> bool:
+        certain = sum(r.vote is Vote.EVACUATE and r.is_certain for r in reports)
+        suspecting = own.suspects_failure + sum(
+            r.suspects_failure or r.vote is Vote.EVACUATE and r.is_certain for r in reports
         )
-        return not contrary and (own.health >= ZoneHealth.FAILING or not self._recovering(name))
+        enough_certain = certain >= max(MIN_CERTAIN, electorate // 3 + 1)
+        return enough_certain or suspecting >= max(MIN_SUSPECTING, majority(electorate))
 
-    def _leave(self, name: str, state: ZoneState, own: LocalEvidence, why: str, sure: bool) -> None:
+    def _evacuate(
+        self, name: str, state: ZoneState, own: LocalEvidence, reason: str, is_certain: bool
+    ) -> None:
+        """Evacuate a zone; soon after a return that doubles its hold. A zone that serves nothing retains
+        nothing."""
         s = self.settings
-        if self.now - state.return_started_at < s.quiet_ms and why != "by hand":
+        if self.now - state.return_started_at < s.quiet_ms and reason != BY_OPERATOR:
             state.hold_ms = min(state.hold_ms * 2, s.max_hold_ms)
-        state.retained_share = (
-            0.0 if own.health is ZoneHealth.DOWN or own.override is Vote.EVACUATE else own.retained_share
-        )
-        state.is_certain = sure
-        self._turn(name, state, Phase.EVACUATED, why)
+        retains_nothing = own.health is ZoneHealth.DOWN or own.override is Vote.EVACUATE
+        state.retained_share = 0.0 if retains_nothing else own.retained_share
+        state.is_certain = is_certain
+        self._change(name, state, Phase.EVACUATED, reason)
 
-    def _turn(self, name: str, state: ZoneState, phase: Phase, why: str) -> None:
-        state.phase, state.since, state.reason = phase, self.now, why
+    def _change(self, name: str, state: ZoneState, phase: Phase, reason: str) -> None:
+        state.phase, state.since, state.reason = phase, self.now, reason
         if phase is Phase.RETURNING:
-            state.traffic_share, state.share_changed_at, state.return_started_at = (
-                self.settings.initial_share,
-                self.now,
-                self.now,
-            )
+            state.traffic_share = self.settings.initial_share
+            state.share_changed_at = state.return_started_at = self.now
             state.is_certain = False
-        state.wants_return, state.was_fleet_evacuated = False, False
-        self.changes.append(PhaseChange(name, phase, why))
+        state.wants_return = state.was_fleet_evacuated = False
+        self.changes.append(PhaseChange(name, phase, reason))
 
-    # --- return ---
+    def _ramp_up(self, name: str, state: ZoneState, own: LocalEvidence, reports: list[ZoneReport]) -> None:
+        """Double a returning zone's traffic share, keep it, halve it, or give the return up.
 
-    def _advance(self, name: str, state: ZoneState, own: LocalEvidence, told: list[ZoneReport]) -> None:
-        """Double the pace, stand still, or give the return up, by the signs of all that are back."""
+        By the attempts of all instances that serve it. Where all zones show bad attempts the fleet is
+        overloaded, so a return is judged against the best of the others. An instance whose own link is bad
+        does not raise its share, though the others report good attempts. While a queue forms the share is
+        halved, since it is the share itself that makes cold engines late.
+        """
         s = self.settings
         if state.phase is not Phase.RETURNING or self.now - state.share_changed_at < s.step_ms:
             return
-        back = [(z.good, z.late, z.bad) for z in told if z.vote is Vote.KEEP]
-        (good, late, bad), accusers = pool_counts([own.counts, *back])
-        total = good + late + bad
-        # Danger: where the whole fleet has more than it can serve, all zones show bad signs, and one that an
-        # instance had left alone failed each return for that.
-        most = max(s.max_bad_share, 1.5 * self.usual_bad)
-        if own.override is None and accusers >= 2 and bad >= 2 and bad > most * total:
-            self._leave(name, state, own, "its return failed", sure=True)
+        pooled = pool_counts([own.counts, *_counts_of(reports)])
+        good, bad, total = pooled.good, pooled.bad, pooled.total
+        max_bad_share = max(s.max_bad_share, BAD_OVER_ELSEWHERE * self.best_bad_share)
+        has_failed = pooled.reporters_of_bad >= MIN_BAD_REPORTERS and bad >= 2 and bad > max_bad_share * total
+        if own.override is None and has_failed:
+            self._evacuate(name, state, own, RETURN_FAILED, is_certain=True)
             return
-        # Danger: one whose own link is bad hears from the others that all is well.
-        if own.counts[2] > most * sum(own.counts):
+        if own.counts.bad > max_bad_share * sum(own.counts):
             return
-        # Danger: of two or three answers none fails by chance where three in ten do.
-        well = (
-            total >= s.min_attempts
-            and good > s.min_good_ratio * self.usual * total
+        has_enough = total >= s.min_attempts
+        is_well = (
+            has_enough
+            and good > s.min_good_ratio * self.best_good_share * total
             and bad <= good * s.max_bad_per_good
         )
-        bears = total >= s.min_attempts and bad == 0 and state.traffic_share * 2 <= s.max_share_while_late
-        if well or bears or not total and self.now - state.share_changed_at >= s.idle_step_ms:
+        is_borne = has_enough and bad == 0 and state.traffic_share * 2 <= s.max_share_while_late
+        is_idle = not total and self.now - state.share_changed_at >= s.idle_step_ms
+        if is_well or is_borne or is_idle:
             state.traffic_share, state.share_changed_at = min(1.0, state.traffic_share * 2), self.now
             if state.traffic_share >= 1.0:
-                self._turn(name, state, Phase.IN_SERVICE, "returned")
-        elif (
-            bad or state.traffic_share > s.max_share_while_late
-        ) and good < s.back_off_ratio * self.usual * total:
-            # Danger: kept up while a line forms, the pace itself makes cold engines late, then bad.
-            state.traffic_share, state.share_changed_at = (
-                max(s.initial_share, state.traffic_share / 2),
-                self.now,
-            )
-
-    def _elsewhere(self, own: Mapping[str, LocalEvidence], told: Mapping[str, list[ZoneReport]]) -> None:
-        """Shares of good and of bad signs in the best of the zones that are in use."""
-        goods, bads = [0.0], list[float]()
-        for name, state in self.states.items():
-            if state.phase is Phase.IN_SERVICE and name in own:
-                words = [(z.good, z.late, z.bad) for z in told.get(name, []) if z.vote is Vote.KEEP]
-                (good, late, bad), _ = pool_counts([own[name].counts, *words])
-                if good + late + bad:
-                    goods.append(good / (good + late + bad))
-                    bads.append(bad / (good + late + bad))
-        self.usual, self.usual_bad = max(goods) or 1.0, min(bads, default=0.0)
-
-
-def lower_median(values: Sequence[float]) -> float:
-    """The middle value, of two the lower one."""
-    return sorted(values)[(len(values) - 1) // 2]
-
-
-def pool_counts(counts: Iterable[Signs]) -> tuple[tuple[float, float, float], int]:
-    """Good, late and bad signs of several, and how many of them tell of bad ones.
+                self._change(name, state, Phase.IN_SERVICE, RETURNED)
+            return
+        has_queue = bad or state.traffic_share > s.max_share_while_late
+        if has_queue and good < s.back_off_ratio * self.best_good_share * total:
+            state.traffic_share = max(s.initial_share, state.traffic_share / 2)
+            state.share_changed_at = self.now
 
-    Danger: one that claims hundreds of signs would speak for all. So each counts for at most three, or half
-    as much as all the others together.
-    """
-    told = [signs for signs in counts if sum(signs)]
-    total, added = sum(map(sum, told)), [0.0, 0.0, 0.0]
-    for signs in told:
-        scale = min(1.0, max(3.0, (total - sum(signs)) / 2) / sum(signs))
-        added = [sum_ + n * scale for sum_, n in zip(added, signs, strict=True)]
-    return (added[0], added[1], added[2]), sum(signs[2] > 0 for signs in told)
+    def _compare_zones(
+        self, own: Mapping[str, LocalEvidence], reports: Mapping[str, list[ZoneReport]]
+    ) -> None:
+        """Note the best shares of good and of bad attempts among the zones in service."""
+        good_shares, bad_shares = [0.0], list[float]()
+        for name, state in self.states.items():
+            if state.phase is not Phase.IN_SERVICE or name not in own:
+                continue
+            pooled = pool_counts([own[name].counts, *_counts_of(reports.get(name, []))])
+            if pooled.total:
+                good_shares.append(pooled.good / pooled.total)
+                bad_shares.append(pooled.bad / pooled.total)
+        self.best_good_share = max(good_shares) or 1.0
+        self.best_bad_share = min(bad_shares, default=0.0)
+
+
+def _counts_of(reports: Iterable[ZoneReport]) -> list[AttemptCounts]:
+    """Attempts of the instances that serve a zone."""
+    return [AttemptCounts(r.good, r.late, r.bad) for r in reports if r.vote is Vote.KEEP]
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -1,10 +1,10 @@
-"""What this instance's own attempts say of each zone. Pure.
+"""What this instance's own attempts say of the health of each zone. Pure.
 
-Each attempt is judged once: good, late, or a bad sign (it failed, or it lasts several times what its class
-usually takes here). For each engine a cumulative sum of log likelihoods (Page's CUSUM) weighs its signs
-against what is seen of the best other zone, so that a load that slows all zones alike speaks against none. A
-zone's score adds up its engines' sums, each up to a limit that half of the engines heard of have to reach:
-one sick engine is that engine's matter, however many signs it gives.
+Each attempt is judged once: good, late, or bad (it failed, or it lasts several times what its class usually
+takes here). For each engine a cumulative sum of log likelihoods (Page's CUSUM) weighs its results against
+those of the best other zone, so that a load that slows all zones alike speaks against none. A zone's score
+adds up its engines' sums, each up to a limit that half of the engines heard of have to reach: one faulty
+engine is no fault of its zone, however many attempts fail there.
 """
 
 from __future__ import annotations
@@ -14,51 +14,66 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from enum import IntEnum
+from typing import NamedTuple
 
-# Danger: attempts at a slow zone are rescued at two or three times the usual, and with the others loaded as
-# well it never stood out. One that was cut short would have taken longer, nobody knows how much.
-CENSORED = 2.0
-TIMES_LEAST = 4  # fewer times of a zone tell nothing
-LOADED = 1.5  # times further a zone has to stand out while another one is out: the rest are loaded
-STOOD = 3  # times that a zone has to stand out by slowness
-ACCUSING, ACCUSING_SHARE = 3, 0.2  # bad signs in the window, and their share, that are worth telling of
+from cottonhold.fleet.zone_failover.usual_duration import UsualDuration
+
+# Attempts at a slow zone are cancelled and retried elsewhere at two or three times the usual duration. One
+# that was cut short would have taken longer, nobody knows how much; it counts as so many times its duration.
+CUT_SHORT_FACTOR = 2.0
+MIN_DURATIONS = 4  # fewer durations say nothing of a zone
+LOADED_FACTOR = (
+    1.5  # how much more a zone has to stand out while another one is evacuated: the rest are loaded
+)
+SLOW_CONFIRMATIONS = 3  # how often in a row a zone has to stand out by slowness
+MIN_SUSPECT_ATTEMPTS = 3  # bad attempts in the window that are worth a report
+MIN_SUSPECT_SHARE = 0.2  # and their share
+SCORE_TOLERANCE = 1e-9  # of rounding, where a sum of engines' parts equals the threshold
+FEW, MANY = 3, 8  # the newest durations of a zone that have to agree
 
 
 class AttemptResult(IntEnum):
-    """What one attempt says of its engine."""
+    """What one attempt says of its engine; the higher, the worse."""
 
     GOOD = 0
-    LATE = 1  # well beyond what is usual, yet no fault: a cold engine, or a line that begins to form
+    LATE = 1  # well beyond the usual duration, yet no fault: a cold engine, or a queue that begins to form
     SLOW = 2
     FAILED = 3
 
 
 class ZoneHealth(IntEnum):
-    """What own evidence says of a zone."""
+    """What own evidence says of a zone; the higher, the worse."""
 
-    UNKNOWN = 0  # too little to say
+    UNKNOWN = 0  # too little evidence
     HEALTHY = 1
     SLOW = 2  # or silent
     FAILING = 3  # in part
     DOWN = 4  # nothing is served
 
 
+class AttemptCounts(NamedTuple):
+    """Recent attempts of a zone by result."""
+
+    good: int
+    late: int
+    bad: int
+
+
 @dataclass(slots=True, frozen=True)
 class EvidenceSettings:
-    """Times in ms.
-
-    slow, slow_least: an attempt that lasts so many times its usual time, and so much longer, is a bad sign.
-    usual_bad: share of bad signs that a well zone shows at most. ill_bad: the share looked for; three in ten
-    failing is ill. enough: the score from which a zone is ill: about e^-enough false alarms an excursion.
-    stands_out: so many times longer than in the best other zone its attempts take, where it is slow.
-    returning: a zone in return may be so many times slower still, since its engines may be cold.
-    returning_window: the window of a zone in return, whose pace changes each quarter of a second.
-    late: an answer that takes so many times its usual time is late.
-    window: what came before it no longer tells which engines are concerned. good_least: good signs in the
-    window from which a zone without a sum is well. learn: a class's usual time follows its
-    answers within so long: what is usual must not become what the fault makes of it. last: so many newest
-    signs tell what a zone still serves.
-    lost: share of bad signs in the window from which a zone serves nothing.
+    """slow_factor, min_slow_excess_ms: an attempt that lasts so many times its usual duration, and so much
+    longer, is bad. late_factor: one that lasts so many times as long is late. returning_slow_factor: attempts
+    at a returning zone, whose engines may be cold, may last so many times longer still.
+
+    healthy_bad_share: share of bad attempts that a healthy zone shows at most. failing_bad_share: the share
+    to detect; three in ten failing is a fault. score_threshold: the score from which a zone is unhealthy:
+    about e^-threshold false alarms an excursion. down_bad_share: share of bad attempts from which a zone
+    serves nothing. outlier_factor: so many times longer than in the best other zone its attempts take, where
+    it is slow. min_good: good attempts in the window from which a zone without a score is healthy.
+
+    window_ms, returning_window_ms: older attempts do not count; a returning zone's traffic changes each
+    quarter of a second. learning_time_ms: the usual duration follows answers within so long; followed
+    quicker, a fault would become usual. served_samples: so many newest attempts say what a zone serves.
     """
 
     slow_factor: float = 3.0
@@ -77,253 +92,243 @@
     returning_window_ms: float = 900.0
 
 
-@dataclass(slots=True)
-class UsualDuration:
-    """What attempts of one class usually take, by its log mean: long ones must not move it much."""
-
-    log_ms: float = 0.0
-    low: float = 0.0  # a low expectile of the logs: without the lines that others wait in
-    seen: int = 0
-    at: float = 0.0
-
-    def learn(self, now: float, elapsed: float, settings: EvidenceSettings) -> None:
-        """Take in a good answer's time."""
-        self.seen += 1
-        gain = max(
-            1 - math.exp((self.at - now) / settings.learning_time_ms),
-            1 / self.seen if self.seen < 30 else 0.0,
-        )
-        self.at = now
-        log = math.log(max(elapsed, 0.1))
-        self.log_ms += gain * (log - self.log_ms)
-        self.low += gain * (log - self.low) * (1.0 if log < self.low or self.seen == 1 else 1 / 6)
-
-    def work(self) -> float:
-        """What such an attempt costs an engine, in ms.
-
-        Danger: by the usual time, which holds waiting, the work offered looked more than it was, and a zone
-        was left in part though the others could carry all.
-        """
-        return 1.25 * math.exp(self.low) if self.seen else 0.0
-
-    def limit(self, settings: EvidenceSettings, times: float) -> float:
-        """From this age on an attempt is a bad sign; never, while nothing is known."""
-        if self.seen < 5:
-            return math.inf
-        usual = math.exp(self.log_ms)
-        return times * max(usual * settings.slow_factor, usual + settings.min_slow_excess_ms)
-
-
 @dataclass(slots=True)
 class OpenAttempt:
-    """An attempt that is out and not judged yet."""
+    """An attempt that is in flight and not judged yet."""
 
     zone: str
     engine: str
-    kind: int
+    query_class: int
     sent_at: float
 
 
 @dataclass(slots=True)
 class EngineScore:
-    """An engine's cumulative sum, and when it had its last sign."""
+    """An engine's cumulative sum, and when its last attempt was judged."""
 
     value: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
 
 @dataclass(slots=True)
 class ZoneEvidence:
-    """What is known of one zone: recent signs, the sums of its engines, and how many there are."""
-
-    engines: int = 1
-    absent: bool = False
-    returning: bool = False
-    stood: int = 0  # times that it stood out, less those that it did not
-    sums: dict[str, EngineScore] = field(default_factory=dict)
-    signs: deque[tuple[float, AttemptResult]] = field(default_factory=deque)
-    # Logs of how many times the usual it took, and when.
-    times: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=8))
+    """What is known of one zone."""
+
+    engine_count: int = 1
+    is_evacuated: bool = False
+    is_returning: bool = False
+    outlier_count: int = 0  # how often it stood out, less how often it did not
+    engine_scores: dict[str, EngineScore] = field(default_factory=dict)
+    recent: deque[tuple[float, AttemptResult]] = field(default_factory=deque)  # when, and the result
+    # When, and the log of how many times the usual duration it took.
+    durations: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=8))
     newest: deque[AttemptResult] = field(default_factory=lambda: deque(maxlen=16))
 
     @property
-    def bad(self) -> int:
-        """Bad signs among the newest ones."""
+    def bad_count(self) -> int:
+        """Bad attempts among the newest ones."""
         return self.newest.count(AttemptResult.SLOW) + self.newest.count(AttemptResult.FAILED)
 
-    def forget(self, before: float) -> None:
-        """Drop what is too old."""
-        while self.signs and self.signs[0][0] < before:
-            self.signs.popleft()
-        while self.times and self.times[0][0] < before:
-            self.times.popleft()
-        self.sums = {engine: s for engine, s in self.sums.items() if s.at >= before}
+    def expire(self, before: float) -> None:
+        """Drop what is older."""
+        while self.recent and self.recent[0][0] < before:
+            self.recent.popleft()
+        while self.durations and self.durations[0][0] < before:
+            self.durations.popleft()
+        self.engine_scores = {e: s for e, s in self.engine_scores.items() if s.updated_at >= before}
 
     def clear(self) -> None:
         """Begin anew."""
-        self.stood = 0
-        for part in (self.sums, self.signs, self.times, self.newest):
+        self.outlier_count = 0
+        for part in (self.engine_scores, self.recent, self.durations, self.newest):
             part.clear()
 
-    def share(self) -> float:
-        """Share of bad signs among the newest ones: all zones change in step where the fault is common."""
-        return self.bad / len(self.newest) if self.newest else 0.0
+    def bad_share(self) -> float:
+        """Share of bad attempts among the newest ones: where a fault is common it changes in all zones."""
+        return self.bad_count / len(self.newest) if self.newest else 0.0
+
+    def median_log_ratio(self, count: int) -> float:
+        """Log of how many times their usual duration the newest attempts take, by the median of `count`."""
+        logs = sorted(log for _, log in list(self.durations)[-count:])
+        return logs[len(logs) // 2] if logs else 0.0
 
-    def stretch(self, last: int) -> float:
-        """Log of how many times their usual time the newest attempts take, by the median."""
-        times = sorted(log for _, log in list(self.times)[-last:])
-        return times[len(times) // 2] if times else 0.0
+    def score(self, threshold: float) -> float:
+        """The engines' sums, each up to what half of those heard of have to reach together.
 
-    def score(self, enough: float) -> float:
-        """The engines' sums, each up to what half of those heard of have to reach together."""
-        # Danger: a dead engine's signs alone made its zone look ill as soon as another had one bad answer. So
-        # none counts for more than its part, and one engine is never enough where there are two.
-        half = max(math.ceil(len(self.sums) / 2), min(2, self.engines))
-        return sum(min(s.value, enough / half) for s in self.sums.values())
+        So no engine counts for more than its part, and one is never enough where there are two: a failed
+        engine and one bad answer of another are no fault of the zone.
+        """
+        half = max(math.ceil(len(self.engine_scores) / 2), min(2, self.engine_count))
+        return sum(min(score.value, threshold / half) for score in self.engine_scores.values())
 
 
 class FailureEvidence:
-    """Feed it attempts; ask it for a verdict by zone. All times are on one monotonic clock."""
+    """Feed it attempts; ask it for the health of each zone. All times are ms of one monotonic clock."""
 
     def __init__(self, settings: EvidenceSettings | None = None) -> None:
         self.settings = settings or EvidenceSettings()
         self.zones: dict[str, ZoneEvidence] = {}
-        self.usual_durations: dict[int, UsualDuration] = {}
+        self.usual_durations: dict[int, UsualDuration] = {}  # by query class
         self.open_attempts: dict[str, OpenAttempt] = {}
 
     def set_engines(self, engines: Mapping[str, Iterable[str]]) -> None:
-        """Exactly these zones with these engines are there; what was known of the others is forgotten."""
-        kept = {name: self.zones.get(name) or ZoneEvidence() for name in engines}
+        """Exactly these zones with these engines exist; evidence on other zones is dropped."""
+        zones = {name: self.zones.get(name) or ZoneEvidence() for name in engines}
         for name, there in engines.items():
-            kept[name].engines = len(list(there))
-        self.zones = kept
+            zones[name].engine_count = len(list(there))
+        self.zones = zones
+
+    def usual_work_ms(self, query_class: int) -> float:
+        """What an attempt of a class usually costs an engine; 0 while that is not known."""
+        usual = self.usual_durations.get(query_class)
+        return usual.work_ms() if usual is not None else 0.0
 
-    def on_sent(self, now: float, ref: str, engine: str, zone: str, kind: int) -> None:
-        """An attempt has gone out."""
+    def on_sent(self, now: float, attempt_id: str, engine: str, zone: str, query_class: int) -> None:
+        """An attempt has been sent."""
         if zone in self.zones:
-            self.open_attempts[ref] = OpenAttempt(zone, engine, kind, now)
+            self.open_attempts[attempt_id] = OpenAttempt(zone, engine, query_class, now)
 
-    def on_ended(self, now: float, ref: str, good: bool | None, elapsed: float) -> None:
-        """An attempt has ended: well, badly, or given up from here (None)."""
-        attempt = self.open_attempts.pop(ref, None)
+    def on_ended(self, now: float, attempt_id: str, good: bool | None, elapsed_ms: float) -> None:
+        """An attempt has succeeded, failed, or was cancelled here (None)."""
+        attempt = self.open_attempts.pop(attempt_id, None)
         if attempt is None or attempt.zone not in self.zones:
             return
-        self.usual_durations.setdefault(attempt.kind, UsualDuration())
-        usual = self.usual_durations[attempt.kind]
+        usual = self.usual_durations.setdefault(attempt.query_class, UsualDuration())
+        is_late = elapsed_ms > usual.mean_ms() * self.settings.late_factor
         if good is None:
-            # Danger: attempts at a silent zone were rescued and tried elsewhere before they were overdue
-            # here, and nobody had anything to say against it. One given up late speaks as one that is late.
-            if usual.seen >= 5 and elapsed > math.exp(usual.log_ms) * self.settings.late_factor:
-                self._timed(now, attempt, CENSORED * elapsed)
-                self._sign(now, attempt, AttemptResult.SLOW)
+            # Attempts at a silent zone are cancelled before they are overdue here; a late one counts as slow.
+            if usual.is_known and is_late:
+                self._add_duration(now, attempt, CUT_SHORT_FACTOR * elapsed_ms)
+                self._add_result(now, attempt, AttemptResult.SLOW)
             return
-        late = elapsed > math.exp(usual.log_ms) * self.settings.late_factor
-        slow = elapsed > self._limit(attempt)
+        is_slow = elapsed_ms > self._overdue_after_ms(attempt)
         if good:
-            self._timed(now, attempt, elapsed)
-        worst = AttemptResult.SLOW if slow else AttemptResult.LATE if late else AttemptResult.GOOD
-        self._sign(now, attempt, worst if good else AttemptResult.FAILED)
-        if good and not slow and not self.zones[attempt.zone].returning:
-            usual.learn(now, elapsed, self.settings)
-
-    def reset(self, zone: str, absent: bool, returning: bool) -> None:
-        """A zone's signs so far no longer count: it was left, or its return begins or ends."""
+            self._add_duration(now, attempt, elapsed_ms)
+        self._add_result(now, attempt, _result(good, is_slow, is_late))
+        if good and not is_slow and not self.zones[attempt.zone].is_returning:
+            usual.update(now, elapsed_ms, self.settings.learning_time_ms)
+
+    def reset(self, zone: str, is_evacuated: bool, is_returning: bool) -> None:
+        """A zone was evacuated, or its return begins or ends: earlier attempts no longer count."""
         if zone in self.zones:
             self.zones[zone].clear()
-            self.zones[zone].absent, self.zones[zone].returning = absent, returning
-        self.open_attempts = {
-            ref: attempt for ref, attempt in self.open_attempts.items() if attempt.zone != zone
-        }
+            self.zones[zone].is_evacuated, self.zones[zone].is_returning = is_evacuated, is_returning
+        self.open_attempts = {i: a for i, a in self.open_attempts.items() if a.zone != zone}
 
     def assess(self, now: float) -> dict[str, ZoneHealth]:
-        """The verdict on each zone."""
-        for ref, attempt in list(self.open_attempts.items()):
-            if now - attempt.sent_at > self._limit(attempt):
-                del self.open_attempts[ref]  # judged: its end tells nothing more
-                self._timed(now, attempt, CENSORED * (now - attempt.sent_at))
-                self._sign(now, attempt, AttemptResult.SLOW)
+        """The health of each zone."""
+        self._judge_overdue(now)
         s = self.settings
         for zone in self.zones.values():
-            zone.forget(now - (s.returning_window_ms if zone.returning else s.window_ms))
-        return {name: self._verdict(zone) for name, zone in self.zones.items()}
+            zone.expire(now - (s.returning_window_ms if zone.is_returning else s.window_ms))
+        return {name: self._health(zone) for name, zone in self.zones.items()}
 
-    def counts(self, zone: str) -> tuple[int, int, int]:
-        """Good, late and bad signs of a zone in the window."""
-        signs = [sign for _, sign in self.zones[zone].signs] if zone in self.zones else []
-        good, late = signs.count(AttemptResult.GOOD), signs.count(AttemptResult.LATE)
-        return good, late, len(signs) - good - late
+    def counts(self, zone: str) -> AttemptCounts:
+        """Attempts of a zone in the window."""
+        results = [result for _, result in self.zones[zone].recent] if zone in self.zones else []
+        good, late = results.count(AttemptResult.GOOD), results.count(AttemptResult.LATE)
+        return AttemptCounts(good, late, len(results) - good - late)
 
     def served_share(self, zone: str) -> float:
         """Share of a zone's newest attempts that were served."""
-        signs = list(self.zones[zone].newest)[-self.settings.served_samples :]
-        return sum(sign < AttemptResult.SLOW for sign in signs) / max(len(signs), 1)
-
-    def _limit(self, attempt: OpenAttempt) -> float:
-        usual, zone = self.usual_durations.get(attempt.kind), self.zones.get(attempt.zone)
-        if usual is None or zone is None:
-            return math.inf
-        return usual.limit(self.settings, self.settings.returning_slow_factor if zone.returning else 1.0)
-
-    def _timed(self, now: float, attempt: OpenAttempt, elapsed: float) -> None:
-        usual = self.usual_durations[attempt.kind]
-        if usual.seen:
-            log = math.log(max(elapsed, 0.1)) - usual.log_ms
-            self.zones[attempt.zone].times.append((now, log))
-
-    def _stands_out(self, zone: ZoneEvidence) -> bool:
-        """Its attempts fail, or take far longer than those of the best other zone do now."""
-        # Danger: with nowhere else to go a zone that is merely overloaded was left as well.
-        present = [z for z in self.zones.values() if z is not zone and not z.absent and not z.returning]
-        if not present or zone.share() < self.settings.failing_bad_share / 2:
-            return False
-        if 2 * zone.newest.count(AttemptResult.FAILED) >= zone.bad:
-            return True
-        # Danger: where one zone is out the others carry its load and form lines of uneven length, and a few
-        # long waits made them look ill as well. So it is the middle of a zone's newest times that counts, the
-        # more of it the less room there is elsewhere.
-        # Both ends of the newest times have to say so: a fault that is common comes and goes a moment apart.
-        others = [max(z.stretch(3), z.stretch(8)) for z in present if len(z.times) >= TIMES_LEAST]
-        now, loaded = min(zone.stretch(3), zone.stretch(8)), len(present) < len(self.zones) - 1
-        least = math.log(self.settings.outlier_factor * (LOADED if loaded else 1.0))
-        return len(zone.times) >= TIMES_LEAST and now >= min(others, default=0.0) + least
+        results = list(self.zones[zone].newest)[-self.settings.served_samples :]
+        return sum(result < AttemptResult.SLOW for result in results) / max(len(results), 1)
 
     def suspects_failure(self, zone: str) -> bool:
-        """Enough bad signs to speak of, if not to be sure: it takes most of the fleet to act on them."""
-        good, late, bad = self.counts(zone)
-        others = [z.share() for name, z in self.zones.items() if name != zone and z.signs]
-        share = bad / max(good + late + bad, 1)
+        """Whether there are enough bad attempts to report, if not to be certain."""
         if not self._stands_out(self.zones[zone]):
             return False
-        return bad >= ACCUSING and share >= max(ACCUSING_SHARE, 3 * min(others, default=0.0))
+        counts = self.counts(zone)
+        others = [z.bad_share() for name, z in self.zones.items() if name != zone and z.recent]
+        share = counts.bad / max(sum(counts), 1)
+        min_share = max(MIN_SUSPECT_SHARE, 3 * min(others, default=0.0))
+        return counts.bad >= MIN_SUSPECT_ATTEMPTS and share >= min_share
+
+    def _judge_overdue(self, now: float) -> None:
+        """Judge attempts in flight that are overdue; their end says nothing more."""
+        for attempt_id, attempt in list(self.open_attempts.items()):
+            if now - attempt.sent_at > self._overdue_after_ms(attempt):
+                del self.open_attempts[attempt_id]
+                self._add_duration(now, attempt, CUT_SHORT_FACTOR * (now - attempt.sent_at))
+                self._add_result(now, attempt, AttemptResult.SLOW)
+
+    def _overdue_after_ms(self, attempt: OpenAttempt) -> float:
+        """The age from which an attempt is bad; infinite while its usual duration is not known."""
+        usual, zone = self.usual_durations.get(attempt.query_class), self.zones.get(attempt.zone)
+        if usual is None or zone is None:
+            return math.inf
+        s = self.settings
+        factor = s.returning_slow_factor if zone.is_returning else 1.0
+        return factor * usual.slow_after_ms(s.slow_factor, s.min_slow_excess_ms)
+
+    def _add_duration(self, now: float, attempt: OpenAttempt, elapsed_ms: float) -> None:
+        usual = self.usual_durations[attempt.query_class]
+        if usual.count:
+            self.zones[attempt.zone].durations.append((now, usual.log_ratio(elapsed_ms)))
 
-    def _sign(self, now: float, attempt: OpenAttempt, sign: AttemptResult) -> None:
+    def _add_result(self, now: float, attempt: OpenAttempt, result: AttemptResult) -> None:
+        """Weigh a result against the best of the other zones; without any, against what is usual."""
         zone = self.zones.get(attempt.zone)
         if zone is None:
             return
         s = self.settings
-        # Danger: a load that is too much slows all zones alike, and all would be left. So signs are weighed
-        # against the best of the others; alone, against what is usual.
-        others = [z.share() for z in self.zones.values() if z is not zone and len(z.signs) >= s.min_good]
-        usual = min(0.9, max(s.healthy_bad_share, 1.5 * min(others, default=0.0)))
-        ill = min(0.97, max(s.failing_bad_share, 2 * usual))
-        step = math.log(ill / usual) if sign >= AttemptResult.SLOW else math.log((1 - ill) / (1 - usual))
-        total = zone.sums.setdefault(attempt.engine, EngineScore())
-        total.value, total.at = min(max(total.value + step, 0.0), 1.5 * s.score_threshold), now
-        zone.signs.append((now, sign))
-        zone.newest.append(sign)
-
-    def _verdict(self, zone: ZoneEvidence) -> ZoneHealth:
+        others = [z.bad_share() for z in self.zones.values() if z is not zone and len(z.recent) >= s.min_good]
+        healthy = min(0.9, max(s.healthy_bad_share, 1.5 * min(others, default=0.0)))
+        failing = min(0.97, max(s.failing_bad_share, 2 * healthy))
+        is_bad = result >= AttemptResult.SLOW
+        step = math.log(failing / healthy) if is_bad else math.log((1 - failing) / (1 - healthy))
+        score = zone.engine_scores.setdefault(attempt.engine, EngineScore())
+        score.value = min(max(score.value + step, 0.0), 1.5 * s.score_threshold)
+        score.updated_at = now
+        zone.recent.append((now, result))
+        zone.newest.append(result)
+
+    def _stands_out(self, zone: ZoneEvidence) -> bool:
+        """Whether a zone's attempts fail, or take far longer than those of the best other zone do now.
+
+        Without another zone in service nothing stands out: there is nowhere to go, and slowness may be load.
+        The median of the newest durations counts, since a loaded zone's few long waits say little, and both
+        ends of them have to agree, since a common fault comes and goes in all zones a moment apart.
+        """
+        in_service = [
+            z for z in self.zones.values() if z is not zone and not z.is_evacuated and not z.is_returning
+        ]
+        if not in_service or zone.bad_share() < self.settings.failing_bad_share / 2:
+            return False
+        if 2 * zone.newest.count(AttemptResult.FAILED) >= zone.bad_count:
+            return True
+        others = [
+            max(z.median_log_ratio(FEW), z.median_log_ratio(MANY))
+            for z in in_service
+            if len(z.durations) >= MIN_DURATIONS
+        ]
+        own = min(zone.median_log_ratio(FEW), zone.median_log_ratio(MANY))
+        is_loaded = len(in_service) < len(self.zones) - 1
+        margin = math.log(self.settings.outlier_factor * (LOADED_FACTOR if is_loaded else 1.0))
+        return len(zone.durations) >= MIN_DURATIONS and own >= min(others, default=0.0) + margin
+
+    def _health(self, zone: ZoneEvidence) -> ZoneHealth:
+        """A zone's health. Slowness has to last a few looks: where all zones slow down at once, the evidence
+        on one of them arrives a moment before that on the others."""
         s, score = self.settings, zone.score(self.settings.score_threshold)
-        # Danger: where all slow down at once the signs of one zone come a moment before those of another.
-        stands_out = score >= s.score_threshold - 1e-9 and self._stands_out(zone)
-        failing = zone.newest.count(AttemptResult.FAILED)
-        zone.stood = min(zone.stood + 1, 2 * STOOD) if stands_out else max(zone.stood - 1, 0)
-        fails = failing > 0 and 2 * failing >= zone.bad
-        if zone.stood and fails:
-            return ZoneHealth.DOWN if zone.share() >= s.down_bad_share else ZoneHealth.FAILING
-        if zone.stood >= STOOD:
+        stands_out = score >= s.score_threshold - SCORE_TOLERANCE and self._stands_out(zone)
+        if stands_out:
+            zone.outlier_count = min(zone.outlier_count + 1, 2 * SLOW_CONFIRMATIONS)
+        else:
+            zone.outlier_count = max(zone.outlier_count - 1, 0)
+        failed = zone.newest.count(AttemptResult.FAILED)
+        if zone.outlier_count and failed > 0 and 2 * failed >= zone.bad_count:
+            return ZoneHealth.DOWN if zone.bad_share() >= s.down_bad_share else ZoneHealth.FAILING
+        if zone.outlier_count >= SLOW_CONFIRMATIONS:
             return ZoneHealth.SLOW
-        good = sum(sign < AttemptResult.SLOW for _, sign in zone.signs)
-        return (
-            ZoneHealth.HEALTHY if score < s.score_threshold / 4 and good >= s.min_good else ZoneHealth.UNKNOWN
-        )
+        good = sum(result < AttemptResult.SLOW for _, result in zone.recent)
+        is_healthy = score < s.score_threshold / 4 and good >= s.min_good
+        return ZoneHealth.HEALTHY if is_healthy else ZoneHealth.UNKNOWN
+
+
+def _result(good: bool, is_slow: bool, is_late: bool) -> AttemptResult:
+    if not good:
+        return AttemptResult.FAILED
+    if is_slow:
+        return AttemptResult.SLOW
+    return AttemptResult.LATE if is_late else AttemptResult.GOOD
--- a/cottonhold/fleet/zone_failover/quota_lending.py
+++ b/cottonhold/fleet/zone_failover/quota_lending.py
@@ -1,44 +1,50 @@
-"""One budget in parts that never add up to more than the whole, whatever anyone believes. Pure.
+"""One budget in quotas that never add up to more than the whole, whatever any instance believes. Pure.
 
-Each configured dispatcher owns a fixed part. What one does not need it lends for a time.
+Each configured dispatcher owns a fixed quota. What one does not need it lends for a time.
 
-    usable(i) = own(i) - what i has lent and not yet run out + what i has borrowed and not yet run out
+    usable(i) = own(i) - what i has lent and has not expired + what i has borrowed and has not expired
 
-Invariant: at each moment the usable parts of all add up to at most 1. Sketch of the proof: the owned parts
-add up to 1. A loan is taken from the lender at the moment of the grant, and counts there for `last` ms and
-the drift margin after the ask came in. The borrower counts it from when it *asked*, which was earlier, for
-`last` ms. With clocks whose rates differ by less than the margin the borrower's time is over first. A
-grant that is lost, late, repeated or out of order makes the borrower use less, or the same once (terms never
-come back). A lender back from nothing has forgotten its loans: it uses and lends nothing until all that it
-may have granted has run out. A borrower back from nothing has none. Two processes of one dispatcher use half
-each, and lend nothing; the second one waits as one back from nothing, and by then the first knows of it.
+Invariant: at each moment the usable quotas of all add up to at most 1. Sketch of the proof: the owned
+quotas add up to 1. A loan is taken from the lender at the moment of the grant, and counts there for
+`loan_ms` and the drift margin after the request arrived. The borrower counts it from when it *requested*
+it, which was earlier, for `loan_ms`. With clocks whose rates differ by less than the margin the borrower's
+time is over first. A grant that is lost, late, repeated or out of order makes the borrower use less, or the
+same once (terms are never reused). A lender that restarts has forgotten its loans: it uses and lends
+nothing until all that it may have granted has expired. A borrower that restarts has none. Two processes of
+one dispatcher use half each, and lend nothing; the second one waits as after a restart, and by then the
+first knows of it.
 
-A part may be `kept`: never lent, by any life of its owner. So one that is known to be its dispatcher's only
-process uses it from the first moment: what earlier lives lent came from the rest. The part of an owner that
-is missing lies idle. Lent by others, it would be used twice as soon as the owner is back, whom nobody can
-tell in time.
+A share of the own quota may be `unlent`: never lent, by any incarnation of its owner. So a process that is
+known to be its dispatcher's only one uses it from the first moment: what earlier incarnations lent came from
+the rest. The quota of an owner that is missing stays idle. Lent by others, it would be used twice as soon as
+the owner is back, which nobody can know in time.
 
-Times are ms of each one's own monotonic clock.
+Times are ms of each instance's own monotonic clock.
 """
 
 from __future__ import annotations
 
 import math
 import struct
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from cottonhold.fleet.message_format import MessageError
+from cottonhold.fleet.message_format import MAX_UINT32, MessageError
 from cottonhold.fleet.zone_failover.messages import QUOTA_GRANT, QUOTA_REQUEST
 
-LOAN = struct.Struct("!BHIH")  # kind, zone, term, amount in steps
-QUOTA_STEPS = 0xFFFF  # of the whole
+MESSAGE = struct.Struct("!BHIH")  # kind, zone, term, amount in steps
+QUOTA_STEPS = 0xFFFF  # of the whole budget
+FIRST_TERM_MASK = 0x7FFFFFFF  # leaves half of the numbers for the terms that follow
+MIN_SHARE = 0.01  # a smaller lack or spare share is not worth a request
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaSettings:
-    """Times in ms. last: how long a loan counts. renew: part of it after which the borrower asks again.
-    drift: margin for clocks' rates. wait: so many times `last` one back from nothing waits: its earlier life
-    lent until it ended, or until it knew of its successor. kept: share of the own part that is never lent."""
+    """loan_ms: how long a loan counts. renew_after_share: part of it after which the borrower requests it
+    again. clock_drift: margin for clocks' rates. restart_wait_loans: how many times `loan_ms` a restarted
+    process waits: its earlier incarnation lent until it ended, or until it knew of its successor.
+    unlent_share: share of the own quota that is never lent."""
 
     loan_ms: float = 1000.0
     renew_after_share: float = 0.35
@@ -49,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaRequest:
-    """Asks a member for part of a zone's budget."""
+    """Requests part of a zone's budget, in steps, from a member."""
 
     zone: int
     term: int
@@ -58,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaGrant:
-    """The answer: so much of it, maybe nothing."""
+    """The answer: so many steps of it, maybe none."""
 
     zone: int
     term: int
@@ -73,24 +79,30 @@
     message: QuotaRequest | QuotaGrant
 
 
-def encode_quota_message(what: QuotaRequest | QuotaGrant) -> bytes:
+class UsableQuota(NamedTuple):
+    """The part of a budget that may be used now, 0 to 1, and until when it holds unless renewed."""
+
+    share: float
+    expires_at: float
+
+
+def encode_quota_message(message: QuotaRequest | QuotaGrant) -> bytes:
     """A message's bytes."""
-    return LOAN.pack(
-        QUOTA_REQUEST if isinstance(what, QuotaRequest) else QUOTA_GRANT, what.zone, what.term, what.amount
-    )
+    kind = QUOTA_REQUEST if isinstance(message, QuotaRequest) else QUOTA_GRANT
+    return MESSAGE.pack(kind, message.zone, message.term, message.amount)
 
 
 def decode_quota_message(data: bytes) -> QuotaRequest | QuotaGrant:
     """A message's meaning. Raises MessageError."""
-    if len(data) != LOAN.size or data[0] not in (QUOTA_REQUEST, QUOTA_GRANT):
-        raise MessageError("loan")
-    kind, zone, term, amount = LOAN.unpack(data)
+    if len(data) != MESSAGE.size or data[0] not in (QUOTA_REQUEST, QUOTA_GRANT):
+        raise MessageError("quota")
+    kind, zone, term, amount = MESSAGE.unpack(data)
     return QuotaRequest(zone, term, amount) if kind == QUOTA_REQUEST else QuotaGrant(zone, term, amount)
 
 
 @dataclass(slots=True)
 class BorrowedQuota:
-    """What we hold of a lender, and what we have asked it for."""
+    """What is borrowed of a lender, in steps, and what was last requested of it."""
 
     expires_at: float = -math.inf
     amount: int = 0
@@ -99,28 +111,38 @@
     requested_amount: int = 0
 
 
+class LentQuota(NamedTuple):
+    """A loan at its lender, in steps."""
+
+    expires_at: float
+    amount: int
+
+
 @dataclass(slots=True)
 class ZoneLoans:
     """One zone's budget at this instance."""
 
-    lent: dict[int, list[tuple[float, int]]] = field(default_factory=dict)  # ends and amounts by borrower
+    lent: dict[int, list[LentQuota]] = field(default_factory=dict)  # by borrower
+    borrowed: dict[int, BorrowedQuota] = field(default_factory=dict)  # by lender
 
-    def reserved(self, now: float, member: int) -> int:
-        """The most that a borrower may hold of ours.
+    def reserved(self, now: float, borrower: int) -> int:
+        """The most that a borrower may use of the own quota: the largest loan that has not expired.
 
-        Danger: counted by its newest loan, a smaller one would set free what the borrower still holds where
-        the answer was lost; it has one of those that still run.
+        A newer, smaller loan replaces nothing: where its grant was lost, the borrower still uses the one
+        before.
         """
-        loans = self.lent[member] = [loan for loan in self.lent.get(member, []) if loan[0] > now]
-        return max((amount for _, amount in loans), default=0)
-
-    borrowed: dict[int, BorrowedQuota] = field(default_factory=dict)
+        loans = [loan for loan in self.lent.get(borrower, ()) if loan.expires_at > now]
+        self.lent[borrower] = loans
+        return max((loan.amount for loan in loans), default=0)
 
 
 class QuotaAccount:
-    """This instance's part of each zone's budget. `own`: its fixed part, 0 to 1 over all; `first_term` is
-    drawn at the start, so that a late grant to an earlier life is void. only: it is its dispatcher's one
-    process, and no successor beside an older one."""
+    """This instance's quota of each zone's budget.
+
+    own: its fixed part, 0 to 1 over all; first_term: drawn at the start, so that a late grant to an earlier
+    incarnation is void; is_only_process: it is its dispatcher's one process, and no successor beside an older
+    one.
+    """
 
     def __init__(
         self,
@@ -128,87 +150,99 @@
         own: float,
         first_term: int,
         settings: QuotaSettings | None = None,
-        only: bool = False,
+        is_only_process: bool = False,
     ) -> None:
         self.settings = settings or QuotaSettings()
         self.own = int(own * QUOTA_STEPS)
         self.unlent = math.ceil(self.own * self.settings.unlent_share)
         self.usable_from = now + self.settings.restart_wait_loans * self.settings.loan_ms
-        self.unlent_usable_from = now if only else self.usable_from
-        self.last_term = first_term & 0x7FFFFFFF
+        self.unlent_usable_from = now if is_only_process else self.usable_from
+        self.last_term = first_term & FIRST_TERM_MASK
         self.process_count = 1  # processes that stand for this dispatcher
         self.loans: dict[int, ZoneLoans] = {}
 
-    def usable(self, now: float, zone: int) -> tuple[float, float]:
-        """The part that may be used now, 0 to 1, and until when it holds unless asked again."""
-        own, ends = self._available(now, zone), math.inf
-        purse = self.loans.get(zone)
-        for loan in purse.borrowed.values() if purse is not None else ():
+    def usable(self, now: float, zone: int) -> UsableQuota:
+        """The quota of a zone that may be used now."""
+        amount, expires_at = self._available(now, zone), math.inf
+        loans = self.loans.get(zone)
+        for loan in loans.borrowed.values() if loans is not None else ():
             if loan.expires_at > now and loan.amount:
-                own, ends = own + loan.amount, min(ends, loan.expires_at)
-        return max(own, 0) / QUOTA_STEPS, ends
-
-    def request(self, now: float, zone: int, demand: dict[int, float], me: int) -> list[QuotaMessage]:
-        """Ask those with less demand than their part for what this one lacks; `demand` adds up to about 1."""
-        purse = self.loans.setdefault(zone, ZoneLoans())
-        # Danger: the two processes of an upgrade are one borrower to the lenders, and each would use all of
-        # it.
-        if self.process_count > 1 or now < self.usable_from or len(demand) < 2:
+                amount, expires_at = amount + loan.amount, min(expires_at, loan.expires_at)
+        return UsableQuota(max(amount, 0) / QUOTA_STEPS, expires_at)
+
+    def request(
+        self, now: float, zone: int, load_shares: Mapping[int, float], self_id: int
+    ) -> list[QuotaMessage]:
+        """Request what this instance lacks from members with less load than quota.
+
+        load_shares: by member, its part of the load; adds up to about 1. Two processes of one dispatcher
+        request nothing: to the lenders they are one borrower, and each would use the whole loan.
+        """
+        loans = self.loans.setdefault(zone, ZoneLoans())
+        if self.process_count > 1 or now < self.usable_from or len(load_shares) < 2:
             return []
         fair = self.own / QUOTA_STEPS
-        lack = {member: share - fair for member, share in demand.items() if share > fair}
-        spare = {member: fair - share for member, share in demand.items() if share < fair}
-        mine, all_lack, all_spare = lack.get(me, 0.0), sum(lack.values()), sum(spare.values())
-        if mine <= 0.01 or all_spare <= 0.01:
-            return []
-        asks = []
-        for member, left in spare.items():
-            amount = int(QUOTA_STEPS * min(mine / all_lack * left, mine * left / all_spare))
-            loan = purse.borrowed.setdefault(member, BorrowedQuota())
-            if (
-                amount > 0
-                and now - loan.requested_at >= self.settings.renew_after_share * self.settings.loan_ms
-            ):
-                self.last_term = (self.last_term + 1) & 0xFFFFFFFF
-                loan.term, loan.requested_at, loan.requested_amount = self.last_term, now, amount
-                asks.append(QuotaMessage(member, QuotaRequest(zone, self.last_term, amount)))
-        return asks
-
-    def on_message(self, now: float, sender: int, what: QuotaRequest | QuotaGrant) -> list[QuotaMessage]:
-        """A message from a member."""
-        purse = self.loans.setdefault(what.zone, ZoneLoans())
-        if isinstance(what, QuotaRequest):
-            return [
-                QuotaMessage(sender, QuotaGrant(what.zone, what.term, self._grant(now, purse, sender, what)))
-            ]
-        loan = purse.borrowed.get(sender)
-        # Danger: an answer to an ask of long ago, or one that came twice, would count from the newest ask.
-        if loan is None or loan.term != what.term or what.amount > loan.requested_amount:
+        lacking = {member: share - fair for member, share in load_shares.items() if share > fair}
+        spare = {member: fair - share for member, share in load_shares.items() if share < fair}
+        own, all_lacking, all_spare = lacking.get(self_id, 0.0), sum(lacking.values()), sum(spare.values())
+        if own <= MIN_SHARE or all_spare <= MIN_SHARE:
             return []
-        loan.amount, loan.expires_at = what.amount, loan.requested_at + self.settings.loan_ms
+        requests = []
+        for lender, share in spare.items():
+            amount = int(QUOTA_STEPS * min(own / all_lacking * share, own * share / all_spare))
+            loan = loans.borrowed.setdefault(lender, BorrowedQuota())
+            if amount > 0 and self._is_due(now, loan):
+                requests.append(QuotaMessage(lender, self._new_request(now, zone, loan, amount)))
+        return requests
+
+    def on_message(self, now: float, sender: int, message: QuotaRequest | QuotaGrant) -> list[QuotaMessage]:
+        """A message from a member; returns the answer, if it takes one."""
+        loans = self.loans.setdefault(message.zone, ZoneLoans())
+        if isinstance(message, QuotaRequest):
+            amount = self._grant(now, loans, sender, message)
+            return [QuotaMessage(sender, QuotaGrant(message.zone, message.term, amount))]
+        loan = loans.borrowed.get(sender)
+        # A grant of an earlier request, late or repeated, would count from the time of the newest one.
+        if loan is not None and loan.term == message.term and message.amount <= loan.requested_amount:
+            loan.amount = message.amount
+            loan.expires_at = loan.requested_at + self.settings.loan_ms
         return []
 
-    def forget(self, members: list[int]) -> None:
-        """Members that are gone for good; what they hold of ours runs out by itself."""
-        for purse in self.loans.values():
-            for member in members:
-                purse.borrowed.pop(member, None)
+    def forget(self, members: Iterable[int]) -> None:
+        """Drop what is borrowed of members that have left; what they borrowed expires by itself."""
+        departed = list(members)
+        for loans in self.loans.values():
+            for member in departed:
+                loans.borrowed.pop(member, None)
+
+    def _is_due(self, now: float, loan: BorrowedQuota) -> bool:
+        return now - loan.requested_at >= self.settings.renew_after_share * self.settings.loan_ms
+
+    def _new_request(self, now: float, zone: int, loan: BorrowedQuota, amount: int) -> QuotaRequest:
+        """A request under a new term, noted in the loan."""
+        self.last_term = (self.last_term + 1) & MAX_UINT32
+        loan.term, loan.requested_at, loan.requested_amount = self.last_term, now, amount
+        return QuotaRequest(zone, self.last_term, amount)
 
     def _available(self, now: float, zone: int) -> int:
-        """What is left of the own part."""
+        """What is not lent of the own quota, in steps.
+
+        Just after a start that is no more than the unlent share: an earlier incarnation may have lent the
+        rest.
+        """
         if now < self.usable_from:
-            # Danger: not the whole part, of which an earlier life may have lent what is not kept.
             return self.unlent // self.process_count if now >= self.unlent_usable_from else 0
-        purse = self.loans.get(zone)
-        lent = sum(purse.reserved(now, member) for member in list(purse.lent)) if purse else 0
+        loans = self.loans.get(zone)
+        lent = sum(loans.reserved(now, borrower) for borrower in list(loans.lent)) if loans else 0
         return self.own // self.process_count - lent
 
-    def _grant(self, now: float, purse: ZoneLoans, member: int, ask: QuotaRequest) -> int:
+    def _grant(self, now: float, loans: ZoneLoans, borrower: int, request: QuotaRequest) -> int:
+        """Lend what is spare, in steps; what the borrower has already counts as spare."""
         if self.process_count > 1 or now < self.usable_from:
             return 0
-        left = self._available(now, ask.zone) - self.unlent
-        amount = min(ask.amount, max(left + purse.reserved(now, member), 0))
+        spare = self._available(now, request.zone) - self.unlent + loans.reserved(now, borrower)
+        amount = min(request.amount, max(spare, 0))
         if amount:
-            until = now + self.settings.loan_ms * (1 + self.settings.clock_drift)
-            purse.lent.setdefault(member, []).append((until, amount))
+            expires_at = now + self.settings.loan_ms * (1 + self.settings.clock_drift)
+            loans.lent.setdefault(borrower, []).append(LentQuota(expires_at, amount))
         return amount
--- /dev/null
+++ b/cottonhold/fleet/zone_failover/status.py
@@ -0,0 +1,62 @@
+"""The state of zones as `cottonhold zone show` prints it. Pure."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from typing import Any
+
+from cottonhold.fleet.zone_failover.evacuation import ZoneState
+from cottonhold.fleet.zone_failover.failure_evidence import AttemptCounts
+from cottonhold.fleet.zone_failover.messages import MemberReport, Vote, ZoneReport
+from cottonhold.fleet.zone_failover.operator_overrides import MODE_NAMES, Override
+
+
+def zone_row(
+    now: float,
+    zone: str,
+    state: ZoneState,
+    counts: AttemptCounts,
+    reports: list[ZoneReport],
+    electorate: int,
+    traffic_share: float,
+    override: dict[str, Any] | None,
+) -> dict[str, Any]:
+    """One zone's row, under the keys that operators know."""
+    votes_out = sum(report.vote is Vote.EVACUATE for report in reports) + (state.vote is Vote.EVACUATE)
+    return {
+        "zone": zone,
+        "phase": state.phase.value,
+        "since_ms": round(now - state.since) if state.since > -math.inf else None,
+        "why": state.reason,
+        "fleet_out": state.is_fleet_evacuated,
+        "votes_out": votes_out,
+        "heard": len(reports) + 1,
+        "electorate": electorate,
+        "pace": round(traffic_share, 3),
+        "good": counts.good,
+        "late": counts.late,
+        "bad": counts.bad,
+        "hold_ms": round(state.hold_ms),
+        "order": override,
+    }
+
+
+def override_row(
+    now: float,
+    override: Override,
+    digest: int,
+    fresh: Mapping[int, MemberReport],
+    members: Mapping[int, float],
+    names: Mapping[int, str],
+) -> dict[str, Any]:
+    """An override in force. fresh: reports by member; members: those that should know of it."""
+    confirmed = {member for member, report in fresh.items() if report.overrides_digest == digest}
+    return {
+        "mode": MODE_NAMES[override.mode],
+        "who": override.requested_by,
+        "why": override.reason,
+        "left_ms": round(override.expires_at - now),
+        "author": names.get(override.author, str(override.author)),
+        "unconfirmed": sorted(names.get(m, str(m)) for m in members if m not in confirmed),
+    }
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -8,15 +8,10 @@
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.admission.loads import admission_draw, density_of_step
-from cottonhold.fleet.coordinator import (
-    Action,
-    EngineBounds,
-    FleetCoordinator,
-    FleetSettings,
-    SendMessage,
-    ThresholdUpdate,
-)
+from cottonhold.fleet.admission.demand import density_of_step
+from cottonhold.fleet.admission.demand_sharing import admission_draw
+from cottonhold.fleet.coordinator import Action, FleetCoordinator, FleetSettings, SendMessage, ThresholdUpdate
+from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.projection import Projection
 from cottonhold.fleet.recovery.slow_start import SlowStartSettings, first_prober
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -16,7 +16,7 @@
 
 from cottonhold.discovery.model import Address, Change, Names
 from cottonhold.fleet import engine_drain
-from cottonhold.fleet.admission import loads
+from cottonhold.fleet.admission import demand_messages
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.consensus import acceptor, messages
 from cottonhold.fleet.consensus.actions import PersistState
@@ -101,8 +101,11 @@
 def price_loads() -> bytes:
     """Two instances' loads."""
     busy = ReportedLoad({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
-    return loads.encode_demand_reports(
-        [loads.DemandReport(MEMBER, LIFE, VERSION, busy), loads.DemandReport(2, 3, 4, ReportedLoad({}))]
+    return demand_messages.encode_demand_reports(
+        [
+            demand_messages.DemandReport(MEMBER, LIFE, VERSION, busy),
+            demand_messages.DemandReport(2, 3, 4, ReportedLoad({})),
+        ]
     )
 
 
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -12,15 +12,14 @@
 from cottonhold.emulator.overload import OnePrice, Overload, Policy
 from cottonhold.fleet.admission import demand
 from cottonhold.fleet.admission.demand import DENSITY_STEPS, MAX_ENCODED_STEPS, Demand
-from cottonhold.fleet.admission.loads import (
+from cottonhold.fleet.admission.demand_messages import (
     DemandReport,
-    DemandSharing,
-    admission_draw,
     decode_demand_reports,
     encode_demand_reports,
 )
+from cottonhold.fleet.admission.demand_sharing import DemandSharing, admission_draw
 from cottonhold.fleet.admission.threshold import (
-    AdmissionThreshold,
+    DensityThreshold,
     ReportedLoad,
     ThresholdController,
     threshold_for,
@@ -93,12 +92,12 @@
 
 
 def test_at_the_price_a_request_meets_one_answer_and_comes_again_in_vain() -> None:
-    price = AdmissionThreshold(7, 0.4)
-    draws = [admission_draw(str(n).encode(), retry=False) for n in range(4000)]
+    price = DensityThreshold(7, 0.4)
+    draws = [admission_draw(str(n).encode(), is_retry=False) for n in range(4000)]
     let_in = [price.admits(7, draw) for draw in draws]
     assert let_in == [price.admits(7, draw) for draw in draws] and 0.36 < sum(let_in) / 4000 < 0.44
-    assert not price.admits(7, admission_draw(b"1", retry=True)) and price.admits(
-        8, admission_draw(b"1", retry=True)
+    assert not price.admits(7, admission_draw(b"1", is_retry=True)) and price.admits(
+        8, admission_draw(b"1", is_retry=True)
     )
     assert price.admits(8, 0.9) and not price.admits(6, 0.1)
 
@@ -106,7 +105,7 @@
 @pytest.mark.parametrize("priced", [False, True], ids=["no price", "a price"])
 def test_tries_of_one_request_count_once(priced: bool) -> None:
     loads = DemandSharing(1, 1, 0.0, 1)
-    loads.controller.threshold = AdmissionThreshold(demand.density_step(6.0, 20.0), 0.4) if priced else None
+    loads.controller.threshold = DensityThreshold(demand.density_step(6.0, 20.0), 0.4) if priced else None
     for t in range(0, 4000, 10):
         for retry in (False, True, True):
             loads.on_request(float(t), 6.0, 20.0, retry)
@@ -130,7 +129,7 @@
     for ended in (0, 3, 300):
         pricing = ThresholdController(0.0)
         for _ in range(ended):
-            pricing.on_admitted(0.0, lost=False)
+            pricing.on_admitted(0.0, ran_out_of_time=False)
         price = pricing.step(10.0, pricing.report(word), [], 1, 5.0)
         assert price is not None
         shares.append(price.admitted_share / 0.97 * 2)
@@ -140,7 +139,7 @@
 def test_without_an_overload_a_gain_is_forgotten_and_it_stays_within_bounds() -> None:
     pricing, word = ThresholdController(0.0), ReportedLoad({60: 100.0})
     for t in range(100, 60_000, 100):
-        pricing.on_admitted(1.0, lost=True)
+        pricing.on_admitted(1.0, ran_out_of_time=True)
         pricing.step(float(t), pricing.report(word.rates), [], 1, 10.0)
     assert pricing.gain == pricing.settings.min_gain
     for t in range(60_000, 90_000, 100):
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -6,12 +6,9 @@
 
 import pytest
 
-from cottonhold.fleet.admission.loads import (
-    DemandReport,
-    admission_draw,
-    density_of_step,
-    encode_demand_reports,
-)
+from cottonhold.fleet.admission.demand import density_of_step
+from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
+from cottonhold.fleet.admission.demand_sharing import admission_draw
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
 from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -10,7 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.coordinator import EngineBounds, FleetCoordinator, FleetSettings
+from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings
+from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.failover_cost.cross_zone_limits import (
     CrossZoneSettings,
     OutageAllocation,
--- a/tests/fleet/test_failure_evidence.py
+++ b/tests/fleet/test_failure_evidence.py
@@ -126,5 +126,5 @@
         evidence.on_ended(5.0 * n + 4, f"q{n}", engine[0] != "a" or n < 200, 20.0)
         verdicts = evidence.assess(5.0 * n + 4)
     assert verdicts["a"] is ZoneHealth.DOWN
-    evidence.reset("a", absent=not returning, returning=returning)
+    evidence.reset("a", is_evacuated=not returning, is_returning=returning)
     assert evidence.assess(2010.0)["a"] is ZoneHealth.UNKNOWN
--- a/tests/fleet/test_incarnations.py
+++ b/tests/fleet/test_incarnations.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cottonhold.fleet.admission.loads import DemandReport
+from cottonhold.fleet.admission.demand_messages import DemandReport
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
 from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import SITE_REPORTS
--- a/tests/fleet/test_quota_lending.py
+++ b/tests/fleet/test_quota_lending.py
@@ -134,7 +134,7 @@
         if self.lives > 1:
             return None
         term, kept = 10_000 * self.lives + 100 * i, self.settings.unlent_share > 0
-        self.members[i] = QuotaAccount(self.now, 1 / COUNT, term, self.settings, only=kept)
+        self.members[i] = QuotaAccount(self.now, 1 / COUNT, term, self.settings, is_only_process=kept)
         self.stopped -= {i}
         return self
 
@@ -268,7 +268,9 @@
         self.lives += 1
         kept = self.settings_used.unlent_share > 0
         self.held[i] = [
-            QuotaAccount(self.clock(i), 1 / COUNT, 1000 * self.lives, self.settings_used, only=kept)
+            QuotaAccount(
+                self.clock(i), 1 / COUNT, 1000 * self.lives, self.settings_used, is_only_process=kept
+            )
         ]
 
     @rule(i=st.integers(0, COUNT - 1))
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator.recovery import MEAN, Plan, Return
-from cottonhold.fleet.admission.loads import DemandReport, encode_demand_reports
+from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
 from cottonhold.fleet.message_format import MessageError
@@ -326,10 +326,10 @@
     )
     made.set_engines({"a": ENGINES}, 0.0)
     assert made.slow_start is not None
-    owned = [made._ramped(10.0)[1]]
+    owned = [made.available_capacity(10.0).owned_cores]
     for engine, good in (("a0", False), ("a1", True)):
         made.on_health_check(20.0, engine, good)
-        owned.append(made._ramped(20.0)[1])
+        owned.append(made.available_capacity(20.0).owned_cores)
     bears = made.slow_start.settings.max_cold_share / 2  # of an engine
     assert owned == pytest.approx([3 * bears, 2 * bears / 2, bears + bears * 2 / 3])
 
--- a/tests/fleet/test_snapshot_plan.py
+++ b/tests/fleet/test_snapshot_plan.py
@@ -38,7 +38,7 @@
     assert made.failover_cost is not None
     for t in range(0, int(last), 100):
         now = begin + t
-        made.serves = dict.fromkeys(ZONES, 0.97) | out
+        made.assessment.served_shares = dict.fromkeys(ZONES, 0.97) | out
         if t % 1000 == 0:
             for s in sites:
                 made.failover_cost.on_message(now, encode_site_reports([replace(s, version=int(now) + 1)]))
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -9,9 +9,11 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.fleet import World
-from cottonhold.fleet.coordinator import EngineBounds, FleetCoordinator, FleetSettings, SendMessage
-from cottonhold.fleet.zone_failover.evacuation import Evacuation, LocalEvidence, Phase, Signs, pool_counts
-from cottonhold.fleet.zone_failover.failure_evidence import ZoneHealth
+from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.engine_bounds import EngineBounds
+from cottonhold.fleet.zone_failover.attempt_pool import pool_counts
+from cottonhold.fleet.zone_failover.evacuation import Evacuation, LocalEvidence, Phase
+from cottonhold.fleet.zone_failover.failure_evidence import AttemptCounts, ZoneHealth
 from cottonhold.fleet.zone_failover.messages import (
     MemberReport,
     Vote,
@@ -307,7 +309,8 @@
     fleet = lone(500)
     for member in range(2, 501):
         fleet.on_message(float(member), member, encode_zone_reports([word(member, 1, Vote.KEEP)], 200))
-    voters, passed = set(fleet._voters(600.0)), list(fleet._passed(600.0))
+    voters = set(fleet.electorate.voters(600.0))
+    passed = fleet.reporting.relayed(600.0, voters)
     assert len(passed) <= 32 and {w.member for w in passed} >= voters - {1}
     assert next(w.member for w in passed if w.member not in voters) == max(set(range(2, 501)) - voters)
 
@@ -392,8 +395,9 @@
 
 
 def test_a_pool_of_signs_is_not_spoken_for_by_one() -> None:
-    (good, _, bad), accusers = pool_counts([(0, 0, 250), (20, 0, 0), (20, 0, 1)])
-    assert accusers == 2 and bad < 0.4 * (good + bad)
+    claims = [AttemptCounts(0, 0, 250), AttemptCounts(20, 0, 0), AttemptCounts(20, 0, 1)]
+    pooled = pool_counts(claims)
+    assert pooled.reporters_of_bad == 2 and pooled.bad < 0.4 * (pooled.good + pooled.bad)
 
 
 def test_a_pace_waits_for_the_lower_middle_of_all() -> None:
@@ -407,10 +411,10 @@
 
 @pytest.mark.parametrize(
     "elsewhere, phase",
-    [((20, 0, 0), Phase.EVACUATED), ((14, 0, 6), Phase.RETURNING)],
+    [(AttemptCounts(20, 0, 0), Phase.EVACUATED), (AttemptCounts(14, 0, 6), Phase.RETURNING)],
     ids=["it alone", "all zones"],
 )
-def test_a_return_fails_by_what_is_bad_elsewhere(elsewhere: Signs, phase: Phase) -> None:
+def test_a_return_fails_by_what_is_bad_elsewhere(elsewhere: AttemptCounts, phase: Phase) -> None:
     """Found in the model: at 0.96 of the load one instance had left alone, and gave up each return."""
     zones = Evacuation()
     zones.set_zones("ab")
@@ -419,7 +423,7 @@
     told = {"a": [ZoneReport(Vote.KEEP, 7, 0, 3)] * 3, "b": [ZoneReport(Vote.KEEP, *elsewhere)] * 3}
     own = {
         name: LocalEvidence(ZoneHealth.UNKNOWN, signs, False, True)
-        for name, signs in {"a": (7, 0, 3), "b": elsewhere}.items()
+        for name, signs in {"a": AttemptCounts(7, 0, 3), "b": elsewhere}.items()
     }
     zones.step(300.0, own, told, 4)
     assert state.phase is phase
@@ -429,7 +433,7 @@
     zones = Evacuation()
     zones.set_zones(["a"])
     zones.states["a"].hold_ms = 16_000.0
-    own = {"a": LocalEvidence(ZoneHealth.HEALTHY, (10, 0, 0), False, True)}
+    own = {"a": LocalEvidence(ZoneHealth.HEALTHY, AttemptCounts(10, 0, 0), False, True)}
     for t in range(0, 200_000, 1000):
         zones.step(float(t), own, {}, 1)
     assert zones.states["a"].hold_ms == zones.settings.hold_ms
