--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -20,6 +20,9 @@
 from tests.fleet.test_recovery_processes import DAY as POWER
 from tests.fleet.test_rolling_replacement_processes import call, played, rows
 
+# Several processes at once: beside another such test they slow one another, which looks like a fault.
+pytestmark = pytest.mark.xdist_group("processes")
+
 # Little load: on a machine that is busy with other things zones look slow, and nothing starts meanwhile.
 DAY = msgspec.structs.replace(POWER, name="swap of engines", seconds=580.0, rate=20.0)
 LONG = 280.0  # s until a state that does not come is an error
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -19,6 +19,9 @@
 from cottonhold.emulator.fault_injection.harness import Trial
 from cottonhold.emulator.fault_injection.script import Day, Fault
 
+# Several processes at once: beside another such test they slow one another, which looks like a fault.
+pytestmark = pytest.mark.xdist_group("processes")
+
 DAY = Day(
     name="short", about="in CI", instances=4, engines=2, rate=120.0, seconds=600.0, weights=(1, 1, 2, 3)
 )
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -16,6 +16,9 @@
 from cottonhold.emulator.fault_injection.harness import Trial
 from cottonhold.emulator.fault_injection.script import Day, Fault
 
+# Several processes at once: beside another such test they slow one another, which looks like a fault.
+pytestmark = pytest.mark.xdist_group("processes")
+
 DAY = Day(
     name="power",
     about="in CI",
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -15,6 +15,9 @@
 from cottonhold.node.status import ask
 from tests.fleet.test_recovery_processes import ALL, DAY, more, recovery
 
+# Several processes at once: beside another such test they slow one another, which looks like a fault.
+pytestmark = pytest.mark.xdist_group("processes")
+
 Story = Callable[[Trial], Coroutine[Any, Any, None]]
 
 
--- a/tests/fleet/test_session_affinity_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -23,6 +23,9 @@
     step,
 )
 
+# Several processes at once: beside another such test they slow one another, which looks like a fault.
+pytestmark = pytest.mark.xdist_group("processes")
+
 # Long enough for a busy machine, and calm enough: the stories end it.
 PINNED = msgspec.structs.replace(DAY, name="pins", pins=True, order_across=True, rate=30.0, seconds=300.0)
 # Clients that hear nothing for a while ask again, for the same load and at any instance.
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -17,6 +17,9 @@
 from cottonhold.cli.main import app
 from cottonhold.emulator.process_fleet import Tier
 
+# Several processes at once: beside another such test they slow one another, which looks like a fault.
+pytestmark = pytest.mark.xdist_group("processes")
+
 
 @pytest.fixture
 def tier(tmp_path: Path) -> Iterator[Tier]:
