--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -20,7 +20,7 @@
 
 from cottonhold.emulator.recovery import MEAN, Plan, Return
 from cottonhold.fleet.coordinator import FleetSettings
-from cottonhold.fleet.recovery.slow_start import SlowStartSettings
+from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 
 USUAL = 0.6  # of what warm engines do
 SIZES = {5: 9, 50: 75, 500: 150}  # instances: engines
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -16,7 +16,8 @@
 from cottonhold.emulator.overload import HEARD, ROOM, STEP, Instance, Kind, OnePrice, Overload, Request
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage, ThresholdUpdate
 from cottonhold.fleet.engine_bounds import EngineBounds
-from cottonhold.fleet.recovery.slow_start import OutageScope, first_prober
+from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.slow_start import OutageScope
 
 KINDS = (Kind(1.0, share=0.48), Kind(6.0, share=0.32), Kind(6.0, 60.0, 4000.0, 0.2))
 MEAN = sum(k.work * k.share for k in KINDS)
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -21,7 +21,8 @@
 from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import SITE_REPORTS
 from cottonhold.fleet.message_format import MAX_UINT32, MessageError
-from cottonhold.fleet.recovery.slow_start import WARMUP_BUDGET, OutageScope, SlowStart, SlowStartSettings
+from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET, SlowStartSettings
 from cottonhold.fleet.recovery.warmup_messages import WARMUP_REPORTS
 from cottonhold.fleet.zone_failover import messages, operator_overrides, quota_lending
 from cottonhold.fleet.zone_failover.electorate import Electorate
--- a/cottonhold/fleet/engine_bounds.py
+++ b/cottonhold/fleet/engine_bounds.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.failover_cost.estimator import CostEstimator
-from cottonhold.fleet.recovery.slow_start import WARMUP_BUDGET, SlowStart
+from cottonhold.fleet.recovery.slow_start import SlowStart
+from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET
 from cottonhold.fleet.zone_failover.evacuation import Evacuation
 from cottonhold.fleet.zone_failover.messages import ZoneReport
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -1,41 +1,42 @@
 """Which loads may have run, as far as any dispatcher of the fleet remembers. Pure.
 
-A load is known by `identity(service, key, body)`, 16 bytes. The caller tells what happens to it here:
-
-    take(now, load)          before its record is made durable, for a request that is not marked as a retry.
-                             False: it must be asked about first, as if it were marked
-    sent(now, load)          its record is durable and its first byte goes out now
-    ended(now, load, how)    its end: WELL, FAILED, or NEVER with proof that it never ran (also where nothing
-                             was sent after `take`)
-    ask(now, ref, load, until)
-                             a client's retry. Known at once, or None: then a Settled(ref, ...) follows from
-                             `step` or `hear`, at `until` at the latest (the client's patience)
-    drop(now, ref)           its client went away, or what was to be sent won't be
-
-and what the census found: `step(now, Around(...))`, at `next_at` and after each step of the census.
-`hear(now, number, word)` takes others' words (by the number that the census bound the sender to). Both return
-actions: To(number, data), Settled(ref, load, Known, cooldown). Known: WELL, it ran to its end well; MAY, it
-may have run: it is failed and never sent; NEVER, nobody sent it: it is this instance's to send at once
-(`sent` follows, or `drop`); LATER, not known within the client's patience: it is refused and may come back
-after `cooldown` ms.
+A load is known by its `load_identity`, 16 bytes. The caller says what happens to it here:
+
+    begin(now, load)           before its record is made durable, for a request that is not marked as a retry.
+                               False: it must be queried first, as if it were marked
+    on_sent(now, load)         its record is durable and its first byte is sent now
+    on_ended(now, load, result)
+                               its end; NEVER_RAN with proof of that (also where nothing was sent after
+                               `begin`)
+    on_retry(now, request_id, load, deadline)
+                               a client's retry. Known at once, or None: then a LoadSettled follows from
+                               `step` or `on_message`, at the client's deadline at the latest
+    cancel(now, request_id)    its client went away, or what was to be sent won't be
+
+and what the membership survey found: `step(now, FleetState(...))`, at `next_at` and after each step of the
+survey. `on_message(now, number, message)` takes others' messages, by the number that the survey bound the
+sender to. Both return actions. LoadKnowledge: SUCCEEDED; MAY_HAVE_RUN: it is failed and never sent;
+NEVER_SENT: it is this instance's to send at once (`on_sent` follows, or `cancel`); NOT_KNOWN_YET within the
+client's deadline: it is rejected and may come back after `retry_after_ms`.
 
 Rule: an own record decides at once. Else every other configured dispatcher has to have said that it never
-sent it, on an ask of this very retry, or to be gone. One whose memory is empty or old says UNKNOWN for a
-hold after its start, never NEVER; one whose memory nobody has confirmed yet says WAIT. While `waiting`, the
-census has to `hurry`: what it says of those that are gone must be newer than the retry.
-
-No two send one load (proof). Whoever has a retry in hand says MAY to others that ask, unless theirs ranks
-higher (by a hash of number and load): then it gives its own up, as MAY. Of two that both got the other's
-NEVER, each would have answered before it began to ask and so each before the other (Ricart and Agrawala, "An
-Optimal Algorithm for Mutual Exclusion in Computer Networks"). Where one is taken for gone, more than half of
-the configured ones have said so since, and have answered; two such asks meet at one of these, and the second
-hears ASKED, which is MAY where anybody is gone. A first request that stands in line here and that another
-has asked about is not sent: `take` is False.
-
-Hold: a client asks first at t and waits for at most `longest`, the longest deadline; at t + longest at the
-latest it knows that its load broke, and asks again; that retry waits for at most `longest` too. So what was
-sent at t is asked about until t + 2 longest, and `slack` covers cooldowns. A retry that was told LATER may
-come back after that: so a retry counts from the first time it was heard of, here or where it is asked about.
+sent it, on a query of this very retry, or to be proven silent. One whose memory is empty or stale says
+UNKNOWN for a hold after its start, never NEVER_SENT; one whose memory nobody has confirmed yet says
+NOT_KNOWN_YET. While `has_pending`, the survey has to `expedite`: what it says of silent ones must be newer
+than the retry.
+
+No two send one load (proof). Whoever has a retry pending says MAY_HAVE_RUN to others that ask, unless theirs
+ranks higher (by a hash of number and load): then it gives its own up, as MAY_HAVE_RUN. Of two that both got
+the other's NEVER_SENT, each would have answered before it began to ask and so each before the other (Ricart
+and Agrawala, "An Optimal Algorithm for Mutual Exclusion in Computer Networks"). Where one is taken for
+silent, more than half of the configured ones have said so since, and have answered; two such queries meet at
+one of these, and the second hears ALSO_QUERIED, which is MAY_HAVE_RUN where anybody is silent. A first
+request that is queued here and that another has asked about is not sent: `begin` is False.
+
+Hold: a client asks first at t and waits for at most the longest deadline L; at t + L at the latest it knows
+that its load broke, and asks again; that retry waits for at most L too. So what was sent at t is asked about
+until t + 2 L, and a slack covers retries after a pause. A retry that was told NOT_KNOWN_YET may come back
+after that: so a retry counts from the first time it was heard of, here or where it is queried.
 """
 
 from __future__ import annotations
@@ -45,14 +46,15 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
+from cottonhold.fleet.message_format import MAX_UINT32
 from cottonhold.fleet.recovery.local_loads import (
     LoadKnowledge,
     LoadResult,
     LocalLoads,
+    QueriedLoad,
     RecordedLoad,
 )
 from cottonhold.fleet.recovery.messages import (
-    MAX_UINT32,
     LoadAnswer,
     LoadQuery,
     LoadStatement,
@@ -64,14 +66,17 @@
 )
 from cottonhold.fleet.recovery.survey_results import ProvenSilence
 
+CLEANUP_INTERVAL_MS = 1000.0
+QUERY_LIFETIME_RETRIES = 10  # times the longest retry pause after which a query's answer is void
+
 
 @dataclass(slots=True, frozen=True)
 class LoadHistorySettings:
-    """Times in ms. hold: see `hold_for`. again, most_again: an ask that isn't answered goes out again after
-    so long, doubled up to the second. cooldown: told with LATER. alone: for so long a retry that too few
-    others have heard of is told LATER; less than the slack of `hold_for` by a few cooldowns. announce: loads
-    of earlier boots are told of so many times. most: loads remembered, asked about and in hand, each; beyond,
-    retries are told LATER at once."""
+    """Times in ms. hold_ms: see `hold_ms_for`. retry_ms, max_retry_ms: a query that isn't answered is sent
+    again after so long, doubled up to the second. retry_after_ms: told with NOT_KNOWN_YET.
+    max_unconfirmed_ms: for so long a retry that too few others have heard of is told NOT_KNOWN_YET; less than
+    the slack of `hold_ms_for` by a few pauses. announcements: how often loads of earlier boots are announced.
+    max_loads: remembered, queried and pending, each; beyond, retries are told NOT_KNOWN_YET at once."""
 
     hold_ms: float
     retry_ms: float = 60.0
@@ -84,8 +89,8 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetState:
-    """What the census knows. may_send: this instance may send loads. confirmed: its own memory is whole.
-    memory: its state, OLD once that was found out. apart: one that isn't gone can't be heard."""
+    """What the survey knows. memory: this instance's, STALE once that was found out. silent: by number, those
+    proven so. is_partitioned: one that isn't can't be heard."""
 
     may_send_loads: bool
     has_confirmed_memory: bool
@@ -96,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendToDispatcher:
-    """A message for a number."""
+    """A message for a dispatcher's number."""
 
     number: int
     data: bytes
@@ -104,7 +109,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadSettled:
-    """What is known now of the load that `ref` asked about. cooldown: ms, with LATER."""
+    """What is known now of the load of a retry. retry_after_ms: with NOT_KNOWN_YET."""
 
     request_id: str
     load: bytes
@@ -117,8 +122,8 @@
 
 @dataclass(slots=True)
 class PendingRetry:
-    """A retry in hand. refs: who waits, and until when. noted: who has heard of it. said, next_at, wait: by
-    number."""
+    """A retry that is being settled. deadlines: by request that waits. noted_by: who has heard of it.
+    statements, query_at, retry_ms: by number."""
 
     started_at: float
     deadlines: dict[str, float]
@@ -130,7 +135,7 @@
 
 @dataclass(slots=True)
 class SentQuery:
-    """An ask that went out, so that its answer can be told from a forged or late one."""
+    """A query that was sent, so that its answer can be told from a forged or late one."""
 
     sent_at: float
     dispatcher: int
@@ -138,44 +143,42 @@
 
 
 class LoadHistory:
-    """One instance's side. me: its number, of 0 to `dispatchers` - 1; boot: of this start; remembered: the
+    """One instance's side. number: its own, of 0 to `dispatchers` - 1; boot: of this start; recorded: the
     folder's loads; seed: for serials."""
 
     def __init__(
         self,
-        me: int,
+        number: int,
         dispatchers: int,
         boot: int,
         now: float,
-        remembered: Iterable[RecordedLoad],
+        recorded: Iterable[RecordedLoad],
         settings: LoadHistorySettings,
         seed: int,
     ) -> None:
-        self.number, self.boot, self.settings = me, boot & MAX_UINT32, settings
-        self.others = [n for n in range(dispatchers) if n != me]
-        self.fleet = FleetState(dispatchers == 1, dispatchers == 1, MemoryState.INTACT, {})
-        self.local = LocalLoads(now, list(remembered), settings.hold_ms, settings.max_loads)
+        self.number, self.boot, self.settings = number, boot & MAX_UINT32, settings
+        self.others = [n for n in range(dispatchers) if n != number]
+        is_alone = dispatchers == 1
+        self.fleet = FleetState(is_alone, is_alone, MemoryState.INTACT, {})
+        self.local = LocalLoads(now, list(recorded), settings.hold_ms, settings.max_loads)
         self.pending: dict[bytes, PendingRetry] = {}
-        self.granted: dict[bytes, str] = {}  # settled as NEVER, and not sent yet
+        self.granted: dict[bytes, str] = {}  # settled as NEVER_SENT, and not sent yet: by which request
         self.load_by_request: dict[str, bytes] = {}
-        self.queries: dict[int, SentQuery] = {}
+        self.queries: dict[int, SentQuery] = {}  # by serial
         self.serial = random.Random(seed).getrandbits(32)
-        self.announced, self.next_announce = 0, now
+        self.announced, self.next_announcement = 0, now
         self.actions: list[Action] = []
-        self.next_clean = now + 1000.0
+        self.next_cleanup = now + CLEANUP_INTERVAL_MS
         self.counters = {"asks": 0, "void": 0, "full": 0}
 
     @property
     def has_pending(self) -> bool:
-        """A retry waits for others' words."""
+        """Whether a retry waits for others' answers."""
         return bool(self.pending)
 
-    # --- loads of this instance ---
-
     def begin(self, now: float, load: bytes) -> bool:
-        """A load that isn't marked as a retry is about to be made durable and sent; see the module."""
-        # Danger: a first request stood in line here, its client gave up and asked elsewhere, where it was run
-        # on this instance's word; then the line moved.
+        """A load that isn't marked as a retry is about to be made durable and sent. False if another has
+        asked about it: its client may have given up here, and it runs elsewhere by this instance's word."""
         if load in self.local.queried or load in self.granted:
             return False
         if self.local.is_full(load):
@@ -185,265 +188,284 @@
         return True
 
     def on_sent(self, now: float, load: bytes) -> None:
-        """It goes out now: after `take`, or as what a retry was told NEVER for."""
-        ref = self.granted.pop(load, None)
-        if ref is not None:
-            self.load_by_request.pop(ref, None)
+        """It is sent now: after `begin`, or as what a retry was told NEVER_SENT for."""
+        request_id = self.granted.pop(load, None)
+        if request_id is not None:
+            self.load_by_request.pop(request_id, None)
             self.local.begin(load)
 
-    def on_ended(self, now: float, load: bytes, how: LoadResult) -> None:
-        """Its end."""
-        self.local.end(now, load, how)
-
-    # --- retries ---
+    def on_ended(self, now: float, load: bytes, result: LoadResult) -> None:
+        """A run has ended."""
+        self.local.end(now, load, result)
 
-    def on_retry(self, now: float, ref: str, load: bytes, until: float) -> LoadKnowledge | None:
-        """A client's retry of a load. None: a Settled follows."""
-        known = self._known(now, load)
-        if known is not None:
-            return known
+    def on_retry(self, now: float, request_id: str, load: bytes, deadline: float) -> LoadKnowledge | None:
+        """A client's retry of a load. None: a LoadSettled follows."""
+        knowledge = self._knowledge(now, load)
+        if knowledge is not None:
+            return knowledge
         pending = self.pending.get(load)
         if pending is not None:
-            pending.deadlines[ref], self.load_by_request[ref] = until, load
+            pending.deadlines[request_id], self.load_by_request[request_id] = deadline, load
             return None
-        asked = None if self.local.is_full(load) else self.local.note_query(now, load, self.number)
-        if asked is None or len(self.pending) >= self.settings.max_loads:
+        queried = None if self.local.is_full(load) else self.local.note_query(now, load, self.number)
+        if queried is None or len(self.pending) >= self.settings.max_loads:
             self.counters["full"] += 1
             return LoadKnowledge.NOT_KNOWN_YET
-        if self.fleet.memory is not MemoryState.INTACT and self.local.may_predate_start(asked):
+        is_intact = self.fleet.memory is MemoryState.INTACT
+        if not is_intact and self.local.may_predate_start(queried):
             return LoadKnowledge.MAY_HAVE_RUN
+        self.load_by_request[request_id] = load
         if not self.others and self.fleet.may_send_loads:
-            self.granted[load], self.load_by_request[ref] = ref, load
+            self.granted[load] = request_id
             return LoadKnowledge.NEVER_SENT
-        self.load_by_request[ref] = load
-        self.pending[load] = PendingRetry(now, {ref: until}, query_at=dict.fromkeys(self.others, now))
+        query_at = dict.fromkeys(self.others, now)
+        self.pending[load] = PendingRetry(now, {request_id: deadline}, query_at=query_at)
         return None
 
-    def cancel(self, now: float, ref: str) -> None:
-        """Whoever asked went away."""
-        load = self.load_by_request.pop(ref, None)
+    def cancel(self, now: float, request_id: str) -> None:
+        """Whoever sent a retry went away."""
+        load = self.load_by_request.pop(request_id, None)
         if load is None:
             return
-        if self.granted.get(load) == ref:
+        if self.granted.get(load) == request_id:
             del self.granted[load]
         pending = self.pending.get(load)
         if pending is not None:
-            pending.deadlines.pop(ref, None)
+            pending.deadlines.pop(request_id, None)
             if not pending.deadlines:
                 del self.pending[load]
 
-    def _known(self, now: float, load: bytes) -> LoadKnowledge | None:
-        """What this instance knows without asking, if that decides."""
-        return LoadKnowledge.MAY_HAVE_RUN if load in self.granted else self.local.knowledge(now, load)
+    def answer_unavailable(self, now: float, load: bytes) -> LoadKnowledge:
+        """What a client's retry is told while this instance can't accept its load at all."""
+        knowledge = self._knowledge(now, load)
+        if knowledge is not None:
+            return knowledge
+        if self.local.note_query(now, load, self.number) is None:
+            return LoadKnowledge.MAY_HAVE_RUN
+        return self._unconfirmed(now, load)
 
-    # --- others ---
+    def _knowledge(self, now: float, load: bytes) -> LoadKnowledge | None:
+        """What this instance knows without a query, if that decides."""
+        return LoadKnowledge.MAY_HAVE_RUN if load in self.granted else self.local.knowledge(now, load)
 
-    def on_message(self, now: float, number: int, word: LoadQuery | LoadAnswer | OpenLoads) -> list[Action]:
-        """A word of another number."""
+    def on_message(
+        self, now: float, number: int, message: LoadQuery | LoadAnswer | OpenLoads
+    ) -> list[Action]:
+        """A message of another dispatcher."""
         self.actions = []
         if number not in self.others:
             return []
-        if isinstance(word, LoadQuery):
-            said = tuple(LoadVerdict(i, self._said(now, number, load)) for i, load in enumerate(word.loads))
-            self.actions.append(SendToDispatcher(number, encode(LoadAnswer(word.boot, word.serial, said))))
-        elif isinstance(word, LoadAnswer):
-            self._answered(now, number, word)
-        else:
-            self.local.add_reported(now, word.loads)
+        match message:
+            case LoadQuery(boot, serial, loads):
+                verdicts = [
+                    LoadVerdict(i, self._statement(now, number, load)) for i, load in enumerate(loads)
+                ]
+                answer = LoadAnswer(boot, serial, tuple(verdicts))
+                self.actions.append(SendToDispatcher(number, encode(answer)))
+            case LoadAnswer():
+                self._on_answer(now, number, message)
+            case OpenLoads(loads):
+                self.local.add_reported(now, loads)
         return self.actions
 
-    def _said(self, now: float, number: int, load: bytes) -> LoadStatement:
-        """What this instance says of a load to another that has a retry of it."""
-        asked = self.local.note_query(now, load, number)
-        if asked is None:
-            return LoadStatement.UNKNOWN  # nothing is noted of it here, while WAIT says that it is
-        known = self._known(now, load)
-        if known is not None:
-            return LoadStatement.SUCCEEDED if known is LoadKnowledge.SUCCEEDED else LoadStatement.MAY_HAVE_RUN
+    def _statement(self, now: float, number: int, load: bytes) -> LoadStatement:
+        """What this instance says of a load to another that has a retry of it.
+
+        Never NEVER_SENT from an empty folder, which has no record of what its last boot sent.
+        """
+        queried = self.local.note_query(now, load, number)
+        if queried is None:
+            return LoadStatement.UNKNOWN  # nothing is noted of it here, while NOT_KNOWN_YET says that it is
+        knowledge = self._knowledge(now, load)
+        if knowledge is not None:
+            succeeded = knowledge is LoadKnowledge.SUCCEEDED
+            return LoadStatement.SUCCEEDED if succeeded else LoadStatement.MAY_HAVE_RUN
         if load in self.pending:
             if _rank(self.number, load) > _rank(number, load):
                 return LoadStatement.MAY_HAVE_RUN
             self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
-        if self.local.is_late(now, asked):
+        if self.local.is_late(now, queried):
             return LoadStatement.UNKNOWN
-        if self.local.may_predate_start(asked):
-            # Danger: an empty folder has no record of what its last boot sent; that is not 'never'.
+        if self.local.may_predate_start(queried):
             if self.fleet.memory is not MemoryState.INTACT:
                 return LoadStatement.UNKNOWN
             if not self.fleet.has_confirmed_memory:
                 return LoadStatement.NOT_KNOWN_YET
-        return LoadStatement.ALSO_QUERIED if asked.dispatchers - {number} else LoadStatement.NEVER_SENT
-
-    def _answered(self, now: float, number: int, answer: LoadAnswer) -> None:
-        sent = self.queries.get(answer.serial)
-        if sent is None or answer.boot != self.boot or sent.dispatcher != number:
+        has_other = bool(queried.dispatchers - {number})
+        return LoadStatement.ALSO_QUERIED if has_other else LoadStatement.NEVER_SENT
+
+    def _on_answer(self, now: float, number: int, answer: LoadAnswer) -> None:
+        """An answer; void where it is of no query of this boot. One to a query from before the retry began
+        doesn't bind whoever gave it any more."""
+        query = self.queries.get(answer.serial)
+        if query is None or answer.boot != self.boot or query.dispatcher != number:
             self.counters["void"] += 1
             return
         for verdict in answer.verdicts:
-            load = sent.loads[verdict.index] if verdict.index < len(sent.loads) else b""
+            load = query.loads[verdict.index] if verdict.index < len(query.loads) else b""
             pending = self.pending.get(load)
-            # Danger: an answer from before this retry began doesn't bind whoever gave it any more.
-            if pending is None or sent.sent_at < pending.started_at:
+            if pending is None or query.sent_at < pending.started_at:
                 continue
             pending.noted_by.add(number)
             if verdict.statement is not LoadStatement.NOT_KNOWN_YET:
                 pending.statements[number] = verdict.statement
                 pending.query_at.pop(number, None)
-                self._weigh(now, load, pending)
-
-    # --- step ---
+                self._try_to_settle(now, load, pending)
 
     def next_at(self) -> float:
         """When `step` is due."""
-        times = [self.next_clean]
-        if self.local.open and self.announced < self.settings.announcements:
-            times.append(self.next_announce)
+        times = [self.next_cleanup]
+        if self._has_announcement():
+            times.append(self.next_announcement)
         for pending in self.pending.values():
             times += [*pending.query_at.values(), *pending.deadlines.values()]
         return min(times)
 
-    def step(self, now: float, around: FleetState) -> list[Action]:
-        """Time has passed, or the census found something."""
-        self.actions, self.fleet = [], around
-        if around.is_partitioned:
+    def step(self, now: float, fleet: FleetState) -> list[Action]:
+        """Time has passed, or the survey found something."""
+        self.actions, self.fleet = [], fleet
+        if fleet.is_partitioned:
             self.local.partitioned_at = now
         for load, pending in list(self.pending.items()):
-            self._weigh(now, load, pending)
+            self._try_to_settle(now, load, pending)
             if self.pending.get(load) is pending:
-                self._lapse(now, load, pending)
-        self._ask(now)
+                self._expire_requests(now, load, pending)
+        self._send_queries(now)
         self._announce(now)
-        if now >= self.next_clean:
-            self.next_clean = now + 1000.0
-            self.local.expire(now, self.pending.keys() | self.granted.keys())
-            late = now - 10 * self.settings.max_retry_ms
-            self.queries = {serial: sent for serial, sent in self.queries.items() if sent.sent_at > late}
+        if now >= self.next_cleanup:
+            self._clean_up(now)
         return self.actions
 
-    def _weigh(self, now: float, load: bytes, pending: PendingRetry) -> None:
+    def _clean_up(self, now: float) -> None:
+        self.next_cleanup = now + CLEANUP_INTERVAL_MS
+        self.local.expire(now, self.pending.keys() | self.granted.keys())
+        oldest = now - QUERY_LIFETIME_RETRIES * self.settings.max_retry_ms
+        self.queries = {serial: query for serial, query in self.queries.items() if query.sent_at > oldest}
+
+    def _try_to_settle(self, now: float, load: bytes, pending: PendingRetry) -> None:
         """Settle a retry as soon as what is known decides."""
-        said = pending.statements.values()
-        if LoadStatement.SUCCEEDED in said or LoadStatement.MAY_HAVE_RUN in said:
-            self._settle(
-                load,
-                LoadKnowledge.SUCCEEDED if LoadStatement.SUCCEEDED in said else LoadKnowledge.MAY_HAVE_RUN,
-            )
+        statements = pending.statements.values()
+        if LoadStatement.SUCCEEDED in statements:
+            self._settle(load, LoadKnowledge.SUCCEEDED)
+            return
+        if LoadStatement.MAY_HAVE_RUN in statements:
+            self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
             return
-        asked = self.local.queried[load]
-        silent = [n for n in self.others if n not in pending.statements]
-        # Danger: one that isn't heard may have sent it, and be back with its record in a moment.
-        if not all(self._gone(n, pending.started_at, pending) for n in silent):
+        unanswered = [number for number in self.others if number not in pending.statements]
+        # One that isn't proven silent may have sent it, and be back with its record in a moment.
+        if not all(self._is_out_of_question(n, pending.started_at, pending) for n in unanswered):
             return
-        # Danger: told LATER often enough, a client came back after the time that it was thought to wait.
-        doubt = not all(self._gone(n, asked.first_at, pending) for n in silent)
-        blind = self.local.may_predate_start(asked)
-        # Danger: two that take each other for gone both got everyone else's word; who asked second was told.
-        disputed = bool(silent) and (
-            LoadStatement.ALSO_QUERIED in said or bool(asked.dispatchers - {self.number})
-        )
-        # Danger: told LATER on one side of a cut, a client came back to a sender on the other that had
-        # forgotten its load by then, and it ran again.
-        doubt |= self.local.is_late(now, asked)
-        if (
-            LoadStatement.UNKNOWN in said
-            or disputed
-            or doubt
-            or blind
-            and self.fleet.memory is not MemoryState.INTACT
-        ):
+        queried = self.local.queried[load]
+        may_predate = self.local.may_predate_start(queried)
+        if self._is_in_doubt(now, queried, pending, unanswered):
             self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
-        elif self.fleet.may_send_loads and (self.fleet.has_confirmed_memory or not blind):
+        elif self.fleet.may_send_loads and (self.fleet.has_confirmed_memory or not may_predate):
             self._settle(load, LoadKnowledge.NEVER_SENT)
 
-    def _gone(self, number: int, asked: float, pending: PendingRetry) -> bool:
-        """Nothing that a number sent is first asked about so late, and it has sent nothing since."""
-        gone = self.fleet.silent.get(number)
-        if gone is None or gone.valid_until < pending.started_at:
+    def _is_in_doubt(
+        self, now: float, queried: QueriedLoad, pending: PendingRetry, unanswered: list[int]
+    ) -> bool:
+        """Whether a load may have run though nobody says so.
+
+        One that answers doesn't know, or this instance's own memory is not intact. Or another asks too, and
+        both take each other for silent. Or the client has come back for so long that the sender, on either
+        side of a partition, may have forgotten its load.
+        """
+        statements = pending.statements.values()
+        if LoadStatement.UNKNOWN in statements or self.local.is_late(now, queried):
+            return True
+        if self.local.may_predate_start(queried) and self.fleet.memory is not MemoryState.INTACT:
+            return True
+        is_queried_by_others = bool(queried.dispatchers - {self.number})
+        if unanswered and (LoadStatement.ALSO_QUERIED in statements or is_queried_by_others):
+            return True
+        return not all(self._is_out_of_question(n, queried.first_at, pending) for n in unanswered)
+
+    def _is_out_of_question(self, number: int, first_query_at: float, pending: PendingRetry) -> bool:
+        """Whether a dispatcher is proven silent since so long before the first query that whatever it sent
+        can't be what is asked about."""
+        silence = self.fleet.silent.get(number)
+        if silence is None or silence.valid_until < pending.started_at:
             return False
-        return gone.nothing_sent_after + self.settings.hold_ms < asked
+        return silence.nothing_sent_after + self.settings.hold_ms < first_query_at
 
-    def _settle(self, load: bytes, known: LoadKnowledge) -> None:
+    def _settle(self, load: bytes, knowledge: LoadKnowledge) -> None:
         """All that wait for a load learn what is known; where nobody sent it, the first of them sends it."""
-        for ref in self.pending.pop(load).deadlines:
-            if known is LoadKnowledge.NEVER_SENT and load not in self.granted:
-                self.granted[load] = ref
-                self.actions.append(LoadSettled(ref, load, known))
+        for request_id in self.pending.pop(load).deadlines:
+            if knowledge is not LoadKnowledge.NEVER_SENT:
+                self._conclude(request_id, load, knowledge)
+            elif load not in self.granted:
+                self.granted[load] = request_id
+                self.actions.append(LoadSettled(request_id, load, knowledge))
             else:
-                self._tell(
-                    ref, load, LoadKnowledge.MAY_HAVE_RUN if known is LoadKnowledge.NEVER_SENT else known
-                )
-
-    def _lapse(self, now: float, load: bytes, pending: PendingRetry) -> None:
-        """Clients whose patience is over."""
-        for ref in [ref for ref, until in pending.deadlines.items() if until <= now]:
-            del pending.deadlines[ref]
-            self._tell(ref, load, self._put_off(now, load, pending))
+                self._conclude(request_id, load, LoadKnowledge.MAY_HAVE_RUN)
+
+    def _expire_requests(self, now: float, load: bytes, pending: PendingRetry) -> None:
+        """Answer clients whose deadline has passed."""
+        for request_id in [i for i, deadline in pending.deadlines.items() if deadline <= now]:
+            del pending.deadlines[request_id]
+            self._conclude(request_id, load, self._unsettled(now, load, pending))
         if not pending.deadlines:
             del self.pending[load]
 
-    def _put_off(self, now: float, load: bytes, pending: PendingRetry) -> LoadKnowledge:
-        """What a retry is told that could not be settled in time."""
-        # Danger: an emptied one said that it did not know, the client was told LATER for another that was
-        # away, and by then the first said NEVER of what it had sent before it was emptied.
+    def _unsettled(self, now: float, load: bytes, pending: PendingRetry) -> LoadKnowledge:
+        """What a retry is told that could not be settled in time.
+
+        One that doesn't know may say NEVER_SENT later on, of what it sent before it lost its memory: so the
+        load is given up. Else the client may come later, if half of the fleet heard of its retry: they are
+        among any that can settle it as NEVER_SENT, and say then for how long it has been queried.
+        """
         if LoadStatement.UNKNOWN in pending.statements.values():
             return LoadKnowledge.MAY_HAVE_RUN
-        # Danger: one that nobody heard told a client LATER until whoever had sent its load had forgotten it;
-        # the client went elsewhere, and it ran again. Half that heard of the retry are among any that can
-        # settle it as NEVER, and say then for how long it has been asked about.
-        noted = 2 * (1 + len(pending.noted_by)) > len(self.others)
-        return LoadKnowledge.NOT_KNOWN_YET if noted else self._alone(now, load)
-
-    def answer_unavailable(self, now: float, load: bytes) -> LoadKnowledge:
-        """What a client's retry is told while this instance can't take its load at all."""
-        known = self._known(now, load)
-        if known is not None:
-            return known
-        return (
-            LoadKnowledge.MAY_HAVE_RUN
-            if self.local.note_query(now, load, self.number) is None
-            else self._alone(now, load)
-        )
-
-    def _alone(self, now: float, load: bytes) -> LoadKnowledge:
-        """What a retry is told that too few others have heard of: to come later, but not for long."""
-        return (
-            LoadKnowledge.NOT_KNOWN_YET
-            if now - self.local.queried[load].first_at <= self.settings.max_unconfirmed_ms
-            else LoadKnowledge.MAY_HAVE_RUN
-        )
-
-    def _tell(self, ref: str, load: bytes, known: LoadKnowledge) -> None:
-        self.load_by_request.pop(ref, None)
-        cooldown = self.settings.retry_after_ms if known is LoadKnowledge.NOT_KNOWN_YET else 0.0
-        self.actions.append(LoadSettled(ref, load, known, cooldown))
-
-    def _ask(self, now: float) -> None:
-        """All asks that are due, a datagram for as many loads as fit."""
+        is_noted = 2 * (1 + len(pending.noted_by)) > len(self.others)
+        return LoadKnowledge.NOT_KNOWN_YET if is_noted else self._unconfirmed(now, load)
+
+    def _unconfirmed(self, now: float, load: bytes) -> LoadKnowledge:
+        """What a retry is told that too few others have heard of: to come later, but not for long, since
+        whoever sent its load will forget it."""
+        queried_ms = now - self.local.queried[load].first_at
+        may_come_back = queried_ms <= self.settings.max_unconfirmed_ms
+        return LoadKnowledge.NOT_KNOWN_YET if may_come_back else LoadKnowledge.MAY_HAVE_RUN
+
+    def _conclude(self, request_id: str, load: bytes, knowledge: LoadKnowledge) -> None:
+        self.load_by_request.pop(request_id, None)
+        may_come_back = knowledge is LoadKnowledge.NOT_KNOWN_YET
+        retry_after_ms = self.settings.retry_after_ms if may_come_back else 0.0
+        self.actions.append(LoadSettled(request_id, load, knowledge, retry_after_ms))
+
+    def _send_queries(self, now: float) -> None:
+        """All queries that are due, a message for as many loads as fit."""
         due: dict[int, list[bytes]] = {}
         for load, pending in self.pending.items():
-            for number, at in pending.query_at.items():
-                if at <= now:
-                    wait = pending.retry_ms.get(number, self.settings.retry_ms)
-                    pending.retry_ms[number] = min(2 * wait, self.settings.max_retry_ms)
-                    pending.query_at[number] = now + wait
+            for number, query_at in pending.query_at.items():
+                if query_at <= now:
+                    retry_ms = pending.retry_ms.get(number, self.settings.retry_ms)
+                    pending.retry_ms[number] = min(2 * retry_ms, self.settings.max_retry_ms)
+                    pending.query_at[number] = now + retry_ms
                     due.setdefault(number, []).append(load)
         for number, loads in due.items():
-            for lot in batches(loads):
+            for batch in batches(loads):
                 self.serial = (self.serial + 1) & MAX_UINT32
-                self.queries[self.serial] = SentQuery(now, number, lot)
-                self.actions.append(SendToDispatcher(number, encode(LoadQuery(self.boot, self.serial, lot))))
+                self.queries[self.serial] = SentQuery(now, number, batch)
+                data = encode(LoadQuery(self.boot, self.serial, batch))
+                self.actions.append(SendToDispatcher(number, data))
                 self.counters["asks"] += 1
 
+    def _has_announcement(self) -> bool:
+        return bool(self.local.open) and self.announced < self.settings.announcements
+
     def _announce(self, now: float) -> None:
-        """Tell others at once which loads of earlier boots have no end."""
-        left = self.announced < self.settings.announcements and bool(self.local.open)
-        if left and now >= self.next_announce:
-            self.announced, self.next_announce = self.announced + 1, now + self.settings.max_retry_ms
-            for lot in batches(self.local.open):
-                data = encode(OpenLoads(lot))
-                self.actions += [SendToDispatcher(number, data) for number in self.others]
+        """Announce at once which loads of earlier boots have no end."""
+        if not self._has_announcement() or now < self.next_announcement:
+            return
+        self.announced += 1
+        self.next_announcement = now + self.settings.max_retry_ms
+        for batch in batches(self.local.open):
+            data = encode(OpenLoads(batch))
+            self.actions += [SendToDispatcher(number, data) for number in self.others]
 
 
 def _rank(number: int, load: bytes) -> bytes:
-    """Who of two with the same load in hand goes on: the higher; each as often as the other."""
+    """Which of two dispatchers with the same pending load goes on: the higher one; each as often as the
+    other."""
     return hashlib.blake2b(number.to_bytes(2, "big") + load, digest_size=8).digest()
--- a/cottonhold/fleet/recovery/peer_observations.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -1,8 +1,8 @@
-"""What one instance has heard of another: its life, its boot, and what it says of third ones. Pure.
+"""What one instance has heard of another: its incarnation, its boot, and what it says of third ones. Pure.
 
-Lives are told apart by a number drawn at each start. Start times are this instance's clock's, from told up
-times: at the latest, by how long a word was under way. Words merge in any order: of one life the one with the
-longest up time counts.
+Incarnations are told apart by a number drawn at each start. Start times are on this instance's clock, from
+reported uptimes: at the latest, by how long a report was under way. Reports merge in any order: of one
+incarnation the one with the longest uptime counts.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 
 @dataclass(slots=True)
 class Incarnation:
-    """One process that speaks for a number. start: at the latest, on this clock. up: as last told."""
+    """One process that stands for a number. started_at: at the latest, on this clock. uptime_ms: as last
+    reported."""
 
     id: int
     started_at: float
@@ -24,7 +25,8 @@
 
 @dataclass(slots=True)
 class SilenceReport:
-    """What another last heard of a number: at the latest at `heard`, as it told at `told` at the earliest."""
+    """What another last heard of a number: at the latest at `heard_before`; it said so at `reported_after` at
+    the earliest."""
 
     heard_before: float
     reported_after: float
@@ -32,10 +34,13 @@
 
 @dataclass(slots=True)
 class PeerObservation:
-    """Another configured dispatcher. boot: the highest known. past: the life before. flips: how often the two
-    lives spoke in turns. rivals: words of other members in its name while it was there. stale: the life
-    began with a boot that was known already. echo: when the newest of our words that it has heard was
-    said."""
+    """Another configured dispatcher. Times in ms.
+
+    boot, base: the highest known. previous: the incarnation before. alternations: how often the two reported
+    in turns. rivals: reports of other members in its name while it was there. has_stale_folder: the
+    incarnation began with a base that was exceeded already. echoed_at: when the newest of our reports that it
+    has heard was sent. silences: by number, what it last heard of third ones.
+    """
 
     number: int
     member: int = 0
@@ -53,71 +58,80 @@
     view_of_self: PeerState | None = None
     silences: dict[int, SilenceReport] = field(default_factory=dict)
 
-    def apply(self, now: float, word: Presence) -> bool:
-        """Merge a word; false where it is no news."""
-        life = self._life(now, word)
-        if life is None:
+    def apply(self, now: float, presence: Presence) -> bool:
+        """Merge a report; returns whether it is news.
+
+        A folder is stale by its base: an old one that is started often enough comes to a boot that nobody
+        knew, while its base stays.
+        """
+        incarnation = self._incarnation_of(now, presence)
+        if incarnation is None:
             return False
-        life.uptime_ms, life.started_at = word.uptime_ms, min(life.started_at, now - word.uptime_ms)
-        # Danger: an old folder started often enough comes to a boot that nobody knew; its base stays.
-        self.has_stale_folder |= word.base < self.base
-        self.has_stale_folder &= word.memory is MemoryState.INTACT
-        self.boot, self.base = max(self.boot, word.boot), max(self.base, word.base)
-        self.received_at, self.memory, self.was_clean_shutdown = now, word.memory, word.was_clean_shutdown
+        incarnation.uptime_ms = presence.uptime_ms
+        incarnation.started_at = min(incarnation.started_at, now - presence.uptime_ms)
+        is_behind = self.has_stale_folder or presence.base < self.base
+        self.has_stale_folder = is_behind and presence.memory is MemoryState.INTACT
+        self.boot, self.base = max(self.boot, presence.boot), max(self.base, presence.base)
+        self.received_at, self.memory = now, presence.memory
+        self.was_clean_shutdown = presence.was_clean_shutdown
         return True
 
-    def _life(self, now: float, word: Presence) -> Incarnation | None:
-        """The life that a word is of, which is the current one from now on; None where the word is old."""
-        current, past = self.current, self.previous
-        if current is not None and current.id == word.incarnation:
-            return current if word.uptime_ms > current.uptime_ms else None
-        if past is not None and past.id == word.incarnation:
-            if word.uptime_ms <= past.uptime_ms:
+    def _incarnation_of(self, now: float, presence: Presence) -> Incarnation | None:
+        """The incarnation that a report is of, which is the current one from now on; None where the report is
+        old."""
+        current, previous = self.current, self.previous
+        if current is not None and current.id == presence.incarnation:
+            return current if presence.uptime_ms > current.uptime_ms else None
+        if previous is not None and previous.id == presence.incarnation:
+            if presence.uptime_ms <= previous.uptime_ms:
                 return None
-            # Danger: two processes on one folder look like restarts; only that they speak in turns tells.
+            # Two processes on one folder look like restarts; only that they alternate gives them away.
             self.alternations += 1
-            self.previous, self.current = current, past
-            return past
+            self.previous, self.current = current, previous
+            return previous
         self.alternations, self.rivals, self.previous, self.has_stale_folder = 0, 0, current, False
-        self.current = Incarnation(word.incarnation, now - word.uptime_ms, -1.0)
+        self.current = Incarnation(presence.incarnation, now - presence.uptime_ms, -1.0)
         self.silences, self.view_of_self, self.echoed_at = {}, None, -math.inf
         return self.current
 
-    def on_view_of_self(self, pair: PeerState, life: int, started: float) -> None:
-        """What it knows of this instance, whose life began at `started`."""
-        self.view_of_self = pair
-        if pair.incarnation == life and pair.age_ms is not None:
-            self.echoed_at = max(self.echoed_at, started + pair.uptime_ms)
+    def on_view_of_self(self, state: PeerState, incarnation: int, started_at: float) -> None:
+        """What it knows of this instance, whose incarnation began at `started_at`."""
+        self.view_of_self = state
+        if state.incarnation == incarnation and state.age_ms is not None:
+            self.echoed_at = max(self.echoed_at, started_at + state.uptime_ms)
+
+    def on_view_of_third(self, now: float, state: PeerState, max_report_age_ms: float) -> None:
+        """What it knows of a third one. Call it after `on_view_of_self` of the same report.
 
-    def on_view_of_third(self, now: float, pair: PeerState, fresh: float) -> None:
-        """What it knows of a third one. Call after `tells_of_us` of the same word."""
+        One that has not heard it in its current incarnation may have heard it until that began.
+        """
         assert self.current is not None
-        if pair.age_ms is not None and pair.age_ms <= fresh:
-            self.silences.pop(pair.number, None)
+        if state.age_ms is not None and state.age_ms <= max_report_age_ms:
+            self.silences.pop(state.number, None)
             return
-        # Danger: one that is just back has not heard it in this life, but its last life may have.
-        heard = self.current.started_at if pair.age_ms is None else now - pair.age_ms
-        self.silences[pair.number] = SilenceReport(heard, self.echoed_at)
-
-    def state(self, now: float, flips: int) -> PeerState:
-        """What is known of it, for another. flips: so many turns are two lives at once."""
-        life = self.current
-        if life is None:
+        heard_before = self.current.started_at if state.age_ms is None else now - state.age_ms
+        self.silences[state.number] = SilenceReport(heard_before, self.echoed_at)
+
+    def state(self, now: float, min_alternations: int) -> PeerState:
+        """What is known of it, for another. min_alternations: so many turns are two incarnations at once.
+
+        Of two at once the one that was there first is named; not where only another member claims the number,
+        since the incarnation before then has ended.
+        """
+        incarnation = self.current
+        if incarnation is None:
             return PeerState(self.number, self.boot)
-        twice = max(self.alternations, self.rivals) >= flips
-        # Danger: by a rival of another name the life before this one isn't meant: it has ended.
-        if (
-            self.alternations >= flips
-            and self.previous is not None
-            and self.previous.started_at < life.started_at
-        ):
-            life = self.previous
+        alternates = self.alternations >= min_alternations
+        is_duplicate = alternates or self.rivals >= min_alternations
+        previous = self.previous
+        if alternates and previous is not None and previous.started_at < incarnation.started_at:
+            incarnation = previous
         return PeerState(
             self.number,
             self.boot,
-            life.id,
-            life.uptime_ms,
+            incarnation.id,
+            incarnation.uptime_ms,
             now - self.received_at,
-            twice,
+            is_duplicate,
             self.has_stale_folder,
         )
--- a/cottonhold/fleet/recovery/slow_start.py
+++ b/cottonhold/fleet/recovery/slow_start.py
@@ -1,247 +1,176 @@
-"""The order in which engines get work again after a power loss, decided alike by all instances. Pure.
+"""How engines get work again after a power loss or a restart, decided alike by all instances. Pure.
 
-An engine that has just started, or may have, has a share of its full capacity that all instances together
-may send. Nothing, before it is listed or has answered. Then the share that a cold one bears. From there it
-grows with what its answers show, at all instances, and not by the clock; one that shows its full speed is
-free. See docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms as
-a warm engine would need.
+An engine that has just started, or may have, has a share of its full capacity that all instances together may
+send. Nothing, before it is listed or has answered. Then the share that a cold one bears. From there it grows
+with what its answers show, at all instances, and not by the clock; one that shows its full speed is warm and
+free. See docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms as a
+warm engine would need.
 """
 
 from __future__ import annotations
 
-import functools
 import math
 import random
-from collections import deque
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
 from enum import Enum
 
 from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.message_format import MAX_UINT32
 from cottonhold.fleet.recovery import warmup_messages
+from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
+from cottonhold.fleet.recovery.warming_engine import Answer, WarmingEngine
 from cottonhold.fleet.recovery.warmup_messages import (
     UNLIMITED_SHARE,
     WINDOW_MS,
     EngineObservation,
     PooledObservation,
     WarmupReport,
+    decode_warmup_reports,
+    encode_warmup_reports,
 )
-from cottonhold.fleet.zone_failover.messages import zone_number
-from cottonhold.fleet.zone_failover.quota_lending import QuotaSettings
-from cottonhold.membership.rendezvous import score
-
-MAX_WARM_ROWS = 5  # free engines that others still hold for young, in a word of many
-MIN_WORK_RATE = 1e-9  # no work, said as some
-WARMUP_BUDGET = zone_number("cold engines")  # the budget of all cold engines, in parts as a zone's is
-
-
-@dataclass(slots=True, frozen=True)
-class SlowStartSettings:
-    """Times in ms; shares are of an engine's full capacity.
-
-    first: what a cold engine bears. step: a share doubles at most so often. push: so much more than what was
-    shown is tried, since a speed that rises shows only under load. line: answers slower than this part of
-    the work done mean a line at the engine; then `ease` of what it does is sent until it is gone. bears: most
-    that is sent to one that is not warm yet, whatever it shows: it may fall over, and never by being slow
-    first. free: from this speed on, shown for `sure`, an engine is free; under `doubt` that begins anew.
-    fresh: so old may another's word be. turn: so long one dispatcher has to probe an engine first. longest:
-    after so long an engine is free whatever it shows: a slow one must not be bounded for good. warm: so long
-    after its start an engine is warm, as the settings say. close, fanout: as for words on zones; far: a step
-    where there are more. settle: so long after the start the price counts engines for what they bear: little
-    is known of them. cooldown: advice to wait for one turned away meanwhile. parts: most of a part is
-    never lent.
-    """
-
-    initial_share: float = 0.3
-    doubling_ms: float = 250.0
-    growth_factor: float = 1.15
-    queueing_ratio: float = 0.4
-    drain_factor: float = 0.9
-    max_cold_share: float = 0.48
-    warm_speed: float = 0.85
-    doubtful_speed: float = 0.65
-    warm_confirmation_ms: float = 400.0
-    max_report_age_ms: float = 1000.0
-    prober_turn_ms: float = 100.0
-    max_duration_ms: float = 30_000.0
-    warm_after_ms: float = 13_000.0
-    gossip_from_members: int = 9
-    gossip_fanout: int = 4
-    gossip_interval_ms: float = 200.0
-    settle_ms: float = 600.0
-    retry_after_ms: float = 1500.0
-    quota: QuotaSettings = field(default_factory=lambda: QuotaSettings(loan_ms=300.0, unlent_share=0.6))
+
+MAX_WARM_ROWS = 5  # warm engines that others still bound, in a report of many members
+MIN_WORK_RATE = 1e-9  # stands for no work: the scheduler ignores bounds that leave no engine at all
+STEP_TOLERANCE_MS = 1.0  # of timers, where a step is due
+ROTATION = 0x9E3779B1  # the golden ratio of 32 bits: spreads successive versions over all engine numbers
 
 
 class OutageScope(Enum):
-    """What the census found to have been away."""
+    """What the membership survey found to have been away."""
 
     ALONE = "alone"  # only this instance
     ZONE = "zone"
     FLEET = "fleet"
 
 
-@dataclass(slots=True)
-class WarmingEngine:
-    """An engine that is not known to be warm."""
-
-    cores: float
-    number: int
-    share: float
-    started_at: float
-    not_before: float = -math.inf  # seen by one that holds it for started earlier: of another life
-    has_answered: bool = False
-    was_tried: bool = False  # a probe or an attempt has ended, here or as another tells
-    answers: deque[tuple[float, float, float]] = field(default_factory=deque)  # at, work, elapsed
-    updated_at: float = 0.0
-    warm_since: float = math.inf  # since when it has shown the speed of a warm one
-    observation: EngineObservation = EngineObservation(0.0, 0.0, 0.0, 0.0)  # as of the last step
-
-    def observe(self, now: float) -> EngineObservation:
-        """What this instance saw of it."""
-        while self.answers and self.answers[0][0] <= now - WINDOW_MS:
-            self.answers.popleft()
-        age = now - self.started_at
-        if not self.answers:
-            return EngineObservation(0.0, 0.0, self.share, age)
-        speed = warmup_messages.upper_quartile(
-            [work / max(elapsed, 0.1) for _, work, elapsed in self.answers]
-        )
-        # Danger: one that has answered for less than the window would look as if it did little.
-        seen = min(max(age, 100.0), WINDOW_MS)
-        done = sum(work for _, work, _ in self.answers) / seen / self.cores
-        return EngineObservation(speed, done, self.share, age)
-
-
 class SlowStart:
-    """Feed it what is listed, lost, probed and answered, and others' words; ask for `share` and `cores`."""
+    """Feed it what is listed, lost, checked and answered, and others' reports; ask for `share`."""
 
-    def __init__(self, me: int, life: int, now: float, settings: SlowStartSettings, seed: int) -> None:
-        self.self_id, self.incarnation, self.settings, self.began = me, life & 0xFFFFFFFF, settings, now
-        self.draw = random.Random(seed)
-        self.reports = LatestReports[WarmupReport](me)
+    def __init__(
+        self, self_id: int, incarnation: int, now: float, settings: SlowStartSettings, seed: int
+    ) -> None:
+        self.self_id, self.incarnation, self.version = self_id, incarnation & MAX_UINT32, 0
+        self.settings, self.started_at = settings, now
+        self.random = random.Random(seed)
+        self.reports = LatestReports[WarmupReport](self_id)
         self.engines: dict[str, float] = {}  # all, with their cores
-        self.numbers: set[int] = set()
+        self.numbers: set[int] = set()  # of these, on the wire
         self.warming: dict[str, WarmingEngine] = {}
-        self.answering_since: dict[
-            str, float
-        ] = {}  # since when an engine has answered without a fault, as seen here
-        self.is_listed = False  # the own list has been heard since the start
+        self.answering_since: dict[str, float] = {}  # by engine, without a fault, as seen here
+        self.is_listed = False  # the own list of engines has been received since the start
         self.was_lost_alone = False  # nobody else was away, as far as is known
-        self.reported_warming: set[int] = set()  # engines that others hold for young
-        self.version = 0
+        self.reported_warming: set[int] = set()  # numbers of engines that others bound
         self.stepped_at = -math.inf
 
-    # --- what happens ---
-
     def set_engines(self, now: float, engines: Mapping[str, float]) -> None:
-        """Exactly these engines, with their cores, are there, by list or hint; new ones are young."""
-        came = [engine for engine in engines if engine not in self.engines]
+        """Exactly these engines, with their cores, exist; new ones warm up."""
+        new = [engine for engine in engines if engine not in self.engines]
         self.engines = dict(engines)
         self.numbers = {warmup_messages.engine_number(engine) for engine in engines}
-        self.warming = {e: y for e, y in self.warming.items() if e in engines}
-        self.answering_since = {e: at for e, at in self.answering_since.items() if e in engines}
-        for engine, young in self.warming.items():
-            young.cores = engines[engine]
-        for engine in came:
+        self.warming = {e: warming for e, warming in self.warming.items() if e in engines}
+        self.answering_since = {e: since for e, since in self.answering_since.items() if e in engines}
+        for engine, warming in self.warming.items():
+            warming.cores = engines[engine]
+        for engine in new:
             self._start(now, engine, -math.inf)
 
     def on_list_received(self, now: float) -> None:
-        """The own list has been heard: what it names may be tried without a probe, but what failed one."""
+        """The own list has been received: its engines may be tried without a health check, but for those that
+        have failed one; the list may still name engines of a zone that is down."""
         self.is_listed = True
-        for engine, young in list(self.warming.items()):
-            # Danger: a dark zone's engines counted, and were tried again, since the list still named them.
-            if not young.has_answered and not young.was_tried:
-                self._prove(engine, young, young.started_at)
+        for engine, warming in list(self.warming.items()):
+            if not warming.has_answered and not warming.was_tried:
+                self._prove(engine, warming, warming.started_at)
 
     def on_loss(
-        self, now: float, what: OutageScope, engines: Iterable[str] | None = None, since: float = math.inf
+        self,
+        now: float,
+        scope: OutageScope,
+        engines: Iterable[str] | None = None,
+        since: float = math.inf,
     ) -> None:
-        """The census tells what has been away; with a zone, its engines; since: when the first came back.
+        """The membership survey has found an outage. engines: of its zones; since: when the first of those
+        lost came back.
 
-        After the loss of a zone or of all, each of its engines that is free is held for one that starts, and
-        has to answer first. One that has answered since then goes on as what it is: as old as its first
-        answer at least. So does one that is young already. Where this instance alone was away, engines are
-        free that no other holds for young.
+        After the loss of a zone or of all, each of its engines that is free counts as one that starts, and
+        has to answer first. One that has answered since then goes on as old as its first answer at least. So
+        does one that warms up already. Where this instance alone was away, engines are free that no other
+        bounds.
         """
-        of = set(self.engines) if engines is None else set(engines) & set(self.engines)
-        self.was_lost_alone = what is OutageScope.ALONE
+        affected = set(self.engines) if engines is None else set(engines) & set(self.engines)
+        self.was_lost_alone = scope is OutageScope.ALONE
         if self.was_lost_alone:
-            # Danger: one that has answered nothing yet, and that no list names, would be sent to unproven.
-            self.warming = {
-                e: y
-                for e, y in self.warming.items()
-                if e not in of or y.number in self.reported_warming or not (self.is_listed or y.has_answered)
-            }
+            self._free_engines(affected)
             return
-        for engine in sorted(of - set(self.warming)):
-            alive = self.answering_since.get(engine, -math.inf)
-            young = self._start(now, engine, min(now, since))
-            young.has_answered = alive >= since
-            if young.has_answered:
-                # Danger: the loss of all is known when more than half are back, two seconds after the first.
-                # Engines that it had warmed up meanwhile began once more as the coldest, and from nothing.
-                young.started_at = alive
-                young.share = max(young.share, min(self._of_age(now, young), self.settings.max_cold_share))
+        for engine in sorted(affected - set(self.warming)):
+            self._restart(now, engine, since)
+
+    def _free_engines(self, engines: set[str]) -> None:
+        """Free these engines, but for those that others bound, and those that no list or answer proves."""
+        self.warming = {
+            engine: warming
+            for engine, warming in self.warming.items()
+            if engine not in engines
+            or warming.number in self.reported_warming
+            or not (self.is_listed or warming.has_answered)
+        }
+
+    def _restart(self, now: float, engine: str, since: float) -> None:
+        """Put a free engine under slow start after a loss that is known only now."""
+        answering_since = self.answering_since.get(engine, -math.inf)
+        warming = self._start(now, engine, min(now, since))
+        warming.has_answered = answering_since >= since
+        if warming.has_answered:
+            # A loss of all is known when more than half are back; what warmed up meanwhile need not again.
+            warming.started_at = answering_since
+            of_age = min(warming.share_of_age(now, self.settings), self.settings.max_cold_share)
+            warming.share = max(warming.share, of_age)
 
     def on_engine_started(self, now: float, engine: str) -> None:
-        """It has just started, as the list tells, or answered a probe for the first time after silence."""
+        """It has just started, as the list says, or passed a first health check after silence."""
         self.answering_since.pop(engine, None)
         if engine in self.engines:
             self._start(now, engine, now).has_answered = True
 
     def on_engine_unreachable(self, now: float, engine: str) -> None:
-        """It can't be reached: nothing goes there until it has answered, and then as to one that starts."""
+        """Nothing goes there until it has answered, and then as to one that starts."""
         self.answering_since.pop(engine, None)
         if engine in self.engines:
             self._start(now, engine, now).has_answered = False
 
     def on_health_check(self, now: float, engine: str, good: bool) -> None:
-        """A probe has ended, by this instance or, if good, as another tells."""
-        self._lives(now, engine, good)
-        young = self.warming.get(engine)
-        if young is not None:
-            young.was_tried = True
-        if young is not None and good and not young.has_answered:
-            self._prove(engine, young, now)
-        elif young is not None and not good and not young.answers:
-            young.has_answered = False
-
-    def on_answer(self, now: float, engine: str, good: bool, work: float, elapsed: float) -> None:
-        """An attempt has ended with an answer. work: as the engine tells it, else as such a query usually
-        is, in ms; 0: not known, and it only proves that the engine answers."""
-        self._lives(now, engine, good)
-        young = self.warming.get(engine)
-        if young is None:
+        """A health check by this instance has ended, or a good one by another."""
+        self._note_answering(now, engine, good)
+        warming = self.warming.get(engine)
+        if warming is None:
             return
-        young.was_tried = True
-        if not good:
-            # Danger: listed but dark engines counted as capacity for good where only others probed them.
-            young.has_answered = young.has_answered and bool(young.answers)
+        warming.was_tried = True
+        if good and not warming.has_answered:
+            self._prove(engine, warming, now)
+        elif not good and not warming.answers:
+            warming.has_answered = False
+
+    def on_answer(self, now: float, engine: str, good: bool, work_ms: float, elapsed_ms: float) -> None:
+        """An attempt has ended with an answer. work_ms: as the engine reports it, else as such a query
+        usually takes; 0: not known, and the answer only proves that the engine is there."""
+        self._note_answering(now, engine, good)
+        warming = self.warming.get(engine)
+        if warming is None:
             return
-        if not young.has_answered:
-            self._prove(engine, young, now)
-        if work > 0:
-            young.answers.append((now, work, elapsed))
-
-    def _prove(self, engine: str, young: WarmingEngine, since: float) -> None:
-        """It is there: a list names it, or it has answered."""
-        young.has_answered, young.started_at = True, since
-        if self.was_lost_alone and young.number not in self.reported_warming:
-            del self.warming[engine]  # only this instance was away
-
-    def _lives(self, now: float, engine: str, good: bool) -> None:
+        warming.was_tried = True
         if not good:
-            self.answering_since.pop(engine, None)  # it may have started anew since
-        elif engine in self.engines:
-            self.answering_since.setdefault(engine, now)
+            # Without any good answer an engine that is only listed counts as capacity no longer.
+            warming.has_answered = warming.has_answered and bool(warming.answers)
+            return
+        if not warming.has_answered:
+            self._prove(engine, warming, now)
+        if work_ms > 0:
+            warming.answers.append(Answer(now, work_ms, elapsed_ms))
 
     def on_message(self, now: float, data: bytes) -> None:
-        """A message of ramps. Raises MessageError."""
-        for word in warmup_messages.decode_warmup_reports(data):
-            self.reports.apply(now, word)
-
-    # --- what follows ---
+        """A message of warm-up reports. Raises MessageError."""
+        for report in decode_warmup_reports(data):
+            self.reports.apply(now, report)
 
     @property
     def is_active(self) -> bool:
@@ -250,199 +179,158 @@
 
     @property
     def is_growing(self) -> bool:
-        """Whether any engine that has answered, or is listed, is bounded: dark ones need no words."""
-        return any(young.has_answered for young in self.warming.values())
+        """Whether any engine that has answered, or is listed, is bounded; others need no reports."""
+        return any(warming.has_answered for warming in self.warming.values())
 
     def share(self, engine: str) -> float:
         """Share of its capacity that all instances together may send to an engine; 0 before it is proven."""
-        young = self.warming.get(engine)
-        return UNLIMITED_SHARE if young is None else young.share if young.has_answered else 0.0
-
-    def work_limits(self, part: float) -> dict[str, float]:
-        """Work in ms a ms that may be sent to each young engine, with so much of the budget of all."""
-        work = {e: y.cores * self.share(e) * part for e, y in self.warming.items()}
-        if len(work) == len(self.engines) and not any(work.values()):
-            # Danger: the module skips bounds that leave no engine at all, and would send everything.
-            return dict.fromkeys(work, MIN_WORK_RATE)
-        return work
+        warming = self.warming.get(engine)
+        if warming is None:
+            return UNLIMITED_SHARE
+        return warming.share if warming.has_answered else 0.0
+
+    def work_limits(self, quota: float) -> dict[str, float]:
+        """Work in ms a ms that may be sent to each engine that warms up. quota: of the budget of all."""
+        limits = {e: warming.cores * self.share(e) * quota for e, warming in self.warming.items()}
+        if len(limits) == len(self.engines) and not any(limits.values()):
+            return dict.fromkeys(limits, MIN_WORK_RATE)
+        return limits
 
     def cores(self) -> tuple[float, float]:
-        """Cores of free engines, and those that the ramp has set free of the others."""
+        """Cores of free engines, and those of the others that may be used."""
         warm = sum(cores for engine, cores in self.engines.items() if engine not in self.warming)
-        return warm, sum(young.cores * young.share for young in self.warming.values() if young.has_answered)
+        return warm, sum(w.cores * w.share for w in self.warming.values() if w.has_answered)
 
     def assumed_share(self) -> float:
-        """What an engine that was not tried yet counts for at one that has just started: what engines bear,
-        times the part that answers of those tried."""
-        # Danger: a dark zone's engines counted as others' do, and one that came late let in and held what all
-        # others refused.
-        tried = [young.has_answered for young in self.warming.values() if young.was_tried]
-        return self.settings.max_cold_share * (sum(tried) + 1) / (len(tried) + 1)
-
-    def share_after_start(self, engine: str, hoped: float) -> float:
-        """Its share at one that has just started."""
-        young, share = self.warming.get(engine), self.share(engine)
-        if young is None or young.was_tried:
+        """What an engine that was not tried yet counts for just after a start: what engines bear, times the
+        part that answers of those tried. So engines of a zone that is down soon count for little."""
+        answered = [warming.has_answered for warming in self.warming.values() if warming.was_tried]
+        return self.settings.max_cold_share * (sum(answered) + 1) / (len(answered) + 1)
+
+    def share_after_start(self, engine: str, assumed_share: float) -> float:
+        """What an engine counts for just after this instance's start."""
+        warming, share = self.warming.get(engine), self.share(engine)
+        if warming is None or warming.was_tried:
             return max(share, self.settings.max_cold_share) if share else 0.0
-        return hoped
+        return assumed_share
 
-    def retry_after_ms(self, lacking: float) -> float:
-        """How long one turned away now should wait, in ms, where so many cores are lacking."""
-        # Danger: by how fast the ramp grew, one that had just started, and only caught up with the others,
-        # told clients to come soon. They had used up their tries before engines were warm.
-        return self.settings.retry_after_ms if lacking > 0 else 0.0
+    def retry_after_ms(self, lacking_cores: float) -> float:
+        """How long a client that is rejected now should wait. The same at all instances: one that has just
+        started and catches up would promise capacity before engines are warm."""
+        return self.settings.retry_after_ms if lacking_cores > 0 else 0.0
 
     def step(self, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
-        """Weigh what engines show, and say what is due, as (member, message). Ten times a second."""
+        """Let shares follow what engines show, and return the messages that are due, as (member, message).
+        Call it ten times a second."""
         members = sorted(set(live) - {self.self_id})
-        if (
-            len(members) >= self.settings.gossip_from_members
-            and now < self.stepped_at + self.settings.gossip_interval_ms - 1.0
-        ):
+        next_step = self.stepped_at + self.settings.gossip_interval_ms - STEP_TOLERANCE_MS
+        if len(members) >= self.settings.gossip_from_members and now < next_step:
             return []
         self.stepped_at = now
-        fresh = self.reports.fresh(now, self.settings.max_report_age_ms, members)
-        told: dict[int, list[EngineObservation]] = {}
-        for word in fresh:
-            for number, row in word.engines.items():
-                told.setdefault(number, []).append(row)
+        reports = self.reports.fresh(now, self.settings.max_report_age_ms, members)
+        by_number: dict[int, list[EngineObservation]] = {}
+        for report in reports:
+            for number, observation in report.engines.items():
+                by_number.setdefault(number, []).append(observation)
         self.reported_warming = {
-            n for n, rows in told.items() if any(row.share < UNLIMITED_SHARE for row in rows)
+            number
+            for number, observations in by_number.items()
+            if any(observation.share < UNLIMITED_SHARE for observation in observations)
         }
-        unheard = (1 + len(members)) / (1 + len(fresh))
-        for engine, young in list(self.warming.items()):
-            rows = [r for r in told.get(young.number, ()) if now - r.age_ms >= young.not_before - WINDOW_MS]
-            self._weigh(now, engine, young, rows, unheard)
-        return self._tell(now, members, fresh)
-
-    # --- inside ---
+        unheard_factor = (1 + len(members)) / (1 + len(reports))
+        for engine, warming in list(self.warming.items()):
+            oldest = warming.not_before - WINDOW_MS
+            reported = [o for o in by_number.get(warming.number, ()) if now - o.age_ms >= oldest]
+            self._update(now, engine, warming, reported, unheard_factor)
+        return self._messages(now, members)
 
     def _start(self, now: float, engine: str, not_before: float) -> WarmingEngine:
+        """Put an engine under slow start."""
         number = warmup_messages.engine_number(engine)
-        young = WarmingEngine(
+        warming = WarmingEngine(
             self.engines[engine], number, self.settings.initial_share, now, not_before, self.is_listed
         )
-        young.updated_at = now
-        self.warming[engine] = young
-        return young
+        warming.updated_at = now
+        self.warming[engine] = warming
+        return warming
+
+    def _prove(self, engine: str, warming: WarmingEngine, since: float) -> None:
+        """It is there: a list names it, or it has answered. If only this instance was away it is free."""
+        warming.has_answered, warming.started_at = True, since
+        if self.was_lost_alone and warming.number not in self.reported_warming:
+            del self.warming[engine]
 
-    def _weigh(
-        self, now: float, engine: str, young: WarmingEngine, told: list[EngineObservation], unheard: float
+    def _note_answering(self, now: float, engine: str, good: bool) -> None:
+        """Note since when an engine answers; after a fault it may have restarted."""
+        if not good:
+            self.answering_since.pop(engine, None)
+        elif engine in self.engines:
+            self.answering_since.setdefault(engine, now)
+
+    def _update(
+        self,
+        now: float,
+        engine: str,
+        warming: WarmingEngine,
+        reported: list[EngineObservation],
+        unheard_factor: float,
     ) -> None:
-        """Its share from now on."""
-        # Danger: by its own first answer alone, one that had just come held an engine for colder than others
-        # did. Two must tell of such an age: one that lies would set it free.
-        ages = sorted((row.age_ms for row in told if row.share < UNLIMITED_SHARE), reverse=True)
-        if len(ages) > 1:
-            young.started_at = min(young.started_at, now - ages[1])
-        own = young.observation = young.observe(now)
-        if (
-            not told
-            and not own.speed
-            and young.has_answered
-            and now - young.started_at <= self.settings.max_duration_ms
-        ):
-            young.updated_at = now
+        """An engine's share from now on; it is free once it is warm, by own or most others' observations."""
+        warming.adopt_age(now, reported)
+        own = warming.observation = warming.observe(now)
+        is_overdue = now - warming.started_at > self.settings.max_duration_ms
+        if not reported and not own.speed and warming.has_answered and not is_overdue:
+            warming.updated_at = now
             return
-        pooled = warmup_messages.pool_observations([own, *told] if young.has_answered else told, unheard)
-        passed, young.updated_at = now - young.updated_at, now
-        if pooled.speed > 0 and not young.has_answered:
-            young.has_answered, young.started_at = True, now  # another's attempt was answered
-        if not young.has_answered:
+        observations = [own, *reported] if warming.has_answered else reported
+        pooled = warmup_messages.pool_observations(observations, unheard_factor)
+        passed_ms, warming.updated_at = now - warming.updated_at, now
+        if pooled.speed > 0 and not warming.has_answered:
+            warming.has_answered, warming.started_at = True, now  # another instance's attempt was answered
+        if not warming.has_answered:
             return
         if pooled.share is not None:
-            young.share = pooled.share
-        free = pooled.share is not None and pooled.share >= UNLIMITED_SHARE  # most that tell hold it for warm
-        if (
-            free
-            or self._shows(young, pooled, passed)
-            or now - young.started_at > self.settings.max_duration_ms
-        ):
+            warming.share = pooled.share
+        is_free = pooled.share is not None and pooled.share >= UNLIMITED_SHARE
+        is_overdue = now - warming.started_at > self.settings.max_duration_ms
+        if is_free or self._follow(warming, pooled, passed_ms) or is_overdue:
             del self.warming[engine]
 
-    def _shows(self, young: WarmingEngine, pooled: PooledObservation, passed: float) -> bool:
-        """Follow what it shows; true if it is warm."""
-        s = self.settings
-        # Danger: by the clock alone, one that stays slow is pushed over. Without an answer nothing grows.
-        if pooled.speed <= 0:
-            return False
-        best = max(pooled.speed, pooled.work_done)
-        lined = pooled.speed < s.queueing_ratio * pooled.work_done
-        # Danger: set free at the first sign, one that was not warm yet got all that was held, and fell over.
-        if best >= s.warm_speed:
-            young.warm_since = min(young.warm_since, self.stepped_at)
-        elif best < s.doubtful_speed:
-            young.warm_since = math.inf
-        warm = self.stepped_at - young.warm_since >= s.warm_confirmation_ms
-        limit = min(
-            best * (s.drain_factor if lined else s.growth_factor),
-            UNLIMITED_SHARE if warm else s.max_cold_share,
-        )
-        # Danger: by what it shows alone, one that few requests come to, or whose answers are late from a busy
-        # machine, showed less than it was let have, and service never came back. So one that answers, and
-        # without a line, bears what the settings say that one of its age does.
-        told = self._of_age(self.stepped_at, young)
-        limit, warm = max(limit, 0.0 if lined else told), warm or told >= UNLIMITED_SHARE
-        factor = 2 ** (passed / s.doubling_ms)
-        if lined:
-            young.share = min(max(limit, young.share / factor, s.initial_share / 2), young.share * factor)
-        else:
-            # Danger: with few answers, all of which had waited, the share fell where nothing was wrong.
-            young.share = max(min(limit, young.share * factor), young.share)
-        return warm and young.share >= s.warm_speed
-
-    def _of_age(self, now: float, young: WarmingEngine) -> float:
-        """What the settings say that one of its age bears, if it is as old as is known."""
-        s = self.settings
-        return min(
-            s.initial_share + (1 - s.initial_share) * (now - young.started_at) / s.warm_after_ms,
-            UNLIMITED_SHARE,
-        )
+    def _follow(self, warming: WarmingEngine, pooled: PooledObservation, passed_ms: float) -> bool:
+        """Let an engine's share follow what it shows; returns whether it is warm."""
+        return warming.follow(self.stepped_at, pooled, passed_ms, self.settings)
 
-    def _tell(self, now: float, members: list[int], fresh: list[WarmupReport]) -> list[tuple[int, bytes]]:
+    def _messages(self, now: float, members: list[int]) -> list[tuple[int, bytes]]:
+        """This instance's report to the others, as (member, message)."""
         if not members or not self.is_growing and not self.reported_warming & self.numbers:
             return []
-        few = len(members) < self.settings.gossip_from_members
+        s, is_small_fleet = self.settings, len(members) < self.settings.gossip_from_members
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
-        mine = WarmupReport(self.self_id, self.incarnation, self.version, self._rows(few))
-        if few:
-            data = warmup_messages.encode_warmup_reports([mine])
+        own = WarmupReport(self.self_id, self.incarnation, self.version, self._observations(is_small_fleet))
+        if is_small_fleet:
+            data = encode_warmup_reports([own])
             return [(member, data) for member in members]
-        passed = [
-            h.report for h in self.reports.newest() if now - h.received_at <= self.settings.max_report_age_ms
-        ]
-        data = warmup_messages.encode_warmup_reports([mine, *passed])
-        return [(member, data) for member in self.draw.sample(members, self.settings.gossip_fanout)]
-
-    def _rows(self, few: bool) -> dict[int, EngineObservation]:
-        """What to tell: of engines with answers first, of others in turn."""
-        # Danger: of many instances each has few answers. With rows that show nothing, words grew so long that
-        # none was passed on.
-        rows = {
-            y.number: y.observation
-            for y in self.warming.values()
-            if y.has_answered and (few or y.observation.speed > 0)
-        }
-        free = (self.reported_warming & self.numbers) - {young.number for young in self.warming.values()}
-        for number in sorted(free)[:: 1 if few else max(len(free) // MAX_WARM_ROWS, 1)]:
-            rows[number] = EngineObservation(0.0, 0.0, UNLIMITED_SHARE, 0.0)
-        if len(rows) <= warmup_messages.MAX_ENGINES:
-            return rows
-        turn = self.version * 0x9E3779B1
-        ranked = sorted(rows, key=lambda n: (rows[n].speed <= 0, n + turn & 0xFFFFFFFF))
-        return {number: rows[number] for number in ranked[: warmup_messages.MAX_ENGINES]}
-
-
-@functools.lru_cache(maxsize=4096)
-def _order(engine: str, dispatchers: int) -> tuple[int, ...]:
-    return tuple(sorted(range(dispatchers), key=lambda number: -score(number + 1, 1.0, engine)))
+        relayed = [r.report for r in self.reports.newest() if now - r.received_at <= s.max_report_age_ms]
+        data = encode_warmup_reports([own, *relayed])
+        return [(member, data) for member in self.random.sample(members, s.gossip_fanout)]
 
+    def _observations(self, is_small_fleet: bool) -> dict[int, EngineObservation]:
+        """What to report: engines with answers first, the others in turn.
 
-def first_prober(engine: str, passed: float, dispatchers: int, turn: float = 100.0) -> int:
-    """The number of the configured dispatcher that probes an engine now, before members have settled.
-
-    passed: ms since this one's start, or since the loss. All are asked in an order by hash, one a turn, so
-    that an engine is found though most of the others are not back yet.
-    """
-    order = _order(engine, dispatchers)
-    return order[int(max(passed, 0.0) / turn) % dispatchers]
+        In a large fleet each instance has few answers; engines of which it saw nothing are left out, so that
+        there is room to relay others' reports.
+        """
+        observations = {
+            warming.number: warming.observation
+            for warming in self.warming.values()
+            if warming.has_answered and (is_small_fleet or warming.observation.speed > 0)
+        }
+        bounded_here = {warming.number for warming in self.warming.values()}
+        free = sorted((self.reported_warming & self.numbers) - bounded_here)
+        for number in free[:: 1 if is_small_fleet else max(len(free) // MAX_WARM_ROWS, 1)]:
+            observations[number] = EngineObservation(0.0, 0.0, UNLIMITED_SHARE, 0.0)
+        if len(observations) <= warmup_messages.MAX_ENGINES:
+            return observations
+        turn = self.version * ROTATION
+        ranked = sorted(observations, key=lambda n: (observations[n].speed <= 0, n + turn & MAX_UINT32))
+        return {number: observations[number] for number in ranked[: warmup_messages.MAX_ENGINES]}
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -1,4 +1,4 @@
-"""What a census finds and asks for: verdicts, actions, and the times it goes by."""
+"""What a membership survey finds and asks for: verdicts, actions, and the times it goes by. Pure."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 class SurveySettings:
     """Times in ms.
 
-    young: so long after its start an instance counts as just back: longer than the slowest start of a
-    machine after another of the same power loss, and than the ramp of cold engines. wait: so long those
-    missing are waited for before what is known counts as settled: a process's start and three rounds of words
-    with a third of them lost. fresh: so old may a word be of one that counts as heard: five rounds at rest.
-    period: a round of words while somebody is young or a load waits for one. rest: a round else. most: so
-    many words a step: what others take in must not grow with the square of the fleet. lease: see the module;
-    infinity: never cut off, and nobody is ever known to be gone. drift: margin for clocks' rates. rebind: a
-    number whose member was silent for so long is another's that claims it: a machine that was replaced.
-    hold: as MemorySettings.hold. flips: so many times two lives must have spoken in turns to be two at once:
-    late datagrams of an ended one come by themselves. mark, mark_each: a base grows so often, and for each
-    configured dispatcher so much less often, since all others write it down: ten records a second at most. A
-    copy of a folder is found out if a mark was made and told after it.
+    recent_start_ms: so long after its start an instance counts as restarted: longer than the slowest start of
+    a machine after another of the same power loss, and than the warm-up of engines. settle_ms: so long those
+    missing are waited for before what is known counts as settled: a process's start and three rounds of
+    reports with a third of them lost. max_report_age_ms: whoever's last report is older counts as missing;
+    five idle rounds. busy_interval_ms: between two rounds while somebody is restarted or a load waits for
+    one; idle_interval_ms: else. max_messages: of a step; what others receive must not grow with the square of
+    the fleet. lease_ms: see membership_survey; infinity: never cut off, and nobody is ever proven silent.
+    clock_drift: margin for clocks' rates. rebind_ms: a number whose member was silent for so long is bound to
+    another that claims it: a machine that was replaced. hold_ms: as LoadHistorySettings.hold_ms.
+    min_alternations: so often two incarnations must have reported in turns to be two at once; late datagrams
+    of an ended one arrive by themselves. mark_interval_ms, mark_interval_per_dispatcher_ms: a base grows so
+    often, and for each configured dispatcher so much less often, since all others write it down: ten records
+    a second at most. A copy of a folder is detected if a mark was made and reported after it.
     """
 
     recent_start_ms: float = 60_000.0
@@ -43,7 +44,7 @@
 class OutageVerdict(Enum):
     """What was away. ALONE: this instance and no other. SOME: one or several, no whole zone of them. ZONE:
     all dispatchers of a zone or more. FLEET: more than half of the configured ones. CUT_OFF: fewer than half
-    are heard, this one counted, and not more than half are known to be young."""
+    are heard, this one counted, and not more than half are known to have restarted."""
 
     NOTHING = "nothing"
     ALONE = "alone"
@@ -55,8 +56,8 @@
 
 @dataclass(slots=True, frozen=True)
 class SurveyView:
-    """What is known. since: start of the first that was lost, on this clock. settled: nobody is waited for
-    any more. lost, heard, missing: numbers; zones: those lost whole."""
+    """What is known. first_start: of those restarted, on this clock. is_settled: nobody is waited for any
+    more. restarted, reachable, missing: numbers; lost_zones: those of which all dispatchers restarted."""
 
     verdict: OutageVerdict = OutageVerdict.NOTHING
     first_start: float = -math.inf
@@ -91,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DuplicateIdentity:
-    """Another process stands for this number. later: it was there first, and this one must not serve
+    """Another process stands for this number. is_later: it was there first, and this one must not serve
     loads."""
 
     is_later: bool
@@ -108,8 +109,8 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreBase:
-    """To be stored as the folder's base: the boot and the mark up to which its loads are whole; 0: they are
-    not. Danger: an empty or old folder that is started twice would be taken for whole."""
+    """To be stored as the folder's base: the boot and the mark up to which its loads are complete; 0: they
+    are not, so that an empty or old folder that is started twice is not taken for a complete one."""
 
     base: int
 
@@ -119,7 +120,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProvenSilence:
-    """No load was sent by it between these two moments; what holds after `as_of` is not known yet."""
+    """It sent no load after `nothing_sent_after`; what happens after `valid_until` is not known yet."""
 
     nothing_sent_after: float
     valid_until: float
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -1,13 +1,13 @@
-"""What engines that have just started show, told by all and pooled. Pure.
+"""What instances observe of engines that warm up, its wire format, and how observations are pooled. Pure.
 
-    kind 16 | count 1 | words, each: member 8 | life 4 | version 4 | rows 1 | rows, each:
-    engine 4 | speed 1 | done 1 | share 1 | age 1
+    kind 16 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | engines 1 | engines, each:
+    engine 4 | speed 1 | work done 1 | share 1 | age 1
 
-speed: how fast good answers were, done: how much work they were, both as a part of what the engine does when
-warm, within `WINDOW` ms. Both are lower bounds of what it can do: an answer that waited in a line looks slow,
-and nobody is served more than the engine does. So the larger of both counts. share: what the teller would let
-all instances together send there; age: since when it has held the engine for started. Words merge by
-(life, version), as those on zones do.
+speed: how fast good answers were, work done: how much work they were, both as a part of what the engine does
+when warm, within `WINDOW_MS`. Both are lower bounds of what it can do: an answer that waited in a queue looks
+slow, and nobody is served more than the engine does. So the larger of both counts. share: what the sender
+would let all instances together send there; age: since when it has taken the engine for started. Reports
+merge as `latest_reports` says.
 """
 
 from __future__ import annotations
@@ -18,18 +18,24 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
+from cottonhold.fleet.latest_reports import Stamp
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 
 WARMUP_REPORTS = 16  # the kind of message
-HEAD = struct.Struct("!QIIB")
-ROW = struct.Struct("!IBBBB")
-WINDOW_MS = 600.0  # ms of answers that a row tells of
-SPEED_STEPS = 170.0  # steps of a speed of one on the wire, so that 1.5 can be told
-WORK_STEPS = 1000.0  # steps of work done: its square root is told, since one of many does little
+HEADER = struct.Struct("!QIIB")
+ENTRY = struct.Struct("!IBBBB")
+MAX_ENGINES = (MAX_MESSAGE_BYTES - 2 - HEADER.size) // ENTRY.size  # of a report
+MAX_BYTE = 255
+SHARE_STEPS = 255
+SPEED_STEPS = 170.0  # of a speed of one, so that 1.5 can be encoded
+WORK_STEPS = 1000.0  # of the work done; its square root is encoded, since one instance of many does little
+ROOT_STEPS = 5
+AGE_STEP_MS = 100.0
+WINDOW_MS = 600.0  # of answers that an observation is of
 UNLIMITED_SHARE = 1.0  # a share that bounds nothing
-AGE_STEP_MS = 100.0  # ms of a step of age
-MAX_ENGINES = (MAX_MESSAGE_BYTES - 2 - HEAD.size) // ROW.size
+SHARE_QUORUM = 3  # observations that it takes to agree on a share
+CLAIM_FACTOR = 3  # times the median work done that one instance counts for at most
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WarmupReport:
-    """All that one instance tells of engines that are not warm, by their numbers."""
+    """One instance's report on engines that are not warm, by `engine_number`."""
 
     member: int
     incarnation: int
@@ -52,8 +58,8 @@
     engines: dict[int, EngineObservation]
 
     @property
-    def stamp(self) -> tuple[int, int]:
-        """What decides which of two words of one member is newer."""
+    def stamp(self) -> Stamp:
+        """Of two reports of a member the one with the higher stamp is newer."""
         return self.incarnation, self.version
 
 
@@ -62,58 +68,68 @@
     return zlib.crc32(engine.encode())
 
 
-def encode_warmup_reports(words: Iterable[WarmupReport]) -> bytes:
-    """A message with as many of these words as fit, first ones first."""
-    parts, left = list[bytes](), MAX_MESSAGE_BYTES - 2
-    for word in words:
-        size = HEAD.size + len(word.engines) * ROW.size
-        if size > left:
+def encode_warmup_reports(reports: Iterable[WarmupReport]) -> bytes:
+    """A message with as many of these reports as fit, first ones first."""
+    parts, remaining = list[bytes](), MAX_MESSAGE_BYTES - 2
+    for report in reports:
+        size = HEADER.size + len(report.engines) * ENTRY.size
+        if size > remaining:
             break
-        rows = [
-            ROW.pack(
-                number,
-                min(math.ceil(row.speed * SPEED_STEPS), 255),
-                min(round(math.sqrt(max(row.work_done, 0.0) * WORK_STEPS) * 5), 255),
-                min(round(row.share * 255), 255),
-                min(int(row.age_ms / AGE_STEP_MS), 255),
-            )
-            for number, row in word.engines.items()
-        ]
-        parts.append(HEAD.pack(word.member, word.incarnation, word.version, len(rows)) + b"".join(rows))
-        left -= size
+        header = HEADER.pack(report.member, report.incarnation, report.version, len(report.engines))
+        entries = [_encode_entry(number, seen) for number, seen in report.engines.items()]
+        parts.append(header + b"".join(entries))
+        remaining -= size
     return bytes((WARMUP_REPORTS, len(parts))) + b"".join(parts)
 
 
+def _encode_entry(number: int, observation: EngineObservation) -> bytes:
+    root = math.sqrt(max(observation.work_done, 0.0) * WORK_STEPS)
+    return ENTRY.pack(
+        number,
+        min(math.ceil(observation.speed * SPEED_STEPS), MAX_BYTE),
+        min(round(root * ROOT_STEPS), MAX_BYTE),
+        min(round(observation.share * SHARE_STEPS), MAX_BYTE),
+        min(int(observation.age_ms / AGE_STEP_MS), MAX_BYTE),
+    )
+
+
 def decode_warmup_reports(data: bytes) -> list[WarmupReport]:
-    """The words of a message. Raises MessageError; then none of them counts."""
+    """The reports of a message. Raises MessageError; then none of them is applied."""
     if len(data) < 2 or data[0] != WARMUP_REPORTS:
-        raise MessageError("no ramp")
-    words, at = [], 2
+        raise MessageError("no warm-up reports")
+    reports, offset = [], 2
     try:
         for _ in range(data[1]):
-            member, life, version, count = HEAD.unpack_from(data, at)
-            at += HEAD.size
-            if not member or count > MAX_ENGINES:
-                raise MessageError("member or rows")
-            rows = {}
-            for _ in range(count):
-                number, speed, done, share, age = ROW.unpack_from(data, at)
-                at += ROW.size
-                rows[number] = EngineObservation(
-                    speed / SPEED_STEPS, (done / 5) ** 2 / WORK_STEPS, share / 255, age * AGE_STEP_MS
-                )
-            words.append(WarmupReport(member, life, version, rows))
+            report, offset = _decode_report(data, offset)
+            reports.append(report)
     except struct.error:
         raise MessageError("truncated") from None
-    if at != len(data):
+    if offset != len(data):
         raise MessageError("too long")
-    return words
+    return reports
+
+
+def _decode_report(data: bytes, offset: int) -> tuple[WarmupReport, int]:
+    """The report that begins at an offset, and where it ends."""
+    member, incarnation, version, count = HEADER.unpack_from(data, offset)
+    offset += HEADER.size
+    if not member or count > MAX_ENGINES:
+        raise MessageError("member or engines")
+    engines = {}
+    for _ in range(count):
+        number, speed, root, share, age = ENTRY.unpack_from(data, offset)
+        offset += ENTRY.size
+        work_done = (root / ROOT_STEPS) ** 2 / WORK_STEPS
+        engines[number] = EngineObservation(
+            speed / SPEED_STEPS, work_done, share / SHARE_STEPS, age * AGE_STEP_MS
+        )
+    return WarmupReport(member, incarnation, version, engines), offset
 
 
 @dataclass(slots=True, frozen=True)
 class PooledObservation:
-    """What all that are heard of saw of an engine: its speed, the work done, and the share they would give.
-    No share: too few tell."""
+    """What all that report saw of an engine: its speed, the work done, and the share they would give. No
+    share: too few report."""
 
     speed: float
     work_done: float
@@ -121,24 +137,25 @@
 
 
 def upper_quartile(values: Sequence[float]) -> float:
-    """The upper quarter's lowest value.
-
-    Danger: by the middle, engines under full load, where most answers waited, looked slow; by the highest,
-    one estimate of work that is far off would speak for all.
-    """
+    """The lowest value of the upper quarter. The median would call engines under full load slow, where most
+    answers waited; the highest may be one wrong estimate of work."""
     return sorted(values)[math.ceil(0.75 * len(values)) - 1]
 
 
 def pool_observations(
-    rows: Sequence[EngineObservation], unheard: float, quorum: int = 3
+    observations: Sequence[EngineObservation], unheard_factor: float, quorum: int = SHARE_QUORUM
 ) -> PooledObservation:
-    """Rows of one engine taken together. unheard: so many times as many are there as were heard."""
-    seen = [row for row in rows if row.speed > 0]
-    done = [row.work_done for row in seen]
-    # Danger: one that claims to have done what the whole engine could would lift the ramp for all.
-    most = 3 * lower_median(done) if len(done) > 2 else math.inf
-    share = lower_median([row.share for row in rows]) if len(rows) >= quorum else None
-    speeds = sorted(row.speed for row in seen)
-    # Danger: of several tellers one that lies must not be the one that counts.
-    speed = upper_quartile(speeds[:-1] if len(speeds) > 2 else speeds) if speeds else 0.0
-    return PooledObservation(speed, sum(min(d, most) for d in done) * unheard, share)
+    """Observations of one engine taken together. unheard_factor: instances for each one that was heard.
+
+    No instance may claim far more work than the median, nor be the one whose speed counts: one that lies must
+    not lift the share for all.
+    """
+    with_answers = [observation for observation in observations if observation.speed > 0]
+    work = [observation.work_done for observation in with_answers]
+    max_work = CLAIM_FACTOR * lower_median(work) if len(work) > 2 else math.inf
+    has_quorum = len(observations) >= quorum
+    share = lower_median([observation.share for observation in observations]) if has_quorum else None
+    speeds = sorted(observation.speed for observation in with_answers)
+    credible = speeds[:-1] if len(speeds) > 2 else speeds
+    speed = upper_quartile(credible) if speeds else 0.0
+    return PooledObservation(speed, sum(min(done, max_work) for done in work) * unheard_factor, share)
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -14,7 +14,8 @@
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.projection import Projection
-from cottonhold.fleet.recovery.slow_start import SlowStartSettings, first_prober
+from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings, PhaseChange
 from cottonhold.fleet.zone_failover.failure_evidence import EvidenceSettings
 from cottonhold.fleet.zone_failover.operator_overrides import MODE_NAMES
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -14,7 +14,8 @@
 from cottonhold.discovery.model import Address, Change, Names, Observation, Report, Verdict
 from cottonhold.emulator import disk as disk_of
 from cottonhold.fleet.recovery.cached_engines import EngineCache
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart, SlowStartSettings
+from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.rolling_replacement.step_decision import Drain
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -22,7 +22,8 @@
 from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import encode_site_reports
 from cottonhold.fleet.failover_cost.snapshot_plan import SnapshotPlan
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart, SlowStartSettings
+from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.zone_failover.evacuation import Phase
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount
 from cottonhold.fleet_adapters.recovery import SITE, restore_site_report, save_site_report
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -428,13 +428,13 @@
 
 
 def test_planted_missing_taken_for_never_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(load_history.LoadHistory, "_gone", lambda self, *of: True)
+    monkeypatch.setattr(load_history.LoadHistory, "_is_out_of_question", lambda self, *of: True)
     with pytest.raises(AssertionError):
         test_the_owner_is_waited_for_and_else_it_is_later()
 
 
 def test_planted_no_rank_between_two_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = load_history.LoadHistory._said
+    plain = load_history.LoadHistory._statement
 
     def said(self: load_history.LoadHistory, now: float, number: int, load: bytes) -> LoadStatement:
         pending = self.pending.pop(load, None)
@@ -443,7 +443,7 @@
             self.pending[load] = pending
         return told
 
-    monkeypatch.setattr(load_history.LoadHistory, "_said", said)
+    monkeypatch.setattr(load_history.LoadHistory, "_statement", said)
     wrong = 0
     for seed in range(12):
         try:
@@ -463,7 +463,7 @@
 
 def test_planted_unconfirmed_memory_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MembershipSurvey, "has_confirmed_memory", lambda self: True)
-    monkeypatch.setattr(MembershipSurvey, "_above", lambda self, pair: False)
+    monkeypatch.setattr(MembershipSurvey, "_exceeds_folder", lambda self, view: False)
     with pytest.raises(AssertionError):
         test_an_emptied_folder_is_unknown_and_not_never("old")
 
@@ -476,7 +476,7 @@
         (
             631,
             load_history.LoadHistory,
-            "_alone",
+            "_unconfirmed",
             lambda self, now, load: local_loads.LoadKnowledge.NOT_KNOWN_YET,
         ),
     ],
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -339,7 +339,7 @@
 
 
 def test_planted_a_census_by_one_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership_survey.MembershipSurvey, "_most", lambda self, lost: bool(lost))
+    monkeypatch.setattr(membership_survey.MembershipSurvey, "_is_majority", lambda self, lost: bool(lost))
     with pytest.raises(AssertionError):
         test_what_was_away_is_told_by_all_alike("one", 0.0)
 
@@ -367,6 +367,6 @@
 
 
 def test_planted_boots_not_compared_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership_survey.MembershipSurvey, "_above", lambda self, pair: False)
+    monkeypatch.setattr(membership_survey.MembershipSurvey, "_exceeds_folder", lambda self, view: False)
     with pytest.raises(AssertionError):
         test_a_folder_that_forgot_is_told_so_and_boots_go_on("old")
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -15,14 +15,10 @@
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import warmup_messages
-from cottonhold.fleet.recovery.slow_start import (
-    WARMUP_BUDGET,
-    OutageScope,
-    SlowStart,
-    SlowStartSettings,
-    WarmingEngine,
-    first_prober,
-)
+from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET, SlowStartSettings
+from cottonhold.fleet.recovery.warming_engine import WarmingEngine
 from cottonhold.fleet.recovery.warmup_messages import (
     EngineObservation,
     PooledObservation,
@@ -389,7 +385,7 @@
     [
         ({"step": greedy_step, "work_limits": greedy_bounds}, lambda w: w.over, 0.0, 1, 3000.0, 0.0),
         # The largest of nine engines differs by chance, 1.25 to 1.35 by seed, so it is held to by the mean.
-        ({"_shows": by_the_clock}, most, 1.3, 8, 20_000.0, 0.0),
+        ({"_follow": by_the_clock}, most, 1.3, 8, 20_000.0, 0.0),
         ({"_start": trusting}, lambda w: w.blind, 0.0, 1, 3000.0, 1000.0),
     ],
     ids=["all of the budget for those present", "by the clock", "proof not awaited"],
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -19,7 +19,7 @@
 from cottonhold.fleet.recovery.messages import MemoryState, Presence, decode
 
 LONGEST = 2000.0  # clients' deadline, ms
-HOLD = local_loads.hold_ms_for([LONGEST], slack=2000.0)
+HOLD = local_loads.hold_ms_for([LONGEST], slack_ms=2000.0)
 CENSUS = survey_results.SurveySettings(
     recent_start_ms=12_000.0,
     lease_ms=3000.0,
