--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from cottonhold.backend.resp import RespError, RespReader, Rows, encode, read_count, read_fields, read_rows
-from cottonhold.config.relay import Links
+from cottonhold.config.relay import ConnectionSettings
 from cottonhold.config.settings import REPORT
 from cottonhold.discovery.model import Address, Change
 from cottonhold.node.clock import Clock, Timer
@@ -33,113 +33,113 @@
 WORDS = {b"served", b"overload", b"crashed", b"nobody", b"rows"}
 
 
-class Line(Protocol):
+class StreamHandle(Protocol):
     """The driver's side of a connection."""
 
-    def hear(self) -> bool:
+    def read_available(self) -> bool:
         """Read what has come already; whether there was something."""
 
     def flush(self) -> None:
         """There is something to write."""
 
-    def hurry(self) -> None:
+    def write_now(self) -> None:
         """There is something to write before anything else is, anywhere."""
 
     def abort(self) -> None:
         """Close at once: whoever is at the other end can see it before anything else is written."""
 
 
-Connect = Callable[[Address, "Connection"], Line]
+Connect = Callable[[Address, "Connection"], StreamHandle]
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     """One attempt: what is sent, where it is, and what has come back of its result."""
 
-    query: str
+    request_id: str
     number: int
     engine: str
-    kind: str
+    class_name: str
     body: bytes
     priority: int
-    began: float
-    until: float
-    token: str | None = None  # the client's idempotency key, the same on each attempt
-    begin_by: float = math.inf  # not begun by then, it must not begin any more
+    started_at: float
+    deadline: float
+    idempotency_key: str | None = None  # the client's idempotency key, the same on each attempt
+    begin_deadline: float = math.inf  # not begun by then, it must not begin any more
     connection: Connection | None = None
     timer: Timer | None = None
-    written: bool = False
-    answered_at: float = 0.0
-    fields: dict[str, str] = field(default_factory=dict)
+    is_written: bool = False
+    first_response_at: float = 0.0
+    response_fields: dict[str, str] = field(default_factory=dict)
     pages: list[Rows | None] = field(default_factory=list)
 
     @property
-    def ref(self) -> bytes:
-        return self.query.encode()
+    def engine_request_id(self) -> bytes:
+        return self.request_id.encode()
 
-    def rows(self) -> Rows:
+    def all_rows(self) -> Rows:
         """The whole result."""
         return [row for page in self.pages if page is not None for row in page]
 
 
 @dataclass(slots=True, eq=False)
-class Probe:
+class HealthCheck:
     """A probe that is out: one that the module asked for, or a connection's sign of life."""
 
     engine: str
     sent_at: float
-    answers: int  # that the connection had given before; any further one is a sign of life as well
-    fresh: bool  # the connection was not up yet
-    told: bool = True  # the module waits for its end
+    answers_before: int  # that the connection had given before; any further one is a sign of life as well
+    was_connecting: bool  # the connection was not up yet
+    is_awaited: bool = True  # the module waits for its end
     timer: Timer | None = None
-    then: Callable[[bool], None] | None = None  # who else waits for it, in the module's place
+    callback: Callable[[bool], None] | None = None  # who else waits for it, in the module's place
 
 
-class Listener(Protocol):
+class AttemptListener(Protocol):
     """Who is told of ends, and whose attempts they are: the gateway."""
 
-    def wants(self, attempt: Attempt) -> bool:
+    def is_wanted(self, attempt: Attempt) -> bool:
         """Whether an attempt that has not begun may still begin."""
 
-    def attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
+    def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt is over."""
 
-    def probed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
+    def on_health_check_completed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
         """A probe is over."""
 
 
 class Connection:
     """One connection to an engine: a state machine that is fed bytes and gives bytes to write."""
 
-    def __init__(self, owner: Engines, engine: str, address: Address, now: float) -> None:
+    def __init__(self, owner: EngineConnections, engine: str, address: Address, now: float) -> None:
         self.owner, self.engine, self.address = owner, engine, address
-        self.reader, self.line = RespReader(), None
-        self.opened_at, self.heard_at, self.used_at = now, now, now
-        self.partial_at = math.inf  # since when an answer is there in part
-        self.answers = 0
-        self.unheard_since = math.inf  # since when something that was sent waits for any word
-        self.up = self.over = self.closing = False
-        self.lacking = False  # this machine could not make it; that says nothing of the engine
+        self.reader, self.stream = RespReader(), None
+        self.opened_at, self.last_received_at, self.last_used_at = now, now, now
+        self.partial_since = math.inf  # since when an answer is there in part
+        self.answer_count = 0
+        self.silent_since = math.inf  # since when something that was sent waits for any word
+        self.is_up = self.is_closed = self.is_closing = False
+        self.lacked_local_resources = False  # this machine could not make it; that says nothing of the engine
         self.queue: deque[Attempt | bytes] = deque()
         self.attempts: dict[bytes, Attempt] = {}
-        self.given_up: dict[bytes, None] = {}  # ids that ended without a result: not used here again
-        self.probes: dict[bytes, Probe] = {}
+        self.abandoned_ids: dict[bytes, None] = {}  # ids that ended without a result: not used here again
+        self.health_checks: dict[bytes, HealthCheck] = {}
 
-    line: Line | None
+    stream: StreamHandle | None
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         """The connection is up."""
         now = self.owner.clock.now()
-        self.up, self.opened_at, self.heard_at, self.used_at = True, now, now, now
-        self.unheard_since = now if self.attempts else math.inf
-        self.owner.check_queue(self)
+        self.is_up, self.opened_at, self.last_received_at, self.last_used_at = True, now, now, now
+        self.silent_since = now if self.attempts else math.inf
+        self.owner.drop_unsendable(self)
 
     def take_output(self) -> bytes:
         """What is to be written now. Whether an attempt may still begin is checked only here."""
         # Danger: a load was put on a connection that was given up in the same turn of the loop, before the
         # write had begun. It was told as never sent and went to another engine; then it was written here too.
         self._look_for_end()
-        if self.over:
+        if self.is_closed:
             return b""
         # Danger: all that was taken at once could wait behind an engine that reads slowly, for as long as it
         # liked, and began then without a further look. So little is taken, and more once that is written.
@@ -149,12 +149,12 @@
             if isinstance(item, Attempt):
                 if not self.owner.may_begin(item):
                     continue
-                item.written = True
-                item = self.owner.frame(item)
+                item.is_written = True
+                item = self.owner.encode_request(item)
             parts.append(item)
             size += len(item)
         if parts:
-            self.used_at = self.owner.clock.now()
+            self.last_used_at = self.owner.clock.now()
         return b"".join(parts)
 
     def _look_for_end(self) -> None:
@@ -163,97 +163,104 @@
         Danger: the loop hears of an end some turns late. A request written meanwhile counted as one that may
         have run, and where it may not be repeated it failed.
         """
-        if self.line is None or not self.queue or any(a.written for a in self.attempts.values()):
+        if self.stream is None or not self.queue or any(a.is_written for a in self.attempts.values()):
             return
         for _ in range(MOST_READS):
-            if not self.line.hear() or self.over:
+            if not self.stream.read_available() or self.is_closed:
                 return
 
     def receive(self, data: bytes) -> None:
         """Bytes from the engine."""
-        if self.closing or self.over:
+        if self.is_closing or self.is_closed:
             return
-        now = self.heard_at = self.used_at = self.owner.clock.now()
+        now = self.last_received_at = self.last_used_at = self.owner.clock.now()
         try:
             while arrays := self.reader.feed(data):
-                data, self.partial_at = b"", math.inf
+                data, self.partial_since = b"", math.inf
                 for words in arrays:
-                    self.answers += 1
-                    self.owner.answer(self, words)
-            self.unheard_since = now if self.attempts else math.inf
+                    self.answer_count += 1
+                    self.owner.on_answer(self, words)
+            self.silent_since = now if self.attempts else math.inf
             if self.reader.partial():
-                self.partial_at = min(self.partial_at, now)
+                self.partial_since = min(self.partial_since, now)
         except RespError as error:
-            self.owner.malformed(f"engine {self.engine}: {error}")
-            self.give_up()
+            self.owner.on_malformed_answer(f"engine {self.engine}: {error}")
+            self.abandon()
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """Close, and tell of what was out: it may have run.
 
         Danger: after an answer that makes no sense, or none at all, nothing more comes that could be used,
         yet the connection stays open. It was picked again and again, and what was out on it waited long.
         """
-        self.closing = True
+        self.is_closing = True
         self.owner.counters.add("engine_connections_given_up")
         self.close()
 
     def close(self) -> None:
         """Close at once, and tell of what was out."""
-        if self.line is not None:
-            self.line.abort()
-        self.closed()
+        if self.stream is not None:
+            self.stream.abort()
+        self.on_closed()
 
-    def unused(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether it is up with nothing out on it."""
-        return self.up and not self.attempts and not self.probes
+        return self.is_up and not self.attempts and not self.health_checks
 
-    def closed(self) -> None:
+    def on_closed(self) -> None:
         """The connection has ended, or never came up."""
-        if not self.over:
-            self.over = True
-            self.owner.connection_closed(self)
+        if not self.is_closed:
+            self.is_closed = True
+            self.owner.on_connection_closed(self)
 
-    def put(self, item: Attempt | bytes) -> None:
+    def enqueue(self, item: Attempt | bytes) -> None:
         """Queue something to write."""
         self.queue.append(item)
-        if self.up and self.line is not None:
-            self.line.flush()
+        if self.is_up and self.stream is not None:
+            self.stream.flush()
 
-    def give_back(self, item: bytes) -> None:
+    def write_now(self, item: bytes) -> None:
         """Write what gives an attempt up, at once."""
         # Danger: written in the order in which connections had got something to say, the next attempt often
         # went out before the one before was dropped, and an instance that was stopped between the two writes
         # had both out for tens of milliseconds.
         self.queue.append(item)
-        if self.up and self.line is not None:
-            self.line.hurry()
+        if self.is_up and self.stream is not None:
+            self.stream.write_now()
 
 
 @dataclass(slots=True, eq=False)
-class Place:
+class EngineEndpoint:
     """An engine of the list with its connections."""
 
-    info: Engine
+    engine: Engine
     address: Address | None
     connections: list[Connection] = field(default_factory=list)
     restarted_at: float = -math.inf  # when a new start was last told
 
 
-class Engines:
+class EngineConnections:
     """All engines; sends attempts, gives them up, and tells the gateway of their ends."""
 
     def __init__(
-        self, links: Links, clock: Clock, counters: Counters, say: Callable[[str], None], most: int
+        self,
+        links: ConnectionSettings,
+        clock: Clock,
+        counters: Counters,
+        say: Callable[[str], None],
+        most: int,
     ) -> None:
-        self.links, self.clock, self.counters, self.say = links, clock, counters, say
-        self.places: dict[str, Place] = {}
-        self.linked: dict[str, Place] = {}  # that have had a connection since they were last looked at
+        self.settings, self.clock, self.counters, self.say = links, clock, counters, say
+        self.endpoints: dict[str, EngineEndpoint] = {}
+        self.endpoints_in_use: dict[
+            str, EngineEndpoint
+        ] = {}  # that have had a connection since they were last looked at
         self.connect: Connect
-        self.listener: Listener
-        self.tags = 0
-        self.most, self.open = most, 0
-        self.signs = 1.0  # of life that may be asked for
-        self.probe_took = 0.0  # ms of the last probe that ended
+        self.listener: AttemptListener
+        self.health_check_count = 0
+        self.max_connections, self.open_connections = most, 0
+        self.liveness_budget = 1.0  # of life that may be asked for
+        self.last_health_check_ms = 0.0  # ms of the last probe that ended
         clock.call_in(CHECK_MS, self._check)
 
     # --- the list ---
@@ -262,27 +269,27 @@
         """Take in a change of the list; what waits for an engine that left is told so at once."""
         named = {info.id for info in change.engines}
         for info in change.engines:
-            place = self.places.get(info.id)
+            place = self.endpoints.get(info.id)
             if place is None:
-                place = self.places[info.id] = Place(info, None)
+                place = self.endpoints[info.id] = EngineEndpoint(info, None)
             address = change.addresses.get(info.id, place.address)
             if address != place.address:
                 self._moved(place, info.started_at)
-            elif info.started_at > place.info.started_at:
+            elif info.started_at > place.engine.started_at:
                 self._restarted(place, info.started_at)
-            place.info, place.address = info, address
+            place.engine, place.address = info, address
             self._left(place)
         if change.whole:
-            for name in [name for name in self.places if name not in named]:
-                place = self.places[name]
-                place.info = Engine(name, state=EngineState.REMOVED)
+            for name in [name for name in self.endpoints if name not in named]:
+                place = self.endpoints[name]
+                place.engine = Engine(name, state=EngineState.REMOVED)
                 self._left(place)
 
-    def _moved(self, place: Place, at: float) -> None:
+    def _moved(self, place: EngineEndpoint, at: float) -> None:
         """The engine has another address. What runs on a connection to the one before goes on to its end."""
-        self._close(place, lambda c: c.opened_at < at or c.unused() or not c.up)
+        self._close(place, lambda c: c.opened_at < at or c.is_unused() or not c.is_up)
 
-    def _restarted(self, place: Place, at: float) -> None:
+    def _restarted(self, place: EngineEndpoint, at: float) -> None:
         """Another process is at the address. Connections to a machine that vanished stay open and silent.
 
         Danger: a start may be told late, or taken for later than it was; then what had been opened to the new
@@ -291,31 +298,33 @@
         """
         place.restarted_at = self.clock.now()
         quiet = place.restarted_at - SILENT_MS
-        self._close(place, lambda c: not c.up or c.opened_at < at and (c.unused() or c.heard_at < quiet))
+        self._close(
+            place, lambda c: not c.is_up or c.opened_at < at and (c.is_unused() or c.last_received_at < quiet)
+        )
 
-    def _left(self, place: Place) -> None:
+    def _left(self, place: EngineEndpoint) -> None:
         """Nothing new goes to an engine that drains or is gone; what was out on a gone one is lost."""
-        if place.info.state is EngineState.LIVE:
+        if place.engine.state is EngineState.LIVE:
             return
         for connection in list(place.connections):
-            self.check_queue(connection)
-        self._close(place, Connection.unused)
-        if place.info.state is EngineState.REMOVED:
+            self.drop_unsendable(connection)
+        self._close(place, Connection.is_unused)
+        if place.engine.state is EngineState.REMOVED:
             quiet = self.clock.now() - SILENT_MS
-            self._close(place, lambda c: c.heard_at < quiet or not c.attempts)
+            self._close(place, lambda c: c.last_received_at < quiet or not c.attempts)
             # Danger: an engine that left with work out was kept for good, with its connections.
             if not place.connections:
-                del self.places[place.info.id]
-                self.linked.pop(place.info.id, None)
+                del self.endpoints[place.engine.id]
+                self.endpoints_in_use.pop(place.engine.id, None)
 
-    def _close(self, place: Place, which: Callable[[Connection], bool]) -> None:
+    def _close(self, place: EngineEndpoint, which: Callable[[Connection], bool]) -> None:
         for connection in [c for c in place.connections if which(c)]:
             connection.close()
 
-    def _open_place(self, engine: str) -> Place | None:
+    def _open_place(self, engine: str) -> EngineEndpoint | None:
         """The engine, if it may get something new."""
-        place = self.places.get(engine)
-        if place is None or place.address is None or place.info.state is not EngineState.LIVE:
+        place = self.endpoints.get(engine)
+        if place is None or place.address is None or place.engine.state is not EngineState.LIVE:
             return None
         return place
 
@@ -325,66 +334,70 @@
         self.clock.call_in(CHECK_MS, self._check)
         # Danger: all engines of the list were looked at five times a second, though most never get any: on
         # the largest fleets that passed what a dispatcher may take for their number.
-        for name, place in list(self.linked.items()):
+        for name, place in list(self.endpoints_in_use.items()):
             try:
                 quiet += [c for c in list(place.connections) if self._look_at(place, c, now)]
                 self._left(place)
                 if not place.connections:
-                    self.linked.pop(name, None)
+                    self.endpoints_in_use.pop(name, None)
             except Exception as error:
                 # Danger: after a fault at one engine no silent connection to any other was ever found.
                 self.counters.add("check_faults")
-                self.say(f"engine {place.info.id}: {type(error).__name__}: {error}")
+                self.say(f"engine {place.engine.id}: {type(error).__name__}: {error}")
         # Danger: each connection with work out that was quiet for 1.2 s was asked, which on a full fleet is
         # most of them, again and again: 0.3 probes a request, at six times the price of all other probes. So
         # each attempt pays for a part of a sign, and the quietest are asked first.
-        for connection in sorted(quiet, key=lambda c: c.unheard_since):
-            if self.signs >= 1 or not self.links.probe_price:
-                self.signs = max(self.signs - 1, 0.0)
+        for connection in sorted(quiet, key=lambda c: c.silent_since):
+            if self.liveness_budget >= 1 or not self.settings.health_check_cost:
+                self.liveness_budget = max(self.liveness_budget - 1, 0.0)
                 self._ask(connection, told=False)
 
-    def _look_at(self, place: Place, connection: Connection, now: float) -> bool:
+    def _look_at(self, place: EngineEndpoint, connection: Connection, now: float) -> bool:
         """Give up a connection that has failed; whether one ought to be asked for a sign of life."""
-        if not connection.up or connection.over:
+        if not connection.is_up or connection.is_closed:
             return False
-        for tag, probe in list(connection.probes.items()):
-            if not probe.told and probe.answers != connection.answers:
-                del connection.probes[tag]
-        if now - connection.partial_at > SIGN_MS:
-            self.malformed(f"engine {connection.engine}: an answer that stops short")
-            connection.give_up()
+        for tag, probe in list(connection.health_checks.items()):
+            if not probe.is_awaited and probe.answers_before != connection.answer_count:
+                del connection.health_checks[tag]
+        if now - connection.partial_since > SIGN_MS:
+            self.on_malformed_answer(f"engine {connection.engine}: an answer that stops short")
+            connection.abandon()
         elif now - self._asked_at(connection) >= SIGN_MS:
             self.say(f"engine {connection.engine}: a connection gives no sign of life")
-            connection.give_up()
+            connection.abandon()
         # Danger: the list grew with each attempt given up, for as long as its connection lived.
-        for ref in list(connection.given_up)[:-MOST_GIVEN_UP]:
-            del connection.given_up[ref]
-        working = connection.attempts and not connection.probes and place.info.state is EngineState.LIVE
-        return not connection.over and bool(working) and now - connection.unheard_since > QUIET_MS
+        for ref in list(connection.abandoned_ids)[:-MOST_GIVEN_UP]:
+            del connection.abandoned_ids[ref]
+        working = (
+            connection.attempts and not connection.health_checks and place.engine.state is EngineState.LIVE
+        )
+        return not connection.is_closed and bool(working) and now - connection.silent_since > QUIET_MS
 
     # --- attempts ---
 
     def send(self, attempt: Attempt) -> bool:
         """Start an attempt; false where the engine can't be sent anything, so that it surely never ran."""
-        connection = self._pick(attempt.engine, attempt.ref)
+        connection = self._pick(attempt.engine, attempt.engine_request_id)
         if connection is None:
             return False
         attempt.connection = connection
-        connection.attempts[attempt.ref] = attempt
-        self.signs = min(MOST_SIGNS, self.signs + SIGN_PRICE / max(self.links.probe_price, SIGN_PRICE))
-        connection.unheard_since = min(connection.unheard_since, attempt.began)
-        left = max(attempt.until - self.clock.now(), 0.0)
+        connection.attempts[attempt.engine_request_id] = attempt
+        self.liveness_budget = min(
+            MOST_SIGNS, self.liveness_budget + SIGN_PRICE / max(self.settings.health_check_cost, SIGN_PRICE)
+        )
+        connection.silent_since = min(connection.silent_since, attempt.started_at)
+        left = max(attempt.deadline - self.clock.now(), 0.0)
         attempt.timer = self.clock.call_in(left, lambda: self._time_out(attempt))
         self.counters.add("attempts_sent")
-        connection.put(attempt)
+        connection.enqueue(attempt)
         return True
 
-    def unsendable(self) -> Outcome:
+    def unsent_outcome(self) -> Outcome:
         """What to tell of an attempt or a probe that could not be started.
 
         Danger: where only this machine's own descriptors ran out, each engine in turn was taken for dead.
         """
-        return Outcome.OVERLOADED if self.open >= self.most else Outcome.CONNECT_FAILED
+        return Outcome.OVERLOADED if self.open_connections >= self.max_connections else Outcome.CONNECT_FAILED
 
     def _pick(self, engine: str, ref: bytes) -> Connection | None:
         """The fullest connection with room, so that spare ones run idle and close; else a new one.
@@ -394,75 +407,86 @@
         place = self._open_place(engine)
         return None if place is None else self._line(place, ref)
 
-    def _line(self, place: Place, ref: bytes) -> Connection | None:
-        self._close(place, lambda c: c.unused() and self._stale(c))
+    def _line(self, place: EngineEndpoint, ref: bytes) -> Connection | None:
+        self._close(place, lambda c: c.is_unused() and self._stale(c))
         usable = [
             c
             for c in place.connections
-            if len(c.attempts) < self.links.streams
+            if len(c.attempts) < self.settings.max_streams
             and not self._stale(c)
             and not self._doubtful(c)
             # Danger: an engine may answer late, and twice. Taken for the answer to the next attempt under its
             # id, a second "overload" was the proof that a load which ran had not, and it went out once more.
-            and ref not in c.given_up
+            and ref not in c.abandoned_ids
             and ref not in c.attempts
             # Danger: told of another address without a start, an engine got what was new at the one before.
             and c.address == place.address
-            and (not c.up or c.heard_at >= place.restarted_at or c.opened_at >= place.info.started_at)
+            and (
+                not c.is_up
+                or c.last_received_at >= place.restarted_at
+                or c.opened_at >= place.engine.started_at
+            )
         ]
         if usable:
-            return max(usable, key=lambda c: (c.up, len(c.attempts)))
+            return max(usable, key=lambda c: (c.is_up, len(c.attempts)))
         assert place.address is not None
-        if self.open >= self.most:
-            for other in list(self.linked.values()):
-                self._close(other, Connection.unused)
-            if self.open >= self.most:
+        if self.open_connections >= self.max_connections:
+            for other in list(self.endpoints_in_use.values()):
+                self._close(other, Connection.is_unused)
+            if self.open_connections >= self.max_connections:
                 self.counters.add("engine_connections_lacking")
                 return None
-        connection = Connection(self, place.info.id, place.address, self.clock.now())
+        connection = Connection(self, place.engine.id, place.address, self.clock.now())
         place.connections.append(connection)
-        self.linked[place.info.id] = place
-        self.open += 1
+        self.endpoints_in_use[place.engine.id] = place
+        self.open_connections += 1
         self.counters.add("engine_connections")
-        connection.line = self.connect(place.address, connection)
+        connection.stream = self.connect(place.address, connection)
         return connection
 
     def _stale(self, connection: Connection) -> bool:
         # Danger: a request written as the engine closes an idle connection may or may not have run.
-        margin = min(IDLE_MARGIN_MS, self.links.idle_ms * IDLE_MARGIN_PART)
-        return connection.up and self.clock.now() - connection.used_at > self.links.idle_ms - margin
+        margin = min(IDLE_MARGIN_MS, self.settings.idle_timeout_ms * IDLE_MARGIN_PART)
+        return (
+            connection.is_up
+            and self.clock.now() - connection.last_used_at > self.settings.idle_timeout_ms - margin
+        )
 
     def _asked_at(self, connection: Connection) -> float:
         """Since when a sign of life is waited for; infinity where none is."""
-        waiting = (p.sent_at for p in connection.probes.values() if p.answers == connection.answers)
+        waiting = (
+            p.sent_at
+            for p in connection.health_checks.values()
+            if p.answers_before == connection.answer_count
+        )
         return min(waiting, default=math.inf)
 
     def _doubtful(self, connection: Connection) -> bool:
         """A sign of life is late; what is new goes elsewhere meanwhile."""
-        return self.clock.now() - self._asked_at(connection) > self.links.connect_ms / 2
+        return self.clock.now() - self._asked_at(connection) > self.settings.connect_timeout_ms / 2
 
     def may_begin(self, attempt: Attempt) -> bool:
         """The one check before an attempt's first byte. What fails it has ended, and never ran."""
         # Danger: decided on a quarter of a second before, as a connect was under way, attempts were written
         # for clients that had left, since loads are never cancelled and some sites allow no cancelling.
         now = self.clock.now()
-        late = now > attempt.until - LEAST_MS or now >= attempt.begin_by
+        late = now > attempt.deadline - LEAST_MS or now >= attempt.begin_deadline
         if self._open_place(attempt.engine) is None:
             self._end(attempt, Outcome.CONNECT_FAILED)
-        elif late or not self.listener.wants(attempt):
+        elif late or not self.listener.is_wanted(attempt):
             self._end(attempt, Outcome.ALREADY_FINISHED)
         return attempt.connection is not None
 
-    def frame(self, attempt: Attempt) -> bytes:
+    def encode_request(self, attempt: Attempt) -> bytes:
         """The request's words."""
-        left = max(1, int(attempt.until - self.clock.now()))
-        order = f"kind={attempt.kind},ms={left},order={attempt.priority}"
+        left = max(1, int(attempt.deadline - self.clock.now()))
+        order = f"kind={attempt.class_name},ms={left},order={attempt.priority}"
         # Danger: without the client's key an engine can't tell a repeat from a new request and runs both.
-        if attempt.token is not None:
-            order += f",token={attempt.token}"
-        return encode(b"GET", attempt.ref, order.encode(), attempt.body)
+        if attempt.idempotency_key is not None:
+            order += f",token={attempt.idempotency_key}"
+        return encode(b"GET", attempt.engine_request_id, order.encode(), attempt.body)
 
-    def check_queue(self, connection: Connection) -> None:
+    def drop_unsendable(self, connection: Connection) -> None:
         """Take out what waits for an engine that has left."""
         if self._open_place(connection.engine) is not None:
             return
@@ -470,13 +494,13 @@
             connection.queue.remove(item)
             self._end(item, Outcome.CONNECT_FAILED)
 
-    def rank(self, attempt: Attempt, priority: int) -> None:
+    def change_priority(self, attempt: Attempt, priority: int) -> None:
         """A new priority for an attempt that is out."""
         attempt.priority = priority
-        if attempt.connection is not None and attempt.written and not attempt.pages:
-            attempt.connection.put(encode(b"RANK", attempt.ref, b"%d" % priority))
+        if attempt.connection is not None and attempt.is_written and not attempt.pages:
+            attempt.connection.enqueue(encode(b"RANK", attempt.engine_request_id, b"%d" % priority))
 
-    def drop(self, attempt: Attempt, outcome: Outcome) -> None:
+    def cancel(self, attempt: Attempt, outcome: Outcome) -> None:
         """Give an attempt up."""
         connection = attempt.connection
         if connection is None:
@@ -484,43 +508,43 @@
         if attempt in connection.queue:
             connection.queue.remove(attempt)
         elif attempt.pages:
-            connection.give_back(encode(b"CLOSE", attempt.ref))
+            connection.write_now(encode(b"CLOSE", attempt.engine_request_id))
         else:
-            connection.give_back(encode(b"DROP", attempt.ref))
+            connection.write_now(encode(b"DROP", attempt.engine_request_id))
         self._end(attempt, outcome)
 
-    def hasten(self, attempt: Attempt, until: float) -> None:
+    def shorten_deadline(self, attempt: Attempt, until: float) -> None:
         """An earlier limit for an attempt that is out; a later one changes nothing."""
-        if until < attempt.until and attempt.timer is not None:
+        if until < attempt.deadline and attempt.timer is not None:
             attempt.timer.cancel()
-            attempt.until, left = until, max(until - self.clock.now(), 0.0)
+            attempt.deadline, left = until, max(until - self.clock.now(), 0.0)
             attempt.timer = self.clock.call_in(left, lambda: self._time_out(attempt))
 
     def _time_out(self, attempt: Attempt) -> None:
         """The attempt's limit: it is given up before anyone hears of it."""
         connection = attempt.connection
         if connection is None or attempt not in connection.queue:
-            self.drop(attempt, Outcome.TIMEOUT)
+            self.cancel(attempt, Outcome.TIMEOUT)
             return
         # Danger: an engine was left as dead for seconds by a request that had less time than a connect has.
-        patient = self.clock.now() - connection.opened_at < self.links.connect_ms
-        self.drop(attempt, Outcome.ALREADY_FINISHED if patient else Outcome.CONNECT_FAILED)
+        patient = self.clock.now() - connection.opened_at < self.settings.connect_timeout_ms
+        self.cancel(attempt, Outcome.ALREADY_FINISHED if patient else Outcome.CONNECT_FAILED)
 
     def _end(self, attempt: Attempt, outcome: Outcome, words: dict[str, str] | None = None) -> None:
         """Tell of an attempt's end, once."""
         connection, attempt.connection = attempt.connection, None
         if connection is None:
             return
-        connection.attempts.pop(attempt.ref, None)
-        if attempt.written and outcome is not Outcome.OK:
-            connection.given_up[attempt.ref] = None
+        connection.attempts.pop(attempt.engine_request_id, None)
+        if attempt.is_written and outcome is not Outcome.OK:
+            connection.abandoned_ids[attempt.engine_request_id] = None
         if attempt.timer is not None:
             attempt.timer.cancel()
         words = words or {}
-        elapsed = (attempt.answered_at or self.clock.now()) - attempt.began
+        elapsed = (attempt.first_response_at or self.clock.now()) - attempt.started_at
         self.counters.add(f"attempts_{outcome.value}")
         event = AttemptEnded(
-            attempt.query,
+            attempt.request_id,
             attempt.number,
             attempt.engine,
             outcome,
@@ -529,18 +553,18 @@
             actual_memory_mb=number(words.get("footprint")),
             load_report=read_gauges(words),
         )
-        self.listener.attempt_ended(attempt, event)
+        self.listener.on_attempt_ended(attempt, event)
 
     # --- answers ---
 
-    def answer(self, connection: Connection, words: list[bytes]) -> None:
+    def on_answer(self, connection: Connection, words: list[bytes]) -> None:
         """An answer: ID WORD FIELDS BODY. What belongs to nothing that is out is late, and passed over."""
         if len(words) not in (3, 4):
             raise RespError(f"an answer of {len(words)} words")
         ref, word, fields = words[0], words[1], read_fields(words[2])
         body = words[3] if len(words) == 4 else b""
-        if probe := connection.probes.pop(ref, None):
-            if probe.told:
+        if probe := connection.health_checks.pop(ref, None):
+            if probe.is_awaited:
                 outcome = Outcome.ERROR if word == b"red" else Outcome.OK
                 self._probe_ended(probe, outcome, read_gauges(fields))
             return
@@ -568,95 +592,101 @@
         # Danger: rows were read only when the client was answered. By then the attempt counted as served, and
         # a spoilt page could only fail the query.
         count, rows = read_count(fields, "count", 1, MOST_PAGES), read_rows(body)
-        attempt.answered_at, attempt.fields = self.clock.now(), fields
+        attempt.first_response_at, attempt.response_fields = self.clock.now(), fields
         attempt.pages = [rows, *[None] * (count - 1)]
         if count == 1:
             self._end(attempt, Outcome.OK, fields)
         elif attempt.connection is not None:
-            asks = (encode(b"PAGE", attempt.ref, b"%d" % n) for n in range(1, count))
-            attempt.connection.put(b"".join(asks))
+            asks = (encode(b"PAGE", attempt.engine_request_id, b"%d" % n) for n in range(1, count))
+            attempt.connection.enqueue(b"".join(asks))
 
     def _page(self, attempt: Attempt, fields: dict[str, str], body: bytes) -> None:
         attempt.pages[read_count(fields, "pos", 1, len(attempt.pages) - 1)] = read_rows(body)
         if None not in attempt.pages:
             connection = attempt.connection
-            self._end(attempt, Outcome.OK, attempt.fields)
+            self._end(attempt, Outcome.OK, attempt.response_fields)
             if connection is not None:
-                connection.put(encode(b"CLOSE", attempt.ref))
+                connection.enqueue(encode(b"CLOSE", attempt.engine_request_id))
 
-    def connection_closed(self, connection: Connection) -> None:
+    def on_connection_closed(self, connection: Connection) -> None:
         """What was written may have run; what still waited did not."""
-        place = self.places.get(connection.engine)
+        place = self.endpoints.get(connection.engine)
         if place is not None and connection in place.connections:
             place.connections.remove(connection)
-            self.open -= 1
-        never = Outcome.OVERLOADED if connection.lacking else Outcome.CONNECT_FAILED
-        for probe in filter(lambda probe: probe.told, list(connection.probes.values())):
-            self._probe_ended(probe, Outcome.RESET if connection.up else never)
+            self.open_connections -= 1
+        never = Outcome.OVERLOADED if connection.lacked_local_resources else Outcome.CONNECT_FAILED
+        for probe in filter(lambda probe: probe.is_awaited, list(connection.health_checks.values())):
+            self._probe_ended(probe, Outcome.RESET if connection.is_up else never)
         for attempt in list(connection.attempts.values()):
-            self._end(attempt, Outcome.RESET if attempt.written else never)
+            self._end(attempt, Outcome.RESET if attempt.is_written else never)
 
     # --- probes ---
 
-    def probe(self, engine: str) -> bool:
+    def check_health(self, engine: str) -> bool:
         """Ask an engine for a sign of life and its load; false where it can't be asked."""
         connection = self._pick(engine, b"")
         if connection is not None:
             self._ask(connection)
         return connection is not None
 
-    def knock(self, engine: str, then: Callable[[bool], None]) -> bool:
+    def check_liveness(self, engine: str, then: Callable[[bool], None]) -> bool:
         """Ask an engine that gets nothing new for a sign of life; false where it can't be asked. The module
         is told nothing of it."""
-        place = self.places.get(engine)
-        if place is None or place.address is None or place.info.state is EngineState.REMOVED:
+        place = self.endpoints.get(engine)
+        if place is None or place.address is None or place.engine.state is EngineState.REMOVED:
             return False
         connection = self._line(place, b"")
         if connection is not None:
             self._ask(connection, then=then)
         return connection is not None
 
-    def out(self, engine: str) -> int:
+    def attempts_in_flight(self, engine: str) -> int:
         """Attempts that are out at an engine, those that wait for a connection among them."""
-        place = self.places.get(engine)
+        place = self.endpoints.get(engine)
         return sum(len(c.attempts) for c in place.connections) if place is not None else 0
 
     def _ask(
         self, connection: Connection, told: bool = True, then: Callable[[bool], None] | None = None
     ) -> None:
-        self.tags += 1
-        tag = b"t%d" % self.tags
-        fresh = not connection.up
-        probe = Probe(connection.engine, self.clock.now(), connection.answers, fresh, told, then=then)
-        connection.probes[tag] = probe
+        self.health_check_count += 1
+        tag = b"t%d" % self.health_check_count
+        fresh = not connection.is_up
+        probe = HealthCheck(
+            connection.engine, self.clock.now(), connection.answer_count, fresh, told, callback=then
+        )
+        connection.health_checks[tag] = probe
         self.counters.add("probes_sent")
-        connection.put(encode(b"LOAD", tag))
+        connection.enqueue(encode(b"LOAD", tag))
         if told:
-            probe.timer = self.clock.call_in(self.links.connect_ms, lambda: self._late(connection, probe))
+            probe.timer = self.clock.call_in(
+                self.settings.connect_timeout_ms, lambda: self._late(connection, probe)
+            )
 
-    def _late(self, connection: Connection, probe: Probe) -> None:
+    def _late(self, connection: Connection, probe: HealthCheck) -> None:
         """A probe lacks its answer. From now on it counts for its connection only."""
         # Danger: on a connection that has gone silent a probe said that the whole engine is deaf, and all
         # that ran there was given up. So where other answers come it lives; else it is asked on a new one.
-        if not probe.told:
+        if not probe.is_awaited:
             return
-        if probe.answers != connection.answers:
+        if probe.answers_before != connection.answer_count:
             self._probe_ended(probe, Outcome.OK)
-        elif probe.fresh or probe.then is not None or not self.probe(probe.engine):
+        elif probe.was_connecting or probe.callback is not None or not self.check_health(probe.engine):
             self._probe_ended(probe, Outcome.TIMEOUT)
-        probe.told = False
+        probe.is_awaited = False
 
-    def _probe_ended(self, probe: Probe, outcome: Outcome, report: dict[str, float] | None = None) -> None:
+    def _probe_ended(
+        self, probe: HealthCheck, outcome: Outcome, report: dict[str, float] | None = None
+    ) -> None:
         if probe.timer is not None:
             probe.timer.cancel()
         self.counters.add(f"probes_{outcome.value}")
-        if probe.then is not None:
-            probe.then(outcome is Outcome.OK)
+        if probe.callback is not None:
+            probe.callback(outcome is Outcome.OK)
             return
-        self.probe_took = self.clock.now() - probe.sent_at
-        self.listener.probed(probe.engine, outcome, report or {})
+        self.last_health_check_ms = self.clock.now() - probe.sent_at
+        self.listener.on_health_check_completed(probe.engine, outcome, report or {})
 
-    def malformed(self, why: str) -> None:
+    def on_malformed_answer(self, why: str) -> None:
         """What an engine said that makes no sense is counted, logged and survived."""
         self.counters.add("engine_malformed")
         self.say(why)
--- a/cottonhold/config/installation.py
+++ b/cottonhold/config/installation.py
@@ -13,7 +13,7 @@
 from cottonhold.config.decode import decode
 from cottonhold.config.locate import lines_of
 from cottonhold.config.problems import Problem, path_text
-from cottonhold.config.relay import Config, Links
+from cottonhold.config.relay import Config, ConnectionSettings
 from cottonhold.config.template import evaluate
 from cottonhold.discovery.bus import SOURCE
 from cottonhold.discovery.consul.checks import Reading
@@ -121,17 +121,17 @@
         name=file.name,
         listen=_address(file.listen),
         seed=seed,
-        sockets=file.sockets,
-        ops=None,
+        max_descriptors=file.sockets,
+        admin_listen=None,
         peer_listen=_address(peers.listen) if peers else None,
         peers=tuple(_address(a) for a in peers.all) if peers else (),
         peers_all=None,
-        bus=bus,
-        offset=0,
-        known=(),
+        event_stream=bus,
+        event_offset=0,
+        initial_reports=(),
         names=names,
         settings=_settings(file),
-        links=Links(file.links.idle_ms, file.links.connect_ms, file.links.streams),
+        connections=ConnectionSettings(file.links.idle_ms, file.links.connect_ms, file.links.streams),
     )
     registration, tls = None, None
     if file.register is not None:
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -40,13 +40,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Links:
+class ConnectionSettings:
     """What the settings say of connections to engines."""
 
-    idle_ms: float
-    connect_ms: float
-    streams: int
-    probe_price: float = 0.0  # taken off the result for each probe a request taken
+    idle_timeout_ms: float
+    connect_timeout_ms: float
+    max_streams: int
+    health_check_cost: float = 0.0  # taken off the result for each probe a request taken
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,17 +56,17 @@
     name: str
     listen: Address
     seed: int
-    sockets: int
-    ops: Address | None
+    max_descriptors: int
+    admin_listen: Address | None
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    bus: Address | None
-    offset: int
-    known: tuple[Report, ...]
+    event_stream: Address | None
+    event_offset: int
+    initial_reports: tuple[Report, ...]
     names: Names
     settings: Settings
-    links: Links
+    connections: ConnectionSettings
 
 
 def load(environ: Mapping[str, str], counters: Counters) -> Config:
@@ -177,20 +177,20 @@
         name=read(source, "name", str, environ.get("RELAY_NAME", "")),
         listen=listen,
         seed=int(read(source, "seed", str, "0"), 16),
-        sockets=read(limits, "sockets", int, 1024),
-        ops=address("ops", "RELAY_OPS"),
+        max_descriptors=read(limits, "sockets", int, 1024),
+        admin_listen=address("ops", "RELAY_OPS"),
         peer_listen=address("peer_listen"),
         peers=tuple(Address.parse(p) for p in read_list(source, "peers", str)),
         peers_all=address("peers_all"),
-        bus=bus,
-        offset=offset,
-        known=tuple(known),
+        event_stream=bus,
+        event_offset=offset,
+        initial_reports=tuple(known),
         names=names,
         settings=settings,
-        links=Links(
-            idle_ms=read(caps, "conn_idle", NUMBER, 15000.0),
-            connect_ms=connect_ms,
-            streams=read(caps, "streams_per_conn", int, 32),
-            probe_price=settings.overhead_costs.per_health_check,
+        connections=ConnectionSettings(
+            idle_timeout_ms=read(caps, "conn_idle", NUMBER, 15000.0),
+            connect_timeout_ms=connect_ms,
+            max_streams=read(caps, "streams_per_conn", int, 32),
+            health_check_cost=settings.overhead_costs.per_health_check,
         ),
     )
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from cottonhold.backend.connection_pool import Engines
+from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.discovery.model import Change
 from cottonhold.discovery.quarantine import Held
 from cottonhold.fleet.coordinator import Fleet
@@ -28,7 +28,7 @@
     """The dispatcher, as far as engines of its list go."""
 
     held: Held
-    engines: Engines
+    engines: EngineConnections
     counters: Counters
     log: Logs
 
@@ -112,13 +112,13 @@
         drains.members(now, lives)
         self._settle(now, swap, live)
         for engine in drains.drained:
-            drains.count(engine, self.owner.engines.out(engine))
+            drains.count(engine, self.owner.engines.attempts_in_flight(engine))
         for action in drains.step(now, swap.scene.chain):
             match action:
                 case Tell(member, data):
                     self.membership.say(member, data)
                 case Knock(engine):
-                    if not self.owner.engines.knock(engine, self._probed(engine)):
+                    if not self.owner.engines.check_liveness(engine, self._probed(engine)):
                         drains.probed(engine, False)
 
     def row(self, now: float, swap: Swap, engine: str) -> dict[str, Any]:
@@ -143,7 +143,7 @@
         def told() -> None:
             if self.writing.get(engine) is record:
                 del self.writing[engine]
-                self.drains.drain(engine, record.serial, self.owner.engines.out(engine))
+                self.drains.drain(engine, record.serial, self.owner.engines.attempts_in_flight(engine))
 
         self.writing[engine] = record
         if not (records := self.kept.drain(engine)):
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -20,8 +20,8 @@
 from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.load_records import NEVER_RAN
 from cottonhold.node.clock import Clock
-from cottonhold.node.gateway import Gateway, LoadGuard, Past, Taken
-from cottonhold.node.gateway import Settled as Tell
+from cottonhold.node.gateway import ClientRequest, Gateway, LoadGuard, LoadOutcome
+from cottonhold.node.gateway import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 
@@ -59,7 +59,7 @@
     def ended(self, key: bytes, load: int, known: bool) -> None:
         """It has ended."""
 
-    def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
+    def hand(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
         """Hand a request on to a member, in a round of its key; `Pinned.handed` hears how it ended, unless it
         was `left` before."""
 
@@ -85,7 +85,7 @@
     which round of its key."""
 
     number: int
-    taken: Taken
+    taken: ClientRequest
     key: bytes
     until: float
     patience: float
@@ -130,25 +130,27 @@
         """Whether requests of a class are remembered."""
         return self.loads.guards(query_class)
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """A load has come; one with a key begins only where that is owned."""
-        if taken.key is None:
-            self.loads.came(taken, until, settled)
+        if taken.ordering_key is None:
+            self.loads.on_load_arrived(taken, until, settled)
             return
         now = self.clock.now()
-        remote = self.remote.get(taken.ref)
+        remote = self.remote.get(taken.request_id)
         patience = max(min(until - SPARE_MS, now + (GUEST_MS if remote else WAIT_MS)), now)
-        held = Held(next(self.numbers), taken, pin_key(taken.key), until, patience, settled, remote)
-        self.held[taken.ref] = held
+        held = Held(next(self.numbers), taken, pin_key(taken.ordering_key), until, patience, settled, remote)
+        self.held[taken.request_id] = held
         # Danger: one that came while others of its key waited for an owner would overtake them.
         if held.key in self.lines or not self._place(held):
             self._wait(held)
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """An attempt goes out only while its key is owned, also once the disk has taken it."""
-        held = self.held.get(attempt.query)
+        held = self.held.get(attempt.request_id)
         if held is None:
-            self.loads.sending(attempt, taken, kept)
+            self.loads.before_attempt_sent(attempt, taken, kept)
             return
         held.out = True
         if not self.owners.owns(held.key):
@@ -162,21 +164,21 @@
             else:
                 kept(durable)
 
-        self.loads.sending(attempt, held.taken, remembered)
+        self.loads.before_attempt_sent(attempt, held.taken, remembered)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
-        self.loads.ended(attempt, outcome)
-        held = self.held.get(attempt.query)
+        self.loads.on_attempt_ended(attempt, outcome)
+        held = self.held.get(attempt.request_id)
         if held is not None:
             held.out = False
             held.known = held.known and outcome in KNOWN_ENDS
             if held.closed:
                 self._end(held)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
-        self.loads.closed(ref)
+        self.loads.on_request_closed(ref)
         held = self.held.get(ref)
         if held is None:
             return
@@ -200,16 +202,16 @@
             try:
                 rows = read_rows(ended.data)
             except WordError:
-                held.settled(Past.MAY, 0.0)
+                held.settled(LoadOutcome.MAY_HAVE_RUN, 0.0)
                 return
-            self.gateway.end(ended.ref, "served", lambda client: client.served(rows))
+            self.gateway.finish_without_attempt(ended.ref, "served", lambda client: client.complete(rows))
         elif ended.end is End.FAILED:
-            held.settled(Past.MAY, 0.0)
+            held.settled(LoadOutcome.MAY_HAVE_RUN, 0.0)
         elif ended.end is End.MOVED and self.clock.now() < held.patience:
             self._moved(held, ended)
             self._wait(held)
         else:
-            held.settled(Past.LATER, ended.ms or self.owners.back)
+            held.settled(LoadOutcome.UNKNOWN_YET, ended.ms or self.owners.back)
         self.go_on(held.key)
 
     def _moved(self, held: Held, ended: Ended) -> None:
@@ -289,14 +291,14 @@
         if isinstance(found, Own):
             held.opened = True
             self.owners.opened(held.key, held.number)
-            self.loads.came(held.taken, held.until, held.settled)
+            self.loads.on_load_arrived(held.taken, held.until, held.settled)
             return True
         if not target or held.remote:
             return False
         if away is None:
             away = self.away[held.key] = Away(target, next(self.rounds))
         away.count, held.owner, taken = away.count + 1, target, held.taken
-        until = taken.taken_at + taken.allow - ANSWER_MS
+        until = taken.arrived_at + taken.timeout_ms - ANSWER_MS
         self.owners.hand(taken, target, held.key, until, away.number)
         return True
 
@@ -319,7 +321,7 @@
         """One that was handed on to here goes back, and with it all of its round that come later."""
         if held.remote is None:
             return
-        self.moved[held.taken.ref] = owner
+        self.moved[held.taken.request_id] = owner
         self.bounced.pop((held.remote[0], held.key), None)
         self.bounced[held.remote[0], held.key] = held.remote[1]
         if len(self.bounced) > MOST_HINTS:
@@ -328,7 +330,7 @@
     def _later(self, held: Held) -> None:
         self.counters.add("pins_later")
         self._bounce(held, held.toward)
-        held.settled(Past.LATER, self.owners.back)
+        held.settled(LoadOutcome.UNKNOWN_YET, self.owners.back)
 
     def _not_here(self, held: Held, kept: Callable[[bool], None]) -> None:
         """An attempt that may not go out from here any more."""
@@ -340,10 +342,12 @@
         self.counters.add("pins_turned_back")
         self._bounce(held, 0)
         back = self.owners.back
-        self.gateway.end(held.taken.ref, "refused", lambda client: client.refused(back))
+        self.gateway.finish_without_attempt(
+            held.taken.request_id, "refused", lambda client: client.reject(back)
+        )
 
     def _end(self, held: Held) -> None:
-        self.held.pop(held.taken.ref, None)
+        self.held.pop(held.taken.request_id, None)
         self._leave_line(held)
         if held.opened:
             self.owners.ended(held.key, held.number, held.known)
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -11,8 +11,8 @@
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.fleet.recovery.load_history import Action, How, Known, LoadKept, Memory, Settled, identity
-from cottonhold.node.gateway import Past, Taken
-from cottonhold.node.gateway import Settled as Tell
+from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.gateway import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.settings import Idempotency, Settings
@@ -67,27 +67,29 @@
         """Whether requests of a class would have to be remembered."""
         return query_class in self.classes
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """Told at once: to come later, or what is known of a retry."""
         self.counters.add("loads_unkept")
         known, now = Known.LATER, self.now()
-        if taken.retry:
+        if taken.is_retry:
             # Danger: told to come later for as long as the folder could not be had, a client came back after
             # whoever had sent its load had forgotten it, and it ran again.
-            known = self.memory.later(now, identity(taken.service, taken.key or "", taken.body))
+            known = self.memory.later(now, identity(taken.class_name, taken.ordering_key or "", taken.body))
         settled(_past(known, self.classes[taken.query_class]), self.cooldown)
         if now - self.forgotten_at >= FORGET_MS:
             self.forgotten_at = now
             self.memory.own.forget(now, ())
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """One that was taken under another ledger."""
         kept(False)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """Nothing is kept."""
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """Nothing is kept."""
 
 
@@ -105,7 +107,7 @@
 class Waiter:
     """A load that came behind a retry of its key which is still asked about."""
 
-    taken: Taken
+    taken: ClientRequest
     until: float
     settled: Tell
 
@@ -145,47 +147,47 @@
         """Whether requests of a class are remembered."""
         return query_class in self.classes
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """A load has come; a retry is asked about."""
         unkept, unheard = self._disk() is not State.WELL, not self.may_send()
-        if unkept or unheard and not taken.retry:
+        if unkept or unheard and not taken.is_retry:
             self.counters.add("loads_unkept" if unkept else "loads_unheard")
             # Danger: told to come later without being noted, a client came back after its load was forgotten.
-            known = self.memory.later(self.now(), self._identity(taken)) if taken.retry else Known.LATER
+            known = self.memory.later(self.now(), self._identity(taken)) if taken.is_retry else Known.LATER
             settled(_past(known, self.classes[taken.query_class]), self.memory.settings.cooldown)
             return
-        if taken.key is not None and taken.key in self.lines:
+        if taken.ordering_key is not None and taken.ordering_key in self.lines:
             # Danger: what came behind a retry that was still asked about went out before it, out of its
             # key's order.
             waiter = Waiter(taken, until, settled)
-            self.lines[taken.key].append(waiter)
+            self.lines[taken.ordering_key].append(waiter)
             self.call_in(max(until - self.now(), 0.0), lambda: self._too_late(waiter))
         else:
             self._settle(taken, until, settled)
 
-    def _settle(self, taken: Taken, until: float, settled: Tell) -> None:
+    def _settle(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """The first of its key."""
-        if not taken.retry:
-            settled(Past.NEVER, 0.0)
+        if not taken.is_retry:
+            settled(LoadOutcome.NEVER_RAN, 0.0)
             return
         self.counters.add("loads_asked")
         load, said = self._identity(taken), self.classes[taken.query_class]
-        self.waiting[taken.ref] = settled, said
-        known = self.memory.ask(self.now(), taken.ref, load, until)
+        self.waiting[taken.request_id] = settled, said
+        known = self.memory.ask(self.now(), taken.request_id, load, until)
         if known is not None:
-            self._tell(taken.ref, known, self.memory.settings.cooldown)
+            self._tell(taken.request_id, known, self.memory.settings.cooldown)
             return
-        if taken.key is not None:
-            self.heads[taken.ref] = taken.key
-            self.lines[taken.key] = deque()
+        if taken.ordering_key is not None:
+            self.heads[taken.request_id] = taken.ordering_key
+            self.lines[taken.ordering_key] = deque()
         self.carry_out(())
 
     def _too_late(self, waiter: Waiter) -> None:
         """One whose time ran out behind another."""
-        line = self.lines.get(waiter.taken.key or "", deque())
+        line = self.lines.get(waiter.taken.ordering_key or "", deque())
         if waiter in line:
             line.remove(waiter)
-            waiter.settled(Past.LATER, self.memory.settings.cooldown)
+            waiter.settled(LoadOutcome.UNKNOWN_YET, self.memory.settings.cooldown)
 
     def _go_on(self, ref: str) -> None:
         """A retry is no longer asked about: those behind it come next, up to the next such one."""
@@ -198,14 +200,16 @@
                 self.lines[key].extend(line)
                 return
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """Remember it, and say so once the disk has it."""
         now = self.now()
-        run = self.runs.setdefault(taken.ref, Run(self._identity(taken)))
+        run = self.runs.setdefault(taken.request_id, Run(self._identity(taken)))
         if not run.open:
             # Danger: told to the memory only once durable, another instance that asks meanwhile would hear
             # 'never' of a load that is about to go out. So it counts as sent from here on.
-            if run.load in self.memory.granted and taken.retry:
+            if run.load in self.memory.granted and taken.is_retry:
                 self.memory.sent(now, run.load)
             elif not self.memory.take(now, run.load):
                 self.counters.add("loads_asked_elsewhere")
@@ -215,8 +219,8 @@
         run.out = True
         record = LoadRecord(
             load=run.load,
-            ref=taken.ref,
-            key=taken.key or "",
+            ref=taken.request_id,
+            key=taken.ordering_key or "",
             digest=run.load[:8],
             engine=attempt.engine,
             boot=self.ledger.boot,
@@ -230,18 +234,18 @@
 
         self.ledger.put([record.record()], done)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
-        run = self.runs.get(attempt.query)
+        run = self.runs.get(attempt.request_id)
         if run is None:
             return
         run.out = False
         if outcome not in NEVER_RAN:
-            self._finish(attempt.query, run, How.WELL if outcome is Outcome.OK else How.FAILED)
+            self._finish(attempt.request_id, run, How.WELL if outcome is Outcome.OK else How.FAILED)
         elif run.closed:
-            self._finish(attempt.query, run, How.NEVER)
+            self._finish(attempt.request_id, run, How.NEVER)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
         self.waiting.pop(ref, None)
         self.memory.drop(self.now(), ref)
@@ -254,8 +258,8 @@
 
     # --- inside ---
 
-    def _identity(self, taken: Taken) -> bytes:
-        return identity(taken.service, taken.key or "", taken.body)
+    def _identity(self, taken: ClientRequest) -> bytes:
+        return identity(taken.class_name, taken.ordering_key or "", taken.body)
 
     def _finish(self, ref: str, run: Run, how: How) -> None:
         del self.runs[ref]
@@ -324,7 +328,11 @@
         self.records = {**gone, **self.records}
 
 
-def _past(known: Known, said: bool) -> Past:
+def _past(known: Known, said: bool) -> LoadOutcome:
     """What the gateway is told; said: a good end may be said."""
-    past = {Known.NEVER: Past.NEVER, Known.MAY: Past.MAY, Known.LATER: Past.LATER}.get(known)
-    return past or (Past.WELL if said else Past.MAY)
+    past = {
+        Known.NEVER: LoadOutcome.NEVER_RAN,
+        Known.MAY: LoadOutcome.MAY_HAVE_RUN,
+        Known.LATER: LoadOutcome.UNKNOWN_YET,
+    }.get(known)
+    return past or (LoadOutcome.COMPLETED if said else LoadOutcome.MAY_HAVE_RUN)
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -33,7 +33,7 @@
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import DuplicateRef, Gateway, LoadGuard, Request, Taken
+from cottonhold.node.gateway import ClientRequest, DuplicateRequestIdError, Gateway, LoadGuard, OpenRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Kind, Record
@@ -51,11 +51,11 @@
     def __init__(self, rim: PinsRim, origin: int, number: int, ref: str) -> None:
         self.rim, self.origin, self.number, self.ref = rim, origin, number, ref
 
-    def served(self, rows: Rows) -> None:
+    def complete(self, rows: Rows) -> None:
         """The whole result."""
         self.rim.answered(self, End.SERVED, 0.0, pack_rows(rows))
 
-    def refused(self, retry_after: float) -> None:
+    def reject(self, retry_after: float) -> None:
         """Turned away, or this isn't the key's owner: nothing ran."""
         owner = self.rim.guard.moved.get(self.ref)
         if owner is None:
@@ -63,7 +63,7 @@
         else:
             self.rim.answered(self, End.MOVED, 0.0, owner.to_bytes(8, "big") if owner else b"")
 
-    def failed(self, why: str) -> None:
+    def fail(self, why: str) -> None:
         """It may have run."""
         self.rim.answered(self, End.FAILED, 0.0, b"")
 
@@ -98,7 +98,7 @@
         life = life_of(ledger) & U32 or 1
         self.handing = HandOn(swim.id, life, HandSettings(), secrets.randbits(30))
         self.guard = Pinned(loads, self, gateway, clock, counters)
-        self.guests: dict[tuple[int, int], tuple[Request, HandedClient]] = {}
+        self.guests: dict[tuple[int, int], tuple[OpenRequest, HandedClient]] = {}
         self.puts: dict[str, int] = {}  # by name: the token of its last record
         self.unkept: dict[str, tuple[bytes, int]] = {}  # what the disk did not take
         self.again_at = 0.0
@@ -156,15 +156,24 @@
         self._carry_out(self.service.ended(self.clock.now(), key, load, known))
         self._arm(LEAST_MS)
 
-    def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
+    def hand(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
         """Hand a request on."""
         self.counters.add("pins_handed_on")
-        words = (taken.ref, taken.service, taken.key or "", taken.effort, taken.room, taken.tables)
+        words = (
+            taken.request_id,
+            taken.class_name,
+            taken.ordering_key or "",
+            taken.estimated_work_ms,
+            taken.estimated_memory_mb,
+            taken.table_group,
+        )
         tenants = self.gateway.settings.tenants
         tenant = tenants[taken.tenant].name if taken.tenant < len(tenants) else ""
-        body = pack_request(Handed(*words, taken.retry, taken.body, number, tenant, taken.token or ""))
+        body = pack_request(
+            Handed(*words, taken.is_retry, taken.body, number, tenant, taken.idempotency_key or "")
+        )
         now = self.clock.now()
-        actions = self.handing.hand(now, taken.ref, owner, body, until, line=key)
+        actions = self.handing.hand(now, taken.request_id, owner, body, until, line=key)
         # An end that comes at once comes to the guard once it knows that the request is on its way.
         self.clock.call_soon(lambda: self._hands(actions))
 
@@ -182,7 +191,7 @@
             self.counters.add("pins_malformed")
             self._hands(self.handing.answered(now, *place, End.REFUSED))
             return
-        kind = self.gateway.kinds.get(asked.service)
+        kind = self.gateway.class_indexes.get(asked.service)
         ref = asked.ref if asked.ref not in self.gateway.requests else f"{asked.ref}.{action.number:x}"
         if kind is None or ref in self.gateway.requests:
             self._hands(self.handing.answered(now, *place, End.REFUSED, self.back))
@@ -190,13 +199,13 @@
         self.counters.add("pins_handed_here")
         work = asked.effort, asked.room, asked.tables
         words = asked.key, asked.retry, asked.body
-        named = self.gateway.tenants.get(asked.tenant, 0), asked.token or None
-        taken = Taken(ref, kind, asked.service, now, action.left_ms, *work, *words, *named)
+        named = self.gateway.tenant_indexes.get(asked.tenant, 0), asked.token or None
+        taken = ClientRequest(ref, kind, asked.service, now, action.left_ms, *work, *words, *named)
         client = HandedClient(self, action.origin, action.number, ref)
         self.guard.remote[ref] = action.origin, asked.round
         try:
-            request = self.gateway.take(taken, client)
-        except DuplicateRef:
+            request = self.gateway.accept(taken, client)
+        except DuplicateRequestIdError:
             self._hands(self.handing.answered(now, *place, End.REFUSED, self.back))
             return
         self.guests[place] = request, client
@@ -215,7 +224,7 @@
         found = self.guests.pop((origin, number), None)
         if found is not None:
             self.guard.remote.pop(found[1].ref, None)
-            self.gateway.client_gone(found[0])
+            self.gateway.on_client_disconnected(found[0])
 
     def _hands(self, actions: Iterable[forwarder.Action]) -> None:
         for action in actions:
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -18,7 +18,7 @@
 from cottonhold.membership.codec import Status
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import Taken
+from cottonhold.node.gateway import ClientRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
 
@@ -104,40 +104,40 @@
 
     # --- what happens here ---
 
-    def arrived(self, taken: Taken) -> float | None:
+    def on_request_arrived(self, taken: ClientRequest) -> float | None:
         """A request has come."""
         self.fleet.arrived(self.clock.now(), taken.query_class)
-        return None if self.fleet.loads is None else draw_of(taken.ref.encode(), taken.retry)
+        return None if self.fleet.loads is None else draw_of(taken.request_id.encode(), taken.is_retry)
 
-    def offered(self, taken: Taken, worth: float, work: float) -> None:
+    def on_demand_estimated(self, taken: ClientRequest, worth: float, work: float) -> None:
         """What a request is worth, and its work."""
         now = self.clock.now()
         if self.fleet.loads is not None:
-            self.fleet.loads.offered(now, worth, work, taken.retry)
+            self.fleet.loads.offered(now, worth, work, taken.is_retry)
         if self.fleet.outlook is not None:
-            self.fleet.outlook.offered(now, worth, work, _data_set(taken.tables), taken.retry)
-            self.sets[taken.ref] = taken.tables, taken.effort
+            self.fleet.outlook.offered(now, worth, work, _data_set(taken.table_group), taken.is_retry)
+            self.sets[taken.request_id] = taken.table_group, taken.estimated_work_ms
 
-    def let_in(self, wait: float, lost: bool) -> None:
+    def on_admission_settled(self, wait: float, lost: bool) -> None:
         """One that was let in went out, or was refused after all."""
         if self.fleet.loads is not None:
             self.fleet.loads.ended(wait, lost)
 
-    def sent(self, attempt: Attempt, query_class: int) -> None:
+    def on_attempt_sent(self, attempt: Attempt, query_class: int) -> None:
         """An attempt has gone out."""
         self.fleet.sent(self.clock.now(), _ref(attempt), attempt.engine, query_class)
 
-    def ended(self, attempt: Attempt, event: AttemptEnded) -> None:
+    def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt has ended."""
         now, good = self.clock.now(), SAYS.get(event.outcome)
         if self.fleet.outlook is not None and good:
-            tables, told = self.sets.get(attempt.query, (-1, 0.0))
+            tables, told = self.sets.get(attempt.request_id, (-1, 0.0))
             beyond = event.actual_work_ms - told if told > 0 and event.actual_work_ms > 0 else None
             zone = self.fleet.zone_of.get(attempt.engine, "")
             self.fleet.outlook.answered(now, zone, _data_set(tables), beyond=beyond)
         self.fleet.ended(now, _ref(attempt), good, event.elapsed_ms, event.actual_work_ms)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
         self.sets.pop(ref, None)
 
@@ -278,4 +278,4 @@
 
 
 def _ref(attempt: Attempt) -> str:
-    return f"{attempt.query}/{attempt.number}"
+    return f"{attempt.request_id}/{attempt.number}"
--- a/cottonhold/frontend/mysql_session.py
+++ b/cottonhold/frontend/mysql_session.py
@@ -11,9 +11,9 @@
 from cottonhold.backend.resp import Rows
 from cottonhold.frontend.query_comment import FieldError, Statement, parse
 from cottonhold.node.clock import Clock
-from cottonhold.node.gateway import DuplicateRef, Gateway, Request, Taken
+from cottonhold.node.gateway import ClientRequest, DuplicateRequestIdError, Gateway, OpenRequest
 from cottonhold.node.lifecycle import Lifecycle
-from cottonhold.node.sibling_processes import Ids
+from cottonhold.node.sibling_processes import ConnectionIdRange
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import QueryClass
 
@@ -41,7 +41,7 @@
 MOST_WAITING = 2 * MOST_PACKET  # bytes of them
 SETTLE_MS = 100.0  # a connection that was heard so lately is not closed as idle: more may be on its way
 PUSHED_OUT = ("silent", "idle", "halted")  # in this order
-ANY_IDS = Ids()
+ANY_IDS = ConnectionIdRange()
 COLUMNS = (b"c1", b"c2", b"c3")
 # Danger: blanks that could belong to either of two parts took 7 s of the loop, and int() takes 4,300 digits.
 KILL = re.compile(rb"\s*KILL\s+(QUERY\s+|CONNECTION\s+)?(\d{1,20})\s*(?:;\s*)?\Z", re.IGNORECASE)
@@ -69,19 +69,19 @@
         self.error = error
 
 
-class Line(Protocol):
+class StreamHandle(Protocol):
     """The driver's side of a connection."""
 
     def flush(self) -> None:
         """There is something to write."""
 
-    def hear(self) -> bool:
+    def read_available(self) -> bool:
         """Read what has come already; whether there was something."""
 
-    def finish(self) -> None:
+    def close_gracefully(self) -> None:
         """Write what is left, then end the connection."""
 
-    def busy(self) -> bool:
+    def is_writing(self) -> bool:
         """Whether something is being written."""
 
     def abort(self) -> None:
@@ -112,7 +112,7 @@
 HEAD = [bytes((len(COLUMNS),)), *[column(name) for name in COLUMNS], EOF]
 
 
-class Front:
+class ClientSessions:
     """What all sessions share: the gateway, the classes' names, and the sessions by connection id."""
 
     def __init__(
@@ -122,42 +122,42 @@
         counters: Counters,
         lifecycle: Lifecycle,
         most: int,
-        ids: Ids = ANY_IDS,
+        ids: ConnectionIdRange = ANY_IDS,
     ) -> None:
         self.gateway, self.clock, self.counters, self.lifecycle = gateway, clock, counters, lifecycle
-        self.most, self.ids = most, ids
+        self.max_sessions, self.connection_ids = most, ids
         self.sessions: dict[int, Session] = {}
         self.last_id = ids.base
-        self.cutting = 0  # sessions pushed out, whose descriptors are not free yet
+        self.evicted_count = 0  # sessions pushed out, whose descriptors are not free yet
         clock.call_in(CHECK_MS, self._check)
 
     def _check(self) -> None:
         """A timer for each connection would cost more than this."""
         self.clock.call_in(CHECK_MS, self._check)
-        self.close_spare()
+        self.check_timeouts()
 
-    def close_spare(self) -> None:
+    def check_timeouts(self) -> None:
         """Close what goes nowhere."""
         now = self.clock.now()
         for session in list(self.sessions.values()):
             try:
-                session.check(now)
+                session.check_timeouts(now)
             except Exception as error:
                 # Danger: after a fault at one session none was ever looked at again.
                 self.counters.add("check_faults")
                 self.gateway.say(f"client: {type(error).__name__}: {error}")
-                session.cut()
+                session.evict()
 
-    def owes(self) -> bool:
+    def has_unfinished(self) -> bool:
         """Whether the program may not end yet: someone has no answer, or may still ask."""
-        return any(session.owes() for session in self.sessions.values())
+        return any(session.is_unfinished() for session in self.sessions.values())
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether a further client may be taken in; near the limit, makes room for the next ones."""
-        step = max(self.most // ROOM_PART, 1)
-        if len(self.sessions) - self.cutting > self.most - step:
+        step = max(self.max_sessions // ROOM_PART, 1)
+        if len(self.sessions) - self.evicted_count > self.max_sessions - step:
             self._make_room(step)
-        return len(self.sessions) < self.most
+        return len(self.sessions) < self.max_sessions
 
     def _make_room(self, count: int) -> None:
         # Danger: connections that say nothing, by the hundred, and idle ones that are never closed took every
@@ -166,49 +166,49 @@
         # owed something never does.
         now, spare = self.clock.now(), []
         for session in self.sessions.values():
-            at, standing = session.idle_at(now), session.standing()
-            if not session.closing and at < now - (HALTED_MS if standing == "halted" else SPARE_MS):
-                spare.append((PUSHED_OUT.index(standing), at, session.number, session))
+            at, standing = session.idle_since(now), session.activity()
+            if not session.is_closing and at < now - (HALTED_MS if standing == "halted" else SPARE_MS):
+                spare.append((PUSHED_OUT.index(standing), at, session.connection_id, session))
         for *_, session in heapq.nsmallest(count, spare):
-            standing = session.standing()
-            if session.cut():
+            standing = session.activity()
+            if session.evict():
                 self.counters.add(f"clients_pushed_out_{standing}")
-                self.cutting += 1
+                self.evicted_count += 1
 
     def open(self) -> Session:
         """A session for a new connection."""
-        base, span = self.ids.base, self.ids.span
+        base, span = self.connection_ids.base, self.connection_ids.count
         self.last_id = base + (self.last_id - base) % span + 1
         while self.last_id in self.sessions:
             self.last_id = base + (self.last_id - base) % span + 1
         session = self.sessions[self.last_id] = Session(self, self.last_id)
         return session
 
-    def taken(self, statement: Statement, at: float) -> Taken:
+    def client_request(self, statement: Statement, at: float) -> ClientRequest:
         """A statement as a request; FieldError names what can't be used."""
-        kind = self.gateway.kinds.get(statement.service)
+        kind = self.gateway.class_indexes.get(statement.class_name)
         if kind is None:
-            raise FieldError(f"field 'service' names no class: '{statement.service[:40]}'")
+            raise FieldError(f"field 'service' names no class: '{statement.class_name[:40]}'")
         cls: QueryClass = self.gateway.settings.classes[kind]
-        return Taken(
-            statement.ref,
+        return ClientRequest(
+            statement.request_id,
             kind,
             cls.name,
             at,
-            statement.allow,
-            statement.effort,
-            statement.room,
-            statement.tables,
-            statement.key if cls.is_ordered_by_key else None,
-            statement.retry,
+            statement.timeout_ms,
+            statement.estimated_work_ms,
+            statement.estimated_memory_mb,
+            statement.table_group,
+            statement.ordering_key if cls.is_ordered_by_key else None,
+            statement.is_retry,
             statement.body,
             self._tenant(statement),
-            statement.token,
+            statement.idempotency_key,
         )
 
     def _tenant(self, statement: Statement) -> int:
         """The tenant's place in the settings; the first where the client names none or there are none."""
-        tenants = self.gateway.tenants
+        tenants = self.gateway.tenant_indexes
         if statement.tenant is None or not tenants:
             return 0
         if statement.tenant not in tenants:
@@ -219,18 +219,18 @@
 class Session:
     """One client's connection."""
 
-    def __init__(self, front: Front, number: int) -> None:
-        self.front, self.number = front, number
-        self.line: Line | None = None
+    def __init__(self, front: ClientSessions, number: int) -> None:
+        self.sessions, self.connection_id = front, number
+        self.stream: StreamHandle | None = None
         self.buffer, self.output = bytearray(), bytearray()
         self.commands: deque[tuple[int, bytes, float]] = deque()
-        self.logged_in = self.closing = self.over = False
-        self.heard = self.used = False  # a byte has come; a command has
-        self.pushed_out = False
-        self.opened_at = self.heard_at = front.clock.now()
-        self.partial_at = math.inf  # since when a packet is there in part
+        self.is_logged_in = self.is_closing = self.is_closed = False
+        self.has_received = self.has_sent_command = False  # a byte has come; a command has
+        self.was_evicted = False
+        self.opened_at = self.last_received_at = front.clock.now()
+        self.partial_since = math.inf  # since when a packet is there in part
         self.sequence = 0
-        self.request: Request | None = None
+        self.request: OpenRequest | None = None
         self._packet(self._greeting())
         front.counters.add("client_connections")
 
@@ -238,17 +238,17 @@
 
     def receive(self, data: bytes) -> None:
         """Bytes from the client; a request is taken with its last one."""
-        if self.closing:
+        if self.is_closing:
             return
         self.buffer += data
-        now = self.heard_at = self.front.clock.now()
-        self.heard = True
+        now = self.last_received_at = self.sessions.clock.now()
+        self.has_received = True
         try:
             while packet := self._read_packet():
                 self.commands.append((*packet, now))
-                self.partial_at = math.inf
+                self.partial_since = math.inf
             if self.buffer:
-                self.partial_at = min(self.partial_at, now)
+                self.partial_since = min(self.partial_since, now)
             self._advance()
         except ProtocolError as error:
             self._malformed(error)
@@ -275,8 +275,8 @@
         """What is to be written now."""
         data = bytes(self.output)
         self.output.clear()
-        if self.commands and self.request is None and not self.closing:
-            self.front.clock.call_soon(self._resume)
+        if self.commands and self.request is None and not self.is_closing:
+            self.sessions.clock.call_soon(self._resume)
         return data
 
     def _resume(self) -> None:
@@ -285,41 +285,43 @@
         except ProtocolError as error:
             self._malformed(error)
 
-    def closed(self) -> None:
+    def on_closed(self) -> None:
         """The connection has ended."""
-        if self.over:
+        if self.is_closed:
             return
-        self.over = self.closing = True
-        self.front.sessions.pop(self.number, None)
-        self.front.cutting -= self.pushed_out
+        self.is_closed = self.is_closing = True
+        self.sessions.sessions.pop(self.connection_id, None)
+        self.sessions.evicted_count -= self.was_evicted
         self._give_up()
 
     def _give_up(self) -> bool:
         """Nothing is owed any more for the open request; false if there is none."""
         request, self.request = self.request, None
         if request is not None:
-            self.front.gateway.client_gone(request)
+            self.sessions.gateway.on_client_disconnected(request)
         return request is not None
 
     # --- commands ---
 
     def _advance(self) -> None:
         """Carry out the commands that have come, one at a time, as far as the client reads the answers."""
-        while self.commands and self.request is None and not self.closing and len(self.output) < MOST_BACKLOG:
+        while (
+            self.commands and self.request is None and not self.is_closing and len(self.output) < MOST_BACKLOG
+        ):
             sequence, payload, at = self.commands.popleft()
             self.sequence = (sequence + 1) & 0xFF
-            if sequence != (0 if self.logged_in else 1):
+            if sequence != (0 if self.is_logged_in else 1):
                 raise ProtocolError(OUT_OF_ORDER, "packets out of order")
-            if not self.logged_in:
+            if not self.is_logged_in:
                 self._login(payload)
                 continue
             self._command(payload[0] if payload else -1, payload[1:], at)
 
     def _command(self, command: int, argument: bytes, at: float) -> None:
-        self.used = True
+        self.has_sent_command = True
         if command == QUERY:
             self._query(argument, at)
-        elif command == PING and not self.front.lifecycle.ready():
+        elif command == PING and not self.sessions.lifecycle.is_ready():
             self._error(SHUTDOWN, "this dispatcher is drained")
             self._after_answer()
         elif command in (PING, RESET):
@@ -329,7 +331,7 @@
         elif command == QUIT:
             self._quit()
         else:
-            self.front.counters.add("client_malformed")
+            self.sessions.counters.add("client_malformed")
             self._error(UNKNOWN_COMMAND, "unknown command")
 
     def _quit(self) -> None:
@@ -347,26 +349,26 @@
             return
         try:
             statement = parse(text)
-            if not self.front.lifecycle.takes(at, at + statement.allow):
-                self.front.counters.add("queries_turned_away")
-                phase = self.front.lifecycle.phase().value
+            if not self.sessions.lifecycle.accepts_query(at, at + statement.timeout_ms):
+                self.sessions.counters.add("queries_turned_away")
+                phase = self.sessions.lifecycle.phase().value
                 self._error(REFUSED, f"query refused, it did not run: this dispatcher is {phase}")
                 self._after_answer()
                 return
-            self.request = self.front.gateway.take(self.front.taken(statement, at), self)
+            self.request = self.sessions.gateway.accept(self.sessions.client_request(statement, at), self)
         except FieldError as error:
-            self.front.counters.add("requests_unusable")
+            self.sessions.counters.add("requests_unusable")
             self._error(FAILED, str(error))
-        except DuplicateRef:
-            self.front.counters.add("requests_unusable")
+        except DuplicateRequestIdError:
+            self.sessions.counters.add("requests_unusable")
             self._error(FAILED, "field 'ref' is that of a request that is still open")
 
     def _kill(self, number: int, only_query: bool) -> None:
-        target = self.front.sessions.get(number)
+        target = self.sessions.sessions.get(number)
         if target is None:
             self._error(NO_THREAD, f"unknown thread id: {number}")
             return
-        self.front.counters.add("kills")
+        self.sessions.counters.add("kills")
         if target is not self:
             target.interrupt()
             if not only_query:
@@ -387,7 +389,7 @@
         return b"".join(
             (
                 b"\x0a" + VERSION + b"\x00",
-                self.number.to_bytes(4, "little"),
+                self.connection_id.to_bytes(4, "little"),
                 salt[:8] + b"\x00",
                 low.to_bytes(2, "little"),
                 bytes((UTF8,)) + AUTOCOMMIT,
@@ -404,7 +406,7 @@
             raise ProtocolError(DENIED, f"access denied for user '{user.decode('utf-8', 'replace')[:40]}'")
         if database not in (b"", DATABASE):
             raise ProtocolError(UNKNOWN_DB, f"unknown database '{database.decode('utf-8', 'replace')[:40]}'")
-        self.logged_in = True
+        self.is_logged_in = True
         self._packet(OK)
 
     def _database(self, name: bytes) -> None:
@@ -415,57 +417,67 @@
 
     # --- what goes nowhere ---
 
-    def idle_at(self, now: float) -> float:
+    def idle_since(self, now: float) -> float:
         """Since when nothing is owed here; now while something is."""
-        if self.request is not None or self.commands or self.output or self.line is None or self.line.busy():
+        if (
+            self.request is not None
+            or self.commands
+            or self.output
+            or self.stream is None
+            or self.stream.is_writing()
+        ):
             return now
-        return self.heard_at
+        return self.last_received_at
 
-    def check(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Close a connection that only costs a descriptor; the client hears why where it can."""
-        if self.closing:
+        if self.is_closing:
             return
-        if self.front.lifecycle.ends_all(now):
+        if self.sessions.lifecycle.closes_all(now):
             self._end()
-        elif now - self.partial_at > PARTIAL_MS or not self.used and now - self.opened_at > LOGIN_MS:
+        elif (
+            now - self.partial_since > PARTIAL_MS
+            or not self.has_sent_command
+            and now - self.opened_at > LOGIN_MS
+        ):
             # Danger: such a client was kept for as long as it liked, in mid-packet for good.
-            self.front.counters.add(f"clients_late_{self.standing()}")
+            self.sessions.counters.add(f"clients_late_{self.activity()}")
             self._broken(ProtocolError(TIMED_OUT, "the client's packet did not come in time"))
-        elif self.partial_at == math.inf and now - self.idle_at(now) > (
-            SETTLE_MS if self.front.lifecycle.ends_idle(now) else IDLE_MS
+        elif self.partial_since == math.inf and now - self.idle_since(now) > (
+            SETTLE_MS if self.sessions.lifecycle.closes_idle(now) else IDLE_MS
         ):
             self._leave_unheard()
 
-    def standing(self) -> str:
+    def activity(self) -> str:
         """How far the client has come, in a word for the counters."""
-        if self.used:
-            return "idle" if self.partial_at == math.inf else "halted"
-        return "halted" if self.heard else "silent"
+        if self.has_sent_command:
+            return "idle" if self.partial_since == math.inf else "halted"
+        return "halted" if self.has_received else "silent"
 
-    def cut(self) -> bool:
+    def evict(self) -> bool:
         """Close at once, to make room; false where something has come from the client just now."""
-        if self.line is not None and self.line.hear() or self.over:
+        if self.stream is not None and self.stream.read_available() or self.is_closed:
             return False
-        self.closing = self.pushed_out = True
-        if self.line is not None:
-            self.line.abort()
+        self.is_closing = self.was_evicted = True
+        if self.stream is not None:
+            self.stream.abort()
         return True
 
     def _end(self) -> None:
         """This process ends: close, unless a request is open, which has its answer soon."""
-        if self.line is not None:
-            self.line.hear()
-        if self.request is not None or self.commands or self.closing:
+        if self.stream is not None:
+            self.stream.read_available()
+        if self.request is not None or self.commands or self.is_closing:
             return
         if self.buffer:
-            self.front.counters.add("queries_turned_away")
+            self.sessions.counters.add("queries_turned_away")
             self.sequence = (self.buffer[3] + 1) & 0xFF if len(self.buffer) > 3 else 1
             self._error(REFUSED, "query refused, it did not run: this dispatcher is leaving")
         self._leave()
 
     # --- answers (gateway.Client) ---
 
-    def served(self, rows: Rows) -> None:
+    def complete(self, rows: Rows) -> None:
         """The result set."""
         if not self._owed():
             return
@@ -476,14 +488,14 @@
         self._packet(EOF)
         self._after_answer()
 
-    def refused(self, retry_after: float) -> None:
+    def reject(self, retry_after: float) -> None:
         """Turned away, with advice on when to come back."""
         if self._owed():
             advice = f"; cooldown={math.ceil(retry_after)}" if retry_after > 0 else ""
             self._error(REFUSED, f"query refused, it did not run or may be repeated{advice}")
             self._after_answer()
 
-    def failed(self, why: str) -> None:
+    def fail(self, why: str) -> None:
         """Failed."""
         if self._owed():
             self._error(FAILED, why)
@@ -491,41 +503,41 @@
 
     def _owed(self) -> bool:
         owed, self.request = self.request is not None, None
-        self.heard_at = self.front.clock.now()
+        self.last_received_at = self.sessions.clock.now()
         return owed
 
     def _after_answer(self) -> None:
         if self.commands:
-            self.front.clock.call_soon(self._resume)
-        elif self.front.lifecycle.ends_answered(self.front.clock.now()):
+            self.sessions.clock.call_soon(self._resume)
+        elif self.sessions.lifecycle.closes_answered(self.sessions.clock.now()):
             self._leave_unheard()
 
-    def owes(self) -> bool:
+    def is_unfinished(self) -> bool:
         """Whether the program may not end yet: something is still to be answered, or to be written."""
-        writing = self.line is not None and self.line.busy()
-        return not self.closing or bool(self.output) or writing
+        writing = self.stream is not None and self.stream.is_writing()
+        return not self.is_closing or bool(self.output) or writing
 
     def _leave_unheard(self) -> None:
         """Close, unless something has come meanwhile.
 
         Danger: a request that lay unread, or half of one, was dropped, and its client got no answer.
         """
-        heard = self.line is not None and self.line.hear()
-        if not (heard or self.buffer or self.closing):
+        heard = self.stream is not None and self.stream.read_available()
+        if not (heard or self.buffer or self.is_closing):
             self._leave()
 
     def _leave(self) -> None:
-        self.closing = True
-        if self.line is not None:
-            self.line.finish()
+        self.is_closing = True
+        if self.stream is not None:
+            self.stream.close_gracefully()
 
     def _malformed(self, error: ProtocolError) -> None:
-        self.front.gateway.say(f"client {self.number}: {str(error)!r}")
+        self.sessions.gateway.say(f"client {self.connection_id}: {str(error)!r}")
         self._broken(error)
 
     def _broken(self, error: ProtocolError) -> None:
         """The client broke the protocol: tell it where that can be done, and close this connection only."""
-        self.front.counters.add("client_malformed")
+        self.sessions.counters.add("client_malformed")
         self.commands.clear()
         self._give_up()
         self._error(error.error, str(error))
@@ -541,8 +553,8 @@
         self._flush()
 
     def _flush(self) -> None:
-        if self.line is not None:
-            self.line.flush()
+        if self.stream is not None:
+            self.stream.flush()
 
 
 def read_login(payload: bytes) -> tuple[bytes, bytes, bytes]:
--- a/cottonhold/frontend/query_comment.py
+++ b/cottonhold/frontend/query_comment.py
@@ -32,17 +32,17 @@
 class Statement:
     """A request's fields and its statement without the comment that held them."""
 
-    service: str
-    ref: str
-    allow: float
-    retry: bool
-    effort: float
-    room: float
-    key: str | None
+    class_name: str
+    request_id: str
+    timeout_ms: float
+    is_retry: bool
+    estimated_work_ms: float
+    estimated_memory_mb: float
+    ordering_key: str | None
     body: bytes
-    tables: int
+    table_group: int
     tenant: str | None = None  # by name; None where the client names none
-    token: str | None = None  # the idempotency key, the same for all tries of one request
+    idempotency_key: str | None = None  # the idempotency key, the same for all tries of one request
 
 
 def parse(text: bytes) -> Statement:
@@ -70,17 +70,17 @@
         raise FieldError("field 'replay' can't be passed on as a key")
     body = text[head.end() :]
     return Statement(
-        service=fields["service"],
-        ref=fields["ref"],
-        allow=allow,
-        retry=fields.get("dup") == "1",
-        effort=number(fields, "effort"),
-        room=number(fields, "room"),
-        key=fields.get("lookup") or None,
+        class_name=fields["service"],
+        request_id=fields["ref"],
+        timeout_ms=allow,
+        is_retry=fields.get("dup") == "1",
+        estimated_work_ms=number(fields, "effort"),
+        estimated_memory_mb=number(fields, "room"),
+        ordering_key=fields.get("lookup") or None,
         body=body,
-        tables=table_group(body.decode("utf-8", "replace")),
+        table_group=table_group(body.decode("utf-8", "replace")),
         tenant=fields.get("project"),
-        token=token,
+        idempotency_key=token,
     )
 
 
--- a/cottonhold/node/admin_api.py
+++ b/cottonhold/node/admin_api.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from cottonhold.frontend.mysql_session import Line
+from cottonhold.frontend.mysql_session import StreamHandle
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.lifecycle import Lifecycle, Phase
 from cottonhold.observe.counters import Counters
@@ -28,37 +28,37 @@
 Answer = tuple[int, str]
 
 
-class Calls:
+class AdminApi:
     """What all calls share: the state that they ask and change, and how many there may be at once."""
 
     def __init__(
         self, lifecycle: Lifecycle, clock: Clock, counters: Counters, note: Callable[..., None], most: int
     ) -> None:
-        self.lifecycle, self.clock, self.counters, self.note, self.most = (
+        self.lifecycle, self.clock, self.counters, self.log_event, self.max_connections = (
             lifecycle,
             clock,
             counters,
             note,
             most,
         )
-        self.held: dict[Call, None] = {}  # oldest first
+        self.connections: dict[AdminConnection, None] = {}  # oldest first
         self.handlers: dict[bytes, tuple[bytes, Callable[[], Answer]]] = {
             b"/healthcheck": (b"GET", self._health),
             b"/healthcheck/fail": (b"POST", self._fail),
             b"/healthcheck/ok": (b"POST", self._ok),
         }
 
-    def open(self) -> Call:
+    def open(self) -> AdminConnection:
         """A call on a new connection; where all places are taken, the one that matters least makes room.
 
         Danger: callers that say nothing, or half a call, and stay, kept the others from being heard.
         """
-        if len(self.held) >= self.most:
-            oldest = next((c for c in self.held if c.closing), next(iter(self.held)))
+        if len(self.connections) >= self.max_connections:
+            oldest = next((c for c in self.connections if c.is_closing), next(iter(self.connections)))
             self.counters.add("ops_pushed_out")
-            oldest.cut()
-        call = Call(self)
-        self.held[call] = None
+            oldest.evict()
+        call = AdminConnection(self)
+        self.connections[call] = None
         return call
 
     def answer(self, method: bytes, path: bytes) -> Answer:
@@ -77,37 +77,37 @@
     def _fail(self) -> Answer:
         if self.lifecycle.drain(self.clock.now()):
             self.counters.add("drains")
-            self.note("drain", phase=self.lifecycle.phase().value)
+            self.log_event("drain", phase=self.lifecycle.phase().value)
         return 200, self.lifecycle.phase().value
 
     def _ok(self) -> Answer:
         if not self.lifecycle.restore():
-            return 409, Phase.LEAVING.value
-        self.note("drain_ended", phase=self.lifecycle.phase().value)
+            return 409, Phase.SHUTTING_DOWN.value
+        self.log_event("drain_ended", phase=self.lifecycle.phase().value)
         return 200, self.lifecycle.phase().value
 
 
-class Call:
+class AdminConnection:
     """One connection, with the one call on it."""
 
-    def __init__(self, calls: Calls) -> None:
-        self.calls, self.line, self.closing, self.over = calls, None, False, False
+    def __init__(self, calls: AdminApi) -> None:
+        self.calls, self.stream, self.is_closing, self.is_closed = calls, None, False, False
         self.output = b""
         self.parser = httptools.HttpRequestParser(self)
         self.size, self.path = 0, b""
-        self.head = True  # line and headers are still coming
+        self.is_reading_head = True  # line and headers are still coming
         self.timer: Timer = calls.clock.call_in(CALL_MS, self._late)
 
-    line: Line | None
+    stream: StreamHandle | None
 
     # --- the driver's side ---
 
     def receive(self, data: bytes) -> None:
         """Bytes from the caller."""
-        if self.closing:
+        if self.is_closing:
             return
         self.size += len(data)
-        if self.head and self.size > MOST_HEAD:
+        if self.is_reading_head and self.size > MOST_HEAD:
             self._answer(431, f"at most {MOST_HEAD} bytes")
             return
         try:
@@ -124,20 +124,20 @@
         data, self.output = self.output, b""
         return data
 
-    def closed(self) -> None:
+    def on_closed(self) -> None:
         """The connection has ended."""
-        if not self.over:
-            self.over = self.closing = True
+        if not self.is_closed:
+            self.is_closed = self.is_closing = True
             self.timer.cancel()
-            self.calls.held.pop(self, None)
+            self.calls.connections.pop(self, None)
 
-    def cut(self) -> None:
+    def evict(self) -> None:
         """Close at once, to make room; a call that has come, read or not, is answered first."""
-        if self.line is not None:
-            self.line.hear()
-            self.line.finish()
-        line, self.line = self.line, None
-        self.closed()
+        if self.stream is not None:
+            self.stream.read_available()
+            self.stream.close_gracefully()
+        line, self.stream = self.stream, None
+        self.on_closed()
         if line is not None:
             line.abort()
 
@@ -149,11 +149,11 @@
 
     def on_headers_complete(self) -> None:
         """What follows is a body, which nobody wants."""
-        self.head = False
+        self.is_reading_head = False
 
     def on_message_complete(self) -> None:
         """The call is whole; what comes after it on this connection is not read."""
-        if not self.closing:
+        if not self.is_closing:
             method = self.parser.get_method()
             self._answer(*self.calls.answer(method, self.path.partition(b"?")[0]))
 
@@ -164,14 +164,14 @@
 
     def _answer(self, status: int, text: str) -> None:
         """The one answer, with which the connection ends."""
-        if self.closing:
+        if self.is_closing:
             return
-        self.closing = True
+        self.is_closing = True
         self.timer.cancel()
         self.calls.counters.add("ops_calls" if status < 400 or status in (409, 503) else "ops_malformed")
         allow = f"Allow: {text}\r\n" if status == 405 else ""
         body = f"{text}\n"
         head = f"HTTP/1.1 {status} {REASONS[status]}\r\n{allow}Content-Type: text/plain\r\n"
         self.output = f"{head}Content-Length: {len(body)}\r\nConnection: close\r\n\r\n{body}".encode()
-        if self.line is not None:
-            self.line.flush()
+        if self.stream is not None:
+            self.stream.flush()
--- a/cottonhold/node/consul_client.py
+++ b/cottonhold/node/consul_client.py
@@ -13,7 +13,7 @@
 from cottonhold.message_validation import WireError
 from cottonhold.node.http_client import HttpLink, Tls
 from cottonhold.observe.counters import Counters
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 
 LEAST_PAUSE_MS = 1.0  # also between calls that fail at once, so that the loop gets its turn
 LAG_TICK_S = 0.05
@@ -22,7 +22,11 @@
 
 
 async def follow(
-    driver: Driver, watch: Watch, tls: Tls | None, tell: Callable[[Iterable[Event]], None], counters: Counters
+    driver: EventLoop,
+    watch: Watch,
+    tls: Tls | None,
+    tell: Callable[[Iterable[Event]], None],
+    counters: Counters,
 ) -> None:
     """Keep a blocking query open until cancelled."""
     link = HttpLink(driver, tls, watch.settings.most_bytes)
@@ -77,7 +81,7 @@
 
     def __init__(
         self,
-        driver: Driver,
+        driver: EventLoop,
         registration: Registration,
         tls: Tls | None,
         open_requests: Callable[[], int],
--- a/cottonhold/node/descriptors.py
+++ b/cottonhold/node/descriptors.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from cottonhold.node.sibling_processes import Record
+from cottonhold.node.sibling_processes import ProcessRecord
 
 CLIENTS_PART = 0.48  # usual clients hold a third at most; the rest of this is for those that go nowhere
 ENGINES_PART = 0.33
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Descriptors:
+class DescriptorQuotas:
     """What each part may hold; what is left over serves listeners, event bus, peers, log and the loop."""
 
     clients: int
@@ -23,7 +23,7 @@
     calls: int
 
     @classmethod
-    def divide(cls, limit: int) -> Descriptors:
+    def divide(cls, limit: int) -> DescriptorQuotas:
         """The parts of a limit."""
         return cls(
             clients=max(int(limit * CLIENTS_PART), LEAST),
@@ -31,10 +31,10 @@
             calls=min(max(int(limit * CALLS_PART), LEAST_CALLS), MOST_CALLS),
         )
 
-    def beside(self, others: Sequence[Record]) -> Descriptors:
+    def remaining_beside(self, others: Sequence[ProcessRecord]) -> DescriptorQuotas:
         """What is left of each part beside processes that count against the same limit."""
         if not others:
             return self
-        clients = self.clients - sum(other.clients + OTHERS_BASE for other in others)
-        engines = self.engines - sum(other.engines for other in others)
-        return Descriptors(max(clients, LEAST), max(engines, LEAST), self.calls)
+        clients = self.clients - sum(other.client_connections + OTHERS_BASE for other in others)
+        engines = self.engines - sum(other.engine_connections for other in others)
+        return DescriptorQuotas(max(clients, LEAST), max(engines, LEAST), self.calls)
--- a/cottonhold/node/http_client.py
+++ b/cottonhold/node/http_client.py
@@ -15,7 +15,7 @@
 from cottonhold.discovery.consul.exchange import Answer, Call, Exchange
 from cottonhold.discovery.model import Address
 from cottonhold.message_validation import WireError
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 
 CONNECT_S = 1.0
 READ_BYTES = 64 << 10
@@ -51,7 +51,7 @@
 class HttpLink:
     """One connection to one server, opened when a call needs it and closed on any doubt."""
 
-    def __init__(self, driver: Driver, tls: Tls | None, most_bytes: int) -> None:
+    def __init__(self, driver: EventLoop, tls: Tls | None, most_bytes: int) -> None:
         self.driver, self.tls, self.most_bytes = driver, tls, most_bytes
         self.address: Address | None = None
         self.sock: socket.socket | None = None
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -26,88 +26,88 @@
 
     SERVING = "serving"
     DRAINING = "draining"
-    LEAVING = "leaving"
+    SHUTTING_DOWN = "leaving"
 
 
 class Lifecycle:
     """The one owner of serving, draining and leaving."""
 
     def __init__(self) -> None:
-        self.drained_at = self.leaving_at = self.killed_at = math.inf
+        self.draining_since = self.shutdown_since = self.kill_deadline = math.inf
 
     def phase(self) -> Phase:
         """The word for it."""
-        if self.leaving_at < math.inf:
-            return Phase.LEAVING
-        return Phase.SERVING if self.drained_at == math.inf else Phase.DRAINING
+        if self.shutdown_since < math.inf:
+            return Phase.SHUTTING_DOWN
+        return Phase.SERVING if self.draining_since == math.inf else Phase.DRAINING
 
     # --- changes ---
 
     def drain(self, now: float) -> bool:
         """Take no more work; whether that changed anything."""
-        changed = self.drained_at == math.inf
-        self.drained_at = min(self.drained_at, now)
+        changed = self.draining_since == math.inf
+        self.draining_since = min(self.draining_since, now)
         return changed
 
     def restore(self) -> bool:
         """Work again. A process that leaves does not come back: false."""
-        if self.leaving_at < math.inf:
+        if self.shutdown_since < math.inf:
             return False
-        self.drained_at = math.inf
+        self.draining_since = math.inf
         return True
 
-    def leave(self, now: float, longest: float) -> None:
+    def begin_shutdown(self, now: float, longest: float) -> None:
         """End. A drain holds on: its clients have gone elsewhere. `longest`: the longest deadline in force; a
         further order, or other settings, change nothing any more.
 
         Danger: with a fixed time for SIGKILL, and deadlines of less than 3 s, it came while requests still
         waited for their answers.
         """
-        if self.leaving_at == math.inf:
-            self.leaving_at = now
-            self.killed_at = now + min(longest, MOST_DEADLINE_MS) + KILL_GRACE_MS
+        if self.shutdown_since == math.inf:
+            self.shutdown_since = now
+            self.kill_deadline = now + min(longest, MOST_DEADLINE_MS) + KILL_GRACE_MS
 
     # --- questions ---
 
-    def ends_at(self) -> float:
+    def answer_deadline(self) -> float:
         """By when all that was taken has its answer."""
-        return self.killed_at - KILL_MARGIN_MS
+        return self.kill_deadline - KILL_MARGIN_MS
 
-    def closes_at(self) -> float:
+    def close_deadline(self) -> float:
         """From when on every connection without an open request is closed, however lately it was heard."""
-        return self.ends_at() - CLOSING_MS
+        return self.answer_deadline() - CLOSING_MS
 
-    def door_at(self) -> float:
+    def accept_deadline(self) -> float:
         """To when new clients are taken in."""
-        return min(self.leaving_at + LEAVE_MS, self.closes_at())
+        return min(self.shutdown_since + LEAVE_MS, self.close_deadline())
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether to say yes to the front. One that leaves says yes: a newer process may serve beside it."""
-        return self.drained_at == math.inf
+        return self.draining_since == math.inf
 
-    def takes(self, now: float, due: float) -> bool:
+    def accepts_query(self, now: float, due: float) -> bool:
         """Whether a query that comes now and is due then is taken.
 
         Danger: SIGKILL found one unanswered that came 0.78 s after SIGTERM and could wait for 6 s. Only those
         that came within 0.7 s may be left so.
         """
-        if now >= self.leaving_at + LONG_MS and due > self.killed_at:
+        if now >= self.shutdown_since + LONG_MS and due > self.kill_deadline:
             return False
-        return now < self.drained_at + TAKE_MS
+        return now < self.draining_since + TAKE_MS
 
-    def ends_idle(self, now: float) -> bool:
+    def closes_idle(self, now: float) -> bool:
         """Whether connections without an open request are closed."""
-        settled_at = min(self.leaving_at + SETTLED_MS, self.closes_at())
-        return now >= min(self.drained_at + IDLE_MS, settled_at)
+        settled_at = min(self.shutdown_since + SETTLED_MS, self.close_deadline())
+        return now >= min(self.draining_since + IDLE_MS, settled_at)
 
-    def ends_all(self, now: float) -> bool:
+    def closes_all(self, now: float) -> bool:
         """Whether every connection without an open request is closed, however lately it was heard."""
-        return now >= self.closes_at()
+        return now >= self.close_deadline()
 
-    def ends_answered(self, now: float) -> bool:
+    def closes_answered(self, now: float) -> bool:
         """Whether a connection is closed right behind its answer.
 
         Danger: clients that never idle kept their connections for good. Behind an answer no request is on its
         way, so that none meets the close.
         """
-        return now >= min(self.drained_at, self.leaving_at)
+        return now >= min(self.draining_since, self.shutdown_since)
--- a/cottonhold/node/peer_datagrams.py
+++ b/cottonhold/node/peer_datagrams.py
@@ -12,7 +12,7 @@
 MOST_BYTES = 256
 
 
-class Peers:
+class PeerDatagrams:
     """Which peer an address is, and where a message for a peer goes."""
 
     def __init__(
@@ -25,7 +25,7 @@
         self.addresses, self.all_peers, self.counters, self.say = addresses, all_peers, counters, say
         self.numbers = {(a.host, a.port): number for number, a in enumerate(addresses)}
 
-    def receive(self, data: bytes, sender: tuple[str, int]) -> PeerMessage | None:
+    def decode(self, data: bytes, sender: tuple[str, int]) -> PeerMessage | None:
         """A datagram as an event; one of a stranger is passed over."""
         number = self.numbers.get(sender)
         if number is None or len(data) > MOST_BYTES:
@@ -35,7 +35,7 @@
         self.counters.add("peer_received")
         return PeerMessage(number, data)
 
-    def target(self, tell: SendToPeer) -> Address | None:
+    def destination(self, tell: SendToPeer) -> Address | None:
         """Where a message goes; None where it can't: a datagram over the limit would void the run."""
         if len(tell.payload) > MOST_BYTES:
             self.counters.add("peer_too_long")
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -81,7 +81,7 @@
         self.swap: SwapRim | None = None
         self.pins: PinsRim | None = None
         self.remembered: Remembered | None = None
-        self.began = self.driver.clock.now()
+        self.began = self.event_loop.clock.now()
         self.ledger_why = ""
         self.unkept: Unkept | None = None
         self.opening = Opening(self._open)
@@ -125,7 +125,7 @@
 
         for engine in sorted(engines):
             self.republish(self.held.hold(engine))
-        self.driver.clock.call_in(DrainSettings().wait, let_go)
+        self.event_loop.clock.call_in(DrainSettings().wait, let_go)
 
     def _do_without(self) -> None:
         """Refuse loads, and see again whether the folder can be had."""
@@ -133,13 +133,13 @@
             error = self.opening.error if self.opening.over else None
             found = error.kept if error is not None else {}
             loads = found.get(Kind.LOAD, {})
-            self.unkept = unkept_guard(self.installation, loads, self.driver.clock, self.counters)
-            self.gateway.loads = self.unkept
+            self.unkept = unkept_guard(self.installation, loads, self.event_loop.clock, self.counters)
+            self.gateway.load_guard = self.unkept
             self._hold_drained(found.get(Kind.DRAIN, {}))
         if self.opening.over:
-            self.driver.clock.call_in(LEDGER_MS, self._open_again)
+            self.event_loop.clock.call_in(LEDGER_MS, self._open_again)
         else:
-            self.driver.clock.call_in(OPENED_MS, lambda: self._recover(self._opened()))
+            self.event_loop.clock.call_in(OPENED_MS, lambda: self._recover(self._opened()))
 
     def _recover(self, ledger: Ledger | None) -> None:
         """Loads are guarded: by the ledger, or while it can't be had by refusing them."""
@@ -152,15 +152,15 @@
             ledger,
             membership.instance.swim if membership is not None else None,
             fleet.fleet if fleet is not None else None,
-            self.driver.clock,
-            self.driver.loop.call_soon_threadsafe,
+            self.event_loop.clock,
+            self.event_loop.loop.call_soon_threadsafe,
             membership.say if membership is not None else lambda member, data: None,
             self.counters,
             self.log.note,
         )
         if self.unkept is not None:  # retries count from when they were first heard of
             self.recovery.memory.own.asked.update(self.unkept.memory.own.asked)
-        self.gateway.loads = self.recovery.loads
+        self.gateway.load_guard = self.recovery.loads
         file = self.installation.file
         if fleet is not None and file.sources:
             # Without the ramp nobody would await the answer that proves what is remembered.
@@ -169,7 +169,7 @@
             self.recovery.knows = self._listed
             self.counters.add("recovery_malformed", self.remembered.malformed)
         if membership is not None and fleet is not None and file.membership and file.membership.voters:
-            hop, voters = self.driver.loop.call_soon_threadsafe, file.membership.voters
+            hop, voters = self.event_loop.loop.call_soon_threadsafe, file.membership.voters
             drains = DrainRim(self, ledger, membership, fleet.fleet, voters, hop)
             # Danger: a load went to an engine that was about to be powered off, before its drain was read of.
             # What may be repeated goes out at once: after a power loss it waited up to 5 s for a majority.
@@ -181,10 +181,10 @@
                 fleet.fleet,
                 self.recovery.census,
                 self.lifecycle,
-                self.driver.clock,
+                self.event_loop.clock,
                 hop,
                 membership.say,
-                lambda: self.gateway.open,
+                lambda: self.gateway.open_count,
                 self.counters,
                 self.log.note,
                 drains,
@@ -193,7 +193,7 @@
                 self._pin(ledger, membership, fleet.fleet, self.recovery, self.swap)
         if fleet is not None:
             fleet.fleet.live_on(life_of(ledger))
-        if self.serving:
+        if self.is_serving:
             self.recovery.start()
             if self.swap is not None:
                 self.swap.start()
@@ -213,13 +213,13 @@
             swap,
             recovery.loads,
             self.gateway,
-            self.driver.clock,
-            self.driver.loop.call_soon_threadsafe,
+            self.event_loop.clock,
+            self.event_loop.loop.call_soon_threadsafe,
             membership.say,
             self.counters,
             self.log.note,
         )
-        self.gateway.loads = self.pins.guard
+        self.gateway.load_guard = self.pins.guard
 
     def _told(self, member: int, payload: bytes) -> None:
         """Bytes from another instance go to the part that they are for."""
@@ -231,7 +231,7 @@
 
     def _join(self, ledger: Ledger | None) -> None:
         """Make the parts of membership; they say hello once the sources are followed."""
-        clock, gateway = self.driver.clock, self.gateway
+        clock, gateway = self.event_loop.clock, self.gateway
         self.membership = rim = MembershipRim(
             make_instance(
                 self.installation,
@@ -240,12 +240,12 @@
             ),
             clock,
             self.counters,
-            self.driver.tell,
-            self.engines.probe,
+            self.event_loop.send_datagram,
+            self.engines.check_health,
             self._learned,
             self.log.note,
         )
-        gateway.heard_probe = self._heard_probe
+        gateway.health_check_listener = self._heard_probe
         if self.installation.file.fleet is not None:
             swim = rim.instance.swim
             life = life_of(ledger) if ledger is not None else max(int(clock.unix() / 1000), 1)
@@ -258,10 +258,10 @@
                 rim.say,
                 gateway.push,
                 self.log.note,
-                self.engines.probe,
+                self.engines.check_health,
                 self.installation.file.number,
             )
-            gateway.watch = self.fleet
+            gateway.observer = self.fleet
         rim.told, rim.joined = self._told, self._joined
 
     def _joined(self) -> None:
@@ -286,15 +286,15 @@
         if self.fleet is not None:
             self.fleet.probed(engine, outcome)
             if outcome is Outcome.OK:
-                self.fleet.trip(engine, self.engines.probe_took)
+                self.fleet.trip(engine, self.engines.last_health_check_ms)
 
-    def retune(self) -> None:
+    def apply_settings(self) -> None:
         """As the dispatcher does; the parts of budgets follow as well."""
-        super().retune()
+        super().apply_settings()
         if self.fleet is not None:
-            self.fleet.beside(1 + self.beside)
+            self.fleet.beside(1 + self.sibling_count)
 
-    def publish(self, change: Change) -> None:
+    def on_engine_list(self, change: Change) -> None:
         """Engines in service are also what the duty of probing is about."""
         if self.remembered is not None and self.recovery is not None and self._answered():
             if records := self.remembered.take(change):
@@ -304,17 +304,17 @@
     def _listed(self) -> bool:
         """The own list is a source's word, or none has come for so long that service must go on without."""
         sources = self.installation.file.sources
-        return not sources or self._answered() or self.driver.clock.now() - self.began >= LISTED_MS
+        return not sources or self._answered() or self.event_loop.clock.now() - self.began >= LISTED_MS
 
     def _answered(self) -> bool:
         """Whether any source has answered since the start."""
-        return any(view.answers for view in self.belief.views.values())
+        return any(view.answers for view in self.engine_catalog.views.values())
 
     def republish(self, change: Change | None) -> None:
         """What the fleet holds back of the list, or does no longer, is published as a change of it is."""
         if change is None:
             return
-        super().publish(change)
+        super().on_engine_list(change)
         if self.membership is not None:
             live = self.held.live()
             self.membership.engines(live)
@@ -337,35 +337,35 @@
         """All engines of the list as machines of a swap; their lives are the starts that sources tell."""
         zones, live, found = self.installation.file.zones, self.held.live(), dict[str, Machine]()
         for id, info in self.held.known.items():
-            claims = (view.claims.get(id) for view in self.belief.views.values())
+            claims = (view.claims.get(id) for view in self.engine_catalog.views.values())
             life = int(max((c.seen.started_at for c in claims if c is not None), default=0.0))
             found[id] = Machine(id, zones[info.zone], self._cores(info), True, life, counted=id in live)
         return found
 
-    def hear_others(self, data: bytes, sender: Address) -> bool:
+    def on_other_datagram(self, data: bytes, sender: Address) -> bool:
         """Membership's datagrams begin with a byte of their own."""
         return self.membership is not None and self.membership.receive(data, sender)
 
     # --- sources ---
 
-    def follow(self) -> None:
+    def follow_sources(self) -> None:
         """Serve the known engines, follow all sources, and register."""
         if self.installation.file.sources:
             self.believe_known()
         elif self.installation.known:
-            self.believe([known_report(self.installation)])
-        super().follow()
+            self.on_discovery_events([known_report(self.installation)])
+        super().follow_sources()
         for watched in self.installation.watched:
             self._watch(watched)
         if self.installation.registration is not None:
             self.entry = consul_client.Entry(
-                self.driver,
+                self.event_loop,
                 Registration(self.installation.registration),
                 tls_of(self.installation.registration_tls),
-                lambda: self.gateway.open,
+                lambda: self.gateway.open_count,
                 self.log.note,
             )
-            self.driver.spawn(self.entry.keep())
+            self.event_loop.spawn(self.entry.keep())
         if self.membership is not None:
             self.membership.start()
         if self.fleet is not None:
@@ -378,8 +378,8 @@
             self.pins.start()
         if self.installation.file.status_socket:
             path = self.path.parent / self.installation.file.status_socket
-            self.driver.spawn(status.serve(self.driver, status.listen(path), self._answer))
-        self.driver.loop.call_later(FIRST_ANSWER_S, self._report_silence)
+            self.event_loop.spawn(status.serve(self.event_loop, status.listen(path), self._answer))
+        self.event_loop.loop.call_later(FIRST_ANSWER_S, self._report_silence)
 
     def _answer(self, call: dict[str, Any]) -> dict[str, Any]:
         """A call at the local socket: what `cottonhold members`, `duties` and `zone` ask."""
@@ -420,8 +420,8 @@
             view = self._view()
             return Readings(
                 self.counters.counts,
-                self.gateway.open,
-                tally(EngineState, (p.info.state.value for p in self.engines.places.values())),
+                self.gateway.open_count,
+                tally(EngineState, (p.engine.state.value for p in self.engines.endpoints.values())),
                 tally(Status, (m["status"] for m in view["members"])) if "members" in view else {},
                 tally(Verdict, (view["recovery"]["verdict"],)) if "recovery" in view else {},
                 tally(Step, (m["step"] for m in view["swap"]["machines"])) if "swap" in view else {},
@@ -431,55 +431,57 @@
 
     def believe_known(self) -> None:
         """The list from the file, and what is remembered, stand for what no source has answered yet."""
-        now, known = self.driver.clock.now(), self.installation.known
+        now, known = self.event_loop.clock.now(), self.installation.known
         if self.remembered is not None:
             known = self.remembered.observations(known)
             self.log.note("engines_remembered", engines=len(known) - len(self.installation.known))
         if not known:
             return
-        for action in self.belief.seed_known(now, known):
+        for action in self.engine_catalog.seed_known(now, known):
             if isinstance(action, Publish):
-                self.publish(action.change)
+                self.on_engine_list(action.change)
 
     def _watch(self, watched: Watched) -> None:
         settings = watched.settings
         answers = Answers(self.config.names, watched.reading, lambda why: self._malformed(settings.name, why))
         watch = Watch(settings, answers, self.config.seed)
-        work = consul_client.follow(self.driver, watch, tls_of(watched.tls), self.believe, self.counters)
-        self.watches[settings.name] = (watched, watch, self.driver.spawn(work))
+        work = consul_client.follow(
+            self.event_loop, watch, tls_of(watched.tls), self.on_discovery_events, self.counters
+        )
+        self.watches[settings.name] = (watched, watch, self.event_loop.spawn(work))
 
     def _malformed(self, source: str, why: str) -> None:
         self.counters.add("consul_malformed")
         self.log.note("entry_malformed", source=source, why=why)
 
-    def believe(self, events: Iterable[Event]) -> None:
+    def on_discovery_events(self, events: Iterable[Event]) -> None:
         """As the dispatcher does; a task that ends late may tell of a source that a reload took out."""
-        known = [event for event in events if event.source in self.belief.views]
-        super().believe(known)
+        known = [event for event in events if event.source in self.engine_catalog.views]
+        super().on_discovery_events(known)
         if self.fleet is not None and self._answered():
             self.fleet.list_heard()
 
-    def confirm(self, source: str, absent: tuple[str, ...]) -> None:
+    def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
         """Ask the catalogue before the next health call."""
         if source in self.watches:
             self.watches[source][1].confirm(absent)
 
     def _report_silence(self) -> None:
         """Danger: a dispatcher that knows nobody refuses everything, and nobody would know why."""
-        for name, view in self.belief.views.items():
+        for name, view in self.engine_catalog.views.items():
             if view.answers == 0:
                 self.log.note(
                     "source_unheard",
                     source=name,
                     after_s=FIRST_ANSWER_S,
-                    engines_known=len(self.belief.standing),
+                    engines_known=len(self.engine_catalog.standing),
                 )
 
-    def leave(self) -> Iterable[Awaitable[object]]:
+    def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
         """The entry goes first, so that fronts which read Consul send their clients elsewhere."""
         if self.membership is not None:
             self.membership.leave()
-        left_s = (self.lifecycle.closes_at() - self.driver.clock.now()) / 1000
+        left_s = (self.lifecycle.close_deadline() - self.event_loop.clock.now()) / 1000
         return () if self.entry is None else (asyncio.wait_for(self.entry.leave(), min(LEAVE_S, left_s)),)
 
     async def run(self) -> None:
@@ -525,19 +527,21 @@
             elif kept != watched:
                 task.cancel()
                 self._watch(kept)  # its first answer is a whole list, compared with all that is claimed
-        now = self.driver.clock.now()
-        for action in self.belief.reload(now, new.sources):
+        now = self.event_loop.clock.now()
+        for action in self.engine_catalog.reload(now, new.sources):
             if isinstance(action, Publish):
-                self.publish(action.change)
+                self.on_engine_list(action.change)
         for watched in new.watched:
             if watched.settings.name not in self.watches:
                 self._watch(watched)
-        if self.following is not None:
-            self.following.cancel()
-            self.following = None
-        if new.config.bus is not None:
-            self.bus.host = new.config.bus.host
-            self.following = self.driver.spawn(self.driver.follow(self.bus, new.config.bus))
+        if self.event_stream_task is not None:
+            self.event_stream_task.cancel()
+            self.event_stream_task = None
+        if new.config.event_stream is not None:
+            self.event_stream.host = new.config.event_stream.host
+            self.event_stream_task = self.event_loop.spawn(
+                self.event_loop.follow_event_stream(self.event_stream, new.config.event_stream)
+            )
 
     def _reload_entry(self, old: Installation, new: Installation) -> None:
         """A token may change in place; another entry needs a restart, since clients hold its address."""
--- a/cottonhold/node/status.py
+++ b/cottonhold/node/status.py
@@ -16,7 +16,7 @@
 
 import orjson
 
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 
 SEND_S = 1.0
 CALL_S = 0.1  # so long is waited for a call: who says nothing wants the view
@@ -52,18 +52,18 @@
     return answer
 
 
-async def serve(driver: Driver, sock: socket.socket, answer: Answer) -> None:
+async def serve(driver: EventLoop, sock: socket.socket, answer: Answer) -> None:
     """Answer until cancelled. One that doesn't read costs itself only: it is given a second."""
     try:
         while True:
             # Danger: one moment without a descriptor closed this socket for the program's life.
-            client = await driver.next_connection(sock, "status_accept", "local calls")
+            client = await driver.accept_one(sock, "status_accept", "local calls")
             driver.spawn(_serve_one(driver, client, answer))
     finally:
         sock.close()
 
 
-async def _serve_one(driver: Driver, client: socket.socket, answer: Answer) -> None:
+async def _serve_one(driver: EventLoop, client: socket.socket, answer: Answer) -> None:
     try:
         call = await _read_call(driver, client)
         async with asyncio.timeout(SEND_S):
@@ -78,7 +78,7 @@
         client.close()
 
 
-async def _read_call(driver: Driver, client: socket.socket) -> dict[str, Any]:
+async def _read_call(driver: EventLoop, client: socket.socket) -> dict[str, Any]:
     """The call's line. Raises ValueError for one that can't be read."""
     data = b""
     with contextlib.suppress(TimeoutError):
--- a/cottonhold/transport/event_loop.py
+++ b/cottonhold/transport/event_loop.py
@@ -16,13 +16,18 @@
 from cottonhold.backend.connection_pool import Connection
 from cottonhold.discovery.bus import ANSWER_MS, MOST_ANSWER_MS, Bus
 from cottonhold.discovery.model import Address
-from cottonhold.frontend.mysql_session import Front, Session
+from cottonhold.frontend.mysql_session import ClientSessions, Session
 from cottonhold.message_validation import WireError
-from cottonhold.node.admin_api import Calls
-from cottonhold.node.peer_datagrams import Peers
+from cottonhold.node.admin_api import AdminApi
+from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import PeerMessage
-from cottonhold.transport.socket_factory import LACKING, LACKING_TO_CONNECT, OF_ONE_CONNECTION, MakeSocket
+from cottonhold.transport.socket_factory import (
+    CONNECT_RESOURCE_ERRORS,
+    CONNECTION_ERRORS,
+    RESOURCE_ERRORS,
+    MakeSocket,
+)
 
 CLIENT_BYTES, ENGINE_BYTES = 4096, 32768  # what one read takes
 # What one read drops of a client that was told to go and still sends; all reads share the buffer.
@@ -44,10 +49,10 @@
 SECOND = struct.pack("@HBBI", 0x06, 0, 0, 1)
 
 
-class Machine(Protocol):
+class StreamProtocol(Protocol):
     """A state machine behind a socket."""
 
-    closing: bool
+    is_closing: bool
 
     def receive(self, data: bytes) -> None:
         """Bytes have come."""
@@ -55,7 +60,7 @@
     def take_output(self) -> bytes:
         """What is to be written now."""
 
-    def closed(self) -> None:
+    def on_closed(self) -> None:
         """The connection has ended."""
 
 
@@ -116,25 +121,25 @@
     return sock
 
 
-class Wire:
+class Stream:
     """A socket and its state machine."""
 
-    def __init__(self, driver: Driver, machine: Machine, size: int) -> None:
-        self.driver, self.machine, self.size = driver, machine, size
+    def __init__(self, driver: EventLoop, machine: StreamProtocol, size: int) -> None:
+        self.event_loop, self.protocol, self.read_size = driver, machine, size
         self.sock: socket.socket | None = None
         self.writer: asyncio.Task[None] | None = None
         self.task: asyncio.Task[None] | None = None
         self.writing_since = math.inf
-        self.rest = b""  # of what was begun at once and did not fit
+        self.unsent = b""  # of what was begun at once and did not fit
         self.ended: asyncio.Future[None] | None = None  # by the other end, or by a fault
-        self.shut = False  # nothing more is written
-        self.dropped = 0
+        self.is_shut_down = False  # nothing more is written
+        self.discarded_bytes = 0
 
     def start(self, sock: socket.socket) -> None:
         """Read and write from now on."""
-        self.sock, self.ended = sock, self.driver.loop.create_future()
-        self.driver.wires.add(self)
-        self.task = self.driver.spawn(self._serve(sock))
+        self.sock, self.ended = sock, self.event_loop.loop.create_future()
+        self.event_loop.streams.add(self)
+        self.task = self.event_loop.spawn(self._serve(sock))
         # Danger: a task cancelled before its first step never runs, and its socket stayed open for good.
         self.task.add_done_callback(lambda _: self._end(sock))
         self.flush()
@@ -142,9 +147,9 @@
     def flush(self) -> None:
         """Write what the machine has to say, beside whatever else goes on."""
         if self.sock is not None and self.writer is None:
-            self.writer = self.driver.spawn(self._write(self.sock))
+            self.writer = self.event_loop.spawn(self._write(self.sock))
 
-    def hurry(self) -> None:
+    def write_now(self) -> None:
         """Write at once, before anything is written at another connection; what doesn't fit follows."""
         if self.sock is None or self.writing_since < math.inf:
             self.flush()  # nothing may go between the bytes of a write that is under way
@@ -157,37 +162,37 @@
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError as error:
-            if error.errno not in LACKING:
+            if error.errno not in RESOURCE_ERRORS:
                 self.abort()
                 return
             sent = 0
-        self.rest = data[sent:]
-        if self.rest:
+        self.unsent = data[sent:]
+        if self.unsent:
             self.flush()
 
-    def finish(self) -> None:
+    def close_gracefully(self) -> None:
         """Write what is left, then tell the other end that no more follows: at once, if all of it fits.
 
         Danger: done a turn of the loop later, requests that came in between were read and dropped.
         """
-        self.hurry()
-        if not self.rest and self.writing_since == math.inf:
+        self.write_now()
+        if not self.unsent and self.writing_since == math.inf:
             self._shut()
         self.flush()  # waits for the other end
 
     def _shut(self) -> None:
-        if self.sock is not None and not self.shut:
-            self.shut = True
+        if self.sock is not None and not self.is_shut_down:
+            self.is_shut_down = True
             with contextlib.suppress(OSError):  # the other end has gone: reading will tell
                 self.sock.shutdown(socket.SHUT_WR)
 
     def _output(self) -> bytes:
-        rest, self.rest = self.rest, b""
-        return rest + self.machine.take_output()
+        rest, self.unsent = self.unsent, b""
+        return rest + self.protocol.take_output()
 
-    def busy(self) -> bool:
+    def is_writing(self) -> bool:
         """Whether something is being written."""
-        return self.writer is not None and not self.shut
+        return self.writer is not None and not self.is_shut_down
 
     def abort(self) -> None:
         """Close at once."""
@@ -207,8 +212,8 @@
             pass  # a reset ends the connection like any other end
         except Exception as error:
             # Danger: a fault in one connection must end neither the program nor other requests.
-            self.driver.counters.add("connection_faults")
-            self.driver.say(f"connection: {type(error).__name__}: {error}")
+            self.event_loop.counters.add("connection_faults")
+            self.event_loop.say(f"connection: {type(error).__name__}: {error}")
         finally:
             self.sock = None
             if self.writer is not None:
@@ -218,50 +223,50 @@
 
     def _end(self, sock: socket.socket) -> None:
         self.sock = None
-        self.driver.wires.discard(self)
+        self.event_loop.streams.discard(self)
         sock.close()
-        self.machine.closed()
+        self.protocol.on_closed()
 
     async def _read(self, sock: socket.socket) -> None:
         assert self.ended is not None
-        self.driver.loop.add_reader(sock, self.hear)
+        self.event_loop.loop.add_reader(sock, self.read_available)
         try:
             await self.ended
         finally:
-            self.driver.loop.remove_reader(sock)
+            self.event_loop.loop.remove_reader(sock)
 
-    def hear(self) -> bool:
+    def read_available(self) -> bool:
         """Read what has come already; whether there were bytes. An end is told to the machine at once.
 
         Danger: bytes were read in one turn of the loop and given to the machine in the next. A connection
         that was closed between the two dropped a request that it had read. So they lie with the system until
         the machine takes them, and who is about to close can look there.
         """
-        sock, ended, scrap = self.sock, self.ended, self.driver.scrap
+        sock, ended, scrap = self.sock, self.ended, self.event_loop.read_buffer
         if sock is None or ended is None or ended.done():
             return False
         try:
             # Danger: closed with bytes unread, a connection is reset, and the client never sees why. So what
             # still comes, be it 60 MB, is read and dropped.
-            count = sock.recv_into(scrap, 0 if self.shut else self.size)
+            count = sock.recv_into(scrap, 0 if self.is_shut_down else self.read_size)
             if count == 0:
                 ended.set_result(None)
-            elif self.shut:
-                self.dropped += count
+            elif self.is_shut_down:
+                self.discarded_bytes += count
             else:
-                self.machine.receive(bytes(memoryview(scrap)[:count]))
+                self.protocol.receive(bytes(memoryview(scrap)[:count]))
                 return True
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
-            if error.errno in LACKING:
+            if error.errno in RESOURCE_ERRORS:
                 self._pause(sock)
                 return False
             self._fail(error)
         except Exception as error:
             self._fail(error)
         if ended.done():
-            self.machine.closed()
+            self.protocol.on_closed()
         return False
 
     def _fail(self, error: Exception) -> None:
@@ -270,38 +275,38 @@
 
     def _pause(self, sock: socket.socket) -> None:
         """Read no more for a moment. Danger: asked again at once, a read that lacks memory spins."""
-        self.driver.loop.remove_reader(sock)
-        self.driver.loop.call_later(LACKING_PAUSE_S, self._go_on, sock)
+        self.event_loop.loop.remove_reader(sock)
+        self.event_loop.loop.call_later(LACKING_PAUSE_S, self._go_on, sock)
 
     def _go_on(self, sock: socket.socket) -> None:
         if self.sock is sock and self.ended is not None and not self.ended.done():
-            self.driver.loop.add_reader(sock, self.hear)
+            self.event_loop.loop.add_reader(sock, self.read_available)
 
     async def _write(self, sock: socket.socket) -> None:
         try:
             while data := self._output():
-                self.writing_since = self.driver.loop.time()
-                await self.driver.send_all(sock, data)
+                self.writing_since = self.event_loop.loop.time()
+                await self.event_loop.send_all(sock, data)
                 self.writing_since = math.inf
-            if self.machine.closing:
+            if self.protocol.is_closing:
                 self._shut()
-                until = self.driver.loop.time() + MOST_LINGER_S
+                until = self.event_loop.loop.time() + MOST_LINGER_S
                 dropped = -1
-                while dropped != self.dropped and self.driver.loop.time() < until:
-                    dropped = self.dropped
+                while dropped != self.discarded_bytes and self.event_loop.loop.time() < until:
+                    dropped = self.discarded_bytes
                     await asyncio.sleep(LINGER_S)
                 self.abort()
         except OSError:
             self.abort()
         except Exception as error:
-            self.driver.counters.add("connection_faults")
-            self.driver.say(f"connection: {type(error).__name__}: {error}")
+            self.event_loop.counters.add("connection_faults")
+            self.event_loop.say(f"connection: {type(error).__name__}: {error}")
             self.abort()
         finally:
             self.writer = None
 
 
-class Driver:
+class EventLoop:
     """Opens, accepts and serves all sockets."""
 
     def __init__(
@@ -316,14 +321,14 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.udp: socket.socket | None = None
         self.connect_s = 0.25
-        self.wires: set[Wire] = set()
-        self.scrap = bytearray(DRAIN_BYTES)
+        self.streams: set[Stream] = set()
+        self.read_buffer = bytearray(DRAIN_BYTES)
         loop.call_later(SWEEP_S, self._sweep)
 
     def _sweep(self) -> None:
         """Cut off who takes nothing; a timer for each write would cost more than the write."""
         late = self.loop.time() - STUCK_S
-        for wire in [wire for wire in self.wires if wire.writing_since < late]:
+        for wire in [wire for wire in self.streams if wire.writing_since < late]:
             self.counters.add("stuck_closed")
             wire.abort()
         self.loop.call_later(SWEEP_S, self._sweep)
@@ -350,7 +355,7 @@
             except (BlockingIOError, InterruptedError):
                 await self._writable(sock)
             except OSError as error:
-                if error.errno not in LACKING:
+                if error.errno not in RESOURCE_ERRORS:
                     raise
                 await asyncio.sleep(LACKING_PAUSE_S)
             else:
@@ -366,7 +371,7 @@
 
     # --- clients ---
 
-    async def opened(self, make: Callable[[], socket.socket]) -> socket.socket:
+    async def open_with_retry(self, make: Callable[[], socket.socket]) -> socket.socket:
         """A socket that this process can't do without. Raises OSError.
 
         Danger: a start in a moment without a free descriptor ended as if its address were taken.
@@ -376,7 +381,7 @@
             try:
                 return make()
             except OSError as error:
-                if error.errno not in LACKING or self.loop.time() > until:
+                if error.errno not in RESOURCE_ERRORS or self.loop.time() > until:
                     raise
                 self.counters.add("sockets_lacking")
             await asyncio.sleep(LACKING_PAUSE_S)
@@ -409,20 +414,20 @@
             self.counters.add("steering_failed")
             self.say(f"connections can't be led to the newer of two processes: {error}")
 
-    async def accept(self, sock: socket.socket, front: Front) -> None:
+    async def accept(self, sock: socket.socket, front: ClientSessions) -> None:
         """Take in clients until cancelled."""
         failed = 0  # in a row
         while True:
-            if not front.has_room():
+            if not front.has_capacity():
                 # Danger: places are free a turn or two after they were made, but were looked for 20 ms later.
                 # So 8 were filled in 20 ms, and behind a crowd usual clients waited in the queue for seconds.
-                await asyncio.sleep(ROOM_PAUSE_S if front.cutting else ACCEPT_PAUSE_S)
+                await asyncio.sleep(ROOM_PAUSE_S if front.evicted_count else ACCEPT_PAUSE_S)
                 continue
             try:
                 await self._readable(sock)
                 # Danger: taken one a turn, connections that came together waited many turns of a busy loop,
                 # with their requests already written; those were read, and answered, after their limits.
-                while front.has_room() and (client := self._next_client(sock)) is not None:
+                while front.has_capacity() and (client := self._next_client(sock)) is not None:
                     failed = 0
                     self._admit(client, front.open())
             except OSError as error:
@@ -436,7 +441,7 @@
         broke in the queue says nothing of those behind it, which waited 20 ms for each.
         """
         self.counters.add(f"{counted}_failed")
-        of_one = error.errno in OF_ONE_CONNECTION
+        of_one = error.errno in CONNECTION_ERRORS
         if in_a_row == 1 and not of_one:
             self.say(f"{what}: {error}")
         await asyncio.sleep(0 if of_one and in_a_row % MOST_BROKEN else ACCEPT_PAUSE_S)
@@ -470,10 +475,10 @@
             # Danger: that ended the listener's task, with the session kept for good. Where the peer has gone
             # the first read shows it; else it is owed an answer like any other.
             self.counters.add("accept_options_failed")
-        session.line = wire = Wire(self, session, CLIENT_BYTES)
+        session.stream = wire = Stream(self, session, CLIENT_BYTES)
         wire.start(client)
 
-    async def empty_queue(self, sock: socket.socket, front: Front) -> None:
+    async def accept_queued(self, sock: socket.socket, front: ClientSessions) -> None:
         """Take in all that wait at a listener.
 
         Danger: what waits in the queue of a listener that closes is reset.
@@ -486,12 +491,12 @@
                 return
             except OSError as error:
                 failed += 1
-                pauses += error.errno not in OF_ONE_CONNECTION or failed % MOST_BROKEN == 0
+                pauses += error.errno not in CONNECTION_ERRORS or failed % MOST_BROKEN == 0
                 await self._accept_failed(error, failed, "accept", "accept")
 
     # --- operators ---
 
-    async def next_connection(self, listener: socket.socket, counted: str, what: str) -> socket.socket:
+    async def accept_one(self, listener: socket.socket, counted: str, what: str) -> socket.socket:
         """The next one that comes; what fails meanwhile is counted, told and waited out."""
         failed = 0  # in a row
         while True:
@@ -503,33 +508,35 @@
                 failed += 1
                 await self._accept_failed(error, failed, counted, what)
 
-    async def answer_calls(self, sock: socket.socket, calls: Calls) -> None:
+    async def serve_admin_api(self, sock: socket.socket, calls: AdminApi) -> None:
         """Take in operators' calls until cancelled."""
         while True:
-            caller = await self.next_connection(sock, "ops_accept", "operators' calls")
+            caller = await self.accept_one(sock, "ops_accept", "operators' calls")
             call = calls.open()
-            call.line = wire = Wire(self, call, CLIENT_BYTES)
+            call.stream = wire = Stream(self, call, CLIENT_BYTES)
             wire.start(caller)
 
     # --- engines ---
 
-    def connect(self, address: Address, connection: Connection) -> Wire:
+    def connect(self, address: Address, connection: Connection) -> Stream:
         """Open a connection to an engine; it is told when it is up, or that it never came up."""
-        wire = Wire(self, connection, ENGINE_BYTES)
+        wire = Stream(self, connection, ENGINE_BYTES)
         wire.task = self.spawn(self._connect(address, connection, wire))
         return wire
 
-    async def _connect(self, address: Address, connection: Connection, wire: Wire) -> None:
+    async def _connect(self, address: Address, connection: Connection, wire: Stream) -> None:
         try:
             sock = await self.dial(address, self.connect_s)
         except BaseException as error:
             self.counters.add("connect_failed")
-            connection.lacking = isinstance(error, OSError) and error.errno in LACKING_TO_CONNECT
-            connection.closed()
+            connection.lacked_local_resources = (
+                isinstance(error, OSError) and error.errno in CONNECT_RESOURCE_ERRORS
+            )
+            connection.on_closed()
             if not isinstance(error, OSError):  # a time-out is one
                 raise
             return
-        connection.connected()
+        connection.on_connected()
         wire.start(sock)
 
     async def dial(self, address: Address, limit_s: float) -> socket.socket:
@@ -551,7 +558,7 @@
                         return await self._connected(kind, target)
                     except OSError as error:
                         # Danger: without a free descriptor here, each engine in turn was told as unreachable.
-                        if error.errno not in LACKING_TO_CONNECT:
+                        if error.errno not in CONNECT_RESOURCE_ERRORS:
                             raise
                         self.counters.add("connections_lacking")
                         self.say(f"connections: {error}")
@@ -574,7 +581,7 @@
 
     # --- event bus ---
 
-    async def follow(self, bus: Bus, address: Address) -> None:
+    async def follow_event_stream(self, bus: Bus, address: Address) -> None:
         """Keep a long poll open until cancelled; a broken link is opened anew, ever less often."""
         pause = BACKOFF_S
         while True:
@@ -628,10 +635,10 @@
 
     # --- peers ---
 
-    def hear_peers(
+    def receive_datagrams(
         self,
         sock: socket.socket,
-        peers: Peers,
+        peers: PeerDatagrams,
         push: Callable[[PeerMessage], None],
         others: Callable[[bytes, Address], bool] = lambda data, sender: False,
     ) -> None:
@@ -647,12 +654,12 @@
                 except OSError as error:  # news of a datagram that reached nobody, or something lacks
                     self.counters.add("peer_broken")
                     failed += 1
-                    if error.errno in LACKING or failed == DATAGRAMS:
+                    if error.errno in RESOURCE_ERRORS or failed == DATAGRAMS:
                         break
                     continue
                 if others(data, Address(sender[0], sender[1])):
                     continue
-                if message := peers.receive(data, (sender[0], sender[1])):
+                if message := peers.decode(data, (sender[0], sender[1])):
                     push(message)
             else:
                 return
@@ -680,7 +687,7 @@
         self.udp = sock
         return sock
 
-    def tell(self, data: bytes, target: Address) -> None:
+    def send_datagram(self, data: bytes, target: Address) -> None:
         """Send a datagram; it may be lost, so a full buffer loses it."""
         if self.udp is not None:
             try:
--- a/cottonhold/transport/socket_factory.py
+++ b/cottonhold/transport/socket_factory.py
@@ -13,7 +13,7 @@
 MakeSocket = Callable[[socket.AddressFamily, socket.SocketKind], socket.socket]
 
 # accept(2) tells what befell one connection in the queue; the next call may serve the one behind it.
-OF_ONE_CONNECTION = frozenset(
+CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -32,5 +32,5 @@
 )
 
 # What the system lacks for a moment, as a descriptor or memory: the call did nothing, a later one may.
-LACKING = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-LACKING_TO_CONNECT = LACKING | {errno.EADDRNOTAVAIL}  # this machine's own ports
+RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+CONNECT_RESOURCE_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL}  # this machine's own ports
--- a/tests/backend/test_attempt_begin.py
+++ b/tests/backend/test_attempt_begin.py
@@ -15,24 +15,24 @@
 
 
 def engine_drains(world: World, attempt: Attempt) -> None:
-    place = world.engines.places[attempt.engine]
-    place.info = replace(place.info, state=EngineState.DRAINING)
+    place = world.engines.endpoints[attempt.engine]
+    place.engine = replace(place.engine, state=EngineState.DRAINING)
 
 
 def engine_is_gone(world: World, attempt: Attempt) -> None:
-    del world.engines.places[attempt.engine]
+    del world.engines.endpoints[attempt.engine]
 
 
 def time_is_over(world: World, attempt: Attempt) -> None:
-    attempt.until = world.clock.now() + LEAST_MS / 2
+    attempt.deadline = world.clock.now() + LEAST_MS / 2
 
 
 def client_left(world: World, attempt: Attempt) -> None:
-    world.gateway.requests[attempt.query].client = None
+    world.gateway.requests[attempt.request_id].response_sink = None
 
 
 def another_is_current(world: World, attempt: Attempt) -> None:
-    world.gateway.requests[attempt.query].attempt = None
+    world.gateway.requests[attempt.request_id].attempt = None
 
 
 CHANGES: dict[Change, Outcome] = {
@@ -58,17 +58,17 @@
     attempt = waiting(world)
     connection = attempt.connection
     assert connection is not None
-    world.gateway.attempt_ended = lambda attempt, event: ends.append(event.outcome)  # type: ignore[method-assign]
-    connection.up = True
+    world.gateway.on_attempt_ended = lambda attempt, event: ends.append(event.outcome)  # type: ignore[method-assign]
+    connection.is_up = True
     change(world, attempt)
     assert connection.take_output() == b"" and ends == [CHANGES[change]]
-    assert not attempt.written and not connection.attempts and not connection.queue
+    assert not attempt.is_written and not connection.attempts and not connection.queue
 
 
 def test_what_may_begin_is_written_once() -> None:
     world = World(engines="a")
     attempt = waiting(world)
     assert attempt.connection is not None
-    attempt.connection.up = True
-    assert attempt.connection.take_output().startswith(b"*4\r\n$3\r\nGET\r\n") and attempt.written
+    attempt.connection.is_up = True
+    assert attempt.connection.take_output().startswith(b"*4\r\n$3\r\nGET\r\n") and attempt.is_written
     assert attempt.connection.take_output() == b""
--- a/tests/backend/test_engine_restarts.py
+++ b/tests/backend/test_engine_restarts.py
@@ -29,7 +29,7 @@
         engine = Observation("a", Verdict.IN, "Ready", Address("a", 1), started_at=stamp)
         for action in self.belief.step(self.clock.at, [Report(SOURCE, 1, (engine,))]):
             if isinstance(action, Publish):
-                self.gateway.change_list(action.change)
+                self.gateway.on_engine_list(action.change)
         self.belief.current(self.clock.at, SOURCE)
         self.wait(0)
 
@@ -50,7 +50,7 @@
     world.wait(1100.0)
     world.run("e1 will up")
     world.tell(world.clock.at - 200.0)
-    assert world.lines[0].connection.over
+    assert world.lines[0].connection.is_closed
     world.run("""
         c2 query lookup r2 allow=9000
         e1 expect nothing
@@ -104,7 +104,7 @@
         e1 send r1 served count=1,ticks=9 a|b|c/
         c1 expect rows a|b|c
     """)
-    assert not world.lines[0].connection.over
+    assert not world.lines[0].connection.is_closed
 
 
 @pytest.mark.parametrize("out", [False, True], ids=["at rest", "with work out"])
@@ -115,8 +115,8 @@
     if not out:
         world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
     moved = Change((Engine("a"),), {"a": Address("elsewhere", 1)}, whole=False)
-    world.gateway.change_list(moved)
+    world.gateway.on_engine_list(moved)
     world.run("c2 query lookup r2 allow=9000\ne2 expect GET r2 *\ne1 expect nothing")
-    assert world.lines[0].connection.over is not out
+    assert world.lines[0].connection.is_closed is not out
     if out:
         world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -13,7 +13,7 @@
 from cottonhold.discovery.bus import FIRST_HOLD_MS, HOLD_MS, Bus
 from cottonhold.discovery.model import Address, Names, Report, Verdict
 from cottonhold.frontend.query_comment import table_group
-from cottonhold.node.peer_datagrams import Peers
+from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.actions import SendToPeer, UpdateAttempt
 from cottonhold.scheduler.events import PeerMessage
@@ -67,7 +67,7 @@
     client.take()
     client.send(packet(1, LOGIN.replace(b"app\0\0", b"app\0\x02xy")))
     client.take()
-    assert client.heard[-1].startswith("error 1045 ") and client.session.closing
+    assert client.heard[-1].startswith("error 1045 ") and client.session.is_closing
 
 
 def biggest_result() -> None:
@@ -152,29 +152,32 @@
     world.wait(300)
     world.unmet.append("a")
     world.change(["fresh"], "live")
-    assert world.lines[0].connection.over
+    assert world.lines[0].connection.is_closed
     world.unmet.append("fresh")
     world.run("c1 query lookup r2\ne2 expect GET r2 *")
 
 
-def peers() -> Peers:
-    return Peers((Address("10.3.0.1", 7), Address("10.3.0.2", 7)), Address("10.3.255.1", 7), Counters())
+def peers() -> PeerDatagrams:
+    return PeerDatagrams(
+        (Address("10.3.0.1", 7), Address("10.3.0.2", 7)), Address("10.3.255.1", 7), Counters()
+    )
 
 
 def peers_most() -> None:
-    assert peers().target(SendToPeer(bytes(256), 1)) == Address("10.3.0.2", 7)
+    assert peers().destination(SendToPeer(bytes(256), 1)) == Address("10.3.0.2", 7)
     assert (
-        peers().target(SendToPeer(bytes(257), 1)) is None and peers().target(SendToPeer(bytes(257))) is None
+        peers().destination(SendToPeer(bytes(257), 1)) is None
+        and peers().destination(SendToPeer(bytes(257))) is None
     )
 
 
 def peers_all() -> None:
-    assert peers().target(SendToPeer(b"x")) == Address("10.3.255.1", 7)
+    assert peers().destination(SendToPeer(b"x")) == Address("10.3.255.1", 7)
 
 
 def peers_by_address() -> None:
-    assert peers().receive(b"x", ("10.3.0.2", 7)) == PeerMessage(1, b"x")
-    assert peers().receive(b"x", ("10.9.9.9", 7)) is None
+    assert peers().decode(b"x", ("10.3.0.2", 7)) == PeerMessage(1, b"x")
+    assert peers().decode(b"x", ("10.9.9.9", 7)) is None
 
 
 def unusable(field: str, name: str) -> Machine:
@@ -196,7 +199,7 @@
 def sent_priority() -> None:
     world = World(engines="a").run("c1 query lookup r1 effort=100.0\ne1 expect GET * *order=1 *")
     request = world.gateway.requests[f"{1:016x}"]
-    world.gateway._carry_out(UpdateAttempt(request.taken.ref, 0, 3))
+    world.gateway._carry_out(UpdateAttempt(request.client_request.request_id, 0, 3))
     world.wait(0)
     world.run("e1 expect RANK r1 3")
 
@@ -204,7 +207,7 @@
 def no_priority() -> None:
     world = World(replace(SETTINGS, features=replace(PERMITS, has_priorities=False)))
     world.run("c1 query load r1 allow=20000\ne1 expect GET r1 *order=1 *")
-    world.gateway.leave(world.clock.now() + 3000.0)
+    world.gateway.begin_shutdown(world.clock.now() + 3000.0)
     world.wait(100)
     world.run("e1 expect nothing")
 
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -14,8 +14,8 @@
 from cottonhold.discovery.model import Address, Names
 from cottonhold.frontend.mysql_session import MOST_PACKET
 from cottonhold.frontend.query_comment import FieldError, parse
-from cottonhold.node.admin_api import Calls
-from cottonhold.node.peer_datagrams import Peers
+from cottonhold.node.admin_api import AdminApi
+from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.log import BURST, Log
 from cottonhold.scheduler.events import EngineListFailed
 from tests.support.drawn_cases import CASES, untroubled
@@ -54,7 +54,7 @@
         session.receive(data[at : at + pieces])
         world.wait(0)
     assert len(session.buffer) <= MOST_PACKET + 4 and untroubled(world)
-    session.closed()
+    session.on_closed()
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
 
 
@@ -152,8 +152,8 @@
 @given(st.binary(max_size=300), st.integers(0, 2))
 def test_a_peers_bytes(data: bytes, sender: int) -> None:
     world = World().run("c1 query lookup r1\nany expect GET r1 *")
-    peers = Peers((Address("a", 1), Address("b", 1)), None, world.counters)
-    message = peers.receive(data, ("abc"[sender], 1))
+    peers = PeerDatagrams((Address("a", 1), Address("b", 1)), None, world.counters)
+    message = peers.decode(data, ("abc"[sender], 1))
     assert (message is None) == (sender == 2 or len(data) > 256)
     world.gateway.push(message or EngineListFailed())
     world.wait(50.0)
@@ -180,26 +180,26 @@
 @given(st.lists(CALL, min_size=1, max_size=3), st.integers(1, 50))
 def test_an_operators_bytes(parts: list[bytes], pieces: int) -> None:
     world, clock = World(), FakeClock()
-    calls = Calls(world.lifecycle, clock, world.counters, lambda event, **fields: None, 4)
+    calls = AdminApi(world.lifecycle, clock, world.counters, lambda event, **fields: None, 4)
     call, data = calls.open(), b"".join(parts)
     for at in range(0, len(data), pieces):
         call.receive(data[at : at + pieces])
     clock.run_until(clock.at + 5000, lambda: None)
-    assert call.closing and call.take_output().startswith(b"HTTP/1.1 ")
+    assert call.is_closing and call.take_output().startswith(b"HTTP/1.1 ")
 
 
 def test_what_is_malformed_is_counted_and_told_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
     """All of it within one moment: the log's bucket is never filled again."""
     log, world = Log(seconds=lambda: 0.0), World(engines="a")
     world.gateway.say = world.engines.say = log.say
-    peers = Peers((Address("a", 1),), None, world.counters, log.say)
+    peers = PeerDatagrams((Address("a", 1),), None, world.counters, log.say)
     entries = [{"instanceId": "s-1", "lifecycle": "Odd"}] * 50
     answer = orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": entries}}]})
     for _ in range(50):
         session = world.front.open()
         session.receive(packet(1, LOGIN.replace(b"app", b"a\nb")))
-        peers.receive(b"x", ("stranger", 1))
-        world.engines.malformed("engine a: nonsense")
+        peers.decode(b"x", ("stranger", 1))
+        world.engines.on_malformed_answer("engine a: nonsense")
     bus = Bus("h", 1, Names(("z",), ("a",)), world.counters, lambda report: None, log.say)
     assert bus.receive(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
     names = ("client_malformed", "peer_malformed", "engine_malformed", "bus_malformed")
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Engines
+from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.node import lifecycle, peer_datagrams
 from cottonhold.node.gateway import Gateway
 from cottonhold.scheduler import retry_policy, slow_start
@@ -38,7 +38,7 @@
 
 
 DEFECTS: list[tuple[type | object, str, Any, str]] = [
-    (Engines, "_open_place", lambda self, engine: self.places.get(engine), "pro-bus-told-connect"),
+    (EngineConnections, "_open_place", lambda self, engine: self.endpoints.get(engine), "pro-bus-told-connect"),
     (
         retry_policy,
         "repeat_barred",
@@ -46,10 +46,10 @@
         "wire-unsafe-reset wire-keyed-window-over wire-budget",
     ),
     (slow_start, "barred", lambda gateway, query, engine: False, "wire-cold-budget"),
-    (Gateway, "wants", lambda self, attempt: True, "pro-kill-connect pro-kill-connect-kept"),
+    (Gateway, "is_wanted", lambda self, attempt: True, "pro-kill-connect pro-kill-connect-kept"),
     (Query, "window_end", lambda self: math.inf, "pro-window-connect wire-keyed-window-over"),
     (peer_datagrams, "MOST_BYTES", 300, "pro-peer-most"),
-    (event_loop, "LACKING", frozenset(), "pro-sock-whole"),
+    (event_loop, "RESOURCE_ERRORS", frozenset(), "pro-sock-whole"),
     (lifecycle, "KILL_MARGIN_MS", -3000.0, "pro-term-short"),
 ]
 
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -97,13 +97,13 @@
         settings = installation.file.log
         log = StructuredLog("logfmt", settings.per_second, settings.burst, installation.secrets, self.log)
         self.node = ServedInstallation(self.path, installation, log, asyncio.get_running_loop())
-        driver = self.node.driver
+        driver = self.node.event_loop
         self.listener = driver.listen(self.node.config.listen.__class__("127.0.0.1", 0))
-        driver.spawn(driver.accept(self.listener, self.node.front))
-        self.node.follow()
+        driver.spawn(driver.accept(self.listener, self.node.sessions))
+        self.node.follow_sources()
 
     def states(self) -> dict[str, EngineState]:
-        return {id: place.info.state for id, place in sorted(self.node.engines.places.items())}
+        return {id: place.engine.state for id, place in sorted(self.node.engines.endpoints.items())}
 
     def live(self) -> list[str]:
         return [id for id, state in self.states().items() if state is LIVE]
@@ -148,9 +148,9 @@
     finally:
         for _, writer in made.sessions:
             writer.close()
-        for task in list(made.node.driver.tasks):
+        for task in list(made.node.event_loop.tasks):
             task.cancel()
-        await asyncio.gather(*made.node.driver.tasks, return_exceptions=True)
+        await asyncio.gather(*made.node.event_loop.tasks, return_exceptions=True)
         made.listener.close()
         for server in made.servers:
             await server.stop()
@@ -186,7 +186,9 @@
             assert b"e3" in await s.query(ref)
         s.script("0 passing e1\n0 maintenance e2 off\n0 deregister e3")
         await s.until(lambda: s.live() == ["e1", "e2"], "two back and one gone")
-        assert s.node.engines.places["e1"].info.started_at > 0  # back as cold: nothing proves the old process
+        assert (
+            s.node.engines.endpoints["e1"].engine.started_at > 0
+        )  # back as cold: nothing proves the old process
 
     play(tmp_path, scenario)
 
@@ -266,7 +268,7 @@
             await s.until(lambda: s.states()["e1"] is DRAINING, "out at once")
             s.script("0 passing e1")
             index = s.servers[0].catalog.service_index("engine")
-            await s.until(lambda at=index: s.node.belief.views["dc1"].index >= at, "the news")  # type: ignore[misc]
+            await s.until(lambda at=index: s.node.engine_catalog.views["dc1"].index >= at, "the news")  # type: ignore[misc]
         assert len(s.events("engine_in")) <= 3
 
     play(tmp_path, scenario)
@@ -299,9 +301,9 @@
         assert new != old
         s.script(f"0 deregister e1\n0 register e1 {new}")
         await s.until(
-            lambda: str(s.node.engines.places["e1"].address) == new and "e1" in s.live(), "the new one"
+            lambda: str(s.node.engines.endpoints["e1"].address) == new and "e1" in s.live(), "the new one"
         )
-        assert s.node.engines.places["e1"].info.started_at > 0
+        assert s.node.engines.endpoints["e1"].engine.started_at > 0
 
     play(tmp_path, scenario)
 
@@ -318,7 +320,8 @@
         await s.until(lambda: s.live() == ["e1", "e3", "e4"], "the cautious word")
         s.script("0 deregister e3", server=0)
         await s.until(
-            lambda: "e3" in s.live() and "e3" not in s.node.belief.views["dc0"].claims, "the other's word"
+            lambda: "e3" in s.live() and "e3" not in s.node.engine_catalog.views["dc0"].claims,
+            "the other's word",
         )
 
     play(tmp_path, scenario)
@@ -345,7 +348,9 @@
         await s.start({**SOURCE, "addresses": [address]}, known=known)
         assert s.live() == ["e1", "e2", "e9"]
         await s.until(lambda: s.live() == ["e1", "e2"], "Consul's own list")
-        assert {p.info.started_at for p in s.node.engines.places.values()} == {0.0}  # known before: not cold
+        assert {p.engine.started_at for p in s.node.engines.endpoints.values()} == {
+            0.0
+        }  # known before: not cold
 
     play(tmp_path, scenario)
 
@@ -505,7 +510,7 @@
         await s.until(there, "registered")
         catalog.drop_service("agent-1", "n1")
         await s.until(there, "registered anew")
-        leaving: list[Awaitable[object]] = list(s.node.leave())
+        leaving: list[Awaitable[object]] = list(s.node.shutdown_tasks())
         await asyncio.gather(*leaving)
         assert not there() and s.node.entry is not None and s.node.entry.registration.over()
 
--- a/tests/discovery/test_event_stream.py
+++ b/tests/discovery/test_event_stream.py
@@ -16,7 +16,7 @@
 from cottonhold.discovery.model import Address, Names, Report
 from cottonhold.observe.counters import Counters
 from cottonhold.transport import event_loop as driver_module
-from cottonhold.transport.event_loop import BACKOFF_S, Driver
+from cottonhold.transport.event_loop import BACKOFF_S, EventLoop
 
 BREAK_TOLD_MS, RELOAD_TOLD_MS, STOP_TOLD_MS = 2000.0, 4000.0, 2000.0  # when news counts as told
 LIMIT_MS = 300.0  # of a call that an answer outlasts
@@ -63,7 +63,7 @@
         self.told: list[Report] = []
         self.counters = Counters()
         self.bus = Bus("h", offset, Names(("z",), ("m",)), self.counters, self.told.append)
-        self.driver = Driver(self.loop, self.counters, lambda line: None)
+        self.driver = EventLoop(self.loop, self.counters, lambda line: None)
         self.calls: list[bytes] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
@@ -71,7 +71,7 @@
     async def play(self, *scripts: Play) -> None:
         """Follow the bus until every script has been played to its end."""
         host, port = self.listener.getsockname()
-        following = self.loop.create_task(self.driver.follow(self.bus, Address(host, port)))
+        following = self.loop.create_task(self.driver.follow_event_stream(self.bus, Address(host, port)))
         held = []
         for script in scripts:
             sock, _ = await self.loop.sock_accept(self.listener)
@@ -215,9 +215,9 @@
 
 def test_a_bus_that_holds_no_call_is_asked_ever_less_often(monkeypatch: pytest.MonkeyPatch) -> None:
     pauses: list[float] = []
-    real = Driver._back_off
+    real = EventLoop._back_off
 
-    async def noted(self: Driver, pause: float) -> float:
+    async def noted(self: EventLoop, pause: float) -> float:
         pauses.append(pause)
         return await real(self, pause)
 
@@ -234,7 +234,7 @@
 
     async def story() -> Rig:
         rig = Rig()
-        monkeypatch.setattr(Driver, "_back_off", noted)
+        monkeypatch.setattr(EventLoop, "_back_off", noted)
         monkeypatch.setattr(asyncio, "sleep", no_sleep)
         await rig.play(empty, saying(answer(4, (4, "Gone"))))
         return rig
@@ -273,7 +273,9 @@
             listener.setblocking(False)
             if following is not None:
                 following.cancel()
-            following = rig.loop.create_task(rig.driver.follow(rig.bus, Address(*listener.getsockname())))
+            following = rig.loop.create_task(
+                rig.driver.follow_event_stream(rig.bus, Address(*listener.getsockname()))
+            )
             if listener is not buses[1]:
                 held.append((await rig.loop.sock_accept(listener))[0])
                 rig.calls.append(await rig.loop.sock_recv(held[-1], 1000))
@@ -302,7 +304,7 @@
         rig = Rig()
         address = rig.listener.getsockname()
         rig.listener.close()
-        following = rig.loop.create_task(rig.driver.follow(rig.bus, Address(*address)))
+        following = rig.loop.create_task(rig.driver.follow_event_stream(rig.bus, Address(*address)))
         while rig.counters.counts["bus_broken"] < 3:
             await asyncio.sleep(0.005)
         with socket.create_server(address) as listener:
--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -21,7 +21,7 @@
 from cottonhold.node.consul_client import follow
 from cottonhold.node.http_client import HttpLink, Tls
 from cottonhold.observe.counters import Counters
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 
 OK = "HTTP/1.1 200 OK\r\nX-Consul-Index: 7\r\n"
 GOOD = f"{OK}Content-Length: 2\r\n\r\n[]".encode()
@@ -140,12 +140,12 @@
 
 def play(
     server: Scripted,
-    scenario: Callable[[Driver, Address], Awaitable[None]],
+    scenario: Callable[[EventLoop, Address], Awaitable[None]],
     context: ssl.SSLContext | None = None,
 ) -> None:
     async def run() -> None:
         listening = await listen(server, context)
-        driver = Driver(asyncio.get_running_loop(), Counters(), lambda text: None)
+        driver = EventLoop(asyncio.get_running_loop(), Counters(), lambda text: None)
         try:
             async with asyncio.timeout(60):
                 await scenario(driver, Address(*listening.sockets[0].getsockname()))
@@ -171,7 +171,7 @@
     ids=["short body", "long length", "no last chunk", "no length", "101", "endless", "100", "junk", "two"],
 )
 def test_a_watch_counts_a_bad_answer_and_goes_on(script: list[bytes]) -> None:
-    async def scenario(driver: Driver, address: Address) -> None:
+    async def scenario(driver: EventLoop, address: Address) -> None:
         names = Names(("z",), ("std",))
         settings = WatchSettings("dc", (address,), "engine", first=60_000.0, rest=60_000.0, pause=1.0)
         watch = Watch(settings, Answers(names, Reading(), lambda why: None), 1)
@@ -199,7 +199,7 @@
 def test_calls_share_a_connection_until_the_server_ends_it(
     scripts: Scripts, connections: int, secure: bool, tmp_path: Path
 ) -> None:
-    async def scenario(driver: Driver, address: Address) -> None:
+    async def scenario(driver: EventLoop, address: Address) -> None:
         link = HttpLink(driver, tls, 1000)
         for call in range(3):
             assert (await link.call(address, CALL)).body == b"[]"
@@ -230,7 +230,7 @@
 
     answered, early = asyncio.Event(), Early([])
 
-    async def scenario(driver: Driver, address: Address) -> None:
+    async def scenario(driver: EventLoop, address: Address) -> None:
         link = HttpLink(driver, tls, 1000)
         first = await link.call(address, CALL)
         answered.set()
--- a/tests/discovery/test_malformed_lists.py
+++ b/tests/discovery/test_malformed_lists.py
@@ -71,7 +71,7 @@
     for report in reports:
         for action in belief.step(world.clock.now(), [report]):
             if isinstance(action, Publish):
-                world.gateway.change_list(action.change)
+                world.gateway.on_engine_list(action.change)
     world.wait(50.0)
     world.run("c2 query lookup r2")
     world.wait(50.0)
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -10,7 +10,7 @@
 from cottonhold.fleet.admission.threshold import Told
 from cottonhold.fleet.coordinator import Fleet, FleetSettings, Priced
 from cottonhold.fleet.zone_failover.operator_overrides import Mode
-from cottonhold.node.gateway import Taken
+from cottonhold.node.gateway import ClientRequest
 from cottonhold.scheduler.actions import DemandEstimate, Reject
 from cottonhold.scheduler.events import AdmissionThreshold
 from cottonhold.scheduler.settings import Features
@@ -79,22 +79,22 @@
     def __init__(self) -> None:
         self.heard: list[str] = []
 
-    def arrived(self, taken: Taken) -> float:
-        return draw_of(taken.ref.encode(), taken.retry)
+    def on_request_arrived(self, taken: ClientRequest) -> float:
+        return draw_of(taken.request_id.encode(), taken.is_retry)
 
-    def offered(self, taken: Taken, worth: float, work: float) -> None:
+    def on_demand_estimated(self, taken: ClientRequest, worth: float, work: float) -> None:
         self.heard.append("offered")
 
-    def let_in(self, wait: float, lost: bool) -> None:
+    def on_admission_settled(self, wait: float, lost: bool) -> None:
         self.heard.append(f"let in {lost}")
 
-    def sent(self, attempt: object, query_class: int) -> None:
+    def on_attempt_sent(self, attempt: object, query_class: int) -> None:
         self.heard.append("sent")
 
-    def ended(self, attempt: object, event: object) -> None:
+    def on_attempt_ended(self, attempt: object, event: object) -> None:
         self.heard.append("ended")
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         pass
 
 
@@ -111,7 +111,7 @@
     engines: str, price: AdmissionThreshold, heard: list[str]
 ) -> None:
     world, notes = World(engines=engines), Notes()
-    world.gateway.watch = notes
+    world.gateway.observer = notes
     world.gateway.push(price)
     world.run("c1 query lookup r1 allow=1000")
     world.wait(1200)
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -158,7 +158,7 @@
         assert node.recovery is not None
         may = [node.recovery.knows(), node._listed()]
         seen = Observation("e1", Verdict.IN, address=Address("127.0.0.1", 3))
-        node.believe([Report("dc1", 1, (seen,), whole=True)])
+        node.on_discovery_events([Report("dc1", 1, (seen,), whole=True)])
         may += [node.recovery.knows(), node._listed()]
         for part in (node.swap, node.recovery):
             if part is not None:
@@ -195,7 +195,7 @@
 
     async def back(node: ServedInstallation) -> None:
         assert node.swap is not None and set(node.held.live()) == {"e2"}
-        rim, swap, now = node.swap.drains, node.swap.swap, node.driver.clock.now()
+        rim, swap, now = node.swap.drains, node.swap.swap, node.event_loop.clock.now()
         rim.step(now, swap)
         assert set(node.held.live()) == {"e2"}
         rim.step(now + rim.drains.settings.wait, swap)
@@ -257,7 +257,7 @@
         self.well, self.timers, self.put_of = False, list[Callable[[], None]](), list[list[Record]]()
         monkeypatch.setattr(node.recovery.ledger, "put", self.put)
         monkeypatch.setattr(node.recovery, "hop", lambda then: then())
-        monkeypatch.setattr(node.driver.clock, "call_in", lambda ms, then: self.timers.append(then))
+        monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: self.timers.append(then))
 
     def put(self, records: list[Record], done: Callable[[bool], None] | None = None) -> None:
         if self.well:
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -21,8 +21,8 @@
 from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
 from cottonhold.fleet.zone_failover.messages import WordError
 from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
-from cottonhold.node.gateway import Gateway, Past, Taken
-from cottonhold.node.gateway import Settled as Tell
+from cottonhold.node.gateway import ClientRequest, Gateway, LoadOutcome
+from cottonhold.node.gateway import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import FakeClock
@@ -40,15 +40,17 @@
     def guards(self, query_class: int) -> bool:
         return True
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
-        settled(Past.NEVER, 0.0)
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
+        settled(LoadOutcome.NEVER_RAN, 0.0)
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         self.kept.append(kept)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None: ...
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None: ...
 
-    def closed(self, ref: str) -> None: ...
+    def on_request_closed(self, ref: str) -> None: ...
 
 
 class World:
@@ -84,30 +86,30 @@
     def ended(self, key: bytes, load: int, known: bool) -> None:
         self.events.append(("ended", load, known))
 
-    def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
-        self.handed.append((taken.ref, owner))
+    def hand(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
+        self.handed.append((taken.request_id, owner))
         self.rounds.append(number)
 
     def left(self, ref: str) -> None:
         self.events.append(("left", ref))
 
-    def end(self, ref: str, word: str, answer: Callable[[Any], None]) -> None:
+    def finish_without_attempt(self, ref: str, word: str, answer: Callable[[Any], None]) -> None:
         self.heard.append((ref, word))
-        self.guard.closed(ref)
+        self.guard.on_request_closed(ref)
 
     def come(self, ref: str, key: str | None = "k", allow: float = 8000.0) -> None:
-        taken = Taken(ref, 1, "load", self.clock.now(), allow, 1.0, 0.0, -1, key, False, b"INSERT")
+        taken = ClientRequest(ref, 1, "load", self.clock.now(), allow, 1.0, 0.0, -1, key, False, b"INSERT")
 
-        def settled(past: Past, ms: float) -> None:
+        def settled(past: LoadOutcome, ms: float) -> None:
             self.heard.append((ref, past.value))
-            if past is not Past.NEVER:
-                self.guard.closed(ref)
+            if past is not LoadOutcome.NEVER_RAN:
+                self.guard.on_request_closed(ref)
 
-        self.guard.came(taken, self.clock.now() + allow * 0.8, settled)
+        self.guard.on_load_arrived(taken, self.clock.now() + allow * 0.8, settled)
 
     def send(self, ref: str) -> tuple[Attempt, list[bool]]:
         attempt, kept = Attempt(ref, 0, "e1", "load", b"", 1, 0.0, 1e9), list[bool]()
-        self.guard.sending(attempt, cast(Taken, None), kept.append)
+        self.guard.before_attempt_sent(attempt, cast(ClientRequest, None), kept.append)
         return attempt, kept
 
     def later(self, ms: float) -> None:
@@ -133,9 +135,9 @@
     world = World()
     world.come("a")
     attempt, _ = world.send("a")
-    world.guard.closed("a")
+    world.guard.on_request_closed("a")
     assert world.events == [("opened", 1)]
-    world.guard.ended(attempt, outcome)
+    world.guard.on_attempt_ended(attempt, outcome)
     assert world.events[1:] == [("ended", 1, known)]
 
 
@@ -169,12 +171,12 @@
         world.come(ref)
     world.later(500)
     assert world.heard == []
-    world.guard.closed("b")  # its client left
+    world.guard.on_request_closed("b")  # its client left
     world.found = OWN
     world.later(1)
     assert world.heard == [("a", "never"), ("c", "never")]
-    world.guard.closed("a")
-    world.guard.closed("c")
+    world.guard.on_request_closed("a")
+    world.guard.on_request_closed("c")
     world.found = Back(40.0)
     world.come("d")
     world.later(WAIT_MS)
@@ -189,7 +191,7 @@
     assert world.handed == [("a", X), ("b", X), ("c", X)]
     world.back_with("a", End.SERVED, pack_rows([[b"1", b"2", b"3"]]))
     world.back_with("b", End.FAILED)
-    world.guard.closed("c")
+    world.guard.on_request_closed("c")
     world.back_with("c", End.SERVED)
     assert world.heard == [("a", "served"), ("b", "may")] and world.events == [("left", "c")]
     assert not world.guard.held and not world.guard.away
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -12,7 +12,7 @@
 from cottonhold.fleet.recovery.load_history import Around, Memory, MemorySettings, Settled
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet_adapters.load_records import Loads
-from cottonhold.node.gateway import Past, Taken
+from cottonhold.node.gateway import ClientRequest, LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.store.ledger import Health, Ledger, State
@@ -69,20 +69,20 @@
             lambda event, **fields: None,
         )
 
-    def taken(self, ref: str, key: str, retry: bool) -> Taken:
+    def taken(self, ref: str, key: str, retry: bool) -> ClientRequest:
         body = f"INSERT {ref[:1]}".encode()
-        return Taken(ref, 1, "load", self.clock.now(), 8000.0, 0.0, 0.0, -1, key, retry, body)
+        return ClientRequest(ref, 1, "load", self.clock.now(), 8000.0, 0.0, 0.0, -1, key, retry, body)
 
     def come(self, ref: str, key: str = "k", retry: bool = False, wait: float = 5000.0) -> None:
-        def settled(past: Past, ms: float) -> None:
+        def settled(past: LoadOutcome, ms: float) -> None:
             self.heard.append((ref, past.value))
 
-        self.loads.came(self.taken(ref, key, retry), self.clock.now() + wait, settled)
+        self.loads.on_load_arrived(self.taken(ref, key, retry), self.clock.now() + wait, settled)
 
     def send(self, ref: str) -> tuple[Attempt, list[bool]]:
         taken, told = self.taken(ref, "k", False), list[bool]()
         attempt = Attempt(ref, 0, "e", "load", taken.body, 1, self.clock.now(), self.clock.now() + 5000)
-        self.loads.sending(attempt, taken, told.append)
+        self.loads.before_attempt_sent(attempt, taken, told.append)
         return attempt, told
 
 
@@ -95,7 +95,7 @@
     assert world.heard == [("d1", "never")]
     world.clock.run_until(world.clock.now() + 1500.0, lambda: None)
     assert world.heard[1:] == [("c1", "later")]  # its own time ran out first
-    world.loads.closed("a1")  # its client left: it is no longer asked about
+    world.loads.on_request_closed("a1")  # its client left: it is no longer asked about
     assert world.heard[2:] == [("b1", "never")]
 
 
@@ -117,8 +117,8 @@
     assert told == [] and world.ledger.states() == [LoadState.SENT]
     world.ledger.durable()
     assert told == [True]
-    world.loads.ended(attempt, outcome)
-    world.loads.closed("a1")
+    world.loads.on_attempt_ended(attempt, outcome)
+    world.loads.on_request_closed("a1")
     assert world.ledger.states() == [LoadState.SENT, left] and not world.loads.runs
 
 
@@ -126,9 +126,9 @@
     world = World()
     first, _ = world.send("a1")
     second, _ = world.send("a2")
-    world.loads.ended(first, Outcome.OK)
+    world.loads.on_attempt_ended(first, Outcome.OK)
     assert world.ledger.states() == [LoadState.SENT, LoadState.SENT]
-    world.loads.ended(second, Outcome.RESET)
+    world.loads.on_attempt_ended(second, Outcome.RESET)
     assert world.ledger.states()[-1] is LoadState.FAILED
 
 
@@ -167,8 +167,8 @@
     world, apart = World(), Around(True, True, MemoryState.KEPT, {}, apart=True)
     attempt, _ = world.send("a1")
     world.ledger.durable()
-    world.loads.ended(attempt, Outcome.RESET)
-    world.loads.closed("a1")
+    world.loads.on_attempt_ended(attempt, Outcome.RESET)
+    world.loads.on_request_closed("a1")
     for ms, around, left in (
         (30_000.0, apart, 1),
         (60_000.0, apart, 1),
@@ -185,8 +185,8 @@
     world = World()
     attempt, _ = world.send("a1")
     world.ledger.durable()
-    world.loads.ended(attempt, Outcome.RESET)
-    world.loads.closed("a1")
+    world.loads.on_attempt_ended(attempt, Outcome.RESET)
+    world.loads.on_request_closed("a1")
     left = []
     for ms, durable in ((30_000.0, False), (35_000.0, True), (40_000.0, True)):
         world.clock.run_until(world.start + ms, lambda: None)
@@ -202,8 +202,8 @@
     world = World()
     attempt, _ = world.send("a1")
     world.ledger.durable()
-    world.loads.ended(attempt, Outcome.RESET)
-    world.loads.closed("a1")
+    world.loads.on_attempt_ended(attempt, Outcome.RESET)
+    world.loads.on_request_closed("a1")
     world.clock.run_until(world.start + 30_000.0, lambda: None)
     world.memory.step(world.clock.now(), world.memory.around)
     world.loads.forget()
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -15,7 +15,7 @@
 from cottonhold.fleet.recovery.load_history import Memory, MemorySettings
 from cottonhold.fleet_adapters import load_records as loads_module
 from cottonhold.fleet_adapters.load_records import Loads, kept_loads
-from cottonhold.node.gateway import Past, Taken
+from cottonhold.node.gateway import ClientRequest, LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.store.ledger import Health, Ledger, State
@@ -114,18 +114,18 @@
         now, body = self.clock.now(), b"INSERT %d" % load
         ref, retry = f"r{self.serial}", load in self.asked
         self.asked.add(load)
-        taken = Taken(ref, 1, "load", now, 8000.0, 0.0, 0.0, -1, f"k{load}", retry, body)
+        taken = ClientRequest(ref, 1, "load", now, 8000.0, 0.0, 0.0, -1, f"k{load}", retry, body)
         request = Request(load, Attempt(ref, 0, "e", "load", body, 1, now, now + 5000))
-        self.loads.came(taken, now + 5000.0, lambda past, ms: self.settled(request, taken, past))
+        self.loads.on_load_arrived(taken, now + 5000.0, lambda past, ms: self.settled(request, taken, past))
 
-    def settled(self, request: Request, taken: Taken, past: Past) -> None:
-        if past is Past.NEVER:
+    def settled(self, request: Request, taken: ClientRequest, past: LoadOutcome) -> None:
+        if past is LoadOutcome.NEVER_RAN:
             self.requests.append(request)
-            self.loads.sending(request.attempt, taken, lambda kept: self.kept(request, kept))
+            self.loads.before_attempt_sent(request.attempt, taken, lambda kept: self.kept(request, kept))
             return
-        if past is Past.WELL:
+        if past is LoadOutcome.COMPLETED:
             assert request.load in self.ended_well, "told as well"
-        self.loads.closed(taken.ref)
+        self.loads.on_request_closed(taken.request_id)
 
     def kept(self, request: Request, kept: bool) -> None:
         if request.over or request.out:
@@ -144,8 +144,8 @@
             self.ended_well.add(request.load)
         if outcome is Outcome.OVERLOADED:
             self.ran[request.load] -= 1
-        self.loads.ended(request.attempt, outcome)
-        self.loads.closed(request.attempt.query)
+        self.loads.on_attempt_ended(request.attempt, outcome)
+        self.loads.on_request_closed(request.attempt.request_id)
         self.requests.remove(request)
 
     def end(self, outcome: Outcome) -> None:
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -22,10 +22,10 @@
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.swim import Datagram, Heard, Send, Swim, SwimSettings
 from cottonhold.node import status
-from cottonhold.node.gateway import Taken
+from cottonhold.node.gateway import ClientRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AttemptEnded, Outcome
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 from tests.support.scenario import FakeClock
 
 PLACE = Address("127.0.0.1", 7000)
@@ -67,11 +67,15 @@
     for n in range(300):
         engine = f"{'ab'[n % 2]}{n // 2 % 3}"
         attempt = Attempt(f"q{n}", 0, engine, "lookup", b"", 1, clock.now(), 0.0)
-        rim.arrived(Taken(f"q{n}", 0, "lookup", clock.now(), 1000.0, 0.0, 0.0, -1, None, False, b""))
-        rim.sent(attempt, 0)
+        rim.on_request_arrived(
+            ClientRequest(f"q{n}", 0, "lookup", clock.now(), 1000.0, 0.0, 0.0, -1, None, False, b"")
+        )
+        rim.on_attempt_sent(attempt, 0)
         bad = n >= 100 and engine[0] == "a"
-        end = AttemptEnded(attempt.query, 0, engine, outcome if bad else Outcome.OK, 1.0 if bad else 20.0)
-        rim.ended(attempt, end)
+        end = AttemptEnded(
+            attempt.request_id, 0, engine, outcome if bad else Outcome.OK, 1.0 if bad else 20.0
+        )
+        rim.on_attempt_ended(attempt, end)
         clock.run_until(clock.now() + 5.0, lambda: None)
     assert (rim.fleet.zones.states["a"].phase is Phase.OUT) is left
     assert rim.fleet.zones.states["b"].phase is Phase.IN
@@ -120,7 +124,7 @@
 
     async def scenario() -> dict[str, Any]:
         loop = asyncio.get_running_loop()
-        driver = Driver(loop, Counters(), lambda text: None)
+        driver = EventLoop(loop, Counters(), lambda text: None)
         serving = asyncio.create_task(status.serve(driver, status.listen(path), lambda call: {"echo": call}))
 
         def call() -> dict[str, Any]:
