--- a/tests/frontend/test_client_departure.py
+++ b/tests/frontend/test_client_departure.py
@@ -52,7 +52,7 @@
     """Nothing is kept for a request that is over: neither way back, place, room nor turn."""
     world.wait(300)
     gateway, scheduler = world.gateway, world.gateway.scheduler
-    assert gateway.open == 0 and not gateway.requests
+    assert gateway.open_count == 0 and not gateway.requests
     assert not scheduler.queries and not scheduler.turns.lines and not scheduler.homeless
     assert not [q for e in scheduler.engines.values() for q in (*e.out.values(), *e.plan)]
     assert scheduler.pool.threads == 0
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -10,16 +10,16 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Connection, Engines
+from cottonhold.backend.connection_pool import Connection, EngineConnections
 from cottonhold.backend.resp import RespReader, encode
-from cottonhold.config.relay import Links
+from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, Change
-from cottonhold.frontend.mysql_session import EOF, Front
+from cottonhold.frontend.mysql_session import EOF, ClientSessions
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Engine
-from cottonhold.transport.event_loop import Driver, Wire
+from cottonhold.transport.event_loop import EventLoop, Stream
 from tests.frontend.test_client_departure import SITES
 from tests.support.scenario import LOGIN, packet
 
@@ -31,22 +31,24 @@
 
     def __init__(self) -> None:
         self.loop, counters = asyncio.get_running_loop(), Counters()
-        self.driver = Driver(self.loop, counters, print)
+        self.driver = EventLoop(self.loop, counters, print)
         clock = self.driver.clock
-        self.engines = Engines(Links(15000.0, 60_000.0, 32), clock, counters, print, 64)
+        self.engines = EngineConnections(
+            ConnectionSettings(15000.0, 60_000.0, 32), clock, counters, print, 64
+        )
         self.engines.connect = self.connect
         self.gateway = Gateway(SITES["little allowed"], 1, clock, self.engines, counters, print)
-        self.front = Front(self.gateway, clock, counters, Lifecycle(), 64)
+        self.front = ClientSessions(self.gateway, clock, counters, Lifecycle(), 64)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.connecting: list[Connection] = []
         self.clients: list[socket.socket] = []
         self.engine: socket.socket | None = None
         engine = Engine("a")
-        self.gateway.change_list(Change((engine,), {"a": Address("a", 1)}, True))
+        self.gateway.on_engine_list(Change((engine,), {"a": Address("a", 1)}, True))
 
-    def connect(self, address: Address, connection: Connection) -> Wire:
+    def connect(self, address: Address, connection: Connection) -> Stream:
         self.connecting.append(connection)
-        return Wire(self.driver, connection, 4096)
+        return Stream(self.driver, connection, 4096)
 
     def come_up(self) -> None:
         """The engine takes the connection that waits for it."""
@@ -54,9 +56,9 @@
         near, self.engine = socket.socketpair()
         near.setblocking(False)
         self.engine.setblocking(False)
-        connection.connected()
-        assert isinstance(connection.line, Wire)
-        connection.line.start(near)
+        connection.on_connected()
+        assert isinstance(connection.stream, Stream)
+        connection.stream.start(near)
 
     def client(self, *queries: str) -> socket.socket:
         """A client that writes its login and these queries at once, as `CLASS REF`."""
@@ -87,12 +89,12 @@
             return []
 
     async def close(self) -> None:
-        for place in list(self.engines.places.values()):
+        for place in list(self.engines.endpoints.values()):
             for connection in list(place.connections):
                 connection.close()
         for far in self.clients:
             far.close()
-        for wire in list(self.driver.wires):
+        for wire in list(self.driver.streams):
             wire.abort()
         await asyncio.gather(*self.driver.tasks, return_exceptions=True)
         self.listener.close()
@@ -142,7 +144,7 @@
         client = rig.client(f"{name} 1")
         await rig.until(lambda: rig.connecting)
         leaves(rig, client)
-        await rig.until(lambda: not rig.gateway.open)
+        await rig.until(lambda: not rig.gateway.open_count)
         rig.come_up()
         await rig.until(lambda: not rig.gateway.requests and not rig.gateway.scheduler.queries)
         assert rig.heard() == []
@@ -158,7 +160,7 @@
         client = rig.client("load 1", "load 2", "lookup 3")
         leaves(rig, client)
         await rig.until(lambda: rig.connecting or not rig.front.sessions)
-        await rig.until(lambda: not rig.gateway.open and not rig.front.sessions)
+        await rig.until(lambda: not rig.gateway.open_count and not rig.front.sessions)
         if rig.connecting:
             rig.come_up()
             await rig.until(lambda: not rig.gateway.requests and not rig.gateway.scheduler.queries)
@@ -188,6 +190,6 @@
         data = b""
         while not (data.endswith(EOF) and b"\x01a\x01b\x01c" in data):
             data += await rig.loop.sock_recv(other, 4096)
-        assert rig.gateway.open == 0
+        assert rig.gateway.open_count == 0
 
     played(story)
--- a/tests/frontend/test_slow_readers.py
+++ b/tests/frontend/test_slow_readers.py
@@ -51,13 +51,13 @@
         session.receive(part)
         most = max(most, held(session))
         taken = max(taken, len(session.take_output())) if number == 100 else taken
-        if session.closing:
+        if session.is_closing:
             break
         if number % 1000 == 0:
             world.wait(0)
     assert taken + most < MOST_OF_ONE
     world.wait(1500.0)
-    assert session.closing and not world.counters.counts["action_faults"]
+    assert session.is_closing and not world.counters.counts["action_faults"]
 
 
 def test_results_that_nobody_reads() -> None:
@@ -78,7 +78,7 @@
             world.run(f"{line.engine} send {ref.decode()} rows pos={page} {ROWS}")
         served += 1
         assert held(session) < MOST_OF_ONE / 2
-    assert served == 1 and len(session.commands) == 15 and not session.closing
+    assert served == 1 and len(session.commands) == 15 and not session.is_closing
     while session.take_output():  # once it reads, the next one is taken
         world.wait(0)
     assert len([1 for line in world.lines for words in line.heard if words[0] == b"GET"]) == 1
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -10,10 +10,10 @@
 from cottonhold.config.relay import decode
 from cottonhold.discovery.model import Address
 from cottonhold.message_validation import WireError
-from cottonhold.node.admin_api import CALL_MS, MOST_BODY, MOST_HEAD, Call, Calls
+from cottonhold.node.admin_api import CALL_MS, MOST_BODY, MOST_HEAD, AdminApi, AdminConnection
 from cottonhold.node.lifecycle import IDLE_MS, LEAVE_MS, LONG_MS, SETTLED_MS, TAKE_MS, Lifecycle, Phase
 from cottonhold.observe.counters import Counters
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 from tests.support.scenario import FakeLine, World
 from tests.test_simulator_adapter import PARAMS
 
@@ -114,17 +114,35 @@
 
 def test_one_that_leaves_does_not_come_back_and_stays_drained() -> None:
     lifecycle = Lifecycle()
-    assert lifecycle.drain(0.0) and not lifecycle.drain(50.0) and lifecycle.drained_at == 0.0
+    assert lifecycle.drain(0.0) and not lifecycle.drain(50.0) and lifecycle.draining_since == 0.0
     assert lifecycle.restore() and lifecycle.restore() and lifecycle.phase() is Phase.SERVING
-    lifecycle.leave(100.0, 25000.0)
-    assert lifecycle.ready() and lifecycle.takes(1e9, 0.0) and not lifecycle.ends_idle(100.0 + SETTLED_MS - 1)
-    assert lifecycle.takes(100.0 + LONG_MS - 1, 1e9) and not lifecycle.takes(100.0 + LONG_MS, 1e9)
-    assert lifecycle.takes(100.0 + LEAVE_MS, 3800.0) and not lifecycle.takes(100.0 + LEAVE_MS, 3801.0)
-    assert (lifecycle.killed_at, lifecycle.ends_at(), lifecycle.door_at()) == (3800.0, 3600.0, 900.0)
-    assert not lifecycle.restore() and lifecycle.phase() is Phase.LEAVING
+    lifecycle.begin_shutdown(100.0, 25000.0)
+    assert (
+        lifecycle.is_ready()
+        and lifecycle.accepts_query(1e9, 0.0)
+        and not lifecycle.closes_idle(100.0 + SETTLED_MS - 1)
+    )
+    assert lifecycle.accepts_query(100.0 + LONG_MS - 1, 1e9) and not lifecycle.accepts_query(
+        100.0 + LONG_MS, 1e9
+    )
+    assert lifecycle.accepts_query(100.0 + LEAVE_MS, 3800.0) and not lifecycle.accepts_query(
+        100.0 + LEAVE_MS, 3801.0
+    )
+    assert (lifecycle.kill_deadline, lifecycle.answer_deadline(), lifecycle.accept_deadline()) == (
+        3800.0,
+        3600.0,
+        900.0,
+    )
+    assert not lifecycle.restore() and lifecycle.phase() is Phase.SHUTTING_DOWN
     lifecycle.drain(200.0)
-    assert not lifecycle.ready() and lifecycle.ends_answered(200.0) and lifecycle.ends_idle(200.0 + IDLE_MS)
-    assert lifecycle.takes(200.0 + TAKE_MS - 1, 0.0) and not lifecycle.takes(200.0 + TAKE_MS, 0.0)
+    assert (
+        not lifecycle.is_ready()
+        and lifecycle.closes_answered(200.0)
+        and lifecycle.closes_idle(200.0 + IDLE_MS)
+    )
+    assert lifecycle.accepts_query(200.0 + TAKE_MS - 1, 0.0) and not lifecycle.accepts_query(
+        200.0 + TAKE_MS, 0.0
+    )
 
 
 SOURCE = {"listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": {"offset": 0}, "settings": PARAMS}
@@ -133,11 +151,11 @@
 class Caller(FakeLine):
     """An operator's end of a call."""
 
-    def __init__(self, call: Call) -> None:
-        self.call, call.line = call, self  # type: ignore[assignment]
+    def __init__(self, call: AdminConnection) -> None:
+        self.call, call.stream = call, self  # type: ignore[assignment]
 
     def abort(self) -> None:
-        self.call.closed()
+        self.call.on_closed()
 
     def status(self, data: bytes = b"", size: int = 4096) -> str:
         for at in range(0, len(data), size):
@@ -145,8 +163,8 @@
         return self.call.take_output().partition(b"\r\n")[0].decode().removeprefix("HTTP/1.1 ")
 
 
-def calls(world: World, most: int = 4) -> Calls:
-    return Calls(
+def calls(world: World, most: int = 4) -> AdminApi:
+    return AdminApi(
         world.lifecycle, world.clock, world.counters, lambda event, **_: world.log.append(event), most
     )
 
@@ -186,7 +204,7 @@
         pytest.skip("the same at greater length")
     caller = Caller(calls(World()).open())
     assert caller.status(text, size) == status
-    assert caller.call.closing is bool(status)
+    assert caller.call.is_closing is bool(status)
     assert not status or caller.status(b"more") == ""
 
 
@@ -211,12 +229,12 @@
     silent, half = Caller(shared.open()), Caller(shared.open())
     half.status(b"GET /health")
     quick = Caller(shared.open())
-    assert silent.call.over and not half.call.over  # the oldest made room
+    assert silent.call.is_closed and not half.call.is_closed  # the oldest made room
     assert quick.status(b"GET /healthcheck HTTP/1.1\r\n\r\n") == "200 OK"
     world.wait(CALL_MS)
     assert half.status() == "408 Request Timeout"
     Caller(shared.open())
-    assert len(shared.held) == 2 and half.call.over  # one that is answered makes room first
+    assert len(shared.connections) == 2 and half.call.is_closed  # one that is answered makes room first
 
 
 @pytest.mark.parametrize("held", ["unread", "unwritten"])
@@ -224,19 +242,19 @@
     """Danger: its bytes lay unread, or its answer waited for the next turn, and it was cut off."""
 
     async def scenario() -> bytes:
-        world, driver = World(), Driver(asyncio.get_running_loop(), Counters(), print)
+        world, driver = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
         shared = calls(world, most=1)
         listener = driver.listen(Address("127.0.0.1", 0))
-        accepting = driver.spawn(driver.answer_calls(listener, shared))
+        accepting = driver.spawn(driver.serve_admin_api(listener, shared))
         caller = socket.create_connection(listener.getsockname())
-        while len(shared.held) < 1:
+        while len(shared.connections) < 1:
             await asyncio.sleep(0)
-        first = next(iter(shared.held))
+        first = next(iter(shared.connections))
         caller.sendall(b"GET /healthcheck HTTP/1.1\r\n\r\n")
-        assert first.line is not None
+        assert first.stream is not None
         if held == "unwritten":
-            assert first.line.hear()
-        shared.open().closed()
+            assert first.stream.read_available()
+        shared.open().on_closed()
         caller.setblocking(False)
         got = await driver.loop.sock_recv(caller, 4096)
         accepting.cancel()
@@ -260,11 +278,11 @@
     """Danger: what waits in the queue of a listener that closes is reset, with its request written."""
 
     async def scenario() -> int:
-        world, driver = World(), Driver(asyncio.get_running_loop(), Counters(), print)
+        world, driver = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             clients = [socket.create_connection(listener.getsockname()) for _ in range(5)]
-            await driver.empty_queue(listener, world.front)
+            await driver.accept_queued(listener, world.front)
         taken = len(world.front.sessions)
         for client in clients:
             client.close()
--- a/tests/node/test_engine_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -40,7 +40,7 @@
     """Decided, and in the queue of a connection that is up; nothing of it is written."""
     ask(world, 1)
     world.gateway._step()
-    assert any(c.queue for p in world.engines.places.values() for c in p.connections)
+    assert any(c.queue for p in world.engines.endpoints.values() for c in p.connections)
     change()
 
 
@@ -63,14 +63,14 @@
     world.client("c1")
     if cross is after_the_step:  # a connection to each that is up
         for name in ("a", "b"):
-            world.engines.probe(name)
+            world.engines.check_health(name)
             world.met(name)
         world.wait(10)
     world.unmet.append("new")
 
     def change() -> None:
         left = [Engine(name, state=EngineState(state)) for name in ("a", "b")]
-        world.gateway.change_list(Change((*left, Engine("new")), {"new": Address("new", 1)}, whole=False))
+        world.gateway.on_engine_list(Change((*left, Engine("new")), {"new": Address("new", 1)}, whole=False))
 
     cross(world, change)
     world.wait(400)
@@ -86,7 +86,7 @@
     world.unmet.append("a")
     changes: list[tuple[Engine, ...]] = [(gone, new)] if together else [(gone,), (new,)]
     for engines in changes:
-        world.gateway.change_list(Change(engines, at, whole=False))
+        world.gateway.on_engine_list(Change(engines, at, whole=False))
     world.run(f"c2 query lookup r2\ne1 send r1 {SERVED}")
     lines = [line for line in world.lines if line.connection.engine == "fresh"]
     assert len(lines) == 1 and lines[0] is not world.lines[0]
@@ -97,7 +97,7 @@
 def test_a_drained_engine_that_is_ready_again_gets_work_again(started: float) -> None:
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining")
     world.run(f"c2 query lookup r2\ntime wait 300\ne1 expect nothing\ne1 send r1 {SERVED}")
-    world.gateway.change_list(Change((Engine("a", started_at=started),), {}, whole=False))
+    world.gateway.on_engine_list(Change((Engine("a", started_at=started),), {}, whole=False))
     world.wait(3000)
     assert any(words[1] == b"%016x" % 2 for line in world.lines for words in line.heard)
 
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -275,7 +275,7 @@
 )
 def test_a_spoilt_answer_is_seen_before_the_first_row_and_becomes_another_attempt(answer: str) -> None:
     world = World().run(f"c1 query lookup r1\ne1 expect GET *\ne1 send r1 {answer}\nc1 expect nothing")
-    assert world.lines[0].connection.over
+    assert world.lines[0].connection.is_closed
     world.run("e2 expect GET r1 *\ne2 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
 
 
@@ -283,31 +283,35 @@
     world = World(engines="a")
     world.run("e1 will mute\nc1 query lookup r1\ne1 expect GET *")
     told = list[Outcome]()
-    world.gateway.probed = lambda engine, outcome, report: told.append(outcome)  # type: ignore[method-assign]
-    world.engines.probe("a")
+    world.gateway.on_health_check_completed = lambda engine, outcome, report: told.append(outcome)  # type: ignore[method-assign]
+    world.engines.check_health("a")
     world.wait(240)
     world.run("e1 will up\ntime wait 20")
     assert told == [Outcome.OK] and len(world.lines) == 2
     world.run("e1 will mute\ntime wait 500")
-    assert world.lines[0].connection.over and not world.lines[1].connection.over
+    assert world.lines[0].connection.is_closed and not world.lines[1].connection.is_closed
 
 
 def test_ids_given_up_are_remembered_for_a_while_only() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     connection = world.lines[0].connection
-    connection.given_up = dict.fromkeys(b"%016x" % n for n in range(1000))
+    connection.abandoned_ids = dict.fromkeys(b"%016x" % n for n in range(1000))
     world.run("e1 send r7 served count=1 a|b|c/")
-    assert b"%016x" % 7 in connection.given_up  # another copy of its answer may follow
+    assert b"%016x" % 7 in connection.abandoned_ids  # another copy of its answer may follow
     world.wait(300)
-    assert list(connection.given_up) == [b"%016x" % n for n in range(1000 - MOST_GIVEN_UP, 1000)]
+    assert list(connection.abandoned_ids) == [b"%016x" % n for n in range(1000 - MOST_GIVEN_UP, 1000)]
 
 
 def test_engines_that_left_are_forgotten_with_their_connections() -> None:
     world = World(engines="a b c").run("c1 query load r1 allow=20000\ne1 expect GET *")
     world.run("list tell e1 gone\ntime wait 500")
-    assert len(world.engines.places) == 3
+    assert len(world.engines.endpoints) == 3
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows *\ntime wait 300")
-    assert len(world.engines.places) == 2 and world.lines[0].connection.over and world.engines.open == 0
+    assert (
+        len(world.engines.endpoints) == 2
+        and world.lines[0].connection.is_closed
+        and world.engines.open_connections == 0
+    )
 
 
 @pytest.mark.parametrize(
@@ -368,7 +372,7 @@
     client.take()
     client.send(data)
     client.take()
-    assert client.heard[-1].startswith(f"error {error} ") and client.session.closing
+    assert client.heard[-1].startswith(f"error {error} ") and client.session.is_closing
 
 
 HELLO = packet(1, LOGIN)
@@ -381,13 +385,13 @@
     world.wait(500)
     session.receive(data)
     world.wait(2400)
-    assert session.closing and b"\xff\x87\x04#08S01" in session.take_output()
+    assert session.is_closing and b"\xff\x87\x04#08S01" in session.take_output()
 
 
 def test_a_slow_request_and_a_short_pause_are_no_reason_to_close() -> None:
     world = World().run("c1 query load r1 allow=20000\ne1 expect GET *\ntime wait 9000\nc1 expect nothing")
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c\ntime wait 4500")
-    assert not world.clients["c1"].session.closing
+    assert not world.clients["c1"].session.is_closing
     world.run("time wait 1000\nc1 closing")
 
 
@@ -395,18 +399,18 @@
 def test_signs_of_life_keep_within_what_they_may_cost(price: float, least: int, most: int) -> None:
     """Found on the trial: 0.3 probes a request, nearly all of them signs of life."""
     world = World()
-    world.engines.links = dataclasses.replace(world.engines.links, probe_price=price)
+    world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=price)
     world.run("c1 query load r1 allow=20000\ne1 expect GET *\ntime wait 15000\nc1 expect nothing")
     assert least <= world.counters.counts["probes_sent"] <= most
 
 
 def test_the_connection_that_has_been_silent_longest_is_asked_first() -> None:
     world = World(engines="a b")
-    world.engines.links = dataclasses.replace(world.engines.links, probe_price=0.06)
-    world.engines.signs = 0.0
+    world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=0.06)
+    world.engines.liveness_budget = 0.0
     world.run("e1 will mute\nc1 query load r1 allow=20000\ne1 expect GET *\ntime wait 300")
     world.run("c2 query load r2 allow=20000\ne2 expect GET *\ntime wait 3000\nc1 expect nothing")
-    world.engines.signs = 1.0
+    world.engines.liveness_budget = 1.0
     world.run("time wait 1000\nc1 expect error 1105 *may have run*\nc2 expect nothing")
 
 
@@ -427,12 +431,12 @@
     world.wait(60)
     gone = []
     for _ in range(7):
-        world.front.most = len(world.front.sessions)
-        world.front.has_room()
-        gone += [n for n in world.clients if world.clients[n].session.over and n not in gone]
-        gone += ["silent"] * (all(c.session.over for c in silent) and "silent" not in gone)
+        world.front.max_sessions = len(world.front.sessions)
+        world.front.has_capacity()
+        gone += [n for n in world.clients if world.clients[n].session.is_closed and n not in gone]
+        gone += ["silent"] * (all(c.session.is_closed for c in silent) and "silent" not in gone)
     assert gone == ["silent", "c2", "c5", "c3"]  # c4 may still be writing, and c1 is owed an answer
-    assert world.front.cutting == 0
+    assert world.front.evicted_count == 0
 
 
 def test_results_longer_than_255_packets_wrap_their_numbers() -> None:
@@ -479,16 +483,16 @@
     session = world.clients["c1"].session
     for _ in range(8):
         session.receive(packet(0, b"\x03" + bytes(MOST_PACKET - 1)))
-    assert session.closing and not session.commands and len(session.buffer) <= 2 * MOST_PACKET
+    assert session.is_closing and not session.commands and len(session.buffer) <= 2 * MOST_PACKET
 
 
 def test_leaving_answers_what_is_open_then_closes() -> None:
     world = World().run("c1 query load r1 allow=20000\ne1 expect GET *\nc2 send 010000000e")
     world.run("ops leave")
     world.wait(LEAVE_MS + CHECK_MS)
-    assert [c.session.closing for c in world.clients.values()] == [False, True]
+    assert [c.session.is_closing for c in world.clients.values()] == [False, True]
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c\nc1 closing")
-    assert world.gateway.open == 0
+    assert world.gateway.open_count == 0
 
 
 def test_leaving_ends_every_request_before_the_kill_and_speeds_what_is_out() -> None:
@@ -502,14 +506,14 @@
     world.run("e1 expect GET r4 *ms=34??,*\ne1 send r4 served count=1 a|b|c/\nc4 expect rows a|b|c")
     world.run("time wait 3000\nc1 expect nothing\ntime wait 500")
     world.run("c1 expect error 1226 *\nc2 expect error 1105 *\nc3 expect error 1226 *")
-    assert world.gateway.open == 0
+    assert world.gateway.open_count == 0
 
 
 @pytest.mark.parametrize("idle_ms", [400.0, 1500.0, 2000.0, 15000.0])
 def test_a_connection_is_used_again_unless_its_engine_may_be_closing_it(idle_ms: float) -> None:
     """Danger: with a fixed margin of 2 s, and engines that close after less, each request had a new one."""
     world = World(engines="a")
-    world.engines.links = dataclasses.replace(world.engines.links, idle_ms=idle_ms)
+    world.engines.settings = dataclasses.replace(world.engines.settings, idle_timeout_ms=idle_ms)
     for ref in range(1, 4):
         world.run(f"c1 query lookup r{ref}\ne1 expect GET r{ref} *\ne1 send r{ref} served count=1 a|b|c/")
         world.run("c1 expect rows a|b|c")
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cottonhold.backend.connection_pool import Attempt
-from cottonhold.node.gateway import Past, Settled, Taken
+from cottonhold.node.gateway import ClientRequest, LoadOutcome, LoadOutcomeCallback
 from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import World
 
@@ -16,7 +16,7 @@
     """Says what the scenario tells it to, when it is told to."""
 
     def __init__(self) -> None:
-        self.asked: list[Settled] = []
+        self.asked: list[LoadOutcomeCallback] = []
         self.writing: list[Callable[[bool], None]] = []
         self.ends: list[str] = []
         self.over: list[str] = []
@@ -25,22 +25,24 @@
     def guards(self, query_class: int) -> bool:
         return query_class == 1
 
-    def came(self, taken: Taken, until: float, settled: Settled) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: LoadOutcomeCallback) -> None:
         if self.away:
-            settled(Past.LATER, 300.0)
-        elif taken.retry:
+            settled(LoadOutcome.UNKNOWN_YET, 300.0)
+        elif taken.is_retry:
             self.asked.append(settled)
         else:
-            settled(Past.NEVER, 0.0)
+            settled(LoadOutcome.NEVER_RAN, 0.0)
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         assert attempt.connection is None
         self.writing.append(kept)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         self.ends.append("never" if outcome is None else outcome.value)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         self.over.append(ref)
 
 
@@ -49,11 +51,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.gateway.loads = self.guard = Guard()
+        self.gateway.load_guard = self.guard = Guard()
 
     def past_is(self, who: str, rest: str) -> None:
         word, _, ms = rest.partition(" ")
-        self.guard.asked.pop(0)(Past(word), float(ms or 0))
+        self.guard.asked.pop(0)(LoadOutcome(word), float(ms or 0))
 
     def disk_goes(self, who: str, rest: str) -> None:
         self.guard.away = True
@@ -178,7 +180,9 @@
     world = Guarded()
     world.run(script)
     assert len(world.guard.over) == len(set(world.guard.over))
-    assert world.gateway.open == sum(r.client is not None for r in world.gateway.requests.values())
+    assert world.gateway.open_count == sum(
+        r.response_sink is not None for r in world.gateway.requests.values()
+    )
     assert not world.counters.counts.get("action_faults") and not world.counters.counts.get("step_faults")
 
 
@@ -186,12 +190,12 @@
 def test_what_was_told_as_never_sent_is_never_written(gone: str) -> None:
     """It waits for the driver's write as its connection ends."""
     world, ends = World(engines="a"), list[Outcome]()
-    world.gateway.attempt_ended = lambda attempt, event: ends.append(event.outcome)  # type: ignore[method-assign]
+    world.gateway.on_attempt_ended = lambda attempt, event: ends.append(event.outcome)  # type: ignore[method-assign]
     attempt = Attempt("r1", 0, "a", "load", b"insert", 1, world.clock.now(), world.clock.now() + 5000.0)
     assert world.engines.send(attempt)
     connection = attempt.connection
     assert connection is not None
-    connection.connected()
-    {"given up": connection.give_up, "closed": connection.close}.get(gone, connection.closed)()
+    connection.on_connected()
+    {"given up": connection.abandon, "closed": connection.close}.get(gone, connection.on_closed)()
     assert ends == [Outcome.CONNECT_FAILED]
     assert connection.take_output() == b""
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -91,7 +91,7 @@
 
 def test_the_settings_of_a_dispatcher_say_how_late_an_attempt_may_begin(tmp_path: Path) -> None:
     config = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
-    assert config.settings.max_connect_ms == config.links.connect_ms > 0
+    assert config.settings.max_connect_ms == config.connections.connect_timeout_ms > 0
 
 
 @pytest.mark.parametrize("before", [True, False])
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Attempt, Connection, Engines, Place
+from cottonhold.backend.connection_pool import Attempt, Connection, EngineConnections, EngineEndpoint
 from cottonhold.frontend.mysql_session import Session
-from cottonhold.node.gateway import Past, Settled, Taken
+from cottonhold.node.gateway import ClientRequest, LoadOutcome, LoadOutcomeCallback
 from cottonhold.scheduler.actions import Action, Reject, Send
 from cottonhold.scheduler.events import Event, Outcome
 from tests.frontend.test_client_departure import SITES, Turns, left_over
@@ -53,7 +53,7 @@
             self.run(f"{client} close")
         self.run("time wait 300")
         gateway, scheduler = self.gateway, self.gateway.scheduler
-        assert self.faults and gateway.open == 0 and not gateway.requests and not scheduler.queries
+        assert self.faults and gateway.open_count == 0 and not gateway.requests and not scheduler.queries
         assert not [q for e in scheduler.engines.values() for q in (*e.out.values(), *e.plan)]
 
 
@@ -161,28 +161,32 @@
         if self.fails == name:
             raise OSError("planted")
 
-    def came(self, taken: Taken, until: float, settled: Settled) -> None:
-        self.failing("came")
-        settled(Past.NEVER, 0.0)
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: LoadOutcomeCallback) -> None:
+        self.failing("on_load_arrived")
+        settled(LoadOutcome.NEVER_RAN, 0.0)
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
-        self.failing("sending")
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
+        self.failing("before_attempt_sent")
         kept(True)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
-        self.failing("ended")
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+        self.failing("on_attempt_ended")
 
-    def closed(self, ref: str) -> None:
-        self.failing("closed")
+    def on_request_closed(self, ref: str) -> None:
+        self.failing("on_request_closed")
 
 
-@pytest.mark.parametrize("fails", ["came", "sending", "ended", "closed"])
+@pytest.mark.parametrize(
+    "fails", ["on_load_arrived", "before_attempt_sent", "on_attempt_ended", "on_request_closed"]
+)
 @pytest.mark.parametrize("end", ["served", "overload", "reset", "left"])
 def test_a_fault_of_who_keeps_loads_costs_no_request_its_answer(fails: str, end: str) -> None:
     world = Turns(SITES["much allowed"])
-    world.gateway.loads = BrokenWatch(fails)
+    world.gateway.load_guard = BrokenWatch(fails)
     world.run("c1 query load r1 allow=1000,effort=20.0")
-    if fails in ("came", "sending"):
+    if fails in ("on_load_arrived", "before_attempt_sent"):
         world.run("c1 expect error 1105 *\nany nothing there")
     elif end == "served":
         world.run("e1 expect GET r1 *\ne1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
@@ -203,14 +207,14 @@
 ) -> None:
     world = Turns(SITES["little allowed"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
     world.run("list tell e1 draining\ne2 will mute\nc1 query load r1 allow=20000\ne2 expect GET r1 *")
-    look_at = Engines._look_at
+    look_at = EngineConnections._look_at
 
-    def broken(engines: Engines, place: Place, connection: Connection, now: float) -> bool:
+    def broken(engines: EngineConnections, place: EngineEndpoint, connection: Connection, now: float) -> bool:
         if connection is world.lines[0].connection:
             raise LookupError("planted")
         return look_at(engines, place, connection, now)
 
-    monkeypatch.setattr(Engines, "_look_at", broken)
+    monkeypatch.setattr(EngineConnections, "_look_at", broken)
     world.run("time wait 2100\nc1 expect error 1105 *may have run*")
     world.run("e1 send r2 served count=1 a|b|c/\nc2 expect rows a|b|c")
     assert world.counters.counts["check_faults"]
@@ -221,14 +225,14 @@
 ) -> None:
     world = Turns(SITES["little allowed"])
     world.client("c1"), world.client("c2")
-    check = Session.check
+    check = Session.check_timeouts
 
     def broken(session: Session, now: float) -> None:
         if session is world.clients["c1"].session:
             raise LookupError("planted")
         check(session, now)
 
-    monkeypatch.setattr(Session, "check", broken)
-    world.clients["c2"].session.used = True
+    monkeypatch.setattr(Session, "check_timeouts", broken)
+    world.clients["c2"].session.has_sent_command = True
     world.run("time wait 5300\nc2 closing")
-    assert world.clients["c1"].session.over and world.counters.counts["check_faults"]
+    assert world.clients["c1"].session.is_closed and world.counters.counts["check_faults"]
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -105,7 +105,7 @@
     few = dataclasses.replace(PERMITS, can_cancel=False)
     long = dataclasses.replace(SETTINGS, features=few, tick_ms=50.0)
     world = World(long).run("c1 query load r1 allow=2000,effort=20.0\ne1 expect GET r1 *\ntime wait 1425")
-    world.gateway.retune(dataclasses.replace(long, tick_ms=5.0))
+    world.gateway.apply_settings(dataclasses.replace(long, tick_ms=5.0))
     world.run("list tell e1 draining\nlist tell e2 draining\ne1 send r1 overload -\nc1 expect nothing")
     world.run("time wait 175\nc1 expect error 1226 *")
 
@@ -253,10 +253,22 @@
         lines, counters = Lines(), Counters()
         config = load({"RELAY_CONFIG": str(tmp_path / "config.json")}, counters)
         node = Dispatcher(config, counters, asyncio.get_running_loop(), lines)
-        before = node.gateway.settings, node.gateway.kinds, node.bus.host, node.engines.links, node.config
+        before = (
+            node.gateway.settings,
+            node.gateway.class_indexes,
+            node.event_stream.host,
+            node.engines.settings,
+            node.config,
+        )
         (tmp_path / "config.json").write_bytes(broken(change))
         node.reload()
-        after = node.gateway.settings, node.gateway.kinds, node.bus.host, node.engines.links, node.config
+        after = (
+            node.gateway.settings,
+            node.gateway.class_indexes,
+            node.event_stream.host,
+            node.engines.settings,
+            node.config,
+        )
         assert before == after and not node.gateway.events
         (line,) = lines.lines
         assert line.startswith("reload: the configuration stays as it is: ") and "\n" not in line
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -18,10 +18,10 @@
 from cottonhold.discovery.model import Address
 from cottonhold.node.dispatcher import STARTING_MS, Dispatcher
 from cottonhold.node.lifecycle import Lifecycle
-from cottonhold.node.sibling_processes import Record, Seats
+from cottonhold.node.sibling_processes import ProcessRecord, SiblingProcesses
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import Idempotency
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 from tests.node.test_settings_reload import Lines
 from tests.node.test_small_parts import CONFIG, write
 from tests.support.scenario import READ, SETTINGS, World, packet
@@ -67,7 +67,7 @@
     w.run("c91 query lookup r91 allow=20000")  # may not be taken any more
     w.wait(began + killed_in(deadline) - 100.0 - w.clock.now())
     assert [len(w.clients[name].heard) for name in clients] == [1] * len(clients)
-    assert all(client.session.closing for client in w.clients.values()) and w.gateway.open == 0
+    assert all(client.session.is_closing for client in w.clients.values()) and w.gateway.open_count == 0
 
 
 @pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT])
@@ -82,7 +82,7 @@
     w.wait(killed_in(deadline) - 150.0)
     heard = w.clients["c1"].heard
     assert len(heard) == 5 and all(answer.startswith(("error 1226", "error 1105")) for answer in heard)
-    assert w.clients["c1"].session.closing
+    assert w.clients["c1"].session.is_closing
 
 
 def test_a_hang_is_refused_only_where_a_repeat_does_no_harm() -> None:
@@ -97,27 +97,32 @@
 @pytest.mark.parametrize("deadline", DEADLINES)
 def test_the_times_of_the_end_follow_from_the_settings(deadline: float) -> None:
     lifecycle = Lifecycle()
-    lifecycle.leave(1000.0, deadline)
+    lifecycle.begin_shutdown(1000.0, deadline)
     killed = 1000.0 + killed_in(deadline)
-    assert lifecycle.killed_at == killed and lifecycle.ends_at() <= killed - 200.0
-    assert 1000.0 + 400.0 <= lifecycle.door_at() <= lifecycle.closes_at() < lifecycle.ends_at()
+    assert lifecycle.kill_deadline == killed and lifecycle.answer_deadline() <= killed - 200.0
+    assert (
+        1000.0 + 400.0
+        <= lifecycle.accept_deadline()
+        <= lifecycle.close_deadline()
+        < lifecycle.answer_deadline()
+    )
     # What comes by the rules can be taken, however late, if its client can wait no longer than a deadline.
-    assert lifecycle.takes(1000.0 + COMING_MS, 1000.0 + COMING_MS + min(deadline, 3000.0))
-    assert not lifecycle.takes(1000.0 + COMING_MS, killed + 1.0)
+    assert lifecycle.accepts_query(1000.0 + COMING_MS, 1000.0 + COMING_MS + min(deadline, 3000.0))
+    assert not lifecycle.accepts_query(1000.0 + COMING_MS, killed + 1.0)
 
 
 def test_a_second_order_or_other_settings_change_nothing() -> None:
     """Danger: a second SIGTERM, or a SIGHUP between two, must not put the end off beyond SIGKILL."""
     lifecycle = Lifecycle()
-    lifecycle.leave(1000.0, 400.0)
-    lifecycle.leave(1500.0, 5000.0)
-    assert (lifecycle.leaving_at, lifecycle.killed_at) == (1000.0, 2100.0)
+    lifecycle.begin_shutdown(1000.0, 400.0)
+    lifecycle.begin_shutdown(1500.0, 5000.0)
+    assert (lifecycle.shutdown_since, lifecycle.kill_deadline) == (1000.0, 2100.0)
 
 
 def test_a_drain_before_the_end_holds_on_through_it() -> None:
     w = world(400.0).run("ops drain\ntime wait 1600\nops terminate\nc1 query lookup r1 allow=400")
     w.run("c1 expect error 1226 *did not run*\nc1 closing\nc2 send 010000000e\nc2 expect error 1053 *drained")
-    assert not w.lifecycle.restore() and not w.lifecycle.ready()
+    assert not w.lifecycle.restore() and not w.lifecycle.is_ready()
 
 
 # --- signals ---
@@ -150,7 +155,7 @@
 
 def term(node: Dispatcher, folder: Path, deadline: float) -> None:
     """SIGTERM."""
-    node.end()
+    node.begin_shutdown()
 
 
 @pytest.mark.parametrize(
@@ -175,8 +180,8 @@
         node = dispatcher(tmp_path, monkeypatch, listen="127.0.0.1:1", **with_deadline(2000.0))
         for signal in signals:
             signal(node, tmp_path, 400.0)
-        assert node.lifecycle.killed_at - node.lifecycle.leaving_at == pytest.approx(deadline + 700.0)
-        assert node.stop.is_set()
+        assert node.lifecycle.kill_deadline - node.lifecycle.shutdown_since == pytest.approx(deadline + 700.0)
+        assert node.shutdown_requested.is_set()
 
     asyncio.run(scenario())
 
@@ -190,15 +195,15 @@
         with socket.create_server(("127.0.0.1", 0)) as spare:
             listen = "{}:{}".format(*spare.getsockname())
         node = dispatcher(tmp_path, monkeypatch, listen=listen, **with_deadline(100.0))
-        node.end()
+        node.begin_shutdown()
         run = asyncio.create_task(node.run())
-        while not node.serving:
+        while not node.is_serving:
             await asyncio.sleep(0)
         host, _, port = listen.partition(":")
         reader, _ = await asyncio.open_connection(host, int(port))
         assert b"cottonhold" in await reader.read(100)
         await run
-        assert await reader.read() == b"" and not node.front.owes()
+        assert await reader.read() == b"" and not node.sessions.has_unfinished()
 
     asyncio.run(scenario())
 
@@ -217,12 +222,12 @@
         return True
 
     parts = SimpleNamespace(
-        driver=SimpleNamespace(clock=w.clock),
+        event_loop=SimpleNamespace(clock=w.clock),
         lifecycle=w.lifecycle,
-        seats=SimpleNamespace(newer_starts=starts),
+        sibling_processes=SimpleNamespace(is_newer_starting=starts),
     )
-    asyncio.run(Dispatcher.stay_for_newer(cast(Dispatcher, parts)))
-    assert began + most <= w.clock.now() <= min(began + most + 10.0, w.lifecycle.ends_at())
+    asyncio.run(Dispatcher.wait_for_newer_process(cast(Dispatcher, parts)))
+    assert began + most <= w.clock.now() <= min(began + most + 10.0, w.lifecycle.answer_deadline())
 
 
 # --- two processes, and the folder between them ---
@@ -234,8 +239,8 @@
 ) -> None:
     """Danger: the start failed, or the round that looks for other processes ended for good."""
     log: list[str] = []
-    first = Seats(str(tmp_path), "here", log.append)
-    second = Seats(str(tmp_path), "here", log.append)
+    first = SiblingProcesses(str(tmp_path), "here", log.append)
+    second = SiblingProcesses(str(tmp_path), "here", log.append)
 
     def fails(*_: Any) -> int:
         raise OSError(code, os.strerror(code))
@@ -243,18 +248,22 @@
     with monkeypatch.context() as faulty:
         faulty.setattr(os, "pwrite", fails)
         for clients in range(3):
-            second.tell(Record(second.record.start, clients=clients, serving=True))
-        assert first.newer_starts() and len(log) == 1 and os.strerror(code) in log[0]
-        third = Seats(str(tmp_path), "here", log.append)
-    second.tell(Record(second.record.start, clients=7, serving=True))
-    assert [other.clients for other in first.others()][:1] == [7] and third.ids() != second.ids()
-
-
-@pytest.mark.parametrize(("call", "seen"), [("open", []), ("pread", [Record(0)])])
+            second.publish(
+                ProcessRecord(second.record.start_number, client_connections=clients, is_serving=True)
+            )
+        assert first.is_newer_starting() and len(log) == 1 and os.strerror(code) in log[0]
+        third = SiblingProcesses(str(tmp_path), "here", log.append)
+    second.publish(ProcessRecord(second.record.start_number, client_connections=7, is_serving=True))
+    assert [other.client_connections for other in first.others()][:1] == [
+        7
+    ] and third.connection_ids() != second.connection_ids()
+
+
+@pytest.mark.parametrize(("call", "seen"), [("open", []), ("pread", [ProcessRecord(0)])])
 def test_a_seat_that_can_not_be_read_for_a_while_costs_no_service(
-    call: str, seen: list[Record], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    call: str, seen: list[ProcessRecord], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    first, second = (Seats(str(tmp_path), "here", print) for _ in range(2))
+    first, second = (SiblingProcesses(str(tmp_path), "here", print) for _ in range(2))
 
     def fails(*_: Any) -> Any:
         raise OSError(errno.EIO, "broken")
@@ -270,7 +279,7 @@
     """Danger: what the system still holds back is lost with a reset."""
 
     async def scenario() -> None:
-        driver = Driver(asyncio.get_running_loop(), Counters(), print)
+        driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
         listener = driver.listen(Address("127.0.0.1", 0), shared)
         host, port = listener.getsockname()
         dialed = await driver.dial(Address(host, port), 1.0)
--- a/tests/node/test_sibling_process_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -13,7 +13,7 @@
 
 from cottonhold.config.relay import load
 from cottonhold.node.dispatcher import Dispatcher
-from cottonhold.node.sibling_processes import Record, Seats
+from cottonhold.node.sibling_processes import ProcessRecord, SiblingProcesses
 from cottonhold.observe.counters import Counters
 from tests.node.test_small_parts import write
 
@@ -60,12 +60,15 @@
             patched.setattr(f"cottonhold.node.sibling_processes.{call}", failing(error))
             dispatcher = Dispatcher(config, Counters(), asyncio.get_running_loop(), log)
             for _ in range(3):
-                dispatcher.look_beside()
-            assert dispatcher.beside == 0 and len([x for x in log.lines if "seat" in x]) <= 1
-        dispatcher.look_beside()
-        if dispatcher.seats.file >= 0:
-            assert Record.read(Path(dispatcher.seats._path(0)).read_bytes()) == dispatcher.seats.record
-            os.close(dispatcher.seats.file)
+                dispatcher.update_siblings()
+            assert dispatcher.sibling_count == 0 and len([x for x in log.lines if "seat" in x]) <= 1
+        dispatcher.update_siblings()
+        if dispatcher.sibling_processes.file >= 0:
+            assert (
+                ProcessRecord.decode(Path(dispatcher.sibling_processes._path(0)).read_bytes())
+                == dispatcher.sibling_processes.record
+            )
+            os.close(dispatcher.sibling_processes.file)
         assert descriptors() == inside
 
     asyncio.run(scenario())
@@ -78,15 +81,15 @@
     call: str, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     log = list[str]()
-    first, second = (Seats(str(tmp_path), "here", log.append) for _ in range(2))
+    first, second = (SiblingProcesses(str(tmp_path), "here", log.append) for _ in range(2))
     with monkeypatch.context() as patched:
         patched.setattr(f"cottonhold.node.sibling_processes.{call}", failing(error))
         for clients in range(3):
-            first.tell(Record(first.record.start, clients + 1))
+            first.publish(ProcessRecord(first.record.start_number, clients + 1))
             second.others()
-            first.newer_starts()
+            first.is_newer_starting()
         assert len(log) == (call == "os.pwrite")
-    first.tell(Record(first.record.start, 3))
+    first.publish(ProcessRecord(first.record.start_number, 3))
     assert second.others() == [first.record]
     os.close(first.file)
     os.close(second.file)
@@ -94,14 +97,14 @@
 
 def test_a_record_written_in_part_is_written_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     log = list[str]()
-    first, second = (Seats(str(tmp_path), "here", log.append) for _ in range(2))
+    first, second = (SiblingProcesses(str(tmp_path), "here", log.append) for _ in range(2))
     whole = os.pwrite
     with monkeypatch.context() as patched:
         patched.setattr(
             "cottonhold.node.sibling_processes.os.pwrite", lambda file, data, at: whole(file, data[:9], at)
         )
-        first.tell(Record(first.record.start, 3))
-    first.tell(Record(first.record.start, 3))
+        first.publish(ProcessRecord(first.record.start_number, 3))
+    first.publish(ProcessRecord(first.record.start_number, 3))
     assert second.others() == [first.record] and len(log) == 1
     os.close(first.file)
     os.close(second.file)
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -20,12 +20,12 @@
 from cottonhold.discovery.model import Address, Names, Observation, Report, Verdict
 from cottonhold.frontend.query_comment import parse, table_group
 from cottonhold.message_validation import WireError
-from cottonhold.node.peer_datagrams import Peers
+from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.log import BURST, Log
 from cottonhold.scheduler.actions import SendToPeer
 from cottonhold.scheduler.events import PeerMessage
-from cottonhold.transport.event_loop import Driver, Wire
+from cottonhold.transport.event_loop import EventLoop, Stream
 from tests.support.scenario import LOGIN, World, packet
 from tests.test_simulator_adapter import PARAMS
 
@@ -51,8 +51,8 @@
 def test_a_statement_is_passed_on_without_its_fields() -> None:
     text = b"/* service=load,ref=9B1f03aa5c7e2d41,allow=1500,dup=1,lookup=k */ SELECT /* x */ '\xff'"
     got = parse(text)
-    assert (got.body, got.ref) == (b"SELECT /* x */ '\xff'", "9B1f03aa5c7e2d41")
-    assert (got.key, got.retry) == ("k", True)
+    assert (got.body, got.request_id) == (b"SELECT /* x */ '\xff'", "9B1f03aa5c7e2d41")
+    assert (got.ordering_key, got.is_retry) == ("k", True)
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 100])
@@ -136,12 +136,17 @@
 
 
 def test_datagrams_are_known_by_their_sender_and_never_too_long() -> None:
-    peers = Peers((Address("127.0.0.1", 1), Address("127.0.0.2", 1)), Address("127.0.0.3", 1), Counters())
-    assert peers.receive(b"x", ("127.0.0.2", 1)) == PeerMessage(1, b"x")
-    assert peers.receive(b"x", ("127.0.0.9", 1)) is None
-    assert peers.target(SendToPeer(b"x", 1)) == Address("127.0.0.2", 1)
-    assert peers.target(SendToPeer(b"x")) == Address("127.0.0.3", 1)
-    assert peers.target(SendToPeer(bytes(257), 1)) is None and peers.target(SendToPeer(b"x", 2)) is None
+    peers = PeerDatagrams(
+        (Address("127.0.0.1", 1), Address("127.0.0.2", 1)), Address("127.0.0.3", 1), Counters()
+    )
+    assert peers.decode(b"x", ("127.0.0.2", 1)) == PeerMessage(1, b"x")
+    assert peers.decode(b"x", ("127.0.0.9", 1)) is None
+    assert peers.destination(SendToPeer(b"x", 1)) == Address("127.0.0.2", 1)
+    assert peers.destination(SendToPeer(b"x")) == Address("127.0.0.3", 1)
+    assert (
+        peers.destination(SendToPeer(bytes(257), 1)) is None
+        and peers.destination(SendToPeer(b"x", 2)) is None
+    )
 
 
 def test_a_storm_of_log_lines_is_cut_short(capsys: pytest.CaptureFixture[str]) -> None:
@@ -174,8 +179,8 @@
 
 def test_a_configuration_is_read_whole(tmp_path: Path) -> None:
     got = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
-    assert (got.offset, got.seed, got.known[0].whole) == (1, 0x8C1F30D27A5BE964, True)
-    assert got.settings.classes[0].name == "lookup" and got.known[0].observations[0].model == 1
+    assert (got.event_offset, got.seed, got.initial_reports[0].whole) == (1, 0x8C1F30D27A5BE964, True)
+    assert got.settings.classes[0].name == "lookup" and got.initial_reports[0].observations[0].model == 1
 
 
 @pytest.mark.parametrize(
@@ -192,7 +197,7 @@
 def test_connections_that_came_together_are_taken_in_one_turn() -> None:
     async def scenario() -> int:
         world, calls = World(), 0
-        driver = Driver(asyncio.get_running_loop(), Counters(), print)
+        driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
         listener = driver.listen(Address("127.0.0.1", 0))
         clients = [socket.create_connection(listener.getsockname()) for _ in range(5)]
         wait_for_one = driver._readable
@@ -207,7 +212,7 @@
         while len(world.front.sessions) < 5:
             await asyncio.sleep(0)
         accepting.cancel()
-        for wire in list(driver.wires):
+        for wire in list(driver.streams):
             wire.abort()
         await asyncio.gather(*driver.tasks, return_exceptions=True)
         for sock in [listener, *clients]:
@@ -224,7 +229,7 @@
 
     async def scenario() -> list[float]:
         world = World(sockets=64)
-        driver, pauses, sleep = Driver(asyncio.get_running_loop(), Counters(), print), [], asyncio.sleep
+        driver, pauses, sleep = EventLoop(asyncio.get_running_loop(), Counters(), print), [], asyncio.sleep
 
         async def counted(seconds: float) -> None:
             if seconds:
@@ -241,13 +246,13 @@
         while world.counters.counts["client_connections"] < 300:
             await counted(0)
         accepting.cancel()
-        for wire in list(driver.wires):
+        for wire in list(driver.streams):
             wire.abort()
         await asyncio.gather(*driver.tasks, return_exceptions=True)
         for sock in [listener, *clients]:
             sock.close()
         out = [n for name, n in world.counters.counts.items() if name.startswith("clients_pushed_out")]
-        assert sum(out) >= 300 - world.front.most
+        assert sum(out) >= 300 - world.front.max_sessions
         return pauses
 
     assert asyncio.run(scenario()).count(0.02) <= 5
@@ -256,12 +261,12 @@
 def test_what_a_client_sends_after_its_error_is_read_and_dropped() -> None:
     async def scenario() -> bytes:
         loop, world = asyncio.get_running_loop(), World()
-        driver = Driver(loop, Counters(), print)
+        driver = EventLoop(loop, Counters(), print)
         ours, client = socket.socketpair()
         for sock in (ours, client):
             sock.setblocking(False)
         session = world.front.open()
-        session.line = wire = Wire(driver, session, 4096)
+        session.stream = wire = Stream(driver, session, 4096)
         wire.start(ours)
         body = packet(1, LOGIN) + b"\xff\xff\xff\x00" + bytes(8 << 20)
         await loop.sock_sendall(client, body)
@@ -270,7 +275,7 @@
         while data := await loop.sock_recv(client, 4096):
             got += data
         await asyncio.gather(*driver.tasks, return_exceptions=True)
-        assert wire.dropped > 7 << 20 and len(session.buffer) < 8192 and session.over
+        assert wire.discarded_bytes > 7 << 20 and len(session.buffer) < 8192 and session.is_closed
         return got
 
     assert b"#08S01a packet of 16777215 bytes" in asyncio.run(scenario())
--- a/tests/node/test_start_faults.py
+++ b/tests/node/test_start_faults.py
@@ -37,7 +37,7 @@
     """Peers', operators' and clients' sockets, in this order; nobody is at the event bus."""
     monkeypatch.delenv("TMPDIR", raising=False)
     usual = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
-    return dataclasses.replace(usual, listen=FREE, ops=FREE, peer_listen=FREE)
+    return dataclasses.replace(usual, listen=FREE, admin_listen=FREE, peer_listen=FREE)
 
 
 @pytest.mark.parametrize("error", LACKING)
@@ -51,12 +51,12 @@
         faults.plan(call, *[OK] * place, error, error)
         running = asyncio.create_task(dispatcher.run())
         async with asyncio.timeout(HANG_S):
-            while not dispatcher.serving and not running.done():
+            while not dispatcher.is_serving and not running.done():
                 await asyncio.sleep(0)
         assert not running.done() and dispatcher.counters.counts["sockets_lacking"] == 2
-        for task in [running, *dispatcher.driver.tasks]:
+        for task in [running, *dispatcher.event_loop.tasks]:
             task.cancel()
-        await asyncio.gather(running, *dispatcher.driver.tasks, return_exceptions=True)
+        await asyncio.gather(running, *dispatcher.event_loop.tasks, return_exceptions=True)
         assert len(faults.open) == 3
 
     uvloop.run(scenario())
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -15,83 +15,95 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.engine import StandInEngine
-from cottonhold.frontend.mysql_session import Front
-from cottonhold.node.descriptors import LEAST, OTHERS_BASE, Descriptors
-from cottonhold.node.sibling_processes import Ids, Record, Seats
+from cottonhold.frontend.mysql_session import ClientSessions
+from cottonhold.node.descriptors import LEAST, OTHERS_BASE, DescriptorQuotas
+from cottonhold.node.sibling_processes import ConnectionIdRange, ProcessRecord, SiblingProcesses
 from cottonhold.observe.counters import Counters
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 from tests.node.test_small_parts import ENTRY, PROGRAM, write
 from tests.support.scenario import LOGIN, World, packet
 
 
-def seats(folder: Path | str | None, log: list[str] | None = None) -> Seats:
-    return Seats(None if folder is None else str(folder), "here", (log if log is not None else []).append)
+def seats(folder: Path | str | None, log: list[str] | None = None) -> SiblingProcesses:
+    return SiblingProcesses(
+        None if folder is None else str(folder), "here", (log if log is not None else []).append
+    )
 
 
-def span(ids: Ids) -> set[int]:
-    return {ids.base + 1, ids.base + ids.span}
+def span(ids: ConnectionIdRange) -> set[int]:
+    return {ids.base + 1, ids.base + ids.count}
 
 
 def test_two_processes_see_each_other_and_a_dead_one_leaves_a_free_seat(tmp_path: Path) -> None:
     first = seats(tmp_path)
-    assert first.others() == [] and not first.newer_starts()
+    assert first.others() == [] and not first.is_newer_starting()
     second = seats(tmp_path)
-    assert first.newer_starts() and not second.newer_starts()
-    second.tell(Record(second.record.start, clients=5, engines=3, serving=True))
+    assert first.is_newer_starting() and not second.is_newer_starting()
+    second.publish(
+        ProcessRecord(second.record.start_number, client_connections=5, engine_connections=3, is_serving=True)
+    )
     assert first.others() == [second.record] and second.others() == [first.record]
-    assert not first.newer_starts()
+    assert not first.is_newer_starting()
     os.close(first.file)  # as its process ends
     assert second.others() == []
     third = seats(tmp_path)
-    assert third.number == first.number and third.record.start > second.record.start
+    assert third.slot == first.slot and third.record.start_number > second.record.start_number
 
 
-@pytest.mark.parametrize("left", [b"", b"CHS1", b"x" * 4096, Record(7).pack()])
+@pytest.mark.parametrize("left", [b"", b"CHS1", b"x" * 4096, ProcessRecord(7).encode()])
 def test_a_stale_file_is_a_free_seat_and_its_number_is_not_used_again(tmp_path: Path, left: bytes) -> None:
     (tmp_path / "cottonhold-here.seat0").write_bytes(left)
     taken = seats(tmp_path)
-    assert (taken.number, taken.record.start) == (0, 8 if len(left) == 17 else 1)
+    assert (taken.slot, taken.record.start_number) == (0, 8 if len(left) == 17 else 1)
 
 
 def test_without_a_folder_that_can_be_written_the_process_serves_and_says_so(tmp_path: Path) -> None:
     log: list[str] = []
     for none in (seats(None, log), seats(tmp_path / "absent", log)):
-        none.tell(Record(1, 2, 3))
-        assert none.others() == [] and none.ids().base >> 32 == 0 and none.ids().span >= 1023
+        none.publish(ProcessRecord(1, 2, 3))
+        assert (
+            none.others() == []
+            and none.connection_ids().base >> 32 == 0
+            and none.connection_ids().count >= 1023
+        )
     assert len(log) == 1 and "no seat in $TMPDIR" in log[0]
     full = [seats(tmp_path, log) for _ in range(5)]
-    assert [s.number for s in full] == [0, 1, 2, 3, -1] and "all 4 seats are held" in log[1]
+    assert [s.slot for s in full] == [0, 1, 2, 3, -1] and "all 4 seats are held" in log[1]
 
 
 def test_ids_of_two_processes_differ() -> None:
     """Danger: a KILL QUERY that came to the other process hit another client's query there."""
-    given = [Ids.of_seat(start, seat) for start in (0, 1, 1023) for seat in range(4)]
+    given = [ConnectionIdRange.for_slot(start, seat) for start in (0, 1, 1023) for seat in range(4)]
     assert sorted(b for ids in given for b in span(ids)) == [b for ids in given for b in sorted(span(ids))]
     assert len(set.union(*map(span, given))) == 24
-    assert span(Ids.of_process(4194303, 4194304)).isdisjoint(span(Ids.of_process(4194302, 4194304)))
-    assert max(span(Ids.of_process(4194303, 4194304)) | span(given[-1])) < 1 << 32
+    assert span(ConnectionIdRange.for_process(4194303, 4194304)).isdisjoint(
+        span(ConnectionIdRange.for_process(4194302, 4194304))
+    )
+    assert max(span(ConnectionIdRange.for_process(4194303, 4194304)) | span(given[-1])) < 1 << 32
 
 
 def test_a_kill_that_comes_to_the_wrong_process_hits_nobody(tmp_path: Path) -> None:
     worlds = [World(), World()]
     for world in worlds:
-        world.front.ids = seats(tmp_path).ids()
-        world.front.last_id = world.front.ids.base
+        world.front.connection_ids = seats(tmp_path).connection_ids()
+        world.front.last_id = world.front.connection_ids.base
         world.run("c1 query load r1 allow=20000\ne1 expect GET r1 *")
-    other = worlds[1].clients["c1"].session.number
+    other = worlds[1].clients["c1"].session.connection_id
     worlds[0].run(f"c2 say KILL QUERY {other}\nc2 expect error 1094 *")
     assert all(w.clients["c1"].session.request is not None for w in worlds)
 
 
 def test_ids_in_use_are_passed_over_when_they_come_round() -> None:
     world = World()
-    front = Front(world.gateway, world.clock, world.counters, world.lifecycle, 99, Ids(1 << 20, 3))
+    front = ClientSessions(
+        world.gateway, world.clock, world.counters, world.lifecycle, 99, ConnectionIdRange(1 << 20, 3)
+    )
     held = front.open()
-    numbers = [held.number]
+    numbers = [held.connection_id]
     for _ in range(4):
         session = front.open()
-        numbers.append(session.number)
-        session.closed()
+        numbers.append(session.connection_id)
+        session.on_closed()
     assert numbers == [(1 << 20) + n for n in (1, 2, 3, 2, 3)]
 
 
@@ -99,16 +111,16 @@
     ("others", "left"),
     [
         ([], (122, 84)),
-        ([Record(1, 40, 10)], (122 - 40 - OTHERS_BASE, 74)),
-        ([Record(1, 400, 400)], (LEAST, LEAST)),
+        ([ProcessRecord(1, 40, 10)], (122 - 40 - OTHERS_BASE, 74)),
+        ([ProcessRecord(1, 400, 400)], (LEAST, LEAST)),
     ],
 )
-def test_two_processes_keep_within_one_limit(others: list[Record], left: tuple[int, int]) -> None:
-    parts = Descriptors.divide(256)
-    beside = parts.beside(others)
+def test_two_processes_keep_within_one_limit(others: list[ProcessRecord], left: tuple[int, int]) -> None:
+    parts = DescriptorQuotas.divide(256)
+    beside = parts.remaining_beside(others)
     assert (beside.clients, beside.engines) == left
     for limit in (128, 256, 512, 1024):
-        parts = Descriptors.divide(limit)
+        parts = DescriptorQuotas.divide(limit)
         assert parts.clients + parts.engines + parts.calls + OTHERS_BASE < limit
         assert parts.clients > limit / 3
 
@@ -117,7 +129,7 @@
     """Danger: SO_REUSEPORT alone divides them, and what waits at the one that closes is reset."""
 
     async def scenario() -> list[int]:
-        drivers = [Driver(asyncio.get_running_loop(), Counters(), print) for _ in range(2)]
+        drivers = [EventLoop(asyncio.get_running_loop(), Counters(), print) for _ in range(2)]
         with socket.create_server(("127.0.0.1", 0)) as spare:
             at = Address("127.0.0.1", spare.getsockname()[1])
         older, newer = [driver.listen(at, shared=True) for driver in drivers]
@@ -298,14 +310,14 @@
     async def scenario() -> None:
         async with site(tmp_path, work_ms=1.0) as here:
             old = await here.start()
-            newer = Seats(str(tmp_path), here.listen, print)  # starts, and does not serve yet
+            newer = SiblingProcesses(str(tmp_path), here.listen, print)  # starts, and does not serve yet
             old.send_signal(signal.SIGTERM)
             assert old.stderr is not None
             while b"leaving" not in await old.stderr.readline():
                 pass
             await asyncio.sleep(1.2)  # beyond the time for which one alone keeps its door open
             assert (await query_ping(here.listen)).endswith(b"\x00\x00\x00\x02\x00\x00\x00")
-            newer.tell(Record(newer.record.start, serving=True))
+            newer.publish(ProcessRecord(newer.record.start_number, is_serving=True))
             _, errors = await old.communicate()
             assert b"closed_door" in errors and old.returncode == 0
 
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Engines, Place
+from cottonhold.backend.connection_pool import EngineConnections, EngineEndpoint
 from cottonhold.discovery.model import Address
 from cottonhold.scheduler import capacity
 from cottonhold.scheduler.actions import Send
@@ -35,13 +35,13 @@
     for number in (1, 2, 3):
         world.run(f"c{number} query lookup r{number}")
     looks: list[str] = []
-    real = Engines._left
+    real = EngineConnections._left
 
-    def left(self: Engines, place: Place) -> None:
-        looks.append(place.info.id)
+    def left(self: EngineConnections, place: EngineEndpoint) -> None:
+        looks.append(place.engine.id)
         real(self, place)
 
-    monkeypatch.setattr(Engines, "_left", left)
+    monkeypatch.setattr(EngineConnections, "_left", left)
     world.wait(5000)
     return len(looks)
 
@@ -61,7 +61,7 @@
     world.wait(1 if answered else 2000)
     world.change(["a"], "live")
     world.wait(1000)
-    assert world.engines.places["a"].address == Address("a", 1)
+    assert world.engines.endpoints["a"].address == Address("a", 1)
     world.run("c2 query lookup r2")
     assert any(words[1] == b"%016x" % 2 for line in world.lines for words in line.heard)
 
--- a/tests/scheduler/test_retry_matrix.py
+++ b/tests/scheduler/test_retry_matrix.py
@@ -43,7 +43,7 @@
 
 def told(world: World, name: str, zone: int, cell: int, state: str = "live") -> None:
     entry = Engine(name, zone=zone, cell=cell, state=EngineState(state))
-    world.gateway.change_list(Change((entry,), {name: Address(name, 1)}, False))
+    world.gateway.on_engine_list(Change((entry,), {name: Address(name, 1)}, False))
     world.wait(0)
 
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -16,7 +16,7 @@
 from cottonhold.discovery.model import Address, Change
 from cottonhold.scheduler.events import Engine as ListedEngine
 from cottonhold.scheduler.settings import Settings
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 from tests.support.faulty_sockets import Faults
 from tests.support.scenario import LOGIN, SETTINGS, World, packet
 
@@ -117,14 +117,14 @@
         self.world = World(settings, engines="", sockets=sockets)
         self.counts, self.log = self.world.counters.counts, self.world.log
         self.faults = Faults()
-        self.driver = Driver(
+        self.driver = EventLoop(
             asyncio.get_running_loop(), self.world.counters, self.log.append, self.faults.make
         )
         self.world.engines.connect = self.driver.connect
         self.engines = [Engine() for _ in range(engines)]
         addresses = {f"e{n}": Address(*e.sock.getsockname()) for n, e in enumerate(self.engines)}
         infos = tuple(ListedEngine(name) for name in addresses)
-        self.world.gateway.change_list(Change(infos, addresses, True))
+        self.world.gateway.on_engine_list(Change(infos, addresses, True))
         self.listener = self.driver.listen(Address("127.0.0.1", 0))
         self.address = self.listener.getsockname()
         self.accepting = self.driver.spawn(self.driver.accept(self.listener, self.world.front))
@@ -163,10 +163,10 @@
     async def close(self) -> None:
         """End all; whatever is still open then has leaked."""
         self.accepting.cancel()
-        for place in list(self.world.engines.places.values()):
+        for place in list(self.world.engines.endpoints.values()):
             for connection in list(place.connections):
                 connection.close()
-        for wire in list(self.driver.wires):
+        for wire in list(self.driver.streams):
             wire.abort()
         await asyncio.gather(*self.driver.tasks, return_exceptions=True)
         self.listener.close()
@@ -174,7 +174,11 @@
             peer.sock.close()
         for engine in self.engines:
             engine.close()
-        assert not self.faults.open and not self.world.front.sessions and self.world.engines.open == 0
+        assert (
+            not self.faults.open
+            and not self.world.front.sessions
+            and self.world.engines.open_connections == 0
+        )
 
 
 def play(story: Callable[[Rig], Coroutine[Any, Any, None]], **how: Any) -> None:
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -14,12 +14,12 @@
 from dataclasses import replace
 from fnmatch import fnmatchcase
 
-from cottonhold.backend.connection_pool import Connection, Engines
+from cottonhold.backend.connection_pool import Connection, EngineConnections
 from cottonhold.backend.resp import RespReader, encode
-from cottonhold.config.relay import Links
+from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, Change
-from cottonhold.frontend.mysql_session import Front, Session
-from cottonhold.node.descriptors import Descriptors
+from cottonhold.frontend.mysql_session import ClientSessions, Session
+from cottonhold.node.descriptors import DescriptorQuotas
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
@@ -86,20 +86,20 @@
         self.connection, self.engine, self.reader = connection, engine, RespReader()
         self.heard: list[list[bytes]] = []
 
-    def hear(self) -> bool:
+    def read_available(self) -> bool:
         return False
 
-    def finish(self) -> None:
+    def close_gracefully(self) -> None:
         pass
 
     def flush(self) -> None:
         pass
 
-    def hurry(self) -> None:
+    def write_now(self) -> None:
         pass
 
     def abort(self) -> None:
-        self.connection.closed()
+        self.connection.on_closed()
 
 
 class Client:
@@ -110,22 +110,22 @@
         self.sequence, self.starts = 0, deque([0])  # each packet sent starts one answer, numbered on from it
         self.rows: list[str] | None = None
         self.definitions = 0
-        session.line = self
+        session.stream = self
 
     def flush(self) -> None:
         """The driver's side: what is to be written is asked for when the scenario settles."""
 
-    def hear(self) -> bool:
+    def read_available(self) -> bool:
         return False
 
-    def finish(self) -> None:
+    def close_gracefully(self) -> None:
         pass
 
-    def busy(self) -> bool:
+    def is_writing(self) -> bool:
         return False
 
     def abort(self) -> None:
-        self.session.closed()
+        self.session.on_closed()
 
     def send(self, data: bytes) -> None:
         at = 0
@@ -172,12 +172,12 @@
 
     def __init__(self, settings: Settings = SETTINGS, engines: str = "a b", sockets: int = 256) -> None:
         self.clock, self.counters, self.log = FakeClock(), Counters(), list[str]()
-        links = Links(idle_ms=15000.0, connect_ms=250.0, streams=32)
-        self.lifecycle, parts = Lifecycle(), Descriptors.divide(sockets)
-        self.engines = Engines(links, self.clock, self.counters, self.log.append, parts.engines)
+        links = ConnectionSettings(idle_timeout_ms=15000.0, connect_timeout_ms=250.0, max_streams=32)
+        self.lifecycle, parts = Lifecycle(), DescriptorQuotas.divide(sockets)
+        self.engines = EngineConnections(links, self.clock, self.counters, self.log.append, parts.engines)
         self.engines.connect = self.connect
         self.gateway = Gateway(settings, 1, self.clock, self.engines, self.counters, self.log.append)
-        self.front = Front(self.gateway, self.clock, self.counters, self.lifecycle, parts.clients)
+        self.front = ClientSessions(self.gateway, self.clock, self.counters, self.lifecycle, parts.clients)
         self.lines: list[FakeLine] = []
         self.behaviour: dict[str, str] = {}
         self.clients: dict[str, Client] = {}
@@ -195,23 +195,23 @@
     def connect(self, address: Address, connection: Connection) -> FakeLine:
         line = FakeLine(connection, self.met(address.host))
         self.lines.append(line)
-        self.clock.call_in(250.0, lambda: None if connection.up else connection.closed())
+        self.clock.call_in(250.0, lambda: None if connection.is_up else connection.on_closed())
         return line
 
     def change(self, names: list[str], state: str, whole: bool = False) -> None:
         infos = tuple(Engine(name, state=EngineState(state)) for name in names)
-        self.gateway.change_list(Change(infos, {name: Address(name, 1) for name in names}, whole))
+        self.gateway.on_engine_list(Change(infos, {name: Address(name, 1) for name in names}, whole))
 
     def settle(self) -> None:
         for line in self.lines:
             connection = line.connection
             how = self.behaviour.get(line.engine, "up")
-            if not connection.up and not connection.over:
+            if not connection.is_up and not connection.is_closed:
                 if how in ("up", "mute"):
-                    connection.connected()
+                    connection.on_connected()
                 elif how == "refuse":
-                    connection.closed()
-            if connection.up and not connection.over and (data := connection.take_output()):
+                    connection.on_closed()
+            if connection.is_up and not connection.is_closed and (data := connection.take_output()):
                 for words in line.reader.feed(data):
                     if words[0] != b"LOAD":
                         line.heard.append(words)
@@ -279,10 +279,10 @@
         assert not heard or fnmatchcase(heard[0], rest), f"heard {heard}"
 
     def client_close(self, who: str, rest: str) -> None:
-        self.client(who).session.closed()
+        self.client(who).session.on_closed()
 
     def client_closing(self, who: str, rest: str) -> None:
-        assert self.client(who).session.closing
+        assert self.client(who).session.is_closing
 
     def e_expect(self, who: str, rest: str) -> None:
         heard = self.line(who).heard if rest != "nothing" or any(x.engine == who for x in self.lines) else []
@@ -310,7 +310,7 @@
         self.line(who).connection.receive(rest.encode() + b"\r\n")
 
     def e_close(self, who: str, rest: str) -> None:
-        self.line(who).connection.closed()
+        self.line(who).connection.on_closed()
 
     def e_will(self, who: str, rest: str) -> None:
         """up, refuse or vanish: what comes of connects from now on; mute: up, but no answer to probes."""
@@ -333,18 +333,20 @@
             name, _, effect = text.partition(":")
             cls = known.get(name, replace(READ, name=name))
             classes.append(replace(cls, idempotency=Idempotency(effect)) if effect else cls)
-        self.gateway.retune(replace(SETTINGS, classes=tuple(classes), features=permits))
+        self.gateway.apply_settings(replace(SETTINGS, classes=tuple(classes), features=permits))
 
     def ops_drain(self, who: str, rest: str) -> None:
         self.lifecycle.drain(self.clock.now())
 
     def ops_leave(self, who: str, rest: str) -> None:
-        self.lifecycle.leave(self.clock.now(), max(cls.deadline_ms for cls in self.gateway.settings.classes))
+        self.lifecycle.begin_shutdown(
+            self.clock.now(), max(cls.deadline_ms for cls in self.gateway.settings.classes)
+        )
 
     def ops_terminate(self, who: str, rest: str) -> None:
         """As a dispatcher does on SIGTERM: the gateway is told by when all has to have its answer."""
         self.ops_leave(who, rest)
-        self.gateway.leave(self.lifecycle.ends_at())
+        self.gateway.begin_shutdown(self.lifecycle.answer_deadline())
 
     def ops_restore(self, who: str, rest: str) -> None:
         assert self.lifecycle.restore()
--- a/tests/transport/test_accept_faults.py
+++ b/tests/transport/test_accept_faults.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from cottonhold.transport.socket_factory import OF_ONE_CONNECTION
+from cottonhold.transport.socket_factory import CONNECTION_ERRORS
 from tests.support.faulty_sockets import ACCEPTED, OK
 from tests.support.loopback import GREETED, Rig, play
 
 LACKING = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-@pytest.mark.parametrize("error", [*LACKING, *sorted(OF_ONE_CONNECTION), errno.EINVAL])
+@pytest.mark.parametrize("error", [*LACKING, *sorted(CONNECTION_ERRORS), errno.EINVAL])
 def test_a_client_is_served_once_accept_works_again(error: int) -> None:
     async def story(rig: Rig) -> None:
         rig.faults.plan("accept", *[error] * 3)
@@ -25,7 +25,7 @@
     play(story)
 
 
-@pytest.mark.parametrize("error", [*LACKING, *sorted(OF_ONE_CONNECTION - {errno.EINTR})])
+@pytest.mark.parametrize("error", [*LACKING, *sorted(CONNECTION_ERRORS - {errno.EINTR})])
 def test_accept_that_goes_on_failing_does_not_spin(error: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Counted by pauses, not by time: at most 64 calls for each pause of the task. (EINTR does not last.)"""
     sleep, pauses = asyncio.sleep, list[float]()
@@ -41,7 +41,7 @@
         while len([p for p in pauses if p >= 0.02]) < 10:
             rig.world.wait(0)
             await sleep(0)
-        assert rig.faults.calls["accept"] <= 10 * (64 if error in OF_ONE_CONNECTION else 1) + 2
+        assert rig.faults.calls["accept"] <= 10 * (64 if error in CONNECTION_ERRORS else 1) + 2
         assert len(rig.log) <= 2
         rig.faults.heal("accept")
         while client.answers() != GREETED:
@@ -51,7 +51,7 @@
     play(story)
 
 
-@pytest.mark.parametrize("error", sorted(OF_ONE_CONNECTION))
+@pytest.mark.parametrize("error", sorted(CONNECTION_ERRORS))
 def test_connections_that_broke_in_the_queue_hold_nobody_up(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -100,7 +100,7 @@
     play(story)
 
 
-@pytest.mark.parametrize("error", [*LACKING, *sorted(OF_ONE_CONNECTION)])
+@pytest.mark.parametrize("error", [*LACKING, *sorted(CONNECTION_ERRORS)])
 def test_the_queue_is_emptied_before_the_listener_closes_though_accept_fails(error: int) -> None:
     """Danger: what was still in the queue was reset, with its requests written."""
 
@@ -109,7 +109,7 @@
         await asyncio.gather(rig.accepting, return_exceptions=True)
         clients = [rig.client() for _ in range(3)]
         rig.faults.plan("accept", error, OK, error)
-        await rig.driver.empty_queue(rig.listener, rig.world.front)
+        await rig.driver.accept_queued(rig.listener, rig.world.front)
         rig.listener.close()
         await rig.until(lambda: all(client.answers() == GREETED for client in clients))
 
@@ -122,7 +122,7 @@
         await asyncio.gather(rig.accepting, return_exceptions=True)
         rig.client()
         rig.faults.always("accept", errno.EMFILE)
-        await rig.driver.empty_queue(rig.listener, rig.world.front)
+        await rig.driver.accept_queued(rig.listener, rig.world.front)
         assert 1 < rig.faults.calls["accept"] < 100
 
     play(story)
--- a/tests/transport/test_connect_faults.py
+++ b/tests/transport/test_connect_faults.py
@@ -117,7 +117,7 @@
 def test_engines_are_not_blamed_where_all_places_for_connections_are_taken() -> None:
     """Danger: each was taken for dead in turn, and peers were told so."""
     world = World()
-    world.engines.most, world.engines.links = 1, replace(world.engines.links, streams=1)
+    world.engines.max_connections, world.engines.settings = 1, replace(world.engines.settings, max_streams=1)
     world.run("c1 query lookup r1\ne1 expect GET r1 *\nc2 query lookup r2\nany nothing\ntime wait 100")
     assert world.counters.counts["engine_connections_lacking"]
     assert not [e.id for e in world.gateway.scheduler.engines.values() if e.suspect], world.log
--- a/tests/transport/test_connection_close.py
+++ b/tests/transport/test_connection_close.py
@@ -16,7 +16,7 @@
 from cottonhold.node.dispatcher import Dispatcher
 from cottonhold.node.lifecycle import SETTLED_MS
 from cottonhold.observe.counters import Counters
-from cottonhold.transport.event_loop import Driver
+from cottonhold.transport.event_loop import EventLoop
 from tests.support.scenario import LOGIN, World, packet
 
 PING, QUIT = packet(0, b"\x0e"), packet(0, b"\x01")
@@ -80,7 +80,7 @@
 
     def __init__(self) -> None:
         self.world = World(engines="a")
-        self.driver = Driver(asyncio.get_running_loop(), Counters(), print)
+        self.driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
         self.clients: list[Client] = []
         self.passed = 0  # turns of the loop
 
@@ -154,12 +154,12 @@
 
 def ended(here: Here) -> None:
     here.world.run("ops terminate")
-    here.world.clock.at = here.world.lifecycle.closes_at()
+    here.world.clock.at = here.world.lifecycle.close_deadline()
 
 
 def crowded(here: Here) -> None:
     here.world.clock.at += IDLE_MS - 1
-    here.world.front.most = 1
+    here.world.front.max_sessions = 1
 
 
 # When a connection without an open request is to be closed.
@@ -167,8 +167,8 @@
 
 
 def close_spare(here: Here) -> None:
-    here.world.front.close_spare()
-    here.world.front.has_room()
+    here.world.front.check_timeouts()
+    here.world.front.has_capacity()
 
 
 @pytest.mark.parametrize("turns", range(4))
@@ -188,7 +188,7 @@
         while client.got.count(ROWS) < 2 and REFUSED not in client.got:
             assert not client.read() or client.got.count(ROWS) == 2 or REFUSED in client.got
             await here.turn()
-            if here.world.gateway.open and any(line.heard for line in here.world.lines):
+            if here.world.gateway.open_count and any(line.heard for line in here.world.lines):
                 here.answer(1)
 
     played(story)
@@ -204,7 +204,7 @@
         close_spare(here)  # not one turn of the loop lies between the close and the request
         client.write(query(1))
         await here.turns()
-        assert client.read() and here.taken() == 0 and client.session.closing
+        assert client.read() and here.taken() == 0 and client.session.is_closing
 
     played(story)
 
@@ -236,7 +236,7 @@
         here.world.run("ops terminate")
         here.answer(1)
         await client.until(ROWS, 2)
-        assert not client.session.closing
+        assert not client.session.is_closing
         client.write(query(2)[cut:])
         await here.sent(2)
         here.answer(2)
@@ -273,7 +273,7 @@
         for _ in range(turns):
             await asyncio.sleep(0)
         here.world.run("ops terminate")
-        here.world.front.close_spare()
+        here.world.front.check_timeouts()
         await here.sent(1)
         here.answer(1)
         assert (await client.end()).count(ROWS) == 2
@@ -328,9 +328,9 @@
         client.session.output += bytes(UNREAD_BYTES)
         client.session._leave()
         await here.turns()
-        assert here.world.front.owes()
+        assert here.world.front.has_unfinished()
         await client.end()
-        assert len(client.got) > UNREAD_BYTES and not here.world.front.owes()
+        assert len(client.got) > UNREAD_BYTES and not here.world.front.has_unfinished()
 
     played(story)
 
@@ -354,7 +354,7 @@
             await asyncio.sleep(0)
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
-        await here.driver.empty_queue(listener, here.world.front)
+        await here.driver.accept_queued(listener, here.world.front)
         listener.close()
         await here.sent(1)
         here.answer(1)
@@ -380,7 +380,7 @@
         here.clients.append(client)
         client.write(written)
         ended(here)
-        await here.driver.empty_queue(listener, here.world.front)
+        await here.driver.accept_queued(listener, here.world.front)
         listener.close()
         close_spare(here)
         assert (await client.end()).count(REFUSED) == 1
@@ -392,12 +392,12 @@
     """The end of a process that has just closed its door, from the order on; time stands still as told."""
     here.world.run("ops terminate")
     parts = SimpleNamespace(
-        driver=SimpleNamespace(clock=here.world.clock),
+        event_loop=SimpleNamespace(clock=here.world.clock),
         lifecycle=here.world.lifecycle,
-        front=here.world.front,
+        sessions=here.world.front,
         gateway=here.world.gateway,
     )
-    return asyncio.create_task(Dispatcher.finish(cast(Dispatcher, parts)))
+    return asyncio.create_task(Dispatcher.finish_open_requests(cast(Dispatcher, parts)))
 
 
 @pytest.fixture
@@ -437,11 +437,11 @@
         end = process(here)
         here.world.clock.at += SETTLED_MS + SETTLE_MS
         await here.turns()
-        assert idle.session.closing and not end.done()
-        here.world.clock.at = here.world.lifecycle.closes_at()
+        assert idle.session.is_closing and not end.done()
+        here.world.clock.at = here.world.lifecycle.close_deadline()
         await here.turns()
-        assert stuck.session.closing and not end.done()
-        here.world.clock.at = here.world.lifecycle.ends_at()
+        assert stuck.session.is_closing and not end.done()
+        here.world.clock.at = here.world.lifecycle.answer_deadline()
         await here.turns()
         assert end.done()
 
@@ -454,9 +454,9 @@
         client.write(query(1, allow=60000))
         await here.sent(1)
         end = process(here)
-        here.world.wait(here.world.lifecycle.ends_at() - here.world.clock.now() - 100.0)
+        here.world.wait(here.world.lifecycle.answer_deadline() - here.world.clock.now() - 100.0)
         await here.turns()
-        assert not end.done() and not client.session.closing
+        assert not end.done() and not client.session.is_closing
         here.world.wait(100.0)
         assert b"\xff" in await client.end()
         client.sock.close()
--- a/tests/transport/test_datagram_faults.py
+++ b/tests/transport/test_datagram_faults.py
@@ -12,10 +12,10 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.node import status
-from cottonhold.node.peer_datagrams import Peers
+from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import PeerMessage
-from cottonhold.transport.event_loop import DATAGRAMS, Driver
+from cottonhold.transport.event_loop import DATAGRAMS, EventLoop
 from tests.support.faulty_sockets import Faults
 from tests.support.loopback import HANG_S
 
@@ -28,13 +28,13 @@
 
     def __init__(self) -> None:
         self.faults, self.counters, self.heard = Faults(), Counters(), list[PeerMessage]()
-        self.driver = Driver(asyncio.get_running_loop(), self.counters, print, self.faults.make)
+        self.driver = EventLoop(asyncio.get_running_loop(), self.counters, print, self.faults.make)
         self.far = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.far.bind(("127.0.0.1", 0))
         self.far_address = Address(*self.far.getsockname())
         self.near = self.driver.udp_socket(Address("127.0.0.1", 0))
-        peers = Peers((self.far_address,), None, self.counters)
-        self.driver.hear_peers(self.near, peers, self.heard.append)
+        peers = PeerDatagrams((self.far_address,), None, self.counters)
+        self.driver.receive_datagrams(self.near, peers, self.heard.append)
         self.at = self.near.getsockname()
 
     async def hears(self, data: bytes) -> None:
@@ -95,8 +95,8 @@
     async def scenario() -> None:
         peer = Peer()
         peer.faults.plan("sendto", error)
-        peer.driver.tell(b"lost", peer.far_address)
-        peer.driver.tell(b"kept", peer.far_address)
+        peer.driver.send_datagram(b"lost", peer.far_address)
+        peer.driver.send_datagram(b"kept", peer.far_address)
         assert peer.far.recv(10) == b"kept"
         assert (peer.counters.counts["peer_broken"], peer.counters.counts["peer_sent"]) == (1, 1)
         peer.close()
@@ -112,7 +112,7 @@
 
     async def scenario() -> bytes:
         loop, faults = asyncio.get_running_loop(), Faults()
-        driver = Driver(loop, Counters(), print)
+        driver = EventLoop(loop, Counters(), print)
         listener = faults.adopt(status.listen(tmp_path / "s"))
         serving = driver.spawn(status.serve(driver, listener, lambda call: {"served": True}))
         faults.plan("accept", error, error)
--- a/tests/transport/test_write_order.py
+++ b/tests/transport/test_write_order.py
@@ -15,7 +15,7 @@
 from cottonhold.discovery.model import Address
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
-from cottonhold.transport.event_loop import Driver, Wire
+from cottonhold.transport.event_loop import EventLoop, Stream
 from tests.support.scenario import World
 
 SMALL = b"select"
@@ -35,24 +35,24 @@
 
     def __init__(self) -> None:
         self.world = World(engines="a b")
-        self.driver = Driver(asyncio.get_running_loop(), Counters(), print)
+        self.driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
         self.far: dict[str, socket.socket] = {}
         self.tcp = False
         self.world.engines.connect = self.connect
-        self.world.gateway.wants = lambda attempt: True  # type: ignore[method-assign]
+        self.world.gateway.is_wanted = lambda attempt: True  # type: ignore[method-assign]
         self.ends: list[Outcome] = []
-        self.world.gateway.attempt_ended = (  # type: ignore[method-assign]
+        self.world.gateway.on_attempt_ended = (  # type: ignore[method-assign]
             lambda attempt, event: self.ends.append(event.outcome)
         )
 
-    def connect(self, address: Address, connection: Connection) -> Wire:
+    def connect(self, address: Address, connection: Connection) -> Stream:
         near, far = tcp_pair() if self.tcp else socket.socketpair()
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, BUFFER)
         near.setblocking(False)
         far.setblocking(False)
         self.far[address.host] = far
-        connection.line = wire = Wire(self.driver, connection, 4096)
-        connection.connected()
+        connection.stream = wire = Stream(self.driver, connection, 4096)
+        connection.on_connected()
         wire.start(near)
         return wire
 
@@ -81,7 +81,7 @@
         return verbs
 
     async def close(self) -> None:
-        for place in list(self.world.engines.places.values()):
+        for place in list(self.world.engines.endpoints.values()):
             for connection in list(place.connections):
                 connection.close()
         await asyncio.gather(*self.driver.tasks, return_exceptions=True)
@@ -101,12 +101,12 @@
 
 
 def dropped(rig: Rig, attempt: Attempt) -> None:
-    rig.world.engines.drop(attempt, Outcome.CANCELLED)
+    rig.world.engines.cancel(attempt, Outcome.CANCELLED)
 
 
 def given_up(rig: Rig, attempt: Attempt) -> None:
     assert attempt.connection is not None
-    attempt.connection.give_up()
+    attempt.connection.abandon()
 
 
 @pytest.mark.parametrize(("gives_up", "verb"), [(dropped, b"DROP"), (given_up, b"end")])
@@ -174,13 +174,13 @@
         assert await rig.heard("a", 1) == [b"GET"]
         dropped(rig, first)
         assert await rig.heard("a", 1) == [b"DROP"]
-        connection = rig.world.engines.places["a"].connections[0]
+        connection = rig.world.engines.endpoints["a"].connections[0]
         ends(rig.far["a"])
         rig.send("a", "q2")  # the loop has not looked at the connection since
         while len(rig.ends) < 2:
             await asyncio.sleep(0)
         assert rig.ends == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
-        assert connection.over and rig.world.engines.open == 0
+        assert connection.is_closed and rig.world.engines.open_connections == 0
 
     played(story)
 
@@ -225,7 +225,7 @@
         dropped(rig, first)
         while second.connection is not None:
             await asyncio.sleep(0)
-        assert rig.ends == [Outcome.CANCELLED, Outcome.RESET] and rig.world.engines.open == 0
+        assert rig.ends == [Outcome.CANCELLED, Outcome.RESET] and rig.world.engines.open_connections == 0
 
     played(story)
 
@@ -233,7 +233,7 @@
 def test_what_waits_behind_an_engine_that_reads_slowly_is_looked_at_again_before_it_begins() -> None:
     async def story(rig: Rig) -> None:
         wanted = True
-        rig.world.gateway.wants = lambda attempt: wanted  # type: ignore[method-assign]
+        rig.world.gateway.is_wanted = lambda attempt: wanted  # type: ignore[method-assign]
         for number in range(MANY):
             rig.send("a", f"q{number}", LARGE)
         for _ in range(3):
@@ -251,8 +251,8 @@
 class EndsAsItIsAsked:
     """A machine that ends its connection as it is asked for what it has to say."""
 
-    closing = False
-    wire: Wire
+    is_closing = False
+    wire: Stream
 
     def receive(self, data: bytes) -> None:
         pass
@@ -261,7 +261,7 @@
         self.wire.abort()
         return b""
 
-    def closed(self) -> None:
+    def on_closed(self) -> None:
         pass
 
 
@@ -271,9 +271,9 @@
     async def story(rig: Rig) -> None:
         near, far = socket.socketpair()
         machine = EndsAsItIsAsked()
-        machine.wire = Wire(rig.driver, machine, 4096)
-        machine.wire.sock, machine.wire.rest = near, b"begun"
-        machine.wire.hurry()
+        machine.wire = Stream(rig.driver, machine, 4096)
+        machine.wire.sock, machine.wire.unsent = near, b"begun"
+        machine.wire.write_now()
         assert machine.wire.sock is None and far.recv(10) == b""
         near.close()
         far.close()
