--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -21,7 +21,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
 from cottonhold.fleet.request_forwarding.interface import Action, Ended, HandSettings
 from cottonhold.fleet.request_forwarding.messages import (
@@ -43,7 +44,6 @@
     number_of,
     pack,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
 
 
 class Phase(IntEnum):
@@ -150,7 +150,7 @@
         self._send(now, peer)
 
     def lives(self, now: float, sender: int, w: Lives) -> None:
-        """An owner says which life it is in. Raises WordError."""
+        """An owner says which life it is in. Raises MessageError."""
         peer = self.peers.get(sender)
         # Danger: only an answer to what is believed now counts. One that was long on its way tells of a life
         # that is over, and all that the new one had taken was told as failed.
@@ -165,7 +165,7 @@
         self._send(now, peer)
 
     def ack(self, now: float, sender: int, w: Ack) -> None:
-        """What an owner has of a request. Raises WordError."""
+        """What an owner has of a request. Raises MessageError."""
         peer, order = self._find(sender, w.number)
         if peer is None or w.life != peer.life:
             return
@@ -174,7 +174,7 @@
             self._send(now, peer)
             return
         if w.state is State.TAKEN and not order.parcel.whole:
-            raise WordError("taken before it was sent")
+            raise MessageError("taken before it was sent")
         if order.phase is Phase.SENDING:
             peer.lane.ack(w.number, w.bits)
         self._stamp(now, peer, w.stamp)
@@ -188,17 +188,17 @@
         self._send(now, peer)
 
     def answer(self, now: float, sender: int, w: Answer) -> None:
-        """A part of an answer. Raises WordError."""
+        """A part of an answer. Raises MessageError."""
         peer, order = self._find(sender, w.number)
         if order is None or peer is None or order.told:
             self._say(sender, Got(w.number, True))  # nobody needs it
             return
         if w.life != order.life or not order.parcel.whole:
-            raise WordError("answer to what was not asked")
+            raise MessageError("answer to what was not asked")
         if order.answer is None:
             order.answer, order.end = Gather(w.size, ANSWER_ROOM), (w.end, w.ms)
         if order.end != (w.end, w.ms):
-            raise WordError("two ends")
+            raise MessageError("two ends")
         whole = order.answer.put(w.size, w.index, w.data)
         if order.phase is not Phase.TAKEN:
             self._taken(peer, order)
@@ -246,12 +246,12 @@
             peer.probe_at, peer.tries = now + self.settings.poll, 0
 
     def _find(self, sender: int, number: int) -> tuple[Peer | None, Order | None]:
-        """A request of this life by its number. Raises WordError where there never was one."""
+        """A request of this life by its number. Raises MessageError where there never was one."""
         peer = self.peers.get(sender)
         if number >> 32 != self.life:
             return peer, None
         if peer is None or not 0 < number & U32 <= peer.count:
-            raise WordError("number")
+            raise MessageError("number")
         return peer, peer.open.get(number)
 
     def _wake(self, order: Order, due: float) -> None:
@@ -381,4 +381,4 @@
             self._say(peer.id, Part(head, index, len(parcel.body), parcel.part(index)))
 
     def _say(self, member: int, word: Word) -> None:
-        self.out.append(Say(member, pack(word)))
+        self.out.append(SendMessage(member, pack(word)))
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -18,7 +18,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.consensus.messages import Say
+from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
 from cottonhold.fleet.request_forwarding.interface import Action, Gone, HandSettings, Take
 from cottonhold.fleet.request_forwarding.messages import (
@@ -38,7 +39,6 @@
     Word,
     pack,
 )
-from cottonhold.fleet.zone_failover.messages import WordError
 
 STAMPS = 1000.0  # a ms
 
@@ -94,7 +94,7 @@
         self._say(sender, Lives(asked, self.life, self._stamp(now)))
 
     def part(self, now: float, sender: int, w: Part) -> None:
-        """A part of a request. Raises WordError."""
+        """A part of a request. Raises MessageError."""
         until, count = self._until(now, w.head), w.head.number & U32
         if w.head.life != self.life:
             return self.probe(now, sender, w.head.life)
@@ -122,7 +122,7 @@
         return self._ack(now, caller, guest, w.head.number)
 
     def withdraw(self, now: float, sender: int, w: Withdraw) -> None:
-        """It is not to be taken any more, or its client left. Raises WordError."""
+        """It is not to be taken any more, or its client left. Raises MessageError."""
         self._until(now, w.head)
         count = w.head.number & U32
         if w.head.life != self.life:
@@ -143,7 +143,7 @@
         return self._ack(now, caller, guest, w.head.number, w.left)
 
     def got(self, sender: int, w: Got) -> None:
-        """What the origin has of an answer. Raises WordError."""
+        """What the origin has of an answer. Raises MessageError."""
         caller, guest, record = self._find(sender, w.number)
         if caller is None or guest is None or record is None or record.parcel is None:
             return
@@ -193,15 +193,15 @@
         return max(int(now * STAMPS), 0)
 
     def _until(self, now: float, head: Head) -> float:
-        """On this clock: the request's time is not over before. Raises WordError for what can't be."""
+        """On this clock: the request's time is not over before. Raises MessageError for what can't be."""
         s = self.settings
         if head.left > s.longest:
-            raise WordError("time left")
+            raise MessageError("time left")
         if head.life != self.life:
             return -math.inf
         began, even = head.stamp / STAMPS, 1.0 - s.drift
         if began + head.held * even > now:
-            raise WordError("stamp")
+            raise MessageError("stamp")
         return began + (head.held + head.left) * even - s.margin
 
     def _keep(self, now: float, head: Head) -> float:
@@ -336,4 +336,4 @@
         self.sweep_at = now + self.settings.poll if self.callers else math.inf
 
     def _say(self, member: int, word: Word) -> None:
-        self.out.append(Say(member, pack(word)))
+        self.out.append(SendMessage(member, pack(word)))
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -38,7 +38,12 @@
 
 
 DEFECTS: list[tuple[type | object, str, Any, str]] = [
-    (EngineConnections, "_open_place", lambda self, engine: self.endpoints.get(engine), "pro-bus-told-connect"),
+    (
+        EngineConnections,
+        "_open_place",
+        lambda self, engine: self.endpoints.get(engine),
+        "pro-bus-told-connect",
+    ),
     (
         retry_policy,
         "repeat_barred",
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -14,7 +14,7 @@
 
 from cottonhold.config.installation import Unusable, read
 from cottonhold.node.standalone_dispatcher import ServedInstallation
-from cottonhold.observe.metrics import Metrics, Readings, tally
+from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
 from cottonhold.observe.structured import StructuredLog
 
 FILE: dict[str, Any] = {
@@ -52,7 +52,7 @@
 
 def test_series_are_those_of_the_moment_and_any_name_is_safe() -> None:
     counts = {"answers_served": 3, 'odd "name"\n': 1}
-    metrics = Metrics(lambda: Readings(counts, 7, steps=tally(Word, ["some", "some"])))
+    metrics = Metrics(lambda: Readings(counts, 7, steps=tally(names_of(Word), ["some", "some"])))
     counts["answers_served"] += 1
     assert parsed(metrics.text()) == {
         ("cottonhold_events_total", "answers_served"): 4,
