--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -12,8 +12,8 @@
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.fleet.recovery.load_history import Action, LoadHistory, LoadSettled
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
-from cottonhold.node.gateway import Past, Taken
-from cottonhold.node.gateway import Settled as Tell
+from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.gateway import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.settings import Idempotency, Settings
@@ -72,29 +72,31 @@
         """Whether requests of a class would have to be remembered."""
         return query_class in self.classes
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """Told at once: to come later, or what is known of a retry."""
         self.counters.add("loads_unkept")
         known, now = LoadKnowledge.NOT_KNOWN_YET, self.now()
-        if taken.retry:
+        if taken.is_retry:
             # Danger: told to come later for as long as the folder could not be had, a client came back after
             # whoever had sent its load had forgotten it, and it ran again.
             known = self.memory.answer_unavailable(
-                now, load_identity(taken.service, taken.key or "", taken.body)
+                now, load_identity(taken.class_name, taken.ordering_key or "", taken.body)
             )
         settled(_past(known, self.classes[taken.query_class]), self.cooldown)
         if now - self.forgotten_at >= FORGET_MS:
             self.forgotten_at = now
             self.memory.local.expire(now, ())
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """One that was taken under another ledger."""
         kept(False)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """Nothing is kept."""
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """Nothing is kept."""
 
 
@@ -112,7 +114,7 @@
 class QueuedRequest:
     """A load that came behind a retry of its key which is still asked about."""
 
-    taken: Taken
+    taken: ClientRequest
     until: float
     settled: Tell
 
@@ -154,51 +156,51 @@
         """Whether requests of a class are remembered."""
         return query_class in self.classes
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """A load has come; a retry is asked about."""
         unkept, unheard = self._disk() is not State.WELL, not self.may_send()
-        if unkept or unheard and not taken.retry:
+        if unkept or unheard and not taken.is_retry:
             self.counters.add("loads_unkept" if unkept else "loads_unheard")
             # Danger: told to come later without being noted, a client came back after its load was forgotten.
             known = (
                 self.memory.answer_unavailable(self.now(), self._identity(taken))
-                if taken.retry
+                if taken.is_retry
                 else LoadKnowledge.NOT_KNOWN_YET
             )
             settled(_past(known, self.classes[taken.query_class]), self.memory.settings.retry_after_ms)
             return
-        if taken.key is not None and taken.key in self.lines:
+        if taken.ordering_key is not None and taken.ordering_key in self.lines:
             # Danger: what came behind a retry that was still asked about went out before it, out of its
             # key's order.
             waiter = QueuedRequest(taken, until, settled)
-            self.lines[taken.key].append(waiter)
+            self.lines[taken.ordering_key].append(waiter)
             self.call_in(max(until - self.now(), 0.0), lambda: self._too_late(waiter))
         else:
             self._settle(taken, until, settled)
 
-    def _settle(self, taken: Taken, until: float, settled: Tell) -> None:
+    def _settle(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """The first of its key."""
-        if not taken.retry:
-            settled(Past.NEVER, 0.0)
+        if not taken.is_retry:
+            settled(LoadOutcome.NEVER_RAN, 0.0)
             return
         self.counters.add("loads_asked")
         load, said = self._identity(taken), self.classes[taken.query_class]
-        self.waiting[taken.ref] = settled, said
-        known = self.memory.on_retry(self.now(), taken.ref, load, until)
+        self.waiting[taken.request_id] = settled, said
+        known = self.memory.on_retry(self.now(), taken.request_id, load, until)
         if known is not None:
-            self._tell(taken.ref, known, self.memory.settings.retry_after_ms)
+            self._tell(taken.request_id, known, self.memory.settings.retry_after_ms)
             return
-        if taken.key is not None:
-            self.heads[taken.ref] = taken.key
-            self.lines[taken.key] = deque()
+        if taken.ordering_key is not None:
+            self.heads[taken.request_id] = taken.ordering_key
+            self.lines[taken.ordering_key] = deque()
         self.carry_out(())
 
     def _too_late(self, waiter: QueuedRequest) -> None:
         """One whose time ran out behind another."""
-        line = self.lines.get(waiter.taken.key or "", deque())
+        line = self.lines.get(waiter.taken.ordering_key or "", deque())
         if waiter in line:
             line.remove(waiter)
-            waiter.settled(Past.LATER, self.memory.settings.retry_after_ms)
+            waiter.settled(LoadOutcome.UNKNOWN_YET, self.memory.settings.retry_after_ms)
 
     def _go_on(self, ref: str) -> None:
         """A retry is no longer asked about: those behind it come next, up to the next such one."""
@@ -211,14 +213,16 @@
                 self.lines[key].extend(line)
                 return
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """Remember it, and say so once the disk has it."""
         now = self.now()
-        run = self.runs.setdefault(taken.ref, LoadRun(self._identity(taken)))
+        run = self.runs.setdefault(taken.request_id, LoadRun(self._identity(taken)))
         if not run.is_begun:
             # Danger: told to the memory only once durable, another instance that asks meanwhile would hear
             # 'never' of a load that is about to go out. So it counts as sent from here on.
-            if run.load in self.memory.granted and taken.retry:
+            if run.load in self.memory.granted and taken.is_retry:
                 self.memory.on_sent(now, run.load)
             elif not self.memory.begin(now, run.load):
                 self.counters.add("loads_asked_elsewhere")
@@ -228,8 +232,8 @@
         run.is_attempt_in_flight = True
         record = LoadRecord(
             load=run.load,
-            ref=taken.ref,
-            key=taken.key or "",
+            ref=taken.request_id,
+            key=taken.ordering_key or "",
             digest=run.load[:8],
             engine=attempt.engine,
             boot=self.ledger.boot,
@@ -243,20 +247,20 @@
 
         self.ledger.put([record.record()], done)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
-        run = self.runs.get(attempt.query)
+        run = self.runs.get(attempt.request_id)
         if run is None:
             return
         run.is_attempt_in_flight = False
         if outcome not in NEVER_RAN:
             self._finish(
-                attempt.query, run, LoadResult.SUCCEEDED if outcome is Outcome.OK else LoadResult.FAILED
+                attempt.request_id, run, LoadResult.SUCCEEDED if outcome is Outcome.OK else LoadResult.FAILED
             )
         elif run.is_closed:
-            self._finish(attempt.query, run, LoadResult.NEVER_RAN)
+            self._finish(attempt.request_id, run, LoadResult.NEVER_RAN)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
         self.waiting.pop(ref, None)
         self.memory.cancel(self.now(), ref)
@@ -269,8 +273,8 @@
 
     # --- inside ---
 
-    def _identity(self, taken: Taken) -> bytes:
-        return load_identity(taken.service, taken.key or "", taken.body)
+    def _identity(self, taken: ClientRequest) -> bytes:
+        return load_identity(taken.class_name, taken.ordering_key or "", taken.body)
 
     def _finish(self, ref: str, run: LoadRun, how: LoadResult) -> None:
         del self.runs[ref]
@@ -339,11 +343,11 @@
         self.records = {**gone, **self.records}
 
 
-def _past(known: LoadKnowledge, said: bool) -> Past:
+def _past(known: LoadKnowledge, said: bool) -> LoadOutcome:
     """What the gateway is told; said: a good end may be said."""
     past = {
-        LoadKnowledge.NEVER_SENT: Past.NEVER,
-        LoadKnowledge.MAY_HAVE_RUN: Past.MAY,
-        LoadKnowledge.NOT_KNOWN_YET: Past.LATER,
+        LoadKnowledge.NEVER_SENT: LoadOutcome.NEVER_RAN,
+        LoadKnowledge.MAY_HAVE_RUN: LoadOutcome.MAY_HAVE_RUN,
+        LoadKnowledge.NOT_KNOWN_YET: LoadOutcome.UNKNOWN_YET,
     }.get(known)
-    return past or (Past.WELL if said else Past.MAY)
+    return past or (LoadOutcome.COMPLETED if said else LoadOutcome.MAY_HAVE_RUN)
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -26,7 +26,7 @@
 from cottonhold.membership.codec import Status
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import Taken
+from cottonhold.node.gateway import ClientRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
 
@@ -112,40 +112,46 @@
 
     # --- what happens here ---
 
-    def arrived(self, taken: Taken) -> float | None:
+    def on_request_arrived(self, taken: ClientRequest) -> float | None:
         """A request has come."""
         self.coordinator.on_request(self.clock.now(), taken.query_class)
-        return None if self.coordinator.demand is None else admission_draw(taken.ref.encode(), taken.retry)
+        return (
+            None
+            if self.coordinator.demand is None
+            else admission_draw(taken.request_id.encode(), taken.is_retry)
+        )
 
-    def offered(self, taken: Taken, worth: float, work: float) -> None:
+    def on_demand_estimated(self, taken: ClientRequest, worth: float, work: float) -> None:
         """What a request is worth, and its work."""
         now = self.clock.now()
         if self.coordinator.demand is not None:
-            self.coordinator.demand.on_request(now, worth, work, taken.retry)
+            self.coordinator.demand.on_request(now, worth, work, taken.is_retry)
         if self.coordinator.failover_cost is not None:
-            self.coordinator.failover_cost.on_request(now, worth, work, _data_set(taken.tables), taken.retry)
-            self.sets[taken.ref] = taken.tables, taken.effort
+            self.coordinator.failover_cost.on_request(
+                now, worth, work, _data_set(taken.table_group), taken.is_retry
+            )
+            self.sets[taken.request_id] = taken.table_group, taken.estimated_work_ms
 
-    def let_in(self, wait: float, lost: bool) -> None:
+    def on_admission_settled(self, wait: float, lost: bool) -> None:
         """One that was let in went out, or was refused after all."""
         if self.coordinator.demand is not None:
             self.coordinator.demand.on_admitted(wait, lost)
 
-    def sent(self, attempt: Attempt, query_class: int) -> None:
+    def on_attempt_sent(self, attempt: Attempt, query_class: int) -> None:
         """An attempt has gone out."""
         self.coordinator.on_attempt_sent(self.clock.now(), _ref(attempt), attempt.engine, query_class)
 
-    def ended(self, attempt: Attempt, event: AttemptEnded) -> None:
+    def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt has ended."""
         now, good = self.clock.now(), SAYS.get(event.outcome)
         if self.coordinator.failover_cost is not None and good:
-            tables, told = self.sets.get(attempt.query, (-1, 0.0))
+            tables, told = self.sets.get(attempt.request_id, (-1, 0.0))
             beyond = event.actual_work_ms - told if told > 0 and event.actual_work_ms > 0 else None
             zone = self.coordinator.zone_of.get(attempt.engine, "")
             self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), beyond=beyond)
         self.coordinator.on_attempt_ended(now, _ref(attempt), good, event.elapsed_ms, event.actual_work_ms)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
         self.sets.pop(ref, None)
 
@@ -308,4 +314,4 @@
 
 
 def _ref(attempt: Attempt) -> str:
-    return f"{attempt.query}/{attempt.number}"
+    return f"{attempt.request_id}/{attempt.number}"
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -383,8 +383,8 @@
     "ledger drained engine": drain_records,
     "boot file": lambda: boot_file.Life(9, 3, 77).pack(),
     "boot file of an open life": lambda: boot_file.Life(9, 3, -1).pack(),
-    "seat record": lambda: sibling_processes.Record(5, 6, 7, True).pack(),
-    "connection ids": lambda: sibling_processes.Ids.of_seat(5, 2).base.to_bytes(4, "big"),
+    "seat record": lambda: sibling_processes.ProcessRecord(5, 6, 7, True).encode(),
+    "connection ids": lambda: sibling_processes.ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
 }
 
 
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -28,7 +28,7 @@
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
 from cottonhold.membership.codec import Status
-from cottonhold.node.gateway import Past
+from cottonhold.node.gateway import LoadOutcome
 from cottonhold.node.lifecycle import Phase
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
@@ -93,7 +93,7 @@
     """Words that counters' names, metrics' labels, the socket and the log are made of."""
     enums: dict[str, list[str]] = {
         "attempts, probes": [o.value for o in Outcome],
-        "loads": [p.value for p in Past],
+        "loads": [p.value for p in LoadOutcome],
         "disk": [s.value for s in DiskState],
         "census": [v.value for v in OutageVerdict],
         "members": [s.name.lower() for s in Status],
@@ -256,7 +256,7 @@
     source = {"listen": None, "bus": "127.0.0.1:2", "known": {"offset": 0, "batch": []}, "settings": PARAMS}
     environment = {"RELAY_LISTEN": "127.0.0.1:9", "RELAY_NAME": "n9", "RELAY_OPS": "127.0.0.1:8"}
     read = relay.decode(source, environment, Counters())
-    assert (read.name, str(read.listen), str(read.ops)) == ("n9", "127.0.0.1:9", "127.0.0.1:8")
+    assert (read.name, str(read.listen), str(read.admin_listen)) == ("n9", "127.0.0.1:9", "127.0.0.1:8")
     with pytest.raises(relay.ConfigError, match="RELAY_CONFIG"):
         relay.load({}, Counters())
 
