--- a/benchmarks/store/run.py
+++ b/benchmarks/store/run.py
@@ -37,7 +37,7 @@
     """A load's record as the product writes it."""
     return LoadRecord(
         number.to_bytes(16, "big"), "r" * 32, "k" * 24, b"d" * 16, "engine-1", 1, 1.0, LoadState.SENT
-    ).record()
+    ).to_record()
 
 
 def sqlite(folder: Path, journal: str, reserve: int = 0, vfs: str | None = None) -> Commit:
@@ -168,7 +168,7 @@
                 return drive(writer.put, callers, seconds)
             finally:
                 writer.close()
-        ledger = Ledger.open(folder, "a", settings=LedgerSettings(stall=60_000.0))
+        ledger = Ledger.open(folder, "a", settings=LedgerSettings(stall_timeout_ms=60_000.0))
         try:
             return drive(lambda one, done: ledger.put([one], done), callers, seconds)
         finally:
--- a/cottonhold/emulator/disk.py
+++ b/cottonhold/emulator/disk.py
@@ -309,10 +309,10 @@
         real = {name for name in os.listdir(folder) if folder / name not in self.disk.gone}
         return sorted(real | {path.name for path in self.disk.nodes if path.parent == folder})
 
-    def append(self, path: Path, content: bytes, *, anew: bool = False) -> None:
+    def append(self, path: Path, content: bytes, *, truncate: bool = False) -> None:
         """See Files."""
         node = self.disk.make(path)
-        if anew and node.now:
+        if truncate and node.now:
             self.disk.truncate(node, 0)
         self.disk.write(node, len(node.now), content)
 
@@ -425,5 +425,5 @@
         _INSTALLED[name].disk = disk
     else:
         _INSTALLED[name] = DiskVFS(name, disk)
-    store_files.register(name, DiskFiles(disk))
+    store_files.register_files(name, DiskFiles(disk))
     return disk
--- a/cottonhold/emulator/fault_injection/defects.py
+++ b/cottonhold/emulator/fault_injection/defects.py
@@ -5,8 +5,8 @@
 import threading
 from collections.abc import Callable, Sequence
 
-from cottonhold.store.ledger import Done, Ledger
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.ledger import Ledger, OnWritten
+from cottonhold.store.records import Record, RecordKind
 
 LATE_S = 1.0
 
@@ -15,8 +15,8 @@
     """A load goes out at once, and its record is written a second later."""
     put = Ledger.put
 
-    def early(self: Ledger, records: Sequence[Record], done: Done | None = None) -> None:
-        if done is None or records[0].kind is not Kind.LOAD:
+    def early(self: Ledger, records: Sequence[Record], done: OnWritten | None = None) -> None:
+        if done is None or records[0].kind is not RecordKind.LOAD:
             put(self, records, done)
             return
         late = threading.Timer(LATE_S, put, (self, records))
--- a/cottonhold/emulator/fault_injection/instance.py
+++ b/cottonhold/emulator/fault_injection/instance.py
@@ -39,7 +39,7 @@
     except ModuleNotFoundError:
         return False
     disk.install("lossy", Path(control))
-    setattr(ledger, "VFS", "lossy")  # noqa: B010
+    setattr(ledger, "DEFAULT_VFS", "lossy")  # noqa: B010
     return True
 
 
--- a/cottonhold/emulator/fault_injection/machines.py
+++ b/cottonhold/emulator/fault_injection/machines.py
@@ -10,7 +10,7 @@
 
 from cottonhold.fleet_adapters.recovery import BASE
 from cottonhold.store.ledger import Ledger, LedgerSettings
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.records import Record, RecordKind
 
 SETTLING_MS = 60_000.0  # at most, for the rig's own few records
 # What a disk is told to do; see emulator/disk.py.
@@ -52,9 +52,9 @@
         """A folder of a machine that has served for long: what is not in it was not."""
         # Danger: on a machine so busy that its last write took longer than a stall, the rig kept the folder's
         # lock for good, and the instance served everything but loads.
-        ledger = Ledger.open(self.state(name), name, settings=LedgerSettings(stall=SETTLING_MS))
-        ledger.settle()
-        ledger.put([Record(Kind.LIFE, BASE, ledger.boot.to_bytes(8, "big"))])
+        ledger = Ledger.open(self.state(name), name, settings=LedgerSettings(stall_timeout_ms=SETTLING_MS))
+        ledger.mark_complete()
+        ledger.put([Record(RecordKind.INCARNATION, BASE, ledger.boot_count.to_bytes(8, "big"))])
         ledger.close(clean=True)
 
     def set_disk(self, name: str, state: str, **orders: Any) -> None:
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -20,7 +20,7 @@
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Step
 from cottonhold.fleet.zone_failover.messages import ROOM, WordError, Words
-from cottonhold.store.records import MOST, Hint, Kind, Record
+from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordKind
 
 DRAINS = 96  # the kind of message
 HEAD = struct.Struct("!BQIIB")
@@ -332,10 +332,10 @@
 
     def drain(self, engine: str) -> list[Record]:
         """What has to be written before the drain is told to anyone."""
-        if engine in self.engines or len(self.engines) >= MOST[Kind.DRAIN]:
+        if engine in self.engines or len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_DRAIN]:
             return []
         self.engines.add(engine)
-        return [Record(Kind.DRAIN, engine.encode(), Hint(b"", 0.0).pack())]
+        return [Record(RecordKind.ENGINE_DRAIN, engine.encode(), Hint(b"", 0.0).encode())]
 
     def undrain(self, engine: str) -> list[Record]:
         """The way back."""
@@ -343,7 +343,7 @@
         if engine not in self.engines:
             return []
         self.engines.discard(engine)
-        return [Record(Kind.DRAIN, engine.encode(), None)]
+        return [Record(RecordKind.ENGINE_DRAIN, engine.encode(), None)]
 
     def settle(self, drained: Collection[str]) -> list[str]:
         """It is known which engines are drained, or service must go on without: those of a life before that
--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -15,7 +15,7 @@
 from cottonhold.message_validation import WireError
 from cottonhold.scheduler import interface as io
 from cottonhold.scheduler.interface import EngineState
-from cottonhold.store.records import MOST, Hint, Kind, Record, RecordError
+from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordError, RecordKind
 
 REASON = "remembered from before the start"
 
@@ -41,7 +41,7 @@
         self.places: dict[str, Place] = {}
         for key, value in kept.items():
             try:
-                place: Place = msgspec.msgpack.decode(Hint.read(value).value, type=Place)
+                place: Place = msgspec.msgpack.decode(Hint.decode(value).value, type=Place)
                 Address.parse(place.address)
                 self.places[key.decode()] = place
             except (RecordError, WireError, msgspec.MsgspecError, UnicodeDecodeError):
@@ -75,19 +75,19 @@
             elif (place := self._place(engine, change.addresses.get(engine.id))) is not None:
                 if place != self.places.get(engine.id):
                     self.places[engine.id] = place
-                    data = Hint(msgspec.msgpack.encode(place), 0.0).pack()
-                    records.append(Record(Kind.ENGINE, engine.id.encode(), data))
+                    data = Hint(msgspec.msgpack.encode(place), 0.0).encode()
+                    records.append(Record(RecordKind.ENGINE_ADDRESS, engine.id.encode(), data))
         return records
 
     def _forget(self, id: str) -> Record:
         del self.places[id]
-        return Record(Kind.ENGINE, id.encode(), None)
+        return Record(RecordKind.ENGINE_ADDRESS, id.encode(), None)
 
     def _place(self, engine: io.Engine, address: Address | None) -> Place | None:
         """Where it is; None where that isn't told, or where too many are remembered already."""
         known = self.places.get(engine.id)
         where = str(address) if address is not None else known.address if known is not None else ""
-        if not where or known is None and len(self.places) >= MOST[Kind.ENGINE]:
+        if not where or known is None and len(self.places) >= MAX_RECORDS[RecordKind.ENGINE_ADDRESS]:
             return None
         zones, models = self.names.zones, self.names.models
         zone = zones[engine.zone] if engine.zone < len(zones) else ""
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -21,7 +21,7 @@
 from cottonhold.node.dispatcher import Logs
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Kind
+from cottonhold.store.records import RecordKind
 
 
 class Listed(Protocol):
@@ -58,7 +58,7 @@
         now, settings = self.clock.now(), DrainSettings()
         self.drains = Drains(swim.id, life_of(ledger), now, settings, self.voters)
         self.settled = Settled(now, settings)
-        self.kept = Kept(ledger.records(Kind.DRAIN))
+        self.kept = Kept(ledger.records(RecordKind.ENGINE_DRAIN))
         self.writing: dict[str, Record] = {}  # drains that the disk doesn't have yet
         for engine in self.kept.before:
             owner.republish(owner.held.hold(engine))
--- a/cottonhold/fleet_adapters/ledger_opener.py
+++ b/cottonhold/fleet_adapters/ledger_opener.py
@@ -6,7 +6,8 @@
 import time
 from collections.abc import Callable
 
-from cottonhold.store.ledger import Ledger, Memory, StoreError
+from cottonhold.store.health import Completeness, StoreError
+from cottonhold.store.ledger import Ledger
 
 
 class Opening:
@@ -39,6 +40,6 @@
         except StoreError as error:
             self.error = error
         except Exception as error:  # what is in a folder never keeps a dispatcher from serving
-            self.error = StoreError(f"{type(error).__name__}: {error}", Memory.EMPTY, {})
+            self.error = StoreError(f"{type(error).__name__}: {error}", Completeness.UNKNOWN, {})
         finally:
             self._over.set()
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -16,16 +16,17 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler import interface as io
 from cottonhold.scheduler.interface import Outcome
-from cottonhold.store.ledger import Ledger, State
-from cottonhold.store.records import Kind, LoadRecord, LoadState, Record, forget_loads, loads
+from cottonhold.store.health import DiskState
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import LoadRecord, LoadState, Record, RecordKind, decode_loads, evict_loads
 
 NEVER_RAN = (None, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)  # what proves that it never ran
-STATES = {How.WELL: LoadState.WELL, How.FAILED: LoadState.FAILED, How.NEVER: LoadState.NEVER}
+STATES = {How.WELL: LoadState.COMPLETED, How.FAILED: LoadState.FAILED, How.NEVER: LoadState.NEVER_SENT}
 ENDS = {
     LoadState.SENT: None,
-    LoadState.WELL: How.WELL,
+    LoadState.COMPLETED: How.WELL,
     LoadState.FAILED: How.FAILED,
-    LoadState.NEVER: How.NEVER,
+    LoadState.NEVER_SENT: How.NEVER,
 }
 FORGET_MS = 1000.0
 
@@ -38,9 +39,9 @@
 
 def kept_loads(folder: Mapping[bytes, bytes]) -> tuple[list[LoadKept], dict[bytes, LoadRecord]]:
     """What the folder remembers of loads; one that can't be read may have run."""
-    found = loads(folder)
-    known = [LoadKept(load, ENDS.get(record.state)) for load, record in found.known.items()]
-    return [*known, *(LoadKept(load) for load in found.unread)], dict(found.known)
+    found = decode_loads(folder)
+    known = [LoadKept(load, ENDS.get(record.state)) for load, record in found.by_identity.items()]
+    return [*known, *(LoadKept(load) for load in found.unreadable)], dict(found.by_identity)
 
 
 class Unkept:
@@ -132,7 +133,7 @@
         self.waiting: dict[str, tuple[Tell, bool]] = {}  # who asked, and whether a good end may be said
         self.lines: dict[str, deque[Waiter]] = {}  # by key: who came behind a retry that is asked about
         self.heads: dict[str, str] = {}  # ref of such a retry -> its key
-        self.state = State.WELL
+        self.state = DiskState.HEALTHY
 
     # --- the gateway's calls ---
 
@@ -142,7 +143,7 @@
 
     def came(self, taken: Taken, until: float, settled: Tell) -> None:
         """A load has come; a retry is asked about."""
-        unkept, unheard = self._disk() is not State.WELL, not self.may_send()
+        unkept, unheard = self._disk() is not DiskState.HEALTHY, not self.may_send()
         if unkept or unheard and not taken.retry:
             self.counters.add("loads_unkept" if unkept else "loads_unheard")
             # Danger: told to come later without being noted, a client came back after its load was forgotten.
@@ -209,13 +210,13 @@
             run.open = True
         run.out = True
         record = LoadRecord(
-            load=run.load,
-            ref=taken.ref,
-            key=taken.key or "",
-            digest=run.load[:8],
+            identity=run.load,
+            request_id=taken.ref,
+            ordering_key=taken.key or "",
+            statement_digest=run.load[:8],
             engine=attempt.engine,
-            boot=self.ledger.boot,
-            sent_ms=now,
+            boot_count=self.ledger.boot_count,
+            sent_at_ms=now,
             state=LoadState.SENT,
         )
         self.records[run.load] = record
@@ -223,7 +224,7 @@
         def done(durable: bool) -> None:
             self.hop(lambda: kept(durable))
 
-        self.ledger.put([record.record()], done)
+        self.ledger.put([record.to_record()], done)
 
     def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
@@ -261,8 +262,8 @@
         record, entry = self.records.get(run.load), self.memory.own.entries.get(run.load)
         # Danger: two requests may be one load; a good end of the one must not hide that the other still runs.
         if record is not None and (entry is None or not entry.open):
-            self.records[run.load] = ended = replace(record, state=STATES[how], ended_ms=now)
-            self.ledger.put([ended.record()])
+            self.records[run.load] = ended = replace(record, state=STATES[how], ended_at_ms=now)
+            self.ledger.put([ended.to_record()])
 
     def settled(self, action: Settled) -> None:
         """The memory knows what became of a load that was asked about."""
@@ -276,7 +277,7 @@
         tell(_past(known, said), cooldown)
         self._go_on(ref)
 
-    def _disk(self) -> State:
+    def _disk(self) -> DiskState:
         """How the disk does; a change is told."""
         health = self.ledger.health(self.clock_ms())
         if health.state is not self.state:
@@ -292,26 +293,26 @@
             return
         self.forgotten_at = now
         self._disk()
-        found = forget_loads(
+        found = evict_loads(
             self.records.values(),
             now_ms=now,
-            boot=self.ledger.boot,
-            started_ms=self.started,
-            hold_ms=self.hold,
-            room=0,
+            boot_count=self.ledger.boot_count,
+            boot_started_at_ms=self.started,
+            retention_ms=self.hold,
+            free_slots=0,
         )
-        if found.early:
-            self.counters.add("loads_forgotten_early", found.early)
+        if found.early_count:
+            self.counters.add("loads_forgotten_early", found.early_count)
         # What the memory still holds may yet be asked about, also after a power loss.
-        keys = [key for key in found.keys if found.early or key not in self.memory.own.entries]
-        if keys and self.state is State.WELL:
+        keys = [key for key in found.keys if found.early_count or key not in self.memory.own.entries]
+        if keys and self.state is DiskState.HEALTHY:
             gone = {key: self.records.pop(key) for key in keys}
 
             def done(durable: bool) -> None:
                 if not durable:
                     self.hop(lambda: self._still_there(gone))
 
-            self.ledger.put([Record(Kind.LOAD, key, None) for key in keys], done)
+            self.ledger.put([Record(RecordKind.LOAD, key, None) for key in keys], done)
 
     def _still_there(self, gone: Mapping[bytes, LoadRecord]) -> None:
         """The disk did not forget them."""
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -22,9 +22,9 @@
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
-from cottonhold.store import ledger as ledger_of
+from cottonhold.store.health import Completeness
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Hint, Kind, Record, RecordError
+from cottonhold.store.records import Hint, Record, RecordError, RecordKind
 
 LEAST_MS, MOST_MS = 5.0, 1000.0  # between two steps
 GONE_MS = 200.0  # so often who is gone is weighed anew: a round of the census's words
@@ -67,15 +67,15 @@
 
 def life_of(ledger: Ledger) -> int:
     """The life that an instance's words carry."""
-    return LIFE_BASE + ledger.boot & 0xFFFF_FFFF
+    return LIFE_BASE + ledger.boot_count & 0xFFFF_FFFF
 
 
 def recall_site(ledger: Ledger, outlook: Outlook) -> bool:
     """Tell the outlook what it told of its site before the power went; false if that can't be read."""
-    value = ledger.records(Kind.WARM).get(SITE)
+    value = ledger.records(RecordKind.WARM_DATA).get(SITE)
     try:
         if value is not None:
-            outlook.hint(Hint.read(value).value)
+            outlook.hint(Hint.decode(value).value)
     except (RecordError, WordError):
         return False
     return True
@@ -84,7 +84,7 @@
 def keep_site(ledger: Ledger, outlook: Outlook, now: float) -> None:
     """Put what the outlook tells of its site on the disk, if it is time to."""
     if data := outlook.to_keep(now):
-        ledger.put([Record(Kind.WARM, SITE, Hint(data, 0.0).pack())])
+        ledger.put([Record(RecordKind.WARM_DATA, SITE, Hint(data, 0.0).encode())])
 
 
 class RecoveryRim:
@@ -107,22 +107,25 @@
         self.say, self.counters, self.note = say, counters, note
         if fleet is not None and fleet.outlook is not None and not recall_site(ledger, fleet.outlook):
             counters.add("recovery_malformed")
-        kept, records = kept_loads(ledger.records(Kind.LOAD))
+        kept, records = kept_loads(ledger.records(RecordKind.LOAD))
         known = _known(ledger)
-        boot, mark = (int.from_bytes(ledger.records(Kind.LIFE).get(key, b""), "big") for key in (BASE, MARK))
+        boot, mark = (
+            int.from_bytes(ledger.records(RecordKind.INCARNATION).get(key, b""), "big")
+            for key in (BASE, MARK)
+        )
         base = boot * BASE_STEP + mark if boot else 0
         whole = MemoryState.KEPT if base else MemoryState.OLD
-        memory = whole if ledger.memory is ledger_of.Memory.KEPT else MemoryState.EMPTY
+        memory = whole if ledger.completeness is Completeness.COMPLETE else MemoryState.EMPTY
         guards, hold = guarded_by(installation), hold_of(installation)
         self.hold, self.hop = hold, hop
         self.census = Census(
             file.number,
             file.dispatchers,
             dict(enumerate(file.peers.zones)) if file.peers is not None else {},
-            ledger.boot,
+            ledger.boot_count,
             secrets.randbits(32),
             memory,
-            ledger.clean,
+            ledger.closed_cleanly,
             {number: boot for number, (boot, _) in known.items()},
             now,
             CensusSettings(hold=hold),
@@ -130,7 +133,13 @@
             {number: told for number, (_, told) in known.items()},
         )
         self.memory = Memory(
-            file.number, file.dispatchers, ledger.boot, now, kept, MemorySettings(hold), secrets.randbits(31)
+            file.number,
+            file.dispatchers,
+            ledger.boot_count,
+            now,
+            kept,
+            MemorySettings(hold),
+            secrets.randbits(31),
         )
         self.loads = Loads(
             self.memory,
@@ -152,7 +161,13 @@
         self.gone: dict[int, Gone] = {}
         self.gone_at = -MOST_MS
         self.away = Verdict.NOTHING, frozenset[str]()  # the loss that the fleet was told of
-        note("recovered", boot=ledger.boot, memory=memory.name.lower(), why=ledger.reason, loads=len(kept))
+        note(
+            "recovered",
+            boot=ledger.boot_count,
+            memory=memory.name.lower(),
+            why=ledger.reason,
+            loads=len(kept),
+        )
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -198,7 +213,7 @@
         health = self.ledger.health(self.ledger.clock())
         return {
             "recovery": {
-                "boot": self.ledger.boot,
+                "boot": self.ledger.boot_count,
                 "memory": self.census.memory.name.lower(),
                 "confirmed": self.census.confirmed(),
                 "marks": self.census.base % BASE_STEP,
@@ -268,15 +283,15 @@
                 case census_of.Boot(least):
                     self.counters.add("boots_raised")
                     self.note("boot", least=least, memory=self.census.memory.name.lower())
-                    self.ledger.raise_boot(least)
-                    self.census.booted(self.clock.now(), self.ledger.boot)
+                    self.ledger.raise_boot_count(least)
+                    self.census.booted(self.clock.now(), self.ledger.boot_count)
                     self._live_on()
                 case census_of.Twice(later):
                     self.counters.add("twice")
                     self.note("twice", later=later)
                 case census_of.Knew(number, boot, base):
                     hint = Hint(boot.to_bytes(8, "big") + base.to_bytes(8, "big"), 0.0)
-                    self.ledger.put([Record(Kind.MEMBER, number.to_bytes(2, "big"), hint.pack())])
+                    self.ledger.put([Record(RecordKind.MEMBER, number.to_bytes(2, "big"), hint.encode())])
                 case census_of.Whole(base):
                     self._base(base)
 
@@ -287,9 +302,11 @@
             self.hop(lambda: self._based(base, durable))
 
         if base:
-            self.ledger.settle()
+            self.ledger.mark_complete()
         parts = zip((BASE, MARK), divmod(base, BASE_STEP), strict=True)
-        self.ledger.put([Record(Kind.LIFE, key, part.to_bytes(8, "big")) for key, part in parts], done)
+        self.ledger.put(
+            [Record(RecordKind.INCARNATION, key, part.to_bytes(8, "big")) for key, part in parts], done
+        )
 
     def _based(self, base: int, durable: bool) -> None:
         if durable:
@@ -338,9 +355,9 @@
 def _known(ledger: Ledger) -> dict[int, tuple[int, int]]:
     """Boots and bases of the others, as far as the folder can be read: hints."""
     known = {}
-    for key, value in ledger.records(Kind.MEMBER).items():
+    for key, value in ledger.records(RecordKind.MEMBER).items():
         try:
-            hint = Hint.read(value).value
+            hint = Hint.decode(value).value
         except RecordError:
             continue
         known[int.from_bytes(key, "big")] = int.from_bytes(hint[:8], "big"), int.from_bytes(hint[8:16], "big")
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -29,9 +29,9 @@
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
+from cottonhold.store.health import Completeness as Folder
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.ledger import Memory as Folder
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.records import Record, RecordKind
 
 FIRST, LAST = 64, 79  # kinds of message
 LEAST_MS, MOST_MS = 5.0, 250.0
@@ -90,12 +90,12 @@
         self.homes = file.peers.zones if file.peers is not None else ()
         self.voters = {member_id(name) for name in file.membership.voters}
         # Danger: an empty or old folder may have promised; its voice counts once the others have told it all.
-        kept = ledger.records(Kind.PROMISE) if ledger.memory is Folder.KEPT else {}
+        kept = ledger.records(RecordKind.PROMISE) if ledger.completeness is Folder.COMPLETE else {}
         self.registers = Registers(
             swim.id,
             self.voters,
-            ledger.boot,
-            ledger.boot,
+            ledger.boot_count,
+            ledger.boot_count,
             secrets.randbits(63),
             {key.decode(): value for key, value in kept.items()},
         )
@@ -268,7 +268,7 @@
         # Danger: a promise that is told before the disk has it is broken by a power loss, and two decisions
         # stand. One that the disk does not take is told once it does: never put again, it left a voter silent
         # for the rest of its life.
-        record = Record(Kind.PROMISE, name.encode(), data or None)
+        record = Record(RecordKind.PROMISE, name.encode(), data or None)
         self.promises.put(record, lambda: self._kept(then))
 
     def _kept(self, then: int) -> None:
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -36,7 +36,7 @@
 from cottonhold.node.gateway import DuplicateRef, Gateway, LoadGuard, Request, Taken
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.records import Record, RecordKind
 
 LEAST_MS, MOST_MS = 2.0, 20.0  # between two steps
 HANDED_ON = 79  # first byte of words of requests that are handed on
@@ -92,7 +92,7 @@
         self.gateway, self.clock, self.hop, self.say = gateway, clock, hop, say
         self.counters, self.note, self.name = counters, note, installation.file.name
         self.homes = installation.file.peers.zones if installation.file.peers is not None else ()
-        kept = {key.decode(): value for key, value in ledger.records(Kind.PIN).items()}
+        kept = {key.decode(): value for key, value in ledger.records(RecordKind.AFFINITY).items()}
         self.service = PinService(swim.id, swap.voters, now, secrets.randbits(30), kept)
         self.me, self.back = swim.id, self.service.settings.back
         life = life_of(ledger) & U32 or 1
@@ -340,7 +340,7 @@
         def done(durable: bool) -> None:
             self.hop(lambda: self._kept(name, data, then, durable))
 
-        self.ledger.put([Record(Kind.PIN, name.encode(), data or None)], done)
+        self.ledger.put([Record(RecordKind.AFFINITY, name.encode(), data or None)], done)
 
     def _kept(self, name: str, data: bytes, then: int, durable: bool) -> None:
         if durable:
--- a/cottonhold/fleet_adapters/write_queue.py
+++ b/cottonhold/fleet_adapters/write_queue.py
@@ -9,8 +9,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cottonhold.store.ledger import Ledger, State
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.health import DiskState
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import Record, RecordKind
 
 AGAIN_MS = 500.0  # what the disk did not take is put again after so long
 GROUP = 256  # records in one transaction at most
@@ -41,8 +42,8 @@
         call_in: Callable[[float, Then], object],
     ) -> None:
         self.ledger, self.hop, self.call_in = ledger, hop, call_in
-        self.queue: dict[tuple[Kind, bytes], Entry] = {}
-        self.flying: dict[tuple[Kind, bytes], Entry] = {}
+        self.queue: dict[tuple[RecordKind, bytes], Entry] = {}
+        self.flying: dict[tuple[RecordKind, bytes], Entry] = {}
         self.paused = False
 
     def put(self, record: Record, kept: Then = _nothing, refused: Then = _nothing) -> None:
@@ -53,7 +54,7 @@
         self.queue[at] = Entry(record, kept, refused)
         if not self.flying and not self.paused:
             self._write()
-        elif self.ledger.health(self.ledger.clock()).state is not State.WELL:
+        elif self.ledger.health(self.ledger.clock()).state is not DiskState.HEALTHY:
             self.hop(refused)
 
     def _write(self) -> None:
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -39,8 +39,9 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler import interface as io
-from cottonhold.store.ledger import Ledger, StoreBusy
-from cottonhold.store.records import Kind
+from cottonhold.store.health import StoreBusyError
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import RecordKind
 
 if TYPE_CHECKING:
     from cottonhold.observe.metrics import Metrics, Readings
@@ -102,7 +103,7 @@
         if self.opening.waits(SLOW_S):
             why = f"{self.installation.file.state_dir}: the disk has not answered yet"
         elif error is not None:
-            self.counters.add("ledger_busy" if isinstance(error, StoreBusy) else "ledger_faults")
+            self.counters.add("ledger_busy" if isinstance(error, StoreBusyError) else "ledger_faults")
             why = str(error)
         if why and why != self.ledger_why:
             self.ledger_why = why
@@ -131,11 +132,11 @@
         """Refuse loads, and see again whether the folder can be had."""
         if self.unkept is None:
             error = self.opening.error if self.opening.over else None
-            found = error.kept if error is not None else {}
-            loads = found.get(Kind.LOAD, {})
+            found = error.records if error is not None else {}
+            loads = found.get(RecordKind.LOAD, {})
             self.unkept = unkept_guard(self.installation, loads, self.driver.clock, self.counters)
             self.gateway.loads = self.unkept
-            self._hold_drained(found.get(Kind.DRAIN, {}))
+            self._hold_drained(found.get(RecordKind.ENGINE_DRAIN, {}))
         if self.opening.over:
             self.driver.clock.call_in(LEDGER_MS, self._open_again)
         else:
@@ -164,7 +165,7 @@
         file = self.installation.file
         if fleet is not None and file.sources:
             # Without the ramp nobody would await the answer that proves what is remembered.
-            self.remembered = Remembered(ledger.records(Kind.ENGINE), self.config.names)
+            self.remembered = Remembered(ledger.records(RecordKind.ENGINE_ADDRESS), self.config.names)
             # Danger: an engine may stand in a remembered list that is drained since then.
             self.recovery.knows = self._listed
             self.counters.add("recovery_malformed", self.remembered.malformed)
@@ -236,7 +237,7 @@
             make_instance(
                 self.installation,
                 clock.now(),
-                BOOT_STEP * ledger.boot if ledger is not None else int(clock.unix()),
+                BOOT_STEP * ledger.boot_count if ledger is not None else int(clock.unix()),
             ),
             clock,
             self.counters,
--- a/cottonhold/store/boot_file.py
+++ b/cottonhold/store/boot_file.py
@@ -1,4 +1,4 @@
-"""The small life file's form: which boot it is, which book counts, and whether the last life was closed."""
+"""The boot file's form: which boot this is, which record file counts, and whether the last one was closed."""
 
 from __future__ import annotations
 
@@ -6,30 +6,33 @@
 import zlib
 from dataclasses import dataclass
 
-_LIFE = struct.Struct("<4sBQQq")
-_MAGIC, _FORM = b"chst", 1
+_FORM = struct.Struct("<4sBQQq")
+_MAGIC, _VERSION = b"chst", 1
+_CHECKSUM_BYTES = 4
+NOT_CLOSED = -1  # in place of the number of transactions
 
 
 @dataclass(slots=True, frozen=True)
-class Life:
-    """The life file. generation: which book counts. turn: its transactions at a clean end, else -1."""
+class BootFile:
+    """The boot file. generation: the record file that counts. transactions_at_close: of that file at a clean
+    close, NOT_CLOSED while the boot lasts and after it was cut off."""
 
-    boot: int
+    boot_count: int
     generation: int
-    turn: int
+    transactions_at_close: int
 
-    def pack(self) -> bytes:
-        """With a checksum at its end."""
-        head = _LIFE.pack(_MAGIC, _FORM, self.boot, self.generation, self.turn)
-        return head + zlib.crc32(head).to_bytes(4, "little")
+    def encode(self) -> bytes:
+        """The content, with a checksum at its end."""
+        head = _FORM.pack(_MAGIC, _VERSION, self.boot_count, self.generation, self.transactions_at_close)
+        return head + zlib.crc32(head).to_bytes(_CHECKSUM_BYTES, "little")
 
     @classmethod
-    def read(cls, content: bytes | None) -> Life | None:
-        """None where it is missing or garbled."""
-        if content is None or len(content) != _LIFE.size + 4:
+    def decode(cls, content: bytes | None) -> BootFile | None:
+        """The file's meaning; None where it is missing or garbled."""
+        if content is None or len(content) != _FORM.size + _CHECKSUM_BYTES:
             return None
-        head, told = content[:-4], int.from_bytes(content[-4:], "little")
-        magic, form, boot, generation, turn = _LIFE.unpack(head)
-        if zlib.crc32(head) != told or magic != _MAGIC or form != _FORM:
+        head, checksum = content[:-_CHECKSUM_BYTES], int.from_bytes(content[-_CHECKSUM_BYTES:], "little")
+        magic, version, boot_count, generation, transactions_at_close = _FORM.unpack(head)
+        if zlib.crc32(head) != checksum or magic != _MAGIC or version != _VERSION:
             return None
-        return cls(boot, generation, turn)
+        return cls(boot_count, generation, transactions_at_close)
--- a/cottonhold/store/files.py
+++ b/cottonhold/store/files.py
@@ -1,9 +1,8 @@
-"""The small interface to files beside SQLite's own, so that tests can cut and fail these writes too.
+"""Operations on whole files beside SQLite's own, so that tests can cut and fail these writes too.
 
-`Files` is the operating system's, and puts its few primitives together in the one order that survives a cut;
-a stand-in replaces the primitives only, so that the order itself is under test. Each VFS name may have its
-own.
-"""
+`Files` is the operating system's. Its primitives are single system operations; `replace`, `extend` and
+`rename` put them together in the one order that survives a power loss. A stand-in replaces the primitives
+only, so that the order itself is under test. Each SQLite VFS may have its own `Files`."""
 
 from __future__ import annotations
 
@@ -12,85 +11,84 @@
 
 
 class Files:
-    """What the ledger does with whole files. Everything raises OSError."""
-
-    # --- primitives ---
+    """What the ledger does with whole files. All methods raise OSError."""
 
     def read(self, path: Path) -> bytes | None:
-        """The whole content; None where there is none."""
+        """The whole content; None where there is no file."""
         try:
             return path.read_bytes()
         except FileNotFoundError:
             return None
 
     def size(self, path: Path) -> int:
-        """In bytes; 0 where there is none."""
+        """The size in bytes; 0 where there is no file."""
         return path.stat().st_size if path.exists() else 0
 
     def names(self, folder: Path) -> list[str]:
-        """All names in it."""
+        """All names in a folder, sorted."""
         return sorted(os.listdir(folder))
 
-    def append(self, path: Path, content: bytes, *, anew: bool = False) -> None:
-        """Written at its end, or to an emptied file; durable only after `sync`."""
-        with open(path, "wb" if anew else "ab") as file:
+    def append(self, path: Path, content: bytes, *, truncate: bool = False) -> None:
+        """Write at the file's end, or to an emptied file; durable only after `sync`."""
+        with open(path, "wb" if truncate else "ab") as file:
             file.write(content)
 
     def sync(self, path: Path) -> None:
-        """Its content is durable when this returns."""
+        """The file's content is durable when this returns."""
         self._sync(path, os.O_RDWR)
 
     def move(self, old: Path, new: Path) -> None:
-        """Old or new at every moment; durable only after `sync_folder`."""
+        """Old or new name at every moment; durable only after `sync_folder`."""
         os.replace(old, new)
 
     def remove(self, path: Path) -> None:
-        """Nothing happens where there is none; durable only after `sync_folder`."""
+        """Remove a file if there is one; durable only after `sync_folder`."""
         path.unlink(missing_ok=True)
 
     def sync_folder(self, folder: Path) -> None:
-        """Names made, moved and removed in it are durable when this returns."""
+        """Names made, moved and removed in the folder are durable when this returns."""
         self._sync(folder, os.O_RDONLY)
 
     def _sync(self, path: Path, flags: int) -> None:
-        handle = os.open(path, flags)
+        descriptor = os.open(path, flags)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
-
-    # --- put together ---
+            os.close(descriptor)
 
     def replace(self, path: Path, content: bytes) -> None:
-        """Durable when it returns; old or new, whole, at every moment before."""
+        """Replace a file's content; durable on return, and the old or the new one at every moment before."""
         new = path.with_name(path.name + ".new")
-        self.append(new, content, anew=True)
-        # Danger: a name moved before its content is durable is an empty file after a cut.
+        self.append(new, content, truncate=True)
+        # A name that is moved before its content is durable is an empty file after a power loss.
         self.sync(new)
         self.move(new, path)
         self.sync_folder(path.parent)
 
     def extend(self, path: Path, size: int) -> None:
-        """Fills up with zeros to `size` bytes, durable when it returns. Written, not only promised by
-        fallocate: else each first write there would be one to the file system's own journal as well."""
+        """Fill a file up with zeros to `size` bytes; durable on return.
+
+        Written and not only reserved by fallocate: else each first write there would cost one to the file
+        system's journal as well.
+        """
         self.append(path, bytes(max(0, size - self.size(path))))
         self.sync(path)
         self.sync_folder(path.parent)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Durable when it returns."""
+        """Rename a file; durable on return."""
         self.move(old, new)
         self.sync_folder(new.parent)
 
 
-_REGISTERED: dict[str, Files] = {}
+_FILES_BY_VFS: dict[str, Files] = {}
 
 
-def register(vfs: str, files: Files) -> None:
+def register_files(vfs: str, files: Files) -> None:
     """From now on a ledger on this VFS reads and writes its small files by these."""
-    _REGISTERED[vfs] = files
+    _FILES_BY_VFS[vfs] = files
 
 
-def of(vfs: str) -> Files:
+def files_of(vfs: str) -> Files:
     """The files that belong to a VFS; the operating system's where none are registered."""
-    return _REGISTERED.get(vfs) or Files()
+    return _FILES_BY_VFS.get(vfs) or Files()
--- a/cottonhold/store/ledger.py
+++ b/cottonhold/store/ledger.py
@@ -1,425 +1,264 @@
-"""The ledger of one instance: what it must not forget, durable before anyone is told so.
+"""The ledger of one instance: records that are durable before anyone is told of them.
 
-Reads are from memory as of opening. Writes go to one thread, which takes everything queued into one
-transaction with a full sync and tells `done` only after it. What is in the folder never keeps an instance
-from starting: a file that isn't whole is put aside, and the memory told as empty, which means unknown.
+Reads are from memory as of opening. Writes go to one thread, which takes all queued records into one
+transaction with a full sync and reports them as written only after it. What is in the folder never keeps an
+instance from starting: a damaged file is put aside, and the content counts as incomplete, which means
+unknown.
 
-After a failed sync nothing is asked of that file again: the kernel may have dropped the pages and say yes
-the next time, and reading shows the cache and not the disk. All records are written anew, from memory, to a
-file of the next generation; it counts when the small life file, replaced whole, names it.
-"""
+After a failed sync nothing is asked of that file again: the kernel may have dropped the pages and report
+success the next time, and a read shows the cache and not the disk. All records are written anew, from memory,
+to a file of the next generation (see `ledger_folder`)."""
 
 from __future__ import annotations
 
-import fcntl
-import os
-import re
+import contextlib
 import threading
 import time
 from collections import deque
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from enum import Enum
 from pathlib import Path
 
 import apsw
 
-from cottonhold.store import files as store_files
-from cottonhold.store.boot_file import Life
-from cottonhold.store.record_file import Book, BookError, Sizes, log_of
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.files import files_of
+from cottonhold.store.health import DiskHealth, DiskState, StoreError
+from cottonhold.store.ledger_folder import COMPLETE_MARK, LedgerFolder
+from cottonhold.store.record_file import FileSizes, RecordFile, RecordFileError
+from cottonhold.store.records import Record, RecordKind
 
-# The VFS a ledger opens by when none is given: the rig sets it to a disk's that fails.
-VFS = ""
-WHOLE = Record(Kind.LIFE, b"whole", b"\x01")
-Done = Callable[[bool], None]
-
-
-class StoreError(Exception):
-    """No ledger can be kept in this folder now: its disk fails or is full. Loads are refused, all else goes
-    on. What could be read all the same is in `memory` and `kept`; the boot isn't counted."""
-
-    memory: Memory
-    kept: dict[Kind, dict[bytes, bytes]]
-
-    def __init__(self, text: str, memory: Memory, kept: dict[Kind, dict[bytes, bytes]]) -> None:
-        super().__init__(text)
-        self.memory, self.kept = memory, kept
-
-
-class StoreBusy(StoreError):
-    """Another living process has this folder."""
-
-
-class Memory(Enum):
-    """EMPTY: what isn't in it may still have been; unknown, never 'never'. KEPT: it is whole."""
-
-    EMPTY = "empty"
-    KEPT = "kept"
-
-
-class State(Enum):
-    """WELL: writes are taken. All others refuse them at once."""
-
-    WELL = "well"
-    STALLED = "stalled"
-    FULL = "full"
-    FAILED = "failed"
-
-
-@dataclass(slots=True, frozen=True)
-class Health:
-    """How the disk does, and why."""
-
-    state: State
-    reason: str
+# The VFS a ledger opens by when none is given: the fault-injection harness sets one whose disk fails.
+DEFAULT_VFS = ""
+MAX_BACKOFF_FACTOR = 16.0  # the longest pause between recoveries, in retry intervals
+OnWritten = Callable[[bool], None]  # called with whether the records are durable
 
 
 @dataclass(slots=True, frozen=True)
 class LedgerSettings:
-    """stall: ms that a write may wait before new ones are refused. retry: ms between tries on a full or
-    failed disk. queue: records waiting at most. group: records in one transaction at most."""
+    """stall_timeout_ms: a write may wait so long before new ones are refused. retry_interval_ms: between
+    attempts on a full or failed disk. max_group_records: in one transaction."""
 
-    stall: float = 1000.0
-    retry: float = 500.0
-    queue: int = 4096
-    group: int = 256
-    sizes: Sizes = Sizes()
+    stall_timeout_ms: float = 1000.0
+    retry_interval_ms: float = 500.0
+    max_queued_records: int = 4096
+    max_group_records: int = 256
+    file_sizes: FileSizes = FileSizes()
 
 
 @dataclass(slots=True)
 class _Write:
     records: tuple[Record, ...]
-    done: Done | None
-    at: float
+    on_written: OnWritten | None
+    queued_at: float
 
 
-def _monotonic() -> float:
+def _monotonic_ms() -> float:
     return time.monotonic() * 1000.0
 
 
 class Ledger:
-    """See the module. Opened by `open`; `put`, `health`, `records` from any thread."""
-
-    def __init__(
-        self, folder: Path, name: str, vfs: str, settings: LedgerSettings, clock: Callable[[], float]
-    ):
-        self.folder, self.name, self.vfs, self.settings, self.clock = folder, name, vfs, settings, clock
-        self.files = store_files.of(vfs)
-        self.boot, self.generation = 0, 0
-        self.memory, self.reason, self.clean, self.set_aside = Memory.EMPTY, "", False, 0
-        self._kept: dict[Kind, dict[bytes, bytes]] = {}
-        self._book: Book | None = None
-        self._lock, self._queue, self._waiting = threading.Condition(), deque[_Write](), 0
-        self._state, self._why, self._pause = State.WELL, "", settings.retry
-        self._busy: float | None = None
-        self._ending = self._clean_end = False
-        self._handle = -1
-        self._thread = threading.Thread(target=self._run, name=f"ledger-{name}", daemon=True)
-
-    # --- opening ---
+    """See the module. Made by `open`; all public methods may be called from any thread."""
+
+    def __init__(self, folder: LedgerFolder, settings: LedgerSettings, clock: Callable[[], float]) -> None:
+        self.folder, self.settings, self.clock = folder, settings, clock
+        self.boot_count = folder.boot_count
+        self.completeness, self.reason = folder.completeness, folder.reason
+        self.closed_cleanly, self.damaged_files = folder.closed_cleanly, folder.damaged_files
+        self._lock = threading.Condition()
+        self._queue, self._queued_records = deque[_Write](), 0
+        self._state, self._state_reason = DiskState.HEALTHY, ""
+        self._retry_pause_ms = settings.retry_interval_ms
+        self._writing_since: float | None = None  # when the oldest write under way was queued
+        self._is_closing = self._closes_cleanly = False
+        self._thread = threading.Thread(target=self._run, name=f"ledger-{folder.name}", daemon=True)
 
     @classmethod
     def open(
         cls,
-        folder: Path,
+        path: Path,
         name: str,
         vfs: str = "",
         settings: LedgerSettings | None = None,
-        clock: Callable[[], float] = _monotonic,
+        clock: Callable[[], float] = _monotonic_ms,
     ) -> Ledger:
-        """Opens, or makes anew; the boot is counted and durable on return. StoreBusy, StoreError."""
-        ledger = cls(folder, name, vfs or VFS, settings or LedgerSettings(), clock)
+        """Open a folder's ledger, or make one; the boot is counted and durable on return.
+
+        Raises StoreBusyError where another process has the folder, StoreError where the disk fails.
+        """
+        vfs, settings = vfs or DEFAULT_VFS, settings or LedgerSettings()
+        folder = LedgerFolder(path, name, vfs, files_of(vfs), settings.file_sizes)
         try:
-            ledger._hold_folder()
-            ledger._begin()
-        except (OSError, apsw.Error, BookError) as error:
-            ledger._let_go()
-            raise StoreError(f"{folder}: {error}", ledger.memory, ledger._kept) from error
+            folder.lock()
+            folder.open()
+        except (OSError, apsw.Error, RecordFileError) as error:
+            folder.close()
+            raise StoreError(f"{path}: {error}", folder.completeness, folder.records) from error
         except BaseException:
-            ledger._let_go()
+            folder.close()
             raise
+        ledger = cls(folder, settings, clock)
         ledger._thread.start()
         return ledger
 
-    def _hold_folder(self) -> None:
-        self.folder.mkdir(parents=True, exist_ok=True)
-        self._handle = os.open(
-            self.folder / f"{self.name}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600
-        )
-        try:
-            # Held by the open file: it goes with the process, however that ends.
-            fcntl.flock(self._handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError as error:
-            raise StoreBusy(f"{self.folder}: in use by another process", self.memory, {}) from error
-
-    def _begin(self) -> None:
-        content = self.files.read(self._life_path)
-        life = Life.read(content)
-        newest = self._newest()
-        self.generation = life.generation if life else newest
-        book = self._read(life, content is not None)
-        self.boot = max(life.boot if life else 0, book.boot if book else 0) + 1
-        if book is not None:
-            self._take_over(book)
-        self.clean = book is not None and self._ended_well(life)
-        if book is None or not self.clean:
-            rows = book.rows if book is not None else {}
-            if book is not None:
-                book.close()
-                self._settle_generation(life.boot if life is not None else 0)
-            self.generation = max(newest, self.generation) + 1
-            book = Book.create(self._path, self.vfs, self.files, self.settings.sizes, rows, self.boot)
-        self._book = book
-        self.files.replace(self._life_path, Life(self.boot, self.generation, -1).pack())
-        book.commit([], self.boot)
-        self._tidy()
-
-    @staticmethod
-    def _ended_well(life: Life | None) -> bool:
-        """The last life was closed, all of it durable."""
-        # Danger: after any other end what is read may be in the kernel's cache only, and stay there for good
-        # if a sync of the last life had failed; what is put behind it in the log would be lost with it.
-        return life is not None and life.turn >= 0
-
-    def _take_over(self, book: Book) -> None:
-        for (kind, key), value in book.rows.items():
-            if kind in Kind.__members__.values():
-                self._kept.setdefault(Kind(kind), {})[key] = value
-        if self._kept.get(Kind.LIFE, {}).pop(WHOLE.key, None) is not None:
-            self.memory = Memory.KEPT
-        else:
-            self.reason = "emptied not long ago"
+    def records(self, kind: RecordKind) -> dict[bytes, bytes]:
+        """The values of a kind by their keys, as of opening."""
+        return dict(self.folder.records.get(kind, {}))
 
-    def _read(self, life: Life | None, found: bool) -> Book | None:
-        """The book, if it is whole; else None, with the reason."""
-        if self.files.read(self._path) is None:
-            self.reason = "its file is missing" if found else "nothing was here"
-            return None
-        try:
-            book = Book.read(self._path, self.vfs, self.files, self.settings.sizes)
-            if life is not None and life.turn > book.turn:
-                book.close()
-                raise BookError(f"{life.turn - book.turn} transactions are missing")
-        except BookError as error:
-            self.reason = str(error)
-            self.set_aside += 1
-            for path in (self._path, log_of(self._path)):
-                if self.files.read(path) is not None:
-                    self.files.rename(path, path.with_name(path.name + ".broken"))
-            return None
-        return book
-
-    @property
-    def _life_path(self) -> Path:
-        return self.folder / f"{self.name}.life"
-
-    @property
-    def _path(self) -> Path:
-        return self._book_path(self.generation)
-
-    def _book_path(self, generation: int) -> Path:
-        return self.folder / f"{self.name}.{generation}.db"
-
-    def _generations(self) -> list[int]:
-        """Of all books here, broken ones too."""
-        found = re.compile(rf"{re.escape(self.name)}\.(\d+)\.db(-wal)?(\.broken)?").fullmatch
-        return sorted({int(match[1]) for match in map(found, self.files.names(self.folder)) if match})
-
-    def _newest(self) -> int:
-        return max(self._generations(), default=0)
-
-    def _settle_generation(self, boot: int) -> None:
-        """Where a life file's replacement has failed there are several books, and any may count on the disk.
-        That it is the one that counts here is made durable first, and then the others go.
-
-        Danger: with each try leaving one book, a disk that failed in the life file only was filled up. And
-        without the first step, the only book that counts on the disk could go."""
-        if self._generations() not in ([], [self.generation]):
-            self.files.replace(self._life_path, Life(boot, self.generation, -1).pack())
-            self._tidy()
-
-    def _tidy(self) -> None:
-        """Books of earlier generations go; of broken ones the newest stays for whoever asks."""
-        names = self.files.names(self.folder)
-        broken = [g for g in self._generations() if self._book_path(g).name + ".broken" in names]
-        for generation in self._generations():
-            path = self._book_path(generation)
-            for old in (path, log_of(path)):
-                if generation != self.generation:
-                    self.files.remove(old)
-                if generation not in broken[-1:]:
-                    self.files.remove(old.with_name(old.name + ".broken"))
-
-    # --- for the rim ---
-
-    def records(self, kind: Kind) -> dict[bytes, bytes]:
-        """As of opening."""
-        return dict(self._kept.get(kind, {}))
-
-    def put(self, records: Sequence[Record], done: Done | None = None) -> None:
-        """Queues them for one transaction. done(True), in the writer's thread: durable. done(False): not
-        taken, or not known to be durable; in the caller's thread at once when the disk isn't well or the
-        queue is full."""
+    def put(self, records: Sequence[Record], on_written: OnWritten | None = None) -> None:
+        """Queue records for one transaction.
+
+        on_written(True) is called in the writer's thread once they are durable. on_written(False) means that
+        they were not accepted or are not known to be durable; it is called at once in the caller's thread
+        when the disk isn't healthy or the queue is full.
+        """
         with self._lock:
-            well = self._health(self.clock()).state is State.WELL and not self._ending
-            if well and self._waiting + len(records) <= self.settings.queue:
-                self._queue.append(_Write(tuple(records), done, self.clock()))
-                self._waiting += len(records)
+            is_healthy = self._health(self.clock()).state is DiskState.HEALTHY and not self._is_closing
+            if is_healthy and self._queued_records + len(records) <= self.settings.max_queued_records:
+                self._queue.append(_Write(tuple(records), on_written, self.clock()))
+                self._queued_records += len(records)
                 self._lock.notify()
                 return
-        if done is not None:
-            done(False)
+        if on_written is not None:
+            on_written(False)
 
-    def raise_boot(self, least: int, done: Done | None = None) -> None:
-        """Others know of a later boot than this folder does: from now on it is at least this one."""
+    def raise_boot_count(self, minimum: int, on_written: OnWritten | None = None) -> None:
+        """Make the boot count at least `minimum`: others know of a later boot than this folder does."""
         with self._lock:
-            self.boot = max(self.boot, least)
-        self.put([], done)
+            self.boot_count = max(self.boot_count, minimum)
+        self.put([], on_written)
 
-    def settle(self, done: Done | None = None) -> None:
-        """What was before can't matter any more (a whole hold has passed): from now on the memory is whole.
-        Until then each next opening tells it as EMPTY again, though with the records that it has."""
-        self.put([WHOLE], done)
+    def mark_complete(self, on_written: OnWritten | None = None) -> None:
+        """Record that what was before can't matter any more, since a whole retention time has passed.
 
-    def health(self, now_ms: float) -> Health:
-        """now_ms: on the same monotonic clock as the ledger's."""
+        Until then each next opening reports the content as UNKNOWN again, though with the records it has.
+        """
+        self.put([COMPLETE_MARK], on_written)
+
+    def health(self, now_ms: float) -> DiskHealth:
+        """How the disk does. now_ms: on the ledger's own monotonic clock."""
         with self._lock:
             return self._health(now_ms)
 
-    def _health(self, now: float) -> Health:
-        if self._state is not State.WELL:
-            return Health(self._state, self._why)
-        oldest = self._busy if self._busy is not None else self._queue[0].at if self._queue else now
-        if now - oldest > self.settings.stall:
-            return Health(State.STALLED, f"a write has waited for {now - oldest:.0f} ms")
-        return Health(State.WELL, "")
+    def _health(self, now_ms: float) -> DiskHealth:
+        if self._state is not DiskState.HEALTHY:
+            return DiskHealth(self._state, self._state_reason)
+        oldest = now_ms
+        if self._writing_since is not None:
+            oldest = self._writing_since
+        elif self._queue:
+            oldest = self._queue[0].queued_at
+        waited_ms = now_ms - oldest
+        if waited_ms > self.settings.stall_timeout_ms:
+            return DiskHealth(DiskState.STALLED, f"a write has waited for {waited_ms:.0f} ms")
+        return DiskHealth(DiskState.HEALTHY, "")
 
     def close(self, clean: bool) -> None:
-        """Writes what is queued and ends; `clean`: told so to the next life, if all of it got there. On a
-        disk that stalls it leaves the folder to this process's end."""
+        """Write what is queued and end. clean: the next boot is told so, if all of it became durable.
+
+        On a disk that stalls the folder is given back only by the end of the process.
+        """
         with self._lock:
-            self._ending, self._clean_end = True, clean
+            self._is_closing, self._closes_cleanly = True, clean
             self._lock.notify()
-        self._thread.join(self.settings.stall / 1000.0)
+        self._thread.join(self.settings.stall_timeout_ms / 1000.0)
         if not self._thread.is_alive():
-            self._let_go()
-
-    def _end(self) -> None:
-        """In the writer's thread. Danger: in the caller's, a disk that hung in the last sync kept the process
-        from ending."""
-        try:
-            if self._clean_end and self._book is not None and self._state is State.WELL:
-                self._book.checkpoint()
-                self.files.replace(self._life_path, Life(self.boot, self.generation, self._book.turn).pack())
-        except (OSError, apsw.Error):
-            pass  # The next life takes this one for cut off, which is the safe side.
-
-    def _let_go(self) -> None:
-        if self._book is not None:
-            self._book.close()
-        if self._handle >= 0:
-            os.close(self._handle)
-            self._handle = -1
-
-    # --- the writer's thread ---
+            self.folder.close()
 
     def _run(self) -> None:
+        """The writer's thread."""
         while True:
             with self._lock:
-                if not self._queue and not self._ending:
-                    well = self._state is State.WELL
-                    self._lock.wait(None if well else self._pause / 1000.0)
-                group = self._take()
-                ending, state = self._ending, self._state
-            if not group and ending:
-                self._end()
+                if not self._queue and not self._is_closing:
+                    is_healthy = self._state is DiskState.HEALTHY
+                    self._lock.wait(None if is_healthy else self._retry_pause_ms / 1000.0)
+                group = self._take_group()
+                is_closing, state = self._is_closing, self._state
+            if not group and is_closing:
+                self._finish()
                 return
             if group:
-                self._answer(group, state is State.WELL and self._commit(group))
-            elif state is not State.WELL:
+                self._report(group, state is DiskState.HEALTHY and self._commit(group))
+            elif state is not DiskState.HEALTHY:
                 self._recover(state)
 
-    def _take(self) -> list[_Write]:
+    def _take_group(self) -> list[_Write]:
+        """The oldest writes, as many as fit one transaction and at least one."""
         group: list[_Write] = []
         size = 0
-        while self._queue and (not group or size + len(self._queue[0].records) <= self.settings.group):
+        while self._queue:
+            if group and size + len(self._queue[0].records) > self.settings.max_group_records:
+                break
             group.append(self._queue.popleft())
             size += len(group[-1].records)
-        self._waiting -= size
-        self._busy = group[0].at if group else None
+        self._queued_records -= size
+        self._writing_since = group[0].queued_at if group else None
         return group
 
-    def _answer(self, group: list[_Write], well: bool) -> None:
+    def _report(self, group: list[_Write], is_durable: bool) -> None:
         with self._lock:
-            self._busy = None
+            self._writing_since = None
         for write in group:
-            if write.done is not None:
-                write.done(well)
+            if write.on_written is not None:
+                write.on_written(is_durable)
 
     def _commit(self, group: list[_Write]) -> bool:
-        """True once the sync has returned well."""
-        book = self._book
-        if book is None:
+        """Write one transaction; true once its sync has succeeded."""
+        record_file = self.folder.record_file
+        if record_file is None:
             return False
         try:
-            book.commit([record for write in group for record in write.records], self.boot)
-        except apsw.FullError as error:
-            self._tell(State.FULL, str(error))
-            return False
+            record_file.commit([record for write in group for record in write.records], self.boot_count)
         except (apsw.Error, OSError) as error:
-            self._tell(State.FAILED, str(error))
+            self._on_disk_error(error)
             return False
-        if book.due:
-            self._checkpoint(book)
+        if record_file.is_checkpoint_due:
+            self._checkpoint(record_file)
         return True
 
-    def _checkpoint(self, book: Book) -> None:
+    def _checkpoint(self, record_file: RecordFile) -> None:
         # What was committed is durable in the log whatever comes of this.
         try:
-            book.checkpoint()
-        except apsw.FullError as error:
-            self._tell(State.FULL, str(error))
+            record_file.checkpoint()
         except (apsw.Error, OSError) as error:
-            self._tell(State.FAILED, str(error))
+            self._on_disk_error(error)
+
+    def _on_disk_error(self, error: Exception) -> None:
+        state = DiskState.FULL if isinstance(error, apsw.FullError) else DiskState.FAILED
+        self._set_state(state, str(error))
 
-    def _tell(self, state: State, why: str) -> None:
+    def _set_state(self, state: DiskState, reason: str) -> None:
         with self._lock:
-            again = state is State.FAILED and self._state is State.FAILED
-            # Writing all anew is work for a disk that fails already: less and less often.
-            self._pause = min(self._pause * 2.0, self.settings.retry * 16.0) if again else self.settings.retry
-            self._state, self._why = state, why
+            if state is DiskState.FAILED and self._state is DiskState.FAILED:
+                # Writing all anew is more work for a disk that fails already, so it is done less and less
+                # often.
+                longest_ms = self.settings.retry_interval_ms * MAX_BACKOFF_FACTOR
+                self._retry_pause_ms = min(self._retry_pause_ms * 2.0, longest_ms)
+            else:
+                self._retry_pause_ms = self.settings.retry_interval_ms
+            self._state, self._state_reason = state, reason
 
-    def _recover(self, state: State) -> None:
+    def _recover(self, state: DiskState) -> None:
+        """Try whether a full or failed disk can be written again."""
         try:
-            if state is State.FULL and self._book is not None:
-                # In this order: a commit that is tried again and again must not fill the log meanwhile.
-                self._book.checkpoint()
-                self._book.commit([], self.boot)
+            if state is DiskState.FULL and self.folder.record_file is not None:
+                # The checkpoint goes first: a commit that is tried again and again must not fill the log.
+                self.folder.record_file.checkpoint()
+                self.folder.record_file.commit([], self.boot_count)
             else:
-                self._write_anew()
+                self.folder.rewrite(self.boot_count)
         except apsw.FullError as error:
-            self._tell(State.FULL if state is State.FULL else State.FAILED, str(error))
-        except (apsw.Error, OSError, BookError) as error:
-            self._tell(State.FAILED, str(error))
+            is_still_full = state is DiskState.FULL
+            self._set_state(DiskState.FULL if is_still_full else DiskState.FAILED, str(error))
+        except (apsw.Error, OSError, RecordFileError) as error:
+            self._set_state(DiskState.FAILED, str(error))
         else:
-            self._tell(State.WELL, "")
+            self._set_state(DiskState.HEALTHY, "")
 
-    def _write_anew(self) -> None:
-        """Danger: neither the old file's pages nor a read of it prove anything after a failed sync."""
-        book = self._book
-        if book is None:
+    def _finish(self) -> None:
+        """Record the clean close, in the writer's thread: a disk that hangs must not keep the caller from
+        ending the process."""
+        if not self._closes_cleanly or self._state is not DiskState.HEALTHY:
             return
-        self._settle_generation(self.boot)
-        generation = self._newest() + 1
-        path = self._book_path(generation)
-        fresh = Book.create(path, self.vfs, self.files, self.settings.sizes, book.rows, self.boot)
-        try:
-            self.files.replace(self._life_path, Life(self.boot, generation, -1).pack())
-        except BaseException:
-            # Danger: the life file may name it already, so it stays.
-            fresh.close()
-            raise
-        self._book, self.generation = fresh, generation
-        book.close()
-        self._tidy()
+        # Where it fails the next boot takes this one for cut off, which is the safe side.
+        with contextlib.suppress(OSError, apsw.Error):
+            self.folder.record_clean_close(self.boot_count)
--- /dev/null
+++ b/cottonhold/store/ledger_folder.py
@@ -0,0 +1,195 @@
+"""The folder of one ledger: its lock, its boot file, and record files by generation.
+
+The boot file names the generation of the record file that counts. A new generation is written wherever the
+present file can't be relied on: after an end that wasn't a clean close, and after a write that failed. It
+counts once the boot file, replaced atomically, names it; then files of other generations are removed."""
+
+from __future__ import annotations
+
+import fcntl
+import os
+import re
+from pathlib import Path
+
+from cottonhold.store.boot_file import NOT_CLOSED, BootFile
+from cottonhold.store.files import Files
+from cottonhold.store.health import Completeness, StoreBusyError
+from cottonhold.store.record_file import FileSizes, RecordFile, RecordFileError, log_path
+from cottonhold.store.records import Record, RecordKind
+
+COMPLETE_MARK = Record(RecordKind.INCARNATION, b"whole", b"\x01")
+DAMAGED_SUFFIX = ".broken"
+
+
+class LedgerFolder:
+    """A folder that one process holds at a time. Methods raise OSError, apsw.Error or RecordFileError."""
+
+    def __init__(self, path: Path, name: str, vfs: str, files: Files, sizes: FileSizes) -> None:
+        self.path, self.name, self.vfs, self.files, self.sizes = path, name, vfs, files, sizes
+        self.boot_count, self.generation = 0, 0
+        self.completeness, self.reason = Completeness.UNKNOWN, ""
+        self.closed_cleanly = False  # the boot before this one
+        self.damaged_files = 0
+        self.records: dict[RecordKind, dict[bytes, bytes]] = {}  # as of opening
+        self.record_file: RecordFile | None = None
+        self._lock_descriptor = -1
+
+    def lock(self) -> None:
+        """Take the folder for this process. Raises StoreBusyError where another living one has it."""
+        self.path.mkdir(parents=True, exist_ok=True)
+        self._lock_descriptor = os.open(
+            self.path / f"{self.name}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600
+        )
+        try:
+            # The kernel frees the lock with the open file, however the process ends.
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except BlockingIOError as error:
+            text = f"{self.path}: in use by another process"
+            raise StoreBusyError(text, self.completeness, {}) from error
+
+    def open(self) -> None:
+        """Read what is there, or make it anew; the boot is counted and durable on return."""
+        content = self.files.read(self._boot_path)
+        boot = BootFile.decode(content)
+        newest = max(self._generations(), default=0)
+        self.generation = boot.generation if boot else newest
+        found = self._read_record_file(boot, content is not None)
+        self.boot_count = max(boot.boot_count if boot else 0, found.boot_count if found else 0) + 1
+        if found is not None:
+            self._take_records(found)
+        self.closed_cleanly = found is not None and _was_closed(boot)
+        if found is None or not self.closed_cleanly:
+            rows = found.rows if found is not None else {}
+            if found is not None:
+                found.close()
+                self._make_generation_durable(boot.boot_count if boot is not None else 0)
+            self.generation = max(newest, self.generation) + 1
+            found = self._create(self.generation, rows, self.boot_count)
+        self.record_file = found
+        self._write_boot_file(self.boot_count)
+        found.commit([], self.boot_count)
+        self._remove_old_files()
+
+    def rewrite(self, boot_count: int) -> None:
+        """Write all rows, as they are in memory, to a file of the next generation.
+
+        After a failed sync neither the old file's pages nor a read of it prove anything, so nothing of that
+        file is used again.
+        """
+        old = self.record_file
+        if old is None:
+            return
+        self._make_generation_durable(boot_count)
+        generation = max(self._generations(), default=0) + 1
+        new = self._create(generation, old.rows, boot_count)
+        try:
+            self.files.replace(self._boot_path, BootFile(boot_count, generation, NOT_CLOSED).encode())
+        except BaseException:
+            # The new file stays: the boot file on the disk may name it already.
+            new.close()
+            raise
+        self.record_file, self.generation = new, generation
+        old.close()
+        self._remove_old_files()
+
+    def record_clean_close(self, boot_count: int) -> None:
+        """Say in the boot file that all of this boot is durable, once it is."""
+        if self.record_file is not None:
+            self.record_file.checkpoint()
+            self._write_boot_file(boot_count, self.record_file.transaction_count)
+
+    def close(self) -> None:
+        """Close the record file and give the folder back."""
+        if self.record_file is not None:
+            self.record_file.close()
+        if self._lock_descriptor >= 0:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = -1
+
+    @property
+    def _boot_path(self) -> Path:
+        return self.path / f"{self.name}.life"
+
+    def _record_path(self, generation: int) -> Path:
+        return self.path / f"{self.name}.{generation}.db"
+
+    def _write_boot_file(self, boot_count: int, transactions: int = NOT_CLOSED) -> None:
+        content = BootFile(boot_count, self.generation, transactions).encode()
+        self.files.replace(self._boot_path, content)
+
+    def _create(self, generation: int, rows: dict[tuple[int, bytes], bytes], boot_count: int) -> RecordFile:
+        path = self._record_path(generation)
+        return RecordFile.create(path, self.vfs, self.files, self.sizes, rows, boot_count)
+
+    def _read_record_file(self, boot: BootFile | None, has_boot_file: bool) -> RecordFile | None:
+        """The record file that counts, if it is intact; else None, with the reason."""
+        path = self._record_path(self.generation)
+        if self.files.read(path) is None:
+            self.reason = "its file is missing" if has_boot_file else "nothing was here"
+            return None
+        try:
+            found = RecordFile.open(path, self.vfs, self.files, self.sizes)
+            if boot is not None and boot.transactions_at_close > found.transaction_count:
+                found.close()
+                missing = boot.transactions_at_close - found.transaction_count
+                raise RecordFileError(f"{missing} transactions are missing")
+        except RecordFileError as error:
+            self.reason = str(error)
+            self._put_aside(path)
+            return None
+        return found
+
+    def _put_aside(self, path: Path) -> None:
+        """Rename a damaged file and its log, so that they are there for whoever looks into it."""
+        self.damaged_files += 1
+        for damaged in (path, log_path(path)):
+            if self.files.read(damaged) is not None:
+                self.files.rename(damaged, damaged.with_name(damaged.name + DAMAGED_SUFFIX))
+
+    def _take_records(self, found: RecordFile) -> None:
+        """The rows of kinds that this version knows; rows of other kinds stay in the file only."""
+        for (kind, key), value in found.rows.items():
+            if kind in RecordKind.__members__.values():
+                self.records.setdefault(RecordKind(kind), {})[key] = value
+        if self.records.get(RecordKind.INCARNATION, {}).pop(COMPLETE_MARK.key, None) is not None:
+            self.completeness = Completeness.COMPLETE
+        else:
+            self.reason = "emptied not long ago"
+
+    def _generations(self) -> list[int]:
+        """The generations of all record files here, of damaged ones too."""
+        suffix = re.escape(DAMAGED_SUFFIX)
+        is_ours = re.compile(rf"{re.escape(self.name)}\.(\d+)\.db(-wal)?({suffix})?").fullmatch
+        return sorted({int(match[1]) for match in map(is_ours, self.files.names(self.path)) if match})
+
+    def _make_generation_durable(self, boot_count: int) -> None:
+        """Make it durable that the present generation counts, and remove the files of all others.
+
+        Where a replacement of the boot file has failed there are several record files, and any of them may be
+        the one that counts on the disk. Without this each further attempt would leave one more file, until
+        the disk is full. The boot file is made durable first: else the one file that counts could be removed.
+        """
+        if self._generations() not in ([], [self.generation]):
+            self._write_boot_file(boot_count)
+            self._remove_old_files()
+
+    def _remove_old_files(self) -> None:
+        """Remove files of other generations; of damaged ones the newest stays."""
+        names = self.files.names(self.path)
+        generations = self._generations()
+        damaged = [g for g in generations if self._record_path(g).name + DAMAGED_SUFFIX in names]
+        for generation in generations:
+            path = self._record_path(generation)
+            for old in (path, log_path(path)):
+                if generation != self.generation:
+                    self.files.remove(old)
+                if generation not in damaged[-1:]:
+                    self.files.remove(old.with_name(old.name + DAMAGED_SUFFIX))
+
+
+def _was_closed(boot: BootFile | None) -> bool:
+    """Whether the last boot was closed with all of it durable.
+
+    After any other end what is read may be in the kernel's cache only, and stay there for good if a sync of
+    the last boot had failed; what is put behind it in the log would be lost with it."""
+    return boot is not None and boot.transactions_at_close > NOT_CLOSED
--- a/cottonhold/store/record_file.py
+++ b/cottonhold/store/record_file.py
@@ -1,10 +1,9 @@
-"""One SQLite file with all records, and the proof that it is whole.
+"""One SQLite file with all records, and the proof that it is intact.
 
-SQLite takes the first frame of its log that doesn't fit for the log's end, and a cell cut off reads as
-zeros: either would lose a load's record without a word. So each row has a checksum, one row holds the sum
-over all of them and the number of transactions, and the log is filled up to a fixed size before anything is
-kept, so that a log cut short is seen by its size.
-"""
+SQLite takes the first frame of its log that doesn't fit for the log's end, and a cell that was cut off reads
+as zeros: either would lose a load's record silently. So each row has a checksum, one row holds the sum of all
+checksums and the number of transactions, and the log is filled up to a fixed size before anything is written,
+so that a log cut short is recognized by its size."""
 
 from __future__ import annotations
 
@@ -12,7 +11,7 @@
 import errno
 import re
 import zlib
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -21,15 +20,14 @@
 from cottonhold.store.files import Files
 from cottonhold.store.records import Record
 
-MASK = (1 << 64) - 1
+MASK_64_BITS = (1 << 64) - 1
 SCHEMA = """
 CREATE TABLE record (kind INTEGER, key BLOB, value BLOB, mark INTEGER, PRIMARY KEY (kind, key)) WITHOUT ROWID;
 CREATE TABLE proof
     (one INTEGER PRIMARY KEY, boot INTEGER, turn INTEGER, rows INTEGER, total BLOB, reserve INTEGER)
 """
 
-
-# What SQLite tells when the disk or the system fails. Of the file's content it says nothing.
+# What SQLite raises when the disk or the system fails. These errors say nothing of the file's content.
 DISK_ERRORS = (
     apsw.BusyError,
     apsw.CantOpenError,
@@ -40,202 +38,230 @@
     apsw.PermissionsError,
     apsw.ReadOnlyError,
 )
-# The check of a file tells a page that can't be read as one that is damaged, with SQLite's code.
-UNREADABLE = re.compile(r"error code=(\d+)")
-PRIMARY = 0xFF  # of a code; the rest says more exactly what it is
+# The check of a file reports a page that can't be read like one that is damaged, with SQLite's code.
+UNREADABLE_PAGE = re.compile(r"error code=(\d+)")
+PRIMARY_CODE_MASK = 0xFF  # of an extended result code
 
 
-class BookError(Exception):
-    """The file isn't whole; the text says why."""
+class RecordFileError(Exception):
+    """The file isn't intact; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
-class Sizes:
-    """In bytes. page: SQLite's. reserve: the log's least size; `checkpoint` pages in it and one group must
-    fit."""
+class FileSizes:
+    """page_bytes: SQLite's page. log_bytes: the least size of the log, within which `checkpoint_pages` pages
+    and one group of records must fit."""
 
-    page: int = 4096
-    reserve: int = 4 << 20
-    checkpoint: int = 400
+    page_bytes: int = 4096
+    log_bytes: int = 4 << 20
+    checkpoint_pages: int = 400
 
 
-# A row is found by its kind, of whatever version, and key.
-At = tuple[int, bytes]
-Rows = dict[At, bytes]
+# A row is found by the number of its kind, which may be one of a later version, and its key.
+RowKey = tuple[int, bytes]
+Rows = dict[RowKey, bytes]
 
 
-def mark(kind: int, key: bytes, value: bytes) -> int:
-    """A row's checksum: over all of it, so that a cell that was cut off or mixed up doesn't pass."""
+def row_checksum(kind: int, key: bytes, value: bytes) -> int:
+    """A checksum over all parts of a row, so that a cell that was cut off or mixed up doesn't pass."""
     return zlib.crc32(value, zlib.crc32(key, zlib.crc32(b"%d %d" % (kind, len(key)))))
 
 
-def _only_damage(found: str) -> None:
-    """Raises OSError where the check's text is of a page that the disk didn't let it read."""
-    code = UNREADABLE.search(found)
-    if code is not None and int(code[1]) & PRIMARY in (apsw.SQLITE_IOERR, apsw.SQLITE_NOMEM):
-        raise OSError(errno.EIO, found)
+def log_path(path: Path) -> Path:
+    """The path of a file's write-ahead log."""
+    return path.with_name(path.name + "-wal")
 
 
-def log_of(path: Path) -> Path:
-    """The write-ahead log's path."""
-    return path.with_name(path.name + "-wal")
+def _raise_if_unreadable(check_result: str) -> None:
+    """Raise OSError where the check's result is of a page that the disk didn't let it read."""
+    code = UNREADABLE_PAGE.search(check_result)
+    if code is not None and int(code[1]) & PRIMARY_CODE_MASK in (apsw.SQLITE_IOERR, apsw.SQLITE_NOMEM):
+        raise OSError(errno.EIO, check_result)
+
 
+class RecordFile:
+    """An open file with all its rows in memory.
 
-class Book:
-    """An open file. Every method but `close` raises apsw.Error or OSError when the disk fails."""
+    Every method but `close` raises apsw.Error or OSError when the disk fails.
+    """
 
-    def __init__(self, path: Path, vfs: str, sizes: Sizes) -> None:
+    def __init__(self, path: Path, vfs: str, sizes: FileSizes) -> None:
         self.path, self.sizes = path, sizes
         self.rows: Rows = {}
-        self.boot = self.turn = self.total = self.pages = 0
+        self.boot_count = 0
+        self.transaction_count = 0
+        self.checksum_total = 0
+        self.log_pages = 0
         self.db = apsw.Connection(str(path), vfs=vfs or None)
         try:
-            self.db.config(apsw.SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, 1)
-            # Exclusive: no shared memory beside the log, which a VFS in Python couldn't give.
-            self._pragma("locking_mode = EXCLUSIVE")
-            self._pragma(f"page_size = {sizes.page}")
-            if self._pragma("journal_mode = WAL") != "wal":
-                raise BookError("no write-ahead log can be kept here")
-            self._pragma("synchronous = FULL")
-            self._pragma("wal_autocheckpoint = 0")
-            # The log stays at its size when the file is closed.
-            stays = ctypes.c_int(1)
-            self.db.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(stays))
-            self.db.set_wal_hook(self._logged)
+            self._configure()
         except BaseException:
             self.db.close(True)
             raise
 
+    def _configure(self) -> None:
+        self.db.config(apsw.SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, 1)
+        # Exclusive: no shared memory beside the log, which a VFS in Python couldn't give.
+        self._pragma("locking_mode = EXCLUSIVE")
+        self._pragma(f"page_size = {self.sizes.page_bytes}")
+        if self._pragma("journal_mode = WAL") != "wal":
+            raise RecordFileError("no write-ahead log can be kept here")
+        self._pragma("synchronous = FULL")
+        self._pragma("wal_autocheckpoint = 0")
+        # The log stays at its size when the file is closed.
+        persistent = ctypes.c_int(1)
+        self.db.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(persistent))
+        self.db.set_wal_hook(self._on_log_written)
+
     @classmethod
-    def create(cls, path: Path, vfs: str, files: Files, sizes: Sizes, rows: Rows, boot: int) -> Book:
-        """A new file that holds these rows; durable when it returns, as is its name. Nothing stays of one
-        that failed: on a full disk that would be the last of the room."""
-        for old in (path, log_of(path)):
+    def create(
+        cls, path: Path, vfs: str, files: Files, sizes: FileSizes, rows: Rows, boot_count: int
+    ) -> RecordFile:
+        """A new file with these rows; it and its name are durable on return.
+
+        Nothing stays of one that failed: on a full disk that would take the last free space.
+        """
+        for old in (path, log_path(path)):
             files.remove(old)
         try:
-            book = cls(path, vfs, sizes)
-            try:
-                book.db.execute("BEGIN IMMEDIATE")
-                book.db.execute(SCHEMA)
-                book.db.execute("INSERT INTO proof VALUES (1, 0, 0, 0, X'', ?)", (sizes.reserve,))
-                book._write([(at, value) for at, value in rows.items()], boot)
-                book.db.execute("COMMIT")
-                book.checkpoint()
-            finally:
-                book.close()
-            files.extend(log_of(path), sizes.reserve)
+            cls._write_new(path, vfs, sizes, rows, boot_count)
+            files.extend(log_path(path), sizes.log_bytes)
             files.sync_folder(path.parent)
-            return cls.read(path, vfs, files, sizes)
+            return cls.open(path, vfs, files, sizes)
         except BaseException:
-            for half in (path, log_of(path)):
-                files.remove(half)
+            for partial in (path, log_path(path)):
+                files.remove(partial)
             raise
 
     @classmethod
-    def read(cls, path: Path, vfs: str, files: Files, sizes: Sizes) -> Book:
-        """An existing file with all its rows. BookError if it is proven not to be whole; apsw.Error or
-        OSError if the disk doesn't let it be read now."""
-        # Before SQLite sees it: it would make a missing log anew.
-        log = files.size(log_of(path))
+    def _write_new(cls, path: Path, vfs: str, sizes: FileSizes, rows: Rows, boot_count: int) -> None:
+        new = cls(path, vfs, sizes)
         try:
-            book = cls(path, vfs, sizes)
+            new.db.execute("BEGIN IMMEDIATE")
+            new.db.execute(SCHEMA)
+            new.db.execute("INSERT INTO proof VALUES (1, 0, 0, 0, X'', ?)", (sizes.log_bytes,))
+            new._write(list(rows.items()), boot_count)
+            new.db.execute("COMMIT")
+            new.checkpoint()
+        finally:
+            new.close()
+
+    @classmethod
+    def open(cls, path: Path, vfs: str, files: Files, sizes: FileSizes) -> RecordFile:
+        """An existing file with all its rows.
+
+        Raises RecordFileError if it is proven not to be intact; apsw.Error or OSError if the disk doesn't let
+        it be read now.
+        """
+        # Measured before SQLite sees the log, since SQLite would create a missing one.
+        log_bytes = files.size(log_path(path))
+        try:
+            opened = cls(path, vfs, sizes)
         except DISK_ERRORS:
-            # Danger: taken for damage, one read that failed put a whole file aside, with all its promises.
+            # A read that failed proves no damage: an intact file must not be put aside for it.
             raise
         except apsw.Error as error:
-            raise BookError(f"can't be opened: {error}") from error
+            raise RecordFileError(f"can't be opened: {error}") from error
         try:
-            book._prove(log)
+            opened._verify(log_bytes)
         except DISK_ERRORS:
-            book.close()
+            opened.close()
             raise
         except apsw.Error as error:
-            book.close()
-            raise BookError(f"can't be read: {error}") from error
+            opened.close()
+            raise RecordFileError(f"can't be read: {error}") from error
         except BaseException:
-            book.close()
+            opened.close()
             raise
-        return book
-
-    def _prove(self, log: int) -> None:
-        found = self.db.execute("PRAGMA quick_check(1)").get
-        if found != "ok":
-            _only_damage(str(found))
-            raise BookError(f"damaged: {found}")
+        return opened
+
+    def _verify(self, log_bytes: int) -> None:
+        """Read all rows and hold them against the proof. Raises RecordFileError where they don't fit."""
+        result = self.db.execute("PRAGMA quick_check(1)").get
+        if result != "ok":
+            _raise_if_unreadable(str(result))
+            raise RecordFileError(f"damaged: {result}")
         proof = self.db.execute("SELECT boot, turn, rows, total, reserve FROM proof WHERE one = 1").fetchone()
         if proof is None:
-            raise BookError("no proof in it")
-        self.boot, self.turn, rows, total, reserve = proof
-        if log < reserve:
-            raise BookError(f"its log was cut to {log} of {reserve} bytes")
-        for kind, key, value, told in self.db.execute("SELECT kind, key, value, mark FROM record"):
-            if mark(kind, key, value) != told:
-                raise BookError("a row doesn't fit its checksum")
+            raise RecordFileError("no proof in it")
+        self.boot_count, self.transaction_count, row_count, checksum_total, least_log_bytes = proof
+        if log_bytes < least_log_bytes:
+            raise RecordFileError(f"its log was cut to {log_bytes} of {least_log_bytes} bytes")
+        self._read_rows()
+        if len(self.rows) != row_count or self.checksum_total.to_bytes(8, "little") != checksum_total:
+            raise RecordFileError("rows are missing")
+
+    def _read_rows(self) -> None:
+        for kind, key, value, checksum in self.db.execute("SELECT kind, key, value, mark FROM record"):
+            if row_checksum(kind, key, value) != checksum:
+                raise RecordFileError("a row doesn't fit its checksum")
             self.rows[kind, key] = value
-            self.total = (self.total + told) & MASK
-        if len(self.rows) != rows or self.total.to_bytes(8, "little") != total:
-            raise BookError("rows are missing")
+            self.checksum_total = (self.checksum_total + checksum) & MASK_64_BITS
 
-    def commit(self, records: Iterable[Record], boot: int) -> None:
-        """One transaction; durable when it returns. When it raises, the file's state isn't known."""
-        total, turn = self.total, self.turn
+    def commit(self, records: Iterable[Record], boot_count: int) -> None:
+        """One transaction; durable when it returns. When it raises, the state of the file is unknown."""
+        checksum_total, transaction_count = self.checksum_total, self.transaction_count
         batch = [((int(record.kind), record.key), record.value) for record in records]
-        kept = {at: self.rows.get(at) for at, _ in batch}
+        previous = {row_key: self.rows.get(row_key) for row_key, _ in batch}
         try:
             self.db.execute("BEGIN IMMEDIATE")
-            self._write(batch, boot)
+            self._write(batch, boot_count)
             self.db.execute("COMMIT")
         except BaseException:
-            self.total, self.turn = total, turn
-            for at, value in kept.items():
-                self._set(at, value)
+            self.checksum_total, self.transaction_count = checksum_total, transaction_count
+            for row_key, value in previous.items():
+                self._set(row_key, value)
             if self.db.in_transaction:
                 self.db.execute("ROLLBACK")
             raise
 
     def checkpoint(self) -> None:
-        """Moves the log into the file, so that the log starts again at its beginning."""
+        """Move the log into the file, so that the log starts again at its beginning."""
         self.db.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
-        self.pages = 0
+        self.log_pages = 0
 
     @property
-    def due(self) -> bool:
-        """A checkpoint is due before the log outgrows its reserve."""
-        return self.pages >= self.sizes.checkpoint
+    def is_checkpoint_due(self) -> bool:
+        """A checkpoint is due before the log outgrows the size it was filled up to."""
+        return self.log_pages >= self.sizes.checkpoint_pages
 
     def close(self) -> None:
-        """Nothing is written any more."""
+        """Close the file; nothing more is written."""
         self.db.close(True)
 
-    def _write(self, batch: list[tuple[At, bytes | None]], boot: int) -> None:
-        for at, value in batch:
-            old = self.rows.get(at)
+    def _write(self, batch: Sequence[tuple[RowKey, bytes | None]], boot_count: int) -> None:
+        """Write rows and the proof that fits them, within the open transaction."""
+        for row_key, value in batch:
+            old = self.rows.get(row_key)
             if old is not None:
-                self.total -= mark(*at, old)
+                self.checksum_total -= row_checksum(*row_key, old)
             if value is None:
-                self.db.execute("DELETE FROM record WHERE kind = ? AND key = ?", at)
+                self.db.execute("DELETE FROM record WHERE kind = ? AND key = ?", row_key)
             else:
-                new = mark(*at, value)
-                self.total += new
-                self.db.execute("INSERT OR REPLACE INTO record VALUES (?, ?, ?, ?)", (*at, value, new))
-            self._set(at, value)
-        self.total &= MASK
-        self.turn += 1
-        self.boot = max(self.boot, boot)
+                checksum = row_checksum(*row_key, value)
+                self.checksum_total += checksum
+                self.db.execute(
+                    "INSERT OR REPLACE INTO record VALUES (?, ?, ?, ?)", (*row_key, value, checksum)
+                )
+            self._set(row_key, value)
+        self.checksum_total &= MASK_64_BITS
+        self.transaction_count += 1
+        self.boot_count = max(self.boot_count, boot_count)
+        total = self.checksum_total.to_bytes(8, "little")
         self.db.execute(
             "UPDATE proof SET boot = ?, turn = ?, rows = ?, total = ? WHERE one = 1",
-            (self.boot, self.turn, len(self.rows), self.total.to_bytes(8, "little")),
+            (self.boot_count, self.transaction_count, len(self.rows), total),
         )
 
-    def _set(self, at: At, value: bytes | None) -> None:
+    def _set(self, row_key: RowKey, value: bytes | None) -> None:
         if value is None:
-            self.rows.pop(at, None)
+            self.rows.pop(row_key, None)
         else:
-            self.rows[at] = value
+            self.rows[row_key] = value
 
-    def _logged(self, _db: apsw.Connection, _name: str, pages: int) -> int:
-        self.pages = pages
+    def _on_log_written(self, _db: apsw.Connection, _name: str, pages: int) -> int:
+        self.log_pages = pages
         return 0
 
-    def _pragma(self, what: str) -> object:
-        return self.db.execute(f"PRAGMA {what}").get
+    def _pragma(self, setting: str) -> object:
+        return self.db.execute(f"PRAGMA {setting}").get
--- a/cottonhold/store/records.py
+++ b/cottonhold/store/records.py
@@ -1,13 +1,12 @@
-"""What lasts over a restart, how far each kind of it is trusted when read again, and when it is forgotten.
+"""What lasts over a restart, how far each kind of it is trusted when read again, and when it is evicted.
 Pure.
 
-A record is a kind, a key and a value. The forms of values carry a version byte: a later program's record
-(one went back to an older version) and a garbled one are told by RecordError, never guessed. For a load that
-means: it may have run.
+A record is a kind, a key and a value. The forms of values carry a version byte: a record of a later program,
+met after a step back to an older one, and a garbled one raise RecordError and are never guessed at. For a
+load that means: it may have run.
 
 No record holds a wall time. Times are this boot's monotonic ms; those of an earlier boot can't be compared
-with anything and are used for nothing but showing.
-"""
+with anything and are used for nothing but showing."""
 
 from __future__ import annotations
 
@@ -17,313 +16,328 @@
 from enum import Enum, IntEnum
 
 VERSION = 1
-# A load's identity: drawn anew by whoever sends it, so that two lives never mean the same by it.
-IDENTITY = 16
+# A load's identity is drawn anew by whoever sends it, so that two incarnations never mean the same by it.
+IDENTITY_BYTES = 16
 
 
 class RecordError(ValueError):
     """The value is garbled or of a version that this program doesn't know; the text says which."""
 
 
-class Kind(IntEnum):
+class RecordKind(IntEnum):
     """Kinds of records. The numbers are on disk: never used again for something else."""
 
-    LIFE = 1
+    INCARNATION = 1
     LOAD = 2
     PROMISE = 3
-    ORDER = 4
-    PIN = 5
-    ENGINE = 16
-    RATE = 17
-    WARM = 18
+    OPERATOR_OVERRIDE = 4
+    AFFINITY = 5
+    ENGINE_ADDRESS = 16
+    ENGINE_RATE = 17
+    WARM_DATA = 18
     MEMBER = 19
-    DRAIN = 20
+    ENGINE_DRAIN = 20
 
 
 class Trust(Enum):
-    """How far what was read from the disk is trusted by a new life."""
+    """How far a new incarnation trusts what it read from the disk."""
 
-    WHOLLY = "wholly"
+    AUTHORITATIVE = "wholly"
     HINT = "as a hint to be checked"
-    NOT = "not at all"
-
-
-TRUST: dict[Kind, Trust] = {
-    Kind.LIFE: Trust.WHOLLY,
-    Kind.LOAD: Trust.WHOLLY,
-    Kind.PROMISE: Trust.WHOLLY,
-    Kind.ORDER: Trust.WHOLLY,
-    Kind.PIN: Trust.WHOLLY,
-    Kind.ENGINE: Trust.HINT,
-    Kind.RATE: Trust.HINT,
-    Kind.WARM: Trust.HINT,
-    Kind.MEMBER: Trust.HINT,
-    Kind.DRAIN: Trust.HINT,
+    IGNORED = "not at all"
+
+
+TRUST_BY_KIND: dict[RecordKind, Trust] = {
+    RecordKind.INCARNATION: Trust.AUTHORITATIVE,
+    RecordKind.LOAD: Trust.AUTHORITATIVE,
+    RecordKind.PROMISE: Trust.AUTHORITATIVE,
+    RecordKind.OPERATOR_OVERRIDE: Trust.AUTHORITATIVE,
+    RecordKind.AFFINITY: Trust.AUTHORITATIVE,
+    RecordKind.ENGINE_ADDRESS: Trust.HINT,
+    RecordKind.ENGINE_RATE: Trust.HINT,
+    RecordKind.WARM_DATA: Trust.HINT,
+    RecordKind.MEMBER: Trust.HINT,
+    RecordKind.ENGINE_DRAIN: Trust.HINT,
 }
 
-REASONS: dict[Kind, str] = {
-    Kind.LIFE: "only this process writes it, and it only grows; a smaller one would be taken for an old life",
-    Kind.LOAD: "durable before the first byte went out: what it says was sent may have run",
-    Kind.PROMISE: "a voter that forgets its promise lets two decisions stand; only its disk knows it",
-    Kind.ORDER: "a person gave it and expects it to stand until a person takes it back",
-    Kind.PIN: "on disk before it was said to anyone: others count on it. Only of a whole folder, else all go",
-    Kind.ENGINE: "addresses change hands: used only once an engine there has answered, until a source does",
-    Kind.RATE: "an engine back from a power loss is cold: an upper bound for its ramp, never a start",
-    Kind.WARM: "its data sets may have gone with its power: an order in which to ask, no more",
-    Kind.MEMBER: "whom to greet first; that it is there is shown by its own word only",
-    Kind.DRAIN: "its swap may be over by now: nothing goes there until the registers have been read again",
+REASONS: dict[RecordKind, str] = {
+    RecordKind.INCARNATION: "only this process writes it, and it only grows; a smaller one would pass for an"
+    " old incarnation",
+    RecordKind.LOAD: "durable before the first byte went out: what it says was sent may have run",
+    RecordKind.PROMISE: "a voter that forgets its promise lets two decisions stand; only its disk knows it",
+    RecordKind.OPERATOR_OVERRIDE: "a person gave it and expects it to stand until a person takes it back",
+    RecordKind.AFFINITY: "on disk before it was announced: others count on it. Only of a complete folder,"
+    " else all of it goes",
+    RecordKind.ENGINE_ADDRESS: "addresses change hands: used only once an engine there has answered, until a"
+    " source does",
+    RecordKind.ENGINE_RATE: "an engine back from a power loss is cold: an upper bound for its slow start,"
+    " never a start",
+    RecordKind.WARM_DATA: "its data sets may have gone with its power: an order in which to ask, no more",
+    RecordKind.MEMBER: "whom to greet first; that it is there is shown by its own message only",
+    RecordKind.ENGINE_DRAIN: "its replacement may be over by now: nothing goes there until the registers have"
+    " been read again",
 }
 
-# What is deliberately never kept, with the reason; the design page shows both tables.
-NOT_KEPT: dict[str, str] = {
+# What is deliberately never persisted, with the reason.
+NOT_PERSISTED: dict[str, str] = {
     "health": "a moment's evidence; old evidence sends the first requests to the wrong place with confidence",
     "pace": "parts of a shared budget: an old part plus the new ones would add up to more than the whole",
-    "price": "follows demand within seconds; an old one refuses clients whom nobody crowds out any more",
-    "loan": "belongs to a budget of a time that has gone",
+    "admission threshold": "follows demand within seconds; an old one refuses clients without need",
+    "loan": "belongs to a budget of a time that is over",
     "lease": "its clock stopped; a voter is silent for a whole lease after its start instead",
 }
 
 # At most so many records of a kind. A load's record is some 300 bytes: 20,000 are 6 MB of file and of memory.
-MOST: dict[Kind, int] = {
-    Kind.LIFE: 4,
-    Kind.LOAD: 20_000,
-    Kind.PROMISE: 8_192,
-    Kind.ORDER: 1_024,
-    Kind.PIN: 20_000,
-    Kind.ENGINE: 4_096,
-    Kind.RATE: 4_096,
-    Kind.WARM: 8_192,
-    Kind.MEMBER: 1_024,
-    Kind.DRAIN: 4_096,
+MAX_RECORDS: dict[RecordKind, int] = {
+    RecordKind.INCARNATION: 4,
+    RecordKind.LOAD: 20_000,
+    RecordKind.PROMISE: 8_192,
+    RecordKind.OPERATOR_OVERRIDE: 1_024,
+    RecordKind.AFFINITY: 20_000,
+    RecordKind.ENGINE_ADDRESS: 4_096,
+    RecordKind.ENGINE_RATE: 4_096,
+    RecordKind.WARM_DATA: 8_192,
+    RecordKind.MEMBER: 1_024,
+    RecordKind.ENGINE_DRAIN: 4_096,
 }
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """One thing to be kept under its kind and key; `value` None forgets it."""
+    """One value under its kind and key; `value` None removes it."""
 
-    kind: Kind
+    kind: RecordKind
     key: bytes
     value: bytes | None
 
 
-# --- forms of values ---
-
-
 class LoadState(IntEnum):
-    """SENT: its end isn't known, it may have run. WELL, FAILED: so the engine said. NEVER: no byte went
-    out."""
+    """SENT: its end isn't known, it may have run. COMPLETED, FAILED: as the engine answered. NEVER_SENT: no
+    byte went out."""
 
     SENT = 0
-    WELL = 1
+    COMPLETED = 1
     FAILED = 2
-    NEVER = 3
+    NEVER_SENT = 3
 
 
 _LOAD = struct.Struct("<BBQdd")
-_LIFE = struct.Struct("<BQQB")
+_INCARNATION = struct.Struct("<BQQB")
 _HINT = struct.Struct("<Bd")
+_TEXT_SIZE_BYTES = 2
+_MAX_TEXT_BYTES = 0xFFFF
 
 
 @dataclass(slots=True, frozen=True)
 class LoadRecord:
-    """A load: identity, the client's `ref`, its order `key`, digest of statement, the engine and the boot it
-    was sent in. `sent_ms` and `ended_ms` are on that boot's monotonic clock and mean nothing in another."""
+    """A load: its identity, the client's request id, ordering key, digest of the statement, the engine and
+    the boot it was sent in. Times are on that boot's monotonic clock and mean nothing in another."""
 
-    load: bytes
-    ref: str
-    key: str
-    digest: bytes
+    identity: bytes
+    request_id: str
+    ordering_key: str
+    statement_digest: bytes
     engine: str
-    boot: int
-    sent_ms: float
+    boot_count: int
+    sent_at_ms: float
     state: LoadState
-    ended_ms: float = 0.0
+    ended_at_ms: float = 0.0
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Its end isn't known."""
         return self.state is LoadState.SENT
 
-    def pack(self) -> bytes:
+    def encode(self) -> bytes:
         """The value; the identity is the record's key."""
-        head = _LOAD.pack(VERSION, self.state, self.boot, self.sent_ms, self.ended_ms)
-        return head + b"".join(
-            _short(part) for part in (self.ref.encode(), self.key.encode(), self.digest, self.engine.encode())
+        head = _LOAD.pack(VERSION, self.state, self.boot_count, self.sent_at_ms, self.ended_at_ms)
+        texts = (
+            self.request_id.encode(),
+            self.ordering_key.encode(),
+            self.statement_digest,
+            self.engine.encode(),
         )
+        return head + b"".join(_encode_text(text) for text in texts)
 
-    def record(self) -> Record:
-        """As it is put."""
-        return Record(Kind.LOAD, self.load, self.pack())
+    def to_record(self) -> Record:
+        """The record to be put."""
+        return Record(RecordKind.LOAD, self.identity, self.encode())
 
     @classmethod
-    def read(cls, load: bytes, value: bytes) -> LoadRecord:
-        """Raises RecordError."""
-        if len(load) != IDENTITY:
-            raise RecordError(f"a load's identity of {len(load)} bytes")
-        _known(value, _LOAD.size)
-        _, state, boot, sent, ended = _LOAD.unpack_from(value)
-        ref, key, digest, engine = _shorts(value, _LOAD.size, 4)
+    def decode(cls, identity: bytes, value: bytes) -> LoadRecord:
+        """The meaning of a record. Raises RecordError."""
+        if len(identity) != IDENTITY_BYTES:
+            raise RecordError(f"a load's identity of {len(identity)} bytes")
+        _check_version(value, _LOAD.size)
+        _, state, boot_count, sent_at_ms, ended_at_ms = _LOAD.unpack_from(value)
+        request_id, ordering_key, digest, engine = _decode_texts(value, _LOAD.size, 4)
         try:
             return cls(
-                load, ref.decode(), key.decode(), digest, engine.decode(), boot, sent, LoadState(state), ended
+                identity,
+                request_id.decode(),
+                ordering_key.decode(),
+                digest,
+                engine.decode(),
+                boot_count,
+                sent_at_ms,
+                LoadState(state),
+                ended_at_ms,
             )
         except ValueError as error:
             raise RecordError(f"a garbled load: {error}") from error
 
 
 @dataclass(slots=True, frozen=True)
-class LifeRecord:
-    """One life of this process: its boot, its incarnation among the members, and whether it ended by
-    close."""
+class IncarnationRecord:
+    """One incarnation of this process: its boot, its incarnation among the members, and how it ended."""
 
-    boot: int
+    boot_count: int
     incarnation: int
-    clean: bool
+    closed_cleanly: bool
 
-    def pack(self) -> bytes:
+    def encode(self) -> bytes:
         """The value."""
-        return _LIFE.pack(VERSION, self.boot, self.incarnation, self.clean)
+        return _INCARNATION.pack(VERSION, self.boot_count, self.incarnation, self.closed_cleanly)
 
-    def record(self) -> Record:
-        """As it is put: there is one."""
-        return Record(Kind.LIFE, b"life", self.pack())
+    def to_record(self) -> Record:
+        """The record to be put: there is one."""
+        return Record(RecordKind.INCARNATION, b"life", self.encode())
 
     @classmethod
-    def read(cls, value: bytes) -> LifeRecord:
-        """Raises RecordError."""
-        _known(value, _LIFE.size)
-        if len(value) != _LIFE.size or value[-1] > 1:
-            raise RecordError("a garbled life")
-        _, boot, incarnation, clean = _LIFE.unpack(value)
-        return cls(boot, incarnation, bool(clean))
+    def decode(cls, value: bytes) -> IncarnationRecord:
+        """The meaning of a record. Raises RecordError."""
+        _check_version(value, _INCARNATION.size)
+        if len(value) != _INCARNATION.size or value[-1] > 1:
+            raise RecordError("a garbled incarnation")
+        _, boot_count, incarnation, closed_cleanly = _INCARNATION.unpack(value)
+        return cls(boot_count, incarnation, bool(closed_cleanly))
 
 
 @dataclass(slots=True, frozen=True)
 class Hint:
-    """Something that was so when it was written. `age_ms`: how old it was by then; how long the power was
-    away since isn't known, so a hint's true age is always more."""
+    """Something that was so when it was written. age_ms: its age by then. How long the power was away since
+    isn't known, so a hint's true age is always more."""
 
     value: bytes
     age_ms: float
 
-    def pack(self) -> bytes:
-        """The value."""
+    def encode(self) -> bytes:
+        """The record's value."""
         return _HINT.pack(VERSION, self.age_ms) + self.value
 
     @classmethod
-    def read(cls, value: bytes) -> Hint:
-        """Raises RecordError."""
-        _known(value, _HINT.size)
-        age = _HINT.unpack_from(value)[1]
-        if not age >= 0.0:
+    def decode(cls, value: bytes) -> Hint:
+        """The meaning of a record. Raises RecordError."""
+        _check_version(value, _HINT.size)
+        age_ms = _HINT.unpack_from(value)[1]
+        if not age_ms >= 0.0:
             raise RecordError("a hint's age isn't one")
-        return cls(value[_HINT.size :], age)
+        return cls(value[_HINT.size :], age_ms)
 
 
-def _known(value: bytes, least: int) -> None:
+def _check_version(value: bytes, min_bytes: int) -> None:
     if not value or value[0] != VERSION:
         raise RecordError(f"version {value[0]}" if value else "an empty value")
-    if len(value) < least:
+    if len(value) < min_bytes:
         raise RecordError("cut short")
 
 
-def _short(part: bytes) -> bytes:
-    if len(part) > 0xFFFF:
-        raise RecordError("a part of over 65535 bytes")
-    return len(part).to_bytes(2, "little") + part
+def _encode_text(text: bytes) -> bytes:
+    if len(text) > _MAX_TEXT_BYTES:
+        raise RecordError(f"a part of over {_MAX_TEXT_BYTES} bytes")
+    return len(text).to_bytes(_TEXT_SIZE_BYTES, "little") + text
 
 
-def _shorts(value: bytes, at: int, count: int) -> list[bytes]:
-    parts = []
+def _decode_texts(value: bytes, start: int, count: int) -> list[bytes]:
+    texts = []
+    position = start
     for _ in range(count):
-        size = int.from_bytes(value[at : at + 2], "little")
-        if at + 2 + size > len(value):
+        begin = position + _TEXT_SIZE_BYTES
+        end = begin + int.from_bytes(value[position:begin], "little")
+        if end > len(value):
             raise RecordError("cut short")
-        parts.append(value[at + 2 : at + 2 + size])
-        at += 2 + size
-    if at != len(value):
+        texts.append(value[begin:end])
+        position = end
+    if position != len(value):
         raise RecordError("more than there should be")
-    return parts
-
-
-# --- read again ---
+    return texts
 
 
 @dataclass(slots=True, frozen=True)
-class Loads:
-    """Loads as read: `known` by identity, and `unread`: there was a load, more can't be said; it may have
-    run."""
+class DecodedLoads:
+    """Loads as read. unreadable: identities of loads of which no more can be said; they may have run."""
 
-    known: dict[bytes, LoadRecord]
-    unread: frozenset[bytes]
+    by_identity: dict[bytes, LoadRecord]
+    unreadable: frozenset[bytes]
 
 
-def loads(kept: Mapping[bytes, bytes]) -> Loads:
-    """Reads all loads' records. What can't be read is counted as one that may have run, never left out."""
-    known: dict[bytes, LoadRecord] = {}
-    unread = set()
-    for load, value in kept.items():
+def decode_loads(values: Mapping[bytes, bytes]) -> DecodedLoads:
+    """All loads' records. One that can't be read counts as one that may have run and is never left out."""
+    by_identity: dict[bytes, LoadRecord] = {}
+    unreadable = set()
+    for identity, value in values.items():
         try:
-            known[load] = LoadRecord.read(load, value)
+            by_identity[identity] = LoadRecord.decode(identity, value)
         except RecordError:
-            unread.add(load)
-    return Loads(known, frozenset(unread))
-
-
-# --- forgotten ---
+            unreadable.add(identity)
+    return DecodedLoads(by_identity, frozenset(unreadable))
 
 
 @dataclass(slots=True, frozen=True)
-class Forget:
-    """Decided: these keys may go. `early`: so many of them ended less than the hold ago and went only to make
-    room, so a retry of theirs would run again. `full`: there is still no room, only open ones are left."""
+class Eviction:
+    """These keys may go. early_count: so many of them go only to make room, within their retention, so that a
+    retry of theirs would run again. is_full: there is still no room, since only open ones are left."""
 
     keys: tuple[bytes, ...]
-    early: int = 0
-    full: bool = False
+    early_count: int = 0
+    is_full: bool = False
 
 
-def forget_loads(
-    kept: Iterable[LoadRecord],
+def evict_loads(
+    loads: Iterable[LoadRecord],
     *,
     now_ms: float,
-    boot: int,
-    started_ms: float,
-    hold_ms: float,
-    most: int = MOST[Kind.LOAD],
-    room: int = 1,
-) -> Forget:
-    """Which loads may be forgotten so that `room` more fit under `most`.
-
-    hold_ms: how long a client may still ask again after a load's end. A load of this boot goes one hold
-    after its end. Those of earlier boots go one hold after this boot's start: by which time their clients'
-    patience has passed whenever they ended. To make room the one that ended first goes first; an open one of
-    whatever boot never does."""
-    gone: list[bytes] = []
+    boot_count: int,
+    boot_started_at_ms: float,
+    retention_ms: float,
+    max_records: int = MAX_RECORDS[RecordKind.LOAD],
+    free_slots: int = 1,
+) -> Eviction:
+    """Which loads may be forgotten so that `free_slots` more fit under `max_records`.
+
+    retention_ms: how long a client may still retry after a load's end. A load of this boot goes one retention
+    after its end. Those of earlier boots go one retention after this boot's start: by then their clients have
+    given up, whenever they ended. To make room the one that ended first goes first; an open one never does.
+    """
+    expired: list[bytes] = []
     ended: list[tuple[int, float, bytes]] = []
-    left = 0
-    for load in kept:
-        if load.boot != boot:
-            over = now_ms - started_ms > hold_ms
+    remaining = 0
+    for load in loads:
+        if load.boot_count != boot_count:
+            is_expired = now_ms - boot_started_at_ms > retention_ms
         else:
-            over = not load.open and now_ms - load.ended_ms > hold_ms
-        if over:
-            gone.append(load.load)
+            is_expired = not load.is_open and now_ms - load.ended_at_ms > retention_ms
+        if is_expired:
+            expired.append(load.identity)
             continue
-        left += 1
-        if not load.open:
-            ended.append((load.boot, load.ended_ms, load.load))
-    surplus = max(0, left + room - most)
-    early = [key for _, _, key in sorted(ended)[:surplus]]
-    return Forget((*gone, *early), len(early), surplus > len(early))
-
-
-def forget_others(kind: Kind, ages: Mapping[bytes, float], *, room: int = 1, most: int = 0) -> Forget:
-    """Which of a kind's records may go so that `room` more fit: hints by age (ms), the oldest first. What is
-    trusted wholly, and pins, only their owners take away: `full` when they leave no room."""
-    surplus = max(0, len(ages) + room - (most or MOST[kind]))
-    if not surplus or TRUST[kind] is not Trust.HINT:
-        return Forget((), full=surplus > 0)
-    oldest = sorted(ages, key=lambda key: (-ages[key], key))[:surplus]
-    return Forget(tuple(oldest), full=surplus > len(oldest))
+        remaining += 1
+        if not load.is_open:
+            ended.append((load.boot_count, load.ended_at_ms, load.identity))
+    surplus = max(0, remaining + free_slots - max_records)
+    early = [identity for _, _, identity in sorted(ended)[:surplus]]
+    return Eviction((*expired, *early), len(early), surplus > len(early))
+
+
+def evict_records(
+    kind: RecordKind, ages_ms: Mapping[bytes, float], *, free_slots: int = 1, max_records: int = 0
+) -> Eviction:
+    """Which of a kind's records may go so that `free_slots` more fit.
+
+    Hints go by age, the oldest first. Authoritative records are removed by their owners only: `is_full` when
+    they leave no room.
+    """
+    surplus = max(0, len(ages_ms) + free_slots - (max_records or MAX_RECORDS[kind]))
+    if not surplus or TRUST_BY_KIND[kind] is not Trust.HINT:
+        return Eviction((), is_full=surplus > 0)
+    oldest_first = sorted(ages_ms, key=lambda key: (-ages_ms[key], key))
+    return Eviction(tuple(oldest_first[:surplus]), is_full=surplus > len(oldest_first))
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -210,7 +210,7 @@
 
 def load_record(state: records.LoadState) -> bytes:
     """A load as the ledger keeps it."""
-    return records.LoadRecord(IDENTITY, "r1", "k1", b"digest", "e1", 9, 1234.5, state, 2345.75).pack()
+    return records.LoadRecord(IDENTITY, "r1", "k1", b"digest", "e1", 9, 1234.5, state, 2345.75).encode()
 
 
 def kept(actions: list[object]) -> bytes:
@@ -267,7 +267,7 @@
 
 def kinds() -> bytes:
     """The numbers of all kinds of records, and of a load's states."""
-    return bytes(int(kind) for kind in records.Kind) + bytes(int(state) for state in records.LoadState)
+    return bytes(int(kind) for kind in records.RecordKind) + bytes(int(state) for state in records.LoadState)
 
 
 PARTS = forwarding.Part(HEAD, 1, 200, bytes(200 - forwarding.PART_ROOM))
@@ -352,15 +352,15 @@
         f"ledger load state {int(state)}": lambda state=state: load_record(state)  # type: ignore[misc]
         for state in records.LoadState
     },
-    "ledger life": lambda: records.LifeRecord(9, 10, True).pack(),
-    "ledger hint": lambda: records.Hint(b"anything", 12.5).pack(),
+    "ledger life": lambda: records.IncarnationRecord(9, 10, True).encode(),
+    "ledger hint": lambda: records.Hint(b"anything", 12.5).encode(),
     "ledger voter": voter_records,
     "ledger pins table": standing_record,
     "ledger pin": pin_records,
     "ledger engine": engine_records,
     "ledger drained engine": drain_records,
-    "boot file": lambda: boot_file.Life(9, 3, 77).pack(),
-    "boot file of an open life": lambda: boot_file.Life(9, 3, -1).pack(),
+    "boot file": lambda: boot_file.BootFile(9, 3, 77).encode(),
+    "boot file of an open life": lambda: boot_file.BootFile(9, 3, -1).encode(),
     "seat record": lambda: sibling_processes.Record(5, 6, 7, True).pack(),
     "connection ids": lambda: sibling_processes.Ids.of_seat(5, 2).base.to_bytes(4, "big"),
 }
@@ -379,10 +379,10 @@
     """A ledger's files, the database's tables and rows, and the sizes kept ready."""
     ledger = Ledger.open(folder, "n1")
     durable = threading.Event()
-    ledger.settle(lambda well: durable.set())
+    ledger.mark_complete(lambda well: durable.set())
     assert durable.wait(10.0)
-    load = records.Record(records.Kind.LOAD, IDENTITY, load_record(records.LoadState.SENT))
-    ledger.put([load, records.LifeRecord(1, 2, True).record()])
+    load = records.Record(records.RecordKind.LOAD, IDENTITY, load_record(records.LoadState.SENT))
+    ledger.put([load, records.IncarnationRecord(1, 2, True).to_record()])
     ledger.close(clean=True)
     names = sorted(path.name for path in folder.iterdir())
     log_bytes = (folder / "n1.1.db-wal").stat().st_size  # read now: sqlite3 takes the log away
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -33,7 +33,7 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.metrics import Metrics, Readings, tally
 from cottonhold.scheduler.interface import EngineState, Outcome
-from cottonhold.store.ledger import State as DiskState
+from cottonhold.store.health import DiskState as DiskState
 from tests.conformance.golden import RECORD
 from tests.test_simulator_adapter import PARAMS
 
--- a/tests/conformance/test_golden_socket.py
+++ b/tests/conformance/test_golden_socket.py
@@ -17,7 +17,7 @@
 from cottonhold.emulator.process_fleet import free_ports
 from cottonhold.node import status
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Kind
+from cottonhold.store.records import RecordKind
 from tests.conformance.golden import RECORD
 
 WAIT_S = 60.0
@@ -156,13 +156,13 @@
 
 def folder_records(folder: Path) -> list[str]:
     """The records of an instance's folder by kind and key, with their values' sizes where these are fixed."""
-    varying = (Kind.PROMISE, Kind.PIN)
+    varying = (RecordKind.PROMISE, RecordKind.AFFINITY)
     (name,) = {path.name.partition(".")[0] for path in folder.iterdir()}
     ledger = Ledger.open(folder, name)
     try:
         return sorted(
             f"{int(kind)} {key.decode('latin-1')!r} {len(value) if kind not in varying else ''}".rstrip()
-            for kind in Kind
+            for kind in RecordKind
             for key, value in ledger.records(kind).items()
         )
     finally:
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -24,7 +24,7 @@
 from cottonhold.scheduler import interface as io
 from cottonhold.scheduler.interface import EngineState
 from cottonhold.store import ledger
-from cottonhold.store.records import MOST, Hint, Kind, Record
+from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordKind
 from tests.observe.test_metrics import FILE, FLEET, VOTERS
 
 NAMES = Names(("a", "b"), ("small", "large"))
@@ -42,7 +42,7 @@
     """The folder after these records."""
     folder = dict(before or {})
     for record in records:
-        assert record.kind is Kind.ENGINE
+        assert record.kind is RecordKind.ENGINE_ADDRESS
         folder.pop(record.key, None)
         if record.value is not None:
             folder[record.key] = record.value
@@ -105,9 +105,9 @@
     [
         b"",
         b"\x07",
-        Hint(b"", 0.0).pack(),
-        Hint(b"\x95\xa3abc", 0.0).pack(),
-        Hint(b"\x95\xa3abc\xa1a\xa1b\x01\x02", 0.0).pack(),
+        Hint(b"", 0.0).encode(),
+        Hint(b"\x95\xa3abc", 0.0).encode(),
+        Hint(b"\x95\xa3abc\xa1a\xa1b\x01\x02", 0.0).encode(),
     ],
     ids=["empty", "version", "nothing", "short", "no address"],
 )
@@ -119,8 +119,8 @@
 
 def test_no_more_are_remembered_than_the_store_keeps() -> None:
     made = Remembered({}, NAMES)
-    many = change(*((f"e{i}", 0, LIVE) for i in range(1, MOST[Kind.ENGINE] + 50)))
-    assert len(made.take(many)) == MOST[Kind.ENGINE] == len(ids(made))
+    many = change(*((f"e{i}", 0, LIVE) for i in range(1, MAX_RECORDS[RecordKind.ENGINE_ADDRESS] + 50)))
+    assert len(made.take(many)) == MAX_RECORDS[RecordKind.ENGINE_ADDRESS] == len(ids(made))
 
 
 @pytest.mark.parametrize("proof", ["probe", "attempt", "another's word of all", "the list"])
@@ -216,7 +216,7 @@
     """It counts at once, and outlasts a kill after the fault has passed."""
     path = tmp_path / "n1.json"
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
-    monkeypatch.setattr(ledger, "VFS", "drains")
+    monkeypatch.setattr(ledger, "DEFAULT_VFS", "drains")
     monkeypatch.setattr(write_queue, "AGAIN_MS", 1.0)
 
     async def life(story: Callable[[ServedInstallation], Awaitable[None]]) -> None:
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -20,7 +20,7 @@
 from cottonhold.fleet.zone_failover.quota_lending import Parts
 from cottonhold.fleet_adapters.recovery import SITE, keep_site, recall_site
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.records import Record, RecordKind
 from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, site, steps
 
 S = GuestSettings()
@@ -260,7 +260,7 @@
     ledger = Ledger.open(tmp_path, "n0")
     keep_site(ledger, made, 3000.0)
     if value is not None:
-        ledger.put([Record(Kind.WARM, SITE, value)])
+        ledger.put([Record(RecordKind.WARM_DATA, SITE, value)])
     ledger.close(clean=False)
     ledger, again = Ledger.open(tmp_path, "n0"), Outlook(99, 2, 0.0, "a", 1)
     try:
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -43,7 +43,7 @@
 from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 from cottonhold.scheduler.interface import Engine, EngineState
 from cottonhold.store import records as kept_records
-from cottonhold.store.records import TRUST, Kind, Trust
+from cottonhold.store.records import TRUST_BY_KIND, RecordKind, Trust
 
 U16, U32, U64 = (st.integers(0, 2**bits - 1) for bits in (16, 32, 64))
 ROWS = st.dictionaries(U32, st.builds(Row, U32, U16, st.booleans()), max_size=MOST_ROWS)
@@ -204,7 +204,7 @@
 
     def write(records: Iterable[kept_records.Record]) -> None:
         for record in records:
-            assert record.kind is Kind.DRAIN and TRUST[record.kind] is Trust.HINT
+            assert record.kind is RecordKind.ENGINE_DRAIN and TRUST_BY_KIND[record.kind] is Trust.HINT
             folder.pop(record.key, None)
             if record.value is not None:
                 folder[record.key] = record.value
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -15,7 +15,8 @@
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.interface import Outcome
-from cottonhold.store.ledger import Health, Ledger, State
+from cottonhold.store.health import DiskHealth, DiskState
+from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import LoadRecord, LoadState, Record
 from tests.support.scenario import FakeClock
 
@@ -23,13 +24,16 @@
 class FakeLedger:
     """Takes records and says that they are durable when told to."""
 
-    boot = 3
+    boot_count = 3
 
     def __init__(self) -> None:
-        self.state, self.put_of = State.WELL, list[tuple[Sequence[Record], Callable[[bool], None] | None]]()
+        self.state, self.put_of = (
+            DiskState.HEALTHY,
+            list[tuple[Sequence[Record], Callable[[bool], None] | None]](),
+        )
 
-    def health(self, now: float) -> Health:
-        return Health(self.state, "as told")
+    def health(self, now: float) -> DiskHealth:
+        return DiskHealth(self.state, "as told")
 
     def put(self, records: Sequence[Record], done: Callable[[bool], None] | None = None) -> None:
         self.put_of.append((records, done))
@@ -43,7 +47,7 @@
     def states(self) -> list[LoadState]:
         """States of loads, as they were put."""
         every = [r for records, _ in self.put_of for r in records if r.value is not None]
-        return [LoadRecord.read(r.key, r.value).state for r in every if r.value is not None]
+        return [LoadRecord.decode(r.key, r.value).state for r in every if r.value is not None]
 
 
 class World:
@@ -102,13 +106,13 @@
 @pytest.mark.parametrize(
     "outcome, left",
     [
-        (Outcome.OK, LoadState.WELL),
+        (Outcome.OK, LoadState.COMPLETED),
         (Outcome.ERROR, LoadState.FAILED),
         (Outcome.RESET, LoadState.FAILED),
         (Outcome.TIMEOUT, LoadState.FAILED),
-        (Outcome.FULL, LoadState.NEVER),
-        (Outcome.CONNECT_FAILED, LoadState.NEVER),
-        (None, LoadState.NEVER),
+        (Outcome.FULL, LoadState.NEVER_SENT),
+        (Outcome.CONNECT_FAILED, LoadState.NEVER_SENT),
+        (None, LoadState.NEVER_SENT),
     ],
 )
 def test_an_end_is_remembered_for_what_it_proves(outcome: Outcome | None, left: LoadState) -> None:
@@ -136,7 +140,7 @@
 def test_nothing_is_taken_that_could_not_be_remembered(change: str) -> None:
     world = World()
     if change == "disk":
-        world.ledger.state = State.FULL
+        world.ledger.state = DiskState.FULL
     else:
         world.may_send = False
     world.come("a1")
@@ -148,7 +152,7 @@
     """It is told to come later at first; then whoever sent its load may have forgotten it soon."""
     world = World()
     if change == "disk":
-        world.ledger.state = State.FULL
+        world.ledger.state = DiskState.FULL
     else:
         world.may_send = False
     for at, ref in ((0.0, "a1"), (4000.0, "a2"), (7000.0, "a3")):
@@ -210,7 +214,7 @@
     world.send("a2")
     world.ledger.durable(False)
     (record,) = world.loads.records.values()
-    assert record.ref == "a2"
+    assert record.request_id == "a2"
 
 
 def test_a_write_that_failed_is_said() -> None:
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -18,11 +18,12 @@
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.interface import Outcome
-from cottonhold.store.ledger import Health, Ledger, State
-from cottonhold.store.records import Record, loads
+from cottonhold.store.health import DiskHealth, DiskState
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import Record, decode_loads
 from tests.support.scenario import FakeClock
 
-Done = Callable[[bool], None]
+OnWritten = Callable[[bool], None]
 HOLD = 1e9
 
 
@@ -30,14 +31,14 @@
     """Its writes end when the test says so; a kill leaves some of them there."""
 
     def __init__(self, disk: dict[bytes, bytes], boot: int) -> None:
-        self.disk, self.boot, self.state = disk, boot, State.WELL
-        self.flying: list[tuple[Sequence[Record], Done | None]] = []
+        self.disk, self.boot_count, self.state = disk, boot, DiskState.HEALTHY
+        self.flying: list[tuple[Sequence[Record], OnWritten | None]] = []
 
-    def health(self, now: float) -> Health:
-        return Health(self.state, "as told")
+    def health(self, now: float) -> DiskHealth:
+        return DiskHealth(self.state, "as told")
 
-    def put(self, records: Sequence[Record], done: Done | None = None) -> None:
-        if self.state is State.WELL:
+    def put(self, records: Sequence[Record], done: OnWritten | None = None) -> None:
+        if self.state is DiskState.HEALTHY:
             self.flying.append((records, done))
         elif done is not None:
             done(False)
@@ -56,7 +57,7 @@
         if well is not False:
             self.write(records)
         if not well:
-            self.state = State.FAILED
+            self.state = DiskState.FAILED
         if done is not None:
             done(bool(well))
 
@@ -182,7 +183,7 @@
 
     def after(self) -> None:
         """The fault has passed, no restart: what is new is taken, and kept once it is told so."""
-        self.ledger.state = State.WELL
+        self.ledger.state = DiskState.HEALTHY
         self.ask(99)
         while self.ledger.flying:
             self.ledger.answer(True)
@@ -200,8 +201,8 @@
     st.tuples(st.just("ask"), st.integers(1, 3)),
     st.tuples(st.just("answer"), st.sampled_from([True, False, None])),
     st.tuples(st.just("answer"), st.just(True)),
-    st.tuples(st.just("health"), st.sampled_from(list(State))),
-    st.tuples(st.just("health"), st.just(State.WELL)),
+    st.tuples(st.just("health"), st.sampled_from(list(DiskState))),
+    st.tuples(st.just("health"), st.just(DiskState.HEALTHY)),
     st.tuples(st.just("end"), st.sampled_from(ENDS)),
     st.tuples(st.just("leave"), st.none()),
     st.tuples(st.just("wait"), st.integers(1, 10_000)),
@@ -218,8 +219,16 @@
 WELL, FAIL = ("answer", True), ("answer", False)
 RAN_AND_KILLED = [("ask", 1), WELL, ("kill", 0), ("ask", 1), WELL]
 RESET_AND_KILLED = [("ask", 1), WELL, ("end", Outcome.RESET), WELL, ("kill", 0), ("ask", 1), WELL]
-FAILED = [("ask", 1), FAIL, ("wait", 10_000), ("health", State.WELL), ("ask", 1), WELL, ("kill", 0)]
-END_NOT_KEPT = [("ask", 1), WELL, ("health", State.FULL), ("end", Outcome.OK), ("kill", 0), ("ask", 1), WELL]
+FAILED = [("ask", 1), FAIL, ("wait", 10_000), ("health", DiskState.HEALTHY), ("ask", 1), WELL, ("kill", 0)]
+END_NOT_KEPT = [
+    ("ask", 1),
+    WELL,
+    ("health", DiskState.FULL),
+    ("end", Outcome.OK),
+    ("kill", 0),
+    ("ask", 1),
+    WELL,
+]
 
 
 THERE_ALL_THE_SAME = [("ask", 1), ("answer", None), ("kill", 0), ("ask", 1), WELL]
@@ -241,7 +250,7 @@
 def sent_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     put = FaultyLedger.put
 
-    def hasty(ledger: FaultyLedger, records: Sequence[Record], done: Done | None = None) -> None:
+    def hasty(ledger: FaultyLedger, records: Sequence[Record], done: OnWritten | None = None) -> None:
         if done is not None:
             done(True)
         put(ledger, records, None)
@@ -254,7 +263,9 @@
 
 
 def forgotten_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(loads_module, "loads", lambda kept: replace(loads(kept), known={}))
+    monkeypatch.setattr(
+        loads_module, "decode_loads", lambda kept: replace(decode_loads(kept), by_identity={})
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -21,9 +21,10 @@
 from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
-from cottonhold.store.ledger import Ledger, StoreBusy, StoreError
-from cottonhold.store.ledger import Memory as Folder
-from cottonhold.store.records import Hint, Kind, LoadRecord, LoadState, Record
+from cottonhold.store.health import Completeness as Folder
+from cottonhold.store.health import StoreBusyError, StoreError
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import Hint, LoadRecord, LoadState, Record, RecordKind
 from tests.observe.test_metrics import FILE, FLEET
 from tests.support.scenario import FakeClock
 
@@ -111,7 +112,7 @@
 def test_a_disk_that_hangs_later_holds_up_loads_only(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """At the start it failed at once; the next try hangs."""
     monkeypatch.setattr(installation_module, "SLOW_S", 0.0)
-    world.errors = [StoreError("planted", Folder.EMPTY, {})]
+    world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
         node = world.make()
@@ -132,8 +133,8 @@
 @pytest.mark.parametrize(
     "errors",
     [
-        [StoreError("full", Folder.EMPTY, {})] * 5,
-        [StoreBusy("in use", Folder.EMPTY, {})] * 5,
+        [StoreError("full", Folder.UNKNOWN, {})] * 5,
+        [StoreBusyError("in use", Folder.UNKNOWN, {})] * 5,
         [RuntimeError("never seen before")],
     ],
     ids=["full", "busy", "unknown"],
@@ -238,7 +239,7 @@
 
 
 def test_a_retry_counts_from_its_first_time_once_the_folder_is_had(world: World) -> None:
-    world.errors = [StoreError("planted", Folder.EMPTY, {})]
+    world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
         node = world.make()
@@ -256,20 +257,20 @@
     """Of one that could be read, but whose boot could not be counted."""
     body = b"INSERT a"
     record = LoadRecord(identity("load", "k", body), "r", "k", b"", "e1", 1, 0.0, LoadState.SENT)
-    error = StoreError("full", Folder.KEPT, {Kind.LOAD: {record.load: record.pack()}})
+    error = StoreError("full", Folder.COMPLETE, {RecordKind.LOAD: {record.identity: record.encode()}})
     world.errors = [error]
 
     async def story() -> None:
         node = world.make()
         assert node.unkept is not None
-        assert node.unkept.memory.later(node.unkept.now(), record.load) is Known.MAY
+        assert node.unkept.memory.later(node.unkept.now(), record.identity) is Known.MAY
         await kept(node)
         end(node)
 
     play(story)
 
 
-def with_drain(folder: Path, drain: dict[Kind, dict[bytes, bytes]]) -> None:
+def with_drain(folder: Path, drain: dict[RecordKind, dict[bytes, bytes]]) -> None:
     """A folder of an earlier life."""
     ledger = Ledger.open(folder, str(FILE["name"]))
     ledger.put([Record(kind, key, value) for kind, kept in drain.items() for key, value in kept.items()])
@@ -282,8 +283,8 @@
 ) -> None:
     """Until its ledger holds them, or for as long as registers are waited for."""
     monkeypatch.setattr(installation_module, "LEDGER_MS", 1.0 if had else 1e6)
-    drain = {Kind.DRAIN: {b"e1": Hint(b"", 0.0).pack()}}
-    world.errors = [StoreError("full", Folder.KEPT, drain)]
+    drain = {RecordKind.ENGINE_DRAIN: {b"e1": Hint(b"", 0.0).encode()}}
+    world.errors = [StoreError("full", Folder.COMPLETE, drain)]
     with_drain(world.path.parent / "state", drain)
 
     async def story() -> None:
@@ -294,7 +295,7 @@
             await kept(node)
             assert set(node.held.live()) == {"e2"}
         monkeypatch.setattr(node.driver.clock, "call_in", lambda ms, then: due.append((ms, then)))
-        node._hold_drained(drain[Kind.DRAIN])
+        node._hold_drained(drain[RecordKind.ENGINE_DRAIN])
         ((ms, let_go),) = due
         assert ms == DrainSettings().wait
         let_go()
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -15,8 +15,9 @@
 from cottonhold.fleet.consensus.register import How
 from cottonhold.fleet_adapters import write_queue
 from cottonhold.fleet_adapters.write_queue import InOrder
-from cottonhold.store.ledger import Health, Ledger, State
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.health import DiskHealth, DiskState
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import Record, RecordKind
 from tests.fleet.test_register import Fleet
 from tests.support.scenario import FakeClock
 
@@ -27,18 +28,18 @@
     """Takes what it is given while it is well; `answer` tells the writer what became of it."""
 
     def __init__(self) -> None:
-        self.state = State.WELL
+        self.state = DiskState.HEALTHY
         self.given: list[tuple[Sequence[Record], Done]] = []
         self.disk: list[bytes] = []
 
     def clock(self) -> float:
         return 0.0
 
-    def health(self, now: float) -> Health:
-        return Health(self.state, "as told")
+    def health(self, now: float) -> DiskHealth:
+        return DiskHealth(self.state, "as told")
 
     def put(self, records: Sequence[Record], done: Done) -> None:
-        if self.state is State.WELL:
+        if self.state is DiskState.HEALTHY:
             self.given.append((records, done))
         else:
             done(False)
@@ -59,7 +60,7 @@
     def put(self, key: str, value: str) -> None:
         name = key + value
         self.writer.put(
-            Record(Kind.PROMISE, key.encode(), value.encode()),
+            Record(RecordKind.PROMISE, key.encode(), value.encode()),
             lambda: self.told.append(name),
             lambda: self.told.append("-" + name),
         )
@@ -92,8 +93,8 @@
     assert world.told == ["-a1", "b1", "a2", "c1"], "the later record of a key stands for the earlier one"
 
 
-@pytest.mark.parametrize("state", [State.STALLED, State.FULL, State.FAILED])
-def test_a_disk_that_isn_t_well_is_told_of_at_once_and_tried_again(state: State) -> None:
+@pytest.mark.parametrize("state", [DiskState.STALLED, DiskState.FULL, DiskState.FAILED])
+def test_a_disk_that_isn_t_well_is_told_of_at_once_and_tried_again(state: DiskState) -> None:
     world = World()
     world.put("a", "1")
     world.ledger.state = state
@@ -102,7 +103,7 @@
     world.ledger.answer(False)
     world.wait(20 * write_queue.AGAIN_MS)
     assert set(world.told) == {"-a1", "-b1"} and not world.ledger.given
-    world.ledger.state = State.WELL
+    world.ledger.state = DiskState.HEALTHY
     world.wait(write_queue.AGAIN_MS + 1)
     world.ledger.answer(True)
     assert world.ledger.disk == [b"a1", b"b1"] and world.told[-2:] == ["a1", "b1"]
@@ -200,8 +201,8 @@
     def clock(self) -> float:
         return self.fleet.now
 
-    def health(self, now: float) -> Health:
-        return Health(State.FAILED if self.member in self.fleet.failing else State.WELL, "")
+    def health(self, now: float) -> DiskHealth:
+        return DiskHealth(DiskState.FAILED if self.member in self.fleet.failing else DiskState.HEALTHY, "")
 
     def put(self, records: Sequence[Record], done: Done) -> None:
         self.fleet.later(self.member, 0.3, lambda: self._write(records, done))
@@ -248,7 +249,7 @@
         super().act(member, others)
 
     def keep(self, member: int, action: Keep) -> None:
-        record = Record(Kind.PROMISE, action.name.encode(), action.data or None)
+        record = Record(RecordKind.PROMISE, action.name.encode(), action.data or None)
 
         def kept() -> None:
             self.act(member, self.up[member].kept(self.now, action.then))
--- a/tests/store/history.py
+++ b/tests/store/history.py
@@ -12,11 +12,17 @@
 from pathlib import Path
 
 from cottonhold.emulator.disk import Disk, Orders, install
-from cottonhold.store.ledger import WHOLE, Ledger, LedgerSettings, Memory, State, StoreError
-from cottonhold.store.record_file import Sizes
-from cottonhold.store.records import Kind, LoadRecord, LoadState, Record
-
-SMALL = LedgerSettings(stall=60_000.0, retry=1.0, sizes=Sizes(page=512, reserve=16 << 10, checkpoint=8))
+from cottonhold.store.health import Completeness, DiskState, StoreError
+from cottonhold.store.ledger import Ledger, LedgerSettings
+from cottonhold.store.ledger_folder import COMPLETE_MARK
+from cottonhold.store.record_file import FileSizes
+from cottonhold.store.records import LoadRecord, LoadState, Record, RecordKind
+
+SMALL = LedgerSettings(
+    stall_timeout_ms=60_000.0,
+    retry_interval_ms=1.0,
+    file_sizes=FileSizes(page_bytes=512, log_bytes=16 << 10, checkpoint_pages=8),
+)
 VFS = "failing"
 
 
@@ -65,17 +71,17 @@
 
     def check(self, ledger: Ledger) -> None:
         """See the module."""
-        assert ledger.boot > self.boot, "the boot must grow"
-        self.boot = ledger.boot
-        kept = ledger.records(Kind.LOAD)
+        assert ledger.boot_count > self.boot, "the boot must grow"
+        self.boot = ledger.boot_count
+        kept = ledger.records(RecordKind.LOAD)
         if self.settled:
-            assert ledger.memory is Memory.KEPT, f"a cut isn't a loss: {ledger.reason}"
-        if ledger.memory is Memory.EMPTY:
+            assert ledger.completeness is Completeness.COMPLETE, f"a cut isn't a loss: {ledger.reason}"
+        if ledger.completeness is Completeness.UNKNOWN:
             return
         assert self.may_be_settled, "nothing told it that its memory is whole"
         for identity, state in self.promised.items():
             value = kept.get(identity)
-            found = None if value is None else LoadRecord.read(identity, value).state
+            found = None if value is None else LoadRecord.decode(identity, value).state
             may = {state, *self.tried.get(identity, ())}
             assert found in may, f"{identity.hex()}: {state} became {found}"
 
@@ -96,7 +102,7 @@
         """The disk is well again, and soon the ledger is."""
         assert self.ledger is not None
         for _ in range(5000):
-            if self.ledger.health(0.0).state is State.WELL:
+            if self.ledger.health(0.0).state is DiskState.HEALTHY:
                 return
             time.sleep(0.002)
         raise AssertionError("it doesn't recover")
@@ -104,18 +110,18 @@
     def send(self, number: int, state: LoadState = LoadState.SENT) -> bool:
         """A load's record. What isn't promised may be there or not."""
         record = load(number, state, self.boot)
-        self.tried.setdefault(record.load, set()).add(state)
-        well = self.put([record.record()])
+        self.tried.setdefault(record.identity, set()).add(state)
+        well = self.put([record.to_record()])
         if well:
-            self.promised[record.load] = state
-            self.tried[record.load] = set()
+            self.promised[record.identity] = state
+            self.tried[record.identity] = set()
         return well
 
     def forget(self, number: int) -> bool:
         """It doesn't matter any more."""
-        identity = load(number).load
+        identity = load(number).identity
         self.tried.setdefault(identity, set()).add(None)
-        well = self.put([Record(Kind.LOAD, identity, None)])
+        well = self.put([Record(RecordKind.LOAD, identity, None)])
         if well:
             self.promised.pop(identity, None)
             self.tried[identity] = set()
@@ -124,7 +130,7 @@
     def settle(self) -> bool:
         """The memory is whole from now on."""
         self.may_be_settled = True
-        well = self.put([WHOLE])
+        well = self.put([COMPLETE_MARK])
         self.settled = self.settled or well
         return well
 
@@ -156,7 +162,7 @@
     play.settle()
     for number in range(2, 9):
         play.send(number)
-    play.send(1, LoadState.WELL)
+    play.send(1, LoadState.COMPLETED)
     play.send(2, LoadState.FAILED)
     play.forget(1)
     play.end(True)
@@ -164,5 +170,5 @@
         return
     for number in range(10, 14):
         play.send(number)
-    play.send(3, LoadState.WELL)
+    play.send(3, LoadState.COMPLETED)
     play.end(False)
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -14,9 +14,11 @@
 
 from cottonhold.emulator import disk as disk_module
 from cottonhold.emulator.disk import Orders, install
+from cottonhold.store import ledger_folder
 from cottonhold.store.files import Files
-from cottonhold.store.ledger import Ledger, State
-from cottonhold.store.record_file import Book
+from cottonhold.store.health import DiskState
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.record_file import RecordFile
 from cottonhold.store.records import LoadState
 from tests.store.history import SMALL, VFS, Play, script
 
@@ -64,9 +66,9 @@
 
 
 def done_before_sync(ledger: Ledger, group: list[Any], commit: Callable[..., bool]) -> bool:
-    ledger._answer(group, True)
+    ledger._report(group, True)
     for write in group:
-        write.done = None
+        write.on_written = None
     return commit(ledger, group)
 
 
@@ -87,9 +89,9 @@
 
 
 def test_a_sync_that_is_not_awaited_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    pragma = Book._pragma
+    pragma = RecordFile._pragma
     full, off = "synchronous = FULL", "synchronous = OFF"
-    monkeypatch.setattr(Book, "_pragma", lambda book, what: pragma(book, off if what == full else what))
+    monkeypatch.setattr(RecordFile, "_pragma", lambda book, what: pragma(book, off if what == full else what))
     with pytest.raises(AssertionError, match=LOST):
         cut_everywhere(tmp_path, range(1, 200))
 
@@ -111,7 +113,7 @@
 ) -> None:
     def hasty(files: Files, path: Path, content: bytes) -> None:
         new = path.with_name(path.name + ".new")
-        files.append(new, content, anew=True)
+        files.append(new, content, truncate=True)
         files.move(new, path)
         files.sync_folder(path.parent)
 
@@ -137,7 +139,7 @@
     assert not play.send(2)
     play.disk.orders = Orders()
     play.wait_well()
-    assert play.send(4, LoadState.NEVER)
+    assert play.send(4, LoadState.NEVER_SENT)
     play.cut()
     assert play.open()
 
@@ -145,7 +147,7 @@
 def test_after_a_failed_sync_all_is_written_anew(tmp_path: Path) -> None:
     play = Play(tmp_path)
     fail_one_sync(play)
-    assert play.ledger is not None and play.ledger.generation == 3, "by the failure, and by the cut"
+    assert play.ledger is not None and play.ledger.folder.generation == 3, "by the failure, and by the cut"
     play.end(True)
 
 
@@ -182,9 +184,9 @@
 
 def test_a_new_life_does_not_build_on_the_cache(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Without a checkpoint, which would happen to write what was lost once more.
-    settings = replace(SMALL, sizes=replace(SMALL.sizes, checkpoint=1000))
+    settings = replace(SMALL, file_sizes=replace(SMALL.file_sizes, checkpoint_pages=1000))
     start_again_after_a_failed_sync(Play(tmp_path / "right", settings))
-    monkeypatch.setattr(Ledger, "_ended_well", staticmethod(lambda life: life is not None))
+    monkeypatch.setattr(ledger_folder, "_was_closed", lambda boot: boot is not None)
     with pytest.raises(AssertionError, match=LOST):
         start_again_after_a_failed_sync(Play(tmp_path / "planted", settings))
 
@@ -206,7 +208,7 @@
     play.disk.orders = Orders(fail_sync=1)
     for number in range(2, 6):
         assert not play.send(number)
-    assert play.ledger is not None and play.ledger.health(0.0).state is State.FAILED
+    assert play.ledger is not None and play.ledger.health(0.0).state is DiskState.FAILED
     play.cut()
     assert play.open()
     play.end(True)
@@ -236,7 +238,7 @@
         if what == "send":
             play.send(number)
         elif what == "end":
-            play.send(number, LoadState.WELL)
+            play.send(number, LoadState.COMPLETED)
         elif what == "forget":
             play.forget(number)
         elif what == "settle":
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -9,12 +9,12 @@
 import pytest
 
 from cottonhold.emulator.disk import install
-from cottonhold.store import files
-from cottonhold.store import record_file as book_module
+from cottonhold.store import files, record_file
 from cottonhold.store.files import Files
-from cottonhold.store.ledger import Ledger, Memory, StoreBusy
-from cottonhold.store.record_file import Book, BookError
-from cottonhold.store.records import Kind, LoadState
+from cottonhold.store.health import Completeness, StoreBusyError
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.record_file import RecordFile, RecordFileError
+from cottonhold.store.records import LoadState, RecordKind
 from tests.store.history import SMALL, VFS, Play, load
 
 LOADS = 6
@@ -31,7 +31,7 @@
         assert play.send(number)
     assert play.settle()
     play.end(True)
-    assert play.reopen() and play.send(0, LoadState.WELL)
+    assert play.reopen() and play.send(0, LoadState.COMPLETED)
     if request.param:
         play.end(True)
     else:
@@ -43,8 +43,8 @@
     """What the book says of itself; None: that it isn't whole."""
     install(VFS)
     try:
-        book = Book.read(folder / "a.1.db", VFS, files.of(VFS), SMALL.sizes)
-    except BookError:
+        book = RecordFile.open(folder / "a.1.db", VFS, files.files_of(VFS), SMALL.file_sizes)
+    except RecordFileError:
         return None
     book.close()
     return book.rows
@@ -117,8 +117,8 @@
         def __ne__(self, other: object) -> bool:
             return False
 
-    real = book_module.mark
-    monkeypatch.setattr(book_module, "mark", lambda kind, key, value: Same(real(kind, key, value)))
+    real = record_file.row_checksum
+    monkeypatch.setattr(record_file, "row_checksum", lambda kind, key, value: Same(real(kind, key, value)))
     assert rows(folder) not in (None, whole)
 
 
@@ -132,21 +132,25 @@
         (folder / name).write_bytes(content[:left])
     install(VFS)
     ledger = Ledger.open(folder, "a", VFS, SMALL)
-    assert ledger.boot == 3
-    kept = ledger.records(Kind.LOAD)
+    assert ledger.boot_count == 3
+    kept = ledger.records(RecordKind.LOAD)
     if name == "a.life":
-        assert ledger.memory is Memory.KEPT and len(kept) == LOADS and not ledger.clean
-    elif ledger.memory is Memory.EMPTY:
+        assert (
+            ledger.completeness is Completeness.COMPLETE and len(kept) == LOADS and not ledger.closed_cleanly
+        )
+    elif ledger.completeness is Completeness.UNKNOWN:
         assert kept == {} and ledger.reason
-        assert ledger.set_aside == (0 if (name, left) == ("a.1.db", -1) else 1)
+        assert ledger.damaged_files == (0 if (name, left) == ("a.1.db", -1) else 1)
     else:
         # The log held all of it.
         assert name == "a.1.db" and len(kept) == LOADS
     ledger.close(True)
-    was = ledger.memory
+    was = ledger.completeness
     install(VFS)
     ledger = Ledger.open(folder, "a", VFS, SMALL)
-    assert (ledger.memory, ledger.boot) == (was, 4), "an emptied memory stays so until somebody settles it"
+    assert (ledger.completeness, ledger.boot_count) == (was, 4), (
+        "an emptied memory stays so until somebody settles it"
+    )
     ledger.close(True)
 
 
@@ -157,7 +161,7 @@
     (folder / "a.life").write_bytes(content[:left])
     install(VFS)
     ledger = Ledger.open(folder, "a", VFS, SMALL)
-    assert ledger.boot == 3 and ledger.memory is Memory.KEPT
+    assert ledger.boot_count == 3 and ledger.completeness is Completeness.COMPLETE
     ledger.close(False)
 
 
@@ -166,17 +170,17 @@
     for life in range(4):
         install(VFS)
         ledger = Ledger.open(tmp_path, "a", VFS, SMALL)
-        seen.append((ledger.memory, ledger.reason, len(ledger.records(Kind.LOAD))))
+        seen.append((ledger.completeness, ledger.reason, len(ledger.records(RecordKind.LOAD))))
         if life < 2:
-            ledger.put([load(life).record()])
+            ledger.put([load(life).to_record()])
         else:
-            ledger.settle()
+            ledger.mark_complete()
         ledger.close(True)
     assert seen == [
-        (Memory.EMPTY, "nothing was here", 0),
-        (Memory.EMPTY, "emptied not long ago", 1),
-        (Memory.EMPTY, "emptied not long ago", 2),
-        (Memory.KEPT, "", 2),
+        (Completeness.UNKNOWN, "nothing was here", 0),
+        (Completeness.UNKNOWN, "emptied not long ago", 1),
+        (Completeness.UNKNOWN, "emptied not long ago", 2),
+        (Completeness.COMPLETE, "", 2),
     ]
 
 
@@ -191,7 +195,7 @@
     shutil.copy(play.folder / "a.life", tmp_path / "old")
     install(VFS)
     ledger = Ledger.open(tmp_path / "old", "a", VFS, SMALL)
-    assert ledger.memory is Memory.EMPTY and "missing" in ledger.reason
+    assert ledger.completeness is Completeness.UNKNOWN and "missing" in ledger.reason
     ledger.close(True)
 
 
@@ -199,13 +203,13 @@
     """Here by the real files."""
     settings = SMALL
     first = Ledger.open(tmp_path, "a", "", settings)
-    with pytest.raises(StoreBusy):
+    with pytest.raises(StoreBusyError):
         Ledger.open(tmp_path, "a", "", settings)
     second = Ledger.open(tmp_path, "b", "", settings)
     second.close(True)
     first.close(True)
     again = Ledger.open(tmp_path, "a", "", settings)
-    assert (again.boot, again.clean) == (2, True)
+    assert (again.boot_count, again.closed_cleanly) == (2, True)
     again.close(True)
 
 
@@ -215,5 +219,5 @@
     assert play.open() and play.settle()
     for number in range(200):
         assert play.send(number % 40)
-    assert (tmp_path / "a.1.db-wal").stat().st_size == SMALL.sizes.reserve
+    assert (tmp_path / "a.1.db-wal").stat().st_size == SMALL.file_sizes.log_bytes
     play.end(True)
--- a/tests/store/test_faults.py
+++ b/tests/store/test_faults.py
@@ -16,9 +16,11 @@
 
 from cottonhold.emulator.disk import Disk, DiskFiles, Orders, install
 from cottonhold.store import files as store_files
-from cottonhold.store import record_file as book_module
-from cottonhold.store.ledger import Ledger, Memory, State, StoreError
-from cottonhold.store.records import Hint, Kind, LoadState, Record
+from cottonhold.store import record_file
+from cottonhold.store.health import Completeness, DiskState, StoreError
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.ledger_folder import LedgerFolder
+from cottonhold.store.records import Hint, LoadState, Record, RecordKind
 from tests.store.history import SMALL, VFS, Play, load
 from tests.store.test_cuts import done_before_sync, failed_sync_is_done
 
@@ -66,14 +68,16 @@
         failed += open_with_one_failed_read(play, count) is not None
         assert not list(play.folder.glob("*.broken")), f"read {count}: put aside without being damaged"
         assert play.open()
-        assert play.ledger is not None and play.ledger.memory is Memory.KEPT
-        assert play.ledger.records(Kind.LOAD).keys() == {load(number).load for number in range(LOADS)}
+        assert play.ledger is not None and play.ledger.completeness is Completeness.COMPLETE
+        assert play.ledger.records(RecordKind.LOAD).keys() == {
+            load(number).identity for number in range(LOADS)
+        }
         play.end(True)
     assert failed > 5
 
 
 def test_a_failed_read_taken_for_damage_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(book_module, "DISK_ERRORS", ())
+    monkeypatch.setattr(record_file, "DISK_ERRORS", ())
     with pytest.raises(AssertionError, match="put aside"):
         test_a_failed_read_at_the_start_loses_nothing(tmp_path, True)
 
@@ -91,7 +95,7 @@
         def refuse(_book: object, _what: str) -> object:
             raise error("planted")
 
-        patched.setattr(book_module.Book, "_pragma", refuse)
+        patched.setattr(record_file.RecordFile, "_pragma", refuse)
         with pytest.raises(StoreError, match="planted"):
             Ledger.open(play.folder, "a", VFS, SMALL)
     assert play.open() and not list(play.folder.glob("*.broken"))
@@ -108,12 +112,12 @@
         def replace(self, path: Path, content: bytes) -> None:
             if stage == "moved":
                 new = path.with_name(path.name + ".new")
-                self.append(new, content, anew=True)
+                self.append(new, content, truncate=True)
                 self.sync(new)
                 self.move(new, path)
             raise OSError(errno.EIO, "planted")
 
-    store_files.register(VFS, Refusing(disk))
+    store_files.register_files(VFS, Refusing(disk))
 
 
 def books(folder: Path, disk: Disk) -> int:
@@ -151,7 +155,7 @@
 
 
 def test_leaving_a_file_with_each_try_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Ledger, "_settle_generation", lambda ledger, boot: None)
+    monkeypatch.setattr(LedgerFolder, "_make_generation_durable", lambda folder, boot_count: None)
     with pytest.raises(AssertionError, match="each try leaves"):
         open_often(kept_folder(tmp_path), "refused", 1)
 
@@ -184,7 +188,9 @@
 ) -> None:
     for count in range(1, 12):
         cut_in_the_second_try(tmp_path / str(count), count)
-    monkeypatch.setattr(Ledger, "_settle_generation", lambda ledger, boot: ledger._tidy())
+    monkeypatch.setattr(
+        LedgerFolder, "_make_generation_durable", lambda folder, boot_count: folder._remove_old_files()
+    )
     with pytest.raises(AssertionError, match="a cut isn't a loss"):
         for count in range(1, 12):
             cut_in_the_second_try(tmp_path / f"planted-{count}", count)
@@ -197,14 +203,14 @@
     assert play.ledger is not None
     ledger = play.ledger
     refuse_life(play.disk, stage)
-    ledger.files = store_files.of(VFS)
-    ledger._tell(State.FAILED, "planted")
+    ledger.folder.files = store_files.files_of(VFS)
+    ledger._set_state(DiskState.FAILED, "planted")
     for _ in range(10):
-        ledger._recover(State.FAILED)
+        ledger._recover(DiskState.FAILED)
         assert books(play.folder, play.disk) <= 2
     assert not play.send(2)
-    ledger.files = DiskFiles(play.disk)
-    ledger._recover(State.FAILED)
+    ledger.folder.files = DiskFiles(play.disk)
+    ledger._recover(DiskState.FAILED)
     assert play.send(3)
     play.cut()
     assert play.open() and books(play.folder, play.disk) == 1
@@ -214,13 +220,13 @@
 # --- every kind of record, every kind of fault ---
 
 KINDS = {
-    "load": (Kind.LOAD, load(50).load, load(50).pack(), load(50, LoadState.WELL).pack()),
-    "promise": (Kind.PROMISE, b"reg/a", b"one", b"two"),
-    "pin": (Kind.PIN, b"pin", b"one", b"two"),
-    "drain": (Kind.DRAIN, b"e1", Hint(b"", 0.0).pack(), Hint(b"", 5.0).pack()),
-    "base": (Kind.LIFE, b"base", b"\x01", b"\x02"),
-    "engine": (Kind.ENGINE, b"e1", Hint(b"a", 0.0).pack(), Hint(b"b", 0.0).pack()),
-    "member": (Kind.MEMBER, b"\x00\x01", Hint(b"a", 0.0).pack(), Hint(b"b", 0.0).pack()),
+    "load": (RecordKind.LOAD, load(50).identity, load(50).encode(), load(50, LoadState.COMPLETED).encode()),
+    "promise": (RecordKind.PROMISE, b"reg/a", b"one", b"two"),
+    "pin": (RecordKind.AFFINITY, b"pin", b"one", b"two"),
+    "drain": (RecordKind.ENGINE_DRAIN, b"e1", Hint(b"", 0.0).encode(), Hint(b"", 5.0).encode()),
+    "base": (RecordKind.INCARNATION, b"base", b"\x01", b"\x02"),
+    "engine": (RecordKind.ENGINE_ADDRESS, b"e1", Hint(b"a", 0.0).encode(), Hint(b"b", 0.0).encode()),
+    "member": (RecordKind.MEMBER, b"\x00\x01", Hint(b"a", 0.0).encode(), Hint(b"b", 0.0).encode()),
 }
 ERRORS = [errno.ENOSPC, errno.EDQUOT, errno.EIO, errno.EROFS, errno.EINTR, errno.ENOMEM]
 
@@ -258,7 +264,7 @@
     assert not play.put([Record(which, key, new)]) and faults.met
     if not once:
         assert not play.send(61), "refused while it lasts"
-        assert play.ledger is not None and play.ledger.health(0.0).state in (State.FULL, State.FAILED)
+        assert play.ledger is not None and play.ledger.health(0.0).state in (DiskState.FULL, DiskState.FAILED)
     faults.on = False
     well_again(play)
     play.cut()
@@ -294,12 +300,12 @@
     which, key, old, new = KINDS[kind]
     now, told = [0.0], list[bool]()
     disk = install(VFS)
-    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall=100.0), lambda: now[0])
+    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall_timeout_ms=100.0), lambda: now[0])
     disk.orders = Orders(stall=True)
     through = threading.Event()
     ledger.put([Record(which, key, new)], lambda well: through.set() if well else None)
     now[0] = 101.0
-    ledger.put([load(9).record()], told.append)
+    ledger.put([load(9).to_record()], told.append)
     assert told == [False] and not through.is_set()
     disk.orders = Orders()
     assert through.wait(20.0)
@@ -331,7 +337,7 @@
         Ledger.open(play.folder, "a", VFS, SMALL).close(False)
     except StoreError as error:
         assert str(play.folder) in str(error) and "\n" not in str(error)
-        assert error.kept[Kind.LOAD].keys() == {load(number).load for number in range(LOADS)}
+        assert error.records[RecordKind.LOAD].keys() == {load(number).identity for number in range(LOADS)}
     faults.on = False
     play.disk, play.settled = disk, True
     assert play.reopen() and not list(play.folder.glob("*.broken"))
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -16,8 +16,10 @@
 import pytest
 
 from cottonhold.emulator.disk import Orders, install
-from cottonhold.store.ledger import WHOLE, Ledger, Memory, State, StoreError
-from cottonhold.store.records import Kind, LoadRecord, Record
+from cottonhold.store.health import Completeness, DiskState, StoreError
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.ledger_folder import COMPLETE_MARK
+from cottonhold.store.records import LoadRecord, Record, RecordKind
 from tests.store.history import SMALL, VFS, Play, load
 
 
@@ -30,7 +32,7 @@
     play.cut()
 
 
-def health(play: Play, now: float = 0.0) -> State:
+def health(play: Play, now: float = 0.0) -> DiskState:
     assert play.ledger is not None
     return play.ledger.health(now).state
 
@@ -39,10 +41,10 @@
     play.disk.orders = Orders(full=True)
     assert not play.send(2)
     assert play.ledger is not None and play.ledger.health(0.0).reason == "[Errno 28] the disk is full"
-    assert health(play) is State.FULL and not play.send(3)
+    assert health(play) is DiskState.FULL and not play.send(3)
     play.disk.orders = Orders()
     play.wait_well()
-    assert play.send(4) and play.ledger.generation == 1
+    assert play.send(4) and play.ledger.folder.generation == 1
     play.cut()
     assert play.open()
 
@@ -52,7 +54,7 @@
     play.disk.orders = Orders(room=0)
     taken = [play.send(number) for number in range(2, 40)]
     assert True in taken and False in taken and taken == sorted(taken, reverse=True)
-    assert health(play) is State.FULL
+    assert health(play) is DiskState.FULL
     play.disk.orders = Orders()
     play.wait_well()
     assert play.send(50)
@@ -63,31 +65,31 @@
 def test_a_stalled_disk_refuses_at_once_and_goes_on(tmp_path: Path) -> None:
     now = [0.0]
     disk = install(VFS)
-    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall=100.0), lambda: now[0])
+    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall_timeout_ms=100.0), lambda: now[0])
     disk.orders = Orders(stall=True)
     late, refused = threading.Event(), []
-    ledger.put([load(1).record()], lambda well: late.set() if well else None)
-    assert ledger.health(50.0).state is State.WELL
+    ledger.put([load(1).to_record()], lambda well: late.set() if well else None)
+    assert ledger.health(50.0).state is DiskState.HEALTHY
     now[0] = 101.0
-    assert ledger.health(now[0]).state is State.STALLED
+    assert ledger.health(now[0]).state is DiskState.STALLED
     caller = threading.get_ident()
-    ledger.put([load(2).record()], lambda well: refused.append((well, threading.get_ident())))
+    ledger.put([load(2).to_record()], lambda well: refused.append((well, threading.get_ident())))
     assert refused == [(False, caller)], "nobody waits for a disk that stalls"
     assert not late.is_set()
     disk.orders = Orders()
     assert late.wait(20.0)
-    assert ledger.health(now[0]).state is State.WELL
+    assert ledger.health(now[0]).state is DiskState.HEALTHY
     ledger.close(True)
 
 
 def test_more_than_the_queue_holds_is_refused(tmp_path: Path) -> None:
     disk = install(VFS)
-    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, queue=8))
+    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, max_queued_records=8))
     disk.orders = Orders(stall=True)
     told: list[bool] = []
     for number in range(40):
-        ledger.put([load(number).record()], told.append)
-    assert told.count(False) == len(told) and 40 - 8 - SMALL.group <= len(told) <= 40 - 8
+        ledger.put([load(number).to_record()], told.append)
+    assert told.count(False) == len(told) and 40 - 8 - SMALL.max_group_records <= len(told) <= 40 - 8
     refused = len(told)
     disk.orders = Orders()
     ledger.close(True)
@@ -96,13 +98,15 @@
 
 def test_what_waits_together_is_one_transaction(tmp_path: Path) -> None:
     disk = install(VFS)
-    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, sizes=replace(SMALL.sizes, checkpoint=1000)))
+    ledger = Ledger.open(
+        tmp_path, "a", VFS, replace(SMALL, file_sizes=replace(SMALL.file_sizes, checkpoint_pages=1000))
+    )
     syncs: list[str] = []
     disk.before = lambda _count, what: syncs.append(what) if what == "sync" else None
     disk.orders = Orders(stall=True)
     told: list[bool] = []
     for number in range(50):
-        ledger.put([load(number).record()], told.append)
+        ledger.put([load(number).to_record()], told.append)
     disk.orders = Orders()
     ledger.close(False)
     assert told == [True] * 50 and len(syncs) <= 3
@@ -113,7 +117,7 @@
     ledger = play.ledger
     told: list[bool] = []
     play.end(True)
-    ledger.put([load(9).record()], told.append)
+    ledger.put([load(9).to_record()], told.append)
     assert told == [False]
 
 
@@ -121,9 +125,9 @@
 def test_a_disk_that_hangs_at_the_end_does_not_hold_it_up(tmp_path: Path, last: str) -> None:
     """The next life takes this one for cut off, with all that was promised."""
     disk = install(VFS)
-    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall=50.0))
+    ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall_timeout_ms=50.0))
     told = threading.Event()
-    ledger.put([WHOLE, load(1).record()], lambda well: told.set() if well else None)
+    ledger.put([COMPLETE_MARK, load(1).to_record()], lambda well: told.set() if well else None)
     assert told.wait(20.0)
     syncs, hangs = [0], threading.Event()
 
@@ -140,12 +144,12 @@
     assert not closing.is_alive() and hangs.wait(20.0)
     disk.cut()
     ledger._thread.join(20.0)
-    ledger._let_go()
+    ledger.folder.close()
     play = Play(tmp_path)
     play.may_be_settled = True
     assert play.open() and play.ledger is not None
-    assert not play.ledger.clean and load(1).load in play.ledger.records(Kind.LOAD)
-    assert play.ledger.memory is Memory.KEPT
+    assert not play.ledger.closed_cleanly and load(1).identity in play.ledger.records(RecordKind.LOAD)
+    assert play.ledger.completeness is Completeness.COMPLETE
     play.end(True)
 
 
@@ -156,7 +160,10 @@
     install(VFS).orders = orders
     with pytest.raises(StoreError) as told:
         Ledger.open(play.folder, "a", VFS, SMALL)
-    assert told.value.memory is Memory.KEPT and load(1).load in told.value.kept[Kind.LOAD]
+    assert (
+        told.value.completeness is Completeness.COMPLETE
+        and load(1).identity in told.value.records[RecordKind.LOAD]
+    )
     assert sorted(path.name for path in play.folder.iterdir()) == before, (
         "nothing half is left on a full disk"
     )
@@ -164,18 +171,21 @@
 
 
 def test_a_kind_of_a_later_version_is_kept_over_a_rewrite(play: Play) -> None:
-    assert play.ledger is not None and play.ledger._book is not None
-    later = Record(Kind.ORDER, b"later", b"\x09")
+    assert play.ledger is not None and play.ledger.folder.record_file is not None
+    later = Record(RecordKind.OPERATOR_OVERRIDE, b"later", b"\x09")
     assert play.put([later])
-    rows = play.ledger._book.rows
+    rows = play.ledger.folder.record_file.rows
     rows[99, b"unknown kind"] = b"value"  # As a later program's transaction would have left it.
     play.disk.orders = Orders(fail_sync=1)
     assert not play.send(2)
     play.disk.orders = Orders()
     play.wait_well()
     play.cut()
-    assert play.open() and play.ledger.records(Kind.ORDER) == {b"later": b"\x09"}
-    assert play.ledger._book is not None and (99, b"unknown kind") in play.ledger._book.rows
+    assert play.open() and play.ledger.records(RecordKind.OPERATOR_OVERRIDE) == {b"later": b"\x09"}
+    assert (
+        play.ledger.folder.record_file is not None
+        and (99, b"unknown kind") in play.ledger.folder.record_file.rows
+    )
 
 
 # --- a process that is killed ---
@@ -184,7 +194,8 @@
 import sys, threading
 from pathlib import Path
 from cottonhold.emulator.disk import install
-from cottonhold.store.ledger import WHOLE, Ledger
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.ledger_folder import COMPLETE_MARK
 from tests.store.history import SMALL, load
 folder, control, defect = Path(sys.argv[1]), Path(sys.argv[2]), sys.argv[3]
 install("killed", control)
@@ -193,12 +204,12 @@
     told = threading.Event()
     ledger.put(records, lambda well: well and told.set())
     told.wait()
-put([WHOLE])
+put([COMPLETE_MARK])
 for number in range(200):
     if defect == "after":
-        ledger.put([load(number).record()])
+        ledger.put([load(number).to_record()])
     else:
-        put([load(number).record()])
+        put([load(number).to_record()])
     print(number, flush=True)
 """
 
@@ -217,8 +228,8 @@
         os.kill(child.pid, signal.SIGKILL)
         sent = 60 + len(child.stdout.read().split())
     ledger = Ledger.open(tmp_path / "folder", "a", "", SMALL)
-    kept = ledger.records(Kind.LOAD)
-    missing = [number for number in range(sent + 1) if load(number).load not in kept]
-    assert ledger.memory is Memory.KEPT and bool(missing) == bool(defect)
-    assert all(LoadRecord.read(key, value).open for key, value in kept.items())
+    kept = ledger.records(RecordKind.LOAD)
+    missing = [number for number in range(sent + 1) if load(number).identity not in kept]
+    assert ledger.completeness is Completeness.COMPLETE and bool(missing) == bool(defect)
+    assert all(LoadRecord.decode(key, value).is_open for key, value in kept.items())
     ledger.close(False)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -7,19 +7,19 @@
 from hypothesis import strategies as st
 
 from cottonhold.store.records import (
-    MOST,
+    MAX_RECORDS,
     REASONS,
-    TRUST,
+    TRUST_BY_KIND,
     Hint,
-    Kind,
-    LifeRecord,
+    IncarnationRecord,
     LoadRecord,
     LoadState,
     RecordError,
+    RecordKind,
     Trust,
-    forget_loads,
-    forget_others,
-    loads,
+    decode_loads,
+    evict_loads,
+    evict_records,
 )
 
 LOADS = st.builds(
@@ -38,22 +38,22 @@
 
 @given(LOADS)
 def test_a_load_is_read_as_it_was_packed(load: LoadRecord) -> None:
-    assert LoadRecord.read(load.load, load.pack()) == load
+    assert LoadRecord.decode(load.identity, load.encode()) == load
 
 
 @given(LOADS, st.data())
 def test_a_load_cut_short_or_of_a_later_version_may_have_run(load: LoadRecord, data: st.DataObject) -> None:
-    packed = load.pack()
+    packed = load.encode()
     for value in (packed[: data.draw(st.integers(0, len(packed) - 1))], b"\x02" + packed[1:], packed + b"x"):
         with pytest.raises(RecordError):
-            LoadRecord.read(load.load, value)
-        read = loads({load.load: value})
-        assert read.unread == {load.load} and not read.known
+            LoadRecord.decode(load.identity, value)
+        read = decode_loads({load.identity: value})
+        assert read.unreadable == {load.identity} and not read.by_identity
 
 
 @given(st.binary(max_size=200))
 def test_garbage_is_never_anything_but_an_error(value: bytes) -> None:
-    for read in (lambda: LoadRecord.read(b"i" * 16, value), lambda: LifeRecord.read(value)):
+    for read in (lambda: LoadRecord.decode(b"i" * 16, value), lambda: IncarnationRecord.decode(value)):
         try:
             read()
         except RecordError:
@@ -61,21 +61,21 @@
 
 
 def test_lives_and_hints() -> None:
-    assert LifeRecord.read(LifeRecord(3, 9, True).pack()) == LifeRecord(3, 9, True)
-    assert Hint.read(Hint(b"10.0.0.1", 250.0).pack()) == Hint(b"10.0.0.1", 250.0)
-    for bad in (b"", b"\x01", Hint(b"", float("nan")).pack(), Hint(b"", -1.0).pack()):
+    assert IncarnationRecord.decode(IncarnationRecord(3, 9, True).encode()) == IncarnationRecord(3, 9, True)
+    assert Hint.decode(Hint(b"10.0.0.1", 250.0).encode()) == Hint(b"10.0.0.1", 250.0)
+    for bad in (b"", b"\x01", Hint(b"", float("nan")).encode(), Hint(b"", -1.0).encode()):
         with pytest.raises(RecordError):
-            Hint.read(bad)
+            Hint.decode(bad)
 
 
 def test_each_kind_has_its_trust_its_reason_and_its_bound() -> None:
-    assert set(TRUST) == set(REASONS) == set(MOST) == set(Kind)
-    assert {kind for kind in Kind if TRUST[kind] is Trust.WHOLLY} == {
-        Kind.LIFE,
-        Kind.LOAD,
-        Kind.PROMISE,
-        Kind.ORDER,
-        Kind.PIN,
+    assert set(TRUST_BY_KIND) == set(REASONS) == set(MAX_RECORDS) == set(RecordKind)
+    assert {kind for kind in RecordKind if TRUST_BY_KIND[kind] is Trust.AUTHORITATIVE} == {
+        RecordKind.INCARNATION,
+        RecordKind.LOAD,
+        RecordKind.PROMISE,
+        RecordKind.OPERATOR_OVERRIDE,
+        RecordKind.AFFINITY,
     }
 
 
@@ -91,37 +91,47 @@
 @pytest.mark.parametrize(
     ("load", "now", "gone"),
     [
-        (one(1, LoadState.WELL, ended=1_200.0), 1_700.0, False),
-        (one(1, LoadState.WELL, ended=1_200.0), 1_700.1, True),
+        (one(1, LoadState.COMPLETED, ended=1_200.0), 1_700.0, False),
+        (one(1, LoadState.COMPLETED, ended=1_200.0), 1_700.1, True),
         (one(1, LoadState.SENT), 1e9, False),
         # Of an earlier boot: its times, however large or small, say nothing.
         (one(1, LoadState.SENT, BOOT - 1), START + HOLD, False),
         (one(1, LoadState.SENT, BOOT - 1), START + HOLD + 0.1, True),
-        (one(1, LoadState.WELL, BOOT - 1, ended=-1e9), START + HOLD, False),
-        (one(1, LoadState.WELL, BOOT - 1, ended=1e9), START + HOLD + 0.1, True),
+        (one(1, LoadState.COMPLETED, BOOT - 1, ended=-1e9), START + HOLD, False),
+        (one(1, LoadState.COMPLETED, BOOT - 1, ended=1e9), START + HOLD + 0.1, True),
         # A boot number above this one's comes from a folder put back: it's another boot all the same.
-        (one(1, LoadState.WELL, BOOT + 1, ended=1e9), START + HOLD + 0.1, True),
+        (one(1, LoadState.COMPLETED, BOOT + 1, ended=1e9), START + HOLD + 0.1, True),
     ],
 )
 def test_a_load_goes_one_hold_after_it_can_matter(load: LoadRecord, now: float, gone: bool) -> None:
-    decided = forget_loads([load], now_ms=now, boot=BOOT, started_ms=START, hold_ms=HOLD)
-    assert decided.keys == ((load.load,) if gone else ()) and not decided.full and decided.early == 0
+    decided = evict_loads([load], now_ms=now, boot_count=BOOT, boot_started_at_ms=START, retention_ms=HOLD)
+    assert (
+        decided.keys == ((load.identity,) if gone else ())
+        and not decided.is_full
+        and decided.early_count == 0
+    )
 
 
 def test_to_make_room_the_first_ended_goes_first_and_open_ones_never() -> None:
     kept = [
         one(1, LoadState.SENT),
-        one(2, LoadState.WELL, ended=1_300.0),
+        one(2, LoadState.COMPLETED, ended=1_300.0),
         one(3, LoadState.FAILED, ended=1_200.0),
         one(4, LoadState.SENT, BOOT - 1),
-        one(5, LoadState.NEVER, BOOT - 1, ended=1_400.0),
+        one(5, LoadState.NEVER_SENT, BOOT - 1, ended=1_400.0),
     ]
 
     def keys(most: int, room: int = 1) -> tuple[list[int], int, bool]:
-        decided = forget_loads(
-            kept, now_ms=START, boot=BOOT, started_ms=START, hold_ms=HOLD, most=most, room=room
+        decided = evict_loads(
+            kept,
+            now_ms=START,
+            boot_count=BOOT,
+            boot_started_at_ms=START,
+            retention_ms=HOLD,
+            max_records=most,
+            free_slots=room,
         )
-        return [key[0] for key in decided.keys], decided.early, decided.full
+        return [key[0] for key in decided.keys], decided.early_count, decided.is_full
 
     assert keys(6) == ([], 0, False)
     assert keys(5) == ([5], 1, False)
@@ -131,24 +141,32 @@
     assert keys(5, room=4) == ([5, 3, 2], 3, True)
 
 
-DISTINCT = st.lists(LOADS, max_size=12, unique_by=lambda load: load.load)
+DISTINCT = st.lists(LOADS, max_size=12, unique_by=lambda load: load.identity)
 
 
 @given(DISTINCT, st.integers(0, 15), st.integers(0, 5), st.floats(0, 1e6))
 def test_an_open_load_within_its_hold_is_never_forgotten(
     kept: list[LoadRecord], most: int, room: int, now: float
 ) -> None:
-    decided = forget_loads(kept, now_ms=now, boot=BOOT, started_ms=now, hold_ms=HOLD, most=most, room=room)
-    assert not set(decided.keys) & {load.load for load in kept if load.open}
+    decided = evict_loads(
+        kept,
+        now_ms=now,
+        boot_count=BOOT,
+        boot_started_at_ms=now,
+        retention_ms=HOLD,
+        max_records=most,
+        free_slots=room,
+    )
+    assert not set(decided.keys) & {load.identity for load in kept if load.is_open}
     left = len(kept) - len(decided.keys)
-    assert left + room <= most or decided.full
+    assert left + room <= most or decided.is_full
 
 
 def test_hints_go_by_age_and_what_is_trusted_never() -> None:
     ages = {b"a": 3.0, b"b": 9.0, b"c": 5.0}
-    assert forget_others(Kind.RATE, ages, most=3).keys == (b"b",)
-    assert forget_others(Kind.RATE, ages, most=2).keys == (b"b", b"c")
-    assert forget_others(Kind.RATE, ages, most=0).keys == ()
-    for kind in (Kind.PROMISE, Kind.ORDER, Kind.PIN):
-        decided = forget_others(kind, ages, most=3)
-        assert decided.keys == () and decided.full
+    assert evict_records(RecordKind.ENGINE_RATE, ages, max_records=3).keys == (b"b",)
+    assert evict_records(RecordKind.ENGINE_RATE, ages, max_records=2).keys == (b"b", b"c")
+    assert evict_records(RecordKind.ENGINE_RATE, ages, max_records=0).keys == ()
+    for kind in (RecordKind.PROMISE, RecordKind.OPERATOR_OVERRIDE, RecordKind.AFFINITY):
+        decided = evict_records(kind, ages, max_records=3)
+        assert decided.keys == () and decided.is_full
