--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -14,7 +14,7 @@
 from cottonhold.fleet_adapters.load_records import Loads
 from cottonhold.node.gateway import Past, Taken
 from cottonhold.observe.counters import Counters
-from cottonhold.scheduler.interface import Outcome
+from cottonhold.scheduler.events import Outcome
 from cottonhold.store.health import DiskHealth, DiskState
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import LoadRecord, LoadState, Record
@@ -110,7 +110,7 @@
         (Outcome.ERROR, LoadState.FAILED),
         (Outcome.RESET, LoadState.FAILED),
         (Outcome.TIMEOUT, LoadState.FAILED),
-        (Outcome.FULL, LoadState.NEVER_SENT),
+        (Outcome.OVERLOADED, LoadState.NEVER_SENT),
         (Outcome.CONNECT_FAILED, LoadState.NEVER_SENT),
         (None, LoadState.NEVER_SENT),
     ],
