--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -17,8 +17,9 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.settings import Idempotency, Settings
-from cottonhold.store.ledger import Ledger, State
-from cottonhold.store.records import Kind, LoadRecord, LoadState, Record, forget_loads, loads
+from cottonhold.store.health import DiskState
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import LoadRecord, LoadState, Record, RecordKind, decode_loads, evict_loads
 
 NEVER_RAN = (
     None,
@@ -27,15 +28,15 @@
     Outcome.ALREADY_FINISHED,
 )  # what proves that it never ran
 STATES = {
-    LoadResult.SUCCEEDED: LoadState.WELL,
+    LoadResult.SUCCEEDED: LoadState.COMPLETED,
     LoadResult.FAILED: LoadState.FAILED,
-    LoadResult.NEVER_RAN: LoadState.NEVER,
+    LoadResult.NEVER_RAN: LoadState.NEVER_SENT,
 }
 ENDS = {
     LoadState.SENT: None,
-    LoadState.WELL: LoadResult.SUCCEEDED,
+    LoadState.COMPLETED: LoadResult.SUCCEEDED,
     LoadState.FAILED: LoadResult.FAILED,
-    LoadState.NEVER: LoadResult.NEVER_RAN,
+    LoadState.NEVER_SENT: LoadResult.NEVER_RAN,
 }
 FORGET_MS = 1000.0
 
@@ -48,9 +49,9 @@
 
 def recorded_loads(folder: Mapping[bytes, bytes]) -> tuple[list[RecordedLoad], dict[bytes, LoadRecord]]:
     """What the folder remembers of loads; one that can't be read may have run."""
-    found = loads(folder)
-    known = [RecordedLoad(load, ENDS.get(record.state)) for load, record in found.known.items()]
-    return [*known, *(RecordedLoad(load) for load in found.unread)], dict(found.known)
+    found = decode_loads(folder)
+    known = [RecordedLoad(load, ENDS.get(record.state)) for load, record in found.by_identity.items()]
+    return [*known, *(RecordedLoad(load) for load in found.unreadable)], dict(found.by_identity)
 
 
 class UnavailableLoadGuard:
@@ -148,7 +149,7 @@
             str, deque[QueuedRequest]
         ] = {}  # by key: who came behind a retry that is asked about
         self.heads: dict[str, str] = {}  # ref of such a retry -> its key
-        self.state = State.WELL
+        self.state = DiskState.HEALTHY
 
     # --- the gateway's calls ---
 
@@ -158,7 +159,7 @@
 
     def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """A load has come; a retry is asked about."""
-        unkept, unheard = self._disk() is not State.WELL, not self.may_send()
+        unkept, unheard = self._disk() is not DiskState.HEALTHY, not self.may_send()
         if unkept or unheard and not taken.is_retry:
             self.counters.add("loads_unkept" if unkept else "loads_unheard")
             # Danger: told to come later without being noted, a client came back after its load was forgotten.
@@ -231,13 +232,13 @@
             run.is_begun = True
         run.is_attempt_in_flight = True
         record = LoadRecord(
-            load=run.load,
-            ref=taken.request_id,
-            key=taken.ordering_key or "",
-            digest=run.load[:8],
+            identity=run.load,
+            request_id=taken.request_id,
+            ordering_key=taken.ordering_key or "",
+            statement_digest=run.load[:8],
             engine=attempt.engine,
-            boot=self.ledger.boot,
-            sent_ms=now,
+            boot_count=self.ledger.boot_count,
+            sent_at_ms=now,
             state=LoadState.SENT,
         )
         self.records[run.load] = record
@@ -245,7 +246,7 @@
         def done(durable: bool) -> None:
             self.hop(lambda: kept(durable))
 
-        self.ledger.put([record.record()], done)
+        self.ledger.put([record.to_record()], done)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
@@ -285,8 +286,8 @@
         record, entry = self.records.get(run.load), self.memory.local.entries.get(run.load)
         # Danger: two requests may be one load; a good end of the one must not hide that the other still runs.
         if record is not None and (entry is None or not entry.open_runs):
-            self.records[run.load] = ended = replace(record, state=STATES[how], ended_ms=now)
-            self.ledger.put([ended.record()])
+            self.records[run.load] = ended = replace(record, state=STATES[how], ended_at_ms=now)
+            self.ledger.put([ended.to_record()])
 
     def on_settled(self, action: LoadSettled) -> None:
         """The memory knows what became of a load that was asked about."""
@@ -300,7 +301,7 @@
         tell(_past(known, said), cooldown)
         self._go_on(ref)
 
-    def _disk(self) -> State:
+    def _disk(self) -> DiskState:
         """How the disk does; a change is told."""
         health = self.ledger.health(self.clock_ms())
         if health.state is not self.state:
@@ -316,26 +317,26 @@
             return
         self.forgotten_at = now
         self._disk()
-        found = forget_loads(
+        found = evict_loads(
             self.records.values(),
             now_ms=now,
-            boot=self.ledger.boot,
-            started_ms=self.started,
-            hold_ms=self.hold,
-            room=0,
+            boot_count=self.ledger.boot_count,
+            boot_started_at_ms=self.started,
+            retention_ms=self.hold,
+            free_slots=0,
         )
-        if found.early:
-            self.counters.add("loads_forgotten_early", found.early)
+        if found.early_count:
+            self.counters.add("loads_forgotten_early", found.early_count)
         # What the memory still holds may yet be asked about, also after a power loss.
-        keys = [key for key in found.keys if found.early or key not in self.memory.local.entries]
-        if keys and self.state is State.WELL:
+        keys = [key for key in found.keys if found.early_count or key not in self.memory.local.entries]
+        if keys and self.state is DiskState.HEALTHY:
             gone = {key: self.records.pop(key) for key in keys}
 
             def done(durable: bool) -> None:
                 if not durable:
                     self.hop(lambda: self._still_there(gone))
 
-            self.ledger.put([Record(Kind.LOAD, key, None) for key in keys], done)
+            self.ledger.put([Record(RecordKind.LOAD, key, None) for key in keys], done)
 
     def _still_there(self, gone: Mapping[bytes, LoadRecord]) -> None:
         """The disk did not forget them."""
