--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -14,7 +14,7 @@
 from cottonhold.discovery.model import Address, Change, Names, Observation, Verdict
 from cottonhold.message_validation import WireError
 from cottonhold.scheduler.events import Engine, EngineState
-from cottonhold.store.records import MOST, Hint, Kind, Record, RecordError
+from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordError, RecordKind
 
 REASON = "remembered from before the start"
 
@@ -40,7 +40,7 @@
         self.engines: dict[str, CachedEngine] = {}
         for key, value in kept.items():
             try:
-                place: CachedEngine = msgspec.msgpack.decode(Hint.read(value).value, type=CachedEngine)
+                place: CachedEngine = msgspec.msgpack.decode(Hint.decode(value).value, type=CachedEngine)
                 Address.parse(place.address)
                 self.engines[key.decode()] = place
             except (RecordError, WireError, msgspec.MsgspecError, UnicodeDecodeError):
@@ -74,19 +74,19 @@
             elif (place := self._place(engine, change.addresses.get(engine.id))) is not None:
                 if place != self.engines.get(engine.id):
                     self.engines[engine.id] = place
-                    data = Hint(msgspec.msgpack.encode(place), 0.0).pack()
-                    records.append(Record(Kind.ENGINE, engine.id.encode(), data))
+                    data = Hint(msgspec.msgpack.encode(place), 0.0).encode()
+                    records.append(Record(RecordKind.ENGINE_ADDRESS, engine.id.encode(), data))
         return records
 
     def _forget(self, id: str) -> Record:
         del self.engines[id]
-        return Record(Kind.ENGINE, id.encode(), None)
+        return Record(RecordKind.ENGINE_ADDRESS, id.encode(), None)
 
     def _place(self, engine: Engine, address: Address | None) -> CachedEngine | None:
         """Where it is; None where that isn't told, or where too many are remembered already."""
         known = self.engines.get(engine.id)
         where = str(address) if address is not None else known.address if known is not None else ""
-        if not where or known is None and len(self.engines) >= MOST[Kind.ENGINE]:
+        if not where or known is None and len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_ADDRESS]:
             return None
         zones, models = self.names.zones, self.names.models
         zone = zones[engine.zone] if engine.zone < len(zones) else ""
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -17,8 +17,8 @@
 from cottonhold.cli.main import app
 from cottonhold.emulator.process_fleet import Tier
 
-# Several processes at once: beside another such test they slow one another, which looks like a fault.
-pytestmark = pytest.mark.xdist_group("processes")
+# Tests that start several processes slow one another, which looks like a fault: few run side by side.
+pytestmark = pytest.mark.xdist_group("fleet processes")
 
 
 @pytest.fixture
