--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -351,8 +351,8 @@
         for member, data in here.loads.step(now, live, capacity):
             self.at(now + 2, partial(self._told, self.instances[member - 1].loads, data))
         for zone in self.names:  # distances are measured by probes too
-            if zone not in here.outlook.round_trips_ms:
-                here.outlook.round_trips_ms[zone] = self.setup.trips[here.home, zone]
+            if zone not in here.outlook.observations.round_trips_ms:
+                here.outlook.observations.round_trips_ms[zone] = self.setup.trips[here.home, zone]
         if self.setup.decides == "outlook":
             for member, data in here.outlook.step(now, live, self.left):
                 data = self._claim(here, data)
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -330,7 +330,7 @@
         """The share of a zone that the failover plan retains."""
         if self.failover_cost is None:
             return None
-        return self.failover_cost.retained_share(now, zone, good=served_share)
+        return self.failover_cost.retained_share(now, zone, success_share=served_share)
 
     def _load_by_member(self, now: float) -> dict[int, float]:
         """Work offered to each instance that reports, in cores."""
--- a/cottonhold/fleet/failover_cost/cold_cache.py
+++ b/cottonhold/fleet/failover_cost/cold_cache.py
@@ -1,9 +1,9 @@
-"""How often work meets data that is not warm: at first, and for good where sets push one another out. Pure.
+"""How often work meets data that is not cached: at first, and for good where sets evict one another. Pure.
 
-An engine keeps so many data sets, the last used ones. A set that
-starts cold has its first use cold; later ones are cold where the set was pushed out since. The time
-after which an unused set is pushed out is the one in which as many sets are used as the engine keeps (Che's
-approximation of LRU). Rates are uses a second over all engines of a zone, times are seconds.
+An engine caches so many data sets, the last used ones. A set that starts cold has its first use cold; later
+ones are cold where the set was evicted since. The time after which an unused set is evicted is the one in
+which as many sets are used as the engine caches (Che's approximation of LRU). Rates are uses a second over
+all engines of a zone, times are seconds.
 """
 
 from __future__ import annotations
@@ -11,53 +11,66 @@
 import math
 from collections.abc import Iterable, Mapping
 
+MAX_SECONDS = 1e6
+EVICTION_ROUNDS = 40  # of bisection
+WARM_ROUNDS = 30
 
-def seconds_until_evicted(rates: Iterable[float], engines: int, keeps: int) -> float:
-    """Seconds after which an unused set is pushed out; infinite where all fit."""
-    each = sorted(rate / max(engines, 1) for rate in rates if rate > 0)
-    if not keeps or len(each) <= keeps:
+
+def seconds_until_evicted(rates: Iterable[float], engines: int, cached_sets: int) -> float:
+    """Seconds after which an unused set is evicted; infinite where all fit."""
+    per_engine = sorted(rate / max(engines, 1) for rate in rates if rate > 0)
+    if not cached_sets or len(per_engine) <= cached_sets:
         return math.inf
+
+    def used_within(seconds: float) -> float:
+        return math.fsum(1 - math.exp(-rate * seconds) for rate in per_engine)
+
     low, high = 0.0, 1.0
-    while math.fsum(1 - math.exp(-r * high) for r in each) < keeps and high < 1e6:
+    while used_within(high) < cached_sets and high < MAX_SECONDS:
         high *= 2
-    for _ in range(40):
+    for _ in range(EVICTION_ROUNDS):
         middle = (low + high) / 2
-        if math.fsum(1 - math.exp(-r * middle) for r in each) < keeps:
+        if used_within(middle) < cached_sets:
             low = middle
         else:
             high = middle
     return high
 
 
-def cold_uses(rate: float, engines: int, warm: bool, window: float, stay: float) -> float:
-    """Cold uses of a set within so many seconds. warm: at the start, in all engines of the zone."""
-    if warm and stay == math.inf:
+def cold_uses(rate: float, engines: int, is_warm: bool, window: float, eviction: float) -> float:
+    """Cold uses of a set within so many seconds. is_warm: at the start, in all engines of the zone; eviction:
+    see seconds_until_evicted.
+
+    A warm set may be evicted before its first use here, by when it was last used before: taken as half the
+    eviction time ago.
+    """
+    if is_warm and eviction == math.inf:
         return 0.0
-    each, count = rate / max(engines, 1), max(engines, 1)
-    lasting = rate * math.exp(-each * stay) if stay < math.inf else 0.0
-    later = max(window - stay, 0.0) * lasting
-    if warm:
-        # Whether a warm set is pushed out before its first use here depends on when it was last used; it is
-        # taken as used half a stay ago.
-        return max(window - stay / 2, 0.0) * lasting if lasting else 0.0
-    return count * (1 - math.exp(-each * min(window, stay))) + later
+    engines = max(engines, 1)
+    per_engine = rate / engines
+    steady = rate * math.exp(-per_engine * eviction) if eviction < math.inf else 0.0
+    if is_warm:
+        return max(window - eviction / 2, 0.0) * steady if steady else 0.0
+    first = engines * (1 - math.exp(-per_engine * min(window, eviction)))
+    return first + max(window - eviction, 0.0) * steady
 
 
 def seconds_until_warm(
-    rates: Mapping[int, float], engines: int, within: float = 0.1, most: float = 600.0
+    rates: Mapping[int, float], engines: int, max_cold_share: float = 0.1, max_seconds: float = 600.0
 ) -> float:
-    """Seconds until at most a part `within` of the uses of these cold sets are first ones at an engine."""
+    """Seconds until at most `max_cold_share` of the uses of these cold sets are first ones at an engine."""
     total = math.fsum(rates.values())
     if total <= 0:
         return 0.0
 
-    def cold(after: float) -> float:
-        return math.fsum(r * math.exp(-r * after / max(engines, 1)) for r in rates.values()) / total
+    def cold_share(after: float) -> float:
+        cold = (rate * math.exp(-rate * after / max(engines, 1)) for rate in rates.values())
+        return math.fsum(cold) / total
 
-    low, high = 0.0, most
-    if cold(high) > within:
-        return most
-    for _ in range(30):
+    low, high = 0.0, max_seconds
+    if cold_share(high) > max_cold_share:
+        return max_seconds
+    for _ in range(WARM_ROUNDS):
         middle = (low + high) / 2
-        low, high = (middle, high) if cold(middle) > within else (low, middle)
+        low, high = (middle, high) if cold_share(middle) > max_cold_share else (low, middle)
     return high
--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -1,9 +1,10 @@
-"""One instance's outlook: what it tells, what all told, and the plan that follows from it. Pure.
+"""What the loss of zones would cost, as one instance estimates it from all reports, and what follows. Pure.
 
-Once a second it draws the picture of the fleet. What follows of it is divided when it is asked for, once a
-picture (`plan.py`), and makes four decisions: how much of a zone to keep that is left in part, which
-neighbours serve whose clients, from where clients are served first after a power loss, and what may be taken
-out. A plan stands until another is clearly better or it is too old; see docs/design/outlook.md.
+Once a second it takes a snapshot of the fleet. What follows of it is solved when it is asked for, once a
+snapshot (`snapshot_plan`), and makes four decisions: how much of an evacuated zone to retain, which zones
+serve whose clients during an outage, from where clients are served first after a power loss, and what may be
+taken out. An answer stands until another is clearly better or its plan is too old; see
+docs/design/outlook.md.
 """
 
 from __future__ import annotations
@@ -13,8 +14,9 @@
 import random
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
+from enum import Enum
 
-from cottonhold.fleet.admission.demand import Demand, density_step
+from cottonhold.fleet.failover_cost.cost_settings import MIN_AMOUNT, CostSettings
 from cottonhold.fleet.failover_cost.cross_zone_limits import (
     CrossZoneSettings,
     OutageAllocation,
@@ -24,34 +26,40 @@
     fill_in_order,
 )
 from cottonhold.fleet.failover_cost.fleet_snapshot import SnapshotSettings, take_snapshot
-from cottonhold.fleet.failover_cost.hysteresis import HeldShares, HysteresisSettings, UsageWeights
-from cottonhold.fleet.failover_cost.messages import (
-    SiteReport,
-    ZoneObservation,
-    data_set_number,
-    decode_site_reports,
-    encode_site_reports,
-    filter_bits,
-)
-from cottonhold.fleet.failover_cost.projection import CostSettings, Projection
+from cottonhold.fleet.failover_cost.hysteresis import HeldShares, HysteresisSettings
+from cottonhold.fleet.failover_cost.messages import SiteReport, decode_site_reports, encode_site_reports
+from cottonhold.fleet.failover_cost.projection import Projection
+from cottonhold.fleet.failover_cost.site_observations import SiteObservations
 from cottonhold.fleet.failover_cost.snapshot_plan import Shares, SnapshotPlan, largest_first, shares_by_zone
 from cottonhold.fleet.latest_reports import LatestReports
-from cottonhold.fleet.zone_failover.messages import zone_number
+from cottonhold.fleet.message_format import MAX_UINT32
+
+ROUNDING = 1e-6  # so that a part of a tenth is not rounded down to the one below
+NO_PLAN = "no plan: too few instances have told of their sites lately"  # as operators read it
+
 
-RECENT_MEMORY_MS = 700.0  # ms: the memory of the quicker count of an instance's own demand
+class Question(Enum):
+    """What a plan is asked about a zone's clients, or about a zone."""
+
+    OUTAGE = "outage"  # who serves them while their zone is out
+    FIRST = "first"  # who serves them first while all engines are cold
+    NOW = "now"  # who serves them in the present outage
+    RETAINED = "retained"  # how much an evacuated zone retains
 
 
 @dataclass(slots=True, frozen=True)
 class CostEstimatorSettings:
-    """Times in ms. fresh: so old may another's word be. every: a new picture, while
-    something is out or there is no plan yet; idle: else. stands: so long a plan counts
-    without fresh news of enough instances. rest: a round of words. close, fanout: as with the price's words.
-    memory: of which data sets are warm where. zones: up to so many zones pairs may be asked of.
-
-    bear: part of the worth asked for, or of what is served now if that is less, that
-    must be served with any one zone lost. ramp: part of the cores that cold engines give first.
-    least: a smaller part of a zone is not worth the queries that it holds up. guests: which zones serve whose
-    clients while something is out; none: any.
+    """Times in ms. max_report_age_ms: older reports do not count. snapshot_interval_ms: between two snapshots
+    while capacity is missing or there is no plan yet; idle_snapshot_interval_ms: else. plan_ttl_ms: so long a
+    plan counts without fresh reports of enough instances. report_interval_ms: between two rounds of reports;
+    gossip_from_members, gossip_fanout: as for demand reports. memory_ms: of which data sets are warm where.
+    max_zones_for_pairs: up to so many zones the loss of pairs is foreseen.
+
+    min_bearable_share: part of the utility offered, or of what is served now if that is less, that must be
+    served with any one zone lost. warming_share: part of the cores that cold engines give first.
+    min_retained_share: a smaller part of a zone is not worth the queries that it delays. cross_zone: which
+    zones serve whose clients while capacity is missing; None: any. limits_when_calm: also while none is.
+    save_interval_ms: between two reports for the disk.
     """
 
     max_report_age_ms: float = 5000.0
@@ -75,404 +83,351 @@
 
 
 class CostEstimator:
-    """Feed it requests, answers and words; call `step` ten times a second. `home`: the instance's zone."""
+    """Feed it requests, answers and reports; call `step` ten times a second. home_zone: the instance's."""
 
     def __init__(
         self,
-        me: int,
-        life: int,
+        self_id: int,
+        incarnation: int,
         now: float,
-        home: str,
+        home_zone: str,
         seed: int,
         settings: CostEstimatorSettings | None = None,
     ) -> None:
-        self.self_id, self.incarnation, self.home_zone = me, life & 0xFFFFFFFF, home
-        self.settings = s = settings or CostEstimatorSettings()
-        self.draw = random.Random(seed)
-        self.reports, self.demand = LatestReports[SiteReport](me), Demand(now)
-        self.recent_demand = Demand(now, RECENT_MEMORY_MS)
+        self.self_id, self.incarnation, self.version = self_id, incarnation & MAX_UINT32, 0
+        self.home_zone, self.settings = home_zone, settings or CostEstimatorSettings()
+        self.random = random.Random(seed)
+        self.observations = SiteObservations(now, self.settings.memory_ms)
+        self.reports = LatestReports[SiteReport](self_id)
         self.restored_reports: dict[int, SiteReport] = {}  # from before a power loss
-        self.data_set_use, self.answer_use = UsageWeights(2000.0), UsageWeights(s.memory_ms)
-        self.request_work_ms, self.request_count = 0.0, 0.0  # of requests, for their mean
-        self.excess_work, self.excess_known_since = (
-            UsageWeights(s.memory_ms),
-            math.inf,
-        )  # work in ms, and since when it is known
-        self.round_trips_ms: dict[str, float] = {}
         self.engines: dict[str, dict[str, float]] = {}
-        self.version = 0
-        self.last_report: SiteReport | None = None  # the word of the last round
+        self.last_report: SiteReport | None = None  # this instance's own
         self.next_report = self.next_snapshot = self.next_save = now
-        self.is_capacity_missing = False  # something is
+        self.is_capacity_missing = False
         self.plan: SnapshotPlan | None = None  # the one in force
-        self.held_shares: dict[tuple[str, str], HeldShares] = {}
-        self.unstable_engines = UnstableEngines(s.cross_zone or CrossZoneSettings())
-
-    # --- what happens ---
+        self.held_shares: dict[tuple[Question, str], HeldShares] = {}
+        self.unstable_engines = UnstableEngines(self.settings.cross_zone or CrossZoneSettings())
 
     def set_engines(self, engines: Mapping[str, Mapping[str, float]]) -> None:
-        """Exactly these zones with these engines, and the cores of each, are there."""
+        """Exactly these zones with these engines exist. engines: cores by zone and engine."""
         self.engines = {zone: dict(engines[zone]) for zone in sorted(engines) if engines[zone]}
         self.unstable_engines.set_engines(engine for there in self.engines.values() for engine in there)
 
     def on_request(
-        self, now: float, worth: float, work: float, data_set: str = "", retry: bool = False
+        self, now: float, utility: float, work_ms: float, data_set: str = "", is_retry: bool = False
     ) -> None:
-        """A request of this instance's clients has come; work in ms."""
-        if retry:
-            return
-        self.demand.add(now, density_step(worth, work), work)
-        self.recent_demand.add(now, 0, work)
-        self.data_set_use.add(now, "", data_set_number(data_set), work)
-        self.request_work_ms, self.request_count = (
-            self.request_work_ms * 0.999 + work,
-            self.request_count * 0.999 + 1,
-        )
+        """A request of this instance's clients has arrived."""
+        if not is_retry:
+            self.observations.on_request(now, utility, work_ms, data_set)
 
     def on_answer(
         self,
         now: float,
         zone: str,
         data_set: str = "",
-        trip: float | None = None,
-        beyond: float | None = None,
+        round_trip_ms: float | None = None,
+        excess_work_ms: float | None = None,
     ) -> None:
-        """A zone has answered a query on a data set; trip: its round trip in ms, if known; beyond: work in ms
-        that it took beyond what it was told to need, if both are known."""
-        self.answer_use.add(now, zone, data_set_number(data_set), 1.0)
-        if beyond is not None:
-            self.excess_work.add(now, "", 0, beyond)
-            self.excess_known_since = min(self.excess_known_since, now)
-        if trip is not None:
-            self.on_health_check_answer(zone, trip)
-
-    def on_health_check_answer(self, zone: str, trip: float) -> None:
-        """A zone has answered a probe after `trip` ms: its distance, without any work."""
-        self.round_trips_ms[zone] = self.round_trips_ms.get(zone, trip) * 0.9 + trip * 0.1
+        """A zone has answered a query on a data set. round_trip_ms: if known; excess_work_ms: that it took
+        beyond the estimate, if both are known."""
+        self.observations.on_answer(now, zone, data_set, excess_work_ms)
+        if round_trip_ms is not None:
+            self.on_health_check_answer(zone, round_trip_ms)
+
+    def on_health_check_answer(self, zone: str, round_trip_ms: float) -> None:
+        """A zone has answered a health check: its distance, without any work."""
+        self.observations.on_round_trip(zone, round_trip_ms)
 
     def on_message(self, now: float, data: bytes, sender: int = 0) -> bytes | None:
-        """A message of sites; returns one for its sender, if that is behind. Raises MessageError."""
-        sites = decode_site_reports(data)
-        for site in sites:
-            self.reports.apply(now, site)
-        newer = self.reports.newer_than(sender, sites)
+        """A message of site reports; returns one for its sender if that is behind its own reports. Raises
+        MessageError."""
+        reports = decode_site_reports(data)
+        for report in reports:
+            self.reports.apply(now, report)
+        newer = self.reports.newer_than(sender, reports)
         return encode_site_reports([newer]) if newer is not None else None
 
     def restore(self, data: bytes) -> None:
-        """A message of sites that was kept over a power loss. Raises MessageError."""
-        # Danger: taken as heard now, a memory of last week would stand beside fresh words and outweigh them.
-        # So it counts only until there is a first plan, and only for where clients are served first.
-        for site in decode_site_reports(data):
-            known = self.restored_reports.get(site.member)
-            if known is None or site.stamp > known.stamp:
-                # What was warm has gone with the power.
-                seen = {number: replace(zone, warm_filter=0) for number, zone in site.zones.items()}
-                self.restored_reports[site.member] = replace(site, zones=seen)
+        """A message of site reports that was saved before a power loss. Raises MessageError.
+
+        It may be of any age: so it counts only until there is a first plan, and only for where clients are
+        served first. What was warm is no longer.
+        """
+        for report in decode_site_reports(data):
+            known = self.restored_reports.get(report.member)
+            if known is None or report.stamp > known.stamp:
+                zones = {number: replace(zone, warm_filter=0) for number, zone in report.zones.items()}
+                self.restored_reports[report.member] = replace(report, zones=zones)
 
     def report_to_save(self, now: float) -> bytes:
-        """What `hint` is to be told after a power loss; empty where it isn't time to keep it, or where there
-        is nothing worth it."""
-        # Danger: one back from nothing would write over what it still needs, before clients have come.
+        """What `restore` is to be given after a power loss; empty where it isn't due, or where there is no
+        demand yet: just after a restart that would replace what is still needed."""
         if now < self.next_save or self.last_report is None or not self.last_report.rates:
             return b""
         self.next_save = now + self.settings.save_interval_ms
         return encode_site_reports([self.last_report])
 
-    # --- step ---
-
     def step(
-        self, now: float, live: Iterable[int], left: Mapping[str, float] | None = None
+        self, now: float, live: Iterable[int], remaining: Mapping[str, float] | None = None
     ) -> list[tuple[int, bytes]]:
-        """Draw the picture where it is time for it, and say what is due, as (member, message). left: by zone,
-        the part that the fleet lets it have now; zones that are not named have all."""
+        """Take a snapshot if it is due, and return the messages that are due, as (member, message).
+
+        remaining: by zone, the part that the fleet may use now; zones that are not named have all. Snapshots
+        are rarer while no capacity is missing, since what follows from them costs time.
+        """
         s, members = self.settings, sorted(set(live) - {self.self_id})
-        self.recent_demand.rates(now)  # fades, so that what comes next is weighed as of now
-        if left and not self.is_capacity_missing:
+        self.observations.recent_demand.rates(now)  # decays, so that what follows is weighed as of now
+        if remaining and not self.is_capacity_missing:
             self.next_snapshot = min(self.next_snapshot, now)
-        self.is_capacity_missing = bool(left)
+        self.is_capacity_missing = bool(remaining)
         if now >= self.next_snapshot:
-            # Danger: divided each second also in calm, it took a tenth of a core, and on a machine that had
-            # none to spare the instances fell behind with their clients.
-            hurried = self.is_capacity_missing or self.plan is None
-            self.next_snapshot = now + (
-                s.snapshot_interval_ms
-                if hurried
-                else max(s.snapshot_interval_ms, s.idle_snapshot_interval_ms)
-            )
-            self._begin(now, members, left or {})
+            is_hurried = self.is_capacity_missing or self.plan is None
+            idle_ms = max(s.snapshot_interval_ms, s.idle_snapshot_interval_ms)
+            self.next_snapshot = now + (s.snapshot_interval_ms if is_hurried else idle_ms)
+            self._take_snapshot(now, members, remaining or {})
         if self.plan is not None and now - self.plan.made_at > s.plan_ttl_ms:
             self.plan = None
             self.held_shares.clear()
-        return self._tell(now, members)
+        return self._messages(now, members)
 
-    def _begin(self, now: float, members: list[int], left: Mapping[str, float]) -> None:
-        """A new picture, from words of all that are fresh."""
+    def _take_snapshot(self, now: float, members: list[int], remaining: Mapping[str, float]) -> None:
+        """A new plan, from all fresh reports. Of itself an instance takes what it last reported, rounded as
+        on the wire, so that all have the same snapshot. Without enough reports the plan before stands."""
         s = self.settings
         if not members:
-            self.last_report = self._say(now)
-        # Danger: by its own last request, each would have another picture than those that hear of it; so it
-        # takes of itself what it last told, rounded as on the wire.
+            self.last_report = self._next_report(now)
         own = [self.last_report] if self.last_report is not None else []
-        sites = [*own, *self.reports.fresh(now, s.max_report_age_ms, members)]
-        picture = take_snapshot(sites, self.engines, 1 + len(members), None, s.snapshot)
-        clean = {zone: part for zone, part in sorted(left.items()) if part < 1.0 and zone in self.engines}
-        if picture is None or not picture.total_demand():
-            self._recall(now, clean)
-            return  # the plan of today stands
-        most = 2 if 2 < len(self.engines) <= s.max_zones_for_pairs else 1
-        ahead = frozenset(out for n in range(most) for out in itertools.combinations(self.engines, n + 1))
-        self._take(SnapshotPlan(now, picture, clean, s.cost, ahead))
-
-    def _recall(self, now: float, left: Mapping[str, float]) -> None:
-        """Where there was never a plan, what was kept says from where clients are served first."""
-        if (
-            self.plan is None
-            and self.restored_reports
-            and not any(what == "first" for what, _ in self.held_shares)
-        ):
-            picture = take_snapshot(
-                self.restored_reports.values(),
-                self.engines,
-                len(self.restored_reports),
-                None,
-                self.settings.snapshot,
-            )
-            if picture is not None:
-                plan = SnapshotPlan(now, picture, left, self.settings.cost)
-                flows = plan.flows(self._ramp(plan))
-                for home in picture.homes:
-                    self._follow(now, "first", home, shares_by_zone(flows, home))
-
-    def _take(self, plan: SnapshotPlan) -> None:
-        """This plan is in force from now on."""
-        old, self.plan = self.plan, plan
-        self.restored_reports.clear()
-        if old is not None:
-            # Danger: what nobody had asked for since would be held against what is wanted now.
-            for key in [k for k in self.held_shares if k[0] in ("out", "first") and k not in old.followed]:
-                del self.held_shares[key]
-
-    def _ramp(self, plan: SnapshotPlan) -> dict[str, float]:
-        """What is left of zones at first, if all engines were cold."""
-        return {
-            zone: min(self.settings.warming_share, plan.remaining.get(zone, 1.0)) for zone in self.engines
-        }
+        reports = [*own, *self.reports.fresh(now, s.max_report_age_ms, members)]
+        snapshot = take_snapshot(reports, self.engines, 1 + len(members), None, s.snapshot)
+        known = {zone: x for zone, x in sorted(remaining.items()) if x < 1.0 and zone in self.engines}
+        if snapshot is None or not snapshot.total_demand():
+            self._plan_from_restored(now, known)
+            return
+        max_zones = 2 if 2 < len(self.engines) <= s.max_zones_for_pairs else 1
+        foreseen = frozenset(
+            zones for n in range(max_zones) for zones in itertools.combinations(self.engines, n + 1)
+        )
+        self._set_plan(SnapshotPlan(now, snapshot, known, s.cost, foreseen))
 
-    def _follow(self, now: float, what: str, zone: str, new: dict[str, float]) -> None:
-        held = self.held_shares.get((what, zone))
+    def _plan_from_restored(self, now: float, remaining: Mapping[str, float]) -> None:
+        """Where there was never a plan, restored reports say from where clients are served first."""
+        has_answer = any(question is Question.FIRST for question, _ in self.held_shares)
+        if self.plan is not None or not self.restored_reports or has_answer:
+            return
+        reports = self.restored_reports
+        snapshot = take_snapshot(reports.values(), self.engines, len(reports), None, self.settings.snapshot)
+        if snapshot is None:
+            return
+        plan = SnapshotPlan(now, snapshot, remaining, self.settings.cost)
+        flows = plan.flows(self._while_warming(plan))
+        for home in snapshot.homes:
+            self._follow(now, Question.FIRST, home, shares_by_zone(flows, home))
+
+    def _set_plan(self, plan: SnapshotPlan) -> None:
+        """This plan is in force from now on. Answers that nobody asked for under the one before are dropped,
+        so that they are not held against what is wanted now."""
+        before, self.plan = self.plan, plan
+        self.restored_reports.clear()
+        if before is not None:
+            for key in list(self.held_shares):
+                if key[0] in (Question.OUTAGE, Question.FIRST) and key not in before.followed:
+                    del self.held_shares[key]
+
+    def _while_warming(self, plan: SnapshotPlan) -> dict[str, float]:
+        """What remains of zones at first, if all engines were cold."""
+        share = self.settings.warming_share
+        return {zone: min(share, plan.remaining.get(zone, 1.0)) for zone in self.engines}
+
+    def _follow(self, now: float, question: Question, zone: str, wanted: dict[str, float]) -> None:
+        held = self.held_shares.get((question, zone))
         if held is None:
-            self.held_shares[what, zone] = HeldShares(new)
+            self.held_shares[question, zone] = HeldShares(wanted)
         else:
-            held.follow(now, new, self.settings.hysteresis)
-
-    # --- what it decides ---
+            held.follow(now, wanted, self.settings.hysteresis)
 
-    def projection(self, *out: str) -> Projection | None:
-        """What it would cost if these zones were out now; None if that is not computed or too old."""
-        return None if self.plan is None else self.plan.projection(tuple(sorted(out)))
+    def projection(self, *zones_out: str) -> Projection | None:
+        """What it would cost if these zones were out now; None if that is not foreseen or too old."""
+        return None if self.plan is None else self.plan.projection(tuple(sorted(zones_out)))
 
-    def projection_with(self, left: Mapping[str, float]) -> Projection | None:
-        """What it would cost if so much were left of these zones, on top of what is left now."""
-        if self.plan is None:
-            return None
-        return self.plan.project({**self.plan.remaining, **left})
+    def projection_with(self, remaining: Mapping[str, float]) -> Projection | None:
+        """What it would cost if so much remained of these zones, on top of what is missing now."""
+        return None if self.plan is None else self.plan.project({**self.plan.remaining, **remaining})
 
     def neighbours(self, zone: str) -> Shares:
         """Which zones serve a zone's clients while it is out, and what part of their served work; most first.
         Empty without a plan."""
         if self.plan is not None and (zone,) in self.plan.foreseen:
-            self._ask(self.plan, "out", zone, self.plan.without(zone))
-        return self._ordered("out", zone)
+            self._answer_once(self.plan, Question.OUTAGE, zone, self.plan.without(zone))
+        return self._held_answer(Question.OUTAGE, zone)
 
-    def serving_zones(self, home: str, *out: str) -> Shares:
-        """Which zones are best to serve a zone's clients while these zones are out, beyond what is left of
+    def serving_zones(self, home: str, *zones_out: str) -> Shares:
+        """Which zones are best to serve a zone's clients while these zones are out, beyond what remains of
         them; most first. Empty without a plan, or where nothing is served."""
-        out = tuple(sorted(out))
-        if len(out) == 1 and out[0] == home:
+        zones_out = tuple(sorted(zones_out))
+        if len(zones_out) == 1 and zones_out[0] == home:
             return self.neighbours(home)
-        if self.plan is None or out and out not in self.plan.foreseen:
+        if self.plan is None or zones_out and zones_out not in self.plan.foreseen:
             return ()
-        return largest_first(shares_by_zone(self.plan.flows(self.plan.without(*out)), home))
+        return largest_first(shares_by_zone(self.plan.flows(self.plan.without(*zones_out)), home))
 
-    def useful_cores(self, *out: str) -> float | None:
+    def useful_cores(self, *zones_out: str) -> float | None:
         """Cores that are left for work while these zones are out, once cold work is done; None if unknown."""
-        found = self.projection(*out)
+        found = self.projection(*zones_out)
         return None if found is None else found.useful_cores
 
     def first_serving_zones(self, home: str) -> Shares:
         """From where a zone's clients are served first while all engines are cold; empty without a plan, or
-        where they are served by none at first. Until there is a plan, by what was kept."""
+        where they are served by none at first. Until there is a plan, by restored reports."""
         if self.plan is not None and home in self.plan.snapshot.homes:
-            self._ask(self.plan, "first", home, self._ramp(self.plan))
-        return self._ordered("first", home)
+            self._answer_once(self.plan, Question.FIRST, home, self._while_warming(self.plan))
+        return self._held_answer(Question.FIRST, home)
 
-    def _ask(self, plan: SnapshotPlan, what: str, zone: str, left: Mapping[str, float]) -> None:
-        """What a plan says counts once, at the first question."""
-        if (what, zone) not in plan.followed:
-            plan.followed.add((what, zone))
-            self._follow(plan.made_at, what, zone, shares_by_zone(plan.flows(left), zone))
+    def _answer_once(
+        self, plan: SnapshotPlan, question: Question, zone: str, remaining: Mapping[str, float]
+    ) -> None:
+        """Let what a plan says count once, at the first time that it is asked."""
+        if (question, zone) not in plan.followed:
+            plan.followed.add((question, zone))
+            self._follow(plan.made_at, question, zone, shares_by_zone(plan.flows(remaining), zone))
 
-    def _ordered(self, what: str, zone: str) -> Shares:
-        held = self.held_shares.get((what, zone))
+    def _held_answer(self, question: Question, zone: str) -> Shares:
+        held = self.held_shares.get((question, zone))
         return largest_first(held.shares) if held is not None else ()
 
-    def engine_limits(self, now: float, left: Mapping[str, float]) -> dict[str, float]:
+    def engine_limits(self, now: float, remaining: Mapping[str, float]) -> dict[str, float]:
         """By engine, the work in ms a ms that this instance may send to other zones than its clients' own,
-        while so much is left of these zones; none for those themselves. Empty while nothing is out, without a
-        plan, or where no plan knows of what is out."""
-        s = self.settings.cross_zone
+        while so much remains of these zones; none for those themselves. Empty while no capacity is missing,
+        without a plan, or where no plan knows of this outage."""
+        s, home = self.settings.cross_zone, self.home_zone
         if s is None:
             return {}
-        scene = self._scene({zone: x for zone, x in left.items() if x < 1.0 and zone in self.engines})
-        if scene is None:
-            self.held_shares.pop(("now", self.home_zone), None)
+        allocation = self._current_allocation(remaining)
+        if allocation is None:
+            self.held_shares.pop((Question.NOW, home), None)
             return {}
-        self._follow(now, "now", self.home_zone, shares_by_zone(scene.flows, self.home_zone))
-        mine = self._mine(now)
-        shares = self.held_shares["now", self.home_zone].shares
-        zones = cross_zone_work(self.home_zone, shares, mine, scene, left.get(self.home_zone, 1.0) < 1.0, s)
-        ours, found = mine / max(math.fsum(scene.demand.values()), mine, 1e-9), dict[str, float]()
-        for zone, most in zones.items():
-            if left.get(zone, 1.0) >= 1.0:
-                there = self.engines.get(zone, {})
-                cold = [engine for engine in there if self.unstable_engines(now, engine)]
-                found |= divide_among_engines(most, there, cold, ours, s)
-        return found
-
-    def _mine(self, now: float) -> float:
-        """This instance's own demand, in cores."""
-        # Danger: of clients that were led here a moment ago the slower count knows only a part.
-        return max(math.fsum(count.rates(now).values()) for count in (self.demand, self.recent_demand))
-
-    def warmup_limits(self, now: float, bounds: Mapping[str, float]) -> dict[str, float]:
-        """While all engines are cold, the bounds of each narrowed to what is needed, in the order of `first`;
-        as they are where nothing says from where clients are served first. bounds: work in ms a ms."""
-        order, s = [zone for zone, _ in self.first_serving_zones(self.home_zone)], self.settings.cross_zone
+        self._follow(now, Question.NOW, home, shares_by_zone(allocation.flows, home))
+        shares = self.held_shares[Question.NOW, home].shares
+        demand, is_home_evacuated = self.observations.offered_cores(now), remaining.get(home, 1.0) < 1.0
+        by_zone = cross_zone_work(home, shares, demand, allocation, is_home_evacuated, s)
+        demand_share = demand / max(math.fsum(allocation.demand.values()), demand, MIN_AMOUNT)
+        limits = dict[str, float]()
+        for zone, work in by_zone.items():
+            if remaining.get(zone, 1.0) >= 1.0:
+                engines = self.engines.get(zone, {})
+                cold = [engine for engine in engines if self.unstable_engines.may_be_cold(now, engine)]
+                limits |= divide_among_engines(work, engines, cold, demand_share, s)
+        return limits
+
+    def warmup_limits(self, now: float, limits: Mapping[str, float]) -> dict[str, float]:
+        """While all engines are cold, their limits narrowed to what is needed, in the order of
+        `first_serving_zones`; as they are where nothing says from where clients are served first. limits:
+        work in ms a ms by engine."""
+        s, order = self.settings.cross_zone, [zone for zone, _ in self.first_serving_zones(self.home_zone)]
         if s is None or not order:
-            return dict(bounds)
-        most = {
-            zone: math.fsum(bounds.get(engine, cores) for engine, cores in there.items())
-            for zone, there in self.engines.items()
+            return dict(limits)
+        by_zone = {
+            zone: math.fsum(limits.get(engine, cores) for engine, cores in engines.items())
+            for zone, engines in self.engines.items()
         }
-        parts, zones = fill_in_order(order, self._mine(now), most, s), dict[str, str]()
-        for zone, there in self.engines.items():
-            zones |= dict.fromkeys(there, zone)
-        return {engine: x * parts.get(zones.get(engine, ""), 1.0) for engine, x in bounds.items()}
-
-    def _scene(self, left: Mapping[str, float]) -> OutageAllocation | None:
-        """What the plan says of now; None if nothing is out, or the plan does not know of what is."""
-        plan = self.plan
-        if plan is None or not left and not self.settings.limits_when_calm:
+        parts = fill_in_order(order, self.observations.offered_cores(now), by_zone, s)
+        zone_of = {engine: zone for zone, engines in self.engines.items() for engine in engines}
+        return {engine: x * parts.get(zone_of.get(engine, ""), 1.0) for engine, x in limits.items()}
+
+    def _current_allocation(self, remaining: Mapping[str, float]) -> OutageAllocation | None:
+        """What the plan says of now; None if no capacity is missing, or the plan does not know of it."""
+        missing = sorted(zone for zone, x in remaining.items() if x < 1.0 and zone in self.engines)
+        if self.plan is None or not missing and not self.settings.limits_when_calm:
             return None
-        return plan.outage_allocation(tuple(sorted(left)))
+        return self.plan.outage_allocation(tuple(missing))
 
-    def retained_share(self, now: float, zone: str, gives: float = 1.0, good: float = 1.0) -> float | None:
-        """The part of a zone's full load that is best still sent there while it is left; None without a plan.
+    def retained_share(
+        self, now: float, zone: str, available_share: float = 1.0, success_share: float = 1.0
+    ) -> float | None:
+        """The part of a zone's full load that is best still sent there while it is evacuated; None without a
+        plan.
 
-        gives: part of its cores that it still gives; good: part of its attempts that end well.
+        available_share: part of its cores that is still there; success_share: of its attempts. Both are
+        rounded to tenths: what differs by less is the same question, and is solved once.
         """
-        s, plan = self.settings, self.plan
+        plan = self.plan
         if plan is None or zone not in plan.snapshot.zones:
             return None
-        # Danger: asked ten times a second for each zone, in calm as well, divisions took six times the time
-        # of all the rest. What differs by less than the hysteresis lets through is the same question.
-        asked = zone, math.floor(min(gives, 1.0) * 10 + 1e-6) / 10, math.ceil(good * 10) / 10
-        kept = plan.retained_shares.get(asked)
-        if kept is None:
-            kept = plan.retained_shares[asked] = self._keep(plan, *asked)
-        self._follow(now, "kept", zone, {zone: kept if kept >= s.min_retained_share else 0.0})
-        return self.held_shares["kept", zone].shares.get(zone, 0.0)
-
-    def _keep(self, plan: SnapshotPlan, zone: str, gives: float, good: float) -> float:
-        """The part of an ill zone's full load that a division sends there."""
-        cost = self.settings.cost
-        _, found = plan.solve({**plan.remaining, zone: gives}, {zone: good})
-        used = math.fsum(x for (_, at, _), x in found.flows.items() if at == zone)
-        return min(used / max(plan.snapshot.zones[zone].cores * cost.usable_capacity_share, 1e-9), 1.0)
+        available_tenths = math.floor(min(available_share, 1.0) * 10 + ROUNDING)
+        asked = zone, available_tenths / 10, math.ceil(success_share * 10) / 10
+        share = plan.retained_shares.get(asked)
+        if share is None:
+            share = plan.retained_shares[asked] = self._solve_retained(plan, *asked)
+        wanted = share if share >= self.settings.min_retained_share else 0.0
+        self._follow(now, Question.RETAINED, zone, {zone: wanted})
+        return self.held_shares[Question.RETAINED, zone].shares.get(zone, 0.0)
+
+    def _solve_retained(
+        self, plan: SnapshotPlan, zone: str, available_share: float, success_share: float
+    ) -> float:
+        """The part of a faulty zone's full load that an allocation sends there."""
+        remaining = {**plan.remaining, zone: available_share}
+        flows = plan.solve(remaining, {zone: success_share}).allocation.flows
+        used = math.fsum(cores for (_, at, _), cores in flows.items() if at == zone)
+        usable = plan.snapshot.zones[zone].cores * self.settings.cost.usable_capacity_share
+        return min(used / max(usable, MIN_AMOUNT), 1.0)
 
     def removal_objections(
-        self, machines: Mapping[str, float], more: Mapping[str, float] | None = None
+        self, cores_out: Mapping[str, float], more_out: Mapping[str, float] | None = None
     ) -> list[str]:
-        """Why so many cores by zone, and `more` of them, may not be out now; empty if any single zone's loss
-        on top stays bearable."""
-        s, plan = self.settings, self.plan
+        """Why so many cores by zone, and `more_out` of them, may not be out now; empty if any single zone's
+        loss on top stays bearable."""
+        plan = self.plan
         if plan is None:
-            return ["no plan: too few instances have told of their sites lately"]
-        left = dict(plan.remaining)
+            return [NO_PLAN]
+        remaining = dict(plan.remaining)
         for zone, view in plan.snapshot.zones.items():
-            gone = machines.get(zone, 0.0) + (more or {}).get(zone, 0.0)
-            if gone > 0:
-                left[zone] = min(left.get(zone, 1.0), max(1 - gone / max(view.cores, 1e-9), 0.0))
-        reasons = []
+            removed = cores_out.get(zone, 0.0) + (more_out or {}).get(zone, 0.0)
+            if removed > 0:
+                part = max(1 - removed / max(view.cores, MIN_AMOUNT), 0.0)
+                remaining[zone] = min(remaining.get(zone, 1.0), part)
+        objections = []
         for zone in sorted(plan.snapshot.zones):
-            found = plan.project({**left, zone: 0.0})
-            least = s.min_bearable_share * min(
-                found.offered_utility, found.served_utility + found.lost_utility
-            )
-            if found.served_utility < least:
+            found = plan.project({**remaining, zone: 0.0})
+            bearable = min(found.offered_utility, found.served_utility + found.lost_utility)
+            if found.served_utility < self.settings.min_bearable_share * bearable:
                 share = found.served_share()
-                reasons.append(f"with {zone} lost as well {share:.2f} of the worth would be served")
-        return reasons
-
-    # --- words ---
+                objections.append(f"with {zone} lost as well {share:.2f} of the worth would be served")
+        return objections
 
     def build_report(self, now: float) -> SiteReport:
-        """What this instance tells of itself now."""
-        s, numbers = self.settings, {zone: zone_number(zone) for zone in self.engines}
-        self.data_set_use.prune(now)
-        self.answer_use.prune(now)
-        sets = {
-            used: self.data_set_use.weight(now, "", used) for _, used in sorted(self.data_set_use.weights)
-        }
-        total = math.fsum(sets.values())
-        parts = {used: w / total for used, w in sets.items() if w > 1e-3 * total} if total > 0 else {}
-        zones, counts = {}, dict[str, float]()
-        for at, used in self.answer_use.weights:
-            counts[at] = counts.get(at, 0.0) + self.answer_use.weight(now, at, used)
-        everywhere = max(math.fsum(counts.values()), 1e-9)
-        for zone, number in numbers.items():
-            warm = 0
-            for at, used in self.answer_use.weights:
-                # Danger: after one answer, a set is warm in one engine, and the next ones still meet it cold.
-                if at == zone and self.answer_use.weight(now, zone, used) >= len(self.engines[zone]):
-                    warm |= filter_bits(used)
-            trip = self.round_trips_ms.get(zone, s.snapshot.default_round_trip_ms)
-            zones[number] = ZoneObservation(trip, counts.get(zone, 0.0) / everywhere, warm)
-        mean = self.request_work_ms / self.request_count if self.request_count > 0 else 20.0
-        home, rates = zone_number(self.home_zone), self.demand.rates(now)
-        return SiteReport(
-            self.self_id, self.incarnation, self.version, home, mean, rates, parts, zones, self._beyond(now)
+        """What this instance reports of itself now."""
+        return self.observations.report(
+            now,
+            self.self_id,
+            (self.incarnation, self.version),
+            self.home_zone,
+            self.engines,
+            self.settings.snapshot.default_round_trip_ms,
         )
 
-    def _beyond(self, now: float) -> float:
-        """Cores that this instance's requests take beyond what they were told to need; -1: not known."""
-        s = self.settings.memory_ms
-        if now - self.excess_known_since < s / 4:
-            return -1.0  # by a few answers, chance would speak
-        seen = s * -math.expm1((self.excess_known_since - now) / s)
-        return max(self.excess_work.weight(now, "", 0) / seen, 0.0)
-
-    def _say(self, now: float) -> SiteReport:
-        """This instance's next word, as others read it."""
+    def _next_report(self, now: float) -> SiteReport:
+        """This instance's next report, as others decode it."""
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
         return decode_site_reports(encode_site_reports([self.build_report(now)]))[0]
 
-    def _tell(self, now: float, members: list[int]) -> list[tuple[int, bytes]]:
+    def _messages(self, now: float, members: list[int]) -> list[tuple[int, bytes]]:
+        """A round of reports, as (member, message).
+
+        A report nearly fills a message. In a large fleet each instance sends others' reports along in
+        messages of their own, so many that each hears of more than half of all while a report is fresh.
+        """
         s = self.settings
         if not members or now < self.next_report:
             return []
-        self.next_report = now + s.report_interval_ms * (
-            0.8 + 0.4 * self.draw.random()
-        )  # not in step with all others
-        self.last_report = mine = self._say(now)
+        self.next_report = now + s.report_interval_ms * (0.8 + 0.4 * self.random.random())
+        self.last_report = own = self._next_report(now)
         if len(members) < s.gossip_from_members:
-            data = encode_site_reports([mine])
+            data = encode_site_reports([own])
             return [(member, data) for member in members]
-        # Danger: a word nearly fills a datagram. With the own one alone each of fifty heard of twenty in the
-        # time for which a word is fresh, less than half of them, and there was never a plan.
-        most = math.ceil(len(members) / s.gossip_fanout * 2 * s.report_interval_ms / s.max_report_age_ms)
-        passed = [h.report for h in self.reports.newest() if now - h.received_at <= s.max_report_age_ms][
-            :most
-        ]
-        told = [encode_site_reports([site]) for site in (mine, *passed)]
-        return [(member, data) for member in self.draw.sample(members, s.gossip_fanout) for data in told]
+        max_relayed = math.ceil(
+            len(members) / s.gossip_fanout * 2 * s.report_interval_ms / s.max_report_age_ms
+        )
+        fresh = [r.report for r in self.reports.newest() if now - r.received_at <= s.max_report_age_ms]
+        messages = [encode_site_reports([report]) for report in (own, *fresh[:max_relayed])]
+        targets = self.random.sample(members, s.gossip_fanout)
+        return [(member, data) for member in targets for data in messages]
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -1,8 +1,8 @@
-"""The fleet as all that was told of it gives it: homes with their demand, zones with what they give. Pure.
+"""The fleet as all reports together describe it: homes with their demand, zones with their capacity. Pure.
 
-All that have the same words have the same picture, to the bit, in whatever order they heard them: sums are
-exact ones (`fsum`) over sorted members, and where one value counts it is the lower middle of those told.
-What one instance tells is capped: see `PictureSettings`.
+All that have the same reports have the same snapshot, to the bit, in whatever order they arrived: sums are
+exact ones (`fsum`) over sorted members, and where one value counts it is the lower median of those reported.
+What one instance reports is capped: see SnapshotSettings.
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 from cottonhold.fleet.zone_failover.messages import zone_number
 
+MIN_WORK_MS = 1e-3
+
 
 @dataclass(slots=True, frozen=True)
 class SnapshotSettings:
-    """claim: part of all cores that one instance's demand counts for at most, its densest first; skew: and no
-    more than so many times an even part of them. quorum: part of the live instances whose words it takes.
-    trip: round trip in ms to a zone that nobody has measured."""
+    """max_claim_share: part of all cores that one instance's demand counts for at most, its densest first;
+    max_skew: and no more than so many times an even part of them. quorum_share: part of the live instances
+    whose reports it takes. default_round_trip_ms: to a zone that nobody has measured."""
 
     max_claim_share: float = 0.6
     max_skew: float = 2.0
@@ -32,7 +34,8 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneSnapshot:
-    """cores in all; engines; gives: part of the cores that work gets, 0 to 1; warm: a filter of data sets."""
+    """A zone. cores: in all; available_share: part of them that work gets, 0 to 1; warm_filter: the data sets
+    that are warm there."""
 
     cores: float
     engine_count: int
@@ -42,9 +45,9 @@
 
 @dataclass(frozen=True)
 class HomeZone:
-    """The clients of one zone. rates: cores by density step; mean: work of a request in ms; sets: parts of
-    the work by number of data set; trips: ms to each zone; served: parts of what is served of it by zone, as
-    things are now; empty if nobody knows."""
+    """The clients of one zone. rates: cores by density step; mean_work_ms: of a request; data_set_shares:
+    parts of the work by number of data set; round_trips_ms: to each zone; served_shares: parts of what is
+    served of it now by zone; empty if nobody knows."""
 
     rates: Mapping[int, float]
     mean_work_ms: float = 20.0
@@ -54,19 +57,19 @@
 
     @functools.cached_property
     def cores(self) -> float:
-        """Of all steps, in cores."""
+        """Work of all steps."""
         return math.fsum(self.rates.values())
 
     @functools.cached_property
     def requests_per_second(self) -> float:
-        """Requests a second."""
-        return 1000 * self.cores / max(self.mean_work_ms, 1e-3)
+        """By the mean work of a request."""
+        return 1000 * self.cores / max(self.mean_work_ms, MIN_WORK_MS)
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSnapshot:
-    """All of it, zones and homes by name, in order. cold: cores that all requests take now beyond what they
-    were told to need; None where nobody knows."""
+    """Zones and homes by name, in order. excess_cores: that all requests take now beyond what was estimated;
+    None where nobody knows."""
 
     zones: Mapping[str, ZoneSnapshot]
     homes: Mapping[str, HomeZone]
@@ -79,103 +82,110 @@
 
 
 def take_snapshot(
-    sites: Iterable[SiteReport],
+    reports: Iterable[SiteReport],
     engines: Mapping[str, Mapping[str, float]],
     alive: int,
-    gives: Mapping[str, float] | None = None,
+    available_shares: Mapping[str, float] | None = None,
     settings: SnapshotSettings | None = None,
 ) -> FleetSnapshot | None:
-    """The picture; None where no more than `quorum` of the `alive` instances are told of.
+    """The snapshot; None where no more than `quorum_share` of the `alive` instances report.
 
-    engines: cores by zone and engine, as the list has them. gives: by zone, what the fleet lets a zone have.
+    engines: cores by zone and engine, as the list has them. available_shares: by zone, what the fleet lets a
+    zone have. What one instance claims is capped, since it would move all others out of every plan.
     """
-    s, told = settings or SnapshotSettings(), sorted(sites, key=lambda site: site.member)
-    cores = {zone: math.fsum(engines[zone].values()) for zone in sorted(engines)}
-    if len(told) <= s.quorum_share * alive or not told:
+    s, sites = settings or SnapshotSettings(), sorted(reports, key=lambda site: site.member)
+    if len(sites) <= s.quorum_share * alive or not sites:
         return None
-    names = {zone_number(zone): zone for zone in cores}
-    # Danger: uncapped, one that claims a hundred times its demand would move all the rest out of every plan.
-    part = min(s.max_claim_share, s.max_skew / len(told))
-    most = part * math.fsum(cores.values()) if len(told) > 2 else math.inf
-    rates = {site.member: demand.merge_rates([site.rates], most) for site in told}
-    by_home: dict[str, list[SiteReport]] = {}
-    for site in told:
-        by_home.setdefault(names.get(site.home_zone, f"#{site.home_zone}"), []).append(site)
-    unheard = max(alive / len(told), 1.0)
-    homes = {
-        home: _home(
-            by_home[home],
-            rates,
-            unheard,
-            _trips(told, by_home[home][0].home_zone, list(cores), s.default_round_trip_ms),
-            names,
-        )
-        for home in sorted(by_home)
-    }
+    cores = {zone: math.fsum(engines[zone].values()) for zone in sorted(engines)}
+    max_share = min(s.max_claim_share, s.max_skew / len(sites))
+    max_cores = max_share * math.fsum(cores.values()) if len(sites) > 2 else math.inf
     zones = {
         zone: ZoneSnapshot(
             cores[zone],
             len(engines[zone]),
-            (gives or {}).get(zone, 1.0),
-            _warm(told, zone_number(zone)),
+            (available_shares or {}).get(zone, 1.0),
+            _warm_filter(sites, zone_number(zone)),
         )
         for zone in cores
     }
-    # One that claims much counts for as much as its demand may.
-    cold = [min(site.excess_cores, most) for site in told if site.excess_cores >= 0]
-    return FleetSnapshot(zones, homes, math.fsum(cold) * alive / len(cold) if cold else None)
+    excess = [min(site.excess_cores, max_cores) for site in sites if site.excess_cores >= 0]
+    excess_cores = math.fsum(excess) * alive / len(excess) if excess else None
+    return FleetSnapshot(zones, _homes(sites, list(cores), max_cores, alive, s), excess_cores)
+
+
+def _homes(
+    sites: list[SiteReport], zones: list[str], max_cores: float, alive: int, settings: SnapshotSettings
+) -> dict[str, HomeZone]:
+    """All homes by name, in order; one in a zone that isn't listed is named by its number."""
+    names = {zone_number(zone): zone for zone in zones}
+    rates = {site.member: demand.merge_rates([site.rates], max_cores) for site in sites}
+    by_home: dict[str, list[SiteReport]] = {}
+    for site in sites:
+        by_home.setdefault(names.get(site.home_zone, f"#{site.home_zone}"), []).append(site)
+    unheard_factor = max(alive / len(sites), 1.0)
+    homes = {}
+    for home in sorted(by_home):
+        round_trips = _round_trips(sites, by_home[home][0].home_zone, zones, settings.default_round_trip_ms)
+        homes[home] = _home(by_home[home], rates, unheard_factor, round_trips, names)
+    return homes
 
 
 def _home(
     sites: list[SiteReport],
     rates: Mapping[int, Mapping[int, float]],
-    unheard: float,
-    trips: dict[str, float],
+    unheard_factor: float,
+    round_trips_ms: dict[str, float],
     names: Mapping[int, str],
 ) -> HomeZone:
+    """One home, from the sites there. rates: by member; names: of zones, by number."""
     steps = sorted({step for site in sites for step in rates[site.member]})
-    total = {s: math.fsum(rates[site.member].get(s, 0.0) for site in sites) * unheard for s in steps}
+    total = {
+        step: math.fsum(rates[site.member].get(step, 0.0) for site in sites) * unheard_factor
+        for step in steps
+    }
     work = {site.member: math.fsum(rates[site.member].values()) for site in sites}
-    everything = math.fsum(work.values())
-    sets = {}
-    for number in sorted({b for site in sites for b in site.data_set_shares}):
-        share = math.fsum(site.data_set_shares.get(number, 0.0) * work[site.member] for site in sites)
-        sets[number] = share / everything if everything > 0 else 0.0
+    all_work = math.fsum(work.values())
+    data_sets = {}
+    for number in sorted({number for site in sites for number in site.data_set_shares}):
+        used = math.fsum(site.data_set_shares.get(number, 0.0) * work[site.member] for site in sites)
+        data_sets[number] = used / all_work if all_work > 0 else 0.0
     served = {
-        zone: math.fsum(site.zones[n].served_share * work[site.member] for site in sites if n in site.zones)
-        for n, zone in names.items()
+        zone: math.fsum(
+            site.zones[number].served_share * work[site.member] for site in sites if number in site.zones
+        )
+        for number, zone in names.items()
     }
-    whole = math.fsum(served.values())
-    parts = {zone: x / whole for zone, x in sorted(served.items()) if x > 0}
-    return HomeZone(total, lower_median([site.mean_work_ms for site in sites]), sets, trips, parts)
+    all_served = math.fsum(served.values())
+    served_shares = {zone: cores / all_served for zone, cores in sorted(served.items()) if cores > 0}
+    mean_work_ms = lower_median([site.mean_work_ms for site in sites])
+    return HomeZone(total, mean_work_ms, data_sets, round_trips_ms, served_shares)
 
 
-def _trips(sites: list[SiteReport], home: int, zones: list[str], far: float) -> dict[str, float]:
-    """Round trips from a home to each zone, by those at both ends.
-
-    Danger: of two that live in a home one liar would say how far it is; with those at the other end there are
-    three against it.
-    """
-    trips = {}
+def _round_trips(sites: list[SiteReport], home: int, zones: list[str], default_ms: float) -> dict[str, float]:
+    """Round trips from a home to each zone, by those at both ends: of two instances that live in a home one
+    that lies would decide how far it is."""
+    round_trips = {}
     for zone in zones:
         there = zone_number(zone)
         ends = ((home, there),) if home == there else ((home, there), (there, home))
-        told = [
-            s.zones[to].round_trip_ms for at, to in ends for s in sites if s.home_zone == at and to in s.zones
+        reported = [
+            site.zones[to].round_trip_ms
+            for at, to in ends
+            for site in sites
+            if site.home_zone == at and to in site.zones
         ]
-        trips[zone] = lower_median(told) if told else 0.0 if home == there else far
-    return trips
+        unmeasured = 0.0 if home == there else default_ms
+        round_trips[zone] = lower_median(reported) if reported else unmeasured
+    return round_trips
 
 
-def _warm(sites: list[SiteReport], number: int) -> int:
-    """The data sets that are warm in a zone: two must have seen it, or one that lives there alone.
-
-    Danger: by one word of anybody, a liar would make every zone look warm for all, and a move look free.
-    """
-    alone = sum(site.home_zone == number for site in sites) < 2
+def _warm_filter(sites: list[SiteReport], number: int) -> int:
+    """The data sets that are warm in a zone: two must have seen it, or one that lives there alone, so that
+    one that lies can't make every zone look warm for all."""
+    is_alone = sum(site.home_zone == number for site in sites) < 2
     own = once = twice = 0
     for site in sites:
         seen = site.zones[number].warm_filter if number in site.zones else 0
-        own |= seen if alone and site.home_zone == number else 0
+        own |= seen if is_alone and site.home_zone == number else 0
         once, twice = once | seen, twice | once & seen
     return own | twice if len(sites) > 2 else once
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -1,4 +1,4 @@
-"""What stays until something else is clearly wanted, and what is forgotten with time. Pure."""
+"""Shares that stay until others are clearly wanted, and weights that are forgotten with time. Pure."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+MIN_WEIGHT = 1e-3  # what has less left is dropped
+
 
 @dataclass(slots=True, frozen=True)
 class HysteresisSettings:
-    """band: parts that are less off than this don't change; hold: a change that is wanted for so many ms
-    counts; jump: one that is so large counts at once."""
+    """band: shares that differ by less don't change; hold_ms: a change that is wanted for so long is made;
+    jump: one that is so large is made at once."""
 
     band: float = 0.1
     hold_ms: float = 3000.0
@@ -19,41 +21,44 @@
 
 @dataclass(slots=True)
 class HeldShares:
-    """Parts that stay until others are clearly wanted."""
+    """Shares that stay until others are clearly wanted. differs_since: in ms, since when others are."""
 
     shares: dict[str, float]
     differs_since: float = math.inf
 
-    def follow(self, now: float, new: Mapping[str, float], s: HysteresisSettings) -> None:
-        """Another value is wanted."""
-        names = new.keys() | self.shares.keys()
-        off = max((abs(new.get(k, 0.0) - self.shares.get(k, 0.0)) for k in names), default=0.0)
-        if off <= s.band:
+    def follow(self, now: float, wanted: Mapping[str, float], settings: HysteresisSettings) -> None:
+        """Other shares are wanted. A zone that can serve nothing any more is never held on to."""
+        names = wanted.keys() | self.shares.keys()
+        difference = max(
+            (abs(wanted.get(name, 0.0) - self.shares.get(name, 0.0)) for name in names), default=0.0
+        )
+        if difference <= settings.band:
             self.differs_since = math.inf
             return
         self.differs_since = min(self.differs_since, now)
-        # Danger: held against a zone that can serve nothing any more, clients would be sent into it.
-        gone = any(not new.get(k) and part > s.band for k, part in self.shares.items())
-        if off >= s.jump or gone or now - self.differs_since >= s.hold_ms:
-            self.shares, self.differs_since = dict(new), math.inf
+        is_gone = any(not wanted.get(name) and part > settings.band for name, part in self.shares.items())
+        has_lasted = now - self.differs_since >= settings.hold_ms
+        if difference >= settings.jump or is_gone or has_lasted:
+            self.shares, self.differs_since = dict(wanted), math.inf
 
 
 class UsageWeights:
-    """Weights by data set or by zone and data set, forgotten with a time constant."""
+    """Weights by zone and data set, forgotten with a time constant."""
 
-    def __init__(self, memory: float) -> None:
-        self.memory_ms, self.weights = memory, dict[tuple[str, int], tuple[float, float]]()
+    def __init__(self, memory_ms: float) -> None:
+        self.memory_ms = memory_ms
+        self.weights = dict[tuple[str, int], tuple[float, float]]()  # the weight, and as of when
 
     def add(self, now: float, zone: str, number: int, weight: float) -> None:
         """So much more."""
         self.weights[zone, number] = self.weight(now, zone, number) + weight, now
 
-    def prune(self, now: float, least: float = 1e-3) -> None:
-        """Forget what has all but gone, so that names that come once are not kept for good."""
-        for key in [key for key in self.weights if self.weight(now, *key) < least]:
+    def prune(self, now: float, min_weight: float = MIN_WEIGHT) -> None:
+        """Drop what has all but decayed, so that names that occur once are not kept for good."""
+        for key in [key for key in self.weights if self.weight(now, *key) < min_weight]:
             del self.weights[key]
 
     def weight(self, now: float, zone: str, number: int) -> float:
         """What is left of it."""
-        weight, at = self.weights.get((zone, number), (0.0, now))
-        return weight * math.exp((at - now) / self.memory_ms)
+        weight, updated_at = self.weights.get((zone, number), (0.0, now))
+        return weight * math.exp((updated_at - now) / self.memory_ms)
--- a/cottonhold/fleet/failover_cost/messages.py
+++ b/cottonhold/fleet/failover_cost/messages.py
@@ -1,12 +1,12 @@
-"""What an instance tells of its site: what its clients ask for, how far zones are, what is warm there. Pure.
+"""What an instance reports of its site: its clients' demand, how far zones are, what they have cached. Pure.
 
-    kind 49 | count 1 | sites, each: member 8 | life 4 | version 4 | home 2 | mean 1 | cold 1 | steps 1 |
-    sets 1 | zones 1 | steps, each: step 1 | work 1 | sets, each: number 2 | share 1 | zones, each: zone 2 |
-    trip 1 | served 1 | warm 12
+    kind 49 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | home zone 2 | mean work 1 |
+    excess cores 1 | steps 1 | data sets 1 | zones 1 | steps, each: step 1 | work 1 | data sets, each:
+    number 2 | share 1 | zones, each: zone 2 | round trip 1 | served share 1 | warm filter 12
 
-Sites merge by (life, version): in any order, any number of times, with the same result. Data sets are told
-by 16 bits of a hash of their name, and what is warm as a Bloom filter of 96 bits: with a dozen sets
-in it one in twenty others looks warm that is not.
+Reports merge as `latest_reports` says. Data sets are named by 16 bits of a hash of their name, and those that
+a zone has warm by a Bloom filter of 96 bits: with a dozen sets in it one in twenty others looks warm that is
+not.
 """
 
 from __future__ import annotations
@@ -19,25 +19,27 @@
 from dataclasses import dataclass, field
 
 from cottonhold.fleet.admission import demand
+from cottonhold.fleet.latest_reports import Stamp
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
-SITE_REPORTS = 49  # kind of message; 48 were sites that told of paces, not of what is served where
-HEAD = struct.Struct("!QIIHBBBBB")
-ZONE = struct.Struct("!HBB12s")
-SET = struct.Struct("!HB")
-FILTER_BITS = 96  # of the filter
-MAX_DATA_SETS, MAX_ZONES = 8, 8  # told of by one word: those most used, and the nearest
-SHARE_STEPS = 255.0  # of one, on the wire
-MIN_CODED_MS, CODE_GROWTH = (
-    0.1,
-    1.05,
-)  # times in ms on the wire: LEAST_MS * GROWTH ** (byte - 1), to 24 s; 0 is none
+SITE_REPORTS = 49  # kind of message; 48 was an earlier format
+HEADER = struct.Struct("!QIIHBBBBB")
+ZONE_ENTRY = struct.Struct("!HBB12s")
+DATA_SET_ENTRY = struct.Struct("!HB")
+FILTER_BITS = 96
+SECOND_HASH_FACTOR = 31  # spreads what is left of a number over the filter
+MAX_DATA_SETS = 8  # of a report: those most used
+MAX_ZONES = 8  # of a report: the nearest
+MAX_BYTE = 255
+SHARE_STEPS = 255.0  # of a share of one
+MIN_CODED_MS, CODE_GROWTH = 0.1, 1.05  # times on the wire: MIN * GROWTH ** (byte - 1), to 24 s; 0 is none
+UNKNOWN_CORES = -1.0
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneObservation:
-    """A zone as one instance sees it. trip: round trip to it in ms; served: part of this one's served work,
-    0 to 1; warm: the filter of the data sets that it answered lately."""
+    """A zone as one instance sees it. served_share: part of this instance's served work, 0 to 1; warm_filter:
+    the data sets that the zone answered lately."""
 
     round_trip_ms: float = 0.0
     served_share: float = 0.0
@@ -46,10 +48,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SiteReport:
-    """One instance's word. home: number of the zone of its clients; mean: of their requests' work in ms;
-    rates: work offered by density step, in cores; sets: parts of that work by number of data set; zones: by
-    number; cold: cores that its clients' requests take now beyond what they were told to need; less than
-    nothing: not known."""
+    """One instance's report. home_zone: number of the zone of its clients; mean_work_ms: of their requests;
+    rates: work offered by density step, in cores; data_set_shares: parts of that work by number of data set;
+    zones: by number; excess_cores: that its clients' requests take now beyond what was estimated; negative:
+    not known."""
 
     member: int
     incarnation: int
@@ -59,11 +61,11 @@
     rates: Mapping[int, float] = field(default_factory=dict)
     data_set_shares: Mapping[int, float] = field(default_factory=dict)
     zones: Mapping[int, ZoneObservation] = field(default_factory=dict)
-    excess_cores: float = -1.0
+    excess_cores: float = UNKNOWN_CORES
 
     @property
-    def stamp(self) -> tuple[int, int]:
-        """What decides which of two sites of one member is newer."""
+    def stamp(self) -> Stamp:
+        """Of two reports of a member the one with the higher stamp is newer."""
         return self.incarnation, self.version
 
 
@@ -75,94 +77,126 @@
 @functools.lru_cache(maxsize=1024)
 def filter_bits(number: int) -> int:
     """A data set's two bits in a filter of warm ones."""
-    # By 64 buckets of one hash, two of a dozen sets were one, and a third of the pushing out was foreseen.
-    return 1 << number % FILTER_BITS | 1 << number // FILTER_BITS * 31 % FILTER_BITS
+    second = number // FILTER_BITS * SECOND_HASH_FACTOR % FILTER_BITS
+    return 1 << number % FILTER_BITS | 1 << second
 
 
-def is_warm(warm: int, number: int) -> bool:
+def is_warm(warm_filter: int, number: int) -> bool:
     """Whether a filter has a data set."""
     bits = filter_bits(number)
-    return warm & bits == bits
+    return warm_filter & bits == bits
 
 
-def _time(ms: float) -> int:
+def _encode_ms(ms: float) -> int:
     if ms < MIN_CODED_MS:
         return 0
-    return min(1 + round(math.log(ms / MIN_CODED_MS) / math.log(CODE_GROWTH)), 255)
+    return min(1 + round(math.log(ms / MIN_CODED_MS) / math.log(CODE_GROWTH)), MAX_BYTE)
 
 
-def _ms(code: int) -> float:
+def _decode_ms(code: int) -> float:
     return MIN_CODED_MS * CODE_GROWTH ** (code - 1) if code else 0.0
 
 
-def encode_site_report(site: SiteReport) -> bytes:
-    """A site's bytes: its most used data sets, and the nearest zones."""
-    steps = demand.encode_rates(site.rates) if site.rates else b""
-    sets = sorted(site.data_set_shares, key=lambda n: (-site.data_set_shares[n], n))[:MAX_DATA_SETS]
-    zones = sorted(site.zones, key=lambda n: (n != site.home_zone, site.zones[n].round_trip_ms, n))[
-        :MAX_ZONES
-    ]
-    cold = 0 if site.excess_cores < 0 else min(1 + demand.encode_cores(site.excess_cores), 255)
-    head = (site.member, site.incarnation, site.version, site.home_zone, _time(site.mean_work_ms), cold)
-    data = HEAD.pack(*head, len(steps) // 2, len(sets), len(zones)) + steps
-    # Danger: rounded to the nearest, eight shares could add up to more than one, and the word be refused.
-    data += b"".join(SET.pack(n, min(int(site.data_set_shares[n] * SHARE_STEPS), 255)) for n in sets)
-    for number in zones:
-        seen = site.zones[number]
-        served = round(min(max(seen.served_share, 0.0), 1.0) * SHARE_STEPS)
-        data += ZONE.pack(
-            number, _time(seen.round_trip_ms), served, seen.warm_filter.to_bytes(FILTER_BITS // 8, "big")
-        )
-    return data
-
-
-def encode_site_reports(sites: Iterable[SiteReport]) -> bytes:
+def encode_site_report(report: SiteReport) -> bytes:
+    """A report's bytes, with its most used data sets and the nearest zones."""
+    steps = demand.encode_rates(report.rates) if report.rates else b""
+    shares, zones = report.data_set_shares, report.zones
+    used = sorted(shares, key=lambda n: (-shares[n], n))[:MAX_DATA_SETS]
+    nearest = sorted(zones, key=lambda n: (n != report.home_zone, zones[n].round_trip_ms, n))[:MAX_ZONES]
+    header = HEADER.pack(
+        report.member,
+        report.incarnation,
+        report.version,
+        report.home_zone,
+        _encode_ms(report.mean_work_ms),
+        _encode_excess(report.excess_cores),
+        len(steps) // 2,
+        len(used),
+        len(nearest),
+    )
+    # Shares are rounded down: rounded to the nearest, eight of them could add up to more than one.
+    data_sets = b"".join(
+        DATA_SET_ENTRY.pack(number, min(int(shares[number] * SHARE_STEPS), MAX_BYTE)) for number in used
+    )
+    return header + steps + data_sets + b"".join(_encode_zone(number, zones[number]) for number in nearest)
+
+
+def _encode_excess(excess_cores: float) -> int:
+    return 0 if excess_cores < 0 else min(1 + demand.encode_cores(excess_cores), MAX_BYTE)
+
+
+def _encode_zone(number: int, zone: ZoneObservation) -> bytes:
+    served = round(min(max(zone.served_share, 0.0), 1.0) * SHARE_STEPS)
+    warm = zone.warm_filter.to_bytes(FILTER_BITS // 8, "big")
+    return ZONE_ENTRY.pack(number, _encode_ms(zone.round_trip_ms), served, warm)
+
+
+def encode_site_reports(reports: Iterable[SiteReport]) -> bytes:
     """A message with as many of these as fit, first ones first."""
-    parts, left = list[bytes](), MAX_MESSAGE_BYTES - 2
-    for site in sites:
-        part = encode_site_report(site)
-        if len(part) > left:
+    parts, remaining = list[bytes](), MAX_MESSAGE_BYTES - 2
+    for report in reports:
+        part = encode_site_report(report)
+        if len(part) > remaining:
             break
         parts.append(part)
-        left -= len(part)
+        remaining -= len(part)
     return bytes((SITE_REPORTS, len(parts))) + b"".join(parts)
 
 
 def decode_site_reports(data: bytes) -> list[SiteReport]:
-    """The sites of a message. Raises MessageError; then none of them counts."""
+    """The reports of a message. Raises MessageError; then none of them is applied."""
     if len(data) < 2 or data[0] != SITE_REPORTS:
-        raise MessageError("no sites")
-    sites, at = [], 2
+        raise MessageError("no site reports")
+    reports, offset = [], 2
     try:
         for _ in range(data[1]):
-            site, at = _read_site(data, at)
-            sites.append(site)
+            report, offset = _decode_report(data, offset)
+            reports.append(report)
     except struct.error:
         raise MessageError("truncated") from None
-    if at != len(data):
+    if offset != len(data):
         raise MessageError("too long")
-    return sites
-
-
-def _read_site(data: bytes, at: int) -> tuple[SiteReport, int]:
-    member, life, version, home, mean, cold, steps, sets, zones = HEAD.unpack_from(data, at)
-    at += HEAD.size
-    ends = at + 2 * steps
-    rates, at = demand.decode_rates(data[at:ends]), ends
-    shares = dict[int, int]()
-    for _ in range(sets):
-        number, part = SET.unpack_from(data, at)
-        at += SET.size
-        shares[number] = part
-    if not member or rates is None or len(data) < at or sets > MAX_DATA_SETS or zones > MAX_ZONES:
-        raise MessageError("site")
-    if len(shares) < sets or sum(shares.values()) > SHARE_STEPS:
-        raise MessageError("data sets")
-    parts = {number: part / SHARE_STEPS for number, part in shares.items()}
-    seen = {}
+    return reports
+
+
+def _decode_report(data: bytes, offset: int) -> tuple[SiteReport, int]:
+    """The report that begins at an offset, and where it ends."""
+    fields = HEADER.unpack_from(data, offset)
+    member, incarnation, version, home_zone, mean_work, excess, steps, data_sets, zones = fields
+    begin = offset + HEADER.size
+    end = begin + 2 * steps
+    rates = demand.decode_rates(data[begin:end])
+    if not member or rates is None or data_sets > MAX_DATA_SETS or zones > MAX_ZONES:
+        raise MessageError("site report")
+    shares, offset = _decode_shares(data, end, data_sets)
+    observations = {}
     for _ in range(zones):
-        number, trip, served, warm = ZONE.unpack_from(data, at)
-        at += ZONE.size
-        seen[number] = ZoneObservation(_ms(trip), served / SHARE_STEPS, int.from_bytes(warm, "big"))
-    more = demand.decode_cores(cold - 1) if cold else -1.0
-    return SiteReport(member, life, version, home, _ms(mean), rates, parts, seen, more), at
+        number, round_trip, served, warm = ZONE_ENTRY.unpack_from(data, offset)
+        offset += ZONE_ENTRY.size
+        observations[number] = ZoneObservation(
+            _decode_ms(round_trip), served / SHARE_STEPS, int.from_bytes(warm, "big")
+        )
+    report = SiteReport(
+        member,
+        incarnation,
+        version,
+        home_zone,
+        _decode_ms(mean_work),
+        rates,
+        shares,
+        observations,
+        demand.decode_cores(excess - 1) if excess else UNKNOWN_CORES,
+    )
+    return report, offset
+
+
+def _decode_shares(data: bytes, offset: int, count: int) -> tuple[dict[int, float], int]:
+    """Shares by number of data set from an offset, and where they end."""
+    codes = dict[int, int]()
+    for _ in range(count):
+        number, code = DATA_SET_ENTRY.unpack_from(data, offset)
+        offset += DATA_SET_ENTRY.size
+        codes[number] = code
+    if len(data) < offset or len(codes) < count or sum(codes.values()) > SHARE_STEPS:
+        raise MessageError("data sets")
+    return {number: code / SHARE_STEPS for number, code in codes.items()}, offset
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -1,8 +1,8 @@
 """What it would cost if zones were out now: who serves whose clients, what is lost, how far, how cold. Pure.
 
-Each scenario is divided by itself (`divide.py`): a pair of zones is no sum of two, since both would lean on
-the same third one. What is reported as worth is what is served, undiscounted; distance and cold work only
-steer the division.
+Each scenario is allocated by itself: a pair of zones is no sum of two, since both would lean on the same
+third one. What is reported as utility is what is served, undiscounted; distance and cold work only steer the
+allocation.
 """
 
 from __future__ import annotations
@@ -10,60 +10,45 @@
 import math
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 
 from cottonhold.fleet.admission.threshold import DensityThreshold, threshold_for
-from cottonhold.fleet.failover_cost import cold_cache
 from cottonhold.fleet.failover_cost.allocation import (
     Allocation,
     AllocationProblem,
     Flow,
-    allocate,
     utility_of_step,
 )
-from cottonhold.fleet.failover_cost.fleet_snapshot import FleetSnapshot
-from cottonhold.fleet.failover_cost.messages import is_warm
-
+from cottonhold.fleet.failover_cost.cold_work import (
+    ZoneFlows,
+    cold_share,
+    cold_work_cores,
+    home_cold_work_ms,
+    home_warm_up_ms,
+    warm_up_ms,
+)
+from cottonhold.fleet.failover_cost.cost_settings import MIN_AMOUNT, CostSettings
+from cottonhold.fleet.failover_cost.fleet_snapshot import FleetSnapshot, HomeZone
+from cottonhold.fleet.failover_cost.simplex import allocate
 
-@dataclass(slots=True, frozen=True)
-class CostSettings:
-    """use: part of the cores that is filled; from `calm` on it costs `wait`, as a part of the mean worth:
-    lines form and work spills over. part: of a zone's cores, which other homes' clients may not
-    take. far: part of a request's worth that a ms of round trip counts as.
-    cold: how many times longer a request
-    takes on data that is not warm; keeps: data sets that an engine keeps warm, 0 for all. window: of the
-    outage in ms for which cold work is counted. first, double: how a zone in return begins, as a part of its
-    load, and after how many ms that may double. nothing: part of the demand that has to be turned away
-    before a price is said to stand. rounds: of dividing anew by the cold work that a division
-    makes. near: part of the worth that a division may be off, for its time."""
-
-    usable_capacity_share: float = 0.97
-    uncongested_share: float = 0.85
-    congestion_cost: float = 0.01
-    reserved_home_share: float = 0.4
-    cost_per_round_trip_ms: float = 0.0005
-    cold_factor: float = 3.0
-    cached_data_sets: int = 0
-    window_ms: float = 5000.0
-    initial_share: float = 0.03
-    doubling_ms: float = 250.0
-    negligible_share: float = 0.01
-    max_rounds: int = 3
-    tolerance: float = 0.003
+MIN_RETAINED_UTILITY = 0.05  # of work that is served far away
+MIN_CORES = 1e-6  # less work moves nothing
 
 
 @dataclass(slots=True, frozen=True)
 class Projection:
-    """One scenario. left: by zone, the part that is left of it. flows: work in cores by home and zone.
-
-    offered, worth: a second, asked for and served; lost: less than now. price: that would stand. added: mean
-    ms of round trip on top, over the work that moves; moved: cores. extra: cores of cold work more than now,
-    mean of the window; less than nothing where sharing ends. room: cores left by zone. warm_ms: until nine in
-    ten of the moved uses are warm. back_ms, back_work: the return if the zone comes back cold, in ms and in
-    ms of work. useful: cores that are left for work once cold work is done, which a price may count on.
+    """One scenario. remaining: by zone, the part that is left of it. flows: work in cores by home and zone.
+
+    offered_utility, served_utility: a second; lost_utility: less than now. threshold: that would stand.
+    added_round_trip_ms: mean, on top, over the work that moves; moved_cores: that work. extra_cold_cores:
+    cores of cold work more than now, mean of the window; negative where sharing ends. free_cores: by zone.
+    warm_ms: until nine in ten of the moved uses are warm. return_ms, return_work_ms: the return if the zone
+    comes back cold. useful_cores: that are left for work once cold work is done, which a threshold may count
+    on.
     """
 
     remaining: Mapping[str, float]
-    flows: Mapping[tuple[str, str], float]
+    flows: ZoneFlows
     offered_utility: float
     served_utility: float
     lost_utility: float
@@ -79,273 +64,260 @@
     flows_by_step: Mapping[Flow, float] = field(default_factory=dict)
 
     def served_share(self) -> float:
-        """Part of the worth asked for that is served."""
+        """Part of the offered utility that is served."""
         return self.served_utility / self.offered_utility if self.offered_utility > 0 else 1.0
 
 
+class Solution(NamedTuple):
+    """A problem, with the cost of the cold work that its allocation makes, and that allocation."""
+
+    problem: AllocationProblem
+    allocation: Allocation
+
+
 def allocation_problem(
-    picture: FleetSnapshot,
-    left: Mapping[str, float],
+    snapshot: FleetSnapshot,
+    remaining: Mapping[str, float],
     settings: CostSettings,
-    good: Mapping[str, float] | None = None,
+    success_shares: Mapping[str, float] | None = None,
 ) -> AllocationProblem:
-    """The division to solve. left: part of each zone that is there; good: of its attempts, that end well."""
-    s, good = settings, good or {}
-    gives = {zone: view.available_share * left.get(zone, 1.0) for zone, view in picture.zones.items()}
-    capacity = {
-        zone: view.cores * gives[zone] * s.usable_capacity_share for zone, view in picture.zones.items()
+    """The problem to solve. remaining: part of each zone that is there; success_shares: of its attempts.
+
+    What other homes may take of a zone in part is what exceeds its clients' own part of the whole zone.
+    """
+    s, zones = settings, snapshot.zones
+    available = {zone: view.available_share * remaining.get(zone, 1.0) for zone, view in zones.items()}
+    capacity = {zone: view.cores * available[zone] * s.usable_capacity_share for zone, view in zones.items()}
+    uncongested = {
+        zone: cores * s.uncongested_share / s.usable_capacity_share for zone, cores in capacity.items()
     }
-    calm = {zone: x * s.uncongested_share / s.usable_capacity_share for zone, x in capacity.items()}
-    busy = {zone: capacity[zone] - calm[zone] for zone in capacity}
-    # Danger: what is left of an ill zone is not its clients' own part; that is of the whole zone.
-    guests = {
-        z: max(capacity[z] - s.reserved_home_share * view.cores * s.usable_capacity_share, 0.0)
-        for z, view in picture.zones.items()
+    cross_zone = {
+        zone: max(capacity[zone] - s.reserved_home_share * view.cores * s.usable_capacity_share, 0.0)
+        for zone, view in zones.items()
     }
-    keeps, uses = dict[tuple[str, str], float](), dict[tuple[str, str], float]()
-    there = [zone for zone in capacity if capacity[zone] > 0]
-    for name, home in picture.homes.items():
-        nearest = min((home.round_trips_ms.get(zone, 0.0) for zone in there), default=0.0)
-        for zone in there:
-            distance = home.round_trips_ms.get(zone, 0.0) - nearest
-            keeps[name, zone] = max(1 - s.cost_per_round_trip_ms * distance, 0.05) * good.get(zone, 1.0)
-            if zone != name:
-                share = 1 / max(sum(z != name for z in there), 1)
-                uses[name, zone] = 1 + (s.cold_factor - 1) * _cold_share(picture, name, zone, share, s)
-    total = picture.total_demand()
-    mean = math.fsum(utility_of_step(step) * x for step, x in total.items()) / max(
-        math.fsum(total.values()), 1e-9
+    open_zones = [zone for zone in capacity if capacity[zone] > 0]
+    retained, cost_factors = dict[tuple[str, str], float](), dict[tuple[str, str], float]()
+    for name, home in snapshot.homes.items():
+        retained |= _retained_utility(name, home, open_zones, s, success_shares or {})
+        cost_factors |= _cost_factors(snapshot, name, open_zones, s)
+    return AllocationProblem(
+        {name: home.rates for name, home in snapshot.homes.items()},
+        uncongested,
+        cross_zone,
+        retained,
+        cost_factors,
+        {zone: capacity[zone] - uncongested[zone] for zone in capacity},
+        s.congestion_cost * _mean_utility(snapshot),
     )
-    rates = {name: home.rates for name, home in picture.homes.items()}
-    return AllocationProblem(rates, calm, guests, keeps, uses, busy, s.congestion_cost * mean)
-
-
-def _uses(picture: FleetSnapshot, home: str, share: float) -> dict[int, float]:
-    """Uses of each data set a second by a part of a home's requests."""
-    view = picture.homes[home]
-    calls = view.requests_per_second * share
-    return {number: calls * part for number, part in view.data_set_shares.items() if part > 0}
-
-
-def _cold_share(picture: FleetSnapshot, home: str, zone: str, share: float, s: CostSettings) -> float:
-    """Part of a home's uses that would be cold in a zone, if so much of its work went there."""
-    view, rates, window = picture.zones[zone], _uses(picture, home, share), s.window_ms / 1000
-    total = picture.homes[home].requests_per_second * share * window
-    if total <= 0:
-        return 0.0
-    first = math.fsum(
-        cold_cache.cold_uses(rate, view.engine_count, is_warm(view.warm_filter, number), window, math.inf)
-        for number, rate in rates.items()
-    )
-    return min(first / total, 1.0)
+
+
+def _retained_utility(
+    name: str,
+    home: HomeZone,
+    open_zones: list[str],
+    settings: CostSettings,
+    success_shares: Mapping[str, float],
+) -> dict[tuple[str, str], float]:
+    """The part of a home's utility that remains in each zone, by distance beyond the nearest and by
+    failures."""
+    nearest = min((home.round_trips_ms.get(zone, 0.0) for zone in open_zones), default=0.0)
+    retained = {}
+    for zone in open_zones:
+        distance_ms = home.round_trips_ms.get(zone, 0.0) - nearest
+        by_distance = max(1 - settings.cost_per_round_trip_ms * distance_ms, MIN_RETAINED_UTILITY)
+        retained[name, zone] = by_distance * success_shares.get(zone, 1.0)
+    return retained
+
+
+def _cost_factors(
+    snapshot: FleetSnapshot, name: str, open_zones: list[str], settings: CostSettings
+) -> dict[tuple[str, str], float]:
+    """Cores that a core of a home's work takes in other zones, by the data that is cold there."""
+    others = [zone for zone in open_zones if zone != name]
+    share = 1 / max(len(others), 1)
+    return {
+        (name, zone): 1 + (settings.cold_factor - 1) * cold_share(snapshot, name, zone, share, settings)
+        for zone in others
+    }
+
+
+def _mean_utility(snapshot: FleetSnapshot) -> float:
+    """Utility a second of a core of the demand."""
+    demand = snapshot.total_demand()
+    utility = math.fsum(utility_of_step(step) * cores for step, cores in demand.items())
+    return utility / max(math.fsum(demand.values()), MIN_AMOUNT)
+
+
+def solve_with_cold_work(
+    snapshot: FleetSnapshot,
+    remaining: Mapping[str, float],
+    settings: CostSettings,
+    success_shares: Mapping[str, float] | None = None,
+) -> Solution:
+    """The allocation, with the cold work that it makes itself.
+
+    Data sets evict one another only where much is moved together, so the cold work of each home alone would
+    make the last zone look able to serve far more than it can. So it is allocated anew by the cold work of
+    the allocation before, until that changes little.
+    """
+    s, problem = settings, allocation_problem(snapshot, remaining, settings, success_shares)
+    alone, allocation = problem.cost_factors, allocate(problem, s.tolerance)
+    for _ in range(s.max_rounds):
+        factors = _adapted_factors(snapshot, problem, alone, flows_by_pair(allocation.flows), s)
+        before = problem.cost_factors
+        if all(abs(x - before.get(pair, 1.0)) <= s.tolerance * x for pair, x in factors.items()):
+            break
+        problem = replace(problem, cost_factors=factors)
+        allocation = allocate(problem, s.tolerance)
+    return Solution(problem, allocation)
+
+
+def _adapted_factors(
+    snapshot: FleetSnapshot,
+    problem: AllocationProblem,
+    alone: Mapping[tuple[str, str], float],
+    flows: ZoneFlows,
+    settings: CostSettings,
+) -> dict[tuple[str, str], float]:
+    """Cost factors half way to those of the cold work that these flows make. alone: those of each home by
+    itself."""
+    factors = dict(problem.cost_factors)
+    for zone in snapshot.zones:
+        work = math.fsum(x for (_, at), x in flows.items() if at == zone)
+        if work <= MIN_CORES:
+            continue
+        expected = math.fsum(x * alone.get(pair, 1.0) for pair, x in flows.items() if pair[1] == zone) / work
+        ratio = (1 + cold_work_cores(snapshot, flows, zone, settings) / work) / expected
+        for home in snapshot.homes:
+            wanted = max(alone.get((home, zone), 1.0) * ratio, 1.0)
+            factors[home, zone] = (problem.cost_factors.get((home, zone), 1.0) + wanted) / 2
+    return factors
 
 
 def project(
-    picture: FleetSnapshot,
-    left: Mapping[str, float],
+    snapshot: FleetSnapshot,
+    remaining: Mapping[str, float],
     settings: CostSettings | None = None,
-    now: Allocation | None = None,
-    settled: tuple[AllocationProblem, Allocation] | None = None,
+    current: Allocation | None = None,
+    solution: Solution | None = None,
 ) -> Projection:
-    """What it would cost if so much were left of these zones. now: the division without that, if known;
-    settled: what `settle` makes of it, if known."""
+    """What it would cost if so much remained of these zones. current: the allocation without that, if known;
+    solution: that of `solve_with_cold_work`, if known.
+
+    Cold work counts beyond what requests take now beyond the estimate, where that is reported: what keeps
+    data from staying warm in calm is not known here.
+    """
     s = settings or CostSettings()
-    base = now if now is not None else solve_with_cold_work(picture, {}, s)[1]
-    case, found = settled if settled is not None else solve_with_cold_work(picture, left, s)
-    flows, usual = flows_by_pair(found.flows), as_served(picture, flows_by_pair(base.flows))
-    worth = _worth(found.flows)
-    asked = picture.total_demand()
-    offered = math.fsum(utility_of_step(step) * work for step, work in asked.items())
-    price = _price(picture, found, s)
-    moved = {pair: x - usual.get(pair, 0.0) for pair, x in flows.items() if x - usual.get(pair, 0.0) > 1e-6}
-    added = _added(picture, moved, usual)
-    colds = {zone: cold_work_cores(picture, flows, zone, s) for zone in picture.zones}
-    # Danger: what keeps sets from staying warm in calm is not known here, so calm looked warm and a loss that
-    # ends the sharing of zones looked dear. What requests take now is told.
-    before = picture.excess_cores
-    if before is None:
-        before = math.fsum(cold_work_cores(picture, usual, zone, s) for zone in picture.zones)
-    extra = math.fsum(colds.values()) - before
-    cores = math.fsum(
-        view.cores * view.available_share * left.get(z, 1.0) for z, view in picture.zones.items()
+    base = current if current is not None else solve_with_cold_work(snapshot, {}, s).allocation
+    problem, allocation = solution or solve_with_cold_work(snapshot, remaining, s)
+    flows = flows_by_pair(allocation.flows)
+    usual = flows_as_served(snapshot, flows_by_pair(base.flows))
+    served_utility = _utility(allocation.flows)
+    moved = {
+        pair: x - usual.get(pair, 0.0) for pair, x in flows.items() if x - usual.get(pair, 0.0) > MIN_CORES
+    }
+    cold_cores = math.fsum(cold_work_cores(snapshot, flows, zone, s) for zone in snapshot.zones)
+    cold_before = snapshot.excess_cores
+    if cold_before is None:
+        cold_before = math.fsum(cold_work_cores(snapshot, usual, zone, s) for zone in snapshot.zones)
+    available_cores = math.fsum(
+        view.cores * view.available_share * remaining.get(zone, 1.0) for zone, view in snapshot.zones.items()
     )
-    room = free_cores(case, flows)
-    back_ms, back_work = _back(picture, left, s)
     return Projection(
-        dict(sorted(left.items())),
-        flows,
-        offered,
-        worth,
-        max(_worth(base.flows) - worth, 0.0),
-        price,
-        added,
-        math.fsum(moved.values()),
-        extra,
-        room,
-        _warm_ms(picture, moved),
-        back_ms,
-        back_work,
-        max(cores - math.fsum(colds.values()), 0.0),
-        found.flows,
+        remaining=dict(sorted(remaining.items())),
+        flows=flows,
+        offered_utility=math.fsum(
+            utility_of_step(step) * cores for step, cores in snapshot.total_demand().items()
+        ),
+        served_utility=served_utility,
+        lost_utility=max(_utility(base.flows) - served_utility, 0.0),
+        threshold=_threshold(snapshot, allocation, s),
+        added_round_trip_ms=_added_round_trip_ms(snapshot, moved, usual),
+        moved_cores=math.fsum(moved.values()),
+        extra_cold_cores=cold_cores - cold_before,
+        free_cores=free_cores(problem, flows),
+        warm_ms=warm_up_ms(snapshot, moved),
+        return_ms=_return_ms(snapshot, remaining, s),
+        return_work_ms=_return_work_ms(snapshot, remaining, s),
+        useful_cores=max(available_cores - cold_cores, 0.0),
+        flows_by_step=allocation.flows,
     )
 
 
-def _worth(flows: Mapping[Flow, float]) -> float:
-    return math.fsum(utility_of_step(step) * x for (_, _, step), x in flows.items())
-
-
-def _used(case: AllocationProblem, flows: Mapping[tuple[str, str], float], zone: str) -> float:
-    """Cores of a zone that the flows take."""
-    return math.fsum(x * case.cost_factors.get(pair, 1.0) for pair, x in flows.items() if pair[1] == zone)
+def _utility(flows: Mapping[Flow, float]) -> float:
+    return math.fsum(utility_of_step(step) * cores for (_, _, step), cores in flows.items())
 
 
-def free_cores(case: AllocationProblem, flows: Mapping[tuple[str, str], float]) -> dict[str, float]:
-    """Cores that a division leaves free, by zone."""
-    return {
-        z: max(case.capacity[z] + case.congested_capacity[z] - _used(case, flows, z), 0.0)
-        for z in case.capacity
-    }
+def free_cores(problem: AllocationProblem, flows: ZoneFlows) -> dict[str, float]:
+    """Cores that these flows leave free, by zone."""
+    free = {}
+    for zone, capacity in problem.capacity.items():
+        used = math.fsum(
+            cores * problem.cost_factors.get(pair, 1.0) for pair, cores in flows.items() if pair[1] == zone
+        )
+        free[zone] = max(capacity + problem.congested_capacity[zone] - used, 0.0)
+    return free
 
 
 def flows_by_pair(flows: Mapping[Flow, float]) -> dict[tuple[str, str], float]:
     """Work by home and zone, in cores."""
     found = dict[tuple[str, str], list[float]]()
-    for (home, zone, _), x in flows.items():
-        found.setdefault((home, zone), []).append(x)
+    for (home, zone, _), cores in flows.items():
+        found.setdefault((home, zone), []).append(cores)
     return {pair: math.fsum(parts) for pair, parts in found.items()}
 
 
-def as_served(picture: FleetSnapshot, flows: Mapping[tuple[str, str], float]) -> dict[tuple[str, str], float]:
-    """What is served of each home now, by zone: where its instances say that it is, else as divided.
-
-    Danger: taken from the division, calm served each zone's clients at home. In service it takes all zones
-    alike, so the way and the cold work that a loss was said to add were there before it.
-    """
+def flows_as_served(snapshot: FleetSnapshot, flows: ZoneFlows) -> dict[tuple[str, str], float]:
+    """What is served of each home now, by zone: as its instances report it, else as allocated. An allocation
+    serves each home in its own zone as far as possible, while in service all zones may serve it alike."""
     found = dict[tuple[str, str], float]()
-    for home, view in picture.homes.items():
-        mine = {pair: x for pair, x in flows.items() if pair[0] == home}
-        work = math.fsum(mine.values())
-        found |= (
-            {(home, zone): work * part for zone, part in view.served_shares.items()}
-            if view.served_shares
-            else mine
-        )
+    for home, view in snapshot.homes.items():
+        allocated = {pair: cores for pair, cores in flows.items() if pair[0] == home}
+        total = math.fsum(allocated.values())
+        if view.served_shares:
+            found |= {(home, zone): total * part for zone, part in view.served_shares.items()}
+        else:
+            found |= allocated
     return found
 
 
-def _added(
-    picture: FleetSnapshot, moved: Mapping[tuple[str, str], float], usual: Mapping[tuple[str, str], float]
-) -> float:
-    """Mean round trip on top of the usual one, in ms, over the work that moves."""
-    parts = []
+def _added_round_trip_ms(snapshot: FleetSnapshot, moved: ZoneFlows, usual: ZoneFlows) -> float:
+    """Mean round trip on top of the usual one, over the work that moves."""
+    added = []
     for (home, zone), work in moved.items():
-        trips = picture.homes[home].round_trips_ms
-        before = [(x, trips.get(z, 0.0)) for (h, z), x in usual.items() if h == home]
-        mean = math.fsum(x * t for x, t in before) / max(math.fsum(x for x, _ in before), 1e-9)
-        parts.append(work * (trips.get(zone, 0.0) - mean))
-    return math.fsum(parts) / max(math.fsum(moved.values()), 1e-9)
-
-
-def data_set_uses(
-    picture: FleetSnapshot, flows: Mapping[tuple[str, str], float], zone: str
-) -> dict[int, float]:
-    """Uses of each data set a second in a zone, by what it serves."""
-    found = dict[int, list[float]]()
-    for (home, at), work in flows.items():
-        if at == zone:
-            whole = picture.homes[home].cores
-            for number, rate in _uses(picture, home, work / max(whole, 1e-9)).items():
-                found.setdefault(number, []).append(rate)
-    return {number: math.fsum(rates) for number, rates in found.items()}
-
-
-def cold_work_cores(
-    picture: FleetSnapshot, flows: Mapping[tuple[str, str], float], zone: str, s: CostSettings
-) -> float:
-    """Cores of cold work in a zone, mean of the window: sets not warm yet, and sets pushed out by others."""
-    view, rates = picture.zones[zone], data_set_uses(picture, flows, zone)
-    stay = cold_cache.seconds_until_evicted(rates.values(), view.engine_count, s.cached_data_sets)
-    runs = math.fsum(
-        cold_cache.cold_uses(
-            rate, view.engine_count, is_warm(view.warm_filter, number), s.window_ms / 1000, stay
-        )
-        for number, rate in rates.items()
-    )
-    there = [(x, picture.homes[home].mean_work_ms) for (home, at), x in flows.items() if at == zone]
-    calls = math.fsum(x / max(mean, 1e-3) for x, mean in there)
-    mean = math.fsum(x for x, _ in there) / calls if calls > 0 else 0.0
-    return runs * mean * (s.cold_factor - 1) / max(s.window_ms, 1e-9)
-
-
-def solve_with_cold_work(
-    picture: FleetSnapshot,
-    left: Mapping[str, float],
-    settings: CostSettings,
-    good: Mapping[str, float] | None = None,
-) -> tuple[AllocationProblem, Allocation]:
-    """The case and its division, with the cold work that the division itself makes.
-
-    Danger: sets push one another out only where much is moved together, so each home's cold work alone made
-    the last zone look able to serve all dear requests (0.82 of the worth), where half of its work was cold.
-    """
-    s, case = settings, allocation_problem(picture, left, settings, good)
-    first, found = case.cost_factors, allocate(case, s.tolerance)
-    for _ in range(s.max_rounds):
-        flows = flows_by_pair(found.flows)
-        uses = dict(case.cost_factors)
-        for zone in picture.zones:
-            work = math.fsum(x for (_, at), x in flows.items() if at == zone)
-            if work <= 1e-6:
-                continue
-            alone = math.fsum(x * first.get(p, 1.0) for p, x in flows.items() if p[1] == zone) / work
-            times = (1 + cold_work_cores(picture, flows, zone, s) / work) / alone
-            for home in picture.homes:
-                wanted = max(first.get((home, zone), 1.0) * times, 1.0)
-                uses[home, zone] = (case.cost_factors.get((home, zone), 1.0) + wanted) / 2
-        if all(abs(x - case.cost_factors.get(pair, 1.0)) <= s.tolerance * x for pair, x in uses.items()):
-            break
-        case = replace(case, cost_factors=uses)
-        found = allocate(case, s.tolerance)
-    return case, found
+        trips = snapshot.homes[home].round_trips_ms
+        before = [(cores, trips.get(z, 0.0)) for (h, z), cores in usual.items() if h == home]
+        all_before = max(math.fsum(cores for cores, _ in before), MIN_AMOUNT)
+        mean = math.fsum(cores * trip for cores, trip in before) / all_before
+        added.append(work * (trips.get(zone, 0.0) - mean))
+    return math.fsum(added) / max(math.fsum(moved.values()), MIN_AMOUNT)
+
+
+def _threshold(
+    snapshot: FleetSnapshot, allocation: Allocation, settings: CostSettings
+) -> DensityThreshold | None:
+    """The threshold at which as much is admitted as an allocation serves."""
+    demand, served = snapshot.total_demand(), math.fsum(allocation.flows.values())
+    if served >= (1 - settings.negligible_share) * math.fsum(demand.values()):
+        return None
+    return threshold_for(demand, served)
 
 
-def _price(picture: FleetSnapshot, found: Allocation, s: CostSettings) -> DensityThreshold | None:
-    """The price at which as much is let in as a division serves."""
-    asked, served = picture.total_demand(), math.fsum(found.flows.values())
-    if served >= (1 - s.negligible_share) * math.fsum(asked.values()):
-        return None
-    return threshold_for(asked, served)
+def _returning_zones(snapshot: FleetSnapshot, remaining: Mapping[str, float]) -> list[str]:
+    return [zone for zone in sorted(remaining) if remaining[zone] < 1.0 and zone in snapshot.zones]
 
 
-def _warm_ms(picture: FleetSnapshot, moved: Mapping[tuple[str, str], float]) -> float:
-    """Until nine in ten of the moved uses are warm, in the slowest zone, in ms."""
+def _return_ms(snapshot: FleetSnapshot, remaining: Mapping[str, float], settings: CostSettings) -> float:
+    """How long the slowest zone's return takes: its traffic grows, and its data gets warm."""
     slowest = 0.0
-    for zone in sorted({zone for _, zone in moved}):
-        view = picture.zones[zone]
-        rates = data_set_uses(picture, moved, zone)
-        fresh = {number: rate for number, rate in rates.items() if not is_warm(view.warm_filter, number)}
-        share = math.fsum(fresh.values()) / max(math.fsum(rates.values()), 1e-9)
-        if share > 0.1:
-            slowest = max(
-                slowest, 1000 * cold_cache.seconds_until_warm(fresh, view.engine_count, 0.1 / share)
-            )
+    for zone in _returning_zones(snapshot, remaining):
+        doublings = math.ceil(math.log2(1 / max(remaining[zone], settings.initial_share)))
+        warm_ms = home_warm_up_ms(snapshot, zone) if zone in snapshot.homes else 0.0
+        slowest = max(slowest, settings.doubling_ms * doublings + warm_ms)
     return slowest
 
 
-def _back(picture: FleetSnapshot, left: Mapping[str, float], s: CostSettings) -> tuple[float, float]:
-    """Time in ms and work in ms that the return costs: the ramp, and each set cold once in each engine."""
-    slowest, work = 0.0, []
-    for zone in sorted(left):
-        if left[zone] >= 1.0 or zone not in picture.zones:
-            continue
-        ramp = s.doubling_ms * math.ceil(math.log2(1 / max(left[zone], s.initial_share)))
-        warm, view = 0.0, picture.zones[zone]
-        if zone in picture.homes:
-            rates = _uses(picture, zone, 1.0)
-            warm = 1000 * cold_cache.seconds_until_warm(rates, view.engine_count)
-            runs = math.fsum(
-                cold_cache.cold_uses(r, view.engine_count, False, 600.0, math.inf) for r in rates.values()
-            )
-            work.append(runs * picture.homes[zone].mean_work_ms * (s.cold_factor - 1))
-        slowest = max(slowest, ramp + warm)
-    return slowest, math.fsum(work)
+def _return_work_ms(snapshot: FleetSnapshot, remaining: Mapping[str, float], settings: CostSettings) -> float:
+    """The work on cold data that the return of all zones makes."""
+    zones = [zone for zone in _returning_zones(snapshot, remaining) if zone in snapshot.homes]
+    return math.fsum(home_cold_work_ms(snapshot, zone, settings) for zone in zones)
--- /dev/null
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -0,0 +1,268 @@
+"""The solver of allocation problems: column generation round a revised simplex. Pure.
+
+See `allocation` for the program that it solves.
+"""
+
+from __future__ import annotations
+
+import bisect
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from cottonhold.fleet.failover_cost.allocation import (
+    EPSILON,
+    Allocation,
+    AllocationProblem,
+    Flow,
+    utility_of_step,
+)
+
+MAX_ROUNDS = 600
+RATIO_TOLERANCE = 1e-12  # two ratios that differ by less are a tie
+MIN_GAIN_EPSILONS = 10  # a column that gains less than so many times the least utility is not entered
+NO_ROW = -1
+
+
+class Assignment(NamedTuple):
+    """A zone that serves a home's steps from `begin` up to `end`, by their place among them."""
+
+    zone: str
+    begin: int
+    end: int
+
+
+@dataclass(slots=True)
+class Column:
+    """One home's answer to prices, or what a row leaves unused. usage: by row."""
+
+    gain: float
+    usage: dict[int, float]
+    home: str = ""
+    assignments: list[Assignment] = field(default_factory=list)
+
+
+class Demand(NamedTuple):
+    """A home's steps in order, the utility of each, and sums of work and of utility below each of them."""
+
+    steps: list[int]
+    utilities: list[float]
+    work_below: list[float]
+    utility_below: list[float]
+
+
+class Option(NamedTuple):
+    """A zone that may serve a home. cross_zone_row: NO_ROW in its own zone."""
+
+    zone: str
+    capacity_row: int
+    cross_zone_row: int
+    cost_factor: float
+    retained: float
+
+
+class Price(NamedTuple):
+    """What a core of a home's work costs in a zone, and what part of its utility remains there."""
+
+    cost: float
+    retained: float
+
+
+def _demand(rates: Mapping[int, float]) -> Demand:
+    steps = sorted(step for step, work in rates.items() if work > 0)
+    utilities = [utility_of_step(step) for step in steps]
+    work_below, utility_below = [0.0], [0.0]
+    for step, utility in zip(steps, utilities, strict=True):
+        work_below.append(work_below[-1] + rates[step])
+        utility_below.append(utility_below[-1] + rates[step] * utility)
+    return Demand(steps, utilities, work_below, utility_below)
+
+
+def _cost(column: Column, prices: list[float]) -> float:
+    """What a column uses, at these prices."""
+    total = 0.0
+    for row, amount in column.usage.items():
+        total += prices[row] * amount
+    return total
+
+
+class Simplex:
+    """The mix of columns. Rows: capacity, cross-zone capacity and congested capacity of each zone, then one
+    for each home."""
+
+    def __init__(self, problem: AllocationProblem) -> None:
+        self.problem = problem
+        self.zones, self.homes = sorted(problem.capacity), sorted(problem.demand)
+        count = len(self.zones)
+        self.zone_row = {zone: i for i, zone in enumerate(self.zones)}
+        self.home_row = {home: 3 * count + i for i, home in enumerate(self.homes)}
+        limits = [problem.capacity[zone] for zone in self.zones]
+        limits += [problem.cross_zone_capacity.get(zone, 0.0) for zone in self.zones]
+        limits += [problem.congested_capacity.get(zone, 0.0) for zone in self.zones]
+        self.limits = [max(limit, EPSILON) for limit in limits] + [1.0] * len(self.homes)
+        size = len(self.limits)
+        self.levels = list(self.limits)  # of the columns in the basis
+        self.inverse = [[float(i == j) for j in range(size)] for i in range(size)]
+        self.basis = [Column(0.0, {i: 1.0}) for i in range(size)]
+        cost = problem.congestion_cost
+        self.congestion = [Column(-cost, {i: -1.0, 2 * count + i: 1.0}) for i in range(count)]
+        self.options = {
+            home: [self._option(home, zone) for zone in problem.open_zones(home)] for home in self.homes
+        }
+        self.demand = {home: _demand(problem.demand[home]) for home in self.homes}
+        highest = max(
+            (utility_of_step(step) for rates in problem.demand.values() for step in rates), default=0.0
+        )
+        self.min_utility = EPSILON * max(highest, EPSILON)
+
+    def _option(self, home: str, zone: str) -> Option:
+        row, pair = self.zone_row[zone], (home, zone)
+        return Option(
+            zone,
+            row,
+            len(self.zones) + row if zone != home else NO_ROW,
+            self.problem.cost_factors.get(pair, 1.0),
+            self.problem.retained_utility.get(pair, 1.0),
+        )
+
+    def prices(self) -> list[float]:
+        """The shadow price of each row."""
+        prices = [0.0] * len(self.limits)
+        for column, row in zip(self.basis, self.inverse, strict=True):
+            if gain := column.gain:
+                prices = [price + gain * x for price, x in zip(prices, row, strict=True)]
+        return prices
+
+    def answer(self, home: str, prices: list[float]) -> Column:
+        """The best that a home can do at these prices.
+
+        Of the lines utility * retained - cost the one that is best at a step stays so until one that retains
+        more crosses it, so a home with many steps costs no more than one with few.
+        """
+        options = self.options[home]
+        costs = [_price(option, prices) for option in options]
+        steps, utilities, work_below, utility_below = self.demand[home]
+        usage, gain, assignments = {self.home_row[home]: 1.0}, 0.0, list[Assignment]()
+        begin = 0
+        while begin < len(steps):
+            chosen, crossing = self._best_line(utilities[begin], costs)
+            end = max(bisect.bisect_left(utilities, crossing), begin + 1)
+            if chosen >= 0:
+                zone, row, cross_zone_row, cost_factor, retained = options[chosen]
+                assignments.append(Assignment(zone, begin, end))
+                used = (work_below[end] - work_below[begin]) * cost_factor
+                usage[row] = usage.get(row, 0.0) + used
+                if cross_zone_row >= 0:
+                    usage[cross_zone_row] = usage.get(cross_zone_row, 0.0) + used
+                gain += (utility_below[end] - utility_below[begin]) * retained
+            begin = end
+        return Column(gain, usage, home, assignments)
+
+    def _best_line(self, utility: float, costs: list[Price]) -> tuple[int, float]:
+        """Which of these lines is best at a utility, -1 for none, and at which utility another crosses it."""
+        best, chosen, best_cost, best_retained = self.min_utility, -1, -self.min_utility, 0.0
+        for i, (cost, retained) in enumerate(costs):
+            if utility * retained - cost > best:
+                best, chosen, best_cost, best_retained = utility * retained - cost, i, cost, retained
+        crossing = math.inf
+        for cost, retained in costs:
+            if retained > best_retained:
+                crossing = min(crossing, (cost - best_cost) / (retained - best_retained))
+        return chosen, crossing
+
+    def best(self, prices: list[float]) -> tuple[Column | None, float]:
+        """The column that gains most, and the most that all homes could still gain together."""
+        chosen, highest, all_gains = None, self.min_utility * MIN_GAIN_EPSILONS, 0.0
+        for home in self.homes:
+            column = self.answer(home, prices)
+            gain = column.gain - _cost(column, prices)
+            all_gains += max(gain, 0.0)
+            if gain > highest:
+                chosen, highest = column, gain
+        for column in self.congestion:
+            gain = column.gain - _cost(column, prices)
+            if gain > highest:
+                chosen, highest = column, gain
+        for row, price in enumerate(prices):
+            if -price > highest:
+                chosen, highest = Column(0.0, {row: 1.0}), -price
+        return chosen, all_gains
+
+    def congestion_gain(self, prices: list[float]) -> float:
+        """The most that congested capacity could still gain at these prices."""
+        gains = [column.gain - _cost(column, prices) for column in self.congestion]
+        return sum(
+            max(gain, 0.0) * self.problem.congested_capacity.get(zone, 0.0)
+            for zone, gain in zip(self.zones, gains, strict=True)
+        )
+
+    def congestion_cost(self) -> float:
+        """What the congested capacity in use costs a second."""
+        used = zip(self.basis, self.levels, strict=True)
+        return -sum(column.gain * level for column, level in used if column.gain < 0)
+
+    def utility(self) -> float:
+        """What the mix brings a second."""
+        return sum(column.gain * level for column, level in zip(self.basis, self.levels, strict=True))
+
+    def bound(self, prices: list[float], gains: float) -> float:
+        """No mix brings more than this, by these prices and what homes could still gain at them."""
+        value = sum(price * limit for price, limit in zip(prices, self.limits, strict=True))
+        return value + gains + self.congestion_gain(prices)
+
+    def enter(self, column: Column) -> bool:
+        """Take a column into the mix; returns false if it can't be."""
+        direction = [_cost(column, row) for row in self.inverse]
+        leaving, least = NO_ROW, math.inf
+        for i, change in enumerate(direction):
+            if change > EPSILON and self.levels[i] / change < least - RATIO_TOLERANCE:
+                leaving, least = i, self.levels[i] / change
+        if leaving < 0:
+            return False
+        pivot = [x / direction[leaving] for x in self.inverse[leaving]]
+        non_zero = [(j, p) for j, p in enumerate(pivot) if p]  # few are
+        for i, change in enumerate(direction):
+            if i != leaving and change:
+                row = self.inverse[i]
+                for j, p in non_zero:
+                    row[j] -= change * p
+                self.levels[i] = max(self.levels[i] - change * least, 0.0)
+        self.inverse[leaving], self.levels[leaving], self.basis[leaving] = pivot, least, column
+        return True
+
+    def flows(self) -> dict[Flow, float]:
+        """The mix as work by home, zone and step."""
+        found = dict[Flow, float]()
+        for column, level in zip(self.basis, self.levels, strict=True):
+            for zone, begin, end in column.assignments if level > EPSILON else ():
+                for step in self.demand[column.home].steps[begin:end]:
+                    flow = column.home, zone, step
+                    work = level * self.problem.demand[column.home][step]
+                    found[flow] = found.get(flow, 0.0) + work
+        return dict(sorted(found.items()))
+
+
+def _price(option: Option, prices: list[float]) -> Price:
+    price = prices[option.capacity_row]
+    if option.cross_zone_row >= 0:
+        price += prices[option.cross_zone_row]
+    return Price(price * option.cost_factor, option.retained)
+
+
+def allocate(problem: AllocationProblem, tolerance: float = 0.0) -> Allocation:
+    """The allocation of highest utility, or one that is known to be off by no more than a part
+    `tolerance`."""
+    simplex, bound = Simplex(problem), math.inf
+    for _ in range(MAX_ROUNDS):
+        prices = simplex.prices()
+        column, gains = simplex.best(prices)
+        if min(prices) >= -simplex.min_utility:
+            bound = min(bound, simplex.bound(prices, gains))
+            if tolerance and bound - simplex.utility() <= tolerance * bound:
+                break
+        if column is None or not simplex.enter(column):
+            break
+    flows = simplex.flows()
+    served = sum(problem.utility(flow) * cores for flow, cores in flows.items())
+    return Allocation(flows, served - simplex.congestion_cost(), bound)
--- /dev/null
+++ b/cottonhold/fleet/failover_cost/site_observations.py
@@ -0,0 +1,134 @@
+"""What an instance observes of its own site: its clients' demand, and what zones answer. Pure."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable, Mapping
+
+from cottonhold.fleet.admission.demand import Demand, density_step
+from cottonhold.fleet.failover_cost.cost_settings import MIN_AMOUNT
+from cottonhold.fleet.failover_cost.hysteresis import UsageWeights
+from cottonhold.fleet.failover_cost.messages import (
+    UNKNOWN_CORES,
+    SiteReport,
+    ZoneObservation,
+    data_set_number,
+    filter_bits,
+)
+from cottonhold.fleet.latest_reports import Stamp
+from cottonhold.fleet.zone_failover.messages import zone_number
+
+RECENT_MEMORY_MS = 700.0  # of the quicker count of the own demand
+DATA_SET_MEMORY_MS = 2000.0
+MEAN_DECAY = 0.999  # a request, of what the mean work of requests remembers
+TRIP_GAIN = 0.1  # of a new round trip, against those before
+DEFAULT_WORK_MS = 20.0
+MIN_DATA_SET_SHARE = 1e-3  # of the demand; what has less is not reported
+MIN_KNOWN_PART = 4  # the excess work counts from a fourth of its memory on: by a few answers, chance would
+
+
+class SiteObservations:
+    """Feed it requests and answers; it makes reports. memory_ms: of which data sets are warm where."""
+
+    def __init__(self, now: float, memory_ms: float) -> None:
+        self.memory_ms = memory_ms
+        self.demand, self.recent_demand = Demand(now), Demand(now, RECENT_MEMORY_MS)
+        self.data_set_use, self.answer_use = UsageWeights(DATA_SET_MEMORY_MS), UsageWeights(memory_ms)
+        self.request_work_ms, self.request_count = 0.0, 0.0  # for the mean work of a request
+        self.excess_work, self.excess_known_since = UsageWeights(memory_ms), math.inf
+        self.round_trips_ms: dict[str, float] = {}
+
+    def on_request(self, now: float, utility: float, work_ms: float, data_set: str) -> None:
+        """A request of this instance's clients has arrived."""
+        self.demand.add(now, density_step(utility, work_ms), work_ms)
+        self.recent_demand.add(now, 0, work_ms)
+        self.data_set_use.add(now, "", data_set_number(data_set), work_ms)
+        self.request_work_ms = self.request_work_ms * MEAN_DECAY + work_ms
+        self.request_count = self.request_count * MEAN_DECAY + 1
+
+    def on_answer(self, now: float, zone: str, data_set: str, excess_work_ms: float | None) -> None:
+        """A zone has answered a query on a data set. excess_work_ms: that it took beyond the estimate, if
+        both are known."""
+        self.answer_use.add(now, zone, data_set_number(data_set), 1.0)
+        if excess_work_ms is not None:
+            self.excess_work.add(now, "", 0, excess_work_ms)
+            self.excess_known_since = min(self.excess_known_since, now)
+
+    def on_round_trip(self, zone: str, round_trip_ms: float) -> None:
+        """A zone has answered a health check: its distance, without any work."""
+        before = self.round_trips_ms.get(zone, round_trip_ms)
+        self.round_trips_ms[zone] = before * (1 - TRIP_GAIN) + round_trip_ms * TRIP_GAIN
+
+    def offered_cores(self, now: float) -> float:
+        """The demand of this instance's clients. The quicker count matters after clients were led here: the
+        slower one knows only a part of them yet."""
+        return max(math.fsum(count.rates(now).values()) for count in (self.demand, self.recent_demand))
+
+    def report(
+        self,
+        now: float,
+        member: int,
+        stamp: Stamp,
+        home_zone: str,
+        engines: Mapping[str, Iterable[str]],
+        default_round_trip_ms: float,
+    ) -> SiteReport:
+        """What this instance reports. engines: by zone; default_round_trip_ms: to zones not measured yet."""
+        self.data_set_use.prune(now)
+        self.answer_use.prune(now)
+        mean_work_ms = (
+            self.request_work_ms / self.request_count if self.request_count > 0 else DEFAULT_WORK_MS
+        )
+        return SiteReport(
+            member,
+            *stamp,
+            zone_number(home_zone),
+            mean_work_ms,
+            self.demand.rates(now),
+            self._data_set_shares(now),
+            self._zones(now, engines, default_round_trip_ms),
+            self._excess_cores(now),
+        )
+
+    def _data_set_shares(self, now: float) -> dict[int, float]:
+        """Parts of the demand by data set."""
+        use = self.data_set_use
+        weights = {number: use.weight(now, "", number) for _, number in sorted(use.weights)}
+        total = math.fsum(weights.values())
+        if total <= 0:
+            return {}
+        return {n: weight / total for n, weight in weights.items() if weight > MIN_DATA_SET_SHARE * total}
+
+    def _zones(
+        self, now: float, engines: Mapping[str, Iterable[str]], default_round_trip_ms: float
+    ) -> dict[int, ZoneObservation]:
+        """All zones as this instance sees them, by number."""
+        answers = dict[str, float]()
+        for zone, number in self.answer_use.weights:
+            answers[zone] = answers.get(zone, 0.0) + self.answer_use.weight(now, zone, number)
+        all_answers = max(math.fsum(answers.values()), MIN_AMOUNT)
+        return {
+            zone_number(zone): ZoneObservation(
+                self.round_trips_ms.get(zone, default_round_trip_ms),
+                answers.get(zone, 0.0) / all_answers,
+                self._warm_filter(now, zone, len(list(there))),
+            )
+            for zone, there in engines.items()
+        }
+
+    def _warm_filter(self, now: float, zone: str, engine_count: int) -> int:
+        """The data sets that a zone has warm: those that it answered as often as it has engines, since one
+        answer warms one engine."""
+        warm_filter = 0
+        for at, number in self.answer_use.weights:
+            if at == zone and self.answer_use.weight(now, zone, number) >= engine_count:
+                warm_filter |= filter_bits(number)
+        return warm_filter
+
+    def _excess_cores(self, now: float) -> float:
+        """Cores that this instance's requests take beyond the estimate."""
+        known_ms = now - self.excess_known_since
+        if known_ms < self.memory_ms / MIN_KNOWN_PART:
+            return UNKNOWN_CORES
+        seen_ms = self.memory_ms * -math.expm1(-known_ms / self.memory_ms)
+        return max(self.excess_work.weight(now, "", 0) / seen_ms, 0.0)
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -144,7 +144,7 @@
             tables, told = self.sets.get(attempt.request_id, (-1, 0.0))
             beyond = event.actual_work_ms - told if told > 0 and event.actual_work_ms > 0 else None
             zone = self.coordinator.zone_of.get(attempt.engine, "")
-            self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), beyond=beyond)
+            self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), excess_work_ms=beyond)
         self.coordinator.on_attempt_ended(now, _ref(attempt), good, event.elapsed_ms, event.actual_work_ms)
 
     def on_request_closed(self, ref: str) -> None:
--- a/tests/fleet/test_allocation.py
+++ b/tests/fleet/test_allocation.py
@@ -8,7 +8,8 @@
 import pytest
 
 from cottonhold.fleet.failover_cost import allocation_reference
-from cottonhold.fleet.failover_cost.allocation import AllocationProblem, Simplex, allocate, utility_of_step
+from cottonhold.fleet.failover_cost.allocation import AllocationProblem, utility_of_step
+from cottonhold.fleet.failover_cost.simplex import Simplex, allocate
 
 
 def drawn(seed: int, zones: int, steps: int = 10) -> AllocationProblem:
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -19,7 +19,7 @@
     cross_zone_work,
     divide_among_engines,
 )
-from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings, Question
 from cottonhold.fleet.failover_cost.messages import encode_site_reports
 from cottonhold.fleet.failover_cost.snapshot_plan import SnapshotPlan
 from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
@@ -105,8 +105,8 @@
         shaky.on_result(1000.0, "b0", False)
         shaky.on_result(1000.0, "b1", False)
         shaky.on_result(1000.0, "b1", True)
-    cold = [engine for engine in ENGINES["b"] if shaky(5000.0, engine)]
-    assert cold == ["b0"] and not shaky(1000.0 + S.warm_up_ms, "b0")
+    cold = [engine for engine in ENGINES["b"] if shaky.may_be_cold(5000.0, engine)]
+    assert cold == ["b0"] and not shaky.may_be_cold(1000.0 + S.warm_up_ms, "b0")
     found = divide_among_engines(1.5, ENGINES["b"], cold, 0.5, S)
     assert found["b0"] == pytest.approx(S.cold_share / 2) and sum(found.values()) == pytest.approx(1.5)
     assert min(divide_among_engines(0.0, ENGINES["b"], cold, 0.5, S).values()) > 0
@@ -152,7 +152,11 @@
     assert all(work[engine] == 0 for engine in ENGINES["a"])
     assert {engine[0] for engine in work} - {"a"} == bounded
     by_zone = {zone: math.fsum(work[engine] for engine in ENGINES[zone]) for zone in bounded}
-    demand = math.fsum(made.failover_cost.demand.rates(2700.0).values()) if made.failover_cost else 0.0
+    demand = (
+        math.fsum(made.failover_cost.observations.demand.rates(2700.0).values())
+        if made.failover_cost
+        else 0.0
+    )
     if home == "a":
         assert math.fsum(by_zone.values()) >= 0.95 * demand and by_zone["b"] > by_zone["c"]
     else:
@@ -190,25 +194,25 @@
         for _ in range(20):
             made.on_request(now + 1900.0, 6.0, 20.0)
         made.engine_limits(now + 2000.0, {"a": 0.0})
-        return dict(made.held_shares["now", "a"].shares)
+        return dict(made.held_shares[Question.NOW, "a"].shares)
 
     first = shares(0.0, 0.8)
     assert shares(2000.0, 0.85) == first != shares(4000.0, 2.4)
     made.engine_limits(6100.0, {})
-    assert ("now", "a") not in made.held_shares
+    assert (Question.NOW, "a") not in made.held_shares
 
 
 def test_a_question_that_is_the_same_is_divided_once(monkeypatch: pytest.MonkeyPatch) -> None:
     made, asked = CostEstimator(99, 1, 0.0, "a", 1), list[str]()
     made.set_engines(ENGINES)
     steps(made, fleet(), 0.0, 2000.0)
-    keep = CostEstimator._keep
+    keep = CostEstimator._solve_retained
 
     def counted(self: CostEstimator, plan: SnapshotPlan, zone: str, gives: float, good: float) -> float:
         asked.append(zone)
         return keep(self, plan, zone, gives, good)
 
-    monkeypatch.setattr(CostEstimator, "_keep", counted)
+    monkeypatch.setattr(CostEstimator, "_solve_retained", counted)
     for i in range(20):
         made.retained_share(2000.0 + i * 100.0, "a", 1.0, 0.95 + i * 0.002)
     assert asked == ["a"]
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -15,6 +15,7 @@
 from cottonhold.fleet.admission.demand import DENSITY_STEPS, density_step
 from cottonhold.fleet.failover_cost import fleet_snapshot as pictures
 from cottonhold.fleet.failover_cost.allocation import utility_of_step
+from cottonhold.fleet.failover_cost.cost_settings import CostSettings
 from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
 from cottonhold.fleet.failover_cost.fleet_snapshot import SnapshotSettings, take_snapshot
 from cottonhold.fleet.failover_cost.hysteresis import HeldShares, HysteresisSettings
@@ -27,7 +28,7 @@
     encode_site_reports,
     filter_bits,
 )
-from cottonhold.fleet.failover_cost.projection import CostSettings, Projection, project
+from cottonhold.fleet.failover_cost.projection import Projection, project
 from cottonhold.fleet.latest_reports import LatestReports
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.zone_failover.messages import zone_number
@@ -288,7 +289,7 @@
     assert made.build_report(2000.0).excess_cores == -1.0
     for t in range(2000, 12_000, 50):  # each needs 20 ms; one in four takes 60
         made.on_request(float(t), 6.0, 20.0, "x")
-        made.on_answer(float(t), "a", "x", beyond=40.0 if t % 200 == 0 else 0.0)
+        made.on_answer(float(t), "a", "x", excess_work_ms=40.0 if t % 200 == 0 else 0.0)
         assert t > 4000 or made.build_report(float(t)).excess_cores == -1.0
     [read] = decode_site_reports(encode_site_reports([made.build_report(12_000.0)]))
     assert read.excess_cores == pytest.approx(0.2, abs=0.03)  # five of 40 ms a second
@@ -434,7 +435,7 @@
         made.on_request(2000.0, 1.0, 20.0, f"once/{i}")
         made.on_answer(2000.0, "a", f"once/{i}")
     made.build_report(200_000.0)
-    assert not made.data_set_use.weights and not made.answer_use.weights
+    assert not made.observations.data_set_use.weights and not made.observations.answer_use.weights
 
 
 # --- whether it comes true ---
