--- a/cottonhold/fleet/failover_cost/simplex.py
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -25,12 +25,9 @@
 NO_ROW = -1
 
 
-class Assignment(NamedTuple):
-    """A zone that serves a home's steps from `begin` up to `end`, by their place among them."""
-
-    zone: str
-    begin: int
-    end: int
+# A zone, and the first and the end of a home's steps that it serves, by their place among them. A plain
+(tuple,)  # since thousands are made for each problem.
+Assignment = tuple[str, int, int]
 
 
 @dataclass(slots=True)
@@ -62,13 +59,6 @@
     retained: float
 
 
-class Price(NamedTuple):
-    """What a core of a home's work costs in a zone, and what part of its utility remains there."""
-
-    cost: float
-    retained: float
-
-
 def _demand(rates: Mapping[int, float]) -> Demand:
     steps = sorted(step for step, work in rates.items() if work > 0)
     utilities = [utility_of_step(step) for step in steps]
@@ -141,16 +131,28 @@
         more crosses it, so a home with many steps costs no more than one with few.
         """
         options = self.options[home]
-        costs = [_price(option, prices) for option in options]
+        costs = [
+            ((prices[row] + prices[cross] if cross >= 0 else prices[row]) * cost_factor, retained)
+            for _, row, cross, cost_factor, retained in options
+        ]
         steps, utilities, work_below, utility_below = self.demand[home]
         usage, gain, assignments = {self.home_row[home]: 1.0}, 0.0, list[Assignment]()
-        begin = 0
-        while begin < len(steps):
-            chosen, crossing = self._best_line(utilities[begin], costs)
+        begin, count = 0, len(steps)
+        while begin < count:
+            # Kept in one loop: it runs for each step and zone of each home, hundreds of times a problem.
+            utility, best, chosen = utilities[begin], self.min_utility, -1
+            best_cost, best_retained, crossing = -self.min_utility, 0.0, math.inf
+            for i, (cost, retained) in enumerate(costs):
+                value = utility * retained - cost
+                if value > best:
+                    best, chosen, best_cost, best_retained = value, i, cost, retained
+            for cost, retained in costs:
+                if retained > best_retained:
+                    crossing = min(crossing, (cost - best_cost) / (retained - best_retained))
             end = max(bisect.bisect_left(utilities, crossing), begin + 1)
             if chosen >= 0:
                 zone, row, cross_zone_row, cost_factor, retained = options[chosen]
-                assignments.append(Assignment(zone, begin, end))
+                assignments.append((zone, begin, end))
                 used = (work_below[end] - work_below[begin]) * cost_factor
                 usage[row] = usage.get(row, 0.0) + used
                 if cross_zone_row >= 0:
@@ -159,18 +161,6 @@
             begin = end
         return Column(gain, usage, home, assignments)
 
-    def _best_line(self, utility: float, costs: list[Price]) -> tuple[int, float]:
-        """Which of these lines is best at a utility, -1 for none, and at which utility another crosses it."""
-        best, chosen, best_cost, best_retained = self.min_utility, -1, -self.min_utility, 0.0
-        for i, (cost, retained) in enumerate(costs):
-            if utility * retained - cost > best:
-                best, chosen, best_cost, best_retained = utility * retained - cost, i, cost, retained
-        crossing = math.inf
-        for cost, retained in costs:
-            if retained > best_retained:
-                crossing = min(crossing, (cost - best_cost) / (retained - best_retained))
-        return chosen, crossing
-
     def best(self, prices: list[float]) -> tuple[Column | None, float]:
         """The column that gains most, and the most that all homes could still gain together."""
         chosen, highest, all_gains = None, self.min_utility * MIN_GAIN_EPSILONS, 0.0
@@ -243,13 +233,6 @@
         return dict(sorted(found.items()))
 
 
-def _price(option: Option, prices: list[float]) -> Price:
-    price = prices[option.capacity_row]
-    if option.cross_zone_row >= 0:
-        price += prices[option.cross_zone_row]
-    return Price(price * option.cost_factor, option.retained)
-
-
 def allocate(problem: AllocationProblem, tolerance: float = 0.0) -> Allocation:
     """The allocation of highest utility, or one that is known to be off by no more than a part
     `tolerance`."""
