--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -1,9 +1,10 @@
-"""Handing a client's request on to the dispatcher that owns its key, and the one answer back. Pure.
+"""Forwarding a client's request to the member that owns its key, and the one answer back. Pure.
 
-One `HandOn` is at each dispatcher. As origin it offers a request to one owner (handoffer.py), as owner it
-takes it once and in time (handtaking.py). Words (handwords.py) may be lost, come twice, in any order, late,
-or from a life that has ended; bodies go in parts (parcels.py). The rim carries out the actions and decides
-nothing: `Take` goes to the gateway, whose end comes back by `answered`; `Ended` is for the client.
+Each dispatcher has one `RequestForwarder`. As origin it sends a request to one owner (origin.py), as owner
+it accepts it once and in time (owner.py). Messages (messages.py) may be lost, repeated, reordered, late, or
+from an incarnation that is over; bodies are sent in fragments (fragmentation.py). The adapter carries out
+the actions: `RequestAccepted` goes to the gateway, which reports the result by `on_request_ended`;
+`ForwardingEnded` is for the client.
 """
 
 from __future__ import annotations
@@ -13,119 +14,141 @@
 
 from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.request_forwarding.interface import Action, Ended, Gone, HandSettings, Take
+from cottonhold.fleet.request_forwarding.interface import (
+    Action,
+    ForwardingEnded,
+    ForwardingSettings,
+    RequestAbandoned,
+    RequestAccepted,
+)
 from cottonhold.fleet.request_forwarding.messages import (
     U32,
-    Ack,
-    Answer,
-    End,
-    Got,
-    Lives,
-    Part,
-    Probe,
-    Withdraw,
-    read,
+    AnswerAck,
+    AnswerFragment,
+    ForwardResult,
+    IncarnationQuery,
+    IncarnationReply,
+    RequestAck,
+    RequestFragment,
+    WithdrawRequest,
+    decode,
 )
-from cottonhold.fleet.request_forwarding.origin import Offering
-from cottonhold.fleet.request_forwarding.owner import Taking
-
-__all__ = ["Action", "End", "Ended", "Gone", "HandOn", "HandSettings", "SendMessage", "Take"]
-
-
-class HandOn:
-    """me: this member's number. life: another one for each start of its process, its lower 32 bits count and
-    are not 0. seed: of the spread of repeats. Times in ms on any clock that never goes back."""
-
-    def __init__(self, me: int, life: int, settings: HandSettings, seed: int) -> None:
-        if not life & U32:
-            raise ValueError("a life whose lower 32 bits are 0")
-        self.me, self.life, self.settings = me, life & U32, settings
+from cottonhold.fleet.request_forwarding.origin import RequestOrigin
+from cottonhold.fleet.request_forwarding.owner import RequestOwner
+
+__all__ = [
+    "Action",
+    "ForwardResult",
+    "ForwardingEnded",
+    "RequestAbandoned",
+    "RequestForwarder",
+    "ForwardingSettings",
+    "SendMessage",
+    "RequestAccepted",
+]
+
+
+class RequestForwarder:
+    """One member's side of request forwarding.
+
+    incarnation: another one for each start of the process; its lower 32 bits count and are not 0. seed: of
+    the random part of retry times. Times are in ms of any clock that never goes back. Raises ValueError for
+    an unusable incarnation.
+    """
+
+    def __init__(self, member: int, incarnation: int, settings: ForwardingSettings, seed: int) -> None:
+        if not incarnation & U32:
+            raise ValueError("an incarnation whose lower 32 bits are 0")
+        self.incarnation = incarnation & U32
         self.counts: Counter[str] = Counter()
-        self.out: list[Action] = []
-        self.offering = Offering(me, self.life, settings, seed, self.counts, self.out)
-        self.taking = Taking(self.life, settings, self.counts, self.out)
+        self.actions: list[Action] = []
+        self.origin = RequestOrigin(member, self.incarnation, settings, seed, self.counts, self.actions)
+        self.owner = RequestOwner(self.incarnation, settings, self.counts, self.actions)
 
-    # --- origin ---
-
-    def hand(
-        self, now: float, ref: str, owner: int, body: bytes, until: float, line: bytes = b""
+    def forward(
+        self, now: float, request_id: str, owner: int, body: bytes, deadline: float, queue_key: bytes = b""
     ) -> list[Action]:
-        """A client's request (`ref`) belongs to `owner`; an `Ended` follows before `until`. Those of one line
-        are taken in the order in which they are handed. Raises ValueError for a ref in use or for this
-        member itself as owner."""
-        self.offering.hand(now, ref, owner, body, until, line)
-        return self._flush()
-
-    def gone(self, now: float, ref: str) -> list[Action]:
-        """The client of a request left: there is no `Ended` for it; its owner is told."""
-        self.offering.gone(now, ref)
-        return self._flush()
-
-    # --- owner ---
-
-    def answered(
-        self, now: float, origin: int, number: int, end: End, ms: float = 0.0, data: bytes = b""
+        """Forward a client's request to the owner of its key; a ForwardingEnded follows before the deadline.
+
+        Requests with the same queue_key are accepted in the order in which they are forwarded. Raises
+        ValueError for an id in use, or if this member is the owner.
+        """
+        self.origin.forward(now, request_id, owner, body, deadline, queue_key)
+        return self._take_actions()
+
+    def abandon(self, now: float, request_id: str) -> list[Action]:
+        """The client of a request left: there is no ForwardingEnded for it; its owner is informed."""
+        self.origin.abandon(now, request_id)
+        return self._take_actions()
+
+    def on_request_ended(
+        self,
+        now: float,
+        origin: int,
+        number: int,
+        result: ForwardResult,
+        retry_after_ms: float = 0.0,
+        data: bytes = b"",
     ) -> list[Action]:
-        """How a request of a `Take` ended here. REFUSED, MOVED and NOBODY promise that nothing ran. Data of
-        more than LARGEST bytes, or of more than `answering` for one origin, can't be brought: FAILED."""
-        self.taking.answered(now, origin, number, end, ms, data)
-        return self._flush()
+        """The gateway's result of a request from a RequestAccepted.
 
-    # --- both ---
+        REJECTED, NOT_OWNER and NOT_ACCEPTED promise that nothing ran. Data of more than MAX_BODY_BYTES, or
+        beyond max_answer_bytes for one origin, cannot be sent: the result is FAILED then.
+        """
+        self.owner.on_request_ended(now, origin, number, result, retry_after_ms, data)
+        return self._take_actions()
 
-    def on_message(self, now: float, sender: int, data: bytes) -> list[Action]:
-        """A word (first byte 79) of a member; one that makes no sense is counted and changes nothing."""
-        self.offering.expire(now)
+    def on_message(self, now: float, sender: int, payload: bytes) -> list[Action]:
+        """Apply a message (first byte 79); a malformed one is counted and changes nothing."""
+        self.origin.expire(now)
         try:
-            self._hear(now, sender, data)
+            self._dispatch(now, sender, payload)
         except MessageError:
             self.counts["malformed"] += 1
-        self.taking.heard(now, sender)
-        return self._flush()
+        self.owner.after_message(now, sender)
+        return self._take_actions()
 
     def step(self, now: float) -> list[Action]:
-        """Time has passed; call at `next_at` at the latest."""
-        self.offering.step(now)
-        self.taking.step(now)
-        return self._flush()
+        """Do what is due; call at `next_at` at the latest."""
+        self.origin.step(now)
+        self.owner.step(now)
+        return self._take_actions()
 
     def next_at(self) -> float:
-        """When `step` is due; infinite while nothing is open."""
-        return min(self.offering.next_at(), self.taking.next_at(), math.inf)
+        """Return when `step` is due; infinite while nothing is open."""
+        return min(self.origin.next_at(), self.owner.next_at(), math.inf)
 
     def status(self) -> dict[str, int]:
-        """What is open now, and what went by."""
-        callers = self.taking.callers.values()
-        guests = [g for c in callers for g in c.guests.values()]
+        """Return what is open now, and the counts of events, by the names of the local socket."""
+        origins = self.owner.origins.values()
+        incarnations = [incarnation for origin in origins for incarnation in origin.incarnations.values()]
         return {
-            "open": self.offering.open,
-            "here": sum(len(g.records) for g in guests),
-            "remembered": sum(len(g.over) for g in guests),
-            "gathering_bytes": sum(c.gathering for c in callers),
-            "answering_bytes": sum(c.answering for c in callers),
+            "open": self.origin.open_count,
+            "here": sum(len(incarnation.requests) for incarnation in incarnations),
+            "remembered": sum(len(incarnation.was_accepted) for incarnation in incarnations),
+            "gathering_bytes": sum(origin.receiving_bytes for origin in origins),
+            "answering_bytes": sum(origin.answer_bytes for origin in origins),
             **self.counts,
         }
 
-    # --- inside ---
-
-    def _hear(self, now: float, sender: int, data: bytes) -> None:
-        match read(data):
-            case Probe(life):
-                self.taking.probe(now, sender, life)
-            case Part() as w:
-                self.taking.part(now, sender, w)
-            case Withdraw() as w:
-                self.taking.withdraw(now, sender, w)
-            case Got() as w:
-                self.taking.got(sender, w)
-            case Lives() as w:
-                self.offering.lives(now, sender, w)
-            case Ack() as w:
-                self.offering.ack(now, sender, w)
-            case Answer() as w:
-                self.offering.answer(now, sender, w)
-
-    def _flush(self) -> list[Action]:
-        found = self.out[:]
-        self.out.clear()
-        return found
+    def _dispatch(self, now: float, sender: int, payload: bytes) -> None:
+        match decode(payload):
+            case IncarnationQuery(life):
+                self.owner.on_incarnation_query(now, sender, life)
+            case RequestFragment() as message:
+                self.owner.on_request_fragment(now, sender, message)
+            case WithdrawRequest() as message:
+                self.owner.on_withdraw(now, sender, message)
+            case AnswerAck() as message:
+                self.owner.on_answer_ack(sender, message)
+            case IncarnationReply() as message:
+                self.origin.on_incarnation_reply(now, sender, message)
+            case RequestAck() as message:
+                self.origin.on_request_ack(now, sender, message)
+            case AnswerFragment() as message:
+                self.origin.on_answer_fragment(now, sender, message)
+
+    def _take_actions(self) -> list[Action]:
+        actions = self.actions[:]
+        self.actions.clear()
+        return actions
--- a/cottonhold/fleet/request_forwarding/fragmentation.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -1,193 +1,219 @@
-"""A body in parts on its way: a window, selective acknowledgement, resent with back-off. Pure.
+"""Bodies sent in fragments: a send window, selective acknowledgement, and retries with backoff. Pure.
 
-A `Lane` carries the parcels for one neighbour, the oldest number first. At most `window` parts of all of them
-are on their way at once, so a neighbour is not flooded, whatever waits. A part whose time is over no longer
-counts as on its way and goes before what is younger. What arrives widens the window up to that, silence
-halves it: so most requests for a dead neighbour are not sent whole, and may go elsewhere.
+A `SendWindow` sends the bodies for one other member, the lowest number first. At most `max_in_flight`
+fragments of all of them are in flight at once, so that member is not flooded. A fragment whose retry time is
+over no longer counts as in flight and is sent before later ones. Acknowledged fragments grow the window up
+to that limit, silence halves it: most requests for a failed member are then not fully sent, and may go
+elsewhere.
 """
 
 from __future__ import annotations
 
 import heapq
 import math
+from typing import NamedTuple
 
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.request_forwarding.messages import parts_of
+from cottonhold.fleet.request_forwarding.messages import fragment_count
 
-FIRST, LEAST = 16.0, 4.0  # parts on their way to a neighbour that has said nothing yet, and to a silent one
+INITIAL_WINDOW = 16.0  # fragments in flight to a member that has acknowledged nothing yet
+MIN_WINDOW = 4.0  # and to a silent one
+MAX_BACKOFF_DOUBLINGS = 16
 
 
-class Parcel:
-    """A body that goes out in parts of `room` bytes."""
+class FragmentTimer(NamedTuple):
+    """When a fragment is sent again."""
 
-    def __init__(self, number: int, body: bytes, room: int) -> None:
-        self.number, self.body, self.room = number, body, room
-        self.count = parts_of(len(body), room)
+    retry_at: float
+    number: int
+    fragment: int
+
+
+class FragmentedBody:
+    """A body that is sent in fragments of `fragment_bytes` bytes."""
+
+    def __init__(self, number: int, body: bytes, fragment_bytes: int) -> None:
+        self.number = number
+        self.body = body
+        self.fragment_bytes = fragment_bytes
+        self.fragment_count = fragment_count(len(body), fragment_bytes)
         self.reset()
 
     def reset(self) -> None:
-        """As if nothing had been sent."""
-        self.next, self.acked = 0, 0
-        self.again: list[int] = []  # heap of parts whose time is over
-        self.flight: dict[int, float] = {}  # part -> when it is resent
-        self.tries = [0] * self.count
+        """Forget all that was sent and acknowledged."""
+        self.next_unsent = 0
+        self.acked_bits = 0
+        self.overdue: list[int] = []  # heap of fragments to be sent again
+        self.in_flight: dict[int, float] = {}  # by fragment: when it is sent again
+        self.send_counts = [0] * self.fragment_count
 
     @property
-    def whole(self) -> bool:
-        """Each part was sent at least once: whoever it went to may have all of it."""
-        return self.next >= self.count
+    def is_fully_sent(self) -> bool:
+        """Whether each fragment was sent at least once: the receiver may have all of it."""
+        return self.next_unsent >= self.fragment_count
 
     @property
-    def done(self) -> bool:
-        """Each part has arrived."""
-        return self.acked == (1 << self.count) - 1
-
-    def part(self, index: int) -> bytes:
-        """A part's bytes."""
-        return self.body[index * self.room : (index + 1) * self.room]
-
-    def take(self) -> int | None:
-        """The next part to send."""
-        while self.again:
-            index = heapq.heappop(self.again)
-            if not self.acked >> index & 1:
+    def is_fully_acked(self) -> bool:
+        """Whether each fragment is acknowledged."""
+        return self.acked_bits == (1 << self.fragment_count) - 1
+
+    def fragment(self, index: int) -> bytes:
+        """Return a fragment's bytes."""
+        return self.body[index * self.fragment_bytes : (index + 1) * self.fragment_bytes]
+
+    def take_next(self) -> int | None:
+        """Return the next fragment to send."""
+        while self.overdue:
+            index = heapq.heappop(self.overdue)
+            if not self.acked_bits >> index & 1:
                 return index
-        if self.next < self.count:
-            self.next += 1
-            return self.next - 1
+        if self.next_unsent < self.fragment_count:
+            self.next_unsent += 1
+            return self.next_unsent - 1
         return None
 
     def ready(self) -> bool:
-        """Whether there may be a part to send."""
-        return bool(self.again) or self.next < self.count
+        """Whether there may be a fragment to send."""
+        return bool(self.overdue) or self.next_unsent < self.fragment_count
 
-    def ack(self, bits: int) -> None:
-        """These parts have arrived. Raises MessageError where one of them was never sent."""
-        if bits >> self.next:
+    def on_ack(self, received_bits: int) -> None:
+        """Apply the bits of arrived fragments. Raises MessageError if one of them was never sent."""
+        if received_bits >> self.next_unsent:
             raise MessageError("a part that was not sent")
-        self.acked |= bits
-        for index in [i for i in self.flight if bits >> i & 1]:
-            del self.flight[index]
-
-
-class Lane:
-    """What is on its way to one neighbour. Times in ms. retry: a part without an answer is sent again, later
-    each time up to `most`."""
-
-    def __init__(self, window: int, retry: float, most: float) -> None:
-        self.window, self.retry, self.most = window, retry, most
-        self.parcels: dict[int, Parcel] = {}
-        self.ready: list[int] = []  # heap of numbers with something to send
-        self.timers: list[tuple[float, int, int]] = []  # heap: when, number, part
-        self.flight = 0
-        self.wide = min(float(window), FIRST)  # parts that may be on their way now
-        self.silent, self.narrow_at = True, -math.inf  # since and until when it is not narrowed again
-
-    def add(self, parcel: Parcel) -> None:
-        """A parcel to bring there."""
-        self.parcels[parcel.number] = parcel
-        heapq.heappush(self.ready, parcel.number)
-
-    def drop(self, number: int) -> None:
-        """No more of it is sent."""
-        parcel = self.parcels.pop(number, None)
-        if parcel is not None:
-            self.flight -= len(parcel.flight)
-            parcel.flight.clear()
-
-    def ack(self, number: int, bits: int) -> None:
-        """What has arrived of one."""
-        parcel = self.parcels.get(number)
-        if parcel is not None:
-            before = len(parcel.flight)
-            parcel.ack(bits)
-            self.flight -= before - len(parcel.flight)
-            self._widen(before - len(parcel.flight))
-
-    def arrived(self, number: int) -> None:
-        """All of one has arrived."""
-        if number in self.parcels:
-            # Danger: taken at once, a request of one part has no bits that tell; the window stayed narrow.
-            self._widen(max(1, len(self.parcels[number].flight)))
-            self.drop(number)
-
-    def _widen(self, arrived: int) -> None:
-        self.silent = self.silent and not arrived
-        self.wide = min(self.wide + arrived, float(self.window))
-
-    def run(self, now: float) -> list[tuple[Parcel, int]]:
-        """The parts to send now."""
-        self._overdue(now)
-        out: list[tuple[Parcel, int]] = []
-        while self.ready and self.flight < int(self.wide):
-            parcel = self.parcels.get(self.ready[0])
-            index = parcel.take() if parcel is not None else None
-            if parcel is None or index is None:
-                heapq.heappop(self.ready)
+        self.acked_bits |= received_bits
+        for index in [i for i in self.in_flight if received_bits >> i & 1]:
+            del self.in_flight[index]
+
+
+class SendWindow:
+    """The fragments in flight to one other member.
+
+    An unacknowledged fragment is sent again after retry_interval_ms, doubled each time up to
+    max_retry_interval_ms.
+    """
+
+    def __init__(self, max_in_flight: int, retry_interval_ms: float, max_retry_interval_ms: float) -> None:
+        self.max_in_flight = max_in_flight
+        self.retry_interval_ms = retry_interval_ms
+        self.max_retry_interval_ms = max_retry_interval_ms
+        self.bodies: dict[int, FragmentedBody] = {}
+        self.sendable_numbers: list[int] = []  # heap of numbers with something to send
+        self.retry_timers: list[FragmentTimer] = []  # heap
+        self.in_flight_count = 0
+        self.window_size = min(float(max_in_flight), INITIAL_WINDOW)
+        self.nothing_arrived = True  # since the window was last shrunk
+        self.next_shrink_at = -math.inf
+
+    def add(self, body: FragmentedBody) -> None:
+        """Begin to send a body."""
+        self.bodies[body.number] = body
+        heapq.heappush(self.sendable_numbers, body.number)
+
+    def remove(self, number: int) -> None:
+        """Send no more of a body."""
+        body = self.bodies.pop(number, None)
+        if body is not None:
+            self.in_flight_count -= len(body.in_flight)
+            body.in_flight.clear()
+
+    def on_ack(self, number: int, received_bits: int) -> None:
+        """Apply the bits of arrived fragments of a body. Raises MessageError if one was never sent."""
+        body = self.bodies.get(number)
+        if body is not None:
+            before = len(body.in_flight)
+            body.on_ack(received_bits)
+            self.in_flight_count -= before - len(body.in_flight)
+            self._grow(before - len(body.in_flight))
+
+    def on_fully_received(self, number: int) -> None:
+        """All of a body has arrived."""
+        if number in self.bodies:
+            # A request of one fragment is accepted without acknowledged bits, so it counts here.
+            self._grow(max(1, len(self.bodies[number].in_flight)))
+            self.remove(number)
+
+    def _grow(self, arrived_count: int) -> None:
+        self.nothing_arrived = self.nothing_arrived and not arrived_count
+        self.window_size = min(self.window_size + arrived_count, float(self.max_in_flight))
+
+    def take_sendable(self, now: float) -> list[tuple[FragmentedBody, int]]:
+        """Return the fragments to send now."""
+        self._collect_overdue(now)
+        sendable: list[tuple[FragmentedBody, int]] = []
+        while self.sendable_numbers and self.in_flight_count < int(self.window_size):
+            body = self.bodies.get(self.sendable_numbers[0])
+            index = body.take_next() if body is not None else None
+            if body is None or index is None:
+                heapq.heappop(self.sendable_numbers)
                 continue
-            due = now + min(self.retry * 2 ** parcel.tries[index], self.most)
-            parcel.tries[index] = min(parcel.tries[index] + 1, 16)
-            parcel.flight[index] = due
-            heapq.heappush(self.timers, (due, parcel.number, index))
-            self.flight += 1
-            out.append((parcel, index))
-        return out
-
-    def _overdue(self, now: float) -> None:
-        """Parts without an answer for too long."""
-        while self.timers and self.timers[0][0] <= now:
-            due, number, index = heapq.heappop(self.timers)
-            parcel = self.parcels.get(number)
-            if parcel is None or parcel.flight.get(index) != due:
+            backoff_ms = self.retry_interval_ms * 2 ** body.send_counts[index]
+            retry_at = now + min(backoff_ms, self.max_retry_interval_ms)
+            body.send_counts[index] = min(body.send_counts[index] + 1, MAX_BACKOFF_DOUBLINGS)
+            body.in_flight[index] = retry_at
+            heapq.heappush(self.retry_timers, FragmentTimer(retry_at, body.number, index))
+            self.in_flight_count += 1
+            sendable.append((body, index))
+        return sendable
+
+    def _collect_overdue(self, now: float) -> None:
+        """Collect the fragments without an acknowledgement for too long."""
+        while self.retry_timers and self.retry_timers[0][0] <= now:
+            retry_at, number, index = heapq.heappop(self.retry_timers)
+            body = self.bodies.get(number)
+            if body is None or body.in_flight.get(index) != retry_at:
                 continue
-            del parcel.flight[index]
-            self.flight -= 1
-            if now >= self.narrow_at:
-                self._narrow(now)
-            heapq.heappush(parcel.again, index)
-            heapq.heappush(self.ready, number)
-
-    def _narrow(self, now: float) -> None:
-        """Something is overdue: less goes out where nothing has arrived since the last time.
-
-        Danger: halved by each loss, it stayed at its least where 30% are lost though all is well else, and
-        requests waited a second to be sent.
+            del body.in_flight[index]
+            self.in_flight_count -= 1
+            if now >= self.next_shrink_at:
+                self._shrink(now)
+            heapq.heappush(body.overdue, index)
+            heapq.heappush(self.sendable_numbers, number)
+
+    def _shrink(self, now: float) -> None:
+        """Shrink the window if nothing has arrived since the last time.
+
+        Halving it at each loss would keep it at its minimum on a network that loses a third of all messages
+        but is otherwise sound.
         """
-        if self.silent:
-            self.wide = max(self.wide / 2, LEAST)
-        self.silent, self.narrow_at = True, now + self.retry
+        if self.nothing_arrived:
+            self.window_size = max(self.window_size / 2, MIN_WINDOW)
+        self.nothing_arrived = True
+        self.next_shrink_at = now + self.retry_interval_ms
 
     def next_at(self) -> float:
-        """When `run` is due, but for what was added since."""
-        while self.timers:
-            due, number, index = self.timers[0]
-            parcel = self.parcels.get(number)
-            if parcel is not None and parcel.flight.get(index) == due:
-                return due
-            heapq.heappop(self.timers)
+        """Return when `take_sendable` is due, apart from what was added since."""
+        while self.retry_timers:
+            retry_at, number, index = self.retry_timers[0]
+            body = self.bodies.get(number)
+            if body is not None and body.in_flight.get(index) == retry_at:
+                return retry_at
+            heapq.heappop(self.retry_timers)
         return math.inf
 
 
-class Gather:
-    """A body that comes in parts. Its size was fixed by the part that came first."""
+class Reassembly:
+    """A body that arrives in fragments; the first fragment determines its size."""
 
-    def __init__(self, size: int, room: int) -> None:
-        self.size, self.count = size, parts_of(size, room)
-        self.parts: dict[int, bytes] = {}
-        self.bits = 0
+    def __init__(self, body_bytes: int, fragment_bytes: int) -> None:
+        self.body_bytes = body_bytes
+        self.fragment_count = fragment_count(body_bytes, fragment_bytes)
+        self.fragments: dict[int, bytes] = {}
+        self.received_bits = 0
 
-    def put(self, size: int, index: int, data: bytes) -> bool:
-        """A part; whether all are there. Raises MessageError where it contradicts an earlier one."""
-        self.check(size, index, data)
-        self.parts[index] = data
-        self.bits |= 1 << index
-        return len(self.parts) == self.count
-
-    def check(self, size: int, index: int, data: bytes) -> None:
-        """Raises MessageError where a part contradicts an earlier one."""
-        if size != self.size or self.parts.get(index, data) != data:
+    def add(self, body_bytes: int, index: int, data: bytes) -> bool:
+        """Add a fragment; return whether all have arrived. Raises MessageError if it contradicts an earlier
+        one.
+        """
+        self.check(body_bytes, index, data)
+        self.fragments[index] = data
+        self.received_bits |= 1 << index
+        return len(self.fragments) == self.fragment_count
+
+    def check(self, body_bytes: int, index: int, data: bytes) -> None:
+        """Raise MessageError if a fragment contradicts an earlier one."""
+        if body_bytes != self.body_bytes or self.fragments.get(index, data) != data:
             raise MessageError("contradicts an earlier part")
 
     def body(self) -> bytes:
-        """All of it."""
-        return b"".join(self.parts[index] for index in range(self.count))
+        """Return the whole body."""
+        return b"".join(self.fragments[index] for index in range(self.fragment_count))
--- a/cottonhold/fleet/request_forwarding/interface.py
+++ b/cottonhold/fleet/request_forwarding/interface.py
@@ -1,73 +1,86 @@
-"""Settings of handing on, and what it asks of the rim. Pure."""
+"""Settings of request forwarding, and the actions that it returns to its adapter. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from cottonhold.fleet.consensus.actions import SendMessage
-from cottonhold.fleet.request_forwarding.messages import End
+from cottonhold.fleet.request_forwarding.messages import ForwardResult
 
 
 @dataclass(slots=True, frozen=True)
-class HandSettings:
-    """Times in ms. window: parts on their way to one neighbour. retry, retry_most: a part without an answer
-    is sent again. fresh: a stamp is used no longer than this. poll: an owner that says nothing is asked so
-    often whether it still lives. reserve: so long before its time is over a request that nobody took is
-    withdrawn. last: so long before that its client is told. longest: a request's time is cut to this. drift:
-    part by which clocks may run unevenly. margin: an owner takes the time left to be this much less. least:
-    with less time left it takes none. back: a client whose request can't be handed on comes again after this.
-
-    Bounds. open: requests of this origin. callers: neighbours. Each of the others is for one neighbour, whose
-    words are its own, so one that lies fills no more than its own part: gathering, answering (bytes of what
-    is not whole yet, of answers not yet fetched), remembered (requests whose end must not be forgotten),
-    lives (of an origin, at once)."""
-
-    window: int = 64
-    retry: float = 40.0
-    retry_most: float = 320.0
-    fresh: float = 5000.0
-    poll: float = 250.0
-    reserve: float = 120.0
-    last: float = 20.0
-    longest: float = 600_000.0
-    drift: float = 0.001
-    margin: float = 5.0
-    least: float = 1.0
-    back: float = 100.0
-    open: int = 2000
-    gathering: int = 512 * 1024
-    answering: int = 2 * 1024 * 1024
-    remembered: int = 16_000
-    lives: int = 8
-    callers: int = 64
+class ForwardingSettings:
+    """Times and limits of request forwarding.
+
+    retry_interval_ms: an unacknowledged fragment is sent again, less often up to max_retry_interval_ms.
+    max_timestamp_age_ms: an owner's timestamp is used no longer. liveness_interval_ms: a silent owner is
+    queried so often for its incarnation. withdraw_reserve_ms: so long before its deadline a request that was
+    not accepted is withdrawn. answer_reserve_ms: so long before it the client gets a result. max_timeout_ms:
+    a request's timeout is cut to it. max_clock_drift: relative error of a clock's rate. clock_margin_ms: by
+    which an owner shortens the remaining time. min_remaining_ms: with less, an owner accepts nothing.
+    retry_after_ms: for a client whose request cannot be forwarded.
+
+    max_open_requests is for this origin. All other limits are for one other member, so that a member that
+    sends false messages uses up no more than its own share: max_receiving_bytes (of incomplete requests),
+    max_answer_bytes (of unacknowledged answers), max_remembered_requests (whose state must not be forgotten),
+    max_origin_incarnations; and max_origins is the number of such members.
+    """
+
+    max_fragments_in_flight: int = 64
+    retry_interval_ms: float = 40.0
+    max_retry_interval_ms: float = 320.0
+    max_timestamp_age_ms: float = 5000.0
+    liveness_interval_ms: float = 250.0
+    withdraw_reserve_ms: float = 120.0
+    answer_reserve_ms: float = 20.0
+    max_timeout_ms: float = 600_000.0
+    max_clock_drift: float = 0.001
+    clock_margin_ms: float = 5.0
+    min_remaining_ms: float = 1.0
+    retry_after_ms: float = 100.0
+    max_open_requests: int = 2000
+    max_receiving_bytes: int = 512 * 1024
+    max_answer_bytes: int = 2 * 1024 * 1024
+    max_remembered_requests: int = 16_000
+    max_origin_incarnations: int = 8
+    max_origins: int = 64
 
 
 @dataclass(slots=True, frozen=True)
-class Take:
-    """At the owner: this request is its gateway's now. left_ms: no more than what is left at the origin."""
+class RequestAccepted:
+    """At the owner: its gateway gets this request; the origin waits for at least remaining_ms."""
 
     origin: int
     number: int
     body: bytes
-    left_ms: float
+    remaining_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
-    """At the owner: nobody waits any more for the answer of one that was taken."""
+class RequestAbandoned:
+    """At the owner: no client waits any more for an accepted request."""
 
     origin: int
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
-    """At the origin: what its client is told. ms: for REFUSED, how long to stay away."""
+class ForwardingEnded:
+    """At the origin: the result for the client; retry_after_ms for REJECTED."""
 
-    ref: str
-    end: End
-    ms: float = 0.0
+    request_id: str
+    result: ForwardResult
+    retry_after_ms: float = 0.0
     data: bytes = b""
 
 
-Action = SendMessage | Take | Gone | Ended
+# How results are called in counters and in the local socket's status.
+RESULT_NAMES = {
+    ForwardResult.ANSWERED: "served",
+    ForwardResult.REJECTED: "refused",
+    ForwardResult.FAILED: "failed",
+    ForwardResult.NOT_OWNER: "moved",
+    ForwardResult.NOT_ACCEPTED: "nobody",
+    ForwardResult.TOO_LARGE: "too_large",
+}
+Action = SendMessage | RequestAccepted | RequestAbandoned | ForwardingEnded
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -1,18 +1,17 @@
-"""Messages by which a request is handed on to the dispatcher that owns its key, and answered. Pure.
+"""Codec of the messages that forward a request to the member that owns its key, and answer it. Pure.
 
-    79 | 0 PROBE    | life it is meant for 4
-    79 | 1 LIFE     | life that was asked for 4, own life 4, stamp 8
-    79 | 2 PART     | head, index 1, size 2, bytes of the request
-    79 | 3 WITHDRAW | head, left 1
-    79 | 4 ACK      | number 8, life 4, stamp 8, state 1, bits of the parts that are there, counted
-    79 | 5 ANSWER   | number 8, life 4, end 1, ms 4, size 2, index 1, bytes of the answer
-    79 | 6 GOT      | number 8, whole 1, bits of the parts that are there, counted
+    79 | 0 incarnation query  | incarnation that the owner is believed to have 4 79 | 1 incarnation reply  |
+    incarnation from the query 4, own incarnation 4, timestamp 8 79 | 2 request fragment   | header, index 1,
+    size of the request 2, bytes of the request 79 | 3 withdraw           | header, whether it is abandoned 1
+    79 | 4 request ack        | number 8, owner's incarnation 4, timestamp 8, state 1, received bits, counted
+    79 | 5 answer fragment    | number 8, owner's incarnation 4, result 1, retry after 4, size 2, index 1,
+    bytes 79 | 6 answer ack         | number 8, whether it is complete 1, received bits, counted
 
-    head: number 8, life it is meant for 4, stamp 8, held 4, left 4, floor 4
+    header: number 8, owner's incarnation 4, timestamp 8, its age 4, remaining time 4, lowest open count 4
 
-A number is the origin's life (upper half) and its count of requests to this owner. A stamp is the owner's own
-and means nothing to anyone else: the origin gives it back with the time for which it held it. All times are
-ages, in hundredths of a ms, rounded down.
+A number is the origin's incarnation (upper half) and its count of requests to this owner. A timestamp is of
+the owner's clock: the origin returns it with the time for which it held it. All times are durations, in
+hundredths of a ms, rounded down.
 """
 
 from __future__ import annotations
@@ -25,253 +24,322 @@
 
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
-HAND = 79
-PROBE, LIFE, PART, WITHDRAW, ACK, ANSWER, GOT = range(7)
+REQUEST_FORWARDING = 79
+PROBE, INCARNATION, PART, WITHDRAW, ACK, ANSWER, ANSWER_ACK = range(7)
 U32 = 0xFFFF_FFFF
-LARGEST = 16 * 1024  # bytes of a request or an answer
-TICK = 0.01  # ms
+MAX_BODY_BYTES = 16 * 1024  # of a request or an answer
+TIME_UNIT_MS = 0.01
 
 
-class End(IntEnum):
-    """How a request that was handed on ended. SERVED: `data` is the answer. REFUSED: nothing ran, to come
-    again after `ms`. FAILED: it may have run. MOVED: the owner doesn't own the key, nothing ran. NOBODY:
-    no owner took it nor will. TOO_LARGE: it can't be handed on, nothing ran."""
+class ForwardResult(IntEnum):
+    """How the forwarding of a request ended.
 
-    SERVED, REFUSED, FAILED, MOVED, NOBODY, TOO_LARGE = range(6)
+    ANSWERED: with the owner's answer. REJECTED: nothing ran, retry after a delay. FAILED: it may have run.
+    NOT_OWNER: the receiver does not own the key, nothing ran. NOT_ACCEPTED: no owner accepted it, nor will.
+    TOO_LARGE: it cannot be forwarded, nothing ran.
+    """
 
+    ANSWERED = 0
+    REJECTED = 1
+    FAILED = 2
+    NOT_OWNER = 3
+    NOT_ACCEPTED = 4
+    TOO_LARGE = 5
 
-class State(IntEnum):
-    """What the owner says of a request. VOID: not taken, and never will be. GONE: it was taken, and the
-    owner knows that its client left."""
 
-    GATHERING, TAKEN, VOID, GONE = range(4)
+class RequestState(IntEnum):
+    """The state of a request at its owner.
+
+    NOT_ACCEPTED: it is not accepted, and never will be. CANCELLED: it was accepted, and the owner knows that
+    no client waits for it.
+    """
+
+    RECEIVING = 0
+    ACCEPTED = 1
+    NOT_ACCEPTED = 2
+    CANCELLED = 3
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
-    """Of what an origin says of a request. held: how long it has had the stamp; left: until its time is over,
-    both in ms. floor: all smaller counts are over at the origin."""
+class RequestHeader:
+    """What every message of an origin about a request holds.
+
+    timestamp: the newest of the owner's, held for timestamp_age_ms. lowest_open_count: all requests with a
+    smaller count have ended at the origin.
+    """
 
     number: int
-    life: int
-    stamp: int
-    held: float
-    left: float
-    floor: int
+    owner_incarnation: int
+    timestamp: int
+    timestamp_age_ms: float
+    remaining_ms: float
+    lowest_open_count: int
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
-    """One part of a request."""
+class RequestFragment:
+    """One fragment of a request of `body_bytes` bytes."""
 
-    head: Head
+    header: RequestHeader
     index: int
-    size: int
+    body_bytes: int
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Withdraw:
-    """Take it no more. left: and if it was taken, then nobody waits for its answer."""
+class WithdrawRequest:
+    """Do not accept the request any more; is_abandoned: if it was accepted, no client waits for it."""
 
-    head: Head
-    left: bool
+    header: RequestHeader
+    is_abandoned: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
-    """Asks for the life and a stamp of an owner that is believed to be in this life (0: unknown)."""
+class IncarnationQuery:
+    """A query for the incarnation and a timestamp of an owner; 0 for an unknown incarnation."""
 
-    life: int
+    believed_incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
-class Lives:
-    """An owner's life, and which was asked for."""
+class IncarnationReply:
+    """An owner's incarnation and timestamp, and the incarnation from the query."""
 
-    asked: int
-    life: int
-    stamp: int
+    believed_incarnation: int
+    incarnation: int
+    timestamp: int
 
 
 @dataclass(slots=True, frozen=True)
-class Ack:
-    """What an owner has of a request. bits: by the parts' indices."""
+class RequestAck:
+    """The state of a request at its owner, with the bits of the fragments received."""
 
     number: int
-    life: int
-    stamp: int
-    state: State
-    bits: int = 0
+    owner_incarnation: int
+    timestamp: int
+    state: RequestState
+    received_bits: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
-    """One part of an answer. life: the owner's."""
+class AnswerFragment:
+    """One fragment of an answer of `body_bytes` bytes."""
 
     number: int
-    life: int
-    end: End
-    ms: float
-    size: int
+    owner_incarnation: int
+    result: ForwardResult
+    retry_after_ms: float
+    body_bytes: int
     index: int
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Got:
-    """What an origin has of an answer. whole: it needs no more."""
+class AnswerAck:
+    """What an origin has received of an answer; is_complete: it needs no more of it."""
 
     number: int
-    whole: bool
-    bits: int = 0
-
-
-Word = Probe | Lives | Part | Withdraw | Ack | Answer | Got
-
-HEAD = struct.Struct("!BBQIQIII")
-PARTED = struct.Struct("!BH")
-PROBED, LIVED = struct.Struct("!BBI"), struct.Struct("!BBIIQ")
-ACKED, ANSWERED = struct.Struct("!BBQIQB"), struct.Struct("!BBQIBfHB")
-GOTTEN = struct.Struct("!BBQB")
-PART_ROOM = MAX_MESSAGE_BYTES - HEAD.size - PARTED.size  # bytes of a request in one datagram
-ANSWER_ROOM = MAX_MESSAGE_BYTES - ANSWERED.size
-BITS_MOST = 16  # bytes; more parts than LARGEST has
-
-
-def number_of(life: int, count: int) -> int:
-    """A request's number by its origin's life and count."""
-    return (life & U32) << 32 | count
-
-
-def parts_of(size: int, room: int) -> int:
-    """How many parts of so many bytes a body has; one at least."""
-    return max(1, -(-size // room))
-
-
-def ticks(ms: float) -> int:
-    """A time in ms as it is sent: rounded down, within what fits."""
-    return int(min(max(ms / TICK, 0.0), U32))
-
-
-def pack_head(kind: int, h: Head) -> bytes:
-    """What PART and WITHDRAW begin with."""
-    return HEAD.pack(HAND, kind, h.number, h.life, h.stamp, ticks(h.held), ticks(h.left), h.floor)
-
-
-def pack_bits(bits: int) -> bytes:
-    """Bits in as many bytes as they need, after their count."""
+    is_complete: bool
+    received_bits: int = 0
+
+
+Message = (
+    IncarnationQuery
+    | IncarnationReply
+    | RequestFragment
+    | WithdrawRequest
+    | RequestAck
+    | AnswerFragment
+    | AnswerAck
+)
+
+HEADER_FORMAT = struct.Struct("!BBQIQIII")
+FRAGMENT_FORMAT = struct.Struct("!BH")
+INCARNATION_QUERY_FORMAT = struct.Struct("!BBI")
+INCARNATION_REPLY_FORMAT = struct.Struct("!BBIIQ")
+REQUEST_ACK_FORMAT = struct.Struct("!BBQIQB")
+ANSWER_FRAGMENT_FORMAT = struct.Struct("!BBQIBfHB")
+ANSWER_ACK_FORMAT = struct.Struct("!BBQB")
+REQUEST_FRAGMENT_BYTES = MAX_MESSAGE_BYTES - HEADER_FORMAT.size - FRAGMENT_FORMAT.size
+ANSWER_FRAGMENT_BYTES = MAX_MESSAGE_BYTES - ANSWER_FRAGMENT_FORMAT.size
+MAX_BITS_BYTES = 16  # enough for the fragments of MAX_BODY_BYTES
+
+
+def request_number(incarnation: int, count: int) -> int:
+    """Return a request's number from its origin's incarnation and count."""
+    return (incarnation & U32) << 32 | count
+
+
+def fragment_count(body_bytes: int, fragment_bytes: int) -> int:
+    """Return the number of fragments of a body; at least one."""
+    return max(1, -(-body_bytes // fragment_bytes))
+
+
+def encode_time(time_ms: float) -> int:
+    """Return a time in its unit on the wire: rounded down, within its field."""
+    return int(min(max(time_ms / TIME_UNIT_MS, 0.0), U32))
+
+
+def encode_header(kind: int, header: RequestHeader) -> bytes:
+    """Encode the beginning of a request fragment or withdrawal."""
+    return HEADER_FORMAT.pack(
+        REQUEST_FORWARDING,
+        kind,
+        header.number,
+        header.owner_incarnation,
+        header.timestamp,
+        encode_time(header.timestamp_age_ms),
+        encode_time(header.remaining_ms),
+        header.lowest_open_count,
+    )
+
+
+def encode_bits(bits: int) -> bytes:
+    """Encode bits in as few bytes as possible, after their count."""
     size = (bits.bit_length() + 7) // 8
     return bytes((size,)) + bits.to_bytes(size, "big")
 
 
-def pack(word: Word) -> bytes:
-    """A word's bytes, MAX_MESSAGE_BYTES at most."""
-    match word:
-        case Part():
-            return pack_head(PART, word.head) + PARTED.pack(word.index, word.size) + word.data
-        case Withdraw():
-            return pack_head(WITHDRAW, word.head) + bytes((word.left,))
-        case Probe():
-            return PROBED.pack(HAND, PROBE, word.life)
-        case Lives():
-            return LIVED.pack(HAND, LIFE, word.asked, word.life, word.stamp)
-        case Ack():
-            fixed = ACKED.pack(HAND, ACK, word.number, word.life, word.stamp, word.state)
-            return fixed + pack_bits(word.bits)
-        case Answer():
-            shape = (word.number, word.life, word.end, word.ms, word.size, word.index)
-            return ANSWERED.pack(HAND, ANSWER, *shape) + word.data
-        case Got():
-            return GOTTEN.pack(HAND, GOT, word.number, word.whole) + pack_bits(word.bits)
-
-
-def read(data: bytes) -> Word:
-    """The meaning of a word. Raises MessageError."""
-    if len(data) < 2 or data[0] != HAND or data[1] not in READERS or len(data) > MAX_MESSAGE_BYTES:
+def encode(message: Message) -> bytes:
+    """Encode a message; the result has at most MAX_MESSAGE_BYTES bytes."""
+    match message:
+        case RequestFragment():
+            return (
+                encode_header(PART, message.header)
+                + FRAGMENT_FORMAT.pack(message.index, message.body_bytes)
+                + message.data
+            )
+        case WithdrawRequest():
+            return encode_header(WITHDRAW, message.header) + bytes((message.is_abandoned,))
+        case IncarnationQuery():
+            return INCARNATION_QUERY_FORMAT.pack(REQUEST_FORWARDING, PROBE, message.believed_incarnation)
+        case IncarnationReply():
+            return INCARNATION_REPLY_FORMAT.pack(
+                REQUEST_FORWARDING,
+                INCARNATION,
+                message.believed_incarnation,
+                message.incarnation,
+                message.timestamp,
+            )
+        case RequestAck():
+            fixed = REQUEST_ACK_FORMAT.pack(
+                REQUEST_FORWARDING,
+                ACK,
+                message.number,
+                message.owner_incarnation,
+                message.timestamp,
+                message.state,
+            )
+            return fixed + encode_bits(message.received_bits)
+        case AnswerFragment():
+            shape = (
+                message.number,
+                message.owner_incarnation,
+                message.result,
+                message.retry_after_ms,
+                message.body_bytes,
+                message.index,
+            )
+            return ANSWER_FRAGMENT_FORMAT.pack(REQUEST_FORWARDING, ANSWER, *shape) + message.data
+        case AnswerAck():
+            return ANSWER_ACK_FORMAT.pack(
+                REQUEST_FORWARDING, ANSWER_ACK, message.number, message.is_complete
+            ) + encode_bits(message.received_bits)
+
+
+def decode(data: bytes) -> Message:
+    """Decode a message. Raises MessageError."""
+    if not 2 <= len(data) <= MAX_MESSAGE_BYTES:
+        raise MessageError("kind")
+    if data[0] != REQUEST_FORWARDING or data[1] not in DECODERS:
         raise MessageError("kind")
     try:
-        return READERS[data[1]](data)
+        return DECODERS[data[1]](data)
     except struct.error:
         raise MessageError("truncated") from None
     except ValueError:
         raise MessageError("end or state") from None
 
 
-def _head(data: bytes) -> Head:
-    _, _, number, life, stamp, held, left, floor = HEAD.unpack_from(data)
-    if not 0 < floor <= number & U32 or not life:
-        raise MessageError("floor or life")
-    return Head(number, life, stamp, held * TICK, left * TICK, floor)
+def _decode_header(data: bytes) -> RequestHeader:
+    _, _, number, incarnation, timestamp, age, remaining, lowest_open_count = HEADER_FORMAT.unpack_from(data)
+    if not 0 < lowest_open_count <= number & U32 or not incarnation:
+        raise MessageError("floor or incarnation")
+    age_ms, remaining_ms = age * TIME_UNIT_MS, remaining * TIME_UNIT_MS
+    return RequestHeader(number, incarnation, timestamp, age_ms, remaining_ms, lowest_open_count)
 
 
-def _part(data: bytes) -> Part:
-    index, size = PARTED.unpack_from(data, HEAD.size)
-    body = data[HEAD.size + PARTED.size :]
-    _check_part(index, size, len(body), PART_ROOM)
-    return Part(_head(data), index, size, body)
+def _decode_request_fragment(data: bytes) -> RequestFragment:
+    index, body_bytes = FRAGMENT_FORMAT.unpack_from(data, HEADER_FORMAT.size)
+    body = data[HEADER_FORMAT.size + FRAGMENT_FORMAT.size :]
+    _check_fragment(index, body_bytes, len(body), REQUEST_FRAGMENT_BYTES)
+    return RequestFragment(_decode_header(data), index, body_bytes, body)
 
 
-def _check_part(index: int, size: int, length: int, room: int) -> None:
-    """All parts but the last are full, and the last has what is left."""
-    if size > LARGEST or index >= parts_of(size, room) or length != min(room, size - index * room):
+def _check_fragment(index: int, body_bytes: int, length: int, fragment_bytes: int) -> None:
+    """Check that every fragment but the last is full, and that the last has the rest."""
+    if body_bytes > MAX_BODY_BYTES or index >= fragment_count(body_bytes, fragment_bytes):
+        raise MessageError("part")
+    if length != min(fragment_bytes, body_bytes - index * fragment_bytes):
         raise MessageError("part")
 
 
-def _withdraw(data: bytes) -> Withdraw:
-    if len(data) != HEAD.size + 1 or data[-1] > 1:
+def _decode_withdraw(data: bytes) -> WithdrawRequest:
+    if len(data) != HEADER_FORMAT.size + 1 or data[-1] > 1:
         raise MessageError("withdraw")
-    return Withdraw(_head(data), bool(data[-1]))
+    return WithdrawRequest(_decode_header(data), bool(data[-1]))
 
 
-def _probe(data: bytes) -> Probe:
-    if len(data) != PROBED.size:
+def _decode_incarnation_query(data: bytes) -> IncarnationQuery:
+    if len(data) != INCARNATION_QUERY_FORMAT.size:
         raise MessageError("probe")
-    return Probe(PROBED.unpack(data)[2])
+    return IncarnationQuery(INCARNATION_QUERY_FORMAT.unpack(data)[2])
 
 
-def _lives(data: bytes) -> Lives:
-    if len(data) != LIVED.size:
-        raise MessageError("life")
-    _, _, asked, life, stamp = LIVED.unpack(data)
-    if not life:
-        raise MessageError("life")
-    return Lives(asked, life, stamp)
+def _decode_incarnation_reply(data: bytes) -> IncarnationReply:
+    if len(data) != INCARNATION_REPLY_FORMAT.size:
+        raise MessageError("incarnation")
+    _, _, believed_incarnation, incarnation, timestamp = INCARNATION_REPLY_FORMAT.unpack(data)
+    if not incarnation:
+        raise MessageError("incarnation")
+    return IncarnationReply(believed_incarnation, incarnation, timestamp)
 
 
-def _bits(data: bytes) -> int:
-    if not data or data[0] > BITS_MOST or len(data) != 1 + data[0]:
+def _decode_bits(data: bytes) -> int:
+    if not data or data[0] > MAX_BITS_BYTES or len(data) != 1 + data[0]:
         raise MessageError("bits")
     return int.from_bytes(data[1:], "big")
 
 
-def _ack(data: bytes) -> Ack:
-    _, _, number, life, stamp, state = ACKED.unpack_from(data)
-    return Ack(number, life, stamp, State(state), _bits(data[ACKED.size :]))
+def _decode_request_ack(data: bytes) -> RequestAck:
+    _, _, number, incarnation, timestamp, state = REQUEST_ACK_FORMAT.unpack_from(data)
+    received_bits = _decode_bits(data[REQUEST_ACK_FORMAT.size :])
+    return RequestAck(number, incarnation, timestamp, RequestState(state), received_bits)
 
 
-def _answer(data: bytes) -> Answer:
-    _, _, number, life, end, ms, size, index = ANSWERED.unpack_from(data)
-    body = data[ANSWERED.size :]
-    _check_part(index, size, len(body), ANSWER_ROOM)
-    if not (math.isfinite(ms) and ms >= 0.0):
+def _decode_answer_fragment(data: bytes) -> AnswerFragment:
+    fields = ANSWER_FRAGMENT_FORMAT.unpack_from(data)
+    _, _, number, incarnation, result, retry_after_ms, body_bytes, index = fields
+    body = data[ANSWER_FRAGMENT_FORMAT.size :]
+    _check_fragment(index, body_bytes, len(body), ANSWER_FRAGMENT_BYTES)
+    if not (math.isfinite(retry_after_ms) and retry_after_ms >= 0.0):
         raise MessageError("ms")
-    return Answer(number, life, End(end), ms, size, index, body)
+    return AnswerFragment(number, incarnation, ForwardResult(result), retry_after_ms, body_bytes, index, body)
 
 
-def _got(data: bytes) -> Got:
-    _, _, number, whole = GOTTEN.unpack_from(data)
-    if whole > 1:
+def _decode_answer_ack(data: bytes) -> AnswerAck:
+    _, _, number, is_complete = ANSWER_ACK_FORMAT.unpack_from(data)
+    if is_complete > 1:
         raise MessageError("got")
-    return Got(number, bool(whole), _bits(data[GOTTEN.size :]))
+    return AnswerAck(number, bool(is_complete), _decode_bits(data[ANSWER_ACK_FORMAT.size :]))
 
 
-READERS: dict[int, Callable[[bytes], Word]] = {
-    PROBE: _probe,
-    LIFE: _lives,
-    PART: _part,
-    WITHDRAW: _withdraw,
-    ACK: _ack,
-    ANSWER: _answer,
-    GOT: _got,
+DECODERS: dict[int, Callable[[bytes], Message]] = {
+    PROBE: _decode_incarnation_query,
+    INCARNATION: _decode_incarnation_reply,
+    PART: _decode_request_fragment,
+    WITHDRAW: _decode_withdraw,
+    ACK: _decode_request_ack,
+    ANSWER: _decode_answer_fragment,
+    ANSWER_ACK: _decode_answer_ack,
 }
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -1,15 +1,17 @@
-"""The origin's side of requests that are handed on: to one owner each, and one end for the client. Pure.
-
-    HELD ----> SENDING ----> TAKEN ----> ended by the answer, or FAILED when its time is over
-     (its       |              ^
-     line)      v              |
-              ASKING ----------+-------> NOBODY once the owner says that it never takes it,
-     (withdraw it, unless taken)         FAILED when its time is over
-
-Nothing is offered before the owner's life is known; each part names that life, so one that restarted takes
-nothing that was meant for the one before. NOBODY is said only where the owner can't have had all parts (one
-was never sent) or said itself that it takes it no more. LEFT: the client has its end, or left; the owner is
-still told, and the request's line waits until that is answered or the time is over.
+"""The origin's side of request forwarding: each request goes to one owner, and its client gets one result.
+Pure.
+
+    QUEUED ----> SENDING ------> ACCEPTED ----> ended by the answer, or FAILED when its time is over
+     (queue of     |                ^
+     its key)      v                |
+               WITHDRAWING ---------+------> NOT_ACCEPTED once the owner says that it never accepts it,
+     (unless accepted)                       FAILED when its time is over
+
+Nothing is sent before the owner's incarnation is known. Each fragment names that incarnation, so a restarted
+owner accepts nothing that was meant for the one before. NOT_ACCEPTED is reported only if the owner cannot
+have all fragments (one was never sent) or says itself that it accepts the request no more. ABANDONED: the
+client has its result, or left; the owner is still informed, and the queue of the request's key waits until
+that is answered or the time is over.
 """
 
 from __future__ import annotations
@@ -20,365 +22,438 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 from enum import IntEnum
+from typing import NamedTuple
 
 from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
-from cottonhold.fleet.request_forwarding.interface import Action, Ended, HandSettings
+from cottonhold.fleet.request_forwarding.fragmentation import (
+    MAX_BACKOFF_DOUBLINGS,
+    FragmentedBody,
+    Reassembly,
+    SendWindow,
+)
+from cottonhold.fleet.request_forwarding.interface import (
+    RESULT_NAMES,
+    Action,
+    ForwardingEnded,
+    ForwardingSettings,
+)
 from cottonhold.fleet.request_forwarding.messages import (
-    ANSWER_ROOM,
-    LARGEST,
-    PART_ROOM,
+    ANSWER_FRAGMENT_BYTES,
+    MAX_BODY_BYTES,
+    REQUEST_FRAGMENT_BYTES,
     U32,
-    Ack,
-    Answer,
-    End,
-    Got,
-    Head,
-    Lives,
-    Part,
-    Probe,
-    State,
-    Withdraw,
-    Word,
-    number_of,
-    pack,
+    AnswerAck,
+    AnswerFragment,
+    ForwardResult,
+    IncarnationQuery,
+    IncarnationReply,
+    Message,
+    RequestAck,
+    RequestFragment,
+    RequestHeader,
+    RequestState,
+    WithdrawRequest,
+    encode,
+    request_number,
 )
 
 
 class Phase(IntEnum):
     """Where a request stands at its origin."""
 
-    HELD, SENDING, ASKING, TAKEN, LEFT = range(5)
+    QUEUED = 0
+    SENDING = 1
+    WITHDRAWING = 2
+    ACCEPTED = 3
+    ABANDONED = 4
 
 
 @dataclass(slots=True, eq=False)
-class Order:
-    """A request of a client here. life: the owner's to which parts went, 0: none yet. due: when something is
-    to be done about it."""
+class OutgoingRequest:
+    """A client's request of this member.
+
+    owner_incarnation: to which fragments were sent; 0 for none yet. next_action_at: when something is to be
+    done about it. is_ended: the client has its result, or left.
+    """
 
-    ref: str
+    request_id: str
     owner: int
     number: int
-    parcel: Parcel
-    line: bytes
-    until: float
-    due: float
-    phase: Phase = Phase.HELD
-    life: int = 0
-    tries: int = 0
-    told: bool = False  # the client has its end, or left
-    answer: Gather | None = None
-    end: tuple[End, float] | None = None
+    body: FragmentedBody
+    queue_key: bytes
+    deadline: float
+    next_action_at: float
+    phase: Phase = Phase.QUEUED
+    owner_incarnation: int = 0
+    withdraw_count: int = 0
+    is_ended: bool = False  # the client has its end, or left
+    answer: Reassembly | None = None
+    outcome: tuple[ForwardResult, float] | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Peer:
-    """An owner as this origin knows it. stamp: its newest, since `stamped`."""
+class KnownOwner:
+    """An owner as this origin knows it, with its newest timestamp."""
 
     id: int
-    lane: Lane
-    life: int = 0
-    stamp: int = -1
-    stamped: float = -math.inf
-    fresh: bool = False  # the stamp is new enough to prove time by it
-    count: int = 0
-    probe_at: float = math.inf
-    tries: int = 0
-    open: dict[int, Order] = field(default_factory=dict)
-    lines: dict[bytes, deque[Order]] = field(default_factory=dict)
+    window: SendWindow
+    incarnation: int = 0
+    timestamp: int = -1
+    timestamp_received_at: float = -math.inf
+    timestamp_is_fresh: bool = False  # the stamp is new enough to prove time by it
+    request_count: int = 0
+    next_query_at: float = math.inf
+    query_count: int = 0
+    open_requests: dict[int, OutgoingRequest] = field(default_factory=dict)
+    queues: dict[bytes, deque[OutgoingRequest]] = field(default_factory=dict)
+
+
+class ActionTimer(NamedTuple):
+    """When something is to be done about a request."""
+
+    due_at: float
+    owner: int
+    number: int
 
 
-class Offering:
-    """Requests that this member hands to others. `out` takes the actions, `counts` what went by."""
+class RequestOrigin:
+    """Requests that this member forwards to others. Actions are appended to `actions`, events are counted."""
 
     def __init__(
-        self, me: int, life: int, settings: HandSettings, seed: int, counts: Counter[str], out: list[Action]
+        self,
+        member: int,
+        incarnation: int,
+        settings: ForwardingSettings,
+        seed: int,
+        counts: Counter[str],
+        actions: list[Action],
     ) -> None:
-        self.me, self.life, self.settings = me, life, settings
-        self.counts, self.out, self.draw = counts, out, random.Random(seed)
-        self.peers: dict[int, Peer] = {}
-        self.refs: dict[str, Order] = {}
-        self.open = 0
-        self.due: list[tuple[float, int, int]] = []  # heap: when, owner, number
-
-    # --- what happens ---
-
-    def hand(self, now: float, ref: str, owner: int, body: bytes, until: float, line: bytes) -> None:
-        """A client's request is another's. Raises ValueError for a ref in use, or for this member's own."""
-        s = self.settings
-        if ref in self.refs or owner == self.me:
-            raise ValueError(ref)
-        until = min(until, now + s.longest)
-        if len(body) > LARGEST:
-            self.out.append(Ended(ref, End.TOO_LARGE))
+        self.member = member
+        self.incarnation = incarnation
+        self.settings = settings
+        self.counts = counts
+        self.actions = actions
+        self.random_source = random.Random(seed)
+        self.owners: dict[int, KnownOwner] = {}
+        self.requests_by_id: dict[str, OutgoingRequest] = {}
+        self.open_count = 0
+        self.action_timers: list[ActionTimer] = []  # heap
+
+    def forward(
+        self, now: float, request_id: str, owner_id: int, body: bytes, deadline: float, queue_key: bytes
+    ) -> None:
+        """Forward a client's request. Raises ValueError for an id in use, or if this member is the owner."""
+        settings = self.settings
+        if request_id in self.requests_by_id or owner_id == self.member:
+            raise ValueError(request_id)
+        deadline = min(deadline, now + settings.max_timeout_ms)
+        if len(body) > MAX_BODY_BYTES:
+            self.actions.append(ForwardingEnded(request_id, ForwardResult.TOO_LARGE))
             return
-        if until - now <= s.last:
-            self.out.append(Ended(ref, End.NOBODY))
+        if deadline - now <= settings.answer_reserve_ms:
+            self.actions.append(ForwardingEnded(request_id, ForwardResult.NOT_ACCEPTED))
             return
-        if self.open >= s.open:
+        if self.open_count >= settings.max_open_requests:
             self.counts["full"] += 1
-            self.out.append(Ended(ref, End.REFUSED, s.back))
+            self.actions.append(ForwardingEnded(request_id, ForwardResult.REJECTED, settings.retry_after_ms))
             return
-        peer = self.peers.get(owner)
-        if peer is None:
-            peer = self.peers[owner] = Peer(owner, Lane(s.window, s.retry, s.retry_most))
-        peer.count += 1
-        number = number_of(self.life, peer.count)
-        reserve = min(s.reserve, (until - now) / 2)
-        order = Order(ref, owner, number, Parcel(number, body, PART_ROOM), line, until, 0.0)
-        if not peer.open:
-            peer.probe_at, peer.tries = now + s.poll, 0
-        peer.open[number] = self.refs[ref] = order
-        self.open += 1
+        owner = self.owners.get(owner_id)
+        if owner is None:
+            owner = self.owners[owner_id] = KnownOwner(
+                owner_id,
+                SendWindow(
+                    settings.max_fragments_in_flight,
+                    settings.retry_interval_ms,
+                    settings.max_retry_interval_ms,
+                ),
+            )
+        owner.request_count += 1
+        number = request_number(self.incarnation, owner.request_count)
+        reserve = min(settings.withdraw_reserve_ms, (deadline - now) / 2)
+        request = OutgoingRequest(
+            request_id,
+            owner_id,
+            number,
+            FragmentedBody(number, body, REQUEST_FRAGMENT_BYTES),
+            queue_key,
+            deadline,
+            0.0,
+        )
+        if not owner.open_requests:
+            owner.next_query_at, owner.query_count = now + settings.liveness_interval_ms, 0
+        owner.open_requests[number] = self.requests_by_id[request_id] = request
+        self.open_count += 1
         self.counts["handed"] += 1
-        self._wake(order, until - max(reserve, s.last))
-        self._join(peer, order)
-        self._send(now, peer)
-
-    def gone(self, now: float, ref: str) -> None:
-        """Its client left: nobody is told an end."""
-        order = self.refs.pop(ref, None)
-        if order is None:
+        self._schedule(request, deadline - max(reserve, settings.answer_reserve_ms))
+        self._enqueue(owner, request)
+        self._send_due(now, owner)
+
+    def abandon(self, now: float, request_id: str) -> None:
+        """The client left: there is no result for it."""
+        request = self.requests_by_id.pop(request_id, None)
+        if request is None:
             return
-        order.told = True
-        peer = self.peers[order.owner]
-        if order.parcel.whole:
-            self._leave(now, peer, order)
+        request.is_ended = True
+        owner = self.owners[request.owner]
+        if request.body.is_fully_sent:
+            self._cancel(now, owner, request)
         else:
-            self._close(peer, order)
-        self._send(now, peer)
-
-    def lives(self, now: float, sender: int, w: Lives) -> None:
-        """An owner says which life it is in. Raises MessageError."""
-        peer = self.peers.get(sender)
-        # Danger: only an answer to what is believed now counts. One that was long on its way tells of a life
-        # that is over, and all that the new one had taken was told as failed.
-        if peer is None or w.asked != peer.life:
+            self._close(owner, request)
+        self._send_due(now, owner)
+
+    def on_incarnation_reply(self, now: float, sender: int, reply: IncarnationReply) -> None:
+        """Apply an owner's incarnation. Raises MessageError."""
+        owner = self.owners.get(sender)
+        # A late reply to an earlier query may name an incarnation that is over already.
+        if owner is None or reply.believed_incarnation != owner.incarnation:
             self.counts["stray"] += 1
             return
-        if w.life != peer.life:
-            peer.life, peer.stamp, peer.fresh = w.life, -1, False
-            if w.asked:
-                self._restarted(peer, w.asked)
-        self._stamp(now, peer, w.stamp)
-        self._send(now, peer)
-
-    def ack(self, now: float, sender: int, w: Ack) -> None:
-        """What an owner has of a request. Raises MessageError."""
-        peer, order = self._find(sender, w.number)
-        if peer is None or w.life != peer.life:
+        if reply.incarnation != owner.incarnation:
+            owner.incarnation, owner.timestamp, owner.timestamp_is_fresh = reply.incarnation, -1, False
+            if reply.believed_incarnation:
+                self._on_owner_restarted(owner, reply.believed_incarnation)
+        self._apply_timestamp(now, owner, reply.timestamp)
+        self._send_due(now, owner)
+
+    def on_request_ack(self, now: float, sender: int, ack: RequestAck) -> None:
+        """Apply the state of a request at its owner. Raises MessageError."""
+        owner, request = self._find(sender, ack.number)
+        if owner is None or ack.owner_incarnation != owner.incarnation:
             return
-        if order is None or order.life != w.life:
-            self._stamp(now, peer, w.stamp)
-            self._send(now, peer)
+        if request is None or request.owner_incarnation != ack.owner_incarnation:
+            self._apply_timestamp(now, owner, ack.timestamp)
+            self._send_due(now, owner)
             return
-        if w.state is State.TAKEN and not order.parcel.whole:
+        if ack.state is RequestState.ACCEPTED and not request.body.is_fully_sent:
             raise MessageError("taken before it was sent")
-        if order.phase is Phase.SENDING:
-            peer.lane.ack(w.number, w.bits)
-        self._stamp(now, peer, w.stamp)
-        if w.state is State.VOID:
-            self._tell(order, End.NOBODY)
-            self._close(peer, order)
-        elif w.state is State.GONE and order.phase is Phase.LEFT:
-            self._close(peer, order)
-        elif w.state is State.TAKEN and order.phase in (Phase.SENDING, Phase.ASKING):
-            self._taken(peer, order)
-        self._send(now, peer)
-
-    def answer(self, now: float, sender: int, w: Answer) -> None:
-        """A part of an answer. Raises MessageError."""
-        peer, order = self._find(sender, w.number)
-        if order is None or peer is None or order.told:
-            self._say(sender, Got(w.number, True))  # nobody needs it
+        if request.phase is Phase.SENDING:
+            owner.window.on_ack(ack.number, ack.received_bits)
+        self._apply_timestamp(now, owner, ack.timestamp)
+        if ack.state is RequestState.NOT_ACCEPTED:
+            self._end(request, ForwardResult.NOT_ACCEPTED)
+            self._close(owner, request)
+        elif ack.state is RequestState.CANCELLED and request.phase is Phase.ABANDONED:
+            self._close(owner, request)
+        elif ack.state is RequestState.ACCEPTED and request.phase in (Phase.SENDING, Phase.WITHDRAWING):
+            self._on_accepted(owner, request)
+        self._send_due(now, owner)
+
+    def on_answer_fragment(self, now: float, sender: int, fragment: AnswerFragment) -> None:
+        """Apply a fragment of an answer. Raises MessageError."""
+        owner, request = self._find(sender, fragment.number)
+        if request is None or owner is None or request.is_ended:
+            self._send_message(sender, AnswerAck(fragment.number, True))
             return
-        if w.life != order.life or not order.parcel.whole:
+        if fragment.owner_incarnation != request.owner_incarnation or not request.body.is_fully_sent:
             raise MessageError("answer to what was not asked")
-        if order.answer is None:
-            order.answer, order.end = Gather(w.size, ANSWER_ROOM), (w.end, w.ms)
-        if order.end != (w.end, w.ms):
+        if request.answer is None:
+            request.answer, request.outcome = (
+                Reassembly(fragment.body_bytes, ANSWER_FRAGMENT_BYTES),
+                (fragment.result, fragment.retry_after_ms),
+            )
+        if request.outcome != (fragment.result, fragment.retry_after_ms):
             raise MessageError("two ends")
-        whole = order.answer.put(w.size, w.index, w.data)
-        if order.phase is not Phase.TAKEN:
-            self._taken(peer, order)
-        self._say(sender, Got(w.number, whole, order.answer.bits))
-        if whole:
-            self._tell(order, w.end, w.ms, order.answer.body())
-            self._close(peer, order)
-        self._send(now, peer)
+        is_complete = request.answer.add(fragment.body_bytes, fragment.index, fragment.data)
+        if request.phase is not Phase.ACCEPTED:
+            self._on_accepted(owner, request)
+        self._send_message(sender, AnswerAck(fragment.number, is_complete, request.answer.received_bits))
+        if is_complete:
+            self._end(request, fragment.result, fragment.retry_after_ms, request.answer.body())
+            self._close(owner, request)
+        self._send_due(now, owner)
 
     def step(self, now: float) -> None:
-        """Time has passed."""
+        """Do what is due."""
         self.expire(now)
-        for peer in self.peers.values():
-            self._send(now, peer)
+        for owner in self.owners.values():
+            self._send_due(now, owner)
 
     def expire(self, now: float) -> None:
-        """What is due of single requests. Before words are read: an end that came too late is none."""
+        """Do what is due for single requests; called before a message is read, since a late answer must not
+        count.
+        """
         changed: set[int] = set()
-        while self.due and self.due[0][0] <= now:
-            when, owner, number = heapq.heappop(self.due)
-            peer = self.peers[owner]
-            order = peer.open.get(number)
-            if order is not None and order.due == when:
-                self._overdue(now, peer, order)
-                changed.add(owner)
-        # Danger: each that was withdrawn made room for the next, whose time was over as well. A dead
-        # neighbour got all that waited for it at one moment, and what could go elsewhere became FAILED.
-        for owner in changed:
-            self._send(now, self.peers[owner])
+        while self.action_timers and self.action_timers[0][0] <= now:
+            due_at, owner_id, number = heapq.heappop(self.action_timers)
+            owner = self.owners[owner_id]
+            request = owner.open_requests.get(number)
+            if request is not None and request.next_action_at == due_at:
+                self._on_timer(now, owner, request)
+                changed.add(owner_id)
+        # Sent only after all that is overdue was handled: each withdrawn request would let the next overdue
+        # one be sent to a failed owner, and then it could not go elsewhere any more.
+        for owner_id in changed:
+            self._send_due(now, self.owners[owner_id])
 
     def next_at(self) -> float:
-        """When `step` is due."""
-        times = [self.due[0][0]] if self.due else []
-        for peer in self.peers.values():
-            if peer.open:
-                times += [peer.probe_at, peer.lane.next_at() if peer.fresh else math.inf]
+        """Return when `step` is due."""
+        times = [self.action_timers[0][0]] if self.action_timers else []
+        for owner in self.owners.values():
+            if owner.open_requests:
+                times += [
+                    owner.next_query_at,
+                    owner.window.next_at() if owner.timestamp_is_fresh else math.inf,
+                ]
         return min(times, default=math.inf)
 
-    # --- inside ---
-
-    def _stamp(self, now: float, peer: Peer, stamp: int) -> None:
-        """A stamp of the owner's present life; the one issued last counts."""
-        if stamp > peer.stamp:
-            peer.stamp, peer.stamped, peer.fresh = stamp, now, True
-            peer.probe_at, peer.tries = now + self.settings.poll, 0
-
-    def _find(self, sender: int, number: int) -> tuple[Peer | None, Order | None]:
-        """A request of this life by its number. Raises MessageError where there never was one."""
-        peer = self.peers.get(sender)
-        if number >> 32 != self.life:
-            return peer, None
-        if peer is None or not 0 < number & U32 <= peer.count:
+    def _apply_timestamp(self, now: float, owner: KnownOwner, timestamp: int) -> None:
+        """Keep a timestamp of the owner's present incarnation if it is the newest."""
+        if timestamp > owner.timestamp:
+            owner.timestamp, owner.timestamp_received_at, owner.timestamp_is_fresh = timestamp, now, True
+            owner.next_query_at, owner.query_count = now + self.settings.liveness_interval_ms, 0
+
+    def _find(self, sender: int, number: int) -> tuple[KnownOwner | None, OutgoingRequest | None]:
+        """Find a request of this incarnation by its number. Raises MessageError if there never was one."""
+        owner = self.owners.get(sender)
+        if number >> 32 != self.incarnation:
+            return owner, None
+        if owner is None or not 0 < number & U32 <= owner.request_count:
             raise MessageError("number")
-        return peer, peer.open.get(number)
-
-    def _wake(self, order: Order, due: float) -> None:
-        order.due = due
-        heapq.heappush(self.due, (due, order.owner, order.number))
-
-    def _join(self, peer: Peer, order: Order) -> None:
-        """It goes out, once all before it in its line are known to be taken or over."""
-        if order.line:
-            line = peer.lines.setdefault(order.line, deque())
-            line.append(order)
-            if line[0] is not order:
+        return owner, owner.open_requests.get(number)
+
+    def _schedule(self, request: OutgoingRequest, action_at: float) -> None:
+        request.next_action_at = action_at
+        heapq.heappush(self.action_timers, ActionTimer(action_at, request.owner, request.number))
+
+    def _enqueue(self, owner: KnownOwner, request: OutgoingRequest) -> None:
+        """Send a request once all before it in its queue are known to be accepted or over."""
+        if request.queue_key:
+            queue = owner.queues.setdefault(request.queue_key, deque())
+            queue.append(request)
+            if queue[0] is not request:
                 return
-        self._offer(peer, order)
+        self._start_sending(owner, request)
 
-    def _offer(self, peer: Peer, order: Order) -> None:
-        order.phase = Phase.SENDING
-        peer.lane.add(order.parcel)
+    def _start_sending(self, owner: KnownOwner, request: OutgoingRequest) -> None:
+        request.phase = Phase.SENDING
+        owner.window.add(request.body)
 
-    def _pass(self, peer: Peer, order: Order) -> None:
-        """It no longer keeps its line."""
-        line = peer.lines.get(order.line)
-        if not order.line or line is None or order not in line:
+    def _dequeue(self, owner: KnownOwner, request: OutgoingRequest) -> None:
+        """Remove a request from its queue, and send the next one."""
+        queue = owner.queues.get(request.queue_key)
+        if not request.queue_key or queue is None or request not in queue:
             return
-        first = line[0] is order
-        line.remove(order)
-        if not line:
-            del peer.lines[order.line]
-        elif first:
-            self._offer(peer, line[0])
-
-    def _taken(self, peer: Peer, order: Order) -> None:
-        """The owner has taken it."""
-        order.phase = Phase.TAKEN
-        peer.lane.arrived(order.number)
-        self._wake(order, order.until - self.settings.last)
-        self._pass(peer, order)
-
-    def _restarted(self, peer: Peer, life: int) -> None:
-        """The owner's life of which parts were sent is over, with all that it knew."""
+        was_first = queue[0] is request
+        queue.remove(request)
+        if not queue:
+            del owner.queues[request.queue_key]
+        elif was_first:
+            self._start_sending(owner, queue[0])
+
+    def _on_accepted(self, owner: KnownOwner, request: OutgoingRequest) -> None:
+        """The owner has accepted the request."""
+        request.phase = Phase.ACCEPTED
+        owner.window.on_fully_received(request.number)
+        self._schedule(request, request.deadline - self.settings.answer_reserve_ms)
+        self._dequeue(owner, request)
+
+    def _on_owner_restarted(self, owner: KnownOwner, previous_incarnation: int) -> None:
+        """The incarnation to which fragments were sent is over, with all that it knew."""
         self.counts["restarts"] += 1
-        for order in list(peer.open.values()):
-            if order.life != life:
+        for request in list(owner.open_requests.values()):
+            if request.owner_incarnation != previous_incarnation:
                 continue
-            if order.parcel.whole:
-                self._tell(order, End.FAILED)  # it may have run before
-                self._close(peer, order)
+            if request.body.is_fully_sent:
+                self._end(request, ForwardResult.FAILED)
+                self._close(owner, request)
             else:
-                peer.lane.drop(order.number)
-                order.parcel.reset()
-                order.life = 0
-                peer.lane.add(order.parcel)
-
-    def _overdue(self, now: float, peer: Peer, order: Order) -> None:
-        """It is time to withdraw it, to tell its client, or to forget it."""
-        s = self.settings
-        last = order.until - s.last
-        if order.phase is Phase.LEFT and now >= order.until:
-            self._close(peer, order)
-        elif order.phase is Phase.LEFT:
-            self._withdraw(now, peer, order, order.until)
-        elif not order.parcel.whole:
-            self._tell(order, End.NOBODY)
-            self._close(peer, order)
-        elif now >= last:
-            self._tell(order, End.FAILED)
-            self._leave(now, peer, order)
+                owner.window.remove(request.number)
+                request.body.reset()
+                request.owner_incarnation = 0
+                owner.window.add(request.body)
+
+    def _on_timer(self, now: float, owner: KnownOwner, request: OutgoingRequest) -> None:
+        """Withdraw the request, give its client a result, or forget it."""
+        settings = self.settings
+        answer_deadline = request.deadline - settings.answer_reserve_ms
+        if request.phase is Phase.ABANDONED and now >= request.deadline:
+            self._close(owner, request)
+        elif request.phase is Phase.ABANDONED:
+            self._send_withdraw(now, owner, request, request.deadline)
+        elif not request.body.is_fully_sent:
+            self._end(request, ForwardResult.NOT_ACCEPTED)
+            self._close(owner, request)
+        elif now >= answer_deadline:
+            self._end(request, ForwardResult.FAILED)
+            self._cancel(now, owner, request)
         else:
-            if order.phase is Phase.SENDING:
-                order.phase, order.tries = Phase.ASKING, 0
-                peer.lane.drop(order.number)
-            self._withdraw(now, peer, order, last)
-
-    def _leave(self, now: float, peer: Peer, order: Order) -> None:
-        """Nobody waits for it; its owner is to know that."""
-        order.phase, order.tries = Phase.LEFT, 0
-        peer.lane.drop(order.number)
-        self._withdraw(now, peer, order, order.until)
-
-    def _withdraw(self, now: float, peer: Peer, order: Order, until: float) -> None:
-        """Say so, and again later."""
-        s = self.settings
-        self._say(peer.id, Withdraw(self._head(now, peer, order), order.phase is Phase.LEFT))
-        wait = min(s.retry * 2**order.tries, s.retry_most) * self.draw.uniform(0.9, 1.0)
-        order.tries = min(order.tries + 1, 16)
-        self._wake(order, min(now + wait, until))
-
-    def _tell(self, order: Order, end: End, ms: float = 0.0, data: bytes = b"") -> None:
-        """The client's one end."""
-        if not order.told:
-            order.told = True
-            self.refs.pop(order.ref, None)
-            self.counts[end.name.lower()] += 1
-            self.out.append(Ended(order.ref, end, ms, data))
-
-    def _close(self, peer: Peer, order: Order) -> None:
-        """Nothing is to be done about it any more."""
-        if peer.open.pop(order.number, None) is not None:
-            self.open -= 1
-        peer.lane.drop(order.number)
-        self._pass(peer, order)
-
-    def _head(self, now: float, peer: Peer, order: Order) -> Head:
-        left, held = max(order.until - now, 0.0), max(now - peer.stamped, 0.0)
-        floor = next(iter(peer.open)) & U32
-        return Head(order.number, order.life or peer.life, peer.stamp, held, left, floor)
-
-    def _send(self, now: float, peer: Peer) -> None:
-        """Parts as far as the window goes, to an owner whose life is known; else ask for that."""
-        if not peer.open:
+            if request.phase is Phase.SENDING:
+                request.phase, request.withdraw_count = Phase.WITHDRAWING, 0
+                owner.window.remove(request.number)
+            self._send_withdraw(now, owner, request, answer_deadline)
+
+    def _cancel(self, now: float, owner: KnownOwner, request: OutgoingRequest) -> None:
+        """No client waits for the request; its owner is to know that."""
+        request.phase, request.withdraw_count = Phase.ABANDONED, 0
+        owner.window.remove(request.number)
+        self._send_withdraw(now, owner, request, request.deadline)
+
+    def _send_withdraw(self, now: float, owner: KnownOwner, request: OutgoingRequest, latest: float) -> None:
+        """Withdraw the request, and again later."""
+        is_abandoned = request.phase is Phase.ABANDONED
+        self._send_message(owner.id, WithdrawRequest(self._header(now, owner, request), is_abandoned))
+        backoff_ms = self._backoff_ms(request.withdraw_count)
+        request.withdraw_count = min(request.withdraw_count + 1, MAX_BACKOFF_DOUBLINGS)
+        self._schedule(request, min(now + backoff_ms, latest))
+
+    def _backoff_ms(self, send_count: int) -> float:
+        """Return the time until a message that was sent so often is sent again."""
+        backoff_ms = self.settings.retry_interval_ms * 2**send_count
+        return min(backoff_ms, self.settings.max_retry_interval_ms) * self.random_source.uniform(0.9, 1.0)
+
+    def _end(
+        self, request: OutgoingRequest, result: ForwardResult, retry_after_ms: float = 0.0, data: bytes = b""
+    ) -> None:
+        """Give the client its one result."""
+        if not request.is_ended:
+            request.is_ended = True
+            self.requests_by_id.pop(request.request_id, None)
+            self.counts[RESULT_NAMES[result]] += 1
+            self.actions.append(ForwardingEnded(request.request_id, result, retry_after_ms, data))
+
+    def _close(self, owner: KnownOwner, request: OutgoingRequest) -> None:
+        """Nothing is to be done about the request any more."""
+        if owner.open_requests.pop(request.number, None) is not None:
+            self.open_count -= 1
+        owner.window.remove(request.number)
+        self._dequeue(owner, request)
+
+    def _header(self, now: float, owner: KnownOwner, request: OutgoingRequest) -> RequestHeader:
+        remaining_ms, timestamp_age_ms = (
+            max(request.deadline - now, 0.0),
+            max(now - owner.timestamp_received_at, 0.0),
+        )
+        lowest_open_count = next(iter(owner.open_requests)) & U32
+        return RequestHeader(
+            request.number,
+            request.owner_incarnation or owner.incarnation,
+            owner.timestamp,
+            timestamp_age_ms,
+            remaining_ms,
+            lowest_open_count,
+        )
+
+    def _send_due(self, now: float, owner: KnownOwner) -> None:
+        """Send fragments as far as the window allows; query an owner whose incarnation is not known."""
+        if not owner.open_requests:
             return
-        s = self.settings
-        if now - peer.stamped > s.fresh:
-            peer.fresh = False
-        if not peer.fresh and peer.tries == 0:
-            peer.probe_at = now
-        if now >= peer.probe_at:
-            self._say(peer.id, Probe(peer.life))
-            peer.probe_at = now + min(s.retry * 2**peer.tries, s.retry_most) * self.draw.uniform(0.9, 1.0)
-            peer.tries = min(peer.tries + 1, 16)
-        if not peer.fresh:
+        if now - owner.timestamp_received_at > self.settings.max_timestamp_age_ms:
+            owner.timestamp_is_fresh = False
+        if not owner.timestamp_is_fresh and owner.query_count == 0:
+            owner.next_query_at = now
+        if now >= owner.next_query_at:
+            self._send_message(owner.id, IncarnationQuery(owner.incarnation))
+            owner.next_query_at = now + self._backoff_ms(owner.query_count)
+            owner.query_count = min(owner.query_count + 1, MAX_BACKOFF_DOUBLINGS)
+        if not owner.timestamp_is_fresh:
             return
-        for parcel, index in peer.lane.run(now):
-            order = peer.open[parcel.number]
-            order.life = peer.life
-            head = self._head(now, peer, order)
-            self._say(peer.id, Part(head, index, len(parcel.body), parcel.part(index)))
-
-    def _say(self, member: int, word: Word) -> None:
-        self.out.append(SendMessage(member, pack(word)))
+        for body, index in owner.window.take_sendable(now):
+            request = owner.open_requests[body.number]
+            request.owner_incarnation = owner.incarnation
+            header = self._header(now, owner, request)
+            fragment = RequestFragment(header, index, len(body.body), body.fragment(index))
+            self._send_message(owner.id, fragment)
+
+    def _send_message(self, member: int, message: Message) -> None:
+        self.actions.append(SendMessage(member, encode(message)))
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -1,14 +1,14 @@
-"""The owner's side of requests that are handed on: takes each once and in time, and answers it. Pure.
+"""The owner's side of request forwarding: accepts each request once and in time, and answers it. Pure.
 
-Time. Each word of an origin gives back the newest stamp that it had from this owner, for how long it had held
-it, and how much time is left to the request. Whatever the ways took, the time of the request is then over no
-earlier than stamp + held + left on this owner's clock, less a part for clocks that run unevenly. That is a
-proof, so the largest of several such bounds counts, and a word that was long on its way, or waited here while
-this process stood still, takes nothing.
+Time. Each message of an origin returns the newest timestamp that it had from this owner, for how long it had
+held it, and how much time is left to the request. Whatever the network delays were, the request's deadline on
+this owner's clock is then not before timestamp + age + remaining time, less a part for clock drift. That is a
+proof, so the latest of several such bounds counts, and a message that was delayed for long, or waited here
+while this process was paused, gets nothing accepted.
 
-Memory. A request was or wasn't taken: that is remembered until the origin's floor has passed its count, or
-until its time is certainly over (arrival + left). After that no word for it can prove any time, so forgetting
-is safe. What doesn't fit within a bound is not acknowledged and not promised; it comes again.
+Memory. Whether a request was accepted is remembered until the origin's lowest open count has passed its
+count, or until its deadline is certainly over (arrival + remaining time). After that no message can prove
+any remaining time, so forgetting is safe. What exceeds a limit is not acknowledged and is sent again.
 """
 
 from __future__ import annotations
@@ -20,320 +20,388 @@
 
 from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.request_forwarding.fragmentation import Gather, Lane, Parcel
-from cottonhold.fleet.request_forwarding.interface import Action, Gone, HandSettings, Take
+from cottonhold.fleet.request_forwarding.fragmentation import FragmentedBody, Reassembly, SendWindow
+from cottonhold.fleet.request_forwarding.interface import (
+    Action,
+    ForwardingSettings,
+    RequestAbandoned,
+    RequestAccepted,
+)
 from cottonhold.fleet.request_forwarding.messages import (
-    ANSWER_ROOM,
-    LARGEST,
-    PART_ROOM,
+    ANSWER_FRAGMENT_BYTES,
+    MAX_BODY_BYTES,
+    REQUEST_FRAGMENT_BYTES,
     U32,
-    Ack,
-    Answer,
-    End,
-    Got,
-    Head,
-    Lives,
-    Part,
-    State,
-    Withdraw,
-    Word,
-    pack,
+    AnswerAck,
+    AnswerFragment,
+    ForwardResult,
+    IncarnationReply,
+    Message,
+    RequestAck,
+    RequestFragment,
+    RequestHeader,
+    RequestState,
+    WithdrawRequest,
+    encode,
 )
 
-STAMPS = 1000.0  # a ms
+TIMESTAMPS_PER_MS = 1000.0  # a ms
 
 
 @dataclass(slots=True, eq=False)
-class Record:
-    """A request that comes in (`gather`), runs, or has an answer on its way (`parcel`)."""
+class IncomingRequest:
+    """A request that is being received (`reassembly`), runs, or has an answer to be sent (`answer_body`).
+
+    earliest_deadline: its deadline is not before it; latest_deadline: nor after it (own clock).
+    """
 
     number: int
-    gather: Gather | None
-    until: float = -math.inf  # proven: its time is not over before
-    keep: float = -math.inf  # proven: its time is over by then
-    gone: bool = False
-    answer: tuple[End, float] | None = None
-    parcel: Parcel | None = None
+    reassembly: Reassembly | None
+    earliest_deadline: float = -math.inf  # proven: its time is not over before
+    latest_deadline: float = -math.inf  # proven: its time is over by then
+    is_abandoned: bool = False
+    outcome: tuple[ForwardResult, float] | None = None
+    answer_body: FragmentedBody | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Guest:
-    """One life of an origin. Counts below the floor are never taken again. over: others that are done with,
-    and whether they were taken."""
+class OriginIncarnation:
+    """One incarnation of an origin. Requests below lowest_open_count are never accepted again.
 
-    life: int
-    floor: int = 1
-    keep: float = -math.inf
-    records: dict[int, Record] = field(default_factory=dict)
-    over: dict[int, bool] = field(default_factory=dict)
+    was_accepted: for other requests that have ended, by count.
+    """
+
+    number: int
+    lowest_open_count: int = 1
+    latest_deadline: float = -math.inf
+    requests: dict[int, IncomingRequest] = field(default_factory=dict)
+    was_accepted: dict[int, bool] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
-class Caller:
-    """One origin: its lives, what it fills, answers on their way to it."""
+class Origin:
+    """One origin: its incarnations, the memory that it uses, and the answers sent to it."""
 
     id: int
-    lane: Lane
-    guests: dict[int, Guest] = field(default_factory=dict)
-    gathering: int = 0
-    answering: int = 0
-
-
-class Taking:
-    """Requests that others hand to this member. `out` takes the actions, `counts` what went by."""
-
-    def __init__(self, life: int, settings: HandSettings, counts: Counter[str], out: list[Action]) -> None:
-        self.life, self.settings, self.counts, self.out = life, settings, counts, out
-        self.callers: dict[int, Caller] = {}
-        self.sweep_at = math.inf
-
-    # --- what happens ---
-
-    def probe(self, now: float, sender: int, asked: int) -> None:
-        """An origin asks for this life and a stamp."""
-        self._say(sender, Lives(asked, self.life, self._stamp(now)))
-
-    def part(self, now: float, sender: int, w: Part) -> None:
-        """A part of a request. Raises MessageError."""
-        until, count = self._until(now, w.head), w.head.number & U32
-        if w.head.life != self.life:
-            return self.probe(now, sender, w.head.life)
-        _, _, record = self._find(sender, w.head.number)
-        if record is not None and record.gather is not None:
-            record.gather.check(w.size, w.index, w.data)
-        found = self._guest(now, sender, w.head, until > now)
-        if found is None or count < found[1].floor:
+    window: SendWindow
+    incarnations: dict[int, OriginIncarnation] = field(default_factory=dict)
+    receiving_bytes: int = 0
+    answer_bytes: int = 0
+
+
+class RequestOwner:
+    """Requests that other members forward to this one. Appends to `actions` and counts events."""
+
+    def __init__(
+        self, incarnation: int, settings: ForwardingSettings, counts: Counter[str], actions: list[Action]
+    ) -> None:
+        self.incarnation = incarnation
+        self.settings = settings
+        self.counts = counts
+        self.actions = actions
+        self.origins: dict[int, Origin] = {}
+        self.next_sweep_at = math.inf
+
+    def on_incarnation_query(self, now: float, sender: int, believed_incarnation: int) -> None:
+        """An origin queries this owner's incarnation and a timestamp."""
+        self._send_message(
+            sender, IncarnationReply(believed_incarnation, self.incarnation, self._timestamp(now))
+        )
+
+    def on_request_fragment(self, now: float, sender: int, fragment: RequestFragment) -> None:
+        """Apply a fragment of a request. Raises MessageError."""
+        deadline = self._earliest_deadline(now, fragment.header)
+        count = fragment.header.number & U32
+        if fragment.header.owner_incarnation != self.incarnation:
+            return self.on_incarnation_query(now, sender, fragment.header.owner_incarnation)
+        _, _, request = self._find(sender, fragment.header.number)
+        if request is not None and request.reassembly is not None:
+            request.reassembly.check(fragment.body_bytes, fragment.index, fragment.data)
+        found = self._incarnation_of(now, sender, fragment.header, deadline > now)
+        if found is None or count < found[1].lowest_open_count:
             return None
-        caller, guest = found
-        record = guest.records.get(count)
-        if count in guest.over or (record is not None and record.gather is None):
-            return self._ack(now, caller, guest, w.head.number)
-        if record is None:
-            if until <= now:
-                return self.probe(now, sender, self.life)  # a newer stamp proves more
-            record = self._open(caller, guest, w)
-        if record is None or record.gather is None:
+        origin, incarnation = found
+        request = incarnation.requests.get(count)
+        if count in incarnation.was_accepted or (request is not None and request.reassembly is None):
+            return self._send_ack(now, origin, incarnation, fragment.header.number)
+        if request is None:
+            if deadline <= now:
+                # With a newer timestamp the origin can prove more remaining time.
+                return self.on_incarnation_query(now, sender, self.incarnation)
+            request = self._begin_request(origin, incarnation, fragment)
+        if request is None or request.reassembly is None:
             return None
-        whole = record.gather.put(w.size, w.index, w.data)
-        record.until = max(record.until, until)
-        record.keep = max(record.keep, self._keep(now, w.head))
-        if whole:
-            self._whole(now, caller, guest, record)
-        return self._ack(now, caller, guest, w.head.number)
-
-    def withdraw(self, now: float, sender: int, w: Withdraw) -> None:
-        """It is not to be taken any more, or its client left. Raises MessageError."""
-        self._until(now, w.head)
-        count = w.head.number & U32
-        if w.head.life != self.life:
-            return self.probe(now, sender, w.head.life)
-        found = self._guest(now, sender, w.head, True)
-        if found is None or count < found[1].floor:
+        is_complete = request.reassembly.add(fragment.body_bytes, fragment.index, fragment.data)
+        request.earliest_deadline = max(request.earliest_deadline, deadline)
+        request.latest_deadline = max(request.latest_deadline, self._latest_deadline(now, fragment.header))
+        if is_complete:
+            self._on_fully_received(now, origin, incarnation, request)
+        return self._send_ack(now, origin, incarnation, fragment.header.number)
+
+    def on_withdraw(self, now: float, sender: int, message: WithdrawRequest) -> None:
+        """Accept the request no more, or cancel it. Raises MessageError."""
+        self._earliest_deadline(now, message.header)
+        count = message.header.number & U32
+        if message.header.owner_incarnation != self.incarnation:
+            return self.on_incarnation_query(now, sender, message.header.owner_incarnation)
+        found = self._incarnation_of(now, sender, message.header, True)
+        if found is None or count < found[1].lowest_open_count:
             return None
-        caller, guest = found
-        record = guest.records.get(count)
-        if record is not None and record.gather is None:
-            if w.left:
-                self._left(caller, guest, record)
-        elif count not in guest.over:
-            if record is None and self._full(guest):
+        origin, incarnation = found
+        request = incarnation.requests.get(count)
+        if request is not None and request.reassembly is None:
+            if message.is_abandoned:
+                self._on_abandoned(origin, incarnation, request)
+        elif count not in incarnation.was_accepted:
+            if request is None and self._is_full(incarnation):
                 return None
-            # Danger: a part that is still on its way would otherwise be taken after the origin said NOBODY.
-            self._close(caller, guest, count, False)
-        return self._ack(now, caller, guest, w.head.number, w.left)
-
-    def got(self, sender: int, w: Got) -> None:
-        """What the origin has of an answer. Raises MessageError."""
-        caller, guest, record = self._find(sender, w.number)
-        if caller is None or guest is None or record is None or record.parcel is None:
+            # A late fragment must not be accepted after the origin reported NOT_ACCEPTED.
+            self._close(origin, incarnation, count, False)
+        return self._send_ack(now, origin, incarnation, message.header.number, message.is_abandoned)
+
+    def on_answer_ack(self, sender: int, ack: AnswerAck) -> None:
+        """Apply what the origin has of an answer. Raises MessageError."""
+        origin, incarnation, request = self._find(sender, ack.number)
+        if origin is None or incarnation is None or request is None or request.answer_body is None:
             return
-        caller.lane.ack(w.number, w.bits)
-        if w.whole or record.parcel.done:
-            self._close(caller, guest, w.number & U32, True)
-
-    def answered(self, now: float, origin: int, number: int, end: End, ms: float, data: bytes) -> None:
-        """How one that was taken ended here. Known once; later ones are left out."""
-        caller, guest, record = self._find(origin, number)
-        if caller is None or guest is None or record is None or record.gather or record.answer:
+        origin.window.on_ack(ack.number, ack.received_bits)
+        if ack.is_complete or request.answer_body.is_fully_acked:
+            self._close(origin, incarnation, ack.number & U32, True)
+
+    def on_request_ended(
+        self,
+        now: float,
+        origin_id: int,
+        number: int,
+        result: ForwardResult,
+        retry_after_ms: float,
+        data: bytes,
+    ) -> None:
+        """An accepted request has ended here; a second result is ignored."""
+        origin, incarnation, request = self._find(origin_id, number)
+        if origin is None or incarnation is None or request is None or request.reassembly or request.outcome:
             self.counts["stray"] += 1
             return
-        if record.gone:
-            self._close(caller, guest, number & U32, True)
+        if request.is_abandoned:
+            self._close(origin, incarnation, number & U32, True)
             return
-        if len(data) > LARGEST or caller.answering + len(data) > self.settings.answering:
-            # It ran: nothing but FAILED is true of it.
+        if len(data) > MAX_BODY_BYTES or origin.answer_bytes + len(data) > self.settings.max_answer_bytes:
+            # The request ran, so no result but FAILED is true.
             self.counts["answers_too_large"] += 1
-            end, ms, data = End.FAILED, 0.0, b""
-        caller.answering += len(data)
-        record.answer = (end, ms if math.isfinite(ms) and ms > 0.0 else 0.0)
-        record.parcel = Parcel(number, data, ANSWER_ROOM)
-        caller.lane.add(record.parcel)
-        self._send(now, caller)
-
-    def heard(self, now: float, sender: int) -> None:
-        """A word of this sender has been read: there may be room on its lane."""
-        caller = self.callers.get(sender)
-        if caller is not None:
-            self._send(now, caller)
+            result, retry_after_ms, data = ForwardResult.FAILED, 0.0, b""
+        origin.answer_bytes += len(data)
+        request.outcome = (
+            result,
+            retry_after_ms if math.isfinite(retry_after_ms) and retry_after_ms > 0.0 else 0.0,
+        )
+        request.answer_body = FragmentedBody(number, data, ANSWER_FRAGMENT_BYTES)
+        origin.window.add(request.answer_body)
+        self._send_answers(now, origin)
+
+    def after_message(self, now: float, sender: int) -> None:
+        """A message of this sender was applied: its window may have grown."""
+        origin = self.origins.get(sender)
+        if origin is not None:
+            self._send_answers(now, origin)
 
     def step(self, now: float) -> None:
-        """Time has passed."""
-        for caller in list(self.callers.values()):
-            self._send(now, caller)
-        if self.sweep_at <= now:
+        """Do what is due."""
+        for origin in list(self.origins.values()):
+            self._send_answers(now, origin)
+        if self.next_sweep_at <= now:
             self._sweep(now)
 
     def next_at(self) -> float:
-        """When `step` is due."""
-        return min([c.lane.next_at() for c in self.callers.values()] + [self.sweep_at])
-
-    # --- inside ---
-
-    def _stamp(self, now: float) -> int:
-        return max(int(now * STAMPS), 0)
-
-    def _until(self, now: float, head: Head) -> float:
-        """On this clock: the request's time is not over before. Raises MessageError for what can't be."""
-        s = self.settings
-        if head.left > s.longest:
+        """Return when `step` is due."""
+        return min([c.window.next_at() for c in self.origins.values()] + [self.next_sweep_at])
+
+    def _timestamp(self, now: float) -> int:
+        return max(int(now * TIMESTAMPS_PER_MS), 0)
+
+    def _earliest_deadline(self, now: float, header: RequestHeader) -> float:
+        """Return a time on this clock before which the request's deadline is not. Raises MessageError if it
+        is impossible.
+        """
+        settings = self.settings
+        if header.remaining_ms > settings.max_timeout_ms:
             raise MessageError("time left")
-        if head.life != self.life:
+        if header.owner_incarnation != self.incarnation:
             return -math.inf
-        began, even = head.stamp / STAMPS, 1.0 - s.drift
-        if began + head.held * even > now:
+        began, even = header.timestamp / TIMESTAMPS_PER_MS, 1.0 - settings.max_clock_drift
+        if began + header.timestamp_age_ms * even > now:
             raise MessageError("stamp")
-        return began + (head.held + head.left) * even - s.margin
-
-    def _keep(self, now: float, head: Head) -> float:
-        """On this clock: the request's time is over by then."""
-        return now + head.left * (1.0 + self.settings.drift) + self.settings.margin
-
-    def _guest(self, now: float, sender: int, head: Head, make: bool) -> tuple[Caller, Guest] | None:
-        """The origin's life that a word is of, with its floor; None: it is one too many."""
-        s, life = self.settings, head.number >> 32
-        caller = self.callers.get(sender)
-        guest = caller.guests.get(life) if caller is not None else None
-        if guest is None:
-            full = len(self.callers) >= s.callers if caller is None else len(caller.guests) >= s.lives
-            if full or not make:
-                self.counts["full"] += full and make
+        return began + (header.timestamp_age_ms + header.remaining_ms) * even - settings.clock_margin_ms
+
+    def _latest_deadline(self, now: float, header: RequestHeader) -> float:
+        """Return a time on this clock after which the request's deadline is not."""
+        return (
+            now + header.remaining_ms * (1.0 + self.settings.max_clock_drift) + self.settings.clock_margin_ms
+        )
+
+    def _incarnation_of(
+        self, now: float, sender: int, header: RequestHeader, may_create: bool
+    ) -> tuple[Origin, OriginIncarnation] | None:
+        """Return the origin and incarnation of a message; None if there are too many, or none is created."""
+        settings, number = self.settings, header.number >> 32
+        origin = self.origins.get(sender)
+        incarnation = origin.incarnations.get(number) if origin is not None else None
+        if incarnation is None:
+            full = (
+                len(self.origins) >= settings.max_origins
+                if origin is None
+                else len(origin.incarnations) >= settings.max_origin_incarnations
+            )
+            if full or not may_create:
+                self.counts["full"] += full and may_create
                 return None
-            if caller is None:
-                caller = self.callers[sender] = Caller(sender, Lane(s.window, s.retry, s.retry_most))
-                self.sweep_at = min(self.sweep_at, now + s.poll)
-            for older in caller.guests.values():
-                if older.life < life:
-                    self._gone(caller, older.records.values())
-            guest = caller.guests[life] = Guest(life)
-        assert caller is not None
-        guest.keep = max(guest.keep, self._keep(now, head))
-        self._raise_floor(caller, guest, head.floor)
-        return caller, guest
-
-    def _raise_floor(self, caller: Caller, guest: Guest, floor: int) -> None:
-        """All counts below are over at the origin."""
-        if floor <= guest.floor:
+            if origin is None:
+                origin = self.origins[sender] = Origin(
+                    sender,
+                    SendWindow(
+                        settings.max_fragments_in_flight,
+                        settings.retry_interval_ms,
+                        settings.max_retry_interval_ms,
+                    ),
+                )
+                self.next_sweep_at = min(self.next_sweep_at, now + settings.liveness_interval_ms)
+            for older in origin.incarnations.values():
+                if older.number < number:
+                    self._abandon(origin, older.requests.values())
+            incarnation = origin.incarnations[number] = OriginIncarnation(number)
+        assert origin is not None
+        incarnation.latest_deadline = max(incarnation.latest_deadline, self._latest_deadline(now, header))
+        self._forget_below(origin, incarnation, header.lowest_open_count)
+        return origin, incarnation
+
+    def _forget_below(self, origin: Origin, incarnation: OriginIncarnation, lowest_open_count: int) -> None:
+        """All requests with a smaller count have ended at the origin."""
+        if lowest_open_count <= incarnation.lowest_open_count:
             return
-        few = floor - guest.floor <= len(guest.over) + len(guest.records)
-        past = range(guest.floor, floor) if few else [*guest.over, *guest.records]
-        for count in [c for c in past if c < floor]:
-            record = guest.records.get(count)
-            if record is not None:
-                self._gone(caller, [record])
-                self._close(caller, guest, count, True)
-            guest.over.pop(count, None)
-        guest.floor = floor
-
-    def _full(self, guest: Guest) -> bool:
-        full = len(guest.records) + len(guest.over) >= self.settings.remembered
+        few = lowest_open_count - incarnation.lowest_open_count <= len(incarnation.was_accepted) + len(
+            incarnation.requests
+        )
+        past = (
+            range(incarnation.lowest_open_count, lowest_open_count)
+            if few
+            else [*incarnation.was_accepted, *incarnation.requests]
+        )
+        for count in [c for c in past if c < lowest_open_count]:
+            request = incarnation.requests.get(count)
+            if request is not None:
+                self._abandon(origin, [request])
+                self._close(origin, incarnation, count, True)
+            incarnation.was_accepted.pop(count, None)
+        incarnation.lowest_open_count = lowest_open_count
+
+    def _is_full(self, incarnation: OriginIncarnation) -> bool:
+        full = (
+            len(incarnation.requests) + len(incarnation.was_accepted) >= self.settings.max_remembered_requests
+        )
         self.counts["full"] += full
         return full
 
-    def _open(self, caller: Caller, guest: Guest, w: Part) -> Record | None:
-        """A record for a request that begins to come in, where there is room for all of it."""
-        if self._full(guest):
+    def _begin_request(
+        self, origin: Origin, incarnation: OriginIncarnation, fragment: RequestFragment
+    ) -> IncomingRequest | None:
+        """Begin to receive a request, if there is capacity for all of it."""
+        if self._is_full(incarnation):
             return None
-        if caller.gathering + w.size > self.settings.gathering:
+        if origin.receiving_bytes + fragment.body_bytes > self.settings.max_receiving_bytes:
             self.counts["full"] += 1
             return None
-        caller.gathering += w.size
-        record = guest.records[w.head.number & U32] = Record(w.head.number, Gather(w.size, PART_ROOM))
-        return record
-
-    def _whole(self, now: float, caller: Caller, guest: Guest, record: Record) -> None:
-        """All of it is there: it is taken, or never."""
-        left = record.until - now
-        if left <= self.settings.least or record.gather is None:
+        origin.receiving_bytes += fragment.body_bytes
+        request = incarnation.requests[fragment.header.number & U32] = IncomingRequest(
+            fragment.header.number, Reassembly(fragment.body_bytes, REQUEST_FRAGMENT_BYTES)
+        )
+        return request
+
+    def _on_fully_received(
+        self, now: float, origin: Origin, incarnation: OriginIncarnation, request: IncomingRequest
+    ) -> None:
+        """Accept a request that has arrived in full, unless it is too late."""
+        left = request.earliest_deadline - now
+        if left <= self.settings.min_remaining_ms or request.reassembly is None:
             self.counts["late"] += 1
-            self._close(caller, guest, record.number & U32, False)
+            self._close(origin, incarnation, request.number & U32, False)
             return
-        body, caller.gathering = record.gather.body(), caller.gathering - record.gather.size
-        record.gather = None
+        body, origin.receiving_bytes = (
+            request.reassembly.body(),
+            origin.receiving_bytes - request.reassembly.body_bytes,
+        )
+        request.reassembly = None
         self.counts["taken"] += 1
-        self.out.append(Take(caller.id, record.number, body, left))
-
-    def _gone(self, caller: Caller, records: Iterable[Record]) -> None:
-        """Nobody waits for what runs of these."""
-        for record in records:
-            if record.gather is None and record.answer is None and not record.gone:
-                record.gone = True
-                self.out.append(Gone(caller.id, record.number))
-
-    def _left(self, caller: Caller, guest: Guest, record: Record) -> None:
-        """The client of one that was taken has left."""
-        self._gone(caller, [record])
-        if record.answer is not None:
-            self._close(caller, guest, record.number & U32, True)
-
-    def _close(self, caller: Caller, guest: Guest, count: int, taken: bool) -> None:
-        """It is done with; only whether it was taken is remembered."""
-        record = guest.records.pop(count, None)
-        guest.over[count] = taken
-        if record is None:
+        self.actions.append(RequestAccepted(origin.id, request.number, body, left))
+
+    def _abandon(self, origin: Origin, records: Iterable[IncomingRequest]) -> None:
+        """No client waits for those of these requests that run."""
+        for request in records:
+            if request.reassembly is None and request.outcome is None and not request.is_abandoned:
+                request.is_abandoned = True
+                self.actions.append(RequestAbandoned(origin.id, request.number))
+
+    def _on_abandoned(self, origin: Origin, incarnation: OriginIncarnation, request: IncomingRequest) -> None:
+        """The client of an accepted request has left."""
+        self._abandon(origin, [request])
+        if request.outcome is not None:
+            self._close(origin, incarnation, request.number & U32, True)
+
+    def _close(self, origin: Origin, incarnation: OriginIncarnation, count: int, taken: bool) -> None:
+        """Forget a request, but for whether it was accepted."""
+        request = incarnation.requests.pop(count, None)
+        incarnation.was_accepted[count] = taken
+        if request is None:
             return
-        if record.gather is not None:
-            caller.gathering -= record.gather.size
-        if record.parcel is not None:
-            caller.answering -= len(record.parcel.body)
-            caller.lane.drop(record.number)
-
-    def _find(self, sender: int, number: int) -> tuple[Caller | None, Guest | None, Record | None]:
-        caller = self.callers.get(sender)
-        guest = caller.guests.get(number >> 32) if caller is not None else None
-        return caller, guest, guest.records.get(number & U32) if guest is not None else None
-
-    def _ack(self, now: float, caller: Caller, guest: Guest, number: int, left: bool = False) -> None:
-        """Say what is here of a request."""
-        record, bits = guest.records.get(number & U32), 0
-        if record is not None and record.gather is not None:
-            state, bits = State.GATHERING, record.gather.bits
-        elif record is None and not guest.over.get(number & U32, True):
-            state = State.VOID
+        if request.reassembly is not None:
+            origin.receiving_bytes -= request.reassembly.body_bytes
+        if request.answer_body is not None:
+            origin.answer_bytes -= len(request.answer_body.body)
+            origin.window.remove(request.number)
+
+    def _find(
+        self, sender: int, number: int
+    ) -> tuple[Origin | None, OriginIncarnation | None, IncomingRequest | None]:
+        origin = self.origins.get(sender)
+        incarnation = origin.incarnations.get(number >> 32) if origin is not None else None
+        return (
+            origin,
+            incarnation,
+            incarnation.requests.get(number & U32) if incarnation is not None else None,
+        )
+
+    def _send_ack(
+        self, now: float, origin: Origin, incarnation: OriginIncarnation, number: int, left: bool = False
+    ) -> None:
+        """Send a request's state."""
+        request, bits = incarnation.requests.get(number & U32), 0
+        if request is not None and request.reassembly is not None:
+            state, bits = RequestState.RECEIVING, request.reassembly.received_bits
+        elif request is None and not incarnation.was_accepted.get(number & U32, True):
+            state = RequestState.NOT_ACCEPTED
         else:
-            state = State.GONE if left else State.TAKEN
-        self._say(caller.id, Ack(number, self.life, self._stamp(now), state, bits))
-
-    def _send(self, now: float, caller: Caller) -> None:
-        """Answers, as far as the window goes."""
-        for parcel, index in caller.lane.run(now):
-            _, _, record = self._find(caller.id, parcel.number)
-            if record is not None and record.answer is not None:
-                end, ms = record.answer
-                shape = (parcel.number, self.life, end, ms, len(parcel.body), index)
-                self._say(caller.id, Answer(*shape, parcel.part(index)))
+            state = RequestState.CANCELLED if left else RequestState.ACCEPTED
+        self._send_message(origin.id, RequestAck(number, self.incarnation, self._timestamp(now), state, bits))
+
+    def _send_answers(self, now: float, origin: Origin) -> None:
+        """Send fragments of answers, as far as the window allows."""
+        for body, index in origin.window.take_sendable(now):
+            _, _, request = self._find(origin.id, body.number)
+            if request is not None and request.outcome is not None:
+                end, ms = request.outcome
+                shape = (body.number, self.incarnation, end, ms, len(body.body), index)
+                self._send_message(origin.id, AnswerFragment(*shape, body.fragment(index)))
 
     def _sweep(self, now: float) -> None:
-        """Forget what no word can bring back: its time is over, whatever is still on its way."""
-        for caller in list(self.callers.values()):
-            for guest in list(caller.guests.values()):
-                for count in [c for c, r in guest.records.items() if r.keep < now]:
-                    taken = guest.records[count].gather is None
-                    self._close(caller, guest, count, taken)
-                if not guest.records and guest.keep < now:
-                    del caller.guests[guest.life]
-            if not caller.guests:
-                del self.callers[caller.id]
-        self.sweep_at = now + self.settings.poll if self.callers else math.inf
-
-    def _say(self, member: int, word: Word) -> None:
-        self.out.append(SendMessage(member, pack(word)))
+        """Forget requests whose deadline is certainly over, so that no late message can bring them back."""
+        for origin in list(self.origins.values()):
+            for incarnation in list(origin.incarnations.values()):
+                for count in [c for c, r in incarnation.requests.items() if r.latest_deadline < now]:
+                    taken = incarnation.requests[count].reassembly is None
+                    self._close(origin, incarnation, count, taken)
+                if not incarnation.requests and incarnation.latest_deadline < now:
+                    del origin.incarnations[incarnation.number]
+            if not origin.incarnations:
+                del self.origins[origin.id]
+        self.next_sweep_at = now + self.settings.liveness_interval_ms if self.origins else math.inf
+
+    def _send_message(self, member: int, message: Message) -> None:
+        self.actions.append(SendMessage(member, encode(message)))
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -15,8 +15,9 @@
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.request_forwarding.forwarder import End, Ended
-from cottonhold.fleet.request_forwarding.request_codec import pin_key, read_rows
+from cottonhold.fleet.request_forwarding.forwarder import ForwardingEnded, ForwardResult
+from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
+from cottonhold.fleet.request_forwarding.request_codec import affinity_key, decode_rows
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet_adapters.load_records import NEVER_RAN
 from cottonhold.node.clock import Clock
@@ -138,7 +139,7 @@
         now = self.clock.now()
         remote = self.remote.get(taken.ref)
         patience = max(min(until - SPARE_MS, now + (GUEST_MS if remote else WAIT_MS)), now)
-        held = Held(next(self.numbers), taken, pin_key(taken.key), until, patience, settled, remote)
+        held = Held(next(self.numbers), taken, affinity_key(taken.key), until, patience, settled, remote)
         self.held[taken.ref] = held
         # Danger: one that came while others of its key waited for an owner would overtake them.
         if held.key in self.lines or not self._place(held):
@@ -189,30 +190,30 @@
 
     # --- handed on ---
 
-    def handed(self, ended: Ended) -> None:
+    def handed(self, ended: ForwardingEnded) -> None:
         """How a request that was handed on has ended. Where nothing ran it is placed anew."""
-        held = self.held.get(ended.ref)
+        held = self.held.get(ended.request_id)
         if held is None or not held.owner:
             return
-        self._back_from(held, ended.end in (End.MOVED, End.NOBODY))
-        self.counters.add(f"pins_handed_{ended.end.name.lower()}")
-        if ended.end is End.SERVED:
+        self._back_from(held, ended.result in (ForwardResult.NOT_OWNER, ForwardResult.NOT_ACCEPTED))
+        self.counters.add(f"pins_handed_{RESULT_NAMES[ended.result]}")
+        if ended.result is ForwardResult.ANSWERED:
             try:
-                rows = read_rows(ended.data)
+                rows = decode_rows(ended.data)
             except MessageError:
                 held.settled(Past.MAY, 0.0)
                 return
-            self.gateway.end(ended.ref, "served", lambda client: client.served(rows))
-        elif ended.end is End.FAILED:
+            self.gateway.end(ended.request_id, "served", lambda client: client.served(rows))
+        elif ended.result is ForwardResult.FAILED:
             held.settled(Past.MAY, 0.0)
-        elif ended.end is End.MOVED and self.clock.now() < held.patience:
+        elif ended.result is ForwardResult.NOT_OWNER and self.clock.now() < held.patience:
             self._moved(held, ended)
             self._wait(held)
         else:
-            held.settled(Past.LATER, ended.ms or self.owners.back)
+            held.settled(Past.LATER, ended.retry_after_ms or self.owners.back)
         self.go_on(held.key)
 
-    def _moved(self, held: Held, ended: Ended) -> None:
+    def _moved(self, held: Held, ended: ForwardingEnded) -> None:
         """Another owns it, maybe the one that is told."""
         # Danger: only its home knows where a key has moved to. Asked again and again, it could but say that
         # it isn't the owner, and no third instance ever reached a moved key.
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -18,9 +18,14 @@
 from cottonhold.fleet.recovery.membership_survey import Census
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet.request_forwarding import forwarder
-from cottonhold.fleet.request_forwarding.forwarder import End, HandOn, HandSettings
+from cottonhold.fleet.request_forwarding.forwarder import ForwardingSettings, ForwardResult, RequestForwarder
 from cottonhold.fleet.request_forwarding.messages import U32
-from cottonhold.fleet.request_forwarding.request_codec import Handed, pack_request, pack_rows, read_request
+from cottonhold.fleet.request_forwarding.request_codec import (
+    ForwardedRequest,
+    decode_request,
+    encode_request,
+    encode_rows,
+)
 from cottonhold.fleet.rolling_replacement.plan import Record as Swapped
 from cottonhold.fleet.rolling_replacement.plan import Step, ident
 from cottonhold.fleet.session_affinity import membership_table, messages
@@ -61,19 +66,19 @@
 
     def served(self, rows: Rows) -> None:
         """The whole result."""
-        self.rim.answered(self, End.SERVED, 0.0, pack_rows(rows))
+        self.rim.answered(self, ForwardResult.ANSWERED, 0.0, encode_rows(rows))
 
     def refused(self, retry_after: float) -> None:
         """Turned away, or this isn't the key's owner: nothing ran."""
         owner = self.rim.guard.moved.get(self.ref)
         if owner is None:
-            self.rim.answered(self, End.REFUSED, retry_after, b"")
+            self.rim.answered(self, ForwardResult.REJECTED, retry_after, b"")
         else:
-            self.rim.answered(self, End.MOVED, 0.0, owner.to_bytes(8, "big") if owner else b"")
+            self.rim.answered(self, ForwardResult.NOT_OWNER, 0.0, owner.to_bytes(8, "big") if owner else b"")
 
     def failed(self, why: str) -> None:
         """It may have run."""
-        self.rim.answered(self, End.FAILED, 0.0, b"")
+        self.rim.answered(self, ForwardResult.FAILED, 0.0, b"")
 
 
 class PinsRim:
@@ -104,7 +109,7 @@
         self.service = SessionAffinityService(swim.id, swap.voters, now, secrets.randbits(30), kept)
         self.me, self.back = swim.id, self.service.settings.retry_after_ms
         life = life_of(ledger) & U32 or 1
-        self.handing = HandOn(swim.id, life, HandSettings(), secrets.randbits(30))
+        self.handing = RequestForwarder(swim.id, life, ForwardingSettings(), secrets.randbits(30))
         self.guard = Pinned(loads, self, gateway, clock, counters)
         self.guests: dict[tuple[int, int], tuple[Request, HandedClient]] = {}
         self.puts: dict[str, int] = {}  # by name: the token of its last record
@@ -170,52 +175,58 @@
         words = (taken.ref, taken.service, taken.key or "", taken.effort, taken.room, taken.tables)
         tenants = self.gateway.settings.tenants
         tenant = tenants[taken.tenant].name if taken.tenant < len(tenants) else ""
-        body = pack_request(Handed(*words, taken.retry, taken.body, number, tenant, taken.token or ""))
+        body = encode_request(
+            ForwardedRequest(*words, taken.retry, taken.body, number, tenant, taken.token or "")
+        )
         now = self.clock.now()
-        actions = self.handing.hand(now, taken.ref, owner, body, until, line=key)
+        actions = self.handing.forward(now, taken.ref, owner, body, until, queue_key=key)
         # An end that comes at once comes to the guard once it knows that the request is on its way.
         self.clock.call_soon(lambda: self._hands(actions))
 
     def left(self, ref: str) -> None:
         """Nobody waits any more for one that was handed on."""
-        self._hands(self.handing.gone(self.clock.now(), ref))
+        self._hands(self.handing.abandon(self.clock.now(), ref))
 
     # --- requests that others hand on to here ---
 
-    def _taken(self, action: forwarder.Take) -> None:
+    def _taken(self, action: forwarder.RequestAccepted) -> None:
         now, place = self.clock.now(), (action.origin, action.number)
         try:
-            asked = read_request(action.body)
+            asked = decode_request(action.body)
         except MessageError:
             self.counters.add("pins_malformed")
-            self._hands(self.handing.answered(now, *place, End.REFUSED))
+            self._hands(self.handing.on_request_ended(now, *place, ForwardResult.REJECTED))
             return
-        kind = self.gateway.kinds.get(asked.service)
-        ref = asked.ref if asked.ref not in self.gateway.requests else f"{asked.ref}.{action.number:x}"
+        kind = self.gateway.kinds.get(asked.class_name)
+        ref = (
+            asked.request_id
+            if asked.request_id not in self.gateway.requests
+            else f"{asked.request_id}.{action.number:x}"
+        )
         if kind is None or ref in self.gateway.requests:
-            self._hands(self.handing.answered(now, *place, End.REFUSED, self.back))
+            self._hands(self.handing.on_request_ended(now, *place, ForwardResult.REJECTED, self.back))
             return
         self.counters.add("pins_handed_here")
-        work = asked.effort, asked.room, asked.tables
-        words = asked.key, asked.retry, asked.body
-        named = self.gateway.tenants.get(asked.tenant, 0), asked.token or None
-        taken = Taken(ref, kind, asked.service, now, action.left_ms, *work, *words, *named)
+        work = asked.estimated_work_ms, asked.estimated_memory_mb, asked.tables
+        words = asked.ordering_key, asked.is_retry, asked.body
+        named = self.gateway.tenants.get(asked.tenant, 0), asked.idempotency_key or None
+        taken = Taken(ref, kind, asked.class_name, now, action.remaining_ms, *work, *words, *named)
         client = HandedClient(self, action.origin, action.number, ref)
         self.guard.remote[ref] = action.origin, asked.round
         try:
             request = self.gateway.take(taken, client)
         except DuplicateRef:
-            self._hands(self.handing.answered(now, *place, End.REFUSED, self.back))
+            self._hands(self.handing.on_request_ended(now, *place, ForwardResult.REJECTED, self.back))
             return
         self.guests[place] = request, client
 
-    def answered(self, client: HandedClient, end: End, ms: float, data: bytes) -> None:
+    def answered(self, client: HandedClient, end: ForwardResult, ms: float, data: bytes) -> None:
         """One that was handed on to here has ended."""
         place = client.origin, client.number
         self.guests.pop(place, None)
         self.guard.remote.pop(client.ref, None)
         self.guard.moved.pop(client.ref, None)
-        self._hands(self.handing.answered(self.clock.now(), *place, end, ms, data))
+        self._hands(self.handing.on_request_ended(self.clock.now(), *place, end, ms, data))
         self._arm(LEAST_MS)
 
     def _gone(self, origin: int, number: int) -> None:
@@ -230,11 +241,11 @@
             match action:
                 case SendMessage(member, data):
                     self.say(member, data)
-                case forwarder.Take():
+                case forwarder.RequestAccepted():
                     self._taken(action)
-                case forwarder.Gone(origin, number):
+                case forwarder.RequestAbandoned(origin, number):
                     self._gone(origin, number)
-                case forwarder.Ended():
+                case forwarder.ForwardingEnded():
                     self.guard.handed(action)
         self._arm(LEAST_MS)
 
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -50,7 +50,7 @@
 BALLOT = Ballot(7, 0x1122334455667788)
 STATE = AcceptedState(Ballot(6, 0x99), 5, b"a value", (0xAA, 3))
 IDENTITY = bytes(range(16))
-HEAD = forwarding.Head(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
+HEAD = forwarding.RequestHeader(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
 KEYS = Keys({3: b"a shared key"}, 3)
 
 
@@ -160,8 +160,8 @@
 def handed_request(named: bool) -> bytes:
     """A request as it is handed on."""
     names = ("acme", "key-1") if named else ("", "")
-    return request_codec.pack_request(
-        request_codec.Handed("r1", "load", "k1", 250.5, 64.0, -1, True, b"INSERT 1", 77, *names)
+    return request_codec.encode_request(
+        request_codec.ForwardedRequest("r1", "load", "k1", 250.5, 64.0, -1, True, b"INSERT 1", 77, *names)
     )
 
 
@@ -272,8 +272,8 @@
     return bytes(int(kind) for kind in records.Kind) + bytes(int(state) for state in records.LoadState)
 
 
-PARTS = forwarding.Part(HEAD, 1, 200, bytes(200 - forwarding.PART_ROOM))
-ANSWERED = forwarding.Answer(9, 7, forwarding.End.FAILED, 12.5, 5, 0, b"12345")
+PARTS = forwarding.RequestFragment(HEAD, 1, 200, bytes(200 - forwarding.REQUEST_FRAGMENT_BYTES))
+ANSWERED = forwarding.AnswerFragment(9, 7, forwarding.ForwardResult.FAILED, 12.5, 5, 0, b"12345")
 CASES: dict[str, Callable[[], bytes]] = {
     "membership ping with updates": lambda: datagram(Kind.PING, 7, updates()),
     "membership ping under a key": lambda: datagram(Kind.PING, 7, b"", KEYS),
@@ -337,20 +337,22 @@
     "pins refuse": lambda: affinity_messages.encode_notice(affinity_messages.REFUSE, False, MEMBER, 7),
     "pins done answer": lambda: affinity_messages.encode_notice(affinity_messages.ANNOUNCED, True, MEMBER, 7),
     "pins table": affinity_table,
-    "forwarding probe": lambda: forwarding.pack(forwarding.Probe(7)),
-    "forwarding life": lambda: forwarding.pack(forwarding.Lives(7, 8, 9)),
-    "forwarding part": lambda: forwarding.pack(PARTS),
-    "forwarding withdraw": lambda: forwarding.pack(forwarding.Withdraw(HEAD, True)),
-    "forwarding ack": lambda: forwarding.pack(forwarding.Ack(9, 7, 5, forwarding.State.GONE, 0x105)),
-    "forwarding answer": lambda: forwarding.pack(ANSWERED),
-    "forwarding got": lambda: forwarding.pack(forwarding.Got(9, True, 0x3)),
-    "forwarding number": lambda: forwarding.number_of(LIFE, 9).to_bytes(8, "big"),
-    "forwarding ends": lambda: bytes(int(end) for end in forwarding.End),
-    "forwarding states": lambda: bytes(int(state) for state in forwarding.State),
+    "forwarding probe": lambda: forwarding.encode(forwarding.IncarnationQuery(7)),
+    "forwarding life": lambda: forwarding.encode(forwarding.IncarnationReply(7, 8, 9)),
+    "forwarding part": lambda: forwarding.encode(PARTS),
+    "forwarding withdraw": lambda: forwarding.encode(forwarding.WithdrawRequest(HEAD, True)),
+    "forwarding ack": lambda: forwarding.encode(
+        forwarding.RequestAck(9, 7, 5, forwarding.RequestState.CANCELLED, 0x105)
+    ),
+    "forwarding answer": lambda: forwarding.encode(ANSWERED),
+    "forwarding got": lambda: forwarding.encode(forwarding.AnswerAck(9, True, 0x3)),
+    "forwarding number": lambda: forwarding.request_number(LIFE, 9).to_bytes(8, "big"),
+    "forwarding ends": lambda: bytes(int(end) for end in forwarding.ForwardResult),
+    "forwarding states": lambda: bytes(int(state) for state in forwarding.RequestState),
     "forwarded request": lambda: handed_request(False),
     "forwarded request with names": lambda: handed_request(True),
-    "forwarded rows": lambda: request_codec.pack_rows([[b"a", b"", b"c" * 300], []]),
-    "pin of a key": lambda: request_codec.pin_key("k1"),
+    "forwarded rows": lambda: request_codec.encode_rows([[b"a", b"", b"c" * 300], []]),
+    "pin of a key": lambda: request_codec.affinity_key("k1"),
     "replacement register": plan_register,
     "replacement machine register": machine_register,
     "replacement register name": lambda: plan.register("a machine with a long name").encode(),
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -23,7 +23,7 @@
 from cottonhold.discovery.consul.checks import Entry
 from cottonhold.emulator.fault_injection import script
 from cottonhold.fleet.recovery.survey_results import Verdict
-from cottonhold.fleet.request_forwarding.messages import End
+from cottonhold.fleet.request_forwarding.messages import ForwardResult
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
@@ -101,7 +101,7 @@
         "engines": [s.value for s in EngineState],
         "swap": [s.name.lower() for s in Step],
         "life cycle": [p.value for p in Phase],
-        "handed on": [end.name.lower() for end in End],
+        "handed on": [end.name.lower() for end in ForwardResult],
         "duties": [membership_adapter.PROBE, membership_adapter.REPORT, membership_adapter.FLEET],
     }
     return {name: sorted(words) for name, words in enums.items()}
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -10,14 +10,14 @@
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.request_forwarding.forwarder import End, Ended
+from cottonhold.fleet.request_forwarding.forwarder import ForwardingEnded, ForwardResult
 from cottonhold.fleet.request_forwarding.request_codec import (
-    Handed,
-    pack_request,
-    pack_rows,
-    pin_key,
-    read_request,
-    read_rows,
+    ForwardedRequest,
+    affinity_key,
+    decode_request,
+    decode_rows,
+    encode_request,
+    encode_rows,
 )
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
@@ -114,8 +114,8 @@
         self.clock.at += ms
         self.guard.step()
 
-    def back_with(self, ref: str, end: End, data: bytes = b"") -> None:
-        self.guard.handed(Ended(ref, end, 0.0, data))
+    def back_with(self, ref: str, end: ForwardResult, data: bytes = b"") -> None:
+        self.guard.handed(ForwardingEnded(ref, end, 0.0, data))
 
 
 def test_its_own_begins_here_and_without_a_key_nobody_is_asked() -> None:
@@ -187,10 +187,10 @@
     for ref in "abc":
         world.come(ref)
     assert world.handed == [("a", X), ("b", X), ("c", X)]
-    world.back_with("a", End.SERVED, pack_rows([[b"1", b"2", b"3"]]))
-    world.back_with("b", End.FAILED)
+    world.back_with("a", ForwardResult.ANSWERED, encode_rows([[b"1", b"2", b"3"]]))
+    world.back_with("b", ForwardResult.FAILED)
     world.guard.closed("c")
-    world.back_with("c", End.SERVED)
+    world.back_with("c", ForwardResult.ANSWERED)
     assert world.heard == [("a", "served"), ("b", "may")] and world.events == [("left", "c")]
     assert not world.guard.held and not world.guard.away
 
@@ -199,14 +199,14 @@
     world = World()
     world.found = OwnedElsewhere(b"", X)
     world.come("a")
-    world.back_with("a", End.MOVED, Y.to_bytes(8, "big"))
+    world.back_with("a", ForwardResult.NOT_OWNER, Y.to_bytes(8, "big"))
     world.come("b")
     assert world.handed == [("a", X), ("a", Y), ("b", Y)]
     world.table.discard(Y)  # it was swapped
-    world.back_with("a", End.MOVED)
+    world.back_with("a", ForwardResult.NOT_OWNER)
     world.later(50)
     assert len(world.handed) == 3  # the next of its key is still there
-    world.back_with("b", End.MOVED)
+    world.back_with("b", ForwardResult.NOT_OWNER)
     world.later(50)
     assert world.handed[3:] == [("a", X), ("b", X)]
     assert len(set(world.rounds)) == 3 and world.rounds[3] == world.rounds[4]
@@ -220,7 +220,7 @@
     world.come("b")
     world.later(100)
     assert world.heard == []
-    world.back_with("a", End.MOVED)
+    world.back_with("a", ForwardResult.NOT_OWNER)
     world.later(100)
     assert world.heard == [("a", "never"), ("b", "never")]
 
@@ -230,7 +230,7 @@
     world.found = OwnedElsewhere(b"", X)
     world.come("a")
     for _ in range(20):
-        world.back_with("a", End.MOVED, X.to_bytes(8, "big"))
+        world.back_with("a", ForwardResult.NOT_OWNER, X.to_bytes(8, "big"))
     assert len(world.handed) == 3
     world.later(50)
     assert len(world.handed) == 4
@@ -268,16 +268,16 @@
 
 
 def test_a_request_and_its_rows_have_a_form() -> None:
-    asked = Handed("00ff", "load", "k\u00e9y", 20.0, 0.5, -1, True, b"INSERT INTO t", 2**63)
-    assert read_request(pack_request(asked)) == asked
+    asked = ForwardedRequest("00ff", "load", "k\u00e9y", 20.0, 0.5, -1, True, b"INSERT INTO t", 2**63)
+    assert decode_request(encode_request(asked)) == asked
     for tenant, token in (("acme", ""), ("", "5c0f"), ("acme", "5c0f")):
-        named = replace(asked, tenant=tenant, token=token)
-        assert read_request(pack_request(named)) == named
+        named = replace(asked, tenant=tenant, idempotency_key=token)
+        assert decode_request(encode_request(named)) == named
     rows = [[b"a", b"", b"c" * 300], [], [b"\t\n"]]
-    assert read_rows(pack_rows(rows)) == rows and len(pin_key("k")) == 8
+    assert decode_rows(encode_rows(rows)) == rows and len(affinity_key("k")) == 8
     for cut in (0, 5, 25, 30):
         with pytest.raises(MessageError):
-            read_request(pack_request(asked)[:cut])
-    for bad in (b"", pack_rows(rows)[:-1], pack_rows(rows) + b"x"):
+            decode_request(encode_request(asked)[:cut])
+    for bad in (b"", encode_rows(rows)[:-1], encode_rows(rows) + b"x"):
         with pytest.raises(MessageError):
-            read_rows(bad)
+            decode_rows(bad)
--- a/tests/support/forwarding_network.py
+++ b/tests/support/forwarding_network.py
@@ -1,4 +1,4 @@
-"""Dispatchers that hand requests on, on a bad network in virtual time, and the rules that must hold there."""
+"""Dispatchers that forward requests over a faulty network in virtual time, and the rules that must hold."""
 
 from __future__ import annotations
 
@@ -10,40 +10,53 @@
 from typing import Any
 
 from cottonhold.fleet.consensus.actions import SendMessage
-from cottonhold.fleet.request_forwarding.forwarder import Action, End, Ended, Gone, HandOn, HandSettings, Take
+from cottonhold.fleet.request_forwarding.forwarder import (
+    Action,
+    ForwardingEnded,
+    ForwardingSettings,
+    ForwardResult,
+    RequestAbandoned,
+    RequestAccepted,
+    RequestForwarder,
+)
 from tests.support.member_network import Net
 
 A, B, C, LIAR = 101, 102, 103, 104
-NOTHING_RAN = (End.REFUSED, End.MOVED, End.NOBODY, End.TOO_LARGE)
+NOTHING_RAN = (
+    ForwardResult.REJECTED,
+    ForwardResult.NOT_OWNER,
+    ForwardResult.NOT_ACCEPTED,
+    ForwardResult.TOO_LARGE,
+)
 
 
 @dataclass
 class Attempt:
-    """One `hand` and all that became of it. Times are true ones, in ms."""
+    """One forwarded request and all that became of it. Times are of the simulation, in ms."""
 
     id: int
-    ref: str
+    request_id: str
     origin: int
-    life: int
+    incarnation: int
     owner: int
     body: bytes
-    line: bytes
-    until: float
-    takes: list[tuple[float, int, float]] = field(default_factory=list)  # when, owner, left_ms
-    said: tuple[End, bytes] | None = None  # by the gateway
-    ends: list[tuple[float, Ended]] = field(default_factory=list)
+    queue_key: bytes
+    deadline: float
+    accepts: list[tuple[float, int, float]] = field(default_factory=list)  # when, owner, remaining ms
+    answered: tuple[ForwardResult, bytes] | None = None  # by the gateway
+    results: list[tuple[float, ForwardingEnded]] = field(default_factory=list)
     lost: bool = False  # its client left, or its origin died
 
     @property
-    def ran(self) -> bool:
+    def may_have_run(self) -> bool:
         """The gateway ran it, or may have."""
-        return bool(self.takes) and (self.said is None or self.said[0] not in NOTHING_RAN)
+        return bool(self.accepts) and (self.answered is None or self.answered[0] not in NOTHING_RAN)
 
 
 class OwnClock:
     """A `HandOn` on a clock of its own: another zero, a rate that is off by up to 0.04%."""
 
-    def __init__(self, inner: HandOn, draw: random.Random, born: float) -> None:
+    def __init__(self, inner: RequestForwarder, draw: random.Random, born: float) -> None:
         self.inner, self.rate = inner, 1.0 + draw.uniform(-4e-4, 4e-4)
         self.zero = draw.uniform(0, 1e6) - born * self.rate
 
@@ -60,55 +73,74 @@
         return (self.inner.next_at() - self.zero) / self.rate + 1e-5
 
 
-class HandNet(Net):
-    """`rim`: what an origin does after MOVED or NOBODY. `serve`: how long a gateway takes, and its end."""
+class ForwardingNetwork(Net):
+    """`rim`: what an origin does after a result. `serve`: how long a gateway takes, and its result."""
 
-    def __init__(self, seed: int, settings: HandSettings | None = None) -> None:
-        self.settings, self.attempts = settings or HandSettings(), list[Attempt]()
+    def __init__(self, seed: int, settings: ForwardingSettings | None = None) -> None:
+        self.settings, self.attempts = settings or ForwardingSettings(), list[Attempt]()
         self.by_body: dict[bytes, Attempt] = {}
         self.current: dict[tuple[int, str], Attempt] = {}
-        self.late = self.forged = 0.0  # parts of words that come up to 2.5 s late, or once more, forged
+        self.late = self.forged = 0.0  # shares of messages that arrive up to 2.5 s late, or once more, forged
         self.stalls: list[tuple[int, float, float]] = []
-        self.waiting = defaultdict[int, list[tuple[int, Any]]](list)  # for members that stand still
-        self.told_gone: list[tuple[int, int]] = []
+        self.waiting = defaultdict[int, list[tuple[int, Any]]](list)  # for paused members
+        self.abandoned: list[tuple[int, int]] = []
         self.sent = 0
-        self.serve: Callable[[], tuple[float, End]] = lambda: (5.0, End.SERVED)
-        self.rim: Callable[[Attempt, End], None] = lambda attempt, end: None
+        self.serve: Callable[[], tuple[float, ForwardResult]] = lambda: (
+            5.0,
+            ForwardResult.ANSWERED,
+        )
+        self.rim: Callable[[Attempt, ForwardResult], None] = lambda attempt, end: None
         draws = random.Random(seed ^ 0x5EED)
 
         def make(member: int, life: int, disk: dict[str, bytes]) -> OwnClock:
-            inner = HandOn(member, 7000 + life, self.settings, draws.getrandbits(32))
+            inner = RequestForwarder(member, 7000 + life, self.settings, draws.getrandbits(32))
             return OwnClock(inner, draws, self.now)
 
         super().__init__((A, B, C), make, seed)
 
-    def one(self, member: int) -> HandOn:
+    def one(self, member: int) -> RequestForwarder:
         found = self.up[member]
         assert isinstance(found, OwnClock)
         return found.inner
 
-    def hand(
-        self, origin: int, owner: int, size: int, allow: float, line: bytes = b"", ref: str = ""
+    def forward(
+        self,
+        origin: int,
+        owner: int,
+        size: int,
+        timeout_ms: float,
+        queue_key: bytes = b"",
+        request_id: str = "",
     ) -> Attempt:
         """One of `size` bytes at least 8, whose client waits so long."""
         id_ = len(self.attempts)
         body = id_.to_bytes(8, "big") + random.Random(id_).randbytes(max(size - 8, 0))
         attempt = Attempt(
-            id_, ref or f"r{id_}", origin, self.life[origin], owner, body, line, self.now + allow
+            id_,
+            request_id or f"r{id_}",
+            origin,
+            self.life[origin],
+            owner,
+            body,
+            queue_key,
+            self.now + timeout_ms,
         )
         self.attempts.append(attempt)
-        self.by_body[body] = self.current[origin, attempt.ref] = attempt
+        self.by_body[body] = self.current[origin, attempt.request_id] = attempt
         clock = self.up[origin]
-        until = clock.at(attempt.until)
-        self.act(origin, clock.inner.hand(clock.at(self.now), attempt.ref, owner, body, until, line))
+        deadline = clock.at(attempt.deadline)
+        self.act(
+            origin,
+            clock.inner.forward(clock.at(self.now), attempt.request_id, owner, body, deadline, queue_key),
+        )
         return attempt
 
     def leave(self, attempt: Attempt) -> None:
-        """Its client leaves."""
-        if not attempt.ends and not attempt.lost:
+        """Its client leaves before the result."""
+        if not attempt.results and not attempt.lost:
             attempt.lost = True
             clock = self.up[attempt.origin]
-            self.act(attempt.origin, clock.inner.gone(clock.at(self.now), attempt.ref))
+            self.act(attempt.origin, clock.inner.abandon(clock.at(self.now), attempt.request_id))
 
     def start(self, member: int, empty: bool = False) -> None:
         if member not in self.up:  # crashed twice within one absence, it comes back once
@@ -118,7 +150,7 @@
         super().stop(member)
         self.waiting.pop(member, None)
         for attempt in self.attempts:
-            attempt.lost |= attempt.origin == member and not attempt.ends
+            attempt.lost |= attempt.origin == member and not attempt.results
 
     def pause(self, member: int) -> None:
         super().pause(member)
@@ -136,17 +168,17 @@
                 assert a.member != member and len(a.payload) <= 200
                 self.sent += 1
                 self.carry(member, a)
-            elif isinstance(a, Take):
+            elif isinstance(a, RequestAccepted):
                 self.took(member, a)
-            elif isinstance(a, Ended):
-                attempt = self.current[member, a.ref]
-                attempt.ends.append((self.now, a))
-                self.rim(attempt, a.end)
-            elif isinstance(a, Gone):
-                self.told_gone.append((member, a.number))
+            elif isinstance(a, ForwardingEnded):
+                attempt = self.current[member, a.request_id]
+                attempt.results.append((self.now, a))
+                self.rim(attempt, a.result)
+            elif isinstance(a, RequestAbandoned):
+                self.abandoned.append((member, a.number))
 
     def carry(self, member: int, say: SendMessage) -> None:
-        """A word on its way: lost, late, twice, or forged after it."""
+        """Deliver a message: lost, late, twice, or forged after it."""
         if self.forged and self.draw.random() < self.forged:
             self.forge(member, say)
         if self.draw.random() < self.loss or frozenset((member, say.member)) in self.cut:
@@ -161,7 +193,7 @@
         heapq.heappush(self.events, (self.now + delay, next(self.order), member, life, what))
 
     def forge(self, member: int, say: SendMessage) -> None:
-        """Another repeats the word in its own name; it comes cut off, longer, or as noise."""
+        """Another member repeats the message in its own name; it arrives truncated, longer, or as noise."""
         data, cut = say.payload, self.draw.randrange(1, len(say.payload))
         noise = data[:2] + self.draw.randbytes(self.draw.randrange(60))
         for sender, word in ((LIAR, data), (member, data[:cut]), (member, data + b"\0"), (LIAR, noise)):
@@ -175,32 +207,36 @@
         elif member in self.up and life == self.life[member]:
             what()
 
-    def took(self, owner: int, take: Take) -> None:
-        """The gateway has it, and will say how it ended."""
+    def took(self, owner: int, take: RequestAccepted) -> None:
+        """The gateway accepted it, and will report a result."""
         if take.origin == LIAR:
             return
         attempt = self.by_body[take.body]
-        attempt.takes.append((self.now, owner, take.left_ms))
+        attempt.accepts.append((self.now, owner, take.remaining_ms))
         wait, end = self.serve()
-        data = self.draw.randbytes(self.draw.choice((0, 10, 400, 3000))) if end is End.SERVED else b""
+        data = (
+            self.draw.randbytes(self.draw.choice((0, 10, 400, 3000)))
+            if end is ForwardResult.ANSWERED
+            else b""
+        )
 
         def done() -> None:
-            attempt.said = (end, data)
+            attempt.answered = (end, data)
             clock = self.up[owner]
             now = clock.at(self.now)
-            self.act(owner, clock.inner.answered(now, take.origin, take.number, end, 30.0, data))
+            self.act(owner, clock.inner.on_request_ended(now, take.origin, take.number, end, 30.0, data))
 
         self.post(wait, owner, self.life[owner], done)
 
     # --- the rules ---
 
     def check(self) -> None:
-        """All rules, once everybody's time is over. Raises AssertionError with the rule's name."""
+        """Check all rules after all deadlines. Raises AssertionError with the rule's name."""
         for a in self.attempts:
-            assert len(a.takes) <= 1, ("taken twice", a.id, a.takes)
-            assert all(owner == a.owner for _, owner, _ in a.takes), ("not its owner", a.id)
-            for at, _, left in a.takes:
-                assert 0 < left <= a.until - at, ("left_ms", a.id, left, a.until - at)
+            assert len(a.accepts) <= 1, ("taken twice", a.id, a.accepts)
+            assert all(owner == a.owner for _, owner, _ in a.accepts), ("not its owner", a.id)
+            for at, _, left in a.accepts:
+                assert 0 < left <= a.deadline - at, ("left_ms", a.id, left, a.deadline - at)
             self.check_end(a)
         self.check_order()
         for member in self.up:
@@ -208,51 +244,62 @@
             assert not status["open"] and not status["gathering_bytes"], ("not forgotten", status)
 
     def check_end(self, a: Attempt) -> None:
-        """One end, in time, and true."""
-        assert len(a.ends) <= 1 and (a.lost or a.ends), ("one end", a.id, a.ends)
-        for at, ended in a.ends:
-            stalled = [b for m, s, b in self.stalls if m == a.origin and s <= a.until <= b]
-            assert at <= max([a.until, *(b + 1 for b in stalled)]), ("in time", a.id, at, a.until)
-            if ended.end in NOTHING_RAN:
-                assert not a.ran, ("nothing ran", a.id, ended.end, a.takes)
-            if ended.end is End.NOBODY:
-                assert not a.takes, ("nobody", a.id, a.takes)
-            if ended.end is End.SERVED:
-                assert a.said == (End.SERVED, ended.data), ("answer", a.id)
-            if ended.end is End.REFUSED:
-                assert ended.ms == 30.0, ("ms", a.id, ended.ms)
+        """Check that a request has one result, in time, and true."""
+        assert len(a.results) <= 1 and (a.lost or a.results), ("one end", a.id, a.results)
+        for at, ended in a.results:
+            stalled = [b for m, s, b in self.stalls if m == a.origin and s <= a.deadline <= b]
+            assert at <= max([a.deadline, *(b + 1 for b in stalled)]), ("in time", a.id, at, a.deadline)
+            if ended.result in NOTHING_RAN:
+                assert not a.may_have_run, ("nothing ran", a.id, ended.result, a.accepts)
+            if ended.result is ForwardResult.NOT_ACCEPTED:
+                assert not a.accepts, ("nobody", a.id, a.accepts)
+            if ended.result is ForwardResult.ANSWERED:
+                assert a.answered == (ForwardResult.ANSWERED, ended.data), ("answer", a.id)
+            if ended.result is ForwardResult.REJECTED:
+                assert ended.retry_after_ms == 30.0, ("ms", a.id, ended.retry_after_ms)
 
     def check_order(self) -> None:
-        """Requests of one line to one owner are taken as they were handed."""
-        lines = defaultdict[tuple[int, int, int, bytes], list[Attempt]](list)
+        """Check that requests of one queue to one owner are accepted in the order of forwarding."""
+        queues = defaultdict[tuple[int, int, int, bytes], list[Attempt]](list)
         for a in self.attempts:
-            if a.line and a.takes:
-                lines[a.origin, a.life, a.owner, a.line].append(a)
-        for found in lines.values():
-            assert found == sorted(found, key=lambda a: a.takes[0][0]), ("order", [a.id for a in found])
+            if a.queue_key and a.accepts:
+                queues[a.origin, a.incarnation, a.owner, a.queue_key].append(a)
+        for found in queues.values():
+            assert found == sorted(found, key=lambda a: a.accepts[0][0]), ("order", [a.id for a in found])
 
 
-def bad_day(seed: int) -> HandNet:
-    """Some 20 requests among three dispatchers while all that may go wrong does. Played to its end."""
-    net, draw = HandNet(seed), random.Random(seed)
+def random_faults(seed: int) -> ForwardingNetwork:
+    """Run some 20 requests among three dispatchers with random faults, until all deadlines are over."""
+    net, draw = ForwardingNetwork(seed), random.Random(seed)
     net.loss, net.twice = draw.choice((0.0, 0.1, 0.4)), draw.choice((0.0, 0.3))
     net.slow, net.late = draw.choice((2.0, 15.0, 60.0)), draw.choice((0.0, 0.03, 0.1))
     net.forged = draw.choice((0.0, 0.0, 0.2))
-    ends = [End.SERVED] * 6 + [End.REFUSED, End.MOVED, End.MOVED, End.FAILED]
+    ends = [ForwardResult.ANSWERED] * 6 + [
+        ForwardResult.REJECTED,
+        ForwardResult.NOT_OWNER,
+        ForwardResult.NOT_OWNER,
+        ForwardResult.FAILED,
+    ]
     net.serve = lambda: (draw.choice((1.0, 20.0, 200.0, 1500.0)), draw.choice(ends))
 
-    def again(attempt: Attempt, end: End) -> None:
-        allow = attempt.until - net.now
-        if end in (End.MOVED, End.NOBODY) and allow > 50 and draw.random() < 0.7:
+    def again(attempt: Attempt, end: ForwardResult) -> None:
+        allow = attempt.deadline - net.now
+        if (
+            end in (ForwardResult.NOT_OWNER, ForwardResult.NOT_ACCEPTED)
+            and allow > 50
+            and draw.random() < 0.7
+        ):
             other = next(m for m in (A, B, C) if m not in (attempt.origin, attempt.owner))
-            net.hand(attempt.origin, other, len(attempt.body) + 1, allow, attempt.line, attempt.ref)
+            net.forward(
+                attempt.origin, other, len(attempt.body) + 1, allow, attempt.queue_key, attempt.request_id
+            )
 
     def one() -> None:
         origin, owner = draw.sample((A, B, C), 2)
         if origin in net.up and origin not in net.stopped:
             line = draw.choice((b"", b"k1", b"k1", b"k2"))
             size = draw.choice((8, 100, 100, 500, 2000) if draw.random() < 0.95 else (16384, 16385))
-            attempt = net.hand(origin, owner, size, draw.choice((30, 200, 700, 700, 2000, 4000)), line)
+            attempt = net.forward(origin, owner, size, draw.choice((30, 200, 700, 700, 2000, 4000)), line)
             if draw.random() < 0.1:
                 life = net.life[origin]
                 net.post(draw.uniform(0, 100), origin, life, lambda: net.leave(attempt))
