--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -399,8 +399,9 @@
 
     def _backoff_ms(self, send_count: int) -> float:
         """Return the time until a message that was sent so often is sent again."""
-        backoff_ms = self.settings.retry_interval_ms * 2**send_count
-        return min(backoff_ms, self.settings.max_retry_interval_ms) * self.random_source.uniform(0.9, 1.0)
+        backoff_ms: float = self.settings.retry_interval_ms * 2**send_count
+        backoff_ms = min(backoff_ms, self.settings.max_retry_interval_ms)
+        return backoff_ms * self.random_source.uniform(0.9, 1.0)
 
     def _end(
         self, request: OutgoingRequest, result: ForwardResult, retry_after_ms: float = 0.0, data: bytes = b""
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -1,7 +1,8 @@
-"""The guard of loads with keys: each begins where its key is owned, or is handed on to there.
+"""The gateway's guard of loads with ordering keys: each starts at its key's owner, or is forwarded to it.
 
-Stands before the guard of loads that may have run (loads.py). Decides nothing: who owns a key is
-fleet/swap/service.py's, what becomes of a request that was handed on is fleet/swap/handon.py's.
+It stands before the guard of loads that may have run (load_records.py). It decides neither who owns a key
+(fleet/session_affinity/service.py) nor what becomes of a forwarded request
+(fleet/request_forwarding/forwarder.py).
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from bisect import bisect_left, insort
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.fleet.message_format import MessageError
@@ -26,106 +27,124 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 
-KNOWN_ENDS = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other end a load may run on
-WAIT_MS = 2000.0  # so long a request waits here for its key to have an owner: longer than a fence takes
-GUEST_MS = 400.0  # so long one that was handed on to here waits, before its origin looks further
-WAITS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, WAIT_MS)  # steps of the histogram of waits
-MOST_HOPS = 3  # from one owner to the next without a pause: home, owner, and one move in between
-MOST_HINTS = 20_000
-SPARE_MS = 100.0  # of its own time that is left when it is told to come back
-ANSWER_MS = 50.0  # of the client's time that is kept for the answer of one that was handed on
+KNOWN_OUTCOMES = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other a load may still run
+MAX_WAIT_MS = 2000.0  # for a key to have an owner; longer than a fence takes
+MAX_FORWARDED_WAIT_MS = 400.0  # the same for a request that was forwarded to here
+WAIT_STEPS_MS = (
+    10.0,
+    20.0,
+    50.0,
+    100.0,
+    200.0,
+    500.0,
+    1000.0,
+    MAX_WAIT_MS,
+)
+MAX_HOPS_WITHOUT_PAUSE = 3  # the home, the owner, and one move in between
+MAX_HINTS = 20_000
+RETRY_RESERVE_MS = 100.0  # of its time that is left when a client is told to retry
+ANSWER_RESERVE_MS = 50.0  # of the client's time, for the answer to a forwarded request
 
 
-class Owners(Protocol):
-    """Whom the guard asks: the rim of pins."""
+class KeyRouter(Protocol):
+    """What the guard needs of session affinity."""
 
-    me: int
-    back: float
+    member: int
+    retry_after_ms: float
 
-    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
-        """Where a load of the key belongs."""
+    def route(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
+        """Return where a request of the key belongs."""
 
-    def owns(self, key: bytes) -> bool:
-        """Whether a load of the key may start here at this moment."""
+    def is_owner(self, key: bytes) -> bool:
+        """Whether a request of the key may start here at this moment."""
 
-    def inside(self, member: int) -> bool:
-        """Whether a member may own anything, as far as is known here."""
+    def is_member(self, member: int) -> bool:
+        """Whether a member may own keys, as far as is known here."""
 
-    def lost(self, key: bytes) -> bool:
-        """Whether what waits here for the key won't start here any more."""
+    def is_lost(self, key: bytes) -> bool:
+        """Whether a waiting request of the key will not start here any more."""
 
-    def opened(self, key: bytes, load: int) -> None:
-        """A load waits in line or runs here."""
+    def on_request_opened(self, key: bytes, load: int) -> None:
+        """A request waits or runs here."""
 
-    def ended(self, key: bytes, load: int, known: bool) -> None:
-        """It has ended."""
+    def on_request_ended(self, key: bytes, load: int, known: bool) -> None:
+        """A request has ended."""
 
-    def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
-        """Hand a request on to a member, in a round of its key; `Pinned.handed` hears how it ended, unless it
-        was `left` before."""
+    def forward(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
+        """Forward a request to a member, in a round of its key; KeyedLoadGuard.on_forwarding_ended gets the
+        result.
+        """
 
-    def left(self, ref: str) -> None:
-        """Nobody waits any more for one that was handed on."""
+    def abandon(self, ref: str) -> None:
+        """No client waits any more for a forwarded request."""
+
+
+class OriginRound(NamedTuple):
+    """Which member forwarded a request to here, and in which round of its key."""
+
+    origin: int
+    number: int
 
 
 @dataclass(slots=True, eq=False)
-class Away:
-    """A key's loads that were handed on: to whom, how many are there now, in which round. back: one of them
-    came back without having run."""
+class ForwardingRound:
+    """A key's requests that are with another owner: which one, how many, in which round."""
 
     owner: int
     number: int
-    count: int = 0
-    back: bool = False
+    open_count: int = 0
+    has_returned: bool = False
 
 
 @dataclass(slots=True, eq=False, order=False)
-class Held:
-    """A load with a key, from when it came to the end of its last attempt. number: in the order in which they
-    came. owner: to whom it was handed on; 0: it is here. remote: it was handed on to here, by whom and in
-    which round of its key."""
+class KeyedRequest:
+    """A load with a key, from its arrival to the end of its last attempt.
+
+    number: in the order of arrival. owner: the member to which it was forwarded; 0: it is here. origin_round:
+    for a request that was forwarded to here, by whom and in which round of its key.
+    """
 
     number: int
-    taken: Taken
+    client_request: Taken
     key: bytes
-    until: float
-    patience: float
+    deadline: float
+    wait_deadline: float
     settled: Tell
-    remote: tuple[int, int] | None
+    origin_round: OriginRound | None
     owner: int = 0
-    pause: float = 0.0  # not placed again before
-    since: float = 0.0  # when it began to wait for an owner
-    toward: int = 0  # of a remote one: who owns its key, as far as is known here
-    hops: int = 0  # how often an owner said that another is it
-    opened: bool = False
-    out: bool = False
-    closed: bool = False
-    known: bool = True
-
-    def __lt__(self, other: Held) -> bool:
+    retry_at: float = 0.0  # it is not placed before
+    waiting_since: float = 0.0
+    known_owner: int = 0  # of a request forwarded to here
+    hop_count: int = 0  # how often a receiver was not the owner
+    is_opened: bool = False
+    is_in_flight: bool = False
+    is_closed: bool = False
+    outcome_known: bool = True
+
+    def __lt__(self, other: KeyedRequest) -> bool:
         return self.number < other.number
 
 
-class Pinned:
-    """The gateway's guard where pins are in service: see gateway.LoadGuard."""
+class KeyedLoadGuard:
+    """The gateway's guard where session affinity is on; see gateway.LoadGuard."""
 
     def __init__(
-        self, loads: LoadGuard, owners: Owners, gateway: Gateway, clock: Clock, counters: Counters
+        self, loads: LoadGuard, router: KeyRouter, gateway: Gateway, clock: Clock, counters: Counters
     ) -> None:
-        self.loads, self.owners, self.gateway = loads, owners, gateway
+        self.loads, self.router, self.gateway = loads, router, gateway
         self.clock, self.counters = clock, counters
         self.numbers = itertools.count(1)
-        self.held: dict[str, Held] = {}
-        self.lines: dict[bytes, list[Held]] = {}  # those that wait for an owner, in the order they came
-        self.away: dict[bytes, Away] = {}
-        self.rounds = itertools.count(secrets.randbits(62))
-        self.remote: dict[str, tuple[int, int]] = {}  # refs that others have handed on to here, see Held
-        self.bounced: dict[tuple[int, bytes], int] = {}  # by origin and key: the last round sent back
-        self.moved: dict[str, int] = {}  # of these: what doesn't belong here, and who owns it; 0: not known
-        self.waits = [0] * (len(WAITS_MS) + 1)  # of requests that came here: how many waited up to how long
-        self.hints: dict[bytes, int] = {}  # by key: its owner, as its home has told
-
-    # --- the gateway's calls ---
+        self.requests: dict[str, KeyedRequest] = {}
+        self.queues: dict[bytes, list[KeyedRequest]] = {}  # waiting for an owner, in order of arrival
+        self.forwarding_rounds: dict[bytes, ForwardingRound] = {}
+        self.round_numbers = itertools.count(secrets.randbits(62))
+        self.origin_rounds: dict[str, OriginRound] = {}  # by id of a request forwarded to here
+        self.returned_rounds: dict[
+            tuple[int, bytes], int
+        ] = {}  # by origin and key: the last round that was returned
+        self.owners_by_returned: dict[str, int] = {}  # by id of a returned request; 0: not known
+        self.wait_histogram = [0] * (len(WAIT_STEPS_MS) + 1)  # of own requests
+        self.owner_hints: dict[bytes, int] = {}  # by key: its owner, as its home reported
 
     def guards(self, query_class: int) -> bool:
         """Whether requests of a class are remembered."""
@@ -137,214 +156,236 @@
             self.loads.came(taken, until, settled)
             return
         now = self.clock.now()
-        remote = self.remote.get(taken.ref)
-        patience = max(min(until - SPARE_MS, now + (GUEST_MS if remote else WAIT_MS)), now)
-        held = Held(next(self.numbers), taken, affinity_key(taken.key), until, patience, settled, remote)
-        self.held[taken.ref] = held
-        # Danger: one that came while others of its key waited for an owner would overtake them.
-        if held.key in self.lines or not self._place(held):
-            self._wait(held)
+        remote = self.origin_rounds.get(taken.ref)
+        patience = max(
+            min(until - RETRY_RESERVE_MS, now + (MAX_FORWARDED_WAIT_MS if remote else MAX_WAIT_MS)), now
+        )
+        request = KeyedRequest(
+            next(self.numbers), taken, affinity_key(taken.key), until, patience, settled, remote
+        )
+        self.requests[taken.ref] = request
+        # A request must not overtake others of its key that wait for an owner.
+        if request.key in self.queues or not self._place(request):
+            self._enqueue(request)
 
     def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
         """An attempt goes out only while its key is owned, also once the disk has taken it."""
-        held = self.held.get(attempt.query)
-        if held is None:
+        request = self.requests.get(attempt.query)
+        if request is None:
             self.loads.sending(attempt, taken, kept)
             return
-        held.out = True
-        if not self.owners.owns(held.key):
-            self._not_here(held, kept)
+        request.is_in_flight = True
+        if not self.router.is_owner(request.key):
+            self._stop_attempt(request, kept)
             return
 
         def remembered(durable: bool) -> None:
-            # Danger: a lease may end while the disk takes its time; sent then, it ran beside the next one's.
-            if durable and not self.owners.owns(held.key):
-                self._not_here(held, kept)
+            # The lease may have ended while the record was written; the next owner may start its own request.
+            if durable and not self.router.is_owner(request.key):
+                self._stop_attempt(request, kept)
             else:
                 kept(durable)
 
-        self.loads.sending(attempt, held.taken, remembered)
+        self.loads.sending(attempt, request.client_request, remembered)
 
     def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
         self.loads.ended(attempt, outcome)
-        held = self.held.get(attempt.query)
-        if held is not None:
-            held.out = False
-            held.known = held.known and outcome in KNOWN_ENDS
-            if held.closed:
-                self._end(held)
+        request = self.requests.get(attempt.query)
+        if request is not None:
+            request.is_in_flight = False
+            request.outcome_known = request.outcome_known and outcome in KNOWN_OUTCOMES
+            if request.is_closed:
+                self._end(request)
 
     def closed(self, ref: str) -> None:
         """A request is over for its client."""
         self.loads.closed(ref)
-        held = self.held.get(ref)
-        if held is None:
+        request = self.requests.get(ref)
+        if request is None:
             return
-        held.closed = True
-        if held.owner:
-            self.owners.left(ref)
-            self._back_from(held)
-        if not held.out:
-            self._end(held)
-
-    # --- handed on ---
-
-    def handed(self, ended: ForwardingEnded) -> None:
-        """How a request that was handed on has ended. Where nothing ran it is placed anew."""
-        held = self.held.get(ended.request_id)
-        if held is None or not held.owner:
+        request.is_closed = True
+        if request.owner:
+            self.router.abandon(ref)
+            self._on_returned(request)
+        if not request.is_in_flight:
+            self._end(request)
+
+    def on_forwarding_ended(self, ended: ForwardingEnded) -> None:
+        """A forwarded request has ended; if nothing ran it is placed again."""
+        request = self.requests.get(ended.request_id)
+        if request is None or not request.owner:
             return
-        self._back_from(held, ended.result in (ForwardResult.NOT_OWNER, ForwardResult.NOT_ACCEPTED))
+        self._on_returned(request, ended.result in (ForwardResult.NOT_OWNER, ForwardResult.NOT_ACCEPTED))
         self.counters.add(f"pins_handed_{RESULT_NAMES[ended.result]}")
         if ended.result is ForwardResult.ANSWERED:
             try:
                 rows = decode_rows(ended.data)
             except MessageError:
-                held.settled(Past.MAY, 0.0)
+                request.settled(Past.MAY, 0.0)
                 return
             self.gateway.end(ended.request_id, "served", lambda client: client.served(rows))
         elif ended.result is ForwardResult.FAILED:
-            held.settled(Past.MAY, 0.0)
-        elif ended.result is ForwardResult.NOT_OWNER and self.clock.now() < held.patience:
-            self._moved(held, ended)
-            self._wait(held)
+            request.settled(Past.MAY, 0.0)
+        elif ended.result is ForwardResult.NOT_OWNER and self.clock.now() < request.wait_deadline:
+            self._on_not_owner(request, ended)
+            self._enqueue(request)
         else:
-            held.settled(Past.LATER, ended.retry_after_ms or self.owners.back)
-        self.go_on(held.key)
+            request.settled(Past.LATER, ended.retry_after_ms or self.router.retry_after_ms)
+        self.place_waiting(request.key)
 
-    def _moved(self, held: Held, ended: ForwardingEnded) -> None:
-        """Another owns it, maybe the one that is told."""
-        # Danger: only its home knows where a key has moved to. Asked again and again, it could but say that
-        # it isn't the owner, and no third instance ever reached a moved key.
+    def _on_not_owner(self, request: KeyedRequest, ended: ForwardingEnded) -> None:
+        """Another member owns the key: remember the owner that the receiver, its home, reported."""
         owner = int.from_bytes(ended.data, "big") if len(ended.data) == 8 else 0
-        self.hints.pop(held.key, None)
+        self.owner_hints.pop(request.key, None)
         if owner:
-            self.hints[held.key] = owner
-            if len(self.hints) > MOST_HINTS:
-                del self.hints[next(iter(self.hints))]
-        held.hops += 1
-        # Danger: two that each take the other for the owner sent it to and fro as fast as the net goes.
-        if not owner or held.hops % MOST_HOPS == 0:
-            held.pause = self.clock.now() + self.owners.back
+            self.owner_hints[request.key] = owner
+            if len(self.owner_hints) > MAX_HINTS:
+                del self.owner_hints[next(iter(self.owner_hints))]
+        request.hop_count += 1
+        # Two members that each take the other for the owner must not send it to and fro without a pause.
+        if not owner or request.hop_count % MAX_HOPS_WITHOUT_PAUSE == 0:
+            request.retry_at = self.clock.now() + self.router.retry_after_ms
 
     def step(self) -> None:
-        """Time has passed, or somebody's part has changed: place what waits, send back what can't start."""
-        for key in list(self.lines):
-            self.go_on(key)
-        for held in list(self.held.values()):
-            if held.opened and not held.out and not held.closed and self.owners.lost(held.key):
-                self._turn_back(held)
-
-    def go_on(self, key: bytes) -> None:
-        """Place those that wait for a key, in their order."""
+        """Place what waits, and return what cannot start here any more."""
+        for key in list(self.queues):
+            self.place_waiting(key)
+        for request in list(self.requests.values()):
+            if (
+                request.is_opened
+                and not request.is_in_flight
+                and not request.is_closed
+                and self.router.is_lost(request.key)
+            ):
+                self._reject(request)
+
+    def place_waiting(self, key: bytes) -> None:
+        """Place the requests that wait for a key, in their order."""
         now = self.clock.now()
-        while line := self.lines.get(key):
-            held = line[0]
-            if now >= held.patience:
-                self._leave_line(held)
-                self._later(held)
-            elif now >= held.pause and self._place(held):
-                self._leave_line(held)
-            elif held.toward:
-                self._leave_line(held)
-                self._later(held)
+        while queue := self.queues.get(key):
+            request = queue[0]
+            if now >= request.wait_deadline:
+                self._dequeue(request)
+                self._retry_later(request)
+            elif now >= request.retry_at and self._place(request):
+                self._dequeue(request)
+            elif request.known_owner:
+                self._dequeue(request)
+                self._retry_later(request)
             else:
                 return
 
-    # --- inside ---
-
-    def _wait(self, held: Held) -> None:
-        if held.toward:  # whoever handed it on finds the owner
-            self._later(held)
+    def _enqueue(self, request: KeyedRequest) -> None:
+        if request.known_owner:  # its origin finds the owner
+            self._retry_later(request)
             return
         self.counters.add("pins_waited")
-        held.since = held.since or self.clock.now()
-        insort(self.lines.setdefault(held.key, []), held)
-
-    def _waited(self, held: Held) -> None:
-        if held.since and not held.remote:
-            ms = self.clock.now() - held.since
-            self.waits[bisect_left(WAITS_MS, ms)] += 1
-            held.since = 0.0
-
-    def _leave_line(self, held: Held) -> None:
-        self._waited(held)
-        line = self.lines.get(held.key, [])
-        if held in line:
-            line.remove(held)
-        if not line:
-            self.lines.pop(held.key, None)
-
-    def _place(self, held: Held) -> bool:
-        """Whether it has begun here, or is on its way to where it belongs."""
-        found, away = self.owners.take(held.key), self.away.get(held.key)
-        target = self._target(held.key, found.owner) if isinstance(found, OwnedElsewhere) else 0
-        held.toward = target if held.remote else 0
-        if held.remote and self.bounced.get((held.remote[0], held.key)) == held.remote[1]:
-            # Danger: sent back, one met the next of its key on the way, which began before it.
-            held.toward = target or self.owners.me
+        request.waiting_since = request.waiting_since or self.clock.now()
+        insort(self.queues.setdefault(request.key, []), request)
+
+    def _count_wait(self, request: KeyedRequest) -> None:
+        if request.waiting_since and not request.origin_round:
+            ms = self.clock.now() - request.waiting_since
+            self.wait_histogram[bisect_left(WAIT_STEPS_MS, ms)] += 1
+            request.waiting_since = 0.0
+
+    def _dequeue(self, request: KeyedRequest) -> None:
+        self._count_wait(request)
+        queue = self.queues.get(request.key, [])
+        if request in queue:
+            queue.remove(request)
+        if not queue:
+            self.queues.pop(request.key, None)
+
+    def _place(self, request: KeyedRequest) -> bool:
+        """Return whether the request has started here, or was forwarded to the owner."""
+        route = self.router.route(request.key)
+        target = self._target(request.key, route.owner) if isinstance(route, OwnedElsewhere) else 0
+        request.known_owner = target if request.origin_round else 0
+        if self._is_of_returned_round(request):
+            request.known_owner = target or self.router.member
             return False
-        if away is not None and (away.owner != target or away.back):
-            return False  # what came before it is still with an owner of before
-        if isinstance(found, OwnedHere):
-            held.opened = True
-            self.owners.opened(held.key, held.number)
-            self.loads.came(held.taken, held.until, held.settled)
+        earlier = self.forwarding_rounds.get(request.key)
+        if earlier is not None and (earlier.owner != target or earlier.has_returned):
+            return False  # earlier requests of the key are still with a previous owner
+        if isinstance(route, OwnedHere):
+            request.is_opened = True
+            self.router.on_request_opened(request.key, request.number)
+            self.loads.came(request.client_request, request.deadline, request.settled)
             return True
-        if not target or held.remote:
+        if not target or request.origin_round:
             return False
-        if away is None:
-            away = self.away[held.key] = Away(target, next(self.rounds))
-        away.count, held.owner, taken = away.count + 1, target, held.taken
-        until = taken.taken_at + taken.allow - ANSWER_MS
-        self.owners.hand(taken, target, held.key, until, away.number)
+        self._forward(request, target)
         return True
 
+    def _is_of_returned_round(self, request: KeyedRequest) -> bool:
+        """Whether a request that was forwarded to here belongs to a round that was returned.
+
+        All of that round go back, or a later request of the key could start before an earlier one.
+        """
+        if request.origin_round is None:
+            return False
+        origin, round_number = request.origin_round
+        return self.returned_rounds.get((origin, request.key)) == round_number
+
+    def _forward(self, request: KeyedRequest, target: int) -> None:
+        forwarding_round = self.forwarding_rounds.get(request.key)
+        if forwarding_round is None:
+            forwarding_round = ForwardingRound(target, next(self.round_numbers))
+            self.forwarding_rounds[request.key] = forwarding_round
+        forwarding_round.open_count += 1
+        request.owner = target
+        client_request = request.client_request
+        deadline = client_request.taken_at + client_request.allow - ANSWER_RESERVE_MS
+        self.router.forward(client_request, target, request.key, deadline, forwarding_round.number)
+
     def _target(self, key: bytes, owner: int) -> int:
-        """To whom a load of the key goes: where its home has said that it is, else its home."""
-        hint = self.hints.get(key, 0)
-        if hint in (0, self.owners.me):
+        """Return where a request of the key is forwarded: to the owner that its home reported, else its home."""
+        hint = self.owner_hints.get(key, 0)
+        if hint in (0, self.router.member):
             return owner
-        # Danger: a machine that was swapped takes no more, and what went there by an old hint was lost.
-        return hint if self.owners.inside(hint) else owner
-
-    def _back_from(self, held: Held, back: bool = False) -> None:
-        """It is no longer with another; `back`: without having run."""
-        held.owner, away = 0, self.away[held.key]
-        away.count, away.back = away.count - 1, away.back or back
-        if not away.count:
-            del self.away[held.key]
-
-    def _bounce(self, held: Held, owner: int) -> None:
-        """One that was handed on to here goes back, and with it all of its round that come later."""
-        if held.remote is None:
+        # A machine that was replaced is no member any more, and a hint may still name it.
+        return hint if self.router.is_member(hint) else owner
+
+    def _on_returned(self, request: KeyedRequest, did_not_run: bool = False) -> None:
+        """The request is no longer with another member."""
+        request.owner = 0
+        forwarding_round = self.forwarding_rounds[request.key]
+        forwarding_round.open_count -= 1
+        forwarding_round.has_returned = forwarding_round.has_returned or did_not_run
+        if not forwarding_round.open_count:
+            del self.forwarding_rounds[request.key]
+
+    def _return_round(self, request: KeyedRequest, owner: int) -> None:
+        """Return a request that was forwarded to here, and with it all later ones of its round."""
+        if request.origin_round is None:
             return
-        self.moved[held.taken.ref] = owner
-        self.bounced.pop((held.remote[0], held.key), None)
-        self.bounced[held.remote[0], held.key] = held.remote[1]
-        if len(self.bounced) > MOST_HINTS:
-            del self.bounced[next(iter(self.bounced))]
+        self.owners_by_returned[request.client_request.ref] = owner
+        self.returned_rounds.pop((request.origin_round[0], request.key), None)
+        self.returned_rounds[request.origin_round[0], request.key] = request.origin_round[1]
+        if len(self.returned_rounds) > MAX_HINTS:
+            del self.returned_rounds[next(iter(self.returned_rounds))]
 
-    def _later(self, held: Held) -> None:
+    def _retry_later(self, request: KeyedRequest) -> None:
         self.counters.add("pins_later")
-        self._bounce(held, held.toward)
-        held.settled(Past.LATER, self.owners.back)
+        self._return_round(request, request.known_owner)
+        request.settled(Past.LATER, self.router.retry_after_ms)
 
-    def _not_here(self, held: Held, kept: Callable[[bool], None]) -> None:
-        """An attempt that may not go out from here any more."""
+    def _stop_attempt(self, request: KeyedRequest, kept: Callable[[bool], None]) -> None:
+        """The attempt may not be sent from here any more."""
         kept(False)
-        self._turn_back(held)
+        self._reject(request)
 
-    def _turn_back(self, held: Held) -> None:
-        """One that stands in line here, and whose key is another's now: its client comes again."""
+    def _reject(self, request: KeyedRequest) -> None:
+        """Another member owns the key of a request that is queued here: its client retries."""
         self.counters.add("pins_turned_back")
-        self._bounce(held, 0)
-        back = self.owners.back
-        self.gateway.end(held.taken.ref, "refused", lambda client: client.refused(back))
-
-    def _end(self, held: Held) -> None:
-        self.held.pop(held.taken.ref, None)
-        self._leave_line(held)
-        if held.opened:
-            self.owners.ended(held.key, held.number, held.known)
+        self._return_round(request, 0)
+        back = self.router.retry_after_ms
+        self.gateway.end(request.client_request.ref, "refused", lambda client: client.refused(back))
+
+    def _end(self, request: KeyedRequest) -> None:
+        self.requests.pop(request.client_request.ref, None)
+        self._dequeue(request)
+        if request.is_opened:
+            self.router.on_request_ended(request.key, request.number, request.outcome_known)
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -52,22 +52,22 @@
 UNREST = (Verdict.FLEET, Verdict.ZONE, Verdict.CUT_OFF)
 
 
-class PinsHere(Protocol):
+class KeyMover(Protocol):
     """The rim of pins, as the swap needs it."""
 
-    def left_here(self) -> int:
+    def remaining_here(self) -> int:
         """What still has to go before this machine may be taken out."""
 
-    def left_there(self) -> dict[str, int | None]:
+    def remaining_elsewhere(self) -> dict[str, int | None]:
         """The same of all others on their way out, as far as it is known here."""
 
-    def move(self, most: int) -> None:
+    def move_keys(self, max_keys: int) -> None:
         """At most so many pins go to others."""
 
-    def outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
+    def on_outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended."""
 
-    def changed(self, name: str, version: int, value: bytes) -> None:
+    def on_register_changed(self, name: str, version: int, value: bytes) -> None:
         """A register has changed."""
 
 
@@ -117,7 +117,7 @@
         self.answers: list[dict[str, str]] = []
         self.ready: dict[str, int] = {}
         self.timer: Timer | None = None
-        self.pins: PinsHere | None = None
+        self.pins: KeyMover | None = None
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -206,8 +206,8 @@
         swap.present(now, [*self.drains.machines(now, swap), *there])
         self.drains.tell(now, swap)
         swap.open_left(now, self.name, self.open_requests())
-        swap.pins_left(now, self.name, self.pins.left_here() if self.pins is not None else 0)
-        for machine, count in (self.pins.left_there() if self.pins is not None else {}).items():
+        swap.pins_left(now, self.name, self.pins.remaining_here() if self.pins is not None else 0)
+        for machine, count in (self.pins.remaining_elsewhere() if self.pins is not None else {}).items():
             swap.pins_left(now, machine, count)
         for zone, state in self.fleet.zones.states.items():
             swap.zone(now, zone, "" if state.phase is Phase.IN else f"is {state.phase.value}")
@@ -231,7 +231,7 @@
             case ChangeRegister() | ReadRegister():
                 self.ask(action)
             case steps_of.MovePins(machine, _, most) if machine == self.name and self.pins is not None:
-                self.pins.move(most)
+                self.pins.move_keys(most)
             case steps_of.Drain(machine) | steps_of.Undrain(machine) if machine != self.name:
                 self.drains.act(now, self.swap, action)
             case steps_of.Drain(machine):
@@ -269,13 +269,13 @@
                 case RegisterChanged(name, version, value):
                     self.swap.changed(self.clock.now(), name, version, value)
                     if self.pins is not None:
-                        self.pins.changed(name, version, value)
+                        self.pins.on_register_changed(name, version, value)
                 case OperationOutcome(token, how, version, value) if token:
                     # One that was lost without an answer says nothing of what stands.
                     won = ENDS[how] if version >= 0 else None
                     self.swap.outcome(self.clock.now(), token, won, version, value)
                     if self.pins is not None:
-                        self.pins.outcome(token, won, version, value)
+                        self.pins.on_outcome(token, won, version, value)
 
     def _keep(self, name: str, data: bytes, then: int) -> None:
         # Danger: a promise that is told before the disk has it is broken by a power loss, and two decisions
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -1,4 +1,4 @@
-"""The rim of pins: their records, messages and timer; requests that are handed on. Decides nothing.
+"""Carries out session affinity and request forwarding: records, datagrams and timers. Decides nothing.
 
 Off unless the installation's file says `fleet: {pins: true}`.
 """
@@ -37,7 +37,7 @@
     SessionAffinityService,
     Surroundings,
 )
-from cottonhold.fleet_adapters.keyed_loads import WAITS_MS, Pinned
+from cottonhold.fleet_adapters.keyed_loads import WAIT_STEPS_MS, KeyedLoadGuard, OriginRound
 from cottonhold.fleet_adapters.recovery import life_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
 from cottonhold.membership.swim import Swim
@@ -47,42 +47,44 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Kind, Record
 
-LEAST_MS, MOST_MS = 2.0, 20.0  # between two steps
-HANDED_ON = 79  # first byte of words of requests that are handed on
-AGAIN_MS = 500.0  # a record that the disk did not take is put again so often
-ON_WAY = (Step.MOVING, Step.DRAINING, Step.OUT)
-GOING = {
+MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 2.0, 20.0
+REQUEST_FORWARDING = 79  # first byte of its messages
+WRITE_RETRY_MS = 500.0
+LEAVING_STEPS = (Step.MOVING, Step.DRAINING, Step.OUT)
+DEPARTURE_BY_STEP = {
     Step.MOVING: DepartureState.MOVING_KEYS,
     Step.DRAINING: DepartureState.DRAINING,
     Step.OUT: DepartureState.OUT,
 }
 
 
-class HandedClient:
-    """The way back to the dispatcher that handed a request on."""
+class ForwardedClient:
+    """The way back to the dispatcher that forwarded a request; stands for a client at the gateway."""
 
-    def __init__(self, rim: PinsRim, origin: int, number: int, ref: str) -> None:
-        self.rim, self.origin, self.number, self.ref = rim, origin, number, ref
+    def __init__(self, adapter: SessionAffinityAdapter, origin: int, number: int, request_id: str) -> None:
+        self.adapter, self.origin, self.number, self.request_id = adapter, origin, number, request_id
 
     def served(self, rows: Rows) -> None:
-        """The whole result."""
-        self.rim.answered(self, ForwardResult.ANSWERED, 0.0, encode_rows(rows))
+        """The complete result."""
+        self.adapter.on_forwarded_ended(self, ForwardResult.ANSWERED, 0.0, encode_rows(rows))
 
     def refused(self, retry_after: float) -> None:
-        """Turned away, or this isn't the key's owner: nothing ran."""
-        owner = self.rim.guard.moved.get(self.ref)
+        """Rejected, or this is not the key's owner: nothing ran."""
+        owner = self.adapter.guard.owners_by_returned.get(self.request_id)
         if owner is None:
-            self.rim.answered(self, ForwardResult.REJECTED, retry_after, b"")
+            self.adapter.on_forwarded_ended(self, ForwardResult.REJECTED, retry_after, b"")
         else:
-            self.rim.answered(self, ForwardResult.NOT_OWNER, 0.0, owner.to_bytes(8, "big") if owner else b"")
+            self.adapter.on_forwarded_ended(
+                self, ForwardResult.NOT_OWNER, 0.0, owner.to_bytes(8, "big") if owner else b""
+            )
 
     def failed(self, why: str) -> None:
-        """It may have run."""
-        self.rim.answered(self, ForwardResult.FAILED, 0.0, b"")
+        """The request may have run."""
+        self.adapter.on_forwarded_ended(self, ForwardResult.FAILED, 0.0, b"")
 
 
-class PinsRim:
-    """Feeds the pins of one instance, and carries out what they say."""
+class SessionAffinityAdapter:
+    """Feeds the session affinity of one instance, and carries out its actions."""
 
     def __init__(
         self,
@@ -102,21 +104,21 @@
     ) -> None:
         now = clock.now()
         self.ledger, self.swim, self.fleet, self.census, self.swap = ledger, swim, fleet, census, swap
-        self.gateway, self.clock, self.hop, self.say = gateway, clock, hop, say
-        self.counters, self.note, self.name = counters, note, installation.file.name
-        self.homes = installation.file.peers.zones if installation.file.peers is not None else ()
+        self.gateway, self.clock, self.hop, self.send = gateway, clock, hop, say
+        self.counters, self.log, self.name = counters, note, installation.file.name
+        self.zones_by_number = installation.file.peers.zones if installation.file.peers is not None else ()
         kept = {key.decode(): value for key, value in ledger.records(Kind.PIN).items()}
         self.service = SessionAffinityService(swim.id, swap.voters, now, secrets.randbits(30), kept)
-        self.me, self.back = swim.id, self.service.settings.retry_after_ms
+        self.member, self.retry_after_ms = swim.id, self.service.settings.retry_after_ms
         life = life_of(ledger) & U32 or 1
-        self.handing = RequestForwarder(swim.id, life, ForwardingSettings(), secrets.randbits(30))
-        self.guard = Pinned(loads, self, gateway, clock, counters)
-        self.guests: dict[tuple[int, int], tuple[Request, HandedClient]] = {}
-        self.puts: dict[str, int] = {}  # by name: the token of its last record
-        self.unkept: dict[str, tuple[bytes, int]] = {}  # what the disk did not take
-        self.again_at = 0.0
+        self.forwarder = RequestForwarder(swim.id, life, ForwardingSettings(), secrets.randbits(30))
+        self.guard = KeyedLoadGuard(loads, self, gateway, clock, counters)
+        self.incoming_requests: dict[tuple[int, int], tuple[Request, ForwardedClient]] = {}
+        self.last_tokens: dict[str, int] = {}  # by name of the record
+        self.failed_writes: dict[str, tuple[bytes, int]] = {}  # by name: the record and its token
+        self.next_write_retry_at = 0.0
         self.timer: Timer | None = None
-        self.due = 0.0  # when the timer fires
+        self.timer_at = 0.0
         swap.pins = self
 
     def start(self) -> None:
@@ -124,53 +126,56 @@
         self._step()
 
     def close(self) -> None:
-        """The end of this life."""
-        self.note("pins_end", **self.service.counts, waits=self._waits(), ownerless=self._ownerless())
+        """Stop the timer."""
+        self.log(
+            "pins_end",
+            **self.service.counts,
+            waits=self._wait_histogram(),
+            ownerless=self._handover_histogram(),
+        )
         if self.timer is not None:
             self.timer.cancel()
 
     def told(self, member: int, payload: bytes) -> bool:
-        """Whether bytes from another instance are of pins, or of a request that is handed on."""
-        if not payload or not messages.MIGRATION <= payload[0] <= HANDED_ON:
+        """Apply a datagram's payload; return whether it is one of session affinity or request forwarding."""
+        if not payload or not messages.MIGRATION <= payload[0] <= REQUEST_FORWARDING:
             return False
         now = self.clock.now()
-        if payload[0] == HANDED_ON:
-            self._hands(self.handing.on_message(now, member, payload))
+        if payload[0] == REQUEST_FORWARDING:
+            self._carry_out_forwarding(self.forwarder.on_message(now, member, payload))
         else:
             self._carry_out(self.service.on_message(now, member, payload))
-        self._arm(LEAST_MS)
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
         return True
 
-    # --- what the guard asks ---
-
-    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
-        """Where a load of the key belongs."""
+    def route(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
+        """Return where a request of the key belongs."""
         return self.service.route(self.clock.now(), key)
 
-    def owns(self, key: bytes) -> bool:
-        """Whether a load of the key may start here at this moment."""
+    def is_owner(self, key: bytes) -> bool:
+        """Whether a request of the key may start here at this moment."""
         return self.service.ownership_of(self.clock.now(), key) is not None
 
-    def inside(self, member: int) -> bool:
-        """Whether a member may own anything, as far as is known here."""
+    def is_member(self, member: int) -> bool:
+        """Whether a member may own keys, as far as is known here."""
         pins = self.service.ownership
         return pins is not None and member in pins.lease.members
 
-    def lost(self, key: bytes) -> bool:
-        """Whether what waits here for the key won't start here any more."""
+    def is_lost(self, key: bytes) -> bool:
+        """Whether a waiting request of the key will not start here any more."""
         return self.service.is_lost(self.clock.now(), key)
 
-    def opened(self, key: bytes, load: int) -> None:
-        """A load waits in line or runs here."""
+    def on_request_opened(self, key: bytes, load: int) -> None:
+        """A request waits or runs here."""
         self._carry_out(self.service.on_request_opened(self.clock.now(), key, load))
 
-    def ended(self, key: bytes, load: int, known: bool) -> None:
-        """It has ended."""
+    def on_request_ended(self, key: bytes, load: int, known: bool) -> None:
+        """A request has ended."""
         self._carry_out(self.service.on_request_ended(self.clock.now(), key, load, known))
-        self._arm(LEAST_MS)
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
-        """Hand a request on."""
+    def forward(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
+        """Forward a request to the owner of its key."""
         self.counters.add("pins_handed_on")
         words = (taken.ref, taken.service, taken.key or "", taken.effort, taken.room, taken.tables)
         tenants = self.gateway.settings.tenants
@@ -179,117 +184,121 @@
             ForwardedRequest(*words, taken.retry, taken.body, number, tenant, taken.token or "")
         )
         now = self.clock.now()
-        actions = self.handing.forward(now, taken.ref, owner, body, until, queue_key=key)
-        # An end that comes at once comes to the guard once it knows that the request is on its way.
-        self.clock.call_soon(lambda: self._hands(actions))
-
-    def left(self, ref: str) -> None:
-        """Nobody waits any more for one that was handed on."""
-        self._hands(self.handing.abandon(self.clock.now(), ref))
+        actions = self.forwarder.forward(now, taken.ref, owner, body, until, queue_key=key)
+        # A result that is there at once must reach the guard only after it has recorded the forwarding.
+        self.clock.call_soon(lambda: self._carry_out_forwarding(actions))
 
-    # --- requests that others hand on to here ---
+    def abandon(self, ref: str) -> None:
+        """No client waits any more for a forwarded request."""
+        self._carry_out_forwarding(self.forwarder.abandon(self.clock.now(), ref))
 
-    def _taken(self, action: forwarder.RequestAccepted) -> None:
-        now, place = self.clock.now(), (action.origin, action.number)
+    def _on_request_accepted(self, action: forwarder.RequestAccepted) -> None:
+        """Pass a request that was forwarded to here to the gateway."""
         try:
-            asked = decode_request(action.body)
+            forwarded = decode_request(action.body)
         except MessageError:
             self.counters.add("pins_malformed")
-            self._hands(self.handing.on_request_ended(now, *place, ForwardResult.REJECTED))
+            self._reject(action, retry_after_ms=0.0)
             return
-        kind = self.gateway.kinds.get(asked.class_name)
-        ref = (
-            asked.request_id
-            if asked.request_id not in self.gateway.requests
-            else f"{asked.request_id}.{action.number:x}"
-        )
-        if kind is None or ref in self.gateway.requests:
-            self._hands(self.handing.on_request_ended(now, *place, ForwardResult.REJECTED, self.back))
+        kind = self.gateway.kinds.get(forwarded.class_name)
+        request_id = forwarded.request_id
+        if request_id in self.gateway.requests:
+            request_id = f"{request_id}.{action.number:x}"
+        if kind is None or request_id in self.gateway.requests:
+            self._reject(action, self.retry_after_ms)
             return
         self.counters.add("pins_handed_here")
-        work = asked.estimated_work_ms, asked.estimated_memory_mb, asked.tables
-        words = asked.ordering_key, asked.is_retry, asked.body
-        named = self.gateway.tenants.get(asked.tenant, 0), asked.idempotency_key or None
-        taken = Taken(ref, kind, asked.class_name, now, action.remaining_ms, *work, *words, *named)
-        client = HandedClient(self, action.origin, action.number, ref)
-        self.guard.remote[ref] = action.origin, asked.round
+        work = forwarded.estimated_work_ms, forwarded.estimated_memory_mb, forwarded.tables
+        words = forwarded.ordering_key, forwarded.is_retry, forwarded.body
+        named = self.gateway.tenants.get(forwarded.tenant, 0), forwarded.idempotency_key or None
+        now = self.clock.now()
+        taken = Taken(request_id, kind, forwarded.class_name, now, action.remaining_ms, *work, *words, *named)
+        client = ForwardedClient(self, action.origin, action.number, request_id)
+        self.guard.origin_rounds[request_id] = OriginRound(action.origin, forwarded.round)
         try:
             request = self.gateway.take(taken, client)
         except DuplicateRef:
-            self._hands(self.handing.on_request_ended(now, *place, ForwardResult.REJECTED, self.back))
+            self._reject(action, self.retry_after_ms)
             return
-        self.guests[place] = request, client
+        self.incoming_requests[action.origin, action.number] = request, client
 
-    def answered(self, client: HandedClient, end: ForwardResult, ms: float, data: bytes) -> None:
-        """One that was handed on to here has ended."""
+    def _reject(self, action: forwarder.RequestAccepted, retry_after_ms: float) -> None:
+        now, result = self.clock.now(), ForwardResult.REJECTED
+        actions = self.forwarder.on_request_ended(now, action.origin, action.number, result, retry_after_ms)
+        self._carry_out_forwarding(actions)
+
+    def on_forwarded_ended(
+        self, client: ForwardedClient, result: ForwardResult, retry_after_ms: float, data: bytes
+    ) -> None:
+        """A request that was forwarded to here has ended."""
         place = client.origin, client.number
-        self.guests.pop(place, None)
-        self.guard.remote.pop(client.ref, None)
-        self.guard.moved.pop(client.ref, None)
-        self._hands(self.handing.on_request_ended(self.clock.now(), *place, end, ms, data))
-        self._arm(LEAST_MS)
-
-    def _gone(self, origin: int, number: int) -> None:
-        """Nobody waits for it any more."""
-        found = self.guests.pop((origin, number), None)
+        self.incoming_requests.pop(place, None)
+        self.guard.origin_rounds.pop(client.request_id, None)
+        self.guard.owners_by_returned.pop(client.request_id, None)
+        self._carry_out_forwarding(
+            self.forwarder.on_request_ended(self.clock.now(), *place, result, retry_after_ms, data)
+        )
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
+
+    def _on_request_abandoned(self, origin: int, number: int) -> None:
+        """No client waits for it any more."""
+        found = self.incoming_requests.pop((origin, number), None)
         if found is not None:
-            self.guard.remote.pop(found[1].ref, None)
+            self.guard.origin_rounds.pop(found[1].request_id, None)
             self.gateway.client_gone(found[0])
 
-    def _hands(self, actions: Iterable[forwarder.Action]) -> None:
+    def _carry_out_forwarding(self, actions: Iterable[forwarder.Action]) -> None:
         for action in actions:
             match action:
                 case SendMessage(member, data):
-                    self.say(member, data)
+                    self.send(member, data)
                 case forwarder.RequestAccepted():
-                    self._taken(action)
+                    self._on_request_accepted(action)
                 case forwarder.RequestAbandoned(origin, number):
-                    self._gone(origin, number)
+                    self._on_request_abandoned(origin, number)
                 case forwarder.ForwardingEnded():
-                    self.guard.handed(action)
-        self._arm(LEAST_MS)
+                    self.guard.on_forwarding_ended(action)
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    # --- the swap ---
-
-    def outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
+    def on_outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended."""
         self.service.on_outcome(self.clock.now(), token, won, version, value)
-        self._arm(LEAST_MS)
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    def changed(self, name: str, version: int, value: bytes) -> None:
+    def on_register_changed(self, name: str, version: int, value: bytes) -> None:
         """A register has changed."""
         if name == membership_table.TABLE_REGISTER:
             self.service.on_register_changed(self.clock.now(), name, version, value)
-            self._arm(LEAST_MS)
+            self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    def left_here(self) -> int:
-        """What still has to go before this machine may be taken out."""
-        # Danger: counted by what this part had seen of the swap at its own last step, a machine that drains
-        # seemed to be moving still, with nothing left but its place in the table.
+    def remaining_here(self) -> int:
+        """Return how much is left here before this machine may be taken out."""
+        # By the newest step of the replacement: at its own last step this part may have seen an earlier one.
         return self.service.remaining_count(
-            self.clock.now(), self._going(self.swap.swap.scene.chain.get(self.name))
+            self.clock.now(), self._departure(self.swap.swap.scene.chain.get(self.name))
         )
 
-    def left_there(self) -> dict[str, int | None]:
-        """The same of all others on their way out: nothing is left of one that is not in the table, and of
-        the rest that is not known here."""
+    def remaining_elsewhere(self) -> dict[str, int | None]:
+        """Return the same of other machines that are being replaced.
+
+        Nothing is left at one that is not in the table; of the others it is not known here.
+        """
         inside, known = self.service.table.member_list.members, self.service.table.is_known
-        others = {n for n, r in self.swap.swap.scene.chain.items() if r.step in ON_WAY} - {self.name}
+        others = {n for n, r in self.swap.swap.scene.chain.items() if r.step in LEAVING_STEPS} - {self.name}
         return {name: 0 if known and ident(name) not in inside else None for name in others}
 
-    def move(self, most: int) -> None:
-        """At most so many pins go to others."""
+    def move_keys(self, max_keys: int) -> None:
+        """Move at most so many keys to others."""
         self.counters.add("pins_asked_to_move")
-        self._carry_out(self.service.move_keys(self.clock.now(), most, self._room()))
-        self._arm(LEAST_MS)
+        self._carry_out(self.service.move_keys(self.clock.now(), max_keys, self._target_capacities()))
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    def _room(self) -> dict[int, float]:
-        """Of those that may take pins: by what the outlook says is left in their zones, else even."""
+    def _target_capacities(self) -> dict[int, float]:
+        """Return the capacity of each member that may take keys: by what is left in its zone, else even."""
         chain = self.swap.swap.scene.chain
-        going = {ident(name) for name, record in chain.items() if record.step in ON_WAY}
+        going = {ident(name) for name, record in chain.items() if record.step in LEAVING_STEPS}
         there = [m for m in self.swim.live() if m != self.swim.id and m not in going]
         outlook = self.fleet.outlook
-        # Danger: asked for the loss of no zone, which is never projected, the outlook had no say in this.
         left = outlook.plan.room if outlook is not None and outlook.plan is not None else {}
         zones = {member: self._zone(member) for member in there}
         count = Counter(zones.values())
@@ -298,14 +307,14 @@
 
     def _zone(self, member: int) -> str:
         number = self.census.number_of(member)
-        return self.homes[number] if number is not None and number < len(self.homes) else ""
-
-    # --- steps ---
+        return (
+            self.zones_by_number[number] if number is not None and number < len(self.zones_by_number) else ""
+        )
 
     def _step(self) -> None:
         self.timer = None
         now, before = self.clock.now(), self.service.surroundings.departure
-        around = self._around()
+        around = self._surroundings()
         if around.departure is DepartureState.STAYING and before in (
             DepartureState.MOVING_KEYS,
             DepartureState.DRAINING,
@@ -314,99 +323,99 @@
         began = self.service.start_count
         self._carry_out(self.service.step(now, around))
         if self.service.start_count != began:
-            self.note(
+            self.log(
                 "pins",
                 began=self.service.start_count,
                 whole=str(around.folder_is_current),
                 epoch=self._epoch(),
             )
-        self._hands(self.handing.step(now))
-        self._put_again(now)
+        self._carry_out_forwarding(self.forwarder.step(now))
+        self._retry_failed_writes(now)
         self.guard.step()
-        self._arm(min(self.service.next_at(now), self.handing.next_at()) - now)
+        self._schedule_step(min(self.service.next_at(now), self.forwarder.next_at()) - now)
 
-    def _around(self) -> Surroundings:
+    def _surroundings(self) -> Surroundings:
         chain = self.swap.swap.scene.chain
         out = frozenset(ident(name) for name, record in chain.items() if record.step is Step.OUT)
         return Surroundings(
-            self._whole(), self._going(chain.get(self.name)), frozenset(self.swim.live()), out
+            self._folder_is_current(), self._departure(chain.get(self.name)), frozenset(self.swim.live()), out
         )
 
-    def _whole(self) -> bool | None:
-        """Whether the folder is the one this number last had, as far as others bear it out."""
+    def _folder_is_current(self) -> bool | None:
+        """Whether the folder is the one that this number last had, as far as others confirm it."""
         if self.census.memory is not MemoryState.KEPT:
             return False
         return True if self.census.confirmed() or self.service.surroundings.folder_is_current else None
 
-    def _going(self, record: Swapped | None) -> DepartureState:
+    def _departure(self, record: Swapped | None) -> DepartureState:
         return (
-            GOING.get(record.step, DepartureState.STAYING) if record is not None else DepartureState.STAYING
+            DEPARTURE_BY_STEP.get(record.step, DepartureState.STAYING)
+            if record is not None
+            else DepartureState.STAYING
         )
 
     def _epoch(self) -> int:
         return self.service.ownership.lease.epoch if self.service.ownership is not None else -1
 
-    def _arm(self, ms: float) -> None:
-        ms = min(max(ms, LEAST_MS), MOST_MS)
-        # Danger: put off by each event, the step never came where events come faster than its least wait.
-        if self.timer is not None and self.due <= self.clock.now() + ms:
+    def _schedule_step(self, delay_ms: float) -> None:
+        delay_ms = min(max(delay_ms, MIN_STEP_INTERVAL_MS), MAX_STEP_INTERVAL_MS)
+        # An earlier step stays scheduled, or frequent events would postpone it for ever.
+        if self.timer is not None and self.timer_at <= self.clock.now() + delay_ms:
             return
         if self.timer is not None:
             self.timer.cancel()
-        self.due = self.clock.now() + ms
-        self.timer = self.clock.call_in(ms, self._step)
+        self.timer_at = self.clock.now() + delay_ms
+        self.timer = self.clock.call_in(delay_ms, self._step)
 
     def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case SendMessage(member, data):
-                    self.say(member, data)
+                    self.send(member, data)
                 case PersistState(name, data, then):
-                    self._keep(name, data, then)
+                    self._persist(name, data, then)
                 case ChangeRegister() | ReadRegister():
                     self.swap.ask(action)
 
-    def _keep(self, name: str, data: bytes, then: int) -> None:
-        self.puts[name] = then
-        self.unkept.pop(name, None)
+    def _persist(self, name: str, data: bytes, token: int) -> None:
+        self.last_tokens[name] = token
+        self.failed_writes.pop(name, None)
 
         def done(durable: bool) -> None:
-            self.hop(lambda: self._kept(name, data, then, durable))
+            self.hop(lambda: self._on_written(name, data, token, durable))
 
         self.ledger.put([Record(Kind.PIN, name.encode(), data or None)], done)
 
-    def _kept(self, name: str, data: bytes, then: int, durable: bool) -> None:
-        if durable:
-            if self.puts.get(name) == then:
-                del self.puts[name]
-            self._carry_out(self.service.on_persisted(self.clock.now(), then))
-            self._arm(LEAST_MS)
-        elif self.puts.get(name) == then:
-            # Danger: a record that the disk did not take, and that nobody puts again, holds its pin for good.
-            self.unkept[name] = data, then
+    def _on_written(self, name: str, data: bytes, token: int, is_durable: bool) -> None:
+        if is_durable:
+            if self.last_tokens.get(name) == token:
+                del self.last_tokens[name]
+            self._carry_out(self.service.on_persisted(self.clock.now(), token))
+            self._schedule_step(MIN_STEP_INTERVAL_MS)
+        elif self.last_tokens.get(name) == token:
+            # The record is written again later, because its key is blocked until it is on disk.
+            self.failed_writes[name] = data, token
             self.counters.add("pins_unkept")
 
-    def _put_again(self, now: float) -> None:
-        if not self.unkept or now < self.again_at:
+    def _retry_failed_writes(self, now: float) -> None:
+        if not self.failed_writes or now < self.next_write_retry_at:
             return
-        self.again_at = now + AGAIN_MS
-        unkept, self.unkept = self.unkept, {}
+        self.next_write_retry_at = now + WRITE_RETRY_MS
+        unkept, self.failed_writes = self.failed_writes, {}
         for name, (data, then) in unkept.items():
-            self._keep(name, data, then)
-
-    # --- for operators ---
+            self._persist(name, data, then)
 
-    def _waits(self) -> str:
+    def _wait_histogram(self) -> str:
         """How many requests waited here for an owner, by ms: up to 10, 20 and so on, and longer."""
-        return _histogram(WAITS_MS, self.guard.waits)
+        return _histogram(WAIT_STEPS_MS, self.guard.wait_histogram)
 
-    def _ownerless(self) -> str:
-        """The same of keys that were moved from here: how long nobody started their loads."""
+    def _handover_histogram(self) -> str:
+        """The same of keys that were moved from here: how long no member started their requests."""
         pins = self.service.ownership
         return _histogram(HANDOVER_STEPS_MS, pins.handover_histogram) if pins is not None else ""
 
     def status(self) -> dict[str, Any]:
-        """The view of this instance."""
+        """Return the view of this instance, for operators."""
         now, service = self.clock.now(), self.service
         pins = service.ownership
         inside = pins.lease.members if pins is not None else ()
@@ -422,11 +431,11 @@
             "epoch": self._epoch(),
             "table": sorted(names.get(member, f"{member:x}") for member in inside),
             "left": service.remaining_count(now, service.surroundings.departure),
-            "waiting": sum(map(len, self.guard.lines.values())),
-            "waits": self._waits(),
-            "ownerless": self._ownerless(),
+            "waiting": sum(map(len, self.guard.queues.values())),
+            "waits": self._wait_histogram(),
+            "ownerless": self._handover_histogram(),
             "why": service.table.blocked_reason,
-            "handed_on": self.handing.status(),
+            "handed_on": self.forwarder.status(),
             **service.counts,
         }
         return {"pins": found}
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -30,7 +30,7 @@
 from cottonhold.fleet_adapters.membership import MembershipRim, make_instance
 from cottonhold.fleet_adapters.recovery import BOOT_STEP, RecoveryRim, life_of, open_ledger, unkept_guard
 from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
-from cottonhold.fleet_adapters.session_affinity import PinsRim
+from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
 from cottonhold.fleet_adapters.zone_failover import FleetRim, OrderError, make_fleet
 from cottonhold.membership.codec import Status
 from cottonhold.node import consul_client, status
@@ -79,7 +79,7 @@
         self.fleet: FleetRim | None = None
         self.recovery: RecoveryRim | None = None
         self.swap: SwapRim | None = None
-        self.pins: PinsRim | None = None
+        self.pins: SessionAffinityAdapter | None = None
         self.remembered: Remembered | None = None
         self.began = self.driver.clock.now()
         self.ledger_why = ""
@@ -204,7 +204,7 @@
         self, ledger: Ledger, membership: MembershipRim, fleet: Fleet, recovery: RecoveryRim, swap: SwapRim
     ) -> None:
         """Loads with a key begin where that is owned."""
-        self.pins = PinsRim(
+        self.pins = SessionAffinityAdapter(
             self.installation,
             ledger,
             membership.instance.swim,
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -324,11 +324,11 @@
                 return []
 
             patched.setattr(rim.service, "kept", kept_as)
-            rim._keep("pin", b"one", 5)
-            rim._put_again(1e12)
-            rim._keep("pin", b"two", 6)
+            rim._persist("pin", b"one", 5)
+            rim._retry_failed_writes(1e12)
+            rim._persist("pin", b"two", 6)
             disk.well = True
-            rim._put_again(3e12)
+            rim._retry_failed_writes(3e12)
             assert told == [6] and [[r.value for r in put] for put in disk.put_of] == [[b"two"]]
 
     with_node(tmp_path / "n1.json", {"fleet": {"pins": True}}, story)
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -1,4 +1,4 @@
-"""The rim's guard of loads with keys, on a fake clock: owners, handing on, leases that end, order by key."""
+"""The guard of loads with keys, on a fake clock: owners, forwarding, leases that end, order by key."""
 
 from __future__ import annotations
 
@@ -20,7 +20,12 @@
     encode_rows,
 )
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
-from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
+from cottonhold.fleet_adapters.keyed_loads import (
+    MAX_FORWARDED_WAIT_MS,
+    MAX_WAIT_MS,
+    KeyedLoadGuard,
+    OriginRound,
+)
 from cottonhold.node.gateway import Gateway, Past, Taken
 from cottonhold.node.gateway import Settled as Tell
 from cottonhold.observe.counters import Counters
@@ -54,7 +59,7 @@
 class World:
     """One guard; the test says who owns what. It stands for the gateway, too."""
 
-    me, back = ME, 40.0
+    member, retry_after_ms = ME, 40.0
 
     def __init__(self) -> None:
         self.clock, self.loads = FakeClock(), Loads()
@@ -64,31 +69,31 @@
         self.rounds: list[int] = []
         self.events: list[Any] = []
         self.table = {ME, X, Y}
-        self.guard = Pinned(self.loads, self, cast(Gateway, self), self.clock, Counters())
+        self.guard = KeyedLoadGuard(self.loads, self, cast(Gateway, self), self.clock, Counters())
 
-    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
+    def route(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
         return self.found
 
-    def owns(self, key: bytes) -> bool:
+    def is_owner(self, key: bytes) -> bool:
         return isinstance(self.found, OwnedHere)
 
-    def inside(self, member: int) -> bool:
+    def is_member(self, member: int) -> bool:
         return member in self.table
 
-    def lost(self, key: bytes) -> bool:
-        return not self.owns(key)
+    def is_lost(self, key: bytes) -> bool:
+        return not self.is_owner(key)
 
-    def opened(self, key: bytes, load: int) -> None:
+    def on_request_opened(self, key: bytes, load: int) -> None:
         self.events.append(("opened", load))
 
-    def ended(self, key: bytes, load: int, known: bool) -> None:
+    def on_request_ended(self, key: bytes, load: int, known: bool) -> None:
         self.events.append(("ended", load, known))
 
-    def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
+    def forward(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
         self.handed.append((taken.ref, owner))
         self.rounds.append(number)
 
-    def left(self, ref: str) -> None:
+    def abandon(self, ref: str) -> None:
         self.events.append(("left", ref))
 
     def end(self, ref: str, word: str, answer: Callable[[Any], None]) -> None:
@@ -115,7 +120,7 @@
         self.guard.step()
 
     def back_with(self, ref: str, end: ForwardResult, data: bytes = b"") -> None:
-        self.guard.handed(ForwardingEnded(ref, end, 0.0, data))
+        self.guard.on_forwarding_ended(ForwardingEnded(ref, end, 0.0, data))
 
 
 def test_its_own_begins_here_and_without_a_key_nobody_is_asked() -> None:
@@ -177,7 +182,7 @@
     world.guard.closed("c")
     world.found = RetryAfter(40.0)
     world.come("d")
-    world.later(WAIT_MS)
+    world.later(MAX_WAIT_MS)
     assert world.heard[2:] == [("d", "later")]
 
 
@@ -192,7 +197,7 @@
     world.guard.closed("c")
     world.back_with("c", ForwardResult.ANSWERED)
     assert world.heard == [("a", "served"), ("b", "may")] and world.events == [("left", "c")]
-    assert not world.guard.held and not world.guard.away
+    assert not world.guard.requests and not world.guard.forwarding_rounds
 
 
 def test_a_moved_one_goes_where_its_home_says_and_later_ones_go_there_at_once() -> None:
@@ -238,14 +243,14 @@
 
 def test_one_that_was_handed_on_to_here_is_sent_back_with_the_owners_name() -> None:
     world = World()
-    world.guard.remote |= {"a": (Y, 1), "b": (Y, 2), "c": (Y, 2)}
+    world.guard.origin_rounds |= {"a": OriginRound(Y, 1), "b": OriginRound(Y, 2), "c": OriginRound(Y, 2)}
     world.found = OwnedElsewhere(b"", X)
     world.come("a")
-    assert world.heard == [("a", "later")] and world.guard.moved == {"a": X}
+    assert world.heard == [("a", "later")] and world.guard.owners_by_returned == {"a": X}
     world.found = RetryAfter(40.0)
     world.come("b")
     world.come("c")
-    world.later(GUEST_MS / 2)
+    world.later(MAX_FORWARDED_WAIT_MS / 2)
     world.found = OWN
     world.later(1)
     assert world.heard[1:] == [("b", "never"), ("c", "never")] and not world.handed
@@ -254,14 +259,24 @@
 def test_what_comes_behind_one_that_was_sent_back_does_not_begin_before_it() -> None:
     """Both were handed on before their origin heard of it; of the next round all begin."""
     world = World()
-    world.guard.remote |= {"a": (Y, 1), "b": (Y, 1), "c": (Y, 1), "d": (Y, 2), "e": (X, 1)}
+    world.guard.origin_rounds |= {
+        "a": OriginRound(Y, 1),
+        "b": OriginRound(Y, 1),
+        "c": OriginRound(Y, 1),
+        "d": OriginRound(Y, 2),
+        "e": OriginRound(X, 1),
+    }
     world.found = RetryAfter(40.0)
     world.come("a")
     world.come("b")
-    world.later(GUEST_MS)
+    world.later(MAX_FORWARDED_WAIT_MS)
     world.found = OWN
     world.come("c")
-    assert [h for h, _ in world.heard] == ["a", "b", "c"] and set(world.guard.moved) == {"a", "b", "c"}
+    assert [h for h, _ in world.heard] == ["a", "b", "c"] and set(world.guard.owners_by_returned) == {
+        "a",
+        "b",
+        "c",
+    }
     world.come("d")
     world.come("e")
     assert world.heard[3:] == [("d", "never"), ("e", "never")]
