--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -341,7 +341,7 @@
         self.router.forward(client_request, target, request.key, deadline, forwarding_round.number)
 
     def _target(self, key: bytes, owner: int) -> int:
-        """Return where a request of the key is forwarded: to the owner that its home reported, else its home."""
+        """Return to whom a request of the key is forwarded: the reported owner, else its home."""
         hint = self.owner_hints.get(key, 0)
         if hint in (0, self.router.member):
             return owner
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -13,9 +13,9 @@
 from cottonhold.backend.resp import Rows
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.consensus.actions import ChangeRegister, PersistState, ReadRegister, SendMessage
-from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.recovery.membership_survey import Census
+from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet.request_forwarding import forwarder
 from cottonhold.fleet.request_forwarding.forwarder import ForwardingSettings, ForwardResult, RequestForwarder
@@ -38,7 +38,7 @@
     Surroundings,
 )
 from cottonhold.fleet_adapters.keyed_loads import WAIT_STEPS_MS, KeyedLoadGuard, OriginRound
-from cottonhold.fleet_adapters.recovery import life_of
+from cottonhold.fleet_adapters.recovery import incarnation_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
@@ -91,8 +91,8 @@
         installation: Installation,
         ledger: Ledger,
         swim: Swim,
-        fleet: Fleet,
-        census: Census,
+        fleet: FleetCoordinator,
+        census: MembershipSurvey,
         swap: SwapRim,
         loads: LoadGuard,
         gateway: Gateway,
@@ -110,7 +110,7 @@
         kept = {key.decode(): value for key, value in ledger.records(Kind.PIN).items()}
         self.service = SessionAffinityService(swim.id, swap.voters, now, secrets.randbits(30), kept)
         self.member, self.retry_after_ms = swim.id, self.service.settings.retry_after_ms
-        life = life_of(ledger) & U32 or 1
+        life = incarnation_of(ledger) & U32 or 1
         self.forwarder = RequestForwarder(swim.id, life, ForwardingSettings(), secrets.randbits(30))
         self.guard = KeyedLoadGuard(loads, self, gateway, clock, counters)
         self.incoming_requests: dict[tuple[int, int], tuple[Request, ForwardedClient]] = {}
@@ -298,8 +298,8 @@
         chain = self.swap.swap.scene.chain
         going = {ident(name) for name, record in chain.items() if record.step in LEAVING_STEPS}
         there = [m for m in self.swim.live() if m != self.swim.id and m not in going]
-        outlook = self.fleet.outlook
-        left = outlook.plan.room if outlook is not None and outlook.plan is not None else {}
+        outlook = self.fleet.failover_cost
+        left = outlook.plan.free_cores if outlook is not None and outlook.plan is not None else {}
         zones = {member: self._zone(member) for member in there}
         count = Counter(zones.values())
         found = {member: left.get(zone, 0.0) / count[zone] for member, zone in zones.items()}
@@ -343,9 +343,13 @@
 
     def _folder_is_current(self) -> bool | None:
         """Whether the folder is the one that this number last had, as far as others confirm it."""
-        if self.census.memory is not MemoryState.KEPT:
+        if self.census.memory is not MemoryState.INTACT:
             return False
-        return True if self.census.confirmed() or self.service.surroundings.folder_is_current else None
+        return (
+            True
+            if self.census.has_confirmed_memory() or self.service.surroundings.folder_is_current
+            else None
+        )
 
     def _departure(self, record: Swapped | None) -> DepartureState:
         return (
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -22,7 +22,8 @@
 from cottonhold.config import relay, schema
 from cottonhold.discovery.consul.checks import Entry
 from cottonhold.emulator.fault_injection import script
-from cottonhold.fleet.recovery.survey_results import Verdict
+from cottonhold.fleet.recovery.survey_results import OutageVerdict
+from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
 from cottonhold.fleet.request_forwarding.messages import ForwardResult
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
@@ -95,13 +96,13 @@
         "attempts, probes": [o.value for o in Outcome],
         "loads": [p.value for p in Past],
         "disk": [s.value for s in DiskState],
-        "census": [v.value for v in Verdict],
+        "census": [v.value for v in OutageVerdict],
         "members": [s.name.lower() for s in Status],
         "zones": [p.value for p in ZonePhase],
         "engines": [s.value for s in EngineState],
         "swap": [s.name.lower() for s in Step],
         "life cycle": [p.value for p in Phase],
-        "handed on": [end.name.lower() for end in ForwardResult],
+        "handed on": [RESULT_NAMES[result] for result in ForwardResult],
         "duties": [membership_adapter.PROBE, membership_adapter.REPORT, membership_adapter.FLEET],
     }
     return {name: sorted(words) for name, words in enums.items()}
@@ -118,7 +119,7 @@
         4,
         tally([state.value for state in EngineState], ["live"]),
         tally(names_of(Status), ["alive"]),
-        tally(names_of(Verdict), [next(iter(Verdict)).value]),
+        tally(names_of(OutageVerdict), [next(iter(OutageVerdict)).value]),
         tally(names_of(Step), ["out"]),
     )
     return Metrics(lambda: readings).text()
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -251,7 +251,7 @@
         record = Record(Kind.PROMISE, action.name.encode(), action.data or None)
 
         def kept() -> None:
-            self.act(member, self.up[member].kept(self.now, action.token))
+            self.act(member, self.up[member].on_persisted(self.now, action.token))
 
         self.writers[member].put(record, kept)
 
@@ -259,10 +259,10 @@
 def a_voter_votes_after_its_disk_failed_at_the_start() -> None:
     fleet = FailingFleet(failing=[102])
     fleet.run(10_000)
-    assert not fleet.up[102].votes() and not fleet.disks[102]
+    assert not fleet.up[102].is_voting() and not fleet.disks[102]
     fleet.failing.clear()
     fleet.run(10_000)
-    assert all(one.votes() for one in fleet.up.values())
+    assert all(one.is_voting() for one in fleet.up.values())
     fleet.stop(103)
     assert fleet.change(101, "a", 0, b"x").result is ChangeResult.WON, "its voice counts again"
 
@@ -304,10 +304,10 @@
     fleet.stop(103)
     fleet.start(103, empty=True)
     fleet.run(10_000)
-    assert not fleet.up[103].votes()
+    assert not fleet.up[103].is_voting()
     fleet.failing.clear()
     fleet.run(10_000)
-    assert fleet.up[103].votes()
+    assert fleet.up[103].is_voting()
 
 
 def test_all_finished_registers_go_once_the_last_floor_is_durable() -> None:
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -17,6 +17,9 @@
 from cottonhold.cli.main import app
 from cottonhold.emulator.process_fleet import Tier
 
+# Tests that start several processes slow one another, which looks like a fault: few run side by side.
+pytestmark = pytest.mark.xdist_group("fleet processes")
+
 
 @pytest.fixture
 def tier(tmp_path: Path) -> Iterator[Tier]:
