--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -36,7 +36,7 @@
     unavailable_guard,
 )
 from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
-from cottonhold.fleet_adapters.session_affinity import PinsRim
+from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
 from cottonhold.membership.codec import Status
 from cottonhold.node import consul_client, status
@@ -86,7 +86,7 @@
         self.fleet: ZoneFailoverAdapter | None = None
         self.recovery: RecoveryAdapter | None = None
         self.swap: SwapRim | None = None
-        self.pins: PinsRim | None = None
+        self.pins: SessionAffinityAdapter | None = None
         self.remembered: EngineCache | None = None
         self.began = self.event_loop.clock.now()
         self.ledger_why = ""
@@ -216,7 +216,7 @@
         swap: SwapRim,
     ) -> None:
         """Loads with a key begin where that is owned."""
-        self.pins = PinsRim(
+        self.pins = SessionAffinityAdapter(
             self.installation,
             ledger,
             membership.instance.swim,
