--- a/cottonhold/fleet/failover_cost/simplex.py
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -26,7 +26,7 @@
 
 
 # A zone, and the first and the end of a home's steps that it serves, by their place among them. A plain
-(tuple,)  # since thousands are made for each problem.
+# tuple, since thousands are made for each problem.
 Assignment = tuple[str, int, int]
 
 
