--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -1,8 +1,8 @@
-"""Engines that the own list named before the power went: what there is to begin with until a source answers.
+"""Engines that the own list named before a power loss, until a source of the list answers. Pure.
 
-Pure. A hint says where an engine was. Whether one is there now only its own answer tells: the ramp lets
-nothing go to it before. The first answer of a source replaces all of it. Engines that were draining, or in
-trouble, are not remembered: nothing new was to go to them.
+A record is a hint where an engine was. Whether one is there now only its own answer tells: slow start sends
+nothing to it before. The first answer of a source replaces all of them. Engines that were draining, or had a
+fault, are not cached: nothing new was to be sent to them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordError, RecordKind
 
-REASON = "remembered from before the start"
+REASON = "remembered from before the start"  # as operators read it
 
 
 class CachedEngine(msgspec.Struct, array_like=True, frozen=True):
@@ -30,65 +30,76 @@
 
 
 class EngineCache:
-    """Feed it changes of the list that a source has answered for; it says what is to be kept.
+    """Feed it changes of the list that a source has answered for; it returns the records to be written.
 
-    kept: the folder's records of engines, by id. `malformed` counts those that can't be read.
+    recorded: the folder's records of engines, by id; names: of zones and machine types. `malformed` counts
+    records that can't be read.
     """
 
-    def __init__(self, kept: Mapping[bytes, bytes], names: Names) -> None:
+    def __init__(self, recorded: Mapping[bytes, bytes], names: Names) -> None:
         self.names, self.malformed = names, 0
         self.engines: dict[str, CachedEngine] = {}
-        for key, value in kept.items():
+        for key, value in recorded.items():
             try:
-                place: CachedEngine = msgspec.msgpack.decode(Hint.decode(value).value, type=CachedEngine)
-                Address.parse(place.address)
-                self.engines[key.decode()] = place
+                cached: CachedEngine = msgspec.msgpack.decode(Hint.decode(value).value, type=CachedEngine)
+                Address.parse(cached.address)
+                self.engines[key.decode()] = cached
             except (RecordError, WireError, msgspec.MsgspecError, UnicodeDecodeError):
                 self.malformed += 1
 
     def observations(self, known: tuple[Observation, ...] = ()) -> tuple[Observation, ...]:
-        """The list to begin with: engines that the configuration knows, and others that are remembered."""
-        named = {o.id for o in known}
-        # Danger: an address has one engine. What was remembered at one that the file gives to another is old.
-        taken = {o.address for o in known}
+        """The list to begin with: engines that the configuration knows, and cached ones.
+
+        An address has one engine: what was cached at one that the configuration gives to another is outdated.
+        One in a zone that is no longer configured would be taken for one of the first zone.
+        """
+        known_ids = {observation.id for observation in known}
+        addresses = {observation.address for observation in known}
         found = list(known)
-        for id, place in sorted(self.engines.items()):
-            address = Address.parse(place.address)
-            # One in a zone that is no longer configured would pass for one of the first zone.
-            if id in named or address in taken or place.zone not in self.names.zones:
+        for engine_id, cached in sorted(self.engines.items()):
+            address = Address.parse(cached.address)
+            if engine_id in known_ids or address in addresses or cached.zone not in self.names.zones:
                 continue
-            taken.add(address)
-            zone, model = self.names.zone(place.zone), self.names.model(place.machine_type)
-            found.append(Observation(id, Verdict.IN, REASON, address, zone, model, place.cell, place.size))
+            addresses.add(address)
+            zone, machine_type = self.names.zone(cached.zone), self.names.model(cached.machine_type)
+            found.append(
+                Observation(
+                    engine_id, Verdict.IN, REASON, address, zone, machine_type, cached.cell, cached.size
+                )
+            )
         return tuple(found)
 
     def apply(self, change: Change) -> list[Record]:
         """What has to be written for a change of the list."""
         records = []
         if change.whole:
-            gone = self.engines.keys() - {engine.id for engine in change.engines}
-            records += [self._forget(id) for id in sorted(gone)]
+            removed = self.engines.keys() - {engine.id for engine in change.engines}
+            records += [self._forget(engine_id) for engine_id in sorted(removed)]
         for engine in change.engines:
             if engine.state is not EngineState.LIVE:
                 records += [self._forget(engine.id)] if engine.id in self.engines else []
-            elif (place := self._place(engine, change.addresses.get(engine.id))) is not None:
-                if place != self.engines.get(engine.id):
-                    self.engines[engine.id] = place
-                    data = Hint(msgspec.msgpack.encode(place), 0.0).encode()
-                    records.append(Record(RecordKind.ENGINE_ADDRESS, engine.id.encode(), data))
+                continue
+            cached = self._cached(engine, change.addresses.get(engine.id))
+            if cached is not None and cached != self.engines.get(engine.id):
+                self.engines[engine.id] = cached
+                data = Hint(msgspec.msgpack.encode(cached), 0.0).encode()
+                records.append(Record(RecordKind.ENGINE_ADDRESS, engine.id.encode(), data))
         return records
 
-    def _forget(self, id: str) -> Record:
-        del self.engines[id]
-        return Record(RecordKind.ENGINE_ADDRESS, id.encode(), None)
+    def _forget(self, engine_id: str) -> Record:
+        del self.engines[engine_id]
+        return Record(RecordKind.ENGINE_ADDRESS, engine_id.encode(), None)
 
-    def _place(self, engine: Engine, address: Address | None) -> CachedEngine | None:
-        """Where it is; None where that isn't told, or where too many are remembered already."""
+    def _cached(self, engine: Engine, address: Address | None) -> CachedEngine | None:
+        """What to keep of an engine; None where its address isn't known, or where too many are cached."""
         known = self.engines.get(engine.id)
-        where = str(address) if address is not None else known.address if known is not None else ""
+        known_address = known.address if known is not None else ""
+        where = str(address) if address is not None else known_address
         if not where or known is None and len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_ADDRESS]:
             return None
-        zones, models = self.names.zones, self.names.models
+        zones, machine_types = self.names.zones, self.names.models
         zone = zones[engine.zone] if engine.zone < len(zones) else ""
-        model = models[engine.machine_type] if engine.machine_type < len(models) else ""
-        return CachedEngine(where, zone, model, engine.cell, engine.size)
+        machine_type = ""
+        if engine.machine_type < len(machine_types):
+            machine_type = machine_types[engine.machine_type]
+        return CachedEngine(where, zone, machine_type, engine.cell, engine.size)
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -15,7 +15,7 @@
 from cottonhold.fleet.rolling_replacement.coordinator import Swap
 from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Record, Step
 from cottonhold.fleet_adapters.membership import MembershipRim
-from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, incarnation_of
+from cottonhold.fleet_adapters.recovery_folder import INCARNATION_BASE, INCARNATIONS_PER_BOOT, incarnation_of
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.node.dispatcher import Logs
@@ -179,4 +179,4 @@
 
 def _life(incarnation: int) -> int:
     """The least life of a member's words, by the boot that its incarnation began with; see recovery.py."""
-    return LIFE_BASE + incarnation // BOOT_STEP & 0xFFFFFFFF
+    return INCARNATION_BASE + incarnation // INCARNATIONS_PER_BOOT & 0xFFFFFFFF
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -20,7 +20,7 @@
 from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
 from cottonhold.fleet.request_forwarding.request_codec import affinity_key, decode_rows
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
-from cottonhold.fleet_adapters.load_records import NEVER_RAN
+from cottonhold.fleet_adapters.load_conversions import NEVER_RAN
 from cottonhold.node.clock import Clock
 from cottonhold.node.gateway import ClientRequest, Gateway, LoadGuard, LoadOutcome
 from cottonhold.node.gateway import LoadOutcomeCallback as Tell
--- /dev/null
+++ b/cottonhold/fleet_adapters/load_conversions.py
@@ -0,0 +1,55 @@
+"""What the gateway, the load history and the folder call the same result of a load."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
+from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.scheduler.events import Outcome
+from cottonhold.scheduler.settings import Idempotency, Settings
+from cottonhold.store.records import LoadRecord, LoadState, decode_loads
+
+# What proves that an attempt never ran; None: it was never started.
+NEVER_RAN = (None, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ALREADY_FINISHED)
+
+STATE_OF_RESULT = {
+    LoadResult.SUCCEEDED: LoadState.COMPLETED,
+    LoadResult.FAILED: LoadState.FAILED,
+    LoadResult.NEVER_RAN: LoadState.NEVER_SENT,
+}
+RESULT_OF_STATE = {state: result for result, state in STATE_OF_RESULT.items()}
+OUTCOME_OF_KNOWLEDGE = {
+    LoadKnowledge.NEVER_SENT: LoadOutcome.NEVER_RAN,
+    LoadKnowledge.MAY_HAVE_RUN: LoadOutcome.MAY_HAVE_RUN,
+    LoadKnowledge.NOT_KNOWN_YET: LoadOutcome.UNKNOWN_YET,
+}
+
+
+def guarded_class_indices(settings: Settings) -> frozenset[int]:
+    """The classes whose requests are recorded: loads, and all that must not run twice."""
+    classes = enumerate(settings.classes)
+    return frozenset(i for i, c in classes if c.is_load or c.idempotency is Idempotency.NOT_IDEMPOTENT)
+
+
+def recorded_loads(folder: Mapping[bytes, bytes]) -> tuple[list[RecordedLoad], dict[bytes, LoadRecord]]:
+    """The loads of a folder; one that can't be read may have run."""
+    found = decode_loads(folder)
+    readable = [
+        RecordedLoad(load, RESULT_OF_STATE.get(record.state)) for load, record in found.by_identity.items()
+    ]
+    unreadable = [RecordedLoad(load) for load in found.unreadable]
+    return readable + unreadable, dict(found.by_identity)
+
+
+def identity_of(request: ClientRequest) -> bytes:
+    """The identity of a request's load."""
+    return load_identity(request.class_name, request.ordering_key or "", request.body)
+
+
+def outcome_of(knowledge: LoadKnowledge, may_report_success: bool) -> LoadOutcome:
+    """What the gateway is told. may_report_success: its class allows a success to be reported without the
+    result."""
+    if knowledge is LoadKnowledge.SUCCEEDED:
+        return LoadOutcome.COMPLETED if may_report_success else LoadOutcome.MAY_HAVE_RUN
+    return OUTCOME_OF_KNOWLEDGE[knowledge]
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -38,7 +38,7 @@
     Surroundings,
 )
 from cottonhold.fleet_adapters.keyed_loads import WAIT_STEPS_MS, KeyedLoadGuard, OriginRound
-from cottonhold.fleet_adapters.recovery import incarnation_of
+from cottonhold.fleet_adapters.recovery_folder import incarnation_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -1,10 +1,13 @@
-"""The rim of the fleet's decisions on zones: timers, words, bounds, orders by hand. Decides nothing."""
+"""Runs the fleet's coordinator: feeds it what happens here, keeps its timer and carries out its actions.
+
+Decides nothing.
+"""
 
 from __future__ import annotations
 
 import secrets
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.config.installation import Installation
@@ -26,33 +29,53 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
 
-# What an end says of the engine; one turned away, given up or never sent says nothing. Danger: a query that
-# had waited here until its last 100 ms ran out of time at a well engine, and two of those in a crowd made a
-# zone look failing. So running out of time counts by how long the attempt itself ran, as giving it up does.
-SAYS = {
+# What the end of an attempt says of its engine. One that was rejected, cancelled or never sent says nothing;
+# nor does a time-out, since the query may have spent its time in the queue here: it counts as a cancelled
+# attempt, by how long the attempt itself ran.
+IS_GOOD = {
     Outcome.OK: True,
     Outcome.ERROR: False,
     Outcome.CONNECT_FAILED: False,
     Outcome.RESET: False,
 }
 MODES = {name: mode for mode, name in MODE_NAMES.items()}
-LONGEST_MS = 7 * 86_400_000.0  # an order by hand that nobody remembers ends at last
+MAX_OVERRIDE_MS = 7 * 86_400_000.0  # one that nobody remembers expires at last
+MIN_CHECK_AGE_MS = 3000.0
+CHECK_AGE_INTERVALS = 2.5  # health checks that may be missed
+TIMER_SLACK_MS = 0.5  # so that a step is due when its timer fires
 
 
 class OverrideError(Exception):
-    """An order by hand that can't be taken, with what is wrong in it."""
+    """An operator's override is invalid; the text says what is wrong in it."""
+
+
+class OpenRequest(NamedTuple):
+    """The data of a request that is open, and its estimated work; negative group: none."""
+
+    table_group: int
+    estimated_work_ms: float
+
+
+NO_REQUEST = OpenRequest(-1, 0.0)
 
 
-def make_coordinator(installation: Installation, me: int, now: float, life: int) -> FleetCoordinator:
-    """The pure part for an installation that has a section `fleet`. life: as its folder counts, else the
-    second of its start."""
+def make_coordinator(
+    installation: Installation, self_id: int, now: float, incarnation: int
+) -> FleetCoordinator:
+    """The coordinator of an installation that has a section `fleet`. incarnation: as its folder counts, else
+    the second of its start."""
     file, section = installation.file, installation.file.fleet
     assert section is not None and file.membership is not None
+    slow_start = None
+    if file.state_dir:
+        slow_start = SlowStartSettings(
+            initial_share=file.rules.cold_from, warm_after_ms=file.rules.warm_within_ms
+        )
     settings = FleetSettings(
         dispatchers=file.dispatchers,
         sheds_load=section.price,
         checks_are_shared=file.permits.probes,
-        max_check_age_ms=max(3000.0, 2.5 * file.membership.probe_ms),
+        max_check_age_ms=max(MIN_CHECK_AGE_MS, CHECK_AGE_INTERVALS * file.membership.probe_ms),
         evidence=EvidenceSettings(slow_factor=section.slow),
         evacuation=EvacuationSettings(
             hold_ms=section.hold_ms,
@@ -61,114 +84,109 @@
             step_ms=section.step_ms,
             usable_capacity_share=section.reserve,
         ),
-        slow_start=SlowStartSettings(
-            initial_share=file.rules.cold_from, warm_after_ms=file.rules.warm_within_ms
-        )
-        if file.state_dir
-        else None,
+        slow_start=slow_start,
         failover_cost=CostEstimatorSettings() if section.outlook else None,
         home_zone=file.peers.zones[file.number] if file.peers is not None and file.peers.zones else "",
     )
-    # Danger: of two lives the later one has to count, also where the wall clock was set back between them.
-    # Whoever knows the earlier one tells of it, and its stamps are passed; see zones/words.py.
-    return FleetCoordinator(me, life, now, settings, installation.config.seed ^ secrets.randbits(32))
+    seed = installation.config.seed ^ secrets.randbits(32)
+    return FleetCoordinator(self_id, incarnation, now, settings, seed)
 
 
 class ZoneFailoverAdapter:
-    """Runs a fleet core: feeds it what happens here, keeps its timer, carries out what it says."""
+    """Runs a coordinator.
+
+    send: a message to a member; push: an event to the scheduler; check_health: starts a health check of an
+    engine; dispatcher_number: as configured.
+    """
 
     def __init__(
         self,
-        fleet: FleetCoordinator,
+        coordinator: FleetCoordinator,
         swim: Swim,
         clock: Clock,
         counters: Counters,
-        say: Callable[[int, bytes], None],
+        send: Callable[[int, bytes], None],
         push: Callable[[EngineQuotas | AdmissionThreshold], None],
-        note: Callable[..., None],
-        probe: Callable[[str], bool],
-        number: int = 0,
+        log: Callable[..., None],
+        check_health: Callable[[str], bool],
+        dispatcher_number: int = 0,
     ) -> None:
-        self.probe, self.number, self.probed_at, self.started = probe, number, 0.0, clock.now()
-        self.coordinator, self.swim, self.clock, self.counters = fleet, swim, clock, counters
-        self.say, self.push, self.note = say, push, note
+        self.coordinator, self.swim, self.clock, self.counters = coordinator, swim, clock, counters
+        self.send, self.push, self.log, self.check_health = send, push, log, check_health
+        self.dispatcher_number, self.started_at, self.checked_at = dispatcher_number, clock.now(), 0.0
         self.timer: Timer | None = None
-        # The group of tables of each open request, and the work that its client told.
-        self.sets: dict[str, tuple[int, float]] = {}
+        self.open_requests: dict[str, OpenRequest] = {}
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
         if self.coordinator.demand is not None:
-            self.push(AdmissionThreshold())  # of nothing yet
+            self.push(AdmissionThreshold())  # that admits all
         self._step()
 
     def on_member_joined(self) -> None:
         """Another instance is there."""
         self._step()
 
-    # --- what happens here ---
-
     def on_request_arrived(self, taken: ClientRequest) -> float | None:
-        """A request has come."""
+        """A request has arrived; returns its draw where there may be a threshold."""
         self.coordinator.on_request(self.clock.now(), taken.query_class)
-        return (
-            None
-            if self.coordinator.demand is None
-            else admission_draw(taken.request_id.encode(), taken.is_retry)
-        )
+        if self.coordinator.demand is None:
+            return None
+        return admission_draw(taken.request_id.encode(), taken.is_retry)
 
     def on_demand_estimated(self, taken: ClientRequest, worth: float, work: float) -> None:
-        """What a request is worth, and its work."""
-        now = self.clock.now()
+        """A request's utility, and its work in ms."""
+        now, cost = self.clock.now(), self.coordinator.failover_cost
         if self.coordinator.demand is not None:
             self.coordinator.demand.on_request(now, worth, work, taken.is_retry)
-        if self.coordinator.failover_cost is not None:
-            self.coordinator.failover_cost.on_request(
-                now, worth, work, _data_set(taken.table_group), taken.is_retry
-            )
-            self.sets[taken.request_id] = taken.table_group, taken.estimated_work_ms
+        if cost is not None:
+            cost.on_request(now, worth, work, _data_set(taken.table_group), taken.is_retry)
+            self.open_requests[taken.request_id] = OpenRequest(taken.table_group, taken.estimated_work_ms)
 
     def on_admission_settled(self, wait: float, lost: bool) -> None:
-        """One that was let in went out, or was refused after all."""
+        """An admitted request was sent after a part of its time, or was rejected after all."""
         if self.coordinator.demand is not None:
             self.coordinator.demand.on_admitted(wait, lost)
 
     def on_attempt_sent(self, attempt: Attempt, query_class: int) -> None:
-        """An attempt has gone out."""
-        self.coordinator.on_attempt_sent(self.clock.now(), _ref(attempt), attempt.engine, query_class)
+        """An attempt has been sent."""
+        self.coordinator.on_attempt_sent(self.clock.now(), _attempt_id(attempt), attempt.engine, query_class)
 
     def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt has ended."""
-        now, good = self.clock.now(), SAYS.get(event.outcome)
-        if self.coordinator.failover_cost is not None and good:
-            tables, told = self.sets.get(attempt.request_id, (-1, 0.0))
-            beyond = event.actual_work_ms - told if told > 0 and event.actual_work_ms > 0 else None
+        now, good, cost = self.clock.now(), IS_GOOD.get(event.outcome), self.coordinator.failover_cost
+        actual_work_ms = event.actual_work_ms
+        if cost is not None and good:
+            request = self.open_requests.get(attempt.request_id, NO_REQUEST)
+            is_known = request.estimated_work_ms > 0 and actual_work_ms > 0
+            excess_work_ms = actual_work_ms - request.estimated_work_ms if is_known else None
             zone = self.coordinator.zone_of.get(attempt.engine, "")
-            self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), excess_work_ms=beyond)
-        self.coordinator.on_attempt_ended(now, _ref(attempt), good, event.elapsed_ms, event.actual_work_ms)
+            cost.on_answer(now, zone, _data_set(request.table_group), excess_work_ms=excess_work_ms)
+        self.coordinator.on_attempt_ended(now, _attempt_id(attempt), good, event.elapsed_ms, actual_work_ms)
 
     def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
-        self.sets.pop(ref, None)
+        self.open_requests.pop(ref, None)
 
-    def on_health_check_time(self, engine: str, ms: float) -> None:
-        """An engine has answered a probe of this instance after so long."""
+    def on_health_check_time(self, engine: str, round_trip_ms: float) -> None:
+        """An engine has answered a health check of this instance after so long."""
         zone = self.coordinator.zone_of.get(engine)
         if self.coordinator.failover_cost is not None and zone is not None:
-            self.coordinator.failover_cost.on_health_check_answer(zone, ms)
+            self.coordinator.failover_cost.on_health_check_answer(zone, round_trip_ms)
 
     def on_health_check(self, engine: str, outcome: Outcome) -> None:
-        """A probe has ended here, or a good one elsewhere."""
+        """A health check has ended here, or a good one elsewhere."""
         self.coordinator.on_health_check(self.clock.now(), engine, outcome is Outcome.OK)
 
-    def set_engines(self, zones: Mapping[str, Mapping[str, float]]) -> None:
-        """Exactly these zones with the cores of their engines are there."""
-        self.coordinator.set_engines(zones, self.clock.now())
+    def set_engines(self, engines: Mapping[str, Mapping[str, float]]) -> None:
+        """Exactly these engines exist. engines: cores by zone and engine."""
+        self.coordinator.set_engines(engines, self.clock.now())
 
     def on_list_received(self) -> None:
-        """A source of the list has answered since the start."""
-        if self.coordinator.slow_start is not None and not self.coordinator.slow_start.is_listed:
-            self.coordinator.slow_start.on_list_received(self.clock.now())
+        """A source of the endpoint list has answered since the start."""
+        slow_start = self.coordinator.slow_start
+        if slow_start is not None and not slow_start.is_listed:
+            slow_start.on_list_received(self.clock.now())
 
     def on_message(self, member: int, payload: bytes) -> None:
         """Bytes from another instance."""
@@ -181,113 +199,119 @@
         if self.coordinator.slow_start is not None:
             self.coordinator.warmup_quotas.process_count = processes
 
-    # --- by hand ---
-
     def issue_override(self, call: Mapping[str, Any]) -> dict[str, Any]:
-        """An order from this instance's socket. Raises OrderError."""
+        """An operator's override from this instance's socket. Raises OverrideError."""
         zone, mode = call.get("zone"), MODES.get(str(call.get("mode")))
-        last, who, why = call.get("for_ms"), call.get("who"), call.get("why")
+        lasts_ms, who, why = call.get("for_ms"), call.get("who"), call.get("why")
         if mode is None:
             raise OverrideError(f"mode {call.get('mode')!r} is none of {', '.join(MODES)}")
-        if not isinstance(last, int | float) or isinstance(last, bool) or not 0 < last <= LONGEST_MS:
+        is_number = isinstance(lasts_ms, int | float) and not isinstance(lasts_ms, bool)
+        if not is_number or not 0 < float(lasts_ms or 0) <= MAX_OVERRIDE_MS:
             raise OverrideError("for_ms has to be a number above 0 and within a week")
         if not isinstance(who, str) or not who or not isinstance(why, str) or not why:
             raise OverrideError("who and why have to be given")
-        if not isinstance(zone, str) or zone not in self.coordinator.zone_numbers:
-            raise OverrideError(
-                f"there is no zone {zone!r}; there are: {', '.join(sorted(self.coordinator.zone_numbers))}"
-            )
-        self.coordinator.issue_override(self.clock.now(), zone, mode, float(last), who, why)
+        known = self.coordinator.zone_numbers
+        if not isinstance(zone, str) or zone not in known:
+            raise OverrideError(f"there is no zone {zone!r}; there are: {', '.join(sorted(known))}")
+        lasts_ms = float(lasts_ms or 0)
+        self.coordinator.issue_override(self.clock.now(), zone, mode, lasts_ms, who, why)
         self.counters.add("zone_orders")
-        self.note("zone_order", zone=zone, mode=MODE_NAMES[mode], who=who, why=why, for_ms=round(last))
+        self.log("zone_order", zone=zone, mode=MODE_NAMES[mode], who=who, why=why, for_ms=round(lasts_ms))
         self._step()
         return self.status()
 
     def status(self) -> dict[str, Any]:
-        """What `cottonhold zone show` prints."""
+        """What `cottonhold zone show` prints, under the keys that operators know."""
         names = {self.swim.id: self.swim.name, **{m.id: m.name for m in self.swim.members.values()}}
-        rows = self.coordinator.status(self.clock.now(), names)
-        loads = self.coordinator.demand
-        price = None
-        if loads is not None and loads.threshold is not None:
-            price = {
-                "worth_a_ms": density_of_step(loads.threshold.step),
-                "share": round(loads.threshold.admitted_share, 3),
-            }
-        ramp = self.coordinator.slow_start
-        young = (
-            {} if ramp is None else {engine: round(ramp.share(engine), 3) for engine in sorted(ramp.warming)}
-        )
-        outlook = self._outlook()
         return {
-            "outlook": outlook,
-            "zones": rows,
+            "outlook": self._cost_status(),
+            "zones": self.coordinator.status(self.clock.now(), names),
             "fleet_counts": dict(self.coordinator.counters),
-            "price": price,
-            "cold_engines": young,
+            "price": self._threshold_status(),
+            "cold_engines": self._warming_status(),
         }
 
-    def _outlook(self) -> dict[str, Any] | None:
+    def _threshold_status(self) -> dict[str, float] | None:
+        """The admission threshold in force."""
+        demand = self.coordinator.demand
+        if demand is None or demand.threshold is None:
+            return None
+        threshold = demand.threshold
+        return {"worth_a_ms": density_of_step(threshold.step), "share": round(threshold.admitted_share, 3)}
+
+    def _warming_status(self) -> dict[str, float]:
+        """Engines that warm up, and the share of their capacity that all may send."""
+        slow_start = self.coordinator.slow_start
+        if slow_start is None:
+            return {}
+        return {engine: round(slow_start.share(engine), 3) for engine in sorted(slow_start.warming)}
+
+    def _cost_status(self) -> dict[str, Any] | None:
         """What it would cost if a zone were out now, and who would serve its clients."""
-        outlook = self.coordinator.failover_cost
-        if outlook is None:
+        cost = self.coordinator.failover_cost
+        if cost is None:
             return None
         rows: dict[str, Any] = {}
         for zone in sorted(self.coordinator.engines):
-            found = outlook.projection(zone)
-            if found is not None:
-                cost = {name: round(amount, 3) for name, amount in _cost_row(found).items()}
-                room = {at: round(cores, 2) for at, cores in found.free_cores.items()}
-                rows[zone] = {"cost": cost, "room": room, "neighbours": outlook.neighbours(zone)}
+            projection = cost.projection(zone)
+            if projection is not None:
+                rows[zone] = {
+                    "cost": {name: round(amount, 3) for name, amount in _cost_row(projection).items()},
+                    "room": {z: round(cores, 2) for z, cores in projection.free_cores.items()},
+                    "neighbours": cost.neighbours(zone),
+                }
         return rows
 
-    # --- steps ---
-
     def _step(self) -> None:
         now = self.clock.now()
-        left = (m.id for m in self.swim.view() if m.status is Status.LEFT)
+        left = (member.id for member in self.swim.view() if member.status is Status.LEFT)
         self.coordinator.set_members(now, self.swim.live(), left)
         self._carry_out(self.coordinator.step(now))
-        self._probe_unproven(now)
+        self._check_unproven(now)
         self._arm()
 
-    def _probe_unproven(self, now: float) -> None:
-        """Engines that have to answer first are asked by one dispatcher a turn, whoever is there yet."""
-        ramp = self.coordinator.slow_start
-        if ramp is None or now - self.probed_at < ramp.settings.prober_turn_ms:
+    def _check_unproven(self, now: float) -> None:
+        """Check engines that have to answer first: each by one dispatcher a turn, whoever is there yet."""
+        slow_start = self.coordinator.slow_start
+        if slow_start is None or now - self.checked_at < slow_start.settings.prober_turn_ms:
             return
-        self.probed_at = now
-        count = self.coordinator.settings.dispatchers
-        for engine, young in ramp.warming.items():
-            if not young.has_answered:
-                first = first_prober(engine, now - self.started, count, ramp.settings.prober_turn_ms)
-                if first == self.number:
-                    self.counters.add("first_probes")
-                    self.probe(engine)
+        self.checked_at = now
+        passed_ms, dispatchers = now - self.started_at, self.coordinator.settings.dispatchers
+        for engine, warming in slow_start.warming.items():
+            if warming.has_answered:
+                continue
+            prober = first_prober(engine, passed_ms, dispatchers, slow_start.settings.prober_turn_ms)
+            if prober == self.dispatcher_number:
+                self.counters.add("first_probes")
+                self.check_health(engine)
 
     def _arm(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.clock.call_in(
-            max(self.coordinator.next_at() - self.clock.now(), 0.0) + 0.5, self._step
-        )
+        delay_ms = max(self.coordinator.next_at() - self.clock.now(), 0.0) + TIMER_SLACK_MS
+        self.timer = self.clock.call_in(delay_ms, self._step)
 
     def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case SendMessage(member, data):
-                    self.say(member, data)
-                case EngineBounds(work, until):
-                    self.push(EngineQuotas(work, until))
-                case ThresholdUpdate(price, until, cooldown):
-                    if price is None:
-                        self.push(AdmissionThreshold())
-                    else:
-                        steps = density_of_step(price.step), density_of_step(price.step + 1)
-                        self.push(AdmissionThreshold(*steps, price.admitted_share, until, cooldown))
-                case PhaseChange(zone, phase, why):
+                    self.send(member, data)
+                case EngineBounds(work_rates, expires_at):
+                    self.push(EngineQuotas(work_rates, expires_at))
+                case ThresholdUpdate():
+                    self.push(_threshold_event(action))
+                case PhaseChange(zone, phase, reason):
                     self.counters.add(f"zones_{phase.value}")
-                    self.note("zone", zone=zone, phase=phase.value, why=why)
+                    self.log("zone", zone=zone, phase=phase.value, why=reason)
+
+
+def _threshold_event(update: ThresholdUpdate) -> AdmissionThreshold:
+    """The scheduler's event for an update."""
+    threshold = update.threshold
+    if threshold is None:
+        return AdmissionThreshold()
+    low, high = density_of_step(threshold.step), density_of_step(threshold.step + 1)
+    return AdmissionThreshold(low, high, threshold.admitted_share, update.expires_at, update.retry_after_ms)
 
 
 def _cost_row(projection: Projection) -> dict[str, float]:
@@ -305,9 +329,10 @@
     }
 
 
-def _data_set(tables: int) -> str:
-    return str(tables) if tables >= 0 else ""
+def _data_set(table_group: int) -> str:
+    """The name of a request's data set; empty without one."""
+    return str(table_group) if table_group >= 0 else ""
 
 
-def _ref(attempt: Attempt) -> str:
+def _attempt_id(attempt: Attempt) -> str:
     return f"{attempt.request_id}/{attempt.number}"
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -26,17 +26,12 @@
 from cottonhold.fleet.rolling_replacement.plan import Machine, Step
 from cottonhold.fleet_adapters.engine_drain import DrainRim
 from cottonhold.fleet_adapters.ledger_opener import Opening
-from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
 from cottonhold.fleet_adapters.membership import MembershipRim, make_instance
-from cottonhold.fleet_adapters.recovery import (
-    BOOT_STEP,
-    RecoveryAdapter,
-    incarnation_of,
-    open_ledger,
-    unavailable_guard,
-)
+from cottonhold.fleet_adapters.recovery import RecoveryAdapter, unavailable_guard
+from cottonhold.fleet_adapters.recovery_folder import INCARNATIONS_PER_BOOT, incarnation_of, open_ledger
 from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
 from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
+from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
 from cottonhold.membership.codec import Status
 from cottonhold.node import consul_client, status
@@ -166,7 +161,7 @@
             self.log.note,
         )
         if self.unkept is not None:  # retries count from when they were first heard of
-            self.recovery.history.local.queried.update(self.unkept.memory.local.queried)
+            self.recovery.history.local.queried.update(self.unkept.history.local.queried)
         self.gateway.load_guard = self.recovery.load_guard
         file = self.installation.file
         if fleet is not None and file.sources:
@@ -248,7 +243,7 @@
             make_instance(
                 self.installation,
                 clock.now(),
-                BOOT_STEP * ledger.boot_count if ledger is not None else int(clock.unix()),
+                INCARNATIONS_PER_BOOT * ledger.boot_count if ledger is not None else int(clock.unix()),
             ),
             clock,
             self.counters,
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -297,7 +297,7 @@
             disk, told = Scripted(node, patched), list[int]()
             patched.setattr(rim.survey, "on_base_stored", lambda now, base: told.append(base))
             rim.survey.requested_base = 0
-            rim._base(0)
+            rim._store_base(0)
             assert told == [] and len(disk.timers) == 1, "not told before it is kept"
             disk.fire()
             assert told == [] and len(disk.timers) == 1, "and tried until it is"
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -26,7 +26,7 @@
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.zone_failover.evacuation import Phase
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount
-from cottonhold.fleet_adapters.recovery import SITE, restore_site_report, save_site_report
+from cottonhold.fleet_adapters.recovery_folder import SITE_KEY, restore_site_report, save_site_report
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
 from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, site, steps
@@ -280,7 +280,7 @@
     ledger = Ledger.open(tmp_path, "n0")
     save_site_report(ledger, made, 3000.0)
     if value is not None:
-        ledger.put([Record(RecordKind.WARM_DATA, SITE, value)])
+        ledger.put([Record(RecordKind.WARM_DATA, SITE_KEY, value)])
     ledger.close(clean=False)
     ledger, again = Ledger.open(tmp_path, "n0"), CostEstimator(99, 2, 0.0, "a", 1)
     try:
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -13,8 +13,9 @@
 
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
-from cottonhold.fleet_adapters import load_records as loads_module
-from cottonhold.fleet_adapters.load_records import LoadRecorder, recorded_loads
+from cottonhold.fleet_adapters import load_conversions, load_records
+from cottonhold.fleet_adapters.load_conversions import recorded_loads
+from cottonhold.fleet_adapters.load_records import LoadRecorder
 from cottonhold.node.gateway import ClientRequest, LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
@@ -259,12 +260,12 @@
 
 
 def reset_is_never(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(loads_module, "NEVER_RAN", (*loads_module.NEVER_RAN, Outcome.RESET))
+    monkeypatch.setattr(load_records, "NEVER_RAN", (*load_conversions.NEVER_RAN, Outcome.RESET))
 
 
 def forgotten_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        loads_module, "decode_loads", lambda kept: replace(decode_loads(kept), by_identity={})
+        load_conversions, "decode_loads", lambda kept: replace(decode_loads(kept), by_identity={})
     )
 
 
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -15,8 +15,8 @@
 from cottonhold.fleet.engine_drain import DrainSettings
 from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
-from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
-from cottonhold.fleet_adapters.recovery import open_ledger
+from cottonhold.fleet_adapters.recovery_folder import open_ledger
+from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
 from cottonhold.node import standalone_dispatcher as installation_module
 from cottonhold.node.gateway import ClientRequest
 from cottonhold.node.standalone_dispatcher import ServedInstallation
@@ -246,7 +246,7 @@
     for number in range(50):
         clock.run_until(clock.now() + 1000.0, lambda: None)
         told(unkept, b"INSERT %d" % number, True)
-    assert len(unkept.memory.local.queried) <= 22
+    assert len(unkept.history.local.queried) <= 22
 
 
 def test_a_retry_counts_from_its_first_time_once_the_folder_is_had(world: World) -> None:
@@ -255,8 +255,8 @@
     async def story() -> None:
         node = world.make()
         assert node.unkept is not None
-        node.unkept.memory.answer_unavailable(node.unkept.now() - 4000.0, b"x" * 16)
-        first = node.unkept.memory.local.queried[b"x" * 16].first_at
+        node.unkept.history.answer_unavailable(node.unkept.now() - 4000.0, b"x" * 16)
+        first = node.unkept.history.local.queried[b"x" * 16].first_at
         await kept(node)
         assert node.recovery is not None and node.recovery.history.local.queried[b"x" * 16].first_at == first
         end(node)
@@ -275,7 +275,7 @@
         node = world.make()
         assert node.unkept is not None
         assert (
-            node.unkept.memory.answer_unavailable(node.unkept.now(), record.identity)
+            node.unkept.history.answer_unavailable(node.unkept.now(), record.identity)
             is LoadKnowledge.MAY_HAVE_RUN
         )
         await kept(node)
