--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -29,20 +29,20 @@
 
 from cottonhold.emulator.fault_injection.clients import Kind, Manner
 from cottonhold.emulator.fault_injection.defects import DEFECTS
-from cottonhold.emulator.fault_injection.event_log import Line
-from cottonhold.emulator.fault_injection.harness import Trial, TrialError
+from cottonhold.emulator.fault_injection.event_log import LogLine
+from cottonhold.emulator.fault_injection.harness import ScenarioRun, ScenarioRunError
 from cottonhold.emulator.fault_injection.machines import Machines
 from cottonhold.emulator.fault_injection.power_losses import (
-    Cut,
-    CutSeen,
-    Draw,
+    ObservedPowerLoss,
+    PowerLoss,
+    PowerLossDraw,
+    PowerLossMoment,
     Tally,
-    When,
     seen_at,
     timeline,
     unanswered,
 )
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 PATIENCE_S = 5.0
 HOLD_S = 2 * PATIENCE_S + 10.0
@@ -52,7 +52,7 @@
 PEACE_S = HOLD_S + 4.0  # memories are whole again, and what is asked about is forgotten
 
 
-def day_of(seed: int) -> Day:
+def day_of(seed: int) -> Scenario:
     """A fleet; its clients' manner is drawn."""
     draw = random.Random(seed)
     manner = Manner(
@@ -62,7 +62,7 @@
         hears=draw.choice((0.0, 1500.0)),
         notice=draw.choice((300.0, 1000.0)),
     )
-    return Day(
+    return Scenario(
         name=f"cuts-{seed}",
         about="power goes again and again",
         seed=seed,
@@ -79,18 +79,18 @@
     )
 
 
-class Fleet(Trial):
+class Fleet(ScenarioRun):
     """One fleet, and what its ledgers tell so far."""
 
     def __init__(
-        self, day: Day, folder: Path, guard: bool = True, defect: str = "", forks: bool = True
+        self, day: Scenario, folder: Path, guard: bool = True, defect: str = "", forks: bool = True
     ) -> None:
         super().__init__(day, folder, forks=forks)
         self.guard, self.tally = guard, Tally()
         self.machines = Machines(folder, defect=defect)
         self.read: dict[str, int] = {}  # bytes of each ledger that were taken in
         self.cut_at: list[float] = []
-        self.cuts: list[Cut] = []
+        self.cuts: list[PowerLoss] = []
         self.findings: list[str] = []
         self.up: list[float] = []  # seconds from the first start until loads began at engines again
         self.late = 0
@@ -111,7 +111,7 @@
 
     # --- what is seen ---
 
-    def _news(self, name: str) -> list[Line]:
+    def _news(self, name: str) -> list[LogLine]:
         """Whole lines that a ledger got since the last time."""
         path = self.folder / f"{name}.jsonl"
         if not path.exists():
@@ -134,7 +134,9 @@
         for name in self.day.engine_names():
             self.tally.engine(name, self._news(name))
         for number in self.tally.twice[known:]:
-            self.found(f"twice: load {number}", *timeline(self.tally.load(number), self.begun, self.marks))
+            self.found(
+                f"twice: load {number}", *timeline(self.tally.load(number), self.started_at, self.marks)
+            )
 
     def found(self, what: str, *more: str) -> None:
         """A finding, with its seed and story."""
@@ -150,7 +152,7 @@
         end = time.monotonic() + SERVING_S
         while not any(r.began > since for load in self.tally.loads.values() for r in load.runs[-1:]):
             if time.monotonic() > end:
-                views = {n: self.view(n).get("recovery") for n in self.instances_there()}
+                views = {n: self.view(n).get("recovery") for n in self.running_instances()}
                 self.found(f"no load was run for {SERVING_S:g} s", json.dumps(views))
                 return
             await asyncio.sleep(0.1)
@@ -163,10 +165,10 @@
         def any_there() -> bool:
             return any(self.view(name) for name in names)
 
-        with contextlib.suppress(TrialError):
+        with contextlib.suppress(ScenarioRunError):
             await self.until(any_there, "one instance is there")
 
-    async def come_back(self, cut: Cut) -> None:
+    async def come_back(self, cut: PowerLoss) -> None:
         """Engines and instances start as the cut says."""
         begin = time.monotonic() + max(0.0, -cut.engines)
         at, rows = begin, [(begin + cut.engines, "e*")]
@@ -177,19 +179,19 @@
             await asyncio.sleep(max(due - time.monotonic(), 0.0))
             await self.apply(Fault(0.0, "start", name))
 
-    async def moment(self, cut: Cut, back: asyncio.Task[None], since: float) -> None:
+    async def moment(self, cut: PowerLoss, back: asyncio.Task[None], since: float) -> None:
         """Wait for the moment at which power goes."""
         before = self.cuts[-1].order if self.cuts else tuple(self.day.instance_names())
-        if cut.when is When.RECOVERY:
+        if cut.when is PowerLossMoment.RECOVERY:
             await self._there(before)
-        elif cut.when is not When.START:
+        elif cut.when is not PowerLossMoment.START:
             await back
             await self._served(since)
         if cut.rest:
             await back
             await self.whole()
             if cut.backup:
-                self.machines.keep(cut.backup)
+                self.machines.save_folder(cut.backup)
             await asyncio.sleep(PEACE_S)
         await asyncio.sleep(cut.wait)
         if cut.stalled:
@@ -197,7 +199,7 @@
                 self.machines.set_disk(name, "stalled")
             await asyncio.sleep(cut.stalled)
 
-    def power(self, cut: Cut, before: tuple[str, ...]) -> None:
+    def power(self, cut: PowerLoss, before: tuple[str, ...]) -> None:
         """All is killed; what is wrong with folders and clocks, and how the disks will be."""
         at = time.monotonic()
         self.faults.power_now("*")
@@ -205,8 +207,13 @@
         self.tally.power(at)
         self.cut_at.append(at)
         self.cuts.append(cut)
-        self.timeline.append(f"{at - self.begun:8.2f} s  {cut}")
-        folders = (self.machines.empty, self.machines.old, self.machines.old, self.machines.keep)
+        self.timeline.append(f"{at - self.started_at:8.2f} s  {cut}")
+        folders = (
+            self.machines.empty_folder,
+            self.machines.restore_old_folder,
+            self.machines.restore_old_folder,
+            self.machines.save_folder,
+        )
         for name, change in zip((cut.emptied, cut.old, cut.backup, cut.kept), folders, strict=True):
             if name:
                 change(name)
@@ -226,7 +233,7 @@
 
         try:
             await self.until(holds, "all send loads")
-        except TrialError as error:
+        except ScenarioRunError as error:
             views = {n: self.view(n).get("recovery", "not there") for n in names}
             self.found(f"not back: {error}", json.dumps(views))
 
@@ -247,8 +254,8 @@
             await self.start()
             back = asyncio.create_task(asyncio.sleep(0.0))
             since = time.monotonic()
-            for cut in Draw(self.day.seed, self.day.instance_names()).cuts(count):
-                if time.monotonic() - self.begun > self.day.seconds - LAST_S:
+            for cut in PowerLossDraw(self.day.seed, self.day.instance_names()).cuts(count):
+                if time.monotonic() - self.started_at > self.day.seconds - LAST_S:
                     break  # clients come no longer: more fleets, then, for as many cuts
                 await self.moment(cut, back, since)
                 back.cancel()
@@ -291,7 +298,7 @@
             "away": [bool(cut.away) for cut in self.cuts],
             "seen": [[one.in_flight, one.at_engines, one.unheard, one.told] for one in seen],
             "timeline": self.timeline,
-            "begun": self.begun,
+            "begun": self.started_at,
             "marks": self.marks,
         }
         (self.folder / "cuts.json").write_text(json.dumps(kept))
@@ -304,7 +311,7 @@
     try:
         uvloop.run(fleet.run(count))
     finally:
-        fleet.end()
+        fleet.kill_all()
 
 
 def table(results: list[dict[str, Any]]) -> list[str]:
@@ -315,11 +322,11 @@
         "| --- " * 10 + "|",
     ]
     rows = [
-        (when, CutSeen(s[0], s[1], s[2], Counter(s[3])))
+        (when, ObservedPowerLoss(s[0], s[1], s[2], Counter(s[3])))
         for result in results
         for when, s in zip(result["cuts"], result["seen"], strict=True)
     ]
-    for name in [*(when.value for when in When), "all"]:
+    for name in [*(when.value for when in PowerLossMoment), "all"]:
         some = [seen for when, seen in rows if name in (when, "all")]
         told: Counter[str] = sum((seen.told for seen in some), Counter())
         sums = [sum(getattr(s, f) for s in some) for f in ("in_flight", "at_engines", "unheard")]
--- a/benchmarks/fleet/trials.py
+++ b/benchmarks/fleet/trials.py
@@ -17,10 +17,10 @@
 import matplotlib
 
 from cottonhold.emulator.fault_injection.checker import summary
-from cottonhold.emulator.fault_injection.event_log import BIN, Verdict
-from cottonhold.emulator.fault_injection.harness import judge_again, play
-from cottonhold.emulator.fault_injection.scenarios import DAYS, without_fleet, without_price
-from cottonhold.emulator.fault_injection.script import Day
+from cottonhold.emulator.fault_injection.event_log import BIN_S, Verdict
+from cottonhold.emulator.fault_injection.harness import play, recheck_run
+from cottonhold.emulator.fault_injection.scenarios import SCENARIOS, without_admission, without_fleet
+from cottonhold.emulator.fault_injection.script import Scenario
 
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
@@ -35,7 +35,7 @@
     path = folder / name / "result.json"
     if not path.is_file():
         return None
-    return judge_again(folder / name), json.loads(path.read_bytes())
+    return recheck_run(folder / name), json.loads(path.read_bytes())
 
 
 def chart(folder: Path) -> None:
@@ -47,9 +47,9 @@
             if run is None:
                 continue
             series = run[0].series
-            times = [i * BIN for i in range(len(series["sends a"]))]
+            times = [i * BIN_S for i in range(len(series["sends a"]))]
             axes[0][column].step(
-                times, [n / BIN for n in series["sends a"]], where="post", color=colour, label=mode
+                times, [n / BIN_S for n in series["sends a"]], where="post", color=colour, label=mode
             )
             pairs = zip(series["worth served"], series["worth most"], strict=True)
             shares = [min(got / most, 1.0) if most else 1.0 for got, most in pairs]
@@ -74,7 +74,7 @@
         overload(given.folder, given.read)
         return
     if not given.read:
-        for day in (day for day in DAYS if not day.price):
+        for day in (day for day in SCENARIOS if not day.price):
             play(day, given.folder / f"{day.name}-on")
             if day.name in COMPARED:
                 play(without_fleet(day), given.folder / f"{day.name}-off")
@@ -90,12 +90,12 @@
         "![sends and worth over time, fleet on and off](zones.svg)",
         "",
     ]
-    rows = [(f"{d.name} ({mode})", run[0]) for d in DAYS for mode in ("off", "on")
+    rows = [(f"{d.name} ({mode})", run[0]) for d in SCENARIOS for mode in ("off", "on")
             if (run := kept(given.folder, f"{d.name}-{mode}"))]  # fmt: skip
     text += summary(rows)
     text += ["", "## When each instance left, in seconds from the fault", ""]
     text += ["| day | by instance | wrong zones left |", "| --- | --- | --- |"]
-    for day in DAYS:
+    for day in SCENARIOS:
         if run := kept(given.folder, f"{day.name}-on"):
             begun = run[1]["begun_unix"] + day.out
             left, wrong = leavings(given.folder / f"{day.name}-on", begun, day)
@@ -109,7 +109,7 @@
 
 def overload(folder: Path, read: bool) -> None:
     """The days of overload, each with the price and without."""
-    days = [day for day in DAYS if day.price]
+    days = [day for day in SCENARIOS if day.price]
     columns = ["worth", "worth_out", "worth_after_5s", "served_dear", "served_cheap"]
     columns += ["unlike_between_instances", "attempts_per_served", "p99_ms"]
     lines = [
@@ -126,7 +126,7 @@
         "| --- " * (len(columns) + 3) + "|",
     ]
     for day in days:
-        for mode, played in (("off", without_price(day)), ("on", day)):
+        for mode, played in (("off", without_admission(day)), ("on", day)):
             if not read:
                 play(played, folder / f"{day.name}-{mode}")
             if run := kept(folder, f"{day.name}-{mode}"):
@@ -137,7 +137,7 @@
     (OUT / "overload.md").write_text("\n".join([*lines, ""]))
 
 
-def leavings(folder: Path, fault: float, day: Day) -> tuple[dict[str, float], int]:
+def leavings(folder: Path, fault: float, day: Scenario) -> tuple[dict[str, float], int]:
     """When each instance left the zone by its own log, and how often any left one that was well."""
     left, wrong = dict[str, float](), 0
     ill = {day.zone} | {fault.target for fault in day.faults if fault.target in day.zones}
--- a/cottonhold/cli/trial.py
+++ b/cottonhold/cli/trial.py
@@ -10,7 +10,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from cottonhold.emulator.fault_injection.script import Day
+    from cottonhold.emulator.fault_injection.script import Scenario
 
 app = typer.Typer(help="Play days of faults on several real processes.", no_args_is_help=True)
 
@@ -18,9 +18,9 @@
 @app.command(name="list")
 def list_() -> None:
     """Print the days by name."""
-    from cottonhold.emulator.fault_injection.scenarios import DAYS
+    from cottonhold.emulator.fault_injection.scenarios import SCENARIOS
 
-    for day in DAYS:
+    for day in SCENARIOS:
         print(f"{day.name:18} {day.seconds:4.0f} s  {day.about}")
 
 
@@ -36,14 +36,14 @@
 
     from cottonhold.emulator.fault_injection import script
     from cottonhold.emulator.fault_injection.checker import summary
-    from cottonhold.emulator.fault_injection.harness import TrialError, play
-    from cottonhold.emulator.fault_injection.projection_check import missed
-    from cottonhold.emulator.fault_injection.scenarios import BY_NAME, DAYS
+    from cottonhold.emulator.fault_injection.harness import ScenarioRunError, play
+    from cottonhold.emulator.fault_injection.projection_check import missed_projections
+    from cottonhold.emulator.fault_injection.scenarios import BY_NAME, SCENARIOS
 
     folder = out or Path(tempfile.mkdtemp(prefix="cottonhold-trial-"))
     rows, broken = [], False
     try:
-        chosen = [d for name in days for d in (DAYS if name == "all" else [_day(name, BY_NAME)])]
+        chosen = [d for name in days for d in (SCENARIOS if name == "all" else [_day(name, BY_NAME)])]
         for day in chosen:
             changed = msgspec.structs.replace(
                 day, seed=day.seed if seed is None else seed, fleet=fleet and day.fleet
@@ -58,9 +58,9 @@
                 print(f"  {line}")
             for finding in result.verdict.findings[:10]:
                 print(f"  FOUND {finding}")
-            for line in missed(result.verdict):
+            for line in missed_projections(result.verdict):
                 print(f"  OFF {line}")
-    except (script.ScriptError, TrialError) as error:
+    except (script.ScriptError, ScenarioRunError) as error:
         print(error)
         raise typer.Exit(2) from None
     print("\n".join(summary(rows)))
@@ -68,7 +68,7 @@
     raise typer.Exit(1 if broken else 0)
 
 
-def _day(name: str, known: dict[str, Day]) -> Day:
+def _day(name: str, known: dict[str, Scenario]) -> Scenario:
     from cottonhold.emulator.fault_injection import script
 
     if name in known:
@@ -76,7 +76,7 @@
     path = Path(name)
     if not path.is_file():
         raise script.ScriptError(f"'{name}' is neither a day (see `trial list`) nor a file")
-    return script.read(path.read_bytes())
+    return script.decode_scenario(path.read_bytes())
 
 
 @app.command()
--- a/cottonhold/emulator/fault_injection/checker.py
+++ b/cottonhold/emulator/fault_injection/checker.py
@@ -10,24 +10,24 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
 
-from cottonhold.emulator.fault_injection.engine import slower_cold
+from cottonhold.emulator.fault_injection.engine import cold_slowdown
 from cottonhold.emulator.fault_injection.event_log import (
-    BIN,
-    Asked,
+    BIN_S,
     Execution,
-    Ledgers,
+    RequestLog,
+    RunLogs,
     Send,
     Verdict,
-    asks_of,
-    bins,
-    runs_of,
+    bin_count,
+    executions_of,
+    requests_of,
     sends_of,
 )
 from cottonhold.emulator.fault_injection.executions import check_executions
-from cottonhold.emulator.fault_injection.projection_check import weigh_foretold
-from cottonhold.emulator.fault_injection.recovery_quality import weigh_return
-from cottonhold.emulator.fault_injection.remote_service_cost import weigh_distance
-from cottonhold.emulator.fault_injection.script import Day
+from cottonhold.emulator.fault_injection.projection_check import measure_projection
+from cottonhold.emulator.fault_injection.recovery_quality import measure_recovery
+from cottonhold.emulator.fault_injection.remote_service_cost import measure_distance
+from cottonhold.emulator.fault_injection.script import Scenario
 
 SOMETIMES = (
     "return_first_3s",
@@ -42,42 +42,42 @@
     "pins_moved",
     "ownerless_p99_ms",
 )
-SLACK_S = 0.5
-START_S = 3.0  # until a process from nothing has heard of the list
-MOMENT = 0.1  # between a drop and its being seen on the link, in a busy rig
+ANSWER_SLACK_S = 0.5
+INSTANCE_START_S = 3.0  # until a process from nothing has heard of the list
+LINK_DELAY_S = 0.1  # between a drop and its being seen on the link, in a busy rig
 
 
-def judge(day: Day, seen: Ledgers) -> Verdict:
+def check_run(day: Scenario, seen: RunLogs) -> Verdict:
     """Everything about a run."""
     verdict = Verdict()
-    asks = asks_of(seen)
-    runs = runs_of(seen)
+    asks = requests_of(seen)
+    runs = executions_of(seen)
     _check_answers(day, seen, asks, runs, verdict)
     sends = sends_of(seen)
     _check_loads(day, asks, sends, verdict)
-    _check_one_out(seen, sends, verdict)
+    _check_single_attempt(seen, sends, verdict)
     _check_order(day, asks, runs, verdict)
     check_executions(day, asks, runs, sends, verdict)
-    _check_tipped(seen, verdict)
+    _check_engine_overload(seen, verdict)
     _check_drains(seen, sends, verdict)
-    _weigh_worth(day, seen, asks, verdict)
-    _weigh_asked(day, seen, asks, verdict)
-    _weigh_sends(day, seen, sends, verdict)
-    _weigh_fairness(day, asks, verdict)
+    _measure_utility(day, seen, asks, verdict)
+    _measure_requests(day, seen, asks, verdict)
+    _measure_sends(day, seen, sends, verdict)
+    _measure_fairness(day, asks, verdict)
     if seen.ownerless:
-        _weigh_moves(seen.ownerless, verdict)
+        _measure_moves(seen.ownerless, verdict)
     if day.returns:
-        weigh_return(day, seen, asks, verdict)
+        measure_recovery(day, seen, asks, verdict)
     if day.homes:
-        weigh_distance(day, seen, asks, runs, verdict)
-        weigh_foretold(day, seen, asks, runs, verdict)
+        measure_distance(day, seen, asks, runs, verdict)
+        measure_projection(day, seen, asks, runs, verdict)
     return verdict
 
 
 # --- rules ---
 
 
-def _disturbed(seen: Ledgers, name: str, begin: float, end: float) -> bool:
+def _disturbed(seen: RunLogs, name: str, begin: float, end: float) -> bool:
     """Whether a process was killed or stood still within a time: nobody can answer then."""
     stopped = None
     for at, verb, who in sorted(seen.marks):
@@ -94,13 +94,17 @@
     return stopped is not None and stopped <= end
 
 
-def _excused(seen: Ledgers, ask: Asked) -> bool:
+def _excused(seen: RunLogs, ask: RequestLog) -> bool:
     """Whether the instance that was asked was dead or stood still."""
-    return _disturbed(seen, f"n{ask.instance}", ask.at - 1.0, ask.at + ask.left / 1000 + SLACK_S)
+    return _disturbed(seen, f"n{ask.instance}", ask.at - 1.0, ask.at + ask.left / 1000 + ANSWER_SLACK_S)
 
 
 def _check_answers(
-    day: Day, seen: Ledgers, asks: Mapping[str, Asked], runs: Mapping[str, list[Execution]], verdict: Verdict
+    day: Scenario,
+    seen: RunLogs,
+    asks: Mapping[str, RequestLog],
+    runs: Mapping[str, list[Execution]],
+    verdict: Verdict,
 ) -> None:
     """One final answer in time, and nothing served that no engine made."""
     for ref, ask in asks.items():
@@ -115,7 +119,7 @@
 
 
 def _check_loads(
-    day: Day, asks: Mapping[str, Asked], sends: Mapping[str, list[Send]], verdict: Verdict
+    day: Scenario, asks: Mapping[str, RequestLog], sends: Mapping[str, list[Send]], verdict: Verdict
 ) -> None:
     """No load goes out again once it may have run: only some answers prove that it did not."""
     loads = {k.name for k in day.kinds if k.load}
@@ -127,18 +131,18 @@
                 verdict.findings.append(f"loads: {ref} may have run more than once: {where}")
 
 
-def _check_one_out(seen: Ledgers, sends: Mapping[str, list[Send]], verdict: Verdict) -> None:
+def _check_single_attempt(seen: RunLogs, sends: Mapping[str, list[Send]], verdict: Verdict) -> None:
     """One attempt of a request is out at a time; the link sees a drop a moment after the next send, at
     most, and later only by what it stood still itself.
     """
     for ref, found in sends.items():
         for one, other in zip(found, found[1:], strict=False):
-            if one.ended - other.at > MOMENT + seen.stood(other.at, one.ended):
+            if one.ended - other.at > LINK_DELAY_S + seen.stalled_s(other.at, one.ended):
                 verdict.findings.append(f"one out: {ref} was at {one.engine} and {other.engine} at once")
 
 
 def _check_order(
-    day: Day, asks: Mapping[str, Asked], runs: Mapping[str, list[Execution]], verdict: Verdict
+    day: Scenario, asks: Mapping[str, RequestLog], runs: Mapping[str, list[Execution]], verdict: Verdict
 ) -> None:
     """Loads on one key, taken by one instance one after another, begin in that order."""
     keyed: dict[tuple[int, str], list[tuple[float, float, str]]] = defaultdict(list)
@@ -155,7 +159,7 @@
                 verdict.findings.append(f"order: {other} overtook {ref} on {key} at n{instance}")
 
 
-def _check_tipped(seen: Ledgers, verdict: Verdict) -> None:
+def _check_engine_overload(seen: RunLogs, verdict: Verdict) -> None:
     """No cold engine is pushed over by all together."""
     for engine, lines in seen.engines.items():
         for at, what, *_ in lines:
@@ -165,7 +169,7 @@
                 )
 
 
-def _check_drains(seen: Ledgers, sends: Mapping[str, list[Send]], verdict: Verdict) -> None:
+def _check_drains(seen: RunLogs, sends: Mapping[str, list[Send]], verdict: Verdict) -> None:
     """Nothing new to an engine from half a second after a told drain on, by whoever could be told."""
     drained: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for at, verb, engine in sorted(seen.marks):
@@ -176,14 +180,14 @@
     for ref, found in sends.items():
         for send in found:
             for begin, end in drained[send.engine]:
-                if _told_by(seen, send.instance, begin) + SLACK_S < send.at < end:
+                if _notified_at(seen, send.instance, begin) + ANSWER_SLACK_S < send.at < end:
                     late = send.at - begin
                     verdict.findings.append(
                         f"drain: {ref} went to {send.engine} {late:.2f} s after its drain, by {send.instance}"
                     )
 
 
-def _told_by(seen: Ledgers, instance: str, at: float) -> float:
+def _notified_at(seen: RunLogs, instance: str, at: float) -> float:
     """When an instance can have heard of what was told at a time: later, if it was deaf or stood still
     then.
     """
@@ -192,18 +196,18 @@
         if who == instance and verb in ("deaf", "stop", "kill"):
             since = min(since, when)
         elif who == instance and verb in ("hears", "go", "start"):
-            if since <= at + SLACK_S and when >= at:
-                return when + (START_S if verb == "start" else 0.0)
+            if since <= at + ANSWER_SLACK_S and when >= at:
+                return when + (INSTANCE_START_S if verb == "start" else 0.0)
             since = math.inf
-    return at if since > at + SLACK_S else math.inf
+    return at if since > at + ANSWER_SLACK_S else math.inf
 
 
 # --- figures ---
 
 
-def capacity(day: Day, seen: Ledgers) -> list[float]:
+def capacity(day: Scenario, seen: RunLogs) -> list[float]:
     """Work in ms that the engines could do, by bin: those that are there, at the speed that they have."""
-    room = [0.0] * bins(day)
+    room = [0.0] * bin_count(day)
     for engine, lines in seen.engines.items():
         traits = {"servers": 1, "slow": 1.0, "failing": 0.0, "cold": 3.0, "warm": 3000.0, **day.traits}
         events = [(at, what, more) for at, what, _, *more in lines if what in ("start", "set", "tipped")]
@@ -211,7 +215,7 @@
         events.sort(key=lambda e: e[0])
         there, started, at_event = False, -math.inf, 0
         for b in range(len(room)):
-            middle = seen.begun + (b + 0.5) * BIN
+            middle = seen.begun + (b + 0.5) * BIN_S
             while at_event < len(events) and events[at_event][0] <= middle:
                 at, what, more = events[at_event]
                 at_event += 1
@@ -224,19 +228,19 @@
                 elif what == "go":
                     there = True
             age = (middle - started) * 1000
-            cold = slower_cold(age, traits["cold"], traits["warm"])
+            cold = cold_slowdown(age, traits["cold"], traits["warm"])
             speed = (1 - traits["failing"]) / (traits["slow"] * cold)
-            room[b] += traits["servers"] * BIN * 1000 * speed if there else 0.0
+            room[b] += traits["servers"] * BIN_S * 1000 * speed if there else 0.0
     return room
 
 
-def _weigh_worth(day: Day, seen: Ledgers, asks: Mapping[str, Asked], verdict: Verdict) -> None:
+def _measure_utility(day: Scenario, seen: RunLogs, asks: Mapping[str, RequestLog], verdict: Verdict) -> None:
     """Worth that was served, against the most that could be: bin by bin, what is worth most a ms first."""
-    steps, room = bins(day), capacity(day, seen)
+    steps, room = bin_count(day), capacity(day, seen)
     efforts = {k.name: k.effort for k in day.kinds}
     offered = [Counter[str]() for _ in range(steps)]
     served = [Counter[str]() for _ in range(steps)]
-    first: dict[int, Asked] = {}
+    first: dict[int, RequestLog] = {}
     good: set[int] = set()
     for ask in sorted(asks.values(), key=lambda a: a.at):
         # What only met dead or stopped instances could not have been served by anybody's decision.
@@ -246,7 +250,7 @@
         if ask.word == "served":
             good.add(ask.client)
     for client, ask in first.items():
-        b = min(int((ask.at - seen.begun) / BIN), steps - 1)
+        b = min(int((ask.at - seen.begun) / BIN_S), steps - 1)
         offered[b][ask.kind] += 1
         served[b][ask.kind] += client in good
     most, got, left = [0.0] * steps, [0.0] * steps, 0.0
@@ -262,9 +266,9 @@
     verdict.series["capacity"] = room
     verdict.figures["worth"] = _ratio(got, most, 0, steps)
     if day.out:
-        begin, end = int((day.out + 1.0) / BIN), int(day.back / BIN)
+        begin, end = int((day.out + 1.0) / BIN_S), int(day.back / BIN_S)
         verdict.figures["worth_out"] = _ratio(got, most, begin, end)
-        verdict.figures["worth_after_5s"] = _ratio(got, most, int((day.back + 5.0) / BIN), steps)
+        verdict.figures["worth_after_5s"] = _ratio(got, most, int((day.back + 5.0) / BIN_S), steps)
     for kind in efforts:
         total = sum(o[kind] for o in offered)
         verdict.figures[f"served_{kind}"] = sum(s[kind] for s in served) / max(total, 1)
@@ -275,22 +279,22 @@
     verdict.figures |= {f"asks_{word or 'open'}": float(n) for word, n in words.items()}
 
 
-def _weigh_asked(day: Day, seen: Ledgers, asks: Mapping[str, Asked], verdict: Verdict) -> None:
+def _measure_requests(day: Scenario, seen: RunLogs, asks: Mapping[str, RequestLog], verdict: Verdict) -> None:
     """Worth of all that clients asked for, also where they met nobody, and what of it was served; by when
     each asked first."""
-    asked, served = [0.0] * bins(day), [0.0] * bins(day)
-    first: dict[int, Asked] = {}
+    asked, served = [0.0] * bin_count(day), [0.0] * bin_count(day)
+    first: dict[int, RequestLog] = {}
     for ask in asks.values():
         first.setdefault(ask.client, ask)
     good = {ask.client for ask in asks.values() if ask.word == "served"}
     for client, ask in first.items():
-        b = min(int((ask.at - seen.begun) / BIN), len(asked) - 1)
+        b = min(int((ask.at - seen.begun) / BIN_S), len(asked) - 1)
         asked[b] += day.worth[ask.kind]
         served[b] += day.worth[ask.kind] if client in good else 0.0
     verdict.series["worth asked"], verdict.series["worth of asked"] = asked, served
     verdict.figures["worth_of_asked"] = _ratio(served, asked, 0, len(asked))
     if day.out:
-        begin, end = int(day.out / BIN), int(day.back / BIN)
+        begin, end = int(day.out / BIN_S), int(day.back / BIN_S)
         lost = sum(asked[begin:end]) - sum(served[begin:end])
         verdict.figures["worth_out_of_asked"] = _ratio(served, asked, begin, end)
         verdict.figures["worth_lost_a_second"] = lost / (day.back - day.out)
@@ -299,7 +303,7 @@
         verdict.figures["second_processes_alive"] = float(sum(v == "lives" for _, v, _ in seen.marks))
 
 
-def relative(one: Verdict, other: Verdict) -> float:
+def relative_utility(one: Verdict, other: Verdict) -> float:
     """The worth served in one run against another of the same load."""
     return sum(one.series["worth served"]) / max(sum(other.series["worth served"]), 1e-9)
 
@@ -308,14 +312,14 @@
     return sum(got[begin:end]) / sum(most[begin:end]) if sum(most[begin:end]) else 1.0
 
 
-def _weigh_sends(day: Day, seen: Ledgers, found: Mapping[str, list[Send]], verdict: Verdict) -> None:
+def _measure_sends(day: Scenario, seen: RunLogs, found: Mapping[str, list[Send]], verdict: Verdict) -> None:
     """Sends by zone over time, and for the zone that was out: when they ended, and how they came back."""
-    steps = bins(day)
+    steps = bin_count(day)
     sends = {zone: [0.0] * steps for zone in day.zones}
     times = sorted((s.at - seen.begun, s.engine) for sends_ in found.values() for s in sends_)
     for at, engine in times:
         if 0 <= at < day.seconds:
-            sends[engine.rstrip("0123456789")][int(at / BIN)] += 1
+            sends[engine.rstrip("0123456789")][int(at / BIN_S)] += 1
     for zone, row in sends.items():
         verdict.series[f"sends {zone}"] = row
     total = [sum(row[b] for row in sends.values()) for b in range(steps)]
@@ -327,7 +331,7 @@
         return
 
     def share(begin: float, end: float) -> float:
-        b, e = int(begin / BIN), max(int(end / BIN), int(begin / BIN) + 1)
+        b, e = int(begin / BIN_S), max(int(end / BIN_S), int(begin / BIN_S) + 1)
         return sum(sends[day.zone][b:e]) / max(sum(total[b:e]), 1)
 
     figures, fair = verdict.figures, share(1.0, day.out)
@@ -336,10 +340,10 @@
     figures["share_out_1_3s"] = share(day.out + 1.0, day.out + 3.0)
     figures["share_out_3s_on"] = share(day.out + 3.0, day.back) if day.back > day.out + 3.5 else 0.0
     figures["share_back_first_s"] = share(day.back, day.back + 1.0)
-    after = [share(t, t + 1.0) for t in _steps(day.back, day.seconds - 1.0, BIN)]
+    after = [share(t, t + 1.0) for t in _steps(day.back, day.seconds - 1.0, BIN_S)]
     figures["share_back_most"] = max(after, default=0.0)
     full = [
-        t for t, s in zip(_steps(day.back, day.seconds - 1.0, BIN), after, strict=True) if s >= 0.8 * fair
+        t for t, s in zip(_steps(day.back, day.seconds - 1.0, BIN_S), after, strict=True) if s >= 0.8 * fair
     ]
     figures["back_full_after_s"] = full[0] - day.back if full else math.nan
 
@@ -348,7 +352,7 @@
     return [begin + i * step for i in range(max(int((end - begin) / step), 0))]
 
 
-def _weigh_fairness(day: Day, asks: Mapping[str, Asked], verdict: Verdict) -> None:
+def _measure_fairness(day: Scenario, asks: Mapping[str, RequestLog], verdict: Verdict) -> None:
     """How differently instances with 100 or more of a class treat it."""
     worst = 0.0
     for kind in day.kinds:
@@ -362,7 +366,7 @@
     verdict.figures["unlike_between_instances"] = worst
 
 
-def _weigh_moves(ownerless: Mapping[float, int], verdict: Verdict) -> None:
+def _measure_moves(ownerless: Mapping[float, int], verdict: Verdict) -> None:
     """Keys that were moved, and for how long at most 99 of 100 of them had no owner: a step of a
     histogram."""
     total, passed = sum(ownerless.values()), 0
--- a/cottonhold/emulator/fault_injection/clients.py
+++ b/cottonhold/emulator/fault_injection/clients.py
@@ -22,15 +22,18 @@
 
 import uvloop
 
-from cottonhold.emulator.fault_injection.zone_distances import apart
+from cottonhold.emulator.fault_injection.zone_distances import distance_ms
 
 LOGIN = (0x8208).to_bytes(4, "little") + bytes(28) + b"app\0\0dw\0"
 COOLDOWN = re.compile(r"cooldown=(\d+)")
 MAY_HAVE_RUN = "may have run"  # what an instance says of a load whose end it doesn't know
-SETS = 7  # data sets, of each zone if clients have homes
-MOST_TRIES = 50
-MOST_WAIT = 1000.0  # ms: who asks again and again waits twice as long each time, up to this
-MOST_IDLE, IDLE_S = 64, 2.0  # an instance closes idle connections after 5 s: a request must not cross that
+DATA_SETS = 7  # data sets, of each zone if clients have homes
+MAX_ATTEMPTS = 50
+MAX_BACKOFF_MS = 1000.0  # ms: who asks again and again waits twice as long each time, up to this
+MAX_IDLE_CONNECTIONS, IDLE_S = (
+    64,
+    2.0,
+)  # an instance closes idle connections after 5 s: a request must not cross that
 LATE_S = 0.5  # an answer so long after the client's time is still an answer, later none
 
 
@@ -63,9 +66,9 @@
     asks_failed: bool = False
     hears: float = 0.0
 
-    def again(self, load: bool, word: str, text: str, tried: int) -> bool:
+    def retries_after(self, load: bool, word: str, text: str, tried: int) -> bool:
         """Whether a client tries once more after its try number `tried`, counted from 1, has ended so."""
-        if load and self.asks_again and tried < MOST_TRIES:
+        if load and self.asks_again and tried < MAX_ATTEMPTS:
             if word in ("broken", "nothing", "refused", "unreached"):
                 return True
             return word == "failed" and MAY_HAVE_RUN in text and self.asks_failed
@@ -174,13 +177,17 @@
             if kind.load and manner.asks_again and manner.hears:
                 left = min(left, manner.hears)
             i = self._instance(home, gone)
-            word, text = await self._try(kind, client, n, left, home, i)
+            word, text = await self._attempt(kind, client, n, left, home, i)
             if home and word == "unreached":
                 gone.add(i)
-            if not manner.again(kind.load, word, text, n + 1):
+            if not manner.retries_after(kind.load, word, text, n + 1):
                 return
             advised = COOLDOWN.search(text)
-            own = max(manner.wait, min(manner.wait * 2**n, MOST_WAIT)) if manner.asks_again else manner.wait
+            own = (
+                max(manner.wait, min(manner.wait * 2**n, MAX_BACKOFF_MS))
+                if manner.asks_again
+                else manner.wait
+            )
             wait = float(advised[1]) if advised and honours else own
             await asyncio.sleep(wait * (0.75 + 0.5 * self.draw.random()) / 1000)
 
@@ -198,12 +205,12 @@
             weights = own if sum(own) else weights
         return self.draw.choices(range(len(weights)), weights if sum(weights) else self.load.weights)[0]
 
-    def _set(self, client: int, home: str) -> int:
+    def _data_set(self, client: int, home: str) -> int:
         """The number of the data set that a client reads: some for each zone."""
         zones = sorted(set(self.load.homes))
-        return client % SETS + (zones.index(home) * SETS if home else 0)
+        return client % DATA_SETS + (zones.index(home) * DATA_SETS if home else 0)
 
-    def _idle(self, i: int) -> Session | None:
+    def _idle_session(self, i: int) -> Session | None:
         while self.idle[i]:
             session = self.idle[i].pop()
             # Danger: one that a draining instance had closed long before was written to all the same, and the
@@ -213,29 +220,31 @@
             session.writer.close()
         return None
 
-    async def _try(self, kind: Kind, client: int, n: int, left: float, home: str, i: int) -> tuple[str, str]:
+    async def _attempt(
+        self, kind: Kind, client: int, n: int, left: float, home: str, i: int
+    ) -> tuple[str, str]:
         ref = f"{self.load.seed & 0xFFFF:04x}{next(self.refs):012x}"
         fields = f"service={kind.name},ref={ref},allow={left:.0f},effort={kind.effort:g}"
         fields += ",dup=1" if n else ""
-        table = f"sales_{self._set(client, home)}.t"
+        table = f"sales_{self._data_set(client, home)}.t"
         body = f"SELECT a FROM {table}"
         if kind.load:
             key = f"k{client % self.load.keys}"
             fields += f",lookup={key}"
             body = f"INSERT INTO {table} VALUES ('{key}', {client})"
-        far = apart(self.load.distance, home, self.load.homes[i]) / 1000 if home else 0.0
+        far = distance_ms(self.load.distance, home, self.load.homes[i]) / 1000 if home else 0.0
         self.note("ask", ref, kind.name, i, n, client, round(left), *([home] if home else []))
         word, text = "unreached", ""
         try:
             async with asyncio.timeout(left / 1000 + LATE_S):
-                session = self._idle(i) or await Session.open(self.load.ports[i])
+                session = self._idle_session(i) or await Session.open(self.load.ports[i])
                 try:
                     await asyncio.sleep(far)
                     self.note("sent", ref)
                     word, text = await session.query(f"/* {fields} */ {body}")
                     await asyncio.sleep(far)
                     session.used_at = time.monotonic()
-                    if len(self.idle[i]) < MOST_IDLE:
+                    if len(self.idle[i]) < MAX_IDLE_CONNECTIONS:
                         self.idle[i].append(session)
                     else:
                         session.writer.close()
--- a/cottonhold/emulator/fault_injection/engine.py
+++ b/cottonhold/emulator/fault_injection/engine.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from cottonhold.backend.resp import RespError, encode
-from cottonhold.emulator.fault_injection.parent_death_signal import WAITS, told
+from cottonhold.emulator.fault_injection.parent_death_signal import WAIT_FOR_SETTINGS, read_settings
 from cottonhold.emulator.serving import engine_calls
 
 KEY = re.compile(rb"'(k\d+)', (\d+)")
@@ -59,7 +59,7 @@
     set_ms: float = 10_000.0
 
 
-class Sets:
+class DataSetCache:
     """The data sets that an engine has in memory, by when they were read last, in ms."""
 
     def __init__(self) -> None:
@@ -86,12 +86,12 @@
     timer: asyncio.TimerHandle | None = None
 
 
-def slower_cold(age: float, cold: float, warm: float) -> float:
+def cold_slowdown(age: float, cold: float, warm: float) -> float:
     """How many times slower an engine is `age` ms after its start; see Traits."""
     return 1 + (cold - 1) * max(0.0, 1 - age / warm) if warm > 0 else 1.0
 
 
-class RigEngine:
+class FaultyEngine:
     """One engine."""
 
     def __init__(self, id: str, ledger: TextIOWrapper, traits: Traits, seed: int) -> None:
@@ -101,7 +101,7 @@
         self.waiting: deque[Job] = deque()
         self.came: deque[tuple[float, float]] = deque()
         self.tipped = False
-        self.sets = Sets()
+        self.sets = DataSetCache()
 
     def note(self, what: str, ref: bytes = b"", *more: object) -> None:
         """A line of the ledger."""
@@ -111,48 +111,48 @@
         """One connection."""
         try:
             async for call in engine_calls(reader):
-                self._take(call, writer)
+                self._on_command(call, writer)
         except (OSError, RespError):
             pass
         finally:
             for job in [j for j in (*self.running.values(), *self.waiting) if j.writer is writer]:
-                self._give_up(job, "broke")
+                self._cancel(job, "broke")
             writer.close()
 
-    def _take(self, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    def _on_command(self, words: list[bytes], writer: asyncio.StreamWriter) -> None:
         verb, ref = words[0], words[1]
         if verb == b"GET":
-            self._get(ref, words, writer)
+            self._on_execute(ref, words, writer)
         elif verb in (b"PING", b"LOAD"):
             self.note("probe", ref)
             if not self.tipped:
-                writer.write(encode(ref, b"green", self._gauges(), b""))
+                writer.write(encode(ref, b"green", self._load_report(), b""))
         elif verb in (b"DROP", b"CLOSE"):
             job = self.running.get((id(writer), ref))
             job = job or next((j for j in self.waiting if j.ref == ref and j.writer is writer), None)
             if job is not None:
-                self._give_up(job, "drop")
+                self._cancel(job, "drop")
 
-    def _get(self, ref: bytes, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    def _on_execute(self, ref: bytes, words: list[bytes], writer: asyncio.StreamWriter) -> None:
         fields = dict(part.split(b"=", 1) for part in words[2].split(b","))
         kind, t = fields[b"kind"].decode(), self.traits
         key = KEY.search(words[3])
         work = t.work * t.classes.get(kind, 1.0) * self.draw.lognormvariate(-(t.spread**2) / 2, t.spread)
         self.note("get", ref, kind, key[1].decode() if key else "", int(key[2]) if key else 0, round(work, 2))
-        if self._pushed_over(work):
+        if self._is_overloaded(work):
             return
         if self.draw.random() < t.failing:
             self.note("crashed", ref)
-            writer.write(encode(ref, b"crashed", self._gauges(), b""))
+            writer.write(encode(ref, b"crashed", self._load_report(), b""))
         elif len(self.running) >= t.servers and len(self.waiting) >= t.line:
             self.note("overload", ref)
-            writer.write(encode(ref, b"overload", self._gauges(), b""))
+            writer.write(encode(ref, b"overload", self._load_report(), b""))
         else:
             table = SET.search(words[3])
             self.waiting.append(Job(ref, kind, writer, work, table[0] if table else b""))
             self._run()
 
-    def _pushed_over(self, work: float) -> bool:
+    def _is_overloaded(self, work: float) -> bool:
         """A cold engine that is sent too much within its window falls over, and says nothing any more."""
         t, now = self.traits, time.monotonic()
         self.came.append((now, work))
@@ -161,7 +161,7 @@
         cold = (now - self.started) * 1000 < t.warm
         # Danger: held to what the coldest bears until it is warm, engines at their usual load fell over by
         # chance, just before that.
-        most = t.tip * t.cold / slower_cold((now - self.started) * 1000, t.cold, t.warm)
+        most = t.tip * t.cold / cold_slowdown((now - self.started) * 1000, t.cold, t.warm)
         if t.tip and cold and not self.tipped and sum(w for _, w in self.came) > most:
             self.tipped = True
             self.note("tipped")
@@ -169,7 +169,7 @@
 
     def _speed(self) -> float:
         t, age = self.traits, (time.monotonic() - self.started) * 1000
-        return t.slow * slower_cold(age, t.cold, t.warm)
+        return t.slow * cold_slowdown(age, t.cold, t.warm)
 
     def _run(self) -> None:
         t = self.traits
@@ -189,13 +189,13 @@
         self.running.pop((id(job.writer), job.ref), None)
         self.note("done", job.ref)
         if not job.writer.is_closing():
-            fields = b"count=1,ticks=%d,footprint=1,%b" % (round(job.work), self._gauges())
+            fields = b"count=1,ticks=%d,footprint=1,%b" % (round(job.work), self._load_report())
             job.writer.write(
                 encode(job.ref, b"served", fields, b"%b\t%b\tok\n" % (self.id.encode(), job.ref))
             )
         self._run()
 
-    def _give_up(self, job: Job, why: str) -> None:
+    def _cancel(self, job: Job, why: str) -> None:
         self.note(why, job.ref)
         if job.timer is not None:
             job.timer.cancel()
@@ -204,13 +204,13 @@
             self.waiting.remove(job)
         self._run()
 
-    def _gauges(self) -> bytes:
+    def _load_report(self) -> bytes:
         out = len(self.running) + len(self.waiting)
         busy = min(1.0, len(self.running) / self.traits.servers)
         return f"gauges=inflight:{out};util:{busy:.2f}".encode()
 
 
-async def control(engine: RigEngine) -> None:
+async def control(engine: FaultyEngine) -> None:
     """Take changes from standard input until it ends: then the rig is gone."""
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
@@ -226,7 +226,7 @@
     """Serve until standard input ends."""
     with open(settings["ledger"], "a", buffering=1) as ledger:
         traits = Traits(**settings.get("traits", {}))
-        engine = RigEngine(settings["id"], ledger, traits, settings.get("seed", 0))
+        engine = FaultyEngine(settings["id"], ledger, traits, settings.get("seed", 0))
         engine.note("start")
         server = await asyncio.start_server(engine.serve, "127.0.0.1", settings["port"])
         print(server.sockets[0].getsockname()[1], flush=True)
@@ -235,5 +235,5 @@
 
 
 if __name__ == "__main__":
-    if words := told() if sys.argv[1] == WAITS else sys.argv[1]:
+    if words := read_settings() if sys.argv[1] == WAIT_FOR_SETTINGS else sys.argv[1]:
         uvloop.run(main(json.loads(words)))
--- a/cottonhold/emulator/fault_injection/event_log.py
+++ b/cottonhold/emulator/fault_injection/event_log.py
@@ -8,24 +8,24 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cottonhold.emulator.fault_injection.script import Day
+from cottonhold.emulator.fault_injection.script import Scenario
 
-Line = list[Any]  # [seconds, what, reference, more]
-BIN = 0.5  # s: the step of series by time
-ENDS = {"served", "refused", "failed", "nothing", "broken", "unreached"}
+LogLine = list[Any]  # [seconds, what, reference, more]
+BIN_S = 0.5  # s: the step of series by time
+REQUEST_ENDS = {"served", "refused", "failed", "nothing", "broken", "unreached"}
 
 
 @dataclass(slots=True)
-class Ledgers:
+class RunLogs:
     """All that was seen. Times are seconds of one clock; `begun`: when the load began. marks: what the rig
     did to processes, as (time, verb, name). stalls: from when to when the rig itself stood still on a busy
     machine: what it saw then may have been long before."""
 
-    engines: Mapping[str, list[Line]]
-    clients: list[Line]
+    engines: Mapping[str, list[LogLine]]
+    clients: list[LogLine]
     begun: float
     marks: list[tuple[float, str, str]] = field(default_factory=list)
-    links: list[Line] = field(
+    links: list[LogLine] = field(
         default_factory=list
     )  # [seconds, get|drop|closed|answer, ref, instance, engine]
     stalls: list[tuple[float, float]] = field(default_factory=list)
@@ -34,7 +34,7 @@
     # How many keys that were moved had no owner up to so many ms, as the instances that moved them counted.
     ownerless: Mapping[float, int] = field(default_factory=dict)
 
-    def stood(self, begin: float, end: float) -> float:
+    def stalled_s(self, begin: float, end: float) -> float:
         """Seconds within a time in which the rig stood still."""
         return sum(max(min(end, b) - max(begin, a), 0.0) for a, b in self.stalls)
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestLog:
     """One try of a client."""
 
     at: float
@@ -66,21 +66,21 @@
     sent: float = math.inf  # when its connection was there; `at` is before that
 
 
-def bins(day: Day) -> int:
+def bin_count(day: Scenario) -> int:
     """How many steps a day has."""
-    return math.ceil(day.seconds / BIN)
+    return math.ceil(day.seconds / BIN_S)
 
 
-def asks_of(seen: Ledgers) -> dict[str, Asked]:
+def requests_of(seen: RunLogs) -> dict[str, RequestLog]:
     """Tries by request, in the order in which they were made."""
-    asks: dict[str, Asked] = {}
+    asks: dict[str, RequestLog] = {}
     for at, what, ref, *more in seen.clients:
         if what == "ask":
             kind, instance, number, client, left, *home = more
-            asks[ref] = Asked(at, kind, instance, number, client, left, home="".join(home))
+            asks[ref] = RequestLog(at, kind, instance, number, client, left, home="".join(home))
         elif what == "sent" and ref in asks:
             asks[ref].sent = at
-        elif what in ENDS and ref in asks:
+        elif what in REQUEST_ENDS and ref in asks:
             ask = asks[ref]
             ask.ended, ask.word, ask.text, ask.ends = at, what, more[0] if more else "", ask.ends + 1
     return asks
@@ -104,7 +104,7 @@
     cold: bool = False  # it read a data set that the engine had not warm
 
 
-def runs_of(seen: Ledgers) -> dict[str, list[Execution]]:
+def executions_of(seen: RunLogs) -> dict[str, list[Execution]]:
     """By request, in the order in which the attempts came. A killed engine ends all that it had."""
     runs: dict[str, list[Execution]] = defaultdict(list)
     for engine, lines in seen.engines.items():
@@ -144,7 +144,7 @@
     how: str = ""
 
 
-def sends_of(seen: Ledgers) -> dict[str, list[Send]]:
+def sends_of(seen: RunLogs) -> dict[str, list[Send]]:
     """By request, in the order in which the attempts were sent."""
     sends: dict[str, list[Send]] = defaultdict(list)
     for at, what, ref, instance, engine in seen.links:
--- a/cottonhold/emulator/fault_injection/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -11,19 +11,19 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from cottonhold.emulator.fault_injection.event_log import Asked, Execution, Send, Verdict
-from cottonhold.emulator.fault_injection.script import Day
+from cottonhold.emulator.fault_injection.event_log import Execution, RequestLog, Send, Verdict
+from cottonhold.emulator.fault_injection.script import Scenario
 
 NEVER_RAN = ("overload", "nobody", "crashed")  # answers that prove that nothing of it was done
 
 
 @dataclass(slots=True)
-class Work:
+class LoadWork:
     """One load: its tries and its executions, by time."""
 
     key: str
     number: int
-    tries: list[Asked] = field(default_factory=list)
+    tries: list[RequestLog] = field(default_factory=list)
     runs: list[Execution] = field(default_factory=list)
 
     @property
@@ -37,16 +37,16 @@
         return min((t.at for t in self.tries), default=-math.inf)
 
 
-def works_of(asks: Mapping[str, Asked], runs: Mapping[str, Sequence[Execution]]) -> list[Work]:
+def load_works(asks: Mapping[str, RequestLog], runs: Mapping[str, Sequence[Execution]]) -> list[LoadWork]:
     """All loads that came to an engine. An attempt that never began is no execution."""
-    works: dict[tuple[str, int], Work] = {}
-    tries: dict[int, list[Asked]] = defaultdict(list)
+    works: dict[tuple[str, int], LoadWork] = {}
+    tries: dict[int, list[RequestLog]] = defaultdict(list)
     for ask in asks.values():
         tries[ask.client].append(ask)
     for ref, found in runs.items():
         for run in found:
             if run.key:
-                work = works.setdefault((run.key, run.number), Work(run.key, run.number))
+                work = works.setdefault((run.key, run.number), LoadWork(run.key, run.number))
                 if not work.tries and ref in asks:
                     work.tries = tries[asks[ref].client]
                 if run.began < math.inf:
@@ -57,24 +57,24 @@
 
 
 def check_executions(
-    day: Day,
-    asks: Mapping[str, Asked],
+    day: Scenario,
+    asks: Mapping[str, RequestLog],
     runs: Mapping[str, Sequence[Execution]],
     sends: Mapping[str, Sequence[Send]],
     verdict: Verdict,
 ) -> None:
     """Each load is run once. Where the day says so: one of a key at a time over all instances, and one that
     was asked for after the other's end was told begins after it."""
-    works = works_of(asks, runs)
-    _check_twice(works, verdict)
-    _count_again(asks, runs, sends, verdict)
+    works = load_works(asks, runs)
+    _check_duplicates(works, verdict)
+    _count_retries(asks, runs, sends, verdict)
     found = _overlaps(works) + _reversed(works)
     verdict.figures["order_across"] = float(len(found))
     if day.order_across:
         verdict.findings += found
 
 
-def _check_twice(works: Sequence[Work], verdict: Verdict) -> None:
+def _check_duplicates(works: Sequence[LoadWork], verdict: Verdict) -> None:
     twice = 0
     for work in works:
         if len(work.runs) > 1:
@@ -85,8 +85,8 @@
     verdict.figures["loads_run_twice"] = float(twice)
 
 
-def _count_again(
-    asks: Mapping[str, Asked],
+def _count_retries(
+    asks: Mapping[str, RequestLog],
     runs: Mapping[str, Sequence[Execution]],
     sends: Mapping[str, Sequence[Send]],
     verdict: Verdict,
@@ -99,8 +99,8 @@
     verdict.figures["loads_sent_again"] = float(sum(len(found) > 1 for found in out.values()))
 
 
-def _by_key(works: Sequence[Work]) -> dict[str, list[tuple[Execution, Work]]]:
-    keyed: dict[str, list[tuple[Execution, Work]]] = defaultdict(list)
+def _by_key(works: Sequence[LoadWork]) -> dict[str, list[tuple[Execution, LoadWork]]]:
+    keyed: dict[str, list[tuple[Execution, LoadWork]]] = defaultdict(list)
     for work in works:
         keyed[work.key] += [(run, work) for run in work.runs]
     for found in keyed.values():
@@ -108,10 +108,10 @@
     return keyed
 
 
-def _overlaps(works: Sequence[Work]) -> list[str]:
+def _overlaps(works: Sequence[LoadWork]) -> list[str]:
     found = []
     for key, rows in _by_key(works).items():
-        last: tuple[Execution, Work] | None = None  # of those that began, the one that ends last
+        last: tuple[Execution, LoadWork] | None = None  # of those that began, the one that ends last
         for run, work in rows:
             if last is not None and last[1] is not work and run.began < last[0].ended:
                 where = f"{last[0].engine} and {run.engine}"
@@ -123,11 +123,11 @@
     return found
 
 
-def _reversed(works: Sequence[Work]) -> list[str]:
+def _reversed(works: Sequence[LoadWork]) -> list[str]:
     """One whose end was told before another of its key was asked for must not begin after that."""
     found = []
     for key, rows in _by_key(works).items():
-        last: Work | None = None  # of those that have begun, the one that was asked for last
+        last: LoadWork | None = None  # of those that have begun, the one that was asked for last
         for _, work in rows:
             if last is not None and work.told < last.asked:
                 found.append(
--- a/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
+++ b/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from cottonhold.emulator.fault_injection.clients import Manner
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 OUT, BACK = 8.0, 18.0
 DISTANCE = {"a-b": 6.0, "b-c": 14.0, "a-c": 20.0}
@@ -22,7 +22,7 @@
 }
 
 
-def outlook_day(name: str, about: str, *faults: Fault, **fields: Any) -> Day:
+def failover_cost_scenario(name: str, about: str, *faults: Fault, **fields: Any) -> Scenario:
     """A day on which something of a zone is out from 8 to 18 s."""
     usual: dict[str, Any] = {
         "seconds": 28.0,
@@ -36,36 +36,42 @@
         "distance": DISTANCE,
         "traits": TRAITS,
     }
-    return Day(name=name, about=about, faults=faults, **(usual | fields))
+    return Scenario(name=name, about=about, faults=faults, **(usual | fields))
 
 
-def out(*targets: str) -> tuple[Fault, ...]:
+def outage(*targets: str) -> tuple[Fault, ...]:
     """Killed and started again from nothing."""
     return tuple(f for t in targets for f in (Fault(OUT, "power", t), Fault(BACK, "start", t)))
 
 
 SLOW = (Fault(OUT, "traits", "a", words={"slow": 10}), Fault(BACK, "traits", "a", words={"slow": 1}))
 
-DAYS = [
-    outlook_day("outlook-calm", "nothing fails where zones are apart"),
-    outlook_day("outlook-lost", "a zone's engines are lost, its clients' instances are not", *out("a")),
-    outlook_day("outlook-dark", "all hosts of a zone are lost", *out("zone-a")),
-    outlook_day("outlook-ill", "a zone is ten times slower", *SLOW),
-    outlook_day("outlook-half", "a zone and half of the next are lost", *out("a", "b0"), rate=200.0),
-    outlook_day(
+SCENARIOS = [
+    failover_cost_scenario("outlook-calm", "nothing fails where zones are apart"),
+    failover_cost_scenario(
+        "outlook-lost", "a zone's engines are lost, its clients' instances are not", *outage("a")
+    ),
+    failover_cost_scenario("outlook-dark", "all hosts of a zone are lost", *outage("zone-a")),
+    failover_cost_scenario("outlook-ill", "a zone is ten times slower", *SLOW),
+    failover_cost_scenario(
+        "outlook-half", "a zone and half of the next are lost", *outage("a", "b0"), rate=200.0
+    ),
+    failover_cost_scenario(
         "outlook-uneven",
         "half of all clients belong to the zone that is lost",
-        *out("a"),
+        *outage("a"),
         weights=(4, 4, 2, 2, 2, 2),
     ),
-    outlook_day("outlook-full", "a zone is lost where the others can't carry all", *out("a"), rate=340.0),
-    outlook_day(
+    failover_cost_scenario(
+        "outlook-full", "a zone is lost where the others can't carry all", *outage("a"), rate=340.0
+    ),
+    failover_cost_scenario(
         "outlook-lossy",
         "a zone is lost, and half of the datagrams",
         Fault(2.0, "peers", "n*", "n*", {"loss": 0.5}),
-        *out("a"),
+        *outage("a"),
     ),
-    outlook_day(
+    failover_cost_scenario(
         "outlook-short",
         "a small zone is lost: for every run of the tests",
         Fault(4.0, "power", "a"),
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -13,10 +13,10 @@
 from typing import TYPE_CHECKING, Any
 
 from cottonhold.emulator.consul.script import Step
-from cottonhold.emulator.fault_injection.links import Link, Way
+from cottonhold.emulator.fault_injection.links import Link, NetworkPath
 from cottonhold.emulator.fault_injection.operators import Operators
 from cottonhold.emulator.fault_injection.script import Fault
-from cottonhold.emulator.fault_injection.zone_distances import apart, zone_of
+from cottonhold.emulator.fault_injection.zone_distances import distance_ms, zone_of
 from cottonhold.fleet.zone_failover.messages import (
     MemberReport,
     Vote,
@@ -28,7 +28,7 @@
 from cottonhold.node.status import ask
 
 if TYPE_CHECKING:
-    from cottonhold.emulator.fault_injection.harness import Trial
+    from cottonhold.emulator.fault_injection.harness import ScenarioRun
 
 KEY = b"a shared key of the rig"
 
@@ -36,7 +36,7 @@
 class Faults:
     """The faults of one run."""
 
-    def __init__(self, trial: Trial) -> None:
+    def __init__(self, trial: ScenarioRun) -> None:
         self.trial = trial
         self.works: list[asyncio.Task[None]] = []  # what goes on beside the day's other faults
 
@@ -52,7 +52,7 @@
         """Carry one fault out."""
         verbs: dict[str, Callable[[Fault], Any]] = {
             "link": self._fault_links,
-            "door": self._fault_doors,
+            "door": self._fault_client_links,
             "order": self._order,
             "traits": lambda f: self._each(f, lambda name: self._set_traits(name, f.words)),
             "peers": self._peers,
@@ -64,13 +64,13 @@
             "power": lambda f: self.power_now(f.target),
             "swap": lambda f: self._work(Operators(self.trial, f.target, f.words).run()),
             "end": self._end,
-            "twice": lambda f: self._each(f, self.trial.start_twice),
+            "twice": lambda f: self._each(f, self.trial.start_duplicate),
         }
         for verb in ("kill", "start", "stop", "go"):
             verbs[verb] = lambda f: self._each(f, lambda name: self._process(f.verb, name))
         for verb in ("keep", "empty", "old", "disk", "clock"):
             verbs[verb] = lambda f: self._each(
-                f, lambda name: self.trial.machines.carry_out(f.verb, name, f.words)
+                f, lambda name: self.trial.machines.apply(f.verb, name, f.words)
             )
         done = verbs[fault.verb](fault)
         if asyncio.iscoroutine(done):
@@ -83,18 +83,18 @@
     async def _fault_links(self, fault: Fault) -> None:
         for name in self.trial.day.pick(fault.target):
             for engine in self.trial.day.pick(fault.other):
-                if (link := self.trial.engines.get(f"{name}>{engine}")) is not None:
-                    await link.set(link_of(fault.words, self.far(name, engine)))
+                if (link := self.trial.engine_links.get(f"{name}>{engine}")) is not None:
+                    await link.set(link_of(fault.words, self.distance_ms(name, engine)))
 
-    async def _fault_doors(self, fault: Fault) -> None:
+    async def _fault_client_links(self, fault: Fault) -> None:
         for name in self.trial.day.pick(fault.target):
-            if name in self.trial.doors:
-                await self.trial.doors[name].set(link_of(fault.words))
+            if name in self.trial.client_links:
+                await self.trial.client_links[name].set(link_of(fault.words))
 
     async def _fault_sources(self, fault: Fault) -> None:
         for name in self.trial.day.pick(fault.target):
-            if name in self.trial.sources:
-                await self.trial.sources[name].set(link_of(fault.words))
+            if name in self.trial.source_links:
+                await self.trial.source_links[name].set(link_of(fault.words))
                 cut = any(fault.words.get(word) for word in ("cut", "forth", "back", "refuse", "reset"))
                 self.trial.marks.append((time.monotonic(), "deaf" if cut else "hears", name))
 
@@ -159,7 +159,7 @@
             for j in there:
                 for pair in ((i, j),) if fault.words.get("forth") else ((i, j), (j, i)):
                     if pair[0] != pair[1]:
-                        self.trial.switch.ways[pair] = self.way(*pair, words)
+                        self.trial.switch.paths[pair] = self.network_path(*pair, words)
 
     async def _lie(self, name: str, zone: str) -> None:
         """Words in an instance's name that it never said: it is sure that a zone is out."""
@@ -171,7 +171,7 @@
             data = codec.encode(Message(Kind.FLEET, me, 0), encode_zone_reports([word], 200))
             for j in range(self.trial.day.instances):
                 if j != number:
-                    self.trial.switch.pass_on(self.trial.switch.ports[number], j, data)
+                    self.trial.switch.forward(self.trial.switch.ports[number], j, data)
             await asyncio.sleep(0.1)
 
     def _replay(self) -> None:
@@ -179,25 +179,25 @@
         kept = list(self.trial.switch.kept)
         random.Random(self.trial.day.seed).shuffle(kept)
         for sender, receiver, data in kept:
-            self.trial.switch.pass_on(self.trial.switch.ports[sender], receiver, data)
+            self.trial.switch.forward(self.trial.switch.ports[sender], receiver, data)
 
     def _drain(self, verb: str, engine: str) -> None:
         for server in self.trial.consuls.values():
             server.carry_out(Step(0, "maintenance", (engine, "on" if verb == "drain" else "off")))
         self.trial.marks.append((time.monotonic(), verb, engine))
 
-    def far(self, instance: str, other: str) -> float:
+    def distance_ms(self, instance: str, other: str) -> float:
         """ms one way between an instance and an engine or another instance."""
         if not self.trial.day.homes:
             return 0.0
         names = self.trial.day.instance_names()
         zones = [self.trial.day.homes[int(n[1:])] if n in names else zone_of(n) for n in (instance, other)]
-        return apart(self.trial.day.distance, *zones)
+        return distance_ms(self.trial.day.distance, *zones)
 
-    def way(self, sender: int, receiver: int, words: dict[str, Any]) -> Way:
+    def network_path(self, sender: int, receiver: int, words: dict[str, Any]) -> NetworkPath:
         """A way of datagrams, as long as the instances are apart."""
-        far = self.far(f"n{sender}", f"n{receiver}")
-        return Way(**(words | {"delay": words.get("delay", 0.0) + far}))
+        far = self.distance_ms(f"n{sender}", f"n{receiver}")
+        return NetworkPath(**(words | {"delay": words.get("delay", 0.0) + far}))
 
 
 def link_of(words: dict[str, Any], far: float = 0.0) -> Link:
@@ -207,8 +207,8 @@
     kept["delay"] = kept.get("delay", 0.0) + far
     cut = bool(words.get("cut"))
     return Link(
-        forth=Way(cut=cut or bool(words.get("forth")), **kept),
-        back=Way(cut=cut or bool(words.get("back")), **kept),
+        forth=NetworkPath(cut=cut or bool(words.get("forth")), **kept),
+        back=NetworkPath(cut=cut or bool(words.get("back")), **kept),
         refuse=bool(words.get("refuse")),
         reset=bool(words.get("reset")),
     )
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -25,77 +25,83 @@
 import uvloop
 
 from cottonhold.emulator.consul.server import Server
-from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.checker import check_run
 from cottonhold.emulator.fault_injection.clients import Load
-from cottonhold.emulator.fault_injection.event_log import Ledgers, Line, Verdict
+from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs, Verdict
 from cottonhold.emulator.fault_injection.faults import KEY, Faults, link_of
-from cottonhold.emulator.fault_injection.links import Switch, TcpLink
+from cottonhold.emulator.fault_injection.links import DatagramSwitch, TcpLink
 from cottonhold.emulator.fault_injection.machines import Machines
-from cottonhold.emulator.fault_injection.parent_death_signal import WAITS
-from cottonhold.emulator.fault_injection.script import Day, Fault, check, read, write
-from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, Process, Zygote
+from cottonhold.emulator.fault_injection.parent_death_signal import WAIT_FOR_SETTINGS
+from cottonhold.emulator.fault_injection.script import (
+    Fault,
+    Scenario,
+    check_scenario,
+    decode_scenario,
+    encode_scenario,
+)
+from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, Process, WorkerPool
 from cottonhold.emulator.process_fleet import free_ports
 from cottonhold.node.status import ask
 
-START_S = 30.0
-PROBE_MS = 500
-TOLD_S = 1.0  # so long before a zone is out what is foretold of it is kept
+START_TIMEOUT_S = 30.0
+HEALTH_CHECK_INTERVAL_MS = 500
+PROJECTION_LEAD_S = 1.0  # so long before a zone is out what is foretold of it is kept
 # The rig's own beat, and how late it may be before that is a stall: two turns that leave no trace stay
 # together below the judge's moment.
-BEAT_S, STALL_S = 0.02, 0.02
-LAST_WORD = re.compile(rb"pins_end.* ownerless=\"?([0-9:,a-z]+)")
+STALL_CHECK_INTERVAL_S, MIN_STALL_S = 0.02, 0.02
+FINAL_OWNERLESS_LOG = re.compile(rb"pins_end.* ownerless=\"?([0-9:,a-z]+)")
 Progress = Callable[[float, str], None]
 
 
-class TrialError(Exception):
+class ScenarioRunError(Exception):
     """A day that could not be played."""
 
 
 @dataclass(slots=True)
-class Result:
+class RunResult:
     """A played day: where its ledgers are, and what the judge says."""
 
-    day: Day
+    day: Scenario
     folder: Path
     verdict: Verdict
     timeline: list[str] = field(default_factory=list)
     views: dict[str, dict[str, Any]] = field(default_factory=dict)
 
 
-class Trial:
+class ScenarioRun:
     """One run of a day in a folder. forks: engines and instances are forked from one that has them loaded."""
 
     def __init__(
-        self, day: Day, folder: Path, progress: Progress = lambda share, text: None, forks: bool = False
+        self, day: Scenario, folder: Path, progress: Progress = lambda share, text: None, forks: bool = False
     ) -> None:
-        self.day, self.folder, self.progress = check(day), folder, progress
+        self.day, self.folder, self.progress = check_scenario(day), folder, progress
         self.processes: dict[str, Process] = {}
-        self.ready: dict[str, Process] = {}  # loaded, and waiting to be told to start
-        self.engines: dict[str, TcpLink] = {}  # "n0>a1": the link from an instance to an engine
-        self.doors: dict[str, TcpLink] = {}
-        self.sources: dict[str, TcpLink] = {}
+        self.prepared: dict[str, Process] = {}  # loaded, and waiting to be told to start
+        self.engine_links: dict[str, TcpLink] = {}  # "n0>a1": the link from an instance to an engine
+        self.client_links: dict[str, TcpLink] = {}
+        self.source_links: dict[str, TcpLink] = {}
         self.consuls: dict[str, Server] = {}
         self.ports = dict(zip(day.engine_names(), free_ports(len(day.engine_names()), socket.SOCK_STREAM)))  # noqa: B905
         self.listens = free_ports(day.instances, socket.SOCK_STREAM)
-        self.switch = Switch(free_ports(day.instances, socket.SOCK_DGRAM), day.seed)
+        self.switch = DatagramSwitch(free_ports(day.instances, socket.SOCK_DGRAM), day.seed)
         self.machines = Machines(folder)
         self.marks: list[tuple[float, str, str]] = []
-        self.sends: list[Line] = []
+        self.sends: list[LogLine] = []
         self.stalls: list[tuple[float, float]] = []
-        self.beat: asyncio.Task[None] | None = None
+        self.stall_watch: asyncio.Task[None] | None = None
         self.timeline: list[str] = []
         self.faults = Faults(self)
-        self.begun = 0.0
-        self.told: dict[str, Any] = {}
-        self.zygote = Zygote() if forks else None
+        self.started_at = 0.0
+        self.projection: dict[str, Any] = {}
+        self.worker_pool = WorkerPool() if forks else None
 
     # --- processes ---
 
     def _spawn(self, name: str, program: list[str], **streams: Any) -> Process:
-        process = self.processes[name] = self._open(name, program, **streams)
+        process = self.processes[name] = self._start_process(name, program, **streams)
         return process
 
-    def _open(self, name: str, program: list[str], **streams: Any) -> Process:
+    def _start_process(self, name: str, program: list[str], **streams: Any) -> Process:
         guard = [
             sys.executable,
             "-m",
@@ -104,8 +110,8 @@
             sys.executable,
         ]
         with (self.folder / f"{name}.log").open("ab") as log:
-            if self.zygote is not None and program[1] in PROGRAMS:
-                return self.zygote.start(program[1], program[2:], log, bool(streams))
+            if self.worker_pool is not None and program[1] in PROGRAMS:
+                return self.worker_pool.start(program[1], program[2:], log, bool(streams))
             return subprocess.Popen([*guard, *program], stderr=log, **streams)
 
     def prepare(self, name: str) -> None:
@@ -115,19 +121,19 @@
         fleet's own slowness.
         """
         again = any(f.verb == "start" and name in self.day.pick(f.target) for f in self.day.faults)
-        if self.day.state and again and name not in self.ready and self.zygote is None:
+        if self.day.state and again and name not in self.prepared and self.worker_pool is None:
             engine = name in self.ports
             program = [
                 "-m",
                 f"cottonhold.emulator.fault_injection.{'engine' if engine else 'instance'}",
-                WAITS,
+                WAIT_FOR_SETTINGS,
             ]
             stdout = subprocess.PIPE if engine else None  # nobody reads what an instance prints
-            self.ready[name] = self._open(name, program, stdin=subprocess.PIPE, stdout=stdout)
+            self.prepared[name] = self._start_process(name, program, stdin=subprocess.PIPE, stdout=stdout)
 
     def _release(self, name: str, settings: object) -> bool:
         """Start a process that was prepared, if one was."""
-        process = self.ready.pop(name, None)
+        process = self.prepared.pop(name, None)
         if process is None or process.poll() is not None or process.stdin is None:
             return False
         process.stdin.write(json.dumps(settings).encode() + b"\n")
@@ -162,7 +168,7 @@
         machine = json.dumps(self.machines.start(name))
         return ["-m", "cottonhold.emulator.fault_injection.instance", str(path), machine]
 
-    def start_twice(self, name: str) -> None:
+    def start_duplicate(self, name: str) -> None:
         """A second process that takes the same state folder to be its own. Its datagrams reach nobody, since
         they come from no address that was told."""
         other, path = f"{name}-twice", self.folder / f"{name}-twice.json"
@@ -178,7 +184,7 @@
         known = [
             {
                 "id": e,
-                "address": f"127.0.0.1:{self.engines[f'{name}>{e}'].port}",
+                "address": f"127.0.0.1:{self.engine_links[f'{name}>{e}'].port}",
                 "zone": e.rstrip("0123456789"),
             }
             for e in day.engine_names()
@@ -209,7 +215,10 @@
             "sources": [self._source(name)] if day.consul else [],
             "permits": {"cooldown_most_ms": 1000},
             "peers": {"listen": f"127.0.0.1:{self.switch.ports[i]}", "announce": public[i], "all": public},
-            "membership": {"keys": [{"number": 1, "secret": KEY.decode()}], "probe_ms": PROBE_MS},
+            "membership": {
+                "keys": [{"number": 1, "secret": KEY.decode()}],
+                "probe_ms": HEALTH_CHECK_INTERVAL_MS,
+            },
             "status_socket": f"{name}.sock",
         }
         # Keys that only some programs know, so that a day is played on each of them alike.
@@ -226,7 +235,7 @@
         return config
 
     def _source(self, name: str) -> dict[str, Any]:
-        place = f"127.0.0.1:{self.sources[name].port}"
+        place = f"127.0.0.1:{self.source_links[name].port}"
         guard = {"quiet_ms": 1, "quiet_most_ms": 1, "jitter": 0}
         return {"kind": "consul", "name": "dc1", "addresses": [place], "service": "engine", "guard": guard}
 
@@ -235,15 +244,15 @@
         for i, name in enumerate(self.day.instance_names() if self.day.consul else []):
             server = self.consuls[name] = Server()
             for engine in self.day.engine_names():
-                place = f"127.0.0.1:{self.engines[f'{name}>{engine}'].port}"
+                place = f"127.0.0.1:{self.engine_links[f'{name}>{engine}'].port}"
                 server.add_engine(engine, place, zone=engine.rstrip("0123456789"), machine_type="std")
             port = await server.start("127.0.0.1", 0)
-            self.sources[name] = TcpLink(("127.0.0.1", port), self.day.seed + 2000 + i)
-            await self.sources[name].start()
+            self.source_links[name] = TcpLink(("127.0.0.1", port), self.day.seed + 2000 + i)
+            await self.source_links[name].start()
 
-    def end(self) -> None:
+    def kill_all(self) -> None:
         """Kill what was started and is still there."""
-        processes = [*self.processes.values(), *self.ready.values()]
+        processes = [*self.processes.values(), *self.prepared.values()]
         for process in processes:
             if process.poll() is None:
                 process.kill()
@@ -253,12 +262,12 @@
                 if stream is not None:
                     with contextlib.suppress(OSError):
                         stream.close()
-        if self.zygote is not None:
-            self.zygote.close()
+        if self.worker_pool is not None:
+            self.worker_pool.close()
 
     # --- a run ---
 
-    async def play(self) -> Result:
+    async def play(self) -> RunResult:
         """The whole day. Raises TrialError."""
         try:
             await self.start()
@@ -266,22 +275,22 @@
             for name, process in self.processes.items():
                 if name.endswith("-twice") and process.poll() is None:
                     self.marks.append((time.monotonic(), "lives", name))
-            views = {name: self.view(name) for name in self.instances_there()}
+            views = {name: self.view(name) for name in self.running_instances()}
         finally:
             await self.close()
         seen = self.ledgers()
-        seen.ownerless = ownerless(self.folder, views.values())
-        result = Result(self.day, self.folder, judge(self.day, seen), self.timeline, views)
+        seen.ownerless = ownerless_times(self.folder, views.values())
+        result = RunResult(self.day, self.folder, check_run(self.day, seen), self.timeline, views)
         kept = {
-            "begun": self.begun,
-            "begun_unix": self.begun + time.time() - time.monotonic(),
+            "begun": self.started_at,
+            "begun_unix": self.started_at + time.time() - time.monotonic(),
             "marks": self.marks,
             "stalls": self.stalls,
             "timeline": self.timeline,
             "verdict": dataclasses.asdict(result.verdict),
             "datagrams": {"passed": self.switch.passed, "lost": self.switch.lost, "bytes": self.switch.bytes},
             "views": views,
-            "told": self.told,
+            "told": self.projection,
             "ownerless": list(seen.ownerless.items()),
         }
         (self.folder / "links.jsonl").write_bytes(
@@ -293,10 +302,10 @@
     async def close(self) -> None:
         """End all that was started, and the links between."""
         self.faults.stop()
-        if self.beat is not None:
-            self.beat.cancel()
-        self.end()
-        for link in (*self.engines.values(), *self.doors.values(), *self.sources.values()):
+        if self.stall_watch is not None:
+            self.stall_watch.cancel()
+        self.kill_all()
+        for link in (*self.engine_links.values(), *self.client_links.values(), *self.source_links.values()):
             await link.stop()
         for server in self.consuls.values():
             await server.stop()
@@ -305,20 +314,20 @@
     async def start(self) -> None:
         """Start everything, and the load once all instances know one another. Raises TrialError."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        (self.folder / "day.json").write_bytes(write(self.day))
-        self.beat = asyncio.create_task(self._watch_stalls())
+        (self.folder / "day.json").write_bytes(encode_scenario(self.day))
+        self.stall_watch = asyncio.create_task(self._watch_stalls())
         day, serial = self.day, 0
         for engine in day.engine_names():
             for instance in day.instance_names():
                 serial += 1
                 target = ("127.0.0.1", self.ports[engine])
-                link = TcpLink(target, day.seed + serial, self._hears(instance, engine))
-                link.link = link_of({}, self.faults.far(instance, engine))
-                self.engines[f"{instance}>{engine}"] = link
+                link = TcpLink(target, day.seed + serial, self._send_recorder(instance, engine))
+                link.link = link_of({}, self.faults.distance_ms(instance, engine))
+                self.engine_links[f"{instance}>{engine}"] = link
                 await link.start()
         await self.switch.start()
         for pair in itertools.permutations(range(day.instances), 2):
-            self.switch.ways[pair] = self.faults.way(*pair, {})
+            self.switch.paths[pair] = self.faults.network_path(*pair, {})
         await self._start_sources()
         for engine in day.engine_names():
             self.start_engine(engine)
@@ -326,19 +335,21 @@
             stdout = self.processes[engine].stdout
             assert stdout is not None
             if not await asyncio.to_thread(stdout.readline):
-                raise TrialError(f"{engine} did not start: {(self.folder / f'{engine}.log').read_text()}")
+                raise ScenarioRunError(
+                    f"{engine} did not start: {(self.folder / f'{engine}.log').read_text()}"
+                )
         for i, name in enumerate(day.instance_names()):
-            self.doors[name] = TcpLink(("127.0.0.1", self.listens[i]), day.seed + 1000 + i)
-            await self.doors[name].start()
+            self.client_links[name] = TcpLink(("127.0.0.1", self.listens[i]), day.seed + 1000 + i)
+            await self.client_links[name].start()
             self.start_instance(name)
         for name in (*day.engine_names(), *day.instance_names()):
             self.prepare(name)
         warm = time.monotonic() + float(day.traits.get("warm", 3000.0)) / 1000
-        await self.until(self.agreed, "all instances know one another")
+        await self.until(self.all_members_alive, "all instances know one another")
         await asyncio.sleep(max(warm - time.monotonic(), 0.0))
-        self.begun = time.monotonic() + 0.5
+        self.started_at = time.monotonic() + 0.5
         load = {
-            "ports": [door.port for door in self.doors.values()],
+            "ports": [door.port for door in self.client_links.values()],
             "rate": day.rate,
             "seconds": day.seconds,
             "kinds": [dataclasses.asdict(k) for k in day.kinds],
@@ -356,13 +367,13 @@
         clients = self._spawn("clients", program, stdout=subprocess.PIPE)
         assert clients.stdout is not None
         await asyncio.to_thread(clients.stdout.readline)
-        self.begun = time.monotonic()
+        self.started_at = time.monotonic()
 
     async def _run(self) -> None:
         day = self.day
         faults = sorted(day.faults, key=lambda f: f.at)
         longest = day.seconds + max(k.patience for k in day.kinds) / 1000 + 5.0
-        while (now := time.monotonic() - self.begun) < longest:
+        while (now := time.monotonic() - self.started_at) < longest:
             while faults and faults[0].at <= now:
                 fault = faults.pop(0)
                 self.timeline.append(str(fault))
@@ -370,8 +381,8 @@
                 await self.apply(fault)
             if self.processes["clients"].poll() is not None and not faults:
                 return
-            if day.homes and not self.told and day.out - TOLD_S <= now < day.out:
-                self.told = await asyncio.to_thread(self._outlook)
+            if day.homes and not self.projection and day.out - PROJECTION_LEAD_S <= now < day.out:
+                self.projection = await asyncio.to_thread(self._projected_costs)
             self.progress(min(now / day.seconds, 1.0), "")
             await asyncio.sleep(min(faults[0].at - now, 0.1) if faults else 0.1)
 
@@ -379,17 +390,17 @@
         """Note when this loop stood still: on a busy machine links see late, and in no order, what was
         done."""
         while True:
-            due = time.monotonic() + BEAT_S
-            await asyncio.sleep(BEAT_S)
-            if (now := time.monotonic()) > due + STALL_S:
+            due = time.monotonic() + STALL_CHECK_INTERVAL_S
+            await asyncio.sleep(STALL_CHECK_INTERVAL_S)
+            if (now := time.monotonic()) > due + MIN_STALL_S:
                 self.stalls.append((due, now))
 
-    async def until(self, holds: Callable[[], bool], what: str, seconds: float = START_S) -> None:
+    async def until(self, holds: Callable[[], bool], what: str, seconds: float = START_TIMEOUT_S) -> None:
         """Wait for a state. Raises TrialError if it doesn't come."""
         end = time.monotonic() + seconds
         while not await asyncio.to_thread(holds):
             if time.monotonic() > end:
-                raise TrialError(f"{what}: not within {seconds:g} s (logs in {self.folder})")
+                raise ScenarioRunError(f"{what}: not within {seconds:g} s (logs in {self.folder})")
             await asyncio.sleep(0.05)
 
     def view(self, name: str) -> dict[str, Any]:
@@ -399,19 +410,19 @@
         except (OSError, ValueError):
             return {}
 
-    def _outlook(self) -> dict[str, Any]:
+    def _projected_costs(self) -> dict[str, Any]:
         """What the first instance that has a plan tells of each zone's loss."""
-        views = (self.view(name).get("outlook") for name in self.instances_there())
+        views = (self.view(name).get("outlook") for name in self.running_instances())
         return next((dict(view) for view in views if view), {})
 
-    def instances_there(self) -> list[str]:
+    def running_instances(self) -> list[str]:
         """Those that run and don't stand still."""
         stopped = {name for _, verb, name in self.marks if verb == "stop"}
         stopped -= {name for _, verb, name in self.marks if verb == "go"}
         names = self.day.instance_names()
         return [n for n in names if n not in stopped and self.processes[n].poll() is None]
 
-    def agreed(self) -> bool:
+    def all_members_alive(self) -> bool:
         """Whether all instances see all of them."""
         names = set(self.day.instance_names())
         for name in names:
@@ -420,21 +431,23 @@
                 return False
         return True
 
-    def _hears(self, instance: str, engine: str) -> Callable[[str, str], None]:
+    def _send_recorder(self, instance: str, engine: str) -> Callable[[str, str], None]:
         return lambda what, ref: self.sends.append([time.monotonic(), what, ref, instance, engine])
 
-    def ledgers(self) -> Ledgers:
+    def ledgers(self) -> RunLogs:
         """What engines, clients and links have seen so far."""
-        engines = {name: _lines(self.folder / f"{name}.jsonl") for name in self.day.engine_names()}
-        clients = _lines(self.folder / "clients.jsonl")
-        return Ledgers(engines, clients, self.begun, self.marks, self.sends, self.stalls, self.told)
+        engines = {name: _read_log(self.folder / f"{name}.jsonl") for name in self.day.engine_names()}
+        clients = _read_log(self.folder / "clients.jsonl")
+        return RunLogs(
+            engines, clients, self.started_at, self.marks, self.sends, self.stalls, self.projection
+        )
 
     async def apply(self, fault: Fault) -> None:
         """Carry one fault out."""
         await self.faults.apply(fault)
 
 
-def _lines(path: Path) -> list[Line]:
+def _read_log(path: Path) -> list[LogLine]:
     if not path.exists():
         return []
     lines = []
@@ -444,11 +457,11 @@
     return lines
 
 
-def ownerless(folder: Path, views: Iterable[Mapping[str, Any]]) -> dict[float, int]:
+def ownerless_times(folder: Path, views: Iterable[Mapping[str, Any]]) -> dict[float, int]:
     """How long keys that were moved had no owner: of lives that ended by order, and of those still there."""
     told = [str(view.get("pins", {}).get("ownerless", "")) for view in views]
     for log in sorted(folder.glob("n*.log")):
-        told += [row.decode() for row in LAST_WORD.findall(log.read_bytes())]
+        told += [row.decode() for row in FINAL_OWNERLESS_LOG.findall(log.read_bytes())]
     sums: dict[float, int] = {}
     for row in filter(None, told):
         for step, count in (part.split(":") for part in row.split(",")):
@@ -457,21 +470,24 @@
     return dict(sorted(sums.items()))
 
 
-def judge_again(folder: Path) -> Verdict:
+def recheck_run(folder: Path) -> Verdict:
     """The verdict on a run that was kept. Raises OSError, ScriptError and KeyError."""
-    day, kept = read((folder / "day.json").read_bytes()), json.loads((folder / "result.json").read_bytes())
-    engines = {name: _lines(folder / f"{name}.jsonl") for name in day.engine_names()}
+    day, kept = (
+        decode_scenario((folder / "day.json").read_bytes()),
+        json.loads((folder / "result.json").read_bytes()),
+    )
+    engines = {name: _read_log(folder / f"{name}.jsonl") for name in day.engine_names()}
     marks = [(at, verb, name) for at, verb, name in kept["marks"]]
-    links, clients = _lines(folder / "links.jsonl"), _lines(folder / "clients.jsonl")
+    links, clients = _read_log(folder / "links.jsonl"), _read_log(folder / "clients.jsonl")
     stalls = [(begin, end) for begin, end in kept.get("stalls", [])]
     told, apart = kept.get("told", {}), dict(kept.get("ownerless", []))
-    return judge(day, Ledgers(engines, clients, kept["begun"], marks, links, stalls, told, apart))
+    return check_run(day, RunLogs(engines, clients, kept["begun"], marks, links, stalls, told, apart))
 
 
-def play(day: Day, folder: Path, progress: Progress = lambda share, text: None) -> Result:
+def play(day: Scenario, folder: Path, progress: Progress = lambda share, text: None) -> RunResult:
     """Play a day. Raises TrialError and ScriptError."""
-    trial = Trial(day, folder, progress, forks=day.state)
+    trial = ScenarioRun(day, folder, progress, forks=day.state)
     try:
         return uvloop.run(trial.play())
     finally:
-        trial.end()
+        trial.kill_all()
--- a/cottonhold/emulator/fault_injection/instance.py
+++ b/cottonhold/emulator/fault_injection/instance.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from cottonhold.emulator.fault_injection.parent_death_signal import WAITS, told
+from cottonhold.emulator.fault_injection.parent_death_signal import WAIT_FOR_SETTINGS, read_settings
 
 
 def shift(offset_s: float) -> None:
@@ -70,11 +70,11 @@
     ):
         if util.find_spec(name.rpartition(".")[0]) and util.find_spec(name):
             import_module(name)
-    words = told()
+    words = read_settings()
     return main(*json.loads(words)) if words else 0
 
 
 if __name__ == "__main__":
-    if sys.argv[1] == WAITS:
+    if sys.argv[1] == WAIT_FOR_SETTINGS:
         sys.exit(wait())
     sys.exit(main(sys.argv[1], json.loads(sys.argv[2]) if len(sys.argv) > 2 else {}))
--- a/cottonhold/emulator/fault_injection/links.py
+++ b/cottonhold/emulator/fault_injection/links.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Way:
+class NetworkPath:
     """One direction of a link. `cut`: bytes wait, datagrams are lost. `loss`, `twice`: shares of datagrams.
     `slow`: bytes a second, 0 without a limit."""
 
@@ -47,13 +47,13 @@
     """Both directions of a TCP link, and what happens to connects. `refuse`: nobody listens. `reset`: each
     connection is reset as soon as it is up."""
 
-    forth: Way = field(default_factory=Way)
-    back: Way = field(default_factory=Way)
+    forth: NetworkPath = field(default_factory=NetworkPath)
+    back: NetworkPath = field(default_factory=NetworkPath)
     refuse: bool = False
     reset: bool = False
 
 
-class Ear:
+class RequestObserver:
     """Reads along on one connection to an engine: what is sent, dropped and answered, as the instance did it.
 
     An engine that stood still sees late, and all at once, what was sent to it long before.
@@ -63,7 +63,7 @@
         self.note, self.open = note, set[bytes]()
         self.forth, self.back = RespReader(), RespReader()
 
-    def hear(self, data: bytes, reader: RespReader) -> None:
+    def receive(self, data: bytes, reader: RespReader) -> None:
         """Bytes of one direction."""
         with contextlib.suppress(RespError):
             for words in reader.feed(data):
@@ -124,7 +124,7 @@
         self.connects += 1
         self.writers.add(writer)
         there: asyncio.StreamWriter | None = None
-        ear = Ear(self.note) if self.note is not None else None
+        ear = RequestObserver(self.note) if self.note is not None else None
         try:
             if self.link.reset:
                 _reset(writer)
@@ -134,8 +134,8 @@
             ways = [
                 asyncio.create_task(work)
                 for work in (
-                    *self._way(reader, there, lambda: self.link.forth, ear, forth=True),
-                    *self._way(back, writer, lambda: self.link.back, ear, forth=False),
+                    *self._copy_direction(reader, there, lambda: self.link.forth, ear, forth=True),
+                    *self._copy_direction(back, writer, lambda: self.link.back, ear, forth=False),
                 )
             ]
             try:
@@ -156,12 +156,12 @@
                     self.writers.discard(end)
                     end.close()
 
-    def _way(
+    def _copy_direction(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: Callable[[], Way],
-        ear: Ear | None,
+        way: Callable[[], NetworkPath],
+        ear: RequestObserver | None,
         forth: bool,
     ) -> tuple[Coroutine[None, None, None], Coroutine[None, None, None]]:
         """One direction: what reads (and hears at once, whatever is cut), and what writes when it may."""
@@ -170,7 +170,7 @@
         async def read() -> None:
             while data := await reader.read(CHUNK):
                 if ear is not None:
-                    ear.hear(data, ear.forth if forth else ear.back)
+                    ear.receive(data, ear.forth if forth else ear.back)
                 await held.put((time.monotonic(), data))
             if ear is not None and forth:
                 # Danger: heard only once all before it was written, the end of one attempt came behind the
@@ -204,17 +204,17 @@
 
 
 class _Port(asyncio.DatagramProtocol):
-    def __init__(self, switch: Switch, number: int) -> None:
+    def __init__(self, switch: DatagramSwitch, number: int) -> None:
         self.switch, self.number = switch, number
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.switch.pass_on(addr[1], self.number, data)
+        self.switch.forward(addr[1], self.number, data)
 
     def error_received(self, exc: Exception) -> None:
         """An instance that isn't there: its port is closed."""
 
 
-class Switch:
+class DatagramSwitch:
     """Public addresses of instances, and the ways between them. `ports`: the instances' own UDP ports."""
 
     def __init__(self, ports: list[int], seed: int) -> None:
@@ -222,7 +222,7 @@
         self.numbers = {port: number for number, port in enumerate(ports)}
         self.public: list[asyncio.DatagramTransport] = []
         self.addresses: list[int] = []
-        self.ways: dict[tuple[int, int], Way] = {}
+        self.paths: dict[tuple[int, int], NetworkPath] = {}
         self.passed = self.lost = self.strangers = self.bytes = 0
         self.kept: deque[tuple[int, int, bytes]] = deque(maxlen=2000)  # to be sent once more by a fault
 
@@ -243,18 +243,18 @@
         for transport in self.public:
             transport.close()
 
-    def way(self, sender: int, receiver: int) -> Way:
+    def path(self, sender: int, receiver: int) -> NetworkPath:
         """The way from one instance to another, to be changed in place."""
-        return self.ways.setdefault((sender, receiver), Way())
+        return self.paths.setdefault((sender, receiver), NetworkPath())
 
-    def pass_on(self, port: int, receiver: int, data: bytes) -> None:
+    def forward(self, port: int, receiver: int, data: bytes) -> None:
         """A datagram that came to an instance's public address."""
         sender = self.numbers.get(port)
         if sender is None:
             self.strangers += 1
             return
         self.kept.append((sender, receiver, data))
-        way = self.way(sender, receiver)
+        way = self.path(sender, receiver)
         if way.cut or self.draw.random() < way.loss:
             self.lost += 1
             return
--- a/cottonhold/emulator/fault_injection/machines.py
+++ b/cottonhold/emulator/fault_injection/machines.py
@@ -63,31 +63,31 @@
         new.write_text(json.dumps(DISKS[state] | orders))
         new.replace(self.disk(name))
 
-    def keep(self, name: str) -> None:
+    def save_folder(self, name: str) -> None:
         """Copy the folder as it is, like a backup of a machine that goes on."""
         shutil.rmtree(self._copy(name), ignore_errors=True)
         if self.state(name).is_dir():
             shutil.copytree(self.state(name), self._copy(name))
 
-    def empty(self, name: str) -> None:
+    def empty_folder(self, name: str) -> None:
         """A new disk."""
         shutil.rmtree(self.state(name), ignore_errors=True)
         self.state(name).mkdir()
 
-    def old(self, name: str) -> None:
+    def restore_old_folder(self, name: str) -> None:
         """The copy is put back; without one the folder stays."""
         if self._copy(name).is_dir():
             shutil.rmtree(self.state(name), ignore_errors=True)
             shutil.copytree(self._copy(name), self.state(name))
 
-    def carry_out(self, verb: str, name: str, words: dict[str, Any]) -> None:
+    def apply(self, verb: str, name: str, words: dict[str, Any]) -> None:
         """A fault of a day."""
         if verb == "disk":
             self.set_disk(name, words["state"])
         elif verb == "clock":
             self.clocks[name] = float(words.get("offset_s", 0.0))
         else:
-            {"keep": self.keep, "empty": self.empty, "old": self.old}[verb](name)
+            {"keep": self.save_folder, "empty": self.empty_folder, "old": self.restore_old_folder}[verb](name)
 
     def _copy(self, name: str) -> Path:
         return self.folder / f"{name}.kept"
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -11,18 +11,18 @@
 from cottonhold.node.status import ask
 
 if TYPE_CHECKING:
-    from cottonhold.emulator.fault_injection.harness import Trial
+    from cottonhold.emulator.fault_injection.harness import ScenarioRun
 
-LOOK_S = 0.2  # between two looks at the views
-ASK_S = 1.0  # until one that could not be asked is asked again
-TRIES = 10
+POLL_INTERVAL_S = 0.2  # between two looks at the views
+RETRY_INTERVAL_S = 1.0  # until one that could not be asked is asked again
+MAX_ATTEMPTS = 10
 
 
 class Operators:
     """One request, at one instance. words: those of the call, where `machines` may be a pattern of instances;
     `gone`: seconds for which an instance is away; `empty`: it comes back with an empty folder."""
 
-    def __init__(self, trial: Trial, at: str, words: dict[str, Any]) -> None:
+    def __init__(self, trial: ScenarioRun, at: str, words: dict[str, Any]) -> None:
         self.trial, self.at = trial, at
         self.gone, self.empty = float(words.get("gone", 1.5)), bool(words.get("empty"))
         self.words = {word: value for word, value in words.items() if word not in ("gone", "empty")}
@@ -32,10 +32,10 @@
 
     async def run(self) -> None:
         """Ask, then look and change until all of it is over."""
-        if not await self._ask():
+        if not await self._request_replacement():
             return
         while self.left:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             for name, row in (await self._rows()).items():
                 engine = name in self.trial.ports
                 if name in self.left and (row["ready"] if engine else row["step"] == "out"):
@@ -43,9 +43,9 @@
                     await (self._change(name) if engine else self._replace(name))
         self.trial.marks.append((time.monotonic(), "swapped", "*"))
 
-    async def _ask(self) -> bool:
+    async def _request_replacement(self) -> bool:
         call = {"call": "swap", "who": "rig", **self.words}
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             with contextlib.suppress(OSError, ValueError):
                 path = self.trial.folder / f"{self.at}.sock"
                 answer: dict[str, Any] = await asyncio.to_thread(ask, path, call)
@@ -54,7 +54,7 @@
                 self.trial.timeline.append(f"swap asked at {self.at}: {said}")
                 self.left = {name for row in call["machines"] for name in self._named(row)}
                 return "error" not in answer
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return False
 
     def _named(self, row: dict[str, Any]) -> list[str]:
@@ -71,7 +71,7 @@
     async def _rows(self) -> dict[str, dict[str, Any]]:
         """What any instance tells of each machine's swap; one that says that it is out comes first."""
         found: dict[str, dict[str, Any]] = {}
-        for name in self.trial.instances_there():
+        for name in self.trial.running_instances():
             view = await asyncio.to_thread(self.trial.view, name)
             for row in view.get("swap", {}).get("machines", []):
                 if row["machine"] not in found or row["ready"] or row.get("away"):
@@ -83,6 +83,6 @@
         await self.trial.apply(Fault(0.0, "power", engine))
         self.trial.timeline.append(f"{engine} is taken out")
         while not (await self._rows()).get(engine, {}).get("away", True):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         await self.trial.apply(Fault(0.0, "start", engine))
         self.trial.timeline.append(f"{engine} is in place")
--- a/cottonhold/emulator/fault_injection/parent_death_signal.py
+++ b/cottonhold/emulator/fault_injection/parent_death_signal.py
@@ -11,10 +11,10 @@
 import sys
 
 PR_SET_PDEATHSIG = 1
-WAITS = "--waits"  # in place of its settings: a process is told them later, once all is loaded
+WAIT_FOR_SETTINGS = "--waits"  # in place of its settings: a process is told them later, once all is loaded
 
 
-def told() -> str:
+def read_settings() -> str:
     """One line of standard input; empty at its end. Byte by byte, since what follows is somebody else's."""
     line = b""
     while (byte := os.read(0, 1)) and byte != b"\n":
--- a/cottonhold/emulator/fault_injection/power_losses.py
+++ b/cottonhold/emulator/fault_injection/power_losses.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cottonhold.emulator.fault_injection.event_log import ENDS, Line
+from cottonhold.emulator.fault_injection.event_log import REQUEST_ENDS, LogLine
 
 SENT_BEFORE = "was sent before"  # how an instance says that it didn't send a retry
 
 
-class When(Enum):
+class PowerLossMoment(Enum):
     """When power goes: ANY, while loads are served; FSYNC, the same with all disks stalled in a sync; START,
     right after instances were told to start; RECOVERY, after the first of them is there."""
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Cut:
+class PowerLoss:
     """One power loss and the return after it. wait: after the moment that `when` means; stalled: so long the
     disks hung in a sync before it. dark: until anything is back. order, gaps: instances that come back, and
     the time before each. engines: when they are back, counted from the first instance. away: those that
@@ -39,7 +39,7 @@
     to the disks all the same. rest: this cut waits until a whole hold has passed."""
 
     number: int
-    when: When
+    when: PowerLossMoment
     wait: float
     stalled: float
     dark: float
@@ -66,7 +66,7 @@
         return ", ".join(parts)
 
 
-class Draw:
+class PowerLossDraw:
     """Draws the cuts of one fleet, one after another. At most one folder is wrong at a time: where nobody is
     up who remembers more, several old folders can't be told (docs/design/power-loss.md)."""
 
@@ -76,12 +76,12 @@
         self.kept: tuple[str, int] | None = None  # whose folder was copied, and so many cuts ago
         self.wrong: tuple[str, int] | None = None  # whose folder is, and so many cuts until all rest
 
-    def cuts(self, count: int) -> Iterator[Cut]:
+    def cuts(self, count: int) -> Iterator[PowerLoss]:
         """So many."""
         for number in range(1, count + 1):
             yield self._cut(number)
 
-    def _cut(self, number: int) -> Cut:
+    def _cut(self, number: int) -> PowerLoss:
         draw = self.random
         self.away = {name: left - 1 for name, left in self.away.items() if left > 1}
         rest = self.wrong is not None and self.wrong[1] == 0
@@ -99,13 +99,18 @@
         clocks: tuple[tuple[str, float], ...] = ()
         if draw.random() < 0.1:
             clocks = ((draw.choice(back), draw.choice((-94e6, -3600.0, 86400.0, 31e6))),)
-        when = draw.choices(list(When), (4, 3, 1, 2))[0]
-        most = {When.ANY: 1.5, When.FSYNC: 1.0, When.START: 0.4, When.RECOVERY: 1.2}[when]
-        return Cut(
+        when = draw.choices(list(PowerLossMoment), (4, 3, 1, 2))[0]
+        most = {
+            PowerLossMoment.ANY: 1.5,
+            PowerLossMoment.FSYNC: 1.0,
+            PowerLossMoment.START: 0.4,
+            PowerLossMoment.RECOVERY: 1.2,
+        }[when]
+        return PowerLoss(
             number,
             when,
             draw.uniform(0.0, most),
-            draw.uniform(0.03, 0.4) if when is When.FSYNC else 0.0,
+            draw.uniform(0.03, 0.4) if when is PowerLossMoment.FSYNC else 0.0,
             draw.uniform(0.05, 0.6),
             tuple(back),
             self._gaps(len(back)),
@@ -185,7 +190,7 @@
 
 
 @dataclass(slots=True)
-class LoadSeen:
+class ObservedLoad:
     """All that was seen of one load. sends: (time, ref) of what came to engines."""
 
     number: int
@@ -203,17 +208,17 @@
     """Loads as clients and engines saw them, line by line."""
 
     def __init__(self) -> None:
-        self.loads: dict[int, LoadSeen] = {}
+        self.loads: dict[int, ObservedLoad] = {}
         self.tries: dict[str, Try] = {}
-        self.there: dict[tuple[str, str], LoadSeen] = {}  # by engine and ref: what came last
+        self.there: dict[tuple[str, str], ObservedLoad] = {}  # by engine and ref: what came last
         self.running: dict[tuple[str, str], Run] = {}
         self.twice: list[int] = []  # loads that began twice, in the order in which that was seen
 
-    def load(self, number: int) -> LoadSeen:
+    def load(self, number: int) -> ObservedLoad:
         """What is known of a load."""
-        return self.loads.setdefault(number, LoadSeen(number))
+        return self.loads.setdefault(number, ObservedLoad(number))
 
-    def clients(self, lines: Iterable[Line]) -> None:
+    def clients(self, lines: Iterable[LogLine]) -> None:
         """New lines of the clients."""
         for at, what, ref, *more in lines:
             if what == "ask" and more[0] == "load":
@@ -221,11 +226,11 @@
                 self.load(more[3]).tries.append(one)
             elif what == "sent" and ref in self.tries:
                 self.tries[ref].sent = at
-            elif what in ENDS and ref in self.tries:
+            elif what in REQUEST_ENDS and ref in self.tries:
                 one = self.tries[ref]
                 one.ended, one.word, one.text = at, what, more[0] if more else ""
 
-    def engine(self, name: str, lines: Iterable[Line]) -> None:
+    def engine(self, name: str, lines: Iterable[LogLine]) -> None:
         """New lines of an engine."""
         for at, what, ref, *more in lines:
             place = name, ref
@@ -252,7 +257,7 @@
 
 
 @dataclass(slots=True)
-class CutSeen:
+class ObservedPowerLoss:
     """What one power loss met: loads whose clients waited, those that ran at an engine, those that had begun
     (and maybe ended) while their client had heard nothing; and what retries were told until the next one."""
 
@@ -262,9 +267,9 @@
     told: Counter[str] = field(default_factory=Counter)
 
 
-def seen_at(tally: Tally, at: float, until: float = math.inf) -> CutSeen:
+def seen_at(tally: Tally, at: float, until: float = math.inf) -> ObservedPowerLoss:
     """What the power loss at a time met. until: the next one."""
-    found = CutSeen()
+    found = ObservedPowerLoss()
     for load in tally.loads.values():
         out = any(t.at <= at < t.ended for t in load.tries)
         found.in_flight += out
@@ -292,7 +297,7 @@
     ]
 
 
-def timeline(load: LoadSeen, begun: float, marks: Iterable[tuple[float, str, str]]) -> list[str]:
+def timeline(load: ObservedLoad, begun: float, marks: Iterable[tuple[float, str, str]]) -> list[str]:
     """A load's story by its number, one line each, with what was killed and started meanwhile."""
     rows = [(t.at, f"asked at n{t.instance}, ref {t.ref}, try {t.number}") for t in load.tries]
     rows += [(t.ended, f"ref {t.ref} at n{t.instance}: {t.word} '{t.text}'") for t in load.tries if t.word]
--- a/cottonhold/emulator/fault_injection/projection_check.py
+++ b/cottonhold/emulator/fault_injection/projection_check.py
@@ -9,18 +9,21 @@
 import math
 from collections.abc import Mapping, Sequence
 
-from cottonhold.emulator.fault_injection.event_log import BIN, Asked, Execution, Ledgers, Verdict
-from cottonhold.emulator.fault_injection.script import Day
-from cottonhold.emulator.fault_injection.zone_distances import apart, zone_of
+from cottonhold.emulator.fault_injection.event_log import BIN_S, Execution, RequestLog, RunLogs, Verdict
+from cottonhold.emulator.fault_injection.script import Scenario
+from cottonhold.emulator.fault_injection.zone_distances import distance_ms, zone_of
 
 # In s after the fault: what broke with the zone has been asked again, and the fleet has left it. The plan
 # counts cold work for five seconds.
 BEGIN, LAST = 1.0, 5.0
-WORTH_OFF, PART_OFF = 0.05, 0.25  # the limits: of the worth as it is, of the others as a part of what came
+UTILITY_TOLERANCE, PART_OFF = (
+    0.05,
+    0.25,
+)  # the limits: of the worth as it is, of the others as a part of what came
 Way = Mapping[tuple[str, str], tuple[float, float]]  # by home and zone: work in cores, ms there and back
 
 
-def foretold(day: Day) -> bool:
+def has_projection(day: Scenario) -> bool:
     """Whether the day is one that a row of the outlook tells of: the zone's engines are lost, no others."""
     lost = {
         name
@@ -32,10 +35,10 @@
     return bool(day.out) and lost == set(day.pick(day.zone)) and not others
 
 
-def weigh_foretold(
-    day: Day,
-    seen: Ledgers,
-    asks: Mapping[str, Asked],
+def measure_projection(
+    day: Scenario,
+    seen: RunLogs,
+    asks: Mapping[str, RequestLog],
     runs: Mapping[str, Sequence[Execution]],
     verdict: Verdict,
 ) -> None:
@@ -43,7 +46,7 @@
     of the work that moved) and extra (cores of cold work more than before). off_added, off_extra: as parts
     of what came. Needs the series of worth asked for."""
     row = seen.told.get(day.zone)
-    if not row or not foretold(day):
+    if not row or not has_projection(day):
         return
     cost, fault = row["cost"], seen.begun + day.out
     told = {
@@ -64,10 +67,10 @@
         verdict.figures[f"off_{name}"] = off if name == "worth" else off / max(abs(came[name]), 1e-9)
 
 
-def missed(verdict: Verdict) -> list[str]:
+def missed_projections(verdict: Verdict) -> list[str]:
     """What was foretold and is off by more than its limit."""
     found = []
-    for name, limit in (("worth", WORTH_OFF), ("added", PART_OFF), ("extra", PART_OFF)):
+    for name, limit in (("worth", UTILITY_TOLERANCE), ("added", PART_OFF), ("extra", PART_OFF)):
         off = verdict.figures.get(f"off_{name}", 0.0)
         if not off <= limit:
             told, came = verdict.figures[f"told_{name}"], verdict.figures[f"came_{name}"]
@@ -77,12 +80,16 @@
 
 def _share(verdict: Verdict, begin: float, end: float) -> float:
     asked, served = verdict.series["worth asked"], verdict.series["worth of asked"]
-    b, e = int(begin / BIN), int(end / BIN)
+    b, e = int(begin / BIN_S), int(end / BIN_S)
     return sum(served[b:e]) / max(sum(asked[b:e]), 1e-9)
 
 
 def _ways(
-    day: Day, asks: Mapping[str, Asked], runs: Mapping[str, Sequence[Execution]], begin: float, end: float
+    day: Scenario,
+    asks: Mapping[str, RequestLog],
+    runs: Mapping[str, Sequence[Execution]],
+    begin: float,
+    end: float,
 ) -> Way:
     """What was served of what ended in a time, by home and zone."""
     found: dict[tuple[str, str], tuple[float, float]] = {}
@@ -90,7 +97,7 @@
         if ask.word == "served" and begin <= ask.ended < end:
             home, met, made = ask.home or day.homes[ask.instance], day.homes[ask.instance], zone_of(ask.text)
             work = math.fsum(r.work for r in runs.get(ref, ()) if r.engine == ask.text and r.how == "done")
-            way = 2 * (apart(day.distance, home, met) + apart(day.distance, met, made))
+            way = 2 * (distance_ms(day.distance, home, met) + distance_ms(day.distance, met, made))
             sums = found.get((home, made), (0.0, 0.0))
             found[home, made] = sums[0] + work, sums[1] + work * way
     per = 1000 * (end - begin)
@@ -110,7 +117,7 @@
     return sums / max(moved, 1e-9)
 
 
-def _cold(day: Day, runs: Mapping[str, Sequence[Execution]], begin: float, end: float) -> float:
+def _cold(day: Scenario, runs: Mapping[str, Sequence[Execution]], begin: float, end: float) -> float:
     """Cores of work on cold data sets on top."""
     extra = float(day.traits.get("set_cold", 1.0)) - 1.0
     work = math.fsum(r.work for found in runs.values() for r in found if r.cold and begin <= r.began < end)
--- a/cottonhold/emulator/fault_injection/recovery_quality.py
+++ b/cottonhold/emulator/fault_injection/recovery_quality.py
@@ -6,28 +6,28 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
 
-from cottonhold.emulator.fault_injection.engine import slower_cold
-from cottonhold.emulator.fault_injection.event_log import BIN, Asked, Ledgers, Line, Verdict
-from cottonhold.emulator.fault_injection.script import Day
+from cottonhold.emulator.fault_injection.engine import cold_slowdown
+from cottonhold.emulator.fault_injection.event_log import BIN_S, LogLine, RequestLog, RunLogs, Verdict
+from cottonhold.emulator.fault_injection.script import Scenario
 
-TOLD_S = 12  # so many seconds from the return on are told one by one
-ENOUGH = 10  # tries of a class in a second, for an instance to be compared in it
-ENOUGH_OVERALL = 50
+REPORTED_SECONDS = 12  # so many seconds from the return on are told one by one
+MIN_REQUESTS = 10  # tries of a class in a second, for an instance to be compared in it
+MIN_REQUESTS_OVERALL = 50
 SETTLED_S = 3.0  # from the last start, and from when the engines are warm
 Tries = dict[tuple[str, int], dict[int, Counter[str]]]  # by class and second, by instance: the ends
 
 
-def weigh_return(day: Day, seen: Ledgers, asks: Mapping[str, Asked], verdict: Verdict) -> None:
+def measure_recovery(day: Scenario, seen: RunLogs, asks: Mapping[str, RequestLog], verdict: Verdict) -> None:
     """Figures `return_*`: shares of the worth of all that clients first asked for in a time, also where they
     met nobody, and (`_of_most`) of what of that the engines could have done, cold as they are.
 
     unlike_*: the largest difference between instances in what became of equal requests: over the whole return
     (`unlike_error`: its standard error), by class, and in any one second.
     """
-    most = verdict.series["worth possible"] = possible(day, seen, asks, verdict.series["capacity"])
+    most = verdict.series["worth possible"] = possible_utility(day, seen, asks, verdict.series["capacity"])
     served, asked = verdict.series["worth of asked"], verdict.series["worth asked"]
     warm = day.returns + float(day.traits.get("warm", 3000.0)) / 1000
-    spans = {f"{s}s": (day.returns + s, day.returns + s + 1) for s in range(TOLD_S)}
+    spans = {f"{s}s": (day.returns + s, day.returns + s + 1) for s in range(REPORTED_SECONDS)}
     spans |= {
         "first_3s": (day.returns, day.returns + 3.0),
         "ramp": (day.returns, warm + 1.0),
@@ -35,7 +35,7 @@
     }
     for name, (begin, end) in spans.items():
         if end <= day.seconds:
-            b, e = int(begin / BIN), int(end / BIN)
+            b, e = int(begin / BIN_S), int(end / BIN_S)
             verdict.figures[f"return_{name}"] = _ratio(served[b:e], asked[b:e])
             verdict.figures[f"return_{name}_of_most"] = _ratio(served[b:e], most[b:e])
     since = [a for a in asks.values() if a.at - seen.begun >= day.returns]
@@ -48,13 +48,15 @@
     verdict.figures |= {f"unlike_return_{name}": found[0] for name, found in apart.items()}
     verdict.figures["unlike_return"], verdict.figures["unlike_error"] = max(apart.values())
     verdict.figures["unlike_second"] = max((_unlike_now(by) for by in tries.values()), default=0.0)
-    sums = [_most_of_budget(day, lines) for lines in seen.engines.values()]
+    sums = [_max_budget_use(day, lines) for lines in seen.engines.values()]
     verdict.figures["budget_most"] = max(sums, default=0.0)
     tipped = sum(line[1] == "tipped" for lines in seen.engines.values() for line in lines)
     verdict.figures["engines_pushed_over"] = float(tipped)
 
 
-def possible(day: Day, seen: Ledgers, asks: Mapping[str, Asked], capacity: Sequence[float]) -> list[float]:
+def possible_utility(
+    day: Scenario, seen: RunLogs, asks: Mapping[str, RequestLog], capacity: Sequence[float]
+) -> list[float]:
     """The most worth that engines of such a capacity (ms of work, by step) could have served, by when clients
     asked first: dearest a ms first, each at any time within its patience.
 
@@ -66,11 +68,11 @@
     for ask in asks.values():
         if ask.client not in met:
             met.add(ask.client)
-            offered[ask.kind][min(int((ask.at - seen.begun) / BIN), len(room) - 1)] += 1
+            offered[ask.kind][min(int((ask.at - seen.begun) / BIN_S), len(room) - 1)] += 1
     for kind in sorted(day.kinds, key=lambda k: -day.worth[k.name] / k.effort):
         for b, count in sorted(offered[kind.name].items()):
             need = count * kind.effort
-            for later in range(b, min(b + 1 + int(kind.patience / 1000 / BIN), len(room))):
+            for later in range(b, min(b + 1 + int(kind.patience / 1000 / BIN_S), len(room))):
                 took = min(need, room[later])
                 room[later] -= took
                 need -= took
@@ -82,7 +84,7 @@
     return sum(got) / sum(of) if sum(of) else 1.0
 
 
-def _tries(since: Iterable[Asked], begun: float, until: float) -> Tries:
+def _tries(since: Iterable[RequestLog], begun: float, until: float) -> Tries:
     """Every try that reached an instance, until all have settled."""
     tries: Tries = defaultdict(lambda: defaultdict(Counter))
     for ask in since:
@@ -92,7 +94,7 @@
 
 
 def _unlike_now(by_instance: Mapping[int, Counter[str]]) -> float:
-    shares = [n["served"] / n.total() for n in by_instance.values() if n.total() >= ENOUGH]
+    shares = [n["served"] / n.total() for n in by_instance.values() if n.total() >= MIN_REQUESTS]
     return max(shares) - min(shares) if shares else 0.0
 
 
@@ -110,14 +112,14 @@
                 above[i] += ends["served"] - share * ends.total()
                 count[i] += ends.total()
                 spread[i] += share * (1 - share) * ends.total()
-    rest = sorted((above[i] / n, spread[i] / n**2) for i, n in count.items() if n >= ENOUGH_OVERALL)
+    rest = sorted((above[i] / n, spread[i] / n**2) for i, n in count.items() if n >= MIN_REQUESTS_OVERALL)
     if not rest:
         return 0.0, 0.0
     (low, one), (high, other) = rest[0], rest[-1]
     return high - low, math.sqrt(one + other)
 
 
-def _most_of_budget(day: Day, lines: Iterable[Line]) -> float:
+def _max_budget_use(day: Scenario, lines: Iterable[LogLine]) -> float:
     """The most work that came to an engine within its window while it was cold, against what tips it over
     then."""
     tip, window = float(day.traits.get("tip", 0.0)), float(day.traits.get("tip_window", 1000.0)) / 1000
@@ -128,6 +130,6 @@
             started, came = at, []
         elif what == "get" and at - started < warm:
             came = [(t, w) for t, w in came if t >= at - window] + [(at, float(more[3]))]
-            bears = tip * cold / slower_cold((at - started) * 1000, cold, warm * 1000)
+            bears = tip * cold / cold_slowdown((at - started) * 1000, cold, warm * 1000)
             most = max(most, sum(w for _, w in came) / bears)
     return most
--- a/cottonhold/emulator/fault_injection/recovery_scenarios.py
+++ b/cottonhold/emulator/fault_injection/recovery_scenarios.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from cottonhold.emulator.fault_injection.clients import Kind, Manner
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 GONE, POWER = 6.0, 8.0
 APART = 0.5  # from one instance's start to the next one's
@@ -26,7 +26,7 @@
     return tuple(Fault(begin + apart * i, "start", f"n{n}") for i, n in enumerate(numbers))
 
 
-def recover_day(name: str, about: str, *faults: Fault, gone: float = GONE, **fields: Any) -> Day:
+def recovery_scenario(name: str, about: str, *faults: Fault, gone: float = GONE, **fields: Any) -> Scenario:
     """A day on which all lose power, usually at 6 s; what comes back, and when, the faults say."""
     usual: dict[str, Any] = {
         "seconds": 22.0,
@@ -37,7 +37,7 @@
         "returns": POWER,
     }
     first = Fault(gone, "power", "*")
-    return Day(name=name, about=about, faults=(first, *faults), **(usual | fields))
+    return Scenario(name=name, about=about, faults=(first, *faults), **(usual | fields))
 
 
 BACK = Fault(POWER, "start", "e*")
@@ -47,7 +47,7 @@
 HEAVY = tuple(Kind(k.name, k.share, k.patience, 60.0, k.load) for k in KINDS)
 
 
-def again(*cuts: float) -> tuple[Fault, ...]:
+def repeated_power_losses(*cuts: float) -> tuple[Fault, ...]:
     """Power goes at such times too, and is back a second later each time."""
     back = (Fault(at + 1.0, "start", "e*") for at in cuts)
     ones = (fault for at in cuts for fault in starts(begin=at + 1.0))
@@ -58,16 +58,16 @@
     return (BACK, *gone, *back, *kept)
 
 
-DAYS = [
-    recover_day("recover-all", "everything is killed at once and comes back", *ONE_BY_ONE),
-    recover_day(
+SCENARIOS = [
+    recovery_scenario("recover-all", "everything is killed at once and comes back", *ONE_BY_ONE),
+    recovery_scenario(
         "recover-again",
         "power goes again three times while all come back",
-        *again(9.5, 12.0, 14.5),
+        *repeated_power_losses(9.5, 12.0, 14.5),
         seconds=28.0,
         returns=15.5,
     ),
-    recover_day(
+    recovery_scenario(
         "recover-half-late",
         "half of the instances come back 20 s after the others",
         BACK,
@@ -75,28 +75,28 @@
         *starts(range(3, 6), POWER + 20.0),
         seconds=36.0,
     ),
-    recover_day(
+    recovery_scenario(
         "recover-emptied", "one comes back with an empty folder", Fault(7.0, "empty", "n2"), *ONE_BY_ONE
     ),
-    recover_day(
+    recovery_scenario(
         "recover-old",
         "one comes back with a copy of its folder that was made while it ran",
         Fault(0.5, "keep", "n2"),  # marks are made and told until power goes, on a busy machine too
         Fault(7.0, "old", "n2"),
         *ONE_BY_ONE,
     ),
-    recover_day(
+    recovery_scenario(
         "recover-twice", "one folder is started twice", *ONE_BY_ONE, Fault(POWER + 1.6, "twice", "n2")
     ),
-    recover_day(
+    recovery_scenario(
         "recover-engines-before",
         "the engines are back 4 s before the instances",
         BACK,
         *starts(begin=POWER + 4.0),
         seconds=26.0,
     ),
-    recover_day("recover-engines-with", "all are back in one instant", Fault(POWER, "start", "*")),
-    recover_day(
+    recovery_scenario("recover-engines-with", "all are back in one instant", Fault(POWER, "start", "*")),
+    recovery_scenario(
         "recover-engines-after",
         "the engines are back 5 s after the first instance",
         *starts(),
@@ -104,7 +104,7 @@
         seconds=27.0,
         returns=POWER + 5.0,
     ),
-    recover_day(
+    recovery_scenario(
         "recover-source-last",
         "the source of the list is back after all others",
         Fault(GONE, "source", "n*", words={"cut": True}),
@@ -113,7 +113,7 @@
         consul=True,
         seconds=26.0,
     ),
-    recover_day(
+    recovery_scenario(
         "recover-zone-dark",
         "a zone's hosts do not come back",
         Fault(POWER, "start", "a"),
@@ -121,7 +121,7 @@
         *starts(range(4)),
         homes=HOMES,
     ),
-    recover_day(
+    recovery_scenario(
         "recover-lossy",
         "30% of datagrams are lost and halves cut while all come back",
         Fault(GONE, "peers", "n*", "n*", {"loss": 0.3}),
@@ -129,7 +129,7 @@
         *ONE_BY_ONE,
         Fault(POWER + 5.0, "peers", "n0-2", "n3-5", {"loss": 0.3}),
     ),
-    recover_day(
+    recovery_scenario(
         "recover-disk-full",
         "one comes back to a full disk, one to a stalled one, one to one that fails later",
         Fault(7.0, "disk", "n1", words={"state": "full"}),
@@ -138,14 +138,14 @@
         Fault(13.0, "disk", "n4", words={"state": "failing"}),
         Fault(16.0, "disk", "n*", words={"state": "well"}),
     ),
-    recover_day(
+    recovery_scenario(
         "recover-clocks",
         "machines come back with clocks that are years off",
         Fault(7.0, "clock", "n0-2", words={"offset_s": -94_000_000.0}),
         Fault(7.0, "clock", "n4", words={"offset_s": 31_000_000.0}),
         *ONE_BY_ONE,
     ),
-    recover_day(
+    recovery_scenario(
         "recover-threefold",
         "clients come back at three times the usual",
         *ONE_BY_ONE,
@@ -154,7 +154,7 @@
         steps=((POWER, 3.0),),
         traits={"work": 60.0, "tip": 1000.0, "tip_window": 1500.0},
     ),
-    recover_day(
+    recovery_scenario(
         "recover-short",
         "a small fleet is killed at once and comes back: for every run of the tests",
         Fault(5.0, "start", "e*"),
--- a/cottonhold/emulator/fault_injection/remote_service_cost.py
+++ b/cottonhold/emulator/fault_injection/remote_service_cost.py
@@ -5,17 +5,17 @@
 import math
 from collections.abc import Callable, Mapping, Sequence
 
-from cottonhold.emulator.fault_injection.event_log import Asked, Execution, Ledgers, Verdict
-from cottonhold.emulator.fault_injection.script import Day
-from cottonhold.emulator.fault_injection.zone_distances import apart, zone_of
+from cottonhold.emulator.fault_injection.event_log import Execution, RequestLog, RunLogs, Verdict
+from cottonhold.emulator.fault_injection.script import Scenario
+from cottonhold.emulator.fault_injection.zone_distances import distance_ms, zone_of
 
 Within = Callable[[float], bool]
 
 
-def weigh_distance(
-    day: Day,
-    seen: Ledgers,
-    asks: Mapping[str, Asked],
+def measure_distance(
+    day: Scenario,
+    seen: RunLogs,
+    asks: Mapping[str, RequestLog],
     runs: Mapping[str, Sequence[Execution]],
     verdict: Verdict,
 ) -> None:
@@ -34,9 +34,9 @@
     extra = float(day.traits.get("set_cold", 1.0)) - 1.0
     for name, within in spans.items():
         some = [a for a in served if within(a.at)]
-        _weigh_way(day, some, name, verdict)
+        _measure_added_latency(day, some, name, verdict)
         for zone in day.zones if name else ():
-            _weigh_way(day, [a for a in some if _home(day, a) == zone], f"{name}_{zone}", verdict)
+            _measure_added_latency(day, [a for a in some if _home(day, a) == zone], f"{name}_{zone}", verdict)
         ran = [r for r in done if within(r.began)]
         cold = [r for r in ran if r.cold]
         work = sum(r.work for r in ran)
@@ -44,15 +44,15 @@
         verdict.figures[f"extra_work{name}"] = extra * sum(r.work for r in cold) / work if work else 0.0
 
 
-def _home(day: Day, ask: Asked) -> str:
+def _home(day: Scenario, ask: RequestLog) -> str:
     return ask.home or day.homes[ask.instance]
 
 
-def _weigh_way(day: Day, served: Sequence[Asked], name: str, verdict: Verdict) -> None:
+def _measure_added_latency(day: Scenario, served: Sequence[RequestLog], name: str, verdict: Verdict) -> None:
     added, away = 0.0, 0
     for ask in served:
         home, met, made = _home(day, ask), day.homes[ask.instance], zone_of(ask.text)
-        added += 2 * (apart(day.distance, home, met) + apart(day.distance, met, made))
+        added += 2 * (distance_ms(day.distance, home, met) + distance_ms(day.distance, met, made))
         away += made != home
     verdict.figures[f"added_ms{name}"] = added / max(len(served), 1)
     verdict.figures[f"away{name}"] = away / max(len(served), 1)
--- a/cottonhold/emulator/fault_injection/replacement_scenarios.py
+++ b/cottonhold/emulator/fault_injection/replacement_scenarios.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from cottonhold.emulator.fault_injection.clients import Kind, Manner
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 FIRST, EACH, GONE = 3.0, 2.5, 1.5
 KINDS = (
@@ -18,7 +18,7 @@
 )
 
 
-def swap_day(name: str, about: str, *faults: Fault, **fields: Any) -> Day:
+def replacement_scenario(name: str, about: str, *faults: Fault, **fields: Any) -> Scenario:
     """A day on which clients ask again for a load whose end they did not hear."""
     usual: dict[str, Any] = {
         "seconds": 22.0,
@@ -28,7 +28,7 @@
         "state": True,
         "weights": (2, 2, 2, 2, 2, 2, 2, 2),
     }
-    return Day(name=name, about=about, faults=faults, **(usual | fields))
+    return Scenario(name=name, about=about, faults=faults, **(usual | fields))
 
 
 def one_by_one(verb: str, *more: str, count: int = 6) -> tuple[Fault, ...]:
@@ -42,16 +42,20 @@
     return tuple(faults)
 
 
-DAYS = [
-    swap_day("swap-none", "the load of a swap without a swap"),
-    swap_day("swap-killed", "instances are killed and started one after another", *one_by_one("kill")),
-    swap_day("swap-ended", "instances are ended and started one after another", *one_by_one("end")),
-    swap_day(
+SCENARIOS = [
+    replacement_scenario("swap-none", "the load of a swap without a swap"),
+    replacement_scenario(
+        "swap-killed", "instances are killed and started one after another", *one_by_one("kill")
+    ),
+    replacement_scenario(
+        "swap-ended", "instances are ended and started one after another", *one_by_one("end")
+    ),
+    replacement_scenario(
         "swap-emptied",
         "new machines: instances come back with empty folders",
         *one_by_one("end", "empty"),
     ),
-    swap_day(
+    replacement_scenario(
         "swap-engines",
         "new engines: they are ended one after another and come back cold",
         *(
@@ -60,7 +64,7 @@
             for begin, verb in ((0.0, "power"), (1.0, "start"))
         ),
     ),
-    swap_day(
+    replacement_scenario(
         "swap-engines-asked",
         "new engines by one request: each is drained first, and comes back cold",
         Fault(FIRST, "swap", "n0", words={"machines": [{"zone": "a"}, {"zone": "b"}, {"zone": "c"}]}),
@@ -69,7 +73,7 @@
         engines=2,
         rate=70.0,
     ),
-    swap_day(
+    replacement_scenario(
         "swap-short",
         "a small fleet is swapped: for every run of the tests",
         *one_by_one("end", count=3),
@@ -78,7 +82,7 @@
         engines=1,
         rate=70.0,
     ),
-    swap_day(
+    replacement_scenario(
         "swap-power",
         "power goes in the middle of a swap",
         *(f for f in one_by_one("end", count=3) if f.at < 9.0),
@@ -86,21 +90,21 @@
         Fault(11.0, "start", "*"),
         returns=11.0,
     ),
-    swap_day(
+    replacement_scenario(
         "swap-stopped",
         "one stands still for 5 s while others are swapped",
         *(f for f in one_by_one("end") if f.target != "n5"),
         Fault(6.0, "stop", "n5"),
         Fault(11.0, "go", "n5"),
     ),
-    swap_day(
+    replacement_scenario(
         "swap-parted",
         "datagrams are cut between halves while instances are swapped, then heal",
         Fault(4.0, "peers", "n0-2", "n3-5", {"cut": True}),
         *one_by_one("end"),
         Fault(12.0, "peers", "n0-2", "n3-5", {"heal": True}),
     ),
-    swap_day(
+    replacement_scenario(
         "swap-lossy",
         "30% of datagrams are lost, some come twice and in disorder, while instances are swapped",
         Fault(0.0, "peers", "n*", "n*", {"loss": 0.3, "twice": 0.2, "jitter": 200}),
@@ -114,18 +118,20 @@
 PINS |= {"instances": 8, "rate": 360.0}
 FEW: dict[str, Any] = {"pins": True, "order_across": True, "keys": 200, "seconds": 60.0}
 FEW |= {"instances": 4, "engines": 1, "rate": 60.0}
-DAYS += [
-    swap_day("swap-pins-none", "the load of a swap with pins, without a swap", **PINS),
-    swap_day("swap-pins", "all are swapped by the fleet's own swap, with pins", SWAPPED, **PINS),
-    swap_day("swap-pins-few-none", "a small fleet with pins, without a swap", **FEW),
-    swap_day("swap-pins-few", "a small fleet is swapped by its own swap, with pins", SWAPPED, **FEW),
-    swap_day(
+SCENARIOS += [
+    replacement_scenario("swap-pins-none", "the load of a swap with pins, without a swap", **PINS),
+    replacement_scenario("swap-pins", "all are swapped by the fleet's own swap, with pins", SWAPPED, **PINS),
+    replacement_scenario("swap-pins-few-none", "a small fleet with pins, without a swap", **FEW),
+    replacement_scenario(
+        "swap-pins-few", "a small fleet is swapped by its own swap, with pins", SWAPPED, **FEW
+    ),
+    replacement_scenario(
         "swap-pins-emptied",
         "a small fleet's machines are swapped for new ones, with nothing in their folders",
         Fault(FIRST, "swap", "n0", words={"machines": "n*", "gone": GONE, "empty": True}),
         **FEW,
     ),
-    swap_day(
+    replacement_scenario(
         "swap-pins-power",
         "power goes in the middle of a swap with pins",
         SWAPPED,
--- a/cottonhold/emulator/fault_injection/report.py
+++ b/cottonhold/emulator/fault_injection/report.py
@@ -11,8 +11,8 @@
 
 import matplotlib
 
-from cottonhold.emulator.fault_injection.event_log import BIN
-from cottonhold.emulator.fault_injection.script import Day, read
+from cottonhold.emulator.fault_injection.event_log import BIN_S
+from cottonhold.emulator.fault_injection.script import Scenario, decode_scenario
 
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
@@ -23,12 +23,12 @@
 COLOURS = ("#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9")
 
 
-def charts(day: Day, series: dict[str, list[float]]) -> str:
+def charts(day: Scenario, series: dict[str, list[float]]) -> str:
     """Sends by zone and worth served, over time, with the day's faults as marks; one SVG."""
-    times = [i * BIN for i in range(len(next(iter(series.values()), [])))]
+    times = [i * BIN_S for i in range(len(next(iter(series.values()), [])))]
     figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 6), sharex=True)
     for colour, zone in zip(COLOURS, day.zones, strict=False):
-        row = [n / BIN for n in series[f"sends {zone}"]]
+        row = [n / BIN_S for n in series[f"sends {zone}"]]
         upper.step(times, row, where="post", label=f"zone {zone}", color=colour)
     upper.set_ylabel("sends a second")
     lower.step(times, series["worth most"], where="post", label="most possible", color="#999999")
@@ -50,7 +50,7 @@
 
 def page(folder: Path) -> str:
     """The page of a run's folder. Raises OSError and ScriptError."""
-    day = read((folder / "day.json").read_bytes())
+    day = decode_scenario((folder / "day.json").read_bytes())
     kept: dict[str, Any] = json.loads((folder / "result.json").read_bytes())
     verdict = kept["verdict"]
     found = verdict["findings"]
--- a/cottonhold/emulator/fault_injection/scenarios.py
+++ b/cottonhold/emulator/fault_injection/scenarios.py
@@ -10,18 +10,18 @@
 import msgspec
 
 from cottonhold.emulator.fault_injection.clients import Kind, Manner
-from cottonhold.emulator.fault_injection.failover_cost_scenarios import DAYS as OUTLOOK
-from cottonhold.emulator.fault_injection.recovery_scenarios import DAYS as RECOVER
-from cottonhold.emulator.fault_injection.replacement_scenarios import DAYS as SWAP
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.failover_cost_scenarios import SCENARIOS as OUTLOOK
+from cottonhold.emulator.fault_injection.recovery_scenarios import SCENARIOS as RECOVER
+from cottonhold.emulator.fault_injection.replacement_scenarios import SCENARIOS as SWAP
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 OUT, BACK = 5.0, 13.0
 
 
-def zone_day(name: str, about: str, *faults: Fault, **fields: Any) -> Day:
+def zone_scenario(name: str, about: str, *faults: Fault, **fields: Any) -> Scenario:
     """A day on which zone a fails at 5 s and is well again at 13 s."""
     usual: dict[str, Any] = {"seconds": 24.0, "out": OUT, "back": BACK}
-    return Day(name=name, about=about, faults=faults, **(usual | fields))
+    return Scenario(name=name, about=about, faults=faults, **(usual | fields))
 
 
 def killed(target: str = "a") -> tuple[Fault, Fault]:
@@ -33,31 +33,33 @@
 CUT = {"cut": True}
 HEAL = {"heal": True}
 
-DAYS = [
-    Day(name="calm", about="nothing fails", seconds=12.0),
-    zone_day("zone-killed", "a zone is killed and returns cold", *killed()),
-    zone_day("zone-silent", "a zone stalls and goes on", Fault(OUT, "stop", "a"), Fault(BACK, "go", "a")),
-    zone_day("zone-slow", "a zone is ten times slower", *SLOW),
-    zone_day(
+SCENARIOS = [
+    Scenario(name="calm", about="nothing fails", seconds=12.0),
+    zone_scenario("zone-killed", "a zone is killed and returns cold", *killed()),
+    zone_scenario(
+        "zone-silent", "a zone stalls and goes on", Fault(OUT, "stop", "a"), Fault(BACK, "go", "a")
+    ),
+    zone_scenario("zone-slow", "a zone is ten times slower", *SLOW),
+    zone_scenario(
         "zone-failing",
         "a zone fails three in ten",
         Fault(OUT, "traits", "a", words={"failing": 0.3}),
         Fault(BACK, "traits", "a", words={"failing": 0.0}),
     ),
-    zone_day(
+    zone_scenario(
         "failing-light",
         "a zone fails three in ten where the others can carry all",
         Fault(OUT, "traits", "a", words={"failing": 0.3}),
         Fault(BACK, "traits", "a", words={"failing": 0.0}),
         rate=200.0,
     ),
-    zone_day(
+    zone_scenario(
         "zone-flapping",
         "a zone stalls and goes on each three seconds",
         *(Fault(OUT + 3 * i, "go" if i % 2 else "stop", "a") for i in range(4)),
         seconds=30.0,
     ),
-    zone_day(
+    zone_scenario(
         "returns-and-falls",
         "a killed zone falls again a second after its return",
         *killed(),
@@ -65,51 +67,51 @@
         Fault(BACK + 4.0, "start", "a"),
         seconds=32.0,
     ),
-    zone_day(
+    zone_scenario(
         "one-link",
         "one instance's way to a zone is cut",
         Fault(OUT, "link", "n5", "a", CUT),
         Fault(BACK, "link", "n5", "a", HEAL),
     ),
-    zone_day(
+    zone_scenario(
         "half-cut",
         "a zone is cut from one half of the fleet",
         Fault(OUT, "link", "n0-2", "a", CUT),
         Fault(BACK, "link", "n0-2", "a", HEAL),
     ),
-    zone_day(
+    zone_scenario(
         "lossy-words",
         "30% of datagrams are lost, and a zone slows",
         Fault(0.0, "peers", "*", "*", {"loss": 0.3}),
         *SLOW,
     ),
-    zone_day(
+    zone_scenario(
         "late-words",
         "datagrams take a second, and a zone slows",
         Fault(3.0, "peers", "*", "*", {"delay": 1000}),
         *SLOW,
     ),
-    zone_day(
+    zone_scenario(
         "shuffled-words",
         "datagrams take up to a second and overtake one another, and a zone slows",
         Fault(3.0, "peers", "*", "*", {"jitter": 1000}),
         *SLOW,
     ),
-    zone_day(
+    zone_scenario(
         "two-halves",
         "datagrams are cut between two halves, and a zone is killed",
         Fault(OUT - 1.0, "peers", "n0-2", "n3-5", CUT),
         *killed(),
         Fault(BACK + 3.0, "peers", "n0-2", "n3-5", HEAL),
     ),
-    zone_day(
+    zone_scenario(
         "three-of-eight",
         "three of eight instances are killed while a zone is left",
         *SLOW,
         *(Fault(OUT + 0.4, "kill", f"n{i}") for i in (0, 3, 5)),
         instances=8,
     ),
-    zone_day(
+    zone_scenario(
         "one-stands-still",
         "one instance is stopped for 5 s across leaving, and again across the return",
         *SLOW,
@@ -118,21 +120,21 @@
         Fault(BACK - 0.5, "stop", "n5"),
         Fault(BACK + 4.5, "go", "n5"),
     ),
-    zone_day(
+    zone_scenario(
         "forged",
         "one instance's words are forged",
         Fault(OUT, "forge", "n2", words={"zone": "a"}),
         seconds=14.0,
     ),
-    zone_day(
+    zone_scenario(
         "replayed",
         "words of a slow zone are sent again when it is long well",
         *SLOW,
         *(Fault(20.0 + i, "replay") for i in range(3)),
         seconds=26.0,
     ),
-    zone_day("too-small", "the zones that remain can't carry all", *killed(), rate=400.0),
-    zone_day(
+    zone_scenario("too-small", "the zones that remain can't carry all", *killed(), rate=400.0),
+    zone_scenario(
         "storm",
         "two of three zones are killed at 380 a second, and clients come again",
         *killed("a"),
@@ -141,7 +143,7 @@
         manner=Manner(tries=3),
         seconds=30.0,
     ),
-    zone_day(
+    zone_scenario(
         "drains",
         "engines are drained while a zone is left, and one instance's source is cut",
         *SLOW,
@@ -156,7 +158,7 @@
         consul=True,
         rate=200.0,
     ),
-    zone_day(
+    zone_scenario(
         "loads",
         "loads on keys while answers are lost, connections reset and engines killed",
         Fault(4.0, "link", "n0-2", "a", {"back": True}),
@@ -176,7 +178,7 @@
         out=0.0,
         back=0.0,
     ),
-    zone_day(
+    zone_scenario(
         "by-hand",
         "a zone is left by hand, and the instance that took the order dies",
         Fault(OUT, "order", "n1", words={"zone": "a", "mode": "leave"}),
@@ -188,50 +190,50 @@
 HEAVY = (Kind("cheap", 0.6, 2000.0, 60.0), Kind("dear", 0.4, 2000.0, 60.0))
 
 
-def overload_day(name: str, about: str, times: float, *faults: Fault, **fields: Any) -> Day:
+def overload_scenario(name: str, about: str, times: float, *faults: Fault, **fields: Any) -> Scenario:
     """So many times what the engines can do, from clients that come up to three times."""
     usual: dict[str, Any] = {"seconds": 20.0, "kinds": HEAVY, "manner": Manner(tries=3), "price": True}
     usual["traits"] = {"work": 60.0, "tip": 1000.0, "tip_window": 1500.0}
-    return Day(name=name, about=about, faults=faults, rate=150.0 * times, **(usual | fields))
+    return Scenario(name=name, about=about, faults=faults, rate=150.0 * times, **(usual | fields))
 
 
-DAYS += [
-    overload_day("overload-1.5", "half as much again as the engines can do", 1.5),
-    overload_day("overload-3", "three times what the engines can do", 3.0),
-    overload_day("overload-5", "five times what the engines can do", 5.0),
-    overload_day(
+SCENARIOS += [
+    overload_scenario("overload-1.5", "half as much again as the engines can do", 1.5),
+    overload_scenario("overload-3", "three times what the engines can do", 3.0),
+    overload_scenario("overload-5", "five times what the engines can do", 5.0),
+    overload_scenario(
         "overload-skew", "twice, and one instance has 20 of 25 parts", 2.0, weights=(1, 1, 1, 1, 1, 20)
     ),
-    overload_day(
+    overload_scenario(
         "overload-deaf", "twice, and clients pass over the advice", 2.0, manner=Manner(3, honours=0.0)
     ),
-    overload_day(
+    overload_scenario(
         "overload-lossy",
         "twice, and 30% of datagrams are lost",
         2.0,
         Fault(0.0, "peers", "*", "*", {"loss": 0.3}),
     ),
-    overload_day(
+    overload_scenario(
         "overload-halves",
         "twice, and datagrams are cut between two halves",
         2.0,
         Fault(5.0, "peers", "n0-2", "n3-5", CUT),
     ),
-    overload_day(
+    overload_scenario(
         "overload-killed",
         "twice, and three of eight instances are killed",
         2.0,
         *(Fault(8.0, "kill", f"n{i}") for i in (0, 3, 5)),
         instances=8,
     ),
-    overload_day(
+    overload_scenario(
         "overload-stopped",
         "twice, and one is stopped for 5 s",
         2.0,
         Fault(6.0, "stop", "n4"),
         Fault(11.0, "go", "n4"),
     ),
-    overload_day(
+    overload_scenario(
         "overload-back",
         "two of three zones are killed at 0.84 of what all can do, and come back",
         0.84,
@@ -242,16 +244,16 @@
         back=BACK,
     ),
 ]
-DAYS += [*RECOVER, *OUTLOOK, *SWAP]
+SCENARIOS += [*RECOVER, *OUTLOOK, *SWAP]
 SHORT = ("recover-short", "outlook-short", "swap-short")  # together under two minutes
-BY_NAME = {day.name: day for day in DAYS}
+BY_NAME = {day.name: day for day in SCENARIOS}
 
 
-def without_price(day: Day) -> Day:
+def without_admission(day: Scenario) -> Scenario:
     """The same day, where each instance sheds by its own plan."""
     return msgspec.structs.replace(day, price=False)
 
 
-def without_fleet(day: Day) -> Day:
+def without_fleet(day: Scenario) -> Scenario:
     """The same day with the section `fleet` off, for comparison."""
     return msgspec.structs.replace(day, fleet=False)
--- a/cottonhold/emulator/fault_injection/script.py
+++ b/cottonhold/emulator/fault_injection/script.py
@@ -47,7 +47,7 @@
         return f"{self.at:5.1f} s  {self.verb} {self.target}{other} {words}".rstrip()
 
 
-class Day(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A deployment, a load and its faults. Rates are requests a second over all instances.
 
     out, back: seconds in which a zone was out and from which it was well again, for what the judge tells of
@@ -130,7 +130,7 @@
 SOURCE_VERBS = {"source", "drain", "undrain"}
 
 
-def check(day: Day) -> Day:
+def check_scenario(day: Scenario) -> Scenario:
     """The day, if it can be played. Raises ScriptError."""
     if not 1 <= day.instances <= 16 or not 1 <= len(day.zones) * day.engines <= 64:
         raise ScriptError(f"day '{day.name}': 1 to 16 instances and 1 to 64 engines can be played")
@@ -148,7 +148,7 @@
     return day
 
 
-def _check_fault(day: Day, fault: Fault) -> None:
+def _check_fault(day: Scenario, fault: Fault) -> None:
     if fault.verb in SOURCE_VERBS and not day.consul:
         raise ScriptError(f"day '{day.name}': '{fault.verb}' needs a source of the list: consul")
     if fault.verb == "swap" and not (day.state and day.instances >= 3 and "machines" in fault.words):
@@ -163,14 +163,14 @@
         day.pick(target)
 
 
-def write(day: Day) -> bytes:
+def encode_scenario(day: Scenario) -> bytes:
     """A day as JSON."""
     return msgspec.json.format(msgspec.json.encode(day))
 
 
-def read(data: bytes) -> Day:
+def decode_scenario(data: bytes) -> Scenario:
     """A day from JSON. Raises ScriptError."""
     try:
-        return check(msgspec.json.decode(data, type=Day))
+        return check_scenario(msgspec.json.decode(data, type=Scenario))
     except msgspec.MsgspecError as error:
         raise ScriptError(f"the day can't be read: {error}") from None
--- a/cottonhold/emulator/fault_injection/worker_pool.py
+++ b/cottonhold/emulator/fault_injection/worker_pool.py
@@ -25,7 +25,7 @@
 from cottonhold.emulator.fault_injection.parent_death_signal import PR_SET_PDEATHSIG
 
 PROGRAMS = ("cottonhold.emulator.fault_injection.engine", "cottonhold.emulator.fault_injection.instance")
-LOADED = (
+PRELOADED_MODULES = (
     *PROGRAMS,
     "cottonhold.emulator.disk",
     "cottonhold.emulator.fault_injection.defects",
@@ -33,7 +33,7 @@
     "cottonhold.node.standalone_dispatcher",
     "cottonhold.store.ledger",
 )
-ROOM = 1 << 16  # bytes of an order
+MAX_ORDER_BYTES = 1 << 16  # bytes of an order
 
 
 class Process(Protocol):
@@ -55,7 +55,7 @@
         """SIGKILL."""
 
 
-class Forked:
+class ForkedProcess:
     """A program that the zygote started, by a handle that no other process can come to have."""
 
     def __init__(self, pid: int, stdin: IO[bytes] | None, stdout: IO[bytes] | None) -> None:
@@ -93,7 +93,7 @@
         self.send_signal(signal.SIGKILL)
 
 
-class Zygote:
+class WorkerPool:
     """The rig's side."""
 
     def __init__(self) -> None:
@@ -109,7 +109,7 @@
         with there:
             self.process = subprocess.Popen(program, stdin=there.fileno())
 
-    def start(self, module: str, args: Sequence[str], log: IO[bytes], pipes: bool) -> Forked:
+    def start(self, module: str, args: Sequence[str], log: IO[bytes], pipes: bool) -> ForkedProcess:
         """A program, by its module; `pipes`: its standard input and output are the rig's. Raises OSError."""
         ours: list[IO[bytes] | None] = [None, None]
         with open(os.devnull, "r+b") as nothing:
@@ -121,10 +121,10 @@
             socket.send_fds(self.link, [json.dumps([module, *args]).encode()], theirs)
             for end in theirs[:2] if pipes else ():
                 os.close(end)
-        answer = self.link.recv(ROOM)
+        answer = self.link.recv(MAX_ORDER_BYTES)
         if not answer:
             raise OSError("the zygote has ended")
-        return Forked(int(answer), ours[0], ours[1])
+        return ForkedProcess(int(answer), ours[0], ours[1])
 
     def close(self) -> None:
         """End it, and what it started. May be called again."""
@@ -133,7 +133,7 @@
         self.process.wait()
 
 
-def _become(words: list[str], fds: list[int], parent: int) -> None:
+def _run_program(words: list[str], fds: list[int], parent: int) -> None:
     """In the new process: the program, until it ends."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL), 0, 0, 0)
     if os.getppid() != parent:
@@ -148,18 +148,18 @@
 
 def main() -> None:
     """Fork a program for each order, until the rig is gone."""
-    for name in LOADED:
+    for name in PRELOADED_MODULES:
         import_module(name)
     link, me = socket.socket(fileno=os.dup(0)), os.getpid()
     while True:
-        data, fds, _, _ = socket.recv_fds(link, ROOM, 3)
+        data, fds, _, _ = socket.recv_fds(link, MAX_ORDER_BYTES, 3)
         if not data:
             return
         while _reaped():
             pass
         pid = os.fork()
         if not pid:
-            _become(json.loads(data), fds, me)
+            _run_program(json.loads(data), fds, me)
             return
         for fd in fds:
             os.close(fd)
--- a/cottonhold/emulator/fault_injection/zone_distances.py
+++ b/cottonhold/emulator/fault_injection/zone_distances.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 
-def apart(distance: Mapping[str, float], one: str, other: str) -> float:
+def distance_ms(distance: Mapping[str, float], one: str, other: str) -> float:
     """ms one way between two zones; 0 within a zone, and where nothing is said."""
     if one == other:
         return 0.0
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -203,7 +203,7 @@
 
 
 def test_keys_of_a_script_of_faults() -> None:
-    assert schema_of(script.Day) == RECORD["script"]
+    assert schema_of(script.Scenario) == RECORD["script"]
 
 
 class Watched(dict[str, Any]):
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -17,16 +17,16 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.checker import check_run
 from cottonhold.emulator.fault_injection.clients import Kind, Manner
-from cottonhold.emulator.fault_injection.event_log import Ledgers, Line
-from cottonhold.emulator.fault_injection.harness import ownerless
+from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs
+from cottonhold.emulator.fault_injection.harness import ownerless_times
 from cottonhold.emulator.fault_injection.instance import shift
 from cottonhold.emulator.fault_injection.machines import Machines
-from cottonhold.emulator.fault_injection.script import Day, Fault, ScriptError, check
+from cottonhold.emulator.fault_injection.script import Fault, Scenario, ScriptError, check_scenario
 
-DAY = check(
-    Day(
+DAY = check_scenario(
+    Scenario(
         name="judged",
         about="a run by hand",
         instances=2,
@@ -40,7 +40,7 @@
 )
 
 
-def get(engine: list[Line], ref: str, number: int, came: float, began: float | None, ended: float) -> None:
+def get(engine: list[LogLine], ref: str, number: int, came: float, began: float | None, ended: float) -> None:
     """What an engine writes of a load on k1."""
     engine.append([came, "get", ref, "load", "k1", number, 100.0])
     if began is not None:
@@ -48,13 +48,13 @@
     engine.append([ended, "done" if began is not None else "broke", ref])
 
 
-def clean() -> Ledgers:
+def clean() -> RunLogs:
     """Load 1 is at a0 and has not begun when n0 breaks; asked again at n1, b0 runs it. Load 2 follows."""
-    engines: dict[str, list[Line]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
+    engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
     get(engines["a0"], "r1", 1, 100.01, None, 100.30)
     get(engines["b0"], "r2", 1, 100.60, 100.61, 100.70)
     get(engines["b0"], "r3", 2, 101.01, 101.02, 101.12)
-    clients: list[Line] = [
+    clients: list[LogLine] = [
         [100.0, "ask", "r1", "load", 0, 0, 1, 3000],
         [100.3, "broken", "r1", ""],
         [100.5, "ask", "r2", "load", 1, 1, 1, 2500],
@@ -62,29 +62,29 @@
         [101.0, "ask", "r3", "load", 0, 0, 2, 3000],
         [101.2, "served", "r3", "b0"],
     ]
-    return Ledgers(engines, clients, 100.0, marks=[(100.3, "kill", "n0")])
+    return RunLogs(engines, clients, 100.0, marks=[(100.3, "kill", "n0")])
 
 
-Plant = Callable[[Ledgers], object]
+Plant = Callable[[RunLogs], object]
 
 
-def ran_before(seen: Ledgers) -> None:
+def ran_before(seen: RunLogs) -> None:
     """The first attempt had begun when its instance broke."""
     seen.engines["a0"][2:2] = [[100.02, "run", "r1"]]
 
 
-def ran_to_its_end(seen: Ledgers) -> None:
+def ran_to_its_end(seen: RunLogs) -> None:
     seen.engines["a0"][2:] = [[100.02, "run", "r1"], [100.12, "done", "r1"]]
 
 
-def at_once(seen: Ledgers) -> None:
+def at_once(seen: RunLogs) -> None:
     """Load 2 is asked for, and begins at the other engine, while load 1 runs."""
     del seen.engines["b0"][4:]
     get(seen.engines["a0"], "r3", 2, 100.62, 100.63, 100.75)
     seen.clients[4:] = [[100.62, "ask", "r3", "load", 0, 0, 2, 3000], [100.9, "served", "r3", "a0"]]
 
 
-def late(seen: Ledgers) -> None:
+def late(seen: RunLogs) -> None:
     """Load 1 was given up as one that may have run, and runs after load 2 nevertheless."""
     seen.clients[3] = [100.8, "failed", "r2", "the query failed; it may have run"]
     del seen.engines["b0"][1:]
@@ -101,7 +101,7 @@
 
 
 def test_a_load_that_never_began_may_be_run_for_the_next_try() -> None:
-    verdict = judge(DAY, clean())
+    verdict = check_run(DAY, clean())
     assert verdict.findings == []
     assert verdict.figures["loads"] == 2 and verdict.figures["loads_run_twice"] == 0
 
@@ -111,7 +111,7 @@
     words, plant = DEFECTS[name]
     seen = clean()
     plant(seen)
-    findings = judge(DAY, seen).findings
+    findings = check_run(DAY, seen).findings
     assert findings and all(finding.startswith(words) for finding in findings)
 
 
@@ -130,15 +130,15 @@
 ) -> None:
     (tmp_path / "n0.log").write_text(logs)
     seen = clean()
-    seen.ownerless = ownerless(tmp_path, [{"pins": {"ownerless": view}}, {}])
-    figures = judge(DAY, seen).figures
+    seen.ownerless = ownerless_times(tmp_path, [{"pins": {"ownerless": view}}, {}])
+    figures = check_run(DAY, seen).figures
     assert (figures.get("pins_moved"), figures.get("ownerless_p99_ms")) == (moved, p99)
 
 
 def test_order_across_instances_is_a_figure_where_it_is_no_rule() -> None:
     seen = clean()
     at_once(seen)
-    verdict = judge(msgspec.structs.replace(DAY, order_across=False), seen)
+    verdict = check_run(msgspec.structs.replace(DAY, order_across=False), seen)
     assert verdict.findings == [] and verdict.figures["order_across"] == 1
 
 
@@ -167,7 +167,7 @@
 def test_a_client_asks_again_for_a_load_whose_end_it_did_not_hear(
     manner: Manner, load: bool, word: str, text: str, tried: int, wanted: bool
 ) -> None:
-    assert manner.again(load, word, text, tried) is wanted
+    assert manner.retries_after(load, word, text, tried) is wanted
 
 
 # --- machines ---
@@ -175,19 +175,19 @@
 
 def test_a_state_folder_is_kept_emptied_and_put_back(tmp_path: Path) -> None:
     machines = Machines(tmp_path)
-    machines.old("n0")  # nothing was kept: it stays as it is
+    machines.restore_old_folder("n0")  # nothing was kept: it stays as it is
     started = machines.start("n0")
     assert json.loads(Path(started["disk"]).read_text()) == {} and not started["clock_s"]
     record = machines.state("n0") / "record"
     record.write_text("of last week")
-    machines.carry_out("keep", "n0", {})
+    machines.apply("keep", "n0", {})
     record.write_text("of today")
-    machines.carry_out("empty", "n0", {})
+    machines.apply("empty", "n0", {})
     assert list(machines.state("n0").iterdir()) == []
-    machines.carry_out("old", "n0", {})
+    machines.apply("old", "n0", {})
     assert record.read_text() == "of last week"
-    machines.carry_out("disk", "n0", {"state": "full"})
-    machines.carry_out("clock", "n0", {"offset_s": -3.5})
+    machines.apply("disk", "n0", {"state": "full"})
+    machines.apply("clock", "n0", {"offset_s": -3.5})
     again = machines.start("n0")
     assert json.loads(Path(again["disk"]).read_text()) == {"full": True} and again["clock_s"] == -3.5
 
@@ -233,20 +233,20 @@
     ],
 )
 def test_a_target_names_hosts(target: str, wanted: set[str]) -> None:
-    day = Day(name="d", about="", instances=2, zones=("a", "b"), engines=1, homes=("a", "b"))
-    assert set(check(day).pick(target)) == wanted
+    day = Scenario(name="d", about="", instances=2, zones=("a", "b"), engines=1, homes=("a", "b"))
+    assert set(check_scenario(day).pick(target)) == wanted
 
 
 @pytest.mark.parametrize(
     "day",
     [
-        Day(name="d", about="", faults=(Fault(1.0, "empty", "n0"),)),
-        Day(name="d", about="", state=True, faults=(Fault(1.0, "disk", "n0", words={"state": "odd"}),)),
-        Day(name="d", about="", homes=("a",)),
-        Day(name="d", about="", instances=1, homes=("elsewhere",)),
+        Scenario(name="d", about="", faults=(Fault(1.0, "empty", "n0"),)),
+        Scenario(name="d", about="", state=True, faults=(Fault(1.0, "disk", "n0", words={"state": "odd"}),)),
+        Scenario(name="d", about="", homes=("a",)),
+        Scenario(name="d", about="", instances=1, homes=("elsewhere",)),
     ],
     ids=["no folders", "no such disk", "a home for one of six", "no such zone"],
 )
-def test_a_day_of_machines_that_cannot_be_played_is_refused(day: Day) -> None:
+def test_a_day_of_machines_that_cannot_be_played_is_refused(day: Scenario) -> None:
     with pytest.raises(ScriptError):
-        check(day)
+        check_scenario(day)
--- a/tests/emulator/test_checker_projections.py
+++ b/tests/emulator/test_checker_projections.py
@@ -6,22 +6,22 @@
 
 import pytest
 
-from cottonhold.emulator.fault_injection.checker import judge
-from cottonhold.emulator.fault_injection.event_log import Ledgers, Line
-from cottonhold.emulator.fault_injection.failover_cost_scenarios import DAYS
-from cottonhold.emulator.fault_injection.projection_check import foretold, missed
-from cottonhold.emulator.fault_injection.script import Day
+from cottonhold.emulator.fault_injection.checker import check_run
+from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs
+from cottonhold.emulator.fault_injection.failover_cost_scenarios import SCENARIOS
+from cottonhold.emulator.fault_injection.projection_check import has_projection, missed_projections
+from cottonhold.emulator.fault_injection.script import Scenario
 
-BY_NAME = {day.name: day for day in DAYS}
+BY_NAME = {day.name: day for day in SCENARIOS}
 LOST = BY_NAME["outlook-lost"]
 # Worth: one in ten is refused. Way: from a to b and back. Cold: every other of nine a second, 0.8 of 20 ms.
 CAME = {"offered": 100.0, "worth": 90.0, "added": 12.0, "extra": 0.072}
 
 
-def played(told: dict[str, float], day: Day = LOST) -> Ledgers:
+def played(told: dict[str, float], day: Scenario = LOST) -> RunLogs:
     """Ten requests a second of a's clients, served in a, and from the fault on in b."""
-    engines: dict[str, list[Line]] = {name: [] for name in day.engine_names()}
-    clients: list[Line] = []
+    engines: dict[str, list[LogLine]] = {name: [] for name in day.engine_names()}
+    clients: list[LogLine] = []
     for i in range(int(10 * day.seconds)):
         at, ref = i / 10 + 0.01, f"r{i}"
         clients.append([at, "ask", ref, "cheap", 0, 0, i, 2000.0, "a"])
@@ -39,7 +39,7 @@
         clients.append([at + 0.03, "served", ref, engine])
     row = {"cost": {name: told.get(name, value) for name, value in CAME.items()}}
     rows: dict[str, Any] = {"a": row, "b": {"cost": dict.fromkeys(CAME, 1e9)}}
-    return Ledgers(engines, clients, 0.0, told=rows)
+    return RunLogs(engines, clients, 0.0, told=rows)
 
 
 @pytest.mark.parametrize(
@@ -55,15 +55,15 @@
     ids=["right", "within", "worth", "added", "extra", "all"],
 )
 def test_what_was_foretold_wrong_is_found(told: dict[str, float], found: list[str]) -> None:
-    verdict = judge(LOST, played(told))
+    verdict = check_run(LOST, played(told))
     assert verdict.figures["came_worth"] == pytest.approx(0.9)
     assert verdict.figures["came_added"] == pytest.approx(12.0)
     assert verdict.figures["came_extra"] == pytest.approx(0.072, rel=0.05)
-    assert [line.split()[1] for line in missed(verdict)] == found
+    assert [line.split()[1] for line in missed_projections(verdict)] == found
 
 
 def test_only_a_zone_that_is_lost_alone_is_foretold() -> None:
-    assert [name for name, day in BY_NAME.items() if foretold(day)] == [
+    assert [name for name, day in BY_NAME.items() if has_projection(day)] == [
         "outlook-lost",
         "outlook-uneven",
         "outlook-full",
@@ -72,4 +72,4 @@
     ]
     silent = played({})
     silent.told = {}
-    assert not [name for name in judge(LOST, silent).figures if name.startswith("told")]
+    assert not [name for name in check_run(LOST, silent).figures if name.startswith("told")]
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -15,19 +15,19 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.fault_injection.checker import judge, relative, summary
+from cottonhold.emulator.fault_injection.checker import check_run, relative_utility, summary
 from cottonhold.emulator.fault_injection.clients import Clients, Kind, Load, Session
-from cottonhold.emulator.fault_injection.engine import RigEngine, Sets, Traits
-from cottonhold.emulator.fault_injection.event_log import BIN, Asked, Ledgers, Line
-from cottonhold.emulator.fault_injection.links import Way
-from cottonhold.emulator.fault_injection.recovery_quality import possible
-from cottonhold.emulator.fault_injection.recovery_scenarios import again
-from cottonhold.emulator.fault_injection.scenarios import BY_NAME, DAYS, SHORT
-from cottonhold.emulator.fault_injection.script import Day, ScriptError, check
-from cottonhold.emulator.fault_injection.zone_distances import apart
-
-RETURN = check(
-    Day(
+from cottonhold.emulator.fault_injection.engine import DataSetCache, FaultyEngine, Traits
+from cottonhold.emulator.fault_injection.event_log import BIN_S, LogLine, RequestLog, RunLogs
+from cottonhold.emulator.fault_injection.links import NetworkPath
+from cottonhold.emulator.fault_injection.recovery_quality import possible_utility
+from cottonhold.emulator.fault_injection.recovery_scenarios import repeated_power_losses
+from cottonhold.emulator.fault_injection.scenarios import BY_NAME, SCENARIOS, SHORT
+from cottonhold.emulator.fault_injection.script import Scenario, ScriptError, check_scenario
+from cottonhold.emulator.fault_injection.zone_distances import distance_ms
+
+RETURN = check_scenario(
+    Scenario(
         name="returned",
         about="power is back at 2 s",
         instances=2,
@@ -45,11 +45,11 @@
 )
 
 
-def returned(served: Callable[[int, int, int], bool]) -> Ledgers:
+def returned(served: Callable[[int, int, int], bool]) -> RunLogs:
     """Twenty requests a second at each instance, served by the engine of its zone or refused: by second,
     instance and number."""
-    engines: dict[str, list[Line]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
-    clients, client = list[Line](), 0
+    engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
+    clients, client = list[LogLine](), 0
     for second in range(10):
         for instance in range(2):
             for n in range(20):
@@ -65,11 +65,11 @@
                     [at, "run", ref, "warm"],
                     [at + 0.01, "done", ref],
                 ]
-    return Ledgers(engines, clients, 100.0)
+    return RunLogs(engines, clients, 100.0)
 
 
 def test_a_return_is_weighed_second_by_second() -> None:
-    verdict = judge(RETURN, returned(lambda second, instance, n: second != 2 or n < 5))
+    verdict = check_run(RETURN, returned(lambda second, instance, n: second != 2 or n < 5))
     figures = verdict.figures
     assert verdict.findings == []
     assert figures["return_0s"] == pytest.approx(0.25) and figures["return_1s"] == 1.0
@@ -80,16 +80,16 @@
 
 def test_what_was_possible_counts_what_can_wait() -> None:
     """Twenty requests of 10 ms in each of two steps; the engines are there from the second on."""
-    asks = {str(n): Asked(100.0 + BIN * (n % 2), "cheap", 0, 0, n, 1000.0) for n in range(40)}
-    seen = Ledgers({}, [], 100.0)
-    assert possible(RETURN, seen, asks, [0.0, 1000.0, 0.0]) == [20.0, 20.0, 0.0]
-    assert possible(RETURN, seen, asks, [0.0, 300.0, 50.0]) == [20.0, 15.0, 0.0], "35 of the 40"
-    assert possible(RETURN, seen, asks, [0.0, 0.0, 0.0]) == [0.0, 0.0, 0.0]
+    asks = {str(n): RequestLog(100.0 + BIN_S * (n % 2), "cheap", 0, 0, n, 1000.0) for n in range(40)}
+    seen = RunLogs({}, [], 100.0)
+    assert possible_utility(RETURN, seen, asks, [0.0, 1000.0, 0.0]) == [20.0, 20.0, 0.0]
+    assert possible_utility(RETURN, seen, asks, [0.0, 300.0, 50.0]) == [20.0, 15.0, 0.0], "35 of the 40"
+    assert possible_utility(RETURN, seen, asks, [0.0, 0.0, 0.0]) == [0.0, 0.0, 0.0]
 
 
 def test_instances_that_treat_equal_requests_unlike_are_told() -> None:
     """Half of those at n1 are turned away in one second of the return, none at n0."""
-    figures = judge(RETURN, returned(lambda second, i, n: not (second == 3 and i == 1 and n % 2))).figures
+    figures = check_run(RETURN, returned(lambda second, i, n: not (second == 3 and i == 1 and n % 2))).figures
     assert figures["unlike_second"] == pytest.approx(0.5)
     assert figures["unlike_return"] == pytest.approx(10 / 120), "from 2 s to 8 s"
     assert figures["unlike_return_cheap"] == figures["unlike_return"]
@@ -102,29 +102,29 @@
     for line in seen.clients:
         if line[2] in early and line[1] == "refused":
             line[1] = "unreached"
-    assert judge(RETURN, seen).figures["unlike_return"] == 0.0
+    assert check_run(RETURN, seen).figures["unlike_return"] == 0.0
 
 
 def test_the_budget_of_a_cold_engine_is_told_and_of_a_warm_one_is_not() -> None:
     seen = returned(lambda *_: True)
-    before = judge(RETURN, seen).figures
+    before = check_run(RETURN, seen).figures
     assert before["budget_most"] == pytest.approx(0.2, abs=0.03) and before["engines_pushed_over"] == 0
     seen.engines["a0"][1:1] = [[101.0, "get", "x1", "cheap", "", 0, 900.0], [101.0, "tipped", ""]]
     seen.engines["b0"].append([109.9, "get", "x2", "cheap", "", 0, 5000.0])
-    verdict = judge(RETURN, seen)
+    verdict = check_run(RETURN, seen)
     assert verdict.figures["budget_most"] > 1.0 and verdict.figures["engines_pushed_over"] == 1
     assert verdict.figures["budget_most"] < 2.0 and verdict.findings
 
 
 def test_worth_relative_to_another_run() -> None:
-    whole, half = (judge(RETURN, returned(s)) for s in (lambda *_: True, lambda s, i, n: n % 2 == 0))
-    assert relative(half, whole) == pytest.approx(0.5) and relative(whole, whole) == 1.0
+    whole, half = (check_run(RETURN, returned(s)) for s in (lambda *_: True, lambda s, i, n: n % 2 == 0))
+    assert relative_utility(half, whole) == pytest.approx(0.5) and relative_utility(whole, whole) == 1.0
 
 
 def test_being_served_elsewhere_costs_latency_and_cold_work() -> None:
     seen = returned(lambda *_: True)
     day = msgspec.structs.replace(RETURN, traits=RETURN.traits | {"datasets": 2, "set_cold": 3.0})
-    near = judge(day, seen).figures
+    near = check_run(day, seen).figures
     assert near["added_ms"] == near["away"] == near["extra_work"] == 0.0
     moved = {line[2] for line in seen.clients if line[1] == "ask" and line[8] == "a" and line[0] >= 105.0}
     for line in seen.clients:
@@ -134,7 +134,7 @@
         seen.engines["a0"].remove(line)
         seen.engines["b0"].append([*line[:3], "cold"] if line[1] == "run" else line)
     seen.engines["b0"].sort(key=lambda line: line[0])
-    far = judge(day, seen)
+    far = check_run(day, seen)
     assert far.findings == []
     assert far.figures["added_ms_before"] == 0.0 and far.figures["added_ms_out"] == pytest.approx(10.0)
     assert far.figures["added_ms_out_a"] == 20.0 and far.figures["added_ms_out_b"] == 0.0
@@ -146,7 +146,7 @@
 
 
 def test_an_engine_keeps_the_data_sets_warm_that_were_read_last() -> None:
-    sets, traits = Sets(), Traits(datasets=2, set_ms=100.0)
+    sets, traits = DataSetCache(), Traits(datasets=2, set_ms=100.0)
     reads = [(b"s1", 0.0, False), (b"s1", 50.0, True), (b"s2", 60.0, False), (b"s1", 140.0, True)]
     reads += [(b"s3", 141.0, False), (b"s2", 142.0, False), (b"s3", 143.0, True), (b"s3", 244.0, False)]
     for name, now, warm in reads:
@@ -154,21 +154,21 @@
 
 
 def test_a_day_without_data_sets_tells_nothing_of_them() -> None:
-    assert not Traits().datasets and not any(d.traits.get("datasets") for d in DAYS if not d.homes)
-    engine = RigEngine("a0", io.TextIOWrapper(io.BytesIO()), Traits(), 1)
+    assert not Traits().datasets and not any(d.traits.get("datasets") for d in SCENARIOS if not d.homes)
+    engine = FaultyEngine("a0", io.TextIOWrapper(io.BytesIO()), Traits(), 1)
     assert engine.sets.read_at == {}
 
 
 def test_a_way_goes_on_for_all_at_once_and_a_bandwidth_does_not() -> None:
     draw = random.Random(1)
-    assert [Way(delay=10.0).wait(draw, 100, since) for since in (0.0, 4.0, 12.0)] == [10.0, 6.0, 0.0]
-    assert Way(delay=10.0, slow=1000.0).wait(draw, 100, 12.0) == 100.0
+    assert [NetworkPath(delay=10.0).wait(draw, 100, since) for since in (0.0, 4.0, 12.0)] == [10.0, 6.0, 0.0]
+    assert NetworkPath(delay=10.0, slow=1000.0).wait(draw, 100, 12.0) == 100.0
 
 
 def test_zones_are_as_far_apart_both_ways() -> None:
     far = {"a-b": 3.0}
-    assert apart(far, "a", "b") == apart(far, "b", "a") == 3.0
-    assert apart(far, "a", "a") == apart(far, "a", "c") == 0.0
+    assert distance_ms(far, "a", "b") == distance_ms(far, "b", "a") == 3.0
+    assert distance_ms(far, "a", "a") == distance_ms(far, "a", "c") == 0.0
 
 
 def test_clients_stay_at_home_while_an_instance_of_their_zone_is_there() -> None:
@@ -182,25 +182,27 @@
     assert {clients._instance("a") for _ in range(100)} == {1}
     clients.failed_at[1] = -100.0
     assert {clients._instance("a") for _ in range(100)} == {2, 3}
-    assert {clients._set(n, "a") for n in range(70)} & {clients._set(n, "b") for n in range(70)} == set()
+    assert {clients._data_set(n, "a") for n in range(70)} & {
+        clients._data_set(n, "b") for n in range(70)
+    } == set()
 
 
 def test_distances_need_homes() -> None:
     for fields in ({"distance": {"a-b": 1.0}}, {"homes": ("a",) * 6, "distance": {"a-z": 1.0}}):
         with pytest.raises(ScriptError):
-            check(msgspec.convert({"name": "d", "about": "", **fields}, Day))
+            check_scenario(msgspec.convert({"name": "d", "about": "", **fields}, Scenario))
 
 
 def test_nothing_is_started_while_the_power_is_gone() -> None:
     cuts = (9.5, 12.0, 14.5)
-    for fault in again(*cuts):
+    for fault in repeated_power_losses(*cuts):
         assert fault.verb == "power" or not any(cut <= fault.at < cut + 1.0 for cut in cuts), str(fault)
 
 
 def test_every_day_says_its_ways_in_json() -> None:
-    for day in DAYS:
+    for day in SCENARIOS:
         json.dumps({"homes": day.homes, "distance": day.distance, "steps": day.steps})
-        assert check(day).seconds > max((f.at for f in day.faults), default=0.0)
+        assert check_scenario(day).seconds > max((f.at for f in day.faults), default=0.0)
 
 
 def test_the_short_set_stays_short() -> None:
@@ -208,7 +210,7 @@
 
 
 def test_a_table_shows_what_its_days_have() -> None:
-    verdict = judge(RETURN, returned(lambda *_: True))
+    verdict = check_run(RETURN, returned(lambda *_: True))
     assert "unlike_return" in summary([("returned", verdict)])[0]
     verdict.figures = {"worth": 1.0}
     assert "unlike_return" not in summary([("calm", verdict)])[0]
@@ -227,9 +229,9 @@
 def test_a_cold_engine_bears_more_as_it_grows_warm(age: float, work: float, over: bool) -> None:
     """Three times slower at first and evenly faster until 3 s; at its coldest it bears 1000 ms of work."""
     traits = Traits(cold=3.0, warm=3000.0, tip=1000.0, tip_window=1500.0)
-    engine = RigEngine("a0", io.TextIOWrapper(io.BytesIO()), traits, 1)
+    engine = FaultyEngine("a0", io.TextIOWrapper(io.BytesIO()), traits, 1)
     engine.started -= age
-    assert engine._pushed_over(work) is over
+    assert engine._is_overloaded(work) is over
 
 
 @pytest.mark.parametrize("closed", [False, True])
@@ -244,6 +246,6 @@
         clients.idle[0].append(session)
         if closed:
             session.reader.feed_eof()
-        assert clients._idle(0) is (None if closed else session)
+        assert clients._idle_session(0) is (None if closed else session)
 
     asyncio.run(scenario())
--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -20,13 +20,20 @@
 from typer.testing import CliRunner
 
 from cottonhold.cli.main import app
-from cottonhold.emulator.fault_injection.checker import judge, summary
+from cottonhold.emulator.fault_injection.checker import check_run, summary
 from cottonhold.emulator.fault_injection.clients import Kind
-from cottonhold.emulator.fault_injection.event_log import Ledgers, Line
-from cottonhold.emulator.fault_injection.links import Link, Switch, TcpLink, Way
+from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs
+from cottonhold.emulator.fault_injection.links import DatagramSwitch, Link, NetworkPath, TcpLink
 from cottonhold.emulator.fault_injection.report import page
-from cottonhold.emulator.fault_injection.scenarios import DAYS, without_fleet
-from cottonhold.emulator.fault_injection.script import Day, Fault, ScriptError, check, read, write
+from cottonhold.emulator.fault_injection.scenarios import SCENARIOS, without_fleet
+from cottonhold.emulator.fault_injection.script import (
+    Fault,
+    Scenario,
+    ScriptError,
+    check_scenario,
+    decode_scenario,
+    encode_scenario,
+)
 
 # --- links ---
 
@@ -54,9 +61,9 @@
         (Link(), "ask"),
         (Link(refuse=True), "refused"),
         (Link(reset=True), "broken"),
-        (Link(forth=Way(cut=True)), "silent"),
-        (Link(back=Way(cut=True)), "silent"),
-        (Link(forth=Way(delay=5.0), back=Way(slow=1e4)), "ask"),
+        (Link(forth=NetworkPath(cut=True)), "silent"),
+        (Link(back=NetworkPath(cut=True)), "silent"),
+        (Link(forth=NetworkPath(delay=5.0), back=NetworkPath(slow=1e4)), "ask"),
     ],
     ids=["well", "refused", "reset", "cut forth", "cut back", "slow"],
 )
@@ -98,7 +105,7 @@
             ("127.0.0.1", server.sockets[0].getsockname()[1]), 1, lambda *words: heard.append(words)
         )
         await tested.start()
-        await tested.set(Link(forth=Way(cut=True)))
+        await tested.set(Link(forth=NetworkPath(cut=True)))
         _, writer = await asyncio.open_connection("127.0.0.1", tested.port)
         writer.write(b"*2\r\n$3\r\nGET\r\n$2\r\nr1\r\n")
         writer.close()
@@ -118,28 +125,30 @@
 @pytest.mark.parametrize(
     "way, least, most",
     [
-        (Way(), 100, 100),
-        (Way(cut=True), 0, 0),
-        (Way(loss=0.5), 25, 75),
-        (Way(twice=1.0), 200, 200),
-        (Way(delay=1.0, jitter=5.0), 100, 100),
+        (NetworkPath(), 100, 100),
+        (NetworkPath(cut=True), 0, 0),
+        (NetworkPath(loss=0.5), 25, 75),
+        (NetworkPath(twice=1.0), 200, 200),
+        (NetworkPath(delay=1.0, jitter=5.0), 100, 100),
     ],
     ids=["well", "cut", "loss", "twice", "jitter"],
 )
-def test_a_switch_passes_datagrams_from_public_address_to_own_port(way: Way, least: int, most: int) -> None:
+def test_a_switch_passes_datagrams_from_public_address_to_own_port(
+    way: NetworkPath, least: int, most: int
+) -> None:
     came = list[tuple[bytes, int]]()
 
     class Port(asyncio.DatagramProtocol):
         def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
             came.append((data, addr[1]))
 
-    async def scenario() -> tuple[Switch, list[int]]:
+    async def scenario() -> tuple[DatagramSwitch, list[int]]:
         loop = asyncio.get_running_loop()
         ends = [await loop.create_datagram_endpoint(Port, local_addr=("127.0.0.1", 0)) for _ in range(3)]
         ports = [int(t.get_extra_info("sockname")[1]) for t, _ in ends]
-        switch = Switch(ports[:2], 1)
+        switch = DatagramSwitch(ports[:2], 1)
         public = await switch.start()
-        switch.ways[0, 1] = way
+        switch.paths[0, 1] = way
         for n in range(100):
             ends[0][0].sendto(bytes([n]), ("127.0.0.1", public[1]))
             if n % 20 == 19:
@@ -193,9 +202,9 @@
 # --- script ---
 
 
-@pytest.mark.parametrize("day", DAYS, ids=[d.name for d in DAYS])
-def test_a_day_is_printed_and_read_again(day: Day) -> None:
-    assert read(write(day)) == day
+@pytest.mark.parametrize("day", SCENARIOS, ids=[d.name for d in SCENARIOS])
+def test_a_day_is_printed_and_read_again(day: Scenario) -> None:
+    assert decode_scenario(encode_scenario(day)) == day
     assert all(str(fault) for fault in day.faults)
     assert not without_fleet(day).fleet
 
@@ -218,13 +227,13 @@
 )
 def test_a_day_that_cannot_be_played_is_refused_by_name(changes: dict[str, Any]) -> None:
     with pytest.raises(ScriptError):
-        read(json.dumps({"name": "bad", "about": "bad", **changes}).encode())
+        decode_scenario(json.dumps({"name": "bad", "about": "bad", **changes}).encode())
 
 
 # --- judge ---
 
-DAY = check(
-    Day(
+DAY = check_scenario(
+    Scenario(
         name="judged",
         about="a run by hand",
         instances=2,
@@ -237,12 +246,12 @@
 )
 
 
-def clean() -> Ledgers:
+def clean() -> RunLogs:
     """Four requests, one each second, each served by the engine that made it; two of them loads on one
     key.
     """
-    engines: dict[str, list[Line]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
-    clients, links = list[Line](), list[Line]()
+    engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
+    clients, links = list[LogLine](), list[LogLine]()
     for n in range(4):
         ref, at, kind = f"r{n}", 100.0 + n, "load" if n % 2 else "cheap"
         engine = "ab"[n % 2] + "0"
@@ -254,21 +263,21 @@
             [at + 0.19, "done", ref],
         ]
         links += [[at + 0.01, "get", ref, "n0", engine], [at + 0.19, "served", ref, "n0", engine]]
-    return Ledgers(engines, clients, 100.0, links=links)
+    return RunLogs(engines, clients, 100.0, links=links)
 
 
-def drop(lines: list[Line], *words: object) -> None:
+def drop(lines: list[LogLine], *words: object) -> None:
     lines[:] = [line for line in lines if not all(word in line for word in words)]
 
 
-Plant = Callable[[Ledgers], object]
+Plant = Callable[[RunLogs], object]
 
 
-def add(lines: list[Line], *line: object) -> None:
+def add(lines: list[LogLine], *line: object) -> None:
     lines.append(list(line))
 
 
-def at_once(seen: Ledgers) -> None:
+def at_once(seen: RunLogs) -> None:
     seen.links[1:1] = [[100.05, "get", "r0", "n1", "b0"], [100.06, "served", "r0", "n1", "b0"]]
     seen.links[3][0] = 101.9
 
@@ -295,7 +304,7 @@
 
 
 def test_a_clean_run_has_no_findings_and_all_its_worth() -> None:
-    verdict = judge(DAY, clean())
+    verdict = check_run(DAY, clean())
     assert verdict.findings == [] and verdict.figures["worth"] == 1.0
     assert verdict.figures["attempts_per_served"] == 1.0 and sum(verdict.series["sends a"]) == 2
     assert len(summary([("judged", verdict)])) == 3
@@ -308,7 +317,7 @@
     if name == "out of order":
         drop(seen.engines["b0"], "run", "r1")
     plant(seen)
-    findings = judge(DAY, seen).findings
+    findings = check_run(DAY, seen).findings
     assert findings and all(finding.startswith(kind) for finding in findings)
 
 
@@ -317,7 +326,7 @@
     seen = clean()
     at_once(seen)
     seen.stalls += [(90.0, 100.0), (100.05, end)]
-    assert len(judge(DAY, seen).findings) == found
+    assert len(check_run(DAY, seen).findings) == found
 
 
 @pytest.mark.parametrize(
@@ -332,14 +341,14 @@
     seen = clean()
     drop(seen.clients, "served", "r1")
     excuse(seen)
-    assert judge(DAY, seen).findings == []
+    assert check_run(DAY, seen).findings == []
 
 
 def test_a_load_turned_away_or_dropped_may_go_elsewhere_in_turn() -> None:
     seen = clean()
     seen.links[2:2] = [[101.001, "get", "r1", "n0", "a0"], [101.002, "overload", "r1", "n0", "a0"]]
     seen.links[0:0] = [[100.005, "get", "r0", "n0", "b0"], [100.009, "drop", "r0", "n0", "b0"]]
-    assert judge(DAY, seen).findings == []
+    assert check_run(DAY, seen).findings == []
 
 
 @pytest.mark.parametrize(
@@ -357,7 +366,7 @@
 ) -> None:
     seen = clean()
     seen.marks += marks
-    assert judge(DAY, seen).findings == []
+    assert check_run(DAY, seen).findings == []
 
 
 def test_worth_is_weighed_against_what_the_engines_could_do() -> None:
@@ -366,18 +375,18 @@
         lines.insert(1, [99.5, "set", "", "slow", 40.0])
     half = copy.deepcopy(seen)
     drop(half.clients, "served", "r3")
-    assert judge(DAY, half).figures["worth"] < judge(DAY, seen).figures["worth"]
+    assert check_run(DAY, half).figures["worth"] < check_run(DAY, seen).figures["worth"]
     dead = clean()
     dead.marks += [(99.9, "kill", "a0"), (99.9, "kill", "b0")]
-    assert sum(judge(DAY, dead).series["worth most"]) == 0.0
+    assert sum(check_run(DAY, dead).series["worth most"]) == 0.0
 
 
 # --- commands ---
 
 
 def test_a_report_is_one_page_and_bad_calls_say_why(tmp_path: Path) -> None:
-    verdict = judge(DAY, clean())
-    (tmp_path / "day.json").write_bytes(write(DAY))
+    verdict = check_run(DAY, clean())
+    (tmp_path / "day.json").write_bytes(encode_scenario(DAY))
     kept = {
         "verdict": {"findings": ["made: <r1>"], "figures": verdict.figures, "series": verdict.series},
         "timeline": [str(Fault(1.0, "kill", "a"))],
--- a/tests/emulator/test_power_losses.py
+++ b/tests/emulator/test_power_losses.py
@@ -9,14 +9,21 @@
 
 import pytest
 
-from cottonhold.emulator.fault_injection.event_log import Line
-from cottonhold.emulator.fault_injection.power_losses import Draw, Tally, When, seen_at, timeline, unanswered
-from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, Zygote
+from cottonhold.emulator.fault_injection.event_log import LogLine
+from cottonhold.emulator.fault_injection.power_losses import (
+    PowerLossDraw,
+    PowerLossMoment,
+    Tally,
+    seen_at,
+    timeline,
+    unanswered,
+)
+from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, WorkerPool
 
 CUT = 103.0
 NAMES = ("n0", "n1", "n2", "n3")
 
-Ledgers = dict[str, list[Line]]
+Ledgers = dict[str, list[LogLine]]
 
 
 def clean() -> Ledgers:
@@ -104,9 +111,9 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_cuts_are_drawn_alike_and_one_folder_is_wrong_at_a_time(seed: int) -> None:
-    cuts = list(Draw(seed, NAMES).cuts(300))
-    assert cuts == list(Draw(seed, NAMES).cuts(300))
-    assert {cut.when for cut in cuts} == set(When) and any(cut.away for cut in cuts)
+    cuts = list(PowerLossDraw(seed, NAMES).cuts(300))
+    assert cuts == list(PowerLossDraw(seed, NAMES).cuts(300))
+    assert {cut.when for cut in cuts} == set(PowerLossMoment) and any(cut.away for cut in cuts)
     assert all(any(getattr(cut, what) for cut in cuts) for what in ("emptied", "old", "backup"))
     wrong = ""
     for cut in cuts:
@@ -121,7 +128,7 @@
 
 def test_what_a_zygote_starts_speaks_and_ends_with_it(tmp_path: Path) -> None:
     settings = json.dumps({"id": "a0", "port": 0, "ledger": str(tmp_path / "a0.jsonl")})
-    zygote = Zygote()
+    zygote = WorkerPool()
     try:
         with (tmp_path / "log").open("ab") as log:
             one, other = (zygote.start(PROGRAMS[0], [settings], log, pipes=True) for _ in range(2))
--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.fault_injection.harness import Trial
+from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault
 from tests.fleet.test_recovery_processes import ALL, served
 from tests.fleet.test_recovery_processes import DAY as POWER
@@ -28,15 +28,15 @@
 LONG = 280.0  # s until a state that does not come is an error
 ENGINES = ("a0", "b0", "c0")
 ENDS = {"done", "drop", "broke", "crashed", "overload"}
-Story = Callable[[Trial], Coroutine[Any, Any, None]]
+Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def begun(trial: Trial, engine: str, since: float = 0.0) -> list[str]:
+def begun(trial: ScenarioRun, engine: str, since: float = 0.0) -> list[str]:
     """References of the requests that an engine got after a moment."""
     return [line[2] for line in trial.ledgers().engines[engine] if line[1] == "get" and line[0] > since]
 
 
-def unfinished(trial: Trial, engine: str) -> set[str]:
+def unfinished(trial: ScenarioRun, engine: str) -> set[str]:
     """What an engine's process of now got and has not ended."""
     left = set[str]()
     for line in trial.ledgers().engines[engine]:
@@ -49,43 +49,43 @@
     return left
 
 
-async def ask_for(trial: Trial, at: str, *machines: dict[str, Any]) -> None:
+async def ask_for(trial: ScenarioRun, at: str, *machines: dict[str, Any]) -> None:
     found = await call(trial, at, call="swap", who="someone", machines=list(machines))
     assert "error" not in found, found
 
 
-async def more(trial: Trial, kind: str, count: int) -> None:
+async def more(trial: ScenarioRun, kind: str, count: int) -> None:
     """So many more of a class are served."""
     before = served(trial, kind)
     await trial.until(lambda: served(trial, kind) >= before + count, f"{kind} served", seconds=LONG)
 
 
-async def done(trial: Trial, *engines: str) -> None:
+async def done(trial: ScenarioRun, *engines: str) -> None:
     """Their swaps are over for all, done or forgotten as such, and loads are served."""
 
     def over() -> bool:
-        views = [rows(trial, name) for name in trial.instances_there()]
+        views = [rows(trial, name) for name in trial.running_instances()]
         return all(view.get(e, {}).get("step", "done") == "done" for view in views for e in engines)
 
     await trial.until(over, f"{engines} are done", seconds=LONG)
     await more(trial, "load", 10)
 
 
-async def all_tell(trial: Trial, engine: str, what: str, *values: object) -> None:
+async def all_tell(trial: ScenarioRun, engine: str, what: str, *values: object) -> None:
     """All that are there tell the same of an engine's swap."""
 
     def told() -> bool:
-        views = [rows(trial, name).get(engine, {}) for name in trial.instances_there()]
+        views = [rows(trial, name).get(engine, {}) for name in trial.running_instances()]
         return all(view.get(what) in values for view in views)
 
     await trial.until(told, f"{engine}'s {what} is {values}", seconds=LONG)
 
 
-async def one_is_out(trial: Trial, left: set[str]) -> str:
+async def one_is_out(trial: ScenarioRun, left: set[str]) -> str:
     """Any of these is out, as all tell."""
 
     def out() -> set[str]:
-        views = [rows(trial, name) for name in trial.instances_there()]
+        views = [rows(trial, name) for name in trial.running_instances()]
         return {e for e in left if all(v.get(e, {}).get("step") == "out" for v in views)}
 
     await trial.until(lambda: bool(out()), f"one of {sorted(left)} is out", seconds=LONG)
@@ -93,7 +93,7 @@
     return engine
 
 
-async def replace(trial: Trial, engine: str, since: float) -> None:
+async def replace(trial: ScenarioRun, engine: str, since: float) -> None:
     """It is powered off, which breaks nothing, and another process comes in its place."""
     assert not begun(trial, engine, since) and not unfinished(trial, engine)
     await trial.apply(Fault(0.0, "kill", engine))
@@ -101,7 +101,7 @@
     await trial.apply(Fault(0.0, "start", engine))
 
 
-async def one_by_one(trial: Trial) -> None:
+async def one_by_one(trial: ScenarioRun) -> None:
     """All engines by one request, two of them as zones; the others serve all the while."""
     await ask_for(trial, "n0", {"zone": "a"}, {"name": "c0", "cores": 2}, {"zone": "b"})
     left = set(ENGINES)
@@ -116,7 +116,7 @@
         assert sum(line[1] == "start" for line in trial.ledgers().engines[engine]) == 2
 
 
-async def aborted(trial: Trial) -> None:
+async def aborted(trial: ScenarioRun) -> None:
     """A swap is aborted while the engine drains: it serves again, the same process."""
     await trial.apply(Fault(0.0, "traits", "a0", words={"slow": 40.0}))
     await more(trial, "cheap", 5)
@@ -127,7 +127,7 @@
     assert "error" not in found, found
 
     def over() -> bool:
-        views = [rows(trial, name) for name in trial.instances_there()]
+        views = [rows(trial, name) for name in trial.running_instances()]
         return all(view.get("a0", {}).get("step", "aborted") == "aborted" for view in views)
 
     await trial.until(over, "it is aborted", seconds=LONG)
@@ -135,7 +135,7 @@
     await trial.until(lambda: len(begun(trial, "a0")) > before + 10, "it gets work again", seconds=LONG)
 
 
-async def the_driver_dies(trial: Trial) -> None:
+async def the_driver_dies(trial: ScenarioRun) -> None:
     """Whoever drives the swap is killed while the engine drains, and comes back while it is out."""
     await trial.apply(Fault(0.0, "traits", "b0", words={"slow": 20.0}))
     await more(trial, "cheap", 5)
@@ -149,14 +149,14 @@
     await all_tell(trial, "b0", "step", "out")
     since = time.monotonic()
     await trial.apply(Fault(0.0, "start", driver))
-    await trial.until(lambda: driver in trial.instances_there(), "it is there", seconds=LONG)
+    await trial.until(lambda: driver in trial.running_instances(), "it is there", seconds=LONG)
     await all_tell(trial, "b0", "drained", True)
     await more(trial, "cheap", 20)
     await replace(trial, "b0", since)
     await done(trial, "b0")
 
 
-async def refused(trial: Trial) -> None:
+async def refused(trial: ScenarioRun) -> None:
     """What can't be is refused, and says why."""
     for machines, said in (
         ([{"name": "a9"}], "'a9' is no machine that is there"),
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -15,24 +15,24 @@
 from typer.testing import CliRunner
 
 from cottonhold.cli.main import app
-from cottonhold.emulator.fault_injection.checker import judge
-from cottonhold.emulator.fault_injection.harness import Trial
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.checker import check_run
+from cottonhold.emulator.fault_injection.harness import ScenarioRun
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("fleet processes")
 
-DAY = Day(
+DAY = Scenario(
     name="short", about="in CI", instances=4, engines=2, rate=120.0, seconds=600.0, weights=(1, 1, 2, 3)
 )
 ALL = {"n0", "n1", "n2", "n3"}
-Story = Callable[[Trial], Coroutine[Any, Any, None]]
+Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def phases(trial: Trial, zone: str = "a") -> dict[str, str]:
+def phases(trial: ScenarioRun, zone: str = "a") -> dict[str, str]:
     """Each instance's phase of a zone."""
     found = {}
-    for name in trial.instances_there():
+    for name in trial.running_instances():
         rows = [row for row in trial.view(name).get("zones", []) if row["zone"] == zone]
         found[name] = rows[0]["phase"] if rows else "unknown"
     return found
@@ -45,11 +45,11 @@
     )
 
 
-async def until(trial: Trial, holds: Callable[[dict[str, str]], bool], what: str) -> None:
+async def until(trial: ScenarioRun, holds: Callable[[dict[str, str]], bool], what: str) -> None:
     await trial.until(lambda: holds(phases(trial)), what, seconds=60.0)
 
 
-async def sends(trial: Trial, count: int) -> dict[str, int]:
+async def sends(trial: ScenarioRun, count: int) -> dict[str, int]:
     """How many of the next sends go to each zone."""
 
     def gets() -> dict[str, int]:
@@ -64,7 +64,7 @@
     return {zone: n - before[zone] for zone, n in gets().items()}
 
 
-async def killed(trial: Trial) -> None:
+async def killed(trial: ScenarioRun) -> None:
     """All leave a killed zone, send nothing there, and all return to it."""
     await trial.apply(Fault(0.0, "kill", "a"))
     await until(trial, out(*ALL), "all leave")
@@ -75,7 +75,7 @@
     assert not any(phase != "in" for zone in "bc" for phase in phases(trial, zone).values())
 
 
-async def one_link(trial: Trial) -> None:
+async def one_link(trial: ScenarioRun) -> None:
     """One whose own way is cut leaves alone, and the others stay."""
     await trial.apply(Fault(0.0, "link", "n3", "a", {"cut": True}))
     await until(trial, out("n3"), "one leaves")
@@ -85,7 +85,7 @@
     await until(trial, out(), "it returns")
 
 
-async def by_hand(trial: Trial) -> None:
+async def by_hand(trial: ScenarioRun) -> None:
     """An order reaches all, outlives the instance that took it, and is taken back at another."""
     run, path = CliRunner().invoke, str(trial.folder / "n1.sock")
     order = ["zone", "leave", "a", "--socket", path, "--for", "10m", "--why", "work", "--who", "someone"]
@@ -112,7 +112,7 @@
     await until(trial, out(), "all return")
 
 
-async def no_way_round(trial: Trial) -> None:
+async def no_way_round(trial: ScenarioRun) -> None:
     """With every way between instances cut, nobody sees anybody: no datagram finds a way round the rig."""
     await trial.apply(Fault(0.0, "peers", "*", "*", {"cut": True}))
 
@@ -124,12 +124,12 @@
 
     await trial.until(alone, "nobody sees anybody", seconds=60.0)
     await trial.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
-    await trial.until(trial.agreed, "all meet again", seconds=60.0)
+    await trial.until(trial.all_members_alive, "all meet again", seconds=60.0)
 
 
 @pytest.mark.parametrize("story", [killed, one_link, by_hand, no_way_round], ids=lambda s: s.__name__)
 def test_a_fleet_of_processes(story: Story, tmp_path: Path) -> None:
-    trial = Trial(DAY, tmp_path)
+    trial = ScenarioRun(DAY, tmp_path)
 
     async def scenario() -> None:
         try:
@@ -140,5 +140,5 @@
             await trial.close()
 
     asyncio.run(scenario())
-    findings = judge(DAY, trial.ledgers()).findings
+    findings = check_run(DAY, trial.ledgers()).findings
     assert [f for f in findings if not f.startswith("answers")] == []  # asks were open at its end
