--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -11,15 +11,15 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.fault_injection.checker import judge
+from cottonhold.emulator.fault_injection.checker import check_run
 from cottonhold.emulator.fault_injection.clients import Kind, Manner, Session
-from cottonhold.emulator.fault_injection.harness import Trial
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.harness import ScenarioRun
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("fleet processes")
 
-DAY = Day(
+DAY = Scenario(
     name="power",
     about="in CI",
     instances=3,
@@ -33,16 +33,16 @@
     state=True,
 )
 ALL = ("n0", "n1", "n2")
-Story = Callable[[Trial], Coroutine[Any, Any, None]]
+Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def recovery(trial: Trial, name: str) -> dict[str, Any]:
+def recovery(trial: ScenarioRun, name: str) -> dict[str, Any]:
     """What an instance tells of its recovery; nothing if it isn't there."""
     found: dict[str, Any] = trial.view(name).get("recovery", {})
     return found
 
 
-async def until(trial: Trial, holds: Callable[[dict[str, Any]], bool], what: str, *names: str) -> None:
+async def until(trial: ScenarioRun, holds: Callable[[dict[str, Any]], bool], what: str, *names: str) -> None:
     """Each of these instances (all by default) tells so."""
 
     def told() -> bool:
@@ -52,29 +52,29 @@
     await trial.until(told, what, seconds=90.0)
 
 
-def served(trial: Trial, kind: str) -> int:
+def served(trial: ScenarioRun, kind: str) -> int:
     """Answered so far, of a class."""
     kinds = {line[2]: line[3] for line in trial.ledgers().clients if line[1] == "ask"}
     return sum(line[1] == "served" and kinds.get(line[2]) == kind for line in trial.ledgers().clients)
 
 
-async def more(trial: Trial, kind: str, count: int = 20) -> None:
+async def more(trial: ScenarioRun, kind: str, count: int = 20) -> None:
     """So many more of a class are served."""
     before = served(trial, kind)
     await trial.until(lambda: served(trial, kind) >= before + count, f"{kind} served", seconds=90.0)
 
 
-async def power(trial: Trial) -> None:
+async def power(trial: ScenarioRun) -> None:
     """Everything dies in one instant, with loads in flight."""
     await trial.apply(Fault(0.0, "power", "*"))
 
 
-async def start(trial: Trial, *names: str) -> None:
+async def start(trial: ScenarioRun, *names: str) -> None:
     for name in names or ("e*", *ALL):
         await trial.apply(Fault(0.0, "start", name))
 
 
-async def all_at_once(trial: Trial) -> None:
+async def all_at_once(trial: ScenarioRun) -> None:
     """All see one loss of the fleet, each with a whole memory and a higher boot; loads are served again."""
     await until(trial, lambda view: view["boot"] > 0, "all are there")
     boots = {name: recovery(trial, name)["boot"] for name in ALL}
@@ -89,7 +89,7 @@
     await more(trial, "cheap")
 
 
-async def again_while_it_recovers(trial: Trial) -> None:
+async def again_while_it_recovers(trial: ScenarioRun) -> None:
     """A second and a third cut in the middle of the return."""
     for _ in range(2):
         await power(trial)
@@ -98,7 +98,7 @@
     await all_at_once(trial)
 
 
-async def an_empty_folder(trial: Trial) -> None:
+async def an_empty_folder(trial: ScenarioRun) -> None:
     """One comes back with an empty folder: told as such, with a boot above what the others know of it."""
     before = recovery(trial, "n1")["boot"]
     await power(trial)
@@ -110,7 +110,7 @@
     assert recovery(trial, "n0")["memory"] == "kept" and not recovery(trial, "n1")["confirmed"]
 
 
-async def an_old_folder(trial: Trial) -> None:
+async def an_old_folder(trial: ScenarioRun) -> None:
     """One comes back with the folder of an earlier life: the others know of a later one."""
     await trial.apply(Fault(0.0, "keep", "n2"))
     for _ in range(2):
@@ -127,7 +127,7 @@
     await more(trial, "load")
 
 
-async def a_backup_of_one_that_runs(trial: Trial) -> None:
+async def a_backup_of_one_that_runs(trial: ScenarioRun) -> None:
     """A copy of its folder was made while it served, and is put back after the next power loss."""
     marks = recovery(trial, "n2")["marks"]
     await trial.apply(Fault(0.0, "keep", "n2"))
@@ -141,7 +141,7 @@
     await more(trial, "load")
 
 
-async def a_full_disk(trial: Trial) -> None:
+async def a_full_disk(trial: ScenarioRun) -> None:
     """Loads are refused there, all else goes on; with room again loads go out."""
     for name in ALL:
         await trial.apply(Fault(0.0, "disk", name, words={"state": "full"}))
@@ -153,7 +153,7 @@
     await more(trial, "load")
 
 
-async def cut_off(trial: Trial) -> None:
+async def cut_off(trial: ScenarioRun) -> None:
     """One that is cut from the others is told apart from a loss, and serves safe queries on."""
     await trial.apply(Fault(0.0, "peers", "n0", "*", {"cut": True}))
     await until(trial, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
@@ -163,7 +163,7 @@
     await until(trial, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard")
 
 
-async def told_to_come_later_by_one_that_nobody_hears(trial: Trial) -> None:
+async def told_to_come_later_by_one_that_nobody_hears(trial: ScenarioRun) -> None:
     """A client whose load ran elsewhere asks at one that is cut off: soon it is told that its load may have
     run, before those that know of it have forgotten, and not to come later for as long as it asks."""
     load = "lookup=mine */ INSERT INTO sales_1.t VALUES ('mine', 0)"
@@ -190,7 +190,7 @@
     await until(trial, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard")
 
 
-async def the_source_of_the_list_stays_away(trial: Trial) -> None:
+async def the_source_of_the_list_stays_away(trial: ScenarioRun) -> None:
     """Engines that were known before serve once they have answered; loads wait for the list."""
     await more(trial, "cheap")
     await trial.apply(Fault(0.0, "source", "n*", words={"cut": True}))
@@ -210,7 +210,7 @@
 @pytest.mark.parametrize("story", STORIES, ids=lambda s: s.__name__)
 def test_a_power_loss_on_processes(story: Story, tmp_path: Path) -> None:
     day = msgspec.structs.replace(DAY, consul=story is the_source_of_the_list_stays_away)
-    trial = Trial(day, tmp_path, forks=True)
+    trial = ScenarioRun(day, tmp_path, forks=True)
 
     async def scenario() -> None:
         try:
@@ -222,6 +222,6 @@
             await trial.close()
 
     asyncio.run(scenario())
-    found = judge(day, trial.ledgers()).findings
+    found = check_run(day, trial.ledgers()).findings
     # Asks are open at its end; times are no part of this.
     assert [f for f in found if not f.startswith("answers")] == []
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -9,32 +9,32 @@
 
 import pytest
 
-from cottonhold.emulator.fault_injection.checker import judge
-from cottonhold.emulator.fault_injection.harness import Trial
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.checker import check_run
+from cottonhold.emulator.fault_injection.harness import ScenarioRun
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 from cottonhold.node.status import ask
 from tests.fleet.test_recovery_processes import ALL, DAY, more, recovery
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("replacement processes")
 
-Story = Callable[[Trial], Coroutine[Any, Any, None]]
+Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def rows(trial: Trial, at: str) -> dict[str, dict[str, Any]]:
+def rows(trial: ScenarioRun, at: str) -> dict[str, dict[str, Any]]:
     """Each machine's swap, as an instance tells it."""
     return {row["machine"]: row for row in trial.view(at).get("swap", {}).get("machines", [])}
 
 
-async def call(trial: Trial, at: str, **words: Any) -> dict[str, Any]:
+async def call(trial: ScenarioRun, at: str, **words: Any) -> dict[str, Any]:
     """A call at an instance's socket."""
     answer: dict[str, Any] = await asyncio.to_thread(ask, trial.folder / f"{at}.sock", words)
     return answer
 
 
-async def step(trial: Trial, machine: str, *steps: str) -> None:
+async def step(trial: ScenarioRun, machine: str, *steps: str) -> None:
     """All others tell that a machine has come to one of these steps."""
-    others = [name for name in trial.instances_there() if name != machine]
+    others = [name for name in trial.running_instances() if name != machine]
 
     def told() -> bool:
         return all(rows(trial, name).get(machine, {}).get("step") in steps for name in others)
@@ -42,32 +42,32 @@
     await trial.until(told, f"{machine} is {steps}", seconds=90.0)
 
 
-async def ask_for(trial: Trial, at: str, *machines: str) -> None:
+async def ask_for(trial: ScenarioRun, at: str, *machines: str) -> None:
     found = await call(trial, at, call="swap", who="someone", machines=[{"name": m} for m in machines])
     assert "error" not in found, found
 
 
-async def replace(trial: Trial, machine: str) -> None:
+async def replace(trial: ScenarioRun, machine: str) -> None:
     """The machine is taken away once it may be, and a new one is put in its place."""
     await step(trial, machine, "out")
     await trial.apply(Fault(0.0, "kill", machine))
     await trial.apply(Fault(0.0, "start", machine))
 
 
-async def done(trial: Trial, *machines: str) -> None:
+async def done(trial: ScenarioRun, *machines: str) -> None:
     """The swap of these is over for all: done, or forgotten as such."""
 
     def over() -> bool:
-        views = [rows(trial, name) for name in trial.instances_there()]
+        views = [rows(trial, name) for name in trial.running_instances()]
         return all(view.get(m, {}).get("step", "done") == "done" for view in views for m in machines)
 
     await trial.until(over, f"{machines} are done", seconds=90.0)
     await more(trial, "load")
 
 
-def played(day: Day, folder: Path, story: Story) -> list[str]:
+def played(day: Scenario, folder: Path, story: Story) -> list[str]:
     """A story on a fleet whose voters all vote; what the judge finds in the end."""
-    trial = Trial(day, folder)
+    trial = ScenarioRun(day, folder)
 
     def voting() -> bool:
         return all(trial.view(name).get("swap", {}).get("votes") for name in ALL)
@@ -82,10 +82,10 @@
             await trial.close()
 
     asyncio.run(scenario())
-    return judge(day, trial.ledgers()).findings
+    return check_run(day, trial.ledgers()).findings
 
 
-async def one_after_another(trial: Trial) -> None:
+async def one_after_another(trial: ScenarioRun) -> None:
     """All three are swapped by one request at one of them, one at a time."""
     await ask_for(trial, "n0", *ALL)
     left = set(ALL)
@@ -93,7 +93,7 @@
 
         def out() -> set[str]:
             found = set[str]()
-            for at in trial.instances_there():
+            for at in trial.running_instances():
                 found |= {m for m, row in rows(trial, at).items() if row["step"] == "out" and m in left}
             return found
 
@@ -105,7 +105,7 @@
     await done(trial, *ALL)
 
 
-async def whoever_asked_dies(trial: Trial) -> None:
+async def whoever_asked_dies(trial: ScenarioRun) -> None:
     """Whoever asked dies and comes back; the registers remember what was asked."""
     await ask_for(trial, "n0", "n1")
     await step(trial, "n1", "agreed", "moving", "draining", "out")
@@ -117,7 +117,7 @@
     await done(trial, "n1")
 
 
-async def a_voter_is_dead(trial: Trial) -> None:
+async def a_voter_is_dead(trial: ScenarioRun) -> None:
     """While one of three voters is dead no other goes out; the swap goes on once it is back."""
     await trial.apply(Fault(0.0, "kill", "n0"))
 
@@ -135,7 +135,7 @@
     await done(trial, "n1")
 
 
-async def power_goes(trial: Trial) -> None:
+async def power_goes(trial: ScenarioRun) -> None:
     """The power goes while a machine is out; the registers remember, and the swap ends."""
     await ask_for(trial, "n2", "n1")
     await step(trial, "n1", "out")
@@ -146,7 +146,7 @@
     await done(trial, "n1")
 
 
-async def contradicting(trial: Trial) -> None:
+async def contradicting(trial: ScenarioRun) -> None:
     """What can't be is refused by name; a second request on a machine under way is told who asked."""
     for words, said in (
         ({"machines": [{"name": "n9"}]}, "n9"),
--- a/tests/fleet/test_session_affinity_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -11,8 +11,8 @@
 import pytest
 
 from cottonhold.emulator.fault_injection.clients import Manner
-from cottonhold.emulator.fault_injection.harness import Trial
-from cottonhold.emulator.fault_injection.script import Day, Fault
+from cottonhold.emulator.fault_injection.harness import ScenarioRun
+from cottonhold.emulator.fault_injection.script import Fault, Scenario
 from tests.fleet.test_recovery_processes import ALL, DAY, more
 from tests.fleet.test_rolling_replacement_processes import (
     ask_for,
@@ -32,16 +32,16 @@
 IMPATIENT = msgspec.structs.replace(
     PINNED, name="impatient", manner=Manner(tries=4, asks_again=True, hears=400.0)
 )
-Story = Callable[[Trial], Coroutine[Any, Any, None]]
+Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def pins(trial: Trial, name: str) -> dict[str, Any]:
+def pins(trial: ScenarioRun, name: str) -> dict[str, Any]:
     """What an instance tells of its pins; nothing if it isn't there."""
     found: dict[str, Any] = trial.view(name).get("pins", {})
     return found
 
 
-async def settled(trial: Trial, *names: str) -> None:
+async def settled(trial: ScenarioRun, *names: str) -> None:
     """These instances are in one table, which all of them know, and stand."""
     wanted = sorted(names or ALL)
 
@@ -54,18 +54,18 @@
     await trial.until(holds, f"{wanted} are one table", seconds=90.0)
 
 
-def counted(trial: Trial, what: str) -> int:
-    return sum(pins(trial, name).get(what, 0) for name in trial.instances_there())
+def counted(trial: ScenarioRun, what: str) -> int:
+    return sum(pins(trial, name).get(what, 0) for name in trial.running_instances())
 
 
-async def all_are_swapped(trial: Trial) -> None:
+async def all_are_swapped(trial: ScenarioRun) -> None:
     """Each goes and comes; what was asked for at any of them runs where its key is owned."""
     await one_after_another(trial)
     await settled(trial)
     assert counted(trial, "took") > 0 and pins(trial, "n0")["epoch"] >= 3 + 2 * len(ALL)
 
 
-async def through(trial: Trial, machine: str) -> None:
+async def through(trial: ScenarioRun, machine: str) -> None:
     """Its swap comes to its end; once it is out it is taken away, and put back."""
     names, taken = [name for name in ALL if name != machine], False
 
@@ -85,7 +85,7 @@
     await more(trial, "load")
 
 
-async def the_mover_is_killed(trial: Trial) -> None:
+async def the_mover_is_killed(trial: ScenarioRun) -> None:
     """It dies while its pins are on their way, and comes back: they are the targets', or its own still."""
     await ask_for(trial, "n0", "n1")
     await step(trial, "n1", "moving", "draining", "out")
@@ -94,7 +94,7 @@
     await through(trial, "n1")
 
 
-async def the_target_is_killed(trial: Trial) -> None:
+async def the_target_is_killed(trial: ScenarioRun) -> None:
     """One that was given pins dies, and comes back."""
     await ask_for(trial, "n0", "n1")
     await step(trial, "n1", "moving", "draining", "out")
@@ -103,7 +103,7 @@
     await through(trial, "n1")
 
 
-async def power_in_the_middle(trial: Trial) -> None:
+async def power_in_the_middle(trial: ScenarioRun) -> None:
     """All dies while pins are on their way; folders and registers remember."""
     await ask_for(trial, "n2", "n1")
     await step(trial, "n1", "moving", "draining", "out")
@@ -113,7 +113,7 @@
     await through(trial, "n1")
 
 
-async def a_new_machine(trial: Trial) -> None:
+async def a_new_machine(trial: ScenarioRun) -> None:
     """Another machine takes the place of one that was swapped, with nothing in its folder."""
     await ask_for(trial, "n0", "n1")
     await step(trial, "n1", "out")
@@ -126,7 +126,7 @@
     await more(trial, "load")
 
 
-async def an_emptied_folder(trial: Trial) -> None:
+async def an_emptied_folder(trial: ScenarioRun) -> None:
     """One that is in the table loses its folder: it is fenced, and comes in again owning nothing."""
     before = pins(trial, "n0")["epoch"]
     for verb in ("kill", "empty", "start"):
@@ -152,8 +152,8 @@
 @pytest.mark.parametrize(
     ("story", "day"), STORIES, ids=lambda v: getattr(v, "__name__", getattr(v, "name", ""))
 )
-def test_pins_on_processes(story: Story, day: Day, tmp_path: Path) -> None:
-    async def with_pins(trial: Trial) -> None:
+def test_pins_on_processes(story: Story, day: Scenario, tmp_path: Path) -> None:
+    async def with_pins(trial: ScenarioRun) -> None:
         await settled(trial)
         await more(trial, "load", 5)
         await story(trial)
