--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -1,7 +1,9 @@
-"""What comes of attempts: notes on the way, their end, and what follows it for the query."""
+"""What comes of attempts: progress notes, their end, and what follows it for the query."""
 
 from __future__ import annotations
 
+import math
+
 from cottonhold.scheduler import (
     engine_health,
     key_ordering,
@@ -12,84 +14,93 @@
     retry_policy,
     utilization,
 )
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.events import AttemptEnded, Outcome, ProgressKind, ProgressNote, StreamStarted
-from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.parameters import LEFT_LEAST
-from cottonhold.scheduler.state import EngineView, Query
+from cottonhold.scheduler.gateway_state import GatewayState, UnobservedAttempt
+from cottonhold.scheduler.parameters import MIN_REMAINING_SHARE
+from cottonhold.scheduler.query import Query
 
 WAITS_FOR_MEMORY = 1  # value of a note that an attempt waits: for memory, else for a load on its tables
 
 
-def on_ended(gateway: GatewayState, event: AttemptEnded) -> None:
-    """An attempt has ended: judge its engine, then answer or try again."""
+def on_attempt_ended(gateway: GatewayState, event: AttemptEnded) -> None:
+    """An attempt has ended: judge its engine, then answer the query or retry it."""
     query = gateway.queries.get(event.query_id)
     engine = gateway.engines.get(event.engine)
     if engine is not None:
-        engine_health.judge(gateway, engine, query, event)
-    if query is None or not query.out:
+        engine_health.on_outcome(gateway, engine, query, event)
+    if query is None or not query.is_in_flight:
         return
-    query.out = query.trickle = False
-    gateway.changed = True
+    query.is_in_flight = query.is_canary = False
+    gateway.release_is_due = True
     if engine is not None:
         _leave_engine(gateway, query, engine)
     if event.outcome is Outcome.TIMEOUT and not gateway.settings.features.can_cancel:
-        _count_unseen(gateway, query)
-    retry_policy.note_risk(query, engine, event.outcome)
-    key_ordering.rest_after(gateway, query, event.outcome)
-    if query.over or event.is_final:
-        responses.close(gateway, query, served=True)
+        _count_unobserved(gateway, query)
+    retry_policy.record_possible_execution(query, engine, event.outcome)
+    key_ordering.quiet_after(gateway, query, event.outcome)
+    if query.is_finished or event.is_final:
+        responses.finish(gateway, query, is_served=True)
         return
-    _try_again(gateway, query, event.outcome)
+    _retry_or_answer(gateway, query, event.outcome)
 
 
 def _leave_engine(gateway: GatewayState, query: Query, engine: EngineView) -> None:
-    """The attempt takes no room on its engine any more."""
-    gateway.pool.drop_out(query, engine, LEFT_LEAST)
-    query.tried.add(engine.id)
-    release.rest_after_wide(gateway, query)
-    if query.cls.is_load and not engine.loading.get(query.tables):
-        engine.locks.pop(query.tables, None)
-
-
-def _count_unseen(gateway: GatewayState, query: Query) -> None:
-    """A timed-out attempt that nothing cancels runs on unseen, for the time planned."""
-    running = [entry for entry in gateway.unseen if entry[0] > gateway.now]
-    gateway.unseen = [*running, (gateway.now + query.p * (1 - query.done), query)]
-
-
-def _try_again(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
-    """Try elsewhere if rules and time allow, else answer at once."""
-    late = gateway.now + max(query.p / 2, gateway.slack) > query.due
-    if outcome is Outcome.ALREADY_FINISHED or retry_policy.repeat_barred(gateway, query) or late:
-        responses.answer(gateway, query)
-    else:
-        # Danger: its deadline had come up while its attempt was out. Held again, under settings with a
-        # shorter slack, nothing looked at it any more, and it was never answered.
-        gateway.deadlines.add(query)
-        placement.place(gateway, query)
-        release.release(gateway)
-
-
-def on_note(gateway: GatewayState, event: ProgressNote) -> None:
-    """News of a running attempt."""
+    """Free what the attempt took of its engine's capacity."""
+    gateway.in_flight.remove_attempt(query, engine, MIN_REMAINING_SHARE)
+    query.tried_engine_ids.add(engine.id)
+    release.rest_after_wide_query(gateway, query)
+    if query.query_class.is_load and not engine.loads_in_flight.get(query.table_group):
+        engine.locked_until.pop(query.table_group, None)
+
+
+def _count_unobserved(gateway: GatewayState, query: Query) -> None:
+    """Count a timed-out attempt that nothing cancels, which runs on unobserved for the time planned."""
+    running = [a for a in gateway.unobserved_attempts if a.expected_end_at > gateway.now]
+    expected_end_at = gateway.now + query.planned_run_ms * (1 - query.completed_share)
+    gateway.unobserved_attempts = [*running, UnobservedAttempt(expected_end_at, query)]
+
+
+def _retry_or_answer(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
+    """Queue the query for a further attempt if the rules and the time left allow one, else answer it.
+
+    Its deadline is added again: it may have come up, and been dropped, while the attempt was in flight.
+    """
+    needed_ms = max(query.planned_run_ms / 2, gateway.answer_margin_ms)
+    is_late = gateway.now + needed_ms > query.deadline_at
+    if outcome is Outcome.ALREADY_FINISHED or retry_policy.retry_barrier(gateway, query) or is_late:
+        responses.reject_or_fail(gateway, query)
+        return
+    gateway.deadlines.add(query)
+    placement.place(gateway, query)
+    release.release_queued(gateway)
+
+
+def on_progress_note(gateway: GatewayState, event: ProgressNote) -> None:
+    """Apply news of a running attempt."""
     query = gateway.queries.get(event.query_id)
     engine = gateway.engines.get(event.engine)
-    if query is None or engine is None or query.id not in engine.out:
+    if query is None or engine is None or query.id not in engine.in_flight:
         return
-    engine_health.heard_from(gateway, engine, query.sent_at)
+    engine_health.on_sign_of_life(gateway, engine, query.sent_at)
     if event.kind is ProgressKind.PROGRESS:
-        rate_estimation.learn_progress(gateway, query, engine, event.value)
+        rate_estimation.record_progress(gateway, query, engine, event.value)
     elif event.kind is ProgressKind.SPILL:
-        rate_estimation.learn_spill(query, event.value)
+        rate_estimation.record_spill(query, event.value)
     elif event.value == WAITS_FOR_MEMORY:
-        query.waits = True
-        query.run_at = gateway.now
-        engine.pressed_until = gateway.now + utilization.FULL_REST_MS
-    elif query.tables not in engine.locks or engine.locks[query.tables] < gateway.now:
-        engine.locks[query.tables] = gateway.now + gateway.settings.progress_interval_ms
+        _on_memory_wait(gateway, query, engine)
+    elif engine.locked_until.get(query.table_group, -math.inf) < gateway.now:
+        engine.locked_until[query.table_group] = gateway.now + gateway.settings.progress_interval_ms
+
+
+def _on_memory_wait(gateway: GatewayState, query: Query, engine: EngineView) -> None:
+    """The attempt waits for memory: it does not run yet, and its engine is under pressure."""
+    query.is_waiting_for_memory = True
+    query.running_since = gateway.now
+    engine.under_pressure_until = gateway.now + utilization.PRESSURE_HOLD_MS
 
 
-def on_stream(gateway: GatewayState, event: StreamStarted) -> None:
-    """The answer has begun: the attempt is the client's now."""
+def on_stream_started(gateway: GatewayState, event: StreamStarted) -> None:
+    """The result has begun: the attempt belongs to the client now."""
     if query := gateway.queries.get(event.query_id):
-        query.streaming = True
+        query.is_streaming = True
--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: the room of the live engines, those that this gateway draws on, and its own part of all room."""
+"""Capacity: that of the live engines, the engines that this gateway draws on, and its own part of all."""
 
 from __future__ import annotations
 
@@ -6,140 +6,157 @@
 import math
 from collections.abc import Iterable
 
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.events import EngineState
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.parameters import CANDIDATES, PEER_GAPS, REPORT_FRESH_MS, THREADS_PER_CORE
-from cottonhold.scheduler.state import EngineView
-
-MEMORY_ROOM = 0.9  # share of an engine's memory planned for; needs are estimates
-CHANCE = 1.5  # standard deviations of an engine's memory in use left free for chance
-OWN_COVERED = 1.25  # times the engines that its traffic could fill: a gateway draws on that many at least
-FEW_ENGINES = 250  # up to which the room of all is counted each time
-COUNT_EACH_MS = 1.0  # so many for each live engine, before the room of all is counted again
-CHANCE_MOST = 0.5  # of the memory, at most, is left free for chance
-BOUND_ROOM_LEAST = 0.05  # of its room stays to an engine that the fleet bounds, however tightly
-
-
-def take_list(gateway: GatewayState) -> None:
-    """The list has changed: who is live, in which order, known by which code, and with what room."""
-    changed, gateway.relisted = gateway.relisted, {}
-    gateway.live = [e for e in gateway.engines.values() if e.info.state is EngineState.LIVE]
-    gateway.ranked = sorted(gateway.live, key=lambda e: e.id)
-    gateway.by_code = {}
-    for rank, engine in enumerate(gateway.ranked):
+from cottonhold.scheduler.parameters import (
+    CANDIDATES,
+    PEER_TIMEOUT_INTERVALS,
+    REPORT_MAX_AGE_MS,
+    THREADS_PER_CORE,
+)
+
+MEMORY_SHARE = 0.9  # of an engine's memory is planned for; needs are estimates
+CHANCE_DEVIATIONS = 1.5  # standard deviations of an engine's memory in use left free for chance
+MAX_CHANCE_SHARE = 0.5  # of the memory, at most, is left free for chance
+COVERAGE_FACTOR = 1.25  # a gateway draws on so many times the engines that its traffic could fill, at least
+FEW_ENGINES = 250  # up to which the capacity of all is counted each time
+RECOUNT_MS_PER_ENGINE = 1.0  # for each live engine, before the capacity of all is counted again
+MIN_QUOTA_CAPACITY_SHARE = 0.05  # of its capacity stays to an engine with a quota, however small
+
+
+def apply_engine_changes(gateway: GatewayState) -> None:
+    """The list has changed: rebuild who is live, in which order and under which hash, and count capacity."""
+    changed, gateway.changed_engines = gateway.changed_engines, {}
+    gateway.live_engines = [e for e in gateway.engines.values() if e.entry.state is EngineState.LIVE]
+    gateway.ranked_engines = sorted(gateway.live_engines, key=lambda engine: engine.id)
+    gateway.engines_by_hash = {}
+    for rank, engine in enumerate(gateway.ranked_engines):
         engine.rank = rank
-        gateway.by_code.setdefault(engine.code, []).append(engine)
-    _lay_ring(gateway)
-    if len(gateway.live) <= FEW_ENGINES:
-        count_room(gateway)
+        gateway.engines_by_hash.setdefault(engine.id_hash, []).append(engine)
+    _build_affinity_ring(gateway)
+    if len(gateway.live_engines) <= FEW_ENGINES:
+        count_all(gateway)
         return
-    gateway.sound = sum(e.sound() for e in gateway.live)
-    _count_used(gateway, changed)
-    _sum_room(gateway)
-
-
-def count_room(gateway: GatewayState) -> None:
-    """Live engines, weighted in the draw by the cores they have now, and their thread and memory room."""
-    gateway.counted_at = gateway.now
-    gateway.sound = sum(e.sound() for e in gateway.live)
-    gateway.homes.clear()
-    _weigh_news(gateway)
-    for engine in gateway.live:
-        _size(gateway, engine)
-    _draw_own(gateway)
-    _sum_room(gateway)
-    _share_room(gateway, gateway.live)
-
-
-def follow_room(gateway: GatewayState) -> None:
-    """Time has passed: count the room of all engines anew, or where they are many of those in use."""
-    # Danger: counted for all four times a second, the room of thousands of engines, of which a gateway uses
-    # a few, took more than all its requests. So few are counted in a second, and those in use each time.
-    count = len(gateway.live)
-    if count <= FEW_ENGINES or gateway.now - gateway.counted_at >= count * COUNT_EACH_MS:
-        count_room(gateway)
+    gateway.usable_engine_count = sum(engine.is_usable() for engine in gateway.live_engines)
+    _count_in_use(gateway, changed)
+    _sum_fleet(gateway)
+
+
+def count_all(gateway: GatewayState) -> None:
+    """Count the capacity of all live engines, and choose the engines that this gateway draws on."""
+    gateway.capacity_counted_at = gateway.now
+    gateway.usable_engine_count = sum(engine.is_usable() for engine in gateway.live_engines)
+    gateway.preferred_engines.clear()
+    _assess_observation(gateway)
+    for engine in gateway.live_engines:
+        _count_engine(gateway, engine)
+    _choose_own_engines(gateway)
+    _sum_fleet(gateway)
+    _set_own_capacity(gateway, gateway.live_engines)
+
+
+def refresh(gateway: GatewayState) -> None:
+    """Time has passed: count the capacity of all engines anew, or of those in use only where there are many.
+
+    The cost of a heartbeat must not grow with a fleet of thousands, of which a gateway uses a few.
+    """
+    count = len(gateway.live_engines)
+    is_due = gateway.now - gateway.capacity_counted_at >= count * RECOUNT_MS_PER_ENGINE
+    if count <= FEW_ENGINES or is_due:
+        count_all(gateway)
         return
-    _count_used(gateway, {})
+    _count_in_use(gateway, {})
 
 
-def _count_used(gateway: GatewayState, more: dict[str, EngineView]) -> None:
-    """Count the room of the engines in use, and of some more."""
-    gateway.homes.clear()
-    _weigh_news(gateway)
-    _draw_own(gateway)
-    used = {e.id: e for e in gateway.near} | gateway.active | more
-    for engine in used.values():
-        _size(gateway, engine)
-    _share_room(gateway, used.values())
+def _count_in_use(gateway: GatewayState, changed: dict[str, EngineView]) -> None:
+    """Count the capacity of the engines in use and of those that have changed."""
+    gateway.preferred_engines.clear()
+    _assess_observation(gateway)
+    _choose_own_engines(gateway)
+    in_use = {engine.id: engine for engine in gateway.candidate_pool} | gateway.active_engines | changed
+    for engine in in_use.values():
+        _count_engine(gateway, engine)
+    _set_own_capacity(gateway, in_use.values())
 
 
-def _sum_room(gateway: GatewayState) -> None:
-    """Room of the whole fleet."""
-    gateway.full_room = sum(e.room for e in gateway.live) or 1.0
-    gateway.full_memory = sum(e.memory_room for e in gateway.live) or math.inf
+def _sum_fleet(gateway: GatewayState) -> None:
+    """Sum the capacity of the whole fleet."""
+    gateway.fleet_thread_capacity = sum(e.thread_capacity for e in gateway.live_engines) or 1.0
+    gateway.fleet_memory_capacity_mb = sum(e.memory_capacity_mb for e in gateway.live_engines) or math.inf
 
 
-def _weigh_news(gateway: GatewayState) -> None:
-    """How rarely this gateway hears of each engine, and whether peers tell of theirs."""
-    # Danger: engines fill unevenly by chance, what others sent is hardly seen, one that pages jams. So
-    # memory is left free for chance the more, the rarer this gateway hears of each engine.
-    own_per_s = max(gateway.traffic.per_s(gateway.now), 1e-3)
-    heard_each_ms = 1000 * len(gateway.live) / own_per_s
-    gateway.heard = gateway.now - gateway.heard_at < PEER_GAPS * gateway.gap
-    gateway.blind = (1 - gateway.share) * (1 - math.exp(-heard_each_ms / REPORT_FRESH_MS))
+def _assess_observation(gateway: GatewayState) -> None:
+    """Set how rarely this gateway hears of each engine, and whether peers report their loads."""
+    own_per_s = max(gateway.own_traffic.per_s(gateway.now), 1e-3)
+    heard_each_ms = 1000 * len(gateway.live_engines) / own_per_s
+    silence_ms = gateway.now - gateway.peer_load_received_at
+    gateway.has_peer_loads = silence_ms < PEER_TIMEOUT_INTERVALS * gateway.peer_interval_ms
+    unobserved = 1 - math.exp(-heard_each_ms / REPORT_MAX_AGE_MS)
+    gateway.unobserved_share = (1 - gateway.traffic_share) * unobserved
 
 
-def _size(gateway: GatewayState, engine: EngineView) -> None:
-    """Thread and memory room of one engine."""
+def _count_engine(gateway: GatewayState, engine: EngineView) -> None:
+    """Count the threads and memory of one engine.
+
+    Engines fill unevenly by chance. So the more memory is left free, the rarer this gateway hears of each.
+    """
     threads = engine.cores * THREADS_PER_CORE
-    engine.room = threads * engine.warmth(gateway.now, gateway.settings.rules)
-    if engine.bound:
-        bound = max(engine.bound / (engine.cores * gateway.share), BOUND_ROOM_LEAST)
-        engine.room *= min(1.0, bound)
-    chance = min(CHANCE * math.sqrt(gateway.blind / threads), CHANCE_MOST)
-    engine.memory_room = engine.memory * MEMORY_ROOM * (1 - chance) or math.inf
-
-
-def _draw_own(gateway: GatewayState) -> None:
-    """The engines that this gateway's queries are drawn to."""
-    ranked = gateway.ranked
-    # Danger: where engines are rarely heard of, the best of k is the one last seen by luck, and all fill
-    # unevenly. So k are drawn from engines of this gateway's own, evenly covered, which it gets to know;
-    # k at least. Suspect ones are replaced. Hurts if `me` is not set.
-    # Danger: with k times its share of the fleet a gateway connected to most of thousands of small engines,
-    # each for a query or two. So the spare ones grow with the root of its share, and the share is covered.
-    first = round(gateway.settings.gateway_index * len(ranked) / gateway.settings.gateway_count)
-    own = len(ranked) * gateway.share  # engines that its traffic could fill
-    count = math.ceil(max(CANDIDATES * math.sqrt(max(1.0, own)), OWN_COVERED * own))
-    turned = ranked[first:] + ranked[:first]
-    # Danger: taken from the list, left engines changed whom peers tell of loads, and the others idled.
-    gateway.near = list(itertools.islice((e for e in turned if e.sound()), count))
-    gateway.mine = set()
-    if gateway.near:
-        last = gateway.near[-1].rank
-        gateway.mine = {e.id for e in turned[: (last - first) % len(ranked) + 1]}
-    gateway.reach = min(1.0, gateway.sound / max(len(gateway.near), 1) * gateway.share) or 1.0
-
-
-def _lay_ring(gateway: GatewayState) -> None:
-    """The engines by rank, each as often as it has the cores of the smallest: homes are dealt from it."""
-    ranked = gateway.ranked
-    least = min((e.cores for e in gateway.live), default=1.0)
-    gateway.ring = []
+    engine.thread_capacity = threads * engine.warm_capacity_share(gateway.now, gateway.settings.rules)
+    if engine.quota_rate:
+        quota_share = engine.quota_rate / (engine.cores * gateway.traffic_share)
+        engine.thread_capacity *= min(1.0, max(quota_share, MIN_QUOTA_CAPACITY_SHARE))
+    chance_share = min(CHANCE_DEVIATIONS * math.sqrt(gateway.unobserved_share / threads), MAX_CHANCE_SHARE)
+    engine.memory_capacity_mb = engine.memory_mb * MEMORY_SHARE * (1 - chance_share) or math.inf
+
+
+def _choose_own_engines(gateway: GatewayState) -> None:
+    """Choose the engines that this gateway's queries are drawn to.
+
+    Each gateway draws on a range of the ranked engines that it gets to know, and the ranges cover the fleet
+    evenly. A range has CANDIDATES engines at least and grows with the root of the traffic share, as each
+    engine costs connections, but covers that share. Engines that are not usable keep their place in the
+    range, so that peers still report their loads to the right gateways, and are replaced by more.
+    """
+    ranked = gateway.ranked_engines
+    settings = gateway.settings
+    first = round(settings.gateway_index * len(ranked) / settings.gateway_count)
+    fillable = len(ranked) * gateway.traffic_share  # engines that the own traffic could fill
+    count = math.ceil(max(CANDIDATES * math.sqrt(max(1.0, fillable)), COVERAGE_FACTOR * fillable))
+    rotated = ranked[first:] + ranked[:first]
+    usable = (engine for engine in rotated if engine.is_usable())
+    gateway.candidate_pool = list(itertools.islice(usable, count))
+    gateway.own_engine_ids = set()
+    if gateway.candidate_pool:
+        last = gateway.candidate_pool[-1].rank
+        gateway.own_engine_ids = {engine.id for engine in rotated[: (last - first) % len(ranked) + 1]}
+    engines_per_own = gateway.usable_engine_count / max(len(gateway.candidate_pool), 1)
+    gateway.own_engine_share = min(1.0, engines_per_own * gateway.traffic_share) or 1.0
+
+
+def _build_affinity_ring(gateway: GatewayState) -> None:
+    """Build the ring of preferred engines: by rank, each as often as it has the cores of the smallest."""
+    ranked = gateway.ranked_engines
+    min_cores = min((engine.cores for engine in gateway.live_engines), default=1.0)
+    gateway.affinity_ring = []
     if len(ranked) > 1:
-        gateway.ring = [e for e in ranked for _ in range(round(e.cores / least))]
-
-
-def _share_room(gateway: GatewayState, engines: Iterable[EngineView]) -> None:
-    """What of the room of the whole fleet, and of these engines, is this gateway's."""
-    gateway.own_room = gateway.full_room * gateway.share
-    own_memory = gateway.full_memory * gateway.share
-    # Own held work is drained by the own part of its engine, by all of it where peers tell of theirs, and
-    # by the own part of the whole fleet where engines are unseen.
-    part = 1.0 if gateway.heard else gateway.share
-    gateway.alike = (1 / gateway.reach - 1) * gateway.heard
-    blind = gateway.blind
+        gateway.affinity_ring = [engine for engine in ranked for _ in range(round(engine.cores / min_cores))]
+
+
+def _set_own_capacity(gateway: GatewayState, engines: Iterable[EngineView]) -> None:
+    """Set this gateway's part of the fleet's capacity and of these engines'.
+
+    Own queued work is drained by the own part of its engine, by all of it where peers report theirs, and by
+    the own part of the whole fleet as far as engines are not observed.
+    """
+    gateway.own_thread_capacity = gateway.fleet_thread_capacity * gateway.traffic_share
+    own_memory_mb = gateway.fleet_memory_capacity_mb * gateway.traffic_share
+    part = 1.0 if gateway.has_peer_loads else gateway.traffic_share
+    gateway.peer_sends_per_own = (1 / gateway.own_engine_share - 1) * gateway.has_peer_loads
+    unobserved = gateway.unobserved_share
     for engine in engines:
-        room, memory = engine.room, engine.memory_room
-        engine.own_room = max(room * part, blind * min(room, gateway.own_room))
-        engine.own_memory = max(memory * part, blind * min(memory, own_memory))
+        threads, memory_mb = engine.thread_capacity, engine.memory_capacity_mb
+        engine.own_thread_capacity = max(
+            threads * part, unobserved * min(threads, gateway.own_thread_capacity)
+        )
+        engine.own_memory_capacity_mb = max(memory_mb * part, unobserved * min(memory_mb, own_memory_mb))
--- a/cottonhold/scheduler/class_history.py
+++ b/cottonhold/scheduler/class_history.py
@@ -1,75 +1,84 @@
-"""What answers taught of one class of queries."""
+"""What answers taught of one class of queries: its work, its memory and how long its clients wait."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
-from cottonhold.scheduler.moving_average import Traffic
-
-if TYPE_CHECKING:
-    from cottonhold.scheduler.state import Query
+from cottonhold.scheduler.moving_average import ArrivalRate
 
 
 @dataclass(slots=True)
-class Learned:
-    """What answers taught of one class: log bias of told cost, of memory, mean cost and error; how often
-    queries came with a time left unlike that of most, and how often one was turned away or given up."""
-
-    unlike: Traffic
-    turned: Traffic
-    bias: float = 0.0
-    memory_bias: float = 0.0
-    cost: float = 0.0
-    memory: float = 0.0
-    delta: float = 0.0
-    patience: float = 0.0
-    votes: int = 0
-    seen: int = 0
+class ClassHistory:
+    """Averages over the answers of one class.
+
+    A log bias is the mean logarithm of measured over estimated: its exponential corrects an estimate.
+    """
+
+    unusual_time_left: ArrivalRate  # queries that came with a time left unlike that of most
+    unserved: ArrivalRate  # queries that were rejected or given up
+    work_log_bias: float = 0.0
+    memory_log_bias: float = 0.0
+    mean_work_ms: float = 0.0
+    mean_memory_mb: float = 0.0
+    run_time_error: float = 0.0  # share by which runs take longer than planned
+    usual_time_left_ms: float = 0.0  # the time that most clients leave a first try
+    time_left_votes: int = 0  # majority vote on it
+    answers_seen: int = 0
 
     @classmethod
-    def blank(cls, memory_ms: float) -> Learned:
-        """Of a class that nothing is known of."""
-        return cls(Traffic(memory_ms), Traffic(memory_ms))
-
-    def answer(self, gain: float, query: Query, cost: float, implied: float, memory: float) -> None:
-        """Move towards the cost and memory that one answer told or implied."""
-        self.seen += 1
-        if query.told > 0:
-            self.bias += gain * (math.log(implied / query.told) - self.bias)
-        # Danger: begun at nothing, the mean was half of the first answer, and gateways that had just started
-        # sent cold engines twice the work of their bounds.
-        self.cost += max(gain, 1 / self.seen) * (cost - self.cost)
-        if memory > 0:
-            self.memory += gain * (memory - self.memory)
-            if query.told_memory > 0:
-                self.needed(gain, query, memory)
-
-    def needed(self, gain: float, query: Query, memory: float) -> None:
-        """Move the bias towards the memory that a query with a told need took."""
-        self.memory_bias += gain * (math.log(memory / query.told_memory) - self.memory_bias)
-
-    def left_alike(self, now: float, left: float, within: float, votes: int | None) -> bool:
-        """Whether a query comes with a time left like that of most; its vote on that, where it has one."""
-        alike = abs(left - self.patience) <= within * self.patience
-        if votes is not None:
-            self.votes = min(self.votes + (1 if alike else -1), votes)
-            if self.votes < 0:
-                self.patience = left
-                self.votes = 0
-        if not alike:
-            self.unlike.add(now)
-        return alike
-
-
-def centre_bias(classes: list[Learned]) -> None:
-    """Take the mean bias of the classes seen from each of them."""
-    seen = [c for c in classes if c.seen]
-    # Danger: an answer for a class that a reload had taken away came before any for a class in force; the
-    # division failed the whole step, and with it other requests that ended in the same one.
-    if not seen:
+    def empty(cls, memory_ms: float) -> ClassHistory:
+        """Of a class without answers; its arrival rates forget over `memory_ms`."""
+        return cls(ArrivalRate(memory_ms), ArrivalRate(memory_ms))
+
+    def record_work(
+        self, gain: float, work_ms: float, estimated_work_ms: float, implied_work_ms: float
+    ) -> None:
+        """Move towards the work of one answer.
+
+        The mean starts at the first answer: an average that started at zero would plan the first queries
+        at a fraction of their work and overrun the budgets of engines that are warming up.
+        """
+        self.answers_seen += 1
+        if estimated_work_ms > 0:
+            self.work_log_bias += gain * (math.log(implied_work_ms / estimated_work_ms) - self.work_log_bias)
+        self.mean_work_ms += max(gain, 1 / self.answers_seen) * (work_ms - self.mean_work_ms)
+
+    def record_memory(self, gain: float, memory_mb: float, estimated_memory_mb: float) -> None:
+        """Move towards the memory of one answer; an answer that reports none teaches nothing."""
+        if memory_mb > 0:
+            self.mean_memory_mb += gain * (memory_mb - self.mean_memory_mb)
+            if estimated_memory_mb > 0:
+                self.record_memory_bias(gain, memory_mb, estimated_memory_mb)
+
+    def record_memory_bias(self, gain: float, memory_mb: float, estimated_memory_mb: float) -> None:
+        """Move the bias towards the memory that a query with an estimate took."""
+        self.memory_log_bias += gain * (math.log(memory_mb / estimated_memory_mb) - self.memory_log_bias)
+
+    def record_time_left(self, now: float, left_ms: float, tolerance: float, max_votes: int | None) -> bool:
+        """Whether a query comes with the time left that is usual in its class.
+
+        With `max_votes` it votes on what is usual (Boyer-Moore majority); None for a query without a vote.
+        """
+        is_usual = abs(left_ms - self.usual_time_left_ms) <= tolerance * self.usual_time_left_ms
+        if max_votes is not None:
+            self.time_left_votes = min(self.time_left_votes + (1 if is_usual else -1), max_votes)
+            if self.time_left_votes < 0:
+                self.usual_time_left_ms = left_ms
+                self.time_left_votes = 0
+        if not is_usual:
+            self.unusual_time_left.add(now)
+        return is_usual
+
+
+def centre_work_biases(histories: list[ClassHistory]) -> None:
+    """Subtract the mean work bias of the classes with answers from each of them.
+
+    Without any there is no mean: the answer may be of a class that a change of settings has removed.
+    """
+    answered = [history for history in histories if history.answers_seen]
+    if not answered:
         return
-    mean = sum(c.bias for c in seen) / len(seen)
-    for c in seen:
-        c.bias -= mean
+    mean = sum(history.work_log_bias for history in answered) / len(answered)
+    for history in answered:
+        history.work_log_bias -= mean
--- a/cottonhold/scheduler/deadlines.py
+++ b/cottonhold/scheduler/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines and wake-ups: what is answered because its time is up, and when the next step is due."""
+"""Deadlines and timers: what is answered because its time is up, and when the next step is due."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from cottonhold.scheduler.actions import SetTimer
 from cottonhold.scheduler.events import ShutdownStarted
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.parameters import HEARTBEAT_MS, TRAFFIC_YOUNG_MS
+from cottonhold.scheduler.parameters import HEARTBEAT_MS, TRAFFIC_MIN_AGE_MS
 
 
 def is_due(gateway: GatewayState, at: float) -> bool:
@@ -17,37 +17,41 @@
 
 
 def begin_step(gateway: GatewayState, now: float) -> None:
-    """A step begins: a wake-up that has come counts no more."""
+    """Begin a step; a timer that has expired counts no more.
+
+    Traffic is first published once the gateway has run for a while: the little that it has at its start would
+    let all peers that start with it claim more than their share of the fleet.
+    """
     gateway.now = now
-    if not gateway.begun:
-        # Danger: what a gateway told as it started was next to no traffic, and all that started with it took
-        # themselves for busy ones: their shares of the fleet added up to more than three for some seconds.
-        gateway.begun = True
-        gateway.next_peer = max(gateway.next_peer, now + TRAFFIC_YOUNG_MS)
+    if not gateway.has_started:
+        gateway.has_started = True
+        gateway.next_peer_message_at = max(gateway.next_peer_message_at, now + TRAFFIC_MIN_AGE_MS)
     gateway.actions = []
-    gateway.changed = False
-    if is_due(gateway, gateway.wake_at):
-        gateway.wake_at = math.inf
-
-
-def answer_due(gateway: GatewayState) -> None:
-    """Answer the queries whose time is up; those with an attempt out wait for its end."""
-    for query in gateway.deadlines.take(gateway.now + gateway.slack):
-        if not query.out and not query.over:
-            responses.answer(gateway, query)
-
-
-def on_leaving(gateway: GatewayState, event: ShutdownStarted) -> None:
-    """This gateway ends: no query has longer than until then."""
-    gateway.deadlines.cut(event.ends_at)
-
-
-def wake(gateway: GatewayState) -> None:
-    """Ask to be woken for what is due next: a gateway with nothing held or out costs nothing."""
-    if gateway.active or gateway.doubted or gateway.homeless:
-        gateway.next_beat = min(gateway.next_beat, gateway.now + HEARTBEAT_MS)
-    first_deadline = gateway.deadlines.first() - gateway.slack
-    due = min(gateway.next_beat, gateway.next_peer, gateway.next_ask, first_deadline)
-    if due < gateway.wake_at:
-        gateway.wake_at = due
-        gateway.actions.append(SetTimer(max(due - gateway.now, gateway.settings.tick_ms), 0))
+    gateway.release_is_due = False
+    if is_due(gateway, gateway.timer_at):
+        gateway.timer_at = math.inf
+
+
+def answer_overdue(gateway: GatewayState) -> None:
+    """Answer the queries whose time is up; those with an attempt in flight wait for its end."""
+    for query in gateway.deadlines.pop_due(gateway.now + gateway.answer_margin_ms):
+        if not query.is_in_flight and not query.is_finished:
+            responses.reject_or_fail(gateway, query)
+
+
+def on_shutdown_started(gateway: GatewayState, event: ShutdownStarted) -> None:
+    """Cap all deadlines at the end of this gateway."""
+    gateway.deadlines.cap(event.ends_at)
+
+
+def set_timer(gateway: GatewayState) -> None:
+    """Set a timer for what is due next; a gateway with nothing queued or in flight needs none."""
+    if gateway.active_engines or gateway.ejected_engines or gateway.unplaced:
+        gateway.next_heartbeat_at = min(gateway.next_heartbeat_at, gateway.now + HEARTBEAT_MS)
+    first_deadline = gateway.deadlines.earliest() - gateway.answer_margin_ms
+    due_at = min(
+        gateway.next_heartbeat_at, gateway.next_peer_message_at, gateway.next_subscribe_at, first_deadline
+    )
+    if due_at < gateway.timer_at:
+        gateway.timer_at = due_at
+        gateway.actions.append(SetTimer(max(due_at - gateway.now, gateway.settings.tick_ms), 0))
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -1,184 +1,213 @@
-"""Engine health: failure evidence, suspicion and its end.
+"""Engine health: the evidence of faults, ejection and readmission.
 
-An engine is suspect where connects fail ("dead"), where it answers mostly errors ("errors"), where it says
-nothing while queries are out ("silent"), or where a probe gets no answer ("deaf").
+An engine is ejected when a connect fails, when it answers mostly errors or loses connection after connection,
+when it says nothing while queries are overdue, or when a health check times out. An ejected engine gets
+canaries only. It is readmitted after MIN_CANARY_SUCCESSES served queries in a row, when the evidence is
+refuted, when it restarts, when the fleet opens it again, or after EJECTION_MS without new evidence.
 """
 
 from __future__ import annotations
 
 from cottonhold.scheduler import placement, rate_estimation, slow_start, utilization
 from cottonhold.scheduler.actions import CheckHealth, LogLine
+from cottonhold.scheduler.engine_state import EjectionReason, EngineView
 from cottonhold.scheduler.events import AttemptEnded, HealthCheckCompleted, Outcome
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.parameters import SUSPICION_MS
-from cottonhold.scheduler.state import EngineView, Query
-
-DEAD, DEAF, ERRORS, SILENT = "dead", "deaf", "errors", "silent"
-UNHEARD = (SILENT, DEAF)  # suspicions of engines that take work and say nothing
-SILENCE_MIN_MS = 900.0  # no shorter silence is a symptom: engines pause for half a second at times
-OVERDUE = 1.5  # planned run times after which an attempt ought to have answered: silence counts from there
+from cottonhold.scheduler.parameters import EJECTION_MS
+from cottonhold.scheduler.query import Query
+
+UNRESPONSIVE = (EjectionReason.SILENT, EjectionReason.HEALTH_CHECK_TIMEOUT)  # takes work and says nothing
+MAY_HAVE_RESTARTED = (EjectionReason.UNREACHABLE, *UNRESPONSIVE)
+MIN_SILENCE_MS = 900.0  # no shorter silence is a symptom: engines pause for half a second at times
+OVERDUE_FACTOR = (
+    1.5  # planned run times after which an attempt should have answered: silence counts from there
+)
 ERROR_GAIN = 0.15  # weight of one outcome in an engine's error share
-ERROR_SUSPECT = 0.35  # error share from which an engine is suspect; clean engines stay far below
-ERROR_CLEAR = 0.15  # and below which it is trusted again, so that it does not flap
-TRICKLE_GOOD = 3  # served queries in a row that end a suspicion of death or silence
+EJECTION_ERROR_SHARE = 0.35  # from which an engine is ejected; healthy engines stay far below
+READMISSION_ERROR_SHARE = 0.15  # below which it is readmitted: hysteresis against flapping
+MIN_CANARY_SUCCESSES = 3  # served queries in a row that end an ejection
+
 
+def eject(gateway: GatewayState, engine: EngineView, reason: EjectionReason) -> None:
+    """Eject an engine: what is queued for it goes elsewhere, and only canaries test it.
 
-def suspect(gateway: GatewayState, engine: EngineView, why: str) -> None:
-    """Suspect an engine: what is held for it goes elsewhere, and only a trickle of safe queries tests it."""
-    # Danger: a crash, hang, cut link or fast errors eat queries until the list tells, seconds late.
-    # It may hurt when a healthy engine is merely slow to speak; the trickle clears it, or time.
+    The list reports a failed engine seconds late. A healthy one that was ejected is soon readmitted.
+    """
     now = gateway.now
-    engine.suspect_until = now + SUSPICION_MS
-    if engine.suspect == why:
+    engine.ejected_until = now + EJECTION_MS
+    if engine.ejection_reason is reason:
         return
-    if not engine.suspect:
-        gateway.doubted[engine.id] = engine
-        engine.suspect_at = now
-        gateway.pool.hide(engine)
-        engine.trickle_at = now + placement.TRICKLE_MS / gateway.share * gateway.random.random()
-        gateway.actions.append(LogLine(f"engine {engine.id} suspect: {why}"))
-    engine.suspect = why
-    engine.good = 0
-    for query in engine.empty():
+    if not engine.ejection_reason:
+        gateway.ejected_engines[engine.id] = engine
+        engine.ejected_at = now
+        gateway.in_flight.on_engine_ejected(engine)
+        interval_ms = placement.CANARY_INTERVAL_MS / gateway.traffic_share
+        engine.next_canary_at = now + interval_ms * gateway.random.random()
+        gateway.actions.append(LogLine(f"engine {engine.id} suspect: {reason.value}"))
+    engine.ejection_reason = reason
+    engine.consecutive_successes = 0
+    for query in engine.take_plan():
         placement.place(gateway, query)
 
 
-def trust(gateway: GatewayState, engine: EngineView) -> None:
-    """End the suspicion of an engine, if there is one."""
-    if engine.suspect:
+def readmit(gateway: GatewayState, engine: EngineView) -> None:
+    """End the ejection of an engine, if there is one."""
+    if engine.ejection_reason:
         gateway.actions.append(LogLine(f"engine {engine.id} trusted again"))
-        del gateway.doubted[engine.id]
-        gateway.pool.show(engine)
-    engine.suspect = ""
-    engine.good = 0
+        del gateway.ejected_engines[engine.id]
+        gateway.in_flight.on_engine_readmitted(engine)
+    engine.ejection_reason = None
+    engine.consecutive_successes = 0
 
 
-def heard_from(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
+def on_sign_of_life(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
     """The engine spoke. An answer to a query sent before a silence proves that the process lived."""
-    engine.last_word = gateway.now
-    if engine.suspect in UNHEARD and sent_at < engine.suspect_at:
-        trust(gateway, engine)
+    engine.last_received_at = gateway.now
+    if engine.ejection_reason in UNRESPONSIVE and sent_at < engine.ejected_at:
+        readmit(gateway, engine)
+
 
+def on_outcome(gateway: GatewayState, engine: EngineView, query: Query | None, event: AttemptEnded) -> None:
+    """Judge an engine by the outcome of an attempt.
 
-def judge(gateway: GatewayState, engine: EngineView, query: Query | None, event: AttemptEnded) -> None:
-    """What the outcome of an attempt says of the engine."""
+    A rejection as overloaded is no sign of life: a hung engine still turns work away.
+    """
     outcome = event.outcome
     sent_at = gateway.now - event.elapsed_ms
-    rate_estimation.hear_report(gateway, engine, event.load_report)
-    if outcome in (Outcome.OK, Outcome.ERROR):  # a hung engine still turns work away
-        heard_from(gateway, engine, sent_at)
+    rate_estimation.record_load_report(gateway, engine, event.load_report)
+    if outcome in (Outcome.OK, Outcome.ERROR):
+        on_sign_of_life(gateway, engine, sent_at)
     if outcome is Outcome.OK:
-        _note_success(gateway, engine, sent_at)
-        if query is not None and query.out:
-            rate_estimation.learn_answer(gateway, query, engine, event)
+        _on_success(gateway, engine, sent_at)
+        if query is not None and query.is_in_flight:
+            rate_estimation.record_answer(gateway, query, engine, event)
     elif outcome is Outcome.OVERLOADED:
-        _pass_over(gateway, engine)
+        _back_off(gateway, engine)
     elif outcome in (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET):
-        _note_failure(gateway, engine, query, outcome)
+        _on_failure(gateway, engine, query, outcome)
+
+
+def _back_off(gateway: GatewayState, engine: EngineView) -> None:
+    """Pass over an engine that rejected work as overloaded, for a time that doubles each time in a row.
 
+    A hung engine rejects at once and would otherwise attract ever more work.
+    """
+    engine.consecutive_overloads += 1
+    engine.under_pressure_until = gateway.now + utilization.PRESSURE_HOLD_MS
+    backoff_ms = min(utilization.PRESSURE_HOLD_MS * 2**engine.consecutive_overloads, EJECTION_MS)
+    engine.backoff_until = gateway.now + backoff_ms
 
-def _pass_over(gateway: GatewayState, engine: EngineView) -> None:
-    """The engine turned work away as full."""
-    # Danger: a jammed or hung engine turns work away at once, and gets yet more. So it is passed over
-    # for a time that doubles; may hurt where it had room again sooner.
-    engine.jams += 1
-    engine.pressed_until = gateway.now + utilization.FULL_REST_MS
-    engine.rest_until = gateway.now + min(utilization.FULL_REST_MS * 2**engine.jams, SUSPICION_MS)
 
+def _on_success(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
+    """Count served work towards readmission; an engine that may have restarted is kept to the cold budget."""
+    engine.error_share -= ERROR_GAIN * engine.error_share
+    engine.consecutive_successes += 1
+    engine.consecutive_overloads = 0
+    is_first = engine.consecutive_successes == 1 and sent_at >= engine.ejected_at
+    if is_first and engine.ejection_reason in MAY_HAVE_RESTARTED:
+        slow_start.start_warming(gateway, engine, gateway.now + gateway.settings.rules.warm_up_ms)
+    has_recovered = engine.consecutive_successes >= MIN_CANARY_SUCCESSES
+    if engine.ejection_reason and has_recovered and engine.error_share < READMISSION_ERROR_SHARE:
+        readmit(gateway, engine)
 
-def _note_success(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
-    """Served work clears suspicion; one that may have died is held to the cold budget meanwhile."""
-    engine.errors -= ERROR_GAIN * engine.errors
-    engine.good += 1
-    engine.jams = 0
-    first = engine.good == 1 and sent_at >= engine.suspect_at
-    if first and engine.suspect in (DEAD, *UNHEARD):
-        slow_start.begin(gateway, engine, gateway.now + gateway.settings.rules.warm_up_ms)
-    if engine.suspect and engine.good >= TRICKLE_GOOD and engine.errors < ERROR_CLEAR:
-        trust(gateway, engine)
 
+def _on_failure(gateway: GatewayState, engine: EngineView, query: Query | None, outcome: Outcome) -> None:
+    """Weigh an error, a lost connection or a failed connect.
 
-def _note_failure(gateway: GatewayState, engine: EngineView, query: Query | None, outcome: Outcome) -> None:
-    """An error, a broken connection or a failed connect: how much it says against the engine."""
-    if outcome is Outcome.ERROR and query is not None and _query_is_at_fault(query, engine):
+    A failed connect is proof. All connections lost at one moment are one sign, no more than one error: a
+    failed engine shows in the next connect, or in the health check that follows.
+    """
+    if outcome is Outcome.ERROR and query is not None and _is_query_at_fault(query, engine):
         return
-    # Danger: one reset connection or one spoilt answer was taken for a death, and half the fleet was left
-    # for seconds. All that was out on it is one sign; a dead engine shows in the next connect, which is
-    # proof. May hurt where an engine dies and takes connections, but answers nothing.
     if outcome is Outcome.RESET:
-        if engine.broke_at == gateway.now:
+        if engine.connection_lost_at == gateway.now:
             return
-        engine.broke_at = gateway.now
+        engine.connection_lost_at = gateway.now
         if gateway.settings.features.has_health_checks:
-            probe(gateway, engine)
-    engine.errors += ERROR_GAIN * (1 - engine.errors)
-    engine.good = 0
-    if outcome is Outcome.CONNECT_FAILED or engine.errors > ERROR_SUSPECT:
-        suspect(gateway, engine, ERRORS if outcome is Outcome.ERROR else DEAD)
-
-
-def _query_is_at_fault(query: Query, engine: EngineView) -> bool:
-    """Whether an error is the query's: another engine gave one for it before."""
-    # Danger: a query that no engine can run failed on all of them, and all were doubted. The second error
-    # shows that it was the query, and the first engine gets back what it lost.
-    query.failures += 1
-    if query.blamed is None:
-        query.blamed = engine
+            check_health(gateway, engine)
+    engine.error_share += ERROR_GAIN * (1 - engine.error_share)
+    engine.consecutive_successes = 0
+    if outcome is Outcome.CONNECT_FAILED or engine.error_share > EJECTION_ERROR_SHARE:
+        is_error = outcome is Outcome.ERROR
+        eject(gateway, engine, EjectionReason.ERRORS if is_error else EjectionReason.UNREACHABLE)
+
+
+def _is_query_at_fault(query: Query, engine: EngineView) -> bool:
+    """Whether an error is the query's: another engine answered it with one before.
+
+    The error then counts against no engine, and is taken back from the first one.
+    """
+    query.engine_error_count += 1
+    if query.first_error_engine is None:
+        query.first_error_engine = engine
         return False
-    query.blamed.errors = max(0.0, query.blamed.errors - ERROR_GAIN)
+    query.first_error_engine.error_share = max(0.0, query.first_error_engine.error_share - ERROR_GAIN)
     return True
 
 
 def check_silence(gateway: GatewayState, engine: EngineView) -> None:
-    """Suspect an engine that has said nothing for too long."""
-    if not engine.suspect and _silent(gateway, engine):
-        suspect(gateway, engine, SILENT)
-
-
-def _silent(gateway: GatewayState, engine: EngineView) -> bool:
-    """Queries are out and neither answer nor note comes: a hang, a vanished host, a cut link."""
-    # Danger: one told to wait for memory gets no further word until it runs, and the line was taken for a
-    # hang, its engine left and its queries cancelled. May hurt where an engine hangs with a line only.
-    overdue_from = [q.sent_at + OVERDUE * q.p for q in engine.out.values() if not q.waits]
-    silence = gateway.now - max(engine.last_word, min(overdue_from, default=gateway.now))
-    note_period = gateway.settings.progress_interval_ms
-    if note_period or not gateway.settings.features.has_health_checks:
-        return silence > max(SILENCE_MIN_MS, note_period)
-    # Danger: without notes one long query is silence, and its engine was doubted and left by all. So a
-    # probe is asked, and only one unanswered is a sign; may hurt where hung engines still answer probes.
-    if silence > 0:
-        probe(gateway, engine)
+    """Eject an engine that has said nothing for too long."""
+    if not engine.ejection_reason and _is_silent(gateway, engine):
+        eject(gateway, engine, EjectionReason.SILENT)
+
+
+def _is_silent(gateway: GatewayState, engine: EngineView) -> bool:
+    """Whether queries are overdue and neither answer nor progress note comes: a hang or a lost host.
+
+    A query that waits for memory gets no further note until it runs, and is not overdue. Without progress
+    notes one long query is silence as well; then a health check decides.
+    """
+    overdue_from = [
+        query.sent_at + OVERDUE_FACTOR * query.planned_run_ms
+        for query in engine.in_flight.values()
+        if not query.is_waiting_for_memory
+    ]
+    silent_from = max(engine.last_received_at, min(overdue_from, default=gateway.now))
+    silence_ms = gateway.now - silent_from
+    progress_interval_ms = gateway.settings.progress_interval_ms
+    if progress_interval_ms or not gateway.settings.features.has_health_checks:
+        return silence_ms > max(MIN_SILENCE_MS, progress_interval_ms)
+    if silence_ms > 0:
+        check_health(gateway, engine)
     return False
 
 
-def check_suspicions(gateway: GatewayState) -> None:
-    """Suspicions end with time; until then probes ask."""
-    for engine in list(gateway.doubted.values()):
-        if gateway.now >= engine.suspect_until:
-            trust(gateway, engine)
-        elif gateway.settings.features.has_health_checks and engine.bound:
-            probe(gateway, engine)
+def review_ejections(gateway: GatewayState) -> None:
+    """Readmit engines whose ejection has run out, and check the health of the others."""
+    for engine in list(gateway.ejected_engines.values()):
+        if gateway.now >= engine.ejected_until:
+            readmit(gateway, engine)
+        elif gateway.settings.features.has_health_checks and engine.quota_rate:
+            check_health(gateway, engine)
 
 
-def probe(gateway: GatewayState, engine: EngineView) -> None:
-    """Ask an engine for a sign of life, within what own traffic allows: each probe has its price."""
-    if gateway.probes >= 1 and gateway.now - engine.probed_at >= SILENCE_MIN_MS:
-        gateway.probes -= 1
-        engine.probed_at = gateway.now
+def check_health(gateway: GatewayState, engine: EngineView) -> None:
+    """Send a health check, within the budget that own traffic earns: each has its price."""
+    is_rested = gateway.now - engine.health_checked_at >= MIN_SILENCE_MS
+    if gateway.health_check_budget >= 1 and is_rested:
+        gateway.health_check_budget -= 1
+        engine.health_checked_at = gateway.now
         gateway.actions.append(CheckHealth(engine.id))
 
 
-def on_probed(gateway: GatewayState, event: HealthCheckCompleted) -> None:
-    """A probe has ended."""
+def on_health_check_completed(gateway: GatewayState, event: HealthCheckCompleted) -> None:
+    """Judge an engine by a health check: it refutes a check that timed out, and lets a canary go at once."""
     engine = gateway.engines.get(event.engine)
     if engine is None:
         return
     if event.outcome is not Outcome.OK:
-        if engine.out and event.outcome in (Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
-            suspect(gateway, engine, DEAF if event.outcome is Outcome.TIMEOUT else DEAD)
+        _on_health_check_failed(gateway, engine, event.outcome)
         return
-    rate_estimation.hear_report(gateway, engine, event.load_report)
-    if engine.suspect == DEAF:  # ends by the kind of evidence that it came from
-        trust(gateway, engine)
-    elif engine.suspect == DEAD:
-        engine.trickle_at = min(engine.trickle_at, gateway.now)
+    rate_estimation.record_load_report(gateway, engine, event.load_report)
+    if engine.ejection_reason is EjectionReason.HEALTH_CHECK_TIMEOUT:
+        readmit(gateway, engine)
+    elif engine.ejection_reason is EjectionReason.UNREACHABLE:
+        engine.next_canary_at = min(engine.next_canary_at, gateway.now)
+
+
+def _on_health_check_failed(gateway: GatewayState, engine: EngineView, outcome: Outcome) -> None:
+    """Eject an engine with queries in flight whose health check timed out or found no connection."""
+    if engine.in_flight and outcome is Outcome.TIMEOUT:
+        eject(gateway, engine, EjectionReason.HEALTH_CHECK_TIMEOUT)
+    elif engine.in_flight and outcome is Outcome.CONNECT_FAILED:
+        eject(gateway, engine, EjectionReason.UNREACHABLE)
--- a/cottonhold/scheduler/engine_list.py
+++ b/cottonhold/scheduler/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list and the fleet's bounds: which engines there are, and what may be sent to each."""
+"""The engine list and the fleet's quotas: which engines there are, and what may be sent to each."""
 
 from __future__ import annotations
 
@@ -7,78 +7,84 @@
 
 from cottonhold.scheduler import capacity, engine_health, placement, slow_start
 from cottonhold.scheduler.actions import Subscribe
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.events import Engine, EngineList, EngineListFailed, EngineQuotas, EngineState
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.state import EngineView
 
-ASK_AGAIN_MS = 400.0  # after a call for the list that failed
+RESUBSCRIBE_DELAY_MS = 400.0  # after a call for the list that failed
 
 
-def on_list(gateway: GatewayState, event: EngineList) -> None:
-    """The list, whole or what changed: queries held for engines that leave are placed anew."""
-    for info in event.engines:
-        _on_entry(gateway, info)
-    told = {info.id: gateway.engines[info.id] for info in event.engines}
+def on_engine_list(gateway: GatewayState, event: EngineList) -> None:
+    """Apply the list, complete or what changed: queries queued for engines that depart are placed anew.
+
+    An engine that is missing from a complete list is removed. Engines removed earlier that still have
+    attempts in flight are looked at again.
+    """
+    for entry in event.engines:
+        _apply_entry(gateway, entry)
+    listed = {entry.id: gateway.engines[entry.id] for entry in event.engines}
     if event.is_complete:
         for engine in gateway.engines.values():
-            if engine.id not in told:
-                engine.info = dataclasses.replace(engine.info, state=EngineState.REMOVED)
-    changed = dict(gateway.engines) if event.is_complete else told | gateway.leaving
+            if engine.id not in listed:
+                engine.entry = dataclasses.replace(engine.entry, state=EngineState.REMOVED)
+    changed = dict(gateway.engines) if event.is_complete else listed | gateway.departing_engines
     for engine in changed.values():
-        _leave(gateway, engine)
-    gateway.relisted |= changed
+        _vacate(gateway, engine)
+    gateway.changed_engines |= changed
 
 
-def _leave(gateway: GatewayState, engine: EngineView) -> None:
-    """Take away what is held for an engine that drains or is gone; forget one gone with nothing out."""
-    gateway.leaving.pop(engine.id, None)
-    if engine.info.state is EngineState.LIVE:
+def _vacate(gateway: GatewayState, engine: EngineView) -> None:
+    """Place anew what is queued for an engine that is not live; forget one removed with nothing in flight."""
+    gateway.departing_engines.pop(engine.id, None)
+    if engine.entry.state is EngineState.LIVE:
         return
-    engine_health.trust(gateway, engine)
-    for query in engine.empty():
+    engine_health.readmit(gateway, engine)
+    for query in engine.take_plan():
         placement.place(gateway, query)
-    if engine.info.state is EngineState.REMOVED and engine.out:
-        gateway.leaving[engine.id] = engine
-    elif engine.info.state is EngineState.REMOVED:
+    if engine.entry.state is EngineState.REMOVED and engine.in_flight:
+        gateway.departing_engines[engine.id] = engine
+    elif engine.entry.state is EngineState.REMOVED:
         gateway.engines.pop(engine.id, None)
 
 
-def _on_entry(gateway: GatewayState, info: Engine) -> None:
-    """A new start time means a restart: what was learned of the old process is void."""
-    engine = gateway.engines.get(info.id)
+def _apply_entry(gateway: GatewayState, entry: Engine) -> None:
+    """Apply one line of the list; another start time means a restart, which voids what was learned."""
+    engine = gateway.engines.get(entry.id)
     if engine is None:
-        engine = EngineView.listed(info, gateway.settings.machine_types, gateway.now)
-        gateway.engines[info.id] = engine
-    elif info.started_at != engine.info.started_at:
-        engine.restart()
-        engine_health.trust(gateway, engine)
-    engine.info = info
-    if info.started_at > 0:
-        slow_start.begin(gateway, engine, info.started_at + gateway.settings.rules.warm_up_ms)
+        engine = EngineView.from_entry(entry, gateway.settings.machine_types, gateway.now)
+        gateway.engines[entry.id] = engine
+    elif entry.started_at != engine.entry.started_at:
+        engine.forget_process()
+        engine_health.readmit(gateway, engine)
+    engine.entry = entry
+    if entry.started_at > 0:
+        slow_start.start_warming(gateway, engine, entry.started_at + gateway.settings.rules.warm_up_ms)
 
 
-def on_list_failed(gateway: GatewayState, event: EngineListFailed) -> None:
+def on_engine_list_failed(gateway: GatewayState, event: EngineListFailed) -> None:
     """A call for the list failed: the old one holds, and it is asked for again."""
-    gateway.next_ask = gateway.now + ASK_AGAIN_MS
+    gateway.next_subscribe_at = gateway.now + RESUBSCRIBE_DELAY_MS
 
 
-def ask(gateway: GatewayState) -> None:
-    """Ask for list changes, where they do not come by themselves."""
-    gateway.next_ask = math.inf
+def subscribe(gateway: GatewayState) -> None:
+    """Ask for changes of the list, where they do not come by themselves."""
+    gateway.next_subscribe_at = math.inf
     if gateway.settings.features.polls_engine_list:
         gateway.actions.append(Subscribe(True))
 
 
-def on_bounds(gateway: GatewayState, event: EngineQuotas) -> None:
-    """The fleet bounds what is sent to some engines."""
-    # Danger: each gateway left a failing zone by itself, engine by engine, and came back in a herd. So
-    # the fleet's word bounds what is sent. May hurt where it is wrong: one that leaves nobody is skipped.
-    leaves_some = any(event.work_rate_by_engine.get(e.id, math.inf) for e in gateway.live)
-    work = event.work_rate_by_engine if leaves_some else {}
+def on_engine_quotas(gateway: GatewayState, event: EngineQuotas) -> None:
+    """Apply the fleet's quotas. Quotas that close every live engine are wrong and lift all quotas instead.
+
+    An engine that is opened again is readmitted: what it was ejected for is past.
+    """
+    keeps_some = any(event.work_rate_by_engine.get(engine.id, math.inf) for engine in gateway.live_engines)
+    quota_rates = event.work_rate_by_engine if keeps_some else {}
     for engine in gateway.engines.values():
-        if engine.set_bound(gateway.now, work.get(engine.id, math.inf), event.expires_at):
-            engine_health.trust(gateway, engine)  # the fleet returns to it: what it was doubted for is past
-    capacity.count_room(gateway)
-    held = [query for engine in gateway.engines.values() if not engine.bound for query in engine.empty()]
-    for query in held:
+        quota_rate = quota_rates.get(engine.id, math.inf)
+        if engine.set_quota(gateway.now, quota_rate, event.expires_at):
+            engine_health.readmit(gateway, engine)
+    capacity.count_all(gateway)
+    closed = [engine for engine in gateway.engines.values() if not engine.quota_rate]
+    for query in [query for engine in closed for query in engine.take_plan()]:
         placement.place(gateway, query)
--- a/cottonhold/scheduler/estimates.py
+++ b/cottonhold/scheduler/estimates.py
@@ -1,73 +1,89 @@
-"""Estimates of a query: cost, memory, aim and worth, the same on every engine, and its worth over cost."""
+"""What a query is expected to need and to be worth, the same on every engine, and its utility density."""
 
 from __future__ import annotations
 
 import math
 
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import MemoryShortage
-from cottonhold.scheduler.state import EngineView, Query
 
-UNTOLD_COST_OF_AIM = 0.25  # of the aim: the cost of a query of a class that nothing is known of
-LATE_FALL = 0.5  # of the aim: how fast worth falls to its late value behind the aim (finish is a guess)
-GRANT_PAGE = 2.0  # grant over need where unused memory stays free to others
-GRANT_TIGHT = 1.3  # grant over need where granted memory is taken from others
+DEFAULT_WORK_OF_OBJECTIVE = 0.25  # of the latency objective: the work of a query of an unknown class
+LATE_FALL_OF_OBJECTIVE = 0.5  # of the objective: how fast utility falls behind it, as finishes are estimates
+GRANT_FACTOR_PAGING = 2.0  # grant over need where unused memory stays free to others
+GRANT_FACTOR_RESERVING = 1.3  # grant over need where granted memory is taken from others
 
 
-def appraise(gateway: GatewayState, query: Query) -> None:
-    """Set cost and memory (told less the class's bias, else its mean), aim and worth."""
-    cls, learned = query.cls, query.learned
-    if query.told > 0:
-        query.cost = query.told * math.exp(learned.bias)
+def estimate(gateway: GatewayState, query: Query) -> None:
+    """Set a query's work and memory, its latency objective and its utility.
+
+    The work is the client's estimate corrected by the bias of the class, else the mean of the class.
+    """
+    query_class, history = query.query_class, query.class_history
+    if query.estimated_work_ms > 0:
+        query.planned_work_ms = query.estimated_work_ms * math.exp(history.work_log_bias)
     else:
-        query.cost = learned.cost or cls.latency_objective_ms * UNTOLD_COST_OF_AIM
-    query.memory = _memory(gateway, query)
-    query.aim = min(
-        cls.latency_objective_ms + cls.latency_objective_stretch * query.cost / cls.threads, cls.deadline_ms
-    )
-    query.aim_at = query.began + query.aim
-    query.top = cls.utility * _tenant_scale(gateway, query)
+        default_ms = query_class.latency_objective_ms * DEFAULT_WORK_OF_OBJECTIVE
+        query.planned_work_ms = history.mean_work_ms or default_ms
+    query.planned_memory_mb = _planned_memory_mb(gateway, query)
+    stretch_ms = query_class.latency_objective_stretch * query.planned_work_ms / query_class.threads
+    query.latency_objective_ms = min(query_class.latency_objective_ms + stretch_ms, query_class.deadline_ms)
+    query.latency_objective_at = query.first_tried_at + query.latency_objective_ms
+    query.full_utility = query_class.utility * _tenant_factor(gateway, query)
+
 
+def _planned_memory_mb(gateway: GatewayState, query: Query) -> float:
+    """The MB that the query is planned to take.
 
-def _memory(gateway: GatewayState, query: Query) -> float:
-    """The MB that the query is planned to take."""
-    if query.told_memory <= 0:
-        return query.learned.memory
-    needed = query.told_memory * math.exp(query.learned.memory_bias)
+    An engine without memory grants from here grants the client's estimate and some more, whatever the query
+    needs; one that pages counts the need where that is less.
+    """
+    if query.estimated_memory_mb <= 0:
+        return query.class_history.mean_memory_mb
+    needed_mb = query.estimated_memory_mb * math.exp(query.class_history.memory_log_bias)
     if gateway.settings.features.has_memory_grants:
-        return needed
-    # The engine grants what was told and some more, whatever is needed; a paging one counts need too.
-    granted = GRANT_TIGHT * query.told_memory
-    return min(granted, needed) if gateway.settings.on_memory_shortage is MemoryShortage.PAGE else granted
+        return needed_mb
+    granted_mb = GRANT_FACTOR_RESERVING * query.estimated_memory_mb
+    is_paging = gateway.settings.on_memory_shortage is MemoryShortage.PAGE
+    return min(granted_mb, needed_mb) if is_paging else granted_mb
 
 
-def _tenant_scale(gateway: GatewayState, query: Query) -> float:
-    """Mean worth of this tenant's next query: beyond its share it earns little."""
-    if query.tenant >= len(gateway.tenants):
+def _tenant_factor(gateway: GatewayState, query: Query) -> float:
+    """Mean utility of the tenant's next query: beyond its quota it earns little."""
+    if query.tenant >= len(gateway.tenant_traffic):
         return 1.0
-    per_s = gateway.tenants[query.tenant].per_s(gateway.now)
-    quota_per_s = gateway.settings.tenants[query.tenant].quota_per_s * gateway.share
-    over = max(0.0, per_s - quota_per_s)
-    return 1 - (1 - gateway.settings.over_quota_utility) * over / per_s if over else 1.0
+    per_s = gateway.tenant_traffic[query.tenant].per_s(gateway.now)
+    quota_per_s = gateway.settings.tenants[query.tenant].quota_per_s * gateway.traffic_share
+    excess_per_s = max(0.0, per_s - quota_per_s)
+    return 1 - (1 - gateway.settings.over_quota_utility) * excess_per_s / per_s if excess_per_s else 1.0
 
 
-def density(query: Query, run_time: float, finish: float) -> float:
-    """Worth over cost, rounded down to a power of two (Algorithm 1, lines 3 to 6): full worth to the aim,
-    then falling to what a late answer earns, nothing past the deadline."""
-    if finish > query.due or query.top <= 0:
+def density(query: Query, run_ms: float, finish_at: float) -> float:
+    """Utility by thread time, rounded down to a power of two (Algorithm 1, lines 3 to 6).
+
+    The utility is full up to the latency objective, falls to that of a late answer behind it, and is nothing
+    past the deadline.
+    """
+    if finish_at > query.deadline_at or query.full_utility <= 0:
         return 0.0
-    over = (finish - query.aim_at) / (LATE_FALL * query.aim)
-    late = query.cls.late_utility
-    kept = 1.0 if over <= 0 else late + (1 - late) * max(0.0, 1 - over)
-    worth_per_ms = query.top * kept / (run_time * query.cls.threads)
-    return math.ldexp(0.5, math.frexp(worth_per_ms)[1]) if worth_per_ms > 0 else 0.0
+    lateness = (finish_at - query.latency_objective_at) / (
+        LATE_FALL_OF_OBJECTIVE * query.latency_objective_ms
+    )
+    late_utility = query.query_class.late_utility
+    kept = 1.0 if lateness <= 0 else late_utility + (1 - late_utility) * max(0.0, 1 - lateness)
+    utility_per_ms = query.full_utility * kept / (run_ms * query.query_class.threads)
+    return math.ldexp(0.5, math.frexp(utility_per_ms)[1]) if utility_per_ms > 0 else 0.0
+
 
+def memory_grant_mb(gateway: GatewayState, query: Query, engine: EngineView) -> int:
+    """The MB that the engine is told to grant; 0 where it chooses.
 
-def grant(gateway: GatewayState, query: Query, engine: EngineView) -> int:
-    """The MB that the engine is told to grant; 0 where it chooses."""
+    Too small a grant spills to disk; too large a one starves others, unless only used memory counts.
+    """
     if not gateway.settings.features.has_memory_grants:
         return 0
-    # Too small a grant spills; too big a one starves others, save where only used memory counts.
-    over = GRANT_PAGE if gateway.settings.on_memory_shortage is MemoryShortage.PAGE else GRANT_TIGHT
-    most = engine.memory * gateway.settings.max_grant_share or math.inf
-    return int(min(most, over * query.memory))
+    is_paging = gateway.settings.on_memory_shortage is MemoryShortage.PAGE
+    factor = GRANT_FACTOR_PAGING if is_paging else GRANT_FACTOR_RESERVING
+    max_grant_mb = engine.memory_mb * gateway.settings.max_grant_share or math.inf
+    return int(min(max_grant_mb, factor * query.planned_memory_mb))
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -1,7 +1,7 @@
 """The working state of one gateway's decisions, shared by all parts of this package.
 
-Each part is a module of functions that take this state first; the comments name the parts that
-write the fields below them. No decision is made here.
+Each part is a module of functions that take this state first. The comments name the modules that write the
+fields below them.
 """
 
 from __future__ import annotations
@@ -11,96 +11,112 @@
 import random
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from cottonhold.scheduler.actions import Action
-from cottonhold.scheduler.class_history import Learned
+from cottonhold.scheduler.class_history import ClassHistory
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.events import AdmissionThreshold
-from cottonhold.scheduler.in_flight import Pool
-from cottonhold.scheduler.moving_average import Rate, Traffic, Window
-from cottonhold.scheduler.parameters import PEER_GAP_MOST_MS, TRAFFIC_MEMORY_MS, TRAFFIC_YOUNG_MS
-from cottonhold.scheduler.queues import Deadlines, Turns
+from cottonhold.scheduler.fleet_in_flight import FleetInFlight
+from cottonhold.scheduler.moving_average import ArrivalRate, SlidingSum, WorkRate
+from cottonhold.scheduler.parameters import (
+    MAX_PEER_INTERVAL_MS,
+    TRAFFIC_MEMORY_MS,
+    TRAFFIC_MIN_AGE_MS,
+)
+from cottonhold.scheduler.query import Query
+from cottonhold.scheduler.queues import Deadlines, KeyQueues
+from cottonhold.scheduler.reported_load import ReportedTraffic
 from cottonhold.scheduler.settings import Settings
-from cottonhold.scheduler.state import EngineView, Peers, Query
+
+
+class UnobservedAttempt(NamedTuple):
+    """An attempt that has timed out here and may run on at its engine until it is expected to end."""
+
+    expected_end_at: float
+    query: Query
 
 
 @dataclass(slots=True, eq=False)
 class GatewayState:
-    """What one gateway knows, owes and has out, and the actions of the step under way."""
+    """What one gateway knows, owes and has in flight, and the actions of the step under way."""
 
     settings: Settings
     random: random.Random
 
-    # the step under way (scheduler)
+    # the step under way (scheduler, deadlines)
     now: float = 0.0
-    begun: bool = False  # there has been a step
+    has_started: bool = False  # there has been a step
     actions: list[Action] = field(default_factory=list)
-    changed: bool = False  # something happened that may let a held query go
-    slack: float = 0.0  # ms before a deadline at which a query without an attempt out is answered
+    release_is_due: bool = False  # something happened that may let a queued query go
+    answer_margin_ms: float = 0.0  # before its deadline a query without an attempt in flight is answered
 
     # queries, by id (admission)
     queries: dict[str, Query] = field(default_factory=dict)
-    homeless: dict[str, Query] = field(default_factory=dict)  # those that no engine may take now
+    unplaced: dict[str, Query] = field(default_factory=dict)  # those that no engine may take now
     deadlines: Deadlines = field(default_factory=Deadlines)
-    turns: Turns = field(default_factory=Turns)
-    serial: Iterator[int] = field(default_factory=itertools.count)
+    key_queues: KeyQueues = field(default_factory=KeyQueues)
+    sequence_numbers: Iterator[int] = field(default_factory=itertools.count)
     threshold: AdmissionThreshold = field(default_factory=lambda: AdmissionThreshold(is_fleet_wide=False))
 
-    # attempts and the allowance of further ones (retry)
-    extra: Window = field(default_factory=Window)
-    taken: Window = field(default_factory=Window)
+    # the retry budget (retry_policy)
+    retries_sent: SlidingSum = field(default_factory=SlidingSum)
+    queries_accepted: SlidingSum = field(default_factory=SlidingSum)
 
-    # engines, by id (engine list and health)
+    # engines, by id (engine_list, engine_health)
     engines: dict[str, EngineView] = field(default_factory=dict)
-    active: dict[str, EngineView] = field(default_factory=dict)  # those that hold or run something of ours
-    doubted: dict[str, EngineView] = field(default_factory=dict)
-    best: float = 0.0  # best rate of the fleet seen lately, in ms of work a thread ms
-    probes: float = 0.0  # probes that may be sent now
-    probe_part: float = 0.0  # probes that each query taken adds
-
-    relisted: dict[str, EngineView] = field(default_factory=dict)  # told of since room was counted
-    leaving: dict[str, EngineView] = field(default_factory=dict)  # gone from the list with attempts out
-
-    # capacity: what the live engines have room for, and this gateway's part of it (capacity)
-    live: list[EngineView] = field(default_factory=list)
-    ranked: list[EngineView] = field(default_factory=list)  # in an order that is the same at every gateway
-    by_code: dict[int, list[EngineView]] = field(default_factory=dict)  # as messages name them
-    counted_at: float = -math.inf  # when all room was last counted
-    sound: int = 0  # engines that were sound then
-    near: list[EngineView] = field(default_factory=list)  # those that queries are drawn to
-    mine: set[str] = field(default_factory=set)  # ids of the engines that this gateway draws on
-    reach: float = 1.0  # its part of what each of those is sent
-    ring: list[EngineView] = field(default_factory=list)
-    homes: dict[int, list[EngineView]] = field(default_factory=dict)
-    blind: float = 1.0  # how little is heard of each engine: 0 for all of it, 1 for nothing
-    alike: float = 0.0  # queries that others send for each of this gateway's own on the same engine
-    full_room: float = 1.0  # threads, of all live engines
-    full_memory: float = 1.0  # MB, of all live engines
-    own_room: float = 1.0  # threads, this gateway's share
-    pool: Pool = field(default_factory=Pool)
-    pool_rest: float = 0.0  # until when no query wider than the own share follows another
-    unseen: list[tuple[float, Query]] = field(default_factory=list)  # timed out; may run on until then
-
-    # what was asked for (slow start)
-    mean_work: float = 0.0  # ms, of the queries taken lately
-    arrivals: int = 0  # queries that it is the mean of
-
-    # what answers and reports taught (learning)
-    classes: list[Learned] = field(default_factory=list)
-    tenants: list[Traffic] = field(default_factory=list)
-    fleet: Rate = field(default_factory=Rate)
-    util: float = 1.0  # reported share of cores busy, smoothed over the fleet
-
-    # other gateways (peers)
-    traffic: Traffic = field(default_factory=lambda: Traffic(TRAFFIC_MEMORY_MS, TRAFFIC_YOUNG_MS))
-    share: float = 1.0  # this gateway's share of all traffic
-    peers: Peers = field(default_factory=Peers)
-    gap: float = PEER_GAP_MOST_MS  # ms between messages on loads
-    heard_at: float = -math.inf
-    heard: bool = False  # peers tell of their loads
-
-    # when something is due next (timeouts)
-    next_peer: float = 0.0
-    next_replan: float = 0.0
-    next_ask: float = 0.0  # the list is asked for in the first step
-    next_beat: float = math.inf
-    wake_at: float = math.inf
+    active_engines: dict[str, EngineView] = field(default_factory=dict)  # with queries queued or in flight
+    ejected_engines: dict[str, EngineView] = field(default_factory=dict)
+    best_work_rate: float = 0.0  # of the fleet, seen lately, in ms of work a thread ms
+    health_check_budget: float = 0.0  # health checks that may be sent now
+    health_checks_per_query: float = 0.0  # that each query accepted adds to the budget
+    changed_engines: dict[str, EngineView] = field(default_factory=dict)  # listed since capacity was counted
+    departing_engines: dict[str, EngineView] = field(default_factory=dict)  # removed with attempts in flight
+
+    # the capacity of the live engines, and this gateway's part of it (capacity)
+    live_engines: list[EngineView] = field(default_factory=list)
+    ranked_engines: list[EngineView] = field(default_factory=list)  # in the same order at every gateway
+    engines_by_hash: dict[int, list[EngineView]] = field(default_factory=dict)
+    capacity_counted_at: float = -math.inf  # when the capacity of all engines was last counted
+    usable_engine_count: int = 0  # as of then
+    candidate_pool: list[EngineView] = field(default_factory=list)  # engines that candidates are drawn from
+    own_engine_ids: set[str] = field(default_factory=set)  # engines that this gateway draws on
+    own_engine_share: float = 1.0  # its part of what each of those is sent
+    affinity_ring: list[EngineView] = field(default_factory=list)
+    preferred_engines: dict[int, list[EngineView]] = field(default_factory=dict)  # for loads, by table group
+    unobserved_share: float = 1.0  # how little is heard of each engine: 0 for all of it, 1 for nothing
+    peer_sends_per_own: float = 0.0  # queries that peers send for each of this gateway's on the same engine
+    fleet_thread_capacity: float = 1.0
+    fleet_memory_capacity_mb: float = 1.0
+    own_thread_capacity: float = 1.0  # this gateway's share of the fleet's
+    in_flight: FleetInFlight = field(default_factory=FleetInFlight)
+    wide_query_rest_until: float = 0.0  # no query wider than the own share follows another until then
+    unobserved_attempts: list[UnobservedAttempt] = field(default_factory=list)
+
+    # the mean work of the queries accepted lately (slow_start)
+    mean_work_ms: float = 0.0
+    mean_work_samples: int = 0
+
+    # what answers and reports taught (rate_estimation)
+    class_histories: list[ClassHistory] = field(default_factory=list)
+    tenant_traffic: list[ArrivalRate] = field(default_factory=list)
+    fleet_rate_average: WorkRate = field(default_factory=WorkRate)
+    fleet_utilization: float = 1.0  # reported share of cores busy, smoothed over the fleet
+
+    # peer gateways (peer_load)
+    own_traffic: ArrivalRate = field(
+        default_factory=lambda: ArrivalRate(TRAFFIC_MEMORY_MS, TRAFFIC_MIN_AGE_MS)
+    )
+    traffic_share: float = 1.0  # this gateway's share of all traffic
+    traffic_by_peer: dict[int, ReportedTraffic] = field(default_factory=dict)
+    engines_by_peer: dict[int, list[EngineView]] = field(default_factory=dict)  # where each reported load
+    peer_interval_ms: float = MAX_PEER_INTERVAL_MS  # between messages on loads
+    peer_load_received_at: float = -math.inf
+    has_peer_loads: bool = False  # peers have reported their loads lately
+
+    # when something is due next (deadlines)
+    next_peer_message_at: float = 0.0
+    next_replan_at: float = 0.0
+    next_subscribe_at: float = 0.0  # in the first step
+    next_heartbeat_at: float = math.inf
+    timer_at: float = math.inf
--- a/cottonhold/scheduler/in_flight.py
+++ b/cottonhold/scheduler/in_flight.py
@@ -1,93 +1,70 @@
-"""Attempts out by density, on one engine and over all: threads, memory and priorities held by each level."""
+"""Attempts in flight by density: the threads, memory and priorities that each density holds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import NamedTuple
 
-if TYPE_CHECKING:
-    from cottonhold.scheduler.state import EngineView, Query
+from cottonhold.scheduler.query import Query
 
-LANES = 4  # priorities that engines know, from 0
+PRIORITY_COUNT = 4  # priorities that engines know, from 0
+
+
+class Occupancy(NamedTuple):
+    """What attempts in flight hold; `has_attempts` is false where there are none."""
+
+    threads: int
+    memory_mb: float
+    has_attempts: bool
 
 
 @dataclass(slots=True)
-class Level:
-    """Attempts out of one density: threads, memory, and how many hold each priority."""
+class DensityLevel:
+    """The attempts of one density."""
 
     threads: int = 0
-    memory: float = 0.0
-    lanes: list[int] = field(default_factory=lambda: [0] * LANES)
+    memory_mb: float = 0.0
+    attempts_by_priority: list[int] = field(default_factory=lambda: [0] * PRIORITY_COUNT)
 
 
 @dataclass(slots=True)
-class Levels:
-    """Attempts out by density. Densities are powers of two, so there are few, however many are out."""
+class InFlightByDensity:
+    """Attempts in flight by density. Densities are powers of two, so there are few levels."""
 
-    by_density: dict[float, Level] = field(default_factory=dict)
+    by_density: dict[float, DensityLevel] = field(default_factory=dict)
 
-    def add(self, query: Query) -> None:
-        """An attempt of the query is out."""
-        level = self.by_density.setdefault(query.density, Level())
-        level.threads += query.cls.threads
-        level.memory += query.memory
-        level.lanes[query.lane] += 1
+    def add_attempt(self, query: Query) -> None:
+        """Count the query's attempt."""
+        level = self.by_density.setdefault(query.density, DensityLevel())
+        level.threads += query.query_class.threads
+        level.memory_mb += query.planned_memory_mb
+        level.attempts_by_priority[query.priority] += 1
 
-    def drop(self, query: Query) -> None:
-        """The attempt has ended; an empty level goes, and with it what rounding left over."""
+    def remove_attempt(self, query: Query) -> None:
+        """Count the query's attempt no more; an empty level is dropped, and its rounding error with it."""
         level = self.by_density[query.density]
-        level.threads -= query.cls.threads
-        level.memory -= query.memory
-        level.lanes[query.lane] -= 1
-        if not any(level.lanes):
+        level.threads -= query.query_class.threads
+        level.memory_mb -= query.planned_memory_mb
+        level.attempts_by_priority[query.priority] -= 1
+        if not any(level.attempts_by_priority):
             del self.by_density[query.density]
 
-    def lanes_below(self, density: float, alpha: float) -> list[int]:
-        """The priorities held by those that a density passes."""
-        passed = [level for at, level in self.by_density.items() if density > alpha * at]
-        return [lane for level in passed for lane in range(LANES) if level.lanes[lane]]
-
-    def held_by(self, density: float, alpha: float) -> tuple[int, float, bool]:
-        """Threads and memory of those that a density does not pass, and whether there are any."""
-        threads, memory, some = 0, 0.0, False
-        for at, level in self.by_density.items():
-            if density <= alpha * at:
+    def outranked_priorities(self, density: float, margin: float) -> list[int]:
+        """The priorities in use by attempts that a density outranks: by more than `margin` times."""
+        outranked = [level for other, level in self.by_density.items() if density > margin * other]
+        return [
+            priority
+            for level in outranked
+            for priority in range(PRIORITY_COUNT)
+            if level.attempts_by_priority[priority]
+        ]
+
+    def not_outranked(self, density: float, margin: float) -> Occupancy:
+        """What the attempts hold that a density does not outrank."""
+        threads, memory_mb, has_attempts = 0, 0.0, False
+        for other, level in self.by_density.items():
+            if density <= margin * other:
                 threads += level.threads
-                memory += level.memory
-                some = True
-        return threads, memory, some
-
-
-@dataclass(slots=True)
-class Pool:
-    """All attempts out: threads, memory, and those on engines that are not suspect by density."""
-
-    sound: Levels = field(default_factory=Levels)
-    threads: int = 0
-    memory: float = 0.0
-
-    def add_out(self, query: Query, engine: EngineView) -> None:
-        """An attempt of the query is out on an engine now."""
-        engine.add_out(query)
-        self.threads += query.cls.threads
-        self.memory += query.memory
-        if not engine.suspect:
-            self.sound.add(query)
-
-    def drop_out(self, query: Query, engine: EngineView, least: float) -> None:
-        """The attempt that was out there has ended."""
-        if engine.drop_out(query, least):
-            self.threads -= query.cls.threads
-            self.memory = self.memory - query.memory if self.threads else 0.0  # rounding must not add up
-            if not engine.suspect:
-                self.sound.drop(query)
-
-    def hide(self, engine: EngineView) -> None:
-        """The engine is suspect now."""
-        for query in engine.out.values():
-            self.sound.drop(query)
-
-    def show(self, engine: EngineView) -> None:
-        """The engine is trusted again."""
-        for query in engine.out.values():
-            self.sound.add(query)
+                memory_mb += level.memory_mb
+                has_attempts = True
+        return Occupancy(threads, memory_mb, has_attempts)
--- a/cottonhold/scheduler/key_ordering.py
+++ b/cottonhold/scheduler/key_ordering.py
@@ -1,4 +1,4 @@
-"""Per-key order: queries of one key start one after the other, in the order in which they were taken."""
+"""Order by key: queries of one key start one after the other, in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -6,34 +6,36 @@
 
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.state import Query
+from cottonhold.scheduler.query import Query
 
-MAY_RUN_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may run on unseen
+MAY_RUN_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may run on at its engine
 
 
-def join(gateway: GatewayState, query: Query) -> None:
-    """Put a query that was taken last in the line of its key, if it has one."""
-    if query.key is not None:
-        gateway.turns.join(query.key, query)
+def append(gateway: GatewayState, query: Query) -> None:
+    """Queue an accepted query behind all others of its key, if it has one."""
+    if query.ordering_key is not None:
+        gateway.key_queues.append(query.ordering_key, query)
 
 
-def out_of_turn(gateway: GatewayState, query: Query) -> bool:
-    """Whether another query of the key goes first, or the key rests; a rest holds first attempts only."""
-    if query.key is None:
+def is_out_of_turn(gateway: GatewayState, query: Query) -> bool:
+    """Whether another query of the key goes first, or the key is quiet, which holds back first attempts."""
+    if query.ordering_key is None:
         return False
-    turns = gateway.turns
-    if not query.attempts and gateway.now < turns.rests.get(query.key, -math.inf):
+    queues = gateway.key_queues
+    quiet_until = queues.quiet_until.get(query.ordering_key, -math.inf)
+    if not query.attempts_sent and gateway.now < quiet_until:
         return True
-    return turns.lines[query.key][0] is not query
+    return queues.queries_by_key[query.ordering_key][0] is not query
 
 
-def rest_after(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
-    """Let the key rest where the attempt that ended may run on unseen."""
-    if query.key is not None and outcome in MAY_RUN_ON:
-        gateway.turns.rest(query.key, gateway.now, gateway.now + gateway.settings.rules.key_quiet_ms)
+def quiet_after(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
+    """Keep the key quiet for a while where the attempt that ended may run on at its engine."""
+    if query.ordering_key is not None and outcome in MAY_RUN_ON:
+        quiet_until = gateway.now + gateway.settings.rules.key_quiet_ms
+        gateway.key_queues.quiet(query.ordering_key, gateway.now, quiet_until)
 
 
-def leave(gateway: GatewayState, query: Query) -> None:
-    """The query is over and has no attempt out: the next of its key may start."""
-    if query.key is not None:
-        gateway.turns.tidy(query.key)
+def remove(gateway: GatewayState, query: Query) -> None:
+    """Let the next query of the key start: this one is finished and has no attempt in flight."""
+    if query.ordering_key is not None:
+        gateway.key_queues.remove_finished(query.ordering_key)
--- a/cottonhold/scheduler/moving_average.py
+++ b/cottonhold/scheduler/moving_average.py
@@ -1,4 +1,4 @@
-"""Averages and sums that forget: rates of work, traffic, and sums over a sliding window."""
+"""Averages and sums that forget: rates of work, rates of arrivals, and sums over a sliding window."""
 
 from __future__ import annotations
 
@@ -8,70 +8,72 @@
 
 
 @dataclass(slots=True)
-class Rate:
-    """Work seen done and the thread time it took, both forgotten by half lives."""
+class WorkRate:
+    """Work seen done and the thread time it took, both forgotten by half-lives."""
 
-    work: float = 0.0
-    busy: float = 0.0
-    at: float = 0.0
+    work_ms: float = 0.0
+    thread_ms: float = 0.0
+    updated_at: float = 0.0
 
-    def learn(self, now: float, half_ms: float, work: float, thread_ms: float) -> None:
+    def add(self, now: float, half_life_ms: float, work_ms: float, thread_ms: float) -> None:
         """Add work seen done in some thread time."""
-        fade = math.exp2((self.at - now) / half_ms)
-        self.work = self.work * fade + work
-        self.busy = self.busy * fade + thread_ms
-        self.at = now
+        fade = math.exp2((self.updated_at - now) / half_life_ms)
+        self.work_ms = self.work_ms * fade + work_ms
+        self.thread_ms = self.thread_ms * fade + thread_ms
+        self.updated_at = now
 
-    def value(self, now: float, half_ms: float, prior_ms: float, prior: float) -> float:
-        """Work over thread time, with a prior that weighs as some thread time."""
-        fade = math.exp2((self.at - now) / half_ms)
-        return (self.work * fade + prior_ms * prior) / (self.busy * fade + prior_ms)
+    def value(self, now: float, half_life_ms: float, prior_thread_ms: float, prior_rate: float) -> float:
+        """Work by thread time, with a prior rate that weighs as much as some thread time."""
+        fade = math.exp2((self.updated_at - now) / half_life_ms)
+        return (self.work_ms * fade + prior_thread_ms * prior_rate) / (
+            self.thread_ms * fade + prior_thread_ms
+        )
 
 
 @dataclass(slots=True)
-class Traffic:
-    """An exponentially forgotten count of arrivals. young_ms: one that began this long ago tells in full what
-    came since, with less time it tells a part; without it what is told grows with the memory."""
+class ArrivalRate:
+    """An exponentially forgotten count of arrivals.
+
+    With `min_age_ms` the rate is by the time since the first arrival, of that age at least, so that a gateway
+    that has just started reports its traffic in full; without it the rate grows over `memory_ms`.
+    """
 
     memory_ms: float
-    young_ms: float = 0.0
+    min_age_ms: float = 0.0
     count: float = 0.0
-    at: float = 0.0
-    began: float = math.inf
+    updated_at: float = 0.0
+    first_at: float = math.inf
 
     def add(self, now: float) -> None:
-        """Count one arrival."""
-        if self.young_ms and now < self.began:  # time is counted from the first one on, so it is not
-            self.began = self.at = now
+        """Count one arrival; the one that time is counted from is not counted itself."""
+        if self.min_age_ms and now < self.first_at:
+            self.first_at = self.updated_at = now
             return
-        self.count = self.count * math.exp((self.at - now) / self.memory_ms) + 1
-        self.at = now
+        self.count = self.count * math.exp((self.updated_at - now) / self.memory_ms) + 1
+        self.updated_at = now
 
     def per_s(self, now: float) -> float:
         """Arrivals a second."""
-        rate = self.count * math.exp((self.at - now) / self.memory_ms) * 1000 / self.memory_ms
-        if now <= self.began:
+        rate = self.count * math.exp((self.updated_at - now) / self.memory_ms) * 1000 / self.memory_ms
+        if now <= self.first_at:
             return rate
-        # Danger: a gateway that had just started told of half of its traffic, took half of its share of the
-        # engines, and its clients waited out their time beside others' that were served at once. By its first
-        # two arrivals alone it told of many times its traffic.
-        return rate / -math.expm1(-max(now - self.began, self.young_ms) / self.memory_ms)
+        return rate / -math.expm1(-max(now - self.first_at, self.min_age_ms) / self.memory_ms)
 
 
 @dataclass(slots=True)
-class Window:
+class SlidingSum:
     """Amounts with their times, for sums over a sliding window."""
 
-    items: deque[tuple[float, float]] = field(default_factory=deque)
+    entries: deque[tuple[float, float]] = field(default_factory=deque)  # time and amount
     total: float = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        """Note an amount."""
-        self.items.append((now, amount))
+        """Record an amount."""
+        self.entries.append((now, amount))
         self.total += amount
 
     def since(self, start: float) -> float:
-        """The sum since start; what is older is forgotten."""
-        while self.items and self.items[0][0] <= start:
-            self.total -= self.items.popleft()[1]
-        return self.total if self.items else 0.0
+        """The sum of what came after `start`; older entries are dropped."""
+        while self.entries and self.entries[0][0] <= start:
+            self.total -= self.entries.popleft()[1]
+        return self.total if self.entries else 0.0
--- a/cottonhold/scheduler/parameters.py
+++ b/cottonhold/scheduler/parameters.py
@@ -2,18 +2,20 @@
 
 from __future__ import annotations
 
-EPSILON = 2.0  # speed slack; sets alpha = 3, so rounded densities pass from a factor of 4 on
-ALPHA = 2 + 2 / EPSILON  # passing margin of Algorithm 1
+EPSILON = 2.0  # speed slack of the paper; sets OUTRANK_MARGIN = 3
+OUTRANK_MARGIN = 2 + 2 / EPSILON  # alpha of Algorithm 1: densities, powers of two, outrank from factor 4 on
 CANDIDATES = 8  # engines compared for each query; the paper sees no more gain from 10 on
-PASSED = 0.25  # of the work out that a query passes counts: one priority above gets four times the cores
-LEFT_LEAST = 0.15  # share of a run taken to be left when it ought to be over
-THREADS_PER_CORE = 2.0  # thread room, the design page's start; lower leaves cores idle while threads read
-GOLDEN = (5**0.5 - 1) / 2  # its multiples spread evenly, however many: turns come up in few at a time
-HEARTBEAT_MS = 100.0  # sweep while something is held, out or suspect
-REPLAN_MS = 250.0  # held queries are planned anew so often
-REPORT_FRESH_MS = 3000.0  # a load report older than this tells nothing
-SUSPICION_MS = 10000.0  # without new evidence a suspicion ends: at a small share the trickle never tests it
+OUTRANKED_WEIGHT = (
+    0.25  # of work in flight that a query outranks: one priority above gets four times the cores
+)
+MIN_REMAINING_SHARE = 0.15  # of a run, expected to remain when it should be over
+THREADS_PER_CORE = 2.0  # threads planned for; fewer leave cores idle while threads read
+GOLDEN_RATIO = (5**0.5 - 1) / 2  # its multiples spread evenly over 0 to 1, however many
+HEARTBEAT_MS = 100.0  # interval of the checks while something is queued, in flight or ejected
+REPLAN_INTERVAL_MS = 250.0  # queued queries are planned anew so often
+REPORT_MAX_AGE_MS = 3000.0  # an older load report is ignored
+EJECTION_MS = 10000.0  # without new evidence an ejection ends: at a small traffic share canaries are rare
 TRAFFIC_MEMORY_MS = 3000.0  # memory of traffic rates: a few seconds of arrivals tell them
-TRAFFIC_YOUNG_MS = 1000.0  # a gateway that has run for so long tells its traffic in full, however few came
-PEER_GAP_MOST_MS = 3000.0  # the longest gap between messages on loads, that of an idle gateway
-PEER_GAPS = 3.5  # gaps after which a silent peer is taken to have nothing out
+TRAFFIC_MIN_AGE_MS = 1000.0  # a gateway that has run so long reports its traffic in full
+MAX_PEER_INTERVAL_MS = 3000.0  # between messages on loads, of an idle gateway
+PEER_TIMEOUT_INTERVALS = 3.5  # intervals after which a silent peer is taken to have nothing in flight
--- a/cottonhold/scheduler/peer_messages.py
+++ b/cottonhold/scheduler/peer_messages.py
@@ -1,56 +1,76 @@
-"""The wire form of messages between gateways: a load that was sent, and the work that one has on engines."""
+"""The wire form of messages between gateways: a load that was sent, and the work of a gateway on engines."""
 
 from __future__ import annotations
 
 import math
 import struct
+from typing import NamedTuple
 
-from cottonhold.scheduler.state import EngineView, Told
+from cottonhold.scheduler.engine_state import EngineView
+from cottonhold.scheduler.reported_load import ReportedLoad
 
-LOAD_KIND, WORK_KIND = 2, 3  # first byte of a message
-LOAD = struct.Struct(">BIHf")  # kind, engine's code, tables and planned length of a load
-HEAD = struct.Struct(">Bf")  # kind and the peer's traffic
-WORK = struct.Struct(">IBHH")  # an engine's code, threads, memory and planned thread time of a peer there
-MEMORY_UNIT = 16.0  # MB of one step on the wire
-AREA_UNIT = 32.0  # ms of one step on the wire
-MOST_STEPS = 65535
-MOST_THREADS = 255
-TABLES_MASK = 0xFFFF
-MOST_ENTRIES = 28  # of a message, which has 256 bytes at most
+LOAD_SENT_KIND, WORK_KIND = 2, 3  # first byte of a message
+LOAD_SENT = struct.Struct(">BIHf")  # kind, hash of the engine, table group and planned length of a load
+WORK_HEADER = struct.Struct(">Bf")  # kind and the sender's traffic
+WORK_ENTRY = struct.Struct(">IBHH")  # hash of an engine, the sender's threads, memory and thread time there
+MEMORY_STEP_MB = 16.0
+THREAD_TIME_STEP_MS = 32.0
+MAX_STEPS = 65535
+MAX_THREADS = 255
+TABLE_GROUP_MASK = 0xFFFF
+MAX_ENTRIES = 28  # of a message, which has 256 bytes at most
 
 
-def pack_load(engine: EngineView, tables: int, length: float) -> bytes:
+class LoadSent(NamedTuple):
+    """A peer sent a load to an engine, which locks its tables."""
+
+    engine_hash: int
+    table_group: int
+    planned_run_ms: float
+
+
+class WorkReport(NamedTuple):
+    """A peer's arrivals a second, and what it has on engines by their hash."""
+
+    queries_per_s: float
+    load_by_engine_hash: dict[int, ReportedLoad]
+
+
+def encode_load_sent(engine: EngineView, table_group: int, planned_run_ms: float) -> bytes:
     """A load that is sent to an engine, as a message to a peer."""
-    return LOAD.pack(LOAD_KIND, engine.code, tables & TABLES_MASK, length)
+    return LOAD_SENT.pack(LOAD_SENT_KIND, engine.id_hash, table_group & TABLE_GROUP_MASK, planned_run_ms)
 
 
-def read_load(data: bytes) -> tuple[int, int, float] | None:
-    """Code of the engine, tables and length of a peer's load; None for another message or an absurd one."""
-    if len(data) != LOAD.size or data[0] != LOAD_KIND:
+def decode_load_sent(payload: bytes) -> LoadSent | None:
+    """A peer's load; None for another message or one that makes no sense."""
+    if len(payload) != LOAD_SENT.size or payload[0] != LOAD_SENT_KIND:
         return None
-    _, code, tables, length = LOAD.unpack(data)
-    return (code, tables, length) if math.isfinite(length) else None
+    _, engine_hash, table_group, planned_run_ms = LOAD_SENT.unpack(payload)
+    return LoadSent(engine_hash, table_group, planned_run_ms) if math.isfinite(planned_run_ms) else None
 
 
-def pack_work(traffic: float, engines: list[EngineView]) -> bytes:
+def encode_work(queries_per_s: float, engines: list[EngineView]) -> bytes:
     """This gateway's traffic and what it has on these engines, as a message to a peer."""
-    data = HEAD.pack(WORK_KIND, traffic)
-    for engine in engines[:MOST_ENTRIES]:
-        area = engine.held_area + sum(area for area, _ in engine.left.values())
-        memory_steps = min(int(max(engine.memory_out, 0.0) / MEMORY_UNIT), MOST_STEPS)
-        area_steps = min(int(area / AREA_UNIT), MOST_STEPS)
-        data += WORK.pack(engine.code, min(engine.threads_out, MOST_THREADS), memory_steps, area_steps)
-    return data
-
-
-def read_work(now: float, data: bytes) -> tuple[float, dict[int, Told]] | None:
-    """A peer's traffic and its work by engine code; None for a message that makes no sense."""
-    if data[:1] != bytes([WORK_KIND]) or len(data) % WORK.size != HEAD.size:
+    payload = WORK_HEADER.pack(WORK_KIND, queries_per_s)
+    for engine in engines[:MAX_ENTRIES]:
+        in_flight_ms = sum(remaining.thread_ms for remaining in engine.remaining_by_density.values())
+        thread_ms = engine.queued_thread_ms + in_flight_ms
+        threads = min(engine.threads_in_flight, MAX_THREADS)
+        memory_steps = min(int(max(engine.memory_in_flight_mb, 0.0) / MEMORY_STEP_MB), MAX_STEPS)
+        thread_time_steps = min(int(thread_ms / THREAD_TIME_STEP_MS), MAX_STEPS)
+        payload += WORK_ENTRY.pack(engine.id_hash, threads, memory_steps, thread_time_steps)
+    return payload
+
+
+def decode_work(now: float, payload: bytes) -> WorkReport | None:
+    """A peer's traffic and its work; None for a message that makes no sense."""
+    if payload[:1] != bytes([WORK_KIND]) or len(payload) % WORK_ENTRY.size != WORK_HEADER.size:
         return None
-    _, traffic = HEAD.unpack_from(data)
-    if not math.isfinite(traffic):
+    _, queries_per_s = WORK_HEADER.unpack_from(payload)
+    if not math.isfinite(queries_per_s):
         return None
-    work = {}
-    for code, threads, memory_steps, area_steps in WORK.iter_unpack(data[HEAD.size :]):
-        work[code] = Told(now, threads, memory_steps * MEMORY_UNIT, area_steps * AREA_UNIT)
-    return max(traffic, 0.0), work
+    loads = {}
+    for engine_hash, threads, memory_steps, time_steps in WORK_ENTRY.iter_unpack(payload[WORK_HEADER.size :]):
+        memory_mb = memory_steps * MEMORY_STEP_MB
+        loads[engine_hash] = ReportedLoad(now, threads, memory_mb, time_steps * THREAD_TIME_STEP_MS)
+    return WorkReport(max(queries_per_s, 0.0), loads)
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -1,7 +1,7 @@
-"""Placement: which engine holds a query, and at which place of its plan (Algorithms 1 and 3).
+"""Placement: which engine a query is queued for, and at which position of its plan (Algorithms 1 and 3).
 
-Each engine has a plan of the queries held for it, densest first. A query goes to the engine with the earliest
-tentative finish among a few drawn at random.
+Each engine has a plan of the queries queued for it, densest first. A query goes to the engine with the
+earliest estimated finish among a few candidates drawn at random.
 """
 
 from __future__ import annotations
@@ -11,208 +11,288 @@
 from typing import NamedTuple
 
 from cottonhold.scheduler import estimates, rate_estimation, responses, retry_policy, slow_start, utilization
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.events import EngineState
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.parameters import ALPHA, CANDIDATES, EPSILON, LEFT_LEAST, PASSED
+from cottonhold.scheduler.parameters import (
+    CANDIDATES,
+    EPSILON,
+    MIN_REMAINING_SHARE,
+    OUTRANK_MARGIN,
+    OUTRANKED_WEIGHT,
+)
+from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import Idempotency
-from cottonhold.scheduler.state import EngineView, Query
 
-BETA = 0.2  # share of the slack that is reserved: tentative run time is 1.4 p
-REDRAWN = 2  # engines drawn anew for a held query where engines are rarely heard of: more is only CPU
-HOMES = 0.4  # share of the engines that take the loads on a set of tables: the others serve its readers
-RATE_LEAST = 0.02  # no engine is planned slower than that
-ERROR_DELAY = 3  # times the wait by which an engine that only gives errors looks later
-LANE_MOST = 3  # highest priority that engines know; 1 is the usual one
-TRICKLE_MS = 150.0  # gap between the safe queries that all gateways together send to a suspect engine
+BETA = 0.2  # share of the slack that is reserved: the tentative run time is 1.4 of the planned one
+REPLAN_CANDIDATES = 2  # for a queued query where engines are rarely heard of: more is only CPU
+PREFERRED_SHARE = 0.4  # of the engines, take the loads on a set of tables: the others serve its readers
+MIN_WORK_RATE = 0.02  # no engine is planned slower than that
+ERROR_DELAY_FACTOR = 3  # times the wait by which an engine that only gives errors looks later
+MAX_PRIORITY = 3  # highest priority that engines know; 1 is the usual one
+CANARY_INTERVAL_MS = 150.0  # between the canaries that all gateways together send to an ejected engine
 
 
-class Tentative(NamedTuple):
+class Position(NamedTuple):
+    """A position in a plan, when the query would finish there and its density then."""
+
+    finish_at: float
+    offset: int
+    density: float
+
+
+class TentativePlan(NamedTuple):
     """What would become of a query on one engine."""
 
-    finish: float
-    place: int
+    finish_at: float
+    offset: int
     density: float
-    run_time: float
+    run_ms: float
+
+
+class Option(NamedTuple):
+    """An engine that a query may be queued for."""
+
+    plan: TentativePlan
+    engine: EngineView
 
 
-def tentative(gateway: GatewayState, query: Query, engine: EngineView) -> Tentative:
-    """What would become of a query on an engine, at the densest place that it may take there."""
-    work = query.cost * (1 + query.learned.delta)
-    run_time = work / (query.cls.threads * max(rate_estimation.rate(gateway, engine), RATE_LEAST))
-    start = _earliest_finish(gateway, query, engine, run_time)
-    area, space = engine.held_area, engine.held_space
-    finish = start + max(area / engine.own_room, space / engine.own_memory)
-    place, best = len(engine.plan), estimates.density(query, run_time, finish)
+def tentative_plan(gateway: GatewayState, query: Query, engine: EngineView) -> TentativePlan:
+    """What would become of a query on an engine, at the densest position that it may take there."""
+    work_ms = query.planned_work_ms * (1 + query.class_history.run_time_error)
+    rate = max(rate_estimation.work_rate(gateway, engine), MIN_WORK_RATE)
+    run_ms = work_ms / (query.query_class.threads * rate)
+    unqueued_finish_at = _finish_without_queue(gateway, query, engine, run_ms)
+    queue_ms = max(
+        engine.queued_thread_ms / engine.own_thread_capacity,
+        engine.queued_memory_mb_ms / engine.own_memory_capacity_mb,
+    )
+    finish_at = unqueued_finish_at + queue_ms
+    position = Position(finish_at, len(engine.plan), estimates.density(query, run_ms, finish_at))
     if engine.plan:
-        finish, place, best = _passing(query, engine, run_time, start, (finish, place, best))
-    finish += engine.errors * (finish - gateway.now) * ERROR_DELAY
-    return Tentative(finish, place, best, run_time)
+        position = _densest_position(query, engine, run_ms, unqueued_finish_at, position)
+    finish_at = position.finish_at
+    finish_at += engine.error_share * (finish_at - gateway.now) * ERROR_DELAY_FACTOR
+    return TentativePlan(finish_at, position.offset, position.density, run_ms)
 
 
-def _earliest_finish(gateway: GatewayState, query: Query, engine: EngineView, run_time: float) -> float:
-    """When the query would end on the engine if nothing were held there before it."""
-    now, cls = gateway.now, query.cls
-    finish = now + (1 + BETA * EPSILON) * run_time
-    passing = 0.0
+def _finish_without_queue(gateway: GatewayState, query: Query, engine: EngineView, run_ms: float) -> float:
+    """When the query would finish on the engine if nothing were queued there before it.
+
+    Readers wait for a load that locks their tables; loads on the same tables run one at a time, those of all
+    gateways in turn.
+    """
+    now, query_class = gateway.now, query.query_class
+    finish_at = now + (1 + BETA * EPSILON) * run_ms
+    ranking_density = 0.0
     if gateway.settings.features.has_priorities:
-        passing = estimates.density(query, run_time, finish)
-    finish += engine.ahead(now, LEFT_LEAST, passing, ALPHA, PASSED)
-    others = engine.sum_told(now, gateway.alike)
-    wide = max(1 / engine.room, others.memory / max(others.threads, 1) / engine.memory_room)
-    finish += others.area * wide * utilization.not_passed(gateway, passing)
-    if engine.locks and (
-        cls.waits_for_loads or cls.is_load
-    ):  # it stands still behind a load that holds its tables
-        finish += max(0.0, engine.locks.get(query.tables, 0.0) - now)
-    if cls.is_load and engine.line:  # loads on the same tables run one at a time, all gateways' in turn
-        finish += engine.line.get(query.tables, 0.0) / gateway.share
-    return finish
-
-
-def _passing(
-    query: Query, engine: EngineView, run_time: float, start: float, last: tuple[float, int, float]
-) -> tuple[float, int, float]:
-    """Finish, place and density further to the front than the last place, where the query beats by ALPHA all
-    that it would make wait."""
-    best_finish, best_place, best = last
-    area, space = engine.held_area, engine.held_space
-    room, memory = engine.own_room, engine.own_memory
-    ceiling = estimates.density(query, run_time, start)
-    behind = 0.0  # highest density that is made to wait
-    own_delay = run_time * query.cls.threads / room
-    for place in range(len(engine.plan) - 1, -1, -1):
-        other = engine.plan[place]
-        if other.finish + own_delay > other.aim_at:  # else it loses nothing by waiting
-            behind = max(behind, other.density)
-        if ceiling <= ALPHA * behind or ceiling <= best:
+        ranking_density = estimates.density(query, run_ms, finish_at)
+    finish_at += engine.work_ahead_ms(
+        now, MIN_REMAINING_SHARE, ranking_density, OUTRANK_MARGIN, OUTRANKED_WEIGHT
+    )
+    peers = engine.peer_load(now, gateway.peer_sends_per_own)
+    peer_memory_mb = peers.memory_mb / max(peers.threads, 1)
+    ms_by_thread_ms = max(1 / engine.thread_capacity, peer_memory_mb / engine.memory_capacity_mb)
+    finish_at += (
+        peers.remaining_thread_ms * ms_by_thread_ms * utilization.blocking_share(gateway, ranking_density)
+    )
+    if engine.locked_until and (query_class.waits_for_loads or query_class.is_load):
+        finish_at += max(0.0, engine.locked_until.get(query.table_group, 0.0) - now)
+    if query_class.is_load and engine.queued_load_ms:
+        finish_at += engine.queued_load_ms.get(query.table_group, 0.0) / gateway.traffic_share
+    return finish_at
+
+
+def _densest_position(
+    query: Query, engine: EngineView, run_ms: float, unqueued_finish_at: float, last: Position
+) -> Position:
+    """The densest position, from the last one to the front, where the query may delay those behind it.
+
+    It may where its density is over OUTRANK_MARGIN times that of each query behind it that would lose utility
+    by the delay.
+    """
+    best = last
+    queued_thread_ms, queued_memory_mb_ms = engine.queued_thread_ms, engine.queued_memory_mb_ms
+    thread_capacity, memory_capacity_mb = engine.own_thread_capacity, engine.own_memory_capacity_mb
+    max_density = estimates.density(query, run_ms, unqueued_finish_at)
+    delayed_density = 0.0  # highest density that would lose by the delay
+    delay_ms = run_ms * query.query_class.threads / thread_capacity
+    for index in range(len(engine.plan) - 1, -1, -1):
+        other = engine.plan[index]
+        if other.estimated_finish_at + delay_ms > other.latency_objective_at:
+            delayed_density = max(delayed_density, other.density)
+        if max_density <= OUTRANK_MARGIN * delayed_density or max_density <= best.density:
             break
-        area -= other.area
-        space -= other.p * other.memory
-        if place and engine.plan[place - 1].density <= behind:
+        queued_thread_ms -= other.planned_thread_ms
+        queued_memory_mb_ms -= other.planned_run_ms * other.planned_memory_mb
+        if index and engine.plan[index - 1].density <= delayed_density:
             continue
-        finish = start + max(area / room, space / memory)
-        density = estimates.density(query, run_time, finish)
-        if density > best and density > ALPHA * behind:
-            best_finish, best_place, best = finish, place, density
-    return best_finish, best_place, best
-
-
-def candidates(gateway: GatewayState, query: Query, count: int = CANDIDATES) -> list[EngineView]:
-    """Random engines drawn by size; suspect ones and those just tried only if nothing else is left."""
-    near = gateway.near
-    if query.cls.is_load or query.cls.waits_for_loads:
-        if query.cls.is_load and (pool := _homes_for_load(gateway, query)):
-            return pool
-        # Danger: readers kept off all homes at all times left homes of much read tables half idle,
-        # and waited in line elsewhere till they were refused. So they keep off while a load is there.
-        if any(e.loads_on(query.tables, gateway.now) for e in near):  # else nothing asks who the homes are
-            homes = homes_of(gateway, query.tables)
-            near = [e for e in near if not e.loads_on(query.tables, gateway.now) or e not in homes] or near
+        queue_ms = max(queued_thread_ms / thread_capacity, queued_memory_mb_ms / memory_capacity_mb)
+        finish_at = unqueued_finish_at + queue_ms
+        density = estimates.density(query, run_ms, finish_at)
+        if density > best.density and density > OUTRANK_MARGIN * delayed_density:
+            best = Position(finish_at, index, density)
+    return best
+
+
+def candidate_engines(gateway: GatewayState, query: Query, count: int = CANDIDATES) -> list[EngineView]:
+    """Up to `count` engines drawn by capacity, without ejected, tried and backed-off ones and spent budgets.
+
+    If none is left, all engines that may run the query. Loads go to the preferred engines of their tables.
+    """
+    query_class = query.query_class
+    if query_class.is_load and (preferred := _preferred_for_load(gateway, query)):
+        return preferred
+    pool = gateway.candidate_pool
+    if query_class.is_load or query_class.waits_for_loads:
+        pool = _without_loaded(gateway, query, pool)
     draw = gateway.random.random
-    drawn = heapq.nlargest(count, near, key=lambda e: draw() ** (1 / e.room))
-    fresh = [e for e in drawn if not e.suspect and e.id not in query.tried and fits(query, e)]
-    ready = [e for e in fresh if gateway.now >= e.rest_until and not slow_start.barred(gateway, query, e)]
-    return ready or _any_that_fits(gateway, query)
-
-
-def _homes_for_load(gateway: GatewayState, query: Query) -> list[EngineView]:
-    """The homes of its tables that a load may be sent to."""
-    homes = homes_of(gateway, query.tables)
-    pool = [e for e in homes if e.id not in query.tried and fits(query, e)]
-    # Danger: loads went to homes that this gateway hears nothing of, which looked empty to it.
-    known = [e for e in pool if e.id in gateway.mine] or pool
-    return [e for e in known if not slow_start.barred(gateway, query, e)] or known
-
-
-def _any_that_fits(gateway: GatewayState, query: Query) -> list[EngineView]:
-    """All engines that fit: sound ones not tried yet, else sound ones, else any."""
-    live = [e for e in gateway.live if fits(query, e)]
-    sound = [e for e in live if e.sound()]
-    return [e for e in sound if e.id not in query.tried] or sound or live
-
-
-def homes_of(gateway: GatewayState, tables: int) -> list[EngineView]:
-    """The engines that take the loads on these tables, the same at every gateway; readers avoid them."""
-    # Danger: readers stand still behind any load on their tables. Spread over all engines, a few loads a
-    # second held every table on every engine, and the fleet idled full of waiting queries. So the loads
-    # on one set keep to its homes, sets taking turns round the engines; may hurt where one set is most.
-    ring, homes = gateway.ring, gateway.homes
-    if tables not in homes and ring:
-        first = tables % len(ring)
-        turn = dict.fromkeys(ring[first:] + ring[:first])
-        homes[tables] = [e for e in turn if e.sound()][: math.ceil(len(turn) * HOMES)]
-    return homes.get(tables, [])
-
-
-def fits(query: Query, engine: EngineView) -> bool:
-    """Rules that hold for this query and engine at any time: drain, placement, keyed group."""
-    cls, info = query.cls, engine.info
-    if info.state is not EngineState.LIVE:
+    drawn = heapq.nlargest(count, pool, key=lambda engine: draw() ** (1 / engine.thread_capacity))
+    ready = [engine for engine in drawn if _is_ready(gateway, query, engine)]
+    return ready or _fallback_candidates(gateway, query)
+
+
+def _is_ready(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
+    """Whether the engine may be sent the query now."""
+    if engine.ejection_reason or engine.id in query.tried_engine_ids or not may_run_on(query, engine):
+        return False
+    return gateway.now >= engine.backoff_until and not slow_start.exceeds_budget(gateway, query, engine)
+
+
+def _without_loaded(gateway: GatewayState, query: Query, pool: list[EngineView]) -> list[EngineView]:
+    """The pool without preferred engines of the query's tables that have a load on these now.
+
+    Readers use preferred engines while no load is there, so that their capacity is not left idle.
+    """
+    tables, now = query.table_group, gateway.now
+    if not any(engine.has_load_on(tables, now) for engine in pool):
+        return pool
+    preferred = engines_preferred_for(gateway, tables)
+    free = [engine for engine in pool if not engine.has_load_on(tables, now) or engine not in preferred]
+    return free or pool
+
+
+def _preferred_for_load(gateway: GatewayState, query: Query) -> list[EngineView]:
+    """The preferred engines of its tables that a load may be sent to.
+
+    Those whose load this gateway hears of come first: the others look empty to it.
+    """
+    preferred = engines_preferred_for(gateway, query.table_group)
+    untried = [
+        engine
+        for engine in preferred
+        if engine.id not in query.tried_engine_ids and may_run_on(query, engine)
+    ]
+    known = [engine for engine in untried if engine.id in gateway.own_engine_ids] or untried
+    return [engine for engine in known if not slow_start.exceeds_budget(gateway, query, engine)] or known
+
+
+def _fallback_candidates(gateway: GatewayState, query: Query) -> list[EngineView]:
+    """All engines that may run the query: usable ones not tried yet, else usable ones, else any."""
+    live = [engine for engine in gateway.live_engines if may_run_on(query, engine)]
+    usable = [engine for engine in live if engine.is_usable()]
+    untried = [engine for engine in usable if engine.id not in query.tried_engine_ids]
+    return untried or usable or live
+
+
+def engines_preferred_for(gateway: GatewayState, table_group: int) -> list[EngineView]:
+    """The engines that take the loads on these tables, the same at every gateway.
+
+    A load locks its tables on its engine. Loads that were spread over all engines would leave no engine to
+    the readers, so each set of tables keeps to a share of the engines, sets in turn around the ring.
+    """
+    ring, preferred = gateway.affinity_ring, gateway.preferred_engines
+    if table_group not in preferred and ring:
+        first = table_group % len(ring)
+        rotated = dict.fromkeys(ring[first:] + ring[:first])
+        usable = [engine for engine in rotated if engine.is_usable()]
+        preferred[table_group] = usable[: math.ceil(len(rotated) * PREFERRED_SHARE)]
+    return preferred.get(table_group, [])
+
+
+def may_run_on(query: Query, engine: EngineView) -> bool:
+    """Whether the engine may run the query: it is live, of a permitted zone and type, and drops repeats."""
+    query_class, entry = query.query_class, engine.entry
+    if entry.state is not EngineState.LIVE:
         return False
-    if cls.zones is not None and info.zone not in cls.zones:
+    if query_class.zones is not None and entry.zone not in query_class.zones:
         return False
-    if cls.machine_types is not None and info.machine_type not in cls.machine_types:
+    if query_class.machine_types is not None and entry.machine_type not in query_class.machine_types:
         return False
-    return retry_policy.in_first_group(query, engine)
+    return retry_policy.deduplicates_retry(query, engine)
 
 
 def place(gateway: GatewayState, query: Query, count: int = CANDIDATES) -> None:
-    """Put a query into the plan of the candidate with the earliest tentative finish."""
-    gateway.homeless.pop(query.id, None)
-    estimates.appraise(gateway, query)
-    engine = _trickle(gateway, query)
+    """Queue a query for the candidate with the earliest finish, or for an ejected engine as a canary."""
+    gateway.unplaced.pop(query.id, None)
+    estimates.estimate(gateway, query)
+    engine = _engine_for_canary(gateway, query)
     if engine is not None:
-        chosen = tentative(gateway, query, engine)._replace(place=0)
-    else:
-        options = [(tentative(gateway, query, e), e) for e in candidates(gateway, query, count)]
-        if not options:
-            query.engine = None
-            gateway.homeless[query.id] = query
-            return
-        chosen, engine = min(options, key=lambda option: option[0].finish)
-    _hold(gateway, query, engine, chosen)
-
-
-def _hold(gateway: GatewayState, query: Query, engine: EngineView, chosen: Tentative) -> None:
-    """Hold the query in the engine's plan; those behind it finish later, those it passes set its priority."""
-    query.finish, at, query.density, query.p = chosen
+        _enqueue(gateway, query, engine, tentative_plan(gateway, query, engine)._replace(offset=0))
+        return
+    options = [
+        Option(tentative_plan(gateway, query, engine), engine)
+        for engine in candidate_engines(gateway, query, count)
+    ]
+    if not options:
+        query.engine = None
+        gateway.unplaced[query.id] = query
+        return
+    chosen = min(options, key=lambda option: option.plan.finish_at)
+    _enqueue(gateway, query, chosen.engine, chosen.plan)
+
+
+def _enqueue(gateway: GatewayState, query: Query, engine: EngineView, plan: TentativePlan) -> None:
+    """Queue the query at its position; those behind it finish later.
+
+    Where priorities are allowed its priority is one above those of the queries that it outranks.
+    """
+    query.estimated_finish_at, index, query.density, query.planned_run_ms = plan
     query.engine = engine
-    query.area = query.p * query.cls.threads
-    behind = engine.plan[at:]
+    query.planned_thread_ms = query.planned_run_ms * query.query_class.threads
+    behind = engine.plan[index:]
     for other in behind:
-        other.finish += query.area / engine.own_room
-    lanes = [other.lane for other in behind]
-    lanes += engine.levels.lanes_below(query.density, ALPHA)
-    priorities = gateway.settings.features.has_priorities
-    query.lane = min(LANE_MOST, 1 + max(lanes)) if lanes and priorities else 1
-    gateway.active[engine.id] = engine
-    gateway.changed = True
-    engine.hold(at, query)
-
-
-def _trickle(gateway: GatewayState, query: Query) -> EngineView | None:
-    """A suspect engine gets single safe queries, so that its recovery is seen at little risk."""
+        other.estimated_finish_at += query.planned_thread_ms / engine.own_thread_capacity
+    outranked = [other.priority for other in behind]
+    outranked += engine.in_flight_by_density.outranked_priorities(query.density, OUTRANK_MARGIN)
+    has_priorities = gateway.settings.features.has_priorities
+    query.priority = min(MAX_PRIORITY, 1 + max(outranked)) if outranked and has_priorities else 1
+    gateway.active_engines[engine.id] = engine
+    gateway.release_is_due = True
+    engine.enqueue(index, query)
+
+
+def _engine_for_canary(gateway: GatewayState, query: Query) -> EngineView | None:
+    """The ejected engine that the query should test, if any.
+
+    Only first attempts of short idempotent queries are canaries, so that a recovery is seen at little risk.
+    """
     if (
-        query.cls.idempotency is not Idempotency.IDEMPOTENT
-        or query.attempts
-        or query.cost > query.cls.latency_objective_ms
+        query.query_class.idempotency is not Idempotency.IDEMPOTENT
+        or query.attempts_sent
+        or query.planned_work_ms > query.query_class.latency_objective_ms
     ):
         return None
-    for engine in gateway.doubted.values():
-        if gateway.now < engine.trickle_at or not fits(query, engine):
+    for engine in gateway.ejected_engines.values():
+        if gateway.now < engine.next_canary_at or not may_run_on(query, engine):
             continue
-        if not slow_start.barred(gateway, query, engine):
-            engine.trickle_at = gateway.now + TRICKLE_MS / gateway.share
-            query.trickle = True
+        if not slow_start.exceeds_budget(gateway, query, engine):
+            engine.next_canary_at = gateway.now + CANARY_INTERVAL_MS / gateway.traffic_share
+            query.is_canary = True
             return engine
     return None
 
 
 def replan(gateway: GatewayState) -> None:
-    """Replay the held arrivals against what is known now: rates, aims missed, engines come and gone."""
-    held = [q for e in gateway.active.values() for q in e.empty()] + list(gateway.homeless.values())
-    count = round(CANDIDATES - (CANDIDATES - REDRAWN) * gateway.blind)
-    for query in sorted(held, key=lambda q: q.order):
+    """Place the queued queries anew in order of arrival, by what is known of rates and engines now.
+
+    Those that can't earn anything any more are answered.
+    """
+    queued = [query for engine in gateway.active_engines.values() for query in engine.take_plan()]
+    queued += gateway.unplaced.values()
+    count = round(CANDIDATES - (CANDIDATES - REPLAN_CANDIDATES) * gateway.unobserved_share)
+    for query in sorted(queued, key=lambda query: query.sequence):
         place(gateway, query, count)
-        if query.engine is not None and (query.density <= 0 or gateway.now + query.p > query.due):
-            responses.answer(gateway, query)
+        is_late = gateway.now + query.planned_run_ms > query.deadline_at
+        if query.engine is not None and (query.density <= 0 or is_late):
+            responses.reject_or_fail(gateway, query)
--- a/cottonhold/scheduler/queues.py
+++ b/cottonhold/scheduler/queues.py
@@ -1,4 +1,4 @@
-"""Queues of queries: by the time their client gives up, and by key in the order taken."""
+"""Queues of queries: by deadline, and by ordering key in order of arrival."""
 
 from __future__ import annotations
 
@@ -6,63 +6,74 @@
 import math
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from cottonhold.scheduler.state import Query
+from cottonhold.scheduler.query import Query
+
+
+class DeadlineEntry(NamedTuple):
+    """A query in the heap; of equal deadlines the earlier arrival comes first."""
+
+    deadline_at: float
+    sequence: int
+    query: Query
 
 
 @dataclass(slots=True)
 class Deadlines:
-    """Queries by the time their client gives up; those over are dropped when they come up."""
+    """Queries by deadline; those that are finished are dropped when they come up."""
 
-    heap: list[tuple[float, int, Query]] = field(default_factory=list)
+    heap: list[DeadlineEntry] = field(default_factory=list)
 
     def add(self, query: Query) -> None:
-        """Remember a query's deadline."""
-        heapq.heappush(self.heap, (query.due, query.order, query))
-
-    def cut(self, until: float) -> None:
-        """No query has longer than that."""
-        late = [query for due, _, query in self.heap if due > until and not query.over]
-        self.heap = [entry for entry in self.heap if entry[0] <= until]
+        """Add a query under its deadline."""
+        heapq.heappush(self.heap, DeadlineEntry(query.deadline_at, query.sequence, query))
+
+    def cap(self, latest: float) -> None:
+        """Bring later deadlines forward to `latest`."""
+        late = [
+            entry.query for entry in self.heap if entry.deadline_at > latest and not entry.query.is_finished
+        ]
+        self.heap = [entry for entry in self.heap if entry.deadline_at <= latest]
         heapq.heapify(self.heap)
         for query in late:
-            query.due = until
+            query.deadline_at = latest
             self.add(query)
 
-    def first(self) -> float:
-        """The earliest deadline of a query not over."""
-        while self.heap and self.heap[0][2].over:
+    def earliest(self) -> float:
+        """The earliest deadline of a query that is not finished; infinity without one."""
+        while self.heap and self.heap[0].query.is_finished:
             heapq.heappop(self.heap)
-        return self.heap[0][0] if self.heap else math.inf
+        return self.heap[0].deadline_at if self.heap else math.inf
 
-    def take(self, until: float) -> list[Query]:
-        """Remove and return the queries due by then."""
-        taken = []
-        while self.first() <= until:
-            taken.append(heapq.heappop(self.heap)[2])
-        return taken
+    def pop_due(self, now: float) -> list[Query]:
+        """Remove and return the queries whose deadline has come."""
+        due = []
+        while self.earliest() <= now:
+            due.append(heapq.heappop(self.heap).query)
+        return due
 
 
 @dataclass(slots=True)
-class Turns:
-    """Queries of each key in the order taken, and until when a key rests."""
-
-    lines: dict[str, deque[Query]] = field(default_factory=dict)
-    rests: dict[str, float] = field(default_factory=dict)
-
-    def join(self, key: str, query: Query) -> None:
-        """Take the last place of the key's line."""
-        self.lines.setdefault(key, deque()).append(query)
-
-    def rest(self, key: str, now: float, until: float) -> None:
-        """Let a key rest; rests that are past are forgotten, so that memory does not grow with keys."""
-        self.rests = {k: t for k, t in self.rests.items() if t > now}
-        self.rests[key] = until
-
-    def tidy(self, key: str) -> None:
-        """Let those go that are over and have no attempt out."""
-        line = self.lines[key]
-        while line and line[0].over and not line[0].out:
-            line.popleft()
-        if not line:
-            del self.lines[key]
+class KeyQueues:
+    """The queries of each ordering key in order of arrival, and until when a key is quiet."""
+
+    queries_by_key: dict[str, deque[Query]] = field(default_factory=dict)
+    quiet_until: dict[str, float] = field(default_factory=dict)
+
+    def append(self, key: str, query: Query) -> None:
+        """Add a query behind all others of its key."""
+        self.queries_by_key.setdefault(key, deque()).append(query)
+
+    def quiet(self, key: str, now: float, until: float) -> None:
+        """Keep a key quiet; past entries are dropped, so that memory does not grow with the keys."""
+        self.quiet_until = {other: end for other, end in self.quiet_until.items() if end > now}
+        self.quiet_until[key] = until
+
+    def remove_finished(self, key: str) -> None:
+        """Remove the first queries of a key that are finished and have no attempt in flight."""
+        queue = self.queries_by_key[key]
+        while queue and queue[0].is_finished and not queue[0].is_in_flight:
+            queue.popleft()
+        if not queue:
+            del self.queries_by_key[key]
--- a/cottonhold/scheduler/responses.py
+++ b/cottonhold/scheduler/responses.py
@@ -1,40 +1,41 @@
-"""Final answers: each query gets one, refused where a new try is harmless and failed where it is not."""
+"""Final answers other than results: rejected where a new try is harmless, failed where it is not."""
 
 from __future__ import annotations
 
 from cottonhold.scheduler import key_ordering, retry_policy
 from cottonhold.scheduler.actions import Fail, Reject
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.state import Query
+from cottonhold.scheduler.query import Query
 
-RETRY_AFTER_LEAST_MS = 400.0  # shortest advice on when to come back
+MIN_RETRY_AFTER_MS = 400.0  # shortest advice on when to come back
 
 
-def answer(gateway: GatewayState, query: Query) -> None:
-    """The one place for every final answer that is no result."""
+def reject_or_fail(gateway: GatewayState, query: Query) -> None:
+    """Give a query its final answer; the one place for every answer that is no result."""
     query.leave_plan()
-    if retry_policy.harmless_to_try_again(query):
-        gateway.actions.append(Reject(query.id, _retry_after(gateway)))
+    if retry_policy.may_reject(query):
+        gateway.actions.append(Reject(query.id, _retry_after_ms(gateway)))
     else:
         gateway.actions.append(Fail(query.id))
-    close(gateway, query)
+    finish(gateway, query)
 
 
-def _retry_after(gateway: GatewayState) -> float:
-    """Advice on when to come back, in ms: when the plans have drained, within what the deployment allows."""
-    drained = sum(e.held_area for e in gateway.active.values()) / gateway.own_room
-    permits = gateway.settings.features
-    most = permits.max_retry_after_ms if permits.has_retry_after else 0.0
-    return min(most, max(RETRY_AFTER_LEAST_MS, drained, gateway.threshold.retry_after_ms))
+def _retry_after_ms(gateway: GatewayState) -> float:
+    """Advice on when to come back: when the plans have drained, within what the deployment allows."""
+    queued_thread_ms = sum(engine.queued_thread_ms for engine in gateway.active_engines.values())
+    drained_ms = queued_thread_ms / gateway.own_thread_capacity
+    features = gateway.settings.features
+    max_ms = features.max_retry_after_ms if features.has_retry_after else 0.0
+    return min(max_ms, max(MIN_RETRY_AFTER_MS, drained_ms, gateway.threshold.retry_after_ms))
 
 
-def close(gateway: GatewayState, query: Query, served: bool = False) -> None:
-    """The query is over; it is forgotten once no attempt of it is out."""
-    if not served:
-        query.learned.turned.add(gateway.now)
-    query.over = True
-    gateway.homeless.pop(query.id, None)
-    if query.out:
+def finish(gateway: GatewayState, query: Query, is_served: bool = False) -> None:
+    """End a query; it is forgotten once no attempt of it is in flight."""
+    if not is_served:
+        query.class_history.unserved.add(gateway.now)
+    query.is_finished = True
+    gateway.unplaced.pop(query.id, None)
+    if query.is_in_flight:
         return
     gateway.queries.pop(query.id, None)
-    key_ordering.leave(gateway, query)
+    key_ordering.remove(gateway, query)
--- a/cottonhold/scheduler/retry_policy.py
+++ b/cottonhold/scheduler/retry_policy.py
@@ -1,17 +1,20 @@
-"""Repeat safety: whether a query may have a further attempt, and whether its client may try again.
+"""Retries: whether a query may have a further attempt, and whether its client may be told to try again.
 
 A further attempt is made only where the first can not have run, or where a repeat does no harm, within the
-attempts that the query may have and the allowance that the deployment sets for all of them.
+attempts that the query may have and the retry budget of the gateway.
 """
 
 from __future__ import annotations
 
+from enum import Enum
+
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import DeduplicationScope, Idempotency
-from cottonhold.scheduler.state import EngineView, Query
 
-FAILURES_MOST = 2  # engines that could not run a query: then it is the query
+MAX_ENGINE_ERRORS = 2  # engines that could not run a query: then the query is at fault
 NEVER_RAN = (
     Outcome.OVERLOADED,
     Outcome.CONNECT_FAILED,
@@ -19,79 +22,94 @@
 )  # proof that the attempt never ran
 
 
-def repeat_barred(gateway: GatewayState, query: Query) -> str:
-    """Why no further attempt may be made: attempts, repeat safety or the budget; empty where one may."""
-    if query.attempts >= query.most or query.failures >= FAILURES_MOST:
-        return "attempts"
-    if query.risk_at is not None:
-        if query.cls.idempotency is Idempotency.NOT_IDEMPOTENT:
-            return "unsafe"
-        if gateway.now >= latest_begin(gateway, query):
-            return "window"
-    if _allowance_spent(gateway):
-        return "budget"
-    return ""
+class RetryBarrier(Enum):
+    """Why a query may have no further attempt."""
+
+    ATTEMPTS_EXHAUSTED = "attempts exhausted"
+    NOT_IDEMPOTENT = "not idempotent"
+    DEDUPLICATION_WINDOW_OVER = "deduplication window over"
+    RETRY_BUDGET_SPENT = "retry budget spent"
+
 
+def retry_barrier(gateway: GatewayState, query: Query) -> RetryBarrier | None:
+    """What keeps a query from a further attempt; None where it may have one."""
+    if query.attempts_sent >= query.max_attempts or query.engine_error_count >= MAX_ENGINE_ERRORS:
+        return RetryBarrier.ATTEMPTS_EXHAUSTED
+    if query.may_have_run_since is not None:
+        if query.query_class.idempotency is Idempotency.NOT_IDEMPOTENT:
+            return RetryBarrier.NOT_IDEMPOTENT
+        if gateway.now >= latest_attempt_begin(gateway, query):
+            return RetryBarrier.DEDUPLICATION_WINDOW_OVER
+    if _retry_budget_is_spent(gateway):
+        return RetryBarrier.RETRY_BUDGET_SPENT
+    return None
 
-def latest_begin(gateway: GatewayState, query: Query) -> float:
-    """Until when a further attempt may begin, as engines drop repeats to then; infinity without an end."""
-    return query.window_end() - gateway.settings.tick_ms
 
+def latest_attempt_begin(gateway: GatewayState, query: Query) -> float:
+    """Until when a further attempt may begin, as engines drop repeats until then; infinity without an end."""
+    return query.deduplication_window_end() - gateway.settings.tick_ms
 
-def _allowance_spent(gateway: GatewayState) -> bool:
-    """Whether one more further attempt would pass what the deployment allows in its window."""
+
+def _retry_budget_is_spent(gateway: GatewayState) -> bool:
+    """Whether one more retry would pass the budget of the deployment in its window.
+
+    An attempt begins up to max_connect_ms after the decision. So retries are counted over a window that is
+    longer by that, and accepted queries over one that is shorter.
+    """
     rules = gateway.settings.rules
     if rules.retry_budget_free is None:
         return False
-    # Danger: counted when they were decided on, two attempts that began within a window were further
-    # apart than it, as the first had waited for its connect.
-    late = gateway.settings.max_connect_ms
+    max_connect_ms = gateway.settings.max_connect_ms
     start = gateway.now - rules.retry_budget_window_ms
-    allowed = rules.retry_budget_free + rules.retry_budget_share * gateway.taken.since(start + late)
-    return gateway.extra.since(start - late) + 1 > allowed
+    accepted = gateway.queries_accepted.since(start + max_connect_ms)
+    allowed = rules.retry_budget_free + rules.retry_budget_share * accepted
+    return gateway.retries_sent.since(start - max_connect_ms) + 1 > allowed
 
 
-def count_taken(gateway: GatewayState) -> None:
-    """A query was taken: a share of it is allowed as further attempts."""
-    # Danger: where no budget is set nothing asks for these sums, so nothing was forgotten: both grew.
+def count_accepted_query(gateway: GatewayState) -> None:
+    """Count a query for the retry budget; without a budget nothing would forget old entries."""
     if gateway.settings.rules.retry_budget_free is not None:
-        gateway.taken.add(gateway.now, 1.0)
+        gateway.queries_accepted.add(gateway.now, 1.0)
 
 
-def count_further_attempt(gateway: GatewayState) -> None:
-    """A further attempt was sent; counted only where a budget is set, as above."""
+def count_retry(gateway: GatewayState) -> None:
+    """Count a further attempt against the retry budget, if there is one."""
     if gateway.settings.rules.retry_budget_free is not None:
-        gateway.extra.add(gateway.now, 1.0)
+        gateway.retries_sent.add(gateway.now, 1.0)
 
 
-def note_risk(query: Query, engine: EngineView | None, outcome: Outcome) -> None:
+def record_possible_execution(query: Query, engine: EngineView | None, outcome: Outcome) -> None:
     """Remember the first attempt that may have run: repeats are judged from when it was sent."""
-    if outcome not in NEVER_RAN and query.risk_at is None:
-        query.risk_at = query.sent_at
-        query.risk_engine = engine
+    if outcome not in NEVER_RAN and query.may_have_run_since is None:
+        query.may_have_run_since = query.sent_at
+        query.may_have_run_on = engine
+
 
+def may_reject(query: Query) -> bool:
+    """Whether the client may be told to try again: nothing ran, or a repeat does no harm at any engine.
 
-def harmless_to_try_again(query: Query) -> bool:
-    """Whether the client may be told to try again: nothing ran, or a repeat does no harm at any engine."""
-    # What two engines could not run no third one will, and a refusal would only bring it back.
-    if query.failures >= FAILURES_MOST:
+    A query that two engines could not run fails: a rejection would only bring it back.
+    """
+    if query.engine_error_count >= MAX_ENGINE_ERRORS:
         return False
-    if query.risk_at is None or query.cls.idempotency is Idempotency.IDEMPOTENT:
+    query_class = query.query_class
+    if query.may_have_run_since is None or query_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     return (
-        query.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-        and query.cls.deduplication_scope is DeduplicationScope.ALL
+        query_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        and query_class.deduplication_scope is DeduplicationScope.ALL
     )
 
 
-def in_first_group(query: Query, engine: EngineView) -> bool:
-    """Whether the engine drops a repeat of what the first attempt of a keyed query may have done."""
-    if query.cls.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY or query.risk_engine is None:
+def deduplicates_retry(query: Query, engine: EngineView) -> bool:
+    """Whether the engine drops a repeat of what an earlier attempt of a query with a key may have done."""
+    query_class = query.query_class
+    if query_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY or query.may_have_run_on is None:
         return True
-    group = query.cls.deduplication_scope
-    if group is DeduplicationScope.ALL:
+    scope = query_class.deduplication_scope
+    if scope is DeduplicationScope.ALL:
         return True
-    first, here = query.risk_engine.info, engine.info
+    first, here = query.may_have_run_on.entry, engine.entry
     if here.zone != first.zone:
         return False
-    return group is DeduplicationScope.ZONE or here.cell == first.cell
+    return scope is DeduplicationScope.ZONE or here.cell == first.cell
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -1,11 +1,10 @@
 """The decisions of one query gateway in front of analytic query engines: the entry point.
 
-What goes in and out: settings.py, events.py, actions.py. `Scheduler` passes each event to the
-part that it concerns; the parts are the other modules of this package, functions over one shared state
-(gateway_state.py).
+What goes in and out: settings.py, events.py, actions.py. `Scheduler` passes each event to the part that it
+concerns; the parts are the other modules of this package, functions over one shared state (gateway_state.py).
 
-The mechanism is the worth-density plan of O4A and DO4A ("Online Approximation Scheme for Scheduling
-Heterogeneous Utility Jobs in Edge Computing"); docs/design/scheduler.md tells what is kept and changed.
+The mechanism is the utility density plan of O4A and DO4A ("Online Approximation Scheme for Scheduling
+Heterogeneous Utility Jobs in Edge Computing"); docs/design/scheduler.md says what is kept and changed.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
     straggler_cancellation,
 )
 from cottonhold.scheduler.actions import Action
-from cottonhold.scheduler.class_history import Learned
+from cottonhold.scheduler.class_history import ClassHistory
 from cottonhold.scheduler.events import (
     AdmissionThreshold,
     AttemptEnded,
@@ -48,11 +47,11 @@
     TimerExpired,
 )
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.moving_average import Traffic
+from cottonhold.scheduler.moving_average import ArrivalRate
 from cottonhold.scheduler.parameters import (
+    EJECTION_MS,
     HEARTBEAT_MS,
-    REPLAN_MS,
-    SUSPICION_MS,
+    REPLAN_INTERVAL_MS,
     THREADS_PER_CORE,
     TRAFFIC_MEMORY_MS,
 )
@@ -61,8 +60,8 @@
 
 __all__ = ["PEER_PRICE", "THREADS_PER_CORE", "Scheduler"]
 
-PROBES_PER_QUERY = 0.3  # own probes for each own query, at most
-PROBE_PRICE = 0.003  # of the result that probes may cost: where they are dear fewer are sent
+MAX_HEALTH_CHECKS_PER_QUERY = 0.3
+HEALTH_CHECK_PRICE = 0.003  # of the result that health checks may cost: where they are dear fewer are sent
 
 
 class Scheduler(GatewayState):
@@ -71,86 +70,90 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         """A gateway that has seen nothing yet; the seed sets all of its random draws."""
         share = 1.0 / settings.gateway_count
-        super().__init__(settings, random.Random(seed), share=share, reach=share)
-        self.adopt(settings)
+        super().__init__(settings, random.Random(seed), traffic_share=share, own_engine_share=share)
+        self.apply_settings(settings)
 
     def step(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Take in what happened by now and decide; the one entry point."""
+        """Take in what happened by now and decide; the one entry point.
+
+        Changes of the list that come together are applied once, as that counts the capacity of the fleet.
+        """
         deadlines.begin_step(self, now)
         for event in events:
-            # Danger: counted anew for each change of a list of thousands, room took seconds in a release.
-            if self.relisted and type(event) is not EngineList:
-                capacity.take_list(self)
+            if self.changed_engines and type(event) is not EngineList:
+                capacity.apply_engine_changes(self)
             HANDLERS[type(event)](self, event)
-        if self.relisted:
-            capacity.take_list(self)
-        deadlines.answer_due(self)
-        if deadlines.is_due(self, self.next_beat):
-            self._sweep()
-        if now >= self.next_peer:
-            peer_load.tell_work(self)
-        if now >= self.next_ask:
-            engine_list.ask(self)
-        if self.changed:
-            release.release(self)
-        deadlines.wake(self)
+        if self.changed_engines:
+            capacity.apply_engine_changes(self)
+        deadlines.answer_overdue(self)
+        if deadlines.is_due(self, self.next_heartbeat_at):
+            self._on_heartbeat()
+        if now >= self.next_peer_message_at:
+            peer_load.publish_work(self)
+        if now >= self.next_subscribe_at:
+            engine_list.subscribe(self)
+        if self.release_is_due:
+            release.release_queued(self)
+        deadlines.set_timer(self)
         return self.actions
 
-    def adopt(self, settings: Settings) -> None:
-        """The settings in force from now on; a query keeps its class and its attempts to its end."""
-        # Danger: known by place, a class that moved or came back with another effect got what another taught.
-        known = dict(zip(self.settings.classes, self.classes, strict=False))
-        self.classes = [known.get(cls) or Learned.blank(SUSPICION_MS) for cls in settings.classes]
-        self.tenants = [Traffic(TRAFFIC_MEMORY_MS) for _ in settings.tenants]
+    def apply_settings(self, settings: Settings) -> None:
+        """Put settings in force; a query keeps its class and its attempts to its end.
+
+        What was learned goes on only with a class that is the same in all figures.
+        """
+        known = dict(zip(self.settings.classes, self.class_histories, strict=False))
+        self.class_histories = [
+            known.get(query_class) or ClassHistory.empty(EJECTION_MS) for query_class in settings.classes
+        ]
+        self.tenant_traffic = [ArrivalRate(TRAFFIC_MEMORY_MS) for _ in settings.tenants]
         self.settings = settings
-        self.slack = HEARTBEAT_MS + 2 * settings.tick_ms
-        self.probe_part = min(
-            PROBES_PER_QUERY, PROBE_PRICE / max(settings.overhead_costs.per_health_check, 1e-9)
-        )
-        self.next_peer = (
-            0.0 if settings.features.has_peer_messages and settings.gateway_count > 1 else math.inf
-        )
-
-    def _sweep(self) -> None:
-        """Silence, failover retries and suspicions that end, every heartbeat; plans made anew less often."""
-        self.next_beat = math.inf
-        self.changed = True
-        rate_estimation.follow_best(self)
-        for engine in list(self.active.values()):
+        self.answer_margin_ms = HEARTBEAT_MS + 2 * settings.tick_ms
+        affordable = HEALTH_CHECK_PRICE / max(settings.overhead_costs.per_health_check, 1e-9)
+        self.health_checks_per_query = min(MAX_HEALTH_CHECKS_PER_QUERY, affordable)
+        has_peers = settings.features.has_peer_messages and settings.gateway_count > 1
+        self.next_peer_message_at = 0.0 if has_peers else math.inf
+
+    def _on_heartbeat(self) -> None:
+        """Look for silent engines, stragglers and ejections that end; less often, make the plans anew."""
+        self.next_heartbeat_at = math.inf
+        self.release_is_due = True
+        rate_estimation.update_best_rate(self)
+        for engine in list(self.active_engines.values()):
             engine_health.check_silence(self, engine)
             if self.settings.features.can_cancel:
                 straggler_cancellation.cancel_stragglers(self, engine)
-            if not engine.out and not engine.plan:
-                del self.active[engine.id]
-        engine_health.check_suspicions(self)
-        if self.now >= self.next_replan:
-            self.next_replan = self.now + REPLAN_MS
-            capacity.follow_room(self)
+            if not engine.in_flight and not engine.plan:
+                del self.active_engines[engine.id]
+        engine_health.review_ejections(self)
+        if self.now >= self.next_replan_at:
+            self.next_replan_at = self.now + REPLAN_INTERVAL_MS
+            capacity.refresh(self)
             placement.replan(self)
 
 
-def _on_retune(scheduler: Scheduler, event: SettingsChanged) -> None:
-    scheduler.adopt(event.settings)
+def _on_settings_changed(scheduler: Scheduler, event: SettingsChanged) -> None:
+    scheduler.apply_settings(event.settings)
 
 
-def _on_timer(scheduler: Scheduler, event: TimerExpired) -> None:
-    """What is due is looked after in each step."""
+def _on_timer_expired(scheduler: Scheduler, event: TimerExpired) -> None:
+    """Nothing to do: each step looks after what is due."""
 
 
 # Each event with the part that takes it in: a handler's argument is of the type of its key.
 HANDLERS: dict[type, Callable[[Scheduler, Any], None]] = {
-    QueryArrived: admission.on_arrival,
-    AttemptEnded: attempt_outcomes.on_ended,
-    ProgressNote: attempt_outcomes.on_note,
-    EngineList: engine_list.on_list,
-    ClientDisconnected: admission.on_gone,
-    HealthCheckCompleted: engine_health.on_probed,
-    PeerMessage: peer_load.on_message,
-    StreamStarted: attempt_outcomes.on_stream,
-    EngineListFailed: engine_list.on_list_failed,
-    EngineQuotas: engine_list.on_bounds,
-    AdmissionThreshold: admission.on_threshold,
-    ShutdownStarted: deadlines.on_leaving,
-    SettingsChanged: _on_retune,
-    TimerExpired: _on_timer,
+    QueryArrived: admission.on_query_arrived,
+    AttemptEnded: attempt_outcomes.on_attempt_ended,
+    ProgressNote: attempt_outcomes.on_progress_note,
+    EngineList: engine_list.on_engine_list,
+    ClientDisconnected: admission.on_client_disconnected,
+    HealthCheckCompleted: engine_health.on_health_check_completed,
+    PeerMessage: peer_load.on_peer_message,
+    StreamStarted: attempt_outcomes.on_stream_started,
+    EngineListFailed: engine_list.on_engine_list_failed,
+    EngineQuotas: engine_list.on_engine_quotas,
+    AdmissionThreshold: admission.on_admission_threshold,
+    ShutdownStarted: deadlines.on_shutdown_started,
+    SettingsChanged: _on_settings_changed,
+    TimerExpired: _on_timer_expired,
 }
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -1,125 +1,151 @@
-"""Slow start: the budget of work that a just started engine may be sent.
+"""Slow start: the budget of work that an engine that has just started may be sent.
 
-All gateways together may send a cold engine no more than it takes without falling over; each holds to its own
-part of that, so that the parts add up to the budget whatever the others do. The budget is kept in work, in
-which a query weighs what its class usually takes.
+All gateways together may send a cold engine no more than it takes without falling over; each keeps to its own
+part of that, so that the parts add up to the budget whatever the others do. The budget is counted in work, in
+which a query weighs what its class usually takes. An engine with a quota of the fleet keeps to that instead.
 """
 
 from __future__ import annotations
 
 import math
 
-from cottonhold.scheduler.estimates import UNTOLD_COST_OF_AIM
+from cottonhold.scheduler.engine_state import EngineView
+from cottonhold.scheduler.estimates import DEFAULT_WORK_OF_OBJECTIVE
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.parameters import GOLDEN
-from cottonhold.scheduler.state import EngineView, Query
-
-COLD_MARGIN = 0.5  # of a cold engine's budget: true speed, cost estimates and shares are all guesses
-MOST_PART = 1.5  # times an even part of the fleet's traffic: the most that counts as this gateway's share
-LARGE_PART = 0.7  # of the budget that goes to queries larger than what a gateway can save up
-ALONE_SLACK = 2  # queries of mean work by which one may be over the budget of all
-MEAN_OVER = 200  # queries over which their mean work is taken
-MEAN_PRIOR = 10  # queries that the first guess of it stands for
-SETTLED = 8  # answers after which a class's mean work is taken, not what the query itself tells
-BOUND_BURST_MS = 250.0  # of a bound's work may come at once: the fleet's parts add up within a moment
-CODES = 2**32  # engine codes there are: a code over it is a place between 0 and 1
-
-
-def barred(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
-    """Whether the budget of a cold or bounded engine keeps the query from being sent there now."""
-    # Danger: a just started engine falls over for good if all gateways send too much: their parts add up
-    # to the budget at any share; where one is less than a query they take turns with it, else long ones
-    # kept off cold engines (at the fleet's pace for good: dealt anew, fifty began at once). Also held for
-    # one seen to fail before the list tells; may hurt one only cut off.
-    cold = gateway.now < engine.cold_until
-    bound = engine.bounded(gateway.now)
-    if not bound:
+from cottonhold.scheduler.parameters import GOLDEN_RATIO
+from cottonhold.scheduler.query import Query
+
+COLD_MARGIN = 0.5  # of a cold engine's budget: its true speed, estimates and traffic shares are all guesses
+MAX_PART_FACTOR = 1.5  # times an even part of the fleet's traffic: the most that counts as this gateway's
+LARGE_QUERY_SHARE = 0.7  # of the budget goes to queries larger than what a gateway can save up
+SINGLE_QUERY_SLACK = 2  # queries of mean work by which one query may exceed the budget of all gateways
+MAX_MEAN_SAMPLES = 200  # queries over which their mean work is taken
+MEAN_PRIOR_SAMPLES = 10  # queries that the first guess of it stands for
+SETTLED_ANSWERS = 8  # answers of a class after which its mean work is used, not the query's own estimate
+QUOTA_BURST_MS = 250.0  # of a quota's work may come at once: the gateways' quotas add up within a moment
+HASH_COUNT = 2**32  # hashes of engine ids: a hash over it is a place between 0 and 1
+
+
+def exceeds_budget(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
+    """Whether the budget of a cold engine, or an engine's quota, keeps the query from being sent there now.
+
+    A cold engine is sent work only by the gateways that draw on it. Work is saved up; where a gateway's part
+    is less than a query, gateways take turns in how much of the query has to be saved up. An engine that was
+    seen to fail is cold as well, before the list reports a restart.
+    """
+    is_cold = gateway.now < engine.cold_until
+    quota_rate = engine.effective_quota_rate(gateway.now)
+    if not quota_rate:
         return True
-    free = bound == math.inf
-    if cold and engine.id not in gateway.mine:
+    has_quota = quota_rate != math.inf
+    if is_cold and engine.id not in gateway.own_engine_ids:
         return True
-    if not cold and free:
+    if not is_cold and not has_quota:
         return False
-    usual = _usual(query)
-    if free and usual > _most_alone(gateway, engine):
+    work_ms = _usual_work_ms(query)
+    if not has_quota and work_ms > _max_single_work_ms(gateway, engine):
         return True
-    _save_up(gateway, engine, bound, usual)
-    turn = _turn(gateway, engine, cold, free)
-    if not free:
-        return engine.allowance < turn * usual
-    # Danger: gateways whose turn was too late for a long query sent a short one, the others the long one, and
-    # each of the two spent the whole of all parts. So only a part of the turns is for long ones.
-    large = usual > own_part(gateway, engine) * gateway.settings.rules.overload_window_ms
-    return engine.allowance < turn * usual / (LARGE_PART if large else 1.0)
-
-
-def _most_alone(gateway: GatewayState, engine: EngineView) -> float:
-    """The most work that one query may have: what the engine may be sent by all, and a little slack."""
-    # Danger: one query of many times the mean work tips a small cold engine by itself, whoever's turn it is.
+    _save_up(gateway, engine, quota_rate, work_ms)
+    turn = _turn(gateway, engine, is_cold, has_quota)
+    if has_quota:
+        return engine.allowance_ms < turn * work_ms
+    return engine.allowance_ms < turn * work_ms / _budget_share(gateway, engine, work_ms)
+
+
+def _budget_share(gateway: GatewayState, engine: EngineView, work_ms: float) -> float:
+    """Share of the turns that is open to a query.
+
+    Only a part is for large ones, so that gateways whose turn is too late for a large query and send a small
+    one do not spend what others spend on the large one.
+    """
+    burst_ms = own_budget_rate(gateway, engine) * gateway.settings.rules.overload_window_ms
+    return LARGE_QUERY_SHARE if work_ms > burst_ms else 1.0
+
+
+def _max_single_work_ms(gateway: GatewayState, engine: EngineView) -> float:
+    """The most work that one query may have: the budget of all gateways and a little slack.
+
+    A query of many times the mean work overloads a small cold engine by itself, whoever's turn it is.
+    """
     rules = gateway.settings.rules
-    capacity = engine.cores * engine.warmth(gateway.now, rules)
-    return rules.overload_factor * capacity * rules.overload_window_ms + ALONE_SLACK * gateway.mean_work
+    capacity = engine.cores * engine.warm_capacity_share(gateway.now, rules)
+    slack_ms = SINGLE_QUERY_SLACK * gateway.mean_work_ms
+    return rules.overload_factor * capacity * rules.overload_window_ms + slack_ms
+
 
+def _usual_work_ms(query: Query) -> float:
+    """The work that a query takes off the budget: the mean of its class once that is settled.
 
-def _usual(query: Query) -> float:
-    """The work that is taken off the budget for a query: the mean of its class once that is known."""
-    # Danger: by the mean of its first few answers a class looked cheap at some gateways, and what these sent
-    # in excess was far more than what the others, to which it looked dear, held back.
-    if query.learned.seen >= SETTLED:
-        return query.learned.cost
-    return query.cost if query.told > 0 else max(query.learned.cost, query.cost)
+    The mean of the first few answers may be far too low.
+    """
+    history = query.class_history
+    if history.answers_seen >= SETTLED_ANSWERS:
+        return history.mean_work_ms
+    if query.estimated_work_ms > 0:
+        return query.planned_work_ms
+    return max(history.mean_work_ms, query.planned_work_ms)
 
 
-def count(gateway: GatewayState, query: Query) -> None:
-    """A query was taken: it counts for the mean work."""
-    if not gateway.arrivals:
-        aims = [cls.latency_objective_ms for cls in gateway.settings.classes]
-        gateway.mean_work, gateway.arrivals = sum(aims) / len(aims) * UNTOLD_COST_OF_AIM, MEAN_PRIOR
-    gateway.arrivals = min(gateway.arrivals + 1, MEAN_OVER)
-    gateway.mean_work += (query.cost - gateway.mean_work) / gateway.arrivals
+def record_arrival(gateway: GatewayState, query: Query) -> None:
+    """Count an accepted query for the mean work."""
+    if not gateway.mean_work_samples:
+        objectives = [query_class.latency_objective_ms for query_class in gateway.settings.classes]
+        gateway.mean_work_ms = sum(objectives) / len(objectives) * DEFAULT_WORK_OF_OBJECTIVE
+        gateway.mean_work_samples = MEAN_PRIOR_SAMPLES
+    gateway.mean_work_samples = min(gateway.mean_work_samples + 1, MAX_MEAN_SAMPLES)
+    gateway.mean_work_ms += (query.planned_work_ms - gateway.mean_work_ms) / gateway.mean_work_samples
 
 
-def _save_up(gateway: GatewayState, engine: EngineView, bound: float, usual: float) -> None:
-    """Add to the engine's allowance what has come in since it was last looked at, up to one burst."""
+def _save_up(gateway: GatewayState, engine: EngineView, quota_rate: float, work_ms: float) -> None:
+    """Add to the engine's allowance what was earned since it was last updated, up to one burst.
+
+    Without a quota the rate follows the ramp of a cold engine; a quota follows what the engine shows.
+    """
     rules = gateway.settings.rules
-    passed = gateway.now - engine.allowance_at
-    if bound == math.inf:
-        fill = own_part(gateway, engine)
-        most = fill * rules.overload_window_ms
-        fill *= engine.warmth(gateway.now, rules) / rules.cold_capacity_share
-    else:  # the fleet's pace follows what a cold engine shows
-        fill = bound
-        most = max(fill * BOUND_BURST_MS, usual)
-    engine.allowance = min(most, engine.allowance + fill * passed)
-    engine.allowance_at = gateway.now
-
-
-def _turn(gateway: GatewayState, engine: EngineView, cold: bool, free: bool) -> float:
-    """Part of a usual query that has to be saved up: gateways come up one after the other."""
+    elapsed_ms = gateway.now - engine.allowance_updated_at
+    if quota_rate == math.inf:
+        rate = own_budget_rate(gateway, engine)
+        max_allowance_ms = rate * rules.overload_window_ms
+        rate *= engine.warm_capacity_share(gateway.now, rules) / rules.cold_capacity_share
+    else:
+        rate = quota_rate
+        max_allowance_ms = max(rate * QUOTA_BURST_MS, work_ms)
+    engine.allowance_ms = min(max_allowance_ms, engine.allowance_ms + rate * elapsed_ms)
+    engine.allowance_updated_at = gateway.now
+
+
+def _turn(gateway: GatewayState, engine: EngineView, is_cold: bool, has_quota: bool) -> float:
+    """Share of a usual query that has to be saved up: spread evenly over the gateways, which take turns.
+
+    At a cold engine with a quota the order stays: dealt anew, many gateways that have saved up would begin at
+    once.
+    """
     turn = gateway.settings.gateway_index
-    if free or not cold:
+    if not has_quota or not is_cold:
         turn += math.floor(gateway.now / gateway.settings.rules.overload_window_ms)
-    return (engine.code / CODES + turn * GOLDEN) % 1
+    return (engine.id_hash / HASH_COUNT + turn * GOLDEN_RATIO) % 1
+
 
+def own_budget_rate(gateway: GatewayState, engine: EngineView) -> float:
+    """This gateway's part of the work that a cold engine may be sent, in ms a ms; as much again as one burst.
 
-def own_part(gateway: GatewayState, engine: EngineView) -> float:
-    """This gateway's part of the work a cold engine may be sent, in ms a ms; half may come as one burst."""
+    The part is bounded whatever peers reported: all gateways may believe in a larger share than they have.
+    """
     rules, settings = gateway.settings.rules, gateway.settings
-    part = gateway.reach / settings.concurrent_processes  # an upgrade's other process too
-    # Danger: what peers told when they had just started, or before a burst, was far below the own traffic
-    # now. Every gateway took itself for a busy one, and their shares added up to three and a half.
-    part *= min(1.0, MOST_PART / (settings.gateway_count * gateway.share))
+    part = gateway.own_engine_share / settings.concurrent_processes
+    part *= min(1.0, MAX_PART_FACTOR / (settings.gateway_count * gateway.traffic_share))
     return COLD_MARGIN * rules.overload_factor * rules.cold_capacity_share * engine.cores * part / 2
 
 
-def begin(gateway: GatewayState, engine: EngineView, until: float) -> None:
-    """The engine may have started: hold it to the cold budget."""
+def start_warming(gateway: GatewayState, engine: EngineView, cold_until: float) -> None:
+    """Keep an engine that may have started to the cold budget, from a full burst on."""
     if gateway.now >= engine.cold_until:
-        engine.allowance = own_part(gateway, engine) * gateway.settings.rules.overload_window_ms
-        engine.allowance_at = gateway.now
-    engine.cold_until = max(engine.cold_until, until)
+        burst_ms = own_budget_rate(gateway, engine) * gateway.settings.rules.overload_window_ms
+        engine.allowance_ms = burst_ms
+        engine.allowance_updated_at = gateway.now
+    engine.cold_until = max(engine.cold_until, cold_until)
 
 
 def spend(query: Query, engine: EngineView) -> None:
-    """An attempt of the query is sent: take it from the engine's allowance."""
-    engine.allowance -= _usual(query)
+    """Take a query that is sent off the engine's allowance."""
+    engine.allowance_ms -= _usual_work_ms(query)
--- a/cottonhold/scheduler/straggler_cancellation.py
+++ b/cottonhold/scheduler/straggler_cancellation.py
@@ -1,4 +1,4 @@
-"""Failover retries: an attempt far past its plan is given up where a fresh one ends much sooner."""
+"""Straggler cancellation: an attempt far past its plan is given up where a fresh one would end sooner."""
 
 from __future__ import annotations
 
@@ -6,68 +6,79 @@
 
 from cottonhold.scheduler import placement, retry_policy, utilization
 from cottonhold.scheduler.actions import Cancel
-from cottonhold.scheduler.engine_health import UNHEARD
+from cottonhold.scheduler.engine_health import UNRESPONSIVE
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.gateway_state import GatewayState
+from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import Idempotency
-from cottonhold.scheduler.state import EngineView, Query
 
-FAILOVER_FACTOR = 2.0  # plans run before a retry, times run that are guessed to be left, times sooner than it
-DONE_LEAST = 0.05  # part of a run taken to be done where notes told of less
+STRAGGLER_FACTOR = 2.0  # planned runs before a retry, times run expected to remain, times sooner than it
+MIN_COMPLETED_SHARE = 0.05  # of a run, taken to be completed where progress notes report less
 
 
 def cancel_stragglers(gateway: GatewayState, engine: EngineView) -> None:
-    """Cancel the attempts on an engine that a fresh one elsewhere would overtake."""
-    # Danger: bad plans, hung or slowed engines hold a query far past its plan; cancel where a fresh
-    # attempt ends much sooner. On a full fleet most runs pass two plans, and those given up there were a
-    # fifth of all work: where engines are rarely heard of, up to twice as many are waited for then.
-    full = utilization.fleet_fill(gateway, 0.0) > utilization.IDLE_FILL  # own work only: reports lag
-    plans = FAILOVER_FACTOR * (1 + gateway.blind * full)
-    for query in list(engine.out.values()):
-        if _may_move(gateway, query, engine, plans) and _overtaken(gateway, query, engine):
+    """Cancel the attempts on an engine that a fresh one elsewhere would overtake.
+
+    On a full fleet most runs pass two planned ones, and giving them up would only add work: there up to twice
+    as many are waited for, the rarer engines are observed. Fullness is by own work in flight, as reports lag.
+    """
+    is_full = utilization.fleet_used_share(gateway, 0.0) > utilization.IDLE_UTILIZATION
+    planned_runs = STRAGGLER_FACTOR * (1 + gateway.unobserved_share * is_full)
+    for query in list(engine.in_flight.values()):
+        if _may_cancel(gateway, query, engine, planned_runs) and _is_overtaken(gateway, query, engine):
             cancel(gateway, query)
 
 
-def _may_move(gateway: GatewayState, query: Query, engine: EngineView, plans: float) -> bool:
-    """Whether the attempt is late enough, or its engine given up, and a further attempt is allowed."""
+def _may_cancel(gateway: GatewayState, query: Query, engine: EngineView, planned_runs: float) -> bool:
+    """Whether the attempt is late enough, or its engine given up, and a further attempt is allowed.
+
+    A progress note shows a bad plan at once, before the planned runs are over.
+    """
     if (
-        query.cancelled
-        or query.over
-        or query.streaming
-        or query.cls.idempotency is not Idempotency.IDEMPOTENT
+        query.is_cancelled
+        or query.is_finished
+        or query.is_streaming
+        or query.query_class.idempotency is not Idempotency.IDEMPOTENT
     ):
         return False
-    told = query.seen_at > query.run_at  # a note told its pace: a bad plan shows in the first one
-    in_plan = gateway.now - query.sent_at < plans * query.p
-    if not _given_up(engine) and in_plan and not told:
+    has_progress_note = query.progress_at > query.running_since
+    is_in_plan = gateway.now - query.sent_at < planned_runs * query.planned_run_ms
+    if not _is_given_up(engine) and is_in_plan and not has_progress_note:
         return False
-    return not retry_policy.repeat_barred(gateway, query)
+    return retry_policy.retry_barrier(gateway, query) is None
 
 
-def _overtaken(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
+def _is_overtaken(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
     """Whether a fresh attempt elsewhere would end much sooner, and in time."""
-    left = _time_left(gateway, query, engine)
-    others = [e for e in placement.candidates(gateway, query) if e is not engine and not e.suspect]
-    finishes = [placement.tentative(gateway, query, e).finish for e in others]
-    fresh = min(finishes, default=math.inf) - gateway.now
-    return left > FAILOVER_FACTOR * fresh and gateway.now + fresh < query.due
+    remaining_ms = _remaining_ms(gateway, query, engine)
+    others = [
+        other
+        for other in placement.candidate_engines(gateway, query)
+        if other is not engine and not other.ejection_reason
+    ]
+    finishes = [placement.tentative_plan(gateway, query, other).finish_at for other in others]
+    fresh_ms = min(finishes, default=math.inf) - gateway.now
+    return remaining_ms > STRAGGLER_FACTOR * fresh_ms and gateway.now + fresh_ms < query.deadline_at
 
 
-def _given_up(engine: EngineView) -> bool:
-    """Whether nothing is expected of the engine: it says nothing, or the fleet has left it."""
-    return engine.suspect in UNHEARD or not engine.bound
+def _is_given_up(engine: EngineView) -> bool:
+    """Whether nothing is expected of the engine: it is unresponsive, or the fleet has closed it."""
+    return engine.ejection_reason in UNRESPONSIVE or not engine.quota_rate
 
 
-def _time_left(gateway: GatewayState, query: Query, engine: EngineView) -> float:
-    """How long the attempt is taken to run on: by its notes, else guessed from the time run."""
-    if _given_up(engine):
+def _remaining_ms(gateway: GatewayState, query: Query, engine: EngineView) -> float:
+    """How long the attempt is expected to run on: by its progress notes, else by the time run."""
+    if _is_given_up(engine):
         return math.inf
     if gateway.settings.progress_interval_ms:
-        return (gateway.now - query.run_at) / max(query.done, DONE_LEAST) * (1 - query.done)
-    return FAILOVER_FACTOR * (gateway.now - query.sent_at)
+        run_ms = gateway.now - query.running_since
+        completed_share = max(query.completed_share, MIN_COMPLETED_SHARE)
+        return run_ms / completed_share * (1 - query.completed_share)
+    return STRAGGLER_FACTOR * (gateway.now - query.sent_at)
 
 
 def cancel(gateway: GatewayState, query: Query) -> None:
-    """Give up the attempt that is out, once."""
-    if query.out and not query.cancelled:
-        query.cancelled = True
-        gateway.actions.append(Cancel(query.id, query.attempts - 1))
+    """Cancel the attempt in flight, once."""
+    if query.is_in_flight and not query.is_cancelled:
+        query.is_cancelled = True
+        gateway.actions.append(Cancel(query.id, query.attempts_sent - 1))
--- a/cottonhold/scheduler/utilization.py
+++ b/cottonhold/scheduler/utilization.py
@@ -1,63 +1,82 @@
-"""How full engines and the fleet are, by reports and by this gateway's own work out."""
+"""How full engines and the fleet are, by load reports and by this gateway's own work in flight."""
 
 from __future__ import annotations
 
 import math
 
 from cottonhold.scheduler import rate_estimation
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.gateway_state import GatewayState
-from cottonhold.scheduler.parameters import ALPHA, PASSED, REPORT_FRESH_MS, THREADS_PER_CORE
+from cottonhold.scheduler.parameters import (
+    OUTRANK_MARGIN,
+    OUTRANKED_WEIGHT,
+    REPORT_MAX_AGE_MS,
+    THREADS_PER_CORE,
+)
 from cottonhold.scheduler.settings import MemoryShortage
-from cottonhold.scheduler.state import EngineView
 
-PRESSED_RATE = 0.6  # of the fleet's best rate: a slower engine is under pressure
-PRESSED_UTIL = 0.9  # reported share of cores busy that means pressure
-USED_BEYOND_DENIAL = 2.0  # of the room: own work out that no report can deny
-OUTDATED = 1.2  # own queries out for each reported that show a report to be late: it lags and is noisy
-FULL_REST_MS = 500.0  # pressure holds so long after a full refusal or a wait for memory
-IDLE_FILL = 0.8  # of the fleet in use: below it one that looks worthless costs no other, and looks deceive
+PRESSURE_RATE = 0.6  # of the fleet's best rate: a slower engine is under pressure
+PRESSURE_UTILIZATION = 0.9  # reported share of cores busy that means pressure
+MAX_DENIABLE_USE = 2.0  # of the capacity: no report can deny more own work in flight
+OUTDATED_FACTOR = 1.2  # own queries in flight for each reported that show a report to lag; it is noisy too
+PRESSURE_HOLD_MS = 500.0  # pressure holds so long after a rejection as overloaded or a wait for memory
+IDLE_UTILIZATION = 0.8  # of the fleet: below it a query without utility takes no other's capacity
 
 
-def pressed(gateway: GatewayState, engine: EngineView) -> bool:
-    """Whether the engine shows pressure, so that its room binds."""
-    # Danger: reports lag, and a jammed engine's cores idle, so own work out is a sign too; others fill an
-    # engine as own work fills the own part of the fleet. Its report may deny up to twice the room.
+def is_under_pressure(gateway: GatewayState, engine: EngineView) -> bool:
+    """Whether the engine shows pressure, so that its capacity binds.
+
+    Signs are a slow rate, a busy report, and own work in flight, as reports lag and the cores of an engine
+    that is short of memory idle. Its report may deny the last sign up to MAX_DENIABLE_USE, unless it lags.
+    """
     now = gateway.now
-    if now < engine.pressed_until or rate_estimation.rate(gateway, engine) < PRESSED_RATE * gateway.best:
+    min_rate = PRESSURE_RATE * gateway.best_work_rate
+    if now < engine.under_pressure_until or rate_estimation.work_rate(gateway, engine) < min_rate:
         return True
-    report = engine.report if now - engine.report_at < REPORT_FRESH_MS else {}
-    if report.get("util", 0.0) > PRESSED_UTIL or report.get("queue", 0.0) > 0:
+    report = engine.load_report if now - engine.load_report_at < REPORT_MAX_AGE_MS else {}
+    if report.get("util", 0.0) > PRESSURE_UTILIZATION or report.get("queue", 0.0) > 0:
         return True
-    used = _used(gateway, engine)
-    # Danger: late reports told of 17 queries where 54 were out, and engines filled to twice their room.
-    # One that holds fewer than this gateway alone has out there denies nothing.
-    late = report.get("inflight", math.inf) * OUTDATED < len(engine.out)
-    if used < 1 or used > USED_BEYOND_DENIAL or late:
+    used = _used_share(gateway, engine)
+    is_outdated = report.get("inflight", math.inf) * OUTDATED_FACTOR < len(engine.in_flight)
+    if used < 1 or used > MAX_DENIABLE_USE or is_outdated:
         return used >= 1
-    # Cores idle in a jam on memory: where engines page, half busy is no proof of room.
-    pages = gateway.settings.on_memory_shortage is MemoryShortage.PAGE
-    util_most = 1 / THREADS_PER_CORE if pages else PRESSED_UTIL
-    busy_cores = report.get("util", gateway.util) / util_most * engine.cores
-    return report.get("inflight", busy_cores) > engine.cores
+    return _reported_queries(gateway, engine, report) > engine.cores
+
+
+def _reported_queries(gateway: GatewayState, engine: EngineView, report: dict[str, float]) -> float:
+    """Queries in flight by the engine's report, else guessed from the share of cores busy.
+
+    Where engines page, cores idle while they do, so that half busy is no proof of free capacity.
+    """
+    is_paging = gateway.settings.on_memory_shortage is MemoryShortage.PAGE
+    full_utilization = 1 / THREADS_PER_CORE if is_paging else PRESSURE_UTILIZATION
+    busy_cores = report.get("util", gateway.fleet_utilization) / full_utilization * engine.cores
+    return report.get("inflight", busy_cores)
+
 
+def _used_share(gateway: GatewayState, engine: EngineView) -> float:
+    """Share of this gateway's capacity on the engine in use, by its own work and what peers reported."""
+    peers = engine.peer_load(gateway.now, gateway.peer_sends_per_own)
+    threads = (engine.threads_in_flight + peers.threads) / engine.own_thread_capacity
+    memory = (engine.memory_in_flight_mb + peers.memory_mb) / engine.own_memory_capacity_mb
+    unreported = 0.0
+    if not gateway.has_peer_loads:
+        unreported = gateway.unobserved_share * fleet_used_share(gateway, gateway.fleet_utilization)
+    return max(threads, memory) + unreported
 
-def _used(gateway: GatewayState, engine: EngineView) -> float:
-    """Part of this gateway's room on the engine that is in use, by its own work and what peers told."""
-    others = engine.sum_told(gateway.now, gateway.alike)
-    threads = (engine.threads_out + others.threads) / engine.own_room
-    memory = (engine.memory_out + others.memory) / engine.own_memory
-    unheard = 0.0 if gateway.heard else gateway.blind * fleet_fill(gateway, gateway.util)
-    return max(threads, memory) + unheard
 
+def blocking_share(gateway: GatewayState, density: float) -> float:
+    """Weight of the peers' work in flight before a query of this density: what it outranks counts in part.
 
-def not_passed(gateway: GatewayState, density: float) -> float:
-    """Part of the work out on the fleet that holds such a query back, as own work out shows."""
-    above = gateway.pool.sound.held_by(density, ALPHA)[0]
-    return PASSED + (1 - PASSED) * (above + 1) / (max(above, gateway.pool.threads) + 1)
+    How much it outranks is taken from this gateway's own work in flight.
+    """
+    ahead = gateway.in_flight.on_admitted_engines.not_outranked(density, OUTRANK_MARGIN).threads
+    total = max(ahead, gateway.in_flight.threads)
+    return OUTRANKED_WEIGHT + (1 - OUTRANKED_WEIGHT) * (ahead + 1) / (total + 1)
 
 
-def fleet_fill(gateway: GatewayState, told: float) -> float:
-    """Part of the fleet in use: what is told, or own work out over the own share if that is more."""
-    pool = gateway.pool
-    filled = max(pool.threads / gateway.full_room, pool.memory / gateway.full_memory)
-    return max(told, filled / gateway.share)
+def fleet_used_share(gateway: GatewayState, reported: float) -> float:
+    """Share of the fleet in use: as reported, or own work in flight over the own share if that is more."""
+    threads = gateway.in_flight.threads / gateway.fleet_thread_capacity
+    memory = gateway.in_flight.memory_mb / gateway.fleet_memory_capacity_mb
+    return max(reported, max(threads, memory) / gateway.traffic_share)
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -11,7 +11,7 @@
 from cottonhold.node import lifecycle, peer_datagrams
 from cottonhold.node.gateway import Gateway
 from cottonhold.scheduler import retry_policy, slow_start
-from cottonhold.scheduler.state import Query
+from cottonhold.scheduler.query import Query
 from cottonhold.transport import event_loop
 from tests.conformance import protocol, sockets, wire
 from tests.conformance.rows import Row
@@ -41,13 +41,13 @@
     (Engines, "_open_place", lambda self, engine: self.places.get(engine), "pro-bus-told-connect"),
     (
         retry_policy,
-        "repeat_barred",
-        lambda gateway, query: "",
+        "retry_barrier",
+        lambda gateway, query: None,
         "wire-unsafe-reset wire-keyed-window-over wire-budget",
     ),
-    (slow_start, "barred", lambda gateway, query, engine: False, "wire-cold-budget"),
+    (slow_start, "exceeds_budget", lambda gateway, query, engine: False, "wire-cold-budget"),
     (Gateway, "wants", lambda self, attempt: True, "pro-kill-connect pro-kill-connect-kept"),
-    (Query, "window_end", lambda self: math.inf, "pro-window-connect wire-keyed-window-over"),
+    (Query, "deduplication_window_end", lambda self: math.inf, "pro-window-connect wire-keyed-window-over"),
     (peer_datagrams, "MOST_BYTES", 300, "pro-peer-most"),
     (event_loop, "LACKING", frozenset(), "pro-sock-whole"),
     (lifecycle, "KILL_MARGIN_MS", -3000.0, "pro-term-short"),
--- a/tests/frontend/test_client_departure.py
+++ b/tests/frontend/test_client_departure.py
@@ -53,9 +53,9 @@
     world.wait(300)
     gateway, scheduler = world.gateway, world.gateway.scheduler
     assert gateway.open == 0 and not gateway.requests
-    assert not scheduler.queries and not scheduler.turns.lines and not scheduler.homeless
-    assert not [q for e in scheduler.engines.values() for q in (*e.out.values(), *e.plan)]
-    assert scheduler.pool.threads == 0
+    assert not scheduler.queries and not scheduler.key_queues.queries_by_key and not scheduler.unplaced
+    assert not [q for e in scheduler.engines.values() for q in (*e.in_flight.values(), *e.plan)]
+    assert scheduler.in_flight.threads == 0
     assert not [a for line in world.lines for a in line.connection.attempts]
 
 
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -54,7 +54,7 @@
         self.run("time wait 300")
         gateway, scheduler = self.gateway, self.gateway.scheduler
         assert self.faults and gateway.open == 0 and not gateway.requests and not scheduler.queries
-        assert not [q for e in scheduler.engines.values() for q in (*e.out.values(), *e.plan)]
+        assert not [q for e in scheduler.engines.values() for q in (*e.in_flight.values(), *e.plan)]
 
 
 def test_an_arrival_that_fails_ends_that_request_and_the_others_go_out() -> None:
@@ -115,7 +115,7 @@
     world = Faulty("")
     world.run("list tell e1 gone\nlist tell e2 gone\nc1 query lookup r1 allow=1000\nc1 expect nothing")
     world.gateway.scheduler.queries.clear()
-    world.gateway.scheduler.homeless.clear()
+    world.gateway.scheduler.unplaced.clear()
     world.gateway.scheduler.deadlines.heap.clear()
     world.fails = "QueryArrived"
     world.run("c9 query lookup r9\nc9 expect error 1105 *\ntime wait 950\nc1 expect error 1105 *")
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -139,12 +139,12 @@
     s = Scheduler(setup, 1)
     s.step(0.0, [engines("e1", "e2")])
     teach(s, 100.0, 0, 400.0)
-    before = list(s.classes)
+    before = list(s.class_histories)
     s.step(5000.0, [SettingsChanged(dataclasses.replace(setup, classes=after))])
-    found = [next((i for i, b in enumerate(before) if b is c), None) for c in s.classes]
+    found = [next((i for i, b in enumerate(before) if b is c), None) for c in s.class_histories]
     assert found == list(places)
     s.step(5050.0, [SettingsChanged(setup)])
-    assert s.classes[0].seen == (30 if 0 in places else 0)
+    assert s.class_histories[0].answers_seen == (30 if 0 in places else 0)
 
 
 def test_an_answer_for_a_class_that_is_gone_is_taken_in() -> None:
@@ -158,7 +158,7 @@
         [SettingsChanged(dataclasses.replace(setup, classes=(dataclasses.replace(LOOKUP, name="new"),)))],
     )
     s.step(200.0, [ended(name, Outcome.OK, engine=engine, is_final=True, elapsed_ms=100.0)])
-    assert not s.queries and not s.engines["e1"].out and s.classes[0].seen == 0
+    assert not s.queries and not s.engines["e1"].in_flight and s.class_histories[0].answers_seen == 0
 
 
 def test_reloads_leave_nothing_behind() -> None:
@@ -172,16 +172,20 @@
             s.step(100.0 * i, [changed, arrival(f"q{i}", deadline_at=100.0 * i + 5000)])
         )
         s.step(100.0 * i + 50, [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=50.0)])
-    assert len(s.classes) == len(s.settings.classes) and not s.queries and not s.active["e1"].out
+    assert (
+        len(s.class_histories) == len(s.settings.classes)
+        and not s.queries
+        and not s.active_engines["e1"].in_flight
+    )
 
 
 def test_a_process_beside_halves_the_part_of_a_cold_engine() -> None:
     """Danger: two processes stood for one gateway, and each sent a cold engine all that both may."""
     s = Scheduler(settings(), 1)
     s.step(0.0, [engines("e1")])
-    alone = slow_start.own_part(s, s.engines["e1"])
+    alone = slow_start.own_budget_rate(s, s.engines["e1"])
     s.step(10.0, [SettingsChanged(dataclasses.replace(settings(), concurrent_processes=2))])
-    assert slow_start.own_part(s, s.engines["e1"]) == alone / 2
+    assert slow_start.own_budget_rate(s, s.engines["e1"]) == alone / 2
 
 
 GOOD: dict[str, Any] = {**CONFIG, "listen": "127.0.0.1:80"}
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -39,10 +39,12 @@
     world = Turns(SITES[site])
     for client in ("c1", "c9"):
         world.client(client)
-    world.gateway.scheduler.util = 0.1  # else what can't be in time is not sent where the fleet may be full
+    world.gateway.scheduler.fleet_utilization = (
+        0.1  # else what can't be in time is not sent where the fleet may be full
+    )
     world.run(LITTLE[moment].replace("CLASS", name).replace("LEFT", left))
     world.run("c1 expect error 1226 *\nany nothing there")
-    assert not world.gateway.scheduler.doubted
+    assert not world.gateway.scheduler.ejected_engines
     nothing_left(world)
 
 
@@ -59,7 +61,7 @@
     """However the request waited: the time counts from its last byte."""
     world = Turns(SITES["little allowed"])
     world.client("c1")
-    world.gateway.scheduler.util = 0.1
+    world.gateway.scheduler.fleet_utilization = 0.1
     came, passed = world.clock.now(), min(allow / 5, 200)
     query = f"c1 query lookup r1 allow={allow},effort=20.0"
     if waits == "for a connect":
@@ -79,8 +81,8 @@
     """Engines were left for seconds because of one request that could not wait for its connect."""
     world = Turns(SITES[site])
     world.client("c1")
-    world.gateway.scheduler.util = 0.1
+    world.gateway.scheduler.fleet_utilization = 0.1
     world.run(f"e1 will vanish\nc1 query {name} r1 allow=160\nc1 expect nothing\ntime wait 115")
     world.run("c1 expect error 1226 *\nany nothing there")
-    assert len(world.lines) == 1 and not world.gateway.scheduler.doubted
+    assert len(world.lines) == 1 and not world.gateway.scheduler.ejected_engines
     nothing_left(world)
--- a/tests/scheduler/test_engine_bounds.py
+++ b/tests/scheduler/test_engine_bounds.py
@@ -9,6 +9,7 @@
 
 from cottonhold import Scheduler
 from cottonhold.scheduler.actions import Cancel, CheckHealth
+from cottonhold.scheduler.engine_state import EjectionReason
 from cottonhold.scheduler.events import Engine, EngineList, EngineQuotas, Event, Outcome
 from cottonhold.scheduler.settings import Idempotency
 from tests.scheduler.test_scheduler import LOOKUP, answers, arrival, ended, engines, sends, settings, started
@@ -47,7 +48,7 @@
     held = {q.id for q in s.engines["e1"].plan}
     assert held and {e for _, e in first} == {"e1", "e2"}
     s.step(10.0, [bound(e1=0.0)])
-    assert not s.engines["e1"].plan and not s.homeless
+    assert not s.engines["e1"].plan and not s.unplaced
     assert {e for _, e in drive(s, 20, 500)} <= {"e2"}
 
 
@@ -88,7 +89,7 @@
 def test_a_word_that_leaves_nobody_is_skipped() -> None:
     s = started(settings(), "e1", "e2")
     s.step(1.0, [bound(e1=0.0, e2=0.0)])
-    assert len(drive(s, 10, 200)) == 38 and s.engines["e1"].bound == math.inf
+    assert len(drive(s, 10, 200)) == 38 and s.engines["e1"].quota_rate == math.inf
 
 
 def test_a_left_engine_is_not_probed_by_this_gateway() -> None:
@@ -125,9 +126,9 @@
     s = started(settings(), "e1", "e2")
     ((name, engine),) = sends(s.step(5.0, [arrival("q")]))
     s.step(10.0, [ended(name, Outcome.CONNECT_FAILED, engine=engine), EngineQuotas({engine: 0.0}, 1e9)])
-    assert s.engines[engine].suspect == "dead"
+    assert s.engines[engine].ejection_reason is EjectionReason.UNREACHABLE
     s.step(3000.0, [EngineQuotas({engine: 0.5}, 1e9)])
-    assert not s.engines[engine].suspect and any(e == engine for _, e in drive(s, 3010, 4000))
+    assert not s.engines[engine].ejection_reason and any(e == engine for _, e in drive(s, 3010, 4000))
 
 
 def test_bounds_of_others_leave_a_cold_engine_its_budget() -> None:
@@ -137,10 +138,10 @@
     s = started(settings(), "e1", "e2")
     s.step(1.0, [EngineList((Engine("e2", started_at=0.5),), is_complete=False)])
     e2 = s.engines["e2"]
-    e2.allowance = -300.0
+    e2.allowance_ms = -300.0
     for t in range(100, 1000, 100):
         s.step(float(t), [bound(e1=0.0)])
-    assert e2.allowance == -300.0 and e2.cold_until > 5000.0
+    assert e2.allowance_ms == -300.0 and e2.cold_until > 5000.0
 
 
 def test_left_engines_stay_in_the_list_and_the_room_and_out_of_the_draw() -> None:
@@ -151,18 +152,18 @@
         1,
     )
     s.step(0.0, [EngineList(tuple(Engine(f"e{i}") for i in range(9)), is_complete=True)])
-    before = [(e.id, e.rank) for e in s.live], s.full_room
+    before = [(e.id, e.rank) for e in s.live_engines], s.fleet_thread_capacity
     s.step(1.0, [bound(e0=0.0, e1=0.0, e2=0.0)])
-    assert ([(e.id, e.rank) for e in s.live], s.full_room) == before
-    assert {e.id for e in s.near}.isdisjoint({"e0", "e1", "e2"}) and len(s.near) == 6
+    assert ([(e.id, e.rank) for e in s.live_engines], s.fleet_thread_capacity) == before
+    assert {e.id for e in s.candidate_pool}.isdisjoint({"e0", "e1", "e2"}) and len(s.candidate_pool) == 6
 
 
 def test_the_first_answer_sets_what_a_class_is_taken_to_cost() -> None:
     """Found with fifty gateways at one bounded engine: after first answers twice their bounds were sent."""
     s = started(settings(), "e1")
     drive(s, 10, 20, every=10, cost=30.0)
-    (learned,) = {id(c): c for c in s.classes}.values()
-    assert learned.seen == 1 and learned.cost == 30.0
+    (learned,) = {id(c): c for c in s.class_histories}.values()
+    assert learned.answers_seen == 1 and learned.mean_work_ms == 30.0
 
 
 @pytest.mark.parametrize("told", [0.0, 1500.0], ids=["at once", "with none for a while"])
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -11,6 +11,7 @@
 from cottonhold.discovery.model import Address
 from cottonhold.scheduler import capacity
 from cottonhold.scheduler.actions import Send
+from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.events import (
     AttemptEnded,
     Engine,
@@ -23,7 +24,6 @@
 )
 from cottonhold.scheduler.scheduler import Scheduler
 from cottonhold.scheduler.settings import Features, MachineType, QueryClass, Settings
-from cottonhold.scheduler.state import EngineView
 from tests.support.scenario import World
 
 MOST = 3200  # engines of the largest fleets
@@ -76,9 +76,9 @@
     def __init__(self, engines: int, monkeypatch: pytest.MonkeyPatch) -> None:
         self.counts = dict.fromkeys(("sized", "told", "listed"), 0)
         for owner, name, key in (
-            (capacity, "_size", "sized"),
-            (EngineView, "hear", "told"),
-            (capacity, "take_list", "listed"),
+            (capacity, "_count_engine", "sized"),
+            (EngineView, "apply_peer_load", "told"),
+            (capacity, "apply_engine_changes", "listed"),
         ):
             self.count(owner, name, key, monkeypatch)
         rules = Settings(
@@ -113,7 +113,8 @@
             ]
             if number % 5 == 0:
                 told = [
-                    struct.pack(">IBHH", draw.choice(self.scheduler.near).code, 1, 9, 9) for _ in range(5)
+                    struct.pack(">IBHH", draw.choice(self.scheduler.candidate_pool).id_hash, 1, 9, 9)
+                    for _ in range(5)
                 ]
                 events.append(PeerMessage(number % 8, struct.pack(">Bf", 3, 20.0) + b"".join(told)))
             for action in self.scheduler.step(now, events):
@@ -142,19 +143,19 @@
     gone = [EngineList((Engine(name, state=EngineState.REMOVED),), is_complete=False) for name in names[:50]]
     come = [EngineList((Engine(f"n{n:04}"),), is_complete=False) for n in range(50)]
     s.step(2000.0, [*gone, *come])
-    assert gateway.counts["listed"] == 1 and len(s.live) == engines
-    assert {e.id for e in s.ranked} == set(names[50:]) | {f"n{n:04}" for n in range(50)}
+    assert gateway.counts["listed"] == 1 and len(s.live_engines) == engines
+    assert {e.id for e in s.ranked_engines} == set(names[50:]) | {f"n{n:04}" for n in range(50)}
     s.step(2001.0, [EngineList((), is_complete=True)])
-    assert not s.live and not s.near and not s.engines
+    assert not s.live_engines and not s.candidate_pool and not s.engines
 
 
 def test_a_query_after_a_change_in_the_same_step_sees_the_change(monkeypatch: pytest.MonkeyPatch) -> None:
     s = Gateway(MOST, monkeypatch).scheduler
-    usual = tuple(Engine(e.id, state=EngineState.DRAINING) for e in s.near)
+    usual = tuple(Engine(e.id, state=EngineState.DRAINING) for e in s.candidate_pool)
     s.step(2000.0, [EngineList(usual, is_complete=False), QueryArrived("q", 0, 6000.0, 200.0)])
-    (engine,) = [e.id for e in s.active.values() if e.out]
-    assert engine not in {e.id for e in usual} and engine in s.mine
-    assert s.engines[engine].own_room > 1  # counted, though all are counted again only later
+    (engine,) = [e.id for e in s.active_engines.values() if e.in_flight]
+    assert engine not in {e.id for e in usual} and engine in s.own_engine_ids
+    assert s.engines[engine].own_thread_capacity > 1  # counted, though all are counted again only later
 
 
 @pytest.mark.parametrize("gateways, engines", [(200, 80), (200, 200), (20, 24), (20, 60), (5, 8), (3, 6)])
@@ -168,7 +169,7 @@
         for me in range(gateways):
             scheduler = Scheduler(Settings((READ,), gateway_count=gateways, gateway_index=me), 1)
             scheduler.step(1000.0, [EngineList(tuple(Engine(f"e{n:04}") for n in range(count)), True)])
-            crowd.append(scheduler.mine)
+            crowd.append(scheduler.own_engine_ids)
         return crowd
 
     usual, many = drawn_on(engines), drawn_on(16 * engines)
