--- a/cottonhold/fleet/request_forwarding/fragmentation.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -11,8 +11,8 @@
 import heapq
 import math
 
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.messages import parts_of
-from cottonhold.fleet.zone_failover.messages import WordError
 
 FIRST, LEAST = 16.0, 4.0  # parts on their way to a neighbour that has said nothing yet, and to a silent one
 
@@ -62,9 +62,9 @@
         return bool(self.again) or self.next < self.count
 
     def ack(self, bits: int) -> None:
-        """These parts have arrived. Raises WordError where one of them was never sent."""
+        """These parts have arrived. Raises MessageError where one of them was never sent."""
         if bits >> self.next:
-            raise WordError("a part that was not sent")
+            raise MessageError("a part that was not sent")
         self.acked |= bits
         for index in [i for i in self.flight if bits >> i & 1]:
             del self.flight[index]
@@ -177,16 +177,16 @@
         self.bits = 0
 
     def put(self, size: int, index: int, data: bytes) -> bool:
-        """A part; whether all are there. Raises WordError where it contradicts an earlier one."""
+        """A part; whether all are there. Raises MessageError where it contradicts an earlier one."""
         self.check(size, index, data)
         self.parts[index] = data
         self.bits |= 1 << index
         return len(self.parts) == self.count
 
     def check(self, size: int, index: int, data: bytes) -> None:
-        """Raises WordError where a part contradicts an earlier one."""
+        """Raises MessageError where a part contradicts an earlier one."""
         if size != self.size or self.parts.get(index, data) != data:
-            raise WordError("contradicts an earlier part")
+            raise MessageError("contradicts an earlier part")
 
     def body(self) -> bytes:
         """All of it."""
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -6,29 +6,29 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from cottonhold.backend.connection_pool import Engines
+from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.discovery.model import Change
 from cottonhold.discovery.quarantine import Held
-from cottonhold.fleet.coordinator import Fleet
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import DRAINS, Drains, DrainSettings, Kept, Knock, Settled, Tell, fresh
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.coordinator import Swap
 from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Record, Step
 from cottonhold.fleet_adapters.membership import MembershipRim
-from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, life_of
+from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, incarnation_of
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.node.dispatcher import Logs
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Kind
+from cottonhold.store.records import RecordKind
 
 
 class Listed(Protocol):
     """The dispatcher, as far as engines of its list go."""
 
     held: Held
-    engines: Engines
+    engines: EngineConnections
     counters: Counters
     log: Logs
 
@@ -47,7 +47,7 @@
         owner: Listed,
         ledger: Ledger,
         membership: MembershipRim,
-        fleet: Fleet,
+        fleet: FleetCoordinator,
         voters: Iterable[str],
         hop: Callable[[Callable[[], None]], object],
     ) -> None:
@@ -56,9 +56,9 @@
         self.swim, self.clock = membership.instance.swim, membership.clock
         swim, self.voters = self.swim, {member_id(name) for name in voters}
         now, settings = self.clock.now(), DrainSettings()
-        self.drains = Drains(swim.id, life_of(ledger), now, settings, self.voters)
+        self.drains = Drains(swim.id, incarnation_of(ledger), now, settings, self.voters)
         self.settled = Settled(now, settings)
-        self.kept = Kept(ledger.records(Kind.DRAIN))
+        self.kept = Kept(ledger.records(RecordKind.ENGINE_DRAIN))
         self.writing: dict[str, Record] = {}  # drains that the disk doesn't have yet
         for engine in self.kept.before:
             owner.republish(owner.held.hold(engine))
@@ -83,8 +83,8 @@
 
     def tell(self, now: float, swap: Swap) -> None:
         """What is open at engines that are swapped, and how far new ones are."""
-        ramp = self.fleet.ramp
-        for zone in swap.scene.zones.keys() - self.fleet.zones.states.keys():
+        ramp = self.fleet.slow_start
+        for zone in swap.scene.zones.keys() - self.fleet.evacuation.states.keys():
             swap.zone(now, zone, "")  # its last engine is held: nothing is told of its trouble any more
         for name, record in _engines(swap).items():
             swap.open_left(now, name, self.drains.open(now, name, record.serial))
@@ -107,18 +107,18 @@
     def step(self, now: float, swap: Swap) -> None:
         """Tell drivers, and ask engines that are out."""
         drains, live = self.drains, set(self.swim.live())
-        drains.life = life_of(self.ledger)
+        drains.life = incarnation_of(self.ledger)
         lives = {id: _life(m.incarnation) for id, m in self.swim.members.items() if id in live}
         drains.members(now, lives)
         self._settle(now, swap, live)
         for engine in drains.drained:
-            drains.count(engine, self.owner.engines.out(engine))
+            drains.count(engine, self.owner.engines.attempts_in_flight(engine))
         for action in drains.step(now, swap.scene.chain):
             match action:
                 case Tell(member, data):
                     self.membership.say(member, data)
                 case Knock(engine):
-                    if not self.owner.engines.knock(engine, self._probed(engine)):
+                    if not self.owner.engines.check_liveness(engine, self._probed(engine)):
                         drains.probed(engine, False)
 
     def row(self, now: float, swap: Swap, engine: str) -> dict[str, Any]:
@@ -143,7 +143,7 @@
         def told() -> None:
             if self.writing.get(engine) is record:
                 del self.writing[engine]
-                self.drains.drain(engine, record.serial, self.owner.engines.out(engine))
+                self.drains.drain(engine, record.serial, self.owner.engines.attempts_in_flight(engine))
 
         self.writing[engine] = record
         if not (records := self.kept.drain(engine)):
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -12,10 +12,20 @@
 from typing import Any, Protocol
 
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.consensus import register
+from cottonhold.fleet.consensus.actions import (
+    Action,
+    ChangeRegister,
+    ChangeResult,
+    OperationOutcome,
+    PersistState,
+    ReadRegister,
+    RegisterChanged,
+    SendMessage,
+)
 from cottonhold.fleet.consensus.register import Registers
-from cottonhold.fleet.coordinator import Fleet
-from cottonhold.fleet.recovery.membership_survey import Census, Verdict
+from cottonhold.fleet.coordinator import FleetCoordinator
+from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
+from cottonhold.fleet.recovery.survey_results import OutageVerdict
 from cottonhold.fleet.rolling_replacement import step_decision as steps_of
 from cottonhold.fleet.rolling_replacement.coordinator import Swap
 from cottonhold.fleet.rolling_replacement.machine_driver import SwapSettings
@@ -29,14 +39,18 @@
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
+from cottonhold.store.health import Completeness as Folder
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.ledger import Memory as Folder
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.records import Record, RecordKind
 
 FIRST, LAST = 64, 79  # kinds of message
 LEAST_MS, MOST_MS = 5.0, 250.0
-ENDS = {register.How.WON: True, register.How.LOST: False, register.How.UNKNOWN: None}
-UNREST = (Verdict.FLEET, Verdict.ZONE, Verdict.CUT_OFF)
+ENDS = {
+    ChangeResult.WON: True,
+    ChangeResult.LOST: False,
+    ChangeResult.UNKNOWN: None,
+}
+UNREST = (OutageVerdict.FLEET, OutageVerdict.ZONE, OutageVerdict.CUT_OFF)
 
 
 class PinsHere(Protocol):
@@ -70,8 +84,8 @@
         installation: Installation,
         ledger: Ledger,
         swim: Swim,
-        fleet: Fleet,
-        census: Census,
+        fleet: FleetCoordinator,
+        census: MembershipSurvey,
         lifecycle: Lifecycle,
         clock: Clock,
         hop: Callable[[Callable[[], None]], object],
@@ -90,16 +104,16 @@
         self.homes = file.peers.zones if file.peers is not None else ()
         self.voters = {member_id(name) for name in file.membership.voters}
         # Danger: an empty or old folder may have promised; its voice counts once the others have told it all.
-        kept = ledger.records(Kind.PROMISE) if ledger.memory is Folder.KEPT else {}
+        kept = ledger.records(RecordKind.PROMISE) if ledger.completeness is Folder.COMPLETE else {}
         self.registers = Registers(
             swim.id,
             self.voters,
-            ledger.boot,
-            ledger.boot,
+            ledger.boot_count,
+            ledger.boot_count,
             secrets.randbits(63),
             {key.decode(): value for key, value in kept.items()},
         )
-        bearable = fleet.outlook.bearable if fleet.outlook is not None else None
+        bearable = fleet.failover_cost.removal_objections if fleet.failover_cost is not None else None
         self.swap = Swap(file.name, now, SwapSettings(len(self.voters)), secrets.randbits(63), bearable)
         self.answers: list[dict[str, str]] = []
         self.ready: dict[str, int] = {}
@@ -121,7 +135,7 @@
             return True
         if not payload or not FIRST <= payload[0] <= LAST:
             return False
-        self._carry_out(self.registers.hear(self.clock.now(), member, payload))
+        self._carry_out(self.registers.on_message(self.clock.now(), member, payload))
         self._arm(LEAST_MS)
         return True
 
@@ -162,14 +176,14 @@
             | self.drains.row(now, self.swap, row.machine)
             for row in self.swap.status()
         ]
-        return {"swap": {"machines": rows, "answers": self.answers[-4:], "votes": self.registers.votes()}}
+        return {"swap": {"machines": rows, "answers": self.answers[-4:], "votes": self.registers.is_voting()}}
 
     # --- steps ---
 
     def _step(self) -> None:
         now = self.clock.now()
         self._tell(now)
-        self.registers.members(self.swim.live())
+        self.registers.set_listeners(self.swim.live())
         self._carry_out(self.registers.step(now))
         for action in self.swap.step(now):
             self._act(now, action)
@@ -184,28 +198,32 @@
     def _tell(self, now: float) -> None:
         """What this instance sees."""
         swap, live = self.swap, set(self.swim.live())
-        there = [self._machine(self.name, self.swim.id, self.census.me, self.census.life)]
-        there[0] = replace(there[0], votes=self.registers.votes())
+        there = [self._machine(self.name, self.swim.id, self.census.number, self.census.incarnation)]
+        there[0] = replace(there[0], votes=self.registers.is_voting())
         for member in self.swim.members.values():
             number = self.census.number_of(member.id)
             if member.id in live and number is not None:
-                there.append(self._machine(member.name, member.id, number, self.census.life_of(number)))
+                there.append(
+                    self._machine(member.name, member.id, number, self.census.incarnation_of(number))
+                )
         swap.present(now, [*self.drains.machines(now, swap), *there])
         self.drains.tell(now, swap)
         swap.open_left(now, self.name, self.open_requests())
         swap.pins_left(now, self.name, self.pins.left_here() if self.pins is not None else 0)
         for machine, count in (self.pins.left_there() if self.pins is not None else {}).items():
             swap.pins_left(now, machine, count)
-        for zone, state in self.fleet.zones.states.items():
-            swap.zone(now, zone, "" if state.phase is Phase.IN else f"is {state.phase.value}")
-        loads = self.fleet.loads
-        shed = loads is not None and loads.price is not None and loads.price.step > 0
+        for zone, state in self.fleet.evacuation.states.items():
+            swap.zone(now, zone, "" if state.phase is Phase.IN_SERVICE else f"is {state.phase.value}")
+        loads = self.fleet.demand
+        shed = loads is not None and loads.threshold is not None and loads.threshold.step > 0
         # Danger: told as anything else than "sheds", an engine that drains held up its own swap for good:
         # requests were turned away for want of it.
         swap.fleet(now, "sheds", "the fleet turns requests away" if shed else "")
         verdict = self.census.view.verdict
-        ramping = self.fleet.ramp is not None and self.fleet.ramp.active
-        unrest = verdict in UNREST and (ramping or not self.census.view.settled or verdict is Verdict.CUT_OFF)
+        ramping = self.fleet.slow_start is not None and self.fleet.slow_start.is_active
+        unrest = verdict in UNREST and (
+            ramping or not self.census.view.is_settled or verdict is OutageVerdict.CUT_OFF
+        )
         swap.fleet(now, "recovery", f"the fleet recovers: {verdict.value}" if unrest else "")
 
     def _machine(self, name: str, member: int, number: int, life: int) -> Machine:
@@ -215,7 +233,7 @@
 
     def _act(self, now: float, action: steps_of.Action) -> None:
         match action:
-            case steps_of.Change() | steps_of.Read():
+            case ChangeRegister() | ReadRegister():
                 self.ask(action)
             case steps_of.MovePins(machine, _, most) if machine == self.name and self.pins is not None:
                 self.pins.move(most)
@@ -236,28 +254,28 @@
                 self.answers.append({"who": request.who, "refused": refused})
                 self.note("swap_answer", who=request.who, refused=refused or "no")
 
-    def ask(self, action: steps_of.Change | steps_of.Read) -> None:
+    def ask(self, action: ChangeRegister | ReadRegister) -> None:
         """A change or read of a register, for this part or for pins; its outcome goes to both."""
         now = self.clock.now()
-        if isinstance(action, steps_of.Read):
+        if isinstance(action, ReadRegister):
             self._carry_out(self.registers.read(now, action.name, action.token))
         else:
             words = action.name, action.version, action.value, action.token
             self._carry_out(self.registers.change(now, *words))
         self._arm(LEAST_MS)
 
-    def _carry_out(self, actions: Iterable[register.Action]) -> None:
+    def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case register.Say(member, data):
+                case SendMessage(member, data):
                     self.say(member, data)
-                case register.Keep(name, data, then):
+                case PersistState(name, data, then):
                     self._keep(name, data, then)
-                case register.Changed(name, version, value):
+                case RegisterChanged(name, version, value):
                     self.swap.changed(self.clock.now(), name, version, value)
                     if self.pins is not None:
                         self.pins.changed(name, version, value)
-                case register.Outcome(token, how, version, value) if token:
+                case OperationOutcome(token, how, version, value) if token:
                     # One that was lost without an answer says nothing of what stands.
                     won = ENDS[how] if version >= 0 else None
                     self.swap.outcome(self.clock.now(), token, won, version, value)
@@ -268,9 +286,9 @@
         # Danger: a promise that is told before the disk has it is broken by a power loss, and two decisions
         # stand. One that the disk does not take is told once it does: never put again, it left a voter silent
         # for the rest of its life.
-        record = Record(Kind.PROMISE, name.encode(), data or None)
+        record = Record(RecordKind.PROMISE, name.encode(), data or None)
         self.promises.put(record, lambda: self._kept(then))
 
     def _kept(self, then: int) -> None:
-        self._carry_out(self.registers.kept(self.clock.now(), then))
+        self._carry_out(self.registers.on_persisted(self.clock.now(), then))
         self._arm(LEAST_MS)
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -12,37 +12,45 @@
 
 from cottonhold.backend.resp import Rows
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.consensus.messages import Keep, Say
-from cottonhold.fleet.coordinator import Fleet
-from cottonhold.fleet.recovery.membership_survey import Census
+from cottonhold.fleet.consensus.actions import ChangeRegister, PersistState, ReadRegister, SendMessage
+from cottonhold.fleet.coordinator import FleetCoordinator
+from cottonhold.fleet.message_format import MessageError
+from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet.request_forwarding import forwarder
 from cottonhold.fleet.request_forwarding.forwarder import End, HandOn, HandSettings
 from cottonhold.fleet.request_forwarding.messages import U32
 from cottonhold.fleet.request_forwarding.request_codec import Handed, pack_request, pack_rows, read_request
-from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.plan import Record as Swapped
 from cottonhold.fleet.rolling_replacement.plan import Step, ident
 from cottonhold.fleet.session_affinity import membership_table, messages
-from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
-from cottonhold.fleet.session_affinity.record_book import GAPS_MS
-from cottonhold.fleet.session_affinity.service import Action, Around, Going, PinService
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
+from cottonhold.fleet.session_affinity.record_book import HANDOVER_STEPS_MS
+from cottonhold.fleet.session_affinity.service import (
+    Action,
+    DepartureState,
+    SessionAffinityService,
+    Surroundings,
+)
 from cottonhold.fleet_adapters.keyed_loads import WAITS_MS, Pinned
-from cottonhold.fleet_adapters.recovery import life_of
+from cottonhold.fleet_adapters.recovery import incarnation_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import DuplicateRef, Gateway, LoadGuard, Request, Taken
+from cottonhold.node.gateway import ClientRequest, DuplicateRequestIdError, Gateway, LoadGuard, OpenRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.records import Record, RecordKind
 
 LEAST_MS, MOST_MS = 2.0, 20.0  # between two steps
 HANDED_ON = 79  # first byte of words of requests that are handed on
 AGAIN_MS = 500.0  # a record that the disk did not take is put again so often
 ON_WAY = (Step.MOVING, Step.DRAINING, Step.OUT)
-GOING = {Step.MOVING: Going.MOVES, Step.DRAINING: Going.DRAINS, Step.OUT: Going.OUT}
+GOING = {
+    Step.MOVING: DepartureState.MOVING_KEYS,
+    Step.DRAINING: DepartureState.DRAINING,
+    Step.OUT: DepartureState.OUT,
+}
 
 
 class HandedClient:
@@ -51,11 +59,11 @@
     def __init__(self, rim: PinsRim, origin: int, number: int, ref: str) -> None:
         self.rim, self.origin, self.number, self.ref = rim, origin, number, ref
 
-    def served(self, rows: Rows) -> None:
+    def complete(self, rows: Rows) -> None:
         """The whole result."""
         self.rim.answered(self, End.SERVED, 0.0, pack_rows(rows))
 
-    def refused(self, retry_after: float) -> None:
+    def reject(self, retry_after: float) -> None:
         """Turned away, or this isn't the key's owner: nothing ran."""
         owner = self.rim.guard.moved.get(self.ref)
         if owner is None:
@@ -63,7 +71,7 @@
         else:
             self.rim.answered(self, End.MOVED, 0.0, owner.to_bytes(8, "big") if owner else b"")
 
-    def failed(self, why: str) -> None:
+    def fail(self, why: str) -> None:
         """It may have run."""
         self.rim.answered(self, End.FAILED, 0.0, b"")
 
@@ -76,8 +84,8 @@
         installation: Installation,
         ledger: Ledger,
         swim: Swim,
-        fleet: Fleet,
-        census: Census,
+        fleet: FleetCoordinator,
+        census: MembershipSurvey,
         swap: SwapRim,
         loads: LoadGuard,
         gateway: Gateway,
@@ -92,13 +100,13 @@
         self.gateway, self.clock, self.hop, self.say = gateway, clock, hop, say
         self.counters, self.note, self.name = counters, note, installation.file.name
         self.homes = installation.file.peers.zones if installation.file.peers is not None else ()
-        kept = {key.decode(): value for key, value in ledger.records(Kind.PIN).items()}
-        self.service = PinService(swim.id, swap.voters, now, secrets.randbits(30), kept)
-        self.me, self.back = swim.id, self.service.settings.back
-        life = life_of(ledger) & U32 or 1
+        kept = {key.decode(): value for key, value in ledger.records(RecordKind.AFFINITY).items()}
+        self.service = SessionAffinityService(swim.id, swap.voters, now, secrets.randbits(30), kept)
+        self.me, self.back = swim.id, self.service.settings.retry_after_ms
+        life = incarnation_of(ledger) & U32 or 1
         self.handing = HandOn(swim.id, life, HandSettings(), secrets.randbits(30))
         self.guard = Pinned(loads, self, gateway, clock, counters)
-        self.guests: dict[tuple[int, int], tuple[Request, HandedClient]] = {}
+        self.guests: dict[tuple[int, int], tuple[OpenRequest, HandedClient]] = {}
         self.puts: dict[str, int] = {}  # by name: the token of its last record
         self.unkept: dict[str, tuple[bytes, int]] = {}  # what the disk did not take
         self.again_at = 0.0
@@ -118,53 +126,62 @@
 
     def told(self, member: int, payload: bytes) -> bool:
         """Whether bytes from another instance are of pins, or of a request that is handed on."""
-        if not payload or not messages.BATCH <= payload[0] <= HANDED_ON:
+        if not payload or not messages.MIGRATION <= payload[0] <= HANDED_ON:
             return False
         now = self.clock.now()
         if payload[0] == HANDED_ON:
-            self._hands(self.handing.hear(now, member, payload))
+            self._hands(self.handing.on_message(now, member, payload))
         else:
-            self._carry_out(self.service.hear(now, member, payload))
+            self._carry_out(self.service.on_message(now, member, payload))
         self._arm(LEAST_MS)
         return True
 
     # --- what the guard asks ---
 
-    def take(self, key: bytes) -> Own | Forward | Back:
+    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
         """Where a load of the key belongs."""
-        return self.service.take(self.clock.now(), key)
+        return self.service.route(self.clock.now(), key)
 
     def owns(self, key: bytes) -> bool:
         """Whether a load of the key may start here at this moment."""
-        return self.service.owns(self.clock.now(), key) is not None
+        return self.service.ownership_of(self.clock.now(), key) is not None
 
     def inside(self, member: int) -> bool:
         """Whether a member may own anything, as far as is known here."""
-        pins = self.service.pins
-        return pins is not None and member in pins.standing.inside
+        pins = self.service.ownership
+        return pins is not None and member in pins.lease.members
 
     def lost(self, key: bytes) -> bool:
         """Whether what waits here for the key won't start here any more."""
-        return self.service.lost(self.clock.now(), key)
+        return self.service.is_lost(self.clock.now(), key)
 
     def opened(self, key: bytes, load: int) -> None:
         """A load waits in line or runs here."""
-        self._carry_out(self.service.opened(self.clock.now(), key, load))
+        self._carry_out(self.service.on_request_opened(self.clock.now(), key, load))
 
     def ended(self, key: bytes, load: int, known: bool) -> None:
         """It has ended."""
-        self._carry_out(self.service.ended(self.clock.now(), key, load, known))
+        self._carry_out(self.service.on_request_ended(self.clock.now(), key, load, known))
         self._arm(LEAST_MS)
 
-    def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
+    def hand(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
         """Hand a request on."""
         self.counters.add("pins_handed_on")
-        words = (taken.ref, taken.service, taken.key or "", taken.effort, taken.room, taken.tables)
+        words = (
+            taken.request_id,
+            taken.class_name,
+            taken.ordering_key or "",
+            taken.estimated_work_ms,
+            taken.estimated_memory_mb,
+            taken.table_group,
+        )
         tenants = self.gateway.settings.tenants
         tenant = tenants[taken.tenant].name if taken.tenant < len(tenants) else ""
-        body = pack_request(Handed(*words, taken.retry, taken.body, number, tenant, taken.token or ""))
+        body = pack_request(
+            Handed(*words, taken.is_retry, taken.body, number, tenant, taken.idempotency_key or "")
+        )
         now = self.clock.now()
-        actions = self.handing.hand(now, taken.ref, owner, body, until, line=key)
+        actions = self.handing.hand(now, taken.request_id, owner, body, until, line=key)
         # An end that comes at once comes to the guard once it knows that the request is on its way.
         self.clock.call_soon(lambda: self._hands(actions))
 
@@ -178,11 +195,11 @@
         now, place = self.clock.now(), (action.origin, action.number)
         try:
             asked = read_request(action.body)
-        except WordError:
+        except MessageError:
             self.counters.add("pins_malformed")
             self._hands(self.handing.answered(now, *place, End.REFUSED))
             return
-        kind = self.gateway.kinds.get(asked.service)
+        kind = self.gateway.class_indexes.get(asked.service)
         ref = asked.ref if asked.ref not in self.gateway.requests else f"{asked.ref}.{action.number:x}"
         if kind is None or ref in self.gateway.requests:
             self._hands(self.handing.answered(now, *place, End.REFUSED, self.back))
@@ -190,13 +207,13 @@
         self.counters.add("pins_handed_here")
         work = asked.effort, asked.room, asked.tables
         words = asked.key, asked.retry, asked.body
-        named = self.gateway.tenants.get(asked.tenant, 0), asked.token or None
-        taken = Taken(ref, kind, asked.service, now, action.left_ms, *work, *words, *named)
+        named = self.gateway.tenant_indexes.get(asked.tenant, 0), asked.token or None
+        taken = ClientRequest(ref, kind, asked.service, now, action.left_ms, *work, *words, *named)
         client = HandedClient(self, action.origin, action.number, ref)
         self.guard.remote[ref] = action.origin, asked.round
         try:
-            request = self.gateway.take(taken, client)
-        except DuplicateRef:
+            request = self.gateway.accept(taken, client)
+        except DuplicateRequestIdError:
             self._hands(self.handing.answered(now, *place, End.REFUSED, self.back))
             return
         self.guests[place] = request, client
@@ -215,12 +232,12 @@
         found = self.guests.pop((origin, number), None)
         if found is not None:
             self.guard.remote.pop(found[1].ref, None)
-            self.gateway.client_gone(found[0])
+            self.gateway.on_client_disconnected(found[0])
 
     def _hands(self, actions: Iterable[forwarder.Action]) -> None:
         for action in actions:
             match action:
-                case Say(member, data):
+                case SendMessage(member, data):
                     self.say(member, data)
                 case forwarder.Take():
                     self._taken(action)
@@ -234,32 +251,34 @@
 
     def outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended."""
-        self.service.outcome(self.clock.now(), token, won, version, value)
+        self.service.on_outcome(self.clock.now(), token, won, version, value)
         self._arm(LEAST_MS)
 
     def changed(self, name: str, version: int, value: bytes) -> None:
         """A register has changed."""
-        if name == membership_table.NAME:
-            self.service.changed(self.clock.now(), name, version, value)
+        if name == membership_table.TABLE_REGISTER:
+            self.service.on_register_changed(self.clock.now(), name, version, value)
             self._arm(LEAST_MS)
 
     def left_here(self) -> int:
         """What still has to go before this machine may be taken out."""
         # Danger: counted by what this part had seen of the swap at its own last step, a machine that drains
         # seemed to be moving still, with nothing left but its place in the table.
-        return self.service.left(self.clock.now(), self._going(self.swap.swap.scene.chain.get(self.name)))
+        return self.service.remaining_count(
+            self.clock.now(), self._going(self.swap.swap.scene.chain.get(self.name))
+        )
 
     def left_there(self) -> dict[str, int | None]:
         """The same of all others on their way out: nothing is left of one that is not in the table, and of
         the rest that is not known here."""
-        inside, known = self.service.table.value.inside, self.service.table.known
+        inside, known = self.service.table.member_list.members, self.service.table.is_known
         others = {n for n, r in self.swap.swap.scene.chain.items() if r.step in ON_WAY} - {self.name}
         return {name: 0 if known and ident(name) not in inside else None for name in others}
 
     def move(self, most: int) -> None:
         """At most so many pins go to others."""
         self.counters.add("pins_asked_to_move")
-        self._carry_out(self.service.move(self.clock.now(), most, self._room()))
+        self._carry_out(self.service.move_keys(self.clock.now(), most, self._room()))
         self._arm(LEAST_MS)
 
     def _room(self) -> dict[int, float]:
@@ -267,9 +286,9 @@
         chain = self.swap.swap.scene.chain
         going = {ident(name) for name, record in chain.items() if record.step in ON_WAY}
         there = [m for m in self.swim.live() if m != self.swim.id and m not in going]
-        outlook = self.fleet.outlook
+        outlook = self.fleet.failover_cost
         # Danger: asked for the loss of no zone, which is never projected, the outlook had no say in this.
-        left = outlook.plan.room if outlook is not None and outlook.plan is not None else {}
+        left = outlook.plan.free_cores if outlook is not None and outlook.plan is not None else {}
         zones = {member: self._zone(member) for member in there}
         count = Counter(zones.values())
         found = {member: left.get(zone, 0.0) / count[zone] for member, zone in zones.items()}
@@ -283,35 +302,51 @@
 
     def _step(self) -> None:
         self.timer = None
-        now, before = self.clock.now(), self.service.around.going
+        now, before = self.clock.now(), self.service.surroundings.departure
         around = self._around()
-        if around.going is Going.STAYS and before in (Going.MOVES, Going.DRAINS):
-            self._carry_out(self.service.stay(now))
-        began = self.service.began
+        if around.departure is DepartureState.STAYING and before in (
+            DepartureState.MOVING_KEYS,
+            DepartureState.DRAINING,
+        ):
+            self._carry_out(self.service.cancel_moves(now))
+        began = self.service.start_count
         self._carry_out(self.service.step(now, around))
-        if self.service.began != began:
-            self.note("pins", began=self.service.began, whole=str(around.whole), epoch=self._epoch())
+        if self.service.start_count != began:
+            self.note(
+                "pins",
+                began=self.service.start_count,
+                whole=str(around.folder_is_current),
+                epoch=self._epoch(),
+            )
         self._hands(self.handing.step(now))
         self._put_again(now)
         self.guard.step()
         self._arm(min(self.service.next_at(now), self.handing.next_at()) - now)
 
-    def _around(self) -> Around:
+    def _around(self) -> Surroundings:
         chain = self.swap.swap.scene.chain
         out = frozenset(ident(name) for name, record in chain.items() if record.step is Step.OUT)
-        return Around(self._whole(), self._going(chain.get(self.name)), frozenset(self.swim.live()), out)
+        return Surroundings(
+            self._whole(), self._going(chain.get(self.name)), frozenset(self.swim.live()), out
+        )
 
     def _whole(self) -> bool | None:
         """Whether the folder is the one this number last had, as far as others bear it out."""
-        if self.census.memory is not MemoryState.KEPT:
+        if self.census.memory is not MemoryState.INTACT:
             return False
-        return True if self.census.confirmed() or self.service.around.whole else None
+        return (
+            True
+            if self.census.has_confirmed_memory() or self.service.surroundings.folder_is_current
+            else None
+        )
 
-    def _going(self, record: Swapped | None) -> Going:
-        return GOING.get(record.step, Going.STAYS) if record is not None else Going.STAYS
+    def _going(self, record: Swapped | None) -> DepartureState:
+        return (
+            GOING.get(record.step, DepartureState.STAYING) if record is not None else DepartureState.STAYING
+        )
 
     def _epoch(self) -> int:
-        return self.service.pins.standing.epoch if self.service.pins is not None else -1
+        return self.service.ownership.lease.epoch if self.service.ownership is not None else -1
 
     def _arm(self, ms: float) -> None:
         ms = min(max(ms, LEAST_MS), MOST_MS)
@@ -326,11 +361,11 @@
     def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Say(member, data):
+                case SendMessage(member, data):
                     self.say(member, data)
-                case Keep(name, data, then):
+                case PersistState(name, data, then):
                     self._keep(name, data, then)
-                case step_decision.Change() | step_decision.Read():
+                case ChangeRegister() | ReadRegister():
                     self.swap.ask(action)
 
     def _keep(self, name: str, data: bytes, then: int) -> None:
@@ -340,13 +375,13 @@
         def done(durable: bool) -> None:
             self.hop(lambda: self._kept(name, data, then, durable))
 
-        self.ledger.put([Record(Kind.PIN, name.encode(), data or None)], done)
+        self.ledger.put([Record(RecordKind.AFFINITY, name.encode(), data or None)], done)
 
     def _kept(self, name: str, data: bytes, then: int, durable: bool) -> None:
         if durable:
             if self.puts.get(name) == then:
                 del self.puts[name]
-            self._carry_out(self.service.kept(self.clock.now(), then))
+            self._carry_out(self.service.on_persisted(self.clock.now(), then))
             self._arm(LEAST_MS)
         elif self.puts.get(name) == then:
             # Danger: a record that the disk did not take, and that nobody puts again, holds its pin for good.
@@ -369,30 +404,30 @@
 
     def _ownerless(self) -> str:
         """The same of keys that were moved from here: how long nobody started their loads."""
-        pins = self.service.pins
-        return _histogram(GAPS_MS, pins.gaps) if pins is not None else ""
+        pins = self.service.ownership
+        return _histogram(HANDOVER_STEPS_MS, pins.handover_histogram) if pins is not None else ""
 
     def status(self) -> dict[str, Any]:
         """The view of this instance."""
         now, service = self.clock.now(), self.service
-        pins = service.pins
-        inside = pins.standing.inside if pins is not None else ()
+        pins = service.ownership
+        inside = pins.lease.members if pins is not None else ()
         names = {self.swim.id: self.swim.name, **{m.id: m.name for m in self.swim.members.values()}}
         found = {
-            "began": service.began,
-            "whole": service.around.whole,
-            "owned": len(pins.owned()) if pins is not None else 0,
-            "moving": pins.moving() if pins is not None else 0,
-            "open": len(pins.open) if pins is not None else 0,
-            "stands": pins is not None and pins.standing.stands() > now,
-            "complete": pins is not None and pins.standing.complete == pins.standing.epoch,
+            "began": service.start_count,
+            "whole": service.surroundings.folder_is_current,
+            "owned": len(pins.owned_keys()) if pins is not None else 0,
+            "moving": pins.moving_count() if pins is not None else 0,
+            "open": len(pins.open_requests) if pins is not None else 0,
+            "stands": pins is not None and pins.lease.valid_until() > now,
+            "complete": pins is not None and pins.lease.complete_epoch == pins.lease.epoch,
             "epoch": self._epoch(),
             "table": sorted(names.get(member, f"{member:x}") for member in inside),
-            "left": service.left(now, service.around.going),
+            "left": service.remaining_count(now, service.surroundings.departure),
             "waiting": sum(map(len, self.guard.lines.values())),
             "waits": self._waits(),
             "ownerless": self._ownerless(),
-            "why": service.table.why,
+            "why": service.table.blocked_reason,
             "handed_on": self.handing.status(),
             **service.counts,
         }
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -24,6 +24,7 @@
     pack_word,
     read_word,
 )
+from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.recovery.warmup_messages import engine_number
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import (
@@ -40,10 +41,9 @@
 from cottonhold.fleet.rolling_replacement.request_parsing import request_of
 from cottonhold.fleet.rolling_replacement.start_conditions import Starts
 from cottonhold.fleet.rolling_replacement.step_decision import StepSettings, View, decide
-from cottonhold.fleet.zone_failover.messages import ROOM, WordError
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store import records as kept_records
-from cottonhold.store.records import TRUST, Kind, Trust
+from cottonhold.store.records import TRUST_BY_KIND, RecordKind, Trust
 
 U16, U32, U64 = (st.integers(0, 2**bits - 1) for bits in (16, 32, 64))
 ROWS = st.dictionaries(U32, st.builds(Row, U32, U16, st.booleans()), max_size=MOST_ROWS)
@@ -58,9 +58,9 @@
 @given(st.builds(DrainWord, st.integers(1, 2**64 - 1), U32, U32, ROWS))
 def test_a_word_comes_back_fits_and_is_refused_cut(word: DrainWord) -> None:
     data = pack_word(word)
-    assert read_word(data) == word and len(data) <= ROOM
+    assert read_word(data) == word and len(data) <= MAX_MESSAGE_BYTES
     for cut in range(len(data)):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read_word(data[:cut])
 
 
@@ -204,7 +204,7 @@
 
     def write(records: Iterable[kept_records.Record]) -> None:
         for record in records:
-            assert record.kind is Kind.DRAIN and TRUST[record.kind] is Trust.HINT
+            assert record.kind is RecordKind.ENGINE_DRAIN and TRUST_BY_KIND[record.kind] is Trust.HINT
             folder.pop(record.key, None)
             if record.value is not None:
                 folder[record.key] = record.value
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -8,30 +8,35 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.zone_failover.messages import (
+    MemberReport,
     Vote,
-    Word,
-    WordError,
-    Words,
-    ZoneWord,
-    pack_word,
-    pack_words,
-    read_words,
+    ZoneReport,
+    decode_zone_reports,
+    encode_zone_report,
+    encode_zone_reports,
     zone_number,
 )
 from cottonhold.fleet.zone_failover.operator_overrides import (
-    MOST_ORDERS,
-    Mode,
-    Order,
-    Orders,
-    pack_orders,
-    read_orders,
+    MAX_OVERRIDES,
+    Override,
+    OverrideMode,
+    Overrides,
+    decode_overrides,
+    encode_overrides,
+)
+from cottonhold.fleet.zone_failover.quota_lending import (
+    QuotaGrant,
+    QuotaRequest,
+    decode_quota_message,
+    encode_quota_message,
 )
-from cottonhold.fleet.zone_failover.quota_lending import Ask, Grant, pack_loan, read_loan
 
 SMALL = st.integers(0, 255)
 ZONE = st.builds(
-    ZoneWord,
+    ZoneReport,
     st.sampled_from(Vote),
     SMALL,
     SMALL,
@@ -41,7 +46,7 @@
     st.booleans(),
 )
 WORD = st.builds(
-    Word,
+    MemberReport,
     st.integers(1, 5),
     st.integers(0, 3),
     st.integers(0, 3),
@@ -50,9 +55,9 @@
     st.dictionaries(st.integers(0, 65535), ZONE, max_size=4),
 )
 ORDER = st.builds(
-    Order,
+    Override,
     st.integers(0, 3),
-    st.sampled_from(Mode),
+    st.sampled_from(OverrideMode),
     st.integers(0, 3),
     st.integers(1, 4),
     st.integers(0, 10**6).map(float),
@@ -62,42 +67,44 @@
 
 
 @given(st.lists(WORD, max_size=6))
-def test_words_come_back_as_they_went(words: list[Word]) -> None:
-    data = pack_words(words, 200)
+def test_words_come_back_as_they_went(words: list[MemberReport]) -> None:
+    data = encode_zone_reports(words, 200)
     assert len(data) <= 200
-    got = read_words(data)
+    got = decode_zone_reports(data)
     left = iter(words)
     assert all(any(word == other for other in left) for word in got), "in their order"
     assert got[:1] == words[:1]
 
 
 @given(st.lists(WORD, max_size=12), st.randoms())
-def test_words_merge_in_any_order_and_any_number_of_times(words: list[Word], draw: random.Random) -> None:
-    newest = dict[object, Word]()
+def test_words_merge_in_any_order_and_any_number_of_times(
+    words: list[MemberReport], draw: random.Random
+) -> None:
+    newest = dict[object, MemberReport]()
     for word in words:  # one stamp, one word: an instance never says two things under one version
         newest.setdefault((word.member, word.stamp), word)
     views = []
     for _ in range(2):
         told = [*newest.values(), *draw.sample(list(newest.values()), len(newest) // 2)]
         draw.shuffle(told)
-        view = Words[Word](5)
+        view = LatestReports[MemberReport](5)
         for word in told:
-            view.take(1.0, word)
-        views.append({member: heard.word for member, heard in view.heard.items()})
+            view.apply(1.0, word)
+        views.append({member: heard.report for member, heard in view.received.items()})
     assert views[0] == views[1] and 5 not in views[0]
 
 
 @given(st.lists(ORDER, max_size=10), st.randoms())
-def test_orders_merge_alike_and_travel_whole(orders: list[Order], draw: random.Random) -> None:
+def test_orders_merge_alike_and_travel_whole(orders: list[Override], draw: random.Random) -> None:
     unique = list({(o.zone, o.stamp): o for o in orders}.values())
     digests = set()
     for _ in range(3):
         draw.shuffle(unique)
-        view = Orders(9)
+        view = Overrides(9)
         for order in unique:
-            (got,) = read_orders(0.0, pack_orders(0.0, [order], 200))
+            (got,) = decode_overrides(0.0, encode_overrides(0.0, [order], 200))
             assert got == order
-            view.take(got)
+            view.apply(got)
         digests.add(view.digest())
     assert len(digests) == 1
 
@@ -105,44 +112,48 @@
 @given(st.binary(max_size=220))
 @settings(max_examples=300)
 def test_bytes_that_make_no_sense_are_an_error_and_nothing_else(data: bytes) -> None:
-    for read in (read_words, read_loan, lambda d: read_orders(0.0, d)):
+    for read in (decode_zone_reports, decode_quota_message, lambda d: decode_overrides(0.0, d)):
         try:
             read(data)
-        except WordError:
+        except MessageError:
             pass
 
 
 @pytest.mark.parametrize("cut", [1, 5, 20, -1])
 def test_a_word_cut_short_or_too_long_counts_for_nothing(cut: int) -> None:
-    data = pack_words([Word(1, 1, 1, 0, 0, {7: ZoneWord()})], 200)
-    with pytest.raises(WordError):
-        read_words(data[:cut] if cut > 0 else data + b"\0")
+    data = encode_zone_reports([MemberReport(1, 1, 1, 0, 0, {7: ZoneReport()})], 200)
+    with pytest.raises(MessageError):
+        decode_zone_reports(data[:cut] if cut > 0 else data + b"\0")
 
 
 def test_a_replayed_word_changes_nothing_and_a_forged_one_of_its_own_is_passed() -> None:
-    view = Words[Word](1)
-    old, new = Word(2, 1, 5, 0, 0, {}), Word(2, 1, 6, 0, 0, {})
-    assert view.take(1.0, new) and not view.take(2.0, old) and not view.take(3.0, new)
+    view = LatestReports[MemberReport](1)
+    old, new = MemberReport(2, 1, 5, 0, 0, {}), MemberReport(2, 1, 6, 0, 0, {})
+    assert view.apply(1.0, new) and not view.apply(2.0, old) and not view.apply(3.0, new)
     assert view.fresh(100.0, 50.0, [2]) == [] and view.fresh(40.0, 50.0, [2]) == [new]
-    assert not view.take(4.0, Word(1, 1, 900, 0, 0, {})) and view.following(1, 6) == (1, 901)
+    assert not view.apply(4.0, MemberReport(1, 1, 900, 0, 0, {})) and view.next_stamp(1, 6) == (1, 901)
 
 
 def test_orders_are_bounded_and_the_newest_on_a_zone_counts() -> None:
-    view = Orders(1)
-    first = view.give(zone_number("a"), Mode.LEAVE, 100.0, "x" * 90, "why" * 90)
-    assert view.on(50.0, first.zone) == first and view.on(100.0, first.zone) is None
-    assert len(first.who) == 24 and len(first.why) == 80
-    freed = view.give(first.zone, Mode.FREE, 100.0, "someone", "done")
-    assert view.on(50.0, first.zone) is None and not view.take(first) and freed.serial == 2
-    assert not any([view.take(Order(n, Mode.LEAVE, 9, 9, 1e9, "", "")) for n in range(100)][MOST_ORDERS:])
+    view = Overrides(1)
+    first = view.issue(zone_number("a"), OverrideMode.EVACUATE, 100.0, "x" * 90, "why" * 90)
+    assert view.in_force(50.0, first.zone) == first and view.in_force(100.0, first.zone) is None
+    assert len(first.requested_by) == 24 and len(first.reason) == 80
+    freed = view.issue(first.zone, OverrideMode.CLEAR, 100.0, "someone", "done")
+    assert view.in_force(50.0, first.zone) is None and not view.apply(first) and freed.serial == 2
+    assert not any(
+        [view.apply(Override(n, OverrideMode.EVACUATE, 9, 9, 1e9, "", "")) for n in range(100)][
+            MAX_OVERRIDES:
+        ]
+    )
 
 
-@pytest.mark.parametrize("what", [Ask(7, 2**32 - 1, 65535), Grant(0, 0, 0)])
-def test_loans_travel(what: Ask | Grant) -> None:
-    assert read_loan(pack_loan(what)) == what
+@pytest.mark.parametrize("what", [QuotaRequest(7, 2**32 - 1, 65535), QuotaGrant(0, 0, 0)])
+def test_loans_travel(what: QuotaRequest | QuotaGrant) -> None:
+    assert decode_quota_message(encode_quota_message(what)) == what
 
 
 def test_a_word_of_three_zones_is_small() -> None:
     """The cost at rest is one such word a second to each of a few members."""
-    word = Word(2**63, 1, 1, 100, 0, {zone_number(z): ZoneWord() for z in "abc"})
-    assert len(pack_word(word)) == 44
+    word = MemberReport(2**63, 1, 1, 100, 0, {zone_number(z): ZoneReport() for z in "abc"})
+    assert len(encode_zone_report(word)) == 44
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -16,6 +16,9 @@
 from cottonhold.emulator.fault_injection.harness import Trial
 from cottonhold.emulator.fault_injection.script import Day, Fault
 
+# Tests that start several processes slow one another, which looks like a fault: few run side by side.
+pytestmark = pytest.mark.xdist_group("fleet processes")
+
 DAY = Day(
     name="power",
     about="in CI",
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -9,6 +9,7 @@
 import pytest
 
 from cottonhold.backend.connection_pool import Attempt
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.forwarder import End, Ended
 from cottonhold.fleet.request_forwarding.request_codec import (
     Handed,
@@ -18,17 +19,16 @@
     read_request,
     read_rows,
 )
-from cottonhold.fleet.session_affinity.ownership import Back, Forward, Own
-from cottonhold.fleet.zone_failover.messages import WordError
+from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
-from cottonhold.node.gateway import Gateway, Past, Taken
-from cottonhold.node.gateway import Settled as Tell
+from cottonhold.node.gateway import ClientRequest, Gateway, LoadOutcome
+from cottonhold.node.gateway import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import FakeClock
 
 ME, X, Y = 11, 12, 13
-OWN = Own(1, 1e9)
+OWN = OwnedHere(1, 1e9)
 
 
 class Loads:
@@ -40,15 +40,17 @@
     def guards(self, query_class: int) -> bool:
         return True
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
-        settled(Past.NEVER, 0.0)
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
+        settled(LoadOutcome.NEVER_RAN, 0.0)
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         self.kept.append(kept)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None: ...
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None: ...
 
-    def closed(self, ref: str) -> None: ...
+    def on_request_closed(self, ref: str) -> None: ...
 
 
 class World:
@@ -58,7 +60,7 @@
 
     def __init__(self) -> None:
         self.clock, self.loads = FakeClock(), Loads()
-        self.found: Own | Forward | Back = OWN
+        self.found: OwnedHere | OwnedElsewhere | RetryAfter = OWN
         self.handed: list[tuple[str, int]] = []
         self.heard: list[tuple[str, str]] = []
         self.rounds: list[int] = []
@@ -66,11 +68,11 @@
         self.table = {ME, X, Y}
         self.guard = Pinned(self.loads, self, cast(Gateway, self), self.clock, Counters())
 
-    def take(self, key: bytes) -> Own | Forward | Back:
+    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
         return self.found
 
     def owns(self, key: bytes) -> bool:
-        return isinstance(self.found, Own)
+        return isinstance(self.found, OwnedHere)
 
     def inside(self, member: int) -> bool:
         return member in self.table
@@ -84,30 +86,30 @@
     def ended(self, key: bytes, load: int, known: bool) -> None:
         self.events.append(("ended", load, known))
 
-    def hand(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
-        self.handed.append((taken.ref, owner))
+    def hand(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
+        self.handed.append((taken.request_id, owner))
         self.rounds.append(number)
 
     def left(self, ref: str) -> None:
         self.events.append(("left", ref))
 
-    def end(self, ref: str, word: str, answer: Callable[[Any], None]) -> None:
+    def finish_without_attempt(self, ref: str, word: str, answer: Callable[[Any], None]) -> None:
         self.heard.append((ref, word))
-        self.guard.closed(ref)
+        self.guard.on_request_closed(ref)
 
     def come(self, ref: str, key: str | None = "k", allow: float = 8000.0) -> None:
-        taken = Taken(ref, 1, "load", self.clock.now(), allow, 1.0, 0.0, -1, key, False, b"INSERT")
+        taken = ClientRequest(ref, 1, "load", self.clock.now(), allow, 1.0, 0.0, -1, key, False, b"INSERT")
 
-        def settled(past: Past, ms: float) -> None:
+        def settled(past: LoadOutcome, ms: float) -> None:
             self.heard.append((ref, past.value))
-            if past is not Past.NEVER:
-                self.guard.closed(ref)
+            if past is not LoadOutcome.NEVER_RAN:
+                self.guard.on_request_closed(ref)
 
-        self.guard.came(taken, self.clock.now() + allow * 0.8, settled)
+        self.guard.on_load_arrived(taken, self.clock.now() + allow * 0.8, settled)
 
     def send(self, ref: str) -> tuple[Attempt, list[bool]]:
         attempt, kept = Attempt(ref, 0, "e1", "load", b"", 1, 0.0, 1e9), list[bool]()
-        self.guard.sending(attempt, cast(Taken, None), kept.append)
+        self.guard.before_attempt_sent(attempt, cast(ClientRequest, None), kept.append)
         return attempt, kept
 
     def later(self, ms: float) -> None:
@@ -121,7 +123,7 @@
 def test_its_own_begins_here_and_without_a_key_nobody_is_asked() -> None:
     world = World()
     world.come("a")
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.come("b", key=None)
     assert world.heard == [("a", "never"), ("b", "never")] and world.events == [("opened", 1)]
 
@@ -133,9 +135,9 @@
     world = World()
     world.come("a")
     attempt, _ = world.send("a")
-    world.guard.closed("a")
+    world.guard.on_request_closed("a")
     assert world.events == [("opened", 1)]
-    world.guard.ended(attempt, outcome)
+    world.guard.on_attempt_ended(attempt, outcome)
     assert world.events[1:] == [("ended", 1, known)]
 
 
@@ -145,7 +147,7 @@
     world.come("a")
     world.come("b")
     _, kept = world.send("a")
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.loads.kept[0](True)
     _, other = world.send("b")
     assert kept == other == [False] and len(world.loads.kept) == 1
@@ -157,25 +159,25 @@
     world.come("a")
     world.come("b")
     world.send("b")
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.later(10)
     assert world.heard[2:] == [("a", "refused")]
 
 
 def test_a_key_without_an_owner_is_waited_for_in_order_and_not_for_good() -> None:
     world = World()
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     for ref in "abc":
         world.come(ref)
     world.later(500)
     assert world.heard == []
-    world.guard.closed("b")  # its client left
+    world.guard.on_request_closed("b")  # its client left
     world.found = OWN
     world.later(1)
     assert world.heard == [("a", "never"), ("c", "never")]
-    world.guard.closed("a")
-    world.guard.closed("c")
-    world.found = Back(40.0)
+    world.guard.on_request_closed("a")
+    world.guard.on_request_closed("c")
+    world.found = RetryAfter(40.0)
     world.come("d")
     world.later(WAIT_MS)
     assert world.heard[2:] == [("d", "later")]
@@ -183,13 +185,13 @@
 
 def test_one_that_is_anothers_is_handed_on_and_its_end_told() -> None:
     world = World()
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     for ref in "abc":
         world.come(ref)
     assert world.handed == [("a", X), ("b", X), ("c", X)]
     world.back_with("a", End.SERVED, pack_rows([[b"1", b"2", b"3"]]))
     world.back_with("b", End.FAILED)
-    world.guard.closed("c")
+    world.guard.on_request_closed("c")
     world.back_with("c", End.SERVED)
     assert world.heard == [("a", "served"), ("b", "may")] and world.events == [("left", "c")]
     assert not world.guard.held and not world.guard.away
@@ -197,7 +199,7 @@
 
 def test_a_moved_one_goes_where_its_home_says_and_later_ones_go_there_at_once() -> None:
     world = World()
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.come("a")
     world.back_with("a", End.MOVED, Y.to_bytes(8, "big"))
     world.come("b")
@@ -214,7 +216,7 @@
 
 def test_none_overtakes_one_that_is_with_an_owner_of_before() -> None:
     world = World()
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.come("a")
     world.found = OWN
     world.come("b")
@@ -227,7 +229,7 @@
 
 def test_two_that_take_each_other_for_the_owner_pause() -> None:
     world = World()
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.come("a")
     for _ in range(20):
         world.back_with("a", End.MOVED, X.to_bytes(8, "big"))
@@ -239,10 +241,10 @@
 def test_one_that_was_handed_on_to_here_is_sent_back_with_the_owners_name() -> None:
     world = World()
     world.guard.remote |= {"a": (Y, 1), "b": (Y, 2), "c": (Y, 2)}
-    world.found = Forward(b"", X)
+    world.found = OwnedElsewhere(b"", X)
     world.come("a")
     assert world.heard == [("a", "later")] and world.guard.moved == {"a": X}
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.come("b")
     world.come("c")
     world.later(GUEST_MS / 2)
@@ -255,7 +257,7 @@
     """Both were handed on before their origin heard of it; of the next round all begin."""
     world = World()
     world.guard.remote |= {"a": (Y, 1), "b": (Y, 1), "c": (Y, 1), "d": (Y, 2), "e": (X, 1)}
-    world.found = Back(40.0)
+    world.found = RetryAfter(40.0)
     world.come("a")
     world.come("b")
     world.later(GUEST_MS)
@@ -276,8 +278,8 @@
     rows = [[b"a", b"", b"c" * 300], [], [b"\t\n"]]
     assert read_rows(pack_rows(rows)) == rows and len(pin_key("k")) == 8
     for cut in (0, 5, 25, 30):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read_request(pack_request(asked)[:cut])
     for bad in (b"", pack_rows(rows)[:-1], pack_rows(rows) + b"x"):
-        with pytest.raises(WordError):
+        with pytest.raises(MessageError):
             read_rows(bad)
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -13,17 +13,19 @@
 
 from cottonhold.config.installation import Installation, read
 from cottonhold.fleet.engine_drain import DrainSettings
-from cottonhold.fleet.recovery.load_history import How, Known, LoadKept, Memory, MemorySettings, identity
-from cottonhold.fleet_adapters.load_records import Unkept
+from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
+from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
+from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
 from cottonhold.fleet_adapters.recovery import open_ledger
 from cottonhold.node import standalone_dispatcher as installation_module
-from cottonhold.node.gateway import Taken
+from cottonhold.node.gateway import ClientRequest
 from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
-from cottonhold.store.ledger import Ledger, StoreBusy, StoreError
-from cottonhold.store.ledger import Memory as Folder
-from cottonhold.store.records import Hint, Kind, LoadRecord, LoadState, Record
+from cottonhold.store.health import Completeness as Folder
+from cottonhold.store.health import StoreBusyError, StoreError
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import Hint, LoadRecord, LoadState, Record, RecordKind
 from tests.observe.test_metrics import FILE, FLEET
 from tests.support.scenario import FakeClock
 
@@ -95,14 +97,16 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.loads, Unkept) and node.recovery is None
+        assert isinstance(node.gateway.load_guard, UnavailableLoadGuard) and node.recovery is None
         for _ in range(20):  # the loop goes on meanwhile
             await asyncio.sleep(0.002)
         assert world.tries == 1, "one try at a time"
         assert len(world.lines()) == 1 and "has not answered" in world.lines()[0]
         world.hangs.set()
         await kept(node)
-        assert node.gateway.loads is not None and not isinstance(node.gateway.loads, Unkept)
+        assert node.gateway.load_guard is not None and not isinstance(
+            node.gateway.load_guard, UnavailableLoadGuard
+        )
         end(node)
 
     play(story)
@@ -111,7 +115,7 @@
 def test_a_disk_that_hangs_later_holds_up_loads_only(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """At the start it failed at once; the next try hangs."""
     monkeypatch.setattr(installation_module, "SLOW_S", 0.0)
-    world.errors = [StoreError("planted", Folder.EMPTY, {})]
+    world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
         node = world.make()
@@ -120,7 +124,7 @@
             if world.tries == 2 and len(world.lines()) == 2:
                 break
             await asyncio.sleep(0.002)
-        assert isinstance(node.gateway.loads, Unkept) and world.tries == 2
+        assert isinstance(node.gateway.load_guard, UnavailableLoadGuard) and world.tries == 2
         assert ["planted" in world.lines()[0], "has not answered" in world.lines()[1]] == [True, True]
         world.hangs.set()
         await kept(node)
@@ -132,8 +136,8 @@
 @pytest.mark.parametrize(
     "errors",
     [
-        [StoreError("full", Folder.EMPTY, {})] * 5,
-        [StoreBusy("in use", Folder.EMPTY, {})] * 5,
+        [StoreError("full", Folder.UNKNOWN, {})] * 5,
+        [StoreBusyError("in use", Folder.UNKNOWN, {})] * 5,
         [RuntimeError("never seen before")],
     ],
     ids=["full", "busy", "unknown"],
@@ -145,7 +149,7 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.loads, Unkept)
+        assert isinstance(node.gateway.load_guard, UnavailableLoadGuard)
         await kept(node)
         assert world.tries == len(errors) + 1 and len(world.lines()) == 1
         end(node)
@@ -176,7 +180,7 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.loads, Unkept) and len(world.lines()) == 1
+        assert isinstance(node.gateway.load_guard, UnavailableLoadGuard) and len(world.lines()) == 1
         assert str(folder) in world.lines()[0]
         folder.rename(folder.with_name("away"))
         await kept(node)
@@ -188,21 +192,21 @@
 # --- what loads are told meanwhile ---
 
 
-def told(unkept: Unkept, body: bytes, retry: bool) -> str:
+def told(unkept: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
     heard = list[str]()
-    taken = Taken("ref", 1, "load", unkept.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
-    unkept.came(taken, unkept.now() + 500.0, lambda past, ms: heard.append(past.value))
+    taken = ClientRequest("ref", 1, "load", unkept.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
+    unkept.on_load_arrived(taken, unkept.now() + 500.0, lambda past, ms: heard.append(past.value))
     (past,) = heard
     return past
 
 
-def unkept_with(clock: FakeClock, loads: dict[bytes, How | None]) -> Unkept:
-    kept = [LoadKept(identity("load", "k", body), how) for body, how in loads.items()]
-    memory = Memory(0, 3, 0, clock.now(), kept, MemorySettings(20_000.0), 0)
-    return Unkept({1: True, 2: False}, 1000.0, memory, clock.now, Counters())
+def unkept_with(clock: FakeClock, loads: dict[bytes, LoadResult | None]) -> UnavailableLoadGuard:
+    kept = [RecordedLoad(load_identity("load", "k", body), how) for body, how in loads.items()]
+    memory = LoadHistory(0, 3, 0, clock.now(), kept, LoadHistorySettings(20_000.0), 0)
+    return UnavailableLoadGuard({1: True, 2: False}, 1000.0, memory, clock.now, Counters())
 
 
-def put_off_by_turns(unkept: Unkept, clock: FakeClock) -> None:
+def put_off_by_turns(unkept: UnavailableLoadGuard, clock: FakeClock) -> None:
     """Its load was sent elsewhere, and is forgotten there after a hold."""
     start, heard = clock.now(), list[str]()
     for second in range(8):
@@ -214,15 +218,23 @@
 def test_a_retry_is_not_put_off_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
     put_off_by_turns(unkept_with(clock, {}), clock)
-    monkeypatch.setattr(Memory, "later", lambda memory, now, load: Known.LATER)
+    monkeypatch.setattr(
+        LoadHistory, "answer_unavailable", lambda memory, now, load: LoadKnowledge.NOT_KNOWN_YET
+    )
     with pytest.raises(AssertionError):
         put_off_by_turns(unkept_with(clock, {}), clock)
 
 
 @pytest.mark.parametrize(
-    "how, retried", [(None, "may"), (How.FAILED, "may"), (How.WELL, "well"), (How.NEVER, "later")]
+    "how, retried",
+    [
+        (None, "may"),
+        (LoadResult.FAILED, "may"),
+        (LoadResult.SUCCEEDED, "well"),
+        (LoadResult.NEVER_RAN, "later"),
+    ],
 )
-def test_a_retry_is_told_what_could_be_read(how: How | None, retried: str) -> None:
+def test_a_retry_is_told_what_could_be_read(how: LoadResult | None, retried: str) -> None:
     unkept = unkept_with(FakeClock(), {b"INSERT a": how})
     assert told(unkept, b"INSERT a", True) == retried
     assert told(unkept, b"INSERT a", False) == told(unkept, b"INSERT b", False) == "later"
@@ -234,19 +246,19 @@
     for number in range(50):
         clock.run_until(clock.now() + 1000.0, lambda: None)
         told(unkept, b"INSERT %d" % number, True)
-    assert len(unkept.memory.own.asked) <= 22
+    assert len(unkept.memory.local.queried) <= 22
 
 
 def test_a_retry_counts_from_its_first_time_once_the_folder_is_had(world: World) -> None:
-    world.errors = [StoreError("planted", Folder.EMPTY, {})]
+    world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
         node = world.make()
         assert node.unkept is not None
-        node.unkept.memory.later(node.unkept.now() - 4000.0, b"x" * 16)
-        first = node.unkept.memory.own.asked[b"x" * 16].first
+        node.unkept.memory.answer_unavailable(node.unkept.now() - 4000.0, b"x" * 16)
+        first = node.unkept.memory.local.queried[b"x" * 16].first_at
         await kept(node)
-        assert node.recovery is not None and node.recovery.memory.own.asked[b"x" * 16].first == first
+        assert node.recovery is not None and node.recovery.history.local.queried[b"x" * 16].first_at == first
         end(node)
 
     play(story)
@@ -255,21 +267,24 @@
 def test_a_full_folder_still_tells_what_became_of_loads(world: World) -> None:
     """Of one that could be read, but whose boot could not be counted."""
     body = b"INSERT a"
-    record = LoadRecord(identity("load", "k", body), "r", "k", b"", "e1", 1, 0.0, LoadState.SENT)
-    error = StoreError("full", Folder.KEPT, {Kind.LOAD: {record.load: record.pack()}})
+    record = LoadRecord(load_identity("load", "k", body), "r", "k", b"", "e1", 1, 0.0, LoadState.SENT)
+    error = StoreError("full", Folder.COMPLETE, {RecordKind.LOAD: {record.identity: record.encode()}})
     world.errors = [error]
 
     async def story() -> None:
         node = world.make()
         assert node.unkept is not None
-        assert node.unkept.memory.later(node.unkept.now(), record.load) is Known.MAY
+        assert (
+            node.unkept.memory.answer_unavailable(node.unkept.now(), record.identity)
+            is LoadKnowledge.MAY_HAVE_RUN
+        )
         await kept(node)
         end(node)
 
     play(story)
 
 
-def with_drain(folder: Path, drain: dict[Kind, dict[bytes, bytes]]) -> None:
+def with_drain(folder: Path, drain: dict[RecordKind, dict[bytes, bytes]]) -> None:
     """A folder of an earlier life."""
     ledger = Ledger.open(folder, str(FILE["name"]))
     ledger.put([Record(kind, key, value) for kind, kept in drain.items() for key, value in kept.items()])
@@ -282,8 +297,8 @@
 ) -> None:
     """Until its ledger holds them, or for as long as registers are waited for."""
     monkeypatch.setattr(installation_module, "LEDGER_MS", 1.0 if had else 1e6)
-    drain = {Kind.DRAIN: {b"e1": Hint(b"", 0.0).pack()}}
-    world.errors = [StoreError("full", Folder.KEPT, drain)]
+    drain = {RecordKind.ENGINE_DRAIN: {b"e1": Hint(b"", 0.0).encode()}}
+    world.errors = [StoreError("full", Folder.COMPLETE, drain)]
     with_drain(world.path.parent / "state", drain)
 
     async def story() -> None:
@@ -293,8 +308,8 @@
         if had:
             await kept(node)
             assert set(node.held.live()) == {"e2"}
-        monkeypatch.setattr(node.driver.clock, "call_in", lambda ms, then: due.append((ms, then)))
-        node._hold_drained(drain[Kind.DRAIN])
+        monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
+        node._hold_drained(drain[RecordKind.ENGINE_DRAIN])
         ((ms, let_go),) = due
         assert ms == DrainSettings().wait
         let_go()
