--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -31,12 +31,9 @@
 SKEW = (1, 1, 1, 2, 3, 4)
 
 
-# --- the sketch ---
-
-
 @unhurried
 @given(RATES)
-def test_a_told_demand_keeps_its_sum_and_its_dear_part(rates: dict[int, float]) -> None:
+def test_encoded_demand_keeps_its_sum_and_its_dense_part(rates: dict[int, float]) -> None:
     data = demand.encode_rates(rates)
     told = demand.decode_rates(data)
     assert told is not None and len(data) <= 2 * MAX_ENCODED_STEPS
@@ -50,7 +47,7 @@
 
 @unhurried
 @given(st.lists(RATES, max_size=5), st.floats(0.1, 100.0), st.randoms())
-def test_demands_add_up_in_any_order_and_none_counts_for_more_than_its_bound(
+def test_demands_add_up_in_any_order_and_each_is_capped(
     demands: list[dict[int, float]], most: float, order: object
 ) -> None:
     merged = demand.merge_rates(demands, most)
@@ -61,28 +58,25 @@
 
 
 @pytest.mark.parametrize("data", [b"\x01", b"\xff\x01", b"\x01\x01" * 11], ids=["odd", "step", "long"])
-def test_a_told_demand_that_makes_no_sense_is_none(data: bytes) -> None:
+def test_malformed_demand_is_none(data: bytes) -> None:
     assert demand.decode_rates(data) is None
 
 
 @pytest.mark.parametrize("worth, work", [(0.0, 20.0), (-1.0, 20.0), (1e-12, 1e9), (1e12, 1e-9)])
-def test_a_request_of_any_worth_has_a_step(worth: float, work: float) -> None:
+def test_a_request_of_any_utility_has_a_step(worth: float, work: float) -> None:
     assert 0 <= demand.density_step(worth, work) < DENSITY_STEPS
 
 
-def test_a_young_demand_is_told_in_full() -> None:
+def test_demand_just_after_a_start_is_not_underestimated() -> None:
     young = Demand(0.0)
     for t in range(0, 400, 10):
         young.add(float(t), 5, 20.0)
     assert young.rates(400.0)[5] == pytest.approx(2.0, rel=0.1)
 
 
-# --- the price ---
-
-
 @unhurried
 @given(RATES, st.floats(0.1, 200.0))
-def test_what_a_price_lets_in_fills_the_capacity(rates: dict[int, float], capacity: float) -> None:
+def test_what_a_threshold_admits_fills_the_capacity(rates: dict[int, float], capacity: float) -> None:
     price = threshold_for(rates, capacity)
     if price is None:
         assert sum(rates.values()) <= capacity + 1e-9
@@ -91,7 +85,7 @@
         assert above + price.admitted_share * rates[price.step] == pytest.approx(capacity)
 
 
-def test_at_the_price_a_request_meets_one_answer_and_comes_again_in_vain() -> None:
+def test_at_the_threshold_a_request_has_one_draw_and_a_retry_draws_last() -> None:
     price = DensityThreshold(7, 0.4)
     draws = [admission_draw(str(n).encode(), is_retry=False) for n in range(4000)]
     let_in = [price.admits(7, draw) for draw in draws]
@@ -103,7 +97,7 @@
 
 
 @pytest.mark.parametrize("priced", [False, True], ids=["no price", "a price"])
-def test_tries_of_one_request_count_once(priced: bool) -> None:
+def test_retries_of_a_request_are_no_new_demand(priced: bool) -> None:
     loads = DemandSharing(1, 1, 0.0, 1)
     loads.controller.threshold = DensityThreshold(demand.density_step(6.0, 20.0), 0.4) if priced else None
     for t in range(0, 4000, 10):
@@ -117,14 +111,14 @@
     [(5, 6, True), (3, 6, True), (2, 6, False), (0, 6, False), (0, 1, True)],
     ids=["all heard", "four of six", "half", "alone of six", "one in all"],
 )
-def test_a_price_takes_the_words_of_more_than_half(others: int, alive: int, priced: bool) -> None:
+def test_a_threshold_takes_the_reports_of_more_than_half(others: int, alive: int, priced: bool) -> None:
     pricing, word = ThresholdController(0.0), ReportedLoad({60: 1.0, 70: 1.0})
     price = pricing.step(100.0, word, [word] * others, alive, alive * 1.2)
     assert (price is not None) is priced
     assert price is None or price.step == 60
 
 
-def test_the_waits_of_a_few_requests_say_little_of_what_there_is() -> None:
+def test_the_waits_of_a_few_requests_change_the_capacity_little() -> None:
     word, shares = {60: 10.0}, list[float]()
     for ended in (0, 3, 300):
         pricing = ThresholdController(0.0)
@@ -136,7 +130,7 @@
     assert shares == pytest.approx([1.0, 1.03, 1.19], abs=0.01)
 
 
-def test_without_an_overload_a_gain_is_forgotten_and_it_stays_within_bounds() -> None:
+def test_the_gain_is_bounded_and_returns_to_one_without_overload() -> None:
     pricing, word = ThresholdController(0.0), ReportedLoad({60: 100.0})
     for t in range(100, 60_000, 100):
         pricing.on_admitted(1.0, ran_out_of_time=True)
@@ -147,9 +141,6 @@
     assert pricing.threshold is None and math.isclose(pricing.gain, 1.0, abs_tol=0.05)
 
 
-# --- a fleet in virtual time ---
-
-
 def play(
     times: float,
     policy: Callable[[int], Policy] = lambda i: OnePrice(),
@@ -170,9 +161,7 @@
 
 @pytest.mark.parametrize("times", [1.2, 2.0, 5.0])
 @pytest.mark.parametrize("speed", [1.0, 0.8], ids=["as the list says", "slower than it says"])
-def test_the_worth_served_stays_near_the_most_possible_and_is_shared_alike(
-    times: float, speed: float
-) -> None:
+def test_served_utility_stays_near_the_maximum_and_is_shared_alike(times: float, speed: float) -> None:
     world = play(times, speed=speed)
     got, most = world.worth(6000.0, 15_000.0)
     assert got >= 0.95 * most
@@ -181,7 +170,7 @@
     assert sent <= 1.1 * sum(what == "served" for *_, what in world.log)
 
 
-def test_without_a_price_equal_requests_fare_unequally() -> None:
+def test_without_a_threshold_equal_requests_are_served_unequally() -> None:
     """What the comparison above says of today's manner."""
     worlds = [Overload(seed, lambda now: 900.0, SKEW, lambda i: Policy()) for seed in range(3)]
     for world in worlds:
@@ -192,7 +181,7 @@
 @pytest.mark.parametrize(
     "fields", [{"loss": 0.3}, {"delay": 1000.0}], ids=["30% of words lost", "words a second late"]
 )
-def test_lost_and_late_words_cost_little(fields: dict[str, float]) -> None:
+def test_lost_and_late_reports_cost_little(fields: dict[str, float]) -> None:
     world = Overload(2, lambda now: 900.0, SKEW, lambda i: OnePrice(), **fields)  # type: ignore[arg-type]
     world.play(15_000.0)
     got, most = world.worth(6000.0, 15_000.0)
@@ -200,7 +189,7 @@
 
 
 @pytest.mark.parametrize("times", [10.0, 100.0])
-def test_one_that_claims_many_times_its_demand_shifts_little(times: float) -> None:
+def test_an_inflated_claim_shifts_little(times: float) -> None:
     """By the gain alone a claim of ten times is made good, and one of a hundred left 0.37 of the worth."""
     world = Overload(2, lambda now: 900.0, SKEW, lambda i: OnePrice())
     world.lie[0] = times
@@ -209,7 +198,7 @@
     assert got >= 0.9 * most
 
 
-def test_a_fleet_cut_in_halves_goes_by_each_ones_own_plan_and_refuses_not_all() -> None:
+def test_a_partitioned_fleet_has_no_threshold_and_still_serves() -> None:
     world = Overload(2, lambda now: 900.0, SKEW, lambda i: OnePrice())
     world.cut = lambda a, b: (a < 3) != (b < 3)
     world.play(12_000.0)
@@ -245,14 +234,14 @@
     ],
     ids=["empty", "short", "truncated", "other", "nobody", "long", "steps"],
 )
-def test_loads_that_make_no_sense_change_nothing(data: bytes) -> None:
+def test_malformed_demand_reports_change_nothing(data: bytes) -> None:
     loads = DemandSharing(1, 1, 0.0, 1)
     with pytest.raises(MessageError):
         loads.on_message(0.0, data)
     assert not loads.reports.received
 
 
-def test_loads_merge_by_version_and_the_owner_passes_a_forged_one() -> None:
+def test_demand_reports_merge_by_version_and_the_owner_outranks_a_forged_one() -> None:
     loads = DemandSharing(1, 1, 0.0, 1)
     news = [
         DemandReport(2, life, version, ReportedLoad({version: 1.0}))
@@ -266,7 +255,7 @@
     assert decode_demand_reports(data)[0].version == 91
 
 
-def test_of_many_members_each_round_goes_to_a_few_and_fits_a_datagram() -> None:
+def test_in_a_large_fleet_a_round_goes_to_a_few_and_fits_a_datagram() -> None:
     loads = DemandSharing(1, 1, 0.0, 1)
     for member in range(2, 100):
         loads.on_message(
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -35,7 +35,7 @@
     ],
     ids=["none", "no draw", "above", "below", "within the share", "beyond the share", "run out"],
 )
-def test_a_price_turns_away_what_is_worth_less_a_ms_of_work(
+def test_a_threshold_rejects_requests_of_less_utility_a_ms_of_work(
     price: AdmissionThreshold, draw: float | None, refused: bool
 ) -> None:
     cls = dataclasses.replace(LOOKUP, utility=60.0)
@@ -62,7 +62,7 @@
     ],
     ids=["none", "as the fleet says", "as much as is allowed", "no longer"],
 )
-def test_who_is_turned_away_hears_the_fleets_cooldown(
+def test_a_rejected_client_is_told_the_fleets_retry_after(
     prices: list[AdmissionThreshold], most: float, told: float
 ) -> None:
     cls = dataclasses.replace(LOOKUP, utility=60.0)
@@ -109,7 +109,7 @@
     ],
     ids=["sent", "turned away", "ran out of time"],
 )
-def test_the_gateway_tells_what_became_of_requests(
+def test_the_gateway_reports_what_became_of_requests(
     engines: str, price: AdmissionThreshold, heard: list[str]
 ) -> None:
     world, notes = World(engines=engines), Notes()
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("price", [True, False], ids=["on", "off"])
-def test_a_price_follows_from_what_all_are_offered_and_ends_with_it(price: bool) -> None:
+def test_a_threshold_follows_the_demand_of_all_and_ends_with_it(price: bool) -> None:
     made, said = fleet(price), list[ThresholdUpdate]()
     for t in range(0, 12_000, 100):
         for member in (2, 3):
@@ -151,7 +151,7 @@
     assert density_of_step(20) < density_of_step(21) and density_of_step(0) == 0.0
 
 
-def test_a_left_zone_is_no_capacity() -> None:
+def test_an_evacuated_zone_is_no_capacity() -> None:
     made = fleet()
     load = encode_demand_reports(
         [DemandReport(member, 1, 1, ReportedLoad({20: 0.7, 40: 0.7})) for member in (2, 3)]
--- a/tests/fleet/test_allocation.py
+++ b/tests/fleet/test_allocation.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("zones", [1, 2, 3, 5, 8])
-def test_the_division_is_as_good_as_the_one_of_highs_and_takes_no_more_than_it_may(zones: int) -> None:
+def test_the_allocation_matches_highs_and_keeps_all_limits(zones: int) -> None:
     for seed in range(25):
         case = drawn(seed, zones)
         own, exact = allocate(case), allocation_reference.allocate(case)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_with_ten_engines_or_fewer_the_division_is_the_one_that_brute_force_finds(seed: int) -> None:
+def test_a_small_allocation_matches_brute_force(seed: int) -> None:
     # Whole cores and no cold work: the best division is then one of whole cores, so the grid holds it.
     r = random.Random(seed)
     names = ["a", "b"] if seed % 2 else ["a", "b", "c"]
@@ -90,7 +90,7 @@
     assert allocate(case).utility == pytest.approx(brute(case, parts), rel=0.01, abs=1e-6)
 
 
-def test_a_division_that_forgets_the_guests_bound_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_allocation_without_the_cross_zone_limit_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     case = AllocationProblem({"a": {80: 4.0}, "b": {70: 1.0}}, {"a": 0.0, "b": 3.0}, {"a": 0.0, "b": 1.8})
     assert not broken(case, dict(allocate(case).flows))
     fair = Simplex.__init__
@@ -107,7 +107,7 @@
     assert broken(case, dict(allocate(case).flows)) == ["guests take the reserved part of b"]
 
 
-def test_distance_and_cold_data_decide_between_neighbours_of_equal_room() -> None:
+def test_distance_and_cold_data_decide_between_equal_neighbours() -> None:
     case = AllocationProblem({"a": {80: 1.0}}, {"b": 5.0, "c": 5.0}, {"b": 3.0, "c": 3.0}, {("a", "b"): 0.95})
     assert {zone for _, zone, _ in allocate(case).flows} == {"c"}
     tight = AllocationProblem(
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -68,9 +68,7 @@
     ],
     ids=["one more", "drained", "gone", "a whole list", "met draining"],
 )
-def test_what_is_remembered_is_the_list_without_what_should_get_nothing_new(
-    then: Change, left: list[str]
-) -> None:
+def test_only_live_engines_are_cached(then: Change, left: list[str]) -> None:
     made = EngineCache({}, NAMES)
     folder = kept(made.apply(FIRST))
     assert made.apply(FIRST) == []  # nothing is written twice
@@ -78,7 +76,7 @@
     assert ids(EngineCache(folder, NAMES)) == left == ids(made)
 
 
-def test_an_engine_comes_back_as_it_was_and_by_the_names_of_its_zone_and_type() -> None:
+def test_a_cached_engine_is_restored_by_the_names_of_its_zone_and_type() -> None:
     folder = kept(EngineCache({}, NAMES).apply(FIRST))
     [one, two] = EngineCache(folder, Names(("b", "c", "a"), ("large",))).observations()
     assert (one.address, one.zone, one.model, one.cell, one.size) == (Address("10.0.0.1", 7001), 2, 0, 3, 2.0)
@@ -94,7 +92,7 @@
     ],
     ids=["the same engine elsewhere", "another engine at its address"],
 )
-def test_the_configuration_goes_before_what_is_remembered(known: Observation, found: list[str]) -> None:
+def test_the_configuration_outranks_the_cache(known: Observation, found: list[str]) -> None:
     made = EngineCache(kept(EngineCache({}, NAMES).apply(FIRST)), NAMES)
     observations = made.observations((known,))
     assert [o.id for o in observations] == found and observations[0] == known
@@ -111,20 +109,20 @@
     ],
     ids=["empty", "version", "nothing", "short", "no address"],
 )
-def test_a_record_that_makes_no_sense_is_counted_and_the_others_count(value: bytes) -> None:
+def test_an_unreadable_record_is_counted_and_the_others_count(value: bytes) -> None:
     folder = kept(EngineCache({}, NAMES).apply(FIRST))
     made = EngineCache({**folder, b"e1": value}, NAMES)
     assert made.malformed == 1 and ids(made) == ["e2"]
 
 
-def test_no_more_are_remembered_than_the_store_keeps() -> None:
+def test_the_cache_is_bounded_as_the_store_is() -> None:
     made = EngineCache({}, NAMES)
     many = change(*((f"e{i}", 0, LIVE) for i in range(1, MAX_RECORDS[RecordKind.ENGINE_ADDRESS] + 50)))
     assert len(made.apply(many)) == MAX_RECORDS[RecordKind.ENGINE_ADDRESS] == len(ids(made))
 
 
 @pytest.mark.parametrize("proof", ["probe", "attempt", "another's word of all", "the list"])
-def test_of_what_is_remembered_nothing_is_sent_to_before_it_is_proven(proof: str) -> None:
+def test_nothing_is_sent_to_a_cached_engine_before_it_is_proven(proof: str) -> None:
     """Also by one that takes itself for the only one that was away: then it is free once it has answered."""
     made = SlowStart(1, 1, 0.0, SlowStartSettings(), 1)
     made.set_engines(0.0, {"e1": 1.0, "e2": 1.0})
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -68,7 +68,7 @@
     st.floats(0.5, 2.0),
     st.integers(1, 4),
 )
-def test_bounds_never_hold_back_what_the_plan_serves(
+def test_limits_never_hold_back_what_the_plan_serves(
     weights: list[float], near: float, grown: float, instances: int
 ) -> None:
     # A home whose zone is out: its parts hold all that it is served, also while its demand is off by 20%,
@@ -89,7 +89,7 @@
         assert found[zone] * instances + others <= 2.4 * max(grown, 1.0) + 1e-4
 
 
-def test_what_is_lacking_for_a_home_finds_room_in_another_zone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_work_beyond_one_zones_limit_goes_to_another_zone(monkeypatch: pytest.MonkeyPatch) -> None:
     # The plan of a moment ago sends all to b, where guests may take half of it.
     tight = OutageAllocation(
         SPLIT.demand, {("a", "b"): 1.2, ("b", "b"): 2.8}, {"b": 1.2, "c": 2.4}, {"c": 3.9}
@@ -114,9 +114,6 @@
     assert sum(divide_among_engines(1.5, ENGINES["b"], ENGINES["b"], 0.5, S).values()) == pytest.approx(1.5)
 
 
-# --- by the core ---
-
-
 def core(home: str, plan: bool = True, **fields: object) -> FleetCoordinator:
     """One instance of `home` among six, with a plan by the words of the others."""
     outlook = CostEstimatorSettings(**fields)  # type: ignore[arg-type]
@@ -144,7 +141,7 @@
 
 
 @pytest.mark.parametrize("home, bounded", [("a", {"b", "c"}), ("b", {"c"}), ("c", {"b"})])
-def test_while_a_zone_is_out_only_the_others_guests_are_bound(home: str, bounded: set[str]) -> None:
+def test_during_an_outage_only_cross_zone_work_is_limited(home: str, bounded: set[str]) -> None:
     made = core(home)
     assert not bound(made, 2600.0)  # in calm nobody is
     leave(made, "a")
@@ -166,7 +163,7 @@
 @pytest.mark.parametrize(
     "fields", [{"plan": False}, {"cross_zone": None}], ids=["without a plan", "switched off"]
 )
-def test_without_a_plan_todays_rule_stands(fields: dict[str, object]) -> None:
+def test_without_a_plan_nothing_is_limited_across_zones(fields: dict[str, object]) -> None:
     made = core("a", **fields)  # type: ignore[arg-type]
     leave(made, "a")
     assert {engine[0] for engine in bound(made, 2700.0)} == {"a"}
@@ -202,7 +199,7 @@
     assert (Question.NOW, "a") not in made.held_shares
 
 
-def test_a_question_that_is_the_same_is_divided_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_same_question_is_solved_once(monkeypatch: pytest.MonkeyPatch) -> None:
     made, asked = CostEstimator(99, 1, 0.0, "a", 1), list[str]()
     made.set_engines(ENGINES)
     steps(made, fleet(), 0.0, 2000.0)
@@ -218,9 +215,6 @@
     assert asked == ["a"]
 
 
-# --- while all engines are cold ---
-
-
 def back(work: float, **fields: Any) -> tuple[FleetCoordinator, dict[str, float]]:
     """An instance of zone a after a power loss of all, its engines proven, with so many cores of clients'
     work; what it kept says that it is at home in a. And what it may send by engine."""
@@ -245,7 +239,7 @@
     return {zone: math.fsum(work[engine] for engine in ENGINES[zone]) for zone in ZONES}
 
 
-def test_after_a_power_loss_clients_are_served_first_from_where_the_kept_word_says() -> None:
+def test_after_a_power_loss_clients_are_served_first_as_the_restored_report_says() -> None:
     made, work = back(0.08)
     _, without = back(0.08, cross_zone=None)
     near, any_ = zone_sums(work), zone_sums(without)
@@ -256,7 +250,7 @@
     assert zone_sums(back(2.0)[1]) == pytest.approx(any_)
 
 
-def test_the_own_word_is_kept_now_and_then_and_never_an_empty_one() -> None:
+def test_the_own_report_is_saved_at_intervals_and_never_an_empty_one() -> None:
     made = CostEstimator(99, 1, 0.0, "a", 1)
     made.set_engines(ENGINES)
     made.step(0.0, {1, 2})
@@ -271,7 +265,9 @@
 
 
 @pytest.mark.parametrize("value, well", [(None, True), (b"\x01garbled", False)], ids=["kept", "garbled"])
-def test_what_was_kept_is_read_in_the_next_life(value: bytes | None, well: bool, tmp_path: Path) -> None:
+def test_a_saved_report_is_restored_by_the_next_incarnation(
+    value: bytes | None, well: bool, tmp_path: Path
+) -> None:
     made = CostEstimator(99, 1, 0.0, "a", 1)
     made.set_engines(ENGINES)
     for t in range(0, 3000, 100):
@@ -295,7 +291,7 @@
 
 
 @pytest.mark.parametrize("left, most", [({}, 5), ({"a": 0.0}, 11)], ids=["calm", "out"])
-def test_in_calm_it_is_divided_less_often(left: dict[str, float], most: int) -> None:
+def test_without_an_outage_it_is_solved_less_often(left: dict[str, float], most: int) -> None:
     made, drawn = CostEstimator(99, 1, 0.0, "a", 1), set[float]()
     made.set_engines(ENGINES)
     for t in range(0, 10_000, 1000):
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -68,8 +68,6 @@
     return project(picture, left)
 
 
-# --- words ---
-
 SITES = st.builds(
     SiteReport,
     st.integers(1, 2**64 - 1),
@@ -92,7 +90,7 @@
 
 @settings(deadline=None)
 @given(SITES)
-def test_a_site_fits_a_datagram_and_is_read_as_it_was_told(told: SiteReport) -> None:
+def test_a_site_report_fits_a_datagram_and_is_decoded_as_encoded(told: SiteReport) -> None:
     data = encode_site_reports([told])
     [read] = decode_site_reports(data)
     assert len(data) <= MAX_MESSAGE_BYTES and read.stamp == told.stamp and read.home_zone == told.home_zone
@@ -106,7 +104,7 @@
 
 
 @pytest.mark.parametrize("cut", [0, 1, 2, 10, 30, -1], ids=str)
-def test_a_message_that_makes_no_sense_is_refused(cut: int) -> None:
+def test_a_malformed_site_message_is_rejected(cut: int) -> None:
     data = encode_site_reports([site(1, "a")])
     for bad in (data[:cut], data + b"\0", b"\x05" + data[1:], data[:2] + bytes(8) + data[10:]):
         with pytest.raises(MessageError):
@@ -115,7 +113,7 @@
 
 @settings(deadline=None)
 @given(st.randoms(use_true_random=False))
-def test_sites_merge_in_any_order_any_number_of_times(order: random.Random) -> None:
+def test_site_reports_merge_in_any_order_any_number_of_times(order: random.Random) -> None:
     said = [
         site(m, "a", dear=v / 10, incarnation=life, version=v)
         for m in (1, 2)
@@ -129,9 +127,6 @@
     assert {m: h.report.stamp for m, h in words.received.items()} == {1: (2, 2), 2: (2, 2)}
 
 
-# --- the picture, and what follows from it ---
-
-
 def orders_matter(shuffles: int = 60) -> bool:
     """Whether two instances that heard the same in another order project differently."""
     r = random.Random(3)
@@ -144,7 +139,7 @@
     return False
 
 
-def test_all_that_heard_the_same_project_the_same_to_the_bit(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_same_reports_give_the_same_projection_to_the_bit(monkeypatch: pytest.MonkeyPatch) -> None:
     assert not orders_matter()
     # Planted: sums in the order in which words came.
     monkeypatch.setattr(pictures, "sorted", lambda items, key=None: list(items), raising=False)
@@ -164,7 +159,7 @@
     assert both.added_round_trip_ms > one.added_round_trip_ms
 
 
-def test_guests_never_take_their_hosts_part_even_if_they_are_dearer() -> None:
+def test_cross_zone_work_never_takes_the_reserved_home_share() -> None:
     sites = [site(1, "a", dear=9.0), site(2, "b", dear=0.0, cheap=3.0), site(3, "c", dear=0.0, cheap=3.0)]
     found = shown(sites, a=0.0)
     for zone in ("b", "c"):
@@ -198,13 +193,13 @@
     ],
     ids=["much", "nothing", "warm", "far", "served", "sets"],
 )
-def test_what_one_instance_tells_moves_the_projection_by_a_bounded_part(
+def test_one_instances_report_moves_the_projection_by_a_bounded_part(
     lie: Callable[[SiteReport], SiteReport], bound: float
 ) -> None:
     assert most_off(lie) <= bound
 
 
-def test_a_claim_that_is_not_capped_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_uncapped_claim_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def much(s: SiteReport) -> SiteReport:
         return replace(s, rates={DEAR: 400.0})
 
@@ -220,7 +215,7 @@
     assert most_off(much) > 0.30
 
 
-def test_cold_sets_far_zones_and_sets_pushed_out_cost() -> None:
+def test_cold_data_distance_and_evictions_cost() -> None:
     near = shown(fleet(), b=0.0)
     assert (
         near.added_round_trip_ms > 10
@@ -284,7 +279,7 @@
     assert found.served_utility == usual.served_utility
 
 
-def test_what_requests_take_beyond_what_they_were_told_to_need_is_told_once_it_is_known() -> None:
+def test_excess_work_is_reported_once_it_is_known() -> None:
     made = told(fleet())
     assert made.build_report(2000.0).excess_cores == -1.0
     for t in range(2000, 12_000, 50):  # each needs 20 ms; one in four takes 60
@@ -295,7 +290,7 @@
     assert read.excess_cores == pytest.approx(0.2, abs=0.03)  # five of 40 ms a second
 
 
-def test_one_that_tells_wrongly_where_it_is_served_moves_the_way_by_its_part() -> None:
+def test_a_false_served_share_moves_the_round_trip_by_its_part() -> None:
     honest = [spread(s) for s in fleet(dear=0.3, cheap=0.4)]
     far = {n: replace(z, served_share=float(n == zone_number("c"))) for n, z in honest[0].zones.items()}
     before, after = shown(honest, a=0.0), shown([replace(honest[0], zones=far), *honest[1:]], a=0.0)
@@ -304,9 +299,6 @@
     assert after.served_utility == before.served_utility
 
 
-# --- what it decides ---
-
-
 def told(sites: list[SiteReport], now: float = 0.0, me: str = "a", **fields: object) -> CostEstimator:
     """An outlook with a plan, by these words of the others."""
     made = CostEstimator(99, 1, now, me, 1, CostEstimatorSettings(**fields))  # type: ignore[arg-type]
@@ -325,7 +317,7 @@
         made.step(now, {s.member for s in [*fleet(), *sites]}, left)
 
 
-def test_neighbours_are_chosen_by_distance_and_room() -> None:
+def test_neighbours_are_chosen_by_distance_and_free_cores() -> None:
     made = told(fleet(dear=0.3, cheap=0.4))
     [(nearest, part), *_] = made.neighbours("a")
     assert nearest == "b" and part > 0.9
@@ -337,7 +329,7 @@
     assert made.projection("c", "a") is not None and made.projection("a", "b", "c") is None
 
 
-def test_an_ill_zone_keeps_what_the_others_cannot_carry_and_it_still_serves() -> None:
+def test_a_faulty_zone_retains_what_the_others_cannot_carry_and_it_still_serves() -> None:
     calm, full = told(fleet(dear=0.3, cheap=0.4)), told(fleet(dear=0.8, cheap=0.9))
     assert calm.retained_share(2000.0, "a", 0.5, 0.7) == 0.0
     kept = full.retained_share(2000.0, "a", 0.5, 0.7)
@@ -346,7 +338,7 @@
     assert CostEstimator(1, 1, 0.0, "a", 1).retained_share(0.0, "a") is None
 
 
-def test_a_swap_may_take_out_only_what_leaves_each_loss_bearable() -> None:
+def test_a_replacement_may_remove_only_what_leaves_each_loss_bearable() -> None:
     calm, full = told(fleet(dear=0.3, cheap=0.4)), told(fleet(dear=0.6, cheap=0.8))
     assert (
         not calm.removal_objections({})
@@ -358,7 +350,7 @@
     assert CostEstimator(1, 1, 0.0, "a", 1).removal_objections({})  # nothing known: nothing may start
 
 
-def test_the_plan_of_today_stands_without_news_and_runs_out() -> None:
+def test_a_plan_stands_without_new_reports_and_expires() -> None:
     made = told(fleet())
     before = made.neighbours("a")
     steps(made, [], 2000.0, 20_000.0)
@@ -371,7 +363,7 @@
     )
 
 
-def test_what_was_kept_over_a_power_loss_says_only_who_is_served_first() -> None:
+def test_restored_reports_say_only_who_is_served_first() -> None:
     made = CostEstimator(99, 2, 0.0, "a", 1)
     made.set_engines(ENGINES)
     made.restore(encode_site_reports([site(1, "a")]))
@@ -429,7 +421,7 @@
     assert min(heard) >= 22 and sent / 30 / 10 < 3000  # bytes a second
 
 
-def test_names_of_data_sets_that_come_once_are_forgotten() -> None:
+def test_data_sets_used_once_are_forgotten() -> None:
     made = told(fleet())
     for i in range(2000):
         made.on_request(2000.0, 1.0, 20.0, f"once/{i}")
@@ -438,9 +430,6 @@
     assert not made.observations.data_set_use.weights and not made.observations.answer_use.weights
 
 
-# --- whether it comes true ---
-
-
 def lost(seed: int, decides: str) -> tuple[Projection | None, float, float]:
     """A day on which zone a is lost: what was projected, the part of the worth served, cold work on top."""
     plans = CostEstimatorSettings(snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=10))
@@ -457,7 +446,7 @@
     return told, world.log.share(8000, 11_000), extra
 
 
-def test_the_loss_of_a_zone_comes_as_it_was_projected() -> None:
+def test_the_loss_of_a_zone_costs_what_was_projected() -> None:
     worth, extra = [], []
     for seed in (4, 5, 6):
         told, served, cold = lost(seed, "outlook")
@@ -469,7 +458,7 @@
     assert told is None and today < 0.9
 
 
-def test_six_instances_reach_one_plan_by_their_words() -> None:
+def test_six_instances_reach_one_plan_by_their_reports() -> None:
     world = World(1, Setup(dict.fromkeys(ZONES, 60.0), TRIPS, loss=0.3))
     world.play(6000)
     plans = [i.outlook.neighbours("a") for i in world.instances]
--- a/tests/fleet/test_failure_evidence.py
+++ b/tests/fleet/test_failure_evidence.py
@@ -61,7 +61,7 @@
     ids=["refused", "silent", "slow", "three in ten", "rescued"],
 )
 @pytest.mark.parametrize("seed", range(5))
-def test_an_ill_zone_is_seen_in_time_and_no_other(answer: Answer, within: float, seed: int) -> None:
+def test_a_faulty_zone_is_detected_in_time_and_no_other(answer: Answer, within: float, seed: int) -> None:
     verdicts = play(answer, seed=seed)
     seen = first(verdicts, "a")
     assert seen is not None and seen <= within
@@ -80,30 +80,29 @@
     ],
     ids=["one engine", "one and a slip", "all zones fail", "all zones slow", "says nothing", "a little late"],
 )
-def test_what_is_no_zones_fault_is_not_taken_for_one(answer: Answer) -> None:
+def test_a_fault_that_is_no_zones_raises_no_alarm(answer: Answer) -> None:
     verdicts = play(answer)
     assert [first(verdicts, zone) for zone in ZONES] == [None, None, None]
 
 
-def test_a_lost_zone_is_told_from_one_that_fails_in_part() -> None:
+def test_a_zone_that_is_down_is_told_from_one_that_fails_in_part() -> None:
     lost = {v["a"] for t, v in play(in_zone("a", False, 1.0)) if t > 2000}
     part = {v["a"] for t, v in play(in_zone("a", False, 1.0, share=0.6)) if t > 2000}
     assert lost == {ZoneHealth.DOWN} and ZoneHealth.DOWN not in part and ZoneHealth.FAILING in part
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_well_fleet_raises_no_alarm(seed: int) -> None:
+def test_a_healthy_fleet_raises_no_alarm(seed: int) -> None:
     verdicts = play(in_zone("abc", False, 2.0, share=0.02), seconds=5.0, seed=seed)
     assert [first(verdicts, zone) for zone in ZONES] == [None, None, None]
 
 
-def test_what_is_usual_does_not_become_what_the_fault_makes_of_it() -> None:
-    """Found in virtual time: by a memory of a second the slow zone was usual before anybody was sure."""
+def test_the_usual_duration_does_not_follow_a_fault() -> None:
     verdicts = play(in_zone("a", True, 250.0), seconds=6.0)
     assert all(v["a"] >= ZoneHealth.SLOW for t, v in verdicts if 1500 < t)
 
 
-def test_attempts_of_engines_and_zones_that_have_gone_say_nothing() -> None:
+def test_attempts_of_removed_engines_and_zones_do_not_count() -> None:
     evidence = FailureEvidence()
     evidence.set_engines(ZONES)
     evidence.on_sent(0.0, "q", "a1", "a", 0)
@@ -114,10 +113,7 @@
 
 
 @pytest.mark.parametrize("returning", [True, False])
-def test_a_zone_that_starts_over_is_not_judged_by_what_was_before(returning: bool) -> None:
-    """Found on processes: a zone in return was left again after 100 ms, before anything had been sent
-    there.
-    """
+def test_a_reset_zone_is_not_judged_by_earlier_attempts(returning: bool) -> None:
     evidence = FailureEvidence()
     evidence.set_engines(ZONES)
     for n in range(400):
--- a/tests/fleet/test_incarnations.py
+++ b/tests/fleet/test_incarnations.py
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("count", [2, 3, 16])
 @pytest.mark.parametrize("step", [0, 5, -5, 3600, -3600], ids=lambda s: f"{s:+} s")
-def test_words_of_a_new_start_count_however_the_wall_clock_was_stepped_between(step: int, count: int) -> None:
+def test_reports_of_a_new_incarnation_count_whatever_the_wall_clock_did(step: int, count: int) -> None:
     """With the same second (0) it is the versions that begin anew."""
     crowd = Crowd(count)
     crowd.run(30_000)
@@ -83,7 +83,7 @@
     assert new.demand is not None and new.demand.incarnation == new.incarnation == BEGAN + max(step, 0)
 
 
-def test_the_usual_run_of_things_needs_no_words_told_back() -> None:
+def test_without_a_restart_no_report_is_sent_back() -> None:
     crowd = Crowd(16)
     crowd.run(30_000)
     assert crowd.told_back == 0
@@ -92,7 +92,7 @@
     assert 3 <= crowd.told_back < 3 * 16 * 2, "of three kinds, and no more once it knows"
 
 
-def test_no_stamp_told_of_an_instance_stops_its_words() -> None:
+def test_no_forged_stamp_stops_an_instances_reports() -> None:
     """A forged one may be as high as can be written."""
     view = LatestReports[MemberReport](1)
     assert view.next_stamp(7, 0) == (7, 1)
@@ -106,7 +106,7 @@
     assert view.next_stamp(10, 2) == (HIGHEST, HIGHEST)
 
 
-def test_only_an_older_word_of_the_sender_itself_is_answered() -> None:
+def test_only_an_older_report_by_the_sender_itself_is_answered() -> None:
     view = LatestReports[DemandReport | MemberReport](1)
     new, old, other = (
         MemberReport(2, 9, 5, 0, 0, {}),
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -77,7 +77,7 @@
     assert fresh.heard == "ran"
 
 
-def test_the_owner_is_waited_for_and_else_it_is_later() -> None:
+def test_a_retry_waits_for_the_owner_and_else_is_not_known_yet() -> None:
     world = settled(5)
     world.first(1, LOAD, lasts=1900.0)
     world.clients[0].asked = 6
@@ -93,7 +93,7 @@
     assert patient.heard == "MAY_HAVE_RUN" and world.runs[LOAD] == 1
 
 
-def test_an_owner_gone_for_longer_than_clients_wait_holds_nothing_up() -> None:
+def test_an_owner_proven_silent_holds_nothing_up() -> None:
     world = settled(5)
     world.kill(1)
     world.run(CENSUS.lease_ms + MEMORY.hold_ms + CENSUS.max_report_age_ms + 2000.0)
@@ -102,7 +102,7 @@
     assert client.heard == "ran"
 
 
-def test_a_retry_told_later_is_not_sent_when_the_owner_is_taken_for_gone() -> None:
+def test_a_postponed_retry_is_not_sent_when_its_owner_is_proven_silent() -> None:
     world = settled(5)
     world.first(1, LOAD, lasts=1900.0)
     world.clients[0].asked = 6
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("folder", ["empty", "old"])
-def test_an_emptied_folder_is_unknown_and_not_never(folder: str) -> None:
+def test_an_emptied_folder_says_unknown_and_not_never_sent(folder: str) -> None:
     world = settled(5)
     world.kill(1)
     world.start(1)
@@ -141,7 +141,7 @@
     assert fresh.heard == "ran"  # by now nobody asks for what it has forgotten
 
 
-def test_a_folder_copied_while_it_ran_is_found_out() -> None:
+def test_a_folder_copied_while_in_use_is_detected() -> None:
     """A backup of some time ago, of the same life: neither its boot nor its loads tell that it is old."""
     world = settled(5)
     world.run(3000.0)
@@ -158,7 +158,7 @@
     assert {x.heard for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1 and not world.wrong
 
 
-def test_half_back_first_answers_nothing_as_never() -> None:
+def test_half_of_a_fleet_settles_nothing_as_never_sent() -> None:
     world = settled(6)
     world.first(5, LOAD, lasts=1900.0)
     world.clients[0].asked = 6
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_of_two_at_once_one_is_sent(seed: int) -> None:
+def test_of_two_concurrent_retries_one_is_sent(seed: int) -> None:
     world = settled(4, seed=seed)
     world.loss, world.again = 0.2, 0.2
     clients = []
@@ -196,7 +196,7 @@
     )
 
 
-def test_a_first_request_in_line_is_not_sent_once_another_has_asked() -> None:
+def test_a_queued_first_request_is_not_sent_once_another_has_asked() -> None:
     world = settled(4)
     asks(world, 2, LOAD)
     world.run(300.0)
@@ -206,7 +206,7 @@
     assert node.memory.begin(node.clock(world.now), LOAD)
 
 
-def test_whoever_went_away_holds_nothing() -> None:
+def test_a_cancelled_retry_holds_nothing() -> None:
     world = settled(4)
     client = asks(world, 2, LOAD)
     world.nodes[2].memory.cancel(0.0, client.name)
@@ -257,7 +257,7 @@
     assert found == [load_history.LoadSettled("b", LOAD, local_loads.LoadKnowledge.NEVER_SENT)]
 
 
-def test_asks_are_batched_repeated_with_backoff_and_bounded() -> None:
+def test_queries_are_batched_retried_with_backoff_and_bounded() -> None:
     memory = one(max_loads=50)
     loads = [local_loads.load_identity("x", str(n), b"") for n in range(60)]
     known = [memory.on_retry(0.0, str(n), load, 5000.0) for n, load in enumerate(loads)]
@@ -274,7 +274,7 @@
     assert not memory.local.queried and not memory.queries
 
 
-def test_what_is_remembered_is_forgotten_a_hold_after_its_end() -> None:
+def test_an_entry_expires_a_hold_after_its_end() -> None:
     kept = [
         local_loads.RecordedLoad(LOAD),
         local_loads.RecordedLoad(b"w" * 16, local_loads.LoadResult.SUCCEEDED),
@@ -310,9 +310,6 @@
     assert asks(world, 3, LOAD).heard == "MAY_HAVE_RUN"
 
 
-# --- drawn histories ---
-
-
 def history(count: int, seed: int, faults: list[tuple[int, int, int]], loss: float) -> World:
     """Loads all the time, and one fault after another; then all are back."""
     world = settled(count, seed, loss=0.0)
@@ -383,7 +380,7 @@
 
 
 @pytest.mark.parametrize("seed", [216, 272, 426, 631, 949, 1536, 1625, 4419])
-def test_a_client_told_later_for_long_does_not_have_its_load_run_again(seed: int) -> None:
+def test_a_client_postponed_for_long_does_not_have_its_load_run_again(seed: int) -> None:
     """Each ran a load twice: it was asked about across a cut for longer than its sender remembered it (216,
     426, 1536, 1625; with those who had heard of it started again in the last two), at one that nobody heard
     (272, 631, 949), or its sender was emptied and said at first that it did not know (4419)."""
@@ -392,7 +389,7 @@
 
 @given(st.integers(3, 6), st.integers(0, 10**6), FAULTS, st.sampled_from([0.0, 0.1, 0.3]))
 @settings(max_examples=16, deadline=None, phases=[Phase.generate])
-def test_nothing_is_sent_twice_and_every_ask_is_settled(
+def test_nothing_is_sent_twice_and_every_retry_is_settled(
     count: int, seed: int, faults: list[tuple[int, int, int]], loss: float
 ) -> None:
     world = history(count, seed, faults, loss)
@@ -418,19 +415,16 @@
     assert wrongs() == 0
 
 
-# --- planted defects: each is noticed ---
-
-
-def test_planted_empty_taken_for_never_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_empty_folder_as_never_sent_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LocalLoads, "may_predate_start", lambda self, asked: False)
     with pytest.raises(AssertionError):
-        test_an_emptied_folder_is_unknown_and_not_never("empty")
+        test_an_emptied_folder_says_unknown_and_not_never_sent("empty")
 
 
-def test_planted_missing_taken_for_never_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_missing_dispatcher_as_never_sent_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(load_history.LoadHistory, "_is_out_of_question", lambda self, *of: True)
     with pytest.raises(AssertionError):
-        test_the_owner_is_waited_for_and_else_it_is_later()
+        test_a_retry_waits_for_the_owner_and_else_is_not_known_yet()
 
 
 def test_planted_no_rank_between_two_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -447,25 +441,25 @@
     wrong = 0
     for seed in range(12):
         try:
-            test_of_two_at_once_one_is_sent(seed)
+            test_of_two_concurrent_retries_one_is_sent(seed)
         except AssertionError:
             wrong += 1
     assert wrong
 
 
-def test_planted_lines_that_move_on_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_queue_that_ignores_queries_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         load_history.LoadHistory, "begin", lambda self, now, load: self.local.begin(load) or True
     )
     with pytest.raises(AssertionError):
-        test_a_first_request_in_line_is_not_sent_once_another_has_asked()
+        test_a_queued_first_request_is_not_sent_once_another_has_asked()
 
 
 def test_planted_unconfirmed_memory_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MembershipSurvey, "has_confirmed_memory", lambda self: True)
     monkeypatch.setattr(MembershipSurvey, "_exceeds_folder", lambda self, view: False)
     with pytest.raises(AssertionError):
-        test_an_emptied_folder_is_unknown_and_not_never("old")
+        test_an_emptied_folder_says_unknown_and_not_never_sent("old")
 
 
 @pytest.mark.parametrize(
@@ -482,9 +476,9 @@
     ],
     ids=["ages of retries", "holds while cut off", "later from one that nobody hears"],
 )
-def test_planted_later_without_an_end_is_caught(
+def test_planted_endless_postponement_is_caught(
     seed: int, of: type, name: str, defect: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(of, name, defect)
     with pytest.raises(AssertionError):
-        test_a_client_told_later_for_long_does_not_have_its_load_run_again(seed)
+        test_a_client_postponed_for_long_does_not_have_its_load_run_again(seed)
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -62,7 +62,7 @@
 
 @given(MESSAGE)
 @settings(max_examples=200, deadline=None)
-def test_words_come_back_as_they_were_and_fit(word: Message) -> None:
+def test_messages_are_decoded_as_encoded_and_fit(word: Message) -> None:
     data = encode(word)
     assert len(data) <= 200 and decode(data) == word
     for cut in range(len(data)):
@@ -74,7 +74,7 @@
 
 @given(st.binary(max_size=200))
 @settings(max_examples=300, deadline=None)
-def test_anything_else_is_a_word_error(data: bytes) -> None:
+def test_other_bytes_are_a_message_error(data: bytes) -> None:
     try:
         decode(data)
     except MessageError:
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 @pytest.mark.parametrize("case", CASES)
-def test_what_was_away_is_told_by_all_alike(case: str, loss: float) -> None:
+def test_all_instances_find_the_same_outage(case: str, loss: float) -> None:
     numbers, found = CASES[case]
     world = settled(6)
     assert world.verdicts() == {V.NOTHING}
@@ -113,7 +113,7 @@
     assert world.verdicts() == {V.NOTHING}
 
 
-def test_ended_by_order_is_no_loss() -> None:
+def test_a_clean_shutdown_is_no_outage() -> None:
     world = settled(6)
     world.kill(*range(6), clean=True)
     world.start(*range(6))
@@ -121,7 +121,7 @@
     assert world.verdicts() == {V.NOTHING}
 
 
-def test_half_that_comes_later_joins_what_goes_on() -> None:
+def test_instances_that_return_later_join_the_same_outage() -> None:
     world = settled(6)
     world.kill(*range(6))
     world.run(1000.0)
@@ -139,7 +139,7 @@
     assert world.verdicts() == {V.NOTHING}  # it ends for the late ones with the first ones
 
 
-def test_a_second_cut_begins_anew_and_the_missing_are_not_waited_for() -> None:
+def test_a_second_power_loss_is_a_new_outage() -> None:
     world = settled(5)
     for _ in range(3):
         lose(world, range(5))
@@ -152,7 +152,7 @@
     assert (view.verdict, view.is_settled, view.missing) == (V.FLEET, True, frozenset({3, 4}))
 
 
-def test_cut_off_is_told_from_being_alone() -> None:
+def test_being_cut_off_is_told_from_being_restarted_alone() -> None:
     world = settled(6)
     world.part([0, 1], [2, 3, 4, 5])
     world.run(CENSUS.max_report_age_ms + CENSUS.settle_ms + 2000.0)
@@ -164,7 +164,7 @@
     assert all(n.census.may_send_loads(n.clock(world.now)) for n in world.up())
 
 
-def test_halves_both_go_on_and_neither_takes_the_other_for_gone() -> None:
+def test_neither_half_of_a_partition_takes_the_other_for_silent() -> None:
     world = settled(6)
     world.part([0, 1, 2], [3, 4, 5])
     world.run(30_000.0)
@@ -174,7 +174,7 @@
         )
 
 
-def test_gone_only_after_it_could_not_send_any_more() -> None:
+def test_silence_is_proven_only_after_sending_became_impossible() -> None:
     world = settled(5)
     world.part([0, 1], [2, 3, 4])
     stopped = dict[int, float]()
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("folder", ["empty", "old"])
-def test_a_folder_that_forgot_is_told_so_and_boots_go_on(folder: str) -> None:
+def test_an_outdated_folder_is_detected_and_its_boot_raised(folder: str) -> None:
     world = settled(5)
     for _ in range(2):
         lose(world, [0])
@@ -216,7 +216,7 @@
 
 @pytest.mark.parametrize("folder", ["empty", "old"])
 @pytest.mark.parametrize("lives", [60.0, 700.0])
-def test_a_folder_that_forgot_stays_so_however_often_it_is_started(folder: str, lives: float) -> None:
+def test_an_outdated_folder_stays_so_however_often_it_is_started(folder: str, lives: float) -> None:
     world = settled(5)
     lose(world, [0])
     world.run(2000.0)
@@ -241,7 +241,7 @@
     assert world.nodes[0].census.has_confirmed_memory()
 
 
-def test_an_old_folder_that_few_remember_is_not_whole_once_it_is_up_for_a_hold() -> None:
+def test_an_unconfirmed_folder_is_stale_after_a_hold() -> None:
     world = settled(3)
     world.part([0, 1], [2])
     lose(world, [0])
@@ -259,7 +259,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_one_folder_started_twice_is_told_to_both(loss: float) -> None:
+def test_a_folder_in_use_twice_is_reported_to_both(loss: float) -> None:
     world = settled(5)
     world.loss = loss
     world.start(2, twin=True)
@@ -270,7 +270,7 @@
     assert not any(n.twice for n in world.up() if n.number != 2)
 
 
-def test_restarts_are_not_taken_for_two_at_once() -> None:
+def test_restarts_are_not_taken_for_duplicates() -> None:
     world = settled(5, again=0.3)
     for _ in range(6):
         lose(world, [2])
@@ -291,7 +291,7 @@
     return dataclasses.replace(word, **changes)  # type: ignore[arg-type]
 
 
-def test_one_name_speaks_for_one_number_only() -> None:
+def test_a_member_is_bound_to_one_number() -> None:
     census = one()
     for number in (1, 2, 3, 4):
         census.on_message(10.0, 1001, here(number, 5.0))
@@ -299,7 +299,7 @@
     assert census.view.restarted == {1} and census.counters["unbound"] == 3
 
 
-def test_one_name_can_neither_age_a_memory_nor_stop_an_instance() -> None:
+def test_one_member_can_neither_make_a_memory_stale_nor_stop_an_instance() -> None:
     def lie(up: float) -> tuple[PeerState, ...]:
         return (PeerState(0, 4_000_000_000, 11, up, 0.0, is_duplicate=True, is_stale=True),)
 
@@ -317,7 +317,7 @@
     assert boots == [10]  # two say that there was more: raised by what both bear out
 
 
-def test_words_merge_in_any_order_and_old_ones_change_nothing() -> None:
+def test_presence_reports_merge_in_any_order_and_old_ones_change_nothing() -> None:
     census = one()
     census.on_message(100.0, 1001, here(1, 90.0))
     census.on_message(101.0, 1001, here(1, 30.0, was_clean_shutdown=True))
@@ -335,16 +335,13 @@
         assert max(abs(n.offset) for n in world.up()) > 1e9
 
 
-# --- planted defects: each is noticed ---
-
-
-def test_planted_a_census_by_one_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_verdict_by_one_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(membership_survey.MembershipSurvey, "_is_majority", lambda self, lost: bool(lost))
     with pytest.raises(AssertionError):
-        test_what_was_away_is_told_by_all_alike("one", 0.0)
+        test_all_instances_find_the_same_outage("one", 0.0)
 
 
-def test_planted_a_wall_clock_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_wall_clock_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     plain = membership_survey.MembershipSurvey.presence_for
 
     def word(self: membership_survey.MembershipSurvey, now: float, to: int | None = None) -> Presence:
@@ -354,19 +351,19 @@
 
     monkeypatch.setattr(membership_survey.MembershipSurvey, "presence_for", word)
     with pytest.raises(AssertionError):
-        test_what_was_away_is_told_by_all_alike("all", 0.0)
+        test_all_instances_find_the_same_outage("all", 0.0)
 
 
-def test_planted_one_name_for_many_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_member_with_many_numbers_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def bind(self: membership_survey.MembershipSurvey, now: float, member: int, number: int) -> object:
         return self.peers.get(number)
 
     monkeypatch.setattr(membership_survey.MembershipSurvey, "_bind", bind)
     with pytest.raises(AssertionError):
-        test_one_name_speaks_for_one_number_only()
+        test_a_member_is_bound_to_one_number()
 
 
 def test_planted_boots_not_compared_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(membership_survey.MembershipSurvey, "_exceeds_folder", lambda self, view: False)
     with pytest.raises(AssertionError):
-        test_a_folder_that_forgot_is_told_so_and_boots_go_on("old")
+        test_an_outdated_folder_is_detected_and_its_boot_raised("old")
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -67,7 +67,7 @@
 
 
 @given(st.lists(WORD, max_size=6))
-def test_words_come_back_as_they_went(words: list[MemberReport]) -> None:
+def test_reports_are_decoded_as_encoded(words: list[MemberReport]) -> None:
     data = encode_zone_reports(words, 200)
     assert len(data) <= 200
     got = decode_zone_reports(data)
@@ -77,7 +77,7 @@
 
 
 @given(st.lists(WORD, max_size=12), st.randoms())
-def test_words_merge_in_any_order_and_any_number_of_times(
+def test_reports_merge_in_any_order_and_any_number_of_times(
     words: list[MemberReport], draw: random.Random
 ) -> None:
     newest = dict[object, MemberReport]()
@@ -95,7 +95,9 @@
 
 
 @given(st.lists(ORDER, max_size=10), st.randoms())
-def test_orders_merge_alike_and_travel_whole(orders: list[Override], draw: random.Random) -> None:
+def test_overrides_merge_alike_and_are_decoded_as_encoded(
+    orders: list[Override], draw: random.Random
+) -> None:
     unique = list({(o.zone, o.stamp): o for o in orders}.values())
     digests = set()
     for _ in range(3):
@@ -120,13 +122,13 @@
 
 
 @pytest.mark.parametrize("cut", [1, 5, 20, -1])
-def test_a_word_cut_short_or_too_long_counts_for_nothing(cut: int) -> None:
+def test_a_truncated_or_overlong_report_is_rejected(cut: int) -> None:
     data = encode_zone_reports([MemberReport(1, 1, 1, 0, 0, {7: ZoneReport()})], 200)
     with pytest.raises(MessageError):
         decode_zone_reports(data[:cut] if cut > 0 else data + b"\0")
 
 
-def test_a_replayed_word_changes_nothing_and_a_forged_one_of_its_own_is_passed() -> None:
+def test_a_replayed_report_changes_nothing_and_a_forged_own_one_is_outranked() -> None:
     view = LatestReports[MemberReport](1)
     old, new = MemberReport(2, 1, 5, 0, 0, {}), MemberReport(2, 1, 6, 0, 0, {})
     assert view.apply(1.0, new) and not view.apply(2.0, old) and not view.apply(3.0, new)
@@ -134,7 +136,7 @@
     assert not view.apply(4.0, MemberReport(1, 1, 900, 0, 0, {})) and view.next_stamp(1, 6) == (1, 901)
 
 
-def test_orders_are_bounded_and_the_newest_on_a_zone_counts() -> None:
+def test_overrides_are_bounded_and_the_newest_of_a_zone_counts() -> None:
     view = Overrides(1)
     first = view.issue(zone_number("a"), OverrideMode.EVACUATE, 100.0, "x" * 90, "why" * 90)
     assert view.in_force(50.0, first.zone) == first and view.in_force(100.0, first.zone) is None
@@ -149,11 +151,11 @@
 
 
 @pytest.mark.parametrize("what", [QuotaRequest(7, 2**32 - 1, 65535), QuotaGrant(0, 0, 0)])
-def test_loans_travel(what: QuotaRequest | QuotaGrant) -> None:
+def test_quota_messages_are_decoded_as_encoded(what: QuotaRequest | QuotaGrant) -> None:
     assert decode_quota_message(encode_quota_message(what)) == what
 
 
-def test_a_word_of_three_zones_is_small() -> None:
+def test_a_report_of_three_zones_is_small() -> None:
     """The cost at rest is one such word a second to each of a few members."""
     word = MemberReport(2**63, 1, 1, 100, 0, {zone_number(z): ZoneReport() for z in "abc"})
     assert len(encode_zone_report(word)) == 44
--- a/tests/fleet/test_quota_lending.py
+++ b/tests/fleet/test_quota_lending.py
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("settings, depth", [(SETTINGS, DEPTH), (KEPT, DEPTH - 1)], ids=["all lent", "kept"])
-def test_in_every_interleaving_the_parts_add_up_to_at_most_one(settings: QuotaSettings, depth: int) -> None:
+def test_in_every_interleaving_the_quotas_add_up_to_at_most_one(settings: QuotaSettings, depth: int) -> None:
     seen, worst = search(depth, settings)
     assert seen > 5000 and worst <= 1.0
 
@@ -217,7 +217,7 @@
     ],
     ids=["a lender that forgets", "a smaller loan after a larger", "what is kept is lent"],
 )
-def test_the_search_notices_a_guard_that_is_taken_out(
+def test_the_search_detects_a_removed_guard(
     monkeypatch: pytest.MonkeyPatch,
     place: type,
     name: str,
@@ -303,7 +303,7 @@
 TestDrawn.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
 
 
-def test_one_with_most_of_the_clients_gets_most_of_the_budget() -> None:
+def test_the_instance_with_most_load_gets_most_of_the_budget() -> None:
     world = Small.begin()
     world.want(0, 0.8)
     while world.flying:
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -57,9 +57,6 @@
     return world
 
 
-# --- one instance ---
-
-
 @pytest.mark.parametrize("proof", ["list", "probe", "attempt", "another's attempt"])
 def test_nothing_goes_to_an_engine_before_it_is_listed_or_has_answered(proof: str) -> None:
     made = ramp()
@@ -83,7 +80,7 @@
     assert made.share("a1") == 0.0
 
 
-def test_a_list_does_not_prove_an_engine_that_has_failed_a_probe() -> None:
+def test_a_list_does_not_prove_an_engine_that_failed_a_health_check() -> None:
     made = ramp()
     made.on_health_check(10.0, "a0", False)
     made.on_list_received(300.0)
@@ -92,7 +89,7 @@
     assert made.share("a0") == made.settings.initial_share
 
 
-def test_a_share_follows_what_is_shown_and_not_the_clock() -> None:
+def test_a_share_follows_observations_and_not_the_clock() -> None:
     made = ramp(warm_after_ms=60_000.0)
     made.on_list_received(0.0)
     for t in range(100, 5000, 100):
@@ -107,7 +104,7 @@
     )
 
 
-def test_one_that_answers_late_is_free_when_the_settings_say_and_a_silent_one_is_not() -> None:
+def test_a_slow_engine_is_free_at_its_configured_age_and_a_silent_one_is_not() -> None:
     made = ramp(warm_after_ms=3000.0)
     made.on_list_received(0.0)
     for t in range(100, 3400, 100):
@@ -116,7 +113,7 @@
     assert made.share("a0") == 1.0 and made.share("a2") == made.settings.initial_share
 
 
-def test_of_a_loss_all_engines_start_anew_and_alone_they_are_free() -> None:
+def test_after_an_outage_engines_warm_up_anew_unless_only_this_instance_was_away() -> None:
     made = ramp()
     made.on_list_received(0.0)
     made.on_loss(0.0, OutageScope.ALONE)
@@ -167,7 +164,7 @@
     assert made.share("a0") < 1.0
 
 
-def test_what_others_saw_of_an_engines_earlier_life_does_not_count() -> None:
+def test_observations_of_an_engines_earlier_incarnation_do_not_count() -> None:
     made = ramp()
     made.on_loss(0.0, OutageScope.ALONE)
     made.on_engine_started(5000.0, "a0")
@@ -179,7 +176,7 @@
         assert made.share("a0") == pytest.approx(share, abs=0.02)
 
 
-def test_a_line_at_an_engine_eases_the_ramp() -> None:
+def test_a_queue_at_an_engine_lowers_its_share() -> None:
     made = ramp()
     made.on_list_received(0.0)
     made.warming["a0"].share, made.warming["a0"].started_at = 0.48, -2000.0
@@ -189,7 +186,7 @@
     assert 0.3 < made.share("a0") < 0.4
 
 
-def test_one_that_has_just_started_tells_clients_to_wait_as_long_as_the_others() -> None:
+def test_a_restarted_instance_advises_the_same_retry_after_as_the_others() -> None:
     early, late, told = ramp(), ramp(), set[float]()
     early.on_list_received(0.0)
     for t in range(100, 2500, 100):
@@ -205,14 +202,14 @@
     assert len(told) == 1 and told.pop() >= 1000.0 and early.retry_after_ms(0.0) == 0.0
 
 
-def test_each_engine_is_probed_by_each_dispatcher_in_turn() -> None:
+def test_each_engine_is_checked_by_each_dispatcher_in_turn() -> None:
     found = {first_prober("a0", 100.0 * k, 6) for k in range(6)}
     firsts = [first_prober(f"e{i}", 0.0, 6) for i in range(600)]
     assert found == set(range(6)) and min(firsts.count(n) for n in range(6)) > 60
 
 
 @pytest.mark.parametrize("only", [True, False], ids=["alone", "beside another"])
-def test_of_a_part_what_is_kept_is_there_at_once_and_never_lent(only: bool) -> None:
+def test_the_unlent_share_is_usable_at_once_and_never_lent(only: bool) -> None:
     made = QuotaAccount(0.0, 0.5, 1, SlowStartSettings().quota, only)
     assert made.usable(0.0, WARMUP_BUDGET)[0] == pytest.approx(0.3 if only else 0.0, abs=1e-4)
     for now in (1.0, 1000.0):
@@ -220,8 +217,6 @@
     assert made.usable(1000.0, WARMUP_BUDGET)[0] == pytest.approx(0.3, abs=1e-4)
 
 
-# --- words ---
-
 ROWS = st.builds(EngineObservation, *(st.floats(0, 1) for _ in range(3)), st.floats(0, 20_000))
 WORDS = st.builds(
     WarmupReport,
@@ -232,7 +227,7 @@
 
 @unhurried
 @given(st.lists(WORDS, max_size=4))
-def test_words_keep_their_meaning_and_fit_a_datagram(words: list[WarmupReport]) -> None:
+def test_warmup_reports_keep_their_meaning_and_fit_a_datagram(words: list[WarmupReport]) -> None:
     data = encode_warmup_reports(words)
     back = decode_warmup_reports(data)
     assert len(data) <= 200 and [w.stamp for w in back] == [w.stamp for w in words[: len(back)]]
@@ -255,7 +250,7 @@
     ],
     ids=["empty", "short", "other", "truncated", "long", "nobody", "rows"],
 )
-def test_words_that_make_no_sense_change_nothing(data: bytes) -> None:
+def test_malformed_warmup_reports_change_nothing(data: bytes) -> None:
     made = FleetCoordinator(1, 1, 0.0, FleetSettings(dispatchers=3, slow_start=SlowStartSettings()), 1)
     with pytest.raises(MessageError):
         decode_warmup_reports(data)
@@ -265,7 +260,7 @@
 
 @unhurried
 @given(st.lists(st.floats(0.1, 0.5), min_size=2, max_size=9), st.floats(0, 1), st.floats(0, 1))
-def test_one_that_lies_moves_nothing_beyond_what_others_saw(
+def test_a_false_observation_moves_nothing_beyond_what_others_saw(
     speeds: list[float], speed: float, share: float
 ) -> None:
     rows = [EngineObservation(s, 0.02, s, 0.0) for s in speeds]
@@ -274,10 +269,7 @@
     assert pooled.share is not None and min(speeds) <= pooled.share <= max(speeds)
 
 
-# --- in the core ---
-
-
-def test_the_price_takes_the_ramp_as_capacity_and_says_how_long_to_wait() -> None:
+def test_the_threshold_counts_warming_engines_and_advises_when_to_retry() -> None:
     settings = FleetSettings(
         dispatchers=4, checks_are_shared=False, sheds_load=True, slow_start=SlowStartSettings()
     )
@@ -301,7 +293,7 @@
     )
 
 
-def test_one_that_has_just_started_has_a_price_before_a_whole_period_is_over() -> None:
+def test_a_restarted_instance_has_a_threshold_within_a_step_interval() -> None:
     made = FleetCoordinator(
         1, 1, 0.0, FleetSettings(dispatchers=4, sheds_load=True, slow_start=SlowStartSettings()), 1
     )
@@ -316,7 +308,7 @@
     assert len(due) < 25  # not for long: words go out each step
 
 
-def test_dark_engines_that_were_tried_are_no_capacity_to_one_that_has_just_started() -> None:
+def test_unreachable_engines_are_no_capacity_to_a_restarted_instance() -> None:
     made = FleetCoordinator(
         1, 1, 0.0, FleetSettings(dispatchers=2, sheds_load=True, slow_start=SlowStartSettings()), 1
     )
@@ -330,9 +322,6 @@
     assert owned == pytest.approx([3 * bears, 2 * bears / 2, bears + bears * 2 / 3])
 
 
-# --- a fleet in virtual time ---
-
-
 def test_a_fleet_returns_by_what_its_engines_bear() -> None:
     with_ramp, without = play(7500.0), play(7500.0, on=False)
     assert with_ramp.over == 0 and with_ramp.checked > 100 and with_ramp.blind == 0
@@ -343,7 +332,7 @@
     assert with_ramp.got(5000.0, 7500.0) > 0.95 * with_ramp.possible(5000.0, 7500.0)
 
 
-def test_a_second_cut_costs_its_own_time() -> None:
+def test_a_second_power_loss_costs_its_own_time() -> None:
     once, twice = play(3000.0), play(6000.0, again=2000.0)
     served = [
         once.got(0.0, 3000.0) / once.came(0.0, 3000.0),
@@ -390,7 +379,7 @@
     ],
     ids=["all of the budget for those present", "by the clock", "proof not awaited"],
 )
-def test_a_guard_that_is_taken_out_is_noticed(
+def test_a_removed_guard_is_detected(
     monkeypatch: pytest.MonkeyPatch,
     defects: dict[str, Callable[..., object]],
     seen: Callable[[Return], float],
--- a/tests/fleet/test_snapshot_plan.py
+++ b/tests/fleet/test_snapshot_plan.py
@@ -48,14 +48,14 @@
         made.step(now)
 
 
-def test_in_calm_the_core_divides_once_for_each_picture(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_an_outage_each_snapshot_is_solved_once(monkeypatch: pytest.MonkeyPatch) -> None:
     made, found = core("a"), divisions(monkeypatch)
     run(made, 2600.0, 30_000.0, fleet())
     assert 9 <= len(found) <= 11 and not any(found)  # each 3 s, of all that is left
 
 
 @pytest.mark.parametrize("good, each", [(0.0, 1), (0.5, 2)], ids=["dead", "ill"])
-def test_with_a_zone_out_it_divides_each_second_and_once_more_where_it_may_be_kept_in_part(
+def test_during_an_outage_each_snapshot_is_solved_again_for_a_retained_share(
     good: float, each: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made = core("a")
@@ -92,7 +92,7 @@
     [({}, S.idle_snapshot_interval_ms), ({"b": 0.0}, S.snapshot_interval_ms)],
     ids=["calm", "out"],
 )
-def test_other_demand_is_seen_within_the_period(left: dict[str, float], within: float) -> None:
+def test_a_changed_demand_is_seen_within_a_snapshot_interval(left: dict[str, float], within: float) -> None:
     made = CostEstimator(99, 1, 0.0, "a", 1)
     made.set_engines(ENGINES)
     steps(made, fleet(), 0.0, 10_100.0, **left)
@@ -102,7 +102,7 @@
     assert made.plan.snapshot.homes["a"].cores > 1.5 * before
 
 
-def test_a_zone_that_is_out_is_planned_with_in_the_same_step() -> None:
+def test_an_evacuated_zone_is_planned_for_in_the_same_step() -> None:
     made = CostEstimator(99, 1, 0.0, "a", 1)
     made.set_engines(ENGINES)
     steps(made, fleet(), 0.0, 5000.0)
@@ -111,7 +111,7 @@
     assert made.plan is not None and (made.plan.made_at, made.plan.remaining) == (5100.0, {"b": 0.0})
 
 
-def test_what_was_last_asked_for_long_ago_is_not_held_against_what_is_wanted_now() -> None:
+def test_an_answer_of_long_ago_is_not_held_against_a_new_one() -> None:
     def neighbours(asked: bool) -> dict[str, float]:
         made = CostEstimator(99, 1, 0.0, "a", 1)
         made.set_engines(ENGINES)
@@ -124,7 +124,7 @@
     assert neighbours(True) == neighbours(False)
 
 
-def test_the_room_of_zones_is_told_as_things_are_now() -> None:
+def test_free_cores_are_those_of_the_current_allocation() -> None:
     made = core("a")
     assert made.failover_cost is not None and made.failover_cost.plan is not None
     before = made.failover_cost.plan.free_cores
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_all_leave_in_time_and_return_at_a_pace(name: str, loss: float) -> None:
+def test_all_evacuate_a_faulty_zone_in_time_and_return_gradually(name: str, loss: float) -> None:
     fault, within = FAULTS[name]
     world = play(fault, loss=loss)
     assert len(left(world)) == 6 and max(left(world).values()) <= within
@@ -91,7 +91,7 @@
     ids=["a second late", "out of order"],
 )
 @pytest.mark.parametrize("name", ["killed", "ten times slower"])
-def test_late_and_shuffled_words_cost_time_and_move_no_one_wrongly(
+def test_late_and_reordered_reports_delay_but_evacuate_no_healthy_zone(
     name: str, delay: tuple[float, float], within: float
 ) -> None:
     world = World(2, 6, 270.0, skew=lambda i: SKEW[i])
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize(
     "cut, instances", [([5], 6), ([0, 1, 2, 3], 8)], ids=["one link", "half of the fleet"]
 )
-def test_those_that_are_cut_off_leave_alone_and_the_others_stay(cut: list[int], instances: int) -> None:
+def test_instances_cut_off_from_a_zone_evacuate_it_alone(cut: list[int], instances: int) -> None:
     def fault(world: World, on: bool) -> None:
         for i in cut:
             world.nodes[i].cut = {"a"} if on else set()
@@ -121,7 +121,7 @@
     assert set(world.phases("a").values()) == {"in"}
 
 
-def test_a_fleet_cut_in_halves_leaves_by_each_ones_own_evidence_and_meets_again() -> None:
+def test_a_partitioned_fleet_evacuates_by_own_evidence_and_converges_again() -> None:
     def fault(world: World, on: bool) -> None:
         set_zone(dead=True)(world, on)
         world.network.cut = lambda a, b: on and (a.port <= 3) != (b.port <= 3)
@@ -131,7 +131,7 @@
     assert not any(n.fleet.evacuation.states["a"].is_fleet_evacuated for n in world.nodes.values())
 
 
-def test_deaths_while_leaving_do_not_hold_the_others_up() -> None:
+def test_instances_that_die_during_an_evacuation_delay_no_other() -> None:
     def fault(world: World, on: bool) -> None:
         set_zone(slow=10.0)(world, on)
         for i in (5, 4, 0) if on else ():
@@ -142,7 +142,7 @@
     assert set(world.phases("a").values()) == {"in"}
 
 
-def test_one_that_stood_still_across_leaving_and_return_brings_no_herd() -> None:
+def test_an_instance_suspended_across_evacuation_and_return_sends_no_burst() -> None:
     def fault(world: World, on: bool) -> None:
         set_zone(dead=True)(world, on)
         if on:
@@ -153,7 +153,7 @@
     assert len(sends) <= 12 and set(world.phases("a").values()) == {"in"}
 
 
-def test_all_zones_ill_at_once_is_the_fleets_own_load() -> None:
+def test_all_zones_slow_at_once_is_overload_and_evacuates_none() -> None:
     def fault(world: World, on: bool) -> None:
         for engine in world.engines.values():
             engine.slow = 4.0 if on else 1.0
@@ -161,7 +161,7 @@
     assert not any(left(play(fault), zone) for zone in "abc")
 
 
-def test_two_ill_zones_are_left_and_the_third_is_not() -> None:
+def test_two_faulty_zones_are_evacuated_and_the_third_is_not() -> None:
     def fault(world: World, on: bool) -> None:
         for engine in world.engines.values():
             engine.dead = on and engine.zone in "ab"
@@ -170,7 +170,7 @@
     assert len(left(world, "a")) == len(left(world, "b")) == 6 and not left(world, "c")
 
 
-def test_a_return_that_fails_again_is_held_out_longer() -> None:
+def test_a_failed_return_doubles_the_hold() -> None:
     def fault(world: World, on: bool) -> None:
         set_zone(slow=10.0)(world, on)
 
@@ -183,9 +183,6 @@
         assert len(holds) >= 2 and holds[0] >= hold and holds[1] >= 2 * hold
 
 
-# --- one instance against scripted words ---
-
-
 def lone(count: int = 6, dispatchers: int = 6) -> FleetCoordinator:
     fleet = FleetCoordinator(1, 1, 0.0, FleetSettings(dispatchers=dispatchers, checks_are_shared=False), 1)
     fleet.set_engines({z: {f"{z}{i}": 1.0 for i in range(3)} for z in "abc"})
@@ -238,7 +235,9 @@
         "strange",
     ],
 )
-def test_whose_words_move_an_instance(say: Callable[[float], list[MemberReport]], moved: bool) -> None:
+def test_whose_reports_make_an_instance_evacuate(
+    say: Callable[[float], list[MemberReport]], moved: bool
+) -> None:
     fleet = lone()
     drive(fleet, 4000.0, say)
     assert (fleet.evacuation.states["a"].phase is Phase.EVACUATED) is moved
@@ -249,12 +248,7 @@
     [(0, 0, True), (2, 0, True), (6, 3, True), (6, 0, False), (30, 1, False)],
     ids=["nothing seen", "too little", "bad signs", "all well", "one bad of many"],
 )
-def test_whether_an_instance_joins_others_depends_on_what_it_sees_itself(
-    well: int, bad: int, joins: bool
-) -> None:
-    """Found on processes (half-cut): three of six were cut off a zone, and one of the others made the
-    majority.
-    """
+def test_an_instance_joins_others_only_without_contrary_evidence(well: int, bad: int, joins: bool) -> None:
     fleet = lone()
 
     def others(now: float) -> list[MemberReport]:
@@ -268,8 +262,7 @@
 
 
 @pytest.mark.parametrize("bad, joins", [(0, False), (2, True)], ids=["still well", "bad signs"])
-def test_one_that_saw_a_zone_well_since_others_spoke_joins_only_by_bad_signs(bad: int, joins: bool) -> None:
-    """Found on processes (half-cut): with two served in its window one joined five seconds late."""
+def test_healthy_attempts_since_others_voted_prevent_joining_until_bad_ones(bad: int, joins: bool) -> None:
     fleet = lone()
 
     def others(now: float) -> list[MemberReport]:
@@ -282,8 +275,7 @@
     assert (fleet.evacuation.states["a"].phase is Phase.EVACUATED) is joins
 
 
-def test_one_that_joined_does_not_take_those_that_have_not_left_yet_for_a_return() -> None:
-    """Found on processes (lossy-words): it went back 100 ms after it had joined."""
+def test_an_instance_that_joined_does_not_take_late_voters_for_a_return() -> None:
     fleet = lone()
     drive(fleet, 1500.0, lambda t: [word(m, int(t), Vote.KEEP, accuses=t < 500) for m in range(2, 7)])
     state = fleet.evacuation.states["a"]
@@ -291,9 +283,7 @@
 
 
 @pytest.mark.parametrize("bad, spoken", [(0, False), (4, True), (20, True)], ids=["well", "accused", "left"])
-def test_the_first_to_see_a_fault_tells_it_at_once(bad: int, spoken: bool) -> None:
-    """Found in the model: the first one left after 0.6 s and told of it with its next round, up to 1.2 s
-    later."""
+def test_the_first_to_see_a_fault_reports_it_at_once(bad: int, spoken: bool) -> None:
     fleet = lone()
     fleet.step(0.0)
     assert fleet.next_report > 700.0, "nothing is wrong: a round a second"
@@ -305,7 +295,7 @@
     assert {a.member for a in said} == ({2, 3, 4, 5, 6} if spoken else set())
 
 
-def test_passing_on_costs_the_same_of_five_hundred() -> None:
+def test_relaying_is_bounded_with_five_hundred_members() -> None:
     fleet = lone(500)
     for member in range(2, 501):
         fleet.on_message(float(member), member, encode_zone_reports([word(member, 1, Vote.KEEP)], 200))
@@ -315,7 +305,7 @@
     assert next(w.member for w in passed if w.member not in voters) == max(set(range(2, 501)) - voters)
 
 
-def test_replayed_words_of_another_day_move_nobody() -> None:
+def test_replayed_reports_evacuate_nothing() -> None:
     fleet, old = lone(), [encode_zone_reports([word(m, 5)], 200) for m in (2, 3, 4, 5)]
     drive(fleet, 3000.0, lambda t: [word(m, 1000 + int(t), Vote.KEEP) for m in (2, 3, 4, 5)])
     for data in old:
@@ -324,7 +314,7 @@
     assert fleet.evacuation.states["a"].phase is Phase.IN_SERVICE
 
 
-def test_half_of_a_fleet_that_lost_sight_of_the_other_is_no_majority_for_a_minute() -> None:
+def test_half_of_a_partitioned_fleet_is_no_majority_for_a_minute() -> None:
     fleet = lone()
     drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
     fleet.set_members(1000.0, [2, 3])
@@ -334,7 +324,7 @@
     assert fleet.evacuation.states["a"].is_fleet_evacuated, "the others are gone for good"
 
 
-def test_one_that_says_good_bye_counts_no_longer() -> None:
+def test_a_member_that_left_by_announcement_counts_no_longer() -> None:
     fleet = lone()
     drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
     fleet.set_members(1000.0, [2, 3], left=[4, 5, 6])
@@ -342,7 +332,7 @@
     assert fleet.evacuation.states["a"].is_fleet_evacuated
 
 
-def test_one_back_from_nothing_learns_that_a_zone_is_out_from_the_first_words() -> None:
+def test_a_restarted_instance_learns_of_an_evacuation_from_the_first_reports() -> None:
     fleet = lone()
     bounds = drive(fleet, 300.0, lambda t: [word(m, int(t)) for m in (2, 3, 4, 5)])
     assert bounds and bounds[-1].work_rates == {"a0": 0.0, "a1": 0.0, "a2": 0.0}
@@ -351,7 +341,7 @@
 @pytest.mark.parametrize(
     "mode, phase", [(OverrideMode.EVACUATE, Phase.EVACUATED), (OverrideMode.RETURN, Phase.IN_SERVICE)]
 )
-def test_by_hand_goes_before_evidence_until_its_end_and_is_told_to_all(
+def test_an_override_outranks_evidence_until_it_expires_and_reaches_all(
     mode: OverrideMode, phase: Phase
 ) -> None:
     fleet, other = (
@@ -383,7 +373,7 @@
         assert said[-1][1] is Phase.EVACUATED, "evidence counts again"
 
 
-def test_a_zone_whose_load_the_others_cannot_carry_is_left_in_part_unless_it_serves_nothing() -> None:
+def test_a_zone_whose_load_the_others_cannot_carry_retains_a_share_unless_it_is_down() -> None:
     for failing, wanted in ((0.4, True), (1.0, False)):
         world = World(3, 6, 400.0)
         world.run(FAULT)
@@ -394,13 +384,13 @@
         assert (share > 0.05) is wanted, (failing, share)
 
 
-def test_a_pool_of_signs_is_not_spoken_for_by_one() -> None:
+def test_one_instance_cannot_dominate_pooled_counts() -> None:
     claims = [AttemptCounts(0, 0, 250), AttemptCounts(20, 0, 0), AttemptCounts(20, 0, 1)]
     pooled = pool_counts(claims)
     assert pooled.reporters_of_bad == 2 and pooled.bad < 0.4 * (pooled.good + pooled.bad)
 
 
-def test_a_pace_waits_for_the_lower_middle_of_all() -> None:
+def test_the_traffic_share_is_the_lower_median_of_all() -> None:
     zones = Evacuation()
     zones.set_zones(["a"])
     state = zones.states["a"]
@@ -414,8 +404,7 @@
     [(AttemptCounts(20, 0, 0), Phase.EVACUATED), (AttemptCounts(14, 0, 6), Phase.RETURNING)],
     ids=["it alone", "all zones"],
 )
-def test_a_return_fails_by_what_is_bad_elsewhere(elsewhere: AttemptCounts, phase: Phase) -> None:
-    """Found in the model: at 0.96 of the load one instance had left alone, and gave up each return."""
+def test_a_return_fails_by_comparison_with_other_zones(elsewhere: AttemptCounts, phase: Phase) -> None:
     zones = Evacuation()
     zones.set_zones("ab")
     state = zones.states["a"]
@@ -429,7 +418,7 @@
     assert state.phase is phase
 
 
-def test_quiet_time_wears_the_hold_off() -> None:
+def test_quiet_time_reduces_the_hold() -> None:
     zones = Evacuation()
     zones.set_zones(["a"])
     zones.states["a"].hold_ms = 16_000.0
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -90,7 +90,7 @@
         return attempt, told
 
 
-def test_what_comes_behind_a_retry_of_its_key_waits_for_it() -> None:
+def test_a_request_behind_an_unsettled_retry_of_its_key_waits() -> None:
     world = World()
     world.come("a1", retry=True)
     world.come("b1")
@@ -115,7 +115,7 @@
         (None, LoadState.NEVER_SENT),
     ],
 )
-def test_an_end_is_remembered_for_what_it_proves(outcome: Outcome | None, left: LoadState) -> None:
+def test_a_result_is_recorded_as_what_it_proves(outcome: Outcome | None, left: LoadState) -> None:
     world = World()
     attempt, told = world.send("a1")
     assert told == [] and world.ledger.states() == [LoadState.SENT]
@@ -126,7 +126,7 @@
     assert world.ledger.states() == [LoadState.SENT, left] and not world.loads.runs
 
 
-def test_an_end_is_not_written_while_the_same_load_runs_once_more() -> None:
+def test_a_result_is_not_recorded_while_the_load_runs_again() -> None:
     world = World()
     first, _ = world.send("a1")
     second, _ = world.send("a2")
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("change", ["disk", "unheard"])
-def test_nothing_is_taken_that_could_not_be_remembered(change: str) -> None:
+def test_a_load_that_cannot_be_recorded_is_rejected(change: str) -> None:
     world = World()
     if change == "disk":
         world.ledger.state = DiskState.FULL
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("change", ["disk", "unheard"])
-def test_a_retry_that_nobody_heard_of_is_not_put_off_for_long(change: str) -> None:
+def test_a_retry_unknown_to_others_is_not_postponed_for_long(change: str) -> None:
     """It is told to come later at first; then whoever sent its load may have forgotten it soon."""
     world = World()
     if change == "disk":
@@ -166,7 +166,7 @@
     assert world.heard == [("a1", "later"), ("a2", "later"), ("a3", "may")]
 
 
-def test_what_the_memory_still_holds_stays_on_the_disk() -> None:
+def test_a_load_in_the_history_stays_on_the_disk() -> None:
     """Its own hold is over, but one that isn't gone can't be heard."""
     world, apart = World(), FleetState(True, True, MemoryState.INTACT, {}, is_partitioned=True)
     attempt, _ = world.send("a1")
@@ -185,7 +185,7 @@
         assert len(world.loads.records) == left, ms
 
 
-def test_what_the_disk_did_not_forget_is_forgotten_later() -> None:
+def test_a_record_that_was_not_removed_is_removed_later() -> None:
     world = World()
     attempt, _ = world.send("a1")
     world.ledger.durable()
@@ -202,7 +202,7 @@
     assert left == [0, 0, 0] and len(deletions) == 2 and not world.loads.records
 
 
-def test_a_load_sent_again_meanwhile_is_not_taken_back_to_its_old_record() -> None:
+def test_a_load_sent_again_keeps_its_new_record() -> None:
     world = World()
     attempt, _ = world.send("a1")
     world.ledger.durable()
@@ -217,7 +217,7 @@
     assert record.request_id == "a2"
 
 
-def test_a_write_that_failed_is_said() -> None:
+def test_a_failed_write_is_reported() -> None:
     world = World()
     _, told = world.send("a1")
     world.ledger.durable(False)
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -88,7 +88,7 @@
     asyncio.run(bounded())
 
 
-def test_a_disk_that_hangs_at_the_start_holds_up_loads_only(
+def test_a_disk_that_hangs_at_the_start_delays_loads_only(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(installation_module, "OPENING_S", 0.0)
@@ -112,7 +112,7 @@
     play(story)
 
 
-def test_a_disk_that_hangs_later_holds_up_loads_only(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_disk_that_hangs_later_delays_loads_only(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """At the start it failed at once; the next try hangs."""
     monkeypatch.setattr(installation_module, "SLOW_S", 0.0)
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
@@ -142,9 +142,7 @@
     ],
     ids=["full", "busy", "unknown"],
 )
-def test_a_folder_that_can_t_be_had_is_one_line_and_is_tried_again(
-    world: World, errors: list[Exception]
-) -> None:
+def test_an_unavailable_folder_is_one_log_line_and_is_retried(world: World, errors: list[Exception]) -> None:
     world.errors = list(errors)
 
     async def story() -> None:
@@ -172,7 +170,7 @@
 
 
 @pytest.mark.parametrize("wrong", [not_a_folder, life_is_a_folder, book_is_a_folder])
-def test_a_folder_that_can_t_be_used_is_said_and_used_once_it_can(
+def test_an_unusable_folder_is_reported_and_used_once_it_can(
     world: World, wrong: Callable[[Path], None]
 ) -> None:
     folder = world.path.parent / str(FLEET["state_dir"])
@@ -189,9 +187,6 @@
     play(story)
 
 
-# --- what loads are told meanwhile ---
-
-
 def told(unkept: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
     heard = list[str]()
     taken = ClientRequest("ref", 1, "load", unkept.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
@@ -215,7 +210,7 @@
     assert heard == ["later"] * 6 + ["may"] * 2
 
 
-def test_a_retry_is_not_put_off_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_retry_is_not_postponed_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
     put_off_by_turns(unkept_with(clock, {}), clock)
     monkeypatch.setattr(
@@ -234,13 +229,13 @@
         (LoadResult.NEVER_RAN, "later"),
     ],
 )
-def test_a_retry_is_told_what_could_be_read(how: LoadResult | None, retried: str) -> None:
+def test_a_retry_is_answered_by_what_could_be_read(how: LoadResult | None, retried: str) -> None:
     unkept = unkept_with(FakeClock(), {b"INSERT a": how})
     assert told(unkept, b"INSERT a", True) == retried
     assert told(unkept, b"INSERT a", False) == told(unkept, b"INSERT b", False) == "later"
 
 
-def test_what_retries_were_put_off_is_forgotten_after_a_hold() -> None:
+def test_postponed_retries_are_forgotten_after_a_hold() -> None:
     clock = FakeClock()
     unkept = unkept_with(clock, {})
     for number in range(50):
@@ -249,7 +244,7 @@
     assert len(unkept.history.local.queried) <= 22
 
 
-def test_a_retry_counts_from_its_first_time_once_the_folder_is_had(world: World) -> None:
+def test_a_retry_counts_from_its_first_time_once_the_folder_is_available(world: World) -> None:
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -61,7 +61,7 @@
         (Outcome.CANCELLED, False),
     ],
 )
-def test_how_attempts_end_decides_whether_a_zone_is_left(outcome: Outcome, left: bool) -> None:
+def test_the_results_of_attempts_decide_on_an_evacuation(outcome: Outcome, left: bool) -> None:
     clock = FakeClock()
     rim, bounds = make(clock)
     for n in range(300):
@@ -97,7 +97,7 @@
     ],
     ids=str,
 )
-def test_an_order_that_makes_no_sense_is_refused_by_name(changes: dict[str, Any], wanted: str) -> None:
+def test_an_invalid_override_is_rejected_with_its_reason(changes: dict[str, Any], wanted: str) -> None:
     rim, bounds = make(FakeClock())
     good = {"zone": "a", "mode": "leave", "for_ms": 1000, "who": "me", "why": "work"}
     with pytest.raises(OverrideError, match=wanted):
@@ -148,7 +148,7 @@
     assert answer == wanted if isinstance(wanted, dict) else wanted in answer["error"]
 
 
-def test_bytes_of_the_fleet_travel_in_memberships_datagrams_and_no_longer_than_they_fit() -> None:
+def test_fleet_messages_travel_in_membership_datagrams_up_to_their_limit() -> None:
     keys, places = Keys({1: b"a shared key"}, 1), [Address("127.0.0.1", 1), Address("127.0.0.1", 2)]
     ends = [Swim(f"n{i}", places[i], SwimSettings(), i, 5, keys, places) for i in range(2)]
     here, there = ends
@@ -167,7 +167,7 @@
     assert here.say_payload(b"x" * (here.codec.room() + 1), there.id) is None
 
 
-def test_one_that_joins_is_told_of_at_once() -> None:
+def test_a_joining_member_is_announced_at_once() -> None:
     """Looked for by each part at its next round, a late one knew of nobody for half a second."""
     clock, sent, joined = FakeClock(), list[bytes](), list[float]()
     swim = Swim("n0", PLACE, SwimSettings(), 1, 1)
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -95,8 +95,6 @@
         self.waits: dict[str, Client] = {}
         self.wrong: list[str] = []
 
-    # --- time ---
-
     def at(self, when: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.events, (max(when, self.now), next(self.order), what))
 
@@ -107,8 +105,6 @@
             what()
         self.now = until
 
-    # --- processes ---
-
     def start(self, *numbers: int, folder: str = "kept", twin: bool = False) -> None:
         for number in numbers:
             if folder == "empty":
@@ -229,8 +225,6 @@
                 else:
                     self._settled(node, client, action.knowledge)
 
-    # --- network ---
-
     def send(self, node: Node, number: int, data: bytes) -> None:
         assert len(data) <= 200
         for _ in range(1 + (self.draw.random() < self.again)):
@@ -251,8 +245,6 @@
                     self._memory(node, node.memory.on_message(clock, of, word))
             self._schedule(node)
 
-    # --- clients ---
-
     def first(self, number: int, load: bytes, lasts: float, ends: bool = True) -> Client:
         """A client's first request for a load, which lasts so long; without `ends` its end is never heard."""
         client = Client(load, f"{number}/{next(self.names)}")
