--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -13,17 +13,19 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.forwarder import End, Ended
 from cottonhold.fleet.request_forwarding.request_codec import pin_key, read_rows
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet_adapters.load_records import NEVER_RAN
-from cottonhold.node.clock import Clock
-from cottonhold.node.gateway import ClientRequest, Gateway, LoadGuard, LoadOutcome
-from cottonhold.node.gateway import LoadOutcomeCallback as Tell
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.gateway import Gateway
+from cottonhold.node.load_guard import LoadGuard, LoadOutcome
+from cottonhold.node.load_guard import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
+from cottonhold.transport.clock import Clock
 
 KNOWN_ENDS = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other end a load may run on
 WAIT_MS = 2000.0  # so long a request waits here for its key to have an owner: longer than a fence takes
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -9,10 +9,11 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.recovery.load_history import Action, How, Known, LoadKept, Memory, Settled, identity
-from cottonhold.node.gateway import ClientRequest, LoadOutcome
-from cottonhold.node.gateway import LoadOutcomeCallback as Tell
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome
+from cottonhold.node.load_guard import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.settings import Idempotency, Settings
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -13,9 +13,9 @@
 from cottonhold.membership.instance import Action, Done, Instance, Told
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.swim import Changed, Datagram, Send, Swim, SwimSettings
-from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
+from cottonhold.transport.clock import Clock, Timer
 
 PROBE, REPORT, FLEET = "probe", "report", "fleet"
 UNKNOWN = 0xFFFFFFFF  # a detail that tells no load
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -20,11 +20,11 @@
 from cottonhold.fleet_adapters.load_records import Loads, Unkept, guarded, kept_loads
 from cottonhold.fleet_adapters.write_queue import AGAIN_MS
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
 from cottonhold.store import ledger as ledger_of
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Hint, Kind, Record, RecordError
+from cottonhold.transport.clock import Clock, Timer
 
 LEAST_MS, MOST_MS = 5.0, 1000.0  # between two steps
 GONE_MS = 200.0  # so often who is gone is weighed anew: a round of the census's words
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -35,12 +35,12 @@
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.ledger import Memory as Folder
 from cottonhold.store.records import Kind, Record
+from cottonhold.transport.clock import Clock, Timer
 
 FIRST, LAST = 64, 79  # kinds of message
 LEAST_MS, MOST_MS = 5.0, 250.0
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -35,12 +35,15 @@
 from cottonhold.fleet_adapters.keyed_loads import WAITS_MS, Pinned
 from cottonhold.fleet_adapters.recovery import life_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
+from cottonhold.frontend.query_service import DuplicateRequestIdError
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import ClientRequest, DuplicateRequestIdError, Gateway, LoadGuard, OpenRequest
+from cottonhold.node.client_request import ClientRequest, OpenRequest
+from cottonhold.node.gateway import Gateway
+from cottonhold.node.load_guard import LoadGuard
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Kind, Record
+from cottonhold.transport.clock import Clock, Timer
 
 LEAST_MS, MOST_MS = 2.0, 20.0  # between two steps
 HANDED_ON = 79  # first byte of words of requests that are handed on
@@ -199,7 +202,7 @@
             self.counters.add("pins_malformed")
             self._hands(self.handing.answered(now, *place, End.REFUSED))
             return
-        kind = self.gateway.class_indexes.get(asked.service)
+        kind = self.gateway.decoder.class_indexes.get(asked.service)
         ref = asked.ref if asked.ref not in self.gateway.requests else f"{asked.ref}.{action.number:x}"
         if kind is None or ref in self.gateway.requests:
             self._hands(self.handing.answered(now, *place, End.REFUSED, self.back))
@@ -207,7 +210,7 @@
         self.counters.add("pins_handed_here")
         work = asked.effort, asked.room, asked.tables
         words = asked.key, asked.retry, asked.body
-        named = self.gateway.tenant_indexes.get(asked.tenant, 0), asked.token or None
+        named = self.gateway.decoder.tenant_indexes.get(asked.tenant, 0), asked.token or None
         taken = ClientRequest(ref, kind, asked.service, now, action.left_ms, *work, *words, *named)
         client = HandedClient(self, action.origin, action.number, ref)
         self.guard.remote[ref] = action.origin, asked.round
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.admission.loads import density, draw_of
 from cottonhold.fleet.coordinator import Action, Bound, Fleet, FleetSettings, Priced, Say
@@ -17,10 +17,10 @@
 from cottonhold.fleet.zone_failover.operator_overrides import Mode
 from cottonhold.membership.codec import Status
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
+from cottonhold.transport.clock import Clock, Timer
 
 # What an end says of the engine; one turned away, given up or never sent says nothing. Danger: a query that
 # had waited here until its last 100 ms ran out of time at a well engine, and two of those in a crowd made a
--- /dev/null
+++ b/cottonhold/frontend/mysql_packets.py
@@ -0,0 +1,183 @@
+"""Encoding and decoding of the MySQL client protocol 4.1, without state and without I/O."""
+
+from __future__ import annotations
+
+import re
+from typing import NamedTuple
+
+SERVER_VERSION = b"8.0.0-cottonhold"
+LONG_PASSWORD, LONG_FLAG, CONNECT_WITH_DB, PROTOCOL_41 = 0x1, 0x4, 0x8, 0x200
+TRANSACTIONS, SECURE_CONNECTION, PLUGIN_AUTH, LENENC_AUTH = 0x2000, 0x8000, 0x80000, 0x200000
+CAPABILITIES = (
+    LONG_PASSWORD | LONG_FLAG | CONNECT_WITH_DB | PROTOCOL_41 | TRANSACTIONS | SECURE_CONNECTION | PLUGIN_AUTH
+)
+AUTOCOMMIT = b"\x02\x00"
+UTF8 = 33
+SALT = b"cottonhold-salt-0123"  # there is no password that it could protect
+COM_QUIT, COM_INIT_DB, COM_QUERY, COM_PING, COM_RESET_CONNECTION = 0x01, 0x02, 0x03, 0x0E, 0x1F
+HEADER_BYTES = 4  # three of the payload's length, one of the sequence number
+MAX_ERROR_TEXT_BYTES = 500
+MIN_LOGIN_BYTES = 33
+MAX_SHORT_STRING = 250  # bytes of a string whose length is one byte
+ResultRows = list[list[bytes]]  # rows of text cells, as many as there are columns
+COLUMNS = (b"c1", b"c2", b"c3")
+# No two parts can match the same blanks, and the digits are bounded: matching takes linear time.
+KILL = re.compile(rb"\s*KILL\s+(QUERY\s+|CONNECTION\s+)?(\d{1,20})\s*(?:;\s*)?\Z", re.IGNORECASE)
+
+
+class ErrorCode(NamedTuple):
+    """An error as MySQL clients know it."""
+
+    number: int
+    sql_state: bytes
+
+
+BAD_HANDSHAKE = ErrorCode(1043, b"08S01")
+ACCESS_DENIED = ErrorCode(1045, b"28000")
+UNKNOWN_COMMAND = ErrorCode(1047, b"08S01")
+UNKNOWN_DATABASE = ErrorCode(1049, b"42000")
+SERVER_SHUTDOWN = ErrorCode(1053, b"08S01")
+NO_SUCH_THREAD = ErrorCode(1094, b"HY000")
+QUERY_FAILED = ErrorCode(1105, b"HY000")
+PACKET_TOO_LARGE = ErrorCode(1153, b"08S01")
+PACKETS_OUT_OF_ORDER = ErrorCode(1156, b"08S01")
+READ_TIMEOUT = ErrorCode(1159, b"08S01")
+REJECTED = ErrorCode(1226, b"42000")
+QUERY_INTERRUPTED = ErrorCode(1317, b"70100")
+
+
+class ProtocolError(Exception):
+    """The client broke the protocol: it gets the error, then its connection is closed."""
+
+    def __init__(self, code: ErrorCode, text: str) -> None:
+        super().__init__(text)
+        self.code = code
+
+
+class Login(NamedTuple):
+    """What a client sends to log in."""
+
+    user: bytes
+    password: bytes
+    database: bytes  # empty where the client names none
+
+
+class KillCommand(NamedTuple):
+    """A KILL statement."""
+
+    connection_id: int
+    only_query: bool
+
+
+def encode_string(text: bytes) -> bytes:
+    """A length-encoded string."""
+    size = len(text)
+    if size <= MAX_SHORT_STRING:
+        return bytes((size,)) + text
+    if size < 1 << 16:
+        return b"\xfc" + size.to_bytes(2, "little") + text
+    return b"\xfd" + size.to_bytes(3, "little") + text
+
+
+def encode_packet(payload: bytes, sequence: int) -> bytes:
+    """A payload with its header."""
+    return len(payload).to_bytes(3, "little") + bytes((sequence,)) + payload
+
+
+def encode_column(name: bytes) -> bytes:
+    """The definition of a text column."""
+    head = b"".join(encode_string(part) for part in (b"def", b"", b"", b"", name, b""))
+    return head + b"\x0c" + UTF8.to_bytes(2, "little") + b"\xff\xff\xff\x00\xfd\x00\x00\x1f\x00\x00"
+
+
+def encode_error(code: ErrorCode, text: str) -> bytes:
+    """The payload of an error packet."""
+    return (
+        b"\xff"
+        + code.number.to_bytes(2, "little")
+        + b"#"
+        + code.sql_state
+        + text.encode()[:MAX_ERROR_TEXT_BYTES]
+    )
+
+
+def encode_greeting(connection_id: int) -> bytes:
+    """The payload of a server's first packet."""
+    low, high = CAPABILITIES & 0xFFFF, CAPABILITIES >> 16
+    return b"".join(
+        (
+            b"\x0a" + SERVER_VERSION + b"\x00",
+            connection_id.to_bytes(4, "little"),
+            SALT[:8] + b"\x00",
+            low.to_bytes(2, "little"),
+            bytes((UTF8,)) + AUTOCOMMIT,
+            high.to_bytes(2, "little"),
+            bytes((len(SALT) + 1,)) + bytes(10),
+            SALT[8:] + b"\x00",
+            b"mysql_native_password\x00",
+        )
+    )
+
+
+EOF = b"\xfe\x00\x00" + AUTOCOMMIT
+OK = b"\x00\x00\x00" + AUTOCOMMIT + b"\x00\x00"
+RESULT_HEAD = (bytes((len(COLUMNS),)), *[encode_column(name) for name in COLUMNS], EOF)
+# Encoded once: short lengths, packets' lengths and sequence numbers, by value.
+SHORT_LENGTHS = [bytes((size,)) for size in range(MAX_SHORT_STRING + 1)]
+PACKET_LENGTHS = [size.to_bytes(3, "little") for size in range(MAX_SHORT_STRING + 1)]
+SEQUENCE_NUMBERS = [bytes((number,)) for number in range(256)]
+
+
+def encode_rows(rows: ResultRows, sequence: int) -> list[bytes]:
+    """The rows of a result as packets, in pieces to be joined; short rows are encoded by tables alone."""
+    parts: list[bytes] = []
+    for a, b, c in rows:
+        number, size = SEQUENCE_NUMBERS[sequence & 0xFF], len(a) + len(b) + len(c) + 3
+        sequence += 1
+        if size <= MAX_SHORT_STRING:
+            parts += (
+                PACKET_LENGTHS[size],
+                number,
+                SHORT_LENGTHS[len(a)],
+                a,
+                SHORT_LENGTHS[len(b)],
+                b,
+                SHORT_LENGTHS[len(c)],
+                c,
+            )
+        else:
+            payload = encode_string(a) + encode_string(b) + encode_string(c)
+            parts += (len(payload).to_bytes(3, "little"), number, payload)
+    return parts
+
+
+def decode_login(payload: bytes) -> Login:
+    """A client's login packet. Raises ProtocolError."""
+    capabilities = int.from_bytes(payload[:4], "little")
+    if len(payload) < MIN_LOGIN_BYTES or not capabilities & PROTOCOL_41:
+        raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+    user, terminator, rest = payload[MIN_LOGIN_BYTES - 1 :].partition(b"\x00")
+    if not terminator:
+        raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+    if capabilities & (LENENC_AUTH | SECURE_CONNECTION):
+        size = rest[0] if rest else 0
+        if size > MAX_SHORT_STRING or len(rest) < 1 + size:
+            raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+        password, rest = rest[1 : 1 + size], rest[1 + size :]
+    else:
+        password, _, rest = rest.partition(b"\x00")
+    database = rest.partition(b"\x00")[0] if capabilities & CONNECT_WITH_DB else b""
+    return Login(user, password.strip(b"\x00"), database)
+
+
+def decode_kill(statement: bytes) -> KillCommand | None:
+    """A KILL statement; None for any other one."""
+    found = KILL.match(statement)
+    if found is None:
+        return None
+    return KillCommand(int(found[2]), (found[1] or b"").strip().upper() == b"QUERY")
+
+
+def printable(name: bytes) -> str:
+    """A name of a client's for an error's text, cut short."""
+    return name.decode("utf-8", "replace")[:40]
--- a/cottonhold/node/descriptors.py
+++ b/cottonhold/node/descriptors.py
@@ -1,4 +1,4 @@
-"""How the limit on descriptors is divided: in this one place, so that the parts add up to less than it."""
+"""How the limit on descriptors is divided: in this one place, so that the quotas add up to less than it."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 from cottonhold.node.sibling_processes import ProcessRecord
 
-CLIENTS_PART = 0.48  # usual clients hold a third at most; the rest of this is for those that go nowhere
-ENGINES_PART = 0.33
-LEAST = 8
-OTHERS_BASE = 12  # what a further process holds for its loop, log and listeners
-CALLS_PART, LEAST_CALLS, MOST_CALLS = 1 / 16, 4, 16  # operators' callers, heard whatever else is taken
+CLIENTS_FRACTION = 0.48  # usual clients hold a third at most; the rest of this is for stalled connections
+ENGINES_FRACTION = 0.33
+MIN_QUOTA = 8
+SIBLING_OVERHEAD = 12  # what a further process holds for its loop, log and listeners
+ADMIN_FRACTION, MIN_ADMIN, MAX_ADMIN = 1 / 16, 4, 16  # operators' calls, heard whatever else is taken
 
 
 @dataclass(slots=True, frozen=True)
 class DescriptorQuotas:
-    """What each part may hold; what is left over serves listeners, event bus, peers, log and the loop."""
+    """What each part may hold; the rest serves listeners, event stream, peers, log and the loop."""
 
     clients: int
     engines: int
-    calls: int
+    admin: int
 
     @classmethod
     def divide(cls, limit: int) -> DescriptorQuotas:
-        """The parts of a limit."""
+        """The quotas of a limit."""
         return cls(
-            clients=max(int(limit * CLIENTS_PART), LEAST),
-            engines=max(int(limit * ENGINES_PART), LEAST),
-            calls=min(max(int(limit * CALLS_PART), LEAST_CALLS), MOST_CALLS),
+            clients=max(int(limit * CLIENTS_FRACTION), MIN_QUOTA),
+            engines=max(int(limit * ENGINES_FRACTION), MIN_QUOTA),
+            admin=min(max(int(limit * ADMIN_FRACTION), MIN_ADMIN), MAX_ADMIN),
         )
 
     def remaining_beside(self, others: Sequence[ProcessRecord]) -> DescriptorQuotas:
-        """What is left of each part beside processes that count against the same limit."""
+        """What is left of each quota beside processes that count against the same limit."""
         if not others:
             return self
-        clients = self.clients - sum(other.client_connections + OTHERS_BASE for other in others)
+        clients = self.clients - sum(other.client_connections + SIBLING_OVERHEAD for other in others)
         engines = self.engines - sum(other.engine_connections for other in others)
-        return DescriptorQuotas(max(clients, LEAST), max(engines, LEAST), self.calls)
+        return DescriptorQuotas(max(clients, MIN_QUOTA), max(engines, MIN_QUOTA), self.admin)
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -20,9 +20,8 @@
 from cottonhold.discovery.bus import SOURCE, Bus
 from cottonhold.discovery.engine_catalog import Belief
 from cottonhold.discovery.model import Address, Change, Confirm, Event, Guard, Publish, Remark
-from cottonhold.frontend.mysql_session import ClientSessions
+from cottonhold.frontend.client_sessions import ClientSessions
 from cottonhold.node.admin_api import AdminApi
-from cottonhold.node.clock import Timer
 from cottonhold.node.descriptors import DescriptorQuotas
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
@@ -30,14 +29,15 @@
 from cottonhold.node.sibling_processes import ProcessRecord, SiblingProcesses
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.actions import SendToPeer
+from cottonhold.transport.clock import Timer
 from cottonhold.transport.event_loop import EventLoop
 from cottonhold.transport.socket_factory import MakeSocket
 
-CHECK_S = 0.02
-BESIDE_MS = 300.0  # so often other processes of this dispatcher are looked for
-SEEN_MS = 250.0  # so long clients have to close, once all is said
-STARTING_MS = 3000.0  # so long one that leaves stays for a newer one that does not serve yet
-BUS_ONLY = ((SOURCE, Guard(trusted=True)),)
+CHECK_S = 0.02  # between two looks at what is open, while shutting down
+SIBLINGS_INTERVAL_MS = 300.0
+CLIENT_CLOSE_MS = 250.0  # that clients have to close, once all is answered
+STARTING_MS = 3000.0  # that a process shutting down waits for a newer one that does not serve yet
+EVENT_STREAM_ONLY = ((SOURCE, Guard(trusted=True)),)
 
 
 class Logs(Protocol):
@@ -59,13 +59,13 @@
         counters: Counters,
         loop: asyncio.AbstractEventLoop,
         log: Logs,
-        sources: Sequence[tuple[str, Guard]] = BUS_ONLY,
+        sources: Sequence[tuple[str, Guard]] = EVENT_STREAM_ONLY,
         make_socket: MakeSocket = socket.socket,
     ) -> None:
         self.config, self.counters, self.log = config, counters, log
         say = self.log.say
         self.event_loop = EventLoop(loop, counters, say, make_socket)
-        self.event_loop.connect_s = config.connections.connect_timeout_ms / 1000
+        self.event_loop.connector.timeout_s = config.connections.connect_timeout_ms / 1000
         clock = self.event_loop.clock
         self.lifecycle, self.descriptor_quotas = Lifecycle(), DescriptorQuotas.divide(config.max_descriptors)
         self.sibling_processes = SiblingProcesses(os.environ.get("TMPDIR"), str(config.listen), say)
@@ -73,7 +73,7 @@
         self.engines = EngineConnections(
             config.connections, clock, counters, say, self.descriptor_quotas.engines
         )
-        self.engines.connect = self.event_loop.connect
+        self.engines.connect = self.event_loop.connector.connect
         self.gateway = Gateway(config.settings, config.seed, clock, self.engines, counters, say)
         self.sessions = ClientSessions(
             self.gateway,
@@ -83,7 +83,7 @@
             self.descriptor_quotas.clients,
             self.sibling_processes.connection_ids(),
         )
-        self.admin_api = AdminApi(self.lifecycle, clock, counters, log.note, self.descriptor_quotas.calls)
+        self.admin_api = AdminApi(self.lifecycle, clock, counters, log.note, self.descriptor_quotas.admin)
         self.peer_datagrams = PeerDatagrams(config.peers, config.peers_all, counters, say)
         self.gateway.send_to_peer = self.send_to_peer
         self.engine_catalog = Belief(sources, config.seed, clock.unix_offset)
@@ -101,14 +101,14 @@
         self.shutdown_requested, self.is_serving = asyncio.Event(), False
         self.event_stream_task: asyncio.Task[None] | None = None
 
-    def send_to_peer(self, tell: SendToPeer) -> None:
+    def send_to_peer(self, message: SendToPeer) -> None:
         """Send a message to a peer."""
-        target = self.peer_datagrams.destination(tell)
+        target = self.peer_datagrams.destination(message)
         if target is not None:
-            self.event_loop.send_datagram(tell.payload, target)
+            self.event_loop.datagrams.send(message.payload, target)
 
     def on_discovery_events(self, events: Iterable[Event]) -> None:
-        """Sources have told something, or a wait is over: what follows from it is carried out at once."""
+        """Sources have sent events, or a timer is over: the catalog's actions are carried out at once."""
         now = self.event_loop.clock.now()
         for action in self.engine_catalog.step(now, events):
             match action:
@@ -129,17 +129,17 @@
             )
 
     def on_engine_list(self, change: Change) -> None:
-        """Tell the parts of a change of the engine list."""
+        """The engine list has changed."""
         self.gateway.on_engine_list(change)
 
     def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
-        """Have a source asked once more; the event bus needs no second word."""
+        """Poll a source once more for engines that it lacks; the event stream needs no confirmation."""
 
     def follow_sources(self) -> None:
         """Follow the sources from now on."""
         if self.config.event_stream is not None:
             self.event_stream_task = self.event_loop.spawn(
-                self.event_loop.follow_event_stream(self.event_stream, self.config.event_stream)
+                self.event_loop.event_stream.follow(self.event_stream, self.config.event_stream)
             )
 
     def on_other_datagram(self, data: bytes, sender: Address) -> bool:
@@ -147,11 +147,11 @@
         return False
 
     def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
-        """What is to be done beside serving on once the end is decided."""
+        """What runs beside serving on once shutdown has begun."""
         return ()
 
     def update_siblings(self) -> None:
-        """Tell other processes of this dispatcher what is held here, and keep within what they leave."""
+        """Publish what this process holds to its siblings, and keep within what they leave."""
         others = self.sibling_processes.others()
         held = ProcessRecord(
             self.sibling_processes.record.start_number,
@@ -166,67 +166,93 @@
             self.sibling_count = len(others)
             self.apply_settings()
             self.log.note("beside", others=self.sibling_count, clients=left.clients, engines=left.engines)
-        self.event_loop.clock.call_in(BESIDE_MS, self.update_siblings)
+        self.event_loop.clock.call_in(SIBLINGS_INTERVAL_MS, self.update_siblings)
 
     def apply_settings(self) -> None:
-        """Have the settings in force follow the file, and the processes that stand for this dispatcher."""
+        """Apply the file's settings, with the number of processes that stand for this dispatcher."""
         self.gateway.apply_settings(
             dataclasses.replace(self.config.settings, concurrent_processes=1 + self.sibling_count)
         )
 
     async def wait_for_newer_process(self) -> None:
-        """Go on taking clients while a newer process does not serve yet, within limits."""
-        until = min(self.event_loop.clock.now() + STARTING_MS, self.lifecycle.close_deadline())
-        while self.sibling_processes.is_newer_starting() and self.event_loop.clock.now() < until:
+        """Go on accepting clients while a newer process does not serve yet, within limits."""
+        deadline = min(self.event_loop.clock.now() + STARTING_MS, self.lifecycle.close_deadline())
+        while self.sibling_processes.is_newer_starting() and self.event_loop.clock.now() < deadline:
             await asyncio.sleep(CHECK_S)
 
     async def run(self) -> None:
         """Serve until told to stop, then finish what is open."""
-        driver, config = self.event_loop, self.config
-        self.on_discovery_events(config.initial_reports)
+        listeners = self.event_loop.listener
+        self.on_discovery_events(self.config.initial_reports)
         self.event_stream.current()
-        if (peer_listen := config.peer_listen) is not None:
-            udp = await driver.open_with_retry(lambda: driver.udp_socket(peer_listen))
-            driver.receive_datagrams(udp, self.peer_datagrams, self.gateway.push, self.on_other_datagram)
-        operators = None
-        if (ops := config.admin_listen) is not None:
-            operators = await driver.open_with_retry(lambda: driver.listen(ops))
-        listener = await driver.open_with_retry(lambda: driver.listen(config.listen, shared=True))
-        accepting = driver.spawn(driver.accept(listener, self.sessions))
+        await self._open_datagrams()
+        admin_socket = await self._open_admin_socket()
+        client_socket = await listeners.open_with_retry(
+            lambda: listeners.listen(self.config.listen, is_shared=True)
+        )
+        accepting = self.event_loop.spawn(listeners.accept(client_socket, self.sessions))
         self.follow_sources()
-        if operators is not None:
-            driver.spawn(driver.serve_admin_api(operators, self.admin_api))
+        if admin_socket is not None:
+            self.event_loop.spawn(listeners.serve_admin_api(admin_socket, self.admin_api))
         self.is_serving = True
-        parts = self.descriptor_quotas
+        self._log_start()
+        self.update_siblings()
+        await self.shutdown_requested.wait()
+        await self._shut_down(client_socket, accepting)
+
+    async def _open_datagrams(self) -> None:
+        address = self.config.peer_listen
+        if address is None:
+            return
+        datagrams = self.event_loop.datagrams
+        sock = await self.event_loop.listener.open_with_retry(lambda: datagrams.open(address))
+        datagrams.receive(sock, self.on_datagram)
+
+    def on_datagram(self, data: bytes, sender: Address) -> None:
+        """A datagram has arrived: another part's, or a peer's message for the scheduler."""
+        if self.on_other_datagram(data, sender):
+            return
+        if message := self.peer_datagrams.decode(data, (sender.host, sender.port)):
+            self.gateway.push(message)
+
+    async def _open_admin_socket(self) -> socket.socket | None:
+        address = self.config.admin_listen
+        if address is None:
+            return None
+        listeners = self.event_loop.listener
+        return await listeners.open_with_retry(lambda: listeners.listen(address))
+
+    def _log_start(self) -> None:
+        quotas, max_descriptors = self.descriptor_quotas, self.config.max_descriptors
         self.log.note(
             "start",
-            listen=config.listen,
-            ops=config.admin_listen,
-            descriptors=config.max_descriptors,
-            clients=parts.clients,
-            engines=parts.engines,
-            calls=parts.calls,
-            others=config.max_descriptors - parts.clients - parts.engines - parts.calls,
+            listen=self.config.listen,
+            ops=self.config.admin_listen,
+            descriptors=max_descriptors,
+            clients=quotas.clients,
+            engines=quotas.engines,
+            calls=quotas.admin,
+            others=max_descriptors - quotas.clients - quotas.engines - quotas.admin,
         )
-        self.update_siblings()
-        await self.shutdown_requested.wait()
+
+    async def _shut_down(self, client_socket: socket.socket, accepting: asyncio.Task[None]) -> None:
+        """Go on accepting clients for a while, then close the listener and finish what is open."""
         self.gateway.begin_shutdown(self.lifecycle.answer_deadline())
         self.log.note("leaving", open=self.gateway.open_count, clients=len(self.sessions.sessions))
-        door_s = max(self.lifecycle.accept_deadline() - driver.clock.now(), 0.0) / 1000
-        await asyncio.gather(asyncio.sleep(door_s), *self.shutdown_tasks(), return_exceptions=True)
+        left_ms = max(self.lifecycle.accept_deadline() - self.event_loop.clock.now(), 0.0)
+        await asyncio.gather(asyncio.sleep(left_ms / 1000), *self.shutdown_tasks(), return_exceptions=True)
         await self.wait_for_newer_process()
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
-        await driver.accept_queued(listener, self.sessions)
-        listener.close()
+        await self.event_loop.listener.accept_queued(client_socket, self.sessions)
+        client_socket.close()
         self.log.note("closed_door", open=self.gateway.open_count, clients=len(self.sessions.sessions))
         await self.finish_open_requests()
 
     async def finish_open_requests(self) -> None:
         """Go on until all is answered and every client has seen the end of its connection, within limits.
 
-        Danger: ended behind the last answer, with bytes of a client unread, its connection was reset, and the
-        answer went with it; one that was written in part stopped short.
+        A connection that ends with bytes of its client unread is reset, and the last response lost.
         """
         clock, lifecycle, done_at = self.event_loop.clock, self.lifecycle, math.inf
         while self.sessions.sessions or self.gateway.open_count:
@@ -240,14 +266,14 @@
                 done_at = math.inf
             else:
                 done_at = min(done_at, now)
-                if now >= min(done_at + SEEN_MS, lifecycle.answer_deadline()):
+                if now >= min(done_at + CLIENT_CLOSE_MS, lifecycle.answer_deadline()):
                     break
             await asyncio.sleep(CHECK_S)
 
     def reload(self) -> None:
-        """Read the configuration again: its settings, and the event bus it names, on from the last event.
+        """Read the configuration again: its settings, and the event stream it names, on from the last event.
 
-        Danger: without a handler SIGHUP ended the program. A file that can't be used must change nothing.
+        A file that can't be used changes nothing.
         """
         try:
             config = load(os.environ, self.counters)
@@ -260,7 +286,7 @@
         was, now = ({cls.name for cls in c.settings.classes} for c in (self.config, config))
         self.log.note("reloaded", classes=len(now), added=",".join(now - was), dropped=",".join(was - now))
         self.config = config
-        self.engines.settings, self.event_loop.connect_s = (
+        self.engines.settings, self.event_loop.connector.timeout_s = (
             config.connections,
             config.connections.connect_timeout_ms / 1000,
         )
@@ -271,13 +297,13 @@
         if self.event_stream_task is not None:
             self.event_stream_task.cancel()
             self.event_stream_task = self.event_loop.spawn(
-                self.event_loop.follow_event_stream(self.event_stream, config.event_stream)
+                self.event_loop.event_stream.follow(self.event_stream, config.event_stream)
             )
 
     def begin_shutdown(self) -> None:
-        """Leave: from now on, not from when the loop comes to it."""
-        longest = max(cls.deadline_ms for cls in self.gateway.settings.classes)
-        self.lifecycle.begin_shutdown(self.event_loop.clock.now(), longest)
+        """Shut down: from now on, not from when the loop comes to it."""
+        max_deadline_ms = max(cls.deadline_ms for cls in self.gateway.settings.classes)
+        self.lifecycle.begin_shutdown(self.event_loop.clock.now(), max_deadline_ms)
         self.shutdown_requested.set()
 
     def print_counters(self) -> None:
@@ -285,10 +311,10 @@
         print(self.counters.line(), file=sys.stderr, flush=True)
 
     async def run_until_stopped(self) -> None:
-        """A program's lifecycle as this dispatcher: signals, serving, and the counters at the end."""
+        """Run as a program: signals, serving, and the counters at the end."""
         self.handle_signals(self.event_loop.loop)
         gc.collect()
-        gc.freeze()  # what lives as long as the program need not be looked through again and again
+        gc.freeze()  # objects of the program's lifetime need not be traversed at each collection
         try:
             await self.run()
         finally:
--- a/cottonhold/node/http_client.py
+++ b/cottonhold/node/http_client.py
@@ -105,7 +105,7 @@
         self.sock = self.pipe = None
 
     async def _open(self, address: Address) -> None:
-        self.sock, self.address = await self.driver.dial(address, CONNECT_S), address
+        self.sock, self.address = await self.driver.connector.dial(address, CONNECT_S), address
         if self.tls is not None:
             self.pipe = pipe = TlsPipe(self.tls.context(), self.tls.server_name or address.host)
             async with asyncio.timeout(CONNECT_S):
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -1,6 +1,11 @@
-"""Whether this process serves, drains or leaves: one small state that all ask and change here alone.
+"""Whether this process serves, drains or shuts down: one small state that all ask and change here alone.
 
-Knows no clock and no socket. Times are milliseconds on the caller's clock.
+Knows no clock and no socket. Times are milliseconds on the caller's clock; infinity where not begun.
+
+| phase | from | queries accepted | new clients | idle connections closed |
+| --- | --- | --- | --- | --- |
+| draining | drain | 1.5 s | yes | from 0.5 s on |
+| shutting down | SIGTERM | long ones 0.4 s, others to the end | 0.8 s | from 0.6 s on |
 """
 
 from __future__ import annotations
@@ -8,21 +13,21 @@
 import math
 from enum import Enum
 
-# A front that asks every 0.1 s hears the no and still sends new connections for 0.2 s.
-IDLE_MS = 500.0  # into a drain, from which on idle connections are closed
-TAKE_MS = 1500.0  # into a drain, to which queries are taken: at 4 s none younger than 2 s may be held
-# After SIGTERM new connections come for 0.4 s, and requests on open ones for 0.2 s more.
-LONG_MS = 400.0  # into leaving, to which long queries are taken: 0.7 s, less what a busy loop is late by
-SETTLED_MS = 600.0  # into leaving, from which on idle connections are closed
-LEAVE_MS = 800.0  # into leaving, to which new clients are taken in
-# SIGKILL comes no sooner than the longest deadline, or 3 s where that is longer, and 0.7 s after SIGTERM.
-MOST_DEADLINE_MS, KILL_GRACE_MS = 3000.0, 700.0
-KILL_MARGIN_MS = 200.0  # so long before SIGKILL the last request has its answer: a busy loop is late by this
-CLOSING_MS = 100.0  # and so long before that the last connection is closed, so that its client sees it
+# A load balancer that asks every 0.1 s still sends new connections for 0.2 s after a failed health check.
+DRAIN_IDLE_CLOSE_MS = 500.0  # into a drain, from which on idle connections are closed
+DRAIN_ACCEPT_QUERIES_MS = 1500.0  # into a drain: at 4 s none younger than 2 s may be queued
+# After SIGTERM new connections arrive for 0.4 s, and requests on open ones for 0.2 s more.
+SHUTDOWN_ACCEPT_LONG_MS = 400.0  # to which long queries are accepted: 0.7 s, less a busy loop's lag
+SHUTDOWN_IDLE_CLOSE_MS = 600.0  # from which on idle connections are closed
+SHUTDOWN_ACCEPT_CLIENTS_MS = 800.0  # to which new clients are accepted
+# SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s after SIGTERM.
+MAX_KILL_DEADLINE_MS, KILL_GRACE_MS = 3000.0, 700.0
+KILL_MARGIN_MS = 200.0  # before SIGKILL the last request has its response: a busy loop is late by this
+CLOSE_MARGIN_MS = 100.0  # and before that the last connection is closed, so that its client sees it
 
 
 class Phase(Enum):
-    """What this process is about, as operators see it."""
+    """What this process is about; the values are told to operators and clients."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -30,84 +35,76 @@
 
 
 class Lifecycle:
-    """The one owner of serving, draining and leaving."""
+    """The one owner of serving, draining and shutting down."""
 
     def __init__(self) -> None:
         self.draining_since = self.shutdown_since = self.kill_deadline = math.inf
 
     def phase(self) -> Phase:
-        """The word for it."""
+        """The phase; a shutdown hides a drain."""
         if self.shutdown_since < math.inf:
             return Phase.SHUTTING_DOWN
         return Phase.SERVING if self.draining_since == math.inf else Phase.DRAINING
 
-    # --- changes ---
-
     def drain(self, now: float) -> bool:
-        """Take no more work; whether that changed anything."""
+        """Accept no more work; whether that changed anything."""
         changed = self.draining_since == math.inf
         self.draining_since = min(self.draining_since, now)
         return changed
 
     def restore(self) -> bool:
-        """Work again. A process that leaves does not come back: false."""
+        """End a drain; false while shutting down, which can't be undone."""
         if self.shutdown_since < math.inf:
             return False
         self.draining_since = math.inf
         return True
 
-    def begin_shutdown(self, now: float, longest: float) -> None:
-        """End. A drain holds on: its clients have gone elsewhere. `longest`: the longest deadline in force; a
-        further order, or other settings, change nothing any more.
+    def begin_shutdown(self, now: float, max_deadline_ms: float) -> None:
+        """Shut down. `max_deadline_ms` is the longest deadline in force, and bounds when SIGKILL may come.
 
-        Danger: with a fixed time for SIGKILL, and deadlines of less than 3 s, it came while requests still
-        waited for their answers.
+        A drain holds on: its clients have gone elsewhere. A further order, or other settings, change nothing.
         """
         if self.shutdown_since == math.inf:
             self.shutdown_since = now
-            self.kill_deadline = now + min(longest, MOST_DEADLINE_MS) + KILL_GRACE_MS
-
-    # --- questions ---
+            self.kill_deadline = now + min(max_deadline_ms, MAX_KILL_DEADLINE_MS) + KILL_GRACE_MS
 
     def answer_deadline(self) -> float:
-        """By when all that was taken has its answer."""
+        """By when all accepted requests have their responses."""
         return self.kill_deadline - KILL_MARGIN_MS
 
     def close_deadline(self) -> float:
-        """From when on every connection without an open request is closed, however lately it was heard."""
-        return self.answer_deadline() - CLOSING_MS
+        """From when on every connection without an open request is closed, however recently active."""
+        return self.answer_deadline() - CLOSE_MARGIN_MS
 
     def accept_deadline(self) -> float:
-        """To when new clients are taken in."""
-        return min(self.shutdown_since + LEAVE_MS, self.close_deadline())
+        """To when new clients are accepted."""
+        return min(self.shutdown_since + SHUTDOWN_ACCEPT_CLIENTS_MS, self.close_deadline())
 
     def is_ready(self) -> bool:
-        """Whether to say yes to the front. One that leaves says yes: a newer process may serve beside it."""
+        """Whether health checks succeed. They do while shutting down: a newer process may serve beside it."""
         return self.draining_since == math.inf
 
-    def accepts_query(self, now: float, due: float) -> bool:
-        """Whether a query that comes now and is due then is taken.
+    def accepts_query(self, now: float, deadline: float) -> bool:
+        """Whether a query that arrives now and has until `deadline` is accepted.
 
-        Danger: SIGKILL found one unanswered that came 0.78 s after SIGTERM and could wait for 6 s. Only those
-        that came within 0.7 s may be left so.
+        Only queries that arrive within 0.7 s after SIGTERM may be unanswered at SIGKILL.
         """
-        if now >= self.shutdown_since + LONG_MS and due > self.kill_deadline:
+        if now >= self.shutdown_since + SHUTDOWN_ACCEPT_LONG_MS and deadline > self.kill_deadline:
             return False
-        return now < self.draining_since + TAKE_MS
+        return now < self.draining_since + DRAIN_ACCEPT_QUERIES_MS
 
     def closes_idle(self, now: float) -> bool:
         """Whether connections without an open request are closed."""
-        settled_at = min(self.shutdown_since + SETTLED_MS, self.close_deadline())
-        return now >= min(self.draining_since + IDLE_MS, settled_at)
+        settled_at = min(self.shutdown_since + SHUTDOWN_IDLE_CLOSE_MS, self.close_deadline())
+        return now >= min(self.draining_since + DRAIN_IDLE_CLOSE_MS, settled_at)
 
     def closes_all(self, now: float) -> bool:
-        """Whether every connection without an open request is closed, however lately it was heard."""
+        """Whether every connection without an open request is closed, however recently active."""
         return now >= self.close_deadline()
 
     def closes_answered(self, now: float) -> bool:
-        """Whether a connection is closed right behind its answer.
+        """Whether a connection is closed right after its response, where no request is on its way.
 
-        Danger: clients that never idle kept their connections for good. Behind an answer no request is on its
-        way, so that none meets the close.
+        Clients that are never idle would keep their connections for good.
         """
         return now >= min(self.draining_since, self.shutdown_since)
--- a/cottonhold/node/peer_datagrams.py
+++ b/cottonhold/node/peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between dispatchers."""
+"""Datagrams between dispatchers: whom one is from, and where one goes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from cottonhold.scheduler.actions import SendToPeer
 from cottonhold.scheduler.events import PeerMessage
 
-MOST_BYTES = 256
+MAX_BYTES = 256  # of a datagram, by the platform's rules
 
 
 class PeerDatagrams:
@@ -20,26 +20,26 @@
         addresses: tuple[Address, ...],
         all_peers: Address | None,
         counters: Counters,
-        say: Callable[[str], None] = lambda text: None,
+        log: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self.addresses, self.all_peers, self.counters, self.say = addresses, all_peers, counters, say
+        self.addresses, self.all_peers, self.counters, self.log = addresses, all_peers, counters, log
         self.numbers = {(a.host, a.port): number for number, a in enumerate(addresses)}
 
     def decode(self, data: bytes, sender: tuple[str, int]) -> PeerMessage | None:
-        """A datagram as an event; one of a stranger is passed over."""
+        """A datagram as an event; None for a stranger's."""
         number = self.numbers.get(sender)
-        if number is None or len(data) > MOST_BYTES:
+        if number is None or len(data) > MAX_BYTES:
             self.counters.add("peer_malformed")
-            self.say(f"peers: {len(data)} bytes from {sender[0]}:{sender[1]} are no message of a peer")
+            self.log(f"peers: {len(data)} bytes from {sender[0]}:{sender[1]} are no message of a peer")
             return None
         self.counters.add("peer_received")
         return PeerMessage(number, data)
 
-    def destination(self, tell: SendToPeer) -> Address | None:
-        """Where a message goes; None where it can't: a datagram over the limit would void the run."""
-        if len(tell.payload) > MOST_BYTES:
+    def destination(self, message: SendToPeer) -> Address | None:
+        """Where a message goes; None where it can't: a datagram over the limit would break the rules."""
+        if len(message.payload) > MAX_BYTES:
             self.counters.add("peer_too_long")
             return None
-        if tell.peer is None:
+        if message.peer is None:
             return self.all_peers
-        return self.addresses[tell.peer] if 0 <= tell.peer < len(self.addresses) else None
+        return self.addresses[message.peer] if 0 <= message.peer < len(self.addresses) else None
--- a/cottonhold/node/sibling_processes.py
+++ b/cottonhold/node/sibling_processes.py
@@ -1,7 +1,7 @@
-"""Which processes stand for one dispatcher: seats in $TMPDIR, each a file that its process holds locked.
+"""Which processes stand for one dispatcher: slots in $TMPDIR, each a file that its process holds locked.
 
-In an upgrade a second process serves beside the first, at the same address. The kernel frees a lock with its
-process, however that ends, so a stale file is a free seat. The record in it tells what the process holds.
+In an upgrade a second process serves beside the first, at the same address. The kernel releases a lock with
+its process, however that ends, so a stale file is a free slot. Its record tells what the process holds.
 """
 
 from __future__ import annotations
@@ -12,16 +12,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-SLOTS = 4
+from cottonhold.frontend.connection_ids import SLOTS, ConnectionIdRange
+
 RECORD = struct.Struct(">4sIII?")
 MAGIC = b"CHS1"
-START_BITS, COUNT_BITS = 10, 20  # of a connection's id, with two bits for the seat between them
-PID_MAX = "/proc/sys/kernel/pid_max"
+MAX_START_NUMBER = 0xFFFFFFFF
+PID_MAX_FILE = "/proc/sys/kernel/pid_max"
+MAX_PIDS = 1 << 22  # the most that the kernel gives
+NO_FILE = -1
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessRecord:
-    """What a process tells of itself."""
+    """What a process publishes of itself."""
 
     start_number: int  # numbers the starts under one $TMPDIR
     client_connections: int = 0  # descriptors that it holds for clients
@@ -29,112 +32,89 @@
     is_serving: bool = False
 
     def encode(self) -> bytes:
-        """As it stands in the file."""
+        """The record as it stands in the file."""
         return RECORD.pack(
             MAGIC, self.start_number, self.client_connections, self.engine_connections, self.is_serving
         )
 
     @classmethod
     def decode(cls, data: bytes) -> ProcessRecord | None:
-        """From a file's bytes; None where they are none of ours, or cut off."""
+        """From a file's bytes; None where they are not ours, or cut off."""
         if len(data) != RECORD.size or not data.startswith(MAGIC):
             return None
         return cls(*RECORD.unpack(data)[1:])
 
 
-@dataclass(slots=True, frozen=True)
-class ConnectionIdRange:
-    """The ids that a process gives to its clients' connections: from base + 1 to base + span."""
-
-    base: int = 0
-    count: int = 0xFFFFFFFF
-
-    @classmethod
-    def for_slot(cls, start: int, seat: int) -> ConnectionIdRange:
-        """Danger: KILL QUERY may come to the other process. An id that both give would hit another client's
-        query there. Two living processes hold two seats; a later start on the same seat has another number.
-        """
-        high = (start % (1 << START_BITS)) * SLOTS + seat
-        return cls(high << COUNT_BITS, (1 << COUNT_BITS) - 1)
-
-    @classmethod
-    def for_process(cls, pid: int, most_pids: int) -> ConnectionIdRange:
-        """Without a seat: two living processes differ in their process ids."""
-        bits = 32 - (most_pids - 1).bit_length()
-        return cls(pid << bits, (1 << bits) - 1)
-
-
 class SiblingProcesses:
-    """This process's seat and its view of the others. Without a folder that can be written there is none."""
+    """This process's slot and its view of the others. Without a writable folder there is none."""
 
-    def __init__(self, folder: str | None, name: str, say: Callable[[str], None]) -> None:
-        self.folder, self.name, self.say = folder, name, say
-        self.slot, self.file, self.record = -1, -1, ProcessRecord(0)
+    def __init__(self, folder: str | None, name: str, log: Callable[[str], None]) -> None:
+        self.folder, self.name, self.log = folder, name, log
+        self.slot, self.file, self.record = -1, NO_FILE, ProcessRecord(0)
         self.is_published = True  # the record stands in the file
         if folder is not None:
             try:
-                self._take()
+                self._take_slot()
             except OSError as error:
-                say(f"no seat in $TMPDIR: another process beside this one will not be seen: {error}")
+                log(f"no seat in $TMPDIR: another process beside this one will not be seen: {error}")
 
-    def _path(self, number: int) -> str:
-        return os.path.join(self.folder or "", f"cottonhold-{self.name}.seat{number}")
+    def _path(self, slot: int) -> str:
+        return os.path.join(self.folder or "", f"cottonhold-{self.name}.seat{slot}")
 
-    def _open(self, number: int, flags: int) -> int:
-        return os.open(self._path(number), flags | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
+    def _open(self, slot: int, flags: int) -> int:
+        return os.open(self._path(slot), flags | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
 
-    def _take(self) -> None:
-        last, why = 0, OSError(f"all {SLOTS} seats are held")
-        for number in range(SLOTS):
+    def _take_slot(self) -> None:
+        """Lock the first free slot and publish the next start number there. Raises OSError."""
+        last_start, reason = 0, OSError(f"all {SLOTS} seats are held")
+        for slot in range(SLOTS):
             try:
-                file = self._open(number, os.O_RDWR | os.O_CREAT)
+                file = self._open(slot, os.O_RDWR | os.O_CREAT)
             except OSError as error:
-                why = error
+                reason = error
                 continue
             record = read_record(file)
-            last = max(last, record.start_number if record else 0)
-            if self.file < 0 and try_lock(file, fcntl.LOCK_EX):
-                self.slot, self.file = number, file
+            last_start = max(last_start, record.start_number if record else 0)
+            if self.file == NO_FILE and try_lock(file, fcntl.LOCK_EX):
+                self.slot, self.file = slot, file
             else:
                 os.close(file)
-        if self.file < 0:
-            raise why
-        self.publish(ProcessRecord((last + 1) & 0xFFFFFFFF))
+        if self.file == NO_FILE:
+            raise reason
+        self.publish(ProcessRecord((last_start + 1) & MAX_START_NUMBER))
 
     def connection_ids(self) -> ConnectionIdRange:
-        """The ids of this process's connections."""
-        if self.file >= 0:
+        """The ids of this process's client connections."""
+        if self.file != NO_FILE:
             return ConnectionIdRange.for_slot(self.record.start_number, self.slot)
         try:
-            with open(PID_MAX) as most:
-                return ConnectionIdRange.for_process(os.getpid(), int(most.read()))
+            with open(PID_MAX_FILE) as pid_max:
+                return ConnectionIdRange.for_process(os.getpid(), int(pid_max.read()))
         except (OSError, ValueError):
-            return ConnectionIdRange.for_process(os.getpid(), 1 << 22)  # the most that the kernel gives
+            return ConnectionIdRange.for_process(os.getpid(), MAX_PIDS)
 
     def publish(self, record: ProcessRecord) -> None:
-        """Write what this process holds now; what could not be written is tried again with the next call.
-
-        Danger: a full or broken disk ended the program at its start, or later the timer that looks beside.
-        """
-        if self.file < 0 or record == self.record and self.is_published:
+        """Write what this process holds now; a full or broken disk is logged once, and tried again with the
+        next call."""
+        if self.file == NO_FILE or record == self.record and self.is_published:
             return
-        self.record, was_written = record, self.is_published
+        self.record, was_published = record, self.is_published
         try:
             self.is_published = os.pwrite(self.file, record.encode(), 0) == RECORD.size
-            why = "cut off"
+            reason = "cut off"
         except OSError as error:
-            self.is_published, why = False, str(error)
-        if was_written and not self.is_published:
-            self.say(f"seat in $TMPDIR: what this process holds can't be told to others: {why}")
+            self.is_published, reason = False, str(error)
+        if was_published and not self.is_published:
+            self.log(f"seat in $TMPDIR: what this process holds can't be told to others: {reason}")
 
     def others(self) -> list[ProcessRecord]:
-        """What the other living processes tell of themselves."""
+        """What the other living processes publish of themselves."""
         found = []
-        for number in range(SLOTS if self.file >= 0 else 0):
-            if number == self.slot:
+        for slot in range(SLOTS if self.file != NO_FILE else 0):
+            if slot == self.slot:
                 continue
             try:
-                file = self._open(number, os.O_RDONLY)
+                file = self._open(slot, os.O_RDONLY)
             except OSError:
                 continue
             try:
@@ -146,9 +126,8 @@
 
     def is_newer_starting(self) -> bool:
         """Whether a process that was started later does not serve yet."""
-        return any(
-            other.start_number > self.record.start_number and not other.is_serving for other in self.others()
-        )
+        own_start = self.record.start_number
+        return any(other.start_number > own_start and not other.is_serving for other in self.others())
 
 
 def read_record(file: int) -> ProcessRecord | None:
@@ -159,13 +138,13 @@
         return None
 
 
-def try_lock(file: int, how: int) -> bool:
+def try_lock(file: int, operation: int) -> bool:
     """Whether the lock on an open file could be had; it is held until the file is closed.
 
-    Where locks fail altogether, somebody else may well have it.
+    Where locks fail altogether, another process may well hold it: false.
     """
     try:
-        fcntl.flock(file, how | fcntl.LOCK_NB)
+        fcntl.flock(file, operation | fcntl.LOCK_NB)
     except OSError:
         return False
     return True
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -134,7 +134,7 @@
             found = error.kept if error is not None else {}
             loads = found.get(Kind.LOAD, {})
             self.unkept = unkept_guard(self.installation, loads, self.event_loop.clock, self.counters)
-            self.gateway.load_guard = self.unkept
+            self.gateway.notifications.load_guard = self.unkept
             self._hold_drained(found.get(Kind.DRAIN, {}))
         if self.opening.over:
             self.event_loop.clock.call_in(LEDGER_MS, self._open_again)
@@ -160,7 +160,7 @@
         )
         if self.unkept is not None:  # retries count from when they were first heard of
             self.recovery.memory.own.asked.update(self.unkept.memory.own.asked)
-        self.gateway.load_guard = self.recovery.loads
+        self.gateway.notifications.load_guard = self.recovery.loads
         file = self.installation.file
         if fleet is not None and file.sources:
             # Without the ramp nobody would await the answer that proves what is remembered.
@@ -219,7 +219,7 @@
             self.counters,
             self.log.note,
         )
-        self.gateway.load_guard = self.pins.guard
+        self.gateway.notifications.load_guard = self.pins.guard
 
     def _told(self, member: int, payload: bytes) -> None:
         """Bytes from another instance go to the part that they are for."""
@@ -240,7 +240,7 @@
             ),
             clock,
             self.counters,
-            self.event_loop.send_datagram,
+            self.event_loop.datagrams.send,
             self.engines.check_health,
             self._learned,
             self.log.note,
@@ -261,7 +261,7 @@
                 self.engines.check_health,
                 self.installation.file.number,
             )
-            gateway.observer = self.fleet
+            gateway.notifications.observer = self.fleet
         rim.told, rim.joined = self._told, self._joined
 
     def _joined(self) -> None:
@@ -545,7 +545,7 @@
         if new.config.event_stream is not None:
             self.event_stream.host = new.config.event_stream.host
             self.event_stream_task = self.event_loop.spawn(
-                self.event_loop.follow_event_stream(self.event_stream, new.config.event_stream)
+                self.event_loop.event_stream.follow(self.event_stream, new.config.event_stream)
             )
 
     def _reload_entry(self, old: Installation, new: Installation) -> None:
--- a/cottonhold/node/status.py
+++ b/cottonhold/node/status.py
@@ -57,7 +57,7 @@
     try:
         while True:
             # Danger: one moment without a descriptor closed this socket for the program's life.
-            client = await driver.accept_one(sock, "status_accept", "local calls")
+            client = await driver.listener.accept_one(sock, "status_accept", "local calls")
             driver.spawn(_serve_one(driver, client, answer))
     finally:
         sock.close()
--- /dev/null
+++ b/cottonhold/transport/event_stream_client.py
@@ -0,0 +1,74 @@
+"""Follows the event stream of engines by long polls."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import socket
+
+from cottonhold.discovery.bus import ANSWER_MS, MOST_ANSWER_MS, Bus
+from cottonhold.discovery.model import Address
+from cottonhold.message_validation import WireError
+from cottonhold.transport.connector import Connector
+from cottonhold.transport.io_context import IoContext
+
+READ_BYTES = 32768
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0
+
+
+class EventStreamClient:
+    """Keeps a long poll open; owns its socket."""
+
+    def __init__(self, context: IoContext, connector: Connector) -> None:
+        self.context, self.connector = context, connector
+
+    async def follow(self, bus: Bus, address: Address) -> None:
+        """Poll until cancelled; a broken connection is opened anew, with exponential backoff."""
+        backoff_s = INITIAL_BACKOFF_S
+        while True:
+            sock = None
+            try:
+                sock = await self.connector.dial(address, ANSWER_MS / 1000)
+                bus.restart()
+                while bus.keep:
+                    backoff_s = await self._poll_once(bus, sock, backoff_s)
+            except (OSError, WireError) as error:
+                self.context.counters.add("bus_broken")
+                self.context.log(f"event bus: {type(error).__name__}: {error}")
+            except Exception as error:
+                self.context.counters.add("bus_faults")
+                self.context.log(f"event bus: {type(error).__name__}: {error}")
+            finally:
+                if sock is not None:
+                    sock.close()
+            backoff_s = await self._back_off(backoff_s)
+
+    async def _poll_once(self, bus: Bus, sock: socket.socket, backoff_s: float) -> float:
+        """One poll, with a pause behind it where the source did not hold it; returns the next backoff."""
+        began, known = self.context.loop.time(), bus.offset
+        await self._poll(bus, sock)
+        if bus.offset > known or self.context.loop.time() - began > MAX_BACKOFF_S:
+            return INITIAL_BACKOFF_S
+        return await self._back_off(backoff_s)
+
+    async def _back_off(self, backoff_s: float) -> float:
+        """Wait before the next poll; returns the next backoff. Jitter spreads clients that broke together."""
+        await asyncio.sleep(backoff_s * (0.5 + 0.5 * random.random()))
+        return min(backoff_s * 2, MAX_BACKOFF_S)
+
+    async def _poll(self, bus: Bus, sock: socket.socket) -> None:
+        """One request and its answer, which may arrive slowly as long as it arrives."""
+        loop = self.context.loop
+        buffer = bytearray(READ_BYTES)
+        deadline = loop.time() + bus.limit_ms() / 1000
+        async with asyncio.timeout_at(deadline) as timeout:
+            await loop.sock_sendall(sock, bus.request())
+            is_complete = False
+            while not is_complete:
+                count = await loop.sock_recv_into(sock, buffer)
+                if count == 0:
+                    bus.end()
+                    return
+                extended = min(loop.time() + ANSWER_MS / 1000, deadline + MOST_ANSWER_MS / 1000)
+                timeout.reschedule(max(deadline, extended))
+                is_complete = bus.receive(bytes(memoryview(buffer)[:count]))
--- a/tests/backend/test_attempt_begin.py
+++ b/tests/backend/test_attempt_begin.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import LEAST_MS, Attempt
+from cottonhold.backend.attempt import Attempt
+from cottonhold.backend.connection_pool import MIN_ATTEMPT_MS
 from cottonhold.scheduler.events import EngineState, Outcome
 from tests.support.scenario import World
 
@@ -24,7 +25,7 @@
 
 
 def time_is_over(world: World, attempt: Attempt) -> None:
-    attempt.deadline = world.clock.now() + LEAST_MS / 2
+    attempt.deadline = world.clock.now() + MIN_ATTEMPT_MS / 2
 
 
 def client_left(world: World, attempt: Attempt) -> None:
--- a/tests/config/test_bad_relay.py
+++ b/tests/config/test_bad_relay.py
@@ -36,7 +36,7 @@
     except (WireError, ValueError, TypeError):  # what load gives out as ConfigError
         return
     world = World(config.settings)
-    world.run("c1 query lookup r1" if "lookup" in world.gateway.class_indexes else "")
+    world.run("c1 query lookup r1" if "lookup" in world.gateway.decoder.class_indexes else "")
     world.wait(50.0)
     assert untroubled(world), world.log
     Scheduler(config.settings, 1)
--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -18,7 +18,7 @@
 from cottonhold.scheduler.actions import SendToPeer, UpdateAttempt
 from cottonhold.scheduler.events import PeerMessage
 from cottonhold.scheduler.settings import Idempotency, Rules, Tenant
-from cottonhold.transport.event_loop import LoopClock
+from cottonhold.transport.clock import LoopClock
 from tests.conformance.rows import Direct, Machine, Row
 from tests.support.scenario import LOGIN, PERMITS, READ, SETTINGS, Client, World, packet
 
--- a/tests/conformance/sockets.py
+++ b/tests/conformance/sockets.py
@@ -34,7 +34,7 @@
         for number, client in enumerate(clients):
             client.ask(number)
         rig.faults.plan("accept", errno.ECONNABORTED, OK, errno.ENFILE)
-        await rig.driver.accept_queued(rig.listener, rig.world.front)
+        await rig.driver.listener.accept_queued(rig.listener, rig.world.front)
         rig.listener.close()
         for number, client in enumerate(clients):
             await rig.serve(number)
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -34,6 +34,7 @@
 from cottonhold.fleet.zone_failover import messages as zone_messages
 from cottonhold.fleet.zone_failover import operator_overrides, quota_lending
 from cottonhold.fleet_adapters import membership as membership_adapter
+from cottonhold.frontend.connection_ids import ConnectionIdRange
 from cottonhold.membership import codec
 from cottonhold.membership import leases as membership_leases
 from cottonhold.membership.codec import Codec, Keys, Kind, Status, Update, encode_update
@@ -372,7 +373,7 @@
     "boot file": lambda: boot_file.Life(9, 3, 77).pack(),
     "boot file of an open life": lambda: boot_file.Life(9, 3, -1).pack(),
     "seat record": lambda: sibling_processes.ProcessRecord(5, 6, 7, True).encode(),
-    "connection ids": lambda: sibling_processes.ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
+    "connection ids": lambda: ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
 }
 
 
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -28,8 +28,8 @@
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
 from cottonhold.membership.codec import Status
-from cottonhold.node.gateway import LoadOutcome
 from cottonhold.node.lifecycle import Phase
+from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
 from cottonhold.scheduler.events import EngineState, Outcome
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cottonhold import simulator_adapter
-from cottonhold.backend.connection_pool import Connection
+from cottonhold.backend.connection import Connection
 from cottonhold.backend.resp import RespReader
 from cottonhold.discovery.bus import Bus
 from cottonhold.discovery.consul.answers import Answers
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -12,7 +12,7 @@
 from cottonhold.backend.resp import RespError, RespReader, encode, read_count, read_fields, read_rows
 from cottonhold.discovery.bus import Bus
 from cottonhold.discovery.model import Address, Names
-from cottonhold.frontend.mysql_session import MOST_PACKET
+from cottonhold.frontend.mysql_session import MAX_PACKET_BYTES
 from cottonhold.frontend.query_comment import FieldError, parse
 from cottonhold.node.admin_api import AdminApi
 from cottonhold.node.peer_datagrams import PeerDatagrams
@@ -53,7 +53,7 @@
     for at in range(0, len(data), pieces):
         session.receive(data[at : at + pieces])
         world.wait(0)
-    assert len(session.buffer) <= MOST_PACKET + 4 and untroubled(world)
+    assert len(session.buffer) <= MAX_PACKET_BYTES + 4 and untroubled(world)
     session.on_closed()
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
 
@@ -191,7 +191,7 @@
 def test_what_is_malformed_is_counted_and_told_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
     """All of it within one moment: the log's bucket is never filled again."""
     log, world = Log(seconds=lambda: 0.0), World(engines="a")
-    world.gateway.say = world.engines.say = log.say
+    world.gateway.log = world.engines.log = log.say
     peers = PeerDatagrams((Address("a", 1),), None, world.counters, log.say)
     entries = [{"instanceId": "s-1", "lifecycle": "Odd"}] * 50
     answer = orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": entries}}]})
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -12,7 +12,7 @@
 from cottonhold.node.gateway import Gateway
 from cottonhold.scheduler import retry_policy, slow_start
 from cottonhold.scheduler.state import Query
-from cottonhold.transport import event_loop
+from cottonhold.transport import io_context
 from tests.conformance import protocol, sockets, wire
 from tests.conformance.rows import Row
 
@@ -40,7 +40,7 @@
 DEFECTS: list[tuple[type | object, str, Any, str]] = [
     (
         EngineConnections,
-        "_open_place",
+        "_open_endpoint",
         lambda self, engine: self.endpoints.get(engine),
         "pro-bus-told-connect",
     ),
@@ -53,8 +53,8 @@
     (slow_start, "barred", lambda gateway, query, engine: False, "wire-cold-budget"),
     (Gateway, "is_wanted", lambda self, attempt: True, "pro-kill-connect pro-kill-connect-kept"),
     (Query, "window_end", lambda self: math.inf, "pro-window-connect wire-keyed-window-over"),
-    (peer_datagrams, "MOST_BYTES", 300, "pro-peer-most"),
-    (event_loop, "RESOURCE_ERRORS", frozenset(), "pro-sock-whole"),
+    (peer_datagrams, "MAX_BYTES", 300, "pro-peer-most"),
+    (io_context, "RESOURCE_ERRORS", frozenset(), "pro-sock-whole"),
     (lifecycle, "KILL_MARGIN_MS", -3000.0, "pro-term-short"),
 ]
 
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -98,8 +98,8 @@
         log = StructuredLog("logfmt", settings.per_second, settings.burst, installation.secrets, self.log)
         self.node = ServedInstallation(self.path, installation, log, asyncio.get_running_loop())
         driver = self.node.event_loop
-        self.listener = driver.listen(self.node.config.listen.__class__("127.0.0.1", 0))
-        driver.spawn(driver.accept(self.listener, self.node.sessions))
+        self.listener = driver.listener.listen(self.node.config.listen.__class__("127.0.0.1", 0))
+        driver.spawn(driver.listener.accept(self.listener, self.node.sessions))
         self.node.follow_sources()
 
     def states(self) -> dict[str, EngineState]:
--- a/tests/discovery/test_event_stream.py
+++ b/tests/discovery/test_event_stream.py
@@ -15,8 +15,9 @@
 from cottonhold.discovery.bus import ANSWER_MS, FIRST_HOLD_MS, HOLD_MS, Bus
 from cottonhold.discovery.model import Address, Names, Report
 from cottonhold.observe.counters import Counters
-from cottonhold.transport import event_loop as driver_module
-from cottonhold.transport.event_loop import BACKOFF_S, EventLoop
+from cottonhold.transport import event_stream_client as client_module
+from cottonhold.transport.event_loop import EventLoop
+from cottonhold.transport.event_stream_client import INITIAL_BACKOFF_S, EventStreamClient
 
 BREAK_TOLD_MS, RELOAD_TOLD_MS, STOP_TOLD_MS = 2000.0, 4000.0, 2000.0  # when news counts as told
 LIMIT_MS = 300.0  # of a call that an answer outlasts
@@ -71,7 +72,7 @@
     async def play(self, *scripts: Play) -> None:
         """Follow the bus until every script has been played to its end."""
         host, port = self.listener.getsockname()
-        following = self.loop.create_task(self.driver.follow_event_stream(self.bus, Address(host, port)))
+        following = self.loop.create_task(self.driver.event_stream.follow(self.bus, Address(host, port)))
         held = []
         for script in scripts:
             sock, _ = await self.loop.sock_accept(self.listener)
@@ -122,12 +123,12 @@
     monkeypatch.setattr(watch, "HOLD_MS", 2 * SHORT_MS)
     monkeypatch.setattr(watch, "FIRST_HOLD_MS", SHORT_MS)
     monkeypatch.setattr(watch, "ANSWER_MS", SHORT_MS)
-    monkeypatch.setattr(driver_module, "ANSWER_MS", SHORT_MS)
+    monkeypatch.setattr(client_module, "ANSWER_MS", SHORT_MS)
 
 
 def test_a_dead_link_is_left_within_what_counts_as_told() -> None:
     """A break, or a new bus, may be followed by one connection that comes up and says nothing."""
-    pause = 1000 * BACKOFF_S
+    pause = 1000 * INITIAL_BACKOFF_S
     assert pause + FIRST_HOLD_MS + ANSWER_MS + 2 * pause < BREAK_TOLD_MS < RELOAD_TOLD_MS
     assert HOLD_MS + ANSWER_MS + pause < HOLD_MS + STOP_TOLD_MS
 
@@ -215,9 +216,9 @@
 
 def test_a_bus_that_holds_no_call_is_asked_ever_less_often(monkeypatch: pytest.MonkeyPatch) -> None:
     pauses: list[float] = []
-    real = EventLoop._back_off
+    real = EventStreamClient._back_off
 
-    async def noted(self: EventLoop, pause: float) -> float:
+    async def noted(self: EventStreamClient, pause: float) -> float:
         pauses.append(pause)
         return await real(self, pause)
 
@@ -234,7 +235,7 @@
 
     async def story() -> Rig:
         rig = Rig()
-        monkeypatch.setattr(EventLoop, "_back_off", noted)
+        monkeypatch.setattr(EventStreamClient, "_back_off", noted)
         monkeypatch.setattr(asyncio, "sleep", no_sleep)
         await rig.play(empty, saying(answer(4, (4, "Gone"))))
         return rig
@@ -274,7 +275,7 @@
             if following is not None:
                 following.cancel()
             following = rig.loop.create_task(
-                rig.driver.follow_event_stream(rig.bus, Address(*listener.getsockname()))
+                rig.driver.event_stream.follow(rig.bus, Address(*listener.getsockname()))
             )
             if listener is not buses[1]:
                 held.append((await rig.loop.sock_accept(listener))[0])
@@ -304,7 +305,7 @@
         rig = Rig()
         address = rig.listener.getsockname()
         rig.listener.close()
-        following = rig.loop.create_task(rig.driver.follow_event_stream(rig.bus, Address(*address)))
+        following = rig.loop.create_task(rig.driver.event_stream.follow(rig.bus, Address(*address)))
         while rig.counters.counts["bus_broken"] < 3:
             await asyncio.sleep(0.005)
         with socket.create_server(address) as listener:
--- a/tests/discovery/test_start_times.py
+++ b/tests/discovery/test_start_times.py
@@ -15,7 +15,7 @@
 from cottonhold.discovery.start_times import Starts
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import EngineList
-from cottonhold.transport.event_loop import ORIGIN_MS, LoopClock
+from cottonhold.transport.clock import ORIGIN_MS, LoopClock
 from tests.scheduler.test_scheduler import RULES, settings
 
 STEPS = [0.0, 5.0, -5.0, 3600.0, -3600.0]  # seconds that a wall clock is stepped by
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -10,7 +10,7 @@
 from cottonhold.fleet.admission.threshold import Told
 from cottonhold.fleet.coordinator import Fleet, FleetSettings, Priced
 from cottonhold.fleet.zone_failover.operator_overrides import Mode
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.scheduler.actions import DemandEstimate, Reject
 from cottonhold.scheduler.events import AdmissionThreshold
 from cottonhold.scheduler.settings import Features
@@ -111,7 +111,7 @@
     engines: str, price: AdmissionThreshold, heard: list[str]
 ) -> None:
     world, notes = World(engines=engines), Notes()
-    world.gateway.observer = notes
+    world.gateway.notifications.observer = notes
     world.gateway.push(price)
     world.run("c1 query lookup r1 allow=1000")
     world.wait(1200)
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.forwarder import End, Ended
 from cottonhold.fleet.request_forwarding.request_codec import (
@@ -21,8 +21,10 @@
 )
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
-from cottonhold.node.gateway import ClientRequest, Gateway, LoadOutcome
-from cottonhold.node.gateway import LoadOutcomeCallback as Tell
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.gateway import Gateway
+from cottonhold.node.load_guard import LoadOutcome
+from cottonhold.node.load_guard import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import FakeClock
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -8,11 +8,12 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.recovery.load_history import Around, Memory, MemorySettings, Settled
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet_adapters.load_records import Loads
-from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.store.ledger import Health, Ledger, State
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -11,11 +11,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.recovery.load_history import Memory, MemorySettings
 from cottonhold.fleet_adapters import load_records as loads_module
 from cottonhold.fleet_adapters.load_records import Loads, kept_loads
-from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.store.ledger import Health, Ledger, State
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -17,7 +17,7 @@
 from cottonhold.fleet_adapters.load_records import Unkept
 from cottonhold.fleet_adapters.recovery import open_ledger
 from cottonhold.node import standalone_dispatcher as installation_module
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
@@ -95,14 +95,16 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.load_guard, Unkept) and node.recovery is None
+        assert isinstance(node.gateway.notifications.load_guard, Unkept) and node.recovery is None
         for _ in range(20):  # the loop goes on meanwhile
             await asyncio.sleep(0.002)
         assert world.tries == 1, "one try at a time"
         assert len(world.lines()) == 1 and "has not answered" in world.lines()[0]
         world.hangs.set()
         await kept(node)
-        assert node.gateway.load_guard is not None and not isinstance(node.gateway.load_guard, Unkept)
+        assert node.gateway.notifications.load_guard is not None and not isinstance(
+            node.gateway.notifications.load_guard, Unkept
+        )
         end(node)
 
     play(story)
@@ -120,7 +122,7 @@
             if world.tries == 2 and len(world.lines()) == 2:
                 break
             await asyncio.sleep(0.002)
-        assert isinstance(node.gateway.load_guard, Unkept) and world.tries == 2
+        assert isinstance(node.gateway.notifications.load_guard, Unkept) and world.tries == 2
         assert ["planted" in world.lines()[0], "has not answered" in world.lines()[1]] == [True, True]
         world.hangs.set()
         await kept(node)
@@ -145,7 +147,7 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.load_guard, Unkept)
+        assert isinstance(node.gateway.notifications.load_guard, Unkept)
         await kept(node)
         assert world.tries == len(errors) + 1 and len(world.lines()) == 1
         end(node)
@@ -176,7 +178,7 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.load_guard, Unkept) and len(world.lines()) == 1
+        assert isinstance(node.gateway.notifications.load_guard, Unkept) and len(world.lines()) == 1
         assert str(folder) in world.lines()[0]
         folder.rename(folder.with_name("away"))
         await kept(node)
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.discovery.model import Address
 from cottonhold.fleet.coordinator import Fleet, FleetSettings
 from cottonhold.fleet.zone_failover.evacuation import Phase
@@ -22,7 +22,7 @@
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.swim import Datagram, Heard, Send, Swim, SwimSettings
 from cottonhold.node import status
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AttemptEnded, Outcome
 from cottonhold.transport.event_loop import EventLoop
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -10,16 +10,19 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Connection, EngineConnections
+from cottonhold.backend.connection import Connection
+from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.backend.resp import RespReader, encode
 from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, Change
-from cottonhold.frontend.mysql_session import EOF, ClientSessions
+from cottonhold.frontend.client_sessions import ClientSessions
+from cottonhold.frontend.mysql_packets import EOF
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Engine
-from cottonhold.transport.event_loop import EventLoop, Stream
+from cottonhold.transport.event_loop import EventLoop
+from cottonhold.transport.stream import Stream
 from tests.frontend.test_client_departure import SITES
 from tests.support.scenario import LOGIN, packet
 
@@ -48,7 +51,7 @@
 
     def connect(self, address: Address, connection: Connection) -> Stream:
         self.connecting.append(connection)
-        return Stream(self.driver, connection, 4096)
+        return Stream(self.driver.streams, connection, 4096)
 
     def come_up(self) -> None:
         """The engine takes the connection that waits for it."""
@@ -65,7 +68,7 @@
         far = socket.create_connection(self.listener.getsockname())
         near, _ = self.listener.accept()
         near.setblocking(False)
-        self.driver._admit(near, self.front.open())
+        self.driver.listener.admit(near, self.front.open())
         far.setblocking(False)
         data = packet(1, LOGIN)
         for query in queries:
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -10,8 +10,22 @@
 from cottonhold.config.relay import decode
 from cottonhold.discovery.model import Address
 from cottonhold.message_validation import WireError
-from cottonhold.node.admin_api import CALL_MS, MOST_BODY, MOST_HEAD, AdminApi, AdminConnection
-from cottonhold.node.lifecycle import IDLE_MS, LEAVE_MS, LONG_MS, SETTLED_MS, TAKE_MS, Lifecycle, Phase
+from cottonhold.node.admin_api import (
+    CALL_TIMEOUT_MS,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    AdminApi,
+    AdminConnection,
+)
+from cottonhold.node.lifecycle import (
+    DRAIN_ACCEPT_QUERIES_MS,
+    DRAIN_IDLE_CLOSE_MS,
+    SHUTDOWN_ACCEPT_CLIENTS_MS,
+    SHUTDOWN_ACCEPT_LONG_MS,
+    SHUTDOWN_IDLE_CLOSE_MS,
+    Lifecycle,
+    Phase,
+)
 from cottonhold.observe.counters import Counters
 from cottonhold.transport.event_loop import EventLoop
 from tests.support.scenario import FakeLine, World
@@ -120,14 +134,14 @@
     assert (
         lifecycle.is_ready()
         and lifecycle.accepts_query(1e9, 0.0)
-        and not lifecycle.closes_idle(100.0 + SETTLED_MS - 1)
-    )
-    assert lifecycle.accepts_query(100.0 + LONG_MS - 1, 1e9) and not lifecycle.accepts_query(
-        100.0 + LONG_MS, 1e9
+        and not lifecycle.closes_idle(100.0 + SHUTDOWN_IDLE_CLOSE_MS - 1)
     )
-    assert lifecycle.accepts_query(100.0 + LEAVE_MS, 3800.0) and not lifecycle.accepts_query(
-        100.0 + LEAVE_MS, 3801.0
+    assert lifecycle.accepts_query(100.0 + SHUTDOWN_ACCEPT_LONG_MS - 1, 1e9) and not lifecycle.accepts_query(
+        100.0 + SHUTDOWN_ACCEPT_LONG_MS, 1e9
     )
+    assert lifecycle.accepts_query(
+        100.0 + SHUTDOWN_ACCEPT_CLIENTS_MS, 3800.0
+    ) and not lifecycle.accepts_query(100.0 + SHUTDOWN_ACCEPT_CLIENTS_MS, 3801.0)
     assert (lifecycle.kill_deadline, lifecycle.answer_deadline(), lifecycle.accept_deadline()) == (
         3800.0,
         3600.0,
@@ -138,10 +152,10 @@
     assert (
         not lifecycle.is_ready()
         and lifecycle.closes_answered(200.0)
-        and lifecycle.closes_idle(200.0 + IDLE_MS)
+        and lifecycle.closes_idle(200.0 + DRAIN_IDLE_CLOSE_MS)
     )
-    assert lifecycle.accepts_query(200.0 + TAKE_MS - 1, 0.0) and not lifecycle.accepts_query(
-        200.0 + TAKE_MS, 0.0
+    assert lifecycle.accepts_query(200.0 + DRAIN_ACCEPT_QUERIES_MS - 1, 0.0) and not lifecycle.accepts_query(
+        200.0 + DRAIN_ACCEPT_QUERIES_MS, 0.0
     )
 
 
@@ -152,7 +166,7 @@
     """An operator's end of a call."""
 
     def __init__(self, call: AdminConnection) -> None:
-        self.call, call.stream = call, self  # type: ignore[assignment]
+        self.call, call.stream = call, self
 
     def abort(self) -> None:
         self.call.on_closed()
@@ -187,12 +201,12 @@
         (b"GET /healthcheck HTTP/1.1\r\nHost x\r\n\r\n", "400 Bad Request"),
         (b"POST /healthcheck/ok HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "400 Bad Request"),
         (
-            b"GET /healthcheck HTTP/1.1\r\nX: " + b"a" * MOST_HEAD + b"\r\n\r\n",
+            b"GET /healthcheck HTTP/1.1\r\nX: " + b"a" * MAX_HEAD_BYTES + b"\r\n\r\n",
             "431 Request Header Fields Too Large",
         ),
         (
             b"POST /healthcheck/fail HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n"
-            + bytes(MOST_HEAD + MOST_BODY),
+            + bytes(MAX_HEAD_BYTES + MAX_BODY_BYTES),
             "413 Content Too Large",
         ),
         (b"GET /healthcheck HTTP/1.1\r\nHo", ""),
@@ -231,7 +245,7 @@
     quick = Caller(shared.open())
     assert silent.call.is_closed and not half.call.is_closed  # the oldest made room
     assert quick.status(b"GET /healthcheck HTTP/1.1\r\n\r\n") == "200 OK"
-    world.wait(CALL_MS)
+    world.wait(CALL_TIMEOUT_MS)
     assert half.status() == "408 Request Timeout"
     Caller(shared.open())
     assert len(shared.connections) == 2 and half.call.is_closed  # one that is answered makes room first
@@ -244,8 +258,8 @@
     async def scenario() -> bytes:
         world, driver = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
         shared = calls(world, most=1)
-        listener = driver.listen(Address("127.0.0.1", 0))
-        accepting = driver.spawn(driver.serve_admin_api(listener, shared))
+        listener = driver.listener.listen(Address("127.0.0.1", 0))
+        accepting = driver.spawn(driver.listener.serve_admin_api(listener, shared))
         caller = socket.create_connection(listener.getsockname())
         while len(shared.connections) < 1:
             await asyncio.sleep(0)
@@ -282,7 +296,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             clients = [socket.create_connection(listener.getsockname()) for _ in range(5)]
-            await driver.accept_queued(listener, world.front)
+            await driver.listener.accept_queued(listener, world.front)
         taken = len(world.front.sessions)
         for client in clients:
             client.close()
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -6,9 +6,11 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import IDLE_MARGIN_MS, MOST_GIVEN_UP
-from cottonhold.frontend.mysql_session import CHECK_MS, MOST_PACKET
-from cottonhold.node.lifecycle import LEAVE_MS
+from cottonhold.backend.connection_pool import MAX_ABANDONED_IDS
+from cottonhold.backend.endpoint import IDLE_MARGIN_MS
+from cottonhold.frontend.client_sessions import CHECK_INTERVAL_MS
+from cottonhold.frontend.mysql_session import MAX_PACKET_BYTES
+from cottonhold.node.lifecycle import SHUTDOWN_ACCEPT_CLIENTS_MS
 from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import LOGIN, Client, World, packet
 
@@ -299,7 +301,7 @@
     world.run("e1 send r7 served count=1 a|b|c/")
     assert b"%016x" % 7 in connection.abandoned_ids  # another copy of its answer may follow
     world.wait(300)
-    assert list(connection.abandoned_ids) == [b"%016x" % n for n in range(1000 - MOST_GIVEN_UP, 1000)]
+    assert list(connection.abandoned_ids) == [b"%016x" % n for n in range(1000 - MAX_ABANDONED_IDS, 1000)]
 
 
 def test_engines_that_left_are_forgotten_with_their_connections() -> None:
@@ -363,7 +365,7 @@
         (packet(1, LOGIN.replace(b"app\0\0", b"app\0\x02xy")), 1045),
         (packet(1, LOGIN.replace(b"dw", b"dx")), 1049),
         (packet(7, LOGIN), 1156),
-        ((MOST_PACKET + 1).to_bytes(3, "little") + b"\x01", 1153),
+        ((MAX_PACKET_BYTES + 1).to_bytes(3, "little") + b"\x01", 1153),
     ],
 )
 def test_a_bad_login_is_told_why_and_closed(data: bytes, error: int) -> None:
@@ -407,10 +409,10 @@
 def test_the_connection_that_has_been_silent_longest_is_asked_first() -> None:
     world = World(engines="a b")
     world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=0.06)
-    world.engines.liveness_budget = 0.0
+    world.engines.liveness_budget.available = 0.0
     world.run("e1 will mute\nc1 query load r1 allow=20000\ne1 expect GET *\ntime wait 300")
     world.run("c2 query load r2 allow=20000\ne2 expect GET *\ntime wait 3000\nc1 expect nothing")
-    world.engines.liveness_budget = 1.0
+    world.engines.liveness_budget.available = 1.0
     world.run("time wait 1000\nc1 expect error 1105 *may have run*\nc2 expect nothing")
 
 
@@ -482,14 +484,14 @@
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     session = world.clients["c1"].session
     for _ in range(8):
-        session.receive(packet(0, b"\x03" + bytes(MOST_PACKET - 1)))
-    assert session.is_closing and not session.commands and len(session.buffer) <= 2 * MOST_PACKET
+        session.receive(packet(0, b"\x03" + bytes(MAX_PACKET_BYTES - 1)))
+    assert session.is_closing and not session.commands and len(session.buffer) <= 2 * MAX_PACKET_BYTES
 
 
 def test_leaving_answers_what_is_open_then_closes() -> None:
     world = World().run("c1 query load r1 allow=20000\ne1 expect GET *\nc2 send 010000000e")
     world.run("ops leave")
-    world.wait(LEAVE_MS + CHECK_MS)
+    world.wait(SHUTDOWN_ACCEPT_CLIENTS_MS + CHECK_INTERVAL_MS)
     assert [c.session.is_closing for c in world.clients.values()] == [False, True]
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c\nc1 closing")
     assert world.gateway.open_count == 0
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Attempt
-from cottonhold.node.gateway import ClientRequest, LoadOutcome, LoadOutcomeCallback
+from cottonhold.backend.attempt import Attempt
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome, LoadOutcomeCallback
 from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import World
 
@@ -51,7 +52,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.gateway.load_guard = self.guard = Guard()
+        self.gateway.notifications.load_guard = self.guard = Guard()
 
     def past_is(self, who: str, rest: str) -> None:
         word, _, ms = rest.partition(" ")
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -6,9 +6,13 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Attempt, Connection, EngineConnections, EngineEndpoint
+from cottonhold.backend.attempt import Attempt
+from cottonhold.backend.connection import Connection
+from cottonhold.backend.connection_pool import EngineConnections
+from cottonhold.backend.endpoint import EngineEndpoint
 from cottonhold.frontend.mysql_session import Session
-from cottonhold.node.gateway import ClientRequest, LoadOutcome, LoadOutcomeCallback
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome, LoadOutcomeCallback
 from cottonhold.scheduler.actions import Action, Reject, Send
 from cottonhold.scheduler.events import Event, Outcome
 from tests.frontend.test_client_departure import SITES, Turns, left_over
@@ -131,7 +135,7 @@
     world.settled()
 
 
-@pytest.mark.parametrize(("name", "allow"), [("_send", 5000), ("_refuse", 20)])
+@pytest.mark.parametrize(("name", "allow"), [("_send", 5000), ("_reject", 20)])
 def test_an_action_that_fails_ends_its_request_only(
     name: str, allow: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -184,7 +188,7 @@
 @pytest.mark.parametrize("end", ["served", "overload", "reset", "left"])
 def test_a_fault_of_who_keeps_loads_costs_no_request_its_answer(fails: str, end: str) -> None:
     world = Turns(SITES["much allowed"])
-    world.gateway.load_guard = BrokenWatch(fails)
+    world.gateway.notifications.load_guard = BrokenWatch(fails)
     world.run("c1 query load r1 allow=1000,effort=20.0")
     if fails in ("on_load_arrived", "before_attempt_sent"):
         world.run("c1 expect error 1105 *\nany nothing there")
@@ -207,14 +211,14 @@
 ) -> None:
     world = Turns(SITES["little allowed"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
     world.run("list tell e1 draining\ne2 will mute\nc1 query load r1 allow=20000\ne2 expect GET r1 *")
-    look_at = EngineConnections._look_at
+    look_at = EngineConnections._needs_liveness_check
 
     def broken(engines: EngineConnections, place: EngineEndpoint, connection: Connection, now: float) -> bool:
         if connection is world.lines[0].connection:
             raise LookupError("planted")
         return look_at(engines, place, connection, now)
 
-    monkeypatch.setattr(EngineConnections, "_look_at", broken)
+    monkeypatch.setattr(EngineConnections, "_needs_liveness_check", broken)
     world.run("time wait 2100\nc1 expect error 1105 *may have run*")
     world.run("e1 send r2 served count=1 a|b|c/\nc2 expect rows a|b|c")
     assert world.counters.counts["check_faults"]
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -255,7 +255,7 @@
         node = Dispatcher(config, counters, asyncio.get_running_loop(), lines)
         before = (
             node.gateway.settings,
-            node.gateway.class_indexes,
+            node.gateway.decoder.class_indexes,
             node.event_stream.host,
             node.engines.settings,
             node.config,
@@ -264,7 +264,7 @@
         node.reload()
         after = (
             node.gateway.settings,
-            node.gateway.class_indexes,
+            node.gateway.decoder.class_indexes,
             node.event_stream.host,
             node.engines.settings,
             node.config,
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -280,9 +280,9 @@
 
     async def scenario() -> None:
         driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
-        listener = driver.listen(Address("127.0.0.1", 0), shared)
+        listener = driver.listener.listen(Address("127.0.0.1", 0), shared)
         host, port = listener.getsockname()
-        dialed = await driver.dial(Address(host, port), 1.0)
+        dialed = await driver.connector.dial(Address(host, port), 1.0)
         accepted, _ = listener.accept()
         with listener, dialed, accepted:
             for sock in (dialed, accepted):
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -25,7 +25,8 @@
 from cottonhold.observe.log import BURST, Log
 from cottonhold.scheduler.actions import SendToPeer
 from cottonhold.scheduler.events import PeerMessage
-from cottonhold.transport.event_loop import EventLoop, Stream
+from cottonhold.transport.event_loop import EventLoop
+from cottonhold.transport.stream import Stream
 from tests.support.scenario import LOGIN, World, packet
 from tests.test_simulator_adapter import PARAMS
 
@@ -198,17 +199,17 @@
     async def scenario() -> int:
         world, calls = World(), 0
         driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
-        listener = driver.listen(Address("127.0.0.1", 0))
+        listener = driver.listener.listen(Address("127.0.0.1", 0))
         clients = [socket.create_connection(listener.getsockname()) for _ in range(5)]
-        wait_for_one = driver._readable
+        wait_for_one = driver.until_readable
 
         async def counted(sock: socket.socket) -> None:
             nonlocal calls
             calls += 1
             await wait_for_one(sock)
 
-        driver._readable = counted  # type: ignore[method-assign]
-        accepting = driver.spawn(driver.accept(listener, world.front))
+        driver.until_readable = counted  # type: ignore[method-assign]
+        accepting = driver.spawn(driver.listener.accept(listener, world.front))
         while len(world.front.sessions) < 5:
             await asyncio.sleep(0)
         accepting.cancel()
@@ -238,11 +239,11 @@
             await sleep(0)
 
         monkeypatch.setattr("asyncio.sleep", counted)
-        listener = driver.listen(Address("127.0.0.1", 0))
+        listener = driver.listener.listen(Address("127.0.0.1", 0))
         clients = [socket.create_connection(listener.getsockname()) for _ in range(300)]
         for client in clients:
             client.sendall(packet(1, LOGIN) + packet(0, b"\x0e"))
-        accepting = driver.spawn(driver.accept(listener, world.front))
+        accepting = driver.spawn(driver.listener.accept(listener, world.front))
         while world.counters.counts["client_connections"] < 300:
             await counted(0)
         accepting.cancel()
@@ -266,7 +267,7 @@
         for sock in (ours, client):
             sock.setblocking(False)
         session = world.front.open()
-        session.stream = wire = Stream(driver, session, 4096)
+        session.stream = wire = Stream(driver.streams, session, 4096)
         wire.start(ours)
         body = packet(1, LOGIN) + b"\xff\xff\xff\x00" + bytes(8 << 20)
         await loop.sock_sendall(client, body)
--- a/tests/node/test_start_faults.py
+++ b/tests/node/test_start_faults.py
@@ -66,7 +66,7 @@
 def test_what_can_not_be_had_ends_the_start(
     call: str, error: int, config: Config, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr("cottonhold.transport.event_loop.OPEN_S", 0.1)
+    monkeypatch.setattr("cottonhold.transport.listener.OPEN_TIMEOUT_S", 0.1)
     faults = Faults()
     faults.always(call, error)
 
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cottonhold.node.gateway import ANSWER_MS, LAG_MS, LAG_PART
+from cottonhold.node.gateway import EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION, RESPONSE_MARGIN_MS
 from tests.frontend.test_client_departure import NAMES, SITES, Turns, nothing_left
 
 LITTLE = {
@@ -69,7 +69,13 @@
         world.run("e1 send r9 served count=1 a|b|c/\nc1 expect rows a|b|c")
     else:
         world.run(f"{query}\ne1 expect GET r1 *\ntime wait {passed}\ne1 send r1 overload -")
-    left = came + allow - min(LAG_MS, LAG_PART * allow) - ANSWER_MS - world.clock.now()
+    left = (
+        came
+        + allow
+        - min(EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION * allow)
+        - RESPONSE_MARGIN_MS
+        - world.clock.now()
+    )
     assert left - 2 < told(world) <= left + 1
 
 
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -15,9 +15,10 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.engine import StandInEngine
-from cottonhold.frontend.mysql_session import ClientSessions
-from cottonhold.node.descriptors import LEAST, OTHERS_BASE, DescriptorQuotas
-from cottonhold.node.sibling_processes import ConnectionIdRange, ProcessRecord, SiblingProcesses
+from cottonhold.frontend.client_sessions import ClientSessions
+from cottonhold.frontend.connection_ids import ConnectionIdRange
+from cottonhold.node.descriptors import MIN_QUOTA, SIBLING_OVERHEAD, DescriptorQuotas
+from cottonhold.node.sibling_processes import ProcessRecord, SiblingProcesses
 from cottonhold.observe.counters import Counters
 from cottonhold.transport.event_loop import EventLoop
 from tests.node.test_small_parts import ENTRY, PROGRAM, write
@@ -111,8 +112,8 @@
     ("others", "left"),
     [
         ([], (122, 84)),
-        ([ProcessRecord(1, 40, 10)], (122 - 40 - OTHERS_BASE, 74)),
-        ([ProcessRecord(1, 400, 400)], (LEAST, LEAST)),
+        ([ProcessRecord(1, 40, 10)], (122 - 40 - SIBLING_OVERHEAD, 74)),
+        ([ProcessRecord(1, 400, 400)], (MIN_QUOTA, MIN_QUOTA)),
     ],
 )
 def test_two_processes_keep_within_one_limit(others: list[ProcessRecord], left: tuple[int, int]) -> None:
@@ -121,7 +122,7 @@
     assert (beside.clients, beside.engines) == left
     for limit in (128, 256, 512, 1024):
         parts = DescriptorQuotas.divide(limit)
-        assert parts.clients + parts.engines + parts.calls + OTHERS_BASE < limit
+        assert parts.clients + parts.engines + parts.admin + SIBLING_OVERHEAD < limit
         assert parts.clients > limit / 3
 
 
@@ -132,8 +133,8 @@
         drivers = [EventLoop(asyncio.get_running_loop(), Counters(), print) for _ in range(2)]
         with socket.create_server(("127.0.0.1", 0)) as spare:
             at = Address("127.0.0.1", spare.getsockname()[1])
-        older, newer = [driver.listen(at, shared=True) for driver in drivers]
-        mail = [driver.udp_socket(at) for driver in drivers]
+        older, newer = [driver.listener.listen(at, is_shared=True) for driver in drivers]
+        mail = [driver.datagrams.open(at) for driver in drivers]
         counts = []
         for alone in (False, True):
             if alone:
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import EngineConnections, EngineEndpoint
+from cottonhold.backend.connection_pool import EngineConnections
+from cottonhold.backend.endpoint import EngineEndpoint
 from cottonhold.discovery.model import Address
 from cottonhold.scheduler import capacity
 from cottonhold.scheduler.actions import Send
@@ -35,13 +36,13 @@
     for number in (1, 2, 3):
         world.run(f"c{number} query lookup r{number}")
     looks: list[str] = []
-    real = EngineConnections._left
+    real = EngineConnections._close_if_leaving
 
     def left(self: EngineConnections, place: EngineEndpoint) -> None:
         looks.append(place.engine.id)
         real(self, place)
 
-    monkeypatch.setattr(EngineConnections, "_left", left)
+    monkeypatch.setattr(EngineConnections, "_close_if_leaving", left)
     world.wait(5000)
     return len(looks)
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -120,14 +120,14 @@
         self.driver = EventLoop(
             asyncio.get_running_loop(), self.world.counters, self.log.append, self.faults.make
         )
-        self.world.engines.connect = self.driver.connect
+        self.world.engines.connect = self.driver.connector.connect
         self.engines = [Engine() for _ in range(engines)]
         addresses = {f"e{n}": Address(*e.sock.getsockname()) for n, e in enumerate(self.engines)}
         infos = tuple(ListedEngine(name) for name in addresses)
         self.world.gateway.on_engine_list(Change(infos, addresses, True))
-        self.listener = self.driver.listen(Address("127.0.0.1", 0))
+        self.listener = self.driver.listener.listen(Address("127.0.0.1", 0))
         self.address = self.listener.getsockname()
-        self.accepting = self.driver.spawn(self.driver.accept(self.listener, self.world.front))
+        self.accepting = self.driver.spawn(self.driver.listener.accept(self.listener, self.world.front))
         self.clients: list[Client] = []
 
     def client(self) -> Client:
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -14,11 +14,13 @@
 from dataclasses import replace
 from fnmatch import fnmatchcase
 
-from cottonhold.backend.connection_pool import Connection, EngineConnections
+from cottonhold.backend.connection import Connection
+from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.backend.resp import RespReader, encode
 from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, Change
-from cottonhold.frontend.mysql_session import ClientSessions, Session
+from cottonhold.frontend.client_sessions import ClientSessions
+from cottonhold.frontend.mysql_session import Session
 from cottonhold.node.descriptors import DescriptorQuotas
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
@@ -98,6 +100,9 @@
     def write_now(self) -> None:
         pass
 
+    def is_writing(self) -> bool:
+        return False
+
     def abort(self) -> None:
         self.connection.on_closed()
 
@@ -115,6 +120,9 @@
     def flush(self) -> None:
         """The driver's side: what is to be written is asked for when the scenario settles."""
 
+    def write_now(self) -> None:
+        pass
+
     def read_available(self) -> bool:
         return False
 
--- a/tests/transport/test_accept_faults.py
+++ b/tests/transport/test_accept_faults.py
@@ -35,7 +35,7 @@
         await sleep(0)
 
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr("cottonhold.transport.event_loop.asyncio.sleep", counted)
+        monkeypatch.setattr("cottonhold.transport.listener.asyncio.sleep", counted)
         rig.faults.always("accept", error)
         client = rig.client()
         while len([p for p in pauses if p >= 0.02]) < 10:
@@ -63,7 +63,7 @@
         await sleep(0)
 
     async def story(rig: Rig) -> None:
-        monkeypatch.setattr("cottonhold.transport.event_loop.asyncio.sleep", counted)
+        monkeypatch.setattr("cottonhold.transport.listener.asyncio.sleep", counted)
         rig.faults.plan("accept", *[error] * 30, OK, *[error] * 30)
         clients = [rig.client() for _ in range(2)]
         while any(client.answers() != GREETED for client in clients):
@@ -109,7 +109,7 @@
         await asyncio.gather(rig.accepting, return_exceptions=True)
         clients = [rig.client() for _ in range(3)]
         rig.faults.plan("accept", error, OK, error)
-        await rig.driver.accept_queued(rig.listener, rig.world.front)
+        await rig.driver.listener.accept_queued(rig.listener, rig.world.front)
         rig.listener.close()
         await rig.until(lambda: all(client.answers() == GREETED for client in clients))
 
@@ -122,7 +122,7 @@
         await asyncio.gather(rig.accepting, return_exceptions=True)
         rig.client()
         rig.faults.always("accept", errno.EMFILE)
-        await rig.driver.accept_queued(rig.listener, rig.world.front)
+        await rig.driver.listener.accept_queued(rig.listener, rig.world.front)
         assert 1 < rig.faults.calls["accept"] < 100
 
     play(story)
--- a/tests/transport/test_connect_faults.py
+++ b/tests/transport/test_connect_faults.py
@@ -83,7 +83,7 @@
     """Danger: without a free descriptor each engine in turn was told as unreachable."""
 
     async def story(rig: Rig) -> None:
-        rig.driver.connect_s = 5.0  # however slow the machine is
+        rig.driver.connector.timeout_s = 5.0  # however slow the machine is
         rig.faults.plan(call, error, error, error, on=MADE)
         client = rig.client()
         client.ask(1, "load")
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("error", LACKING)
 def test_what_lacks_for_good_is_told_as_never_run_and_does_not_spin(error: int) -> None:
     async def story(rig: Rig) -> None:
-        rig.driver.connect_s = 0.1
+        rig.driver.connector.timeout_s = 0.1
         rig.faults.always("socket", error, on=MADE)
         client = rig.client()
         client.ask(1, "load")
--- a/tests/transport/test_connection_close.py
+++ b/tests/transport/test_connection_close.py
@@ -12,9 +12,9 @@
 import pytest
 import uvloop
 
-from cottonhold.frontend.mysql_session import IDLE_MS, SETTLE_MS, Session
+from cottonhold.frontend.mysql_session import IDLE_TIMEOUT_MS, SETTLE_MS, Session
 from cottonhold.node.dispatcher import Dispatcher
-from cottonhold.node.lifecycle import SETTLED_MS
+from cottonhold.node.lifecycle import SHUTDOWN_IDLE_CLOSE_MS
 from cottonhold.observe.counters import Counters
 from cottonhold.transport.event_loop import EventLoop
 from tests.support.scenario import LOGIN, World, packet
@@ -43,7 +43,7 @@
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is written is there at once
         self.session: Session = here.world.front.open()
-        here.driver._admit(near, self.session)
+        here.driver.listener.admit(near, self.session)
         if logged_in:
             self.write(packet(1, LOGIN) + PING)
 
@@ -139,7 +139,7 @@
 
 
 def kept_too_long(here: Here) -> None:
-    here.world.clock.at += IDLE_MS + 1
+    here.world.clock.at += IDLE_TIMEOUT_MS + 1
 
 
 def drained(here: Here) -> None:
@@ -149,7 +149,7 @@
 
 def leaving(here: Here) -> None:
     here.world.run("ops terminate")
-    here.world.clock.at += SETTLED_MS + SETTLE_MS + 1
+    here.world.clock.at += SHUTDOWN_IDLE_CLOSE_MS + SETTLE_MS + 1
 
 
 def ended(here: Here) -> None:
@@ -158,7 +158,7 @@
 
 
 def crowded(here: Here) -> None:
-    here.world.clock.at += IDLE_MS - 1
+    here.world.clock.at += IDLE_TIMEOUT_MS - 1
     here.world.front.max_sessions = 1
 
 
@@ -326,7 +326,7 @@
         client = await here.client()
         here.world.run("ops terminate")
         client.session.output += bytes(UNREAD_BYTES)
-        client.session._leave()
+        client.session._close()
         await here.turns()
         assert here.world.front.has_unfinished()
         await client.end()
@@ -342,7 +342,7 @@
     async def story(here: Here) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        accepting = here.driver.spawn(here.driver.accept(listener, here.world.front))
+        accepting = here.driver.spawn(here.driver.listener.accept(listener, here.world.front))
         await here.turns()
         client = Client.__new__(Client)
         client.here, client.got, client.reset = here, b"", False
@@ -354,7 +354,7 @@
             await asyncio.sleep(0)
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
-        await here.driver.accept_queued(listener, here.world.front)
+        await here.driver.listener.accept_queued(listener, here.world.front)
         listener.close()
         await here.sent(1)
         here.answer(1)
@@ -380,7 +380,7 @@
         here.clients.append(client)
         client.write(written)
         ended(here)
-        await here.driver.accept_queued(listener, here.world.front)
+        await here.driver.listener.accept_queued(listener, here.world.front)
         listener.close()
         close_spare(here)
         assert (await client.end()).count(REFUSED) == 1
@@ -412,7 +412,7 @@
         await here.sent(1)
         end = process(here)
         late.session.output += bytes(UNREAD_BYTES)
-        late.session._leave()
+        late.session._close()
         await here.turns()
         assert not end.done()
         here.answer(1)
@@ -435,7 +435,7 @@
         idle, stuck = await here.client(), await here.client()
         stuck.session.output += bytes(UNREAD_BYTES)
         end = process(here)
-        here.world.clock.at += SETTLED_MS + SETTLE_MS
+        here.world.clock.at += SHUTDOWN_IDLE_CLOSE_MS + SETTLE_MS
         await here.turns()
         assert idle.session.is_closing and not end.done()
         here.world.clock.at = here.world.lifecycle.close_deadline()
--- a/tests/transport/test_datagram_faults.py
+++ b/tests/transport/test_datagram_faults.py
@@ -15,7 +15,8 @@
 from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import PeerMessage
-from cottonhold.transport.event_loop import DATAGRAMS, EventLoop
+from cottonhold.transport.datagram import MAX_DATAGRAMS_PER_TURN
+from cottonhold.transport.event_loop import EventLoop
 from tests.support.faulty_sockets import Faults
 from tests.support.loopback import HANG_S
 
@@ -32,9 +33,14 @@
         self.far = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.far.bind(("127.0.0.1", 0))
         self.far_address = Address(*self.far.getsockname())
-        self.near = self.driver.udp_socket(Address("127.0.0.1", 0))
+        self.near = self.driver.datagrams.open(Address("127.0.0.1", 0))
         peers = PeerDatagrams((self.far_address,), None, self.counters)
-        self.driver.receive_datagrams(self.near, peers, self.heard.append)
+
+        def on_datagram(data: bytes, sender: Address) -> None:
+            if message := peers.decode(data, (sender.host, sender.port)):
+                self.heard.append(message)
+
+        self.driver.datagrams.receive(self.near, on_datagram)
         self.at = self.near.getsockname()
 
     async def hears(self, data: bytes) -> None:
@@ -82,7 +88,7 @@
         async with asyncio.timeout(HANG_S):
             while anew < 5:
                 await asyncio.sleep(0)
-        assert peer.faults.calls["recvfrom"] <= 6 * DATAGRAMS
+        assert peer.faults.calls["recvfrom"] <= 6 * MAX_DATAGRAMS_PER_TURN
         peer.faults.heal("recvfrom")
         await peer.hears(b"later")
         peer.close()
@@ -95,8 +101,8 @@
     async def scenario() -> None:
         peer = Peer()
         peer.faults.plan("sendto", error)
-        peer.driver.send_datagram(b"lost", peer.far_address)
-        peer.driver.send_datagram(b"kept", peer.far_address)
+        peer.driver.datagrams.send(b"lost", peer.far_address)
+        peer.driver.datagrams.send(b"kept", peer.far_address)
         assert peer.far.recv(10) == b"kept"
         assert (peer.counters.counts["peer_broken"], peer.counters.counts["peer_sent"]) == (1, 1)
         peer.close()
--- a/tests/transport/test_write_order.py
+++ b/tests/transport/test_write_order.py
@@ -10,12 +10,14 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import MOST_TAKEN, Attempt, Connection
+from cottonhold.backend.attempt import Attempt
+from cottonhold.backend.connection import MAX_WRITE_BYTES, Connection
 from cottonhold.backend.resp import RespReader, encode
 from cottonhold.discovery.model import Address
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
-from cottonhold.transport.event_loop import EventLoop, Stream
+from cottonhold.transport.event_loop import EventLoop
+from cottonhold.transport.stream import Stream
 from tests.support.scenario import World
 
 SMALL = b"select"
@@ -51,7 +53,7 @@
         near.setblocking(False)
         far.setblocking(False)
         self.far[address.host] = far
-        connection.stream = wire = Stream(self.driver, connection, 4096)
+        connection.stream = wire = Stream(self.driver.streams, connection, 4096)
         connection.on_connected()
         wire.start(near)
         return wire
@@ -238,7 +240,7 @@
             rig.send("a", f"q{number}", LARGE)
         for _ in range(3):
             await asyncio.sleep(0)
-        begun = MOST_TAKEN // len(LARGE) + 1
+        begun = MAX_WRITE_BYTES // len(LARGE) + 1
         wanted = False
         assert await rig.heard("a", begun) == [b"GET"] * begun
         while len(rig.ends) < MANY - begun:
@@ -271,7 +273,7 @@
     async def story(rig: Rig) -> None:
         near, far = socket.socketpair()
         machine = EndsAsItIsAsked()
-        machine.wire = Stream(rig.driver, machine, 4096)
+        machine.wire = Stream(rig.driver.streams, machine, 4096)
         machine.wire.sock, machine.wire.unsent = near, b"begun"
         machine.wire.write_now()
         assert machine.wire.sock is None and far.recv(10) == b""
