--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -17,7 +17,7 @@
 from cottonhold.discovery.model import Address, Change, Names
 from cottonhold.fleet import engine_drain
 from cottonhold.fleet.admission import loads
-from cottonhold.fleet.admission.threshold import Told
+from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.consensus import acceptor, messages
 from cottonhold.fleet.consensus.actions import PersistState
 from cottonhold.fleet.consensus.messages import AcceptedState, Ballot
@@ -79,17 +79,21 @@
     failing = zone_messages.ZoneReport(zone_messages.Vote.EVACUATE, 1, 2, 300, 0.25, True, True)
     healthy = zone_messages.ZoneReport(zone_messages.Vote.KEEP, 9, 0, 0, 1.0)
     first = zone_messages.MemberReport(MEMBER, LIFE, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
-    return zone_messages.encode_reports([first, zone_messages.MemberReport(2, 3, 4, 5, 6, {})], 200)
+    return zone_messages.encode_zone_reports([first, zone_messages.MemberReport(2, 3, 4, 5, 6, {})], 200)
 
 
 def orders() -> bytes:
     """Operators' orders on zones."""
-    return operator_overrides.pack_orders(
+    return operator_overrides.encode_overrides(
         1000.0,
         [
-            operator_overrides.Order(9, operator_overrides.Mode.LEAVE, 3, MEMBER, 61_000.5, "ana", "fire"),
-            operator_overrides.Order(4, operator_overrides.Mode.RETURN, 2, 7, 0.0, "\u0101" * 40, "w" * 90),
-            operator_overrides.Order(5, operator_overrides.Mode.FREE, 1, 7, 2000.0, "", ""),
+            operator_overrides.Override(
+                9, operator_overrides.OverrideMode.EVACUATE, 3, MEMBER, 61_000.5, "ana", "fire"
+            ),
+            operator_overrides.Override(
+                4, operator_overrides.OverrideMode.RETURN, 2, 7, 0.0, "\u0101" * 40, "w" * 90
+            ),
+            operator_overrides.Override(5, operator_overrides.OverrideMode.CLEAR, 1, 7, 2000.0, "", ""),
         ],
         200,
     )
@@ -97,46 +101,50 @@
 
 def price_loads() -> bytes:
     """Two instances' loads."""
-    busy = Told({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
-    return loads.pack_loads([loads.Load(MEMBER, LIFE, VERSION, busy), loads.Load(2, 3, 4, Told({}))])
+    busy = ReportedLoad({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
+    return loads.encode_demand_reports(
+        [loads.DemandReport(MEMBER, LIFE, VERSION, busy), loads.DemandReport(2, 3, 4, ReportedLoad({}))]
+    )
 
 
 def here() -> bytes:
     """One instance's word of recovery on itself."""
     pairs = (
-        recovery_messages.Pair(1, 5, 0x77, 123_456.7, 999.0, True, False),
-        recovery_messages.Pair(2, 0),
-        recovery_messages.Pair(3, 6, 1, 2.0, 0.0, False, True),
+        recovery_messages.PeerState(1, 5, 0x77, 123_456.7, 999.0, True, False),
+        recovery_messages.PeerState(2, 0),
+        recovery_messages.PeerState(3, 6, 1, 2.0, 0.0, False, True),
     )
-    memory = recovery_messages.MemoryState.OLD
-    return recovery_messages.pack(
-        recovery_messages.Here(9, 12, 11 << 32 | 5, LIFE, 4321.9, memory, True, pairs)
+    memory = recovery_messages.MemoryState.STALE
+    return recovery_messages.encode(
+        recovery_messages.Presence(9, 12, 11 << 32 | 5, LIFE, 4321.9, memory, True, pairs)
     )
 
 
 def warmups() -> bytes:
     """What two instances saw of cold engines."""
     rows = {
-        warmup_messages.engine_number("e1"): warmup_messages.Row(1.5, 0.25, 0.5, 1250.0),
-        warmup_messages.engine_number("e2"): warmup_messages.Row(0.0, 0.0, 1.0, 0.0),
+        warmup_messages.engine_number("e1"): warmup_messages.EngineObservation(1.5, 0.25, 0.5, 1250.0),
+        warmup_messages.engine_number("e2"): warmup_messages.EngineObservation(0.0, 0.0, 1.0, 0.0),
     }
-    word = warmup_messages.RampWord(MEMBER, LIFE, VERSION, rows)
-    return warmup_messages.pack_words([word, warmup_messages.RampWord(2, 3, 4, {})])
+    word = warmup_messages.WarmupReport(MEMBER, LIFE, VERSION, rows)
+    return warmup_messages.encode_warmup_reports([word, warmup_messages.WarmupReport(2, 3, 4, {})])
 
 
-def site() -> site_messages.Site:
+def site() -> site_messages.SiteReport:
     """A site with everything in it."""
     zones = {
-        9: site_messages.Seen(0.4, 0.75, site_messages.bits_of(5) | site_messages.bits_of(77)),
-        4: site_messages.Seen(31.0, 0.25, 0),
+        9: site_messages.ZoneObservation(
+            0.4, 0.75, site_messages.filter_bits(5) | site_messages.filter_bits(77)
+        ),
+        4: site_messages.ZoneObservation(31.0, 0.25, 0),
     }
-    sets = {site_messages.set_number("7"): 0.6, site_messages.set_number("8"): 0.3999}
-    return site_messages.Site(MEMBER, LIFE, VERSION, 9, 187.5, {40: 3.25, 41: 0.5}, sets, zones, 1.75)
+    sets = {site_messages.data_set_number("7"): 0.6, site_messages.data_set_number("8"): 0.3999}
+    return site_messages.SiteReport(MEMBER, LIFE, VERSION, 9, 187.5, {40: 3.25, 41: 0.5}, sets, zones, 1.75)
 
 
 def sites() -> bytes:
     """Two sites, one of which knows nothing."""
-    return site_messages.pack_sites([site(), site_messages.Site(2, 3, 4, 5)])
+    return site_messages.encode_site_reports([site(), site_messages.SiteReport(2, 3, 4, 5)])
 
 
 def register_message(kind: int, epochs: tuple[int, ...] = ()) -> bytes:
@@ -258,7 +266,7 @@
     names = Names(("a", "b"), ("std", "big"))
     info = Engine("e1", zone=1, machine_type=1, cell=3, size=2.5)
     change = Change((info,), {"e1": Address("10.1.2.3", 4500)}, True)
-    taken = cached_engines.Remembered({}, names).take(change)
+    taken = cached_engines.EngineCache({}, names).apply(change)
     return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
 
 
@@ -286,18 +294,22 @@
     "probe report unknown": lambda: membership_adapter.pack_report({}).to_bytes(4, "big"),
     "zone number": lambda: zone_messages.zone_number("a").to_bytes(2, "big"),
     "zone words": zone_words,
-    "zone loan ask": lambda: quota_lending.pack_loan(quota_lending.Ask(9, 77, 1234)),
-    "zone loan grant": lambda: quota_lending.pack_loan(quota_lending.Grant(9, 77, 1234)),
+    "zone loan ask": lambda: quota_lending.encode_quota_message(quota_lending.QuotaRequest(9, 77, 1234)),
+    "zone loan grant": lambda: quota_lending.encode_quota_message(quota_lending.QuotaGrant(9, 77, 1234)),
     "zone orders": orders,
     "price loads": price_loads,
     "recovery here": here,
-    "recovery ask": lambda: recovery_messages.pack(recovery_messages.Ask(3, 4, (IDENTITY, bytes(16)))),
-    "recovery answer": lambda: recovery_messages.pack(
-        recovery_messages.Answer(
-            3, 4, tuple(recovery_messages.Verdict(i, s) for i, s in enumerate(recovery_messages.Said))
+    "recovery ask": lambda: recovery_messages.encode(
+        recovery_messages.LoadQuery(3, 4, (IDENTITY, bytes(16)))
+    ),
+    "recovery answer": lambda: recovery_messages.encode(
+        recovery_messages.LoadAnswer(
+            3,
+            4,
+            tuple(recovery_messages.LoadVerdict(i, s) for i, s in enumerate(recovery_messages.LoadStatement)),
         )
     ),
-    "recovery open": lambda: recovery_messages.pack(recovery_messages.Open((IDENTITY,))),
+    "recovery open": lambda: recovery_messages.encode(recovery_messages.OpenLoads((IDENTITY,))),
     "warm-up words": warmups,
     "sites": sites,
     "register prepare": lambda: register_message(messages.PREPARE),
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -22,7 +22,7 @@
 from cottonhold.config import relay, schema
 from cottonhold.discovery.consul.checks import Entry
 from cottonhold.emulator.fault_injection import script
-from cottonhold.fleet.recovery.survey_results import Verdict
+from cottonhold.fleet.recovery.survey_results import OutageVerdict
 from cottonhold.fleet.request_forwarding.messages import End
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
@@ -95,7 +95,7 @@
         "attempts, probes": [o.value for o in Outcome],
         "loads": [p.value for p in LoadOutcome],
         "disk": [s.value for s in DiskState],
-        "census": [v.value for v in Verdict],
+        "census": [v.value for v in OutageVerdict],
         "members": [s.name.lower() for s in Status],
         "zones": [p.value for p in ZonePhase],
         "engines": [s.value for s in EngineState],
@@ -118,7 +118,7 @@
         4,
         tally([state.value for state in EngineState], ["live"]),
         tally(names_of(Status), ["alive"]),
-        tally(names_of(Verdict), [next(iter(Verdict)).value]),
+        tally(names_of(OutageVerdict), [next(iter(OutageVerdict)).value]),
         tally(names_of(Step), ["out"]),
     )
     return Metrics(lambda: readings).text()
