--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -10,19 +10,15 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator.recovery import MEAN, Plan, Return
-from cottonhold.fleet.admission.loads import DemandReport, encode_demand_reports
+from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import warmup_messages
-from cottonhold.fleet.recovery.slow_start import (
-    WARMUP_BUDGET,
-    OutageScope,
-    SlowStart,
-    SlowStartSettings,
-    WarmingEngine,
-    first_prober,
-)
+from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET, SlowStartSettings
+from cottonhold.fleet.recovery.warming_engine import WarmingEngine
 from cottonhold.fleet.recovery.warmup_messages import (
     EngineObservation,
     PooledObservation,
@@ -326,10 +322,10 @@
     )
     made.set_engines({"a": ENGINES}, 0.0)
     assert made.slow_start is not None
-    owned = [made._ramped(10.0)[1]]
+    owned = [made.available_capacity(10.0).owned_cores]
     for engine, good in (("a0", False), ("a1", True)):
         made.on_health_check(20.0, engine, good)
-        owned.append(made._ramped(20.0)[1])
+        owned.append(made.available_capacity(20.0).owned_cores)
     bears = made.slow_start.settings.max_cold_share / 2  # of an engine
     assert owned == pytest.approx([3 * bears, 2 * bears / 2, bears + bears * 2 / 3])
 
@@ -389,7 +385,7 @@
     [
         ({"step": greedy_step, "work_limits": greedy_bounds}, lambda w: w.over, 0.0, 1, 3000.0, 0.0),
         # The largest of nine engines differs by chance, 1.25 to 1.35 by seed, so it is held to by the mean.
-        ({"_shows": by_the_clock}, most, 1.3, 8, 20_000.0, 0.0),
+        ({"_follow": by_the_clock}, most, 1.3, 8, 20_000.0, 0.0),
         ({"_start": trusting}, lambda w: w.blind, 0.0, 1, 3000.0, 1000.0),
     ],
     ids=["all of the budget for those present", "by the clock", "proof not awaited"],
