--- a/cottonhold/fleet_adapters/load_conversions.py
+++ b/cottonhold/fleet_adapters/load_conversions.py
@@ -5,7 +5,8 @@
 from collections.abc import Mapping
 
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
-from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.settings import Idempotency, Settings
 from cottonhold.store.records import LoadRecord, LoadState, decode_loads
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -10,11 +10,12 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.recovery.load_history import Action, LoadHistory, LoadSettled
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult
 from cottonhold.fleet_adapters.load_conversions import NEVER_RAN, STATE_OF_RESULT, identity_of, outcome_of
-from cottonhold.node.gateway import ClientRequest, LoadOutcome, LoadOutcomeCallback
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome, LoadOutcomeCallback
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.store.health import DiskState
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -58,10 +58,10 @@
 from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
 from cottonhold.fleet_adapters.write_queue import AGAIN_MS
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import RecordKind
+from cottonhold.transport.clock import Clock, Timer
 
 MEMORY_NAMES = {  # as operators know them
     MemoryState.EMPTY: "empty",
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -36,12 +36,12 @@
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
 from cottonhold.store.health import Completeness as Folder
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
+from cottonhold.transport.clock import Clock, Timer
 
 FIRST, LAST = 64, 79  # kinds of message
 LEAST_MS, MOST_MS = 5.0, 250.0
--- a/cottonhold/fleet_adapters/unavailable_load_guard.py
+++ b/cottonhold/fleet_adapters/unavailable_load_guard.py
@@ -4,11 +4,12 @@
 
 from collections.abc import Callable, Mapping
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.recovery.load_history import LoadHistory
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge
 from cottonhold.fleet_adapters.load_conversions import identity_of, outcome_of
-from cottonhold.node.gateway import ClientRequest, LoadOutcomeCallback
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcomeCallback
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, NamedTuple
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.admission.demand import density_of_step
 from cottonhold.fleet.admission.demand_sharing import admission_draw
@@ -24,10 +24,10 @@
 from cottonhold.fleet.zone_failover.operator_overrides import MODE_NAMES
 from cottonhold.membership.codec import Status
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
+from cottonhold.transport.clock import Clock, Timer
 
 # What the end of an attempt says of its engine. One that was rejected, cancelled or never sent says nothing;
 # nor does a time-out, since the query may have spent its time in the queue here: it counts as a cancelled
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -12,7 +12,7 @@
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
 from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.scheduler.actions import DemandEstimate, Reject
 from cottonhold.scheduler.events import AdmissionThreshold
 from cottonhold.scheduler.settings import Features
@@ -113,7 +113,7 @@
     engines: str, price: AdmissionThreshold, heard: list[str]
 ) -> None:
     world, notes = World(engines=engines), Notes()
-    world.gateway.observer = notes
+    world.gateway.notifications.observer = notes
     world.gateway.push(price)
     world.run("c1 query lookup r1 allow=1000")
     world.wait(1200)
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -11,12 +11,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
 from cottonhold.fleet_adapters import load_conversions, load_records
 from cottonhold.fleet_adapters.load_conversions import recorded_loads
 from cottonhold.fleet_adapters.load_records import LoadRecorder
-from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.store.health import DiskHealth, DiskState
