--- a/benchmarks/fleet/outlook.py
+++ b/benchmarks/fleet/outlook.py
@@ -67,14 +67,14 @@
         TRIPS,
         decides=decides,
         loss=loss,
-        keeps=keeps,
+        cached_data_sets=keeps,
         settings=settings,
     )
     world = World(seed, setup)
-    world.lie[5] = lie
+    world.claim_factors[5] = lie
     world.play(FAULT - 500)
     found = {}
-    outlook = world.instances[seed % 5].outlook
+    outlook = world.instances[seed % 5].estimator
     if decides == "outlook":
         kept = outlook.retained_share(FAULT - 500, "b", speed) if speed else None
         told = outlook.projection_with(left if kept is None else {"b": kept})
@@ -115,11 +115,13 @@
     rates, speed, left = DAYS[day]
     settings = replace(SETTINGS, snapshot_interval_ms=1000.0, **WHO[who])
     decides = "today" if who == "today" else "outlook"
-    setup = Setup(dict(zip(ZONES, rates, strict=True)), TRIPS, decides=decides, keeps=10, settings=settings)
+    setup = Setup(
+        dict(zip(ZONES, rates, strict=True)), TRIPS, decides=decides, cached_data_sets=10, settings=settings
+    )
     world = ServiceWorld(seed, setup)
     world.play(FAULT - 500)
     out = [zone for zone, part in left.items() if part <= 0]
-    told = world.instances[seed % 5].outlook.projection(*out) if out and who != "today" else None
+    told = world.instances[seed % 5].estimator.projection(*out) if out and who != "today" else None
     world.play(FAULT)
     for zone, part in left.items():
         if speed:
--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -13,18 +13,18 @@
 
 import numpy as np
 
-from cottonhold.emulator.overload import Alone, Credits, OnePrice, Overload, Policy, QueueDelay
+from cottonhold.emulator.overload import AdaptiveShare, Credits, Overload, Policy, QueueDelay, SharedThreshold
 from cottonhold.fleet.admission.demand_sharing import DemandSettings
 from cottonhold.fleet.admission.threshold import ThresholdSettings
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "overload-core.md"
 POLICIES: dict[str, Callable[[int], Policy]] = {
     "nothing turned away": lambda i: Policy(),
-    "each alone, AIMD": lambda i: Alone(),
+    "each alone, AIMD": lambda i: AdaptiveShare(),
     "each alone, queue delay": lambda i: QueueDelay(),
     "credits by demand": lambda i: Credits(),
-    "one price, no gain": lambda i: OnePrice(),
-    "one price": lambda i: OnePrice(),
+    "one price, no gain": lambda i: SharedThreshold(),
+    "one price": lambda i: SharedThreshold(),
 }
 NO_GAIN = DemandSettings(threshold=ThresholdSettings(wait_correction=0.0, gain_rate=0.0))
 SKEW = (1, 1, 1, 2, 3, 4)
@@ -55,10 +55,10 @@
         return full * (times or (3.0 if now // 4000 % 2 else 0.7))
 
     made = Overload(seed, rate, weights, policy, **fields)
-    made.lie[0] = lie
+    made.claim_factors[0] = lie
     if halves:
         half = len(weights) // 2
-        made.cut = lambda a, b: (a < half) != (b < half)
+        made.is_cut = lambda a, b: (a < half) != (b < half)
     return made
 
 
@@ -69,7 +69,7 @@
     fields = fields | ({"settings": NO_GAIN} if policy == "one price, no gain" else {})
     w = world(seed, POLICIES[policy], **fields)
     w.play(END)
-    got, most = w.worth(BEGIN, END)
+    got, most = w.utility(BEGIN, END)
     shares = w.shares(BEGIN, END)
     apart = []
     for kind in (1, 0):
@@ -83,13 +83,13 @@
     """Two of three zones gone at 380 a second from 5 to 12 s: the worth while they are, in the third after
     they are back from the second second on, and the seconds until 0.98 of it."""
     seed, marked = job
-    w = Overload(seed, lambda now: 380.0, SKEW, lambda i: OnePrice(), marked=marked)
+    w = Overload(seed, lambda now: 380.0, SKEW, lambda i: SharedThreshold(), marked=marked)
     w.at(5000.0, lambda now: w.fail(3))
     w.at(12_000.0, lambda now: w.fail(9))
     w.play(11_999.0)
-    got, most = w.worth(7000.0, 12_000.0)
+    got, most = w.utility(7000.0, 12_000.0)
     w.play(20_000.0)
-    after, possible = w.worth(13_000.0, 16_000.0)
+    after, possible = w.utility(13_000.0, 16_000.0)
     refused = [t for t, *_, what in w.log if what == "refused" and t > 12_000.0]
     return got / most, after / possible, (max(refused, default=12_000.0) - 12_000.0) / 1000
 
--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -18,7 +18,7 @@
 
 import numpy as np
 
-from cottonhold.emulator.recovery import MEAN, Plan, Return
+from cottonhold.emulator.recovery import MEAN, Plan, PowerReturn
 from cottonhold.fleet.coordinator import FleetSettings
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 
@@ -73,7 +73,7 @@
     bytes: float
 
 
-def world(case: Case, count: int, seed: int, on: bool) -> Return:
+def world(case: Case, count: int, seed: int, on: bool) -> PowerReturn:
     """A case, not played yet."""
     gap, half = case.spread / max(count - 1, 1), count // 2
     plan = Plan(
@@ -86,7 +86,7 @@
     )
     rate = case.times * USUAL * SIZES[count] * 1000 / MEAN
     weights = [(1.0, 1.0, 1.0, 2.0, 3.0)[i % 5] for i in range(count)] if case.skew else ()
-    return Return(seed, rate, count, SIZES[count], plan, settings, weights=weights, **case.fields)
+    return PowerReturn(seed, rate, count, SIZES[count], plan, settings, weights=weights, **case.fields)
 
 
 def measure(case: Case, count: int, seed: int, on: bool) -> Found:
@@ -114,7 +114,7 @@
     )  # fmt: skip
 
 
-def shares(w: Return, begin: float, end: float) -> dict[tuple[int, int], list[float]]:
+def shares(w: PowerReturn, begin: float, end: float) -> dict[tuple[int, int], list[float]]:
     """By a fifth of the instances in order of start and by kind: requests, and how many more of them were
     served than of all requests of that kind that came in the same half second."""
     all_of: dict[tuple[int, int], list[int]] = defaultdict(lambda: [0, 0])
@@ -131,7 +131,7 @@
     return dict(tries)
 
 
-def beyond(w: Return, begin: float, end: float, plays: int = 20) -> float:
+def beyond(w: PowerReturn, begin: float, end: float, plays: int = 20) -> float:
     """The largest difference between fifths within this run, over kinds, less the mean of what the same
     answers give where they are dealt out anew among equal requests of a half second."""
     rows = [
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -25,10 +25,10 @@
 MANY = ("killed", "ten times slower")
 SIZES = [(5, 20), (50, 3)]  # instances, and runs of each
 FAULTS: dict[str, dict[str, float]] = {
-    "killed": {"dead": True},
+    "killed": {"is_dead": True},
     "silent": {"silent_until": MEND},
-    "ten times slower": {"slow": 10.0},
-    "three in ten fail": {"failing": 0.3},
+    "ten times slower": {"slow_factor": 10.0},
+    "three in ten fail": {"failing_share": 0.3},
 }
 
 
@@ -43,7 +43,9 @@
     seed, times = job
     w = world(seed, 6, 6 * PER_INSTANCE * times, 0.3)
     w.run(END)
-    outs = [turn for node in w.nodes.values() for _, turn in node.turns if turn.phase is Phase.EVACUATED]
+    outs = [
+        turn for node in w.nodes.values() for _, turn in node.phase_changes if turn.phase is Phase.EVACUATED
+    ]
     followed = {"the fleet leaves", "others are sure"}
     return len(outs), int(any(turn.reason in followed for turn in outs))
 
@@ -53,20 +55,23 @@
     seed, instances, fault, loss = job
     w = world(seed, instances, instances * PER_INSTANCE, loss)
     w.run(FAULT)
-    calm_bytes, calm_cpu = w.network.bytes, sum(n.cpu for n in w.nodes.values())
+    calm_bytes, calm_cpu = w.network.bytes, sum(n.cpu_seconds for n in w.nodes.values())
     for engine in w.engines.values():
         for name, value in FAULTS[fault].items() if engine.zone == "a" else ():
             setattr(engine, name, value)
     w.run(MEND)
-    bytes_, cpu = w.network.bytes - calm_bytes, sum(n.cpu for n in w.nodes.values()) - calm_cpu
+    bytes_, cpu = w.network.bytes - calm_bytes, sum(n.cpu_seconds for n in w.nodes.values()) - calm_cpu
     for engine in w.engines.values():
         if engine.zone == "a":
-            engine.dead, engine.slow, engine.failing = False, 1.0, 0.0
+            engine.is_dead, engine.slow_factor, engine.failing_share = False, 1.0, 0.0
             if fault == "killed":
                 engine.busy_until, engine.cold_until = MEND, MEND + 3000.0
     w.run(END)
     left = [
-        min((t for t, turn in n.turns if turn.zone == "a" and turn.phase is Phase.EVACUATED), default=np.inf)
+        min(
+            (t for t, turn in n.phase_changes if turn.zone == "a" and turn.phase is Phase.EVACUATED),
+            default=np.inf,
+        )
         - FAULT
         for n in w.nodes.values()
     ]
@@ -81,7 +86,7 @@
         "most": max(after) / fair,
         "full": full[0] if full else np.inf,
         "wrong": sum(
-            t.zone != "a" and t.phase is Phase.EVACUATED for n in w.nodes.values() for _, t in n.turns
+            t.zone != "a" and t.phase is Phase.EVACUATED for n in w.nodes.values() for _, t in n.phase_changes
         ),
         "calm bytes": calm_bytes / instances / (FAULT / 1000),
         "bytes": bytes_ / instances / ((MEND - FAULT) / 1000),
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -1,6 +1,6 @@
-"""The fleet's pure core in virtual time: instances with clients, zones of engines, faults between them.
+"""Coordinators in virtual time: instances with clients, zones of engines, faults between them.
 
-A model, far cheaper than processes: an engine is one server with a line, a client is a Poisson arrival, the
+A model, far cheaper than processes: an engine is one server with a queue, a client is a Poisson arrival, the
 choice of an engine is a draw within the bounds. One seed replays the whole run. Times are ms.
 """
 
@@ -20,39 +20,40 @@
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.zone_failover.evacuation import PhaseChange
 
-PATIENCE = 2000.0
-PROBED = 500.0  # so often each engine is asked
-GOLDEN = 0.6180339887
-NOTICE = 1200.0  # until membership tells of a death
+TIMEOUT_MS = 2000.0
+CHECK_INTERVAL_MS = 500.0  # so often each engine is asked
+GOLDEN_RATIO = 0.6180339887
+DEATH_NOTICE_MS = 1200.0  # until membership tells of a death
 
 
 @dataclass(slots=True, eq=False)
 class ModelEngine:
-    """An engine: its mean work, its line, and what is wrong with it."""
+    """An engine: its mean work, its queue, and its faults."""
 
     id: str
     zone: str
     number: int = 0
-    work: float = 20.0
+    mean_work_ms: float = 20.0
     busy_until: float = 0.0
-    slow: float = 1.0
-    failing: float = 0.0
-    dead: bool = False
+    slow_factor: float = 1.0
+    failing_share: float = 0.0
+    is_dead: bool = False
     silent_until: float = 0.0
     cold_until: float = 0.0
     sends: list[float] = field(default_factory=list)
 
-    def take(self, now: float, draw: random.Random) -> tuple[bool | None, float]:
-        """An attempt's end: whether it was served, nothing if its time ran out; and when it is known."""
+    def run(self, now: float, draw: random.Random) -> tuple[bool | None, float]:
+        """Run an attempt: whether it was served, None if its time ran out, and after how many ms that is
+        known."""
         self.sends.append(now)
-        if self.dead:
+        if self.is_dead:
             return False, 1.0
-        slow = self.slow * (3.0 if now < self.cold_until else 1.0)
-        work = self.work * draw.lognormvariate(-0.08, 0.4) * slow
+        slow = self.slow_factor * (3.0 if now < self.cold_until else 1.0)
+        work = self.mean_work_ms * draw.lognormvariate(-0.08, 0.4) * slow
         start = max(now, self.busy_until, self.silent_until)
-        if start + work - now > PATIENCE:
-            return None, PATIENCE
-        if draw.random() < self.failing:
+        if start + work - now > TIMEOUT_MS:
+            return None, TIMEOUT_MS
+        if draw.random() < self.failing_share:
             return False, 2.0
         self.busy_until = start + work
         return True, start + work - now
@@ -60,44 +61,44 @@
 
 @dataclass(slots=True)
 class Allowance:
-    """What one instance has saved up of its bounds, as the module does it; cold: at engines that it takes for
-    such."""
+    """The credits that one instance has saved of its bounds, as the scheduler does it. is_cold: at engines
+    under slow start."""
 
     number: int
-    cold: bool = False
-    bound: EngineBounds = field(default_factory=lambda: EngineBounds({}, 0.0))
-    saved: dict[str, tuple[float, float]] = field(default_factory=dict)
+    is_cold: bool = False
+    bounds: EngineBounds = field(default_factory=lambda: EngineBounds({}, 0.0))
+    credits: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def allows(self, now: float, engine: str, place: int, work: float) -> bool:
         """Whether a query of so much work may go to an engine now."""
-        bound = self.bound.work_rates.get(engine)
+        bound = self.bounds.work_rates.get(engine)
         if bound is None:
             return True
-        if not bound or now >= self.bound.expires_at:
+        if not bound or now >= self.bounds.expires_at:
             return False
-        saved, at = self.saved.get(engine, (0.0, now))
+        saved, at = self.credits.get(engine, (0.0, now))
         saved = min(max(bound * 250.0, work), saved + bound * (now - at))
-        self.saved[engine] = saved, now
-        # As the module does: of many whose part is less than a query, few may begin at a time.
-        turn = (place * 0.7548 + (self.number + (0 if self.cold else now // 2000)) * GOLDEN) % 1
+        self.credits[engine] = saved, now
+        # As the scheduler does: of many whose quota is less than a query, few may begin at a time.
+        turn = (place * 0.7548 + (self.number + (0 if self.is_cold else now // 2000)) * GOLDEN_RATIO) % 1
         return saved >= max(work * turn, 1e-3)
 
-    def change(self, now: float, bound: EngineBounds) -> None:
-        """Other bounds; at cold engines what was saved before was saved under those before."""
-        before, self.bound = self.bound, bound
-        for engine, work in before.work_rates.items() if self.cold else ():
-            saved, at = self.saved.get(engine, (0.0, now))
-            self.saved[engine] = saved + work * max(0.0, min(now, before.expires_at) - at), now
+    def set_bounds(self, now: float, bound: EngineBounds) -> None:
+        """New bounds; at cold engines earlier credits were saved under the bounds before."""
+        before, self.bounds = self.bounds, bound
+        for engine, work in before.work_rates.items() if self.is_cold else ():
+            saved, at = self.credits.get(engine, (0.0, now))
+            self.credits[engine] = saved + work * max(0.0, min(now, before.expires_at) - at), now
 
     def spend(self, engine: str, work: float) -> None:
-        """A query has gone there."""
-        if engine in self.bound.work_rates:
-            saved, at = self.saved[engine]
-            self.saved[engine] = saved - work, at
+        """A query has been sent there."""
+        if engine in self.bounds.work_rates:
+            saved, at = self.credits[engine]
+            self.credits[engine] = saved - work, at
 
 
 class Node:
-    """One instance on the network: its core, its clients, and its part in the choice of engines."""
+    """One instance on the network: its coordinator, its clients, and its choice of engines."""
 
     def __init__(self, world: World, number: int, rate: float, now: float, life: int) -> None:
         self.world, self.number, self.rate = world, number, rate
@@ -107,65 +108,69 @@
         self.told_members = False
         self.allowance = Allowance(number)
         self.next_arrival = now + self.draw.expovariate(rate / 1000)
-        self.ends: list[tuple[float, int, str, bool | None]] = []
+        self.pending_ends: list[tuple[float, int, str, bool | None]] = []
         self.serial = itertools.count()
-        self.cut: set[str] = set()  # zones that this instance can't reach
-        self.turns: list[tuple[float, PhaseChange]] = []
-        self.cpu = 0.0
+        self.unreachable_zones: set[str] = set()  # zones that this instance can't reach
+        self.phase_changes: list[tuple[float, PhaseChange]] = []
+        self.cpu_seconds = 0.0
 
     def next_at(self) -> float:
         """When it is due."""
-        return min(self.fleet.next_at(), self.next_arrival, self.ends[0][0] if self.ends else math.inf)
+        return min(
+            self.fleet.next_at(),
+            self.next_arrival,
+            self.pending_ends[0][0] if self.pending_ends else math.inf,
+        )
 
     def step(self, now: float, received: list[tuple[bytes, Address]]) -> Iterable[tuple[bytes, Address]]:
-        """Take in what came, serve clients, and let the core decide."""
+        """Receive messages, serve clients, and let the coordinator decide."""
         begun, said = time.perf_counter(), list[tuple[bytes, Address]]()
         for data, sender in received:
             said += self._carry_out(now, self.fleet.on_message(now, sender.port, data))
-        while self.ends and self.ends[0][0] <= now:
-            at, _, ref, good = heapq.heappop(self.ends)
+        while self.pending_ends and self.pending_ends[0][0] <= now:
+            at, _, ref, good = heapq.heappop(self.pending_ends)
             self.fleet.on_attempt_ended(now, ref, good, at - float(ref.split("@")[1]))
-        self.cpu += time.perf_counter() - begun
+        self.cpu_seconds += time.perf_counter() - begun
         while self.next_arrival <= now:
             self.next_arrival += self.draw.expovariate(self.rate / 1000)
             self._serve(now)
         begun = time.perf_counter()
         said += self._carry_out(now, self.fleet.step(now))
-        self.cpu += time.perf_counter() - begun
+        self.cpu_seconds += time.perf_counter() - begun
         return said
 
     def _serve(self, now: float) -> None:
         self.fleet.on_request(now, 0)
         free = self._two(now)
         if not free:
-            self.world.refused += 1
+            self.world.rejected += 1
             return
         engine = min(free, key=lambda e: self._line(now, e))
-        self.allowance.spend(engine.id, engine.work)
+        self.allowance.spend(engine.id, engine.mean_work_ms)
         ref = f"{next(self.serial)}@{now}"
         self.fleet.on_attempt_sent(now, ref, engine.id, 0)
-        cut = engine.zone in self.cut
-        good, after = (False, 1.0) if cut else engine.take(now, self.draw)
-        self.world.note(now, engine.zone, bool(good), cut)
-        heapq.heappush(self.ends, (now + after, next(self.serial), ref, good))
+        cut = engine.zone in self.unreachable_zones
+        good, after = (False, 1.0) if cut else engine.run(now, self.draw)
+        self.world.on_attempt(now, engine.zone, bool(good), cut)
+        heapq.heappush(self.pending_ends, (now + after, next(self.serial), ref, good))
 
     def _two(self, now: float) -> list[ModelEngine]:
         """Two of those that are allowed, or fewer: by trial first: of many a choice costs the same."""
         found: list[ModelEngine] = []
         for _ in range(8):
-            engine = self.draw.choice(self.world.listed)
+            engine = self.draw.choice(self.world.engine_list)
             if engine not in found and self._allowed(now, engine):
                 found.append(engine)
                 if len(found) == 2:
                     return found
-        free = [e for e in self.world.listed if self._allowed(now, e)]
+        free = [e for e in self.world.engine_list if self._allowed(now, e)]
         return self.draw.sample(free, min(2, len(free)))
 
     def _line(self, now: float, engine: ModelEngine) -> float:
-        return max(engine.busy_until - now, 0.0) if not engine.dead else 0.0
+        return max(engine.busy_until - now, 0.0) if not engine.is_dead else 0.0
 
     def _allowed(self, now: float, engine: ModelEngine) -> bool:
-        return self.allowance.allows(now, engine.id, engine.number, engine.work)
+        return self.allowance.allows(now, engine.id, engine.number, engine.mean_work_ms)
 
     def _carry_out(self, now: float, actions: Iterable[object]) -> list[tuple[bytes, Address]]:
         said = []
@@ -174,9 +179,9 @@
                 case SendMessage(member, data):
                     said.append((data, Address("fleet", member)))
                 case EngineBounds():
-                    self.allowance.change(now, action)
+                    self.allowance.set_bounds(now, action)
                 case PhaseChange():
-                    self.turns.append((now, action))
+                    self.phase_changes.append((now, action))
         return said
 
 
@@ -198,9 +203,9 @@
         self.settings = settings or FleetSettings(dispatchers=instances)
         self.network = Network(seed, loss=loss)
         self.engines = {f"{z}{i}": ModelEngine(f"{z}{i}", z, i) for z in zones for i in range(engines)}
-        self.listed = list(self.engines.values())
+        self.engine_list = list(self.engines.values())
         self.zones = {z: {e.id: 1.0 for e in self.engines.values() if e.zone == z} for z in zones}
-        self.refused = 0
+        self.rejected = 0
         self.log: list[tuple[float, str, bool, bool]] = []
         self.live: set[int] = set()
         self.nodes: dict[int, Node] = {}
@@ -208,38 +213,38 @@
         self.rates = [rate * w / sum(weights) for w in weights]
         for i in range(instances):
             self.start(i, life=1)
-        self.tell_members()
+        self.announce_members()
         self._probe()
 
     def _probe(self) -> None:
-        """The duty of probing: one of all asks each engine, and a good answer reaches all."""
+        """Health checks: one of all instances checks each engine, and a good result reaches all."""
         now = self.network.now
         for engine in self.engines.values():
-            good = not engine.dead and now >= engine.silent_until
+            good = not engine.is_dead and now >= engine.silent_until
             for node in self.nodes.values() if good else ():
                 node.fleet.on_health_check(now, engine.id, True)
-        self.network.at(now + PROBED, self._probe)
+        self.network.at(now + CHECK_INTERVAL_MS, self._probe)
 
     def start(self, i: int, life: int) -> None:
-        """An instance from nothing."""
+        """Start an instance without any memory."""
         node = self.nodes[i] = Node(self, i, self.rates[i], self.network.now, life)
         self.network.add(Address("fleet", i + 1), node)
         self.live.add(i + 1)
 
     def kill(self, i: int) -> None:
-        """An instance is gone; its clients with it."""
+        """Kill an instance, and its clients with it."""
         self.network.kill(Address("fleet", i + 1))
         self.live.discard(i + 1)
         del self.nodes[i]
-        self.network.at(self.network.now + NOTICE, self.tell_members)
+        self.network.at(self.network.now + DEATH_NOTICE_MS, self.announce_members)
 
-    def tell_members(self) -> None:
-        """What membership would tell."""
+    def announce_members(self) -> None:
+        """What membership would announce."""
         for node in self.nodes.values():
             node.fleet.set_members(self.network.now, self.live)
 
-    def note(self, now: float, zone: str, good: bool, cut: bool) -> None:
-        """An attempt has gone out."""
+    def on_attempt(self, now: float, zone: str, good: bool, cut: bool) -> None:
+        """An attempt has been sent."""
         self.log.append((now, zone, good, cut))
 
     def run(self, until: float) -> None:
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.emulator.overload import OnePrice, Overload, Policy
+from cottonhold.emulator.overload import Overload, Policy, SharedThreshold
 from cottonhold.fleet.admission import demand
 from cottonhold.fleet.admission.demand import DENSITY_STEPS, MAX_ENCODED_STEPS, Demand
 from cottonhold.fleet.admission.demand_messages import (
@@ -143,12 +143,12 @@
 
 def play(
     times: float,
-    policy: Callable[[int], Policy] = lambda i: OnePrice(),
+    policy: Callable[[int], Policy] = lambda i: SharedThreshold(),
     until: float = 15_000.0,
     **fields: object,
 ) -> Overload:
     """So many times what nine engines can do, for so many ms."""
-    world = Overload(2, lambda now: 450.0 * times, SKEW, lambda i: OnePrice(), **fields)  # type: ignore[arg-type]
+    world = Overload(2, lambda now: 450.0 * times, SKEW, lambda i: SharedThreshold(), **fields)  # type: ignore[arg-type]
     world.play(until)
     return world
 
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("speed", [1.0, 0.8], ids=["as the list says", "slower than it says"])
 def test_served_utility_stays_near_the_maximum_and_is_shared_alike(times: float, speed: float) -> None:
     world = play(times, speed=speed)
-    got, most = world.worth(6000.0, 15_000.0)
+    got, most = world.utility(6000.0, 15_000.0)
     assert got >= 0.95 * most
     assert speed < 1.0 or apart(world, 1, 6000.0, 15_000.0) < 0.2  # slower ones are still being learned
     sent = sum(what == "sent" for *_, what in world.log)
@@ -182,42 +182,42 @@
     "fields", [{"loss": 0.3}, {"delay": 1000.0}], ids=["30% of words lost", "words a second late"]
 )
 def test_lost_and_late_reports_cost_little(fields: dict[str, float]) -> None:
-    world = Overload(2, lambda now: 900.0, SKEW, lambda i: OnePrice(), **fields)  # type: ignore[arg-type]
+    world = Overload(2, lambda now: 900.0, SKEW, lambda i: SharedThreshold(), **fields)  # type: ignore[arg-type]
     world.play(15_000.0)
-    got, most = world.worth(6000.0, 15_000.0)
+    got, most = world.utility(6000.0, 15_000.0)
     assert got >= 0.93 * most
 
 
 @pytest.mark.parametrize("times", [10.0, 100.0])
 def test_an_inflated_claim_shifts_little(times: float) -> None:
     """By the gain alone a claim of ten times is made good, and one of a hundred left 0.37 of the worth."""
-    world = Overload(2, lambda now: 900.0, SKEW, lambda i: OnePrice())
-    world.lie[0] = times
+    world = Overload(2, lambda now: 900.0, SKEW, lambda i: SharedThreshold())
+    world.claim_factors[0] = times
     world.play(20_000.0)
-    got, most = world.worth(8000.0, 20_000.0)
+    got, most = world.utility(8000.0, 20_000.0)
     assert got >= 0.9 * most
 
 
 def test_a_partitioned_fleet_has_no_threshold_and_still_serves() -> None:
-    world = Overload(2, lambda now: 900.0, SKEW, lambda i: OnePrice())
-    world.cut = lambda a, b: (a < 3) != (b < 3)
+    world = Overload(2, lambda now: 900.0, SKEW, lambda i: SharedThreshold())
+    world.is_cut = lambda a, b: (a < 3) != (b < 3)
     world.play(12_000.0)
-    assert all(here.loads.threshold is None for here in world.instances)
-    got, most = world.worth(5000.0, 12_000.0)
+    assert all(here.demand.threshold is None for here in world.instances)
+    got, most = world.utility(5000.0, 12_000.0)
     assert got >= 0.85 * most
 
 
 @pytest.mark.parametrize("marked, within", [(True, 1000.0), (False, 4000.0)], ids=["marked", "unmarked"])
 def test_capacity_that_comes_back_is_used(marked: bool, within: float) -> None:
     """A second where clients say that they come again; else when what was counted too often is forgotten."""
-    world = Overload(2, lambda now: 380.0, SKEW, lambda i: OnePrice(), marked=marked)
+    world = Overload(2, lambda now: 380.0, SKEW, lambda i: SharedThreshold(), marked=marked)
     world.at(5000.0, lambda now: world.fail(3))
     world.at(12_000.0, lambda now: world.fail(9))
     world.play(11_999.0)
-    got, most = world.worth(7000.0, 12_000.0)
+    got, most = world.utility(7000.0, 12_000.0)
     assert got >= 0.9 * most  # of three engines: 750 requests, so some hundredths are chance
     world.play(20_000.0)
-    got, most = world.worth(12_000.0 + within, 12_000.0 + within + 3000.0)
+    got, most = world.utility(12_000.0 + within, 12_000.0 + within + 3000.0)
     assert got >= 0.97 * most
 
 
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -434,9 +434,9 @@
     """A day on which zone a is lost: what was projected, the part of the worth served, cold work on top."""
     plans = CostEstimatorSettings(snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=10))
     rates = dict.fromkeys(ZONES, 140.0)
-    world = World(seed, Setup(rates, TRIPS, keeps=10, decides=decides, settings=plans))
+    world = World(seed, Setup(rates, TRIPS, cached_data_sets=10, decides=decides, settings=plans))
     world.play(5500)
-    told = world.instances[0].outlook.projection("a")
+    told = world.instances[0].estimator.projection("a")
     world.play(6000)
     world.lose("a")
     world.play(6500)
@@ -461,7 +461,7 @@
 def test_six_instances_reach_one_plan_by_their_reports() -> None:
     world = World(1, Setup(dict.fromkeys(ZONES, 60.0), TRIPS, loss=0.3))
     world.play(6000)
-    plans = [i.outlook.neighbours("a") for i in world.instances]
+    plans = [i.estimator.neighbours("a") for i in world.instances]
     assert all(plan and plan[0][0] == "b" for plan in plans)
     parts = [dict(plan).get("b", 0.0) for plan in plans]
     assert max(parts) - min(parts) < 0.2
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.emulator.recovery import MEAN, Plan, Return
+from cottonhold.emulator.recovery import MEAN, Plan, PowerReturn
 from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
@@ -48,11 +48,11 @@
     engines: float = 0.0,
     again: float | None = None,
     seed: int = 1,
-) -> Return:
+) -> PowerReturn:
     """Five instances that come within 2.5 s, nine engines, clients with 0.6 of what those do when warm."""
     plan = Plan(lambda place: engines, lambda i: 600.0 * i, warm, again)
     settings = FleetSettings(dispatchers=5, sheds_load=True, slow_start=SlowStartSettings() if on else None)
-    world = Return(seed, times * 0.6 * 9 * 1000 / MEAN, 5, 9, plan, settings)
+    world = PowerReturn(seed, times * 0.6 * 9 * 1000 / MEAN, 5, 9, plan, settings)
     world.play(until)
     return world
 
@@ -364,7 +364,7 @@
 STEP, BOUNDS, START = SlowStart.step, SlowStart.work_limits, SlowStart._start
 
 
-def most(world: Return) -> float:
+def most(world: PowerReturn) -> float:
     """The most that came to any engine within its window, against what it does at the time."""
     return max(p.most for p in world.pressed)
 
@@ -382,7 +382,7 @@
 def test_a_removed_guard_is_detected(
     monkeypatch: pytest.MonkeyPatch,
     defects: dict[str, Callable[..., object]],
-    seen: Callable[[Return], float],
+    seen: Callable[[PowerReturn], float],
     least: float,
     seeds: int,
     warm: float,
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -32,12 +32,12 @@
     """A fault of zone a's engines; taken back at the end."""
 
     def fault(world: World, on: bool) -> None:
-        usual = {"dead": False, "slow": 1.0, "failing": 0.0, "silent_until": 0.0}
+        usual = {"is_dead": False, "slow_factor": 1.0, "failing_share": 0.0, "silent_until": 0.0}
         for engine in world.engines.values():
             if engine.zone == "a":
                 for name, value in fields.items():
                     setattr(engine, name, value if on else usual[name])
-                if not on and "dead" in fields:
+                if not on and "is_dead" in fields:
                     engine.busy_until, engine.cold_until = MEND, MEND + 3000.0
 
     return fault
@@ -57,17 +57,18 @@
 def left(world: World, zone: str = "a") -> dict[int, float]:
     """When each instance first left a zone, in ms from the fault."""
     return {
-        i: min(t for t, turn in node.turns if turn.zone == zone and turn.phase is Phase.EVACUATED) - FAULT
+        i: min(t for t, turn in node.phase_changes if turn.zone == zone and turn.phase is Phase.EVACUATED)
+        - FAULT
         for i, node in world.nodes.items()
-        if any(turn.zone == zone and turn.phase is Phase.EVACUATED for _, turn in node.turns)
+        if any(turn.zone == zone and turn.phase is Phase.EVACUATED for _, turn in node.phase_changes)
     }
 
 
 FAULTS = {
-    "killed": (set_zone(dead=True), 1000.0),
+    "killed": (set_zone(is_dead=True), 1000.0),
     "silent": (set_zone(silent_until=MEND), 1000.0),
-    "ten times slower": (set_zone(slow=10.0), 3000.0),
-    "three in ten fail": (set_zone(failing=0.3), 3000.0),
+    "ten times slower": (set_zone(slow_factor=10.0), 3000.0),
+    "three in ten fail": (set_zone(failing_share=0.3), 3000.0),
 }
 
 
@@ -114,7 +115,7 @@
 def test_instances_cut_off_from_a_zone_evacuate_it_alone(cut: list[int], instances: int) -> None:
     def fault(world: World, on: bool) -> None:
         for i in cut:
-            world.nodes[i].cut = {"a"} if on else set()
+            world.nodes[i].unreachable_zones = {"a"} if on else set()
 
     world = play(fault, instances=instances)
     assert set(left(world)) == set(cut)
@@ -123,7 +124,7 @@
 
 def test_a_partitioned_fleet_evacuates_by_own_evidence_and_converges_again() -> None:
     def fault(world: World, on: bool) -> None:
-        set_zone(dead=True)(world, on)
+        set_zone(is_dead=True)(world, on)
         world.network.cut = lambda a, b: on and (a.port <= 3) != (b.port <= 3)
 
     world = play(fault, end=25_000.0)
@@ -133,7 +134,7 @@
 
 def test_instances_that_die_during_an_evacuation_delay_no_other() -> None:
     def fault(world: World, on: bool) -> None:
-        set_zone(slow=10.0)(world, on)
+        set_zone(slow_factor=10.0)(world, on)
         for i in (5, 4, 0) if on else ():
             world.network.at(FAULT + 300.0, lambda i=i: world.kill(i))  # type: ignore[misc]
 
@@ -144,7 +145,7 @@
 
 def test_an_instance_suspended_across_evacuation_and_return_sends_no_burst() -> None:
     def fault(world: World, on: bool) -> None:
-        set_zone(dead=True)(world, on)
+        set_zone(is_dead=True)(world, on)
         if on:
             world.network.stop(Address("fleet", 6), 5000.0)
 
@@ -156,7 +157,7 @@
 def test_all_zones_slow_at_once_is_overload_and_evacuates_none() -> None:
     def fault(world: World, on: bool) -> None:
         for engine in world.engines.values():
-            engine.slow = 4.0 if on else 1.0
+            engine.slow_factor = 4.0 if on else 1.0
 
     assert not any(left(play(fault), zone) for zone in "abc")
 
@@ -164,7 +165,7 @@
 def test_two_faulty_zones_are_evacuated_and_the_third_is_not() -> None:
     def fault(world: World, on: bool) -> None:
         for engine in world.engines.values():
-            engine.dead = on and engine.zone in "ab"
+            engine.is_dead = on and engine.zone in "ab"
 
     world = play(fault, end=25_000.0)
     assert len(left(world, "a")) == len(left(world, "b")) == 6 and not left(world, "c")
@@ -172,12 +173,12 @@
 
 def test_a_failed_return_doubles_the_hold() -> None:
     def fault(world: World, on: bool) -> None:
-        set_zone(slow=10.0)(world, on)
+        set_zone(slow_factor=10.0)(world, on)
 
     world = play(fault, end=25_000.0)
     for node in world.nodes.values():
-        outs = [t for t, turn in node.turns if turn.zone == "a" and turn.phase is Phase.EVACUATED]
-        backs = [t for t, turn in node.turns if turn.zone == "a" and turn.phase is Phase.RETURNING]
+        outs = [t for t, turn in node.phase_changes if turn.zone == "a" and turn.phase is Phase.EVACUATED]
+        backs = [t for t, turn in node.phase_changes if turn.zone == "a" and turn.phase is Phase.RETURNING]
         holds = [b - o for o, b in zip(outs, backs, strict=False)]
         hold = world.settings.evacuation.hold_ms
         assert len(holds) >= 2 and holds[0] >= hold and holds[1] >= 2 * hold
@@ -378,7 +379,7 @@
         world = World(3, 6, 400.0)
         world.run(FAULT)
         for engine in world.engines.values():
-            engine.failing = failing if engine.zone == "a" else 0.0
+            engine.failing_share = failing if engine.zone == "a" else 0.0
         world.run(FAULT + 2500.0)
         share = world.share("a", FAULT + 1500.0, FAULT + 2500.0)
         assert (share > 0.05) is wanted, (failing, share)
