--- a/benchmarks/membership/run.py
+++ b/benchmarks/membership/run.py
@@ -20,9 +20,11 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.network import Network
-from cottonhold.membership.codec import Keys, Status, member_id
+from cottonhold.membership.codec import KeyRing, MemberStatus, member_id
+from cottonhold.membership.events import DatagramReceived, MemberChanged, SendDatagram
 from cottonhold.membership.rendezvous import Rendezvous, score
-from cottonhold.membership.swim import Changed, Datagram, Send, Swim, SwimSettings
+from cottonhold.membership.swim import Swim
+from cottonhold.membership.swim_settings import SwimSettings
 
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
@@ -42,10 +44,10 @@
     def step(self, now: float, received: list[tuple[bytes, Address]]) -> Iterable[tuple[bytes, Address]]:
         """As the network asks for it."""
         out = []
-        for action in self.swim.step(now, [Datagram(data, sender) for data, sender in received]):
-            if isinstance(action, Send):
+        for action in self.swim.step(now, [DatagramReceived(data, sender) for data, sender in received]):
+            if isinstance(action, SendDatagram):
                 out.append((action.data, action.address))
-            elif isinstance(action, Changed) and action.status is Status.DEAD:
+            elif isinstance(action, MemberChanged) and action.status is MemberStatus.DEAD:
                 self.dead.append((now, action.member))
         return out
 
@@ -67,12 +69,12 @@
 
 def fleet(day: Day) -> tuple[Network, list[Instance], list[Address]]:
     network = Network(day.seed, loss=0.0)
-    settings = replace(SwimSettings(), lifeguard=day.lifeguard)
+    settings = replace(SwimSettings(), uses_lifeguard=day.lifeguard)
     addresses = [Address(f"10.{i // 60000}.{i // 250 % 240}.{i % 250 + 1}", 7946) for i in range(day.size)]
     instances = []
     for i, address in enumerate(addresses):
         seed = day.seed * 10_000 + i
-        swim = Swim(f"n{i}", address, settings, seed, EPOCH, Keys({1: b"k"}, 1), addresses[:3])
+        swim = Swim(f"n{i}", address, settings, seed, EPOCH, KeyRing({1: b"k"}, 1), addresses[:3])
         instances.append(Instance(swim))
         network.add(address, instances[-1])
     network.run(MEET_MS)
--- a/cottonhold/config/installation.py
+++ b/cottonhold/config/installation.py
@@ -20,7 +20,7 @@
 from cottonhold.discovery.consul.registration import RegistrationSettings
 from cottonhold.discovery.consul.watch import WatchSettings
 from cottonhold.discovery.model import Address, Guard, Names, Observation, Report, Verdict
-from cottonhold.membership.codec import Keys
+from cottonhold.membership.codec import KeyRing
 from cottonhold.scheduler.settings import (
     DeduplicationScope,
     Features,
@@ -65,7 +65,7 @@
     known: tuple[Observation, ...]
     registration: RegistrationSettings | None
     registration_tls: schema.Tls | None
-    keys: Keys
+    keys: KeyRing
     secrets: tuple[str, ...]
     announce: Address | None = None  # where the other instances reach this one, if not where it listens
 
@@ -211,7 +211,7 @@
     )
 
 
-def _keys(section: schema.Membership | None, folder: Path, report: contradictions.Report) -> Keys:
+def _keys(section: schema.Membership | None, folder: Path, report: contradictions.Report) -> KeyRing:
     """The keys of the datagrams; the one sent with is the first, unless another is named."""
     keys = {}
     for i, key in enumerate(section.keys if section else ()):
@@ -221,7 +221,7 @@
             report(("membership", "keys", i), "has a secret of fewer than 8 or more than 64 bytes")
         keys[key.number] = secret.encode()
     sending = section.send_key if section and section.send_key else next(iter(keys), 0)
-    return Keys(keys, sending)
+    return KeyRing(keys, sending)
 
 
 def _address(text: str) -> Address:
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -24,7 +24,7 @@
     encode_reports,
     zone_number,
 )
-from cottonhold.membership.codec import Codec, Keys, Kind, Message, member_id
+from cottonhold.membership.codec import Codec, KeyRing, Message, MessageKind, member_id
 from cottonhold.node.status import ask
 
 if TYPE_CHECKING:
@@ -164,11 +164,11 @@
     async def _lie(self, name: str, zone: str) -> None:
         """Words in an instance's name that it never said: it is sure that a zone is out."""
         number, me = int(name[1:]), member_id(name)
-        codec = Codec(me, random.Random(self.trial.day.seed).getrandbits(32), Keys({1: KEY}, 1))
+        codec = Codec(me, random.Random(self.trial.day.seed).getrandbits(32), KeyRing({1: KEY}, 1))
         said = ZoneReport(Vote.EVACUATE, 0, 0, 200, 0.0, is_certain=True, suspects_failure=True)
         for version in range(1_000_000, 2_000_000):
             word = MemberReport(me, int(time.time()), version, 100, 0, {zone_number(zone): said})
-            data = codec.encode(Message(Kind.FLEET, me, 0), encode_reports([word], 200))
+            data = codec.encode(Message(MessageKind.FLEET, me, 0), encode_reports([word], 200))
             for j in range(self.trial.day.instances):
                 if j != number:
                     self.trial.switch.pass_on(self.trial.switch.ports[number], j, data)
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -26,7 +26,7 @@
 
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.zone_failover.operator_overrides import cut
-from cottonhold.membership.codec import MOST_NAME, member_id
+from cottonhold.membership.codec import MAX_NAME_BYTES, member_id
 
 WHOLE = struct.Struct("!BBIIIQBB")
 RECORD = struct.Struct("!BBIIQHBHHHHIB")
@@ -238,8 +238,8 @@
     name = item.machine
     if name not in there:
         raise PlanError(f"'{name}' is no machine that is there")
-    if max(len(name.encode()), len(new.encode())) > MOST_NAME:
-        raise PlanError(f"'{name}' or '{new}' is longer than {MOST_NAME} bytes")
+    if max(len(name.encode()), len(new.encode())) > MAX_NAME_BYTES:
+        raise PlanError(f"'{name}' or '{new}' is longer than {MAX_NAME_BYTES} bytes")
     if new in there and there[new].engine != there[name].engine:
         raise PlanError(f"'{new}' is no machine of the kind of '{name}'")
     if there[name].engine and new != name and new in there:
@@ -331,7 +331,7 @@
         return Whole()
     try:
         form, state, serial, base, epoch, locker, most, zones = WHOLE.unpack_from(data)
-        (first, who), at = _texts(data, WHOLE.size, (MOST_NAME, MOST_WHO))
+        (first, who), at = _texts(data, WHOLE.size, (MAX_NAME_BYTES, MOST_WHO))
         out = struct.unpack(f"!{data[at]}Q", data[at + 1 :])
         if form != FORM or len(out) > MOST_OUT:
             raise MessageError("swap")
@@ -358,7 +358,7 @@
         form, step, serial, epoch, driver, took, flags, zone, cores, told, seen, life, reason = (
             RECORD.unpack_from(data)
         )
-        texts, at = _texts(data, RECORD.size, (MOST_NAME, MOST_NAME, MOST_WHO))
+        texts, at = _texts(data, RECORD.size, (MAX_NAME_BYTES, MAX_NAME_BYTES, MOST_WHO))
         if form != FORM or at != len(data):
             raise MessageError("swap")
         return Record(
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -22,7 +22,7 @@
 from cottonhold.fleet.consensus.actions import PersistState, SendMessage
 from cottonhold.fleet.consensus.messages import MessageReader
 from cottonhold.fleet.session_affinity import messages
-from cottonhold.membership.leases import Ask, Leases, LeaseSettings, To, Word
+from cottonhold.membership.leases import LeaseManager, LeaseReply, LeaseRequest, LeaseSettings, SendToMember
 
 TABLE_RECORD = "table"  # name of the record
 # Epoch, complete epoch + 1, forgotten epoch, whether barred; numbers of members, fences, fenced, refusals.
@@ -88,7 +88,7 @@
         self.fenced_at: dict[int, float] = dict.fromkeys(self.fences, now)
         if has_full_memory and TABLE_RECORD in records:
             self._load(now, records[TABLE_RECORD])
-        self.leases = Leases(member, self.voters, settings, now, first_term)
+        self.leases = LeaseManager(member, self.voters, settings, now, first_term)
         self.record_version = 0
         self.requested_version = 0  # the version last passed to the disk
         self.durable_version = 0
@@ -98,8 +98,8 @@
 
     def valid_until(self) -> float:
         """Return until when this member may act on what it owns; a time in the past if it may not."""
-        bid = self.leases.bids.get(self.member)
-        return bid.held_until if bid is not None and self.member in self.members else -math.inf
+        bid = self.leases.claims.get(self.member)
+        return bid.expires_at if bid is not None and self.member in self.members else -math.inf
 
     def fences_in_force(self, now: float) -> bool:
         """Whether all fences of this epoch are in force."""
@@ -139,8 +139,8 @@
     def step(self, now: float, retry_interval_ms: float) -> None:
         """Renew the lease and request what pending fences lack."""
         wanted = [self.member] if self.member in self.members else []
-        if set(wanted) != set(self.leases.bids):
-            self._send_lease_actions(self.leases.want(now, wanted))
+        if set(wanted) != set(self.leases.claims):
+            self._send_lease_actions(self.leases.claim(now, wanted))
         self._send_lease_actions(self.leases.step(now))
         for member in [m for m, fence in self.fences.items() if now >= fence.in_force_at]:
             del self.fences[member]
@@ -154,17 +154,21 @@
             if self.member in self.voters:
                 self._promise_refusal(now, self.member, member, self.epoch)
 
-    def on_lease_message(self, now: float, sender: int, message: Ask | Word, epoch: int) -> None:
+    def on_lease_message(
+        self, now: float, sender: int, message: LeaseRequest | LeaseReply, epoch: int
+    ) -> None:
         """Apply a lease request or answer of a member that knows this epoch of the table."""
-        if isinstance(message, Ask):
+        if isinstance(message, LeaseRequest):
             if message.duty != sender or self.is_barred:
                 return
             if self._is_refused(sender, epoch):
-                self._send_lease_message(sender, Word(message.duty, message.term, False, self.settings.retry))
+                self._send_lease_message(
+                    sender, LeaseReply(message.duty, message.term, False, self.settings.retry_interval_ms)
+                )
                 return
         elif message.duty != self.member:
             return
-        self._send_lease_actions(self.leases.receive(now, sender, message))
+        self._send_lease_actions(self.leases.on_message(now, sender, message))
 
     def _is_refused(self, member: int, epoch: int) -> bool:
         """Whether a member that knows this epoch of the table gets no lease.
@@ -198,7 +202,7 @@
         elif sender in self.voters:
             fence.refusing_voters.add(sender)
             if len(fence.refusing_voters) >= self.majority and fence.in_force_at == math.inf:
-                fence.in_force_at = now + self.settings.lease * (1 + self.settings.drift)
+                fence.in_force_at = now + self.settings.duration_ms * (1 + self.settings.max_clock_drift)
 
     def on_persisted(self, now: float, token: int) -> None:
         """The table's record with this token is on disk."""
@@ -260,10 +264,10 @@
 
     def _send_lease_actions(self, actions: Iterable[object]) -> None:
         for action in actions:
-            if isinstance(action, To):
-                self._send_lease_message(action.member, action.what)
+            if isinstance(action, SendToMember):
+                self._send_lease_message(action.member, action.message)
 
-    def _send_lease_message(self, member: int, message: Ask | Word) -> None:
+    def _send_lease_message(self, member: int, message: LeaseRequest | LeaseReply) -> None:
         self._send(member, messages.encode_lease(message, self.epoch))
 
     def _send(self, member: int, payload: bytes) -> None:
--- a/cottonhold/fleet/session_affinity/messages.py
+++ b/cottonhold/fleet/session_affinity/messages.py
@@ -79,16 +79,16 @@
     return kind, [MigrationEntry(key, epoch, flags) for key, epoch, flags in rows]
 
 
-def encode_lease(message: leases.Ask | leases.Word, epoch: int) -> bytes:
+def encode_lease(message: leases.LeaseRequest | leases.LeaseReply, epoch: int) -> bytes:
     """Encode a lease request or answer, with the epoch of the table that the sender knows."""
-    if isinstance(message, leases.Ask):
-        kind = RELEASE_REQUEST if message.release else REQUEST
+    if isinstance(message, leases.LeaseRequest):
+        kind = RELEASE_REQUEST if message.is_release else REQUEST
         return LEASE_FORMAT.pack(LEASE, kind, message.duty, message.term, epoch, 0.0)
-    wait_ms = GRANTED_WAIT if message.granted else message.wait
+    wait_ms = GRANTED_WAIT if message.is_granted else message.retry_after_ms
     return LEASE_FORMAT.pack(LEASE, ANSWER, message.duty, message.term, epoch, wait_ms)
 
 
-def decode_lease(data: bytes) -> tuple[leases.Ask | leases.Word, int]:
+def decode_lease(data: bytes) -> tuple[leases.LeaseRequest | leases.LeaseReply, int]:
     """Decode a lease request or answer, and the sender's epoch. Raises MessageError."""
     if len(data) != LEASE_FORMAT.size or data[0] != LEASE or data[1] > RELEASE_REQUEST:
         raise MessageError("lease")
@@ -96,8 +96,8 @@
     if kind == ANSWER:
         if not wait_ms < MAX_WAIT_MS:  # also refuses a value that is not a number
             raise MessageError("wait")
-        return leases.Word(duty, term, wait_ms < 0, max(wait_ms, 0.0)), epoch
-    return leases.Ask(duty, term, kind == RELEASE_REQUEST), epoch
+        return leases.LeaseReply(duty, term, wait_ms < 0, max(wait_ms, 0.0)), epoch
+    return leases.LeaseRequest(duty, term, kind == RELEASE_REQUEST), epoch
 
 
 def encode_notice(kind: int, is_answer: bool, member: int, epoch: int) -> bytes:
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -49,7 +49,9 @@
     uncertainty_ms: float = 60_000.0
     max_records: int = 20_000
     max_overload_factor: float = 1.25
-    lease: LeaseSettings = field(default_factory=lambda: LeaseSettings(lease=600.0, retry=60.0))
+    lease: LeaseSettings = field(
+        default_factory=lambda: LeaseSettings(duration_ms=600.0, retry_interval_ms=60.0)
+    )
 
 
 class OwnershipState(IntEnum):
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -106,7 +106,7 @@
 
     def step(self, now: float, swap: Swap) -> None:
         """Tell drivers, and ask engines that are out."""
-        drains, live = self.drains, set(self.swim.live())
+        drains, live = self.drains, set(self.swim.live_members())
         drains.life = life_of(self.ledger)
         lives = {id: _life(m.incarnation) for id, m in self.swim.members.items() if id in live}
         drains.members(now, lives)
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -8,11 +8,13 @@
 
 from cottonhold.config.installation import Installation
 from cottonhold.discovery.model import Address
-from cottonhold.membership.codec import MAGIC, Status, member_id
-from cottonhold.membership.duties import Duties, Duty, Run, Stop
-from cottonhold.membership.instance import Action, Done, Instance, Told
+from cottonhold.membership.codec import MAGIC, MemberStatus, member_id
+from cottonhold.membership.duties import Duty, DutyScheduler, RunDuty, StopDuty
+from cottonhold.membership.events import DatagramReceived, MemberChanged, SendDatagram
+from cottonhold.membership.instance import Action, DutyDone, FleetMessageReceived, MembershipInstance
 from cottonhold.membership.leases import LeaseSettings
-from cottonhold.membership.swim import Changed, Datagram, Send, Swim, SwimSettings
+from cottonhold.membership.swim import Swim
+from cottonhold.membership.swim_settings import SwimSettings
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
@@ -37,13 +39,13 @@
     return {"inflight": float(detail >> 16), "util": (detail & 0xFFFF) / SCALE}
 
 
-def make_instance(installation: Installation, now: float, incarnation: int) -> Instance:
+def make_instance(installation: Installation, now: float, incarnation: int) -> MembershipInstance:
     """The pure parts for an installation that has a section `membership`. incarnation: the least to begin
     with."""
     file, config = installation.file, installation.config
     section = file.membership
     assert section is not None and config.peer_listen is not None
-    settings = SwimSettings(period=section.period_ms, timeout=section.timeout_ms)
+    settings = SwimSettings(probe_interval_ms=section.period_ms, ping_timeout_ms=section.timeout_ms)
     # Danger: the wall clock may have gone back since the last life. The others tell of its incarnation, and
     # that is passed; a life's terms, and what tells its datagrams from the last one's, are drawn.
     life = secrets.randbits(32)
@@ -57,7 +59,7 @@
         config.peers,
     )
     voters = [member_id(name) for name in section.voters] or [swim.id]
-    duties = Duties(
+    duties = DutyScheduler(
         swim.id,
         [Duty(PROBE, section.probe_ms), Duty(REPORT, section.report_ms)],
         voters,
@@ -65,7 +67,7 @@
         now,
         life & 0xFFFFFF,
     )
-    return Instance(swim, duties)
+    return MembershipInstance(swim, duties)
 
 
 class MembershipRim:
@@ -73,7 +75,7 @@
 
     def __init__(
         self,
-        instance: Instance,
+        instance: MembershipInstance,
         clock: Clock,
         counters: Counters,
         send: Callable[[bytes, Address], None],
@@ -85,23 +87,23 @@
         self.send, self.probe, self.learned, self.note = send, probe, learned, note
         self.told: Callable[[int, bytes], None] = lambda member, payload: None
         self.joined: Callable[[], None] = lambda: None  # somebody is there who was not before
-        self.came: list[Datagram] = []
+        self.came: list[DatagramReceived] = []
         self.timer: Timer | None = None
         self.stepping = False
-        self.probing: dict[str, Run] = {}
+        self.probing: dict[str, RunDuty] = {}
         self.runs: dict[str, int] = {}
 
     def start(self) -> None:
         """Begin: the first step says hello."""
         now = self.clock.now()
-        self._carry_out(self.instance.subjects(now, REPORT, [FLEET]))
+        self._carry_out(self.instance.on_subjects(now, REPORT, [FLEET]))
         self._step()
 
     def receive(self, data: bytes, sender: Address) -> bool:
         """Whether a datagram is membership's; all of one turn of the loop go into one step."""
         if not data or data[0] != MAGIC:
             return False
-        self.came.append(Datagram(data, sender))
+        self.came.append(DatagramReceived(data, sender))
         if not self.stepping:
             self.stepping = True
             self.clock.call_soon(self._step)
@@ -109,7 +111,7 @@
 
     def engines(self, ids: Iterable[str]) -> None:
         """Exactly these engines are to be probed now."""
-        self._carry_out(self.instance.subjects(self.clock.now(), PROBE, ids))
+        self._carry_out(self.instance.on_subjects(self.clock.now(), PROBE, ids))
         self._arm()
 
     def probed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
@@ -117,12 +119,12 @@
         run = self.probing.pop(engine, None)
         if run is not None:
             detail = pack_report(report) if outcome is Outcome.OK else None
-            self._carry_out(self.instance.done(self.clock.now(), run, detail))
+            self._carry_out(self.instance.on_run_ended(self.clock.now(), run, detail))
             self._arm()
 
     def say(self, member: int, payload: bytes) -> None:
         """Bytes of fleet/ to a member."""
-        if (send := self.instance.swim.say_payload(payload, member)) is not None:
+        if (send := self.instance.swim.payload_to(payload, member)) is not None:
             self.send(send.data, send.address)
 
     def leave(self) -> None:
@@ -143,9 +145,9 @@
                     "address": str(m.address),
                     "status": m.status.name.lower(),
                     "incarnation": m.incarnation,
-                    "since_ms": round(now - m.since),
+                    "since_ms": round(now - m.status_since),
                 }
-                for m in swim.view()
+                for m in swim.members_by_name()
             ],
             "duties": [
                 {
@@ -154,7 +156,7 @@
                     "holder": names.get(shares.holder(subject) or 0, ""),
                     "done_ms_ago": round(now - task.done_at) if task.done_at > 0 else None,
                 }
-                for name, shares in sorted(duties.shares.items())
+                for name, shares in sorted(duties.assignments.items())
                 for subject in sorted(shares.holders)
                 for task in [duties.tasks[name, subject]]
             ],
@@ -178,34 +180,36 @@
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Send(data, address):
+                case SendDatagram(data, address):
                     self.send(data, address)
-                case Changed(_, name, status, incarnation):
+                case MemberChanged(_, name, status, incarnation):
                     self.counters.add(f"members_{status.name.lower()}")
                     self.note("member", name=name, status=status.name.lower(), incarnation=incarnation)
-                    if status is Status.ALIVE:
+                    if status is MemberStatus.ALIVE:
                         self.clock.call_soon(self.joined)
-                case Run():
+                case RunDuty():
                     self._run(action)
-                case Stop(_, subject, _):
+                case StopDuty(_, subject, _):
                     self.probing.pop(subject, None)
-                case Told(member, payload):
+                case FleetMessageReceived(member, payload):
                     self.told(member, payload)
-                case Done(duty, subject, _, detail):
+                case DutyDone(duty, subject, _, detail):
                     if duty == PROBE:
                         self.learned(subject, unpack_report(detail))
 
-    def _run(self, run: Run) -> None:
+    def _run(self, run: RunDuty) -> None:
         self.runs[run.duty] = self.runs.get(run.duty, 0) + 1
         self.counters.add(f"duties_{run.duty}")
         now = self.clock.now()
         if run.duty == REPORT:
-            there = [m.name for m in self.instance.swim.view() if m.id in self.instance.shown]
+            there = [
+                m.name for m in self.instance.swim.members_by_name() if m.id in self.instance.reported_members
+            ]
             self.note(
                 "fleet", members=len(there) + 1, duties=len(self.instance.duties.tasks), runs=str(self.runs)
             )
-            self._carry_out(self.instance.done(now, run, 0))
+            self._carry_out(self.instance.on_run_ended(now, run, 0))
         elif self.probe(run.subject):
             self.probing[run.subject] = run
         else:
-            self._carry_out(self.instance.done(now, run, None))
+            self._carry_out(self.instance.on_run_ended(now, run, None))
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -239,7 +239,7 @@
 
     def _step(self) -> None:
         now = self.clock.now()
-        self.census.members(now, self.swim.live() if self.swim is not None else ())
+        self.census.members(now, self.swim.live_members() if self.swim is not None else ())
         if self.memory.waiting:
             self.census.hurry(now)
         self._carry_out(self.census.step(now))
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -182,7 +182,7 @@
     def _step(self) -> None:
         now = self.clock.now()
         self._tell(now)
-        self.registers.set_listeners(self.swim.live())
+        self.registers.set_listeners(self.swim.live_members())
         self._carry_out(self.registers.step(now))
         for action in self.swap.step(now):
             self._act(now, action)
@@ -196,7 +196,7 @@
 
     def _tell(self, now: float) -> None:
         """What this instance sees."""
-        swap, live = self.swap, set(self.swim.live())
+        swap, live = self.swap, set(self.swim.live_members())
         there = [self._machine(self.name, self.swim.id, self.census.me, self.census.life)]
         there[0] = replace(there[0], votes=self.registers.is_voting())
         for member in self.swim.members.values():
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -276,7 +276,7 @@
         """Of those that may take pins: by what the outlook says is left in their zones, else even."""
         chain = self.swap.swap.scene.chain
         going = {ident(name) for name, record in chain.items() if record.step in ON_WAY}
-        there = [m for m in self.swim.live() if m != self.swim.id and m not in going]
+        there = [m for m in self.swim.live_members() if m != self.swim.id and m not in going]
         outlook = self.fleet.outlook
         # Danger: asked for the loss of no zone, which is never projected, the outlook had no say in this.
         left = outlook.plan.room if outlook is not None and outlook.plan is not None else {}
@@ -318,7 +318,7 @@
         chain = self.swap.swap.scene.chain
         out = frozenset(ident(name) for name, record in chain.items() if record.step is Step.OUT)
         return Surroundings(
-            self._whole(), self._going(chain.get(self.name)), frozenset(self.swim.live()), out
+            self._whole(), self._going(chain.get(self.name)), frozenset(self.swim.live_members()), out
         )
 
     def _whole(self) -> bool | None:
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -15,7 +15,7 @@
 from cottonhold.fleet.zone_failover.evacuation import Turn, ZoneSettings
 from cottonhold.fleet.zone_failover.failure_evidence import EvidenceSettings
 from cottonhold.fleet.zone_failover.operator_overrides import Mode
-from cottonhold.membership.codec import Status
+from cottonhold.membership.codec import MemberStatus
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.gateway import Taken
@@ -230,8 +230,8 @@
 
     def _step(self) -> None:
         now = self.clock.now()
-        left = (m.id for m in self.swim.view() if m.status is Status.LEFT)
-        self.fleet.members(now, self.swim.live(), left)
+        left = (m.id for m in self.swim.members_by_name() if m.status is MemberStatus.LEFT)
+        self.fleet.members(now, self.swim.live_members(), left)
         self._carry_out(self.fleet.step(now))
         self._probe_unproven(now)
         self._arm()
--- a/cottonhold/membership/codec.py
+++ b/cottonhold/membership/codec.py
@@ -1,12 +1,11 @@
 """Datagrams between instances: at most 256 bytes, versioned, with an optional MAC. Free of I/O.
 
-    magic 1 | version 1 | key 1 | life 4 | count 4 | sender 8 | kind 1 | sequence 4 | subject 8 | updates |
+    magic 1 | version 1 | key 1 | session 4 | count 4 | sender 8 | kind 1 | sequence 4 | subject 8 | updates |
     MAC 12
 
-The first byte tells them apart from the scheduler's own messages, which begin with 1 or 2. `life` is drawn at
-the sender's start and `count` grows with each datagram, so a receiver can tell a replay. The MAC is keyed
-BLAKE2b over all before it; key 0 means that there is none.
-"""
+The first byte tells them apart from the scheduler's own messages, which begin with 1 or 2. `session` is drawn
+at the sender's start and `count` grows with each datagram, so a receiver can tell a replay. The MAC is
+has_key BLAKE2b over all before it; key 0 means that there is none."""
 
 from __future__ import annotations
 
@@ -21,27 +20,27 @@
 
 from cottonhold.discovery.model import Address
 
-MOST_BYTES = 256
+MAX_DATAGRAM_BYTES = 256
 MAGIC, VERSION = 0xC7, 1
 HEAD = struct.Struct("!BBBIIQ")
 BODY = struct.Struct("!BIQ")
 UPDATE = struct.Struct("!BQQ")
 MAC_BYTES = 12
-MOST_NAME = 32
-WINDOW = 256  # datagrams that may overtake one another: more than a burst of a full exchange
-LIVES = 4096  # senders' lives remembered
+MAX_NAME_BYTES = 32
+REPLAY_WINDOW = 256  # datagrams that may overtake one another: more than one full exchange sends at once
+MAX_TRACKED_SESSIONS = 4096  # senders' sessions remembered
 
 
 class CodecError(Exception):
-    """A datagram that can't be used; `reason` is a short word to count it by."""
+    """A datagram that can't be used; `reason` is a short name under which it is counted."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
         self.reason = reason
 
 
-class Kind(IntEnum):
-    """What a datagram asks or tells."""
+class MessageKind(IntEnum):
+    """The kinds of datagrams. The numbers are on the wire."""
 
     PING = 1
     ACK = 2
@@ -49,15 +48,15 @@
     NACK = 4
     SYNC = 5  # part of the sender's table; the receiver answers with part of its own
     SYNC_REPLY = 6
-    LEASE_ASK = 7  # of leases: the sequence is the term, the subject the lease's number
+    LEASE_REQUEST = 7  # of leases: the sequence is the term, the subject the number of the lease
     LEASE_RELEASE = 8
     LEASE_GRANT = 9
     LEASE_DENY = 10
-    DONE = 11  # a duty's subject was done; the sequence is the duty's own detail
-    FLEET = 12  # what fleet/ tells, as bytes of its own in place of updates
+    DUTY_DONE = 11  # a duty's subject was done; the sequence is the duty's own detail
+    FLEET = 12  # a message of fleet/, as bytes of its own in place of updates
 
 
-class Status(IntEnum):
+class MemberStatus(IntEnum):
     """What is believed of a member."""
 
     ALIVE = 1
@@ -68,9 +67,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Update:
-    """News of one member. Address and name come with ALIVE only. `source` is who suspects or declares."""
+    """A change of one member. Address and name come with ALIVE only. source: the member that suspects it or
+    declares it dead."""
 
-    status: Status
+    status: MemberStatus
     member: int
     incarnation: int
     source: int = 0
@@ -80,11 +80,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """A datagram's meaning. `subject`: whom a ping is for, so that a new process at an old address won't
-    answer.
-    """
+    """A datagram's meaning. subject: the member that a ping is for, so that a new process at an old address
+    doesn't answer."""
 
-    kind: Kind
+    kind: MessageKind
     sender: int
     sequence: int
     subject: int = 0
@@ -100,84 +99,84 @@
 def encode_update(update: Update) -> bytes:
     """An update's bytes. Raises ValueError for an address that is no IP address, or a name too long."""
     head = UPDATE.pack(update.status, update.member, update.incarnation)
-    if update.status is not Status.ALIVE:
+    if update.status is not MemberStatus.ALIVE:
         return head + struct.pack("!Q", update.source)
     assert update.address is not None
     packed = ipaddress.ip_address(update.address.host).packed
     name = update.name.encode()
-    if len(name) > MOST_NAME:
-        raise ValueError(f"'{update.name}' is longer than {MOST_NAME} bytes")
+    if len(name) > MAX_NAME_BYTES:
+        raise ValueError(f"'{update.name}' is longer than {MAX_NAME_BYTES} bytes")
     tail = struct.pack("!HB", update.address.port, len(name)) + name
     return head + bytes([len(packed)]) + packed + tail
 
 
-def room(keyed: bool) -> int:
+def update_capacity(has_key: bool) -> int:
     """Bytes that a datagram has for updates."""
-    return MOST_BYTES - HEAD.size - BODY.size - (MAC_BYTES if keyed else 0)
+    return MAX_DATAGRAM_BYTES - HEAD.size - BODY.size - (MAC_BYTES if has_key else 0)
 
 
 class _Reader:
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.position = data, 0
 
     def take(self, size: int) -> bytes:
-        part = self.data[self.at : self.at + size]
+        part = self.data[self.position : self.position + size]
         if len(part) != size:
             raise CodecError("truncated")
-        self.at += size
+        self.position += size
         return part
 
     def update(self) -> Update:
         status, member, incarnation = UPDATE.unpack(self.take(UPDATE.size))
-        if status not in Status.__members__.values():
+        if status not in MemberStatus.__members__.values():
             raise CodecError("status")
-        if status != Status.ALIVE:
+        if status != MemberStatus.ALIVE:
             (source,) = struct.unpack("!Q", self.take(8))
-            return Update(Status(status), member, incarnation, source)
+            return Update(MemberStatus(status), member, incarnation, source)
         size = self.take(1)[0]
         if size not in (4, 16):
             raise CodecError("address")
         host = str(ipaddress.ip_address(self.take(size)))
         port, length = struct.unpack("!HB", self.take(3))
-        if not port or length > MOST_NAME:
+        if not port or length > MAX_NAME_BYTES:
             raise CodecError("address")
         try:
             name = self.take(length).decode()
         except UnicodeDecodeError:
             raise CodecError("name") from None
-        return Update(Status.ALIVE, member, incarnation, 0, Address(host, port), name)
+        return Update(MemberStatus.ALIVE, member, incarnation, 0, Address(host, port), name)
 
 
 @dataclass(slots=True)
-class _Life:
-    """The counts seen of one life of a sender: the highest, and a bit for each of the last ones."""
+class _ReplayWindow:
+    """The counts received in one session of a sender: the highest, and a bit for each of the last ones."""
 
     highest: int = -1
     seen: int = 0
 
-    def take(self, count: int) -> bool:
-        """Whether the count is new."""
+    def accept(self, count: int) -> bool:
+        """Whether the count is new; it is remembered."""
         if count > self.highest:
-            self.seen = ((self.seen << (count - self.highest)) | 1) & ((1 << WINDOW) - 1)
+            self.seen = ((self.seen << (count - self.highest)) | 1) & ((1 << REPLAY_WINDOW) - 1)
             self.highest = count
             return True
         behind = self.highest - count
-        if behind >= WINDOW or self.seen >> behind & 1:
+        if behind >= REPLAY_WINDOW or self.seen >> behind & 1:
             return False
         self.seen |= 1 << behind
         return True
 
 
 @dataclass(slots=True)
-class Keys:
-    """Shared keys by number, 1 to 255. All are accepted; `sending` is the one used. No keys: no MAC at all.
+class KeyRing:
+    """Shared keys by number, 1 to 255. All are accepted; `sending_number` is the one that is sent with.
+    Without keys there is no MAC at all.
 
     A rotation without a gap: give all instances the new key beside the old one, then have all send with the
-    new one, then take the old one away.
-    """
+    new one, then remove the old one."""
 
     keys: Mapping[int, bytes] = field(default_factory=dict)
-    sending: int = 0
+    sending_number: int = 0
 
     def mac(self, number: int, data: bytes) -> bytes:
         """The MAC under a key. Raises CodecError for a key that isn't there."""
@@ -189,51 +188,50 @@
 class Codec:
     """Encodes one sender's datagrams and decodes everybody's, keeping their replay windows."""
 
-    def __init__(self, sender: int, life: int, keys: Keys | None = None) -> None:
-        self.sender, self.life, self.count = sender, life & 0xFFFFFFFF, 0
-        self.keys = keys or Keys()
-        self.lives: OrderedDict[tuple[int, int], _Life] = OrderedDict()
+    def __init__(self, sender: int, session: int, keys: KeyRing | None = None) -> None:
+        self.sender, self.session, self.datagram_count = sender, session & 0xFFFFFFFF, 0
+        self.keys = keys or KeyRing()
+        self.replay_windows: OrderedDict[tuple[int, int], _ReplayWindow] = OrderedDict()
 
-    def room(self) -> int:
+    def update_capacity(self) -> int:
         """Bytes that a datagram has for updates."""
-        return room(bool(self.keys.keys))
+        return update_capacity(bool(self.keys.keys))
 
     def encode(self, message: Message, updates: bytes) -> bytes:
-        """A datagram, with its updates or what fleet/ tells already in bytes."""
-        number = self.keys.sending if self.keys.keys else 0
-        self.count = (self.count + 1) & 0xFFFFFFFF
+        """A datagram, with its updates or its payload already encoded."""
+        number = self.keys.sending_number if self.keys.keys else 0
+        self.datagram_count = (self.datagram_count + 1) & 0xFFFFFFFF
         data = b"".join(
             (
-                HEAD.pack(MAGIC, VERSION, number, self.life, self.count, self.sender),
+                HEAD.pack(MAGIC, VERSION, number, self.session, self.datagram_count, self.sender),
                 BODY.pack(message.kind, message.sequence, message.subject),
                 updates,
             )
         )
         data += self.keys.mac(number, data) if self.keys.keys else b""
-        assert len(data) <= MOST_BYTES
+        assert len(data) <= MAX_DATAGRAM_BYTES
         return data
 
     def decode(self, data: bytes) -> Message:
         """A datagram's meaning. Raises CodecError; then nothing has changed."""
-        if len(data) > MOST_BYTES:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise CodecError("long")
         if len(data) < HEAD.size + BODY.size:
             raise CodecError("truncated")
-        magic, version, number, life, count, sender = HEAD.unpack_from(data)
+        magic, version, number, session, count, sender = HEAD.unpack_from(data)
         if magic != MAGIC:
             raise CodecError("magic")
         if version != VERSION:
             raise CodecError("version")
         if self.keys.keys:
             data, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-            # Danger: compared byte by byte, the time of the answer tells how many bytes of a forgery were
-            # right.
+            # In constant time: else the time of the reply would show how many bytes of a forgery were right.
             if not hmac.compare_digest(mac, self.keys.mac(number, data)):
                 raise CodecError("mac")
         elif number:
             raise CodecError("key")
         message = self._body(data, sender)
-        if not self._fresh(sender, life, count):
+        if not self._is_new(sender, session, count):
             raise CodecError("replay")
         return message
 
@@ -241,22 +239,25 @@
         if len(data) < HEAD.size + BODY.size:
             raise CodecError("truncated")
         kind, sequence, subject = BODY.unpack_from(data, HEAD.size)
-        if kind not in Kind.__members__.values():
+        if kind not in MessageKind.__members__.values():
             raise CodecError("kind")
         if sender == self.sender or not sender:
             raise CodecError("sender")
-        if kind == Kind.FLEET:
-            return Message(Kind.FLEET, sender, sequence, subject, payload=data[HEAD.size + BODY.size :])
+        if kind == MessageKind.FLEET:
+            return Message(
+                MessageKind.FLEET, sender, sequence, subject, payload=data[HEAD.size + BODY.size :]
+            )
         reader, updates = _Reader(data[HEAD.size + BODY.size :]), []
-        while reader.at < len(reader.data):
+        while reader.position < len(reader.data):
             updates.append(reader.update())
-        return Message(Kind(kind), sender, sequence, subject, tuple(updates))
-
-    def _fresh(self, sender: int, life: int, count: int) -> bool:
-        """A replay of a life never met can't be told; its incarnations are old, and so it changes nothing."""
-        key = (sender, life)
-        window = self.lives.pop(key, None) or _Life()
-        self.lives[key] = window
-        while len(self.lives) > LIVES:
-            self.lives.popitem(last=False)
-        return window.take(count)
+        return Message(MessageKind(kind), sender, sequence, subject, tuple(updates))
+
+    def _is_new(self, sender: int, session: int, count: int) -> bool:
+        """Whether a datagram is no replay. A replay of a session never met isn't recognized; its incarnations
+        are old, and so it changes nothing."""
+        key = (sender, session)
+        window = self.replay_windows.pop(key, None) or _ReplayWindow()
+        self.replay_windows[key] = window
+        while len(self.replay_windows) > MAX_TRACKED_SESSIONS:
+            self.replay_windows.popitem(last=False)
+        return window.accept(count)
--- /dev/null
+++ b/cottonhold/membership/dissemination.py
@@ -0,0 +1,53 @@
+"""Updates that ride along with other messages, those that were sent least often first."""
+
+from __future__ import annotations
+
+import itertools
+import math
+
+from cottonhold.membership.codec import Update, encode_update
+
+MIN_UPDATE_BYTES = 25  # the shortest update
+MAX_TRIED_PER_COUNT = 16  # updates tried for a datagram among those sent equally often: it holds nine at most
+
+
+class UpdateQueue:
+    """Updates to spread, one for each member, by how often each was sent.
+
+    They lie in one mapping for each number of times, so that taking the least sent doesn't look at all of
+    them."""
+
+    def __init__(self, retransmit_factor: float) -> None:
+        self.retransmit_factor = retransmit_factor
+        self._updates_by_times_sent: list[dict[int, bytes]] = []
+        self._times_sent: dict[int, int] = {}  # by member
+
+    def add(self, update: Update) -> None:
+        """Spread an update; it replaces an older one of the same member."""
+        times = self._times_sent.get(update.member)
+        if times is not None:
+            del self._updates_by_times_sent[times][update.member]
+        self._insert(update.member, encode_update(update), 0)
+
+    def _insert(self, member: int, data: bytes, times: int) -> None:
+        while len(self._updates_by_times_sent) <= times:
+            self._updates_by_times_sent.append({})
+        self._updates_by_times_sent[times][member] = data
+        self._times_sent[member] = times
+
+    def take(self, capacity: int, member_count: int) -> list[bytes]:
+        """Encoded updates that fit so many bytes, where so many other members are known."""
+        max_times = math.ceil(self.retransmit_factor * math.log10(member_count + 2))
+        taken: list[tuple[int, bytes, int]] = []
+        for times, updates in enumerate(self._updates_by_times_sent):
+            for member, data in itertools.islice(updates.items(), MAX_TRIED_PER_COUNT):
+                if len(data) <= capacity:
+                    taken.append((member, data, times))
+                    capacity -= len(data)
+            if capacity < MIN_UPDATE_BYTES:
+                break
+        for member, data, times in taken:
+            del self._updates_by_times_sent[times][member], self._times_sent[member]
+            if times + 1 < max_times:
+                self._insert(member, data, times + 1)
+        return [data for _, data, _ in taken]
--- a/cottonhold/membership/duties.py
+++ b/cottonhold/membership/duties.py
@@ -2,13 +2,16 @@
 
 A duty has a name, a period, a set of subjects that changes, and one of two promises:
 
-- *At least once*: whoever rendezvous hashing names on its own view runs it. Views that differ may double it,
-  for as long as they differ; it is never left undone, since each view names somebody who is in it.
-- *At most once*: whoever is named also needs a lease (leases.py), and runs it only while enough of the lease
-  is left for the run to end in. It may be left undone while there is no majority; it is never doubled.
-
-Results are shared: whoever hears that a subject was done counts its period from then. So a takeover doesn't
-do at once what has just been done, and a fresh subject is greeted by one instance, not by all.
+- *At least once*: the member that rendezvous hashing assigns, on its own view, runs it. Views that differ may
+run
+  it twice, for as long as they differ; it is never left undone, since each view assigns a member that is in
+  it.
+- *At most once*: the assigned member also needs a lease (leases.py), and runs it only while enough of the
+lease
+  is left for the run to end in. It may be left undone while there is no majority; it never runs twice.
+
+Results are announced: a member that learns that a subject was done counts its interval from then. So a
+takeover doesn't do at once what has just been done, and a new subject is served by one instance, not by all.
 """
 
 from __future__ import annotations
@@ -21,36 +24,45 @@
 
 import xxhash
 
-from cottonhold.membership.leases import Ask, Hold, Leases, LeaseSettings, Release, To, Word
+from cottonhold.membership.leases import (
+    LeaseHeld,
+    LeaseLost,
+    LeaseManager,
+    LeaseReply,
+    LeaseRequest,
+    LeaseSettings,
+    SendToMember,
+)
 from cottonhold.membership.rendezvous import Rendezvous
 
 
-class Promise(Enum):
-    """What a duty must not be."""
+class Guarantee(Enum):
+    """How often a duty's subject is served where views of the membership differ."""
 
-    AT_LEAST_ONCE = "at least once"  # left undone
-    AT_MOST_ONCE = "at most once"  # done by two at a time
+    AT_LEAST_ONCE = "at least once"  # never left undone
+    AT_MOST_ONCE = "at most once"  # never done by two at a time
 
 
 @dataclass(slots=True, frozen=True)
 class Duty:
-    """A duty. Times in ms. `limit`: the longest that one run takes; an at-most-once run starts only with so
-    much of its lease left. A period must be longer than the limit."""
+    """A duty. max_run_ms: the longest that one run takes; an at-most-once run starts only with so much of its
+    lease left. The interval must be longer than that."""
 
     name: str
-    period: float
-    promise: Promise = Promise.AT_LEAST_ONCE
-    limit: float = 250.0
+    interval_ms: float
+    guarantee: Guarantee = Guarantee.AT_LEAST_ONCE
+    max_run_ms: float = 250.0
 
     def __post_init__(self) -> None:
-        """A duty that makes no sense is named at once."""
-        if not 0 < self.limit < self.period:
-            raise ValueError(f"duty '{self.name}': its limit must lie between 0 and its period")
+        """Raise ValueError for a duty whose runs don't fit its interval."""
+        if not 0 < self.max_run_ms < self.interval_ms:
+            raise ValueError(f"duty '{self.name}': its longest run must lie between 0 and its interval")
 
 
 @dataclass(slots=True, frozen=True)
-class Run:
-    """Run the duty on the subject now. `epoch` fences it: `done` takes it, and late work is known as such."""
+class RunDuty:
+    """Run the duty on the subject now. epoch: a fencing token, given back to `on_run_ended`, by which late
+    work is recognized."""
 
     duty: str
     subject: str
@@ -58,8 +70,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stop:
-    """The subject isn't this instance's any more: a run that is under way must have no further effect."""
+class StopDuty:
+    """The subject is no longer this instance's: a run that is under way must have no further effect."""
 
     duty: str
     subject: str
@@ -67,35 +79,35 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Share:
-    """Tell the others that the subject was done."""
+class AnnounceDone:
+    """Announce to the others that the subject was done."""
 
     duty: str
     subject: str
-    at: float
+    done_at: float
 
 
-Action = Run | Stop | Share | To
-Pair = tuple[str, str]
+Action = RunDuty | StopDuty | AnnounceDone | SendToMember
+DutySubject = tuple[str, str]
 
 
 @dataclass(slots=True)
 class Task:
-    """One subject of one duty as this instance sees it. `epoch` is above 0 while it is this one's to run."""
+    """One subject of one duty as this instance sees it. epoch: above 0 while it is assigned to this one."""
 
     epoch: int = 0
     done_at: float = -math.inf  # by anyone, on this instance's clock
     due_at: float = math.inf
-    running: bool = False
+    is_running: bool = False
 
 
-def lease_of(pair: Pair) -> int:
-    """The number under which a pair is leased; the same on every instance."""
-    return int(xxhash.xxh3_64_intdigest(f"{pair[0]}\0{pair[1]}".encode()))
+def lease_number(key: DutySubject) -> int:
+    """The number under which a subject of a duty is leased; the same on every instance."""
+    return int(xxhash.xxh3_64_intdigest(f"{key[0]}\0{key[1]}".encode()))
 
 
-class Duties:
-    """One instance's duties. Tell it what changes; call `step` at `next_at` at the latest."""
+class DutyScheduler:
+    """One instance's duties. Feed it changes; call `step` at `next_at` at the latest."""
 
     def __init__(
         self,
@@ -108,164 +120,161 @@
     ) -> None:
         self.me = me
         self.duties = {duty.name: duty for duty in duties}
-        self.shares = {name: Rendezvous() for name in self.duties}
-        self.tasks: dict[Pair, Task] = {}
-        self.leases = Leases(me, voters, leases, now, first_term)
-        self.pairs: dict[int, Pair] = {}  # by lease
-        self.until: dict[Pair, float] = {}  # how long each leased pair is this instance's
-        self.due: list[tuple[float, Pair]] = []
-        self.epochs = 0
+        self.assignments = {name: Rendezvous() for name in self.duties}
+        self.tasks: dict[DutySubject, Task] = {}
+        self.leases = LeaseManager(me, voters, leases, now, first_term)
+        self.subject_by_lease: dict[int, DutySubject] = {}  # by lease
+        self.lease_expiry: dict[DutySubject, float] = {}  # how long each leased key is this instance's
+        self.due_heap: list[tuple[float, DutySubject]] = []
+        self.last_epoch = 0
         self.actions: list[Action] = []
 
-    # --- what happens ---
-
-    def members(self, now: float, live: Mapping[int, float]) -> list[Action]:
-        """Exactly these members are there now, each with its weight; this instance is always one of them."""
+    def on_members(self, now: float, live: Mapping[int, float]) -> list[Action]:
+        """Exactly these members are live now, each with its weight; this instance is always one of them."""
         self.actions = []
         wanted = {**live, self.me: live.get(self.me, 1.0)}
-        for name, shares in self.shares.items():
+        for name, assignment in self.assignments.items():
             moved: set[str] = set()
-            for member in [m for m in shares.members if m not in wanted]:
-                moved |= shares.drop_member(member)
+            for member in [m for m in assignment.members if m not in wanted]:
+                moved |= assignment.drop_member(member)
             for member, weight in wanted.items():
-                moved |= shares.add_member(member, weight)
+                moved |= assignment.add_member(member, weight)
             for subject in sorted(moved):
-                self._settle(now, (name, subject))
-        self._lease(now)
-        return self._finish(now)
+                self._on_assignment(now, (name, subject))
+        self._claim_leases(now)
+        return self._run_due(now)
 
-    def subjects(self, now: float, name: str, subjects: Iterable[str]) -> list[Action]:
+    def on_subjects(self, now: float, name: str, subjects: Iterable[str]) -> list[Action]:
         """Exactly these subjects belong to the duty now."""
         self.actions = []
-        shares, wanted = self.shares[name], set(subjects)
-        for subject in sorted(shares.holders.keys() - wanted):
-            shares.drop_subject(subject)
+        assignment, wanted = self.assignments[name], set(subjects)
+        for subject in sorted(assignment.holders.keys() - wanted):
+            assignment.drop_subject(subject)
             self._give_up((name, subject))
             self.tasks.pop((name, subject), None)
-            self.pairs.pop(lease_of((name, subject)), None)
-        for subject in sorted(wanted - shares.holders.keys()):
-            shares.add_subject(subject)
-            self.pairs[lease_of((name, subject))] = (name, subject)
+            self.subject_by_lease.pop(lease_number((name, subject)), None)
+        for subject in sorted(wanted - assignment.holders.keys()):
+            assignment.add_subject(subject)
+            self.subject_by_lease[lease_number((name, subject))] = (name, subject)
             self.tasks[name, subject] = Task()
-            self._settle(now, (name, subject))
-        self._lease(now)
-        return self._finish(now)
+            self._on_assignment(now, (name, subject))
+        self._claim_leases(now)
+        return self._run_due(now)
 
-    def done(self, now: float, run: Run) -> list[Action]:
-        """A run of this instance has ended. One that was fenced off meanwhile tells nobody."""
+    def on_run_ended(self, now: float, run: RunDuty) -> list[Action]:
+        """A run of this instance has ended. One that was fenced meanwhile is not announced."""
         self.actions = []
         task = self.tasks.get((run.duty, run.subject))
         if task is not None and task.epoch == run.epoch:
-            task.running = False
-            self._note(now, (run.duty, run.subject), now)
-            self.actions.append(Share(run.duty, run.subject, now))
-        return self._finish(now)
+            task.is_running = False
+            self._on_done(now, (run.duty, run.subject), now)
+            self.actions.append(AnnounceDone(run.duty, run.subject, now))
+        return self._run_due(now)
 
-    def heard(self, now: float, duty: str, subject: str, age: float) -> list[Action]:
-        """Another instance has done the subject, `age` ms ago."""
+    def on_done_elsewhere(self, now: float, duty: str, subject: str, age_ms: float) -> list[Action]:
+        """Another instance has done the subject, `age_ms` ago."""
         self.actions = []
-        if (duty, subject) in self.tasks and age >= 0:
-            self._note(now, (duty, subject), now - age)
-        return self._finish(now)
+        if (duty, subject) in self.tasks and age_ms >= 0:
+            self._on_done(now, (duty, subject), now - age_ms)
+        return self._run_due(now)
 
-    def receive(self, now: float, sender: int, what: Ask | Word) -> list[Action]:
-        """A message on leases has come."""
+    def on_lease_message(self, now: float, sender: int, message: LeaseRequest | LeaseReply) -> list[Action]:
+        """A message on leases has arrived."""
         self.actions = []
-        self._take(now, self.leases.receive(now, sender, what))
-        return self._finish(now)
+        self._on_lease_actions(now, self.leases.on_message(now, sender, message))
+        return self._run_due(now)
 
     def step(self, now: float) -> list[Action]:
         """Run what is due."""
         self.actions = []
-        self._take(now, self.leases.step(now))
-        return self._finish(now)
+        self._on_lease_actions(now, self.leases.step(now))
+        return self._run_due(now)
 
     def next_at(self) -> float:
         """When `step` is due."""
-        return min(self.leases.next_at(), self.due[0][0] if self.due else math.inf)
-
-    def held(self) -> list[Pair]:
-        """What is this instance's to run."""
-        return sorted(pair for pair, task in self.tasks.items() if task.epoch)
-
-    # --- whose is it ---
-
-    def _named(self, pair: Pair) -> bool:
-        return self.shares[pair[0]].holder(pair[1]) == self.me
-
-    def _settle(self, now: float, pair: Pair) -> None:
-        """The named holder may have changed."""
-        if self.duties[pair[0]].promise is Promise.AT_MOST_ONCE:
-            return  # the lease tells
-        if not self._named(pair):
-            self._give_up(pair)
-        elif not self.tasks[pair].epoch:
-            self._begin(now, pair)
-
-    def _lease(self, now: float) -> None:
-        """Want exactly the leases of the pairs that this instance is named for."""
+        return min(self.leases.next_at(), self.due_heap[0][0] if self.due_heap else math.inf)
+
+    def held_subjects(self) -> list[DutySubject]:
+        """The subjects that are this instance's to run."""
+        return sorted(key for key, task in self.tasks.items() if task.epoch)
+
+    def _is_assigned(self, key: DutySubject) -> bool:
+        return self.assignments[key[0]].holder(key[1]) == self.me
+
+    def _on_assignment(self, now: float, key: DutySubject) -> None:
+        """The member that a subject is assigned to may have changed."""
+        if self.duties[key[0]].guarantee is Guarantee.AT_MOST_ONCE:
+            return  # the lease decides
+        if not self._is_assigned(key):
+            self._give_up(key)
+        elif not self.tasks[key].epoch:
+            self._begin(now, key)
+
+    def _claim_leases(self, now: float) -> None:
+        """Claim exactly the leases of the subjects that are assigned to this instance."""
         wanted = [
             lease
-            for lease, pair in self.pairs.items()
-            if self.duties[pair[0]].promise is Promise.AT_MOST_ONCE and self._named(pair)
+            for lease, key in self.subject_by_lease.items()
+            if self.duties[key[0]].guarantee is Guarantee.AT_MOST_ONCE and self._is_assigned(key)
         ]
-        self._take(now, self.leases.want(now, wanted))
+        self._on_lease_actions(now, self.leases.claim(now, wanted))
 
-    def _take(self, now: float, actions: Iterable[object]) -> None:
+    def _on_lease_actions(self, now: float, actions: Iterable[object]) -> None:
         for action in actions:
-            if isinstance(action, To):
+            if isinstance(action, SendToMember):
                 self.actions.append(action)
                 continue
-            assert isinstance(action, Hold | Release)
-            pair = self.pairs.get(action.duty)
-            if pair is None:
+            assert isinstance(action, LeaseHeld | LeaseLost)
+            key = self.subject_by_lease.get(action.duty)
+            if key is None:
                 continue
-            if isinstance(action, Release):
-                self._give_up(pair)
+            if isinstance(action, LeaseLost):
+                self._give_up(key)
             else:
-                self.until[pair] = action.until
-                if not self.tasks[pair].epoch:
-                    self._begin(now, pair)
-
-    def _begin(self, now: float, pair: Pair) -> None:
-        task = self.tasks[pair]
-        self.epochs += 1
-        task.epoch, task.running = self.epochs, False
-        self._plan(now, pair)
-
-    def _give_up(self, pair: Pair) -> None:
-        task = self.tasks.get(pair)
-        self.until.pop(pair, None)
+                self.lease_expiry[key] = action.expires_at
+                if not self.tasks[key].epoch:
+                    self._begin(now, key)
+
+    def _begin(self, now: float, key: DutySubject) -> None:
+        task = self.tasks[key]
+        self.last_epoch += 1
+        task.epoch, task.is_running = self.last_epoch, False
+        self._schedule(now, key)
+
+    def _give_up(self, key: DutySubject) -> None:
+        task = self.tasks.get(key)
+        self.lease_expiry.pop(key, None)
         if task is not None and task.epoch:
-            if task.running:
-                self.actions.append(Stop(*pair, task.epoch))
-            task.epoch, task.due_at, task.running = 0, math.inf, False
-
-    # --- when ---
+            if task.is_running:
+                self.actions.append(StopDuty(*key, task.epoch))
+            task.epoch, task.due_at, task.is_running = 0, math.inf, False
 
-    def _note(self, now: float, pair: Pair, at: float) -> None:
-        task = self.tasks[pair]
+    def _on_done(self, now: float, key: DutySubject, at: float) -> None:
+        task = self.tasks[key]
         task.done_at = max(task.done_at, at)
-        if task.epoch and not task.running:
-            self._plan(now, pair)
-
-    def _plan(self, now: float, pair: Pair) -> None:
-        task = self.tasks[pair]
-        task.due_at = max(now, task.done_at + self.duties[pair[0]].period)
-        heapq.heappush(self.due, (task.due_at, pair))
-
-    def _finish(self, now: float) -> list[Action]:
-        while self.due and self.due[0][0] <= now:
-            at, pair = heapq.heappop(self.due)
-            task = self.tasks.get(pair)
-            if task is None or not task.epoch or task.running or task.due_at != at:
-                continue  # planned anew since, or not this instance's any more
-            duty = self.duties[pair[0]]
-            if duty.promise is Promise.AT_MOST_ONCE and self.until.get(pair, -math.inf) - now < duty.limit:
-                # Danger: a run that outlives its lease overlaps with the next holder's. Renewal brings more.
-                task.due_at = now + duty.limit / 4
-                heapq.heappush(self.due, (task.due_at, pair))
+        if task.epoch and not task.is_running:
+            self._schedule(now, key)
+
+    def _schedule(self, now: float, key: DutySubject) -> None:
+        task = self.tasks[key]
+        task.due_at = max(now, task.done_at + self.duties[key[0]].interval_ms)
+        heapq.heappush(self.due_heap, (task.due_at, key))
+
+    def _run_due(self, now: float) -> list[Action]:
+        while self.due_heap and self.due_heap[0][0] <= now:
+            at, key = heapq.heappop(self.due_heap)
+            task = self.tasks.get(key)
+            if task is None or not task.epoch or task.is_running or task.due_at != at:
+                continue  # scheduled anew since, or no longer this instance's
+            duty = self.duties[key[0]]
+            if (
+                duty.guarantee is Guarantee.AT_MOST_ONCE
+                and self.lease_expiry.get(key, -math.inf) - now < duty.max_run_ms
+            ):
+                # A run that outlives its lease overlaps with the next holder's. Renewal extends the lease.
+                task.due_at = now + duty.max_run_ms / 4
+                heapq.heappush(self.due_heap, (task.due_at, key))
                 continue
-            task.running, task.due_at = True, math.inf
-            self.actions.append(Run(*pair, task.epoch))
+            task.is_running, task.due_at = True, math.inf
+            self.actions.append(RunDuty(*key, task.epoch))
         return self.actions
--- a/cottonhold/membership/instance.py
+++ b/cottonhold/membership/instance.py
@@ -1,8 +1,7 @@
-"""One instance's part in the whole: membership and duties as one step function. Pure.
+"""One instance's membership and duties as one step function. Pure.
 
-What the view of members says becomes the duties' members; leases and shared results travel as datagrams of
-the same codec.
-"""
+The live members of the view become the duties' members; leases and announced results travel as datagrams of
+the same codec."""
 
 from __future__ import annotations
 
@@ -10,16 +9,17 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cottonhold.membership.codec import Kind, Message
+from cottonhold.membership.codec import Message, MessageKind
 from cottonhold.membership.duties import Action as DutyAction
-from cottonhold.membership.duties import Duties, Run, Share, Stop, lease_of
-from cottonhold.membership.leases import Ask, To, Word
-from cottonhold.membership.swim import Changed, Datagram, Heard, Send, Swim
+from cottonhold.membership.duties import AnnounceDone, DutyScheduler, RunDuty, StopDuty, lease_number
+from cottonhold.membership.events import DatagramReceived, MemberChanged, MessageReceived, SendDatagram
+from cottonhold.membership.leases import LeaseReply, LeaseRequest, SendToMember
+from cottonhold.membership.swim import Swim
 
 
 @dataclass(slots=True, frozen=True)
-class Done:
-    """Another instance has done a duty's subject; `detail` is the duty's own 32 bits."""
+class DutyDone:
+    """Another instance has done a duty's subject. detail: 32 bits of the duty's own."""
 
     duty: str
     subject: str
@@ -28,100 +28,103 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
-    """Bytes of another instance's fleet/."""
+class FleetMessageReceived:
+    """A message of another instance's fleet/ has arrived."""
 
     member: int
     payload: bytes
 
 
-Action = Send | Changed | Run | Stop | Done | Told
-SETTLE_PERIODS = 3.0  # after the start: two tries to meet a seed, and the answers
+Action = SendDatagram | MemberChanged | RunDuty | StopDuty | DutyDone | FleetMessageReceived
+SETTLING_INTERVALS = 3.0  # probe intervals after the start: two attempts to reach a seed, and the replies
 
 
-class Instance:
-    """Feed it datagrams and the clock; it says what to send and which duties to run."""
+class MembershipInstance:
+    """Feed it datagrams and the clock; it returns what to send and which duties to run."""
 
-    def __init__(self, swim: Swim, duties: Duties) -> None:
+    def __init__(self, swim: Swim, duties: DutyScheduler) -> None:
         self.swim, self.duties = swim, duties
         self.actions: list[Action] = []
-        self.shown: list[int] = []  # the members that the duties were last told of
+        self.reported_members: list[int] = []  # the members that the duties were last told of
         self.settled_at = -math.inf if not swim.seeds else math.inf
 
-    def step(self, now: float, datagrams: Iterable[Datagram] = ()) -> list[Action]:
-        """Take in what came by now; call again at `next_at` at the latest."""
+    def step(self, now: float, datagrams: Iterable[DatagramReceived] = ()) -> list[Action]:
+        """Take in what arrived by now; call again at `next_at` at the latest."""
         self.actions = []
         for action in self.swim.step(now, datagrams):
-            if isinstance(action, Heard):
-                self._hear(now, action.message)
+            if isinstance(action, MessageReceived):
+                self._on_message(now, action.message)
             else:
                 self.actions.append(action)
         if self.settled_at == math.inf:
-            # Danger: one that has just started has met nobody yet, takes all for its own and greets every
-            # engine.
-            self.settled_at = now + SETTLE_PERIODS * self.swim.settings.period
-        live = self.swim.live()
-        if live != self.shown and now >= self.settled_at:
-            self.shown = live
-            self._take(self.duties.members(now, dict.fromkeys(live, 1.0)))
-        self._take(self.duties.step(now))
+            # One that has just started has met nobody yet, and would take all duties for its own.
+            self.settled_at = now + SETTLING_INTERVALS * self.swim.settings.probe_interval_ms
+        live = self.swim.live_members()
+        if live != self.reported_members and now >= self.settled_at:
+            self.reported_members = live
+            self._on_duty_actions(self.duties.on_members(now, dict.fromkeys(live, 1.0)))
+        self._on_duty_actions(self.duties.step(now))
         return self.actions
 
-    def subjects(self, now: float, duty: str, subjects: Iterable[str]) -> list[Action]:
+    def on_subjects(self, now: float, duty: str, subjects: Iterable[str]) -> list[Action]:
         """Exactly these subjects belong to a duty now."""
         self.actions = []
-        self._take(self.duties.subjects(now, duty, subjects))
+        self._on_duty_actions(self.duties.on_subjects(now, duty, subjects))
         return self.actions
 
-    def done(self, now: float, run: Run, detail: int | None) -> list[Action]:
-        """A run has ended. Its result is told to the others unless `detail` is None (it failed)."""
+    def on_run_ended(self, now: float, run: RunDuty, detail: int | None) -> list[Action]:
+        """A run has ended. Its result is announced to the others unless `detail` is None (it failed)."""
         self.actions = []
-        told = self.duties.done(now, run)
-        self._take([a for a in told if not isinstance(a, Share)])
-        if detail is not None and any(isinstance(a, Share) for a in told):
-            number = lease_of((run.duty, run.subject))
-            for member in self.swim.live():
-                self._say(Kind.DONE, detail, number, member)
+        told = self.duties.on_run_ended(now, run)
+        self._on_duty_actions([a for a in told if not isinstance(a, AnnounceDone)])
+        if detail is not None and any(isinstance(a, AnnounceDone) for a in told):
+            number = lease_number((run.duty, run.subject))
+            for member in self.swim.live_members():
+                self._send(MessageKind.DUTY_DONE, detail, number, member)
         return self.actions
 
     def leave(self, now: float) -> list[Action]:
-        """Say good-bye."""
-        return [a for a in self.swim.leave(now) if not isinstance(a, Heard)]
+        """Announce the end of this instance."""
+        return [a for a in self.swim.leave(now) if not isinstance(a, MessageReceived)]
 
     def next_at(self) -> float:
         """When `step` is due."""
-        settles = math.inf if self.shown else self.settled_at
+        settles = math.inf if self.reported_members else self.settled_at
         return min(self.swim.next_at(), self.duties.next_at(), settles)
 
-    def _say(self, kind: Kind, sequence: int, subject: int, member: int) -> None:
-        if member != self.swim.id and (send := self.swim.say(kind, sequence, subject, member)):
+    def _send(self, kind: MessageKind, sequence: int, subject: int, member: int) -> None:
+        if member != self.swim.id and (send := self.swim.message_to(kind, sequence, subject, member)):
             self.actions.append(send)
 
-    def _hear(self, now: float, message: Message) -> None:
+    def _on_message(self, now: float, message: Message) -> None:
         sender, number, term = message.sender, message.subject, message.sequence
         match message.kind:
-            case Kind.FLEET:
-                self.actions.append(Told(sender, message.payload))
+            case MessageKind.FLEET:
+                self.actions.append(FleetMessageReceived(sender, message.payload))
                 return
-            case Kind.LEASE_ASK | Kind.LEASE_RELEASE:
-                what: Ask | Word = Ask(number, term, message.kind is Kind.LEASE_RELEASE)
-            case Kind.LEASE_GRANT | Kind.LEASE_DENY:
-                what = Word(number, term, message.kind is Kind.LEASE_GRANT)
+            case MessageKind.LEASE_REQUEST | MessageKind.LEASE_RELEASE:
+                what: LeaseRequest | LeaseReply = LeaseRequest(
+                    number, term, message.kind is MessageKind.LEASE_RELEASE
+                )
+            case MessageKind.LEASE_GRANT | MessageKind.LEASE_DENY:
+                what = LeaseReply(number, term, message.kind is MessageKind.LEASE_GRANT)
             case _:
-                pair = self.duties.pairs.get(number)
+                pair = self.duties.subject_by_lease.get(number)
                 if pair is not None:  # else a subject that this instance doesn't know of yet, or any more
-                    self._take(self.duties.heard(now, *pair, 0.0))
-                    self.actions.append(Done(*pair, sender, term))
+                    self._on_duty_actions(self.duties.on_done_elsewhere(now, *pair, 0.0))
+                    self.actions.append(DutyDone(*pair, sender, term))
                 return
-        self._take(self.duties.receive(now, sender, what))
+        self._on_duty_actions(self.duties.on_lease_message(now, sender, what))
 
-    def _take(self, actions: Iterable[DutyAction]) -> None:
+    def _on_duty_actions(self, actions: Iterable[DutyAction]) -> None:
         for action in actions:
-            if isinstance(action, Run | Stop):
+            if isinstance(action, RunDuty | StopDuty):
                 self.actions.append(action)
-            elif isinstance(action, To):
-                if isinstance(action.what, Ask):
-                    kind = Kind.LEASE_RELEASE if action.what.release else Kind.LEASE_ASK
+            elif isinstance(action, SendToMember):
+                if isinstance(action.message, LeaseRequest):
+                    kind = (
+                        MessageKind.LEASE_RELEASE if action.message.is_release else MessageKind.LEASE_REQUEST
+                    )
                 else:
-                    kind = Kind.LEASE_GRANT if action.what.granted else Kind.LEASE_DENY
-                self._say(kind, action.what.term, action.what.duty, action.member)
+                    kind = MessageKind.LEASE_GRANT if action.message.is_granted else MessageKind.LEASE_DENY
+                self._send(kind, action.message.term, action.message.duty, action.member)
--- a/cottonhold/membership/swim.py
+++ b/cottonhold/membership/swim.py
@@ -1,157 +1,79 @@
-"""Who is there: SWIM with the Lifeguard additions, as a pure step function.
+"""Which other instances are live: SWIM with the Lifeguard additions, as a pure step function.
 
 From "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das, Gupta,
 Motivala) and "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar, Phillips,
 Currey).
 
-Each period one member is pinged, in an order shuffled anew each round. One that doesn't answer is asked for
-by way of others; then it is *suspect*, which it may refute by a higher incarnation; then it is *dead*. News
-rides on pings and acks. The Lifeguard additions: an instance that misses answers doubts itself first (it
-waits longer, probes less often); a suspicion begins long and shortens with each independent confirmation; a
-suspect is told so in every ping.
+In each probe interval one member is pinged, in an order shuffled anew each round. One that doesn't answer is
+pinged through others; then it is *suspect*, which it may refute by a higher incarnation; then it is *dead*.
+Updates ride on pings and acks. The Lifeguard additions: an instance that misses answers doubts itself first
+(it waits longer and probes less often); a suspicion begins long and shortens with each independent
+confirmation; a suspect is told of it in every ping.
 
 Times are milliseconds on the caller's clock, of which only differences count.
 """
 
 from __future__ import annotations
 
-import heapq
 import itertools
 import math
 import random
-from collections.abc import Callable, Iterable, Iterator, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
 from cottonhold.discovery.model import Address
 from cottonhold.membership.codec import (
     Codec,
     CodecError,
-    Keys,
-    Kind,
+    KeyRing,
+    MemberStatus,
     Message,
-    Status,
+    MessageKind,
     Update,
     encode_update,
     member_id,
 )
+from cottonhold.membership.dissemination import UpdateQueue
+from cottonhold.membership.events import (
+    Action,
+    DatagramReceived,
+    MemberChanged,
+    MessageReceived,
+    SendDatagram,
+)
+from cottonhold.membership.member import Member
+from cottonhold.membership.suspicion import SuspicionTimers, begin_suspicion
+from cottonhold.membership.swim_settings import SwimSettings
+from cottonhold.membership.table_sync import TableSender, sync_targets
 
-LEAST_UPDATE = 25  # bytes of the shortest update
-MOST_TRIED = 16  # updates tried for a datagram among those sent as often: it holds nine at most
-
-
-@dataclass(slots=True, frozen=True)
-class SwimSettings:
-    """Every time-out and its reason. Times in ms.
-
-    period: one probe; with five members each is probed within a second. timeout: the direct ping's part of
-    it, several round trips of one site. helpers: members asked for an indirect ping. suspicion_least: the
-    shortest suspicion, in periods times log10 of the members: a refutation needs that long to spread.
-    suspicion_spread: the longest is so many times that; without Lifeguard the shortest counts. confirmations:
-    independent ones that bring it to the shortest.
-    awareness_most: local health multiplier at its worst. retransmit: an update rides along so many times
-    log10 of the members. exchange: full exchange of tables, also with those believed dead, so that halves
-    meet again.
-    forget: how long the dead are remembered; longer than any replay or late update lives. stall: a step later
-    than this past its due time means that this instance stood still, and its own time-outs prove nothing.
-    """
-
-    period: float = 200.0
-    timeout: float = 80.0
-    helpers: int = 3
-    suspicion_least: float = 3.0
-    suspicion_spread: float = 4.0
-    confirmations: int = 2
-    awareness_most: int = 8
-    retransmit: float = 4.0
-    exchange: float = 5000.0
-    exchange_datagrams: int = 8
-    forget: float = 60_000.0
-    stall: float = 100.0
-    lifeguard: bool = True
-
-
-@dataclass(slots=True, frozen=True)
-class Datagram:
-    """A datagram has come."""
-
-    data: bytes
-    address: Address
-
-
-@dataclass(slots=True, frozen=True)
-class Send:
-    """Send a datagram."""
-
-    data: bytes
-    address: Address
-
-
-@dataclass(slots=True, frozen=True)
-class Changed:
-    """A member's status has changed."""
-
-    member: int
-    name: str
-    status: Status
-    incarnation: int
-
-
-@dataclass(slots=True, frozen=True)
-class Heard:
-    """A message that is not about membership has come."""
-
-    message: Message
-
-
-Action = Send | Changed | Heard
-
-
-@dataclass(slots=True)
-class Member:
-    """What is believed of one other instance."""
-
-    id: int
-    name: str
-    address: Address
-    status: Status
-    incarnation: int
-    since: float
-    suspicion: Suspicion | None = None
-
-
-@dataclass(slots=True)
-class Suspicion:
-    """A suspicion that runs: who holds it, and when it ends."""
-
-    began: float
-    least: float
-    most: float
-    needed: int
-    sources: set[int] = field(default_factory=set)
-
-    def ends_at(self) -> float:
-        """Long while one instance alone holds it; the shortest once enough others agree."""
-        agree = max(len(self.sources) - 1, 0)
-        if self.needed < 1 or agree >= self.needed:
-            return self.began + self.least
-        part = math.log(agree + 1) / math.log(self.needed + 1)
-        return self.began + max(self.least, self.most - part * (self.most - self.least))
+SEQUENCE_MASK = 0xFFFFFFFF
+MAX_RELAYS = 64  # indirect pings that are waited for at once
+NO_HELPERS = -1  # in place of the number of helpers, where an indirect ping found none
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe that is out."""
+    """The probe that is under way. helpers_asked: 0 before its indirect part."""
 
     sequence: int
     target: int
     indirect_at: float
     ends_at: float
-    asked: int = 0  # helpers that were asked
+    helpers_asked: int = 0
     nacks: set[int] = field(default_factory=set)
 
 
+@dataclass(slots=True, frozen=True)
+class Relay:
+    """An indirect ping for another instance: its sequence there, and where the answer goes."""
+
+    sequence: int
+    address: Address
+
+
 class Swim:
-    """One instance's view. `step` with what came and the clock; it returns datagrams to send and changes."""
+    """One instance's view. `step` with what arrived and the clock; it returns datagrams to send and
+    changes."""
 
     def __init__(
         self,
@@ -160,170 +82,172 @@
         settings: SwimSettings,
         seed: int,
         incarnation: int,
-        keys: Keys | None = None,
+        keys: KeyRing | None = None,
         seeds: Sequence[Address] = (),
     ) -> None:
-        self.settings, self.draw = settings, random.Random(seed)
+        self.settings, self.random = settings, random.Random(seed)
         self.id, self.name, self.address = member_id(name), name, address
         self.incarnation = incarnation
-        self.codec = Codec(self.id, self.draw.getrandbits(32), keys)
+        self.codec = Codec(self.id, self.random.getrandbits(32), keys)
         self.seeds = [seed for seed in seeds if seed != address]
         self.members: dict[int, Member] = {}
-        self.ring: list[int] = []  # whom to probe next, last first
-        # News to spread, by how often it was sent: taking the least sent must not cost a look at all of it.
-        self.news: list[dict[int, bytes]] = []
-        self.sent: dict[int, int] = {}  # by member: which of them holds its news
-        self.probe: Probe | None = None
-        # By own sequence: the asker's sequence, and where the asker is.
-        self.relays: dict[int, tuple[int, Address]] = {}
-        self.sequence = itertools.count(self.draw.getrandbits(16))
-        self.suspicions: list[tuple[float, int]] = []  # a heap of ends, checked again when due
-        self.awareness = 0
-        self.next_probe = self.next_exchange = self.due = -math.inf
-        self.cursor = 0
-        self.leaving = False
+        self._probe_order: list[int] = []  # whom to probe next, last first
+        self._updates = UpdateQueue(settings.retransmit_factor)
+        self._probe: Probe | None = None
+        self._relays: dict[int, Relay] = {}  # by own sequence
+        self._sequence = itertools.count(self.random.getrandbits(16))
+        self._suspicion_timers = SuspicionTimers()
+        self.awareness = 0  # Lifeguard's local health: 0 is well
+        self._next_probe_at = self._next_sync_at = self._due_at = -math.inf
+        self._table = TableSender(self.id)
+        self._is_leaving = False
         self.counts: dict[str, int] = {}
-        self.actions: list[Action] = []
-        self.now = 0.0
-
-    # --- the one entry point ---
-
-    def step(self, now: float, events: Iterable[Datagram] = ()) -> list[Action]:
-        """Take in what came by now; call again at `next_at` at the latest."""
-        self.actions = []
-        if self.next_probe == -math.inf:
-            self.next_probe = now + self.settings.period * self.draw.random()
-            self.next_exchange = now
-        elif now - self.due > self.settings.stall:
-            self._stood_still(now, now - self.due)
-        self.now = now
+        self._actions: list[Action] = []
+        self._now = 0.0
+
+    def step(self, now: float, events: Iterable[DatagramReceived] = ()) -> list[Action]:
+        """Take in what arrived by now; call again at `next_at` at the latest."""
+        self._actions = []
+        if self._next_probe_at == -math.inf:
+            self._next_probe_at = now + self.settings.probe_interval_ms * self.random.random()
+            self._next_sync_at = now
+        elif now - self._due_at > self.settings.stall_threshold_ms:
+            self._on_stall(now, now - self._due_at)
+        self._now = now
         for event in events:
-            self._receive(event)
+            self._on_datagram(event)
         self._run_probe()
         self._run_suspicions()
-        if now >= self.next_exchange and not self.leaving:
-            self._exchange()
-        self.due = self.next_at()
-        return self.actions
+        if now >= self._next_sync_at and not self._is_leaving:
+            self._sync()
+        self._due_at = self.next_at()
+        return self._actions
 
     def next_at(self) -> float:
         """When the next step is due."""
-        times = [math.inf if self.leaving else self.next_exchange]
-        if self.probe is None:
-            times.append(self.next_probe)
+        times = [math.inf if self._is_leaving else self._next_sync_at, self._suspicion_timers.next_at()]
+        probe = self._probe
+        if probe is None:
+            times.append(self._next_probe_at)
         else:
-            times.append(self.probe.ends_at if self.probe.asked else self.probe.indirect_at)
-        if self.suspicions:
-            times.append(self.suspicions[0][0])
+            times.append(probe.ends_at if probe.helpers_asked else probe.indirect_at)
         return min(times)
 
     def leave(self, now: float) -> list[Action]:
-        """Say good-bye, so that nobody has to find out."""
-        self.actions, self.now, self.leaving = [], now, True
-        self._spread(Update(Status.LEFT, self.id, self.incarnation, self.id))
-        for member in self._pick(self.settings.helpers * 2, lambda m: m.status is not Status.DEAD):
-            self._send(Kind.ACK, 0, member.address, 0)
-        return self.actions
-
-    def view(self) -> list[Member]:
+        """Announce the end of this instance, so that nobody has to detect it."""
+        self._actions, self._now, self._is_leaving = [], now, True
+        self._updates.add(Update(MemberStatus.LEFT, self.id, self.incarnation, self.id))
+        count = self.settings.indirect_probes * 2
+        for member in self._sample(count, lambda m: m.status is not MemberStatus.DEAD):
+            self._send(MessageKind.ACK, 0, member.address, 0)
+        return self._actions
+
+    def members_by_name(self) -> list[Member]:
         """All members but this one, by name."""
         return sorted(self.members.values(), key=lambda m: m.name)
 
-    def live(self) -> list[int]:
-        """This instance and all that are alive or only suspect, by id."""
-        there = [m.id for m in self.members.values() if m.status in (Status.ALIVE, Status.SUSPECT)]
-        return sorted([self.id, *there])
+    def live_members(self) -> list[int]:
+        """The ids of this instance and of all that are alive or only suspected."""
+        return sorted([self.id, *(m.id for m in self.members.values() if m.is_live)])
+
+    def message_to(self, kind: MessageKind, sequence: int, subject: int, member: int) -> SendDatagram | None:
+        """A message of the parts above to a member; None where its address isn't known."""
+        receiver = self.members.get(member)
+        if receiver is None:
+            return None
+        updates = self._take_updates(member)
+        data = self.codec.encode(Message(kind, self.id, sequence, subject), updates)
+        return SendDatagram(data, receiver.address)
 
-    # --- local health ---
+    def payload_to(self, payload: bytes, member: int) -> SendDatagram | None:
+        """Bytes of fleet/ to a member; None where its address isn't known or they are too long."""
+        receiver = self.members.get(member)
+        if receiver is None or len(payload) > self.codec.update_capacity():
+            return None
+        data = self.codec.encode(Message(MessageKind.FLEET, self.id, 0), payload)
+        return SendDatagram(data, receiver.address)
 
-    def _stood_still(self, now: float, late: float) -> None:
-        """This instance did not run for a while: what it did not hear meanwhile is its own fault.
+    def _on_stall(self, now: float, late_ms: float) -> None:
+        """This instance did not run for a while, so what it didn't receive meanwhile proves nothing.
 
-        Danger: a process stopped for 5 s and continued finds all its time-outs over and its answers still
-        unread. It called everyone dead. So its clocks are moved by the time that it missed.
-        """
+        A process that was stopped and continued finds all its time-outs over and its answers still unread.
+        Its clocks are moved by the time that it missed, so that it doesn't declare everyone dead."""
         self._count("stalls")
-        self._doubt_self(1)
-        if self.probe is not None:
-            self.probe.indirect_at += late
-            self.probe.ends_at += late
+        self._adjust_awareness(1)
+        if self._probe is not None:
+            self._probe.indirect_at += late_ms
+            self._probe.ends_at += late_ms
         for member in self.members.values():
             if member.suspicion is not None:
-                member.suspicion.began += late
-                heapq.heappush(self.suspicions, (member.suspicion.ends_at(), member.id))
-        self.next_probe = max(self.next_probe, now)
+                member.suspicion.started_at += late_ms
+                self._suspicion_timers.schedule(member.id, member.suspicion.ends_at())
+        self._next_probe_at = max(self._next_probe_at, now)
 
-    def _doubt_self(self, by: int) -> None:
-        if self.settings.lifeguard:
-            self.awareness = min(max(self.awareness + by, 0), self.settings.awareness_most)
+    def _adjust_awareness(self, by: int) -> None:
+        if self.settings.uses_lifeguard:
+            self.awareness = min(max(self.awareness + by, 0), self.settings.max_awareness)
 
-    def _scale(self) -> float:
+    def _awareness_factor(self) -> float:
         return 1.0 + self.awareness
 
-    # --- probing ---
-
     def _run_probe(self) -> None:
-        probe = self.probe
+        probe = self._probe
         if probe is not None:
-            if self.now >= probe.ends_at:
-                self._missed(probe)
-            elif self.now >= probe.indirect_at and not probe.asked:
-                self._ask_others(probe)
-        if self.now >= self.next_probe and self.probe is None:
-            self._next_probe()
-
-    def _next_probe(self) -> None:
-        s = self.settings
+            if self._now >= probe.ends_at:
+                self._on_probe_missed(probe)
+            elif self._now >= probe.indirect_at and not probe.helpers_asked:
+                self._probe_indirectly(probe)
+        if self._now >= self._next_probe_at and self._probe is None:
+            self._begin_probe()
+
+    def _begin_probe(self) -> None:
         target = self._next_target()
-        self.next_probe = self.now + s.period * self._scale()
+        self._next_probe_at = self._now + self.settings.probe_interval_ms * self._awareness_factor()
         if target is None:
             return
-        sequence = next(self.sequence) & 0xFFFFFFFF
-        timeout = s.timeout * self._scale()
-        ends_at = max(self.next_probe, self.now + 2 * timeout)
-        self.probe = Probe(sequence, target.id, self.now + timeout, ends_at)
-        self._send(Kind.PING, sequence, target.address, target.id)
+        sequence = self._next_sequence()
+        timeout_ms = self.settings.ping_timeout_ms * self._awareness_factor()
+        ends_at = max(self._next_probe_at, self._now + 2 * timeout_ms)
+        self._probe = Probe(sequence, target.id, self._now + timeout_ms, ends_at)
+        self._send(MessageKind.PING, sequence, target.address, target.id)
 
     def _next_target(self) -> Member | None:
         """The next of the shuffled round: each is probed once a round, so detection has a bound."""
         for _ in range(2):
-            while self.ring:
-                member = self.members.get(self.ring.pop())
-                if member is not None and member.status in (Status.ALIVE, Status.SUSPECT):
+            while self._probe_order:
+                member = self.members.get(self._probe_order.pop())
+                if member is not None and member.is_live:
                     return member
-            self.ring = sorted(self.members)
-            self.draw.shuffle(self.ring)
+            self._probe_order = sorted(self.members)
+            self.random.shuffle(self._probe_order)
         return None
 
-    def _ask_others(self, probe: Probe) -> None:
-        helpers = self._pick(
-            self.settings.helpers, lambda m: m.status is Status.ALIVE and m.id != probe.target
+    def _probe_indirectly(self, probe: Probe) -> None:
+        helpers = self._sample(
+            self.settings.indirect_probes, lambda m: m.status is MemberStatus.ALIVE and m.id != probe.target
         )
-        probe.asked = len(helpers) or -1
+        probe.helpers_asked = len(helpers) or NO_HELPERS
         for helper in helpers:
-            self._send(Kind.PING_REQ, probe.sequence, helper.address, probe.target)
+            self._send(MessageKind.PING_REQ, probe.sequence, helper.address, probe.target)
         target = self.members.get(probe.target)
-        if target is not None:  # what was lost once is seldom lost twice
-            self._send(Kind.PING, probe.sequence, target.address, target.id)
+        if target is not None:  # a datagram that was lost once is seldom lost twice
+            self._send(MessageKind.PING, probe.sequence, target.address, target.id)
 
-    def _missed(self, probe: Probe) -> None:
+    def _on_probe_missed(self, probe: Probe) -> None:
         """No answer, direct or indirect: the target is suspect, and this instance doubts itself a little.
 
-        A helper that says 'nor did I' (a nack) shows that this instance's own link works; one that says
-        nothing at all shows the contrary, and weighs against this instance.
-        """
-        self.probe = None
-        self.next_probe = max(self.next_probe, self.now)
-        silent = max(probe.asked, 0) - len(probe.nacks)
-        self._doubt_self(silent if probe.asked > 0 else 1)
+        A helper that sends a nack shows that this instance's own link works; one that sends nothing at all
+        shows the contrary, and weighs against this instance."""
+        self._probe = None
+        self._next_probe_at = max(self._next_probe_at, self._now)
+        silent_helpers = max(probe.helpers_asked, 0) - len(probe.nacks)
+        self._adjust_awareness(silent_helpers if probe.helpers_asked > 0 else 1)
         member = self.members.get(probe.target)
-        if member is not None and member.status in (Status.ALIVE, Status.SUSPECT):
+        if member is not None and member.is_live:
             self._count("missed")
             self._suspect(member, member.incarnation, self.id)
 
-    # --- what comes ---
-
-    def _receive(self, event: Datagram) -> None:
+    def _on_datagram(self, event: DatagramReceived) -> None:
         try:
             message = self.codec.decode(event.data)
         except CodecError as error:
@@ -333,275 +257,202 @@
         for update in message.updates:
             self._apply(update)
         match message.kind:
-            case Kind.PING:
-                self._pinged(message, event.address)
-            case Kind.PING_REQ:
-                self._relay(message, event.address)
-            case Kind.ACK:
-                self._acked(message)
-            case Kind.NACK:
-                if self.probe is not None and self.probe.sequence == message.sequence:
-                    self.probe.nacks.add(message.sender)
-            case Kind.SYNC:
-                self._send_table(event.address, Kind.SYNC_REPLY)
-            case Kind.SYNC_REPLY:
+            case MessageKind.PING:
+                self._on_ping(message, event.address)
+            case MessageKind.PING_REQ:
+                self._on_ping_request(message, event.address)
+            case MessageKind.ACK:
+                self._on_ack(message)
+            case MessageKind.NACK:
+                if self._probe is not None and self._probe.sequence == message.sequence:
+                    self._probe.nacks.add(message.sender)
+            case MessageKind.SYNC:
+                self._send_table(event.address, MessageKind.SYNC_REPLY)
+            case MessageKind.SYNC_REPLY:
                 pass  # all that it says is in its updates
             case _:
-                self.actions.append(Heard(message))
+                self._actions.append(MessageReceived(message))
 
-    def _pinged(self, message: Message, address: Address) -> None:
+    def _on_ping(self, message: Message, address: Address) -> None:
         if message.subject != self.id:
             self._count("misdirected")  # another process had this address; an ack would keep it alive
             return
-        if not self.leaving:
-            self._send(Kind.ACK, message.sequence, address, self.id, towards=message.sender)
+        if not self._is_leaving:
+            self._send(MessageKind.ACK, message.sequence, address, self.id, receiver=message.sender)
 
-    def _relay(self, message: Message, address: Address) -> None:
+    def _on_ping_request(self, message: Message, address: Address) -> None:
         target = self.members.get(message.subject)
         if target is None:
             return
-        sequence = next(self.sequence) & 0xFFFFFFFF
-        self.relays[sequence] = (message.sequence, address)
-        while len(self.relays) > 64:  # one that never is answered goes when newer ones come
-            del self.relays[next(iter(self.relays))]
-        self._send(Kind.PING, sequence, target.address, target.id)
-        # The asker learns at once that its own way here works; an ack follows if the target answers.
-        self._send(Kind.NACK, message.sequence, address, message.subject)
-
-    def _acked(self, message: Message) -> None:
-        if self.probe is not None and message.sequence == self.probe.sequence:
-            if message.subject == self.probe.target:
-                self.probe = None
-                self._doubt_self(-1)
+        sequence = self._next_sequence()
+        self._relays[sequence] = Relay(message.sequence, address)
+        while len(self._relays) > MAX_RELAYS:  # one that is never answered goes when newer ones come
+            del self._relays[next(iter(self._relays))]
+        self._send(MessageKind.PING, sequence, target.address, target.id)
+        # The requester learns at once that its own link works; an ack follows if the target answers.
+        self._send(MessageKind.NACK, message.sequence, address, message.subject)
+
+    def _on_ack(self, message: Message) -> None:
+        if self._probe is not None and message.sequence == self._probe.sequence:
+            if message.subject == self._probe.target:
+                self._probe = None
+                self._adjust_awareness(-1)
             return
-        relay = self.relays.pop(message.sequence, None)
+        relay = self._relays.pop(message.sequence, None)
         if relay is not None:
-            sequence, address = relay
-            self._send(Kind.ACK, sequence, address, message.subject)
-
-    def say(self, kind: Kind, sequence: int, subject: int, member: int) -> Send | None:
-        """A message of the parts above to a member; None where its address isn't known."""
-        there = self.members.get(member)
-        if there is None:
-            return None
-        updates = self._take_updates(self.codec.room(), member)
-        return Send(self.codec.encode(Message(kind, self.id, sequence, subject), updates), there.address)
-
-    def say_payload(self, payload: bytes, member: int) -> Send | None:
-        """Bytes of fleet/ to a member; None where its address isn't known or they are too long."""
-        there = self.members.get(member)
-        if there is None or len(payload) > self.codec.room():
-            return None
-        return Send(self.codec.encode(Message(Kind.FLEET, self.id, 0), payload), there.address)
-
-    # --- updates ---
+            self._send(MessageKind.ACK, relay.sequence, relay.address, message.subject)
 
     def _apply(self, update: Update) -> None:
+        """Merge an update: it counts where its incarnation isn't older than what is known."""
         if update.member == self.id:
-            self._refute(update)
+            self._on_update_of_self(update)
             return
         member = self.members.get(update.member)
-        if update.status is Status.ALIVE:
-            self._alive(member, update)
-        elif member is None:
-            return  # never met: nothing to suspect, and its address isn't known
-        elif update.status is Status.SUSPECT:
-            if update.incarnation >= member.incarnation and member.status in (Status.ALIVE, Status.SUSPECT):
-                self._suspect(member, update.incarnation, update.source)
-        elif update.incarnation >= member.incarnation and member.status not in (Status.DEAD, Status.LEFT):
+        if update.status is MemberStatus.ALIVE:
+            self._on_alive(member, update)
+        elif member is None or update.incarnation < member.incarnation or not member.is_live:
+            return  # unknown, and then its address is unknown too; or outdated; or ended already
+        elif update.status is MemberStatus.SUSPECT:
+            self._suspect(member, update.incarnation, update.source)
+        else:
             self._end(member, update.status, update.incarnation, update.source)
 
-    def _refute(self, update: Update) -> None:
-        """Someone says this instance is in trouble: a higher incarnation says that it isn't."""
-        if update.status is Status.ALIVE or self.leaving or update.incarnation < self.incarnation:
-            # Danger: a clock that went back gave this life a lower incarnation than the last one had.
+    def _on_update_of_self(self, update: Update) -> None:
+        """Another instance suspects this one: refute it by a higher incarnation."""
+        if update.status is MemberStatus.ALIVE or self._is_leaving or update.incarnation < self.incarnation:
+            # After a wall clock went back, this start may have a lower incarnation than the last one had.
             if update.incarnation > self.incarnation:
                 self.incarnation = update.incarnation + 1
-                self._spread(self._self_update())
+                self._updates.add(self._own_update())
             return
         self.incarnation = update.incarnation + 1
         self._count("refuted")
-        self._doubt_self(1)
-        self._spread(self._self_update())
-        # Danger: left to ride on the next ping alone, a refutation came after the suspicion's end where much
-        # is lost. So some members are told at once.
-        for member in self._pick(self.settings.helpers, lambda m: m.status is Status.ALIVE):
-            self._send(Kind.SYNC_REPLY, 0, member.address, 0)
+        self._adjust_awareness(1)
+        self._updates.add(self._own_update())
+        # Some members are told at once: with much loss, a refutation that only rides on the next ping would
+        # come after the suspicion's end.
+        for member in self._sample(self.settings.indirect_probes, lambda m: m.status is MemberStatus.ALIVE):
+            self._send(MessageKind.SYNC_REPLY, 0, member.address, 0)
 
-    def _self_update(self) -> Update:
-        return Update(Status.ALIVE, self.id, self.incarnation, 0, self.address, self.name)
+    def _own_update(self) -> Update:
+        return Update(MemberStatus.ALIVE, self.id, self.incarnation, 0, self.address, self.name)
 
-    def _alive(self, member: Member | None, update: Update) -> None:
+    def _on_alive(self, member: Member | None, update: Update) -> None:
         assert update.address is not None
         if member is None:
-            member = Member(
-                update.member, update.name, update.address, Status.ALIVE, update.incarnation, self.now
-            )
-            self.members[member.id] = member
-            self.ring.insert(self.draw.randrange(len(self.ring) + 1), member.id)
-        elif update.incarnation > member.incarnation:
-            was = member.status
-            member.name, member.address = update.name, update.address
-            member.incarnation, member.suspicion, member.status = update.incarnation, None, Status.ALIVE
-            if was is Status.ALIVE:
-                self._spread(update)
-                return
-            member.since = self.now
-        else:
+            self._add_member(update, update.address)
+            return
+        if update.incarnation <= member.incarnation:
             return
-        self._spread(update)
-        self._changed(member)
+        was_alive = member.status is MemberStatus.ALIVE
+        member.name, member.address = update.name, update.address
+        member.incarnation, member.suspicion = update.incarnation, None
+        member.status = MemberStatus.ALIVE
+        if not was_alive:
+            member.status_since = self._now
+        self._updates.add(update)
+        if not was_alive:
+            self._report_change(member)
+
+    def _add_member(self, update: Update, address: Address) -> None:
+        member = Member(
+            update.member, update.name, address, MemberStatus.ALIVE, update.incarnation, self._now
+        )
+        self.members[member.id] = member
+        self._probe_order.insert(self.random.randrange(len(self._probe_order) + 1), member.id)
+        self._updates.add(update)
+        self._report_change(member)
 
     def _suspect(self, member: Member, incarnation: int, source: int) -> None:
+        update = Update(MemberStatus.SUSPECT, member.id, incarnation, source)
         if member.suspicion is not None and member.incarnation == incarnation:
-            known = len(member.suspicion.sources)
-            member.suspicion.sources.add(source)
+            sources = member.suspicion.sources
+            known = len(sources)
+            sources.add(source)
             # The first independent confirmations are passed on, so that others can shorten theirs as well.
-            if known < len(member.suspicion.sources) <= self.settings.confirmations + 1:
-                self._spread(Update(Status.SUSPECT, member.id, incarnation, source))
-                heapq.heappush(self.suspicions, (member.suspicion.ends_at(), member.id))
+            if known < len(sources) <= self.settings.max_confirmations + 1:
+                self._updates.add(update)
+                self._suspicion_timers.schedule(member.id, member.suspicion.ends_at())
             return
-        s = self.settings
-        least = s.suspicion_least * s.period * max(1.0, math.log10(len(self.live()) + 1))
-        most = least * s.suspicion_spread if s.lifeguard else least
-        needed = min(s.confirmations, len(self.live()) - 2) if s.lifeguard else 0
-        member.suspicion = Suspicion(self.now, least, most, needed, {source})
-        member.incarnation, member.status, member.since = incarnation, Status.SUSPECT, self.now
-        heapq.heappush(self.suspicions, (member.suspicion.ends_at(), member.id))
-        self._spread(Update(Status.SUSPECT, member.id, incarnation, source))
-        self._changed(member)
+        live_count = len(self.live_members())
+        member.suspicion = begin_suspicion(self._now, source, live_count, self.settings)
+        member.incarnation, member.status = incarnation, MemberStatus.SUSPECT
+        member.status_since = self._now
+        self._suspicion_timers.schedule(member.id, member.suspicion.ends_at())
+        self._updates.add(update)
+        self._report_change(member)
 
     def _run_suspicions(self) -> None:
-        while self.suspicions and self.suspicions[0][0] <= self.now:
-            _, id = heapq.heappop(self.suspicions)
-            member = self.members.get(id)
+        for due_id in self._suspicion_timers.pop_due(self._now):
+            member = self.members.get(due_id)
             if member is None or member.suspicion is None:
                 continue
-            ends = member.suspicion.ends_at()
-            if ends <= self.now:
-                self._end(member, Status.DEAD, member.incarnation, self.id)
-            elif not any(end == ends and which == id for end, which in self.suspicions):
-                heapq.heappush(self.suspicions, (ends, id))
+            ends_at = member.suspicion.ends_at()
+            if ends_at <= self._now:
+                self._end(member, MemberStatus.DEAD, member.incarnation, self.id)
+            elif not self._suspicion_timers.has(member.id, ends_at):
+                self._suspicion_timers.schedule(member.id, ends_at)
 
-    def _end(self, member: Member, status: Status, incarnation: int, source: int) -> None:
+    def _end(self, member: Member, status: MemberStatus, incarnation: int, source: int) -> None:
         member.status, member.incarnation, member.suspicion = status, incarnation, None
-        member.since = self.now
-        self._spread(Update(status, member.id, incarnation, source))
-        self._changed(member)
+        member.status_since = self._now
+        self._updates.add(Update(status, member.id, incarnation, source))
+        self._report_change(member)
 
-    def _changed(self, member: Member) -> None:
+    def _report_change(self, member: Member) -> None:
         self._count(f"became_{member.status.name.lower()}")
-        self.actions.append(Changed(member.id, member.name, member.status, member.incarnation))
-
-    # --- spreading ---
-
-    def _spread(self, update: Update) -> None:
-        """News of a member takes the place of older news of it."""
-        old = self.sent.get(update.member)
-        if old is not None:
-            del self.news[old][update.member]
-        self._file(update.member, encode_update(update), 0)
-
-    def _file(self, member: int, data: bytes, times: int) -> None:
-        while len(self.news) <= times:
-            self.news.append({})
-        self.news[times][member] = data
-        self.sent[member] = times
+        self._actions.append(MemberChanged(member.id, member.name, member.status, member.incarnation))
 
-    def _take_updates(self, room: int, towards: int) -> bytes:
+    def _take_updates(self, receiver: int) -> bytes:
         """What rides along: a suspect's own suspicion first, then what was sent least often."""
-        most = math.ceil(self.settings.retransmit * math.log10(len(self.members) + 2))
+        capacity = self.codec.update_capacity()
         parts: list[bytes] = []
-        suspect = self.members.get(towards)
-        if suspect is not None and suspect.status is not Status.ALIVE:
-            data = encode_update(Update(suspect.status, suspect.id, suspect.incarnation, self.id))
-            parts, room = [data], room - len(data)
-        taken: list[tuple[int, bytes, int]] = []
-        for times, news in enumerate(self.news):
-            for id, data in itertools.islice(news.items(), MOST_TRIED):
-                if len(data) <= room:
-                    taken.append((id, data, times))
-                    room -= len(data)
-            if room < LEAST_UPDATE:
-                break
-        for id, data, times in taken:
-            del self.news[times][id], self.sent[id]
-            if times + 1 < most:
-                self._file(id, data, times + 1)
-        return b"".join([*parts, *(data for _, data, _ in taken)])
+        suspect = self.members.get(receiver)
+        if suspect is not None and suspect.status is not MemberStatus.ALIVE:
+            parts = [encode_update(Update(suspect.status, suspect.id, suspect.incarnation, self.id))]
+            capacity -= len(parts[0])
+        return b"".join(parts + self._updates.take(capacity, len(self.members)))
 
     def _send(
-        self, kind: Kind, sequence: int, address: Address, subject: int, towards: int | None = None
+        self, kind: MessageKind, sequence: int, address: Address, subject: int, receiver: int | None = None
     ) -> None:
-        updates = self._take_updates(self.codec.room(), subject if towards is None else towards)
+        """Send a message with updates. receiver: the member at the address, where it isn't the subject."""
+        updates = self._take_updates(subject if receiver is None else receiver)
         message = Message(kind, self.id, sequence, subject)
-        self.actions.append(Send(self.codec.encode(message, updates), address))
-
-    def _pick(self, count: int, fits: Callable[[Member], bool]) -> list[Member]:
-        chosen = [m for m in self.members.values() if fits(m)]
-        return self.draw.sample(chosen, min(count, len(chosen)))
-
-    # --- full exchange ---
-
-    def _exchange(self) -> None:
-        """Exchange tables with one member or seed, at times with one believed dead: halves meet again so."""
-        self._forget()
-        s = self.settings
-        alone = not any(m.status is Status.ALIVE for m in self.members.values())
-        gap = s.period * 2 if alone else s.exchange * (0.75 + self.draw.random() / 2)
-        self.next_exchange = self.now + gap
-        lost = [m.address for m in self.members.values() if m.status is Status.DEAD]
-        known = {m.address for m in self.members.values()}
-        unmet = [address for address in self.seeds if address not in known]
-        there = [m.address for m in self.members.values() if m.status in (Status.ALIVE, Status.SUSPECT)]
-        targets = [self.draw.choice(group) for group in (there, lost) if group]
-        targets += unmet if alone else unmet[:1]
-        for address in targets:
-            self._send_table(address, Kind.SYNC)
-
-    def _send_table(self, address: Address, kind: Kind) -> None:
-        """This instance and a part of the table, going round, so that a large one comes across by and by."""
-        datagrams, part, room, used = 0, list[bytes](), self.codec.room(), 0
-        for row in self._table(address):
-            if used + len(row) > room:
-                self._send_part(address, kind, part)
-                datagrams, part, used = datagrams + 1, [], 0
-                kind = Kind.SYNC_REPLY  # one of several asks for an answer
-                if datagrams >= self.settings.exchange_datagrams:
-                    break
-            part.append(row)
-            used += len(row)
-            self.cursor += 1
-        if part:
-            self._send_part(address, kind, part)
-
-    def _table(self, address: Address) -> Iterator[bytes]:
-        """Rows for a receiver, made as they are sent: most of a large table waits for the next exchange."""
-        yield encode_update(self._self_update())
-        # The receiver's own row comes first: if it is believed dead here, it learns so and can refute.
-        for member in [m for m in self.members.values() if m.address == address][:2]:
-            yield encode_update(self._row(member))
-        others, begin = sorted(self.members), self.cursor
-        for i in range(len(others)):
-            yield encode_update(self._row(self.members[others[(begin + i) % len(others)]]))
-
-    def _send_part(self, address: Address, kind: Kind, part: list[bytes]) -> None:
-        message = Message(kind, self.id, next(self.sequence) & 0xFFFFFFFF)
-        self.actions.append(Send(self.codec.encode(message, b"".join(part)), address))
-
-    def _row(self, member: Member) -> Update:
-        if member.status is Status.ALIVE:
-            return Update(Status.ALIVE, member.id, member.incarnation, 0, member.address, member.name)
-        # Danger: passed on as 'dead', one side's error would kill the other half at the moment of meeting.
-        # As a suspicion it can be refuted.
-        status = Status.LEFT if member.status is Status.LEFT else Status.SUSPECT
-        return Update(status, member.id, member.incarnation, self.id)
-
-    def _forget(self) -> None:
-        """Ended members are remembered for a while, those at seed addresses for good."""
-        late = self.now - self.settings.forget
+        self._actions.append(SendDatagram(self.codec.encode(message, updates), address))
+
+    def _sample(self, count: int, is_wanted: Callable[[Member], bool]) -> list[Member]:
+        wanted = [m for m in self.members.values() if is_wanted(m)]
+        return self.random.sample(wanted, min(count, len(wanted)))
+
+    def _next_sequence(self) -> int:
+        return next(self._sequence) & SEQUENCE_MASK
+
+    def _sync(self) -> None:
+        """Exchange tables with one member or seed, and with one believed dead, so that halves meet again."""
+        self._remove_ended_members()
+        is_alone = not any(m.status is MemberStatus.ALIVE for m in self.members.values())
+        if is_alone:
+            pause_ms = self.settings.probe_interval_ms * 2
+        else:
+            pause_ms = self.settings.sync_interval_ms * (0.75 + self.random.random() / 2)
+        self._next_sync_at = self._now + pause_ms
+        for address in sync_targets(self.members.values(), self.seeds, is_alone, self.random):
+            self._send_table(address, MessageKind.SYNC)
+
+    def _send_table(self, address: Address, kind: MessageKind) -> None:
+        """This instance and a part of the table; only the first of several datagrams asks for a reply."""
+        capacity, max_parts = self.codec.update_capacity(), self.settings.max_sync_datagrams
+        for rows in self._table.parts(self._own_update(), self.members, address, capacity, max_parts):
+            message = Message(kind, self.id, self._next_sequence())
+            self._actions.append(SendDatagram(self.codec.encode(message, rows), address))
+            kind = MessageKind.SYNC_REPLY
+
+    def _remove_ended_members(self) -> None:
+        """Ended members are remembered for a while."""
+        expired_before = self._now - self.settings.retention_ms
         for member in list(self.members.values()):
-            if member.status in (Status.DEAD, Status.LEFT) and member.since < late:
+            if not member.is_live and member.status_since < expired_before:
                 del self.members[member.id]
 
     def _count(self, name: str) -> None:
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -32,7 +32,7 @@
 from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
 from cottonhold.fleet_adapters.session_affinity import PinsRim
 from cottonhold.fleet_adapters.zone_failover import FleetRim, OrderError, make_fleet
-from cottonhold.membership.codec import Status
+from cottonhold.membership.codec import MemberStatus
 from cottonhold.node import consul_client, status
 from cottonhold.node.dispatcher import Dispatcher, run_program
 from cottonhold.node.http_client import Tls
@@ -426,7 +426,9 @@
                     (state.value for state in EngineState),
                     (p.info.state.value for p in self.engines.places.values()),
                 ),
-                tally(names_of(Status), (m["status"] for m in view["members"])) if "members" in view else {},
+                tally(names_of(MemberStatus), (m["status"] for m in view["members"]))
+                if "members" in view
+                else {},
                 tally(names_of(Verdict), (view["recovery"]["verdict"],)) if "recovery" in view else {},
                 tally(names_of(Step), (m["step"] for m in view["swap"]["machines"]))
                 if "swap" in view
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -36,7 +36,7 @@
 from cottonhold.fleet_adapters import membership as membership_adapter
 from cottonhold.membership import codec
 from cottonhold.membership import leases as membership_leases
-from cottonhold.membership.codec import Codec, Keys, Kind, Status, Update, encode_update
+from cottonhold.membership.codec import Codec, KeyRing, MemberStatus, MessageKind, Update, encode_update
 from cottonhold.node import sibling_processes
 from cottonhold.scheduler import peer_messages
 from cottonhold.scheduler.events import Engine
@@ -51,10 +51,10 @@
 STATE = AcceptedState(Ballot(6, 0x99), 5, b"a value", (0xAA, 3))
 IDENTITY = bytes(range(16))
 HEAD = forwarding.Head(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
-KEYS = Keys({3: b"a shared key"}, 3)
+KEYS = KeyRing({3: b"a shared key"}, 3)
 
 
-def datagram(kind: Kind, sequence: int, updates: bytes = b"", keys: Keys | None = None) -> bytes:
+def datagram(kind: MessageKind, sequence: int, updates: bytes = b"", keys: KeyRing | None = None) -> bytes:
     """The first datagram of a sender's life."""
     message = codec.Message(kind, MEMBER, sequence, 0x42)
     return Codec(MEMBER, LIFE, keys).encode(message, updates)
@@ -64,11 +64,11 @@
     """One update of each form."""
     return b"".join(
         (
-            encode_update(Update(Status.ALIVE, 1, 2, 0, Address("10.1.2.3", 4500), "n1")),
-            encode_update(Update(Status.ALIVE, 2, 3, 0, Address("fd00::7", 4501), "n2")),
-            encode_update(Update(Status.SUSPECT, 3, 4, 5)),
-            encode_update(Update(Status.DEAD, 4, 5, 6)),
-            encode_update(Update(Status.LEFT, 5, 6, 7)),
+            encode_update(Update(MemberStatus.ALIVE, 1, 2, 0, Address("10.1.2.3", 4500), "n1")),
+            encode_update(Update(MemberStatus.ALIVE, 2, 3, 0, Address("fd00::7", 4501), "n2")),
+            encode_update(Update(MemberStatus.SUSPECT, 3, 4, 5)),
+            encode_update(Update(MemberStatus.DEAD, 4, 5, 6)),
+            encode_update(Update(MemberStatus.LEFT, 5, 6, 7)),
         )
     )
 
@@ -275,9 +275,9 @@
 PARTS = forwarding.Part(HEAD, 1, 200, bytes(200 - forwarding.PART_ROOM))
 ANSWERED = forwarding.Answer(9, 7, forwarding.End.FAILED, 12.5, 5, 0, b"12345")
 CASES: dict[str, Callable[[], bytes]] = {
-    "membership ping with updates": lambda: datagram(Kind.PING, 7, updates()),
-    "membership ping under a key": lambda: datagram(Kind.PING, 7, b"", KEYS),
-    **{f"membership kind {int(kind)}": lambda kind=kind: datagram(kind, 9) for kind in Kind},  # type: ignore[misc]
+    "membership ping with updates": lambda: datagram(MessageKind.PING, 7, updates()),
+    "membership ping under a key": lambda: datagram(MessageKind.PING, 7, b"", KEYS),
+    **{f"membership kind {int(kind)}": lambda kind=kind: datagram(kind, 9) for kind in MessageKind},  # type: ignore[misc]
     "member id": lambda: codec.member_id("n1").to_bytes(8, "big"),
     "probe report": lambda: membership_adapter.pack_report({"inflight": 70.0, "util": 0.5}).to_bytes(
         4, "big"
@@ -330,10 +330,14 @@
         )
         for step in affinity_messages.EntryKind
     },
-    "pins lease ask": lambda: affinity_messages.encode_lease(membership_leases.Ask(3, 4), 5),
-    "pins lease release": lambda: affinity_messages.encode_lease(membership_leases.Ask(3, 4, True), 5),
-    "pins lease grant": lambda: affinity_messages.encode_lease(membership_leases.Word(3, 4, True), 5),
-    "pins lease deny": lambda: affinity_messages.encode_lease(membership_leases.Word(3, 4, False, 12.5), 5),
+    "pins lease ask": lambda: affinity_messages.encode_lease(membership_leases.LeaseRequest(3, 4), 5),
+    "pins lease release": lambda: affinity_messages.encode_lease(
+        membership_leases.LeaseRequest(3, 4, True), 5
+    ),
+    "pins lease grant": lambda: affinity_messages.encode_lease(membership_leases.LeaseReply(3, 4, True), 5),
+    "pins lease deny": lambda: affinity_messages.encode_lease(
+        membership_leases.LeaseReply(3, 4, False, 12.5), 5
+    ),
     "pins refuse": lambda: affinity_messages.encode_notice(affinity_messages.REFUSE, False, MEMBER, 7),
     "pins done answer": lambda: affinity_messages.encode_notice(affinity_messages.ANNOUNCED, True, MEMBER, 7),
     "pins table": affinity_table,
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -27,7 +27,7 @@
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
-from cottonhold.membership.codec import Status
+from cottonhold.membership.codec import MemberStatus
 from cottonhold.node.gateway import Past
 from cottonhold.node.lifecycle import Phase
 from cottonhold.observe.counters import Counters
@@ -96,7 +96,7 @@
         "loads": [p.value for p in Past],
         "disk": [s.value for s in DiskState],
         "census": [v.value for v in Verdict],
-        "members": [s.name.lower() for s in Status],
+        "members": [s.name.lower() for s in MemberStatus],
         "zones": [p.value for p in ZonePhase],
         "engines": [s.value for s in EngineState],
         "swap": [s.name.lower() for s in Step],
@@ -117,7 +117,7 @@
         {"attempts_ok": 3, "members_alive": 2},
         4,
         tally([state.value for state in EngineState], ["live"]),
-        tally(names_of(Status), ["alive"]),
+        tally(names_of(MemberStatus), ["alive"]),
         tally(names_of(Verdict), [next(iter(Verdict)).value]),
         tally(names_of(Step), ["out"]),
     )
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -35,7 +35,7 @@
     RetryAfter,
 )
 from cottonhold.fleet.session_affinity.service import DepartureState, SessionAffinityService, Surroundings
-from cottonhold.membership.leases import Ask, Word
+from cottonhold.membership.leases import LeaseReply, LeaseRequest
 from tests.support.member_network import Net
 
 A, B, C, D = 101, 102, 103, 104
@@ -358,8 +358,8 @@
         B, {A, D}, [A, B, C], 0.0, 1, {}, OwnershipSettings(is_enabled=True), has_full_memory=False, epoch=19
     )
     pins.admit(0.0, B, 20)
-    said = pins.on_message(2000.0, C, messages.encode_lease(Ask(C, 7), epoch))
+    said = pins.on_message(2000.0, C, messages.encode_lease(LeaseRequest(C, 7), epoch))
     words = [
         messages.decode_lease(a.payload)[0] for a in said if isinstance(a, SendMessage) and a.member == C
     ]
-    assert [w.granted for w in words if isinstance(w, Word)] == [granted]
+    assert [w.is_granted for w in words if isinstance(w, LeaseReply)] == [granted]
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -16,11 +16,13 @@
 from cottonhold.fleet.zone_failover.evacuation import Phase
 from cottonhold.fleet_adapters.membership import REPORT, MembershipRim
 from cottonhold.fleet_adapters.zone_failover import FleetRim, OrderError
-from cottonhold.membership.codec import Keys
-from cottonhold.membership.duties import Duties, Duty
-from cottonhold.membership.instance import Instance
+from cottonhold.membership.codec import KeyRing
+from cottonhold.membership.duties import Duty, DutyScheduler
+from cottonhold.membership.events import DatagramReceived, MessageReceived, SendDatagram
+from cottonhold.membership.instance import MembershipInstance
 from cottonhold.membership.leases import LeaseSettings
-from cottonhold.membership.swim import Datagram, Heard, Send, Swim, SwimSettings
+from cottonhold.membership.swim import Swim
+from cottonhold.membership.swim_settings import SwimSettings
 from cottonhold.node import status
 from cottonhold.node.gateway import Taken
 from cottonhold.observe.counters import Counters
@@ -145,22 +147,30 @@
 
 
 def test_bytes_of_the_fleet_travel_in_memberships_datagrams_and_no_longer_than_they_fit() -> None:
-    keys, places = Keys({1: b"a shared key"}, 1), [Address("127.0.0.1", 1), Address("127.0.0.1", 2)]
+    keys, places = KeyRing({1: b"a shared key"}, 1), [Address("127.0.0.1", 1), Address("127.0.0.1", 2)]
     ends = [Swim(f"n{i}", places[i], SwimSettings(), i, 5, keys, places) for i in range(2)]
     here, there = ends
-    assert here.say_payload(b"x", there.id) is None, "never met"
+    assert here.payload_to(b"x", there.id) is None, "never met"
     for now in range(0, 3000, 100):
         for one, other in ((here, there), (there, here)):
             for action in one.step(float(now)):
-                if isinstance(action, Send):
-                    replies = other.step(float(now), [Datagram(action.data, one.address)])
-                    back = [Datagram(r.data, other.address) for r in replies if isinstance(r, Send)]
+                if isinstance(action, SendDatagram):
+                    replies = other.step(float(now), [DatagramReceived(action.data, one.address)])
+                    back = [
+                        DatagramReceived(r.data, other.address)
+                        for r in replies
+                        if isinstance(r, SendDatagram)
+                    ]
                     one.step(float(now), back)
-    said = here.say_payload(b"x" * here.codec.room(), there.id)
+    said = here.payload_to(b"x" * here.codec.update_capacity(), there.id)
     assert said is not None and len(said.data) == 256 and said.address == there.address
-    heard = [a for a in there.step(3000.0, [Datagram(said.data, here.address)]) if isinstance(a, Heard)]
-    assert [h.message.payload for h in heard] == [b"x" * here.codec.room()]
-    assert here.say_payload(b"x" * (here.codec.room() + 1), there.id) is None
+    heard = [
+        a
+        for a in there.step(3000.0, [DatagramReceived(said.data, here.address)])
+        if isinstance(a, MessageReceived)
+    ]
+    assert [h.message.payload for h in heard] == [b"x" * here.codec.update_capacity()]
+    assert here.payload_to(b"x" * (here.codec.update_capacity() + 1), there.id) is None
 
 
 def test_one_that_joins_is_told_of_at_once() -> None:
@@ -169,7 +179,9 @@
     swim = Swim("n0", PLACE, SwimSettings(), 1, 1)
     other = Swim("n1", Address("127.0.0.1", 7001), SwimSettings(), 1, 1, seeds=[PLACE])
     rim = MembershipRim(
-        Instance(swim, Duties(swim.id, [Duty(REPORT, 1000.0)], [swim.id], LeaseSettings(), clock.now(), 1)),
+        MembershipInstance(
+            swim, DutyScheduler(swim.id, [Duty(REPORT, 1000.0)], [swim.id], LeaseSettings(), clock.now(), 1)
+        ),
         clock,
         Counters(),
         lambda data, address: sent.append(data),
@@ -181,8 +193,8 @@
     rim.start()
     clock.run_until(clock.now() + 150.0, lambda: None)
     assert not joined
-    hello = next(a for a in other.step(clock.now()) if isinstance(a, Send))
+    hello = next(a for a in other.step(clock.now()) if isinstance(a, SendDatagram))
     came = clock.now()
     assert rim.receive(hello.data, other.address)
     clock.run_until(came + 1.0, lambda: None)
-    assert joined == [came] and [m.name for m in swim.view()] == ["n1"]
+    assert joined == [came] and [m.name for m in swim.members_by_name()] == ["n1"]
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -9,13 +9,13 @@
 from cottonhold.discovery.model import Address
 from cottonhold.membership.codec import (
     MAGIC,
-    MOST_BYTES,
+    MAX_DATAGRAM_BYTES,
     Codec,
     CodecError,
-    Keys,
-    Kind,
+    KeyRing,
+    MemberStatus,
     Message,
-    Status,
+    MessageKind,
     Update,
     encode_update,
     member_id,
@@ -28,18 +28,20 @@
 )
 U64 = st.integers(0, 2**64 - 1)
 UPDATES = st.one_of(
-    st.builds(Update, st.sampled_from([Status.SUSPECT, Status.DEAD, Status.LEFT]), U64, U64, U64),
-    st.builds(Update, st.just(Status.ALIVE), U64, U64, st.just(0), ADDRESSES, st.text(max_size=8)),
+    st.builds(
+        Update, st.sampled_from([MemberStatus.SUSPECT, MemberStatus.DEAD, MemberStatus.LEFT]), U64, U64, U64
+    ),
+    st.builds(Update, st.just(MemberStatus.ALIVE), U64, U64, st.just(0), ADDRESSES, st.text(max_size=8)),
 )
-KEYS = Keys({1: b"old key", 2: b"new key"}, 2)
+KEYS = KeyRing({1: b"old key", 2: b"new key"}, 2)
 
 
-def pair(sending: Keys | None = None, receiving: Keys | None = None) -> tuple[Codec, Codec]:
+def pair(sending: KeyRing | None = None, receiving: KeyRing | None = None) -> tuple[Codec, Codec]:
     return Codec(member_id("a"), 7, sending), Codec(member_id("b"), 9, receiving)
 
 
 def ping(codec: Codec, updates: bytes = b"") -> bytes:
-    return codec.encode(Message(Kind.PING, codec.sender, 5, 6), updates)
+    return codec.encode(Message(MessageKind.PING, codec.sender, 5, 6), updates)
 
 
 def reason(codec: Codec, data: bytes) -> str:
@@ -49,16 +51,18 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.sampled_from(Kind), st.integers(0, 2**32 - 1), U64, st.lists(UPDATES, max_size=3), st.booleans())
+@given(
+    st.sampled_from(MessageKind), st.integers(0, 2**32 - 1), U64, st.lists(UPDATES, max_size=3), st.booleans()
+)
 def test_what_is_encoded_comes_back(
-    kind: Kind, sequence: int, subject: int, updates: list[Update], keyed: bool
+    kind: MessageKind, sequence: int, subject: int, updates: list[Update], keyed: bool
 ) -> None:
     keys = KEYS if keyed else None
     a, b = pair(keys, keys)
     tail = b"".join(map(encode_update, updates))
     data = a.encode(Message(kind, a.sender, sequence, subject), tail)
-    assert len(data) <= MOST_BYTES and data[0] == MAGIC not in (1, 2)
-    if kind is Kind.FLEET:  # bytes of another part's in place of updates
+    assert len(data) <= MAX_DATAGRAM_BYTES and data[0] == MAGIC not in (1, 2)
+    if kind is MessageKind.FLEET:  # bytes of another part's in place of updates
         assert b.decode(data) == Message(kind, a.sender, sequence, subject, payload=tail)
     else:
         assert b.decode(data) == Message(kind, a.sender, sequence, subject, tuple(updates))
@@ -72,21 +76,21 @@
     try:
         b.decode(data)
     except CodecError as error:
-        assert error.reason and not b.lives  # nothing was remembered of it
+        assert error.reason and not b.replay_windows  # nothing was remembered of it
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 60), st.integers(1, 255))
 def test_a_datagram_changed_in_any_byte_is_refused(at: int, by: int) -> None:
     a, b = pair(KEYS, KEYS)
-    data = bytearray(ping(a, encode_update(Update(Status.DEAD, 1, 2, 3))))
+    data = bytearray(ping(a, encode_update(Update(MemberStatus.DEAD, 1, 2, 3))))
     data[at % len(data)] ^= by
-    assert reason(b, bytes(data)) in ("mac", "key", "magic", "version") and not b.lives
+    assert reason(b, bytes(data)) in ("mac", "key", "magic", "version") and not b.replay_windows
 
 
 def test_truncated_long_and_unknown_ones_are_told_apart() -> None:
     a, b = pair()
-    data = ping(a, encode_update(Update(Status.DEAD, 1, 2, 3)))
+    data = ping(a, encode_update(Update(MemberStatus.DEAD, 1, 2, 3)))
     assert {reason(b, data[:n]) for n in range(1, 32)} == {"truncated"}
     assert reason(b, data + bytes(300)) == "long"
     assert reason(b, b"\x01" + data[1:]) == "magic"
@@ -111,16 +115,16 @@
 
 def test_keys_rotate_without_a_gap() -> None:
     old, both_old, both_new, new = (
-        Keys({1: b"old"}, 1),
-        Keys({1: b"old", 2: b"new"}, 1),
-        Keys({1: b"old", 2: b"new"}, 2),
-        Keys({2: b"new"}, 2),
+        KeyRing({1: b"old"}, 1),
+        KeyRing({1: b"old", 2: b"new"}, 1),
+        KeyRing({1: b"old", 2: b"new"}, 2),
+        KeyRing({2: b"new"}, 2),
     )
     steps = [(old, both_old), (both_old, both_new), (both_new, new)]
     for before, after in steps:
         for sending, receiving in ((before, after), (after, before)):
             a, b = pair(sending, receiving)
-            assert b.decode(ping(a)).kind is Kind.PING
+            assert b.decode(ping(a)).kind is MessageKind.PING
     a, b = pair(old, new)
     assert reason(b, ping(a)) == "key"
     plain, keyed = pair(None, KEYS)
@@ -130,4 +134,4 @@
 
 def test_a_name_too_long_is_refused_before_it_goes_out() -> None:
     with pytest.raises(ValueError, match="longer than 32"):
-        encode_update(Update(Status.ALIVE, 1, 1, 0, Address("127.0.0.1", 1), "x" * 33))
+        encode_update(Update(MemberStatus.ALIVE, 1, 1, 0, Address("127.0.0.1", 1), "x" * 33))
--- a/tests/membership/test_duties.py
+++ b/tests/membership/test_duties.py
@@ -12,8 +12,16 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.network import Network
-from cottonhold.membership.duties import Duties, Duty, Promise, Run, Share, Stop
-from cottonhold.membership.leases import Ask, Hold, Leases, LeaseSettings, Release, To, Word
+from cottonhold.membership.duties import AnnounceDone, Duty, DutyScheduler, Guarantee, RunDuty, StopDuty
+from cottonhold.membership.leases import (
+    LeaseHeld,
+    LeaseLost,
+    LeaseManager,
+    LeaseReply,
+    LeaseRequest,
+    LeaseSettings,
+    SendToMember,
+)
 from cottonhold.membership.rendezvous import Rendezvous, score
 
 PHASES = (Phase.explicit, Phase.generate)
@@ -63,30 +71,30 @@
         assert after == (plain(members, after) if members else dict.fromkeys(after))
         if moved is not None:
             assert moved == {s for s in after if after[s] != before[s]}
-        assert all(made.of(m) == {s for s, h in after.items() if h == m} for m in members)
+        assert all(made.subjects_of(m) == {s for s, h in after.items() if h == m} for m in members)
 
 
 def test_a_member_that_comes_or_goes_moves_only_its_own_share() -> None:
     made = shared(dict.fromkeys(range(1, 11), 1.0))
-    went = made.of(3)
+    went = made.subjects_of(3)
     assert made.drop_member(3) == went and 5 <= len(went) <= 40
     assert made.add_member(3) == went
 
 
 def test_the_cost_is_that_of_the_change() -> None:
     made = shared(dict.fromkeys(range(1, 51), 1.0))
-    made.hashed = 0
-    held = len(made.of(7))
+    made.scores_computed = 0
+    held = len(made.subjects_of(7))
     made.drop_member(7)
-    assert made.hashed == held * 49  # all pairs would be 200 x 49
-    made.hashed = 0
+    assert made.scores_computed == held * 49  # all pairs would be 200 x 49
+    made.scores_computed = 0
     made.add_member(7)
-    assert made.hashed == 200
+    assert made.scores_computed == 200
 
 
 def test_weights_are_kept_in_the_long_run() -> None:
     made = shared({1: 1.0, 2: 3.0}, [f"s{i}" for i in range(4000)])
-    assert 0.7 < len(made.of(2)) / 4000 < 0.8
+    assert 0.7 < len(made.subjects_of(2)) / 4000 < 0.8
 
 
 # --- leases, on a network in virtual time ---
@@ -97,25 +105,25 @@
 
     def __init__(self, number: int, site: Site, now: float, first_term: int) -> None:
         self.number, self.site = number, site
-        self.leases = Leases(number, range(1, 6), site.settings, now, first_term)
+        self.leases = LeaseManager(number, range(1, 6), site.settings, now, first_term)
         self.wanted: set[int] = set()
 
     def step(self, now: float, received: list[tuple[bytes, Address]]) -> Iterable[tuple[bytes, Address]]:
         actions = list(self.leases.step(now))
         for data, sender in received:
             what = self.site.messages[int.from_bytes(data, "big")]
-            actions += self.leases.receive(now, self.site.numbers[sender], what)
-        if self.wanted != set(self.leases.bids):
-            actions += self.leases.want(now, self.wanted)
+            actions += self.leases.on_message(now, self.site.numbers[sender], what)
+        if self.wanted != set(self.leases.claims):
+            actions += self.leases.claim(now, self.wanted)
         out = []
         for action in actions:
-            if isinstance(action, To):
-                self.site.messages.append(action.what)
+            if isinstance(action, SendToMember):
+                self.site.messages.append(action.message)
                 index = len(self.site.messages) - 1
                 out.append((index.to_bytes(8, "big"), self.site.addresses[action.member]))
-            elif isinstance(action, Hold):
-                self.site.held(self.number, action.duty, action.until - now)
-            elif isinstance(action, Release):
+            elif isinstance(action, LeaseHeld):
+                self.site.held(self.number, action.duty, action.expires_at - now)
+            elif isinstance(action, LeaseLost):
                 self.site.released(self.number, action.duty)
         return out
 
@@ -128,7 +136,7 @@
 
     def __init__(self, seed: int, loss: float = 0.0) -> None:
         self.network, self.settings = Network(seed, loss=loss), LeaseSettings()
-        self.messages: list[Ask | Word] = []
+        self.messages: list[LeaseRequest | LeaseReply] = []
         self.addresses = {n: Address(f"10.0.0.{n}", 1) for n in range(1, 6)}
         self.numbers = {a: n for n, a in self.addresses.items()}
         self.holds: dict[int, tuple[int, float]] = {}  # by duty: who, and until when by true time
@@ -202,21 +210,28 @@
 
 
 def test_a_voter_back_from_nothing_grants_nothing_for_one_lease() -> None:
-    leases = Leases(1, range(1, 6), LeaseSettings(), 1000.0, 0)
-    (answer,) = leases.receive(1100.0, 2, Ask(7, 1))
-    assert isinstance(answer, To) and isinstance(answer.what, Word) and not answer.what.granted
-    (answer,) = leases.receive(2400.0, 2, Ask(7, 2))
-    assert isinstance(answer, To) and isinstance(answer.what, Word) and answer.what.granted
+    leases = LeaseManager(1, range(1, 6), LeaseSettings(), 1000.0, 0)
+    (answer,) = leases.on_message(1100.0, 2, LeaseRequest(7, 1))
+    assert (
+        isinstance(answer, SendToMember)
+        and isinstance(answer.message, LeaseReply)
+        and not answer.message.is_granted
+    )
+    (answer,) = leases.on_message(2400.0, 2, LeaseRequest(7, 2))
+    assert isinstance(answer, SendToMember) and isinstance(answer.message, LeaseReply)
+    assert answer.message.is_granted
 
 
 def test_a_late_word_for_an_earlier_term_is_void() -> None:
-    leases = Leases(1, range(1, 6), LeaseSettings(), 0.0, 100)
-    leases.want(5000.0, [7])
+    leases = LeaseManager(1, range(1, 6), LeaseSettings(), 0.0, 100)
+    leases.claim(5000.0, [7])
     leases.step(5200.0)
     for voter in (2, 3, 4):
-        assert not [a for a in leases.receive(5300.0, voter, Word(7, 101, True)) if isinstance(a, Hold)]
-    told = [a for voter in (2, 3) for a in leases.receive(5300.0, voter, Word(7, 102, True))]
-    assert told == [Hold(7, 102, 5200.0 + 1200.0 * 0.9)]
+        assert not [
+            a for a in leases.on_message(5300.0, voter, LeaseReply(7, 101, True)) if isinstance(a, LeaseHeld)
+        ]
+    told = [a for voter in (2, 3) for a in leases.on_message(5300.0, voter, LeaseReply(7, 102, True))]
+    assert told == [LeaseHeld(7, 102, 5200.0 + 1200.0 * 0.9)]
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -252,35 +267,35 @@
 # --- duties ---
 
 PROBE = Duty("probe", 1000.0)
-WATCH = Duty("watch", 1000.0, Promise.AT_MOST_ONCE, limit=200.0)
+WATCH = Duty("watch", 1000.0, Guarantee.AT_MOST_ONCE, max_run_ms=200.0)
 
 
-def alone(*duties: Duty) -> Duties:
-    return Duties(1, duties, [1], LeaseSettings(), 0.0, 0)
+def alone(*duties: Duty) -> DutyScheduler:
+    return DutyScheduler(1, duties, [1], LeaseSettings(), 0.0, 0)
 
 
 def runs(actions: Iterable[object]) -> list[str]:
-    return [a.subject for a in actions if isinstance(a, Run)]
+    return [a.subject for a in actions if isinstance(a, RunDuty)]
 
 
 def test_a_subject_is_run_each_period_counted_from_its_end() -> None:
     d = alone(PROBE)
-    d.members(0.0, {})
-    (run,) = [a for a in d.subjects(0.0, "probe", ["e1"]) if isinstance(a, Run)]
+    d.on_members(0.0, {})
+    (run,) = [a for a in d.on_subjects(0.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
     assert not d.step(500.0)  # it runs already
-    assert d.done(600.0, run) == [Share("probe", "e1", 600.0)] and d.next_at() == 1600.0
+    assert d.on_run_ended(600.0, run) == [AnnounceDone("probe", "e1", 600.0)] and d.next_at() == 1600.0
     assert runs(d.step(1600.0)) == ["e1"]
 
 
 def test_a_takeover_does_not_do_at_once_what_has_just_been_done() -> None:
     d = alone(PROBE)
     members = {1: 1.0, 2: 1.0, 3: 1.0}
-    d.members(0.0, members)
-    d.subjects(0.0, "probe", [f"e{i}" for i in range(30)])
-    others = {f"e{i}" for i in range(30)} - {subject for _, subject in d.held()}
+    d.on_members(0.0, members)
+    d.on_subjects(0.0, "probe", [f"e{i}" for i in range(30)])
+    others = {f"e{i}" for i in range(30)} - {subject for _, subject in d.held_subjects()}
     for subject in others:
-        d.heard(100.0, "probe", subject, 50.0)
-    assert runs(d.members(200.0, {1: 1.0})) == []
+        d.on_done_elsewhere(100.0, "probe", subject, 50.0)
+    assert runs(d.on_members(200.0, {1: 1.0})) == []
     assert set(runs(d.step(1050.0))) == others
 
 
@@ -288,39 +303,43 @@
     members = dict.fromkeys(range(1, 6), 1.0)
     greeted = []
     for me in members:
-        d = Duties(me, [PROBE], members, LeaseSettings(), 0.0, 0)
-        d.members(0.0, members)
-        greeted += runs(d.subjects(0.0, "probe", [f"e{i}" for i in range(40)]))
+        d = DutyScheduler(me, [PROBE], members, LeaseSettings(), 0.0, 0)
+        d.on_members(0.0, members)
+        greeted += runs(d.on_subjects(0.0, "probe", [f"e{i}" for i in range(40)]))
     assert sorted(greeted) == sorted(f"e{i}" for i in range(40))
 
 
 def test_late_work_is_fenced_and_its_subject_may_vanish_meanwhile() -> None:
     d = alone(PROBE)
-    d.members(0.0, {})
-    (run,) = [a for a in d.subjects(0.0, "probe", ["e1"]) if isinstance(a, Run)]
-    assert d.subjects(100.0, "probe", []) == [Stop("probe", "e1", run.epoch)]
-    assert d.done(200.0, run) == []
-    (again,) = [a for a in d.subjects(300.0, "probe", ["e1"]) if isinstance(a, Run)]
-    assert d.done(400.0, run) == [] and d.done(500.0, again) == [Share("probe", "e1", 500.0)]
+    d.on_members(0.0, {})
+    (run,) = [a for a in d.on_subjects(0.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
+    assert d.on_subjects(100.0, "probe", []) == [StopDuty("probe", "e1", run.epoch)]
+    assert d.on_run_ended(200.0, run) == []
+    (again,) = [a for a in d.on_subjects(300.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
+    assert d.on_run_ended(400.0, run) == [] and d.on_run_ended(500.0, again) == [
+        AnnounceDone("probe", "e1", 500.0)
+    ]
 
 
 def test_an_at_most_once_run_begins_only_with_enough_of_its_lease_left() -> None:
     d = alone(
         WATCH
     )  # the only voter: its own word is the majority, once one lease has passed since its start
-    d.members(0.0, {})
-    assert runs(d.subjects(0.0, "watch", ["dc1"])) == []
+    d.on_members(0.0, {})
+    assert runs(d.on_subjects(0.0, "watch", ["dc1"])) == []
     began, now = -1.0, 0.0
     while now < 5000.0 and began < 0:
         now = max(d.next_at(), now + 1.0)
         if runs(d.step(now)):
             began = now
-    assert 1200.0 <= began < 2000.0 and d.until["watch", "dc1"] - began >= WATCH.limit
+    assert 1200.0 <= began < 2000.0 and d.lease_expiry["watch", "dc1"] - began >= WATCH.max_run_ms
     d.leases.voters, d.leases.majority = (1, 2, 3), 2  # the others are gone: no renewal
     stopped = [a for t in range(int(began), int(began) + 1500, 10) for a in d.step(float(t))]
-    assert [a for a in stopped if isinstance(a, Stop)] == [Stop("watch", "dc1", 1)] and d.held() == []
+    assert [a for a in stopped if isinstance(a, StopDuty)] == [
+        StopDuty("watch", "dc1", 1)
+    ] and d.held_subjects() == []
 
 
 def test_a_duty_that_makes_no_sense_is_named() -> None:
     with pytest.raises(ValueError, match="'x'"):
-        Duty("x", 100.0, limit=100.0)
+        Duty("x", 100.0, max_run_ms=100.0)
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -10,8 +10,10 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.network import Network
-from cottonhold.membership.codec import Keys, Kind, Message, Status, member_id
-from cottonhold.membership.swim import Changed, Datagram, Send, Swim, SwimSettings
+from cottonhold.membership.codec import KeyRing, MemberStatus, Message, MessageKind, member_id
+from cottonhold.membership.events import DatagramReceived, MemberChanged, SendDatagram
+from cottonhold.membership.swim import Swim
+from cottonhold.membership.swim_settings import SwimSettings
 
 EPOCH = 10_000_000  # Unix time of a start is an incarnation: never near 0
 
@@ -21,12 +23,12 @@
 
     def __init__(self, swim: Swim) -> None:
         self.swim = swim
-        self.told: list[tuple[float, Changed]] = []
+        self.told: list[tuple[float, MemberChanged]] = []
 
     def step(self, now: float, received: list[tuple[bytes, Address]]) -> Iterable[tuple[bytes, Address]]:
-        actions = self.swim.step(now, [Datagram(data, sender) for data, sender in received])
-        self.told += [(now, action) for action in actions if isinstance(action, Changed)]
-        return [(action.data, action.address) for action in actions if isinstance(action, Send)]
+        actions = self.swim.step(now, [DatagramReceived(data, sender) for data, sender in received])
+        self.told += [(now, action) for action in actions if isinstance(action, MemberChanged)]
+        return [(action.data, action.address) for action in actions if isinstance(action, SendDatagram)]
 
     def next_at(self) -> float:
         return self.swim.next_at()
@@ -54,7 +56,7 @@
             self.settings,
             self.seed * 1000 + self.lives,
             begun,
-            Keys({1: b"k"}, 1),
+            KeyRing({1: b"k"}, 1),
             seeds,
         )
         made = self.instances[i] = Instance(swim)
@@ -72,7 +74,7 @@
     def agree(self) -> bool:
         """Whether all that run know exactly all that run."""
         ids = sorted(member_id(f"n{i}") for i in self.instances)
-        return all(instance.swim.live() == ids for instance in self.instances.values())
+        return all(instance.swim.live_members() == ids for instance in self.instances.values())
 
     def until_agreed(self, most: float, step: float = 20.0) -> float:
         begun = self.network.now
@@ -83,12 +85,12 @@
 
     def views(self) -> dict[str, dict[str, str]]:
         return {
-            f"n{i}": {m.name: m.status.name for m in instance.swim.view()}
+            f"n{i}": {m.name: m.status.name for m in instance.swim.members_by_name()}
             for i, instance in self.instances.items()
         }
 
     def deaths(self) -> int:
-        return sum(c.status is Status.DEAD for i in self.instances.values() for _, c in i.told)
+        return sum(c.status is MemberStatus.DEAD for i in self.instances.values() for _, c in i.told)
 
     def trace(self) -> list[tuple[int, float, str, str]]:
         return [(i, t, c.name, c.status.name) for i, n in sorted(self.instances.items()) for t, c in n.told]
@@ -123,7 +125,7 @@
     fleet.run(5000)
     stopped = fleet.instances[2]
     fleet.until_agreed(5000)
-    assert not [c for _, c in stopped.told if c.status is Status.DEAD]
+    assert not [c for _, c in stopped.told if c.status is MemberStatus.DEAD]
     fleet.run(20_000)
     assert fleet.agree()
 
@@ -134,7 +136,7 @@
     for _ in range(10):
         fleet.network.stop(fleet.addresses[2], 1500)
         fleet.run(3000)
-    assert not [c for _, c in fleet.instances[2].told if c.status is Status.DEAD]
+    assert not [c for _, c in fleet.instances[2].told if c.status is MemberStatus.DEAD]
     fleet.until_agreed(5000)
     fleet.run(20_000)
     assert fleet.agree()
@@ -148,13 +150,17 @@
     fleet.run(3_000)
     if end == "left":
         for farewell in fleet.instances[2].swim.leave(fleet.network.now):
-            assert isinstance(farewell, Send)
+            assert isinstance(farewell, SendDatagram)
             fleet.network._send(fleet.addresses[2], farewell.address, farewell.data)
         fleet.run(100)
     fleet.kill(2)
     fleet.run(15_000 if end == "dead" else 600)
-    seen = {m.status for i in fleet.instances.values() for m in i.swim.view() if m.name == "n2"}
-    assert seen == {Status[end.upper()]} if end != "suspected" else seen <= {Status.ALIVE, Status.SUSPECT}
+    seen = {m.status for i in fleet.instances.values() for m in i.swim.members_by_name() if m.name == "n2"}
+    assert (
+        seen == {MemberStatus[end.upper()]}
+        if end != "suspected"
+        else seen <= {MemberStatus.ALIVE, MemberStatus.SUSPECT}
+    )
     fleet.start(2, skew=skew)
     fleet.until_agreed(6000)
     fleet.run(10_000)
@@ -166,7 +172,9 @@
     half = set(fleet.addresses[:2])
     fleet.network.cut = lambda a, b: (a in half) is not (b in half)
     fleet.run(20_000)
-    assert len(fleet.instances[0].swim.live()) == 2 and len(fleet.instances[4].swim.live()) == 3
+    assert (
+        len(fleet.instances[0].swim.live_members()) == 2 and len(fleet.instances[4].swim.live_members()) == 3
+    )
     fleet.network.cut = lambda a, b: False
     fleet.until_agreed(15_000)
 
@@ -181,7 +189,7 @@
 
 def test_thirty_percent_loss_is_borne_and_lifeguard_is_what_bears_it() -> None:
     def wrong(lifeguard: bool) -> int:
-        fleet = Fleet(5, 3, 0.3, SwimSettings(lifeguard=lifeguard))
+        fleet = Fleet(5, 3, 0.3, SwimSettings(uses_lifeguard=lifeguard))
         fleet.run(120_000)
         return fleet.deaths()
 
@@ -192,13 +200,13 @@
     fleet = settled()
     leaving = fleet.instances.pop(2)
     for action in leaving.swim.leave(fleet.network.now):
-        assert isinstance(action, Send)
+        assert isinstance(action, SendDatagram)
         fleet.network._send(fleet.addresses[2], action.address, action.data)
     fleet.network.kill(fleet.addresses[2])
     fleet.until_agreed(1000)
     assert {c.status for i in fleet.instances.values() for _, c in i.told if c.name == "n2"} == {
-        Status.ALIVE,
-        Status.LEFT,
+        MemberStatus.ALIVE,
+        MemberStatus.LEFT,
     }
 
 
@@ -217,10 +225,14 @@
     swim = fleet.instances[0].swim
     before, now = fleet.views(), fleet.network.now
     other = fleet.instances[1].swim
-    forged = other.codec.encode(Message(Kind.PING, other.id, 1, swim.id), b"")
-    swim.step(now, [Datagram(forged, fleet.addresses[1])])
+    forged = other.codec.encode(Message(MessageKind.PING, other.id, 1, swim.id), b"")
+    swim.step(now, [DatagramReceived(forged, fleet.addresses[1])])
     for data in (forged, forged[:-1] + b"\x00", b"\xc7\x01", b"", b"\x01old"):
-        assert not [a for a in swim.step(now, [Datagram(data, fleet.addresses[1])]) if isinstance(a, Changed)]
+        assert not [
+            a
+            for a in swim.step(now, [DatagramReceived(data, fleet.addresses[1])])
+            if isinstance(a, MemberChanged)
+        ]
     assert fleet.views() == before
     named = {k: v for k, v in swim.counts.items() if k.startswith("malformed")}
     assert (
