--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -10,9 +10,10 @@
 from dataclasses import dataclass, replace
 
 from cottonhold.backend.connection_pool import Attempt
-from cottonhold.fleet.recovery.load_history import Action, How, Known, LoadKept, Memory, Settled, identity
-from cottonhold.node.gateway import Past, Taken
-from cottonhold.node.gateway import Settled as Tell
+from cottonhold.fleet.recovery.load_history import Action, LoadHistory, LoadSettled
+from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
+from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.gateway import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.settings import Idempotency, Settings
@@ -26,30 +27,34 @@
     Outcome.CONNECT_FAILED,
     Outcome.ALREADY_FINISHED,
 )  # what proves that it never ran
-STATES = {How.WELL: LoadState.COMPLETED, How.FAILED: LoadState.FAILED, How.NEVER: LoadState.NEVER_SENT}
+STATES = {
+    LoadResult.SUCCEEDED: LoadState.COMPLETED,
+    LoadResult.FAILED: LoadState.FAILED,
+    LoadResult.NEVER_RAN: LoadState.NEVER_SENT,
+}
 ENDS = {
     LoadState.SENT: None,
-    LoadState.COMPLETED: How.WELL,
-    LoadState.FAILED: How.FAILED,
-    LoadState.NEVER_SENT: How.NEVER,
+    LoadState.COMPLETED: LoadResult.SUCCEEDED,
+    LoadState.FAILED: LoadResult.FAILED,
+    LoadState.NEVER_SENT: LoadResult.NEVER_RAN,
 }
 FORGET_MS = 1000.0
 
 
-def guarded(settings: Settings) -> frozenset[int]:
+def guarded_class_indices(settings: Settings) -> frozenset[int]:
     """The classes whose requests are remembered: loads, and all that must not run twice."""
     places = enumerate(settings.classes)
     return frozenset(i for i, c in places if c.is_load or c.idempotency is Idempotency.NOT_IDEMPOTENT)
 
 
-def kept_loads(folder: Mapping[bytes, bytes]) -> tuple[list[LoadKept], dict[bytes, LoadRecord]]:
+def recorded_loads(folder: Mapping[bytes, bytes]) -> tuple[list[RecordedLoad], dict[bytes, LoadRecord]]:
     """What the folder remembers of loads; one that can't be read may have run."""
     found = decode_loads(folder)
-    known = [LoadKept(load, ENDS.get(record.state)) for load, record in found.by_identity.items()]
-    return [*known, *(LoadKept(load) for load in found.unreadable)], dict(found.by_identity)
+    known = [RecordedLoad(load, ENDS.get(record.state)) for load, record in found.by_identity.items()]
+    return [*known, *(RecordedLoad(load) for load in found.unreadable)], dict(found.by_identity)
 
 
-class Unkept:
+class UnavailableLoadGuard:
     """The guard while there is no ledger: its folder is another process's still, or its disk fails. No load
     goes out, all else does."""
 
@@ -57,7 +62,7 @@
         self,
         classes: Mapping[int, bool],
         cooldown: float,
-        memory: Memory,
+        memory: LoadHistory,
         now: Callable[[], float],
         counters: Counters,
     ) -> None:
@@ -68,55 +73,59 @@
         """Whether requests of a class would have to be remembered."""
         return query_class in self.classes
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """Told at once: to come later, or what is known of a retry."""
         self.counters.add("loads_unkept")
-        known, now = Known.LATER, self.now()
-        if taken.retry:
+        known, now = LoadKnowledge.NOT_KNOWN_YET, self.now()
+        if taken.is_retry:
             # Danger: told to come later for as long as the folder could not be had, a client came back after
             # whoever had sent its load had forgotten it, and it ran again.
-            known = self.memory.later(now, identity(taken.service, taken.key or "", taken.body))
+            known = self.memory.answer_unavailable(
+                now, load_identity(taken.class_name, taken.ordering_key or "", taken.body)
+            )
         settled(_past(known, self.classes[taken.query_class]), self.cooldown)
         if now - self.forgotten_at >= FORGET_MS:
             self.forgotten_at = now
-            self.memory.own.forget(now, ())
+            self.memory.local.expire(now, ())
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """One that was taken under another ledger."""
         kept(False)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """Nothing is kept."""
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """Nothing is kept."""
 
 
 @dataclass(slots=True, eq=False)
-class Run:
+class LoadRun:
     """A request's load, from its first attempt to its end."""
 
     load: bytes
-    open: bool = False  # the memory has it in flight
-    out: bool = False  # an attempt is on its way
-    closed: bool = False  # the request is over
+    is_begun: bool = False  # the memory has it in flight
+    is_attempt_in_flight: bool = False  # an attempt is on its way
+    is_closed: bool = False  # the request is over
 
 
 @dataclass(slots=True, eq=False)
-class Waiter:
+class QueuedRequest:
     """A load that came behind a retry of its key which is still asked about."""
 
-    taken: Taken
+    taken: ClientRequest
     until: float
     settled: Tell
 
 
-class Loads:
+class LoadRecorder:
     """The gateway's guard: see gateway.LoadGuard."""
 
     def __init__(
         self,
-        memory: Memory,
+        memory: LoadHistory,
         ledger: Ledger,
         records: dict[bytes, LoadRecord],
         classes: Mapping[int, bool],
@@ -134,9 +143,11 @@
         self.hold, self.now, self.clock_ms, self.call_in, self.hop = hold, now, clock_ms, call_in, hop
         self.may_send, self.carry_out, self.counters, self.note = may_send, carry_out, counters, note
         self.started, self.forgotten_at = now(), now()
-        self.runs: dict[str, Run] = {}
+        self.runs: dict[str, LoadRun] = {}
         self.waiting: dict[str, tuple[Tell, bool]] = {}  # who asked, and whether a good end may be said
-        self.lines: dict[str, deque[Waiter]] = {}  # by key: who came behind a retry that is asked about
+        self.lines: dict[
+            str, deque[QueuedRequest]
+        ] = {}  # by key: who came behind a retry that is asked about
         self.heads: dict[str, str] = {}  # ref of such a retry -> its key
         self.state = DiskState.HEALTHY
 
@@ -146,47 +157,51 @@
         """Whether requests of a class are remembered."""
         return query_class in self.classes
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """A load has come; a retry is asked about."""
         unkept, unheard = self._disk() is not DiskState.HEALTHY, not self.may_send()
-        if unkept or unheard and not taken.retry:
+        if unkept or unheard and not taken.is_retry:
             self.counters.add("loads_unkept" if unkept else "loads_unheard")
             # Danger: told to come later without being noted, a client came back after its load was forgotten.
-            known = self.memory.later(self.now(), self._identity(taken)) if taken.retry else Known.LATER
-            settled(_past(known, self.classes[taken.query_class]), self.memory.settings.cooldown)
+            known = (
+                self.memory.answer_unavailable(self.now(), self._identity(taken))
+                if taken.is_retry
+                else LoadKnowledge.NOT_KNOWN_YET
+            )
+            settled(_past(known, self.classes[taken.query_class]), self.memory.settings.retry_after_ms)
             return
-        if taken.key is not None and taken.key in self.lines:
+        if taken.ordering_key is not None and taken.ordering_key in self.lines:
             # Danger: what came behind a retry that was still asked about went out before it, out of its
             # key's order.
-            waiter = Waiter(taken, until, settled)
-            self.lines[taken.key].append(waiter)
+            waiter = QueuedRequest(taken, until, settled)
+            self.lines[taken.ordering_key].append(waiter)
             self.call_in(max(until - self.now(), 0.0), lambda: self._too_late(waiter))
         else:
             self._settle(taken, until, settled)
 
-    def _settle(self, taken: Taken, until: float, settled: Tell) -> None:
+    def _settle(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """The first of its key."""
-        if not taken.retry:
-            settled(Past.NEVER, 0.0)
+        if not taken.is_retry:
+            settled(LoadOutcome.NEVER_RAN, 0.0)
             return
         self.counters.add("loads_asked")
         load, said = self._identity(taken), self.classes[taken.query_class]
-        self.waiting[taken.ref] = settled, said
-        known = self.memory.ask(self.now(), taken.ref, load, until)
+        self.waiting[taken.request_id] = settled, said
+        known = self.memory.on_retry(self.now(), taken.request_id, load, until)
         if known is not None:
-            self._tell(taken.ref, known, self.memory.settings.cooldown)
+            self._tell(taken.request_id, known, self.memory.settings.retry_after_ms)
             return
-        if taken.key is not None:
-            self.heads[taken.ref] = taken.key
-            self.lines[taken.key] = deque()
+        if taken.ordering_key is not None:
+            self.heads[taken.request_id] = taken.ordering_key
+            self.lines[taken.ordering_key] = deque()
         self.carry_out(())
 
-    def _too_late(self, waiter: Waiter) -> None:
+    def _too_late(self, waiter: QueuedRequest) -> None:
         """One whose time ran out behind another."""
-        line = self.lines.get(waiter.taken.key or "", deque())
+        line = self.lines.get(waiter.taken.ordering_key or "", deque())
         if waiter in line:
             line.remove(waiter)
-            waiter.settled(Past.LATER, self.memory.settings.cooldown)
+            waiter.settled(LoadOutcome.UNKNOWN_YET, self.memory.settings.retry_after_ms)
 
     def _go_on(self, ref: str) -> None:
         """A retry is no longer asked about: those behind it come next, up to the next such one."""
@@ -199,25 +214,27 @@
                 self.lines[key].extend(line)
                 return
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """Remember it, and say so once the disk has it."""
         now = self.now()
-        run = self.runs.setdefault(taken.ref, Run(self._identity(taken)))
-        if not run.open:
+        run = self.runs.setdefault(taken.request_id, LoadRun(self._identity(taken)))
+        if not run.is_begun:
             # Danger: told to the memory only once durable, another instance that asks meanwhile would hear
             # 'never' of a load that is about to go out. So it counts as sent from here on.
-            if run.load in self.memory.granted and taken.retry:
-                self.memory.sent(now, run.load)
-            elif not self.memory.take(now, run.load):
+            if run.load in self.memory.granted and taken.is_retry:
+                self.memory.on_sent(now, run.load)
+            elif not self.memory.begin(now, run.load):
                 self.counters.add("loads_asked_elsewhere")
                 kept(False)
                 return
-            run.open = True
-        run.out = True
+            run.is_begun = True
+        run.is_attempt_in_flight = True
         record = LoadRecord(
             identity=run.load,
-            request_id=taken.ref,
-            ordering_key=taken.key or "",
+            request_id=taken.request_id,
+            ordering_key=taken.ordering_key or "",
             statement_digest=run.load[:8],
             engine=attempt.engine,
             boot_count=self.ledger.boot_count,
@@ -231,53 +248,55 @@
 
         self.ledger.put([record.to_record()], done)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
-        run = self.runs.get(attempt.query)
+        run = self.runs.get(attempt.request_id)
         if run is None:
             return
-        run.out = False
+        run.is_attempt_in_flight = False
         if outcome not in NEVER_RAN:
-            self._finish(attempt.query, run, How.WELL if outcome is Outcome.OK else How.FAILED)
-        elif run.closed:
-            self._finish(attempt.query, run, How.NEVER)
+            self._finish(
+                attempt.request_id, run, LoadResult.SUCCEEDED if outcome is Outcome.OK else LoadResult.FAILED
+            )
+        elif run.is_closed:
+            self._finish(attempt.request_id, run, LoadResult.NEVER_RAN)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
         self.waiting.pop(ref, None)
-        self.memory.drop(self.now(), ref)
+        self.memory.cancel(self.now(), ref)
         self._go_on(ref)
         run = self.runs.get(ref)
-        if run is not None and run.out:
-            run.closed = True
+        if run is not None and run.is_attempt_in_flight:
+            run.is_closed = True
         elif run is not None:
-            self._finish(ref, run, How.NEVER)
+            self._finish(ref, run, LoadResult.NEVER_RAN)
 
     # --- inside ---
 
-    def _identity(self, taken: Taken) -> bytes:
-        return identity(taken.service, taken.key or "", taken.body)
+    def _identity(self, taken: ClientRequest) -> bytes:
+        return load_identity(taken.class_name, taken.ordering_key or "", taken.body)
 
-    def _finish(self, ref: str, run: Run, how: How) -> None:
+    def _finish(self, ref: str, run: LoadRun, how: LoadResult) -> None:
         del self.runs[ref]
-        if not run.open:
+        if not run.is_begun:
             return
         now = self.now()
-        self.memory.ended(now, run.load, how)
-        record, entry = self.records.get(run.load), self.memory.own.entries.get(run.load)
+        self.memory.on_ended(now, run.load, how)
+        record, entry = self.records.get(run.load), self.memory.local.entries.get(run.load)
         # Danger: two requests may be one load; a good end of the one must not hide that the other still runs.
-        if record is not None and (entry is None or not entry.open):
+        if record is not None and (entry is None or not entry.open_runs):
             self.records[run.load] = ended = replace(record, state=STATES[how], ended_at_ms=now)
             self.ledger.put([ended.to_record()])
 
-    def settled(self, action: Settled) -> None:
+    def on_settled(self, action: LoadSettled) -> None:
         """The memory knows what became of a load that was asked about."""
-        self._tell(action.ref, action.known, action.cooldown)
+        self._tell(action.request_id, action.knowledge, action.retry_after_ms)
 
-    def _tell(self, ref: str, known: Known, cooldown: float) -> None:
+    def _tell(self, ref: str, known: LoadKnowledge, cooldown: float) -> None:
         tell, said = self.waiting.pop(ref, (None, False))
         if tell is None:
-            self.memory.drop(self.now(), ref)
+            self.memory.cancel(self.now(), ref)
             return
         tell(_past(known, said), cooldown)
         self._go_on(ref)
@@ -291,7 +310,7 @@
             self.note("disk", state=health.state.value, why=health.reason)
         return self.state
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Once a second: what can't be asked about any more goes from the disk too."""
         now = self.now()
         if now - self.forgotten_at < FORGET_MS:
@@ -309,7 +328,7 @@
         if found.early_count:
             self.counters.add("loads_forgotten_early", found.early_count)
         # What the memory still holds may yet be asked about, also after a power loss.
-        keys = [key for key in found.keys if found.early_count or key not in self.memory.own.entries]
+        keys = [key for key in found.keys if found.early_count or key not in self.memory.local.entries]
         if keys and self.state is DiskState.HEALTHY:
             gone = {key: self.records.pop(key) for key in keys}
 
@@ -325,7 +344,11 @@
         self.records = {**gone, **self.records}
 
 
-def _past(known: Known, said: bool) -> Past:
+def _past(known: LoadKnowledge, said: bool) -> LoadOutcome:
     """What the gateway is told; said: a good end may be said."""
-    past = {Known.NEVER: Past.NEVER, Known.MAY: Past.MAY, Known.LATER: Past.LATER}.get(known)
-    return past or (Past.WELL if said else Past.MAY)
+    past = {
+        LoadKnowledge.NEVER_SENT: LoadOutcome.NEVER_RAN,
+        LoadKnowledge.MAY_HAVE_RUN: LoadOutcome.MAY_HAVE_RUN,
+        LoadKnowledge.NOT_KNOWN_YET: LoadOutcome.UNKNOWN_YET,
+    }.get(known)
+    return past or (LoadOutcome.COMPLETED if said else LoadOutcome.MAY_HAVE_RUN)
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -23,8 +23,9 @@
     SendMessage,
 )
 from cottonhold.fleet.consensus.register import Registers
-from cottonhold.fleet.coordinator import Fleet
-from cottonhold.fleet.recovery.membership_survey import Census, Verdict
+from cottonhold.fleet.coordinator import FleetCoordinator
+from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
+from cottonhold.fleet.recovery.survey_results import OutageVerdict
 from cottonhold.fleet.rolling_replacement import step_decision as steps_of
 from cottonhold.fleet.rolling_replacement.coordinator import Swap
 from cottonhold.fleet.rolling_replacement.machine_driver import SwapSettings
@@ -49,25 +50,25 @@
     ChangeResult.LOST: False,
     ChangeResult.UNKNOWN: None,
 }
-UNREST = (Verdict.FLEET, Verdict.ZONE, Verdict.CUT_OFF)
+UNREST = (OutageVerdict.FLEET, OutageVerdict.ZONE, OutageVerdict.CUT_OFF)
 
 
-class PinsHere(Protocol):
+class KeyMover(Protocol):
     """The rim of pins, as the swap needs it."""
 
-    def left_here(self) -> int:
+    def remaining_here(self) -> int:
         """What still has to go before this machine may be taken out."""
 
-    def left_there(self) -> dict[str, int | None]:
+    def remaining_elsewhere(self) -> dict[str, int | None]:
         """The same of all others on their way out, as far as it is known here."""
 
-    def move(self, most: int) -> None:
+    def move_keys(self, max_keys: int) -> None:
         """At most so many pins go to others."""
 
-    def outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
+    def on_outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended."""
 
-    def changed(self, name: str, version: int, value: bytes) -> None:
+    def on_register_changed(self, name: str, version: int, value: bytes) -> None:
         """A register has changed."""
 
 
@@ -83,8 +84,8 @@
         installation: Installation,
         ledger: Ledger,
         swim: Swim,
-        fleet: Fleet,
-        census: Census,
+        fleet: FleetCoordinator,
+        census: MembershipSurvey,
         lifecycle: Lifecycle,
         clock: Clock,
         hop: Callable[[Callable[[], None]], object],
@@ -112,12 +113,12 @@
             secrets.randbits(63),
             {key.decode(): value for key, value in kept.items()},
         )
-        bearable = fleet.outlook.bearable if fleet.outlook is not None else None
+        bearable = fleet.failover_cost.removal_objections if fleet.failover_cost is not None else None
         self.swap = Swap(file.name, now, SwapSettings(len(self.voters)), secrets.randbits(63), bearable)
         self.answers: list[dict[str, str]] = []
         self.ready: dict[str, int] = {}
         self.timer: Timer | None = None
-        self.pins: PinsHere | None = None
+        self.pins: KeyMover | None = None
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -197,28 +198,32 @@
     def _tell(self, now: float) -> None:
         """What this instance sees."""
         swap, live = self.swap, set(self.swim.live_members())
-        there = [self._machine(self.name, self.swim.id, self.census.me, self.census.life)]
+        there = [self._machine(self.name, self.swim.id, self.census.number, self.census.incarnation)]
         there[0] = replace(there[0], votes=self.registers.is_voting())
         for member in self.swim.members.values():
             number = self.census.number_of(member.id)
             if member.id in live and number is not None:
-                there.append(self._machine(member.name, member.id, number, self.census.life_of(number)))
+                there.append(
+                    self._machine(member.name, member.id, number, self.census.incarnation_of(number))
+                )
         swap.present(now, [*self.drains.machines(now, swap), *there])
         self.drains.tell(now, swap)
         swap.open_left(now, self.name, self.open_requests())
-        swap.pins_left(now, self.name, self.pins.left_here() if self.pins is not None else 0)
-        for machine, count in (self.pins.left_there() if self.pins is not None else {}).items():
+        swap.pins_left(now, self.name, self.pins.remaining_here() if self.pins is not None else 0)
+        for machine, count in (self.pins.remaining_elsewhere() if self.pins is not None else {}).items():
             swap.pins_left(now, machine, count)
-        for zone, state in self.fleet.zones.states.items():
-            swap.zone(now, zone, "" if state.phase is Phase.IN else f"is {state.phase.value}")
-        loads = self.fleet.loads
-        shed = loads is not None and loads.price is not None and loads.price.step > 0
+        for zone, state in self.fleet.evacuation.states.items():
+            swap.zone(now, zone, "" if state.phase is Phase.IN_SERVICE else f"is {state.phase.value}")
+        loads = self.fleet.demand
+        shed = loads is not None and loads.threshold is not None and loads.threshold.step > 0
         # Danger: told as anything else than "sheds", an engine that drains held up its own swap for good:
         # requests were turned away for want of it.
         swap.fleet(now, "sheds", "the fleet turns requests away" if shed else "")
         verdict = self.census.view.verdict
-        ramping = self.fleet.ramp is not None and self.fleet.ramp.active
-        unrest = verdict in UNREST and (ramping or not self.census.view.settled or verdict is Verdict.CUT_OFF)
+        ramping = self.fleet.slow_start is not None and self.fleet.slow_start.is_active
+        unrest = verdict in UNREST and (
+            ramping or not self.census.view.is_settled or verdict is OutageVerdict.CUT_OFF
+        )
         swap.fleet(now, "recovery", f"the fleet recovers: {verdict.value}" if unrest else "")
 
     def _machine(self, name: str, member: int, number: int, life: int) -> Machine:
@@ -231,7 +236,7 @@
             case ChangeRegister() | ReadRegister():
                 self.ask(action)
             case steps_of.MovePins(machine, _, most) if machine == self.name and self.pins is not None:
-                self.pins.move(most)
+                self.pins.move_keys(most)
             case steps_of.Drain(machine) | steps_of.Undrain(machine) if machine != self.name:
                 self.drains.act(now, self.swap, action)
             case steps_of.Drain(machine):
@@ -269,13 +274,13 @@
                 case RegisterChanged(name, version, value):
                     self.swap.changed(self.clock.now(), name, version, value)
                     if self.pins is not None:
-                        self.pins.changed(name, version, value)
+                        self.pins.on_register_changed(name, version, value)
                 case OperationOutcome(token, how, version, value) if token:
                     # One that was lost without an answer says nothing of what stands.
                     won = ENDS[how] if version >= 0 else None
                     self.swap.outcome(self.clock.now(), token, won, version, value)
                     if self.pins is not None:
-                        self.pins.outcome(token, won, version, value)
+                        self.pins.on_outcome(token, won, version, value)
 
     def _keep(self, name: str, data: bytes, then: int) -> None:
         # Danger: a promise that is told before the disk has it is broken by a power loss, and two decisions
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -17,7 +17,7 @@
 from cottonhold.discovery.model import Address, Change, Names
 from cottonhold.fleet import engine_drain
 from cottonhold.fleet.admission import loads
-from cottonhold.fleet.admission.threshold import Told
+from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.consensus import acceptor, messages
 from cottonhold.fleet.consensus.actions import PersistState
 from cottonhold.fleet.consensus.messages import AcceptedState, Ballot
@@ -50,7 +50,7 @@
 BALLOT = Ballot(7, 0x1122334455667788)
 STATE = AcceptedState(Ballot(6, 0x99), 5, b"a value", (0xAA, 3))
 IDENTITY = bytes(range(16))
-HEAD = forwarding.Head(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
+HEAD = forwarding.RequestHeader(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
 KEYS = KeyRing({3: b"a shared key"}, 3)
 
 
@@ -78,17 +78,21 @@
     failing = zone_messages.ZoneReport(zone_messages.Vote.EVACUATE, 1, 2, 300, 0.25, True, True)
     healthy = zone_messages.ZoneReport(zone_messages.Vote.KEEP, 9, 0, 0, 1.0)
     first = zone_messages.MemberReport(MEMBER, LIFE, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
-    return zone_messages.encode_reports([first, zone_messages.MemberReport(2, 3, 4, 5, 6, {})], 200)
+    return zone_messages.encode_zone_reports([first, zone_messages.MemberReport(2, 3, 4, 5, 6, {})], 200)
 
 
 def orders() -> bytes:
     """Operators' orders on zones."""
-    return operator_overrides.pack_orders(
+    return operator_overrides.encode_overrides(
         1000.0,
         [
-            operator_overrides.Order(9, operator_overrides.Mode.LEAVE, 3, MEMBER, 61_000.5, "ana", "fire"),
-            operator_overrides.Order(4, operator_overrides.Mode.RETURN, 2, 7, 0.0, "\u0101" * 40, "w" * 90),
-            operator_overrides.Order(5, operator_overrides.Mode.FREE, 1, 7, 2000.0, "", ""),
+            operator_overrides.Override(
+                9, operator_overrides.OverrideMode.EVACUATE, 3, MEMBER, 61_000.5, "ana", "fire"
+            ),
+            operator_overrides.Override(
+                4, operator_overrides.OverrideMode.RETURN, 2, 7, 0.0, "\u0101" * 40, "w" * 90
+            ),
+            operator_overrides.Override(5, operator_overrides.OverrideMode.CLEAR, 1, 7, 2000.0, "", ""),
         ],
         200,
     )
@@ -96,46 +100,50 @@
 
 def price_loads() -> bytes:
     """Two instances' loads."""
-    busy = Told({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
-    return loads.pack_loads([loads.Load(MEMBER, LIFE, VERSION, busy), loads.Load(2, 3, 4, Told({}))])
+    busy = ReportedLoad({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
+    return loads.encode_demand_reports(
+        [loads.DemandReport(MEMBER, LIFE, VERSION, busy), loads.DemandReport(2, 3, 4, ReportedLoad({}))]
+    )
 
 
 def here() -> bytes:
     """One instance's word of recovery on itself."""
     pairs = (
-        recovery_messages.Pair(1, 5, 0x77, 123_456.7, 999.0, True, False),
-        recovery_messages.Pair(2, 0),
-        recovery_messages.Pair(3, 6, 1, 2.0, 0.0, False, True),
+        recovery_messages.PeerState(1, 5, 0x77, 123_456.7, 999.0, True, False),
+        recovery_messages.PeerState(2, 0),
+        recovery_messages.PeerState(3, 6, 1, 2.0, 0.0, False, True),
     )
-    memory = recovery_messages.MemoryState.OLD
-    return recovery_messages.pack(
-        recovery_messages.Here(9, 12, 11 << 32 | 5, LIFE, 4321.9, memory, True, pairs)
+    memory = recovery_messages.MemoryState.STALE
+    return recovery_messages.encode(
+        recovery_messages.Presence(9, 12, 11 << 32 | 5, LIFE, 4321.9, memory, True, pairs)
     )
 
 
 def warmups() -> bytes:
     """What two instances saw of cold engines."""
     rows = {
-        warmup_messages.engine_number("e1"): warmup_messages.Row(1.5, 0.25, 0.5, 1250.0),
-        warmup_messages.engine_number("e2"): warmup_messages.Row(0.0, 0.0, 1.0, 0.0),
+        warmup_messages.engine_number("e1"): warmup_messages.EngineObservation(1.5, 0.25, 0.5, 1250.0),
+        warmup_messages.engine_number("e2"): warmup_messages.EngineObservation(0.0, 0.0, 1.0, 0.0),
     }
-    word = warmup_messages.RampWord(MEMBER, LIFE, VERSION, rows)
-    return warmup_messages.pack_words([word, warmup_messages.RampWord(2, 3, 4, {})])
+    word = warmup_messages.WarmupReport(MEMBER, LIFE, VERSION, rows)
+    return warmup_messages.encode_warmup_reports([word, warmup_messages.WarmupReport(2, 3, 4, {})])
 
 
-def site() -> site_messages.Site:
+def site() -> site_messages.SiteReport:
     """A site with everything in it."""
     zones = {
-        9: site_messages.Seen(0.4, 0.75, site_messages.bits_of(5) | site_messages.bits_of(77)),
-        4: site_messages.Seen(31.0, 0.25, 0),
+        9: site_messages.ZoneObservation(
+            0.4, 0.75, site_messages.filter_bits(5) | site_messages.filter_bits(77)
+        ),
+        4: site_messages.ZoneObservation(31.0, 0.25, 0),
     }
-    sets = {site_messages.set_number("7"): 0.6, site_messages.set_number("8"): 0.3999}
-    return site_messages.Site(MEMBER, LIFE, VERSION, 9, 187.5, {40: 3.25, 41: 0.5}, sets, zones, 1.75)
+    sets = {site_messages.data_set_number("7"): 0.6, site_messages.data_set_number("8"): 0.3999}
+    return site_messages.SiteReport(MEMBER, LIFE, VERSION, 9, 187.5, {40: 3.25, 41: 0.5}, sets, zones, 1.75)
 
 
 def sites() -> bytes:
     """Two sites, one of which knows nothing."""
-    return site_messages.pack_sites([site(), site_messages.Site(2, 3, 4, 5)])
+    return site_messages.encode_site_reports([site(), site_messages.SiteReport(2, 3, 4, 5)])
 
 
 def register_message(kind: int, epochs: tuple[int, ...] = ()) -> bytes:
@@ -160,8 +168,8 @@
 def handed_request(named: bool) -> bytes:
     """A request as it is handed on."""
     names = ("acme", "key-1") if named else ("", "")
-    return request_codec.pack_request(
-        request_codec.Handed("r1", "load", "k1", 250.5, 64.0, -1, True, b"INSERT 1", 77, *names)
+    return request_codec.encode_request(
+        request_codec.ForwardedRequest("r1", "load", "k1", 250.5, 64.0, -1, True, b"INSERT 1", 77, *names)
     )
 
 
@@ -257,7 +265,7 @@
     names = Names(("a", "b"), ("std", "big"))
     info = Engine("e1", zone=1, machine_type=1, cell=3, size=2.5)
     change = Change((info,), {"e1": Address("10.1.2.3", 4500)}, True)
-    taken = cached_engines.Remembered({}, names).take(change)
+    taken = cached_engines.EngineCache({}, names).apply(change)
     return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
 
 
@@ -272,8 +280,8 @@
     return bytes(int(kind) for kind in records.RecordKind) + bytes(int(state) for state in records.LoadState)
 
 
-PARTS = forwarding.Part(HEAD, 1, 200, bytes(200 - forwarding.PART_ROOM))
-ANSWERED = forwarding.Answer(9, 7, forwarding.End.FAILED, 12.5, 5, 0, b"12345")
+PARTS = forwarding.RequestFragment(HEAD, 1, 200, bytes(200 - forwarding.REQUEST_FRAGMENT_BYTES))
+ANSWERED = forwarding.AnswerFragment(9, 7, forwarding.ForwardResult.FAILED, 12.5, 5, 0, b"12345")
 CASES: dict[str, Callable[[], bytes]] = {
     "membership ping with updates": lambda: datagram(MessageKind.PING, 7, updates()),
     "membership ping under a key": lambda: datagram(MessageKind.PING, 7, b"", KEYS),
@@ -285,18 +293,22 @@
     "probe report unknown": lambda: membership_adapter.pack_report({}).to_bytes(4, "big"),
     "zone number": lambda: zone_messages.zone_number("a").to_bytes(2, "big"),
     "zone words": zone_words,
-    "zone loan ask": lambda: quota_lending.pack_loan(quota_lending.Ask(9, 77, 1234)),
-    "zone loan grant": lambda: quota_lending.pack_loan(quota_lending.Grant(9, 77, 1234)),
+    "zone loan ask": lambda: quota_lending.encode_quota_message(quota_lending.QuotaRequest(9, 77, 1234)),
+    "zone loan grant": lambda: quota_lending.encode_quota_message(quota_lending.QuotaGrant(9, 77, 1234)),
     "zone orders": orders,
     "price loads": price_loads,
     "recovery here": here,
-    "recovery ask": lambda: recovery_messages.pack(recovery_messages.Ask(3, 4, (IDENTITY, bytes(16)))),
-    "recovery answer": lambda: recovery_messages.pack(
-        recovery_messages.Answer(
-            3, 4, tuple(recovery_messages.Verdict(i, s) for i, s in enumerate(recovery_messages.Said))
+    "recovery ask": lambda: recovery_messages.encode(
+        recovery_messages.LoadQuery(3, 4, (IDENTITY, bytes(16)))
+    ),
+    "recovery answer": lambda: recovery_messages.encode(
+        recovery_messages.LoadAnswer(
+            3,
+            4,
+            tuple(recovery_messages.LoadVerdict(i, s) for i, s in enumerate(recovery_messages.LoadStatement)),
         )
     ),
-    "recovery open": lambda: recovery_messages.pack(recovery_messages.Open((IDENTITY,))),
+    "recovery open": lambda: recovery_messages.encode(recovery_messages.OpenLoads((IDENTITY,))),
     "warm-up words": warmups,
     "sites": sites,
     "register prepare": lambda: register_message(messages.PREPARE),
@@ -341,20 +353,22 @@
     "pins refuse": lambda: affinity_messages.encode_notice(affinity_messages.REFUSE, False, MEMBER, 7),
     "pins done answer": lambda: affinity_messages.encode_notice(affinity_messages.ANNOUNCED, True, MEMBER, 7),
     "pins table": affinity_table,
-    "forwarding probe": lambda: forwarding.pack(forwarding.Probe(7)),
-    "forwarding life": lambda: forwarding.pack(forwarding.Lives(7, 8, 9)),
-    "forwarding part": lambda: forwarding.pack(PARTS),
-    "forwarding withdraw": lambda: forwarding.pack(forwarding.Withdraw(HEAD, True)),
-    "forwarding ack": lambda: forwarding.pack(forwarding.Ack(9, 7, 5, forwarding.State.GONE, 0x105)),
-    "forwarding answer": lambda: forwarding.pack(ANSWERED),
-    "forwarding got": lambda: forwarding.pack(forwarding.Got(9, True, 0x3)),
-    "forwarding number": lambda: forwarding.number_of(LIFE, 9).to_bytes(8, "big"),
-    "forwarding ends": lambda: bytes(int(end) for end in forwarding.End),
-    "forwarding states": lambda: bytes(int(state) for state in forwarding.State),
+    "forwarding probe": lambda: forwarding.encode(forwarding.IncarnationQuery(7)),
+    "forwarding life": lambda: forwarding.encode(forwarding.IncarnationReply(7, 8, 9)),
+    "forwarding part": lambda: forwarding.encode(PARTS),
+    "forwarding withdraw": lambda: forwarding.encode(forwarding.WithdrawRequest(HEAD, True)),
+    "forwarding ack": lambda: forwarding.encode(
+        forwarding.RequestAck(9, 7, 5, forwarding.RequestState.CANCELLED, 0x105)
+    ),
+    "forwarding answer": lambda: forwarding.encode(ANSWERED),
+    "forwarding got": lambda: forwarding.encode(forwarding.AnswerAck(9, True, 0x3)),
+    "forwarding number": lambda: forwarding.request_number(LIFE, 9).to_bytes(8, "big"),
+    "forwarding ends": lambda: bytes(int(end) for end in forwarding.ForwardResult),
+    "forwarding states": lambda: bytes(int(state) for state in forwarding.RequestState),
     "forwarded request": lambda: handed_request(False),
     "forwarded request with names": lambda: handed_request(True),
-    "forwarded rows": lambda: request_codec.pack_rows([[b"a", b"", b"c" * 300], []]),
-    "pin of a key": lambda: request_codec.pin_key("k1"),
+    "forwarded rows": lambda: request_codec.encode_rows([[b"a", b"", b"c" * 300], []]),
+    "pin of a key": lambda: request_codec.affinity_key("k1"),
     "replacement register": plan_register,
     "replacement machine register": machine_register,
     "replacement register name": lambda: plan.register("a machine with a long name").encode(),
@@ -375,8 +389,8 @@
     "ledger drained engine": drain_records,
     "boot file": lambda: boot_file.BootFile(9, 3, 77).encode(),
     "boot file of an open life": lambda: boot_file.BootFile(9, 3, -1).encode(),
-    "seat record": lambda: sibling_processes.Record(5, 6, 7, True).pack(),
-    "connection ids": lambda: sibling_processes.Ids.of_seat(5, 2).base.to_bytes(4, "big"),
+    "seat record": lambda: sibling_processes.ProcessRecord(5, 6, 7, True).encode(),
+    "connection ids": lambda: sibling_processes.ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
 }
 
 
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -22,13 +22,14 @@
 from cottonhold.config import relay, schema
 from cottonhold.discovery.consul.checks import Entry
 from cottonhold.emulator.fault_injection import script
-from cottonhold.fleet.recovery.survey_results import Verdict
-from cottonhold.fleet.request_forwarding.messages import End
+from cottonhold.fleet.recovery.survey_results import OutageVerdict
+from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
+from cottonhold.fleet.request_forwarding.messages import ForwardResult
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
 from cottonhold.membership.codec import MemberStatus
-from cottonhold.node.gateway import Past
+from cottonhold.node.gateway import LoadOutcome
 from cottonhold.node.lifecycle import Phase
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
@@ -93,15 +94,15 @@
     """Words that counters' names, metrics' labels, the socket and the log are made of."""
     enums: dict[str, list[str]] = {
         "attempts, probes": [o.value for o in Outcome],
-        "loads": [p.value for p in Past],
+        "loads": [p.value for p in LoadOutcome],
         "disk": [s.value for s in DiskState],
-        "census": [v.value for v in Verdict],
+        "census": [v.value for v in OutageVerdict],
         "members": [s.name.lower() for s in MemberStatus],
         "zones": [p.value for p in ZonePhase],
         "engines": [s.value for s in EngineState],
         "swap": [s.name.lower() for s in Step],
         "life cycle": [p.value for p in Phase],
-        "handed on": [end.name.lower() for end in End],
+        "handed on": [RESULT_NAMES[result] for result in ForwardResult],
         "duties": [membership_adapter.PROBE, membership_adapter.REPORT, membership_adapter.FLEET],
     }
     return {name: sorted(words) for name, words in enums.items()}
@@ -118,7 +119,7 @@
         4,
         tally([state.value for state in EngineState], ["live"]),
         tally(names_of(MemberStatus), ["alive"]),
-        tally(names_of(Verdict), [next(iter(Verdict)).value]),
+        tally(names_of(OutageVerdict), [next(iter(OutageVerdict)).value]),
         tally(names_of(Step), ["out"]),
     )
     return Metrics(lambda: readings).text()
@@ -256,7 +257,7 @@
     source = {"listen": None, "bus": "127.0.0.1:2", "known": {"offset": 0, "batch": []}, "settings": PARAMS}
     environment = {"RELAY_LISTEN": "127.0.0.1:9", "RELAY_NAME": "n9", "RELAY_OPS": "127.0.0.1:8"}
     read = relay.decode(source, environment, Counters())
-    assert (read.name, str(read.listen), str(read.ops)) == ("n9", "127.0.0.1:9", "127.0.0.1:8")
+    assert (read.name, str(read.listen), str(read.admin_listen)) == ("n9", "127.0.0.1:9", "127.0.0.1:8")
     with pytest.raises(relay.ConfigError, match="RELAY_CONFIG"):
         relay.load({}, Counters())
 
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -15,8 +15,8 @@
 from cottonhold.node.status import ask
 from tests.fleet.test_recovery_processes import ALL, DAY, more, recovery
 
-# Several processes at once: beside another such test they slow one another, which looks like a fault.
-pytestmark = pytest.mark.xdist_group("processes")
+# Tests that start several processes slow one another, which looks like a fault: few run side by side.
+pytestmark = pytest.mark.xdist_group("replacement processes")
 
 Story = Callable[[Trial], Coroutine[Any, Any, None]]
 
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -9,10 +9,10 @@
 import pytest
 
 from cottonhold.backend.connection_pool import Attempt
-from cottonhold.fleet.recovery.load_history import Around, Memory, MemorySettings, Settled
+from cottonhold.fleet.recovery.load_history import FleetState, LoadHistory, LoadHistorySettings, LoadSettled
 from cottonhold.fleet.recovery.messages import MemoryState
-from cottonhold.fleet_adapters.load_records import Loads
-from cottonhold.node.gateway import Past, Taken
+from cottonhold.fleet_adapters.load_records import LoadRecorder
+from cottonhold.node.gateway import ClientRequest, LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.store.health import DiskHealth, DiskState
@@ -55,9 +55,9 @@
 
     def __init__(self) -> None:
         self.clock, self.ledger, self.heard = FakeClock(), FakeLedger(), list[tuple[str, str]]()
-        self.memory = Memory(0, 3, 3, self.clock.now(), (), MemorySettings(20_000.0), 1)
+        self.memory = LoadHistory(0, 3, 3, self.clock.now(), (), LoadHistorySettings(20_000.0), 1)
         self.may_send, self.start = True, self.clock.now()
-        self.loads = Loads(
+        self.loads = LoadRecorder(
             self.memory,
             cast(Ledger, self.ledger),
             {},
@@ -73,20 +73,20 @@
             lambda event, **fields: None,
         )
 
-    def taken(self, ref: str, key: str, retry: bool) -> Taken:
+    def taken(self, ref: str, key: str, retry: bool) -> ClientRequest:
         body = f"INSERT {ref[:1]}".encode()
-        return Taken(ref, 1, "load", self.clock.now(), 8000.0, 0.0, 0.0, -1, key, retry, body)
+        return ClientRequest(ref, 1, "load", self.clock.now(), 8000.0, 0.0, 0.0, -1, key, retry, body)
 
     def come(self, ref: str, key: str = "k", retry: bool = False, wait: float = 5000.0) -> None:
-        def settled(past: Past, ms: float) -> None:
+        def settled(past: LoadOutcome, ms: float) -> None:
             self.heard.append((ref, past.value))
 
-        self.loads.came(self.taken(ref, key, retry), self.clock.now() + wait, settled)
+        self.loads.on_load_arrived(self.taken(ref, key, retry), self.clock.now() + wait, settled)
 
     def send(self, ref: str) -> tuple[Attempt, list[bool]]:
         taken, told = self.taken(ref, "k", False), list[bool]()
         attempt = Attempt(ref, 0, "e", "load", taken.body, 1, self.clock.now(), self.clock.now() + 5000)
-        self.loads.sending(attempt, taken, told.append)
+        self.loads.before_attempt_sent(attempt, taken, told.append)
         return attempt, told
 
 
@@ -99,7 +99,7 @@
     assert world.heard == [("d1", "never")]
     world.clock.run_until(world.clock.now() + 1500.0, lambda: None)
     assert world.heard[1:] == [("c1", "later")]  # its own time ran out first
-    world.loads.closed("a1")  # its client left: it is no longer asked about
+    world.loads.on_request_closed("a1")  # its client left: it is no longer asked about
     assert world.heard[2:] == [("b1", "never")]
 
 
@@ -121,8 +121,8 @@
     assert told == [] and world.ledger.states() == [LoadState.SENT]
     world.ledger.durable()
     assert told == [True]
-    world.loads.ended(attempt, outcome)
-    world.loads.closed("a1")
+    world.loads.on_attempt_ended(attempt, outcome)
+    world.loads.on_request_closed("a1")
     assert world.ledger.states() == [LoadState.SENT, left] and not world.loads.runs
 
 
@@ -130,9 +130,9 @@
     world = World()
     first, _ = world.send("a1")
     second, _ = world.send("a2")
-    world.loads.ended(first, Outcome.OK)
+    world.loads.on_attempt_ended(first, Outcome.OK)
     assert world.ledger.states() == [LoadState.SENT, LoadState.SENT]
-    world.loads.ended(second, Outcome.RESET)
+    world.loads.on_attempt_ended(second, Outcome.RESET)
     assert world.ledger.states()[-1] is LoadState.FAILED
 
 
@@ -159,29 +159,29 @@
         world.clock.run_until(world.start + at, lambda: None)
         world.come(ref, retry=True, wait=500.0)
         world.clock.run_until(world.start + at + 500.0, lambda: None)
-        world.memory.step(world.clock.now(), world.memory.around)
+        world.memory.step(world.clock.now(), world.memory.fleet)
         for action in world.memory.actions:
-            if isinstance(action, Settled):
-                world.loads.settled(action)
+            if isinstance(action, LoadSettled):
+                world.loads.on_settled(action)
     assert world.heard == [("a1", "later"), ("a2", "later"), ("a3", "may")]
 
 
 def test_what_the_memory_still_holds_stays_on_the_disk() -> None:
     """Its own hold is over, but one that isn't gone can't be heard."""
-    world, apart = World(), Around(True, True, MemoryState.KEPT, {}, apart=True)
+    world, apart = World(), FleetState(True, True, MemoryState.INTACT, {}, is_partitioned=True)
     attempt, _ = world.send("a1")
     world.ledger.durable()
-    world.loads.ended(attempt, Outcome.RESET)
-    world.loads.closed("a1")
+    world.loads.on_attempt_ended(attempt, Outcome.RESET)
+    world.loads.on_request_closed("a1")
     for ms, around, left in (
         (30_000.0, apart, 1),
         (60_000.0, apart, 1),
-        (75_000.0, replace(apart, apart=False), 1),
-        (90_000.0, replace(apart, apart=False), 0),
+        (75_000.0, replace(apart, is_partitioned=False), 1),
+        (90_000.0, replace(apart, is_partitioned=False), 0),
     ):
         world.clock.run_until(world.start + ms, lambda: None)
         world.memory.step(world.clock.now(), around)
-        world.loads.forget()
+        world.loads.expire()
         assert len(world.loads.records) == left, ms
 
 
@@ -189,13 +189,13 @@
     world = World()
     attempt, _ = world.send("a1")
     world.ledger.durable()
-    world.loads.ended(attempt, Outcome.RESET)
-    world.loads.closed("a1")
+    world.loads.on_attempt_ended(attempt, Outcome.RESET)
+    world.loads.on_request_closed("a1")
     left = []
     for ms, durable in ((30_000.0, False), (35_000.0, True), (40_000.0, True)):
         world.clock.run_until(world.start + ms, lambda: None)
-        world.memory.step(world.clock.now(), world.memory.around)
-        world.loads.forget()
+        world.memory.step(world.clock.now(), world.memory.fleet)
+        world.loads.expire()
         left.append(len(world.loads.records))
         world.ledger.durable(durable)
     deletions = [r for records, _ in world.ledger.put_of for r in records if r.value is None]
@@ -206,11 +206,11 @@
     world = World()
     attempt, _ = world.send("a1")
     world.ledger.durable()
-    world.loads.ended(attempt, Outcome.RESET)
-    world.loads.closed("a1")
+    world.loads.on_attempt_ended(attempt, Outcome.RESET)
+    world.loads.on_request_closed("a1")
     world.clock.run_until(world.start + 30_000.0, lambda: None)
-    world.memory.step(world.clock.now(), world.memory.around)
-    world.loads.forget()
+    world.memory.step(world.clock.now(), world.memory.fleet)
+    world.loads.expire()
     world.send("a2")
     world.ledger.durable(False)
     (record,) = world.loads.records.values()
