--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -38,6 +38,7 @@
 from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
 from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
+from cottonhold.membership.codec import MemberStatus
 from cottonhold.node import consul_client, status
 from cottonhold.node.dispatcher import Dispatcher, run_program
 from cottonhold.node.http_client import Tls
