--- a/benchmarks/consul/run.py
+++ b/benchmarks/consul/run.py
@@ -28,8 +28,8 @@
 
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.checks import Entry, Reading
-from cottonhold.discovery.engine_catalog import Belief
-from cottonhold.discovery.model import Guard, Names, Report
+from cottonhold.discovery.engine_catalog import EngineCatalog
+from cottonhold.discovery.model import ConfiguredNames, SourceGuard, SourceReport
 from cottonhold.emulator.consul.catalog import Catalog
 from cottonhold.emulator.consul.script import Step
 from cottonhold.emulator.consul.server import Server
@@ -197,12 +197,12 @@
         made = catalog.put_service("agent-1", body)
         catalog.put_check("agent-1", {"CheckID": f"check:e{i}", "Status": "passing"}, made)
     rows = catalog.health("engine")
-    names = Names((), ("std",))
+    names = ConfiguredNames((), ("std",))
     answers = Answers(names, Reading(), print)
-    belief = Belief((("dc1", Guard(quiet=0.0)),), 1)
+    belief = EngineCatalog((("dc1", SourceGuard(min_quiet_ms=0.0)),), 1)
     tracemalloc.start()
     first = answers.read(json.dumps(rows).encode())
-    belief.step(0.0, [Report("dc1", 1, first.observations, first.absent)])
+    belief.step(0.0, [SourceReport("dc1", 1, first.observations, first.absent)])
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     plain: msgspec.json.Decoder[list[Entry]] = msgspec.json.Decoder(list[Entry])
@@ -213,7 +213,7 @@
         t0 = time.perf_counter()
         got = answers.read(data)
         t1 = time.perf_counter()
-        belief.step(number * 1000.0, [Report("dc1", number + 2, got.observations, got.absent)])
+        belief.step(number * 1000.0, [SourceReport("dc1", number + 2, got.observations, got.absent)])
         t2 = time.perf_counter()
         plain.decode(data)
         t3 = time.perf_counter()
--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -11,7 +11,7 @@
 from cottonhold.backend.resp import RespError, RespReader, Rows, encode, read_count, read_fields, read_rows
 from cottonhold.config.relay import ConnectionSettings
 from cottonhold.config.settings import REPORT
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AttemptEnded, Engine, EngineState, Outcome
@@ -265,7 +265,7 @@
 
     # --- the list ---
 
-    def apply(self, change: Change) -> None:
+    def apply(self, change: EngineListChange) -> None:
         """Take in a change of the list; what waits for an engine that left is told so at once."""
         named = {info.id for info in change.engines}
         for info in change.engines:
@@ -279,7 +279,7 @@
                 self._restarted(place, info.started_at)
             place.engine, place.address = info, address
             self._left(place)
-        if change.whole:
+        if change.is_complete:
             for name in [name for name in self.endpoints if name not in named]:
                 place = self.endpoints[name]
                 place.engine = Engine(name, state=EngineState.REMOVED)
--- a/cottonhold/config/installation.py
+++ b/cottonhold/config/installation.py
@@ -15,11 +15,18 @@
 from cottonhold.config.problems import Problem, path_text
 from cottonhold.config.relay import Config, ConnectionSettings
 from cottonhold.config.template import evaluate
-from cottonhold.discovery.bus import SOURCE
 from cottonhold.discovery.consul.checks import Reading
 from cottonhold.discovery.consul.registration import RegistrationSettings
 from cottonhold.discovery.consul.watch import WatchSettings
-from cottonhold.discovery.model import Address, Guard, Names, Observation, Report, Verdict
+from cottonhold.discovery.event_stream import SOURCE
+from cottonhold.discovery.model import (
+    Address,
+    ConfiguredNames,
+    Observation,
+    ServiceStatus,
+    SourceGuard,
+    SourceReport,
+)
 from cottonhold.membership.codec import KeyRing
 from cottonhold.scheduler.settings import (
     DeduplicationScope,
@@ -48,7 +55,7 @@
 
     settings: WatchSettings
     reading: Reading
-    guard: Guard
+    guard: SourceGuard
     tls: schema.Tls | None
 
 
@@ -60,7 +67,7 @@
 
     file: schema.File
     config: Config
-    sources: tuple[tuple[str, Guard], ...]
+    sources: tuple[tuple[str, SourceGuard], ...]
     watched: tuple[Watched, ...]
     known: tuple[Observation, ...]
     registration: RegistrationSettings | None
@@ -102,9 +109,9 @@
 
 
 def _build(file: schema.File, folder: Path, report: contradictions.Report) -> Installation:
-    names = Names(file.zones, tuple(m.name for m in file.machine_types))
+    names = ConfiguredNames(file.zones, tuple(m.name for m in file.machine_types))
     watched: list[Watched] = []
-    sources: list[tuple[str, Guard]] = []
+    sources: list[tuple[str, SourceGuard]] = []
     bus: Address | None = None
     for i, source in enumerate(file.sources):
         if isinstance(source, schema.ConsulSource):
@@ -112,9 +119,9 @@
             sources.append((source.name, watched[-1].guard))
         else:
             bus = _address(source.address)
-            sources.append((SOURCE, Guard(trusted=True)))
+            sources.append((SOURCE, SourceGuard(is_trusted=True)))
     if not sources:
-        sources.append(("known", Guard(trusted=True)))
+        sources.append(("known", SourceGuard(is_trusted=True)))
     seed = secrets.randbits(64) if file.seed is None else file.seed
     peers = file.peers
     config = Config(
@@ -178,16 +185,16 @@
             most_bytes=source.most_bytes,
         ),
         reading=Reading(
-            warning=Verdict(source.warning),
-            unchecked=Verdict(source.unchecked),
+            warning=ServiceStatus(source.warning),
+            unchecked=ServiceStatus(source.unchecked),
             by_node=source.id_from == "node/service",
             zone=source.zone,
         ),
-        guard=Guard(
-            floor=guard.floor,
-            quiet=guard.quiet_ms,
-            quiet_most=guard.quiet_most_ms,
-            flap_half=guard.flap_half_ms,
+        guard=SourceGuard(
+            min_in_service=guard.floor,
+            min_quiet_ms=guard.quiet_ms,
+            max_quiet_ms=guard.quiet_most_ms,
+            flap_half_life_ms=guard.flap_half_ms,
             jitter=guard.jitter,
         ),
         tls=_tls(source.tls, folder, path, report),
@@ -229,14 +236,14 @@
     return Address(host.strip("[]"), int(port))
 
 
-def _known(known: schema.Known, names: Names) -> Observation:
+def _known(known: schema.Known, names: ConfiguredNames) -> Observation:
     return Observation(
         known.id,
-        Verdict.IN,
+        ServiceStatus.IN_SERVICE,
         "known from the configuration",
         _address(known.address),
-        zone=names.zone(known.zone),
-        model=names.model(known.machine_type),
+        zone=names.zone_index(known.zone),
+        machine_type=names.machine_type_index(known.machine_type),
         size=known.size,
     )
 
@@ -333,6 +340,6 @@
     )
 
 
-def known_report(installation: Installation) -> Report:
+def known_report(installation: Installation) -> SourceReport:
     """The known engines as the one answer of an installation without sources."""
-    return Report(installation.sources[0][0], 0, installation.known, whole=True)
+    return SourceReport(installation.sources[0][0], 0, installation.known, is_complete=True)
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -12,8 +12,8 @@
 import orjson
 
 from cottonhold.config.settings import read_settings
-from cottonhold.discovery.bus import read_batch
-from cottonhold.discovery.model import Address, Names, Report
+from cottonhold.discovery.event_stream import decode_events
+from cottonhold.discovery.model import Address, ConfiguredNames, SourceReport
 from cottonhold.message_validation import NUMBER, Json, WireError, read, read_list
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import Settings
@@ -63,8 +63,8 @@
     peers_all: Address | None
     event_stream: Address | None
     event_offset: int
-    initial_reports: tuple[Report, ...]
-    names: Names
+    initial_reports: tuple[SourceReport, ...]
+    names: ConfiguredNames
     settings: Settings
     connections: ConnectionSettings
 
@@ -138,7 +138,7 @@
         "settings.siblings": (old.settings.gateway_count, new.settings.gateway_count),
         "settings.zone": (old.settings.zone, new.settings.zone),
         "settings.zones": (old.names.zones, new.names.zones),
-        "settings.models": (old.names.models, new.names.models),
+        "settings.models": (old.names.machine_types, new.names.machine_types),
         "settings.domain.size_cores, ram_of_kind_mb": (
             old.settings.machine_types,
             new.settings.machine_types,
@@ -171,8 +171,8 @@
     connect_ms = read(caps, "connect_timeout", NUMBER, 250.0)
     settings = replace(read_settings(params), max_connect_ms=connect_ms)
     check_numbers(settings, "settings")
-    names = Names(tuple(read_list(params, "zones", str)), tuple(read_list(params, "models", str)))
-    offset, known = read_batch(read(source, "known", dict), names, counters)
+    names = ConfiguredNames(tuple(read_list(params, "zones", str)), tuple(read_list(params, "models", str)))
+    offset, known = decode_events(read(source, "known", dict), names, counters)
     return Config(
         name=read(source, "name", str, environ.get("RELAY_NAME", "")),
         listen=listen,
--- a/cottonhold/discovery/consul/answers.py
+++ b/cottonhold/discovery/consul/answers.py
@@ -8,13 +8,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 import xxhash
 
 from cottonhold.discovery.consul.checks import Entry, Reading, engine_id, observe
-from cottonhold.discovery.model import Names, Observation
+from cottonhold.discovery.model import ConfiguredNames, Observation
 from cottonhold.message_validation import WireError
 
 Malformed = Callable[[str], None]
@@ -46,7 +45,7 @@
 class Answers:
     """Compares each answer with the one before."""
 
-    def __init__(self, names: Names, reading: Reading, malformed: Malformed) -> None:
+    def __init__(self, names: ConfiguredNames, reading: Reading, malformed: Malformed) -> None:
         self.names, self.reading, self.malformed = names, reading, malformed
         self.digests: dict[bytes, str] = {}  # of the last answer's entries, and whose they are
         self.last = b""  # the digest of the last answer that was read without fault
@@ -70,8 +69,8 @@
         unreadable = 0
         for raw in self._cut(body):
             digest = xxhash.xxh3_128_digest(raw)
-            id = self.digests.get(digest)
-            if id is None:
+            engine_id = self.digests.get(digest)
+            if engine_id is None:
                 try:
                     observation = observe(_ENTRY.decode(raw), self.names, self.reading)
                 except (msgspec.MsgspecError, WireError, UnicodeDecodeError) as error:
@@ -80,15 +79,19 @@
                     continue
                 self.decoded += 1
                 observations.append(observation)
-                id = observation.id
-            digests[digest] = id
+                engine_id = observation.id
+            digests[digest] = engine_id
         absent: tuple[str, ...] = ()
         if len(digests) != len(self.digests) or observations or unreadable:
             listed = set(digests.values())
-            gone = tuple(id for id in self.digests.values() if id not in listed)
+            gone = tuple(engine_id for engine_id in self.digests.values() if engine_id not in listed)
             if unreadable and gone:
                 # Danger: whose entry it is that can't be read isn't known; its engine isn't absent.
-                digests.update((digest, id) for digest, id in self.digests.items() if id not in listed)
+                digests.update(
+                    (digest, engine_id)
+                    for digest, engine_id in self.digests.items()
+                    if engine_id not in listed
+                )
             else:
                 absent = gone
         self.digests, self.last = digests, last if not unreadable else b""
@@ -120,10 +123,10 @@
 
 def _newest(observations: list[Observation]) -> list[Observation]:
     """One observation an id: while an engine moves, both nodes may list it, and the later registration
-    counts.
-    """
-    by_id: dict[str, Any] = {}
-    for o in observations:
-        if o.id not in by_id or o.registered >= by_id[o.id].registered:
-            by_id[o.id] = o
+    counts."""
+    by_id: dict[str, Observation] = {}
+    for observation in observations:
+        other = by_id.get(observation.id)
+        if other is None or observation.registration_index >= other.registration_index:
+            by_id[observation.id] = observation
     return list(by_id.values())
--- a/cottonhold/discovery/consul/checks.py
+++ b/cottonhold/discovery/consul/checks.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from cottonhold.discovery.model import Address, Names, Observation, Verdict
+from cottonhold.discovery.model import Address, ConfiguredNames, Observation, ServiceStatus
 from cottonhold.message_validation import WireError
 
 NODE_MAINTENANCE = "_node_maintenance"
@@ -89,21 +89,21 @@
     name.
     """
 
-    warning: Verdict = Verdict.IN
-    unchecked: Verdict = Verdict.IN
+    warning: ServiceStatus = ServiceStatus.IN_SERVICE
+    unchecked: ServiceStatus = ServiceStatus.IN_SERVICE
     by_node: bool = False
     zone: str = ""
 
 
-def judge(service: Service, checks: Sequence[Check], reading: Reading) -> tuple[Verdict, str]:
+def judge(service: Service, checks: Sequence[Check], reading: Reading) -> tuple[ServiceStatus, str]:
     """The table above: a verdict and the words for it."""
     critical = warning = ""
     own = False
     for check in checks:
         if check.check_id == NODE_MAINTENANCE:
-            return Verdict.DRAINED, f"node maintenance: {_words(check)}"
+            return ServiceStatus.DRAINED, f"node maintenance: {_words(check)}"
         if check.check_id.startswith(SERVICE_MAINTENANCE):
-            return Verdict.DRAINED, f"service maintenance: {_words(check)}"
+            return ServiceStatus.DRAINED, f"service maintenance: {_words(check)}"
         own = own or check.service_id == service.id
         if check.status == "passing":
             continue
@@ -116,12 +116,12 @@
             status = check.status if known else f"{check.status[:20]!r}, which isn't known"
             critical = critical or f"check {check.check_id} is {status}: {_words(check)}"
     if critical:
-        return Verdict.TROUBLED, critical
+        return ServiceStatus.UNHEALTHY, critical
     if warning:
         return reading.warning, warning
     if not own:
         return reading.unchecked, "no check of its own"
-    return Verdict.IN, "passing"
+    return ServiceStatus.IN_SERVICE, "passing"
 
 
 def _words(check: Check) -> str:
@@ -134,7 +134,7 @@
     return f"{node}/{service}" if reading.by_node else service
 
 
-def observe(entry: Entry, names: Names, reading: Reading) -> Observation:
+def observe(entry: Entry, names: ConfiguredNames, reading: Reading) -> Observation:
     """An entry as an observation. Raises WireError for an address that can't be used."""
     node, service = entry.node, entry.service
     host = service.address or node.address
@@ -142,20 +142,20 @@
         raise WireError(f"'{host}:{service.port}' is no address")
     meta = {**(node.meta or {}), **(service.meta or {})}
     verdict, reason = judge(service, entry.checks, reading)
-    warned = verdict is not Verdict.TROUBLED and any(c.status == "warning" for c in entry.checks)
+    warned = verdict is not ServiceStatus.UNHEALTHY and any(c.status == "warning" for c in entry.checks)
     weight = service.weights.warning if warned else service.weights.passing
     started = number(meta.get("started_at_ms"))
     return Observation(
         id=engine_id(node.node, service.id, reading),
-        verdict=verdict,
+        status=verdict,
         reason=reason,
         address=Address(host, service.port),
-        zone=names.zone(reading.zone or meta.get("zone") or node.datacenter),
-        model=names.model(meta.get("machine_type", "")),
+        zone=names.zone_index(reading.zone or meta.get("zone") or node.datacenter),
+        machine_type=names.machine_type_index(meta.get("machine_type", "")),
         cell=int(number(meta.get("cell"))),
         size=weight if weight > 0 else 1.0,
-        process=str(int(started)) if started else "",
-        registered=service.create_index,
+        process_id=str(int(started)) if started else "",
+        registration_index=service.create_index,
         started_at=started,
     )
 
--- a/cottonhold/discovery/consul/watch.py
+++ b/cottonhold/discovery/consul/watch.py
@@ -14,7 +14,7 @@
 
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.exchange import Answer, Call
-from cottonhold.discovery.model import Address, Event, Lost, Report
+from cottonhold.discovery.model import Address, Event, SourceLost, SourceReport
 from cottonhold.message_validation import WireError
 
 WAIT_JITTER = 1 / 16  # of the wait, which Consul adds so that not all watchers wake at once
@@ -131,16 +131,16 @@
         differences = self.answers.read(answer.body)
         backwards = index < self.told
         self.told, self.index = index, 0 if backwards else index
-        return [Report(s.name, index, differences.observations, differences.absent, differences.whole)]
+        return [SourceReport(s.name, index, differences.observations, differences.absent, differences.whole)]
 
     def _confirmed(self, answer: Answer) -> list[Event]:
         asked, self.confirming, self.pause_ms = self.confirming, (), self.settings.gap
         listed = self.answers.listed(answer.body)
-        gone = tuple(id for id in asked if id not in listed)
+        gone = tuple(engine_id for engine_id in asked if engine_id not in listed)
         if not listed or not gone:
             # An empty catalogue is no proof: that is what one that has lost its data says.
             return []
-        return [Report(self.settings.name, self.told, absent=gone, confirmed=True)]
+        return [SourceReport(self.settings.name, self.told, absent=gone, is_confirmed=True)]
 
     def _refused(self, answer: Answer) -> list[Event]:
         text = " ".join(answer.body[:200].decode("utf-8", "replace").split())
@@ -163,4 +163,4 @@
         rounds = (self.failures - 1) // len(s.addresses)
         most = min(s.pause * 2.0 ** min(rounds, 30), s.pause_most)
         self.pause_ms = most * (0.5 + 0.5 * self.draw.random())
-        return [Lost(s.name, f"{where}: {why}")]
+        return [SourceLost(s.name, f"{where}: {why}")]
--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -1,15 +1,17 @@
-"""What this dispatcher believes of engines: the claims of all sources made into one list. Pure.
+"""The one list of engines, merged from the claims of all sources. Pure.
 
-`Belief.step` is fed the clock and what sources told and returns what to publish, confirm and log. The rule
-for sources that disagree:
+`EngineCatalog.step` is fed the clock and what sources reported and returns what to publish, confirm and log.
+Where sources disagree:
 
-1. *The cautious word wins.* An engine that any source lists as draining or in trouble gets nothing new.
-2. *A told end drains at once*, also where other sources list the engine still. It serves again only once each
-   of those has told of it anew, after the end; it is gone once none lists it.
-3. *Address, zone, kind and size* come from the first source, in the order of the configuration, that lists
-   it.
+1. *The most cautious claim wins.* An engine that any source lists as draining or unhealthy gets nothing new.
+2. *A reported end drains at once*, also where other sources still list the engine. It serves again only once
+each
+   of those has reported it anew, after the end; it is removed once none lists it.
+3. *Address, zone, machine type and size* come from the first source, in the order of the configuration, that
+   lists it.
 4. *One address, one engine.* Of two ids at one address the one registered later wins; between sources that
-   can't be compared, the one of the earlier source. The other gets nothing new: it would be the same process.
+can't
+   be compared, the one of the earlier source. The other gets nothing new: it would be the same process.
 """
 
 from __future__ import annotations
@@ -21,110 +23,113 @@
 from cottonhold.discovery.model import (
     Action,
     Address,
-    Change,
+    EngineListChange,
     Event,
-    Guard,
-    Lost,
+    LogEvent,
     Observation,
-    Publish,
-    Remark,
-    Report,
+    PublishChange,
+    SourceGuard,
+    SourceLost,
+    SourceReport,
 )
-from cottonhold.discovery.source_view import Claim, View
+from cottonhold.discovery.source_view import Claim, SourceView
 from cottonhold.scheduler.events import Engine, EngineState
 
-Named = tuple[View, Claim]
+SourceClaim = tuple[SourceView, Claim]
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
-    """A row for operators: what is believed of one engine, why, since when, by whose word and how old it
-    is.
-    """
+class CatalogRow:
+    """A row for operators: the state of one engine, why, since when, by which source's claim and how old that
+    is."""
 
     id: str
     state: str
     address: str
-    why: str
+    reason: str
     source: str
     index: int
     since: float
     age_ms: float
-    held: bool
+    is_held: bool
 
 
 @dataclass(slots=True)
-class Standing:
-    """What was published of an engine, and the ends told of it that others have not answered yet."""
+class PublishedEngine:
+    """What was published of an engine, and when a source last reported its end."""
 
     engine: Engine
     address: Address | None
     ended_at: float = -math.inf
-    rivals: set[str] = field(default_factory=set)  # ids that lost this one's address
+    address_rivals: set[str] = field(
+        default_factory=set
+    )  # ids that claim this one's address and did not get it
 
 
-class Belief:
-    """The one list, and the sources that it is made from, in the order of their precedence."""
+class EngineCatalog:
+    """The one list, and the sources that it is merged from, in the order of their precedence."""
 
-    def __init__(self, sources: Sequence[tuple[str, Guard]], seed: int, unix_offset: float = 0.0) -> None:
+    def __init__(
+        self, sources: Sequence[tuple[str, SourceGuard]], seed: int, unix_offset: float = 0.0
+    ) -> None:
         self.seed, self.unix_offset = seed, unix_offset
         self.views = {name: self._view(name, i, guard) for i, (name, guard) in enumerate(sources)}
-        self.standing: dict[str, Standing] = {}
-        self.owners: dict[Address, str] = {}
-        self.doubtful: set[str] = set()  # judged in each step: an end that others have not answered yet
-
-    def _view(self, name: str, precedence: int, guard: Guard) -> View:
-        return View(name, precedence, guard, self.seed, self.unix_offset)
+        self.published: dict[str, PublishedEngine] = {}
+        self.owner_by_address: dict[Address, str] = {}
+        self.unresolved: set[str] = (
+            set()
+        )  # evaluated in each step: an end that other sources have not answered yet
 
-    # --- what happens ---
+    def _view(self, name: str, precedence: int, guard: SourceGuard) -> SourceView:
+        return SourceView(name, precedence, guard, self.seed, self.unix_offset)
 
     def step(self, now: float, events: Iterable[Event] = ()) -> list[Action]:
-        """Take in what sources told by now; returns what is to be done. An unknown source raises KeyError."""
+        """Take in what sources reported by now; returns what is to be done. Raises KeyError for an unknown
+        source."""
         actions: list[Action] = []
         events = list(events)
-        # Danger: placed one by one, all starts of a list told in many reports counted as now, the last one
-        # only being as late as any; and a dispatcher that came back held the whole fleet for cold.
+        # All start stamps are learned before any is converted: a list may come in many reports, and its
+        # latest stamp decides.
         for event in events:
-            if isinstance(event, Report):
-                self.views[event.source].starts.hear(now, (o.started_at for o in event.observations))
+            if isinstance(event, SourceReport):
+                self.views[event.source].start_times.learn(now, (o.started_at for o in event.observations))
         for event in events:
             view = self.views[event.source]
             match event:
-                case Report():
-                    view.tell(now, event)
-                case Lost():
-                    view.lose(now, event)
+                case SourceReport():
+                    view.on_report(now, event)
+                case SourceLost():
+                    view.on_lost(now, event)
         for view in self.views.values():
-            if view.waiting or view.held:
-                view.tick(now)
-            actions += view.remarks
-            view.remarks.clear()
-        change, remarks = self._merge(now)
+            if view.return_times or view.held_losses:
+                view.step(now)
+            actions += view.actions
+            view.actions.clear()
+        change, log_events = self._publish_changes(now)
         if change is not None:
-            actions.insert(0, Publish(change))
-        return actions + remarks
+            actions.insert(0, PublishChange(change))
+        return actions + log_events
 
-    def seed_known(self, now: float, observations: Sequence[Observation]) -> list[Action]:
-        """The list to begin with where no source has answered yet: every source is taken to have told it."""
+    def set_initial(self, now: float, observations: Sequence[Observation]) -> list[Action]:
+        """The list to begin with where no source has answered yet, as if every source had reported it."""
         for view in self.views.values():
-            view.tell(now, Report(view.name, 0, tuple(observations), whole=True))
-            view.answers = 0  # the first real answer still tells of engines that were there before
-            view.starts.current(-math.inf)
+            view.on_report(now, SourceReport(view.name, 0, tuple(observations), is_complete=True))
+            view.answer_count = 0  # the first real answer still lists engines that were there before
+            view.start_times.on_complete_answer(-math.inf)
         return self.step(now)
 
-    def current(self, now: float, source: str) -> None:
-        """A trusted source's answer is taken in whole; it may have told nothing new."""
+    def on_complete_answer(self, now: float, source: str) -> None:
+        """A complete answer of a trusted source was taken in; it may have brought nothing new."""
         if source in self.views:
-            self.views[source].starts.current(now)
+            self.views[source].start_times.on_complete_answer(now)
 
     def next_at(self) -> float:
-        """When `step` is due even if nothing is told; infinity if never."""
+        """When `step` is due even if nothing is reported; infinity if never."""
         return min((view.next_at() for view in self.views.values()), default=math.inf)
 
-    def reload(self, now: float, sources: Sequence[tuple[str, Guard]]) -> list[Action]:
-        """Other sources or guards. What a source that stays has told is kept; one that is gone ends its
-        claims.
-        """
+    def reload(self, now: float, sources: Sequence[tuple[str, SourceGuard]]) -> list[Action]:
+        """Change sources or guards. The claims of a source that stays are kept; those of one that was removed
+        end."""
         old = self.views
         self.views = {}
         for precedence, (name, guard) in enumerate(sources):
@@ -132,152 +137,159 @@
             self.views[name] = view
             view.precedence, view.guard, view.damping.guard = precedence, guard, guard
         for view in old.values():
-            self.doubtful |= view.claims.keys()
+            self.unresolved |= view.claims.keys()
         return self.step(now)
 
-    # --- one list of many ---
-
-    def _merge(self, now: float) -> tuple[Change | None, list[Action]]:
-        touched: dict[str, list[View]] = {}
+    def _publish_changes(self, now: float) -> tuple[EngineListChange | None, list[Action]]:
+        changed_by: dict[str, list[SourceView]] = {}
         for view in self.views.values():
-            for id in view.touched:
-                touched.setdefault(id, []).append(view)
-            view.touched.clear()
-        for id in self.doubtful:
-            touched.setdefault(id, [])
-        self.doubtful.clear()
+            for engine_id in view.changed_engines:
+                changed_by.setdefault(engine_id, []).append(view)
+            view.changed_engines.clear()
+        for engine_id in self.unresolved:
+            changed_by.setdefault(engine_id, [])
+        self.unresolved.clear()
         changed: dict[str, Engine] = {}
-        remarks: list[Action] = []
-        # Danger: what leaves an address must be judged before what comes there, whatever the order of names.
-        order = sorted(touched, key=lambda id: (bool(self._claims(id)), id))
-        while order:
-            id = order.pop(0)
-            self._judge(now, id, touched.get(id, []), changed, remarks, order)
+        log_events: list[Action] = []
+        # What leaves an address is evaluated before what comes there, whatever the order of names.
+        queue = sorted(changed_by, key=lambda engine_id: (bool(self._claims(engine_id)), engine_id))
+        while queue:
+            engine_id = queue.pop(0)
+            self._evaluate(now, engine_id, changed_by.get(engine_id, []), changed, log_events, queue)
         if not changed:
-            return None, remarks
-        addresses = {id: a for id in changed if (s := self.standing.get(id)) and (a := s.address) is not None}
-        for id in [id for id, e in changed.items() if e.state is EngineState.REMOVED]:
-            del self.standing[id]
-        return Change(tuple(changed.values()), addresses, whole=False), remarks
-
-    def _judge(
+            return None, log_events
+        addresses = {
+            engine_id: entry.address
+            for engine_id in changed
+            if (entry := self.published.get(engine_id)) and entry.address is not None
+        }
+        for engine_id in [engine_id for engine_id, e in changed.items() if e.state is EngineState.REMOVED]:
+            del self.published[engine_id]
+        return EngineListChange(tuple(changed.values()), addresses, is_complete=False), log_events
+
+    def _evaluate(
         self,
         now: float,
-        id: str,
-        told_by: list[View],
+        engine_id: str,
+        changed_views: list[SourceView],
         changed: dict[str, Engine],
-        remarks: list[Action],
-        order: list[str],
+        log_events: list[Action],
+        queue: list[str],
     ) -> None:
-        """What is believed of one engine now; appends to `order` the engines that this concerns as well."""
-        claims, standing = self._claims(id), self.standing.get(id)
+        """The state of one engine now; appends to `queue` the engines that this concerns as well."""
+        claims, entry = self._claims(engine_id), self.published.get(engine_id)
         if not claims:
-            if standing is not None:
-                self._vacate(id, standing, order)
-                changed[id] = standing.engine = Engine(id, state=EngineState.REMOVED)
+            if entry is not None:
+                self._release_address(engine_id, entry, queue)
+                changed[engine_id] = entry.engine = Engine(engine_id, state=EngineState.REMOVED)
             return
         view, first = claims[0]
-        address = first.seen.address
-        if standing is None:
-            standing = self.standing[id] = Standing(Engine(id, state=EngineState.REMOVED), None)
-        if any(id not in v.claims for v in told_by):
-            standing.ended_at = now
-        state = self._state(claims, standing)
-        if address != standing.address:
-            self._vacate(id, standing, order)
-        if address is not None and self._exclusive() and not self._owns(id, claims, address, order):
-            if state is EngineState.LIVE:
-                remarks.append(Remark("address_taken", {"engine": id, "by": self.owners[address]}))
-                state = EngineState.DRAINING
+        address = first.observation.address
+        if entry is None:
+            entry = self.published[engine_id] = PublishedEngine(
+                Engine(engine_id, state=EngineState.REMOVED), None
+            )
+        if any(engine_id not in v.claims for v in changed_views):
+            entry.ended_at = now
+        state = self._state(claims, entry)
+        if address != entry.address:
+            self._release_address(engine_id, entry, queue)
+        is_denied = (
+            address is not None
+            and self._addresses_are_exclusive()
+            and not self._claim_address(engine_id, claims, address, queue)
+        )
+        if address is not None and is_denied and state is EngineState.LIVE:
+            owner = self.owner_by_address[address]
+            log_events.append(LogEvent("address_taken", {"engine": engine_id, "by": owner}))
+            state = EngineState.DRAINING
         engine = Engine(
-            id,
-            zone=first.seen.zone,
-            machine_type=first.seen.model,
-            cell=first.seen.cell,
+            engine_id,
+            zone=first.observation.zone,
+            machine_type=first.observation.machine_type,
+            cell=first.observation.cell,
             state=state,
-            size=first.seen.size,
+            size=first.observation.size,
             started_at=max(claim.started_at for _, claim in claims),
         )
-        if engine != standing.engine or address != standing.address:
-            standing.engine, standing.address = engine, address
-            changed[id] = engine
+        if engine != entry.engine or address != entry.address:
+            entry.engine, entry.address = engine, address
+            changed[engine_id] = engine
 
-    def _claims(self, id: str) -> list[Named]:
+    def _claims(self, engine_id: str) -> list[SourceClaim]:
         """The claims on an engine, by precedence."""
-        found = [(view, view.claims[id]) for view in self.views.values() if id in view.claims]
+        found = [(view, view.claims[engine_id]) for view in self.views.values() if engine_id in view.claims]
         return [named for named in found if named[1].state is not EngineState.REMOVED]
 
-    def _state(self, claims: list[Named], standing: Standing) -> EngineState:
+    def _state(self, claims: list[SourceClaim], entry: PublishedEngine) -> EngineState:
         if any(claim.state is not EngineState.LIVE for _, claim in claims):
             return EngineState.DRAINING
-        # An end is answered by a word that came after it; one of the same moment may be older news.
-        if any(view.heard_at <= standing.ended_at for view, _ in claims):
-            self.doubtful.add(standing.engine.id)
+        # An end is answered by a report that came after it; one of the same moment may be older.
+        if any(view.last_answer_at <= entry.ended_at for view, _ in claims):
+            self.unresolved.add(entry.engine.id)
             return EngineState.DRAINING
         return EngineState.LIVE
 
-    # --- one address, one engine ---
-
-    def _exclusive(self) -> bool:
-        """Whether addresses are compared; one trusted source has compared its own."""
-        return len(self.views) > 1 or not all(view.guard.trusted for view in self.views.values())
-
-    def _owns(self, id: str, claims: list[Named], address: Address, order: list[str]) -> bool:
-        """Whether the address is this engine's; if it takes it from another, that one is judged anew."""
-        owner = self.owners.get(address)
-        if owner is None or owner == id:
-            self.owners[address] = id
+    def _addresses_are_exclusive(self) -> bool:
+        """Whether addresses are compared; a single trusted source has compared its own."""
+        return len(self.views) > 1 or not all(view.guard.is_trusted for view in self.views.values())
+
+    def _claim_address(
+        self, engine_id: str, claims: list[SourceClaim], address: Address, queue: list[str]
+    ) -> bool:
+        """Whether the address is this engine's; if it takes it from another, that one is evaluated anew."""
+        owner = self.owner_by_address.get(address)
+        if owner is None or owner == engine_id:
+            self.owner_by_address[address] = engine_id
             return True
         others = self._claims(owner)
-        holder = self.standing.get(owner)
-        if others and self._rank(claims) <= self._rank(others):
+        holder = self.published.get(owner)
+        if others and self._address_rank(claims) <= self._address_rank(others):
             if holder is not None:
-                holder.rivals.add(id)
+                holder.address_rivals.add(engine_id)
             return False
-        self.owners[address] = id
-        mine = self.standing[id]
-        mine.rivals.add(owner)
+        self.owner_by_address[address] = engine_id
+        own = self.published[engine_id]
+        own.address_rivals.add(owner)
         if holder is not None:
-            mine.rivals |= holder.rivals - {id}
-            holder.rivals.clear()
-        if owner not in order:
-            order.append(owner)
+            own.address_rivals |= holder.address_rivals - {engine_id}
+            holder.address_rivals.clear()
+        if owner not in queue:
+            queue.append(owner)
         return True
 
-    def _rank(self, claims: list[Named]) -> tuple[int, int]:
-        """Who keeps an address: the earlier source, and within one the later registration."""
+    def _address_rank(self, claims: list[SourceClaim]) -> tuple[int, int]:
+        """Which claim keeps an address: the earlier source's, and within one the later registration."""
         view, claim = claims[0]
-        return (-view.precedence, claim.seen.registered)
-
-    def _vacate(self, id: str, standing: Standing, order: list[str]) -> None:
-        """The engine leaves its address: those that wanted it are judged anew."""
-        if standing.address is not None and self.owners.get(standing.address) == id:
-            del self.owners[standing.address]
-            order += [rival for rival in sorted(standing.rivals) if rival not in order]
-            standing.rivals.clear()
+        return (-view.precedence, claim.observation.registration_index)
 
-    # --- for operators ---
+    def _release_address(self, engine_id: str, entry: PublishedEngine, queue: list[str]) -> None:
+        """The engine leaves its address: those that claim it are evaluated anew."""
+        if entry.address is not None and self.owner_by_address.get(entry.address) == engine_id:
+            del self.owner_by_address[entry.address]
+            queue += [rival for rival in sorted(entry.address_rivals) if rival not in queue]
+            entry.address_rivals.clear()
 
-    def rows(self, now: float) -> list[Known]:
-        """What is believed, by id."""
+    def rows(self, now: float) -> list[CatalogRow]:
+        """All engines that a source lists, by id."""
         rows = []
-        for id, standing in sorted(self.standing.items()):
-            claims = self._claims(id)
+        for engine_id, entry in sorted(self.published.items()):
+            claims = self._claims(engine_id)
             if not claims:
                 continue
             worst = next((n for n in claims if n[1].state is not EngineState.LIVE), claims[0])
             view, claim = worst
             rows.append(
-                Known(
-                    id=id,
-                    state=standing.engine.state.value,
-                    address=str(standing.address),
-                    why=claim.seen.reason,
+                CatalogRow(
+                    id=engine_id,
+                    state=entry.engine.state.value,
+                    address=str(entry.address),
+                    reason=claim.observation.reason,
                     source=view.name,
                     index=claim.index,
                     since=claim.since,
-                    age_ms=now - view.heard_at,
-                    held=claim.held,
+                    age_ms=now - view.last_answer_at,
+                    is_held=claim.is_held,
                 )
             )
         return rows
--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -1,9 +1,8 @@
-"""What sources tell of engines, in one form whatever the source, and what is published of it. Pure.
+"""What sources report of engines, in one form whatever the source, and what is published of it. Pure.
 
 Times are milliseconds of the caller's clock, but for an observation's `started_at`. An *observation* is what
 one answer of one source says of one engine; a *report* is such an answer; a *change* is what the dispatcher's
-other parts are told.
-"""
+other parts receive."""
 
 from __future__ import annotations
 
@@ -30,17 +29,17 @@
         if host.startswith("[") and host.endswith("]"):
             host = host[1:-1]
         elif ":" in host:
-            host = ""  # without brackets nobody knows where an IPv6 address ends
-        # Danger: isdigit() is true of digits that int() does not take, and one such entry hid a whole list.
-        number = int(port) if port.isascii() and port.isdigit() and len(port) < 6 else 0
-        if not mark or not host or not 0 < number < 65536:
+            host = ""  # without brackets the end of an IPv6 address is unknown
+        # isascii() too, since isdigit() is true of digits that int() does not take.
+        port_number = int(port) if port.isascii() and port.isdigit() and len(port) < 6 else 0
+        if not mark or not host or not 0 < port_number < 65536:
             raise WireError(f"'{text}' is no address")
-        return cls(host, number)
+        return cls(host, port_number)
 
     def __str__(self) -> str:
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
-    def is_number(self) -> bool:
+    def is_ip_address(self) -> bool:
         """Whether the host is an IP address, so that no name need be looked up."""
         try:
             ipaddress.ip_address(self.host)
@@ -50,39 +49,38 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
-    """Engines as they are believed to be from now on: the whole list or what changed, with the addresses."""
+class EngineListChange:
+    """Engines as they count from now on: the complete list or what changed, with the addresses."""
 
     engines: tuple[Engine, ...]
     addresses: dict[str, Address]
-    whole: bool
+    is_complete: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
-    """The settings' names of zones and machine kinds, by which lists speak of them."""
+class ConfiguredNames:
+    """The settings' names of zones and machine types, which engine lists use."""
 
     zones: tuple[str, ...]
-    models: tuple[str, ...]
+    machine_types: tuple[str, ...]
 
-    def zone(self, name: str) -> int:
+    def zone_index(self, name: str) -> int:
         """A zone's position; one that the settings do not name counts as the first."""
         return self.zones.index(name) if name in self.zones else 0
 
-    def model(self, name: str) -> int:
-        """A machine kind's position; one that the settings do not name counts as the first."""
-        return self.models.index(name) if name in self.models else 0
+    def machine_type_index(self, name: str) -> int:
+        """A machine type's position; one that the settings do not name counts as the first."""
+        return self.machine_types.index(name) if name in self.machine_types else 0
 
 
-class Verdict(Enum):
+class ServiceStatus(Enum):
     """What a source says of an engine.
 
-    TROUBLED is a symptom (a check fails), and symptoms of many engines at once are more likely the
-    observer's. DRAINED and ENDED are somebody's word and are not weighed against anything.
-    """
+    UNHEALTHY is a symptom (a check fails), and symptoms of many engines at once are more likely the
+    observer's own. DRAINED and ENDED are somebody's decisions and are not weighed against anything."""
 
-    IN = "in service"
-    TROUBLED = "troubled"
+    IN_SERVICE = "in service"
+    UNHEALTHY = "troubled"
     DRAINED = "drained"
     ENDED = "ended"
 
@@ -91,89 +89,87 @@
 class Observation:
     """What an answer says of one engine.
 
-    `process` tells processes apart: equal texts that are not empty prove that it is the same one.
-    `registered` orders the registrations of one id or one address, where the source knows. `started_at` is a
-    stamp of a clock elsewhere, in milliseconds of Unix time, and 0 if not told; `starts.py` places it.
-    """
+    `process_id` distinguishes processes: equal texts that are not empty prove that it is the same one.
+    `registration_index` orders the registrations of one id or one address, where the source knows.
+    `started_at` is a stamp of a clock elsewhere, in milliseconds of Unix time, and 0 where there is none;
+    `start_times` converts it."""
 
     id: str
-    verdict: Verdict
+    status: ServiceStatus
     reason: str = ""
     address: Address | None = None
     zone: int = 0
-    model: int = 0
+    machine_type: int = 0
     cell: int = 0
     size: float = 1.0
-    process: str = ""
-    registered: int = 0
+    process_id: str = ""
+    registration_index: int = 0
     started_at: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Report:
-    """One answer of a source: what has changed since its last one, or with `whole` all there is.
+class SourceReport:
+    """One answer of a source: what has changed since its last one, or with `is_complete` all there is.
 
-    `absent` names engines that a source which compares its own answers no longer lists. `confirmed` says that
-    a second, consistent reading agrees on what is absent.
-    """
+    `absent` names engines that a source which compares its own answers no longer lists. `is_confirmed`: a
+    second, consistent reading agrees on what is absent."""
 
     source: str
     index: int
     observations: tuple[Observation, ...] = ()
     absent: tuple[str, ...] = ()
-    whole: bool = False
-    confirmed: bool = False
+    is_complete: bool = False
+    is_confirmed: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Lost:
+class SourceLost:
     """A source can't be reached, or what it answers can't be used: its last list stays in force."""
 
     source: str
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
-class Guard:
-    """How far one source's word is trusted. Shares of 1, times in ms.
-
-    trusted: what it tells is taken as it is (the event bus: its entries are decisions, not symptoms).
-    floor: of the engines not drained, the share that symptoms and absences can't take out of service.
-    quiet: how long the first return must wait; it doubles with each recent fall, up to `quiet_most`.
-    flap_half: half life of the count of falls. jitter: up to this part more quiet, so that gateways which saw
-    the same fall don't all come back to a cold engine in one moment.
-    """
-
-    trusted: bool = False
-    floor: float = 0.5
-    quiet: float = 1000.0
-    quiet_most: float = 60_000.0
-    flap_half: float = 60_000.0
+class SourceGuard:
+    """How far one source is trusted.
+
+    is_trusted: what it reports counts as it is (the event stream: its entries are decisions, not symptoms).
+    min_in_service: of the engines not drained, the share that symptoms and absences can't take out of
+    service. min_quiet_ms: how long the first return must wait; it doubles with each recent failure, up to
+    `max_quiet_ms`. flap_half_life_ms: of the count of failures. jitter: up to this part more quiet time, so
+    that dispatchers which saw the same failure don't all return to a cold engine at the same moment."""
+
+    is_trusted: bool = False
+    min_in_service: float = 0.5
+    min_quiet_ms: float = 1000.0
+    max_quiet_ms: float = 60_000.0
+    flap_half_life_ms: float = 60_000.0
     jitter: float = 0.2
 
 
 @dataclass(slots=True, frozen=True)
-class Publish:
-    """Tell the gateway of a change."""
+class PublishChange:
+    """Tell the gateway of a change of the list."""
 
-    change: Change
+    change: EngineListChange
 
 
 @dataclass(slots=True, frozen=True)
-class Confirm:
-    """Ask the source once more, by a consistent reading, whether these engines are really absent."""
+class ConfirmAbsence:
+    """Query the source once more, by a consistent reading, whether these engines are really absent."""
 
     source: str
     absent: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Remark:
-    """Something for the operators' log: an event's name and its fields."""
+class LogEvent:
+    """An event for the operators' log and counters, with its fields."""
 
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
 
 
-Event = Report | Lost
-Action = Publish | Confirm | Remark
+Event = SourceReport | SourceLost
+Action = PublishChange | ConfirmAbsence | LogEvent
--- a/cottonhold/discovery/quarantine.py
+++ b/cottonhold/discovery/quarantine.py
@@ -1,70 +1,74 @@
-"""What the fleet holds back of the one list: engines that get nothing new whatever sources tell. Pure.
+"""Engines that get nothing new whatever sources report, since the fleet replaces them. Pure.
 
-It lies over the list that `belief.py` makes, so no source's guard, address or end is touched by it, and what
-the list says comes through again once the hold ends. A hold only ever makes a live engine a draining one: the
-cautious word wins here too.
-"""
+A quarantine lies over the list of `engine_catalog`, so no source's guard, address or end is affected by it,
+and what the list says counts again once it ends. It only ever makes a live engine a draining one: the most
+cautious statement wins here too."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import replace
 
-from cottonhold.discovery.model import Change
+from cottonhold.discovery.model import EngineListChange
 from cottonhold.scheduler.events import Engine, EngineState
 
 
-class Held:
-    """Give it each change of the list; it says what the other parts are told instead."""
+class Quarantine:
+    """Feed it each change of the list; it returns what is published instead."""
 
     def __init__(self) -> None:
-        self.known: dict[str, Engine] = {}  # as the list has them, those that are gone left out
-        self.held: set[str] = set()
-        self.starts: dict[str, float] = {}  # engine -> when the process that is there now began, own clock
+        self.listed: dict[str, Engine] = {}  # as the list has them, without those that were removed
+        self.quarantined: set[str] = set()
+        self.started_at: dict[str, float] = {}  # by engine: start of its present process, on the own clock
 
-    def take(self, change: Change) -> Change:
+    def on_change(self, change: EngineListChange) -> EngineListChange:
         """A change of the list, as it is to be published."""
-        if change.whole:
-            self.known.clear()
+        if change.is_complete:
+            self.listed.clear()
         for engine in change.engines:
             if engine.state is EngineState.REMOVED:
-                self.known.pop(engine.id, None)
-                self.starts.pop(engine.id, None)
+                self.listed.pop(engine.id, None)
+                self.started_at.pop(engine.id, None)
             else:
-                self.known[engine.id] = engine
-        return replace(change, engines=tuple(self._shown(engine) for engine in change.engines))
+                self.listed[engine.id] = engine
+        return replace(change, engines=tuple(self._published(engine) for engine in change.engines))
 
-    def hold(self, engine: str) -> Change | None:
-        """Nothing new goes to an engine from now on, known or not; what is to be published, if anything."""
-        if engine in self.held:
+    def hold(self, engine: str) -> EngineListChange | None:
+        """Send nothing new to an engine from now on, listed or not; returns what is to be published, if
+        anything."""
+        if engine in self.quarantined:
             return None
-        self.held.add(engine)
-        return self._again(engine)
+        self.quarantined.add(engine)
+        return self._republish(engine)
 
-    def free(self, engine: str, started: float = 0.0) -> Change | None:
-        """The way back. started: since when another process is there, on the own clock; 0: the same."""
-        if engine not in self.held:
+    def release(self, engine: str, restarted_at: float = 0.0) -> EngineListChange | None:
+        """End a quarantine. restarted_at: start of another process, on the own clock; 0: it is the same
+        one."""
+        if engine not in self.quarantined:
             return None
-        self.held.discard(engine)
-        if started:
-            self.starts[engine] = started
-        return self._again(engine)
+        self.quarantined.discard(engine)
+        if restarted_at:
+            self.started_at[engine] = restarted_at
+        return self._republish(engine)
 
-    def live(self) -> Mapping[str, Engine]:
-        """Engines in service by the list that nobody holds."""
+    def live_engines(self) -> Mapping[str, Engine]:
+        """Engines that the list has in service and that are not quarantined."""
         return {
-            id: engine
-            for id, engine in self.known.items()
-            if engine.state is EngineState.LIVE and id not in self.held
+            engine_id: engine
+            for engine_id, engine in self.listed.items()
+            if engine.state is EngineState.LIVE and engine_id not in self.quarantined
         }
 
-    def _again(self, id: str) -> Change | None:
-        known = self.known.get(id)
-        return Change((self._shown(known),), {}, whole=False) if known is not None else None
+    def _republish(self, engine_id: str) -> EngineListChange | None:
+        known = self.listed.get(engine_id)
+        if known is None:
+            return None
+        return EngineListChange((self._published(known),), {}, is_complete=False)
 
-    def _shown(self, engine: Engine) -> Engine:
+    def _published(self, engine: Engine) -> Engine:
         if engine.state is EngineState.REMOVED:
             return engine
-        started = max(engine.started_at, self.starts.get(engine.id, 0.0))
-        back = engine.state is EngineState.LIVE and engine.id in self.held
-        return replace(engine, state=EngineState.DRAINING if back else engine.state, started_at=started)
+        started_at = max(engine.started_at, self.started_at.get(engine.id, 0.0))
+        is_held_back = engine.state is EngineState.LIVE and engine.id in self.quarantined
+        state = EngineState.DRAINING if is_held_back else engine.state
+        return replace(engine, state=state, started_at=started_at)
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -1,13 +1,14 @@
-"""One source's claims on engines, after its guards: the floor, the damping, and who is a new process. Pure.
+"""One source's claims on engines, after its guards: the floor, flap damping, and cold starts. Pure.
 
 A source that is not trusted is guarded in three ways:
 
-- *Floor*: symptoms and absences can't take more than a share of the engines out of service. What would pass
-  that is held: the engine counts as before, until fewer are in trouble or a second reading confirms that it
-  is absent. One observer that sees everything fail is more likely broken than everything is, and the decision
-  module's own signs (refused connects, silence, errors) still tell which engines really are.
-- *Damping*: 'nothing new' takes effect at once; coming back needs quiet (damping.py).
-- *Cold*: an engine that comes back counts as a new process, which has nothing warm, unless the source proves
+- *Floor*: symptoms and absences can't take more than a share of the engines out of service. Losses beyond
+that
+  are held: the engine counts as before, until fewer are unhealthy or a second reading confirms that it is
+  absent. One observer that sees everything fail is more likely broken than everything is, and the scheduler's
+  own failure evidence (refused connects, silence, errors) still shows which engines really are.
+- *Flap damping*: a loss takes effect at once; a return needs quiet time (damping.py). - *Cold start*: an
+engine that returns counts as a new process, which has nothing cached, unless the source proves
   that it is the old one.
 """
 
@@ -17,326 +18,369 @@
 import random
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
-
-from cottonhold.discovery.damping import Damping
-from cottonhold.discovery.model import Address, Confirm, Guard, Lost, Observation, Remark, Report, Verdict
-from cottonhold.discovery.start_times import Starts
+from typing import NamedTuple
+
+from cottonhold.discovery.damping import FlapDamping
+from cottonhold.discovery.model import (
+    Address,
+    ConfirmAbsence,
+    LogEvent,
+    Observation,
+    ServiceStatus,
+    SourceGuard,
+    SourceLost,
+    SourceReport,
+)
+from cottonhold.discovery.start_times import StartTimes
 from cottonhold.scheduler.events import EngineState
 
-STATES = {
-    Verdict.IN: EngineState.LIVE,
-    Verdict.TROUBLED: EngineState.DRAINING,
-    Verdict.DRAINED: EngineState.DRAINING,
-    Verdict.ENDED: EngineState.REMOVED,
+STATE_BY_STATUS = {
+    ServiceStatus.IN_SERVICE: EngineState.LIVE,
+    ServiceStatus.UNHEALTHY: EngineState.DRAINING,
+    ServiceStatus.DRAINED: EngineState.DRAINING,
+    ServiceStatus.ENDED: EngineState.REMOVED,
 }
-BAD = (Verdict.TROUBLED, Verdict.ENDED)  # what the floor weighs
-MOST_ENDED = 1024  # engines that are gone, whose starts are remembered
+LOSSES = (ServiceStatus.UNHEALTHY, ServiceStatus.ENDED)  # what the floor limits
+MAX_PAST_STARTS = 1024  # removed engines whose starts are remembered
+
+
+class PastStart(NamedTuple):
+    """The start of an engine that was removed: the source's stamp, and the time on the own clock."""
+
+    stamp: float
+    started_at: float
 
 
 @dataclass(slots=True)
 class Claim:
-    """What a source says of an engine and what is made of it.
+    """What a source says of an engine and what follows from it.
 
-    `seen` is the last word; `state` what it amounts to now. `back_at` is when a return counts (infinity: none
-    is due); `held` that the floor keeps the last word from counting. `process`, `registered` and `address`
-    are of the process that served last; `started_at` is its start on the own clock, made from `stamp`.
-    """
+    observation: the last one; state: what it amounts to now. returns_at: when a return counts (infinity: none
+    is due). is_held: the floor keeps the last observation from counting. process_id, registration_index and
+    address are of the process that served last; started_at is its start on the own clock, derived from
+    start_stamp."""
 
-    seen: Observation
+    observation: Observation
     state: EngineState
     since: float
-    heard_at: float
+    last_seen_at: float
     index: int
     started_at: float
-    stamp: float
-    process: str
-    registered: int
+    start_stamp: float
+    process_id: str
+    registration_index: int
     address: Address | None
-    back_at: float = math.inf
-    held: bool = False
+    returns_at: float = math.inf
+    is_held: bool = False
 
 
-class View:
+class SourceView:
     """All claims of one source."""
 
-    def __init__(self, name: str, precedence: int, guard: Guard, seed: int, unix_offset: float) -> None:
+    def __init__(self, name: str, precedence: int, guard: SourceGuard, seed: int, unix_offset: float) -> None:
         self.name, self.precedence, self.guard = name, precedence, guard
-        self.starts = Starts(unix_offset)
-        self.damping = Damping(guard, random.Random(f"{seed}/{name}"))
+        self.start_times = StartTimes(unix_offset)
+        self.damping = FlapDamping(guard, random.Random(f"{seed}/{name}"))
         self.claims: dict[str, Claim] = {}
-        self.waiting: dict[str, float] = {}  # engines that are due back, and when
-        self.held: dict[str, Claim] = {}
-        self.ended: dict[
-            str, tuple[float, float]
-        ] = {}  # engines that are gone: stamp, and where it was placed
-        self.well, self.out = 0, 0  # engines in service by their last word; out of service by symptoms
-        self.index, self.answers, self.heard_at = 0, 0, 0.0
-        self.lost_since, self.lost_why = math.inf, ""
-        self.touched: set[str] = set()
-        self.remarks: list[Remark | Confirm] = []
-
-    # --- what is told ---
-
-    def tell(self, now: float, report: Report) -> None:
-        """Take an answer in. The claims that may have changed are in `touched` afterwards."""
+        self.return_times: dict[str, float] = {}  # by engine: when its return counts
+        self.held_losses: dict[str, Claim] = {}
+        self.past_starts: dict[str, PastStart] = {}  # of removed engines
+        self.in_service_count = 0  # by the last observations that count
+        self.unhealthy_count = 0
+        self.index, self.answer_count, self.last_answer_at = 0, 0, 0.0
+        self.lost_since, self.lost_reason = math.inf, ""
+        self.changed_engines: set[str] = set()
+        self.actions: list[LogEvent | ConfirmAbsence] = []
+
+    def on_report(self, now: float, report: SourceReport) -> None:
+        """Take an answer in. The engines that may have changed are in `changed_engines` afterwards."""
         if self.lost_since < math.inf:
-            self._remark("source_back", after_ms=round(now - self.lost_since))
-            self.lost_since, self.lost_why = math.inf, ""
-        first, self.answers = self.answers == 0, self.answers + 1
-        self.index, self.heard_at = report.index, now
+            self._log("source_back", after_ms=round(now - self.lost_since))
+            self.lost_since, self.lost_reason = math.inf, ""
+        is_first, self.answer_count = self.answer_count == 0, self.answer_count + 1
+        self.index, self.last_answer_at = report.index, now
         absent = list(report.absent)
-        if report.whole:
-            named = {o.id for o in report.observations}
-            absent += [id for id in self.claims if id not in named]
-        lost = [(id, self._ended(id)) for id in dict.fromkeys(absent) if id in self.claims]
-        falls: list[tuple[str, Observation]] = []
-        for o in report.observations:
-            if self._take(now, o, report.index, first):
-                falls.append((o.id, o))
-        if report.confirmed:
-            for id, o in lost:
-                self._end(now, id, o, "a consistent reading agrees")
+        if report.is_complete:
+            named = {observation.id for observation in report.observations}
+            absent += [engine_id for engine_id in self.claims if engine_id not in named]
+        lost = [
+            (engine_id, self._as_absent(engine_id))
+            for engine_id in dict.fromkeys(absent)
+            if engine_id in self.claims
+        ]
+        losses: list[tuple[str, Observation]] = []
+        for observation in report.observations:
+            if self._on_observation(now, observation, report.index, is_first):
+                losses.append((observation.id, observation))
+        if report.is_confirmed:
+            for engine_id, observation in lost:
+                self._remove(now, engine_id, observation, "a consistent reading agrees")
         else:
-            falls += lost
-        self._fall(now, falls, report.index, report.confirmed)
-        if not self.guard.trusted:  # of the event bus many reports may make up one answer
-            self.starts.current(now)
+            losses += lost
+        self._weigh_losses(now, losses, report.index, report.is_confirmed)
+        if not self.guard.is_trusted:  # of the event stream many reports may make up one answer
+            self.start_times.on_complete_answer(now)
 
-    def lose(self, now: float, event: Lost) -> None:
-        """The source can't be reached: say so once, and again if the reason changes; keep everything."""
+    def on_lost(self, now: float, event: SourceLost) -> None:
+        """The source can't be reached: log it once, and again if the reason changes; keep all claims."""
         if self.lost_since == math.inf:
             self.lost_since = now
-            self._remark("source_lost", why=event.why, engines_kept=len(self.claims), index=self.index)
-        elif event.why != self.lost_why:
-            self._remark("source_still_lost", why=event.why, after_ms=round(now - self.lost_since))
-        self.lost_why = event.why
-
-    def tick(self, now: float) -> None:
-        """Let in whoever has been quiet for long enough."""
-        for id in [id for id, at in self.waiting.items() if at <= now]:
-            claim = self.claims[id]
-            del self.waiting[id]
-            claim.back_at = math.inf
-            self._enter(now, claim, claim.seen, "quiet for long enough")
-        self._weigh(now)
+            self._log("source_lost", why=event.reason, engines_kept=len(self.claims), index=self.index)
+        elif event.reason != self.lost_reason:
+            self._log("source_still_lost", why=event.reason, after_ms=round(now - self.lost_since))
+        self.lost_reason = event.reason
+
+    def step(self, now: float) -> None:
+        """Return engines to service that have been quiet for long enough, and count held losses that may."""
+        for engine_id in [engine_id for engine_id, at in self.return_times.items() if at <= now]:
+            claim = self.claims[engine_id]
+            del self.return_times[engine_id]
+            claim.returns_at = math.inf
+            self._put_in_service(now, claim, claim.observation, "quiet for long enough")
+        self._apply_held_losses(now)
 
     def next_at(self) -> float:
-        """When `tick` has something to do; infinity if never."""
-        return min(self.waiting.values(), default=math.inf)
+        """When `step` has something to do; infinity if never."""
+        return min(self.return_times.values(), default=math.inf)
 
-    # --- one engine ---
+    def _as_absent(self, engine_id: str) -> Observation:
+        return replace(
+            self.claims[engine_id].observation, status=ServiceStatus.ENDED, reason="no longer listed"
+        )
 
-    def _ended(self, id: str) -> Observation:
-        return replace(self.claims[id].seen, verdict=Verdict.ENDED, reason="no longer listed")
-
-    def _take(self, now: float, o: Observation, index: int, first: bool) -> bool:
-        """Take in the word on one engine; true where it is a loss that the floor must weigh first."""
-        claim = self.claims.get(o.id)
+    def _on_observation(self, now: float, observation: Observation, index: int, is_first: bool) -> bool:
+        """Take in an observation of one engine; true where it is a loss that the floor must allow first."""
+        claim = self.claims.get(observation.id)
         if claim is None:
-            return self._meet(now, o, index, first)
-        claim.heard_at, claim.index = now, index
-        # Danger: a symptom's engine that is in service only because the floor holds it must not pass for
-        # well.
-        if o.verdict in BAD:
-            if self.guard.trusted or claim.state is not EngineState.LIVE:
-                self._out(now, claim, o)
+            return self._add_claim(now, observation, index, is_first)
+        claim.last_seen_at, claim.index = now, index
+        # A loss is kept apart: an engine in service only because the floor holds its loss must not pass for
+        # healthy.
+        if observation.status in LOSSES:
+            if self.guard.is_trusted or claim.state is not EngineState.LIVE:
+                self._apply_loss(now, claim, observation)
                 return False
             return True
-        self._set_seen(claim, o)
-        if o.verdict is Verdict.DRAINED:
-            self._leave(now, claim, o)
+        self._set_observation(claim, observation)
+        if observation.status is ServiceStatus.DRAINED:
+            self._drain(now, claim, observation)
         elif claim.state is EngineState.LIVE:
-            self._renew(now, claim, o)
+            self._on_still_in_service(now, claim, observation)
         else:
-            self._return(now, claim, o)
+            self._on_recovery(now, claim, observation)
         return False
 
-    def _meet(self, now: float, o: Observation, index: int, first: bool) -> bool:
-        """An engine not claimed before. It counts as cold, unless it was there at this gateway's own start.
+    def _add_claim(self, now: float, observation: Observation, index: int, is_first: bool) -> bool:
+        """Add an engine not claimed before. It counts as cold, unless it was listed at this dispatcher's own
+        start.
 
-        One met with a symptom is out of service from the start: there is no last list that could stay in
-        force.
-        """
-        if o.verdict is Verdict.ENDED:
+        One that is unhealthy from the start is out of service: there is no earlier list that could stay in
+        force."""
+        if observation.status is ServiceStatus.ENDED:
             return False
-        started = 0.0 if first and o.started_at <= 0 else self._start(now, o)
-        stamp, placed = self.ended.pop(o.id, (0.0, 0.0))
-        if self.guard.trusted and o.started_at == stamp > 0:
-            # Danger: an engine that was off the list for a while, and never off, passed for one just begun.
-            started = placed
-        state = STATES[o.verdict]
-        claim = Claim(o, state, now, now, index, started, o.started_at, o.process, o.registered, o.address)
-        self.claims[o.id] = claim
-        self.touched.add(o.id)
-        self._count(o.verdict, 1)
-        quiet = 0.0 if self.guard.trusted else self.damping.quiet(o.id, now)
-        if o.verdict is Verdict.IN and quiet > 0:
+        started = 0.0 if is_first and observation.started_at <= 0 else self._derive_start(now, observation)
+        past = self.past_starts.pop(observation.id, PastStart(0.0, 0.0))
+        if self.guard.is_trusted and observation.started_at == past.stamp > 0:
+            # An engine that was off the list for a while but kept running is no new process.
+            started = past.started_at
+        state = STATE_BY_STATUS[observation.status]
+        claim = Claim(
+            observation,
+            state,
+            now,
+            now,
+            index,
+            started,
+            observation.started_at,
+            observation.process_id,
+            observation.registration_index,
+            observation.address,
+        )
+        self.claims[observation.id] = claim
+        self.changed_engines.add(observation.id)
+        self._count_status(observation.status, 1)
+        quiet_ms = 0.0 if self.guard.is_trusted else self.damping.quiet_ms(observation.id, now)
+        if observation.status is ServiceStatus.IN_SERVICE and quiet_ms > 0:
             claim.state = EngineState.DRAINING
-            self._wait(now, claim, quiet)
+            self._delay_return(now, claim, quiet_ms)
         return False
 
-    def _renew(self, now: float, claim: Claim, o: Observation) -> None:
-        """An engine in service is told of again: the same process, or another under its id."""
-        if self.guard.trusted:
-            started = self._told_start(now, claim, o)
-        elif self._same(claim, o):
+    def _on_still_in_service(self, now: float, claim: Claim, observation: Observation) -> None:
+        """An engine in service is reported again: the same process, or another under its id."""
+        if self.guard.is_trusted:
+            started = self._trusted_start(now, claim, observation)
+        elif self._is_same_process(claim, observation):
             started = claim.started_at
-            if started <= 0 < o.started_at:
-                # Danger: a list from before knows no starts. An engine that had begun anew while this gateway
-                # was down, and of which the source tells so, passed for the one of then, and for warm.
-                started = self._start(now, o)
+            if started <= 0 < observation.started_at:
+                # A list from before this dispatcher's start knows no starts; an engine may have restarted
+                # since.
+                started = self._derive_start(now, observation)
         else:
-            started = self._start(now, o)
-            self._remark("engine_new_process", engine=o.id, address=str(o.address))
-        self._serve(claim, o, started)
-
-    def _serve(self, claim: Claim, o: Observation, started: float) -> None:
-        claim.started_at, claim.process, claim.registered = started, o.process, o.registered
-        claim.address, claim.stamp = o.address, o.started_at
-        self.touched.add(o.id)
-
-    def _same(self, claim: Claim, o: Observation) -> bool:
-        """Whether it can still be the process that served last, though nothing else was heard between."""
-        if claim.process and o.process:
-            return claim.process == o.process and claim.address == o.address
-        # A list from the configuration knows no registrations (0): the address has to do.
-        return claim.registered in (0, o.registered) and claim.address == o.address
-
-    def _start(self, now: float, o: Observation) -> float:
-        """When a process not seen before began, on the own clock; without a stamp, a trusted source says that
-        it is long past, and of others nobody knows.
-        """
-        if o.started_at > 0:
-            return self.starts.place(now, o.started_at)
-        return 0.0 if self.guard.trusted else now
-
-    def _told_start(self, now: float, claim: Claim, o: Observation) -> float:
-        """The start of an engine told of again: the same stamp is the same process, and stays where it was
-        placed.
-        """
-        return claim.started_at if o.started_at == claim.stamp else self._start(now, o)
-
-    def _return(self, now: float, claim: Claim, o: Observation) -> None:
-        if self.guard.trusted:
-            self._enter(now, claim, o, o.reason)
-        elif claim.back_at == math.inf:
-            quiet = self.damping.quiet(o.id, now)
-            if quiet > 0:
-                self._wait(now, claim, quiet)
+            started = self._derive_start(now, observation)
+            self._log("engine_new_process", engine=observation.id, address=str(observation.address))
+        self._set_process(claim, observation, started)
+
+    def _set_process(self, claim: Claim, observation: Observation, started: float) -> None:
+        claim.started_at = started
+        claim.process_id, claim.registration_index = observation.process_id, observation.registration_index
+        claim.address, claim.start_stamp = observation.address, observation.started_at
+        self.changed_engines.add(observation.id)
+
+    def _is_same_process(self, claim: Claim, observation: Observation) -> bool:
+        """Whether it can still be the process that served last, as nothing else was reported in between."""
+        if claim.process_id and observation.process_id:
+            return claim.process_id == observation.process_id and claim.address == observation.address
+        # A list from the configuration has no registrations (0), so only the address is compared.
+        return (
+            claim.registration_index in (0, observation.registration_index)
+            and claim.address == observation.address
+        )
+
+    def _derive_start(self, now: float, observation: Observation) -> float:
+        """When a process not seen before started, on the own clock. Without a stamp it started long ago where
+        the source is trusted, and now where it isn't."""
+        if observation.started_at > 0:
+            return self.start_times.local_start(now, observation.started_at)
+        return 0.0 if self.guard.is_trusted else now
+
+    def _trusted_start(self, now: float, claim: Claim, observation: Observation) -> float:
+        """The start of an engine reported again: the same stamp is the same process, and its start stays."""
+        if observation.started_at == claim.start_stamp:
+            return claim.started_at
+        return self._derive_start(now, observation)
+
+    def _on_recovery(self, now: float, claim: Claim, observation: Observation) -> None:
+        if self.guard.is_trusted:
+            self._put_in_service(now, claim, observation, observation.reason)
+        elif claim.returns_at == math.inf:
+            quiet_ms = self.damping.quiet_ms(observation.id, now)
+            if quiet_ms > 0:
+                self._delay_return(now, claim, quiet_ms)
             else:
-                self._enter(now, claim, o, o.reason)
+                self._put_in_service(now, claim, observation, observation.reason)
 
-    def _wait(self, now: float, claim: Claim, quiet: float) -> None:
-        claim.back_at = self.waiting[claim.seen.id] = now + quiet
-        self._remark("engine_waits", engine=claim.seen.id, quiet_ms=round(quiet))
+    def _delay_return(self, now: float, claim: Claim, quiet_ms: float) -> None:
+        claim.returns_at = self.return_times[claim.observation.id] = now + quiet_ms
+        self._log("engine_waits", engine=claim.observation.id, quiet_ms=round(quiet_ms))
 
-    def _enter(self, now: float, claim: Claim, o: Observation, why: str) -> None:
-        proven = bool(o.process) and self._same(claim, o)
-        if self.guard.trusted:
-            started = self._told_start(now, claim, o)
+    def _put_in_service(self, now: float, claim: Claim, observation: Observation, reason: str) -> None:
+        is_same = bool(observation.process_id) and self._is_same_process(claim, observation)
+        if self.guard.is_trusted:
+            started = self._trusted_start(now, claim, observation)
         else:
-            started = claim.started_at if proven else self._start(now, o)
+            started = claim.started_at if is_same else self._derive_start(now, observation)
         claim.state, claim.since = EngineState.LIVE, now
-        self._serve(claim, o, started)
-        self._remark("engine_in", engine=o.id, why=why, warm=proven)
-
-    def _leave(self, now: float, claim: Claim, o: Observation) -> None:
-        """Nothing new from now on; what runs there may end."""
-        if claim.state is EngineState.LIVE or claim.back_at < math.inf:
-            self._fell(o.id, now)
-            self._remark("engine_out", engine=o.id, why=o.reason)
+        self._set_process(claim, observation, started)
+        self._log("engine_in", engine=observation.id, why=reason, warm=is_same)
+
+    def _drain(self, now: float, claim: Claim, observation: Observation) -> None:
+        """Send nothing new from now on; what runs there may end."""
+        if claim.state is EngineState.LIVE or claim.returns_at < math.inf:
+            self._count_failure(observation.id, now)
+            self._log("engine_out", engine=observation.id, why=observation.reason)
         if claim.state is EngineState.LIVE:
             claim.since = now
-        claim.back_at = math.inf
-        self.waiting.pop(o.id, None)
+        claim.returns_at = math.inf
+        self.return_times.pop(observation.id, None)
         claim.state = EngineState.DRAINING
-        self.touched.add(o.id)
-
-    def _end(self, now: float, id: str, o: Observation, why: str) -> None:
-        claim = self.claims.pop(id)
-        self._release(id, claim)
-        self._count(claim.seen.verdict, -1)
-        self.waiting.pop(id, None)
-        if claim.stamp > 0:
-            self.ended[id] = claim.stamp, claim.started_at
-            if len(self.ended) > MOST_ENDED:
-                del self.ended[next(iter(self.ended))]
+        self.changed_engines.add(observation.id)
+
+    def _remove(self, now: float, engine_id: str, observation: Observation, reason: str) -> None:
+        claim = self.claims.pop(engine_id)
+        self._release_loss(engine_id, claim)
+        self._count_status(claim.observation.status, -1)
+        self.return_times.pop(engine_id, None)
+        if claim.start_stamp > 0:
+            self.past_starts[engine_id] = PastStart(claim.start_stamp, claim.started_at)
+            if len(self.past_starts) > MAX_PAST_STARTS:
+                del self.past_starts[next(iter(self.past_starts))]
         if claim.state is EngineState.LIVE:
-            self._fell(id, now)
-        self.touched.add(id)
-        self._remark("engine_gone", engine=id, why=f"{o.reason}; {why}" if why else o.reason)
-
-    def _fell(self, id: str, now: float) -> None:
-        if not self.guard.trusted:  # else nothing would ever read the count
-            self.damping.fell(id, now)
-
-    def _out(self, now: float, claim: Claim, o: Observation) -> None:
-        """A loss that counts."""
-        if o.verdict is Verdict.ENDED:
-            self._end(now, o.id, o, "")
+            self._count_failure(engine_id, now)
+        self.changed_engines.add(engine_id)
+        why = f"{observation.reason}; {reason}" if reason else observation.reason
+        self._log("engine_gone", engine=engine_id, why=why)
+
+    def _count_failure(self, engine_id: str, now: float) -> None:
+        if not self.guard.is_trusted:  # a trusted source needs no quiet time
+            self.damping.on_failure(engine_id, now)
+
+    def _apply_loss(self, now: float, claim: Claim, observation: Observation) -> None:
+        """Let a loss count."""
+        if observation.status is ServiceStatus.ENDED:
+            self._remove(now, observation.id, observation, "")
         else:
-            self._release(o.id, claim)
-            self._set_seen(claim, o)
-            self._leave(now, claim, o)
-
-    # --- the floor ---
+            self._release_loss(observation.id, claim)
+            self._set_observation(claim, observation)
+            self._drain(now, claim, observation)
 
-    def _fall(
-        self, now: float, falls: Iterable[tuple[str, Observation]], index: int, confirmed: bool
+    def _weigh_losses(
+        self, now: float, losses: Iterable[tuple[str, Observation]], index: int, is_confirmed: bool
     ) -> None:
-        """Losses of one answer count together with those before: all of them, or none beyond the floor."""
-        fresh = [(id, o) for id, o in falls if id in self.claims]
-        for id, o in fresh:
-            claim = self.claims[id]
-            if claim.state is not EngineState.LIVE or self.guard.trusted:
-                self._out(now, claim, o)
-            elif claim.held:
-                claim.seen = o
+        """Take in the losses of one answer: with those held before all of them count, or none beyond the
+        floor."""
+        known = [(engine_id, observation) for engine_id, observation in losses if engine_id in self.claims]
+        for engine_id, observation in known:
+            claim = self.claims[engine_id]
+            if claim.state is not EngineState.LIVE or self.guard.is_trusted:
+                self._apply_loss(now, claim, observation)
+            elif claim.is_held:
+                claim.observation = observation
             else:
-                self._hold(claim, o)
-        if self._weigh(now) and fresh:
-            self._remark("floor_holds", held=len(self.held), out=self.out, well=self.well, index=index)
-        absent = tuple(sorted(id for id, c in self.held.items() if c.seen.verdict is Verdict.ENDED))
-        if absent and not confirmed:
-            self.remarks.append(Confirm(self.name, absent))
-
-    def _weigh(self, now: float) -> bool:
-        """Let what is held count if enough stay in service without it; whether something is still held.
-
-        Danger: engines that are well but not quiet for long enough serve nothing yet. Counted as serving,
-        they let the last ones that do serve be taken out.
+                self._hold_loss(claim, observation)
+        if self._apply_held_losses(now) and known:
+            self._log(
+                "floor_holds",
+                held=len(self.held_losses),
+                out=self.unhealthy_count,
+                well=self.in_service_count,
+                index=index,
+            )
+        absent = tuple(
+            sorted(
+                engine_id
+                for engine_id, c in self.held_losses.items()
+                if c.observation.status is ServiceStatus.ENDED
+            )
+        )
+        if absent and not is_confirmed:
+            self.actions.append(ConfirmAbsence(self.name, absent))
+
+    def _apply_held_losses(self, now: float) -> bool:
+        """Let held losses count if enough engines stay in service without them; whether some are still held.
+
+        Healthy engines that wait for their quiet time serve nothing yet, so they don't count as in service.
         """
-        listed = self.well + self.out + len(self.held)
-        left = self.well - len(self.waiting)
-        if left >= max(1, math.ceil(listed * self.guard.floor - 1e-9)):
-            for id in list(self.held):
-                self._out(now, self.claims[id], self.held[id].seen)
-        return bool(self.held)
-
-    def _hold(self, claim: Claim, o: Observation) -> None:
-        self._count(claim.seen.verdict, -1)
-        claim.held, claim.seen = True, o
-        self.held[o.id] = claim
-
-    def _release(self, id: str, claim: Claim) -> None:
-        """No longer held. What was seen of it is not counted until `_set_seen` or the end."""
-        if claim.held:
-            del self.held[id]
-            claim.held = False
-            self._count(claim.seen.verdict, 1)
-
-    def _set_seen(self, claim: Claim, o: Observation) -> None:
-        self._release(o.id, claim)
-        self._count(claim.seen.verdict, -1)
-        claim.seen = o
-        self._count(o.verdict, 1)
-
-    def _count(self, verdict: Verdict, by: int) -> None:
-        if verdict is Verdict.IN:
-            self.well += by
-        elif verdict in BAD:
-            self.out += by
-
-    def _remark(self, event: str, **fields: object) -> None:
-        if not self.guard.trusted or event.startswith("source"):
-            self.remarks.append(Remark(event, {"source": self.name, **fields}))
+        listed = self.in_service_count + self.unhealthy_count + len(self.held_losses)
+        remaining = self.in_service_count - len(self.return_times)
+        if remaining >= max(1, math.ceil(listed * self.guard.min_in_service - 1e-9)):
+            for engine_id in list(self.held_losses):
+                self._apply_loss(now, self.claims[engine_id], self.held_losses[engine_id].observation)
+        return bool(self.held_losses)
+
+    def _hold_loss(self, claim: Claim, observation: Observation) -> None:
+        self._count_status(claim.observation.status, -1)
+        claim.is_held, claim.observation = True, observation
+        self.held_losses[observation.id] = claim
+
+    def _release_loss(self, engine_id: str, claim: Claim) -> None:
+        """Hold a loss no longer. Its status isn't counted until `_set_observation` or the removal."""
+        if claim.is_held:
+            del self.held_losses[engine_id]
+            claim.is_held = False
+            self._count_status(claim.observation.status, 1)
+
+    def _set_observation(self, claim: Claim, observation: Observation) -> None:
+        self._release_loss(observation.id, claim)
+        self._count_status(claim.observation.status, -1)
+        claim.observation = observation
+        self._count_status(observation.status, 1)
+
+    def _count_status(self, status: ServiceStatus, by: int) -> None:
+        if status is ServiceStatus.IN_SERVICE:
+            self.in_service_count += by
+        elif status in LOSSES:
+            self.unhealthy_count += by
+
+    def _log(self, event: str, **fields: object) -> None:
+        if not self.guard.is_trusted or event.startswith("source"):
+            self.actions.append(LogEvent(event, {"source": self.name, **fields}))
--- a/cottonhold/discovery/start_times.py
+++ b/cottonhold/discovery/start_times.py
@@ -1,55 +1,55 @@
-"""When engines began, on this process's own clock, from what a source tells in Unix time. Pure.
+"""When engines started, on this process's own clock, from what a source reports in Unix time. Pure.
 
 The own wall clock may be off by seconds or by an hour, and so may the clock that stamped a start. So the
-difference between the stamps and the own clock is learned from the stamps themselves: no process was told
-of before it began, so the latest stamp, less the time when it was heard, is at most the true difference.
-What is worked out with it can be too late, which holds an engine to the cold budget for `warm_within` at
-most, and not too early, which would let a cold engine pass for warm. The own wall clock counts where it
-agrees with that but for the delay with which starts are usually told, where it makes a start later still (a
-stamp may be ahead), and where a start is longer past than any step explains.
-"""
+offset between the stamps and the own clock is learned from the stamps themselves: no process is reported
+before it starts, so the latest stamp, less the time at which it arrived, is at most the true offset. A start
+derived from it can be too late, which holds an engine to the cold budget for `warm_within` at most, and not
+too early, which would let a cold engine pass for warm. The own wall clock counts where it agrees with that
+but for the usual delay of reports, where it makes a start later still (a stamp may be ahead), and where a
+start is longer past than any clock step explains."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
 
-STEP_MS = 3_600_000.0  # the most that a wall clock is taken to be stepped by
-TOLD_LATE_MS = 5000.0  # a start is usually told sooner than this: lists are seconds late
-MOST_ERROR_MS = 2 * STEP_MS  # that the own one is taken to be off: two such steps
-LEAST = 1.0  # 0 means long past without a stamp
+MAX_CLOCK_STEP_MS = 3_600_000.0  # the largest step of a wall clock that is expected
+USUAL_DELAY_MS = 5000.0  # a start is usually reported within this: lists are seconds late
+MAX_CLOCK_ERROR_MS = 2 * MAX_CLOCK_STEP_MS  # of the own wall clock: two such steps
+MIN_START_MS = 1.0  # 0 means long past without a stamp
 
 
-class Starts:
-    """One source's stamps. unix_offset: the wall clock less the own clock, in ms, as read at the start."""
+class StartTimes:
+    """One source's stamps. unix_offset_ms: the wall clock less the own clock, as read at the start."""
 
-    def __init__(self, unix_offset: float) -> None:
-        self.most, self.least = unix_offset, unix_offset - MOST_ERROR_MS
-        self.learned = -math.inf  # the latest stamp less the own time when it was heard
-        self.current_at = -math.inf  # when the list was last known to hold all there was
+    def __init__(self, unix_offset_ms: float) -> None:
+        self.max_offset_ms, self.min_offset_ms = unix_offset_ms, unix_offset_ms - MAX_CLOCK_ERROR_MS
+        self.learned_offset_ms = -math.inf  # the latest stamp less the own time when it was heard
+        self.complete_at = -math.inf  # when the list was last known to hold all there was
 
-    def hear(self, now: float, stamps: Iterable[float]) -> None:
-        """Take in all stamps of one answer, before any of them is placed. Those of 0 or less tell nothing."""
+    def learn(self, now: float, stamps: Iterable[float]) -> None:
+        """Take in all stamps of one answer, before any start is derived. Those of 0 or less mean none."""
         latest = max((stamp for stamp in stamps if stamp > 0), default=-math.inf)
-        self.learned = max(self.learned, latest - now)
+        self.learned_offset_ms = max(self.learned_offset_ms, latest - now)
 
-    def current(self, now: float) -> None:
-        """The answer is taken in whole: what is told from now on has begun since, or shortly before."""
-        self.current_at = now
+    def on_complete_answer(self, now: float) -> None:
+        """A complete answer was taken in: what is reported from now on started since, or shortly before."""
+        self.complete_at = now
 
-    def place(self, now: float, stamp: float) -> float:
-        """The own time of a start that is told for the first time; now where the stamp makes no sense."""
+    def local_start(self, now: float, stamp: float) -> float:
+        """The own time of a start that is reported for the first time; now where the stamp makes no sense."""
         start = stamp - self._offset()
-        # Danger: a clock that is ahead made engines that had just begun look warm for long, and all
-        # dispatchers together brought them down.
-        if start > now or start < self.current_at - TOLD_LATE_MS:
+        # A clock that is ahead would make an engine that has just started look warm for long, and all
+        # dispatchers together would overload it.
+        if start > now or start < self.complete_at - USUAL_DELAY_MS:
             return now
-        return max(start, LEAST)
+        return max(start, MIN_START_MS)
 
     def _offset(self) -> float:
-        """What to take the stamps' clock to be ahead of the own one."""
-        # Danger: with what was learned alone each start counted as begun when it was told, seconds too late,
-        # and new engines stood idle beside full ones for as long.
-        if self.learned <= self.most < self.learned + TOLD_LATE_MS:
-            return self.most  # the wall clock agrees with what was told, but for a usual delay
-        return min(self.most, max(self.learned, self.least))
+        """How far the stamps' clock is taken to be ahead of the own one, in ms.
+
+        With the learned offset alone each start would count from when it was reported, seconds too late, and
+        a new engine would stay idle for as long."""
+        if self.learned_offset_ms <= self.max_offset_ms < self.learned_offset_ms + USUAL_DELAY_MS:
+            return self.max_offset_ms  # the wall clock agrees, but for the usual delay
+        return min(self.max_offset_ms, max(self.learned_offset_ms, self.min_offset_ms))
--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from cottonhold.discovery.model import Address, Change, Names, Observation, Verdict
+from cottonhold.discovery.model import Address, ConfiguredNames, EngineListChange, Observation, ServiceStatus
 from cottonhold.message_validation import WireError
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordError, RecordKind
@@ -35,7 +35,7 @@
     kept: the folder's records of engines, by id. `malformed` counts those that can't be read.
     """
 
-    def __init__(self, kept: Mapping[bytes, bytes], names: Names) -> None:
+    def __init__(self, kept: Mapping[bytes, bytes], names: ConfiguredNames) -> None:
         self.names, self.malformed = names, 0
         self.engines: dict[str, CachedEngine] = {}
         for key, value in kept.items():
@@ -58,14 +58,18 @@
             if id in named or address in taken or place.zone not in self.names.zones:
                 continue
             taken.add(address)
-            zone, model = self.names.zone(place.zone), self.names.model(place.machine_type)
-            found.append(Observation(id, Verdict.IN, REASON, address, zone, model, place.cell, place.size))
+            zone, model = self.names.zone_index(place.zone), self.names.machine_type_index(place.machine_type)
+            found.append(
+                Observation(
+                    id, ServiceStatus.IN_SERVICE, REASON, address, zone, model, place.cell, place.size
+                )
+            )
         return tuple(found)
 
-    def apply(self, change: Change) -> list[Record]:
+    def apply(self, change: EngineListChange) -> list[Record]:
         """What has to be written for a change of the list."""
         records = []
-        if change.whole:
+        if change.is_complete:
             gone = self.engines.keys() - {engine.id for engine in change.engines}
             records += [self._forget(id) for id in sorted(gone)]
         for engine in change.engines:
@@ -88,7 +92,7 @@
         where = str(address) if address is not None else known.address if known is not None else ""
         if not where or known is None and len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_ADDRESS]:
             return None
-        zones, models = self.names.zones, self.names.models
+        zones, models = self.names.zones, self.names.machine_types
         zone = zones[engine.zone] if engine.zone < len(zones) else ""
         model = models[engine.machine_type] if engine.machine_type < len(models) else ""
         return CachedEngine(where, zone, model, engine.cell, engine.size)
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -7,8 +7,8 @@
 from typing import Any, Protocol
 
 from cottonhold.backend.connection_pool import EngineConnections
-from cottonhold.discovery.model import Change
-from cottonhold.discovery.quarantine import Held
+from cottonhold.discovery.model import EngineListChange
+from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import DRAINS, Drains, DrainSettings, Kept, Knock, Settled, Tell, fresh
 from cottonhold.fleet.rolling_replacement import step_decision
@@ -27,7 +27,7 @@
 class Listed(Protocol):
     """The dispatcher, as far as engines of its list go."""
 
-    held: Held
+    held: Quarantine
     engines: EngineConnections
     counters: Counters
     log: Logs
@@ -35,7 +35,7 @@
     def listed(self) -> dict[str, Machine]:
         """All engines of the list."""
 
-    def republish(self, change: Change | None) -> None:
+    def republish(self, change: EngineListChange | None) -> None:
         """Publish what is held back now."""
 
 
@@ -156,7 +156,7 @@
     def _free(self, now: float, engine: str, record: Record | None) -> None:
         for record_of in self.kept.undrain(engine):
             self.records.put(record_of)
-        self.owner.republish(self.owner.held.free(engine, now if fresh(record) else 0.0))
+        self.owner.republish(self.owner.held.release(engine, now if fresh(record) else 0.0))
 
     def _settle(self, now: float, swap: Swap, live: set[int]) -> None:
         if not self.settled.over:
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -17,9 +17,17 @@
 
 from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.config.relay import Config, ConfigError, check_change, load
-from cottonhold.discovery.bus import SOURCE, Bus
-from cottonhold.discovery.engine_catalog import Belief
-from cottonhold.discovery.model import Address, Change, Confirm, Event, Guard, Publish, Remark
+from cottonhold.discovery.engine_catalog import EngineCatalog
+from cottonhold.discovery.event_stream import SOURCE, EventStream
+from cottonhold.discovery.model import (
+    Address,
+    ConfirmAbsence,
+    EngineListChange,
+    Event,
+    LogEvent,
+    PublishChange,
+    SourceGuard,
+)
 from cottonhold.frontend.mysql_session import ClientSessions
 from cottonhold.node.admin_api import AdminApi
 from cottonhold.node.clock import Timer
@@ -37,7 +45,7 @@
 BESIDE_MS = 300.0  # so often other processes of this dispatcher are looked for
 SEEN_MS = 250.0  # so long clients have to close, once all is said
 STARTING_MS = 3000.0  # so long one that leaves stays for a newer one that does not serve yet
-BUS_ONLY = ((SOURCE, Guard(trusted=True)),)
+BUS_ONLY = ((SOURCE, SourceGuard(is_trusted=True)),)
 
 
 class Logs(Protocol):
@@ -59,7 +67,7 @@
         counters: Counters,
         loop: asyncio.AbstractEventLoop,
         log: Logs,
-        sources: Sequence[tuple[str, Guard]] = BUS_ONLY,
+        sources: Sequence[tuple[str, SourceGuard]] = BUS_ONLY,
         make_socket: MakeSocket = socket.socket,
     ) -> None:
         self.config, self.counters, self.log = config, counters, log
@@ -86,10 +94,10 @@
         self.admin_api = AdminApi(self.lifecycle, clock, counters, log.note, self.descriptor_quotas.calls)
         self.peer_datagrams = PeerDatagrams(config.peers, config.peers_all, counters, say)
         self.gateway.send_to_peer = self.send_to_peer
-        self.engine_catalog = Belief(sources, config.seed, clock.unix_offset)
+        self.engine_catalog = EngineCatalog(sources, config.seed, clock.unix_offset)
         self.catalog_timer: Timer | None = None
         host = config.event_stream.host if config.event_stream else ""
-        self.event_stream = Bus(
+        self.event_stream = EventStream(
             host,
             config.event_offset,
             config.names,
@@ -97,7 +105,9 @@
             lambda report: self.on_discovery_events([report]),
             say,
         )
-        self.event_stream.current = lambda: self.engine_catalog.current(clock.now(), SOURCE)
+        self.event_stream.on_complete_answer = lambda: self.engine_catalog.on_complete_answer(
+            clock.now(), SOURCE
+        )
         self.shutdown_requested, self.is_serving = asyncio.Event(), False
         self.event_stream_task: asyncio.Task[None] | None = None
 
@@ -112,11 +122,11 @@
         now = self.event_loop.clock.now()
         for action in self.engine_catalog.step(now, events):
             match action:
-                case Publish(change):
+                case PublishChange(change):
                     self.on_engine_list(change)
-                case Confirm(source, absent):
+                case ConfirmAbsence(source, absent):
                     self.confirm_absent(source, absent)
-                case Remark(event, fields):
+                case LogEvent(event, fields):
                     self.counters.add(f"discovery_{event}")
                     self.log.note(event, **fields)
         if self.catalog_timer is not None:
@@ -128,7 +138,7 @@
                 at - now + 1, lambda: self.on_discovery_events(())
             )
 
-    def on_engine_list(self, change: Change) -> None:
+    def on_engine_list(self, change: EngineListChange) -> None:
         """Tell the parts of a change of the engine list."""
         self.gateway.on_engine_list(change)
 
@@ -184,7 +194,7 @@
         """Serve until told to stop, then finish what is open."""
         driver, config = self.event_loop, self.config
         self.on_discovery_events(config.initial_reports)
-        self.event_stream.current()
+        self.event_stream.on_complete_answer()
         if (peer_listen := config.peer_listen) is not None:
             udp = await driver.open_with_retry(lambda: driver.udp_socket(peer_listen))
             driver.receive_datagrams(udp, self.peer_datagrams, self.gateway.push, self.on_other_datagram)
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -15,7 +15,7 @@
 
 from cottonhold.backend.connection_pool import Attempt, EngineConnections
 from cottonhold.backend.resp import Rows
-from cottonhold.discovery.model import Change
+from cottonhold.discovery.model import EngineListChange
 from cottonhold.node.clock import Clock
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.actions import (
@@ -226,10 +226,10 @@
             self.is_step_scheduled = True
             self.clock.call_soon(self._step)
 
-    def on_engine_list(self, change: Change) -> None:
+    def on_engine_list(self, change: EngineListChange) -> None:
         """The engine list has changed."""
         self.engines.apply(change)
-        self.push(EngineList(change.engines, change.whole))
+        self.push(EngineList(change.engines, change.is_complete))
 
     def accept(self, taken: ClientRequest, client: ResponseSink) -> OpenRequest:
         """A request has come whole."""
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -17,8 +17,8 @@
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.registration import Registration
 from cottonhold.discovery.consul.watch import Watch
-from cottonhold.discovery.model import Address, Change, Event, Publish
-from cottonhold.discovery.quarantine import Held
+from cottonhold.discovery.model import Address, EngineListChange, Event, PublishChange
+from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import DrainSettings, Kept
 from cottonhold.fleet.recovery.cached_engines import EngineCache
@@ -79,7 +79,7 @@
     ) -> None:
         super().__init__(installation.config, Counters(), loop, log, installation.sources)
         self.path, self.installation, self.structured = path, installation, log
-        self.held = Held()
+        self.held = Quarantine()
         self.watches: dict[str, tuple[Watched, Watch, asyncio.Task[None]]] = {}
         self.entry: consul_client.Entry | None = None
         self.membership: MembershipRim | None = None
@@ -128,7 +128,7 @@
         def let_go() -> None:
             kept = self.swap.drains.kept.engines if self.swap is not None else set[str]()
             for engine in sorted(engines - kept):
-                self.republish(self.held.free(engine))
+                self.republish(self.held.release(engine))
 
         for engine in sorted(engines):
             self.republish(self.held.hold(engine))
@@ -306,12 +306,12 @@
         if self.fleet is not None:
             self.fleet.set_process_count(1 + self.sibling_count)
 
-    def on_engine_list(self, change: Change) -> None:
+    def on_engine_list(self, change: EngineListChange) -> None:
         """Engines in service are also what the duty of probing is about."""
         if self.remembered is not None and self.recovery is not None and self._answered():
             if records := self.remembered.apply(change):
                 self.recovery.ledger.put(records)
-        self.republish(self.held.take(change))
+        self.republish(self.held.on_change(change))
 
     def _listed(self) -> bool:
         """The own list is a source's word, or none has come for so long that service must go on without."""
@@ -320,15 +320,15 @@
 
     def _answered(self) -> bool:
         """Whether any source has answered since the start."""
-        return any(view.answers for view in self.engine_catalog.views.values())
+        return any(view.answer_count for view in self.engine_catalog.views.values())
 
-    def republish(self, change: Change | None) -> None:
+    def republish(self, change: EngineListChange | None) -> None:
         """What the fleet holds back of the list, or does no longer, is published as a change of it is."""
         if change is None:
             return
         super().on_engine_list(change)
         if self.membership is not None:
-            live = self.held.live()
+            live = self.held.live_engines()
             self.membership.engines(live)
             if self.fleet is not None:
                 self.fleet.set_engines(self._by_zone(live))
@@ -347,10 +347,10 @@
 
     def listed(self) -> dict[str, Machine]:
         """All engines of the list as machines of a swap; their lives are the starts that sources tell."""
-        zones, live, found = self.installation.file.zones, self.held.live(), dict[str, Machine]()
-        for id, info in self.held.known.items():
+        zones, live, found = self.installation.file.zones, self.held.live_engines(), dict[str, Machine]()
+        for id, info in self.held.listed.items():
             claims = (view.claims.get(id) for view in self.engine_catalog.views.values())
-            life = int(max((c.seen.started_at for c in claims if c is not None), default=0.0))
+            life = int(max((c.observation.started_at for c in claims if c is not None), default=0.0))
             found[id] = Machine(id, zones[info.zone], self._cores(info), True, life, counted=id in live)
         return found
 
@@ -456,8 +456,8 @@
             self.log.note("engines_remembered", engines=len(known) - len(self.installation.known))
         if not known:
             return
-        for action in self.engine_catalog.seed_known(now, known):
-            if isinstance(action, Publish):
+        for action in self.engine_catalog.set_initial(now, known):
+            if isinstance(action, PublishChange):
                 self.on_engine_list(action.change)
 
     def _watch(self, watched: Watched) -> None:
@@ -488,12 +488,12 @@
     def _report_silence(self) -> None:
         """Danger: a dispatcher that knows nobody refuses everything, and nobody would know why."""
         for name, view in self.engine_catalog.views.items():
-            if view.answers == 0:
+            if view.answer_count == 0:
                 self.log.note(
                     "source_unheard",
                     source=name,
                     after_s=FIRST_ANSWER_S,
-                    engines_known=len(self.engine_catalog.standing),
+                    engines_known=len(self.engine_catalog.published),
                 )
 
     def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
@@ -548,7 +548,7 @@
                 self._watch(kept)  # its first answer is a whole list, compared with all that is claimed
         now = self.event_loop.clock.now()
         for action in self.engine_catalog.reload(now, new.sources):
-            if isinstance(action, Publish):
+            if isinstance(action, PublishChange):
                 self.on_engine_list(action.change)
         for watched in new.watched:
             if watched.settings.name not in self.watches:
--- a/cottonhold/transport/event_loop.py
+++ b/cottonhold/transport/event_loop.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 from cottonhold.backend.connection_pool import Connection
-from cottonhold.discovery.bus import ANSWER_MS, MOST_ANSWER_MS, Bus
+from cottonhold.discovery.event_stream import FIRST_BYTE_TIMEOUT_MS, MAX_ANSWER_MS, EventStream
 from cottonhold.discovery.model import Address
 from cottonhold.frontend.mysql_session import ClientSessions, Session
 from cottonhold.message_validation import WireError
@@ -581,15 +581,15 @@
 
     # --- event bus ---
 
-    async def follow_event_stream(self, bus: Bus, address: Address) -> None:
+    async def follow_event_stream(self, bus: EventStream, address: Address) -> None:
         """Keep a long poll open until cancelled; a broken link is opened anew, ever less often."""
         pause = BACKOFF_S
         while True:
             sock = None
             try:
-                sock = await self.dial(address, ANSWER_MS / 1000)
+                sock = await self.dial(address, FIRST_BYTE_TIMEOUT_MS / 1000)
                 bus.restart()
-                while bus.keep:
+                while bus.keeps_connection:
                     began, known = self.loop.time(), bus.offset
                     await self._poll(bus, sock)
                     if bus.offset > known or self.loop.time() - began > MOST_BACKOFF_S:
@@ -616,20 +616,20 @@
         await asyncio.sleep(pause * (0.5 + 0.5 * random.random()))
         return min(pause * 2, MOST_BACKOFF_S)
 
-    async def _poll(self, bus: Bus, sock: socket.socket) -> None:
+    async def _poll(self, bus: EventStream, sock: socket.socket) -> None:
         """One call and its answer, which may come slowly as long as it comes."""
         buffer = bytearray(ENGINE_BYTES)
-        until = self.loop.time() + bus.limit_ms() / 1000
+        until = self.loop.time() + bus.first_byte_timeout_ms() / 1000
         async with asyncio.timeout_at(until) as limit:
             await self.loop.sock_sendall(sock, bus.request())
             whole = False
             while not whole:
                 count = await self.loop.sock_recv_into(sock, buffer)
                 if count == 0:
-                    bus.end()
+                    bus.on_connection_closed()
                     return
                 # Danger: a long list over a slow link was cut off, and asked for anew, for good.
-                late = min(self.loop.time() + ANSWER_MS / 1000, until + MOST_ANSWER_MS / 1000)
+                late = min(self.loop.time() + FIRST_BYTE_TIMEOUT_MS / 1000, until + MAX_ANSWER_MS / 1000)
                 limit.reschedule(max(until, late))
                 whole = bus.receive(bytes(memoryview(buffer)[:count]))
 
--- a/tests/backend/test_engine_restarts.py
+++ b/tests/backend/test_engine_restarts.py
@@ -4,9 +4,17 @@
 
 import pytest
 
-from cottonhold.discovery.bus import SOURCE
-from cottonhold.discovery.engine_catalog import Belief
-from cottonhold.discovery.model import Address, Change, Guard, Observation, Publish, Report, Verdict
+from cottonhold.discovery.engine_catalog import EngineCatalog
+from cottonhold.discovery.event_stream import SOURCE
+from cottonhold.discovery.model import (
+    Address,
+    EngineListChange,
+    Observation,
+    PublishChange,
+    ServiceStatus,
+    SourceGuard,
+    SourceReport,
+)
 from cottonhold.scheduler.events import Engine
 from tests.support.scenario import World
 
@@ -20,17 +28,17 @@
     def __init__(self, wrong: float) -> None:
         super().__init__(engines="a")
         self.offset = UNIX - self.clock.at
-        self.belief = Belief(((SOURCE, Guard(trusted=True)),), 1, self.offset + wrong * 1000)
+        self.belief = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1, self.offset + wrong * 1000)
         self.tell(0.0)
 
     def tell(self, started: float) -> None:
         """The list tells of a start at a time of the own clock; 0: long past."""
         stamp = started + self.offset if started else 0.0
-        engine = Observation("a", Verdict.IN, "Ready", Address("a", 1), started_at=stamp)
-        for action in self.belief.step(self.clock.at, [Report(SOURCE, 1, (engine,))]):
-            if isinstance(action, Publish):
+        engine = Observation("a", ServiceStatus.IN_SERVICE, "Ready", Address("a", 1), started_at=stamp)
+        for action in self.belief.step(self.clock.at, [SourceReport(SOURCE, 1, (engine,))]):
+            if isinstance(action, PublishChange):
                 self.gateway.on_engine_list(action.change)
-        self.belief.current(self.clock.at, SOURCE)
+        self.belief.on_complete_answer(self.clock.at, SOURCE)
         self.wait(0)
 
 
@@ -114,7 +122,7 @@
     world.run("c1 query lookup r1 allow=9000\ne1 expect GET r1 *")
     if not out:
         world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
-    moved = Change((Engine("a"),), {"a": Address("elsewhere", 1)}, whole=False)
+    moved = EngineListChange((Engine("a"),), {"a": Address("elsewhere", 1)}, is_complete=False)
     world.gateway.on_engine_list(moved)
     world.run("c2 query lookup r2 allow=9000\ne2 expect GET r2 *\ne1 expect nothing")
     assert world.lines[0].connection.is_closed is not out
--- a/tests/config/test_installation.py
+++ b/tests/config/test_installation.py
@@ -11,7 +11,7 @@
 from cottonhold.cli.main import app
 from cottonhold.config.installation import Unusable, read
 from cottonhold.config.locate import lines_of
-from cottonhold.discovery.model import Address, Verdict
+from cottonhold.discovery.model import Address, ServiceStatus
 
 GOOD = """
 local base = { aim_ms: 1000, deadline_ms: 5000 };
@@ -49,8 +49,8 @@
     assert got.config.listen == Address("127.0.0.1", 3306) and got.config.seed == 7
     assert [c.name for c in got.config.settings.classes] == ["lookup", "load"]
     assert got.watched[0].settings.addresses[1] == Address("::1", 8500)
-    assert got.sources[0][0] == "dc1" and not got.sources[0][1].trusted
-    assert got.watched[0].reading.zone == "z1" and got.watched[0].reading.warning is Verdict.IN
+    assert got.sources[0][0] == "dc1" and not got.sources[0][1].is_trusted
+    assert got.watched[0].reading.zone == "z1" and got.watched[0].reading.warning is ServiceStatus.IN_SERVICE
 
 
 # What is changed in the good file, and the lines that come of it: the deliberately bad files.
--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from cottonhold.discovery.bus import FIRST_HOLD_MS, HOLD_MS, Bus
-from cottonhold.discovery.model import Address, Names, Report, Verdict
+from cottonhold.discovery.event_stream import FIRST_POLL_MS, LONG_POLL_MS, EventStream
+from cottonhold.discovery.model import Address, ConfiguredNames, ServiceStatus, SourceReport
 from cottonhold.frontend.query_comment import table_group
 from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.counters import Counters
@@ -96,9 +96,11 @@
     assert table_group("SELECT 'FROM x_4.t' /* y_5.u */ FROM s_8.t") == 8
 
 
-def bus_at(offset: int = 3) -> tuple[Bus, list[Report]]:
-    told: list[Report] = []
-    return Bus("h", offset, Names(("west", "east"), ("small", "std")), Counters(), told.append), told
+def bus_at(offset: int = 3) -> tuple[EventStream, list[SourceReport]]:
+    told: list[SourceReport] = []
+    return EventStream(
+        "h", offset, ConfiguredNames(("west", "east"), ("small", "std")), Counters(), told.append
+    ), told
 
 
 def bus_answer(offset: int, *events: tuple[int, str, int]) -> bytes:
@@ -120,30 +122,30 @@
 
 def bus_call() -> None:
     bus, _ = bus_at()
-    assert bus.request().startswith(f"GET /bus/read?from=3&hold={FIRST_HOLD_MS} HTTP/1.1\r\n".encode())
-    assert FIRST_HOLD_MS <= HOLD_MS <= 5000
+    assert bus.request().startswith(f"GET /bus/read?from=3&hold={FIRST_POLL_MS} HTTP/1.1\r\n".encode())
+    assert FIRST_POLL_MS <= LONG_POLL_MS <= 5000
     bus.receive(bus_answer(9, (9, "Ready", 0)))
-    assert bus.request().startswith(f"GET /bus/read?from=9&hold={HOLD_MS} HTTP/1.1\r\n".encode())
+    assert bus.request().startswith(f"GET /bus/read?from=9&hold={LONG_POLL_MS} HTTP/1.1\r\n".encode())
 
 
 def bus_whole_and_changes() -> None:
     bus, told = bus_at(0)
     bus.receive(bus_answer(2, (1, "Ready", 0), (2, "Ready", 0)))
-    assert [report.whole for report in told] == [True, False]
+    assert [report.is_complete for report in told] == [True, False]
 
 
 def bus_states() -> None:
     bus, told = bus_at()
     bus.receive(bus_answer(6, (4, "Ready", 0), (5, "Terminating", 0), (6, "Gone", 0)))
-    got = [report.observations[0].verdict for report in told]
-    assert got == [Verdict.IN, Verdict.DRAINED, Verdict.ENDED]
+    got = [report.observations[0].status for report in told]
+    assert got == [ServiceStatus.IN_SERVICE, ServiceStatus.DRAINED, ServiceStatus.ENDED]
 
 
 def bus_late_start() -> None:
     bus, told = bus_at()
     bus.receive(bus_answer(4, (4, "Ready", 1_790_000_000_000)))
     (engine,) = told[0].observations
-    assert (engine.started_at, engine.zone, engine.model, engine.cell) == (1.79e12, 1, 1, 2)
+    assert (engine.started_at, engine.zone, engine.machine_type, engine.cell) == (1.79e12, 1, 1, 2)
 
 
 def address_used_again() -> None:
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from cottonhold.discovery.model import Address, Change, Names
+from cottonhold.discovery.model import Address, ConfiguredNames, EngineListChange
 from cottonhold.fleet import engine_drain
 from cottonhold.fleet.admission import loads
 from cottonhold.fleet.admission.threshold import ReportedLoad
@@ -262,9 +262,9 @@
 
 def engine_records() -> bytes:
     """What is kept of an engine of the list."""
-    names = Names(("a", "b"), ("std", "big"))
+    names = ConfiguredNames(("a", "b"), ("std", "big"))
     info = Engine("e1", zone=1, machine_type=1, cell=3, size=2.5)
-    change = Change((info,), {"e1": Address("10.1.2.3", 4500)}, True)
+    change = EngineListChange((info,), {"e1": Address("10.1.2.3", 4500)}, True)
     taken = cached_engines.EngineCache({}, names).apply(change)
     return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
 
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -12,13 +12,13 @@
 from cottonhold import simulator_adapter
 from cottonhold.backend.connection_pool import Connection
 from cottonhold.backend.resp import RespReader
-from cottonhold.discovery.bus import Bus
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.checks import Reading
 from cottonhold.discovery.consul.exchange import Answer
 from cottonhold.discovery.consul.registration import Registration, RegistrationSettings
 from cottonhold.discovery.consul.watch import Watch, WatchSettings
-from cottonhold.discovery.model import Address, Names
+from cottonhold.discovery.event_stream import EventStream
+from cottonhold.discovery.model import Address, ConfiguredNames
 from cottonhold.node.admin_api import AdminApi
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
@@ -140,7 +140,7 @@
 
 def bus_requests() -> list[str]:
     """The long poll of the event bus, short and long."""
-    bus = Bus("bus.local", 7, Names((), ()), Counters(), lambda report: None)
+    bus = EventStream("bus.local", 7, ConfiguredNames((), ()), Counters(), lambda report: None)
     requests = [bus.request().decode()]
     body = json.dumps({"offset": 7, "batch": []})
     bus.receive(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
@@ -153,7 +153,7 @@
     settings = WatchSettings(
         "dc1", (place,), "engine", datacenter="dc-1", filter='"a" in Tags', tag="blue", token="t"
     )
-    watch = Watch(settings, Answers(Names((), ()), Reading(), lambda text: None), 1)
+    watch = Watch(settings, Answers(ConfiguredNames((), ()), Reading(), lambda text: None), 1)
     written = [watch.call().encode("agent").decode()]
     watch.answered(Answer(200, {"x-consul-index": "12"}, b"[]"))
     written.append(watch.call().encode("agent").decode())
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from cottonhold.backend.resp import RespError, RespReader, encode, read_count, read_fields, read_rows
-from cottonhold.discovery.bus import Bus
-from cottonhold.discovery.model import Address, Names
+from cottonhold.discovery.event_stream import EventStream
+from cottonhold.discovery.model import Address, ConfiguredNames
 from cottonhold.frontend.mysql_session import MOST_PACKET
 from cottonhold.frontend.query_comment import FieldError, parse
 from cottonhold.node.admin_api import AdminApi
@@ -200,7 +200,7 @@
         session.receive(packet(1, LOGIN.replace(b"app", b"a\nb")))
         peers.decode(b"x", ("stranger", 1))
         world.engines.on_malformed_answer("engine a: nonsense")
-    bus = Bus("h", 1, Names(("z",), ("a",)), world.counters, lambda report: None, log.say)
+    bus = EventStream("h", 1, ConfiguredNames(("z",), ("a",)), world.counters, lambda report: None, log.say)
     assert bus.receive(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
     names = ("client_malformed", "peer_malformed", "engine_malformed", "bus_malformed")
     assert [world.counters.counts[name] for name in names] == [50] * 4
--- a/tests/discovery/test_consul_parts.py
+++ b/tests/discovery/test_consul_parts.py
@@ -15,11 +15,11 @@
 from cottonhold.discovery.consul.exchange import Answer, Call, Exchange
 from cottonhold.discovery.consul.registration import Phase, Registration, RegistrationSettings
 from cottonhold.discovery.consul.watch import Watch, WatchSettings
-from cottonhold.discovery.model import Address, Lost, Names, Report, Verdict
+from cottonhold.discovery.model import Address, ConfiguredNames, ServiceStatus, SourceLost, SourceReport
 from cottonhold.message_validation import WireError
 from tests.support.drawn_cases import ODD, changed, places
 
-NAMES = Names(("z0", "z1"), ("std", "big"))
+NAMES = ConfiguredNames(("z0", "z1"), ("std", "big"))
 SERF = {"CheckID": "serfHealth", "Status": "passing", "Output": "Agent alive"}
 
 
@@ -48,44 +48,49 @@
 @pytest.mark.parametrize(
     "checks, reading, verdict, reason",
     [
-        ([check("passing")], {}, Verdict.IN, "passing"),
-        ([check("warning")], {}, Verdict.IN, "check check:e1 is warning: words"),
-        ([check("warning")], {"warning": Verdict.TROUBLED}, Verdict.TROUBLED, "check check:e1 is warning"),
-        ([check("critical")], {}, Verdict.TROUBLED, "check check:e1 is critical: words"),
-        ([check("odd")], {}, Verdict.TROUBLED, "check check:e1 is 'odd', which isn't known"),
+        ([check("passing")], {}, ServiceStatus.IN_SERVICE, "passing"),
+        ([check("warning")], {}, ServiceStatus.IN_SERVICE, "check check:e1 is warning: words"),
+        (
+            [check("warning")],
+            {"warning": ServiceStatus.UNHEALTHY},
+            ServiceStatus.UNHEALTHY,
+            "check check:e1 is warning",
+        ),
+        ([check("critical")], {}, ServiceStatus.UNHEALTHY, "check check:e1 is critical: words"),
+        ([check("odd")], {}, ServiceStatus.UNHEALTHY, "check check:e1 is 'odd', which isn't known"),
         (
             [check("passing"), check("critical", "serfHealth", "")],
             {},
-            Verdict.TROUBLED,
+            ServiceStatus.UNHEALTHY,
             "the node has failed",
         ),
-        ([check("passing", "x", "other")], {}, Verdict.IN, "no check of its own"),
+        ([check("passing", "x", "other")], {}, ServiceStatus.IN_SERVICE, "no check of its own"),
         (
             [check("passing", "x", "")],
-            {"unchecked": Verdict.TROUBLED},
-            Verdict.TROUBLED,
+            {"unchecked": ServiceStatus.UNHEALTHY},
+            ServiceStatus.UNHEALTHY,
             "no check of its own",
         ),
         (
             [check("critical"), check("critical", "_service_maintenance:e1", notes="", Notes="disk swap")],
             {},
-            Verdict.DRAINED,
+            ServiceStatus.DRAINED,
             "service maintenance: disk swap",
         ),
         (
             [check("passing"), check("critical", "_node_maintenance", "")],
             {},
-            Verdict.DRAINED,
+            ServiceStatus.DRAINED,
             "node maintenance: words",
         ),
     ],
 )
 def test_the_table_of_states(
-    checks: list[Any], reading: dict[str, Any], verdict: Verdict, reason: str
+    checks: list[Any], reading: dict[str, Any], verdict: ServiceStatus, reason: str
 ) -> None:
     reader, _ = answers(Reading(**reading))
     (got,) = reader.read(body(entry("e1", *checks))).observations
-    assert got.verdict is verdict and got.reason.startswith(reason)
+    assert got.status is verdict and got.reason.startswith(reason)
 
 
 def test_an_entry_becomes_an_observation() -> None:
@@ -96,9 +101,13 @@
         body(entry(service=service, **meta), entry("e2", cell="x", started_at_ms="nan"))
     ).observations
     first, second = got
-    assert first.address == Address("10.0.0.7", 1000) and (first.zone, first.model, first.cell) == (1, 1, 3)
-    assert (first.size, first.started_at, first.process) == (4.0, 1.7e12, "1700000000000")
-    assert second.address == Address("10.0.0.1", 1000) and (second.cell, second.process) == (0, "")
+    assert first.address == Address("10.0.0.7", 1000) and (first.zone, first.machine_type, first.cell) == (
+        1,
+        1,
+        3,
+    )
+    assert (first.size, first.started_at, first.process_id) == (4.0, 1.7e12, "1700000000000")
+    assert second.address == Address("10.0.0.1", 1000) and (second.cell, second.process_id) == (0, "")
     assert not malformed
 
 
@@ -267,7 +276,7 @@
     assert first.target == "/v1/health/service/engine?dc=z1&filter=Service.Meta.a+%3D%3D+%22b%22&tag=t&stale"
     assert first.headers == {"X-Consul-Token": "secret"} and first.first_ms == 1000
     (report,) = w.answered(ok(body(entry())))
-    assert isinstance(report, Report) and [o.id for o in report.observations] == ["e1"]
+    assert isinstance(report, SourceReport) and [o.id for o in report.observations] == ["e1"]
     second = w.call()
     assert (
         "index=7&wait=8000ms" in second.target and second.first_ms == 9500
@@ -277,16 +286,16 @@
 def test_after_the_wait_the_same_answer_tells_only_that_all_is_as_it_was() -> None:
     w = watch()
     w.answered(ok(body(entry())))
-    assert w.answered(ok(body(entry()))) == [Report("dc1", 7)] and w.answers.decoded == 1
+    assert w.answered(ok(body(entry()))) == [SourceReport("dc1", 7)] and w.answers.decoded == 1
 
 
 def test_a_full_list_after_an_empty_one_under_the_same_index_is_read() -> None:
     """Found against the stand-in: the index alone was taken as proof that nothing had changed."""
     w = watch()
     w.answered(ok(body(entry())))
-    assert w.answered(ok(b"[]")) == [Report("dc1", 7, absent=("e1",))]
+    assert w.answered(ok(b"[]")) == [SourceReport("dc1", 7, absent=("e1",))]
     (report,) = w.answered(ok(body(entry())))
-    assert isinstance(report, Report) and [o.id for o in report.observations] == ["e1"]
+    assert isinstance(report, SourceReport) and [o.id for o in report.observations] == ["e1"]
 
 
 @pytest.mark.parametrize("index, following", [("3", ""), ("0", ""), ("9", "index=9")])
@@ -306,7 +315,7 @@
 @pytest.mark.parametrize("bad", [{"x-consul-index": "x"}, {}, {"x-consul-index": "-1"}])
 def test_an_answer_without_a_usable_index_is_a_failure(bad: dict[str, str]) -> None:
     (event,) = watch().answered(Answer(200, bad, body(entry())))
-    assert isinstance(event, Lost) and "X-Consul-Index" in event.why
+    assert isinstance(event, SourceLost) and "X-Consul-Index" in event.reason
 
 
 @pytest.mark.parametrize("headers", [{"x_consul_knownleader": "false"}, {"x_consul_lastcontact": "5000"}])
@@ -314,7 +323,7 @@
     w = watch()
     assert w.answered(ok(b"[]", **headers)) == [] and "stale" not in w.call().target
     (event,) = w.answered(ok(b"[]", **headers))
-    assert isinstance(event, Lost)
+    assert isinstance(event, SourceLost)
     assert w.call().target.endswith("?stale")
 
 
@@ -348,7 +357,7 @@
 ) -> None:
     w = watch()
     (event,) = w.answered(Answer(status, headers, b"Permission\ndenied"))
-    assert event == Lost("dc1", f"10.0.0.1:8500: status {status}: Permission denied")
+    assert event == SourceLost("dc1", f"10.0.0.1:8500: status {status}: Permission denied")
     assert least <= w.pause_ms <= most
 
 
@@ -362,7 +371,7 @@
     assert "health" in w.call().target
     w.confirm(("e1", "e2"))
     listed = json.dumps([{"Node": "n", "ServiceID": "e2"}]).encode()
-    assert w.answered(Answer(200, {}, listed)) == [Report("dc1", 8, absent=("e1",), confirmed=True)]
+    assert w.answered(Answer(200, {}, listed)) == [SourceReport("dc1", 8, absent=("e1",), is_confirmed=True)]
     assert "health" in w.call().target
     w.confirm(("e1",))
     w.failed("cut")
--- a/tests/discovery/test_engine_catalog.py
+++ b/tests/discovery/test_engine_catalog.py
@@ -8,38 +8,43 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from cottonhold.discovery.engine_catalog import Belief
+from cottonhold.discovery.engine_catalog import EngineCatalog
 from cottonhold.discovery.model import (
     Action,
     Address,
-    Confirm,
+    ConfirmAbsence,
     Event,
-    Guard,
-    Lost,
+    LogEvent,
     Observation,
-    Publish,
-    Remark,
-    Report,
-    Verdict,
+    PublishChange,
+    ServiceStatus,
+    SourceGuard,
+    SourceLost,
+    SourceReport,
 )
 from cottonhold.scheduler.events import Engine, EngineState
 
 LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.REMOVED
-IN, TROUBLED, DRAINED, ENDED = Verdict.IN, Verdict.TROUBLED, Verdict.DRAINED, Verdict.ENDED
-GUARD = Guard(jitter=0.0)
+IN, TROUBLED, DRAINED, ENDED = (
+    ServiceStatus.IN_SERVICE,
+    ServiceStatus.UNHEALTHY,
+    ServiceStatus.DRAINED,
+    ServiceStatus.ENDED,
+)
+GUARD = SourceGuard(jitter=0.0)
 
 
-def seen(name: str, verdict: Verdict = IN, **more: Any) -> Observation:
+def seen(name: str, verdict: ServiceStatus = IN, **more: Any) -> Observation:
     number = int(name[1:]) if name[1:].isdigit() else 0
-    given = {"address": Address("10.0.0.1", 1000 + number), "registered": 5, **more}
+    given = {"address": Address("10.0.0.1", 1000 + number), "registration_index": 5, **more}
     return Observation(name, verdict, **given)
 
 
 class Told:
     """A belief, and what has been published of it."""
 
-    def __init__(self, *sources: tuple[str, Guard], seed: int = 1) -> None:
-        self.belief = Belief(sources or (("dc1", GUARD),), seed)
+    def __init__(self, *sources: tuple[str, SourceGuard], seed: int = 1) -> None:
+        self.belief = EngineCatalog(sources or (("dc1", GUARD),), seed)
         self.engines: dict[str, Engine] = {}
         self.addresses: dict[str, Address] = {}
         self.published: list[tuple[float, str, EngineState]] = []
@@ -53,7 +58,7 @@
     def take(self, actions: list[Action]) -> list[Action]:
         self.actions = actions
         for action in self.actions:
-            if isinstance(action, Publish):
+            if isinstance(action, PublishChange):
                 for engine in action.change.engines:
                     self.engines[engine.id] = engine
                     self.published.append((self.now, engine.id, engine.state))
@@ -61,7 +66,7 @@
         return self.actions
 
     def tell(self, *observations: Observation, source: str = "dc1", at: float | None = None) -> list[Action]:
-        return self.step(Report(source, 7, observations, whole=True), at=at)
+        return self.step(SourceReport(source, 7, observations, is_complete=True), at=at)
 
     def states(self) -> dict[str, EngineState]:
         return {id: e.state for id, e in sorted(self.engines.items()) if e.state is not GONE}
@@ -70,10 +75,10 @@
         return [id for id, state in self.states().items() if state is LIVE]
 
     def events(self) -> list[str]:
-        return [a.event for a in self.actions if isinstance(a, Remark)]
+        return [a.event for a in self.actions if isinstance(a, LogEvent)]
 
 
-def five(*bad: str, verdict: Verdict = TROUBLED) -> list[Observation]:
+def five(*bad: str, verdict: ServiceStatus = TROUBLED) -> list[Observation]:
     return [seen(f"e{i}", verdict if f"e{i}" in bad else IN) for i in range(5)]
 
 
@@ -93,7 +98,7 @@
 def test_an_engine_that_comes_back_counts_as_cold_unless_its_process_is_proven_the_same() -> None:
     for process, started in (("", 3100.0), ("77", 77.0)):
         told = Told()
-        more: dict[str, Any] = {"process": process, "started_at": float(process or 0)}
+        more: dict[str, Any] = {"process_id": process, "started_at": float(process or 0)}
         told.tell(*five(), seen("e9", **more))
         told.tell(*five(), seen("e9", TROUBLED, **more), at=2000)
         told.tell(*five(), seen("e9", **more), at=2100)
@@ -113,8 +118,8 @@
     told.step(at=120_000)
     assert told.live() == ["e0", "e1", "e2", "e3", "e4"]
     quiet = told.belief.views["dc1"].damping
-    assert 0 < quiet.count("e1", 180_000) < 10 * 0.5**2  # and it is forgotten by and by
-    assert quiet.count("e1", 3_000_000) == 0 and not quiet.falls
+    assert 0 < quiet.failure_count("e1", 180_000) < 10 * 0.5**2  # and it is forgotten by and by
+    assert quiet.failure_count("e1", 3_000_000) == 0 and not quiet.counts
 
 
 def test_all_critical_within_one_answer_leaves_the_last_list_in_force() -> None:
@@ -130,9 +135,9 @@
     told = Told()
     told.tell(*five())
     told.tell()
-    assert len(told.live()) == 5 and Confirm("dc1", ("e0", "e1", "e2", "e3", "e4")) in told.actions
-    told.step(Report("dc1", 8, absent=("e0", "e1", "e2"), confirmed=True))
-    assert told.live() == ["e3", "e4"] and not [a for a in told.actions if isinstance(a, Confirm)]
+    assert len(told.live()) == 5 and ConfirmAbsence("dc1", ("e0", "e1", "e2", "e3", "e4")) in told.actions
+    told.step(SourceReport("dc1", 8, absent=("e0", "e1", "e2"), is_confirmed=True))
+    assert told.live() == ["e3", "e4"] and not [a for a in told.actions if isinstance(a, ConfirmAbsence)]
 
 
 def test_one_engine_told_as_deregistered_does_count_but_not_the_last() -> None:
@@ -167,7 +172,7 @@
 def test_registered_anew_under_the_same_id_is_a_new_process_though_no_gap_was_seen() -> None:
     told = Told()
     told.tell(*five())
-    told.tell(*five()[1:], seen("e0", registered=9), at=5000)
+    told.tell(*five()[1:], seen("e0", registration_index=9), at=5000)
     assert told.engines["e0"] == Engine("e0", started_at=5000.0)
 
 
@@ -182,7 +187,7 @@
 def test_a_new_id_at_an_old_address_takes_it_and_the_old_id_gets_nothing_new() -> None:
     told = Told()
     told.tell(*five())
-    told.tell(*five(), seen("e9", address=seen("e0").address, registered=9), at=5000)
+    told.tell(*five(), seen("e9", address=seen("e0").address, registration_index=9), at=5000)
     assert told.states()["e9"] is LIVE and told.engines["e9"].started_at == 5000
     assert told.states()["e0"] is DRAINING and "address_taken" in told.events()
     told.tell(*five(), at=6000)
@@ -192,18 +197,18 @@
 def test_a_stale_id_with_the_older_registration_does_not_take_the_address() -> None:
     told = Told()
     told.tell(*five())
-    told.tell(*five(), seen("e9", address=seen("e0").address, registered=2))
+    told.tell(*five(), seen("e9", address=seen("e0").address, registration_index=2))
     assert told.states()["e9"] is DRAINING and told.states()["e0"] is LIVE
 
 
 def test_a_source_that_is_lost_changes_nothing_and_says_so_once() -> None:
     told = Told()
     told.tell(*five())
-    told.step(Lost("dc1", "refused"))
+    told.step(SourceLost("dc1", "refused"))
     assert told.events() == ["source_lost"] and len(told.live()) == 5
-    told.step(Lost("dc1", "refused"), at=400_000)
+    told.step(SourceLost("dc1", "refused"), at=400_000)
     assert told.events() == [] and len(told.live()) == 5
-    told.step(Report("dc1", 8))
+    told.step(SourceReport("dc1", 8))
     assert told.events() == ["source_back"]
 
 
@@ -220,7 +225,7 @@
     told.tell(*five(), source="b")
     told.tell(*five()[1:], source="a")
     assert told.states()["e0"] is DRAINING
-    told.step(Report("b", 9))  # nothing changed there: it still lists e0
+    told.step(SourceReport("b", 9))  # nothing changed there: it still lists e0
     assert told.states()["e0"] is LIVE
     told.tell(*five()[1:], source="b")
     assert "e0" not in told.states()
@@ -231,18 +236,18 @@
     told.tell(*five(), source="a")
     told.tell(*five(), seen("e9"), source="b")
     actions = told.belief.reload(2000.0, (("a", GUARD),))
-    (publish,) = [a for a in actions if isinstance(a, Publish)]
+    (publish,) = [a for a in actions if isinstance(a, PublishChange)]
     assert publish.change.engines == (Engine("e9", state=GONE),)
 
 
 def test_the_trusted_bus_is_taken_at_its_word() -> None:
-    told = Told(("bus", Guard(trusted=True)))
+    told = Told(("bus", SourceGuard(is_trusted=True)))
     told.tell(seen("e0", started_at=0.0), seen("e1", started_at=9e12), source="bus")
     assert told.engines["e0"].started_at == 0.0
     assert told.engines["e1"].started_at == told.now == 1001.0  # but no start is to come
-    told.step(Report("bus", 3, (seen("e0", ENDED), seen("e1", DRAINED))))
+    told.step(SourceReport("bus", 3, (seen("e0", ENDED), seen("e1", DRAINED))))
     assert told.states() == {"e1": DRAINING}
-    told.step(Report("bus", 4, (seen("e1"),)))
+    told.step(SourceReport("bus", 4, (seen("e1"),)))
     assert told.states() == {"e1": LIVE} and told.belief.next_at() == float("inf")
     told.tell(source="bus")
     assert told.states() == {}
@@ -250,8 +255,8 @@
 
 def test_the_known_list_serves_until_a_source_answers_and_its_engines_are_not_cold() -> None:
     told = Told()
-    told.take(told.belief.seed_known(1000.0, [dataclasses.replace(o, registered=0) for o in five()]))
-    told.step(Lost("dc1", "refused"))
+    told.take(told.belief.set_initial(1000.0, [dataclasses.replace(o, registration_index=0) for o in five()]))
+    told.step(SourceLost("dc1", "refused"))
     told.tell(*five()[:4], seen("e7"), at=9000)
     assert told.live() == ["e0", "e1", "e2", "e3", "e7"]
     assert {e.started_at for e in told.engines.values() if e.state is LIVE} == {0.0}
@@ -259,7 +264,9 @@
 
 def test_an_engine_known_from_before_is_as_old_as_the_first_answer_tells() -> None:
     told = Told()
-    told.take(told.belief.seed_known(10_000.0, [dataclasses.replace(o, registered=0) for o in five()]))
+    told.take(
+        told.belief.set_initial(10_000.0, [dataclasses.replace(o, registration_index=0) for o in five()])
+    )
     told.tell(seen("e0", started_at=9000.0), seen("e1", started_at=99_000.0), *five()[2:], at=11_000)
     assert {e.id: e.started_at for e in told.engines.values()} == {
         "e0": 9000.0, "e1": 11_000.0, "e2": 0.0, "e3": 0.0, "e4": 0.0
@@ -276,9 +283,9 @@
     seen,
     st.sampled_from(NAMES),
     st.sampled_from([IN, IN, IN, TROUBLED, TROUBLED, DRAINED]),
-    registered=st.integers(1, 3),
+    registration_index=st.integers(1, 3),
     address=st.sampled_from([Address("10.0.0.1", 1000 + i) for i in range(6)]),
-    process=st.sampled_from(["", "1", "2"]),
+    process_id=st.sampled_from(["", "1", "2"]),
 )
 LISTS = st.lists(ENTRY, max_size=6, unique_by=lambda o: o.id)
 STEP = st.tuples(
@@ -290,7 +297,7 @@
 
 
 def play(steps: list[Any], check: bool = True) -> Told:
-    told = Told(("a", Guard()), ("b", Guard()), seed=3)
+    told = Told(("a", SourceGuard()), ("b", SourceGuard()), seed=3)
     told.tell(*five(), source="a")
     told.tell(*five(), source="b")
     for source, kind, observations, gap in steps:
@@ -298,13 +305,13 @@
         served = any(c.state is LIVE for c in view.claims.values())
         if kind == "lost":
             told.step(at=at)
-            told.step(Lost(source, "refused"), at=at)
-            assert not [a for a in told.actions if isinstance(a, Publish)]
+            told.step(SourceLost(source, "refused"), at=at)
+            assert not [a for a in told.actions if isinstance(a, PublishChange)]
         elif kind == "wait":
             told.step(at=at)
         elif kind == "confirmed":
             absent = tuple(sorted(view.claims))[:2]
-            told.step(Report(source, 9, absent=absent, confirmed=True), at=at)
+            told.step(SourceReport(source, 9, absent=absent, is_confirmed=True), at=at)
             assert not any(id in view.claims for id in absent)
         else:
             told.tell(*observations, source=source, at=at)
@@ -316,24 +323,24 @@
 def check_answer(told: Told, source: str, observations: list[Observation], served: bool) -> None:
     view = told.belief.views[source]
     for o in observations:
-        if o.verdict is DRAINED:  # told drains count at once, always
+        if o.status is DRAINED:  # told drains count at once, always
             assert told.states().get(o.id) is not LIVE
-        elif o.verdict is TROUBLED:
-            assert told.states().get(o.id) is not LIVE or view.claims[o.id].held
+        elif o.status is TROUBLED:
+            assert told.states().get(o.id) is not LIVE or view.claims[o.id].is_held
     # Symptoms and absences alone never take the last engine of a source out of service.
-    if served and not any(o.verdict is DRAINED for o in observations):
+    if served and not any(o.status is DRAINED for o in observations):
         assert any(c.state is LIVE for c in view.claims.values())
 
 
 def check_counts(told: Told) -> None:
     for view in told.belief.views.values():
         claims = view.claims.values()
-        assert view.well == sum(c.seen.verdict is IN and not c.held for c in claims)
-        assert view.out == sum(c.seen.verdict is TROUBLED and not c.held for c in claims)
-        assert view.held.keys() == {c.seen.id for c in claims if c.held}
-        assert view.waiting.keys() == {c.seen.id for c in claims if c.back_at < float("inf")}
+        assert view.in_service_count == sum(c.observation.status is IN and not c.is_held for c in claims)
+        assert view.unhealthy_count == sum(c.observation.status is TROUBLED and not c.is_held for c in claims)
+        assert view.held_losses.keys() == {c.observation.id for c in claims if c.is_held}
+        assert view.return_times.keys() == {c.observation.id for c in claims if c.returns_at < float("inf")}
         for c in claims:
-            assert not (c.held and c.state is not LIVE)
+            assert not (c.is_held and c.state is not LIVE)
     live = [told.addresses[id] for id in told.live()]
     assert len(live) == len(set(live)), "two engines in service at one address"
 
@@ -365,6 +372,6 @@
     told.tell(*five())
     for observations, gap in steps:
         symptoms = [dataclasses.replace(o, address=seen(o.id).address) for o in observations]
-        symptoms = [o for o in symptoms if o.verdict is not DRAINED]
+        symptoms = [o for o in symptoms if o.status is not DRAINED]
         told.tell(*symptoms, at=told.now + gap)
         assert told.live()
--- a/tests/discovery/test_event_stream.py
+++ b/tests/discovery/test_event_stream.py
@@ -11,9 +11,9 @@
 import orjson
 import pytest
 
-from cottonhold.discovery import bus as watch
-from cottonhold.discovery.bus import ANSWER_MS, FIRST_HOLD_MS, HOLD_MS, Bus
-from cottonhold.discovery.model import Address, Names, Report
+from cottonhold.discovery import event_stream as watch
+from cottonhold.discovery.event_stream import FIRST_BYTE_TIMEOUT_MS, FIRST_POLL_MS, LONG_POLL_MS, EventStream
+from cottonhold.discovery.model import Address, ConfiguredNames, SourceReport
 from cottonhold.observe.counters import Counters
 from cottonhold.transport import event_loop as driver_module
 from cottonhold.transport.event_loop import BACKOFF_S, EventLoop
@@ -60,9 +60,9 @@
 
     def __init__(self, offset: int = 3) -> None:
         self.loop = asyncio.get_running_loop()
-        self.told: list[Report] = []
+        self.told: list[SourceReport] = []
         self.counters = Counters()
-        self.bus = Bus("h", offset, Names(("z",), ("m",)), self.counters, self.told.append)
+        self.bus = EventStream("h", offset, ConfiguredNames(("z",), ("m",)), self.counters, self.told.append)
         self.driver = EventLoop(self.loop, self.counters, lambda line: None)
         self.calls: list[bytes] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -119,17 +119,17 @@
 
 @pytest.fixture
 def short(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch, "HOLD_MS", 2 * SHORT_MS)
-    monkeypatch.setattr(watch, "FIRST_HOLD_MS", SHORT_MS)
-    monkeypatch.setattr(watch, "ANSWER_MS", SHORT_MS)
-    monkeypatch.setattr(driver_module, "ANSWER_MS", SHORT_MS)
+    monkeypatch.setattr(watch, "LONG_POLL_MS", 2 * SHORT_MS)
+    monkeypatch.setattr(watch, "FIRST_POLL_MS", SHORT_MS)
+    monkeypatch.setattr(watch, "FIRST_BYTE_TIMEOUT_MS", SHORT_MS)
+    monkeypatch.setattr(driver_module, "FIRST_BYTE_TIMEOUT_MS", SHORT_MS)
 
 
 def test_a_dead_link_is_left_within_what_counts_as_told() -> None:
     """A break, or a new bus, may be followed by one connection that comes up and says nothing."""
     pause = 1000 * BACKOFF_S
-    assert pause + FIRST_HOLD_MS + ANSWER_MS + 2 * pause < BREAK_TOLD_MS < RELOAD_TOLD_MS
-    assert HOLD_MS + ANSWER_MS + pause < HOLD_MS + STOP_TOLD_MS
+    assert pause + FIRST_POLL_MS + FIRST_BYTE_TIMEOUT_MS + 2 * pause < BREAK_TOLD_MS < RELOAD_TOLD_MS
+    assert LONG_POLL_MS + FIRST_BYTE_TIMEOUT_MS + pause < LONG_POLL_MS + STOP_TOLD_MS
 
 
 @pytest.mark.usefixtures("short")
@@ -196,7 +196,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It comes for longer than the call's own limit, with no pause as long as the limit on one."""
-    monkeypatch.setattr(Bus, "limit_ms", lambda self: LIMIT_MS)
+    monkeypatch.setattr(EventStream, "first_byte_timeout_ms", lambda self: LIMIT_MS)
     data = answer(4, (4, "Gone"))
 
     async def drip(call: Call) -> None:
@@ -255,8 +255,8 @@
 def test_events_count_once_and_in_the_order_of_their_numbers(
     events: list[tuple[int, str]], states: list[str]
 ) -> None:
-    told: list[Report] = []
-    bus = Bus("h", 3, Names(("z",), ("m",)), Counters(), told.append)
+    told: list[SourceReport] = []
+    bus = EventStream("h", 3, ConfiguredNames(("z",), ("m",)), Counters(), told.append)
     bus.request()
     assert bus.receive(answer(max(number for number, _ in events), *events))
     assert [o.reason for report in told for o in report.observations] == states
--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -16,7 +16,7 @@
 from cottonhold.discovery.consul.checks import Reading
 from cottonhold.discovery.consul.exchange import MOST_HEADER_BYTES, Answer, Call, Exchange
 from cottonhold.discovery.consul.watch import Watch, WatchSettings
-from cottonhold.discovery.model import Address, Event, Lost, Names, Report
+from cottonhold.discovery.model import Address, ConfiguredNames, Event, SourceLost, SourceReport
 from cottonhold.message_validation import WireError
 from cottonhold.node.consul_client import follow
 from cottonhold.node.http_client import HttpLink, Tls
@@ -172,14 +172,14 @@
 )
 def test_a_watch_counts_a_bad_answer_and_goes_on(script: list[bytes]) -> None:
     async def scenario(driver: EventLoop, address: Address) -> None:
-        names = Names(("z",), ("std",))
+        names = ConfiguredNames(("z",), ("std",))
         settings = WatchSettings("dc", (address,), "engine", first=60_000.0, rest=60_000.0, pause=1.0)
         watch = Watch(settings, Answers(names, Reading(), lambda why: None), 1)
         told: list[Event] = []
         work = asyncio.create_task(follow(driver, watch, None, told.extend, driver.counters))
-        while not any(isinstance(event, Report) for event in told) and not work.done():
+        while not any(isinstance(event, SourceReport) for event in told) and not work.done():
             await asyncio.sleep(0.001)
-        assert not work.done() and [type(event) for event in told][:2] == [Lost, Report]
+        assert not work.done() and [type(event) for event in told][:2] == [SourceLost, SourceReport]
         assert driver.counters.counts["consul_failures"] == 1
         work.cancel()
 
--- a/tests/discovery/test_malformed_lists.py
+++ b/tests/discovery/test_malformed_lists.py
@@ -8,9 +8,9 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cottonhold.discovery.bus import SOURCE, Bus
-from cottonhold.discovery.engine_catalog import Belief
-from cottonhold.discovery.model import Guard, Names, Publish, Report
+from cottonhold.discovery.engine_catalog import EngineCatalog
+from cottonhold.discovery.event_stream import SOURCE, EventStream
+from cottonhold.discovery.model import ConfiguredNames, PublishChange, SourceGuard, SourceReport
 from cottonhold.message_validation import WireError
 from cottonhold.observe.counters import Counters
 from tests.support.drawn_cases import CASES, ODD, untroubled
@@ -46,8 +46,8 @@
 )
 
 
-def bus(reports: list[Report], counters: Counters) -> Bus:
-    return Bus("h", 1, Names(("z",), ("a",)), counters, reports.append)
+def bus(reports: list[SourceReport], counters: Counters) -> EventStream:
+    return EventStream("h", 1, ConfiguredNames(("z",), ("a",)), counters, reports.append)
 
 
 def answered(body: bytes) -> bytes:
@@ -60,17 +60,17 @@
     {**ENTRY, "hostPort": "a:²"}, ENTRY]}}]})))  # fmt: skip
 def test_a_lists_bytes(data: bytes) -> None:
     """What can be read of it reaches the gateway, and no number in it breaks a decision."""
-    reports, counters = list[Report](), Counters()
+    reports, counters = list[SourceReport](), Counters()
     try:
         bus(reports, counters).receive(data)
     except WireError:
         assert counters.counts["bus_malformed"]
     world = World().run("c1 query lookup r1\ne1 expect GET r1 *")
     world.met = lambda name: name  # type: ignore[method-assign]  # any engine comes up, and never answers
-    belief = Belief(((SOURCE, Guard(trusted=True)),), 1)
+    belief = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1)
     for report in reports:
         for action in belief.step(world.clock.now(), [report]):
-            if isinstance(action, Publish):
+            if isinstance(action, PublishChange):
                 world.gateway.on_engine_list(action.change)
     world.wait(50.0)
     world.run("c2 query lookup r2")
@@ -84,6 +84,6 @@
     """Danger: one address with a digit of another script hid all that its answer told, again and again."""
     entries = [{**ENTRY, "hostPort": "a:²"}, {**ENTRY, "hostPort": "a:" + "9" * 5000}, ENTRY]
     body = orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": entries}}]})
-    reports, counters = list[Report](), Counters()
+    reports, counters = list[SourceReport](), Counters()
     assert bus(reports, counters).receive(answered(body))
     assert [o.id for o in reports[0].observations] == ["s-1"] and counters.counts["bus_malformed"] == 2
--- a/tests/discovery/test_start_times.py
+++ b/tests/discovery/test_start_times.py
@@ -8,11 +8,11 @@
 import pytest
 
 from cottonhold import Scheduler
-from cottonhold.discovery.bus import SOURCE, Bus, read_batch
-from cottonhold.discovery.engine_catalog import Belief
-from cottonhold.discovery.model import Guard, Names, Publish, Report
-from cottonhold.discovery.source_view import MOST_ENDED
-from cottonhold.discovery.start_times import Starts
+from cottonhold.discovery.engine_catalog import EngineCatalog
+from cottonhold.discovery.event_stream import SOURCE, EventStream, decode_events
+from cottonhold.discovery.model import ConfiguredNames, PublishChange, SourceGuard, SourceReport
+from cottonhold.discovery.source_view import MAX_PAST_STARTS
+from cottonhold.discovery.start_times import StartTimes
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import EngineList
 from cottonhold.transport.event_loop import ORIGIN_MS, LoopClock
@@ -45,14 +45,14 @@
 
     def __init__(self, machine: Machine, *known: tuple[str, float]) -> None:
         self.machine, self.counters = machine, Counters()
-        self.names, self.offset = Names(("z",), ("a",)), 0
-        self.belief = Belief(((SOURCE, Guard(trusted=True)),), 1, machine.clock.unix_offset)
+        self.names, self.offset = ConfiguredNames(("z",), ("a",)), 0
+        self.belief = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1, machine.clock.unix_offset)
         self.module = Scheduler(settings(), 1)
-        offset, reports = read_batch(self.batch(*known), self.names, self.counters)
-        self.bus = Bus("h", offset, self.names, self.counters, lambda report: self.believe(report))
-        self.bus.current = lambda: self.belief.current(machine.clock.now(), SOURCE)
+        offset, reports = decode_events(self.batch(*known), self.names, self.counters)
+        self.bus = EventStream("h", offset, self.names, self.counters, lambda report: self.believe(report))
+        self.bus.on_complete_answer = lambda: self.belief.on_complete_answer(machine.clock.now(), SOURCE)
         self.believe(*reports)
-        self.bus.current()
+        self.bus.on_complete_answer()
 
     def batch(self, *engines: tuple[str, float], state: str = "Ready") -> dict[str, object]:
         entries = [
@@ -70,10 +70,10 @@
         body = orjson.dumps(self.batch(*engines, state=state))
         assert self.bus.receive(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
-    def believe(self, *reports: Report) -> None:
+    def believe(self, *reports: SourceReport) -> None:
         now = self.machine.clock.now()
         for action in self.belief.step(now, reports):
-            if isinstance(action, Publish):
+            if isinstance(action, PublishChange):
                 self.module.step(now, [EngineList(action.change.engines, is_complete=False)])
 
     def wait(self, seconds: float, step: float = 0.0) -> None:
@@ -189,10 +189,10 @@
 
 def test_only_so_many_engines_that_are_gone_are_remembered() -> None:
     node = Node(Machine(), ("old", 0.0))
-    for i in range(MOST_ENDED + 10):
+    for i in range(MAX_PAST_STARTS + 10):
         node.answer((f"e{i}", node.machine.true()))
         node.answer((f"e{i}", 0.0), state="Gone")
-    assert len(node.belief.views[SOURCE].ended) == MOST_ENDED
+    assert len(node.belief.views[SOURCE].past_starts) == MAX_PAST_STARTS
 
 
 @pytest.mark.parametrize("wrong", STEPS)
@@ -200,7 +200,7 @@
     machine = Machine(wrong, up_s=0.5)
     node = Node(machine, ("e", machine.true() - 2000.0))
     assert WARM - 2000.0 <= node.cold_for("e") <= WARM
-    assert Starts(0.0).place(500.0, 1.0) > 0  # 0 would say: warm
+    assert StartTimes(0.0).local_start(500.0, 1.0) > 0  # 0 would say: warm
 
 
 @pytest.mark.parametrize("stamp", [1e308, 1e300, 0.5, 1.79e9])
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -11,7 +11,14 @@
 import pytest
 
 from cottonhold.config.installation import read
-from cottonhold.discovery.model import Address, Change, Names, Observation, Report, Verdict
+from cottonhold.discovery.model import (
+    Address,
+    ConfiguredNames,
+    EngineListChange,
+    Observation,
+    ServiceStatus,
+    SourceReport,
+)
 from cottonhold.emulator import disk as disk_of
 from cottonhold.fleet.recovery.cached_engines import EngineCache
 from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart, SlowStartSettings
@@ -26,15 +33,15 @@
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordKind
 from tests.observe.test_metrics import FILE, FLEET, VOTERS
 
-NAMES = Names(("a", "b"), ("small", "large"))
+NAMES = ConfiguredNames(("a", "b"), ("small", "large"))
 
 
-def change(*engines: tuple[str, int, EngineState], whole: bool = False, port: int = 7000) -> Change:
+def change(*engines: tuple[str, int, EngineState], whole: bool = False, port: int = 7000) -> EngineListChange:
     """Engines by name, number of the zone and state; each at a port of its own."""
     made = tuple(
         Engine(id, zone=zone, machine_type=1, cell=3, state=state, size=2.0) for id, zone, state in engines
     )
-    return Change(made, {e.id: Address("10.0.0.1", port + int(e.id[1:])) for e in made}, whole)
+    return EngineListChange(made, {e.id: Address("10.0.0.1", port + int(e.id[1:])) for e in made}, whole)
 
 
 def kept(records: list[Record], before: dict[bytes, bytes] | None = None) -> dict[bytes, bytes]:
@@ -68,7 +75,7 @@
     ids=["one more", "drained", "gone", "a whole list", "met draining"],
 )
 def test_what_is_remembered_is_the_list_without_what_should_get_nothing_new(
-    then: Change, left: list[str]
+    then: EngineListChange, left: list[str]
 ) -> None:
     made = EngineCache({}, NAMES)
     folder = kept(made.apply(FIRST))
@@ -79,17 +86,30 @@
 
 def test_an_engine_comes_back_as_it_was_and_by_the_names_of_its_zone_and_type() -> None:
     folder = kept(EngineCache({}, NAMES).apply(FIRST))
-    [one, two] = EngineCache(folder, Names(("b", "c", "a"), ("large",))).observations()
-    assert (one.address, one.zone, one.model, one.cell, one.size) == (Address("10.0.0.1", 7001), 2, 0, 3, 2.0)
-    assert one.verdict is Verdict.IN and two.zone == 0 and not one.process and one.started_at == 0.0
-    assert ids(EngineCache(folder, Names(("b",), ("large",)))) == ["e2"]  # a's zone is no longer configured
+    [one, two] = EngineCache(folder, ConfiguredNames(("b", "c", "a"), ("large",))).observations()
+    assert (one.address, one.zone, one.machine_type, one.cell, one.size) == (
+        Address("10.0.0.1", 7001),
+        2,
+        0,
+        3,
+        2.0,
+    )
+    assert (
+        one.status is ServiceStatus.IN_SERVICE
+        and two.zone == 0
+        and not one.process_id
+        and one.started_at == 0.0
+    )
+    assert ids(EngineCache(folder, ConfiguredNames(("b",), ("large",)))) == [
+        "e2"
+    ]  # a's zone is no longer configured
 
 
 @pytest.mark.parametrize(
     "known, found",
     [
-        (Observation("e1", Verdict.IN, address=Address("10.0.0.9", 1)), ["e1", "e2"]),
-        (Observation("new", Verdict.IN, address=Address("10.0.0.1", 7002)), ["new", "e1"]),
+        (Observation("e1", ServiceStatus.IN_SERVICE, address=Address("10.0.0.9", 1)), ["e1", "e2"]),
+        (Observation("new", ServiceStatus.IN_SERVICE, address=Address("10.0.0.1", 7002)), ["new", "e1"]),
     ],
     ids=["the same engine elsewhere", "another engine at its address"],
 )
@@ -157,8 +177,8 @@
         node.believe_known()
         assert node.recovery is not None
         may = [node.recovery.has_other_prerequisites(), node._listed()]
-        seen = Observation("e1", Verdict.IN, address=Address("127.0.0.1", 3))
-        node.on_discovery_events([Report("dc1", 1, (seen,), whole=True)])
+        seen = Observation("e1", ServiceStatus.IN_SERVICE, address=Address("127.0.0.1", 3))
+        node.on_discovery_events([SourceReport("dc1", 1, (seen,), is_complete=True)])
         may += [node.recovery.has_other_prerequisites(), node._listed()]
         for part in (node.swap, node.recovery):
             if part is not None:
@@ -185,24 +205,26 @@
             part.close()
 
     async def drained(node: ServedInstallation) -> None:
-        assert node.swap is not None and set(node.held.live()) == {"e1", "e2"}
+        assert node.swap is not None and set(node.held.live_engines()) == {"e1", "e2"}
         node.swap.swap.scene.chain = {"e1": plan.Record(Step.DRAINING, 7)}
         rim, swap = node.swap.drains, node.swap.swap
         rim.act(0.0, swap, Drain("e1"))
-        assert set(node.held.live()) == {"e2"} and "e1" not in rim.drains.drained, "told before it is kept"
+        assert set(node.held.live_engines()) == {"e2"} and "e1" not in rim.drains.drained, (
+            "told before it is kept"
+        )
         while "e1" not in rim.drains.drained:
             await asyncio.sleep(0)
 
     async def back(node: ServedInstallation) -> None:
-        assert node.swap is not None and set(node.held.live()) == {"e2"}
+        assert node.swap is not None and set(node.held.live_engines()) == {"e2"}
         rim, swap, now = node.swap.drains, node.swap.swap, node.event_loop.clock.now()
         rim.step(now, swap)
-        assert set(node.held.live()) == {"e2"}
+        assert set(node.held.live_engines()) == {"e2"}
         rim.step(now + rim.drains.settings.wait, swap)
-        assert set(node.held.live()) == {"e1", "e2"}
+        assert set(node.held.live_engines()) == {"e1", "e2"}
 
     async def after(node: ServedInstallation) -> None:
-        assert set(node.held.live()) == {"e1", "e2"}
+        assert set(node.held.live_engines()) == {"e1", "e2"}
 
     for story in (drained, back, after):
         asyncio.run(life(story))
@@ -228,7 +250,7 @@
             part.close()
 
     async def drained(node: ServedInstallation) -> None:
-        assert node.swap is not None and set(node.held.live()) == {"e1", "e2"}
+        assert node.swap is not None and set(node.held.live_engines()) == {"e1", "e2"}
         node.swap.swap.scene.chain = {"e1": plan.Record(Step.DRAINING, 7)}
         rim, swap = node.swap.drains, node.swap.swap
         disk.orders = disk_of.Orders(full=True) if fault == "full" else disk_of.Orders(fail_sync=1.0)
@@ -242,7 +264,7 @@
         disk.cut()
 
     async def back(node: ServedInstallation) -> None:
-        assert set(node.held.live()) == {"e2"}
+        assert set(node.held.live_engines()) == {"e2"}
 
     for story in (drained, back):
         disk = disk_of.install("drains")
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cottonhold.discovery.model import Change
-from cottonhold.discovery.quarantine import Held
+from cottonhold.discovery.model import EngineListChange
+from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.emulator.engine_replacement_cases import CASES, DEFECTS, planted
 from cottonhold.fleet.engine_drain import (
     MOST_ROWS,
@@ -223,19 +223,21 @@
 
 
 def test_what_is_held_comes_through_as_draining_and_back_as_the_list_has_it() -> None:
-    held = Held()
+    held = Quarantine()
     a, b = Engine("a", zone=1, started_at=5.0), Engine("b", state=EngineState.DRAINING)
-    shown = held.take(Change((a, b), {}, whole=True))
-    assert shown.engines == (a, b) and set(held.live()) == {"a"}
+    shown = held.on_change(EngineListChange((a, b), {}, is_complete=True))
+    assert shown.engines == (a, b) and set(held.live_engines()) == {"a"}
     change = held.hold("a")
     assert change is not None and change.engines[0].state is EngineState.DRAINING
-    assert held.hold("a") is None and not held.live()
-    back = held.free("a", 70.0)
+    assert held.hold("a") is None and not held.live_engines()
+    back = held.release("a", 70.0)
     assert back is not None and back.engines == (Engine("a", zone=1, started_at=70.0),)
-    assert held.free("a") is None
-    again = held.take(Change((a, Engine("b", state=EngineState.REMOVED)), {}, whole=False))
+    assert held.release("a") is None
+    again = held.on_change(
+        EngineListChange((a, Engine("b", state=EngineState.REMOVED)), {}, is_complete=False)
+    )
     assert again.engines[0].started_at == 70.0 and again.engines[1].state is EngineState.REMOVED
-    assert set(held.known) == {"a"} and held.hold("z") is None
+    assert set(held.listed) == {"a"} and held.hold("z") is None
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -304,16 +304,16 @@
     async def story() -> None:
         node, due = world.make(), list[tuple[float, Callable[[], None]]]()
         node.believe_known()
-        assert set(node.held.live()) == {"e2"}
+        assert set(node.held.live_engines()) == {"e2"}
         if had:
             await kept(node)
-            assert set(node.held.live()) == {"e2"}
+            assert set(node.held.live_engines()) == {"e2"}
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
         node._hold_drained(drain[RecordKind.ENGINE_DRAIN])
         ((ms, let_go),) = due
         assert ms == DrainSettings().wait
         let_go()
-        assert set(node.held.live()) == ({"e2"} if had else {"e1", "e2"})
+        assert set(node.held.live_engines()) == ({"e2"} if had else {"e1", "e2"})
         end(node)
 
     play(story)
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -13,7 +13,7 @@
 from cottonhold.backend.connection_pool import Connection, EngineConnections
 from cottonhold.backend.resp import RespReader, encode
 from cottonhold.config.relay import ConnectionSettings
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.frontend.mysql_session import EOF, ClientSessions
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.lifecycle import Lifecycle
@@ -44,7 +44,7 @@
         self.clients: list[socket.socket] = []
         self.engine: socket.socket | None = None
         engine = Engine("a")
-        self.gateway.on_engine_list(Change((engine,), {"a": Address("a", 1)}, True))
+        self.gateway.on_engine_list(EngineListChange((engine,), {"a": Address("a", 1)}, True))
 
     def connect(self, address: Address, connection: Connection) -> Stream:
         self.connecting.append(connection)
--- a/tests/node/test_engine_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -6,9 +6,17 @@
 
 import pytest
 
-from cottonhold.discovery.bus import SOURCE
-from cottonhold.discovery.engine_catalog import Belief
-from cottonhold.discovery.model import Address, Change, Guard, Observation, Publish, Report, Verdict
+from cottonhold.discovery.engine_catalog import EngineCatalog
+from cottonhold.discovery.event_stream import SOURCE
+from cottonhold.discovery.model import (
+    Address,
+    EngineListChange,
+    Observation,
+    PublishChange,
+    ServiceStatus,
+    SourceGuard,
+    SourceReport,
+)
 from cottonhold.scheduler.events import Engine, EngineState
 from tests.support.scenario import World, packet
 
@@ -70,7 +78,9 @@
 
     def change() -> None:
         left = [Engine(name, state=EngineState(state)) for name in ("a", "b")]
-        world.gateway.on_engine_list(Change((*left, Engine("new")), {"new": Address("new", 1)}, whole=False))
+        world.gateway.on_engine_list(
+            EngineListChange((*left, Engine("new")), {"new": Address("new", 1)}, is_complete=False)
+        )
 
     cross(world, change)
     world.wait(400)
@@ -86,7 +96,7 @@
     world.unmet.append("a")
     changes: list[tuple[Engine, ...]] = [(gone, new)] if together else [(gone,), (new,)]
     for engines in changes:
-        world.gateway.on_engine_list(Change(engines, at, whole=False))
+        world.gateway.on_engine_list(EngineListChange(engines, at, is_complete=False))
     world.run(f"c2 query lookup r2\ne1 send r1 {SERVED}")
     lines = [line for line in world.lines if line.connection.engine == "fresh"]
     assert len(lines) == 1 and lines[0] is not world.lines[0]
@@ -97,12 +107,12 @@
 def test_a_drained_engine_that_is_ready_again_gets_work_again(started: float) -> None:
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining")
     world.run(f"c2 query lookup r2\ntime wait 300\ne1 expect nothing\ne1 send r1 {SERVED}")
-    world.gateway.on_engine_list(Change((Engine("a", started_at=started),), {}, whole=False))
+    world.gateway.on_engine_list(EngineListChange((Engine("a", started_at=started),), {}, is_complete=False))
     world.wait(3000)
     assert any(words[1] == b"%016x" % 2 for line in world.lines for words in line.heard)
 
 
-IN, OUT, END = Verdict.IN, Verdict.DRAINED, Verdict.ENDED
+IN, OUT, END = ServiceStatus.IN_SERVICE, ServiceStatus.DRAINED, ServiceStatus.ENDED
 
 
 @pytest.mark.parametrize(
@@ -119,19 +129,21 @@
 )
 @pytest.mark.parametrize("one_by_one", [True, False])
 def test_events_that_come_together_say_what_they_say_one_by_one(
-    events: list[list[tuple[str, Verdict]]], state: dict[str, str], one_by_one: bool
+    events: list[list[tuple[str, ServiceStatus]]], state: dict[str, str], one_by_one: bool
 ) -> None:
     """All at one address: the last word on each engine counts."""
-    belief = Belief(((SOURCE, Guard(trusted=True)),), 1)
+    belief = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1)
     here = Address("h", 1)
     reports = [
-        Report(SOURCE, index + 2, tuple(Observation(id, verdict, address=here) for id, verdict in event))
+        SourceReport(
+            SOURCE, index + 2, tuple(Observation(id, verdict, address=here) for id, verdict in event)
+        )
         for index, event in enumerate(events)
     ]
-    first = Report(SOURCE, 1, (Observation("a", IN, address=here),), whole=True)
+    first = SourceReport(SOURCE, 1, (Observation("a", IN, address=here),), is_complete=True)
     published: dict[str, str] = {}
     for step in [[first], *([[report] for report in reports] if one_by_one else [reports])]:
         for action in belief.step(1000.0, step):
-            if isinstance(action, Publish):
+            if isinstance(action, PublishChange):
                 published |= {engine.id: engine.state.value for engine in action.change.engines}
     assert published == state
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -16,8 +16,8 @@
 
 from cottonhold.backend.resp import RespError, RespReader, encode
 from cottonhold.config.relay import ConfigError, load
-from cottonhold.discovery.bus import Bus
-from cottonhold.discovery.model import Address, Names, Observation, Report, Verdict
+from cottonhold.discovery.event_stream import EventStream
+from cottonhold.discovery.model import Address, ConfiguredNames, Observation, ServiceStatus, SourceReport
 from cottonhold.frontend.query_comment import parse, table_group
 from cottonhold.message_validation import WireError
 from cottonhold.node.peer_datagrams import PeerDatagrams
@@ -87,9 +87,9 @@
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def bus() -> tuple[Bus, list[Report], Counters]:
-    told, counters = list[Report](), Counters()
-    return Bus("h", 3, Names(("z",), ("a", "b")), counters, told.append), told, counters
+def bus() -> tuple[EventStream, list[SourceReport], Counters]:
+    told, counters = list[SourceReport](), Counters()
+    return EventStream("h", 3, ConfiguredNames(("z",), ("a", "b")), counters, told.append), told, counters
 
 
 @pytest.mark.parametrize("size", [1, 50, 1000])
@@ -102,10 +102,19 @@
         assert whole[-1] and not any(whole[:-1])
     assert b"from=4&" in poll.request()
     assert told == [
-        Report(
+        SourceReport(
             "bus",
             4,
-            (Observation("s-1", Verdict.IN, "Ready", Address("127.0.0.9", 10080), model=1, started_at=5.0),),
+            (
+                Observation(
+                    "s-1",
+                    ServiceStatus.IN_SERVICE,
+                    "Ready",
+                    Address("127.0.0.9", 10080),
+                    machine_type=1,
+                    started_at=5.0,
+                ),
+            ),
         )
     ]
 
@@ -179,8 +188,10 @@
 
 def test_a_configuration_is_read_whole(tmp_path: Path) -> None:
     got = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
-    assert (got.event_offset, got.seed, got.initial_reports[0].whole) == (1, 0x8C1F30D27A5BE964, True)
-    assert got.settings.classes[0].name == "lookup" and got.initial_reports[0].observations[0].model == 1
+    assert (got.event_offset, got.seed, got.initial_reports[0].is_complete) == (1, 0x8C1F30D27A5BE964, True)
+    assert (
+        got.settings.classes[0].name == "lookup" and got.initial_reports[0].observations[0].machine_type == 1
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/scheduler/test_retry_matrix.py
+++ b/tests/scheduler/test_retry_matrix.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.scheduler.settings import DeduplicationScope, Idempotency
 from tests.frontend.test_client_departure import nothing_left
@@ -43,7 +43,7 @@
 
 def told(world: World, name: str, zone: int, cell: int, state: str = "live") -> None:
     entry = Engine(name, zone=zone, cell=cell, state=EngineState(state))
-    world.gateway.on_engine_list(Change((entry,), {name: Address(name, 1)}, False))
+    world.gateway.on_engine_list(EngineListChange((entry,), {name: Address(name, 1)}, False))
     world.wait(0)
 
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from cottonhold.backend.resp import RespReader, encode
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.scheduler.events import Engine as ListedEngine
 from cottonhold.scheduler.settings import Settings
 from cottonhold.transport.event_loop import EventLoop
@@ -124,7 +124,7 @@
         self.engines = [Engine() for _ in range(engines)]
         addresses = {f"e{n}": Address(*e.sock.getsockname()) for n, e in enumerate(self.engines)}
         infos = tuple(ListedEngine(name) for name in addresses)
-        self.world.gateway.on_engine_list(Change(infos, addresses, True))
+        self.world.gateway.on_engine_list(EngineListChange(infos, addresses, True))
         self.listener = self.driver.listen(Address("127.0.0.1", 0))
         self.address = self.listener.getsockname()
         self.accepting = self.driver.spawn(self.driver.accept(self.listener, self.world.front))
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -17,7 +17,7 @@
 from cottonhold.backend.connection_pool import Connection, EngineConnections
 from cottonhold.backend.resp import RespReader, encode
 from cottonhold.config.relay import ConnectionSettings
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.frontend.mysql_session import ClientSessions, Session
 from cottonhold.node.descriptors import DescriptorQuotas
 from cottonhold.node.gateway import Gateway
@@ -200,7 +200,9 @@
 
     def change(self, names: list[str], state: str, whole: bool = False) -> None:
         infos = tuple(Engine(name, state=EngineState(state)) for name in names)
-        self.gateway.on_engine_list(Change(infos, {name: Address(name, 1) for name in names}, whole))
+        self.gateway.on_engine_list(
+            EngineListChange(infos, {name: Address(name, 1) for name in names}, whole)
+        )
 
     def settle(self) -> None:
         for line in self.lines:
