--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -15,9 +15,9 @@
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.swim import Swim
 from cottonhold.membership.swim_settings import SwimSettings
-from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
+from cottonhold.transport.clock import Clock, Timer
 
 PROBE, REPORT, FLEET = "probe", "report", "fleet"
 UNKNOWN = 0xFFFFFFFF  # a detail that tells no load
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -50,11 +50,11 @@
 )
 from cottonhold.fleet_adapters.write_queue import AGAIN_MS
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
 from cottonhold.store.health import Completeness
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Hint, Record, RecordError, RecordKind
+from cottonhold.transport.clock import Clock, Timer
 
 MEMORY_NAMES = {
     MemoryState.EMPTY: "empty",
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -40,12 +40,15 @@
 from cottonhold.fleet_adapters.keyed_loads import WAIT_STEPS_MS, KeyedLoadGuard, OriginRound
 from cottonhold.fleet_adapters.recovery import incarnation_of
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
+from cottonhold.frontend.query_service import DuplicateRequestIdError
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import ClientRequest, DuplicateRequestIdError, Gateway, LoadGuard, OpenRequest
+from cottonhold.node.client_request import ClientRequest, OpenRequest
+from cottonhold.node.gateway import Gateway
+from cottonhold.node.load_guard import LoadGuard
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
+from cottonhold.transport.clock import Clock, Timer
 
 MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 2.0, 20.0
 REQUEST_FORWARDING = 79  # first byte of its messages
@@ -207,7 +210,7 @@
             self.counters.add("pins_malformed")
             self._reject(action, retry_after_ms=0.0)
             return
-        kind = self.gateway.class_indexes.get(forwarded.class_name)
+        kind = self.gateway.decoder.class_indexes.get(forwarded.class_name)
         request_id = forwarded.request_id
         if request_id in self.gateway.requests:
             request_id = f"{request_id}.{action.number:x}"
@@ -217,7 +220,10 @@
         self.counters.add("pins_handed_here")
         work = forwarded.estimated_work_ms, forwarded.estimated_memory_mb, forwarded.tables
         words = forwarded.ordering_key, forwarded.is_retry, forwarded.body
-        named = self.gateway.tenant_indexes.get(forwarded.tenant, 0), forwarded.idempotency_key or None
+        named = (
+            self.gateway.decoder.tenant_indexes.get(forwarded.tenant, 0),
+            forwarded.idempotency_key or None,
+        )
         now = self.clock.now()
         taken = ClientRequest(
             request_id, kind, forwarded.class_name, now, action.remaining_ms, *work, *words, *named
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -16,7 +16,7 @@
 
 from cottonhold.discovery.model import Address, ConfiguredNames, EngineListChange
 from cottonhold.fleet import engine_drain
-from cottonhold.fleet.admission import loads
+from cottonhold.fleet.admission import demand_messages
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.consensus import acceptor, messages
 from cottonhold.fleet.consensus.actions import PersistState
@@ -34,13 +34,14 @@
 from cottonhold.fleet.zone_failover import messages as zone_messages
 from cottonhold.fleet.zone_failover import operator_overrides, quota_lending
 from cottonhold.fleet_adapters import membership as membership_adapter
+from cottonhold.frontend.connection_ids import ConnectionIdRange
 from cottonhold.membership import codec
 from cottonhold.membership import leases as membership_leases
 from cottonhold.membership.codec import Codec, KeyRing, MemberStatus, MessageKind, Update, encode_update
 from cottonhold.node import sibling_processes
 from cottonhold.scheduler import peer_messages
+from cottonhold.scheduler.engine_state import EngineView, RemainingWork
 from cottonhold.scheduler.events import Engine
-from cottonhold.scheduler.state import EngineView
 from cottonhold.store import boot_file, records
 from cottonhold.store.ledger import Ledger
 from tests.conformance.golden import RECORD
@@ -101,8 +102,11 @@
 def price_loads() -> bytes:
     """Two instances' loads."""
     busy = ReportedLoad({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
-    return loads.encode_demand_reports(
-        [loads.DemandReport(MEMBER, LIFE, VERSION, busy), loads.DemandReport(2, 3, 4, ReportedLoad({}))]
+    return demand_messages.encode_demand_reports(
+        [
+            demand_messages.DemandReport(MEMBER, LIFE, VERSION, busy),
+            demand_messages.DemandReport(2, 3, 4, ReportedLoad({})),
+        ]
     )
 
 
@@ -204,17 +208,17 @@
 
 def peer_work() -> bytes:
     """What a gateway has on two engines, as its peers are told."""
-    busy = EngineView("e1", Engine("e1"), 8.0, 16_000.0, code=0x01020304)
-    busy.threads_out, busy.memory_out, busy.held_area = 300, 1234.5, 5678.9
-    busy.left[0.5] = (1000.0, 2.0)
-    idle = EngineView("e2", Engine("e2"), 8.0, 16_000.0, code=5)
-    return peer_messages.pack_work(12.5, [busy, idle])
+    busy = EngineView("e1", Engine("e1"), 8.0, 16_000.0, id_hash=0x01020304)
+    busy.threads_in_flight, busy.memory_in_flight_mb, busy.queued_thread_ms = 300, 1234.5, 5678.9
+    busy.remaining_by_density[0.5] = RemainingWork(1000.0, 2.0)
+    idle = EngineView("e2", Engine("e2"), 8.0, 16_000.0, id_hash=5)
+    return peer_messages.encode_work(12.5, [busy, idle])
 
 
 def peer_load() -> bytes:
     """A load that a gateway sent, as its peers are told."""
-    engine = EngineView("e1", Engine("e1"), 8.0, 16_000.0, code=0x01020304)
-    return peer_messages.pack_load(engine, 0x12345, 2750.25)
+    engine = EngineView("e1", Engine("e1"), 8.0, 16_000.0, id_hash=0x01020304)
+    return peer_messages.encode_load_sent(engine, 0x12345, 2750.25)
 
 
 def load_record(state: records.LoadState) -> bytes:
@@ -390,7 +394,7 @@
     "boot file": lambda: boot_file.BootFile(9, 3, 77).encode(),
     "boot file of an open life": lambda: boot_file.BootFile(9, 3, -1).encode(),
     "seat record": lambda: sibling_processes.ProcessRecord(5, 6, 7, True).encode(),
-    "connection ids": lambda: sibling_processes.ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
+    "connection ids": lambda: ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
 }
 
 
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -6,16 +6,13 @@
 
 import pytest
 
-from cottonhold.fleet.admission.loads import (
-    DemandReport,
-    admission_draw,
-    density_of_step,
-    encode_demand_reports,
-)
+from cottonhold.fleet.admission.demand import density_of_step
+from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
+from cottonhold.fleet.admission.demand_sharing import admission_draw
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
 from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.scheduler.actions import DemandEstimate, Reject
 from cottonhold.scheduler.events import AdmissionThreshold
 from cottonhold.scheduler.settings import Features
@@ -116,7 +113,7 @@
     engines: str, price: AdmissionThreshold, heard: list[str]
 ) -> None:
     world, notes = World(engines=engines), Notes()
-    world.gateway.observer = notes
+    world.gateway.notifications.observer = notes
     world.gateway.push(price)
     world.run("c1 query lookup r1 allow=1000")
     world.wait(1200)
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -21,7 +21,8 @@
 )
 from cottonhold.emulator import disk as disk_of
 from cottonhold.fleet.recovery.cached_engines import EngineCache
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart, SlowStartSettings
+from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.rolling_replacement.step_decision import Drain
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cottonhold.node.gateway import ANSWER_MS, LAG_MS, LAG_PART
+from cottonhold.node.gateway import EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION, RESPONSE_MARGIN_MS
 from tests.frontend.test_client_departure import NAMES, SITES, Turns, nothing_left
 
 LITTLE = {
@@ -39,10 +39,12 @@
     world = Turns(SITES[site])
     for client in ("c1", "c9"):
         world.client(client)
-    world.gateway.scheduler.util = 0.1  # else what can't be in time is not sent where the fleet may be full
+    world.gateway.scheduler.fleet_utilization = (
+        0.1  # else what can't be in time is not sent where the fleet may be full
+    )
     world.run(LITTLE[moment].replace("CLASS", name).replace("LEFT", left))
     world.run("c1 expect error 1226 *\nany nothing there")
-    assert not world.gateway.scheduler.doubted
+    assert not world.gateway.scheduler.ejected_engines
     nothing_left(world)
 
 
@@ -59,7 +61,7 @@
     """However the request waited: the time counts from its last byte."""
     world = Turns(SITES["little allowed"])
     world.client("c1")
-    world.gateway.scheduler.util = 0.1
+    world.gateway.scheduler.fleet_utilization = 0.1
     came, passed = world.clock.now(), min(allow / 5, 200)
     query = f"c1 query lookup r1 allow={allow},effort=20.0"
     if waits == "for a connect":
@@ -69,7 +71,13 @@
         world.run("e1 send r9 served count=1 a|b|c/\nc1 expect rows a|b|c")
     else:
         world.run(f"{query}\ne1 expect GET r1 *\ntime wait {passed}\ne1 send r1 overload -")
-    left = came + allow - min(LAG_MS, LAG_PART * allow) - ANSWER_MS - world.clock.now()
+    left = (
+        came
+        + allow
+        - min(EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION * allow)
+        - RESPONSE_MARGIN_MS
+        - world.clock.now()
+    )
     assert left - 2 < told(world) <= left + 1
 
 
@@ -79,8 +87,8 @@
     """Engines were left for seconds because of one request that could not wait for its connect."""
     world = Turns(SITES[site])
     world.client("c1")
-    world.gateway.scheduler.util = 0.1
+    world.gateway.scheduler.fleet_utilization = 0.1
     world.run(f"e1 will vanish\nc1 query {name} r1 allow=160\nc1 expect nothing\ntime wait 115")
     world.run("c1 expect error 1226 *\nany nothing there")
-    assert len(world.lines) == 1 and not world.gateway.scheduler.doubted
+    assert len(world.lines) == 1 and not world.gateway.scheduler.ejected_engines
     nothing_left(world)
