--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -26,7 +26,7 @@
 from cottonhold.backend.health_check import HealthCheck, LivenessBudget
 from cottonhold.backend.resp import read_count, read_rows
 from cottonhold.config.relay import ConnectionSettings
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AttemptEnded, Engine, EngineState, Outcome
 from cottonhold.transport.clock import Clock
@@ -78,7 +78,7 @@
         self.last_health_check_ms = 0.0  # duration of the last health check that ended
         clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
 
-    def apply(self, change: Change) -> None:
+    def apply(self, change: EngineListChange) -> None:
         """Apply a change of the engine list; what waits for an engine that has left ends at once."""
         for engine in change.engines:
             endpoint = self.endpoints.get(engine.id)
@@ -91,7 +91,7 @@
                 self._on_restarted(endpoint, engine.started_at)
             endpoint.engine, endpoint.address = engine, address
             self._close_if_leaving(endpoint)
-        if change.whole:
+        if change.is_complete:
             listed = {engine.id for engine in change.engines}
             for name in [name for name in self.endpoints if name not in listed]:
                 endpoint = self.endpoints[name]
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -312,7 +312,7 @@
         """Return the capacity of each member that may take keys: by what is left in its zone, else even."""
         chain = self.swap.swap.scene.chain
         going = {ident(name) for name, record in chain.items() if record.step in LEAVING_STEPS}
-        there = [m for m in self.swim.live() if m != self.swim.id and m not in going]
+        there = [m for m in self.swim.live_members() if m != self.swim.id and m not in going]
         outlook = self.fleet.failover_cost
         left = outlook.plan.free_cores if outlook is not None and outlook.plan is not None else {}
         zones = {member: self._zone(member) for member in there}
@@ -353,7 +353,10 @@
         chain = self.swap.swap.scene.chain
         out = frozenset(ident(name) for name, record in chain.items() if record.step is Step.OUT)
         return Surroundings(
-            self._folder_is_current(), self._departure(chain.get(self.name)), frozenset(self.swim.live()), out
+            self._folder_is_current(),
+            self._departure(chain.get(self.name)),
+            frozenset(self.swim.live_members()),
+            out,
         )
 
     def _folder_is_current(self) -> bool | None:
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -17,9 +17,17 @@
 
 from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.config.relay import Config, ConfigError, check_change, load
-from cottonhold.discovery.bus import SOURCE, Bus
-from cottonhold.discovery.engine_catalog import Belief
-from cottonhold.discovery.model import Address, Change, Confirm, Event, Guard, Publish, Remark
+from cottonhold.discovery.engine_catalog import EngineCatalog
+from cottonhold.discovery.event_stream import SOURCE, EventStream
+from cottonhold.discovery.model import (
+    Address,
+    ConfirmAbsence,
+    EngineListChange,
+    Event,
+    LogEvent,
+    PublishChange,
+    SourceGuard,
+)
 from cottonhold.frontend.client_sessions import ClientSessions
 from cottonhold.node.admin_api import AdminApi
 from cottonhold.node.descriptors import DescriptorQuotas
@@ -37,7 +45,7 @@
 SIBLINGS_INTERVAL_MS = 300.0
 CLIENT_CLOSE_MS = 250.0  # that clients have to close, once all is answered
 STARTING_MS = 3000.0  # that a process shutting down waits for a newer one that does not serve yet
-EVENT_STREAM_ONLY = ((SOURCE, Guard(trusted=True)),)
+EVENT_STREAM_ONLY = ((SOURCE, SourceGuard(is_trusted=True)),)
 
 
 class Logs(Protocol):
@@ -59,7 +67,7 @@
         counters: Counters,
         loop: asyncio.AbstractEventLoop,
         log: Logs,
-        sources: Sequence[tuple[str, Guard]] = EVENT_STREAM_ONLY,
+        sources: Sequence[tuple[str, SourceGuard]] = EVENT_STREAM_ONLY,
         make_socket: MakeSocket = socket.socket,
     ) -> None:
         self.config, self.counters, self.log = config, counters, log
@@ -86,10 +94,10 @@
         self.admin_api = AdminApi(self.lifecycle, clock, counters, log.note, self.descriptor_quotas.admin)
         self.peer_datagrams = PeerDatagrams(config.peers, config.peers_all, counters, say)
         self.gateway.send_to_peer = self.send_to_peer
-        self.engine_catalog = Belief(sources, config.seed, clock.unix_offset)
+        self.engine_catalog = EngineCatalog(sources, config.seed, clock.unix_offset)
         self.catalog_timer: Timer | None = None
         host = config.event_stream.host if config.event_stream else ""
-        self.event_stream = Bus(
+        self.event_stream = EventStream(
             host,
             config.event_offset,
             config.names,
@@ -97,7 +105,9 @@
             lambda report: self.on_discovery_events([report]),
             say,
         )
-        self.event_stream.current = lambda: self.engine_catalog.current(clock.now(), SOURCE)
+        self.event_stream.on_complete_answer = lambda: self.engine_catalog.on_complete_answer(
+            clock.now(), SOURCE
+        )
         self.shutdown_requested, self.is_serving = asyncio.Event(), False
         self.event_stream_task: asyncio.Task[None] | None = None
 
@@ -112,11 +122,11 @@
         now = self.event_loop.clock.now()
         for action in self.engine_catalog.step(now, events):
             match action:
-                case Publish(change):
+                case PublishChange(change):
                     self.on_engine_list(change)
-                case Confirm(source, absent):
+                case ConfirmAbsence(source, absent):
                     self.confirm_absent(source, absent)
-                case Remark(event, fields):
+                case LogEvent(event, fields):
                     self.counters.add(f"discovery_{event}")
                     self.log.note(event, **fields)
         if self.catalog_timer is not None:
@@ -128,7 +138,7 @@
                 at - now + 1, lambda: self.on_discovery_events(())
             )
 
-    def on_engine_list(self, change: Change) -> None:
+    def on_engine_list(self, change: EngineListChange) -> None:
         """The engine list has changed."""
         self.gateway.on_engine_list(change)
 
@@ -184,7 +194,7 @@
         """Serve until told to stop, then finish what is open."""
         listeners = self.event_loop.listener
         self.on_discovery_events(self.config.initial_reports)
-        self.event_stream.current()
+        self.event_stream.on_complete_answer()
         await self._open_datagrams()
         admin_socket = await self._open_admin_socket()
         client_socket = await listeners.open_with_retry(
--- a/cottonhold/transport/event_stream_client.py
+++ b/cottonhold/transport/event_stream_client.py
@@ -6,7 +6,7 @@
 import random
 import socket
 
-from cottonhold.discovery.bus import ANSWER_MS, MOST_ANSWER_MS, Bus
+from cottonhold.discovery.event_stream import FIRST_BYTE_TIMEOUT_MS, MAX_ANSWER_MS, EventStream
 from cottonhold.discovery.model import Address
 from cottonhold.message_validation import WireError
 from cottonhold.transport.connector import Connector
@@ -22,16 +22,16 @@
     def __init__(self, context: IoContext, connector: Connector) -> None:
         self.context, self.connector = context, connector
 
-    async def follow(self, bus: Bus, address: Address) -> None:
+    async def follow(self, stream: EventStream, address: Address) -> None:
         """Poll until cancelled; a broken connection is opened anew, with exponential backoff."""
         backoff_s = INITIAL_BACKOFF_S
         while True:
             sock = None
             try:
-                sock = await self.connector.dial(address, ANSWER_MS / 1000)
-                bus.restart()
-                while bus.keep:
-                    backoff_s = await self._poll_once(bus, sock, backoff_s)
+                sock = await self.connector.dial(address, FIRST_BYTE_TIMEOUT_MS / 1000)
+                stream.restart()
+                while stream.keeps_connection:
+                    backoff_s = await self._poll_once(stream, sock, backoff_s)
             except (OSError, WireError) as error:
                 self.context.counters.add("bus_broken")
                 self.context.log(f"event bus: {type(error).__name__}: {error}")
@@ -43,11 +43,11 @@
                     sock.close()
             backoff_s = await self._back_off(backoff_s)
 
-    async def _poll_once(self, bus: Bus, sock: socket.socket, backoff_s: float) -> float:
+    async def _poll_once(self, stream: EventStream, sock: socket.socket, backoff_s: float) -> float:
         """One poll, with a pause behind it where the source did not hold it; returns the next backoff."""
-        began, known = self.context.loop.time(), bus.offset
-        await self._poll(bus, sock)
-        if bus.offset > known or self.context.loop.time() - began > MAX_BACKOFF_S:
+        began, known = self.context.loop.time(), stream.offset
+        await self._poll(stream, sock)
+        if stream.offset > known or self.context.loop.time() - began > MAX_BACKOFF_S:
             return INITIAL_BACKOFF_S
         return await self._back_off(backoff_s)
 
@@ -56,19 +56,19 @@
         await asyncio.sleep(backoff_s * (0.5 + 0.5 * random.random()))
         return min(backoff_s * 2, MAX_BACKOFF_S)
 
-    async def _poll(self, bus: Bus, sock: socket.socket) -> None:
+    async def _poll(self, stream: EventStream, sock: socket.socket) -> None:
         """One request and its answer, which may arrive slowly as long as it arrives."""
         loop = self.context.loop
         buffer = bytearray(READ_BYTES)
-        deadline = loop.time() + bus.limit_ms() / 1000
+        deadline = loop.time() + stream.first_byte_timeout_ms() / 1000
         async with asyncio.timeout_at(deadline) as timeout:
-            await loop.sock_sendall(sock, bus.request())
+            await loop.sock_sendall(sock, stream.request())
             is_complete = False
             while not is_complete:
                 count = await loop.sock_recv_into(sock, buffer)
                 if count == 0:
-                    bus.end()
+                    stream.on_connection_closed()
                     return
-                extended = min(loop.time() + ANSWER_MS / 1000, deadline + MOST_ANSWER_MS / 1000)
+                extended = min(loop.time() + FIRST_BYTE_TIMEOUT_MS / 1000, deadline + MAX_ANSWER_MS / 1000)
                 timeout.reschedule(max(deadline, extended))
-                is_complete = bus.receive(bytes(memoryview(buffer)[:count]))
+                is_complete = stream.receive(bytes(memoryview(buffer)[:count]))
