--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from cottonhold.discovery.model import Address, Change, Names, Observation, Verdict
+from cottonhold.discovery.model import Address, ConfiguredNames, EngineListChange, Observation, ServiceStatus
 from cottonhold.message_validation import WireError
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordError, RecordKind
@@ -36,7 +36,7 @@
     records that can't be read.
     """
 
-    def __init__(self, recorded: Mapping[bytes, bytes], names: Names) -> None:
+    def __init__(self, recorded: Mapping[bytes, bytes], names: ConfiguredNames) -> None:
         self.names, self.malformed = names, 0
         self.engines: dict[str, CachedEngine] = {}
         for key, value in recorded.items():
@@ -61,18 +61,28 @@
             if engine_id in known_ids or address in addresses or cached.zone not in self.names.zones:
                 continue
             addresses.add(address)
-            zone, machine_type = self.names.zone(cached.zone), self.names.model(cached.machine_type)
+            zone, machine_type = (
+                self.names.zone_index(cached.zone),
+                self.names.machine_type_index(cached.machine_type),
+            )
             found.append(
                 Observation(
-                    engine_id, Verdict.IN, REASON, address, zone, machine_type, cached.cell, cached.size
+                    engine_id,
+                    ServiceStatus.IN_SERVICE,
+                    REASON,
+                    address,
+                    zone,
+                    machine_type,
+                    cached.cell,
+                    cached.size,
                 )
             )
         return tuple(found)
 
-    def apply(self, change: Change) -> list[Record]:
+    def apply(self, change: EngineListChange) -> list[Record]:
         """What has to be written for a change of the list."""
         records = []
-        if change.whole:
+        if change.is_complete:
             removed = self.engines.keys() - {engine.id for engine in change.engines}
             records += [self._forget(engine_id) for engine_id in sorted(removed)]
         for engine in change.engines:
@@ -97,7 +107,7 @@
         where = str(address) if address is not None else known_address
         if not where or known is None and len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_ADDRESS]:
             return None
-        zones, machine_types = self.names.zones, self.names.models
+        zones, machine_types = self.names.zones, self.names.machine_types
         zone = zones[engine.zone] if engine.zone < len(zones) else ""
         machine_type = ""
         if engine.machine_type < len(machine_types):
