--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -20,7 +20,7 @@
     MemoryState,
     decode,
 )
-from tests.support.recovery_world import CENSUS, LONGEST, MEMORY, World, asks, settled
+from tests.support.recovery_world import HISTORY, LONGEST, SURVEY, World, client_retries, settled
 
 LOAD = local_loads.load_identity("orders", "7", b"insert into t values (1)")
 WHOLE = load_history.FleetState(True, True, MemoryState.INTACT, {})
@@ -36,27 +36,27 @@
 
 def test_never_sent_is_sent_once_where_all_say_so() -> None:
     world = settled(5)
-    client = asks(world, 2, LOAD)
+    client = client_retries(world, 2, LOAD)
     world.run(300.0)
-    assert (client.heard, world.runs[LOAD], world.wrong) == ("ran", 1, [])
-    assert [asks(world, n, LOAD).heard for n in (2,)] == ["SUCCEEDED"]
-    again = asks(world, 4, LOAD)
+    assert (client.answer, world.runs[LOAD], world.violations) == ("ran", 1, [])
+    assert [client_retries(world, n, LOAD).answer for n in (2,)] == ["SUCCEEDED"]
+    again = client_retries(world, 4, LOAD)
     world.run(300.0)
-    assert again.heard == "SUCCEEDED" and world.runs[LOAD] == 1
+    assert again.answer == "SUCCEEDED" and world.runs[LOAD] == 1
 
 
 def test_in_flight_and_broken_may_have_run() -> None:
     world = settled(5)
     world.first(1, LOAD, lasts=1500.0)
-    early = [asks(world, n, LOAD) for n in (1, 3)]
+    early = [client_retries(world, n, LOAD) for n in (1, 3)]
     world.run(200.0)
-    assert [x.heard for x in early] == ["MAY_HAVE_RUN", "MAY_HAVE_RUN"]
+    assert [x.answer for x in early] == ["MAY_HAVE_RUN", "MAY_HAVE_RUN"]
     broken = local_loads.load_identity("orders", "8", b"")
     world.first(1, broken, lasts=500.0, ends=False)
     world.run(1600.0)
-    late = [asks(world, n, broken) for n in (1, 0)]
+    late = [client_retries(world, n, broken) for n in (1, 0)]
     world.run(300.0)
-    assert [x.heard for x in late] == ["MAY_HAVE_RUN", "MAY_HAVE_RUN"] and world.runs[broken] == 1
+    assert [x.answer for x in late] == ["MAY_HAVE_RUN", "MAY_HAVE_RUN"] and world.runs[broken] == 1
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
@@ -64,60 +64,60 @@
     world = settled(6)
     world.loss = world.again = loss
     world.first(1, LOAD, lasts=1500.0)
-    world.clients[0].asked = 6
+    world.clients[0].attempts = 6
     world.run(500.0)
     world.kill(*range(6))
     world.start(*range(6))
     world.run(50.0)
-    clients = [asks(world, n, LOAD) for n in range(6)]
+    clients = [client_retries(world, n, LOAD) for n in range(6)]
     world.run(LONGEST + 100.0)
-    assert {x.heard for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
-    fresh = asks(world, 5, local_loads.load_identity("orders", "9", b""))
+    assert {x.answer for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
+    fresh = client_retries(world, 5, local_loads.load_identity("orders", "9", b""))
     world.run(LONGEST)
-    assert fresh.heard == "ran"
+    assert fresh.answer == "ran"
 
 
 def test_a_retry_waits_for_the_owner_and_else_is_not_known_yet() -> None:
     world = settled(5)
     world.first(1, LOAD, lasts=1900.0)
-    world.clients[0].asked = 6
+    world.clients[0].attempts = 6
     world.kill(1)
-    patient = asks(world, 2, LOAD)
+    patient = client_retries(world, 2, LOAD)
     world.run(LONGEST + 10.0)
-    assert patient.heard == "NOT_KNOWN_YET"
-    patient = asks(world, 3, LOAD)
+    assert patient.answer == "NOT_KNOWN_YET"
+    patient = client_retries(world, 3, LOAD)
     world.run(500.0)
-    assert patient.heard == ""
+    assert patient.answer == ""
     world.start(1)
     world.run(1000.0)
-    assert patient.heard == "MAY_HAVE_RUN" and world.runs[LOAD] == 1
+    assert patient.answer == "MAY_HAVE_RUN" and world.runs[LOAD] == 1
 
 
 def test_an_owner_proven_silent_holds_nothing_up() -> None:
     world = settled(5)
     world.kill(1)
-    world.run(CENSUS.lease_ms + MEMORY.hold_ms + CENSUS.max_report_age_ms + 2000.0)
-    client = asks(world, 2, LOAD)
+    world.run(SURVEY.lease_ms + HISTORY.hold_ms + SURVEY.max_report_age_ms + 2000.0)
+    client = client_retries(world, 2, LOAD)
     world.run(LONGEST + 10.0)
-    assert client.heard == "ran"
+    assert client.answer == "ran"
 
 
 def test_a_postponed_retry_is_not_sent_when_its_owner_is_proven_silent() -> None:
     world = settled(5)
     world.first(1, LOAD, lasts=1900.0)
-    world.clients[0].asked = 6
+    world.clients[0].attempts = 6
     world.kill(1)
     told = []
     for turn in range(30):  # a client of unusual patience, at another instance each time
-        client = asks(world, (0, 2, 3, 4)[turn % 4], LOAD)
+        client = client_retries(world, (0, 2, 3, 4)[turn % 4], LOAD)
         world.run(LONGEST + 100.0)
-        told.append(client.heard)
+        told.append(client.answer)
     assert (
         set(told) == {"NOT_KNOWN_YET", "MAY_HAVE_RUN"}
         and told[0] == "NOT_KNOWN_YET"
         and told[-1] == "MAY_HAVE_RUN"
     )
-    assert world.runs[LOAD] == 1 and not world.wrong
+    assert world.runs[LOAD] == 1 and not world.violations
 
 
 @pytest.mark.parametrize("folder", ["empty", "old"])
@@ -127,18 +127,18 @@
     world.start(1)
     world.run(3000.0)
     world.first(1, LOAD, lasts=1900.0)
-    world.clients[0].asked = 6
+    world.clients[0].attempts = 6
     world.run(300.0)
     world.kill(*range(5))
     world.start(0, 2, 3, 4)
     world.start(1, folder=folder)
-    clients = [asks(world, n, LOAD) for n in range(5)]
+    clients = [client_retries(world, n, LOAD) for n in range(5)]
     world.run(LONGEST + 10.0)
-    assert {x.heard for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
-    world.run(MEMORY.hold_ms)
-    fresh = asks(world, 1, local_loads.load_identity("orders", "10", b""))
+    assert {x.answer for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
+    world.run(HISTORY.hold_ms)
+    fresh = client_retries(world, 1, local_loads.load_identity("orders", "10", b""))
     world.run(1000.0)
-    assert fresh.heard == "ran"  # by now nobody asks for what it has forgotten
+    assert fresh.answer == "ran"  # by now nobody asks for what it has forgotten
 
 
 def test_a_folder_copied_while_in_use_is_detected() -> None:
@@ -146,32 +146,32 @@
     world = settled(5)
     world.run(3000.0)
     copied = copy.deepcopy(world.folders[1])
-    world.run(CENSUS.mark_interval_ms + 2 * CENSUS.idle_interval_ms)
+    world.run(SURVEY.mark_interval_ms + 2 * SURVEY.idle_interval_ms)
     world.first(1, LOAD, lasts=1900.0)
-    world.clients[0].asked = 6
+    world.clients[0].attempts = 6
     world.run(300.0)
     world.kill(*range(5))
     world.folders[1] = copied
     world.start(*range(5))
-    clients = [asks(world, n, LOAD) for n in range(5)]
+    clients = [client_retries(world, n, LOAD) for n in range(5)]
     world.run(LONGEST + 10.0)
-    assert {x.heard for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1 and not world.wrong
+    assert {x.answer for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1 and not world.violations
 
 
 def test_half_of_a_fleet_settles_nothing_as_never_sent() -> None:
     world = settled(6)
     world.first(5, LOAD, lasts=1900.0)
-    world.clients[0].asked = 6
+    world.clients[0].attempts = 6
     world.kill(*range(6))
     world.start(0, 1, 2)
-    client = asks(world, 1, LOAD)
+    client = client_retries(world, 1, LOAD)
     world.run(LONGEST + 10.0)
-    assert client.heard == "NOT_KNOWN_YET"
+    assert client.answer == "NOT_KNOWN_YET"
     world.start(3, 4, 5)
     world.run(300.0)
-    client = asks(world, 2, LOAD)
+    client = client_retries(world, 2, LOAD)
     world.run(LONGEST)
-    assert client.heard == "MAY_HAVE_RUN" and world.runs[LOAD] == 1
+    assert client.answer == "MAY_HAVE_RUN" and world.runs[LOAD] == 1
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -180,39 +180,39 @@
     world.loss, world.again = 0.2, 0.2
     clients = []
     for number in world.draw.sample(range(4), 3):
-        clients.append(asks(world, number, LOAD))
+        clients.append(client_retries(world, number, LOAD))
         world.run(world.draw.uniform(0.0, 40.0))
     world.run(LONGEST + 500.0)
-    assert world.runs[LOAD] <= 1 and not world.wrong
-    assert all(x.heard in ("ran", "MAY_HAVE_RUN", "SUCCEEDED", "NOT_KNOWN_YET") for x in clients)
+    assert world.runs[LOAD] <= 1 and not world.violations
+    assert all(x.answer in ("ran", "MAY_HAVE_RUN", "SUCCEEDED", "NOT_KNOWN_YET") for x in clients)
 
 
 def test_two_at_one_instance_are_sent_once() -> None:
     world = settled(4)
-    clients = [asks(world, 2, LOAD) for _ in range(3)]
+    clients = [client_retries(world, 2, LOAD) for _ in range(3)]
     world.run(300.0)
     assert (
-        sorted(x.heard for x in clients) == ["MAY_HAVE_RUN", "MAY_HAVE_RUN", "ran"] and world.runs[LOAD] == 1
+        sorted(x.answer for x in clients) == ["MAY_HAVE_RUN", "MAY_HAVE_RUN", "ran"] and world.runs[LOAD] == 1
     )
 
 
 def test_a_queued_first_request_is_not_sent_once_another_has_asked() -> None:
     world = settled(4)
-    asks(world, 2, LOAD)
+    client_retries(world, 2, LOAD)
     world.run(300.0)
     node = world.nodes[0]
-    assert not node.memory.begin(node.clock(world.now), LOAD)
-    world.run(MEMORY.hold_ms + 2000.0)
-    assert node.memory.begin(node.clock(world.now), LOAD)
+    assert not node.history.begin(node.clock(world.now), LOAD)
+    world.run(HISTORY.hold_ms + 2000.0)
+    assert node.history.begin(node.clock(world.now), LOAD)
 
 
 def test_a_cancelled_retry_holds_nothing() -> None:
     world = settled(4)
-    client = asks(world, 2, LOAD)
-    world.nodes[2].memory.cancel(0.0, client.name)
-    other = asks(world, 3, LOAD)
+    client = client_retries(world, 2, LOAD)
+    world.nodes[2].history.cancel(0.0, client.name)
+    other = client_retries(world, 3, LOAD)
     world.run(300.0)
-    assert other.heard == "ran" and not world.nodes[2].memory.pending
+    assert other.answer == "ran" and not world.nodes[2].history.pending
 
 
 def one(count: int = 3, **changes: int) -> load_history.LoadHistory:
@@ -302,12 +302,12 @@
 def test_others_learn_of_open_loads_without_asking() -> None:
     world = settled(4)
     world.first(1, LOAD, lasts=1500.0)
-    world.clients[0].asked = 6
+    world.clients[0].attempts = 6
     world.kill(1)
     world.start(1)
     world.run(100.0)
     world.kill(1)  # gone again
-    assert asks(world, 3, LOAD).heard == "MAY_HAVE_RUN"
+    assert client_retries(world, 3, LOAD).answer == "MAY_HAVE_RUN"
 
 
 def history(count: int, seed: int, faults: list[tuple[int, int, int]], loss: float) -> World:
@@ -332,9 +332,9 @@
             continue  # two old folders bear each other out: see the page
         fault(world, draw, kind, which)
         world.run(float(after))
-    world.part(range(count))
+    world.partition(range(count))
     world.start(*[n for n in range(count) if not world.nodes[n].alive])
-    world.run(max(stop - world.now, 0.0) + 6 * (LONGEST + 600.0) + CENSUS.lease_ms + MEMORY.hold_ms)
+    world.run(max(stop - world.now, 0.0) + 6 * (LONGEST + 600.0) + SURVEY.lease_ms + HISTORY.hold_ms)
     return world
 
 
@@ -353,9 +353,9 @@
     elif kind == 4 and down:
         world.start(draw.choice(down), folder="old")
     elif kind == 5:
-        world.part(numbers, [n for n in range(world.count) if n not in numbers])
+        world.partition(numbers, [n for n in range(world.count) if n not in numbers])
     elif kind == 6:
-        world.part(range(world.count))
+        world.partition(range(world.count))
     elif kind == 7:
         world.kill(*up)
         world.start(*up)
@@ -384,7 +384,7 @@
     """Each ran a load twice: it was asked about across a cut for longer than its sender remembered it (216,
     426, 1536, 1625; with those who had heard of it started again in the last two), at one that nobody heard
     (272, 631, 949), or its sender was emptied and said at first that it did not know (4419)."""
-    assert not drawn(seed).wrong
+    assert not drawn(seed).violations
 
 
 @given(st.integers(3, 6), st.integers(0, 10**6), FAULTS, st.sampled_from([0.0, 0.1, 0.3]))
@@ -393,9 +393,9 @@
     count: int, seed: int, faults: list[tuple[int, int, int]], loss: float
 ) -> None:
     world = history(count, seed, faults, loss)
-    assert not world.wrong
-    assert all(x.heard for x in world.clients)
-    assert not any(n.memory.has_pending for n in world.up())
+    assert not world.violations
+    assert all(x.answer for x in world.clients)
+    assert not any(n.history.has_pending for n in world.live_nodes())
 
 
 def wrongs(seeds: range = range(14, 22)) -> int:
@@ -407,7 +407,7 @@
             (draw.choice([0, 1, 2, 2, 3, 4, 5, 6, 7]), draw.randrange(1, 32), draw.choice([150, 700, 2500]))
             for _ in range(8)
         ]
-        found += len(history(5, seed, faults, 0.1).wrong)
+        found += len(history(5, seed, faults, 0.1).violations)
     return found
 
 
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -26,7 +26,7 @@
     decode,
     encode,
 )
-from tests.support.recovery_world import CENSUS, World, settled
+from tests.support.recovery_world import SURVEY, World, settled
 
 V = survey_results.OutageVerdict
 U32 = st.integers(0, 2**32 - 1)
@@ -104,12 +104,12 @@
     assert world.verdicts() == {V.NOTHING}
     world.loss = world.again = loss
     lose(world, numbers)
-    world.run(CENSUS.settle_ms)
-    assert {n: world.nodes[n].census.view.verdict for n in found} == found
+    world.run(SURVEY.settle_ms)
+    assert {n: world.nodes[n].survey.view.verdict for n in found} == found
     if loss == 0:
-        assert len({(n.census.view.restarted, n.census.view.lost_zones) for n in world.up()}) == 1
+        assert len({(n.survey.view.restarted, n.survey.view.lost_zones) for n in world.live_nodes()}) == 1
     world.loss = world.again = 0.0
-    world.run(CENSUS.recent_start_ms + 2000.0)
+    world.run(SURVEY.recent_start_ms + 2000.0)
     assert world.verdicts() == {V.NOTHING}
 
 
@@ -129,13 +129,13 @@
     world.start(0, 1, 2)
     world.run(8000.0)
     assert world.verdicts() == {V.SOME}  # three of six are no more than half
-    assert all(n.census.view.is_settled for n in world.up())
+    assert all(n.survey.view.is_settled for n in world.live_nodes())
     world.start(3, 4, 5)
     world.run(2000.0)
     assert world.verdicts() == {V.FLEET}
-    for node in world.up():
-        assert node.world(node.census.view.first_start) == pytest.approx(back, abs=100)
-    world.run(CENSUS.recent_start_ms - 9500.0)
+    for node in world.live_nodes():
+        assert node.world(node.survey.view.first_start) == pytest.approx(back, abs=100)
+    world.run(SURVEY.recent_start_ms - 9500.0)
     assert world.verdicts() == {V.NOTHING}  # it ends for the late ones with the first ones
 
 
@@ -147,48 +147,48 @@
         assert world.verdicts() == {V.FLEET}
     world.kill(*range(5))
     world.start(0, 1, 2)
-    world.run(CENSUS.settle_ms + 100.0)
-    view = world.nodes[0].census.view
+    world.run(SURVEY.settle_ms + 100.0)
+    view = world.nodes[0].survey.view
     assert (view.verdict, view.is_settled, view.missing) == (V.FLEET, True, frozenset({3, 4}))
 
 
 def test_being_cut_off_is_told_from_being_restarted_alone() -> None:
     world = settled(6)
-    world.part([0, 1], [2, 3, 4, 5])
-    world.run(CENSUS.max_report_age_ms + CENSUS.settle_ms + 2000.0)
-    assert [world.nodes[n].census.view.verdict for n in (0, 1, 2, 5)] == [V.CUT_OFF] * 2 + [V.NOTHING] * 2
-    assert not world.nodes[0].census.may_send_loads(world.nodes[0].clock(world.now))
-    world.part(range(6))
+    world.partition([0, 1], [2, 3, 4, 5])
+    world.run(SURVEY.max_report_age_ms + SURVEY.settle_ms + 2000.0)
+    assert [world.nodes[n].survey.view.verdict for n in (0, 1, 2, 5)] == [V.CUT_OFF] * 2 + [V.NOTHING] * 2
+    assert not world.nodes[0].survey.may_send_loads(world.nodes[0].clock(world.now))
+    world.partition(range(6))
     world.run(2000.0)
     assert world.verdicts() == {V.NOTHING}
-    assert all(n.census.may_send_loads(n.clock(world.now)) for n in world.up())
+    assert all(n.survey.may_send_loads(n.clock(world.now)) for n in world.live_nodes())
 
 
 def test_neither_half_of_a_partition_takes_the_other_for_silent() -> None:
     world = settled(6)
-    world.part([0, 1, 2], [3, 4, 5])
+    world.partition([0, 1, 2], [3, 4, 5])
     world.run(30_000.0)
-    for node in world.up():
-        assert node.census.may_send_loads(node.clock(world.now)) and not node.census.proven_silent(
+    for node in world.live_nodes():
+        assert node.survey.may_send_loads(node.clock(world.now)) and not node.survey.proven_silent(
             node.clock(world.now)
         )
 
 
 def test_silence_is_proven_only_after_sending_became_impossible() -> None:
     world = settled(5)
-    world.part([0, 1], [2, 3, 4])
+    world.partition([0, 1], [2, 3, 4])
     stopped = dict[int, float]()
     for _ in range(200):
         world.run(100.0)
         for n in (0, 1):
-            if not world.nodes[n].census.may_send_loads(world.nodes[n].clock(world.now)):
+            if not world.nodes[n].survey.may_send_loads(world.nodes[n].clock(world.now)):
                 stopped.setdefault(n, world.now)
         for n in (2, 3, 4):
             node = world.nodes[n]
-            for number, gone in node.census.proven_silent(node.clock(world.now)).items():
+            for number, gone in node.survey.proven_silent(node.clock(world.now)).items():
                 before, as_of = node.world(gone.nothing_sent_after), node.world(gone.valid_until)
                 assert before >= as_of or stopped[number] - 100 <= before
-    last = world.nodes[3].census.proven_silent(world.nodes[3].clock(world.now))
+    last = world.nodes[3].survey.proven_silent(world.nodes[3].clock(world.now))
     assert set(last) == {0, 1} == set(stopped)
 
 
@@ -204,13 +204,13 @@
     world.start(0, folder=folder)
     assert world.folders[0].boot <= known
     world.run(2000.0)
-    census = world.nodes[0].census
+    census = world.nodes[0].survey
     assert census.memory is (MemoryState.EMPTY if folder == "empty" else MemoryState.STALE)
     assert not census.has_confirmed_memory() and census.boot > known and world.folders[0].boot == census.boot
     boot = census.boot
     world.run(5000.0)
     assert census.boot == boot  # once
-    assert all(world.nodes[n].census.has_confirmed_memory() for n in (1, 2, 3, 4))
+    assert all(world.nodes[n].survey.has_confirmed_memory() for n in (1, 2, 3, 4))
     assert world.nodes[1].folder.known[0].boot == boot
 
 
@@ -227,32 +227,32 @@
         world.kill(0)
         world.start(0)
     world.run(2000.0)
-    census = world.nodes[0].census
+    census = world.nodes[0].survey
     assert (
         census.memory is MemoryState.STALE and not census.has_confirmed_memory() and not world.folders[0].base
     )
-    world.run(CENSUS.hold_ms)
+    world.run(SURVEY.hold_ms)
     assert (
         world.folders[0].base // BASE_PER_BOOT == census.boot
     )  # what it has forgotten is asked about no more
     world.kill(0)
     world.start(0)
     world.run(2000.0)
-    assert world.nodes[0].census.has_confirmed_memory()
+    assert world.nodes[0].survey.has_confirmed_memory()
 
 
 def test_an_unconfirmed_folder_is_stale_after_a_hold() -> None:
     world = settled(3)
-    world.part([0, 1], [2])
+    world.partition([0, 1], [2])
     lose(world, [0])
-    world.run(CENSUS.settle_ms + 2000.0)
+    world.run(SURVEY.settle_ms + 2000.0)
     world.kill(0, 1, 2)
     world.run(100.0)  # nothing is under way any more
     world.start(0, folder="old")
-    world.part(range(3))
+    world.partition(range(3))
     world.start(1, 2)  # 1 alone knows better: one name
-    world.run(CENSUS.hold_ms - 500.0)
-    census = world.nodes[0].census
+    world.run(SURVEY.hold_ms - 500.0)
+    census = world.nodes[0].survey
     assert census.memory.name == "INTACT" and not census.has_confirmed_memory()
     world.run(2000.0)
     assert census.memory.name == "STALE"
@@ -265,9 +265,9 @@
     world.start(2, twin=True)
     world.run(15_000.0)
     first, second = world.nodes[2], world.twins[0]
-    assert (first.twice, second.twice) == ([False], [True])
-    assert not second.census.may_send_loads(second.clock(world.now))
-    assert not any(n.twice for n in world.up() if n.number != 2)
+    assert (first.duplicates_seen, second.duplicates_seen) == ([False], [True])
+    assert not second.survey.may_send_loads(second.clock(world.now))
+    assert not any(n.duplicates_seen for n in world.live_nodes() if n.number != 2)
 
 
 def test_restarts_are_not_taken_for_duplicates() -> None:
@@ -275,14 +275,14 @@
     for _ in range(6):
         lose(world, [2])
         world.run(1500.0)
-    assert not any(n.twice for n in world.up())
+    assert not any(n.duplicates_seen for n in world.live_nodes())
 
 
 def one() -> membership_survey.MembershipSurvey:
     numbers = range(5)
     zones, known = dict.fromkeys(numbers, "z"), dict.fromkeys(numbers, 7)
     return membership_survey.MembershipSurvey(
-        0, 5, zones, 7, 11, MemoryState.INTACT, True, known, 0.0, CENSUS
+        0, 5, zones, 7, 11, MemoryState.INTACT, True, known, 0.0, SURVEY
     )
 
 
@@ -332,7 +332,7 @@
         lose(world, range(5))
         world.run(1000.0)
         assert world.verdicts() == {V.FLEET}
-        assert max(abs(n.offset) for n in world.up()) > 1e9
+        assert max(abs(n.offset) for n in world.live_nodes()) > 1e9
 
 
 def test_planted_verdict_by_one_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -1,4 +1,4 @@
-"""Instances of census and memory on a network in memory, in virtual time: folders, links, clients and truth.
+"""Surveys and load histories on a network in virtual time: folders, links, clients, and what really ran.
 
 Each has its own monotonic clock, off by years and a little too fast or slow. A client asks for a load, and
 again where it doesn't hear the end; the world counts what really ran.
@@ -20,7 +20,7 @@
 
 LONGEST = 2000.0  # clients' deadline, ms
 HOLD = local_loads.hold_ms_for([LONGEST], slack_ms=2000.0)
-CENSUS = survey_results.SurveySettings(
+SURVEY = survey_results.SurveySettings(
     recent_start_ms=12_000.0,
     lease_ms=3000.0,
     rebind_ms=3000.0,
@@ -28,7 +28,7 @@
     idle_interval_ms=500.0,
     hold_ms=HOLD,
 )
-MEMORY = load_history.LoadHistorySettings(HOLD, retry_after_ms=300.0, max_unconfirmed_ms=1000.0)
+HISTORY = load_history.LoadHistorySettings(HOLD, retry_after_ms=300.0, max_unconfirmed_ms=1000.0)
 
 
 @dataclass
@@ -48,14 +48,14 @@
 
     number: int
     member: int
-    census: membership_survey.MembershipSurvey
-    memory: load_history.LoadHistory
+    survey: membership_survey.MembershipSurvey
+    history: load_history.LoadHistory
     folder: Folder
     offset: float
     rate: float
     alive: bool = True
-    views: list[survey_results.SurveyView] = field(default_factory=list)
-    twice: list[bool] = field(default_factory=list)
+    views_seen: list[survey_results.SurveyView] = field(default_factory=list)
+    duplicates_seen: list[bool] = field(default_factory=list)
     wake: float = math.inf
 
     def clock(self, now: float) -> float:
@@ -71,8 +71,8 @@
 
     load: bytes
     name: str
-    heard: str = ""
-    asked: int = 0
+    answer: str = ""
+    attempts: int = 0
     settled_at: float = math.inf
 
 
@@ -93,7 +93,7 @@
         self.runs: Counter[bytes] = Counter()
         self.clients: list[Client] = []
         self.waits: dict[str, Client] = {}
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.events, (max(when, self.now), next(self.order), what))
@@ -138,11 +138,11 @@
                 kept.clean,
                 known,
                 clock,
-                CENSUS,
+                SURVEY,
                 kept.base,
                 bases,
             ),
-            load_history.LoadHistory(number, self.count, kept.boot, clock, remembered, MEMORY, seed),
+            load_history.LoadHistory(number, self.count, kept.boot, clock, remembered, HISTORY, seed),
             kept,
             offset,
             rate,
@@ -162,28 +162,28 @@
                 del self.waits[client.name]
                 self._again(client)
 
-    def part(self, *sides: Iterable[int]) -> None:
+    def partition(self, *sides: Iterable[int]) -> None:
         """Only those of one side hear one another."""
         where = {n: i for i, side in enumerate(sides) for n in side}
         pairs = itertools.combinations(range(self.count), 2)
         self.cut = {frozenset(pair) for pair in pairs if where.get(pair[0]) != where.get(pair[1])}
 
-    def up(self) -> list[Node]:
+    def live_nodes(self) -> list[Node]:
         return [n for n in [*self.nodes.values(), *self.twins] if n.alive]
 
     def _tick(self, node: Node) -> None:
         if not node.alive:
             return
         clock = node.clock(self.now)
-        node.census.set_members(clock, [1000 + n for n in range(self.count) if n != node.number])
-        if node.memory.has_pending:
-            node.census.expedite(clock)
-        self._carry_out(node, node.census.step(clock))
-        self._memory(node, node.memory.step(clock, self._around(node)))
+        node.survey.set_members(clock, [1000 + n for n in range(self.count) if n != node.number])
+        if node.history.has_pending:
+            node.survey.expedite(clock)
+        self._carry_out(node, node.survey.step(clock))
+        self._memory(node, node.history.step(clock, self._around(node)))
         self._schedule(node)
 
     def _around(self, node: Node) -> load_history.FleetState:
-        clock, census = node.clock(self.now), node.census
+        clock, census = node.clock(self.now), node.survey
         gone = census.proven_silent(clock)
         apart = census.is_partitioned(gone)
         return load_history.FleetState(
@@ -191,7 +191,7 @@
         )
 
     def _schedule(self, node: Node) -> None:
-        due = min(node.census.next_at(), node.memory.next_at())
+        due = min(node.survey.next_at(), node.history.next_at())
         when = max(node.world(due), self.now + 1.0)
         if when < node.wake - 0.5 or node.wake <= self.now:
             node.wake = when
@@ -203,16 +203,16 @@
                 self.send(node, action.member - 1000, action.data)
             elif isinstance(action, survey_results.RaiseBoot):
                 node.folder.boot = max(node.folder.boot, action.min_boot)
-                node.census.on_boot_stored(node.clock(self.now), action.min_boot)
+                node.survey.on_boot_stored(node.clock(self.now), action.min_boot)
             elif isinstance(action, survey_results.StoreBase):
                 node.folder.base = action.base
-                node.census.on_base_stored(node.clock(self.now), action.base)
+                node.survey.on_base_stored(node.clock(self.now), action.base)
             elif isinstance(action, survey_results.PeerBootLearned):
                 node.folder.known[action.number] = action
             elif isinstance(action, survey_results.ViewChanged):
-                node.views.append(action.view)
+                node.views_seen.append(action.view)
             else:
-                node.twice.append(action.is_later)
+                node.duplicates_seen.append(action.is_later)
 
     def _memory(self, node: Node, actions: list[load_history.Action]) -> None:
         for action in actions:
@@ -221,7 +221,7 @@
             else:
                 client = self.waits.pop(action.request_id, None)
                 if client is None:
-                    node.memory.cancel(node.clock(self.now), action.request_id)
+                    node.history.cancel(node.clock(self.now), action.request_id)
                 else:
                     self._settled(node, client, action.knowledge)
 
@@ -235,14 +235,14 @@
     def deliver(self, member: int, source: int, number: int, data: bytes) -> None:
         if frozenset((source, number)) in self.cut:
             return
-        for node in [n for n in self.up() if n.number == number]:
+        for node in [n for n in self.live_nodes() if n.number == number]:
             clock, word = node.clock(self.now), decode(data)
             if isinstance(word, Presence):
-                node.census.on_message(clock, member, word)
+                node.survey.on_message(clock, member, word)
             else:
-                of = node.census.number_of(member)
+                of = node.survey.number_of(member)
                 if of is not None:
-                    self._memory(node, node.memory.on_message(clock, of, word))
+                    self._memory(node, node.history.on_message(clock, of, word))
             self._schedule(node)
 
     def first(self, number: int, load: bytes, lasts: float, ends: bool = True) -> Client:
@@ -250,8 +250,8 @@
         client = Client(load, f"{number}/{next(self.names)}")
         self.clients.append(client)
         node, took = self.nodes[number], False
-        if node.alive and node.census.may_send_loads(node.clock(self.now)):
-            took = node.memory.begin(node.clock(self.now), load)
+        if node.alive and node.survey.may_send_loads(node.clock(self.now)):
+            took = node.history.begin(node.clock(self.now), load)
         if took:
             self._sent(node, client, lasts, ends)
         else:
@@ -260,10 +260,10 @@
 
     def _sent(self, node: Node, client: Client, lasts: float, ends: bool) -> None:
         node.folder.loads[client.load] = None
-        node.memory.on_sent(node.clock(self.now), client.load)
+        node.history.on_sent(node.clock(self.now), client.load)
         self.runs[client.load] += 1
         if self.runs[client.load] > 1:
-            self.wrong.append(f"{client.load!r} was sent twice")
+            self.violations.append(f"{client.load!r} was sent twice")
         self.waits[client.name] = client
         self.at(self.now + min(lasts, LONGEST), lambda: self._ended(node, client, ends and lasts < LONGEST))
 
@@ -272,7 +272,7 @@
             return
         how = local_loads.LoadResult.SUCCEEDED if well else local_loads.LoadResult.FAILED
         node.folder.loads[client.load] = how
-        node.memory.on_ended(node.clock(self.now), client.load, how)
+        node.history.on_ended(node.clock(self.now), client.load, how)
         if self.waits.pop(client.name, None) is not None:
             if well:
                 self._done(client, "ran")
@@ -282,10 +282,10 @@
     def _again(self, client: Client) -> None:
         """It comes again at any instance that is up."""
         there = [n.number for n in self.nodes.values() if n.alive]
-        if client.asked >= 6 or not there:
+        if client.attempts >= 6 or not there:
             self._done(client, "gave up")
             return
-        client.asked += 1
+        client.attempts += 1
         number = self.draw.choice(there)
         self.at(self.now + self.draw.uniform(5, 300), lambda: self.retry(number, client))
 
@@ -296,7 +296,7 @@
             return
         client.name = f"{number}/{next(self.names)}"
         clock = node.clock(self.now)
-        known = node.memory.on_retry(clock, client.name, client.load, clock + LONGEST)
+        known = node.history.on_retry(clock, client.name, client.load, clock + LONGEST)
         if known is None:
             self.waits[client.name] = client
             self._tick(node)
@@ -306,38 +306,38 @@
     def _settled(self, node: Node, client: Client, known: local_loads.LoadKnowledge) -> None:
         if known is local_loads.LoadKnowledge.NEVER_SENT:
             if self.runs[client.load]:
-                self.wrong.append(f"{client.load!r} told NEVER at {node.number}, was sent")
+                self.violations.append(f"{client.load!r} told NEVER at {node.number}, was sent")
             self._sent(node, client, 50.0, True)
         elif known is local_loads.LoadKnowledge.NOT_KNOWN_YET:
-            client.heard = "NOT_KNOWN_YET"
-            self.at(self.now + MEMORY.retry_after_ms, lambda: self._again(client))
+            client.answer = "NOT_KNOWN_YET"
+            self.at(self.now + HISTORY.retry_after_ms, lambda: self._again(client))
         else:
             if known is local_loads.LoadKnowledge.SUCCEEDED and not self.runs[client.load]:
-                self.wrong.append(f"{client.load!r} told WELL, never ran")
+                self.violations.append(f"{client.load!r} told WELL, never ran")
             self._done(client, known.name)
 
     def _done(self, client: Client, heard: str) -> None:
-        client.heard, client.settled_at = heard, self.now
+        client.answer, client.settled_at = heard, self.now
 
     def verdicts(self) -> set[survey_results.OutageVerdict]:
-        return {node.census.view.verdict for node in self.up()}
+        return {node.survey.view.verdict for node in self.live_nodes()}
 
 
 def settled(count: int, seed: int = 1, **links: float) -> World:
     """A fleet that has been up for long: no loss counts any more."""
     world = World(count, seed, **links)  # type: ignore[arg-type]
     world.start(*range(count), folder="kept")
-    world.run(MEMORY.hold_ms + 1100.0)
+    world.run(HISTORY.hold_ms + 1100.0)
     world.kill(*range(count), clean=True)  # the second start finds folders
     world.start(*range(count))
-    world.run(CENSUS.recent_start_ms + 3000.0)
+    world.run(SURVEY.recent_start_ms + 3000.0)
     return world
 
 
-def asks(world: World, number: int, load: bytes) -> Client:
+def client_retries(world: World, number: int, load: bytes) -> Client:
     """A client's retry at an instance, of a load that some other client asked for before."""
     client = Client(load, "")
-    client.asked = 6
+    client.attempts = 6
     world.clients.append(client)
     world.retry(number, client)
     return client
