--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -10,7 +10,7 @@
 
 from cottonhold.backend.resp import RespError, RespReader, Rows, encode, read_count, read_fields, read_rows
 from cottonhold.config.relay import ConnectionSettings
-from cottonhold.config.settings import REPORT
+from cottonhold.config.settings import LOAD_REPORT_FIELDS
 from cottonhold.discovery.model import Address, Change
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.observe.counters import Counters
@@ -708,7 +708,7 @@
         name, mark, value = part.partition(":")
         if mark:
             try:
-                report[REPORT.get(name, name)] = float(value)
+                report[LOAD_REPORT_FIELDS.get(name, name)] = float(value)
             except ValueError:
                 continue
     return report
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from cottonhold.config.settings import read_settings
+from cottonhold.config.settings import decode_settings
 from cottonhold.discovery.bus import read_batch
 from cottonhold.discovery.model import Address, Names, Report
 from cottonhold.message_validation import NUMBER, Json, WireError, read, read_list
@@ -169,7 +169,7 @@
     check_whole(params)
     caps = read(params, "caps", dict)
     connect_ms = read(caps, "connect_timeout", NUMBER, 250.0)
-    settings = replace(read_settings(params), max_connect_ms=connect_ms)
+    settings = replace(decode_settings(params), max_connect_ms=connect_ms)
     check_numbers(settings, "settings")
     names = Names(tuple(read_list(params, "zones", str)), tuple(read_list(params, "models", str)))
     offset, known = read_batch(read(source, "known", dict), names, counters)
--- a/cottonhold/config/settings.py
+++ b/cottonhold/config/settings.py
@@ -1,4 +1,7 @@
-"""The settings of a gateway, read from the JSON object that the simulator and the configuration share."""
+"""The codec of a gateway's settings: the JSON object that the simulator and RELAY_CONFIG share.
+
+Raises WireError for a value of the wrong type or an unknown word, by the object's own names.
+"""
 
 from __future__ import annotations
 
@@ -18,23 +21,24 @@
     Tenant,
 )
 
-EFFECTS = {
+IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.IDEMPOTENT_WITH_KEY,
     "fragile": Idempotency.NOT_IDEMPOTENT,
 }
-SHORT = {"queue": MemoryShortage.WAIT, "trim": MemoryShortage.SHRINK, "swap": MemoryShortage.PAGE}
-REPORT = {"active": "inflight", "waiting": "queue", "cpu": "util"}
+MEMORY_SHORTAGE = {"queue": MemoryShortage.WAIT, "trim": MemoryShortage.SHRINK, "swap": MemoryShortage.PAGE}
+LOAD_REPORT_FIELDS = {"active": "inflight", "waiting": "queue", "cpu": "util"}
 
 
-def read_class(source: Json, domain: Json, position: int) -> QueryClass:
+def decode_class(source: Json, domain: Json, position: int) -> QueryClass:
     """One entry of the settings' classes, with what the domain says of it."""
 
     def of_class(key: str, default: Any) -> Any:
         values = read_list(domain, key, type(default))
         return values[position] if position < len(values) else default
 
-    zones, models = read(source, "zones_open", list, None), read(source, "models_open", list, None)
+    zones = read(source, "zones_open", list, None)
+    machine_types = read(source, "models_open", list, None)
     return QueryClass(
         name=read(source, "name", str, ""),
         latency_objective_ms=read(source, "aim", NUMBER),
@@ -42,20 +46,20 @@
         utility=read(source, "worth", NUMBER, 1.0),
         late_utility=read(source, "late_worth", NUMBER, 0.0),
         latency_objective_stretch=read(source, "aim_stretch", NUMBER, 0.0),
-        idempotency=word(source, "effect", EFFECTS),
+        idempotency=word(source, "effect", IDEMPOTENCY),
         deduplication_scope=DeduplicationScope(read(source, "group", str, "all")),
         deduplication_window_ms=read(source, "window", NUMBER, 0.0),
         is_ordered_by_key=read(source, "by_arrival", bool, False),
         is_streamed=read(source, "stream", bool, False),
         zones=None if zones is None else tuple(zones),
-        machine_types=None if models is None else tuple(models),
+        machine_types=None if machine_types is None else tuple(machine_types),
         threads=of_class("parallelism", 1),
         is_load=of_class("holds_tables", False),
         waits_for_loads=of_class("class_waits", False),
     )
 
 
-def read_rules(source: Json) -> Rules:
+def decode_rules(source: Json) -> Rules:
     """The figures of the rules."""
     return Rules(
         answer_slack_ms=read(source, "answer_slack", NUMBER, 20.0),
@@ -72,18 +76,24 @@
     )
 
 
-def read_settings(params: Json) -> Settings:
-    """The settings of a first message."""
-    caps, domain = read(params, "caps", dict), read(params, "domain", dict, {})
-    costs = read(params, "costs", dict, {})
-    report = read(params, "report", dict, {})
-    cores, memory = read_list(domain, "size_cores", NUMBER), read_list(domain, "ram_of_kind_mb", NUMBER)
+def decode_machine_types(params: Json, domain: Json) -> tuple[MachineType, ...]:
+    """The machine types, with the cores and memory that the domain knows; at least one, of unknown size."""
+    cores = read_list(domain, "size_cores", NUMBER)
+    memory_mb = read_list(domain, "ram_of_kind_mb", NUMBER)
     names = read_list(params, "models", str)
-    models = tuple(
-        MachineType(cores[i] if i < len(cores) else 0, memory[i] if i < len(memory) else 0.0)
-        for i in range(max(len(names), len(cores), 1))
+    return tuple(
+        MachineType(
+            cores=cores[index] if index < len(cores) else 0,
+            memory_mb=memory_mb[index] if index < len(memory_mb) else 0.0,
+        )
+        for index in range(max(len(names), len(cores), 1))
     )
-    permits = Features(
+
+
+def decode_features(params: Json, domain: Json) -> Features:
+    """What the deployment lets a gateway do."""
+    caps = read(params, "caps", dict)
+    return Features(
         can_cancel=read(caps, "may_cancel", bool, False),
         has_memory_grants=read(domain, "grants_count", bool, False),
         has_priorities=read(domain, "priorities", bool, False),
@@ -94,26 +104,41 @@
         max_attempts=read(caps, "most_tries", int, 1),
         polls_engine_list=read(params, "discovery", str, "push") == "ask",
     )
+
+
+def decode_overhead_costs(source: Json) -> OverheadCosts:
+    """What the deployment charges for health checks and messages to peers."""
+    return OverheadCosts(
+        per_health_check=read(source, "probe", NUMBER, 0.0),
+        per_peer_message=read(source, "peer", NUMBER, 0.0),
+    )
+
+
+def decode_tenant(source: Json) -> Tenant:
+    """One entry of the tenants."""
+    return Tenant(read(source, "name", str, ""), read(source, "quota_per_s", NUMBER, 0.0))
+
+
+def decode_settings(params: Json) -> Settings:
+    """All settings. Raises ValueError for a value that makes no sense."""
+    domain = read(params, "domain", dict, {})
+    report = read(params, "report", dict, {})
+    classes = read_list(params, "classes", dict)
+    fields = read_list(report, "fields", str)
     return Settings(
-        classes=tuple(read_class(c, domain, i) for i, c in enumerate(read_list(params, "classes", dict))),
-        machine_types=models,
-        features=permits,
-        overhead_costs=OverheadCosts(
-            per_health_check=read(costs, "probe", NUMBER, 0.0),
-            per_peer_message=read(costs, "peer", NUMBER, 0.0),
-        ),
-        rules=read_rules(read(params, "obligations", dict)),
-        tenants=tuple(
-            Tenant(read(t, "name", str, ""), read(t, "quota_per_s", NUMBER, 0.0))
-            for t in read_list(params, "tenants", dict)
-        ),
+        classes=tuple(decode_class(source, domain, index) for index, source in enumerate(classes)),
+        machine_types=decode_machine_types(params, domain),
+        features=decode_features(params, domain),
+        overhead_costs=decode_overhead_costs(read(params, "costs", dict, {})),
+        rules=decode_rules(read(params, "obligations", dict)),
+        tenants=tuple(decode_tenant(source) for source in read_list(params, "tenants", dict)),
         gateway_index=read(params, "me", int, 0),
         gateway_count=read(params, "siblings", int, 1),
         zone=read(params, "zone", int, 0),
         over_quota_utility=read(params, "over_share_worth", NUMBER, 1.0),
-        load_report_fields=tuple(REPORT.get(f, f) for f in read_list(report, "fields", str)),
+        load_report_fields=tuple(LOAD_REPORT_FIELDS.get(name, name) for name in fields),
         reports_on_health_check=read(report, "how", str, "off") == "on_probe",
-        on_memory_shortage=word(domain, "when_short", SHORT, default=MemoryShortage.WAIT),
+        on_memory_shortage=word(domain, "when_short", MEMORY_SHORTAGE, default=MemoryShortage.WAIT),
         max_grant_share=read(domain, "max_grant_share", NUMBER, 1.0),
         progress_interval_ms=read(domain, "note_period", NUMBER, 0.0),
         reports_actual_work=read(domain, "cost_in_answers", bool, False),
--- a/cottonhold/scheduler/actions.py
+++ b/cottonhold/scheduler/actions.py
@@ -12,8 +12,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; timeout 0 lasts until the client gives up. What has not begun by `begin_by`, as when
-    a connect takes long, must not begin any more: repeats are no longer dropped then."""
+    """Start an attempt; timeout 0 lasts until the client gives up.
+
+    An attempt that has not begun by `begin_deadline`, as when a connect takes long, must not begin any more:
+    engines no longer drop repeats then.
+    """
 
     query_id: str
     engine: str
@@ -32,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Give up the wait for one attempt."""
+    """Cancel one attempt."""
 
     query_id: str
     attempt: int
@@ -40,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: turned away, trying again is harmless."""
+    """Final answer: rejected, trying again is harmless."""
 
     query_id: str
     retry_after_ms: float = 0.0
@@ -48,14 +51,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, promises nothing."""
+    """Final answer: failed; the query may have had effects."""
 
     query_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Ask an engine for a sign of life."""
+    """Check the health of an engine."""
 
     engine: str
 
@@ -77,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Set a timer."""
+    """Set a timer, which comes back as TimerExpired."""
 
     delay_ms: float
     token: int
@@ -92,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DemandEstimate:
-    """What a query with a draw is taken to be worth, and its work in thread ms, for the fleet's price."""
+    """The utility and the work in thread ms of a query with a draw, for the fleet's admission threshold."""
 
     query_id: str
     utility: float
--- a/cottonhold/scheduler/events.py
+++ b/cottonhold/scheduler/events.py
@@ -1,4 +1,4 @@
-"""Events: what the scheduler is told in a step.
+"""Events: what the scheduler takes in with a step.
 
 Times are milliseconds on the caller's clock, memory is in MB, work is in milliseconds on one thread.
 Positions (class, tenant, zone, machine type) count from 0 in the settings' lists.
@@ -13,7 +13,7 @@
 
 
 class EngineState(Enum):
-    """An engine's state as the engine list tells it."""
+    """An engine's state in the engine list."""
 
     LIVE = "live"
     DRAINING = "draining"
@@ -34,7 +34,7 @@
 
 
 class ProgressKind(Enum):
-    """What a progress note tells."""
+    """What a progress note is about."""
 
     PROGRESS = 1
     SPILL = 2
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineList:
-    """The engine list, whole or only what changed."""
+    """The engine list, complete or only what changed."""
 
     engines: tuple[Engine, ...]
     is_complete: bool
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryArrived:
-    """A client's query has come to this gateway."""
+    """A client's query has arrived at this gateway."""
 
     query_id: str
     query_class: int
@@ -80,12 +80,12 @@
     tenant: int = 0
     ordering_key: str | None = None
     is_retry: bool = False
-    admission_draw: float | None = None  # 0 to 1, of the share that a price lets in; None where nobody prices
+    admission_draw: float | None = None  # 0 to 1, for the marginal share; None without admission control
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """How an attempt ended; `final` is set when the query is over with it."""
+    """How an attempt ended; `is_final` is set when the query is finished with it."""
 
     query_id: str
     attempt: int
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProgressNote:
-    """News of a running attempt: share done, MB missing, or 1 (memory) / 2 (a load) it waits for."""
+    """News of a running attempt: share completed, MB missing, or what it waits for, 1 memory or 2 a load."""
 
     query_id: str
     attempt: int
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The answer of a streamed query has begun; the attempt is the client's now."""
+    """The result of a streamed query has begun; the attempt belongs to the client now."""
 
     query_id: str
     attempt: int
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has left; the query is over."""
+    """The client has left; the query is finished."""
 
     query_id: str
 
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckCompleted:
-    """The result of a probe: how it ended, and the load report that came along."""
+    """The result of a health check: how it ended, and the load report that came along."""
 
     engine: str
     outcome: Outcome
@@ -144,22 +144,25 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerExpired:
-    """A timer set with Wake is due."""
+    """A timer set with SetTimer has expired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """Other settings from now on; queries that came before keep their class and their attempts."""
+    """Other settings from now on; queries that arrived before keep their class and their attempts."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class EngineQuotas:
-    """What the fleet lets this gateway send: work in ms a ms by engine, 0 for none; others are free. Replaces
-    what was said before. From `until` on a bounded engine gets nothing: the parts were given for so long."""
+    """What the fleet lets this gateway send, as work in ms a ms by engine id; 0 closes an engine.
+
+    Engines without a quota are free. Replaces all quotas before. From `expires_at` on an engine with a quota
+    gets nothing, as the quotas of all gateways were divided until then.
+    """
 
     work_rate_by_engine: dict[str, float]
     expires_at: float
@@ -167,10 +170,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AdmissionThreshold:
-    """What the fleet lets in until a time: worth a ms of work from `density` on a `share` of, by the query's
-    draw, and from `above` on all. cooldown: so many ms whoever is turned away should stay away at least,
-    until another price is said. told: there is a fleet that has one price, if only of nothing. Replaces what
-    was said before."""
+    """What the fleet admits until a time, by utility a ms of work. Replaces the threshold before.
+
+    A query whose draw is below `marginal_share` needs `marginal_density`, the others `full_density`. A
+    rejected client should stay away for `retry_after_ms` at least. `is_fleet_wide` says that one threshold
+    holds for all gateways, even if it admits everything.
+    """
 
     marginal_density: float = 0.0
     full_density: float = 0.0
@@ -182,7 +187,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """This gateway ends: what has no final answer by `until` never gets one."""
+    """This gateway shuts down: what has no final answer by `ends_at` never gets one."""
 
     ends_at: float
 
--- a/cottonhold/scheduler/settings.py
+++ b/cottonhold/scheduler/settings.py
@@ -1,4 +1,4 @@
-"""What a gateway is told at its start: classes of queries, machine types, rules and features.
+"""The settings of a gateway: classes of queries, machine types, tenants, rules and features.
 
 Times are milliseconds on the caller's clock, memory is in MB, work is in milliseconds on one thread.
 Positions (class, tenant, zone, machine type) count from 0 in the settings' lists.
@@ -27,7 +27,7 @@
 
 
 class MemoryShortage(Enum):
-    """What an engine does when the memory granted passes what it has."""
+    """What an engine does when the memory granted exceeds what it has."""
 
     WAIT = "wait"
     SHRINK = "shrink"
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineType:
-    """One kind of engine machine; zero where the figure is not known."""
+    """One type of engine machine; zero where a figure is not known."""
 
     cores: int = 0
     memory_mb: float = 0.0
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and the queries a second, over all gateways, that lie within its share."""
+    """A tenant and its quota: the queries a second, over all gateways, that earn their full utility."""
 
     name: str
     quota_per_s: float
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OverheadCosts:
-    """What is taken off the day's result: for probes a query taken, and for bytes to peers a 256 of them."""
+    """What lowers the deployment's result, by query accepted: a health check, and 256 bytes to peers."""
 
     per_health_check: float = 0.0
     per_peer_message: float = 0.0
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a gateway is told at start."""
+    """All settings of a gateway. Raises ValueError for a value that makes no sense."""
 
     classes: tuple[QueryClass, ...]
     machine_types: tuple[MachineType, ...] = (MachineType(),)
@@ -139,7 +139,7 @@
     )
 
     def __post_init__(self) -> None:
-        """Settings that make no sense are named at once."""
+        """Check the values."""
         rules = self.rules
         checks = [
             ("classes", bool(self.classes)),
--- a/cottonhold/simulator_adapter.py
+++ b/cottonhold/simulator_adapter.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from cottonhold.config.settings import read_settings
+from cottonhold.config.settings import decode_settings
 from cottonhold.message_validation import NUMBER, Json, WireError, read, word
 from cottonhold.scheduler.actions import (
     Action,
@@ -46,7 +46,11 @@
 from cottonhold.scheduler.scheduler import Scheduler
 from cottonhold.scheduler.settings import Settings
 
-__all__ = ["read_probed", "read_settings", "run"]
+__all__ = ["decode_health_check", "decode_settings", "run"]
+
+USED_WORK_SHIFT = 12  # the ms of work used stand above this many bits of memory steps
+USED_MEMORY_MASK = (1 << USED_WORK_SHIFT) - 1
+USED_MEMORY_STEP_MB = 4
 
 OUTCOMES = {
     200: Outcome.OK,
@@ -65,7 +69,7 @@
 }
 
 
-def read_engine(source: Json) -> Engine:
+def decode_engine(source: Json) -> Engine:
     """One line of an engine list."""
     return Engine(
         id=read(source, "node", str),
@@ -78,190 +82,211 @@
     )
 
 
-def read_report(source: Json, settings: Settings) -> dict[str, float]:
+def decode_load_report(source: Json, settings: Settings) -> dict[str, float]:
     """A load report under the field's names."""
     values = read(source, "gauge", list, [])
     return {
-        name: v for name, v in zip(settings.load_report_fields, values, strict=False) if isinstance(v, NUMBER)
+        name: value
+        for name, value in zip(settings.load_report_fields, values, strict=False)
+        if isinstance(value, NUMBER)
     }
 
 
-def read_arrival(m: Json, settings: Settings) -> Event:
-    kind, tenant = read(m, "kind", int), read(m, "party", int, 0)
-    if not 0 <= kind < len(settings.classes):
-        raise WireError(f"field 'kind' names no class: {kind}")
+def decode_query_arrived(message: Json, settings: Settings) -> Event:
+    """A client's query. Raises WireError for a class that the settings don't have."""
+    query_class = read(message, "kind", int)
+    tenant = read(message, "party", int, 0)
+    if not 0 <= query_class < len(settings.classes):
+        raise WireError(f"field 'kind' names no class: {query_class}")
     return QueryArrived(
-        query_id=read(m, "req", str),
-        query_class=kind,
-        deadline_at=read(m, "due", NUMBER),
-        estimated_work_ms=read(m, "est_cost", NUMBER, 0.0),
-        estimated_memory_mb=read(m, "footprint_mb", NUMBER, 0.0),
-        table_group=read(m, "source_set", NUMBER, -1),
+        query_id=read(message, "req", str),
+        query_class=query_class,
+        deadline_at=read(message, "due", NUMBER),
+        estimated_work_ms=read(message, "est_cost", NUMBER, 0.0),
+        estimated_memory_mb=read(message, "footprint_mb", NUMBER, 0.0),
+        table_group=read(message, "source_set", NUMBER, -1),
         tenant=tenant,
-        ordering_key=read(m, "order_key", str, None),
-        is_retry=read(m, "retry", bool, False),
+        ordering_key=read(message, "order_key", str, None),
+        is_retry=read(message, "retry", bool, False),
     )
 
 
-def read_ended(m: Json, settings: Settings) -> Event:
-    used = read(m, "used_up", int, 0)
+def decode_attempt_ended(message: Json, settings: Settings) -> Event:
+    """The end of an attempt. The work and memory used share one number."""
+    used = read(message, "used_up", int, 0)
     return AttemptEnded(
-        query_id=read(m, "req", str),
-        attempt=read(m, "attempt", int),
-        engine=read(m, "node", str),
-        outcome=word(m, "ending", OUTCOMES, int),
-        elapsed_ms=read(m, "elapsed", NUMBER, 0.0),
-        is_final=read(m, "last", bool, False),
-        actual_work_ms=float(used >> 12),
-        actual_memory_mb=float(used & 4095) * 4,
-        load_report=read_report(m, settings),
+        query_id=read(message, "req", str),
+        attempt=read(message, "attempt", int),
+        engine=read(message, "node", str),
+        outcome=word(message, "ending", OUTCOMES, int),
+        elapsed_ms=read(message, "elapsed", NUMBER, 0.0),
+        is_final=read(message, "last", bool, False),
+        actual_work_ms=float(used >> USED_WORK_SHIFT),
+        actual_memory_mb=float(used & USED_MEMORY_MASK) * USED_MEMORY_STEP_MB,
+        load_report=decode_load_report(message, settings),
     )
 
 
-def read_note(m: Json, settings: Settings) -> Event:
-    kinds = {k.value: k for k in ProgressKind}
+def decode_progress_note(message: Json, settings: Settings) -> Event:
+    """A progress note."""
+    kinds = {kind.value: kind for kind in ProgressKind}
     return ProgressNote(
-        read(m, "req", str),
-        read(m, "attempt", int),
-        read(m, "node", str),
-        word(m, "kind", kinds, int),
-        read(m, "x", NUMBER, 0.0),
+        read(message, "req", str),
+        read(message, "attempt", int),
+        read(message, "node", str),
+        word(message, "kind", kinds, int),
+        read(message, "x", NUMBER, 0.0),
     )
 
 
-def read_first(m: Json, settings: Settings) -> Event:
-    return StreamStarted(read(m, "req", str), read(m, "attempt", int), read(m, "node", str))
+def decode_stream_started(message: Json, settings: Settings) -> Event:
+    """The begin of a streamed result."""
+    return StreamStarted(read(message, "req", str), read(message, "attempt", int), read(message, "node", str))
 
 
-def read_peer(m: Json, settings: Settings) -> Event:
+def decode_peer_message(message: Json, settings: Settings) -> Event:
+    """A message of another gateway. Raises WireError for data that is not hex."""
     try:
-        return PeerMessage(read(m, "src_peer", int), bytes.fromhex(read(m, "data", str)))
+        return PeerMessage(read(message, "src_peer", int), bytes.fromhex(read(message, "data", str)))
     except ValueError as error:
         raise WireError("field 'data' is not hex") from error
 
 
-def read_probed(m: Json, settings: Settings) -> Event:
-    ending = word(m, "ending", OUTCOMES, int)
-    return HealthCheckCompleted(read(m, "node", str), ending, read_report(m, settings))
+def decode_health_check(message: Json, settings: Settings) -> Event:
+    """The result of a health check."""
+    outcome = word(message, "ending", OUTCOMES, int)
+    return HealthCheckCompleted(read(message, "node", str), outcome, decode_load_report(message, settings))
 
 
-READERS: dict[str, Callable[[Json, Settings], Event]] = {
-    "NEW_REQUEST": read_arrival,
-    "DONE": read_ended,
-    "HINT_UPDATE": read_note,
-    "FIRST": read_first,
-    "DATAGRAM": read_peer,
-    "SAMPLED": read_probed,
-    "LAPSED": lambda m, s: ClientDisconnected(read(m, "req", str)),
-    "ELAPSED": lambda m, s: TimerExpired(read(m, "name", int)),
+EVENT_DECODERS: dict[str, Callable[[Json, Settings], Event]] = {
+    "NEW_REQUEST": decode_query_arrived,
+    "DONE": decode_attempt_ended,
+    "HINT_UPDATE": decode_progress_note,
+    "FIRST": decode_stream_started,
+    "DATAGRAM": decode_peer_message,
+    "SAMPLED": decode_health_check,
+    "LAPSED": lambda message, settings: ClientDisconnected(read(message, "req", str)),
+    "ELAPSED": lambda message, settings: TimerExpired(read(message, "name", int)),
 }
 
 
-def write_action(action: Action) -> Json:
-    """An action in the wire's words. Raises ValueError for one that the wire has no word for."""
+def encode_action(action: Action) -> Json:
+    """An action as a line of the wire. Raises ValueError for one that the wire lacks."""
     match action:
-        case Send(query, engine, timeout):
-            return {"event_type": "ISSUE", "req": query, "node": engine, "allow_for": timeout}
-        case UpdateAttempt(query, memory, priority):
-            return {"event_type": "PROVIDE", "req": query, "workspace_mb": memory, "lane": priority}
+        case Send(query, engine, timeout_ms):
+            return {"event_type": "ISSUE", "req": query, "node": engine, "allow_for": timeout_ms}
+        case UpdateAttempt(query, memory_mb, priority):
+            return {"event_type": "PROVIDE", "req": query, "workspace_mb": memory_mb, "lane": priority}
         case Cancel(query, attempt):
             return {"event_type": "ABANDON", "req": query, "attempt": attempt}
-        case Reject(query, retry_after):
-            return {"event_type": "SAY_NO", "req": query, "retry_after": retry_after}
+        case Reject(query, retry_after_ms):
+            return {"event_type": "SAY_NO", "req": query, "retry_after": retry_after_ms}
         case Fail(query):
             return {"event_type": "RESPOND_ERROR", "req": query}
         case CheckHealth(engine):
             return {"event_type": "HEALTH_CHECK", "node": engine}
-        case Subscribe(on):
-            return {"event_type": "TAIL", "enable": on}
-        case SendToPeer(data, peer):
-            return {"event_type": "BROADCAST_TO", "neighbour_id": peer, "data": data.hex()}
-        case SetTimer(after, token):
-            return {"event_type": "WAKE_ME", "offset": after, "name": token}
+        case Subscribe(is_on):
+            return {"event_type": "TAIL", "enable": is_on}
+        case SendToPeer(payload, peer):
+            return {"event_type": "BROADCAST_TO", "neighbour_id": peer, "data": payload.hex()}
+        case SetTimer(delay_ms, token):
+            return {"event_type": "WAKE_ME", "offset": delay_ms, "name": token}
         case LogLine(text):
             return {"event_type": "LOG", "reason_text": text}
         case DemandEstimate():
-            raise ValueError("the wire has no word for what is offered")
+            raise ValueError("the wire has no line for demand estimates")
 
 
 class Adapter:
-    """Collects a batch's events by instance and writes one reply a batch."""
+    """Collects a batch's events by gateway instance and writes one reply for the batch."""
 
     def __init__(self, out: TextIO) -> None:
+        """An adapter without instances that writes to `out`."""
         self.out = out
-        self.instances: dict[int, Scheduler] = {}
-        self.pending: dict[int, list[Event]] = {}
-        self.lists: dict[int, tuple[Engine, ...]] = {}
+        self.schedulers: dict[int, Scheduler] = {}
+        self.pending_events: dict[int, list[Event]] = {}
+        self.engine_lists: dict[int, tuple[Engine, ...]] = {}
         self.now = 0.0
         self.round = 0
 
-    def take(self, message: Json) -> None:
-        """One line of a batch."""
+    def on_message(self, message: Json) -> None:
+        """Take one line of a batch. Raises WireError for one that does not follow the wire."""
         name = read(message, "event_type", str)
         if name == "TICK":
-            self.now, self.round = read(message, "sim_time", NUMBER), read(message, "round", int)
+            self.now = read(message, "sim_time", NUMBER)
+            self.round = read(message, "round", int)
         elif name == "YOUR_TURN":
-            self.reply()
+            self._reply()
         elif name == "REGISTER":
-            self.lists[read(message, "sheet", int)] = tuple(
-                read_engine(entry) for entry in read(message, "entries", list)
-            )
+            self._on_register(message)
         elif name == "HELLO":
-            self.hello(message)
+            self._on_hello(message)
         else:
-            self.event(name, message)
+            self._on_event(name, message)
+
+    def _on_register(self, message: Json) -> None:
+        """A numbered engine list, for later VIEW events."""
+        entries = read(message, "entries", list)
+        self.engine_lists[read(message, "sheet", int)] = tuple(decode_engine(entry) for entry in entries)
 
-    def hello(self, message: Json) -> None:
-        """A new instance, knowing nothing but its settings."""
-        number, seed = read(message, "gateway_id", int), read(message, "init_seed", int)
+    def _on_hello(self, message: Json) -> None:
+        """A new instance, which knows nothing but its settings."""
+        gateway_id = read(message, "gateway_id", int)
+        seed = read(message, "init_seed", int)
         try:
-            self.instances[number] = Scheduler(read_settings(read(message, "params", dict)), seed)
+            settings = decode_settings(read(message, "params", dict))
+            self.schedulers[gateway_id] = Scheduler(settings, seed)
         except ValueError as error:
             raise WireError(f"field 'params': {error}") from error
-        self.pending[number] = []
+        self.pending_events[gateway_id] = []
 
-    def event(self, name: str, message: Json) -> None:
+    def _on_event(self, name: str, message: Json) -> None:
         """An event of one instance."""
-        number = read(message, "gateway_id", int)
-        if number not in self.instances:
-            raise WireError(f"field 'gateway_id' names an unknown instance: {number}")
+        gateway_id = read(message, "gateway_id", int)
+        if gateway_id not in self.schedulers:
+            raise WireError(f"field 'gateway_id' names an unknown instance: {gateway_id}")
         if name == "HALT":
-            del self.instances[number]
-            self.pending.pop(number, None)
-        elif name == "VIEW":
-            self.pending.setdefault(number, []).append(self.view(message))
-        elif name in READERS:
-            event = READERS[name](message, self.instances[number].settings)
-            self.pending.setdefault(number, []).append(event)
+            del self.schedulers[gateway_id]
+            self.pending_events.pop(gateway_id, None)
+            return
+        if name == "VIEW":
+            event = self._decode_view(message)
+        elif name in EVENT_DECODERS:
+            event = EVENT_DECODERS[name](message, self.schedulers[gateway_id].settings)
         else:
             raise WireError(f"field 'event_type' names an unknown event: {name}")
+        self.pending_events.setdefault(gateway_id, []).append(event)
 
-    def view(self, message: Json) -> Event:
-        """A change of the engine list, resolved against the lists named so far."""
+    def _decode_view(self, message: Json) -> Event:
+        """A change of the engine list, by the number of a registered list."""
         form = read(message, "form", str)
         if form == "X":
             return EngineListFailed()
         sheet = read(message, "sheet", int)
-        if sheet not in self.lists:
+        if sheet not in self.engine_lists:
             raise WireError(f"field 'sheet' names an unknown list: {sheet}")
-        return EngineList(self.lists[sheet], is_complete=form != "D")
+        return EngineList(self.engine_lists[sheet], is_complete=form != "D")
 
-    def reply(self) -> None:
-        """Let every instance with events decide and write the reply."""
+    def _reply(self) -> None:
+        """Step every instance with events and write the reply."""
         lines = []
-        for number, events in self.pending.items():
-            try:
-                actions = [write_action(a) for a in self.instances[number].step(self.now, events)]
-            except Exception as error:
-                actions = [{"event_type": "GIVE_IN", "reason_text": f"{type(error).__name__}: {error}"}]
-                print(f"instance {number}: {type(error).__name__}: {error}", file=sys.stderr)
-            for action in actions:
-                action["gateway_id"] = number
+        for gateway_id, events in self.pending_events.items():
+            for action in self._step(gateway_id, events):
+                action["gateway_id"] = gateway_id
                 lines.append(json.dumps(action))
         lines.append(json.dumps({"event_type": "ACK", "round": self.round}))
         self.out.write("\n".join(lines) + "\n")
         self.out.flush()
-        self.pending = {}
+        self.pending_events = {}
+
+    def _step(self, gateway_id: int, events: list[Event]) -> list[Json]:
+        """The actions of one instance; a failure ends the simulated day with its text."""
+        try:
+            return [encode_action(action) for action in self.schedulers[gateway_id].step(self.now, events)]
+        except Exception as error:
+            text = f"{type(error).__name__}: {error}"
+            print(f"instance {gateway_id}: {text}", file=sys.stderr)
+            return [{"event_type": "GIVE_IN", "reason_text": text}]
 
 
 def run(source: TextIO, out: TextIO, errors: TextIO) -> int:
@@ -274,7 +299,7 @@
             message = json.loads(line)
             if not isinstance(message, dict):
                 raise WireError("not an object")
-            adapter.take(message)
+            adapter.on_message(message)
         except json.JSONDecodeError as error:
             print(f"line {number}: not JSON: {error}", file=errors)
             return 2
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -204,7 +204,7 @@
     out = io.StringIO()
     adapter = simulator_adapter.Adapter(out)
     for line in lines:
-        adapter.take(line)
+        adapter.on_message(line)
     _play(adapter, out)
     replies = [json.loads(line) for line in out.getvalue().splitlines()]
     # The words of a log line are for operators, and no part of the wire.
@@ -219,22 +219,24 @@
     at = 0
     for turn in range(2, 42):
         now = 20.0 * turn
-        adapter.take({"event_type": "TICK", "sim_time": now, "round": turn})
+        adapter.on_message({"event_type": "TICK", "sim_time": now, "round": turn})
         for query, (gateway, name, node) in enumerate(open_[: max(len(open_) - 2, 0)]):
             ended = {"event_type": "DONE", "gateway_id": gateway, "req": name, "node": node}
             ended |= {"attempt": attempts[name], "ending": endings[(turn + query) % len(endings)]}
             ended |= {"used_up": 50 * 4096 + 2, "last": False, "elapsed": 40.0, "gauge": [0.4]}
             attempts[name] += 1
-            adapter.take(ended)
+            adapter.on_message(ended)
         open_ = open_[max(len(open_) - 2, 0) :]
         if turn < 30:
             name, gateway = f"r{turn}", turn % 2
             request = {**REQUEST, "gateway_id": gateway, "req": name, "kind": turn % 3, "due": now + 1500.0}
-            adapter.take({**request, "order_key": "k" if turn % 3 == 2 else None, "retry": turn % 5 == 0})
+            adapter.on_message(
+                {**request, "order_key": "k" if turn % 3 == 2 else None, "retry": turn % 5 == 0}
+            )
         if turn % 7 == 0:
-            adapter.take({"event_type": "ELAPSED", "gateway_id": turn % 2, "name": 0})
-            adapter.take({"event_type": "LAPSED", "gateway_id": turn % 2, "req": f"r{turn - 1}"})
-        adapter.take({"event_type": "YOUR_TURN"})
+            adapter.on_message({"event_type": "ELAPSED", "gateway_id": turn % 2, "name": 0})
+            adapter.on_message({"event_type": "LAPSED", "gateway_id": turn % 2, "req": f"r{turn - 1}"})
+        adapter.on_message({"event_type": "YOUR_TURN"})
         replies = [json.loads(line) for line in out.getvalue().splitlines()[at:]]
         at += len(replies)
         for reply in replies:
@@ -243,10 +245,10 @@
                 open_.append((reply["gateway_id"], reply["req"], reply["node"]))
             elif reply["event_type"] == "HEALTH_CHECK":
                 sampled = {"event_type": "SAMPLED", "gateway_id": reply["gateway_id"], "elapsed": 1.0}
-                adapter.take({**sampled, "ending": 200, "node": reply["node"], "gauge": [0.5]})
+                adapter.on_message({**sampled, "ending": 200, "node": reply["node"], "gauge": [0.5]})
             elif reply["event_type"] == "BROADCAST_TO":
                 gateway = reply["gateway_id"]
-                adapter.take(
+                adapter.on_message(
                     {"event_type": "DATAGRAM", "gateway_id": 1 - gateway, "src_peer": gateway}
                     | {"data": reply["data"]}
                 )
@@ -267,7 +269,7 @@
         SetTimer(12.5, 7),
         LogLine("text"),
     ]
-    return [json.dumps(simulator_adapter.write_action(action)) for action in actions]
+    return [json.dumps(simulator_adapter.encode_action(action)) for action in actions]
 
 
 SCENES: dict[str, Callable[[], list[str]]] = {
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -131,7 +131,7 @@
     report = {"how": "on_probe", "fields": ["waiting", "cpu", "x1", "x0"]}
     rules = {"key_quiet": 500.0, "stop_sending_within": 1000.0}
     more = {"domain": domain, "classes": [load], "caps": caps, "report": report, "obligations": rules}
-    got = simulator_adapter.read_settings({**PARAMS, **more})
+    got = simulator_adapter.decode_settings({**PARAMS, **more})
     assert (
         got.on_memory_shortage is MemoryShortage.SHRINK
         and got.progress_interval_ms == 0.0
@@ -159,8 +159,8 @@
     ending: int, gauge: list[Any] | None, outcome: Outcome, report: dict[str, float]
 ) -> None:
     sampled = {"event_type": "SAMPLED", "gateway_id": 3, "elapsed": 1.4, "ending": ending, "node": NODE}
-    event = simulator_adapter.read_probed(
-        {**sampled, "gauge": gauge}, simulator_adapter.read_settings(PARAMS)
+    event = simulator_adapter.decode_health_check(
+        {**sampled, "gauge": gauge}, simulator_adapter.decode_settings(PARAMS)
     )
     assert event == HealthCheckCompleted(NODE, outcome, report)
 
