--- a/tests/discovery/test_start_times.py
+++ b/tests/discovery/test_start_times.py
@@ -16,7 +16,7 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import EngineList
 from cottonhold.transport.event_loop import ORIGIN_MS, LoopClock
-from tests.scheduler.test_scheduler import RULES, settings
+from tests.support.scheduler_events import RULES, settings
 
 STEPS = [0.0, 5.0, -5.0, 3600.0, -3600.0]  # seconds that a wall clock is stepped by
 UNIX, DAY = 1_790_000_000_000.0, 86_400_000.0
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -19,8 +19,8 @@
 from cottonhold.scheduler.actions import DemandEstimate, Reject
 from cottonhold.scheduler.events import AdmissionThreshold
 from cottonhold.scheduler.settings import Features
-from tests.scheduler.test_scheduler import LOOKUP, answers, arrival, settings, started
 from tests.support.scenario import World
+from tests.support.scheduler_events import LOOKUP, answers, arrival, settings, started
 
 FREE = AdmissionThreshold()
 
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -19,8 +19,8 @@
 from cottonhold.scheduler.events import Outcome, SettingsChanged
 from cottonhold.scheduler.settings import Idempotency, QueryClass
 from tests.node.test_small_parts import CONFIG, write
-from tests.scheduler.test_scheduler import LOOKUP, arrival, ended, engines, sends, settings
 from tests.support.scenario import LOAD, PERMITS, READ, SETTINGS, World
+from tests.support.scheduler_events import LOOKUP, arrival, ended, engines, sends, settings
 
 SCENARIOS = {
     "a new class is served, and one that is gone is a clear error": """
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -29,7 +29,7 @@
 MOST = 3200  # engines of the largest fleets
 
 
-def looked_at(count: int, monkeypatch: pytest.MonkeyPatch) -> int:
+def places_looked_at(count: int, monkeypatch: pytest.MonkeyPatch) -> int:
     """Places looked at in five seconds, where three queries have gone to engines and one has left."""
     world = World(engines=" ".join(f"a{i}" for i in range(count)))
     for number in (1, 2, 3):
@@ -47,12 +47,12 @@
 
 
 def test_checks_of_connections_do_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    few = looked_at(8, monkeypatch)
-    assert 0 < looked_at(MOST, monkeypatch) <= 2 * few
+    few = places_looked_at(8, monkeypatch)
+    assert 0 < places_looked_at(MOST, monkeypatch) <= 2 * few
 
 
 @pytest.mark.parametrize("answered", [False, True])
-def test_a_new_engine_under_the_id_of_one_that_has_gone_keeps_its_place(answered: bool) -> None:
+def test_a_new_engine_under_the_id_of_a_removed_one_keeps_its_connections(answered: bool) -> None:
     """Gone with nothing out or with an attempt that ends later: a check of the old leaves the new alone."""
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *")
     if answered:
@@ -123,7 +123,7 @@
                     self.scheduler.step(now + 30, [end])
 
 
-def test_room_and_messages_do_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_capacity_counts_and_messages_do_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     """At the usual size all are counted each time; at the largest each at times, those in use as before."""
     with monkeypatch.context() as patch:
         usual = Gateway(200, patch)
@@ -139,23 +139,25 @@
     engines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gateway = Gateway(engines, monkeypatch)
-    s, names = gateway.scheduler, gateway.names
+    scheduler, names = gateway.scheduler, gateway.names
     gone = [EngineList((Engine(name, state=EngineState.REMOVED),), is_complete=False) for name in names[:50]]
     come = [EngineList((Engine(f"n{n:04}"),), is_complete=False) for n in range(50)]
-    s.step(2000.0, [*gone, *come])
-    assert gateway.counts["listed"] == 1 and len(s.live_engines) == engines
-    assert {e.id for e in s.ranked_engines} == set(names[50:]) | {f"n{n:04}" for n in range(50)}
-    s.step(2001.0, [EngineList((), is_complete=True)])
-    assert not s.live_engines and not s.candidate_pool and not s.engines
+    scheduler.step(2000.0, [*gone, *come])
+    assert gateway.counts["listed"] == 1 and len(scheduler.live_engines) == engines
+    assert {e.id for e in scheduler.ranked_engines} == set(names[50:]) | {f"n{n:04}" for n in range(50)}
+    scheduler.step(2001.0, [EngineList((), is_complete=True)])
+    assert not scheduler.live_engines and not scheduler.candidate_pool and not scheduler.engines
 
 
 def test_a_query_after_a_change_in_the_same_step_sees_the_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    s = Gateway(MOST, monkeypatch).scheduler
-    usual = tuple(Engine(e.id, state=EngineState.DRAINING) for e in s.candidate_pool)
-    s.step(2000.0, [EngineList(usual, is_complete=False), QueryArrived("q", 0, 6000.0, 200.0)])
-    (engine,) = [e.id for e in s.active_engines.values() if e.in_flight]
-    assert engine not in {e.id for e in usual} and engine in s.own_engine_ids
-    assert s.engines[engine].own_thread_capacity > 1  # counted, though all are counted again only later
+    scheduler = Gateway(MOST, monkeypatch).scheduler
+    usual = tuple(Engine(e.id, state=EngineState.DRAINING) for e in scheduler.candidate_pool)
+    scheduler.step(2000.0, [EngineList(usual, is_complete=False), QueryArrived("q", 0, 6000.0, 200.0)])
+    (engine,) = [e.id for e in scheduler.active_engines.values() if e.in_flight]
+    assert engine not in {e.id for e in usual} and engine in scheduler.own_engine_ids
+    assert (
+        scheduler.engines[engine].own_thread_capacity > 1
+    )  # counted, though all are counted again only later
 
 
 @pytest.mark.parametrize("gateways, engines", [(200, 80), (200, 200), (20, 24), (20, 60), (5, 8), (3, 6)])
--- a/tests/scheduler/test_policy_files.py
+++ b/tests/scheduler/test_policy_files.py
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def test_every_file_that_decides_is_listed_as_policy() -> None:
+def test_every_scheduler_file_is_listed_as_policy() -> None:
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     found = {path.relative_to(ROOT).as_posix() for path in (ROOT / "cottonhold" / "scheduler").rglob("*.py")}
     assert sorted(listed) == sorted(found)
--- a/tests/scheduler/test_retry_matrix.py
+++ b/tests/scheduler/test_retry_matrix.py
@@ -13,57 +13,62 @@
 from tests.support.scenario import PERMITS, READ, SETTINGS, World
 
 ALLOW_MS, WINDOW_MS = 4000, 2000.0
-PROOF, MAY, OVER, LATE = "never ran", "may have run", "was over", "may have run, past the window"
-ENDS = {
-    "turned away": (PROOF, "e1 send r1 overload -"),
-    "over at the engine": (OVER, "e1 send r1 nobody -"),
-    "crashed": (MAY, "e1 send r1 crashed -"),
-    "reset": (MAY, "e1 close"),
-    "a page lost": (MAY, "e1 send r1 served count=2 a|b|c/\ne1 expect PAGE r1 1\ne1 close"),
+NEVER_RAN, MAY_HAVE_RUN, ALREADY_FINISHED, MAY_HAVE_RUN_PAST_WINDOW = (
+    "never ran",
+    "may have run",
+    "was over",
+    "may have run, past the window",
+)
+ATTEMPT_ENDS = {
+    "turned away": (NEVER_RAN, "e1 send r1 overload -"),
+    "over at the engine": (ALREADY_FINISHED, "e1 send r1 nobody -"),
+    "crashed": (MAY_HAVE_RUN, "e1 send r1 crashed -"),
+    "reset": (MAY_HAVE_RUN, "e1 close"),
+    "a page lost": (MAY_HAVE_RUN, "e1 send r1 served count=2 a|b|c/\ne1 expect PAGE r1 1\ne1 close"),
     "a page forgotten": (
-        MAY,
+        MAY_HAVE_RUN,
         "e1 send r1 served count=2 a|b|c/\ne1 expect PAGE r1 1\ne1 send r1 crashed -",
     ),
-    "spoilt": (MAY, "e1 send r1 served count=1 a|b/"),
-    "an answer that stops short": (MAY, "e1 raw *4\ntime wait 750"),
-    "reset late": (LATE, "time wait 2100\ne1 close"),
+    "spoilt": (MAY_HAVE_RUN, "e1 send r1 served count=1 a|b/"),
+    "an answer that stops short": (MAY_HAVE_RUN, "e1 raw *4\ntime wait 750"),
+    "reset late": (MAY_HAVE_RUN_PAST_WINDOW, "time wait 2100\ne1 close"),
     "a page lost late": (
-        LATE,
+        MAY_HAVE_RUN_PAST_WINDOW,
         "time wait 1900\ne1 send r1 served count=2 a|b|c/\ne1 expect PAGE r1 1\ntime wait 200\ne1 close",
     ),
 }
 ELSEWHERE = {"same cell": (0, 1), "other cell": (0, 2), "other zone": (1, 1)}  # zone and cell
-REACHES = {"all": set(ELSEWHERE), "zone": {"same cell", "other cell"}, "cell": {"same cell"}}
+SCOPE_COVERS = {"all": set(ELSEWHERE), "zone": {"same cell", "other cell"}, "cell": {"same cell"}}
 CASES = [
     (effect, group)
     for effect in ("safe", "keyed", "unsafe")
-    for group in (REACHES if effect == "keyed" else ["all"])
+    for group in (SCOPE_COVERS if effect == "keyed" else ["all"])
 ]
 
 
-def told(world: World, name: str, zone: int, cell: int, state: str = "live") -> None:
+def list_engine(world: World, name: str, zone: int, cell: int, state: str = "live") -> None:
     entry = Engine(name, zone=zone, cell=cell, state=EngineState(state))
     world.gateway.on_engine_list(Change((entry,), {name: Address(name, 1)}, False))
     world.wait(0)
 
 
-def follows(effect: str, group: str, known: str, elsewhere: str) -> str:
+def expected_reaction(effect: str, group: str, evidence: str, elsewhere: str) -> str:
     """What has to follow: a further attempt, an answer, or a wait that ends in one."""
-    if known is PROOF:
+    if evidence is NEVER_RAN:
         return "attempt"
-    if known is OVER:
+    if evidence is ALREADY_FINISHED:
         return "refusal"
     if effect == "safe":
         return "attempt"
     if effect == "unsafe":
         return "failure"
-    if known is LATE:
+    if evidence is MAY_HAVE_RUN_PAST_WINDOW:
         return "refusal" if group == "all" else "failure"
-    return "attempt" if elsewhere in REACHES[group] else "wait"
+    return "attempt" if elsewhere in SCOPE_COVERS[group] else "wait"
 
 
 @pytest.mark.parametrize("elsewhere", ELSEWHERE)
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", ATTEMPT_ENDS)
 @pytest.mark.parametrize(("effect", "group"), CASES)
 def test_what_follows_an_attempt(effect: str, group: str, end: str, elsewhere: str) -> None:
     cls = replace(
@@ -77,14 +82,14 @@
     world.gateway.scheduler.fleet_utilization = (
         0.1  # else what is late already is not sent where the fleet may be full
     )
-    told(world, "a", 0, 1)
+    list_engine(world, "a", 0, 1)
     world.run(f"c1 query lookup r1 allow={ALLOW_MS}\ne1 expect GET r1 *")
     world.unmet.append("b")
-    told(world, "a", 0, 1, "draining")
-    told(world, "b", *ELSEWHERE[elsewhere])
-    known, script = ENDS[end]
+    list_engine(world, "a", 0, 1, "draining")
+    list_engine(world, "b", *ELSEWHERE[elsewhere])
+    evidence, script = ATTEMPT_ENDS[end]
     world.run(script)
-    wanted = follows(effect, group, known, elsewhere)
+    wanted = expected_reaction(effect, group, evidence, elsewhere)
     if wanted == "attempt":
         world.run(
             "e2 expect GET r1 *\nc1 expect nothing\ne2 send r1 served count=1 x|y|z/\nc1 expect rows x|y|z"
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -34,13 +34,13 @@
 
 
 @pytest.mark.parametrize("site", SITES.values(), ids=SITES)
-def test_what_all_send_to_cold_engines_in_a_burst_stays_below_their_fall(site: Site) -> None:
+def test_all_gateways_together_do_not_overload_cold_engines_in_a_burst(site: Site) -> None:
     fleet = ColdFleet(site).play(COLD_MS + LENGTH_MS.get(site.gateways, 3000.0))
     assert fleet.in_work() < 1 and fleet.in_usual_work() < 1
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 60])
-def test_gateways_that_all_start_again_in_the_burst_stay_below_it(gateways: int) -> None:
+def test_gateways_that_all_restart_in_the_burst_do_not_overload_cold_engines(gateways: int) -> None:
     """What they told one another as they started is no measure of their traffic; nobody knows what was sent
     before."""
     fleet = ColdFleet(Site(gateways, 12, 200.0 / gateways))
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
-def test_parts_add_up_to_no_more_than_the_budget_whatever_shares_are_believed(gateways: int) -> None:
+def test_parts_add_up_to_no_more_than_the_budget_whatever_the_traffic_shares(gateways: int) -> None:
     site = Site(gateways, 4, 10.0)
     parts = 0.0
     for me in range(gateways):
