--- a/cottonhold/scheduler/admission.py
+++ b/cottonhold/scheduler/admission.py
@@ -113,7 +113,7 @@
     """When the client first tried: now, or for a client's retry as long ago as it can have been.
 
     Utility runs from the first try, so that a late retry must not look as dense as a new query. An unmarked
-    retry is told by a time left unlike that of most; only where queries went unserved can there be any.
+    retry is recognized by a time left unlike that of most; only where queries went unserved can there be any.
     """
     history, now = query.class_history, gateway.now
     max_votes = None if is_marked_retry else MAX_TIME_LEFT_VOTES
--- a/cottonhold/scheduler/estimates.py
+++ b/cottonhold/scheduler/estimates.py
@@ -1,4 +1,4 @@
-"""What a query is expected to need and to be worth, the same on every engine, and its utility density."""
+"""What a query is expected to need and to earn, the same on every engine, and its utility density."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
 
 def memory_grant_mb(gateway: GatewayState, query: Query, engine: EngineView) -> int:
-    """The MB that the engine is told to grant; 0 where it chooses.
+    """The MB that the engine has to grant; 0 where it chooses.
 
     Too small a grant spills to disk; too large a one starves others, unless only used memory counts.
     """
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -84,7 +84,7 @@
     own_engine_share: float = 1.0  # its part of what each of those is sent
     affinity_ring: list[EngineView] = field(default_factory=list)
     preferred_engines: dict[int, list[EngineView]] = field(default_factory=dict)  # for loads, by table group
-    unobserved_share: float = 1.0  # how little is heard of each engine: 0 for all of it, 1 for nothing
+    unobserved_share: float = 1.0  # how little is observed of each engine: 0 for all, 1 for nothing
     peer_sends_per_own: float = 0.0  # queries that peers send for each of this gateway's on the same engine
     fleet_thread_capacity: float = 1.0
     fleet_memory_capacity_mb: float = 1.0
--- a/cottonhold/scheduler/moving_average.py
+++ b/cottonhold/scheduler/moving_average.py
@@ -5,6 +5,7 @@
 import math
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 
 @dataclass(slots=True)
@@ -60,20 +61,27 @@
         return rate / -math.expm1(-max(now - self.first_at, self.min_age_ms) / self.memory_ms)
 
 
+class TimedAmount(NamedTuple):
+    """An amount and when it was recorded."""
+
+    at: float
+    amount: float
+
+
 @dataclass(slots=True)
 class SlidingSum:
     """Amounts with their times, for sums over a sliding window."""
 
-    entries: deque[tuple[float, float]] = field(default_factory=deque)  # time and amount
+    entries: deque[TimedAmount] = field(default_factory=deque)
     total: float = 0.0
 
     def add(self, now: float, amount: float) -> None:
         """Record an amount."""
-        self.entries.append((now, amount))
+        self.entries.append(TimedAmount(now, amount))
         self.total += amount
 
     def since(self, start: float) -> float:
         """The sum of what came after `start`; older entries are dropped."""
-        while self.entries and self.entries[0][0] <= start:
-            self.total -= self.entries.popleft()[1]
+        while self.entries and self.entries[0].at <= start:
+            self.total -= self.entries.popleft().amount
         return self.total if self.entries else 0.0
--- a/cottonhold/scheduler/peer_load.py
+++ b/cottonhold/scheduler/peer_load.py
@@ -63,7 +63,7 @@
 
 
 def announce_load(gateway: GatewayState, query: Query, engine: EngineView) -> None:
-    """A load was sent: tell the gateways whose readers would stand still behind it."""
+    """A load was sent: notify the gateways whose readers would stand still behind it."""
     if gateway.settings.features.has_peer_messages:
         payload = peer_messages.encode_load_sent(engine, query.table_group, query.planned_run_ms)
         gateway.actions += [SendToPeer(payload, peer) for peer in peers_sharing(gateway, engine)]
--- a/cottonhold/scheduler/rate_estimation.py
+++ b/cottonhold/scheduler/rate_estimation.py
@@ -57,7 +57,7 @@
     """Correct the class and the engine's rate by what a served query needed.
 
     An answer without its actual work implies it by the engine's rate; from that only biases between classes
-    can be told.
+    can be learned.
     """
     history, now = query.class_history, gateway.now
     engine_rate = work_rate(gateway, engine)  # before this answer, which counts from the next step on
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -7,7 +7,7 @@
 A module script is lines `TIME EVENT; EVENT -> ACTION, ACTION`. The scheduler is stepped each 10 ms up to TIME
 and then with the events; the actions are all sends and final answers since the line before. Events: `list
 NAME[:FIELD=VALUE,...] ...` (whole), `change ...`, `ask ID [FIELD=VALUE ...]`, `end ID OUTCOME`, `gone ID`,
-`fails`. Actions: `send ID [ENGINE]`, `refuse ID`, `fail ID`, `cancel ID`, `subscribe`, or `nothing`.
+`fails`. Actions: `send ID [ENGINE]`, `reject ID`, `fail ID`, `cancel ID`, `subscribe`, or `nothing`.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 from tests.support.scenario import SETTINGS, World
 
 LOOKUP = QueryClass("lookup", latency_objective_ms=1000, deadline_ms=5000, utility=1.0)
-PERMITS = Features(
+FEATURES = Features(
     can_cancel=True, has_priorities=True, has_retry_after=True, max_retry_after_ms=500.0, max_attempts=3
 )
-SITE = Settings((LOOKUP,), (MachineType(8, 16000.0),), features=PERMITS, rules=Rules(warm_up_ms=10000.0))
+SITE = Settings((LOOKUP,), (MachineType(8, 16000.0),), features=FEATURES, rules=Rules(warm_up_ms=10000.0))
 STEP_MS = 10.0
 EXPECTS = re.compile(r"^(c\d+|e[\d.]+|any) (expect|closing|nothing)\b", re.MULTILINE)
 
@@ -64,42 +64,43 @@
     unheld: str = ""
 
 
-def typed(text: str) -> Any:
+def parse_value(text: str) -> Any:
     """A field's value as number, else as text."""
     if re.fullmatch(r"-?\d+", text):
         return int(text)
     return float(text) if re.fullmatch(r"-?\d+\.\d+", text) else text
 
 
-def fields(text: str) -> dict[str, Any]:
+def parse_fields(text: str) -> dict[str, Any]:
     """NAME=VALUE pairs."""
     return {
-        name: typed(value) for name, _, value in (part.partition("=") for part in text.split(",") if part)
+        name: parse_value(value)
+        for name, _, value in (part.partition("=") for part in text.split(",") if part)
     }
 
 
-def engine(text: str) -> Engine:
+def parse_engine(text: str) -> Engine:
     """NAME[:FIELD=VALUE,...]: one line of the list."""
     name, _, rest = text.partition(":")
-    given = fields(rest)
+    given = parse_fields(rest)
     return Engine(name, **{**given, "state": EngineState(given.get("state", "live"))})
 
 
 @dataclass(slots=True)
-class Play:
-    """A scheduler under a script, with what it sent where."""
+class ScriptedScheduler:
+    """A scheduler under a script, with the last attempt of each query and its engine."""
 
     scheduler: Scheduler
     now: float = 0.0
     sent: dict[str, tuple[int, str]] = field(default_factory=dict)
 
-    def event(self, text: str) -> Event:
-        """An event's words as the event."""
+    def parse_event(self, text: str) -> Event:
+        """The event that a script names."""
         verb, *rest = text.split()
         if verb in ("list", "change"):
-            return EngineList(tuple(map(engine, rest)), is_complete=verb == "list")
+            return EngineList(tuple(map(parse_engine, rest)), is_complete=verb == "list")
         if verb == "ask":
-            given = fields(",".join(rest[1:]))
+            given = parse_fields(",".join(rest[1:]))
             kind, due = int(given.pop("kind", 0)), given.pop("allow", 5000.0) + self.now
             return QueryArrived(rest[0], kind, due, **{"estimated_work_ms": 100.0, **given})
         if verb == "end":
@@ -107,8 +108,8 @@
             return AttemptEnded(rest[0], attempt, at, Outcome(rest[1]), 10.0, is_final=rest[1] == "ok")
         return ClientDisconnected(rest[0]) if verb == "gone" else EngineListFailed()
 
-    def word(self, action: Action) -> str:
-        """An action in the script's words; empty for those that a script does not name."""
+    def describe(self, action: Action) -> str:
+        """An action as a script names it; empty for those that it doesn't."""
         match action:
             case Send(query, at):
                 self.sent[query] = (self.sent[query][0] + 1 if query in self.sent else 0, at)
@@ -119,7 +120,7 @@
                 return "subscribe"
         return ""
 
-    def line(self, at: float, events: str) -> list[str]:
+    def play_line(self, at: float, events: str) -> list[str]:
         """Steps up to a time, then the events; what was done."""
         done: list[Action] = []
         while self.now + STEP_MS < at:
@@ -127,9 +128,9 @@
             done += self.scheduler.step(self.now, [])
         self.now = at
         done += self.scheduler.step(
-            at, [self.event(e) for e in filter(None, map(str.strip, events.split(";")))]
+            at, [self.parse_event(e) for e in filter(None, map(str.strip, events.split(";")))]
         )
-        return [word for word in map(self.word, done) if word]
+        return [word for word in map(self.describe, done) if word]
 
 
 @dataclass(slots=True, frozen=True)
@@ -140,21 +141,21 @@
     classes: tuple[QueryClass, ...] = (LOOKUP,)
     site: dict[str, Any] = field(default_factory=dict)
     rules: dict[str, Any] = field(default_factory=dict)
-    permits: dict[str, Any] = field(default_factory=dict)
+    features: dict[str, Any] = field(default_factory=dict)
 
     def run(self) -> None:
         site = replace(
             SITE,
             classes=self.classes,
             rules=replace(SITE.rules, **self.rules),
-            features=replace(PERMITS, **self.permits),
+            features=replace(FEATURES, **self.features),
             **self.site,
         )
-        play = Play(Scheduler(site, 1))
+        scripted = ScriptedScheduler(Scheduler(site, 1))
         for text in filter(None, map(str.strip, self.script.splitlines())):
             head, arrow, wanted = text.partition("->")
             at, _, events = head.strip().partition(" ")
-            done = play.line(float(at), events)
+            done = scripted.play_line(float(at), events)
             if arrow:
                 self.compare(text, done, [w.strip() for w in wanted.split(",") if w.strip() != "nothing"])
 
--- a/tests/conformance/wire.py
+++ b/tests/conformance/wire.py
@@ -8,18 +8,18 @@
 
 from cottonhold.scheduler.scheduler import Scheduler
 from cottonhold.scheduler.settings import DeduplicationScope, Idempotency, MachineType
-from tests.conformance.rows import LOOKUP, SITE, Direct, Module, Play, Row
+from tests.conformance.rows import LOOKUP, SITE, Direct, Module, Row, ScriptedScheduler
 
 LOAD = replace(LOOKUP, name="load", idempotency=Idempotency.NOT_IDEMPOTENT)
-KEYED = replace(
+WITH_KEY = replace(
     LOOKUP, name="keyed", idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_ms=1000.0
 )
-ZONAL = replace(KEYED, deduplication_scope=DeduplicationScope.ZONE, deduplication_window_ms=4000.0)
-CELL = replace(KEYED, deduplication_scope=DeduplicationScope.CELL, deduplication_window_ms=4000.0)
-TURNS = replace(LOAD, is_ordered_by_key=True)
+IN_ZONE = replace(WITH_KEY, deduplication_scope=DeduplicationScope.ZONE, deduplication_window_ms=4000.0)
+CELL = replace(WITH_KEY, deduplication_scope=DeduplicationScope.CELL, deduplication_window_ms=4000.0)
+ORDERED = replace(LOAD, is_ordered_by_key=True)
 TWO = "0 list e1 e2\n"
-QUIET = {"key_quiet_ms": 300.0}
-BUDGET = {"retry_budget_free": 1, "retry_budget_share": 0.1, "retry_budget_window_ms": 1000.0}
+KEY_QUIET = {"key_quiet_ms": 300.0}
+RETRY_BUDGET = {"retry_budget_free": 1, "retry_budget_share": 0.1, "retry_budget_window_ms": 1000.0}
 TEN = "; ".join(f"ask q{i}" for i in range(10))
 SENT = ", ".join(f"send q{i}" for i in range(10))
 ALL_FAIL = "; ".join(f"end q{i} error" for i in range(10))
@@ -27,14 +27,14 @@
 
 def cold_engine_keeps_its_budget() -> None:
     """Asked for far more than it may get, from its start on: no span holds more than the rule allows."""
-    play, sent = Play(Scheduler(SITE, 1)), list[float]()
-    play.line(1000.0, "list e1:started_at=990")
+    scripted, sent = ScriptedScheduler(Scheduler(SITE, 1)), list[float]()
+    scripted.play_line(1000.0, "list e1:started_at=990")
     for n in range(200):
         at = 1010.0 + 20 * n
-        for word in play.line(at, f"ask q{n} estimated_work_ms=200"):
+        for word in scripted.play_line(at, f"ask q{n} estimated_work_ms=200"):
             if word.startswith("send"):
                 sent.append(at)
-                play.line(at, f"end {word.split()[1]} ok")
+                scripted.play_line(at, f"end {word.split()[1]} ok")
     rules = SITE.rules
     most = rules.cold_capacity_share * 8 * rules.overload_factor * rules.overload_window_ms
     assert sent and max(200 * sum(a <= t < a + rules.overload_window_ms for t in sent) for a in sent) < most
@@ -78,7 +78,7 @@
         "wire-safe-refused",
         RULE(2, 1),
         "and is refused after attempts that may have run",
-        Module(TWO + "5 ask q -> send q\n20 end q reset -> reject q", permits={"max_attempts": 1}),
+        Module(TWO + "5 ask q -> send q\n20 end q reset -> reject q", features={"max_attempts": 1}),
     ),
     *(
         Row(
@@ -102,7 +102,7 @@
         "wire-unsafe-refused",
         RULE(2, 2),
         "and may be refused when each attempt is proven not to have run",
-        Module(TWO + "5 ask q -> send q\n20 end q full -> reject q", (LOAD,), permits={"max_attempts": 1}),
+        Module(TWO + "5 ask q -> send q\n20 end q full -> reject q", (LOAD,), features={"max_attempts": 1}),
     ),
     Row(
         "wire-unsafe-any-doubt",
@@ -114,13 +114,13 @@
         "wire-keyed-window",
         RULE(2, 3),
         "A keyed query goes out again within its window",
-        Module(TWO + "5 ask q -> send q\n900 end q reset -> send q", (KEYED,)),
+        Module(TWO + "5 ask q -> send q\n900 end q reset -> send q", (WITH_KEY,)),
     ),
     Row(
         "wire-keyed-window-over",
         RULE(2, 3),
         "and not past it, counted from the send",
-        Module(TWO + "5 ask q -> send q\n1010 end q reset -> reject q\n1500 -> nothing", (KEYED,)),
+        Module(TWO + "5 ask q -> send q\n1010 end q reset -> reject q\n1500 -> nothing", (WITH_KEY,)),
     ),
     *(
         Row(
@@ -133,31 +133,33 @@
                 (cls,),
             ),
         )
-        for name, cls in (("zone", ZONAL), ("cell", CELL))
+        for name, cls in (("zone", IN_ZONE), ("cell", CELL))
     ),
     Row(
         "wire-keyed-refusal",
         RULE(2, 3),
         "A keyed query of a group is not refused after an attempt that may have run: it fails",
-        Module(TWO + "5 ask q -> send q\n20 end q reset -> fail q", (CELL,), permits={"max_attempts": 1}),
+        Module(TWO + "5 ask q -> send q\n20 end q reset -> fail q", (CELL,), features={"max_attempts": 1}),
     ),
     Row(
         "wire-keyed-refusal-all",
         RULE(2, 3),
         "and is refused where all engines know it",
-        Module(TWO + "5 ask q -> send q\n20 end q reset -> reject q", (KEYED,), permits={"max_attempts": 1}),
+        Module(
+            TWO + "5 ask q -> send q\n20 end q reset -> reject q", (WITH_KEY,), features={"max_attempts": 1}
+        ),
     ),
     Row(
         "wire-one-attempt",
         RULE(2, 4),
         "A query has one attempt out at a time, however long it takes",
-        Module(TWO + "5 ask q allow=20000 -> send q\n9000 -> nothing", permits={"can_cancel": False}),
+        Module(TWO + "5 ask q allow=20000 -> send q\n9000 -> nothing", features={"can_cancel": False}),
     ),
     *(
         Row(
             f"wire-drain-{state}",
             RULE(3, 1),
-            f"Nothing new goes to an engine that is told to be {state}, from that step on",
+            f"Nothing new goes to an engine that is listed as {state}, from that step on",
             Module(f"0 list e1\n5 change e1:state={state}; ask q -> nothing\n300 ask r -> nothing"),
         )
         for state in ("draining", "gone")
@@ -188,7 +190,7 @@
             TWO
             + "5 ask a ordering_key=k; ask b ordering_key=k; ask c ordering_key=j; ask d -> send a, send c, send d\n"
             "50 end a ok -> send b",
-            (TURNS,),
+            (ORDERED,),
         ),
     ),
     Row(
@@ -198,20 +200,20 @@
         Module(
             TWO
             + "5 ask a ordering_key=k; ask b ordering_key=k -> send a\n20 gone a\n200 -> nothing\n210 end a ok -> send b",
-            (TURNS,),
-            permits={"can_cancel": False},
+            (ORDERED,),
+            features={"can_cancel": False},
         ),
     ),
     *(
         Row(
             f"wire-order-quiet-{how}",
             RULE(5, 2),
-            f"After {how} its key rests for the told time before the next one goes out",
+            f"After {how} its key is quiet for the set time before the next one goes out",
             Module(
                 TWO + f"5 ask a ordering_key=k; ask b ordering_key=k -> send a\n100 end a {how} -> fail a\n"
                 "390 -> nothing\n510 -> send b",
-                (TURNS,),
-                rules=QUIET,
+                (ORDERED,),
+                rules=KEY_QUIET,
             ),
         )
         for how in ("timeout", "reset", "cancelled")
@@ -223,17 +225,17 @@
         Module(
             TWO
             + "5 ask a kind=0 ordering_key=k; ask b kind=1 ordering_key=k -> send a\n50 end a ok -> send b",
-            (TURNS, replace(TURNS, name="other")),
+            (ORDERED, replace(ORDERED, name="other")),
         ),
     ),
     Row(
         "wire-order-own",
         RULE(5, 6),
-        "A query's own next attempt does not wait for its key's rest",
+        "A query's own next attempt does not wait for its key's quiet time",
         Module(
             TWO + "5 ask a ordering_key=k -> send a\n50 end a reset -> send a",
-            (replace(TURNS, idempotency=Idempotency.IDEMPOTENT),),
-            rules=QUIET,
+            (replace(ORDERED, idempotency=Idempotency.IDEMPOTENT),),
+            rules=KEY_QUIET,
         ),
     ),
     Row(
@@ -267,7 +269,7 @@
             + ALL_FAIL
             + " -> send q0, send q1, "
             + ", ".join(f"reject q{i}" for i in range(2, 10)),
-            rules=BUDGET,
+            rules=RETRY_BUDGET,
         ),
     ),
     Row(
@@ -276,14 +278,14 @@
         "No more attempts than the site allows",
         Module(
             TWO + "5 ask q -> send q\n20 end q full -> send q\n30 end q full -> reject q",
-            permits={"max_attempts": 2},
+            features={"max_attempts": 2},
         ),
     ),
     Row(
         "wire-no-cancel",
         "17 Protocol errors, sentence 1",
         "Nothing is cancelled where the settings do not allow it",
-        Module(TWO + "5 ask q allow=20000 -> send q\n4000 -> nothing", permits={"can_cancel": False}),
+        Module(TWO + "5 ask q allow=20000 -> send q\n4000 -> nothing", features={"can_cancel": False}),
     ),
     Row(
         "wire-list-asked",
@@ -291,7 +293,7 @@
         "Where the list has to be asked for it is asked for at once, and again after a failure",
         Module(
             "0 list e1 -> subscribe\n10 fails -> nothing\n900 -> subscribe",
-            permits={"polls_engine_list": True},
+            features={"polls_engine_list": True},
         ),
     ),
     Row(
--- a/tests/scheduler/test_engine_quotas.py
+++ b/tests/scheduler/test_engine_quotas.py
@@ -88,8 +88,8 @@
     assert any(e == "e1" for _, e in serve_steadily(scheduler, 10, 990))
     assert all(e == "e2" for _, e in serve_steadily(scheduler, 1000, 2000))
     scheduler.step(2000.0, [EngineQuotas({}, 0.0)])
-    late = [e for _, e in serve_steadily(scheduler, 2010, 3000)]
-    assert 0.3 < late.count("e1") / len(late) < 0.7
+    after = [e for _, e in serve_steadily(scheduler, 2010, 3000)]
+    assert 0.3 < after.count("e1") / len(after) < 0.7
 
 
 def test_quotas_that_close_every_engine_are_ignored() -> None:
@@ -105,15 +105,15 @@
     scheduler.step(
         10.0, [ended(name, Outcome.CONNECT_FAILED, engine=engine), EngineQuotas({engine: 0.0}, 1e9)]
     )
-    probed = []
+    checked = []
     for t in range(100, 6000, 50):
         done = scheduler.step(float(t), [arrival(f"p{t}", deadline_at=t + 4000.0)])
-        probed += [a.engine for a in done if isinstance(a, CheckHealth)]
+        checked += [a.engine for a in done if isinstance(a, CheckHealth)]
         for query, there in sends(done):
             scheduler.step(
                 t + 5.0, [ended(query, Outcome.OK, engine=there, is_final=True, load_report={"util": 0.1})]
             )
-    assert engine not in probed
+    assert engine not in checked
 
 
 def test_an_engine_whose_quota_is_lifted_is_no_longer_cold() -> None:
@@ -124,8 +124,8 @@
     bounded = serve_steadily(scheduler, 110, 1000)
     assert 60.0 * sum(e == "e1" for _, e in bounded) > 0.5 * 3.0 * 890, "its bound counts"
     scheduler.step(1000.0, [EngineQuotas({}, 0.0)])
-    late = [e for _, e in serve_steadily(scheduler, 1010, 2000)]
-    assert 0.3 < late.count("e1") / len(late) < 0.7
+    after = [e for _, e in serve_steadily(scheduler, 1010, 2000)]
+    assert 0.3 < after.count("e1") / len(after) < 0.7
 
 
 def test_an_engine_is_readmitted_when_the_fleet_opens_it_again() -> None:
@@ -175,8 +175,8 @@
     assert learned.answers_seen == 1 and learned.mean_work_ms == 30.0
 
 
-@pytest.mark.parametrize("told", [0.0, 1500.0], ids=["at once", "with none for a while"])
-def test_many_gateways_keep_to_their_quotas_of_a_cold_engine(told: float) -> None:
+@pytest.mark.parametrize("closed_until", [0.0, 1500.0], ids=["at once", "with none for a while"])
+def test_many_gateways_keep_to_their_quotas_of_a_cold_engine(closed_until: float) -> None:
     """Turns that are dealt anew, or work saved up while closed, would let all gateways begin at once."""
     count, pace, cost = 50, 0.4 * 8, 300.0
     setup = dataclasses.replace(settings(), gateway_count=count)
@@ -184,8 +184,10 @@
     sent = list[int]()
     for t in range(10, 6000, 50):
         for scheduler in fleet:
-            events: list[Event] = [quotas(e1=pace / count if t > told else 1e-9)] if t % 100 == 10 else []
-            if t > told:
+            events: list[Event] = (
+                [quotas(e1=pace / count if t > closed_until else 1e-9)] if t % 100 == 10 else []
+            )
+            if t > closed_until:
                 events.append(arrival(f"q{t}", deadline_at=9e9, estimated_work_ms=cost))
             for name, engine in sends(scheduler.step(float(t), events)):
                 sent.append(t)
@@ -194,4 +196,4 @@
                 )
     windows = [cost * sum(a <= t < a + 1500 for t in sent) for a in range(0, 4500, 50)]
     assert max(windows) <= 1.2 * pace * 1500 + 2 * cost
-    assert cost * len(sent) > 0.8 * pace * (6000 - told)
+    assert cost * len(sent) > 0.8 * pace * (6000 - closed_until)
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -1,4 +1,4 @@
-"""What a dispatcher does for each request, or as time passes, does not grow with the fleet: in counts."""
+"""The work of a dispatcher for each request, or as time passes, does not grow with the fleet: in counts."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_new_engine_under_the_id_of_a_removed_one_keeps_its_connections(answered: bool) -> None:
-    """Gone with nothing out or with an attempt that ends later: a check of the old leaves the new alone."""
+    """Removed with nothing or something in flight: a check of the old engine leaves the new one alone."""
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *")
     if answered:
         world.run("e1 send r1 served count=1,ticks=5 x")
@@ -71,13 +71,13 @@
 
 
 class Gateway:
-    """One of many gateways, which is asked 20 times a second; `counts` says what its fleet takes."""
+    """One of many gateways, which is asked 20 times a second; `counts` says how often it did what."""
 
     def __init__(self, engines: int, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.counts = dict.fromkeys(("sized", "told", "listed"), 0)
+        self.counts = dict.fromkeys(("counted", "reported", "listed"), 0)
         for owner, name, key in (
-            (capacity, "_count_engine", "sized"),
-            (EngineView, "apply_peer_load", "told"),
+            (capacity, "_count_engine", "counted"),
+            (EngineView, "apply_peer_load", "reported"),
             (capacity, "apply_engine_changes", "listed"),
         ):
             self.count(owner, name, key, monkeypatch)
@@ -92,7 +92,7 @@
         self.scheduler = Scheduler(rules, 1)
         self.names = [f"e{n:04}" for n in range(engines)]
         self.scheduler.step(1000.0, [EngineList(tuple(map(Engine, self.names)), is_complete=True)])
-        self.counts.update(sized=0, told=0, listed=0)
+        self.counts.update(counted=0, reported=0, listed=0)
 
     def count(self, owner: object, name: str, key: str, monkeypatch: pytest.MonkeyPatch) -> None:
         real = getattr(owner, name)
@@ -112,11 +112,11 @@
                 QueryArrived(f"q{number}", 0, now + 4000, 200.0, table_group=draw.randrange(9))
             ]
             if number % 5 == 0:
-                told = [
+                entries = [
                     struct.pack(">IBHH", draw.choice(self.scheduler.candidate_pool).id_hash, 1, 9, 9)
                     for _ in range(5)
                 ]
-                events.append(PeerMessage(number % 8, struct.pack(">Bf", 3, 20.0) + b"".join(told)))
+                events.append(PeerMessage(number % 8, struct.pack(">Bf", 3, 20.0) + b"".join(entries)))
             for action in self.scheduler.step(now, events):
                 if isinstance(action, Send):
                     end = AttemptEnded(action.query_id, 0, action.engine, Outcome.OK, 30.0, is_final=True)
@@ -124,14 +124,14 @@
 
 
 def test_capacity_counts_and_messages_do_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the usual size all are counted each time; at the largest each at times, those in use as before."""
+    """At the usual size all engines are counted each time; at the largest all only at times."""
     with monkeypatch.context() as patch:
         usual = Gateway(200, patch)
         usual.serve(20)
     largest = Gateway(MOST, monkeypatch)
     largest.serve(20)
-    assert largest.counts["told"] <= usual.counts["told"] > 0
-    assert MOST < largest.counts["sized"] <= 2 * usual.counts["sized"]  # of 16 times the engines
+    assert largest.counts["reported"] <= usual.counts["reported"] > 0
+    assert MOST < largest.counts["counted"] <= 2 * usual.counts["counted"]  # of 16 times the engines
 
 
 @pytest.mark.parametrize("engines", [200, MOST])
--- a/tests/scheduler/test_many_gateways.py
+++ b/tests/scheduler/test_many_gateways.py
@@ -1,4 +1,4 @@
-"""Many gateways on one fleet: what each may do must add up, and cost only what concerns it."""
+"""Many gateways on one fleet: their shares add up, and each has the cost only of what concerns it."""
 
 from __future__ import annotations
 
@@ -65,10 +65,15 @@
                 arrival(f"q{t}", deadline_at=t + 20000.0, estimated_work_ms=costs[kind], query_class=kind)
             ]
             for name, engine in sends(scheduler.step(float(t), events)):
-                told = costs[int(scheduler.queries[name].query_class is REPORT)]
-                sent.append((t, told))
+                reported = costs[int(scheduler.queries[name].query_class is REPORT)]
+                sent.append((t, reported))
                 done = ended(
-                    name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=told, elapsed_ms=told
+                    name,
+                    Outcome.OK,
+                    engine=engine,
+                    is_final=True,
+                    actual_work_ms=reported,
+                    elapsed_ms=reported,
                 )
                 scheduler.step(float(t), [done])
     limit = RULES.overload_factor * RULES.cold_capacity_share * MODEL.cores * RULES.overload_window_ms
@@ -156,21 +161,24 @@
         1,
     )
     scheduler.step(0.0, [fleet(count)])
-    told = list[SendToPeer]()
+    reported = list[SendToPeer]()
     for t in range(0, 20000, 125):
         done = scheduler.step(float(t), [arrival(f"q{t}", deadline_at=t + 5000.0)])
-        told += [a for a in done if isinstance(a, SendToPeer)]
+        reported += [a for a in done if isinstance(a, SendToPeer)]
         for name, engine in sends(done):
             scheduler.step(t + 100.0, [ended(name, Outcome.OK, engine=engine, is_final=True)])
-    assert 0.01 * sum(len(a.payload) for a in told) / 256 < 1.3 * PEER_PRICE * 160
-    near = {
+    assert 0.01 * sum(len(a.payload) for a in reported) / 256 < 1.3 * PEER_PRICE * 160
+    sharing = {
         m
         for e in scheduler.live_engines
         if e.id in scheduler.own_engine_ids
         for m in peer_load.peers_sharing(scheduler, e)
     }
     assert (
-        told and 2 not in near and {a.peer for a in told} <= near and all(len(a.payload) <= 256 for a in told)
+        reported
+        and 2 not in sharing
+        and {a.peer for a in reported} <= sharing
+        and all(len(a.payload) <= 256 for a in reported)
     )
 
 
@@ -189,7 +197,7 @@
         (1, 100.0, 100.0, 0.0, False, {"e1", "e2"}),
         (60, 100.0, 90000.0, 0.0, False, {"e2"}),  # more is planned there than on the other
         (1, 16000.0, 100.0, 0.0, False, {"e2"}),  # its memory is full: one more spills
-        (60, 16000.0, 90000.0, 0.0, True, {"e1", "e2"}),  # the peer has told since that nothing is left
+        (60, 16000.0, 90000.0, 0.0, True, {"e1", "e2"}),  # the peer has reported since that nothing is left
         (60, 16000.0, 90000.0, 20000.0, False, {"e1", "e2"}),  # the peer fell silent: it may have died
     ],
     ids=["little", "busy", "full", "left", "silent"],
@@ -353,8 +361,8 @@
     assert scheduler.fleet_utilization > 0.9  # nothing reported: the fleet may be full
     done = scheduler.step(5.0, [arrival("q", deadline_at=9005.0, estimated_work_ms=6000.0)])
     assert sends(done) == []
-    told = [a for t in range(10, 400, 10) for a in answers(scheduler.step(float(t), []))]
-    assert len(told) == 1 and isinstance(told[0], Reject) and told[0].query_id == "q"
+    reported = [a for t in range(10, 400, 10) for a in answers(scheduler.step(float(t), []))]
+    assert len(reported) == 1 and isinstance(reported[0], Reject) and reported[0].query_id == "q"
 
 
 def test_under_pressure_the_shares_of_all_gateways_fill_the_fleet_and_no_more() -> None:
@@ -371,8 +379,8 @@
 def test_each_of_many_gateways_draws_on_a_range_of_engines_and_all_are_covered() -> None:
     """Each gateway draws on a range of engines; the ranges cover all of them evenly."""
     used: dict[str, int] = {}
-    for me in range(60):
-        scheduler = Scheduler(settings(gateway_count=60, gateway_index=me), me)
+    for gateway_index in range(60):
+        scheduler = Scheduler(settings(gateway_count=60, gateway_index=gateway_index), gateway_index)
         scheduler.step(0.0, [fleet(30)])
         chosen = set()
         for i in range(40):
@@ -430,11 +438,11 @@
         scheduler.step(0.0, [fleet(30)])
     done = gateway_fleet[30].step(5.0, [arrival("q", table_group=3)])
     ((_, engine),) = sends(done)
-    told = {a.peer for a in done if isinstance(a, SendToPeer) and len(a.payload) == 11}
-    users = {
+    reported = {a.peer for a in done if isinstance(a, SendToPeer) and len(a.payload) == 11}
+    sharing = {
         m for m, scheduler in enumerate(gateway_fleet) if engine in {e.id for e in scheduler.candidate_pool}
     } - {30}
-    assert len(users) > 10 and len(told & users) >= len(users) - 2 and len(told - users) <= 2
+    assert len(sharing) > 10 and len(reported & sharing) >= len(sharing) - 2 and len(reported - sharing) <= 2
 
 
 def test_an_absurd_length_of_a_peers_load_locks_no_tables_for_good() -> None:
@@ -488,11 +496,11 @@
     assert len(sends(scheduler.step(140.0, [arrival("next", deadline_at=2e4)]))) == 1
 
 
-@pytest.mark.parametrize("me", range(0, 40, 7))
-def test_loads_go_to_preferred_engines_that_this_gateway_hears_of(me: int) -> None:
+@pytest.mark.parametrize("gateway_index", range(0, 40, 7))
+def test_loads_go_to_preferred_engines_that_this_gateway_hears_of(gateway_index: int) -> None:
     """Preferred engines that this gateway hears nothing of would look empty."""
     load = dataclasses.replace(REPORT, name="load", is_load=True)
-    scheduler = Scheduler(settings(classes=(load,), gateway_count=40, gateway_index=me), 1)
+    scheduler = Scheduler(settings(classes=(load,), gateway_count=40, gateway_index=gateway_index), 1)
     scheduler.step(0.0, [fleet(30)])
     for tables in range(6):
         ((name, engine),) = sends(
@@ -511,7 +519,7 @@
     scheduler.step(0.0, [engines("e1")])
     held = [arrival(f"r{i}", deadline_at=2e4, estimated_work_ms=3000.0, query_class=1) for i in range(7)]
     sent = sends(scheduler.step(1.0, held))
-    scheduler.next_peer_message_at = 0.0  # the peers are told of these now, and what they have follows
+    scheduler.next_peer_message_at = 0.0  # this gateway reports now, and what peers have follows
     receive_work_report(scheduler, 20.0, 1, ("e1", threads - 2 * len(sent), 0.0, 500.0))
     scheduler.step(21.0, [engines("e1")])
     assert bool(sends(scheduler.step(22.0, [arrival("a", estimated_work_ms=50.0)]))) == passes
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -63,8 +63,8 @@
 def test_queued_query_is_answered_by_its_deadline_and_never_sent_after() -> None:
     scheduler = started(settings())
     assert sends(scheduler.step(5.0, [arrival("q", deadline_at=500.0)])) == []
-    told = [a for t in range(10, 520, 5) for a in answers(scheduler.step(float(t), []))]
-    assert told == [Reject("q", 0.0)]
+    actions = [a for t in range(10, 520, 5) for a in answers(scheduler.step(float(t), []))]
+    assert actions == [Reject("q", 0.0)]
     assert sends(scheduler.step(600.0, [engines("e1")])) == []
 
 
@@ -225,7 +225,7 @@
 
 
 def full_engine(count: int, **changes: Any) -> Scheduler:
-    """One engine of 8 cores whose thread room (12 threads) this gateway has filled."""
+    """One engine of 8 cores whose thread capacity this gateway has filled."""
     scheduler = started(settings(**changes), "e1")
     scheduler.step(1.0, [arrival(f"r{i}", estimated_work_ms=1000.0) for i in range(count)])
     return scheduler
@@ -249,7 +249,7 @@
 def test_outrank_margin_decides_which_query_goes_first(cost: float, passes: bool) -> None:
     """alpha is 3 and densities are powers of two: a passer must be 4 times as dense and gain by it.
 
-    Held "wide" queries of 1000 ms fill the plan so far that a newcomer at the end misses its aim.
+    Held "wide" queries of 1000 ms fill the plan: a newcomer at its end misses its latency objective.
     """
     scheduler = full_engine(THREAD_CAPACITY, features=dataclasses.replace(PERMITS, has_priorities=False))
     held = [arrival(f"w{i}", estimated_work_ms=1000.0, deadline_at=60000.0) for i in range(6)]
@@ -303,8 +303,8 @@
     scheduler = started(
         settings(gateway_count=2, features=dataclasses.replace(PERMITS, has_peer_messages=True)), "e1"
     )
-    told = [a for t in range(0, 1100, 50) for a in scheduler.step(float(t), [arrival(f"q{t}")])]
-    message = [a for a in told if isinstance(a, SendToPeer)][-1]
+    actions = [a for t in range(0, 1100, 50) for a in scheduler.step(float(t), [arrival(f"q{t}")])]
+    message = [a for a in actions if isinstance(a, SendToPeer)][-1]
     scheduler.step(1100.0, [PeerMessage(1, message.payload), PeerMessage(1, b"nonsense")])
     for t in range(1150, 2300, 50):
         scheduler.step(float(t), [arrival(f"q{t}")])
@@ -315,24 +315,24 @@
 def test_a_gateway_that_has_just_started_reports_its_traffic_in_full(begun: float) -> None:
     """Its rate counts from its first arrival on, not over the memory of an old one."""
     permits = dataclasses.replace(PERMITS, has_peer_messages=True)
-    old, young = (
+    earlier, later = (
         started(settings(gateway_count=2, gateway_index=me, features=permits), "e1") for me in (0, 1)
     )
     for t in range(0, int(begun) + 1500, 50):
-        for scheduler, other, since in ((old, young, 0.0), (young, old, begun)):
+        for scheduler, other, since in ((earlier, later, 0.0), (later, earlier, begun)):
             if t >= since:
                 done = scheduler.step(float(t), [arrival(f"q{t}", deadline_at=t + 5000.0)])
-                told = [
+                actions = [
                     PeerMessage(scheduler.settings.gateway_index, a.payload)
                     for a in done
                     if isinstance(a, SendToPeer)
                 ]
-                other.step(float(t), told)
-    assert old.traffic_share == pytest.approx(0.5, abs=0.08) and young.traffic_share == pytest.approx(
+                other.step(float(t), actions)
+    assert earlier.traffic_share == pytest.approx(0.5, abs=0.08) and later.traffic_share == pytest.approx(
         0.5, abs=0.08
     )
-    assert young.own_traffic.per_s(begun + 1500.0) == pytest.approx(20.0, rel=0.1)
-    assert young.own_traffic.per_s(begun + 30_000.0) < 0.01
+    assert later.own_traffic.per_s(begun + 1500.0) == pytest.approx(20.0, rel=0.1)
+    assert later.own_traffic.per_s(begun + 30_000.0) < 0.01
 
 
 @pytest.mark.parametrize(
@@ -559,7 +559,7 @@
     scheduler = started(settings(classes=(LOOKUP, report)), "e1")
     long = [arrival(f"r{i}", deadline_at=60000.0, estimated_work_ms=9000.0, query_class=1) for i in range(20)]
     out = len(sends(scheduler.step(5.0, long)))
-    assert out < 20 and out * 3 >= THREAD_CAPACITY - 3  # some are held: the engine has no room for them
+    assert out < 20 and out * 3 >= THREAD_CAPACITY - 3  # some are queued: the engine has no capacity for them
     short = scheduler.step(100.0, [arrival("q", deadline_at=5100.0)])
     assert sends(short) == [("q", "e1")] and UpdateAttempt("q", 0, 2) in short
     many = sends(scheduler.step(200.0, [arrival(f"q{i}", deadline_at=5200.0) for i in range(100)]))
--- a/tests/scheduler/test_sparse_signals.py
+++ b/tests/scheduler/test_sparse_signals.py
@@ -1,4 +1,4 @@
-"""Engines that tell little: no progress notes, load told by probes only, memory trimmed when short."""
+"""Engines that report little: no progress notes, load by health checks only, memory grants that shrink."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def started_without_notes(*names: str, **changes: Any) -> Scheduler:
-    """A gateway whose engines send no notes but may be probed; it has had traffic to pay probes with."""
+    """A gateway whose engines send no notes; its traffic has earned it health checks."""
     scheduler = Scheduler(
         settings(**{"features": WITH_HEALTH_CHECKS, "progress_interval_ms": 0.0, **changes}), 1
     )
@@ -190,7 +190,7 @@
 
 def test_planned_memory_is_what_the_engine_grants_by_itself() -> None:
     scheduler = started_without_notes("e1", on_memory_shortage=MemoryShortage.SHRINK)
-    scheduler.class_histories[0].memory_log_bias = 1.0  # answers told that need is far over what clients tell
+    scheduler.class_histories[0].memory_log_bias = 1.0  # answers showed that need is far over estimates
     scheduler.step(4050.0, [arrival("q", deadline_at=30000.0, estimated_memory_mb=100.0)])
     assert scheduler.queries["q"].planned_memory_mb == pytest.approx(130.0)
 
@@ -213,7 +213,7 @@
     """One query wider than the share from each gateway, always, would overfill the fleet."""
     report = dataclasses.replace(LOOKUP, latency_objective_ms=9000.0, deadline_ms=30000.0, threads=3)
     scheduler = Scheduler(settings(classes=(report,), gateway_count=100, features=WITH_HEALTH_CHECKS), 1)
-    scheduler.step(0.0, [engines("e1", "e2", "e3", "e4", "e5")])  # own room: 0.8 threads
+    scheduler.step(0.0, [engines("e1", "e2", "e3", "e4", "e5")])  # own share: 0.8 threads
     scheduler.fleet_utilization = 1.0
     ((name, engine),) = sends(
         scheduler.step(5.0, [arrival("a", deadline_at=29000.0, estimated_work_ms=1000.0)])
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -33,7 +33,7 @@
     Settings,
 )
 
-PERMITS = Features(
+FEATURES = Features(
     has_priorities=True,
     has_health_checks=True,
     has_peer_messages=True,
@@ -42,36 +42,36 @@
 )
 START_MS, COLD_MS = 1000.0, 3500.0  # gateways start; all engines start anew, and the burst begins
 BURST = 4.0
-PROBE_WORK_MS = 0.6
-LONG_PART = 0.15  # of the queries
+HEALTH_CHECK_WORK_MS = 0.6
+LONG_SHARE = 0.15  # of the queries
 
 
 @dataclass(frozen=True)
 class Site:
-    """What is drawn: the fleet, its rules, and mean work of the two classes."""
+    """The fleet, its rules, and the mean work of the two classes."""
 
     gateways: int
     engines: int
     per_s: float  # queries of a gateway
     cores: int = 8
-    cold_from: float = 0.33
-    factor: float = 4.0
-    tip_ms: float = 1500.0
+    cold_capacity_share: float = 0.33
+    overload_factor: float = 4.0
+    overload_window_ms: float = 1500.0
     costs: tuple[float, float] = (200.0, 4000.0)
     uneven: float = 0.0  # spread of the gateways' traffic, as a standard deviation of its logarithm
-    told_late_ms: float = 0.0
+    list_delay_ms: float = 0.0
     seed: int = 1
 
     @property
     def mean_work(self) -> float:
-        return self.costs[0] * (1 - LONG_PART) + self.costs[1] * LONG_PART
+        return self.costs[0] * (1 - LONG_SHARE) + self.costs[1] * LONG_SHARE
 
     def settings(self) -> Settings:
         rules = Rules(
-            cold_capacity_share=self.cold_from,
+            cold_capacity_share=self.cold_capacity_share,
             warm_up_ms=13000.0,
-            overload_factor=self.factor,
-            overload_window_ms=self.tip_ms,
+            overload_factor=self.overload_factor,
+            overload_window_ms=self.overload_window_ms,
             drain_grace_ms=500.0,
         )
         short, long = self.costs
@@ -82,7 +82,7 @@
         return Settings(
             classes=classes,
             machine_types=(MachineType(self.cores, 16000.0),),
-            features=PERMITS,
+            features=FEATURES,
             overhead_costs=OverheadCosts(0.011, 0.01),
             rules=rules,
             gateway_count=self.gateways,
@@ -108,7 +108,7 @@
         self.site, self.random = site, random.Random(site.seed)
         self.settings = site.settings()
         self.queue: list[tuple[float, int, Callable[[float], None]]] = []
-        self.serial = itertools.count()
+        self.sequence = itertools.count()
         self.names = [f"e{n:03}" for n in range(site.engines)]
         self.started = 0.0
         self.gateways: list[Scheduler | None] = [None] * site.gateways
@@ -116,74 +116,81 @@
         self.running = dict.fromkeys(self.names, 0)
         self.sent: dict[str, list[Sent]] = {name: [] for name in self.names}
         self.at(COLD_MS, self._turn_cold)
-        for me in range(site.gateways):
-            self.at(START_MS, partial(self.start, me=me))
-            self.at(COLD_MS + site.told_late_ms * self.random.random(), partial(self._tell, me=me))
+        for gateway_index in range(site.gateways):
+            self.at(START_MS, partial(self.start, gateway_index=gateway_index))
+            self.at(
+                COLD_MS + site.list_delay_ms * self.random.random(),
+                partial(self._list_engines, gateway_index=gateway_index),
+            )
 
     def at(self, when: float, action: Callable[[float], None]) -> None:
-        heapq.heappush(self.queue, (when, next(self.serial), action))
+        heapq.heappush(self.queue, (when, next(self.sequence), action))
 
     def play(self, until: float) -> ColdFleet:
-        for me in range(self.site.gateways):
-            self._arrivals(me, until)
+        for gateway_index in range(self.site.gateways):
+            self._arrivals(gateway_index, until)
         while self.queue and self.queue[0][0] <= until:
             now, _, action = heapq.heappop(self.queue)
             action(now)
         return self
 
-    def start(self, now: float, me: int) -> None:
+    def start(self, now: float, gateway_index: int) -> None:
         """A gateway starts, or starts again with nothing known."""
-        self.gateways[me] = Scheduler(
-            replace(self.settings, gateway_index=me), self.random.randrange(1 << 30)
+        self.gateways[gateway_index] = Scheduler(
+            replace(self.settings, gateway_index=gateway_index), self.random.randrange(1 << 30)
         )
-        self._tell(now, me)
+        self._list_engines(now, gateway_index)
 
     def _turn_cold(self, now: float) -> None:
         self.started = now
 
-    def _tell(self, now: float, me: int) -> None:
+    def _list_engines(self, now: float, gateway_index: int) -> None:
         engines = tuple(Engine(name, started_at=self.started) for name in self.names)
-        self.step(now, me, EngineList(engines, is_complete=True))
+        self.step(now, gateway_index, EngineList(engines, is_complete=True))
 
-    def _arrivals(self, me: int, until: float) -> None:
+    def _arrivals(self, gateway_index: int, until: float) -> None:
         mean = self.site.per_s * math.exp(self.random.gauss(0, self.site.uneven)) / 1000
         now = START_MS
         while now < until:
             now += self.random.expovariate(mean * (BURST if now >= COLD_MS else 1.0))
-            self.at(now, lambda now: self._arrive(now, me))
+            self.at(now, lambda now: self._arrive(now, gateway_index))
 
-    def _arrive(self, now: float, me: int) -> None:
-        kind = int(self.random.random() < LONG_PART)
+    def _arrive(self, now: float, gateway_index: int) -> None:
+        kind = int(self.random.random() < LONG_SHARE)
         work = self.site.costs[kind] * math.exp(self.random.gauss(-0.35, 0.83))
-        name, cls = f"q{next(self.serial)}", self.settings.classes[kind]
-        self.work[name] = work, cls.threads, self.site.costs[kind]
-        told = work * math.exp(self.random.gauss(0, 0.2))
+        name, query_class = f"q{next(self.sequence)}", self.settings.classes[kind]
+        self.work[name] = work, query_class.threads, self.site.costs[kind]
+        estimated = work * math.exp(self.random.gauss(0, 0.2))
         self.step(
             now,
-            me,
+            gateway_index,
             QueryArrived(
-                name, kind, now + 0.9 * cls.deadline_ms, estimated_work_ms=told, estimated_memory_mb=50.0
+                name,
+                kind,
+                now + 0.9 * query_class.deadline_ms,
+                estimated_work_ms=estimated,
+                estimated_memory_mb=50.0,
             ),
         )
 
-    def step(self, now: float, me: int, *events: Event) -> None:
-        gateway = self.gateways[me]
+    def step(self, now: float, gateway_index: int, *events: Event) -> None:
+        gateway = self.gateways[gateway_index]
         for action in gateway.step(now, events) if gateway is not None else ():
             match action:
                 case Send(query, engine):
-                    self._run(now, me, query, engine)
+                    self._run(now, gateway_index, query, engine)
                 case SetTimer(after, token):
-                    self._later(now + after, me, TimerExpired(token))
+                    self._later(now + after, gateway_index, TimerExpired(token))
                 case CheckHealth(engine):
-                    self.sent[engine].append(Sent(now, PROBE_WORK_MS, PROBE_WORK_MS))
-                    self._later(now + 3, me, HealthCheckCompleted(engine, Outcome.OK))
+                    self.sent[engine].append(Sent(now, HEALTH_CHECK_WORK_MS, HEALTH_CHECK_WORK_MS))
+                    self._later(now + 3, gateway_index, HealthCheckCompleted(engine, Outcome.OK))
                 case SendToPeer(data, peer) if peer is not None:
-                    self._later(now + 5, peer, PeerMessage(me, data))
+                    self._later(now + 5, peer, PeerMessage(gateway_index, data))
 
-    def _later(self, when: float, me: int, event: Event) -> None:
-        self.at(when, lambda now: self.step(now, me, event))
+    def _later(self, when: float, gateway_index: int, event: Event) -> None:
+        self.at(when, lambda now: self.step(now, gateway_index, event))
 
-    def _run(self, now: float, me: int, query: str, engine: str) -> None:
+    def _run(self, now: float, gateway_index: int, query: str, engine: str) -> None:
         work, threads, usual = self.work.pop(query)
         self.sent[engine].append(Sent(now, work, usual))
         self.running[engine] += threads
@@ -201,16 +208,16 @@
                 actual_work_ms=work,
                 actual_memory_mb=50.0,
             )
-            self.step(now, me, done)
+            self.step(now, gateway_index, done)
 
         self.at(now + took, end)
 
     def capacity(self, now: float) -> float:
         """Work in ms a ms: from the cold share evenly up to all of it."""
         warm = min(1.0, (now - self.started) / self.settings.rules.warm_up_ms) if self.started else 1.0
-        return self.site.cores * (self.site.cold_from + (1 - self.site.cold_from) * warm)
+        return self.site.cores * (self.site.cold_capacity_share + (1 - self.site.cold_capacity_share) * warm)
 
-    def fullest(self, weigh: Callable[[Sent], float]) -> float:
+    def _max_load(self, weigh: Callable[[Sent], float]) -> float:
         """The most that any window of any engine got, as a part of what makes it fall."""
         worst = 0.0
         for sends in self.sent.values():
@@ -219,28 +226,33 @@
                 now = one.at
                 if now < COLD_MS:
                     continue
-                held = [(at, weight) for at, weight in held if at > now - self.site.tip_ms]
+                held = [(at, weight) for at, weight in held if at > now - self.site.overload_window_ms]
                 held.append((now, weigh(one) / self.site.mean_work))
-                allowed = self.site.factor * self.capacity(now) * self.site.tip_ms / self.site.mean_work
-                worst = max(worst, sum(weight for _, weight in held) / fall(allowed))
+                allowed = (
+                    self.site.overload_factor
+                    * self.capacity(now)
+                    * self.site.overload_window_ms
+                    / self.site.mean_work
+                )
+                worst = max(worst, sum(weight for _, weight in held) / overload_limit(allowed))
         return worst
 
-    def in_work(self) -> float:
+    def max_load_by_work(self) -> float:
         """By the work that each query really was."""
-        return self.fullest(lambda sent: sent.work)
+        return self._max_load(lambda sent: sent.work)
 
-    def in_usual_work(self) -> float:
+    def max_load_by_usual_work(self) -> float:
         """By what its class usually is, which is how the rule on cold engines weighs it."""
-        return self.fullest(lambda sent: sent.usual)
+        return self._max_load(lambda sent: sent.usual)
 
-    def used(self, until: float) -> float:
+    def used_share(self, until: float) -> float:
         """Part of the budget that all engines together got, in work."""
         got = sum(sent.work for sends in self.sent.values() for sent in sends if sent.at >= COLD_MS)
         span = until - COLD_MS
-        return got / (self.site.factor * self.capacity(COLD_MS) * span * len(self.names))
+        return got / (self.site.overload_factor * self.capacity(COLD_MS) * span * len(self.names))
 
 
-def fall(allowed: float) -> float:
-    """Requests of mean work from which on an engine falls."""
+def overload_limit(allowed: float) -> float:
+    """Requests of mean work from which on an engine is overloaded."""
     slack = 3 * math.sqrt(allowed) + 3 if allowed < 30 else 2 * math.sqrt(allowed) + 2
     return allowed + slack
