--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -36,7 +36,7 @@
     unavailable_guard,
 )
 from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
-from cottonhold.fleet_adapters.session_affinity import PinsRim
+from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
 from cottonhold.membership.codec import Status
 from cottonhold.node import consul_client, status
@@ -86,7 +86,7 @@
         self.fleet: ZoneFailoverAdapter | None = None
         self.recovery: RecoveryAdapter | None = None
         self.swap: SwapRim | None = None
-        self.pins: PinsRim | None = None
+        self.pins: SessionAffinityAdapter | None = None
         self.remembered: EngineCache | None = None
         self.began = self.event_loop.clock.now()
         self.ledger_why = ""
@@ -141,7 +141,7 @@
             found = error.records if error is not None else {}
             loads = found.get(RecordKind.LOAD, {})
             self.unkept = unavailable_guard(self.installation, loads, self.event_loop.clock, self.counters)
-            self.gateway.load_guard = self.unkept
+            self.gateway.notifications.load_guard = self.unkept
             self._hold_drained(found.get(RecordKind.ENGINE_DRAIN, {}))
         if self.opening.over:
             self.event_loop.clock.call_in(LEDGER_MS, self._open_again)
@@ -167,7 +167,7 @@
         )
         if self.unkept is not None:  # retries count from when they were first heard of
             self.recovery.history.local.queried.update(self.unkept.memory.local.queried)
-        self.gateway.load_guard = self.recovery.load_guard
+        self.gateway.notifications.load_guard = self.recovery.load_guard
         file = self.installation.file
         if fleet is not None and file.sources:
             # Without the ramp nobody would await the answer that proves what is remembered.
@@ -216,7 +216,7 @@
         swap: SwapRim,
     ) -> None:
         """Loads with a key begin where that is owned."""
-        self.pins = PinsRim(
+        self.pins = SessionAffinityAdapter(
             self.installation,
             ledger,
             membership.instance.swim,
@@ -231,7 +231,7 @@
             self.counters,
             self.log.note,
         )
-        self.gateway.load_guard = self.pins.guard
+        self.gateway.notifications.load_guard = self.pins.guard
 
     def _told(self, member: int, payload: bytes) -> None:
         """Bytes from another instance go to the part that they are for."""
@@ -252,7 +252,7 @@
             ),
             clock,
             self.counters,
-            self.event_loop.send_datagram,
+            self.event_loop.datagrams.send,
             self.engines.check_health,
             self._learned,
             self.log.note,
@@ -273,7 +273,7 @@
                 self.engines.check_health,
                 self.installation.file.number,
             )
-            gateway.observer = self.fleet
+            gateway.notifications.observer = self.fleet
         rim.told, rim.joined = self._told, self._joined
 
     def _joined(self) -> None:
@@ -557,7 +557,7 @@
         if new.config.event_stream is not None:
             self.event_stream.host = new.config.event_stream.host
             self.event_stream_task = self.event_loop.spawn(
-                self.event_loop.follow_event_stream(self.event_stream, new.config.event_stream)
+                self.event_loop.event_stream.follow(self.event_stream, new.config.event_stream)
             )
 
     def _reload_entry(self, old: Installation, new: Installation) -> None:
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -23,13 +23,14 @@
 from cottonhold.discovery.consul.checks import Entry
 from cottonhold.emulator.fault_injection import script
 from cottonhold.fleet.recovery.survey_results import OutageVerdict
-from cottonhold.fleet.request_forwarding.messages import End
+from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
+from cottonhold.fleet.request_forwarding.messages import ForwardResult
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
 from cottonhold.membership.codec import Status
-from cottonhold.node.gateway import LoadOutcome
 from cottonhold.node.lifecycle import Phase
+from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
 from cottonhold.scheduler.events import EngineState, Outcome
@@ -101,7 +102,7 @@
         "engines": [s.value for s in EngineState],
         "swap": [s.name.lower() for s in Step],
         "life cycle": [p.value for p in Phase],
-        "handed on": [end.name.lower() for end in End],
+        "handed on": [RESULT_NAMES[result] for result in ForwardResult],
         "duties": [membership_adapter.PROBE, membership_adapter.REPORT, membership_adapter.FLEET],
     }
     return {name: sorted(words) for name, words in enums.items()}
@@ -202,7 +203,7 @@
 
 
 def test_keys_of_a_script_of_faults() -> None:
-    assert schema_of(script.Day) == RECORD["script"]
+    assert schema_of(script.Scenario) == RECORD["script"]
 
 
 class Watched(dict[str, Any]):
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -1,4 +1,4 @@
-"""The rim's guard of loads with keys, on a fake clock: owners, handing on, leases that end, order by key."""
+"""The guard of loads with keys, on a fake clock: owners, forwarding, leases that end, order by key."""
 
 from __future__ import annotations
 
@@ -8,21 +8,28 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.request_forwarding.forwarder import End, Ended
+from cottonhold.fleet.request_forwarding.forwarder import ForwardingEnded, ForwardResult
 from cottonhold.fleet.request_forwarding.request_codec import (
-    Handed,
-    pack_request,
-    pack_rows,
-    pin_key,
-    read_request,
-    read_rows,
+    ForwardedRequest,
+    affinity_key,
+    decode_request,
+    decode_rows,
+    encode_request,
+    encode_rows,
 )
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
-from cottonhold.fleet_adapters.keyed_loads import GUEST_MS, WAIT_MS, Pinned
-from cottonhold.node.gateway import ClientRequest, Gateway, LoadOutcome
-from cottonhold.node.gateway import LoadOutcomeCallback as Tell
+from cottonhold.fleet_adapters.keyed_loads import (
+    MAX_FORWARDED_WAIT_MS,
+    MAX_WAIT_MS,
+    KeyedLoadGuard,
+    OriginRound,
+)
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.gateway import Gateway
+from cottonhold.node.load_guard import LoadOutcome
+from cottonhold.node.load_guard import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from tests.support.scenario import FakeClock
@@ -56,7 +63,7 @@
 class World:
     """One guard; the test says who owns what. It stands for the gateway, too."""
 
-    me, back = ME, 40.0
+    member, retry_after_ms = ME, 40.0
 
     def __init__(self) -> None:
         self.clock, self.loads = FakeClock(), Loads()
@@ -66,31 +73,31 @@
         self.rounds: list[int] = []
         self.events: list[Any] = []
         self.table = {ME, X, Y}
-        self.guard = Pinned(self.loads, self, cast(Gateway, self), self.clock, Counters())
+        self.guard = KeyedLoadGuard(self.loads, self, cast(Gateway, self), self.clock, Counters())
 
-    def take(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
+    def route(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
         return self.found
 
-    def owns(self, key: bytes) -> bool:
+    def is_owner(self, key: bytes) -> bool:
         return isinstance(self.found, OwnedHere)
 
-    def inside(self, member: int) -> bool:
+    def is_member(self, member: int) -> bool:
         return member in self.table
 
-    def lost(self, key: bytes) -> bool:
-        return not self.owns(key)
+    def is_lost(self, key: bytes) -> bool:
+        return not self.is_owner(key)
 
-    def opened(self, key: bytes, load: int) -> None:
+    def on_request_opened(self, key: bytes, load: int) -> None:
         self.events.append(("opened", load))
 
-    def ended(self, key: bytes, load: int, known: bool) -> None:
+    def on_request_ended(self, key: bytes, load: int, known: bool) -> None:
         self.events.append(("ended", load, known))
 
-    def hand(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
+    def forward(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
         self.handed.append((taken.request_id, owner))
         self.rounds.append(number)
 
-    def left(self, ref: str) -> None:
+    def abandon(self, ref: str) -> None:
         self.events.append(("left", ref))
 
     def finish_without_attempt(self, ref: str, word: str, answer: Callable[[Any], None]) -> None:
@@ -116,8 +123,8 @@
         self.clock.at += ms
         self.guard.step()
 
-    def back_with(self, ref: str, end: End, data: bytes = b"") -> None:
-        self.guard.handed(Ended(ref, end, 0.0, data))
+    def back_with(self, ref: str, end: ForwardResult, data: bytes = b"") -> None:
+        self.guard.on_forwarding_ended(ForwardingEnded(ref, end, 0.0, data))
 
 
 def test_its_own_begins_here_and_without_a_key_nobody_is_asked() -> None:
@@ -179,7 +186,7 @@
     world.guard.on_request_closed("c")
     world.found = RetryAfter(40.0)
     world.come("d")
-    world.later(WAIT_MS)
+    world.later(MAX_WAIT_MS)
     assert world.heard[2:] == [("d", "later")]
 
 
@@ -189,26 +196,26 @@
     for ref in "abc":
         world.come(ref)
     assert world.handed == [("a", X), ("b", X), ("c", X)]
-    world.back_with("a", End.SERVED, pack_rows([[b"1", b"2", b"3"]]))
-    world.back_with("b", End.FAILED)
+    world.back_with("a", ForwardResult.ANSWERED, encode_rows([[b"1", b"2", b"3"]]))
+    world.back_with("b", ForwardResult.FAILED)
     world.guard.on_request_closed("c")
-    world.back_with("c", End.SERVED)
+    world.back_with("c", ForwardResult.ANSWERED)
     assert world.heard == [("a", "served"), ("b", "may")] and world.events == [("left", "c")]
-    assert not world.guard.held and not world.guard.away
+    assert not world.guard.requests and not world.guard.forwarding_rounds
 
 
 def test_a_moved_one_goes_where_its_home_says_and_later_ones_go_there_at_once() -> None:
     world = World()
     world.found = OwnedElsewhere(b"", X)
     world.come("a")
-    world.back_with("a", End.MOVED, Y.to_bytes(8, "big"))
+    world.back_with("a", ForwardResult.NOT_OWNER, Y.to_bytes(8, "big"))
     world.come("b")
     assert world.handed == [("a", X), ("a", Y), ("b", Y)]
     world.table.discard(Y)  # it was swapped
-    world.back_with("a", End.MOVED)
+    world.back_with("a", ForwardResult.NOT_OWNER)
     world.later(50)
     assert len(world.handed) == 3  # the next of its key is still there
-    world.back_with("b", End.MOVED)
+    world.back_with("b", ForwardResult.NOT_OWNER)
     world.later(50)
     assert world.handed[3:] == [("a", X), ("b", X)]
     assert len(set(world.rounds)) == 3 and world.rounds[3] == world.rounds[4]
@@ -222,7 +229,7 @@
     world.come("b")
     world.later(100)
     assert world.heard == []
-    world.back_with("a", End.MOVED)
+    world.back_with("a", ForwardResult.NOT_OWNER)
     world.later(100)
     assert world.heard == [("a", "never"), ("b", "never")]
 
@@ -232,7 +239,7 @@
     world.found = OwnedElsewhere(b"", X)
     world.come("a")
     for _ in range(20):
-        world.back_with("a", End.MOVED, X.to_bytes(8, "big"))
+        world.back_with("a", ForwardResult.NOT_OWNER, X.to_bytes(8, "big"))
     assert len(world.handed) == 3
     world.later(50)
     assert len(world.handed) == 4
@@ -240,14 +247,14 @@
 
 def test_one_that_was_handed_on_to_here_is_sent_back_with_the_owners_name() -> None:
     world = World()
-    world.guard.remote |= {"a": (Y, 1), "b": (Y, 2), "c": (Y, 2)}
+    world.guard.origin_rounds |= {"a": OriginRound(Y, 1), "b": OriginRound(Y, 2), "c": OriginRound(Y, 2)}
     world.found = OwnedElsewhere(b"", X)
     world.come("a")
-    assert world.heard == [("a", "later")] and world.guard.moved == {"a": X}
+    assert world.heard == [("a", "later")] and world.guard.owners_by_returned == {"a": X}
     world.found = RetryAfter(40.0)
     world.come("b")
     world.come("c")
-    world.later(GUEST_MS / 2)
+    world.later(MAX_FORWARDED_WAIT_MS / 2)
     world.found = OWN
     world.later(1)
     assert world.heard[1:] == [("b", "never"), ("c", "never")] and not world.handed
@@ -256,30 +263,40 @@
 def test_what_comes_behind_one_that_was_sent_back_does_not_begin_before_it() -> None:
     """Both were handed on before their origin heard of it; of the next round all begin."""
     world = World()
-    world.guard.remote |= {"a": (Y, 1), "b": (Y, 1), "c": (Y, 1), "d": (Y, 2), "e": (X, 1)}
+    world.guard.origin_rounds |= {
+        "a": OriginRound(Y, 1),
+        "b": OriginRound(Y, 1),
+        "c": OriginRound(Y, 1),
+        "d": OriginRound(Y, 2),
+        "e": OriginRound(X, 1),
+    }
     world.found = RetryAfter(40.0)
     world.come("a")
     world.come("b")
-    world.later(GUEST_MS)
+    world.later(MAX_FORWARDED_WAIT_MS)
     world.found = OWN
     world.come("c")
-    assert [h for h, _ in world.heard] == ["a", "b", "c"] and set(world.guard.moved) == {"a", "b", "c"}
+    assert [h for h, _ in world.heard] == ["a", "b", "c"] and set(world.guard.owners_by_returned) == {
+        "a",
+        "b",
+        "c",
+    }
     world.come("d")
     world.come("e")
     assert world.heard[3:] == [("d", "never"), ("e", "never")]
 
 
 def test_a_request_and_its_rows_have_a_form() -> None:
-    asked = Handed("00ff", "load", "k\u00e9y", 20.0, 0.5, -1, True, b"INSERT INTO t", 2**63)
-    assert read_request(pack_request(asked)) == asked
+    asked = ForwardedRequest("00ff", "load", "k\u00e9y", 20.0, 0.5, -1, True, b"INSERT INTO t", 2**63)
+    assert decode_request(encode_request(asked)) == asked
     for tenant, token in (("acme", ""), ("", "5c0f"), ("acme", "5c0f")):
-        named = replace(asked, tenant=tenant, token=token)
-        assert read_request(pack_request(named)) == named
+        named = replace(asked, tenant=tenant, idempotency_key=token)
+        assert decode_request(encode_request(named)) == named
     rows = [[b"a", b"", b"c" * 300], [], [b"\t\n"]]
-    assert read_rows(pack_rows(rows)) == rows and len(pin_key("k")) == 8
+    assert decode_rows(encode_rows(rows)) == rows and len(affinity_key("k")) == 8
     for cut in (0, 5, 25, 30):
         with pytest.raises(MessageError):
-            read_request(pack_request(asked)[:cut])
-    for bad in (b"", pack_rows(rows)[:-1], pack_rows(rows) + b"x"):
+            decode_request(encode_request(asked)[:cut])
+    for bad in (b"", encode_rows(rows)[:-1], encode_rows(rows) + b"x"):
         with pytest.raises(MessageError):
-            read_rows(bad)
+            decode_rows(bad)
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -18,7 +18,7 @@
 from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
 from cottonhold.fleet_adapters.recovery import open_ledger
 from cottonhold.node import standalone_dispatcher as installation_module
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.standalone_dispatcher import ServedInstallation
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
@@ -97,15 +97,17 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.load_guard, UnavailableLoadGuard) and node.recovery is None
+        assert (
+            isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and node.recovery is None
+        )
         for _ in range(20):  # the loop goes on meanwhile
             await asyncio.sleep(0.002)
         assert world.tries == 1, "one try at a time"
         assert len(world.lines()) == 1 and "has not answered" in world.lines()[0]
         world.hangs.set()
         await kept(node)
-        assert node.gateway.load_guard is not None and not isinstance(
-            node.gateway.load_guard, UnavailableLoadGuard
+        assert node.gateway.notifications.load_guard is not None and not isinstance(
+            node.gateway.notifications.load_guard, UnavailableLoadGuard
         )
         end(node)
 
@@ -124,7 +126,7 @@
             if world.tries == 2 and len(world.lines()) == 2:
                 break
             await asyncio.sleep(0.002)
-        assert isinstance(node.gateway.load_guard, UnavailableLoadGuard) and world.tries == 2
+        assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and world.tries == 2
         assert ["planted" in world.lines()[0], "has not answered" in world.lines()[1]] == [True, True]
         world.hangs.set()
         await kept(node)
@@ -149,7 +151,7 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.load_guard, UnavailableLoadGuard)
+        assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
         await kept(node)
         assert world.tries == len(errors) + 1 and len(world.lines()) == 1
         end(node)
@@ -180,7 +182,10 @@
 
     async def story() -> None:
         node = world.make()
-        assert isinstance(node.gateway.load_guard, UnavailableLoadGuard) and len(world.lines()) == 1
+        assert (
+            isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
+            and len(world.lines()) == 1
+        )
         assert str(folder) in world.lines()[0]
         folder.rename(folder.with_name("away"))
         await kept(node)
