--- a/cottonhold/__main__.py
+++ b/cottonhold/__main__.py
@@ -1,7 +1,7 @@
 """The command line of the platform: `python -m cottonhold [serve]` runs one dispatcher until SIGTERM.
 
-Danger: 32 MB may be all there is. Nothing that only other installations need is imported here; their command
-line is cottonhold/cli.
+The process may have no more than 32 MB. Nothing that only other installations need is imported here; their
+command line is cottonhold/cli.
 """
 
 from __future__ import annotations
--- a/cottonhold/backend/attempt.py
+++ b/cottonhold/backend/attempt.py
@@ -3,14 +3,27 @@
 from __future__ import annotations
 
 import math
+from collections import deque
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from cottonhold.backend.resp import Rows
 from cottonhold.transport.clock import Timer
 
-if TYPE_CHECKING:
-    from cottonhold.backend.connection import Connection
+
+class AttemptConnection(Protocol):
+    """The connection that an attempt is queued or in flight on."""
+
+    opened_at: float  # ms of the clock
+    queue: deque[Attempt | bytes]
+    attempts: dict[bytes, Attempt]
+    abandoned_ids: dict[bytes, None]
+
+    def enqueue(self, item: Attempt | bytes, /) -> None:
+        """Queue something to write."""
+
+    def write_now(self, item: bytes, /) -> None:
+        """Write something at once."""
 
 
 @dataclass(slots=True, eq=False)
@@ -28,7 +41,7 @@
     deadline: float
     idempotency_key: str | None = None  # the client's, the same on each attempt
     begin_deadline: float = math.inf  # not begun by then, it must not begin any more
-    connection: Connection | None = None  # None before it is queued on one, and once it has ended
+    connection: AttemptConnection | None = None  # None before it is queued on one, and once it has ended
     timer: Timer | None = None
     is_written: bool = False
     first_response_at: float = 0.0
--- a/cottonhold/backend/connection.py
+++ b/cottonhold/backend/connection.py
@@ -113,7 +113,7 @@
                     self.answer_count += 1
                     self.owner.on_answer(self, words)
             self.silent_since = now if self.attempts else math.inf
-            if self.reader.partial():
+            if self.reader.has_partial():
                 self.partial_since = min(self.partial_since, now)
         except RespError as error:
             self.owner.on_malformed_answer(f"engine {self.engine}: {error}")
--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -11,11 +11,11 @@
 from cottonhold.backend.engine_protocol import (
     FAILED_HEALTH_CHECK,
     Answer,
-    AnswerWord,
+    AnswerKind,
     decode_answer,
+    decode_kind,
     decode_load_report,
     decode_number,
-    decode_word,
     encode_cancel,
     encode_change_priority,
     encode_close_result,
@@ -24,7 +24,7 @@
     encode_load_report_request,
 )
 from cottonhold.backend.health_check import HealthCheck, LivenessBudget
-from cottonhold.backend.resp import read_count, read_rows
+from cottonhold.backend.resp import decode_count, decode_rows
 from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, Change
 from cottonhold.observe.counters import Counters
@@ -327,7 +327,7 @@
         answer = decode_answer(words)
         if check := connection.health_checks.pop(answer.request_id, None):
             if check.is_awaited:
-                outcome = Outcome.ERROR if answer.word == FAILED_HEALTH_CHECK else Outcome.OK
+                outcome = Outcome.ERROR if answer.kind == FAILED_HEALTH_CHECK else Outcome.OK
                 self._end_health_check(check, outcome, decode_load_report(answer.fields))
             return
         attempt = connection.attempts.get(answer.request_id)
@@ -338,16 +338,16 @@
 
     def _on_attempt_answer(self, attempt: Attempt, answer: Answer) -> None:
         """An answer to an attempt in flight; a copy of an earlier one is harmless. Raises RespError."""
-        word = decode_word(answer.word)
-        if word is AnswerWord.CRASHED:
+        word = decode_kind(answer.kind)
+        if word is AnswerKind.CRASHED:
             self._end(attempt, Outcome.ERROR, answer.fields)
-        elif word is AnswerWord.PAGE and attempt.pages:
+        elif word is AnswerKind.PAGE and attempt.pages:
             self._on_page(attempt, answer)
-        elif attempt.pages or word is AnswerWord.PAGE:
+        elif attempt.pages or word is AnswerKind.PAGE:
             self.counters.add("answers_again")
-        elif word is AnswerWord.SERVED:
+        elif word is AnswerKind.SERVED:
             self._on_first_page(attempt, answer)
-        elif word is AnswerWord.OVERLOADED:
+        elif word is AnswerKind.OVERLOADED:
             self._end(attempt, Outcome.OVERLOADED, answer.fields)
         else:
             self._end(attempt, Outcome.ALREADY_FINISHED, answer.fields)
@@ -355,7 +355,7 @@
     def _on_first_page(self, attempt: Attempt, answer: Answer) -> None:
         """Request the other pages. All are collected and decoded before the first row goes to the client, so
         that a lost or malformed page can still become a retry or a clean error."""
-        count, rows = read_count(answer.fields, "count", 1, MAX_PAGES), read_rows(answer.body)
+        count, rows = decode_count(answer.fields, "count", 1, MAX_PAGES), decode_rows(answer.body)
         attempt.first_response_at, attempt.response_fields = self.clock.now(), answer.fields
         attempt.pages = [rows, *[None] * (count - 1)]
         if count == 1:
@@ -366,8 +366,8 @@
             attempt.connection.enqueue(b"".join(fetches))
 
     def _on_page(self, attempt: Attempt, answer: Answer) -> None:
-        position = read_count(answer.fields, "pos", 1, len(attempt.pages) - 1)
-        attempt.pages[position] = read_rows(answer.body)
+        position = decode_count(answer.fields, "pos", 1, len(attempt.pages) - 1)
+        attempt.pages[position] = decode_rows(answer.body)
         if None not in attempt.pages:
             connection = attempt.connection
             self._end(attempt, Outcome.OK, attempt.response_fields)
--- a/cottonhold/backend/engine_protocol.py
+++ b/cottonhold/backend/engine_protocol.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from cottonhold.backend.resp import RespError, encode, read_fields
+from cottonhold.backend.resp import RespError, decode_fields, encode_array
 from cottonhold.config.settings import REPORT
 
 EXECUTE, CHANGE_PRIORITY, CANCEL = b"GET", b"RANK", b"DROP"
@@ -17,7 +17,7 @@
 MAX_REPORTED_NUMBER = 1e8  # of milliseconds or megabytes in an answer
 
 
-class AnswerWord(Enum):
+class AnswerKind(Enum):
     """What an engine says of an attempt."""
 
     SERVED = b"served"  # with page 0 of the result and the number of pages
@@ -27,14 +27,14 @@
     UNKNOWN_REQUEST = b"nobody"  # no attempt of this id runs there
 
 
-ANSWER_WORDS = {word.value: word for word in AnswerWord}
+ANSWER_KINDS = {word.value: word for word in AnswerKind}
 
 
 class Answer(NamedTuple):
     """An answer, its word not looked at yet."""
 
     request_id: bytes
-    word: bytes
+    kind: bytes
     fields: dict[str, str]
     body: bytes
 
@@ -51,44 +51,44 @@
     fields = f"kind={class_name},ms={timeout_ms},order={priority}"
     if idempotency_key is not None:
         fields += f",token={idempotency_key}"
-    return encode(EXECUTE, request_id, fields.encode(), statement)
+    return encode_array(EXECUTE, request_id, fields.encode(), statement)
 
 
 def encode_change_priority(request_id: bytes, priority: int) -> bytes:
     """Change the priority of an attempt."""
-    return encode(CHANGE_PRIORITY, request_id, b"%d" % priority)
+    return encode_array(CHANGE_PRIORITY, request_id, b"%d" % priority)
 
 
 def encode_cancel(request_id: bytes) -> bytes:
     """Cancel an attempt."""
-    return encode(CANCEL, request_id)
+    return encode_array(CANCEL, request_id)
 
 
 def encode_fetch_page(request_id: bytes, page: int) -> bytes:
     """Request a further page of a result."""
-    return encode(FETCH_PAGE, request_id, b"%d" % page)
+    return encode_array(FETCH_PAGE, request_id, b"%d" % page)
 
 
 def encode_close_result(request_id: bytes) -> bytes:
     """Release a result of several pages."""
-    return encode(CLOSE_RESULT, request_id)
+    return encode_array(CLOSE_RESULT, request_id)
 
 
 def encode_load_report_request(tag: bytes) -> bytes:
     """Request a load report; the answer carries the tag as its request id."""
-    return encode(LOAD_REPORT, tag)
+    return encode_array(LOAD_REPORT, tag)
 
 
 def decode_answer(words: list[bytes]) -> Answer:
     """An answer of an engine. Raises RespError."""
     if len(words) not in (3, 4):
         raise RespError(f"an answer of {len(words)} words")
-    return Answer(words[0], words[1], read_fields(words[2]), words[3] if len(words) == 4 else b"")
+    return Answer(words[0], words[1], decode_fields(words[2]), words[3] if len(words) == 4 else b"")
 
 
-def decode_word(word: bytes) -> AnswerWord:
+def decode_kind(word: bytes) -> AnswerKind:
     """What an engine says of an attempt. Raises RespError."""
-    known = ANSWER_WORDS.get(word)
+    known = ANSWER_KINDS.get(word)
     if known is None:
         raise RespError(f"unknown word {word[:40]!r}")
     return known
--- a/cottonhold/backend/resp.py
+++ b/cottonhold/backend/resp.py
@@ -1,47 +1,51 @@
-"""The engines' protocol: RESP arrays of bulk strings, as a state machine that is fed bytes."""
+"""RESP arrays of bulk strings, which carry the engines' protocol: a reader that is fed bytes, and codecs."""
 
 from __future__ import annotations
 
-MOST_WORDS = 8  # an answer has four
-MOST_BYTES = 8 * 1024  # of one word
-MOST_PAGE = 6000
+MAX_ELEMENTS = 8  # of an array; an answer has four
+MAX_ELEMENT_BYTES = 8 * 1024
+MAX_PAGE_BYTES = 6000
+MAX_LENGTH_LINE = 16  # bytes of a length with its mark and line end
+MAX_COUNT_DIGITS = 8
 COLUMNS = 3
 
 Rows = list[list[bytes]]
 
 
 class RespError(Exception):
-    """What came is no array of bulk strings, or an absurdly large one."""
+    """Bytes that are no array of bulk strings, too large a one, or an answer without what it needs."""
 
 
-def encode(*words: bytes) -> bytes:
+def encode_array(*elements: bytes) -> bytes:
     """An array of bulk strings."""
-    parts = [b"*%d\r\n" % len(words)]
-    for word in words:
-        parts.append(b"$%d\r\n%b\r\n" % (len(word), word))
+    parts = [b"*%d\r\n" % len(elements)]
+    for element in elements:
+        parts.append(b"$%d\r\n%b\r\n" % (len(element), element))
     return b"".join(parts)
 
 
 class RespReader:
-    """Collects bytes and gives back the arrays that are whole."""
+    """Collects bytes and returns the arrays that are complete."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
-    def partial(self) -> bool:
-        """Whether an array has begun and is not whole."""
+    def has_partial(self) -> bool:
+        """Whether an array has begun and is incomplete."""
         return bool(self.buffer)
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """The arrays that these bytes complete. What follows them and can't be read is an error next time."""
+        """The arrays that these bytes complete. Raises RespError.
+
+        Malformed bytes behind complete arrays raise with the next call, so that those arrays are not lost.
+        """
         self.buffer += data
         arrays, at = list[list[bytes]](), 0
         try:
             while (found := self._array(at)) is not None:
-                words, at = found
-                arrays.append(words)
+                elements, at = found
+                arrays.append(elements)
         except RespError:
-            # Danger: good answers that came in one read with a spoilt one were lost with it.
             if not arrays:
                 raise
         if at:
@@ -49,14 +53,14 @@
         return arrays
 
     def _array(self, at: int) -> tuple[list[bytes], int] | None:
-        """The array at a position and where it ends; None while it is not whole."""
-        head = self._number(at, b"*", MOST_WORDS)
+        """The array at a position and where it ends; None while it is incomplete."""
+        head = self._number(at, b"*", MAX_ELEMENTS)
         if head is None:
             return None
         count, at = head
-        words = []
+        elements = []
         for _ in range(count):
-            head = self._number(at, b"$", MOST_BYTES)
+            head = self._number(at, b"$", MAX_ELEMENT_BYTES)
             if head is None:
                 return None
             size, at = head
@@ -64,28 +68,28 @@
                 return None
             if self.buffer[at + size : at + size + 2] != b"\r\n":
                 raise RespError("a bulk string does not end where it should")
-            words.append(bytes(self.buffer[at : at + size]))
+            elements.append(bytes(self.buffer[at : at + size]))
             at += size + 2
-        return words, at
+        return elements, at
 
-    def _number(self, at: int, mark: bytes, most: int) -> tuple[int, int] | None:
-        """The number behind a mark and where its line ends."""
+    def _number(self, at: int, mark: bytes, maximum: int) -> tuple[int, int] | None:
+        """The number behind a mark and where its line ends; None while that is incomplete."""
         if len(self.buffer) > at and self.buffer[at : at + 1] != mark:
             raise RespError(f"expected {mark!r}, got {bytes(self.buffer[at : at + 1])!r}")
-        end = self.buffer.find(b"\r\n", at, at + 16)
+        end = self.buffer.find(b"\r\n", at, at + MAX_LENGTH_LINE)
         if end < 0:
-            if len(self.buffer) >= at + 16:
+            if len(self.buffer) >= at + MAX_LENGTH_LINE:
                 raise RespError("a length without an end")
             return None
         digits = bytes(self.buffer[at + 1 : end])
-        if not digits.isdigit() or int(digits) > most:
+        if not digits.isdigit() or int(digits) > maximum:
             raise RespError(f"a bad length: {digits!r}")
         return int(digits), end + 2
 
 
-def read_rows(page: bytes) -> Rows:
-    """The rows of a page as their cells."""
-    if len(page) > MOST_PAGE:
+def decode_rows(page: bytes) -> Rows:
+    """The rows of a page as their cells. Raises RespError."""
+    if len(page) > MAX_PAGE_BYTES:
         raise RespError(f"a page of {len(page)} bytes")
     if not page:
         return []
@@ -101,15 +105,20 @@
     return rows
 
 
-def read_count(fields: dict[str, str], name: str, least: int, most: int) -> int:
-    """A whole number of an answer that it can't do without."""
+def decode_count(fields: dict[str, str], name: str, minimum: int, maximum: int) -> int:
+    """A required whole number of an answer. Raises RespError."""
     text = fields.get(name, "")
-    if not (text.isascii() and text.isdigit() and len(text) < 9 and least <= int(text) <= most):
+    if not (
+        text.isascii()
+        and text.isdigit()
+        and len(text) <= MAX_COUNT_DIGITS
+        and minimum <= int(text) <= maximum
+    ):
         raise RespError(f"no use in {name}={text[:20]!r}")
     return int(text)
 
 
-def read_fields(text: bytes) -> dict[str, str]:
+def decode_fields(text: bytes) -> dict[str, str]:
     """A list name=value,name=value; `-` when there are none."""
     if text in (b"-", b""):
         return {}
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -1,4 +1,7 @@
-"""The configuration file, decoded once into the values that the dispatcher uses."""
+"""RELAY_CONFIG: the platform's configuration file, decoded once into the values that the dispatcher uses.
+
+The file's names are mapped here to the code's terms.
+"""
 
 from __future__ import annotations
 
@@ -18,9 +21,9 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import Settings
 
-# What the settings always hold, of what is used here. The simulator's adapter and other installations read
-# settings that are less whole; here one that lacks a key was cut off, or is not what was meant.
-ALWAYS = {
+# The keys that the platform's settings always hold, of those used here: a file without one was cut off. The
+# simulator's adapter and other installations read settings that hold fewer.
+REQUIRED_KEYS = {
     "": "caps classes costs discovery domain me models obligations report siblings tick zone zones",
     "caps": "conn_idle connect_timeout max_retry_after may_cancel most_tries peers probes retry_after"
     " streams_per_conn",
@@ -30,28 +33,28 @@
     "obligations": "answer_slack cold_from overload_factor stop_sending_within tip_after warm_within",
     "report": "fields how",
 }
-OF_CLASS = "name aim hard_limit effect worth late_worth"
-MOST_NUMBER = 1e12  # of any figure in the settings
-MOST_BYTES = 4 << 20  # of the file: 3,200 engines in its list take under one
+REQUIRED_CLASS_KEYS = "name aim hard_limit effect worth late_worth"
+MAX_NUMBER = 1e12  # of any figure in the settings
+MAX_FILE_BYTES = 4 << 20  # of the file: 3,200 engines in its list take under one
 
 
 class ConfigError(Exception):
-    """Configuration that can't be used; the text is the one line to print."""
+    """A configuration that can't be used; the text is the one line to print."""
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionSettings:
-    """What the settings say of connections to engines."""
+    """The settings of connections to engines."""
 
     idle_timeout_ms: float
     connect_timeout_ms: float
     max_streams: int
-    health_check_cost: float = 0.0  # taken off the result for each probe a request taken
+    health_check_cost: float = 0.0  # off the result, for each health check a request
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that a dispatcher is told at its start."""
+    """The configuration of a dispatcher."""
 
     name: str
     listen: Address
@@ -70,7 +73,7 @@
 
 
 def load(environ: Mapping[str, str], counters: Counters) -> Config:
-    """Read the file that RELAY_CONFIG names."""
+    """Read the file that RELAY_CONFIG names. Raises ConfigError."""
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -84,23 +87,23 @@
 
 
 def read_file(path: str) -> bytes:
-    """A file's content. Raises OSError and WireError.
+    """A regular file's content, up to a limit: a pipe would block, a huge file take all memory.
 
-    Danger: read whole, a huge one took all memory there is; a pipe kept the program waiting for good.
+    Raises OSError and WireError.
     """
     with open(os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC), "rb") as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
             raise WireError("not a regular file")
-        data = file.read(MOST_BYTES + 1)
-    if len(data) > MOST_BYTES:
-        raise WireError(f"over {MOST_BYTES} bytes")
+        data = file.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise WireError(f"over {MAX_FILE_BYTES} bytes")
     return data
 
 
 def check_numbers(value: Any, name: str) -> None:
-    """Name the first figure that is negative or beyond all use. Raises WireError."""
-    if isinstance(value, NUMBER) and not 0 <= value <= MOST_NUMBER:
-        raise WireError(f"'{name}' is {value!r}, not from 0 to {MOST_NUMBER:g}")
+    """Raise WireError for the first number that is negative or out of range."""
+    if isinstance(value, NUMBER) and not 0 <= value <= MAX_NUMBER:
+        raise WireError(f"'{name}' is {value!r}, not from 0 to {MAX_NUMBER:g}")
     if dataclasses.is_dataclass(value):
         for field in dataclasses.fields(value):
             check_numbers(getattr(value, field.name), f"{name}.{field.name}")
@@ -109,9 +112,9 @@
             check_numbers(part, f"{name}[{place}]")
 
 
-def check_whole(settings: Json) -> None:
-    """Name the first key that is missing, or the class that is there twice. Raises WireError."""
-    for section, keys in ALWAYS.items():
+def check_complete(settings: Json) -> None:
+    """Raise WireError for the first required key that is missing, or a class that is there twice."""
+    for section, keys in REQUIRED_KEYS.items():
         part = read(settings, section, dict) if section else settings
         for key in keys.split():
             if part.get(key) is None:
@@ -120,7 +123,7 @@
         raise WireError("field 'settings.caps.most_tries' is not over 0")
     names = set()
     for place, entry in enumerate(read_list(settings, "classes", dict)):
-        for key in OF_CLASS.split():
+        for key in REQUIRED_CLASS_KEYS.split():
             if entry.get(key) is None:
                 raise WireError(f"field 'settings.classes[{place}].{key}' is missing")
         for key in ("aim", "hard_limit"):
@@ -132,7 +135,10 @@
 
 
 def check_change(old: Config, new: Config) -> None:
-    """Name what a running dispatcher can't take over: its place, and the names that entries are read by."""
+    """Raise ConfigError for a setting that changes only with a restart.
+
+    These are a dispatcher's place in the fleet, and the names by which engine entries are decoded.
+    """
     pairs = {
         "settings.me": (old.settings.gateway_index, new.settings.gateway_index),
         "settings.siblings": (old.settings.gateway_count, new.settings.gateway_count),
@@ -166,7 +172,7 @@
     if bus is None:
         raise WireError("field 'bus' is missing")
     params, limits = read(source, "settings", dict), read(source, "limits", dict, {})
-    check_whole(params)
+    check_complete(params)
     caps = read(params, "caps", dict)
     connect_ms = read(caps, "connect_timeout", NUMBER, 250.0)
     settings = replace(read_settings(params), max_connect_ms=connect_ms)
--- a/cottonhold/emulator/engine.py
+++ b/cottonhold/emulator/engine.py
@@ -10,7 +10,7 @@
 import time
 from typing import Any
 
-from cottonhold.backend.resp import RespError, encode
+from cottonhold.backend.resp import RespError, encode_array
 from cottonhold.emulator.serving import Listener, engine_calls, run_until_told
 
 TTL_S = 3.0
@@ -53,7 +53,7 @@
             open_here[ref] = loop.call_later(self.work_s, self._done, ref, writer, open_here)
         elif verb in (b"PING", b"LOAD"):
             self.probes.append((time.monotonic(), writer.get_extra_info("peername")[1]))
-            writer.write(encode(ref, b"green", f"gauges=inflight:{self.out};util:0.1".encode(), b""))
+            writer.write(encode_array(ref, b"green", f"gauges=inflight:{self.out};util:0.1".encode(), b""))
         elif verb == b"DROP" and (timer := open_here.pop(ref, None)):
             timer.cancel()
             self.out -= 1
@@ -65,7 +65,7 @@
         self.out -= 1
         if not writer.is_closing():
             fields = f"count=1,ticks={self.work_s * 1000:.0f},footprint=1".encode()
-            writer.write(encode(ref, b"served", fields, b"%b\t%b\tok\n" % (self.id.encode(), ref)))
+            writer.write(encode_array(ref, b"served", fields, b"%b\t%b\tok\n" % (self.id.encode(), ref)))
 
 
 async def _register(agent: str, id: str, service: str, address: tuple[str, int]) -> None:
--- a/cottonhold/emulator/fault_injection/engine.py
+++ b/cottonhold/emulator/fault_injection/engine.py
@@ -23,7 +23,7 @@
 
 import uvloop
 
-from cottonhold.backend.resp import RespError, encode
+from cottonhold.backend.resp import RespError, encode_array
 from cottonhold.emulator.fault_injection.parent_death_signal import WAITS, told
 from cottonhold.emulator.serving import engine_calls
 
@@ -126,7 +126,7 @@
         elif verb in (b"PING", b"LOAD"):
             self.note("probe", ref)
             if not self.tipped:
-                writer.write(encode(ref, b"green", self._gauges(), b""))
+                writer.write(encode_array(ref, b"green", self._gauges(), b""))
         elif verb in (b"DROP", b"CLOSE"):
             job = self.running.get((id(writer), ref))
             job = job or next((j for j in self.waiting if j.ref == ref and j.writer is writer), None)
@@ -143,10 +143,10 @@
             return
         if self.draw.random() < t.failing:
             self.note("crashed", ref)
-            writer.write(encode(ref, b"crashed", self._gauges(), b""))
+            writer.write(encode_array(ref, b"crashed", self._gauges(), b""))
         elif len(self.running) >= t.servers and len(self.waiting) >= t.line:
             self.note("overload", ref)
-            writer.write(encode(ref, b"overload", self._gauges(), b""))
+            writer.write(encode_array(ref, b"overload", self._gauges(), b""))
         else:
             table = SET.search(words[3])
             self.waiting.append(Job(ref, kind, writer, work, table[0] if table else b""))
@@ -191,7 +191,7 @@
         if not job.writer.is_closing():
             fields = b"count=1,ticks=%d,footprint=1,%b" % (round(job.work), self._gauges())
             job.writer.write(
-                encode(job.ref, b"served", fields, b"%b\t%b\tok\n" % (self.id.encode(), job.ref))
+                encode_array(job.ref, b"served", fields, b"%b\t%b\tok\n" % (self.id.encode(), job.ref))
             )
         self._run()
 
--- a/cottonhold/emulator/serving.py
+++ b/cottonhold/emulator/serving.py
@@ -68,7 +68,7 @@
     while data := await reader.read(READ_BYTES):
         for call in words.feed(data):
             yield call
-        while words.partial() and (more := words.feed(b"")):
+        while words.has_partial() and (more := words.feed(b"")):
             for call in more:
                 yield call
 
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -18,7 +18,7 @@
 from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, incarnation_of
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
-from cottonhold.node.dispatcher import Logs
+from cottonhold.node.dispatcher import OperatorLog
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Kind
@@ -30,7 +30,7 @@
     held: Held
     engines: EngineConnections
     counters: Counters
-    log: Logs
+    log: OperatorLog
 
     def listed(self) -> dict[str, Machine]:
         """All engines of the list."""
--- a/cottonhold/frontend/query_comment.py
+++ b/cottonhold/frontend/query_comment.py
@@ -1,27 +1,34 @@
-"""The comment before a statement, which holds the request's fields, and the tables that it reads."""
+"""Decodes the comment before a statement, which holds the request's fields, and finds its tables.
+
+The fields' names on the wire are mapped here to the code's terms.
+"""
 
 from __future__ import annotations
 
 import re
+from collections.abc import Sequence
 from dataclasses import dataclass
 
-HEAD = re.compile(rb"\s*/\*(.*?)\*/\s*", re.DOTALL)
-REF = re.compile(r"[0-9a-fA-F]{16}\Z")
-TOKEN_TEXT = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")  # an idempotency key: passed on to engines as it is
+COMMENT = re.compile(rb"\s*/\*(.*?)\*/\s*", re.DOTALL)
+REQUEST_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
+IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")  # passed on to engines as it is
+REQUIRED_FIELDS = ("service", "ref", "allow")
 NUMBER = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,20})?\Z")  # float() takes more, as nan or 1_0
-MOST_MS = 3.6e6  # an hour; no query here may take or wait for longer
-# Strings and comments are matched first, so that names inside them do not count; one without an end has all.
-# Danger: each opening mark without an end was looked for an end anew, and 60 KB of them took 7 s of the loop.
-TOKEN = re.compile(
+MAX_NUMBER = 3.6e6  # an hour; no query here may take or wait for longer
+# Strings and comments are matched first, so that names inside them do not count.
+# A string or comment without an end takes all that follows it, so that matching takes linear time.
+SQL_TOKEN = re.compile(
     r"""'(?:[^'\\]|\\(?:.|\Z)|'')*+(?:'|\Z)|"(?:[^"\\]|\\(?:.|\Z)|"")*+(?:"|\Z)"""
     r"""|/\*.*?(?:\*/|\Z)|\#[^\n]*|--(?=\s|\Z)[^\n]*"""
     r"""|(?P<name>`(?:[^`]|``)*+(?:`|\Z)|[A-Za-z_$\u0080-\uffff][\w$]*)|(?P<dot>\.)|(?P<comma>,)|(?P<other>\S)""",
     re.DOTALL,
 )
-GROUP = re.compile(r".*_(\d{1,9})\Z", re.DOTALL)
-PLAIN = re.compile(r"\b(?:FROM|INTO|UPDATE|JOIN)\s+[A-Za-z][\w$]*_(\d{1,9})\.\w", re.IGNORECASE | re.ASCII)
-QUOTED = re.compile(r"['\"`#]|--|/\*")
-SOURCES = {"FROM", "JOIN", "INTO", "UPDATE", "TABLE", "USING"}
+NUMBERED_SCHEMA = re.compile(r".*_(\d{1,9})\Z", re.DOTALL)
+PLAIN_TABLE = re.compile(
+    r"\b(?:FROM|INTO|UPDATE|JOIN)\s+[A-Za-z][\w$]*_(\d{1,9})\.\w", re.IGNORECASE | re.ASCII
+)
+QUOTE_OR_COMMENT = re.compile(r"['\"`#]|--|/\*")
+TABLE_KEYWORDS = {"FROM", "JOIN", "INTO", "UPDATE", "TABLE", "USING"}
 
 
 class FieldError(Exception):
@@ -42,52 +49,74 @@
     body: bytes
     table_group: int
     tenant: str | None = None  # by name; None where the client names none
-    idempotency_key: str | None = None  # the idempotency key, the same for all tries of one request
+    idempotency_key: str | None = None  # the same for all attempts of one request
 
 
 def parse(text: bytes) -> Statement:
-    """Read the comment's fields and find the group of tables."""
-    head = HEAD.match(text)
-    if head is None:
+    """Decode a statement. Raises FieldError."""
+    comment = COMMENT.match(text)
+    if comment is None:
         raise FieldError("no comment with fields before the statement: field 'service' is missing")
-    fields: dict[str, str] = {}
-    for part in head[1].decode("utf-8", "replace").split(","):
-        name, mark, value = part.strip().partition("=")
-        if mark and fields.setdefault(name, value) != value:
-            raise FieldError(f"field '{name[:40]}' is there twice")
-    for name in ("service", "ref", "allow"):
-        if name not in fields:
-            raise FieldError(f"field '{name}' is missing")
-    if not REF.match(fields["ref"]):
-        raise FieldError("field 'ref' is not 16 hex digits")
-    allow = number(fields, "allow")
-    if allow <= 0:
+    fields = decode_fields(comment[1])
+    check_fields(fields)
+    timeout_ms = decode_number(fields, "allow")
+    if timeout_ms <= 0:
         raise FieldError("field 'allow' leaves no time")
-    if fields.get("dup", "0") not in ("0", "1"):
-        raise FieldError("field 'dup' is neither 0 nor 1")
-    token = fields.get("replay")
-    if token is not None and not TOKEN_TEXT.match(token):
-        raise FieldError("field 'replay' can't be passed on as a key")
-    body = text[head.end() :]
+    body = text[comment.end() :]
     return Statement(
         class_name=fields["service"],
         request_id=fields["ref"],
-        timeout_ms=allow,
-        is_retry=fields.get("dup") == "1",
-        estimated_work_ms=number(fields, "effort"),
-        estimated_memory_mb=number(fields, "room"),
+        timeout_ms=timeout_ms,
+        is_retry=decode_retry(fields),
+        idempotency_key=decode_idempotency_key(fields),
+        estimated_work_ms=decode_number(fields, "effort"),
+        estimated_memory_mb=decode_number(fields, "room"),
         ordering_key=fields.get("lookup") or None,
         body=body,
         table_group=table_group(body.decode("utf-8", "replace")),
         tenant=fields.get("project"),
-        idempotency_key=token,
     )
 
 
-def number(fields: dict[str, str], name: str) -> float:
+def decode_fields(comment: bytes) -> dict[str, str]:
+    """The comment's fields by name. Raises FieldError where one is there twice with two values."""
+    fields: dict[str, str] = {}
+    for part in comment.decode("utf-8", "replace").split(","):
+        name, separator, value = part.strip().partition("=")
+        if separator and fields.setdefault(name, value) != value:
+            raise FieldError(f"field '{name[:40]}' is there twice")
+    return fields
+
+
+def check_fields(fields: dict[str, str]) -> None:
+    """Raise FieldError where a required field is missing or the request's id has another form."""
+    for name in REQUIRED_FIELDS:
+        if name not in fields:
+            raise FieldError(f"field '{name}' is missing")
+    if not REQUEST_ID.match(fields["ref"]):
+        raise FieldError("field 'ref' is not 16 hex digits")
+
+
+def decode_retry(fields: dict[str, str]) -> bool:
+    """Whether the client has sent the request before. Raises FieldError."""
+    text = fields.get("dup", "0")
+    if text not in ("0", "1"):
+        raise FieldError("field 'dup' is neither 0 nor 1")
+    return text == "1"
+
+
+def decode_idempotency_key(fields: dict[str, str]) -> str | None:
+    """The client's idempotency key, if it gives one. Raises FieldError."""
+    key = fields.get("replay")
+    if key is not None and not IDEMPOTENCY_KEY.match(key):
+        raise FieldError("field 'replay' can't be passed on as a key")
+    return key
+
+
+def decode_number(fields: dict[str, str], name: str) -> float:
     """A field that holds a number that is not negative; 0 where it is absent."""
     text = fields.get(name, "0")
-    if not NUMBER.match(text) or (value := float(text)) > MOST_MS:
+    if not NUMBER.match(text) or (value := float(text)) > MAX_NUMBER:
         raise FieldError(f"field '{name}' is not a number, or out of range")
     return value
 
@@ -97,24 +126,38 @@
 
     A name behind FROM, INTO or the like is a table for certain; `a_1.x` elsewhere may be an alias's column.
     """
-    plain = PLAIN.search(sql)
-    if plain and not QUOTED.search(sql, 0, plain.start()):  # most statements: no need to look at each word
+    plain = PLAIN_TABLE.search(sql)
+    if plain and not QUOTE_OR_COMMENT.search(sql, 0, plain.start()):  # true for most statements, and quick
         return int(plain[1])
-    tokens = [(m.lastgroup, m[0]) for m in TOKEN.finditer(sql) if m.lastgroup]
-    fallback, source = -1, False
-    for i, (kind, text) in enumerate(tokens):
+    tokens = [(m.lastgroup, m[0]) for m in SQL_TOKEN.finditer(sql) if m.lastgroup]
+    fallback, is_table = -1, False
+    for position, (kind, text) in enumerate(tokens):
         if kind != "name":
-            source = source and kind != "other"
+            is_table = is_table and kind != "other"
             continue
-        if text.upper() in SOURCES:
-            source = True
+        if text.upper() in TABLE_KEYWORDS:
+            is_table = True
             continue
-        if i + 1 >= len(tokens) or tokens[i + 1][0] != "dot" or i and tokens[i - 1][0] == "dot":
+        group = schema_group(text) if is_qualifier(tokens, position) else None
+        if group is None:
             continue
-        name = text.strip("`")
-        if name.lower() == "staging" or not (found := GROUP.match(name)):
-            continue
-        if source:
-            return int(found[1])
-        fallback = int(found[1]) if fallback < 0 else fallback
+        if is_table:
+            return group
+        fallback = group if fallback < 0 else fallback
     return fallback
+
+
+def is_qualifier(tokens: Sequence[tuple[str, str]], position: int) -> bool:
+    """Whether the name at a position is the first part of a qualified name."""
+    if position + 1 >= len(tokens) or tokens[position + 1][0] != "dot":
+        return False
+    return position == 0 or tokens[position - 1][0] != "dot"
+
+
+def schema_group(text: str) -> int | None:
+    """The number in a schema's name; None where it has none, or is the staging schema."""
+    name = text.strip("`")
+    found = NUMBERED_SCHEMA.match(name)
+    if name.lower() == "staging" or found is None:
+        return None
+    return int(found[1])
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -40,7 +40,7 @@
 EVENT_STREAM_ONLY = ((SOURCE, Guard(trusted=True)),)
 
 
-class Logs(Protocol):
+class OperatorLog(Protocol):
     """Where lines for the operators go."""
 
     def say(self, text: str) -> None:
@@ -58,7 +58,7 @@
         config: Config,
         counters: Counters,
         loop: asyncio.AbstractEventLoop,
-        log: Logs,
+        log: OperatorLog,
         sources: Sequence[tuple[str, Guard]] = EVENT_STREAM_ONLY,
         make_socket: MakeSocket = socket.socket,
     ) -> None:
@@ -153,19 +153,19 @@
     def update_siblings(self) -> None:
         """Publish what this process holds to its siblings, and keep within what they leave."""
         others = self.sibling_processes.others()
-        held = ProcessRecord(
+        own_record = ProcessRecord(
             self.sibling_processes.record.start_number,
             len(self.sessions.sessions),
             self.engines.open_connections,
             self.is_serving,
         )
-        self.sibling_processes.publish(held)
-        left = self.descriptor_quotas.remaining_beside(others)
-        self.sessions.max_sessions, self.engines.max_connections = left.clients, left.engines
+        self.sibling_processes.publish(own_record)
+        quotas = self.descriptor_quotas.remaining_beside(others)
+        self.sessions.max_sessions, self.engines.max_connections = quotas.clients, quotas.engines
         if len(others) != self.sibling_count:
             self.sibling_count = len(others)
             self.apply_settings()
-            self.log.note("beside", others=self.sibling_count, clients=left.clients, engines=left.engines)
+            self.log.note("beside", others=self.sibling_count, clients=quotas.clients, engines=quotas.engines)
         self.event_loop.clock.call_in(SIBLINGS_INTERVAL_MS, self.update_siblings)
 
     def apply_settings(self) -> None:
--- a/tests/backend/test_attempt_begin.py
+++ b/tests/backend/test_attempt_begin.py
@@ -8,6 +8,7 @@
 import pytest
 
 from cottonhold.backend.attempt import Attempt
+from cottonhold.backend.connection import Connection
 from cottonhold.backend.connection_pool import MIN_ATTEMPT_MS
 from cottonhold.scheduler.events import EngineState, Outcome
 from tests.support.scenario import World
@@ -58,7 +59,7 @@
     world, ends = World(engines="a"), list[Outcome]()
     attempt = waiting(world)
     connection = attempt.connection
-    assert connection is not None
+    assert isinstance(connection, Connection)
     world.gateway.on_attempt_ended = lambda attempt, event: ends.append(event.outcome)  # type: ignore[method-assign]
     connection.is_up = True
     change(world, attempt)
@@ -69,7 +70,7 @@
 def test_what_may_begin_is_written_once() -> None:
     world = World(engines="a")
     attempt = waiting(world)
-    assert attempt.connection is not None
+    assert isinstance(attempt.connection, Connection)
     attempt.connection.is_up = True
     assert attempt.connection.take_output().startswith(b"*4\r\n$3\r\nGET\r\n") and attempt.is_written
     assert attempt.connection.take_output() == b""
--- a/tests/backend/test_engine_restarts.py
+++ b/tests/backend/test_engine_restarts.py
@@ -50,12 +50,12 @@
     world.wait(1100.0)
     world.run("e1 will up")
     world.tell(world.clock.at - 200.0)
-    assert world.lines[0].connection.is_closed
+    assert world.engine_streams[0].connection.is_closed
     world.run("""
         c2 query lookup r2 allow=9000
         e1 expect nothing
     """)
-    again = [words for line in world.lines[1:] for words in line.heard]
+    again = [words for line in world.engine_streams[1:] for words in line.received]
     assert {words[1] for words in again if words[0] == b"GET"} >= {b"%016x" % 2}
 
 
@@ -85,7 +85,7 @@
         e1.2 send r2 served count=1,ticks=9 d|e|f/
         c1 expect rows d|e|f
     """)
-    assert len(world.lines) == 2
+    assert len(world.engine_streams) == 2
 
 
 def test_one_that_spoke_just_before_gets_nothing_new_until_it_speaks_again() -> None:
@@ -104,7 +104,7 @@
         e1 send r1 served count=1,ticks=9 a|b|c/
         c1 expect rows a|b|c
     """)
-    assert not world.lines[0].connection.is_closed
+    assert not world.engine_streams[0].connection.is_closed
 
 
 @pytest.mark.parametrize("out", [False, True], ids=["at rest", "with work out"])
@@ -117,6 +117,6 @@
     moved = Change((Engine("a"),), {"a": Address("elsewhere", 1)}, whole=False)
     world.gateway.on_engine_list(moved)
     world.run("c2 query lookup r2 allow=9000\ne2 expect GET r2 *\ne1 expect nothing")
-    assert world.lines[0].connection.is_closed is not out
+    assert world.engine_streams[0].connection.is_closed is not out
     if out:
         world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -48,7 +48,7 @@
 def greeted() -> tuple[World, Client]:
     """A client that has its greeting."""
     world = World()
-    client = world.clients["c1"] = Client(world.front.open())
+    client = world.clients["c1"] = Client(world.sessions.open())
     return world, client
 
 
@@ -59,7 +59,7 @@
     client.session.receive(packet(1, LOGIN) + packet(0, b"\x03" + text))
     world.wait(0)
     world.run("e1 expect GET 00000000000000aa *")
-    assert client.heard == ["greeting", "ok"]
+    assert client.received == ["greeting", "ok"]
 
 
 def login_with_a_password() -> None:
@@ -67,7 +67,7 @@
     client.take()
     client.send(packet(1, LOGIN.replace(b"app\0\0", b"app\0\x02xy")))
     client.take()
-    assert client.heard[-1].startswith("error 1045 ") and client.session.is_closing
+    assert client.received[-1].startswith("error 1045 ") and client.session.is_closing
 
 
 def biggest_result() -> None:
@@ -75,7 +75,7 @@
     world = World().run(OUT + f"e1 send r1 served count=8 {page}")
     for number in range(1, 8):
         world.run(f"e1 send r1 rows pos={number} {page}")
-    (heard,) = world.clients["c1"].heard
+    (heard,) = world.clients["c1"].received
     assert heard == "rows " + "/".join([page[: page.index("/")]] * 193 * 8)
 
 
@@ -152,7 +152,7 @@
     world.wait(300)
     world.unmet.append("a")
     world.change(["fresh"], "live")
-    assert world.lines[0].connection.is_closed
+    assert world.engine_streams[0].connection.is_closed
     world.unmet.append("fresh")
     world.run("c1 query lookup r2\ne2 expect GET r2 *")
 
@@ -186,7 +186,7 @@
 
 def sent_without_token() -> None:
     world = World(engines="a").run("c1 query lookup r1")
-    (words,) = world.lines[0].heard
+    (words,) = world.engine_streams[0].received
     assert b"token" not in words[2]
 
 
--- a/tests/conformance/sockets.py
+++ b/tests/conformance/sockets.py
@@ -7,14 +7,14 @@
 
 from tests.conformance.rows import Direct, Row
 from tests.support.faulty_sockets import ACCEPTED, MADE, OK, Short
-from tests.support.loopback import GREETED, REF, Rig, play
+from tests.support.loopback import GREETED, REF, Loopback, play
 from tests.support.loopback import ROWS as RESULT
 
 S, E = "The rules on sockets, {}".format, "Dispatchers to engines, {}".format
 
 
 def accepted() -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         rig.faults.plan("accept", errno.ECONNABORTED, errno.EMFILE)
         rig.faults.plan("setsockopt", errno.EINVAL, on=ACCEPTED)
         client = rig.client()
@@ -27,14 +27,14 @@
 
 
 def queued() -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         rig.accepting.cancel()
         await asyncio.gather(rig.accepting, return_exceptions=True)
         clients = [rig.client() for _ in range(2)]
         for number, client in enumerate(clients):
             client.ask(number)
         rig.faults.plan("accept", errno.ECONNABORTED, OK, errno.ENFILE)
-        await rig.driver.listener.accept_queued(rig.listener, rig.world.front)
+        await rig.event_loop.listener.accept_queued(rig.listener, rig.world.sessions)
         rig.listener.close()
         for number, client in enumerate(clients):
             await rig.serve(number)
@@ -45,7 +45,7 @@
 
 
 def whole() -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         client = rig.client()
         await rig.until(lambda: client.answers() == GREETED)
         rig.faults.plan("send", Short(7), errno.ENOBUFS, Short(1), errno.EINTR, errno.ENOMEM, on=ACCEPTED)
@@ -58,7 +58,7 @@
 
 
 def unreached() -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         rig.faults.plan("connect", errno.EHOSTUNREACH, on=MADE)
         client = rig.client()
         client.ask(1, "load")
@@ -70,7 +70,7 @@
 
 
 def broken() -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         client = rig.client()
         client.ask(1, "load")
         await rig.until(lambda: rig.asked() == [REF % 1])
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -36,7 +36,7 @@
     UpdateAttempt,
 )
 from tests.conformance.golden import RECORD
-from tests.support.scenario import LOGIN, FakeClock, FakeLine, World, packet
+from tests.support.scenario import LOGIN, FakeClock, FakeStream, World, packet
 from tests.test_simulator_adapter import PARAMS, REQUEST
 
 SCENE = """
@@ -74,7 +74,7 @@
         self.sent = bytearray()
         super().__init__(engines="a")
 
-    def connect(self, address: Address, connection: Connection) -> FakeLine:
+    def connect(self, address: Address, connection: Connection) -> FakeStream:
         line = super().connect(address, connection)
         line.reader = RecordingReader(self.sent)
         return line
@@ -90,7 +90,7 @@
 def mysql_session() -> list[str]:
     """Greeting, OK, error and a result set as a client is sent them."""
     world = World(engines="a")
-    session = world.front.open()
+    session = world.sessions.open()
     written = [session.take_output()]
     wide = "x" * 300
     for sequence, payload in (
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -9,7 +9,14 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cottonhold.backend.resp import RespError, RespReader, encode, read_count, read_fields, read_rows
+from cottonhold.backend.resp import (
+    RespError,
+    RespReader,
+    decode_count,
+    decode_fields,
+    decode_rows,
+    encode_array,
+)
 from cottonhold.discovery.bus import Bus
 from cottonhold.discovery.model import Address, Names
 from cottonhold.frontend.mysql_session import MAX_PACKET_BYTES
@@ -48,7 +55,7 @@
 @example([packet(0, b"\x03KILL " + b"1" * 5000)], True, 30)
 def test_a_clients_bytes(parts: list[bytes], logged_in: bool, pieces: int) -> None:
     world = World().run("c1 query lookup r1\nany expect GET r1 *")
-    session = world.front.open()
+    session = world.sessions.open()
     data = b"".join(([packet(1, LOGIN)] if logged_in else []) + parts)
     for at in range(0, len(data), pieces):
         session.receive(data[at : at + pieces])
@@ -72,9 +79,9 @@
 
 @pytest.mark.parametrize("text", SLOW.values(), ids=SLOW)
 def test_no_statement_holds_up_the_others(text: bytes) -> None:
-    """Danger: one statement of 60 KB kept the loop, and with it all clients, for over 10 s."""
+    """One long statement must not hold the event loop, and with it all clients."""
     world = World().run("c1 query lookup r1\nany expect GET r1 *")
-    session, began = world.front.open(), time.process_time()
+    session, began = world.sessions.open(), time.process_time()
     session.receive(packet(1, LOGIN) + packet(0, b"\x03" + text))
     assert time.process_time() - began < MOST_SECONDS
 
@@ -102,7 +109,7 @@
     ),
 )
 ANSWER = st.builds(
-    lambda ref, word, fields, body: encode(ref, word, b",".join(fields), body),
+    lambda ref, word, fields, body: encode_array(ref, word, b",".join(fields), body),
     st.sampled_from([b"%016x" % 2, b"%016x" % 2, b"t1", b"x"]),
     st.sampled_from(
         [b"served", b"served", b"rows", b"crashed", b"overload", b"nobody", b"red", b"green", b"?"]
@@ -111,7 +118,9 @@
     st.one_of(st.just(b"a\tb\tc\n"), st.binary(max_size=20)),
 )
 ENGINE_BYTES = st.lists(
-    st.one_of(ANSWER, st.lists(WORDS, max_size=9).map(lambda words: encode(*words)), st.binary(max_size=30)),
+    st.one_of(
+        ANSWER, st.lists(WORDS, max_size=9).map(lambda words: encode_array(*words)), st.binary(max_size=30)
+    ),
     max_size=6,
 )
 
@@ -121,15 +130,15 @@
 def test_an_engines_bytes(parts: list[bytes], pieces: int) -> None:
     """The request there gets one final answer at most; the one at the other engine keeps its own."""
     world = World().run("c1 query lookup r1\ne1 expect GET r1 *\nc2 query lookup r2\ne2 expect GET r2 *")
-    connection, data = world.line("e2").connection, b"".join(parts)
+    connection, data = world.engine_stream("e2").connection, b"".join(parts)
     for at in range(0, len(data), pieces):
         connection.receive(data[at : at + pieces])
         world.wait(0)
     world.wait(50.0)
-    assert untroubled(world) and len(world.clients["c2"].heard) <= 1
+    assert untroubled(world) and len(world.clients["c2"].received) <= 1
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
     world.wait(6000.0)
-    assert untroubled(world) and len(world.clients["c2"].heard) == 1, world.log
+    assert untroubled(world) and len(world.clients["c2"].received) == 1, world.log
 
 
 @CASES
@@ -141,7 +150,7 @@
             reader.feed(part)
     except RespError:
         pass
-    for call in (read_rows, lambda data: read_count(read_fields(data), "count", 1, 9)):
+    for call in (decode_rows, lambda data: decode_count(decode_fields(data), "count", 1, 9)):
         try:
             call(text)
         except RespError:
@@ -196,7 +205,7 @@
     entries = [{"instanceId": "s-1", "lifecycle": "Odd"}] * 50
     answer = orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": entries}}]})
     for _ in range(50):
-        session = world.front.open()
+        session = world.sessions.open()
         session.receive(packet(1, LOGIN.replace(b"app", b"a\nb")))
         peers.decode(b"x", ("stranger", 1))
         world.engines.on_malformed_answer("engine a: nonsense")
--- a/tests/discovery/test_malformed_lists.py
+++ b/tests/discovery/test_malformed_lists.py
@@ -77,7 +77,7 @@
     world.wait(50.0)
     assert untroubled(world), world.log
     world.wait(6000.0)
-    assert untroubled(world) and len(world.clients["c2"].heard) == 1, world.log
+    assert untroubled(world) and len(world.clients["c2"].received) == 1, world.log
 
 
 def test_one_entry_that_can_not_be_read_costs_only_itself() -> None:
--- a/tests/frontend/test_client_departure.py
+++ b/tests/frontend/test_client_departure.py
@@ -56,7 +56,7 @@
     assert not scheduler.queries and not scheduler.turns.lines and not scheduler.homeless
     assert not [q for e in scheduler.engines.values() for q in (*e.out.values(), *e.plan)]
     assert scheduler.pool.threads == 0
-    assert not [a for line in world.lines for a in line.connection.attempts]
+    assert not [a for line in world.engine_streams for a in line.connection.attempts]
 
 
 # CLASS is the class of the request and LEAVES what its client does.
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -12,7 +12,7 @@
 
 from cottonhold.backend.connection import Connection
 from cottonhold.backend.connection_pool import EngineConnections
-from cottonhold.backend.resp import RespReader, encode
+from cottonhold.backend.resp import RespReader, encode_array
 from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, Change
 from cottonhold.frontend.client_sessions import ClientSessions
@@ -30,12 +30,12 @@
 
 
 class Rig:
-    """A dispatcher's machines on the driver: clients on loopback, and an engine that comes up when told."""
+    """A dispatcher's protocols on the event loop: clients on loopback, an engine that comes up when told."""
 
     def __init__(self) -> None:
         self.loop, counters = asyncio.get_running_loop(), Counters()
-        self.driver = EventLoop(self.loop, counters, print)
-        clock = self.driver.clock
+        self.event_loop = EventLoop(self.loop, counters, print)
+        clock = self.event_loop.clock
         self.engines = EngineConnections(
             ConnectionSettings(15000.0, 60_000.0, 32), clock, counters, print, 64
         )
@@ -51,7 +51,7 @@
 
     def connect(self, address: Address, connection: Connection) -> Stream:
         self.connecting.append(connection)
-        return Stream(self.driver.streams, connection, 4096)
+        return Stream(self.event_loop.streams, connection, 4096)
 
     def come_up(self) -> None:
         """The engine takes the connection that waits for it."""
@@ -68,7 +68,7 @@
         far = socket.create_connection(self.listener.getsockname())
         near, _ = self.listener.accept()
         near.setblocking(False)
-        self.driver.listener.admit(near, self.front.open())
+        self.event_loop.listener.admit(near, self.front.open())
         far.setblocking(False)
         data = packet(1, LOGIN)
         for query in queries:
@@ -97,9 +97,9 @@
                 connection.close()
         for far in self.clients:
             far.close()
-        for wire in list(self.driver.streams):
+        for wire in list(self.event_loop.streams):
             wire.abort()
-        await asyncio.gather(*self.driver.tasks, return_exceptions=True)
+        await asyncio.gather(*self.event_loop.tasks, return_exceptions=True)
         self.listener.close()
         if self.engine is not None:
             self.engine.close()
@@ -184,12 +184,12 @@
         rig.come_up()
         await rig.until(rig.heard)
         assert rig.engine is not None
-        rig.engine.send(encode(b"%016x" % 1, *SERVED))
+        rig.engine.send(encode_array(b"%016x" % 1, *SERVED))
         leaves(rig, client)
         await rig.until(lambda: not rig.gateway.requests)
         other = rig.client("load 2")
         await rig.until(rig.heard)
-        rig.engine.send(encode(b"%016x" % 2, *SERVED))
+        rig.engine.send(encode_array(b"%016x" % 2, *SERVED))
         data = b""
         while not (data.endswith(EOF) and b"\x01a\x01b\x01c" in data):
             data += await rig.loop.sock_recv(other, 4096)
--- a/tests/frontend/test_slow_readers.py
+++ b/tests/frontend/test_slow_readers.py
@@ -1,7 +1,7 @@
 """Clients that don't read, stop in mid-packet or send all at once cost little memory each.
 
 What is held for one is what it sent and is not answered yet, what waits to be written, and as much again that
-the driver took to write last.
+the stream took to write last.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 def test_one_that_never_reads(parts: list[bytes]) -> None:
     """It is served up to the bound, and from then on told to go or not read on."""
     world = World()
-    session, most = world.front.open(), 0
+    session, most = world.sessions.open(), 0
     session.receive(packet(1, LOGIN))
     taken = 0
     for number, part in enumerate(repeated(parts)):
@@ -70,9 +70,11 @@
     session.receive(b"".join(packet(0, b"\x03" + (text % n).encode()) for n in range(16, 32)))
     world.wait(0)
     served = 0
-    while asked := [(line, words[1]) for line in world.lines for words in line.heard if words[0] == b"GET"]:
+    while asked := [
+        (line, words[1]) for line in world.engine_streams for words in line.received if words[0] == b"GET"
+    ]:
         line, ref = asked[0]
-        line.heard.clear()
+        line.received.clear()
         world.run(f"{line.engine} send {ref.decode()} served count=8 {ROWS}")
         for page in range(1, 8):
             world.run(f"{line.engine} send {ref.decode()} rows pos={page} {ROWS}")
@@ -81,4 +83,4 @@
     assert served == 1 and len(session.commands) == 15 and not session.is_closing
     while session.take_output():  # once it reads, the next one is taken
         world.wait(0)
-    assert len([1 for line in world.lines for words in line.heard if words[0] == b"GET"]) == 1
+    assert len([1 for line in world.engine_streams for words in line.received if words[0] == b"GET"]) == 1
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -28,7 +28,7 @@
 )
 from cottonhold.observe.counters import Counters
 from cottonhold.transport.event_loop import EventLoop
-from tests.support.scenario import FakeLine, World
+from tests.support.scenario import FakeStream, World
 from tests.test_simulator_adapter import PARAMS
 
 DRAIN = {
@@ -162,7 +162,7 @@
 SOURCE = {"listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": {"offset": 0}, "settings": PARAMS}
 
 
-class Caller(FakeLine):
+class Caller(FakeStream):
     """An operator's end of a call."""
 
     def __init__(self, call: AdminConnection) -> None:
@@ -253,13 +253,13 @@
 
 @pytest.mark.parametrize("held", ["unread", "unwritten"])
 def test_a_call_that_has_come_is_answered_where_another_needs_its_place(held: str) -> None:
-    """Danger: its bytes lay unread, or its answer waited for the next turn, and it was cut off."""
+    """Whether its bytes lie unread or its answer waits for the next turn, it must not be cut off."""
 
     async def scenario() -> bytes:
-        world, driver = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
+        world, event_loop = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
         shared = calls(world, most=1)
-        listener = driver.listener.listen(Address("127.0.0.1", 0))
-        accepting = driver.spawn(driver.listener.serve_admin_api(listener, shared))
+        listener = event_loop.listener.listen(Address("127.0.0.1", 0))
+        accepting = event_loop.spawn(event_loop.listener.serve_admin_api(listener, shared))
         caller = socket.create_connection(listener.getsockname())
         while len(shared.connections) < 1:
             await asyncio.sleep(0)
@@ -270,11 +270,11 @@
             assert first.stream.read_available()
         shared.open().on_closed()
         caller.setblocking(False)
-        got = await driver.loop.sock_recv(caller, 4096)
+        got = await event_loop.loop.sock_recv(caller, 4096)
         accepting.cancel()
         for sock in [listener, caller]:
             sock.close()
-        await asyncio.gather(*driver.tasks, return_exceptions=True)
+        await asyncio.gather(*event_loop.tasks, return_exceptions=True)
         return got
 
     assert asyncio.run(scenario()).startswith(b"HTTP/1.1 200")
@@ -289,18 +289,18 @@
 
 
 def test_a_listener_that_closes_is_emptied_first() -> None:
-    """Danger: what waits in the queue of a listener that closes is reset, with its request written."""
+    """What waits in the queue of a listener that closes is reset, with its request written."""
 
     async def scenario() -> int:
-        world, driver = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
+        world, event_loop = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             clients = [socket.create_connection(listener.getsockname()) for _ in range(5)]
-            await driver.listener.accept_queued(listener, world.front)
-        taken = len(world.front.sessions)
+            await event_loop.listener.accept_queued(listener, world.sessions)
+        taken = len(world.sessions.sessions)
         for client in clients:
             client.close()
-        await asyncio.gather(*driver.tasks, return_exceptions=True)
+        await asyncio.gather(*event_loop.tasks, return_exceptions=True)
         return taken
 
     assert asyncio.run(scenario()) == 5
--- a/tests/node/test_engine_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -25,9 +25,9 @@
 def got(world: World) -> dict[str, list[int]]:
     """The queries that each engine was sent, by its name."""
     heard: dict[str, list[int]] = {name: [] for name in world.names}
-    for line in world.lines:
+    for line in world.engine_streams:
         name = world.names[int(line.engine[1:]) - 1]
-        heard[name] += [int(words[1], 16) for words in line.heard if words[0] == b"GET"]
+        heard[name] += [int(words[1], 16) for words in line.received if words[0] == b"GET"]
     return heard
 
 
@@ -88,9 +88,9 @@
     for engines in changes:
         world.gateway.on_engine_list(Change(engines, at, whole=False))
     world.run(f"c2 query lookup r2\ne1 send r1 {SERVED}")
-    lines = [line for line in world.lines if line.connection.engine == "fresh"]
-    assert len(lines) == 1 and lines[0] is not world.lines[0]
-    assert [int(words[1], 16) for words in lines[0].heard] == [2]
+    lines = [line for line in world.engine_streams if line.connection.engine == "fresh"]
+    assert len(lines) == 1 and lines[0] is not world.engine_streams[0]
+    assert [int(words[1], 16) for words in lines[0].received] == [2]
 
 
 @pytest.mark.parametrize("started", [0.0, 1200.0])
@@ -99,7 +99,7 @@
     world.run(f"c2 query lookup r2\ntime wait 300\ne1 expect nothing\ne1 send r1 {SERVED}")
     world.gateway.on_engine_list(Change((Engine("a", started_at=started),), {}, whole=False))
     world.wait(3000)
-    assert any(words[1] == b"%016x" % 2 for line in world.lines for words in line.heard)
+    assert any(words[1] == b"%016x" % 2 for line in world.engine_streams for words in line.received)
 
 
 IN, OUT, END = Verdict.IN, Verdict.DRAINED, Verdict.ENDED
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -277,7 +277,7 @@
 )
 def test_a_spoilt_answer_is_seen_before_the_first_row_and_becomes_another_attempt(answer: str) -> None:
     world = World().run(f"c1 query lookup r1\ne1 expect GET *\ne1 send r1 {answer}\nc1 expect nothing")
-    assert world.lines[0].connection.is_closed
+    assert world.engine_streams[0].connection.is_closed
     world.run("e2 expect GET r1 *\ne2 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
 
 
@@ -289,14 +289,14 @@
     world.engines.check_health("a")
     world.wait(240)
     world.run("e1 will up\ntime wait 20")
-    assert told == [Outcome.OK] and len(world.lines) == 2
+    assert told == [Outcome.OK] and len(world.engine_streams) == 2
     world.run("e1 will mute\ntime wait 500")
-    assert world.lines[0].connection.is_closed and not world.lines[1].connection.is_closed
+    assert world.engine_streams[0].connection.is_closed and not world.engine_streams[1].connection.is_closed
 
 
 def test_ids_given_up_are_remembered_for_a_while_only() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
-    connection = world.lines[0].connection
+    connection = world.engine_streams[0].connection
     connection.abandoned_ids = dict.fromkeys(b"%016x" % n for n in range(1000))
     world.run("e1 send r7 served count=1 a|b|c/")
     assert b"%016x" % 7 in connection.abandoned_ids  # another copy of its answer may follow
@@ -311,7 +311,7 @@
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows *\ntime wait 300")
     assert (
         len(world.engines.endpoints) == 2
-        and world.lines[0].connection.is_closed
+        and world.engine_streams[0].connection.is_closed
         and world.engines.open_connections == 0
     )
 
@@ -347,14 +347,14 @@
 @pytest.mark.parametrize("size", [1, 3, 1000])
 def test_login_and_first_query_may_come_before_the_greeting_is_read(size: int) -> None:
     world = World()
-    client = world.clients["c1"] = Client(world.front.open())
+    client = world.clients["c1"] = Client(world.sessions.open())
     data = packet(1, LOGIN) + QUERY
     client.starts.extend([2, 1])
     for at in range(0, len(data), size):
         client.session.receive(data[at : at + size])
     world.wait(0)
     world.run("e1 expect GET *")
-    assert client.heard == ["greeting", "ok"]
+    assert client.received == ["greeting", "ok"]
 
 
 @pytest.mark.parametrize(
@@ -370,11 +370,11 @@
 )
 def test_a_bad_login_is_told_why_and_closed(data: bytes, error: int) -> None:
     world = World()
-    client = world.clients["c1"] = Client(world.front.open())
+    client = world.clients["c1"] = Client(world.sessions.open())
     client.take()
     client.send(data)
     client.take()
-    assert client.heard[-1].startswith(f"error {error} ") and client.session.is_closing
+    assert client.received[-1].startswith(f"error {error} ") and client.session.is_closing
 
 
 HELLO = packet(1, LOGIN)
@@ -383,7 +383,7 @@
 @pytest.mark.parametrize("data", [b"", HELLO[:20], HELLO, HELLO + QUERY[:30], HELLO + QUERY[:3]])
 def test_a_client_that_sends_nothing_whole_is_told_and_closed_within_3_s(data: bytes) -> None:
     world = World()
-    session = world.front.open()
+    session = world.sessions.open()
     world.wait(500)
     session.receive(data)
     world.wait(2400)
@@ -399,7 +399,7 @@
 
 @pytest.mark.parametrize(("price", "least", "most"), [(0.0, 8, 12), (0.06, 1, 1)])
 def test_signs_of_life_keep_within_what_they_may_cost(price: float, least: int, most: int) -> None:
-    """Found on the trial: 0.3 probes a request, nearly all of them signs of life."""
+    """Without a budget most connections of a busy fleet would get liveness checks again and again."""
     world = World()
     world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=price)
     world.run("c1 query load r1 allow=20000\ne1 expect GET *\ntime wait 15000\nc1 expect nothing")
@@ -427,31 +427,31 @@
         c4 send 050000
         c5 send 010000000e
     """)
-    silent = [Client(world.front.open()) for _ in range(3)]
+    silent = [Client(world.sessions.open()) for _ in range(3)]
     for client in silent:
         client.take()  # the greeting
     world.wait(60)
     gone = []
     for _ in range(7):
-        world.front.max_sessions = len(world.front.sessions)
-        world.front.has_capacity()
+        world.sessions.max_sessions = len(world.sessions.sessions)
+        world.sessions.has_capacity()
         gone += [n for n in world.clients if world.clients[n].session.is_closed and n not in gone]
         gone += ["silent"] * (all(c.session.is_closed for c in silent) and "silent" not in gone)
     assert gone == ["silent", "c2", "c5", "c3"]  # c4 may still be writing, and c1 is owed an answer
-    assert world.front.evicted_count == 0
+    assert world.sessions.evicted_count == 0
 
 
 def test_results_longer_than_255_packets_wrap_their_numbers() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     world.run("e1 send r1 served count=1 " + "a|b|c/" * 300)
-    assert world.clients["c1"].heard == ["rows " + "/".join(["a|b|c"] * 300)]
+    assert world.clients["c1"].received == ["rows " + "/".join(["a|b|c"] * 300)]
 
 
 def test_long_rows_and_empty_cells_are_encoded_as_well() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     wide = "x" * 120
     world.run(f"e1 send r1 served count=1 ||/{wide}|{wide}|y/{'z' * 249}||/a|b|c/")
-    assert world.clients["c1"].heard == [f"rows ||/{wide}|{wide}|y/{'z' * 249}||/a|b|c"]
+    assert world.clients["c1"].received == [f"rows ||/{wide}|{wide}|y/{'z' * 249}||/a|b|c"]
 
 
 def test_a_fault_in_a_decision_fails_its_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -477,7 +477,7 @@
     world.clients["c1"].starts.append(1)
     session.take_output()
     world.wait(0)
-    assert world.clients["c1"].heard == ["ok"]
+    assert world.clients["c1"].received == ["ok"]
 
 
 def test_what_waits_on_one_connection_is_bounded_in_bytes() -> None:
@@ -498,7 +498,7 @@
 
 
 def test_leaving_ends_every_request_before_the_kill_and_speeds_what_is_out() -> None:
-    """Found on the trial's day of restarts: SIGKILL found reports and loads that were held or begun late."""
+    """No request may still be queued, or begun late, when SIGKILL comes."""
     key = "lookup=7f3a9c21e0b4d655 allow=20000"
     world = World(engines="a").run(
         f"c1 query lookup r1 allow=20000\nc2 query load r2 {key}\nc3 query load r3 {key}"
@@ -513,7 +513,7 @@
 
 @pytest.mark.parametrize("idle_ms", [400.0, 1500.0, 2000.0, 15000.0])
 def test_a_connection_is_used_again_unless_its_engine_may_be_closing_it(idle_ms: float) -> None:
-    """Danger: with a fixed margin of 2 s, and engines that close after less, each request had a new one."""
+    """Engines may close idle connections after less than the margin's 2 s."""
     world = World(engines="a")
     world.engines.settings = dataclasses.replace(world.engines.settings, idle_timeout_ms=idle_ms)
     for ref in range(1, 4):
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -7,6 +7,7 @@
 import pytest
 
 from cottonhold.backend.attempt import Attempt
+from cottonhold.backend.connection import Connection
 from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.load_guard import LoadOutcome, LoadOutcomeCallback
 from cottonhold.scheduler.events import Outcome
@@ -189,13 +190,13 @@
 
 @pytest.mark.parametrize("gone", ["given up", "closed", "cut by the other side"])
 def test_what_was_told_as_never_sent_is_never_written(gone: str) -> None:
-    """It waits for the driver's write as its connection ends."""
+    """It waits for the stream's write as its connection ends."""
     world, ends = World(engines="a"), list[Outcome]()
     world.gateway.on_attempt_ended = lambda attempt, event: ends.append(event.outcome)  # type: ignore[method-assign]
     attempt = Attempt("r1", 0, "a", "load", b"insert", 1, world.clock.now(), world.clock.now() + 5000.0)
     assert world.engines.send(attempt)
     connection = attempt.connection
-    assert connection is not None
+    assert isinstance(connection, Connection)
     connection.on_connected()
     {"given up": connection.abandon, "closed": connection.close}.get(gone, connection.on_closed)()
     assert ends == [Outcome.CONNECT_FAILED]
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -25,11 +25,11 @@
     """On one engine alone, so that the next attempt goes there too."""
     world = Turns(SITES[site], engines="a")
     world.run(f"c1 query {name} r1 allow=20000\ne1 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500")
-    second = next(line for line in world.lines if line.heard)
-    second.heard.clear()
+    second = next(line for line in world.engine_streams if line.received)
+    second.received.clear()
     for _ in range(copies):
         world.run(f"e1 send r1 {again}\nc1 expect nothing\ntime wait 1500\nany nothing there")
-    number = world.lines.index(second) + 1
+    number = world.engine_streams.index(second) + 1
     world.run(f"e1.{number} send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
     nothing_left(world)
 
@@ -57,7 +57,7 @@
     world = keyed(group).run(
         "c1 query lookup r1\ne1 expect GET r1 *\ntime wait 900\ne2 will vanish\ne1 close"
     )
-    assert len(world.lines) == 2
+    assert len(world.engine_streams) == 2
     world.run(f"time wait {comes_up - 900}\ne2 will up\ntime wait 1")
     if goes_out:
         world.run("e2 expect GET r1 *\nc1 expect nothing")
@@ -80,9 +80,9 @@
     world.run("c1 query lookup r1\ne1 expect GET r1 *\ne2 will vanish\ne1 send r1 overload -")
     world.run(f"time wait {connect}\ne2 will up\ntime wait 0\ne2 expect GET r1 *")
     world.run(f"time wait {gap - connect - 10}\nc2 query lookup r2")
-    second = next(line.engine for line in world.lines if line.heard)
+    second = next(line.engine for line in world.engine_streams if line.received)
     world.run(f"{second} expect GET r2 *\ntime wait 10\n{second} send r2 overload -")
-    if [line for line in world.lines if line.heard]:
+    if [line for line in world.engine_streams if line.received]:
         assert gap - connect >= SPAN_MS
     else:
         assert gap < SPAN_MS + SEND_LATE_MS
@@ -127,8 +127,8 @@
     world = Turns(replace(site, features=replace(site.features, max_attempts=most)), engines="a b c d")
     world.run(f"c1 query {name} r1 allow=20000")
     for _ in range(most):
-        (line,) = [line for line in world.lines if line.heard]
-        assert line.heard.pop()[0] == b"GET" and not line.heard
+        (line,) = [line for line in world.engine_streams if line.received]
+        assert line.received.pop()[0] == b"GET" and not line.received
         world.run(f"c1 expect nothing\n{line.engine} send r1 overload -")
     world.run("c1 expect error 1226 *\ntime wait 1000\nany nothing there")
     nothing_left(world)
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -74,7 +74,7 @@
         c2 expect nothing
         time wait 150
     """)
-    heard = sorted(words[1] for line in world.lines for words in line.heard)
+    heard = sorted(words[1] for line in world.engine_streams for words in line.received)
     assert heard == [b"%016x" % 1, b"%016x" % 2]
     world.settled()
 
@@ -110,7 +110,7 @@
         turn ends now
         c9 expect error 1105 *
     """)
-    second = next(line.engine for line in world.lines if line.heard)
+    second = next(line.engine for line in world.engine_streams if line.received)
     world.run(f"{second} expect GET r2 *\n{second} send r2 served count=1 a|b|c/\nc2 expect rows a|b|c")
     world.settled()
 
@@ -150,7 +150,7 @@
     monkeypatch.setattr(world.gateway, name, broken)
     world.run(f"turn begins now\nc9 query lookup r9 allow={allow}\nc1 query lookup r1\nturn ends now")
     world.run("c9 expect error 1105 *\nc1 expect nothing")
-    assert [words[1] for line in world.lines for words in line.heard] == [b"%016x" % 1]
+    assert [words[1] for line in world.engine_streams for words in line.received] == [b"%016x" % 1]
     world.settled()
 
 
@@ -214,7 +214,7 @@
     look_at = EngineConnections._needs_liveness_check
 
     def broken(engines: EngineConnections, place: EngineEndpoint, connection: Connection, now: float) -> bool:
-        if connection is world.lines[0].connection:
+        if connection is world.engine_streams[0].connection:
             raise LookupError("planted")
         return look_at(engines, place, connection, now)
 
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -148,7 +148,7 @@
 
 
 def test_an_answer_for_a_class_that_is_gone_is_taken_in() -> None:
-    """Danger: where nothing was learned yet of any class in force, the whole step failed on it."""
+    """Also where nothing was learned yet of any class in force."""
     setup = settings(classes=(LOOKUP, LOAD))
     s = Scheduler(setup, 1)
     s.step(0.0, [engines("e1")])
@@ -176,7 +176,7 @@
 
 
 def test_a_process_beside_halves_the_part_of_a_cold_engine() -> None:
-    """Danger: two processes stood for one gateway, and each sent a cold engine all that both may."""
+    """Two processes stand for one gateway, and share what it may send to a cold engine."""
     s = Scheduler(settings(), 1)
     s.step(0.0, [engines("e1")])
     alone = slow_start.own_part(s, s.engines["e1"])
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -66,7 +66,7 @@
         w.wait(25.0)
     w.run("c91 query lookup r91 allow=20000")  # may not be taken any more
     w.wait(began + killed_in(deadline) - 100.0 - w.clock.now())
-    assert [len(w.clients[name].heard) for name in clients] == [1] * len(clients)
+    assert [len(w.clients[name].received) for name in clients] == [1] * len(clients)
     assert all(client.session.is_closing for client in w.clients.values()) and w.gateway.open_count == 0
 
 
@@ -80,7 +80,7 @@
         w.bytes("c1", packet(0, b"\x03" + text.encode()))
     w.run("ops terminate")
     w.wait(killed_in(deadline) - 150.0)
-    heard = w.clients["c1"].heard
+    heard = w.clients["c1"].received
     assert len(heard) == 5 and all(answer.startswith(("error 1226", "error 1105")) for answer in heard)
     assert w.clients["c1"].session.is_closing
 
@@ -112,7 +112,7 @@
 
 
 def test_a_second_order_or_other_settings_change_nothing() -> None:
-    """Danger: a second SIGTERM, or a SIGHUP between two, must not put the end off beyond SIGKILL."""
+    """A second SIGTERM, or a SIGHUP between two, must not put the end off beyond SIGKILL."""
     lifecycle = Lifecycle()
     lifecycle.begin_shutdown(1000.0, 400.0)
     lifecycle.begin_shutdown(1500.0, 5000.0)
@@ -212,7 +212,7 @@
 def test_one_that_ends_waits_for_a_newer_process_only_while_it_can_still_end_in_time(
     deadline: float, most: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Danger: it took clients up to 3.8 s after the order, whatever the time of SIGKILL."""
+    """Clients are accepted no longer than the time of SIGKILL allows."""
     monkeypatch.setattr("cottonhold.node.dispatcher.CHECK_S", 0.0)
     w = world(deadline).run("ops terminate")
     began = w.clock.now()
@@ -237,7 +237,7 @@
 def test_a_seat_that_can_not_be_written_for_a_while_costs_no_service(
     code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Danger: the start failed, or the round that looks for other processes ended for good."""
+    """Neither the start may fail nor the periodic update of siblings end."""
     log: list[str] = []
     first = SiblingProcesses(str(tmp_path), "here", log.append)
     second = SiblingProcesses(str(tmp_path), "here", log.append)
@@ -276,13 +276,13 @@
 
 @pytest.mark.parametrize("shared", [False, True])
 def test_small_writes_are_held_back_on_no_socket(shared: bool) -> None:
-    """Danger: what the system still holds back is lost with a reset."""
+    """What the system still holds back is lost with a reset."""
 
     async def scenario() -> None:
-        driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
-        listener = driver.listener.listen(Address("127.0.0.1", 0), shared)
+        event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
+        listener = event_loop.listener.listen(Address("127.0.0.1", 0), shared)
         host, port = listener.getsockname()
-        dialed = await driver.connector.dial(Address(host, port), 1.0)
+        dialed = await event_loop.connector.dial(Address(host, port), 1.0)
         accepted, _ = listener.accept()
         with listener, dialed, accepted:
             for sock in (dialed, accepted):
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -14,7 +14,7 @@
 import orjson
 import pytest
 
-from cottonhold.backend.resp import RespError, RespReader, encode
+from cottonhold.backend.resp import RespError, RespReader, encode_array
 from cottonhold.config.relay import ConfigError, load
 from cottonhold.discovery.bus import Bus
 from cottonhold.discovery.model import Address, Names, Observation, Report, Verdict
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("size", [1, 2, 7, 100])
 def test_words_come_whole_however_they_are_cut(size: int) -> None:
-    data, reader, got = encode(b"a", b"", b"x\r\n$1") + encode(b"b"), RespReader(), []
+    data, reader, got = encode_array(b"a", b"", b"x\r\n$1") + encode_array(b"b"), RespReader(), []
     for at in range(0, len(data), size):
         got += reader.feed(data[at : at + size])
     assert got == [[b"a", b"", b"x\r\n$1"], [b"b"]] and not reader.buffer
@@ -198,24 +198,24 @@
 def test_connections_that_came_together_are_taken_in_one_turn() -> None:
     async def scenario() -> int:
         world, calls = World(), 0
-        driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
-        listener = driver.listener.listen(Address("127.0.0.1", 0))
+        event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
+        listener = event_loop.listener.listen(Address("127.0.0.1", 0))
         clients = [socket.create_connection(listener.getsockname()) for _ in range(5)]
-        wait_for_one = driver.until_readable
+        wait_for_one = event_loop.until_readable
 
         async def counted(sock: socket.socket) -> None:
             nonlocal calls
             calls += 1
             await wait_for_one(sock)
 
-        driver.until_readable = counted  # type: ignore[method-assign]
-        accepting = driver.spawn(driver.listener.accept(listener, world.front))
-        while len(world.front.sessions) < 5:
+        event_loop.until_readable = counted  # type: ignore[method-assign]
+        accepting = event_loop.spawn(event_loop.listener.accept(listener, world.sessions))
+        while len(world.sessions.sessions) < 5:
             await asyncio.sleep(0)
         accepting.cancel()
-        for wire in list(driver.streams):
+        for wire in list(event_loop.streams):
             wire.abort()
-        await asyncio.gather(*driver.tasks, return_exceptions=True)
+        await asyncio.gather(*event_loop.tasks, return_exceptions=True)
         for sock in [listener, *clients]:
             sock.close()
         return calls
@@ -226,11 +226,15 @@
 def test_a_crowd_that_asks_once_and_stays_is_taken_in_without_long_pauses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Danger: 8 places were filled in 20 ms, and behind a crowd usual clients waited for seconds."""
+    """Freed places are looked for at once: usual clients must not wait behind a crowd."""
 
     async def scenario() -> list[float]:
         world = World(sockets=64)
-        driver, pauses, sleep = EventLoop(asyncio.get_running_loop(), Counters(), print), [], asyncio.sleep
+        event_loop, pauses, sleep = (
+            EventLoop(asyncio.get_running_loop(), Counters(), print),
+            [],
+            asyncio.sleep,
+        )
 
         async def counted(seconds: float) -> None:
             if seconds:
@@ -239,21 +243,21 @@
             await sleep(0)
 
         monkeypatch.setattr("asyncio.sleep", counted)
-        listener = driver.listener.listen(Address("127.0.0.1", 0))
+        listener = event_loop.listener.listen(Address("127.0.0.1", 0))
         clients = [socket.create_connection(listener.getsockname()) for _ in range(300)]
         for client in clients:
             client.sendall(packet(1, LOGIN) + packet(0, b"\x0e"))
-        accepting = driver.spawn(driver.listener.accept(listener, world.front))
+        accepting = event_loop.spawn(event_loop.listener.accept(listener, world.sessions))
         while world.counters.counts["client_connections"] < 300:
             await counted(0)
         accepting.cancel()
-        for wire in list(driver.streams):
+        for wire in list(event_loop.streams):
             wire.abort()
-        await asyncio.gather(*driver.tasks, return_exceptions=True)
+        await asyncio.gather(*event_loop.tasks, return_exceptions=True)
         for sock in [listener, *clients]:
             sock.close()
         out = [n for name, n in world.counters.counts.items() if name.startswith("clients_pushed_out")]
-        assert sum(out) >= 300 - world.front.max_sessions
+        assert sum(out) >= 300 - world.sessions.max_sessions
         return pauses
 
     assert asyncio.run(scenario()).count(0.02) <= 5
@@ -262,12 +266,12 @@
 def test_what_a_client_sends_after_its_error_is_read_and_dropped() -> None:
     async def scenario() -> bytes:
         loop, world = asyncio.get_running_loop(), World()
-        driver = EventLoop(loop, Counters(), print)
+        event_loop = EventLoop(loop, Counters(), print)
         ours, client = socket.socketpair()
         for sock in (ours, client):
             sock.setblocking(False)
-        session = world.front.open()
-        session.stream = wire = Stream(driver.streams, session, 4096)
+        session = world.sessions.open()
+        session.stream = wire = Stream(event_loop.streams, session, 4096)
         wire.start(ours)
         body = packet(1, LOGIN) + b"\xff\xff\xff\x00" + bytes(8 << 20)
         await loop.sock_sendall(client, body)
@@ -275,7 +279,7 @@
         got = b""
         while data := await loop.sock_recv(client, 4096):
             got += data
-        await asyncio.gather(*driver.tasks, return_exceptions=True)
+        await asyncio.gather(*event_loop.tasks, return_exceptions=True)
         assert wire.discarded_bytes > 7 << 20 and len(session.buffer) < 8192 and session.is_closed
         return got
 
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -48,8 +48,8 @@
 
 def told(world: Turns) -> float:
     """The time that the one engine that heard something is told, in ms."""
-    (line,) = [line for line in world.lines if line.heard]
-    fields = line.heard.pop(0)[2].decode()
+    (line,) = [line for line in world.engine_streams if line.received]
+    fields = line.received.pop(0)[2].decode()
     return float(fields.partition("ms=")[2].partition(",")[0])
 
 
@@ -88,5 +88,5 @@
     world.gateway.scheduler.util = 0.1
     world.run(f"e1 will vanish\nc1 query {name} r1 allow=160\nc1 expect nothing\ntime wait 115")
     world.run("c1 expect error 1226 *\nany nothing there")
-    assert len(world.lines) == 1 and not world.gateway.scheduler.doubted
+    assert len(world.engine_streams) == 1 and not world.gateway.scheduler.doubted
     nothing_left(world)
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -73,7 +73,7 @@
 
 
 def test_ids_of_two_processes_differ() -> None:
-    """Danger: a KILL QUERY that came to the other process hit another client's query there."""
+    """A KILL QUERY that reaches the other process must not hit another client's query there."""
     given = [ConnectionIdRange.for_slot(start, seat) for start in (0, 1, 1023) for seat in range(4)]
     assert sorted(b for ids in given for b in span(ids)) == [b for ids in given for b in sorted(span(ids))]
     assert len(set.union(*map(span, given))) == 24
@@ -86,8 +86,8 @@
 def test_a_kill_that_comes_to_the_wrong_process_hits_nobody(tmp_path: Path) -> None:
     worlds = [World(), World()]
     for world in worlds:
-        world.front.connection_ids = seats(tmp_path).connection_ids()
-        world.front.last_id = world.front.connection_ids.base
+        world.sessions.connection_ids = seats(tmp_path).connection_ids()
+        world.sessions.last_id = world.sessions.connection_ids.base
         world.run("c1 query load r1 allow=20000\ne1 expect GET r1 *")
     other = worlds[1].clients["c1"].session.connection_id
     worlds[0].run(f"c2 say KILL QUERY {other}\nc2 expect error 1094 *")
@@ -127,14 +127,14 @@
 
 
 def test_new_connections_and_datagrams_go_to_the_newer_process_and_the_older_can_leave() -> None:
-    """Danger: SO_REUSEPORT alone divides them, and what waits at the one that closes is reset."""
+    """SO_REUSEPORT alone divides them, and what waits at the one that closes is reset."""
 
     async def scenario() -> list[int]:
-        drivers = [EventLoop(asyncio.get_running_loop(), Counters(), print) for _ in range(2)]
+        event_loops = [EventLoop(asyncio.get_running_loop(), Counters(), print) for _ in range(2)]
         with socket.create_server(("127.0.0.1", 0)) as spare:
             at = Address("127.0.0.1", spare.getsockname()[1])
-        older, newer = [driver.listener.listen(at, is_shared=True) for driver in drivers]
-        mail = [driver.datagrams.open(at) for driver in drivers]
+        older, newer = [event_loop.listener.listen(at, is_shared=True) for event_loop in event_loops]
+        mail = [event_loop.datagrams.open(at) for event_loop in event_loops]
         counts = []
         for alone in (False, True):
             if alone:
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cottonhold.backend.resp import encode, read_fields
+from cottonhold.backend.resp import decode_fields, encode_array
 from cottonhold.emulator.engine import StandInEngine
 from tests.node.test_small_parts import CONFIG, ENTRY, write
 from tests.support.scenario import LOGIN, packet
@@ -48,7 +48,7 @@
         self, words: list[bytes], writer: asyncio.StreamWriter, open_here: dict[bytes, asyncio.TimerHandle]
     ) -> None:
         if words[0] == b"GET":
-            self.told.append(int(read_fields(words[2])["ms"]))
+            self.told.append(int(decode_fields(words[2])["ms"]))
         super()._take(words, writer, open_here)
 
     def _done(
@@ -56,7 +56,7 @@
     ) -> None:
         del open_here[ref]
         fields = f"count=1,ticks={WORK_MS},footprint=1".encode()
-        writer.write(encode(ref, b"served", fields, b"s-1\ta\tok\n"))
+        writer.write(encode_array(ref, b"served", fields, b"s-1\ta\tok\n"))
 
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -64,7 +64,7 @@
     world.wait(1000)
     assert world.engines.endpoints["a"].address == Address("a", 1)
     world.run("c2 query lookup r2")
-    assert any(words[1] == b"%016x" % 2 for line in world.lines for words in line.heard)
+    assert any(words[1] == b"%016x" % 2 for line in world.engine_streams for words in line.received)
 
 
 READ = QueryClass("read", 1000, 5000, 1.0, waits_for_loads=True)
--- a/tests/support/faulty_sockets.py
+++ b/tests/support/faulty_sockets.py
@@ -1,7 +1,7 @@
 """Real sockets whose calls fail by script: errno values, EINTR, short reads and writes, call by call.
 
     faults = Faults()
-    driver = Driver(loop, counters, say, faults.make)
+    event_loop = Driver(loop, counters, say, faults.make)
     faults.plan("accept", errno.ECONNABORTED, OK, errno.EMFILE)  # the next three calls
     faults.plan("send", Short(3), errno.ENOBUFS, on=ACCEPTED)    # only on sockets that were accepted
     faults.always("accept", errno.EMFILE)                        # until faults.heal("accept")
@@ -36,7 +36,7 @@
 
 
 class Faults:
-    """The script for all sockets of one driver, and what was called on them."""
+    """The script for all sockets of one event_loop, and what was called on them."""
 
     def __init__(self) -> None:
         self.plans: defaultdict[tuple[str, str], deque[Step]] = defaultdict(deque)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""A driver on real loopback sockets whose calls fail by script, between a scenario's gateway and test peers.
+"""An event loop on loopback sockets whose calls fail by script, between a scenario's gateway and test peers.
 
 The gateway's clock stands still unless a test moves it; `until` turns the loop until something has happened.
 """
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from cottonhold.backend.resp import RespReader, encode
+from cottonhold.backend.resp import RespReader, encode_array
 from cottonhold.discovery.model import Address, Change
 from cottonhold.scheduler.events import Engine as ListedEngine
 from cottonhold.scheduler.settings import Settings
@@ -98,11 +98,11 @@
                 if words[0] == b"GET":
                     self.asked.append(words[1])
                 elif words[0] == b"LOAD":
-                    line.send(encode(words[1], b"green", b"gauges=inflight:1", b""))
+                    line.send(encode_array(words[1], b"green", b"gauges=inflight:1", b""))
 
     def serve(self, ref: bytes, page: bytes = b"a\tb\tc\n") -> None:
         """Answer a request with one page."""
-        self.lines[-1][0].send(encode(ref, b"served", b"count=1,ticks=1.0", page))
+        self.lines[-1][0].send(encode_array(ref, b"served", b"count=1,ticks=1.0", page))
 
     def close(self) -> None:
         for line, _ in self.lines:
@@ -110,24 +110,26 @@
         self.sock.close()
 
 
-class Rig:
-    """The driver with its gateway, some engines and clients."""
+class Loopback:
+    """The event loop with its gateway, some engines and clients."""
 
     def __init__(self, settings: Settings = SETTINGS, engines: int = 1, sockets: int = 256) -> None:
         self.world = World(settings, engines="", sockets=sockets)
         self.counts, self.log = self.world.counters.counts, self.world.log
         self.faults = Faults()
-        self.driver = EventLoop(
+        self.event_loop = EventLoop(
             asyncio.get_running_loop(), self.world.counters, self.log.append, self.faults.make
         )
-        self.world.engines.connect = self.driver.connector.connect
+        self.world.engines.connect = self.event_loop.connector.connect
         self.engines = [Engine() for _ in range(engines)]
         addresses = {f"e{n}": Address(*e.sock.getsockname()) for n, e in enumerate(self.engines)}
         infos = tuple(ListedEngine(name) for name in addresses)
         self.world.gateway.on_engine_list(Change(infos, addresses, True))
-        self.listener = self.driver.listener.listen(Address("127.0.0.1", 0))
+        self.listener = self.event_loop.listener.listen(Address("127.0.0.1", 0))
         self.address = self.listener.getsockname()
-        self.accepting = self.driver.spawn(self.driver.listener.accept(self.listener, self.world.front))
+        self.accepting = self.event_loop.spawn(
+            self.event_loop.listener.accept(self.listener, self.world.sessions)
+        )
         self.clients: list[Client] = []
 
     def client(self) -> Client:
@@ -166,9 +168,9 @@
         for place in list(self.world.engines.endpoints.values()):
             for connection in list(place.connections):
                 connection.close()
-        for wire in list(self.driver.streams):
+        for wire in list(self.event_loop.streams):
             wire.abort()
-        await asyncio.gather(*self.driver.tasks, return_exceptions=True)
+        await asyncio.gather(*self.event_loop.tasks, return_exceptions=True)
         self.listener.close()
         for peer in self.clients:
             peer.sock.close()
@@ -176,16 +178,16 @@
             engine.close()
         assert (
             not self.faults.open
-            and not self.world.front.sessions
+            and not self.world.sessions.sessions
             and self.world.engines.open_connections == 0
         )
 
 
-def play(story: Callable[[Rig], Coroutine[Any, Any, None]], **how: Any) -> None:
+def play(story: Callable[[Loopback], Coroutine[Any, Any, None]], **how: Any) -> None:
     """Play a story on uvloop, as the program runs; nothing may be left open behind it."""
 
     async def scenario() -> None:
-        rig = Rig(**how)
+        rig = Loopback(**how)
         try:
             async with asyncio.timeout(HANG_S):
                 await story(rig)
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -16,7 +16,7 @@
 
 from cottonhold.backend.connection import Connection
 from cottonhold.backend.connection_pool import EngineConnections
-from cottonhold.backend.resp import RespReader, encode
+from cottonhold.backend.resp import RespReader, encode_array
 from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, Change
 from cottonhold.frontend.client_sessions import ClientSessions
@@ -81,12 +81,12 @@
         self.action = None
 
 
-class FakeLine:
-    """Stands for the driver: what is to be written is asked for when the scenario settles."""
+class FakeStream:
+    """Stands for the stream: what is to be written is asked for when the scenario settles."""
 
     def __init__(self, connection: Connection, engine: str) -> None:
         self.connection, self.engine, self.reader = connection, engine, RespReader()
-        self.heard: list[list[bytes]] = []
+        self.received: list[list[bytes]] = []
 
     def read_available(self) -> bool:
         return False
@@ -111,14 +111,14 @@
     """A client's end: decodes what comes and checks the sequence numbers of all packets."""
 
     def __init__(self, session: Session) -> None:
-        self.session, self.buffer, self.heard = session, b"", list[str]()
+        self.session, self.buffer, self.received = session, b"", list[str]()
         self.sequence, self.starts = 0, deque([0])  # each packet sent starts one answer, numbered on from it
         self.rows: list[str] | None = None
         self.definitions = 0
         session.stream = self
 
     def flush(self) -> None:
-        """The driver's side: what is to be written is asked for when the scenario settles."""
+        """The stream's side: what is to be written is asked for when the scenario settles."""
 
     def write_now(self) -> None:
         pass
@@ -155,11 +155,11 @@
 
     def read(self, payload: bytes) -> None:
         if payload[0] == 0xFF:
-            self.heard.append(f"error {int.from_bytes(payload[1:3], 'little')} {payload[9:].decode()}")
+            self.received.append(f"error {int.from_bytes(payload[1:3], 'little')} {payload[9:].decode()}")
         elif self.rows is not None and payload[0] == 0xFE:
             self.definitions += 1
             if self.definitions == 5:
-                self.heard.append("rows " + "/".join(self.rows))
+                self.received.append("rows " + "/".join(self.rows))
                 self.rows = None
         elif self.rows is not None and self.definitions < 4:
             self.definitions += payload[:4] == b"\x03def"
@@ -172,7 +172,7 @@
         elif payload == b"\x03":
             self.rows, self.definitions = [], 0
         else:
-            self.heard.append("ok" if payload[0] == 0 else "greeting")
+            self.received.append("ok" if payload[0] == 0 else "greeting")
 
 
 class World:
@@ -185,8 +185,8 @@
         self.engines = EngineConnections(links, self.clock, self.counters, self.log.append, parts.engines)
         self.engines.connect = self.connect
         self.gateway = Gateway(settings, 1, self.clock, self.engines, self.counters, self.log.append)
-        self.front = ClientSessions(self.gateway, self.clock, self.counters, self.lifecycle, parts.clients)
-        self.lines: list[FakeLine] = []
+        self.sessions = ClientSessions(self.gateway, self.clock, self.counters, self.lifecycle, parts.clients)
+        self.engine_streams: list[FakeStream] = []
         self.behaviour: dict[str, str] = {}
         self.clients: dict[str, Client] = {}
         self.names: list[str] = []
@@ -200,9 +200,9 @@
             self.names.append(name)
         return f"e{self.names.index(name) + 1}"
 
-    def connect(self, address: Address, connection: Connection) -> FakeLine:
-        line = FakeLine(connection, self.met(address.host))
-        self.lines.append(line)
+    def connect(self, address: Address, connection: Connection) -> FakeStream:
+        line = FakeStream(connection, self.met(address.host))
+        self.engine_streams.append(line)
         self.clock.call_in(250.0, lambda: None if connection.is_up else connection.on_closed())
         return line
 
@@ -211,7 +211,7 @@
         self.gateway.on_engine_list(Change(infos, {name: Address(name, 1) for name in names}, whole))
 
     def settle(self) -> None:
-        for line in self.lines:
+        for line in self.engine_streams:
             connection = line.connection
             how = self.behaviour.get(line.engine, "up")
             if not connection.is_up and not connection.is_closed:
@@ -222,9 +222,9 @@
             if connection.is_up and not connection.is_closed and (data := connection.take_output()):
                 for words in line.reader.feed(data):
                     if words[0] != b"LOAD":
-                        line.heard.append(words)
+                        line.received.append(words)
                     elif how != "mute":
-                        connection.receive(encode(words[1], b"green", b"gauges=inflight:1", b""))
+                        connection.receive(encode_array(words[1], b"green", b"gauges=inflight:1", b""))
         for client in self.clients.values():
             client.take()
 
@@ -235,20 +235,20 @@
 
     def client(self, name: str) -> Client:
         if name not in self.clients:
-            self.clients[name] = Client(self.front.open())
+            self.clients[name] = Client(self.sessions.open())
             self.clients[name].take()
             self.bytes(name, packet(1, LOGIN))
-            assert self.clients[name].heard == ["greeting", "ok"]
-            self.clients[name].heard.clear()
+            assert self.clients[name].received == ["greeting", "ok"]
+            self.clients[name].received.clear()
         return self.clients[name]
 
     def bytes(self, name: str, data: bytes) -> None:
         self.clients[name].send(data)
         self.wait(0)
 
-    def line(self, name: str) -> FakeLine:
+    def engine_stream(self, name: str) -> FakeStream:
         engine, _, number = name.partition(".")
-        lines = [line for line in self.lines if line.engine == engine]
+        lines = [line for line in self.engine_streams if line.engine == engine]
         return lines[int(number or 1) - 1]
 
     # --- verbs ---
@@ -282,7 +282,7 @@
         self.bytes(who, bytes.fromhex(rest))
 
     def client_expect(self, who: str, rest: str) -> None:
-        heard, self.client(who).heard = self.client(who).heard, []
+        heard, self.client(who).received = self.client(who).received, []
         assert len(heard) == (rest != "nothing"), f"heard {heard}"
         assert not heard or fnmatchcase(heard[0], rest), f"heard {heard}"
 
@@ -293,7 +293,11 @@
         assert self.client(who).session.is_closing
 
     def e_expect(self, who: str, rest: str) -> None:
-        heard = self.line(who).heard if rest != "nothing" or any(x.engine == who for x in self.lines) else []
+        heard = (
+            self.engine_stream(who).received
+            if rest != "nothing" or any(x.engine == who for x in self.engine_streams)
+            else []
+        )
         if rest == "nothing":
             assert not heard, f"heard {heard}"
             return
@@ -301,24 +305,24 @@
         assert fnmatchcase(words, rest), f"heard {words}"
 
     def any_expect(self, who: str, rest: str) -> None:
-        heard = [line for line in self.lines if line.heard]
+        heard = [line for line in self.engine_streams if line.received]
         assert len(heard) == 1, f"{len(heard)} connections heard something"
-        words = b" ".join(heard[0].heard.pop(0)).decode()
+        words = b" ".join(heard[0].received.pop(0)).decode()
         assert fnmatchcase(words, rest), f"heard {words}"
 
     def any_nothing(self, who: str, rest: str) -> None:
-        assert not [line for line in self.lines if line.heard]
+        assert not [line for line in self.engine_streams if line.received]
 
     def e_send(self, who: str, rest: str) -> None:
         text = rest.replace("|", "\t").replace("/", "\n")
         parts = text.encode("utf-8", "surrogateescape").split(b" ")
-        self.line(who).connection.receive(encode(*(parts + [b""] * (4 - len(parts)))))
+        self.engine_stream(who).connection.receive(encode_array(*(parts + [b""] * (4 - len(parts)))))
 
     def e_raw(self, who: str, rest: str) -> None:
-        self.line(who).connection.receive(rest.encode() + b"\r\n")
+        self.engine_stream(who).connection.receive(rest.encode() + b"\r\n")
 
     def e_close(self, who: str, rest: str) -> None:
-        self.line(who).connection.on_closed()
+        self.engine_stream(who).connection.on_closed()
 
     def e_will(self, who: str, rest: str) -> None:
         """up, refuse or vanish: what comes of connects from now on; mute: up, but no answer to probes."""
--- a/tests/transport/test_connect_faults.py
+++ b/tests/transport/test_connect_faults.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.faulty_sockets import MADE
-from tests.support.loopback import GREETED, REF, ROWS, Rig, play
+from tests.support.loopback import GREETED, REF, ROWS, Loopback, play
 from tests.support.scenario import World
 
 PROOFS = [
@@ -29,7 +29,7 @@
 def test_a_connect_that_fails_proves_that_nothing_ran(call: str, error: int) -> None:
     """So a load goes to the other engine, once."""
 
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         rig.faults.plan(call, error, on=MADE)
         client = rig.client()
         client.ask(1, "load")
@@ -45,7 +45,7 @@
 def test_a_connect_that_seems_to_be_under_way_is_looked_at(error: int) -> None:
     """EINTR leaves it under way; EAGAIN has not begun it, and its socket is as writable as one that is up."""
 
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         rig.faults.plan("connect", error, on=MADE)
         client = rig.client()
         client.ask(1, "load")
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("error", PROOFS)
 def test_where_no_connect_succeeds_the_client_is_told_that_it_never_ran(error: int) -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         rig.faults.always("connect", error, on=MADE)
         client = rig.client()
         client.ask(1, "load")
@@ -80,10 +80,10 @@
     ],
 )
 def test_an_engine_is_not_blamed_for_what_lacks_here(call: str, error: int) -> None:
-    """Danger: without a free descriptor each engine in turn was told as unreachable."""
+    """Without a free descriptor no engine may be reported as unreachable."""
 
-    async def story(rig: Rig) -> None:
-        rig.driver.connector.timeout_s = 5.0  # however slow the machine is
+    async def story(rig: Loopback) -> None:
+        rig.event_loop.connector.timeout_s = 5.0  # however slow the machine is
         rig.faults.plan(call, error, error, error, on=MADE)
         client = rig.client()
         client.ask(1, "load")
@@ -97,8 +97,8 @@
 
 @pytest.mark.parametrize("error", LACKING)
 def test_what_lacks_for_good_is_told_as_never_run_and_does_not_spin(error: int) -> None:
-    async def story(rig: Rig) -> None:
-        rig.driver.connector.timeout_s = 0.1
+    async def story(rig: Loopback) -> None:
+        rig.event_loop.connector.timeout_s = 0.1
         rig.faults.always("socket", error, on=MADE)
         client = rig.client()
         client.ask(1, "load")
@@ -115,11 +115,11 @@
 
 
 def test_engines_are_not_blamed_where_all_places_for_connections_are_taken() -> None:
-    """Danger: each was taken for dead in turn, and peers were told so."""
+    """None may be taken for dead, nor peers be told so."""
     world = World()
     world.engines.max_connections, world.engines.settings = 1, replace(world.engines.settings, max_streams=1)
     world.run("c1 query lookup r1\ne1 expect GET r1 *\nc2 query lookup r2\nany nothing\ntime wait 100")
     assert world.counters.counts["engine_connections_lacking"]
     assert not [e.id for e in world.gateway.scheduler.engines.values() if e.suspect], world.log
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c\ntime wait 1000")
-    assert world.clients["c2"].heard or any(line.heard for line in world.lines)
+    assert world.clients["c2"].received or any(line.received for line in world.engine_streams)
--- a/tests/transport/test_connection_close.py
+++ b/tests/transport/test_connection_close.py
@@ -32,7 +32,7 @@
 
 
 class Client:
-    """A client's end of a TCP connection over loopback, whose other end is a session on the driver."""
+    """A client's end of a TCP connection over loopback, whose other end is a session on the event_loop."""
 
     def __init__(self, here: Here, logged_in: bool = True) -> None:
         self.here, self.got, self.reset = here, b"", False
@@ -42,8 +42,8 @@
         near.setblocking(False)
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is written is there at once
-        self.session: Session = here.world.front.open()
-        here.driver.listener.admit(near, self.session)
+        self.session: Session = here.world.sessions.open()
+        here.event_loop.listener.admit(near, self.session)
         if logged_in:
             self.write(packet(1, LOGIN) + PING)
 
@@ -76,11 +76,11 @@
 
 
 class Here:
-    """A front on the driver; engines are the scenario's. Time passes only when told to."""
+    """Client sessions on the event loop; engines are the scenario's. Time passes only when told to."""
 
     def __init__(self) -> None:
         self.world = World(engines="a")
-        self.driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
+        self.event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
         self.clients: list[Client] = []
         self.passed = 0  # turns of the loop
 
@@ -103,7 +103,9 @@
 
     async def sent(self, ref: int) -> None:
         """Until a request is at the engine."""
-        while not any(words[1] == b"%016x" % ref for line in self.world.lines for words in line.heard):
+        while not any(
+            words[1] == b"%016x" % ref for line in self.world.engine_streams for words in line.received
+        ):
             await self.turn()
 
     def taken(self) -> int:
@@ -115,7 +117,7 @@
     async def close(self) -> None:
         for client in self.clients:
             client.sock.close()
-        await asyncio.gather(*self.driver.tasks, return_exceptions=True)
+        await asyncio.gather(*self.event_loop.tasks, return_exceptions=True)
 
 
 @pytest.fixture(
@@ -159,7 +161,7 @@
 
 def crowded(here: Here) -> None:
     here.world.clock.at += IDLE_TIMEOUT_MS - 1
-    here.world.front.max_sessions = 1
+    here.world.sessions.max_sessions = 1
 
 
 # When a connection without an open request is to be closed.
@@ -167,8 +169,8 @@
 
 
 def close_spare(here: Here) -> None:
-    here.world.front.check_timeouts()
-    here.world.front.has_capacity()
+    here.world.sessions.check_timeouts()
+    here.world.sessions.has_capacity()
 
 
 @pytest.mark.parametrize("turns", range(4))
@@ -188,7 +190,7 @@
         while client.got.count(ROWS) < 2 and REFUSED not in client.got:
             assert not client.read() or client.got.count(ROWS) == 2 or REFUSED in client.got
             await here.turn()
-            if here.world.gateway.open_count and any(line.heard for line in here.world.lines):
+            if here.world.gateway.open_count and any(line.received for line in here.world.engine_streams):
                 here.answer(1)
 
     played(story)
@@ -273,7 +275,7 @@
         for _ in range(turns):
             await asyncio.sleep(0)
         here.world.run("ops terminate")
-        here.world.front.check_timeouts()
+        here.world.sessions.check_timeouts()
         await here.sent(1)
         here.answer(1)
         assert (await client.end()).count(ROWS) == 2
@@ -301,7 +303,7 @@
 
 @pytest.mark.parametrize("size", [1, 100_000, 3_000_000])
 def test_an_answer_is_not_lost_to_what_its_client_still_sends(size: int) -> None:
-    """Danger: closed over unread bytes, a connection is reset, and what was written is lost with it."""
+    """Closed over unread bytes, a connection is reset, and what was written is lost with it."""
 
     async def story(here: Here) -> None:
         client = await here.client()
@@ -328,21 +330,21 @@
         client.session.output += bytes(UNREAD_BYTES)
         client.session._close()
         await here.turns()
-        assert here.world.front.has_unfinished()
+        assert here.world.sessions.has_unfinished()
         await client.end()
-        assert len(client.got) > UNREAD_BYTES and not here.world.front.has_unfinished()
+        assert len(client.got) > UNREAD_BYTES and not here.world.sessions.has_unfinished()
 
     played(story)
 
 
 @pytest.mark.parametrize("turns", range(6))
 def test_a_client_that_is_just_accepted_as_the_door_closes_is_answered(turns: int) -> None:
-    """Danger: taken from the queue in one turn of the loop, it was dropped if accepting ended in the next."""
+    """Accepted in one turn of the loop, it must not be dropped if accepting ends in the next."""
 
     async def story(here: Here) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        accepting = here.driver.spawn(here.driver.listener.accept(listener, here.world.front))
+        accepting = here.event_loop.spawn(here.event_loop.listener.accept(listener, here.world.sessions))
         await here.turns()
         client = Client.__new__(Client)
         client.here, client.got, client.reset = here, b"", False
@@ -354,7 +356,7 @@
             await asyncio.sleep(0)
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
-        await here.driver.listener.accept_queued(listener, here.world.front)
+        await here.event_loop.listener.accept_queued(listener, here.world.sessions)
         listener.close()
         await here.sent(1)
         here.answer(1)
@@ -365,8 +367,8 @@
 
 @pytest.mark.parametrize("lacking", [0, 1])
 def test_what_a_client_wrote_before_it_was_accepted_at_the_very_end_is_answered(lacking: int) -> None:
-    """Danger: with short deadlines the door closes as late as the last connections. One taken from the queue
-    then was closed before anything was read there."""
+    """With short deadlines the listener closes as late as the last connections. One accepted then must not be
+    closed before anything is read there."""
     text = packet(1, LOGIN) + query(1)
     written = text[: len(text) - lacking]
 
@@ -380,7 +382,7 @@
         here.clients.append(client)
         client.write(written)
         ended(here)
-        await here.driver.listener.accept_queued(listener, here.world.front)
+        await here.event_loop.listener.accept_queued(listener, here.world.sessions)
         listener.close()
         close_spare(here)
         assert (await client.end()).count(REFUSED) == 1
@@ -394,7 +396,7 @@
     parts = SimpleNamespace(
         event_loop=SimpleNamespace(clock=here.world.clock),
         lifecycle=here.world.lifecycle,
-        sessions=here.world.front,
+        sessions=here.world.sessions,
         gateway=here.world.gateway,
     )
     return asyncio.create_task(Dispatcher.finish_open_requests(cast(Dispatcher, parts)))
@@ -425,7 +427,7 @@
         assert not end.done()  # it has not closed
         late.sock.close()
         await here.turns()
-        assert end.done() and not here.world.front.sessions
+        assert end.done() and not here.world.sessions.sessions
 
     played(story)
 
--- a/tests/transport/test_datagram_faults.py
+++ b/tests/transport/test_datagram_faults.py
@@ -29,18 +29,18 @@
 
     def __init__(self) -> None:
         self.faults, self.counters, self.heard = Faults(), Counters(), list[PeerMessage]()
-        self.driver = EventLoop(asyncio.get_running_loop(), self.counters, print, self.faults.make)
+        self.event_loop = EventLoop(asyncio.get_running_loop(), self.counters, print, self.faults.make)
         self.far = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.far.bind(("127.0.0.1", 0))
         self.far_address = Address(*self.far.getsockname())
-        self.near = self.driver.datagrams.open(Address("127.0.0.1", 0))
+        self.near = self.event_loop.datagrams.open(Address("127.0.0.1", 0))
         peers = PeerDatagrams((self.far_address,), None, self.counters)
 
         def on_datagram(data: bytes, sender: Address) -> None:
             if message := peers.decode(data, (sender.host, sender.port)):
                 self.heard.append(message)
 
-        self.driver.datagrams.receive(self.near, on_datagram)
+        self.event_loop.datagrams.receive(self.near, on_datagram)
         self.at = self.near.getsockname()
 
     async def hears(self, data: bytes) -> None:
@@ -50,7 +50,7 @@
                 await asyncio.sleep(0)
 
     def close(self) -> None:
-        self.driver.loop.remove_reader(self.near)
+        self.event_loop.loop.remove_reader(self.near)
         self.near.close()
         self.far.close()
         assert not self.faults.open
@@ -75,14 +75,14 @@
 
     async def scenario() -> None:
         peer, anew = Peer(), 0
-        add_reader = peer.driver.loop.add_reader
+        add_reader = peer.event_loop.loop.add_reader
 
         def counted(*args: object) -> None:
             nonlocal anew
             anew += 1
             add_reader(*args)  # type: ignore[arg-type]
 
-        peer.driver.loop.add_reader = counted  # type: ignore[assignment, method-assign]
+        peer.event_loop.loop.add_reader = counted  # type: ignore[assignment, method-assign]
         peer.faults.always("recvfrom", error)
         peer.far.sendto(b"x", peer.at)
         async with asyncio.timeout(HANG_S):
@@ -101,8 +101,8 @@
     async def scenario() -> None:
         peer = Peer()
         peer.faults.plan("sendto", error)
-        peer.driver.datagrams.send(b"lost", peer.far_address)
-        peer.driver.datagrams.send(b"kept", peer.far_address)
+        peer.event_loop.datagrams.send(b"lost", peer.far_address)
+        peer.event_loop.datagrams.send(b"kept", peer.far_address)
         assert peer.far.recv(10) == b"kept"
         assert (peer.counters.counts["peer_broken"], peer.counters.counts["peer_sent"]) == (1, 1)
         peer.close()
@@ -114,13 +114,13 @@
     "error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.EINTR]
 )
 def test_local_calls_are_answered_again(error: int, tmp_path: Path) -> None:
-    """Danger: one moment without a descriptor closed the socket for the program's life."""
+    """One moment without a descriptor must not close the socket for the program's lifetime."""
 
     async def scenario() -> bytes:
         loop, faults = asyncio.get_running_loop(), Faults()
-        driver = EventLoop(loop, Counters(), print)
+        event_loop = EventLoop(loop, Counters(), print)
         listener = faults.adopt(status.listen(tmp_path / "s"))
-        serving = driver.spawn(status.serve(driver, listener, lambda call: {"served": True}))
+        serving = event_loop.spawn(status.serve(event_loop, listener, lambda call: {"served": True}))
         faults.plan("accept", error, error)
         with socket.socket(socket.AF_UNIX) as client:
             client.setblocking(False)
@@ -129,7 +129,7 @@
             async with asyncio.timeout(HANG_S):
                 data = await loop.sock_recv(client, 100)
         serving.cancel()
-        await asyncio.gather(*driver.tasks, return_exceptions=True)
+        await asyncio.gather(*event_loop.tasks, return_exceptions=True)
         assert not faults.open
         return data
 
--- a/tests/transport/test_transfer_faults.py
+++ b/tests/transport/test_transfer_faults.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.faulty_sockets import ACCEPTED, MADE, OK, Short, Step
-from tests.support.loopback import GREETED, REF, ROWS, Rig, play
+from tests.support.loopback import GREETED, REF, ROWS, Loopback, play
 
 BRIEF = [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]  # the call did nothing; the next one may
 ENDS = [errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENOTCONN]
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("call", ["recv_into", "send"])
 @pytest.mark.parametrize("role", [ACCEPTED, MADE])
 def test_a_call_that_fails_for_a_moment_costs_no_answer(role: str, call: str, error: int, shape: str) -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         client = rig.client()
         await rig.until(lambda: client.answers() == GREETED)
         rig.faults.plan(call, *SHAPES[shape](error), on=role)
@@ -46,7 +46,7 @@
 def test_a_client_whose_connection_breaks_is_forgotten_and_others_keep_their_answers(
     call: str, error: int
 ) -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         first, second = rig.client(), rig.client()
         await rig.until(lambda: first.answers() == second.answers() == GREETED)
         second.ask(2, "load")
@@ -55,7 +55,7 @@
         first.ask(1)
         if call == "send":
             await rig.serve(1)
-        await rig.until(lambda: len(rig.world.front.sessions) == 1)
+        await rig.until(lambda: len(rig.world.sessions.sessions) == 1)
         await rig.serve(2)
         await rig.until(lambda: second.answers() == ROWS)
         assert rig.counts["connection_faults"] == 0
@@ -70,7 +70,7 @@
 ) -> None:
     """A load fails and goes nowhere else; what may be repeated does, and both get one answer."""
 
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         clients = [rig.client() for _ in range(2)]
         await rig.until(lambda: all(client.answers() == GREETED for client in clients))
         for number, service in enumerate(("load", "lookup")):
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("error", ENDS)
 def test_an_engine_whose_connection_breaks_in_a_read_may_have_run_it(error: int) -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         client = rig.client()
         await rig.until(lambda: client.answers() == GREETED)
         client.ask(1, "load")
@@ -103,9 +103,9 @@
 
 @pytest.mark.parametrize("error", BRIEF)
 def test_what_gives_an_attempt_up_still_goes_first_when_its_write_fails_for_a_moment(error: int) -> None:
-    """Danger: EINTR in the write at once ended the connection, with all that was out on it."""
+    """EINTR in the immediate write must not end the connection, with all that is in flight on it."""
 
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         clients = [rig.client() for _ in range(2)]
         for number, client in enumerate(clients):
             client.ask(number, "lookup")
@@ -122,19 +122,19 @@
 
 @pytest.mark.parametrize("error", [errno.ENOTCONN, errno.EINVAL])
 def test_a_shutdown_that_fails_still_closes(error: int) -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         client = rig.client()
         await rig.until(lambda: client.answers() == GREETED)
         rig.faults.plan("shutdown", error, error, on=ACCEPTED)
         client.sock.send(b"\x01\x00\x00\x00\x01")  # COM_QUIT
-        await rig.until(lambda: not rig.world.front.sessions)
+        await rig.until(lambda: not rig.world.sessions.sessions)
         assert len(rig.faults.open) == 1
 
     play(story)
 
 
 def test_an_answer_larger_than_the_buffers_comes_whole_through_short_writes() -> None:
-    async def story(rig: Rig) -> None:
+    async def story(rig: Loopback) -> None:
         client = rig.client()
         await rig.until(lambda: client.answers() == GREETED)
         steps: list[Step] = [Short(1), errno.EAGAIN, Short(17), errno.EINTR, OK]
--- a/tests/transport/test_write_order.py
+++ b/tests/transport/test_write_order.py
@@ -12,7 +12,7 @@
 
 from cottonhold.backend.attempt import Attempt
 from cottonhold.backend.connection import MAX_WRITE_BYTES, Connection
-from cottonhold.backend.resp import RespReader, encode
+from cottonhold.backend.resp import RespReader, encode_array
 from cottonhold.discovery.model import Address
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
@@ -33,11 +33,11 @@
 
 
 class Rig:
-    """Engines on the driver, each reached by a pair of sockets whose far end the test holds."""
+    """Engines on the event_loop, each reached by a pair of sockets whose far end the test holds."""
 
     def __init__(self) -> None:
         self.world = World(engines="a b")
-        self.driver = EventLoop(asyncio.get_running_loop(), Counters(), print)
+        self.event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
         self.far: dict[str, socket.socket] = {}
         self.tcp = False
         self.world.engines.connect = self.connect
@@ -53,7 +53,7 @@
         near.setblocking(False)
         far.setblocking(False)
         self.far[address.host] = far
-        connection.stream = wire = Stream(self.driver.streams, connection, 4096)
+        connection.stream = wire = Stream(self.event_loop.streams, connection, 4096)
         connection.on_connected()
         wire.start(near)
         return wire
@@ -78,7 +78,7 @@
         """The next so many verbs that come to an engine."""
         reader, verbs = RespReader(), list[bytes]()
         while len(verbs) < count:
-            data = await self.driver.loop.sock_recv(self.far[engine], 1 << 16)
+            data = await self.event_loop.loop.sock_recv(self.far[engine], 1 << 16)
             verbs += [words[0] for words in reader.feed(data)]
         return verbs
 
@@ -86,7 +86,7 @@
         for place in list(self.world.engines.endpoints.values()):
             for connection in list(place.connections):
                 connection.close()
-        await asyncio.gather(*self.driver.tasks, return_exceptions=True)
+        await asyncio.gather(*self.event_loop.tasks, return_exceptions=True)
         for far in self.far.values():
             far.close()
 
@@ -107,7 +107,7 @@
 
 
 def given_up(rig: Rig, attempt: Attempt) -> None:
-    assert attempt.connection is not None
+    assert isinstance(attempt.connection, Connection)
     attempt.connection.abandon()
 
 
@@ -168,7 +168,7 @@
 def test_a_request_that_crosses_the_engines_end_of_an_idle_connection_never_ran(
     ends: Callable[[socket.socket], None], tcp: bool
 ) -> None:
-    """Danger: written there it may have run, so that a class that may not be repeated failed for nothing."""
+    """Written there it may have run, and a class that may not be repeated would fail."""
 
     async def story(rig: Rig) -> None:
         rig.tcp = tcp
@@ -209,7 +209,7 @@
     async def story(rig: Rig) -> None:
         first = rig.send("a", "q1")
         assert await rig.heard("a", 1) == [b"GET"]
-        rig.far["a"].send(encode(b"q1", b"served", b"count=1", b"a\tb\tc\n"))
+        rig.far["a"].send(encode_array(b"q1", b"served", b"count=1", b"a\tb\tc\n"))
         given_up(rig, first)
         second = rig.send("a", "q1")
         for _ in range(20):
@@ -268,12 +268,12 @@
 
 
 def test_a_connection_that_ends_as_it_is_about_to_write_is_no_fault() -> None:
-    """Danger: what had been begun before was written to a connection that was there no more."""
+    """What was begun before must not be written to a connection that has ended."""
 
     async def story(rig: Rig) -> None:
         near, far = socket.socketpair()
         machine = EndsAsItIsAsked()
-        machine.wire = Stream(rig.driver.streams, machine, 4096)
+        machine.wire = Stream(rig.event_loop.streams, machine, 4096)
         machine.wire.sock, machine.wire.unsent = near, b"begun"
         machine.wire.write_now()
         assert machine.wire.sock is None and far.recv(10) == b""
