--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -51,9 +51,9 @@
 from cottonhold.fleet_adapters.write_queue import AGAIN_MS
 from cottonhold.membership.swim import Swim
 from cottonhold.observe.counters import Counters
-from cottonhold.store import ledger as ledger_of
+from cottonhold.store.health import Completeness
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Hint, Kind, Record, RecordError
+from cottonhold.store.records import Hint, Record, RecordError, RecordKind
 from cottonhold.transport.clock import Clock, Timer
 
 MEMORY_NAMES = {
@@ -102,15 +102,15 @@
 
 def incarnation_of(ledger: Ledger) -> int:
     """The life that an instance's words carry."""
-    return LIFE_BASE + ledger.boot & 0xFFFF_FFFF
+    return LIFE_BASE + ledger.boot_count & 0xFFFF_FFFF
 
 
 def restore_site_report(ledger: Ledger, outlook: CostEstimator) -> bool:
     """Tell the outlook what it told of its site before the power went; false if that can't be read."""
-    value = ledger.records(Kind.WARM).get(SITE)
+    value = ledger.records(RecordKind.WARM_DATA).get(SITE)
     try:
         if value is not None:
-            outlook.restore(Hint.read(value).value)
+            outlook.restore(Hint.decode(value).value)
     except (RecordError, MessageError):
         return False
     return True
@@ -119,7 +119,7 @@
 def save_site_report(ledger: Ledger, outlook: CostEstimator, now: float) -> None:
     """Put what the outlook tells of its site on the disk, if it is time to."""
     if data := outlook.report_to_save(now):
-        ledger.put([Record(Kind.WARM, SITE, Hint(data, 0.0).pack())])
+        ledger.put([Record(RecordKind.WARM_DATA, SITE, Hint(data, 0.0).encode())])
 
 
 class RecoveryAdapter:
@@ -146,22 +146,25 @@
             and not restore_site_report(ledger, fleet.failover_cost)
         ):
             counters.add("recovery_malformed")
-        kept, records = recorded_loads(ledger.records(Kind.LOAD))
+        kept, records = recorded_loads(ledger.records(RecordKind.LOAD))
         known = _known(ledger)
-        boot, mark = (int.from_bytes(ledger.records(Kind.LIFE).get(key, b""), "big") for key in (BASE, MARK))
+        boot, mark = (
+            int.from_bytes(ledger.records(RecordKind.INCARNATION).get(key, b""), "big")
+            for key in (BASE, MARK)
+        )
         base = boot * BASE_PER_BOOT + mark if boot else 0
         whole = MemoryState.INTACT if base else MemoryState.STALE
-        memory = whole if ledger.memory is ledger_of.Memory.KEPT else MemoryState.EMPTY
+        memory = whole if ledger.completeness is Completeness.COMPLETE else MemoryState.EMPTY
         guards, hold = guarded_classes(installation), hold_ms_of(installation)
         self.hold_ms, self.hop = hold, hop
         self.survey = MembershipSurvey(
             file.number,
             file.dispatchers,
             dict(enumerate(file.peers.zones)) if file.peers is not None else {},
-            ledger.boot,
+            ledger.boot_count,
             secrets.randbits(32),
             memory,
-            ledger.clean,
+            ledger.closed_cleanly,
             {number: boot for number, (boot, _) in known.items()},
             now,
             SurveySettings(hold_ms=hold),
@@ -171,7 +174,7 @@
         self.history = LoadHistory(
             file.number,
             file.dispatchers,
-            ledger.boot,
+            ledger.boot_count,
             now,
             kept,
             LoadHistorySettings(hold),
@@ -199,7 +202,13 @@
         self.silent: dict[int, ProvenSilence] = {}
         self.silent_at = -MOST_MS
         self.reported_loss = OutageVerdict.NOTHING, frozenset[str]()  # the loss that the fleet was told of
-        note("recovered", boot=ledger.boot, memory=MEMORY_NAMES[memory], why=ledger.reason, loads=len(kept))
+        note(
+            "recovered",
+            boot=ledger.boot_count,
+            memory=MEMORY_NAMES[memory],
+            why=ledger.reason,
+            loads=len(kept),
+        )
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -245,7 +254,7 @@
         health = self.ledger.health(self.ledger.clock())
         return {
             "recovery": {
-                "boot": self.ledger.boot,
+                "boot": self.ledger.boot_count,
                 "memory": MEMORY_NAMES[self.survey.memory],
                 "confirmed": self.survey.has_confirmed_memory(),
                 "marks": self.survey.base % BASE_PER_BOOT,
@@ -317,15 +326,15 @@
                 case RaiseBoot(least):
                     self.counters.add("boots_raised")
                     self.note("boot", least=least, memory=MEMORY_NAMES[self.survey.memory])
-                    self.ledger.raise_boot(least)
-                    self.survey.on_boot_stored(self.clock.now(), self.ledger.boot)
+                    self.ledger.raise_boot_count(least)
+                    self.survey.on_boot_stored(self.clock.now(), self.ledger.boot_count)
                     self._live_on()
                 case DuplicateIdentity(later):
                     self.counters.add("twice")
                     self.note("twice", later=later)
                 case PeerBootLearned(number, boot, base):
                     hint = Hint(boot.to_bytes(8, "big") + base.to_bytes(8, "big"), 0.0)
-                    self.ledger.put([Record(Kind.MEMBER, number.to_bytes(2, "big"), hint.pack())])
+                    self.ledger.put([Record(RecordKind.MEMBER, number.to_bytes(2, "big"), hint.encode())])
                 case StoreBase(base):
                     self._base(base)
 
@@ -336,9 +345,11 @@
             self.hop(lambda: self._based(base, durable))
 
         if base:
-            self.ledger.settle()
+            self.ledger.mark_complete()
         parts = zip((BASE, MARK), divmod(base, BASE_PER_BOOT), strict=True)
-        self.ledger.put([Record(Kind.LIFE, key, part.to_bytes(8, "big")) for key, part in parts], done)
+        self.ledger.put(
+            [Record(RecordKind.INCARNATION, key, part.to_bytes(8, "big")) for key, part in parts], done
+        )
 
     def _based(self, base: int, durable: bool) -> None:
         if durable:
@@ -390,9 +401,9 @@
 def _known(ledger: Ledger) -> dict[int, tuple[int, int]]:
     """Boots and bases of the others, as far as the folder can be read: hints."""
     known = {}
-    for key, value in ledger.records(Kind.MEMBER).items():
+    for key, value in ledger.records(RecordKind.MEMBER).items():
         try:
-            hint = Hint.read(value).value
+            hint = Hint.decode(value).value
         except RecordError:
             continue
         known[int.from_bytes(key, "big")] = int.from_bytes(hint[:8], "big"), int.from_bytes(hint[8:16], "big")
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -8,18 +8,14 @@
 
 from cottonhold.backend.attempt import Attempt
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.admission.loads import admission_draw, density_of_step
-from cottonhold.fleet.coordinator import (
-    Action,
-    EngineBounds,
-    FleetCoordinator,
-    FleetSettings,
-    SendMessage,
-    ThresholdUpdate,
-)
+from cottonhold.fleet.admission.demand import density_of_step
+from cottonhold.fleet.admission.demand_sharing import admission_draw
+from cottonhold.fleet.coordinator import Action, FleetCoordinator, FleetSettings, SendMessage, ThresholdUpdate
+from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.projection import Projection
-from cottonhold.fleet.recovery.slow_start import SlowStartSettings, first_prober
+from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings, PhaseChange
 from cottonhold.fleet.zone_failover.failure_evidence import EvidenceSettings
 from cottonhold.fleet.zone_failover.operator_overrides import MODE_NAMES
@@ -148,7 +144,7 @@
             tables, told = self.sets.get(attempt.request_id, (-1, 0.0))
             beyond = event.actual_work_ms - told if told > 0 and event.actual_work_ms > 0 else None
             zone = self.coordinator.zone_of.get(attempt.engine, "")
-            self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), beyond=beyond)
+            self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), excess_work_ms=beyond)
         self.coordinator.on_attempt_ended(now, _ref(attempt), good, event.elapsed_ms, event.actual_work_ms)
 
     def on_request_closed(self, ref: str) -> None:
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -36,7 +36,7 @@
     unavailable_guard,
 )
 from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
-from cottonhold.fleet_adapters.session_affinity import PinsRim
+from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
 from cottonhold.membership.codec import Status
 from cottonhold.node import consul_client, status
@@ -45,8 +45,9 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import Engine, EngineState, HealthCheckCompleted, Outcome
-from cottonhold.store.ledger import Ledger, StoreBusy
-from cottonhold.store.records import Kind
+from cottonhold.store.health import StoreBusyError
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import RecordKind
 
 if TYPE_CHECKING:
     from cottonhold.observe.metrics import Metrics, Readings
@@ -85,7 +86,7 @@
         self.fleet: ZoneFailoverAdapter | None = None
         self.recovery: RecoveryAdapter | None = None
         self.swap: SwapRim | None = None
-        self.pins: PinsRim | None = None
+        self.pins: SessionAffinityAdapter | None = None
         self.remembered: EngineCache | None = None
         self.began = self.event_loop.clock.now()
         self.ledger_why = ""
@@ -108,7 +109,7 @@
         if self.opening.waits(SLOW_S):
             why = f"{self.installation.file.state_dir}: the disk has not answered yet"
         elif error is not None:
-            self.counters.add("ledger_busy" if isinstance(error, StoreBusy) else "ledger_faults")
+            self.counters.add("ledger_busy" if isinstance(error, StoreBusyError) else "ledger_faults")
             why = str(error)
         if why and why != self.ledger_why:
             self.ledger_why = why
@@ -137,11 +138,11 @@
         """Refuse loads, and see again whether the folder can be had."""
         if self.unkept is None:
             error = self.opening.error if self.opening.over else None
-            found = error.kept if error is not None else {}
-            loads = found.get(Kind.LOAD, {})
+            found = error.records if error is not None else {}
+            loads = found.get(RecordKind.LOAD, {})
             self.unkept = unavailable_guard(self.installation, loads, self.event_loop.clock, self.counters)
             self.gateway.notifications.load_guard = self.unkept
-            self._hold_drained(found.get(Kind.DRAIN, {}))
+            self._hold_drained(found.get(RecordKind.ENGINE_DRAIN, {}))
         if self.opening.over:
             self.event_loop.clock.call_in(LEDGER_MS, self._open_again)
         else:
@@ -170,7 +171,7 @@
         file = self.installation.file
         if fleet is not None and file.sources:
             # Without the ramp nobody would await the answer that proves what is remembered.
-            self.remembered = EngineCache(ledger.records(Kind.ENGINE), self.config.names)
+            self.remembered = EngineCache(ledger.records(RecordKind.ENGINE_ADDRESS), self.config.names)
             # Danger: an engine may stand in a remembered list that is drained since then.
             self.recovery.has_other_prerequisites = self._listed
             self.counters.add("recovery_malformed", self.remembered.malformed)
@@ -215,7 +216,7 @@
         swap: SwapRim,
     ) -> None:
         """Loads with a key begin where that is owned."""
-        self.pins = PinsRim(
+        self.pins = SessionAffinityAdapter(
             self.installation,
             ledger,
             membership.instance.swim,
@@ -247,7 +248,7 @@
             make_instance(
                 self.installation,
                 clock.now(),
-                BOOT_STEP * ledger.boot if ledger is not None else int(clock.unix()),
+                BOOT_STEP * ledger.boot_count if ledger is not None else int(clock.unix()),
             ),
             clock,
             self.counters,
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -16,7 +16,7 @@
 
 from cottonhold.discovery.model import Address, Change, Names
 from cottonhold.fleet import engine_drain
-from cottonhold.fleet.admission import loads
+from cottonhold.fleet.admission import demand_messages
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.consensus import acceptor, messages
 from cottonhold.fleet.consensus.actions import PersistState
@@ -40,8 +40,8 @@
 from cottonhold.membership.codec import Codec, Keys, Kind, Status, Update, encode_update
 from cottonhold.node import sibling_processes
 from cottonhold.scheduler import peer_messages
+from cottonhold.scheduler.engine_state import EngineView, RemainingWork
 from cottonhold.scheduler.events import Engine
-from cottonhold.scheduler.state import EngineView
 from cottonhold.store import boot_file, records
 from cottonhold.store.ledger import Ledger
 from tests.conformance.golden import RECORD
@@ -51,7 +51,7 @@
 BALLOT = Ballot(7, 0x1122334455667788)
 STATE = AcceptedState(Ballot(6, 0x99), 5, b"a value", (0xAA, 3))
 IDENTITY = bytes(range(16))
-HEAD = forwarding.Head(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
+HEAD = forwarding.RequestHeader(0x1234567800000009, 0x1234567, 0x55, 1.25, 987.654, 8)
 KEYS = Keys({3: b"a shared key"}, 3)
 
 
@@ -102,8 +102,11 @@
 def price_loads() -> bytes:
     """Two instances' loads."""
     busy = ReportedLoad({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
-    return loads.encode_demand_reports(
-        [loads.DemandReport(MEMBER, LIFE, VERSION, busy), loads.DemandReport(2, 3, 4, ReportedLoad({}))]
+    return demand_messages.encode_demand_reports(
+        [
+            demand_messages.DemandReport(MEMBER, LIFE, VERSION, busy),
+            demand_messages.DemandReport(2, 3, 4, ReportedLoad({})),
+        ]
     )
 
 
@@ -169,8 +172,8 @@
 def handed_request(named: bool) -> bytes:
     """A request as it is handed on."""
     names = ("acme", "key-1") if named else ("", "")
-    return request_codec.pack_request(
-        request_codec.Handed("r1", "load", "k1", 250.5, 64.0, -1, True, b"INSERT 1", 77, *names)
+    return request_codec.encode_request(
+        request_codec.ForwardedRequest("r1", "load", "k1", 250.5, 64.0, -1, True, b"INSERT 1", 77, *names)
     )
 
 
@@ -205,22 +208,22 @@
 
 def peer_work() -> bytes:
     """What a gateway has on two engines, as its peers are told."""
-    busy = EngineView("e1", Engine("e1"), 8.0, 16_000.0, code=0x01020304)
-    busy.threads_out, busy.memory_out, busy.held_area = 300, 1234.5, 5678.9
-    busy.left[0.5] = (1000.0, 2.0)
-    idle = EngineView("e2", Engine("e2"), 8.0, 16_000.0, code=5)
-    return peer_messages.pack_work(12.5, [busy, idle])
+    busy = EngineView("e1", Engine("e1"), 8.0, 16_000.0, id_hash=0x01020304)
+    busy.threads_in_flight, busy.memory_in_flight_mb, busy.queued_thread_ms = 300, 1234.5, 5678.9
+    busy.remaining_by_density[0.5] = RemainingWork(1000.0, 2.0)
+    idle = EngineView("e2", Engine("e2"), 8.0, 16_000.0, id_hash=5)
+    return peer_messages.encode_work(12.5, [busy, idle])
 
 
 def peer_load() -> bytes:
     """A load that a gateway sent, as its peers are told."""
-    engine = EngineView("e1", Engine("e1"), 8.0, 16_000.0, code=0x01020304)
-    return peer_messages.pack_load(engine, 0x12345, 2750.25)
+    engine = EngineView("e1", Engine("e1"), 8.0, 16_000.0, id_hash=0x01020304)
+    return peer_messages.encode_load_sent(engine, 0x12345, 2750.25)
 
 
 def load_record(state: records.LoadState) -> bytes:
     """A load as the ledger keeps it."""
-    return records.LoadRecord(IDENTITY, "r1", "k1", b"digest", "e1", 9, 1234.5, state, 2345.75).pack()
+    return records.LoadRecord(IDENTITY, "r1", "k1", b"digest", "e1", 9, 1234.5, state, 2345.75).encode()
 
 
 def kept(actions: list[object]) -> bytes:
@@ -278,11 +281,11 @@
 
 def kinds() -> bytes:
     """The numbers of all kinds of records, and of a load's states."""
-    return bytes(int(kind) for kind in records.Kind) + bytes(int(state) for state in records.LoadState)
+    return bytes(int(kind) for kind in records.RecordKind) + bytes(int(state) for state in records.LoadState)
 
 
-PARTS = forwarding.Part(HEAD, 1, 200, bytes(200 - forwarding.PART_ROOM))
-ANSWERED = forwarding.Answer(9, 7, forwarding.End.FAILED, 12.5, 5, 0, b"12345")
+PARTS = forwarding.RequestFragment(HEAD, 1, 200, bytes(200 - forwarding.REQUEST_FRAGMENT_BYTES))
+ANSWERED = forwarding.AnswerFragment(9, 7, forwarding.ForwardResult.FAILED, 12.5, 5, 0, b"12345")
 CASES: dict[str, Callable[[], bytes]] = {
     "membership ping with updates": lambda: datagram(Kind.PING, 7, updates()),
     "membership ping under a key": lambda: datagram(Kind.PING, 7, b"", KEYS),
@@ -350,20 +353,22 @@
     "pins refuse": lambda: affinity_messages.encode_notice(affinity_messages.REFUSE, False, MEMBER, 7),
     "pins done answer": lambda: affinity_messages.encode_notice(affinity_messages.ANNOUNCED, True, MEMBER, 7),
     "pins table": affinity_table,
-    "forwarding probe": lambda: forwarding.pack(forwarding.Probe(7)),
-    "forwarding life": lambda: forwarding.pack(forwarding.Lives(7, 8, 9)),
-    "forwarding part": lambda: forwarding.pack(PARTS),
-    "forwarding withdraw": lambda: forwarding.pack(forwarding.Withdraw(HEAD, True)),
-    "forwarding ack": lambda: forwarding.pack(forwarding.Ack(9, 7, 5, forwarding.State.GONE, 0x105)),
-    "forwarding answer": lambda: forwarding.pack(ANSWERED),
-    "forwarding got": lambda: forwarding.pack(forwarding.Got(9, True, 0x3)),
-    "forwarding number": lambda: forwarding.number_of(LIFE, 9).to_bytes(8, "big"),
-    "forwarding ends": lambda: bytes(int(end) for end in forwarding.End),
-    "forwarding states": lambda: bytes(int(state) for state in forwarding.State),
+    "forwarding probe": lambda: forwarding.encode(forwarding.IncarnationQuery(7)),
+    "forwarding life": lambda: forwarding.encode(forwarding.IncarnationReply(7, 8, 9)),
+    "forwarding part": lambda: forwarding.encode(PARTS),
+    "forwarding withdraw": lambda: forwarding.encode(forwarding.WithdrawRequest(HEAD, True)),
+    "forwarding ack": lambda: forwarding.encode(
+        forwarding.RequestAck(9, 7, 5, forwarding.RequestState.CANCELLED, 0x105)
+    ),
+    "forwarding answer": lambda: forwarding.encode(ANSWERED),
+    "forwarding got": lambda: forwarding.encode(forwarding.AnswerAck(9, True, 0x3)),
+    "forwarding number": lambda: forwarding.request_number(LIFE, 9).to_bytes(8, "big"),
+    "forwarding ends": lambda: bytes(int(end) for end in forwarding.ForwardResult),
+    "forwarding states": lambda: bytes(int(state) for state in forwarding.RequestState),
     "forwarded request": lambda: handed_request(False),
     "forwarded request with names": lambda: handed_request(True),
-    "forwarded rows": lambda: request_codec.pack_rows([[b"a", b"", b"c" * 300], []]),
-    "pin of a key": lambda: request_codec.pin_key("k1"),
+    "forwarded rows": lambda: request_codec.encode_rows([[b"a", b"", b"c" * 300], []]),
+    "pin of a key": lambda: request_codec.affinity_key("k1"),
     "replacement register": plan_register,
     "replacement machine register": machine_register,
     "replacement register name": lambda: plan.register("a machine with a long name").encode(),
@@ -375,15 +380,15 @@
         f"ledger load state {int(state)}": lambda state=state: load_record(state)  # type: ignore[misc]
         for state in records.LoadState
     },
-    "ledger life": lambda: records.LifeRecord(9, 10, True).pack(),
-    "ledger hint": lambda: records.Hint(b"anything", 12.5).pack(),
+    "ledger life": lambda: records.IncarnationRecord(9, 10, True).encode(),
+    "ledger hint": lambda: records.Hint(b"anything", 12.5).encode(),
     "ledger voter": voter_records,
     "ledger pins table": standing_record,
     "ledger pin": pin_records,
     "ledger engine": engine_records,
     "ledger drained engine": drain_records,
-    "boot file": lambda: boot_file.Life(9, 3, 77).pack(),
-    "boot file of an open life": lambda: boot_file.Life(9, 3, -1).pack(),
+    "boot file": lambda: boot_file.BootFile(9, 3, 77).encode(),
+    "boot file of an open life": lambda: boot_file.BootFile(9, 3, -1).encode(),
     "seat record": lambda: sibling_processes.ProcessRecord(5, 6, 7, True).encode(),
     "connection ids": lambda: ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
 }
@@ -402,10 +407,10 @@
     """A ledger's files, the database's tables and rows, and the sizes kept ready."""
     ledger = Ledger.open(folder, "n1")
     durable = threading.Event()
-    ledger.settle(lambda well: durable.set())
+    ledger.mark_complete(lambda well: durable.set())
     assert durable.wait(10.0)
-    load = records.Record(records.Kind.LOAD, IDENTITY, load_record(records.LoadState.SENT))
-    ledger.put([load, records.LifeRecord(1, 2, True).record()])
+    load = records.Record(records.RecordKind.LOAD, IDENTITY, load_record(records.LoadState.SENT))
+    ledger.put([load, records.IncarnationRecord(1, 2, True).to_record()])
     ledger.close(clean=True)
     names = sorted(path.name for path in folder.iterdir())
     log_bytes = (folder / "n1.1.db-wal").stat().st_size  # read now: sqlite3 takes the log away
