--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -21,9 +21,9 @@
     encode_close_result,
     encode_execute,
     encode_fetch_page,
-    encode_load_report_request,
 )
-from cottonhold.backend.health_check import HealthCheck, LivenessBudget
+from cottonhold.backend.health_check import LivenessBudget
+from cottonhold.backend.health_checker import HealthChecker
 from cottonhold.backend.resp import decode_count, decode_rows
 from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, Change
@@ -72,10 +72,15 @@
         self.endpoints_in_use: dict[str, EngineEndpoint] = {}  # with connections when last checked
         self.connect: Connect
         self.listener: AttemptListener
-        self.health_check_count = 0
         self.max_connections, self.open_connections = max_connections, 0
         self.liveness_budget = LivenessBudget()
-        self.last_health_check_ms = 0.0  # duration of the last health check that ended
+        self.health_checker = HealthChecker(
+            clock,
+            counters,
+            lambda: self.settings.connect_timeout_ms,
+            self.check_health,
+            lambda engine, outcome, report: self.listener.on_health_check_completed(engine, outcome, report),
+        )
         clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
 
     def apply(self, change: Change) -> None:
@@ -157,7 +162,7 @@
                 self.log(f"engine {endpoint.engine.id}: {type(error).__name__}: {error}")
         for connection in sorted(quiet, key=lambda c: c.silent_since):
             if self.liveness_budget.take(self.settings.health_check_cost):
-                self._send_health_check(connection, is_awaited=False)
+                self.health_checker.send(connection, is_awaited=False)
 
     def _needs_liveness_check(self, endpoint: EngineEndpoint, connection: Connection, now: float) -> bool:
         """Abandon a connection that has failed; whether one ought to get a liveness check."""
@@ -328,7 +333,7 @@
         if check := connection.health_checks.pop(answer.request_id, None):
             if check.is_awaited:
                 outcome = Outcome.ERROR if answer.kind == FAILED_HEALTH_CHECK else Outcome.OK
-                self._end_health_check(check, outcome, decode_load_report(answer.fields))
+                self.health_checker.end(check, outcome, decode_load_report(answer.fields))
             return
         attempt = connection.attempts.get(answer.request_id)
         if attempt is None:
@@ -383,7 +388,7 @@
         never_ran = Outcome.OVERLOADED if connection.lacked_local_resources else Outcome.CONNECT_FAILED
         for check in list(connection.health_checks.values()):
             if check.is_awaited:
-                self._end_health_check(check, Outcome.RESET if connection.is_up else never_ran)
+                self.health_checker.end(check, Outcome.RESET if connection.is_up else never_ran)
         for attempt in list(connection.attempts.values()):
             self._end(attempt, Outcome.RESET if attempt.is_written else never_ran)
 
@@ -392,7 +397,7 @@
         endpoint = self._open_endpoint(engine)
         connection = self._connection(endpoint, b"") if endpoint is not None else None
         if connection is not None:
-            self._send_health_check(connection)
+            self.health_checker.send(connection)
         return connection is not None
 
     def check_liveness(self, engine: str, callback: Callable[[bool], None]) -> bool:
@@ -405,7 +410,7 @@
             return False
         connection = self._connection(endpoint, b"")
         if connection is not None:
-            self._send_health_check(connection, callback=callback)
+            self.health_checker.send(connection, callback=callback)
         return connection is not None
 
     def attempts_in_flight(self, engine: str) -> int:
@@ -413,57 +418,6 @@
         endpoint = self.endpoints.get(engine)
         return sum(len(c.attempts) for c in endpoint.connections) if endpoint is not None else 0
 
-    def _send_health_check(
-        self,
-        connection: Connection,
-        is_awaited: bool = True,
-        callback: Callable[[bool], None] | None = None,
-    ) -> None:
-        self.health_check_count += 1
-        tag = b"t%d" % self.health_check_count
-        check = HealthCheck(
-            connection.engine,
-            self.clock.now(),
-            connection.answer_count,
-            was_connecting=not connection.is_up,
-            is_awaited=is_awaited,
-            callback=callback,
-        )
-        connection.health_checks[tag] = check
-        self.counters.add("probes_sent")
-        connection.enqueue(encode_load_report_request(tag))
-        if is_awaited:
-            timeout_ms = self.settings.connect_timeout_ms
-            check.timer = self.clock.call_in(
-                timeout_ms, lambda: self._on_health_check_late(connection, check)
-            )
-
-    def _on_health_check_late(self, connection: Connection, check: HealthCheck) -> None:
-        """A health check lacks its answer. From now on it counts for its connection only.
-
-        One silent connection is no evidence against the engine: where other answers arrive it lives, else it
-        is checked on a new connection.
-        """
-        if not check.is_awaited:
-            return
-        if check.answers_before != connection.answer_count:
-            self._end_health_check(check, Outcome.OK)
-        elif check.was_connecting or check.callback is not None or not self.check_health(check.engine):
-            self._end_health_check(check, Outcome.TIMEOUT)
-        check.is_awaited = False
-
-    def _end_health_check(
-        self, check: HealthCheck, outcome: Outcome, report: dict[str, float] | None = None
-    ) -> None:
-        if check.timer is not None:
-            check.timer.cancel()
-        self.counters.add(f"probes_{outcome.value}")
-        if check.callback is not None:
-            check.callback(outcome is Outcome.OK)
-            return
-        self.last_health_check_ms = self.clock.now() - check.sent_at
-        self.listener.on_health_check_completed(check.engine, outcome, report or {})
-
     def on_malformed_answer(self, reason: str) -> None:
         """What an engine sent that makes no sense is counted, logged and survived."""
         self.counters.add("engine_malformed")
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -88,18 +88,23 @@
         self.gateway.send_to_peer = self.send_to_peer
         self.engine_catalog = Belief(sources, config.seed, clock.unix_offset)
         self.catalog_timer: Timer | None = None
-        host = config.event_stream.host if config.event_stream else ""
-        self.event_stream = Bus(
-            host,
+        self.event_stream = self._new_event_stream()
+        self.shutdown_requested, self.is_serving = asyncio.Event(), False
+        self.event_stream_task: asyncio.Task[None] | None = None
+
+    def _new_event_stream(self) -> Bus:
+        config = self.config
+        event_stream = Bus(
+            config.event_stream.host if config.event_stream else "",
             config.event_offset,
             config.names,
-            counters,
+            self.counters,
             lambda report: self.on_discovery_events([report]),
-            say,
+            self.log.say,
         )
-        self.event_stream.current = lambda: self.engine_catalog.current(clock.now(), SOURCE)
-        self.shutdown_requested, self.is_serving = asyncio.Event(), False
-        self.event_stream_task: asyncio.Task[None] | None = None
+        clock = self.event_loop.clock
+        event_stream.current = lambda: self.engine_catalog.current(clock.now(), SOURCE)
+        return event_stream
 
     def send_to_peer(self, message: SendToPeer) -> None:
         """Send a message to a peer."""
@@ -283,13 +288,10 @@
             self.log.say(f"reload: the configuration stays as it is: {error}")
             return
         self.counters.add("reloads")
-        was, now = ({cls.name for cls in c.settings.classes} for c in (self.config, config))
-        self.log.note("reloaded", classes=len(now), added=",".join(now - was), dropped=",".join(was - now))
+        self._log_reload(config)
         self.config = config
-        self.engines.settings, self.event_loop.connector.timeout_s = (
-            config.connections,
-            config.connections.connect_timeout_ms / 1000,
-        )
+        self.engines.settings = config.connections
+        self.event_loop.connector.timeout_s = config.connections.connect_timeout_ms / 1000
         self.apply_settings()
         if config.event_stream is None:
             return
@@ -300,6 +302,13 @@
                 self.event_loop.event_stream.follow(self.event_stream, config.event_stream)
             )
 
+    def _log_reload(self, config: Config) -> None:
+        """Log which classes the new configuration adds and drops."""
+        before = {cls.name for cls in self.config.settings.classes}
+        after = {cls.name for cls in config.settings.classes}
+        added, dropped = ",".join(after - before), ",".join(before - after)
+        self.log.note("reloaded", classes=len(after), added=added, dropped=dropped)
+
     def begin_shutdown(self) -> None:
         """Shut down: from now on, not from when the loop comes to it."""
         max_deadline_ms = max(cls.deadline_ms for cls in self.gateway.settings.classes)
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -298,7 +298,7 @@
         if self.fleet is not None:
             self.fleet.on_health_check(engine, outcome)
             if outcome is Outcome.OK:
-                self.fleet.on_health_check_time(engine, self.engines.last_health_check_ms)
+                self.fleet.on_health_check_time(engine, self.engines.health_checker.last_duration_ms)
 
     def apply_settings(self) -> None:
         """As the dispatcher does; the parts of budgets follow as well."""
