--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -22,8 +22,8 @@
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet_adapters.load_records import NEVER_RAN
 from cottonhold.node.clock import Clock
-from cottonhold.node.gateway import Gateway, LoadGuard, Past, Taken
-from cottonhold.node.gateway import Settled as Tell
+from cottonhold.node.gateway import ClientRequest, Gateway, LoadGuard, LoadOutcome
+from cottonhold.node.gateway import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 
@@ -70,7 +70,7 @@
     def on_request_ended(self, key: bytes, load: int, known: bool) -> None:
         """A request has ended."""
 
-    def forward(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
+    def forward(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
         """Forward a request to a member, in a round of its key; KeyedLoadGuard.on_forwarding_ended gets the
         result.
         """
@@ -105,7 +105,7 @@
     """
 
     number: int
-    client_request: Taken
+    client_request: ClientRequest
     key: bytes
     deadline: float
     wait_deadline: float
@@ -150,29 +150,31 @@
         """Whether requests of a class are remembered."""
         return self.loads.guards(query_class)
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """A load has come; one with a key begins only where that is owned."""
-        if taken.key is None:
-            self.loads.came(taken, until, settled)
+        if taken.ordering_key is None:
+            self.loads.on_load_arrived(taken, until, settled)
             return
         now = self.clock.now()
-        remote = self.origin_rounds.get(taken.ref)
+        remote = self.origin_rounds.get(taken.request_id)
         patience = max(
             min(until - RETRY_RESERVE_MS, now + (MAX_FORWARDED_WAIT_MS if remote else MAX_WAIT_MS)), now
         )
         request = KeyedRequest(
-            next(self.numbers), taken, affinity_key(taken.key), until, patience, settled, remote
+            next(self.numbers), taken, affinity_key(taken.ordering_key), until, patience, settled, remote
         )
-        self.requests[taken.ref] = request
+        self.requests[taken.request_id] = request
         # A request must not overtake others of its key that wait for an owner.
         if request.key in self.queues or not self._place(request):
             self._enqueue(request)
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """An attempt goes out only while its key is owned, also once the disk has taken it."""
-        request = self.requests.get(attempt.query)
+        request = self.requests.get(attempt.request_id)
         if request is None:
-            self.loads.sending(attempt, taken, kept)
+            self.loads.before_attempt_sent(attempt, taken, kept)
             return
         request.is_in_flight = True
         if not self.router.is_owner(request.key):
@@ -186,21 +188,21 @@
             else:
                 kept(durable)
 
-        self.loads.sending(attempt, request.client_request, remembered)
+        self.loads.before_attempt_sent(attempt, request.client_request, remembered)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
-        self.loads.ended(attempt, outcome)
-        request = self.requests.get(attempt.query)
+        self.loads.on_attempt_ended(attempt, outcome)
+        request = self.requests.get(attempt.request_id)
         if request is not None:
             request.is_in_flight = False
             request.outcome_known = request.outcome_known and outcome in KNOWN_OUTCOMES
             if request.is_closed:
                 self._end(request)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
-        self.loads.closed(ref)
+        self.loads.on_request_closed(ref)
         request = self.requests.get(ref)
         if request is None:
             return
@@ -222,16 +224,18 @@
             try:
                 rows = decode_rows(ended.data)
             except MessageError:
-                request.settled(Past.MAY, 0.0)
+                request.settled(LoadOutcome.MAY_HAVE_RUN, 0.0)
                 return
-            self.gateway.end(ended.request_id, "served", lambda client: client.served(rows))
+            self.gateway.finish_without_attempt(
+                ended.request_id, "served", lambda client: client.complete(rows)
+            )
         elif ended.result is ForwardResult.FAILED:
-            request.settled(Past.MAY, 0.0)
+            request.settled(LoadOutcome.MAY_HAVE_RUN, 0.0)
         elif ended.result is ForwardResult.NOT_OWNER and self.clock.now() < request.wait_deadline:
             self._on_not_owner(request, ended)
             self._enqueue(request)
         else:
-            request.settled(Past.LATER, ended.retry_after_ms or self.router.retry_after_ms)
+            request.settled(LoadOutcome.UNKNOWN_YET, ended.retry_after_ms or self.router.retry_after_ms)
         self.place_waiting(request.key)
 
     def _on_not_owner(self, request: KeyedRequest, ended: ForwardingEnded) -> None:
@@ -312,7 +316,7 @@
         if isinstance(route, OwnedHere):
             request.is_opened = True
             self.router.on_request_opened(request.key, request.number)
-            self.loads.came(request.client_request, request.deadline, request.settled)
+            self.loads.on_load_arrived(request.client_request, request.deadline, request.settled)
             return True
         if not target or request.origin_round:
             return False
@@ -337,7 +341,7 @@
         forwarding_round.open_count += 1
         request.owner = target
         client_request = request.client_request
-        deadline = client_request.taken_at + client_request.allow - ANSWER_RESERVE_MS
+        deadline = client_request.arrived_at + client_request.timeout_ms - ANSWER_RESERVE_MS
         self.router.forward(client_request, target, request.key, deadline, forwarding_round.number)
 
     def _target(self, key: bytes, owner: int) -> int:
@@ -361,7 +365,7 @@
         """Return a request that was forwarded to here, and with it all later ones of its round."""
         if request.origin_round is None:
             return
-        self.owners_by_returned[request.client_request.ref] = owner
+        self.owners_by_returned[request.client_request.request_id] = owner
         self.returned_rounds.pop((request.origin_round[0], request.key), None)
         self.returned_rounds[request.origin_round[0], request.key] = request.origin_round[1]
         if len(self.returned_rounds) > MAX_HINTS:
@@ -370,7 +374,7 @@
     def _retry_later(self, request: KeyedRequest) -> None:
         self.counters.add("pins_later")
         self._return_round(request, request.known_owner)
-        request.settled(Past.LATER, self.router.retry_after_ms)
+        request.settled(LoadOutcome.UNKNOWN_YET, self.router.retry_after_ms)
 
     def _stop_attempt(self, request: KeyedRequest, kept: Callable[[bool], None]) -> None:
         """The attempt may not be sent from here any more."""
@@ -382,10 +386,12 @@
         self.counters.add("pins_turned_back")
         self._return_round(request, 0)
         back = self.router.retry_after_ms
-        self.gateway.end(request.client_request.ref, "refused", lambda client: client.refused(back))
+        self.gateway.finish_without_attempt(
+            request.client_request.request_id, "refused", lambda client: client.reject(back)
+        )
 
     def _end(self, request: KeyedRequest) -> None:
-        self.requests.pop(request.client_request.ref, None)
+        self.requests.pop(request.client_request.request_id, None)
         self._dequeue(request)
         if request.is_opened:
             self.router.on_request_ended(request.key, request.number, request.outcome_known)
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -12,13 +12,14 @@
 from cottonhold.backend.connection_pool import Attempt
 from cottonhold.fleet.recovery.load_history import Action, LoadHistory, LoadSettled
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
-from cottonhold.node.gateway import Past, Taken
-from cottonhold.node.gateway import Settled as Tell
+from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.gateway import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.scheduler.settings import Idempotency, Settings
-from cottonhold.store.ledger import Ledger, State
-from cottonhold.store.records import Kind, LoadRecord, LoadState, Record, forget_loads, loads
+from cottonhold.store.health import DiskState
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import LoadRecord, LoadState, Record, RecordKind, decode_loads, evict_loads
 
 NEVER_RAN = (
     None,
@@ -27,15 +28,15 @@
     Outcome.ALREADY_FINISHED,
 )  # what proves that it never ran
 STATES = {
-    LoadResult.SUCCEEDED: LoadState.WELL,
+    LoadResult.SUCCEEDED: LoadState.COMPLETED,
     LoadResult.FAILED: LoadState.FAILED,
-    LoadResult.NEVER_RAN: LoadState.NEVER,
+    LoadResult.NEVER_RAN: LoadState.NEVER_SENT,
 }
 ENDS = {
     LoadState.SENT: None,
-    LoadState.WELL: LoadResult.SUCCEEDED,
+    LoadState.COMPLETED: LoadResult.SUCCEEDED,
     LoadState.FAILED: LoadResult.FAILED,
-    LoadState.NEVER: LoadResult.NEVER_RAN,
+    LoadState.NEVER_SENT: LoadResult.NEVER_RAN,
 }
 FORGET_MS = 1000.0
 
@@ -48,9 +49,9 @@
 
 def recorded_loads(folder: Mapping[bytes, bytes]) -> tuple[list[RecordedLoad], dict[bytes, LoadRecord]]:
     """What the folder remembers of loads; one that can't be read may have run."""
-    found = loads(folder)
-    known = [RecordedLoad(load, ENDS.get(record.state)) for load, record in found.known.items()]
-    return [*known, *(RecordedLoad(load) for load in found.unread)], dict(found.known)
+    found = decode_loads(folder)
+    known = [RecordedLoad(load, ENDS.get(record.state)) for load, record in found.by_identity.items()]
+    return [*known, *(RecordedLoad(load) for load in found.unreadable)], dict(found.by_identity)
 
 
 class UnavailableLoadGuard:
@@ -72,29 +73,31 @@
         """Whether requests of a class would have to be remembered."""
         return query_class in self.classes
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """Told at once: to come later, or what is known of a retry."""
         self.counters.add("loads_unkept")
         known, now = LoadKnowledge.NOT_KNOWN_YET, self.now()
-        if taken.retry:
+        if taken.is_retry:
             # Danger: told to come later for as long as the folder could not be had, a client came back after
             # whoever had sent its load had forgotten it, and it ran again.
             known = self.memory.answer_unavailable(
-                now, load_identity(taken.service, taken.key or "", taken.body)
+                now, load_identity(taken.class_name, taken.ordering_key or "", taken.body)
             )
         settled(_past(known, self.classes[taken.query_class]), self.cooldown)
         if now - self.forgotten_at >= FORGET_MS:
             self.forgotten_at = now
             self.memory.local.expire(now, ())
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """One that was taken under another ledger."""
         kept(False)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """Nothing is kept."""
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """Nothing is kept."""
 
 
@@ -112,7 +115,7 @@
 class QueuedRequest:
     """A load that came behind a retry of its key which is still asked about."""
 
-    taken: Taken
+    taken: ClientRequest
     until: float
     settled: Tell
 
@@ -146,7 +149,7 @@
             str, deque[QueuedRequest]
         ] = {}  # by key: who came behind a retry that is asked about
         self.heads: dict[str, str] = {}  # ref of such a retry -> its key
-        self.state = State.WELL
+        self.state = DiskState.HEALTHY
 
     # --- the gateway's calls ---
 
@@ -154,51 +157,51 @@
         """Whether requests of a class are remembered."""
         return query_class in self.classes
 
-    def came(self, taken: Taken, until: float, settled: Tell) -> None:
+    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """A load has come; a retry is asked about."""
-        unkept, unheard = self._disk() is not State.WELL, not self.may_send()
-        if unkept or unheard and not taken.retry:
+        unkept, unheard = self._disk() is not DiskState.HEALTHY, not self.may_send()
+        if unkept or unheard and not taken.is_retry:
             self.counters.add("loads_unkept" if unkept else "loads_unheard")
             # Danger: told to come later without being noted, a client came back after its load was forgotten.
             known = (
                 self.memory.answer_unavailable(self.now(), self._identity(taken))
-                if taken.retry
+                if taken.is_retry
                 else LoadKnowledge.NOT_KNOWN_YET
             )
             settled(_past(known, self.classes[taken.query_class]), self.memory.settings.retry_after_ms)
             return
-        if taken.key is not None and taken.key in self.lines:
+        if taken.ordering_key is not None and taken.ordering_key in self.lines:
             # Danger: what came behind a retry that was still asked about went out before it, out of its
             # key's order.
             waiter = QueuedRequest(taken, until, settled)
-            self.lines[taken.key].append(waiter)
+            self.lines[taken.ordering_key].append(waiter)
             self.call_in(max(until - self.now(), 0.0), lambda: self._too_late(waiter))
         else:
             self._settle(taken, until, settled)
 
-    def _settle(self, taken: Taken, until: float, settled: Tell) -> None:
+    def _settle(self, taken: ClientRequest, until: float, settled: Tell) -> None:
         """The first of its key."""
-        if not taken.retry:
-            settled(Past.NEVER, 0.0)
+        if not taken.is_retry:
+            settled(LoadOutcome.NEVER_RAN, 0.0)
             return
         self.counters.add("loads_asked")
         load, said = self._identity(taken), self.classes[taken.query_class]
-        self.waiting[taken.ref] = settled, said
-        known = self.memory.on_retry(self.now(), taken.ref, load, until)
+        self.waiting[taken.request_id] = settled, said
+        known = self.memory.on_retry(self.now(), taken.request_id, load, until)
         if known is not None:
-            self._tell(taken.ref, known, self.memory.settings.retry_after_ms)
+            self._tell(taken.request_id, known, self.memory.settings.retry_after_ms)
             return
-        if taken.key is not None:
-            self.heads[taken.ref] = taken.key
-            self.lines[taken.key] = deque()
+        if taken.ordering_key is not None:
+            self.heads[taken.request_id] = taken.ordering_key
+            self.lines[taken.ordering_key] = deque()
         self.carry_out(())
 
     def _too_late(self, waiter: QueuedRequest) -> None:
         """One whose time ran out behind another."""
-        line = self.lines.get(waiter.taken.key or "", deque())
+        line = self.lines.get(waiter.taken.ordering_key or "", deque())
         if waiter in line:
             line.remove(waiter)
-            waiter.settled(Past.LATER, self.memory.settings.retry_after_ms)
+            waiter.settled(LoadOutcome.UNKNOWN_YET, self.memory.settings.retry_after_ms)
 
     def _go_on(self, ref: str) -> None:
         """A retry is no longer asked about: those behind it come next, up to the next such one."""
@@ -211,14 +214,16 @@
                 self.lines[key].extend(line)
                 return
 
-    def sending(self, attempt: Attempt, taken: Taken, kept: Callable[[bool], None]) -> None:
+    def before_attempt_sent(
+        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+    ) -> None:
         """Remember it, and say so once the disk has it."""
         now = self.now()
-        run = self.runs.setdefault(taken.ref, LoadRun(self._identity(taken)))
+        run = self.runs.setdefault(taken.request_id, LoadRun(self._identity(taken)))
         if not run.is_begun:
             # Danger: told to the memory only once durable, another instance that asks meanwhile would hear
             # 'never' of a load that is about to go out. So it counts as sent from here on.
-            if run.load in self.memory.granted and taken.retry:
+            if run.load in self.memory.granted and taken.is_retry:
                 self.memory.on_sent(now, run.load)
             elif not self.memory.begin(now, run.load):
                 self.counters.add("loads_asked_elsewhere")
@@ -227,13 +232,13 @@
             run.is_begun = True
         run.is_attempt_in_flight = True
         record = LoadRecord(
-            load=run.load,
-            ref=taken.ref,
-            key=taken.key or "",
-            digest=run.load[:8],
+            identity=run.load,
+            request_id=taken.request_id,
+            ordering_key=taken.ordering_key or "",
+            statement_digest=run.load[:8],
             engine=attempt.engine,
-            boot=self.ledger.boot,
-            sent_ms=now,
+            boot_count=self.ledger.boot_count,
+            sent_at_ms=now,
             state=LoadState.SENT,
         )
         self.records[run.load] = record
@@ -241,22 +246,22 @@
         def done(durable: bool) -> None:
             self.hop(lambda: kept(durable))
 
-        self.ledger.put([record.record()], done)
+        self.ledger.put([record.to_record()], done)
 
-    def ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
-        run = self.runs.get(attempt.query)
+        run = self.runs.get(attempt.request_id)
         if run is None:
             return
         run.is_attempt_in_flight = False
         if outcome not in NEVER_RAN:
             self._finish(
-                attempt.query, run, LoadResult.SUCCEEDED if outcome is Outcome.OK else LoadResult.FAILED
+                attempt.request_id, run, LoadResult.SUCCEEDED if outcome is Outcome.OK else LoadResult.FAILED
             )
         elif run.is_closed:
-            self._finish(attempt.query, run, LoadResult.NEVER_RAN)
+            self._finish(attempt.request_id, run, LoadResult.NEVER_RAN)
 
-    def closed(self, ref: str) -> None:
+    def on_request_closed(self, ref: str) -> None:
         """A request is over for its client."""
         self.waiting.pop(ref, None)
         self.memory.cancel(self.now(), ref)
@@ -269,8 +274,8 @@
 
     # --- inside ---
 
-    def _identity(self, taken: Taken) -> bytes:
-        return load_identity(taken.service, taken.key or "", taken.body)
+    def _identity(self, taken: ClientRequest) -> bytes:
+        return load_identity(taken.class_name, taken.ordering_key or "", taken.body)
 
     def _finish(self, ref: str, run: LoadRun, how: LoadResult) -> None:
         del self.runs[ref]
@@ -281,8 +286,8 @@
         record, entry = self.records.get(run.load), self.memory.local.entries.get(run.load)
         # Danger: two requests may be one load; a good end of the one must not hide that the other still runs.
         if record is not None and (entry is None or not entry.open_runs):
-            self.records[run.load] = ended = replace(record, state=STATES[how], ended_ms=now)
-            self.ledger.put([ended.record()])
+            self.records[run.load] = ended = replace(record, state=STATES[how], ended_at_ms=now)
+            self.ledger.put([ended.to_record()])
 
     def on_settled(self, action: LoadSettled) -> None:
         """The memory knows what became of a load that was asked about."""
@@ -296,7 +301,7 @@
         tell(_past(known, said), cooldown)
         self._go_on(ref)
 
-    def _disk(self) -> State:
+    def _disk(self) -> DiskState:
         """How the disk does; a change is told."""
         health = self.ledger.health(self.clock_ms())
         if health.state is not self.state:
@@ -312,26 +317,26 @@
             return
         self.forgotten_at = now
         self._disk()
-        found = forget_loads(
+        found = evict_loads(
             self.records.values(),
             now_ms=now,
-            boot=self.ledger.boot,
-            started_ms=self.started,
-            hold_ms=self.hold,
-            room=0,
+            boot_count=self.ledger.boot_count,
+            boot_started_at_ms=self.started,
+            retention_ms=self.hold,
+            free_slots=0,
         )
-        if found.early:
-            self.counters.add("loads_forgotten_early", found.early)
+        if found.early_count:
+            self.counters.add("loads_forgotten_early", found.early_count)
         # What the memory still holds may yet be asked about, also after a power loss.
-        keys = [key for key in found.keys if found.early or key not in self.memory.local.entries]
-        if keys and self.state is State.WELL:
+        keys = [key for key in found.keys if found.early_count or key not in self.memory.local.entries]
+        if keys and self.state is DiskState.HEALTHY:
             gone = {key: self.records.pop(key) for key in keys}
 
             def done(durable: bool) -> None:
                 if not durable:
                     self.hop(lambda: self._still_there(gone))
 
-            self.ledger.put([Record(Kind.LOAD, key, None) for key in keys], done)
+            self.ledger.put([Record(RecordKind.LOAD, key, None) for key in keys], done)
 
     def _still_there(self, gone: Mapping[bytes, LoadRecord]) -> None:
         """The disk did not forget them."""
@@ -339,11 +344,11 @@
         self.records = {**gone, **self.records}
 
 
-def _past(known: LoadKnowledge, said: bool) -> Past:
+def _past(known: LoadKnowledge, said: bool) -> LoadOutcome:
     """What the gateway is told; said: a good end may be said."""
     past = {
-        LoadKnowledge.NEVER_SENT: Past.NEVER,
-        LoadKnowledge.MAY_HAVE_RUN: Past.MAY,
-        LoadKnowledge.NOT_KNOWN_YET: Past.LATER,
+        LoadKnowledge.NEVER_SENT: LoadOutcome.NEVER_RAN,
+        LoadKnowledge.MAY_HAVE_RUN: LoadOutcome.MAY_HAVE_RUN,
+        LoadKnowledge.NOT_KNOWN_YET: LoadOutcome.UNKNOWN_YET,
     }.get(known)
-    return past or (Past.WELL if said else Past.MAY)
+    return past or (LoadOutcome.COMPLETED if said else LoadOutcome.MAY_HAVE_RUN)
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -42,10 +42,10 @@
 from cottonhold.fleet_adapters.rolling_replacement import SwapRim
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import DuplicateRef, Gateway, LoadGuard, Request, Taken
+from cottonhold.node.gateway import ClientRequest, DuplicateRequestIdError, Gateway, LoadGuard, OpenRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import Kind, Record
+from cottonhold.store.records import Record, RecordKind
 
 MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 2.0, 20.0
 REQUEST_FORWARDING = 79  # first byte of its messages
@@ -64,11 +64,11 @@
     def __init__(self, adapter: SessionAffinityAdapter, origin: int, number: int, request_id: str) -> None:
         self.adapter, self.origin, self.number, self.request_id = adapter, origin, number, request_id
 
-    def served(self, rows: Rows) -> None:
+    def complete(self, rows: Rows) -> None:
         """The complete result."""
         self.adapter.on_forwarded_ended(self, ForwardResult.ANSWERED, 0.0, encode_rows(rows))
 
-    def refused(self, retry_after: float) -> None:
+    def reject(self, retry_after: float) -> None:
         """Rejected, or this is not the key's owner: nothing ran."""
         owner = self.adapter.guard.owners_by_returned.get(self.request_id)
         if owner is None:
@@ -78,7 +78,7 @@
                 self, ForwardResult.NOT_OWNER, 0.0, owner.to_bytes(8, "big") if owner else b""
             )
 
-    def failed(self, why: str) -> None:
+    def fail(self, why: str) -> None:
         """The request may have run."""
         self.adapter.on_forwarded_ended(self, ForwardResult.FAILED, 0.0, b"")
 
@@ -107,13 +107,13 @@
         self.gateway, self.clock, self.hop, self.send = gateway, clock, hop, say
         self.counters, self.log, self.name = counters, note, installation.file.name
         self.zones_by_number = installation.file.peers.zones if installation.file.peers is not None else ()
-        kept = {key.decode(): value for key, value in ledger.records(Kind.PIN).items()}
+        kept = {key.decode(): value for key, value in ledger.records(RecordKind.AFFINITY).items()}
         self.service = SessionAffinityService(swim.id, swap.voters, now, secrets.randbits(30), kept)
         self.member, self.retry_after_ms = swim.id, self.service.settings.retry_after_ms
         life = incarnation_of(ledger) & U32 or 1
         self.forwarder = RequestForwarder(swim.id, life, ForwardingSettings(), secrets.randbits(30))
         self.guard = KeyedLoadGuard(loads, self, gateway, clock, counters)
-        self.incoming_requests: dict[tuple[int, int], tuple[Request, ForwardedClient]] = {}
+        self.incoming_requests: dict[tuple[int, int], tuple[OpenRequest, ForwardedClient]] = {}
         self.last_tokens: dict[str, int] = {}  # by name of the record
         self.failed_writes: dict[str, tuple[bytes, int]] = {}  # by name: the record and its token
         self.next_write_retry_at = 0.0
@@ -174,17 +174,26 @@
         self._carry_out(self.service.on_request_ended(self.clock.now(), key, load, known))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    def forward(self, taken: Taken, owner: int, key: bytes, until: float, number: int) -> None:
+    def forward(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
         """Forward a request to the owner of its key."""
         self.counters.add("pins_handed_on")
-        words = (taken.ref, taken.service, taken.key or "", taken.effort, taken.room, taken.tables)
         tenants = self.gateway.settings.tenants
-        tenant = tenants[taken.tenant].name if taken.tenant < len(tenants) else ""
-        body = encode_request(
-            ForwardedRequest(*words, taken.retry, taken.body, number, tenant, taken.token or "")
+        forwarded = ForwardedRequest(
+            request_id=taken.request_id,
+            class_name=taken.class_name,
+            ordering_key=taken.ordering_key or "",
+            estimated_work_ms=taken.estimated_work_ms,
+            estimated_memory_mb=taken.estimated_memory_mb,
+            tables=taken.table_group,
+            is_retry=taken.is_retry,
+            body=taken.body,
+            round=number,
+            tenant=tenants[taken.tenant].name if taken.tenant < len(tenants) else "",
+            idempotency_key=taken.idempotency_key or "",
         )
+        body = encode_request(forwarded)
         now = self.clock.now()
-        actions = self.forwarder.forward(now, taken.ref, owner, body, until, queue_key=key)
+        actions = self.forwarder.forward(now, taken.request_id, owner, body, until, queue_key=key)
         # A result that is there at once must reach the guard only after it has recorded the forwarding.
         self.clock.call_soon(lambda: self._carry_out_forwarding(actions))
 
@@ -200,7 +209,7 @@
             self.counters.add("pins_malformed")
             self._reject(action, retry_after_ms=0.0)
             return
-        kind = self.gateway.kinds.get(forwarded.class_name)
+        kind = self.gateway.class_indexes.get(forwarded.class_name)
         request_id = forwarded.request_id
         if request_id in self.gateway.requests:
             request_id = f"{request_id}.{action.number:x}"
@@ -210,14 +219,16 @@
         self.counters.add("pins_handed_here")
         work = forwarded.estimated_work_ms, forwarded.estimated_memory_mb, forwarded.tables
         words = forwarded.ordering_key, forwarded.is_retry, forwarded.body
-        named = self.gateway.tenants.get(forwarded.tenant, 0), forwarded.idempotency_key or None
+        named = self.gateway.tenant_indexes.get(forwarded.tenant, 0), forwarded.idempotency_key or None
         now = self.clock.now()
-        taken = Taken(request_id, kind, forwarded.class_name, now, action.remaining_ms, *work, *words, *named)
+        taken = ClientRequest(
+            request_id, kind, forwarded.class_name, now, action.remaining_ms, *work, *words, *named
+        )
         client = ForwardedClient(self, action.origin, action.number, request_id)
         self.guard.origin_rounds[request_id] = OriginRound(action.origin, forwarded.round)
         try:
-            request = self.gateway.take(taken, client)
-        except DuplicateRef:
+            request = self.gateway.accept(taken, client)
+        except DuplicateRequestIdError:
             self._reject(action, self.retry_after_ms)
             return
         self.incoming_requests[action.origin, action.number] = request, client
@@ -245,7 +256,7 @@
         found = self.incoming_requests.pop((origin, number), None)
         if found is not None:
             self.guard.origin_rounds.pop(found[1].request_id, None)
-            self.gateway.client_gone(found[0])
+            self.gateway.on_client_disconnected(found[0])
 
     def _carry_out_forwarding(self, actions: Iterable[forwarder.Action]) -> None:
         for action in actions:
@@ -388,7 +399,7 @@
         def done(durable: bool) -> None:
             self.hop(lambda: self._on_written(name, data, token, durable))
 
-        self.ledger.put([Record(Kind.PIN, name.encode(), data or None)], done)
+        self.ledger.put([Record(RecordKind.AFFINITY, name.encode(), data or None)], done)
 
     def _on_written(self, name: str, data: bytes, token: int, is_durable: bool) -> None:
         if is_durable:
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -19,7 +19,7 @@
 from cottonhold.discovery.consul.registration import Registration, RegistrationSettings
 from cottonhold.discovery.consul.watch import Watch, WatchSettings
 from cottonhold.discovery.model import Address, Names
-from cottonhold.node.admin_api import Calls
+from cottonhold.node.admin_api import AdminApi
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.actions import (
@@ -117,7 +117,7 @@
 def http_answers() -> list[str]:
     """Answers to operators' calls."""
     clock, lifecycle = FakeClock(), Lifecycle()
-    calls = Calls(lifecycle, clock, Counters(), lambda *_, **__: None, 4)
+    calls = AdminApi(lifecycle, clock, Counters(), lambda *_, **__: None, 4)
     written = []
     for line in (
         "GET /healthcheck",
@@ -130,7 +130,7 @@
         call = calls.open()
         call.receive(f"{line} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         written.append(call.take_output().decode())
-    lifecycle.leave(0.0, 1000.0)
+    lifecycle.begin_shutdown(0.0, 1000.0)
     for request in (b"POST /healthcheck/ok HTTP/1.1\r\nHost: x\r\n\r\n", b"nonsense\r\n\r\n"):
         call = calls.open()
         call.receive(request)
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -23,7 +23,7 @@
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store import ledger
-from cottonhold.store.records import MOST, Hint, Kind, Record
+from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordKind
 from tests.observe.test_metrics import FILE, FLEET, VOTERS
 
 NAMES = Names(("a", "b"), ("small", "large"))
@@ -41,7 +41,7 @@
     """The folder after these records."""
     folder = dict(before or {})
     for record in records:
-        assert record.kind is Kind.ENGINE
+        assert record.kind is RecordKind.ENGINE_ADDRESS
         folder.pop(record.key, None)
         if record.value is not None:
             folder[record.key] = record.value
@@ -104,9 +104,9 @@
     [
         b"",
         b"\x07",
-        Hint(b"", 0.0).pack(),
-        Hint(b"\x95\xa3abc", 0.0).pack(),
-        Hint(b"\x95\xa3abc\xa1a\xa1b\x01\x02", 0.0).pack(),
+        Hint(b"", 0.0).encode(),
+        Hint(b"\x95\xa3abc", 0.0).encode(),
+        Hint(b"\x95\xa3abc\xa1a\xa1b\x01\x02", 0.0).encode(),
     ],
     ids=["empty", "version", "nothing", "short", "no address"],
 )
@@ -118,8 +118,8 @@
 
 def test_no_more_are_remembered_than_the_store_keeps() -> None:
     made = EngineCache({}, NAMES)
-    many = change(*((f"e{i}", 0, LIVE) for i in range(1, MOST[Kind.ENGINE] + 50)))
-    assert len(made.apply(many)) == MOST[Kind.ENGINE] == len(ids(made))
+    many = change(*((f"e{i}", 0, LIVE) for i in range(1, MAX_RECORDS[RecordKind.ENGINE_ADDRESS] + 50)))
+    assert len(made.apply(many)) == MAX_RECORDS[RecordKind.ENGINE_ADDRESS] == len(ids(made))
 
 
 @pytest.mark.parametrize("proof", ["probe", "attempt", "another's word of all", "the list"])
@@ -158,7 +158,7 @@
         assert node.recovery is not None
         may = [node.recovery.has_other_prerequisites(), node._listed()]
         seen = Observation("e1", Verdict.IN, address=Address("127.0.0.1", 3))
-        node.believe([Report("dc1", 1, (seen,), whole=True)])
+        node.on_discovery_events([Report("dc1", 1, (seen,), whole=True)])
         may += [node.recovery.has_other_prerequisites(), node._listed()]
         for part in (node.swap, node.recovery):
             if part is not None:
@@ -195,7 +195,7 @@
 
     async def back(node: ServedInstallation) -> None:
         assert node.swap is not None and set(node.held.live()) == {"e2"}
-        rim, swap, now = node.swap.drains, node.swap.swap, node.driver.clock.now()
+        rim, swap, now = node.swap.drains, node.swap.swap, node.event_loop.clock.now()
         rim.step(now, swap)
         assert set(node.held.live()) == {"e2"}
         rim.step(now + rim.drains.settings.wait, swap)
@@ -215,7 +215,7 @@
     """It counts at once, and outlasts a kill after the fault has passed."""
     path = tmp_path / "n1.json"
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
-    monkeypatch.setattr(ledger, "VFS", "drains")
+    monkeypatch.setattr(ledger, "DEFAULT_VFS", "drains")
     monkeypatch.setattr(write_queue, "AGAIN_MS", 1.0)
 
     async def life(story: Callable[[ServedInstallation], Awaitable[None]]) -> None:
@@ -257,7 +257,7 @@
         self.well, self.timers, self.put_of = False, list[Callable[[], None]](), list[list[Record]]()
         monkeypatch.setattr(node.recovery.ledger, "put", self.put)
         monkeypatch.setattr(node.recovery, "hop", lambda then: then())
-        monkeypatch.setattr(node.driver.clock, "call_in", lambda ms, then: self.timers.append(then))
+        monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: self.timers.append(then))
 
     def put(self, records: list[Record], done: Callable[[bool], None] | None = None) -> None:
         if self.well:
