--- a/benchmarks/fleet/swap.py
+++ b/benchmarks/fleet/swap.py
@@ -16,7 +16,7 @@
 
 from cottonhold.emulator.rolling_replacement_cases import CASES, Found
 from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted
-from cottonhold.fleet.rolling_replacement.schedule import Job, Limits, Order
+from cottonhold.fleet.rolling_replacement.schedule import Limits, ReplacementJob, ScheduleConstraints
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "swap-core.md"
 ORDERS = 150
@@ -31,15 +31,17 @@
     """The settled makespan by the best of all lists of machines, and the ms that settling took."""
     draw = random.Random(seed)
     jobs = [
-        Job(f"m{i}", draw.randrange(3), draw.choice([2.0, 4.0, 8.0]), draw.random() < 0.6, draw.randint(1, 9))
+        ReplacementJob(
+            f"m{i}", draw.randrange(3), draw.choice([2.0, 4.0, 8.0]), draw.random() < 0.6, draw.randint(1, 9)
+        )
         for i in range(draw.randint(3, 7))
     ]
     limits = Limits(draw.randint(1, 3), draw.randint(1, 2), draw.randint(1, 3))
-    weigh = Order(limits, lambda lost: ["too much"] * (sum(lost.values()) > 12))
+    weigh = ScheduleConstraints(limits, lambda lost: ["too much"] * (sum(lost.values()) > 12))
     start = time.process_time()
-    found = weigh.settle(jobs).lasts
+    found = weigh.find_schedule(jobs).duration_ms
     took = 1000 * (time.process_time() - start)
-    best = min(weigh.place(each).lasts for each in itertools.permutations(jobs))
+    best = min(weigh.place(each).duration_ms for each in itertools.permutations(jobs))
     return found / best, took
 
 
--- a/cottonhold/emulator/engine_replacement.py
+++ b/cottonhold/emulator/engine_replacement.py
@@ -15,15 +15,15 @@
 from cottonhold.emulator.rolling_replacement import JOIN, TICK, Host, Trouble, World
 from cottonhold.fleet.engine_drain import Drains, DrainSettings, Knock, Settled, Tell, fresh
 from cottonhold.fleet.rolling_replacement.plan import (
-    Flag,
     Machine,
-    Record,
-    Step,
-    ident,
-    read_record,
-    register,
+    MachineFlag,
+    MachineRecord,
+    ReplacementStep,
+    machine_id,
+    register_name,
 )
-from cottonhold.fleet.rolling_replacement.step_decision import Action, Drain, Ready, Undrain
+from cottonhold.fleet.rolling_replacement.plan_codec import decode_record
+from cottonhold.fleet.rolling_replacement.step_decision import Action, Drain, ReadyToPowerOff, Undrain
 
 SETTINGS = DrainSettings()
 ANSWER = 15.0  # a probe's way there and back
@@ -78,8 +78,8 @@
 
     def _boot(self, host: Host) -> None:
         super()._boot(host)
-        members = [ident(f"d{i}") for i in range(self.count)]
-        drains = Drains(ident(host.name), host.life, self.now, SETTINGS, members)
+        members = [machine_id(f"d{i}") for i in range(self.count)]
+        drains = Drains(machine_id(host.name), host.life, self.now, SETTINGS, members)
         self.sides[host.name] = Side(drains, Settled(self.now, SETTINGS))
         self.booted[host.name] = self.now
 
@@ -87,28 +87,30 @@
         side, swap = self.sides[host.name], host.swap
         assert swap is not None
         if side.settled.stood(self.now):
-            swap.unsettle(self.now)
+            swap.on_pause(self.now)
             side.waits = True
         serving = self.listed.keys() - side.held
         side.drains.list_is(
-            {n: Machine(n, e.zone, e.cores, True, counted=n in serving) for n, e in self.listed.items()}
+            {n: Machine(n, e.zone, e.cores, True, is_counted=n in serving) for n, e in self.listed.items()}
         )
-        return [*side.drains.there(swap.scene.chain), *super()._seen(host)]
+        return [*side.drains.there(swap.view.records), *super()._seen(host)]
 
     def _feed(self, host: Host) -> None:
         super()._feed(host)
         side, swap = self.sides[host.name], host.swap
         assert swap is not None
         for name, record in self._records(host).items():
-            swap.open_left(self.now, name, side.drains.open(self.now, name, record.serial))
-            engine = self.engines.get(record.new)
-            if engine is not None and record.step in (Step.IN_PLACE, Step.RAMPING):
-                swap.pace(self.now, record.new, 1.0 if self.now - engine.began > COLD else 0.3)
+            swap.set_open_requests(self.now, name, side.drains.open(self.now, name, record.serial))
+            engine = self.engines.get(record.replacement)
+            if engine is not None and record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING):
+                swap.set_traffic_share(
+                    self.now, record.replacement, 1.0 if self.now - engine.began > COLD else 0.3
+                )
         self._send(host)
 
-    def _records(self, host: Host) -> Mapping[str, Record]:
+    def _records(self, host: Host) -> Mapping[str, MachineRecord]:
         assert host.swap is not None
-        return {n: r for n, r in host.swap.scene.chain.items() if r.has(Flag.ENGINE)}
+        return {n: r for n, r in host.swap.view.records.items() if r.has_flag(MachineFlag.ENGINE)}
 
     def _step(self, host: Host) -> None:
         super()._step(host)
@@ -117,14 +119,16 @@
         there = [h for h in self.hosts.values() if self.linked.get((host.name, h.name), -1.0) > 0]
         # A life that has just begun is not told yet: others still take it for the one before.
         lives = {
-            ident(h.name): h.life - (self.now - self.booted[h.name] < JOIN) for h in there if h is not host
+            machine_id(h.name): h.life - (self.now - self.booted[h.name] < JOIN)
+            for h in there
+            if h is not host
         }
         side.drains.members(self.now, lives)
         if side.waits:
-            side.waits = not side.settled.step(self.now, swap.settled(), self.majority(host))
+            side.waits = not side.settled.step(self.now, swap.has_read_all(), self.majority(host))
         for name in side.drains.drained:
             side.drains.count(name, self._out(host, name))
-        for action in side.drains.step(self.now, swap.scene.chain):
+        for action in side.drains.step(self.now, swap.view.records):
             if isinstance(action, Knock):
                 self._knock(host, action.engine)
             else:
@@ -137,18 +141,18 @@
             if isinstance(action, Undrain):
                 side.held.discard(engine)
                 side.drains.undrain(engine)
-                assert record is None or fresh(record) or record.seen == 0
+                assert record is None or fresh(record) or record.arrived_cores_tenths == 0
             elif record is not None:
                 side.held.add(engine)
                 side.drains.drain(engine, record.serial, self._out(host, engine))
-        elif isinstance(action, Ready) and action.machine in self.engines:
+        elif isinstance(action, ReadyToPowerOff) and action.machine in self.engines:
             self._effect(host, action.machine, action.epoch)
             self._off(action.machine)
         else:
             super()._act(host, action)
 
     def _tell_drains(self, action: Tell) -> None:
-        host = next((h for h in self.hosts.values() if ident(h.name) == action.member), None)
+        host = next((h for h in self.hosts.values() if machine_id(h.name) == action.member), None)
         if host is None:
             return
         life, side = host.life, self.sides[host.name]
@@ -178,7 +182,7 @@
             if side.waits or name in side.held or (host.name, name) in self.loses:
                 continue
             record = self.record(name)
-            if record is not None and record.step is Step.OUT:
+            if record is not None and record.step is ReplacementStep.OUT:
                 self.breach(f"{host.name} sends to {name}, which is out")
             if engine.up:
                 engine.out[host.name, host.life] = self._out(host, name) + self.draw.randint(0, 1)
@@ -205,19 +209,24 @@
     def _pull(self, name: str) -> None:
         """An engine is powered off, if it still is out, and the new one comes in its place."""
         record, engine = self.record(name), self.engines[name]
-        if record is None or record.step is not Step.OUT or record.has(Flag.ABORT):
+        if record is None or record.step is not ReplacementStep.OUT or record.has_flag(MachineFlag.ABORTING):
             self.ordered.discard(name)
             return
         if running := sum(engine.out.values()):
             self.breach(f"{running} requests break as {name} is powered off")
         engine.up = False
         engine.out.clear()
-        self.at(self.now + self.back, lambda: self._place(engine, record.new))
+        self.at(self.now + self.back, lambda: self._place(engine, record.replacement))
 
     def again(self, name: str) -> None:
         """Operators read that an engine which is out is still there: it is switched off and on."""
         record, engine = self.record(name), self.engines[name]
-        if record is not None and record.step is Step.OUT and not record.has(Flag.AWAY) and engine.up:
+        if (
+            record is not None
+            and record.step is ReplacementStep.OUT
+            and not record.has_flag(MachineFlag.WAS_AWAY)
+            and engine.up
+        ):
             self._pull(name)
 
     def _place(self, old: Engine, new: str) -> None:
@@ -232,24 +241,32 @@
     # --- what must never happen ---
 
     def _check(self, name: str, before: bytes, after: bytes) -> None:
-        machine = next((m for m in self.engines if register(m) == name), "")
-        record, old = read_record(after) if machine else None, read_record(before) if machine else None
+        machine = next((m for m in self.engines if register_name(m) == name), "")
+        record, old = decode_record(after) if machine else None, decode_record(before) if machine else None
         if record is None:
             super()._check(name, before, after)
             return
         if old is None or old.step is not record.step:
             self.steps_seen.setdefault(machine, []).append(record.step)
-            if record.step is Step.OUT and record.seen == 0 and (old is None or old.step is Step.DRAINING):
+            if (
+                record.step is ReplacementStep.OUT
+                and record.arrived_cores_tenths == 0
+                and (old is None or old.step is ReplacementStep.DRAINING)
+            ):
                 for (host, life), count in self.engines[machine].out.items():
                     if count and self.hosts[host].up and self.hosts[host].life == life:
                         self.breach(f"{machine} is OUT with {count} requests of {host}")
-            if record.step is Step.IN_PLACE and not record.has(Flag.ABORT) and not self._came(record):
+            if (
+                record.step is ReplacementStep.IN_PLACE
+                and not record.has_flag(MachineFlag.ABORTING)
+                and not self._came(record)
+            ):
                 self.breach(f"{machine} is IN_PLACE, and nobody has put a new one there")
         for hook in self.hooks:
             hook(machine, record)
 
-    def _came(self, record: Record) -> bool:
-        new = self.engines.get(record.new)
+    def _came(self, record: MachineRecord) -> bool:
+        new = self.engines.get(record.replacement)
         return new is not None and new.up and new.began > 0
 
     def at_end(self, *names: str) -> None:
@@ -258,11 +275,11 @@
         self.run(self.now + 100 * TICK)
         for name in names:
             record = self.record(name)
-            if record is None or not record.over:
+            if record is None or not record.is_over:
                 self.breach(f"{name} is not at its end")
                 continue
-            there = record.new if record.step is Step.DONE else name
-            there = there if there in self.listed else record.new
+            there = record.replacement if record.step is ReplacementStep.DONE else name
+            there = there if there in self.listed else record.replacement
             if there in self.engines and self.engines[there].got == before.get(there, 0):
                 self.breach(f"{there} gets nothing after the end")
 
--- a/cottonhold/emulator/engine_replacement_cases.py
+++ b/cottonhold/emulator/engine_replacement_cases.py
@@ -13,23 +13,31 @@
 from cottonhold.emulator.rolling_replacement import Trouble
 from cottonhold.fleet.engine_drain import Drains, DrainSettings, Settled
 from cottonhold.fleet.rolling_replacement import step_decision
-from cottonhold.fleet.rolling_replacement.plan import Item, Record, Step
+from cottonhold.fleet.rolling_replacement.plan import MachineRecord, MachineRequest, ReplacementStep
 
 ONE = "x0"  # whose steps the faults wait for
-ASKED = (Item("x0"), Item("x1", "y1"), Item("x2", cores=16.0))
+ASKED = (MachineRequest("x0"), MachineRequest("x1", "y1"), MachineRequest("x2", cores=16.0))
 NAMES = ("x0", "x1", "x2")
 BAD = Trouble(loss=0.3, twice=0.3, delay=150.0)
 LONG = 180_000.0
-STEPS = (Step.AGREED, Step.DRAINING, Step.OUT, Step.IN_PLACE, Step.RAMPING)
+STEPS = (
+    ReplacementStep.AGREED,
+    ReplacementStep.DRAINING,
+    ReplacementStep.OUT,
+    ReplacementStep.IN_PLACE,
+    ReplacementStep.RAMPING,
+)
 Do = Callable[[EngineWorld], None]
 
 
-def play(seed: int, step: Step | None, do: Do, trouble: Trouble | None = None, **given: Any) -> list[str]:
+def play(
+    seed: int, step: ReplacementStep | None, do: Do, trouble: Trouble | None = None, **given: Any
+) -> list[str]:
     """All engines are swapped; soon after the one has come to a step something happens. What was broken."""
     world = world_of(seed, trouble, **given)
     done: list[bool] = []
 
-    def hook(machine: str, record: Record) -> None:
+    def hook(machine: str, record: MachineRecord) -> None:
         if machine == ONE and record.step is step and not done:
             done.append(True)
             world.at(world.now + 200.0 * world.draw.random(), lambda: do(world))
@@ -37,7 +45,7 @@
     world.hooks.append(hook)
     world.ask("d0", "ann", *ASKED)
     world.run_until(lambda: bool(world.answers), 30_000.0)
-    if not world.answers or world.answers[0].refused:
+    if not world.answers or world.answers[0].rejection:
         world.breach(f"not taken: {world.answers}")
     if not world.run_until(lambda: world.over(*NAMES), LONG):
         left = {n: r.step.name if (r := world.record(n)) else "unasked" for n in NAMES}
@@ -74,8 +82,8 @@
 def aborts(world: EngineWorld) -> None:
     """Its swap is aborted by hand, at one that knows of it."""
     for host in world.hosts.values():
-        if host.swap is not None and world.running(host) and ONE in host.swap.scene.chain:
-            if not host.swap.scene.chain[ONE].over:
+        if host.swap is not None and world.running(host) and ONE in host.swap.view.records:
+            if not host.swap.view.records[ONE].is_over:
                 host.swap.abort(world.now, "ann", "typo", ONE)
             return
 
@@ -149,7 +157,7 @@
         "calm",
         "has put a new one",
         step_decision,
-        "_another",
+        "_is_other_incarnation",
         lambda *a: True,
     ),
     "one instance's word for away": (
--- a/cottonhold/emulator/rolling_replacement.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -16,29 +16,28 @@
 from dataclasses import dataclass, field
 
 from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
-from cottonhold.fleet.rolling_replacement.coordinator import Swap
-from cottonhold.fleet.rolling_replacement.machine_driver import SwapSettings
+from cottonhold.fleet.rolling_replacement.coordinator import ReplacementCoordinator
+from cottonhold.fleet.rolling_replacement.machine_driver import ReplacementSettings
 from cottonhold.fleet.rolling_replacement.plan import (
-    NAME,
-    OVER,
-    Item,
+    FINAL_STEPS,
+    PLAN_REGISTER,
     Machine,
-    Record,
-    Request,
-    Step,
-    Whole,
-    ident,
-    read_record,
-    read_whole,
-    register,
+    MachineRecord,
+    MachineRequest,
+    ReplacementPlan,
+    ReplacementRequest,
+    ReplacementStep,
+    machine_id,
+    register_name,
 )
+from cottonhold.fleet.rolling_replacement.plan_codec import decode_plan, decode_record
 from cottonhold.fleet.rolling_replacement.step_decision import (
     Action,
-    Answer,
     Drain,
-    MovePins,
-    Ready,
-    Say,
+    LogStep,
+    MoveKeys,
+    ReadyToPowerOff,
+    RequestAnswered,
     StepSettings,
     Undrain,
 )
@@ -49,7 +48,15 @@
 PATIENCE = 5000.0  # of the registers
 PINS = 350
 TOLD = 500.0  # what is told of zones has reached all by then
-BUSY = frozenset({Step.MOVING, Step.DRAINING, Step.OUT, Step.IN_PLACE, Step.RAMPING})
+BUSY = frozenset(
+    {
+        ReplacementStep.MOVING,
+        ReplacementStep.DRAINING,
+        ReplacementStep.OUT,
+        ReplacementStep.IN_PLACE,
+        ReplacementStep.RAMPING,
+    }
+)
 
 
 @dataclass(slots=True, eq=False)
@@ -67,7 +74,7 @@
     pins: int = 0
     open: int = 3
     place: bool = True  # in the table of owners; a drained one leaves it once its pins are gone
-    swap: Swap | None = None
+    swap: ReplacementCoordinator | None = None
     waiting: list[Callable[[], None]] = field(default_factory=list)
 
 
@@ -94,12 +101,13 @@
         sizes: Mapping[str, float] | None = None,
         empty: float = 1500.0,
         bearable: Callable[[Mapping[str, float]], list[str]] | None = None,
-        settings: SwapSettings | None = None,
+        settings: ReplacementSettings | None = None,
     ) -> None:
         self.draw, self.now, self.trouble = random.Random(seed), 0.0, trouble or Trouble()
         self.count, self.bearable, self.empty = count, bearable, empty
-        self.settings = settings or SwapSettings(
-            voters=count, steps=StepSettings(give_up=60_000.0, hardware=10_000.0, ramp=1000.0)
+        self.settings = settings or ReplacementSettings(
+            voters=count,
+            steps=StepSettings(step_timeout_ms=60_000.0, arrival_timeout_ms=10_000.0, ramp_ms=1000.0),
         )
         self.hardware = hardware or (lambda name: 500.0 + 1500.0 * self.draw.random())
         self.sizes = dict(sizes or {})
@@ -121,13 +129,13 @@
         self.gone: set[str] = set()  # hosts that are to stay off
         self.ordered: set[str] = set()
         self.breaches: list[str] = []
-        self.answers: list[Answer] = []
-        self.says: list[tuple[float, str, Say]] = []
-        self.steps_seen: dict[str, list[Step]] = {}
+        self.answers: list[RequestAnswered] = []
+        self.says: list[tuple[float, str, LogStep]] = []
+        self.steps_seen: dict[str, list[ReplacementStep]] = {}
         self.hooks: list[
-            Callable[[str, Record], None]
+            Callable[[str, MachineRecord], None]
         ] = []  # called after each change of a machine's register
-        self.on_move: list[Callable[[str, MovePins], None]] = []
+        self.on_move: list[Callable[[str, MoveKeys], None]] = []
         for host in self.hosts.values():
             self._boot(host)
         self.at(0.0, self._tick)
@@ -158,10 +166,10 @@
 
     def _boot(self, host: Host) -> None:
         seed = self.draw.getrandbits(40)
-        host.swap = Swap(host.name, self.now, self.settings, seed, self.bearable)
+        host.swap = ReplacementCoordinator(host.name, self.now, self.settings, seed, self.bearable)
         host.drained, host.open = False, 3
         for zone, (trouble, _) in self.zones.items():
-            host.swap.zone(self.now, zone, trouble)
+            host.swap.set_zone_trouble(self.now, zone, trouble)
 
     def _tick(self) -> None:
         self.at(self.now + TICK, self._tick)
@@ -209,14 +217,14 @@
 
     def _feed(self, host: Host) -> None:
         assert host.swap is not None
-        host.swap.present(self.now, self._seen(host))
-        host.swap.open_left(self.now, host.name, host.open)
+        host.swap.set_machines(self.now, self._seen(host))
+        host.swap.set_open_requests(self.now, host.name, host.open)
         if self.majority(host):
             for other in self.hosts.values():
                 if self.joined(host.name, other.name) or not other.up:
-                    record = host.swap.scene.chain.get(other.name)
-                    drains = record is not None and record.step is Step.DRAINING
-                    host.swap.pins_left(self.now, other.name, other.pins + (drains and other.place))
+                    record = host.swap.view.records.get(other.name)
+                    drains = record is not None and record.step is ReplacementStep.DRAINING
+                    host.swap.set_remaining_keys(self.now, other.name, other.pins + (drains and other.place))
 
     def _step(self, host: Host) -> None:
         assert host.swap is not None
@@ -236,7 +244,7 @@
     def _act(self, host: Host, action: Action) -> None:
         if isinstance(action, ChangeRegister | ReadRegister):
             self._operate(host, action)
-        elif isinstance(action, MovePins):
+        elif isinstance(action, MoveKeys):
             self._effect(host, action.machine, action.epoch)
             for hook in self.on_move:
                 hook(host.name, action)
@@ -245,11 +253,11 @@
             host.drained = True
         elif isinstance(action, Undrain):
             host.drained = False
-        elif isinstance(action, Ready):
+        elif isinstance(action, ReadyToPowerOff):
             if host.name != action.machine:
                 self._effect(host, action.machine, action.epoch)
             self._ready(action.machine)
-        elif isinstance(action, Answer):
+        elif isinstance(action, RequestAnswered):
             self.answers.append(action)
         else:
             self.says.append((self.now, host.name, action))
@@ -262,7 +270,7 @@
 
         def answer(won: bool | None, version: int, value: bytes) -> None:
             if host.swap is swap:
-                swap.outcome(self.now, action.token, won, version, value)
+                swap.on_outcome(self.now, action.token, won, version, value)
 
         def attempt() -> None:
             if not (host.up and host.life == life):
@@ -304,17 +312,17 @@
 
         def hear() -> None:
             if host.swap is swap and self.majority(host):
-                swap.changed(self.now, name, version, value)
+                swap.on_register_changed(self.now, name, version, value)
 
         wait = self.trouble.delay * 2 * self.draw.random()
         self.at(self.now + wait, lambda: self._to(host, life, hear))
 
-    def _moved(self, action: MovePins) -> None:
+    def _moved(self, action: MoveKeys) -> None:
         source, target = self.hosts[action.machine], self.hosts.get(action.target)
         if action.epoch < self.driven[action.machine][0] or target is None or not target.up:
             return  # fenced, or nobody takes them
         if self.draw.random() >= self.trouble.loss:
-            count = min(action.most, source.pins)
+            count = min(action.max_keys, source.pins)
             source.pins, target.pins = source.pins - count, target.pins + count
 
     def _ready(self, machine: str) -> None:
@@ -323,14 +331,14 @@
             return
         record = self.record(machine)
         self.ordered.add(machine)
-        if record is None or record.step is not Step.OUT:
+        if record is None or record.step is not ReplacementStep.OUT:
             self.ordered.discard(machine)
             return
         host, wait = self.hosts[machine], self.hardware(machine)
         self.at(self.now + 200.0, lambda: self.kill(machine))
         self.gone.add(machine)
         if wait is not None:
-            self.at(self.now + 200.0 + wait, lambda: self.place(host, record.new))
+            self.at(self.now + 200.0 + wait, lambda: self.place(host, record.replacement))
 
     def place(self, host: Host, new: str) -> None:
         """A new machine, with an empty folder, in the place of an old one."""
@@ -367,7 +375,7 @@
         def go_on() -> None:
             if host.up and host.life == life:
                 assert host.swap is not None
-                host.swap.next_step = self.now
+                host.swap.next_step_at = self.now
                 self._step(host)
                 waiting, host.waiting = host.waiting, []
                 for do in waiting:
@@ -394,33 +402,33 @@
             self.zones.pop(zone, None)
         for host in self.hosts.values():
             assert host.swap is not None
-            host.swap.zone(self.now, zone, trouble)
+            host.swap.set_zone_trouble(self.now, zone, trouble)
 
     # --- what is so ---
 
-    def ask(self, at: str, who: str, *machines: Item, most_out: int = 1, zones: int = 1) -> None:
+    def ask(self, at: str, who: str, *machines: MachineRequest, most_out: int = 1, zones: int = 1) -> None:
         """A request at one of them."""
         swap = self.hosts[at].swap
         assert swap is not None
-        swap.ask(self.now, Request(who, machines, most_out, zones))
+        swap.request(self.now, ReplacementRequest(who, machines, most_out, zones))
 
-    def whole(self) -> Whole:
+    def whole(self) -> ReplacementPlan:
         """What `swap` holds."""
-        return read_whole(self.registers.get(NAME, (0, b""))[1])
+        return decode_plan(self.registers.get(PLAN_REGISTER, (0, b""))[1])
 
-    def record(self, machine: str) -> Record | None:
+    def record(self, machine: str) -> MachineRecord | None:
         """What a machine's register holds."""
-        return read_record(self.registers.get(register(machine), (0, b""))[1])
+        return decode_record(self.registers.get(register_name(machine), (0, b""))[1])
 
     def over(self, *machines: str) -> bool:
         """All of these have come to their end."""
         records = [self.record(m) for m in machines]
-        return all(r is not None and r.over for r in records) and not self.whole().out
+        return all(r is not None and r.is_over for r in records) and not self.whole().machines_out
 
     def driver(self, machine: str) -> str:
         """Who drives a machine's swap."""
         record = self.record(machine)
-        names = {ident(name): name for name in self.hosts}
+        names = {machine_id(name): name for name in self.hosts}
         return names.get(record.driver, "") if record is not None else ""
 
     # --- what must never happen ---
@@ -438,15 +446,15 @@
         self.driven[machine] = max(known, (epoch, host.name))
 
     def _check(self, name: str, before: bytes, after: bytes) -> None:
-        if name == NAME:
-            old, new = read_whole(before), read_whole(after)
-            for begun in set(new.out) - set(old.out):
+        if name == PLAN_REGISTER:
+            old, new = decode_plan(before), decode_plan(after)
+            for begun in set(new.machines_out) - set(old.machines_out):
                 if any(self.now - since > TOLD for _, since in self.zones.values()):
                     self.breach(f"{begun:x} starts while {sorted(self.zones)} is in trouble")
             return
-        record, old_record = read_record(after), read_record(before)
+        record, old_record = decode_record(after), decode_record(before)
         assert record is not None
-        machine = next((m for m in self.hosts if register(m) == name), "")
+        machine = next((m for m in self.hosts if register_name(m) == name), "")
         if old_record is not None and old_record.epoch != record.epoch:
             if machine in self.orphans:
                 self.takeovers.append(self.now - self.orphans.pop(machine))
@@ -456,21 +464,23 @@
         for hook in self.hooks:
             hook(machine, record)
 
-    def _check_step(self, machine: str, record: Record) -> None:
+    def _check_step(self, machine: str, record: MachineRecord) -> None:
         whole = self.whole()
         records = {m: self.record(m) for m in self.hosts}
         busy = [m for m, r in records.items() if r is not None and r.step in BUSY]
-        if len(busy) > whole.most_out:
-            self.breach(f"{busy} are out, at most {whole.most_out} may be")
-        if len({self.hosts[m].zone for m in busy}) > whole.zones:
-            self.breach(f"{busy} are out, in more than {whole.zones} zones")
-        if record.step in (Step.DRAINING, Step.OUT) and self.hosts[machine].pins:
+        if len(busy) > whole.max_out:
+            self.breach(f"{busy} are out, at most {whole.max_out} may be")
+        if len({self.hosts[m].zone for m in busy}) > whole.max_zones:
+            self.breach(f"{busy} are out, in more than {whole.max_zones} zones")
+        if record.step in (ReplacementStep.DRAINING, ReplacementStep.OUT) and self.hosts[machine].pins:
             self.breach(f"{machine} is {record.step.name} with {self.hosts[machine].pins} pins")
-        if record.step is Step.OUT and self.hosts[machine].place:
+        if record.step is ReplacementStep.OUT and self.hosts[machine].place:
             self.breach(f"{machine} goes out with its place in the table")
-        if record.step is Step.OUT:
+        if record.step is ReplacementStep.OUT:
             # A fault in the last moments is no step's fault: it can't have been heard of.
-            out = {m for m, r in records.items() if r is not None and r.step is Step.OUT} | {machine}
+            out = {m for m, r in records.items() if r is not None and r.step is ReplacementStep.OUT} | {
+                machine
+            }
             lately = [up - out for t, up in self.ups[-40:] if t > self.now - 1.5 * NOTICE]
             if lately and max(map(len, lately)) <= self.count // 2:
                 self.breach(f"{machine} goes out and leaves {max(map(len, lately))} of {self.count} voters")
@@ -481,7 +491,7 @@
             if record is None or record.step not in BUSY:
                 self.orphans.pop(machine, None)
                 continue
-            driver = next((h for n, h in self.hosts.items() if ident(n) == record.driver), None)
+            driver = next((h for n, h in self.hosts.items() if machine_id(n) == record.driver), None)
             if driver is not None and not self.running(driver):
                 self.orphans.setdefault(machine, self.now)
             else:
@@ -494,6 +504,6 @@
     """Nothing of it."""
 
 
-def ended(record: Record | None) -> bool:
+def ended(record: MachineRecord | None) -> bool:
     """Whether a swap has come to its end."""
-    return record is not None and record.step in OVER
+    return record is not None and record.step in FINAL_STEPS
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -8,10 +8,24 @@
 from dataclasses import dataclass
 
 from cottonhold.emulator.rolling_replacement import NOTICE, Trouble, World
-from cottonhold.fleet.rolling_replacement.plan import Item, Reason, Record, State, Step, ident
-from cottonhold.fleet.rolling_replacement.step_decision import MovePins
-
-STEPS = (Step.AGREED, Step.MOVING, Step.DRAINING, Step.OUT, Step.IN_PLACE, Step.RAMPING)
+from cottonhold.fleet.rolling_replacement.plan import (
+    MachineRecord,
+    MachineRequest,
+    PlanState,
+    ReplacementStep,
+    StepReason,
+    machine_id,
+)
+from cottonhold.fleet.rolling_replacement.step_decision import MoveKeys
+
+STEPS = (
+    ReplacementStep.AGREED,
+    ReplacementStep.MOVING,
+    ReplacementStep.DRAINING,
+    ReplacementStep.OUT,
+    ReplacementStep.IN_PLACE,
+    ReplacementStep.RAMPING,
+)
 ONE = "d3"  # whose steps the faults wait for
 LONG = 240_000.0
 TAKEOVER = 2000.0
@@ -27,9 +41,9 @@
     lasted: float
 
 
-def items(count: int = 8, every: int = 1) -> list[Item]:
+def items(count: int = 8, every: int = 1) -> list[MachineRequest]:
     """All dispatchers, every other one by another id."""
-    return [Item(f"d{i}", f"e{i}" if i % 2 and every else "") for i in range(count)]
+    return [MachineRequest(f"d{i}", f"e{i}" if i % 2 and every else "") for i in range(count)]
 
 
 def begin(seed: int, count: int = 8, most_out: int = 2, trouble: Trouble | None = None) -> World:
@@ -44,17 +58,21 @@
     """Let it come to its end, and say what was broken."""
     names = [f"d{i}" for i in range(count)]
     world.run_until(lambda: bool(world.answers), 30_000.0)
-    if any(answer.refused for answer in world.answers):
+    if any(answer.rejection for answer in world.answers):
         # Not one could be settled in time: whoever asked does so again.
-        most = world.answers[0].request.most_out
+        most = world.answers[0].request.max_out
         world.answers.clear()
         world.ask("d1" if world.hosts["d1"].up else "d2", "ann", *items(count), most_out=most)
     if not world.run_until(lambda: world.over(*names), LONG):
         left = {n: r.step.name if (r := world.record(n)) else "unasked" for n in names}
-        world.breach(f"not at its end: {left}, out {world.whole().out}")
+        world.breach(f"not at its end: {left}, out {world.whole().machines_out}")
     for name in names:
         record = world.record(name)
-        host = world.hosts.get(record.new) if record is not None and record.step is Step.DONE else None
+        host = (
+            world.hosts.get(record.replacement)
+            if record is not None and record.step is ReplacementStep.DONE
+            else None
+        )
         if host is not None and (not host.up or host.drained):
             world.breach(f"{host.name} is {'drained' if host.up else 'off'} at the end")
     return result(world, swift)
@@ -68,11 +86,11 @@
     return Found(world.breaches, world.takeovers, world.now)
 
 
-def once(world: World, step: Step, do: Callable[[], None], wait: float = 300.0) -> None:
+def once(world: World, step: ReplacementStep, do: Callable[[], None], wait: float = 300.0) -> None:
     """Do something soon after the one machine has come to a step, once."""
     done: list[bool] = []
 
-    def hook(machine: str, record: Record) -> None:
+    def hook(machine: str, record: MachineRecord) -> None:
         if machine == ONE and record.step is step and not done:
             done.append(True)
             world.at(world.now + wait * world.draw.random(), do)
@@ -92,7 +110,7 @@
     return finish(begin(seed))
 
 
-def driver_dies(seed: int, step: Step) -> Found:
+def driver_dies(seed: int, step: ReplacementStep) -> Found:
     """Whoever drives a machine dies soon after a step began."""
     world = begin(seed)
     once(world, step, lambda: down(world, world.driver(ONE), 6000.0 + 4000.0 * world.draw.random()))
@@ -103,7 +121,7 @@
     """The target of pins dies having accepted, maybe the mover too."""
     hit: list[str] = []
 
-    def hook(mover: str, action: MovePins) -> None:
+    def hook(mover: str, action: MoveKeys) -> None:
         if action.machine == ONE and not hit:
             hit.append(action.target)
             world.at(world.now + 60.0, lambda: down(world, action.target, 5000.0))
@@ -124,14 +142,14 @@
     return targets(begin(seed), True)
 
 
-def power(seed: int, step: Step) -> Found:
+def power(seed: int, step: ReplacementStep) -> Found:
     """The power goes at a step: all are killed, registers are kept."""
     world = begin(seed)
     once(world, step, lambda: world.power_cut(2000.0))
     return finish(world)
 
 
-def stopped(seed: int, step: Step) -> Found:
+def stopped(seed: int, step: ReplacementStep) -> Found:
     """The driver stands still for 5 s and goes on with what it believed."""
     world = begin(seed)
 
@@ -162,13 +180,16 @@
     """Two people ask for contradicting swaps in the same moment at two sockets."""
     world = World(seed)
     world.run(2000.0 + seed % 100)
-    world.ask("d0", "ann", Item("d1", "e1"), Item("d2"))
-    world.at(world.now + seed % 120, lambda: world.ask("d5", "bob", Item("d4"), Item("d1", "f1")))
+    world.ask("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"))
+    world.at(
+        world.now + seed % 120,
+        lambda: world.ask("d5", "bob", MachineRequest("d4"), MachineRequest("d1", "f1")),
+    )
     world.run(8000.0)
-    refused = sorted(a.refused for a in world.answers)
+    refused = sorted(a.rejection for a in world.answers)
     if len(refused) != 2 or refused[0] or "already asked" not in refused[1]:
         world.breach(f"answers {refused}")
-    who = "ann" if any(a.request.who == "ann" and not a.refused for a in world.answers) else "bob"
+    who = "ann" if any(a.request.requested_by == "ann" and not a.rejection for a in world.answers) else "bob"
     if len(refused) == 2 and f"by {who}" not in refused[1]:
         world.breach(f"the refusal names not {who}: {refused[1]}")
     names = ["d1", "d2"] if who == "ann" else ["d1", "d4"]
@@ -192,12 +213,16 @@
     world = World(seed, hardware=lambda name: None if name == ONE else 1000.0, bearable=limit(8.0))
     world.run(2000.0)
     world.ask("d0", "ann", *items(), most_out=2, zones=3)
-    world.run_until(lambda: (r := world.record(ONE)) is not None and r.reason is Reason.HARDWARE, LONG)
+    world.run_until(lambda: (r := world.record(ONE)) is not None and r.reason is StepReason.NOT_ARRIVED, LONG)
     before = {n: r.step for n in world.hosts if (r := world.record(n))}
     world.run(world.now + 20_000.0)
     after = {n: r.step for n in world.hosts if (r := world.record(n))}
     record = world.record(ONE)
-    if record is None or record.step is not Step.OUT or record.reason is not Reason.HARDWARE:
+    if (
+        record is None
+        or record.step is not ReplacementStep.OUT
+        or record.reason is not StepReason.NOT_ARRIVED
+    ):
         world.breach(f"{ONE}: {record}")
     if before != after:
         world.breach(f"others went on: {before}, {after}")
@@ -209,44 +234,46 @@
     world = World(seed, sizes={ONE: 2.0}, bearable=limit(12.0))
     world.run(2000.0)
     world.ask("d0", "ann", *items(), zones=3)
-    world.run_until(lambda: (r := world.record(ONE)) is not None and r.over, LONG)
+    world.run_until(lambda: (r := world.record(ONE)) is not None and r.is_over, LONG)
     world.run(world.now + 10_000.0)
-    steps = [r.step for n in world.hosts if (r := world.record(n)) and not r.over]
-    if world.whole().out or any(step > Step.AGREED for step in steps):
+    steps = [r.step for n in world.hosts if (r := world.record(n)) and not r.is_over]
+    if world.whole().machines_out or any(step > ReplacementStep.AGREED for step in steps):
         world.breach(f"others went on: {steps}")
     rows = [row for h in world.hosts.values() if h.up and h.swap for row in h.swap.status()]
-    if not any("2 cores of 8" in text for row in rows for text in row.why):
+    if not any("2 cores of 8" in text for row in rows for text in row.reasons):
         world.breach("nobody says that it is smaller")
-    if steps and not any("can be borne" in text for row in rows for text in row.why):
+    if steps and not any("can be borne" in text for row in rows for text in row.reasons):
         world.breach("nobody says why the others wait")
     return result(world)
 
 
-def aborted(seed: int, step: Step) -> Found:
+def aborted(seed: int, step: ReplacementStep) -> Found:
     """One machine's swap is aborted by hand at a step; the others go on."""
     world = begin(seed)
 
     def abort() -> None:
         # Asked at one that stays: one that is powered off a moment later takes the word with it.
-        out = {ONE, *(n for n in world.hosts if ident(n) in world.whole().out)}
+        out = {ONE, *(n for n in world.hosts if machine_id(n) in world.whole().machines_out)}
         for host in world.hosts.values():
-            if host.swap is not None and host.up and ONE in host.swap.scene.chain and host.name not in out:
+            if host.swap is not None and host.up and ONE in host.swap.view.records and host.name not in out:
                 host.swap.abort(world.now, "bob", "wrong rack", ONE)
                 return
 
     once(world, step, abort)
     found = finish(world)
     record = world.record(ONE)
-    if record is None or record.step is not Step.ABORTED:
+    if record is None or record.step is not ReplacementStep.ABORTED:
         world.breach(f"{ONE}: {record}")
     elif not any(
-        world.hosts[n].up and not world.hosts[n].drained for n in (ONE, record.new) if n in world.hosts
+        world.hosts[n].up and not world.hosts[n].drained
+        for n in (ONE, record.replacement)
+        if n in world.hosts
     ):
-        world.breach(f"neither {ONE} nor {record.new} serves")
+        world.breach(f"neither {ONE} nor {record.replacement} serves")
     return found
 
 
-def zone_lost(seed: int, step: Step) -> Found:
+def zone_lost(seed: int, step: ReplacementStep) -> Found:
     """A zone is left in the middle, and returns 6 s later."""
     world = begin(seed)
     once(world, step, lambda: world.zone_trouble("b", "left"))
@@ -259,9 +286,9 @@
     world = begin(seed)
     world.at(world.now + 100.0 * random.Random(seed).random(), lambda: down(world, "d0", 4000.0))
     world.run(world.now + 9000.0)
-    if world.whole().state is not State.OPEN:
+    if world.whole().state is not PlanState.OPEN:
         world.breach("still locked")
-    if not world.whole().first:
+    if not world.whole().first_machine:
         world.ask("d5", "ann", *items(), most_out=2)
     return finish(world)
 
@@ -299,7 +326,7 @@
     return finish(world, swift=False)
 
 
-def _stepped(case: Callable[[int, Step], Found]) -> dict[str, Callable[[int], Found]]:
+def _stepped(case: Callable[[int, ReplacementStep], Found]) -> dict[str, Callable[[int], Found]]:
     name = case.__name__.replace("_", " ")
     return {f"{name}: {step.name.lower()}": lambda seed, step=step: case(seed, step) for step in STEPS}  # type: ignore[misc]
 
--- a/cottonhold/emulator/rolling_replacement_defects.py
+++ b/cottonhold/emulator/rolling_replacement_defects.py
@@ -8,47 +8,66 @@
 from typing import Any
 
 from cottonhold.fleet.rolling_replacement import start_conditions, step_decision
-from cottonhold.fleet.rolling_replacement.machine_driver import Driver
-from cottonhold.fleet.rolling_replacement.plan import Step
+from cottonhold.fleet.rolling_replacement.machine_driver import MachineDriver
+from cottonhold.fleet.rolling_replacement.plan import ReplacementStep
 from cottonhold.fleet.rolling_replacement.schedule import Limits
 
-_limits = start_conditions.Starts._limits
+_limits = start_conditions.StartConditions._limits
 
 
 def _spare(*given: Any) -> Limits:
-    return replace(_limits(*given), spare=99)
+    return replace(_limits(*given), spare_voters=99)
 
 
 def _zones(*given: Any) -> Limits:
-    return replace(_limits(*given), zones=9)
+    return replace(_limits(*given), max_zones=9)
 
 
-def _unmoved(name: str, record: Any, view: Any, settings: Any) -> step_decision.Verdict:
-    return step_decision.Verdict(replace(record, step=Step.DRAINING))
+def _unmoved(name: str, record: Any, view: Any, settings: Any) -> step_decision.StepDecision:
+    return step_decision.StepDecision(replace(record, step=ReplacementStep.DRAINING))
 
 
-def _count_of_before(name: str, record: Any, view: Any, settings: Any) -> step_decision.Verdict:
-    pins = 0 if view.pins is None else view.pins
-    return step_decision._draining(name, record, replace(view, pins=pins), settings)
+def _count_of_before(name: str, record: Any, view: Any, settings: Any) -> step_decision.StepDecision:
+    pins = 0 if view.remaining_keys is None else view.remaining_keys
+    return step_decision._draining(name, record, replace(view, remaining_keys=pins), settings)
 
 
 # name -> the case that shows it, what the check says, and what is put in whose place
 DEFECTS: dict[str, tuple[str, str, list[tuple[Any, str, Any]]]] = {
-    "no epoch fence": ("stopped: moving", "under epoch", [(Driver, "_fenced", lambda *a: True)]),
+    "no epoch fence": (
+        "stopped: moving",
+        "under epoch",
+        [(MachineDriver, "_is_sole_driver", lambda *a: True)],
+    ),
     "no quorum check": (
         "four at once",
         "goes out and leaves",
-        [(start_conditions.Starts, "_limits", _spare), (Driver, "_spare", lambda *a: True)],
+        [
+            (start_conditions.StartConditions, "_limits", _spare),
+            (MachineDriver, "_keeps_quorum", lambda *a: True),
+        ],
+    ),
+    "start while a zone is out": (
+        "zone lost: moving",
+        "is in trouble",
+        [(MachineDriver, "_blocked_reasons", lambda *a: [])],
+    ),
+    "two zones at once": (
+        "calm",
+        "in more than 1 zones",
+        [(start_conditions.StartConditions, "_limits", _zones)],
     ),
-    "start while a zone is out": ("zone lost: moving", "is in trouble", [(Driver, "_held", lambda *a: [])]),
-    "two zones at once": ("calm", "in more than 1 zones", [(start_conditions.Starts, "_limits", _zones)]),
     "drained before its pins are moved": ("calm", "pins", [(step_decision.STEPS, "MOVING", _unmoved)]),
     "a count of the step before": (
         "calm",
         "with its place in the table",
         [(step_decision.STEPS, "DRAINING", _count_of_before)],
     ),
-    "nobody takes over": ("driver dies: out", "not at its end", [(Driver, "_orphaned", lambda *a: False)]),
+    "nobody takes over": (
+        "driver dies: out",
+        "not at its end",
+        [(MachineDriver, "_is_undriven", lambda *a: False)],
+    ),
 }
 
 
@@ -59,8 +78,8 @@
     before: list[tuple[Any, Any, Any]] = []
     for where, key, value in puts:
         if isinstance(where, dict):
-            before.append((where, Step[key], where[Step[key]]))
-            where[Step[key]] = value
+            before.append((where, ReplacementStep[key], where[ReplacementStep[key]]))
+            where[ReplacementStep[key]] = value
         else:
             before.append((where, key, getattr(where, key)))
             setattr(where, key, value)
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -20,7 +20,7 @@
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.recovery.warmup_messages import engine_number
 from cottonhold.fleet.rolling_replacement import plan
-from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Step
+from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, ReplacementStep
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordKind
 
 DRAINS = 96  # the kind of message
@@ -28,7 +28,7 @@
 ROW = struct.Struct("!IIHB")
 MOST_ROWS = (MAX_MESSAGE_BYTES - HEAD.size) // ROW.size
 U16, U32 = 0xFFFF, 0xFFFFFFFF
-TOLD = (Step.DRAINING, Step.OUT)
+TOLD = (ReplacementStep.DRAINING, ReplacementStep.OUT)
 
 
 class Says(IntFlag):
@@ -211,13 +211,17 @@
                 missing.add(member)
         return missing
 
-    def there(self, chain: Mapping[str, plan.Record]) -> list[Machine]:
+    def there(self, chain: Mapping[str, plan.MachineRecord]) -> list[Machine]:
         """Engines as they are there now: those listed; of drained ones those that are not away. One that has
         been away is there again once it is listed and has answered this instance."""
         found = []
         for name, machine in self.last.items():
             record = chain.get(name)
-            back = record is not None and record.step is Step.OUT and record.has(Flag.AWAY)
+            back = (
+                record is not None
+                and record.step is ReplacementStep.OUT
+                and record.has_flag(MachineFlag.WAS_AWAY)
+            )
             if name not in self.drained or not self.away(name) and (not back or self.answers(name)):
                 found.append(machine)
         return found
@@ -232,14 +236,14 @@
         drained = self.drained.get(engine)
         return drained is not None and drained.answered and engine in self.listed
 
-    def step(self, now: float, chain: Mapping[str, plan.Record]) -> list[Tell | Knock]:
+    def step(self, now: float, chain: Mapping[str, plan.MachineRecord]) -> list[Tell | Knock]:
         """What is to be told to those that drive swaps of engines, and which engines are to be asked."""
         # Danger: of a long request all engines that another id had replaced were told for good, and the one
         # that drained had no room left in the word.
         told = {n: d for n, d in sorted(self.drained.items()) if n in chain and chain[n].step in TOLD}
         actions: list[Tell | Knock] = []
         for engine, drained in told.items():
-            if chain[engine].step is Step.OUT and now - drained.knocked_at >= self.settings.knock:
+            if chain[engine].step is ReplacementStep.OUT and now - drained.knocked_at >= self.settings.knock:
                 drained.knocked_at = now
                 actions.append(Knock(engine))
             self._weigh(now, engine, drained)
@@ -358,7 +362,7 @@
         return over
 
 
-def fresh(record: plan.Record | None) -> bool:
+def fresh(record: plan.MachineRecord | None) -> bool:
     """Whether an engine that is drained no longer is another process than before. One whose swap is over and
     forgotten counts as that: a cold start too many costs little."""
-    return record is None or record.seen > 0
+    return record is None or record.arrived_cores_tenths > 0
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -1,10 +1,10 @@
-"""The rolling swap at one instance: who drives which machine, and what each is told to do. Pure.
+"""Rolling replacement at one instance: drives machines' replacements and keeps the plan. Pure.
 
-Feed it machines, zones, pins, open requests and the outcomes of registers; call `step` at `next_at` at the
-latest. What a machine's register says is the state; this instance only remembers what it has seen of it. All
-changes are compare-and-sets. A machine's swap has one driver, named in its register with an epoch: the
-instance itself until it is out, then the one that a hash puts first. If the driver is away, the others take
-over one after another; an earlier driver finds its epoch gone. See docs/design/swap.md.
+Feed it machines, zones, keys, open requests and the outcomes of registers; call `step` at `next_at` at the
+latest. A machine's record is the state; this instance only remembers what it has seen of it. All changes are
+compare-and-set. A machine's replacement has one driver, named in its record with an epoch: the instance
+itself until it is out, then the one that a hash puts first. If the driver is absent, the others take over
+one after another; an earlier driver finds its epoch gone. See docs/design/swap.md.
 """
 
 from __future__ import annotations
@@ -15,315 +15,351 @@
 
 from cottonhold.fleet.consensus.register_cache import RegisterCache
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.rolling_replacement import plan
-from cottonhold.fleet.rolling_replacement.machine_driver import Driver, Mine, Scene, SwapSettings, order_of
+from cottonhold.fleet.rolling_replacement import plan, plan_codec
+from cottonhold.fleet.rolling_replacement.machine_driver import (
+    FleetView,
+    LocalProgress,
+    MachineDriver,
+    ReplacementSettings,
+    takeover_order,
+)
 from cottonhold.fleet.rolling_replacement.plan import (
-    NAME,
-    Flag,
+    PLAN_REGISTER,
     Machine,
-    Record,
-    Request,
-    State,
-    Step,
-    Whole,
-    ident,
-    register,
+    MachineFlag,
+    MachineRecord,
+    PlanState,
+    ReplacementPlan,
+    ReplacementRequest,
+    ReplacementStep,
+    machine_id,
+    register_name,
 )
-from cottonhold.fleet.rolling_replacement.plan_submission import Laying, unlocked
-from cottonhold.fleet.rolling_replacement.start_conditions import Bearable
+from cottonhold.fleet.rolling_replacement.plan_submission import PlanSubmission, without_submission
+from cottonhold.fleet.rolling_replacement.start_conditions import CapacityCheck
 from cottonhold.fleet.rolling_replacement.step_decision import (
     Action,
-    Answer,
     Drain,
-    Ready,
-    Say,
+    LogStep,
+    ReadyToPowerOff,
+    RequestAnswered,
     Undrain,
 )
 from cottonhold.fleet.zone_failover.messages import zone_number
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
-    """One machine's swap for operators. `since`: on this instance's clock, when its register last changed."""
+class StatusRow:
+    """One machine's replacement for operators; changed_at: when its record last changed (own clock)."""
 
     machine: str
-    new: str
-    step: Step
-    since: float
-    by: str
+    replacement: str
+    step: ReplacementStep
+    changed_at: float
+    requested_by: str
     driver: str
     epoch: int
-    why: list[str]
+    reasons: list[str]
 
 
-class Swap:
-    """One instance. `me`: its own machine's name."""
+class ReplacementCoordinator:
+    """Rolling replacement at one instance; own_machine: its name."""
 
     def __init__(
-        self, me: str, now: float, settings: SwapSettings, seed: int, bearable: Bearable | None = None
+        self,
+        own_machine: str,
+        now: float,
+        settings: ReplacementSettings,
+        seed: int,
+        bearable: CapacityCheck | None = None,
     ) -> None:
-        self.settings, self.draw = settings, random.Random(seed)
-        self.scene = Scene(me, now, unrest_at=now)
-        self.ledger = RegisterCache(self.draw, settings.late)
-        self.driver = Driver(self.scene, self.ledger, settings, bearable)
+        self.settings, self.random_source = settings, random.Random(seed)
+        self.view = FleetView(own_machine, now, last_trouble_at=now)
+        self.registers = RegisterCache(self.random_source, settings.operation_timeout_ms)
+        self.driver = MachineDriver(self.view, self.registers, settings, bearable)
         self.drained: set[str] = set()
-        self.laying: Laying | None = None
-        self.tidy_at: float | None = None
-        self.locked_at: tuple[int, float] = (0, now)
-        self.said: list[Action] = []
-        self.malformed = 0
-        self.was_settled, self.settled_from = False, now
-        self.next_step = now
-
-    # --- what happens ---
-
-    def ask(self, now: float, request: Request) -> None:
-        """A request by hand here. Raises PlanError; an Answer follows when it is settled."""
-        if self.laying is not None:
-            raise plan.PlanError(f"a request by {self.laying.request.who} is being laid here")
-        plan.check(request, self.scene.there)
-        self.laying, self.next_step = Laying(self.scene.id, request, now + self.settings.lay), now
-
-    def abort(self, now: float, who: str, why: str, machine: str = "") -> None:
-        """Abort a machine's swap, or all of them. Raises PlanError if there is none."""
-        names = [n for n, r in self.scene.chain.items() if not r.over and machine in ("", n)]
+        self.submission: PlanSubmission | None = None
+        self.cleanup_needed_since: float | None = None
+        self.lock_seen: tuple[int, float] = (0, now)
+        self.pending_actions: list[Action] = []
+        self.malformed_count = 0
+        self.all_read, self.read_since = False, now
+        self.next_step_at = now
+
+    def request(self, now: float, replacement: ReplacementRequest) -> None:
+        """Submit an operator's request. Raises PlanError; a RequestAnswered follows."""
+        if self.submission is not None:
+            raise plan.PlanError(f"a request by {self.submission.request.requested_by} is being laid here")
+        plan.check_request(replacement, self.view.machines)
+        self.submission, self.next_step_at = (
+            PlanSubmission(self.view.own_id, replacement, now + self.settings.submission_timeout_ms),
+            now,
+        )
+
+    def abort(self, now: float, requested_by: str, reason: str, machine: str = "") -> None:
+        """Abort a machine's replacement, or all of them. Raises PlanError if there is none."""
+        names = [n for n, r in self.view.records.items() if not r.is_over and machine in ("", n)]
         if not names:
             raise plan.PlanError(f"no swap of '{machine}' runs" if machine else "no swap runs")
         for name in names:
-            self.driver.aborts[name] = now + self.settings.lay
-            self.said.append(Say(name, None, f"abort asked by {who}: {why}"))
-        self.next_step = now
-
-    def present(self, now: float, machines: Iterable[Machine]) -> None:
-        """Exactly these machines are there, engines and dispatchers, this one among them."""
-        self.scene.there = {m.name: m for m in machines}
-        self.scene.seen.update(dict.fromkeys(self.scene.there, now))
-
-    def zone(self, now: float, zone: str, trouble: str) -> None:
-        """A zone is left or returns (why), or is in use as usual (nothing)."""
-        self._note(now, self.scene.zones, zone, trouble and f"zone {zone}: {trouble}")
-
-    def fleet(self, now: float, what: str, trouble: str) -> None:
-        """The fleet as a whole sheds, recovers, or the like (`what`), or does no longer (no trouble)."""
-        self._note(now, self.scene.trouble, what, trouble)
-
-    def pins_left(self, now: float, machine: str, count: int | None) -> None:
-        """So many pins are still a machine's own, by the step that it is in; nothing: that is not known (any
-        more)."""
+            self.driver.abort_deadlines[name] = now + self.settings.submission_timeout_ms
+            self.pending_actions.append(LogStep(name, None, f"abort asked by {requested_by}: {reason}"))
+        self.next_step_at = now
+
+    def set_machines(self, now: float, machines: Iterable[Machine]) -> None:
+        """Set the machines that are there: engines and dispatchers, this one among them."""
+        self.view.machines = {m.name: m for m in machines}
+        self.view.last_seen_at.update(dict.fromkeys(self.view.machines, now))
+
+    def set_zone_trouble(self, now: float, zone: str, trouble: str) -> None:
+        """Set why a zone is evacuated or returns; "" if it is in use as usual."""
+        self._set_trouble(now, self.view.zone_troubles, zone, trouble and f"zone {zone}: {trouble}")
+
+    def set_fleet_trouble(self, now: float, what: str, trouble: str) -> None:
+        """Set why the fleet sheds load, recovers or the like (`what`); "" if it does not any more."""
+        self._set_trouble(now, self.view.fleet_troubles, what, trouble)
+
+    def set_remaining_keys(self, now: float, machine: str, count: int | None) -> None:
+        """Set how many keys a machine still owns, by its present step; None if that is not known."""
         if count is None:
-            self.scene.pins.pop(machine, None)
+            self.view.remaining_keys.pop(machine, None)
         else:
-            self.scene.pins[machine] = count
+            self.view.remaining_keys[machine] = count
+
+    def set_open_requests(self, now: float, machine: str, count: int | None) -> None:
+        """Set how many requests are open at this dispatcher, or over all dispatchers at an engine.
 
-    def open_left(self, now: float, machine: str, count: int | None) -> None:
-        """So many requests are open: at this dispatcher, or over all dispatchers at an engine; nothing: that
-        is not known (any more)."""
+        None if that is not known.
+        """
         if count is None:
-            self.scene.open.pop(machine, None)
+            self.view.open_requests.pop(machine, None)
         else:
-            self.scene.open[machine] = count
+            self.view.open_requests[machine] = count
 
-    def pace(self, now: float, machine: str, share: float) -> None:
-        """A machine that is new takes such a share of its part, 0 to 1."""
-        self.scene.paces[machine] = share
+    def set_traffic_share(self, now: float, machine: str, share: float) -> None:
+        """Set the share of its traffic, 0 to 1, that a new machine takes."""
+        self.view.traffic_shares[machine] = share
 
-    def outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
-        """A change or read of a register has ended: won or lost with what it holds now, or not known
-        (None)."""
-        if self.ledger.on_outcome(now, token, won, version, value):
-            self.next_step = now
+    def on_outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
+        """Apply the end of a change or read of a register; won is None if it is unknown."""
+        if self.registers.on_outcome(now, token, won, version, value):
+            self.next_step_at = now
 
-    def changed(self, now: float, name: str, version: int, value: bytes) -> None:
-        """Another has told of a register."""
-        if name.startswith(NAME):
-            self.ledger.on_hint(now, name, version, value)
-            self.next_step = min(self.next_step, now + self.settings.period)
+    def on_register_changed(self, now: float, name: str, version: int, value: bytes) -> None:
+        """Apply a register's value that another member announced."""
+        if name.startswith(PLAN_REGISTER):
+            self.registers.on_hint(now, name, version, value)
+            self.next_step_at = min(self.next_step_at, now + self.settings.step_interval_ms)
 
-    def _note(self, now: float, where: dict[str, str], key: str, trouble: str) -> None:
+    def _set_trouble(self, now: float, where: dict[str, str], key: str, trouble: str) -> None:
         if trouble:
             where[key] = trouble
         elif where.pop(key, ""):
-            self.scene.unrest_at = now
-
-    # --- step ---
+            self.view.last_trouble_at = now
 
     def next_at(self) -> float:
-        """When `step` is due."""
-        return self.next_step
+        """Return when `step` is due."""
+        return self.next_step_at
 
     def step(self, now: float) -> list[Action]:
-        """What to do now."""
-        if now < self.next_step:
+        """Return what to do now."""
+        if now < self.next_step_at:
             return []
-        idle = not self.scene.whole.first and self.laying is None and not self.said
-        self.next_step = now + (self.settings.rest if idle else self.settings.period)
-        self.scene.seen.update(dict.fromkeys(self.scene.there, now))
-        actions, self.said = self.said, []
-        actions += self._look(now)
-        if self.laying is not None:
-            actions += self._lay(now, self.laying)
-        for name, record in self.scene.chain.items():
+        idle = not self.view.plan.first_machine and self.submission is None and not self.pending_actions
+        self.next_step_at = now + (self.settings.idle_interval_ms if idle else self.settings.step_interval_ms)
+        self.view.last_seen_at.update(dict.fromkeys(self.view.machines, now))
+        actions, self.pending_actions = self.pending_actions, []
+        actions += self._read_registers(now)
+        if self.submission is not None:
+            actions += self._submit(now, self.submission)
+        for name, record in self.view.records.items():
             actions += self.driver.step(now, name, record)
-        actions += self._own(now)
-        return actions + self._tidy(now)
-
-    def status(self) -> list[Row]:
-        """Each machine's swap, in the order of the chain."""
-        names = {m.id: m.name for m in self.scene.there.values()}
-        return [
-            Row(
-                name, r.new, r.step, self.ledger.register(register(name)).first_seen_at, r.who,
-                names.get(r.driver, f"{r.driver:x}" if r.driver else ""), r.epoch, self.driver.mine[name].why,
+        actions += self._drain_actions(now)
+        return actions + self._clean_up(now)
+
+    def status(self) -> list[StatusRow]:
+        """Return each machine's replacement, in the order of the chain."""
+        names = {m.id: m.name for m in self.view.machines.values()}
+        rows = []
+        for name, record in self.view.records.items():
+            unknown_driver = f"{record.driver:x}" if record.driver else ""
+            row = StatusRow(
+                machine=name,
+                replacement=record.replacement,
+                step=record.step,
+                changed_at=self.registers.register(register_name(name)).first_seen_at,
+                requested_by=record.requested_by,
+                driver=names.get(record.driver, unknown_driver),
+                epoch=record.epoch,
+                reasons=self.driver.progress[name].reasons,
             )
-            for name, r in self.scene.chain.items()
-        ]  # fmt: skip
+            rows.append(row)
+        return rows
 
-    # --- registers ---
-
-    def _look(self, now: float) -> list[Action]:
-        """Read what is due, and walk the chain."""
+    def _read_registers(self, now: float) -> list[Action]:
+        """Read what is due, and follow the chain."""
         s, actions = self.settings, list[Action]()
-        every = s.follow * (0.8 + 0.4 * self.draw.random())
-        actions += self.ledger.read(now, NAME, every)
-        cell = self.ledger.received(NAME)
+        interval_ms = s.read_interval_ms * (0.8 + 0.4 * self.random_source.random())
+        actions += self.registers.read(now, PLAN_REGISTER, interval_ms)
+        cell = self.registers.received(PLAN_REGISTER)
         try:
-            self.scene.whole = plan.read_whole(cell.value if cell else b"")
-            chain = self._walk(now, actions, every)
+            self.view.plan = plan_codec.decode_plan(cell.value if cell else b"")
+            chain = self._walk_chain(now, actions, interval_ms)
         except MessageError:
-            self.malformed += 1
-            chain, self.scene.complete = {}, False
-        self.scene.complete = self.scene.complete and cell is not None
-        self.scene.chain = chain
+            self.malformed_count += 1
+            chain, self.view.is_complete = {}, False
+        self.view.is_complete = self.view.is_complete and cell is not None
+        self.view.records = chain
         for name, record in chain.items():
-            mine = self.driver.mine.setdefault(name, Mine())
-            if mine.step is not record.step:
-                actions.append(Say(name, record.step, ""))
-                mine.step, mine.step_at = record.step, now
-                # Danger: a machine with no pins left in MOVING went on from DRAINING to OUT in the very step
-                # that first saw DRAINING: the 0 was counted before it had to leave the table as well. Taken
-                # away by then, it still owned its keys, and nobody served them.
-                self.scene.pins.pop(name, None)
-                if record.step is Step.MOVING:
-                    mine.began_at = now
-        for name in self.driver.mine.keys() - chain.keys():
-            if self.scene.complete:
-                del self.driver.mine[name]
+            progress = self.driver.progress.setdefault(name, LocalProgress())
+            if progress.step is not record.step:
+                actions.append(LogStep(name, record.step, ""))
+                progress.step, progress.step_seen_at = record.step, now
+                # In DRAINING the place in the table counts as well, so a count from MOVING must not be used.
+                self.view.remaining_keys.pop(name, None)
+                if record.step is ReplacementStep.MOVING:
+                    progress.moving_since = now
+        for name in self.driver.progress.keys() - chain.keys():
+            if self.view.is_complete:
+                del self.driver.progress[name]
         return actions
 
-    def _walk(self, now: float, actions: list[Action], every: float) -> dict[str, Record]:
-        chain, name, whole = dict[str, Record](), self.scene.whole.first, self.scene.whole
-        self.scene.complete = False
+    def _walk_chain(self, now: float, actions: list[Action], interval_ms: float) -> dict[str, MachineRecord]:
+        chain, name, current_plan = dict[str, MachineRecord](), self.view.plan.first_machine, self.view.plan
+        self.view.is_complete = False
         while name and name not in chain:
-            key = register(name)
-            cell = self.ledger.received(key)
-            record = plan.read_record(cell.value) if cell else None
-            # Danger: what is known of an earlier swap's register would lead along an earlier chain.
+            key = register_name(name)
+            cell = self.registers.received(key)
+            record = plan_codec.decode_record(cell.value) if cell else None
+            # A record of an earlier replacement would lead along an earlier chain.
             if (
                 record is None
-                or not whole.base <= record.serial <= whole.serial
-                or self.scene.behind(name, record)
+                or not current_plan.first_serial <= record.serial <= current_plan.serial
+                or self.view.is_outdated(name, record)
             ):
-                actions += self.ledger.read(now, key, self.settings.poll)
-                if record is None or not whole.base <= record.serial <= whole.serial:
+                actions += self.registers.read(now, key, self.settings.driver_read_interval_ms)
+                if record is None or not current_plan.first_serial <= record.serial <= current_plan.serial:
                     return chain
-            elif not record.over:
-                mine = record.driver == self.scene.id and record.step not in plan.BEFORE
-                actions += self.ledger.read(now, key, self.settings.poll if mine else every)
-            chain[name], name = record, record.next
-        self.scene.complete = not name
+            elif not record.is_over:
+                is_driver = record.driver == self.view.own_id and record.step not in plan.WAITING_STEPS
+                actions += self.registers.read(
+                    now, key, self.settings.driver_read_interval_ms if is_driver else interval_ms
+                )
+            chain[name], name = record, record.next_machine
+        self.view.is_complete = not name
         return chain
 
-    def _lay(self, now: float, laying: Laying) -> list[Action]:
-        numbers = {m.zone: zone_number(m.zone) for m in self.scene.there.values()}
-        chain = self.scene.chain if self.scene.complete else None
-        actions = laying.step(now, self.ledger, self.scene.whole, chain, self.scene.there, numbers)
-        if laying.answer is not None:
-            actions.append(Answer(laying.request, laying.answer))
-            self.laying = None
+    def _submit(self, now: float, submission: PlanSubmission) -> list[Action]:
+        numbers = {m.zone: zone_number(m.zone) for m in self.view.machines.values()}
+        chain = self.view.records if self.view.is_complete else None
+        actions = submission.step(now, self.registers, self.view.plan, chain, self.view.machines, numbers)
+        if submission.answer is not None:
+            actions.append(RequestAnswered(submission.request, submission.answer))
+            self.submission = None
         return actions
 
-    # --- this machine's own side, and the whole ---
-
-    def _own(self, now: float) -> list[Action]:
-        """Drain and take up again, as registers say: this machine, and any engine."""
+    def _drain_actions(self, now: float) -> list[Action]:
+        """Drain and undrain this machine and engines, as their records say."""
         wanted = set[str]()
-        for name, r in self.scene.chain.items():
-            if r.has(Flag.ENGINE):
-                wanted |= {name} if self._keeps_out(name, r) else set()
+        for name, r in self.view.records.items():
+            if r.has_flag(MachineFlag.ENGINE):
+                wanted |= {name} if self._is_withheld(name, r) else set()
                 continue
-            left = name == self.scene.me and self._life() != r.life  # a new life after the old one was out
-            if name == self.scene.me and (r.step is Step.DRAINING or r.step is Step.OUT and not left):
+            if name == self.view.own_machine and self._is_taken_out(r):
                 wanted.add(name)
         actions: list[Action] = [Drain(name) for name in sorted(wanted - self.drained)]
-        # Danger: while a part of the chain is being read anew, what was on it looks gone.
-        over = self.drained - wanted if self.scene.complete else set[str]()
+        # While a part of the chain is being read again, machines on it seem to be gone.
+        over = self.drained - wanted if self.view.is_complete else set[str]()
         actions += [Undrain(name) for name in sorted(over)]
         self.drained = (self.drained | wanted) - over
-        record = self.scene.chain.get(self.scene.me)
-        if record is not None and record.step is Step.OUT and self.scene.me in wanted:
-            mine_ = self.driver.mine[self.scene.me]
-            if mine_.readied != record.epoch and not record.has(Flag.ABORT):
-                mine_.readied = record.epoch
-                actions.append(Ready(self.scene.me, record.epoch))
+        record = self.view.records.get(self.view.own_machine)
+        if record is not None and record.step is ReplacementStep.OUT and self.view.own_machine in wanted:
+            progress = self.driver.progress[self.view.own_machine]
+            if progress.ready_epoch != record.epoch and not record.has_flag(MachineFlag.ABORTING):
+                progress.ready_epoch = record.epoch
+                actions.append(ReadyToPowerOff(self.view.own_machine, record.epoch))
         return actions
 
-    def _keeps_out(self, name: str, r: Record) -> bool:
-        """Whether nothing new may go to an engine: from DRAINING until it, or the one under its id, is back;
-        one that another id replaces, for good."""
-        after = r.step in (Step.IN_PLACE, Step.RAMPING, Step.DONE)
-        return r.step in (Step.DRAINING, Step.OUT) or after and r.new != name and not r.has(Flag.ABORT)
-
-    def settled(self) -> bool:
-        """Whether all registers of the swap have been read over a majority since the start, or since
-        `unsettle`."""
-        if not self.was_settled and self.scene.complete:
-            names = [NAME, *(register(n) for n, r in self.scene.chain.items() if not r.over)]
-            self.was_settled = all(self.ledger.register(n).confirmed_at >= self.settled_from for n in names)
-        return self.was_settled
-
-    def unsettle(self, now: float) -> None:
-        """This instance stood still: what it knows of registers may be old."""
-        self.was_settled, self.settled_from, self.next_step = False, now, now
-
-    def _life(self) -> int:
-        machine = self.scene.there.get(self.scene.me)
-        return machine.life & 0xFFFFFFFF if machine is not None else -1
-
-    def _tidy(self, now: float) -> list[Action]:
-        """Take those that are over off the whole, undo a request whose author died. Anyone may; one after
-        another, so that they do not hinder each other."""
-        after = self._tidied(now)
-        if after == self.scene.whole:
-            self.tidy_at = None
+    def _is_taken_out(self, record: MachineRecord) -> bool:
+        """Whether this machine must not serve: it drains, or is out and was not started again since."""
+        if record.step is ReplacementStep.DRAINING:
+            return True
+        is_same_incarnation = self._own_incarnation() == record.incarnation
+        return record.step is ReplacementStep.OUT and is_same_incarnation
+
+    def _is_withheld(self, name: str, record: MachineRecord) -> bool:
+        """Whether an engine must get no new requests.
+
+        That is from DRAINING until it, or the one under its id, is back; for good if another id replaces it.
+        """
+        if record.step in (ReplacementStep.DRAINING, ReplacementStep.OUT):
+            return True
+        is_after = record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING, ReplacementStep.DONE)
+        is_replaced = record.replacement != name and not record.has_flag(MachineFlag.ABORTING)
+        return is_after and is_replaced
+
+    def has_read_all(self) -> bool:
+        """Whether all records were read from a majority since the start, or since `on_pause`."""
+        if not self.all_read and self.view.is_complete:
+            names = [
+                PLAN_REGISTER,
+                *(register_name(n) for n, r in self.view.records.items() if not r.is_over),
+            ]
+            self.all_read = all(self.registers.register(n).confirmed_at >= self.read_since for n in names)
+        return self.all_read
+
+    def on_pause(self, now: float) -> None:
+        """This instance was paused: what it knows of registers may be out of date."""
+        self.all_read, self.read_since, self.next_step_at = False, now, now
+
+    def _own_incarnation(self) -> int:
+        machine = self.view.machines.get(self.view.own_machine)
+        return machine.incarnation & 0xFFFFFFFF if machine is not None else -1
+
+    def _clean_up(self, now: float) -> list[Action]:
+        """Take finished machines off the plan, and undo a request whose author failed.
+
+        Any instance may; they try one after another, so that they seldom compete.
+        """
+        after = self._cleaned_plan(now)
+        if after == self.view.plan:
+            self.cleanup_needed_since = None
             return []
-        if self.tidy_at is None:
-            self.tidy_at = now
+        if self.cleanup_needed_since is None:
+            self.cleanup_needed_since = now
         live = sorted(
-            (m.name for m in self.scene.there.values() if not m.engine), key=lambda n: order_of(NAME, n)
+            (m.name for m in self.view.machines.values() if not m.is_engine),
+            key=lambda n: takeover_order(PLAN_REGISTER, n),
         )
-        rank = live.index(self.scene.me) if self.scene.me in live else len(live)
-        if now - self.tidy_at < rank * self.settings.spread:
+        rank = live.index(self.view.own_machine) if self.view.own_machine in live else len(live)
+        if now - self.cleanup_needed_since < rank * self.settings.takeover_stagger_ms:
             return []
-        return list(self.ledger.change(now, NAME, plan.pack_whole(after)))
-
-    def _tidied(self, now: float) -> Whole:
-        whole = self.scene.whole
-        over = {ident(name) for name, r in self.scene.chain.items() if r.over}
-        if over & set(whole.out):
-            whole = replace(whole, out=tuple(i for i in whole.out if i not in over))
-        if whole.state is State.LAYING:
-            if self.locked_at[0] != whole.serial:
-                self.locked_at = whole.serial, now
-            live = {m.id for m in self.scene.there.values()}
-            ours = whole.locker == self.scene.id and self.laying is not None
-            held = now - self.locked_at[1]
+        return list(self.registers.change(now, PLAN_REGISTER, plan_codec.encode_plan(after)))
+
+    def _cleaned_plan(self, now: float) -> ReplacementPlan:
+        current_plan = self.view.plan
+        over = {machine_id(name) for name, r in self.view.records.items() if r.is_over}
+        if over & set(current_plan.machines_out):
+            current_plan = replace(
+                current_plan, machines_out=tuple(i for i in current_plan.machines_out if i not in over)
+            )
+        if current_plan.state is PlanState.SUBMITTING:
+            if self.lock_seen[0] != current_plan.serial:
+                self.lock_seen = current_plan.serial, now
+            live = {m.id for m in self.view.machines.values()}
+            ours = current_plan.locked_by == self.view.own_id and self.submission is not None
+            held = now - self.lock_seen[1]
             if (
-                held > self.settings.lay * 1.5
+                held > self.settings.submission_timeout_ms * 1.5
                 or not ours
-                and held > self.settings.settle
-                and (whole.locker == self.scene.id or whole.locker not in live)
+                and held > self.settings.startup_grace_ms
+                and (current_plan.locked_by == self.view.own_id or current_plan.locked_by not in live)
             ):
-                whole = unlocked(whole)
-        elif whole.first and self.scene.complete and all(r.over for r in self.scene.chain.values()):
-            whole = replace(whole, first="", out=())
-        return whole
+                current_plan = without_submission(current_plan)
+        elif (
+            current_plan.first_machine
+            and self.view.is_complete
+            and all(r.is_over for r in self.view.records.values())
+        ):
+            current_plan = replace(current_plan, first_machine="", machines_out=())
+        return current_plan
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -1,8 +1,8 @@
-"""Who drives a machine's swap, and what the driver does. Pure.
+"""Which instance drives a machine's replacement, and what the driver does. Pure.
 
-A driver is named in the machine's register with an epoch. It changes registers by compare-and-set; for
-effects that are none (moving pins, telling operators) it must have seen its own epoch there a moment ago,
-and a new one waits until the moment of the one before is over.
+A driver is named in the machine's record with an epoch. It changes records by compare-and-set. For other
+actions (moving keys, notifying operators) it must have read its own epoch there a moment ago, and a new
+driver waits until that moment of the previous one is over.
 """
 
 from __future__ import annotations
@@ -11,296 +11,349 @@
 from dataclasses import dataclass, field, replace
 
 from cottonhold.fleet.consensus.register_cache import CachedRegister, RegisterCache
-from cottonhold.fleet.rolling_replacement import plan
+from cottonhold.fleet.rolling_replacement import plan, plan_codec
 from cottonhold.fleet.rolling_replacement.plan import (
-    NAME,
-    Flag,
+    PLAN_REGISTER,
     Machine,
-    Reason,
-    Record,
-    Step,
-    Whole,
-    ident,
-    register,
+    MachineFlag,
+    MachineRecord,
+    ReplacementPlan,
+    ReplacementStep,
+    StepReason,
+    machine_id,
+    register_name,
+)
+from cottonhold.fleet.rolling_replacement.start_conditions import (
+    CapacityCheck,
+    StartConditions,
+    available_voters,
 )
-from cottonhold.fleet.rolling_replacement.start_conditions import Bearable, Starts, up
 from cottonhold.fleet.rolling_replacement.step_decision import (
     Action,
-    MovePins,
-    Ready,
+    MachineView,
+    MoveKeys,
+    ReadyToPowerOff,
     StepSettings,
-    View,
-    decide,
+    decide_step,
 )
 from cottonhold.fleet.zone_failover.evacuation import majority
 
 
 @dataclass(slots=True, frozen=True)
-class SwapSettings:
-    """Times in ms.
-
-    voters: configured ones. period: a step; rest: while no swap runs. confirm: so old may a driver's
-    knowledge of its register be when it acts; a new driver waits that long first. poll: a driver reads so
-    often, follow: others. spread: between two that could take over. settle: so long a machine must be back
-    before it drives its own swap again, and nothing is begun after a start. stale: so long an active step
-    may stand still before another drives it. calm: so long must nothing have stood against a start. late: an
-    operation on a register counts as lost. lay: so long a request may take until it is laid. lasts: a swap
-    of a machine takes that long where none was seen yet.
+class ReplacementSettings:
+    """Times of rolling replacement.
+
+    voters: number of configured voters. step_interval_ms: between steps; idle_interval_ms: while no
+    replacement runs. max_read_age_ms: how old a driver's knowledge of its record may be when it acts; a new
+    driver waits that long first. driver_read_interval_ms: between reads of a driver; read_interval_ms: of
+    others. takeover_stagger_ms: between two that could take over. startup_grace_ms: how long a machine must
+    be back before it drives its own replacement again, and nothing is begun after a start. stalled_step_ms:
+    an active step that stands still so long is driven by another. calm_period_ms: how long there must have
+    been no trouble before a start. operation_timeout_ms: of a register's change. submission_timeout_ms: of a
+    request. default_duration_ms: of a machine's replacement, until one was seen.
     """
 
     voters: int = 1
-    period: float = 50.0
-    rest: float = 250.0
-    confirm: float = 400.0
-    poll: float = 150.0
-    follow: float = 1000.0
-    spread: float = 250.0
-    settle: float = 1000.0
-    stale: float = 30_000.0
-    calm: float = 1000.0
-    late: float = 6000.0
-    lay: float = 20_000.0
-    lasts: float = 20_000.0
+    step_interval_ms: float = 50.0
+    idle_interval_ms: float = 250.0
+    max_read_age_ms: float = 400.0
+    driver_read_interval_ms: float = 150.0
+    read_interval_ms: float = 1000.0
+    takeover_stagger_ms: float = 250.0
+    startup_grace_ms: float = 1000.0
+    stalled_step_ms: float = 30_000.0
+    calm_period_ms: float = 1000.0
+    operation_timeout_ms: float = 6000.0
+    submission_timeout_ms: float = 20_000.0
+    default_duration_ms: float = 20_000.0
     steps: StepSettings = field(default_factory=StepSettings)
 
 
 @dataclass(slots=True)
-class Mine:
-    """What this life knows of a machine's swap beside its register."""
+class LocalProgress:
+    """What this incarnation knows of a machine's replacement besides its record."""
 
-    epoch: int = -1  # which this life has won
+    won_epoch: int = -1
     won_at: float = 0.0
-    claim: int = -1  # which it has asked for
-    orphan_at: float | None = None  # since when nobody drives it
-    began_at: float | None = None  # when it was first seen moving
-    step: Step | None = None
-    step_at: float = 0.0
-    moved_at: float = -1e12
-    readied: int = -1
-    why: list[str] = field(default_factory=list)
+    claimed_epoch: int = -1
+    undriven_since: float | None = None
+    moving_since: float | None = None
+    step: ReplacementStep | None = None
+    step_seen_at: float = 0.0
+    last_move_at: float = -1e12
+    ready_epoch: int = -1
+    reasons: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Scene:
-    """What this instance sees. zones, trouble: why a zone, the fleet is not as usual. unrest_at: when that
-    was last so. complete: all of the chain is known."""
-
-    me: str
-    started: float
-    there: dict[str, Machine] = field(default_factory=dict)
-    seen: dict[str, float] = field(default_factory=dict)
-    pins: dict[str, int] = field(default_factory=dict)
-    open: dict[str, int] = field(default_factory=dict)
-    paces: dict[str, float] = field(default_factory=dict)
-    zones: dict[str, str] = field(default_factory=dict)
-    trouble: dict[str, str] = field(default_factory=dict)
-    unrest_at: float = 0.0
-    whole: Whole = field(default_factory=Whole)
-    chain: dict[str, Record] = field(default_factory=dict)
-    complete: bool = False
+class FleetView:
+    """What this instance sees.
+
+    zone_troubles, fleet_troubles: why a zone or the fleet is not as usual; last_trouble_at: when that was
+    last so. is_complete: the whole chain is known.
+    """
+
+    own_machine: str
+    started_at: float
+    machines: dict[str, Machine] = field(default_factory=dict)
+    last_seen_at: dict[str, float] = field(default_factory=dict)
+    remaining_keys: dict[str, int] = field(default_factory=dict)
+    open_requests: dict[str, int] = field(default_factory=dict)
+    traffic_shares: dict[str, float] = field(default_factory=dict)
+    zone_troubles: dict[str, str] = field(default_factory=dict)
+    fleet_troubles: dict[str, str] = field(default_factory=dict)
+    last_trouble_at: float = 0.0
+    plan: ReplacementPlan = field(default_factory=ReplacementPlan)
+    records: dict[str, MachineRecord] = field(default_factory=dict)
+    is_complete: bool = False
 
     @property
-    def id(self) -> int:
+    def own_id(self) -> int:
         """This instance's id among members."""
-        return ident(self.me)
+        return machine_id(self.own_machine)
 
     def dispatchers(self) -> list[Machine]:
-        """Those that are there."""
-        return [m for m in self.there.values() if not m.engine]
+        """Return the dispatchers that are there."""
+        return [m for m in self.machines.values() if not m.is_engine]
 
-    def behind(self, name: str, record: Record) -> bool:
-        """Known to be on its way, and `swap` says that it is not: what is known here is older."""
-        return not record.over and record.step not in plan.BEFORE and ident(name) not in self.whole.out
+    def is_outdated(self, name: str, record: MachineRecord) -> bool:
+        """Whether the record is older than the plan: it is in progress, and the plan says that it is not."""
+        return (
+            not record.is_over
+            and record.step not in plan.WAITING_STEPS
+            and machine_id(name) not in self.plan.machines_out
+        )
 
 
-class Driver:
-    """This instance's side of all swaps that it drives or may take over."""
+class MachineDriver:
+    """This instance's side of all replacements that it drives or may take over."""
 
     def __init__(
-        self, scene: Scene, ledger: RegisterCache, settings: SwapSettings, bearable: Bearable | None
+        self,
+        view: FleetView,
+        registers: RegisterCache,
+        settings: ReplacementSettings,
+        bearable: CapacityCheck | None,
     ) -> None:
-        self.scene, self.ledger, self.settings = scene, ledger, settings
-        self.starts = Starts(settings.voters, settings.lasts, bearable)
-        self.mine: dict[str, Mine] = {}
-        self.given: dict[str, int] = {}  # pins asked to go to each target
-        self.aborts: dict[str, float] = {}  # machine -> until when it is tried
-
-    def step(self, now: float, name: str, record: Record) -> list[Action]:
-        mine, cell = self.mine[name], self.ledger.register(register(name))
-        if record.over:
-            mine.orphan_at, mine.why = None, told(record)
-            self.aborts.pop(name, None)
+        self.view, self.registers, self.settings = view, registers, settings
+        self.start_conditions = StartConditions(settings.voters, settings.default_duration_ms, bearable)
+        self.progress: dict[str, LocalProgress] = {}
+        self.keys_by_target: dict[str, int] = {}  # keys moved to each target
+        self.abort_deadlines: dict[str, float] = {}  # until when an abort is tried
+
+    def step(self, now: float, name: str, record: MachineRecord) -> list[Action]:
+        """Return what to do about a machine: abort it, drive it, or take it over."""
+        progress, cached = self.progress[name], self.registers.register(register_name(name))
+        if record.is_over:
+            progress.undriven_since, progress.reasons = None, record_reasons(record)
+            self.abort_deadlines.pop(name, None)
             return []
-        if self.aborts.get(name, 0.0) > now and not record.has(Flag.ABORT):
-            return self._set(now, name, replace(record, flags=record.flags | Flag.ABORT))
-        if record.driver == self.scene.id and record.epoch == mine.claim != mine.epoch:
-            mine.epoch, mine.won_at = record.epoch, now
-        if record.driver == self.scene.id and record.epoch == mine.epoch:
-            mine.orphan_at = None
-            return self._drive(now, name, record, mine, cell)
-        mine.why = [*told(record), "driven by another"]
-        return self._take_over(now, name, record, mine, cell)
+        if self.abort_deadlines.get(name, 0.0) > now and not record.has_flag(MachineFlag.ABORTING):
+            return self._change_record(now, name, replace(record, flags=record.flags | MachineFlag.ABORTING))
+        if record.driver == self.view.own_id and record.epoch == progress.claimed_epoch != progress.won_epoch:
+            progress.won_epoch, progress.won_at = record.epoch, now
+        if record.driver == self.view.own_id and record.epoch == progress.won_epoch:
+            progress.undriven_since = None
+            return self._drive(now, name, record, progress, cached)
+        progress.reasons = [*record_reasons(record), "driven by another"]
+        return self._take_over(now, name, record, progress, cached)
 
     def _take_over(
-        self, now: float, name: str, record: Record, mine: Mine, cell: CachedRegister
+        self, now: float, name: str, record: MachineRecord, progress: LocalProgress, cached: CachedRegister
     ) -> list[Action]:
-        if not self._orphaned(now, name, record, cell):
-            mine.orphan_at = None
+        if not self._is_undriven(now, name, record, cached):
+            progress.undriven_since = None
             return []
-        if mine.orphan_at is None:
-            mine.orphan_at = now
-        # One that finds its own name there drove it in its last life: nobody else will.
-        rank = 0 if record.driver == self.scene.id else self._rank(name, record)
-        if rank is None or now - mine.orphan_at < rank * self.settings.spread:
+        if progress.undriven_since is None:
+            progress.undriven_since = now
+        # An instance that finds its own name there drove it in its previous incarnation: no other will.
+        rank = 0 if record.driver == self.view.own_id else self._takeover_position(name, record)
+        if rank is None or now - progress.undriven_since < rank * self.settings.takeover_stagger_ms:
             return []
-        mine.claim = record.epoch + 1
-        step = Step.AGREED if record.step is Step.ASKED else record.step
-        return self._set(now, name, replace(record, step=step, driver=self.scene.id, epoch=record.epoch + 1))
-
-    def _orphaned(self, now: float, name: str, record: Record, cell: CachedRegister) -> bool:
-        """Nobody who may drive this machine does."""
-        if record.driver == self.scene.id:
-            return record.step <= Step.DRAINING or name != self.scene.me
-        if self.scene.me == name and record.step <= Step.DRAINING and not record.has(Flag.ENGINE):
-            return now - self.scene.started > self.settings.settle  # its own, once it is back
-        live = {m.id for m in self.scene.there.values() if not m.engine}
-        if record.driver not in live or record.driver == ident(name) and record.step > Step.DRAINING:
+        progress.claimed_epoch = record.epoch + 1
+        step = ReplacementStep.AGREED if record.step is ReplacementStep.ASKED else record.step
+        return self._change_record(
+            now, name, replace(record, step=step, driver=self.view.own_id, epoch=record.epoch + 1)
+        )
+
+    def _is_undriven(self, now: float, name: str, record: MachineRecord, cached: CachedRegister) -> bool:
+        """Whether no instance that may drive this machine does."""
+        if record.driver == self.view.own_id:
+            return record.step <= ReplacementStep.DRAINING or name != self.view.own_machine
+        if (
+            self.view.own_machine == name
+            and record.step <= ReplacementStep.DRAINING
+            and not record.has_flag(MachineFlag.ENGINE)
+        ):
+            return (
+                now - self.view.started_at > self.settings.startup_grace_ms
+            )  # its own again, once it is back
+        live = {m.id for m in self.view.machines.values() if not m.is_engine}
+        if (
+            record.driver not in live
+            or record.driver == machine_id(name)
+            and record.step > ReplacementStep.DRAINING
+        ):
             return True
-        active = record.step in (Step.MOVING, Step.DRAINING, Step.IN_PLACE)
-        return active and now - cell.first_seen_at > self.settings.stale
+        active = record.step in (ReplacementStep.MOVING, ReplacementStep.DRAINING, ReplacementStep.IN_PLACE)
+        return active and now - cached.first_seen_at > self.settings.stalled_step_ms
 
-    def _rank(self, name: str, record: Record) -> int | None:
-        """This one's place among those that may drive a machine; nothing if it may not."""
+    def _takeover_position(self, name: str, record: MachineRecord) -> int | None:
+        """Return this instance's place among those that may drive a machine; None if it may not."""
         ranked = self._candidates(name, record)
-        return ranked.index(self.scene.me) if self.scene.me in ranked else None
-
-    def _candidates(self, name: str, record: Record) -> list[str]:
-        out = set(self.scene.whole.out)
-        live = self.scene.dispatchers()
-        others = [m.name for m in live if m.name != name and m.id not in out and m.name != record.new]
-        found = sorted(others, key=lambda other: order_of(name, other))
-        own = name in self.scene.there and not self.scene.there[name].engine and record.step <= Step.DRAINING
+        return ranked.index(self.view.own_machine) if self.view.own_machine in ranked else None
+
+    def _candidates(self, name: str, record: MachineRecord) -> list[str]:
+        out = set(self.view.plan.machines_out)
+        live = self.view.dispatchers()
+        others = [m.name for m in live if m.name != name and m.id not in out and m.name != record.replacement]
+        found = sorted(others, key=lambda other: takeover_order(name, other))
+        own = (
+            name in self.view.machines
+            and not self.view.machines[name].is_engine
+            and record.step <= ReplacementStep.DRAINING
+        )
         return [name, *found] if own else found
 
-    # --- as the driver ---
-
-    def _drive(self, now: float, name: str, record: Record, mine: Mine, cell: CachedRegister) -> list[Action]:
-        if record.step is Step.AGREED and not record.has(Flag.ABORT):
-            return self._start(now, name, record, mine)
-        view = self._view(now, name, record, mine, cell)
-        verdict = decide(name, record, view, self.settings.steps)
-        mine.why = [*told(record), *verdict.why]
-        if verdict.next is not None:
-            return self._set(now, name, self._handed(name, record, verdict.next))
-        if not self._fenced(now, name, mine):
+    def _drive(
+        self, now: float, name: str, record: MachineRecord, progress: LocalProgress, cached: CachedRegister
+    ) -> list[Action]:
+        if record.step is ReplacementStep.AGREED and not record.has_flag(MachineFlag.ABORTING):
+            return self._start(now, name, record, progress)
+        view = self._machine_view(now, name, record, progress, cached)
+        decision = decide_step(name, record, view, self.settings.steps)
+        progress.reasons = [*record_reasons(record), *decision.reasons]
+        if decision.record is not None:
+            return self._change_record(now, name, self._with_next_driver(name, record, decision.record))
+        if not self._is_sole_driver(now, name, progress):
             return []
         actions = list[Action]()
-        for effect in verdict.effects:
-            if isinstance(effect, MovePins):
-                mine.moved_at = now
-                self.given[effect.target] = self.given.get(effect.target, 0) + min(
-                    effect.most, self.scene.pins.get(name, 0)
+        for effect in decision.actions:
+            if isinstance(effect, MoveKeys):
+                progress.last_move_at = now
+                self.keys_by_target[effect.target] = self.keys_by_target.get(effect.target, 0) + min(
+                    effect.max_keys, self.view.remaining_keys.get(name, 0)
                 )
-            if isinstance(effect, Ready):
-                if mine.readied == record.epoch:
+            if isinstance(effect, ReadyToPowerOff):
+                if progress.ready_epoch == record.epoch:
                     continue
-                mine.readied = record.epoch
+                progress.ready_epoch = record.epoch
             actions.append(effect)
         return actions
 
-    def _fenced(self, now: float, name: str, mine: Mine) -> bool:
-        """Whether this is the one driver at this moment: its epoch was the register's lately, and the one
-        before has stopped."""
+    def _is_sole_driver(self, now: float, name: str, progress: LocalProgress) -> bool:
+        """Whether this is the only driver at this moment.
+
+        Its epoch was read from the record lately, and the previous driver has stopped.
+        """
         s = self.settings
         return (
-            self.ledger.is_confirmed(now, register(name), s.confirm) and now - mine.won_at > s.confirm * 1.1
+            self.registers.is_confirmed(now, register_name(name), s.max_read_age_ms)
+            and now - progress.won_at > s.max_read_age_ms * 1.1
         )
 
-    def _handed(self, name: str, record: Record, after: Record) -> Record:
-        """A machine that goes out can't drive what follows."""
-        if after.step is not Step.OUT or name != self.scene.me:
+    def _with_next_driver(self, name: str, record: MachineRecord, after: MachineRecord) -> MachineRecord:
+        """A machine that goes out names another driver for what follows."""
+        if after.step is not ReplacementStep.OUT or name != self.view.own_machine:
             return after
         others = self._candidates(name, after)
-        driver = ident(others[0]) if others else 0
+        driver = machine_id(others[0]) if others else 0
         return replace(after, driver=driver, epoch=record.epoch + 1)
 
-    def _view(self, now: float, name: str, record: Record, mine: Mine, cell: CachedRegister) -> View:
-        # Danger: an engine that only its driver can't reach still runs what others have out there.
-        here = name == self.scene.me or record.has(Flag.ENGINE)
-        return View(
-            since=now - mine.step_at,
-            there=self.scene.there,
-            held=self._held(now, record.step),
-            pins=self.scene.pins.get(name),
-            open=self.scene.open.get(name),
-            away=0.0 if here else now - self.scene.seen.get(name, self.scene.started),
-            missing=now - self.scene.seen.get(record.new, self.scene.started),
-            pace=self.scene.paces.get(record.new),
-            spare=not record.has(Flag.VOTER) or self._spare(),
-            target=self._target(name),
-            moved=now - mine.moved_at,
-            ran=now - mine.began_at if mine.began_at is not None else 0.0,
+    def _machine_view(
+        self, now: float, name: str, record: MachineRecord, progress: LocalProgress, cached: CachedRegister
+    ) -> MachineView:
+        # An engine that only its driver cannot reach still runs what others have in flight there.
+        here = name == self.view.own_machine or record.has_flag(MachineFlag.ENGINE)
+        return MachineView(
+            step_age_ms=now - progress.step_seen_at,
+            machines=self.view.machines,
+            blocked_reasons=self._blocked_reasons(now, record.step),
+            remaining_keys=self.view.remaining_keys.get(name),
+            open_requests=self.view.open_requests.get(name),
+            absent_ms=0.0 if here else now - self.view.last_seen_at.get(name, self.view.started_at),
+            replacement_absent_ms=now - self.view.last_seen_at.get(record.replacement, self.view.started_at),
+            traffic_share=self.view.traffic_shares.get(record.replacement),
+            keeps_quorum=not record.has_flag(MachineFlag.VOTER) or self._keeps_quorum(),
+            target=self._move_target(name),
+            last_move_age_ms=now - progress.last_move_at,
+            running_ms=now - progress.moving_since if progress.moving_since is not None else 0.0,
         )
 
-    def _spare(self) -> bool:
-        return up(self.scene.whole, self.scene.chain, self.scene.there) >= majority(self.settings.voters)
+    def _keeps_quorum(self) -> bool:
+        return available_voters(self.view.plan, self.view.records, self.view.machines) >= majority(
+            self.settings.voters
+        )
 
-    def _target(self, name: str) -> str:
-        """The dispatcher that has been given the fewest pins so far, by its cores."""
-        out = set(self.scene.whole.out)
-        fit = [m for m in self.scene.there.values() if not m.engine and m.name != name and m.id not in out]
-        best = min(fit, key=lambda m: (self.given.get(m.name, 0) / max(m.cores, 0.1), m.name), default=None)
+    def _move_target(self, name: str) -> str:
+        """Return the dispatcher that was given the fewest keys so far, in proportion to its cores."""
+        out = set(self.view.plan.machines_out)
+        fit = [
+            m for m in self.view.machines.values() if not m.is_engine and m.name != name and m.id not in out
+        ]
+        best = min(
+            fit, key=lambda m: (self.keys_by_target.get(m.name, 0) / max(m.cores, 0.1), m.name), default=None
+        )
         return best.name if best is not None else ""
 
-    # --- starting ---
-
-    def _held(self, now: float, step: Step) -> list[str]:
-        """Why nothing may be taken out now. An engine that drains is itself a cause of shedding."""
-        trouble = {k: v for k, v in self.scene.trouble.items() if k != "sheds" or step is not Step.DRAINING}
-        why = [*self.scene.zones.values(), *trouble.values()]
-        if not why and now - self.scene.unrest_at < self.settings.calm:
+    def _blocked_reasons(self, now: float, step: ReplacementStep) -> list[str]:
+        """Return why nothing may be taken out now; an engine that drains causes load shedding itself."""
+        trouble = {
+            k: v
+            for k, v in self.view.fleet_troubles.items()
+            if k != "sheds" or step is not ReplacementStep.DRAINING
+        }
+        why = [*self.view.zone_troubles.values(), *trouble.values()]
+        if not why and now - self.view.last_trouble_at < self.settings.calm_period_ms:
             why = ["all is calm only since a moment"]
         return why
 
-    def _start(self, now: float, name: str, record: Record, mine: Mine) -> list[Action]:
-        me = ident(name)
-        if me in self.scene.whole.out:
-            return self._set(now, name, replace(record, step=Step.MOVING))
-        mine.why = self._against(now, name)
-        if mine.why:
+    def _start(self, now: float, name: str, record: MachineRecord, progress: LocalProgress) -> list[Action]:
+        own_id = machine_id(name)
+        if own_id in self.view.plan.machines_out:
+            return self._change_record(now, name, replace(record, step=ReplacementStep.MOVING))
+        progress.reasons = self._start_blockers(now, name)
+        if progress.reasons:
             return []
-        # Both that nobody else has begun since, and that all count it: the one register that all starts
-        # share.
-        whole = replace(self.scene.whole, out=(*self.scene.whole.out, me))
-        return list(self.ledger.change(now, NAME, plan.pack_whole(whole)))
-
-    def _against(self, now: float, name: str) -> list[str]:
-        """Why a machine may not start now."""
-        if not self.scene.complete:
+        # All starts change this one register, so two cannot begin on the same view of the plan.
+        started = replace(self.view.plan, machines_out=(*self.view.plan.machines_out, own_id))
+        return list(self.registers.change(now, PLAN_REGISTER, plan_codec.encode_plan(started)))
+
+    def _start_blockers(self, now: float, name: str) -> list[str]:
+        """Return why a machine may not start now."""
+        if not self.view.is_complete:
             return ["not all registers are known yet"]
-        if behind := [n for n, r in self.scene.chain.items() if self.scene.behind(n, r)]:
+        if behind := [n for n, r in self.view.records.items() if self.view.is_outdated(n, r)]:
             return [f"the end of '{behind[0]}' is not known yet"]
-        if name not in self.scene.there:
+        if name not in self.view.machines:
             return [f"'{name}' is not there"]
-        if held := self._held(now, Step.AGREED):
+        if held := self._blocked_reasons(now, ReplacementStep.AGREED):
             return held
-        return self.starts.against(now, name, self.scene.whole, self.scene.chain, self.scene.there)
+        return self.start_conditions.blockers(
+            now, name, self.view.plan, self.view.records, self.view.machines
+        )
 
-    def _set(self, now: float, name: str, record: Record) -> list[Action]:
-        return list(self.ledger.change(now, register(name), plan.pack_record(record)))
+    def _change_record(self, now: float, name: str, record: MachineRecord) -> list[Action]:
+        return list(self.registers.change(now, register_name(name), plan_codec.encode_record(record)))
 
 
-def order_of(machine: str, other: str) -> bytes:
+def takeover_order(machine: str, other: str) -> bytes:
+    """Return a sort key: in this order instances take over a machine."""
     return hashlib.blake2b(f"{machine}/{other}".encode(), digest_size=8).digest()
 
 
-def told(record: Record) -> list[str]:
-    """What its register says beside the step."""
+def record_reasons(record: MachineRecord) -> list[str]:
+    """Return what a record says besides the step."""
     why = []
-    if record.reason is Reason.SMALLER or record.seen and record.seen < record.told:
-        why.append(f"'{record.new}' came with {record.seen / 10:g} cores of {record.told / 10:g} told")
-    if record.reason is Reason.LATE:
+    if (
+        record.reason is StepReason.SMALLER
+        or record.arrived_cores_tenths
+        and record.arrived_cores_tenths < record.requested_cores_tenths
+    ):
+        arrived, requested = record.arrived_cores_tenths / 10, record.requested_cores_tenths / 10
+        why.append(f"'{record.replacement}' came with {arrived:g} cores of {requested:g} told")
+    if record.reason is StepReason.TIMED_OUT:
         why.append("moving or draining took too long")
-    if record.has(Flag.ABORT):
+    if record.has_flag(MachineFlag.ABORTING):
         why.append("aborted by hand")
     return why
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -1,231 +1,231 @@
-"""What is asked of a swap, and how it lies in registers: at most 120 bytes each. Pure.
-
-One register `swap` for the whole, and one `swap/<machine>` for each machine. The machines form a chain:
-`swap` names the first, each machine's register the next, so a request may be of any length, and whoever
-knows the one name `swap` finds all of it.
-
-    whole: form 1 | state 1 | serial 4 | base 4 | epoch 4 | locker 8 | most out 1 | zones 1 | first 1 + n |
-           who 1 + n | out 1, each 8
-    machine: form 1 | step 1 | serial 4 | epoch 4 | driver 8 | took 2 | flags 1 | zone 2 | cores 2 | told 2 |
-             seen 2 | life 4 | reason 1 | new 1 + n | next 1 + n | who 1 + n
-
-Cores are in tenths, `took` in tenths of a second. A request is laid in two phases: its author locks `swap`,
-writes the machines' registers, and opens `swap` with the new first one. A machine's register that is not on
-the chain means nothing, so an author who dies half way leaves nothing behind.
+"""What a rolling replacement consists of: machines, requests, the plan and its records, and their checks.
+Pure.
+
+The plan lies in the register `swap`, and the record of each machine in `swap/<machine>`; see plan_codec.py.
+The machines form a chain: the plan names the first, each record the next, so a request may be of any length,
+and whoever knows the one name `swap` finds all of it. A request is submitted in two phases: its author locks
+the plan, writes the machines' records, and opens the plan with the new first machine. A record that is not
+on the chain means nothing, so an author that fails half way leaves nothing behind.
 """
 
 from __future__ import annotations
 
 import base64
 import hashlib
-import struct
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from enum import IntEnum, IntFlag
 from functools import lru_cache
 
-from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.zone_failover.operator_overrides import truncate_utf8
 from cottonhold.membership.codec import MOST_NAME, member_id
 
-WHOLE = struct.Struct("!BBIIIQBB")
-RECORD = struct.Struct("!BBIIQHBHHHHIB")
-FORM = 1
-MOST_WHO = 16  # bytes
-MOST_OUT = 5  # machines out at once
-MOST_BYTES = 120
-MOST_KEY = 11  # bytes of a machine's name in its register's
-MOST_MACHINES = 256
-NAME = "swap"
+MAX_REQUESTER_BYTES = 16  # bytes
+MAX_MACHINES_OUT = 5  # machines out at once
+MAX_RECORD_BYTES = 120
+MAX_KEY_BYTES = 11  # of a machine's name in the name of its register
+MAX_MACHINES = 256
+PLAN_REGISTER = "swap"
 U16 = 0xFFFF
 
 
 @lru_cache(1024)
-def ident(name: str) -> int:
-    """A machine's id among members."""
+def machine_id(name: str) -> int:
+    """Return a machine's id among members."""
     return member_id(name)
 
 
 class PlanError(Exception):
-    """A request that can't be taken; its text says what is wrong with which machine."""
+    """A request that cannot be accepted; its text says what is wrong with which machine."""
 
 
-class Step(IntEnum):
-    """How far the swap of one machine is."""
+class ReplacementStep(IntEnum):
+    """How far the replacement of one machine is. Lower-case names are shown to operators and metrics."""
 
     ASKED = 1
-    AGREED = 2  # one of the dispatchers drives it and waits for its turn
-    MOVING = 3  # pins go to others
+    AGREED = 2  # a dispatcher drives it and waits for its turn
+    MOVING = 3  # its keys move to others
     DRAINING = 4
     OUT = 5  # may be powered off
-    IN_PLACE = 6  # the new one has been seen
+    IN_PLACE = 6  # the replacement has arrived
     RAMPING = 7
     DONE = 8
     ABORTED = 9
     FAILED = 10
 
 
-OVER = frozenset({Step.DONE, Step.ABORTED, Step.FAILED})
-BEFORE = frozenset({Step.ASKED, Step.AGREED})
+FINAL_STEPS = frozenset({ReplacementStep.DONE, ReplacementStep.ABORTED, ReplacementStep.FAILED})
+WAITING_STEPS = frozenset({ReplacementStep.ASKED, ReplacementStep.AGREED})
 
 
-class Flag(IntFlag):
-    """What else a machine's register says."""
+class MachineFlag(IntFlag):
+    """What else a machine's record says."""
 
     ENGINE = 1
     VOTER = 2
-    EMPTY = 4  # the new one is told to come with an empty folder
-    ABORT = 8
-    AWAY = 16  # an engine that has been seen to be away since it was out
+    EMPTY_FOLDER = 4  # the replacement comes with an empty folder
+    ABORTING = 8
+    WAS_AWAY = 16  # an engine that was absent at some time since it was out
 
 
-class Reason(IntEnum):
-    """Why a machine's swap is as it is, where all should know."""
+class StepReason(IntEnum):
+    """Why a machine's replacement is as it is, where all instances should know."""
 
     NONE = 0
-    HARDWARE = 1  # the new one has not come in its time
-    SMALLER = 2  # it came with fewer cores than told
-    BY_HAND = 3
-    LATE = 4  # moving or draining took too long
-    GONE = 5  # the new one went away again
+    NOT_ARRIVED = 1  # the replacement has not arrived in time
+    SMALLER = 2  # it arrived with fewer cores than requested
+    OPERATOR = 3
+    TIMED_OUT = 4  # moving or draining took too long
+    LEFT_AGAIN = 5  # the replacement left again
 
 
-class State(IntEnum):
-    """Of the whole."""
+class PlanState(IntEnum):
+    """The state of the plan."""
 
     OPEN = 1
-    LAYING = 2  # its locker writes a request
+    SUBMITTING = 2  # the member that locked it writes a request
 
 
 @dataclass(slots=True, frozen=True)
 class Machine:
-    """A machine as it is there now. `id`: its member's id; `life`: another one after each start, of an engine
-    0 where the list does not tell; `votes`: it is a configured voter whose memory is whole, so that it may
-    vote; `counted`: the outlook counts its cores, as it does an engine's that is in service."""
+    """A machine as it is now.
+
+    incarnation: another one after each start; 0 for an engine if the endpoint list does not report it.
+    is_voting: it is a configured voter whose memory is complete. is_counted: capacity planning counts its
+    cores, as those of an engine in service.
+    """
 
     name: str
     zone: str
     cores: float
-    engine: bool = False
-    life: int = 0
-    voter: bool = False
-    votes: bool = True
-    counted: bool = True
+    is_engine: bool = False
+    incarnation: int = 0
+    is_voter: bool = False
+    is_voting: bool = True
+    is_counted: bool = True
 
     @property
     def id(self) -> int:
         """Its id among members."""
-        return ident(self.name)
+        return machine_id(self.name)
 
 
 @dataclass(slots=True, frozen=True)
-class Item:
-    """One machine of a request. `new`: what replaces it, the same name if empty; `cores` of that one, 0: as
-    many as before; `empty`: it comes without the old one's folder."""
+class MachineRequest:
+    """One machine of a request.
+
+    replacement: the name of what replaces it; empty for the same name. cores: of the replacement; 0 for as
+    many as before. empty_folder: it arrives without the old one's folder.
+    """
 
     machine: str
-    new: str = ""
+    replacement: str = ""
     cores: float = 0.0
-    empty: bool = False
+    empty_folder: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Request:
-    """What one person asks for. `most_out`: so many machines at once; `zones`: in so many zones at once."""
+class ReplacementRequest:
+    """What one person requests: at most max_out machines at once, in at most max_zones zones at once."""
 
-    who: str
-    items: tuple[Item, ...]
-    most_out: int = 1
-    zones: int = 1
+    requested_by: str
+    items: tuple[MachineRequest, ...]
+    max_out: int = 1
+    max_zones: int = 1
 
 
-def of_zone(who: str, zone: str, there: Iterable[Machine], most_out: int = 1) -> Request:
-    """A request for all machines of a zone, each replaced under its own name."""
-    names = sorted(m.name for m in there if m.zone == zone)
-    return Request(who, tuple(Item(name) for name in names), most_out)
+def request_for_zone(
+    requested_by: str, zone: str, machines: Iterable[Machine], max_out: int = 1
+) -> ReplacementRequest:
+    """Return a request for all machines of a zone, each replaced under its own name."""
+    names = sorted(m.name for m in machines if m.zone == zone)
+    return ReplacementRequest(requested_by, tuple(MachineRequest(name) for name in names), max_out)
 
 
 @dataclass(slots=True, frozen=True)
-class Whole:
-    """The register `swap`. `serial`: of the newest request; `base`: of the first one of this chain; `out`:
-    ids of the machines that have begun and are not over."""
+class ReplacementPlan:
+    """The register `swap`.
 
-    state: State = State.OPEN
+    serial: of the newest request; first_serial: of the first one of this chain. machines_out: ids of the
+    machines that have begun and are not over.
+    """
+
+    state: PlanState = PlanState.OPEN
     serial: int = 0
-    base: int = 0
+    first_serial: int = 0
     epoch: int = 0
-    locker: int = 0
-    most_out: int = 1
-    zones: int = 1
-    first: str = ""
-    who: str = ""
-    out: tuple[int, ...] = ()
+    locked_by: int = 0
+    max_out: int = 1
+    max_zones: int = 1
+    first_machine: str = ""
+    requested_by: str = ""
+    machines_out: tuple[int, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Record:
-    """A machine's register."""
+class MachineRecord:
+    """The register of one machine. duration_tenths: of a second."""
 
-    step: Step
+    step: ReplacementStep
     serial: int
     epoch: int = 0
     driver: int = 0
-    took: int = 0
-    flags: Flag = Flag(0)
+    duration_tenths: int = 0
+    flags: MachineFlag = MachineFlag(0)
     zone: int = 0
-    cores: int = 0
-    told: int = 0
-    seen: int = 0
-    life: int = 0
-    reason: Reason = Reason.NONE
-    new: str = ""
-    next: str = ""
-    who: str = ""
+    cores_tenths: int = 0
+    requested_cores_tenths: int = 0
+    arrived_cores_tenths: int = 0
+    incarnation: int = 0
+    reason: StepReason = StepReason.NONE
+    replacement: str = ""
+    next_machine: str = ""
+    requested_by: str = ""
 
     @property
-    def over(self) -> bool:
-        """Nothing more happens to it."""
-        return self.step in OVER
+    def is_over(self) -> bool:
+        """Whether nothing more happens to the machine."""
+        return self.step in FINAL_STEPS
 
-    def has(self, flag: Flag) -> bool:
-        """Whether its register says so."""
+    def has_flag(self, flag: MachineFlag) -> bool:
+        """Whether the record has a flag."""
         return bool(int(self.flags) & int(flag))
 
-    def lacks(self) -> int:
-        """Tenths of cores by which the new one is smaller than the old one, once it has been seen."""
-        return max(self.cores - self.seen, 0) if self.seen else 0
+    def missing_cores_tenths(self) -> int:
+        """Return by how many tenths of cores an arrived replacement is smaller than the old machine."""
+        return max(self.cores_tenths - self.arrived_cores_tenths, 0) if self.arrived_cores_tenths else 0
 
 
 @lru_cache(1024)
-def register(machine: str) -> str:
-    """The name of a machine's register, at most 16 bytes: a long name is hashed."""
-    if len(machine.encode()) > MOST_KEY:
+def register_name(machine: str) -> str:
+    """Return the name of a machine's register, of at most 16 bytes: a long name is hashed."""
+    if len(machine.encode()) > MAX_KEY_BYTES:
         digest = hashlib.blake2b(machine.encode(), digest_size=6).digest()
-        machine = "." + base64.b32encode(digest).decode()[: MOST_KEY - 1]
-    return f"{NAME}/{machine}"
+        machine = "." + base64.b32encode(digest).decode()[: MAX_KEY_BYTES - 1]
+    return f"{PLAN_REGISTER}/{machine}"
 
 
-def tenths(cores: float) -> int:
-    """Cores as they lie in registers."""
+def to_tenths(cores: float) -> int:
+    """Return cores as they are stored in registers."""
     return min(max(round(cores * 10), 0), U16)
 
 
-def check(request: Request, there: Mapping[str, Machine]) -> None:
-    """Whether a request makes sense for what is there. Raises PlanError."""
+def check_request(request: ReplacementRequest, machines: Mapping[str, Machine]) -> None:
+    """Check a request against the present machines. Raises PlanError."""
     if not request.items:
         raise PlanError("names no machine")
-    if len(request.items) > MOST_MACHINES:
-        raise PlanError(f"names {len(request.items)} machines, at most {MOST_MACHINES}")
-    if not 1 <= request.most_out <= MOST_OUT:
-        raise PlanError(f"{request.most_out} machines out at once: must be 1 to {MOST_OUT}")
-    if request.zones < 1:
-        raise PlanError(f"{request.zones} zones at once: must be at least 1")
-    if not request.who:
+    if len(request.items) > MAX_MACHINES:
+        raise PlanError(f"names {len(request.items)} machines, at most {MAX_MACHINES}")
+    if not 1 <= request.max_out <= MAX_MACHINES_OUT:
+        raise PlanError(f"{request.max_out} machines out at once: must be 1 to {MAX_MACHINES_OUT}")
+    if request.max_zones < 1:
+        raise PlanError(f"{request.max_zones} zones at once: must be at least 1")
+    if not request.requested_by:
         raise PlanError("says not who asks")
     old, news = set[str](), set[str]()
     for item in request.items:
-        new = item.new or item.machine
-        _check_item(item, new, there)
+        new = item.replacement or item.machine
+        _check_item(item, new, machines)
         if item.machine in old:
             raise PlanError(f"'{item.machine}' is named twice")
         if new in news or new != item.machine and new in {i.machine for i in request.items}:
@@ -234,153 +234,93 @@
         news.add(new)
 
 
-def _check_item(item: Item, new: str, there: Mapping[str, Machine]) -> None:
+def _check_item(item: MachineRequest, new: str, machines: Mapping[str, Machine]) -> None:
     name = item.machine
-    if name not in there:
+    if name not in machines:
         raise PlanError(f"'{name}' is no machine that is there")
     if max(len(name.encode()), len(new.encode())) > MOST_NAME:
         raise PlanError(f"'{name}' or '{new}' is longer than {MOST_NAME} bytes")
-    if new in there and there[new].engine != there[name].engine:
+    if new in machines and machines[new].is_engine != machines[name].is_engine:
         raise PlanError(f"'{new}' is no machine of the kind of '{name}'")
-    if there[name].engine and new != name and new in there:
+    if machines[name].is_engine and new != name and new in machines:
         raise PlanError(f"'{name}': '{new}' is an engine that is in use already")
     if not 0 <= item.cores <= U16 / 10:
         raise PlanError(f"'{name}': {item.cores} cores")
 
 
-def fits(request: Request, chain: Mapping[str, Record]) -> tuple[Item, ...]:
-    """The items that are not asked yet, beside what is on the chain. Raises PlanError where the two
-    contradict each other, naming who asked the other."""
-    left, news = [], {r.new: name for name, r in chain.items() if not r.over}
+def select_new_items(
+    request: ReplacementRequest, records: Mapping[str, MachineRecord]
+) -> tuple[MachineRequest, ...]:
+    """Return the items of a request that are not requested yet.
+
+    Raises PlanError if the request contradicts an earlier one, naming who made that.
+    """
+    left, news = [], {r.replacement: name for name, r in records.items() if not r.is_over}
     for item in request.items:
-        new, before = item.new or item.machine, chain.get(item.machine)
-        if before is not None and before.over:
+        new, before = item.replacement or item.machine, records.get(item.machine)
+        if before is not None and before.is_over:
             raise PlanError(
                 f"'{item.machine}' is {before.step.name.lower()} in a swap that still runs: ask when it ends"
             )
-        if before is not None and (before.new != new or item.cores and tenths(item.cores) != before.told):
+        if before is not None and (
+            before.replacement != new or item.cores and to_tenths(item.cores) != before.requested_cores_tenths
+        ):
+            cores = before.requested_cores_tenths / 10
             raise PlanError(
-                f"'{item.machine}' is already asked to become '{before.new}' with {before.told / 10:g} cores "
-                f"by {before.who}"
+                f"'{item.machine}' is already asked to become '{before.replacement}' with {cores:g} cores "
+                f"by {before.requested_by}"
             )
         if before is None and new in news:
             other = news[new]
-            raise PlanError(f"'{new}' already replaces '{other}', asked by {chain[other].who}")
+            raise PlanError(f"'{new}' already replaces '{other}', asked by {records[other].requested_by}")
         if before is None:
             left.append(item)
     return tuple(left)
 
 
-def lay(
-    request: Request,
-    items: tuple[Item, ...],
-    there: Mapping[str, Machine],
-    whole: Whole,
+def build_records(
+    request: ReplacementRequest,
+    items: tuple[MachineRequest, ...],
+    machines: Mapping[str, Machine],
+    plan: ReplacementPlan,
     zones: Mapping[str, int],
-) -> dict[str, Record]:
-    """The machines' registers of a request, chained before what is there already."""
+) -> dict[str, MachineRecord]:
+    """Build the records of a request, chained before those that are in the plan already."""
     names, records = [item.machine for item in items], {}
-    for item, after in zip(items, [*names[1:], whole.first], strict=True):
-        machine = there[item.machine]
-        flags = Flag.ENGINE * machine.engine | Flag.VOTER * machine.voter | Flag.EMPTY * item.empty
-        records[item.machine] = Record(
-            Step.ASKED,
-            whole.serial,
-            flags=Flag(flags),
+    for item, after in zip(items, [*names[1:], plan.first_machine], strict=True):
+        machine = machines[item.machine]
+        flags = (
+            MachineFlag.ENGINE * machine.is_engine
+            | MachineFlag.VOTER * machine.is_voter
+            | MachineFlag.EMPTY_FOLDER * item.empty_folder
+        )
+        records[item.machine] = MachineRecord(
+            ReplacementStep.ASKED,
+            plan.serial,
+            flags=MachineFlag(flags),
             zone=zones.get(machine.zone, 0),
-            cores=tenths(machine.cores),
-            told=tenths(item.cores or machine.cores),
-            life=machine.life & 0xFFFFFFFF,
-            new=item.new or item.machine,
-            next=after,
-            who=truncate_utf8(request.who, MOST_WHO),
+            cores_tenths=to_tenths(machine.cores),
+            requested_cores_tenths=to_tenths(item.cores or machine.cores),
+            incarnation=machine.incarnation & 0xFFFFFFFF,
+            replacement=item.replacement or item.machine,
+            next_machine=after,
+            requested_by=truncate_utf8(request.requested_by, MAX_REQUESTER_BYTES),
         )
     return records
 
 
-def opened(whole: Whole, request: Request, first: str) -> Whole:
-    """The whole after a request was laid: of two requests' limits the stricter ones count."""
-    most, zones = request.most_out, request.zones
-    if whole.first:
-        most, zones = min(most, whole.most_out), min(zones, whole.zones)
+def with_request(plan: ReplacementPlan, request: ReplacementRequest, first_machine: str) -> ReplacementPlan:
+    """Return the plan with a submitted request; of several requests' limits the stricter ones count."""
+    most, zones = request.max_out, request.max_zones
+    if plan.first_machine:
+        most, zones = min(most, plan.max_out), min(zones, plan.max_zones)
     return replace(
-        whole,
-        state=State.OPEN,
-        locker=0,
-        base=whole.base if whole.first else whole.serial,
-        first=first,
-        most_out=most,
-        zones=min(zones, 255),
-        who=truncate_utf8(request.who, MOST_WHO),
+        plan,
+        state=PlanState.OPEN,
+        locked_by=0,
+        first_serial=plan.first_serial if plan.first_machine else plan.serial,
+        first_machine=first_machine,
+        max_out=most,
+        max_zones=min(zones, 255),
+        requested_by=truncate_utf8(request.requested_by, MAX_REQUESTER_BYTES),
     )
-
-
-# --- bytes ---
-
-
-def pack_whole(w: Whole) -> bytes:
-    """Its bytes."""
-    head = WHOLE.pack(FORM, w.state, w.serial, w.base, w.epoch, w.locker, w.most_out, w.zones)
-    return head + _text(w.first) + _text(w.who) + bytes([len(w.out)]) + struct.pack(f"!{len(w.out)}Q", *w.out)
-
-
-@lru_cache(64)
-def read_whole(data: bytes) -> Whole:
-    """Its meaning; nothing is one that was never set. Raises MessageError."""
-    if not data:
-        return Whole()
-    try:
-        form, state, serial, base, epoch, locker, most, zones = WHOLE.unpack_from(data)
-        (first, who), at = _texts(data, WHOLE.size, (MOST_NAME, MOST_WHO))
-        out = struct.unpack(f"!{data[at]}Q", data[at + 1 :])
-        if form != FORM or len(out) > MOST_OUT:
-            raise MessageError("swap")
-        return Whole(State(state), serial, base, epoch, locker, most, zones, first, who, out)
-    except (struct.error, IndexError, ValueError):
-        raise MessageError("swap") from None
-
-
-def pack_record(r: Record) -> bytes:
-    """Its bytes."""
-    head = RECORD.pack(
-        FORM, r.step, r.serial, r.epoch, r.driver, r.took, r.flags, r.zone, r.cores, r.told, r.seen, r.life,
-        r.reason,
-    )  # fmt: skip
-    return head + _text(r.new) + _text(r.next) + _text(r.who)
-
-
-@lru_cache(1024)
-def read_record(data: bytes) -> Record | None:
-    """Its meaning; nothing if it was never set. Raises MessageError."""
-    if not data:
-        return None
-    try:
-        form, step, serial, epoch, driver, took, flags, zone, cores, told, seen, life, reason = (
-            RECORD.unpack_from(data)
-        )
-        texts, at = _texts(data, RECORD.size, (MOST_NAME, MOST_NAME, MOST_WHO))
-        if form != FORM or at != len(data):
-            raise MessageError("swap")
-        return Record(
-            Step(step), serial, epoch, driver, took, Flag(flags), zone, cores, told, seen, life,
-            Reason(reason),
-            *texts,
-        )  # fmt: skip
-    except (struct.error, IndexError, ValueError):
-        raise MessageError("swap") from None
-
-
-def _text(text: str) -> bytes:
-    data = text.encode()
-    return bytes([len(data)]) + data
-
-
-def _texts(data: bytes, at: int, mosts: Iterable[int]) -> tuple[list[str], int]:
-    texts = []
-    for most in mosts:
-        size = data[at]
-        if size > most or at + 1 + size > len(data):
-            raise MessageError("text")
-        texts.append(data[at + 1 : at + 1 + size].decode())
-        at += 1 + size
-    return texts, at
--- a/cottonhold/fleet/rolling_replacement/plan_submission.py
+++ b/cottonhold/fleet/rolling_replacement/plan_submission.py
@@ -1,6 +1,6 @@
-"""One request on its way into the registers: locked, laid, opened. Pure.
+"""One request on its way into the registers: plan locked, records written, plan opened. Pure.
 
-Each moment asks only what the registers show, so an operation whose end was not heard is no special case.
+Each step depends only on what the registers show, so an operation with an unknown outcome is no special case.
 """
 
 from __future__ import annotations
@@ -10,112 +10,118 @@
 
 from cottonhold.fleet.consensus.register_cache import RegisterCache
 from cottonhold.fleet.rolling_replacement.plan import (
-    NAME,
-    Item,
+    PLAN_REGISTER,
     Machine,
+    MachineRecord,
+    MachineRequest,
     PlanError,
-    Record,
-    Request,
-    State,
-    Whole,
-    fits,
-    lay,
-    opened,
-    pack_record,
-    pack_whole,
-    register,
+    PlanState,
+    ReplacementPlan,
+    ReplacementRequest,
+    build_records,
+    register_name,
+    select_new_items,
+    with_request,
 )
+from cottonhold.fleet.rolling_replacement.plan_codec import encode_plan, encode_record
 from cottonhold.fleet.rolling_replacement.step_decision import Action
 
 
-class Laying:
-    """A request of this instance. `until`: then it is given up. `answer`: its end, why it was refused, "" if
-    it was taken."""
+class PlanSubmission:
+    """A request of this instance. answer: why it was rejected, or "" if it was accepted."""
 
-    def __init__(self, me: int, request: Request, until: float) -> None:
-        self.me, self.request, self.until = me, request, until
-        self.serial = self.asked = 0  # ours, once locked; and what a lock of ours would bear
-        self.items: tuple[Item, ...] = ()
-        self.records: dict[str, Record] = {}
+    def __init__(self, member: int, request: ReplacementRequest, deadline: float) -> None:
+        self.member, self.request, self.deadline = member, request, deadline
+        self.locked_serial = self.requested_serial = 0
+        self.items: tuple[MachineRequest, ...] = ()
+        self.records: dict[str, MachineRecord] = {}
         self.answer: str | None = None
 
     def step(
         self,
         now: float,
-        ledger: RegisterCache,
-        whole: Whole,
-        chain: Mapping[str, Record] | None,
-        there: Mapping[str, Machine],
+        registers: RegisterCache,
+        plan: ReplacementPlan,
+        records: Mapping[str, MachineRecord] | None,
+        machines: Mapping[str, Machine],
         zones: Mapping[str, int],
     ) -> list[Action]:
-        """What to ask of registers now. `chain`: nothing while parts of it are not known."""
-        mine = whole.state is State.LAYING and whole.locker == self.me
-        if mine and whole.serial == self.asked:
-            self.serial = self.asked
-        if now > self.until:
-            return self._give_up(now, ledger, whole, mine)
-        if mine and whole.serial == self.serial:
-            return self._write(now, ledger, whole, there, zones)
-        if chain is None or whole.state is State.LAYING:
-            return list(ledger.read(now, NAME, 100.0))
-        if self.serial and self._taken(chain):
+        """Return what to do with registers now. records: None while parts of the chain are not known."""
+        is_locked = plan.state is PlanState.SUBMITTING and plan.locked_by == self.member
+        if is_locked and plan.serial == self.requested_serial:
+            self.locked_serial = self.requested_serial
+        if now > self.deadline:
+            return self._give_up(now, registers, plan, is_locked)
+        if is_locked and plan.serial == self.locked_serial:
+            return self._write_records(now, registers, plan, machines, zones)
+        if records is None or plan.state is PlanState.SUBMITTING:
+            return list(registers.read(now, PLAN_REGISTER, 100.0))
+        if self.locked_serial and self._is_submitted(records):
             self.answer = ""
             return []
-        return self._lock(now, ledger, whole, chain)
+        return self._lock_plan(now, registers, plan, records)
 
-    def _taken(self, chain: Mapping[str, Record]) -> bool:
-        first = chain.get(self.items[0].machine)
-        return first is not None and first.serial == self.serial
+    def _is_submitted(self, records: Mapping[str, MachineRecord]) -> bool:
+        first = records.get(self.items[0].machine)
+        return first is not None and first.serial == self.locked_serial
 
-    def _lock(
-        self, now: float, ledger: RegisterCache, whole: Whole, chain: Mapping[str, Record]
+    def _lock_plan(
+        self,
+        now: float,
+        registers: RegisterCache,
+        plan: ReplacementPlan,
+        records: Mapping[str, MachineRecord],
     ) -> list[Action]:
-        # Danger: refused or taken by what was known of old, two requests would both be told yes.
-        if not ledger.is_confirmed(now, NAME, 1000.0):
-            return list(ledger.read(now, NAME, 100.0))
+        # By an old state of the registers two contradicting requests could both be accepted.
+        if not registers.is_confirmed(now, PLAN_REGISTER, 1000.0):
+            return list(registers.read(now, PLAN_REGISTER, 100.0))
         try:
-            self.items = fits(self.request, chain)
+            self.items = select_new_items(self.request, records)
         except PlanError as error:
             self.answer = str(error)
             return []
         if not self.items:
-            self.answer = ""  # the same was asked before
+            self.answer = ""  # the same was requested before
             return []
-        self.serial, self.records, self.asked = 0, {}, whole.serial + 1
-        locked = replace(whole, state=State.LAYING, serial=self.asked, locker=self.me)
-        return list(ledger.change(now, NAME, pack_whole(locked)))
+        self.locked_serial, self.records, self.requested_serial = 0, {}, plan.serial + 1
+        locked = replace(
+            plan, state=PlanState.SUBMITTING, serial=self.requested_serial, locked_by=self.member
+        )
+        return list(registers.change(now, PLAN_REGISTER, encode_plan(locked)))
 
-    def _write(
+    def _write_records(
         self,
         now: float,
-        ledger: RegisterCache,
-        whole: Whole,
-        there: Mapping[str, Machine],
+        registers: RegisterCache,
+        plan: ReplacementPlan,
+        machines: Mapping[str, Machine],
         zones: Mapping[str, int],
     ) -> list[Action]:
         if not self.records:
-            if gone := [item.machine for item in self.items if item.machine not in there]:
-                self.until, self.answer = now, f"'{gone[0]}' is not there any more"
-                return self._give_up(now, ledger, whole, True)
-            self.records = lay(self.request, self.items, there, whole, zones)
+            if gone := [item.machine for item in self.items if item.machine not in machines]:
+                self.deadline, self.answer = now, f"'{gone[0]}' is not there any more"
+                return self._give_up(now, registers, plan, True)
+            self.records = build_records(self.request, self.items, machines, plan, zones)
         actions, left = list[Action](), 0
         for machine, record in self.records.items():
-            value, cell = pack_record(record), ledger.received(register(machine))
+            value, cell = encode_record(record), registers.received(register_name(machine))
             if cell is None or cell.value != value:
                 left += 1
-                actions += ledger.change(now, register(machine), value)
+                actions += registers.change(now, register_name(machine), value)
         if not left:
-            whole = opened(whole, self.request, self.items[0].machine)
-            actions += ledger.change(now, NAME, pack_whole(whole))
+            plan = with_request(plan, self.request, self.items[0].machine)
+            actions += registers.change(now, PLAN_REGISTER, encode_plan(plan))
         return actions
 
-    def _give_up(self, now: float, ledger: RegisterCache, whole: Whole, mine: bool) -> list[Action]:
+    def _give_up(
+        self, now: float, registers: RegisterCache, plan: ReplacementPlan, is_locked: bool
+    ) -> list[Action]:
         self.answer = self.answer or "the registers could not be changed in time"
-        if not mine:
+        if not is_locked:
             return []
-        return list(ledger.change(now, NAME, pack_whole(unlocked(whole))))
+        return list(registers.change(now, PLAN_REGISTER, encode_plan(without_submission(plan))))
 
 
-def unlocked(whole: Whole) -> Whole:
-    """The whole without the request that was being laid. Its serial is not used again."""
-    return replace(whole, state=State.OPEN, locker=0, epoch=whole.epoch + 1)
+def without_submission(plan: ReplacementPlan) -> ReplacementPlan:
+    """Return the plan without the request that was being submitted; its serial is not used again."""
+    return replace(plan, state=PlanState.OPEN, locked_by=0, epoch=plan.epoch + 1)
--- a/cottonhold/fleet/rolling_replacement/request_parsing.py
+++ b/cottonhold/fleet/rolling_replacement/request_parsing.py
@@ -1,27 +1,32 @@
-"""What a person asks for, as it was written, made into a request: machines by name, engines by zone. Pure."""
+"""Parses an operator's call into a request: machines by name, engines by zone. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-from cottonhold.fleet.rolling_replacement.plan import Item, Machine, PlanError, Request
+from cottonhold.fleet.rolling_replacement.plan import Machine, MachineRequest, PlanError, ReplacementRequest
 
 
-def request_of(who: str, call: Mapping[str, Any], there: Mapping[str, Machine]) -> Request:
-    """A request from a call's fields `machines`, `most_out` and `zones`. Raises PlanError, which says what is
-    wrong with which row. Each row names a machine (`name`), or a zone (`zone`) for all of its engines."""
+def parse_request(
+    requested_by: str, call: Mapping[str, Any], machines: Mapping[str, Machine]
+) -> ReplacementRequest:
+    """Return the request of a call's fields `machines`, `most_out` and `zones`.
+
+    Each row names a machine (`name`), or a zone (`zone`) for all of its engines. Raises PlanError, which says
+    what is wrong with which row.
+    """
     rows = call.get("machines")
     if not isinstance(rows, list) or not rows:
         raise PlanError("machines has to be a list that names at least one")
-    items = [item for row in rows for item in _row(row, there)]
+    items = [item for row in rows for item in _parse_row(row, machines)]
     most, zones = call.get("most_out", 1), call.get("zones", 1)
     if not all(isinstance(n, int) and not isinstance(n, bool) and n >= 1 for n in (most, zones)):
         raise PlanError("most_out and zones have to be whole numbers from 1")
-    return Request(who, tuple(items), int(most), int(zones))
+    return ReplacementRequest(requested_by, tuple(items), int(most), int(zones))
 
 
-def _row(row: Any, there: Mapping[str, Machine]) -> list[Item]:
+def _parse_row(row: Any, machines: Mapping[str, Machine]) -> list[MachineRequest]:
     if not isinstance(row, dict) or isinstance(row.get("name"), str) == isinstance(row.get("zone"), str):
         raise PlanError(f"a row needs either a name or a zone: {row!r}")
     if unknown := sorted(set(row) - {"name", "zone", "new", "cores", "empty"}):
@@ -32,11 +37,11 @@
     if not isinstance(new, str):
         raise PlanError(f"new of '{row.get('name', row.get('zone'))}' is no name: {new!r}")
     if "name" in row:
-        return [Item(row["name"], new, float(cores), bool(row.get("empty")))]
-    zone, zones = row["zone"], sorted({m.zone for m in there.values() if m.engine})
+        return [MachineRequest(row["name"], new, float(cores), bool(row.get("empty")))]
+    zone, zones = row["zone"], sorted({m.zone for m in machines.values() if m.is_engine})
     if new:
         raise PlanError(f"zone '{zone}': its engines can't all become '{new}'; name each of them")
     if zone not in zones:
         raise PlanError(f"no engine is in a zone '{zone}'; there are: {', '.join(zones) or 'none'}")
-    names = sorted(m.name for m in there.values() if m.engine and m.zone == zone)
-    return [Item(name, "", float(cores)) for name in names]
+    names = sorted(m.name for m in machines.values() if m.is_engine and m.zone == zone)
+    return [MachineRequest(name, "", float(cores)) for name in names]
--- a/cottonhold/fleet/rolling_replacement/schedule.py
+++ b/cottonhold/fleet/rolling_replacement/schedule.py
@@ -1,10 +1,11 @@
-"""In which order machines are swapped, and why one waits. Pure, and alike for all who read the same
+"""In which order machines are replaced, and why one waits. Pure, and alike for all who read the same
 registers.
 
-A set of machines may be out together when it is small enough, lies in few enough zones, leaves a majority of
-the voters, and the outlook bears it. Any part of such a set may be out as well. So each list of machines has
-one schedule: one after another, each as early as those before it allow; some list gives the best schedule
-there is. Lists by a few rules are tried, the best of them is mended by exchanging and moving single machines.
+A set of machines may be out together if it is small enough, lies in few enough zones, leaves a majority of
+the voters, and the remaining capacity suffices. Any part of such a set may be out as well. So each order of
+machines has one schedule, in which each starts as early as those before it allow, and some order gives the
+best schedule. Orders by a few rules are tried, and the best is improved by exchanging and moving single
+machines.
 """
 
 from __future__ import annotations
@@ -13,124 +14,133 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-Bears = Callable[[Mapping[int, float]], list[str]]  # zone's number -> cores out: why not
-TRIES = 300  # schedules weighed at most: about 20 ms for ten machines
-STUCK = 1e7  # ms: so far off is the end of one that waits for its hardware
+CapacityCheck = Callable[[Mapping[int, float]], list[str]]  # cores out by zone number -> why not
+MAX_SCHEDULES = 300  # that are tried at most; takes about 20 ms for ten machines
+STUCK_DURATION_MS = 1e7  # of a machine that waits for its replacement
 
 
 @dataclass(slots=True, frozen=True)
-class Job:
-    """One machine. `lasts`: ms from its start to its end, as learnt."""
+class ReplacementJob:
+    """One machine to replace; duration_ms: from its start to its end, as learnt."""
 
     name: str
     zone: int
     cores: float
-    voter: bool
-    lasts: float
+    is_voter: bool
+    duration_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """most_out: machines out at once. zones: in so many zones. spare: voters that may be out beside those
-    that are down. lacking: cores that are lost by zone whatever is out."""
+    """Limits on machines that are out together.
 
-    most_out: int = 1
-    zones: int = 1
-    spare: int = 0
-    lacking: Mapping[int, float] = field(default_factory=dict)
+    spare_voters: voters that may be out besides those that are down. missing_cores: cores lost by zone,
+    whatever is out.
+    """
+
+    max_out: int = 1
+    max_zones: int = 1
+    spare_voters: int = 0
+    missing_cores: Mapping[int, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """When each machine starts, in ms from now, infinite where it never may; and when the last one ends."""
+    """When each machine starts, in ms from now (infinite if never), and when the last one ends."""
 
-    starts: Mapping[str, float]
-    lasts: float
+    start_times: Mapping[str, float]
+    duration_ms: float
 
 
-class Order:
-    """What may be out together, remembered while the outlook is the same."""
+class ScheduleConstraints:
+    """What may be out together; remembered while the capacity is the same."""
 
-    def __init__(self, limits: Limits, bears: Bears) -> None:
-        self.limits, self.bears = limits, bears
-        self.known: dict[frozenset[str], list[str]] = {}
+    def __init__(self, limits: Limits, capacity_check: CapacityCheck) -> None:
+        self.limits, self.capacity_check = limits, capacity_check
+        self.known_blockers: dict[frozenset[str], list[str]] = {}
 
-    def against(self, out: Sequence[Job]) -> list[str]:
-        """Why these machines may not be out together; nothing if they may."""
+    def blockers(self, out: Sequence[ReplacementJob]) -> list[str]:
+        """Return why these machines may not be out together; nothing if they may."""
         key = frozenset(job.name for job in out)
-        if key not in self.known:
-            self.known[key] = self._against(out)
-        return self.known[key]
+        if key not in self.known_blockers:
+            self.known_blockers[key] = self._find_blockers(out)
+        return self.known_blockers[key]
 
-    def _against(self, out: Sequence[Job]) -> list[str]:
+    def _find_blockers(self, out: Sequence[ReplacementJob]) -> list[str]:
         limits, zones, why = self.limits, {job.zone for job in out}, []
-        if len(out) > limits.most_out:
-            why.append(f"{limits.most_out} at once")
-        if len(zones) > limits.zones:
-            why.append(f"{limits.zones} zone{'s' * (limits.zones > 1)} at once")
-        if (voters := sum(job.voter for job in out)) > max(limits.spare, 0):
-            why.append(f"a majority of voters: {voters} out, {max(limits.spare, 0)} to spare")
-        lost = dict(limits.lacking)
+        if len(out) > limits.max_out:
+            why.append(f"{limits.max_out} at once")
+        if len(zones) > limits.max_zones:
+            why.append(f"{limits.max_zones} zone{'s' * (limits.max_zones > 1)} at once")
+        if (voters := sum(job.is_voter for job in out)) > max(limits.spare_voters, 0):
+            why.append(f"a majority of voters: {voters} out, {max(limits.spare_voters, 0)} to spare")
+        lost = dict(limits.missing_cores)
         for job in out:
             lost[job.zone] = lost.get(job.zone, 0.0) + job.cores
-        # Asked last and only if all else allows it: it may be costly.
-        return why or [f"outlook: {text}" for text in self.bears(lost)]
+        # Last, and only if all else allows it, because it may be costly.
+        return why or [f"outlook: {text}" for text in self.capacity_check(lost)]
 
-    def settle(self, waiting: Sequence[Job], out: Sequence[Job] = ()) -> Schedule:
-        """A schedule for those that wait, beside those that are out."""
+    def find_schedule(
+        self, waiting: Sequence[ReplacementJob], out: Sequence[ReplacementJob] = ()
+    ) -> Schedule:
+        """Find a schedule for waiting machines, besides those that are out."""
         waiting = sorted(waiting, key=lambda job: job.name)
-        best, left = self._best(waiting, out), TRIES
+        best, left = self._best_by_rules(waiting, out), MAX_SCHEDULES
         if len(best[1]) > 1:
             left -= 4
             improved = True
             while improved and left > 0:
                 improved = False
-                for order in _neighbours(best[1]):
+                for order in _neighbouring_orders(best[1]):
                     left -= 1
                     found = self.place(order, out)
-                    if found.lasts < best[0].lasts - 1e-9:
+                    if found.duration_ms < best[0].duration_ms - 1e-9:
                         best, improved = (found, order), True
                         break
                     if left <= 0:
                         break
         return best[0]
 
-    def _best(self, waiting: Sequence[Job], out: Sequence[Job]) -> tuple[Schedule, list[Job]]:
+    def _best_by_rules(
+        self, waiting: Sequence[ReplacementJob], out: Sequence[ReplacementJob]
+    ) -> tuple[Schedule, list[ReplacementJob]]:
         work, busy = dict[int, float](), {job.zone for job in out}
         for job in waiting:
-            work[job.zone] = work.get(job.zone, 0.0) + job.lasts
-        rules: list[Callable[[Job], tuple[float, ...]]] = [
-            lambda job: (job.zone not in busy, -work[job.zone], job.zone, -job.lasts),
-            lambda job: (job.zone not in busy, job.zone, not job.voter, -job.lasts),
-            lambda job: (-job.lasts,),
-            lambda job: (job.zone not in busy, not job.voter, -job.lasts, -job.cores),
+            work[job.zone] = work.get(job.zone, 0.0) + job.duration_ms
+        rules: list[Callable[[ReplacementJob], tuple[float, ...]]] = [
+            lambda job: (job.zone not in busy, -work[job.zone], job.zone, -job.duration_ms),
+            lambda job: (job.zone not in busy, job.zone, not job.is_voter, -job.duration_ms),
+            lambda job: (-job.duration_ms,),
+            lambda job: (job.zone not in busy, not job.is_voter, -job.duration_ms, -job.cores),
         ]
         lists = [sorted(waiting, key=rule) for rule in rules]
-        return min(((self.place(order, out), order) for order in lists), key=lambda found: found[0].lasts)
+        return min(
+            ((self.place(order, out), order) for order in lists), key=lambda found: found[0].duration_ms
+        )
 
-    def place(self, order: Sequence[Job], out: Sequence[Job] = ()) -> Schedule:
-        """Each machine of a list as early as those before it allow."""
-        spans = [(0.0, job.lasts, job) for job in out]
+    def place(self, order: Sequence[ReplacementJob], out: Sequence[ReplacementJob] = ()) -> Schedule:
+        """Start each machine of an order as early as those before it allow."""
+        spans = [(0.0, job.duration_ms, job) for job in out]
         starts = dict[str, float]()
         for job in order:
             start = self._earliest(job, spans)
             starts[job.name] = start
             if start < math.inf:
-                spans.append((start, start + job.lasts, job))
+                spans.append((start, start + job.duration_ms, job))
         return Schedule(starts, max((end for _, end, _ in spans), default=0.0))
 
-    def _earliest(self, job: Job, spans: Sequence[tuple[float, float, Job]]) -> float:
+    def _earliest(self, job: ReplacementJob, spans: Sequence[tuple[float, float, ReplacementJob]]) -> float:
         for start in sorted({0.0, *(end for _, end, _ in spans)}):
-            end = start + job.lasts
+            end = start + job.duration_ms
             # What is out changes only where another begins.
             moments = [start, *(s for s, _, _ in spans if start < s < end)]
-            if not any(self.against([*(o for s, e, o in spans if s <= t < e), job]) for t in moments):
+            if not any(self.blockers([*(o for s, e, o in spans if s <= t < e), job]) for t in moments):
                 return start
         return math.inf
 
-    def waits(self, job: Job, out: Sequence[Job], start: float) -> list[str]:
-        """Why a machine does not start now, for operators."""
-        why = list(self.against([*out, job]))
+    def wait_reasons(self, job: ReplacementJob, out: Sequence[ReplacementJob], start: float) -> list[str]:
+        """Return why a machine does not start now, for operators."""
+        why = list(self.blockers([*out, job]))
         if why and out:
             why = [f"{text} (out: {', '.join(sorted(o.name for o in out))})" for text in why]
         if not why and start > 0:
@@ -138,8 +148,8 @@
         return why
 
 
-def _neighbours(order: Sequence[Job]) -> list[list[Job]]:
-    """Lists with one machine moved, or two exchanged."""
+def _neighbouring_orders(order: Sequence[ReplacementJob]) -> list[list[ReplacementJob]]:
+    """Return orders with one machine moved, or two exchanged."""
     found, n = [], len(order)
     for i in range(n):
         for j in range(i + 1, n):
--- a/cottonhold/fleet/rolling_replacement/start_conditions.py
+++ b/cottonhold/fleet/rolling_replacement/start_conditions.py
@@ -1,106 +1,140 @@
-"""Whether a machine may start its swap now, by what registers and members show. Pure."""
+"""Whether a machine's replacement may start now, by what registers and members show. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 
-from cottonhold.fleet.rolling_replacement.plan import BEFORE, Flag, Machine, Reason, Record, Whole, ident
-from cottonhold.fleet.rolling_replacement.schedule import STUCK, Job, Limits, Order, Schedule
+from cottonhold.fleet.rolling_replacement.plan import (
+    WAITING_STEPS,
+    Machine,
+    MachineFlag,
+    MachineRecord,
+    ReplacementPlan,
+    StepReason,
+    machine_id,
+)
+from cottonhold.fleet.rolling_replacement.schedule import (
+    STUCK_DURATION_MS,
+    Limits,
+    ReplacementJob,
+    Schedule,
+    ScheduleConstraints,
+)
 from cottonhold.fleet.zone_failover.evacuation import majority
 from cottonhold.fleet.zone_failover.messages import zone_number
 
-Bearable = Callable[[Mapping[str, float]], list[str]]
-ASKED_AGAIN = 500.0  # ms: so old may the outlook's answers be
+CapacityCheck = Callable[[Mapping[str, float]], list[str]]
+MAX_CHECK_AGE_MS = 500.0
 
 
-def up(whole: Whole, chain: Mapping[str, Record], there: Mapping[str, Machine]) -> int:
-    """Voters that are up and stay so: neither out, nor in an out one's place."""
-    out = set(whole.out)
-    away = {r.new for name, r in chain.items() if ident(name) in out}
-    return sum(m.voter and m.votes and m.id not in out and m.name not in away for m in there.values())
+def available_voters(
+    plan: ReplacementPlan, records: Mapping[str, MachineRecord], machines: Mapping[str, Machine]
+) -> int:
+    """Return how many voters are up and stay so: neither out, nor replacing one that is out."""
+    out = set(plan.machines_out)
+    away = {r.replacement for name, r in records.items() if machine_id(name) in out}
+    return sum(
+        m.is_voter and m.is_voting and m.id not in out and m.name not in away for m in machines.values()
+    )
 
 
-class Starts:
-    """`voters`: configured ones; `lasts`: ms of a swap where none was seen yet; `bearable`: the outlook's
-    word on cores out by zone, reasons against."""
+class StartConditions:
+    """Conditions on starting a machine's replacement.
 
-    def __init__(self, voters: int, lasts: float, bearable: Bearable | None) -> None:
-        self.voters, self.lasts = voters, lasts
-        self.bearable = bearable or (lambda out: [])
-        self.asked_at, self.key = 0.0, tuple[object, ...]()
-        self.order = Order(Limits(), lambda out: [])
+    voters: configured ones. default_duration_ms: of a replacement, until one was seen. capacity_check:
+    reasons against losing cores by zone.
+    """
+
+    def __init__(self, voters: int, default_duration_ms: float, capacity_check: CapacityCheck | None) -> None:
+        self.voters, self.default_duration_ms = voters, default_duration_ms
+        self.capacity_check = capacity_check or (lambda out: [])
+        self.checked_at, self.key = 0.0, tuple[object, ...]()
+        self.constraints = ScheduleConstraints(Limits(), lambda out: [])
         self.schedule: Schedule | None = None
 
-    def against(
+    def blockers(
         self,
         now: float,
         name: str,
-        whole: Whole,
-        chain: Mapping[str, Record],
-        there: Mapping[str, Machine],
+        plan: ReplacementPlan,
+        records: Mapping[str, MachineRecord],
+        machines: Mapping[str, Machine],
     ) -> list[str]:
-        """Why it may not start now."""
-        jobs = self._jobs(whole, chain, there)
-        out = [jobs[n] for n in jobs if ident(n) in whole.out]
-        waiting = [jobs[n] for n, r in chain.items() if r.step in BEFORE and jobs[n] not in out]
+        """Return why a machine may not start now."""
+        jobs = self._jobs(plan, records, machines)
+        out = [jobs[n] for n in jobs if machine_id(n) in plan.machines_out]
+        waiting = [jobs[n] for n, r in records.items() if r.step in WAITING_STEPS and jobs[n] not in out]
         limits, zones = (
-            self._limits(whole, chain, there),
-            {zone_number(m.zone): m.zone for m in there.values()},
+            self._limits(plan, records, machines),
+            {zone_number(m.zone): m.zone for m in machines.values()},
         )
         key = (
             tuple(out),
             tuple(waiting),
-            limits.most_out,
-            limits.zones,
-            limits.spare,
-            tuple(limits.lacking.items()),
+            limits.max_out,
+            limits.max_zones,
+            limits.spare_voters,
+            tuple(limits.missing_cores.items()),
         )
-        if key != self.key or now - self.asked_at > ASKED_AGAIN:
-            self.key, self.asked_at, self.schedule = key, now, None
-            self.order = Order(limits, lambda lost: self._bears(lost, zones))
-        # The schedule is weighed only for one that could start: it costs much more than the answer.
-        why = self.order.waits(jobs[name], out, 0.0)
+        if key != self.key or now - self.checked_at > MAX_CHECK_AGE_MS:
+            self.key, self.checked_at, self.schedule = key, now, None
+            self.constraints = ScheduleConstraints(limits, lambda lost: self._check_capacity(lost, zones))
+        # The schedule is costly, so it is sought only for a machine that could start.
+        why = self.constraints.wait_reasons(jobs[name], out, 0.0)
         if why:
             return why
         if self.schedule is None:
-            self.schedule = self.order.settle(waiting, out)
-        return self.order.waits(jobs[name], out, self.schedule.starts[name])
+            self.schedule = self.constraints.find_schedule(waiting, out)
+        return self.constraints.wait_reasons(jobs[name], out, self.schedule.start_times[name])
 
-    def _bears(self, lost: Mapping[int, float], zones: Mapping[int, str]) -> list[str]:
-        return self.bearable({zones.get(zone, str(zone)): cores for zone, cores in lost.items()})
+    def _check_capacity(self, lost: Mapping[int, float], zones: Mapping[int, str]) -> list[str]:
+        return self.capacity_check({zones.get(zone, str(zone)): cores for zone, cores in lost.items()})
 
-    def _limits(self, whole: Whole, chain: Mapping[str, Record], there: Mapping[str, Machine]) -> Limits:
-        out = [n for n in chain if ident(n) in whole.out]
-        voters_out = sum(chain[n].has(Flag.VOTER) for n in out)
-        down = max(self.voters - up(whole, chain, there) - voters_out, 0)
+    def _limits(
+        self, plan: ReplacementPlan, records: Mapping[str, MachineRecord], machines: Mapping[str, Machine]
+    ) -> Limits:
+        out = [n for n in records if machine_id(n) in plan.machines_out]
+        voters_out = sum(records[n].has_flag(MachineFlag.VOTER) for n in out)
+        down = max(self.voters - available_voters(plan, records, machines) - voters_out, 0)
         lacking = dict[int, float]()
-        for name, record in chain.items():
-            # A smaller engine in place is in the list with the cores that it has, so the outlook knows it.
-            known = record.has(Flag.ENGINE) and record.new in there
-            if name not in out and record.lacks() and not known:
-                lacking[record.zone] = lacking.get(record.zone, 0.0) + record.lacks() / 10
+        for name, record in records.items():
+            # A smaller engine in place is in the endpoint list with its cores, so they are known there.
+            known = record.has_flag(MachineFlag.ENGINE) and record.replacement in machines
+            if name not in out and record.missing_cores_tenths() and not known:
+                lacking[record.zone] = lacking.get(record.zone, 0.0) + record.missing_cores_tenths() / 10
         spare = self.voters - majority(self.voters) - down
-        return Limits(whole.most_out, whole.zones, spare, lacking)
+        return Limits(plan.max_out, plan.max_zones, spare, lacking)
 
     def _jobs(
-        self, whole: Whole, chain: Mapping[str, Record], there: Mapping[str, Machine]
-    ) -> dict[str, Job]:
-        learnt: dict[bool, list[int]] = {True: [], False: []}
-        for r in chain.values():
-            if r.took:
-                learnt[r.has(Flag.ENGINE)].append(r.took)
+        self, plan: ReplacementPlan, records: Mapping[str, MachineRecord], machines: Mapping[str, Machine]
+    ) -> dict[str, ReplacementJob]:
+        durations: dict[bool, list[int]] = {True: [], False: []}
+        for r in records.values():
+            if r.duration_tenths:
+                durations[r.has_flag(MachineFlag.ENGINE)].append(r.duration_tenths)
         jobs = {}
-        for name, r in chain.items():
-            took = learnt[r.has(Flag.ENGINE)]
-            lasts = 100.0 * sum(took) / len(took) if took else self.lasts
-            lasts = STUCK if r.reason in (Reason.HARDWARE, Reason.GONE) else lasts
-            jobs[name] = Job(name, r.zone, self._cores(name, r, whole, there), r.has(Flag.VOTER), lasts)
+        for name, r in records.items():
+            known = durations[r.has_flag(MachineFlag.ENGINE)]
+            duration_ms = 100.0 * sum(known) / len(known) if known else self.default_duration_ms
+            duration_ms = (
+                STUCK_DURATION_MS
+                if r.reason in (StepReason.NOT_ARRIVED, StepReason.LEFT_AGAIN)
+                else duration_ms
+            )
+            jobs[name] = ReplacementJob(
+                name,
+                r.zone,
+                self._lost_cores(name, r, plan, machines),
+                r.has_flag(MachineFlag.VOTER),
+                duration_ms,
+            )
         return jobs
 
-    def _cores(self, name: str, record: Record, whole: Whole, there: Mapping[str, Machine]) -> float:
-        """Cores that the outlook loses, beside those that it counts no longer."""
-        machine = there.get(name)
-        # Danger: an engine that is out is not in the outlook's picture any more. Counted as lost once more,
-        # it took its zone's cores twice, and of three engines no second one could ever start.
-        gone = record.has(Flag.ENGINE) and (machine is None or not machine.counted)
-        return 0.0 if gone and ident(name) in whole.out else record.cores / 10
+    def _lost_cores(
+        self, name: str, record: MachineRecord, plan: ReplacementPlan, machines: Mapping[str, Machine]
+    ) -> float:
+        """Return the cores that are lost, besides those that are counted no longer."""
+        machine = machines.get(name)
+        # An engine that is out is not in the fleet snapshot any more; its cores must not be counted twice.
+        gone = record.has_flag(MachineFlag.ENGINE) and (machine is None or not machine.is_counted)
+        return 0.0 if gone and machine_id(name) in plan.machines_out else record.cores_tenths / 10
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -1,10 +1,10 @@
-"""The steps of one machine's swap: where it stands, what is seen, and so what comes next. Pure, one function
-a step; each answer is a new record to be set by compare-and-set, effects to be carried out, and reasons to
-wait.
+"""The steps of one machine's replacement: which one follows from what is seen. Pure, one function a step.
 
-The way back: before MOVING an abort ends at once. In MOVING and DRAINING pins that have moved stay where they
-are, the machine takes clients again. From OUT on somebody must put a machine there first, the old one or the
-new; it takes its part again, and then the swap counts as aborted.
+Each decision holds a new record to be set by compare-and-set, actions, and reasons to wait.
+
+Aborting: before MOVING it ends the replacement at once. In MOVING and DRAINING keys that have moved stay
+where they are, and the machine accepts clients again. From OUT on a machine must be put in place first, the
+old one or the replacement; it takes its share of traffic again, and then the replacement counts as aborted.
 """
 
 from __future__ import annotations
@@ -13,230 +13,282 @@
 from dataclasses import dataclass, field, replace
 
 from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
-from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Reason, Record, Request, Step, tenths
+from cottonhold.fleet.rolling_replacement.plan import (
+    Machine,
+    MachineFlag,
+    MachineRecord,
+    ReplacementRequest,
+    ReplacementStep,
+    StepReason,
+    to_tenths,
+)
 
 
 @dataclass(slots=True, frozen=True)
-class MovePins:
-    """At most so many of a machine's pins go to a target, under this epoch of the machine's swap."""
+class MoveKeys:
+    """Move at most so many of a machine's keys, under this epoch of its replacement."""
 
     machine: str
     target: str
-    most: int
+    max_keys: int
     epoch: int
 
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """This instance takes no new clients' connections and hands over; of an engine: nothing new goes to
-    it."""
+    """This instance accepts no new clients and moves its keys; of an engine: it gets no new requests."""
 
     machine: str
 
 
 @dataclass(slots=True, frozen=True)
 class Undrain:
-    """The way back from Drain."""
+    """Undo Drain."""
 
     machine: str
 
 
 @dataclass(slots=True, frozen=True)
-class Ready:
-    """A machine may be powered off: operators are told."""
+class ReadyToPowerOff:
+    """A machine may be powered off: operators are notified."""
 
     machine: str
     epoch: int
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class LogStep:
     """For the log: a machine's step has changed, or why it waits; an empty machine is the request itself."""
 
     machine: str
-    step: Step | None
-    why: str
+    step: ReplacementStep | None
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
-    """The end of a request made here: why it was refused, nothing if it was taken."""
+class RequestAnswered:
+    """The end of a request made here: why it was rejected, or "" if it was accepted."""
 
-    request: Request
-    refused: str
+    request: ReplacementRequest
+    rejection: str
 
 
-SPARE = "a majority of voters must stay up"
-Action = ChangeRegister | ReadRegister | MovePins | Drain | Undrain | Ready | Say | Answer
+QUORUM_REASON = "a majority of voters must stay up"
+Action = (
+    ChangeRegister | ReadRegister | MoveKeys | Drain | Undrain | ReadyToPowerOff | LogStep | RequestAnswered
+)
 
 
 @dataclass(slots=True, frozen=True)
 class StepSettings:
-    """Times in ms. batch: so often pins are asked to move, and batch_most: so many at once. give_up: moving
-    or draining longer than that fails the swap, so that it does not hold the others up for good. hardware:
-    from then on a new machine counts as late. ramp: so long a machine takes to its full part where nobody
-    tells its pace. gone: so long a machine must be away before its open requests count as ended with it.
-    lonely: one that has drained so long and can't go, for want of voters, takes clients again."""
+    """Times of the steps.
+
+    move_interval_ms and max_keys_per_move: how keys are moved. step_timeout_ms: moving or draining longer
+    fails the replacement, so that it does not block others for good. arrival_timeout_ms: after it a
+    replacement counts as late. ramp_ms: until full traffic, where no share is reported. absence_timeout_ms:
+    after it the open requests of an absent machine count as ended. quorum_wait_ms: a drained machine that
+    cannot be taken out for want of voters accepts clients again.
+    """
 
-    batch: float = 250.0
-    batch_most: int = 100
-    give_up: float = 600_000.0
-    hardware: float = 900_000.0
-    ramp: float = 3000.0
-    gone: float = 10_000.0
-    lonely: float = 3000.0
+    move_interval_ms: float = 250.0
+    max_keys_per_move: int = 100
+    step_timeout_ms: float = 600_000.0
+    arrival_timeout_ms: float = 900_000.0
+    ramp_ms: float = 3000.0
+    absence_timeout_ms: float = 10_000.0
+    quorum_wait_ms: float = 3000.0
 
 
 @dataclass(slots=True, frozen=True)
-class View:
+class MachineView:
     """What the driver of one machine knows of it.
 
-    since: for how many ms it has been in its step, as far as this instance saw. held: why nothing may be
-    taken out now. pins, open: of the old machine, nothing if never told. away, missing: for how long the old
-    one and the new one have not been seen.
-    pace: the share of its part that it takes, if told. spare: whether a majority of voters stays up without
-    it. target: where its pins go. moved: ms since pins were last asked to move. ran: ms since MOVING.
+    step_age_ms: how long it has been in its step, as far as this instance saw. blocked_reasons: why nothing
+    may be taken out now. remaining_keys, open_requests: of the old machine; None if never reported.
+    absent_ms, replacement_absent_ms: how long the old one and the replacement have not been seen.
+    traffic_share: of the replacement, if reported. keeps_quorum: a majority of voters stays up without the
+    machine. target: where its keys move. last_move_age_ms: since keys were last moved. running_ms: since
+    MOVING.
     """
 
-    since: float
-    there: Mapping[str, Machine]
-    held: list[str] = field(default_factory=list)
-    pins: int | None = None
-    open: int | None = None
-    away: float = 0.0
-    missing: float = 0.0
-    pace: float | None = None
-    spare: bool = True
+    step_age_ms: float
+    machines: Mapping[str, Machine]
+    blocked_reasons: list[str] = field(default_factory=list)
+    remaining_keys: int | None = None
+    open_requests: int | None = None
+    absent_ms: float = 0.0
+    replacement_absent_ms: float = 0.0
+    traffic_share: float | None = None
+    keeps_quorum: bool = True
     target: str = ""
-    moved: float = float("inf")
-    ran: float = 0.0
+    last_move_age_ms: float = float("inf")
+    running_ms: float = 0.0
 
 
 @dataclass(slots=True)
-class Verdict:
-    """What follows."""
+class StepDecision:
+    """What follows: the next record if it changes, actions, and reasons to wait."""
 
-    next: Record | None = None
-    effects: list[Action] = field(default_factory=list)
-    why: list[str] = field(default_factory=list)
+    record: MachineRecord | None = None
+    actions: list[Action] = field(default_factory=list)
+    reasons: list[str] = field(default_factory=list)
 
 
-def decide(name: str, record: Record, view: View, settings: StepSettings) -> Verdict:
-    """The next step of a machine that has begun, or that is aborted before."""
-    if record.has(Flag.ABORT) and record.step <= Step.DRAINING:
-        return Verdict(replace(record, step=Step.ABORTED, reason=Reason.BY_HAND))
+def decide_step(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+    """Decide the next step of a machine that has begun, or that is aborted before."""
+    if record.has_flag(MachineFlag.ABORTING) and record.step <= ReplacementStep.DRAINING:
+        return StepDecision(replace(record, step=ReplacementStep.ABORTED, reason=StepReason.OPERATOR))
     step = STEPS.get(record.step)
-    return step(name, record, view, settings) if step is not None else Verdict()
-
-
-def _moving(name: str, record: Record, view: View, settings: StepSettings) -> Verdict:
-    if view.since > settings.give_up:
-        return Verdict(replace(record, step=Step.FAILED, reason=Reason.LATE))
-    if view.held:
-        return Verdict(why=view.held)
-    if record.has(Flag.ENGINE) or view.pins == 0:
-        return Verdict(replace(record, step=Step.DRAINING)) if view.spare else Verdict(why=[SPARE])
-    return _move(name, record, view, settings)
+    return step(name, record, view, settings) if step is not None else StepDecision()
+
+
+def _moving(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+    if view.step_age_ms > settings.step_timeout_ms:
+        return StepDecision(replace(record, step=ReplacementStep.FAILED, reason=StepReason.TIMED_OUT))
+    if view.blocked_reasons:
+        return StepDecision(reasons=view.blocked_reasons)
+    if record.has_flag(MachineFlag.ENGINE) or view.remaining_keys == 0:
+        return (
+            StepDecision(replace(record, step=ReplacementStep.DRAINING))
+            if view.keeps_quorum
+            else StepDecision(reasons=[QUORUM_REASON])
+        )
+    return _move_keys(name, record, view, settings)
 
 
-def _move(name: str, record: Record, view: View, settings: StepSettings) -> Verdict:
-    if view.pins is None:
-        return Verdict(why=["its pins are not counted yet"])
+def _move_keys(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+    if view.remaining_keys is None:
+        return StepDecision(reasons=["its pins are not counted yet"])
     if not view.target:
-        return Verdict(why=[f"{view.pins} pins, and nobody to take them"])
-    why = [f"{view.pins} pins left"]
-    if view.moved < settings.batch:
-        return Verdict(why=why)
-    return Verdict(None, [MovePins(name, view.target, settings.batch_most, record.epoch)], why)
-
-
-def _draining(name: str, record: Record, view: View, settings: StepSettings) -> Verdict:
-    if view.since > settings.give_up:
-        return Verdict(replace(record, step=Step.FAILED, reason=Reason.LATE))
-    if not view.spare and view.since > settings.lonely:
-        # Danger: with a voter dead a drained machine could go nowhere, and turned its clients away for as
-        # long as that lasted: two of three dispatchers served nobody.
-        return Verdict(replace(record, step=Step.MOVING), why=[SPARE])
-    if view.held:
-        return Verdict(why=view.held)
-    # Danger: a client that came between the last pin and the drain brought a new one, which was lost.
-    if not record.has(Flag.ENGINE) and view.pins != 0:
-        return _move(name, record, view, settings)
-    dead = view.away > settings.gone
-    if view.open is None and not dead:
-        return Verdict(why=["its open requests are not counted yet"])
-    if view.open and not dead:
-        return Verdict(why=[f"{view.open} requests open"])
-    if not view.spare:
-        return Verdict(why=[SPARE])
-    old = view.there.get(name)
-    life = old.life & 0xFFFFFFFF if old is not None else record.life
-    return Verdict(replace(record, step=Step.OUT, life=life))
-
-
-def arrived(name: str, record: Record, there: Mapping[str, Machine]) -> Machine | None:
-    """The machine that is to be in place: another id, or another life of the same one; after an abort also
-    the old one that was never powered off."""
-    new = there.get(record.new)
-    if new is not None and (record.new != name or _another(record, new)):
+        return StepDecision(reasons=[f"{view.remaining_keys} pins, and nobody to take them"])
+    why = [f"{view.remaining_keys} pins left"]
+    if view.last_move_age_ms < settings.move_interval_ms:
+        return StepDecision(reasons=why)
+    return StepDecision(None, [MoveKeys(name, view.target, settings.max_keys_per_move, record.epoch)], why)
+
+
+def _draining(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+    if view.step_age_ms > settings.step_timeout_ms:
+        return StepDecision(replace(record, step=ReplacementStep.FAILED, reason=StepReason.TIMED_OUT))
+    if not view.keeps_quorum and view.step_age_ms > settings.quorum_wait_ms:
+        # It accepts clients again: it cannot be taken out until another voter is up.
+        return StepDecision(replace(record, step=ReplacementStep.MOVING), reasons=[QUORUM_REASON])
+    if view.blocked_reasons:
+        return StepDecision(reasons=view.blocked_reasons)
+    # A request between the last move and the drain may have brought a new key.
+    if not record.has_flag(MachineFlag.ENGINE) and view.remaining_keys != 0:
+        return _move_keys(name, record, view, settings)
+    dead = view.absent_ms > settings.absence_timeout_ms
+    if view.open_requests is None and not dead:
+        return StepDecision(reasons=["its open requests are not counted yet"])
+    if view.open_requests and not dead:
+        return StepDecision(reasons=[f"{view.open_requests} requests open"])
+    if not view.keeps_quorum:
+        return StepDecision(reasons=[QUORUM_REASON])
+    old = view.machines.get(name)
+    life = old.incarnation & 0xFFFFFFFF if old is not None else record.incarnation
+    return StepDecision(replace(record, step=ReplacementStep.OUT, incarnation=life))
+
+
+def arrived_machine(name: str, record: MachineRecord, machines: Mapping[str, Machine]) -> Machine | None:
+    """Return the machine that is in place: another id, or another incarnation of the same one.
+
+    After an abort also the old one that was never powered off.
+    """
+    new = machines.get(record.replacement)
+    if new is not None and (record.replacement != name or _is_other_incarnation(record, new)):
         return new
-    return there.get(name) if record.has(Flag.ABORT) else None
+    return machines.get(name) if record.has_flag(MachineFlag.ABORTING) else None
 
 
-def _another(record: Record, new: Machine) -> bool:
-    """Whether the machine under the old one's id has been started since that one was out."""
-    life = new.life & 0xFFFFFFFF
-    if not record.has(Flag.ENGINE):
-        return life != record.life
-    # Danger: a list that tells no starts shows the old engine, not powered off yet, as it would the new one.
-    # So it has to have been away first, which lies in the register: whoever drives next may not have seen it.
-    return record.has(Flag.AWAY) or bool(life and record.life and life != record.life)
+def _is_other_incarnation(record: MachineRecord, new: Machine) -> bool:
+    """Whether the machine under the old one's id was started after the old one was out."""
+    life = new.incarnation & 0xFFFFFFFF
+    if not record.has_flag(MachineFlag.ENGINE):
+        return life != record.incarnation
+    # A list without start times shows the old engine, not powered off yet, as it would show the new one. So
+    # it must have been absent first; the record says so, since the next driver may not have seen it.
+    return record.has_flag(MachineFlag.WAS_AWAY) or bool(
+        life and record.incarnation and life != record.incarnation
+    )
 
 
-def _out(name: str, record: Record, view: View, settings: StepSettings) -> Verdict:
-    new = arrived(name, record, view.there)
+def _out(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+    new = arrived_machine(name, record, view.machines)
     if new is not None:
-        return Verdict(
-            replace(record, step=Step.IN_PLACE, seen=max(tenths(new.cores), 1), reason=Reason.NONE)
+        return StepDecision(
+            replace(
+                record,
+                step=ReplacementStep.IN_PLACE,
+                arrived_cores_tenths=max(to_tenths(new.cores), 1),
+                reason=StepReason.NONE,
+            )
         )
-    if record.has(Flag.ENGINE) and not record.has(Flag.AWAY) and name not in view.there:
-        return Verdict(replace(record, flags=record.flags | Flag.AWAY), why=[f"'{name}' is away"])
-    ready: list[Action] = [Ready(name, record.epoch)]
-    if record.has(Flag.ABORT):
-        return Verdict(None, [], [f"aborted: '{name}' or '{record.new}' has to be put back"])
-    if view.since > settings.hardware:
-        late = replace(record, reason=Reason.HARDWARE) if record.reason is not Reason.HARDWARE else None
-        return Verdict(late, ready, [f"'{record.new}' has not come in {settings.hardware / 1000:g} s"])
-    still = record.has(Flag.ENGINE) and name in view.there
-    why = f"'{name}' is there still, as before it was out" if still else f"waits for '{record.new}'"
-    return Verdict(None, ready, [why])
-
-
-def _in_place(name: str, record: Record, view: View, settings: StepSettings) -> Verdict:
-    smaller = record.seen < (record.told if not record.has(Flag.ABORT) else record.cores)
-    return Verdict(replace(record, step=Step.RAMPING, reason=Reason.SMALLER if smaller else Reason.NONE))
-
-
-def _ramping(name: str, record: Record, view: View, settings: StepSettings) -> Verdict:
-    new = arrived(name, record, view.there)
+    if (
+        record.has_flag(MachineFlag.ENGINE)
+        and not record.has_flag(MachineFlag.WAS_AWAY)
+        and name not in view.machines
+    ):
+        return StepDecision(
+            replace(record, flags=record.flags | MachineFlag.WAS_AWAY), reasons=[f"'{name}' is away"]
+        )
+    ready: list[Action] = [ReadyToPowerOff(name, record.epoch)]
+    if record.has_flag(MachineFlag.ABORTING):
+        return StepDecision(None, [], [f"aborted: '{name}' or '{record.replacement}' has to be put back"])
+    if view.step_age_ms > settings.arrival_timeout_ms:
+        late = (
+            replace(record, reason=StepReason.NOT_ARRIVED)
+            if record.reason is not StepReason.NOT_ARRIVED
+            else None
+        )
+        return StepDecision(
+            late, ready, [f"'{record.replacement}' has not come in {settings.arrival_timeout_ms / 1000:g} s"]
+        )
+    still = record.has_flag(MachineFlag.ENGINE) and name in view.machines
+    why = f"'{name}' is there still, as before it was out" if still else f"waits for '{record.replacement}'"
+    return StepDecision(None, ready, [why])
+
+
+def _in_place(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+    smaller = record.arrived_cores_tenths < (
+        record.requested_cores_tenths if not record.has_flag(MachineFlag.ABORTING) else record.cores_tenths
+    )
+    return StepDecision(
+        replace(
+            record, step=ReplacementStep.RAMPING, reason=StepReason.SMALLER if smaller else StepReason.NONE
+        )
+    )
+
+
+def _ramping(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+    new = arrived_machine(name, record, view.machines)
     if new is None:
-        if view.missing < settings.gone:
-            return Verdict(why=[f"'{record.new}' is not seen"])
-        return Verdict(replace(record, step=Step.OUT, seen=0, reason=Reason.GONE))
-    if record.has(Flag.VOTER) and not new.votes:
-        return Verdict(why=[f"'{new.name}' has an empty memory: it may not vote yet"])
-    if view.pace is not None and view.pace < 1.0 or view.pace is None and view.since < settings.ramp:
-        return Verdict(why=[f"takes {view.pace or 0.0:.0%} of its part"])
-    if record.has(Flag.ABORT):
-        return Verdict(replace(record, step=Step.ABORTED, reason=Reason.BY_HAND))
-    return Verdict(replace(record, step=Step.DONE, took=min(int(view.ran / 100), 0xFFFF)))
-
-
-Decider = Callable[[str, Record, View, StepSettings], Verdict]
-STEPS: dict[Step, Decider] = {
-    Step.MOVING: _moving,
-    Step.DRAINING: _draining,
-    Step.OUT: _out,
-    Step.IN_PLACE: _in_place,
-    Step.RAMPING: _ramping,
+        if view.replacement_absent_ms < settings.absence_timeout_ms:
+            return StepDecision(reasons=[f"'{record.replacement}' is not seen"])
+        return StepDecision(
+            replace(record, step=ReplacementStep.OUT, arrived_cores_tenths=0, reason=StepReason.LEFT_AGAIN)
+        )
+    if record.has_flag(MachineFlag.VOTER) and not new.is_voting:
+        return StepDecision(reasons=[f"'{new.name}' has an empty memory: it may not vote yet"])
+    if (
+        view.traffic_share is not None
+        and view.traffic_share < 1.0
+        or view.traffic_share is None
+        and view.step_age_ms < settings.ramp_ms
+    ):
+        return StepDecision(reasons=[f"takes {view.traffic_share or 0.0:.0%} of its part"])
+    if record.has_flag(MachineFlag.ABORTING):
+        return StepDecision(replace(record, step=ReplacementStep.ABORTED, reason=StepReason.OPERATOR))
+    return StepDecision(
+        replace(record, step=ReplacementStep.DONE, duration_tenths=min(int(view.running_ms / 100), 0xFFFF))
+    )
+
+
+Decider = Callable[[str, MachineRecord, MachineView, StepSettings], StepDecision]
+STEPS: dict[ReplacementStep, Decider] = {
+    ReplacementStep.MOVING: _moving,
+    ReplacementStep.DRAINING: _draining,
+    ReplacementStep.OUT: _out,
+    ReplacementStep.IN_PLACE: _in_place,
+    ReplacementStep.RAMPING: _ramping,
 }
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -25,7 +25,7 @@
 from cottonhold.fleet.consensus.messages import MAX_VALUE_BYTES
 from cottonhold.fleet.consensus.register_cache import RegisterCache
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.rolling_replacement.machine_driver import order_of
+from cottonhold.fleet.rolling_replacement.machine_driver import takeover_order
 
 TABLE_REGISTER = "pins"  # name of the register
 HEAD_FORMAT = struct.Struct("!IBBH")  # epoch, listed members, changes, bit mask of those in the table
@@ -276,6 +276,6 @@
             return 0
         proposers = sorted(
             self.member_list.members & view.live_members - {member},
-            key=lambda other: order_of(TABLE_REGISTER, f"{member}/{other}"),
+            key=lambda other: takeover_order(TABLE_REGISTER, f"{member}/{other}"),
         )
         return proposers.index(self.member) if self.member in proposers else len(proposers)
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -12,8 +12,8 @@
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import DRAINS, Drains, DrainSettings, Kept, Knock, Settled, Tell, fresh
 from cottonhold.fleet.rolling_replacement import step_decision
-from cottonhold.fleet.rolling_replacement.coordinator import Swap
-from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Record, Step
+from cottonhold.fleet.rolling_replacement.coordinator import ReplacementCoordinator
+from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, MachineRecord, ReplacementStep
 from cottonhold.fleet_adapters.membership import MembershipRim
 from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, incarnation_of
 from cottonhold.fleet_adapters.write_queue import InOrder
@@ -59,7 +59,7 @@
         self.drains = Drains(swim.id, incarnation_of(ledger), now, settings, self.voters)
         self.settled = Settled(now, settings)
         self.kept = Kept(ledger.records(RecordKind.ENGINE_DRAIN))
-        self.writing: dict[str, Record] = {}  # drains that the disk doesn't have yet
+        self.writing: dict[str, MachineRecord] = {}  # drains that the disk doesn't have yet
         for engine in self.kept.before:
             owner.republish(owner.held.hold(engine))
 
@@ -74,26 +74,34 @@
         """Whether it is known here which engines are drained, so that loads may go out."""
         return self.settled.over
 
-    def machines(self, now: float, swap: Swap) -> list[Machine]:
+    def machines(self, now: float, swap: ReplacementCoordinator) -> list[Machine]:
         """Engines as they are there now; called first in each step."""
         if self.settled.stood(now):
-            swap.unsettle(now)
+            swap.on_pause(now)
         self.drains.list_is(self.owner.listed())
-        return self.drains.there(swap.scene.chain)
+        return self.drains.there(swap.view.records)
 
-    def tell(self, now: float, swap: Swap) -> None:
+    def tell(self, now: float, swap: ReplacementCoordinator) -> None:
         """What is open at engines that are swapped, and how far new ones are."""
         ramp = self.fleet.slow_start
-        for zone in swap.scene.zones.keys() - self.fleet.evacuation.states.keys():
-            swap.zone(now, zone, "")  # its last engine is held: nothing is told of its trouble any more
+        for zone in swap.view.zone_troubles.keys() - self.fleet.evacuation.states.keys():
+            swap.set_zone_trouble(
+                now, zone, ""
+            )  # its last engine is held: nothing is told of its trouble any more
         for name, record in _engines(swap).items():
-            swap.open_left(now, name, self.drains.open(now, name, record.serial))
-            if ramp is not None and record.step in (Step.IN_PLACE, Step.RAMPING):
-                swap.pace(now, record.new, ramp.share(record.new) if record.new in ramp.engines else 0.0)
-
-    def act(self, now: float, swap: Swap, action: step_decision.Drain | step_decision.Undrain) -> None:
+            swap.set_open_requests(now, name, self.drains.open(now, name, record.serial))
+            if ramp is not None and record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING):
+                swap.set_traffic_share(
+                    now,
+                    record.replacement,
+                    ramp.share(record.replacement) if record.replacement in ramp.engines else 0.0,
+                )
+
+    def act(
+        self, now: float, swap: ReplacementCoordinator, action: step_decision.Drain | step_decision.Undrain
+    ) -> None:
         """Nothing new goes to an engine, or the way back."""
-        engine, record = action.machine, swap.scene.chain.get(action.machine)
+        engine, record = action.machine, swap.view.records.get(action.machine)
         if isinstance(action, step_decision.Drain):
             if record is not None:
                 self.owner.counters.add("engine_drains")
@@ -104,7 +112,7 @@
         self.drains.undrain(engine)
         self._free(now, engine, record)
 
-    def step(self, now: float, swap: Swap) -> None:
+    def step(self, now: float, swap: ReplacementCoordinator) -> None:
         """Tell drivers, and ask engines that are out."""
         drains, live = self.drains, set(self.swim.live())
         drains.life = incarnation_of(self.ledger)
@@ -113,7 +121,7 @@
         self._settle(now, swap, live)
         for engine in drains.drained:
             drains.count(engine, self.owner.engines.attempts_in_flight(engine))
-        for action in drains.step(now, swap.scene.chain):
+        for action in drains.step(now, swap.view.records):
             match action:
                 case Tell(member, data):
                     self.membership.say(member, data)
@@ -121,23 +129,23 @@
                     if not self.owner.engines.check_liveness(engine, self._probed(engine)):
                         drains.probed(engine, False)
 
-    def row(self, now: float, swap: Swap, engine: str) -> dict[str, Any]:
+    def row(self, now: float, swap: ReplacementCoordinator, engine: str) -> dict[str, Any]:
         """What operators are told of an engine's swap beside its step; nothing of a dispatcher's."""
-        record = swap.scene.chain.get(engine)
-        if record is None or not record.has(Flag.ENGINE):
+        record = swap.view.records.get(engine)
+        if record is None or not record.has_flag(MachineFlag.ENGINE):
             return {}
         names = {self.swim.id: self.swim.name, **{m.id: m.name for m in self.swim.members.values()}}
-        counts = record.driver == self.swim.id and record.step is Step.DRAINING
+        counts = record.driver == self.swim.id and record.step is ReplacementStep.DRAINING
         untold = self.drains.untold(now, engine, record.serial) if counts else set[int]()
         return {
-            "ready": record.step is Step.OUT and not record.has(Flag.ABORT),
+            "ready": record.step is ReplacementStep.OUT and not record.has_flag(MachineFlag.ABORTING),
             "drained": engine in self.drains.drained,
-            "away": record.has(Flag.AWAY),
+            "away": record.has_flag(MachineFlag.WAS_AWAY),
             "open": self.drains.open(now, engine, record.serial) if counts else None,
             "untold": sorted(names.get(m, f"{m:x}") for m in untold),
         }
 
-    def _keep(self, engine: str, record: Record) -> None:
+    def _keep(self, engine: str, record: MachineRecord) -> None:
         """It counts as drained here once the disk has it, or can't have it now."""
 
         def told() -> None:
@@ -153,28 +161,28 @@
             # engine got requests while it was powered off.
             self.records.put(record_of, told, told)
 
-    def _free(self, now: float, engine: str, record: Record | None) -> None:
+    def _free(self, now: float, engine: str, record: MachineRecord | None) -> None:
         for record_of in self.kept.undrain(engine):
             self.records.put(record_of)
         self.owner.republish(self.owner.held.free(engine, now if fresh(record) else 0.0))
 
-    def _settle(self, now: float, swap: Swap, live: set[int]) -> None:
+    def _settle(self, now: float, swap: ReplacementCoordinator, live: set[int]) -> None:
         if not self.settled.over:
             majority = 2 * len(self.voters & live) > len(self.voters)
-            if self.settled.step(now, swap.settled(), majority):
+            if self.settled.step(now, swap.has_read_all(), majority):
                 after = round(now - self.settled.began)
                 over = self.kept.settle(swap.drained)
                 for engine in over:
-                    self._free(now, engine, swap.scene.chain.get(engine))
-                words = {"read": swap.settled(), "drained": len(swap.drained), "over": ",".join(over)}
+                    self._free(now, engine, swap.view.records.get(engine))
+                words = {"read": swap.has_read_all(), "drained": len(swap.drained), "over": ",".join(over)}
                 self.owner.log.note("drains_known", after_ms=after, **words)
 
     def _probed(self, engine: str) -> Callable[[bool], None]:
         return lambda good: self.drains.probed(engine, good)
 
 
-def _engines(swap: Swap) -> Mapping[str, Record]:
-    return {name: r for name, r in swap.scene.chain.items() if r.has(Flag.ENGINE)}
+def _engines(swap: ReplacementCoordinator) -> Mapping[str, MachineRecord]:
+    return {name: r for name, r in swap.view.records.items() if r.has_flag(MachineFlag.ENGINE)}
 
 
 def _life(incarnation: int) -> int:
