--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -39,8 +39,8 @@
 from cottonhold.membership.codec import Codec, Keys, Kind, Status, Update, encode_update
 from cottonhold.node import sibling_processes
 from cottonhold.scheduler import peer_messages
+from cottonhold.scheduler.engine_state import EngineView, RemainingWork
 from cottonhold.scheduler.events import Engine
-from cottonhold.scheduler.state import EngineView
 from cottonhold.store import boot_file, records
 from cottonhold.store.ledger import Ledger
 from tests.conformance.golden import RECORD
@@ -206,17 +206,17 @@
 
 def peer_work() -> bytes:
     """What a gateway has on two engines, as its peers are told."""
-    busy = EngineView("e1", Engine("e1"), 8.0, 16_000.0, code=0x01020304)
-    busy.threads_out, busy.memory_out, busy.held_area = 300, 1234.5, 5678.9
-    busy.left[0.5] = (1000.0, 2.0)
-    idle = EngineView("e2", Engine("e2"), 8.0, 16_000.0, code=5)
-    return peer_messages.pack_work(12.5, [busy, idle])
+    busy = EngineView("e1", Engine("e1"), 8.0, 16_000.0, id_hash=0x01020304)
+    busy.threads_in_flight, busy.memory_in_flight_mb, busy.queued_thread_ms = 300, 1234.5, 5678.9
+    busy.remaining_by_density[0.5] = RemainingWork(1000.0, 2.0)
+    idle = EngineView("e2", Engine("e2"), 8.0, 16_000.0, id_hash=5)
+    return peer_messages.encode_work(12.5, [busy, idle])
 
 
 def peer_load() -> bytes:
     """A load that a gateway sent, as its peers are told."""
-    engine = EngineView("e1", Engine("e1"), 8.0, 16_000.0, code=0x01020304)
-    return peer_messages.pack_load(engine, 0x12345, 2750.25)
+    engine = EngineView("e1", Engine("e1"), 8.0, 16_000.0, id_hash=0x01020304)
+    return peer_messages.encode_load_sent(engine, 0x12345, 2750.25)
 
 
 def load_record(state: records.LoadState) -> bytes:
