--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -1,7 +1,7 @@
-"""The rim of rolling swaps: registers over the voters, durable promises, what a step asks of this machine.
+"""Carries out rolling replacement: registers over the voters, durable promises, and actions on this machine.
 
-Decides nothing. Where pins are in service (pins.py), they go before the machine does; else its open requests
-end before it is out, and that is all. What concerns engines is in drains.py.
+Decides nothing. With session affinity a machine's keys move before it goes; without it, it is out once its
+open requests have ended. What concerns engines is in engine_drain.py.
 """
 
 from __future__ import annotations
@@ -43,27 +43,27 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
 
-FIRST, LAST = 64, 79  # kinds of message
-LEAST_MS, MOST_MS = 5.0, 250.0
-ENDS = {
+FIRST_KIND, LAST_KIND = 64, 79  # first bytes of messages
+MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 5.0, 250.0
+WON_BY_RESULT = {
     ChangeResult.WON: True,
     ChangeResult.LOST: False,
     ChangeResult.UNKNOWN: None,
 }
-UNREST = (OutageVerdict.FLEET, OutageVerdict.ZONE, OutageVerdict.CUT_OFF)
+OUTAGE_VERDICTS = (OutageVerdict.FLEET, OutageVerdict.ZONE, OutageVerdict.CUT_OFF)
 
 
 class KeyMover(Protocol):
-    """The rim of pins, as the swap needs it."""
+    """What the replacement needs of session affinity."""
 
     def remaining_here(self) -> int:
-        """What still has to go before this machine may be taken out."""
+        """Return how much is left here before this machine may be taken out."""
 
     def remaining_elsewhere(self) -> dict[str, int | None]:
-        """The same of all others on their way out, as far as it is known here."""
+        """Return the same of other machines that are being replaced, as far as it is known here."""
 
     def move_keys(self, max_keys: int) -> None:
-        """At most so many pins go to others."""
+        """Move at most so many keys to others."""
 
     def on_outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended."""
@@ -72,12 +72,12 @@
         """A register has changed."""
 
 
-class SwapError(Exception):
-    """A call that can't be taken, with what is wrong in it."""
+class ReplacementCallError(Exception):
+    """A call that cannot be accepted; its text says what is wrong in it."""
 
 
-class SwapRim:
-    """Feeds one instance's swap and registers, and carries out what they say."""
+class RollingReplacementAdapter:
+    """Feeds one instance's replacement and registers, and carries out their actions."""
 
     def __init__(
         self,
@@ -98,12 +98,12 @@
         file, now = installation.file, clock.now()
         assert file.membership is not None
         self.swim, self.fleet, self.census, self.lifecycle = swim, fleet, census, lifecycle
-        self.promises = InOrder(ledger, hop, clock.call_in)
-        self.clock, self.say, self.open_requests = clock, say, open_requests
-        self.counters, self.note, self.name, self.drains = counters, note, file.name, drains
-        self.homes = file.peers.zones if file.peers is not None else ()
+        self.record_writer = InOrder(ledger, hop, clock.call_in)
+        self.clock, self.send, self.open_requests = clock, say, open_requests
+        self.counters, self.log, self.name, self.drains = counters, note, file.name, drains
+        self.zones_by_number = file.peers.zones if file.peers is not None else ()
         self.voters = {member_id(name) for name in file.membership.voters}
-        # Danger: an empty or old folder may have promised; its voice counts once the others have told it all.
+        # A voter with an empty or old folder starts without records, and recovers them from the others.
         kept = ledger.records(RecordKind.PROMISE) if ledger.completeness is Folder.COMPLETE else {}
         self.registers = Registers(
             swim.id,
@@ -114,54 +114,54 @@
             {key.decode(): value for key, value in kept.items()},
         )
         bearable = fleet.failover_cost.removal_objections if fleet.failover_cost is not None else None
-        self.swap = ReplacementCoordinator(
+        self.coordinator = ReplacementCoordinator(
             file.name, now, ReplacementSettings(len(self.voters)), secrets.randbits(63), bearable
         )
         self.answers: list[dict[str, str]] = []
-        self.ready: dict[str, int] = {}
+        self.ready_epochs: dict[str, int] = {}
         self.timer: Timer | None = None
-        self.pins: KeyMover | None = None
+        self.key_mover: KeyMover | None = None
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
         self._step()
 
     def close(self) -> None:
-        """The end of this life."""
+        """Stop the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
     def told(self, member: int, payload: bytes) -> bool:
-        """Whether bytes from another instance are a register's."""
+        """Apply a datagram's payload; return whether it is a register's, or of drained engines."""
         if self.drains.told(payload):
             return True
-        if not payload or not FIRST <= payload[0] <= LAST:
+        if not payload or not FIRST_KIND <= payload[0] <= LAST_KIND:
             return False
-        self._carry_out(self.registers.on_message(self.clock.now(), member, payload))
-        self._arm(LEAST_MS)
+        self._carry_out_registers(self.registers.on_message(self.clock.now(), member, payload))
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
         return True
 
-    # --- by hand ---
-
     def call(self, call: Mapping[str, Any]) -> dict[str, Any]:
-        """A call at this instance's socket: `swap` or `abort`. Raises SwapError."""
+        """Handle a call at this instance's socket: `swap` or `abort`. Raises ReplacementCallError."""
         who, why = call.get("who"), call.get("why")
         if not isinstance(who, str) or not who:
-            raise SwapError("who has to be given")
+            raise ReplacementCallError("who has to be given")
         try:
             if call.get("call") == "abort":
                 if not isinstance(why, str) or not why:
-                    raise SwapError("why has to be given")
-                self.swap.abort(self.clock.now(), who, why, str(call.get("machine") or ""))
+                    raise ReplacementCallError("why has to be given")
+                self.coordinator.abort(self.clock.now(), who, why, str(call.get("machine") or ""))
             else:
-                self.swap.request(self.clock.now(), parse_request(who, call, self.swap.view.machines))
+                self.coordinator.request(
+                    self.clock.now(), parse_request(who, call, self.coordinator.view.machines)
+                )
         except PlanError as error:
-            raise SwapError(str(error)) from None
+            raise ReplacementCallError(str(error)) from None
         self._step()
         return self.status()
 
     def status(self) -> dict[str, Any]:
-        """The view of this instance, for operators."""
+        """Return the view of this instance, for operators."""
         now = self.clock.now()
         rows = [
             {
@@ -173,33 +173,33 @@
                 "driver": row.driver,
                 "epoch": row.epoch,
                 "why": row.reasons,
-                "ready": self.ready.get(row.machine) == row.epoch,
+                "ready": self.ready_epochs.get(row.machine) == row.epoch,
             }
-            | self.drains.row(now, self.swap, row.machine)
-            for row in self.swap.status()
+            | self.drains.row(now, self.coordinator, row.machine)
+            for row in self.coordinator.status()
         ]
         return {"swap": {"machines": rows, "answers": self.answers[-4:], "votes": self.registers.is_voting()}}
 
-    # --- steps ---
-
     def _step(self) -> None:
         now = self.clock.now()
-        self._tell(now)
+        self._update_view(now)
         self.registers.set_listeners(self.swim.live())
-        self._carry_out(self.registers.step(now))
-        for action in self.swap.step(now):
-            self._act(now, action)
-        self.drains.step(now, self.swap)
-        self._arm(min(self.registers.next_at(), self.swap.next_at()) - now)
+        self._carry_out_registers(self.registers.step(now))
+        for action in self.coordinator.step(now):
+            self._carry_out_replacement(now, action)
+        self.drains.step(now, self.coordinator)
+        self._schedule_step(min(self.registers.next_at(), self.coordinator.next_at()) - now)
 
-    def _arm(self, ms: float) -> None:
+    def _schedule_step(self, delay_ms: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.clock.call_in(min(max(ms, LEAST_MS), MOST_MS), self._step)
+        self.timer = self.clock.call_in(
+            min(max(delay_ms, MIN_STEP_INTERVAL_MS), MAX_STEP_INTERVAL_MS), self._step
+        )
 
-    def _tell(self, now: float) -> None:
-        """What this instance sees."""
-        swap, live = self.swap, set(self.swim.live())
+    def _update_view(self, now: float) -> None:
+        """Pass on what this instance sees."""
+        swap, live = self.coordinator, set(self.swim.live())
         there = [self._machine(self.name, self.swim.id, self.census.number, self.census.incarnation)]
         there[0] = replace(there[0], is_voting=self.registers.is_voting())
         for member in self.swim.members.values():
@@ -211,8 +211,12 @@
         swap.set_machines(now, [*self.drains.machines(now, swap), *there])
         self.drains.tell(now, swap)
         swap.set_open_requests(now, self.name, self.open_requests())
-        swap.set_remaining_keys(now, self.name, self.pins.remaining_here() if self.pins is not None else 0)
-        for machine, count in (self.pins.remaining_elsewhere() if self.pins is not None else {}).items():
+        swap.set_remaining_keys(
+            now, self.name, self.key_mover.remaining_here() if self.key_mover is not None else 0
+        )
+        for machine, count in (
+            self.key_mover.remaining_elsewhere() if self.key_mover is not None else {}
+        ).items():
             swap.set_remaining_keys(now, machine, count)
         for zone, state in self.fleet.evacuation.states.items():
             swap.set_zone_trouble(
@@ -220,79 +224,77 @@
             )
         loads = self.fleet.demand
         shed = loads is not None and loads.threshold is not None and loads.threshold.step > 0
-        # Danger: told as anything else than "sheds", an engine that drains held up its own swap for good:
-        # requests were turned away for want of it.
+        # Shedding has a name of its own: a draining engine may cause it, and must not block itself.
         swap.set_fleet_trouble(now, "sheds", "the fleet turns requests away" if shed else "")
         verdict = self.census.view.verdict
         ramping = self.fleet.slow_start is not None and self.fleet.slow_start.is_active
-        unrest = verdict in UNREST and (
+        unrest = verdict in OUTAGE_VERDICTS and (
             ramping or not self.census.view.is_settled or verdict is OutageVerdict.CUT_OFF
         )
         swap.set_fleet_trouble(now, "recovery", f"the fleet recovers: {verdict.value}" if unrest else "")
 
     def _machine(self, name: str, member: int, number: int, life: int) -> Machine:
-        zone = self.homes[number] if number < len(self.homes) else ""
-        # Danger: the outlook knows engines only, and took a dispatcher's cores for an engine's of its zone.
+        zone = self.zones_by_number[number] if number < len(self.zones_by_number) else ""
+        # Capacity planning knows engines only, so a dispatcher counts as 0 cores.
         return Machine(name, zone, 0.0, False, life, member in self.voters)
 
-    def _act(self, now: float, action: steps_of.Action) -> None:
+    def _carry_out_replacement(self, now: float, action: steps_of.Action) -> None:
         match action:
             case ChangeRegister() | ReadRegister():
-                self.ask(action)
-            case steps_of.MoveKeys(machine, _, most) if machine == self.name and self.pins is not None:
-                self.pins.move_keys(most)
+                self.use_register(action)
+            case steps_of.MoveKeys(machine, _, most) if machine == self.name and self.key_mover is not None:
+                self.key_mover.move_keys(most)
             case steps_of.Drain(machine) | steps_of.Undrain(machine) if machine != self.name:
-                self.drains.act(now, self.swap, action)
+                self.drains.act(now, self.coordinator, action)
             case steps_of.Drain(machine):
                 self.counters.add("swap_drains")
                 self.lifecycle.drain(now)
             case steps_of.Undrain(machine):
                 self.lifecycle.restore()
             case steps_of.ReadyToPowerOff(machine, epoch):
-                self.ready[machine] = epoch
-                self.note("swap_ready", machine=machine, epoch=epoch)
+                self.ready_epochs[machine] = epoch
+                self.log("swap_ready", machine=machine, epoch=epoch)
             case steps_of.LogStep(machine, step, why):
                 name = step.name.lower() if step is not None else ""
-                self.note("swap", machine=machine, step=name, why=why)
+                self.log("swap", machine=machine, step=name, why=why)
             case steps_of.RequestAnswered(request, refused):
                 self.answers.append({"who": request.requested_by, "refused": refused})
-                self.note("swap_answer", who=request.requested_by, refused=refused or "no")
+                self.log("swap_answer", who=request.requested_by, refused=refused or "no")
 
-    def ask(self, action: ChangeRegister | ReadRegister) -> None:
-        """A change or read of a register, for this part or for pins; its outcome goes to both."""
+    def use_register(self, action: ChangeRegister | ReadRegister) -> None:
+        """Change or read a register, for this part or for session affinity; both get the outcome."""
         now = self.clock.now()
         if isinstance(action, ReadRegister):
-            self._carry_out(self.registers.read(now, action.name, action.token))
+            self._carry_out_registers(self.registers.read(now, action.name, action.token))
         else:
             words = action.name, action.version, action.value, action.token
-            self._carry_out(self.registers.change(now, *words))
-        self._arm(LEAST_MS)
+            self._carry_out_registers(self.registers.change(now, *words))
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _carry_out_registers(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case SendMessage(member, data):
-                    self.say(member, data)
+                    self.send(member, data)
                 case PersistState(name, data, then):
-                    self._keep(name, data, then)
+                    self._persist(name, data, then)
                 case RegisterChanged(name, version, value):
-                    self.swap.on_register_changed(self.clock.now(), name, version, value)
-                    if self.pins is not None:
-                        self.pins.on_register_changed(name, version, value)
+                    self.coordinator.on_register_changed(self.clock.now(), name, version, value)
+                    if self.key_mover is not None:
+                        self.key_mover.on_register_changed(name, version, value)
                 case OperationOutcome(token, how, version, value) if token:
-                    # One that was lost without an answer says nothing of what stands.
-                    won = ENDS[how] if version >= 0 else None
-                    self.swap.on_outcome(self.clock.now(), token, won, version, value)
-                    if self.pins is not None:
-                        self.pins.on_outcome(token, won, version, value)
-
-    def _keep(self, name: str, data: bytes, then: int) -> None:
-        # Danger: a promise that is told before the disk has it is broken by a power loss, and two decisions
-        # stand. One that the disk does not take is told once it does: never put again, it left a voter silent
-        # for the rest of its life.
+                    # An operation that was lost without an answer says nothing of the register.
+                    won = WON_BY_RESULT[how] if version >= 0 else None
+                    self.coordinator.on_outcome(self.clock.now(), token, won, version, value)
+                    if self.key_mover is not None:
+                        self.key_mover.on_outcome(token, won, version, value)
+
+    def _persist(self, name: str, data: bytes, token: int) -> None:
+        # An answer is sent only once its record is on disk, or a power loss could break a promise. A failed
+        # write is repeated, since the voter stays silent until then.
         record = Record(RecordKind.PROMISE, name.encode(), data or None)
-        self.promises.put(record, lambda: self._kept(then))
+        self.record_writer.put(record, lambda: self._on_persisted(token))
 
-    def _kept(self, then: int) -> None:
-        self._carry_out(self.registers.on_persisted(self.clock.now(), then))
-        self._arm(LEAST_MS)
+    def _on_persisted(self, token: int) -> None:
+        self._carry_out_registers(self.registers.on_persisted(self.clock.now(), token))
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -39,7 +39,7 @@
 )
 from cottonhold.fleet_adapters.keyed_loads import WAIT_STEPS_MS, KeyedLoadGuard, OriginRound
 from cottonhold.fleet_adapters.recovery import incarnation_of
-from cottonhold.fleet_adapters.rolling_replacement import SwapRim
+from cottonhold.fleet_adapters.rolling_replacement import RollingReplacementAdapter
 from cottonhold.membership.swim import Swim
 from cottonhold.node.clock import Clock, Timer
 from cottonhold.node.gateway import ClientRequest, DuplicateRequestIdError, Gateway, LoadGuard, OpenRequest
@@ -93,7 +93,7 @@
         swim: Swim,
         fleet: FleetCoordinator,
         census: MembershipSurvey,
-        swap: SwapRim,
+        swap: RollingReplacementAdapter,
         loads: LoadGuard,
         gateway: Gateway,
         clock: Clock,
@@ -103,7 +103,7 @@
         note: Callable[..., None],
     ) -> None:
         now = clock.now()
-        self.ledger, self.swim, self.fleet, self.census, self.swap = ledger, swim, fleet, census, swap
+        self.ledger, self.swim, self.fleet, self.census, self.replacement = ledger, swim, fleet, census, swap
         self.gateway, self.clock, self.hop, self.send = gateway, clock, hop, say
         self.counters, self.log, self.name = counters, note, installation.file.name
         self.zones_by_number = installation.file.peers.zones if installation.file.peers is not None else ()
@@ -119,7 +119,7 @@
         self.next_write_retry_at = 0.0
         self.timer: Timer | None = None
         self.timer_at = 0.0
-        swap.pins = self
+        swap.key_mover = self
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -286,7 +286,7 @@
         """Return how much is left here before this machine may be taken out."""
         # By the newest step of the replacement: at its own last step this part may have seen an earlier one.
         return self.service.remaining_count(
-            self.clock.now(), self._departure(self.swap.swap.view.records.get(self.name))
+            self.clock.now(), self._departure(self.replacement.coordinator.view.records.get(self.name))
         )
 
     def remaining_elsewhere(self) -> dict[str, int | None]:
@@ -295,7 +295,9 @@
         Nothing is left at one that is not in the table; of the others it is not known here.
         """
         inside, known = self.service.table.member_list.members, self.service.table.is_known
-        others = {n for n, r in self.swap.swap.view.records.items() if r.step in LEAVING_STEPS} - {self.name}
+        others = {
+            n for n, r in self.replacement.coordinator.view.records.items() if r.step in LEAVING_STEPS
+        } - {self.name}
         return {name: 0 if known and machine_id(name) not in inside else None for name in others}
 
     def move_keys(self, max_keys: int) -> None:
@@ -306,7 +308,7 @@
 
     def _target_capacities(self) -> dict[int, float]:
         """Return the capacity of each member that may take keys: by what is left in its zone, else even."""
-        chain = self.swap.swap.view.records
+        chain = self.replacement.coordinator.view.records
         going = {machine_id(name) for name, record in chain.items() if record.step in LEAVING_STEPS}
         there = [m for m in self.swim.live() if m != self.swim.id and m not in going]
         outlook = self.fleet.failover_cost
@@ -346,7 +348,7 @@
         self._schedule_step(min(self.service.next_at(now), self.forwarder.next_at()) - now)
 
     def _surroundings(self) -> Surroundings:
-        chain = self.swap.swap.view.records
+        chain = self.replacement.coordinator.view.records
         out = frozenset(
             machine_id(name) for name, record in chain.items() if record.step is ReplacementStep.OUT
         )
@@ -392,7 +394,7 @@
                 case PersistState(name, data, then):
                     self._persist(name, data, then)
                 case ChangeRegister() | ReadRegister():
-                    self.swap.ask(action)
+                    self.replacement.use_register(action)
 
     def _persist(self, name: str, data: bytes, token: int) -> None:
         self.last_tokens[name] = token
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -35,7 +35,7 @@
     open_ledger,
     unavailable_guard,
 )
-from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
+from cottonhold.fleet_adapters.rolling_replacement import ReplacementCallError, RollingReplacementAdapter
 from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
 from cottonhold.membership.codec import Status
@@ -85,7 +85,7 @@
         self.membership: MembershipRim | None = None
         self.fleet: ZoneFailoverAdapter | None = None
         self.recovery: RecoveryAdapter | None = None
-        self.swap: SwapRim | None = None
+        self.swap: RollingReplacementAdapter | None = None
         self.pins: SessionAffinityAdapter | None = None
         self.remembered: EngineCache | None = None
         self.began = self.event_loop.clock.now()
@@ -181,7 +181,7 @@
             # Danger: a load went to an engine that was about to be powered off, before its drain was read of.
             # What may be repeated goes out at once: after a power loss it waited up to 5 s for a majority.
             self.recovery.has_other_prerequisites = lambda: drains.knows() and self._listed()
-            self.swap = SwapRim(
+            self.swap = RollingReplacementAdapter(
                 self.installation,
                 ledger,
                 membership.instance.swim,
@@ -213,7 +213,7 @@
         membership: MembershipRim,
         fleet: FleetCoordinator,
         recovery: RecoveryAdapter,
-        swap: SwapRim,
+        swap: RollingReplacementAdapter,
     ) -> None:
         """Loads with a key begin where that is owned."""
         self.pins = SessionAffinityAdapter(
@@ -408,7 +408,7 @@
                 return {"error": "a swap needs state_dir, section 'fleet' and membership.voters"}
             try:
                 return view | self.swap.call(call)
-            except SwapError as error:
+            except ReplacementCallError as error:
                 return {"error": str(error)}
         if call.get("call") == "metrics":
             if self.metrics is None:
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -186,8 +186,8 @@
 
     async def drained(node: ServedInstallation) -> None:
         assert node.swap is not None and set(node.held.live()) == {"e1", "e2"}
-        node.swap.swap.view.records = {"e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)}
-        rim, swap = node.swap.drains, node.swap.swap
+        node.swap.coordinator.view.records = {"e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)}
+        rim, swap = node.swap.drains, node.swap.coordinator
         rim.act(0.0, swap, Drain("e1"))
         assert set(node.held.live()) == {"e2"} and "e1" not in rim.drains.drained, "told before it is kept"
         while "e1" not in rim.drains.drained:
@@ -195,7 +195,7 @@
 
     async def back(node: ServedInstallation) -> None:
         assert node.swap is not None and set(node.held.live()) == {"e2"}
-        rim, swap, now = node.swap.drains, node.swap.swap, node.event_loop.clock.now()
+        rim, swap, now = node.swap.drains, node.swap.coordinator, node.event_loop.clock.now()
         rim.step(now, swap)
         assert set(node.held.live()) == {"e2"}
         rim.step(now + rim.drains.settings.wait, swap)
@@ -229,8 +229,8 @@
 
     async def drained(node: ServedInstallation) -> None:
         assert node.swap is not None and set(node.held.live()) == {"e1", "e2"}
-        node.swap.swap.view.records = {"e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)}
-        rim, swap = node.swap.drains, node.swap.swap
+        node.swap.coordinator.view.records = {"e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)}
+        rim, swap = node.swap.drains, node.swap.coordinator
         disk.orders = disk_of.Orders(full=True) if fault == "full" else disk_of.Orders(fail_sync=1.0)
         rim.act(0.0, swap, Drain("e1"))
         while "e1" not in rim.drains.drained:
