--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -14,18 +14,20 @@
 from dataclasses import dataclass
 from typing import NamedTuple, Protocol
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.forwarder import ForwardingEnded, ForwardResult
 from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
 from cottonhold.fleet.request_forwarding.request_codec import affinity_key, decode_rows
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet_adapters.load_records import NEVER_RAN
-from cottonhold.node.clock import Clock
-from cottonhold.node.gateway import ClientRequest, Gateway, LoadGuard, LoadOutcome
-from cottonhold.node.gateway import LoadOutcomeCallback as Tell
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.gateway import Gateway
+from cottonhold.node.load_guard import LoadGuard, LoadOutcome
+from cottonhold.node.load_guard import LoadOutcomeCallback as Tell
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
+from cottonhold.transport.clock import Clock
 
 KNOWN_OUTCOMES = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other a load may still run
 MAX_WAIT_MS = 2000.0  # for a key to have an owner; longer than a fence takes
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -6,29 +6,25 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.admission.loads import admission_draw, density_of_step
-from cottonhold.fleet.coordinator import (
-    Action,
-    EngineBounds,
-    FleetCoordinator,
-    FleetSettings,
-    SendMessage,
-    ThresholdUpdate,
-)
+from cottonhold.fleet.admission.demand import density_of_step
+from cottonhold.fleet.admission.demand_sharing import admission_draw
+from cottonhold.fleet.coordinator import Action, FleetCoordinator, FleetSettings, SendMessage, ThresholdUpdate
+from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.projection import Projection
-from cottonhold.fleet.recovery.slow_start import SlowStartSettings, first_prober
+from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings, PhaseChange
 from cottonhold.fleet.zone_failover.failure_evidence import EvidenceSettings
 from cottonhold.fleet.zone_failover.operator_overrides import MODE_NAMES
 from cottonhold.membership.codec import Status
 from cottonhold.membership.swim import Swim
-from cottonhold.node.clock import Clock, Timer
-from cottonhold.node.gateway import ClientRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
+from cottonhold.transport.clock import Clock, Timer
 
 # What an end says of the engine; one turned away, given up or never sent says nothing. Danger: a query that
 # had waited here until its last 100 ms ran out of time at a well engine, and two of those in a crowd made a
@@ -148,7 +144,7 @@
             tables, told = self.sets.get(attempt.request_id, (-1, 0.0))
             beyond = event.actual_work_ms - told if told > 0 and event.actual_work_ms > 0 else None
             zone = self.coordinator.zone_of.get(attempt.engine, "")
-            self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), beyond=beyond)
+            self.coordinator.failover_cost.on_answer(now, zone, _data_set(tables), excess_work_ms=beyond)
         self.coordinator.on_attempt_ended(now, _ref(attempt), good, event.elapsed_ms, event.actual_work_ms)
 
     def on_request_closed(self, ref: str) -> None:
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -16,7 +16,7 @@
 
 from cottonhold.discovery.model import Address, Change, Names
 from cottonhold.fleet import engine_drain
-from cottonhold.fleet.admission import loads
+from cottonhold.fleet.admission import demand_messages
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.consensus import acceptor, messages
 from cottonhold.fleet.consensus.actions import PersistState
@@ -34,6 +34,7 @@
 from cottonhold.fleet.zone_failover import messages as zone_messages
 from cottonhold.fleet.zone_failover import operator_overrides, quota_lending
 from cottonhold.fleet_adapters import membership as membership_adapter
+from cottonhold.frontend.connection_ids import ConnectionIdRange
 from cottonhold.membership import codec
 from cottonhold.membership import leases as membership_leases
 from cottonhold.membership.codec import Codec, Keys, Kind, Status, Update, encode_update
@@ -101,8 +102,11 @@
 def price_loads() -> bytes:
     """Two instances' loads."""
     busy = ReportedLoad({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
-    return loads.encode_demand_reports(
-        [loads.DemandReport(MEMBER, LIFE, VERSION, busy), loads.DemandReport(2, 3, 4, ReportedLoad({}))]
+    return demand_messages.encode_demand_reports(
+        [
+            demand_messages.DemandReport(MEMBER, LIFE, VERSION, busy),
+            demand_messages.DemandReport(2, 3, 4, ReportedLoad({})),
+        ]
     )
 
 
@@ -388,7 +392,7 @@
     "boot file": lambda: boot_file.BootFile(9, 3, 77).encode(),
     "boot file of an open life": lambda: boot_file.BootFile(9, 3, -1).encode(),
     "seat record": lambda: sibling_processes.ProcessRecord(5, 6, 7, True).encode(),
-    "connection ids": lambda: sibling_processes.ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
+    "connection ids": lambda: ConnectionIdRange.for_slot(5, 2).base.to_bytes(4, "big"),
 }
 
 
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -8,11 +8,12 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import Attempt
+from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.recovery.load_history import FleetState, LoadHistory, LoadHistorySettings, LoadSettled
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet_adapters.load_records import LoadRecorder
-from cottonhold.node.gateway import ClientRequest, LoadOutcome
+from cottonhold.node.client_request import ClientRequest
+from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.store.health import DiskHealth, DiskState
