--- a/cottonhold/emulator/engine_replacement.py
+++ b/cottonhold/emulator/engine_replacement.py
@@ -13,7 +13,14 @@
 from typing import Any
 
 from cottonhold.emulator.rolling_replacement import JOIN, TICK, Host, Trouble, World
-from cottonhold.fleet.engine_drain import Drains, DrainSettings, Knock, Settled, Tell, fresh
+from cottonhold.fleet.engine_drain import (
+    CheckLiveness,
+    DrainSettings,
+    EngineDrains,
+    SendReport,
+    StartupGate,
+    is_new_process,
+)
 from cottonhold.fleet.rolling_replacement.plan import (
     Machine,
     MachineFlag,
@@ -49,8 +56,8 @@
 class Side:
     """What a dispatcher's process knows of engines."""
 
-    drains: Drains
-    settled: Settled
+    drains: EngineDrains
+    settled: StartupGate
     held: set[str] = field(default_factory=set)
     waits: bool = True
 
@@ -79,28 +86,28 @@
     def _boot(self, host: Host) -> None:
         super()._boot(host)
         members = [machine_id(f"d{i}") for i in range(self.count)]
-        drains = Drains(machine_id(host.name), host.life, self.now, SETTINGS, members)
-        self.sides[host.name] = Side(drains, Settled(self.now, SETTINGS))
+        drains = EngineDrains(machine_id(host.name), host.life, self.now, SETTINGS, members)
+        self.sides[host.name] = Side(drains, StartupGate(self.now, SETTINGS))
         self.booted[host.name] = self.now
 
     def _seen(self, host: Host) -> list[Machine]:
         side, swap = self.sides[host.name], host.swap
         assert swap is not None
-        if side.settled.stood(self.now):
+        if side.settled.check_pause(self.now):
             swap.on_pause(self.now)
             side.waits = True
         serving = self.listed.keys() - side.held
-        side.drains.list_is(
+        side.drains.set_listed_engines(
             {n: Machine(n, e.zone, e.cores, True, is_counted=n in serving) for n, e in self.listed.items()}
         )
-        return [*side.drains.there(swap.view.records), *super()._seen(host)]
+        return [*side.drains.present_engines(swap.view.records), *super()._seen(host)]
 
     def _feed(self, host: Host) -> None:
         super()._feed(host)
         side, swap = self.sides[host.name], host.swap
         assert swap is not None
         for name, record in self._records(host).items():
-            swap.set_open_requests(self.now, name, side.drains.open(self.now, name, record.serial))
+            swap.set_open_requests(self.now, name, side.drains.open_requests(self.now, name, record.serial))
             engine = self.engines.get(record.replacement)
             if engine is not None and record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING):
                 swap.set_traffic_share(
@@ -123,13 +130,13 @@
             for h in there
             if h is not host
         }
-        side.drains.members(self.now, lives)
+        side.drains.set_live_members(self.now, lives)
         if side.waits:
             side.waits = not side.settled.step(self.now, swap.has_read_all(), self.majority(host))
         for name in side.drains.drained:
-            side.drains.count(name, self._out(host, name))
+            side.drains.set_open_requests(name, self._out(host, name))
         for action in side.drains.step(self.now, swap.view.records):
-            if isinstance(action, Knock):
+            if isinstance(action, CheckLiveness):
                 self._knock(host, action.engine)
             else:
                 self._tell_drains(action)
@@ -141,7 +148,7 @@
             if isinstance(action, Undrain):
                 side.held.discard(engine)
                 side.drains.undrain(engine)
-                assert record is None or fresh(record) or record.arrived_cores_tenths == 0
+                assert record is None or is_new_process(record) or record.arrived_cores_tenths == 0
             elif record is not None:
                 side.held.add(engine)
                 side.drains.drain(engine, record.serial, self._out(host, engine))
@@ -151,7 +158,7 @@
         else:
             super()._act(host, action)
 
-    def _tell_drains(self, action: Tell) -> None:
+    def _tell_drains(self, action: SendReport) -> None:
         host = next((h for h in self.hosts.values() if machine_id(h.name) == action.member), None)
         if host is None:
             return
@@ -160,14 +167,14 @@
         copies += [3000.0 * self.draw.random()] if self.draw.random() < self.trouble.twice else []
         for late in copies:
             wait = late + self.trouble.delay * (0.2 + self.draw.random())
-            self.at(self.now + wait, lambda: self._to(host, life, lambda: hear(self, side, action.data)))
+            self.at(self.now + wait, lambda: self._to(host, life, lambda: hear(self, side, action.payload)))
 
     def _knock(self, host: Host, name: str) -> None:
         engine, life = self.listed.get(name), host.life
         good = engine is not None and engine.up and (host.name, name) not in self.loses
 
         def end() -> None:
-            self.sides[host.name].drains.probed(name, good)
+            self.sides[host.name].drains.on_liveness_check(name, good)
 
         self.at(self.now + ANSWER, lambda: self._to(host, life, end))
 
@@ -293,4 +300,4 @@
 
 def hear(world: EngineWorld, side: Side, data: bytes) -> None:
     """A word has come."""
-    side.drains.hear(world.now, data)
+    side.drains.on_message(world.now, data)
--- a/cottonhold/emulator/engine_replacement_cases.py
+++ b/cottonhold/emulator/engine_replacement_cases.py
@@ -11,7 +11,7 @@
 from cottonhold.emulator import engine_replacement
 from cottonhold.emulator.engine_replacement import EngineWorld, world_of
 from cottonhold.emulator.rolling_replacement import Trouble
-from cottonhold.fleet.engine_drain import Drains, DrainSettings, Settled
+from cottonhold.fleet.engine_drain import DrainSettings, EngineDrains, StartupGate
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.plan import MachineRecord, MachineRequest, ReplacementStep
 
@@ -141,16 +141,16 @@
     "zero for who has not told": (
         "lossy",
         "is OUT with",
-        Drains,
-        "untold",
-        lambda self, now, engine, serial: set() if engine in self.drained else {self.me},
+        EngineDrains,
+        "missing_reports",
+        lambda self, now, engine, serial: set() if engine in self.drained else {self.member},
     ),
-    "a restarted one forgets": ("all restart: out", "which is out", Settled, "step", lambda *a: True),
+    "a restarted one forgets": ("all restart: out", "which is out", StartupGate, "step", lambda *a: True),
     "one that stood still goes on": (
         "stands 13 s: agreed",
         "which is out",
-        Settled,
-        "stood",
+        StartupGate,
+        "check_pause",
         lambda *a: False,
     ),
     "the old one passes for the new": (
@@ -163,16 +163,16 @@
     "one instance's word for away": (
         "link lost: out",
         "has put a new one",
-        Drains,
-        "away",
-        lambda self, engine: self._away(engine, self.drained[engine]),
+        EngineDrains,
+        "is_absent",
+        lambda self, engine: self._seems_absent(engine, self.drained[engine]),
     ),
     "a pause passes for a new one": (
         "engine pauses: out",
         "has put a new one",
         engine_replacement,
         "SETTINGS",
-        DrainSettings(absent=1000.0),
+        DrainSettings(engine_absence_ms=1000.0),
     ),
 }
 
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -1,12 +1,15 @@
-"""Engines that are being swapped: nothing new goes there, and what all dispatchers have out there. Pure.
-
-    kind 96 | member 8 | life 4 | version 4 | rows 1 | rows, each: engine 4 | serial 4 | open 2 | flags 1
-
-A dispatcher tells a row of each engine that it has drained: under which request's serial, how many of its
-attempts are out there, and whether the engine is away as it sees it. Words merge by (life, version): in any
-order, any number of times. The driver adds them up. Who is live and has not told since it drained the engine
-is *unknown*, never zero; who is dead counts as zero once it has been away for `gone`. An engine is away, or
-back, by the word of more than half of the live dispatchers: one alone may only have lost its own way there.
+"""Engines that are being replaced: nothing new goes there, and all dispatchers report what is open there.
+Pure.
+
+    kind 96 | member 8 | incarnation 4 | version 4 | rows 1 | rows, each: engine 4 | serial 4 | open 2 |
+    flags 1
+
+A dispatcher reports a row of each engine that it has drained: under which request's serial, how many of its
+attempts are open there, and whether the engine seems absent to it. Reports merge by (incarnation, version):
+in any order, any number of times. The driver adds them up. A live dispatcher that has not reported since it
+drained the engine is *unknown*, never zero; a failed one counts as zero once it has been absent for
+`member_absence_ms`. An engine is absent, or back, if more than half of the live dispatchers report it: a
+single one may only have lost its route.
 """
 
 from __future__ import annotations
@@ -23,346 +26,375 @@
 from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, ReplacementStep
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordKind
 
-DRAINS = 96  # the kind of message
-HEAD = struct.Struct("!BQIIB")
-ROW = struct.Struct("!IIHB")
-MOST_ROWS = (MAX_MESSAGE_BYTES - HEAD.size) // ROW.size
+DRAIN_REPORT = 96  # kind of message
+HEAD_FORMAT = struct.Struct("!BQIIB")
+ROW_FORMAT = struct.Struct("!IIHB")
+MAX_ROWS = (MAX_MESSAGE_BYTES - HEAD_FORMAT.size) // ROW_FORMAT.size
 U16, U32 = 0xFFFF, 0xFFFFFFFF
-TOLD = (ReplacementStep.DRAINING, ReplacementStep.OUT)
+REPORTED_STEPS = (ReplacementStep.DRAINING, ReplacementStep.OUT)
 
 
-class Says(IntFlag):
-    """What a row tells beside its count."""
+class RowFlag(IntFlag):
+    """What a row reports besides its count."""
 
-    AWAY = 1  # the engine is not listed, or does not answer probes
+    AWAY = 1  # the engine is not listed, or does not answer liveness checks
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
-    """One dispatcher's word on one engine that it has drained. open: attempts that are out there."""
+class DrainedEngineRow:
+    """One dispatcher's report on one engine that it has drained."""
 
     serial: int
-    open: int
-    away: bool = False
+    open_requests: int
+    is_absent: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class DrainWord:
-    """All that one dispatcher tells of drained engines, by their numbers."""
+class DrainReport:
+    """All that one dispatcher reports of drained engines, by their numbers."""
 
     member: int
-    life: int
+    incarnation: int
     version: int
-    rows: Mapping[int, Row]
+    rows: Mapping[int, DrainedEngineRow]
 
     @property
     def stamp(self) -> tuple[int, int]:
-        """What decides which of two words of one member is newer."""
-        return self.life, self.version
+        """By which of two reports of a member the newer one is known."""
+        return self.incarnation, self.version
 
 
-def pack_word(word: DrainWord) -> bytes:
-    """A word's bytes, with as many rows as fit."""
-    rows = list(word.rows.items())[:MOST_ROWS]
-    head = HEAD.pack(DRAINS, word.member, word.life, word.version, len(rows))
+def encode_report(report: DrainReport) -> bytes:
+    """Encode a report, with as many rows as fit."""
+    rows = list(report.rows.items())[:MAX_ROWS]
+    head = HEAD_FORMAT.pack(DRAIN_REPORT, report.member, report.incarnation, report.version, len(rows))
     return head + b"".join(
-        ROW.pack(number, r.serial, min(r.open, U16), int(Says.AWAY) if r.away else 0) for number, r in rows
+        ROW_FORMAT.pack(number, r.serial, min(r.open_requests, U16), int(RowFlag.AWAY) if r.is_absent else 0)
+        for number, r in rows
     )
 
 
-def read_word(data: bytes) -> DrainWord:
-    """A word's meaning. Raises MessageError."""
+def decode_report(data: bytes) -> DrainReport:
+    """Decode a report. Raises MessageError."""
     try:
-        kind, member, life, version, count = HEAD.unpack_from(data)
+        kind, member, life, version, count = HEAD_FORMAT.unpack_from(data)
     except struct.error:
         raise MessageError("truncated") from None
-    if kind != DRAINS or not member or count > MOST_ROWS or len(data) != HEAD.size + count * ROW.size:
+    if (
+        kind != DRAIN_REPORT
+        or not member
+        or count > MAX_ROWS
+        or len(data) != HEAD_FORMAT.size + count * ROW_FORMAT.size
+    ):
         raise MessageError("drains")
     rows = {}
-    for number, serial, open_there, flags in ROW.iter_unpack(data[HEAD.size :]):
-        if flags > int(Says.AWAY):
+    for number, serial, open_there, flags in ROW_FORMAT.iter_unpack(data[HEAD_FORMAT.size :]):
+        if flags > int(RowFlag.AWAY):
             raise MessageError("flags")
-        rows[number] = Row(serial, open_there, bool(flags & Says.AWAY))
-    return DrainWord(member, life, version, rows)
+        rows[number] = DrainedEngineRow(serial, open_there, bool(flags & RowFlag.AWAY))
+    return DrainReport(member, life, version, rows)
 
 
 @dataclass(slots=True, frozen=True)
 class DrainSettings:
-    """Times in ms. tell: a word goes to drivers so often; so does each that says something new. knock: a
-    drained engine is probed so often. fresh: so old may another's word be. absent: an engine counts as away
-    once more than half have said so for so long: one that only paused is no new one. gone: so long a
-    dispatcher must be away before what it had out counts as ended with it; alone, wait, stall: see
-    `Settled`."""
-
-    tell: float = 200.0
-    knock: float = 250.0
-    fresh: float = 2000.0
-    absent: float = 5000.0
-    gone: float = 10_000.0
-    alone: float = 10_000.0
-    wait: float = 30_000.0
-    stall: float = 5000.0
+    """Times of engine drains.
+
+    report_interval_ms: between reports to drivers; a change is reported at once. liveness_check_interval_ms:
+    of a drained engine. max_report_age_ms: of another's report. engine_absence_ms: an engine counts as
+    absent once more than half have reported it for so long. member_absence_ms: how long a dispatcher must be
+    absent before its open requests count as ended. no_majority_timeout_ms, startup_timeout_ms,
+    pause_threshold_ms: see StartupGate.
+    """
+
+    report_interval_ms: float = 200.0
+    liveness_check_interval_ms: float = 250.0
+    max_report_age_ms: float = 2000.0
+    engine_absence_ms: float = 5000.0
+    member_absence_ms: float = 10_000.0
+    no_majority_timeout_ms: float = 10_000.0
+    startup_timeout_ms: float = 30_000.0
+    pause_threshold_ms: float = 5000.0
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
-    """A word for a member."""
+class SendReport:
+    """Send a report to a member."""
 
     member: int
-    data: bytes
+    payload: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Knock:
-    """Ask an engine for a sign of life; `probed` is called with its end."""
+class CheckLiveness:
+    """Check an engine's liveness; `on_liveness_check` gets the result."""
 
     engine: str
 
 
 @dataclass(slots=True)
-class Drained:
-    """One engine that this instance has drained. failed: probes in a row without an answer, and since when
-    it was away by the word of more than half."""
+class DrainedEngine:
+    """An engine that this instance has drained; failed_checks: in a row; absent_since: by more than half."""
 
     serial: int
-    open: int
-    failed: int = 0
-    answered: bool = False
-    knocked_at: float = -1e12
-    away_since: float | None = None
-    away: bool = False
+    open_requests: int
+    failed_checks: int = 0
+    last_check_answered: bool = False
+    last_check_at: float = -1e12
+    absent_since: float | None = None
+    is_absent: bool = False
 
 
-class Drains:
-    """One instance's part. me: its id among members; life: grows with each start; expected: ids of the
-    dispatchers that may be there, though none was seen yet."""
+class EngineDrains:
+    """One instance's part.
+
+    member: its id. incarnation: grows with each start. expected: ids of dispatchers that may be there, though
+    none was seen yet.
+    """
 
     def __init__(
-        self, me: int, life: int, now: float, settings: DrainSettings, expected: Iterable[int] = ()
+        self, member: int, incarnation: int, now: float, settings: DrainSettings, expected: Iterable[int] = ()
     ) -> None:
-        self.me, self.life, self.settings = me, life & U32, settings
-        self.words = LatestReports[DrainWord](me)
-        self.live: dict[int, int] = {}
-        self.seen = dict.fromkeys(set(expected) - {me}, now)  # member -> when it was last live
+        self.member, self.incarnation, self.settings = member, incarnation & U32, settings
+        self.reports = LatestReports[DrainReport](member)
+        self.min_incarnations: dict[int, int] = {}
+        self.last_live_at = dict.fromkeys(set(expected) - {member}, now)  # by member
         self.listed: dict[str, Machine] = {}
-        self.last: dict[str, Machine] = {}  # listed ones, and drained ones as they were last listed
-        self.drained: dict[str, Drained] = {}
-        self.version, self.told_at, self.told = 0, -1e12, dict[int, Row]()
-        self.malformed = 0
-
-    # --- what happens ---
-
-    def members(self, now: float, live: Mapping[int, int]) -> None:
-        """Who is live, this one among them or not, and the least life that each one's words may be of."""
-        self.live = {m: life & U32 for m, life in live.items() if m != self.me}
-        self.seen.update(dict.fromkeys(self.live, now))
-
-    def list_is(self, engines: Mapping[str, Machine]) -> None:
-        """Exactly these engines are listed, drained or not."""
+        self.last_listed: dict[str, Machine] = {}  # drained ones as they were last listed
+        self.drained: dict[str, DrainedEngine] = {}
+        self.version, self.last_report_at, self.last_rows = 0, -1e12, dict[int, DrainedEngineRow]()
+        self.malformed_count = 0
+
+    def set_live_members(self, now: float, live: Mapping[int, int]) -> None:
+        """Set the live members, and the least incarnation that each one's reports may be of."""
+        self.min_incarnations = {m: life & U32 for m, life in live.items() if m != self.member}
+        self.last_live_at.update(dict.fromkeys(self.min_incarnations, now))
+
+    def set_listed_engines(self, engines: Mapping[str, Machine]) -> None:
+        """Set the listed engines, drained or not."""
         self.listed = dict(engines)
-        known = (self.last | self.listed).items()
-        self.last = {name: m for name, m in known if name in self.listed or name in self.drained}
+        known = (self.last_listed | self.listed).items()
+        self.last_listed = {name: m for name, m in known if name in self.listed or name in self.drained}
 
     def drain(self, engine: str, serial: int, count: int) -> None:
-        """This instance sends nothing new to an engine, by the request of this serial, and has so many
-        attempts out there."""
+        """This instance sends nothing new to an engine, by the request of this serial.
+
+        count: its attempts that are open there.
+        """
         known = self.drained.get(engine)
         if known is None or known.serial != serial:
-            self.drained[engine] = Drained(serial, count)
+            self.drained[engine] = DrainedEngine(serial, count)
 
     def undrain(self, engine: str) -> None:
-        """The way back."""
+        """Undo `drain`."""
         self.drained.pop(engine, None)
 
-    def count(self, engine: str, count: int) -> None:
-        """So many attempts of this instance are out at an engine."""
+    def set_open_requests(self, engine: str, count: int) -> None:
+        """Set how many attempts of this instance are open at an engine."""
         if engine in self.drained:
-            self.drained[engine].open = count
+            self.drained[engine].open_requests = count
 
-    def probed(self, engine: str, good: bool) -> None:
-        """A probe that this instance was told to send has ended."""
+    def on_liveness_check(self, engine: str, good: bool) -> None:
+        """A liveness check of this instance has ended."""
         drained = self.drained.get(engine)
         if drained is not None:
-            drained.failed = 0 if good else drained.failed + 1
-            drained.answered = good
+            drained.failed_checks = 0 if good else drained.failed_checks + 1
+            drained.last_check_answered = good
 
-    def hear(self, now: float, data: bytes) -> None:
-        """A word from another instance; one that makes no sense is counted and changes nothing."""
+    def on_message(self, now: float, data: bytes) -> None:
+        """Apply another instance's report; a malformed one is counted and changes nothing."""
         try:
-            self.words.apply(now, read_word(data))
+            self.reports.apply(now, decode_report(data))
         except MessageError:
-            self.malformed += 1
-
-    # --- what follows ---
+            self.malformed_count += 1
 
-    def open(self, now: float, engine: str, serial: int) -> int | None:
-        """Attempts that all dispatchers have out at an engine; nothing while one of them is unknown."""
-        return None if self.untold(now, engine, serial) else sum(self._counts(now, engine, serial))
+    def open_requests(self, now: float, engine: str, serial: int) -> int | None:
+        """Return the attempts of all dispatchers that are open at an engine; None while one is unknown."""
+        return (
+            None if self.missing_reports(now, engine, serial) else sum(self._open_counts(now, engine, serial))
+        )
 
-    def untold(self, now: float, engine: str, serial: int) -> set[int]:
-        """The dispatchers that have not told since they drained an engine, by their ids."""
+    def missing_reports(self, now: float, engine: str, serial: int) -> set[int]:
+        """Return the ids of dispatchers that have not reported since they drained an engine."""
         own = self.drained.get(engine)
-        missing = {self.me} if own is None or own.serial != serial else set[int]()
-        for member, at in self.seen.items():
-            if member in self.live:
+        missing = {self.member} if own is None or own.serial != serial else set[int]()
+        for member, at in self.last_live_at.items():
+            if member in self.min_incarnations:
                 if self._row(now, member, engine, serial) is None:
                     missing.add(member)
-            elif now - at <= self.settings.gone:
+            elif now - at <= self.settings.member_absence_ms:
                 missing.add(member)
         return missing
 
-    def there(self, chain: Mapping[str, plan.MachineRecord]) -> list[Machine]:
-        """Engines as they are there now: those listed; of drained ones those that are not away. One that has
-        been away is there again once it is listed and has answered this instance."""
+    def present_engines(self, chain: Mapping[str, plan.MachineRecord]) -> list[Machine]:
+        """Return the engines that are there: listed ones, but of drained ones those that are not absent.
+
+        One that was absent is there again once it is listed and has answered this instance.
+        """
         found = []
-        for name, machine in self.last.items():
+        for name, machine in self.last_listed.items():
             record = chain.get(name)
             back = (
                 record is not None
                 and record.step is ReplacementStep.OUT
                 and record.has_flag(MachineFlag.WAS_AWAY)
             )
-            if name not in self.drained or not self.away(name) and (not back or self.answers(name)):
+            if name not in self.drained or not self.is_absent(name) and (not back or self.is_answering(name)):
                 found.append(machine)
         return found
 
-    def away(self, engine: str) -> bool:
-        """Whether an engine is away, by the word of more than half of the live dispatchers."""
+    def is_absent(self, engine: str) -> bool:
+        """Whether an engine is absent, by the reports of more than half of the live dispatchers."""
         drained = self.drained.get(engine)
-        return drained is not None and drained.away
+        return drained is not None and drained.is_absent
 
-    def answers(self, engine: str) -> bool:
-        """Whether a drained engine is listed, and answered this instance's last probe."""
+    def is_answering(self, engine: str) -> bool:
+        """Whether a drained engine is listed, and answered this instance's last check."""
         drained = self.drained.get(engine)
-        return drained is not None and drained.answered and engine in self.listed
-
-    def step(self, now: float, chain: Mapping[str, plan.MachineRecord]) -> list[Tell | Knock]:
-        """What is to be told to those that drive swaps of engines, and which engines are to be asked."""
-        # Danger: of a long request all engines that another id had replaced were told for good, and the one
-        # that drained had no room left in the word.
-        told = {n: d for n, d in sorted(self.drained.items()) if n in chain and chain[n].step in TOLD}
-        actions: list[Tell | Knock] = []
-        for engine, drained in told.items():
-            if chain[engine].step is ReplacementStep.OUT and now - drained.knocked_at >= self.settings.knock:
-                drained.knocked_at = now
-                actions.append(Knock(engine))
-            self._weigh(now, engine, drained)
-        rows = {engine_number(e): Row(d.serial & U32, d.open, self._away(e, d)) for e, d in told.items()}
-        drivers = {chain[engine].driver for engine in told} - {self.me, 0}
-        due = now - self.told_at >= self.settings.tell or rows != self.told
+        return drained is not None and drained.last_check_answered and engine in self.listed
+
+    def step(self, now: float, chain: Mapping[str, plan.MachineRecord]) -> list[SendReport | CheckLiveness]:
+        """Return what to report to drivers, and which engines to check."""
+        # Only engines that drain or are out: a report has room for a few, and replaced ones stay drained.
+        reported = {
+            n: d for n, d in sorted(self.drained.items()) if n in chain and chain[n].step in REPORTED_STEPS
+        }
+        actions: list[SendReport | CheckLiveness] = []
+        for engine, drained in reported.items():
+            if (
+                chain[engine].step is ReplacementStep.OUT
+                and now - drained.last_check_at >= self.settings.liveness_check_interval_ms
+            ):
+                drained.last_check_at = now
+                actions.append(CheckLiveness(engine))
+            self._update_absence(now, engine, drained)
+        rows = {
+            engine_number(e): DrainedEngineRow(d.serial & U32, d.open_requests, self._seems_absent(e, d))
+            for e, d in reported.items()
+        }
+        drivers = {chain[engine].driver for engine in reported} - {self.member, 0}
+        due = now - self.last_report_at >= self.settings.report_interval_ms or rows != self.last_rows
         if rows and due:
-            self.told_at, self.told = now, rows
-            self.life, self.version = self.words.next_stamp(self.life, self.version)
-            data = pack_word(DrainWord(self.me, self.life, self.version, rows))
-            actions += [Tell(member, data) for member in sorted(drivers)]
+            self.last_report_at, self.last_rows = now, rows
+            self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
+            data = encode_report(DrainReport(self.member, self.incarnation, self.version, rows))
+            actions += [SendReport(member, data) for member in sorted(drivers)]
         return actions
 
-    # --- inside ---
+    def _open_counts(self, now: float, engine: str, serial: int) -> list[int]:
+        rows = (self._row(now, member, engine, serial) for member in self.min_incarnations)
+        return [self.drained[engine].open_requests, *(row.open_requests for row in rows if row is not None)]
 
-    def _counts(self, now: float, engine: str, serial: int) -> list[int]:
-        rows = (self._row(now, member, engine, serial) for member in self.live)
-        return [self.drained[engine].open, *(row.open for row in rows if row is not None)]
-
-    def _row(self, now: float, member: int, engine: str, serial: int) -> Row | None:
-        """What a live dispatcher tells of an engine that it has drained, in its life of now."""
-        heard = self.words.received.get(member)
-        # Danger: the last word of a life that has ended said zero, while its next life had requests out.
+    def _row(self, now: float, member: int, engine: str, serial: int) -> DrainedEngineRow | None:
+        """Return what a live dispatcher reports of an engine, in its present incarnation."""
+        heard = self.reports.received.get(member)
+        # A report of an earlier incarnation says nothing of requests that the present one has open.
         if (
             heard is None
-            or now - heard.received_at > self.settings.fresh
-            or heard.report.life < self.live[member]
+            or now - heard.received_at > self.settings.max_report_age_ms
+            or heard.report.incarnation < self.min_incarnations[member]
         ):
             return None
         row = heard.report.rows.get(engine_number(engine))
         return row if row is not None and row.serial == serial & U32 else None
 
-    def _away(self, engine: str, drained: Drained) -> bool:
-        return engine not in self.listed or drained.failed >= 2
+    def _seems_absent(self, engine: str, drained: DrainedEngine) -> bool:
+        return engine not in self.listed or drained.failed_checks >= 2
+
+    def _update_absence(self, now: float, engine: str, drained: DrainedEngine) -> None:
+        rows = [self._row(now, member, engine, drained.serial) for member in self.min_incarnations]
+        away = self._seems_absent(engine, drained) + sum(row is not None and row.is_absent for row in rows)
+        if 2 * away <= 1 + len(self.min_incarnations):
+            drained.absent_since, drained.is_absent = None, False
+        elif drained.absent_since is None:
+            drained.absent_since = now
+        # An engine that only paused must not pass for a new one when it answers again.
+        elif now - drained.absent_since >= self.settings.engine_absence_ms:
+            drained.is_absent = True
 
-    def _weigh(self, now: float, engine: str, drained: Drained) -> None:
-        rows = [self._row(now, member, engine, drained.serial) for member in self.live]
-        away = self._away(engine, drained) + sum(row is not None and row.away for row in rows)
-        if 2 * away <= 1 + len(self.live):
-            drained.away_since, drained.away = None, False
-        elif drained.away_since is None:
-            drained.away_since = now
-        # Danger: on a machine that was busy with other work two dispatchers had no answer for a second. The
-        # engine passed for a new one as it answered again, and got work while it was to be powered off.
-        elif now - drained.away_since >= self.settings.absent:
-            drained.away = True
 
+class StartupGate:
+    """Whether a dispatcher that has just started knows which engines are drained.
 
-class Settled:
-    """Whether a dispatcher that has just started knows which engines are drained. Until then it sends
-    no loads to any: one that was down while an engine was drained would send it one as it is powered off, and
-    nobody could tell whether it ran. What may be repeated doesn't wait.
+    Until then it sends no loads to any engine: if it was down while an engine was drained, it would send a
+    load as the engine is powered off, and nobody could tell whether it ran. Idempotent requests do not wait.
 
-    It knows once it has read all registers of the swap over a majority. While more than half of the voters
-    aren't there nothing can be read, and after `alone` ms of that it serves all the same, as it does after
-    `wait` in any case: a fleet whose voters have all forgotten can't read either, and must serve.
+    It knows once it has read all registers of the replacement from a majority. While more than half of the
+    voters are absent nothing can be read, and after no_majority_timeout_ms of that it serves all the same,
+    as it does after startup_timeout_ms in any case: a fleet whose voters all have empty folders cannot read,
+    and must serve.
 
-    One that stood still for `stall` begins anew: others may have taken it for dead, and counted it no more.
+    An instance that was paused for pause_threshold_ms begins again: others may have taken it for failed, and
+    may not have counted its open requests.
     """
 
     def __init__(self, now: float, settings: DrainSettings) -> None:
-        self.settings, self.began, self.alone_at, self.stepped_at = settings, now, now, now
-        self.over = False
+        self.settings, self.started_at, self.last_majority_at, self.last_step_at = settings, now, now, now
+        self.is_open = False
 
-    def stood(self, now: float) -> bool:
-        """Whether this instance has stood still since the last step; then it knows nothing any more."""
-        late = now - self.stepped_at >= self.settings.stall
-        self.stepped_at = now
+    def check_pause(self, now: float) -> bool:
+        """Return whether this instance was paused since the last step, and begin again if so."""
+        late = now - self.last_step_at >= self.settings.pause_threshold_ms
+        self.last_step_at = now
         if late:
-            self.began, self.alone_at, self.over = now, now, False
+            self.started_at, self.last_majority_at, self.is_open = now, now, False
         return late
 
-    def step(self, now: float, read: bool, majority: bool) -> bool:
-        """Whether loads may go out from now on. read: all registers were read over a majority since the
-        start; majority: more than half of the voters are there."""
-        if majority:
-            self.alone_at = now
-        late = now - self.alone_at >= self.settings.alone or now - self.began >= self.settings.wait
-        self.over = self.over or read or late
-        return self.over
+    def step(self, now: float, all_read: bool, has_majority: bool) -> bool:
+        """Return whether loads may be sent from now on.
 
+        all_read: all registers were read from a majority since the start. has_majority: more than half of the
+        voters are there.
+        """
+        if has_majority:
+            self.last_majority_at = now
+        late = (
+            now - self.last_majority_at >= self.settings.no_majority_timeout_ms
+            or now - self.started_at >= self.settings.startup_timeout_ms
+        )
+        self.is_open = self.is_open or all_read or late
+        return self.is_open
 
-class Kept:
-    """Engines that this instance has drained, as its folder keeps them over a restart.
 
-    Danger: a dispatcher that had drained an engine was started again and sent it a request before it had read
-    the registers, while the engine was out and could be powered off at any moment. Who was down while an
-    engine was drained can't know; who drained it must. A record that can't be read holds too: it is the key
-    that counts. What was drained in a life before stays held until `settle`.
+class DrainRecords:
+    """Engines that this instance has drained, as its folder holds them over a restart.
+
+    A restarted dispatcher must not send a request to an engine that it had drained before it has read the
+    registers: the engine may be powered off at any moment. A record that cannot be decoded counts too, since
+    its key names the engine. What was drained before the start is withheld until `release_previous`.
     """
 
     def __init__(self, folder: Mapping[bytes, bytes]) -> None:
-        self.before = {key.decode(errors="replace") for key in folder}
-        self.engines = set(self.before)
+        self.from_previous_start = {key.decode(errors="replace") for key in folder}
+        self.engines = set(self.from_previous_start)
 
     def drain(self, engine: str) -> list[Record]:
-        """What has to be written before the drain is told to anyone."""
+        """Return what must be on disk before the drain is reported."""
         if engine in self.engines or len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_DRAIN]:
             return []
         self.engines.add(engine)
         return [Record(RecordKind.ENGINE_DRAIN, engine.encode(), Hint(b"", 0.0).encode())]
 
     def undrain(self, engine: str) -> list[Record]:
-        """The way back."""
-        self.before.discard(engine)
+        """Return what undoes `drain` on disk."""
+        self.from_previous_start.discard(engine)
         if engine not in self.engines:
             return []
         self.engines.discard(engine)
         return [Record(RecordKind.ENGINE_DRAIN, engine.encode(), None)]
 
-    def settle(self, drained: Collection[str]) -> list[str]:
-        """It is known which engines are drained, or service must go on without: those of a life before that
-        are held no longer."""
-        over = sorted(self.before.difference(drained))
-        self.before.clear()
+    def release_previous(self, drained: Collection[str]) -> list[str]:
+        """Return the engines that need not be withheld any longer.
+
+        It is known which engines are drained, or service must go on without knowing it.
+        """
+        over = sorted(self.from_previous_start.difference(drained))
+        self.from_previous_start.clear()
         return over
 
 
-def fresh(record: plan.MachineRecord | None) -> bool:
-    """Whether an engine that is drained no longer is another process than before. One whose swap is over and
-    forgotten counts as that: a cold start too many costs little."""
+def is_new_process(record: plan.MachineRecord | None) -> bool:
+    """Whether an engine that is drained no longer is another process than before.
+
+    One whose replacement is over and forgotten counts as that: an unneeded slow start costs little.
+    """
     return record is None or record.arrived_cores_tenths > 0
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -1,5 +1,6 @@
-"""The rim of engines' swaps: holds them back from the list, counts, asks them for a sign of life. Decides
-nothing."""
+"""Carries out engine drains: withholds engines from the list, counts requests, checks liveness. Decides
+nothing.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +11,16 @@
 from cottonhold.discovery.model import Change
 from cottonhold.discovery.quarantine import Held
 from cottonhold.fleet.coordinator import FleetCoordinator
-from cottonhold.fleet.engine_drain import DRAINS, Drains, DrainSettings, Kept, Knock, Settled, Tell, fresh
+from cottonhold.fleet.engine_drain import (
+    DRAIN_REPORT,
+    CheckLiveness,
+    DrainRecords,
+    DrainSettings,
+    EngineDrains,
+    SendReport,
+    StartupGate,
+    is_new_process,
+)
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.coordinator import ReplacementCoordinator
 from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, MachineRecord, ReplacementStep
@@ -24,7 +34,7 @@
 from cottonhold.store.records import RecordKind
 
 
-class Listed(Protocol):
+class EngineListOwner(Protocol):
     """The dispatcher, as far as engines of its list go."""
 
     held: Held
@@ -33,18 +43,18 @@
     log: Logs
 
     def listed(self) -> dict[str, Machine]:
-        """All engines of the list."""
+        """Return all engines of the list."""
 
     def republish(self, change: Change | None) -> None:
-        """Publish what is held back now."""
+        """Publish what is withheld now."""
 
 
-class DrainRim:
-    """Feeds one instance's drains, and carries out what they say."""
+class EngineDrainAdapter:
+    """Feeds one instance's drains, and carries out their actions."""
 
     def __init__(
         self,
-        owner: Listed,
+        owner: EngineListOwner,
         ledger: Ledger,
         membership: MembershipRim,
         fleet: FleetCoordinator,
@@ -56,40 +66,38 @@
         self.swim, self.clock = membership.instance.swim, membership.clock
         swim, self.voters = self.swim, {member_id(name) for name in voters}
         now, settings = self.clock.now(), DrainSettings()
-        self.drains = Drains(swim.id, incarnation_of(ledger), now, settings, self.voters)
-        self.settled = Settled(now, settings)
-        self.kept = Kept(ledger.records(RecordKind.ENGINE_DRAIN))
-        self.writing: dict[str, MachineRecord] = {}  # drains that the disk doesn't have yet
-        for engine in self.kept.before:
+        self.drains = EngineDrains(swim.id, incarnation_of(ledger), now, settings, self.voters)
+        self.startup_gate = StartupGate(now, settings)
+        self.drain_records = DrainRecords(ledger.records(RecordKind.ENGINE_DRAIN))
+        self.pending_drains: dict[str, MachineRecord] = {}  # not on disk yet
+        for engine in self.drain_records.from_previous_start:
             owner.republish(owner.held.hold(engine))
 
     def told(self, payload: bytes) -> bool:
-        """Whether bytes from another instance are a word on drained engines."""
-        if not payload or payload[0] != DRAINS:
+        """Apply a datagram's payload; return whether it is a drain report."""
+        if not payload or payload[0] != DRAIN_REPORT:
             return False
-        self.drains.hear(self.clock.now(), payload)
+        self.drains.on_message(self.clock.now(), payload)
         return True
 
-    def knows(self) -> bool:
-        """Whether it is known here which engines are drained, so that loads may go out."""
-        return self.settled.over
+    def may_send_loads(self) -> bool:
+        """Whether it is known here which engines are drained, so that loads may be sent."""
+        return self.startup_gate.is_open
 
     def machines(self, now: float, swap: ReplacementCoordinator) -> list[Machine]:
-        """Engines as they are there now; called first in each step."""
-        if self.settled.stood(now):
+        """Return the engines that are there now; called first in each step."""
+        if self.startup_gate.check_pause(now):
             swap.on_pause(now)
-        self.drains.list_is(self.owner.listed())
-        return self.drains.there(swap.view.records)
+        self.drains.set_listed_engines(self.owner.listed())
+        return self.drains.present_engines(swap.view.records)
 
-    def tell(self, now: float, swap: ReplacementCoordinator) -> None:
-        """What is open at engines that are swapped, and how far new ones are."""
+    def update_view(self, now: float, swap: ReplacementCoordinator) -> None:
+        """Pass on what is open at engines that are replaced, and how far new ones are."""
         ramp = self.fleet.slow_start
         for zone in swap.view.zone_troubles.keys() - self.fleet.evacuation.states.keys():
-            swap.set_zone_trouble(
-                now, zone, ""
-            )  # its last engine is held: nothing is told of its trouble any more
+            swap.set_zone_trouble(now, zone, "")  # its last engine is withheld, so nothing reports its state
         for name, record in _engines(swap).items():
-            swap.set_open_requests(now, name, self.drains.open(now, name, record.serial))
+            swap.set_open_requests(now, name, self.drains.open_requests(now, name, record.serial))
             if ramp is not None and record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING):
                 swap.set_traffic_share(
                     now,
@@ -100,85 +108,84 @@
     def act(
         self, now: float, swap: ReplacementCoordinator, action: step_decision.Drain | step_decision.Undrain
     ) -> None:
-        """Nothing new goes to an engine, or the way back."""
+        """Drain or undrain an engine."""
         engine, record = action.machine, swap.view.records.get(action.machine)
         if isinstance(action, step_decision.Drain):
             if record is not None:
                 self.owner.counters.add("engine_drains")
                 self.owner.republish(self.owner.held.hold(engine))
-                self._keep(engine, record)
+                self._drain(engine, record)
             return
-        self.writing.pop(engine, None)
+        self.pending_drains.pop(engine, None)
         self.drains.undrain(engine)
-        self._free(now, engine, record)
+        self._release(now, engine, record)
 
     def step(self, now: float, swap: ReplacementCoordinator) -> None:
-        """Tell drivers, and ask engines that are out."""
+        """Report to drivers, and check engines that are out."""
         drains, live = self.drains, set(self.swim.live())
-        drains.life = incarnation_of(self.ledger)
-        lives = {id: _life(m.incarnation) for id, m in self.swim.members.items() if id in live}
-        drains.members(now, lives)
-        self._settle(now, swap, live)
+        drains.incarnation = incarnation_of(self.ledger)
+        lives = {key: _life(m.incarnation) for key, m in self.swim.members.items() if key in live}
+        drains.set_live_members(now, lives)
+        self._step_startup(now, swap, live)
         for engine in drains.drained:
-            drains.count(engine, self.owner.engines.attempts_in_flight(engine))
+            drains.set_open_requests(engine, self.owner.engines.attempts_in_flight(engine))
         for action in drains.step(now, swap.view.records):
             match action:
-                case Tell(member, data):
+                case SendReport(member, data):
                     self.membership.say(member, data)
-                case Knock(engine):
-                    if not self.owner.engines.check_liveness(engine, self._probed(engine)):
-                        drains.probed(engine, False)
+                case CheckLiveness(engine):
+                    if not self.owner.engines.check_liveness(engine, self._on_liveness_check(engine)):
+                        drains.on_liveness_check(engine, False)
 
     def row(self, now: float, swap: ReplacementCoordinator, engine: str) -> dict[str, Any]:
-        """What operators are told of an engine's swap beside its step; nothing of a dispatcher's."""
+        """Return what operators see of an engine's replacement besides its step; {} for a dispatcher."""
         record = swap.view.records.get(engine)
         if record is None or not record.has_flag(MachineFlag.ENGINE):
             return {}
         names = {self.swim.id: self.swim.name, **{m.id: m.name for m in self.swim.members.values()}}
         counts = record.driver == self.swim.id and record.step is ReplacementStep.DRAINING
-        untold = self.drains.untold(now, engine, record.serial) if counts else set[int]()
+        untold = self.drains.missing_reports(now, engine, record.serial) if counts else set[int]()
         return {
             "ready": record.step is ReplacementStep.OUT and not record.has_flag(MachineFlag.ABORTING),
             "drained": engine in self.drains.drained,
             "away": record.has_flag(MachineFlag.WAS_AWAY),
-            "open": self.drains.open(now, engine, record.serial) if counts else None,
+            "open": self.drains.open_requests(now, engine, record.serial) if counts else None,
             "untold": sorted(names.get(m, f"{m:x}") for m in untold),
         }
 
-    def _keep(self, engine: str, record: MachineRecord) -> None:
-        """It counts as drained here once the disk has it, or can't have it now."""
+    def _drain(self, engine: str, record: MachineRecord) -> None:
+        """Drain the engine once the record is on disk, or cannot be written now."""
 
         def told() -> None:
-            if self.writing.get(engine) is record:
-                del self.writing[engine]
+            if self.pending_drains.get(engine) is record:
+                del self.pending_drains[engine]
                 self.drains.drain(engine, record.serial, self.owner.engines.attempts_in_flight(engine))
 
-        self.writing[engine] = record
-        if not (records := self.kept.drain(engine)):
+        self.pending_drains[engine] = record
+        if not (records := self.drain_records.drain(engine)):
             told()
         for record_of in records:
-            # Danger: not put again once the disk was well, a drain was forgotten by the next restart, and its
-            # engine got requests while it was powered off.
+            # A failed write is repeated, or the next restart would forget the drain.
             self.records.put(record_of, told, told)
 
-    def _free(self, now: float, engine: str, record: MachineRecord | None) -> None:
-        for record_of in self.kept.undrain(engine):
+    def _release(self, now: float, engine: str, record: MachineRecord | None) -> None:
+        for record_of in self.drain_records.undrain(engine):
             self.records.put(record_of)
-        self.owner.republish(self.owner.held.free(engine, now if fresh(record) else 0.0))
+        self.owner.republish(self.owner.held.free(engine, now if is_new_process(record) else 0.0))
 
-    def _settle(self, now: float, swap: ReplacementCoordinator, live: set[int]) -> None:
-        if not self.settled.over:
+    def _step_startup(self, now: float, swap: ReplacementCoordinator, live: set[int]) -> None:
+        if not self.startup_gate.is_open:
             majority = 2 * len(self.voters & live) > len(self.voters)
-            if self.settled.step(now, swap.has_read_all(), majority):
-                after = round(now - self.settled.began)
-                over = self.kept.settle(swap.drained)
+            if self.startup_gate.step(now, swap.has_read_all(), majority):
+                after = round(now - self.startup_gate.started_at)
+                over = self.drain_records.release_previous(swap.drained)
                 for engine in over:
-                    self._free(now, engine, swap.view.records.get(engine))
+                    self._release(now, engine, swap.view.records.get(engine))
                 words = {"read": swap.has_read_all(), "drained": len(swap.drained), "over": ",".join(over)}
                 self.owner.log.note("drains_known", after_ms=after, **words)
 
-    def _probed(self, engine: str) -> Callable[[bool], None]:
-        return lambda good: self.drains.probed(engine, good)
+    def _on_liveness_check(self, engine: str) -> Callable[[bool], None]:
+        return lambda good: self.drains.on_liveness_check(engine, good)
 
 
 def _engines(swap: ReplacementCoordinator) -> Mapping[str, MachineRecord]:
@@ -186,5 +193,5 @@
 
 
 def _life(incarnation: int) -> int:
-    """The least life of a member's words, by the boot that its incarnation began with; see recovery.py."""
+    """Return the least incarnation of a member's reports, by the boot that its incarnation began with."""
     return LIFE_BASE + incarnation // BOOT_STEP & 0xFFFFFFFF
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -32,7 +32,7 @@
 from cottonhold.fleet.rolling_replacement.plan import Machine, PlanError
 from cottonhold.fleet.rolling_replacement.request_parsing import parse_request
 from cottonhold.fleet.zone_failover.evacuation import Phase
-from cottonhold.fleet_adapters.engine_drain import DrainRim
+from cottonhold.fleet_adapters.engine_drain import EngineDrainAdapter
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.membership.swim import Swim
@@ -93,7 +93,7 @@
         open_requests: Callable[[], int],
         counters: Counters,
         note: Callable[..., None],
-        drains: DrainRim,
+        drains: EngineDrainAdapter,
     ) -> None:
         file, now = installation.file, clock.now()
         assert file.membership is not None
@@ -209,7 +209,7 @@
                     self._machine(member.name, member.id, number, self.census.incarnation_of(number))
                 )
         swap.set_machines(now, [*self.drains.machines(now, swap), *there])
-        self.drains.tell(now, swap)
+        self.drains.update_view(now, swap)
         swap.set_open_requests(now, self.name, self.open_requests())
         swap.set_remaining_keys(
             now, self.name, self.key_mover.remaining_here() if self.key_mover is not None else 0
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -20,11 +20,11 @@
 from cottonhold.discovery.model import Address, Change, Event, Publish
 from cottonhold.discovery.quarantine import Held
 from cottonhold.fleet.coordinator import FleetCoordinator
-from cottonhold.fleet.engine_drain import DrainSettings, Kept
+from cottonhold.fleet.engine_drain import DrainRecords, DrainSettings
 from cottonhold.fleet.recovery.cached_engines import EngineCache
 from cottonhold.fleet.recovery.survey_results import OutageVerdict
 from cottonhold.fleet.rolling_replacement.plan import Machine, ReplacementStep
-from cottonhold.fleet_adapters.engine_drain import DrainRim
+from cottonhold.fleet_adapters.engine_drain import EngineDrainAdapter
 from cottonhold.fleet_adapters.ledger_opener import Opening
 from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
 from cottonhold.fleet_adapters.membership import MembershipRim, make_instance
@@ -123,16 +123,16 @@
     def _hold_drained(self, folder: Mapping[bytes, bytes]) -> None:
         """Engines drained in a life before, by a folder that could be read: held until its ledger holds them,
         or for as long as they would be without the registers."""
-        engines = Kept(folder).before
+        engines = DrainRecords(folder).from_previous_start
 
         def let_go() -> None:
-            kept = self.swap.drains.kept.engines if self.swap is not None else set[str]()
+            kept = self.swap.drains.drain_records.engines if self.swap is not None else set[str]()
             for engine in sorted(engines - kept):
                 self.republish(self.held.free(engine))
 
         for engine in sorted(engines):
             self.republish(self.held.hold(engine))
-        self.event_loop.clock.call_in(DrainSettings().wait, let_go)
+        self.event_loop.clock.call_in(DrainSettings().startup_timeout_ms, let_go)
 
     def _do_without(self) -> None:
         """Refuse loads, and see again whether the folder can be had."""
@@ -177,10 +177,10 @@
             self.counters.add("recovery_malformed", self.remembered.malformed)
         if membership is not None and fleet is not None and file.membership and file.membership.voters:
             hop, voters = self.event_loop.loop.call_soon_threadsafe, file.membership.voters
-            drains = DrainRim(self, ledger, membership, fleet.coordinator, voters, hop)
+            drains = EngineDrainAdapter(self, ledger, membership, fleet.coordinator, voters, hop)
             # Danger: a load went to an engine that was about to be powered off, before its drain was read of.
             # What may be repeated goes out at once: after a power loss it waited up to 5 s for a majority.
-            self.recovery.has_other_prerequisites = lambda: drains.knows() and self._listed()
+            self.recovery.has_other_prerequisites = lambda: drains.may_send_loads() and self._listed()
             self.swap = RollingReplacementAdapter(
                 self.installation,
                 ledger,
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -165,8 +165,8 @@
 
 def drain_word() -> bytes:
     """One dispatcher's word on drained engines."""
-    rows = {7: engine_drain.Row(3, 70_000, True), 8: engine_drain.Row(4, 0)}
-    return engine_drain.pack_word(engine_drain.DrainWord(MEMBER, LIFE, VERSION, rows))
+    rows = {7: engine_drain.DrainedEngineRow(3, 70_000, True), 8: engine_drain.DrainedEngineRow(4, 0)}
+    return engine_drain.encode_report(engine_drain.DrainReport(MEMBER, LIFE, VERSION, rows))
 
 
 def handed_request(named: bool) -> bytes:
@@ -277,7 +277,7 @@
 
 def drain_records() -> bytes:
     """What is kept of a drained engine."""
-    taken = engine_drain.Kept({}).drain("e1")
+    taken = engine_drain.DrainRecords({}).drain("e1")
     return b"".join(bytes((r.kind,)) + r.key + b"=" + (r.value or b"") for r in taken)
 
 
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -199,7 +199,7 @@
         rim, swap, now = node.swap.drains, node.swap.coordinator, node.event_loop.clock.now()
         rim.step(now, swap)
         assert set(node.held.live()) == {"e2"}
-        rim.step(now + rim.drains.settings.wait, swap)
+        rim.step(now + rim.drains.settings.startup_timeout_ms, swap)
         assert set(node.held.live()) == {"e1", "e2"}
 
     async def after(node: ServedInstallation) -> None:
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -12,17 +12,17 @@
 from cottonhold.discovery.quarantine import Held
 from cottonhold.emulator.engine_replacement_cases import CASES, DEFECTS, planted
 from cottonhold.fleet.engine_drain import (
-    MOST_ROWS,
-    Drains,
+    MAX_ROWS,
+    CheckLiveness,
+    DrainedEngineRow,
+    DrainRecords,
+    DrainReport,
     DrainSettings,
-    DrainWord,
-    Kept,
-    Knock,
-    Row,
-    Settled,
-    Tell,
-    pack_word,
-    read_word,
+    EngineDrains,
+    SendReport,
+    StartupGate,
+    decode_report,
+    encode_report,
 )
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 from cottonhold.fleet.recovery.warmup_messages import engine_number
@@ -46,7 +46,7 @@
 from cottonhold.store.records import TRUST_BY_KIND, RecordKind, Trust
 
 U16, U32, U64 = (st.integers(0, 2**bits - 1) for bits in (16, 32, 64))
-ROWS = st.dictionaries(U32, st.builds(Row, U32, U16, st.booleans()), max_size=MOST_ROWS)
+ROWS = st.dictionaries(U32, st.builds(DrainedEngineRow, U32, U16, st.booleans()), max_size=MAX_ROWS)
 THERE = {"d0": Machine("d0", "a", 0.0)} | {
     f"{z}{i}": Machine(f"{z}{i}", z, 8.0, True) for z in "abc" for i in (0, 1)
 }
@@ -55,13 +55,13 @@
 SEEN = (ReplacementStep.OUT, ReplacementStep.DRAINING, ReplacementStep.DONE)
 
 
-@given(st.builds(DrainWord, st.integers(1, 2**64 - 1), U32, U32, ROWS))
-def test_a_word_comes_back_fits_and_is_refused_cut(word: DrainWord) -> None:
-    data = pack_word(word)
-    assert read_word(data) == word and len(data) <= MAX_MESSAGE_BYTES
+@given(st.builds(DrainReport, st.integers(1, 2**64 - 1), U32, U32, ROWS))
+def test_a_word_comes_back_fits_and_is_refused_cut(word: DrainReport) -> None:
+    data = encode_report(word)
+    assert decode_report(data) == word and len(data) <= MAX_MESSAGE_BYTES
     for cut in range(len(data)):
         with pytest.raises(MessageError):
-            read_word(data[:cut])
+            decode_report(data[:cut])
 
 
 class Three:
@@ -69,41 +69,41 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.drains = Drains(1, 5, 0.0, S, [1, 2, 3])
-        self.drains.list_is({"x0": THERE["a0"]})
+        self.drains = EngineDrains(1, 5, 0.0, S, [1, 2, 3])
+        self.drains.set_listed_engines({"x0": THERE["a0"]})
         self.drains.drain("x0", 7, 2)
         self.live(self.now, 2, 3)
 
     def live(self, now: float, *members: int, life: int = 5) -> None:
         self.now = now
-        self.drains.members(now, dict.fromkeys(members, life))
+        self.drains.set_live_members(now, dict.fromkeys(members, life))
 
     def tell(self, member: int, open_: int, life: int = 5, version: int = 1, **row: int) -> None:
-        other = Drains(member, life, 0.0, S)
+        other = EngineDrains(member, life, 0.0, S)
         other.version = version - 1
         if row.get("away", 0) == 0:
-            other.list_is({"x0": THERE["a0"]})
+            other.set_listed_engines({"x0": THERE["a0"]})
         other.drain("x0", row.get("serial", 7), open_)
         for action in other.step(self.now, {"x0": MachineRecord(ReplacementStep.DRAINING, 7, driver=1)}):
-            assert isinstance(action, Tell)
-            self.drains.hear(self.now, action.data)
+            assert isinstance(action, SendReport)
+            self.drains.on_message(self.now, action.payload)
 
     def open(self) -> int | None:
-        return self.drains.open(self.now, "x0", 7)
+        return self.drains.open_requests(self.now, "x0", 7)
 
 
 def test_who_has_not_told_since_the_drain_is_unknown_and_not_zero() -> None:
     three = Three()
     assert three.open() is None
     three.tell(2, 3)
-    assert three.open() is None and three.drains.untold(0.0, "x0", 7) == {3}
+    assert three.open() is None and three.drains.missing_reports(0.0, "x0", 7) == {3}
     three.tell(3, 0, serial=6)  # of an earlier swap of the same engine
     assert three.open() is None
     three.tell(3, 0, version=2)
     assert three.open() == 5
     three.tell(2, 9, version=1)  # late, again
     assert three.open() == 5
-    three.drains.count("x0", 0)
+    three.drains.set_open_requests("x0", 0)
     three.tell(2, 0, version=4)
     assert three.open() == 0
 
@@ -118,7 +118,7 @@
     three.tell(2, 0, life=6)
     three.tell(3, 0, life=6)
     assert three.open() == 2
-    three.live(100.0 + S.fresh + 1, 2, 3, life=6)
+    three.live(100.0 + S.max_report_age_ms + 1, 2, 3, life=6)
     assert three.open() is None
 
 
@@ -126,11 +126,11 @@
     three = Three()
     three.tell(2, 0)
     three.live(100.0, 2)
-    assert three.open() is None and three.drains.untold(100.0, "x0", 7) == {3}
-    three.live(S.gone + 101.0, 2)
+    assert three.open() is None and three.drains.missing_reports(100.0, "x0", 7) == {3}
+    three.live(S.member_absence_ms + 101.0, 2)
     three.tell(2, 1, version=9)
     assert three.open() == 3
-    three.live(S.gone + 102.0, 2, 3)  # it is back
+    three.live(S.member_absence_ms + 102.0, 2, 3)  # it is back
     assert three.open() is None
 
 
@@ -145,51 +145,57 @@
 def test_an_engine_is_away_by_more_than_half_for_a_while() -> None:
     three = Three()
     for _ in range(3):
-        three.drains.probed("x0", False)
+        three.drains.on_liveness_check("x0", False)
     three.tell(2, 0)
     three.tell(3, 0)
     three.drains.step(0.0, CHAIN)
-    three.live(S.absent + 1, 2, 3)
+    three.live(S.engine_absence_ms + 1, 2, 3)
     three.drains.step(three.now, CHAIN)
-    assert not three.drains.away("x0"), "one alone may have lost its own way"
+    assert not three.drains.is_absent("x0"), "one alone may have lost its own way"
     three.tell(2, 0, version=2, away=1)
     three.drains.step(three.now, CHAIN)
-    three.live(three.now + S.absent, 2, 3)
+    three.live(three.now + S.engine_absence_ms, 2, 3)
     three.tell(2, 0, version=3, away=1)
     three.drains.step(three.now, CHAIN)
-    assert three.drains.away("x0") and not three.drains.there({})
-    three.drains.probed("x0", True)
+    assert three.drains.is_absent("x0") and not three.drains.present_engines({})
+    three.drains.on_liveness_check("x0", True)
     three.tell(2, 0, version=4)
     three.drains.step(three.now, CHAIN)
-    assert not three.drains.away("x0") and three.drains.answers("x0")
+    assert not three.drains.is_absent("x0") and three.drains.is_answering("x0")
 
 
 def test_engines_that_are_out_are_asked_now_and_then_and_drivers_are_told_at_once() -> None:
-    drains = Drains(1, 5, 0.0, S)
-    drains.list_is(THERE)
+    drains = EngineDrains(1, 5, 0.0, S)
+    drains.set_listed_engines(THERE)
     drains.drain("a0", 7, 2)
     drains.drain("b0", 7, 0)
     drains.drain("c0", 7, 0)
     chain = {e: MachineRecord(step, 7, driver=2) for e, step in zip(("a0", "b0", "c0"), SEEN, strict=True)}
-    assert drains.step(0.0, chain)[0] == Knock("a0")
+    assert drains.step(0.0, chain)[0] == CheckLiveness("a0")
     assert drains.step(50.0, chain) == [], "nothing new"
-    drains.count("a0", 1)
+    drains.set_open_requests("a0", 1)
     (tell,) = drains.step(100.0, chain)
-    assert isinstance(tell, Tell) and tell.member == 2
-    rows = read_word(tell.data).rows
-    assert [rows[engine_number(e)].open for e in ("a0", "b0")] == [1, 0] and len(rows) == 2
-    assert [type(a) for a in drains.step(300.0, chain)] == [Knock, Tell]
+    assert isinstance(tell, SendReport) and tell.member == 2
+    rows = decode_report(tell.payload).rows
+    assert [rows[engine_number(e)].open_requests for e in ("a0", "b0")] == [1, 0] and len(rows) == 2
+    assert [type(a) for a in drains.step(300.0, chain)] == [CheckLiveness, SendReport]
 
 
 def test_no_load_goes_out_before_registers_are_read_unless_nobody_is_there() -> None:
-    settled = Settled(0.0, S)
-    assert not settled.step(S.alone * 2, False, True) and settled.step(S.alone * 2, True, True)
-    settled = Settled(0.0, S)
-    assert not settled.step(S.alone - 1, False, False) and settled.step(S.alone, False, False)
-    settled = Settled(0.0, S)
-    assert settled.step(S.wait, False, True), "a fleet that has forgotten all serves"
-    assert not settled.stood(S.stall - 1) and settled.stood(3 * S.stall)
-    assert not settled.step(3 * S.stall, False, True), "one that stood still knows nothing any more"
+    settled = StartupGate(0.0, S)
+    assert not settled.step(S.no_majority_timeout_ms * 2, False, True) and settled.step(
+        S.no_majority_timeout_ms * 2, True, True
+    )
+    settled = StartupGate(0.0, S)
+    assert not settled.step(S.no_majority_timeout_ms - 1, False, False) and settled.step(
+        S.no_majority_timeout_ms, False, False
+    )
+    settled = StartupGate(0.0, S)
+    assert settled.step(S.startup_timeout_ms, False, True), "a fleet that has forgotten all serves"
+    assert not settled.check_pause(S.pause_threshold_ms - 1) and settled.check_pause(3 * S.pause_threshold_ms)
+    assert not settled.step(3 * S.pause_threshold_ms, False, True), (
+        "one that stood still knows nothing any more"
+    )
 
 
 @pytest.mark.parametrize(
@@ -200,7 +206,7 @@
 def test_drains_of_a_life_before_hold_until_it_is_known_which_are_over(
     drained: tuple[str, ...], over: list[str]
 ) -> None:
-    kept, folder = Kept({}), dict[bytes, bytes]()
+    kept, folder = DrainRecords({}), dict[bytes, bytes]()
 
     def write(records: Iterable[kept_records.Record]) -> None:
         for record in records:
@@ -212,14 +218,14 @@
     for engine in ("a0", "b0", "c0", "c0"):
         write(kept.drain(engine))
     write(kept.undrain("c0"))
-    assert kept.settle(()) == [] and kept.undrain("c0") == []
-    again = Kept(folder)
-    assert again.before == {"a0", "b0"}
-    assert again.settle(drained) == over and again.settle(()) == []
+    assert kept.release_previous(()) == [] and kept.undrain("c0") == []
+    again = DrainRecords(folder)
+    assert again.from_previous_start == {"a0", "b0"}
+    assert again.release_previous(drained) == over and again.release_previous(()) == []
     for engine in over:
         write(again.undrain(engine))
-    assert Kept(folder).before == {"a0", "b0"} - set(over)
-    assert Kept({b"\xff": b""}).before, "what can't be read holds too"
+    assert DrainRecords(folder).from_previous_start == {"a0", "b0"} - set(over)
+    assert DrainRecords({b"\xff": b""}).from_previous_start, "what can't be read holds too"
 
 
 def test_what_is_held_comes_through_as_draining_and_back_as_the_list_has_it() -> None:
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -316,7 +316,7 @@
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
         node._hold_drained(drain[RecordKind.ENGINE_DRAIN])
         ((ms, let_go),) = due
-        assert ms == DrainSettings().wait
+        assert ms == DrainSettings().startup_timeout_ms
         let_go()
         assert set(node.held.live()) == ({"e2"} if had else {"e1", "e2"})
         end(node)
