--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -18,7 +18,7 @@
 from functools import lru_cache
 
 from cottonhold.fleet.zone_failover.operator_overrides import truncate_utf8
-from cottonhold.membership.codec import MOST_NAME, member_id
+from cottonhold.membership.codec import MAX_NAME_BYTES, member_id
 
 MAX_REQUESTER_BYTES = 16  # bytes
 MAX_MACHINES_OUT = 5  # machines out at once
@@ -238,8 +238,8 @@
     name = item.machine
     if name not in machines:
         raise PlanError(f"'{name}' is no machine that is there")
-    if max(len(name.encode()), len(new.encode())) > MOST_NAME:
-        raise PlanError(f"'{name}' or '{new}' is longer than {MOST_NAME} bytes")
+    if max(len(name.encode()), len(new.encode())) > MAX_NAME_BYTES:
+        raise PlanError(f"'{name}' or '{new}' is longer than {MAX_NAME_BYTES} bytes")
     if new in machines and machines[new].is_engine != machines[name].is_engine:
         raise PlanError(f"'{new}' is no machine of the kind of '{name}'")
     if machines[name].is_engine and new != name and new in machines:
--- a/cottonhold/fleet/rolling_replacement/plan_codec.py
+++ b/cottonhold/fleet/rolling_replacement/plan_codec.py
@@ -26,7 +26,7 @@
     ReplacementStep,
     StepReason,
 )
-from cottonhold.membership.codec import MOST_NAME
+from cottonhold.membership.codec import MAX_NAME_BYTES
 
 PLAN_FORMAT = struct.Struct("!BBIIIQBB")
 RECORD_FORMAT = struct.Struct("!BBIIQHBHHHHIB")
@@ -62,7 +62,7 @@
     try:
         fields = PLAN_FORMAT.unpack_from(data)
         format_version, state, serial, first_serial, epoch, locked_by, max_out, max_zones = fields
-        max_sizes = (MOST_NAME, MAX_REQUESTER_BYTES)
+        max_sizes = (MAX_NAME_BYTES, MAX_REQUESTER_BYTES)
         texts, position = _decode_texts(data, PLAN_FORMAT.size, max_sizes)
         machines_out = struct.unpack(f"!{data[position]}Q", data[position + 1 :])
         if format_version != FORMAT_VERSION or len(machines_out) > MAX_MACHINES_OUT:
@@ -117,7 +117,7 @@
         fields = RECORD_FORMAT.unpack_from(data)
         format_version, step, serial, epoch, driver, duration, flags, zone = fields[:8]
         cores, requested_cores, arrived_cores, incarnation, reason = fields[8:]
-        max_sizes = (MOST_NAME, MOST_NAME, MAX_REQUESTER_BYTES)
+        max_sizes = (MAX_NAME_BYTES, MAX_NAME_BYTES, MAX_REQUESTER_BYTES)
         texts, position = _decode_texts(data, RECORD_FORMAT.size, max_sizes)
         if format_version != FORMAT_VERSION or position != len(data):
             raise MessageError("swap")
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -8,8 +8,8 @@
 from typing import Any, Protocol
 
 from cottonhold.backend.connection_pool import EngineConnections
-from cottonhold.discovery.model import Change
-from cottonhold.discovery.quarantine import Held
+from cottonhold.discovery.model import EngineListChange
+from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import (
     DRAIN_REPORT,
@@ -37,7 +37,7 @@
 class EngineListOwner(Protocol):
     """The dispatcher, as far as engines of its list go."""
 
-    held: Held
+    held: Quarantine
     engines: EngineConnections
     counters: Counters
     log: Logs
@@ -45,7 +45,7 @@
     def listed(self) -> dict[str, Machine]:
         """Return all engines of the list."""
 
-    def republish(self, change: Change | None) -> None:
+    def republish(self, change: EngineListChange | None) -> None:
         """Publish what is withheld now."""
 
 
@@ -122,7 +122,7 @@
 
     def step(self, now: float, swap: ReplacementCoordinator) -> None:
         """Report to drivers, and check engines that are out."""
-        drains, live = self.drains, set(self.swim.live())
+        drains, live = self.drains, set(self.swim.live_members())
         drains.incarnation = incarnation_of(self.ledger)
         lives = {key: _life(m.incarnation) for key, m in self.swim.members.items() if key in live}
         drains.set_live_members(now, lives)
@@ -171,7 +171,7 @@
     def _release(self, now: float, engine: str, record: MachineRecord | None) -> None:
         for record_of in self.drain_records.undrain(engine):
             self.records.put(record_of)
-        self.owner.republish(self.owner.held.free(engine, now if is_new_process(record) else 0.0))
+        self.owner.republish(self.owner.held.release(engine, now if is_new_process(record) else 0.0))
 
     def _step_startup(self, now: float, swap: ReplacementCoordinator, live: set[int]) -> None:
         if not self.startup_gate.is_open:
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -183,7 +183,7 @@
     def _step(self) -> None:
         now = self.clock.now()
         self._update_view(now)
-        self.registers.set_listeners(self.swim.live())
+        self.registers.set_listeners(self.swim.live_members())
         self._carry_out_registers(self.registers.step(now))
         for action in self.coordinator.step(now):
             self._carry_out_replacement(now, action)
@@ -199,7 +199,7 @@
 
     def _update_view(self, now: float) -> None:
         """Pass on what this instance sees."""
-        swap, live = self.coordinator, set(self.swim.live())
+        swap, live = self.coordinator, set(self.swim.live_members())
         there = [self._machine(self.name, self.swim.id, self.census.number, self.census.incarnation)]
         there[0] = replace(there[0], is_voting=self.registers.is_voting())
         for member in self.swim.members.values():
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -316,7 +316,7 @@
         """Return the capacity of each member that may take keys: by what is left in its zone, else even."""
         chain = self.replacement.coordinator.view.records
         going = {machine_id(name) for name, record in chain.items() if record.step in LEAVING_STEPS}
-        there = [m for m in self.swim.live() if m != self.swim.id and m not in going]
+        there = [m for m in self.swim.live_members() if m != self.swim.id and m not in going]
         outlook = self.fleet.failover_cost
         left = outlook.plan.free_cores if outlook is not None and outlook.plan is not None else {}
         zones = {member: self._zone(member) for member in there}
@@ -359,7 +359,10 @@
             machine_id(name) for name, record in chain.items() if record.step is ReplacementStep.OUT
         )
         return Surroundings(
-            self._folder_is_current(), self._departure(chain.get(self.name)), frozenset(self.swim.live()), out
+            self._folder_is_current(),
+            self._departure(chain.get(self.name)),
+            frozenset(self.swim.live_members()),
+            out,
         )
 
     def _folder_is_current(self) -> bool | None:
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -19,7 +19,7 @@
 from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings, PhaseChange
 from cottonhold.fleet.zone_failover.failure_evidence import EvidenceSettings
 from cottonhold.fleet.zone_failover.operator_overrides import MODE_NAMES
-from cottonhold.membership.codec import Status
+from cottonhold.membership.codec import MemberStatus
 from cottonhold.membership.swim import Swim
 from cottonhold.node.client_request import ClientRequest
 from cottonhold.observe.counters import Counters
@@ -245,8 +245,8 @@
 
     def _step(self) -> None:
         now = self.clock.now()
-        left = (m.id for m in self.swim.view() if m.status is Status.LEFT)
-        self.coordinator.set_members(now, self.swim.live(), left)
+        left = (m.id for m in self.swim.members_by_name() if m.status is MemberStatus.LEFT)
+        self.coordinator.set_members(now, self.swim.live_members(), left)
         self._carry_out(self.coordinator.step(now))
         self._probe_unproven(now)
         self._arm()
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -17,8 +17,8 @@
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.registration import Registration
 from cottonhold.discovery.consul.watch import Watch
-from cottonhold.discovery.model import Address, Change, Event, Publish
-from cottonhold.discovery.quarantine import Held
+from cottonhold.discovery.model import Address, EngineListChange, Event, PublishChange
+from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import DrainRecords, DrainSettings
 from cottonhold.fleet.recovery.cached_engines import EngineCache
@@ -38,7 +38,7 @@
 from cottonhold.fleet_adapters.rolling_replacement import ReplacementCallError, RollingReplacementAdapter
 from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
-from cottonhold.membership.codec import Status
+from cottonhold.membership.codec import MemberStatus
 from cottonhold.node import consul_client, status
 from cottonhold.node.dispatcher import Dispatcher, run_program
 from cottonhold.node.http_client import Tls
@@ -79,7 +79,7 @@
     ) -> None:
         super().__init__(installation.config, Counters(), loop, log, installation.sources)
         self.path, self.installation, self.structured = path, installation, log
-        self.held = Held()
+        self.held = Quarantine()
         self.watches: dict[str, tuple[Watched, Watch, asyncio.Task[None]]] = {}
         self.entry: consul_client.Entry | None = None
         self.membership: MembershipRim | None = None
@@ -128,7 +128,7 @@
         def let_go() -> None:
             kept = self.swap.drains.drain_records.engines if self.swap is not None else set[str]()
             for engine in sorted(engines - kept):
-                self.republish(self.held.free(engine))
+                self.republish(self.held.release(engine))
 
         for engine in sorted(engines):
             self.republish(self.held.hold(engine))
@@ -306,12 +306,12 @@
         if self.fleet is not None:
             self.fleet.set_process_count(1 + self.sibling_count)
 
-    def on_engine_list(self, change: Change) -> None:
+    def on_engine_list(self, change: EngineListChange) -> None:
         """Engines in service are also what the duty of probing is about."""
         if self.remembered is not None and self.recovery is not None and self._answered():
             if records := self.remembered.apply(change):
                 self.recovery.ledger.put(records)
-        self.republish(self.held.take(change))
+        self.republish(self.held.on_change(change))
 
     def _listed(self) -> bool:
         """The own list is a source's word, or none has come for so long that service must go on without."""
@@ -320,15 +320,15 @@
 
     def _answered(self) -> bool:
         """Whether any source has answered since the start."""
-        return any(view.answers for view in self.engine_catalog.views.values())
+        return any(view.answer_count for view in self.engine_catalog.views.values())
 
-    def republish(self, change: Change | None) -> None:
+    def republish(self, change: EngineListChange | None) -> None:
         """What the fleet holds back of the list, or does no longer, is published as a change of it is."""
         if change is None:
             return
         super().on_engine_list(change)
         if self.membership is not None:
-            live = self.held.live()
+            live = self.held.live_engines()
             self.membership.engines(live)
             if self.fleet is not None:
                 self.fleet.set_engines(self._by_zone(live))
@@ -347,10 +347,10 @@
 
     def listed(self) -> dict[str, Machine]:
         """All engines of the list as machines of a swap; their lives are the starts that sources tell."""
-        zones, live, found = self.installation.file.zones, self.held.live(), dict[str, Machine]()
-        for id, info in self.held.known.items():
+        zones, live, found = self.installation.file.zones, self.held.live_engines(), dict[str, Machine]()
+        for id, info in self.held.listed.items():
             claims = (view.claims.get(id) for view in self.engine_catalog.views.values())
-            life = int(max((c.seen.started_at for c in claims if c is not None), default=0.0))
+            life = int(max((c.observation.started_at for c in claims if c is not None), default=0.0))
             found[id] = Machine(id, zones[info.zone], self._cores(info), True, life, is_counted=id in live)
         return found
 
@@ -437,7 +437,9 @@
                     (state.value for state in EngineState),
                     (e.engine.state.value for e in self.engines.endpoints.values()),
                 ),
-                tally(names_of(Status), (m["status"] for m in view["members"])) if "members" in view else {},
+                tally(names_of(MemberStatus), (m["status"] for m in view["members"]))
+                if "members" in view
+                else {},
                 tally(names_of(OutageVerdict), (view["recovery"]["verdict"],)) if "recovery" in view else {},
                 tally(names_of(ReplacementStep), (m["step"] for m in view["swap"]["machines"]))
                 if "swap" in view
@@ -454,8 +456,8 @@
             self.log.note("engines_remembered", engines=len(known) - len(self.installation.known))
         if not known:
             return
-        for action in self.engine_catalog.seed_known(now, known):
-            if isinstance(action, Publish):
+        for action in self.engine_catalog.set_initial(now, known):
+            if isinstance(action, PublishChange):
                 self.on_engine_list(action.change)
 
     def _watch(self, watched: Watched) -> None:
@@ -486,12 +488,12 @@
     def _report_silence(self) -> None:
         """Danger: a dispatcher that knows nobody refuses everything, and nobody would know why."""
         for name, view in self.engine_catalog.views.items():
-            if view.answers == 0:
+            if view.answer_count == 0:
                 self.log.note(
                     "source_unheard",
                     source=name,
                     after_s=FIRST_ANSWER_S,
-                    engines_known=len(self.engine_catalog.standing),
+                    engines_known=len(self.engine_catalog.published),
                 )
 
     def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
@@ -546,7 +548,7 @@
                 self._watch(kept)  # its first answer is a whole list, compared with all that is claimed
         now = self.event_loop.clock.now()
         for action in self.engine_catalog.reload(now, new.sources):
-            if isinstance(action, Publish):
+            if isinstance(action, PublishChange):
                 self.on_engine_list(action.change)
         for watched in new.watched:
             if watched.settings.name not in self.watches:
