--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -20,11 +20,11 @@
 from cottonhold.discovery.model import Address, EngineListChange, Event, PublishChange
 from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.fleet.coordinator import FleetCoordinator
-from cottonhold.fleet.engine_drain import DrainSettings, Kept
+from cottonhold.fleet.engine_drain import DrainRecords, DrainSettings
 from cottonhold.fleet.recovery.cached_engines import EngineCache
 from cottonhold.fleet.recovery.survey_results import OutageVerdict
-from cottonhold.fleet.rolling_replacement.plan import Machine, Step
-from cottonhold.fleet_adapters.engine_drain import DrainRim
+from cottonhold.fleet.rolling_replacement.plan import Machine, ReplacementStep
+from cottonhold.fleet_adapters.engine_drain import EngineDrainAdapter
 from cottonhold.fleet_adapters.ledger_opener import Opening
 from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
 from cottonhold.fleet_adapters.membership import MembershipRim, make_instance
@@ -35,7 +35,7 @@
     open_ledger,
     unavailable_guard,
 )
-from cottonhold.fleet_adapters.rolling_replacement import SwapError, SwapRim
+from cottonhold.fleet_adapters.rolling_replacement import ReplacementCallError, RollingReplacementAdapter
 from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter, make_coordinator
 from cottonhold.membership.codec import MemberStatus
@@ -85,7 +85,7 @@
         self.membership: MembershipRim | None = None
         self.fleet: ZoneFailoverAdapter | None = None
         self.recovery: RecoveryAdapter | None = None
-        self.swap: SwapRim | None = None
+        self.swap: RollingReplacementAdapter | None = None
         self.pins: SessionAffinityAdapter | None = None
         self.remembered: EngineCache | None = None
         self.began = self.event_loop.clock.now()
@@ -123,16 +123,16 @@
     def _hold_drained(self, folder: Mapping[bytes, bytes]) -> None:
         """Engines drained in a life before, by a folder that could be read: held until its ledger holds them,
         or for as long as they would be without the registers."""
-        engines = Kept(folder).before
+        engines = DrainRecords(folder).from_previous_start
 
         def let_go() -> None:
-            kept = self.swap.drains.kept.engines if self.swap is not None else set[str]()
+            kept = self.swap.drains.drain_records.engines if self.swap is not None else set[str]()
             for engine in sorted(engines - kept):
                 self.republish(self.held.release(engine))
 
         for engine in sorted(engines):
             self.republish(self.held.hold(engine))
-        self.event_loop.clock.call_in(DrainSettings().wait, let_go)
+        self.event_loop.clock.call_in(DrainSettings().startup_timeout_ms, let_go)
 
     def _do_without(self) -> None:
         """Refuse loads, and see again whether the folder can be had."""
@@ -177,11 +177,11 @@
             self.counters.add("recovery_malformed", self.remembered.malformed)
         if membership is not None and fleet is not None and file.membership and file.membership.voters:
             hop, voters = self.event_loop.loop.call_soon_threadsafe, file.membership.voters
-            drains = DrainRim(self, ledger, membership, fleet.coordinator, voters, hop)
+            drains = EngineDrainAdapter(self, ledger, membership, fleet.coordinator, voters, hop)
             # Danger: a load went to an engine that was about to be powered off, before its drain was read of.
             # What may be repeated goes out at once: after a power loss it waited up to 5 s for a majority.
-            self.recovery.has_other_prerequisites = lambda: drains.knows() and self._listed()
-            self.swap = SwapRim(
+            self.recovery.has_other_prerequisites = lambda: drains.may_send_loads() and self._listed()
+            self.swap = RollingReplacementAdapter(
                 self.installation,
                 ledger,
                 membership.instance.swim,
@@ -213,7 +213,7 @@
         membership: MembershipRim,
         fleet: FleetCoordinator,
         recovery: RecoveryAdapter,
-        swap: SwapRim,
+        swap: RollingReplacementAdapter,
     ) -> None:
         """Loads with a key begin where that is owned."""
         self.pins = SessionAffinityAdapter(
@@ -351,7 +351,7 @@
         for id, info in self.held.listed.items():
             claims = (view.claims.get(id) for view in self.engine_catalog.views.values())
             life = int(max((c.observation.started_at for c in claims if c is not None), default=0.0))
-            found[id] = Machine(id, zones[info.zone], self._cores(info), True, life, counted=id in live)
+            found[id] = Machine(id, zones[info.zone], self._cores(info), True, life, is_counted=id in live)
         return found
 
     def on_other_datagram(self, data: bytes, sender: Address) -> bool:
@@ -408,7 +408,7 @@
                 return {"error": "a swap needs state_dir, section 'fleet' and membership.voters"}
             try:
                 return view | self.swap.call(call)
-            except SwapError as error:
+            except ReplacementCallError as error:
                 return {"error": str(error)}
         if call.get("call") == "metrics":
             if self.metrics is None:
@@ -441,7 +441,7 @@
                 if "members" in view
                 else {},
                 tally(names_of(OutageVerdict), (view["recovery"]["verdict"],)) if "recovery" in view else {},
-                tally(names_of(Step), (m["step"] for m in view["swap"]["machines"]))
+                tally(names_of(ReplacementStep), (m["step"] for m in view["swap"]["machines"]))
                 if "swap" in view
                 else {},
             )
