--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -26,8 +26,8 @@
     encode_request,
     encode_rows,
 )
-from cottonhold.fleet.rolling_replacement.plan import Record as Swapped
-from cottonhold.fleet.rolling_replacement.plan import Step, ident
+from cottonhold.fleet.rolling_replacement.plan import MachineRecord as Swapped
+from cottonhold.fleet.rolling_replacement.plan import ReplacementStep, machine_id
 from cottonhold.fleet.session_affinity import membership_table, messages
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet.session_affinity.record_book import HANDOVER_STEPS_MS
@@ -39,7 +39,7 @@
 )
 from cottonhold.fleet_adapters.keyed_loads import WAIT_STEPS_MS, KeyedLoadGuard, OriginRound
 from cottonhold.fleet_adapters.recovery_folder import incarnation_of
-from cottonhold.fleet_adapters.rolling_replacement import SwapRim
+from cottonhold.fleet_adapters.rolling_replacement import RollingReplacementAdapter
 from cottonhold.frontend.query_service import DuplicateRequestIdError
 from cottonhold.membership.swim import Swim
 from cottonhold.node.client_request import ClientRequest, OpenRequest
@@ -53,11 +53,11 @@
 MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 2.0, 20.0
 REQUEST_FORWARDING = 79  # first byte of its messages
 WRITE_RETRY_MS = 500.0
-LEAVING_STEPS = (Step.MOVING, Step.DRAINING, Step.OUT)
+LEAVING_STEPS = (ReplacementStep.MOVING, ReplacementStep.DRAINING, ReplacementStep.OUT)
 DEPARTURE_BY_STEP = {
-    Step.MOVING: DepartureState.MOVING_KEYS,
-    Step.DRAINING: DepartureState.DRAINING,
-    Step.OUT: DepartureState.OUT,
+    ReplacementStep.MOVING: DepartureState.MOVING_KEYS,
+    ReplacementStep.DRAINING: DepartureState.DRAINING,
+    ReplacementStep.OUT: DepartureState.OUT,
 }
 
 
@@ -96,7 +96,7 @@
         swim: Swim,
         fleet: FleetCoordinator,
         census: MembershipSurvey,
-        swap: SwapRim,
+        swap: RollingReplacementAdapter,
         loads: LoadGuard,
         gateway: Gateway,
         clock: Clock,
@@ -106,7 +106,7 @@
         note: Callable[..., None],
     ) -> None:
         now = clock.now()
-        self.ledger, self.swim, self.fleet, self.census, self.swap = ledger, swim, fleet, census, swap
+        self.ledger, self.swim, self.fleet, self.census, self.replacement = ledger, swim, fleet, census, swap
         self.gateway, self.clock, self.hop, self.send = gateway, clock, hop, say
         self.counters, self.log, self.name = counters, note, installation.file.name
         self.zones_by_number = installation.file.peers.zones if installation.file.peers is not None else ()
@@ -122,7 +122,7 @@
         self.next_write_retry_at = 0.0
         self.timer: Timer | None = None
         self.timer_at = 0.0
-        swap.pins = self
+        swap.key_mover = self
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -180,19 +180,21 @@
     def forward(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
         """Forward a request to the owner of its key."""
         self.counters.add("pins_handed_on")
-        words = (
-            taken.request_id,
-            taken.class_name,
-            taken.ordering_key or "",
-            taken.estimated_work_ms,
-            taken.estimated_memory_mb,
-            taken.table_group,
-        )
         tenants = self.gateway.settings.tenants
-        tenant = tenants[taken.tenant].name if taken.tenant < len(tenants) else ""
-        body = encode_request(
-            ForwardedRequest(*words, taken.is_retry, taken.body, number, tenant, taken.idempotency_key or "")
+        forwarded = ForwardedRequest(
+            request_id=taken.request_id,
+            class_name=taken.class_name,
+            ordering_key=taken.ordering_key or "",
+            estimated_work_ms=taken.estimated_work_ms,
+            estimated_memory_mb=taken.estimated_memory_mb,
+            tables=taken.table_group,
+            is_retry=taken.is_retry,
+            body=taken.body,
+            round=number,
+            tenant=tenants[taken.tenant].name if taken.tenant < len(tenants) else "",
+            idempotency_key=taken.idempotency_key or "",
         )
+        body = encode_request(forwarded)
         now = self.clock.now()
         actions = self.forwarder.forward(now, taken.request_id, owner, body, until, queue_key=key)
         # A result that is there at once must reach the guard only after it has recorded the forwarding.
@@ -290,7 +292,7 @@
         """Return how much is left here before this machine may be taken out."""
         # By the newest step of the replacement: at its own last step this part may have seen an earlier one.
         return self.service.remaining_count(
-            self.clock.now(), self._departure(self.swap.swap.scene.chain.get(self.name))
+            self.clock.now(), self._departure(self.replacement.coordinator.view.records.get(self.name))
         )
 
     def remaining_elsewhere(self) -> dict[str, int | None]:
@@ -299,8 +301,10 @@
         Nothing is left at one that is not in the table; of the others it is not known here.
         """
         inside, known = self.service.table.member_list.members, self.service.table.is_known
-        others = {n for n, r in self.swap.swap.scene.chain.items() if r.step in LEAVING_STEPS} - {self.name}
-        return {name: 0 if known and ident(name) not in inside else None for name in others}
+        others = {
+            n for n, r in self.replacement.coordinator.view.records.items() if r.step in LEAVING_STEPS
+        } - {self.name}
+        return {name: 0 if known and machine_id(name) not in inside else None for name in others}
 
     def move_keys(self, max_keys: int) -> None:
         """Move at most so many keys to others."""
@@ -310,8 +314,8 @@
 
     def _target_capacities(self) -> dict[int, float]:
         """Return the capacity of each member that may take keys: by what is left in its zone, else even."""
-        chain = self.swap.swap.scene.chain
-        going = {ident(name) for name, record in chain.items() if record.step in LEAVING_STEPS}
+        chain = self.replacement.coordinator.view.records
+        going = {machine_id(name) for name, record in chain.items() if record.step in LEAVING_STEPS}
         there = [m for m in self.swim.live_members() if m != self.swim.id and m not in going]
         outlook = self.fleet.failover_cost
         left = outlook.plan.free_cores if outlook is not None and outlook.plan is not None else {}
@@ -350,8 +354,10 @@
         self._schedule_step(min(self.service.next_at(now), self.forwarder.next_at()) - now)
 
     def _surroundings(self) -> Surroundings:
-        chain = self.swap.swap.scene.chain
-        out = frozenset(ident(name) for name, record in chain.items() if record.step is Step.OUT)
+        chain = self.replacement.coordinator.view.records
+        out = frozenset(
+            machine_id(name) for name, record in chain.items() if record.step is ReplacementStep.OUT
+        )
         return Surroundings(
             self._folder_is_current(),
             self._departure(chain.get(self.name)),
@@ -397,7 +403,7 @@
                 case PersistState(name, data, then):
                     self._persist(name, data, then)
                 case ChangeRegister() | ReadRegister():
-                    self.swap.ask(action)
+                    self.replacement.use_register(action)
 
     def _persist(self, name: str, data: bytes, token: int) -> None:
         self.last_tokens[name] = token
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -48,7 +48,7 @@
 EVENT_STREAM_ONLY = ((SOURCE, SourceGuard(is_trusted=True)),)
 
 
-class Logs(Protocol):
+class OperatorLog(Protocol):
     """Where lines for the operators go."""
 
     def say(self, text: str) -> None:
@@ -66,7 +66,7 @@
         config: Config,
         counters: Counters,
         loop: asyncio.AbstractEventLoop,
-        log: Logs,
+        log: OperatorLog,
         sources: Sequence[tuple[str, SourceGuard]] = EVENT_STREAM_ONLY,
         make_socket: MakeSocket = socket.socket,
     ) -> None:
@@ -96,20 +96,23 @@
         self.gateway.send_to_peer = self.send_to_peer
         self.engine_catalog = EngineCatalog(sources, config.seed, clock.unix_offset)
         self.catalog_timer: Timer | None = None
-        host = config.event_stream.host if config.event_stream else ""
-        self.event_stream = EventStream(
-            host,
+        self.event_stream = self._new_event_stream()
+        self.shutdown_requested, self.is_serving = asyncio.Event(), False
+        self.event_stream_task: asyncio.Task[None] | None = None
+
+    def _new_event_stream(self) -> EventStream:
+        config = self.config
+        event_stream = EventStream(
+            config.event_stream.host if config.event_stream else "",
             config.event_offset,
             config.names,
-            counters,
+            self.counters,
             lambda report: self.on_discovery_events([report]),
-            say,
-        )
-        self.event_stream.on_complete_answer = lambda: self.engine_catalog.on_complete_answer(
-            clock.now(), SOURCE
+            self.log.say,
         )
-        self.shutdown_requested, self.is_serving = asyncio.Event(), False
-        self.event_stream_task: asyncio.Task[None] | None = None
+        clock = self.event_loop.clock
+        event_stream.on_complete_answer = lambda: self.engine_catalog.on_complete_answer(clock.now(), SOURCE)
+        return event_stream
 
     def send_to_peer(self, message: SendToPeer) -> None:
         """Send a message to a peer."""
@@ -163,19 +166,19 @@
     def update_siblings(self) -> None:
         """Publish what this process holds to its siblings, and keep within what they leave."""
         others = self.sibling_processes.others()
-        held = ProcessRecord(
+        own_record = ProcessRecord(
             self.sibling_processes.record.start_number,
             len(self.sessions.sessions),
             self.engines.open_connections,
             self.is_serving,
         )
-        self.sibling_processes.publish(held)
-        left = self.descriptor_quotas.remaining_beside(others)
-        self.sessions.max_sessions, self.engines.max_connections = left.clients, left.engines
+        self.sibling_processes.publish(own_record)
+        quotas = self.descriptor_quotas.remaining_beside(others)
+        self.sessions.max_sessions, self.engines.max_connections = quotas.clients, quotas.engines
         if len(others) != self.sibling_count:
             self.sibling_count = len(others)
             self.apply_settings()
-            self.log.note("beside", others=self.sibling_count, clients=left.clients, engines=left.engines)
+            self.log.note("beside", others=self.sibling_count, clients=quotas.clients, engines=quotas.engines)
         self.event_loop.clock.call_in(SIBLINGS_INTERVAL_MS, self.update_siblings)
 
     def apply_settings(self) -> None:
@@ -293,13 +296,10 @@
             self.log.say(f"reload: the configuration stays as it is: {error}")
             return
         self.counters.add("reloads")
-        was, now = ({cls.name for cls in c.settings.classes} for c in (self.config, config))
-        self.log.note("reloaded", classes=len(now), added=",".join(now - was), dropped=",".join(was - now))
+        self._log_reload(config)
         self.config = config
-        self.engines.settings, self.event_loop.connector.timeout_s = (
-            config.connections,
-            config.connections.connect_timeout_ms / 1000,
-        )
+        self.engines.settings = config.connections
+        self.event_loop.connector.timeout_s = config.connections.connect_timeout_ms / 1000
         self.apply_settings()
         if config.event_stream is None:
             return
@@ -310,6 +310,13 @@
                 self.event_loop.event_stream.follow(self.event_stream, config.event_stream)
             )
 
+    def _log_reload(self, config: Config) -> None:
+        """Log which classes the new configuration adds and drops."""
+        before = {cls.name for cls in self.config.settings.classes}
+        after = {cls.name for cls in config.settings.classes}
+        added, dropped = ",".join(after - before), ",".join(before - after)
+        self.log.note("reloaded", classes=len(after), added=added, dropped=dropped)
+
     def begin_shutdown(self) -> None:
         """Shut down: from now on, not from when the loop comes to it."""
         max_deadline_ms = max(cls.deadline_ms for cls in self.gateway.settings.classes)
--- a/tests/frontend/test_client_departure.py
+++ b/tests/frontend/test_client_departure.py
@@ -56,7 +56,7 @@
     assert not scheduler.queries and not scheduler.key_queues.queries_by_key and not scheduler.unplaced
     assert not [q for e in scheduler.engines.values() for q in (*e.in_flight.values(), *e.plan)]
     assert scheduler.in_flight.threads == 0
-    assert not [a for line in world.lines for a in line.connection.attempts]
+    assert not [a for line in world.engine_streams for a in line.connection.attempts]
 
 
 # CLASS is the class of the request and LEAVES what its client does.
