--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -25,7 +25,7 @@
 from cottonhold.fleet.rolling_replacement.coordinator import ReplacementCoordinator
 from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, MachineRecord, ReplacementStep
 from cottonhold.fleet_adapters.membership import MembershipRim
-from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, incarnation_of
+from cottonhold.fleet_adapters.recovery_folder import INCARNATION_BASE, INCARNATIONS_PER_BOOT, incarnation_of
 from cottonhold.fleet_adapters.write_queue import InOrder
 from cottonhold.membership.codec import member_id
 from cottonhold.node.dispatcher import OperatorLog
@@ -194,4 +194,4 @@
 
 def _life(incarnation: int) -> int:
     """Return the least incarnation of a member's reports, by the boot that its incarnation began with."""
-    return LIFE_BASE + incarnation // BOOT_STEP & 0xFFFFFFFF
+    return INCARNATION_BASE + incarnation // INCARNATIONS_PER_BOOT & 0xFFFFFFFF
