--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -228,6 +228,9 @@
 
     def _sum_reported(self, now: float) -> None:
         """Sum what the peers reported, without reports that have expired."""
+        if not self.reported_by_peer:
+            self.peer_total = ReportedLoad(now, 0, 0.0, 0.0)
+            return
         self.reported_by_peer = {
             peer: load for peer, load in self.reported_by_peer.items() if load.expires_at > now
         }
