--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -6,7 +6,6 @@
 import zlib
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import NamedTuple
 
 from cottonhold.scheduler.events import Engine
 from cottonhold.scheduler.in_flight import InFlightByDensity
@@ -27,14 +26,12 @@
     HEALTH_CHECK_TIMEOUT = "deaf"
 
 
-class RemainingWork(NamedTuple):
+@dataclass(slots=True)
+class RemainingWork:
     """What is expected to remain of runs in flight."""
 
-    thread_ms: float
-    memory_mb_ms: float
-
-
-NOTHING_REMAINS = RemainingWork(0.0, 0.0)
+    thread_ms: float = 0.0
+    memory_mb_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
@@ -178,10 +175,10 @@
         if now - self.remaining_counted_at >= COUNT_INTERVAL_MS:
             self._count_remaining(now, min_share)
         thread_ms = memory_mb_ms = 0.0
-        for other_density, (other_thread_ms, other_memory_mb_ms) in self.remaining_by_density.items():
+        for other_density, remaining in self.remaining_by_density.items():
             weight = 1.0 if density <= margin * other_density else outranked_weight
-            thread_ms += other_thread_ms * weight
-            memory_mb_ms += other_memory_mb_ms * weight
+            thread_ms += remaining.thread_ms * weight
+            memory_mb_ms += remaining.memory_mb_ms * weight
         return max(thread_ms / self.own_thread_capacity, memory_mb_ms / self.own_memory_capacity_mb)
 
     def _count_remaining(self, now: float, min_share: float) -> None:
@@ -198,10 +195,12 @@
 
     def _add_remaining(self, query: Query, share: float) -> None:
         """Count a share of a query's run as remaining; a negative one takes it back."""
-        thread_ms, memory_mb_ms = self.remaining_by_density.get(query.density, NOTHING_REMAINS)
-        thread_ms = max(thread_ms + query.planned_thread_ms * share, 0.0)
-        memory_mb_ms = max(memory_mb_ms + query.planned_run_ms * query.planned_memory_mb * share, 0.0)
-        self.remaining_by_density[query.density] = RemainingWork(thread_ms, memory_mb_ms)
+        remaining = self.remaining_by_density.get(query.density)
+        if remaining is None:
+            remaining = self.remaining_by_density[query.density] = RemainingWork()
+        memory_mb_ms = query.planned_run_ms * query.planned_memory_mb
+        remaining.thread_ms = max(remaining.thread_ms + query.planned_thread_ms * share, 0.0)
+        remaining.memory_mb_ms = max(remaining.memory_mb_ms + memory_mb_ms * share, 0.0)
 
     def apply_peer_load(self, peer: int, load: ReportedLoad | None, expires_at: float) -> None:
         """Take over what a peer has here, or that it has nothing; forgotten unless reported again in time."""
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -50,13 +50,6 @@
     run_ms: float
 
 
-class Option(NamedTuple):
-    """An engine that a query may be queued for."""
-
-    plan: TentativePlan
-    engine: EngineView
-
-
 def tentative_plan(gateway: GatewayState, query: Query, engine: EngineView) -> TentativePlan:
     """What would become of a query on an engine, at the densest position that it may take there."""
     work_ms = query.planned_work_ms * (1 + query.class_history.run_time_error)
@@ -230,16 +223,16 @@
     if engine is not None:
         _enqueue(gateway, query, engine, tentative_plan(gateway, query, engine)._replace(offset=0))
         return
-    options = [
-        Option(tentative_plan(gateway, query, engine), engine)
-        for engine in candidate_engines(gateway, query, count)
-    ]
-    if not options:
+    best_plan, best_engine = None, None
+    for engine in candidate_engines(gateway, query, count):
+        plan = tentative_plan(gateway, query, engine)
+        if best_plan is None or plan.finish_at < best_plan.finish_at:
+            best_plan, best_engine = plan, engine
+    if best_plan is None or best_engine is None:
         query.engine = None
         gateway.unplaced[query.id] = query
         return
-    chosen = min(options, key=lambda option: option.plan.finish_at)
-    _enqueue(gateway, query, chosen.engine, chosen.plan)
+    _enqueue(gateway, query, best_engine, best_plan)
 
 
 def _enqueue(gateway: GatewayState, query: Query, engine: EngineView, plan: TentativePlan) -> None:
