--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -12,7 +12,7 @@
 
 from cottonhold.backend.attempt import Attempt
 from cottonhold.backend.connection_pool import EngineConnections
-from cottonhold.discovery.model import Change
+from cottonhold.discovery.model import EngineListChange
 from cottonhold.frontend.query_comment import Statement
 from cottonhold.frontend.query_service import DuplicateRequestIdError, ResponseSink
 from cottonhold.node.client_request import ClientRequest, OpenRequest, RequestDecoder
@@ -114,10 +114,10 @@
             self.is_step_scheduled = True
             self.clock.call_soon(self._step)
 
-    def on_engine_list(self, change: Change) -> None:
+    def on_engine_list(self, change: EngineListChange) -> None:
         """The engine list has changed."""
         self.engines.apply(change)
-        self.push(EngineList(change.engines, change.whole))
+        self.push(EngineList(change.engines, change.is_complete))
 
     def submit(self, statement: Statement, arrived_at: float, sink: ResponseSink) -> Callable[[], None]:
         """Accept a client's statement; returns what to call when the client disconnects.
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -28,7 +28,7 @@
 from cottonhold.fleet.rolling_replacement.plan import Step
 from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
-from cottonhold.membership.codec import Status
+from cottonhold.membership.codec import MemberStatus
 from cottonhold.node.lifecycle import Phase
 from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.observe.counters import Counters
@@ -97,7 +97,7 @@
         "loads": [p.value for p in LoadOutcome],
         "disk": [s.value for s in DiskState],
         "census": [v.value for v in OutageVerdict],
-        "members": [s.name.lower() for s in Status],
+        "members": [s.name.lower() for s in MemberStatus],
         "zones": [p.value for p in ZonePhase],
         "engines": [s.value for s in EngineState],
         "swap": [s.name.lower() for s in Step],
@@ -118,7 +118,7 @@
         {"attempts_ok": 3, "members_alive": 2},
         4,
         tally([state.value for state in EngineState], ["live"]),
-        tally(names_of(Status), ["alive"]),
+        tally(names_of(MemberStatus), ["alive"]),
         tally(names_of(OutageVerdict), [next(iter(OutageVerdict)).value]),
         tally(names_of(Step), ["out"]),
     )
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -14,7 +14,7 @@
 from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.backend.resp import RespReader, encode
 from cottonhold.config.relay import ConnectionSettings
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.frontend.client_sessions import ClientSessions
 from cottonhold.frontend.mysql_packets import EOF
 from cottonhold.node.gateway import Gateway
@@ -47,7 +47,7 @@
         self.clients: list[socket.socket] = []
         self.engine: socket.socket | None = None
         engine = Engine("a")
-        self.gateway.on_engine_list(Change((engine,), {"a": Address("a", 1)}, True))
+        self.gateway.on_engine_list(EngineListChange((engine,), {"a": Address("a", 1)}, True))
 
     def connect(self, address: Address, connection: Connection) -> Stream:
         self.connecting.append(connection)
