--- a/cottonhold/transport/io_context.py
+++ b/cottonhold/transport/io_context.py
@@ -11,7 +11,7 @@
 from cottonhold.transport.clock import LoopClock
 from cottonhold.transport.socket_factory import RESOURCE_ERRORS, MakeSocket
 
-# What one read discards of a client that was told to go and still sends; all reads share the buffer.
+# What one read discards of a client whose connection is being closed and who still sends; all reads share it.
 READ_BUFFER_BYTES = 256 * 1024
 RESOURCE_RETRY_S = 0.02  # before a call is made again for which the system lacked a resource
 
--- a/cottonhold/transport/socket_factory.py
+++ b/cottonhold/transport/socket_factory.py
@@ -1,4 +1,4 @@
-"""Where the driver's sockets come from: the one place at which a test puts sockets that fail by script.
+"""How sockets are made, so that a test can put in ones that fail by script; and the errors to expect of them.
 
 The loop's own socket calls go through the methods of the socket that they are given. So a subclass of
 `socket.socket` sees each call on it, and on what it accepts, and a plain one costs nothing more.
@@ -12,7 +12,7 @@
 
 MakeSocket = Callable[[socket.AddressFamily, socket.SocketKind], socket.socket]
 
-# accept(2) tells what befell one connection in the queue; the next call may serve the one behind it.
+# Errors of accept(2) that concern one connection in the queue; the next call may serve the one behind it.
 CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -31,6 +31,6 @@
     }
 )
 
-# What the system lacks for a moment, as a descriptor or memory: the call did nothing, a later one may.
+# The system lacks a resource, as descriptors or memory: the call did nothing, a later one may succeed.
 RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 CONNECT_RESOURCE_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL}  # this machine's own ports
