--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -26,7 +26,7 @@
 from cottonhold.backend.health_checker import HealthChecker
 from cottonhold.backend.resp import decode_count, decode_rows
 from cottonhold.config.relay import ConnectionSettings
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import AttemptEnded, Engine, EngineState, Outcome
 from cottonhold.transport.clock import Clock
@@ -83,7 +83,7 @@
         )
         clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
 
-    def apply(self, change: Change) -> None:
+    def apply(self, change: EngineListChange) -> None:
         """Apply a change of the engine list; what waits for an engine that has left ends at once."""
         for engine in change.engines:
             endpoint = self.endpoints.get(engine.id)
@@ -96,7 +96,7 @@
                 self._on_restarted(endpoint, engine.started_at)
             endpoint.engine, endpoint.address = engine, address
             self._close_if_leaving(endpoint)
-        if change.whole:
+        if change.is_complete:
             listed = {engine.id for engine in change.engines}
             for name in [name for name in self.endpoints if name not in listed]:
                 endpoint = self.endpoints[name]
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -280,7 +280,7 @@
 
     def _step(self) -> None:
         now = self.clock.now()
-        self.survey.set_members(now, self.swim.live() if self.swim is not None else ())
+        self.survey.set_members(now, self.swim.live_members() if self.swim is not None else ())
         if self.history.has_pending:
             self.survey.expedite(now)
         self._carry_out(self.survey.step(now))
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -18,7 +18,7 @@
 from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.backend.resp import RespReader, encode_array
 from cottonhold.config.relay import ConnectionSettings
-from cottonhold.discovery.model import Address, Change
+from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.frontend.client_sessions import ClientSessions
 from cottonhold.frontend.mysql_session import Session
 from cottonhold.node.descriptors import DescriptorQuotas
@@ -208,7 +208,9 @@
 
     def change(self, names: list[str], state: str, whole: bool = False) -> None:
         infos = tuple(Engine(name, state=EngineState(state)) for name in names)
-        self.gateway.on_engine_list(Change(infos, {name: Address(name, 1) for name in names}, whole))
+        self.gateway.on_engine_list(
+            EngineListChange(infos, {name: Address(name, 1) for name in names}, whole)
+        )
 
     def settle(self) -> None:
         for line in self.engine_streams:
