--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -14,9 +14,9 @@
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.coordinator import Swap
 from cottonhold.fleet.rolling_replacement.plan import Flag, Machine, Record, Step
-from cottonhold.fleet_adapters.membership import MembershipRim
+from cottonhold.fleet_adapters.membership import MembershipAdapter
 from cottonhold.fleet_adapters.recovery import BOOT_STEP, LIFE_BASE, incarnation_of
-from cottonhold.fleet_adapters.write_queue import InOrder
+from cottonhold.fleet_adapters.write_queue import OrderedWriteQueue
 from cottonhold.membership.codec import member_id
 from cottonhold.node.dispatcher import Logs
 from cottonhold.observe.counters import Counters
@@ -46,13 +46,13 @@
         self,
         owner: Listed,
         ledger: Ledger,
-        membership: MembershipRim,
+        membership: MembershipAdapter,
         fleet: FleetCoordinator,
         voters: Iterable[str],
         hop: Callable[[Callable[[], None]], object],
     ) -> None:
         self.owner, self.ledger, self.membership, self.fleet = owner, ledger, membership, fleet
-        self.records = InOrder(ledger, hop, membership.clock.call_in)
+        self.records = OrderedWriteQueue(ledger, hop, membership.clock.call_in)
         self.swim, self.clock = membership.instance.swim, membership.clock
         swim, self.voters = self.swim, {member_id(name) for name in voters}
         now, settings = self.clock.now(), DrainSettings()
@@ -116,7 +116,7 @@
         for action in drains.step(now, swap.scene.chain):
             match action:
                 case Tell(member, data):
-                    self.membership.say(member, data)
+                    self.membership.send_payload(member, data)
                 case Knock(engine):
                     if not self.owner.engines.check_liveness(engine, self._probed(engine)):
                         drains.probed(engine, False)
--- a/cottonhold/fleet_adapters/ledger_opener.py
+++ b/cottonhold/fleet_adapters/ledger_opener.py
@@ -1,4 +1,4 @@
-"""A ledger that is opened in a thread of its own: a disk that hangs holds up nothing but this."""
+"""Opens a ledger in a thread of its own, so that a disk that hangs holds up nothing else."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from cottonhold.store.ledger import Ledger
 
 
-class Opening:
-    """One try. `ledger` or `error` is there once it is `over`."""
+class LedgerOpening:
+    """One attempt. `ledger` or `error` is set once it `is_over`."""
 
-    def __init__(self, open_it: Callable[[], Ledger | None]) -> None:
-        self.open_it = open_it
+    def __init__(self, open_ledger: Callable[[], Ledger | None]) -> None:
+        self.open_ledger = open_ledger
         self.ledger: Ledger | None = None
         self.error: StoreError | None = None
-        self._over, self._began = threading.Event(), time.monotonic()
-        # Danger: opened on the event loop, a folder on a disk that hangs stopped all service, not only loads.
+        self._over, self._started_at_s = threading.Event(), time.monotonic()
+        # Not on the event loop: there a disk that hangs would stop all service and not only loads.
         threading.Thread(target=self._run, name="opening", daemon=True).start()
 
     @property
-    def over(self) -> bool:
-        """It has succeeded or failed."""
+    def is_over(self) -> bool:
+        """Whether it has succeeded or failed."""
         return self._over.is_set()
 
-    def waits(self, seconds: float) -> bool:
-        """It isn't over, and was begun so long ago."""
-        return not self.over and time.monotonic() - self._began >= seconds
+    def is_slow(self, seconds: float) -> bool:
+        """Whether it isn't over after so long."""
+        return not self.is_over and time.monotonic() - self._started_at_s >= seconds
 
     def wait(self, seconds: float) -> None:
-        """Until it is over, for so long at most."""
+        """Wait until it is over, for so long at most."""
         self._over.wait(seconds)
 
     def _run(self) -> None:
         try:
-            self.ledger = self.open_it()
+            self.ledger = self.open_ledger()
         except StoreError as error:
             self.error = error
-        except Exception as error:  # what is in a folder never keeps a dispatcher from serving
+        except Exception as error:  # the content of a folder never keeps a dispatcher from serving
             self.error = StoreError(f"{type(error).__name__}: {error}", Completeness.UNKNOWN, {})
         finally:
             self._over.set()
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -1,4 +1,4 @@
-"""The rim of membership: datagrams, timers, and the first duties. Decides nothing."""
+"""Carries out membership: datagrams, timers, and the duties of probing and reporting. Decides nothing."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 from cottonhold.transport.clock import Clock, Timer
 
 PROBE, REPORT, FLEET = "probe", "report", "fleet"
-UNKNOWN = 0xFFFFFFFF  # a detail that tells no load
-SCALE = 0xFFFE
+NO_REPORT = 0xFFFFFFFF  # a detail without a load report
+MAX_SCALED = 0xFFFE
 
 
-def pack_report(report: dict[str, float]) -> int:
-    """A probe's load report in 32 bits: queries there, and the share of cores busy."""
+def encode_load_report(report: dict[str, float]) -> int:
+    """A probe's load report in 32 bits: queries in flight, and the share of cores that is busy."""
     inflight, util = report.get("inflight"), report.get("util")
     if inflight is None or util is None:
-        return UNKNOWN
-    return (min(max(int(inflight), 0), SCALE) << 16) | round(min(max(util, 0.0), 1.0) * SCALE)
+        return NO_REPORT
+    return (min(max(int(inflight), 0), MAX_SCALED) << 16) | round(min(max(util, 0.0), 1.0) * MAX_SCALED)
 
 
-def unpack_report(detail: int) -> dict[str, float]:
-    """The load report of another's probe; empty where it told none."""
-    if detail == UNKNOWN:
+def decode_load_report(detail: int) -> dict[str, float]:
+    """The load report of another instance's probe; empty where there was none."""
+    if detail == NO_REPORT:
         return {}
-    return {"inflight": float(detail >> 16), "util": (detail & 0xFFFF) / SCALE}
+    return {"inflight": float(detail >> 16), "util": (detail & 0xFFFF) / MAX_SCALED}
 
 
 def make_instance(installation: Installation, now: float, incarnation: int) -> MembershipInstance:
@@ -46,14 +46,14 @@
     section = file.membership
     assert section is not None and config.peer_listen is not None
     settings = SwimSettings(probe_interval_ms=section.period_ms, ping_timeout_ms=section.timeout_ms)
-    # Danger: the wall clock may have gone back since the last life. The others tell of its incarnation, and
-    # that is passed; a life's terms, and what tells its datagrams from the last one's, are drawn.
-    life = secrets.randbits(32)
+    # The wall clock may have gone back since the last start: the others then report the higher incarnation,
+    # which is passed; terms, and what distinguishes this start's datagrams from the last one's, are drawn.
+    session = secrets.randbits(32)
     swim = Swim(
         file.name,
         installation.announce or config.peer_listen,
         settings,
-        config.seed ^ life,
+        config.seed ^ session,
         max(incarnation, 1),
         installation.keys,
         config.peers,
@@ -65,13 +65,13 @@
         voters,
         LeaseSettings(),
         now,
-        life & 0xFFFFFF,
+        session & 0xFFFFFF,
     )
     return MembershipInstance(swim, duties)
 
 
-class MembershipRim:
-    """Runs an instance: takes datagrams, keeps its timer, sends, and carries out its duties."""
+class MembershipAdapter:
+    """Runs a membership instance: takes datagrams in, keeps its timer, sends, and carries out its duties."""
 
     def __init__(
         self,
@@ -80,55 +80,56 @@
         counters: Counters,
         send: Callable[[bytes, Address], None],
         probe: Callable[[str], bool],
-        learned: Callable[[str, dict[str, float]], None],
-        note: Callable[..., None],
+        on_probe_result: Callable[[str, dict[str, float]], None],
+        log_event: Callable[..., None],
     ) -> None:
         self.instance, self.clock, self.counters = instance, clock, counters
-        self.send, self.probe, self.learned, self.note = send, probe, learned, note
-        self.told: Callable[[int, bytes], None] = lambda member, payload: None
-        self.joined: Callable[[], None] = lambda: None  # somebody is there who was not before
-        self.came: list[DatagramReceived] = []
+        self.send, self.probe, self.on_probe_result, self.log_event = send, probe, on_probe_result, log_event
+        self.on_fleet_message: Callable[[int, bytes], None] = lambda member, payload: None
+        self.on_joined: Callable[[], None] = lambda: None  # called when a member has become alive
+        self.received: list[DatagramReceived] = []
         self.timer: Timer | None = None
-        self.stepping = False
-        self.probing: dict[str, RunDuty] = {}
+        self.is_step_scheduled = False
+        self.runs_by_engine: dict[str, RunDuty] = {}
         self.runs: dict[str, int] = {}
 
     def start(self) -> None:
-        """Begin: the first step says hello."""
+        """Begin; the first step contacts the seeds."""
         now = self.clock.now()
         self._carry_out(self.instance.on_subjects(now, REPORT, [FLEET]))
         self._step()
 
-    def receive(self, data: bytes, sender: Address) -> bool:
-        """Whether a datagram is membership's; all of one turn of the loop go into one step."""
+    def on_datagram(self, data: bytes, sender: Address) -> bool:
+        """Take a datagram in; false if it isn't membership's. All of one turn of the event loop go into one
+        step."""
         if not data or data[0] != MAGIC:
             return False
-        self.came.append(DatagramReceived(data, sender))
-        if not self.stepping:
-            self.stepping = True
+        self.received.append(DatagramReceived(data, sender))
+        if not self.is_step_scheduled:
+            self.is_step_scheduled = True
             self.clock.call_soon(self._step)
         return True
 
-    def engines(self, ids: Iterable[str]) -> None:
-        """Exactly these engines are to be probed now."""
+    def set_engines(self, ids: Iterable[str]) -> None:
+        """Probe exactly these engines from now on."""
         self._carry_out(self.instance.on_subjects(self.clock.now(), PROBE, ids))
-        self._arm()
+        self._schedule_step()
 
-    def probed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
-        """A probe has ended. A good word is shared; a bad one may be this instance's own link, and isn't."""
-        run = self.probing.pop(engine, None)
+    def on_probe_ended(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
+        """A probe has ended. A success is announced; a failure may be this instance's own link, and isn't."""
+        run = self.runs_by_engine.pop(engine, None)
         if run is not None:
-            detail = pack_report(report) if outcome is Outcome.OK else None
+            detail = encode_load_report(report) if outcome is Outcome.OK else None
             self._carry_out(self.instance.on_run_ended(self.clock.now(), run, detail))
-            self._arm()
+            self._schedule_step()
 
-    def say(self, member: int, payload: bytes) -> None:
-        """Bytes of fleet/ to a member."""
+    def send_payload(self, member: int, payload: bytes) -> None:
+        """Send bytes of fleet/ to a member."""
         if (send := self.instance.swim.payload_to(payload, member)) is not None:
             self.send(send.data, send.address)
 
     def leave(self) -> None:
-        """Say good-bye."""
+        """Announce the end of this instance."""
         self._carry_out(self.instance.leave(self.clock.now()))
 
     def status(self) -> dict[str, Any]:
@@ -165,12 +166,12 @@
         }
 
     def _step(self) -> None:
-        self.stepping, came = False, self.came
-        self.came = []
-        self._carry_out(self.instance.step(self.clock.now(), came))
-        self._arm()
+        self.is_step_scheduled, received = False, self.received
+        self.received = []
+        self._carry_out(self.instance.step(self.clock.now(), received))
+        self._schedule_step()
 
-    def _arm(self) -> None:
+    def _schedule_step(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.clock.call_in(
@@ -184,20 +185,20 @@
                     self.send(data, address)
                 case MemberChanged(_, name, status, incarnation):
                     self.counters.add(f"members_{status.name.lower()}")
-                    self.note("member", name=name, status=status.name.lower(), incarnation=incarnation)
+                    self.log_event("member", name=name, status=status.name.lower(), incarnation=incarnation)
                     if status is MemberStatus.ALIVE:
-                        self.clock.call_soon(self.joined)
+                        self.clock.call_soon(self.on_joined)
                 case RunDuty():
-                    self._run(action)
+                    self._run_duty(action)
                 case StopDuty(_, subject, _):
-                    self.probing.pop(subject, None)
+                    self.runs_by_engine.pop(subject, None)
                 case FleetMessageReceived(member, payload):
-                    self.told(member, payload)
+                    self.on_fleet_message(member, payload)
                 case DutyDone(duty, subject, _, detail):
                     if duty == PROBE:
-                        self.learned(subject, unpack_report(detail))
+                        self.on_probe_result(subject, decode_load_report(detail))
 
-    def _run(self, run: RunDuty) -> None:
+    def _run_duty(self, run: RunDuty) -> None:
         self.runs[run.duty] = self.runs.get(run.duty, 0) + 1
         self.counters.add(f"duties_{run.duty}")
         now = self.clock.now()
@@ -205,11 +206,11 @@
             there = [
                 m.name for m in self.instance.swim.members_by_name() if m.id in self.instance.reported_members
             ]
-            self.note(
+            self.log_event(
                 "fleet", members=len(there) + 1, duties=len(self.instance.duties.tasks), runs=str(self.runs)
             )
             self._carry_out(self.instance.on_run_ended(now, run, 0))
         elif self.probe(run.subject):
-            self.probing[run.subject] = run
+            self.runs_by_engine[run.subject] = run
         else:
             self._carry_out(self.instance.on_run_ended(now, run, None))
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -48,7 +48,7 @@
     guarded_class_indices,
     recorded_loads,
 )
-from cottonhold.fleet_adapters.write_queue import AGAIN_MS
+from cottonhold.fleet_adapters.write_queue import RETRY_MS
 from cottonhold.membership.swim import Swim
 from cottonhold.observe.counters import Counters
 from cottonhold.store.health import Completeness
@@ -362,7 +362,7 @@
 
         # Danger: put once, a folder found to be an old one stayed whole on a disk that failed just then, and
         # after the next power loss said 'never' of what had been sent since.
-        self.clock.call_in(AGAIN_MS, again)
+        self.clock.call_in(RETRY_MS, again)
 
     def _live_on(self) -> None:
         """Words go on above those of the lives that the folder forgot."""
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -33,7 +33,7 @@
 from cottonhold.fleet.rolling_replacement.request_parsing import request_of
 from cottonhold.fleet.zone_failover.evacuation import Phase
 from cottonhold.fleet_adapters.engine_drain import DrainRim
-from cottonhold.fleet_adapters.write_queue import InOrder
+from cottonhold.fleet_adapters.write_queue import OrderedWriteQueue
 from cottonhold.membership.codec import member_id
 from cottonhold.membership.swim import Swim
 from cottonhold.node.lifecycle import Lifecycle
@@ -98,7 +98,7 @@
         file, now = installation.file, clock.now()
         assert file.membership is not None
         self.swim, self.fleet, self.census, self.lifecycle = swim, fleet, census, lifecycle
-        self.promises = InOrder(ledger, hop, clock.call_in)
+        self.promises = OrderedWriteQueue(ledger, hop, clock.call_in)
         self.clock, self.say, self.open_requests = clock, say, open_requests
         self.counters, self.note, self.name, self.drains = counters, note, file.name, drains
         self.homes = file.peers.zones if file.peers is not None else ()
--- a/cottonhold/fleet_adapters/write_queue.py
+++ b/cottonhold/fleet_adapters/write_queue.py
@@ -1,4 +1,4 @@
-"""Records that have to be on disk in the order in which they were given, and again until the disk takes them.
+"""Records that are written in the order in which they were put, and retried until the disk takes them.
 
 One transaction is under way at a time, so none can be durable before an earlier one. Of one key only the last
 record counts.
@@ -13,10 +13,10 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
 
-AGAIN_MS = 500.0  # what the disk did not take is put again after so long
-GROUP = 256  # records in one transaction at most
+RETRY_MS = 500.0  # after which what the disk did not take is written again
+MAX_GROUP_RECORDS = 256  # records in one transaction at most
 
-Then = Callable[[], None]
+Callback = Callable[[], None]
 
 
 def _nothing() -> None:
@@ -24,65 +24,68 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
-    """A record. kept: it is durable. refused: the disk did not take it; it is put again all the same."""
+class PendingWrite:
+    """A record. on_durable: called once it is. on_refused: called when the disk did not take it; it is
+    retried all the same."""
 
     record: Record
-    kept: Then
-    refused: Then
+    on_durable: Callback
+    on_refused: Callback
 
 
-class InOrder:
-    """Belongs to the event loop's thread, as do all calls that it makes. hop: calls there from any thread."""
+class OrderedWriteQueue:
+    """Belongs to the event loop's thread, as do all its callbacks. hop: calls back there from any thread."""
 
     def __init__(
         self,
         ledger: Ledger,
-        hop: Callable[[Then], object],
-        call_in: Callable[[float, Then], object],
+        hop: Callable[[Callback], object],
+        call_in: Callable[[float, Callback], object],
     ) -> None:
         self.ledger, self.hop, self.call_in = ledger, hop, call_in
-        self.queue: dict[tuple[RecordKind, bytes], Entry] = {}
-        self.flying: dict[tuple[RecordKind, bytes], Entry] = {}
-        self.paused = False
-
-    def put(self, record: Record, kept: Then = _nothing, refused: Then = _nothing) -> None:
-        """`kept` is called once it is durable, unless another record of its key came before that; `refused`
-        each time that the disk doesn't take it."""
-        at = record.kind, record.key
-        self.queue.pop(at, None)
-        self.queue[at] = Entry(record, kept, refused)
-        if not self.flying and not self.paused:
+        self.pending: dict[tuple[RecordKind, bytes], PendingWrite] = {}
+        self.in_flight: dict[tuple[RecordKind, bytes], PendingWrite] = {}
+        self.is_paused = False
+
+    def put(self, record: Record, on_durable: Callback = _nothing, on_refused: Callback = _nothing) -> None:
+        """Write a record. on_durable is called once it is durable, unless another record of its key came
+        before that; on_refused each time that the disk doesn't take it."""
+        row_key = record.kind, record.key
+        self.pending.pop(row_key, None)
+        self.pending[row_key] = PendingWrite(record, on_durable, on_refused)
+        if not self.in_flight and not self.is_paused:
             self._write()
         elif self.ledger.health(self.ledger.clock()).state is not DiskState.HEALTHY:
-            self.hop(refused)
+            self.hop(on_refused)
 
     def _write(self) -> None:
-        self.flying = dict(list(self.queue.items())[:GROUP])
-        for at in self.flying:
-            del self.queue[at]
+        self.in_flight = dict(list(self.pending.items())[:MAX_GROUP_RECORDS])
+        for row_key in self.in_flight:
+            del self.pending[row_key]
 
         def done(durable: bool) -> None:
-            self.hop(lambda: self._written(durable))
+            self.hop(lambda: self._on_written(durable))
 
-        self.ledger.put([entry.record for entry in self.flying.values()], done)
+        self.ledger.put([entry.record for entry in self.in_flight.values()], done)
 
-    def _written(self, durable: bool) -> None:
-        flying, self.flying = self.flying, {}
+    def _on_written(self, durable: bool) -> None:
+        writing, self.in_flight = self.in_flight, {}
         if durable:
-            for entry in flying.values():
-                entry.kept()
-            if self.queue and not self.flying:
+            for entry in writing.values():
+                entry.on_durable()
+            if self.pending and not self.in_flight:
                 self._write()
             return
-        # Danger: put behind what came since, a vote was durable without the promises that it rests on.
-        self.queue = {at: entry for at, entry in flying.items() if at not in self.queue} | self.queue
-        self.paused = True
-        self.call_in(AGAIN_MS, self._again)
-        for entry in flying.values():
-            entry.refused()
-
-    def _again(self) -> None:
-        self.paused = False
-        if self.queue and not self.flying:
+        # These go before what came since: a vote must not be durable without the promises that it rests on.
+        self.pending = {
+            row_key: entry for row_key, entry in writing.items() if row_key not in self.pending
+        } | self.pending
+        self.is_paused = True
+        self.call_in(RETRY_MS, self._retry)
+        for entry in writing.values():
+            entry.on_refused()
+
+    def _retry(self) -> None:
+        self.is_paused = False
+        if self.pending and not self.in_flight:
             self._write()
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -25,9 +25,9 @@
 from cottonhold.fleet.recovery.survey_results import OutageVerdict
 from cottonhold.fleet.rolling_replacement.plan import Machine, Step
 from cottonhold.fleet_adapters.engine_drain import DrainRim
-from cottonhold.fleet_adapters.ledger_opener import Opening
+from cottonhold.fleet_adapters.ledger_opener import LedgerOpening
 from cottonhold.fleet_adapters.load_records import UnavailableLoadGuard
-from cottonhold.fleet_adapters.membership import MembershipRim, make_instance
+from cottonhold.fleet_adapters.membership import MembershipAdapter, make_instance
 from cottonhold.fleet_adapters.recovery import (
     BOOT_STEP,
     RecoveryAdapter,
@@ -82,7 +82,7 @@
         self.held = Quarantine()
         self.watches: dict[str, tuple[Watched, Watch, asyncio.Task[None]]] = {}
         self.entry: consul_client.Entry | None = None
-        self.membership: MembershipRim | None = None
+        self.membership: MembershipAdapter | None = None
         self.fleet: ZoneFailoverAdapter | None = None
         self.recovery: RecoveryAdapter | None = None
         self.swap: SwapRim | None = None
@@ -91,7 +91,7 @@
         self.began = self.event_loop.clock.now()
         self.ledger_why = ""
         self.unkept: UnavailableLoadGuard | None = None
-        self.opening = Opening(self._open)
+        self.opening = LedgerOpening(self._open)
         self.opening.wait(OPENING_S)
         self.metrics = self._measure() if installation.file.metrics else None
         ledger = self._opened()
@@ -106,7 +106,7 @@
     def _opened(self) -> Ledger | None:
         """The ledger, if one is kept and its folder can be had by now; what is wrong is told once."""
         error, why = self.opening.error, ""
-        if self.opening.waits(SLOW_S):
+        if self.opening.is_slow(SLOW_S):
             why = f"{self.installation.file.state_dir}: the disk has not answered yet"
         elif error is not None:
             self.counters.add("ledger_busy" if isinstance(error, StoreBusyError) else "ledger_faults")
@@ -114,10 +114,10 @@
         if why and why != self.ledger_why:
             self.ledger_why = why
             self.log.note("ledger_unusable", why=why)
-        return self.opening.ledger if self.opening.over else None
+        return self.opening.ledger if self.opening.is_over else None
 
     def _open_again(self) -> None:
-        self.opening = Opening(self._open)
+        self.opening = LedgerOpening(self._open)
         self._recover(None)
 
     def _hold_drained(self, folder: Mapping[bytes, bytes]) -> None:
@@ -137,13 +137,13 @@
     def _do_without(self) -> None:
         """Refuse loads, and see again whether the folder can be had."""
         if self.unkept is None:
-            error = self.opening.error if self.opening.over else None
+            error = self.opening.error if self.opening.is_over else None
             found = error.records if error is not None else {}
             loads = found.get(RecordKind.LOAD, {})
             self.unkept = unavailable_guard(self.installation, loads, self.event_loop.clock, self.counters)
             self.gateway.notifications.load_guard = self.unkept
             self._hold_drained(found.get(RecordKind.ENGINE_DRAIN, {}))
-        if self.opening.over:
+        if self.opening.is_over:
             self.event_loop.clock.call_in(LEDGER_MS, self._open_again)
         else:
             self.event_loop.clock.call_in(OPENED_MS, lambda: self._recover(self._opened()))
@@ -161,7 +161,7 @@
             fleet.coordinator if fleet is not None else None,
             self.event_loop.clock,
             self.event_loop.loop.call_soon_threadsafe,
-            membership.say if membership is not None else lambda member, data: None,
+            membership.send_payload if membership is not None else lambda member, data: None,
             self.counters,
             self.log.note,
         )
@@ -190,7 +190,7 @@
                 self.lifecycle,
                 self.event_loop.clock,
                 hop,
-                membership.say,
+                membership.send_payload,
                 lambda: self.gateway.open_count,
                 self.counters,
                 self.log.note,
@@ -210,7 +210,7 @@
     def _pin(
         self,
         ledger: Ledger,
-        membership: MembershipRim,
+        membership: MembershipAdapter,
         fleet: FleetCoordinator,
         recovery: RecoveryAdapter,
         swap: SwapRim,
@@ -227,7 +227,7 @@
             self.gateway,
             self.event_loop.clock,
             self.event_loop.loop.call_soon_threadsafe,
-            membership.say,
+            membership.send_payload,
             self.counters,
             self.log.note,
         )
@@ -244,7 +244,7 @@
     def _join(self, ledger: Ledger | None) -> None:
         """Make the parts of membership; they say hello once the sources are followed."""
         clock, gateway = self.event_loop.clock, self.gateway
-        self.membership = rim = MembershipRim(
+        self.membership = rim = MembershipAdapter(
             make_instance(
                 self.installation,
                 clock.now(),
@@ -267,14 +267,14 @@
                 swim,
                 clock,
                 self.counters,
-                rim.say,
+                rim.send_payload,
                 gateway.push,
                 self.log.note,
                 self.engines.check_health,
                 self.installation.file.number,
             )
             gateway.notifications.observer = self.fleet
-        rim.told, rim.joined = self._told, self._joined
+        rim.on_fleet_message, rim.on_joined = self._told, self._joined
 
     def _joined(self) -> None:
         """Another instance is there."""
@@ -294,7 +294,7 @@
     def _heard_probe(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
         """A probe of this instance has ended."""
         if self.membership is not None:
-            self.membership.probed(engine, outcome, report)
+            self.membership.on_probe_ended(engine, outcome, report)
         if self.fleet is not None:
             self.fleet.on_health_check(engine, outcome)
             if outcome is Outcome.OK:
@@ -329,7 +329,7 @@
         super().on_engine_list(change)
         if self.membership is not None:
             live = self.held.live_engines()
-            self.membership.engines(live)
+            self.membership.set_engines(live)
             if self.fleet is not None:
                 self.fleet.set_engines(self._by_zone(live))
 
@@ -356,7 +356,7 @@
 
     def on_other_datagram(self, data: bytes, sender: Address) -> bool:
         """Membership's datagrams begin with a byte of their own."""
-        return self.membership is not None and self.membership.receive(data, sender)
+        return self.membership is not None and self.membership.on_datagram(data, sender)
 
     # --- sources ---
 
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -291,10 +291,10 @@
     "membership ping under a key": lambda: datagram(MessageKind.PING, 7, b"", KEYS),
     **{f"membership kind {int(kind)}": lambda kind=kind: datagram(kind, 9) for kind in MessageKind},  # type: ignore[misc]
     "member id": lambda: codec.member_id("n1").to_bytes(8, "big"),
-    "probe report": lambda: membership_adapter.pack_report({"inflight": 70.0, "util": 0.5}).to_bytes(
+    "probe report": lambda: membership_adapter.encode_load_report({"inflight": 70.0, "util": 0.5}).to_bytes(
         4, "big"
     ),
-    "probe report unknown": lambda: membership_adapter.pack_report({}).to_bytes(4, "big"),
+    "probe report unknown": lambda: membership_adapter.encode_load_report({}).to_bytes(4, "big"),
     "zone number": lambda: zone_messages.zone_number("a").to_bytes(2, "big"),
     "zone words": zone_words,
     "zone loan ask": lambda: quota_lending.encode_quota_message(quota_lending.QuotaRequest(9, 77, 1234)),
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -239,7 +239,7 @@
     path = tmp_path / "n1.json"
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
     monkeypatch.setattr(ledger, "DEFAULT_VFS", "drains")
-    monkeypatch.setattr(write_queue, "AGAIN_MS", 1.0)
+    monkeypatch.setattr(write_queue, "RETRY_MS", 1.0)
 
     async def life(story: Callable[[ServedInstallation], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
@@ -258,9 +258,9 @@
         rim.act(0.0, swap, Drain("e1"))
         while "e1" not in rim.drains.drained:
             await asyncio.sleep(0)
-        assert rim.records.queue or rim.records.flying, "not kept yet, and not given up"
+        assert rim.records.pending or rim.records.in_flight, "not kept yet, and not given up"
         disk.orders = disk_of.Orders()
-        while rim.records.queue or rim.records.flying:
+        while rim.records.pending or rim.records.in_flight:
             await asyncio.sleep(0.01)
         disk.cut()
 
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -14,7 +14,7 @@
 from cottonhold.fleet.consensus.actions import ChangeResult, PersistState
 from cottonhold.fleet.consensus.messages import Ballot
 from cottonhold.fleet_adapters import write_queue
-from cottonhold.fleet_adapters.write_queue import InOrder
+from cottonhold.fleet_adapters.write_queue import OrderedWriteQueue
 from cottonhold.store.health import DiskHealth, DiskState
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
@@ -55,7 +55,7 @@
     def __init__(self) -> None:
         self.clock, self.ledger = FakeClock(), ScriptedLedger()
         self.told: list[str] = []
-        self.writer = InOrder(cast(Ledger, self.ledger), lambda then: then(), self.clock.call_in)
+        self.writer = OrderedWriteQueue(cast(Ledger, self.ledger), lambda then: then(), self.clock.call_in)
 
     def put(self, key: str, value: str) -> None:
         name = key + value
@@ -87,7 +87,7 @@
     world.ledger.answer(False)
     world.put("c", "1")
     assert world.told == ["-a1"] and not world.ledger.given
-    world.wait(write_queue.AGAIN_MS + 1)
+    world.wait(write_queue.RETRY_MS + 1)
     world.ledger.answer(True)
     assert world.ledger.disk == [b"b1", b"a2", b"c1"]
     assert world.told == ["-a1", "b1", "a2", "c1"], "the later record of a key stands for the earlier one"
@@ -101,10 +101,10 @@
     world.put("b", "1")
     assert world.told == ["-b1"], "behind one that hangs it isn't waited for"
     world.ledger.answer(False)
-    world.wait(20 * write_queue.AGAIN_MS)
+    world.wait(20 * write_queue.RETRY_MS)
     assert set(world.told) == {"-a1", "-b1"} and not world.ledger.given
     world.ledger.state = DiskState.HEALTHY
-    world.wait(write_queue.AGAIN_MS + 1)
+    world.wait(write_queue.RETRY_MS + 1)
     world.ledger.answer(True)
     assert world.ledger.disk == [b"a1", b"b1"] and world.told[-2:] == ["a1", "b1"]
 
@@ -112,13 +112,13 @@
 def test_many_records_are_several_transactions() -> None:
     world = World()
     world.put("first", "")
-    for number in range(write_queue.GROUP + 5):
+    for number in range(write_queue.MAX_GROUP_RECORDS + 5):
         world.put(f"{number}", "")
     sizes = []
     while world.ledger.given:
         sizes.append(len(world.ledger.given[0][0]))
         world.ledger.answer(True)
-    assert sizes == [1, write_queue.GROUP, 5] and len(world.told) == sum(sizes)
+    assert sizes == [1, write_queue.MAX_GROUP_RECORDS, 5] and len(world.told) == sum(sizes)
 
 
 STEPS = st.lists(
@@ -133,7 +133,7 @@
     world, last = World(), dict[str, str]()
     for number, step in enumerate(steps):
         if step == "wait":
-            world.wait(write_queue.AGAIN_MS + 1)
+            world.wait(write_queue.RETRY_MS + 1)
         elif step in ("ok", "no"):
             if world.ledger.given:
                 world.ledger.answer(step == "ok")
@@ -143,7 +143,7 @@
         kept = [name for name in world.told if not name.startswith("-")]
         assert set(kept) <= {name.decode() for name in world.ledger.disk}
     for _ in range(2 * len(last) + 2):
-        world.wait(write_queue.AGAIN_MS + 1)
+        world.wait(write_queue.RETRY_MS + 1)
         if world.ledger.given:
             world.ledger.answer(True)
     disk = [name.decode() for name in world.ledger.disk]
@@ -161,30 +161,30 @@
 
 
 def test_putting_behind_what_came_since_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def behind(self: InOrder, durable: bool) -> None:
-        flying, self.flying = self.flying, {}
+    def behind(self: OrderedWriteQueue, durable: bool) -> None:
+        flying, self.in_flight = self.in_flight, {}
         if durable:
             for entry in flying.values():
-                entry.kept()
+                entry.on_durable()
         else:
-            self.queue |= flying
-        if self.queue and not self.flying:
+            self.pending |= flying
+        if self.pending and not self.in_flight:
             self._write()
 
     durable_in_order([("put", "a"), ("put", "b"), "no", "ok"])
-    monkeypatch.setattr(InOrder, "_written", behind)
+    monkeypatch.setattr(OrderedWriteQueue, "_on_written", behind)
     with pytest.raises(AssertionError, match="out of order"):
         durable_in_order([("put", "a"), ("put", "b"), "no", "ok"])
 
 
 def test_never_putting_again_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def forgotten(self: InOrder, durable: bool) -> None:
-        flying, self.flying = self.flying, {}
+    def forgotten(self: OrderedWriteQueue, durable: bool) -> None:
+        flying, self.in_flight = self.in_flight, {}
         for entry in flying.values():
-            (entry.kept if durable else entry.refused)()
+            (entry.on_durable if durable else entry.on_refused)()
 
     durable_in_order(PUT)
-    monkeypatch.setattr(InOrder, "_written", forgotten)
+    monkeypatch.setattr(OrderedWriteQueue, "_on_written", forgotten)
     with pytest.raises(AssertionError):
         durable_in_order(PUT)
 
@@ -220,12 +220,12 @@
     """Voters whose promises go to disks that fail."""
 
     def __init__(self, failing: Iterable[int] = ()) -> None:
-        self.failing, self.writers = set(failing), dict[int, InOrder]()
+        self.failing, self.writers = set(failing), dict[int, OrderedWriteQueue]()
         super().__init__()
 
     def start(self, member: int, empty: bool = False) -> None:
         ledger = cast(Ledger, FailingLedger(self, member))
-        self.writers[member] = InOrder(
+        self.writers[member] = OrderedWriteQueue(
             ledger, lambda then: then(), lambda ms, then: self.later(member, ms, then)
         )
         super().start(member, empty)
@@ -273,7 +273,7 @@
 
 
 def test_a_voter_whose_records_are_not_put_again_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(InOrder, "_again", lambda self: None)
+    monkeypatch.setattr(OrderedWriteQueue, "_retry", lambda self: None)
     with pytest.raises(AssertionError):
         a_voter_votes_after_its_disk_failed_at_the_start()
 
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -14,7 +14,7 @@
 from cottonhold.discovery.model import Address
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings
 from cottonhold.fleet.zone_failover.evacuation import Phase
-from cottonhold.fleet_adapters.membership import REPORT, MembershipRim
+from cottonhold.fleet_adapters.membership import REPORT, MembershipAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter
 from cottonhold.membership.codec import KeyRing
 from cottonhold.membership.duties import Duty, DutyScheduler
@@ -182,7 +182,7 @@
     clock, sent, joined = FakeClock(), list[bytes](), list[float]()
     swim = Swim("n0", PLACE, SwimSettings(), 1, 1)
     other = Swim("n1", Address("127.0.0.1", 7001), SwimSettings(), 1, 1, seeds=[PLACE])
-    rim = MembershipRim(
+    rim = MembershipAdapter(
         MembershipInstance(
             swim, DutyScheduler(swim.id, [Duty(REPORT, 1000.0)], [swim.id], LeaseSettings(), clock.now(), 1)
         ),
@@ -193,12 +193,12 @@
         lambda engine, report: None,
         lambda event, **fields: None,
     )
-    rim.joined = lambda: joined.append(clock.now())
+    rim.on_joined = lambda: joined.append(clock.now())
     rim.start()
     clock.run_until(clock.now() + 150.0, lambda: None)
     assert not joined
     hello = next(a for a in other.step(clock.now()) if isinstance(a, SendDatagram))
     came = clock.now()
-    assert rim.receive(hello.data, other.address)
+    assert rim.on_datagram(hello.data, other.address)
     clock.run_until(came + 1.0, lambda: None)
     assert joined == [came] and [m.name for m in swim.members_by_name()] == ["n1"]
