--- a/cottonhold/discovery/consul/answers.py
+++ b/cottonhold/discovery/consul/answers.py
@@ -56,9 +56,8 @@
         """Take a health answer in. Raises WireError for a body that can't be used; then nothing has
         changed.
         """
-        # Danger: an index that hasn't moved doesn't prove that nothing changed: a server that lost its data
-        # told an empty list under the index of the full one, and the full one was then passed over as old
-        # news. The bytes are the proof.
+        # An index that hasn't moved doesn't prove that nothing changed: a server that lost its data may send
+        # an empty list under the index of the full one. Only equal bytes prove it.
         last = xxhash.xxh3_128_digest(body)
         if last == self.last:
             return Differences((), ())
@@ -86,7 +85,7 @@
             listed = set(digests.values())
             gone = tuple(engine_id for engine_id in self.digests.values() if engine_id not in listed)
             if unreadable and gone:
-                # Danger: whose entry it is that can't be read isn't known; its engine isn't absent.
+                # It is unknown which engine an unreadable entry belongs to, so none counts as absent.
                 digests.update(
                     (digest, engine_id)
                     for digest, engine_id in self.digests.items()
@@ -95,9 +94,8 @@
             else:
                 absent = gone
         self.digests, self.last = digests, last if not unreadable else b""
-        # Danger: what was known before the first answer, from the configuration or by another reading, stayed
-        # for good if that answer did not list it. One with entries that can't be read tells nothing of
-        # absence.
+        # The first complete answer also ends what was known before it, from the configuration or by another
+        # reading. One with unreadable entries proves nothing of absence.
         whole = not self.compares and not unreadable
         self.compares = self.compares or whole
         return Differences(tuple(_newest(observations)), absent, whole)
--- a/cottonhold/discovery/consul/exchange.py
+++ b/cottonhold/discovery/consul/exchange.py
@@ -75,14 +75,14 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            # Danger: this is no HttpParserError; a 101 ended the watch for good, and the list stood still.
+            # An upgrade (101) is no HttpParserError; uncaught it would end the watch.
             raise WireError("the server would change to another protocol") from error
         except httptools.HttpParserError as error:
             cause = error.__context__ if isinstance(error.__context__, WireError) else error
             raise WireError(f"the answer can't be read: {cause}") from error
         if not self.whole:
-            # Danger: httptools tells a header once it is whole and joins its parts until then: one of 16 MB
-            # without an end was kept, and held the loop for 1.3 s.
+            # httptools reports a header once it is complete and joins its parts until then, so that one
+            # without an end would take memory and time without a bound.
             if self.idle_bytes > MOST_HEADER_BYTES:
                 raise WireError(f"{self.idle_bytes} bytes that bring the body no further")
             return None
@@ -92,7 +92,7 @@
 
     def on_message_begin(self) -> None:
         """An answer begins (httptools calls this)."""
-        # Danger: of two answers in one read, one came out: the second one's status, and both bodies in a row.
+        # Two answers in one read must not be joined: the second one's status with both bodies.
         if self.whole:
             raise WireError("more bytes than the answer has")
 
@@ -119,12 +119,12 @@
         room = self.most_bytes - len(self.body) + 1
         if self.inflate is not None:
             try:
-                # Danger: some kilobytes can unpack to gigabytes: never more than there is room for.
+                # Some kilobytes can decompress to gigabytes, so the output is bounded too.
                 data = self.inflate.decompress(data, max(room, 1))
             except zlib.error as error:
                 raise WireError(f"the compressed body can't be read: {error}") from error
             if self.inflate.unused_data:
-                # Danger: zlib keeps all that comes behind the end, and no limit would count it.
+                # zlib keeps all bytes behind the end, which no other limit counts.
                 raise WireError("bytes behind the end of the compressed body")
         if len(data) >= room:
             raise WireError(f"an answer of more than {self.most_bytes} bytes")
@@ -133,7 +133,7 @@
     def on_message_complete(self) -> None:
         """The answer is whole, or it was an interim one (httptools calls this)."""
         if self._interim():
-            # Danger: a 100 or 103 in a read of its own was taken for the answer, with an empty body.
+            # An interim answer (100, 103) has no body and is not the answer.
             self.headers.clear()
         else:
             self.whole, self.keep = True, bool(self.parser.should_keep_alive())
--- a/cottonhold/discovery/consul/watch.py
+++ b/cottonhold/discovery/consul/watch.py
@@ -121,7 +121,7 @@
             raise WireError("the answer has no X-Consul-Index")
         behind = answer.number("x-consul-lastcontact") or 0
         if answer.headers.get("x-consul-knownleader", "true") == "false" or behind > s.stale_most:
-            # Danger: a server cut off from its leader answers from the past: a drain told since is not in it.
+            # A server cut off from its leader answers from the past: a later drain is missing in its answer.
             if self.at_leader:
                 raise WireError(f"the server knows no leader, or heard of it {behind} ms ago")
             self.at_leader = True
--- a/cottonhold/node/http_client.py
+++ b/cottonhold/node/http_client.py
@@ -67,7 +67,7 @@
             await self._send(call.encode(str(address)))
             answer, keep = await self._answer(call)
         except BaseException:
-            # Danger: what is left of a broken answer would be read as the next one's beginning.
+            # The rest of a broken answer would be read as the next one's beginning.
             self.close()
             raise
         if not keep:
@@ -86,7 +86,7 @@
             data = None
         except OSError:
             return True
-        # Danger: an answer that nobody had asked for was taken as the one to the next call.
+        # An unrequested answer must not be taken for the answer to the next call.
         if self.pipe is None or data == b"":
             return data is not None
         self.pipe.incoming.write(data or b"")
@@ -155,7 +155,7 @@
         exchange, loop = Exchange(self.most_bytes), self.driver.loop
         async with asyncio.timeout(call.first_ms / 1000) as limit:
             data = await self._read()
-            # Danger: an answer that drips would hold the next news back for good, a byte at a time.
+            # An answer that trickles in byte by byte must not delay the next one for good.
             limit.reschedule(loop.time() + call.rest_ms / 1000)
             while data:
                 if (answer := exchange.receive(data)) is not None:
--- a/cottonhold/node/status.py
+++ b/cottonhold/node/status.py
@@ -56,7 +56,7 @@
     """Answer until cancelled. One that doesn't read costs itself only: it is given a second."""
     try:
         while True:
-            # Danger: one moment without a descriptor closed this socket for the program's life.
+            # A moment without a free descriptor must not close this socket.
             client = await driver.listener.accept_one(sock, "status_accept", "local calls")
             driver.spawn(_serve_one(driver, client, answer))
     finally:
--- a/cottonhold/observe/structured.py
+++ b/cottonhold/observe/structured.py
@@ -52,7 +52,7 @@
         self.tokens, self.at = min(self.burst, self.tokens + (now - self.at) * self.per_second), now
         if self.tokens < 1:
             name = str(event.get("event", ""))
-            # Danger: free text as a key would let a storm of different lines grow this without end.
+            # The number of keys is bounded: a storm of different texts must not take memory without end.
             if len(self.dropped) >= 64 and name not in self.dropped:
                 name = "others"
             self.dropped[name] = self.dropped.get(name, 0) + 1
