--- a/cottonhold/backend/engine_protocol.py
+++ b/cottonhold/backend/engine_protocol.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from cottonhold.backend.resp import RespError, encode, read_fields
-from cottonhold.config.settings import REPORT
+from cottonhold.config.settings import LOAD_REPORT_FIELDS
 
 EXECUTE, CHANGE_PRIORITY, CANCEL = b"GET", b"RANK", b"DROP"
 FETCH_PAGE, CLOSE_RESULT, LOAD_REPORT = b"PAGE", b"CLOSE", b"LOAD"
@@ -110,7 +110,7 @@
         name, separator, value = part.partition(":")
         if separator:
             try:
-                report[REPORT.get(name, name)] = float(value)
+                report[LOAD_REPORT_FIELDS.get(name, name)] = float(value)
             except ValueError:
                 continue
     return report
