--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -24,9 +24,9 @@
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.coordinator import ReplacementCoordinator
 from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, MachineRecord, ReplacementStep
-from cottonhold.fleet_adapters.membership import MembershipRim
+from cottonhold.fleet_adapters.membership import MembershipAdapter
 from cottonhold.fleet_adapters.recovery_folder import INCARNATION_BASE, INCARNATIONS_PER_BOOT, incarnation_of
-from cottonhold.fleet_adapters.write_queue import InOrder
+from cottonhold.fleet_adapters.write_queue import OrderedWriteQueue
 from cottonhold.membership.codec import member_id
 from cottonhold.node.dispatcher import OperatorLog
 from cottonhold.observe.counters import Counters
@@ -56,13 +56,13 @@
         self,
         owner: EngineListOwner,
         ledger: Ledger,
-        membership: MembershipRim,
+        membership: MembershipAdapter,
         fleet: FleetCoordinator,
         voters: Iterable[str],
         hop: Callable[[Callable[[], None]], object],
     ) -> None:
         self.owner, self.ledger, self.membership, self.fleet = owner, ledger, membership, fleet
-        self.records = InOrder(ledger, hop, membership.clock.call_in)
+        self.records = OrderedWriteQueue(ledger, hop, membership.clock.call_in)
         self.swim, self.clock = membership.instance.swim, membership.clock
         swim, self.voters = self.swim, {member_id(name) for name in voters}
         now, settings = self.clock.now(), DrainSettings()
@@ -132,7 +132,7 @@
         for action in drains.step(now, swap.view.records):
             match action:
                 case SendReport(member, data):
-                    self.membership.say(member, data)
+                    self.membership.send_payload(member, data)
                 case CheckLiveness(engine):
                     if not self.owner.engines.check_liveness(engine, self._on_liveness_check(engine)):
                         drains.on_liveness_check(engine, False)
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -56,7 +56,7 @@
     save_site_report,
 )
 from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
-from cottonhold.fleet_adapters.write_queue import AGAIN_MS
+from cottonhold.fleet_adapters.write_queue import RETRY_MS
 from cottonhold.membership.swim import Swim
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
@@ -336,7 +336,7 @@
             if self.survey.requested_base == base:
                 self._store_base(base)
 
-        self.clock.call_in(AGAIN_MS, write_again)
+        self.clock.call_in(RETRY_MS, write_again)
 
     def _on_view_changed(self, view: SurveyView) -> None:
         self.counters.add(f"census_{view.verdict.value}")
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -33,7 +33,7 @@
 from cottonhold.fleet.rolling_replacement.request_parsing import parse_request
 from cottonhold.fleet.zone_failover.evacuation import Phase
 from cottonhold.fleet_adapters.engine_drain import EngineDrainAdapter
-from cottonhold.fleet_adapters.write_queue import InOrder
+from cottonhold.fleet_adapters.write_queue import OrderedWriteQueue
 from cottonhold.membership.codec import member_id
 from cottonhold.membership.swim import Swim
 from cottonhold.node.lifecycle import Lifecycle
@@ -98,7 +98,7 @@
         file, now = installation.file, clock.now()
         assert file.membership is not None
         self.swim, self.fleet, self.census, self.lifecycle = swim, fleet, census, lifecycle
-        self.record_writer = InOrder(ledger, hop, clock.call_in)
+        self.record_writer = OrderedWriteQueue(ledger, hop, clock.call_in)
         self.clock, self.send, self.open_requests = clock, say, open_requests
         self.counters, self.log, self.name, self.drains = counters, note, file.name, drains
         self.zones_by_number = file.peers.zones if file.peers is not None else ()
