--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -243,7 +243,7 @@
         if self._open_endpoint(attempt.engine) is None:
             self._end(attempt, Outcome.CONNECT_FAILED)
         elif is_late or not self.listener.is_wanted(attempt):
-            self._end(attempt, Outcome.ALREADY_FINISHED)
+            self._end(attempt, Outcome.NOT_STARTED)
         return attempt.connection is not None
 
     def encode_request(self, attempt: Attempt) -> bytes:
@@ -299,7 +299,7 @@
             self.cancel(attempt, Outcome.TIMEOUT)
             return
         is_connecting = self.clock.now() - connection.opened_at < self.settings.connect_timeout_ms
-        self.cancel(attempt, Outcome.ALREADY_FINISHED if is_connecting else Outcome.CONNECT_FAILED)
+        self.cancel(attempt, Outcome.NOT_STARTED if is_connecting else Outcome.CONNECT_FAILED)
 
     def _end(self, attempt: Attempt, outcome: Outcome, fields: dict[str, str] | None = None) -> None:
         """Notify the listener of an attempt's end, once."""
@@ -355,7 +355,7 @@
         elif word is AnswerKind.OVERLOADED:
             self._end(attempt, Outcome.OVERLOADED, answer.fields)
         else:
-            self._end(attempt, Outcome.ALREADY_FINISHED, answer.fields)
+            self._end(attempt, Outcome.NOT_STARTED, answer.fields)
 
     def _on_first_page(self, attempt: Attempt, answer: Answer) -> None:
         """Request the other pages. All are collected and decoded before the first row goes to the client, so
--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -5,13 +5,11 @@
 
 1. *The most cautious claim wins.* An engine that any source lists as draining or unhealthy gets nothing new.
 2. *A reported end drains at once*, also where other sources still list the engine. It serves again only once
-each
-   of those has reported it anew, after the end; it is removed once none lists it.
+   each of those has reported it anew, after the end; it is removed once none lists it.
 3. *Address, zone, machine type and size* come from the first source, in the order of the configuration, that
    lists it.
 4. *One address, one engine.* Of two ids at one address the one registered later wins; between sources that
-can't
-   be compared, the one of the earlier source. The other gets nothing new: it would be the same process.
+   can't be compared, the one of the earlier source. The other gets nothing new: it would be the same process.
 """
 
 from __future__ import annotations
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -37,7 +37,7 @@
 class EngineListOwner(Protocol):
     """The dispatcher, as far as engines of its list go."""
 
-    held: Quarantine
+    quarantine: Quarantine
     engines: EngineConnections
     counters: Counters
     log: OperatorLog
@@ -71,7 +71,7 @@
         self.drain_records = DrainRecords(ledger.records(RecordKind.ENGINE_DRAIN))
         self.pending_drains: dict[str, MachineRecord] = {}  # not on disk yet
         for engine in self.drain_records.from_previous_start:
-            owner.republish(owner.held.hold(engine))
+            owner.republish(owner.quarantine.hold(engine))
 
     def told(self, payload: bytes) -> bool:
         """Apply a datagram's payload; return whether it is a drain report."""
@@ -113,7 +113,7 @@
         if isinstance(action, step_decision.Drain):
             if record is not None:
                 self.owner.counters.add("engine_drains")
-                self.owner.republish(self.owner.held.hold(engine))
+                self.owner.republish(self.owner.quarantine.hold(engine))
                 self._drain(engine, record)
             return
         self.pending_drains.pop(engine, None)
@@ -171,7 +171,7 @@
     def _release(self, now: float, engine: str, record: MachineRecord | None) -> None:
         for record_of in self.drain_records.undrain(engine):
             self.records.put(record_of)
-        self.owner.republish(self.owner.held.release(engine, now if is_new_process(record) else 0.0))
+        self.owner.republish(self.owner.quarantine.release(engine, now if is_new_process(record) else 0.0))
 
     def _step_startup(self, now: float, swap: ReplacementCoordinator, live: set[int]) -> None:
         if not self.startup_gate.is_open:
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -128,7 +128,7 @@
 
 
 class KeyedLoadGuard:
-    """The gateway's guard where session affinity is on; see gateway.LoadGuard."""
+    """The gateway's guard where session affinity is on; see node/load_guard.py."""
 
     def __init__(
         self, loads: LoadGuard, router: KeyRouter, gateway: Gateway, clock: Clock, counters: Counters
--- a/cottonhold/fleet_adapters/load_conversions.py
+++ b/cottonhold/fleet_adapters/load_conversions.py
@@ -12,7 +12,7 @@
 from cottonhold.store.records import LoadRecord, LoadState, decode_loads
 
 # What proves that an attempt never ran; None: it was never started.
-NEVER_RAN = (None, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ALREADY_FINISHED)
+NEVER_RAN = (None, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 STATE_OF_RESULT = {
     LoadResult.SUCCEEDED: LoadState.COMPLETED,
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -53,7 +53,7 @@
 
 
 class LoadRecorder:
-    """Implements gateway.LoadGuard.
+    """Implements node/load_guard.py.
 
     records: the folder's; classes: by guarded class, whether a success may be reported; hold_ms: see
     load_history. now: this process's clock; disk_now: the ledger's; hop: calls back in the event loop's
--- a/cottonhold/node/fault_containment.py
+++ b/cottonhold/node/fault_containment.py
@@ -46,7 +46,7 @@
         for event in at_fault:
             if not isinstance(event, ClientDisconnected):
                 self.abandon(getattr(event, "query_id", ""))
-            if isinstance(event, AttemptEnded) and event.outcome is not Outcome.ALREADY_FINISHED:
+            if isinstance(event, AttemptEnded) and event.outcome is not Outcome.NOT_STARTED:
                 self.forget_attempt(event.query_id, event.engine)
         for event in unconsumed:
             self.push(event)
@@ -75,7 +75,7 @@
 
     def forget_attempt(self, request_id: str, engine: str) -> None:
         """Report to the scheduler only that an attempt is over."""
-        self.push(AttemptEnded(request_id, 0, engine, Outcome.ALREADY_FINISHED, 0.0, is_final=True))
+        self.push(AttemptEnded(request_id, 0, engine, Outcome.NOT_STARTED, 0.0, is_final=True))
 
     def _expire_requests(self) -> None:
         """Make sure that there is a next step, and end requests that the scheduler may have lost."""
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -345,7 +345,7 @@
         if is_recorded and request.response_sink is not None:
             self._start(request, attempt)
         else:
-            self._end_unstarted(request, attempt, Outcome.ALREADY_FINISHED)
+            self._end_unstarted(request, attempt, Outcome.NOT_STARTED)
 
     def _start(self, request: OpenRequest, attempt: Attempt) -> None:
         if not self.engines.send(attempt):
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -15,7 +15,7 @@
 
 # A load balancer that asks every 0.1 s still sends new connections for 0.2 s after a failed health check.
 DRAIN_IDLE_CLOSE_MS = 500.0  # into a drain, from which on idle connections are closed
-DRAIN_ACCEPT_QUERIES_MS = 1500.0  # into a drain: at 4 s none younger than 2 s may be queued
+DRAIN_ACCEPT_QUERIES_MS = 1500.0  # into a drain: 4 s into it no request may be open that is younger than 2 s
 # After SIGTERM new connections arrive for 0.4 s, and requests on open ones for 0.2 s more.
 SHUTDOWN_ACCEPT_LONG_MS = 400.0  # to which long queries are accepted: 0.7 s, less a busy loop's lag
 SHUTDOWN_IDLE_CLOSE_MS = 600.0  # from which on idle connections are closed
@@ -47,7 +47,7 @@
         return Phase.SERVING if self.draining_since == math.inf else Phase.DRAINING
 
     def drain(self, now: float) -> bool:
-        """Accept no more work; whether that changed anything."""
+        """Begin a drain, in which queries are accepted for a while; whether that changed anything."""
         changed = self.draining_since == math.inf
         self.draining_since = min(self.draining_since, now)
         return changed
--- a/cottonhold/node/notifications.py
+++ b/cottonhold/node/notifications.py
@@ -34,7 +34,7 @@
     def attempt_not_started(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt has ended before it was started, which is no evidence about its engine."""
         if self.observer is not None:
-            never_started = dataclasses.replace(event, outcome=Outcome.ALREADY_FINISHED)
+            never_started = dataclasses.replace(event, outcome=Outcome.NOT_STARTED)
             self.observer.on_attempt_ended(attempt, never_started)
         if self.load_guard is not None:
             self.load_guard.on_attempt_ended(attempt, None)
--- a/cottonhold/node/request_observer.py
+++ b/cottonhold/node/request_observer.py
@@ -1,4 +1,4 @@
-"""Observers of requests, attempts and health checks; they take no part in the gateway's decisions."""
+"""Observers of requests, attempts and health checks. They decide nothing, but may draw for admission."""
 
 from __future__ import annotations
 
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -66,7 +66,7 @@
     return Tls(section.ca_file, section.cert_file, section.key_file, section.server_name)
 
 
-class ServedInstallation(Dispatcher):
+class StandaloneDispatcher(Dispatcher):
     """One dispatcher with its Consul sources."""
 
     def __init__(
@@ -74,26 +74,26 @@
     ) -> None:
         super().__init__(installation.config, Counters(), loop, log, installation.sources)
         self.path, self.installation, self.structured = path, installation, log
-        self.held = Quarantine()
+        self.quarantine = Quarantine()
         self.watches: dict[str, tuple[Watched, Watch, asyncio.Task[None]]] = {}
         self.entry: consul_client.Entry | None = None
         self.membership: MembershipAdapter | None = None
         self.fleet: ZoneFailoverAdapter | None = None
         self.recovery: RecoveryAdapter | None = None
-        self.swap: RollingReplacementAdapter | None = None
-        self.pins: SessionAffinityAdapter | None = None
-        self.remembered: EngineCache | None = None
+        self.rolling_replacement: RollingReplacementAdapter | None = None
+        self.session_affinity: SessionAffinityAdapter | None = None
+        self.engine_cache: EngineCache | None = None
         self.began = self.event_loop.clock.now()
         self.ledger_why = ""
-        self.unkept: UnavailableLoadGuard | None = None
+        self.unavailable_load_guard: UnavailableLoadGuard | None = None
         self.opening = LedgerOpening(self._open)
         self.opening.wait(OPENING_S)
         self.metrics = self._measure() if installation.file.metrics else None
         ledger = self._opened()
         if installation.file.membership is not None:
-            self._join(ledger)
+            self._start_membership(ledger)
         if installation.file.state_dir:
-            self._recover(ledger)
+            self._start_recovery(ledger)
 
     def _open(self) -> Ledger | None:
         return open_ledger(self.installation, self.path.resolve().parent)
@@ -113,40 +113,46 @@
 
     def _open_again(self) -> None:
         self.opening = LedgerOpening(self._open)
-        self._recover(None)
+        self._start_recovery(None)
 
-    def _hold_drained(self, folder: Mapping[bytes, bytes]) -> None:
+    def _quarantine_drained_engines(self, folder: Mapping[bytes, bytes]) -> None:
         """Engines drained in a life before, by a folder that could be read: held until its ledger holds them,
         or for as long as they would be without the registers."""
         engines = DrainRecords(folder).from_previous_start
 
         def let_go() -> None:
-            kept = self.swap.drains.drain_records.engines if self.swap is not None else set[str]()
+            kept = (
+                self.rolling_replacement.drains.drain_records.engines
+                if self.rolling_replacement is not None
+                else set[str]()
+            )
             for engine in sorted(engines - kept):
-                self.republish(self.held.release(engine))
+                self.republish(self.quarantine.release(engine))
 
         for engine in sorted(engines):
-            self.republish(self.held.hold(engine))
+            self.republish(self.quarantine.hold(engine))
         self.event_loop.clock.call_in(DrainSettings().startup_timeout_ms, let_go)
 
-    def _do_without(self) -> None:
+    def _reject_loads_until_ledger_opens(self) -> None:
         """Refuse loads, and see again whether the folder can be had."""
-        if self.unkept is None:
+        if self.unavailable_load_guard is None:
             error = self.opening.error if self.opening.is_over else None
             found = error.records if error is not None else {}
             loads = found.get(RecordKind.LOAD, {})
-            self.unkept = unavailable_guard(self.installation, loads, self.event_loop.clock, self.counters)
-            self.gateway.notifications.load_guard = self.unkept
-            self._hold_drained(found.get(RecordKind.ENGINE_DRAIN, {}))
+            self.unavailable_load_guard = unavailable_guard(
+                self.installation, loads, self.event_loop.clock, self.counters
+            )
+            self.gateway.notifications.load_guard = self.unavailable_load_guard
+            self._quarantine_drained_engines(found.get(RecordKind.ENGINE_DRAIN, {}))
         if self.opening.is_over:
             self.event_loop.clock.call_in(LEDGER_MS, self._open_again)
         else:
-            self.event_loop.clock.call_in(OPENED_MS, lambda: self._recover(self._opened()))
+            self.event_loop.clock.call_in(OPENED_MS, lambda: self._start_recovery(self._opened()))
 
-    def _recover(self, ledger: Ledger | None) -> None:
+    def _start_recovery(self, ledger: Ledger | None) -> None:
         """Loads are guarded: by the ledger, or while it can't be had by refusing them."""
         if ledger is None:
-            self._do_without()
+            self._reject_loads_until_ledger_opens()
             return
         membership, fleet = self.membership, self.fleet
         self.recovery = RecoveryAdapter(
@@ -160,23 +166,23 @@
             self.counters,
             self.log.note,
         )
-        if self.unkept is not None:  # retries count from when they were first heard of
-            self.recovery.history.local.queried.update(self.unkept.history.local.queried)
+        if self.unavailable_load_guard is not None:  # retries count from when they were first heard of
+            self.recovery.history.local.queried.update(self.unavailable_load_guard.history.local.queried)
         self.gateway.notifications.load_guard = self.recovery.load_guard
         file = self.installation.file
         if fleet is not None and file.sources:
             # Without the ramp nobody would await the answer that proves what is remembered.
-            self.remembered = EngineCache(ledger.records(RecordKind.ENGINE_ADDRESS), self.config.names)
-            # Danger: an engine may stand in a remembered list that is drained since then.
+            self.engine_cache = EngineCache(ledger.records(RecordKind.ENGINE_ADDRESS), self.config.names)
+            # An engine in the cached list may have been drained since it was cached.
             self.recovery.has_other_prerequisites = self._listed
-            self.counters.add("recovery_malformed", self.remembered.malformed)
+            self.counters.add("recovery_malformed", self.engine_cache.malformed)
         if membership is not None and fleet is not None and file.membership and file.membership.voters:
             hop, voters = self.event_loop.loop.call_soon_threadsafe, file.membership.voters
             drains = EngineDrainAdapter(self, ledger, membership, fleet.coordinator, voters, hop)
-            # Danger: a load went to an engine that was about to be powered off, before its drain was read of.
-            # What may be repeated goes out at once: after a power loss it waited up to 5 s for a majority.
+            # Loads wait until drained engines are known, since an engine may be about to lose its power.
+            # Queries that may be repeated do not wait: a majority may take seconds to come back.
             self.recovery.has_other_prerequisites = lambda: drains.may_send_loads() and self._listed()
-            self.swap = RollingReplacementAdapter(
+            self.rolling_replacement = RollingReplacementAdapter(
                 self.installation,
                 ledger,
                 membership.instance.swim,
@@ -192,17 +198,19 @@
                 drains,
             )
             if file.fleet is not None and file.fleet.pins:
-                self._pin(ledger, membership, fleet.coordinator, self.recovery, self.swap)
+                self._start_session_affinity(
+                    ledger, membership, fleet.coordinator, self.recovery, self.rolling_replacement
+                )
         if fleet is not None:
             fleet.coordinator.set_incarnation(incarnation_of(ledger))
         if self.is_serving:
             self.recovery.start()
-            if self.swap is not None:
-                self.swap.start()
-            if self.pins is not None:
-                self.pins.start()
+            if self.rolling_replacement is not None:
+                self.rolling_replacement.start()
+            if self.session_affinity is not None:
+                self.session_affinity.start()
 
-    def _pin(
+    def _start_session_affinity(
         self,
         ledger: Ledger,
         membership: MembershipAdapter,
@@ -211,7 +219,7 @@
         swap: RollingReplacementAdapter,
     ) -> None:
         """Loads with a key begin where that is owned."""
-        self.pins = SessionAffinityAdapter(
+        self.session_affinity = SessionAffinityAdapter(
             self.installation,
             ledger,
             membership.instance.swim,
@@ -226,17 +234,17 @@
             self.counters,
             self.log.note,
         )
-        self.gateway.notifications.load_guard = self.pins.guard
+        self.gateway.notifications.load_guard = self.session_affinity.guard
 
     def _told(self, member: int, payload: bytes) -> None:
         """Bytes from another instance go to the part that they are for."""
-        for part in (self.recovery, self.pins, self.swap):
+        for part in (self.recovery, self.session_affinity, self.rolling_replacement):
             if part is not None and part.told(member, payload):
                 return
         if self.fleet is not None:
             self.fleet.on_message(member, payload)
 
-    def _join(self, ledger: Ledger | None) -> None:
+    def _start_membership(self, ledger: Ledger | None) -> None:
         """Make the parts of membership; they say hello once the sources are followed."""
         clock, gateway = self.event_loop.clock, self.gateway
         self.membership = rim = MembershipAdapter(
@@ -249,10 +257,10 @@
             self.counters,
             self.event_loop.datagrams.send,
             self.engines.check_health,
-            self._learned,
+            self._on_peer_health_check,
             self.log.note,
         )
-        gateway.health_check_listener = self._heard_probe
+        gateway.health_check_listener = self._on_health_check_completed
         if self.installation.file.fleet is not None:
             swim = rim.instance.swim
             life = incarnation_of(ledger) if ledger is not None else max(int(clock.unix() / 1000), 1)
@@ -273,20 +281,20 @@
 
     def _joined(self) -> None:
         """Another instance is there."""
-        # Danger: each part looked for itself, at its next round. One that came back late knew of nobody for
-        # half a second, took itself for the only one, and let in and served what all others turned away.
+        # All parts are notified at once: an instance that waits for its next round believes that it is alone
+        # and admits what the others shed.
         if self.recovery is not None:
             self.recovery.on_member_joined()
         if self.fleet is not None:
             self.fleet.on_member_joined()
 
-    def _learned(self, engine: str, report: dict[str, float]) -> None:
+    def _on_peer_health_check(self, engine: str, report: dict[str, float]) -> None:
         """Another instance's probe had a good end."""
         self.gateway.push(HealthCheckCompleted(engine, Outcome.OK, report))
         if self.fleet is not None:
             self.fleet.on_health_check(engine, Outcome.OK)
 
-    def _heard_probe(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
+    def _on_health_check_completed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
         """A probe of this instance has ended."""
         if self.membership is not None:
             self.membership.on_probe_ended(engine, outcome, report)
@@ -303,7 +311,7 @@
 
     def on_engine_list(self, change: EngineListChange) -> None:
         """Engines in service are also what the duty of probing is about."""
-        cache, recovery = self.remembered, self.recovery
+        cache, recovery = self.engine_cache, self.recovery
         if (
             cache is not None
             and recovery is not None
@@ -311,7 +319,7 @@
             and (records := cache.apply(change))
         ):
             recovery.ledger.put(records)
-        self.republish(self.held.on_change(change))
+        self.republish(self.quarantine.on_change(change))
 
     def _listed(self) -> bool:
         """The own list is a source's word, or none has come for so long that service must go on without."""
@@ -328,7 +336,7 @@
             return
         super().on_engine_list(change)
         if self.membership is not None:
-            live = self.held.live_engines()
+            live = self.quarantine.live_engines()
             self.membership.set_engines(live)
             if self.fleet is not None:
                 self.fleet.set_engines(self._by_zone(live))
@@ -347,8 +355,12 @@
 
     def listed(self) -> dict[str, Machine]:
         """All engines of the list as machines of a swap; their lives are the starts that sources tell."""
-        zones, live, found = self.installation.file.zones, self.held.live_engines(), dict[str, Machine]()
-        for engine_id, info in self.held.listed.items():
+        zones, live, found = (
+            self.installation.file.zones,
+            self.quarantine.live_engines(),
+            dict[str, Machine](),
+        )
+        for engine_id, info in self.quarantine.listed.items():
             claims = (view.claims.get(engine_id) for view in self.engine_catalog.views.values())
             life = int(max((c.observation.started_at for c in claims if c is not None), default=0.0))
             found[engine_id] = Machine(
@@ -386,10 +398,10 @@
             self.fleet.start()
         if self.recovery is not None:
             self.recovery.start()
-        if self.swap is not None:
-            self.swap.start()
-        if self.pins is not None:
-            self.pins.start()
+        if self.rolling_replacement is not None:
+            self.rolling_replacement.start()
+        if self.session_affinity is not None:
+            self.session_affinity.start()
         if self.installation.file.status_socket:
             path = self.path.parent / self.installation.file.status_socket
             self.event_loop.spawn(status.serve(self.event_loop, status.listen(path), self._answer))
@@ -406,10 +418,10 @@
             except OverrideError as error:
                 return {"error": str(error)}
         if call.get("call") in ("swap", "abort"):
-            if self.swap is None:
+            if self.rolling_replacement is None:
                 return {"error": "a swap needs state_dir, section 'fleet' and membership.voters"}
             try:
-                return view | self.swap.call(call)
+                return view | self.rolling_replacement.call(call)
             except ReplacementCallError as error:
                 return {"error": str(error)}
         if call.get("call") == "metrics":
@@ -423,7 +435,13 @@
     def _view(self) -> dict[str, Any]:
         """What all parts show."""
         view: dict[str, Any] = {"name": self.config.name}
-        for part in (self.membership, self.fleet, self.recovery, self.swap, self.pins):
+        for part in (
+            self.membership,
+            self.fleet,
+            self.recovery,
+            self.rolling_replacement,
+            self.session_affinity,
+        ):
             view |= part.status() if part is not None else {}
         return view
 
@@ -453,8 +471,8 @@
     def believe_known(self) -> None:
         """The list from the file, and what is remembered, stand for what no source has answered yet."""
         now, known = self.event_loop.clock.now(), self.installation.known
-        if self.remembered is not None:
-            known = self.remembered.observations(known)
+        if self.engine_cache is not None:
+            known = self.engine_cache.observations(known)
             self.log.note("engines_remembered", engines=len(known) - len(self.installation.known))
         if not known:
             return
@@ -488,7 +506,7 @@
             self.watches[source][1].confirm(absent)
 
     def _report_silence(self) -> None:
-        """Danger: a dispatcher that knows nobody refuses everything, and nobody would know why."""
+        """Log the sources that have not answered: a dispatcher without engines rejects everything."""
         for name, view in self.engine_catalog.views.items():
             if view.answer_count == 0:
                 self.log.note(
@@ -508,10 +526,10 @@
     async def run(self) -> None:
         """As the dispatcher does; the ledger is closed last, as one that ended by order."""
         await super().run()
-        if self.pins is not None:
-            self.pins.close()
-        if self.swap is not None:
-            self.swap.close()
+        if self.session_affinity is not None:
+            self.session_affinity.close()
+        if self.rolling_replacement is not None:
+            self.rolling_replacement.close()
         if self.recovery is not None:
             self.recovery.close()
 
@@ -589,8 +607,8 @@
         name=installation.file.name,
     )
 
-    def make(loop: asyncio.AbstractEventLoop) -> ServedInstallation:
+    def make(loop: asyncio.AbstractEventLoop) -> StandaloneDispatcher:
         log.note("start", listen=installation.file.listen, sources=len(installation.sources))
-        return ServedInstallation(path, installation, log, loop)
+        return StandaloneDispatcher(path, installation, log, loop)
 
     return run_program(installation.file.name, make)
--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -64,11 +64,13 @@
 def _retry_or_answer(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
     """Queue the query for a further attempt if the rules and the time left allow one, else answer it.
 
-    Its deadline is added again: it may have come up, and been dropped, while the attempt was in flight.
+    An attempt that this side withdrew before it started is not tried again: the client left, too little time
+    remained, or the load could not be recorded. A further attempt needs half a planned run of time at least.
+    The deadline is added again: it may have come up, and been dropped, while the attempt was in flight.
     """
     needed_ms = max(query.planned_run_ms / 2, gateway.answer_margin_ms)
     is_late = gateway.now + needed_ms > query.deadline_at
-    if outcome is Outcome.ALREADY_FINISHED or retry_policy.retry_barrier(gateway, query) or is_late:
+    if outcome is Outcome.NOT_STARTED or retry_policy.retry_barrier(gateway, query) or is_late:
         responses.reject_or_fail(gateway, query)
         return
     gateway.deadlines.add(query)
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -1,9 +1,11 @@
 """Engine health: the evidence of faults, ejection and readmission.
 
 An engine is ejected when a connect fails, when it answers mostly errors or loses connection after connection,
-when it says nothing while queries are overdue, or when a health check times out. An ejected engine gets
-canaries only. It is readmitted after MIN_CANARY_SUCCESSES served queries in a row, when the evidence is
-refuted, when it restarts, when the fleet opens it again, or after EJECTION_MS without new evidence.
+when it says nothing while queries are overdue, or when a health check times out. Time-outs and cancelled
+attempts say nothing about it, and OVERLOADED only backs off. An ejected engine gets canaries only, unless no
+usable engine may run the query. It is readmitted after MIN_CANARY_SUCCESSES served queries in a row, when
+the evidence is refuted, when it restarts, when the fleet opens it again, or after EJECTION_MS without new
+evidence.
 """
 
 from __future__ import annotations
@@ -117,7 +119,7 @@
     A failed connect is proof. All connections lost at one moment are one sign, no more than one error: a
     failed engine shows in the next connect, or in the health check that follows.
     """
-    if outcome is Outcome.ERROR and query is not None and _is_query_at_fault(query, engine):
+    if outcome is Outcome.ERROR and query is not None and _blame_query_or_engine(query, engine):
         return
     if outcome is Outcome.RESET:
         if engine.connection_lost_at == gateway.now:
@@ -132,10 +134,11 @@
         eject(gateway, engine, EjectionReason.ERRORS if is_error else EjectionReason.UNREACHABLE)
 
 
-def _is_query_at_fault(query: Query, engine: EngineView) -> bool:
-    """Whether an error is the query's: another engine answered it with one before.
+def _blame_query_or_engine(query: Query, engine: EngineView) -> bool:
+    """Count an error of the query, and return whether the query is to blame.
 
-    The error then counts against no engine, and is taken back from the first one.
+    It is from its second error on: that one counts against no engine, and the first is taken back from its
+    engine.
     """
     query.engine_error_count += 1
     if query.first_error_engine is None:
--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -18,7 +18,7 @@
 
 
 class EjectionReason(Enum):
-    """Why an engine gets no queries but canaries. The values are those of the operators' log."""
+    """Why an engine is ejected; see engine_health.py. The values are those of the operators' log."""
 
     UNREACHABLE = "dead"
     ERRORS = "errors"
--- a/cottonhold/scheduler/events.py
+++ b/cottonhold/scheduler/events.py
@@ -30,7 +30,7 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    ALREADY_FINISHED = "moot"
+    NOT_STARTED = "moot"
 
 
 class ProgressKind(Enum):
--- a/cottonhold/scheduler/parameters.py
+++ b/cottonhold/scheduler/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters that several parts share, with the reason for each; those of one part stand in its module."""
+"""Parameters that several parts share; those of one part stand in its module."""
 
 from __future__ import annotations
 
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -1,7 +1,8 @@
 """Placement: which engine a query is queued for, and at which position of its plan (Algorithms 1 and 3).
 
-Each engine has a plan of the queries queued for it, densest first. A query goes to the engine with the
-earliest estimated finish among a few candidates drawn at random.
+Each engine has a plan of the queries queued for it, kept by insertion: a query goes before those that it
+outranks by OUTRANK_MARGIN or does not make late, else it goes last; canaries go first. A query goes to the
+engine with the earliest estimated finish among a few candidates drawn at random.
 """
 
 from __future__ import annotations
--- a/cottonhold/scheduler/responses.py
+++ b/cottonhold/scheduler/responses.py
@@ -11,7 +11,11 @@
 
 
 def reject_or_fail(gateway: GatewayState, query: Query) -> None:
-    """Give a query its final answer; the one place for every answer that is no result."""
+    """Give a query its final answer; the one place for every answer that is no result.
+
+    Callers: admission (on arrival), placement (no utility left, or too late to finish), deadlines (its time
+    is almost over) and attempt_outcomes (no further attempt is allowed).
+    """
     query.leave_plan()
     if retry_policy.may_reject(query):
         gateway.actions.append(Reject(query.id, _retry_after_ms(gateway)))
--- a/cottonhold/scheduler/retry_policy.py
+++ b/cottonhold/scheduler/retry_policy.py
@@ -18,7 +18,7 @@
 NEVER_RAN = (
     Outcome.OVERLOADED,
     Outcome.CONNECT_FAILED,
-    Outcome.ALREADY_FINISHED,
+    Outcome.NOT_STARTED,
 )  # proof that the attempt never ran
 
 
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -108,6 +108,7 @@
         ]
         self.tenant_traffic = [ArrivalRate(TRAFFIC_MEMORY_MS) for _ in settings.tenants]
         self.settings = settings
+        # A step comes this late at the longest, and a deadline must not pass between two steps.
         self.answer_margin_ms = HEARTBEAT_MS + 2 * settings.tick_ms
         affordable = HEALTH_CHECK_PRICE / max(settings.overhead_costs.per_health_check, 1e-9)
         self.health_checks_per_query = min(MAX_HEALTH_CHECKS_PER_QUERY, affordable)
--- a/cottonhold/scheduler/settings.py
+++ b/cottonhold/scheduler/settings.py
@@ -97,18 +97,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Figures of the rules; a None turns the rule off."""
-
-    answer_slack_ms: float = 20.0
-    drain_grace_ms: float = 1000.0
-    cold_capacity_share: float = 0.3
-    warm_up_ms: float = 13000.0
-    overload_factor: float = 2.0
-    overload_window_ms: float = 2000.0
-    list_poll_limit_ms: float = 10000.0
-    key_quiet_ms: float = 0.0
-    retry_budget_free: int | None = None
-    retry_budget_share: float = 0.0
+    """Limits that the deployment sets. Three are read for completeness and used by no decision here."""
+
+    answer_slack_ms: float = 20.0  # not used: how late a final answer may be
+    drain_grace_ms: float = 1000.0  # not used: how soon a drain must be followed
+    cold_capacity_share: float = 0.3  # of an engine's capacity, just after its start
+    warm_up_ms: float = 13000.0  # from its start until an engine has its whole capacity
+    overload_factor: float = 2.0  # times its present capacity that a cold engine may be sent
+    overload_window_ms: float = 2000.0  # over which the work sent to a cold engine is counted
+    list_poll_limit_ms: float = 10000.0  # not used: how old a polled engine list may be
+    key_quiet_ms: float = 0.0  # after a request of an ordering key, until the next of the key may be sent
+    retry_budget_free: int | None = None  # retries in the window beyond the share; None: no retry budget
+    retry_budget_share: float = 0.0  # of the queries in the window: retries that are allowed
     retry_budget_window_ms: float = 5000.0
 
 
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -2,7 +2,8 @@
 
 All gateways together may send a cold engine no more than it takes without falling over; each keeps to its own
 part of that, so that the parts add up to the budget whatever the others do. The budget is counted in work, in
-which a query weighs what its class usually takes. An engine with a quota of the fleet keeps to that instead.
+which a query weighs what its class usually takes. An engine with a quota of the fleet
+(fleet/recovery/slow_start.py) keeps to that instead.
 """
 
 from __future__ import annotations
@@ -16,6 +17,7 @@
 from cottonhold.scheduler.query import Query
 
 COLD_MARGIN = 0.5  # of a cold engine's budget: its true speed, estimates and traffic shares are all guesses
+EARNED_SHARE = 0.5  # of the budget is earned over the window, the rest is the burst at its begin
 MAX_PART_FACTOR = 1.5  # times an even part of the fleet's traffic: the most that counts as this gateway's
 LARGE_QUERY_SHARE = 0.7  # of the budget goes to queries larger than what a gateway can save up
 SINGLE_QUERY_SLACK = 2  # queries of mean work by which one query may exceed the budget of all gateways
@@ -29,9 +31,9 @@
 def exceeds_budget(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
     """Whether the budget of a cold engine, or an engine's quota, keeps the query from being sent there now.
 
-    A cold engine is sent work only by the gateways that draw on it. Work is saved up; where a gateway's part
-    is less than a query, gateways take turns in how much of the query has to be saved up. An engine that was
-    seen to fail is cold as well, before the list reports a restart.
+    Also adds what was saved up since the last call. A cold engine is sent work only by the gateways that draw
+    on it. Where a gateway's part is less than a query, gateways take turns in how much of the query has to be
+    saved up. An engine that was seen to fail is cold as well, before the list reports a restart.
     """
     is_cold = gateway.now < engine.cold_until
     quota_rate = engine.effective_quota_rate(gateway.now)
@@ -134,7 +136,9 @@
     rules, settings = gateway.settings.rules, gateway.settings
     part = gateway.own_engine_share / settings.concurrent_processes
     part *= min(1.0, MAX_PART_FACTOR / (settings.gateway_count * gateway.traffic_share))
-    return COLD_MARGIN * rules.overload_factor * rules.cold_capacity_share * engine.cores * part / 2
+    return (
+        COLD_MARGIN * rules.overload_factor * rules.cold_capacity_share * engine.cores * part * EARNED_SHARE
+    )
 
 
 def start_warming(gateway: GatewayState, engine: EngineView, cold_until: float) -> None:
--- a/cottonhold/simulator_adapter.py
+++ b/cottonhold/simulator_adapter.py
@@ -60,7 +60,7 @@
     521: Outcome.CONNECT_FAILED,
     520: Outcome.RESET,
     444: Outcome.CANCELLED,
-    409: Outcome.ALREADY_FINISHED,
+    409: Outcome.NOT_STARTED,
 }
 STATES = {
     "live": EngineState.LIVE,
--- a/tests/backend/test_attempt_begin.py
+++ b/tests/backend/test_attempt_begin.py
@@ -40,9 +40,9 @@
 CHANGES: dict[Change, Outcome] = {
     engine_drains: Outcome.CONNECT_FAILED,
     engine_is_gone: Outcome.CONNECT_FAILED,
-    time_is_over: Outcome.ALREADY_FINISHED,
-    client_left: Outcome.ALREADY_FINISHED,
-    another_is_current: Outcome.ALREADY_FINISHED,
+    time_is_over: Outcome.NOT_STARTED,
+    client_left: Outcome.NOT_STARTED,
+    another_is_current: Outcome.NOT_STARTED,
 }
 
 
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -28,7 +28,7 @@
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.engine import StandInEngine
 from cottonhold.node.consul_client import LagMeter
-from cottonhold.node.standalone_dispatcher import ServedInstallation
+from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import EngineState
 from tests.support.scenario import LOGIN, packet
@@ -65,7 +65,7 @@
         self.servers: list[Server] = []
         self.engines: dict[str, StandInEngine] = {}
         self.addresses: dict[str, str] = {}
-        self.node: ServedInstallation
+        self.node: StandaloneDispatcher
         self.log = StringIO()
         self.sessions: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
@@ -96,7 +96,7 @@
         installation = read(self.path)
         settings = installation.file.log
         log = StructuredLog("logfmt", settings.per_second, settings.burst, installation.secrets, self.log)
-        self.node = ServedInstallation(self.path, installation, log, asyncio.get_running_loop())
+        self.node = StandaloneDispatcher(self.path, installation, log, asyncio.get_running_loop())
         driver = self.node.event_loop
         self.listener = driver.listener.listen(self.node.config.listen.__class__("127.0.0.1", 0))
         driver.spawn(driver.listener.accept(self.listener, self.node.sessions))
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -27,7 +27,7 @@
 from cottonhold.fleet.rolling_replacement.plan import ReplacementStep
 from cottonhold.fleet.rolling_replacement.step_decision import Drain
 from cottonhold.fleet_adapters import write_queue
-from cottonhold.node.standalone_dispatcher import ServedInstallation
+from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store import ledger
@@ -173,14 +173,14 @@
 
     async def scenario() -> list[bool]:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = ServedInstallation(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
         node.believe_known()
         assert node.recovery is not None
         may = [node.recovery.has_other_prerequisites(), node._listed()]
         seen = Observation("e1", ServiceStatus.IN_SERVICE, address=Address("127.0.0.1", 3))
         node.on_discovery_events([SourceReport("dc1", 1, (seen,), is_complete=True)])
         may += [node.recovery.has_other_prerequisites(), node._listed()]
-        for part in (node.swap, node.recovery):
+        for part in (node.rolling_replacement, node.recovery):
             if part is not None:
                 part.close()
         return may
@@ -195,36 +195,42 @@
     path = tmp_path / "n1.json"
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
 
-    async def life(story: Callable[[ServedInstallation], Awaitable[None]]) -> None:
+    async def life(story: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = ServedInstallation(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
         node.believe_known()
-        assert node.recovery is not None and node.swap is not None
+        assert node.recovery is not None and node.rolling_replacement is not None
         await story(node)
-        for part in (node.swap, node.recovery):
+        for part in (node.rolling_replacement, node.recovery):
             part.close()
 
-    async def drained(node: ServedInstallation) -> None:
-        assert node.swap is not None and set(node.held.live_engines()) == {"e1", "e2"}
-        node.swap.coordinator.view.records = {"e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)}
-        rim, swap = node.swap.drains, node.swap.coordinator
+    async def drained(node: StandaloneDispatcher) -> None:
+        assert node.rolling_replacement is not None and set(node.quarantine.live_engines()) == {"e1", "e2"}
+        node.rolling_replacement.coordinator.view.records = {
+            "e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)
+        }
+        rim, swap = node.rolling_replacement.drains, node.rolling_replacement.coordinator
         rim.act(0.0, swap, Drain("e1"))
-        assert set(node.held.live_engines()) == {"e2"} and "e1" not in rim.drains.drained, (
+        assert set(node.quarantine.live_engines()) == {"e2"} and "e1" not in rim.drains.drained, (
             "told before it is kept"
         )
         while "e1" not in rim.drains.drained:
             await asyncio.sleep(0)
 
-    async def back(node: ServedInstallation) -> None:
-        assert node.swap is not None and set(node.held.live_engines()) == {"e2"}
-        rim, swap, now = node.swap.drains, node.swap.coordinator, node.event_loop.clock.now()
+    async def back(node: StandaloneDispatcher) -> None:
+        assert node.rolling_replacement is not None and set(node.quarantine.live_engines()) == {"e2"}
+        rim, swap, now = (
+            node.rolling_replacement.drains,
+            node.rolling_replacement.coordinator,
+            node.event_loop.clock.now(),
+        )
         rim.step(now, swap)
-        assert set(node.held.live_engines()) == {"e2"}
+        assert set(node.quarantine.live_engines()) == {"e2"}
         rim.step(now + rim.drains.settings.startup_timeout_ms, swap)
-        assert set(node.held.live_engines()) == {"e1", "e2"}
+        assert set(node.quarantine.live_engines()) == {"e1", "e2"}
 
-    async def after(node: ServedInstallation) -> None:
-        assert set(node.held.live_engines()) == {"e1", "e2"}
+    async def after(node: StandaloneDispatcher) -> None:
+        assert set(node.quarantine.live_engines()) == {"e1", "e2"}
 
     for story in (drained, back, after):
         asyncio.run(life(story))
@@ -240,19 +246,21 @@
     monkeypatch.setattr(ledger, "DEFAULT_VFS", "drains")
     monkeypatch.setattr(write_queue, "RETRY_MS", 1.0)
 
-    async def life(story: Callable[[ServedInstallation], Awaitable[None]]) -> None:
+    async def life(story: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = ServedInstallation(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
         node.believe_known()
-        assert node.recovery is not None and node.swap is not None
+        assert node.recovery is not None and node.rolling_replacement is not None
         await asyncio.wait_for(story(node), 60.0)
-        for part in (node.swap, node.recovery):
+        for part in (node.rolling_replacement, node.recovery):
             part.close()
 
-    async def drained(node: ServedInstallation) -> None:
-        assert node.swap is not None and set(node.held.live_engines()) == {"e1", "e2"}
-        node.swap.coordinator.view.records = {"e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)}
-        rim, swap = node.swap.drains, node.swap.coordinator
+    async def drained(node: StandaloneDispatcher) -> None:
+        assert node.rolling_replacement is not None and set(node.quarantine.live_engines()) == {"e1", "e2"}
+        node.rolling_replacement.coordinator.view.records = {
+            "e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)
+        }
+        rim, swap = node.rolling_replacement.drains, node.rolling_replacement.coordinator
         disk.orders = disk_of.Orders(full=True) if fault == "full" else disk_of.Orders(fail_sync=1.0)
         rim.act(0.0, swap, Drain("e1"))
         while "e1" not in rim.drains.drained:
@@ -263,8 +271,8 @@
             await asyncio.sleep(0.01)
         disk.cut()
 
-    async def back(node: ServedInstallation) -> None:
-        assert set(node.held.live_engines()) == {"e2"}
+    async def back(node: StandaloneDispatcher) -> None:
+        assert set(node.quarantine.live_engines()) == {"e2"}
 
     for story in (drained, back):
         disk = disk_of.install("drains")
@@ -274,7 +282,7 @@
 class Scripted:
     """A node's disk and timers: a write ends as told, a timer fires when told."""
 
-    def __init__(self, node: ServedInstallation, monkeypatch: pytest.MonkeyPatch) -> None:
+    def __init__(self, node: StandaloneDispatcher, monkeypatch: pytest.MonkeyPatch) -> None:
         assert node.recovery is not None
         self.well, self.timers, self.put_of = False, list[Callable[[], None]](), list[list[Record]]()
         monkeypatch.setattr(node.recovery.ledger, "put", self.put)
@@ -293,14 +301,14 @@
             then()
 
 
-def with_node(path: Path, more: dict[str, object], story: Callable[[ServedInstallation], None]) -> None:
+def with_node(path: Path, more: dict[str, object], story: Callable[[StandaloneDispatcher], None]) -> None:
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False} | more))
 
     async def life() -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = ServedInstallation(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
         story(node)
-        for part in (node.pins, node.swap, node.recovery):
+        for part in (node.session_affinity, node.rolling_replacement, node.recovery):
             if part is not None:
                 part.close()
 
@@ -311,7 +319,7 @@
 def test_a_base_that_the_disk_did_not_take_is_put_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, later: bool
 ) -> None:
-    def story(node: ServedInstallation) -> None:
+    def story(node: StandaloneDispatcher) -> None:
         rim = node.recovery
         assert rim is not None
         with monkeypatch.context() as patched:
@@ -334,8 +342,8 @@
 def test_a_pin_that_the_disk_did_not_take_is_put_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def story(node: ServedInstallation) -> None:
-        rim = node.pins
+    def story(node: StandaloneDispatcher) -> None:
+        rim = node.session_affinity
         assert rim is not None
         with monkeypatch.context() as patched:
             disk, told = Scripted(node, patched), list[int]()
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -19,7 +19,7 @@
 from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
 from cottonhold.node import standalone_dispatcher as installation_module
 from cottonhold.node.client_request import ClientRequest
-from cottonhold.node.standalone_dispatcher import ServedInstallation
+from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.store.health import Completeness as Folder
@@ -48,9 +48,9 @@
             raise self.errors.pop(0)
         return open_ledger(installation, folder)
 
-    def make(self) -> ServedInstallation:
+    def make(self) -> StandaloneDispatcher:
         log = StructuredLog("logfmt", 100, 100, (), self.said)
-        return ServedInstallation(self.path, read(self.path), log, asyncio.get_running_loop())
+        return StandaloneDispatcher(self.path, read(self.path), log, asyncio.get_running_loop())
 
     def lines(self) -> list[str]:
         return [line for line in self.said.getvalue().splitlines() if "ledger_unusable" in line]
@@ -66,7 +66,7 @@
     return world
 
 
-async def kept(node: ServedInstallation) -> None:
+async def kept(node: StandaloneDispatcher) -> None:
     """Until the folder is in use."""
     for _ in range(MOST_TURNS):
         if node.recovery is not None:
@@ -75,8 +75,8 @@
     raise AssertionError("the folder is never used")
 
 
-def end(node: ServedInstallation) -> None:
-    for part in (node.pins, node.swap, node.recovery):
+def end(node: StandaloneDispatcher) -> None:
+    for part in (node.session_affinity, node.rolling_replacement, node.recovery):
         if part is not None:
             part.close()
 
@@ -254,9 +254,11 @@
 
     async def story() -> None:
         node = world.make()
-        assert node.unkept is not None
-        node.unkept.history.answer_unavailable(node.unkept.now() - 4000.0, b"x" * 16)
-        first = node.unkept.history.local.queried[b"x" * 16].first_at
+        assert node.unavailable_load_guard is not None
+        node.unavailable_load_guard.history.answer_unavailable(
+            node.unavailable_load_guard.now() - 4000.0, b"x" * 16
+        )
+        first = node.unavailable_load_guard.history.local.queried[b"x" * 16].first_at
         await kept(node)
         assert node.recovery is not None and node.recovery.history.local.queried[b"x" * 16].first_at == first
         end(node)
@@ -273,9 +275,11 @@
 
     async def story() -> None:
         node = world.make()
-        assert node.unkept is not None
+        assert node.unavailable_load_guard is not None
         assert (
-            node.unkept.history.answer_unavailable(node.unkept.now(), record.identity)
+            node.unavailable_load_guard.history.answer_unavailable(
+                node.unavailable_load_guard.now(), record.identity
+            )
             is LoadKnowledge.MAY_HAVE_RUN
         )
         await kept(node)
@@ -304,16 +308,16 @@
     async def story() -> None:
         node, due = world.make(), list[tuple[float, Callable[[], None]]]()
         node.believe_known()
-        assert set(node.held.live_engines()) == {"e2"}
+        assert set(node.quarantine.live_engines()) == {"e2"}
         if had:
             await kept(node)
-            assert set(node.held.live_engines()) == {"e2"}
+            assert set(node.quarantine.live_engines()) == {"e2"}
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
-        node._hold_drained(drain[RecordKind.ENGINE_DRAIN])
+        node._quarantine_drained_engines(drain[RecordKind.ENGINE_DRAIN])
         ((ms, let_go),) = due
         assert ms == DrainSettings().startup_timeout_ms
         let_go()
-        assert set(node.held.live_engines()) == ({"e2"} if had else {"e1", "e2"})
+        assert set(node.quarantine.live_engines()) == ({"e2"} if had else {"e1", "e2"})
         end(node)
 
     play(story)
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -59,7 +59,7 @@
         (Outcome.ERROR, True),
         (Outcome.TIMEOUT, False),
         (Outcome.OVERLOADED, False),
-        (Outcome.ALREADY_FINISHED, False),
+        (Outcome.NOT_STARTED, False),
         (Outcome.CANCELLED, False),
     ],
 )
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -40,9 +40,7 @@
 
     def spoilt(self, events: Iterable[Event]) -> Iterator[Event]:
         for event in events:
-            over = (
-                getattr(event, "outcome", None) is Outcome.ALREADY_FINISHED
-            )  # which tells no more than that
+            over = getattr(event, "outcome", None) is Outcome.NOT_STARTED  # which tells no more than that
             if self.fails == type(event).__name__ and getattr(event, "query_id", "") == BAD and not over:
                 self.fail()
             yield event
--- a/tests/transport/test_write_order.py
+++ b/tests/transport/test_write_order.py
@@ -245,7 +245,7 @@
         assert await rig.heard("a", begun) == [b"GET"] * begun
         while len(rig.ends) < MANY - begun:
             await asyncio.sleep(0)
-        assert rig.ends == [Outcome.ALREADY_FINISHED] * (MANY - begun) and rig.there("a") == []
+        assert rig.ends == [Outcome.NOT_STARTED] * (MANY - begun) and rig.there("a") == []
 
     played(story)
 
