--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -73,7 +73,7 @@
         for engine in self.drain_records.from_previous_start:
             owner.republish(owner.quarantine.hold(engine))
 
-    def told(self, payload: bytes) -> bool:
+    def on_message(self, payload: bytes) -> bool:
         """Apply a datagram's payload; return whether it is a drain report."""
         if not payload or payload[0] != DRAIN_REPORT:
             return False
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -23,8 +23,7 @@
 from cottonhold.fleet_adapters.load_conversions import NEVER_RAN
 from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.gateway import Gateway
-from cottonhold.node.load_guard import LoadGuard, LoadOutcome
-from cottonhold.node.load_guard import LoadOutcomeCallback as Tell
+from cottonhold.node.load_guard import LoadGuard, LoadOutcome, LoadOutcomeCallback
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 from cottonhold.transport.clock import Clock
@@ -111,7 +110,7 @@
     key: bytes
     deadline: float
     wait_deadline: float
-    settled: Tell
+    settled: LoadOutcomeCallback
     origin_round: OriginRound | None
     owner: int = 0
     retry_at: float = 0.0  # it is not placed before
@@ -152,43 +151,51 @@
         """Whether requests of a class are remembered."""
         return self.loads.guards(query_class)
 
-    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
+    def on_load_arrived(
+        self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
+    ) -> None:
         """A load has come; one with a key begins only where that is owned."""
-        if taken.ordering_key is None:
-            self.loads.on_load_arrived(taken, until, settled)
+        if client_request.ordering_key is None:
+            self.loads.on_load_arrived(client_request, deadline, on_outcome)
             return
         now = self.clock.now()
-        remote = self.origin_rounds.get(taken.request_id)
+        remote = self.origin_rounds.get(client_request.request_id)
         patience = max(
-            min(until - RETRY_RESERVE_MS, now + (MAX_FORWARDED_WAIT_MS if remote else MAX_WAIT_MS)), now
+            min(deadline - RETRY_RESERVE_MS, now + (MAX_FORWARDED_WAIT_MS if remote else MAX_WAIT_MS)), now
         )
         request = KeyedRequest(
-            next(self.numbers), taken, affinity_key(taken.ordering_key), until, patience, settled, remote
+            next(self.numbers),
+            client_request,
+            affinity_key(client_request.ordering_key),
+            deadline,
+            patience,
+            on_outcome,
+            remote,
         )
-        self.requests[taken.request_id] = request
+        self.requests[client_request.request_id] = request
         # A request must not overtake others of its key that wait for an owner.
         if request.key in self.queues or not self._place(request):
             self._enqueue(request)
 
     def before_attempt_sent(
-        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+        self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
         """An attempt goes out only while its key is owned, also once the disk has taken it."""
         request = self.requests.get(attempt.request_id)
         if request is None:
-            self.loads.before_attempt_sent(attempt, taken, kept)
+            self.loads.before_attempt_sent(attempt, client_request, on_recorded)
             return
         request.is_in_flight = True
         if not self.router.is_owner(request.key):
-            self._stop_attempt(request, kept)
+            self._stop_attempt(request, on_recorded)
             return
 
         def remembered(durable: bool) -> None:
             # The lease may have ended while the record was written; the next owner may start its own request.
             if durable and not self.router.is_owner(request.key):
-                self._stop_attempt(request, kept)
+                self._stop_attempt(request, on_recorded)
             else:
-                kept(durable)
+                on_recorded(durable)
 
         self.loads.before_attempt_sent(attempt, request.client_request, remembered)
 
@@ -202,15 +209,15 @@
             if request.is_closed:
                 self._end(request)
 
-    def on_request_closed(self, ref: str) -> None:
+    def on_request_closed(self, request_id: str) -> None:
         """A request is over for its client."""
-        self.loads.on_request_closed(ref)
-        request = self.requests.get(ref)
+        self.loads.on_request_closed(request_id)
+        request = self.requests.get(request_id)
         if request is None:
             return
         request.is_closed = True
         if request.owner:
-            self.router.abandon(ref)
+            self.router.abandon(request_id)
             self._on_returned(request)
         if not request.is_in_flight:
             self._end(request)
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -90,18 +90,20 @@
         """Whether requests of a class are recorded."""
         return query_class in self.classes
 
-    def on_load_arrived(self, taken: ClientRequest, until: float, settled: LoadOutcomeCallback) -> None:
+    def on_load_arrived(
+        self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
+    ) -> None:
         """A load has arrived. One behind a retry of its key that is not settled yet waits for that, so that
         requests of a key stay in order."""
-        if self._reject_unrecordable(taken, settled):
+        if self._reject_unrecordable(client_request, on_outcome):
             return
-        key = taken.ordering_key
+        key = client_request.ordering_key
         if key is not None and key in self.queues:
-            queued = QueuedRequest(taken, until, settled)
+            queued = QueuedRequest(client_request, deadline, on_outcome)
             self.queues[key].append(queued)
-            self.call_in(max(until - self.now(), 0.0), lambda: self._on_queue_timeout(queued))
+            self.call_in(max(deadline - self.now(), 0.0), lambda: self._on_queue_timeout(queued))
         else:
-            self._query(taken, until, settled)
+            self._query(client_request, deadline, on_outcome)
 
     def _reject_unrecordable(self, request: ClientRequest, on_settled: LoadOutcomeCallback) -> bool:
         """Whether a request was rejected, since its load can't be recorded or may not be sent now. A retry is
@@ -153,25 +155,25 @@
                 return
 
     def before_attempt_sent(
-        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+        self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
         """Record an attempt, and call `kept` once the record is durable. The load counts as sent from here
         on: another instance that asks meanwhile must not hear that it was never sent."""
         now = self.now()
-        run = self.runs.setdefault(taken.request_id, LoadRun(identity_of(taken)))
+        run = self.runs.setdefault(client_request.request_id, LoadRun(identity_of(client_request)))
         if not run.is_begun:
-            if run.load in self.history.granted and taken.is_retry:
+            if run.load in self.history.granted and client_request.is_retry:
                 self.history.on_sent(now, run.load)
             elif not self.history.begin(now, run.load):
                 self.counters.add("loads_asked_elsewhere")
-                kept(False)
+                on_recorded(False)
                 return
             run.is_begun = True
         run.is_attempt_in_flight = True
         record = LoadRecord(
             identity=run.load,
-            request_id=taken.request_id,
-            ordering_key=taken.ordering_key or "",
+            request_id=client_request.request_id,
+            ordering_key=client_request.ordering_key or "",
             statement_digest=run.load[:DIGEST_BYTES],
             engine=attempt.engine,
             boot_count=self.ledger.boot_count,
@@ -181,7 +183,7 @@
         self.records[run.load] = record
 
         def on_written(durable: bool) -> None:
-            self.hop(lambda: kept(durable))
+            self.hop(lambda: on_recorded(durable))
 
         self.ledger.put([record.to_record()], on_written)
 
@@ -197,16 +199,16 @@
         elif run.is_closed:
             self._finish(attempt.request_id, run, LoadResult.NEVER_RAN)
 
-    def on_request_closed(self, ref: str) -> None:
+    def on_request_closed(self, request_id: str) -> None:
         """A request is over for its client; an attempt of it may still be in flight."""
-        self.pending.pop(ref, None)
-        self.history.cancel(self.now(), ref)
-        self._release_queue(ref)
-        run = self.runs.get(ref)
+        self.pending.pop(request_id, None)
+        self.history.cancel(self.now(), request_id)
+        self._release_queue(request_id)
+        run = self.runs.get(request_id)
         if run is not None and run.is_attempt_in_flight:
             run.is_closed = True
         elif run is not None:
-            self._finish(ref, run, LoadResult.NEVER_RAN)
+            self._finish(request_id, run, LoadResult.NEVER_RAN)
 
     def on_settled(self, action: LoadSettled) -> None:
         """The history knows what became of a load."""
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -184,7 +184,7 @@
         """Another instance is there: it hears of this one at once."""
         self._arm(MIN_STEP_MS)
 
-    def told(self, member: int, payload: bytes) -> bool:
+    def on_message(self, member: int, payload: bytes) -> bool:
         """Whether bytes from another instance are recovery's; malformed ones are counted."""
         if not payload or not PRESENCE <= payload[0] <= OPEN_LOADS:
             return False
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -131,9 +131,9 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def told(self, member: int, payload: bytes) -> bool:
+    def on_message(self, member: int, payload: bytes) -> bool:
         """Apply a datagram's payload; return whether it is a register's, or of drained engines."""
-        if self.drains.told(payload):
+        if self.drains.on_message(payload):
             return True
         if not payload or not FIRST_KIND <= payload[0] <= LAST_KIND:
             return False
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -139,7 +139,7 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def told(self, member: int, payload: bytes) -> bool:
+    def on_message(self, member: int, payload: bytes) -> bool:
         """Apply a datagram's payload; return whether it is one of session affinity or request forwarding."""
         if not payload or not messages.MIGRATION <= payload[0] <= REQUEST_FORWARDING:
             return False
--- a/cottonhold/fleet_adapters/unavailable_load_guard.py
+++ b/cottonhold/fleet_adapters/unavailable_load_guard.py
@@ -37,26 +37,28 @@
         """Whether requests of a class would have to be recorded."""
         return query_class in self.classes
 
-    def on_load_arrived(self, taken: ClientRequest, until: float, settled: LoadOutcomeCallback) -> None:
+    def on_load_arrived(
+        self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
+    ) -> None:
         """Answered at once: to come later, or what is known of a retry. A retry is noted in the history,
         which bounds for how long it is told to come later."""
         self.counters.add("loads_unkept")
         knowledge, now = LoadKnowledge.NOT_KNOWN_YET, self.now()
-        if taken.is_retry:
-            knowledge = self.history.answer_unavailable(now, identity_of(taken))
-        settled(outcome_of(knowledge, self.classes[taken.query_class]), self.retry_after_ms)
+        if client_request.is_retry:
+            knowledge = self.history.answer_unavailable(now, identity_of(client_request))
+        on_outcome(outcome_of(knowledge, self.classes[client_request.query_class]), self.retry_after_ms)
         if now - self.expired_at >= EXPIRE_INTERVAL_MS:
             self.expired_at = now
             self.history.local.expire(now, ())
 
     def before_attempt_sent(
-        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+        self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
         """An attempt of a request that was accepted under another ledger: it can't be recorded."""
-        kept(False)
+        on_recorded(False)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """Nothing was recorded."""
 
-    def on_request_closed(self, ref: str) -> None:
+    def on_request_closed(self, request_id: str) -> None:
         """Nothing was recorded."""
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -127,26 +127,30 @@
         """Another instance is there."""
         self._step()
 
-    def on_request_arrived(self, taken: ClientRequest) -> float | None:
+    def on_request_arrived(self, client_request: ClientRequest) -> float | None:
         """A request has arrived; returns its draw where there may be a threshold."""
-        self.coordinator.on_request(self.clock.now(), taken.query_class)
+        self.coordinator.on_request(self.clock.now(), client_request.query_class)
         if self.coordinator.demand is None:
             return None
-        return admission_draw(taken.request_id.encode(), taken.is_retry)
+        return admission_draw(client_request.request_id.encode(), client_request.is_retry)
 
-    def on_demand_estimated(self, taken: ClientRequest, worth: float, work: float) -> None:
+    def on_demand_estimated(self, client_request: ClientRequest, utility: float, work_ms: float) -> None:
         """A request's utility, and its work in ms."""
         now, cost = self.clock.now(), self.coordinator.failover_cost
         if self.coordinator.demand is not None:
-            self.coordinator.demand.on_request(now, worth, work, taken.is_retry)
+            self.coordinator.demand.on_request(now, utility, work_ms, client_request.is_retry)
         if cost is not None:
-            cost.on_request(now, worth, work, _data_set(taken.table_group), taken.is_retry)
-            self.open_requests[taken.request_id] = OpenRequest(taken.table_group, taken.estimated_work_ms)
-
-    def on_admission_settled(self, wait: float, lost: bool) -> None:
+            cost.on_request(
+                now, utility, work_ms, _data_set(client_request.table_group), client_request.is_retry
+            )
+            self.open_requests[client_request.request_id] = OpenRequest(
+                client_request.table_group, client_request.estimated_work_ms
+            )
+
+    def on_admission_settled(self, waited_fraction: float, was_rejected: bool) -> None:
         """An admitted request was sent after a part of its time, or was rejected after all."""
         if self.coordinator.demand is not None:
-            self.coordinator.demand.on_admitted(wait, lost)
+            self.coordinator.demand.on_admitted(waited_fraction, was_rejected)
 
     def on_attempt_sent(self, attempt: Attempt, query_class: int) -> None:
         """An attempt has been sent."""
@@ -164,9 +168,9 @@
             cost.on_answer(now, zone, _data_set(request.table_group), excess_work_ms=excess_work_ms)
         self.coordinator.on_attempt_ended(now, _attempt_id(attempt), good, event.elapsed_ms, actual_work_ms)
 
-    def on_request_closed(self, ref: str) -> None:
+    def on_request_closed(self, request_id: str) -> None:
         """A request is over for its client."""
-        self.open_requests.pop(ref, None)
+        self.open_requests.pop(request_id, None)
 
     def on_health_check_time(self, engine: str, round_trip_ms: float) -> None:
         """An engine has answered a health check of this instance after so long."""
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -236,10 +236,10 @@
         )
         self.gateway.notifications.load_guard = self.session_affinity.guard
 
-    def _told(self, member: int, payload: bytes) -> None:
+    def _on_fleet_message(self, member: int, payload: bytes) -> None:
         """Bytes from another instance go to the part that they are for."""
         for part in (self.recovery, self.session_affinity, self.rolling_replacement):
-            if part is not None and part.told(member, payload):
+            if part is not None and part.on_message(member, payload):
                 return
         if self.fleet is not None:
             self.fleet.on_message(member, payload)
@@ -277,7 +277,7 @@
                 self.installation.file.number,
             )
             gateway.notifications.observer = self.fleet
-        rim.on_fleet_message, rim.on_joined = self._told, self._joined
+        rim.on_fleet_message, rim.on_joined = self._on_fleet_message, self._joined
 
     def _joined(self) -> None:
         """Another instance is there."""
