--- a/cottonhold/emulator/process_fleet.py
+++ b/cottonhold/emulator/process_fleet.py
@@ -6,7 +6,11 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
+import functools
+import itertools
 import json
+import os
 import random
 import socket
 import subprocess
@@ -24,23 +28,49 @@
 ENGINES = 6
 
 
-def free_ports(count: int, kind: socket.SocketKind) -> list[int]:
-    """Ports that nobody has now, below those that the kernel gives to connects.
+# Below the ports that the kernel gives to connects: one of those could be taken before its process binds it.
+FIRST_PORT, LAST_PORT = 15_000, 32_000
+BLOCK_PORTS = 200
+
+
+class PortBlock:
+    """A block of ports that no other process draws from, as long as this one lives.
 
-    Danger: one of the kernel's own went to a connect of the same run before its process could bind it.
+    The block's first port stays bound, and so claims the block.
     """
-    sockets, draw = list[socket.socket](), random.SystemRandom()
-    try:
-        while len(sockets) < count:
-            sockets.append(socket.socket(socket.AF_INET, kind))
+
+    def __init__(self) -> None:
+        self.claim = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        draw = random.SystemRandom()
+        while True:
+            first = draw.randrange(FIRST_PORT, LAST_PORT, BLOCK_PORTS)
             try:
-                sockets[-1].bind(("127.0.0.1", draw.randrange(15_000, 32_000)))
+                self.claim.bind(("127.0.0.1", first))
             except OSError:
-                sockets.pop().close()
-        return [int(sock.getsockname()[1]) for sock in sockets]
-    finally:
-        for sock in sockets:
-            sock.close()
+                continue
+            break
+        self.ports = itertools.cycle(range(first + 1, first + BLOCK_PORTS))
+
+    def take(self, count: int, kind: socket.SocketKind) -> list[int]:
+        """Return the next ports of the block that are not bound now."""
+        found = list[int]()
+        while len(found) < count:
+            port = next(self.ports)
+            with socket.socket(socket.AF_INET, kind) as sock, contextlib.suppress(OSError):
+                sock.bind(("127.0.0.1", port))
+                found.append(port)
+        return found
+
+
+@functools.cache
+def _own_block(process_id: int) -> PortBlock:
+    """The block of a process; a forked process claims one of its own."""
+    return PortBlock()
+
+
+def free_ports(count: int, kind: socket.SocketKind) -> list[int]:
+    """Return ports that are free, and that no other process of ours draws while this one lives."""
+    return _own_block(os.getpid()).take(count, kind)
 
 
 class Tier:
