--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -233,12 +233,12 @@
         self.reported_by_peer = {
             peer: load for peer, load in self.reported_by_peer.items() if load.expires_at > now
         }
-        loads = self.reported_by_peer.values()
-        remaining_thread_ms = sum(
-            max(load.remaining_thread_ms - load.threads * (now - load.received_at), 0.0) for load in loads
-        )
-        threads = sum(load.threads for load in loads)
-        memory_mb = sum(load.memory_mb for load in loads)
+        threads = memory_mb = remaining_thread_ms = 0.0
+        for load in self.reported_by_peer.values():
+            threads += load.threads
+            memory_mb += load.memory_mb
+            run_thread_ms = load.threads * (now - load.received_at)
+            remaining_thread_ms += max(load.remaining_thread_ms - run_thread_ms, 0.0)
         self.peer_total = ReportedLoad(now, threads, memory_mb, remaining_thread_ms)
 
     def enqueue(self, position: int, query: Query) -> None:
--- a/cottonhold/scheduler/in_flight.py
+++ b/cottonhold/scheduler/in_flight.py
@@ -59,6 +59,14 @@
             if level.attempts_by_priority[priority]
         ]
 
+    def threads_not_outranked(self, density: float, margin: float) -> int:
+        """The threads that the attempts hold that a density does not outrank."""
+        threads = 0
+        for other, level in self.by_density.items():
+            if density <= margin * other:
+                threads += level.threads
+        return threads
+
     def not_outranked(self, density: float, margin: float) -> Occupancy:
         """What the attempts hold that a density does not outrank."""
         threads, memory_mb, has_attempts = 0, 0.0, False
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -34,16 +34,8 @@
 CANARY_INTERVAL_MS = 150.0  # between the canaries that all gateways together send to an ejected engine
 
 
-class Position(NamedTuple):
-    """A position in a plan, when the query would finish there and its density then."""
-
-    finish_at: float
-    offset: int
-    density: float
-
-
 class TentativePlan(NamedTuple):
-    """What would become of a query on one engine."""
+    """What would become of a query on one engine: its finish, position in the plan, density and run time."""
 
     finish_at: float
     offset: int
@@ -62,12 +54,12 @@
         engine.queued_memory_mb_ms / engine.own_memory_capacity_mb,
     )
     finish_at = unqueued_finish_at + queue_ms
-    position = Position(finish_at, len(engine.plan), estimates.density(query, run_ms, finish_at))
+    offset, density = len(engine.plan), estimates.density(query, run_ms, finish_at)
     if engine.plan:
-        position = _densest_position(query, engine, run_ms, unqueued_finish_at, position)
-    finish_at = position.finish_at
+        last = TentativePlan(finish_at, offset, density, run_ms)
+        finish_at, offset, density, _ = _densest_position(query, engine, unqueued_finish_at, last)
     finish_at += engine.error_share * (finish_at - gateway.now) * ERROR_DELAY_FACTOR
-    return TentativePlan(finish_at, position.offset, position.density, run_ms)
+    return TentativePlan(finish_at, offset, density, run_ms)
 
 
 def _finish_without_queue(gateway: GatewayState, query: Query, engine: EngineView, run_ms: float) -> float:
@@ -98,14 +90,14 @@
 
 
 def _densest_position(
-    query: Query, engine: EngineView, run_ms: float, unqueued_finish_at: float, last: Position
-) -> Position:
+    query: Query, engine: EngineView, unqueued_finish_at: float, last: TentativePlan
+) -> TentativePlan:
     """The densest position, from the last one to the front, where the query may delay those behind it.
 
     It may where its density is over OUTRANK_MARGIN times that of each query behind it that would lose utility
     by the delay.
     """
-    best = last
+    best, run_ms = last, last.run_ms
     queued_thread_ms, queued_memory_mb_ms = engine.queued_thread_ms, engine.queued_memory_mb_ms
     thread_capacity, memory_capacity_mb = engine.own_thread_capacity, engine.own_memory_capacity_mb
     max_density = estimates.density(query, run_ms, unqueued_finish_at)
@@ -125,7 +117,7 @@
         finish_at = unqueued_finish_at + queue_ms
         density = estimates.density(query, run_ms, finish_at)
         if density > best.density and density > OUTRANK_MARGIN * delayed_density:
-            best = Position(finish_at, index, density)
+            best = TentativePlan(finish_at, index, density, run_ms)
     return best
 
 
--- a/cottonhold/scheduler/utilization.py
+++ b/cottonhold/scheduler/utilization.py
@@ -70,7 +70,7 @@
 
     How much it outranks is taken from this gateway's own work in flight.
     """
-    ahead = gateway.in_flight.on_admitted_engines.not_outranked(density, OUTRANK_MARGIN).threads
+    ahead = gateway.in_flight.on_admitted_engines.threads_not_outranked(density, OUTRANK_MARGIN)
     total = max(ahead, gateway.in_flight.threads)
     return OUTRANKED_WEIGHT + (1 - OUTRANKED_WEIGHT) * (ahead + 1) / (total + 1)
 
