--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -217,6 +217,8 @@
         """
         if now - self.peer_total.received_at >= COUNT_INTERVAL_MS:
             self._sum_reported(now)
+        if not sends_per_own:
+            return self.peer_total
         total, own = self.peer_total, self.sent_since_report
         return ReportedLoad(
             now,
--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -21,7 +21,7 @@
 from tests.fleet.test_rolling_replacement_processes import call, played, rows
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
-pytestmark = pytest.mark.xdist_group("replacement processes")
+pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("replacement processes")]
 
 # Little load: on a machine that is busy with other things zones look slow, and nothing starts meanwhile.
 DAY = msgspec.structs.replace(POWER, name="swap of engines", seconds=580.0, rate=20.0)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -20,7 +20,7 @@
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
-pytestmark = pytest.mark.xdist_group("fleet processes")
+pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("fleet processes")]
 
 DAY = Scenario(
     name="short", about="in CI", instances=4, engines=2, rate=120.0, seconds=600.0, weights=(1, 1, 2, 3)
@@ -80,7 +80,8 @@
     await trial.apply(Fault(0.0, "link", "n3", "a", {"cut": True}))
     await until(trial, out("n3"), "one leaves")
     await sends(trial, 200)
-    assert phases(trial) == dict.fromkeys(ALL - {"n3"}, "in") | {"n3": phases(trial)["n3"]}
+    seen = phases(trial)
+    assert seen == dict.fromkeys(ALL - {"n3"}, "in") | {"n3": seen["n3"]}
     await trial.apply(Fault(0.0, "link", "n3", "a", {"heal": True}))
     await until(trial, out(), "it returns")
 
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -17,7 +17,7 @@
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
-pytestmark = pytest.mark.xdist_group("fleet processes")
+pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("fleet processes")]
 
 DAY = Scenario(
     name="power",
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -16,7 +16,7 @@
 from tests.fleet.test_recovery_processes import ALL, DAY, more, recovery
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
-pytestmark = pytest.mark.xdist_group("replacement processes")
+pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("replacement processes")]
 
 Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
--- a/tests/fleet/test_session_affinity_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -24,7 +24,7 @@
 )
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
-pytestmark = pytest.mark.xdist_group("affinity processes")
+pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("affinity processes")]
 
 # Long enough for a busy machine, and calm enough: the stories end it.
 PINNED = msgspec.structs.replace(DAY, name="pins", pins=True, order_across=True, rate=30.0, seconds=300.0)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -18,7 +18,7 @@
 from cottonhold.emulator.process_fleet import Tier
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
-pytestmark = pytest.mark.xdist_group("fleet processes")
+pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("fleet processes")]
 
 
 @pytest.fixture
