--- a/cottonhold/scheduler/admission.py
+++ b/cottonhold/scheduler/admission.py
@@ -19,9 +19,9 @@
 from cottonhold.scheduler.settings import Idempotency
 
 SPARE_HEALTH_CHECKS = 2  # stay for engines in doubt: load is asked for with what is left over
-TIME_LEFT_TOLERANCE = 0.02  # of the time that most clients leave: ticks and the way here scatter it
-MAX_TIME_LEFT_VOTES = 40  # of the majority vote on it
-SETTLED_TIME_LEFT_VOTES = MAX_TIME_LEFT_VOTES / 4  # from which most clients are taken to be alike
+REMAINING_TIME_TOLERANCE = 0.02  # of the time that most clients leave: ticks and the way here scatter it
+MAX_REMAINING_TIME_VOTES = 40  # of the majority vote on it
+SETTLED_REMAINING_TIME_VOTES = MAX_REMAINING_TIME_VOTES / 4  # from which most clients are taken to be alike
 MAX_RETRIES_PER_UNSERVED = 1.5  # clients' retries for each query unserved: those of other gateways come too
 MIN_ADMISSION_WORK_MS = 1e-3  # of a query without known work, where utility is divided by it
 
@@ -58,7 +58,7 @@
 def _count_arrival(gateway: GatewayState, query: Query) -> None:
     """Count a query for the retry budget, the traffic, the health checks and its tenant."""
     retry_policy.count_accepted_query(gateway)
-    gateway.own_traffic.add(gateway.now)
+    gateway.local_traffic.add(gateway.now)
     budget = gateway.health_check_budget + gateway.health_checks_per_query
     gateway.health_check_budget = min(budget, CANDIDATES)
     _refresh_oldest_report(gateway)
@@ -116,12 +116,12 @@
     retry is recognized by a time left unlike that of most; only where queries went unserved can there be any.
     """
     history, now = query.class_history, gateway.now
-    max_votes = None if is_marked_retry else MAX_TIME_LEFT_VOTES
-    left_ms = query.deadline_at - now
-    is_usual = history.record_time_left(now, left_ms, TIME_LEFT_TOLERANCE, max_votes)
+    max_votes = None if is_marked_retry else MAX_REMAINING_TIME_VOTES
+    remaining_ms = query.deadline_at - now
+    is_usual = history.record_remaining_time(now, remaining_ms, REMAINING_TIME_TOLERANCE, max_votes)
     max_retries_per_s = MAX_RETRIES_PER_UNSERVED * history.unserved.per_s(now)
-    can_be_retry = history.unusual_time_left.per_s(now) <= max_retries_per_s
-    is_settled = history.time_left_votes > SETTLED_TIME_LEFT_VOTES
+    can_be_retry = history.unusual_remaining_times.per_s(now) <= max_retries_per_s
+    is_settled = history.remaining_time_votes > SETTLED_REMAINING_TIME_VOTES
     if is_marked_retry or not is_usual and can_be_retry and is_settled:
         return min(now, query.deadline_at - query.query_class.deadline_ms)
     return now
--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -49,7 +49,7 @@
     """Free what the attempt took of its engine's capacity."""
     gateway.in_flight.remove_attempt(query, engine, MIN_REMAINING_SHARE)
     query.tried_engine_ids.add(engine.id)
-    release.rest_after_wide_query(gateway, query)
+    release.pause_after_wide_query(gateway, query)
     if query.query_class.is_load and not engine.loads_in_flight.get(query.table_group):
         engine.locked_until.pop(query.table_group, None)
 
--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -51,9 +51,9 @@
     _assess_observation(gateway)
     for engine in gateway.live_engines:
         _count_engine(gateway, engine)
-    _choose_own_engines(gateway)
+    _assign_engines(gateway)
     _sum_fleet(gateway)
-    _set_own_capacity(gateway, gateway.live_engines)
+    _set_local_capacity(gateway, gateway.live_engines)
 
 
 def refresh(gateway: GatewayState) -> None:
@@ -73,11 +73,11 @@
     """Count the capacity of the engines in use and of those that have changed."""
     gateway.preferred_engines.clear()
     _assess_observation(gateway)
-    _choose_own_engines(gateway)
+    _assign_engines(gateway)
     in_use = {engine.id: engine for engine in gateway.candidate_pool} | gateway.active_engines | changed
     for engine in in_use.values():
         _count_engine(gateway, engine)
-    _set_own_capacity(gateway, in_use.values())
+    _set_local_capacity(gateway, in_use.values())
 
 
 def _sum_fleet(gateway: GatewayState) -> None:
@@ -88,11 +88,11 @@
 
 def _assess_observation(gateway: GatewayState) -> None:
     """Set how rarely this gateway hears of each engine, and whether peers report their loads."""
-    own_per_s = max(gateway.own_traffic.per_s(gateway.now), 1e-3)
-    heard_each_ms = 1000 * len(gateway.live_engines) / own_per_s
+    local_per_s = max(gateway.local_traffic.per_s(gateway.now), 1e-3)
+    observation_interval_ms = 1000 * len(gateway.live_engines) / local_per_s
     silence_ms = gateway.now - gateway.peer_load_received_at
     gateway.has_peer_loads = silence_ms < PEER_TIMEOUT_INTERVALS * gateway.peer_interval_ms
-    unobserved = 1 - math.exp(-heard_each_ms / REPORT_MAX_AGE_MS)
+    unobserved = 1 - math.exp(-observation_interval_ms / REPORT_MAX_AGE_MS)
     gateway.unobserved_share = (1 - gateway.traffic_share) * unobserved
 
 
@@ -110,7 +110,7 @@
     engine.memory_capacity_mb = engine.memory_mb * MEMORY_SHARE * (1 - chance_share) or math.inf
 
 
-def _choose_own_engines(gateway: GatewayState) -> None:
+def _assign_engines(gateway: GatewayState) -> None:
     """Choose the engines that this gateway's queries are drawn to.
 
     Each gateway draws on a range of the ranked engines that it gets to know, and the ranges cover the fleet
@@ -121,17 +121,17 @@
     ranked = gateway.ranked_engines
     settings = gateway.settings
     first = round(settings.gateway_index * len(ranked) / settings.gateway_count)
-    fillable = len(ranked) * gateway.traffic_share  # engines that the own traffic could fill
+    fillable = len(ranked) * gateway.traffic_share  # engines that the local traffic could fill
     count = math.ceil(max(CANDIDATES * math.sqrt(max(1.0, fillable)), COVERAGE_FACTOR * fillable))
     rotated = ranked[first:] + ranked[:first]
     usable = (engine for engine in rotated if engine.is_usable())
     gateway.candidate_pool = list(itertools.islice(usable, count))
-    gateway.own_engine_ids = set()
+    gateway.assigned_engine_ids = set()
     if gateway.candidate_pool:
         last = gateway.candidate_pool[-1].rank
-        gateway.own_engine_ids = {engine.id for engine in rotated[: (last - first) % len(ranked) + 1]}
-    engines_per_own = gateway.usable_engine_count / max(len(gateway.candidate_pool), 1)
-    gateway.own_engine_share = min(1.0, engines_per_own * gateway.traffic_share) or 1.0
+        gateway.assigned_engine_ids = {engine.id for engine in rotated[: (last - first) % len(ranked) + 1]}
+    engines_per_assigned = gateway.usable_engine_count / max(len(gateway.candidate_pool), 1)
+    gateway.assigned_engine_share = min(1.0, engines_per_assigned * gateway.traffic_share) or 1.0
 
 
 def _build_affinity_ring(gateway: GatewayState) -> None:
@@ -143,20 +143,20 @@
         gateway.affinity_ring = [engine for engine in ranked for _ in range(round(engine.cores / min_cores))]
 
 
-def _set_own_capacity(gateway: GatewayState, engines: Iterable[EngineView]) -> None:
+def _set_local_capacity(gateway: GatewayState, engines: Iterable[EngineView]) -> None:
     """Set this gateway's part of the fleet's capacity and of these engines'.
 
-    Own queued work is drained by the own part of its engine, by all of it where peers report theirs, and by
-    the own part of the whole fleet as far as engines are not observed.
+    Local queued work is drained by the local share of its engine, by all of the engine where peers report
+    theirs, and by the local share of the whole fleet as far as engines are not observed.
     """
-    gateway.own_thread_capacity = gateway.fleet_thread_capacity * gateway.traffic_share
-    own_memory_mb = gateway.fleet_memory_capacity_mb * gateway.traffic_share
+    gateway.local_thread_capacity = gateway.fleet_thread_capacity * gateway.traffic_share
+    local_memory_mb = gateway.fleet_memory_capacity_mb * gateway.traffic_share
     part = 1.0 if gateway.has_peer_loads else gateway.traffic_share
-    gateway.peer_sends_per_own = (1 / gateway.own_engine_share - 1) * gateway.has_peer_loads
+    gateway.peer_sends_per_local = (1 / gateway.assigned_engine_share - 1) * gateway.has_peer_loads
     unobserved = gateway.unobserved_share
     for engine in engines:
         threads, memory_mb = engine.thread_capacity, engine.memory_capacity_mb
-        engine.own_thread_capacity = max(
-            threads * part, unobserved * min(threads, gateway.own_thread_capacity)
+        engine.local_thread_capacity = max(
+            threads * part, unobserved * min(threads, gateway.local_thread_capacity)
         )
-        engine.own_memory_capacity_mb = max(memory_mb * part, unobserved * min(memory_mb, own_memory_mb))
+        engine.local_memory_capacity_mb = max(memory_mb * part, unobserved * min(memory_mb, local_memory_mb))
--- a/cottonhold/scheduler/class_history.py
+++ b/cottonhold/scheduler/class_history.py
@@ -15,15 +15,15 @@
     A log bias is the mean logarithm of measured over estimated: its exponential corrects an estimate.
     """
 
-    unusual_time_left: ArrivalRate  # queries that came with a time left unlike that of most
+    unusual_remaining_times: ArrivalRate  # queries that came with a time left unlike that of most
     unserved: ArrivalRate  # queries that were rejected or given up
     work_log_bias: float = 0.0
     memory_log_bias: float = 0.0
     mean_work_ms: float = 0.0
     mean_memory_mb: float = 0.0
     run_time_error: float = 0.0  # share by which runs take longer than planned
-    usual_time_left_ms: float = 0.0  # the time that most clients leave a first try
-    time_left_votes: int = 0  # majority vote on it
+    usual_remaining_ms: float = 0.0  # the time that most clients leave a first try
+    remaining_time_votes: int = 0  # majority vote on it
     answers_seen: int = 0
 
     @classmethod
@@ -55,19 +55,21 @@
         """Move the bias towards the memory that a query with an estimate took."""
         self.memory_log_bias += gain * (math.log(memory_mb / estimated_memory_mb) - self.memory_log_bias)
 
-    def record_time_left(self, now: float, left_ms: float, tolerance: float, max_votes: int | None) -> bool:
+    def record_remaining_time(
+        self, now: float, remaining_ms: float, tolerance: float, max_votes: int | None
+    ) -> bool:
         """Whether a query comes with the time left that is usual in its class.
 
         With `max_votes` it votes on what is usual (Boyer-Moore majority); None for a query without a vote.
         """
-        is_usual = abs(left_ms - self.usual_time_left_ms) <= tolerance * self.usual_time_left_ms
+        is_usual = abs(remaining_ms - self.usual_remaining_ms) <= tolerance * self.usual_remaining_ms
         if max_votes is not None:
-            self.time_left_votes = min(self.time_left_votes + (1 if is_usual else -1), max_votes)
-            if self.time_left_votes < 0:
-                self.usual_time_left_ms = left_ms
-                self.time_left_votes = 0
+            self.remaining_time_votes = min(self.remaining_time_votes + (1 if is_usual else -1), max_votes)
+            if self.remaining_time_votes < 0:
+                self.usual_remaining_ms = remaining_ms
+                self.remaining_time_votes = 0
         if not is_usual:
-            self.unusual_time_left.add(now)
+            self.unusual_remaining_times.add(now)
         return is_usual
 
 
--- a/cottonhold/scheduler/deadlines.py
+++ b/cottonhold/scheduler/deadlines.py
@@ -34,7 +34,7 @@
 
 def answer_overdue(gateway: GatewayState) -> None:
     """Answer the queries whose time is up; those with an attempt in flight wait for its end."""
-    for query in gateway.deadlines.pop_due(gateway.now + gateway.answer_margin_ms):
+    for query in gateway.deadlines.pop_expired(gateway.now + gateway.answer_margin_ms):
         if not query.is_in_flight and not query.is_finished:
             responses.reject_or_fail(gateway, query)
 
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -48,7 +48,7 @@
         gateway.actions.append(LogLine(f"engine {engine.id} suspect: {reason.value}"))
     engine.ejection_reason = reason
     engine.consecutive_successes = 0
-    for query in engine.take_plan():
+    for query in engine.clear_plan():
         placement.place(gateway, query)
 
 
--- a/cottonhold/scheduler/engine_list.py
+++ b/cottonhold/scheduler/engine_list.py
@@ -39,7 +39,7 @@
     if engine.entry.state is EngineState.LIVE:
         return
     engine_health.readmit(gateway, engine)
-    for query in engine.take_plan():
+    for query in engine.clear_plan():
         placement.place(gateway, query)
     if engine.entry.state is EngineState.REMOVED and engine.in_flight:
         gateway.departing_engines[engine.id] = engine
@@ -78,13 +78,15 @@
 
     An engine that is opened again is readmitted: what it was ejected for is past.
     """
-    keeps_some = any(event.work_rate_by_engine.get(engine.id, math.inf) for engine in gateway.live_engines)
-    quota_rates = event.work_rate_by_engine if keeps_some else {}
+    has_open_engine = any(
+        event.work_rate_by_engine.get(engine.id, math.inf) for engine in gateway.live_engines
+    )
+    quota_rates = event.work_rate_by_engine if has_open_engine else {}
     for engine in gateway.engines.values():
         quota_rate = quota_rates.get(engine.id, math.inf)
         if engine.set_quota(gateway.now, quota_rate, event.expires_at):
             engine_health.readmit(gateway, engine)
     capacity.count_all(gateway)
     closed = [engine for engine in gateway.engines.values() if not engine.quota_rate]
-    for query in [query for engine in closed for query in engine.take_plan()]:
+    for query in [query for engine in closed for query in engine.clear_plan()]:
         placement.place(gateway, query)
--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -64,8 +64,8 @@
     # its capacity, and this gateway's part of it
     thread_capacity: float = 1.0
     memory_capacity_mb: float = math.inf
-    own_thread_capacity: float = 1.0
-    own_memory_capacity_mb: float = math.inf
+    local_thread_capacity: float = 1.0
+    local_memory_capacity_mb: float = math.inf
 
     # what peers reported of it
     reported_by_peer: dict[int, ReportedLoad] = field(default_factory=dict)
@@ -160,8 +160,10 @@
 
     def has_load_on(self, table_group: int, now: float) -> bool:
         """Whether a load on these tables is queued or runs here, of this gateway or as a peer reported."""
-        is_own = self.loads_in_flight.get(table_group, 0) > 0 or self.queued_load_ms.get(table_group, 0.0) > 0
-        return is_own or self.locked_until.get(table_group, 0.0) > now
+        is_local = (
+            self.loads_in_flight.get(table_group, 0) > 0 or self.queued_load_ms.get(table_group, 0.0) > 0
+        )
+        return is_local or self.locked_until.get(table_group, 0.0) > now
 
     def work_ahead_ms(
         self, now: float, min_share: float, density: float, margin: float, outranked_weight: float
@@ -179,7 +181,7 @@
             weight = 1.0 if density <= margin * other_density else outranked_weight
             thread_ms += remaining.thread_ms * weight
             memory_mb_ms += remaining.memory_mb_ms * weight
-        return max(thread_ms / self.own_thread_capacity, memory_mb_ms / self.own_memory_capacity_mb)
+        return max(thread_ms / self.local_thread_capacity, memory_mb_ms / self.local_memory_capacity_mb)
 
     def _count_remaining(self, now: float, min_share: float) -> None:
         """Count anew what remains of the attempts in flight."""
@@ -209,22 +211,22 @@
             load.expires_at = expires_at
             self.reported_by_peer[peer] = load
 
-    def peer_load(self, now: float, sends_per_own: float) -> ReportedLoad:
+    def peer_load(self, now: float, peer_sends_per_local: float) -> ReportedLoad:
         """What the peers are expected to have here.
 
         That is what they reported less what has run since, and for each query that this gateway has sent
-        since its own last report `sends_per_own` of theirs.
+        since its own last report `peer_sends_per_local` of theirs.
         """
         if now - self.peer_total.received_at >= COUNT_INTERVAL_MS:
             self._sum_reported(now)
-        if not sends_per_own:
+        if not peer_sends_per_local:
             return self.peer_total
-        total, own = self.peer_total, self.sent_since_report
+        total, local = self.peer_total, self.sent_since_report
         return ReportedLoad(
             now,
-            total.threads + own.threads * sends_per_own,
-            total.memory_mb + own.memory_mb * sends_per_own,
-            total.remaining_thread_ms + own.remaining_thread_ms * sends_per_own,
+            total.threads + local.threads * peer_sends_per_local,
+            total.memory_mb + local.memory_mb * peer_sends_per_local,
+            total.remaining_thread_ms + local.remaining_thread_ms * peer_sends_per_local,
         )
 
     def _sum_reported(self, now: float) -> None:
@@ -263,7 +265,7 @@
             queued_ms = self.queued_load_ms[query.table_group]
             self.queued_load_ms[query.table_group] = max(queued_ms - query.planned_run_ms, 0.0)
 
-    def take_plan(self) -> list[Query]:
+    def clear_plan(self) -> list[Query]:
         """Empty the plan and return what was queued."""
         queued = self.plan
         self.plan = []
--- a/cottonhold/scheduler/estimates.py
+++ b/cottonhold/scheduler/estimates.py
@@ -71,8 +71,8 @@
         LATE_FALL_OF_OBJECTIVE * query.latency_objective_ms
     )
     late_utility = query.query_class.late_utility
-    kept = 1.0 if lateness <= 0 else late_utility + (1 - late_utility) * max(0.0, 1 - lateness)
-    utility_per_ms = query.full_utility * kept / (run_ms * query.query_class.threads)
+    utility_share = 1.0 if lateness <= 0 else late_utility + (1 - late_utility) * max(0.0, 1 - lateness)
+    utility_per_ms = query.full_utility * utility_share / (run_ms * query.query_class.threads)
     return math.ldexp(0.5, math.frexp(utility_per_ms)[1]) if utility_per_ms > 0 else 0.0
 
 
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -80,17 +80,17 @@
     capacity_counted_at: float = -math.inf  # when the capacity of all engines was last counted
     usable_engine_count: int = 0  # as of then
     candidate_pool: list[EngineView] = field(default_factory=list)  # engines that candidates are drawn from
-    own_engine_ids: set[str] = field(default_factory=set)  # engines that this gateway draws on
-    own_engine_share: float = 1.0  # its part of what each of those is sent
+    assigned_engine_ids: set[str] = field(default_factory=set)  # engines that this gateway draws on
+    assigned_engine_share: float = 1.0  # its part of what each of those is sent
     affinity_ring: list[EngineView] = field(default_factory=list)
     preferred_engines: dict[int, list[EngineView]] = field(default_factory=dict)  # for loads, by table group
     unobserved_share: float = 1.0  # how little is observed of each engine: 0 for all, 1 for nothing
-    peer_sends_per_own: float = 0.0  # queries that peers send for each of this gateway's on the same engine
+    peer_sends_per_local: float = 0.0  # queries that peers send for each of this gateway's on the same engine
     fleet_thread_capacity: float = 1.0
     fleet_memory_capacity_mb: float = 1.0
-    own_thread_capacity: float = 1.0  # this gateway's share of the fleet's
+    local_thread_capacity: float = 1.0  # this gateway's share of the fleet's
     in_flight: FleetInFlight = field(default_factory=FleetInFlight)
-    wide_query_rest_until: float = 0.0  # no query wider than the own share follows another until then
+    wide_query_pause_until: float = 0.0  # no query wider than the local share follows another until then
     unobserved_attempts: list[UnobservedAttempt] = field(default_factory=list)
 
     # the mean work of the queries accepted lately (slow_start)
@@ -104,7 +104,7 @@
     fleet_utilization: float = 1.0  # reported share of cores busy, smoothed over the fleet
 
     # peer gateways (peer_load)
-    own_traffic: ArrivalRate = field(
+    local_traffic: ArrivalRate = field(
         default_factory=lambda: ArrivalRate(TRAFFIC_MEMORY_MS, TRAFFIC_MIN_AGE_MS)
     )
     traffic_share: float = 1.0  # this gateway's share of all traffic
--- a/cottonhold/scheduler/key_ordering.py
+++ b/cottonhold/scheduler/key_ordering.py
@@ -17,7 +17,7 @@
         gateway.key_queues.append(query.ordering_key, query)
 
 
-def is_out_of_turn(gateway: GatewayState, query: Query) -> bool:
+def waits_for_earlier_query(gateway: GatewayState, query: Query) -> bool:
     """Whether another query of the key goes first, or the key is quiet, which holds back first attempts."""
     if query.ordering_key is None:
         return False
--- a/cottonhold/scheduler/peer_load.py
+++ b/cottonhold/scheduler/peer_load.py
@@ -20,10 +20,10 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.reported_load import ReportedLoad, ReportedTraffic
 
-PEER_PRICE = 0.003  # of the result that messages on loads may cost: their interval follows from it
+MAX_PEER_MESSAGE_COST = 0.003  # of the result that messages on loads may cost: their interval follows from it
 MIN_PEER_INTERVAL_MS = 250.0  # the shortest interval between messages on loads
-PRICED_BYTES = 256  # bytes to peers that the deployment sets a price for
-MIN_PRICED_TRAFFIC_PER_S = 0.1  # a gateway without traffic is taken to have so much for its messages' price
+COST_UNIT_BYTES = 256  # bytes that one `per_peer_message` is the cost of
+MIN_COST_TRAFFIC_PER_S = 0.1  # least traffic by which the cost of messages is weighed
 MIN_TRAFFIC_SHARE = 0.2  # of an equal share is left to a gateway, however little of the traffic it has
 TRAFFIC_MAX_AGE_MS = 10 * MAX_PEER_INTERVAL_MS  # older reports of a peer's traffic are ignored
 
@@ -72,28 +72,28 @@
 def publish_work(gateway: GatewayState) -> None:
     """Send this gateway's traffic, and what it has on engines, to the peers that draw on them too.
 
-    The interval to the next messages follows from their price and is drawn, not to be in step with peers.
+    The interval to the next messages follows from their cost and is drawn, not to be in step with peers.
     """
     now = gateway.now
-    own_per_s = gateway.own_traffic.per_s(now)
+    local_per_s = gateway.local_traffic.per_s(now)
     payloads = {
-        peer: peer_messages.encode_work(own_per_s, engines)
+        peer: peer_messages.encode_work(local_per_s, engines)
         for peer, engines in _engines_by_peer(gateway).items()
     }
     gateway.actions += [SendToPeer(payload, peer) for peer, payload in payloads.items()]
-    price_per_message = gateway.settings.overhead_costs.per_peer_message
-    price = price_per_message * sum(map(len, payloads.values())) / PRICED_BYTES / PEER_PRICE
-    paid_interval_ms = 1000 * price / max(own_per_s, MIN_PRICED_TRAFFIC_PER_S)
-    gateway.peer_interval_ms = min(max(MIN_PEER_INTERVAL_MS, paid_interval_ms), MAX_PEER_INTERVAL_MS)
+    cost_per_unit = gateway.settings.overhead_costs.per_peer_message
+    cost = cost_per_unit * sum(map(len, payloads.values())) / COST_UNIT_BYTES / MAX_PEER_MESSAGE_COST
+    affordable_interval_ms = 1000 * cost / max(local_per_s, MIN_COST_TRAFFIC_PER_S)
+    gateway.peer_interval_ms = min(max(MIN_PEER_INTERVAL_MS, affordable_interval_ms), MAX_PEER_INTERVAL_MS)
     gateway.next_peer_message_at = now + gateway.peer_interval_ms * (0.5 + 0.5 * gateway.random.random())
-    _update_traffic_share(gateway, own_per_s)
+    _update_traffic_share(gateway, local_per_s)
 
 
 def _engines_by_peer(gateway: GatewayState) -> dict[int, list[EngineView]]:
     """The engines that each peer is sent: those it draws on, with something of this gateway there."""
     engines_by_peer = dict[int, list[EngineView]]()
     for engine in gateway.live_engines:
-        if engine.id not in gateway.own_engine_ids and engine.id not in gateway.active_engines:
+        if engine.id not in gateway.assigned_engine_ids and engine.id not in gateway.active_engines:
             continue
         engine.work_ahead_ms(gateway.now, MIN_REMAINING_SHARE, 0.0, OUTRANK_MARGIN, OUTRANKED_WEIGHT)
         engine.sent_since_report = ReportedLoad(gateway.now, 0, 0.0, 0.0)
@@ -103,10 +103,10 @@
     return engines_by_peer
 
 
-def _update_traffic_share(gateway: GatewayState, own_per_s: float) -> None:
+def _update_traffic_share(gateway: GatewayState, local_per_s: float) -> None:
     """Set this gateway's share of all traffic; peers that have not reported count as the mean."""
     since = gateway.now - TRAFFIC_MAX_AGE_MS
-    rates = [own_per_s]
+    rates = [local_per_s]
     rates += [
         report.queries_per_s for report in gateway.traffic_by_peer.values() if report.received_at > since
     ]
@@ -114,7 +114,7 @@
     total_per_s = sum(rates) / len(rates) * gateway_count
     if total_per_s:
         min_share = MIN_TRAFFIC_SHARE / gateway_count
-        gateway.traffic_share = min(1.0, max(own_per_s / total_per_s, min_share))
+        gateway.traffic_share = min(1.0, max(local_per_s / total_per_s, min_share))
 
 
 def peers_sharing(gateway: GatewayState, engine: EngineView) -> list[int]:
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -50,8 +50,8 @@
     run_ms = work_ms / (query.query_class.threads * rate)
     unqueued_finish_at = _finish_without_queue(gateway, query, engine, run_ms)
     queue_ms = max(
-        engine.queued_thread_ms / engine.own_thread_capacity,
-        engine.queued_memory_mb_ms / engine.own_memory_capacity_mb,
+        engine.queued_thread_ms / engine.local_thread_capacity,
+        engine.queued_memory_mb_ms / engine.local_memory_capacity_mb,
     )
     finish_at = unqueued_finish_at + queue_ms
     offset, density = len(engine.plan), estimates.density(query, run_ms, finish_at)
@@ -76,7 +76,7 @@
     finish_at += engine.work_ahead_ms(
         now, MIN_REMAINING_SHARE, ranking_density, OUTRANK_MARGIN, OUTRANKED_WEIGHT
     )
-    peers = engine.peer_load(now, gateway.peer_sends_per_own)
+    peers = engine.peer_load(now, gateway.peer_sends_per_local)
     peer_memory_mb = peers.memory_mb / max(peers.threads, 1)
     ms_by_thread_ms = max(1 / engine.thread_capacity, peer_memory_mb / engine.memory_capacity_mb)
     finish_at += (
@@ -99,7 +99,7 @@
     """
     best, run_ms = last, last.run_ms
     queued_thread_ms, queued_memory_mb_ms = engine.queued_thread_ms, engine.queued_memory_mb_ms
-    thread_capacity, memory_capacity_mb = engine.own_thread_capacity, engine.own_memory_capacity_mb
+    thread_capacity, memory_capacity_mb = engine.local_thread_capacity, engine.local_memory_capacity_mb
     max_density = estimates.density(query, run_ms, unqueued_finish_at)
     delayed_density = 0.0  # highest density that would lose by the delay
     delay_ms = run_ms * query.query_class.threads / thread_capacity
@@ -169,7 +169,7 @@
         for engine in preferred
         if engine.id not in query.tried_engine_ids and may_run_on(query, engine)
     ]
-    known = [engine for engine in untried if engine.id in gateway.own_engine_ids] or untried
+    known = [engine for engine in untried if engine.id in gateway.assigned_engine_ids] or untried
     return [engine for engine in known if not slow_start.exceeds_budget(gateway, query, engine)] or known
 
 
@@ -238,7 +238,7 @@
     query.planned_thread_ms = query.planned_run_ms * query.query_class.threads
     behind = engine.plan[index:]
     for other in behind:
-        other.estimated_finish_at += query.planned_thread_ms / engine.own_thread_capacity
+        other.estimated_finish_at += query.planned_thread_ms / engine.local_thread_capacity
     outranked = [other.priority for other in behind]
     outranked += engine.in_flight_by_density.outranked_priorities(query.density, OUTRANK_MARGIN)
     has_priorities = gateway.settings.features.has_priorities
@@ -274,7 +274,7 @@
 
     Those that can't earn anything any more are answered.
     """
-    queued = [query for engine in gateway.active_engines.values() for query in engine.take_plan()]
+    queued = [query for engine in gateway.active_engines.values() for query in engine.clear_plan()]
     queued += gateway.unplaced.values()
     count = round(CANDIDATES - (CANDIDATES - REPLAN_CANDIDATES) * gateway.unobserved_share)
     for query in sorted(queued, key=lambda query: query.sequence):
--- a/cottonhold/scheduler/queues.py
+++ b/cottonhold/scheduler/queues.py
@@ -46,7 +46,7 @@
             heapq.heappop(self.heap)
         return self.heap[0].deadline_at if self.heap else math.inf
 
-    def pop_due(self, now: float) -> list[Query]:
+    def pop_expired(self, now: float) -> list[Query]:
         """Remove and return the queries whose deadline has come."""
         due = []
         while self.earliest() <= now:
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -36,7 +36,7 @@
 
     NOT_PERMITTED_THERE = "in flight, finished, or not permitted on the engine"
     DEADLINE_NEAR = "deadline near"
-    OUT_OF_TURN = "out of turn"
+    EARLIER_QUERY_PENDING = "out of turn"
     COLD_BUDGET_SPENT = "budget of a cold engine or quota spent"
 
 
@@ -96,8 +96,8 @@
         return SendBarrier.NOT_PERMITTED_THERE
     if query.deadline_at <= gateway.now + gateway.answer_margin_ms:
         return SendBarrier.DEADLINE_NEAR
-    if key_ordering.is_out_of_turn(gateway, query):
-        return SendBarrier.OUT_OF_TURN
+    if key_ordering.waits_for_earlier_query(gateway, query):
+        return SendBarrier.EARLIER_QUERY_PENDING
     if query.attempts_sent and (barrier := retry_policy.retry_barrier(gateway, query)):
         return barrier
     if slow_start.exceeds_budget(gateway, query, engine):
@@ -106,7 +106,7 @@
 
 
 def has_capacity(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
-    """Whether the engine and the own share of the fleet have capacity for the query.
+    """Whether the engine and the local share of the fleet have capacity for the query.
 
     Threads bind only under pressure, and what the query outranks holds it back in part only, as the engine
     lets it pass. One query of this gateway may always be in flight.
@@ -115,7 +115,7 @@
     ranking_density = query.density if gateway.settings.features.has_priorities else 0.0
     if _is_engine_full(gateway, query, engine, is_pressed, ranking_density):
         return False
-    return _has_share_left(gateway, query, is_pressed, ranking_density)
+    return _has_quota_left(gateway, query, is_pressed, ranking_density)
 
 
 def _is_engine_full(
@@ -125,7 +125,7 @@
 
     An engine with nothing in flight is never full; one over MAX_OVERFILL is for every query.
     """
-    peers = engine.peer_load(gateway.now, gateway.peer_sends_per_own)
+    peers = engine.peer_load(gateway.now, gateway.peer_sends_per_local)
     if not engine.in_flight and not peers.threads:
         return False
     ahead = engine.in_flight_by_density.not_outranked(ranking_density, OUTRANK_MARGIN)
@@ -145,7 +145,7 @@
     return is_pressed and needed_threads > limit or is_short_of_memory
 
 
-def _has_share_left(gateway: GatewayState, query: Query, is_pressed: bool, ranking_density: float) -> bool:
+def _has_quota_left(gateway: GatewayState, query: Query, is_pressed: bool, ranking_density: float) -> bool:
     """Whether this gateway's share of the whole fleet has capacity for one more query.
 
     The share is of the fleet, not of each engine: one query of each gateway on each engine would flood it.
@@ -162,7 +162,7 @@
     else:
         used = used_memory * math.sqrt(gateway.unobserved_share) * _unpressed_memory_weight(gateway)
     if not in_flight.has_attempts:
-        return used <= gateway.traffic_share or gateway.now >= gateway.wide_query_rest_until
+        return used <= gateway.traffic_share or gateway.now >= gateway.wide_query_pause_until
     stretch = _share_stretch(gateway, query) * query.query_class.threads / gateway.fleet_thread_capacity
     return used <= gateway.traffic_share + stretch
 
@@ -187,8 +187,8 @@
     """
     if not gateway.threshold.is_fleet_wide:
         return 0.0
-    turn = gateway.settings.gateway_index + gateway.now // max(REPLAN_INTERVAL_MS, query.planned_run_ms)
-    return turn * GOLDEN_RATIO % 1
+    slot = gateway.settings.gateway_index + gateway.now // max(REPLAN_INTERVAL_MS, query.planned_run_ms)
+    return slot * GOLDEN_RATIO % 1
 
 
 def _send(gateway: GatewayState, query: Query, engine: EngineView) -> None:
@@ -221,15 +221,15 @@
         query.sent_priority = query.priority
 
 
-def rest_after_wide_query(gateway: GatewayState, query: Query) -> None:
-    """An attempt has ended: after one wider than the own share the share rests.
+def pause_after_wide_query(gateway: GatewayState, query: Query) -> None:
+    """An attempt has ended: after one wider than the local share the share is paused.
 
-    One query may always be in flight. Of hundreds of gateways with one wider than the share each, the rest
+    One query may always be in flight. Of hundreds of gateways with one wider than the share each, the pause
     keeps the mean within capacity.
     """
     threads = query.query_class.threads / gateway.fleet_thread_capacity
     memory = query.planned_memory_mb / gateway.fleet_memory_capacity_mb
     width = max(threads, memory) / gateway.traffic_share
     if width > 1:
-        rest_from = max(gateway.wide_query_rest_until, gateway.now)
-        gateway.wide_query_rest_until = rest_from + (gateway.now - query.sent_at) * (width - 1)
+        pause_from = max(gateway.wide_query_pause_until, gateway.now)
+        gateway.wide_query_pause_until = pause_from + (gateway.now - query.sent_at) * (width - 1)
--- a/cottonhold/scheduler/responses.py
+++ b/cottonhold/scheduler/responses.py
@@ -27,7 +27,7 @@
 def _retry_after_ms(gateway: GatewayState) -> float:
     """Advice on when to come back: when the plans have drained, within what the deployment allows."""
     queued_thread_ms = sum(engine.queued_thread_ms for engine in gateway.active_engines.values())
-    drained_ms = queued_thread_ms / gateway.own_thread_capacity
+    drained_ms = queued_thread_ms / gateway.local_thread_capacity
     features = gateway.settings.features
     max_ms = features.max_retry_after_ms if features.has_retry_after else 0.0
     return min(max_ms, max(MIN_RETRY_AFTER_MS, drained_ms, gateway.threshold.retry_after_ms))
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -55,13 +55,13 @@
     THREADS_PER_CORE,
     TRAFFIC_MEMORY_MS,
 )
-from cottonhold.scheduler.peer_load import PEER_PRICE
+from cottonhold.scheduler.peer_load import MAX_PEER_MESSAGE_COST
 from cottonhold.scheduler.settings import Settings
 
-__all__ = ["PEER_PRICE", "THREADS_PER_CORE", "Scheduler"]
+__all__ = ["MAX_PEER_MESSAGE_COST", "THREADS_PER_CORE", "Scheduler"]
 
 MAX_HEALTH_CHECKS_PER_QUERY = 0.3
-HEALTH_CHECK_PRICE = 0.003  # of the result that health checks may cost: where they are dear fewer are sent
+MAX_HEALTH_CHECK_COST = 0.003  # of the result that health checks may cost: where they are dear fewer are sent
 
 
 class Scheduler(GatewayState):
@@ -70,7 +70,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         """A gateway that has seen nothing yet; the seed sets all of its random draws."""
         share = 1.0 / settings.gateway_count
-        super().__init__(settings, random.Random(seed), traffic_share=share, own_engine_share=share)
+        super().__init__(settings, random.Random(seed), traffic_share=share, assigned_engine_share=share)
         self.apply_settings(settings)
 
     def step(self, now: float, events: Iterable[Event]) -> list[Action]:
@@ -110,7 +110,7 @@
         self.settings = settings
         # A step comes this late at the longest, and a deadline must not pass between two steps.
         self.answer_margin_ms = HEARTBEAT_MS + 2 * settings.tick_ms
-        affordable = HEALTH_CHECK_PRICE / max(settings.overhead_costs.per_health_check, 1e-9)
+        affordable = MAX_HEALTH_CHECK_COST / max(settings.overhead_costs.per_health_check, 1e-9)
         self.health_checks_per_query = min(MAX_HEALTH_CHECKS_PER_QUERY, affordable)
         has_peers = settings.features.has_peer_messages and settings.gateway_count > 1
         self.next_peer_message_at = 0.0 if has_peers else math.inf
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -40,7 +40,7 @@
     if not quota_rate:
         return True
     has_quota = quota_rate != math.inf
-    if is_cold and engine.id not in gateway.own_engine_ids:
+    if is_cold and engine.id not in gateway.assigned_engine_ids:
         return True
     if not is_cold and not has_quota:
         return False
@@ -48,10 +48,10 @@
     if not has_quota and work_ms > _max_single_work_ms(gateway, engine):
         return True
     _save_up(gateway, engine, quota_rate, work_ms)
-    turn = _turn(gateway, engine, is_cold, has_quota)
+    slot = _round_robin_slot(gateway, engine, is_cold, has_quota)
     if has_quota:
-        return engine.allowance_ms < turn * work_ms
-    return engine.allowance_ms < turn * work_ms / _budget_share(gateway, engine, work_ms)
+        return engine.allowance_ms < slot * work_ms
+    return engine.allowance_ms < slot * work_ms / _budget_share(gateway, engine, work_ms)
 
 
 def _budget_share(gateway: GatewayState, engine: EngineView, work_ms: float) -> float:
@@ -60,7 +60,7 @@
     Only a part is for large ones, so that gateways whose turn is too late for a large query and send a small
     one do not spend what others spend on the large one.
     """
-    burst_ms = own_budget_rate(gateway, engine) * gateway.settings.rules.overload_window_ms
+    burst_ms = local_budget_rate(gateway, engine) * gateway.settings.rules.overload_window_ms
     return LARGE_QUERY_SHARE if work_ms > burst_ms else 1.0
 
 
@@ -106,7 +106,7 @@
     rules = gateway.settings.rules
     elapsed_ms = gateway.now - engine.allowance_updated_at
     if quota_rate == math.inf:
-        rate = own_budget_rate(gateway, engine)
+        rate = local_budget_rate(gateway, engine)
         max_allowance_ms = rate * rules.overload_window_ms
         rate *= engine.warm_capacity_share(gateway.now, rules) / rules.cold_capacity_share
     else:
@@ -116,25 +116,25 @@
     engine.allowance_updated_at = gateway.now
 
 
-def _turn(gateway: GatewayState, engine: EngineView, is_cold: bool, has_quota: bool) -> float:
+def _round_robin_slot(gateway: GatewayState, engine: EngineView, is_cold: bool, has_quota: bool) -> float:
     """Share of a usual query that has to be saved up: spread evenly over the gateways, which take turns.
 
     At a cold engine with a quota the order stays: dealt anew, many gateways that have saved up would begin at
     once.
     """
-    turn = gateway.settings.gateway_index
+    slot = gateway.settings.gateway_index
     if not has_quota or not is_cold:
-        turn += math.floor(gateway.now / gateway.settings.rules.overload_window_ms)
-    return (engine.id_hash / HASH_COUNT + turn * GOLDEN_RATIO) % 1
+        slot += math.floor(gateway.now / gateway.settings.rules.overload_window_ms)
+    return (engine.id_hash / HASH_COUNT + slot * GOLDEN_RATIO) % 1
 
 
-def own_budget_rate(gateway: GatewayState, engine: EngineView) -> float:
+def local_budget_rate(gateway: GatewayState, engine: EngineView) -> float:
     """This gateway's part of the work that a cold engine may be sent, in ms a ms; as much again as one burst.
 
     The part is bounded whatever peers reported: all gateways may believe in a larger share than they have.
     """
     rules, settings = gateway.settings.rules, gateway.settings
-    part = gateway.own_engine_share / settings.concurrent_processes
+    part = gateway.assigned_engine_share / settings.concurrent_processes
     part *= min(1.0, MAX_PART_FACTOR / (settings.gateway_count * gateway.traffic_share))
     return (
         COLD_MARGIN * rules.overload_factor * rules.cold_capacity_share * engine.cores * part * EARNED_SHARE
@@ -144,7 +144,7 @@
 def start_warming(gateway: GatewayState, engine: EngineView, cold_until: float) -> None:
     """Keep an engine that may have started to the cold budget, from a full burst on."""
     if gateway.now >= engine.cold_until:
-        burst_ms = own_budget_rate(gateway, engine) * gateway.settings.rules.overload_window_ms
+        burst_ms = local_budget_rate(gateway, engine) * gateway.settings.rules.overload_window_ms
         engine.allowance_ms = burst_ms
         engine.allowance_updated_at = gateway.now
     engine.cold_until = max(engine.cold_until, cold_until)
--- a/cottonhold/scheduler/utilization.py
+++ b/cottonhold/scheduler/utilization.py
@@ -56,9 +56,9 @@
 
 def _used_share(gateway: GatewayState, engine: EngineView) -> float:
     """Share of this gateway's capacity on the engine in use, by its own work and what peers reported."""
-    peers = engine.peer_load(gateway.now, gateway.peer_sends_per_own)
-    threads = (engine.threads_in_flight + peers.threads) / engine.own_thread_capacity
-    memory = (engine.memory_in_flight_mb + peers.memory_mb) / engine.own_memory_capacity_mb
+    peers = engine.peer_load(gateway.now, gateway.peer_sends_per_local)
+    threads = (engine.threads_in_flight + peers.threads) / engine.local_thread_capacity
+    memory = (engine.memory_in_flight_mb + peers.memory_mb) / engine.local_memory_capacity_mb
     unreported = 0.0
     if not gateway.has_peer_loads:
         unreported = gateway.unobserved_share * fleet_used_share(gateway, gateway.fleet_utilization)
@@ -76,7 +76,7 @@
 
 
 def fleet_used_share(gateway: GatewayState, reported: float) -> float:
-    """Share of the fleet in use: as reported, or own work in flight over the own share if that is more."""
+    """Share of the fleet in use: as reported, or own work in flight over the local share if that is more."""
     threads = gateway.in_flight.threads / gateway.fleet_thread_capacity
     memory = gateway.in_flight.memory_mb / gateway.fleet_memory_capacity_mb
     return max(reported, max(threads, memory) / gateway.traffic_share)
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -183,9 +183,9 @@
     """Two processes stand for one gateway, and share what it may send to a cold engine."""
     s = Scheduler(settings(), 1)
     s.step(0.0, [engines("e1")])
-    alone = slow_start.own_budget_rate(s, s.engines["e1"])
+    alone = slow_start.local_budget_rate(s, s.engines["e1"])
     s.step(10.0, [SettingsChanged(dataclasses.replace(settings(), concurrent_processes=2))])
-    assert slow_start.own_budget_rate(s, s.engines["e1"]) == alone / 2
+    assert slow_start.local_budget_rate(s, s.engines["e1"]) == alone / 2
 
 
 GOOD: dict[str, Any] = {**CONFIG, "listen": "127.0.0.1:80"}
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -155,9 +155,9 @@
     usual = tuple(Engine(e.id, state=EngineState.DRAINING) for e in scheduler.candidate_pool)
     scheduler.step(2000.0, [EngineList(usual, is_complete=False), QueryArrived("q", 0, 6000.0, 200.0)])
     (engine,) = [e.id for e in scheduler.active_engines.values() if e.in_flight]
-    assert engine not in {e.id for e in usual} and engine in scheduler.own_engine_ids
+    assert engine not in {e.id for e in usual} and engine in scheduler.assigned_engine_ids
     assert (
-        scheduler.engines[engine].own_thread_capacity > 1
+        scheduler.engines[engine].local_thread_capacity > 1
     )  # counted, though all are counted again only later
 
 
@@ -172,7 +172,7 @@
         for me in range(gateways):
             scheduler = Scheduler(Settings((READ,), gateway_count=gateways, gateway_index=me), 1)
             scheduler.step(1000.0, [EngineList(tuple(Engine(f"e{n:04}") for n in range(count)), True)])
-            crowd.append(scheduler.own_engine_ids)
+            crowd.append(scheduler.assigned_engine_ids)
         return crowd
 
     usual, many = drawn_on(engines), drawn_on(16 * engines)
--- a/tests/scheduler/test_many_gateways.py
+++ b/tests/scheduler/test_many_gateways.py
@@ -22,7 +22,7 @@
     ProgressKind,
     ProgressNote,
 )
-from cottonhold.scheduler.scheduler import PEER_PRICE
+from cottonhold.scheduler.scheduler import MAX_PEER_MESSAGE_COST
 from cottonhold.scheduler.settings import MachineType, MemoryShortage, OverheadCosts
 from tests.support.scheduler_events import (
     LOOKUP,
@@ -167,11 +167,11 @@
         reported += [a for a in done if isinstance(a, SendToPeer)]
         for name, engine in sends(done):
             scheduler.step(t + 100.0, [ended(name, Outcome.OK, engine=engine, is_final=True)])
-    assert 0.01 * sum(len(a.payload) for a in reported) / 256 < 1.3 * PEER_PRICE * 160
+    assert 0.01 * sum(len(a.payload) for a in reported) / 256 < 1.3 * MAX_PEER_MESSAGE_COST * 160
     sharing = {
         m
         for e in scheduler.live_engines
-        if e.id in scheduler.own_engine_ids
+        if e.id in scheduler.assigned_engine_ids
         for m in peer_load.peers_sharing(scheduler, e)
     }
     assert (
@@ -373,7 +373,7 @@
         e.under_pressure_until = 1e9
     scheduler.step(5.0, [arrival(f"r{i}", deadline_at=20000.0, estimated_work_ms=3000.0) for i in range(20)])
     threads = sum(e.threads_in_flight for e in scheduler.engines.values())
-    assert 0 < threads <= scheduler.own_thread_capacity < 5
+    assert 0 < threads <= scheduler.local_thread_capacity < 5
 
 
 def test_each_of_many_gateways_draws_on_a_range_of_engines_and_all_are_covered() -> None:
@@ -507,7 +507,7 @@
             scheduler.step(5.0 + tables, [arrival(f"l{tables}", deadline_at=2e4, table_group=tables)])
         )
         scheduler.step(5.5 + tables, [ended(name, Outcome.OK, engine=engine, is_final=True)])
-        assert engine in scheduler.own_engine_ids or not scheduler.own_engine_ids & {
+        assert engine in scheduler.assigned_engine_ids or not scheduler.assigned_engine_ids & {
             e.id for e in scheduler.preferred_engines[tables]
         }
 
--- a/tests/scheduler/test_scheduler.py
+++ b/tests/scheduler/test_scheduler.py
@@ -331,8 +331,8 @@
     assert earlier.traffic_share == pytest.approx(0.5, abs=0.08) and later.traffic_share == pytest.approx(
         0.5, abs=0.08
     )
-    assert later.own_traffic.per_s(begun + 1500.0) == pytest.approx(20.0, rel=0.1)
-    assert later.own_traffic.per_s(begun + 30_000.0) < 0.01
+    assert later.local_traffic.per_s(begun + 1500.0) == pytest.approx(20.0, rel=0.1)
+    assert later.local_traffic.per_s(begun + 30_000.0) < 0.01
 
 
 @pytest.mark.parametrize(
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -56,8 +56,8 @@
     for gateway_index in range(gateways):
         gateway = Scheduler(replace(site.settings(), gateway_index=gateway_index), gateway_index)
         gateway.step(1000.0, [EngineList((Engine("e0", started_at=900.0),), is_complete=True)])
-        gateway.traffic_share = gateway.own_engine_share = 1.0  # as if peers reported no traffic at all
-        parts += slow_start.own_budget_rate(gateway, gateway.engines["e0"])
+        gateway.traffic_share = gateway.assigned_engine_share = 1.0  # as if peers reported no traffic at all
+        parts += slow_start.local_budget_rate(gateway, gateway.engines["e0"])
     budget = site.overload_factor * site.cold_capacity_share * site.cores
     assert 0.2 * budget < 2 * parts < budget
 
--- a/tests/scheduler/test_sparse_signals.py
+++ b/tests/scheduler/test_sparse_signals.py
@@ -181,7 +181,7 @@
     e = scheduler.engines["e1"]
     assert (
         1
-        < e.threads_in_flight / e.own_thread_capacity
+        < e.threads_in_flight / e.local_thread_capacity
         + scheduler.unobserved_share * scheduler.fleet_utilization
         <= 2
     )
@@ -326,7 +326,7 @@
     e = scheduler.engines["e1"]
     assert (
         1
-        < e.threads_in_flight / e.own_thread_capacity
+        < e.threads_in_flight / e.local_thread_capacity
         + scheduler.unobserved_share * scheduler.fleet_utilization
         <= 2
         and not utilization.is_under_pressure(scheduler, e)
