--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -32,7 +32,7 @@
     if query is None or not query.is_in_flight:
         return
     query.is_in_flight = query.is_canary = False
-    gateway.release_is_due = True
+    gateway.is_release_pending = True
     if engine is not None:
         _leave_engine(gateway, query, engine)
     if event.outcome is Outcome.TIMEOUT and not gateway.settings.features.can_cancel:
@@ -84,7 +84,7 @@
     engine = gateway.engines.get(event.engine)
     if query is None or engine is None or query.id not in engine.in_flight:
         return
-    engine_health.on_sign_of_life(gateway, engine, query.sent_at)
+    engine_health.on_alive(gateway, engine, query.sent_at)
     if event.kind is ProgressKind.PROGRESS:
         rate_estimation.record_progress(gateway, query, engine, event.value)
     elif event.kind is ProgressKind.SPILL:
--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -62,8 +62,8 @@
     The cost of a heartbeat must not grow with a fleet of thousands, of which a gateway uses a few.
     """
     count = len(gateway.live_engines)
-    is_due = gateway.now - gateway.capacity_counted_at >= count * RECOUNT_MS_PER_ENGINE
-    if count <= FEW_ENGINES or is_due:
+    needs_recount = gateway.now - gateway.capacity_counted_at >= count * RECOUNT_MS_PER_ENGINE
+    if count <= FEW_ENGINES or needs_recount:
         count_all(gateway)
         return
     _count_in_use(gateway, {})
--- a/cottonhold/scheduler/deadlines.py
+++ b/cottonhold/scheduler/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines and timers: what is answered because its time is up, and when the next step is due."""
+"""Deadlines and timers: what is answered because its time is up, and when the next step comes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cottonhold.scheduler.parameters import HEARTBEAT_MS, TRAFFIC_MIN_AGE_MS
 
 
-def is_due(gateway: GatewayState, at: float) -> bool:
+def is_reached(gateway: GatewayState, at: float) -> bool:
     """Whether a time has come, to half a tick: timers are that exact."""
     return gateway.now >= at - gateway.settings.tick_ms / 2
 
@@ -27,8 +27,8 @@
         gateway.has_started = True
         gateway.next_peer_message_at = max(gateway.next_peer_message_at, now + TRAFFIC_MIN_AGE_MS)
     gateway.actions = []
-    gateway.release_is_due = False
-    if is_due(gateway, gateway.timer_at):
+    gateway.is_release_pending = False
+    if is_reached(gateway, gateway.timer_at):
         gateway.timer_at = math.inf
 
 
@@ -45,13 +45,13 @@
 
 
 def set_timer(gateway: GatewayState) -> None:
-    """Set a timer for what is due next; a gateway with nothing queued or in flight needs none."""
+    """Set a timer for what comes next; a gateway with nothing queued or in flight needs none."""
     if gateway.active_engines or gateway.ejected_engines or gateway.unplaced:
         gateway.next_heartbeat_at = min(gateway.next_heartbeat_at, gateway.now + HEARTBEAT_MS)
     first_deadline = gateway.deadlines.earliest() - gateway.answer_margin_ms
-    due_at = min(
+    next_step_at = min(
         gateway.next_heartbeat_at, gateway.next_peer_message_at, gateway.next_subscribe_at, first_deadline
     )
-    if due_at < gateway.timer_at:
-        gateway.timer_at = due_at
-        gateway.actions.append(SetTimer(max(due_at - gateway.now, gateway.settings.tick_ms), 0))
+    if next_step_at < gateway.timer_at:
+        gateway.timer_at = next_step_at
+        gateway.actions.append(SetTimer(max(next_step_at - gateway.now, gateway.settings.tick_ms), 0))
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -62,7 +62,7 @@
     engine.consecutive_successes = 0
 
 
-def on_sign_of_life(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
+def on_alive(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
     """The engine spoke. An answer to a query sent before a silence proves that the process lived."""
     engine.last_received_at = gateway.now
     if engine.ejection_reason in UNRESPONSIVE and sent_at < engine.ejected_at:
@@ -78,7 +78,7 @@
     sent_at = gateway.now - event.elapsed_ms
     rate_estimation.record_load_report(gateway, engine, event.load_report)
     if outcome in (Outcome.OK, Outcome.ERROR):
-        on_sign_of_life(gateway, engine, sent_at)
+        on_alive(gateway, engine, sent_at)
     if outcome is Outcome.OK:
         _on_success(gateway, engine, sent_at)
         if query is not None and query.is_in_flight:
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -48,7 +48,7 @@
     now: float = 0.0
     has_started: bool = False  # there has been a step
     actions: list[Action] = field(default_factory=list)
-    release_is_due: bool = False  # something happened that may let a queued query go
+    is_release_pending: bool = False  # something happened that may let a queued query go
     answer_margin_ms: float = 0.0  # before its deadline a query without an attempt in flight is answered
 
     # queries, by id (admission)
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -244,7 +244,7 @@
     has_priorities = gateway.settings.features.has_priorities
     query.priority = min(MAX_PRIORITY, 1 + max(outranked)) if outranked and has_priorities else 1
     gateway.active_engines[engine.id] = engine
-    gateway.release_is_due = True
+    gateway.is_release_pending = True
     engine.enqueue(index, query)
 
 
--- a/cottonhold/scheduler/queues.py
+++ b/cottonhold/scheduler/queues.py
@@ -48,10 +48,10 @@
 
     def pop_expired(self, now: float) -> list[Query]:
         """Remove and return the queries whose deadline has come."""
-        due = []
+        expired = []
         while self.earliest() <= now:
-            due.append(heapq.heappop(self.heap).query)
-        return due
+            expired.append(heapq.heappop(self.heap).query)
+        return expired
 
 
 @dataclass(slots=True)
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -36,7 +36,7 @@
 
     NOT_PERMITTED_THERE = "in flight, finished, or not permitted on the engine"
     DEADLINE_NEAR = "deadline near"
-    EARLIER_QUERY_PENDING = "out of turn"
+    EARLIER_QUERY_PENDING = "an earlier query of its key goes first"
     COLD_BUDGET_SPENT = "budget of a cold engine or quota spent"
 
 
@@ -53,7 +53,7 @@
     index, blocked_density = 0, 0.0
     while index < len(engine.plan):
         query = engine.plan[index]
-        if _is_held_back(query, engine, blocked_density):
+        if _is_blocked(query, engine, blocked_density):
             index += 1
         elif not has_capacity(gateway, query, engine) or _would_displace(gateway, query):
             blocked_density = query.density  # above any before it, else it was passed over
@@ -67,7 +67,7 @@
             _send(gateway, query, engine)
 
 
-def _is_held_back(query: Query, engine: EngineView, blocked_density: float) -> bool:
+def _is_blocked(query: Query, engine: EngineView, blocked_density: float) -> bool:
     """Whether a query waits for one that is blocked, unless it outranks it, or a load for one on its tables.
 
     A second load on the same tables would only stand still at the engine and keep readers waiting.
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -86,13 +86,13 @@
         if self.changed_engines:
             capacity.apply_engine_changes(self)
         deadlines.answer_overdue(self)
-        if deadlines.is_due(self, self.next_heartbeat_at):
+        if deadlines.is_reached(self, self.next_heartbeat_at):
             self._on_heartbeat()
         if now >= self.next_peer_message_at:
             peer_load.publish_work(self)
         if now >= self.next_subscribe_at:
             engine_list.subscribe(self)
-        if self.release_is_due:
+        if self.is_release_pending:
             release.release_queued(self)
         deadlines.set_timer(self)
         return self.actions
@@ -118,7 +118,7 @@
     def _on_heartbeat(self) -> None:
         """Look for silent engines, stragglers and ejections that end; less often, make the plans anew."""
         self.next_heartbeat_at = math.inf
-        self.release_is_due = True
+        self.is_release_pending = True
         rate_estimation.update_best_rate(self)
         for engine in list(self.active_engines.values()):
             engine_health.check_silence(self, engine)
