--- a/cottonhold/cli/main.py
+++ b/cottonhold/cli/main.py
@@ -39,7 +39,7 @@
         from cottonhold.__main__ import serve as serve_relay
 
         raise typer.Exit(serve_relay())
-    from cottonhold.node.standalone_dispatcher import serve as serve_installation
+    from cottonhold.node.standalone.dispatcher import serve as serve_installation
 
     raise typer.Exit(serve_installation(config))
 
--- a/cottonhold/emulator/fault_injection/instance.py
+++ b/cottonhold/emulator/fault_injection/instance.py
@@ -54,7 +54,7 @@
         from cottonhold.emulator.fault_injection.defects import DEFECTS
 
         DEFECTS[machine["defect"]]()
-    from cottonhold.node.standalone_dispatcher import serve
+    from cottonhold.node.standalone.dispatcher import serve
 
     return serve(Path(path))
 
@@ -64,7 +64,7 @@
     from importlib import import_module, util
 
     for name in (
-        "cottonhold.node.standalone_dispatcher",
+        "cottonhold.node.standalone.dispatcher",
         "cottonhold.store.ledger",
         "cottonhold.emulator.disk",
     ):
--- a/cottonhold/emulator/fault_injection/worker_pool.py
+++ b/cottonhold/emulator/fault_injection/worker_pool.py
@@ -30,7 +30,7 @@
     "cottonhold.emulator.disk",
     "cottonhold.emulator.fault_injection.defects",
     "cottonhold.fleet_adapters.recovery",
-    "cottonhold.node.standalone_dispatcher",
+    "cottonhold.node.standalone.dispatcher",
     "cottonhold.store.ledger",
 )
 MAX_ORDER_BYTES = 1 << 16  # bytes of an order
--- /dev/null
+++ b/cottonhold/node/standalone/consul_sources.py
@@ -0,0 +1,78 @@
+"""Follows the Consul sources of an installation, each in a task of its own; a reload may change them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass
+
+from cottonhold.config import schema
+from cottonhold.config.installation import Watched
+from cottonhold.discovery.consul.answers import Answers
+from cottonhold.discovery.consul.watch import Watch
+from cottonhold.discovery.model import Event
+from cottonhold.node import consul_client
+from cottonhold.node.dispatcher import Dispatcher
+from cottonhold.node.http_client import Tls
+
+
+def client_tls(section: schema.Tls | None) -> Tls | None:
+    """A configuration's TLS section as the HTTP client takes it."""
+    if section is None:
+        return None
+    return Tls(section.ca_file, section.cert_file, section.key_file, section.server_name)
+
+
+@dataclass(slots=True, frozen=True)
+class RunningWatch:
+    """A source that is followed."""
+
+    watched: Watched
+    watch: Watch
+    task: asyncio.Task[None]
+
+
+class ConsulSources:
+    """The watches of one dispatcher. on_events: called with what sources report."""
+
+    def __init__(self, dispatcher: Dispatcher, on_events: Callable[[Iterable[Event]], None]) -> None:
+        self.event_loop, self.config = dispatcher.event_loop, dispatcher.config
+        self.counters, self.log, self.on_events = dispatcher.counters, dispatcher.log, on_events
+        self.running: dict[str, RunningWatch] = {}  # by name of the source
+
+    def follow(self, watched: Watched) -> None:
+        """Follow a source from now on."""
+        name = watched.settings.name
+        answers = Answers(self.config.names, watched.reading, lambda why: self._on_malformed(name, why))
+        watch = Watch(watched.settings, answers, self.config.seed)
+        work = consul_client.follow(
+            self.event_loop, watch, client_tls(watched.tls), self.on_events, self.counters
+        )
+        self.running[name] = RunningWatch(watched, watch, self.event_loop.spawn(work))
+
+    def replace_changed(self, sources: Sequence[Watched]) -> None:
+        """Stop sources that are not configured any more, and follow those anew whose settings changed."""
+        configured = {watched.settings.name: watched for watched in sources}
+        for name, running in list(self.running.items()):
+            watched = configured.get(name)
+            if watched is None:
+                running.task.cancel()
+                del self.running[name]
+            elif watched != running.watched:
+                running.task.cancel()
+                self.follow(watched)  # its first answer is a complete list, compared with all that is claimed
+
+    def follow_new(self, sources: Sequence[Watched]) -> None:
+        """Follow sources that are not followed yet."""
+        for watched in sources:
+            if watched.settings.name not in self.running:
+                self.follow(watched)
+
+    def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
+        """Ask a source's catalogue for engines that its last list lacks, before its next health call."""
+        if source in self.running:
+            self.running[source].watch.confirm(absent)
+
+    def _on_malformed(self, source: str, why: str) -> None:
+        self.counters.add("consul_malformed")
+        self.log.note("entry_malformed", source=source, why=why)
--- /dev/null
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -0,0 +1,391 @@
+"""A dispatcher with Consul sources, a structured log, a configuration that reloads, and a fleet.
+
+Only `cottonhold serve --config` imports it; the platform's `run` has no use for it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from collections.abc import Awaitable, Iterable, Mapping
+from pathlib import Path
+
+from cottonhold.config import schema
+from cottonhold.config.installation import Installation, UnusableConfigError, known_report, read
+from cottonhold.discovery.consul.registration import Registration
+from cottonhold.discovery.model import Address, EngineListChange, Event, PublishChange
+from cottonhold.fleet.engine_drain import DrainRecords, DrainSettings
+from cottonhold.fleet.recovery.cached_engines import EngineCache
+from cottonhold.fleet_adapters.membership import MembershipAdapter
+from cottonhold.fleet_adapters.recovery import RecoveryAdapter
+from cottonhold.fleet_adapters.recovery_folder import incarnation_of
+from cottonhold.fleet_adapters.rolling_replacement import RollingReplacementAdapter
+from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
+from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
+from cottonhold.fleet_adapters.zone_failover import ZoneFailoverAdapter
+from cottonhold.node import consul_client, status
+from cottonhold.node.dispatcher import Dispatcher, run_program
+from cottonhold.node.standalone.adapter_factory import AdapterFactory
+from cottonhold.node.standalone.consul_sources import ConsulSources, client_tls
+from cottonhold.node.standalone.engine_list import EngineListPublisher
+from cottonhold.node.standalone.ledger_access import LedgerAccess
+from cottonhold.node.standalone.operator_calls import OperatorCalls
+from cottonhold.observe.counters import Counters
+from cottonhold.observe.structured import StructuredLog
+from cottonhold.scheduler.events import Engine, HealthCheckCompleted, Outcome
+from cottonhold.store.ledger import Ledger
+from cottonhold.store.records import RecordKind
+
+SILENT_SOURCE_S = 10.0  # after the start, a source without an answer by then is logged
+MAX_LIST_WAIT_MS = 10_000.0  # that loads wait after the start for a source's first answer
+DEREGISTER_TIMEOUT_S = 3.0  # where SIGKILL leaves that time
+RELOADED_SECTIONS = ("sources", "known", "log", "register")  # the others need a restart
+
+
+class StandaloneDispatcher(Dispatcher):
+    """One dispatcher with its Consul sources and its part in the fleet.
+
+    path: of the configuration, which a reload reads again; installation: what it says now.
+    """
+
+    def __init__(
+        self, path: Path, installation: Installation, log: StructuredLog, loop: asyncio.AbstractEventLoop
+    ) -> None:
+        super().__init__(installation.config, Counters(), loop, log, installation.sources)
+        self.path, self.installation, self.structured_log = path, installation, log
+        self.started_at = self.event_loop.clock.now()
+        self.engine_list = EngineListPublisher(
+            self, lambda: self.installation.file.zones, self._on_list_published
+        )
+        self.quarantine = self.engine_list.quarantine
+        self.consul_sources = ConsulSources(self, self.on_discovery_events)
+        self.entry: consul_client.Entry | None = None
+        self.adapters = AdapterFactory(self, lambda: self.installation)
+        self.membership: MembershipAdapter | None = None
+        self.zone_failover: ZoneFailoverAdapter | None = None
+        self.recovery: RecoveryAdapter | None = None
+        self.rolling_replacement: RollingReplacementAdapter | None = None
+        self.session_affinity: SessionAffinityAdapter | None = None
+        self.engine_cache: EngineCache | None = None
+        self.unavailable_load_guard: UnavailableLoadGuard | None = None
+        self.ledger_access = LedgerAccess(
+            lambda: self.installation,
+            path.resolve().parent,
+            self.event_loop.clock,
+            self.counters,
+            self.log.note,
+        )
+        self.operator_calls = OperatorCalls(self, installation.file.metrics)
+        ledger = self.ledger_access.ledger()
+        if installation.file.membership is not None:
+            self._make_membership(ledger)
+        if installation.file.state_dir:
+            if ledger is not None:
+                self._use_ledger(ledger)
+            else:
+                self._reject_loads_until_ledger_opens()
+
+    def _make_membership(self, ledger: Ledger | None) -> None:
+        """Make membership and the fleet's coordinator; they contact others once the sources are followed."""
+        self.membership = membership = self.adapters.membership(ledger, self._on_peer_health_check)
+        self.gateway.health_check_listener = self._on_health_check_completed
+        if self.installation.file.fleet is not None:
+            self.zone_failover = self.adapters.zone_failover(ledger, membership)
+            self.gateway.notifications.observer = self.zone_failover
+        membership.on_fleet_message = self._on_fleet_message
+        membership.on_joined = self._on_member_joined
+
+    def _reject_loads_until_ledger_opens(self) -> None:
+        records = self.ledger_access.readable_records()
+        self.unavailable_load_guard = self.adapters.unavailable_load_guard(records.get(RecordKind.LOAD, {}))
+        self.gateway.notifications.load_guard = self.unavailable_load_guard
+        self._withhold_drained_engines(records.get(RecordKind.ENGINE_DRAIN, {}))
+        self.ledger_access.call_when_open(self._use_ledger)
+
+    def _withhold_drained_engines(self, drain_records: Mapping[bytes, bytes]) -> None:
+        """Withhold engines that were drained before the start: until the ledger says that they are, or for as
+        long as they would be without an answer of the voters."""
+
+        def still_drained() -> set[str]:
+            replacement = self.rolling_replacement
+            return replacement.drains.drain_records.engines if replacement is not None else set()
+
+        self.engine_list.withhold_for(
+            DrainSettings().startup_timeout_ms, DrainRecords(drain_records).from_previous_start, still_drained
+        )
+
+    def _use_ledger(self, ledger: Ledger) -> None:
+        """Guard loads by the ledger, and make the other parts that need one."""
+        membership, fleet = self.membership, self.zone_failover
+        self.recovery = recovery = self.adapters.recovery(ledger, membership, fleet)
+        if self.unavailable_load_guard is not None:  # retries count from when they were first heard of
+            recovery.history.local.queried.update(self.unavailable_load_guard.history.local.queried)
+        self.gateway.notifications.load_guard = recovery.load_guard
+        if fleet is not None and self.installation.file.sources:
+            # Without slow start nothing would wait for the health check that proves a cached engine.
+            self.engine_cache = EngineCache(ledger.records(RecordKind.ENGINE_ADDRESS), self.config.names)
+            self.counters.add("recovery_malformed", self.engine_cache.malformed)
+            # An engine in the cached list may have been drained since it was cached.
+            recovery.has_other_prerequisites = self.is_list_settled
+        if membership is not None and fleet is not None:
+            self._make_replacement(ledger, membership, fleet, recovery)
+        if fleet is not None:
+            fleet.coordinator.set_incarnation(incarnation_of(ledger))
+        if self.is_serving:
+            self._start_ledger_parts()
+
+    def _make_replacement(
+        self,
+        ledger: Ledger,
+        membership: MembershipAdapter,
+        fleet: ZoneFailoverAdapter,
+        recovery: RecoveryAdapter,
+    ) -> None:
+        """Make rolling replacement, and session affinity on top of it, where they are configured."""
+        file = self.installation.file
+        if file.membership is None or not file.membership.voters:
+            return
+        drains = self.adapters.engine_drains(
+            self.engine_list, ledger, membership, fleet, file.membership.voters
+        )
+        # Loads wait until drained engines are known, since an engine may be about to lose its power.
+        # Queries that may be repeated do not wait: a majority may take seconds to come back.
+        recovery.has_other_prerequisites = lambda: drains.may_send_loads() and self.is_list_settled()
+        self.rolling_replacement = self.adapters.rolling_replacement(
+            ledger, membership, fleet, recovery, drains
+        )
+        if file.fleet is not None and file.fleet.pins:
+            self.session_affinity = self.adapters.session_affinity(
+                ledger, membership, fleet, recovery, self.rolling_replacement
+            )
+            self.gateway.notifications.load_guard = self.session_affinity.guard
+
+    def _start_ledger_parts(self) -> None:
+        for part in (self.recovery, self.rolling_replacement, self.session_affinity):
+            if part is not None:
+                part.start()
+
+    def _on_fleet_message(self, member: int, payload: bytes) -> None:
+        """Another instance's message goes to the part that knows its first byte."""
+        for part in (self.recovery, self.session_affinity, self.rolling_replacement):
+            if part is not None and part.on_message(member, payload):
+                return
+        if self.zone_failover is not None:
+            self.zone_failover.on_message(member, payload)
+
+    def _on_member_joined(self) -> None:
+        # All parts are notified at once: an instance that waits for its next round believes that it is alone
+        # and admits what the others shed.
+        if self.recovery is not None:
+            self.recovery.on_member_joined()
+        if self.zone_failover is not None:
+            self.zone_failover.on_member_joined()
+
+    def _on_peer_health_check(self, engine: str, report: dict[str, float]) -> None:
+        """Another instance has checked an engine with success."""
+        self.gateway.push(HealthCheckCompleted(engine, Outcome.OK, report))
+        if self.zone_failover is not None:
+            self.zone_failover.on_health_check(engine, Outcome.OK)
+
+    def _on_health_check_completed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
+        """A health check of this instance has ended."""
+        if self.membership is not None:
+            self.membership.on_probe_ended(engine, outcome, report)
+        if self.zone_failover is not None:
+            self.zone_failover.on_health_check(engine, outcome)
+            if outcome is Outcome.OK:
+                duration_ms = self.engines.health_checker.last_duration_ms
+                self.zone_failover.on_health_check_time(engine, duration_ms)
+
+    def apply_settings(self) -> None:
+        """Apply the settings; the fleet's quotas follow the number of processes as well."""
+        super().apply_settings()
+        if self.zone_failover is not None:
+            self.zone_failover.set_process_count(1 + self.sibling_count)
+
+    def on_other_datagram(self, data: bytes, sender: Address) -> bool:
+        """Whether a datagram is membership's, which begins with a byte of its own."""
+        return self.membership is not None and self.membership.on_datagram(data, sender)
+
+    def on_engine_list(self, change: EngineListChange) -> None:
+        """The engine list has changed: cache what sources have answered for, and publish the change."""
+        if self.engine_cache is not None and self.recovery is not None and self.has_source_answered():
+            records = self.engine_cache.apply(change)
+            if records:
+                self.recovery.ledger.put(records)
+        self.engine_list.on_change(change)
+
+    def _on_list_published(self, live: Mapping[str, Engine]) -> None:
+        """Health checks are shared out, and capacity planned, for the engines in service."""
+        if self.membership is None:
+            return
+        self.membership.set_engines(live)
+        if self.zone_failover is not None:
+            self.zone_failover.set_engines(self.engine_list.cores_by_zone(live))
+
+    def has_source_answered(self) -> bool:
+        """Whether any source has answered since the start."""
+        return any(view.answer_count for view in self.engine_catalog.views.values())
+
+    def is_list_settled(self) -> bool:
+        """Whether loads may rely on the list: it is a source's, or none has answered for too long to wait."""
+        if not self.installation.file.sources or self.has_source_answered():
+            return True
+        return self.event_loop.clock.now() - self.started_at >= MAX_LIST_WAIT_MS
+
+    def publish_initial_engines(self) -> None:
+        """Publish the configured and the cached engines, until a source has answered."""
+        observations = self.installation.known
+        if self.engine_cache is not None:
+            observations = self.engine_cache.observations(observations)
+            cached_count = len(observations) - len(self.installation.known)
+            self.log.note("engines_remembered", engines=cached_count)
+        if observations:
+            now = self.event_loop.clock.now()
+            self._publish(self.engine_catalog.set_initial(now, observations))
+
+    def _publish(self, actions: Iterable[object]) -> None:
+        """Publish the changes among the catalog's actions."""
+        for action in actions:
+            if isinstance(action, PublishChange):
+                self.on_engine_list(action.change)
+
+    def follow_sources(self) -> None:
+        """Publish the engines known so far, follow all sources, register, and start the fleet's parts."""
+        if self.installation.file.sources:
+            self.publish_initial_engines()
+        elif self.installation.known:
+            self.on_discovery_events([known_report(self.installation)])
+        super().follow_sources()
+        for watched in self.installation.watched:
+            self.consul_sources.follow(watched)
+        self._register()
+        if self.membership is not None:
+            self.membership.start()
+        if self.zone_failover is not None:
+            self.zone_failover.start()
+        self._start_ledger_parts()
+        self._serve_operator_calls()
+        self.event_loop.loop.call_later(SILENT_SOURCE_S, self._log_silent_sources)
+
+    def _register(self) -> None:
+        """Keep this dispatcher registered in Consul, where the configuration asks for it."""
+        if self.installation.registration is None:
+            return
+        self.entry = consul_client.Entry(
+            self.event_loop,
+            Registration(self.installation.registration),
+            client_tls(self.installation.registration_tls),
+            lambda: self.gateway.open_count,
+            self.log.note,
+        )
+        self.event_loop.spawn(self.entry.keep())
+
+    def _serve_operator_calls(self) -> None:
+        if self.installation.file.status_socket:
+            listener = status.listen(self.path.parent / self.installation.file.status_socket)
+            self.event_loop.spawn(status.serve(self.event_loop, listener, self.operator_calls.answer))
+
+    def _log_silent_sources(self) -> None:
+        """Log the sources that have not answered: a dispatcher without engines rejects everything."""
+        for name, view in self.engine_catalog.views.items():
+            if view.answer_count == 0:
+                self.log.note(
+                    "source_unheard",
+                    source=name,
+                    after_s=SILENT_SOURCE_S,
+                    engines_known=len(self.engine_catalog.published),
+                )
+
+    def on_discovery_events(self, events: Iterable[Event]) -> None:
+        """Sources have sent events. Those of a source that a reload removed, from a task that ended late, are
+        dropped."""
+        known = [event for event in events if event.source in self.engine_catalog.views]
+        super().on_discovery_events(known)
+        if self.zone_failover is not None and self.has_source_answered():
+            self.zone_failover.on_list_received()
+
+    def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
+        """Ask the source's catalogue before the next health call."""
+        self.consul_sources.confirm_absent(source, absent)
+
+    def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
+        """Deregister first, so that load balancers which read Consul send their clients elsewhere."""
+        if self.membership is not None:
+            self.membership.leave()
+        left_s = (self.lifecycle.close_deadline() - self.event_loop.clock.now()) / 1000
+        if self.entry is None:
+            return ()
+        return (asyncio.wait_for(self.entry.leave(), min(DEREGISTER_TIMEOUT_S, left_s)),)
+
+    async def run(self) -> None:
+        """Serve until told to stop; the ledger is closed last, and marked as closed cleanly."""
+        await super().run()
+        for part in (self.session_affinity, self.rolling_replacement, self.recovery):
+            if part is not None:
+                part.close()
+
+    def reload(self) -> None:
+        """Read the configuration again. One that can't be used changes nothing; its problems are logged."""
+        try:
+            new = read(self.path)
+        except UnusableConfigError as error:
+            self.counters.add("reloads_failed")
+            for problem in error.problems:
+                self.log.note("reload_refused", problem=str(problem))
+            return
+        self.counters.add("reloads")
+        old, self.installation = self.installation, new
+        log = new.file.log
+        self.structured_log.reset(log.format, log.per_second, log.burst, new.secrets)
+        unapplied = [
+            field
+            for field in schema.File.__struct_fields__
+            if field not in RELOADED_SECTIONS and getattr(old.file, field) != getattr(new.file, field)
+        ]
+        self.log.note("reloaded", restart_needed_for=",".join(unapplied) or "nothing")
+        self._reload_sources(new)
+        self._reload_registration(old, new)
+
+    def _reload_sources(self, new: Installation) -> None:
+        self.consul_sources.replace_changed(new.watched)
+        self._publish(self.engine_catalog.reload(self.event_loop.clock.now(), new.sources))
+        self.consul_sources.follow_new(new.watched)
+        if self.event_stream_task is not None:
+            self.event_stream_task.cancel()
+            self.event_stream_task = None
+        if new.config.event_stream is not None:
+            self.event_stream.host = new.config.event_stream.host
+            self.event_stream_task = self.event_loop.spawn(
+                self.event_loop.event_stream.follow(self.event_stream, new.config.event_stream)
+            )
+
+    def _reload_registration(self, old: Installation, new: Installation) -> None:
+        """A token may change in place; another entry needs a restart, since clients hold its address."""
+        if self.entry is None or new.registration is None or old.registration is None:
+            return
+        if (new.registration.id, new.registration.agent) == (old.registration.id, old.registration.agent):
+            self.entry.registration.settings = new.registration
+
+
+def serve(path: Path) -> int:
+    """Run one dispatcher by its configuration; returns 2 if that can't be used, 1 if its address can't."""
+    try:
+        installation = read(path)
+    except UnusableConfigError as error:
+        print(error, file=sys.stderr)
+        return 2
+    settings = installation.file.log
+    log = StructuredLog(
+        settings.format,
+        settings.per_second,
+        settings.burst,
+        installation.secrets,
+        name=installation.file.name,
+    )
+
+    def make(loop: asyncio.AbstractEventLoop) -> StandaloneDispatcher:
+        log.note("start", listen=installation.file.listen, sources=len(installation.sources))
+        return StandaloneDispatcher(path, installation, log, loop)
+
+    return run_program(installation.file.name, make)
--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -4,6 +4,7 @@
 
 import math
 import zlib
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from enum import Enum
 
@@ -104,12 +105,9 @@
 
     @classmethod
     def from_entry(cls, entry: Engine, machine_types: tuple[MachineType, ...], now: float) -> EngineView:
-        """An engine that is new to the list; without a known machine type its size counts as cores."""
-        machine = (
-            machine_types[entry.machine_type] if entry.machine_type < len(machine_types) else MachineType()
-        )
-        cores = machine.cores or max(entry.size, 1.0)
-        return cls(entry.id, entry, cores, machine.memory_mb, last_received_at=now)
+        """An engine that is new to the list."""
+        memory_mb = machine_of(entry, machine_types).memory_mb
+        return cls(entry.id, entry, engine_cores(entry, machine_types), memory_mb, last_received_at=now)
 
     def warm_capacity_share(self, now: float, rules: Rules) -> float:
         """Share of its capacity that it is expected to have: an even ramp from a cold start to all of it."""
@@ -295,3 +293,13 @@
         if query.sent_at >= self.sent_since_report.received_at:
             self.sent_since_report.add(query, -1)
         return True
+
+
+def machine_of(entry: Engine, machine_types: Sequence[MachineType]) -> MachineType:
+    """The type of an engine's machine; one without figures where the list names none that is known."""
+    return machine_types[entry.machine_type] if entry.machine_type < len(machine_types) else MachineType()
+
+
+def engine_cores(entry: Engine, machine_types: Sequence[MachineType]) -> float:
+    """An engine's cores; without a known machine type its size counts as cores."""
+    return machine_of(entry, machine_types).cores or max(entry.size, 1.0)
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -28,7 +28,7 @@
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.engine import StandInEngine
 from cottonhold.node.consul_client import LagMeter
-from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
+from cottonhold.node.standalone.dispatcher import StandaloneDispatcher
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import EngineState
 from tests.support.scenario import LOGIN, packet
@@ -336,7 +336,7 @@
         assert b"e1" in await s.query(1)
         await s.until(lambda: s.events("source_lost"), "the log line")
         assert "engines_kept=1" in s.events("source_lost")[0]
-        s.node._report_silence()
+        s.node._log_silent_sources()
         assert "engines_known=1" in s.events("source_unheard")[0]
 
     play(tmp_path, scenario)
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -27,7 +27,7 @@
 from cottonhold.fleet.rolling_replacement.plan import ReplacementStep
 from cottonhold.fleet.rolling_replacement.step_decision import Drain
 from cottonhold.fleet_adapters import write_queue
-from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
+from cottonhold.node.standalone.dispatcher import StandaloneDispatcher
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store import ledger
@@ -174,12 +174,12 @@
     async def scenario() -> list[bool]:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
         node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
-        node.believe_known()
+        node.publish_initial_engines()
         assert node.recovery is not None
-        may = [node.recovery.has_other_prerequisites(), node._listed()]
+        may = [node.recovery.has_other_prerequisites(), node.is_list_settled()]
         seen = Observation("e1", ServiceStatus.IN_SERVICE, address=Address("127.0.0.1", 3))
         node.on_discovery_events([SourceReport("dc1", 1, (seen,), is_complete=True)])
-        may += [node.recovery.has_other_prerequisites(), node._listed()]
+        may += [node.recovery.has_other_prerequisites(), node.is_list_settled()]
         for part in (node.rolling_replacement, node.recovery):
             if part is not None:
                 part.close()
@@ -198,7 +198,7 @@
     async def life(story: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
         node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
-        node.believe_known()
+        node.publish_initial_engines()
         assert node.recovery is not None and node.rolling_replacement is not None
         await story(node)
         for part in (node.rolling_replacement, node.recovery):
@@ -249,7 +249,7 @@
     async def life(story: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
         node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
-        node.believe_known()
+        node.publish_initial_engines()
         assert node.recovery is not None and node.rolling_replacement is not None
         await asyncio.wait_for(story(node), 60.0)
         for part in (node.rolling_replacement, node.recovery):
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -17,9 +17,9 @@
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
 from cottonhold.fleet_adapters.recovery_folder import open_ledger
 from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
-from cottonhold.node import standalone_dispatcher as installation_module
 from cottonhold.node.client_request import ClientRequest
-from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
+from cottonhold.node.standalone import ledger_access
+from cottonhold.node.standalone.dispatcher import StandaloneDispatcher
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.store.health import Completeness as Folder
@@ -59,10 +59,10 @@
 @pytest.fixture
 def world(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> World:
     world = World(tmp_path)
-    monkeypatch.setattr(installation_module, "open_ledger", world.open)
-    monkeypatch.setattr(installation_module, "LEDGER_MS", 1.0)
-    monkeypatch.setattr(installation_module, "OPENED_MS", 1.0)
-    monkeypatch.setattr(installation_module, "SLOW_S", 1e9)
+    monkeypatch.setattr(ledger_access, "open_ledger", world.open)
+    monkeypatch.setattr(ledger_access, "RETRY_INTERVAL_MS", 1.0)
+    monkeypatch.setattr(ledger_access, "POLL_INTERVAL_MS", 1.0)
+    monkeypatch.setattr(ledger_access, "SLOW_OPENING_S", 1e9)
     return world
 
 
@@ -91,8 +91,8 @@
 def test_a_disk_that_hangs_at_the_start_delays_loads_only(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(installation_module, "OPENING_S", 0.0)
-    monkeypatch.setattr(installation_module, "SLOW_S", 0.0)
+    monkeypatch.setattr(ledger_access, "START_WAIT_S", 0.0)
+    monkeypatch.setattr(ledger_access, "SLOW_OPENING_S", 0.0)
     world.hangs.clear()
 
     async def story() -> None:
@@ -116,7 +116,7 @@
 
 def test_a_disk_that_hangs_later_delays_loads_only(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """At the start it failed at once; the next try hangs."""
-    monkeypatch.setattr(installation_module, "SLOW_S", 0.0)
+    monkeypatch.setattr(ledger_access, "SLOW_OPENING_S", 0.0)
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
@@ -300,20 +300,20 @@
     world: World, monkeypatch: pytest.MonkeyPatch, had: bool
 ) -> None:
     """Until its ledger holds them, or for as long as registers are waited for."""
-    monkeypatch.setattr(installation_module, "LEDGER_MS", 1.0 if had else 1e6)
+    monkeypatch.setattr(ledger_access, "RETRY_INTERVAL_MS", 1.0 if had else 1e6)
     drain = {RecordKind.ENGINE_DRAIN: {b"e1": Hint(b"", 0.0).encode()}}
     world.errors = [StoreError("full", Folder.COMPLETE, drain)]
     with_drain(world.path.parent / "state", drain)
 
     async def story() -> None:
         node, due = world.make(), list[tuple[float, Callable[[], None]]]()
-        node.believe_known()
+        node.publish_initial_engines()
         assert set(node.quarantine.live_engines()) == {"e2"}
         if had:
             await kept(node)
             assert set(node.quarantine.live_engines()) == {"e2"}
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
-        node._quarantine_drained_engines(drain[RecordKind.ENGINE_DRAIN])
+        node._withhold_drained_engines(drain[RecordKind.ENGINE_DRAIN])
         ((ms, let_go),) = due
         assert ms == DrainSettings().startup_timeout_ms
         let_go()
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -13,7 +13,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from cottonhold.config.installation import UnusableConfigError, read
-from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
+from cottonhold.node.standalone.dispatcher import StandaloneDispatcher
 from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
 from cottonhold.observe.structured import StructuredLog
 
@@ -71,12 +71,12 @@
     async def scenario() -> dict[str, Any]:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
         node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
-        node.believe_known()
+        node.publish_initial_engines()
         node.counters.add("answers_served", 5)
         for part in (node.rolling_replacement, node.recovery):
             if part is not None:
                 part.close()
-        return node._answer({"call": "metrics"})
+        return node.operator_calls.answer({"call": "metrics"})
 
     return asyncio.run(scenario())
 
