--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -175,7 +175,7 @@
             self.on_malformed_answer(f"engine {connection.engine}: an answer that stops short")
             connection.abandon()
         elif now - connection.health_check_since() >= LIVENESS_TIMEOUT_MS:
-            self.log(f"engine {connection.engine}: a connection gives no sign of life")
+            self.log(f"engine {connection.engine}: a connection does not answer its liveness check")
             connection.abandon()
         for request_id in list(connection.abandoned_ids)[:-MAX_ABANDONED_IDS]:
             del connection.abandoned_ids[request_id]
--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -199,7 +199,8 @@
         )
         if address is not None and is_denied and state is EngineState.LIVE:
             owner = self.owner_by_address[address]
-            log_events.append(LogEvent("address_taken", {"engine": engine_id, "by": owner}))
+            fields = {"engine": engine_id, "owner": owner}
+            log_events.append(LogEvent("address_conflict", fields, counted_as="address_taken"))
             state = EngineState.DRAINING
         engine = Engine(
             engine_id,
--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -165,10 +165,11 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """An event for the operators' log and counters, with its fields."""
+    """An event for the operators' log, with its fields. counted_as: its counter's name, if not the event."""
 
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
+    counted_as: str = ""
 
 
 Event = SourceReport | SourceLost
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -95,7 +95,7 @@
     def on_report(self, now: float, report: SourceReport) -> None:
         """Take an answer in. The engines that may have changed are in `changed_engines` afterwards."""
         if self.lost_since < math.inf:
-            self._log("source_back", after_ms=round(now - self.lost_since))
+            self._log("source_recovered", counted_as="source_back", after_ms=round(now - self.lost_since))
             self.lost_since, self.lost_reason = math.inf, ""
         is_first, self.answer_count = self.answer_count == 0, self.answer_count + 1
         self.index, self.last_answer_at = report.index, now
@@ -125,9 +125,9 @@
         """The source can't be reached: log it once, and again if the reason changes; keep all claims."""
         if self.lost_since == math.inf:
             self.lost_since = now
-            self._log("source_lost", why=event.reason, engines_kept=len(self.claims), index=self.index)
+            self._log("source_lost", reason=event.reason, known_engines=len(self.claims), index=self.index)
         elif event.reason != self.lost_reason:
-            self._log("source_still_lost", why=event.reason, after_ms=round(now - self.lost_since))
+            self._log("source_still_lost", reason=event.reason, after_ms=round(now - self.lost_since))
         self.lost_reason = event.reason
 
     def step(self, now: float) -> None:
@@ -261,7 +261,12 @@
 
     def _delay_return(self, now: float, claim: Claim, quiet_ms: float) -> None:
         claim.returns_at = self.return_times[claim.observation.id] = now + quiet_ms
-        self._log("engine_waits", engine=claim.observation.id, quiet_ms=round(quiet_ms))
+        self._log(
+            "engine_return_delayed",
+            counted_as="engine_waits",
+            engine=claim.observation.id,
+            quiet_ms=round(quiet_ms),
+        )
 
     def _put_in_service(self, now: float, claim: Claim, observation: Observation, reason: str) -> None:
         is_same = bool(observation.process_id) and self._is_same_process(claim, observation)
@@ -271,13 +276,24 @@
             started = claim.started_at if is_same else self._derive_start(now, observation)
         claim.state, claim.since = EngineState.LIVE, now
         self._set_process(claim, observation, started)
-        self._log("engine_in", engine=observation.id, why=reason, warm=is_same)
+        self._log(
+            "engine_in_service",
+            counted_as="engine_in",
+            engine=observation.id,
+            reason=reason,
+            is_warm=is_same,
+        )
 
     def _drain(self, now: float, claim: Claim, observation: Observation) -> None:
         """Send nothing new from now on; what runs there may end."""
         if claim.state is EngineState.LIVE or claim.returns_at < math.inf:
             self._count_failure(observation.id, now)
-            self._log("engine_out", engine=observation.id, why=observation.reason)
+            self._log(
+                "engine_draining",
+                counted_as="engine_out",
+                engine=observation.id,
+                reason=observation.reason,
+            )
         if claim.state is EngineState.LIVE:
             claim.since = now
         claim.returns_at = math.inf
@@ -297,8 +313,8 @@
         if claim.state is EngineState.LIVE:
             self._count_failure(engine_id, now)
         self.changed_engines.add(engine_id)
-        why = f"{observation.reason}; {reason}" if reason else observation.reason
-        self._log("engine_gone", engine=engine_id, why=why)
+        full_reason = f"{observation.reason}; {reason}" if reason else observation.reason
+        self._log("engine_removed", counted_as="engine_gone", engine=engine_id, reason=full_reason)
 
     def _count_failure(self, engine_id: str, now: float) -> None:
         if not self.guard.is_trusted:  # a trusted source needs no quiet time
@@ -329,10 +345,11 @@
                 self._hold_loss(claim, observation)
         if self._apply_held_losses(now) and known:
             self._log(
-                "floor_holds",
+                "engine_losses_held",
+                counted_as="floor_holds",
                 held=len(self.held_losses),
-                out=self.unhealthy_count,
-                well=self.in_service_count,
+                unhealthy=self.unhealthy_count,
+                in_service=self.in_service_count,
                 index=index,
             )
         absent = tuple(
@@ -381,6 +398,6 @@
         elif status in LOSSES:
             self.unhealthy_count += by
 
-    def _log(self, event: str, **fields: object) -> None:
+    def _log(self, event: str, counted_as: str = "", **fields: object) -> None:
         if not self.guard.is_trusted or event.startswith("source"):
-            self.actions.append(LogEvent(event, {"source": self.name, **fields}))
+            self.actions.append(LogEvent(event, {"source": self.name, **fields}, counted_as))
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -49,7 +49,7 @@
 # The rig's own beat, and how late it may be before that is a stall: two turns that leave no trace stay
 # together below the judge's moment.
 STALL_CHECK_INTERVAL_S, MIN_STALL_S = 0.02, 0.02
-FINAL_OWNERLESS_LOG = re.compile(rb"pins_end.* ownerless=\"?([0-9:,a-z]+)")
+FINAL_OWNERLESS_LOG = re.compile(rb"session_affinity_ended.* ownerless=\"?([0-9:,a-z]+)")
 Progress = Callable[[float, str], None]
 
 
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -177,12 +177,16 @@
         if not self.startup_gate.is_open:
             majority = 2 * len(self.voters & live) > len(self.voters)
             if self.startup_gate.step(now, swap.has_read_all(), majority):
-                after = round(now - self.startup_gate.started_at)
-                over = self.drain_records.release_previous(swap.drained)
-                for engine in over:
+                released = self.drain_records.release_previous(swap.drained)
+                for engine in released:
                     self._release(now, engine, swap.view.records.get(engine))
-                words = {"read": swap.has_read_all(), "drained": len(swap.drained), "over": ",".join(over)}
-                self.owner.log.note("drains_known", after_ms=after, **words)
+                self.owner.log.note(
+                    "engine_drains_recovered",
+                    after_ms=round(now - self.startup_gate.started_at),
+                    has_read_registers=swap.has_read_all(),
+                    drained=len(swap.drained),
+                    released=",".join(released),
+                )
 
     def _on_liveness_check(self, engine: str) -> Callable[[bool], None]:
         return lambda good: self.drains.on_liveness_check(engine, good)
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -241,7 +241,7 @@
         if health.state is not self.disk_state:
             self.disk_state = health.state
             self.counters.add(f"disk_{health.state.value}")
-            self.log("disk", state=health.state.value, why=health.reason)
+            self.log("disk_state_changed", state=health.state.value, reason=health.reason)
         return self.disk_state
 
     def expire(self) -> None:
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -185,7 +185,12 @@
                     self.send(data, address)
                 case MemberChanged(_, name, status, incarnation):
                     self.counters.add(f"members_{status.name.lower()}")
-                    self.log_event("member", name=name, status=status.name.lower(), incarnation=incarnation)
+                    self.log_event(
+                        "member_status_changed",
+                        member=name,
+                        status=status.name.lower(),
+                        incarnation=incarnation,
+                    )
                     if status is MemberStatus.ALIVE:
                         self.clock.call_soon(self.on_joined)
                 case RunDuty():
@@ -207,7 +212,10 @@
                 m.name for m in self.instance.swim.members_by_name() if m.id in self.instance.reported_members
             ]
             self.log_event(
-                "fleet", members=len(there) + 1, duties=len(self.instance.duties.tasks), runs=str(self.runs)
+                "fleet_reported",
+                members=len(there) + 1,
+                duties=len(self.instance.duties.tasks),
+                duty_runs=str(self.runs),
             )
             self._carry_out(self.instance.on_run_ended(now, run, 0))
         elif self.probe(run.subject):
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -174,7 +174,7 @@
             self.log,
         )
         memory, boot = MEMORY_NAMES[folder.memory], ledger.boot_count
-        self.log("recovered", boot=boot, memory=memory, why=ledger.reason, loads=len(recorded))
+        self.log("ledger_opened", boot=boot, memory=memory, reason=ledger.reason, loads=len(recorded))
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -299,7 +299,7 @@
                     self._raise_boot(min_boot)
                 case DuplicateIdentity(is_later):
                     self.counters.add("twice")
-                    self.log("twice", later=is_later)
+                    self.log("duplicate_instance", is_later=is_later)
                 case PeerBootLearned(number, boot, base):
                     self.ledger.put([peer_record(number, KnownPeer(boot, base))])
                 case StoreBase(base):
@@ -308,7 +308,7 @@
     def _raise_boot(self, min_boot: int) -> None:
         """The folder forgot boots: reports go on above those of the forgotten incarnations."""
         self.counters.add("boots_raised")
-        self.log("boot", least=min_boot, memory=MEMORY_NAMES[self.survey.memory])
+        self.log("boot_count_raised", min_boot=min_boot, memory=MEMORY_NAMES[self.survey.memory])
         self.ledger.raise_boot_count(min_boot)
         self.survey.on_boot_stored(self.clock.now(), self.ledger.boot_count)
         if self.fleet is not None:
@@ -341,10 +341,10 @@
     def _on_view_changed(self, view: SurveyView) -> None:
         self.counters.add(f"census_{view.verdict.value}")
         self.log(
-            "census",
+            "membership_surveyed",
             verdict=view.verdict.value,
-            settled=view.is_settled,
-            lost=",".join(map(str, sorted(view.restarted))) or "none",
+            is_settled=view.is_settled,
+            restarted=",".join(map(str, sorted(view.restarted))) or "none",
             missing=",".join(map(str, sorted(view.missing))) or "none",
         )
         if self.fleet is not None:
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -253,13 +253,15 @@
                 self.lifecycle.restore()
             case steps_of.ReadyToPowerOff(machine, epoch):
                 self.ready_epochs[machine] = epoch
-                self.log("swap_ready", machine=machine, epoch=epoch)
+                self.log("machine_ready_to_power_off", machine=machine, epoch=epoch)
             case steps_of.LogStep(machine, step, why):
                 name = step.name.lower() if step is not None else ""
-                self.log("swap", machine=machine, step=name, why=why)
+                self.log("replacement_step", machine=machine, step=name, reason=why)
             case steps_of.RequestAnswered(request, refused):
                 self.answers.append({"who": request.requested_by, "refused": refused})
-                self.log("swap_answer", who=request.requested_by, refused=refused or "no")
+                self.log(
+                    "replacement_answered", requested_by=request.requested_by, rejection=refused or "none"
+                )
 
     def use_register(self, action: ChangeRegister | ReadRegister) -> None:
         """Change or read a register, for this part or for session affinity; both get the outcome."""
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -131,7 +131,7 @@
     def close(self) -> None:
         """Stop the timer."""
         self.log(
-            "pins_end",
+            "session_affinity_ended",
             **self.service.counts,
             waits=self._wait_histogram(),
             ownerless=self._handover_histogram(),
@@ -343,9 +343,9 @@
         self._carry_out(self.service.step(now, around))
         if self.service.start_count != began:
             self.log(
-                "pins",
-                began=self.service.start_count,
-                whole=str(around.folder_is_current),
+                "session_affinity_started",
+                starts=self.service.start_count,
+                folder_is_current=str(around.folder_is_current),
                 epoch=self._epoch(),
             )
         self._carry_out_forwarding(self.forwarder.step(now))
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -220,7 +220,14 @@
         lasts_ms = float(lasts_ms or 0)
         self.coordinator.issue_override(self.clock.now(), zone, mode, lasts_ms, who, why)
         self.counters.add("zone_orders")
-        self.log("zone_order", zone=zone, mode=MODE_NAMES[mode], who=who, why=why, for_ms=round(lasts_ms))
+        self.log(
+            "zone_override_issued",
+            zone=zone,
+            mode=MODE_NAMES[mode],
+            issued_by=who,
+            reason=why,
+            duration_ms=round(lasts_ms),
+        )
         self._step()
         return self.status()
 
@@ -306,7 +313,7 @@
                     self.push(_threshold_event(action))
                 case PhaseChange(zone, phase, reason):
                     self.counters.add(f"zones_{phase.value}")
-                    self.log("zone", zone=zone, phase=phase.value, why=reason)
+                    self.log("zone_phase_changed", zone=zone, phase=phase.value, reason=reason)
 
 
 def _threshold_event(update: ThresholdUpdate) -> AdmissionThreshold:
--- a/cottonhold/node/admin_api.py
+++ b/cottonhold/node/admin_api.py
@@ -91,7 +91,7 @@
     def _drain(self) -> Response:
         if self.lifecycle.drain(self.clock.now()):
             self.counters.add("drains")
-            self.log_event("drain", phase=self.lifecycle.phase().value)
+            self.log_event("drain_started", phase=self.lifecycle.phase().value)
         return Response(200, self.lifecycle.phase().value)
 
     def _restore(self) -> Response:
--- a/cottonhold/node/consul_client.py
+++ b/cottonhold/node/consul_client.py
@@ -117,9 +117,9 @@
         else:
             registration.answered(answer)
         if registration.why and registration.why != why:
-            self.note("entry_failed", id=registration.settings.id, why=registration.why)
+            self.note("registration_failed", id=registration.settings.id, reason=registration.why)
         elif registration.phase is not phase:
-            self.note("entry", id=registration.settings.id, phase=registration.phase.value)
+            self.note("registration_changed", id=registration.settings.id, phase=registration.phase.value)
 
     async def leave(self) -> None:
         """Have the entry removed; returns when it is, or can't be."""
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -129,8 +129,8 @@
                     self.on_engine_list(change)
                 case ConfirmAbsence(source, absent):
                     self.confirm_absent(source, absent)
-                case LogEvent(event, fields):
-                    self.counters.add(f"discovery_{event}")
+                case LogEvent(event, fields, counted_as):
+                    self.counters.add(f"discovery_{counted_as or event}")
                     self.log.note(event, **fields)
         if self.catalog_timer is not None:
             self.catalog_timer.cancel()
@@ -178,7 +178,12 @@
         if len(others) != self.sibling_count:
             self.sibling_count = len(others)
             self.apply_settings()
-            self.log.note("beside", others=self.sibling_count, clients=quotas.clients, engines=quotas.engines)
+            self.log.note(
+                "sibling_processes_changed",
+                siblings=self.sibling_count,
+                client_descriptors=quotas.clients,
+                engine_descriptors=quotas.engines,
+            )
         self.event_loop.clock.call_in(SIBLINGS_INTERVAL_MS, self.update_siblings)
 
     def apply_settings(self) -> None:
@@ -208,7 +213,7 @@
         if admin_socket is not None:
             self.event_loop.spawn(listeners.serve_admin_api(admin_socket, self.admin_api))
         self.is_serving = True
-        self._log_start()
+        self._log_serving()
         self.update_siblings()
         await self.shutdown_requested.wait()
         await self._shut_down(client_socket, accepting)
@@ -235,23 +240,23 @@
         listeners = self.event_loop.listener
         return await listeners.open_with_retry(lambda: listeners.listen(address))
 
-    def _log_start(self) -> None:
+    def _log_serving(self) -> None:
         quotas, max_descriptors = self.descriptor_quotas, self.config.max_descriptors
         self.log.note(
-            "start",
+            "serving",
             listen=self.config.listen,
-            ops=self.config.admin_listen,
-            descriptors=max_descriptors,
-            clients=quotas.clients,
-            engines=quotas.engines,
-            calls=quotas.admin,
-            others=max_descriptors - quotas.clients - quotas.engines - quotas.admin,
+            admin_listen=self.config.admin_listen,
+            max_descriptors=max_descriptors,
+            client_descriptors=quotas.clients,
+            engine_descriptors=quotas.engines,
+            admin_descriptors=quotas.admin,
+            other_descriptors=max_descriptors - quotas.clients - quotas.engines - quotas.admin,
         )
 
     async def _shut_down(self, client_socket: socket.socket, accepting: asyncio.Task[None]) -> None:
         """Go on accepting clients for a while, then close the listener and finish what is open."""
         self.gateway.begin_shutdown(self.lifecycle.answer_deadline())
-        self.log.note("leaving", open=self.gateway.open_count, clients=len(self.sessions.sessions))
+        self._log_open_work("shutdown_started")
         left_ms = max(self.lifecycle.accept_deadline() - self.event_loop.clock.now(), 0.0)
         await asyncio.gather(asyncio.sleep(left_ms / 1000), *self.shutdown_tasks(), return_exceptions=True)
         await self.wait_for_newer_process()
@@ -259,9 +264,14 @@
         await asyncio.gather(accepting, return_exceptions=True)
         await self.event_loop.listener.accept_queued(client_socket, self.sessions)
         client_socket.close()
-        self.log.note("closed_door", open=self.gateway.open_count, clients=len(self.sessions.sessions))
+        self._log_open_work("listener_closed")
         await self.finish_open_requests()
 
+    def _log_open_work(self, event: str) -> None:
+        self.log.note(
+            event, open_requests=self.gateway.open_count, client_connections=len(self.sessions.sessions)
+        )
+
     async def finish_open_requests(self) -> None:
         """Go on until all is answered and every client has seen the end of its connection, within limits.
 
@@ -293,7 +303,7 @@
             check_change(self.config, config)
         except ConfigError as error:
             self.counters.add("reloads_failed")
-            self.log.say(f"reload: the configuration stays as it is: {error}")
+            self.log.note("config_reload_failed", problem=str(error))
             return
         self.counters.add("reloads")
         self._log_reload(config)
@@ -311,11 +321,11 @@
             )
 
     def _log_reload(self, config: Config) -> None:
-        """Log which classes the new configuration adds and drops."""
+        """Log which classes the new configuration adds and removes."""
         before = {cls.name for cls in self.config.settings.classes}
         after = {cls.name for cls in config.settings.classes}
-        added, dropped = ",".join(after - before), ",".join(before - after)
-        self.log.note("reloaded", classes=len(after), added=added, dropped=dropped)
+        added, removed = ",".join(after - before), ",".join(before - after)
+        self.log.note("config_reloaded", classes=len(after), added=added, removed=removed)
 
     def begin_shutdown(self) -> None:
         """Shut down: from now on, not from when the loop comes to it."""
@@ -339,7 +349,7 @@
 
     def handle_signals(self, loop: asyncio.AbstractEventLoop) -> None:
         """SIGTERM and SIGINT end it, SIGHUP reloads, SIGUSR1 prints the counters."""
-        loop.set_exception_handler(lambda _, context: self.log.say(f"loop: {context}"))
+        loop.set_exception_handler(lambda _, context: self.log.note("event_loop_error", context=context))
         loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
         loop.add_signal_handler(signal.SIGINT, self.begin_shutdown)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -399,7 +399,7 @@
             respond()
         except Exception as error:
             self.counters.add("answer_faults")
-            self.log(f"answer: {type(error).__name__}: {error}")
+            self.log(f"response: {type(error).__name__}: {error}")
 
 
 def response_deadline(request: ClientRequest) -> float:
--- a/cottonhold/node/notifications.py
+++ b/cottonhold/node/notifications.py
@@ -52,4 +52,4 @@
     def on_fault(self, error: Exception) -> None:
         """Count and log a fault of the observer or the load guard."""
         self.counters.add("watch_faults")
-        self.log(f"watch: {type(error).__name__}: {error}")
+        self.log(f"observer: {type(error).__name__}: {error}")
--- a/cottonhold/node/peer_datagrams.py
+++ b/cottonhold/node/peer_datagrams.py
@@ -30,7 +30,7 @@
         number = self.numbers.get(sender)
         if number is None or len(data) > MAX_BYTES:
             self.counters.add("peer_malformed")
-            self.log(f"peers: {len(data)} bytes from {sender[0]}:{sender[1]} are no message of a peer")
+            self.log(f"peers: {len(data)} bytes from {sender[0]}:{sender[1]} are not a message of a peer")
             return None
         self.counters.add("peer_received")
         return PeerMessage(number, data)
--- a/cottonhold/node/sibling_processes.py
+++ b/cottonhold/node/sibling_processes.py
@@ -56,7 +56,7 @@
             try:
                 self._take_slot()
             except OSError as error:
-                log(f"no seat in $TMPDIR: another process beside this one will not be seen: {error}")
+                log(f"no slot in $TMPDIR, so that sibling processes are not seen: {error}")
 
     def _path(self, slot: int) -> str:
         return os.path.join(self.folder or "", f"cottonhold-{self.name}.seat{slot}")
@@ -66,7 +66,7 @@
 
     def _take_slot(self) -> None:
         """Lock the first free slot and publish the next start number there. Raises OSError."""
-        last_start, reason = 0, OSError(f"all {SLOTS} seats are held")
+        last_start, reason = 0, OSError(f"all {SLOTS} slots are taken")
         for slot in range(SLOTS):
             try:
                 file = self._open(slot, os.O_RDWR | os.O_CREAT)
@@ -105,7 +105,7 @@
         except OSError as error:
             self.is_published, reason = False, str(error)
         if was_published and not self.is_published:
-            self.log(f"seat in $TMPDIR: what this process holds can't be told to others: {reason}")
+            self.log(f"slot in $TMPDIR: this process's record can't be written: {reason}")
 
     def others(self) -> list[ProcessRecord]:
         """What the other living processes publish of themselves."""
--- a/cottonhold/node/standalone/consul_sources.py
+++ b/cottonhold/node/standalone/consul_sources.py
@@ -43,7 +43,7 @@
     def follow(self, watched: Watched) -> None:
         """Follow a source from now on."""
         name = watched.settings.name
-        answers = Answers(self.config.names, watched.reading, lambda why: self._on_malformed(name, why))
+        answers = Answers(self.config.names, watched.reading, lambda reason: self._on_malformed(name, reason))
         watch = Watch(watched.settings, answers, self.config.seed)
         work = consul_client.follow(
             self.event_loop, watch, client_tls(watched.tls), self.on_events, self.counters
@@ -73,6 +73,6 @@
         if source in self.running:
             self.running[source].watch.confirm(absent)
 
-    def _on_malformed(self, source: str, why: str) -> None:
+    def _on_malformed(self, source: str, reason: str) -> None:
         self.counters.add("consul_malformed")
-        self.log.note("entry_malformed", source=source, why=why)
+        self.log.note("consul_entry_malformed", source=source, reason=reason)
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -239,7 +239,7 @@
         if self.engine_cache is not None:
             observations = self.engine_cache.observations(observations)
             cached_count = len(observations) - len(self.installation.known)
-            self.log.note("engines_remembered", engines=cached_count)
+            self.log.note("cached_engines_loaded", engines=cached_count)
         if observations:
             now = self.event_loop.clock.now()
             self._publish(self.engine_catalog.set_initial(now, observations))
@@ -291,10 +291,10 @@
         for name, view in self.engine_catalog.views.items():
             if view.answer_count == 0:
                 self.log.note(
-                    "source_unheard",
+                    "source_silent",
                     source=name,
                     after_s=SILENT_SOURCE_S,
-                    engines_known=len(self.engine_catalog.published),
+                    known_engines=len(self.engine_catalog.published),
                 )
 
     def on_discovery_events(self, events: Iterable[Event]) -> None:
@@ -332,7 +332,7 @@
         except UnusableConfigError as error:
             self.counters.add("reloads_failed")
             for problem in error.problems:
-                self.log.note("reload_refused", problem=str(problem))
+                self.log.note("config_reload_failed", problem=str(problem))
             return
         self.counters.add("reloads")
         old, self.installation = self.installation, new
@@ -343,7 +343,7 @@
             for field in schema.File.__struct_fields__
             if field not in RELOADED_SECTIONS and getattr(old.file, field) != getattr(new.file, field)
         ]
-        self.log.note("reloaded", restart_needed_for=",".join(unapplied) or "nothing")
+        self.log.note("config_reloaded", restart_needed_for=",".join(unapplied) or "nothing")
         self._reload_sources(new)
         self._reload_registration(old, new)
 
@@ -385,7 +385,7 @@
     )
 
     def make(loop: asyncio.AbstractEventLoop) -> StandaloneDispatcher:
-        log.note("start", listen=installation.file.listen, sources=len(installation.sources))
+        log.note("starting", listen=installation.file.listen, sources=len(installation.sources))
         return StandaloneDispatcher(path, installation, log, loop)
 
     return run_program(installation.file.name, make)
--- a/cottonhold/node/standalone/ledger_access.py
+++ b/cottonhold/node/standalone/ledger_access.py
@@ -45,7 +45,7 @@
         reason = self._failure_reason()
         if reason and reason != self.logged_reason:
             self.logged_reason = reason
-            self.log_event("ledger_unusable", why=reason)
+            self.log_event("ledger_unavailable", reason=reason)
         return self.opening.ledger if self.opening.is_over else None
 
     def _failure_reason(self) -> str:
--- a/cottonhold/transport/connector.py
+++ b/cottonhold/transport/connector.py
@@ -70,7 +70,7 @@
                         if error.errno not in CONNECT_RESOURCE_ERRORS:
                             raise
                         self.context.counters.add("connections_lacking")
-                        self.context.log(f"connections: {error}")
+                        self.context.log(f"connect: {error}")
                         lacking = error
                     await asyncio.sleep(RESOURCE_RETRY_S)
         except TimeoutError:
--- a/cottonhold/transport/event_stream_client.py
+++ b/cottonhold/transport/event_stream_client.py
@@ -34,10 +34,10 @@
                     backoff_s = await self._poll_once(stream, sock, backoff_s)
             except (OSError, WireError) as error:
                 self.context.counters.add("bus_broken")
-                self.context.log(f"event bus: {type(error).__name__}: {error}")
+                self.context.log(f"event stream: {type(error).__name__}: {error}")
             except Exception as error:
                 self.context.counters.add("bus_faults")
-                self.context.log(f"event bus: {type(error).__name__}: {error}")
+                self.context.log(f"event stream: {type(error).__name__}: {error}")
             finally:
                 if sock is not None:
                     sock.close()
--- a/cottonhold/transport/sockets.py
+++ b/cottonhold/transport/sockets.py
@@ -54,4 +54,4 @@
         sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
     except OSError as error:
         counters.add("steering_failed")
-        log(f"connections can't be led to the newer of two processes: {error}")
+        log(f"connections can't be steered to the newer of two processes: {error}")
--- a/tests/config/test_bad_relay.py
+++ b/tests/config/test_bad_relay.py
@@ -117,4 +117,4 @@
     asyncio.run(scenario())
     assert (counters.counts["reloads_failed"], counters.counts["reloads"]) == (1, 1)
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 2 and "the configuration stays as it is" in lines[0]
+    assert len(lines) == 2 and "config_reload_failed problem=" in lines[0]
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -252,7 +252,7 @@
     async def scenario(s: Site) -> None:
         await serving(s, "e1", "e2", "e3", "e4")
         s.script("\n".join(f"0 critical e{i}" for i in (1, 2, 3, 4)))
-        await s.until(lambda: s.events("floor_holds"), "the floor")
+        await s.until(lambda: s.events("engine_losses_held"), "the floor")
         assert len(s.live()) >= 2 and b"e" in await s.query(1)
 
     play(tmp_path, scenario)
@@ -271,7 +271,7 @@
             s.script("0 passing e1")
             index = s.servers[0].catalog.service_index("engine")
             await s.until(lambda at=index: s.node.engine_catalog.views["dc1"].index >= at, "the news")  # type: ignore[misc]
-        assert len(s.events("engine_in")) <= 3
+        assert len(s.events("engine_in_service")) <= 3
 
     play(tmp_path, scenario)
 
@@ -335,9 +335,9 @@
         await s.start({**SOURCE, "addresses": ["127.0.0.1:1"]}, known=[{"id": "e1", "address": address}])
         assert b"e1" in await s.query(1)
         await s.until(lambda: s.events("source_lost"), "the log line")
-        assert "engines_kept=1" in s.events("source_lost")[0]
+        assert "known_engines=1" in s.events("source_lost")[0]
         s.node._log_silent_sources()
-        assert "engines_known=1" in s.events("source_unheard")[0]
+        assert "known_engines=1" in s.events("source_silent")[0]
 
     play(tmp_path, scenario)
 
@@ -415,7 +415,7 @@
         assert "status 403" in s.log.getvalue() and s.live()
         (tmp_path / "token").write_text("second-token")
         s.node.reload()
-        await s.until(lambda: s.events("source_back") and s.live() == ["e2"], "back with the new token")
+        await s.until(lambda: s.events("source_recovered") and s.live() == ["e2"], "back with the new token")
         assert "first-token" not in s.log.getvalue() and "second-token" not in s.log.getvalue()
 
     play(tmp_path, scenario)
@@ -431,10 +431,10 @@
         await s.until(lambda: len(s.live()) == 2, "the first source")
         s.path.write_text("{")
         s.node.reload()
-        assert s.events("reload_refused") and len(s.live()) == 2
+        assert s.events("config_reload_failed") and len(s.live()) == 2
         s.write(sources, number=0, dispatchers=2)
         s.node.reload()
-        assert "restart_needed_for=dispatchers" in s.events("reloaded")[0]
+        assert "restart_needed_for=dispatchers" in s.events("config_reloaded")[0]
         await s.until(lambda: len(s.live()) == 4, "the second source beside it")
         s.write(sources[1:])
         s.node.reload()
@@ -566,10 +566,10 @@
         line(node, "phase=there")
         path.write_text("{ name: 1 }")
         node.send_signal(signal.SIGHUP)
-        assert "name: Expected a text" in line(node, "reload_refused")
+        assert "name: Expected a text" in line(node, "config_reload_failed")
         path.write_text(json.dumps({**config, "log": {"format": "json"}}))
         node.send_signal(signal.SIGHUP)
-        assert json.loads(line(node, "reloaded"))["restart_needed_for"] == "nothing"
+        assert json.loads(line(node, "config_reloaded"))["restart_needed_for"] == "nothing"
         node.send_signal(signal.SIGTERM)
         assert json.loads(line(node, "left"))["phase"] == "left"
         assert "reloads=1 reloads_failed=1" in line(node, "counters")
--- a/tests/discovery/test_engine_catalog.py
+++ b/tests/discovery/test_engine_catalog.py
@@ -128,7 +128,7 @@
     told = Told()
     told.tell(*five())
     told.tell(*(seen(f"e{i}", TROUBLED) for i in range(5)))
-    assert len(told.live()) == 5 and "floor_holds" in told.events()
+    assert len(told.live()) == 5 and "engine_losses_held" in told.events()
     told.tell(*five("e1", "e2"))  # three are well again: now the two that aren't do count
     assert told.live() == ["e0", "e3", "e4"]
 
@@ -191,7 +191,7 @@
     told.tell(*five())
     told.tell(*five(), seen("e9", address=seen("e0").address, registration_index=9), at=5000)
     assert told.states()["e9"] is LIVE and told.engines["e9"].started_at == 5000
-    assert told.states()["e0"] is DRAINING and "address_taken" in told.events()
+    assert told.states()["e0"] is DRAINING and "address_conflict" in told.events()
     told.tell(*five(), at=6000)
     assert told.states()["e0"] is LIVE and "e9" not in told.states()
 
@@ -211,7 +211,7 @@
     told.step(SourceLost("dc1", "refused"), at=400_000)
     assert told.events() == [] and len(told.live()) == 5
     told.step(SourceReport("dc1", 8))
-    assert told.events() == ["source_back"]
+    assert told.events() == ["source_recovered"]
 
 
 def test_of_two_sources_the_cautious_word_wins() -> None:
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -119,9 +119,14 @@
     "logs, view, moved, p99",
     [
         ("", "", None, None),
-        ('event=pins_end took=2 waits="10:4" ownerless="10:98,50:2"\n', "", 100.0, 50.0),
-        ("event=pins_end ownerless=10:98\nevent=pins_end ownerless=20:1\n", "1000:1", 100.0, 20.0),
-        ("event=pins_end ownerless=10:97\n", "500:1,more:2", 100.0, math.inf),
+        ('event=session_affinity_ended took=2 waits="10:4" ownerless="10:98,50:2"\n', "", 100.0, 50.0),
+        (
+            "event=session_affinity_ended ownerless=10:98\nevent=session_affinity_ended ownerless=20:1\n",
+            "1000:1",
+            100.0,
+            20.0,
+        ),
+        ("event=session_affinity_ended ownerless=10:97\n", "500:1,more:2", 100.0, math.inf),
     ],
     ids=["none moved", "one life", "two lives and one that goes on", "two without an owner for long"],
 )
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -53,7 +53,7 @@
         return StandaloneDispatcher(self.path, read(self.path), log, asyncio.get_running_loop())
 
     def lines(self) -> list[str]:
-        return [line for line in self.said.getvalue().splitlines() if "ledger_unusable" in line]
+        return [line for line in self.said.getvalue().splitlines() if "ledger_unavailable" in line]
 
 
 @pytest.fixture
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -247,7 +247,7 @@
         self.lines.append(text)
 
     def note(self, event: str, **fields: object) -> None:
-        self.lines.append(f"{event} {fields}")
+        self.lines.append(" ".join([event, *(f"{key}={value}" for key, value in fields.items())]))
 
 
 @pytest.mark.parametrize("change", BROKEN.values(), ids=BROKEN)
@@ -275,7 +275,7 @@
         )
         assert before == after and not node.gateway.events
         (line,) = lines.lines
-        assert line.startswith("reload: the configuration stays as it is: ") and "\n" not in line
+        assert line.startswith("config_reload_failed problem=") and "\n" not in line
         assert counters.counts == {"reloads_failed": 1}
         (tmp_path / "config.json").write_bytes(orjson.dumps(GOOD))
         node.reload()
--- a/tests/node/test_sibling_process_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -61,7 +61,9 @@
             dispatcher = Dispatcher(config, Counters(), asyncio.get_running_loop(), log)
             for _ in range(3):
                 dispatcher.update_siblings()
-            assert dispatcher.sibling_count == 0 and len([x for x in log.lines if "seat" in x]) <= 1
+            assert (
+                dispatcher.sibling_count == 0 and len([x for x in log.lines if "slot in $TMPDIR" in x]) <= 1
+            )
         dispatcher.update_siblings()
         if dispatcher.sibling_processes.file >= 0:
             assert (
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -322,11 +322,14 @@
             program.send_signal(signal.SIGHUP)
             new = second.accept()[0]
             assert b"from=7&" in new.recv(1000) and old.recv(1) == b""
-            assert program.stderr is not None and "clients=491 engines=337" in program.stderr.readline()
-            assert "reloaded classes=1" in program.stderr.readline()
+            assert (
+                program.stderr is not None
+                and "client_descriptors=491 engine_descriptors=337" in program.stderr.readline()
+            )
+            assert "config_reloaded classes=1" in program.stderr.readline()
             (tmp_path / "config.json").write_text("{")
             program.send_signal(signal.SIGHUP)
-            assert "reload: the configuration stays" in program.stderr.readline()
+            assert "config_reload_failed problem=" in program.stderr.readline()
             new.sendall(answer(8, ENTRY))
             assert b"from=8&" in new.recv(1000)
             program.send_signal(signal.SIGTERM)
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -67,9 +67,9 @@
             and none.connection_ids().base >> 32 == 0
             and none.connection_ids().count >= 1023
         )
-    assert len(log) == 1 and "no seat in $TMPDIR" in log[0]
+    assert len(log) == 1 and "no slot in $TMPDIR" in log[0]
     full = [seats(tmp_path, log) for _ in range(5)]
-    assert [s.slot for s in full] == [0, 1, 2, 3, -1] and "all 4 seats are held" in log[1]
+    assert [s.slot for s in full] == [0, 1, 2, 3, -1] and "all 4 slots are taken" in log[1]
 
 
 def test_ids_of_two_processes_differ() -> None:
@@ -314,13 +314,13 @@
             newer = SiblingProcesses(str(tmp_path), here.listen, print)  # starts, and does not serve yet
             old.send_signal(signal.SIGTERM)
             assert old.stderr is not None
-            while b"leaving" not in await old.stderr.readline():
+            while b"shutdown_started" not in await old.stderr.readline():
                 pass
             await asyncio.sleep(1.2)  # beyond the time for which one alone keeps its door open
             assert (await query_ping(here.listen)).endswith(b"\x00\x00\x00\x02\x00\x00\x00")
             newer.publish(ProcessRecord(newer.record.start_number, is_serving=True))
             _, errors = await old.communicate()
-            assert b"closed_door" in errors and old.returncode == 0
+            assert b"listener_closed" in errors and old.returncode == 0
 
     run(scenario())
 
