--- a/benchmarks/fleet/swap.py
+++ b/benchmarks/fleet/swap.py
@@ -1,4 +1,4 @@
-"""Measures the rolling swap's pure core in virtual time and writes docs/measurements/swap-core.md:
+"""Measures the rolling replacement's pure core in virtual time and writes docs/measurements/swap-core.md:
 
     python -m benchmarks.fleet.swap [--seconds 300]
 
@@ -11,24 +11,34 @@
 import argparse
 import itertools
 import random
+import statistics
 import time
 from pathlib import Path
 
-from cottonhold.emulator.rolling_replacement_cases import CASES, Found
-from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted
+from cottonhold.emulator.rolling_replacement_cases import CASES, CaseResult
+from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted_defect
 from cottonhold.fleet.rolling_replacement.schedule import Limits, ReplacementJob, ScheduleConstraints
 
-OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "swap-core.md"
-ORDERS = 150
+OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "swap-core.md"
+SCHEDULE_SEEDS = 150
+DEFECT_SEEDS = range(1, 4)
+INTRODUCTION = """# The rolling swap's core in virtual time: measured
+
+By `python -m benchmarks.fleet.swap --seconds {seconds:g}` (the model of
+`emulator/rolling_replacement.py`): {runs} runs, {broken} of them with a broken rule. Eight
+dispatchers in three zones (3/3: six; four at once: five), all swapped, 350 pins each, new machines
+there 0.5 to 2 s after the word; a death is noticed after 1.2 s. A take-over counts from the death of the
+driver to the first change under a new epoch, for machines that were under way then.
+"""
 
 
-def middle(values: list[float]) -> float:
-    """The median, of two the upper one."""
-    return sorted(values)[len(values) // 2] if values else 0.0
+def median(values: list[float]) -> float:
+    """The median, of two the upper one; 0 of none."""
+    return statistics.median_high(values) if values else 0.0
 
 
-def order(seed: int) -> tuple[float, float]:
-    """The settled makespan by the best of all lists of machines, and the ms that settling took."""
+def schedule_quality(seed: int) -> tuple[float, float]:
+    """The found schedule's duration relative to the best order's, and the ms of CPU that it took to find."""
     draw = random.Random(seed)
     jobs = [
         ReplacementJob(
@@ -37,70 +47,84 @@
         for i in range(draw.randint(3, 7))
     ]
     limits = Limits(draw.randint(1, 3), draw.randint(1, 2), draw.randint(1, 3))
-    weigh = ScheduleConstraints(limits, lambda lost: ["too much"] * (sum(lost.values()) > 12))
-    start = time.process_time()
-    found = weigh.find_schedule(jobs).duration_ms
-    took = 1000 * (time.process_time() - start)
-    best = min(weigh.place(each).duration_ms for each in itertools.permutations(jobs))
-    return found / best, took
+    constraints = ScheduleConstraints(limits, lambda out: ["too much"] * (sum(out.values()) > 12))
+    started_at = time.process_time()
+    duration_ms = constraints.find_schedule(jobs).duration_ms
+    cpu_ms = 1000 * (time.process_time() - started_at)
+    best_ms = min(constraints.place(order).duration_ms for order in itertools.permutations(jobs))
+    return duration_ms / best_ms, cpu_ms
 
 
-def cases(seconds: float) -> dict[str, list[Found]]:
-    """All cases, one seed after another, as long as there is time."""
-    found: dict[str, list[Found]] = {name: [] for name in CASES}
+def run_cases(seconds: float) -> dict[str, list[CaseResult]]:
+    """Run all cases, one seed after another, for so much processor time."""
+    results: dict[str, list[CaseResult]] = {name: [] for name in CASES}
     end = time.process_time() + seconds
     for seed in itertools.count(1):
         if time.process_time() > end:
             break
         for name, case in CASES.items():
-            found[name].append(case(seed))
-            for breach in found[name][-1].breaches:
+            results[name].append(case(seed))
+            for breach in results[name][-1].breaches:
                 print(name, seed, breach, flush=True)
-    return found
+    return results
 
 
-def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=300.0)
-    given = parser.parse_args()
-    found = cases(given.seconds)
-    runs = sum(map(len, found.values()))
-    bad = sum(bool(f.breaches) for rows in found.values() for f in rows)
-    lines = [
-        "# The rolling swap's core in virtual time: measured",
-        "",
-        f"By `python -m benchmarks.fleet.swap --seconds {given.seconds:g}` (the model of",
-        f"`emulator/swap.py`): {runs} runs, {bad} of them with a broken rule. Eight dispatchers in three",
-        "zones (3/3: six; four at once: five), all swapped, 350 pins each, new machines there 0.5 to 2 s",
-        "after the word; a death is noticed after 1.2 s. A take-over counts from the death of the driver to",
-        "the first change under a new epoch, for machines that were under way then.",
-        "",
+def broken_runs(results: list[CaseResult]) -> int:
+    """The number of runs in which a rule was broken."""
+    return sum(bool(result.breaches) for result in results)
+
+
+def case_rows(results: dict[str, list[CaseResult]]) -> list[str]:
+    """A table with a row for each case."""
+    rows = [
         "| case | runs | broken | take-overs | ms, median / most | end of the run, s, median / most |",
         "| --- " * 6 + "|",
     ]
-    for name, rows in found.items():
-        takes = [t for f in rows for t in f.takeovers]
-        lasted = [f.lasted / 1000 for f in rows]
-        lines.append(
-            f"| {name} | {len(rows)} | {sum(bool(f.breaches) for f in rows)} | {len(takes)} | "
-            f"{middle(takes):.0f} / {max(takes, default=0):.0f} | {middle(lasted):.0f} / {max(lasted):.0f} |"
+    for name, runs in results.items():
+        takeovers = [time_ms for run in runs for time_ms in run.takeover_times_ms]
+        durations_s = [run.duration_ms / 1000 for run in runs]
+        rows.append(
+            f"| {name} | {len(runs)} | {broken_runs(runs)} | {len(takeovers)} | "
+            f"{median(takeovers):.0f} / {max(takeovers, default=0):.0f} | "
+            f"{median(durations_s):.0f} / {max(durations_s):.0f} |"
         )
-    lines += ["", "| planted defect | case | seeds in which it was noticed |", "| --- " * 3 + "|"]
-    for name in DEFECTS:
-        with planted(name) as (case, says):
-            hits = sum(any(says in b for b in CASES[case](seed).breaches) for seed in range(1, 4))
-        lines.append(f"| {name} | {case} | {hits} of 3 |")
-    orders = [order(seed) for seed in range(ORDERS)]
-    ratios, times = [ratio for ratio, _ in orders], [ms for _, ms in orders]
-    lines += [
-        "",
-        f"Order of 3 to 7 machines against all lists of them, {ORDERS} draws: makespan by the best there",
-        f"is {sum(ratios) / len(ratios):.4f} on average, {max(ratios):.3f} at worst, the best itself in",
-        f"{sum(r < 1 + 1e-9 for r in ratios)}; settled in {middle(times):.1f} ms",
-        f"(median; {max(times):.0f} at most).",
-        "",
+    return rows
+
+
+def defect_rows() -> list[str]:
+    """A table with a row for each planted defect."""
+    rows = ["| planted defect | case | seeds in which it was noticed |", "| --- " * 3 + "|"]
+    for name, defect in DEFECTS.items():
+        with planted_defect(defect):
+            breaches = [CASES[defect.case](seed).breaches for seed in DEFECT_SEEDS]
+        noticed = sum(any(defect.breach in breach for breach in run) for run in breaches)
+        rows.append(f"| {name} | {defect.case} | {noticed} of {len(DEFECT_SEEDS)} |")
+    return rows
+
+
+def schedule_lines() -> list[str]:
+    """A paragraph on the order of machines against all orders."""
+    qualities = [schedule_quality(seed) for seed in range(SCHEDULE_SEEDS)]
+    ratios, times_ms = [ratio for ratio, _ in qualities], [cpu_ms for _, cpu_ms in qualities]
+    return [
+        f"Order of 3 to 7 machines against all lists of them, {SCHEDULE_SEEDS} draws: makespan by the",
+        f"best there is {sum(ratios) / len(ratios):.4f} on average, {max(ratios):.3f} at worst, the best",
+        f"itself in {sum(ratio < 1 + 1e-9 for ratio in ratios)}; settled in {median(times_ms):.1f} ms",
+        f"(median; {max(times_ms):.0f} at most).",
     ]
-    OUT.write_text("\n".join(lines))
+
+
+def main() -> None:
+    """Run all, write the page, and print it."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seconds", type=float, default=300.0)
+    seconds = parser.parse_args().seconds
+    results = run_cases(seconds)
+    runs = sum(map(len, results.values()))
+    broken = sum(map(broken_runs, results.values()))
+    introduction = INTRODUCTION.format(seconds=seconds, runs=runs, broken=broken)
+    lines = [introduction, *case_rows(results), "", *defect_rows(), "", *schedule_lines(), ""]
+    OUTPUT.write_text("\n".join(lines))
     print("\n".join(lines))
 
 
--- a/cottonhold/emulator/engine_replacement.py
+++ b/cottonhold/emulator/engine_replacement.py
@@ -1,9 +1,8 @@
-"""A rolling swap of engines in virtual time: dispatchers that send, drain, tell and restart, with faults.
+"""A rolling replacement of engines in virtual time: dispatchers that send, drain, report and restart.
 
-It adds engines and requests to the swap's model (swap.py); all are loads, since others may be repeated. One
-runs at its engine until it ends, its dispatcher dies, or the engine is powered off, which operators do once
-they read that it is out. What must never happen is checked from outside, by what the engines got. Times are
-ms.
+It adds engines and requests to the model of rolling_replacement.py. All requests are loads, since others may
+be retried: one runs at its engine until it ends, its dispatcher dies, or the engine is powered off, which
+operators do once they read that it is out. Times are ms.
 """
 
 from __future__ import annotations
@@ -12,7 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cottonhold.emulator.rolling_replacement import JOIN, TICK, Host, Trouble, World
+from cottonhold.emulator.replacement_fleet import JOIN_NOTICE_MS, Host, NetworkFaults
+from cottonhold.emulator.replacement_invariants import ReplacementInvariants
+from cottonhold.emulator.rolling_replacement import TICK_MS, ReplacementWorld
 from cottonhold.fleet.engine_drain import (
     CheckLiveness,
     DrainSettings,
@@ -33,271 +34,303 @@
 from cottonhold.fleet.rolling_replacement.step_decision import Action, Drain, ReadyToPowerOff, Undrain
 
 SETTINGS = DrainSettings()
-ANSWER = 15.0  # a probe's way there and back
-ENDS = 0.35  # of the requests at an engine end in a tick
-COLD = 1500.0  # until a new engine takes its full part
-AGAIN = 15_000.0  # until operators read that an engine is there still, though they have changed it
+ENGINE_COUNT = 3
+LIVENESS_CHECK_MS = 15.0
+REQUEST_END_PROBABILITY = 0.35  # at an engine in a tick
+WARMUP_MS = 1500.0  # until a new engine takes its full traffic share
+WARMING_SHARE = 0.3
+MAX_DUPLICATE_DELAY_MS = 3000.0  # of a drain report that arrives twice
+RESTART_NOTICE_MS = 15_000.0  # until operators read that an engine they restarted is still out
+FINAL_CHECK_TICKS = 100
 
 
 @dataclass(slots=True, eq=False)
 class Engine:
-    """An engine, with the requests that run there by the life of the dispatcher that sent them."""
+    """An engine, with its running requests by the dispatcher that sent them and its incarnation."""
 
     name: str
     zone: str
     cores: float = 16.0
-    up: bool = True
-    began: float = 0.0
-    out: dict[tuple[str, int], int] = field(default_factory=dict)
-    got: int = 0
+    is_up: bool = True
+    started_at: float = 0.0
+    in_flight: dict[tuple[str, int], int] = field(default_factory=dict)
+    received: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Side:
+class EngineView:
     """What a dispatcher's process knows of engines."""
 
     drains: EngineDrains
-    settled: StartupGate
-    held: set[str] = field(default_factory=set)
-    waits: bool = True
+    startup_gate: StartupGate
+    withheld: set[str] = field(default_factory=set)
+    is_waiting: bool = True  # sends nothing until the gate opens
 
+    def on_report(self, now: float, data: bytes) -> None:
+        """Another dispatcher's drain report has arrived."""
+        self.drains.on_message(now, data)
 
-class EngineWorld(World):
-    """Dispatchers d0, d1, ... and engines x0, x1, x2, one a zone. pull: ms from Ready until an engine is
-    powered off; back: from then on until the hardware comes."""
+
+class EngineInvariants(ReplacementInvariants):
+    """The rules for replaced engines, in addition to those for dispatchers."""
+
+    fleet: EngineWorld
+
+    def on_register_changed(self, name: str, before: bytes, after: bytes) -> None:
+        """A register has got another value."""
+        machine = next((m for m in self.fleet.engines if register_name(m) == name), "")
+        record = decode_record(after) if machine else None
+        old_record = decode_record(before) if machine else None
+        if record is None:
+            super().on_register_changed(name, before, after)
+            return
+        if old_record is None or old_record.step is not record.step:
+            self.steps_seen.setdefault(machine, []).append(record.step)
+            old_step = old_record.step if old_record is not None else ReplacementStep.DRAINING
+            is_first_out = record.arrived_cores_tenths == 0 and old_step is ReplacementStep.DRAINING
+            if record.step is ReplacementStep.OUT and is_first_out:
+                self._check_idle(machine)
+            if record.step is ReplacementStep.IN_PLACE and not record.has_flag(MachineFlag.ABORTING):
+                self._check_replaced(machine, record)
+        self.notify_listeners(machine, record)
+
+    def _check_idle(self, machine: str) -> None:
+        """No request of a live dispatcher is at an engine that goes out."""
+        for (name, incarnation), count in self.fleet.engines[machine].in_flight.items():
+            host = self.fleet.hosts[name]
+            if count and host.is_up and host.incarnation == incarnation:
+                self.breach(f"{machine} is OUT with {count} requests of {name}")
+
+    def _check_replaced(self, machine: str, record: MachineRecord) -> None:
+        """A new engine is up in the place of one whose replacement is said to be there."""
+        engine = self.fleet.engines.get(record.replacement)
+        if engine is None or not engine.is_up or engine.started_at <= 0:
+            self.breach(f"{machine} is IN_PLACE, and nobody has put a new one there")
+
+    def check_at_end(self, *names: str) -> None:
+        """After the replacements of these engines: each has ended, and what is in its place gets requests."""
+        fleet = self.fleet
+        received = {name: engine.received for name, engine in fleet.engines.items()}
+        fleet.run(fleet.now + FINAL_CHECK_TICKS * TICK_MS)
+        for name in names:
+            record = fleet.record(name)
+            if record is None or not record.is_over:
+                self.breach(f"{name} is not at its end")
+                continue
+            serving = record.replacement if record.step is ReplacementStep.DONE else name
+            serving = serving if serving in fleet.listed else record.replacement
+            if serving in fleet.engines and fleet.engines[serving].received == received.get(serving, 0):
+                self.breach(f"{serving} gets nothing after the end")
+
+
+class EngineWorld(ReplacementWorld):
+    """Dispatchers d0, d1, ... and engines x0, x1, x2, one a zone.
+
+    power_off_delay_ms: from the notice to operators until an engine is powered off. hardware_delay_ms: from
+    then until the new one is there.
+    """
+
+    invariants: EngineInvariants
 
     def __init__(
         self,
         seed: int,
-        count: int = 4,
-        trouble: Trouble | None = None,
-        pull: float = 400.0,
-        back: float = 8000.0,
+        host_count: int = 4,
+        network_faults: NetworkFaults | None = None,
+        power_off_delay_ms: float = 400.0,
+        hardware_delay_ms: float = 8000.0,
     ) -> None:
-        self.engines = {f"x{i}": Engine(f"x{i}", "abc"[i]) for i in range(3)}
+        self.engines = {f"x{i}": Engine(f"x{i}", "abc"[i]) for i in range(ENGINE_COUNT)}
         self.listed = dict(self.engines)
-        self.sides: dict[str, Side] = {}
-        self.booted: dict[str, float] = {}
-        self.pull, self.back, self.loses = pull, back, set[tuple[str, str]]()
-        super().__init__(seed, count, trouble)
-
-    # --- dispatchers ---
-
-    def _boot(self, host: Host) -> None:
-        super()._boot(host)
-        members = [machine_id(f"d{i}") for i in range(self.count)]
-        drains = EngineDrains(machine_id(host.name), host.life, self.now, SETTINGS, members)
-        self.sides[host.name] = Side(drains, StartupGate(self.now, SETTINGS))
-        self.booted[host.name] = self.now
-
-    def _seen(self, host: Host) -> list[Machine]:
-        side, swap = self.sides[host.name], host.swap
-        assert swap is not None
-        if side.settled.check_pause(self.now):
-            swap.on_pause(self.now)
-            side.waits = True
-        serving = self.listed.keys() - side.held
-        side.drains.set_listed_engines(
+        self.views: dict[str, EngineView] = {}
+        self.started_at: dict[str, float] = {}  # by host
+        self.broken_links: set[tuple[str, str]] = set()  # host and engine
+        self.power_off_delay_ms, self.hardware_delay_ms = power_off_delay_ms, hardware_delay_ms
+        super().__init__(seed, host_count, network_faults)
+
+    def make_invariants(self) -> EngineInvariants:
+        """The rules that this world is checked against."""
+        return EngineInvariants(self)
+
+    def _start_coordinator(self, host: Host) -> None:
+        super()._start_coordinator(host)
+        members = [machine_id(f"d{i}") for i in range(self.host_count)]
+        drains = EngineDrains(machine_id(host.name), host.incarnation, self.now, SETTINGS, members)
+        self.views[host.name] = EngineView(drains, StartupGate(self.now, SETTINGS))
+        self.started_at[host.name] = self.now
+
+    def _visible_machines(self, host: Host) -> list[Machine]:
+        view, coordinator = self.views[host.name], host.coordinator
+        assert coordinator is not None
+        if view.startup_gate.check_pause(self.now):
+            coordinator.on_pause(self.now)
+            view.is_waiting = True
+        serving = self.listed.keys() - view.withheld
+        view.drains.set_listed_engines(
             {n: Machine(n, e.zone, e.cores, True, is_counted=n in serving) for n, e in self.listed.items()}
         )
-        return [*side.drains.present_engines(swap.view.records), *super()._seen(host)]
+        return [
+            *view.drains.present_engines(coordinator.view.records),
+            *super()._visible_machines(host),
+        ]
 
     def _feed(self, host: Host) -> None:
         super()._feed(host)
-        side, swap = self.sides[host.name], host.swap
-        assert swap is not None
-        for name, record in self._records(host).items():
-            swap.set_open_requests(self.now, name, side.drains.open_requests(self.now, name, record.serial))
+        view, coordinator = self.views[host.name], host.coordinator
+        assert coordinator is not None
+        for name, record in self._engine_records(host).items():
+            open_requests = view.drains.open_requests(self.now, name, record.serial)
+            coordinator.set_open_requests(self.now, name, open_requests)
             engine = self.engines.get(record.replacement)
             if engine is not None and record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING):
-                swap.set_traffic_share(
-                    self.now, record.replacement, 1.0 if self.now - engine.began > COLD else 0.3
-                )
-        self._send(host)
+                is_warm = self.now - engine.started_at > WARMUP_MS
+                share = 1.0 if is_warm else WARMING_SHARE
+                coordinator.set_traffic_share(self.now, record.replacement, share)
+        self._send_requests(host)
 
-    def _records(self, host: Host) -> Mapping[str, MachineRecord]:
-        assert host.swap is not None
-        return {n: r for n, r in host.swap.view.records.items() if r.has_flag(MachineFlag.ENGINE)}
+    def _engine_records(self, host: Host) -> Mapping[str, MachineRecord]:
+        """The records of engines that a host knows."""
+        assert host.coordinator is not None
+        records = host.coordinator.view.records
+        return {n: r for n, r in records.items() if r.has_flag(MachineFlag.ENGINE)}
 
     def _step(self, host: Host) -> None:
         super()._step(host)
-        side, swap = self.sides[host.name], host.swap
-        assert swap is not None
-        there = [h for h in self.hosts.values() if self.linked.get((host.name, h.name), -1.0) > 0]
-        # A life that has just begun is not told yet: others still take it for the one before.
-        lives = {
-            machine_id(h.name): h.life - (self.now - self.booted[h.name] < JOIN)
-            for h in there
-            if h is not host
-        }
-        side.drains.set_live_members(self.now, lives)
-        if side.waits:
-            side.waits = not side.settled.step(self.now, swap.has_read_all(), self.majority(host))
-        for name in side.drains.drained:
-            side.drains.set_open_requests(name, self._out(host, name))
-        for action in side.drains.step(self.now, swap.view.records):
+        view, coordinator = self.views[host.name], host.coordinator
+        assert coordinator is not None
+        view.drains.set_live_members(self.now, self._known_incarnations(host))
+        if view.is_waiting:
+            view.is_waiting = not view.startup_gate.step(
+                self.now, coordinator.has_read_all(), self.has_majority(host)
+            )
+        for name in view.drains.drained:
+            view.drains.set_open_requests(name, self._in_flight(host, name))
+        for action in view.drains.step(self.now, coordinator.view.records):
             if isinstance(action, CheckLiveness):
-                self._knock(host, action.engine)
+                self._check_liveness(host, action.engine)
             else:
-                self._tell_drains(action)
+                self._send_report(action)
+
+    def _known_incarnations(self, host: Host) -> dict[int, int]:
+        """The live members as a host knows them: of one that has just restarted, the former incarnation."""
+        return {
+            machine_id(other.name): (
+                other.incarnation - (self.now - self.started_at[other.name] < JOIN_NOTICE_MS)
+            )
+            for other in self.hosts.values()
+            if other is not host and self._is_linked(host, other)
+        }
 
     def _act(self, host: Host, action: Action) -> None:
         if isinstance(action, Drain | Undrain) and action.machine in self.engines:
-            side, engine = self.sides[host.name], action.machine
-            record = self._records(host).get(engine)
+            view, engine = self.views[host.name], action.machine
+            record = self._engine_records(host).get(engine)
             if isinstance(action, Undrain):
-                side.held.discard(engine)
-                side.drains.undrain(engine)
+                view.withheld.discard(engine)
+                view.drains.undrain(engine)
                 assert record is None or is_new_process(record) or record.arrived_cores_tenths == 0
             elif record is not None:
-                side.held.add(engine)
-                side.drains.drain(engine, record.serial, self._out(host, engine))
+                view.withheld.add(engine)
+                view.drains.drain(engine, record.serial, self._in_flight(host, engine))
         elif isinstance(action, ReadyToPowerOff) and action.machine in self.engines:
-            self._effect(host, action.machine, action.epoch)
-            self._off(action.machine)
+            self.invariants.on_effect(host, action.machine, action.epoch)
+            self._schedule_power_off(action.machine)
         else:
             super()._act(host, action)
 
-    def _tell_drains(self, action: SendReport) -> None:
-        host = next((h for h in self.hosts.values() if machine_id(h.name) == action.member), None)
+    def _send_report(self, report: SendReport) -> None:
+        """Send a drain report, which may be lost or arrive twice."""
+        host = next((h for h in self.hosts.values() if machine_id(h.name) == report.member), None)
         if host is None:
             return
-        life, side = host.life, self.sides[host.name]
-        copies = [0.0] if self.draw.random() >= self.trouble.loss else []
-        copies += [3000.0 * self.draw.random()] if self.draw.random() < self.trouble.twice else []
-        for late in copies:
-            wait = late + self.trouble.delay * (0.2 + self.draw.random())
-            self.at(self.now + wait, lambda: self._to(host, life, lambda: hear(self, side, action.payload)))
+        incarnation, view = host.incarnation, self.views[host.name]
+        faults, draw = self.network_faults, self.draw
+        delays_ms = [0.0] if draw.random() >= faults.loss else []
+        if draw.random() < faults.duplication:
+            delays_ms.append(MAX_DUPLICATE_DELAY_MS * draw.random())
 
-    def _knock(self, host: Host, name: str) -> None:
-        engine, life = self.listed.get(name), host.life
-        good = engine is not None and engine.up and (host.name, name) not in self.loses
+        def receive() -> None:
+            self.deliver(host, incarnation, lambda: view.on_report(self.now, report.payload))
 
-        def end() -> None:
-            self.sides[host.name].drains.on_liveness_check(name, good)
+        for delay_ms in delays_ms:
+            self.call_at(self.now + (delay_ms + faults.max_delay_ms * (0.2 + draw.random())), receive)
 
-        self.at(self.now + ANSWER, lambda: self._to(host, life, end))
+    def _check_liveness(self, host: Host, name: str) -> None:
+        engine, incarnation = self.listed.get(name), host.incarnation
+        is_alive = engine is not None and engine.is_up and (host.name, name) not in self.broken_links
 
-    # --- requests ---
+        def on_result() -> None:
+            self.views[host.name].drains.on_liveness_check(name, is_alive)
 
-    def _out(self, host: Host, name: str) -> int:
-        return self.engines[name].out.get((host.name, host.life), 0)
+        self.call_at(self.now + LIVENESS_CHECK_MS, lambda: self.deliver(host, incarnation, on_result))
 
-    def _send(self, host: Host) -> None:
-        side = self.sides[host.name]
+    def _in_flight(self, host: Host, name: str) -> int:
+        """A dispatcher's requests that run at an engine."""
+        return self.engines[name].in_flight.get((host.name, host.incarnation), 0)
+
+    def _send_requests(self, host: Host) -> None:
+        view = self.views[host.name]
         for name, engine in self.listed.items():
-            if side.waits or name in side.held or (host.name, name) in self.loses:
+            if view.is_waiting or name in view.withheld or (host.name, name) in self.broken_links:
                 continue
             record = self.record(name)
             if record is not None and record.step is ReplacementStep.OUT:
-                self.breach(f"{host.name} sends to {name}, which is out")
-            if engine.up:
-                engine.out[host.name, host.life] = self._out(host, name) + self.draw.randint(0, 1)
-                engine.got += 1
+                self.invariants.breach(f"{host.name} sends to {name}, which is out")
+            if engine.is_up:
+                count = self._in_flight(host, name) + self.draw.randint(0, 1)
+                engine.in_flight[host.name, host.incarnation] = count
+                engine.received += 1
 
     def _tick(self) -> None:
         for engine in self.engines.values():
-            for key in list(engine.out):
-                host = self.hosts[key[0]]
-                if not host.up or host.life != key[1]:
-                    del engine.out[key]  # its connections have ended
-                elif self.draw.random() < ENDS:
-                    engine.out[key] = max(engine.out[key] - 2, 0)
+            for key in list(engine.in_flight):
+                name, incarnation = key
+                host = self.hosts[name]
+                if not host.is_up or host.incarnation != incarnation:
+                    del engine.in_flight[key]  # its connections are closed
+                elif self.draw.random() < REQUEST_END_PROBABILITY:
+                    engine.in_flight[key] = max(engine.in_flight[key] - 2, 0)
         super()._tick()
 
-    # --- operators ---
-
-    def _off(self, name: str) -> None:
-        if name in self.ordered:
+    def _schedule_power_off(self, name: str) -> None:
+        if name in self.power_off_ordered:
             return
-        self.ordered.add(name)
-        self.at(self.now + self.pull, lambda: self._pull(name))
+        self.power_off_ordered.add(name)
+        self.call_at(self.now + self.power_off_delay_ms, lambda: self._power_off_engine(name))
 
-    def _pull(self, name: str) -> None:
-        """An engine is powered off, if it still is out, and the new one comes in its place."""
+    def _power_off_engine(self, name: str) -> None:
+        """Power an engine off if it is still out; the new one comes in its place."""
         record, engine = self.record(name), self.engines[name]
         if record is None or record.step is not ReplacementStep.OUT or record.has_flag(MachineFlag.ABORTING):
-            self.ordered.discard(name)
+            self.power_off_ordered.discard(name)
             return
-        if running := sum(engine.out.values()):
-            self.breach(f"{running} requests break as {name} is powered off")
-        engine.up = False
-        engine.out.clear()
-        self.at(self.now + self.back, lambda: self._place(engine, record.replacement))
-
-    def again(self, name: str) -> None:
-        """Operators read that an engine which is out is still there: it is switched off and on."""
+        if running := sum(engine.in_flight.values()):
+            self.invariants.breach(f"{running} requests break as {name} is powered off")
+        engine.is_up = False
+        engine.in_flight.clear()
+        arrival_at = self.now + self.hardware_delay_ms
+        self.call_at(arrival_at, lambda: self._place_engine(engine, record.replacement))
+
+    def _restart_if_still_out(self, name: str) -> None:
+        """Operators restart an engine once more if its restart was not seen by any dispatcher."""
         record, engine = self.record(name), self.engines[name]
-        if (
-            record is not None
-            and record.step is ReplacementStep.OUT
-            and not record.has_flag(MachineFlag.WAS_AWAY)
-            and engine.up
-        ):
-            self._pull(name)
-
-    def _place(self, old: Engine, new: str) -> None:
-        cores = self.sizes.get(old.name, old.cores)
+        if record is None or record.step is not ReplacementStep.OUT or not engine.is_up:
+            return
+        if not record.has_flag(MachineFlag.WAS_AWAY):
+            self._power_off_engine(name)
+
+    def _place_engine(self, old: Engine, new: str) -> None:
+        cores = self.replacement_cores.get(old.name, old.cores)
         if new == old.name:
-            old.up, old.began, old.cores = True, self.now, cores
-            self.at(self.now + AGAIN, lambda: self.again(new))
+            old.is_up, old.started_at, old.cores = True, self.now, cores
+            self.call_at(self.now + RESTART_NOTICE_MS, lambda: self._restart_if_still_out(new))
         else:
             self.listed.pop(old.name, None)
             self.engines[new] = self.listed[new] = Engine(new, old.zone, cores, True, self.now)
 
-    # --- what must never happen ---
-
-    def _check(self, name: str, before: bytes, after: bytes) -> None:
-        machine = next((m for m in self.engines if register_name(m) == name), "")
-        record, old = decode_record(after) if machine else None, decode_record(before) if machine else None
-        if record is None:
-            super()._check(name, before, after)
-            return
-        if old is None or old.step is not record.step:
-            self.steps_seen.setdefault(machine, []).append(record.step)
-            if (
-                record.step is ReplacementStep.OUT
-                and record.arrived_cores_tenths == 0
-                and (old is None or old.step is ReplacementStep.DRAINING)
-            ):
-                for (host, life), count in self.engines[machine].out.items():
-                    if count and self.hosts[host].up and self.hosts[host].life == life:
-                        self.breach(f"{machine} is OUT with {count} requests of {host}")
-            if (
-                record.step is ReplacementStep.IN_PLACE
-                and not record.has_flag(MachineFlag.ABORTING)
-                and not self._came(record)
-            ):
-                self.breach(f"{machine} is IN_PLACE, and nobody has put a new one there")
-        for hook in self.hooks:
-            hook(machine, record)
-
-    def _came(self, record: MachineRecord) -> bool:
-        new = self.engines.get(record.replacement)
-        return new is not None and new.up and new.began > 0
-
-    def at_end(self, *names: str) -> None:
-        """At the end of a swap: none is held back that should serve, and each that is in place got work."""
-        before = {name: engine.got for name, engine in self.engines.items()}
-        self.run(self.now + 100 * TICK)
-        for name in names:
-            record = self.record(name)
-            if record is None or not record.is_over:
-                self.breach(f"{name} is not at its end")
-                continue
-            there = record.replacement if record.step is ReplacementStep.DONE else name
-            there = there if there in self.listed else record.replacement
-            if there in self.engines and self.engines[there].got == before.get(there, 0):
-                self.breach(f"{there} gets nothing after the end")
-
 
-def world_of(seed: int, trouble: Trouble | None = None, **given: Any) -> EngineWorld:
-    """A fleet that serves."""
-    world = EngineWorld(seed, trouble=trouble, **given)
+def serving_world(seed: int, network_faults: NetworkFaults | None = None, **options: Any) -> EngineWorld:
+    """A fleet that has started and serves requests; options as of EngineWorld."""
+    world = EngineWorld(seed, network_faults=network_faults, **options)
     world.run(2500.0 + seed % 100)
     return world
-
-
-def hear(world: EngineWorld, side: Side, data: bytes) -> None:
-    """A word has come."""
-    side.drains.on_message(world.now, data)
--- a/cottonhold/emulator/engine_replacement_cases.py
+++ b/cottonhold/emulator/engine_replacement_cases.py
@@ -1,25 +1,28 @@
-"""The hard cases of swaps of engines, each a whole run of the model, and defects that it has to notice.
-Times are ms."""
+"""The hard cases of replacing engines, each a whole run of the model, and defects that it has to notice.
+
+Times are ms.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from collections.abc import Callable
 from functools import partial
 from typing import Any
 
 from cottonhold.emulator import engine_replacement
-from cottonhold.emulator.engine_replacement import EngineWorld, world_of
-from cottonhold.emulator.rolling_replacement import Trouble
+from cottonhold.emulator.engine_replacement import EngineWorld, serving_world
+from cottonhold.emulator.replacement_fleet import NetworkFaults
+from cottonhold.emulator.rolling_replacement_defects import Defect, Patch
 from cottonhold.fleet.engine_drain import DrainSettings, EngineDrains, StartupGate
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.plan import MachineRecord, MachineRequest, ReplacementStep
 
-ONE = "x0"  # whose steps the faults wait for
-ASKED = (MachineRequest("x0"), MachineRequest("x1", "y1"), MachineRequest("x2", cores=16.0))
-NAMES = ("x0", "x1", "x2")
-BAD = Trouble(loss=0.3, twice=0.3, delay=150.0)
-LONG = 180_000.0
+WATCHED_ENGINE = "x0"  # faults occur when it comes to a step
+REQUESTS = (MachineRequest("x0"), MachineRequest("x1", "y1"), MachineRequest("x2", cores=16.0))
+ENGINES = tuple(request.machine for request in REQUESTS)
+LOSSY_NETWORK = NetworkFaults(loss=0.3, duplication=0.3, max_delay_ms=150.0)
+MAX_RUN_MS = 180_000.0
+MAX_FAULT_DELAY_MS = 200.0
 STEPS = (
     ReplacementStep.AGREED,
     ReplacementStep.DRAINING,
@@ -27,163 +30,179 @@
     ReplacementStep.IN_PLACE,
     ReplacementStep.RAMPING,
 )
-Do = Callable[[EngineWorld], None]
+Fault = Callable[[EngineWorld], None]
 
 
-def play(
-    seed: int, step: ReplacementStep | None, do: Do, trouble: Trouble | None = None, **given: Any
+def run_case(
+    seed: int,
+    step: ReplacementStep | None,
+    fault: Fault,
+    network_faults: NetworkFaults | None = None,
+    **options: Any,
 ) -> list[str]:
-    """All engines are swapped; soon after the one has come to a step something happens. What was broken."""
-    world = world_of(seed, trouble, **given)
-    done: list[bool] = []
-
-    def hook(machine: str, record: MachineRecord) -> None:
-        if machine == ONE and record.step is step and not done:
-            done.append(True)
-            world.at(world.now + 200.0 * world.draw.random(), lambda: do(world))
-
-    world.hooks.append(hook)
-    world.ask("d0", "ann", *ASKED)
+    """Replace all engines, with a fault soon after the watched one has come to a step; return the breaches.
+
+    options: of EngineWorld.
+    """
+    world = serving_world(seed, network_faults, **options)
+    has_occurred = False
+
+    def on_record_changed(machine: str, record: MachineRecord) -> None:
+        nonlocal has_occurred
+        if machine == WATCHED_ENGINE and record.step is step and not has_occurred:
+            has_occurred = True
+            delay_ms = MAX_FAULT_DELAY_MS * world.draw.random()
+            world.call_at(world.now + delay_ms, lambda: fault(world))
+
+    world.invariants.record_listeners.append(on_record_changed)
+    world.request("d0", "ann", *REQUESTS)
     world.run_until(lambda: bool(world.answers), 30_000.0)
     if not world.answers or world.answers[0].rejection:
-        world.breach(f"not taken: {world.answers}")
-    if not world.run_until(lambda: world.over(*NAMES), LONG):
-        left = {n: r.step.name if (r := world.record(n)) else "unasked" for n in NAMES}
-        world.breach(f"not at its end: {left}")
-    world.at_end(*NAMES)
-    return world.breaches
+        world.invariants.breach(f"not taken: {world.answers}")
+    if not world.run_until(lambda: world.are_over(*ENGINES), MAX_RUN_MS):
+        unfinished = {n: r.step.name if (r := world.record(n)) else "unasked" for n in ENGINES}
+        world.invariants.breach(f"not at its end: {unfinished}")
+    world.invariants.check_at_end(*ENGINES)
+    return world.invariants.breaches
+
 
+def _other_than_driver(world: EngineWorld) -> str:
+    driver = world.driver(WATCHED_ENGINE)
+    return next(name for name in world.hosts if name != driver)
 
-def dies(away: float, driver: bool) -> Do:
-    """The driver of the one, or another dispatcher, dies and comes back."""
 
-    def do(world: EngineWorld) -> None:
-        drives = world.driver(ONE)
-        name = drives if driver else next(n for n in world.hosts if n != drives)
-        if name and world.hosts[name].up:
+def restart_dispatcher(downtime_ms: float, of_driver: bool) -> Fault:
+    """The watched engine's driver, or another dispatcher, dies and is started again."""
+
+    def fault(world: EngineWorld) -> None:
+        name = world.driver(WATCHED_ENGINE) if of_driver else _other_than_driver(world)
+        if name and world.hosts[name].is_up:
             world.kill(name)
-            world.at(world.now + away, lambda: world.start(name))
+            world.call_at(world.now + downtime_ms, lambda: world.start(name))
 
-    return do
+    return fault
 
 
-def all_restart(world: EngineWorld) -> None:
-    """Each dispatcher is restarted at once, one soon after another."""
+def restart_all(world: EngineWorld) -> None:
+    """All dispatchers are restarted, one soon after another."""
     for i, name in enumerate(list(world.hosts)):
-        world.at(world.now + 700.0 * i, lambda name=name: world.kill(name))  # type: ignore[misc]
-        world.at(world.now + 700.0 * i + 100.0, lambda name=name: world.start(name))  # type: ignore[misc]
+        killed_at = world.now + 700.0 * i
+        world.call_at(killed_at, lambda name=name: world.kill(name))  # type: ignore[misc]
+        world.call_at(killed_at + 100.0, lambda name=name: world.start(name))  # type: ignore[misc]
 
 
-def stands(last: float) -> Do:
-    """A dispatcher that does not drive it stands still."""
-    return lambda world: world.stop(next(n for n in world.hosts if n != world.driver(ONE)), last)
+def pause_other(duration_ms: float) -> Fault:
+    """A dispatcher that does not drive the watched engine pauses."""
+    return lambda world: world.pause(_other_than_driver(world), duration_ms)
 
 
-def aborts(world: EngineWorld) -> None:
-    """Its swap is aborted by hand, at one that knows of it."""
+def abort(world: EngineWorld) -> None:
+    """An operator aborts the watched engine's replacement, at a host that knows of it."""
     for host in world.hosts.values():
-        if host.swap is not None and world.running(host) and ONE in host.swap.view.records:
-            if not host.swap.view.records[ONE].is_over:
-                host.swap.abort(world.now, "ann", "typo", ONE)
+        coordinator = host.coordinator
+        if coordinator is None or not world.is_running(host):
+            continue
+        record = coordinator.view.records.get(WATCHED_ENGINE)
+        if record is not None:
+            if not record.is_over:
+                coordinator.abort(world.now, "ann", "typo", WATCHED_ENGINE)
             return
 
 
-def link_lost(world: EngineWorld) -> None:
-    """Its driver alone can't reach it for a while."""
-    key = world.driver(ONE), ONE
-    world.loses.add(key)
-    world.at(world.now + 2500.0, lambda: world.loses.discard(key))
+def break_driver_link(world: EngineWorld) -> None:
+    """The driver alone does not reach the watched engine for a while."""
+    link = world.driver(WATCHED_ENGINE), WATCHED_ENGINE
+    world.broken_links.add(link)
+    world.call_at(world.now + 2500.0, lambda: world.broken_links.discard(link))
 
 
-def pauses(world: EngineWorld) -> None:
-    """The engine itself answers nobody for a while, and goes on."""
-    keys = {(name, ONE) for name in world.hosts}
-    world.loses |= keys
-    world.at(world.now + 2500.0, lambda: world.loses.difference_update(keys))
+def pause_engine(world: EngineWorld) -> None:
+    """The watched engine answers nobody for a while, and goes on."""
+    links = {(name, WATCHED_ENGINE) for name in world.hosts}
+    world.broken_links |= links
+    world.call_at(world.now + 2500.0, lambda: world.broken_links.difference_update(links))
 
 
-def power(world: EngineWorld) -> None:
-    """All dispatchers go dark, and come back. Where an engine went and came meanwhile nobody has seen it."""
-    world.power_cut(2000.0)
+def cut_power(world: EngineWorld) -> None:
+    """All dispatchers lose power and return; nobody sees what engines did meanwhile."""
+    world.cut_power(2000.0)
 
 
-def nothing(world: EngineWorld) -> None:
-    """All goes well."""
+def no_fault(world: EngineWorld) -> None:
+    """Nothing goes wrong."""
 
 
-FAULTS: dict[str, Do] = {
-    "driver dies": dies(4000.0, True),
-    "driver restarts": dies(150.0, True),
-    "another restarts": dies(150.0, False),
-    "another is long away": dies(14_000.0, False),
-    "all restart": all_restart,
-    "stands 3 s": stands(3000.0),
-    "stands 13 s": stands(13_000.0),
-    "aborted": aborts,
-    "link lost": link_lost,
-    "engine pauses": pauses,
-    "power": power,
-}
-CASES: dict[str, Callable[[int], list[str]]] = {
-    "calm": lambda seed: play(seed, None, nothing),
-    "lossy": lambda seed: play(seed, None, nothing, BAD),
+FAULTS: dict[str, Fault] = {
+    "driver dies": restart_dispatcher(4000.0, of_driver=True),
+    "driver restarts": restart_dispatcher(150.0, of_driver=True),
+    "another restarts": restart_dispatcher(150.0, of_driver=False),
+    "another is long away": restart_dispatcher(14_000.0, of_driver=False),
+    "all restart": restart_all,
+    "stands 3 s": pause_other(3000.0),
+    "stands 13 s": pause_other(13_000.0),
+    "aborted": abort,
+    "link lost": break_driver_link,
+    "engine pauses": pause_engine,
+    "power": cut_power,
 }
-for _name, _do in FAULTS.items():
-    # Operators who are slow leave the old engine there while it can't be reached.
-    _pull = 5000.0 if _name in ("link lost", "engine pauses") else 400.0
-    for _step in STEPS:
-        _one = partial(play, step=_step, do=_do, pull=_pull)
-        CASES[f"{_name}: {_step.name.lower()}"] = _one
-        CASES[f"{_name}, lossy: {_step.name.lower()}"] = partial(_one, trouble=BAD)
-
-# name -> the case that shows it, what the check says, and what is put in whose place
-DEFECTS: dict[str, tuple[str, str, Any, str, Any]] = {
-    "zero for who has not told": (
-        "lossy",
-        "is OUT with",
-        EngineDrains,
-        "missing_reports",
-        lambda self, now, engine, serial: set() if engine in self.drained else {self.member},
+# Slow operators leave the old engine there while it can't be reached.
+POWER_OFF_DELAYS_MS = {"link lost": 5000.0, "engine pauses": 5000.0}
+
+
+def _cases() -> dict[str, Callable[[int], list[str]]]:
+    cases: dict[str, Callable[[int], list[str]]] = {
+        "calm": partial(run_case, step=None, fault=no_fault),
+        "lossy": partial(run_case, step=None, fault=no_fault, network_faults=LOSSY_NETWORK),
+    }
+    for name, fault in FAULTS.items():
+        delay_ms = POWER_OFF_DELAYS_MS.get(name, 400.0)
+        for step in STEPS:
+            case = partial(run_case, step=step, fault=fault, power_off_delay_ms=delay_ms)
+            cases[f"{name}: {step.name.lower()}"] = case
+            cases[f"{name}, lossy: {step.name.lower()}"] = partial(case, network_faults=LOSSY_NETWORK)
+    return cases
+
+
+CASES = _cases()
+
+
+def _always(*args: Any) -> bool:
+    return True
+
+
+def _never(*args: Any) -> bool:
+    return False
+
+
+def _counts_only_itself(drains: EngineDrains, now: float, engine: str, serial: int) -> set[int]:
+    """In place of missing_reports: nobody else's report is waited for."""
+    return set() if engine in drains.drained else {drains.member}
+
+
+def _seems_absent_here(drains: EngineDrains, engine: str) -> bool:
+    """In place of is_absent: no other dispatcher's check is needed."""
+    return drains._seems_absent(engine, drains.drained[engine])
+
+
+DEFECTS: dict[str, Defect] = {
+    "zero for who has not told": Defect(
+        "lossy", "is OUT with", (Patch(EngineDrains, "missing_reports", _counts_only_itself),)
     ),
-    "a restarted one forgets": ("all restart: out", "which is out", StartupGate, "step", lambda *a: True),
-    "one that stood still goes on": (
-        "stands 13 s: agreed",
-        "which is out",
-        StartupGate,
-        "check_pause",
-        lambda *a: False,
+    "a restarted one forgets": Defect(
+        "all restart: out", "which is out", (Patch(StartupGate, "step", _always),)
     ),
-    "the old one passes for the new": (
-        "calm",
-        "has put a new one",
-        step_decision,
-        "_is_other_incarnation",
-        lambda *a: True,
+    "one that stood still goes on": Defect(
+        "stands 13 s: agreed", "which is out", (Patch(StartupGate, "check_pause", _never),)
     ),
-    "one instance's word for away": (
-        "link lost: out",
-        "has put a new one",
-        EngineDrains,
-        "is_absent",
-        lambda self, engine: self._seems_absent(engine, self.drained[engine]),
+    "the old one passes for the new": Defect(
+        "calm", "has put a new one", (Patch(step_decision, "_is_other_incarnation", _always),)
     ),
-    "a pause passes for a new one": (
+    "one instance's word for away": Defect(
+        "link lost: out", "has put a new one", (Patch(EngineDrains, "is_absent", _seems_absent_here),)
+    ),
+    "a pause passes for a new one": Defect(
         "engine pauses: out",
         "has put a new one",
-        engine_replacement,
-        "SETTINGS",
-        DrainSettings(engine_absence_ms=1000.0),
+        (Patch(engine_replacement, "SETTINGS", DrainSettings(engine_absence_ms=1000.0)),),
     ),
 }
-
-
-@contextmanager
-def planted(name: str) -> Iterator[tuple[str, str]]:
-    """With this defect in place: the case that shows it, and what its check says."""
-    case, says, where, key, value = DEFECTS[name]
-    before = getattr(where, key)
-    setattr(where, key, value)
-    try:
-        yield case, says
-    finally:
-        setattr(where, key, before)
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -1,5 +1,7 @@
-"""The hard cases of a rolling swap, each a whole run of the model; shared by tests and the measurement.
-Times are ms."""
+"""The hard cases of a rolling replacement, each a whole run of the model; shared by tests and benchmarks.
+
+Times are ms.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +9,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from cottonhold.emulator.rolling_replacement import NOTICE, Trouble, World
+from cottonhold.emulator.replacement_fleet import DEATH_NOTICE_MS, NetworkFaults
+from cottonhold.emulator.rolling_replacement import ReplacementWorld
 from cottonhold.fleet.rolling_replacement.plan import (
     MachineRecord,
     MachineRequest,
@@ -16,6 +19,7 @@
     StepReason,
     machine_id,
 )
+from cottonhold.fleet.rolling_replacement.start_conditions import CapacityCheck
 from cottonhold.fleet.rolling_replacement.step_decision import MoveKeys
 
 STEPS = (
@@ -26,328 +30,364 @@
     ReplacementStep.IN_PLACE,
     ReplacementStep.RAMPING,
 )
-ONE = "d3"  # whose steps the faults wait for
-LONG = 240_000.0
-TAKEOVER = 2000.0
-BAD = Trouble(loss=0.3, twice=0.3, delay=150.0)
+WATCHED_MACHINE = "d3"  # faults occur when it comes to a step
+MAX_RUN_MS = 240_000.0
+MAX_TAKEOVER_MS = 2000.0
+LOSSY_NETWORK = NetworkFaults(loss=0.3, duplication=0.3, max_delay_ms=150.0)
 
 
 @dataclass(slots=True)
-class Found:
-    """A run's end: what was broken, and how long take-overs took."""
+class CaseResult:
+    """How a run ended: broken rules, takeover times, and its length in virtual time."""
 
     breaches: list[str]
-    takeovers: list[float]
-    lasted: float
+    takeover_times_ms: list[float]
+    duration_ms: float
+
+
+Case = Callable[[int], CaseResult]
 
 
-def items(count: int = 8, every: int = 1) -> list[MachineRequest]:
-    """All dispatchers, every other one by another id."""
-    return [MachineRequest(f"d{i}", f"e{i}" if i % 2 and every else "") for i in range(count)]
+def machine_requests(count: int = 8) -> list[MachineRequest]:
+    """Requests for all dispatchers, of which every other one gets another name."""
+    return [MachineRequest(f"d{i}", f"e{i}" if i % 2 else "") for i in range(count)]
 
 
-def begin(seed: int, count: int = 8, most_out: int = 2, trouble: Trouble | None = None) -> World:
-    """A fleet of which all machines are to be swapped."""
-    world = World(seed, count, trouble)
+def start_replacement(
+    seed: int, count: int = 8, max_out: int = 2, network_faults: NetworkFaults | None = None
+) -> ReplacementWorld:
+    """A fleet in which the replacement of all machines has been requested."""
+    world = ReplacementWorld(seed, count, network_faults)
     world.run(2000.0 + seed % 100)
-    world.ask("d0", "ann", *items(count), most_out=most_out)
+    world.request("d0", "ann", *machine_requests(count), max_out=max_out)
     return world
 
 
-def finish(world: World, count: int = 8, *, swift: bool = True) -> Found:
-    """Let it come to its end, and say what was broken."""
-    names = [f"d{i}" for i in range(count)]
+def finish(world: ReplacementWorld, count: int = 8, *, checks_takeovers: bool = True) -> CaseResult:
+    """Run to the end of the replacement, and check the state then."""
     world.run_until(lambda: bool(world.answers), 30_000.0)
     if any(answer.rejection for answer in world.answers):
-        # Not one could be settled in time: whoever asked does so again.
-        most = world.answers[0].request.max_out
+        # None could be answered in time: the client retries.
+        max_out = world.answers[0].request.max_out
         world.answers.clear()
-        world.ask("d1" if world.hosts["d1"].up else "d2", "ann", *items(count), most_out=most)
-    if not world.run_until(lambda: world.over(*names), LONG):
-        left = {n: r.step.name if (r := world.record(n)) else "unasked" for n in names}
-        world.breach(f"not at its end: {left}, out {world.whole().machines_out}")
+        retry_host = "d1" if world.hosts["d1"].is_up else "d2"
+        world.request(retry_host, "ann", *machine_requests(count), max_out=max_out)
+    names = [f"d{i}" for i in range(count)]
+    if not world.run_until(lambda: world.are_over(*names), MAX_RUN_MS):
+        unfinished = {n: r.step.name if (r := world.record(n)) else "unasked" for n in names}
+        world.invariants.breach(f"not at its end: {unfinished}, out {world.plan().machines_out}")
     for name in names:
-        record = world.record(name)
-        host = (
-            world.hosts.get(record.replacement)
-            if record is not None and record.step is ReplacementStep.DONE
-            else None
-        )
-        if host is not None and (not host.up or host.drained):
-            world.breach(f"{host.name} is {'drained' if host.up else 'off'} at the end")
-    return result(world, swift)
+        check_replacement_serves(world, name)
+    return result(world, checks_takeovers)
 
 
-def result(world: World, swift: bool = True) -> Found:
-    """What was broken so far; a slow take-over counts unless messages are lost."""
-    slow = [t for t in world.takeovers if t > TAKEOVER]
-    if slow and swift:
-        world.breach(f"take-overs in {slow} ms")
-    return Found(world.breaches, world.takeovers, world.now)
+def check_replacement_serves(world: ReplacementWorld, name: str) -> None:
+    """The host in the place of a replaced machine is up and not drained."""
+    record = world.record(name)
+    if record is None or record.step is not ReplacementStep.DONE:
+        return
+    host = world.hosts.get(record.replacement)
+    if host is not None and (not host.is_up or host.is_drained):
+        world.invariants.breach(f"{host.name} is {'drained' if host.is_up else 'off'} at the end")
 
 
-def once(world: World, step: ReplacementStep, do: Callable[[], None], wait: float = 300.0) -> None:
-    """Do something soon after the one machine has come to a step, once."""
-    done: list[bool] = []
+def result(world: ReplacementWorld, checks_takeovers: bool = True) -> CaseResult:
+    """What was broken so far; slow takeovers are not checked where messages are lost."""
+    takeovers = world.invariants.takeover_times_ms
+    slow = [time_ms for time_ms in takeovers if time_ms > MAX_TAKEOVER_MS]
+    if slow and checks_takeovers:
+        world.invariants.breach(f"take-overs in {slow} ms")
+    return CaseResult(world.invariants.breaches, takeovers, world.now)
 
-    def hook(machine: str, record: MachineRecord) -> None:
-        if machine == ONE and record.step is step and not done:
-            done.append(True)
-            world.at(world.now + wait * world.draw.random(), do)
 
-    world.hooks.append(hook)
+def once_at_step(
+    world: ReplacementWorld, step: ReplacementStep, action: Callable[[], None], max_delay_ms: float = 300.0
+) -> None:
+    """Run an action once, a drawn time after the watched machine has come to a step."""
+    has_run = False
 
+    def on_record_changed(machine: str, record: MachineRecord) -> None:
+        nonlocal has_run
+        if machine == WATCHED_MACHINE and record.step is step and not has_run:
+            has_run = True
+            world.call_at(world.now + max_delay_ms * world.draw.random(), action)
 
-def down(world: World, name: str, last: float) -> None:
-    """A process dies, and is started again later."""
-    if name and world.hosts[name].up:
+    world.invariants.record_listeners.append(on_record_changed)
+
+
+def restart(world: ReplacementWorld, name: str, downtime_ms: float) -> None:
+    """Kill a process, and start it again later unless it is up by then."""
+    if name and world.hosts[name].is_up:
         world.kill(name)
-        world.at(world.now + last, lambda: None if world.hosts[name].up else world.start(name))
+        world.call_at(world.now + downtime_ms, lambda: None if world.hosts[name].is_up else world.start(name))
 
 
-def calm(seed: int) -> Found:
+def no_fault(seed: int) -> CaseResult:
     """Nothing goes wrong."""
-    return finish(begin(seed))
+    return finish(start_replacement(seed))
+
+
+def driver_dies(seed: int, step: ReplacementStep) -> CaseResult:
+    """The driver of a machine dies soon after a step began."""
+    world = start_replacement(seed)
 
+    def kill_driver() -> None:
+        restart(world, world.driver(WATCHED_MACHINE), 6000.0 + 4000.0 * world.draw.random())
 
-def driver_dies(seed: int, step: ReplacementStep) -> Found:
-    """Whoever drives a machine dies soon after a step began."""
-    world = begin(seed)
-    once(world, step, lambda: down(world, world.driver(ONE), 6000.0 + 4000.0 * world.draw.random()))
+    once_at_step(world, step, kill_driver)
     return finish(world)
 
 
-def targets(world: World, both: bool) -> Found:
-    """The target of pins dies having accepted, maybe the mover too."""
-    hit: list[str] = []
+def _target_dies(seed: int, source_dies: bool) -> CaseResult:
+    world = start_replacement(seed)
+    has_run = False
 
-    def hook(mover: str, action: MoveKeys) -> None:
-        if action.machine == ONE and not hit:
-            hit.append(action.target)
-            world.at(world.now + 60.0, lambda: down(world, action.target, 5000.0))
-            if both:
-                world.at(world.now + 100.0 * world.draw.random(), lambda: down(world, mover, 7000.0))
+    def on_move(source: str, action: MoveKeys) -> None:
+        nonlocal has_run
+        if action.machine == WATCHED_MACHINE and not has_run:
+            has_run = True
+            world.call_at(world.now + 60.0, lambda: restart(world, action.target, 5000.0))
+            if source_dies:
+                delay_ms = 100.0 * world.draw.random()
+                world.call_at(world.now + delay_ms, lambda: restart(world, source, 7000.0))
 
-    world.on_move.append(hook)
+    world.move_listeners.append(on_move)
     return finish(world)
 
 
-def target_dies(seed: int) -> Found:
-    """The target dies having accepted."""
-    return targets(begin(seed), False)
+def target_dies(seed: int) -> CaseResult:
+    """The target of moved keys dies after it has accepted them."""
+    return _target_dies(seed, source_dies=False)
 
 
-def both_die(seed: int) -> Found:
-    """Mover and target die."""
-    return targets(begin(seed), True)
+def source_and_target_die(seed: int) -> CaseResult:
+    """The moving host and the target of moved keys die."""
+    return _target_dies(seed, source_dies=True)
 
 
-def power(seed: int, step: ReplacementStep) -> Found:
-    """The power goes at a step: all are killed, registers are kept."""
-    world = begin(seed)
-    once(world, step, lambda: world.power_cut(2000.0))
+def power_cut(seed: int, step: ReplacementStep) -> CaseResult:
+    """Power goes at a step: all processes are killed, registers are durable."""
+    world = start_replacement(seed)
+    once_at_step(world, step, lambda: world.cut_power(2000.0))
     return finish(world)
 
 
-def stopped(seed: int, step: ReplacementStep) -> Found:
-    """The driver stands still for 5 s and goes on with what it believed."""
-    world = begin(seed)
+def driver_pauses(seed: int, step: ReplacementStep) -> CaseResult:
+    """The driver stops for 5 s and goes on with what it knew."""
+    world = start_replacement(seed)
 
-    def stop() -> None:
-        if name := world.driver(ONE):
-            world.stop(name, 5000.0)
+    def pause_driver() -> None:
+        if name := world.driver(WATCHED_MACHINE):
+            world.pause(name, 5000.0)
 
-    once(world, step, stop)
+    once_at_step(world, step, pause_driver)
     return finish(world)
 
 
-def halves(seed: int, *sizes: int) -> Found:
-    """The fleet falls apart for 8 s at some moment."""
+def network_partition(seed: int, *sizes: int) -> CaseResult:
+    """The fleet is partitioned for 8 s at a drawn moment."""
     count = sum(sizes)
-    world = begin(seed, count)
-    when = 2000.0 + 15_000.0 * random.Random(seed).random()
-    world.at(when, lambda: world.part(*random.Random(seed).sample(sizes, len(sizes))))
-    world.at(when + 8000.0, world.part)
+    world = start_replacement(seed, count)
+    begins_at = 2000.0 + 15_000.0 * random.Random(seed).random()
+    world.call_at(begins_at, lambda: world.partition(*random.Random(seed).sample(sizes, len(sizes))))
+    world.call_at(begins_at + 8000.0, world.partition)
     return finish(world, count)
 
 
-def lossy(seed: int) -> Found:
-    """30% of messages lost, operations carried out twice and out of order."""
-    return finish(begin(seed, trouble=BAD), swift=False)
+def lossy_network(seed: int) -> CaseResult:
+    """30% of messages are lost, operations are carried out twice and out of order."""
+    return finish(start_replacement(seed, network_faults=LOSSY_NETWORK), checks_takeovers=False)
 
 
-def two_ask(seed: int) -> Found:
-    """Two people ask for contradicting swaps in the same moment at two sockets."""
-    world = World(seed)
+def contradicting_requests(seed: int) -> CaseResult:
+    """Two operators request contradicting replacements in one moment at two hosts."""
+    world = ReplacementWorld(seed)
     world.run(2000.0 + seed % 100)
-    world.ask("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"))
-    world.at(
+    world.request("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"))
+    world.call_at(
         world.now + seed % 120,
-        lambda: world.ask("d5", "bob", MachineRequest("d4"), MachineRequest("d1", "f1")),
+        lambda: world.request("d5", "bob", MachineRequest("d4"), MachineRequest("d1", "f1")),
     )
     world.run(8000.0)
-    refused = sorted(a.rejection for a in world.answers)
-    if len(refused) != 2 or refused[0] or "already asked" not in refused[1]:
-        world.breach(f"answers {refused}")
-    who = "ann" if any(a.request.requested_by == "ann" and not a.rejection for a in world.answers) else "bob"
-    if len(refused) == 2 and f"by {who}" not in refused[1]:
-        world.breach(f"the refusal names not {who}: {refused[1]}")
-    names = ["d1", "d2"] if who == "ann" else ["d1", "d4"]
-    if not world.run_until(lambda: world.over(*names), LONG):
-        world.breach("not at its end")
+    breach = world.invariants.breach
+    rejections = sorted(a.rejection for a in world.answers)
+    if len(rejections) != 2 or rejections[0] or "already asked" not in rejections[1]:
+        breach(f"answers {rejections}")
+    is_ann_accepted = any(a.request.requested_by == "ann" and not a.rejection for a in world.answers)
+    accepted = "ann" if is_ann_accepted else "bob"
+    if len(rejections) == 2 and f"by {accepted}" not in rejections[1]:
+        breach(f"the refusal names not {accepted}: {rejections[1]}")
+    names = ["d1", "d2"] if is_ann_accepted else ["d1", "d4"]
+    if not world.run_until(lambda: world.are_over(*names), MAX_RUN_MS):
+        breach("not at its end")
     return result(world)
 
 
-def limit(most: float) -> Callable[[Mapping[str, float]], list[str]]:
-    """An outlook that bears so many cores lost."""
+def capacity_limit(max_cores: float) -> CapacityCheck:
+    """A check that permits at most so many cores to be out."""
 
-    def bearable(out: Mapping[str, float]) -> list[str]:
-        lost = sum(out.values())
-        return [f"{lost:g} cores out, {most:g} can be borne"] if lost > most else []
+    def check(cores_out: Mapping[str, float]) -> list[str]:
+        cores = sum(cores_out.values())
+        return [f"{cores:g} cores out, {max_cores:g} can be borne"] if cores > max_cores else []
 
-    return bearable
+    return check
 
 
-def never_comes(seed: int) -> Found:
-    """New hardware never comes: the swap waits and says so, others go on only as far as can be borne."""
-    world = World(seed, hardware=lambda name: None if name == ONE else 1000.0, bearable=limit(8.0))
+def hardware_never_arrives(seed: int) -> CaseResult:
+    """New hardware never arrives: the others go on only as far as capacity permits."""
+    world = ReplacementWorld(
+        seed,
+        arrival_delay_ms=lambda name: None if name == WATCHED_MACHINE else 1000.0,
+        capacity_check=capacity_limit(8.0),
+    )
     world.run(2000.0)
-    world.ask("d0", "ann", *items(), most_out=2, zones=3)
-    world.run_until(lambda: (r := world.record(ONE)) is not None and r.reason is StepReason.NOT_ARRIVED, LONG)
+    world.request("d0", "ann", *machine_requests(), max_out=2, max_zones=3)
+
+    def is_overdue() -> bool:
+        record = world.record(WATCHED_MACHINE)
+        return record is not None and record.reason is StepReason.NOT_ARRIVED
+
+    world.run_until(is_overdue, MAX_RUN_MS)
     before = {n: r.step for n in world.hosts if (r := world.record(n))}
     world.run(world.now + 20_000.0)
     after = {n: r.step for n in world.hosts if (r := world.record(n))}
-    record = world.record(ONE)
-    if (
-        record is None
-        or record.step is not ReplacementStep.OUT
-        or record.reason is not StepReason.NOT_ARRIVED
-    ):
-        world.breach(f"{ONE}: {record}")
+    record = world.record(WATCHED_MACHINE)
+    if record is None or record.step is not ReplacementStep.OUT or not is_overdue():
+        world.invariants.breach(f"{WATCHED_MACHINE}: {record}")
     if before != after:
-        world.breach(f"others went on: {before}, {after}")
+        world.invariants.breach(f"others went on: {before}, {after}")
     return result(world)
 
 
-def smaller(seed: int) -> Found:
-    """One comes with 2 cores of 8: said, and what the outlook no longer bears does not start."""
-    world = World(seed, sizes={ONE: 2.0}, bearable=limit(12.0))
+def smaller_hardware(seed: int) -> CaseResult:
+    """A machine arrives with 2 cores of 8: it is reported, and nothing beyond the capacity starts."""
+    world = ReplacementWorld(
+        seed, replacement_cores={WATCHED_MACHINE: 2.0}, capacity_check=capacity_limit(12.0)
+    )
     world.run(2000.0)
-    world.ask("d0", "ann", *items(), zones=3)
-    world.run_until(lambda: (r := world.record(ONE)) is not None and r.is_over, LONG)
+    world.request("d0", "ann", *machine_requests(), max_zones=3)
+    world.run_until(lambda: (r := world.record(WATCHED_MACHINE)) is not None and r.is_over, MAX_RUN_MS)
     world.run(world.now + 10_000.0)
+    breach = world.invariants.breach
     steps = [r.step for n in world.hosts if (r := world.record(n)) and not r.is_over]
-    if world.whole().machines_out or any(step > ReplacementStep.AGREED for step in steps):
-        world.breach(f"others went on: {steps}")
-    rows = [row for h in world.hosts.values() if h.up and h.swap for row in h.swap.status()]
-    if not any("2 cores of 8" in text for row in rows for text in row.reasons):
-        world.breach("nobody says that it is smaller")
-    if steps and not any("can be borne" in text for row in rows for text in row.reasons):
-        world.breach("nobody says why the others wait")
+    if world.plan().machines_out or any(step > ReplacementStep.AGREED for step in steps):
+        breach(f"others went on: {steps}")
+    coordinators = [h.coordinator for h in world.hosts.values() if h.is_up and h.coordinator]
+    reasons = [reason for c in coordinators for row in c.status() for reason in row.reasons]
+    if not any("2 cores of 8" in reason for reason in reasons):
+        breach("nobody says that it is smaller")
+    if steps and not any("can be borne" in reason for reason in reasons):
+        breach("nobody says why the others wait")
     return result(world)
 
 
-def aborted(seed: int, step: ReplacementStep) -> Found:
-    """One machine's swap is aborted by hand at a step; the others go on."""
-    world = begin(seed)
+def aborted(seed: int, step: ReplacementStep) -> CaseResult:
+    """One machine's replacement is aborted by an operator at a step; the others go on."""
+    world = start_replacement(seed)
 
     def abort() -> None:
-        # Asked at one that stays: one that is powered off a moment later takes the word with it.
-        out = {ONE, *(n for n in world.hosts if machine_id(n) in world.whole().machines_out)}
+        # At a host that stays: one that is powered off a moment later would lose the request.
+        machines_out = world.plan().machines_out
+        leaving = {WATCHED_MACHINE, *(n for n in world.hosts if machine_id(n) in machines_out)}
         for host in world.hosts.values():
-            if host.swap is not None and host.up and ONE in host.swap.view.records and host.name not in out:
-                host.swap.abort(world.now, "bob", "wrong rack", ONE)
+            coordinator = host.coordinator
+            if coordinator is None or not host.is_up or host.name in leaving:
+                continue
+            if WATCHED_MACHINE in coordinator.view.records:
+                coordinator.abort(world.now, "bob", "wrong rack", WATCHED_MACHINE)
                 return
 
-    once(world, step, abort)
-    found = finish(world)
-    record = world.record(ONE)
+    once_at_step(world, step, abort)
+    finished = finish(world)
+    record = world.record(WATCHED_MACHINE)
     if record is None or record.step is not ReplacementStep.ABORTED:
-        world.breach(f"{ONE}: {record}")
-    elif not any(
-        world.hosts[n].up and not world.hosts[n].drained
-        for n in (ONE, record.replacement)
-        if n in world.hosts
-    ):
-        world.breach(f"neither {ONE} nor {record.replacement} serves")
-    return found
-
-
-def zone_lost(seed: int, step: ReplacementStep) -> Found:
-    """A zone is left in the middle, and returns 6 s later."""
-    world = begin(seed)
-    once(world, step, lambda: world.zone_trouble("b", "left"))
-    once(world, step, lambda: world.at(world.now + 6000.0, lambda: world.zone_trouble("b", "")), 0.0)
+        world.invariants.breach(f"{WATCHED_MACHINE}: {record}")
+        return finished
+    hosts = [world.hosts[n] for n in (WATCHED_MACHINE, record.replacement) if n in world.hosts]
+    if not any(host.is_up and not host.is_drained for host in hosts):
+        world.invariants.breach(f"neither {WATCHED_MACHINE} nor {record.replacement} serves")
+    return finished
+
+
+def zone_evacuated(seed: int, step: ReplacementStep) -> CaseResult:
+    """A zone is evacuated during the replacement, and returns 6 s later."""
+    world = start_replacement(seed)
+    once_at_step(world, step, lambda: world.set_zone_trouble("b", "left"))
+
+    def schedule_return() -> None:
+        world.call_at(world.now + 6000.0, lambda: world.set_zone_trouble("b", ""))
+
+    once_at_step(world, step, schedule_return, 0.0)
     return finish(world)
 
 
-def author_dies(seed: int) -> Found:
-    """Whoever lays a request dies in the middle: all of it stands, or nothing; then it is asked again."""
-    world = begin(seed)
-    world.at(world.now + 100.0 * random.Random(seed).random(), lambda: down(world, "d0", 4000.0))
+def submitting_host_dies(seed: int) -> CaseResult:
+    """The host that writes a request dies meanwhile: it is there as a whole or not at all; then a retry."""
+    world = start_replacement(seed)
+    dies_at = world.now + 100.0 * random.Random(seed).random()
+    world.call_at(dies_at, lambda: restart(world, "d0", 4000.0))
     world.run(world.now + 9000.0)
-    if world.whole().state is not PlanState.OPEN:
-        world.breach("still locked")
-    if not world.whole().first_machine:
-        world.ask("d5", "ann", *items(), most_out=2)
+    if world.plan().state is not PlanState.OPEN:
+        world.invariants.breach("still locked")
+    if not world.plan().first_machine:
+        world.request("d5", "ann", *machine_requests(), max_out=2)
     return finish(world)
 
 
-def majority_stays(seed: int) -> Found:
-    """Four of five may be out at once, but for the voters."""
-    world = World(seed, 5)
+def four_of_five_at_once(seed: int) -> CaseResult:
+    """Four of five may be out at once, if the voters' majority did not forbid it."""
+    world = ReplacementWorld(seed, 5)
     world.run(2000.0)
-    world.ask("d0", "ann", *items(5), most_out=4, zones=3)
+    world.request("d0", "ann", *machine_requests(5), max_out=4, max_zones=3)
     return finish(world, 5)
 
 
-def empty_voter(seed: int) -> Found:
-    """New ones come with an empty folder and may not vote for 6 s."""
-    world = World(seed, empty=6000.0)
+def empty_folders(seed: int) -> CaseResult:
+    """New machines arrive with an empty folder and may not vote for 6 s."""
+    world = ReplacementWorld(seed, voting_delay_ms=6000.0)
     world.run(2000.0)
-    world.ask("d0", "ann", *items(), most_out=2)
+    world.request("d0", "ann", *machine_requests(), max_out=2)
     return finish(world)
 
 
-def storm(seed: int) -> Found:
-    """Kills, stops and a parting at random moments under loss, then peace."""
-    world, draw = begin(seed, trouble=BAD), random.Random(seed)
+def random_faults(seed: int) -> CaseResult:
+    """Kills, pauses and a partition at drawn moments while messages are lost, then calm."""
+    world, draw = start_replacement(seed, network_faults=LOSSY_NETWORK), random.Random(seed)
     for _ in range(draw.randint(2, 5)):
         when = 2500.0 + 20_000.0 * draw.random()
         name = f"d{draw.randrange(8)}"
-        fault = draw.choice(("kill", "stop", "part"))
+        fault = draw.choice(("kill", "pause", "partition"))
         if fault == "kill":
-            world.at(when, lambda name=name: down(world, name, 5000.0))  # type: ignore[misc]
-        elif fault == "stop":
-            world.at(when, lambda name=name: world.stop(name, 5000.0))  # type: ignore[misc]
+            world.call_at(when, lambda name=name: restart(world, name, 5000.0))  # type: ignore[misc]
+        elif fault == "pause":
+            world.call_at(when, lambda name=name: world.pause(name, 5000.0))  # type: ignore[misc]
         else:
-            world.at(when, lambda: world.part(3, 5))
-            world.at(when + 3 * NOTICE, world.part)
-    return finish(world, swift=False)
+            world.call_at(when, lambda: world.partition(3, 5))
+            world.call_at(when + 3 * DEATH_NOTICE_MS, world.partition)
+    return finish(world, checks_takeovers=False)
 
 
-def _stepped(case: Callable[[int, ReplacementStep], Found]) -> dict[str, Callable[[int], Found]]:
-    name = case.__name__.replace("_", " ")
+def _at_each_step(name: str, case: Callable[[int, ReplacementStep], CaseResult]) -> dict[str, Case]:
     return {f"{name}: {step.name.lower()}": lambda seed, step=step: case(seed, step) for step in STEPS}  # type: ignore[misc]
 
 
-CASES: dict[str, Callable[[int], Found]] = {
-    "calm": calm,
-    **_stepped(driver_dies),
+CASES: dict[str, Case] = {
+    "calm": no_fault,
+    **_at_each_step("driver dies", driver_dies),
     "target dies": target_dies,
-    "mover and target die": both_die,
-    **_stepped(power),
-    **_stepped(stopped),
-    "parted 3/3": lambda seed: halves(seed, 3, 3),
-    "parted 2/3/3": lambda seed: halves(seed, 2, 3, 3),
-    "30% lost, twice, disorder": lossy,
-    "two contradicting requests": two_ask,
-    "hardware never comes": never_comes,
-    "smaller hardware": smaller,
-    **_stepped(aborted),
-    **_stepped(zone_lost),
-    "author dies": author_dies,
-    "empty folder": empty_voter,
-    "four at once": majority_stays,
-    "storm": storm,
+    "mover and target die": source_and_target_die,
+    **_at_each_step("power", power_cut),
+    **_at_each_step("stopped", driver_pauses),
+    "parted 3/3": lambda seed: network_partition(seed, 3, 3),
+    "parted 2/3/3": lambda seed: network_partition(seed, 2, 3, 3),
+    "30% lost, twice, disorder": lossy_network,
+    "two contradicting requests": contradicting_requests,
+    "hardware never comes": hardware_never_arrives,
+    "smaller hardware": smaller_hardware,
+    **_at_each_step("aborted", aborted),
+    **_at_each_step("zone lost", zone_evacuated),
+    "author dies": submitting_host_dies,
+    "empty folder": empty_folders,
+    "four at once": four_of_five_at_once,
+    "storm": random_faults,
 }
--- a/cottonhold/emulator/rolling_replacement_defects.py
+++ b/cottonhold/emulator/rolling_replacement_defects.py
@@ -1,93 +1,114 @@
-"""Defects planted into the swap on purpose: the model's checks have to notice each."""
+"""Defects planted into the rolling replacement on purpose: the model's checks have to notice each."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from contextlib import contextmanager
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 
-from cottonhold.fleet.rolling_replacement import start_conditions, step_decision
+from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.machine_driver import MachineDriver
 from cottonhold.fleet.rolling_replacement.plan import ReplacementStep
 from cottonhold.fleet.rolling_replacement.schedule import Limits
+from cottonhold.fleet.rolling_replacement.start_conditions import StartConditions
 
-_limits = start_conditions.StartConditions._limits
+_limits = StartConditions._limits
 
 
-def _spare(*given: Any) -> Limits:
-    return replace(_limits(*given), spare_voters=99)
+@dataclass(slots=True, frozen=True)
+class Patch:
+    """A value to put into an attribute, or under a key of a table."""
 
+    target: Any
+    key: Any
+    value: Any
 
-def _zones(*given: Any) -> Limits:
-    return replace(_limits(*given), max_zones=9)
+    def apply(self) -> Patch:
+        """Put the value there; return the patch that restores the former one."""
+        if isinstance(self.target, dict):
+            original = self.target[self.key]
+            self.target[self.key] = self.value
+        else:
+            original = getattr(self.target, self.key)
+            setattr(self.target, self.key, self.value)
+        return Patch(self.target, self.key, original)
+
+
+@dataclass(slots=True, frozen=True)
+class Defect:
+    """A defect: the case that shows it, a part of the breach that is then reported, and its patches."""
+
+    case: str
+    breach: str
+    patches: tuple[Patch, ...]
+
+
+@contextmanager
+def planted_defect(defect: Defect) -> Iterator[None]:
+    """Apply a defect's patches, and undo them at the end."""
+    originals = [patch.apply() for patch in defect.patches]
+    try:
+        yield
+    finally:
+        for original in originals:
+            original.apply()
+
+
+def _limits_without_quorum(*args: Any) -> Limits:
+    return replace(_limits(*args), spare_voters=99)
+
+
+def _limits_without_zones(*args: Any) -> Limits:
+    return replace(_limits(*args), max_zones=9)
 
 
-def _unmoved(name: str, record: Any, view: Any, settings: Any) -> step_decision.StepDecision:
+def _drain_at_once(name: str, record: Any, view: Any, settings: Any) -> step_decision.StepDecision:
     return step_decision.StepDecision(replace(record, step=ReplacementStep.DRAINING))
 
 
-def _count_of_before(name: str, record: Any, view: Any, settings: Any) -> step_decision.StepDecision:
-    pins = 0 if view.remaining_keys is None else view.remaining_keys
-    return step_decision._draining(name, record, replace(view, remaining_keys=pins), settings)
+def _drain_with_old_key_count(name: str, record: Any, view: Any, settings: Any) -> step_decision.StepDecision:
+    remaining_keys = 0 if view.remaining_keys is None else view.remaining_keys
+    return step_decision._draining(name, record, replace(view, remaining_keys=remaining_keys), settings)
 
 
-# name -> the case that shows it, what the check says, and what is put in whose place
-DEFECTS: dict[str, tuple[str, str, list[tuple[Any, str, Any]]]] = {
-    "no epoch fence": (
-        "stopped: moving",
-        "under epoch",
-        [(MachineDriver, "_is_sole_driver", lambda *a: True)],
+def _always(*args: Any) -> bool:
+    return True
+
+
+def _never(*args: Any) -> bool:
+    return False
+
+
+DEFECTS: dict[str, Defect] = {
+    "no epoch fence": Defect(
+        "stopped: moving", "under epoch", (Patch(MachineDriver, "_is_sole_driver", _always),)
     ),
-    "no quorum check": (
+    "no quorum check": Defect(
         "four at once",
         "goes out and leaves",
-        [
-            (start_conditions.StartConditions, "_limits", _spare),
-            (MachineDriver, "_keeps_quorum", lambda *a: True),
-        ],
+        (
+            Patch(StartConditions, "_limits", _limits_without_quorum),
+            Patch(MachineDriver, "_keeps_quorum", _always),
+        ),
     ),
-    "start while a zone is out": (
+    "start while a zone is out": Defect(
         "zone lost: moving",
         "is in trouble",
-        [(MachineDriver, "_blocked_reasons", lambda *a: [])],
+        (Patch(MachineDriver, "_blocked_reasons", lambda *args: []),),
     ),
-    "two zones at once": (
-        "calm",
-        "in more than 1 zones",
-        [(start_conditions.StartConditions, "_limits", _zones)],
+    "two zones at once": Defect(
+        "calm", "in more than 1 zones", (Patch(StartConditions, "_limits", _limits_without_zones),)
+    ),
+    "drained before its pins are moved": Defect(
+        "calm", "pins", (Patch(step_decision.STEPS, ReplacementStep.MOVING, _drain_at_once),)
     ),
-    "drained before its pins are moved": ("calm", "pins", [(step_decision.STEPS, "MOVING", _unmoved)]),
-    "a count of the step before": (
+    "a count of the step before": Defect(
         "calm",
         "with its place in the table",
-        [(step_decision.STEPS, "DRAINING", _count_of_before)],
+        (Patch(step_decision.STEPS, ReplacementStep.DRAINING, _drain_with_old_key_count),),
     ),
-    "nobody takes over": (
-        "driver dies: out",
-        "not at its end",
-        [(MachineDriver, "_is_undriven", lambda *a: False)],
+    "nobody takes over": Defect(
+        "driver dies: out", "not at its end", (Patch(MachineDriver, "_is_undriven", _never),)
     ),
 }
-
-
-@contextmanager
-def planted(name: str) -> Iterator[tuple[str, str]]:
-    """With this defect in place: the case that shows it, and what its check says."""
-    case, says, puts = DEFECTS[name]
-    before: list[tuple[Any, Any, Any]] = []
-    for where, key, value in puts:
-        if isinstance(where, dict):
-            before.append((where, ReplacementStep[key], where[ReplacementStep[key]]))
-            where[ReplacementStep[key]] = value
-        else:
-            before.append((where, key, getattr(where, key)))
-            setattr(where, key, value)
-    try:
-        yield case, says
-    finally:
-        for where, key, value in before:
-            if isinstance(where, dict):
-                where[key] = value
-            else:
-                setattr(where, key, value)
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -10,7 +10,8 @@
 
 from cottonhold.discovery.model import EngineListChange
 from cottonhold.discovery.quarantine import Quarantine
-from cottonhold.emulator.engine_replacement_cases import CASES, DEFECTS, planted
+from cottonhold.emulator.engine_replacement_cases import CASES, DEFECTS
+from cottonhold.emulator.rolling_replacement_defects import planted_defect
 from cottonhold.fleet.engine_drain import (
     MAX_ROWS,
     CheckLiveness,
@@ -349,6 +350,7 @@
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_is_noticed(name: str) -> None:
-    with planted(name) as (case, says):
-        found = CASES[case](1)
-    assert any(says in breach for breach in found), found
+    defect = DEFECTS[name]
+    with planted_defect(defect):
+        breaches = CASES[defect.case](1)
+    assert any(defect.breach in breach for breach in breaches), breaches
--- a/tests/fleet/test_rolling_replacement.py
+++ b/tests/fleet/test_rolling_replacement.py
@@ -10,9 +10,10 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator import rolling_replacement_cases
-from cottonhold.emulator.rolling_replacement import Trouble, World
+from cottonhold.emulator.replacement_fleet import NetworkFaults
+from cottonhold.emulator.rolling_replacement import ReplacementWorld
 from cottonhold.emulator.rolling_replacement_cases import CASES
-from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted
+from cottonhold.emulator.rolling_replacement_defects import DEFECTS, planted_defect
 from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
 from cottonhold.fleet.consensus.register_cache import RegisterCache
 from cottonhold.fleet.message_format import MessageError
@@ -153,11 +154,11 @@
 
 
 def test_a_malformed_register_is_counted_and_nothing_is_done() -> None:
-    world = World(1, 3)
+    world = ReplacementWorld(1, 3)
     world.registers["swap"] = 1, b"\x01garbage"
     world.run(3000.0)
-    swap = world.hosts["d0"].swap
-    assert swap is not None and swap.malformed_count and not swap.status()
+    coordinator = world.hosts["d0"].coordinator
+    assert coordinator is not None and coordinator.malformed_count and not coordinator.status()
 
 
 # All of them, each at each step, are played by benchmarks/fleet/swap.py.
@@ -176,37 +177,48 @@
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_is_noticed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rolling_replacement_cases, "LONG", 30_000.0)
-    with planted(name) as (case, says):
-        found = CASES[case](2)
-    assert any(says in breach for breach in found.breaches), found.breaches
+    monkeypatch.setattr(rolling_replacement_cases, "MAX_RUN_MS", 30_000.0)
+    defect = DEFECTS[name]
+    with planted_defect(defect):
+        found = CASES[defect.case](2)
+    assert any(defect.breach in breach for breach in found.breaches), found.breaches
 
 
 def test_the_whole_run_is_the_same_again_from_its_seed() -> None:
     def play() -> tuple[object, ...]:
-        world = World(5, 4, Trouble(loss=0.2))
+        world = ReplacementWorld(5, 4, NetworkFaults(loss=0.2))
         world.run(2000.0)
-        world.ask("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"))
+        world.request("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"))
         world.run(12_000.0)
-        return world.registers, world.says
+        return world.registers, world.logged_steps
 
     assert play() == play()
 
 
 def test_operators_read_where_each_machine_stands_and_why_it_waits() -> None:
-    world = World(2, 4)
+    world = ReplacementWorld(2, 4)
     world.run(2000.0)
-    world.ask("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"), MachineRequest("d3"))
+    world.request("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"), MachineRequest("d3"))
     world.run(3500.0)
     rows = {
-        r.machine: r for h in world.hosts.values() if h.up and h.swap for r in h.swap.status() if r.reasons
+        r.machine: r
+        for h in world.hosts.values()
+        if h.is_up and h.coordinator
+        for r in h.coordinator.status()
+        if r.reasons
     }
     assert set(rows) == {"d1", "d2", "d3"} and all(
         r.requested_by == "ann" and r.driver for r in rows.values()
     )
-    waits = [text for h in world.hosts.values() if h.swap for r in h.swap.status() for text in r.reasons]
+    waits = [
+        text
+        for h in world.hosts.values()
+        if h.coordinator
+        for r in h.coordinator.status()
+        for text in r.reasons
+    ]
     assert any("1 at once (out: " in text for text in waits)
-    swap = world.hosts["d0"].swap
-    assert swap is not None
+    coordinator = world.hosts["d0"].coordinator
+    assert coordinator is not None
     with pytest.raises(PlanError, match="no swap of 'd0' runs"):
-        swap.abort(world.now, "ann", "typo", "d0")
+        coordinator.abort(world.now, "ann", "typo", "d0")
