--- a/cottonhold/node/standalone/adapter_factory.py
+++ b/cottonhold/node/standalone/adapter_factory.py
@@ -64,7 +64,7 @@
             self.dispatcher.gateway.push,
             self.log_event,
             self.dispatcher.engines.check_health,
-            self.installation().file.number,
+            self.installation().file.dispatcher_index,
         )
 
     def recovery(
--- a/cottonhold/node/standalone/consul_sources.py
+++ b/cottonhold/node/standalone/consul_sources.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from cottonhold.config import schema
-from cottonhold.config.installation import Watched
+from cottonhold.config.sections import ConsulSource
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.watch import Watch
 from cottonhold.discovery.model import Event
@@ -16,7 +16,7 @@
 from cottonhold.node.http_client import Tls
 
 
-def client_tls(section: schema.Tls | None) -> Tls | None:
+def client_tls(section: schema.TlsConfig | None) -> Tls | None:
     """A configuration's TLS section as the HTTP client takes it."""
     if section is None:
         return None
@@ -27,7 +27,7 @@
 class RunningWatch:
     """A source that is followed."""
 
-    watched: Watched
+    watched: ConsulSource
     watch: Watch
     task: asyncio.Task[None]
 
@@ -40,19 +40,21 @@
         self.counters, self.log, self.on_events = dispatcher.counters, dispatcher.log, on_events
         self.running: dict[str, RunningWatch] = {}  # by name of the source
 
-    def follow(self, watched: Watched) -> None:
+    def follow(self, watched: ConsulSource) -> None:
         """Follow a source from now on."""
-        name = watched.settings.name
-        answers = Answers(self.config.names, watched.reading, lambda reason: self._on_malformed(name, reason))
-        watch = Watch(watched.settings, answers, self.config.seed)
+        name = watched.watch_settings.name
+        answers = Answers(
+            self.config.names, watched.interpretation, lambda reason: self._on_malformed(name, reason)
+        )
+        watch = Watch(watched.watch_settings, answers, self.config.seed)
         work = consul_client.follow(
             self.event_loop, watch, client_tls(watched.tls), self.on_events, self.counters
         )
         self.running[name] = RunningWatch(watched, watch, self.event_loop.spawn(work))
 
-    def replace_changed(self, sources: Sequence[Watched]) -> None:
+    def replace_changed(self, sources: Sequence[ConsulSource]) -> None:
         """Stop sources that are not configured any more, and follow those anew whose settings changed."""
-        configured = {watched.settings.name: watched for watched in sources}
+        configured = {watched.watch_settings.name: watched for watched in sources}
         for name, running in list(self.running.items()):
             watched = configured.get(name)
             if watched is None:
@@ -62,10 +64,10 @@
                 running.task.cancel()
                 self.follow(watched)  # its first answer is a complete list, compared with all that is claimed
 
-    def follow_new(self, sources: Sequence[Watched]) -> None:
+    def follow_new(self, sources: Sequence[ConsulSource]) -> None:
         """Follow sources that are not followed yet."""
         for watched in sources:
-            if watched.settings.name not in self.running:
+            if watched.watch_settings.name not in self.running:
                 self.follow(watched)
 
     def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -10,8 +10,13 @@
 from collections.abc import Awaitable, Iterable, Mapping
 from pathlib import Path
 
-from cottonhold.config import schema
-from cottonhold.config.installation import Installation, UnusableConfigError, known_report, read
+from cottonhold.config.installation import (
+    Installation,
+    UnusableConfigError,
+    changed_keys,
+    initial_report,
+    read_installation,
+)
 from cottonhold.discovery.consul.registration import Registration
 from cottonhold.discovery.model import Address, EngineListChange, Event, PublishChange
 from cottonhold.fleet.engine_drain import DrainRecords, DrainSettings
@@ -75,7 +80,7 @@
             self.counters,
             self.log.note,
         )
-        self.operator_calls = OperatorCalls(self, installation.file.metrics)
+        self.operator_calls = OperatorCalls(self, installation.file.has_metrics)
         ledger = self.ledger_access.ledger()
         if installation.file.membership is not None:
             self._make_membership(ledger)
@@ -154,7 +159,7 @@
         self.rolling_replacement = self.adapters.rolling_replacement(
             ledger, membership, fleet, recovery, drains
         )
-        if file.fleet is not None and file.fleet.pins:
+        if file.fleet is not None and file.fleet.has_session_affinity:
             self.session_affinity = self.adapters.session_affinity(
                 ledger, membership, fleet, recovery, self.rolling_replacement
             )
@@ -235,10 +240,10 @@
 
     def publish_initial_engines(self) -> None:
         """Publish the configured and the cached engines, until a source has answered."""
-        observations = self.installation.known
+        observations = self.installation.initial_engines
         if self.engine_cache is not None:
             observations = self.engine_cache.observations(observations)
-            cached_count = len(observations) - len(self.installation.known)
+            cached_count = len(observations) - len(self.installation.initial_engines)
             self.log.note("cached_engines_loaded", engines=cached_count)
         if observations:
             now = self.event_loop.clock.now()
@@ -254,10 +259,10 @@
         """Publish the engines known so far, follow all sources, register, and start the fleet's parts."""
         if self.installation.file.sources:
             self.publish_initial_engines()
-        elif self.installation.known:
-            self.on_discovery_events([known_report(self.installation)])
+        elif self.installation.initial_engines:
+            self.on_discovery_events([initial_report(self.installation)])
         super().follow_sources()
-        for watched in self.installation.watched:
+        for watched in self.installation.consul_sources:
             self.consul_sources.follow(watched)
         self._register()
         if self.membership is not None:
@@ -328,7 +333,7 @@
     def reload(self) -> None:
         """Read the configuration again. One that can't be used changes nothing; its problems are logged."""
         try:
-            new = read(self.path)
+            new = read_installation(self.path)
         except UnusableConfigError as error:
             self.counters.add("reloads_failed")
             for problem in error.problems:
@@ -337,20 +342,16 @@
         self.counters.add("reloads")
         old, self.installation = self.installation, new
         log = new.file.log
-        self.structured_log.reset(log.format, log.per_second, log.burst, new.secrets)
-        unapplied = [
-            field
-            for field in schema.File.__struct_fields__
-            if field not in RELOADED_SECTIONS and getattr(old.file, field) != getattr(new.file, field)
-        ]
+        self.structured_log.reset(log.format, log.lines_per_second, log.burst_lines, new.secrets)
+        unapplied = [key for key in changed_keys(old.file, new.file) if key not in RELOADED_SECTIONS]
         self.log.note("config_reloaded", restart_needed_for=",".join(unapplied) or "nothing")
         self._reload_sources(new)
         self._reload_registration(old, new)
 
     def _reload_sources(self, new: Installation) -> None:
-        self.consul_sources.replace_changed(new.watched)
+        self.consul_sources.replace_changed(new.consul_sources)
         self._publish(self.engine_catalog.reload(self.event_loop.clock.now(), new.sources))
-        self.consul_sources.follow_new(new.watched)
+        self.consul_sources.follow_new(new.consul_sources)
         if self.event_stream_task is not None:
             self.event_stream_task.cancel()
             self.event_stream_task = None
@@ -371,15 +372,15 @@
 def serve(path: Path) -> int:
     """Run one dispatcher by its configuration; returns 2 if that can't be used, 1 if its address can't."""
     try:
-        installation = read(path)
+        installation = read_installation(path)
     except UnusableConfigError as error:
         print(error, file=sys.stderr)
         return 2
     settings = installation.file.log
     log = StructuredLog(
         settings.format,
-        settings.per_second,
-        settings.burst,
+        settings.lines_per_second,
+        settings.burst_lines,
         installation.secrets,
         name=installation.file.name,
     )
