--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -31,7 +31,6 @@
 from cottonhold.emulator.fault_injection.defects import DEFECTS
 from cottonhold.emulator.fault_injection.event_log import LogLine
 from cottonhold.emulator.fault_injection.harness import ScenarioRun, ScenarioRunError
-from cottonhold.emulator.fault_injection.machines import Machines
 from cottonhold.emulator.fault_injection.power_losses import (
     ObservedPowerLoss,
     PowerLoss,
@@ -85,9 +84,8 @@
     def __init__(
         self, day: Scenario, folder: Path, guard: bool = True, defect: str = "", forks: bool = True
     ) -> None:
-        super().__init__(day, folder, forks=forks)
+        super().__init__(day, folder, forks=forks, defect=defect)
         self.guard, self.tally = guard, Tally()
-        self.machines = Machines(folder, defect=defect)
         self.read: dict[str, int] = {}  # bytes of each ledger that were taken in
         self.cut_at: list[float] = []
         self.cuts: list[PowerLoss] = []
@@ -96,8 +94,8 @@
         self.late = 0
         self.stood: list[tuple[float, float]] = []
 
-    def _config(self, name: str) -> dict[str, Any]:
-        config = super()._config(name)
+    def instance_config(self, name: str) -> dict[str, Any]:
+        config = super().instance_config(name)
         if not self.guard:
             del config["state_dir"]
         for kind in config["classes"]:
@@ -131,7 +129,7 @@
         """Take all ledgers in, and tell at once of loads that ran twice."""
         self.tally.clients(self._news("clients"))
         known = len(self.tally.twice)
-        for name in self.day.engine_names():
+        for name in self.scenario.engine_names():
             self.tally.engine(name, self._news(name))
         for number in self.tally.twice[known:]:
             self.found(
@@ -142,7 +140,10 @@
         """A finding, with its seed and story."""
         self.findings.append(what)
         print(
-            f"FOUND seed {self.day.seed}, after cut {len(self.cut_at)}: {what}", *more, sep="\n  ", flush=True
+            f"FOUND seed {self.scenario.seed}, after cut {len(self.cut_at)}: {what}",
+            *more,
+            sep="\n  ",
+            flush=True,
         )
 
     # --- one cut ---
@@ -181,7 +182,7 @@
 
     async def moment(self, cut: PowerLoss, back: asyncio.Task[None], since: float) -> None:
         """Wait for the moment at which power goes."""
-        before = self.cuts[-1].order if self.cuts else tuple(self.day.instance_names())
+        before = self.cuts[-1].order if self.cuts else tuple(self.scenario.instance_names())
         if cut.when is PowerLossMoment.RECOVERY:
             await self._there(before)
         elif cut.when is not PowerLossMoment.START:
@@ -202,7 +203,7 @@
     def power(self, cut: PowerLoss, before: tuple[str, ...]) -> None:
         """All is killed; what is wrong with folders and clocks, and how the disks will be."""
         at = time.monotonic()
-        self.faults.power_now("*")
+        self.fault_injector.cut_power("*")
         self.look()
         self.tally.power(at)
         self.cut_at.append(at)
@@ -218,12 +219,12 @@
             if name:
                 change(name)
         self.machines.clocks = dict(cut.clocks)
-        for name in self.day.instance_names():
+        for name in self.scenario.instance_names():
             self.machines.set_disk(name, "well", leak=cut.leak, seed=cut.number * 10 + int(name[1:]))
 
     async def whole(self) -> None:
         """All that are to be there are there, and send loads. A finding if they don't come."""
-        names = self.cuts[-1].order if self.cuts else tuple(self.day.instance_names())
+        names = self.cuts[-1].order if self.cuts else tuple(self.scenario.instance_names())
 
         def holds() -> bool:
             if not self.guard:
@@ -254,8 +255,8 @@
             await self.start()
             back = asyncio.create_task(asyncio.sleep(0.0))
             since = time.monotonic()
-            for cut in PowerLossDraw(self.day.seed, self.day.instance_names()).cuts(count):
-                if time.monotonic() - self.started_at > self.day.seconds - LAST_S:
+            for cut in PowerLossDraw(self.scenario.seed, self.scenario.instance_names()).cuts(count):
+                if time.monotonic() - self.started_at > self.scenario.seconds - LAST_S:
                     break  # clients come no longer: more fleets, then, for as many cuts
                 await self.moment(cut, back, since)
                 back.cancel()
@@ -263,7 +264,7 @@
                 await asyncio.sleep(cut.dark)
                 since = time.monotonic()
                 back = asyncio.create_task(self.come_back(cut))
-                print(f"seed {self.day.seed}: {cut}; loads {len(self.tally.loads)}", flush=True)
+                print(f"seed {self.scenario.seed}: {cut}; loads {len(self.tally.loads)}", flush=True)
             await back
             await self._served(since)
             await asyncio.sleep(PATIENCE_S + 2.0)
@@ -286,7 +287,7 @@
             for at, until in zip(self.cut_at, [*self.cut_at[1:], float("inf")], strict=True)
         ]
         kept = {
-            "seed": self.day.seed,
+            "seed": self.scenario.seed,
             "loads": len(self.tally.loads),
             "twice": self.tally.twice,
             "sent_again": sum(len(load.gets) > 1 for load in self.tally.loads.values()),
--- a/benchmarks/fleet/trials.py
+++ b/benchmarks/fleet/trials.py
@@ -18,7 +18,8 @@
 
 from cottonhold.emulator.fault_injection.checker import summary
 from cottonhold.emulator.fault_injection.event_log import BIN_S, Verdict
-from cottonhold.emulator.fault_injection.harness import play, recheck_run
+from cottonhold.emulator.fault_injection.harness import play
+from cottonhold.emulator.fault_injection.run_folder import recheck_run
 from cottonhold.emulator.fault_injection.scenarios import SCENARIOS, without_admission, without_fleet
 from cottonhold.emulator.fault_injection.script import Scenario
 
--- a/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
+++ b/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
@@ -44,7 +44,7 @@
     return tuple(f for t in targets for f in (Fault(OUT, "power", t), Fault(BACK, "start", t)))
 
 
-SLOW = (Fault(OUT, "traits", "a", words={"slow": 10}), Fault(BACK, "traits", "a", words={"slow": 1}))
+SLOW = (Fault(OUT, "traits", "a", options={"slow": 10}), Fault(BACK, "traits", "a", options={"slow": 1}))
 
 SCENARIOS = [
     failover_cost_scenario("outlook-calm", "nothing fails where zones are apart"),
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -1,4 +1,4 @@
-"""Carries out what a day's faults say: on processes, links, datagrams, the source of the list, machines."""
+"""Injects the faults of a scenario: on processes, links, datagrams, the engine list's source, machines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 import signal
 import subprocess
 import time
-from collections.abc import Callable, Coroutine
+from collections.abc import Awaitable, Callable, Coroutine
 from typing import TYPE_CHECKING, Any
 
 from cottonhold.emulator.consul.script import Step
-from cottonhold.emulator.fault_injection.links import Link, NetworkPath
+from cottonhold.emulator.fault_injection.instance_config import MEMBERSHIP_KEY
+from cottonhold.emulator.fault_injection.network import link_state
 from cottonhold.emulator.fault_injection.operators import Operators
 from cottonhold.emulator.fault_injection.script import Fault
-from cottonhold.emulator.fault_injection.zone_distances import distance_ms, zone_of
 from cottonhold.fleet.zone_failover.messages import (
     MemberReport,
     Vote,
@@ -30,185 +30,197 @@
 if TYPE_CHECKING:
     from cottonhold.emulator.fault_injection.harness import ScenarioRun
 
-KEY = b"a shared key of the rig"
-
-
-class Faults:
-    """The faults of one run."""
+ORDER_DURATION_MS = 60_000
+SHUTDOWN_TIMEOUT_S = 10.0  # after SIGTERM, until a process is killed
+FORGERY_INTERVAL_S = 0.1
+# Versions of forged reports: above those that an instance gives its own within a run.
+FORGED_VERSIONS = range(1_000_000, 2_000_000)
+FORGED_CONFIDENCE = 200
+FORGED_REPORT_BYTES = 200
+SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP, "go": signal.SIGCONT}
+CUTTING_OPTIONS = ("cut", "forth", "back", "refuse", "reset")
+Handler = Callable[[Fault], Awaitable[None] | None]
+
+
+class FaultInjector:
+    """Injects the faults of one run. Some go on in the background until `stop`."""
+
+    def __init__(self, run: ScenarioRun) -> None:
+        self.run = run
+        self.background_tasks: list[asyncio.Task[None]] = []
+        self.handlers: dict[str, Handler] = {
+            "link": self._on_link,
+            "door": self._on_client_link,
+            "source": self._on_source_link,
+            "peers": self._on_peers,
+            "forge": self._on_forge,
+            "replay": self._on_replay,
+            "order": self._on_order,
+            "traits": self._on_traits,
+            "drain": self._on_drain,
+            "undrain": self._on_drain,
+            "power": lambda fault: self.cut_power(fault.target),
+            "swap": self._on_swap,
+            "start": self._on_start,
+            "end": self._on_end,
+            "twice": self._on_duplicate,
+        }
+        self.handlers |= dict.fromkeys(SIGNALS, self._on_signal)
+        self.handlers |= dict.fromkeys(("keep", "empty", "old", "disk", "clock"), self._on_machine)
 
-    def __init__(self, trial: ScenarioRun) -> None:
-        self.trial = trial
-        self.works: list[asyncio.Task[None]] = []  # what goes on beside the day's other faults
+    async def apply(self, fault: Fault) -> None:
+        """Inject one fault, and wait until it is in effect."""
+        pending = self.handlers[fault.verb](fault)
+        if pending is not None:
+            await pending
 
     def stop(self) -> None:
-        """Nothing further."""
-        for work in self.works:
-            work.cancel()
-
-    def _work(self, what: Coroutine[Any, Any, None]) -> None:
-        self.works.append(asyncio.create_task(what))
-
-    async def apply(self, fault: Fault) -> None:
-        """Carry one fault out."""
-        verbs: dict[str, Callable[[Fault], Any]] = {
-            "link": self._fault_links,
-            "door": self._fault_client_links,
-            "order": self._order,
-            "traits": lambda f: self._each(f, lambda name: self._set_traits(name, f.words)),
-            "peers": self._peers,
-            "forge": lambda f: self._work(self._lie(f.target, f.words["zone"])),
-            "replay": lambda f: self._replay(),
-            "source": self._fault_sources,
-            "drain": lambda f: self._each(f, lambda name: self._drain("drain", name)),
-            "undrain": lambda f: self._each(f, lambda name: self._drain("undrain", name)),
-            "power": lambda f: self.power_now(f.target),
-            "swap": lambda f: self._work(Operators(self.trial, f.target, f.words).run()),
-            "end": self._end,
-            "twice": lambda f: self._each(f, self.trial.start_duplicate),
-        }
-        for verb in ("kill", "start", "stop", "go"):
-            verbs[verb] = lambda f: self._each(f, lambda name: self._process(f.verb, name))
-        for verb in ("keep", "empty", "old", "disk", "clock"):
-            verbs[verb] = lambda f: self._each(
-                f, lambda name: self.trial.machines.apply(f.verb, name, f.words)
-            )
-        done = verbs[fault.verb](fault)
-        if asyncio.iscoroutine(done):
-            await done
-
-    def _each(self, fault: Fault, act: Callable[[str], None]) -> None:
-        for name in self.trial.day.pick(fault.target):
-            act(name)
-
-    async def _fault_links(self, fault: Fault) -> None:
-        for name in self.trial.day.pick(fault.target):
-            for engine in self.trial.day.pick(fault.other):
-                if (link := self.trial.engine_links.get(f"{name}>{engine}")) is not None:
-                    await link.set(link_of(fault.words, self.distance_ms(name, engine)))
-
-    async def _fault_client_links(self, fault: Fault) -> None:
-        for name in self.trial.day.pick(fault.target):
-            if name in self.trial.client_links:
-                await self.trial.client_links[name].set(link_of(fault.words))
-
-    async def _fault_sources(self, fault: Fault) -> None:
-        for name in self.trial.day.pick(fault.target):
-            if name in self.trial.source_links:
-                await self.trial.source_links[name].set(link_of(fault.words))
-                cut = any(fault.words.get(word) for word in ("cut", "forth", "back", "refuse", "reset"))
-                self.trial.marks.append((time.monotonic(), "deaf" if cut else "hears", name))
-
-    async def _order(self, fault: Fault) -> None:
-        call = {"call": "order", "for_ms": 60_000, "who": "rig", "why": "a trial", **fault.words}
+        """End the faults that go on in the background."""
+        for task in self.background_tasks:
+            task.cancel()
+
+    def _run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
+        self.background_tasks.append(asyncio.create_task(work))
+
+    def _targets(self, fault: Fault) -> list[str]:
+        return self.run.scenario.pick(fault.target)
+
+    async def _on_link(self, fault: Fault) -> None:
+        network = self.run.network
+        for instance in self._targets(fault):
+            for engine in self.run.scenario.pick(fault.other):
+                link = network.engine_links.get((instance, engine))
+                if link is not None:
+                    await link.set(link_state(fault.options, network.distance_ms(instance, engine)))
+
+    async def _on_client_link(self, fault: Fault) -> None:
+        for name in self._targets(fault):
+            if name in self.run.network.client_links:
+                await self.run.network.client_links[name].set(link_state(fault.options))
+
+    async def _on_source_link(self, fault: Fault) -> None:
+        is_cut = any(fault.options.get(option) for option in CUTTING_OPTIONS)
+        for name in self._targets(fault):
+            if name in self.run.network.source_links:
+                await self.run.network.source_links[name].set(link_state(fault.options))
+                self.run.mark("deaf" if is_cut else "hears", name)
+
+    def _on_peers(self, fault: Fault) -> None:
+        options = {name: value for name, value in fault.options.items() if name not in ("forth", "heal")}
+        one_way = bool(fault.options.get("forth"))
+        for sender in self._instance_numbers(fault.target):
+            for receiver in self._instance_numbers(fault.other):
+                pairs = [(sender, receiver)] if one_way else [(sender, receiver), (receiver, sender)]
+                for pair in pairs:
+                    if sender != receiver:
+                        self.run.network.switch.paths[pair] = self.run.network.peer_path(*pair, options)
+
+    def _instance_numbers(self, target: str) -> list[int]:
+        instances = self.run.scenario.instance_names()
+        return [int(name[1:]) for name in self.run.scenario.pick(target) if name in instances]
+
+    def _on_forge(self, fault: Fault) -> None:
+        self._run_in_background(self._forge_reports(fault.target, fault.options["zone"]))
+
+    async def _forge_reports(self, name: str, zone: str) -> None:
+        """Send reports in an instance's name that it never sent: it is certain that a zone has failed."""
+        number, sender_id = int(name[1:]), member_id(name)
+        incarnation = random.Random(self.run.scenario.seed).getrandbits(32)
+        codec = Codec(sender_id, incarnation, KeyRing({1: MEMBERSHIP_KEY}, 1))
+        evacuate = ZoneReport(
+            Vote.EVACUATE, 0, 0, FORGED_CONFIDENCE, 0.0, is_certain=True, suspects_failure=True
+        )
+        switch = self.run.network.switch
+        for version in FORGED_VERSIONS:
+            report = MemberReport(sender_id, int(time.time()), version, 100, 0, {zone_number(zone): evacuate})
+            message = Message(MessageKind.FLEET, sender_id, 0)
+            datagram = codec.encode(message, encode_zone_reports([report], FORGED_REPORT_BYTES))
+            for receiver in range(self.run.scenario.instances):
+                if receiver != number:
+                    switch.forward(switch.ports[number], receiver, datagram)
+            await asyncio.sleep(FORGERY_INTERVAL_S)
+
+    def _on_replay(self, fault: Fault) -> None:
+        """Send old datagrams again, out of order."""
+        switch = self.run.network.switch
+        datagrams = list(switch.kept)
+        random.Random(self.run.scenario.seed).shuffle(datagrams)
+        for sender, receiver, data in datagrams:
+            switch.forward(switch.ports[sender], receiver, data)
+
+    async def _on_order(self, fault: Fault) -> None:
+        call = {"call": "order", "for_ms": ORDER_DURATION_MS, "who": "rig", "why": "a trial", **fault.options}
         with contextlib.suppress(OSError, ValueError):
-            await asyncio.to_thread(ask, self.trial.folder / f"{fault.target}.sock", call)
-
-    def _set_traits(self, name: str, words: dict[str, Any]) -> None:
-        process = self.trial.processes[name]
-        if process.stdin is not None and process.poll() is None:
-            process.stdin.write(json.dumps(words).encode() + b"\n")
-            process.stdin.flush()
-
-    def _process(self, verb: str, name: str) -> None:
-        process = self.trial.processes[name]
-        if verb == "start":
-            if process.poll() is None:
-                return
-            process.wait()
-            self.trial.start_engine(name) if name in self.trial.ports else self.trial.start_instance(name)
-        else:
-            number = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP, "go": signal.SIGCONT}[verb]
-            process.send_signal(number)
-            if verb == "kill":
+            await asyncio.to_thread(ask, self.run.folder / f"{fault.target}.sock", call)
+
+    def _on_traits(self, fault: Fault) -> None:
+        for name in self._targets(fault):
+            process = self.run.processes[name]
+            if process.stdin is not None and process.poll() is None:
+                process.stdin.write(json.dumps(fault.options).encode() + b"\n")
+                process.stdin.flush()
+
+    def _on_drain(self, fault: Fault) -> None:
+        maintenance = "on" if fault.verb == "drain" else "off"
+        for engine in self._targets(fault):
+            for server in self.run.network.consuls.values():
+                server.carry_out(Step(0, "maintenance", (engine, maintenance)))
+            self.run.mark(fault.verb, engine)
+
+    def _on_swap(self, fault: Fault) -> None:
+        self._run_in_background(Operators(self.run, fault.target, fault.options).run())
+
+    def _on_start(self, fault: Fault) -> None:
+        for name in self._targets(fault):
+            process = self.run.processes[name]
+            if process.poll() is not None:
                 process.wait()
-                self.trial.prepare(name)
-        self.trial.marks.append((time.monotonic(), verb, name))
-
-    def power_now(self, target: str) -> None:
-        """Danger: all signals first. Waiting for one would give the others time to hear of its end."""
-        names = [n for n in self.trial.day.pick(target) if self.trial.processes[n].poll() is None]
-        at = time.monotonic()
+                self.run.processes.start(name)
+                self.run.mark("start", name)
+
+    def _on_signal(self, fault: Fault) -> None:
+        for name in self._targets(fault):
+            process = self.run.processes[name]
+            process.send_signal(SIGNALS[fault.verb])
+            if fault.verb == "kill":
+                process.wait()
+                self.run.processes.prepare(name)
+            self.run.mark(fault.verb, name)
+
+    def cut_power(self, target: str) -> None:
+        """Kill all processes of a target in the same instant."""
+        names = [name for name in self.run.scenario.pick(target) if self.run.processes.is_running(name)]
+        killed_at = time.monotonic()
+        # All signals first: to wait for one process would give the others time to notice its end.
         for name in names:
-            self.trial.processes[name].send_signal(signal.SIGKILL)
+            self.run.processes[name].send_signal(signal.SIGKILL)
         for name in names:
-            self.trial.processes[name].wait()
-            self.trial.marks.append((at, "kill", name))
+            self.run.processes[name].wait()
+            self.run.mark("kill", name, killed_at)
         for name in names:
-            self.trial.prepare(name)
-
-    async def _end(self, fault: Fault) -> None:
-        """Ask each to end, and wait for it, one after another."""
-        for name in self.trial.day.pick(fault.target):
-            process = self.trial.processes[name]
-            if process.poll() is None:
-                process.send_signal(signal.SIGTERM)
-                self.trial.marks.append((time.monotonic(), "end", name))
-                try:
-                    await asyncio.to_thread(process.wait, float(fault.words.get("within", 10.0)))
-                except subprocess.TimeoutExpired:
-                    process.kill()
-                    await asyncio.to_thread(process.wait)
-                self.trial.marks.append((time.monotonic(), "kill", name))
-                self.trial.prepare(name)
-
-    def _peers(self, fault: Fault) -> None:
-        here, there = ([int(n[1:]) for n in self.trial.day.pick(t) if n[0] == "n" and n[1:].isdigit()]
-                       for t in (fault.target, fault.other))  # fmt: skip
-        words = {k: v for k, v in fault.words.items() if k not in ("forth", "heal")}
-        for i in here:
-            for j in there:
-                for pair in ((i, j),) if fault.words.get("forth") else ((i, j), (j, i)):
-                    if pair[0] != pair[1]:
-                        self.trial.switch.paths[pair] = self.network_path(*pair, words)
-
-    async def _lie(self, name: str, zone: str) -> None:
-        """Words in an instance's name that it never said: it is sure that a zone is out."""
-        number, me = int(name[1:]), member_id(name)
-        codec = Codec(me, random.Random(self.trial.day.seed).getrandbits(32), KeyRing({1: KEY}, 1))
-        said = ZoneReport(Vote.EVACUATE, 0, 0, 200, 0.0, is_certain=True, suspects_failure=True)
-        for version in range(1_000_000, 2_000_000):
-            word = MemberReport(me, int(time.time()), version, 100, 0, {zone_number(zone): said})
-            data = codec.encode(Message(MessageKind.FLEET, me, 0), encode_zone_reports([word], 200))
-            for j in range(self.trial.day.instances):
-                if j != number:
-                    self.trial.switch.forward(self.trial.switch.ports[number], j, data)
-            await asyncio.sleep(0.1)
-
-    def _replay(self) -> None:
-        """Old datagrams once more, in disorder."""
-        kept = list(self.trial.switch.kept)
-        random.Random(self.trial.day.seed).shuffle(kept)
-        for sender, receiver, data in kept:
-            self.trial.switch.forward(self.trial.switch.ports[sender], receiver, data)
-
-    def _drain(self, verb: str, engine: str) -> None:
-        for server in self.trial.consuls.values():
-            server.carry_out(Step(0, "maintenance", (engine, "on" if verb == "drain" else "off")))
-        self.trial.marks.append((time.monotonic(), verb, engine))
-
-    def distance_ms(self, instance: str, other: str) -> float:
-        """ms one way between an instance and an engine or another instance."""
-        if not self.trial.day.homes:
-            return 0.0
-        names = self.trial.day.instance_names()
-        zones = [self.trial.day.homes[int(n[1:])] if n in names else zone_of(n) for n in (instance, other)]
-        return distance_ms(self.trial.day.distance, *zones)
-
-    def network_path(self, sender: int, receiver: int, words: dict[str, Any]) -> NetworkPath:
-        """A way of datagrams, as long as the instances are apart."""
-        far = self.distance_ms(f"n{sender}", f"n{receiver}")
-        return NetworkPath(**(words | {"delay": words.get("delay", 0.0) + far}))
-
-
-def link_of(words: dict[str, Any], far: float = 0.0) -> Link:
-    """A link's state from a fault's words; `forth` and `back` alone cut that direction. far: ms one way that
-    the ends are apart anyhow."""
-    kept = {k: v for k, v in words.items() if k in ("delay", "jitter", "slow")}
-    kept["delay"] = kept.get("delay", 0.0) + far
-    cut = bool(words.get("cut"))
-    return Link(
-        forth=NetworkPath(cut=cut or bool(words.get("forth")), **kept),
-        back=NetworkPath(cut=cut or bool(words.get("back")), **kept),
-        refuse=bool(words.get("refuse")),
-        reset=bool(words.get("reset")),
-    )
+            self.run.processes.prepare(name)
+
+    async def _on_end(self, fault: Fault) -> None:
+        """Send SIGTERM to each, one after another, and wait until it has ended."""
+        timeout_s = float(fault.options.get("within", SHUTDOWN_TIMEOUT_S))
+        for name in self._targets(fault):
+            process = self.run.processes[name]
+            if process.poll() is not None:
+                continue
+            process.send_signal(signal.SIGTERM)
+            self.run.mark("end", name)
+            try:
+                await asyncio.to_thread(process.wait, timeout_s)
+            except subprocess.TimeoutExpired:
+                process.kill()
+                await asyncio.to_thread(process.wait)
+            self.run.mark("kill", name)
+            self.run.processes.prepare(name)
+
+    def _on_duplicate(self, fault: Fault) -> None:
+        for name in self._targets(fault):
+            self.run.processes.start_duplicate(name)
+
+    def _on_machine(self, fault: Fault) -> None:
+        for name in self._targets(fault):
+            self.run.machines.apply(fault.verb, name, fault.options)
--- /dev/null
+++ b/cottonhold/emulator/fault_injection/instance_config.py
@@ -0,0 +1,121 @@
+"""The configuration file of an instance in a scenario run. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from cottonhold.emulator.fault_injection.script import Scenario
+from cottonhold.emulator.fault_injection.zone_distances import zone_of
+
+MEMBERSHIP_KEY = b"a shared key of the rig"
+HEALTH_CHECK_INTERVAL_MS = 500
+MAX_RETRY_AFTER_MS = 1000
+MAX_VOTERS = 5
+MIN_INSTANCES_TO_VOTE = 3
+
+
+@dataclass(slots=True, frozen=True)
+class InstanceAddresses:
+    """The ports of an instance. engine_ports: of its link to each engine. source_port: of its link to the
+    source of the engine list, where the scenario has one. peer_addresses: the public address of each instance,
+    by number; datagrams sent there arrive at its own `peer_port`."""
+
+    client_port: int
+    peer_port: int
+    peer_addresses: Sequence[str]
+    engine_ports: Mapping[str, int]
+    source_port: int = 0
+
+
+def instance_config(
+    scenario: Scenario, name: str, addresses: InstanceAddresses, state_folder: Path
+) -> dict[str, Any]:
+    """Return the configuration of an instance, as `cottonhold serve` reads it."""
+    number = int(name[1:])
+    config: dict[str, Any] = {
+        "name": name,
+        "seed": scenario.seed * 100 + number,
+        "listen": f"127.0.0.1:{addresses.client_port}",
+        "number": number,
+        "dispatchers": scenario.instances,
+        "zones": scenario.zones,
+        "machine_types": [{"name": "std", "cores": scenario.traits.get("servers", 1)}],
+        "classes": _query_classes(scenario),
+        "known": [] if scenario.consul else _engines(addresses),
+        "sources": [_engine_source(addresses)] if scenario.consul else [],
+        "permits": {"cooldown_most_ms": MAX_RETRY_AFTER_MS},
+        "peers": {
+            "listen": f"127.0.0.1:{addresses.peer_port}",
+            "announce": addresses.peer_addresses[number],
+            "all": list(addresses.peer_addresses),
+        },
+        "membership": {
+            "keys": [{"number": 1, "secret": MEMBERSHIP_KEY.decode()}],
+            "probe_ms": HEALTH_CHECK_INTERVAL_MS,
+        },
+        "status_socket": f"{name}.sock",
+    }
+    # Earlier versions of the program do not know the keys below, and play scenarios that need none of them.
+    if scenario.state:
+        config["state_dir"] = str(state_folder)
+        config["membership"]["voters"] = _voters(scenario)
+        config["rules"] = _slow_start_rules(scenario)
+    if scenario.homes:
+        config["peers"]["zones"] = list(scenario.homes[: scenario.instances])
+    if scenario.fleet:
+        config["fleet"] = _fleet_features(scenario)
+    return config
+
+
+def _query_classes(scenario: Scenario) -> list[dict[str, Any]]:
+    return [
+        {
+            "name": kind.name,
+            "aim_ms": kind.patience / 2,
+            "deadline_ms": kind.patience,
+            "worth": scenario.worth[kind.name],
+            "late_worth": 1.0,
+            "effect": "unsafe" if kind.load else "safe",
+            "in_order": kind.load,
+            "loads": kind.load,
+        }
+        for kind in scenario.kinds
+    ]
+
+
+def _engines(addresses: InstanceAddresses) -> list[dict[str, str]]:
+    return [
+        {"id": engine, "address": f"127.0.0.1:{port}", "zone": zone_of(engine), "machine_type": "std"}
+        for engine, port in addresses.engine_ports.items()
+    ]
+
+
+def _engine_source(addresses: InstanceAddresses) -> dict[str, Any]:
+    address = f"127.0.0.1:{addresses.source_port}"
+    guard = {"quiet_ms": 1, "quiet_most_ms": 1, "jitter": 0}
+    return {"kind": "consul", "name": "dc1", "addresses": [address], "service": "engine", "guard": guard}
+
+
+def _voters(scenario: Scenario) -> list[str]:
+    if scenario.instances < MIN_INSTANCES_TO_VOTE:
+        return []
+    return scenario.instance_names()[:MAX_VOTERS]
+
+
+def _slow_start_rules(scenario: Scenario) -> dict[str, float]:
+    cold_slowdown = scenario.traits.get("cold", 3.0)
+    warm_after_ms = scenario.traits.get("warm", 3000.0)
+    return {"cold_from": 1 / cold_slowdown, "warm_within_ms": max(warm_after_ms, 1.0)}
+
+
+def _fleet_features(scenario: Scenario) -> dict[str, bool]:
+    features = {
+        "price": scenario.price,
+        "outlook": scenario.outlook and scenario.price and bool(scenario.homes),
+    }
+    if scenario.pins:
+        features["pins"] = True
+    return features
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -1,10 +1,9 @@
-"""Operators of a day: they ask for a swap at a socket, and change hardware once they read that they may."""
+"""Operators of a scenario: they request a rolling replacement, and change machines once a view allows it."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import time
 from typing import TYPE_CHECKING, Any
 
 from cottonhold.emulator.fault_injection.script import Fault
@@ -13,76 +12,83 @@
 if TYPE_CHECKING:
     from cottonhold.emulator.fault_injection.harness import ScenarioRun
 
-POLL_INTERVAL_S = 0.2  # between two looks at the views
-RETRY_INTERVAL_S = 1.0  # until one that could not be asked is asked again
+POLL_INTERVAL_S = 0.2  # between two reads of the views
+RETRY_INTERVAL_S = 1.0  # until a request is repeated that no instance answered
 MAX_ATTEMPTS = 10
+DEFAULT_ABSENCE_S = 1.5
 
 
 class Operators:
-    """One request, at one instance. words: those of the call, where `machines` may be a pattern of instances;
-    `gone`: seconds for which an instance is away; `empty`: it comes back with an empty folder."""
+    """One request for a rolling replacement, at one instance.
 
-    def __init__(self, trial: ScenarioRun, at: str, words: dict[str, Any]) -> None:
-        self.trial, self.at = trial, at
-        self.gone, self.empty = float(words.get("gone", 1.5)), bool(words.get("empty"))
-        self.words = {word: value for word, value in words.items() if word not in ("gone", "empty")}
-        if isinstance(self.words["machines"], str):
-            self.words["machines"] = [{"name": n} for n in trial.day.pick(self.words["machines"])]
-        self.left: set[str] = set()  # machines that are still to be changed
+    options: the fields of the call, where `machines` may be a target that names instances; `gone`: seconds for
+    which an instance is absent; `empty`: it returns with an empty state folder.
+    """
+
+    def __init__(self, run: ScenarioRun, instance: str, options: dict[str, Any]) -> None:
+        self.scenario_run, self.instance = run, instance
+        self.absence_s = float(options.get("gone", DEFAULT_ABSENCE_S))
+        self.empties_folder = bool(options.get("empty"))
+        self.call: dict[str, Any] = {"call": "swap", "who": "rig"}
+        self.call |= {name: value for name, value in options.items() if name not in ("gone", "empty")}
+        if isinstance(self.call["machines"], str):
+            self.call["machines"] = [{"name": name} for name in run.scenario.pick(self.call["machines"])]
+        self.pending_machines: set[str] = set()
 
     async def run(self) -> None:
-        """Ask, then look and change until all of it is over."""
+        """Send the request, then change each machine as soon as it may be, until all are done."""
         if not await self._request_replacement():
             return
-        while self.left:
+        while self.pending_machines:
             await asyncio.sleep(POLL_INTERVAL_S)
-            for name, row in (await self._rows()).items():
-                engine = name in self.trial.ports
-                if name in self.left and (row["ready"] if engine else row["step"] == "out"):
-                    self.left.discard(name)
-                    await (self._change(name) if engine else self._replace(name))
-        self.trial.marks.append((time.monotonic(), "swapped", "*"))
+            for name, row in (await self._replacement_rows()).items():
+                is_engine = self.scenario_run.processes.is_engine(name)
+                may_change = row["ready"] if is_engine else row["step"] == "out"
+                if name in self.pending_machines and may_change:
+                    self.pending_machines.discard(name)
+                    await (self._replace_engine(name) if is_engine else self._replace_instance(name))
+        self.scenario_run.mark("swapped", "*")
 
     async def _request_replacement(self) -> bool:
-        call = {"call": "swap", "who": "rig", **self.words}
+        path = self.scenario_run.folder / f"{self.instance}.sock"
         for _ in range(MAX_ATTEMPTS):
             with contextlib.suppress(OSError, ValueError):
-                path = self.trial.folder / f"{self.at}.sock"
-                answer: dict[str, Any] = await asyncio.to_thread(ask, path, call)
-                said = str(answer.get("error", "asked"))
-                self.trial.marks.append((time.monotonic(), "swap", said))
-                self.trial.timeline.append(f"swap asked at {self.at}: {said}")
-                self.left = {name for row in call["machines"] for name in self._named(row)}
+                answer: dict[str, Any] = await asyncio.to_thread(ask, path, self.call)
+                result = str(answer.get("error", "asked"))
+                self.scenario_run.mark("swap", result)
+                self.scenario_run.timeline.append(f"swap asked at {self.instance}: {result}")
+                for machine in self.call["machines"]:
+                    self.pending_machines.update(self._names_of(machine))
                 return "error" not in answer
             await asyncio.sleep(RETRY_INTERVAL_S)
         return False
 
-    def _named(self, row: dict[str, Any]) -> list[str]:
-        return self.trial.day.pick(row["zone"] if "zone" in row else row["name"])
-
-    async def _replace(self, name: str) -> None:
-        """An instance ends, and another machine comes under its name."""
-        await self.trial.apply(Fault(0.0, "end", name))
-        await asyncio.sleep(self.gone)
-        if self.empty:
-            await self.trial.apply(Fault(0.0, "empty", name))
-        await self.trial.apply(Fault(0.0, "start", name))
+    def _names_of(self, machine: dict[str, Any]) -> list[str]:
+        return self.scenario_run.scenario.pick(machine["zone"] if "zone" in machine else machine["name"])
 
-    async def _rows(self) -> dict[str, dict[str, Any]]:
-        """What any instance tells of each machine's swap; one that says that it is out comes first."""
-        found: dict[str, dict[str, Any]] = {}
-        for name in self.trial.running_instances():
-            view = await asyncio.to_thread(self.trial.view, name)
-            for row in view.get("swap", {}).get("machines", []):
-                if row["machine"] not in found or row["ready"] or row.get("away"):
-                    found[row["machine"]] = row
-        return found
+    async def _replace_instance(self, name: str) -> None:
+        """End an instance, and start another machine under its name."""
+        await self.scenario_run.apply(Fault(0.0, "end", name))
+        await asyncio.sleep(self.absence_s)
+        if self.empties_folder:
+            await self.scenario_run.apply(Fault(0.0, "empty", name))
+        await self.scenario_run.apply(Fault(0.0, "start", name))
 
-    async def _change(self, engine: str) -> None:
-        """Off, until the instances have seen that, and on again: a new one, which is cold."""
-        await self.trial.apply(Fault(0.0, "power", engine))
-        self.trial.timeline.append(f"{engine} is taken out")
-        while not (await self._rows()).get(engine, {}).get("away", True):
+    async def _replace_engine(self, name: str) -> None:
+        """Cut its power until the instances have seen that, and start a new one, which is cold."""
+        await self.scenario_run.apply(Fault(0.0, "power", name))
+        self.scenario_run.timeline.append(f"{name} is taken out")
+        while not (await self._replacement_rows()).get(name, {}).get("away", True):
             await asyncio.sleep(POLL_INTERVAL_S)
-        await self.trial.apply(Fault(0.0, "start", engine))
-        self.trial.timeline.append(f"{engine} is in place")
+        await self.scenario_run.apply(Fault(0.0, "start", name))
+        self.scenario_run.timeline.append(f"{name} is in place")
+
+    async def _replacement_rows(self) -> dict[str, dict[str, Any]]:
+        """Return what any instance reports of each machine; a report that it may be changed takes precedence."""
+        rows: dict[str, dict[str, Any]] = {}
+        for name in self.scenario_run.running_instances():
+            view = await asyncio.to_thread(self.scenario_run.view, name)
+            for row in view.get("swap", {}).get("machines", []):
+                if row["machine"] not in rows or row["ready"] or row.get("away"):
+                    rows[row["machine"]] = row
+        return rows
--- a/cottonhold/emulator/fault_injection/replacement_scenarios.py
+++ b/cottonhold/emulator/fault_injection/replacement_scenarios.py
@@ -67,7 +67,7 @@
     replacement_scenario(
         "swap-engines-asked",
         "new engines by one request: each is drained first, and comes back cold",
-        Fault(FIRST, "swap", "n0", words={"machines": [{"zone": "a"}, {"zone": "b"}, {"zone": "c"}]}),
+        Fault(FIRST, "swap", "n0", options={"machines": [{"zone": "a"}, {"zone": "b"}, {"zone": "c"}]}),
         seconds=120.0,
         instances=3,
         engines=2,
@@ -112,7 +112,7 @@
     ),
 ]
 
-SWAPPED = Fault(FIRST, "swap", "n0", words={"machines": "n*", "gone": GONE})
+SWAPPED = Fault(FIRST, "swap", "n0", options={"machines": "n*", "gone": GONE})
 # 20 ms at each of nine engines with one core: 360 a second are 0.8 of what they can do.
 PINS: dict[str, Any] = {"pins": True, "order_across": True, "keys": 2000, "seconds": 60.0}
 PINS |= {"instances": 8, "rate": 360.0}
@@ -128,7 +128,7 @@
     replacement_scenario(
         "swap-pins-emptied",
         "a small fleet's machines are swapped for new ones, with nothing in their folders",
-        Fault(FIRST, "swap", "n0", words={"machines": "n*", "gone": GONE, "empty": True}),
+        Fault(FIRST, "swap", "n0", options={"machines": "n*", "gone": GONE, "empty": True}),
         **FEW,
     ),
     replacement_scenario(
--- a/cottonhold/emulator/fault_injection/scenarios.py
+++ b/cottonhold/emulator/fault_injection/scenarios.py
@@ -29,7 +29,7 @@
     return Fault(OUT, "kill", target), Fault(BACK, "start", target)
 
 
-SLOW = (Fault(OUT, "traits", "a", words={"slow": 10}), Fault(BACK, "traits", "a", words={"slow": 1}))
+SLOW = (Fault(OUT, "traits", "a", options={"slow": 10}), Fault(BACK, "traits", "a", options={"slow": 1}))
 CUT = {"cut": True}
 HEAL = {"heal": True}
 
@@ -43,14 +43,14 @@
     zone_scenario(
         "zone-failing",
         "a zone fails three in ten",
-        Fault(OUT, "traits", "a", words={"failing": 0.3}),
-        Fault(BACK, "traits", "a", words={"failing": 0.0}),
+        Fault(OUT, "traits", "a", options={"failing": 0.3}),
+        Fault(BACK, "traits", "a", options={"failing": 0.0}),
     ),
     zone_scenario(
         "failing-light",
         "a zone fails three in ten where the others can carry all",
-        Fault(OUT, "traits", "a", words={"failing": 0.3}),
-        Fault(BACK, "traits", "a", words={"failing": 0.0}),
+        Fault(OUT, "traits", "a", options={"failing": 0.3}),
+        Fault(BACK, "traits", "a", options={"failing": 0.0}),
         rate=200.0,
     ),
     zone_scenario(
@@ -123,7 +123,7 @@
     zone_scenario(
         "forged",
         "one instance's words are forged",
-        Fault(OUT, "forge", "n2", words={"zone": "a"}),
+        Fault(OUT, "forge", "n2", options={"zone": "a"}),
         seconds=14.0,
     ),
     zone_scenario(
@@ -149,10 +149,10 @@
         *SLOW,
         Fault(OUT - 1.0, "drain", "b0"),
         Fault(OUT + 1.0, "drain", "c1"),
-        Fault(OUT + 2.0, "source", "n4", words=CUT),
+        Fault(OUT + 2.0, "source", "n4", options=CUT),
         Fault(OUT + 3.0, "undrain", "b0"),
         Fault(OUT + 4.0, "drain", "b1"),
-        Fault(OUT + 6.0, "source", "n4", words=HEAL),
+        Fault(OUT + 6.0, "source", "n4", options=HEAL),
         Fault(BACK + 2.0, "undrain", "c1"),
         Fault(BACK + 3.0, "drain", "a1"),
         consul=True,
@@ -181,9 +181,9 @@
     zone_scenario(
         "by-hand",
         "a zone is left by hand, and the instance that took the order dies",
-        Fault(OUT, "order", "n1", words={"zone": "a", "mode": "leave"}),
+        Fault(OUT, "order", "n1", options={"zone": "a", "mode": "leave"}),
         Fault(OUT + 2.0, "kill", "n1"),
-        Fault(BACK, "order", "n2", words={"zone": "a", "mode": "free"}),
+        Fault(BACK, "order", "n2", options={"zone": "a", "mode": "free"}),
     ),
 ]
 # Overload: work of 60 ms, so that nine engines do 150 a second and a small machine can offer five times that.
--- a/cottonhold/emulator/fault_injection/script.py
+++ b/cottonhold/emulator/fault_injection/script.py
@@ -39,12 +39,12 @@
     verb: str
     target: str = "*"
     other: str = "*"
-    words: dict[str, Any] = {}
+    options: dict[str, Any] = msgspec.field(default_factory=dict, name="words")
 
     def __str__(self) -> str:
-        words = " ".join(f"{k}={v}" if v is not True else k for k, v in self.words.items())
+        options = " ".join(f"{k}={v}" if v is not True else k for k, v in self.options.items())
         other = f" {self.other}" if self.verb in ("link", "peers") else ""
-        return f"{self.at:5.1f} s  {self.verb} {self.target}{other} {words}".rstrip()
+        return f"{self.at:5.1f} s  {self.verb} {self.target}{other} {options}".rstrip()
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -151,11 +151,11 @@
 def _check_fault(day: Scenario, fault: Fault) -> None:
     if fault.verb in SOURCE_VERBS and not day.consul:
         raise ScriptError(f"day '{day.name}': '{fault.verb}' needs a source of the list: consul")
-    if fault.verb == "swap" and not (day.state and day.instances >= 3 and "machines" in fault.words):
+    if fault.verb == "swap" and not (day.state and day.instances >= 3 and "machines" in fault.options):
         raise ScriptError(f"day '{day.name}': 'swap' needs state, three instances, and names machines")
     if fault.verb in FOLDER_VERBS and not day.state:
         raise ScriptError(f"day '{day.name}': '{fault.verb}' needs state folders: state")
-    if fault.verb == "disk" and fault.words.get("state") not in DISKS:
+    if fault.verb == "disk" and fault.options.get("state") not in DISKS:
         raise ScriptError(f"day '{day.name}': a disk is one of {', '.join(DISKS)}")
     if fault.verb not in VERBS | SOURCE_VERBS | FOLDER_VERBS:
         raise ScriptError(f"day '{day.name}': there is no verb '{fault.verb}'")
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -20,9 +20,9 @@
 from cottonhold.emulator.fault_injection.checker import check_run
 from cottonhold.emulator.fault_injection.clients import Kind, Manner
 from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs
-from cottonhold.emulator.fault_injection.harness import ownerless_times
 from cottonhold.emulator.fault_injection.instance import shift
 from cottonhold.emulator.fault_injection.machines import Machines
+from cottonhold.emulator.fault_injection.run_folder import ownerless_times
 from cottonhold.emulator.fault_injection.script import Fault, Scenario, ScriptError, check_scenario
 
 DAY = check_scenario(
@@ -241,7 +241,9 @@
     "day",
     [
         Scenario(name="d", about="", faults=(Fault(1.0, "empty", "n0"),)),
-        Scenario(name="d", about="", state=True, faults=(Fault(1.0, "disk", "n0", words={"state": "odd"}),)),
+        Scenario(
+            name="d", about="", state=True, faults=(Fault(1.0, "disk", "n0", options={"state": "odd"}),)
+        ),
         Scenario(name="d", about="", homes=("a",)),
         Scenario(name="d", about="", instances=1, homes=("elsewhere",)),
     ],
--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -31,15 +31,15 @@
 Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def begun(trial: ScenarioRun, engine: str, since: float = 0.0) -> list[str]:
+def begun(run: ScenarioRun, engine: str, since: float = 0.0) -> list[str]:
     """References of the requests that an engine got after a moment."""
-    return [line[2] for line in trial.ledgers().engines[engine] if line[1] == "get" and line[0] > since]
+    return [line[2] for line in run.logs().engines[engine] if line[1] == "get" and line[0] > since]
 
 
-def unfinished(trial: ScenarioRun, engine: str) -> set[str]:
+def unfinished(run: ScenarioRun, engine: str) -> set[str]:
     """What an engine's process of now got and has not ended."""
     left = set[str]()
-    for line in trial.ledgers().engines[engine]:
+    for line in run.logs().engines[engine]:
         if line[1] == "start":
             left.clear()
         elif line[1] == "get":
@@ -49,114 +49,114 @@
     return left
 
 
-async def ask_for(trial: ScenarioRun, at: str, *machines: dict[str, Any]) -> None:
-    found = await call(trial, at, call="swap", who="someone", machines=list(machines))
+async def ask_for(run: ScenarioRun, at: str, *machines: dict[str, Any]) -> None:
+    found = await call(run, at, call="swap", who="someone", machines=list(machines))
     assert "error" not in found, found
 
 
-async def more(trial: ScenarioRun, kind: str, count: int) -> None:
+async def more(run: ScenarioRun, kind: str, count: int) -> None:
     """So many more of a class are served."""
-    before = served(trial, kind)
-    await trial.until(lambda: served(trial, kind) >= before + count, f"{kind} served", seconds=LONG)
+    before = served(run, kind)
+    await run.until(lambda: served(run, kind) >= before + count, f"{kind} served", seconds=LONG)
 
 
-async def done(trial: ScenarioRun, *engines: str) -> None:
+async def done(run: ScenarioRun, *engines: str) -> None:
     """Their swaps are over for all, done or forgotten as such, and loads are served."""
 
     def over() -> bool:
-        views = [rows(trial, name) for name in trial.running_instances()]
+        views = [rows(run, name) for name in run.running_instances()]
         return all(view.get(e, {}).get("step", "done") == "done" for view in views for e in engines)
 
-    await trial.until(over, f"{engines} are done", seconds=LONG)
-    await more(trial, "load", 10)
+    await run.until(over, f"{engines} are done", seconds=LONG)
+    await more(run, "load", 10)
 
 
-async def all_tell(trial: ScenarioRun, engine: str, what: str, *values: object) -> None:
+async def all_tell(run: ScenarioRun, engine: str, what: str, *values: object) -> None:
     """All that are there tell the same of an engine's swap."""
 
     def told() -> bool:
-        views = [rows(trial, name).get(engine, {}) for name in trial.running_instances()]
+        views = [rows(run, name).get(engine, {}) for name in run.running_instances()]
         return all(view.get(what) in values for view in views)
 
-    await trial.until(told, f"{engine}'s {what} is {values}", seconds=LONG)
+    await run.until(told, f"{engine}'s {what} is {values}", seconds=LONG)
 
 
-async def one_is_out(trial: ScenarioRun, left: set[str]) -> str:
+async def one_is_out(run: ScenarioRun, left: set[str]) -> str:
     """Any of these is out, as all tell."""
 
     def out() -> set[str]:
-        views = [rows(trial, name) for name in trial.running_instances()]
+        views = [rows(run, name) for name in run.running_instances()]
         return {e for e in left if all(v.get(e, {}).get("step") == "out" for v in views)}
 
-    await trial.until(lambda: bool(out()), f"one of {sorted(left)} is out", seconds=LONG)
+    await run.until(lambda: bool(out()), f"one of {sorted(left)} is out", seconds=LONG)
     (engine,) = out()
     return engine
 
 
-async def replace(trial: ScenarioRun, engine: str, since: float) -> None:
+async def replace(run: ScenarioRun, engine: str, since: float) -> None:
     """It is powered off, which breaks nothing, and another process comes in its place."""
-    assert not begun(trial, engine, since) and not unfinished(trial, engine)
-    await trial.apply(Fault(0.0, "kill", engine))
-    await all_tell(trial, engine, "away", True)
-    await trial.apply(Fault(0.0, "start", engine))
+    assert not begun(run, engine, since) and not unfinished(run, engine)
+    await run.apply(Fault(0.0, "kill", engine))
+    await all_tell(run, engine, "away", True)
+    await run.apply(Fault(0.0, "start", engine))
 
 
-async def one_by_one(trial: ScenarioRun) -> None:
+async def one_by_one(run: ScenarioRun) -> None:
     """All engines by one request, two of them as zones; the others serve all the while."""
-    await ask_for(trial, "n0", {"zone": "a"}, {"name": "c0", "cores": 2}, {"zone": "b"})
+    await ask_for(run, "n0", {"zone": "a"}, {"name": "c0", "cores": 2}, {"zone": "b"})
     left = set(ENGINES)
     while left:
-        engine = await one_is_out(trial, left)
+        engine = await one_is_out(run, left)
         since = time.monotonic()
-        await more(trial, "cheap", 15)
-        await replace(trial, engine, since)
+        await more(run, "cheap", 15)
+        await replace(run, engine, since)
         left.discard(engine)
-    await done(trial, *ENGINES)
+    await done(run, *ENGINES)
     for engine in ENGINES:
-        assert sum(line[1] == "start" for line in trial.ledgers().engines[engine]) == 2
+        assert sum(line[1] == "start" for line in run.logs().engines[engine]) == 2
 
 
-async def aborted(trial: ScenarioRun) -> None:
+async def aborted(run: ScenarioRun) -> None:
     """A swap is aborted while the engine drains: it serves again, the same process."""
-    await trial.apply(Fault(0.0, "traits", "a0", words={"slow": 40.0}))
-    await more(trial, "cheap", 5)
-    await ask_for(trial, "n1", {"name": "a0"})
-    await all_tell(trial, "a0", "step", "draining", "out")
-    await trial.apply(Fault(0.0, "traits", "a0", words={"slow": 1.0}))
-    found = await call(trial, "n2", call="abort", who="someone", why="no crane", machine="a0")
+    await run.apply(Fault(0.0, "traits", "a0", options={"slow": 40.0}))
+    await more(run, "cheap", 5)
+    await ask_for(run, "n1", {"name": "a0"})
+    await all_tell(run, "a0", "step", "draining", "out")
+    await run.apply(Fault(0.0, "traits", "a0", options={"slow": 1.0}))
+    found = await call(run, "n2", call="abort", who="someone", why="no crane", machine="a0")
     assert "error" not in found, found
 
     def over() -> bool:
-        views = [rows(trial, name) for name in trial.running_instances()]
+        views = [rows(run, name) for name in run.running_instances()]
         return all(view.get("a0", {}).get("step", "aborted") == "aborted" for view in views)
 
-    await trial.until(over, "it is aborted", seconds=LONG)
-    before = len(begun(trial, "a0"))
-    await trial.until(lambda: len(begun(trial, "a0")) > before + 10, "it gets work again", seconds=LONG)
+    await run.until(over, "it is aborted", seconds=LONG)
+    before = len(begun(run, "a0"))
+    await run.until(lambda: len(begun(run, "a0")) > before + 10, "it gets work again", seconds=LONG)
 
 
-async def the_driver_dies(trial: ScenarioRun) -> None:
+async def the_driver_dies(run: ScenarioRun) -> None:
     """Whoever drives the swap is killed while the engine drains, and comes back while it is out."""
-    await trial.apply(Fault(0.0, "traits", "b0", words={"slow": 20.0}))
-    await more(trial, "cheap", 5)
-    await ask_for(trial, "n0", {"name": "b0"})
-    await all_tell(trial, "b0", "step", "draining", "out")
-    driver = rows(trial, "n0")["b0"]["driver"]
+    await run.apply(Fault(0.0, "traits", "b0", options={"slow": 20.0}))
+    await more(run, "cheap", 5)
+    await ask_for(run, "n0", {"name": "b0"})
+    await all_tell(run, "b0", "step", "draining", "out")
+    driver = rows(run, "n0")["b0"]["driver"]
     assert driver in ALL
     # Danger: killed before it had drained itself, it knew of no drain as it came back, and sent on to it.
-    await trial.until(lambda: rows(trial, driver)["b0"]["drained"], "it has drained", seconds=LONG)
-    await trial.apply(Fault(0.0, "kill", driver))
-    await all_tell(trial, "b0", "step", "out")
+    await run.until(lambda: rows(run, driver)["b0"]["drained"], "it has drained", seconds=LONG)
+    await run.apply(Fault(0.0, "kill", driver))
+    await all_tell(run, "b0", "step", "out")
     since = time.monotonic()
-    await trial.apply(Fault(0.0, "start", driver))
-    await trial.until(lambda: driver in trial.running_instances(), "it is there", seconds=LONG)
-    await all_tell(trial, "b0", "drained", True)
-    await more(trial, "cheap", 20)
-    await replace(trial, "b0", since)
-    await done(trial, "b0")
+    await run.apply(Fault(0.0, "start", driver))
+    await run.until(lambda: driver in run.running_instances(), "it is there", seconds=LONG)
+    await all_tell(run, "b0", "drained", True)
+    await more(run, "cheap", 20)
+    await replace(run, "b0", since)
+    await done(run, "b0")
 
 
-async def refused(trial: ScenarioRun) -> None:
+async def refused(run: ScenarioRun) -> None:
     """What can't be is refused, and says why."""
     for machines, said in (
         ([{"name": "a9"}], "'a9' is no machine that is there"),
@@ -167,7 +167,7 @@
         ([{"zone": "a", "new": "x"}], "can't all become 'x'"),
         ([{"name": "a0", "cores": "many"}], "is no number"),
     ):
-        found = await call(trial, "n0", call="swap", who="someone", machines=machines)
+        found = await call(run, "n0", call="swap", who="someone", machines=machines)
         assert said in found.get("error", ""), (machines, found.get("error"))
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -29,11 +29,11 @@
 Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def phases(trial: ScenarioRun, zone: str = "a") -> dict[str, str]:
+def phases(run: ScenarioRun, zone: str = "a") -> dict[str, str]:
     """Each instance's phase of a zone."""
     found = {}
-    for name in trial.running_instances():
-        rows = [row for row in trial.view(name).get("zones", []) if row["zone"] == zone]
+    for name in run.running_instances():
+        rows = [row for row in run.view(name).get("zones", []) if row["zone"] == zone]
         found[name] = rows[0]["phase"] if rows else "unknown"
     return found
 
@@ -45,100 +45,100 @@
     )
 
 
-async def until(trial: ScenarioRun, holds: Callable[[dict[str, str]], bool], what: str) -> None:
-    await trial.until(lambda: holds(phases(trial)), what, seconds=60.0)
+async def until(run: ScenarioRun, holds: Callable[[dict[str, str]], bool], what: str) -> None:
+    await run.until(lambda: holds(phases(run)), what, seconds=60.0)
 
 
-async def sends(trial: ScenarioRun, count: int) -> dict[str, int]:
+async def sends(run: ScenarioRun, count: int) -> dict[str, int]:
     """How many of the next sends go to each zone."""
 
     def gets() -> dict[str, int]:
-        lines = trial.ledgers().engines.items()
+        lines = run.logs().engines.items()
         by_zone = dict.fromkeys(DAY.zones, 0)
         for engine, there in lines:
             by_zone[engine[0]] += sum(line[1] == "get" for line in there)
         return by_zone
 
     before = gets()
-    await trial.until(lambda: sum(gets().values()) >= sum(before.values()) + count, "sends", seconds=60.0)
+    await run.until(lambda: sum(gets().values()) >= sum(before.values()) + count, "sends", seconds=60.0)
     return {zone: n - before[zone] for zone, n in gets().items()}
 
 
-async def killed(trial: ScenarioRun) -> None:
+async def killed(run: ScenarioRun) -> None:
     """All leave a killed zone, send nothing there, and all return to it."""
-    await trial.apply(Fault(0.0, "kill", "a"))
-    await until(trial, out(*ALL), "all leave")
-    assert (await sends(trial, 200))["a"] == 0
-    await trial.apply(Fault(0.0, "start", "a"))
-    await until(trial, out(), "all return")
-    assert (await sends(trial, 200))["a"] > 20
-    assert not any(phase != "in" for zone in "bc" for phase in phases(trial, zone).values())
+    await run.apply(Fault(0.0, "kill", "a"))
+    await until(run, out(*ALL), "all leave")
+    assert (await sends(run, 200))["a"] == 0
+    await run.apply(Fault(0.0, "start", "a"))
+    await until(run, out(), "all return")
+    assert (await sends(run, 200))["a"] > 20
+    assert not any(phase != "in" for zone in "bc" for phase in phases(run, zone).values())
 
 
-async def one_link(trial: ScenarioRun) -> None:
+async def one_link(run: ScenarioRun) -> None:
     """One whose own way is cut leaves alone, and the others stay."""
-    await trial.apply(Fault(0.0, "link", "n3", "a", {"cut": True}))
-    await until(trial, out("n3"), "one leaves")
-    await sends(trial, 200)
-    assert phases(trial) == dict.fromkeys(ALL - {"n3"}, "in") | {"n3": phases(trial)["n3"]}
-    await trial.apply(Fault(0.0, "link", "n3", "a", {"heal": True}))
-    await until(trial, out(), "it returns")
+    await run.apply(Fault(0.0, "link", "n3", "a", {"cut": True}))
+    await until(run, out("n3"), "one leaves")
+    await sends(run, 200)
+    assert phases(run) == dict.fromkeys(ALL - {"n3"}, "in") | {"n3": phases(run)["n3"]}
+    await run.apply(Fault(0.0, "link", "n3", "a", {"heal": True}))
+    await until(run, out(), "it returns")
 
 
-async def by_hand(trial: ScenarioRun) -> None:
+async def by_hand(run: ScenarioRun) -> None:
     """An order reaches all, outlives the instance that took it, and is taken back at another."""
-    run, path = CliRunner().invoke, str(trial.folder / "n1.sock")
+    invoke, path = CliRunner().invoke, str(run.folder / "n1.sock")
     order = ["zone", "leave", "a", "--socket", path, "--for", "10m", "--why", "work", "--who", "someone"]
-    done = await asyncio.to_thread(run, app, order)
+    done = await asyncio.to_thread(invoke, app, order)
     assert done.exit_code == 0 and "confirmed by all" in done.output
-    await until(trial, out(*ALL), "all leave by hand")
-    assert (await sends(trial, 100))["a"] == 0
-    await trial.apply(Fault(0.0, "kill", "n1"))
-    await trial.apply(Fault(0.0, "start", "n1"))
-    await until(trial, out(*ALL), "all are out again")
+    await until(run, out(*ALL), "all leave by hand")
+    assert (await sends(run, 100))["a"] == 0
+    await run.apply(Fault(0.0, "kill", "n1"))
+    await run.apply(Fault(0.0, "start", "n1"))
+    await until(run, out(*ALL), "all are out again")
 
     def ordered() -> bool:
-        zones = trial.view("n1").get("zones", [])
+        zones = run.view("n1").get("zones", [])
         return any(row["zone"] == "a" and row["order"] for row in zones)
 
-    await trial.until(ordered, "one back from nothing learns of the order", seconds=60.0)
-    shown = await asyncio.to_thread(run, app, ["zone", "show", "--socket", path, "--json"])
+    await run.until(ordered, "one back from nothing learns of the order", seconds=60.0)
+    shown = await asyncio.to_thread(invoke, app, ["zone", "show", "--socket", path, "--json"])
     (row,) = [row for row in json.loads(shown.output) if row["zone"] == "a"]
     assert row["order"]["who"] == "someone" and row["order"]["mode"] == "leave"
     for bad in (["zone", "leave", "x", *order[3:]], [*order[:6], "soon", *order[7:]]):
-        assert (await asyncio.to_thread(run, app, bad)).exit_code == 2
-    free = ["zone", "free", "a", "--socket", str(trial.folder / "n2.sock"), "--why", "done"]
-    assert (await asyncio.to_thread(run, app, free)).exit_code == 0
-    await until(trial, out(), "all return")
+        assert (await asyncio.to_thread(invoke, app, bad)).exit_code == 2
+    free = ["zone", "free", "a", "--socket", str(run.folder / "n2.sock"), "--why", "done"]
+    assert (await asyncio.to_thread(invoke, app, free)).exit_code == 0
+    await until(run, out(), "all return")
 
 
-async def no_way_round(trial: ScenarioRun) -> None:
+async def no_way_round(run: ScenarioRun) -> None:
     """With every way between instances cut, nobody sees anybody: no datagram finds a way round the rig."""
-    await trial.apply(Fault(0.0, "peers", "*", "*", {"cut": True}))
+    await run.apply(Fault(0.0, "peers", "*", "*", {"cut": True}))
 
     def alone() -> bool:
         return all(
-            all(m["status"] == "dead" for m in trial.view(name)["members"])
-            for name in trial.day.instance_names()
+            all(m["status"] == "dead" for m in run.view(name)["members"])
+            for name in run.scenario.instance_names()
         )
 
-    await trial.until(alone, "nobody sees anybody", seconds=60.0)
-    await trial.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
-    await trial.until(trial.all_members_alive, "all meet again", seconds=60.0)
+    await run.until(alone, "nobody sees anybody", seconds=60.0)
+    await run.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
+    await run.until(run.all_members_alive, "all meet again", seconds=60.0)
 
 
 @pytest.mark.parametrize("story", [killed, one_link, by_hand, no_way_round], ids=lambda s: s.__name__)
 def test_a_fleet_of_processes(story: Story, tmp_path: Path) -> None:
-    trial = ScenarioRun(DAY, tmp_path)
+    run = ScenarioRun(DAY, tmp_path)
 
     async def scenario() -> None:
         try:
-            await trial.start()
-            await sends(trial, 150)
-            await story(trial)
+            await run.start()
+            await sends(run, 150)
+            await story(run)
         finally:
-            await trial.close()
+            await run.close()
 
     asyncio.run(scenario())
-    findings = check_run(DAY, trial.ledgers()).findings
+    findings = check_run(DAY, run.logs()).findings
     assert [f for f in findings if not f.startswith("answers")] == []  # asks were open at its end
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -36,140 +36,138 @@
 Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def recovery(trial: ScenarioRun, name: str) -> dict[str, Any]:
+def recovery(run: ScenarioRun, name: str) -> dict[str, Any]:
     """What an instance tells of its recovery; nothing if it isn't there."""
-    found: dict[str, Any] = trial.view(name).get("recovery", {})
+    found: dict[str, Any] = run.view(name).get("recovery", {})
     return found
 
 
-async def until(trial: ScenarioRun, holds: Callable[[dict[str, Any]], bool], what: str, *names: str) -> None:
+async def until(run: ScenarioRun, holds: Callable[[dict[str, Any]], bool], what: str, *names: str) -> None:
     """Each of these instances (all by default) tells so."""
 
     def told() -> bool:
-        views = [recovery(trial, name) for name in names or ALL]
+        views = [recovery(run, name) for name in names or ALL]
         return all(view and holds(view) for view in views)
 
-    await trial.until(told, what, seconds=90.0)
+    await run.until(told, what, seconds=90.0)
 
 
-def served(trial: ScenarioRun, kind: str) -> int:
+def served(run: ScenarioRun, kind: str) -> int:
     """Answered so far, of a class."""
-    kinds = {line[2]: line[3] for line in trial.ledgers().clients if line[1] == "ask"}
-    return sum(line[1] == "served" and kinds.get(line[2]) == kind for line in trial.ledgers().clients)
+    kinds = {line[2]: line[3] for line in run.logs().clients if line[1] == "ask"}
+    return sum(line[1] == "served" and kinds.get(line[2]) == kind for line in run.logs().clients)
 
 
-async def more(trial: ScenarioRun, kind: str, count: int = 20) -> None:
+async def more(run: ScenarioRun, kind: str, count: int = 20) -> None:
     """So many more of a class are served."""
-    before = served(trial, kind)
-    await trial.until(lambda: served(trial, kind) >= before + count, f"{kind} served", seconds=90.0)
+    before = served(run, kind)
+    await run.until(lambda: served(run, kind) >= before + count, f"{kind} served", seconds=90.0)
 
 
-async def power(trial: ScenarioRun) -> None:
+async def power(run: ScenarioRun) -> None:
     """Everything dies in one instant, with loads in flight."""
-    await trial.apply(Fault(0.0, "power", "*"))
+    await run.apply(Fault(0.0, "power", "*"))
 
 
-async def start(trial: ScenarioRun, *names: str) -> None:
+async def start(run: ScenarioRun, *names: str) -> None:
     for name in names or ("e*", *ALL):
-        await trial.apply(Fault(0.0, "start", name))
+        await run.apply(Fault(0.0, "start", name))
 
 
-async def all_at_once(trial: ScenarioRun) -> None:
+async def all_at_once(run: ScenarioRun) -> None:
     """All see one loss of the fleet, each with a whole memory and a higher boot; loads are served again."""
-    await until(trial, lambda view: view["boot"] > 0, "all are there")
-    boots = {name: recovery(trial, name)["boot"] for name in ALL}
-    await power(trial)
-    await start(trial)
-    await until(trial, lambda view: view["verdict"] == "fleet" and not view["missing"], "all see the loss")
+    await until(run, lambda view: view["boot"] > 0, "all are there")
+    boots = {name: recovery(run, name)["boot"] for name in ALL}
+    await power(run)
+    await start(run)
+    await until(run, lambda view: view["verdict"] == "fleet" and not view["missing"], "all see the loss")
     for name in ALL:
-        view = recovery(trial, name)
+        view = recovery(run, name)
         assert view["boot"] == boots[name] + 1 and view["memory"] == "kept"
-    await until(trial, lambda view: view["confirmed"] and view["sends_loads"], "memories are confirmed")
-    await more(trial, "load")
-    await more(trial, "cheap")
+    await until(run, lambda view: view["confirmed"] and view["sends_loads"], "memories are confirmed")
+    await more(run, "load")
+    await more(run, "cheap")
 
 
-async def again_while_it_recovers(trial: ScenarioRun) -> None:
+async def again_while_it_recovers(run: ScenarioRun) -> None:
     """A second and a third cut in the middle of the return."""
     for _ in range(2):
-        await power(trial)
-        await start(trial)
-        await until(trial, lambda view: view["boot"] > 0, "they are there", "n0")
-    await all_at_once(trial)
+        await power(run)
+        await start(run)
+        await until(run, lambda view: view["boot"] > 0, "they are there", "n0")
+    await all_at_once(run)
 
 
-async def an_empty_folder(trial: ScenarioRun) -> None:
+async def an_empty_folder(run: ScenarioRun) -> None:
     """One comes back with an empty folder: told as such, with a boot above what the others know of it."""
-    before = recovery(trial, "n1")["boot"]
-    await power(trial)
-    await trial.apply(Fault(0.0, "empty", "n1"))
-    await start(trial)
-    await until(trial, lambda view: view["memory"] == "empty", "an empty memory", "n1")
-    await until(trial, lambda view: view["boot"] > before, "a boot above", "n1")
-    await more(trial, "load")
-    assert recovery(trial, "n0")["memory"] == "kept" and not recovery(trial, "n1")["confirmed"]
+    before = recovery(run, "n1")["boot"]
+    await power(run)
+    await run.apply(Fault(0.0, "empty", "n1"))
+    await start(run)
+    await until(run, lambda view: view["memory"] == "empty", "an empty memory", "n1")
+    await until(run, lambda view: view["boot"] > before, "a boot above", "n1")
+    await more(run, "load")
+    assert recovery(run, "n0")["memory"] == "kept" and not recovery(run, "n1")["confirmed"]
 
 
-async def an_old_folder(trial: ScenarioRun) -> None:
+async def an_old_folder(run: ScenarioRun) -> None:
     """One comes back with the folder of an earlier life: the others know of a later one."""
-    await trial.apply(Fault(0.0, "keep", "n2"))
+    await run.apply(Fault(0.0, "keep", "n2"))
     for _ in range(2):
-        await trial.apply(Fault(0.0, "kill", "n2"))
-        await trial.apply(Fault(0.0, "start", "n2"))
-        await until(trial, lambda view: view["confirmed"], "it is known again", "n2")
-    before = recovery(trial, "n2")["boot"]
-    await trial.apply(Fault(0.0, "kill", "n2"))
-    await trial.apply(Fault(0.0, "old", "n2"))
-    await trial.apply(Fault(0.0, "start", "n2"))
-    await until(
-        trial, lambda view: view["memory"] == "old" and view["boot"] > before, "it is found out", "n2"
-    )
-    await more(trial, "load")
-
-
-async def a_backup_of_one_that_runs(trial: ScenarioRun) -> None:
+        await run.apply(Fault(0.0, "kill", "n2"))
+        await run.apply(Fault(0.0, "start", "n2"))
+        await until(run, lambda view: view["confirmed"], "it is known again", "n2")
+    before = recovery(run, "n2")["boot"]
+    await run.apply(Fault(0.0, "kill", "n2"))
+    await run.apply(Fault(0.0, "old", "n2"))
+    await run.apply(Fault(0.0, "start", "n2"))
+    await until(run, lambda view: view["memory"] == "old" and view["boot"] > before, "it is found out", "n2")
+    await more(run, "load")
+
+
+async def a_backup_of_one_that_runs(run: ScenarioRun) -> None:
     """A copy of its folder was made while it served, and is put back after the next power loss."""
-    marks = recovery(trial, "n2")["marks"]
-    await trial.apply(Fault(0.0, "keep", "n2"))
-    await until(trial, lambda view: view["marks"] >= marks + 3, "marks are made, and told by the next", "n2")
-    before = recovery(trial, "n2")["boot"]
-    await power(trial)
-    await trial.apply(Fault(0.0, "old", "n2"))
-    await start(trial)
-    await until(trial, lambda view: view["memory"] == "old", "it is found out", "n2")
-    assert recovery(trial, "n2")["boot"] > before and recovery(trial, "n0")["memory"] == "kept"
-    await more(trial, "load")
-
-
-async def a_full_disk(trial: ScenarioRun) -> None:
+    marks = recovery(run, "n2")["marks"]
+    await run.apply(Fault(0.0, "keep", "n2"))
+    await until(run, lambda view: view["marks"] >= marks + 3, "marks are made, and told by the next", "n2")
+    before = recovery(run, "n2")["boot"]
+    await power(run)
+    await run.apply(Fault(0.0, "old", "n2"))
+    await start(run)
+    await until(run, lambda view: view["memory"] == "old", "it is found out", "n2")
+    assert recovery(run, "n2")["boot"] > before and recovery(run, "n0")["memory"] == "kept"
+    await more(run, "load")
+
+
+async def a_full_disk(run: ScenarioRun) -> None:
     """Loads are refused there, all else goes on; with room again loads go out."""
     for name in ALL:
-        await trial.apply(Fault(0.0, "disk", name, words={"state": "full"}))
-    await until(trial, lambda view: view["disk"] != "well", "disks are full")
-    await more(trial, "cheap")
+        await run.apply(Fault(0.0, "disk", name, options={"state": "full"}))
+    await until(run, lambda view: view["disk"] != "well", "disks are full")
+    await more(run, "cheap")
     for name in ALL:
-        await trial.apply(Fault(0.0, "disk", name, words={"state": "well"}))
-    await until(trial, lambda view: view["disk"] == "well", "disks have room")
-    await more(trial, "load")
+        await run.apply(Fault(0.0, "disk", name, options={"state": "well"}))
+    await until(run, lambda view: view["disk"] == "well", "disks have room")
+    await more(run, "load")
 
 
-async def cut_off(trial: ScenarioRun) -> None:
+async def cut_off(run: ScenarioRun) -> None:
     """One that is cut from the others is told apart from a loss, and serves safe queries on."""
-    await trial.apply(Fault(0.0, "peers", "n0", "*", {"cut": True}))
-    await until(trial, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
-    assert recovery(trial, "n1")["verdict"] != "fleet"
-    await more(trial, "cheap")
-    await trial.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
-    await until(trial, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard")
+    await run.apply(Fault(0.0, "peers", "n0", "*", {"cut": True}))
+    await until(run, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
+    assert recovery(run, "n1")["verdict"] != "fleet"
+    await more(run, "cheap")
+    await run.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
+    await until(run, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard")
 
 
-async def told_to_come_later_by_one_that_nobody_hears(trial: ScenarioRun) -> None:
+async def told_to_come_later_by_one_that_nobody_hears(run: ScenarioRun) -> None:
     """A client whose load ran elsewhere asks at one that is cut off: soon it is told that its load may have
     run, before those that know of it have forgotten, and not to come later for as long as it asks."""
     load = "lookup=mine */ INSERT INTO sales_1.t VALUES ('mine', 0)"
 
     async def ask(name: str, ref: int, more: str = "") -> tuple[str, str]:
-        session = await Session.open(trial.listens[ALL.index(name)])
+        session = await Session.open(run.network.instance_ports[name])
         try:
             fields = f"service=load,ref={ref:016x},allow=2000,effort=20{more}"
             return await session.query(f"/* {fields},{load}")
@@ -177,29 +175,29 @@
             session.writer.close()
 
     assert (await ask("n1", 1))[0] == "served"
-    await trial.apply(Fault(0.0, "peers", "n0", "*", {"cut": True}))
-    await until(trial, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
+    await run.apply(Fault(0.0, "peers", "n0", "*", {"cut": True}))
+    await until(run, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
     began, said = time.monotonic(), ("refused", "")
-    while said[0] == "refused" and time.monotonic() < began + recovery(trial, "n0")["hold_ms"] / 1000:
+    while said[0] == "refused" and time.monotonic() < began + recovery(run, "n0")["hold_ms"] / 1000:
         said = await ask("n0", 2, ",dup=1")
         await asyncio.sleep(0.2)
     assert "may have run" in said[1], said
-    refs = [line[2] for lines in trial.ledgers().engines.values() for line in lines if line[1] == "get"]
+    refs = [line[2] for lines in run.logs().engines.values() for line in lines if line[1] == "get"]
     assert sum(ref in (f"{1:016x}", f"{2:016x}") for ref in refs) == 1
-    await trial.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
-    await until(trial, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard")
+    await run.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
+    await until(run, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard")
 
 
-async def the_source_of_the_list_stays_away(trial: ScenarioRun) -> None:
+async def the_source_of_the_list_stays_away(run: ScenarioRun) -> None:
     """Engines that were known before serve once they have answered; loads wait for the list."""
-    await more(trial, "cheap")
-    await trial.apply(Fault(0.0, "source", "n*", words={"cut": True}))
-    await power(trial)
-    await start(trial)
-    await until(trial, lambda view: view["verdict"] == "fleet", "all see the loss")
-    await more(trial, "cheap")
-    await trial.apply(Fault(0.0, "source", "n*", words={"heal": True}))
-    await more(trial, "load")
+    await more(run, "cheap")
+    await run.apply(Fault(0.0, "source", "n*", options={"cut": True}))
+    await power(run)
+    await start(run)
+    await until(run, lambda view: view["verdict"] == "fleet", "all see the loss")
+    await more(run, "cheap")
+    await run.apply(Fault(0.0, "source", "n*", options={"heal": True}))
+    await more(run, "load")
 
 
 STORIES = [all_at_once, again_while_it_recovers, an_empty_folder, an_old_folder]
@@ -210,18 +208,18 @@
 @pytest.mark.parametrize("story", STORIES, ids=lambda s: s.__name__)
 def test_a_power_loss_on_processes(story: Story, tmp_path: Path) -> None:
     day = msgspec.structs.replace(DAY, consul=story is the_source_of_the_list_stays_away)
-    trial = ScenarioRun(day, tmp_path, forks=True)
+    run = ScenarioRun(day, tmp_path, forks=True)
 
     async def scenario() -> None:
         try:
-            await trial.start()
-            await until(trial, lambda view: view["sends_loads"] and view["confirmed"], "all are there")
-            await more(trial, "load")
-            await story(trial)
+            await run.start()
+            await until(run, lambda view: view["sends_loads"] and view["confirmed"], "all are there")
+            await more(run, "load")
+            await story(run)
         finally:
-            await trial.close()
+            await run.close()
 
     asyncio.run(scenario())
-    found = check_run(day, trial.ledgers()).findings
+    found = check_run(day, run.logs()).findings
     # Asks are open at its end; times are no part of this.
     assert [f for f in found if not f.startswith("answers")] == []
