--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -27,7 +27,7 @@
 
 import uvloop
 
-from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass
 from cottonhold.emulator.fault_injection.defects import DEFECTS
 from cottonhold.emulator.fault_injection.event_log import LogLine
 from cottonhold.emulator.fault_injection.harness import ScenarioRun, ScenarioRunError
@@ -37,7 +37,7 @@
     PowerLossDraw,
     PowerLossMoment,
     Tally,
-    seen_at,
+    observe_power_loss,
     timeline,
     unanswered,
 )
@@ -54,27 +54,30 @@
 def day_of(seed: int) -> Scenario:
     """A fleet; its clients' manner is drawn."""
     draw = random.Random(seed)
-    manner = Manner(
-        tries=4,
-        asks_again=True,
-        asks_failed=draw.random() < 0.5,
-        hears=draw.choice((0.0, 1500.0)),
-        notice=draw.choice((300.0, 1000.0)),
+    manner = ClientBehaviour(
+        max_attempts=4,
+        retries_unfinished_loads=True,
+        retries_failed_loads=draw.random() < 0.5,
+        response_timeout_ms=draw.choice((0.0, 1500.0)),
+        failure_detection_ms=draw.choice((300.0, 1000.0)),
     )
     return Scenario(
         name=f"cuts-{seed}",
-        about="power goes again and again",
+        description="power goes again and again",
         seed=seed,
         instances=4,
-        engines=1,
-        rate=30.0,
-        seconds=600.0,
-        weights=(1, 1, 1, 1),
-        kinds=(Kind("cheap", 0.2, 2000.0, 20.0), Kind("load", 0.8, 1000 * PATIENCE_S, 300.0, True)),
-        manner=manner,
-        traits={"work": 20.0, "classes": {"load": 15.0}, "servers": 4, "cold": 1.5, "warm": 1500.0},
-        price=True,
-        state=True,
+        engines_per_zone=1,
+        requests_per_s=30.0,
+        duration_s=600.0,
+        instance_weights=(1, 1, 1, 1),
+        request_classes=(
+            RequestClass("cheap", 0.2, 2000.0, 20.0),
+            RequestClass("load", 0.8, 1000 * PATIENCE_S, 300.0, True),
+        ),
+        client_behaviour=manner,
+        engine_traits={"work": 20.0, "classes": {"load": 15.0}, "servers": 4, "cold": 1.5, "warm": 1500.0},
+        has_admission=True,
+        has_state_folders=True,
     )
 
 
@@ -127,11 +130,11 @@
 
     def look(self) -> None:
         """Take all ledgers in, and tell at once of loads that ran twice."""
-        self.tally.clients(self._news("clients"))
-        known = len(self.tally.twice)
+        self.tally.on_client_lines(self._news("clients"))
+        known = len(self.tally.duplicates)
         for name in self.scenario.engine_names():
-            self.tally.engine(name, self._news(name))
-        for number in self.tally.twice[known:]:
+            self.tally.on_engine_lines(name, self._news(name))
+        for number in self.tally.duplicates[known:]:
             self.found(
                 f"twice: load {number}", *timeline(self.tally.load(number), self.started_at, self.marks)
             )
@@ -151,7 +154,7 @@
     async def _served(self, since: float) -> None:
         """Until loads begin at engines again."""
         end = time.monotonic() + SERVING_S
-        while not any(r.began > since for load in self.tally.loads.values() for r in load.runs[-1:]):
+        while not any(e.began_at > since for load in self.tally.loads.values() for e in load.executions[-1:]):
             if time.monotonic() > end:
                 views = {n: self.view(n).get("recovery") for n in self.running_instances()}
                 self.found(f"no load was run for {SERVING_S:g} s", json.dumps(views))
@@ -171,9 +174,9 @@
 
     async def come_back(self, cut: PowerLoss) -> None:
         """Engines and instances start as the cut says."""
-        begin = time.monotonic() + max(0.0, -cut.engines)
-        at, rows = begin, [(begin + cut.engines, "e*")]
-        for name, gap in zip(cut.order, cut.gaps, strict=True):
+        begin = time.monotonic() + max(0.0, -cut.engine_delay_s)
+        at, rows = begin, [(begin + cut.engine_delay_s, "e*")]
+        for name, gap in zip(cut.order, cut.gaps_s, strict=True):
             at += gap
             rows.append((at, name))
         for due, name in sorted(rows):
@@ -183,29 +186,29 @@
     async def moment(self, cut: PowerLoss, back: asyncio.Task[None], since: float) -> None:
         """Wait for the moment at which power goes."""
         before = self.cuts[-1].order if self.cuts else tuple(self.scenario.instance_names())
-        if cut.when is PowerLossMoment.RECOVERY:
+        if cut.moment is PowerLossMoment.RECOVERY:
             await self._there(before)
-        elif cut.when is not PowerLossMoment.START:
+        elif cut.moment is not PowerLossMoment.START:
             await back
             await self._served(since)
-        if cut.rest:
+        if cut.waits_for_rest:
             await back
             await self.whole()
             if cut.backup:
                 self.machines.save_folder(cut.backup)
             await asyncio.sleep(PEACE_S)
-        await asyncio.sleep(cut.wait)
-        if cut.stalled:
+        await asyncio.sleep(cut.delay_s)
+        if cut.stalled_s:
             for name in before:
                 self.machines.set_disk(name, "stalled")
-            await asyncio.sleep(cut.stalled)
+            await asyncio.sleep(cut.stalled_s)
 
     def power(self, cut: PowerLoss, before: tuple[str, ...]) -> None:
         """All is killed; what is wrong with folders and clocks, and how the disks will be."""
         at = time.monotonic()
         self.fault_injector.cut_power("*")
         self.look()
-        self.tally.power(at)
+        self.tally.on_power_loss(at)
         self.cut_at.append(at)
         self.cuts.append(cut)
         self.timeline.append(f"{at - self.started_at:8.2f} s  {cut}")
@@ -215,12 +218,12 @@
             self.machines.restore_old_folder,
             self.machines.save_folder,
         )
-        for name, change in zip((cut.emptied, cut.old, cut.backup, cut.kept), folders, strict=True):
+        for name, change in zip((cut.emptied, cut.restored, cut.backup, cut.copied), folders, strict=True):
             if name:
                 change(name)
-        self.machines.clocks = dict(cut.clocks)
+        self.machines.clock_offsets_s = dict(cut.clock_offsets_s)
         for name in self.scenario.instance_names():
-            self.machines.set_disk(name, "well", leak=cut.leak, seed=cut.number * 10 + int(name[1:]))
+            self.machines.set_disk(name, "well", leak=cut.leak_share, seed=cut.number * 10 + int(name[1:]))
 
     async def whole(self) -> None:
         """All that are to be there are there, and send loads. A finding if they don't come."""
@@ -255,13 +258,13 @@
             await self.start()
             back = asyncio.create_task(asyncio.sleep(0.0))
             since = time.monotonic()
-            for cut in PowerLossDraw(self.scenario.seed, self.scenario.instance_names()).cuts(count):
-                if time.monotonic() - self.started_at > self.scenario.seconds - LAST_S:
+            for cut in PowerLossDraw(self.scenario.seed, self.scenario.instance_names()).power_losses(count):
+                if time.monotonic() - self.started_at > self.scenario.duration_s - LAST_S:
                     break  # clients come no longer: more fleets, then, for as many cuts
                 await self.moment(cut, back, since)
                 back.cancel()
                 self.power(cut, cut.order)
-                await asyncio.sleep(cut.dark)
+                await asyncio.sleep(cut.outage_s)
                 since = time.monotonic()
                 back = asyncio.create_task(self.come_back(cut))
                 print(f"seed {self.scenario.seed}: {cut}; loads {len(self.tally.loads)}", flush=True)
@@ -277,27 +280,29 @@
         until = over - PATIENCE_S - 1.0
         self.late = len(unanswered(self.tally, self.cut_at, until))
         for lost in unanswered(self.tally, self.cut_at, until, self.stood):
-            if lost.left >= SURE_MS and lost.sent < lost.at + 0.3:
-                self.found(f"no answer within {lost.left} ms: ref {lost.ref} at n{lost.instance}")
+            if lost.timeout_ms >= SURE_MS and lost.sent_at < lost.started_at + 0.3:
+                self.found(
+                    f"no answer within {lost.timeout_ms} ms: ref {lost.request_id} at n{lost.instance}"
+                )
         return self._result()
 
     def _result(self) -> dict[str, Any]:
         seen = [
-            seen_at(self.tally, at, until)
+            observe_power_loss(self.tally, at, until)
             for at, until in zip(self.cut_at, [*self.cut_at[1:], float("inf")], strict=True)
         ]
         kept = {
             "seed": self.scenario.seed,
             "loads": len(self.tally.loads),
-            "twice": self.tally.twice,
-            "sent_again": sum(len(load.gets) > 1 for load in self.tally.loads.values()),
+            "twice": self.tally.duplicates,
+            "sent_again": sum(len(load.arrivals) > 1 for load in self.tally.loads.values()),
             "findings": self.findings,
             "late": self.late,
             "up": self.up,
-            "cuts": [cut.when.value for cut in self.cuts],
-            "wrong": [bool(cut.emptied or cut.old or cut.backup) for cut in self.cuts],
+            "cuts": [cut.moment.value for cut in self.cuts],
+            "wrong": [bool(cut.emptied or cut.restored or cut.backup) for cut in self.cuts],
             "away": [bool(cut.away) for cut in self.cuts],
-            "seen": [[one.in_flight, one.at_engines, one.unheard, one.told] for one in seen],
+            "seen": [[one.in_flight, one.at_engines, one.unreported, one.answers] for one in seen],
             "timeline": self.timeline,
             "begun": self.started_at,
             "marks": self.marks,
@@ -329,8 +334,8 @@
     ]
     for name in [*(when.value for when in PowerLossMoment), "all"]:
         some = [seen for when, seen in rows if name in (when, "all")]
-        told: Counter[str] = sum((seen.told for seen in some), Counter())
-        sums = [sum(getattr(s, f) for s in some) for f in ("in_flight", "at_engines", "unheard")]
+        told: Counter[str] = sum((seen.answers for seen in some), Counter())
+        sums = [sum(getattr(s, f) for s in some) for f in ("in_flight", "at_engines", "unreported")]
         cells = [name, len(some), *sums, *(told[word] for word in ("well", "may", "sent", "later", "nobody"))]
         lines.append("| " + " | ".join(map(str, cells)) + " |")
     loads, twice = sum(r["loads"] for r in results), sum(len(r["twice"]) for r in results)
--- a/benchmarks/fleet/trials.py
+++ b/benchmarks/fleet/trials.py
@@ -75,7 +75,7 @@
         overload(given.folder, given.read)
         return
     if not given.read:
-        for day in (day for day in SCENARIOS if not day.price):
+        for day in (day for day in SCENARIOS if not day.has_admission):
             play(day, given.folder / f"{day.name}-on")
             if day.name in COMPARED:
                 play(without_fleet(day), given.folder / f"{day.name}-off")
@@ -98,7 +98,7 @@
     text += ["| day | by instance | wrong zones left |", "| --- | --- | --- |"]
     for day in SCENARIOS:
         if run := kept(given.folder, f"{day.name}-on"):
-            begun = run[1]["begun_unix"] + day.out
+            begun = run[1]["begun_unix"] + day.outage_at_s
             left, wrong = leavings(given.folder / f"{day.name}-on", begun, day)
             shown = ", ".join(f"{name} {t:.1f}" for name, t in sorted(left.items()))
             text.append(f"| {day.name} | {shown or 'none'} | {wrong or ''} |")
@@ -110,7 +110,7 @@
 
 def overload(folder: Path, read: bool) -> None:
     """The days of overload, each with the price and without."""
-    days = [day for day in SCENARIOS if day.price]
+    days = [day for day in SCENARIOS if day.has_admission]
     columns = ["worth", "worth_out", "worth_after_5s", "served_dear", "served_cheap"]
     columns += ["unlike_between_instances", "attempts_per_served", "p99_ms"]
     lines = [
@@ -141,11 +141,11 @@
 def leavings(folder: Path, fault: float, day: Scenario) -> tuple[dict[str, float], int]:
     """When each instance left the zone by its own log, and how often any left one that was well."""
     left, wrong = dict[str, float](), 0
-    ill = {day.zone} | {fault.target for fault in day.faults if fault.target in day.zones}
+    ill = {day.failing_zone} | {fault.target for fault in day.faults if fault.target in day.zones}
     for log in sorted(folder.glob("n*.log")):
         for line in log.read_text().splitlines():
             if " event=zone " in line and " phase=out " in line:
-                if f" zone={day.zone} " not in line:
+                if f" zone={day.failing_zone} " not in line:
                     wrong += not any(f" zone={zone} " in line for zone in ill)
                     continue
                 at = datetime.fromisoformat(line.split()[0].removeprefix("ts=")).timestamp()
--- a/cottonhold/cli/trial.py
+++ b/cottonhold/cli/trial.py
@@ -21,7 +21,7 @@
     from cottonhold.emulator.fault_injection.scenarios import SCENARIOS
 
     for day in SCENARIOS:
-        print(f"{day.name:18} {day.seconds:4.0f} s  {day.about}")
+        print(f"{day.name:18} {day.duration_s:4.0f} s  {day.description}")
 
 
 @app.command()
@@ -46,7 +46,7 @@
         chosen = [d for name in days for d in (SCENARIOS if name == "all" else [_day(name, BY_NAME)])]
         for day in chosen:
             changed = msgspec.structs.replace(
-                day, seed=day.seed if seed is None else seed, fleet=fleet and day.fleet
+                day, seed=day.seed if seed is None else seed, has_fleet=fleet and day.has_fleet
             )
             where = folder / f"{day.name}-{time.strftime('%H%M%S')}"
             with typer.progressbar(length=100, label=f"{day.name:18}") as bar:
--- a/cottonhold/emulator/fault_injection/defects.py
+++ b/cottonhold/emulator/fault_injection/defects.py
@@ -1,4 +1,4 @@
-"""Defects that an instance of the rig can be started with, so that what judges a run is shown to see them."""
+"""Defects that an instance can be started with, to show that the checks of a run find them."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 def _record_late() -> None:
-    """A load goes out at once, and its record is written a second later."""
-    put = Ledger.put
+    """Send a load at once, and write its record a second later."""
+    original_put = Ledger.put
 
-    def early(self: Ledger, records: Sequence[Record], done: OnWritten | None = None) -> None:
-        if done is None or records[0].kind is not RecordKind.LOAD:
-            put(self, records, done)
+    def send_early(self: Ledger, records: Sequence[Record], on_written: OnWritten | None = None) -> None:
+        if on_written is None or records[0].kind is not RecordKind.LOAD:
+            original_put(self, records, on_written)
             return
-        late = threading.Timer(LATE_S, put, (self, records))
-        late.daemon = True
-        late.start()
-        done(True)
+        timer = threading.Timer(LATE_S, original_put, (self, records))
+        timer.daemon = True
+        timer.start()
+        on_written(True)
 
-    setattr(Ledger, "put", early)  # noqa: B010
+    setattr(Ledger, "put", send_early)  # noqa: B010
 
 
 DEFECTS: dict[str, Callable[[], None]] = {"record-late": _record_late}
--- a/cottonhold/emulator/fault_injection/event_log.py
+++ b/cottonhold/emulator/fault_injection/event_log.py
@@ -1,4 +1,6 @@
-"""What was seen in a run, read from the ledgers into tries, executions and sends. Pure."""
+"""What was seen in a run: the logs of engines, clients and links, read into attempts, executions and sends.
+Pure. Times are seconds of one monotonic clock that all processes share.
+"""
 
 from __future__ import annotations
 
@@ -6,42 +8,45 @@
 from collections import defaultdict
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any
 
+from cottonhold.emulator.fault_injection.client_model import RequestEnd
 from cottonhold.emulator.fault_injection.script import Scenario
 
-LogLine = list[Any]  # [seconds, what, reference, more]
-BIN_S = 0.5  # s: the step of series by time
-REQUEST_ENDS = {"served", "refused", "failed", "nothing", "broken", "unreached"}
+LogLine = list[Any]  # [seconds, event, request id, more]
+BIN_S = 0.5  # the step of series over time
+REQUEST_ENDS = frozenset(RequestEnd)
 
 
 @dataclass(slots=True)
 class RunLogs:
-    """All that was seen. Times are seconds of one clock; `begun`: when the load began. marks: what the rig
-    did to processes, as (time, verb, name). stalls: from when to when the rig itself stood still on a busy
-    machine: what it saw then may have been long before."""
+    """All that was seen.
+
+    marks: what the harness did to processes, as (time, verb, name). links: lines of [seconds, event, request
+    id, instance, engine], where the event is get, drop, closed or the engine's status. stalls: from when to
+    when the harness itself was not scheduled: what it saw then may have happened long before.
+    projected_costs: by zone, what an instance projected a second before the zone's outage. ownerless_counts:
+    how many keys that migrated had no owner for up to so many ms, as the instances counted.
+    """
 
     engines: Mapping[str, list[LogLine]]
     clients: list[LogLine]
-    begun: float
+    load_started_at: float
     marks: list[tuple[float, str, str]] = field(default_factory=list)
-    links: list[LogLine] = field(
-        default_factory=list
-    )  # [seconds, get|drop|closed|answer, ref, instance, engine]
+    links: list[LogLine] = field(default_factory=list)
     stalls: list[tuple[float, float]] = field(default_factory=list)
-    # What an instance told a second before the day's zone was out: rows of its outlook by zone.
-    told: Mapping[str, Any] = field(default_factory=dict)
-    # How many keys that were moved had no owner up to so many ms, as the instances that moved them counted.
-    ownerless: Mapping[float, int] = field(default_factory=dict)
+    projected_costs: Mapping[str, Any] = field(default_factory=dict)
+    ownerless_counts: Mapping[float, int] = field(default_factory=dict)
 
     def stalled_s(self, begin: float, end: float) -> float:
-        """Seconds within a time in which the rig stood still."""
+        """Return the seconds within a time in which the harness was not scheduled."""
         return sum(max(min(end, b) - max(begin, a), 0.0) for a, b in self.stalls)
 
 
 @dataclass(slots=True)
 class Verdict:
-    """Findings, figures, and series by time for the charts."""
+    """What a run was: broken rules with their evidence, figures, and series over time in steps of BIN_S."""
 
     findings: list[str] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
@@ -50,110 +55,152 @@
 
 @dataclass(slots=True)
 class RequestLog:
-    """One try of a client."""
+    """One attempt of a client. attempt: counted from 0. sent_at: when its connection was open, which is after
+    started_at. end: None while it is open; end_count: how often an end was logged."""
 
-    at: float
-    kind: str
+    started_at: float
+    class_name: str
     instance: int
-    number: int
+    attempt: int
     client: int
-    left: float
-    ended: float = math.inf
-    word: str = ""
+    timeout_ms: float
+    ended_at: float = math.inf
+    end: RequestEnd | None = None
     text: str = ""
-    ends: int = 0
-    home: str = ""
-    sent: float = math.inf  # when its connection was there; `at` is before that
+    end_count: int = 0
+    client_zone: str = ""
+    sent_at: float = math.inf
 
 
-def bin_count(day: Scenario) -> int:
-    """How many steps a day has."""
-    return math.ceil(day.seconds / BIN_S)
+class ExecutionEnd(StrEnum):
+    """How an execution ended, by the word that stands for it in the engine's log."""
 
+    DONE = "done"
+    CANCELLED = "drop"
+    CONNECTION_LOST = "broke"
+    CRASHED = "crashed"
+    OVERLOADED = "overload"
+    KILLED = "killed"
 
-def requests_of(seen: RunLogs) -> dict[str, RequestLog]:
-    """Tries by request, in the order in which they were made."""
-    asks: dict[str, RequestLog] = {}
-    for at, what, ref, *more in seen.clients:
-        if what == "ask":
-            kind, instance, number, client, left, *home = more
-            asks[ref] = RequestLog(at, kind, instance, number, client, left, home="".join(home))
-        elif what == "sent" and ref in asks:
-            asks[ref].sent = at
-        elif what in REQUEST_ENDS and ref in asks:
-            ask = asks[ref]
-            ask.ended, ask.word, ask.text, ask.ends = at, what, more[0] if more else "", ask.ends + 1
-    return asks
+
+EXECUTION_ENDS = frozenset(ExecutionEnd) - {ExecutionEnd.KILLED}
 
 
 @dataclass(slots=True)
 class Execution:
-    """One attempt as its engine saw it. `ended`: when it no longer was there; `how`: done, drop, broke,
-    ...
-    """
+    """One attempt as its engine saw it. key, load_number: of a load; empty for other requests. began_at:
+    infinite while it waits. ended_at: when the engine no longer had it."""
 
     engine: str
-    came: float
-    kind: str = ""
+    arrived_at: float
+    class_name: str = ""
     key: str = ""
-    number: int = 0
-    work: float = 0.0
-    began: float = math.inf
-    ended: float = math.inf
-    how: str = ""
-    cold: bool = False  # it read a data set that the engine had not warm
-
-
-def executions_of(seen: RunLogs) -> dict[str, list[Execution]]:
-    """By request, in the order in which the attempts came. A killed engine ends all that it had."""
-    runs: dict[str, list[Execution]] = defaultdict(list)
-    for engine, lines in seen.engines.items():
-        there: dict[str, Execution] = {}
-        deaths = sorted(t for t, verb, name in seen.marks if verb == "kill" and name == engine)
-        for at, what, ref, *more in lines:
-            while deaths and deaths[0] <= at:
-                death = deaths.pop(0)
-                for run in there.values():
-                    run.ended, run.how = death, "killed"
-                there.clear()
-            if what == "get":
-                run = there[ref] = Execution(engine, at, *more)
-                runs[ref].append(run)
-            elif what == "run" and ref in there:
-                there[ref].began, there[ref].cold = at, more == ["cold"]
-            elif what in ("done", "drop", "broke", "crashed", "overload") and ref in there:
-                run = there.pop(ref)
-                run.ended, run.how = at, what
-        for run in there.values() if deaths else ():
-            run.ended, run.how = deaths[0], "killed"
-    for found in runs.values():
-        found.sort(key=lambda r: r.came)
-    return runs
+    load_number: int = 0
+    work_ms: float = 0.0
+    began_at: float = math.inf
+    ended_at: float = math.inf
+    end: ExecutionEnd | None = None
+    read_cold_data: bool = False
 
 
 @dataclass(slots=True)
 class Send:
-    """One attempt as its link saw it. `how`: drop, closed, or the word that was answered; empty while it is
-    out.
-    """
+    """One attempt as its link saw it. end: drop, closed, or the engine's status; empty while it is open."""
 
     instance: str
     engine: str
-    at: float
-    ended: float = math.inf
-    how: str = ""
-
-
-def sends_of(seen: RunLogs) -> dict[str, list[Send]]:
-    """By request, in the order in which the attempts were sent."""
+    sent_at: float
+    ended_at: float = math.inf
+    end: str = ""
+
+
+@dataclass(slots=True, frozen=True)
+class RunHistory:
+    """A run's logs, and what they tell of each request by its id."""
+
+    scenario: Scenario
+    logs: RunLogs
+    requests: Mapping[str, RequestLog]
+    executions: Mapping[str, list[Execution]]
+    sends: Mapping[str, list[Send]]
+
+
+def read_history(scenario: Scenario, logs: RunLogs) -> RunHistory:
+    """Return the history of a run."""
+    return RunHistory(scenario, logs, requests_of(logs), executions_of(logs), sends_of(logs))
+
+
+def bin_count(scenario: Scenario) -> int:
+    """Return how many steps a series of a scenario has."""
+    return math.ceil(scenario.duration_s / BIN_S)
+
+
+def requests_of(logs: RunLogs) -> dict[str, RequestLog]:
+    """Return the clients' attempts by request id, in the order in which they were made."""
+    requests: dict[str, RequestLog] = {}
+    for at, event, request_id, *details in logs.clients:
+        if event == "ask":
+            class_name, instance, attempt, client, timeout_ms, *zone = details
+            requests[request_id] = RequestLog(
+                at, class_name, instance, attempt, client, timeout_ms, client_zone="".join(zone)
+            )
+        elif event == "sent" and request_id in requests:
+            requests[request_id].sent_at = at
+        elif event in REQUEST_ENDS and request_id in requests:
+            request = requests[request_id]
+            request.ended_at, request.end = at, RequestEnd(event)
+            request.text = details[0] if details else ""
+            request.end_count += 1
+    return requests
+
+
+def executions_of(logs: RunLogs) -> dict[str, list[Execution]]:
+    """Return the executions by request id, each in the order of arrival. A killed engine ends all it had."""
+    executions: dict[str, list[Execution]] = defaultdict(list)
+    for engine, lines in logs.engines.items():
+        kills = sorted(at for at, verb, name in logs.marks if verb == "kill" and name == engine)
+        _read_engine(engine, lines, kills, executions)
+    for of_request in executions.values():
+        of_request.sort(key=lambda execution: execution.arrived_at)
+    return executions
+
+
+def _read_engine(
+    engine: str, lines: list[LogLine], kills: list[float], executions: dict[str, list[Execution]]
+) -> None:
+    present: dict[str, Execution] = {}
+    for at, event, request_id, *details in lines:
+        while kills and kills[0] <= at:
+            _end_all(present, kills.pop(0))
+        if event == "get":
+            execution = present[request_id] = Execution(engine, at, *details)
+            executions[request_id].append(execution)
+        elif event == "run" and request_id in present:
+            present[request_id].began_at = at
+            present[request_id].read_cold_data = details == ["cold"]
+        elif event in EXECUTION_ENDS and request_id in present:
+            execution = present.pop(request_id)
+            execution.ended_at, execution.end = at, ExecutionEnd(event)
+    if kills:
+        _end_all(present, kills[0])
+
+
+def _end_all(present: dict[str, Execution], at: float) -> None:
+    for execution in present.values():
+        execution.ended_at, execution.end = at, ExecutionEnd.KILLED
+    present.clear()
+
+
+def sends_of(logs: RunLogs) -> dict[str, list[Send]]:
+    """Return the sends by request id, each in the order in which they were sent."""
     sends: dict[str, list[Send]] = defaultdict(list)
-    for at, what, ref, instance, engine in seen.links:
-        if what == "get":
-            sends[ref].append(Send(instance, engine, at))
+    for at, event, request_id, instance, engine in logs.links:
+        if event == "get":
+            sends[request_id].append(Send(instance, engine, at))
             continue
-        for send in reversed(sends[ref]):
+        for send in reversed(sends[request_id]):
             if (send.instance, send.engine) == (instance, engine):
-                if not send.how:
-                    send.ended, send.how = at, what
+                if not send.end:
+                    send.ended_at, send.end = at, event
                 break
     return sends
--- a/cottonhold/emulator/fault_injection/executions.py
+++ b/cottonhold/emulator/fault_injection/executions.py
@@ -1,7 +1,8 @@
-"""Loads by what they are, whatever asked for them and wherever: run once, one at a time on a key, in order.
+"""Rules about loads by what they are, across requests and instances: run once, one at a time on a key, in
+order. Pure.
 
-A client that asks again comes with another id, maybe at another instance, so ids tell nothing. What a load is
-stands in its statement: its key and its number. Pure.
+A client that repeats a load sends another request id, maybe to another instance, so ids identify no load. Its
+statement does: by its key and its number.
 """
 
 from __future__ import annotations
@@ -11,129 +12,134 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from cottonhold.emulator.fault_injection.event_log import Execution, RequestLog, Send, Verdict
-from cottonhold.emulator.fault_injection.script import Scenario
+from cottonhold.emulator.fault_injection.event_log import (
+    Execution,
+    RequestLog,
+    RunHistory,
+    Send,
+    Verdict,
+)
 
-NEVER_RAN = ("overload", "nobody", "crashed")  # answers that prove that nothing of it was done
+NEVER_RAN = ("overload", "nobody", "crashed")  # statuses that prove that nothing of a load was done
 
 
 @dataclass(slots=True)
 class LoadWork:
-    """One load: its tries and its executions, by time."""
+    """One load: its client's attempts, and its executions in the order in which they began."""
 
     key: str
     number: int
-    tries: list[RequestLog] = field(default_factory=list)
-    runs: list[Execution] = field(default_factory=list)
+    attempts: list[RequestLog] = field(default_factory=list)
+    executions: list[Execution] = field(default_factory=list)
 
     @property
-    def told(self) -> float:
-        """When its client had heard of its last end."""
-        return max((t.ended for t in self.tries), default=math.inf)
+    def notified_at(self) -> float:
+        """When its client had received the end of its last attempt."""
+        return max((attempt.ended_at for attempt in self.attempts), default=math.inf)
 
     @property
-    def asked(self) -> float:
-        """When its client first asked."""
-        return min((t.at for t in self.tries), default=-math.inf)
+    def requested_at(self) -> float:
+        """When its client made its first attempt."""
+        return min((attempt.started_at for attempt in self.attempts), default=-math.inf)
 
 
-def load_works(asks: Mapping[str, RequestLog], runs: Mapping[str, Sequence[Execution]]) -> list[LoadWork]:
-    """All loads that came to an engine. An attempt that never began is no execution."""
+def load_works(
+    requests: Mapping[str, RequestLog], executions: Mapping[str, Sequence[Execution]]
+) -> list[LoadWork]:
+    """Return all loads that arrived at an engine. One that did not begin there is no execution."""
     works: dict[tuple[str, int], LoadWork] = {}
-    tries: dict[int, list[RequestLog]] = defaultdict(list)
-    for ask in asks.values():
-        tries[ask.client].append(ask)
-    for ref, found in runs.items():
-        for run in found:
-            if run.key:
-                work = works.setdefault((run.key, run.number), LoadWork(run.key, run.number))
-                if not work.tries and ref in asks:
-                    work.tries = tries[asks[ref].client]
-                if run.began < math.inf:
-                    work.runs.append(run)
+    attempts: dict[int, list[RequestLog]] = defaultdict(list)
+    for request in requests.values():
+        attempts[request.client].append(request)
+    for request_id, of_request in executions.items():
+        for execution in of_request:
+            if not execution.key:
+                continue
+            identity = execution.key, execution.load_number
+            work = works.setdefault(identity, LoadWork(*identity))
+            if not work.attempts and request_id in requests:
+                work.attempts = attempts[requests[request_id].client]
+            if execution.began_at < math.inf:
+                work.executions.append(execution)
     for work in works.values():
-        work.runs.sort(key=lambda r: r.began)
+        work.executions.sort(key=lambda execution: execution.began_at)
     return list(works.values())
 
 
-def check_executions(
-    day: Scenario,
-    asks: Mapping[str, RequestLog],
-    runs: Mapping[str, Sequence[Execution]],
-    sends: Mapping[str, Sequence[Send]],
-    verdict: Verdict,
-) -> None:
-    """Each load is run once. Where the day says so: one of a key at a time over all instances, and one that
-    was asked for after the other's end was told begins after it."""
-    works = load_works(asks, runs)
+def check_executions(history: RunHistory, verdict: Verdict) -> None:
+    """Each load is run once. Where the scenario says so, also: one of a key at a time over all instances, and
+    one that was requested after another's end was known begins after it."""
+    works = load_works(history.requests, history.executions)
     _check_duplicates(works, verdict)
-    _count_retries(asks, runs, sends, verdict)
-    found = _overlaps(works) + _reversed(works)
-    verdict.figures["order_across"] = float(len(found))
-    if day.order_across:
-        verdict.findings += found
+    _count_retries(history, verdict)
+    findings = _overlaps(works) + _reversals(works)
+    verdict.figures["order_across"] = float(len(findings))
+    if history.scenario.orders_across:
+        verdict.findings += findings
 
 
 def _check_duplicates(works: Sequence[LoadWork], verdict: Verdict) -> None:
-    twice = 0
-    for work in works:
-        if len(work.runs) > 1:
-            twice += 1
-            where = ", ".join(f"{r.engine} ({r.how or 'open'})" for r in work.runs)
-            verdict.findings.append(f"twice: load {work.number} on {work.key} was run by {where}")
+    duplicates = [work for work in works if len(work.executions) > 1]
+    for work in duplicates:
+        where = ", ".join(f"{e.engine} ({e.end or 'open'})" for e in work.executions)
+        verdict.findings.append(f"twice: load {work.number} on {work.key} was run by {where}")
     verdict.figures["loads"] = float(len(works))
-    verdict.figures["loads_run_twice"] = float(twice)
-
-
-def _count_retries(
-    asks: Mapping[str, RequestLog],
-    runs: Mapping[str, Sequence[Execution]],
-    sends: Mapping[str, Sequence[Send]],
-    verdict: Verdict,
-) -> None:
-    """Loads that went to an engine although an earlier attempt may have run: luck, if it had not."""
-    loads = {ref for ref, found in runs.items() if any(r.key for r in found)}
-    out: dict[int, list[Send]] = defaultdict(list)
-    for ref in loads & asks.keys():
-        out[asks[ref].client] += [s for s in sends.get(ref, ()) if s.how not in NEVER_RAN]
-    verdict.figures["loads_sent_again"] = float(sum(len(found) > 1 for found in out.values()))
-
-
-def _by_key(works: Sequence[LoadWork]) -> dict[str, list[tuple[Execution, LoadWork]]]:
-    keyed: dict[str, list[tuple[Execution, LoadWork]]] = defaultdict(list)
+    verdict.figures["loads_run_twice"] = float(len(duplicates))
+
+
+def _count_retries(history: RunHistory, verdict: Verdict) -> None:
+    """Count the loads that were sent to an engine although an earlier attempt may have run."""
+    loads = {
+        request_id
+        for request_id, executions in history.executions.items()
+        if any(execution.key for execution in executions)
+    }
+    may_have_run: dict[int, list[Send]] = defaultdict(list)
+    for request_id in loads & history.requests.keys():
+        sends = history.sends.get(request_id, ())
+        client = history.requests[request_id].client
+        may_have_run[client] += [send for send in sends if send.end not in NEVER_RAN]
+    verdict.figures["loads_sent_again"] = float(sum(len(sends) > 1 for sends in may_have_run.values()))
+
+
+def _executions_by_key(works: Sequence[LoadWork]) -> dict[str, list[tuple[Execution, LoadWork]]]:
+    """Return the executions of each key with their loads, in the order in which they began."""
+    by_key: dict[str, list[tuple[Execution, LoadWork]]] = defaultdict(list)
     for work in works:
-        keyed[work.key] += [(run, work) for run in work.runs]
-    for found in keyed.values():
-        found.sort(key=lambda row: row[0].began)
-    return keyed
+        by_key[work.key] += [(execution, work) for execution in work.executions]
+    for rows in by_key.values():
+        rows.sort(key=lambda row: row[0].began_at)
+    return by_key
 
 
 def _overlaps(works: Sequence[LoadWork]) -> list[str]:
-    found = []
-    for key, rows in _by_key(works).items():
+    """Return a finding for each execution that began while another load of its key ran."""
+    findings = []
+    for key, rows in _executions_by_key(works).items():
         last: tuple[Execution, LoadWork] | None = None  # of those that began, the one that ends last
-        for run, work in rows:
-            if last is not None and last[1] is not work and run.began < last[0].ended:
-                where = f"{last[0].engine} and {run.engine}"
-                found.append(
+        for execution, work in rows:
+            if last is not None and last[1] is not work and execution.began_at < last[0].ended_at:
+                where = f"{last[0].engine} and {execution.engine}"
+                findings.append(
                     f"order: loads {last[1].number} and {work.number} on {key} ran at once ({where})"
                 )
-            if last is None or run.ended > last[0].ended:
-                last = run, work
-    return found
+            if last is None or execution.ended_at > last[0].ended_at:
+                last = execution, work
+    return findings
 
 
-def _reversed(works: Sequence[LoadWork]) -> list[str]:
-    """One whose end was told before another of its key was asked for must not begin after that."""
-    found = []
-    for key, rows in _by_key(works).items():
-        last: LoadWork | None = None  # of those that have begun, the one that was asked for last
+def _reversals(works: Sequence[LoadWork]) -> list[str]:
+    """Return a finding for each load that began after one of its key which was requested when the former's
+    end was known."""
+    findings = []
+    for key, rows in _executions_by_key(works).items():
+        last: LoadWork | None = None  # of those that have begun, the one that was requested last
         for _, work in rows:
-            if last is not None and work.told < last.asked:
-                found.append(
+            if last is not None and work.notified_at < last.requested_at:
+                findings.append(
                     f"order: load {work.number} on {key} began after load {last.number}, "
                     "which was asked for when it had ended"
                 )
-            if last is None or work.asked > last.asked:
+            if last is None or work.requested_at > last.requested_at:
                 last = work
-    return found
+    return findings
--- a/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
+++ b/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
@@ -8,10 +8,10 @@
 
 from typing import Any
 
-from cottonhold.emulator.fault_injection.clients import Manner
+from cottonhold.emulator.fault_injection.client_model import ClientBehaviour
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
-OUT, BACK = 8.0, 18.0
+OUTAGE_AT_S, RECOVERED_AT_S = 8.0, 18.0
 DISTANCE = {"a-b": 6.0, "b-c": 14.0, "a-c": 20.0}
 TRAITS = {
     "tip": 1000.0,
@@ -22,29 +22,34 @@
 }
 
 
-def failover_cost_scenario(name: str, about: str, *faults: Fault, **fields: Any) -> Scenario:
+def failover_cost_scenario(name: str, description: str, *faults: Fault, **fields: Any) -> Scenario:
     """A day on which something of a zone is out from 8 to 18 s."""
-    usual: dict[str, Any] = {
-        "seconds": 28.0,
-        "out": OUT,
-        "back": BACK,
-        "price": True,
-        "manner": Manner(tries=3),
-        "rate": 240.0,
-        "weights": (2, 2, 2, 2, 2, 2),
-        "homes": ("a", "a", "b", "b", "c", "c"),
-        "distance": DISTANCE,
-        "traits": TRAITS,
+    defaults: dict[str, Any] = {
+        "duration_s": 28.0,
+        "outage_at_s": OUTAGE_AT_S,
+        "recovered_at_s": RECOVERED_AT_S,
+        "has_admission": True,
+        "client_behaviour": ClientBehaviour(max_attempts=3),
+        "requests_per_s": 240.0,
+        "instance_weights": (2, 2, 2, 2, 2, 2),
+        "instance_zones": ("a", "a", "b", "b", "c", "c"),
+        "zone_distances_ms": DISTANCE,
+        "engine_traits": TRAITS,
     }
-    return Scenario(name=name, about=about, faults=faults, **(usual | fields))
+    return Scenario(name=name, description=description, faults=faults, **(defaults | fields))
 
 
 def outage(*targets: str) -> tuple[Fault, ...]:
     """Killed and started again from nothing."""
-    return tuple(f for t in targets for f in (Fault(OUT, "power", t), Fault(BACK, "start", t)))
+    return tuple(
+        f for t in targets for f in (Fault(OUTAGE_AT_S, "power", t), Fault(RECOVERED_AT_S, "start", t))
+    )
 
 
-SLOW = (Fault(OUT, "traits", "a", options={"slow": 10}), Fault(BACK, "traits", "a", options={"slow": 1}))
+SLOW = (
+    Fault(OUTAGE_AT_S, "traits", "a", options={"slow": 10}),
+    Fault(RECOVERED_AT_S, "traits", "a", options={"slow": 1}),
+)
 
 SCENARIOS = [
     failover_cost_scenario("outlook-calm", "nothing fails where zones are apart"),
@@ -54,16 +59,16 @@
     failover_cost_scenario("outlook-dark", "all hosts of a zone are lost", *outage("zone-a")),
     failover_cost_scenario("outlook-ill", "a zone is ten times slower", *SLOW),
     failover_cost_scenario(
-        "outlook-half", "a zone and half of the next are lost", *outage("a", "b0"), rate=200.0
+        "outlook-half", "a zone and half of the next are lost", *outage("a", "b0"), requests_per_s=200.0
     ),
     failover_cost_scenario(
         "outlook-uneven",
         "half of all clients belong to the zone that is lost",
         *outage("a"),
-        weights=(4, 4, 2, 2, 2, 2),
+        instance_weights=(4, 4, 2, 2, 2, 2),
     ),
     failover_cost_scenario(
-        "outlook-full", "a zone is lost where the others can't carry all", *outage("a"), rate=340.0
+        "outlook-full", "a zone is lost where the others can't carry all", *outage("a"), requests_per_s=340.0
     ),
     failover_cost_scenario(
         "outlook-lossy",
@@ -76,12 +81,12 @@
         "a small zone is lost: for every run of the tests",
         Fault(4.0, "power", "a"),
         Fault(8.0, "start", "a"),
-        seconds=12.0,
-        out=4.0,
-        back=8.0,
+        duration_s=12.0,
+        outage_at_s=4.0,
+        recovered_at_s=8.0,
         instances=3,
-        engines=1,
-        homes=("a", "b", "c"),
-        rate=70.0,
+        engines_per_zone=1,
+        instance_zones=("a", "b", "c"),
+        requests_per_s=70.0,
     ),
 ]
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -143,7 +143,7 @@
     def _on_replay(self, fault: Fault) -> None:
         """Send old datagrams again, out of order."""
         switch = self.run.network.switch
-        datagrams = list(switch.kept)
+        datagrams = list(switch.recent_datagrams)
         random.Random(self.run.scenario.seed).shuffle(datagrams)
         for sender, receiver, data in datagrams:
             switch.forward(switch.ports[sender], receiver, data)
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import uvloop
 
 from cottonhold.emulator.fault_injection.checker import check_run
-from cottonhold.emulator.fault_injection.clients import Load
 from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs, Verdict
 from cottonhold.emulator.fault_injection.faults import FaultInjector
 from cottonhold.emulator.fault_injection.instance_config import instance_config
@@ -105,7 +105,7 @@
         finally:
             await self.close()
         logs = self.logs()
-        logs.ownerless = ownerless_times(self.folder, views.values())
+        logs.ownerless_counts = ownerless_times(self.folder, views.values())
         verdict = check_run(self.scenario, logs)
         write_result(self.folder, self._result_fields(logs, verdict, views), self.link_lines)
         return RunResult(self.scenario, self.folder, verdict, self.timeline, views)
@@ -124,7 +124,7 @@
             "datagrams": {"passed": switch.passed, "lost": switch.lost, "bytes": switch.bytes},
             "views": views,
             "told": self.projected_costs,
-            "ownerless": list(logs.ownerless.items()),
+            "ownerless": list(logs.ownerless_counts.items()),
         }
 
     async def start(self) -> None:
@@ -138,7 +138,7 @@
             self.processes.start_instance(name)
         for name in (*self.scenario.engine_names(), *self.scenario.instance_names()):
             self.processes.prepare(name)
-        warm_at = time.monotonic() + float(self.scenario.traits.get("warm", 3000.0)) / 1000
+        warm_at = time.monotonic() + float(self.scenario.engine_traits.get("warm", 3000.0)) / 1000
         await self.until(self.all_members_alive, "all instances know one another")
         await asyncio.sleep(max(warm_at - time.monotonic(), 0.0))
         await self._start_clients()
@@ -162,37 +162,35 @@
     def client_settings(self) -> dict[str, Any]:
         """Return the settings of the clients' process, as `clients.main` reads them."""
         scenario = self.scenario
-        settings = {
+        return {
             "ports": [link.port for link in self.network.client_links.values()],
-            "rate": scenario.rate,
-            "seconds": scenario.seconds,
-            "kinds": [dataclasses.asdict(kind) for kind in scenario.kinds],
-            "weights": scenario.weights[: scenario.instances],
+            "rate": scenario.requests_per_s,
+            "seconds": scenario.duration_s,
+            "kinds": [msgspec.to_builtins(kind) for kind in scenario.request_classes],
+            "weights": scenario.instance_weights[: scenario.instances],
             "ledger": str(self.folder / CLIENT_LOG),
             "seed": scenario.seed,
-            "manner": dataclasses.asdict(scenario.manner),
-            "steps": scenario.steps,
-            "keys": scenario.keys,
-            "homes": scenario.homes,
-            "distance": scenario.distance,
+            "manner": msgspec.to_builtins(scenario.client_behaviour),
+            "steps": scenario.rate_steps,
+            "keys": scenario.key_count,
+            "homes": scenario.instance_zones,
+            "distance": scenario.zone_distances_ms,
         }
-        assert set(settings) <= {f.name for f in dataclasses.fields(Load)}
-        return settings
 
     def instance_config(self, name: str) -> dict[str, Any]:
         """Return the configuration of an instance."""
         addresses = self.network.addresses(name)
-        return instance_config(self.scenario, name, addresses, self.machines.state(name))
+        return instance_config(self.scenario, name, addresses, self.machines.state_folder(name))
 
     async def _inject_faults(self) -> None:
         """Inject each fault at its time, until the clients have ended."""
         scenario = self.scenario
-        faults = sorted(scenario.faults, key=lambda fault: fault.at)
-        max_patience_s = max(kind.patience for kind in scenario.kinds) / 1000
-        end_s = scenario.seconds + max_patience_s + CLIENT_END_S
+        faults = sorted(scenario.faults, key=lambda fault: fault.at_s)
+        max_patience_s = max(kind.patience_ms for kind in scenario.request_classes) / 1000
+        end_s = scenario.duration_s + max_patience_s + CLIENT_END_S
         while (now := time.monotonic() - self.started_at) < end_s:
-            progress = min(now / scenario.seconds, 1.0)
-            while faults and faults[0].at <= now:
+            progress = min(now / scenario.duration_s, 1.0)
+            while faults and faults[0].at_s <= now:
                 fault = faults.pop(0)
                 self.timeline.append(str(fault))
                 self.on_progress(progress, str(fault))
@@ -202,12 +200,12 @@
             if self._is_projection_due(now):
                 self.projected_costs = await asyncio.to_thread(self._read_projected_costs)
             self.on_progress(progress, "")
-            await asyncio.sleep(min(faults[0].at - now, STEP_S) if faults else STEP_S)
+            await asyncio.sleep(min(faults[0].at_s - now, STEP_S) if faults else STEP_S)
 
     def _is_projection_due(self, now: float) -> bool:
-        if not self.scenario.homes or self.projected_costs:
+        if not self.scenario.instance_zones or self.projected_costs:
             return False
-        return self.scenario.out - PROJECTION_LEAD_S <= now < self.scenario.out
+        return self.scenario.outage_at_s - PROJECTION_LEAD_S <= now < self.scenario.outage_at_s
 
     def _read_projected_costs(self) -> dict[str, Any]:
         return first_projected_costs(self.view(name) for name in self.running_instances())
@@ -253,7 +251,7 @@
             self.marks,
             self.link_lines,
             self.stall_monitor.stalls,
-            self.projected_costs,
+            projected_costs=self.projected_costs,
         )
 
     def _on_link_event(self, instance: str, engine: str, event: str, request_id: str) -> None:
@@ -273,7 +271,7 @@
 
 def play(scenario: Scenario, folder: Path, on_progress: Progress = lambda share, text: None) -> RunResult:
     """Play a scenario. Raises ScenarioRunError and ScriptError."""
-    run = ScenarioRun(scenario, folder, on_progress, forks=scenario.state)
+    run = ScenarioRun(scenario, folder, on_progress, forks=scenario.has_state_folders)
     try:
         return uvloop.run(run.play())
     finally:
--- a/cottonhold/emulator/fault_injection/instance_config.py
+++ b/cottonhold/emulator/fault_injection/instance_config.py
@@ -19,9 +19,12 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceAddresses:
-    """The ports of an instance. engine_ports: of its link to each engine. source_port: of its link to the
-    source of the engine list, where the scenario has one. peer_addresses: the public address of each instance,
-    by number; datagrams sent there arrive at its own `peer_port`."""
+    """The ports of an instance.
+
+    peer_addresses: the public address of each instance, by number; datagrams sent there arrive at its own
+    `peer_port`. engine_ports: of its link to each engine. source_port: of its link to the source of the
+    engine list, where the scenario has one.
+    """
 
     client_port: int
     peer_port: int
@@ -42,10 +45,10 @@
         "number": number,
         "dispatchers": scenario.instances,
         "zones": scenario.zones,
-        "machine_types": [{"name": "std", "cores": scenario.traits.get("servers", 1)}],
+        "machine_types": [{"name": "std", "cores": scenario.engine_traits.get("servers", 1)}],
         "classes": _query_classes(scenario),
-        "known": [] if scenario.consul else _engines(addresses),
-        "sources": [_engine_source(addresses)] if scenario.consul else [],
+        "known": [] if scenario.has_consul else _engines(addresses),
+        "sources": [_engine_source(addresses)] if scenario.has_consul else [],
         "permits": {"cooldown_most_ms": MAX_RETRY_AFTER_MS},
         "peers": {
             "listen": f"127.0.0.1:{addresses.peer_port}",
@@ -59,13 +62,13 @@
         "status_socket": f"{name}.sock",
     }
     # Earlier versions of the program do not know the keys below, and play scenarios that need none of them.
-    if scenario.state:
+    if scenario.has_state_folders:
         config["state_dir"] = str(state_folder)
         config["membership"]["voters"] = _voters(scenario)
         config["rules"] = _slow_start_rules(scenario)
-    if scenario.homes:
-        config["peers"]["zones"] = list(scenario.homes[: scenario.instances])
-    if scenario.fleet:
+    if scenario.instance_zones:
+        config["peers"]["zones"] = list(scenario.instance_zones[: scenario.instances])
+    if scenario.has_fleet:
         config["fleet"] = _fleet_features(scenario)
     return config
 
@@ -74,15 +77,15 @@
     return [
         {
             "name": kind.name,
-            "aim_ms": kind.patience / 2,
-            "deadline_ms": kind.patience,
-            "worth": scenario.worth[kind.name],
+            "aim_ms": kind.patience_ms / 2,
+            "deadline_ms": kind.patience_ms,
+            "worth": scenario.utilities[kind.name],
             "late_worth": 1.0,
-            "effect": "unsafe" if kind.load else "safe",
-            "in_order": kind.load,
-            "loads": kind.load,
+            "effect": "unsafe" if kind.is_load else "safe",
+            "in_order": kind.is_load,
+            "loads": kind.is_load,
         }
-        for kind in scenario.kinds
+        for kind in scenario.request_classes
     ]
 
 
@@ -106,16 +109,16 @@
 
 
 def _slow_start_rules(scenario: Scenario) -> dict[str, float]:
-    cold_slowdown = scenario.traits.get("cold", 3.0)
-    warm_after_ms = scenario.traits.get("warm", 3000.0)
+    cold_slowdown = scenario.engine_traits.get("cold", 3.0)
+    warm_after_ms = scenario.engine_traits.get("warm", 3000.0)
     return {"cold_from": 1 / cold_slowdown, "warm_within_ms": max(warm_after_ms, 1.0)}
 
 
 def _fleet_features(scenario: Scenario) -> dict[str, bool]:
     features = {
-        "price": scenario.price,
-        "outlook": scenario.outlook and scenario.price and bool(scenario.homes),
+        "price": scenario.has_admission,
+        "outlook": scenario.has_failover_cost and scenario.has_admission and bool(scenario.instance_zones),
     }
-    if scenario.pins:
+    if scenario.has_affinity:
         features["pins"] = True
     return features
--- a/cottonhold/emulator/fault_injection/links.py
+++ b/cottonhold/emulator/fault_injection/links.py
@@ -1,7 +1,8 @@
-"""Links between processes on loopback, each faulted by itself and by direction. Runs in the rig's loop.
+"""Links between processes on loopback, each with faults of its own by direction. They run in the harness's
+event loop.
 
 A TCP link is a listener of its own. The datagrams of all instances go through one switch, which gives each of
-them a public address. Times are ms.
+them a public address.
 """
 
 from __future__ import annotations
@@ -13,108 +14,129 @@
 import struct
 import time
 from collections import deque
-from collections.abc import Callable, Coroutine
-from dataclasses import dataclass, field
+from collections.abc import Callable, Coroutine, Mapping
+from dataclasses import dataclass
+from dataclasses import field as data_field
+from typing import Any
+
+import msgspec
+from msgspec import field
 
 from cottonhold.backend.resp import RespError, RespReader
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
-CHUNK = 65536
-Note = Callable[[str, str], None]  # what was seen on a link to an engine, and of which request
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER without a time
+CHUNK_BYTES = 65536
+MAX_PENDING_CHUNKS = 256
+MAX_RECENT_DATAGRAMS = 2000
+LOGGED_VERBS = {b"GET": "get", b"DROP": "drop", b"CLOSE": "drop"}
+OnRequestEvent = Callable[[str, str], None]  # what happened on a link to an engine, and to which request
 
 
-@dataclass(slots=True)
-class NetworkPath:
-    """One direction of a link. `cut`: bytes wait, datagrams are lost. `loss`, `twice`: shares of datagrams.
-    `slow`: bytes a second, 0 without a limit."""
+class NetworkPath(msgspec.Struct, forbid_unknown_fields=True):
+    """One direction of a link, by the names in `field` in a fault's options. While it is cut, bytes wait and
+    datagrams are lost. bytes_per_s: 0 without a limit."""
+
+    is_cut: bool = field(name="cut", default=False)
+    loss_share: float = field(name="loss", default=0.0)
+    duplicate_share: float = field(name="twice", default=0.0)
+    delay_ms: float = field(name="delay", default=0.0)
+    jitter_ms: float = field(name="jitter", default=0.0)
+    bytes_per_s: float = field(name="slow", default=0.0)
 
-    cut: bool = False
-    loss: float = 0.0
-    twice: float = 0.0
-    delay: float = 0.0
-    jitter: float = 0.0
-    slow: float = 0.0
+    def transfer_ms(self, draw: random.Random, size: int, waited_ms: float = 0.0) -> float:
+        """Return how long so many bytes still take that arrived `waited_ms` ago. The delay passes for all of
+        them at once; a bandwidth passes them one after another."""
+        delay_ms = self.delay_ms + self.jitter_ms * draw.random() - waited_ms
+        return max(delay_ms, 0.0) + (1000 * size / self.bytes_per_s if self.bytes_per_s else 0.0)
 
-    def wait(self, draw: random.Random, size: int, since: float = 0.0) -> float:
-        """How long so many bytes take that came `since` ms ago: the way itself goes on for all of them at
-        once, a bandwidth takes them one after another."""
-        way = self.delay + self.jitter * draw.random() - since
-        return max(way, 0.0) + (1000 * size / self.slow if self.slow else 0.0)
+
+def network_path(options: Mapping[str, Any]) -> NetworkPath:
+    """Return the path that a fault's options describe. Raises msgspec.ValidationError."""
+    return msgspec.convert(options, NetworkPath)
 
 
 @dataclass(slots=True)
 class Link:
-    """Both directions of a TCP link, and what happens to connects. `refuse`: nobody listens. `reset`: each
-    connection is reset as soon as it is up."""
+    """Both directions of a TCP link, and what happens to connects. refuses: nobody listens. resets: each
+    connection is reset as soon as it is open."""
 
-    forth: NetworkPath = field(default_factory=NetworkPath)
-    back: NetworkPath = field(default_factory=NetworkPath)
-    refuse: bool = False
-    reset: bool = False
+    forth: NetworkPath = data_field(default_factory=NetworkPath)
+    back: NetworkPath = data_field(default_factory=NetworkPath)
+    refuses: bool = False
+    resets: bool = False
 
 
 class RequestObserver:
-    """Reads along on one connection to an engine: what is sent, dropped and answered, as the instance did it.
-
-    An engine that stood still sees late, and all at once, what was sent to it long before.
-    """
+    """Reads along on one connection to an engine: what is sent, cancelled and answered, when the instance did
+    it. An engine that was stopped sees late, and all at once, what was sent to it."""
 
-    def __init__(self, note: Note) -> None:
-        self.note, self.open = note, set[bytes]()
-        self.forth, self.back = RespReader(), RespReader()
+    def __init__(self, on_event: OnRequestEvent) -> None:
+        self.on_event, self.open_requests = on_event, set[bytes]()
+        self.commands, self.responses = RespReader(), RespReader()
 
-    def receive(self, data: bytes, reader: RespReader) -> None:
-        """Bytes of one direction."""
+    def on_command_bytes(self, data: bytes) -> None:
+        """Read bytes on their way to the engine."""
         with contextlib.suppress(RespError):
-            for words in reader.feed(data):
-                verb = {b"GET": "get", b"DROP": "drop", b"CLOSE": "drop"}.get(words[0])
-                if reader is self.back and words[0] in self.open:
-                    self.open.discard(words[0])
-                    self.note(words[1].decode(), words[0].decode())
-                elif reader is self.forth and verb is not None:
-                    self.open.add(words[1]) if verb == "get" else self.open.discard(words[1])
-                    self.note(verb, words[1].decode())
-
-    def closed(self) -> None:
-        """The connection is over, and what was out on it. Said again, it is nothing new."""
-        gone, self.open = self.open, set()
-        for ref in gone:
-            self.note("closed", ref.decode())
+            for command in self.commands.feed(data):
+                verb = LOGGED_VERBS.get(command[0])
+                if verb is None:
+                    continue
+                request_id = command[1]
+                if verb == "get":
+                    self.open_requests.add(request_id)
+                else:
+                    self.open_requests.discard(request_id)
+                self.on_event(verb, request_id.decode())
+
+    def on_response_bytes(self, data: bytes) -> None:
+        """Read bytes on their way back."""
+        with contextlib.suppress(RespError):
+            for response in self.responses.feed(data):
+                request_id = response[0]
+                if request_id in self.open_requests:
+                    self.open_requests.discard(request_id)
+                    self.on_event(response[1].decode(), request_id.decode())
+
+    def on_closed(self) -> None:
+        """End what is open on a connection that has ended. May be called again."""
+        open_requests, self.open_requests = self.open_requests, set()
+        for request_id in open_requests:
+            self.on_event("closed", request_id.decode())
 
 
 class TcpLink:
-    """A listener that leads to one address. `note` hears what passes on a link to an engine."""
+    """A listener that leads to one address. on_event: is called with what passes on a link to an engine."""
 
-    def __init__(self, target: tuple[str, int], seed: int, note: Note | None = None) -> None:
-        self.target, self.draw, self.note = target, random.Random(seed), note
-        self.link, self.changed = Link(), asyncio.Event()
+    def __init__(self, target: tuple[str, int], seed: int, on_event: OnRequestEvent | None = None) -> None:
+        self.target, self.random, self.on_event = target, random.Random(seed), on_event
+        self.link, self.is_changed = Link(), asyncio.Event()
         self.port = 0
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
         self.connects = 0
 
     async def start(self) -> int:
-        """Listen; returns the port, which stays the same."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=CHUNK)
+        """Listen, and return the port, which stays the same."""
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=CHUNK_BYTES)
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self.port
 
     async def set(self, link: Link) -> None:
-        """Another state from now on. What is held back goes on once nothing is cut."""
-        was, self.link = self.link, link
-        self.changed.set()
-        self.changed = asyncio.Event()
-        if link.refuse and not was.refuse and self.server is not None:
+        """Change the state. What waits goes on once nothing is cut."""
+        previous, self.link = self.link, link
+        self.is_changed.set()
+        self.is_changed = asyncio.Event()
+        if link.refuses and not previous.refuses and self.server is not None:
             self.server.close()
             self.server = None
-        if link.reset or link.refuse:
+        if link.resets or link.refuses:
             for writer in list(self.writers):
                 _reset(writer)
-        if was.refuse and not link.refuse:
+        if previous.refuses and not link.refuses:
             await self.start()
 
     async def stop(self) -> None:
-        """End, and all connections with it."""
+        """Stop listening, and abort all connections."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
@@ -123,85 +145,108 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connects += 1
         self.writers.add(writer)
-        there: asyncio.StreamWriter | None = None
-        ear = RequestObserver(self.note) if self.note is not None else None
+        target_writer: asyncio.StreamWriter | None = None
+        observer = RequestObserver(self.on_event) if self.on_event is not None else None
         try:
-            if self.link.reset:
+            if self.link.resets:
                 _reset(writer)
                 return
-            back, there = await asyncio.open_connection(*self.target, limit=CHUNK)
-            self.writers.add(there)
-            ways = [
-                asyncio.create_task(work)
-                for work in (
-                    *self._copy_direction(reader, there, lambda: self.link.forth, ear, forth=True),
-                    *self._copy_direction(back, writer, lambda: self.link.back, ear, forth=False),
-                )
-            ]
-            try:
-                await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-            finally:
-                for way in ways:
-                    way.cancel()
-                await asyncio.gather(*ways, return_exceptions=True)
+            target_reader, target_writer = await asyncio.open_connection(*self.target, limit=CHUNK_BYTES)
+            self.writers.add(target_writer)
+            await _until_first_ends(
+                *self._copy_forth(reader, target_writer, observer),
+                *self._copy_back(target_reader, writer, observer),
+            )
         except OSError:
-            _reset(writer)  # nobody is there: the caller is to see a connection that breaks
+            _reset(writer)  # nobody listens: the caller is to see a connection that breaks
         except asyncio.CancelledError:
             pass
         finally:
-            if ear is not None:
-                ear.closed()
-            for end in (writer, there):
+            if observer is not None:
+                observer.on_closed()
+            for end in (writer, target_writer):
                 if end is not None:
                     self.writers.discard(end)
                     end.close()
 
-    def _copy_direction(
+    def _copy_forth(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        observer: RequestObserver | None,
+    ) -> tuple[Coroutine[None, None, None], Coroutine[None, None, None]]:
+        # An end is observed as soon as it is read. Once all before it was written it could come behind the
+        # next attempt's begin, and an instance would seem to have two open at once.
+        on_bytes = observer.on_command_bytes if observer is not None else None
+        on_end = observer.on_closed if observer is not None else None
+        return self._copy(reader, writer, lambda: self.link.forth, on_bytes, on_end)
+
+    def _copy_back(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        observer: RequestObserver | None,
+    ) -> tuple[Coroutine[None, None, None], Coroutine[None, None, None]]:
+        on_bytes = observer.on_response_bytes if observer is not None else None
+        return self._copy(reader, writer, lambda: self.link.back, on_bytes, None)
+
+    def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: Callable[[], NetworkPath],
-        ear: RequestObserver | None,
-        forth: bool,
+        path: Callable[[], NetworkPath],
+        on_bytes: Callable[[bytes], None] | None,
+        on_end: Callable[[], None] | None,
     ) -> tuple[Coroutine[None, None, None], Coroutine[None, None, None]]:
-        """One direction: what reads (and hears at once, whatever is cut), and what writes when it may."""
-        held: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(maxsize=256)
+        """Return the two tasks of one direction: one reads at once, whatever is cut, the other writes when
+        the path allows."""
+        pending: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(maxsize=MAX_PENDING_CHUNKS)
 
         async def read() -> None:
-            while data := await reader.read(CHUNK):
-                if ear is not None:
-                    ear.receive(data, ear.forth if forth else ear.back)
-                await held.put((time.monotonic(), data))
-            if ear is not None and forth:
-                # Danger: heard only once all before it was written, the end of one attempt came behind the
-                # next one's beginning, and an instance seemed to have two out at once.
-                ear.closed()
-            await held.put((0.0, b""))
-            await asyncio.Event().wait()  # the end is the other task's to tell, once all is written
+            while data := await reader.read(CHUNK_BYTES):
+                if on_bytes is not None:
+                    on_bytes(data)
+                await pending.put((time.monotonic(), data))
+            if on_end is not None:
+                on_end()
+            await pending.put((0.0, b""))
+            await asyncio.Event().wait()  # the other task ends the copy, once all is written
 
         async def write() -> None:
-            while (row := await held.get())[1]:
-                came, data = row
-                while way().cut:
-                    await self.changed.wait()
-                since = (time.monotonic() - came) * 1000
-                if (ms := way().wait(self.draw, len(data), since)) > 0:
-                    await asyncio.sleep(ms / 1000)
+            while (chunk := await pending.get())[1]:
+                received_at, data = chunk
+                while path().is_cut:
+                    await self.is_changed.wait()
+                waited_ms = (time.monotonic() - received_at) * 1000
+                delay_ms = path().transfer_ms(self.random, len(data), waited_ms)
+                if delay_ms > 0:
+                    await asyncio.sleep(delay_ms / 1000)
                 writer.write(data)
                 await writer.drain()
 
         return read(), write()
 
 
+async def _until_first_ends(*work: Coroutine[None, None, None]) -> None:
+    """Run all until one of them ends, and cancel the others."""
+    tasks = [asyncio.create_task(coroutine) for coroutine in work]
+    try:
+        await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+    finally:
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+
 def _reset(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
     if sock is not None:
         with contextlib.suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     writer.transport.abort()
 
 
-class _Port(asyncio.DatagramProtocol):
+class _PublicAddress(asyncio.DatagramProtocol):
     def __init__(self, switch: DatagramSwitch, number: int) -> None:
         self.switch, self.number = switch, number
 
@@ -209,61 +254,62 @@
         self.switch.forward(addr[1], self.number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """An instance that isn't there: its port is closed."""
+        """Ignore the closed port of an instance that is not running."""
 
 
 class DatagramSwitch:
-    """Public addresses of instances, and the ways between them. `ports`: the instances' own UDP ports."""
+    """Public addresses of instances, and the paths between them. ports: the instances' own UDP ports."""
 
     def __init__(self, ports: list[int], seed: int) -> None:
-        self.ports, self.draw = ports, random.Random(seed)
+        self.ports, self.random = ports, random.Random(seed)
         self.numbers = {port: number for number, port in enumerate(ports)}
-        self.public: list[asyncio.DatagramTransport] = []
+        self.transports: list[asyncio.DatagramTransport] = []
         self.addresses: list[int] = []
         self.paths: dict[tuple[int, int], NetworkPath] = {}
-        self.passed = self.lost = self.strangers = self.bytes = 0
-        self.kept: deque[tuple[int, int, bytes]] = deque(maxlen=2000)  # to be sent once more by a fault
+        self.passed = self.lost = self.unknown_senders = self.bytes = 0
+        self.recent_datagrams: deque[tuple[int, int, bytes]] = deque(maxlen=MAX_RECENT_DATAGRAMS)
 
     async def start(self) -> list[int]:
-        """Open the public addresses; returns their ports."""
+        """Open the public addresses, and return their ports."""
         loop = asyncio.get_running_loop()
         for number in range(len(self.ports)):
             transport, _ = await loop.create_datagram_endpoint(
-                lambda number=number: _Port(self, number),  # type: ignore[misc]
+                lambda number=number: _PublicAddress(self, number),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
-            self.public.append(transport)
+            self.transports.append(transport)
             self.addresses.append(int(transport.get_extra_info("sockname")[1]))
         return self.addresses
 
     def stop(self) -> None:
         """Close all."""
-        for transport in self.public:
+        for transport in self.transports:
             transport.close()
 
     def path(self, sender: int, receiver: int) -> NetworkPath:
-        """The way from one instance to another, to be changed in place."""
+        """Return the path from one instance to another."""
         return self.paths.setdefault((sender, receiver), NetworkPath())
 
     def forward(self, port: int, receiver: int, data: bytes) -> None:
-        """A datagram that came to an instance's public address."""
+        """Pass on a datagram that a port sent to an instance's public address."""
         sender = self.numbers.get(port)
         if sender is None:
-            self.strangers += 1
+            self.unknown_senders += 1
             return
-        self.kept.append((sender, receiver, data))
-        way = self.path(sender, receiver)
-        if way.cut or self.draw.random() < way.loss:
+        self.recent_datagrams.append((sender, receiver, data))
+        path = self.path(sender, receiver)
+        if path.is_cut or self.random.random() < path.loss_share:
             self.lost += 1
             return
-        for _ in range(2 if self.draw.random() < way.twice else 1):
-            ms = way.wait(self.draw, len(data))
-            if ms > 0:  # one with jitter may overtake another: that is the reordering
-                asyncio.get_running_loop().call_later(ms / 1000, self._send, sender, receiver, data)
+        for _ in range(2 if self.random.random() < path.duplicate_share else 1):
+            delay_ms = path.transfer_ms(self.random, len(data))
+            if delay_ms > 0:  # with jitter one datagram may overtake another
+                loop = asyncio.get_running_loop()
+                loop.call_later(delay_ms / 1000, self._send, sender, receiver, data)
             else:
                 self._send(sender, receiver, data)
 
     def _send(self, sender: int, receiver: int, data: bytes) -> None:
         self.passed, self.bytes = self.passed + 1, self.bytes + len(data)
-        if not self.public[sender].is_closing():
-            self.public[sender].sendto(data, ("127.0.0.1", self.ports[receiver]))
+        if not self.transports[sender].is_closing():
+            self.transports[sender].sendto(data, ("127.0.0.1", self.ports[receiver]))
--- a/cottonhold/emulator/fault_injection/machines.py
+++ b/cottonhold/emulator/fault_injection/machines.py
@@ -1,4 +1,5 @@
-"""The machines of the instances: state folders, disks and wall clocks, as the faults of a day leave them."""
+"""The machines of the instances: state folders, disks and wall clocks, as the faults of a scenario leave
+them."""
 
 from __future__ import annotations
 
@@ -12,9 +13,11 @@
 from cottonhold.store.ledger import Ledger, LedgerSettings
 from cottonhold.store.records import Record, RecordKind
 
-SETTLING_MS = 60_000.0  # at most, for the rig's own few records
-# What a disk is told to do; see emulator/disk.py.
-DISKS: dict[str, dict[str, Any]] = {
+# How long the harness waits for its own few records to be written: on a busy machine longer than the ledger's
+# own stall timeout, after which it would keep the folder's lock.
+WRITE_TIMEOUT_MS = 60_000.0
+# The control file of each state; see emulator/disk.py.
+DISK_CONTROLS: dict[str, dict[str, Any]] = {
     "well": {},
     "full": {"full": True},
     "failing": {"fail_sync": 1.0},
@@ -24,70 +27,77 @@
 
 @dataclass(slots=True)
 class Machines:
-    """All of them, in a run's folder. What an instance is told takes effect at its next start; a disk's state
-    at once."""
+    """All machines of a run, in its folder. A change takes effect at the instance's next start; that of a
+    disk's state at once. clock_offsets_s: how far wall clocks are off. defect: one that all instances are
+    started with; see defects.py."""
 
     folder: Path
-    clocks: dict[str, float] = field(default_factory=dict)  # seconds that the wall clock is off
-    defect: str = ""  # what all programs are started with; see defects.py
+    clock_offsets_s: dict[str, float] = field(default_factory=dict)
+    defect: str = ""
 
-    def state(self, name: str) -> Path:
-        """Where an instance keeps what must survive a restart."""
+    def state_folder(self, name: str) -> Path:
+        """Return where an instance keeps what must survive a restart."""
         return self.folder / f"{name}.state"
 
-    def disk(self, name: str) -> Path:
-        """The file that says what is wrong with an instance's disk."""
+    def disk_control(self, name: str) -> Path:
+        """Return the file that says what is wrong with an instance's disk."""
         return self.folder / f"{name}.disk.json"
 
     def start(self, name: str) -> dict[str, Any]:
-        """What the machine is as its instance starts."""
-        if not self.state(name).exists():
-            self._settle(name)
-        if not self.disk(name).exists():
+        """Return what the machine is as its instance starts; see instance.py."""
+        if not self.state_folder(name).exists():
+            self._create_state_folder(name)
+        if not self.disk_control(name).exists():
             self.set_disk(name, "well")
-        machine = {"clock_s": self.clocks.get(name, 0.0), "disk": str(self.disk(name))}
-        return machine | ({"defect": self.defect} if self.defect else {})
-
-    def _settle(self, name: str) -> None:
-        """A folder of a machine that has served for long: what is not in it was not."""
-        # Danger: on a machine so busy that its last write took longer than a stall, the rig kept the folder's
-        # lock for good, and the instance served everything but loads.
-        ledger = Ledger.open(self.state(name), name, settings=LedgerSettings(stall_timeout_ms=SETTLING_MS))
+        machine: dict[str, Any] = {
+            "clock_s": self.clock_offsets_s.get(name, 0.0),
+            "disk": str(self.disk_control(name)),
+        }
+        if self.defect:
+            machine["defect"] = self.defect
+        return machine
+
+    def _create_state_folder(self, name: str) -> None:
+        """Make the folder of a machine that has served for long: what it does not record has not happened."""
+        settings = LedgerSettings(stall_timeout_ms=WRITE_TIMEOUT_MS)
+        ledger = Ledger.open(self.state_folder(name), name, settings=settings)
         ledger.mark_complete()
         ledger.put([Record(RecordKind.INCARNATION, BASE_KEY, ledger.boot_count.to_bytes(8, "big"))])
         ledger.close(clean=True)
 
-    def set_disk(self, name: str, state: str, **orders: Any) -> None:
-        """From now on. orders: more of them, as emulator/disk.py has them."""
-        new = self.disk(name).with_suffix(".new")  # beside and moved, so that nobody reads half of it
-        new.write_text(json.dumps(DISKS[state] | orders))
-        new.replace(self.disk(name))
+    def set_disk(self, name: str, state: str, **faults: Any) -> None:
+        """Change the state of a disk. faults: further ones, by their names in emulator/disk.py."""
+        new_file = self.disk_control(name).with_suffix(
+            ".new"
+        )  # moved into place, so that no half of it is read
+        new_file.write_text(json.dumps(DISK_CONTROLS[state] | faults))
+        new_file.replace(self.disk_control(name))
 
     def save_folder(self, name: str) -> None:
-        """Copy the folder as it is, like a backup of a machine that goes on."""
-        shutil.rmtree(self._copy(name), ignore_errors=True)
-        if self.state(name).is_dir():
-            shutil.copytree(self.state(name), self._copy(name))
+        """Copy the folder as it is, like a backup of a machine that runs on."""
+        shutil.rmtree(self._copy_of(name), ignore_errors=True)
+        if self.state_folder(name).is_dir():
+            shutil.copytree(self.state_folder(name), self._copy_of(name))
 
     def empty_folder(self, name: str) -> None:
-        """A new disk."""
-        shutil.rmtree(self.state(name), ignore_errors=True)
-        self.state(name).mkdir()
+        """Replace the folder by an empty one, as on a new disk."""
+        shutil.rmtree(self.state_folder(name), ignore_errors=True)
+        self.state_folder(name).mkdir()
 
     def restore_old_folder(self, name: str) -> None:
-        """The copy is put back; without one the folder stays."""
-        if self._copy(name).is_dir():
-            shutil.rmtree(self.state(name), ignore_errors=True)
-            shutil.copytree(self._copy(name), self.state(name))
+        """Put the copy back; without one the folder stays."""
+        if self._copy_of(name).is_dir():
+            shutil.rmtree(self.state_folder(name), ignore_errors=True)
+            shutil.copytree(self._copy_of(name), self.state_folder(name))
 
-    def apply(self, verb: str, name: str, words: dict[str, Any]) -> None:
-        """A fault of a day."""
+    def apply(self, verb: str, name: str, options: dict[str, Any]) -> None:
+        """Inject a fault of a machine, by its verb."""
         if verb == "disk":
-            self.set_disk(name, words["state"])
+            self.set_disk(name, options["state"])
         elif verb == "clock":
-            self.clocks[name] = float(words.get("offset_s", 0.0))
+            self.clock_offsets_s[name] = float(options.get("offset_s", 0.0))
         else:
             {"keep": self.save_folder, "empty": self.empty_folder, "old": self.restore_old_folder}[verb](name)
 
-    def _copy(self, name: str) -> Path:
+    def _copy_of(self, name: str) -> Path:
         return self.folder / f"{name}.kept"
--- a/cottonhold/emulator/fault_injection/network.py
+++ b/cottonhold/emulator/fault_injection/network.py
@@ -9,7 +9,7 @@
 
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.fault_injection.instance_config import InstanceAddresses
-from cottonhold.emulator.fault_injection.links import DatagramSwitch, Link, NetworkPath, TcpLink
+from cottonhold.emulator.fault_injection.links import DatagramSwitch, Link, NetworkPath, TcpLink, network_path
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.zone_distances import distance_ms, zone_of
 from cottonhold.emulator.process_fleet import free_ports
@@ -42,7 +42,7 @@
         await self.switch.start()
         for sender, receiver in itertools.permutations(range(self.scenario.instances), 2):
             self.switch.paths[sender, receiver] = self.peer_path(sender, receiver, {})
-        if self.scenario.consul:
+        if self.scenario.has_consul:
             await self._start_sources()
         for number, (name, port) in enumerate(self.instance_ports.items()):
             link = TcpLink(("127.0.0.1", port), self.scenario.seed + CLIENT_LINK_SEED + number)
@@ -96,17 +96,17 @@
 
     def distance_ms(self, instance: str, other: str) -> float:
         """Return the delay one way between an instance and an engine or another instance."""
-        if not self.scenario.homes:
+        if not self.scenario.instance_zones:
             return 0.0
-        return distance_ms(self.scenario.distance, self._zone_of(instance), self._zone_of(other))
+        return distance_ms(self.scenario.zone_distances_ms, self._zone_of(instance), self._zone_of(other))
 
     def _zone_of(self, name: str) -> str:
-        return self.scenario.homes[int(name[1:])] if name in self.instance_ports else zone_of(name)
+        return self.scenario.instance_zones[int(name[1:])] if name in self.instance_ports else zone_of(name)
 
     def peer_path(self, sender: int, receiver: int, faults: Mapping[str, Any]) -> NetworkPath:
         """Return the path of datagrams between two instances, by number, with such faults on it."""
         delay_ms = self.distance_ms(f"n{sender}", f"n{receiver}")
-        return NetworkPath(**(dict(faults) | {"delay": faults.get("delay", 0.0) + delay_ms}))
+        return network_path(dict(faults) | {"delay": faults.get("delay", 0.0) + delay_ms})
 
 
 def link_state(options: Mapping[str, Any], distance_ms: float = 0.0) -> Link:
@@ -116,8 +116,8 @@
     shared["delay"] = shared.get("delay", 0.0) + distance_ms
     is_cut = bool(options.get("cut"))
     return Link(
-        forth=NetworkPath(cut=is_cut or bool(options.get("forth")), **shared),
-        back=NetworkPath(cut=is_cut or bool(options.get("back")), **shared),
-        refuse=bool(options.get("refuse")),
-        reset=bool(options.get("reset")),
+        forth=network_path(shared | {"cut": is_cut or bool(options.get("forth"))}),
+        back=network_path(shared | {"cut": is_cut or bool(options.get("back"))}),
+        refuses=bool(options.get("refuse")),
+        resets=bool(options.get("reset")),
     )
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -21,8 +21,8 @@
 class Operators:
     """One request for a rolling replacement, at one instance.
 
-    options: the fields of the call, where `machines` may be a target that names instances; `gone`: seconds for
-    which an instance is absent; `empty`: it returns with an empty state folder.
+    options: the fields of the call, where `machines` may be a target that names instances; `gone`: seconds
+    for which an instance is absent; `empty`: it returns with an empty state folder.
     """
 
     def __init__(self, run: ScenarioRun, instance: str, options: dict[str, Any]) -> None:
@@ -84,7 +84,7 @@
         self.scenario_run.timeline.append(f"{name} is in place")
 
     async def _replacement_rows(self) -> dict[str, dict[str, Any]]:
-        """Return what any instance reports of each machine; a report that it may be changed takes precedence."""
+        """Return what any instance reports of each machine; a report that it may be changed comes first."""
         rows: dict[str, dict[str, Any]] = {}
         for name in self.scenario_run.running_instances():
             view = await asyncio.to_thread(self.scenario_run.view, name)
--- a/cottonhold/emulator/fault_injection/parent_death_signal.py
+++ b/cottonhold/emulator/fault_injection/parent_death_signal.py
@@ -1,6 +1,7 @@
-"""Becomes a program that the kernel ends together with its parent: `python -m ...guard PARENT PROGRAM ARGS`.
+"""Becomes a program that the kernel ends together with its parent, so that a harness that is killed leaves no
+processes behind:
 
-Danger: a rig that is killed would leave dozens of processes behind that go on for good.
+    python -m cottonhold.emulator.fault_injection.parent_death_signal PARENT PROGRAM ARGS
 """
 
 from __future__ import annotations
@@ -11,15 +12,17 @@
 import sys
 
 PR_SET_PDEATHSIG = 1
-WAIT_FOR_SETTINGS = "--waits"  # in place of its settings: a process is told them later, once all is loaded
+# In place of its settings: a process loads its program, and reads them from standard input.
+WAIT_FOR_SETTINGS = "--waits"
 
 
 def read_settings() -> str:
-    """One line of standard input; empty at its end. Byte by byte, since what follows is somebody else's."""
-    line = b""
+    """Return one line of standard input; empty at its end. Byte by byte: what follows is for another
+    reader."""
+    settings = b""
     while (byte := os.read(0, 1)) and byte != b"\n":
-        line += byte
-    return line.decode()
+        settings += byte
+    return settings.decode()
 
 
 def main(parent: int, program: list[str]) -> None:
--- a/cottonhold/emulator/fault_injection/processes.py
+++ b/cottonhold/emulator/fault_injection/processes.py
@@ -69,7 +69,7 @@
             "id": name,
             "port": self.engine_ports[name],
             "ledger": str(self.folder / f"{name}.jsonl"),
-            "traits": self.scenario.traits,
+            "traits": self.scenario.engine_traits,
             "seed": self.scenario.seed * 100 + number,
         }
         if not self._start_prepared(name, settings):
@@ -79,7 +79,7 @@
     def start_instance(self, name: str) -> None:
         """Start an instance at its addresses; its state is what its machine's folder holds."""
         path = self._write_config(name, self.config_of(name))
-        machine = self.machines.start(name) if self.scenario.state else {}
+        machine = self.machines.start(name) if self.scenario.has_state_folders else {}
         if not self._start_prepared(name, [str(path), machine]):
             self._start_and_keep(name, self._instance_program(name, path))
 
@@ -106,7 +106,7 @@
         Where many programs load at once on a busy machine, the seconds that it takes would be measured as the
         fleet's own slowness.
         """
-        if not self.scenario.state or self.worker_pool is not None or name in self.prepared:
+        if not self.scenario.has_state_folders or self.worker_pool is not None or name in self.prepared:
             return
         if not self._is_started_by_a_fault(name):
             return
@@ -147,7 +147,7 @@
         return path
 
     def _instance_program(self, name: str, path: Path) -> list[str]:
-        if not self.scenario.state:
+        if not self.scenario.has_state_folders:
             return ["-m", "cottonhold.cli.main", "serve", "--config", str(path)]
         return ["-m", f"{PACKAGE}.instance", str(path), json.dumps(self.machines.start(name))]
 
--- a/cottonhold/emulator/fault_injection/recovery_scenarios.py
+++ b/cottonhold/emulator/fault_injection/recovery_scenarios.py
@@ -8,54 +8,57 @@
 
 from typing import Any
 
-from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
-GONE, POWER = 6.0, 8.0
-APART = 0.5  # from one instance's start to the next one's
+POWER_LOST_AT_S, POWER_RESTORED_AT_S = 6.0, 8.0
+START_INTERVAL_S = 0.5  # from one instance's start to the next one's
 KINDS = (
-    Kind("cheap", 0.5, 2000.0, 20.0),
-    Kind("dear", 0.3, 2000.0, 20.0),
-    Kind("load", 0.2, 8000.0, 20.0, True),
+    RequestClass("cheap", 0.5, 2000.0, 20.0),
+    RequestClass("dear", 0.3, 2000.0, 20.0),
+    RequestClass("load", 0.2, 8000.0, 20.0, True),
 )
 ALL = range(6)
 
 
-def starts(numbers: Any = ALL, begin: float = POWER, apart: float = APART) -> tuple[Fault, ...]:
+def starts(
+    numbers: Any = ALL, begin: float = POWER_RESTORED_AT_S, interval_s: float = START_INTERVAL_S
+) -> tuple[Fault, ...]:
     """Instances started one by one."""
-    return tuple(Fault(begin + apart * i, "start", f"n{n}") for i, n in enumerate(numbers))
+    return tuple(Fault(begin + interval_s * i, "start", f"n{n}") for i, n in enumerate(numbers))
 
 
-def recovery_scenario(name: str, about: str, *faults: Fault, gone: float = GONE, **fields: Any) -> Scenario:
+def recovery_scenario(
+    name: str, description: str, *faults: Fault, power_lost_at_s: float = POWER_LOST_AT_S, **fields: Any
+) -> Scenario:
     """A day on which all lose power, usually at 6 s; what comes back, and when, the faults say."""
-    usual: dict[str, Any] = {
-        "seconds": 22.0,
-        "kinds": KINDS,
-        "manner": Manner(tries=3, asks_again=True),
-        "price": True,
-        "state": True,
-        "returns": POWER,
+    defaults: dict[str, Any] = {
+        "duration_s": 22.0,
+        "request_classes": KINDS,
+        "client_behaviour": ClientBehaviour(max_attempts=3, retries_unfinished_loads=True),
+        "has_admission": True,
+        "has_state_folders": True,
+        "power_restored_at_s": POWER_RESTORED_AT_S,
     }
-    first = Fault(gone, "power", "*")
-    return Scenario(name=name, about=about, faults=(first, *faults), **(usual | fields))
+    first = Fault(power_lost_at_s, "power", "*")
+    return Scenario(name=name, description=description, faults=(first, *faults), **(defaults | fields))
 
 
-BACK = Fault(POWER, "start", "e*")
-ONE_BY_ONE = (BACK, *starts())
-HOMES = ("a", "a", "b", "b", "c", "c")
+ENGINES_START = Fault(POWER_RESTORED_AT_S, "start", "e*")
+ONE_BY_ONE = (ENGINES_START, *starts())
+INSTANCE_ZONES = ("a", "a", "b", "b", "c", "c")
 # Work of 60 ms, so that a small machine can offer three times what is usual: the engines do 150 a second.
-HEAVY = tuple(Kind(k.name, k.share, k.patience, 60.0, k.load) for k in KINDS)
+HEAVY = tuple(RequestClass(k.name, k.share, k.patience_ms, 60.0, k.is_load) for k in KINDS)
 
 
 def repeated_power_losses(*cuts: float) -> tuple[Fault, ...]:
-    """Power goes at such times too, and is back a second later each time."""
-    back = (Fault(at + 1.0, "start", "e*") for at in cuts)
-    ones = (fault for at in cuts for fault in starts(begin=at + 1.0))
-    gone = [Fault(at, "power", "*") for at in cuts]
-    # Danger: an instance whose turn is after the next cut must not be started while there is no power.
-    dark = [(at, at + 1.0) for at in cuts]
-    kept = [f for f in (*starts(), *ones) if not any(begin <= f.at < end for begin, end in dark)]
-    return (BACK, *gone, *back, *kept)
+    """Cut the power at such times too, each time for a second. An instance whose start would be due while
+    there is no power is not started."""
+    power_cuts = [Fault(at, "power", "*") for at in cuts]
+    engine_starts = [Fault(at + 1.0, "start", "e*") for at in cuts]
+    instance_starts = [*starts(), *(fault for at in cuts for fault in starts(begin=at + 1.0))]
+    with_power = [fault for fault in instance_starts if not any(at <= fault.at_s < at + 1.0 for at in cuts)]
+    return (ENGINES_START, *power_cuts, *engine_starts, *with_power)
 
 
 SCENARIOS = [
@@ -64,16 +67,16 @@
         "recover-again",
         "power goes again three times while all come back",
         *repeated_power_losses(9.5, 12.0, 14.5),
-        seconds=28.0,
-        returns=15.5,
+        duration_s=28.0,
+        power_restored_at_s=15.5,
     ),
     recovery_scenario(
         "recover-half-late",
         "half of the instances come back 20 s after the others",
-        BACK,
+        ENGINES_START,
         *starts(range(3)),
-        *starts(range(3, 6), POWER + 20.0),
-        seconds=36.0,
+        *starts(range(3, 6), POWER_RESTORED_AT_S + 20.0),
+        duration_s=36.0,
     ),
     recovery_scenario(
         "recover-emptied", "one comes back with an empty folder", Fault(7.0, "empty", "n2"), *ONE_BY_ONE
@@ -86,48 +89,53 @@
         *ONE_BY_ONE,
     ),
     recovery_scenario(
-        "recover-twice", "one folder is started twice", *ONE_BY_ONE, Fault(POWER + 1.6, "twice", "n2")
+        "recover-twice",
+        "one folder is started twice",
+        *ONE_BY_ONE,
+        Fault(POWER_RESTORED_AT_S + 1.6, "twice", "n2"),
     ),
     recovery_scenario(
         "recover-engines-before",
         "the engines are back 4 s before the instances",
-        BACK,
-        *starts(begin=POWER + 4.0),
-        seconds=26.0,
+        ENGINES_START,
+        *starts(begin=POWER_RESTORED_AT_S + 4.0),
+        duration_s=26.0,
+    ),
+    recovery_scenario(
+        "recover-engines-with", "all are back in one instant", Fault(POWER_RESTORED_AT_S, "start", "*")
     ),
-    recovery_scenario("recover-engines-with", "all are back in one instant", Fault(POWER, "start", "*")),
     recovery_scenario(
         "recover-engines-after",
         "the engines are back 5 s after the first instance",
         *starts(),
-        Fault(POWER + 5.0, "start", "e*"),
-        seconds=27.0,
-        returns=POWER + 5.0,
+        Fault(POWER_RESTORED_AT_S + 5.0, "start", "e*"),
+        duration_s=27.0,
+        power_restored_at_s=POWER_RESTORED_AT_S + 5.0,
     ),
     recovery_scenario(
         "recover-source-last",
         "the source of the list is back after all others",
-        Fault(GONE, "source", "n*", options={"cut": True}),
+        Fault(POWER_LOST_AT_S, "source", "n*", options={"cut": True}),
         *ONE_BY_ONE,
-        Fault(POWER + 6.0, "source", "n*", options={"heal": True}),
-        consul=True,
-        seconds=26.0,
+        Fault(POWER_RESTORED_AT_S + 6.0, "source", "n*", options={"heal": True}),
+        has_consul=True,
+        duration_s=26.0,
     ),
     recovery_scenario(
         "recover-zone-dark",
         "a zone's hosts do not come back",
-        Fault(POWER, "start", "a"),
-        Fault(POWER, "start", "b"),
+        Fault(POWER_RESTORED_AT_S, "start", "a"),
+        Fault(POWER_RESTORED_AT_S, "start", "b"),
         *starts(range(4)),
-        homes=HOMES,
+        instance_zones=INSTANCE_ZONES,
     ),
     recovery_scenario(
         "recover-lossy",
         "30% of datagrams are lost and halves cut while all come back",
-        Fault(GONE, "peers", "n*", "n*", {"loss": 0.3}),
-        Fault(GONE + 1.0, "peers", "n0-2", "n3-5", {"cut": True}),
+        Fault(POWER_LOST_AT_S, "peers", "n*", "n*", {"loss": 0.3}),
+        Fault(POWER_LOST_AT_S + 1.0, "peers", "n0-2", "n3-5", {"cut": True}),
         *ONE_BY_ONE,
-        Fault(POWER + 5.0, "peers", "n0-2", "n3-5", {"loss": 0.3}),
+        Fault(POWER_RESTORED_AT_S + 5.0, "peers", "n0-2", "n3-5", {"loss": 0.3}),
     ),
     recovery_scenario(
         "recover-disk-full",
@@ -149,21 +157,21 @@
         "recover-threefold",
         "clients come back at three times the usual",
         *ONE_BY_ONE,
-        kinds=HEAVY,
-        rate=90.0,
-        steps=((POWER, 3.0),),
-        traits={"work": 60.0, "tip": 1000.0, "tip_window": 1500.0},
+        request_classes=HEAVY,
+        requests_per_s=90.0,
+        rate_steps=((POWER_RESTORED_AT_S, 3.0),),
+        engine_traits={"work": 60.0, "tip": 1000.0, "tip_window": 1500.0},
     ),
     recovery_scenario(
         "recover-short",
         "a small fleet is killed at once and comes back: for every run of the tests",
         Fault(5.0, "start", "e*"),
         *starts(range(3), 5.0, 0.3),
-        gone=3.5,
-        seconds=13.0,
-        returns=5.0,
+        power_lost_at_s=3.5,
+        duration_s=13.0,
+        power_restored_at_s=5.0,
         instances=3,
-        engines=1,
-        rate=70.0,
+        engines_per_zone=1,
+        requests_per_s=70.0,
     ),
 ]
--- a/cottonhold/emulator/fault_injection/remote_service_cost.py
+++ b/cottonhold/emulator/fault_injection/remote_service_cost.py
@@ -1,58 +1,85 @@
-"""What it cost to be served elsewhere: latency by distance, work by data sets that were cold there. Pure."""
+"""What it cost to be served in another zone: latency by distance, and work on data sets that were cold there.
+Pure."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Sequence
 
-from cottonhold.emulator.fault_injection.event_log import Execution, RequestLog, RunLogs, Verdict
+from cottonhold.emulator.fault_injection.client_model import RequestEnd
+from cottonhold.emulator.fault_injection.engine_traits import decode_traits
+from cottonhold.emulator.fault_injection.event_log import Execution, RequestLog, RunHistory, Verdict
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.zone_distances import distance_ms, zone_of
 
-Within = Callable[[float], bool]
+OUTAGE_LEAD_S = 1.0  # after a zone's outage, until figures about it begin
+IsWithin = Callable[[float], bool]
 
 
-def measure_distance(
-    day: Scenario,
-    seen: RunLogs,
-    asks: Mapping[str, RequestLog],
-    runs: Mapping[str, Sequence[Execution]],
-    verdict: Verdict,
-) -> None:
-    """Figures over the day, and with `_before` and `_out` for the time before and in which a zone was out.
+def client_zone(scenario: Scenario, request: RequestLog) -> str:
+    """Return the zone of a request's client; its instance's, if it belongs to none."""
+    return request.client_zone or scenario.instance_zones[request.instance]
+
+
+def round_trip_ms(scenario: Scenario, request: RequestLog) -> float:
+    """Return the latency of a served request between its client's zone, its instance's and its engine's."""
+    distances, instance_zone = scenario.zone_distances_ms, scenario.instance_zones[request.instance]
+    to_instance_ms = distance_ms(distances, client_zone(scenario, request), instance_zone)
+    to_engine_ms = distance_ms(distances, instance_zone, zone_of(request.text))
+    return 2 * (to_instance_ms + to_engine_ms)
 
-    added_ms: of a served request, there and back between its client's zone, its instance's and its engine's.
-    away: the share that was served in another zone than the client's. cold_sets: the share of executions that
-    read a cold data set; extra_work: what these took more, against all work without that.
+
+def measure_distance(history: RunHistory, verdict: Verdict) -> None:
+    """Measure figures over the scenario, and with `_before` and `_out` for the time before a zone's outage
+    and in it.
+
+    added_ms: latency of a served request by distance. away: the share that was served in another zone than
+    the client's. cold_sets: the share of executions that read a cold data set; extra_work: what these did
+    more, against all work without that.
     """
-    spans: dict[str, Within] = {"": lambda at: True}
-    if day.out:
-        begin, end = seen.begun + day.out, seen.begun + (day.back or math.inf)
-        spans |= {"_before": lambda at: at < begin, "_out": lambda at: begin + 1.0 <= at < end}
-    done = [run for found in runs.values() for run in found if run.began < math.inf]
-    served = [a for a in asks.values() if a.word == "served"]
-    extra = float(day.traits.get("set_cold", 1.0)) - 1.0
-    for name, within in spans.items():
-        some = [a for a in served if within(a.at)]
-        _measure_added_latency(day, some, name, verdict)
-        for zone in day.zones if name else ():
-            _measure_added_latency(day, [a for a in some if _home(day, a) == zone], f"{name}_{zone}", verdict)
-        ran = [r for r in done if within(r.began)]
-        cold = [r for r in ran if r.cold]
-        work = sum(r.work for r in ran)
-        verdict.figures[f"cold_sets{name}"] = len(cold) / max(len(ran), 1)
-        verdict.figures[f"extra_work{name}"] = extra * sum(r.work for r in cold) / work if work else 0.0
-
-
-def _home(day: Scenario, ask: RequestLog) -> str:
-    return ask.home or day.homes[ask.instance]
-
-
-def _measure_added_latency(day: Scenario, served: Sequence[RequestLog], name: str, verdict: Verdict) -> None:
-    added, away = 0.0, 0
-    for ask in served:
-        home, met, made = _home(day, ask), day.homes[ask.instance], zone_of(ask.text)
-        added += 2 * (distance_ms(day.distance, home, met) + distance_ms(day.distance, met, made))
-        away += made != home
-    verdict.figures[f"added_ms{name}"] = added / max(len(served), 1)
-    verdict.figures[f"away{name}"] = away / max(len(served), 1)
+    scenario = history.scenario
+    begun = [
+        execution
+        for executions in history.executions.values()
+        for execution in executions
+        if execution.began_at < math.inf
+    ]
+    served = [request for request in history.requests.values() if request.end is RequestEnd.SERVED]
+    for suffix, is_within in _spans(history).items():
+        in_span = [request for request in served if is_within(request.started_at)]
+        _measure_latency(scenario, in_span, suffix, verdict)
+        for zone in scenario.zones if suffix else ():
+            of_zone = [request for request in in_span if client_zone(scenario, request) == zone]
+            _measure_latency(scenario, of_zone, f"{suffix}_{zone}", verdict)
+        executions = [execution for execution in begun if is_within(execution.began_at)]
+        _measure_cold_work(scenario, executions, suffix, verdict)
+
+
+def _spans(history: RunHistory) -> dict[str, IsWithin]:
+    """Return the times to be measured, by the suffix of their figures."""
+    spans: dict[str, IsWithin] = {"": lambda at: True}
+    scenario, started_at = history.scenario, history.logs.load_started_at
+    if scenario.outage_at_s:
+        begin = started_at + scenario.outage_at_s
+        end = started_at + (scenario.recovered_at_s or math.inf)
+        spans["_before"] = lambda at: at < begin
+        spans["_out"] = lambda at: begin + OUTAGE_LEAD_S <= at < end
+    return spans
+
+
+def _measure_latency(scenario: Scenario, served: Sequence[RequestLog], suffix: str, verdict: Verdict) -> None:
+    added_ms = sum(round_trip_ms(scenario, request) for request in served)
+    away = sum(zone_of(request.text) != client_zone(scenario, request) for request in served)
+    verdict.figures[f"added_ms{suffix}"] = added_ms / max(len(served), 1)
+    verdict.figures[f"away{suffix}"] = away / max(len(served), 1)
+
+
+def _measure_cold_work(
+    scenario: Scenario, executions: Sequence[Execution], suffix: str, verdict: Verdict
+) -> None:
+    extra_share = decode_traits(scenario.engine_traits).cold_data_set_factor - 1.0
+    cold = [execution for execution in executions if execution.read_cold_data]
+    work_ms = sum(execution.work_ms for execution in executions)
+    cold_ms = sum(execution.work_ms for execution in cold)
+    verdict.figures[f"cold_sets{suffix}"] = len(cold) / max(len(executions), 1)
+    verdict.figures[f"extra_work{suffix}"] = extra_share * cold_ms / work_ms if work_ms else 0.0
--- a/cottonhold/emulator/fault_injection/replacement_scenarios.py
+++ b/cottonhold/emulator/fault_injection/replacement_scenarios.py
@@ -7,38 +7,38 @@
 
 from typing import Any
 
-from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
-FIRST, EACH, GONE = 3.0, 2.5, 1.5
+FIRST_AT_S, INTERVAL_S, ABSENCE_S = 3.0, 2.5, 1.5
 KINDS = (
-    Kind("cheap", 0.5, 2000.0, 20.0),
-    Kind("dear", 0.3, 2000.0, 20.0),
-    Kind("load", 0.2, 8000.0, 20.0, True),
+    RequestClass("cheap", 0.5, 2000.0, 20.0),
+    RequestClass("dear", 0.3, 2000.0, 20.0),
+    RequestClass("load", 0.2, 8000.0, 20.0, True),
 )
 
 
-def replacement_scenario(name: str, about: str, *faults: Fault, **fields: Any) -> Scenario:
+def replacement_scenario(name: str, description: str, *faults: Fault, **fields: Any) -> Scenario:
     """A day on which clients ask again for a load whose end they did not hear."""
-    usual: dict[str, Any] = {
-        "seconds": 22.0,
-        "kinds": KINDS,
-        "manner": Manner(tries=3, asks_again=True),
-        "price": True,
-        "state": True,
-        "weights": (2, 2, 2, 2, 2, 2, 2, 2),
+    defaults: dict[str, Any] = {
+        "duration_s": 22.0,
+        "request_classes": KINDS,
+        "client_behaviour": ClientBehaviour(max_attempts=3, retries_unfinished_loads=True),
+        "has_admission": True,
+        "has_state_folders": True,
+        "instance_weights": (2, 2, 2, 2, 2, 2, 2, 2),
     }
-    return Scenario(name=name, about=about, faults=faults, **(usual | fields))
+    return Scenario(name=name, description=description, faults=faults, **(defaults | fields))
 
 
 def one_by_one(verb: str, *more: str, count: int = 6) -> tuple[Fault, ...]:
     """Each goes by a verb and comes back; before it does, further verbs are done to it."""
     faults = []
     for i in range(count):
-        at, name = FIRST + EACH * i, f"n{i}"
+        at, name = FIRST_AT_S + INTERVAL_S * i, f"n{i}"
         faults.append(Fault(at, verb, name))
-        faults += [Fault(at + GONE - 0.1, word, name) for word in more]
-        faults.append(Fault(at + GONE, "start", name))
+        faults += [Fault(at + ABSENCE_S - 0.1, word, name) for word in more]
+        faults.append(Fault(at + ABSENCE_S, "start", name))
     return tuple(faults)
 
 
@@ -59,7 +59,7 @@
         "swap-engines",
         "new engines: they are ended one after another and come back cold",
         *(
-            Fault(FIRST + 1.5 * i + begin, verb, engine)
+            Fault(FIRST_AT_S + 1.5 * i + begin, verb, engine)
             for i, engine in enumerate(("a0", "a1", "a2", "b0", "b1", "b2", "c0", "c1", "c2"))
             for begin, verb in ((0.0, "power"), (1.0, "start"))
         ),
@@ -67,28 +67,28 @@
     replacement_scenario(
         "swap-engines-asked",
         "new engines by one request: each is drained first, and comes back cold",
-        Fault(FIRST, "swap", "n0", options={"machines": [{"zone": "a"}, {"zone": "b"}, {"zone": "c"}]}),
-        seconds=120.0,
+        Fault(FIRST_AT_S, "swap", "n0", options={"machines": [{"zone": "a"}, {"zone": "b"}, {"zone": "c"}]}),
+        duration_s=120.0,
         instances=3,
-        engines=2,
-        rate=70.0,
+        engines_per_zone=2,
+        requests_per_s=70.0,
     ),
     replacement_scenario(
         "swap-short",
         "a small fleet is swapped: for every run of the tests",
         *one_by_one("end", count=3),
-        seconds=12.0,
+        duration_s=12.0,
         instances=3,
-        engines=1,
-        rate=70.0,
+        engines_per_zone=1,
+        requests_per_s=70.0,
     ),
     replacement_scenario(
         "swap-power",
         "power goes in the middle of a swap",
-        *(f for f in one_by_one("end", count=3) if f.at < 9.0),
+        *(f for f in one_by_one("end", count=3) if f.at_s < 9.0),
         Fault(9.0, "power", "*"),
         Fault(11.0, "start", "*"),
-        returns=11.0,
+        power_restored_at_s=11.0,
     ),
     replacement_scenario(
         "swap-stopped",
@@ -112,32 +112,49 @@
     ),
 ]
 
-SWAPPED = Fault(FIRST, "swap", "n0", options={"machines": "n*", "gone": GONE})
+REPLACE_ALL = Fault(FIRST_AT_S, "swap", "n0", options={"machines": "n*", "gone": ABSENCE_S})
 # 20 ms at each of nine engines with one core: 360 a second are 0.8 of what they can do.
-PINS: dict[str, Any] = {"pins": True, "order_across": True, "keys": 2000, "seconds": 60.0}
-PINS |= {"instances": 8, "rate": 360.0}
-FEW: dict[str, Any] = {"pins": True, "order_across": True, "keys": 200, "seconds": 60.0}
-FEW |= {"instances": 4, "engines": 1, "rate": 60.0}
+WITH_AFFINITY: dict[str, Any] = {
+    "has_affinity": True,
+    "orders_across": True,
+    "key_count": 2000,
+    "duration_s": 60.0,
+}
+WITH_AFFINITY |= {"instances": 8, "requests_per_s": 360.0}
+SMALL_WITH_AFFINITY: dict[str, Any] = {
+    "has_affinity": True,
+    "orders_across": True,
+    "key_count": 200,
+    "duration_s": 60.0,
+}
+SMALL_WITH_AFFINITY |= {"instances": 4, "engines_per_zone": 1, "requests_per_s": 60.0}
 SCENARIOS += [
-    replacement_scenario("swap-pins-none", "the load of a swap with pins, without a swap", **PINS),
-    replacement_scenario("swap-pins", "all are swapped by the fleet's own swap, with pins", SWAPPED, **PINS),
-    replacement_scenario("swap-pins-few-none", "a small fleet with pins, without a swap", **FEW),
+    replacement_scenario("swap-pins-none", "the load of a swap with pins, without a swap", **WITH_AFFINITY),
     replacement_scenario(
-        "swap-pins-few", "a small fleet is swapped by its own swap, with pins", SWAPPED, **FEW
+        "swap-pins", "all are swapped by the fleet's own swap, with pins", REPLACE_ALL, **WITH_AFFINITY
+    ),
+    replacement_scenario(
+        "swap-pins-few-none", "a small fleet with pins, without a swap", **SMALL_WITH_AFFINITY
+    ),
+    replacement_scenario(
+        "swap-pins-few",
+        "a small fleet is swapped by its own swap, with pins",
+        REPLACE_ALL,
+        **SMALL_WITH_AFFINITY,
     ),
     replacement_scenario(
         "swap-pins-emptied",
         "a small fleet's machines are swapped for new ones, with nothing in their folders",
-        Fault(FIRST, "swap", "n0", options={"machines": "n*", "gone": GONE, "empty": True}),
-        **FEW,
+        Fault(FIRST_AT_S, "swap", "n0", options={"machines": "n*", "gone": ABSENCE_S, "empty": True}),
+        **SMALL_WITH_AFFINITY,
     ),
     replacement_scenario(
         "swap-pins-power",
         "power goes in the middle of a swap with pins",
-        SWAPPED,
+        REPLACE_ALL,
         Fault(10.0, "power", "*"),
         Fault(12.0, "start", "*"),
-        returns=12.0,
-        **(FEW | {"order_across": False}),
+        power_restored_at_s=12.0,
+        **(SMALL_WITH_AFFINITY | {"orders_across": False}),
     ),
 ]
--- a/cottonhold/emulator/fault_injection/report.py
+++ b/cottonhold/emulator/fault_injection/report.py
@@ -23,11 +23,11 @@
 COLOURS = ("#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9")
 
 
-def charts(day: Scenario, series: dict[str, list[float]]) -> str:
+def charts(scenario: Scenario, series: dict[str, list[float]]) -> str:
     """Sends by zone and worth served, over time, with the day's faults as marks; one SVG."""
     times = [i * BIN_S for i in range(len(next(iter(series.values()), [])))]
     figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 6), sharex=True)
-    for colour, zone in zip(COLOURS, day.zones, strict=False):
+    for colour, zone in zip(COLOURS, scenario.zones, strict=False):
         row = [n / BIN_S for n in series[f"sends {zone}"]]
         upper.step(times, row, where="post", label=f"zone {zone}", color=colour)
     upper.set_ylabel("sends a second")
@@ -36,29 +36,29 @@
     lower.set_ylabel("worth each half second")
     lower.set_xlabel("seconds")
     for axes in (upper, lower):
-        for at in sorted({fault.at for fault in day.faults}):
+        for at in sorted({fault.at_s for fault in scenario.faults}):
             axes.axvline(at, color="#b00020", linewidth=0.8, linestyle=":")
         axes.set_ylim(bottom=0)
         axes.legend(loc="upper right", frameon=False)
         axes.spines[["top", "right"]].set_visible(False)
     figure.tight_layout()
-    out = io.StringIO()
-    figure.savefig(out, format="svg", metadata={"Date": None})
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", metadata={"Date": None})
     pyplot.close(figure)
-    return out.getvalue()[out.getvalue().index("<svg") :]
+    return buffer.getvalue()[buffer.getvalue().index("<svg") :]
 
 
 def page(folder: Path) -> str:
     """The page of a run's folder. Raises OSError and ScriptError."""
-    day = decode_scenario((folder / "day.json").read_bytes())
-    kept: dict[str, Any] = json.loads((folder / "result.json").read_bytes())
-    verdict = kept["verdict"]
-    found = verdict["findings"]
+    scenario = decode_scenario((folder / "day.json").read_bytes())
+    result: dict[str, Any] = json.loads((folder / "result.json").read_bytes())
+    verdict = result["verdict"]
+    findings = verdict["findings"]
     state = (
-        f'<p class="bad">{len(found)} findings</p><ul>'
-        + "".join(f"<li>{html.escape(f)}</li>" for f in found[:50])
+        f'<p class="bad">{len(findings)} findings</p><ul>'
+        + "".join(f"<li>{html.escape(f)}</li>" for f in findings[:50])
         + "</ul>"
-        if found
+        if findings
         else '<p class="good">No rule was broken.</p>'
     )
     figures = "".join(
@@ -68,18 +68,19 @@
     zones = "".join(
         f"<tr><td>{html.escape(name)}</td><td>{html.escape(row['zone'])}</td><td>{html.escape(row['phase'])}</td>"
         f"<td>{html.escape(row['why'])}</td></tr>"
-        for name, view in sorted(kept["views"].items())
+        for name, view in sorted(result["views"].items())
         for row in view.get("zones", [])
     )
     parts = [
         "<!doctype html><html lang=en><meta charset=utf-8>",
-        f"<title>{html.escape(day.name)}</title><style>{STYLE}</style>",
-        f"<h1>{html.escape(day.name)}</h1><p>{html.escape(day.about)}. {day.instances} instances, "
-        f"{len(day.zones) * day.engines} engines, {day.rate:g} requests a second, seed {day.seed}, "
-        f"fleet {'on' if day.fleet else 'off'}.</p>",
+        f"<title>{html.escape(scenario.name)}</title><style>{STYLE}</style>",
+        f"<h1>{html.escape(scenario.name)}</h1><p>{html.escape(scenario.description)}. "
+        f"{scenario.instances} instances, {len(scenario.engine_names())} engines, "
+        f"{scenario.requests_per_s:g} requests a second, seed {scenario.seed}, "
+        f"fleet {'on' if scenario.has_fleet else 'off'}.</p>",
         state,
-        charts(day, verdict["series"]),
-        f"<h2>What happened</h2><pre>{html.escape(chr(10).join(kept['timeline'])) or 'nothing'}</pre>",
+        charts(scenario, verdict["series"]),
+        f"<h2>What happened</h2><pre>{html.escape(chr(10).join(result['timeline'])) or 'nothing'}</pre>",
         f"<h2>Figures</h2><table>{figures}</table>",
         f"<h2>Zones at the end</h2><table><tr><th>instance<th>zone<th>phase<th>why</tr>{zones}</table>",
     ]
--- /dev/null
+++ b/cottonhold/emulator/fault_injection/request_rules.py
@@ -0,0 +1,162 @@
+"""Rules about single requests and sends: one final answer in time, one attempt at a time, no send to an
+engine that drains. Pure."""
+
+from __future__ import annotations
+
+import math
+from collections import defaultdict
+
+from cottonhold.emulator.fault_injection.client_model import RequestEnd
+from cottonhold.emulator.fault_injection.event_log import (
+    ExecutionEnd,
+    RequestLog,
+    RunHistory,
+    RunLogs,
+    Verdict,
+)
+
+RESPONSE_SLACK_S = 0.5
+INSTANCE_START_S = 3.0  # until a new process has received the engine list
+LINK_DELAY_S = 0.1  # between a cancel and its being seen on the link, where the harness is busy
+DISTURBANCE_LEAD_S = 1.0  # an instance that failed so long before a request may not respond to it
+MIN_ORDER_GAP_S = 0.05  # loads that are closer to one another may arrive in either order
+# An engine answers so if it has done nothing: the load may be sent again.
+NOT_STARTED = ("overload", "nobody")
+
+
+def is_disturbed(logs: RunLogs, name: str, begin: float, end: float) -> bool:
+    """Return whether a process was killed or stopped within a time, so that it could not respond."""
+    stopped_at = None
+    for at, verb, target in sorted(logs.marks):
+        if target != name:
+            continue
+        if verb == "stop":
+            stopped_at = at
+        elif verb == "go" and stopped_at is not None:
+            if stopped_at <= end and at >= begin:
+                return True
+            stopped_at = None
+        elif verb == "kill" and begin <= at <= end:
+            return True
+    return stopped_at is not None and stopped_at <= end
+
+
+def is_excused(logs: RunLogs, request: RequestLog) -> bool:
+    """Return whether the instance of a request was killed or stopped in its time."""
+    begin = request.started_at - DISTURBANCE_LEAD_S
+    end = request.started_at + request.timeout_ms / 1000 + RESPONSE_SLACK_S
+    return is_disturbed(logs, f"n{request.instance}", begin, end)
+
+
+def check_requests(history: RunHistory, verdict: Verdict) -> None:
+    """Each request has one final answer in time, and none is served that no engine has done."""
+    for request_id, request in history.requests.items():
+        if request.end_count > 1:
+            verdict.findings.append(f"answers: {request_id} has {request.end_count} ends")
+        is_unanswered = request.end in (RequestEnd.TIMED_OUT, RequestEnd.BROKEN, None)
+        if is_unanswered and not is_excused(history.logs, request):
+            verdict.findings.append(f"answers: {request_id} at n{request.instance} got none in its time")
+        if request.end is RequestEnd.SERVED:
+            engine = request.text
+            executions = history.executions.get(request_id, [])
+            if not any(e.engine == engine and e.end is ExecutionEnd.DONE for e in executions):
+                verdict.findings.append(
+                    f"made: {request_id} was served as by '{engine}', which did not make it"
+                )
+
+
+def check_sends(history: RunHistory, verdict: Verdict) -> None:
+    """No load is sent again once it may have run, and one attempt of a request is open at a time."""
+    _check_loads(history, verdict)
+    _check_single_attempt(history, verdict)
+
+
+def _check_loads(history: RunHistory, verdict: Verdict) -> None:
+    loads = {kind.name for kind in history.scenario.request_classes if kind.is_load}
+    for request_id, sends in history.sends.items():
+        if request_id in history.requests and history.requests[request_id].class_name in loads:
+            may_have_run = [send for send in sends if send.end not in NOT_STARTED]
+            if len(may_have_run) > 1:
+                where = ", ".join(f"{send.engine} ({send.end or 'open'})" for send in may_have_run)
+                verdict.findings.append(f"loads: {request_id} may have run more than once: {where}")
+
+
+def _check_single_attempt(history: RunHistory, verdict: Verdict) -> None:
+    """The link sees a cancel later than the next send by LINK_DELAY_S at most, and by its own stalls."""
+    for request_id, sends in history.sends.items():
+        for send, following in zip(sends, sends[1:], strict=False):
+            overlap_s = send.ended_at - following.sent_at
+            stalled_s = history.logs.stalled_s(following.sent_at, send.ended_at)
+            if overlap_s > LINK_DELAY_S + stalled_s:
+                verdict.findings.append(
+                    f"one out: {request_id} was at {send.engine} and {following.engine} at once"
+                )
+
+
+def check_order(history: RunHistory, verdict: Verdict) -> None:
+    """Loads on one key that an instance accepted one after another begin in that order."""
+    by_key: dict[tuple[int, str], list[tuple[float, float, str]]] = defaultdict(list)
+    for request_id, executions in history.executions.items():
+        begun = [e for e in executions if e.key and e.began_at < math.inf]
+        if begun and request_id in history.requests:
+            request = history.requests[request_id]
+            accepted_at = request.sent_at if request.sent_at < math.inf else request.started_at
+            by_key[request.instance, begun[0].key].append((accepted_at, begun[0].began_at, request_id))
+    for (instance, key), rows in by_key.items():
+        rows.sort()
+        for (accepted_at, began_at, earlier), (later_at, later_began_at, later) in zip(
+            rows, rows[1:], strict=False
+        ):
+            if later_began_at < began_at and later_at - accepted_at > MIN_ORDER_GAP_S:
+                verdict.findings.append(f"order: {later} overtook {earlier} on {key} at n{instance}")
+
+
+def check_engine_overload(history: RunHistory, verdict: Verdict) -> None:
+    """No cold engine is overloaded by all instances together."""
+    for engine, lines in history.logs.engines.items():
+        for at, event, *_ in lines:
+            if event == "tipped":
+                since_start_s = at - history.logs.load_started_at
+                verdict.findings.append(f"cold: {engine} was pushed over {since_start_s:.1f} s into the day")
+
+
+def check_drains(history: RunHistory, verdict: Verdict) -> None:
+    """No instance that can know of an engine's drain sends to it, from RESPONSE_SLACK_S after it on."""
+    drains = _drains(history.logs)
+    for request_id, sends in history.sends.items():
+        for send in sends:
+            for begin, end in drains[send.engine]:
+                known_at = _notified_at(history.logs, send.instance, begin)
+                if known_at + RESPONSE_SLACK_S < send.sent_at < end:
+                    late_s = send.sent_at - begin
+                    verdict.findings.append(
+                        f"drain: {request_id} went to {send.engine} {late_s:.2f} s after its drain, "
+                        f"by {send.instance}"
+                    )
+
+
+def _drains(logs: RunLogs) -> dict[str, list[tuple[float, float]]]:
+    """Return from when to when each engine was drained."""
+    drains: dict[str, list[tuple[float, float]]] = defaultdict(list)
+    for at, verb, engine in sorted(logs.marks):
+        if verb == "drain":
+            drains[engine].append((at, math.inf))
+        elif verb == "undrain" and drains[engine]:
+            drains[engine][-1] = (drains[engine][-1][0], at)
+    return drains
+
+
+def _notified_at(logs: RunLogs, instance: str, at: float) -> float:
+    """Return when an instance can have received what was announced at a time: later, if it was stopped, down
+    or cut from the source of the list then."""
+    unreachable_since = math.inf
+    for marked_at, verb, name in sorted(logs.marks):
+        if name != instance:
+            continue
+        if verb in ("deaf", "stop", "kill"):
+            unreachable_since = min(unreachable_since, marked_at)
+        elif verb in ("hears", "go", "start"):
+            if unreachable_since <= at + RESPONSE_SLACK_S and marked_at >= at:
+                return marked_at + (INSTANCE_START_S if verb == "start" else 0.0)
+            unreachable_since = math.inf
+    return at if unreachable_since > at + RESPONSE_SLACK_S else math.inf
--- a/cottonhold/emulator/fault_injection/run_folder.py
+++ b/cottonhold/emulator/fault_injection/run_folder.py
@@ -54,8 +54,8 @@
         marks=[(at, verb, name) for at, verb, name in result["marks"]],
         links=read_log(folder / LINK_LOG),
         stalls=[(begin, end) for begin, end in result.get("stalls", [])],
-        told=result.get("told", {}),
-        ownerless=dict(result.get("ownerless", [])),
+        projected_costs=result.get("told", {}),
+        ownerless_counts=dict(result.get("ownerless", [])),
     )
     return check_run(scenario, logs)
 
--- a/cottonhold/emulator/fault_injection/worker_pool.py
+++ b/cottonhold/emulator/fault_injection/worker_pool.py
@@ -1,10 +1,10 @@
-"""A process that has all programs of the rig loaded and forks one when told: started within milliseconds,
-also on a machine so busy that loading takes many seconds.
+"""A process that has the programs of a run loaded and forks one on request: started within milliseconds, also
+on a machine so busy that loading takes many seconds.
 
-    zygote = Zygote()
-    process = zygote.start("cottonhold.emulator.fault_injection.engine", [settings], log, pipes=True)
+    pool = WorkerPool()
+    process = pool.start("cottonhold.emulator.fault_injection.engine", [settings], log, pipes=True)
 
-It ends with the rig, and each program with it: the kernel sends the signal.
+It ends with the harness, and each program with it: the kernel sends the signal.
 """
 
 from __future__ import annotations
@@ -33,60 +33,61 @@
     "cottonhold.node.standalone_dispatcher",
     "cottonhold.store.ledger",
 )
-MAX_ORDER_BYTES = 1 << 16  # bytes of an order
+MAX_REQUEST_BYTES = 1 << 16
+MAX_INHERITED_DESCRIPTOR = 256
 
 
 class Process(Protocol):
-    """What the rig needs of a process: as subprocess.Popen has it."""
+    """What the harness needs of a process; subprocess.Popen has it."""
 
     stdin: IO[bytes] | None
     stdout: IO[bytes] | None
 
     def poll(self) -> int | None:
-        """None while it lives."""
+        """Return None while it runs."""
 
     def wait(self, timeout: float | None = None) -> int:
-        """Until it has ended. Raises subprocess.TimeoutExpired."""
+        """Wait until it has ended. Raises subprocess.TimeoutExpired."""
 
     def send_signal(self, sig: int) -> None:
-        """Nothing for one that has ended."""
+        """Send a signal; nothing to one that has ended."""
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL."""
 
 
 class ForkedProcess:
-    """A program that the zygote started, by a handle that no other process can come to have."""
+    """A program that the pool has forked, by a descriptor that stands for no other process."""
 
     def __init__(self, pid: int, stdin: IO[bytes] | None, stdout: IO[bytes] | None) -> None:
         self.pid, self.stdin, self.stdout = pid, stdin, stdout
-        self.handle = os.pidfd_open(pid)
+        self.descriptor = os.pidfd_open(pid)
 
-    def _over(self, ms: float | None) -> bool:
-        if self.handle < 0:
+    def _has_ended(self, timeout_ms: float | None) -> bool:
+        if self.descriptor < 0:
             return True
         ended = select.poll()
-        ended.register(self.handle, select.POLLIN)
-        if not ended.poll(ms):
+        ended.register(self.descriptor, select.POLLIN)
+        if not ended.poll(timeout_ms):
             return False
-        os.close(self.handle)
-        self.handle = -1
+        os.close(self.descriptor)
+        self.descriptor = -1
         return True
 
     def poll(self) -> int | None:
-        """See Process; how it ended isn't known."""
-        return 0 if self._over(0) else None
+        """See Process; the exit code is not known."""
+        return 0 if self._has_ended(0) else None
 
     def wait(self, timeout: float | None = None) -> int:
         """See Process."""
-        if not self._over(None if timeout is None else timeout * 1000):
+        if not self._has_ended(None if timeout is None else timeout * 1000):
             raise subprocess.TimeoutExpired(str(self.pid), timeout or 0.0)
         return 0
 
     def send_signal(self, sig: int) -> None:
         """See Process."""
-        if not self._over(0):
-            signal.pidfd_send_signal(self.handle, sig)
+        if not self._has_ended(0):
+            signal.pidfd_send_signal(self.descriptor, sig)
 
     def kill(self) -> None:
         """See Process."""
@@ -94,10 +95,10 @@
 
 
 class WorkerPool:
-    """The rig's side."""
+    """The harness's end of the pool."""
 
     def __init__(self) -> None:
-        self.link, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        self.link, pool_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         guard = [
             sys.executable,
             "-m",
@@ -106,68 +107,70 @@
             sys.executable,
         ]
         program = [*guard, "-m", "cottonhold.emulator.fault_injection.worker_pool"]
-        with there:
-            self.process = subprocess.Popen(program, stdin=there.fileno())
+        with pool_end:
+            self.process = subprocess.Popen(program, stdin=pool_end.fileno())
 
     def start(self, module: str, args: Sequence[str], log: IO[bytes], pipes: bool) -> ForkedProcess:
-        """A program, by its module; `pipes`: its standard input and output are the rig's. Raises OSError."""
-        ours: list[IO[bytes] | None] = [None, None]
-        with open(os.devnull, "r+b") as nothing:
-            theirs = [nothing.fileno(), nothing.fileno(), log.fileno()]
+        """Start a program by its module. pipes: its standard input and output are pipes. Raises OSError."""
+        stdin: IO[bytes] | None = None
+        stdout: IO[bytes] | None = None
+        with open(os.devnull, "r+b") as null:
+            descriptors = [null.fileno(), null.fileno(), log.fileno()]
             if pipes:
-                theirs[0], write = os.pipe()
-                read, theirs[1] = os.pipe()
-                ours = [os.fdopen(write, "wb"), os.fdopen(read, "rb")]
-            socket.send_fds(self.link, [json.dumps([module, *args]).encode()], theirs)
-            for end in theirs[:2] if pipes else ():
-                os.close(end)
-        answer = self.link.recv(MAX_ORDER_BYTES)
-        if not answer:
-            raise OSError("the zygote has ended")
-        return ForkedProcess(int(answer), ours[0], ours[1])
+                descriptors[0], write = os.pipe()
+                read, descriptors[1] = os.pipe()
+                stdin, stdout = os.fdopen(write, "wb"), os.fdopen(read, "rb")
+            socket.send_fds(self.link, [json.dumps([module, *args]).encode()], descriptors)
+            if pipes:
+                os.close(descriptors[0])
+                os.close(descriptors[1])
+        pid = self.link.recv(MAX_REQUEST_BYTES)
+        if not pid:
+            raise OSError("the worker pool has ended")
+        return ForkedProcess(int(pid), stdin, stdout)
 
     def close(self) -> None:
-        """End it, and what it started. May be called again."""
+        """End the pool, and what it started. May be called again."""
         self.link.close()
         self.process.kill()
         self.process.wait()
 
 
-def _run_program(words: list[str], fds: list[int], parent: int) -> None:
-    """In the new process: the program, until it ends."""
+def _run_program(arguments: list[str], descriptors: list[int], parent: int) -> None:
+    """In the new process, run the program until it ends."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL), 0, 0, 0)
     if os.getppid() != parent:
         os._exit(1)
-    for place, fd in enumerate(fds):
-        os.dup2(fd, place)
-    # Danger: an end of a pipe that another program holds open too hides that the rig has closed its own.
-    os.closerange(3, 256)
-    sys.argv = words
-    runpy.run_module(words[0], run_name="__main__", alter_sys=True)
+    for target, descriptor in enumerate(descriptors):
+        os.dup2(descriptor, target)
+    # An end of another program's pipe that stays open here would hide that the harness has closed its own.
+    os.closerange(3, MAX_INHERITED_DESCRIPTOR)
+    sys.argv = arguments
+    runpy.run_module(arguments[0], run_name="__main__", alter_sys=True)
 
 
 def main() -> None:
-    """Fork a program for each order, until the rig is gone."""
+    """Fork a program for each request, until the harness has ended."""
     for name in PRELOADED_MODULES:
         import_module(name)
-    link, me = socket.socket(fileno=os.dup(0)), os.getpid()
+    link, own_pid = socket.socket(fileno=os.dup(0)), os.getpid()
     while True:
-        data, fds, _, _ = socket.recv_fds(link, MAX_ORDER_BYTES, 3)
-        if not data:
+        request, descriptors, _, _ = socket.recv_fds(link, MAX_REQUEST_BYTES, 3)
+        if not request:
             return
-        while _reaped():
+        while _reap_one():
             pass
         pid = os.fork()
         if not pid:
-            _run_program(json.loads(data), fds, me)
+            _run_program(json.loads(request), descriptors, own_pid)
             return
-        for fd in fds:
-            os.close(fd)
+        for descriptor in descriptors:
+            os.close(descriptor)
         link.send(str(pid).encode())
 
 
-def _reaped() -> bool:
-    """One that has ended is taken off the system's list. The rig has a handle of each by then."""
+def _reap_one() -> bool:
+    """Reap a program that has ended; return whether there was one. The harness has its descriptor by then."""
     try:
         return os.waitpid(-1, os.WNOHANG)[0] > 0
     except ChildProcessError:
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -18,9 +18,9 @@
 import pytest
 
 from cottonhold.emulator.fault_injection.checker import check_run
-from cottonhold.emulator.fault_injection.clients import Kind, Manner
+from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass, RequestEnd
 from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs
-from cottonhold.emulator.fault_injection.instance import shift
+from cottonhold.emulator.fault_injection.instance import shift_wall_clock
 from cottonhold.emulator.fault_injection.machines import Machines
 from cottonhold.emulator.fault_injection.run_folder import ownerless_times
 from cottonhold.emulator.fault_injection.script import Fault, Scenario, ScriptError, check_scenario
@@ -28,14 +28,14 @@
 DAY = check_scenario(
     Scenario(
         name="judged",
-        about="a run by hand",
+        description="a run by hand",
         instances=2,
         zones=("a", "b"),
-        engines=1,
-        seconds=4.0,
-        kinds=(Kind("load", 1.0, 3000.0, 100.0, load=True),),
-        traits={"cold": 1.0},
-        order_across=True,
+        engines_per_zone=1,
+        duration_s=4.0,
+        request_classes=(RequestClass("load", 1.0, 3000.0, 100.0, is_load=True),),
+        engine_traits={"cold": 1.0},
+        orders_across=True,
     )
 )
 
@@ -130,7 +130,7 @@
 ) -> None:
     (tmp_path / "n0.log").write_text(logs)
     seen = clean()
-    seen.ownerless = ownerless_times(tmp_path, [{"pins": {"ownerless": view}}, {}])
+    seen.ownerless_counts = ownerless_times(tmp_path, [{"pins": {"ownerless": view}}, {}])
     figures = check_run(DAY, seen).figures
     assert (figures.get("pins_moved"), figures.get("ownerless_p99_ms")) == (moved, p99)
 
@@ -138,7 +138,7 @@
 def test_order_across_instances_is_a_figure_where_it_is_no_rule() -> None:
     seen = clean()
     at_once(seen)
-    verdict = check_run(msgspec.structs.replace(DAY, order_across=False), seen)
+    verdict = check_run(msgspec.structs.replace(DAY, orders_across=False), seen)
     assert verdict.findings == [] and verdict.figures["order_across"] == 1
 
 
@@ -148,26 +148,40 @@
 
 
 @pytest.mark.parametrize(
-    "manner, load, word, text, tried, wanted",
+    "behaviour, is_load, end, text, attempts, expected",
     [
-        (Manner(), True, "broken", "", 1, False),
-        (Manner(tries=3), False, "refused", "", 2, True),
-        (Manner(tries=3), False, "refused", "", 3, False),
-        (Manner(asks_again=True), True, "broken", "", 1, True),
-        (Manner(asks_again=True), True, "nothing", "", 9, True),
-        (Manner(asks_again=True), True, "unreached", "", 9, True),
-        (Manner(asks_again=True), True, "broken", "", 50, False),
-        (Manner(asks_again=True), True, "served", "a0", 1, False),
-        (Manner(asks_again=True), False, "broken", "", 1, False),
-        (Manner(asks_again=True), True, "failed", FAILED, 1, False),
-        (Manner(asks_again=True, asks_failed=True), True, "failed", FAILED, 1, True),
-        (Manner(asks_again=True, asks_failed=True), True, "failed", "unknown table", 1, False),
+        (ClientBehaviour(), True, RequestEnd.BROKEN, "", 1, False),
+        (ClientBehaviour(max_attempts=3), False, RequestEnd.REFUSED, "", 2, True),
+        (ClientBehaviour(max_attempts=3), False, RequestEnd.REFUSED, "", 3, False),
+        (ClientBehaviour(retries_unfinished_loads=True), True, RequestEnd.BROKEN, "", 1, True),
+        (ClientBehaviour(retries_unfinished_loads=True), True, RequestEnd.TIMED_OUT, "", 9, True),
+        (ClientBehaviour(retries_unfinished_loads=True), True, RequestEnd.UNREACHED, "", 9, True),
+        (ClientBehaviour(retries_unfinished_loads=True), True, RequestEnd.BROKEN, "", 50, False),
+        (ClientBehaviour(retries_unfinished_loads=True), True, RequestEnd.SERVED, "a0", 1, False),
+        (ClientBehaviour(retries_unfinished_loads=True), False, RequestEnd.BROKEN, "", 1, False),
+        (ClientBehaviour(retries_unfinished_loads=True), True, RequestEnd.FAILED, FAILED, 1, False),
+        (
+            ClientBehaviour(retries_unfinished_loads=True, retries_failed_loads=True),
+            True,
+            RequestEnd.FAILED,
+            FAILED,
+            1,
+            True,
+        ),
+        (
+            ClientBehaviour(retries_unfinished_loads=True, retries_failed_loads=True),
+            True,
+            RequestEnd.FAILED,
+            "unknown table",
+            1,
+            False,
+        ),
     ],
 )
 def test_a_client_asks_again_for_a_load_whose_end_it_did_not_hear(
-    manner: Manner, load: bool, word: str, text: str, tried: int, wanted: bool
+    behaviour: ClientBehaviour, is_load: bool, end: RequestEnd, text: str, attempts: int, expected: bool
 ) -> None:
-    assert manner.retries_after(load, word, text, tried) is wanted
+    assert behaviour.retries_after(is_load, end, text, attempts) is expected
 
 
 # --- machines ---
@@ -178,12 +192,12 @@
     machines.restore_old_folder("n0")  # nothing was kept: it stays as it is
     started = machines.start("n0")
     assert json.loads(Path(started["disk"]).read_text()) == {} and not started["clock_s"]
-    record = machines.state("n0") / "record"
+    record = machines.state_folder("n0") / "record"
     record.write_text("of last week")
     machines.apply("keep", "n0", {})
     record.write_text("of today")
     machines.apply("empty", "n0", {})
-    assert list(machines.state("n0").iterdir()) == []
+    assert list(machines.state_folder("n0").iterdir()) == []
     machines.apply("old", "n0", {})
     assert record.read_text() == "of last week"
     machines.apply("disk", "n0", {"state": "full"})
@@ -196,7 +210,7 @@
     monkeypatch.setattr(time, "time", lambda: 1000.0)
     monkeypatch.setattr(time, "time_ns", lambda: 1000 * 10**9)
     before = time.monotonic()
-    shift(-86400.0)
+    shift_wall_clock(-86400.0)
     assert time.time() == 1000.0 - 86400.0 and time.time_ns() == (1000 - 86400) * 10**9
     assert 0.0 <= time.monotonic() - before < 60.0
 
@@ -233,19 +247,24 @@
     ],
 )
 def test_a_target_names_hosts(target: str, wanted: set[str]) -> None:
-    day = Scenario(name="d", about="", instances=2, zones=("a", "b"), engines=1, homes=("a", "b"))
+    day = Scenario(
+        name="d", description="", instances=2, zones=("a", "b"), engines_per_zone=1, instance_zones=("a", "b")
+    )
     assert set(check_scenario(day).pick(target)) == wanted
 
 
 @pytest.mark.parametrize(
     "day",
     [
-        Scenario(name="d", about="", faults=(Fault(1.0, "empty", "n0"),)),
+        Scenario(name="d", description="", faults=(Fault(1.0, "empty", "n0"),)),
         Scenario(
-            name="d", about="", state=True, faults=(Fault(1.0, "disk", "n0", options={"state": "odd"}),)
+            name="d",
+            description="",
+            has_state_folders=True,
+            faults=(Fault(1.0, "disk", "n0", options={"state": "odd"}),),
         ),
-        Scenario(name="d", about="", homes=("a",)),
-        Scenario(name="d", about="", instances=1, homes=("elsewhere",)),
+        Scenario(name="d", description="", instance_zones=("a",)),
+        Scenario(name="d", description="", instances=1, instance_zones=("elsewhere",)),
     ],
     ids=["no folders", "no such disk", "a home for one of six", "no such zone"],
 )
--- a/tests/emulator/test_checker_projections.py
+++ b/tests/emulator/test_checker_projections.py
@@ -22,14 +22,14 @@
     """Ten requests a second of a's clients, served in a, and from the fault on in b."""
     engines: dict[str, list[LogLine]] = {name: [] for name in day.engine_names()}
     clients: list[LogLine] = []
-    for i in range(int(10 * day.seconds)):
+    for i in range(int(10 * day.duration_s)):
         at, ref = i / 10 + 0.01, f"r{i}"
         clients.append([at, "ask", ref, "cheap", 0, 0, i, 2000.0, "a"])
-        if at >= day.out and i % 10 == 0:
+        if at >= day.outage_at_s and i % 10 == 0:
             clients.append([at + 0.03, "refused", ref, "full"])
             continue
-        engine, cold = ("b0", i % 2 == 0) if at >= day.out else ("a0", False)
-        if at >= day.out:
+        engine, cold = ("b0", i % 2 == 0) if at >= day.outage_at_s else ("a0", False)
+        if at >= day.outage_at_s:
             cold = i % 10 in (1, 3, 5, 7) or i % 20 == 9
         engines[engine] += [
             [at + 0.001, "get", ref, "cheap", "", 0, 20.0],
@@ -39,7 +39,7 @@
         clients.append([at + 0.03, "served", ref, engine])
     row = {"cost": {name: told.get(name, value) for name, value in CAME.items()}}
     rows: dict[str, Any] = {"a": row, "b": {"cost": dict.fromkeys(CAME, 1e9)}}
-    return RunLogs(engines, clients, 0.0, told=rows)
+    return RunLogs(engines, clients, 0.0, projected_costs=rows)
 
 
 @pytest.mark.parametrize(
@@ -71,5 +71,5 @@
         "outlook-short",
     ]
     silent = played({})
-    silent.told = {}
+    silent.projected_costs = {}
     assert not [name for name in check_run(LOST, silent).figures if name.startswith("told")]
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -16,8 +16,10 @@
 import pytest
 
 from cottonhold.emulator.fault_injection.checker import check_run, relative_utility, summary
-from cottonhold.emulator.fault_injection.clients import Clients, Kind, Load, Session
-from cottonhold.emulator.fault_injection.engine import DataSetCache, FaultyEngine, Traits
+from cottonhold.emulator.fault_injection.client_model import Load, RequestClass
+from cottonhold.emulator.fault_injection.clients import Clients, Session
+from cottonhold.emulator.fault_injection.engine import DataSetCache, FaultyEngine
+from cottonhold.emulator.fault_injection.engine_traits import EngineTraits
 from cottonhold.emulator.fault_injection.event_log import BIN_S, LogLine, RequestLog, RunLogs
 from cottonhold.emulator.fault_injection.links import NetworkPath
 from cottonhold.emulator.fault_injection.recovery_quality import possible_utility
@@ -29,18 +31,18 @@
 RETURN = check_scenario(
     Scenario(
         name="returned",
-        about="power is back at 2 s",
+        description="power is back at 2 s",
         instances=2,
         zones=("a", "b"),
-        engines=1,
-        seconds=10.0,
-        kinds=(Kind("cheap", 1.0, 1000.0, 10.0),),
-        traits={"cold": 1.0, "warm": 3000.0, "tip": 1000.0, "tip_window": 1000.0},
-        returns=2.0,
-        homes=("a", "b"),
-        distance={"a-b": 10.0},
-        out=5.0,
-        back=9.0,
+        engines_per_zone=1,
+        duration_s=10.0,
+        request_classes=(RequestClass("cheap", 1.0, 1000.0, 10.0),),
+        engine_traits={"cold": 1.0, "warm": 3000.0, "tip": 1000.0, "tip_window": 1000.0},
+        power_restored_at_s=2.0,
+        instance_zones=("a", "b"),
+        zone_distances_ms={"a-b": 10.0},
+        outage_at_s=5.0,
+        recovered_at_s=9.0,
     )
 )
 
@@ -123,7 +125,9 @@
 
 def test_being_served_elsewhere_costs_latency_and_cold_work() -> None:
     seen = returned(lambda *_: True)
-    day = msgspec.structs.replace(RETURN, traits=RETURN.traits | {"datasets": 2, "set_cold": 3.0})
+    day = msgspec.structs.replace(
+        RETURN, engine_traits=RETURN.engine_traits | {"datasets": 2, "set_cold": 3.0}
+    )
     near = check_run(day, seen).figures
     assert near["added_ms"] == near["away"] == near["extra_work"] == 0.0
     moved = {line[2] for line in seen.clients if line[1] == "ask" and line[8] == "a" and line[0] >= 105.0}
@@ -146,7 +150,7 @@
 
 
 def test_an_engine_keeps_the_data_sets_warm_that_were_read_last() -> None:
-    sets, traits = DataSetCache(), Traits(datasets=2, set_ms=100.0)
+    sets, traits = DataSetCache(), EngineTraits(warm_data_sets=2, data_set_expiry_ms=100.0)
     reads = [(b"s1", 0.0, False), (b"s1", 50.0, True), (b"s2", 60.0, False), (b"s1", 140.0, True)]
     reads += [(b"s3", 141.0, False), (b"s2", 142.0, False), (b"s3", 143.0, True), (b"s3", 244.0, False)]
     for name, now, warm in reads:
@@ -154,15 +158,21 @@
 
 
 def test_a_day_without_data_sets_tells_nothing_of_them() -> None:
-    assert not Traits().datasets and not any(d.traits.get("datasets") for d in SCENARIOS if not d.homes)
-    engine = FaultyEngine("a0", io.TextIOWrapper(io.BytesIO()), Traits(), 1)
-    assert engine.sets.read_at == {}
+    assert not EngineTraits().warm_data_sets and not any(
+        d.engine_traits.get("datasets") for d in SCENARIOS if not d.instance_zones
+    )
+    engine = FaultyEngine("a0", io.TextIOWrapper(io.BytesIO()), EngineTraits(), 1)
+    assert engine.data_sets.read_at == {}
 
 
 def test_a_way_goes_on_for_all_at_once_and_a_bandwidth_does_not() -> None:
     draw = random.Random(1)
-    assert [NetworkPath(delay=10.0).wait(draw, 100, since) for since in (0.0, 4.0, 12.0)] == [10.0, 6.0, 0.0]
-    assert NetworkPath(delay=10.0, slow=1000.0).wait(draw, 100, 12.0) == 100.0
+    assert [NetworkPath(delay_ms=10.0).transfer_ms(draw, 100, since) for since in (0.0, 4.0, 12.0)] == [
+        10.0,
+        6.0,
+        0.0,
+    ]
+    assert NetworkPath(delay_ms=10.0, bytes_per_s=1000.0).transfer_ms(draw, 100, 12.0) == 100.0
 
 
 def test_zones_are_as_far_apart_both_ways() -> None:
@@ -172,7 +182,7 @@
 
 
 def test_clients_stay_at_home_while_an_instance_of_their_zone_is_there() -> None:
-    load = Load([1, 2, 3, 4], 1.0, 1.0, [], [1, 1, 1, 1], "", 1, homes=["a", "a", "b", "b"])
+    load = Load([1, 2, 3, 4], 1.0, 1.0, [], [1, 1, 1, 1], "", 1, instance_zones=["a", "a", "b", "b"])
     clients = Clients(load, io.TextIOWrapper(io.BytesIO()))
     assert {clients._instance("a") for _ in range(100)} == {0, 1}
     assert {clients._instance("a", {1}) for _ in range(100)} == {0}
@@ -196,17 +206,17 @@
 def test_nothing_is_started_while_the_power_is_gone() -> None:
     cuts = (9.5, 12.0, 14.5)
     for fault in repeated_power_losses(*cuts):
-        assert fault.verb == "power" or not any(cut <= fault.at < cut + 1.0 for cut in cuts), str(fault)
+        assert fault.verb == "power" or not any(cut <= fault.at_s < cut + 1.0 for cut in cuts), str(fault)
 
 
 def test_every_day_says_its_ways_in_json() -> None:
     for day in SCENARIOS:
-        json.dumps({"homes": day.homes, "distance": day.distance, "steps": day.steps})
-        assert check_scenario(day).seconds > max((f.at for f in day.faults), default=0.0)
+        json.dumps({"homes": day.instance_zones, "distance": day.zone_distances_ms, "steps": day.rate_steps})
+        assert check_scenario(day).duration_s > max((f.at_s for f in day.faults), default=0.0)
 
 
 def test_the_short_set_stays_short() -> None:
-    assert sum(BY_NAME[name].seconds for name in SHORT) < 40.0, "with starts and patience: two minutes"
+    assert sum(BY_NAME[name].duration_s for name in SHORT) < 40.0, "with starts and patience: two minutes"
 
 
 def test_a_table_shows_what_its_days_have() -> None:
@@ -228,10 +238,12 @@
 )
 def test_a_cold_engine_bears_more_as_it_grows_warm(age: float, work: float, over: bool) -> None:
     """Three times slower at first and evenly faster until 3 s; at its coldest it bears 1000 ms of work."""
-    traits = Traits(cold=3.0, warm=3000.0, tip=1000.0, tip_window=1500.0)
+    traits = EngineTraits(
+        cold_slowdown=3.0, warm_after_ms=3000.0, overload_work_ms=1000.0, overload_window_ms=1500.0
+    )
     engine = FaultyEngine("a0", io.TextIOWrapper(io.BytesIO()), traits, 1)
-    engine.started -= age
-    assert engine._is_overloaded(work) is over
+    engine.started_at -= age
+    assert engine._overloads(work) is over
 
 
 @pytest.mark.parametrize("closed", [False, True])
@@ -243,7 +255,7 @@
             Session(asyncio.StreamReader(), Mock()),
         )
         session.used_at = time.monotonic()
-        clients.idle[0].append(session)
+        clients.idle_sessions[0].append(session)
         if closed:
             session.reader.feed_eof()
         assert clients._idle_session(0) is (None if closed else session)
--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -21,7 +21,7 @@
 
 from cottonhold.cli.main import app
 from cottonhold.emulator.fault_injection.checker import check_run, summary
-from cottonhold.emulator.fault_injection.clients import Kind
+from cottonhold.emulator.fault_injection.client_model import RequestClass
 from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs
 from cottonhold.emulator.fault_injection.links import DatagramSwitch, Link, NetworkPath, TcpLink
 from cottonhold.emulator.fault_injection.report import page
@@ -59,11 +59,11 @@
     "link, wanted",
     [
         (Link(), "ask"),
-        (Link(refuse=True), "refused"),
-        (Link(reset=True), "broken"),
-        (Link(forth=NetworkPath(cut=True)), "silent"),
-        (Link(back=NetworkPath(cut=True)), "silent"),
-        (Link(forth=NetworkPath(delay=5.0), back=NetworkPath(slow=1e4)), "ask"),
+        (Link(refuses=True), "refused"),
+        (Link(resets=True), "broken"),
+        (Link(forth=NetworkPath(is_cut=True)), "silent"),
+        (Link(back=NetworkPath(is_cut=True)), "silent"),
+        (Link(forth=NetworkPath(delay_ms=5.0), back=NetworkPath(bytes_per_s=1e4)), "ask"),
     ],
     ids=["well", "refused", "reset", "cut forth", "cut back", "slow"],
 )
@@ -82,10 +82,10 @@
         port = await tested.start()
         await tested.set(link)
         found = await through(tested)
-        if link.forth.cut:
-            assert not came, "one way: nothing has come"
-        if link.back.cut:
-            assert came == [b"ask"], "the other way: it came, and no answer went back"
+        if link.forth.is_cut:
+            assert not came, "one path: nothing has come"
+        if link.back.is_cut:
+            assert came == [b"ask"], "the other path: it came, and no answer went back"
         await tested.set(Link())
         assert tested.port == port
         again = await through(tested)
@@ -105,7 +105,7 @@
             ("127.0.0.1", server.sockets[0].getsockname()[1]), 1, lambda *words: heard.append(words)
         )
         await tested.start()
-        await tested.set(Link(forth=NetworkPath(cut=True)))
+        await tested.set(Link(forth=NetworkPath(is_cut=True)))
         _, writer = await asyncio.open_connection("127.0.0.1", tested.port)
         writer.write(b"*2\r\n$3\r\nGET\r\n$2\r\nr1\r\n")
         writer.close()
@@ -123,18 +123,18 @@
 
 
 @pytest.mark.parametrize(
-    "way, least, most",
+    "path, least, most",
     [
         (NetworkPath(), 100, 100),
-        (NetworkPath(cut=True), 0, 0),
-        (NetworkPath(loss=0.5), 25, 75),
-        (NetworkPath(twice=1.0), 200, 200),
-        (NetworkPath(delay=1.0, jitter=5.0), 100, 100),
+        (NetworkPath(is_cut=True), 0, 0),
+        (NetworkPath(loss_share=0.5), 25, 75),
+        (NetworkPath(duplicate_share=1.0), 200, 200),
+        (NetworkPath(delay_ms=1.0, jitter_ms=5.0), 100, 100),
     ],
     ids=["well", "cut", "loss", "twice", "jitter"],
 )
 def test_a_switch_passes_datagrams_from_public_address_to_own_port(
-    way: NetworkPath, least: int, most: int
+    path: NetworkPath, least: int, most: int
 ) -> None:
     came = list[tuple[bytes, int]]()
 
@@ -148,7 +148,7 @@
         ports = [int(t.get_extra_info("sockname")[1]) for t, _ in ends]
         switch = DatagramSwitch(ports[:2], 1)
         public = await switch.start()
-        switch.paths[0, 1] = way
+        switch.paths[0, 1] = path
         for n in range(100):
             ends[0][0].sendto(bytes([n]), ("127.0.0.1", public[1]))
             if n % 20 == 19:
@@ -156,7 +156,7 @@
         ends[2][0].sendto(b"?", ("127.0.0.1", public[1]))
         for _ in range(100):
             await asyncio.sleep(0.01)
-            if switch.strangers and len(came) >= least:
+            if switch.unknown_senders and len(came) >= least:
                 break
         for transport, _ in ends:
             transport.close()
@@ -164,9 +164,9 @@
         return switch, public
 
     switch, public = asyncio.run(scenario())
-    assert least <= len(came) <= most and switch.strangers == 1
+    assert least <= len(came) <= most and switch.unknown_senders == 1
     assert {port for _, port in came} <= {public[0]}, "the receiver knows the sender by its public address"
-    if way.jitter:
+    if path.jitter_ms:
         assert [d for d, _ in came] != sorted(d for d, _ in came), "some have overtaken others"
 
 
@@ -206,7 +206,7 @@
 def test_a_day_is_printed_and_read_again(day: Scenario) -> None:
     assert decode_scenario(encode_scenario(day)) == day
     assert all(str(fault) for fault in day.faults)
-    assert not without_fleet(day).fleet
+    assert not without_fleet(day).has_fleet
 
 
 @pytest.mark.parametrize(
@@ -235,13 +235,16 @@
 DAY = check_scenario(
     Scenario(
         name="judged",
-        about="a run by hand",
+        description="a run by hand",
         instances=2,
         zones=("a", "b"),
-        engines=1,
-        seconds=4.0,
-        kinds=(Kind("cheap", 0.5, 1000.0, 100.0), Kind("load", 0.5, 1000.0, 100.0, load=True)),
-        traits={"cold": 1.0},
+        engines_per_zone=1,
+        duration_s=4.0,
+        request_classes=(
+            RequestClass("cheap", 0.5, 1000.0, 100.0),
+            RequestClass("load", 0.5, 1000.0, 100.0, is_load=True),
+        ),
+        engine_traits={"cold": 1.0},
     )
 )
 
--- a/tests/emulator/test_power_losses.py
+++ b/tests/emulator/test_power_losses.py
@@ -14,7 +14,7 @@
     PowerLossDraw,
     PowerLossMoment,
     Tally,
-    seen_at,
+    observe_power_loss,
     timeline,
     unanswered,
 )
@@ -55,17 +55,17 @@
     for before in (True, False):
         for name, lines in ledgers.items():
             some = [line for line in lines if (line[0] <= CUT) == before]
-            tally.clients(some) if name == "clients" else tally.engine(name, some)
+            tally.on_client_lines(some) if name == "clients" else tally.on_engine_lines(name, some)
         if before:
-            tally.power(CUT)
+            tally.on_power_loss(CUT)
     return tally
 
 
 def test_one_power_loss_is_counted() -> None:
-    found = seen_at(tallied(clean()), CUT - 0.01)
-    assert (found.in_flight, found.at_engines, found.unheard) == (2, 1, 1)
-    assert found.told == Counter(may=1, sent=1)
-    assert tallied(clean()).twice == [] and unanswered(tallied(clean()), [CUT], 200.0) == []
+    found = observe_power_loss(tallied(clean()), CUT - 0.01)
+    assert (found.in_flight, found.at_engines, found.unreported) == (2, 1, 1)
+    assert found.answers == Counter(may=1, sent=1)
+    assert tallied(clean()).duplicates == [] and unanswered(tallied(clean()), [CUT], 200.0) == []
 
 
 def ran_again(ledgers: Ledgers) -> None:
@@ -88,7 +88,7 @@
     ledgers = clean()
     plant(ledgers)
     tally = tallied(ledgers)
-    assert tally.twice == [number]
+    assert tally.duplicates == [number]
     story = timeline(tally.load(number), 100.0, [(CUT, "kill", "n0")])
     assert sum("BEGAN" in line for line in story) == 2 and any("kill n0" in line for line in story)
 
@@ -96,7 +96,7 @@
 def test_what_came_and_never_began_is_no_run() -> None:
     ledgers = clean()
     ledgers["b0"] += [[104.2, "get", "r3", "load", "k7", 7, 300.0], [104.3, "drop", "r3"]]
-    assert tallied(ledgers).twice == []
+    assert tallied(ledgers).duplicates == []
 
 
 @pytest.mark.parametrize("asked, found", [(106.0, 1), (103.5, 0), (199.9, 0)])
@@ -111,15 +111,15 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_cuts_are_drawn_alike_and_one_folder_is_wrong_at_a_time(seed: int) -> None:
-    cuts = list(PowerLossDraw(seed, NAMES).cuts(300))
-    assert cuts == list(PowerLossDraw(seed, NAMES).cuts(300))
-    assert {cut.when for cut in cuts} == set(PowerLossMoment) and any(cut.away for cut in cuts)
-    assert all(any(getattr(cut, what) for cut in cuts) for what in ("emptied", "old", "backup"))
+    cuts = list(PowerLossDraw(seed, NAMES).power_losses(300))
+    assert cuts == list(PowerLossDraw(seed, NAMES).power_losses(300))
+    assert {cut.moment for cut in cuts} == set(PowerLossMoment) and any(cut.away for cut in cuts)
+    assert all(any(getattr(cut, what) for cut in cuts) for what in ("emptied", "restored", "backup"))
     wrong = ""
     for cut in cuts:
-        if cut.rest:
+        if cut.waits_for_rest:
             wrong = ""
-        now = [name for name in (cut.emptied, cut.old, cut.backup) if name]
+        now = [name for name in (cut.emptied, cut.restored, cut.backup) if name]
         assert len(now) + bool(wrong) <= 1
         assert sorted([*cut.order, *cut.away]) == list(NAMES)
         wrong = now[0] if now else wrong
--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -24,7 +24,7 @@
 pytestmark = pytest.mark.xdist_group("replacement processes")
 
 # Little load: on a machine that is busy with other things zones look slow, and nothing starts meanwhile.
-DAY = msgspec.structs.replace(POWER, name="swap of engines", seconds=580.0, rate=20.0)
+DAY = msgspec.structs.replace(POWER, name="swap of engines", duration_s=580.0, requests_per_s=20.0)
 LONG = 280.0  # s until a state that does not come is an error
 ENGINES = ("a0", "b0", "c0")
 ENDS = {"done", "drop", "broke", "crashed", "overload"}
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -23,7 +23,13 @@
 pytestmark = pytest.mark.xdist_group("fleet processes")
 
 DAY = Scenario(
-    name="short", about="in CI", instances=4, engines=2, rate=120.0, seconds=600.0, weights=(1, 1, 2, 3)
+    name="short",
+    description="in CI",
+    instances=4,
+    engines_per_zone=2,
+    requests_per_s=120.0,
+    duration_s=600.0,
+    instance_weights=(1, 1, 2, 3),
 )
 ALL = {"n0", "n1", "n2", "n3"}
 Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -12,7 +12,8 @@
 import pytest
 
 from cottonhold.emulator.fault_injection.checker import check_run
-from cottonhold.emulator.fault_injection.clients import Kind, Manner, Session
+from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass
+from cottonhold.emulator.fault_injection.clients import Session
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
@@ -21,16 +22,16 @@
 
 DAY = Scenario(
     name="power",
-    about="in CI",
+    description="in CI",
     instances=3,
-    engines=1,
-    rate=60.0,
-    seconds=600.0,  # Danger: shorter than a story on a busy machine, nobody asked any more and it waited
-    weights=(1, 1, 1),
-    kinds=(Kind("cheap", 0.5, 2000.0, 20.0), Kind("load", 0.5, 8000.0, 20.0, True)),
-    manner=Manner(tries=4, asks_again=True),
-    price=True,
-    state=True,
+    engines_per_zone=1,
+    requests_per_s=60.0,
+    duration_s=600.0,  # Danger: shorter than a story on a busy machine, nobody asked any more and it waited
+    instance_weights=(1, 1, 1),
+    request_classes=(RequestClass("cheap", 0.5, 2000.0, 20.0), RequestClass("load", 0.5, 8000.0, 20.0, True)),
+    client_behaviour=ClientBehaviour(max_attempts=4, retries_unfinished_loads=True),
+    has_admission=True,
+    has_state_folders=True,
 )
 ALL = ("n0", "n1", "n2")
 Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
@@ -207,7 +208,7 @@
 
 @pytest.mark.parametrize("story", STORIES, ids=lambda s: s.__name__)
 def test_a_power_loss_on_processes(story: Story, tmp_path: Path) -> None:
-    day = msgspec.structs.replace(DAY, consul=story is the_source_of_the_list_stays_away)
+    day = msgspec.structs.replace(DAY, has_consul=story is the_source_of_the_list_stays_away)
     run = ScenarioRun(day, tmp_path, forks=True)
 
     async def scenario() -> None:
--- a/tests/fleet/test_session_affinity_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from cottonhold.emulator.fault_injection.clients import Manner
+from cottonhold.emulator.fault_injection.client_model import ClientBehaviour
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 from tests.fleet.test_recovery_processes import ALL, DAY, more
@@ -27,10 +27,16 @@
 pytestmark = pytest.mark.xdist_group("affinity processes")
 
 # Long enough for a busy machine, and calm enough: the stories end it.
-PINNED = msgspec.structs.replace(DAY, name="pins", pins=True, order_across=True, rate=30.0, seconds=300.0)
+PINNED = msgspec.structs.replace(
+    DAY, name="pins", has_affinity=True, orders_across=True, requests_per_s=30.0, duration_s=300.0
+)
 # Clients that hear nothing for a while ask again, for the same load and at any instance.
 IMPATIENT = msgspec.structs.replace(
-    PINNED, name="impatient", manner=Manner(tries=4, asks_again=True, hears=400.0)
+    PINNED,
+    name="impatient",
+    client_behaviour=ClientBehaviour(
+        max_attempts=4, retries_unfinished_loads=True, response_timeout_ms=400.0
+    ),
 )
 Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -18,9 +18,9 @@
 
 PROGRAM = """
 import itertools, sys, time
-from cottonhold.emulator.fault_injection.instance import shift
+from cottonhold.emulator.fault_injection.instance import shift_wall_clock
 wrong, step = map(float, sys.argv[1:])
-shift(wrong)
+shift_wall_clock(wrong)
 wall, read = time.time, itertools.count()
 time.time = lambda: wall() + (step if next(read) else 0.0)  # stepped once it has been read
 from cottonhold.__main__ import main
