--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -31,16 +31,14 @@
 from cottonhold.emulator.fault_injection.defects import DEFECTS
 from cottonhold.emulator.fault_injection.event_log import LogLine
 from cottonhold.emulator.fault_injection.harness import ScenarioRun, ScenarioRunError
-from cottonhold.emulator.fault_injection.power_losses import (
+from cottonhold.emulator.fault_injection.power_loss_tally import (
     ObservedPowerLoss,
-    PowerLoss,
-    PowerLossDraw,
-    PowerLossMoment,
     Tally,
     observe_power_loss,
     timeline,
     unanswered,
 )
+from cottonhold.emulator.fault_injection.power_losses import PowerLoss, PowerLossDraw, PowerLossMoment
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 PATIENCE_S = 5.0
--- a/cottonhold/emulator/fault_injection/__init__.py
+++ b/cottonhold/emulator/fault_injection/__init__.py
@@ -1,3 +1,2 @@
-"""Processes of the program, engines and clients with scripted faults between them, and a checker from
-outside.
-"""
+"""Scenarios of faults, played on processes of the program with engines and clients, and checked from
+outside."""
--- a/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
+++ b/cottonhold/emulator/fault_injection/failover_cost_scenarios.py
@@ -1,7 +1,8 @@
-"""Days on which being served elsewhere costs something: zones are apart, engines hold only some data sets.
+"""Scenarios in which being served in another zone has a cost: zones are distant, and engines hold only some
+data sets in memory.
 
-Two instances and three engines stand in each of three zones; clients ask for data sets of their own zone. Two
-zones are near, the third is far.
+Two instances and three engines stand in each of three zones; clients read data sets of their own zone. Two
+zones are near one another, the third is far.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 OUTAGE_AT_S, RECOVERED_AT_S = 8.0, 18.0
-DISTANCE = {"a-b": 6.0, "b-c": 14.0, "a-c": 20.0}
+DISTANCES_MS = {"a-b": 6.0, "b-c": 14.0, "a-c": 20.0}
 TRAITS = {
     "tip": 1000.0,
     "tip_window": 1500.0,
@@ -23,7 +24,7 @@
 
 
 def failover_cost_scenario(name: str, description: str, *faults: Fault, **fields: Any) -> Scenario:
-    """A day on which something of a zone is out from 8 to 18 s."""
+    """Return a scenario in which something of a zone is out from 8 to 18 s."""
     defaults: dict[str, Any] = {
         "duration_s": 28.0,
         "outage_at_s": OUTAGE_AT_S,
@@ -33,14 +34,14 @@
         "requests_per_s": 240.0,
         "instance_weights": (2, 2, 2, 2, 2, 2),
         "instance_zones": ("a", "a", "b", "b", "c", "c"),
-        "zone_distances_ms": DISTANCE,
+        "zone_distances_ms": DISTANCES_MS,
         "engine_traits": TRAITS,
     }
     return Scenario(name=name, description=description, faults=faults, **(defaults | fields))
 
 
 def outage(*targets: str) -> tuple[Fault, ...]:
-    """Killed and started again from nothing."""
+    """Kill targets and start them again."""
     return tuple(
         f for t in targets for f in (Fault(OUTAGE_AT_S, "power", t), Fault(RECOVERED_AT_S, "start", t))
     )
--- /dev/null
+++ b/cottonhold/emulator/fault_injection/power_loss_tally.py
@@ -0,0 +1,215 @@
+"""What became of each load over many power losses, as clients and engines saw it. Pure.
+
+A load is identified by the number in its statement, which is its client's. Times are seconds of the logs'
+clock.
+"""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass, field
+from enum import StrEnum
+
+from cottonhold.emulator.fault_injection.client_model import RequestEnd
+from cottonhold.emulator.fault_injection.event_log import REQUEST_ENDS, LogLine
+
+SENT_BEFORE = "was sent before"  # in an instance's answer to a retry that it did not send
+POWER_LOSS_MARGIN_S = 1.0  # an attempt that was open so close to a power loss may stay unanswered
+
+
+@dataclass(slots=True)
+class LoadExecution:
+    """One time that a load began at an engine."""
+
+    engine: str
+    request_id: str
+    began_at: float
+    ended_at: float = math.inf
+
+
+class RetryAnswer(StrEnum):
+    """What a client was answered: SERVED_BEFORE, MAY_HAVE_RUN and LATER without a send, SENT if its request
+    was sent to an engine."""
+
+    SERVED_BEFORE = "well"
+    MAY_HAVE_RUN = "may"
+    SENT = "sent"
+    LATER = "later"
+    NONE = "nobody"
+    OPEN = "open"
+
+
+@dataclass(slots=True)
+class Attempt:
+    """One attempt of a client. number: counted from 0. sent_at: when its connection was open. end: None while
+    it is open."""
+
+    request_id: str
+    started_at: float
+    number: int
+    instance: int
+    timeout_ms: float
+    sent_at: float = math.inf
+    ended_at: float = math.inf
+    end: RequestEnd | None = None
+    text: str = ""
+
+    @property
+    def answer(self) -> RetryAnswer:
+        """What its client was answered."""
+        if self.end is None:
+            return RetryAnswer.OPEN
+        if self.end is RequestEnd.SERVED:
+            return RetryAnswer.SENT if self.text else RetryAnswer.SERVED_BEFORE
+        if self.end is RequestEnd.FAILED:
+            return RetryAnswer.MAY_HAVE_RUN if SENT_BEFORE in self.text else RetryAnswer.SENT
+        return RetryAnswer.LATER if self.end is RequestEnd.REFUSED else RetryAnswer.NONE
+
+
+@dataclass(slots=True)
+class ObservedLoad:
+    """All that was seen of one load. arrivals: (time, request id) of what arrived at engines."""
+
+    number: int
+    attempts: list[Attempt] = field(default_factory=list)
+    executions: list[LoadExecution] = field(default_factory=list)
+    arrivals: list[tuple[float, str]] = field(default_factory=list)
+
+    @property
+    def served_at(self) -> float:
+        """When its client first received that it was served."""
+        return min((a.ended_at for a in self.attempts if a.end is RequestEnd.SERVED), default=math.inf)
+
+
+class Tally:
+    """Loads as clients and engines saw them, line by line."""
+
+    def __init__(self) -> None:
+        self.loads: dict[int, ObservedLoad] = {}
+        self.attempts: dict[str, Attempt] = {}
+        self.present: dict[tuple[str, str], ObservedLoad] = {}  # by engine and request id: what came last
+        self.running: dict[tuple[str, str], LoadExecution] = {}
+        self.duplicates: list[int] = []  # loads that began twice, in the order in which that was seen
+
+    def load(self, number: int) -> ObservedLoad:
+        """Return what is known of a load."""
+        return self.loads.setdefault(number, ObservedLoad(number))
+
+    def on_client_lines(self, lines: Iterable[LogLine]) -> None:
+        """Read new lines of the clients' log."""
+        for at, event, request_id, *details in lines:
+            if event == "ask" and details[0] == "load":
+                _, instance, number, client, timeout_ms, *_ = details
+                attempt = Attempt(request_id, at, number, instance, timeout_ms)
+                self.attempts[request_id] = attempt
+                self.load(client).attempts.append(attempt)
+            elif event == "sent" and request_id in self.attempts:
+                self.attempts[request_id].sent_at = at
+            elif event in REQUEST_ENDS and request_id in self.attempts:
+                attempt = self.attempts[request_id]
+                attempt.ended_at, attempt.end = at, RequestEnd(event)
+                attempt.text = details[0] if details else ""
+
+    def on_engine_lines(self, engine: str, lines: Iterable[LogLine]) -> None:
+        """Read new lines of an engine's log."""
+        for at, event, request_id, *details in lines:
+            place = engine, request_id
+            if event == "get" and details[1]:
+                load = self.present[place] = self.load(details[2])
+                load.arrivals.append((at, request_id))
+            elif event == "run" and place in self.present:
+                self._on_begun(place, at)
+            elif event in ("done", "drop", "broke"):
+                self.present.pop(place, None)
+                execution = self.running.pop(place, None)
+                if execution is not None:
+                    execution.ended_at = at
+
+    def _on_begun(self, place: tuple[str, str], at: float) -> None:
+        load, execution = self.present[place], LoadExecution(*place, at)
+        self.running[place] = execution
+        load.executions.append(execution)
+        if len(load.executions) == 2:
+            self.duplicates.append(load.number)
+
+    def on_power_loss(self, at: float) -> None:
+        """End all engines; call it with all lines up to then read."""
+        for execution in self.running.values():
+            execution.ended_at = min(execution.ended_at, at)
+        self.running.clear()
+        self.present.clear()
+
+
+@dataclass(slots=True)
+class ObservedPowerLoss:
+    """What one power loss met: loads whose clients waited, those that ran at an engine, those that had begun
+    (and maybe ended) while their client had received nothing; and what retries were answered until the next
+    one."""
+
+    in_flight: int = 0
+    at_engines: int = 0
+    unreported: int = 0
+    answers: Counter[str] = field(default_factory=Counter)
+
+
+def observe_power_loss(tally: Tally, at: float, next_at: float = math.inf) -> ObservedPowerLoss:
+    """Return what the power loss at a time met. next_at: the next one's time."""
+    observed = ObservedPowerLoss()
+    for load in tally.loads.values():
+        is_open = any(attempt.started_at <= at < attempt.ended_at for attempt in load.attempts)
+        has_begun = any(execution.began_at <= at for execution in load.executions)
+        observed.in_flight += is_open
+        observed.at_engines += any(e.began_at <= at <= e.ended_at for e in load.executions)
+        observed.unreported += is_open and has_begun and load.served_at > at
+        for attempt in load.attempts:
+            if attempt.number and at < attempt.ended_at <= next_at:
+                observed.answers[attempt.answer] += 1
+    return observed
+
+
+def unanswered(
+    tally: Tally,
+    power_losses: Sequence[float],
+    until: float,
+    stalls: Sequence[tuple[float, float]] = (),
+) -> list[Attempt]:
+    """Return the attempts made by then that had no answer although no power loss was near. stalls: times in
+    which the harness was not scheduled, so that late and missing answers cannot be told apart."""
+    return [
+        attempt
+        for load in tally.loads.values()
+        for attempt in load.attempts
+        if attempt.end in (None, RequestEnd.TIMED_OUT)
+        and attempt.started_at < until
+        and not _is_near_power_loss(attempt, power_losses)
+        and not any(begin <= attempt.ended_at and end >= attempt.started_at for begin, end in stalls)
+    ]
+
+
+def _is_near_power_loss(attempt: Attempt, power_losses: Sequence[float]) -> bool:
+    begin = attempt.started_at - POWER_LOSS_MARGIN_S
+    return any(begin <= at <= attempt.ended_at + POWER_LOSS_MARGIN_S for at in power_losses)
+
+
+def timeline(load: ObservedLoad, started_at: float, marks: Iterable[tuple[float, str, str]]) -> list[str]:
+    """Return what happened to a load, a line for each event, with what was killed and started meanwhile."""
+    rows = [
+        (a.started_at, f"asked at n{a.instance}, ref {a.request_id}, try {a.number}") for a in load.attempts
+    ]
+    rows += [
+        (a.ended_at, f"ref {a.request_id} at n{a.instance}: {a.end} '{a.text}'")
+        for a in load.attempts
+        if a.end is not None
+    ]
+    rows += [(at, f"came to an engine, ref {request_id}") for at, request_id in load.arrivals]
+    rows += [(e.began_at, f"BEGAN at {e.engine}, ref {e.request_id}") for e in load.executions]
+    rows += [
+        (e.ended_at, f"ended at {e.engine}, ref {e.request_id}")
+        for e in load.executions
+        if e.ended_at < math.inf
+    ]
+    first, last = min(rows)[0], max(rows)[0]
+    rows += [(at, f"{verb} {name}") for at, verb, name in marks if first - 1 <= at <= last + 1]
+    return [f"{at - started_at:9.3f} s  {text}" for at, text in sorted(rows)]
--- a/cottonhold/emulator/fault_injection/recovery_scenarios.py
+++ b/cottonhold/emulator/fault_injection/recovery_scenarios.py
@@ -1,11 +1,12 @@
-"""Days of a power loss: everything is killed at once and comes back from what its disks have kept.
+"""Scenarios of a power loss: everything is killed at once and returns with what its disks hold.
 
-Power is gone at 6 s. The engines are back cold at 8 s, the instances one by one from 8 to 10.5 s. A fifth of
-the requests are loads, and clients ask again for one whose end they did not hear.
+Power is lost at 6 s. The engines return cold at 8 s, the instances one by one from 8 to 10.5 s. A fifth of
+the requests are loads, and clients repeat one whose end they did not receive.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from typing import Any
 
 from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass
@@ -13,28 +14,30 @@
 
 POWER_LOST_AT_S, POWER_RESTORED_AT_S = 6.0, 8.0
 START_INTERVAL_S = 0.5  # from one instance's start to the next one's
-KINDS = (
+LOADS_AND_READS = (
     RequestClass("cheap", 0.5, 2000.0, 20.0),
     RequestClass("dear", 0.3, 2000.0, 20.0),
     RequestClass("load", 0.2, 8000.0, 20.0, True),
 )
-ALL = range(6)
+ALL_INSTANCES = range(6)
 
 
 def starts(
-    numbers: Any = ALL, begin: float = POWER_RESTORED_AT_S, interval_s: float = START_INTERVAL_S
+    numbers: Iterable[int] = ALL_INSTANCES,
+    begin: float = POWER_RESTORED_AT_S,
+    interval_s: float = START_INTERVAL_S,
 ) -> tuple[Fault, ...]:
-    """Instances started one by one."""
+    """Start instances one by one."""
     return tuple(Fault(begin + interval_s * i, "start", f"n{n}") for i, n in enumerate(numbers))
 
 
 def recovery_scenario(
     name: str, description: str, *faults: Fault, power_lost_at_s: float = POWER_LOST_AT_S, **fields: Any
 ) -> Scenario:
-    """A day on which all lose power, usually at 6 s; what comes back, and when, the faults say."""
+    """Return a scenario in which all lose power; the faults say what returns, and when."""
     defaults: dict[str, Any] = {
         "duration_s": 22.0,
-        "request_classes": KINDS,
+        "request_classes": LOADS_AND_READS,
         "client_behaviour": ClientBehaviour(max_attempts=3, retries_unfinished_loads=True),
         "has_admission": True,
         "has_state_folders": True,
@@ -47,8 +50,8 @@
 ENGINES_START = Fault(POWER_RESTORED_AT_S, "start", "e*")
 ONE_BY_ONE = (ENGINES_START, *starts())
 INSTANCE_ZONES = ("a", "a", "b", "b", "c", "c")
-# Work of 60 ms, so that a small machine can offer three times what is usual: the engines do 150 a second.
-HEAVY = tuple(RequestClass(k.name, k.share, k.patience_ms, 60.0, k.is_load) for k in KINDS)
+# Work of 60 ms, so that a small machine can offer three times the usual load: the engines do 150 a second.
+HEAVY = tuple(RequestClass(k.name, k.share, k.patience_ms, 60.0, k.is_load) for k in LOADS_AND_READS)
 
 
 def repeated_power_losses(*cuts: float) -> tuple[Fault, ...]:
--- a/cottonhold/emulator/fault_injection/replacement_scenarios.py
+++ b/cottonhold/emulator/fault_injection/replacement_scenarios.py
@@ -1,28 +1,26 @@
-"""Days of a rolling swap of the instances: one after another they go and come back, with a fifth of loads.
+"""Scenarios of a rolling replacement: instances, or engines, are taken out and started again one after
+another.
 
-An instance is gone for 1.5 s. `swap-none` is the same load without a swap, to be compared with.
+A fifth of the requests are loads. An instance is absent for 1.5 s. `swap-none` has the same load without a
+replacement, for comparison.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass
+from cottonhold.emulator.fault_injection.client_model import ClientBehaviour
+from cottonhold.emulator.fault_injection.recovery_scenarios import LOADS_AND_READS
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
 FIRST_AT_S, INTERVAL_S, ABSENCE_S = 3.0, 2.5, 1.5
-KINDS = (
-    RequestClass("cheap", 0.5, 2000.0, 20.0),
-    RequestClass("dear", 0.3, 2000.0, 20.0),
-    RequestClass("load", 0.2, 8000.0, 20.0, True),
-)
 
 
 def replacement_scenario(name: str, description: str, *faults: Fault, **fields: Any) -> Scenario:
-    """A day on which clients ask again for a load whose end they did not hear."""
+    """Return a scenario in which clients repeat a load whose end they did not receive."""
     defaults: dict[str, Any] = {
         "duration_s": 22.0,
-        "request_classes": KINDS,
+        "request_classes": LOADS_AND_READS,
         "client_behaviour": ClientBehaviour(max_attempts=3, retries_unfinished_loads=True),
         "has_admission": True,
         "has_state_folders": True,
@@ -31,13 +29,13 @@
     return Scenario(name=name, description=description, faults=faults, **(defaults | fields))
 
 
-def one_by_one(verb: str, *more: str, count: int = 6) -> tuple[Fault, ...]:
-    """Each goes by a verb and comes back; before it does, further verbs are done to it."""
+def one_by_one(verb: str, *verbs_while_out: str, count: int = 6) -> tuple[Fault, ...]:
+    """Take each instance out by a verb and start it again; further verbs are applied while it is out."""
     faults = []
     for i in range(count):
         at, name = FIRST_AT_S + INTERVAL_S * i, f"n{i}"
         faults.append(Fault(at, verb, name))
-        faults += [Fault(at + ABSENCE_S - 0.1, word, name) for word in more]
+        faults += [Fault(at + ABSENCE_S - 0.1, verb_while_out, name) for verb_while_out in verbs_while_out]
         faults.append(Fault(at + ABSENCE_S, "start", name))
     return tuple(faults)
 
--- a/cottonhold/emulator/fault_injection/report.py
+++ b/cottonhold/emulator/fault_injection/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page of a played day: what happened, what the judge found, charts over time."""
+"""One self-contained HTML page of a run: what happened, what the checker found, charts over time."""
 
 from __future__ import annotations
 
@@ -6,12 +6,14 @@
 import io
 import json
 import math
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 from typing import Any
 
 import matplotlib
 
 from cottonhold.emulator.fault_injection.event_log import BIN_S
+from cottonhold.emulator.fault_injection.run_folder import RESULT_FILE, SCENARIO_FILE
 from cottonhold.emulator.fault_injection.script import Scenario, decode_scenario
 
 matplotlib.use("Agg")
@@ -20,11 +22,12 @@
 STYLE = """body{font:15px/1.5 sans-serif;max-width:60em;margin:2em auto;color:#222}
 table{border-collapse:collapse}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:left}
 pre{background:#f4f4f4;padding:.8em;overflow:auto}.bad{color:#b00020;font-weight:bold}.good{color:#1a7f37}"""
+MAX_FINDINGS = 50
 COLOURS = ("#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9")
 
 
 def charts(scenario: Scenario, series: dict[str, list[float]]) -> str:
-    """Sends by zone and worth served, over time, with the day's faults as marks; one SVG."""
+    """Return sends by zone and utility served over time, with the faults as marks, as one SVG."""
     times = [i * BIN_S for i in range(len(next(iter(series.values()), [])))]
     figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 6), sharex=True)
     for colour, zone in zip(COLOURS, scenario.zones, strict=False):
@@ -49,28 +52,15 @@
 
 
 def page(folder: Path) -> str:
-    """The page of a run's folder. Raises OSError and ScriptError."""
-    scenario = decode_scenario((folder / "day.json").read_bytes())
-    result: dict[str, Any] = json.loads((folder / "result.json").read_bytes())
+    """Return the page of a run's folder. Raises OSError and ScriptError."""
+    scenario = decode_scenario((folder / SCENARIO_FILE).read_bytes())
+    result: dict[str, Any] = json.loads((folder / RESULT_FILE).read_bytes())
     verdict = result["verdict"]
-    findings = verdict["findings"]
-    state = (
-        f'<p class="bad">{len(findings)} findings</p><ul>'
-        + "".join(f"<li>{html.escape(f)}</li>" for f in findings[:50])
-        + "</ul>"
-        if findings
-        else '<p class="good">No rule was broken.</p>'
-    )
     figures = "".join(
         f"<tr><td>{html.escape(name)}</td><td>{_number(value)}</td></tr>"
         for name, value in sorted(verdict["figures"].items())
     )
-    zones = "".join(
-        f"<tr><td>{html.escape(name)}</td><td>{html.escape(row['zone'])}</td><td>{html.escape(row['phase'])}</td>"
-        f"<td>{html.escape(row['why'])}</td></tr>"
-        for name, view in sorted(result["views"].items())
-        for row in view.get("zones", [])
-    )
+    zone_head = "<tr><th>instance<th>zone<th>phase<th>why</tr>"
     parts = [
         "<!doctype html><html lang=en><meta charset=utf-8>",
         f"<title>{html.escape(scenario.name)}</title><style>{STYLE}</style>",
@@ -78,15 +68,32 @@
         f"{scenario.instances} instances, {len(scenario.engine_names())} engines, "
         f"{scenario.requests_per_s:g} requests a second, seed {scenario.seed}, "
         f"fleet {'on' if scenario.has_fleet else 'off'}.</p>",
-        state,
+        _findings(verdict["findings"]),
         charts(scenario, verdict["series"]),
         f"<h2>What happened</h2><pre>{html.escape(chr(10).join(result['timeline'])) or 'nothing'}</pre>",
         f"<h2>Figures</h2><table>{figures}</table>",
-        f"<h2>Zones at the end</h2><table><tr><th>instance<th>zone<th>phase<th>why</tr>{zones}</table>",
+        f"<h2>Zones at the end</h2><table>{zone_head}{_zones(result['views'])}</table>",
     ]
     return "\n".join(parts)
 
 
+def _findings(findings: Sequence[str]) -> str:
+    if not findings:
+        return '<p class="good">No rule was broken.</p>'
+    rows = "".join(f"<li>{html.escape(finding)}</li>" for finding in findings[:MAX_FINDINGS])
+    return f'<p class="bad">{len(findings)} findings</p><ul>{rows}</ul>'
+
+
+def _zones(views: Mapping[str, Any]) -> str:
+    """Return the rows of each instance's zones."""
+    rows = ((name, row) for name, view in sorted(views.items()) for row in view.get("zones", []))
+    return "".join(
+        f"<tr><td>{html.escape(name)}</td><td>{html.escape(row['zone'])}</td>"
+        f"<td>{html.escape(row['phase'])}</td><td>{html.escape(row['why'])}</td></tr>"
+        for name, row in rows
+    )
+
+
 def _number(value: float | None) -> str:
     if value is None or math.isnan(value):
         return "never"
--- a/cottonhold/emulator/fault_injection/scenarios.py
+++ b/cottonhold/emulator/fault_injection/scenarios.py
@@ -1,7 +1,6 @@
-"""The days of trials, by name: those of zones and of overload here, the others in modules of their own. Most
-play the load that the operators measured: six instances, nine engines in three zones, 270 requests a second,
-two classes worth 1 and 6.
-"""
+"""The scenarios by name: those of zones and of overload here, the others in modules of their own. Most have
+the load that the operators measured: six instances, nine engines in three zones, 270 requests a second, two
+classes of utility 1 and 6."""
 
 from __future__ import annotations
 
@@ -19,7 +18,7 @@
 
 
 def zone_scenario(name: str, description: str, *faults: Fault, **fields: Any) -> Scenario:
-    """A day on which zone a fails at 5 s and is well again at 13 s."""
+    """Return a scenario in which zone a fails at 5 s and is well again at 13 s."""
     defaults: dict[str, Any] = {
         "duration_s": 24.0,
         "outage_at_s": OUTAGE_AT_S,
@@ -29,7 +28,7 @@
 
 
 def killed(target: str = "a") -> tuple[Fault, Fault]:
-    """Engines killed, and started again from nothing."""
+    """Kill engines, and start them again."""
     return Fault(OUTAGE_AT_S, "kill", target), Fault(RECOVERED_AT_S, "start", target)
 
 
@@ -200,8 +199,10 @@
 HEAVY = (RequestClass("cheap", 0.6, 2000.0, 60.0), RequestClass("dear", 0.4, 2000.0, 60.0))
 
 
-def overload_scenario(name: str, description: str, times: float, *faults: Fault, **fields: Any) -> Scenario:
-    """So many times what the engines can do, from clients that come up to three times."""
+def overload_scenario(
+    name: str, description: str, load_factor: float, *faults: Fault, **fields: Any
+) -> Scenario:
+    """Return a scenario with so many times the load that the engines can do, and clients that retry twice."""
     defaults: dict[str, Any] = {
         "duration_s": 20.0,
         "request_classes": HEAVY,
@@ -210,7 +211,11 @@
     }
     defaults["engine_traits"] = {"work": 60.0, "tip": 1000.0, "tip_window": 1500.0}
     return Scenario(
-        name=name, description=description, faults=faults, requests_per_s=150.0 * times, **(defaults | fields)
+        name=name,
+        description=description,
+        faults=faults,
+        requests_per_s=150.0 * load_factor,
+        **(defaults | fields),
     )
 
 
@@ -268,15 +273,15 @@
     ),
 ]
 SCENARIOS += [*RECOVERY_SCENARIOS, *FAILOVER_COST_SCENARIOS, *REPLACEMENT_SCENARIOS]
-SHORT = ("recover-short", "outlook-short", "swap-short")  # together under two minutes
+SHORT = ("recover-short", "outlook-short", "swap-short")  # for every run of the tests
 BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 
 
 def without_admission(scenario: Scenario) -> Scenario:
-    """The same day, where each instance sheds by its own plan."""
+    """Return the scenario with each instance shedding load by its own plan."""
     return msgspec.structs.replace(scenario, has_admission=False)
 
 
 def without_fleet(scenario: Scenario) -> Scenario:
-    """The same day with the section `fleet` off, for comparison."""
+    """Return the scenario with the section `fleet` off, for comparison."""
     return msgspec.structs.replace(scenario, has_fleet=False)
--- a/tests/emulator/test_power_losses.py
+++ b/tests/emulator/test_power_losses.py
@@ -10,14 +10,13 @@
 import pytest
 
 from cottonhold.emulator.fault_injection.event_log import LogLine
-from cottonhold.emulator.fault_injection.power_losses import (
-    PowerLossDraw,
-    PowerLossMoment,
+from cottonhold.emulator.fault_injection.power_loss_tally import (
     Tally,
     observe_power_loss,
     timeline,
     unanswered,
 )
+from cottonhold.emulator.fault_injection.power_losses import PowerLossDraw, PowerLossMoment
 from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, WorkerPool
 
 CUT = 103.0
