--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -1,6 +1,6 @@
-"""What the judge tells of loads that clients ask for again: by what a load is, across instances.
+"""The checker's rules about loads that clients retry: by what a load is, across instances.
 
-A clean run has two loads on one key, the first of them asked for twice at two instances; each defect is
+A clean run has two loads on one key, the first of them requested twice at two instances; each defect is
 planted in it.
 """
 
@@ -40,20 +40,22 @@
 )
 
 
-def get(engine: list[LogLine], ref: str, number: int, came: float, began: float | None, ended: float) -> None:
+def log_execution(
+    engine: list[LogLine], ref: str, number: int, arrived_at: float, began_at: float | None, ended_at: float
+) -> None:
     """What an engine writes of a load on k1."""
-    engine.append([came, "get", ref, "load", "k1", number, 100.0])
-    if began is not None:
-        engine.append([began, "run", ref])
-    engine.append([ended, "done" if began is not None else "broke", ref])
+    engine.append([arrived_at, "get", ref, "load", "k1", number, 100.0])
+    if began_at is not None:
+        engine.append([began_at, "run", ref])
+    engine.append([ended_at, "done" if began_at is not None else "broke", ref])
 
 
-def clean() -> RunLogs:
+def clean_logs() -> RunLogs:
     """Load 1 is at a0 and has not begun when n0 breaks; asked again at n1, b0 runs it. Load 2 follows."""
     engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
-    get(engines["a0"], "r1", 1, 100.01, None, 100.30)
-    get(engines["b0"], "r2", 1, 100.60, 100.61, 100.70)
-    get(engines["b0"], "r3", 2, 101.01, 101.02, 101.12)
+    log_execution(engines["a0"], "r1", 1, 100.01, None, 100.30)
+    log_execution(engines["b0"], "r2", 1, 100.60, 100.61, 100.70)
+    log_execution(engines["b0"], "r3", 2, 101.01, 101.02, 101.12)
     clients: list[LogLine] = [
         [100.0, "ask", "r1", "load", 0, 0, 1, 3000],
         [100.3, "broken", "r1", ""],
@@ -65,58 +67,58 @@
     return RunLogs(engines, clients, 100.0, marks=[(100.3, "kill", "n0")])
 
 
-Plant = Callable[[RunLogs], object]
+Defect = Callable[[RunLogs], object]
 
 
-def ran_before(seen: RunLogs) -> None:
+def run_before_the_failure(logs: RunLogs) -> None:
     """The first attempt had begun when its instance broke."""
-    seen.engines["a0"][2:2] = [[100.02, "run", "r1"]]
+    logs.engines["a0"][2:2] = [[100.02, "run", "r1"]]
 
 
-def ran_to_its_end(seen: RunLogs) -> None:
-    seen.engines["a0"][2:] = [[100.02, "run", "r1"], [100.12, "done", "r1"]]
+def run_to_the_end_before_the_failure(logs: RunLogs) -> None:
+    logs.engines["a0"][2:] = [[100.02, "run", "r1"], [100.12, "done", "r1"]]
 
 
-def at_once(seen: RunLogs) -> None:
+def run_at_once(logs: RunLogs) -> None:
     """Load 2 is asked for, and begins at the other engine, while load 1 runs."""
-    del seen.engines["b0"][4:]
-    get(seen.engines["a0"], "r3", 2, 100.62, 100.63, 100.75)
-    seen.clients[4:] = [[100.62, "ask", "r3", "load", 0, 0, 2, 3000], [100.9, "served", "r3", "a0"]]
+    del logs.engines["b0"][4:]
+    log_execution(logs.engines["a0"], "r3", 2, 100.62, 100.63, 100.75)
+    logs.clients[4:] = [[100.62, "ask", "r3", "load", 0, 0, 2, 3000], [100.9, "served", "r3", "a0"]]
 
 
-def late(seen: RunLogs) -> None:
+def run_in_reverse_order(logs: RunLogs) -> None:
     """Load 1 was given up as one that may have run, and runs after load 2 nevertheless."""
-    seen.clients[3] = [100.8, "failed", "r2", "the query failed; it may have run"]
-    del seen.engines["b0"][1:]
-    get(seen.engines["b0"], "r3", 2, 101.01, 101.02, 101.12)
-    get(seen.engines["b0"], "r2", 1, 100.60, 101.30, 101.40)
+    logs.clients[3] = [100.8, "failed", "r2", "the query failed; it may have run"]
+    del logs.engines["b0"][1:]
+    log_execution(logs.engines["b0"], "r3", 2, 101.01, 101.02, 101.12)
+    log_execution(logs.engines["b0"], "r2", 1, 100.60, 101.30, 101.40)
 
 
-DEFECTS: dict[str, tuple[str, Plant]] = {
-    "broken while it ran": ("twice: load 1 on k1", ran_before),
-    "ended, and run again": ("twice: load 1 on k1", ran_to_its_end),
-    "two of a key at once": ("order: loads 1 and 2 on k1 ran at once", at_once),
-    "an old one after a new one": ("order: load 1 on k1 began after load 2", late),
+DEFECTS: dict[str, tuple[str, Defect]] = {
+    "broken while it ran": ("twice: load 1 on k1", run_before_the_failure),
+    "ended, and run again": ("twice: load 1 on k1", run_to_the_end_before_the_failure),
+    "two of a key at once": ("order: loads 1 and 2 on k1 ran at once", run_at_once),
+    "an old one after a new one": ("order: load 1 on k1 began after load 2", run_in_reverse_order),
 }
 
 
-def test_a_load_that_never_began_may_be_run_for_the_next_try() -> None:
-    verdict = check_run(DAY, clean())
+def test_a_load_that_never_began_may_be_run_for_a_retry() -> None:
+    verdict = check_run(DAY, clean_logs())
     assert verdict.findings == []
     assert verdict.figures["loads"] == 2 and verdict.figures["loads_run_twice"] == 0
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_the_judge_finds_a_planted_defect_of_loads(name: str) -> None:
-    words, plant = DEFECTS[name]
-    seen = clean()
-    plant(seen)
-    findings = check_run(DAY, seen).findings
-    assert findings and all(finding.startswith(words) for finding in findings)
+def test_the_checker_finds_a_planted_defect_of_loads(name: str) -> None:
+    finding_start, plant_defect = DEFECTS[name]
+    logs = clean_logs()
+    plant_defect(logs)
+    findings = check_run(DAY, logs).findings
+    assert findings and all(finding.startswith(finding_start) for finding in findings)
 
 
 @pytest.mark.parametrize(
-    "logs, view, moved, p99",
+    "log_text, view, migrated, p99",
     [
         ("", "", None, None),
         ('event=pins_end took=2 waits="10:4" ownerless="10:98,50:2"\n', "", 100.0, 50.0),
@@ -125,25 +127,23 @@
     ],
     ids=["none moved", "one life", "two lives and one that goes on", "two without an owner for long"],
 )
-def test_the_time_without_an_owner_is_told_by_key(
-    logs: str, view: str, moved: float | None, p99: float | None, tmp_path: Path
+def test_the_time_without_an_owner_is_measured_by_key(
+    log_text: str, view: str, migrated: float | None, p99: float | None, tmp_path: Path
 ) -> None:
-    (tmp_path / "n0.log").write_text(logs)
-    seen = clean()
-    seen.ownerless_counts = ownerless_times(tmp_path, [{"pins": {"ownerless": view}}, {}])
-    figures = check_run(DAY, seen).figures
-    assert (figures.get("pins_moved"), figures.get("ownerless_p99_ms")) == (moved, p99)
+    (tmp_path / "n0.log").write_text(log_text)
+    logs = clean_logs()
+    logs.ownerless_counts = ownerless_times(tmp_path, [{"pins": {"ownerless": view}}, {}])
+    figures = check_run(DAY, logs).figures
+    assert (figures.get("pins_moved"), figures.get("ownerless_p99_ms")) == (migrated, p99)
 
 
 def test_order_across_instances_is_a_figure_where_it_is_no_rule() -> None:
-    seen = clean()
-    at_once(seen)
-    verdict = check_run(msgspec.structs.replace(DAY, orders_across=False), seen)
+    logs = clean_logs()
+    run_at_once(logs)
+    verdict = check_run(msgspec.structs.replace(DAY, orders_across=False), logs)
     assert verdict.findings == [] and verdict.figures["order_across"] == 1
 
 
-# --- clients ---
-
 FAILED = "the query failed; it may have run"
 
 
@@ -178,16 +178,13 @@
         ),
     ],
 )
-def test_a_client_asks_again_for_a_load_whose_end_it_did_not_hear(
+def test_a_client_retries_a_load_whose_end_it_did_not_receive(
     behaviour: ClientBehaviour, is_load: bool, end: RequestEnd, text: str, attempts: int, expected: bool
 ) -> None:
     assert behaviour.retries_after(is_load, end, text, attempts) is expected
 
 
-# --- machines ---
-
-
-def test_a_state_folder_is_kept_emptied_and_put_back(tmp_path: Path) -> None:
+def test_a_state_folder_is_copied_emptied_and_restored(tmp_path: Path) -> None:
     machines = Machines(tmp_path)
     machines.restore_old_folder("n0")  # nothing was kept: it stays as it is
     started = machines.start("n0")
@@ -202,11 +199,11 @@
     assert record.read_text() == "of last week"
     machines.apply("disk", "n0", {"state": "full"})
     machines.apply("clock", "n0", {"offset_s": -3.5})
-    again = machines.start("n0")
-    assert json.loads(Path(again["disk"]).read_text()) == {"full": True} and again["clock_s"] == -3.5
+    restarted = machines.start("n0")
+    assert json.loads(Path(restarted["disk"]).read_text()) == {"full": True} and restarted["clock_s"] == -3.5
 
 
-def test_a_wall_clock_is_off_and_the_monotonic_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_wall_clock_is_shifted_and_the_monotonic_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "time", lambda: 1000.0)
     monkeypatch.setattr(time, "time_ns", lambda: 1000 * 10**9)
     before = time.monotonic()
@@ -216,28 +213,25 @@
 
 
 @pytest.mark.parametrize("module", ["engine", "instance"])
-def test_a_process_that_was_prepared_ends_if_it_is_never_told(module: str) -> None:
+def test_a_prepared_process_ends_if_it_gets_no_settings(module: str) -> None:
     program = [sys.executable, "-m", f"cottonhold.emulator.fault_injection.{module}", "--waits"]
     assert subprocess.run(program, stdin=subprocess.DEVNULL, timeout=60).returncode == 0
 
 
-def test_a_prepared_engine_serves_as_it_is_told_and_hears_what_follows(tmp_path: Path) -> None:
+def test_a_prepared_engine_takes_its_settings_and_later_changes(tmp_path: Path) -> None:
     """Both lines come at once: the second is left for the control of the engine that serves."""
     ledger = tmp_path / "a0.jsonl"
     settings = {"id": "a0", "port": 0, "ledger": str(ledger), "traits": {}}
     lines = json.dumps(settings) + "\n" + json.dumps({"slow": 7.0}) + "\n"
     program = [sys.executable, "-m", "cottonhold.emulator.fault_injection.engine", "--waits"]
-    done = subprocess.run(program, input=lines.encode(), capture_output=True, timeout=60)
-    assert done.returncode == 0 and int(done.stdout) > 0
-    words = [json.loads(line)[1:] for line in ledger.read_text().splitlines()]
-    assert words == [["start", ""], ["set", "", "slow", 7.0]]
-
-
-# --- script ---
+    finished = subprocess.run(program, input=lines.encode(), capture_output=True, timeout=60)
+    assert finished.returncode == 0 and int(finished.stdout) > 0
+    finding_start = [json.loads(line)[1:] for line in ledger.read_text().splitlines()]
+    assert finding_start == [["start", ""], ["set", "", "slow", 7.0]]
 
 
 @pytest.mark.parametrize(
-    "target, wanted",
+    "target, expected",
     [
         ("n*", {"n0", "n1"}),
         ("e*", {"a0", "b0"}),
@@ -246,15 +240,15 @@
         ("*", {"n0", "n1", "a0", "b0"}),
     ],
 )
-def test_a_target_names_hosts(target: str, wanted: set[str]) -> None:
-    day = Scenario(
+def test_a_target_names_hosts(target: str, expected: set[str]) -> None:
+    scenario = Scenario(
         name="d", description="", instances=2, zones=("a", "b"), engines_per_zone=1, instance_zones=("a", "b")
     )
-    assert set(check_scenario(day).pick(target)) == wanted
+    assert set(check_scenario(scenario).pick(target)) == expected
 
 
 @pytest.mark.parametrize(
-    "day",
+    "scenario",
     [
         Scenario(name="d", description="", faults=(Fault(1.0, "empty", "n0"),)),
         Scenario(
@@ -268,6 +262,6 @@
     ],
     ids=["no folders", "no such disk", "a home for one of six", "no such zone"],
 )
-def test_a_day_of_machines_that_cannot_be_played_is_refused(day: Scenario) -> None:
+def test_an_invalid_scenario_of_machines_is_rejected(scenario: Scenario) -> None:
     with pytest.raises(ScriptError):
-        check_scenario(day)
+        check_scenario(scenario)
--- a/tests/emulator/test_checker_projections.py
+++ b/tests/emulator/test_checker_projections.py
@@ -1,4 +1,4 @@
-"""What was foretold of a zone's loss, against what the ledgers show: right, and planted wrong ones."""
+"""What was projected of a zone's loss, against what the logs show: right, and planted wrong ones."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from cottonhold.emulator.fault_injection.projection_check import has_projection, missed_projections
 from cottonhold.emulator.fault_injection.script import Scenario
 
-BY_NAME = {day.name: day for day in SCENARIOS}
+BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 LOST = BY_NAME["outlook-lost"]
 # Worth: one in ten is refused. Way: from a to b and back. Cold: every other of nine a second, 0.8 of 20 ms.
-CAME = {"offered": 100.0, "worth": 90.0, "added": 12.0, "extra": 0.072}
+OBSERVED = {"offered": 100.0, "worth": 90.0, "added": 12.0, "extra": 0.072}
 
 
-def played(told: dict[str, float], day: Scenario = LOST) -> RunLogs:
+def run_logs(projected: dict[str, float], scenario: Scenario = LOST) -> RunLogs:
     """Ten requests a second of a's clients, served in a, and from the fault on in b."""
-    engines: dict[str, list[LogLine]] = {name: [] for name in day.engine_names()}
+    engines: dict[str, list[LogLine]] = {name: [] for name in scenario.engine_names()}
     clients: list[LogLine] = []
-    for i in range(int(10 * day.duration_s)):
+    for i in range(int(10 * scenario.duration_s)):
         at, ref = i / 10 + 0.01, f"r{i}"
         clients.append([at, "ask", ref, "cheap", 0, 0, i, 2000.0, "a"])
-        if at >= day.outage_at_s and i % 10 == 0:
+        if at >= scenario.outage_at_s and i % 10 == 0:
             clients.append([at + 0.03, "refused", ref, "full"])
             continue
-        engine, cold = ("b0", i % 2 == 0) if at >= day.outage_at_s else ("a0", False)
-        if at >= day.outage_at_s:
+        engine, cold = ("b0", i % 2 == 0) if at >= scenario.outage_at_s else ("a0", False)
+        if at >= scenario.outage_at_s:
             cold = i % 10 in (1, 3, 5, 7) or i % 20 == 9
         engines[engine] += [
             [at + 0.001, "get", ref, "cheap", "", 0, 20.0],
@@ -37,13 +37,13 @@
             [at + 0.022, "done", ref],
         ]
         clients.append([at + 0.03, "served", ref, engine])
-    row = {"cost": {name: told.get(name, value) for name, value in CAME.items()}}
-    rows: dict[str, Any] = {"a": row, "b": {"cost": dict.fromkeys(CAME, 1e9)}}
+    row = {"cost": {name: projected.get(name, value) for name, value in OBSERVED.items()}}
+    rows: dict[str, Any] = {"a": row, "b": {"cost": dict.fromkeys(OBSERVED, 1e9)}}
     return RunLogs(engines, clients, 0.0, projected_costs=rows)
 
 
 @pytest.mark.parametrize(
-    "told, found",
+    "projected, missed",
     [
         ({}, []),
         ({"worth": 94.0, "added": 14.0, "extra": 0.06}, []),
@@ -54,22 +54,22 @@
     ],
     ids=["right", "within", "worth", "added", "extra", "all"],
 )
-def test_what_was_foretold_wrong_is_found(told: dict[str, float], found: list[str]) -> None:
-    verdict = check_run(LOST, played(told))
+def test_a_wrong_projection_is_found(projected: dict[str, float], missed: list[str]) -> None:
+    verdict = check_run(LOST, run_logs(projected))
     assert verdict.figures["came_worth"] == pytest.approx(0.9)
     assert verdict.figures["came_added"] == pytest.approx(12.0)
     assert verdict.figures["came_extra"] == pytest.approx(0.072, rel=0.05)
-    assert [line.split()[1] for line in missed_projections(verdict)] == found
+    assert [line.split()[1] for line in missed_projections(verdict)] == missed
 
 
-def test_only_a_zone_that_is_lost_alone_is_foretold() -> None:
-    assert [name for name, day in BY_NAME.items() if has_projection(day)] == [
+def test_a_projection_holds_only_for_a_zone_that_is_lost_alone() -> None:
+    assert [name for name, scenario in BY_NAME.items() if has_projection(scenario)] == [
         "outlook-lost",
         "outlook-uneven",
         "outlook-full",
         "outlook-lossy",
         "outlook-short",
     ]
-    silent = played({})
-    silent.projected_costs = {}
-    assert not [name for name in check_run(LOST, silent).figures if name.startswith("told")]
+    without_projection = run_logs({})
+    without_projection.projected_costs = {}
+    assert not [name for name in check_run(LOST, without_projection).figures if name.startswith("told")]
--- a/tests/emulator/test_checker_recovery.py
+++ b/tests/emulator/test_checker_recovery.py
@@ -1,5 +1,5 @@
-"""What the judge tells of a return from a power loss and of being served elsewhere, by runs made by hand; and
-the parts of the rig that these rest on: data sets of an engine, ways between zones, clients with homes.
+"""Figures about a recovery from a power loss and about service in another zone, from logs made by hand; and
+what they depend on: data sets of an engine, delays between zones, clients that belong to a zone.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from cottonhold.emulator.fault_injection.script import Scenario, ScriptError, check_scenario
 from cottonhold.emulator.fault_injection.zone_distances import distance_ms
 
-RETURN = check_scenario(
+RECOVERY = check_scenario(
     Scenario(
         name="returned",
         description="power is back at 2 s",
@@ -47,7 +47,7 @@
 )
 
 
-def returned(served: Callable[[int, int, int], bool]) -> RunLogs:
+def recovery_logs(served: Callable[[int, int, int], bool]) -> RunLogs:
     """Twenty requests a second at each instance, served by the engine of its zone or refused: by second,
     instance and number."""
     engines: dict[str, list[LogLine]] = {"a0": [[99.0, "start", ""]], "b0": [[99.0, "start", ""]]}
@@ -70,8 +70,8 @@
     return RunLogs(engines, clients, 100.0)
 
 
-def test_a_return_is_weighed_second_by_second() -> None:
-    verdict = check_run(RETURN, returned(lambda second, instance, n: second != 2 or n < 5))
+def test_a_recovery_is_measured_second_by_second() -> None:
+    verdict = check_run(RECOVERY, recovery_logs(lambda second, instance, n: second != 2 or n < 5))
     figures = verdict.figures
     assert verdict.findings == []
     assert figures["return_0s"] == pytest.approx(0.25) and figures["return_1s"] == 1.0
@@ -80,65 +80,69 @@
     assert "return_8s" not in figures, "it is after the day's end"
 
 
-def test_what_was_possible_counts_what_can_wait() -> None:
+def test_possible_utility_counts_requests_that_can_wait() -> None:
     """Twenty requests of 10 ms in each of two steps; the engines are there from the second on."""
-    asks = {str(n): RequestLog(100.0 + BIN_S * (n % 2), "cheap", 0, 0, n, 1000.0) for n in range(40)}
-    seen = RunLogs({}, [], 100.0)
-    assert possible_utility(RETURN, seen, asks, [0.0, 1000.0, 0.0]) == [20.0, 20.0, 0.0]
-    assert possible_utility(RETURN, seen, asks, [0.0, 300.0, 50.0]) == [20.0, 15.0, 0.0], "35 of the 40"
-    assert possible_utility(RETURN, seen, asks, [0.0, 0.0, 0.0]) == [0.0, 0.0, 0.0]
+    requests = {str(n): RequestLog(100.0 + BIN_S * (n % 2), "cheap", 0, 0, n, 1000.0) for n in range(40)}
+    logs = RunLogs({}, [], 100.0)
+    assert possible_utility(RECOVERY, logs, requests, [0.0, 1000.0, 0.0]) == [20.0, 20.0, 0.0]
+    assert possible_utility(RECOVERY, logs, requests, [0.0, 300.0, 50.0]) == [20.0, 15.0, 0.0], "35 of the 40"
+    assert possible_utility(RECOVERY, logs, requests, [0.0, 0.0, 0.0]) == [0.0, 0.0, 0.0]
 
 
-def test_instances_that_treat_equal_requests_unlike_are_told() -> None:
+def test_instances_that_treat_equal_requests_differently_are_measured() -> None:
     """Half of those at n1 are turned away in one second of the return, none at n0."""
-    figures = check_run(RETURN, returned(lambda second, i, n: not (second == 3 and i == 1 and n % 2))).figures
+    figures = check_run(
+        RECOVERY, recovery_logs(lambda second, i, n: not (second == 3 and i == 1 and n % 2))
+    ).figures
     assert figures["unlike_second"] == pytest.approx(0.5)
     assert figures["unlike_return"] == pytest.approx(10 / 120), "from 2 s to 8 s"
     assert figures["unlike_return_cheap"] == figures["unlike_return"]
 
 
-def test_who_came_late_is_not_held_against_what_was_served_before() -> None:
+def test_an_instance_that_started_late_is_not_compared_with_earlier_service() -> None:
     """n1 is there only from 4 s on, and everybody is turned away until then."""
-    seen = returned(lambda second, i, n: second >= 4)
-    early = {line[2] for line in seen.clients if line[1] == "ask" and line[4] == 1 and line[0] < 104.0}
-    for line in seen.clients:
+    logs = recovery_logs(lambda second, i, n: second >= 4)
+    early = {line[2] for line in logs.clients if line[1] == "ask" and line[4] == 1 and line[0] < 104.0}
+    for line in logs.clients:
         if line[2] in early and line[1] == "refused":
             line[1] = "unreached"
-    assert check_run(RETURN, seen).figures["unlike_return"] == 0.0
+    assert check_run(RECOVERY, logs).figures["unlike_return"] == 0.0
 
 
-def test_the_budget_of_a_cold_engine_is_told_and_of_a_warm_one_is_not() -> None:
-    seen = returned(lambda *_: True)
-    before = check_run(RETURN, seen).figures
+def test_budget_use_is_measured_for_cold_engines_only() -> None:
+    logs = recovery_logs(lambda *_: True)
+    before = check_run(RECOVERY, logs).figures
     assert before["budget_most"] == pytest.approx(0.2, abs=0.03) and before["engines_pushed_over"] == 0
-    seen.engines["a0"][1:1] = [[101.0, "get", "x1", "cheap", "", 0, 900.0], [101.0, "tipped", ""]]
-    seen.engines["b0"].append([109.9, "get", "x2", "cheap", "", 0, 5000.0])
-    verdict = check_run(RETURN, seen)
+    logs.engines["a0"][1:1] = [[101.0, "get", "x1", "cheap", "", 0, 900.0], [101.0, "tipped", ""]]
+    logs.engines["b0"].append([109.9, "get", "x2", "cheap", "", 0, 5000.0])
+    verdict = check_run(RECOVERY, logs)
     assert verdict.figures["budget_most"] > 1.0 and verdict.figures["engines_pushed_over"] == 1
     assert verdict.figures["budget_most"] < 2.0 and verdict.findings
 
 
-def test_worth_relative_to_another_run() -> None:
-    whole, half = (check_run(RETURN, returned(s)) for s in (lambda *_: True, lambda s, i, n: n % 2 == 0))
+def test_utility_relative_to_another_run() -> None:
+    whole, half = (
+        check_run(RECOVERY, recovery_logs(s)) for s in (lambda *_: True, lambda s, i, n: n % 2 == 0)
+    )
     assert relative_utility(half, whole) == pytest.approx(0.5) and relative_utility(whole, whole) == 1.0
 
 
-def test_being_served_elsewhere_costs_latency_and_cold_work() -> None:
-    seen = returned(lambda *_: True)
-    day = msgspec.structs.replace(
-        RETURN, engine_traits=RETURN.engine_traits | {"datasets": 2, "set_cold": 3.0}
+def test_service_in_another_zone_costs_latency_and_cold_work() -> None:
+    logs = recovery_logs(lambda *_: True)
+    scenario = msgspec.structs.replace(
+        RECOVERY, engine_traits=RECOVERY.engine_traits | {"datasets": 2, "set_cold": 3.0}
     )
-    near = check_run(day, seen).figures
+    near = check_run(scenario, logs).figures
     assert near["added_ms"] == near["away"] == near["extra_work"] == 0.0
-    moved = {line[2] for line in seen.clients if line[1] == "ask" and line[8] == "a" and line[0] >= 105.0}
-    for line in seen.clients:
+    moved = {line[2] for line in logs.clients if line[1] == "ask" and line[8] == "a" and line[0] >= 105.0}
+    for line in logs.clients:
         if line[2] in moved and line[1] == "served":
             line[3] = "b0"
-    for line in [line for line in seen.engines["a0"] if line[2] in moved]:
-        seen.engines["a0"].remove(line)
-        seen.engines["b0"].append([*line[:3], "cold"] if line[1] == "run" else line)
-    seen.engines["b0"].sort(key=lambda line: line[0])
-    far = check_run(day, seen)
+    for line in [line for line in logs.engines["a0"] if line[2] in moved]:
+        logs.engines["a0"].remove(line)
+        logs.engines["b0"].append([*line[:3], "cold"] if line[1] == "run" else line)
+    logs.engines["b0"].sort(key=lambda line: line[0])
+    far = check_run(scenario, logs)
     assert far.findings == []
     assert far.figures["added_ms_before"] == 0.0 and far.figures["added_ms_out"] == pytest.approx(10.0)
     assert far.figures["added_ms_out_a"] == 20.0 and far.figures["added_ms_out_b"] == 0.0
@@ -146,10 +150,7 @@
     assert far.figures["extra_work_out"] == pytest.approx(1.0), "half of the work takes two times more"
 
 
-# --- parts ---
-
-
-def test_an_engine_keeps_the_data_sets_warm_that_were_read_last() -> None:
+def test_an_engine_caches_the_data_sets_that_were_read_last() -> None:
     sets, traits = DataSetCache(), EngineTraits(warm_data_sets=2, data_set_expiry_ms=100.0)
     reads = [(b"s1", 0.0, False), (b"s1", 50.0, True), (b"s2", 60.0, False), (b"s1", 140.0, True)]
     reads += [(b"s3", 141.0, False), (b"s2", 142.0, False), (b"s3", 143.0, True), (b"s3", 244.0, False)]
@@ -157,7 +158,7 @@
         assert sets.read(name, traits, now) is warm, (name, now)
 
 
-def test_a_day_without_data_sets_tells_nothing_of_them() -> None:
+def test_an_engine_without_data_sets_caches_none() -> None:
     assert not EngineTraits().warm_data_sets and not any(
         d.engine_traits.get("datasets") for d in SCENARIOS if not d.instance_zones
     )
@@ -165,7 +166,7 @@
     assert engine.data_sets.read_at == {}
 
 
-def test_a_way_goes_on_for_all_at_once_and_a_bandwidth_does_not() -> None:
+def test_a_delay_passes_for_all_bytes_at_once_and_a_bandwidth_does_not() -> None:
     draw = random.Random(1)
     assert [NetworkPath(delay_ms=10.0).transfer_ms(draw, 100, since) for since in (0.0, 4.0, 12.0)] == [
         10.0,
@@ -175,13 +176,13 @@
     assert NetworkPath(delay_ms=10.0, bytes_per_s=1000.0).transfer_ms(draw, 100, 12.0) == 100.0
 
 
-def test_zones_are_as_far_apart_both_ways() -> None:
+def test_zone_distances_are_symmetric() -> None:
     far = {"a-b": 3.0}
     assert distance_ms(far, "a", "b") == distance_ms(far, "b", "a") == 3.0
     assert distance_ms(far, "a", "a") == distance_ms(far, "a", "c") == 0.0
 
 
-def test_clients_stay_at_home_while_an_instance_of_their_zone_is_there() -> None:
+def test_clients_stay_in_their_zone_while_an_instance_of_it_is_up() -> None:
     load = Load([1, 2, 3, 4], 1.0, 1.0, [], [1, 1, 1, 1], "", 1, instance_zones=["a", "a", "b", "b"])
     clients = Clients(load, io.TextIOWrapper(io.BytesIO()))
     assert {clients._instance("a") for _ in range(100)} == {0, 1}
@@ -197,37 +198,43 @@
     } == set()
 
 
-def test_distances_need_homes() -> None:
+def test_zone_distances_need_instance_zones() -> None:
     for fields in ({"distance": {"a-b": 1.0}}, {"homes": ("a",) * 6, "distance": {"a-z": 1.0}}):
         with pytest.raises(ScriptError):
             check_scenario(msgspec.convert({"name": "d", "about": "", **fields}, Scenario))
 
 
-def test_nothing_is_started_while_the_power_is_gone() -> None:
+def test_nothing_is_started_without_power() -> None:
     cuts = (9.5, 12.0, 14.5)
     for fault in repeated_power_losses(*cuts):
         assert fault.verb == "power" or not any(cut <= fault.at_s < cut + 1.0 for cut in cuts), str(fault)
 
 
-def test_every_day_says_its_ways_in_json() -> None:
-    for day in SCENARIOS:
-        json.dumps({"homes": day.instance_zones, "distance": day.zone_distances_ms, "steps": day.rate_steps})
-        assert check_scenario(day).duration_s > max((f.at_s for f in day.faults), default=0.0)
+def test_every_scenario_is_valid_and_its_settings_are_json() -> None:
+    for scenario in SCENARIOS:
+        json.dumps(
+            {
+                "homes": scenario.instance_zones,
+                "distance": scenario.zone_distances_ms,
+                "steps": scenario.rate_steps,
+            }
+        )
+        assert check_scenario(scenario).duration_s > max((f.at_s for f in scenario.faults), default=0.0)
 
 
 def test_the_short_set_stays_short() -> None:
     assert sum(BY_NAME[name].duration_s for name in SHORT) < 40.0, "with starts and patience: two minutes"
 
 
-def test_a_table_shows_what_its_days_have() -> None:
-    verdict = check_run(RETURN, returned(lambda *_: True))
+def test_a_summary_has_only_columns_that_some_run_has() -> None:
+    verdict = check_run(RECOVERY, recovery_logs(lambda *_: True))
     assert "unlike_return" in summary([("returned", verdict)])[0]
     verdict.figures = {"worth": 1.0}
     assert "unlike_return" not in summary([("calm", verdict)])[0]
 
 
 @pytest.mark.parametrize(
-    ("age", "work", "over"),
+    ("age", "work", "is_overloaded"),
     [
         (0.0, 1000.0, False),
         (0.0, 1010.0, True),
@@ -236,18 +243,20 @@
         (3.1, 9000.0, False),
     ],
 )
-def test_a_cold_engine_bears_more_as_it_grows_warm(age: float, work: float, over: bool) -> None:
+def test_a_cold_engine_tolerates_more_work_as_it_warms_up(
+    age: float, work: float, is_overloaded: bool
+) -> None:
     """Three times slower at first and evenly faster until 3 s; at its coldest it bears 1000 ms of work."""
     traits = EngineTraits(
         cold_slowdown=3.0, warm_after_ms=3000.0, overload_work_ms=1000.0, overload_window_ms=1500.0
     )
     engine = FaultyEngine("a0", io.TextIOWrapper(io.BytesIO()), traits, 1)
     engine.started_at -= age
-    assert engine._overloads(work) is over
+    assert engine._overloads(work) is is_overloaded
 
 
-@pytest.mark.parametrize("closed", [False, True])
-def test_a_client_writes_to_no_connection_that_it_has_seen_closed(closed: bool) -> None:
+@pytest.mark.parametrize("is_closed", [False, True])
+def test_a_client_does_not_reuse_a_connection_that_was_closed(is_closed: bool) -> None:
     async def scenario() -> None:
         load = Load([1], 1.0, 1.0, [], [1], "", 1)
         clients, session = (
@@ -256,8 +265,8 @@
         )
         session.used_at = time.monotonic()
         clients.idle_sessions[0].append(session)
-        if closed:
+        if is_closed:
             session.reader.feed_eof()
-        assert clients._idle_session(0) is (None if closed else session)
+        assert clients._idle_session(0) is (None if is_closed else session)
 
     asyncio.run(scenario())
--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -1,5 +1,5 @@
-"""The rig's own parts: links that fail as told, a script that is read again, and a judge that finds each
-defect.
+"""The harness's own parts: links that fail as set, scenarios that are decoded again, and a checker that finds
+each defect.
 """
 
 from __future__ import annotations
@@ -35,10 +35,8 @@
     encode_scenario,
 )
 
-# --- links ---
 
-
-async def through(link: TcpLink, data: bytes = b"ask") -> str:
+async def exchange(link: TcpLink, data: bytes = b"ask") -> str:
     """What becomes of a question to an echo behind a link."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", link.port)
@@ -67,12 +65,12 @@
     ],
     ids=["well", "refused", "reset", "cut forth", "cut back", "slow"],
 )
-def test_a_tcp_link_fails_as_told_and_is_well_again(link: Link, wanted: str) -> None:
-    came = list[bytes]()
+def test_a_tcp_link_fails_as_set_and_recovers(link: Link, wanted: str) -> None:
+    received = list[bytes]()
 
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(100):
-            came.append(data)
+            received.append(data)
             writer.write(data)
         writer.close()
 
@@ -81,14 +79,14 @@
         tested = TcpLink(("127.0.0.1", server.sockets[0].getsockname()[1]), 1)
         port = await tested.start()
         await tested.set(link)
-        found = await through(tested)
+        found = await exchange(tested)
         if link.forth.is_cut:
-            assert not came, "one path: nothing has come"
+            assert not received, "one path: nothing has come"
         if link.back.is_cut:
-            assert came == [b"ask"], "the other path: it came, and no answer went back"
+            assert received == [b"ask"], "the other path: it came, and no answer went back"
         await tested.set(Link())
         assert tested.port == port
-        again = await through(tested)
+        again = await exchange(tested)
         await tested.stop()
         server.close()
         return found, again
@@ -96,13 +94,13 @@
     assert asyncio.run(scenario()) == (wanted, "ask")
 
 
-def test_the_end_of_an_attempt_is_heard_before_all_of_it_is_passed_on() -> None:
-    heard = list[tuple[str, str]]()
+def test_the_end_of_an_attempt_is_observed_before_all_of_it_is_forwarded() -> None:
+    events = list[tuple[str, str]]()
 
     async def scenario() -> None:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         tested = TcpLink(
-            ("127.0.0.1", server.sockets[0].getsockname()[1]), 1, lambda *words: heard.append(words)
+            ("127.0.0.1", server.sockets[0].getsockname()[1]), 1, lambda *words: events.append(words)
         )
         await tested.start()
         await tested.set(Link(forth=NetworkPath(is_cut=True)))
@@ -110,20 +108,20 @@
         writer.write(b"*2\r\n$3\r\nGET\r\n$2\r\nr1\r\n")
         writer.close()
         for _ in range(1000):
-            if len(heard) > 1:
+            if len(events) > 1:
                 break
             await asyncio.sleep(0.01)
-        held = list(heard)
+        events_while_cut = list(events)
         await tested.stop()
         server.close()
-        assert held == [("get", "r1"), ("closed", "r1")]
+        assert events_while_cut == [("get", "r1"), ("closed", "r1")]
 
     asyncio.run(scenario())
-    assert heard == [("get", "r1"), ("closed", "r1")], "and once only"
+    assert events == [("get", "r1"), ("closed", "r1")], "and once only"
 
 
 @pytest.mark.parametrize(
-    "path, least, most",
+    "path, min_received, max_received",
     [
         (NetworkPath(), 100, 100),
         (NetworkPath(is_cut=True), 0, 0),
@@ -134,13 +132,13 @@
     ids=["well", "cut", "loss", "twice", "jitter"],
 )
 def test_a_switch_passes_datagrams_from_public_address_to_own_port(
-    path: NetworkPath, least: int, most: int
+    path: NetworkPath, min_received: int, max_received: int
 ) -> None:
-    came = list[tuple[bytes, int]]()
+    received = list[tuple[bytes, int]]()
 
     class Port(asyncio.DatagramProtocol):
         def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-            came.append((data, addr[1]))
+            received.append((data, addr[1]))
 
     async def scenario() -> tuple[DatagramSwitch, list[int]]:
         loop = asyncio.get_running_loop()
@@ -156,7 +154,7 @@
         ends[2][0].sendto(b"?", ("127.0.0.1", public[1]))
         for _ in range(100):
             await asyncio.sleep(0.01)
-            if switch.unknown_senders and len(came) >= least:
+            if switch.unknown_senders and len(received) >= min_received:
                 break
         for transport, _ in ends:
             transport.close()
@@ -164,13 +162,15 @@
         return switch, public
 
     switch, public = asyncio.run(scenario())
-    assert least <= len(came) <= most and switch.unknown_senders == 1
-    assert {port for _, port in came} <= {public[0]}, "the receiver knows the sender by its public address"
+    assert min_received <= len(received) <= max_received and switch.unknown_senders == 1
+    assert {port for _, port in received} <= {public[0]}, (
+        "the receiver knows the sender by its public address"
+    )
     if path.jitter_ms:
-        assert [d for d, _ in came] != sorted(d for d, _ in came), "some have overtaken others"
+        assert [d for d, _ in received] != sorted(d for d, _ in received), "some have overtaken others"
 
 
-def test_what_the_rig_started_ends_with_it(tmp_path: Path) -> None:
+def test_processes_end_with_the_harness_that_started_them(tmp_path: Path) -> None:
     """Killed, and not ended in order."""
     pids = tmp_path / "pids"
     guard = "cottonhold.emulator.fault_injection.parent_death_signal"
@@ -182,12 +182,12 @@
         f"open({str(pids)!r}, 'w').write(str(p.pid))\n"
         "print('ready', flush=True); time.sleep(600)\n"
     )
-    rig = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE)
-    assert rig.stdout is not None and rig.stdout.readline() == b"ready\n"
+    harness = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE)
+    assert harness.stdout is not None and harness.stdout.readline() == b"ready\n"
     child = int(pids.read_text())
-    os.kill(rig.pid, signal.SIGKILL)
-    rig.wait()
-    rig.stdout.close()
+    os.kill(harness.pid, signal.SIGKILL)
+    harness.wait()
+    harness.stdout.close()
     for _ in range(500):
         try:
             state = Path(f"/proc/{child}/stat").read_text().rpartition(")")[2].split()[0]
@@ -199,14 +199,11 @@
     raise AssertionError("the child lives on")
 
 
-# --- script ---
-
-
-@pytest.mark.parametrize("day", SCENARIOS, ids=[d.name for d in SCENARIOS])
-def test_a_day_is_printed_and_read_again(day: Scenario) -> None:
-    assert decode_scenario(encode_scenario(day)) == day
-    assert all(str(fault) for fault in day.faults)
-    assert not without_fleet(day).has_fleet
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=[d.name for d in SCENARIOS])
+def test_a_scenario_is_encoded_and_decoded(scenario: Scenario) -> None:
+    assert decode_scenario(encode_scenario(scenario)) == scenario
+    assert all(str(fault) for fault in scenario.faults)
+    assert not without_fleet(scenario).has_fleet
 
 
 @pytest.mark.parametrize(
@@ -225,13 +222,11 @@
     ],
     ids=str,
 )
-def test_a_day_that_cannot_be_played_is_refused_by_name(changes: dict[str, Any]) -> None:
+def test_an_invalid_scenario_is_rejected(changes: dict[str, Any]) -> None:
     with pytest.raises(ScriptError):
         decode_scenario(json.dumps({"name": "bad", "about": "bad", **changes}).encode())
 
 
-# --- judge ---
-
 DAY = check_scenario(
     Scenario(
         name="judged",
@@ -249,7 +244,7 @@
 )
 
 
-def clean() -> RunLogs:
+def clean_logs() -> RunLogs:
     """Four requests, one each second, each served by the engine that made it; two of them loads on one
     key.
     """
@@ -269,32 +264,32 @@
     return RunLogs(engines, clients, 100.0, links=links)
 
 
-def drop(lines: list[LogLine], *words: object) -> None:
+def remove_lines(lines: list[LogLine], *words: object) -> None:
     lines[:] = [line for line in lines if not all(word in line for word in words)]
 
 
-Plant = Callable[[RunLogs], object]
+Defect = Callable[[RunLogs], object]
 
 
-def add(lines: list[LogLine], *line: object) -> None:
+def add_line(lines: list[LogLine], *line: object) -> None:
     lines.append(list(line))
 
 
-def at_once(seen: RunLogs) -> None:
-    seen.links[1:1] = [[100.05, "get", "r0", "n1", "b0"], [100.06, "served", "r0", "n1", "b0"]]
-    seen.links[3][0] = 101.9
+def overlap_attempts(logs: RunLogs) -> None:
+    logs.links[1:1] = [[100.05, "get", "r0", "n1", "b0"], [100.06, "served", "r0", "n1", "b0"]]
+    logs.links[3][0] = 101.9
 
 
-DEFECTS: dict[str, tuple[str, Plant]] = {
-    "no answer": ("answers", lambda s: drop(s.clients, "served", "r1")),
-    "nothing in time": ("answers", lambda s: add(s.clients, 103.0, "nothing", "r2", "")),
-    "two answers": ("answers", lambda s: add(s.clients, 102.5, "refused", "r2", "")),
-    "served by nobody": ("made", lambda s: drop(s.engines["a0"], "done", "r2")),
+DEFECTS: dict[str, tuple[str, Defect]] = {
+    "no answer": ("answers", lambda s: remove_lines(s.clients, "served", "r1")),
+    "nothing in time": ("answers", lambda s: add_line(s.clients, 103.0, "nothing", "r2", "")),
+    "two answers": ("answers", lambda s: add_line(s.clients, 102.5, "refused", "r2", "")),
+    "served by nobody": ("made", lambda s: remove_lines(s.engines["a0"], "done", "r2")),
     "served as by another": ("made", lambda s: s.clients[1].__setitem__(3, "b0")),
-    "a load twice": ("loads", lambda s: add(s.links, 101.5, "get", "r1", "n0", "a0")),
+    "a load twice": ("loads", lambda s: add_line(s.links, 101.5, "get", "r1", "n0", "a0")),
     "two at once": (
         "one out",
-        at_once,
+        overlap_attempts,
     ),
     "out of order": ("order", lambda s: s.engines["b0"].insert(2, [103.5, "run", "r1"])),
     "after a drain": ("drain", lambda s: s.marks.append((101.2, "drain", "a0"))),
@@ -302,34 +297,34 @@
         "drain",
         lambda s: s.marks.extend([(99.5, "drain", "a0"), (99.4, "deaf", "n0"), (101.0, "hears", "n0")]),
     ),
-    "pushed over": ("cold", lambda s: add(s.engines["a0"], 102.0, "tipped", "")),
+    "pushed over": ("cold", lambda s: add_line(s.engines["a0"], 102.0, "tipped", "")),
 }
 
 
-def test_a_clean_run_has_no_findings_and_all_its_worth() -> None:
-    verdict = check_run(DAY, clean())
+def test_a_clean_run_has_no_findings_and_full_utility() -> None:
+    verdict = check_run(DAY, clean_logs())
     assert verdict.findings == [] and verdict.figures["worth"] == 1.0
     assert verdict.figures["attempts_per_served"] == 1.0 and sum(verdict.series["sends a"]) == 2
     assert len(summary([("judged", verdict)])) == 3
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_the_judge_finds_a_planted_defect(name: str) -> None:
-    kind, plant = DEFECTS[name]
-    seen = clean()
+def test_the_checker_finds_a_planted_defect(name: str) -> None:
+    kind, plant_defect = DEFECTS[name]
+    logs = clean_logs()
     if name == "out of order":
-        drop(seen.engines["b0"], "run", "r1")
-    plant(seen)
-    findings = check_run(DAY, seen).findings
+        remove_lines(logs.engines["b0"], "run", "r1")
+    plant_defect(logs)
+    findings = check_run(DAY, logs).findings
     assert findings and all(finding.startswith(kind) for finding in findings)
 
 
 @pytest.mark.parametrize("end, found", [(101.85, 0), (101.5, 1)], ids=["all of it", "not all of it"])
-def test_two_at_once_are_excused_by_what_the_rig_stood_still_itself(end: float, found: int) -> None:
-    seen = clean()
-    at_once(seen)
-    seen.stalls += [(90.0, 100.0), (100.05, end)]
-    assert len(check_run(DAY, seen).findings) == found
+def test_overlapping_attempts_are_excused_by_stalls_of_the_harness(end: float, found: int) -> None:
+    logs = clean_logs()
+    overlap_attempts(logs)
+    logs.stalls += [(90.0, 100.0), (100.05, end)]
+    assert len(check_run(DAY, logs).findings) == found
 
 
 @pytest.mark.parametrize(
@@ -340,18 +335,18 @@
     ],
     ids=["killed", "stood still"],
 )
-def test_a_dead_instance_owes_no_answer(excuse: Plant) -> None:
-    seen = clean()
-    drop(seen.clients, "served", "r1")
-    excuse(seen)
-    assert check_run(DAY, seen).findings == []
+def test_no_answer_is_expected_of_a_killed_or_stopped_instance(excuse: Defect) -> None:
+    logs = clean_logs()
+    remove_lines(logs.clients, "served", "r1")
+    excuse(logs)
+    assert check_run(DAY, logs).findings == []
 
 
-def test_a_load_turned_away_or_dropped_may_go_elsewhere_in_turn() -> None:
-    seen = clean()
-    seen.links[2:2] = [[101.001, "get", "r1", "n0", "a0"], [101.002, "overload", "r1", "n0", "a0"]]
-    seen.links[0:0] = [[100.005, "get", "r0", "n0", "b0"], [100.009, "drop", "r0", "n0", "b0"]]
-    assert check_run(DAY, seen).findings == []
+def test_a_load_that_was_rejected_or_cancelled_may_be_sent_to_another_engine() -> None:
+    logs = clean_logs()
+    logs.links[2:2] = [[101.001, "get", "r1", "n0", "a0"], [101.002, "overload", "r1", "n0", "a0"]]
+    logs.links[0:0] = [[100.005, "get", "r0", "n0", "b0"], [100.009, "drop", "r0", "n0", "b0"]]
+    assert check_run(DAY, logs).findings == []
 
 
 @pytest.mark.parametrize(
@@ -364,31 +359,28 @@
     ],
     ids=["just told", "taken back", "cut off", "stood still"],
 )
-def test_a_send_after_a_drain_that_nobody_could_have_heard_of_is_no_finding(
+def test_a_send_to_a_draining_engine_is_excused_while_the_drain_is_unknown(
     marks: list[tuple[float, str, str]],
 ) -> None:
-    seen = clean()
-    seen.marks += marks
-    assert check_run(DAY, seen).findings == []
+    logs = clean_logs()
+    logs.marks += marks
+    assert check_run(DAY, logs).findings == []
 
 
-def test_worth_is_weighed_against_what_the_engines_could_do() -> None:
-    seen = clean()
-    for lines in (seen.engines["a0"], seen.engines["b0"]):
+def test_utility_is_compared_with_what_the_engines_could_do() -> None:
+    logs = clean_logs()
+    for lines in (logs.engines["a0"], logs.engines["b0"]):
         lines.insert(1, [99.5, "set", "", "slow", 40.0])
-    half = copy.deepcopy(seen)
-    drop(half.clients, "served", "r3")
-    assert check_run(DAY, half).figures["worth"] < check_run(DAY, seen).figures["worth"]
-    dead = clean()
+    half = copy.deepcopy(logs)
+    remove_lines(half.clients, "served", "r3")
+    assert check_run(DAY, half).figures["worth"] < check_run(DAY, logs).figures["worth"]
+    dead = clean_logs()
     dead.marks += [(99.9, "kill", "a0"), (99.9, "kill", "b0")]
     assert sum(check_run(DAY, dead).series["worth most"]) == 0.0
 
 
-# --- commands ---
-
-
-def test_a_report_is_one_page_and_bad_calls_say_why(tmp_path: Path) -> None:
-    verdict = check_run(DAY, clean())
+def test_a_report_is_one_page_and_invalid_commands_fail(tmp_path: Path) -> None:
+    verdict = check_run(DAY, clean_logs())
     (tmp_path / "day.json").write_bytes(encode_scenario(DAY))
     kept = {
         "verdict": {"findings": ["made: <r1>"], "figures": verdict.figures, "series": verdict.series},
--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -16,102 +16,102 @@
 
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault
-from tests.fleet.test_recovery_processes import ALL, served
+from tests.fleet.test_recovery_processes import ALL, served_count
 from tests.fleet.test_recovery_processes import DAY as POWER
-from tests.fleet.test_rolling_replacement_processes import call, played, rows
+from tests.fleet.test_rolling_replacement_processes import play_case, replacement_rows, send_call
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("replacement processes")
 
 # Little load: on a machine that is busy with other things zones look slow, and nothing starts meanwhile.
 DAY = msgspec.structs.replace(POWER, name="swap of engines", duration_s=580.0, requests_per_s=20.0)
-LONG = 280.0  # s until a state that does not come is an error
+TIMEOUT_S = 280.0  # s until a state that does not come is an error
 ENGINES = ("a0", "b0", "c0")
-ENDS = {"done", "drop", "broke", "crashed", "overload"}
-Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
+END_EVENTS = {"done", "drop", "broke", "crashed", "overload"}
+FleetCase = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def begun(run: ScenarioRun, engine: str, since: float = 0.0) -> list[str]:
-    """References of the requests that an engine got after a moment."""
+def requests_received(run: ScenarioRun, engine: str, since: float = 0.0) -> list[str]:
+    """Return the ids of the requests that an engine received after a time."""
     return [line[2] for line in run.logs().engines[engine] if line[1] == "get" and line[0] > since]
 
 
 def unfinished(run: ScenarioRun, engine: str) -> set[str]:
-    """What an engine's process of now got and has not ended."""
-    left = set[str]()
+    """Return what an engine's present process received and has not ended."""
+    remaining = set[str]()
     for line in run.logs().engines[engine]:
         if line[1] == "start":
-            left.clear()
+            remaining.clear()
         elif line[1] == "get":
-            left.add(line[2])
-        elif line[1] in ENDS:
-            left.discard(line[2])
-    return left
+            remaining.add(line[2])
+        elif line[1] in END_EVENTS:
+            remaining.discard(line[2])
+    return remaining
 
 
-async def ask_for(run: ScenarioRun, at: str, *machines: dict[str, Any]) -> None:
-    found = await call(run, at, call="swap", who="someone", machines=list(machines))
+async def request_replacement(run: ScenarioRun, at: str, *machines: dict[str, Any]) -> None:
+    found = await send_call(run, at, call="swap", who="someone", machines=list(machines))
     assert "error" not in found, found
 
 
-async def more(run: ScenarioRun, kind: str, count: int) -> None:
-    """So many more of a class are served."""
-    before = served(run, kind)
-    await run.until(lambda: served(run, kind) >= before + count, f"{kind} served", seconds=LONG)
+async def serve_more(run: ScenarioRun, kind: str, count: int) -> None:
+    """Wait until so many more of a class are served."""
+    before = served_count(run, kind)
+    await run.until(lambda: served_count(run, kind) >= before + count, f"{kind} served", seconds=TIMEOUT_S)
 
 
-async def done(run: ScenarioRun, *engines: str) -> None:
-    """Their swaps are over for all, done or forgotten as such, and loads are served."""
+async def until_done(run: ScenarioRun, *engines: str) -> None:
+    """Wait until the replacement of these is over for all, and loads are served."""
 
     def over() -> bool:
-        views = [rows(run, name) for name in run.running_instances()]
+        views = [replacement_rows(run, name) for name in run.running_instances()]
         return all(view.get(e, {}).get("step", "done") == "done" for view in views for e in engines)
 
-    await run.until(over, f"{engines} are done", seconds=LONG)
-    await more(run, "load", 10)
+    await run.until(over, f"{engines} are done", seconds=TIMEOUT_S)
+    await serve_more(run, "load", 10)
 
 
-async def all_tell(run: ScenarioRun, engine: str, what: str, *values: object) -> None:
-    """All that are there tell the same of an engine's swap."""
+async def until_all_report(run: ScenarioRun, engine: str, what: str, *values: object) -> None:
+    """Wait until all running instances report the same of an engine's replacement."""
 
-    def told() -> bool:
-        views = [rows(run, name).get(engine, {}) for name in run.running_instances()]
+    def reported() -> bool:
+        views = [replacement_rows(run, name).get(engine, {}) for name in run.running_instances()]
         return all(view.get(what) in values for view in views)
 
-    await run.until(told, f"{engine}'s {what} is {values}", seconds=LONG)
+    await run.until(reported, f"{engine}'s {what} is {values}", seconds=TIMEOUT_S)
 
 
-async def one_is_out(run: ScenarioRun, left: set[str]) -> str:
-    """Any of these is out, as all tell."""
+async def until_one_is_out(run: ScenarioRun, remaining: set[str]) -> str:
+    """Wait until any of these is out, as all report; return it."""
 
     def out() -> set[str]:
-        views = [rows(run, name) for name in run.running_instances()]
-        return {e for e in left if all(v.get(e, {}).get("step") == "out" for v in views)}
+        views = [replacement_rows(run, name) for name in run.running_instances()]
+        return {e for e in remaining if all(v.get(e, {}).get("step") == "out" for v in views)}
 
-    await run.until(lambda: bool(out()), f"one of {sorted(left)} is out", seconds=LONG)
+    await run.until(lambda: bool(out()), f"one of {sorted(remaining)} is out", seconds=TIMEOUT_S)
     (engine,) = out()
     return engine
 
 
-async def replace(run: ScenarioRun, engine: str, since: float) -> None:
-    """It is powered off, which breaks nothing, and another process comes in its place."""
-    assert not begun(run, engine, since) and not unfinished(run, engine)
+async def replace_engine(run: ScenarioRun, engine: str, since: float) -> None:
+    """Power the engine off, which interrupts nothing, and start another in its place."""
+    assert not requests_received(run, engine, since) and not unfinished(run, engine)
     await run.apply(Fault(0.0, "kill", engine))
-    await all_tell(run, engine, "away", True)
+    await until_all_report(run, engine, "away", True)
     await run.apply(Fault(0.0, "start", engine))
 
 
 async def one_by_one(run: ScenarioRun) -> None:
     """All engines by one request, two of them as zones; the others serve all the while."""
-    await ask_for(run, "n0", {"zone": "a"}, {"name": "c0", "cores": 2}, {"zone": "b"})
-    left = set(ENGINES)
-    while left:
-        engine = await one_is_out(run, left)
+    await request_replacement(run, "n0", {"zone": "a"}, {"name": "c0", "cores": 2}, {"zone": "b"})
+    remaining = set(ENGINES)
+    while remaining:
+        engine = await until_one_is_out(run, remaining)
         since = time.monotonic()
-        await more(run, "cheap", 15)
-        await replace(run, engine, since)
-        left.discard(engine)
-    await done(run, *ENGINES)
+        await serve_more(run, "cheap", 15)
+        await replace_engine(run, engine, since)
+        remaining.discard(engine)
+    await until_done(run, *ENGINES)
     for engine in ENGINES:
         assert sum(line[1] == "start" for line in run.logs().engines[engine]) == 2
 
@@ -119,44 +119,48 @@
 async def aborted(run: ScenarioRun) -> None:
     """A swap is aborted while the engine drains: it serves again, the same process."""
     await run.apply(Fault(0.0, "traits", "a0", options={"slow": 40.0}))
-    await more(run, "cheap", 5)
-    await ask_for(run, "n1", {"name": "a0"})
-    await all_tell(run, "a0", "step", "draining", "out")
+    await serve_more(run, "cheap", 5)
+    await request_replacement(run, "n1", {"name": "a0"})
+    await until_all_report(run, "a0", "step", "draining", "out")
     await run.apply(Fault(0.0, "traits", "a0", options={"slow": 1.0}))
-    found = await call(run, "n2", call="abort", who="someone", why="no crane", machine="a0")
+    found = await send_call(run, "n2", call="abort", who="someone", why="no crane", machine="a0")
     assert "error" not in found, found
 
     def over() -> bool:
-        views = [rows(run, name) for name in run.running_instances()]
+        views = [replacement_rows(run, name) for name in run.running_instances()]
         return all(view.get("a0", {}).get("step", "aborted") == "aborted" for view in views)
 
-    await run.until(over, "it is aborted", seconds=LONG)
-    before = len(begun(run, "a0"))
-    await run.until(lambda: len(begun(run, "a0")) > before + 10, "it gets work again", seconds=LONG)
+    await run.until(over, "it is aborted", seconds=TIMEOUT_S)
+    before = len(requests_received(run, "a0"))
+    await run.until(
+        lambda: len(requests_received(run, "a0")) > before + 10, "it gets work again", seconds=TIMEOUT_S
+    )
 
 
-async def the_driver_dies(run: ScenarioRun) -> None:
+async def the_driver_is_killed(run: ScenarioRun) -> None:
     """Whoever drives the swap is killed while the engine drains, and comes back while it is out."""
     await run.apply(Fault(0.0, "traits", "b0", options={"slow": 20.0}))
-    await more(run, "cheap", 5)
-    await ask_for(run, "n0", {"name": "b0"})
-    await all_tell(run, "b0", "step", "draining", "out")
-    driver = rows(run, "n0")["b0"]["driver"]
+    await serve_more(run, "cheap", 5)
+    await request_replacement(run, "n0", {"name": "b0"})
+    await until_all_report(run, "b0", "step", "draining", "out")
+    driver = replacement_rows(run, "n0")["b0"]["driver"]
     assert driver in ALL
-    # Danger: killed before it had drained itself, it knew of no drain as it came back, and sent on to it.
-    await run.until(lambda: rows(run, driver)["b0"]["drained"], "it has drained", seconds=LONG)
+    # An instance that is killed before it has drained itself knows of no drain when it is started again.
+    await run.until(
+        lambda: replacement_rows(run, driver)["b0"]["drained"], "it has drained", seconds=TIMEOUT_S
+    )
     await run.apply(Fault(0.0, "kill", driver))
-    await all_tell(run, "b0", "step", "out")
+    await until_all_report(run, "b0", "step", "out")
     since = time.monotonic()
     await run.apply(Fault(0.0, "start", driver))
-    await run.until(lambda: driver in run.running_instances(), "it is there", seconds=LONG)
-    await all_tell(run, "b0", "drained", True)
-    await more(run, "cheap", 20)
-    await replace(run, "b0", since)
-    await done(run, "b0")
+    await run.until(lambda: driver in run.running_instances(), "it is there", seconds=TIMEOUT_S)
+    await until_all_report(run, "b0", "drained", True)
+    await serve_more(run, "cheap", 20)
+    await replace_engine(run, "b0", since)
+    await until_done(run, "b0")
 
 
-async def refused(run: ScenarioRun) -> None:
+async def invalid_requests(run: ScenarioRun) -> None:
     """What can't be is refused, and says why."""
     for machines, said in (
         ([{"name": "a9"}], "'a9' is no machine that is there"),
@@ -167,13 +171,13 @@
         ([{"zone": "a", "new": "x"}], "can't all become 'x'"),
         ([{"name": "a0", "cores": "many"}], "is no number"),
     ):
-        found = await call(run, "n0", call="swap", who="someone", machines=machines)
+        found = await send_call(run, "n0", call="swap", who="someone", machines=machines)
         assert said in found.get("error", ""), (machines, found.get("error"))
 
 
 @pytest.mark.parametrize(
-    "story", [one_by_one, aborted, the_driver_dies, refused], ids=lambda story: story.__name__
+    "case", [one_by_one, aborted, the_driver_is_killed, invalid_requests], ids=lambda case: case.__name__
 )
-def test_engines_in_a_swap_on_processes(story: Story, tmp_path: Path) -> None:
-    found = played(DAY, tmp_path, story)
+def test_engines_in_a_swap_on_processes(case: FleetCase, tmp_path: Path) -> None:
+    found = play_case(DAY, tmp_path, case)
     assert [f for f in found if not f.startswith("answers")] == []
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -32,11 +32,11 @@
     instance_weights=(1, 1, 2, 3),
 )
 ALL = {"n0", "n1", "n2", "n3"}
-Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
+FleetCase = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
 def phases(run: ScenarioRun, zone: str = "a") -> dict[str, str]:
-    """Each instance's phase of a zone."""
+    """Return each instance's phase of a zone."""
     found = {}
     for name in run.running_instances():
         rows = [row for row in run.view(name).get("zones", []) if row["zone"] == zone]
@@ -44,70 +44,72 @@
     return found
 
 
-def out(*names: str) -> Callable[[dict[str, str]], bool]:
-    """Exactly these have left the zone, or begin to return to it."""
+def left_by(*names: str) -> Callable[[dict[str, str]], bool]:
+    """Return whether exactly these have left the zone, or begin to return to it."""
     return lambda seen: all(
         phase in (("out", "return") if n in names else ("in",)) for n, phase in seen.items()
     )
 
 
-async def until(run: ScenarioRun, holds: Callable[[dict[str, str]], bool], what: str) -> None:
+async def until_phases(run: ScenarioRun, holds: Callable[[dict[str, str]], bool], what: str) -> None:
     await run.until(lambda: holds(phases(run)), what, seconds=60.0)
 
 
-async def sends(run: ScenarioRun, count: int) -> dict[str, int]:
-    """How many of the next sends go to each zone."""
+async def count_sends(run: ScenarioRun, count: int) -> dict[str, int]:
+    """Return how many of the next sends go to each zone."""
 
-    def gets() -> dict[str, int]:
+    def received_by_zone() -> dict[str, int]:
         lines = run.logs().engines.items()
         by_zone = dict.fromkeys(DAY.zones, 0)
         for engine, there in lines:
             by_zone[engine[0]] += sum(line[1] == "get" for line in there)
         return by_zone
 
-    before = gets()
-    await run.until(lambda: sum(gets().values()) >= sum(before.values()) + count, "sends", seconds=60.0)
-    return {zone: n - before[zone] for zone, n in gets().items()}
+    before = received_by_zone()
+    await run.until(
+        lambda: sum(received_by_zone().values()) >= sum(before.values()) + count, "sends", seconds=60.0
+    )
+    return {zone: n - before[zone] for zone, n in received_by_zone().items()}
 
 
 async def killed(run: ScenarioRun) -> None:
     """All leave a killed zone, send nothing there, and all return to it."""
     await run.apply(Fault(0.0, "kill", "a"))
-    await until(run, out(*ALL), "all leave")
-    assert (await sends(run, 200))["a"] == 0
+    await until_phases(run, left_by(*ALL), "all leave")
+    assert (await count_sends(run, 200))["a"] == 0
     await run.apply(Fault(0.0, "start", "a"))
-    await until(run, out(), "all return")
-    assert (await sends(run, 200))["a"] > 20
+    await until_phases(run, left_by(), "all return")
+    assert (await count_sends(run, 200))["a"] > 20
     assert not any(phase != "in" for zone in "bc" for phase in phases(run, zone).values())
 
 
 async def one_link(run: ScenarioRun) -> None:
     """One whose own way is cut leaves alone, and the others stay."""
     await run.apply(Fault(0.0, "link", "n3", "a", {"cut": True}))
-    await until(run, out("n3"), "one leaves")
-    await sends(run, 200)
+    await until_phases(run, left_by("n3"), "one leaves")
+    await count_sends(run, 200)
     assert phases(run) == dict.fromkeys(ALL - {"n3"}, "in") | {"n3": phases(run)["n3"]}
     await run.apply(Fault(0.0, "link", "n3", "a", {"heal": True}))
-    await until(run, out(), "it returns")
+    await until_phases(run, left_by(), "it returns")
 
 
-async def by_hand(run: ScenarioRun) -> None:
+async def ordered_by_operator(run: ScenarioRun) -> None:
     """An order reaches all, outlives the instance that took it, and is taken back at another."""
     invoke, path = CliRunner().invoke, str(run.folder / "n1.sock")
     order = ["zone", "leave", "a", "--socket", path, "--for", "10m", "--why", "work", "--who", "someone"]
     done = await asyncio.to_thread(invoke, app, order)
     assert done.exit_code == 0 and "confirmed by all" in done.output
-    await until(run, out(*ALL), "all leave by hand")
-    assert (await sends(run, 100))["a"] == 0
+    await until_phases(run, left_by(*ALL), "all leave by hand")
+    assert (await count_sends(run, 100))["a"] == 0
     await run.apply(Fault(0.0, "kill", "n1"))
     await run.apply(Fault(0.0, "start", "n1"))
-    await until(run, out(*ALL), "all are out again")
+    await until_phases(run, left_by(*ALL), "all are out again")
 
-    def ordered() -> bool:
+    def knows_order() -> bool:
         zones = run.view("n1").get("zones", [])
         return any(row["zone"] == "a" and row["order"] for row in zones)
 
-    await run.until(ordered, "one back from nothing learns of the order", seconds=60.0)
+    await run.until(knows_order, "one back from nothing learns of the order", seconds=60.0)
     shown = await asyncio.to_thread(invoke, app, ["zone", "show", "--socket", path, "--json"])
     (row,) = [row for row in json.loads(shown.output) if row["zone"] == "a"]
     assert row["order"]["who"] == "someone" and row["order"]["mode"] == "leave"
@@ -115,33 +117,35 @@
         assert (await asyncio.to_thread(invoke, app, bad)).exit_code == 2
     free = ["zone", "free", "a", "--socket", str(run.folder / "n2.sock"), "--why", "done"]
     assert (await asyncio.to_thread(invoke, app, free)).exit_code == 0
-    await until(run, out(), "all return")
+    await until_phases(run, left_by(), "all return")
 
 
-async def no_way_round(run: ScenarioRun) -> None:
-    """With every way between instances cut, nobody sees anybody: no datagram finds a way round the rig."""
+async def no_path_around_the_harness(run: ScenarioRun) -> None:
+    """With every way between instances cut, nobody sees anybody: no datagram passes outside the harness."""
     await run.apply(Fault(0.0, "peers", "*", "*", {"cut": True}))
 
-    def alone() -> bool:
+    def all_isolated() -> bool:
         return all(
             all(m["status"] == "dead" for m in run.view(name)["members"])
             for name in run.scenario.instance_names()
         )
 
-    await run.until(alone, "nobody sees anybody", seconds=60.0)
+    await run.until(all_isolated, "nobody sees anybody", seconds=60.0)
     await run.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
     await run.until(run.all_members_alive, "all meet again", seconds=60.0)
 
 
-@pytest.mark.parametrize("story", [killed, one_link, by_hand, no_way_round], ids=lambda s: s.__name__)
-def test_a_fleet_of_processes(story: Story, tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    "case", [killed, one_link, ordered_by_operator, no_path_around_the_harness], ids=lambda s: s.__name__
+)
+def test_a_fleet_of_processes(case: FleetCase, tmp_path: Path) -> None:
     run = ScenarioRun(DAY, tmp_path)
 
     async def scenario() -> None:
         try:
             await run.start()
-            await sends(run, 150)
-            await story(run)
+            await count_sends(run, 150)
+            await case(run)
         finally:
             await run.close()
 
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -26,7 +26,7 @@
     instances=3,
     engines_per_zone=1,
     requests_per_s=60.0,
-    duration_s=600.0,  # Danger: shorter than a story on a busy machine, nobody asked any more and it waited
+    duration_s=600.0,  # longer than any case takes on a busy machine: clients must not end before it
     instance_weights=(1, 1, 1),
     request_classes=(RequestClass("cheap", 0.5, 2000.0, 20.0), RequestClass("load", 0.5, 8000.0, 20.0, True)),
     client_behaviour=ClientBehaviour(max_attempts=4, retries_unfinished_loads=True),
@@ -34,81 +34,87 @@
     has_state_folders=True,
 )
 ALL = ("n0", "n1", "n2")
-Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
+FleetCase = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def recovery(run: ScenarioRun, name: str) -> dict[str, Any]:
-    """What an instance tells of its recovery; nothing if it isn't there."""
-    found: dict[str, Any] = run.view(name).get("recovery", {})
-    return found
+def recovery_view(run: ScenarioRun, name: str) -> dict[str, Any]:
+    """Return what an instance reports of its recovery; empty if it does not answer."""
+    findings: dict[str, Any] = run.view(name).get("recovery", {})
+    return findings
 
 
-async def until(run: ScenarioRun, holds: Callable[[dict[str, Any]], bool], what: str, *names: str) -> None:
-    """Each of these instances (all by default) tells so."""
+async def until_recovery(
+    run: ScenarioRun, holds: Callable[[dict[str, Any]], bool], what: str, *names: str
+) -> None:
+    """Wait until each of these instances (all by default) reports so."""
 
-    def told() -> bool:
-        views = [recovery(run, name) for name in names or ALL]
+    def reported() -> bool:
+        views = [recovery_view(run, name) for name in names or ALL]
         return all(view and holds(view) for view in views)
 
-    await run.until(told, what, seconds=90.0)
+    await run.until(reported, what, seconds=90.0)
 
 
-def served(run: ScenarioRun, kind: str) -> int:
-    """Answered so far, of a class."""
+def served_count(run: ScenarioRun, kind: str) -> int:
+    """Return how many requests of a class have been served."""
     kinds = {line[2]: line[3] for line in run.logs().clients if line[1] == "ask"}
     return sum(line[1] == "served" and kinds.get(line[2]) == kind for line in run.logs().clients)
 
 
-async def more(run: ScenarioRun, kind: str, count: int = 20) -> None:
-    """So many more of a class are served."""
-    before = served(run, kind)
-    await run.until(lambda: served(run, kind) >= before + count, f"{kind} served", seconds=90.0)
+async def serve_more(run: ScenarioRun, kind: str, count: int = 20) -> None:
+    """Wait until so many more of a class are served."""
+    before = served_count(run, kind)
+    await run.until(lambda: served_count(run, kind) >= before + count, f"{kind} served", seconds=90.0)
 
 
-async def power(run: ScenarioRun) -> None:
-    """Everything dies in one instant, with loads in flight."""
+async def cut_power(run: ScenarioRun) -> None:
+    """Kill everything in one instant, with loads in flight."""
     await run.apply(Fault(0.0, "power", "*"))
 
 
-async def start(run: ScenarioRun, *names: str) -> None:
+async def start_all(run: ScenarioRun, *names: str) -> None:
     for name in names or ("e*", *ALL):
         await run.apply(Fault(0.0, "start", name))
 
 
 async def all_at_once(run: ScenarioRun) -> None:
     """All see one loss of the fleet, each with a whole memory and a higher boot; loads are served again."""
-    await until(run, lambda view: view["boot"] > 0, "all are there")
-    boots = {name: recovery(run, name)["boot"] for name in ALL}
-    await power(run)
-    await start(run)
-    await until(run, lambda view: view["verdict"] == "fleet" and not view["missing"], "all see the loss")
+    await until_recovery(run, lambda view: view["boot"] > 0, "all are there")
+    boots = {name: recovery_view(run, name)["boot"] for name in ALL}
+    await cut_power(run)
+    await start_all(run)
+    await until_recovery(
+        run, lambda view: view["verdict"] == "fleet" and not view["missing"], "all see the loss"
+    )
     for name in ALL:
-        view = recovery(run, name)
+        view = recovery_view(run, name)
         assert view["boot"] == boots[name] + 1 and view["memory"] == "kept"
-    await until(run, lambda view: view["confirmed"] and view["sends_loads"], "memories are confirmed")
-    await more(run, "load")
-    await more(run, "cheap")
+    await until_recovery(
+        run, lambda view: view["confirmed"] and view["sends_loads"], "memories are confirmed"
+    )
+    await serve_more(run, "load")
+    await serve_more(run, "cheap")
 
 
-async def again_while_it_recovers(run: ScenarioRun) -> None:
+async def power_losses_during_recovery(run: ScenarioRun) -> None:
     """A second and a third cut in the middle of the return."""
     for _ in range(2):
-        await power(run)
-        await start(run)
-        await until(run, lambda view: view["boot"] > 0, "they are there", "n0")
+        await cut_power(run)
+        await start_all(run)
+        await until_recovery(run, lambda view: view["boot"] > 0, "they are there", "n0")
     await all_at_once(run)
 
 
 async def an_empty_folder(run: ScenarioRun) -> None:
     """One comes back with an empty folder: told as such, with a boot above what the others know of it."""
-    before = recovery(run, "n1")["boot"]
-    await power(run)
+    before = recovery_view(run, "n1")["boot"]
+    await cut_power(run)
     await run.apply(Fault(0.0, "empty", "n1"))
-    await start(run)
-    await until(run, lambda view: view["memory"] == "empty", "an empty memory", "n1")
-    await until(run, lambda view: view["boot"] > before, "a boot above", "n1")
-    await more(run, "load")
-    assert recovery(run, "n0")["memory"] == "kept" and not recovery(run, "n1")["confirmed"]
+    await start_all(run)
+    await until_recovery(run, lambda view: view["memory"] == "empty", "an empty memory", "n1")
+    await until_recovery(run, lambda view: view["boot"] > before, "a boot above", "n1")
+    await serve_more(run, "load")
+    assert recovery_view(run, "n0")["memory"] == "kept" and not recovery_view(run, "n1")["confirmed"]
 
 
 async def an_old_folder(run: ScenarioRun) -> None:
@@ -117,110 +123,119 @@
     for _ in range(2):
         await run.apply(Fault(0.0, "kill", "n2"))
         await run.apply(Fault(0.0, "start", "n2"))
-        await until(run, lambda view: view["confirmed"], "it is known again", "n2")
-    before = recovery(run, "n2")["boot"]
+        await until_recovery(run, lambda view: view["confirmed"], "it is known again", "n2")
+    before = recovery_view(run, "n2")["boot"]
     await run.apply(Fault(0.0, "kill", "n2"))
     await run.apply(Fault(0.0, "old", "n2"))
     await run.apply(Fault(0.0, "start", "n2"))
-    await until(run, lambda view: view["memory"] == "old" and view["boot"] > before, "it is found out", "n2")
-    await more(run, "load")
+    await until_recovery(
+        run, lambda view: view["memory"] == "old" and view["boot"] > before, "it is found out", "n2"
+    )
+    await serve_more(run, "load")
 
 
-async def a_backup_of_one_that_runs(run: ScenarioRun) -> None:
+async def a_backup_made_while_it_ran(run: ScenarioRun) -> None:
     """A copy of its folder was made while it served, and is put back after the next power loss."""
-    marks = recovery(run, "n2")["marks"]
+    marks = recovery_view(run, "n2")["marks"]
     await run.apply(Fault(0.0, "keep", "n2"))
-    await until(run, lambda view: view["marks"] >= marks + 3, "marks are made, and told by the next", "n2")
-    before = recovery(run, "n2")["boot"]
-    await power(run)
+    await until_recovery(
+        run, lambda view: view["marks"] >= marks + 3, "marks are made, and told by the next", "n2"
+    )
+    before = recovery_view(run, "n2")["boot"]
+    await cut_power(run)
     await run.apply(Fault(0.0, "old", "n2"))
-    await start(run)
-    await until(run, lambda view: view["memory"] == "old", "it is found out", "n2")
-    assert recovery(run, "n2")["boot"] > before and recovery(run, "n0")["memory"] == "kept"
-    await more(run, "load")
+    await start_all(run)
+    await until_recovery(run, lambda view: view["memory"] == "old", "it is found out", "n2")
+    assert recovery_view(run, "n2")["boot"] > before and recovery_view(run, "n0")["memory"] == "kept"
+    await serve_more(run, "load")
 
 
 async def a_full_disk(run: ScenarioRun) -> None:
     """Loads are refused there, all else goes on; with room again loads go out."""
     for name in ALL:
         await run.apply(Fault(0.0, "disk", name, options={"state": "full"}))
-    await until(run, lambda view: view["disk"] != "well", "disks are full")
-    await more(run, "cheap")
+    await until_recovery(run, lambda view: view["disk"] != "well", "disks are full")
+    await serve_more(run, "cheap")
     for name in ALL:
         await run.apply(Fault(0.0, "disk", name, options={"state": "well"}))
-    await until(run, lambda view: view["disk"] == "well", "disks have room")
-    await more(run, "load")
+    await until_recovery(run, lambda view: view["disk"] == "well", "disks have room")
+    await serve_more(run, "load")
 
 
 async def cut_off(run: ScenarioRun) -> None:
     """One that is cut from the others is told apart from a loss, and serves safe queries on."""
     await run.apply(Fault(0.0, "peers", "n0", "*", {"cut": True}))
-    await until(run, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
-    assert recovery(run, "n1")["verdict"] != "fleet"
-    await more(run, "cheap")
+    await until_recovery(run, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
+    assert recovery_view(run, "n1")["verdict"] != "fleet"
+    await serve_more(run, "cheap")
     await run.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
-    await until(run, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard")
+    await until_recovery(
+        run, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard"
+    )
 
 
-async def told_to_come_later_by_one_that_nobody_hears(run: ScenarioRun) -> None:
-    """A client whose load ran elsewhere asks at one that is cut off: soon it is told that its load may have
-    run, before those that know of it have forgotten, and not to come later for as long as it asks."""
+async def rejected_by_an_instance_that_is_cut_off(run: ScenarioRun) -> None:
+    """A client whose load ran at another instance retries at one that is cut off: it is answered that its
+    load may have run before those that know of it have forgotten it, and is not rejected for as long as it
+    retries."""
     load = "lookup=mine */ INSERT INTO sales_1.t VALUES ('mine', 0)"
 
-    async def ask(name: str, ref: int, more: str = "") -> tuple[str, str]:
+    async def send_load(name: str, number: int, extra_fields: str = "") -> tuple[str, str]:
         session = await Session.open(run.network.instance_ports[name])
         try:
-            fields = f"service=load,ref={ref:016x},allow=2000,effort=20{more}"
+            fields = f"service=load,ref={number:016x},allow=2000,effort=20{extra_fields}"
             return await session.query(f"/* {fields},{load}")
         finally:
             session.writer.close()
 
-    assert (await ask("n1", 1))[0] == "served"
+    assert (await send_load("n1", 1))[0] == "served"
     await run.apply(Fault(0.0, "peers", "n0", "*", {"cut": True}))
-    await until(run, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
-    began, said = time.monotonic(), ("refused", "")
-    while said[0] == "refused" and time.monotonic() < began + recovery(run, "n0")["hold_ms"] / 1000:
-        said = await ask("n0", 2, ",dup=1")
+    await until_recovery(run, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
+    began, answer = time.monotonic(), ("refused", "")
+    while answer[0] == "refused" and time.monotonic() < began + recovery_view(run, "n0")["hold_ms"] / 1000:
+        answer = await send_load("n0", 2, ",dup=1")
         await asyncio.sleep(0.2)
-    assert "may have run" in said[1], said
+    assert "may have run" in answer[1], answer
     refs = [line[2] for lines in run.logs().engines.values() for line in lines if line[1] == "get"]
     assert sum(ref in (f"{1:016x}", f"{2:016x}") for ref in refs) == 1
     await run.apply(Fault(0.0, "peers", "*", "*", {"heal": True}))
-    await until(run, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard")
+    await until_recovery(
+        run, lambda view: view["verdict"] != "cut_off" and not view["missing"], "all are heard"
+    )
 
 
-async def the_source_of_the_list_stays_away(run: ScenarioRun) -> None:
+async def the_engine_list_source_stays_away(run: ScenarioRun) -> None:
     """Engines that were known before serve once they have answered; loads wait for the list."""
-    await more(run, "cheap")
+    await serve_more(run, "cheap")
     await run.apply(Fault(0.0, "source", "n*", options={"cut": True}))
-    await power(run)
-    await start(run)
-    await until(run, lambda view: view["verdict"] == "fleet", "all see the loss")
-    await more(run, "cheap")
+    await cut_power(run)
+    await start_all(run)
+    await until_recovery(run, lambda view: view["verdict"] == "fleet", "all see the loss")
+    await serve_more(run, "cheap")
     await run.apply(Fault(0.0, "source", "n*", options={"heal": True}))
-    await more(run, "load")
+    await serve_more(run, "load")
 
 
-STORIES = [all_at_once, again_while_it_recovers, an_empty_folder, an_old_folder]
-STORIES += [a_backup_of_one_that_runs, a_full_disk, cut_off, the_source_of_the_list_stays_away]
-STORIES += [told_to_come_later_by_one_that_nobody_hears]
+CASES = [all_at_once, power_losses_during_recovery, an_empty_folder, an_old_folder]
+CASES += [a_backup_made_while_it_ran, a_full_disk, cut_off, the_engine_list_source_stays_away]
+CASES += [rejected_by_an_instance_that_is_cut_off]
 
 
-@pytest.mark.parametrize("story", STORIES, ids=lambda s: s.__name__)
-def test_a_power_loss_on_processes(story: Story, tmp_path: Path) -> None:
-    day = msgspec.structs.replace(DAY, has_consul=story is the_source_of_the_list_stays_away)
+@pytest.mark.parametrize("case", CASES, ids=lambda s: s.__name__)
+def test_a_power_loss_on_processes(case: FleetCase, tmp_path: Path) -> None:
+    day = msgspec.structs.replace(DAY, has_consul=case is the_engine_list_source_stays_away)
     run = ScenarioRun(day, tmp_path, forks=True)
 
     async def scenario() -> None:
         try:
             await run.start()
-            await until(run, lambda view: view["sends_loads"] and view["confirmed"], "all are there")
-            await more(run, "load")
-            await story(run)
+            await until_recovery(run, lambda view: view["sends_loads"] and view["confirmed"], "all are there")
+            await serve_more(run, "load")
+            await case(run)
         finally:
             await run.close()
 
     asyncio.run(scenario())
-    found = check_run(day, run.logs()).findings
+    findings = check_run(day, run.logs()).findings
     # Asks are open at its end; times are no part of this.
-    assert [f for f in found if not f.startswith("answers")] == []
+    assert [f for f in findings if not f.startswith("answers")] == []
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -1,4 +1,4 @@
-"""A rolling swap on several real instances, with faults in its middle: states and counts, and no times."""
+"""A rolling replacement of several real instances, with faults during it: states and counts, and no times."""
 
 from __future__ import annotations
 
@@ -13,60 +13,60 @@
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 from cottonhold.node.status import ask
-from tests.fleet.test_recovery_processes import ALL, DAY, more, recovery
+from tests.fleet.test_recovery_processes import ALL, DAY, recovery_view, serve_more
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("replacement processes")
 
-Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
+FleetCase = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def rows(run: ScenarioRun, at: str) -> dict[str, dict[str, Any]]:
-    """Each machine's swap, as an instance tells it."""
+def replacement_rows(run: ScenarioRun, at: str) -> dict[str, dict[str, Any]]:
+    """Return each machine's replacement as an instance reports it."""
     return {row["machine"]: row for row in run.view(at).get("swap", {}).get("machines", [])}
 
 
-async def call(run: ScenarioRun, at: str, **words: Any) -> dict[str, Any]:
-    """A call at an instance's socket."""
+async def send_call(run: ScenarioRun, at: str, **words: Any) -> dict[str, Any]:
+    """Return the answer to a call at an instance's socket."""
     answer: dict[str, Any] = await asyncio.to_thread(ask, run.folder / f"{at}.sock", words)
     return answer
 
 
-async def step(run: ScenarioRun, machine: str, *steps: str) -> None:
-    """All others tell that a machine has come to one of these steps."""
+async def until_step(run: ScenarioRun, machine: str, *steps: str) -> None:
+    """Wait until all others report a machine at one of these steps."""
     others = [name for name in run.running_instances() if name != machine]
 
-    def told() -> bool:
-        return all(rows(run, name).get(machine, {}).get("step") in steps for name in others)
+    def reported() -> bool:
+        return all(replacement_rows(run, name).get(machine, {}).get("step") in steps for name in others)
 
-    await run.until(told, f"{machine} is {steps}", seconds=90.0)
+    await run.until(reported, f"{machine} is {steps}", seconds=90.0)
 
 
-async def ask_for(run: ScenarioRun, at: str, *machines: str) -> None:
-    found = await call(run, at, call="swap", who="someone", machines=[{"name": m} for m in machines])
+async def request_replacement(run: ScenarioRun, at: str, *machines: str) -> None:
+    found = await send_call(run, at, call="swap", who="someone", machines=[{"name": m} for m in machines])
     assert "error" not in found, found
 
 
-async def replace(run: ScenarioRun, machine: str) -> None:
-    """The machine is taken away once it may be, and a new one is put in its place."""
-    await step(run, machine, "out")
+async def replace_machine(run: ScenarioRun, machine: str) -> None:
+    """Take a machine away once it may be, and start a new one in its place."""
+    await until_step(run, machine, "out")
     await run.apply(Fault(0.0, "kill", machine))
     await run.apply(Fault(0.0, "start", machine))
 
 
-async def done(run: ScenarioRun, *machines: str) -> None:
-    """The swap of these is over for all: done, or forgotten as such."""
+async def until_done(run: ScenarioRun, *machines: str) -> None:
+    """Wait until the replacement of these is over for all."""
 
     def over() -> bool:
-        views = [rows(run, name) for name in run.running_instances()]
+        views = [replacement_rows(run, name) for name in run.running_instances()]
         return all(view.get(m, {}).get("step", "done") == "done" for view in views for m in machines)
 
     await run.until(over, f"{machines} are done", seconds=90.0)
-    await more(run, "load")
+    await serve_more(run, "load")
 
 
-def played(day: Scenario, folder: Path, story: Story) -> list[str]:
-    """A story on a fleet whose voters all vote; what the judge finds in the end."""
+def play_case(day: Scenario, folder: Path, case: FleetCase) -> list[str]:
+    """Play a case on a fleet whose voters all vote; return the checker's findings."""
     run = ScenarioRun(day, folder)
 
     def voting() -> bool:
@@ -76,8 +76,8 @@
         try:
             await run.start()
             await run.until(voting, "all vote", seconds=280.0)
-            await more(run, "load", 5)
-            await story(run)
+            await serve_more(run, "load", 5)
+            await case(run)
         finally:
             await run.close()
 
@@ -87,37 +87,41 @@
 
 async def one_after_another(run: ScenarioRun) -> None:
     """All three are swapped by one request at one of them, one at a time."""
-    await ask_for(run, "n0", *ALL)
-    left = set(ALL)
-    while left:
+    await request_replacement(run, "n0", *ALL)
+    remaining = set(ALL)
+    while remaining:
 
         def out() -> set[str]:
             found = set[str]()
             for at in run.running_instances():
-                found |= {m for m, row in rows(run, at).items() if row["step"] == "out" and m in left}
+                found |= {
+                    m
+                    for m, row in replacement_rows(run, at).items()
+                    if row["step"] == "out" and m in remaining
+                }
             return found
 
         await run.until(lambda: bool(out()), "one is out", seconds=90.0)
         (machine,) = out()
-        await replace(run, machine)
-        left.discard(machine)
-        await more(run, "cheap", 10)
-    await done(run, *ALL)
+        await replace_machine(run, machine)
+        remaining.discard(machine)
+        await serve_more(run, "cheap", 10)
+    await until_done(run, *ALL)
 
 
-async def whoever_asked_dies(run: ScenarioRun) -> None:
+async def the_requester_is_killed(run: ScenarioRun) -> None:
     """Whoever asked dies and comes back; the registers remember what was asked."""
-    await ask_for(run, "n0", "n1")
-    await step(run, "n1", "agreed", "moving", "draining", "out")
+    await request_replacement(run, "n0", "n1")
+    await until_step(run, "n1", "agreed", "moving", "draining", "out")
     await run.apply(Fault(0.0, "kill", "n0"))
-    # Danger: with n0 dead, n1 may go out only if it had drained before that was seen: on a busy machine this
-    # story waited for good for a machine that rightly stayed, since a majority of voters must be up.
+    # Without n0, n1 may be taken out only if it had drained before n0 was seen to be down: a majority of
+    # voters must stay up.
     await run.apply(Fault(0.0, "start", "n0"))
-    await replace(run, "n1")
-    await done(run, "n1")
+    await replace_machine(run, "n1")
+    await until_done(run, "n1")
 
 
-async def a_voter_is_dead(run: ScenarioRun) -> None:
+async def a_voter_is_down(run: ScenarioRun) -> None:
     """While one of three voters is dead no other goes out; the swap goes on once it is back."""
     await run.apply(Fault(0.0, "kill", "n0"))
 
@@ -126,27 +130,27 @@
         return all({m["name"]: m["status"] for m in view}.get("n0") == "dead" for view in views)
 
     await run.until(dead, "n0 is known to be dead", seconds=90.0)
-    await ask_for(run, "n2", "n1")
-    await step(run, "n1", "asked", "agreed", "moving", "draining")
-    await more(run, "cheap", 50)
-    assert rows(run, "n2")["n1"]["step"] != "out"
+    await request_replacement(run, "n2", "n1")
+    await until_step(run, "n1", "asked", "agreed", "moving", "draining")
+    await serve_more(run, "cheap", 50)
+    assert replacement_rows(run, "n2")["n1"]["step"] != "out"
     await run.apply(Fault(0.0, "start", "n0"))
-    await replace(run, "n1")
-    await done(run, "n1")
+    await replace_machine(run, "n1")
+    await until_done(run, "n1")
 
 
-async def power_goes(run: ScenarioRun) -> None:
+async def power_loss_during_a_replacement(run: ScenarioRun) -> None:
     """The power goes while a machine is out; the registers remember, and the swap ends."""
-    await ask_for(run, "n2", "n1")
-    await step(run, "n1", "out")
+    await request_replacement(run, "n2", "n1")
+    await until_step(run, "n1", "out")
     await run.apply(Fault(0.0, "power", "*"))
     for name in ("e*", *ALL):
         await run.apply(Fault(0.0, "start", name))
-    await run.until(lambda: all(recovery(run, n).get("confirmed") for n in ALL), "they are back", 90.0)
-    await done(run, "n1")
+    await run.until(lambda: all(recovery_view(run, n).get("confirmed") for n in ALL), "they are back", 90.0)
+    await until_done(run, "n1")
 
 
-async def contradicting(run: ScenarioRun) -> None:
+async def invalid_and_conflicting_requests(run: ScenarioRun) -> None:
     """What can't be is refused by name; a second request on a machine under way is told who asked."""
     for words, said in (
         ({"machines": [{"name": "n9"}]}, "n9"),
@@ -154,26 +158,32 @@
         ({"machines": []}, "at least one"),
         ({"machines": [{"name": "n1"}], "most_out": 0}, "most_out"),
     ):
-        found = await call(run, "n0", call="swap", who="someone", **words)
+        found = await send_call(run, "n0", call="swap", who="someone", **words)
         assert said in found.get("error", ""), found
-    await ask_for(run, "n0", "n1")
-    await step(run, "n1", "agreed", "moving", "draining", "out")
-    await call(run, "n2", call="swap", who="another", machines=[{"name": "n1", "new": "n7"}])
+    await request_replacement(run, "n0", "n1")
+    await until_step(run, "n1", "agreed", "moving", "draining", "out")
+    await send_call(run, "n2", call="swap", who="another", machines=[{"name": "n1", "new": "n7"}])
 
     def refused() -> bool:
         answers = run.view("n2").get("swap", {}).get("answers", [])
         return any(a["who"] == "another" and "someone" in a["refused"] for a in answers)
 
     await run.until(refused, "the second one is refused and told who asked first", seconds=90.0)
-    await replace(run, "n1")
-    await done(run, "n1")
+    await replace_machine(run, "n1")
+    await until_done(run, "n1")
 
 
 @pytest.mark.parametrize(
-    "story",
-    [one_after_another, whoever_asked_dies, a_voter_is_dead, power_goes, contradicting],
+    "case",
+    [
+        one_after_another,
+        the_requester_is_killed,
+        a_voter_is_down,
+        power_loss_during_a_replacement,
+        invalid_and_conflicting_requests,
+    ],
     ids=lambda s: s.__name__,
 )
-def test_a_swap_on_processes(story: Story, tmp_path: Path) -> None:
-    found = played(DAY, tmp_path, story)
+def test_a_swap_on_processes(case: FleetCase, tmp_path: Path) -> None:
+    found = play_case(DAY, tmp_path, case)
     assert [f for f in found if not f.startswith("answers")] == []
