--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -35,8 +35,9 @@
 FORGERY_INTERVAL_S = 0.1
 # Versions of forged reports: above those that an instance gives its own within a run.
 FORGED_VERSIONS = range(1_000_000, 2_000_000)
-FORGED_CONFIDENCE = 200
-FORGED_REPORT_BYTES = 200
+FORGED_BAD_ATTEMPTS = 200
+FORGED_CENTICORES = 100
+MAX_FORGED_BYTES = 200
 SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP, "go": signal.SIGCONT}
 CUTTING_OPTIONS = ("cut", "forth", "back", "refuse", "reset")
 Handler = Callable[[Fault], Awaitable[None] | None]
@@ -128,13 +129,24 @@
         incarnation = random.Random(self.run.scenario.seed).getrandbits(32)
         codec = Codec(sender_id, incarnation, KeyRing({1: MEMBERSHIP_KEY}, 1))
         evacuate = ZoneReport(
-            Vote.EVACUATE, 0, 0, FORGED_CONFIDENCE, 0.0, is_certain=True, suspects_failure=True
+            Vote.EVACUATE,
+            bad=FORGED_BAD_ATTEMPTS,
+            traffic_share=0.0,
+            is_certain=True,
+            suspects_failure=True,
         )
         switch = self.run.network.switch
         for version in FORGED_VERSIONS:
-            report = MemberReport(sender_id, int(time.time()), version, 100, 0, {zone_number(zone): evacuate})
+            report = MemberReport(
+                sender_id,
+                int(time.time()),
+                version,
+                FORGED_CENTICORES,
+                overrides_digest=0,
+                zones={zone_number(zone): evacuate},
+            )
             message = Message(MessageKind.FLEET, sender_id, 0)
-            datagram = codec.encode(message, encode_zone_reports([report], FORGED_REPORT_BYTES))
+            datagram = codec.encode(message, encode_zone_reports([report], MAX_FORGED_BYTES))
             for receiver in range(self.run.scenario.instances):
                 if receiver != number:
                     switch.forward(switch.ports[number], receiver, datagram)
--- a/cottonhold/emulator/fault_injection/parent_death_signal.py
+++ b/cottonhold/emulator/fault_injection/parent_death_signal.py
@@ -25,6 +25,12 @@
     return settings.decode()
 
 
+def bound_to_this_process(arguments: list[str]) -> list[str]:
+    """Return the command that runs Python with these arguments, and ends together with this process."""
+    module = "cottonhold.emulator.fault_injection.parent_death_signal"
+    return [sys.executable, "-m", module, str(os.getpid()), sys.executable, *arguments]
+
+
 def main(parent: int, program: list[str]) -> None:
     """Ask for the signal, check that the parent is still there, and become the program."""
     if ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL), 0, 0, 0):
--- a/cottonhold/emulator/fault_injection/processes.py
+++ b/cottonhold/emulator/fault_injection/processes.py
@@ -4,16 +4,17 @@
 
 import contextlib
 import json
-import os
 import socket
 import subprocess
-import sys
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 from cottonhold.emulator.fault_injection.machines import Machines
-from cottonhold.emulator.fault_injection.parent_death_signal import WAIT_FOR_SETTINGS
+from cottonhold.emulator.fault_injection.parent_death_signal import (
+    WAIT_FOR_SETTINGS,
+    bound_to_this_process,
+)
 from cottonhold.emulator.fault_injection.script import Scenario
 from cottonhold.emulator.fault_injection.worker_pool import PROGRAMS, Process, WorkerPool
 from cottonhold.emulator.process_fleet import free_ports
@@ -159,7 +160,7 @@
         with (self.folder / f"{name}.log").open("ab") as log:
             if self.worker_pool is not None and program[1] in PROGRAMS:
                 return self.worker_pool.start(program[1], program[2:], log, bool(streams))
-            return subprocess.Popen([*ending_with_this_process(), *program], stderr=log, **streams)
+            return subprocess.Popen(bound_to_this_process(program), stderr=log, **streams)
 
     def _start_prepared(self, name: str, settings: object) -> bool:
         """Hand its settings to a process that was prepared; return whether there was one."""
@@ -170,8 +171,3 @@
         process.stdin.flush()
         self.by_name[name] = process
         return True
-
-
-def ending_with_this_process() -> list[str]:
-    """Return the command that runs a Python program which the kernel ends together with this process."""
-    return [sys.executable, "-m", f"{PACKAGE}.parent_death_signal", str(os.getpid()), sys.executable]
--- a/cottonhold/emulator/fault_injection/worker_pool.py
+++ b/cottonhold/emulator/fault_injection/worker_pool.py
@@ -22,7 +22,7 @@
 from importlib import import_module
 from typing import IO, Protocol
 
-from cottonhold.emulator.fault_injection.parent_death_signal import PR_SET_PDEATHSIG
+from cottonhold.emulator.fault_injection.parent_death_signal import PR_SET_PDEATHSIG, bound_to_this_process
 
 PROGRAMS = ("cottonhold.emulator.fault_injection.engine", "cottonhold.emulator.fault_injection.instance")
 PRELOADED_MODULES = (
@@ -99,14 +99,7 @@
 
     def __init__(self) -> None:
         self.link, pool_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        guard = [
-            sys.executable,
-            "-m",
-            "cottonhold.emulator.fault_injection.parent_death_signal",
-            str(os.getpid()),
-            sys.executable,
-        ]
-        program = [*guard, "-m", "cottonhold.emulator.fault_injection.worker_pool"]
+        program = bound_to_this_process(["-m", "cottonhold.emulator.fault_injection.worker_pool"])
         with pool_end:
             self.process = subprocess.Popen(program, stdin=pool_end.fileno())
 
