--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -44,13 +44,13 @@
 PATIENCE_S = 5.0
 HOLD_S = 2 * PATIENCE_S + 10.0
 SERVING_S = 60.0  # until loads have to be served again, on a machine that others use too
-SURE_MS = 1400.0  # who waited so long and heard nothing didn't just meet a busy machine
-LAST_S = 120.0  # of a day, without a cut
-PEACE_S = HOLD_S + 4.0  # memories are whole again, and what is asked about is forgotten
+MIN_TIMEOUT_MS = 1400.0  # an attempt that waits so long is not unanswered for the machine's load alone
+FINAL_S = 120.0  # of a scenario, without a power loss
+REST_S = HOLD_S + 4.0  # until memories are complete again, and loads that are asked about are forgotten
 
 
-def day_of(seed: int) -> Scenario:
-    """A fleet; its clients' manner is drawn."""
+def scenario_of(seed: int) -> Scenario:
+    """Return a fleet; its clients' behaviour is drawn."""
     draw = random.Random(seed)
     manner = ClientBehaviour(
         max_attempts=4,
@@ -80,20 +80,21 @@
 
 
 class Fleet(ScenarioRun):
-    """One fleet, and what its ledgers tell so far."""
+    """One fleet, and what its logs show so far."""
 
     def __init__(
         self, day: Scenario, folder: Path, guard: bool = True, defect: str = "", forks: bool = True
     ) -> None:
         super().__init__(day, folder, forks=forks, defect=defect)
         self.guard, self.tally = guard, Tally()
-        self.read: dict[str, int] = {}  # bytes of each ledger that were taken in
-        self.cut_at: list[float] = []
-        self.cuts: list[PowerLoss] = []
+        self.bytes_read: dict[str, int] = {}  # of each log
+        self.power_lost_at: list[float] = []
+        self.power_losses: list[PowerLoss] = []
         self.findings: list[str] = []
-        self.up: list[float] = []  # seconds from the first start until loads began at engines again
-        self.late = 0
-        self.stood: list[tuple[float, float]] = []
+        # From the first start until loads began at engines again.
+        self.recovery_times_s: list[float] = []
+        self.unanswered_count = 0
+        self.stalls: list[tuple[float, float]] = []
 
     def instance_config(self, name: str) -> dict[str, Any]:
         config = super().instance_config(name)
@@ -105,64 +106,60 @@
         return config
 
     async def until(self, holds: Callable[[], bool], what: str, seconds: float = SERVING_S) -> None:
-        """As Trial's, with more patience."""
+        """As ScenarioRun's, with a longer timeout."""
         await super().until(holds, what, seconds)
 
-    # --- what is seen ---
-
-    def _news(self, name: str) -> list[LogLine]:
-        """Whole lines that a ledger got since the last time."""
+    def _new_lines(self, name: str) -> list[LogLine]:
+        """Return the complete lines that a log got since the last call."""
         path = self.folder / f"{name}.jsonl"
         if not path.exists():
             return []
         with path.open("rb") as file:
-            file.seek(self.read.get(name, 0))
+            file.seek(self.bytes_read.get(name, 0))
             data = file.read()
         whole = data[: data.rfind(b"\n") + 1]
-        self.read[name] = self.read.get(name, 0) + len(whole)
+        self.bytes_read[name] = self.bytes_read.get(name, 0) + len(whole)
         lines = []
         for row in whole.splitlines():
             with contextlib.suppress(ValueError):  # one that was being written as its process was killed
                 lines.append(json.loads(row))
         return lines
 
-    def look(self) -> None:
-        """Take all ledgers in, and tell at once of loads that ran twice."""
-        self.tally.on_client_lines(self._news("clients"))
+    def read_logs(self) -> None:
+        """Read all logs, and report at once loads that ran twice."""
+        self.tally.on_client_lines(self._new_lines("clients"))
         known = len(self.tally.duplicates)
         for name in self.scenario.engine_names():
-            self.tally.on_engine_lines(name, self._news(name))
+            self.tally.on_engine_lines(name, self._new_lines(name))
         for number in self.tally.duplicates[known:]:
-            self.found(
+            self.add_finding(
                 f"twice: load {number}", *timeline(self.tally.load(number), self.started_at, self.marks)
             )
 
-    def found(self, what: str, *more: str) -> None:
-        """A finding, with its seed and story."""
+    def add_finding(self, what: str, *more: str) -> None:
+        """Note and print a finding, with its seed and timeline."""
         self.findings.append(what)
         print(
-            f"FOUND seed {self.scenario.seed}, after cut {len(self.cut_at)}: {what}",
+            f"FOUND seed {self.scenario.seed}, after cut {len(self.power_lost_at)}: {what}",
             *more,
             sep="\n  ",
             flush=True,
         )
 
-    # --- one cut ---
-
-    async def _served(self, since: float) -> None:
-        """Until loads begin at engines again."""
+    async def _until_loads_run(self, since: float) -> None:
+        """Wait until loads begin at engines again."""
         end = time.monotonic() + SERVING_S
         while not any(e.began_at > since for load in self.tally.loads.values() for e in load.executions[-1:]):
             if time.monotonic() > end:
                 views = {n: self.view(n).get("recovery") for n in self.running_instances()}
-                self.found(f"no load was run for {SERVING_S:g} s", json.dumps(views))
+                self.add_finding(f"no load was run for {SERVING_S:g} s", json.dumps(views))
                 return
             await asyncio.sleep(0.1)
-            self.look()
-        self.up.append(time.monotonic() - since)
+            self.read_logs()
+        self.recovery_times_s.append(time.monotonic() - since)
 
-    async def _there(self, names: tuple[str, ...]) -> None:
-        """Until one of these instances is there."""
+    async def _until_one_is_up(self, names: tuple[str, ...]) -> None:
+        """Wait until one of these instances is up."""
 
         def any_there() -> bool:
             return any(self.view(name) for name in names)
@@ -170,8 +167,8 @@
         with contextlib.suppress(ScenarioRunError):
             await self.until(any_there, "one instance is there")
 
-    async def come_back(self, cut: PowerLoss) -> None:
-        """Engines and instances start as the cut says."""
+    async def restart(self, cut: PowerLoss) -> None:
+        """Start engines and instances as the power loss says."""
         begin = time.monotonic() + max(0.0, -cut.engine_delay_s)
         at, rows = begin, [(begin + cut.engine_delay_s, "e*")]
         for name, gap in zip(cut.order, cut.gaps_s, strict=True):
@@ -181,34 +178,34 @@
             await asyncio.sleep(max(due - time.monotonic(), 0.0))
             await self.apply(Fault(0.0, "start", name))
 
-    async def moment(self, cut: PowerLoss, back: asyncio.Task[None], since: float) -> None:
-        """Wait for the moment at which power goes."""
-        before = self.cuts[-1].order if self.cuts else tuple(self.scenario.instance_names())
+    async def wait_for_moment(self, cut: PowerLoss, back: asyncio.Task[None], since: float) -> None:
+        """Wait for the moment at which power is lost."""
+        before = self.power_losses[-1].order if self.power_losses else tuple(self.scenario.instance_names())
         if cut.moment is PowerLossMoment.RECOVERY:
-            await self._there(before)
+            await self._until_one_is_up(before)
         elif cut.moment is not PowerLossMoment.START:
             await back
-            await self._served(since)
+            await self._until_loads_run(since)
         if cut.waits_for_rest:
             await back
-            await self.whole()
+            await self.until_all_send_loads()
             if cut.backup:
                 self.machines.save_folder(cut.backup)
-            await asyncio.sleep(PEACE_S)
+            await asyncio.sleep(REST_S)
         await asyncio.sleep(cut.delay_s)
         if cut.stalled_s:
             for name in before:
                 self.machines.set_disk(name, "stalled")
             await asyncio.sleep(cut.stalled_s)
 
-    def power(self, cut: PowerLoss, before: tuple[str, ...]) -> None:
-        """All is killed; what is wrong with folders and clocks, and how the disks will be."""
+    def cut_power(self, cut: PowerLoss, before: tuple[str, ...]) -> None:
+        """Kill everything, and change folders, clocks and disks as the power loss says."""
         at = time.monotonic()
         self.fault_injector.cut_power("*")
-        self.look()
+        self.read_logs()
         self.tally.on_power_loss(at)
-        self.cut_at.append(at)
-        self.cuts.append(cut)
+        self.power_lost_at.append(at)
+        self.power_losses.append(cut)
         self.timeline.append(f"{at - self.started_at:8.2f} s  {cut}")
         folders = (
             self.machines.empty_folder,
@@ -223,9 +220,9 @@
         for name in self.scenario.instance_names():
             self.machines.set_disk(name, "well", leak=cut.leak_share, seed=cut.number * 10 + int(name[1:]))
 
-    async def whole(self) -> None:
-        """All that are to be there are there, and send loads. A finding if they don't come."""
-        names = self.cuts[-1].order if self.cuts else tuple(self.scenario.instance_names())
+    async def until_all_send_loads(self) -> None:
+        """Wait until all that are to be up are up and send loads; a finding if they do not."""
+        names = self.power_losses[-1].order if self.power_losses else tuple(self.scenario.instance_names())
 
         def holds() -> bool:
             if not self.guard:
@@ -237,49 +234,47 @@
             await self.until(holds, "all send loads")
         except ScenarioRunError as error:
             views = {n: self.view(n).get("recovery", "not there") for n in names}
-            self.found(f"not back: {error}", json.dumps(views))
-
-    # --- a run ---
+            self.add_finding(f"not back: {error}", json.dumps(views))
 
-    async def _watch(self) -> None:
-        """Note when this process gets no time."""
+    async def _watch_stalls(self) -> None:
+        """Note when this process is not scheduled."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(0.05)
             if (now := time.monotonic()) > before + 0.25:
-                self.stood.append((before, now))
+                self.stalls.append((before, now))
 
     async def run(self, count: int) -> dict[str, Any]:
-        """So many cuts; figures by cut."""
-        watch = asyncio.create_task(self._watch())
+        """Play so many power losses; return the figures by power loss."""
+        watch = asyncio.create_task(self._watch_stalls())
         try:
             await self.start()
             back = asyncio.create_task(asyncio.sleep(0.0))
             since = time.monotonic()
             for cut in PowerLossDraw(self.scenario.seed, self.scenario.instance_names()).power_losses(count):
-                if time.monotonic() - self.started_at > self.scenario.duration_s - LAST_S:
+                if time.monotonic() - self.started_at > self.scenario.duration_s - FINAL_S:
                     break  # clients come no longer: more fleets, then, for as many cuts
-                await self.moment(cut, back, since)
+                await self.wait_for_moment(cut, back, since)
                 back.cancel()
-                self.power(cut, cut.order)
+                self.cut_power(cut, cut.order)
                 await asyncio.sleep(cut.outage_s)
                 since = time.monotonic()
-                back = asyncio.create_task(self.come_back(cut))
+                back = asyncio.create_task(self.restart(cut))
                 print(f"seed {self.scenario.seed}: {cut}; loads {len(self.tally.loads)}", flush=True)
             await back
-            await self._served(since)
+            await self._until_loads_run(since)
             await asyncio.sleep(PATIENCE_S + 2.0)
-            await self.whole()
+            await self.until_all_send_loads()
             over = time.monotonic()
         finally:
             watch.cancel()
             await self.close()
-        self.look()
+        self.read_logs()
         until = over - PATIENCE_S - 1.0
-        self.late = len(unanswered(self.tally, self.cut_at, until))
-        for lost in unanswered(self.tally, self.cut_at, until, self.stood):
-            if lost.timeout_ms >= SURE_MS and lost.sent_at < lost.started_at + 0.3:
-                self.found(
+        self.unanswered_count = len(unanswered(self.tally, self.power_lost_at, until))
+        for lost in unanswered(self.tally, self.power_lost_at, until, self.stalls):
+            if lost.timeout_ms >= MIN_TIMEOUT_MS and lost.sent_at < lost.started_at + 0.3:
+                self.add_finding(
                     f"no answer within {lost.timeout_ms} ms: ref {lost.request_id} at n{lost.instance}"
                 )
         return self._result()
@@ -287,7 +282,7 @@
     def _result(self) -> dict[str, Any]:
         seen = [
             observe_power_loss(self.tally, at, until)
-            for at, until in zip(self.cut_at, [*self.cut_at[1:], float("inf")], strict=True)
+            for at, until in zip(self.power_lost_at, [*self.power_lost_at[1:], float("inf")], strict=True)
         ]
         kept = {
             "seed": self.scenario.seed,
@@ -295,11 +290,11 @@
             "twice": self.tally.duplicates,
             "sent_again": sum(len(load.arrivals) > 1 for load in self.tally.loads.values()),
             "findings": self.findings,
-            "late": self.late,
-            "up": self.up,
-            "cuts": [cut.moment.value for cut in self.cuts],
-            "wrong": [bool(cut.emptied or cut.restored or cut.backup) for cut in self.cuts],
-            "away": [bool(cut.away) for cut in self.cuts],
+            "late": self.unanswered_count,
+            "up": self.recovery_times_s,
+            "cuts": [cut.moment.value for cut in self.power_losses],
+            "wrong": [bool(cut.emptied or cut.restored or cut.backup) for cut in self.power_losses],
+            "away": [bool(cut.away) for cut in self.power_losses],
             "seen": [[one.in_flight, one.at_engines, one.unreported, one.answers] for one in seen],
             "timeline": self.timeline,
             "begun": self.started_at,
@@ -310,8 +305,8 @@
 
 
 def play(seed: int, folder: Path, count: int, guard: bool, defect: str) -> None:
-    """One fleet, in this process."""
-    fleet = Fleet(day_of(seed), folder, guard, defect)
+    """Play one fleet in this process."""
+    fleet = Fleet(scenario_of(seed), folder, guard, defect)
     try:
         uvloop.run(fleet.run(count))
     finally:
@@ -319,7 +314,7 @@
 
 
 def table(results: list[dict[str, Any]]) -> list[str]:
-    """A line for each time at which power goes, and one for all."""
+    """Return a line for each moment of a power loss, and one for all."""
     lines = [
         "| power goes | cuts | loads in flight | at an engine | begun, no end heard "
         "| retries told well | may have run | sent here | later | met nobody |",
@@ -357,11 +352,11 @@
 
 
 def follow(folder: Path, number: int) -> None:
-    """Print what became of a load, from kept ledgers."""
+    """Print what became of a load, from the logs of earlier runs."""
     for path in sorted(folder.rglob("cuts.json")):
         kept = json.loads(path.read_bytes())
-        fleet = Fleet(day_of(kept["seed"]), path.parent, forks=False)
-        fleet.look()
+        fleet = Fleet(scenario_of(kept["seed"]), path.parent, forks=False)
+        fleet.read_logs()
         if number in fleet.tally.loads:
             print(f"seed {kept['seed']}")
             print(*timeline(fleet.tally.load(number), kept["begun"], kept["marks"]), sep="\n")
