--- a/benchmarks/consul/run.py
+++ b/benchmarks/consul/run.py
@@ -31,7 +31,7 @@
 from cottonhold.discovery.engine_catalog import EngineCatalog
 from cottonhold.discovery.model import ConfiguredNames, SourceGuard, SourceReport
 from cottonhold.emulator.consul.catalog import Catalog
-from cottonhold.emulator.consul.script import Step
+from cottonhold.emulator.consul.script import ChangeKind, Step
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.engine import StandInEngine
 
@@ -154,7 +154,7 @@
 ) -> None:
     args = (engine_id, "on") if kind == "maintenance" else (engine_id,)
     at = time.monotonic()
-    server.carry_out(Step(0, kind, args))
+    server.apply(Step(0, ChangeKind(kind), args))
     await asyncio.sleep(AWAY_S)
     last = engine.arrivals[-1] if engine.arrivals else 0.0
     found[kind].append(max(last - at, 0.0) * 1000)
@@ -166,7 +166,7 @@
         "maintenance": ("maintenance", (engine_id, "off")),
         "deregister": ("register", (engine_id, f"127.0.0.1:{port}")),
     }[kind]
-    server.carry_out(Step(0, back[0], back[1]))
+    server.apply(Step(0, ChangeKind(back[0]), back[1]))
 
 
 def cpu_s(pid: int) -> float:
@@ -198,7 +198,7 @@
         }
         made = catalog.put_service("agent-1", body)
         catalog.put_check("agent-1", {"CheckID": f"check:e{i}", "Status": "passing"}, made)
-    rows = catalog.health("engine")
+    rows = catalog.health_rows("engine")
     names = ConfiguredNames((), ("std",))
     answers = Answers(names, Reading(), print)
     belief = EngineCatalog((("dc1", SourceGuard(min_quiet_ms=0.0)),), 1)
--- a/benchmarks/membership/processes.py
+++ b/benchmarks/membership/processes.py
@@ -15,66 +15,71 @@
 
 import numpy as np
 
-from cottonhold.emulator.process_fleet import PROBE_MS, Tier
+from cottonhold.emulator.process_fleet import HEALTH_CHECK_INTERVAL_MS, ProcessFleet
 
-OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "membership-processes.md"
+OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "membership-processes.md"
+INSTANCES, KILLED_AT_ONCE = 5, 2
+POLL_INTERVAL_S = 0.01
 
 
-def round_ms(tier: Tier, draw: random.Random) -> tuple[float, float]:
-    """Ms from the kill until the survivors agree who holds what, and until each engine was probed again."""
-    begun = time.monotonic()
-    for i in draw.sample(sorted(tier.processes), 2):
-        tier.kill(i)
-    tier.until(tier.agreed, "takeover", every=0.01)
-    agreed = time.monotonic()
-    probed = {engine_id: len(engine.probes) for engine_id, engine in tier.engines.items()}
-    tier.until(
-        lambda: all(len(e.probes) > probed[engine_id] for engine_id, e in tier.engines.items()),
-        "probes",
-        every=0.01,
+def takeover_times_ms(fleet: ProcessFleet, draw: random.Random) -> tuple[float, float]:
+    """Kill instances; return the ms until the others agree on duties, and until each engine is checked."""
+    killed_at = time.monotonic()
+    for number in draw.sample(sorted(fleet.processes), KILLED_AT_ONCE):
+        fleet.kill(number)
+    fleet.wait_until(fleet.has_converged, "takeover", POLL_INTERVAL_S)
+    agreed_at = time.monotonic()
+    counts = {engine_id: len(engine.health_checks) for engine_id, engine in fleet.engines.items()}
+    fleet.wait_until(
+        lambda: all(len(e.health_checks) > counts[engine_id] for engine_id, e in fleet.engines.items()),
+        "health checks",
+        POLL_INTERVAL_S,
     )
-    return (agreed - begun) * 1000, (time.monotonic() - begun) * 1000
+    return (agreed_at - killed_at) * 1000, (time.monotonic() - killed_at) * 1000
+
+
+def measure(rounds: int, folder: Path) -> tuple[list[tuple[float, float]], int]:
+    """The times of each round, and the engines that more than one instance checks at the end."""
+    draw, times_ms = random.Random(1), []
+    fleet = ProcessFleet(folder, INSTANCES)
+    try:
+        for number in range(INSTANCES):
+            fleet.start(number)
+        fleet.wait_until(fleet.has_converged, "all instances")
+        for _ in range(rounds):
+            times_ms.append(takeover_times_ms(fleet, draw))
+            for number in set(range(INSTANCES)) - set(fleet.processes):
+                fleet.start(number)
+            fleet.wait_until(fleet.has_converged, "all instances again")
+        return times_ms, sum(len(ports) > 1 for ports in fleet.checkers().values())
+    finally:
+        fleet.stop()
 
 
 def main() -> None:
+    """Measure, write the page and print it."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=20)
-    rounds, draw = parser.parse_args().rounds, random.Random(1)
-    found = []
+    rounds = parser.parse_args().rounds
     with tempfile.TemporaryDirectory() as folder:
-        tier = Tier(Path(folder), 5)
-        try:
-            for i in range(5):
-                tier.start(i)
-            tier.until(tier.agreed, "all five")
-            for _ in range(rounds):
-                found.append(round_ms(tier, draw))
-                for i in range(5):
-                    if i not in tier.processes:
-                        tier.start(i)
-                tier.until(tier.agreed, "all five again")
-            doubled = sum(len(ports) > 1 for ports in tier.probers().values())
-        finally:
-            tier.stop()
+        times_ms, doubly_checked = measure(rounds, Path(folder))
     text = [
         "# Takeover between real instances: measured",
         "",
         f"By `python benchmarks/membership/processes.py --rounds {rounds}`: five processes on one shared "
-        f"machine, two killed at once in each round, engines probed each {PROBE_MS} ms by one of all.",
+        f"machine, two killed at once in each round, engines probed each {HEALTH_CHECK_INTERVAL_MS} ms by "
+        "one of all.",
         "",
         "| from the kill until | p50 ms | p99 ms | max ms |",
         "| --- | --- | --- | --- |",
     ]
-    for name, values in zip(
-        ("survivors agree on all duties", "each engine was probed again"),
-        zip(*found, strict=True),
-        strict=True,
-    ):
+    events = ("survivors agree on all duties", "each engine was probed again")
+    for event, values in zip(events, zip(*times_ms, strict=True), strict=True):
         p50, p99 = np.percentile(values, [50, 99])
-        text.append(f"| {name} | {p50:.0f} | {p99:.0f} | {max(values):.0f} |")
-    text += ["", f"At the end {doubled} engines were probed by more than one instance.", ""]
-    OUT.write_text("\n".join(text))
-    print(OUT.read_text())
+        text.append(f"| {event} | {p50:.0f} | {p99:.0f} | {max(values):.0f} |")
+    text += ["", f"At the end {doubly_checked} engines were probed by more than one instance.", ""]
+    OUTPUT.write_text("\n".join(text))
+    print(OUTPUT.read_text())
 
 
 if __name__ == "__main__":
--- a/cottonhold/emulator/consul/catalog.py
+++ b/cottonhold/emulator/consul/catalog.py
@@ -7,172 +7,57 @@
 from __future__ import annotations
 
 import math
-import re
-import uuid
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
 
-Json = dict[str, Any]
-UNITS = {"ns": 1e-9, "us": 1e-6, "µs": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
-DURATION = re.compile(r"(\d+(?:\.\d+)?)(ns|us|µs|ms|s|m|h)")
-STATUSES = ("passing", "warning", "critical")
-ALIASES = {"pass": "passing", "warn": "warning", "fail": "critical"}
-
-
-class ApiError(Exception):
-    """A call that can't be carried out: the status and the text of its answer."""
-
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
-        self.status, self.text = status, text
-
-
-def duration(text: str) -> float:
-    """Seconds of a duration as in 10s, 1m30s or 500ms. Raises ApiError."""
-    parts = DURATION.findall(text)
-    if not parts or "".join(n + u for n, u in parts) != text:
-        raise ApiError(400, f"Invalid duration: {text!r}")
-    return sum(float(n) * UNITS[u] for n, u in parts)
-
-
-@dataclass(slots=True)
-class Node:
-    """A node of the catalogue."""
-
-    name: str
-    address: str
-    meta: dict[str, str] = field(default_factory=dict)
-    create: int = 0
-    modify: int = 0
-
-    def wire(self, datacenter: str) -> Json:
-        """The node as answers show it."""
-        return {
-            "ID": str(uuid.uuid5(uuid.NAMESPACE_DNS, self.name)),
-            "Node": self.name,
-            "Address": self.address,
-            "Datacenter": datacenter,
-            "TaggedAddresses": {"lan": self.address, "wan": self.address},
-            "Meta": self.meta,
-            "CreateIndex": self.create,
-            "ModifyIndex": self.modify,
-        }
-
-
-@dataclass(slots=True)
-class Service:
-    """An instance of a service."""
-
-    id: str
-    name: str
-    node: str
-    address: str
-    port: int
-    tags: list[str]
-    meta: dict[str, str]
-    weights: Json
-    create: int = 0
-    modify: int = 0
-
-    def wire(self) -> Json:
-        """The instance as health answers show it."""
-        return {
-            "ID": self.id,
-            "Service": self.name,
-            "Tags": self.tags,
-            "Address": self.address,
-            "Meta": self.meta,
-            "Port": self.port,
-            "Weights": self.weights,
-            "EnableTagOverride": False,
-            "CreateIndex": self.create,
-            "ModifyIndex": self.modify,
-        }
-
-    def agent_wire(self) -> Json:
-        """The instance as the agent shows its own."""
-        shown = self.wire()
-        return {k: v for k, v in shown.items() if not k.endswith("Index")} | {"ContentHash": "0"}
-
-
-@dataclass(slots=True)
-class Check:
-    """A check of a node or of a service. `until`: when a TTL lapses; `forget`: how long critical is borne."""
-
-    id: str
-    name: str
-    node: str
-    status: str
-    service: str = ""
-    service_name: str = ""
-    notes: str = ""
-    output: str = ""
-    kind: str = ""
-    ttl: float = 0.0
-    until: float = math.inf
-    forget: float = math.inf
-    critical_since: float = math.inf
-    create: int = 0
-    modify: int = 0
-
-    def wire(self) -> Json:
-        """The check as answers show it."""
-        return {
-            "Node": self.node,
-            "CheckID": self.id,
-            "Name": self.name,
-            "Status": self.status,
-            "Notes": self.notes,
-            "Output": self.output,
-            "ServiceID": self.service,
-            "ServiceName": self.service_name,
-            "ServiceTags": [],
-            "Type": self.kind,
-            "CreateIndex": self.create,
-            "ModifyIndex": self.modify,
-        }
+from cottonhold.emulator.consul.entries import (
+    ApiError,
+    Check,
+    CheckStatus,
+    Json,
+    Node,
+    Service,
+    parse_duration,
+)
+
+FIRST_INDEX = 10
+GOSSIP_CHECK = "serfHealth"
+STATUS_BY_VERB = {
+    "pass": CheckStatus.PASSING,
+    "warn": CheckStatus.WARNING,
+    "fail": CheckStatus.CRITICAL,
+}
 
 
 class Catalog:
-    """One datacentre, with one agent that calls are made to. `changed` is called after each change."""
+    """One datacentre, with one agent that calls are made to. `on_changed` is called after each change."""
 
     def __init__(self, now: Callable[[], float], datacenter: str = "dc1", agent: str = "agent-1") -> None:
         self.now, self.datacenter, self.agent = now, datacenter, agent
-        self.index = 10
+        self.index = FIRST_INDEX
         self.nodes: dict[str, Node] = {}
-        self.services: dict[tuple[str, str], Service] = {}
-        self.checks: dict[tuple[str, str], Check] = {}
+        self.services: dict[tuple[str, str], Service] = {}  # by node and id
+        self.checks: dict[tuple[str, str], Check] = {}  # by node and id
         self.indexes: dict[str, int] = {}  # by service: the index of the last change that its health shows
-        self.changed: Callable[[], None] = lambda: None
+        self.on_changed: Callable[[], None] = lambda: None
         self.put_node(agent, "127.0.0.1")
 
-    # --- changes ---
-
-    def _bump(self, *services: str) -> int:
-        self.index += 1
-        for name in services:
-            self.indexes[name] = self.index
-        self.changed()
-        return self.index
-
     def put_node(self, name: str, address: str, meta: dict[str, str] | None = None) -> None:
-        """A node with its gossip check."""
+        """Add a node with its gossip check, or change it."""
         node = self.nodes.get(name)
-        at = self._bump(*self._names_on(name))
+        index = self._next_index(*self._services_on(name))
         if node is None:
-            self.nodes[name] = Node(name, address, meta or {}, at, at)
-            self.checks[name, "serfHealth"] = Check(
-                "serfHealth",
+            self.nodes[name] = Node(name, address, meta or {}, index, index)
+            self.checks[name, GOSSIP_CHECK] = Check(
+                GOSSIP_CHECK,
                 "Serf Health Status",
                 name,
-                "passing",
+                CheckStatus.PASSING,
                 output="Agent alive and reachable",
-                create=at,
-                modify=at,
+                create_index=index,
+                modify_index=index,
             )
         else:
-            node.address, node.modify = address, at
+            node.address, node.modify_index = address, index
             node.meta = node.meta if meta is None else meta
 
     def put_service(self, node: str, body: Json) -> Service:
@@ -184,8 +69,8 @@
         port = body.get("Port") or 0
         if not isinstance(service_id, str) or not isinstance(port, int) or not 0 <= port < 65536:
             raise ApiError(400, "Request decode error: ID or Port")
-        old = self.services.get((node, service_id))
-        at = self._bump(name)
+        former = self.services.get((node, service_id))
+        index = self._next_index(name)
         service = Service(
             service_id,
             name,
@@ -195,35 +80,35 @@
             list(body.get("Tags") or []),
             dict(body.get("Meta") or {}),
             body.get("Weights") or {"Passing": 1, "Warning": 1},
-            old.create if old else at,
-            at,
+            former.create_index if former else index,
+            index,
         )
         self.services[node, service_id] = service
-        self.nodes[node].modify = at
+        self.nodes[node].modify_index = index
         return service
 
-    def drop_service(self, node: str, service_id: str) -> bool:
-        """Remove an instance with its checks; whether there was one."""
+    def remove_service(self, node: str, service_id: str) -> bool:
+        """Remove an instance with its checks; return whether there was one."""
         service = self.services.pop((node, service_id), None)
         if service is None:
             return False
-        for key in [k for k, c in self.checks.items() if k[0] == node and c.service == service_id]:
+        for key in [k for k, c in self.checks.items() if k[0] == node and c.service_id == service_id]:
             del self.checks[key]
-        self._bump(service.name)
+        self._next_index(service.name)
         return True
 
-    def drop_node(self, name: str) -> None:
+    def remove_node(self, name: str) -> None:
         """Remove a node with all that runs on it."""
-        names = self._names_on(name)
+        services = self._services_on(name)
         self.nodes.pop(name, None)
         for table in (self.services, self.checks):
             for key in [k for k in table if k[0] == name]:
                 del table[key]
-        self._bump(*names)
+        self._next_index(*services)
 
     def put_check(self, node: str, body: Json, service: Service | None = None) -> Check:
         """Register a check. Raises ApiError."""
-        ttl = duration(body["TTL"]) if body.get("TTL") else 0.0
+        ttl_s = parse_duration(body["TTL"]) if body.get("TTL") else 0.0
         name = body.get("Name") or (f"Service '{service.name}' check" if service else "")
         check_id = body.get("CheckID") or body.get("ID") or (f"service:{service.id}" if service else name)
         if not check_id:
@@ -232,12 +117,10 @@
             service = self.services.get((node, body["ServiceID"]))
             if service is None:
                 raise ApiError(404, f"ServiceID {body['ServiceID']!r} does not exist")
-        status = body.get("Status") or "critical"
-        if status not in STATUSES:
-            raise ApiError(400, f"Bad check status: {status!r}")
-        forget = body.get("DeregisterCriticalServiceAfter")
+        status = _status(body.get("Status") or "critical", "Bad check status")
+        deregister_after = body.get("DeregisterCriticalServiceAfter")
         now = self.now()
-        at = self._bump(service.name) if service else self._bump(*self._names_on(node))
+        index = self._next_index(service.name) if service else self._next_index(*self._services_on(node))
         check = self.checks[node, check_id] = Check(
             check_id,
             name,
@@ -247,58 +130,41 @@
             service.name if service else "",
             body.get("Notes") or "",
             body.get("Output") or "",
-            "ttl" if ttl else body.get("Type", ""),
-            ttl,
-            now + ttl if ttl else math.inf,
-            duration(forget) if forget else math.inf,
-            now if status == "critical" else math.inf,
-            at,
-            at,
+            "ttl" if ttl_s else body.get("Type", ""),
+            ttl_s,
+            now + ttl_s if ttl_s else math.inf,
+            parse_duration(deregister_after) if deregister_after else math.inf,
+            now if status is CheckStatus.CRITICAL else math.inf,
+            index,
+            index,
         )
         return check
 
-    def drop_check(self, node: str, check_id: str) -> None:
+    def remove_check(self, node: str, check_id: str) -> None:
         """Remove a check. Raises ApiError where there is none."""
-        check = self.checks.pop((node, check_id), None)
-        if check is None:
-            raise ApiError(
-                404, f'Unknown check ID "{check_id}". Ensure that the check ID is passed, not the check name.'
-            )
-        self._touch(check)
+        check = self._check(node, check_id)
+        del self.checks[node, check_id]
+        self._modify(check)
 
     def set_status(self, node: str, check_id: str, status: str, output: str = "") -> None:
-        """A check's new status; a TTL starts anew. Raises ApiError."""
-        check = self.checks.get((node, check_id))
-        if check is None:
-            raise ApiError(
-                404, f'Unknown check ID "{check_id}". Ensure that the check ID is passed, not the check name.'
-            )
-        status = ALIASES.get(status, status)
-        if status not in STATUSES:
-            raise ApiError(400, f"Invalid check status: {status!r}")
-        if check.ttl:
-            check.until = self.now() + check.ttl
-        if (status, output) == (check.status, check.output):
-            return  # Consul doesn't sync what hasn't changed, and no watcher wakes
-        if status != check.status:
-            check.critical_since = self.now() if status == "critical" else math.inf
-        check.status, check.output = status, output
-        self._touch(check)
-
-    def _touch(self, check: Check) -> None:
-        names = [check.service_name] if check.service else self._names_on(check.node)
-        check.modify = self._bump(*names)
-
-    def _names_on(self, node: str) -> list[str]:
-        return sorted({s.name for s in self.services.values() if s.node == node})
-
-    def maintain(self, node: str, on: bool, reason: str, service: str = "") -> None:
-        """Maintenance of an instance, or of the node. Raises ApiError."""
-        if service and (node, service) not in self.services:
-            raise ApiError(404, f'Unknown service ID "{service}"')
-        check_id = f"_service_maintenance:{service}" if service else "_node_maintenance"
-        if on and (node, check_id) not in self.checks:
-            kind = "Service" if service else "Node"
+        """Set a check's status, or restart its TTL; `status` may be pass, warn or fail. Raises ApiError."""
+        check = self._check(node, check_id)
+        new_status = STATUS_BY_VERB.get(status) or _status(status, "Invalid check status")
+        if check.ttl_s:
+            check.expires_at = self.now() + check.ttl_s
+        if (new_status, output) == (check.status, check.output):
+            return  # Consul does not sync what has not changed, and no watcher wakes
+        check.set_status(self.now(), new_status, output)
+        self._modify(check)
+
+    def set_maintenance(self, node: str, is_on: bool, reason: str, service_id: str = "") -> None:
+        """Set or end the maintenance of an instance, or of the node. Raises ApiError."""
+        if service_id and (node, service_id) not in self.services:
+            raise ApiError(404, f'Unknown service ID "{service_id}"')
+        check_id = f"_service_maintenance:{service_id}" if service_id else "_node_maintenance"
+        has_check = (node, check_id) in self.checks
+        if is_on and not has_check:
+            kind = "Service" if service_id else "Node"
             default = f"Maintenance mode is enabled for this {kind.lower()}, but no reason was provided."
             body = {
                 "CheckID": check_id,
@@ -306,62 +172,106 @@
                 "Notes": reason or default,
                 "Status": "critical",
             }
-            self.put_check(node, body, self.services.get((node, service)))
-        elif not on and (node, check_id) in self.checks:
-            self.drop_check(node, check_id)
+            self.put_check(node, body, self.services.get((node, service_id)))
+        elif not is_on and has_check:
+            self.remove_check(node, check_id)
 
-    def tick(self) -> float:
-        """Lapse TTLs and forget what was critical for too long; returns when to come again."""
+    def expire(self) -> float:
+        """End TTLs, and remove services that were critical for too long; return when to call it next."""
         now = self.now()
         for check in list(self.checks.values()):
-            if check.until <= now:
-                check.until = math.inf
-                if check.status != "critical":
-                    check.status, check.output, check.critical_since = "critical", "TTL expired", now
-                    self._touch(check)
-            if check.service and check.critical_since + check.forget <= now:
-                self.drop_service(check.node, check.service)
-        ends = (min(c.until, c.critical_since + c.forget) for c in self.checks.values())
-        return min(ends, default=math.inf)
-
-    # --- answers ---
-
-    def health(self, name: str) -> list[Json]:
+            if check.expires_at <= now:
+                check.expires_at = math.inf
+                if check.status is not CheckStatus.CRITICAL:
+                    check.set_status(now, CheckStatus.CRITICAL, "TTL expired")
+                    self._modify(check)
+            if check.service_id and check.deregister_at() <= now:
+                self.remove_service(check.node, check.service_id)
+        return min((min(c.expires_at, c.deregister_at()) for c in self.checks.values()), default=math.inf)
+
+    def node_of(self, service_id: str) -> str:
+        """The node on which an instance runs. Raises ApiError."""
+        for node, service in self.services:
+            if service == service_id:
+                return node
+        raise ApiError(404, f'Unknown service ID "{service_id}"')
+
+    def check_of(self, service_id: str) -> tuple[str, str]:
+        """The node and id of an instance's check, not one of maintenance. Raises ApiError."""
+        service_node = self.node_of(service_id)
+        for (node, check_id), check in self.checks.items():
+            if node == service_node and check.service_id == service_id and not check_id.startswith("_"):
+                return node, check_id
+        raise ApiError(404, f'"{service_id}" has no check')
+
+    def health_rows(self, name: str) -> list[Json]:
         """All instances of a service with the checks of node and service, as /v1/health/service."""
-        rows = []
-        by_node: dict[str, list[Check]] = {}
+        checks_by_node: dict[str, list[Check]] = {}
         for check in self.checks.values():
-            by_node.setdefault(check.node, []).append(check)
-        for service in self.services.values():
-            if service.name == name:
-                own = [c.wire() for c in by_node.get(service.node, []) if c.service in ("", service.id)]
-                node = self.nodes[service.node].wire(self.datacenter)
-                rows.append({"Node": node, "Service": service.wire(), "Checks": own})
+            checks_by_node.setdefault(check.node, []).append(check)
+        rows = []
+        for service in self._instances_of(name):
+            checks = checks_by_node.get(service.node, [])
+            rows.append(
+                {
+                    "Node": self.nodes[service.node].to_json(self.datacenter),
+                    "Service": service.to_json(),
+                    "Checks": [c.to_json() for c in checks if c.service_id in ("", service.id)],
+                }
+            )
         return rows
 
-    def catalog(self, name: str) -> list[Json]:
+    def service_rows(self, name: str) -> list[Json]:
         """All instances of a service, as /v1/catalog/service."""
         rows = []
-        for service in self.services.values():
-            if service.name == name:
-                node = self.nodes[service.node].wire(self.datacenter)
-                shown = {
-                    f"Service{k}": v
-                    for k, v in service.wire().items()
-                    if k in ("ID", "Address", "Tags", "Port", "Meta")
+        for service in self._instances_of(name):
+            shown = service.to_json()
+            rows.append(
+                {
+                    **self.nodes[service.node].to_json(self.datacenter),
+                    **{f"Service{key}": shown[key] for key in ("ID", "Tags", "Address", "Meta", "Port")},
+                    "ServiceName": name,
+                    "ServiceWeights": service.weights,
+                    "CreateIndex": service.create_index,
+                    "ModifyIndex": service.modify_index,
                 }
-                rows.append(
-                    {
-                        **node,
-                        **shown,
-                        "ServiceName": name,
-                        "ServiceWeights": service.weights,
-                        "CreateIndex": service.create,
-                        "ModifyIndex": service.modify,
-                    }
-                )
+            )
         return rows
 
     def service_index(self, name: str) -> int:
-        """The index that a blocking query on a service waits on."""
+        """The index that a blocking query on a service waits for."""
         return self.indexes.get(name, self.index if not self.indexes else max(self.indexes.values()))
+
+    def _instances_of(self, name: str) -> list[Service]:
+        return [service for service in self.services.values() if service.name == name]
+
+    def _services_on(self, node: str) -> list[str]:
+        return sorted({s.name for s in self.services.values() if s.node == node})
+
+    def _check(self, node: str, check_id: str) -> Check:
+        check = self.checks.get((node, check_id))
+        if check is None:
+            raise ApiError(
+                404, f'Unknown check ID "{check_id}". Ensure that the check ID is passed, not the check name.'
+            )
+        return check
+
+    def _next_index(self, *services: str) -> int:
+        """Count a change, which the health of these services shows."""
+        self.index += 1
+        for name in services:
+            self.indexes[name] = self.index
+        self.on_changed()
+        return self.index
+
+    def _modify(self, check: Check) -> None:
+        """A check has changed."""
+        services = [check.service_name] if check.service_id else self._services_on(check.node)
+        check.modify_index = self._next_index(*services)
+
+
+def _status(name: str, error: str) -> CheckStatus:
+    try:
+        return CheckStatus(name)
+    except ValueError:
+        raise ApiError(400, f"{error}: {name!r}") from None
--- /dev/null
+++ b/cottonhold/emulator/consul/faults.py
@@ -0,0 +1,66 @@
+"""The faults that a script has switched on."""
+
+from __future__ import annotations
+
+import json
+import math
+from collections.abc import Callable
+
+from cottonhold.emulator.consul.script import FaultKind
+
+# Watchers meet these at once, not at the end of their wait.
+INTERRUPTING = (
+    FaultKind.CUT,
+    FaultKind.TRUNCATE,
+    FaultKind.EMPTY,
+    FaultKind.GARBAGE,
+    FaultKind.DRIP,
+    FaultKind.STATUS,
+    FaultKind.HANG,
+    FaultKind.NO_LEADER,
+    FaultKind.BACKWARDS,
+)
+
+
+class ActiveFaults:
+    """Faults by kind, each until a time. now: seconds of the caller's clock."""
+
+    def __init__(self, now: Callable[[], float]) -> None:
+        self.now = now
+        self._active: dict[FaultKind, tuple[float, tuple[str, ...]]] = {}  # end and arguments
+
+    def start(self, kind: FaultKind, duration_s: float, arguments: tuple[str, ...]) -> None:
+        """Switch a fault on."""
+        self._active[kind] = (self.now() + duration_s, arguments)
+
+    def clear(self) -> None:
+        """Switch all off."""
+        self._active.clear()
+
+    def arguments(self, kind: FaultKind) -> tuple[str, ...] | None:
+        """A fault's arguments; None if it is off."""
+        expires_at, arguments = self._active.get(kind, (0.0, ()))
+        return arguments if expires_at > self.now() else None
+
+    def is_active(self, kind: FaultKind) -> bool:
+        """Whether a fault is on."""
+        return self.arguments(kind) is not None
+
+    def remaining_s(self, kind: FaultKind) -> float:
+        """Seconds until a fault that was on ends."""
+        return max(self._active[kind][0] - self.now(), 0)
+
+    def interrupts_watchers(self) -> bool:
+        """Whether a fault is on that ends blocking queries."""
+        return any(self.is_active(kind) for kind in INTERRUPTING)
+
+    def corrupt(self, body: bytes) -> bytes:
+        """A health response's body as the faults change it."""
+        if self.is_active(FaultKind.GARBAGE):
+            return b'[{"Node":{"Node":\xff\xfe' + body[:40]
+        if self.is_active(FaultKind.EMPTY):
+            return b"[]"
+        if self.is_active(FaultKind.TRUNCATE):
+            rows = json.loads(body)
+            return json.dumps(rows[: math.ceil(len(rows) / 4)]).encode()
+        return body
--- a/cottonhold/emulator/consul/script.py
+++ b/cottonhold/emulator/consul/script.py
@@ -14,32 +14,47 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
-FAULTS = {
-    "hang": 0,
-    "cut": 0,
-    "truncate": 0,
-    "empty": 0,
-    "garbage": 0,
-    "drip": 0,
-    "status": 1,
-    "noleader": 0,
-    "backwards": 0,
-    "stale": 1,
-    "gzip": 0,
-    "chunked": 0,
+
+class FaultKind(StrEnum):
+    """Faults of a script, each for a time."""
+
+    HANG = "hang"
+    CUT = "cut"
+    TRUNCATE = "truncate"
+    EMPTY = "empty"
+    GARBAGE = "garbage"
+    DRIP = "drip"
+    STATUS = "status"
+    NO_LEADER = "noleader"
+    BACKWARDS = "backwards"
+    STALE = "stale"
+    GZIP = "gzip"
+    CHUNKED = "chunked"
+
+
+class ChangeKind(StrEnum):
+    """Changes of a script."""
+
+    CRITICAL = "critical"
+    WARNING = "warning"
+    PASSING = "passing"
+    NODE_FAIL = "nodefail"
+    NODE_WELL = "nodewell"
+    MAINTENANCE = "maintenance"
+    DEREGISTER = "deregister"
+    REGISTER = "register"
+    REVOKE = "revoke"
+    GRANT = "grant"
+
+
+FAULT_WORD = "fault"
+FAULT_ARGUMENTS: dict[str, int] = {
+    kind: int(kind in (FaultKind.STATUS, FaultKind.STALE)) for kind in FaultKind
 }
-CHANGES = {
-    "critical": 1,
-    "warning": 1,
-    "passing": 1,
-    "nodefail": 1,
-    "nodewell": 1,
-    "maintenance": 2,
-    "deregister": 1,
-    "register": 2,
-    "revoke": 1,
-    "grant": 1,
+CHANGE_ARGUMENTS: dict[str, int] = {
+    kind: 2 if kind in (ChangeKind.MAINTENANCE, ChangeKind.REGISTER) else 1 for kind in ChangeKind
 }
 
 
@@ -49,44 +64,49 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One line: when (seconds), what, its arguments, and for how long (faults only)."""
+    """One line: when, what, its arguments, and for how long (faults only)."""
 
-    at: float
-    what: str
+    at_s: float
+    kind: FaultKind | ChangeKind
     args: tuple[str, ...] = ()
-    lasts: float = 0.0
+    duration_s: float = 0.0
 
 
 def parse(text: str) -> list[Step]:
     """All steps in order of time. Raises ScriptError."""
     steps = []
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.split("#")[0].split()
-        if not words:
+        fields = line.split("#")[0].split()
+        if not fields:
             continue
         try:
-            steps.append(_step(words))
+            steps.append(_parse_step(fields))
         except (ValueError, IndexError) as error:
             raise ScriptError(f"line {number}: {error}: {line.strip()}") from error
-    return sorted(steps, key=lambda step: step.at)
+    return sorted(steps, key=lambda step: step.at_s)
 
 
-def _step(words: list[str]) -> Step:
-    at = float(words[0])
-    if at < 0:
+def _parse_step(fields: list[str]) -> Step:
+    at_s = float(fields[0])
+    if at_s < 0:
         raise ValueError("a time before the start")
-    if len(words) < 2:
+    if len(fields) < 2:
         raise ValueError("nothing to do")
-    if words[1] == "fault":
-        if len(words) < 3 or words[2] not in FAULTS:
-            raise ValueError(f"a fault is one of {', '.join(FAULTS)}")
-        args = words[3:]
-        if len(args) != FAULTS[words[2]] + 1:
-            raise ValueError(f"'{words[2]}' takes {FAULTS[words[2]]} arguments and how long it lasts")
-        numbers = [float(a) for a in args]
-        return Step(at, words[2], tuple(args[:-1]), numbers[-1])
-    if words[1] not in CHANGES:
-        raise ValueError(f"a step is 'fault' or one of {', '.join(CHANGES)}")
-    if len(words) - 2 != CHANGES[words[1]]:
-        raise ValueError(f"'{words[1]}' takes {CHANGES[words[1]]} arguments")
-    return Step(at, words[1], tuple(words[2:]))
+    if fields[1] == FAULT_WORD:
+        return _parse_fault(at_s, fields[2:])
+    if fields[1] not in CHANGE_ARGUMENTS:
+        raise ValueError(f"a step is 'fault' or one of {', '.join(ChangeKind)}")
+    kind, args = ChangeKind(fields[1]), fields[2:]
+    if len(args) != CHANGE_ARGUMENTS[kind]:
+        raise ValueError(f"'{kind}' takes {CHANGE_ARGUMENTS[kind]} arguments")
+    return Step(at_s, kind, tuple(args))
+
+
+def _parse_fault(at_s: float, fields: list[str]) -> Step:
+    if not fields or fields[0] not in FAULT_ARGUMENTS:
+        raise ValueError(f"a fault is one of {', '.join(FaultKind)}")
+    kind, args = FaultKind(fields[0]), fields[1:]
+    if len(args) != FAULT_ARGUMENTS[kind] + 1:
+        raise ValueError(f"'{kind}' takes {FAULT_ARGUMENTS[kind]} arguments and how long it lasts")
+    numbers = [float(arg) for arg in args]
+    return Step(at_s, kind, tuple(args[:-1]), numbers[-1])
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Coroutine
 from typing import TYPE_CHECKING, Any
 
-from cottonhold.emulator.consul.script import Step
+from cottonhold.emulator.consul.script import ChangeKind, Step
 from cottonhold.emulator.fault_injection.links import Link, NetworkPath
 from cottonhold.emulator.fault_injection.operators import Operators
 from cottonhold.emulator.fault_injection.script import Fault
@@ -183,7 +183,7 @@
 
     def _drain(self, verb: str, engine: str) -> None:
         for server in self.trial.consuls.values():
-            server.carry_out(Step(0, "maintenance", (engine, "on" if verb == "drain" else "off")))
+            server.apply(Step(0, ChangeKind.MAINTENANCE, (engine, "on" if verb == "drain" else "off")))
         self.trial.marks.append((time.monotonic(), verb, engine))
 
     def distance_ms(self, instance: str, other: str) -> float:
--- a/cottonhold/emulator/process_fleet.py
+++ b/cottonhold/emulator/process_fleet.py
@@ -1,4 +1,4 @@
-"""A tier of real instances on loopback, and stand-in engines that count who probes them: a rig.
+"""Real instances on loopback as processes, and stand-in engines that count who checks their health.
 
 Ends only the processes that it started.
 """
@@ -24,10 +24,11 @@
 from cottonhold.emulator.engine import StandInEngine
 from cottonhold.node.status import ask
 
-PROBE_MS = 500
-ENGINES = 6
-
-
+HEALTH_CHECK_INTERVAL_MS = 500
+ENGINE_COUNT = 6
+STATE_TIMEOUT_S = 60.0
+LOG_TAIL_CHARACTERS = 1500
+CHECKS_PER_SAMPLE = 3  # of each engine
 # Below the ports that the kernel gives to connects: one of those could be taken before its process binds it.
 FIRST_PORT, LAST_PORT = 15_000, 32_000
 BLOCK_PORTS = 200
@@ -41,6 +42,11 @@
 
     def __init__(self) -> None:
         self.claim = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        first = self._claim_first_port()
+        self.ports = itertools.cycle(range(first + 1, first + BLOCK_PORTS))
+
+    def _claim_first_port(self) -> int:
+        """Bind the first port of a block that nobody claims."""
         draw = random.SystemRandom()
         while True:
             first = draw.randrange(FIRST_PORT, LAST_PORT, BLOCK_PORTS)
@@ -48,32 +54,31 @@
                 self.claim.bind(("127.0.0.1", first))
             except OSError:
                 continue
-            break
-        self.ports = itertools.cycle(range(first + 1, first + BLOCK_PORTS))
+            return first
 
-    def take(self, count: int, kind: socket.SocketKind) -> list[int]:
+    def allocate(self, count: int, kind: socket.SocketKind) -> list[int]:
         """Return the next ports of the block that are not bound now."""
-        found = list[int]()
-        while len(found) < count:
+        ports = list[int]()
+        while len(ports) < count:
             port = next(self.ports)
             with socket.socket(socket.AF_INET, kind) as sock, contextlib.suppress(OSError):
                 sock.bind(("127.0.0.1", port))
-                found.append(port)
-        return found
+                ports.append(port)
+        return ports
 
 
 @functools.cache
-def _own_block(process_id: int) -> PortBlock:
+def _block_of(process_id: int) -> PortBlock:
     """The block of a process; a forked process claims one of its own."""
     return PortBlock()
 
 
 def free_ports(count: int, kind: socket.SocketKind) -> list[int]:
     """Return ports that are free, and that no other process of ours draws while this one lives."""
-    return _own_block(os.getpid()).take(count, kind)
+    return _block_of(os.getpid()).allocate(count, kind)
 
 
-class Tier:
+class ProcessFleet:
     """Stand-in engines in a thread, and instances as processes."""
 
     def __init__(self, folder: Path, count: int) -> None:
@@ -81,96 +86,113 @@
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.engines = {f"e{i}": StandInEngine(f"e{i}") for i in range(ENGINES)}
+        self.engines = {f"e{i}": StandInEngine(f"e{i}") for i in range(ENGINE_COUNT)}
         ports = {engine_id: self.run(engine.start()) for engine_id, engine in self.engines.items()}
-        self.known = [{"id": engine_id, "address": f"127.0.0.1:{port}"} for engine_id, port in ports.items()]
-        self.tcp = free_ports(count, socket.SOCK_STREAM)
-        self.udp = free_ports(count, socket.SOCK_DGRAM)
+        self.configured_engines = [
+            {"id": engine_id, "address": f"127.0.0.1:{port}"} for engine_id, port in ports.items()
+        ]
+        self.tcp_ports = free_ports(count, socket.SOCK_STREAM)
+        self.udp_ports = free_ports(count, socket.SOCK_DGRAM)
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
 
     def run(self, work: Any) -> Any:
         """Run a coroutine in the loop of the stand-ins and return its result."""
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(30)
 
-    def start(self, i: int) -> None:
-        """Start instance number i."""
-        path = self.folder / f"n{i}.json"
-        config = {
-            "name": f"n{i}",
-            "listen": f"127.0.0.1:{self.tcp[i]}",
-            "number": i,
+    def start(self, number: int) -> None:
+        """Start an instance."""
+        path = self.folder / f"n{number}.json"
+        path.write_text(json.dumps(self._config(number)))
+        program = [sys.executable, "-m", "cottonhold.cli.main", "serve", "--config", str(path)]
+        log = self._log_path(number).open("ab")
+        self.processes[number] = subprocess.Popen(program, stderr=log)
+
+    def _config(self, number: int) -> dict[str, Any]:
+        return {
+            "name": f"n{number}",
+            "listen": f"127.0.0.1:{self.tcp_ports[number]}",
+            "number": number,
             "dispatchers": self.count,
             "classes": [{"name": "lookup", "aim_ms": 1000, "deadline_ms": 5000, "effect": "safe"}],
-            "known": self.known,
-            "peers": {"listen": f"127.0.0.1:{self.udp[i]}", "all": [f"127.0.0.1:{p}" for p in self.udp]},
-            "membership": {"keys": [{"number": 1, "secret": "a shared key"}], "probe_ms": PROBE_MS},
-            "status_socket": f"n{i}.sock",
+            "known": self.configured_engines,
+            "peers": {
+                "listen": f"127.0.0.1:{self.udp_ports[number]}",
+                "all": [f"127.0.0.1:{p}" for p in self.udp_ports],
+            },
+            "membership": {
+                "keys": [{"number": 1, "secret": "a shared key"}],
+                "probe_ms": HEALTH_CHECK_INTERVAL_MS,
+            },
+            "status_socket": f"n{number}.sock",
         }
-        path.write_text(json.dumps(config))
-        program = [sys.executable, "-m", "cottonhold.cli.main", "serve", "--config", str(path)]
-        log = (self.folder / f"n{i}.log").open("ab")
-        self.processes[i] = subprocess.Popen(program, stderr=log)
 
-    def kill(self, i: int) -> None:
-        """Kill instance number i and wait for its end."""
-        process = self.processes.pop(i)
+    def _log_path(self, number: int) -> Path:
+        return self.folder / f"n{number}.log"
+
+    def kill(self, number: int) -> None:
+        """Kill an instance and wait for its end."""
+        process = self.processes.pop(number)
         process.kill()
         process.wait()
 
     def stop(self) -> None:
         """Kill all instances and end the stand-ins."""
-        for i in list(self.processes):
-            self.kill(i)
+        for number in list(self.processes):
+            self.kill(number)
         for engine in self.engines.values():
             self.run(engine.stop())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(10)
         self.loop.close()
 
-    def view(self, i: int) -> dict[str, Any]:
-        """What instance number i shows at its local socket."""
-        return ask(self.folder / f"n{i}.sock", {"call": "view"})
+    def view(self, number: int) -> dict[str, Any]:
+        """What an instance shows at its local socket."""
+        return ask(self.folder / f"n{number}.sock", {"call": "view"})
 
     def views(self) -> dict[int, dict[str, Any]]:
         """The view of each running instance, by number."""
-        return {i: self.view(i) for i in self.processes}
+        return {number: self.view(number) for number in self.processes}
 
-    def agreed(self) -> bool:
-        """Whether all that run see exactly all that run, and name one and the same of them for each duty."""
+    def has_converged(self) -> bool:
+        """Whether all running instances see exactly each other, and agree who holds each duty."""
         try:
             views = self.views()
         except OSError:
             return False
-        names = {f"n{i}" for i in views}
-        tables = set()
-        for i, view in views.items():
-            there = {m["name"] for m in view["members"] if m["status"] in ("alive", "suspect")}
-            if there | {f"n{i}"} != names:
+        names = {f"n{number}" for number in views}
+        duty_tables = set()
+        for number, view in views.items():
+            members = {m["name"] for m in view["members"] if m["status"] in ("alive", "suspect")}
+            if members | {f"n{number}"} != names:
                 return False
-            held = {(d["duty"], d["subject"]): d["holder"] for d in view["duties"]}
-            if len(held) != ENGINES + 1 or not set(held.values()) <= names:
+            holders = {(d["duty"], d["subject"]): d["holder"] for d in view["duties"]}
+            if len(holders) != ENGINE_COUNT + 1 or not set(holders.values()) <= names:
                 return False
-            tables.add(json.dumps(sorted([*pair, holder] for pair, holder in held.items())))
-        return len(tables) == 1
-
-    def until(self, holds: Callable[[], bool], what: str, every: float = 0.05) -> float:
-        """Wait for a state; returns how long it took, in seconds. Raises AssertionError after a minute."""
-        begun = time.monotonic()
-        while not holds():
-            if time.monotonic() - begun > 60:
-                logs = "\n".join((self.folder / f"n{i}.log").read_text()[-1500:] for i in range(self.count))
-                raise AssertionError(f"{what}\n{logs}")
-            time.sleep(every)
-        return time.monotonic() - begun
-
-    def probers(self) -> dict[str, set[int]]:
-        """For each engine the dispatchers (by their ports) that probe it, over three probes from now on."""
-        begun = {engine_id: len(engine.probes) for engine_id, engine in self.engines.items()}
-        self.until(
-            lambda: all(len(e.probes) >= begun[engine_id] + 3 for engine_id, e in self.engines.items()),
-            "probes",
-        )
+            duty_tables.add(json.dumps(sorted([*duty, holder] for duty, holder in holders.items())))
+        return len(duty_tables) == 1
+
+    def wait_until(self, condition: Callable[[], bool], what: str, poll_interval_s: float = 0.05) -> float:
+        """Wait for a condition; return how long it took, in seconds. Raises AssertionError after a minute."""
+        started_at = time.monotonic()
+        while not condition():
+            if time.monotonic() - started_at > STATE_TIMEOUT_S:
+                logs = [self._log_path(i).read_text()[-LOG_TAIL_CHARACTERS:] for i in range(self.count)]
+                raise AssertionError("\n".join([what, *logs]))
+            time.sleep(poll_interval_s)
+        return time.monotonic() - started_at
+
+    def checkers(self) -> dict[str, set[int]]:
+        """The dispatchers (by their ports) that check each engine's health, over the next few checks."""
+        counts = {engine_id: len(engine.health_checks) for engine_id, engine in self.engines.items()}
+
+        def has_sample() -> bool:
+            return all(
+                len(engine.health_checks) >= counts[engine_id] + CHECKS_PER_SAMPLE
+                for engine_id, engine in self.engines.items()
+            )
+
+        self.wait_until(has_sample, "health checks")
         return {
-            engine_id: {port for _, port in e.probes[begun[engine_id] :]}
-            for engine_id, e in self.engines.items()
+            engine_id: {port for _, port in engine.health_checks[counts[engine_id] :]}
+            for engine_id, engine in self.engines.items()
         }
--- a/cottonhold/emulator/serving.py
+++ b/cottonhold/emulator/serving.py
@@ -1,4 +1,4 @@
-"""What stand-ins share: connections as tasks, engines' calls, and a program that runs until told."""
+"""What stand-ins share: connections as tasks, engines' calls, and a program that runs until a signal."""
 
 from __future__ import annotations
 
@@ -15,9 +15,12 @@
 
 
 class Listener:
-    """A server that ends as a process that dies: its connections break."""
+    """A server that ends as a process that dies: its connections break.
 
-    ends: tuple[type[BaseException], ...] = (OSError, asyncio.CancelledError)  # of a connection, unsaid
+    `expected_errors` end a connection silently.
+    """
+
+    expected_errors: tuple[type[BaseException], ...] = (OSError, asyncio.CancelledError)
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
@@ -26,12 +29,12 @@
     async def start(
         self, host: str = "127.0.0.1", port: int = 0, context: ssl.SSLContext | None = None
     ) -> int:
-        """Listen; returns the port. Raises OSError."""
+        """Listen; return the port. Raises OSError."""
         self.server = await asyncio.start_server(self._serve, host, port, ssl=context, backlog=256)
         return int(self.server.sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
-        """Close, and cut every connection."""
+        """Close, and break every connection."""
         if self.server is not None:
             self.server.close()
         for task in list(self.tasks):
@@ -39,42 +42,45 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something until it ends or all does."""
-        self._hold(asyncio.get_running_loop().create_task(work))
+        """Run something until it ends or the server stops."""
+        self._track(asyncio.get_running_loop().create_task(work))
 
-    def _hold(self, task: asyncio.Task[Any]) -> None:
+    def _track(self, task: asyncio.Task[Any]) -> None:
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._hold(task)
+        self._track(task)
         try:
             await self.converse(reader, writer)
-        except self.ends:
+        except self.expected_errors:
             pass
         finally:
             writer.close()
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, to its end."""
+        """Serve one connection, to its end."""
         raise NotImplementedError
 
 
 async def engine_calls(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
-    """The calls of one connection to an engine, as they come. Raises OSError and RespError."""
-    words = RespReader()
+    """The calls of one connection to an engine, in order. Raises OSError and RespError."""
+    calls = RespReader()
     while data := await reader.read(READ_BYTES):
-        for call in words.feed(data):
+        for call in calls.feed(data):
             yield call
-        while words.has_partial() and (more := words.feed(b"")):
+        while calls.has_partial() and (more := calls.feed(b"")):
             for call in more:
                 yield call
 
 
-def run_until_told(listen: str, serve: Callable[[str, int, asyncio.Event], Awaitable[None]]) -> int:
-    """Run a stand-in at `host:port` until SIGTERM or SIGINT sets the event; 1 if its address can't be had."""
+def run_until_signal(listen: str, serve: Callable[[str, int, asyncio.Event], Awaitable[None]]) -> int:
+    """Run a stand-in at `host:port` until SIGTERM or SIGINT sets the event; return the exit code.
+
+    It is 1 if the address can't be used.
+    """
     host, _, port = listen.rpartition(":")
 
     async def main() -> None:
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -112,7 +112,7 @@
 
     def script(self, text: str, server: int = 0) -> None:
         for step in parse(text):
-            self.servers[server].carry_out(step)
+            self.servers[server].apply(step)
 
     async def until(self, holds: Callable[[], object], what: str) -> None:
         for _ in range(3000):
@@ -283,7 +283,7 @@
         await s.start({**SOURCE, "addresses": [address]})
         await s.until(lambda: s.live() == ["e1"], "one engine")
         load = asyncio.ensure_future(s.query(1, "load"))
-        await s.until(lambda: s.engines["e1"].out == 1, "the load runs")
+        await s.until(lambda: s.engines["e1"].in_flight == 1, "the load runs")
         s.script("0 maintenance e1 on")
         await s.until(lambda: not s.live(), "drained")
         await s.engines_in(0, "e2")
@@ -512,7 +512,7 @@
             return ("agent-1", "n1") in catalog.services
 
         await s.until(there, "registered")
-        catalog.drop_service("agent-1", "n1")
+        catalog.remove_service("agent-1", "n1")
         await s.until(there, "registered anew")
         leaving: list[Awaitable[object]] = list(s.node.shutdown_tasks())
         await asyncio.gather(*leaving)
--- a/tests/emulator/test_consul.py
+++ b/tests/emulator/test_consul.py
@@ -1,4 +1,4 @@
-"""The stand-in's fidelity, by a client that nobody here wrote: py-consul."""
+"""The stand-in Consul: its fidelity by an independent client (py-consul), its catalogue and its scripts."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 import consul
 import pytest
 
-from cottonhold.emulator.consul.catalog import ApiError, Catalog, duration
+from cottonhold.emulator.consul.catalog import Catalog
+from cottonhold.emulator.consul.entries import ApiError, parse_duration
+from cottonhold.emulator.consul.filters import matches
 from cottonhold.emulator.consul.script import ScriptError, parse
-from cottonhold.emulator.consul.server import Server, matches
+from cottonhold.emulator.consul.server import Server
 
 
-class Running:
-    """A stand-in in a thread of its own."""
+class ServerThread:
+    """A stand-in with an event loop in a thread."""
 
     def __init__(self, token: str = "") -> None:
         self.loop = asyncio.new_event_loop()
@@ -36,41 +38,41 @@
 
 
 @pytest.fixture
-def running() -> Iterator[Running]:
-    made = Running()
-    yield made
-    made.stop()
+def server_thread() -> Iterator[ServerThread]:
+    server_thread = ServerThread()
+    yield server_thread
+    server_thread.stop()
 
 
-def client(running: Running, **more: Any) -> Any:
-    return consul.Consul(host="127.0.0.1", port=running.port, **more)
+def client(server_thread: ServerThread, **options: Any) -> Any:
+    return consul.Consul(host="127.0.0.1", port=server_thread.port, **options)
 
 
-def statuses(c: Any, **more: Any) -> list[str]:
-    _, rows = c.health.service("engine", **more)
+def service_check_statuses(c: Any, **options: Any) -> list[str]:
+    _, rows = c.health.service("engine", **options)
     return sorted(check["Status"] for row in rows for check in row["Checks"] if check["ServiceID"])
 
 
-def test_a_service_is_registered_passed_failed_and_removed(running: Running) -> None:
-    c = client(running)
-    made = consul.Check.ttl("30s")
-    assert c.agent.service.register("engine", "e1", "10.0.0.1", 9000, tags=["a"], check=made)
-    assert statuses(c) == ["critical"]  # a TTL check begins critical, as the agent's page says
+def test_service_registration_checks_and_deregistration(server_thread: ServerThread) -> None:
+    c = client(server_thread)
+    check = consul.Check.ttl("30s")
+    assert c.agent.service.register("engine", "e1", "10.0.0.1", 9000, tags=["a"], check=check)
+    assert service_check_statuses(c) == ["critical"]  # a TTL check begins critical, as the agent's page says
     assert c.agent.check.ttl_pass("service:e1", notes="fine")
-    assert statuses(c) == ["passing"]
-    assert c.agent.check.ttl_warn("service:e1") and statuses(c) == ["warning"]
-    assert c.agent.check.ttl_fail("service:e1") and statuses(c) == ["critical"]
+    assert service_check_statuses(c) == ["passing"]
+    assert c.agent.check.ttl_warn("service:e1") and service_check_statuses(c) == ["warning"]
+    assert c.agent.check.ttl_fail("service:e1") and service_check_statuses(c) == ["critical"]
     assert c.health.service("engine", passing=True)[1] == []
     assert c.agent.services()["e1"]["Port"] == 9000 and "service:e1" in c.agent.checks()
     index, rows = c.catalog.service("engine")
     assert int(index) > 0 and rows[0]["ServiceID"] == "e1" and rows[0]["ServiceTags"] == ["a"]
     assert c.catalog.services()[1] == {"engine": ["a"]}
-    assert c.agent.service.deregister("e1") and statuses(c) == []
+    assert c.agent.service.deregister("e1") and service_check_statuses(c) == []
     assert c.status.leader() and c.status.peers()
 
 
-def test_maintenance_of_service_and_node_shows_as_a_critical_check(running: Running) -> None:
-    c = client(running)
+def test_maintenance_of_service_or_node_is_a_critical_check(server_thread: ServerThread) -> None:
+    c = client(server_thread)
     c.agent.service.register("engine", "e1", "10.0.0.1", 9000)
     c.agent.service.maintenance("e1", "true", "disk swap")
     c.agent.maintenance("true", "kernel")
@@ -79,39 +81,41 @@
     assert checks["_node_maintenance"]["Status"] == "critical"
     c.agent.service.maintenance("e1", "false")
     c.agent.maintenance("false")
-    assert statuses(c) == []
+    assert service_check_statuses(c) == []
 
 
-def test_a_blocking_query_returns_with_the_change(running: Running) -> None:
-    c = client(running)
+def test_blocking_query_returns_at_a_change(server_thread: ServerThread) -> None:
+    c = client(server_thread)
     c.agent.service.register("engine", "e1", "10.0.0.1", 9000, check=consul.Check.ttl("60s"))
     index, _ = c.health.service("engine")
-    got: list[Any] = []
+    responses: list[Any] = []
     waiting = threading.Thread(
-        target=lambda: got.append(client(running).health.service("engine", index=index, wait="60s"))
+        target=lambda: responses.append(
+            client(server_thread).health.service("engine", index=index, wait="60s")
+        )
     )
     waiting.start()
-    while not running.server.waiting:  # it is held
+    while not server_thread.server.waiting:
         pass
-    assert not got
+    assert not responses
     c.agent.check.ttl_pass("service:e1")
     waiting.join(30)
-    new, rows = got[0]
+    new, rows = responses[0]
     assert int(new) > int(index) and rows[0]["Checks"][-1]["Status"] == "passing"
     after, _ = c.health.service("engine", index=new, wait="10ms")
     assert after == new
 
 
-def test_a_change_elsewhere_wakes_no_watcher_of_this_service(running: Running) -> None:
-    c = client(running)
+def test_blocking_query_ignores_changes_of_other_services(server_thread: ServerThread) -> None:
+    c = client(server_thread)
     c.agent.service.register("engine", "e1", "10.0.0.1", 9000)
     index, _ = c.health.service("engine")
     c.agent.service.register("other", "o1", "10.0.0.1", 9001)
     assert c.health.service("engine", index=index, wait="20ms")[0] == index
 
 
-def test_other_nodes_come_by_the_catalogue(running: Running) -> None:
-    c = client(running)
+def test_catalog_registers_and_removes_other_nodes(server_thread: ServerThread) -> None:
+    c = client(server_thread)
     service = {"Service": "engine", "ID": "e9", "Address": "10.0.0.9", "Port": 1}
     assert c.catalog.register("far", "10.0.0.9", service=service)
     assert [n["Node"] for n in c.catalog.nodes()[1]] == ["agent-1", "far"]
@@ -120,43 +124,40 @@
     assert c.health.service("engine")[1] == []
 
 
-def test_a_token_is_asked_for_and_can_be_revoked() -> None:
-    running = Running("right")
+def test_token_is_required_and_can_be_revoked() -> None:
+    server_thread = ServerThread("right")
     try:
         with pytest.raises(consul.ACLPermissionDenied):
-            client(running, token="wrong").health.service("engine")
-        good = client(running, token="right")
+            client(server_thread, token="wrong").health.service("engine")
+        good = client(server_thread, token="right")
         assert good.health.service("engine")[1] == []
-        running.server.revoked = True
+        server_thread.server.is_token_revoked = True
         with pytest.raises(consul.ACLPermissionDenied):
             good.health.service("engine")
     finally:
-        running.stop()
+        server_thread.stop()
 
 
-# --- the model and the scripts, on a fake clock ---
-
-
-def test_a_ttl_lapses_and_what_stays_critical_is_forgotten() -> None:
+def test_ttl_expires_and_a_service_that_stays_critical_is_removed() -> None:
     now = [0.0]
     catalog = Catalog(lambda: now[0])
     service = catalog.put_service("agent-1", {"ID": "e1", "Name": "engine"})
     body = {"TTL": "2s", "Status": "passing", "DeregisterCriticalServiceAfter": "1m"}
     catalog.put_check("agent-1", body, service)
-    assert catalog.tick() == 2.0
+    assert catalog.expire() == 2.0
     now[0] = 2.0
-    catalog.tick()
-    (row,) = catalog.health("engine")
+    catalog.expire()
+    (row,) = catalog.health_rows("engine")
     assert row["Checks"][-1]["Status"] == "critical" and row["Checks"][-1]["Output"] == "TTL expired"
     now[0] = 61.9
-    catalog.tick()
-    assert catalog.health("engine")
+    catalog.expire()
+    assert catalog.health_rows("engine")
     now[0] = 62.0
-    catalog.tick()
-    assert not catalog.health("engine")
+    catalog.expire()
+    assert not catalog.health_rows("engine")
 
 
-def test_an_unchanged_status_moves_no_index() -> None:
+def test_unchanged_status_does_not_change_the_index() -> None:
     catalog = Catalog(lambda: 0.0)
     service = catalog.put_service("agent-1", {"ID": "e1", "Name": "engine"})
     catalog.put_check("agent-1", {"TTL": "2s", "Status": "passing"}, service)
@@ -168,17 +169,17 @@
 
 
 @pytest.mark.parametrize("text, seconds", [("10s", 10), ("1m30s", 90), ("500ms", 0.5), ("2h", 7200)])
-def test_durations(text: str, seconds: float) -> None:
-    assert duration(text) == seconds
+def test_parse_duration(text: str, seconds: float) -> None:
+    assert parse_duration(text) == seconds
 
 
 @pytest.mark.parametrize("text", ["", "10", "s", "1x", "-1s", "1s2"])
-def test_bad_durations(text: str) -> None:
+def test_parse_duration_rejects_malformed_text(text: str) -> None:
     with pytest.raises(ApiError):
-        duration(text)
+        parse_duration(text)
 
 
-def test_filters() -> None:
+def test_filter_expressions() -> None:
     row = {"Service": {"Tags": ["a", "b"], "Meta": {"k": "v"}, "ID": "e1"}}
     assert matches(row, 'Service.Meta["k"] == "v" and "a" in Service.Tags and Service.ID != "e2"')
     assert not matches(row, '"a" not in Service.Tags') and not matches(row, 'Service.Meta.k == "w"')
@@ -186,9 +187,9 @@
         matches(row, "Service.ID ~ 3")
 
 
-def test_a_script_is_read_in_order_and_bad_lines_are_named() -> None:
+def test_script_steps_are_sorted_and_errors_name_the_line() -> None:
     steps = parse("2 fault status 500 3 # three seconds\n\n1 critical e1\n")
-    assert [(s.at, s.what, s.args, s.lasts) for s in steps] == [
+    assert [(s.at_s, s.kind, s.args, s.duration_s) for s in steps] == [
         (1.0, "critical", ("e1",), 0.0),
         (2.0, "status", ("500",), 3.0),
     ]
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -15,41 +15,41 @@
 from typer.testing import CliRunner
 
 from cottonhold.cli.main import app
-from cottonhold.emulator.process_fleet import Tier
+from cottonhold.emulator.process_fleet import ProcessFleet
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("fleet processes")
 
 
 @pytest.fixture
-def tier(tmp_path: Path) -> Iterator[Tier]:
-    made = Tier(tmp_path, 5)
+def tier(tmp_path: Path) -> Iterator[ProcessFleet]:
+    made = ProcessFleet(tmp_path, 5)
     yield made
     made.stop()
 
 
-def test_five_instances_share_the_probes_through_deaths_a_stop_and_a_return(tier: Tier) -> None:
+def test_five_instances_share_the_probes_through_deaths_a_stop_and_a_return(tier: ProcessFleet) -> None:
     for i in range(5):
         tier.start(i)
-    tier.until(tier.agreed, "all five know one another")
-    assert all(len(ports) == 1 for ports in tier.probers().values()), "an engine is probed by one of all"
+    tier.wait_until(tier.has_converged, "all five know one another")
+    assert all(len(ports) == 1 for ports in tier.checkers().values()), "an engine is probed by one of all"
     tier.kill(1)
     tier.kill(3)
-    tier.until(tier.agreed, "three know that two are gone, and hold their duties")
-    assert all(len(ports) == 1 for ports in tier.probers().values())
+    tier.wait_until(tier.has_converged, "three know that two are gone, and hold their duties")
+    assert all(len(ports) == 1 for ports in tier.checkers().values())
     stopped = tier.processes[2]
     stopped.send_signal(signal.SIGSTOP)
     try:
         others = [i for i in tier.processes if i != 2]
-        tier.until(
+        tier.wait_until(
             lambda: all(status(tier.view(i), "n2") != "alive" for i in others), "the stopped one is missed"
         )
     finally:
         stopped.send_signal(signal.SIGCONT)
-    tier.until(tier.agreed, "it is back, and nobody is dead for it")
+    tier.wait_until(tier.has_converged, "it is back, and nobody is dead for it")
     tier.start(1)
-    tier.until(tier.agreed, "one returned from nothing")
-    assert all(len(ports) == 1 for ports in tier.probers().values())
+    tier.wait_until(tier.has_converged, "one returned from nothing")
+    assert all(len(ports) == 1 for ports in tier.checkers().values())
     shown = CliRunner().invoke(app, ["members", "--socket", str(tier.folder / "n0.sock")])
     assert shown.exit_code == 0 and "n1" in shown.output and "alive" in shown.output
     table = CliRunner().invoke(app, ["duties", "--socket", str(tier.folder / "n0.sock"), "--json"])
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -44,19 +44,19 @@
         super().__init__("s-1", WORK_MS / 10)
         self.told: list[int] = []
 
-    def _take(
-        self, words: list[bytes], writer: asyncio.StreamWriter, open_here: dict[bytes, asyncio.TimerHandle]
+    def _on_call(
+        self, call: list[bytes], writer: asyncio.StreamWriter, open_here: dict[bytes, asyncio.TimerHandle]
     ) -> None:
-        if words[0] == b"GET":
-            self.told.append(int(decode_fields(words[2])["ms"]))
-        super()._take(words, writer, open_here)
+        if call[0] == b"GET":
+            self.told.append(int(decode_fields(call[2])["ms"]))
+        super()._on_call(call, writer, open_here)
 
-    def _done(
-        self, ref: bytes, writer: asyncio.StreamWriter, open_here: dict[bytes, asyncio.TimerHandle]
+    def _finish(
+        self, request_id: bytes, writer: asyncio.StreamWriter, open_here: dict[bytes, asyncio.TimerHandle]
     ) -> None:
-        del open_here[ref]
+        del open_here[request_id]
         fields = f"count=1,ticks={WORK_MS},footprint=1".encode()
-        writer.write(encode_array(ref, b"served", fields, b"s-1\ta\tok\n"))
+        writer.write(encode_array(request_id, b"served", fields, b"s-1\ta\tok\n"))
 
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
