--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -55,12 +55,12 @@
     seed, instances, fault, loss = job
     w = world(seed, instances, instances * PER_INSTANCE, loss)
     w.run(FAULT)
-    calm_bytes, calm_cpu = w.network.bytes, sum(n.cpu_seconds for n in w.nodes.values())
+    calm_bytes, calm_cpu = w.network.sent_bytes, sum(n.cpu_seconds for n in w.nodes.values())
     for engine in w.engines.values():
         for name, value in FAULTS[fault].items() if engine.zone == "a" else ():
             setattr(engine, name, value)
     w.run(MEND)
-    bytes_, cpu = w.network.bytes - calm_bytes, sum(n.cpu_seconds for n in w.nodes.values()) - calm_cpu
+    bytes_, cpu = w.network.sent_bytes - calm_bytes, sum(n.cpu_seconds for n in w.nodes.values()) - calm_cpu
     for engine in w.engines.values():
         if engine.zone == "a":
             engine.is_dead, engine.slow_factor, engine.failing_share = False, 1.0, 0.0
--- a/benchmarks/membership/run.py
+++ b/benchmarks/membership/run.py
@@ -110,7 +110,7 @@
     network, instances, _ = fleet(day)
     for instance in instances:
         instance.dead.clear()
-    sent, seconds = network.bytes, 120.0 if day.size <= 50 else 20.0
+    sent, seconds = network.sent_bytes, 120.0 if day.size <= 50 else 20.0
     begun = time.process_time()
     network.run(network.now + seconds * 1000)
     cpu = time.process_time() - begun
@@ -118,7 +118,7 @@
     return (
         day,
         deaths / day.size / seconds * 3600,
-        (network.bytes - sent) / seconds / day.size,
+        (network.sent_bytes - sent) / seconds / day.size,
         cpu * 1e6 / seconds / day.size,
     )
 
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -223,7 +223,7 @@
             good = not engine.is_dead and now >= engine.silent_until
             for node in self.nodes.values() if good else ():
                 node.fleet.on_health_check(now, engine.id, True)
-        self.network.at(now + CHECK_INTERVAL_MS, self._probe)
+        self.network.call_at(now + CHECK_INTERVAL_MS, self._probe)
 
     def start(self, i: int, life: int) -> None:
         """Start an instance without any memory."""
@@ -236,7 +236,7 @@
         self.network.kill(Address("fleet", i + 1))
         self.live.discard(i + 1)
         del self.nodes[i]
-        self.network.at(self.network.now + DEATH_NOTICE_MS, self.announce_members)
+        self.network.call_at(self.network.now + DEATH_NOTICE_MS, self.announce_members)
 
     def announce_members(self) -> None:
         """What membership would announce."""
--- a/cottonhold/emulator/model_checker.py
+++ b/cottonhold/emulator/model_checker.py
@@ -1,8 +1,8 @@
 """A small model checker for pure machines: every order of a few events, or many random ones.
 
-A *world* is several machines, their disks and the network between them. Each `choices()` is one thing that
-may happen next: a message delivered (and kept, so that it comes again), a record written, a timer, a crash, a
-folder emptied. A message that is never delivered is lost. `broken()` says which rule doesn't hold.
+A *model* is several machines, their disks and the network between them. Each of its `choices()` is one thing
+that may happen next: a message is delivered (and kept, so that it arrives again), a record is written, a
+timer is due, a machine crashes, a disk is lost. A message that is never delivered is lost.
 
 `explore` takes every choice of every state up to a depth, breadth first; states that look alike (clocks
 and random draws left out) are visited once, as in stateright. `walk` takes random choices much
@@ -17,260 +17,319 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, fields, is_dataclass
-from enum import Enum
-from typing import Any
+from enum import Enum, StrEnum
+from typing import Any, NamedTuple
 
 from cottonhold.fleet.consensus.actions import PersistState, SendMessage
 
-Choice = tuple[Any, ...]
+SETTLING_ROUNDS = 60  # of messages and due steps in a quarter of a tick
+INITIAL_SETTLING_TICKS, FINAL_SETTLING_TICKS = 40, 80
+NOT_COMPARED = ("counts", "settings")  # attributes that do not distinguish states
+CLOCKS = ("now", "incarnations")  # the model's own ones
+
+
+class ChoiceKind(StrEnum):
+    """What may happen in each model."""
+
+    DELIVER = "deliver"
+    WRITE = "write"
+    STEP = "step"
+    TICK = "tick"
+    CRASH = "crash"
+    LOSE_DISK = "forget"
+    START = "start"
+
+
+# The weight of a choice in a random walk, where others have 1: faults are rare, or nothing gets anywhere.
+WEIGHTS: dict[str, float] = {
+    ChoiceKind.DELIVER: 6.0,
+    ChoiceKind.WRITE: 10.0,
+    ChoiceKind.STEP: 4.0,
+    ChoiceKind.TICK: 1.0,
+    ChoiceKind.CRASH: 0.15,
+    ChoiceKind.LOSE_DISK: 0.15,
+    ChoiceKind.START: 0.5,
+}
+
+
+class Choice(NamedTuple):
+    """One thing that may happen next. kind: a ChoiceKind, or a word of the model."""
+
+    kind: str
+    args: tuple[Any, ...] = ()
+
+
+class Message(NamedTuple):
+    """A message between two machines."""
+
+    target: int
+    sender: int
+    payload: bytes
 
 
 @dataclass(slots=True)
-class Found:
-    """What a check came to. trace: the choices that led to the broken rule, in order."""
+class CheckResult:
+    """What was checked. violation: the rule that was broken, if any. trace: the choices that led there."""
 
     states: int = 0
     steps: int = 0
     depth: int = 0
-    broken: str = ""
+    violation: str = ""
     trace: list[Choice] = field(default_factory=list)
 
 
-def freeze(what: Any) -> Any:
-    """A value that is equal for states that look alike: no clocks, no random draws."""
-    if isinstance(what, float | random.Random):
-        return None
-    if isinstance(what, str | bytes | int | Enum | None):
-        return what
-    if isinstance(what, dict):
-        return tuple(sorted(((repr(freeze(k)), freeze(v)) for k, v in what.items()), key=repr))
-    if isinstance(what, set | frozenset):
-        return tuple(sorted(map(repr, map(freeze, what))))
-    if is_dataclass(what):
-        return tuple(freeze(getattr(what, f.name)) for f in fields(what))
-    if isinstance(what, Iterable):
-        return tuple(freeze(one) for one in what)
-    return tuple((k, freeze(v)) for k, v in sorted(vars(what).items()) if k not in ("counts", "settings"))
-
-
-class World:
-    """Machines 1, 2, ... with disks and a network. `make(member, life, disk)` starts one."""
-
-    tick = 100.0  # ms that a `tick` takes
-    copies = 2  # a message is delivered so often at most
-
-    def __init__(self, members: Iterable[int], crashes: int, forgets: int) -> None:
-        self.now, self.crashes, self.forgets = 0.0, crashes, forgets
-        self.ids = list(members)
-        self.disks: dict[int, dict[str, bytes]] = {m: {} for m in self.ids}
-        self.queues: dict[int, list[PersistState]] = {
-            m: [] for m in self.ids
-        }  # asked to be kept, not on disk yet
-        self.net: dict[tuple[int, int, bytes], int] = {}  # to, from, data: how often it may still come
-        self.life = dict.fromkeys(self.ids, 0)
-        self.up: dict[int, Any] = {}
-        self.wrong = ""
-
-    # --- for the model to fill in ---
-
-    def make(self, member: int, disk: dict[str, bytes]) -> Any:
+class Model:
+    """Machines 1, 2, ... with disks and a network; subclasses make the machines and state the rules.
+
+    remaining_crashes, remaining_disk_losses: faults that may still occur. in_flight: by message, how often
+    it may still be delivered. violation: the rule that is broken, empty if none is.
+    """
+
+    tick_ms = 100.0
+    max_deliveries = 2  # of each message
+
+    def __init__(self, members: Iterable[int], crashes: int, disk_losses: int) -> None:
+        self.now, self.remaining_crashes, self.remaining_disk_losses = 0.0, crashes, disk_losses
+        self.members = list(members)
+        self.disks: dict[int, dict[str, bytes]] = {m: {} for m in self.members}
+        self.pending_writes: dict[int, list[PersistState]] = {m: [] for m in self.members}
+        self.in_flight: dict[Message, int] = {}
+        self.incarnations = dict.fromkeys(self.members, 0)
+        self.running: dict[int, Any] = {}
+        self.violation = ""
+
+    def make_machine(self, member: int, disk: dict[str, bytes]) -> Any:
         """A machine that starts with this disk."""
         raise NotImplementedError
 
-    def told(self, member: int, action: Any) -> None:
-        """An action that is neither a message nor a record."""
+    def on_action(self, member: int, action: Any) -> None:
+        """A machine's action that is neither a message nor a record."""
 
-    def more(self) -> list[Choice]:
+    def model_choices(self) -> list[Choice]:
         """Choices of this model."""
         return []
 
-    def do(self, choice: Choice) -> None:
+    def apply_model_choice(self, choice: Choice) -> None:
         """Carry out one of them."""
 
-    def check(self) -> str:
-        """The rule that is broken now, or nothing."""
+    def violated_rule(self) -> str:
+        """The rule that is broken now, empty if none is."""
         return ""
 
-    def lost(self, member: int) -> None:
-        """A machine's process has gone."""
+    def on_crash(self, member: int) -> None:
+        """A machine's process has crashed."""
 
-    # --- the world's own ---
-
-    def begin(self) -> None:
-        """Start all, and let them come to rest with nothing lost."""
-        for member in self.ids:
+    def start_all(self) -> None:
+        """Start all machines, and let them settle without faults."""
+        for member in self.members:
             self.start(member)
-        self.calm(40)
+        self.settle(INITIAL_SETTLING_TICKS)
 
     def start(self, member: int) -> None:
-        """A machine starts with what is on its disk."""
-        self.life[member] += 1
-        self.queues[member] = []
-        self.up[member] = self.make(member, dict(self.disks[member]))
-        self.act(member, self.up[member].step(self.now))
-
-    def act(self, member: int, actions: Iterable[Any]) -> None:
-        """Carry out what a machine asks for."""
+        """Start a machine with what is on its disk."""
+        self.incarnations[member] += 1
+        self.pending_writes[member] = []
+        self.running[member] = self.make_machine(member, dict(self.disks[member]))
+        self.step(member)
+
+    def step(self, member: int) -> None:
+        """Let a machine take a step."""
+        self.carry_out(member, self.running[member].step(self.now))
+
+    def carry_out(self, member: int, actions: Iterable[Any]) -> None:
+        """Carry out a machine's actions."""
         for action in actions:
             if isinstance(action, SendMessage):
                 if action.member in self.disks:
-                    self.net[action.member, member, action.payload] = self.copies
+                    self.in_flight[Message(action.member, member, action.payload)] = self.max_deliveries
             elif isinstance(action, PersistState):
-                self.queues[member].append(action)
+                self.pending_writes[member].append(action)
             else:
-                self.told(member, action)
+                self.on_action(member, action)
 
     def choices(self) -> list[Choice]:
         """All that may happen next."""
-        found: list[Choice] = [("deliver", *message) for message in self.net if message[0] in self.up]
-        found += [("write", m) for m in self.up if self.queues[m]]
-        found += [("step", m) for m, one in self.up.items() if one.next_at() <= self.now]
-        if self.crashes:
-            found += [("crash", m) for m in self.up]
-        if self.forgets:
-            found += [("forget", m) for m in self.up]
-        found += [("start", m) for m in self.ids if m not in self.up]
-        return [*found, ("tick",), *self.more()]
+        choices = [Choice(ChoiceKind.DELIVER, m) for m in self.in_flight if m.target in self.running]
+        choices += [Choice(ChoiceKind.WRITE, (m,)) for m in self.running if self.pending_writes[m]]
+        choices += [Choice(ChoiceKind.STEP, (m,)) for m in self.due_members()]
+        if self.remaining_crashes:
+            choices += [Choice(ChoiceKind.CRASH, (m,)) for m in self.running]
+        if self.remaining_disk_losses:
+            choices += [Choice(ChoiceKind.LOSE_DISK, (m,)) for m in self.running]
+        choices += [Choice(ChoiceKind.START, (m,)) for m in self.members if m not in self.running]
+        return [*choices, Choice(ChoiceKind.TICK), *self.model_choices()]
+
+    def due_members(self) -> list[int]:
+        """The machines whose next step is due."""
+        return [m for m, machine in self.running.items() if machine.next_at() <= self.now]
 
     def apply(self, choice: Choice) -> None:
-        """One of them happens."""
-        kind = choice[0]
-        if kind == "deliver":
-            message = choice[1:]
-            self.net[message] -= 1
-            if not self.net[message]:
-                del self.net[message]
-            to, sender, data = message
-            self.act(to, self.up[to].on_message(self.now, sender, data))
-        elif kind == "write":
-            self.write(choice[1])
-        elif kind == "step":
-            self.act(choice[1], self.up[choice[1]].step(self.now))
-        elif kind == "tick":
-            self.now += self.tick
-        elif kind in ("crash", "forget"):
-            self.crash(choice[1], kind == "forget")
-        elif kind == "start":
-            self.start(choice[1])
+        """Let one of the choices happen, and check the rules."""
+        kind, args = choice
+        if kind == ChoiceKind.DELIVER:
+            message = Message(*args)
+            self.in_flight[message] -= 1
+            if not self.in_flight[message]:
+                del self.in_flight[message]
+            self.deliver(message)
+        elif kind == ChoiceKind.WRITE:
+            self.complete_write(args[0])
+        elif kind == ChoiceKind.STEP:
+            self.step(args[0])
+        elif kind == ChoiceKind.TICK:
+            self.now += self.tick_ms
+        elif kind in (ChoiceKind.CRASH, ChoiceKind.LOSE_DISK):
+            self.crash(args[0], loses_disk=kind == ChoiceKind.LOSE_DISK)
+        elif kind == ChoiceKind.START:
+            self.start(args[0])
         else:
-            self.do(choice)
-        self.wrong = self.wrong or self.check()
+            self.apply_model_choice(choice)
+        self.check()
+
+    def check(self) -> None:
+        """Note the first rule that is broken."""
+        self.violation = self.violation or self.violated_rule()
 
-    def write(self, member: int) -> None:
+    def deliver(self, message: Message) -> None:
+        """Let a running machine receive a message."""
+        target, sender, payload = message
+        self.carry_out(target, self.running[target].on_message(self.now, sender, payload))
+
+    def complete_write(self, member: int) -> None:
         """A disk has written its next record."""
-        keep = self.queues[member].pop(0)
-        self.disks[member].pop(keep.name, None)
-        if keep.data:
-            self.disks[member][keep.name] = keep.data
-        self.act(member, self.up[member].on_persisted(self.now, keep.token))
-
-    def crash(self, member: int, forget: bool) -> None:
-        """A process is gone, with what wasn't written; maybe its folder too."""
-        self.crashes -= not forget
-        self.forgets -= forget
-        del self.up[member]
-        self.queues[member] = []
-        if forget:
+        write = self.pending_writes[member].pop(0)
+        self.disks[member].pop(write.name, None)
+        if write.data:
+            self.disks[member][write.name] = write.data
+        self.carry_out(member, self.running[member].on_persisted(self.now, write.token))
+
+    def crash(self, member: int, loses_disk: bool) -> None:
+        """End a process, with what was not written, and maybe its disk."""
+        self.remaining_crashes -= not loses_disk
+        self.remaining_disk_losses -= loses_disk
+        del self.running[member]
+        self.pending_writes[member] = []
+        if loses_disk:
             self.disks[member] = {}
-        self.lost(member)
+        self.on_crash(member)
 
-    def calm(self, ticks: int) -> None:
-        """Nothing is lost or repeated for so many ticks; all that is down starts."""
-        for member in [m for m in self.ids if m not in self.up]:
+    def settle(self, ticks: int) -> None:
+        """Let so many ticks pass without faults; all machines that are down start."""
+        for member in [m for m in self.members if m not in self.running]:
             self.start(member)
         for _ in range(ticks):
-            for _ in range(60):
-                self._flow()
-                due = [m for m, one in self.up.items() if one.next_at() <= self.now]
+            for _ in range(SETTLING_ROUNDS):
+                self._deliver_and_write_all()
+                due = self.due_members()
                 if not due:
                     break
                 for member in due:
-                    self.act(member, self.up[member].step(self.now))
-            self.now += self.tick / 4
-            self.wrong = self.wrong or self.check()
-
-    def _flow(self) -> None:
-        while self.net or any(self.queues.values()):
-            for member in self.ids:
-                while self.queues[member]:
-                    self.write(member)
-            for message in list(self.net):
-                del self.net[message]
-                to, sender, data = message
-                if to in self.up:
-                    self.act(to, self.up[to].on_message(self.now, sender, data))
-            self.wrong = self.wrong or self.check()
-
-    def print(self) -> bytes:
-        """What a state is recognised by."""
-        parts = {k: v for k, v in vars(self).items() if k not in ("now", "life")}
-        return hashlib.blake2b(repr(freeze(parts)).encode(), digest_size=12).digest()
-
-
-def explore(begin: Callable[[], World], depth: int, most: int) -> Found:
-    """Every order of events up to a depth, or until so many states were seen."""
-    world, found = begin(), Found()
-    seen = {world.print()}
-    line: deque[tuple[bytes, tuple[Choice, ...]]] = deque([(pickle.dumps(world), ())])
-    while line:
-        blob, trace = line.popleft()
-        if len(trace) >= depth or len(seen) >= most:
+                    self.step(member)
+            self.now += self.tick_ms / 4
+            self.check()
+
+    def _deliver_and_write_all(self) -> None:
+        while self.in_flight or any(self.pending_writes.values()):
+            for member in self.members:
+                while self.pending_writes[member]:
+                    self.complete_write(member)
+            for message in list(self.in_flight):
+                del self.in_flight[message]
+                if message.target in self.running:
+                    self.deliver(message)
+            self.check()
+
+    def fingerprint(self) -> bytes:
+        """A digest that is equal for states that look alike."""
+        parts = {name: value for name, value in vars(self).items() if name not in CLOCKS}
+        return hashlib.blake2b(repr(comparable(parts)).encode(), digest_size=12).digest()
+
+
+def comparable(value: Any) -> Any:
+    """A value that is equal for states that look alike: no clocks, no random draws."""
+    if isinstance(value, float | random.Random):
+        return None
+    if isinstance(value, str | bytes | int | Enum | None):
+        return value
+    if isinstance(value, dict):
+        return tuple(sorted(((repr(comparable(k)), comparable(v)) for k, v in value.items()), key=repr))
+    if isinstance(value, set | frozenset):
+        return tuple(sorted(map(repr, map(comparable, value))))
+    if is_dataclass(value):
+        return tuple(comparable(getattr(value, f.name)) for f in fields(value))
+    if isinstance(value, Iterable):
+        return tuple(comparable(item) for item in value)
+    return tuple((k, comparable(v)) for k, v in sorted(vars(value).items()) if k not in NOT_COMPARED)
+
+
+def explore(make_model: Callable[[], Model], max_depth: int, max_states: int) -> CheckResult:
+    """Take every order of events up to a depth, or until so many states were seen."""
+    model, result = make_model(), CheckResult()
+    seen = {model.fingerprint()}
+    queue: deque[tuple[bytes, tuple[Choice, ...]]] = deque([(pickle.dumps(model), ())])
+    while queue:
+        state, trace = queue.popleft()
+        if len(trace) >= max_depth or len(seen) >= max_states:
             break
-        for choice in pickle.loads(blob).choices():
-            world = pickle.loads(blob)
-            world.apply(choice)
-            found.steps += 1
-            if world.wrong:
-                found.broken, found.trace = world.wrong, [*trace, choice]
-                found.states, found.depth = len(seen), len(trace) + 1
-                return found
-            mark = world.print()
-            if mark not in seen:
-                seen.add(mark)
-                line.append((pickle.dumps(world), (*trace, choice)))
-                found.depth = len(trace) + 1
-    found.states = len(seen)
-    return found
-
-
-# How much likelier than 1 a random walk takes a choice: faults are rare, or nothing gets anywhere.
-WEIGHTS = {
-    "deliver": 6.0,
-    "write": 10.0,
-    "step": 4.0,
-    "tick": 1.0,
-    "crash": 0.15,
-    "forget": 0.15,
-    "start": 0.5,
-}
+        for choice in pickle.loads(state).choices():
+            model = pickle.loads(state)
+            model.apply(choice)
+            result.steps += 1
+            if model.violation:
+                result.violation, result.trace = model.violation, [*trace, choice]
+                result.states, result.depth = len(seen), len(trace) + 1
+                return result
+            fingerprint = model.fingerprint()
+            if fingerprint not in seen:
+                seen.add(fingerprint)
+                queue.append((pickle.dumps(model), (*trace, choice)))
+                result.depth = len(trace) + 1
+    result.states = len(seen)
+    return result
 
 
 def walk(
-    begin: Callable[[], World], seed: int, walks: int, length: int, end: Callable[[World], str]
-) -> Found:
-    """Random orders. Each walk draws how much is lost in it; after it all comes to rest, and `end` says what
-    is wrong then."""
-    found = Found(depth=length)
-    first = pickle.dumps(begin())
+    make_model: Callable[[], Model],
+    seed: int,
+    walks: int,
+    length: int,
+    violation_at_end: Callable[[Model], str],
+) -> CheckResult:
+    """Take random orders of events, each with weights of its own for faults.
+
+    After each walk the model settles without faults; `violation_at_end` then gives the rule that is broken.
+    """
+    result = CheckResult(depth=length)
+    initial_state = pickle.dumps(make_model())
     for number in range(walks):
-        draw, world = random.Random(f"{seed}/{number}"), pickle.loads(first)
-        weights = {**WEIGHTS, "tick": draw.choice((0.1, 0.5, 2.0)), "deliver": draw.choice((1.0, 6.0, 20.0))}
-        weights["write"] = draw.choice((0.3, 10.0))
-        found.trace = []
-        for _ in range(length):
-            choices = world.choices()
-            (choice,) = draw.choices(choices, [weights.get(c[0], 1.0) for c in choices])
-            found.trace.append(choice)
-            world.apply(choice)
-            found.steps += 1
-            if world.wrong:
+        draw, model = random.Random(f"{seed}/{number}"), pickle.loads(initial_state)
+        result.trace = []
+        for choice in _random_choices(model, draw, length):
+            result.trace.append(choice)
+            model.apply(choice)
+            result.steps += 1
+            if model.violation:
                 break
-        if not world.wrong:
-            world.net.clear()
-            world.calm(80)
-            world.wrong = world.wrong or end(world)
-        found.states = number + 1
-        if world.wrong:
-            found.broken = world.wrong
-            return found
-    return found
+        else:
+            model.in_flight.clear()
+            model.settle(FINAL_SETTLING_TICKS)
+            model.violation = model.violation or violation_at_end(model)
+        result.states = number + 1
+        if model.violation:
+            result.violation = model.violation
+            return result
+    return result
+
+
+def _random_choices(model: Model, draw: random.Random, length: int) -> Iterable[Choice]:
+    """Choices of a model's present state, one after another."""
+    weights = {
+        **WEIGHTS,
+        ChoiceKind.TICK: draw.choice((0.1, 0.5, 2.0)),
+        ChoiceKind.DELIVER: draw.choice((1.0, 6.0, 20.0)),
+        ChoiceKind.WRITE: draw.choice((0.3, 10.0)),
+    }
+    for _ in range(length):
+        choices = model.choices()
+        (choice,) = draw.choices(choices, [weights.get(c.kind, 1.0) for c in choices])
+        yield choice
--- a/cottonhold/emulator/models.py
+++ b/cottonhold/emulator/models.py
@@ -1,207 +1,254 @@
-"""Worlds for the model checker. Registers: 3 voters, 2 proposers, one of which doesn't vote. Pins: 2 owners,
-2 keys, 3 voters."""
+"""Models for the model checker.
+
+Registers: three voters, and two proposers of which one does not vote. Ownership: two owners, two keys, three
+voters.
+"""
 
 from __future__ import annotations
 
 import random
+from enum import StrEnum
 from typing import Any
 
-from cottonhold.emulator.model_checker import Choice, World
+from cottonhold.emulator.model_checker import FINAL_SETTLING_TICKS, Choice, Model
 from cottonhold.fleet.consensus.actions import ChangeResult, OperationOutcome, RegisterChanged
 from cottonhold.fleet.consensus.register import Registers
 from cottonhold.fleet.consensus.settings import RegisterSettings
 from cottonhold.fleet.session_affinity.ownership import KeyOwnership, MoveEnded, OwnershipSettings
 
+REGISTER = "r"
+VOTERS, NON_VOTING_PROPOSER = (1, 2, 3), 4
+OWNERS = (1, 2)
+REQUEST_CHANGE = "ask"
+
 
-class RegisterWorld(World):
-    """One register; each proposer asks `asks` times to set it from what it knows. Rules: a version has one
-    value; who won sees its own value; what was lost is never seen; versions never go back."""
+class RegisterModel(Model):
+    """One register; each proposer requests so many changes from what it knows.
 
-    def __init__(self, crashes: int = 1, forgets: int = 1, asks: int = 2) -> None:
-        super().__init__((1, 2, 3, 4), crashes, forgets)
-        self.asks = {1: asks, 4: asks}
-        self.values: dict[int, bytes] = {}  # by version: what was settled
-        self.asked: dict[int, tuple[int, bytes]] = {}  # by token: from which version, to what
+    Rules: a version has one value; a winner's value is that of its version; a lost change is never settled;
+    versions never go back.
+    """
+
+    def __init__(self, crashes: int = 1, disk_losses: int = 1, changes: int = 2) -> None:
+        super().__init__((*VOTERS, NON_VOTING_PROPOSER), crashes, disk_losses)
+        self.remaining_changes = {1: changes, NON_VOTING_PROPOSER: changes}
+        self.settled_values: dict[int, bytes] = {}  # by version
+        self.requested: dict[int, tuple[int, bytes]] = {}  # by token: the version it starts from, and value
         self.lost_values: set[bytes] = set()
-        self.won: dict[int, bytes] = {}
-        self.begin()
+        self.start_all()
 
-    def make(self, member: int, disk: dict[str, bytes]) -> Registers:
-        """One member's machine over what its disk holds."""
-        seed = member * 1000 + self.life[member]
+    def make_machine(self, member: int, disk: dict[str, bytes]) -> Registers:
+        """One member's registers over what its disk holds."""
+        incarnation = self.incarnations[member]
         return Registers(
             member,
-            (1, 2, 3),
-            self.life[member],
+            VOTERS,
+            incarnation,
             1,
-            seed,
+            member * 1000 + incarnation,
             disk,
             RegisterSettings(operation_timeout_ms=20_000.0),
         )
 
-    def more(self) -> list[Choice]:
-        """The choices that the world itself has now."""
-        return [("ask", m) for m, left in self.asks.items() if left and m in self.up]
-
-    def do(self, choice: Choice) -> None:
-        """Carry one choice out."""
-        member = choice[1]
-        self.asks[member] -= 1
-        token = member * 10 + self.asks[member]
-        version, _ = self.up[member].last_known("r")
-        self.asked[token] = version, b"%d" % token
-        self.act(member, self.up[member].change(self.now, "r", version, b"%d" % token, token))
-
-    def told(self, member: int, action: Any) -> None:
-        """Note an action of a member, and check it."""
+    def model_choices(self) -> list[Choice]:
+        """A change by each proposer that has one left."""
+        proposers = [m for m, remaining in self.remaining_changes.items() if remaining and m in self.running]
+        return [Choice(REQUEST_CHANGE, (m,)) for m in proposers]
+
+    def apply_model_choice(self, choice: Choice) -> None:
+        """Request a change."""
+        self.request_change(choice.args[0])
+
+    def request_change(self, member: int) -> None:
+        """A proposer requests a change of the register from the version that it knows."""
+        self.remaining_changes[member] -= 1
+        token = member * 10 + self.remaining_changes[member]
+        version, _ = self.running[member].last_known(REGISTER)
+        value = b"%d" % token
+        self.requested[token] = version, value
+        self.carry_out(member, self.running[member].change(self.now, REGISTER, version, value, token))
+
+    def on_action(self, member: int, action: Any) -> None:
+        """Check what a member reports as settled, and outcomes."""
         if isinstance(action, RegisterChanged):
-            self.settle(action.version, action.value)
+            self._on_settled(action.version, action.value)
         elif isinstance(action, OperationOutcome) and action.token:
-            self.outcome(action)
-
-    def outcome(self, end: OperationOutcome) -> None:
-        """A proposer was told how its change ended."""
-        if end.version >= 0:
-            self.settle(end.version, end.value)
-        from_, value = self.asked[end.token]
-        if end.result is ChangeResult.WON:
-            self.settle(from_ + 1, value)
-        elif end.result is ChangeResult.LOST:
+            self._on_outcome(action)
+
+    def _on_outcome(self, outcome: OperationOutcome) -> None:
+        if outcome.version >= 0:
+            self._on_settled(outcome.version, outcome.value)
+        version, value = self.requested[outcome.token]
+        if outcome.result is ChangeResult.WON:
+            self._on_settled(version + 1, value)
+        elif outcome.result is ChangeResult.LOST:
             self.lost_values.add(value)
 
-    def settle(self, version: int, value: bytes) -> None:
-        """Somebody holds that this value was settled under this version."""
-        if version and self.values.setdefault(version, value) != value:
-            self.wrong = f"version {version} has two values"
+    def _on_settled(self, version: int, value: bytes) -> None:
+        if version and self.settled_values.setdefault(version, value) != value:
+            self.violation = f"version {version} has two values"
 
-    def check(self) -> str:
-        """What is wrong with the state; empty if nothing is."""
-        lost = self.lost_values & set(self.values.values())
-        return f"a change that was lost was settled: {sorted(lost)}" if lost else ""
+    def violated_rule(self) -> str:
+        """A lost change that was settled, if any."""
+        values = self.lost_values & set(self.settled_values.values())
+        return f"a change that was lost was settled: {sorted(values)}" if values else ""
 
 
-def register_end(world: World) -> str:
-    """After all faults: every asker got an answer, and all voters vote and agree."""
-    assert isinstance(world, RegisterWorld)
-    if not all(world.up[voter].is_voting() for voter in (1, 2, 3)):
+def registers_violation_at_end(model: Model) -> str:
+    """After all faults: every change has an outcome, and all voters vote and agree."""
+    assert isinstance(model, RegisterModel)
+    voters = [model.running[voter] for voter in VOTERS]
+    if not all(voter.is_voting() for voter in voters):
         return "a voter doesn't vote"
-    if any(one.proposer.in_progress or one.proposer.queue for one in world.up.values()):
+    if any(machine.proposer.in_progress or machine.proposer.queue for machine in model.running.values()):
         return "a change has no end"
-    known = {world.up[voter].last_known("r") for voter in (1, 2, 3) if world.up[voter].last_known("r")[0]}
+    known = {voter.last_known(REGISTER) for voter in voters if voter.last_known(REGISTER)[0]}
     return "voters know different values" if len(known) > 1 else ""
 
 
-class PinWorld(World):
-    """Keys move from 1 to 2 and back while loads of them start and end; 1 or 2 may be fenced once.
+class OwnershipChoice(StrEnum):
+    """What may happen in OwnershipModel."""
+
+    MOVE = "move"
+    START_LOAD = "load"
+    END_LOAD = "end"
+    FENCE = "fence"
+    LEARN_FENCE = "learn"
+
+
+class OwnershipModel(Model):
+    """Keys move between two owners while loads of them start and end; one owner may be fenced once.
+
     Rules: one owner a key at each moment; no load starts while one is open elsewhere; where the end of an
-    earlier one is unknown, its next owner is told so."""
+    earlier one is unknown, its next owner knows so.
+    """
 
-    tick = 150.0
+    tick_ms = 150.0
     keys = (b"\0" * 7 + b"\1", b"\0" * 7 + b"\3")
 
     def __init__(self, crashes: int = 1, moves: int = 2, loads: int = 3, fences: int = 1) -> None:
-        super().__init__((1, 2, 3), crashes, 0)
-        self.moves, self.loads, self.fences = moves, loads, fences
-        self.running: dict[bytes, tuple[int, int]] = {}  # key -> where, load
-        self.unknown: dict[bytes, int] = {}  # key -> where a load went whose end nobody heard
-        self.fenced = 0
-        self.learnt: set[int] = set()
-        self.begin()
-
-    def make(self, member: int, disk: dict[str, bytes]) -> KeyOwnership:
-        """One member's machine over what its disk holds."""
-        draw = random.Random(member * 1000 + self.life[member])
+        super().__init__(VOTERS, crashes, 0)
+        self.remaining_moves, self.remaining_loads, self.remaining_fences = moves, loads, fences
+        self.open_loads: dict[bytes, tuple[int, int]] = {}  # by key: member and load
+        self.unknown_ends: dict[bytes, int] = {}  # by key: the member whose crash hid a load's end
+        self.fenced_member = 0
+        self.fence_known_by: set[int] = set()
+        self.start_all()
+
+    def make_machine(self, member: int, disk: dict[str, bytes]) -> KeyOwnership:
+        """One member's ownership over what its disk holds."""
+        draw = random.Random(member * 1000 + self.incarnations[member])
         settings = OwnershipSettings(is_enabled=True)
-        return KeyOwnership(member, (1, 2), self.ids, self.now, draw.getrandbits(32), disk, settings)
-
-    def more(self) -> list[Choice]:
-        """The choices that the world itself has now."""
-        found: list[Choice] = []
-        for member in (1, 2):
-            if member in self.up:
-                found += [("move", member)] if self.moves else []
-                found += [("load", member, k) for k in self.keys if self.loads and self.free(member, k)]
-        found += [("end", k) for k, (where, _) in self.running.items() if where in self.up]
-        if self.fenced:
-            found += [("learn", m) for m in self.up if m not in self.learnt]
-        elif self.fences:
-            found += [("fence", 1), ("fence", 2)]
-        return found
-
-    def free(self, member: int, key: bytes) -> bool:
-        """A load of the key would be started here: its owner has one at a time."""
-        there = self.running.get(key)
-        return (there is None or there[0] != member) and self.up[member].ownership_of(
-            self.now, key
-        ) is not None
-
-    def do(self, choice: Choice) -> None:
-        """Carry one choice out."""
-        kind, what = choice[0], choice[1]
-        if kind == "move":
-            self.moves -= 1
-            mine = [k for k in self.keys if self.up[what].ownership_of(self.now, k)]
-            self.act(what, self.up[what].move(self.now, mine, 3 - what))
-        elif kind == "load":
-            self.load(what, choice[2])
-        elif kind == "end":
-            where, load = self.running.pop(what)
-            self.act(where, self.up[where].on_request_ended(self.now, what, load))
-        elif kind == "fence":
-            self.fences -= 1
-            self.fenced = what
-            self.learnt = set()
-        elif kind == "learn":
-            self.learnt.add(what)
-            self.act(what, self.up[what].fence(self.now, self.fenced, 1))
-
-    def load(self, member: int, key: bytes) -> None:
-        """A load of the key starts at a member that owns it."""
-        self.loads -= 1
-        own = self.up[member].ownership_of(self.now, key)
-        there = self.running.get(key)
-        if there is not None and there[0] != self.fenced:
-            self.wrong = "a load started while another was open elsewhere"
-        left = there[0] if there is not None else self.unknown.get(key, member)
-        if left != member and not own.may_have_run:
-            self.wrong = "a load started and nobody was told that one before it may have run"
-        self.running[key] = member, self.loads
-        self.act(member, self.up[member].on_request_opened(self.now, key, self.loads))
-
-    def lost(self, member: int) -> None:
-        """A member was lost with its requests."""
-        for key in [k for k, (where, _) in self.running.items() if where == member]:
-            del self.running[key]
-            self.unknown[key] = member
-        self.learnt.discard(member)
-
-    def told(self, member: int, action: Any) -> None:
-        """Note an action of a member, and check it."""
+        return KeyOwnership(member, OWNERS, self.members, self.now, draw.getrandbits(32), disk, settings)
+
+    def model_choices(self) -> list[Choice]:
+        """Moves, starts and ends of loads, and what concerns the fence."""
+        choices: list[Choice] = []
+        for member in OWNERS:
+            if member in self.running:
+                choices += [Choice(OwnershipChoice.MOVE, (member,))] if self.remaining_moves else []
+                keys = [k for k in self.keys if self.remaining_loads and self._may_start_load(member, k)]
+                choices += [Choice(OwnershipChoice.START_LOAD, (member, key)) for key in keys]
+        for key, (member, _) in self.open_loads.items():
+            if member in self.running:
+                choices.append(Choice(OwnershipChoice.END_LOAD, (key,)))
+        if self.fenced_member:
+            unaware = [m for m in self.running if m not in self.fence_known_by]
+            choices += [Choice(OwnershipChoice.LEARN_FENCE, (m,)) for m in unaware]
+        elif self.remaining_fences:
+            choices += [Choice(OwnershipChoice.FENCE, (m,)) for m in OWNERS]
+        return choices
+
+    def _may_start_load(self, member: int, key: bytes) -> bool:
+        """Whether a member owns a key and has no load of it open."""
+        open_load = self.open_loads.get(key)
+        if open_load is not None and open_load[0] == member:
+            return False
+        return self.running[member].ownership_of(self.now, key) is not None
+
+    def apply_model_choice(self, choice: Choice) -> None:
+        """Carry one of them out."""
+        kind, args = choice
+        if kind == OwnershipChoice.MOVE:
+            self._move(args[0])
+        elif kind == OwnershipChoice.START_LOAD:
+            self._start_load(args[0], args[1])
+        elif kind == OwnershipChoice.END_LOAD:
+            member, load = self.open_loads.pop(args[0])
+            self.end_load(args[0], member, load)
+        elif kind == OwnershipChoice.FENCE:
+            self.remaining_fences -= 1
+            self.fenced_member = args[0]
+            self.fence_known_by = set()
+        elif kind == OwnershipChoice.LEARN_FENCE:
+            self.learn_fence(args[0])
+
+    def _move(self, member: int) -> None:
+        """A member moves all its keys to the other owner."""
+        self.remaining_moves -= 1
+        machine, target = self.running[member], sum(OWNERS) - member
+        owned = [key for key in self.keys if machine.ownership_of(self.now, key)]
+        self.carry_out(member, machine.move(self.now, owned, target))
+
+    def _start_load(self, member: int, key: bytes) -> None:
+        """A load of a key starts at a member that owns it."""
+        self.remaining_loads -= 1
+        ownership = self.running[member].ownership_of(self.now, key)
+        open_load = self.open_loads.get(key)
+        if open_load is not None and open_load[0] != self.fenced_member:
+            self.violation = "a load started while another was open elsewhere"
+        former_member = open_load[0] if open_load is not None else self.unknown_ends.get(key, member)
+        if former_member != member and not ownership.may_have_run:
+            self.violation = "a load started and nobody was told that one before it may have run"
+        self.open_loads[key] = member, self.remaining_loads
+        actions = self.running[member].on_request_opened(self.now, key, self.remaining_loads)
+        self.carry_out(member, actions)
+
+    def end_load(self, key: bytes, member: int, load: int) -> None:
+        """A load ends at a member."""
+        self.carry_out(member, self.running[member].on_request_ended(self.now, key, load))
+
+    def learn_fence(self, member: int) -> None:
+        """A member learns who is fenced."""
+        self.fence_known_by.add(member)
+        self.carry_out(member, self.running[member].fence(self.now, self.fenced_member, 1))
+
+    def on_crash(self, member: int) -> None:
+        """A member's open loads have an unknown end, and it forgets the fence."""
+        for key in [k for k, (owner, _) in self.open_loads.items() if owner == member]:
+            del self.open_loads[key]
+            self.unknown_ends[key] = member
+        self.fence_known_by.discard(member)
+
+    def on_action(self, member: int, action: Any) -> None:
+        """Check the ends of moves."""
         if isinstance(action, MoveEnded) and action.is_moved and action.target == member:
-            self.wrong = "moved to itself"
+            self.violation = "moved to itself"
+
+    def owner_count(self, key: bytes) -> int:
+        """The number of members that own a key now."""
+        machines = self.running.values()
+        return sum(machine.ownership_of(self.now, key) is not None for machine in machines)
 
-    def check(self) -> str:
-        """What is wrong with the state; empty if nothing is."""
-        for key in self.keys:
-            if sum(one.ownership_of(self.now, key) is not None for one in self.up.values()) > 1:
-                return "a key has two owners"
-        return ""
+    def violated_rule(self) -> str:
+        """A key with two owners, if any."""
+        return "a key has two owners" if any(self.owner_count(key) > 1 for key in self.keys) else ""
 
 
-def pin_end(world: World) -> str:
+def ownership_violation_at_end(model: Model) -> str:
     """After all faults: each key has an owner again."""
-    assert isinstance(world, PinWorld)
-    for member in list(world.up):
-        if world.fenced:
-            world.do(("learn", member))
-    for key, (where, load) in list(world.running.items()):
-        world.act(where, world.up[where].on_request_ended(world.now, key, load))
-    world.calm(80)
-    for key in world.keys:
-        for one in world.up.values():  # a home takes over what it is asked for
-            one.route(world.now, key)
-    world.calm(8)
-    owners = [
-        sum(one.ownership_of(world.now, key) is not None for one in world.up.values()) for key in world.keys
-    ]
-    return world.wrong or ("" if owners == [1, 1] else f"owners of the keys: {owners}")
+    assert isinstance(model, OwnershipModel)
+    for member in list(model.running):
+        if model.fenced_member:
+            model.learn_fence(member)
+    for key, (member, load) in list(model.open_loads.items()):
+        model.end_load(key, member, load)
+    model.settle(FINAL_SETTLING_TICKS)
+    for key in model.keys:
+        for machine in model.running.values():
+            machine.route(model.now, key)  # an owner takes over what it is asked for
+    model.settle(8)
+    owner_counts = [model.owner_count(key) for key in model.keys]
+    if model.violation or owner_counts == [1] * len(model.keys):
+        return model.violation
+    return f"owners of the keys: {owner_counts}"
--- a/cottonhold/emulator/network.py
+++ b/cottonhold/emulator/network.py
@@ -1,22 +1,28 @@
-"""A datagram network in virtual time: delay, loss, one-way links, splits, and processes that stop and die."""
+"""A datagram network in virtual time: delay, loss, one-way links, partitions, processes that pause and die.
+
+Times are ms.
+"""
 
 from __future__ import annotations
 
-import heapq
-import itertools
 import random
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from typing import Protocol
 
 from cottonhold.discovery.model import Address
+from cottonhold.emulator.virtual_time import Action, VirtualClock
+
+WAKE_UP_MARGIN_MS = 0.001
+
+Datagram = tuple[bytes, Address]
 
 
 class Process(Protocol):
-    """What runs on the network: a pure step function with its own idea of when it is due."""
+    """What runs on the network: a pure step function that says when it is due."""
 
-    def step(self, now: float, received: list[tuple[bytes, Address]]) -> Iterable[tuple[bytes, Address]]:
-        """Take in datagrams; returns datagrams to send."""
+    def step(self, now: float, received: list[Datagram]) -> Iterable[Datagram]:
+        """Take in datagrams with their senders; return datagrams to send with their targets."""
 
     def next_at(self) -> float:
         """When the next step is due at the latest."""
@@ -24,90 +30,100 @@
 
 @dataclass(slots=True)
 class Host:
-    """A place on the network and the process on it. `stopped_until`: it runs no more till then, and loses
-    nothing.
+    """An address on the network and the process there.
+
+    paused_until: until then the process does not run, and loses nothing. wake_up: number of the last
+    scheduled wake-up, which makes the earlier ones void.
     """
 
     address: Address
     process: Process | None
-    stopped_until: float = 0.0
-    waiting: list[tuple[bytes, Address]] = field(default_factory=list)
-    clock_skew: float = 0.0
-    wake: int = 0  # the number of its last wake-up: older ones are void
+    paused_until: float = 0.0
+    undelivered: list[Datagram] = field(default_factory=list)
+    clock_skew_ms: float = 0.0
+    wake_up: int = 0
 
 
 class Network:
-    """Hosts in virtual time. One seed replays the whole run."""
+    """Hosts in virtual time. One seed replays the whole run.
 
-    def __init__(self, seed: int, delay: tuple[float, float] = (0.2, 2.0), loss: float = 0.0) -> None:
+    is_cut: whether datagrams from a sender to a receiver are lost. after_step: called after each step.
+    """
+
+    def __init__(self, seed: int, delay_ms: tuple[float, float] = (0.2, 2.0), loss: float = 0.0) -> None:
+        self.clock = VirtualClock()
         self.draw = random.Random(seed)
-        self.delay, self.loss = delay, loss
-        self.now = 0.0
+        self.delay_ms, self.loss = delay_ms, loss
         self.hosts: dict[Address, Host] = {}
-        self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.serial = itertools.count()
-        self.cut: Callable[[Address, Address], bool] = lambda sender, receiver: False
-        self.sent = self.bytes = 0
+        self.is_cut: Callable[[Address, Address], bool] = lambda sender, receiver: False
         self.after_step: Callable[[Host], None] = lambda host: None
+        self.sent_datagrams = self.sent_bytes = 0
+
+    @property
+    def now(self) -> float:
+        """The time on the simulated clock."""
+        return self.clock.now
+
+    def call_at(self, when: float, action: Action) -> None:
+        """Run an action at a time; at once if that is over."""
+        self.clock.call_at(max(when, self.now), action)
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
-        """Call an action at a time."""
-        heapq.heappush(self.events, (max(when, self.now), next(self.serial), action))
+    def run(self, until: float) -> None:
+        """Let time pass."""
+        self.clock.run(until)
 
-    def add(self, address: Address, process: Process, clock_skew: float = 0.0) -> Host:
-        """Start a process at an address; one that was there is gone."""
+    def add(self, address: Address, process: Process, clock_skew_ms: float = 0.0) -> Host:
+        """Start a process at an address, in place of a former one."""
         host = self.hosts.get(address)
         if host is None:
             host = self.hosts[address] = Host(address, process)
-        host.process, host.clock_skew, host.stopped_until, host.waiting = process, clock_skew, 0.0, []
-        self._arm(host)
+        host.process, host.clock_skew_ms = process, clock_skew_ms
+        host.paused_until, host.undelivered = 0.0, []
+        self._schedule_step(host)
         return host
 
     def kill(self, address: Address) -> None:
-        """The process is gone at once, and what waits for it."""
+        """End a process at once; what it has not received is lost."""
         host = self.hosts[address]
-        host.process, host.waiting = None, []
+        host.process, host.undelivered = None, []
 
-    def stop(self, address: Address, ms: float) -> None:
-        """The process stands still; what comes waits in its socket."""
+    def pause(self, address: Address, duration_ms: float) -> None:
+        """Stop a process for a while; datagrams wait in its socket."""
         host = self.hosts[address]
-        host.stopped_until = max(host.stopped_until, self.now + ms)
-        self.at(host.stopped_until, lambda: self._run(host))
-
-    def run(self, until: float) -> None:
-        """Let time pass."""
-        while self.events and self.events[0][0] <= until:
-            self.now, _, action = heapq.heappop(self.events)
-            action()
-        self.now = until
-
-    def _arm(self, host: Host) -> None:
-        host.wake += 1
-        number = host.wake
-        if host.process is not None:
-            # Danger: with a skewed clock (x - skew) + skew may fall just short of x: the process would be
-            # woken too early for ever, at one and the same moment. So it comes a microsecond late.
-            due = max(host.process.next_at() - host.clock_skew, self.now) + 0.001
-            self.at(due, lambda: self._run(host) if host.wake == number else None)
+        host.paused_until = max(host.paused_until, self.now + duration_ms)
+        self.call_at(host.paused_until, lambda: self.step(host))
 
-    def _run(self, host: Host) -> None:
-        if host.process is None or self.now < host.stopped_until:
+    def step(self, host: Host) -> None:
+        """Let a host's process take a step now, unless it is paused or dead."""
+        if host.process is None or self.now < host.paused_until:
             return
-        received, host.waiting = host.waiting, []
-        for data, target in host.process.step(self.now + host.clock_skew, received):
-            self._send(host.address, target, data)
-        self._arm(host)
+        received, host.undelivered = host.undelivered, []
+        for data, target in host.process.step(self.now + host.clock_skew_ms, received):
+            self.send(host.address, target, data)
+        self._schedule_step(host)
         self.after_step(host)
 
-    def _send(self, sender: Address, target: Address, data: bytes) -> None:
-        self.sent, self.bytes = self.sent + 1, self.bytes + len(data)
-        if self.draw.random() < self.loss or self.cut(sender, target):
+    def send(self, sender: Address, target: Address, data: bytes) -> None:
+        """Send a datagram, which may be lost."""
+        self.sent_datagrams += 1
+        self.sent_bytes += len(data)
+        if self.draw.random() < self.loss or self.is_cut(sender, target):
             return
         host = self.hosts.get(target)
         if host is not None:
-            self.at(self.now + self.draw.uniform(*self.delay), lambda: self._deliver(host, data, sender))
+            received_at = self.now + self.draw.uniform(*self.delay_ms)
+            self.call_at(received_at, lambda: self._deliver(host, data, sender))
+
+    def _schedule_step(self, host: Host) -> None:
+        host.wake_up += 1
+        number = host.wake_up
+        if host.process is not None:
+            # (x - skew) + skew may be a little less than x: without a margin the process would be woken
+            # before it is due, again and again at the same time.
+            due_at = max(host.process.next_at() - host.clock_skew_ms, self.now) + WAKE_UP_MARGIN_MS
+            self.call_at(due_at, lambda: self.step(host) if host.wake_up == number else None)
 
     def _deliver(self, host: Host, data: bytes, sender: Address) -> None:
         if host.process is not None:
-            host.waiting.append((data, sender))
-            self._run(host)
+            host.undelivered.append((data, sender))
+            self.step(host)
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from cottonhold.emulator.network import Network
 from cottonhold.emulator.outage_log import Log, Row
+from cottonhold.emulator.virtual_time import VirtualClock
 from cottonhold.fleet.admission.demand import density_step
 from cottonhold.fleet.admission.demand_sharing import DemandSharing
 from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
@@ -191,7 +191,7 @@
 
     def __init__(self, seed: int, setup: Setup) -> None:
         self.draw, self.serial, self.setup = random.Random(seed), itertools.count(), setup
-        self.network = Network(seed)  # for its clock
+        self.clock = VirtualClock()
         self.names = sorted(setup.rates)
         self.servers = [Server(zone) for zone in self.names for _ in range(setup.engines)]
         self.engines_by_zone = {z: {f"{z}{i}": 1.0 for i in range(setup.engines)} for z in self.names}
@@ -222,11 +222,11 @@
 
     def at(self, when: float, action: Callable[[float], None]) -> None:
         """Call an action at a time."""
-        self.network.at(when, lambda: action(self.network.now))
+        self.clock.call_at(when, lambda: action(self.clock.now))
 
     def play(self, until: float) -> None:
         """Let time pass."""
-        self.network.run(until)
+        self.clock.run(until)
 
     def lose(self, zone: str, count: int | None = None) -> None:
         """So many engines of a zone, or all, are gone, with what they ran."""
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field, replace
 
-from cottonhold.emulator.network import Network
+from cottonhold.emulator.virtual_time import VirtualClock
 from cottonhold.fleet.admission import demand
 from cottonhold.fleet.admission.demand_messages import decode_demand_reports, encode_demand_reports
 from cottonhold.fleet.admission.demand_sharing import DemandSettings, DemandSharing
@@ -225,7 +225,7 @@
         self.engines = [Engine(speed) for _ in range(engines)]
         self.engines_up = engines
         self.instances: list[Instance] = [self.make_instance(i, policy(i)) for i in range(len(self.weights))]
-        self.network = Network(seed)  # only for its clock: loads go by a way of their own here
+        self.clock = VirtualClock()
         self.is_cut: Callable[[int, int], bool] = lambda a, b: False
         self.claim_factors: dict[int, float] = {}  # instance -> times that it claims
         self.bytes = 0
@@ -242,11 +242,11 @@
 
     def at(self, when: float, action: Callable[[float], None]) -> None:
         """Call an action at a time."""
-        self.network.at(when, lambda: action(self.network.now))
+        self.clock.call_at(when, lambda: action(self.clock.now))
 
     def play(self, until: float) -> None:
         """Let time pass."""
-        self.network.run(until)
+        self.clock.run(until)
 
     def capacity(self) -> float:
         """Cores of the engines in use, as the list tells; their true speed may differ."""
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -75,7 +75,7 @@
         self.lost: OutageScope | None = None  # what its census has found
 
     def _engine_with_capacity(self) -> int | None:
-        world, now = self.back, self.back.network.now
+        world, now = self.back, self.back.clock.now
         if self.fleet.slow_start is None and now < self.began + LISTED:
             return None  # nothing is known of engines yet
         # As the scheduler does, by its own share of the capacity: else those that hold all places of a full
--- a/tests/fleet/test_model_checker.py
+++ b/tests/fleet/test_model_checker.py
@@ -7,8 +7,13 @@
 
 import pytest
 
-from cottonhold.emulator.model_checker import World, explore, walk
-from cottonhold.emulator.models import PinWorld, RegisterWorld, pin_end, register_end
+from cottonhold.emulator.model_checker import Model, explore, walk
+from cottonhold.emulator.models import (
+    OwnershipModel,
+    RegisterModel,
+    ownership_violation_at_end,
+    registers_violation_at_end,
+)
 from cottonhold.fleet.consensus import acceptor, proposer
 from cottonhold.fleet.consensus.actions import SendMessage
 from cottonhold.fleet.session_affinity import announcements, membership_lease
@@ -16,25 +21,25 @@
 from cottonhold.fleet.session_affinity.record_book import OwnershipRecord, OwnershipState
 
 
-def many_registers() -> World:
-    return RegisterWorld(crashes=3, forgets=1, asks=3)
+def many_registers() -> Model:
+    return RegisterModel(crashes=3, disk_losses=1, changes=3)
 
 
-def many_pins() -> World:
-    return PinWorld(crashes=2, moves=4, loads=6)
+def many_pins() -> Model:
+    return OwnershipModel(crashes=2, moves=4, loads=6)
 
 
 def test_registers_and_pins_hold_in_random_orders() -> None:
-    found = walk(many_registers, 1, 60, 200, register_end)
-    assert not found.broken, found.trace
-    found = walk(many_pins, 1, 40, 250, pin_end)
-    assert not found.broken, found.trace
+    found = walk(many_registers, 1, 60, 200, registers_violation_at_end)
+    assert not found.violation, found.trace
+    found = walk(many_pins, 1, 40, 250, ownership_violation_at_end)
+    assert not found.violation, found.trace
 
 
-@pytest.mark.parametrize("world", [RegisterWorld, PinWorld])
-def test_they_hold_in_every_order_of_a_few_events(world: Callable[[], World]) -> None:
+@pytest.mark.parametrize("world", [RegisterModel, OwnershipModel])
+def test_they_hold_in_every_order_of_a_few_events(world: Callable[[], Model]) -> None:
     found = explore(world, 4, 250)
-    assert not found.broken and found.depth >= 3
+    assert not found.violation and found.depth >= 3
 
 
 def no_quorum(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -117,8 +122,8 @@
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    found = walk(many_registers, 1, 1500, 200, register_end)
-    assert "two values" in found.broken or "was lost" in found.broken, found.broken
+    found = walk(many_registers, 1, 1500, 200, registers_violation_at_end)
+    assert "two values" in found.violation or "was lost" in found.violation, found.violation
 
 
 @pytest.mark.parametrize("plant", [no_fence, no_wait, early_release, not_told])
@@ -126,23 +131,23 @@
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    found = walk(many_pins, 7, 1500, 250, pin_end)  # a seed that meets all soon
-    assert "two owners" in found.broken or "a load started" in found.broken, found.broken
+    found = walk(many_pins, 7, 1500, 250, ownership_violation_at_end)  # a seed that meets all soon
+    assert "two owners" in found.violation or "a load started" in found.violation, found.violation
 
 
-def pump(world: RegisterWorld, ms: float, passes: Callable[[int, int], bool]) -> None:
+def pump(world: RegisterModel, ms: float, passes: Callable[[int, int], bool]) -> None:
     """Time goes by, disks write, and the messages that may pass do."""
     until = world.now + ms
     while world.now < until:
-        for member in world.ids:
-            while world.queues[member]:
-                world.write(member)
-        for message in [m for m in world.net if passes(m[0], m[1])]:
-            del world.net[message]
-            world.act(message[0], world.up[message[0]].on_message(world.now, *message[1:]))
-        for member, one in world.up.items():
+        for member in world.members:
+            while world.pending_writes[member]:
+                world.complete_write(member)
+        for message in [m for m in world.in_flight if passes(m.target, m.sender)]:
+            del world.in_flight[message]
+            world.deliver(message)
+        for member, one in world.running.items():
             if one.next_at() <= world.now and member != 4:
-                world.act(member, one.step(world.now))
+                world.step(member)
         world.now += 5
 
 
@@ -153,20 +158,20 @@
     """4 has 3's promise; 3 forgets and returns; 1 and 3 settle a value; then 2 promises to 4."""
     if broken:
         old_epochs(monkeypatch)
-    world = RegisterWorld()
-    world.up[4].proposer.highest_ballot_number = 10
-    world.do(("ask", 4))
+    world = RegisterModel()
+    world.running[4].proposer.highest_ballot_number = 10
+    world.request_change(4)
     pump(world, 20, lambda to, sender: {to, sender} == {3, 4})
-    world.net.clear()
+    world.in_flight.clear()
     world.crash(3, True)
     world.start(3)
     pump(world, 2000, lambda to, sender: 4 not in (to, sender))
-    assert world.up[3].is_voting()
-    world.do(("ask", 1))
+    assert world.running[3].is_voting()
+    world.request_change(1)
     pump(world, 60, lambda to, sender: {to, sender} == {1, 3})
-    assert world.values == {1: b"11"}
-    world.net.clear()
-    world.act(4, world.up[4].step(world.now))
+    assert world.settled_values == {1: b"11"}
+    world.in_flight.clear()
+    world.step(4)
     pump(world, 20, lambda to, sender: {to, sender} == {2, 4})
     pump(world, 20, lambda to, sender: True)
-    assert bool(world.wrong) is broken
+    assert bool(world.violation) is broken
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -96,7 +96,7 @@
     name: str, delay: tuple[float, float], within: float
 ) -> None:
     world = World(2, 6, 270.0, skew=lambda i: SKEW[i])
-    world.network.delay = delay
+    world.network.delay_ms = delay
     world.run(FAULT)
     FAULTS[name][0](world, True)
     world.run(MEND)
@@ -125,7 +125,7 @@
 def test_a_partitioned_fleet_evacuates_by_own_evidence_and_converges_again() -> None:
     def fault(world: World, on: bool) -> None:
         set_zone(is_dead=True)(world, on)
-        world.network.cut = lambda a, b: on and (a.port <= 3) != (b.port <= 3)
+        world.network.is_cut = lambda a, b: on and (a.port <= 3) != (b.port <= 3)
 
     world = play(fault, end=25_000.0)
     assert len(left(world)) == 6 and set(world.phases("a").values()) == {"in"}
@@ -136,7 +136,7 @@
     def fault(world: World, on: bool) -> None:
         set_zone(slow_factor=10.0)(world, on)
         for i in (5, 4, 0) if on else ():
-            world.network.at(FAULT + 300.0, lambda i=i: world.kill(i))  # type: ignore[misc]
+            world.network.call_at(FAULT + 300.0, lambda i=i: world.kill(i))  # type: ignore[misc]
 
     world = play(fault, instances=8)
     assert set(left(world)) == {1, 2, 3, 6, 7} and max(left(world).values()) <= 4000.0
@@ -147,7 +147,7 @@
     def fault(world: World, on: bool) -> None:
         set_zone(is_dead=True)(world, on)
         if on:
-            world.network.stop(Address("fleet", 6), 5000.0)
+            world.network.pause(Address("fleet", 6), 5000.0)
 
     world = play(fault)
     sends = [t for t, zone, _, _ in world.log if zone == "a" and FAULT + 5600 < t < MEND]
--- a/tests/membership/test_duties.py
+++ b/tests/membership/test_duties.py
@@ -154,7 +154,7 @@
         for n, voter in self.voters.items():
             (voter.wanted.add if n in numbers else voter.wanted.discard)(duty)
             host = self.network.hosts[self.addresses[n]]
-            self.network.at(self.network.now, lambda host=host: self.network._run(host))  # type: ignore[misc]
+            self.network.call_at(self.network.now, lambda host=host: self.network.step(host))  # type: ignore[misc]
 
     def held(self, number: int, duty: int, left: float) -> None:
         holder, until = self.holds.get(duty, (number, 0.0))
@@ -203,7 +203,7 @@
     site.want(1, 2)
     site.run(3000)
     minority = {site.addresses[1], site.addresses[2]}
-    site.network.cut = lambda a, b: (a in minority) is not (b in minority)
+    site.network.is_cut = lambda a, b: (a in minority) is not (b in minority)
     site.want(1, 2, 4)  # each half believes that it is its own
     site.run(3000)
     assert site.holder(1) == 4
@@ -246,7 +246,7 @@
         if kind == "want":
             site.want(draw.randrange(3), *draw.sample(range(1, 6), draw.choice([1, 1, 2, 3])))
         elif kind == "stop":
-            site.network.stop(site.addresses[draw.choice(running)], draw.uniform(100, 4000))
+            site.network.pause(site.addresses[draw.choice(running)], draw.uniform(100, 4000))
         elif kind == "kill" and len(running) > 1:
             number = draw.choice(running)
             site.network.kill(site.addresses[number])
@@ -257,9 +257,9 @@
             site.start(draw.choice([n for n in range(1, 6) if n not in running]), draw.uniform(-1e6, 1e6))
         elif kind == "split":
             half = set(draw.sample(sorted(site.numbers, key=str), 2))
-            site.network.cut = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
+            site.network.is_cut = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
         else:
-            site.network.cut = lambda a, b: False
+            site.network.is_cut = lambda a, b: False
             site.network.loss = draw.choice([0.0, 0.1, 0.4])
         site.run(draw.uniform(50, 1500))
 
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -121,7 +121,7 @@
 def test_a_process_stopped_for_5_s_and_continued_is_back_and_calls_nobody_dead(seed: int) -> None:
     fleet = settled(seed=seed)
     fleet.run(2000)
-    fleet.network.stop(fleet.addresses[2], 5000)
+    fleet.network.pause(fleet.addresses[2], 5000)
     fleet.run(5000)
     stopped = fleet.instances[2]
     fleet.until_agreed(5000)
@@ -134,7 +134,7 @@
 def test_a_loop_that_stalls_for_half_of_its_time_is_not_dead_forever(seed: int) -> None:
     fleet = settled(seed=seed)
     for _ in range(10):
-        fleet.network.stop(fleet.addresses[2], 1500)
+        fleet.network.pause(fleet.addresses[2], 1500)
         fleet.run(3000)
     assert not [c for _, c in fleet.instances[2].told if c.status is MemberStatus.DEAD]
     fleet.until_agreed(5000)
@@ -151,7 +151,7 @@
     if end == "left":
         for farewell in fleet.instances[2].swim.leave(fleet.network.now):
             assert isinstance(farewell, SendDatagram)
-            fleet.network._send(fleet.addresses[2], farewell.address, farewell.data)
+            fleet.network.send(fleet.addresses[2], farewell.address, farewell.data)
         fleet.run(100)
     fleet.kill(2)
     fleet.run(15_000 if end == "dead" else 600)
@@ -170,19 +170,19 @@
 def test_a_split_of_two_and_three_heals() -> None:
     fleet = settled()
     half = set(fleet.addresses[:2])
-    fleet.network.cut = lambda a, b: (a in half) is not (b in half)
+    fleet.network.is_cut = lambda a, b: (a in half) is not (b in half)
     fleet.run(20_000)
     assert (
         len(fleet.instances[0].swim.live_members()) == 2 and len(fleet.instances[4].swim.live_members()) == 3
     )
-    fleet.network.cut = lambda a, b: False
+    fleet.network.is_cut = lambda a, b: False
     fleet.until_agreed(15_000)
 
 
 def test_a_one_way_link_kills_nobody_where_others_can_help() -> None:
     fleet = settled()
     deaf, heard = fleet.addresses[0], fleet.addresses[1]
-    fleet.network.cut = lambda a, b: a == heard and b == deaf
+    fleet.network.is_cut = lambda a, b: a == heard and b == deaf
     fleet.run(60_000)
     assert fleet.deaths() == 0
 
@@ -201,7 +201,7 @@
     leaving = fleet.instances.pop(2)
     for action in leaving.swim.leave(fleet.network.now):
         assert isinstance(action, SendDatagram)
-        fleet.network._send(fleet.addresses[2], action.address, action.data)
+        fleet.network.send(fleet.addresses[2], action.address, action.data)
     fleet.network.kill(fleet.addresses[2])
     fleet.until_agreed(1000)
     assert {c.status for i in fleet.instances.values() for _, c in i.told if c.name == "n2"} == {
@@ -256,16 +256,16 @@
                 draw.choice([i for i in range(5) if i not in running]), skew=draw.choice([0, -5000, 5000])
             )
         elif kind == "stop":
-            fleet.network.stop(fleet.addresses[draw.choice(running)], draw.uniform(100, 5000))
+            fleet.network.pause(fleet.addresses[draw.choice(running)], draw.uniform(100, 5000))
         elif kind == "loss":
             fleet.network.loss = draw.choice([0.0, 0.1, 0.3])
         elif kind == "split":
             half = set(draw.sample(fleet.addresses, 2))
-            fleet.network.cut = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
+            fleet.network.is_cut = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
         else:
-            fleet.network.cut, fleet.network.loss = lambda a, b: False, 0.0
+            fleet.network.is_cut, fleet.network.loss = lambda a, b: False, 0.0
         fleet.run(draw.uniform(200, 4000))
-    fleet.network.cut, fleet.network.loss = lambda a, b: False, 0.0
+    fleet.network.is_cut, fleet.network.loss = lambda a, b: False, 0.0
     fleet.run(6000)  # whoever was stopped runs again
     return fleet
 
