--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -19,7 +19,8 @@
     ServiceStatus,
     SourceReport,
 )
-from cottonhold.emulator import disk as disk_of
+from cottonhold.emulator.disk import install
+from cottonhold.emulator.lossy_disk import Orders
 from cottonhold.fleet.recovery.cached_engines import EngineCache
 from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
@@ -261,21 +262,21 @@
             "e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)
         }
         rim, swap = node.rolling_replacement.drains, node.rolling_replacement.coordinator
-        disk.orders = disk_of.Orders(full=True) if fault == "full" else disk_of.Orders(fail_sync=1.0)
+        disk.orders = Orders(full=True) if fault == "full" else Orders(fail_sync=1.0)
         rim.act(0.0, swap, Drain("e1"))
         while "e1" not in rim.drains.drained:
             await asyncio.sleep(0)
         assert rim.records.pending or rim.records.in_flight, "not kept yet, and not given up"
-        disk.orders = disk_of.Orders()
+        disk.orders = Orders()
         while rim.records.pending or rim.records.in_flight:
             await asyncio.sleep(0.01)
-        disk.cut()
+        disk.cut_power()
 
     async def back(node: StandaloneDispatcher) -> None:
         assert set(node.quarantine.live_engines()) == {"e2"}
 
     for story in (drained, back):
-        disk = disk_of.install("drains")
+        disk = install("drains")
         asyncio.run(life(story))
 
 
--- a/tests/store/history.py
+++ b/tests/store/history.py
@@ -11,7 +11,8 @@
 import time
 from pathlib import Path
 
-from cottonhold.emulator.disk import Disk, Orders, install
+from cottonhold.emulator.disk import install
+from cottonhold.emulator.lossy_disk import Disk, Orders
 from cottonhold.store.health import Completeness, DiskState, StoreError
 from cottonhold.store.ledger import Ledger, LedgerSettings
 from cottonhold.store.ledger_folder import COMPLETE_MARK
@@ -63,7 +64,7 @@
         try:
             self.ledger = Ledger.open(self.folder, "a", VFS, self.settings)
         except StoreError:
-            assert self.disk.off or self.disk.orders != Orders(), "it must open on a disk that is well"
+            assert self.disk.is_off or self.disk.orders != Orders(), "it must open on a disk that is well"
             self.ledger = None
             return False
         self.check(self.ledger)
@@ -142,7 +143,7 @@
 
     def cut(self, chance: random.Random | None = None) -> None:
         """The power goes."""
-        self.disk.cut(chance)
+        self.disk.cut_power(chance)
         self.end(False)
 
     def cut_at(self, count: int, chance: random.Random | None) -> None:
@@ -150,8 +151,8 @@
         start = self.disk.operations
 
         def before(operation: int, _what: str) -> None:
-            if operation - start >= count and not self.disk.off:
-                self.disk.cut(chance)
+            if operation - start >= count and not self.disk.is_off:
+                self.disk.cut_power(chance)
 
         self.disk.before = before
 
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -13,7 +13,8 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator import disk as disk_module
-from cottonhold.emulator.disk import Orders, install
+from cottonhold.emulator.disk import install
+from cottonhold.emulator.lossy_disk import Orders
 from cottonhold.store import ledger_folder
 from cottonhold.store.files import Files
 from cottonhold.store.health import DiskState
@@ -247,12 +248,12 @@
             play.disk.orders = Orders(fail_sync=0.2, fail_write=0.1, leak=0.2) if number else Orders()
         elif what == "cut":
             play.cut_at(number, chance)
-        if what == "close" or play.disk.off:
+        if what == "close" or play.disk.is_off:
             # A close may be cut as well.
-            play.disk.orders = play.disk.orders if play.disk.off else Orders()
+            play.disk.orders = play.disk.orders if play.disk.is_off else Orders()
             play.end(True)
-            if play.disk.off or not play.reopen():
-                assert play.disk.off and play.open()
+            if play.disk.is_off or not play.reopen():
+                assert play.disk.is_off and play.open()
     play.cut(chance)
     assert play.open()
     play.end(True)
--- a/tests/store/test_faults.py
+++ b/tests/store/test_faults.py
@@ -14,7 +14,8 @@
 import apsw
 import pytest
 
-from cottonhold.emulator.disk import Disk, DiskFiles, Orders, install
+from cottonhold.emulator.disk import DiskFiles, install
+from cottonhold.emulator.lossy_disk import Disk, Orders
 from cottonhold.store import files as store_files
 from cottonhold.store import record_file
 from cottonhold.store.health import Completeness, DiskState, StoreError
@@ -128,7 +129,7 @@
     """A file system that doesn't keep the order of names: removals got there, moves not yet."""
     for node, to in disk.moves:
         if to is None:
-            disk._move_real(node, to)
+            disk.make_move_durable(node, to)
 
 
 def open_often(play: Play, stage: str, seed: int) -> None:
@@ -139,7 +140,7 @@
         with pytest.raises(StoreError, match="planted"):
             Ledger.open(play.folder, "a", VFS, SMALL)
         assert books(play.folder, disk) <= 2, "each try leaves a file"
-    disk.cut(random.Random(seed))
+    disk.cut_power(random.Random(seed))
     play.settled = True
     assert play.open()
     assert books(play.folder, play.disk) == 1
@@ -172,12 +173,12 @@
     def before(operation: int, _what: str) -> None:
         if operation - start == count:
             removed_first(disk)
-            disk.cut()
+            disk.cut_power()
 
     disk.before = before
     with pytest.raises(StoreError):
         Ledger.open(play.folder, "a", VFS, SMALL)
-    disk.cut()
+    disk.cut_power()
     play.settled = True
     assert play.open()
     play.end(True)
@@ -309,7 +310,7 @@
     assert told == [False] and not through.is_set()
     disk.orders = Orders()
     assert through.wait(20.0)
-    disk.cut()
+    disk.cut_power()
     ledger.close(False)
     install(VFS)
     again = Ledger.open(tmp_path, "a", VFS, SMALL)
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -15,7 +15,8 @@
 
 import pytest
 
-from cottonhold.emulator.disk import Orders, install
+from cottonhold.emulator.disk import install
+from cottonhold.emulator.lossy_disk import Orders
 from cottonhold.store.health import Completeness, DiskState, StoreError
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.ledger_folder import COMPLETE_MARK
@@ -142,7 +143,7 @@
     closing.start()
     closing.join(20.0)
     assert not closing.is_alive() and hangs.wait(20.0)
-    disk.cut()
+    disk.cut_power()
     ledger._thread.join(20.0)
     ledger.folder.close()
     play = Play(tmp_path)
