--- a/benchmarks/fleet/outlook.py
+++ b/benchmarks/fleet/outlook.py
@@ -1,9 +1,9 @@
-"""Holds the outlook's projections against what then comes, in virtual time; writes
+"""Holds the cost estimator's projections against what then happens, in virtual time; writes
 docs/measurements/outlook-core.md:
 
 python benchmarks/fleet/outlook.py [--seeds 20]
 
-With `--service WHO` it plays the days with the fleet's core deciding, as in service, and prints rows for
+With `--service WHO` it runs the scenarios with the fleet's core deciding, as in service, and prints rows for
 docs/measurements/outlook.md.
 """
 
@@ -12,234 +12,291 @@
 import argparse
 import math
 import statistics
-from collections.abc import Iterable
-from dataclasses import replace
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
 
-from cottonhold.emulator.outages import Setup, World
+from cottonhold.emulator.outages import OutageSetup, OutageWorld
 from cottonhold.emulator.outages_in_service import ServiceWorld
 from cottonhold.fleet.failover_cost.cost_settings import CostSettings
 from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
+from cottonhold.fleet.failover_cost.projection import Projection
 
-OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "outlook-core.md"
+OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "outlook-core.md"
 ZONES = ("a", "b", "c")
-FAR = {("a", "b"): 15.0, ("b", "c"): 25.0, ("a", "c"): 60.0}
-TRIPS = {(x, y): 1.0 if x == y else FAR[min(x, y), max(x, y)] for x in ZONES for y in ZONES}
-FAULT, SEEN, WINDOW, END = 8000.0, 500.0, 5000.0, 16_000.0
-SETTLED = 1500.0  # after which what broke in the fault itself has been asked again
-EVEN, UNEVEN = (140.0, 140.0, 140.0), (80.0, 100.0, 240.0)
-INTRO = """# The outlook in virtual time: measured
+DISTANCES_MS = {("a", "b"): 15.0, ("b", "c"): 25.0, ("a", "c"): 60.0}
+ROUND_TRIPS_MS = {
+    (zone, other): 1.0 if zone == other else DISTANCES_MS[min(zone, other), max(zone, other)]
+    for zone in ZONES
+    for other in ZONES
+}
+FAULT_AT, END = 8000.0, 16_000.0
+PROJECTED_AT = FAULT_AT - 500.0
+NOTICED_AT = FAULT_AT + 500.0
+WINDOW_END = NOTICED_AT + 5000.0
+CALM_BEGIN = 3000.0
+SETTLING_MS = 1500.0  # after which requests that the fault broke have been retried
+MIN_MOVED_CORES = 0.02
+CACHED_DATA_SETS = 10
+EVEN_RATES, UNEVEN_RATES = (140.0, 140.0, 140.0), (80.0, 100.0, 240.0)
+INTRODUCTION = """# The outlook in virtual time: measured
 
 By `python benchmarks/fleet/outlook.py` ({seeds} seeds; {few} where the input is wrong), on the model of
-`emulator/outlook.py`: three zones of four engines, 15, 25 and 60 ms apart, two instances each, 140
+`emulator/outages.py`: three zones of four engines, 15, 25 and 60 ms apart, two instances each, 140
 requests a second and zone of 20 ms (0.7 of all engines), 40% of them worth 6 and the rest 1; each engine
 keeps 10 of 18 data sets, and a request on another takes three times as long. Told: half a second before
 the fault. Came: what the model counted, worth of what came from 2 to 7 s after the fault, the rest from
 0.5 s, when the fault is known, to 5.5 s. Off: the median over seeds of the difference, of worth as it is,
 of the others as a part of what came.
 """
-TABLE = """Worth served of what came from the fault to 6 s after it, median and worst seed, with the outlook
-deciding (which zones serve, how much of an ill zone is kept, what cores the price counts on) and by
+COMPARISON = """\
+Worth served of what came from the fault to 6 s after it, median and worst seed, with the outlook deciding
+(which zones serve, how much of an ill zone is kept, what cores the price counts on) and by
 today's rule (the least loaded engine of all zones, the fixed reserve). Round trips are those of the outlook
 and of today's rule."""
-# By day: requests a second by zone, speed of the ill zone, what is left of which zone.
-DAYS: dict[str, tuple[tuple[float, ...], float, dict[str, float]]] = {
-    "lost zone": (EVEN, 0.0, {"a": 0.0}),
-    "ill zone": (EVEN, 0.3, {"b": 0.3}),
-    "a zone and a half": (EVEN, 0.0, {"a": 0.0, "b": 0.5}),
-    "uneven load": (UNEVEN, 0.0, {"b": 0.0}),
-    "two zones": (EVEN, 0.0, {"a": 0.0, "b": 0.0}),
-}
 
+Figures = dict[str, float]
+
+
+@dataclass(slots=True, frozen=True)
+class Scenario:
+    """A fault.
+
+    rates: requests a second, by zone. ill_zone_speed: of the zone's engines; 0: engines are lost. remaining:
+    what is left of which zone.
+    """
+
+    rates: tuple[float, ...]
+    ill_zone_speed: float
+    remaining: Mapping[str, float]
 
-SETTINGS = CostEstimatorSettings(snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=10))
+
+SCENARIOS = {
+    "lost zone": Scenario(EVEN_RATES, 0.0, {"a": 0.0}),
+    "ill zone": Scenario(EVEN_RATES, 0.3, {"b": 0.3}),
+    "a zone and a half": Scenario(EVEN_RATES, 0.0, {"a": 0.0, "b": 0.5}),
+    "uneven load": Scenario(UNEVEN_RATES, 0.0, {"b": 0.0}),
+    "two zones": Scenario(EVEN_RATES, 0.0, {"a": 0.0, "b": 0.0}),
+}
+SETTINGS = CostEstimatorSettings(
+    snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=CACHED_DATA_SETS)
+)
+# Settings of the estimator by who decides in service. today: no estimator. kept: it says what an ill zone
+# retains. guests: and which zones serve whose clients while something is out. calm: also while nothing is.
+DECIDERS: dict[str, dict[str, Any]] = {
+    "today": {},
+    "kept": {"cross_zone": None},
+    "guests": {},
+    "calm": {"limits_when_calm": True},
+}
 
 
-def play(
-    day: str, seed: int, decides: str, loss: float = 0.0, lie: float = 1.0, keeps: int = 10
-) -> dict[str, float]:
-    """One day: what was projected in the second before the fault, and what came."""
-    rates, speed, left = DAYS[day]
-    settings = replace(SETTINGS, cost=CostSettings(cached_data_sets=keeps))
-    setup = Setup(
-        dict(zip(ZONES, rates, strict=True)),
-        TRIPS,
+def run_model(
+    name: str,
+    seed: int,
+    decides: str,
+    loss: float = 0.0,
+    claim_factor: float = 1.0,
+    cached_data_sets: int = CACHED_DATA_SETS,
+) -> Figures:
+    """Run a scenario: what was projected shortly before the fault, and what happened."""
+    scenario = SCENARIOS[name]
+    settings = replace(SETTINGS, cost=CostSettings(cached_data_sets=cached_data_sets))
+    setup = OutageSetup(
+        dict(zip(ZONES, scenario.rates, strict=True)),
+        ROUND_TRIPS_MS,
         decides=decides,
         loss=loss,
-        cached_data_sets=keeps,
+        cached_data_sets=cached_data_sets,
         settings=settings,
     )
-    world = World(seed, setup)
-    world.claim_factors[5] = lie
-    world.play(FAULT - 500)
-    found = {}
-    outlook = world.instances[seed % 5].estimator
+    world = OutageWorld(seed, setup)
+    world.claim_factors[5] = claim_factor
+    world.run(PROJECTED_AT)
+    figures: Figures = {}
+    speed = scenario.ill_zone_speed
     if decides == "outlook":
-        kept = outlook.retained_share(FAULT - 500, "b", speed) if speed else None
-        told = outlook.projection_with(left if kept is None else {"b": kept})
-        assert told is not None
-        found = {
-            "worth": told.served_share(),
-            "added": told.added_round_trip_ms,
-            "extra": told.extra_cold_cores,
-            "warm": told.warm_ms,
-        }
-    world.play(FAULT)
-    for zone, part in left.items():
-        if speed:
-            world.slow(zone, speed)
-        else:
-            world.lose(zone, None if part == 0.0 else round((1 - part) * world.setup.engines))
-    world.play(FAULT + SEEN)
+        estimator = world.instances[seed % 5].estimator
+        retained = estimator.retained_share(PROJECTED_AT, "b", speed) if speed else None
+        remaining = scenario.remaining if retained is None else {"b": retained}
+        projection = estimator.projection_with(remaining)
+        assert projection is not None
+        figures = projected_figures(projection) | {"warm": projection.warm_ms}
+    world.run(FAULT_AT)
+    set_fault(world, scenario)
+    world.run(NOTICED_AT)
     if speed:
-        world.leave(FAULT + SEEN, "b", speed)
+        world.evacuate(NOTICED_AT, "b", speed)
     else:
-        world.see(left)
-    world.play(END)
-    return found | counted(world)
-
-
-# Who decides in service. today: the outlook off. kept: it says what is kept of an ill zone. guests: and which
-# zones serve whose clients while something is out. calm: also while nothing is.
-WHO: dict[str, dict[str, Any]] = {
-    "today": {},
-    "kept": {"guests": None},
-    "guests": {},
-    "calm": {"calm": True},
-}
+        world.announce_remaining(scenario.remaining)
+    world.run(END)
+    return figures | counted_figures(world)
 
 
-def play_service(day: str, seed: int, who: str) -> dict[str, float]:
-    """One day with the core deciding: what was told of it half a second before, and what came."""
-    rates, speed, left = DAYS[day]
-    settings = replace(SETTINGS, snapshot_interval_ms=1000.0, **WHO[who])
-    decides = "today" if who == "today" else "outlook"
-    setup = Setup(
-        dict(zip(ZONES, rates, strict=True)), TRIPS, decides=decides, cached_data_sets=10, settings=settings
+def run_in_service(name: str, seed: int, decider: str) -> Figures:
+    """Run a scenario with the core deciding: what was projected shortly before, and what happened."""
+    scenario = SCENARIOS[name]
+    setup = OutageSetup(
+        dict(zip(ZONES, scenario.rates, strict=True)),
+        ROUND_TRIPS_MS,
+        decides="today" if decider == "today" else "outlook",
+        cached_data_sets=CACHED_DATA_SETS,
+        settings=replace(SETTINGS, snapshot_interval_ms=1000.0, **DECIDERS[decider]),
     )
     world = ServiceWorld(seed, setup)
-    world.play(FAULT - 500)
-    out = [zone for zone, part in left.items() if part <= 0]
-    told = world.instances[seed % 5].estimator.projection(*out) if out and who != "today" else None
-    world.play(FAULT)
-    for zone, part in left.items():
-        if speed:
-            world.slow(zone, speed)
+    world.run(PROJECTED_AT)
+    lost_zones = [zone for zone, share in scenario.remaining.items() if share <= 0]
+    estimator = world.instances[seed % 5].estimator
+    projection = estimator.projection(*lost_zones) if lost_zones and decider != "today" else None
+    world.run(FAULT_AT)
+    set_fault(world, scenario)
+    world.run(END)
+    figures = {"served in calm": world.log.served_share(CALM_BEGIN, PROJECTED_AT)}
+    if projection is not None:
+        figures |= projected_figures(projection)
+    return figures | counted_figures(world)
+
+
+def set_fault(world: OutageWorld, scenario: Scenario) -> None:
+    """Begin a scenario's fault; nobody is told of it."""
+    for zone, share in scenario.remaining.items():
+        if scenario.ill_zone_speed:
+            world.slow_zone(zone, scenario.ill_zone_speed)
         else:
-            world.lose(zone, None if part == 0.0 else round((1 - part) * world.setup.engines))
-    world.play(END)
-    found = {"served in calm": world.log.share(3000, FAULT - 500)}
-    if told is not None:
-        found |= {
-            "worth": told.served_share(),
-            "added": told.added_round_trip_ms,
-            "extra": told.extra_cold_cores,
-        }
-    return found | counted(world)
-
-
-def service(who: str, seeds: Iterable[int]) -> None:
-    """Print a row for each day."""
-    for day in DAYS:
-        runs = [play_service(day, seed, who) for seed in seeds]
-        middle = {key: statistics.median(run[key] for run in runs) for key in runs[0]}
-        shown = " | ".join(f"{key} {value:.3f}" for key, value in middle.items())
-        print(f"| {day} | {who} | {shown} | worst {min(run['all'] for run in runs):.3f} |", flush=True)
-
-
-def counted(world: World) -> dict[str, float]:
-    """What came, as the model counts it."""
-    begin, end = FAULT + SEEN, FAULT + SEEN + WINDOW
-    before, after = world.log.flows(3000, FAULT), world.log.flows(begin, end)
-    moved = trips = 0.0
-    for (home, zone), (work, trip) in after.items():
-        more = work - before.get((home, zone), (0.0, 0.0))[0]
-        if more > 0.02:
-            usual = [before[pair] for pair in before if pair[0] == home]
-            mean = sum(w * t for w, t in usual) / sum(w for w, _ in usual)
-            moved, trips = moved + more, trips + more * (trip - mean)
+            count = None if share == 0.0 else round((1 - share) * world.setup.engines)
+            world.lose_engines(zone, count)
+
+
+def projected_figures(projection: Projection) -> Figures:
+    """What was projected."""
     return {
-        "served": world.log.share(begin + SETTLED, end + SETTLED),
-        "all": world.log.share(FAULT, END - 2000),
-        "came added": trips / max(moved, 1e-9),
-        "came extra": world.log.extra(begin, end) - world.log.extra(3000, FAULT),
-        "calm trip": world.log.trip(3000, FAULT),
-        "trip": world.log.trip(begin, end),
+        "worth": projection.served_share(),
+        "added": projection.added_round_trip_ms,
+        "extra": projection.extra_cold_cores,
     }
 
 
-def off(told: float, came: float) -> float:
-    """How far a told value is off, as a part of what came."""
-    return abs(told - came) / max(abs(came), 1e-9)
+def counted_figures(world: OutageWorld) -> Figures:
+    """What happened, as the model counts it."""
+    log = world.log
+    calm_flows, flows = log.flows(CALM_BEGIN, FAULT_AT), log.flows(NOTICED_AT, WINDOW_END)
+    moved_cores = added_ms = 0.0
+    for (home, zone), (cores, round_trip_ms) in flows.items():
+        added_cores = cores - calm_flows.get((home, zone), (0.0, 0.0))[0]
+        if added_cores > MIN_MOVED_CORES:
+            calm = [calm_flows[pair] for pair in calm_flows if pair[0] == home]
+            calm_mean_ms = sum(c * t for c, t in calm) / sum(c for c, _ in calm)
+            moved_cores += added_cores
+            added_ms += added_cores * (round_trip_ms - calm_mean_ms)
+    return {
+        "served": log.served_share(NOTICED_AT + SETTLING_MS, WINDOW_END + SETTLING_MS),
+        "all": log.served_share(FAULT_AT, END - 2000),
+        "came added": added_ms / max(moved_cores, 1e-9),
+        "came extra": log.cold_cores(NOTICED_AT, WINDOW_END) - log.cold_cores(CALM_BEGIN, FAULT_AT),
+        "calm trip": log.mean_round_trip_ms(CALM_BEGIN, FAULT_AT),
+        "trip": log.mean_round_trip_ms(NOTICED_AT, WINDOW_END),
+    }
+
+
+def print_service_rows(decider: str, seeds: Iterable[int]) -> None:
+    """Print a row for each scenario in service."""
+    for name in SCENARIOS:
+        runs = [run_in_service(name, seed, decider) for seed in seeds]
+        medians = {key: statistics.median(run[key] for run in runs) for key in runs[0]}
+        cells = " | ".join(f"{key} {value:.3f}" for key, value in medians.items())
+        worst = min(run["all"] for run in runs)
+        print(f"| {name} | {decider} | {cells} | worst {worst:.3f} |", flush=True)
+
+
+def relative_error(projected: float, counted: float) -> float:
+    """How far a projected value is off, as a part of the counted one."""
+    return abs(projected - counted) / max(abs(counted), 1e-9)
 
 
-def truth(title: str, runs: dict[str, list[dict[str, float]]]) -> list[str]:
-    """Projected against counted, by day."""
+def projection_table(title: str, runs: Mapping[str, list[Figures]]) -> list[str]:
+    """Projected against counted values, by scenario."""
     rows = [
         f"| {title} | worth told / came | off | added ms told / came | off | extra cores told / came | off |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for day, found in runs.items():
-        middle = {key: statistics.median(run[key] for run in found) for key in found[0]}
-        worth = statistics.median(abs(run["worth"] - run["served"]) for run in found)
-        added = statistics.median(off(run["added"], run["came added"]) for run in found)
-        extra = statistics.median(off(run["extra"], run["came extra"]) for run in found)
+    for name, figures in runs.items():
+        median = {key: statistics.median(run[key] for run in figures) for key in figures[0]}
+        utility_error = statistics.median(abs(run["worth"] - run["served"]) for run in figures)
+        added_error = statistics.median(relative_error(run["added"], run["came added"]) for run in figures)
+        extra_error = statistics.median(relative_error(run["extra"], run["came extra"]) for run in figures)
         rows.append(
-            f"| {day} | {middle['worth']:.3f} / {middle['served']:.3f} | {worth:.3f} "
-            f"| {middle['added']:.1f} / {middle['came added']:.1f} | {added:.2f} "
-            f"| {middle['extra']:.2f} / {middle['came extra']:.2f} | {extra:.2f} |"
+            f"| {name} | {median['worth']:.3f} / {median['served']:.3f} | {utility_error:.3f} "
+            f"| {median['added']:.1f} / {median['came added']:.1f} | {added_error:.2f} "
+            f"| {median['extra']:.2f} / {median['came extra']:.2f} | {extra_error:.2f} |"
         )
     return [*rows, ""]
 
 
-def compared(runs: dict[str, dict[str, list[dict[str, float]]]]) -> list[str]:
-    """Worth served from the fault on, by who decides."""
+def comparison_table(
+    with_estimator: dict[str, list[Figures]], without: dict[str, list[Figures]]
+) -> list[str]:
+    """Utility served from the fault on, and round trips, by who decides."""
     rows = [
         "| day | outlook | today | outlook better in | round trip in calm, ms | while out, ms |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for day in DAYS:
-        own, today = runs["outlook"][day], runs["today"][day]
-        better = sum(a["all"] > b["all"] for a, b in zip(own, today, strict=True))
-        cells = [
-            " / ".join(f"{statistics.median(r[key] for r in which):.1f}" for which in (own, today))
-            for key in ("calm trip", "trip")
-        ]
+    for name in SCENARIOS:
+        both = with_estimator[name], without[name]
+        better = sum(ours["all"] > theirs["all"] for ours, theirs in zip(*both, strict=True))
         shares = [
-            f"{statistics.median(r['all'] for r in w):.3f} / {min(r['all'] for r in w):.3f}"
-            for w in (own, today)
+            f"{statistics.median(run['all'] for run in runs):.3f} / {min(run['all'] for run in runs):.3f}"
+            for runs in both
         ]
-        rows.append(f"| {day} | {' | '.join(shares)} | {better} of {len(own)} | {' | '.join(cells)} |")
+        round_trips = [
+            " / ".join(f"{statistics.median(run[key] for run in runs):.1f}" for runs in both)
+            for key in ("calm trip", "trip")
+        ]
+        cells = [name, *shares, f"{better} of {len(both[0])}", *round_trips]
+        rows.append(f"| {' | '.join(cells)} |")
     return [*rows, ""]
 
 
+def page(seeds: range) -> str:
+    """Run all in the model; return the page's text."""
+    few_seeds = list(seeds)[: math.ceil(len(seeds) / 4)]
+    runs = {
+        decides: {name: [run_model(name, seed, decides) for seed in seeds] for name in SCENARIOS}
+        for decides in ("outlook", "today")
+    }
+
+    def run_few(**options: Any) -> list[Figures]:
+        return [run_model("lost zone", seed, "outlook", **options) for seed in few_seeds]
+
+    wrong_input = {
+        "half of the words lost": run_few(loss=0.5),
+        "one claims ten times its demand, all warm, no distance": run_few(claim_factor=10.0),
+        "engines keep all data sets": run_few(cached_data_sets=0),
+    }
+    lines = [
+        INTRODUCTION.format(seeds=len(seeds), few=len(few_seeds)),
+        *projection_table("day", runs["outlook"]),
+        "On the day of the lost zone, with wrong input or other engines:",
+        "",
+        *projection_table("case", wrong_input),
+        COMPARISON,
+        "",
+        *comparison_table(runs["outlook"], runs["today"]),
+    ]
+    return "\n".join(lines)
+
+
 def main() -> None:
-    """Play and write."""
+    """Run and write the page, or print rows."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--service", choices=WHO)
-    asked = parser.parse_args()
-    seeds = range(1, asked.seeds + 1)
-    if asked.service:
-        service(asked.service, seeds)
-        return
-    few = list(seeds)[: math.ceil(len(seeds) / 4)]
-    runs = {who: {day: [play(day, s, who) for s in seeds] for day in DAYS} for who in ("outlook", "today")}
-    wrong = {
-        "half of the words lost": [play("lost zone", s, "outlook", loss=0.5) for s in few],
-        "one claims ten times its demand, all warm, no distance": [
-            play("lost zone", s, "outlook", lie=10.0) for s in few
-        ],
-        "engines keep all data sets": [play("lost zone", s, "outlook", keeps=0) for s in few],
-    }
-    OUT.write_text(
-        "\n".join(
-            [INTRO.format(seeds=len(seeds), few=len(few)), *truth("day", runs["outlook"])]
-            + ["On the day of the lost zone, with wrong input or other engines:", "", *truth("case", wrong)]
-            + [TABLE, "", *compared(runs)]
-        )
-    )
+    parser.add_argument("--service", choices=DECIDERS)
+    arguments = parser.parse_args()
+    seeds = range(1, arguments.seeds + 1)
+    if arguments.service:
+        print_service_rows(arguments.service, seeds)
+    else:
+        OUTPUT.write_text(page(seeds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -6,140 +6,219 @@
 from __future__ import annotations
 
 import argparse
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Sequence
 from multiprocessing import Pool
+from multiprocessing.pool import Pool as PoolType
 from pathlib import Path
 from typing import Any
 
 import numpy as np
 
-from cottonhold.emulator.overload import AdaptiveShare, Credits, Overload, Policy, QueueDelay, SharedThreshold
+from cottonhold.emulator.overload import (
+    AdaptiveShare,
+    Credits,
+    Overload,
+    Policy,
+    QueueDelay,
+    RequestEvent,
+    SharedThreshold,
+)
 from cottonhold.fleet.admission.demand_sharing import DemandSettings
 from cottonhold.fleet.admission.threshold import ThresholdSettings
 
-OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "overload-core.md"
+OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "overload-core.md"
+SHARED, SHARED_WITHOUT_GAIN = "one price", "one price, no gain"
 POLICIES: dict[str, Callable[[int], Policy]] = {
-    "nothing turned away": lambda i: Policy(),
-    "each alone, AIMD": lambda i: AdaptiveShare(),
-    "each alone, queue delay": lambda i: QueueDelay(),
-    "credits by demand": lambda i: Credits(),
-    "one price, no gain": lambda i: SharedThreshold(),
-    "one price": lambda i: SharedThreshold(),
+    "nothing turned away": lambda number: Policy(),
+    "each alone, AIMD": lambda number: AdaptiveShare(),
+    "each alone, queue delay": lambda number: QueueDelay(),
+    "credits by demand": lambda number: Credits(),
+    SHARED_WITHOUT_GAIN: lambda number: SharedThreshold(),
+    SHARED: lambda number: SharedThreshold(),
 }
 NO_GAIN = DemandSettings(threshold=ThresholdSettings(wait_correction=0.0, gain_rate=0.0))
-SKEW = (1, 1, 1, 2, 3, 4)
-LOADS = (1.0, 1.2, 1.5, 2.0, 3.0, 5.0)
+WEIGHTS = (1, 1, 1, 2, 3, 4)
+LOADS, SPEEDS = (1.0, 1.2, 1.5, 2.0, 3.0, 5.0), (1.0, 0.8)
 BEGIN, END = 6000.0, 18_000.0
-CAPACITY = 450.0  # requests a second of nine engines
+ENGINES, CAPACITY = 9, 450.0  # requests a second of all engines
+OUTAGE_RATE, OUTAGE_BEGIN, OUTAGE_END = 380.0, 5000.0, 12_000.0
+WAVE_MS, WAVE_LOADS = 4000, (0.7, 3.0)
+# Fields of `make_world`.
 CASES: dict[str, dict[str, Any]] = {
-    "calm": {"times": 0.7},
-    "twice": {"times": 2.0},
-    "waves of 0.7 and 3 times, 4 s each": {"times": 0.0},
-    "one instance has 20 of 25 parts": {"times": 2.0, "weights": (1, 1, 1, 1, 1, 20)},
-    "clients do not say that they come again": {"times": 2.0, "marked": False},
-    "30% of words lost": {"times": 2.0, "loss": 0.3},
-    "words a second late": {"times": 2.0, "delay": 1000.0},
-    "one claims ten times its demand": {"times": 2.0, "lie": 10.0},
-    "words cut between two halves": {"times": 2.0, "halves": True},
-    "50 instances, 75 engines": {"times": 2.0, "weights": SKEW * 8 + (1, 1), "engines": 75},
+    "calm": {"load": 0.7},
+    "twice": {"load": 2.0},
+    "waves of 0.7 and 3 times, 4 s each": {"load": 0.0},
+    "one instance has 20 of 25 parts": {"load": 2.0, "weights": (1, 1, 1, 1, 1, 20)},
+    "clients do not say that they come again": {"load": 2.0, "marks_retries": False},
+    "30% of words lost": {"load": 2.0, "loss": 0.3},
+    "words a second late": {"load": 2.0, "delay_ms": 1000.0},
+    "one claims ten times its demand": {"load": 2.0, "claim_factor": 10.0},
+    "words cut between two halves": {"load": 2.0, "is_partitioned": True},
+    "50 instances, 75 engines": {"load": 2.0, "weights": WEIGHTS * 8 + (1, 1), "engines": 75},
 }
-
-
-def world(seed: int, policy: Callable[[int], Policy], times: float, **fields: Any) -> Overload:
-    """A world of a case, not played yet."""
-    lie, halves = fields.pop("lie", 1.0), fields.pop("halves", False)
-    weights, engines = fields.pop("weights", SKEW), fields.setdefault("engines", 9)
-    full: float = CAPACITY * engines / 9
+Figures = tuple[float, ...]
+
+
+def make_world(
+    seed: int,
+    make_policy: Callable[[int], Policy],
+    load: float,
+    *,
+    engines: int = ENGINES,
+    weights: Sequence[int] = WEIGHTS,
+    claim_factor: float = 1.0,
+    is_partitioned: bool = False,
+    **options: Any,
+) -> Overload:
+    """A world at its start. load: as a part of the capacity; 0: in waves. options: of Overload."""
+    capacity: float = CAPACITY * engines / ENGINES
 
     def rate(now: float) -> float:
-        return full * (times or (3.0 if now // 4000 % 2 else 0.7))
+        return capacity * (load or WAVE_LOADS[int(now // WAVE_MS % 2)])
 
-    made = Overload(seed, rate, weights, policy, **fields)
-    made.claim_factors[0] = lie
-    if halves:
+    world = Overload(seed, rate, weights, make_policy, engines=engines, **options)
+    world.claim_factors[0] = claim_factor
+    if is_partitioned:
         half = len(weights) // 2
-        made.is_cut = lambda a, b: (a < half) != (b < half)
-    return made
+        world.is_cut = lambda sender, target: (sender < half) != (target < half)
+    return world
 
 
-def measure(job: tuple[int, str, dict[str, Any]]) -> tuple[float, float, float, float, float]:
-    """Share of the worth possible; how far dear and cheap tries are apart between instances; sends for each
-    one served; bytes a second and instance."""
+def measure(job: tuple[int, str, dict[str, Any]]) -> Figures:
+    """Run a world of a seed, policy and fields.
+
+    Returns the share of the possible utility; the greatest difference between instances in the share of
+    dear and of cheap attempts served; sends by request served; bytes a second and instance.
+    """
     seed, policy, fields = job
-    fields = fields | ({"settings": NO_GAIN} if policy == "one price, no gain" else {})
-    w = world(seed, POLICIES[policy], **fields)
-    w.play(END)
-    got, most = w.utility(BEGIN, END)
-    shares = w.shares(BEGIN, END)
-    apart = []
-    for kind in (1, 0):
-        of = [share for (_, k), share in shares.items() if k == kind]
-        apart.append(max(of) - min(of) if of else 0.0)
-    sent = sum(what == "sent" for *_, what in w.log) / max(sum(what == "served" for *_, what in w.log), 1)
-    return got / most, apart[0], apart[1], sent, w.bytes / len(w.instances) / (END / 1000)
-
-
-def outage(job: tuple[int, bool]) -> tuple[float, float, float]:
-    """Two of three zones gone at 380 a second from 5 to 12 s: the worth while they are, in the third after
-    they are back from the second second on, and the seconds until 0.98 of it."""
-    seed, marked = job
-    w = Overload(seed, lambda now: 380.0, SKEW, lambda i: SharedThreshold(), marked=marked)
-    w.at(5000.0, lambda now: w.fail(3))
-    w.at(12_000.0, lambda now: w.fail(9))
-    w.play(11_999.0)
-    got, most = w.utility(7000.0, 12_000.0)
-    w.play(20_000.0)
-    after, possible = w.utility(13_000.0, 16_000.0)
-    refused = [t for t, *_, what in w.log if what == "refused" and t > 12_000.0]
-    return got / most, after / possible, (max(refused, default=12_000.0) - 12_000.0) / 1000
+    options: dict[str, Any] = {"settings": NO_GAIN} if policy == SHARED_WITHOUT_GAIN else {}
+    world = make_world(seed, POLICIES[policy], **fields, **options)
+    world.run(END)
+    served_utility, possible_utility = world.utility(BEGIN, END)
+    shares = world.served_shares(BEGIN, END)
+    differences = []
+    for class_number in (1, 0):
+        of_class = [share for (_, c), share in shares.items() if c == class_number]
+        differences.append(max(of_class) - min(of_class) if of_class else 0.0)
+    events = [entry.event for entry in world.log]
+    sends = events.count(RequestEvent.SENT) / max(events.count(RequestEvent.SERVED), 1)
+    bytes_per_second = world.sent_bytes / len(world.instances) / (END / 1000)
+    return served_utility / possible_utility, *differences, sends, bytes_per_second
+
+
+def measure_outage(job: tuple[int, bool]) -> Figures:
+    """Run a world of a seed in which two of three zones are out.
+
+    Returns the share of the possible utility meanwhile; the same in the third after they are back, from the
+    second second on; the seconds until the last rejection.
+    """
+    seed, marks_retries = job
+    world = Overload(
+        seed,
+        lambda now: OUTAGE_RATE,
+        WEIGHTS,
+        lambda number: SharedThreshold(),
+        marks_retries=marks_retries,
+    )
+    world.call_at(OUTAGE_BEGIN, lambda now: world.set_engines_up(ENGINES // 3))
+    world.call_at(OUTAGE_END, lambda now: world.set_engines_up(ENGINES))
+    world.run(OUTAGE_END - 1)
+    served_utility, possible_utility = world.utility(OUTAGE_BEGIN + 2000.0, OUTAGE_END)
+    world.run(OUTAGE_END + 8000.0)
+    served_after, possible_after = world.utility(OUTAGE_END + 1000.0, OUTAGE_END + 4000.0)
+    rejections = [entry.at for entry in world.log if entry.event is RequestEvent.REJECTED]
+    last_rejection = max((at for at in rejections if at > OUTAGE_END), default=OUTAGE_END)
+    return (
+        served_utility / possible_utility,
+        served_after / possible_after,
+        (last_rejection - OUTAGE_END) / 1000,
+    )
+
+
+class Page:
+    """The lines of the page, printed as they are added."""
+
+    def __init__(self, seeds: int) -> None:
+        self.lines = [
+            "# Overload in virtual time: measured",
+            "",
+            f"By `python benchmarks/fleet/overload.py --seeds {seeds}` (model: `emulator/overload.py`):",
+            "six instances with 1:1:1:2:3:4 of the requests, nine engines of 50/s, 60% worth 1 and 40% worth",
+            "6, clients that come up to three times. Worth: served, of the most that the engines could, the",
+            "median of all runs and the worst. Apart: the largest difference between two instances in the",
+            "share of tries served, the median.",
+            "",
+        ]
+
+    def add_table(self, heading: str, *columns: str) -> None:
+        """Begin a table."""
+        self.lines += ["", heading, ""] if heading else []
+        self.lines += [f"| {' | '.join(columns)} |", "| --- " * len(columns) + "|"]
+
+    def add_row(self, labels: list[str], runs: Iterable[Figures]) -> None:
+        """Add a row: of the first figure the median and the worst run, of the others the median."""
+        figures = np.array(list(runs))
+        utility = f"{np.median(figures[:, 0]):.3f} / {min(figures[:, 0]):.3f}"
+        medians = [f"{np.median(figures[:, i]):.2f}" for i in range(1, figures.shape[1])]
+        self.lines.append(f"| {' | '.join([*labels, utility, *medians])} |")
+        print(self.lines[-1], flush=True)
+
+    def write(self) -> None:
+        """Write the page."""
+        OUTPUT.write_text("\n".join([*self.lines, ""]))
+
+
+def compare_policies(page: Page, pool: PoolType, seeds: range) -> None:
+    """A table of all policies at all loads and speeds."""
+    page.add_table(
+        "",
+        "load",
+        "engines' speed",
+        "policy",
+        "worth",
+        "dear apart",
+        "cheap apart",
+        "sends for one served",
+    )
+    for load in LOADS:
+        for speed in SPEEDS:
+            for policy in POLICIES:
+                jobs = [(seed, policy, {"load": load, "speed": speed}) for seed in seeds]
+                runs = [figures[:4] for figures in pool.map(measure, jobs, 1)]
+                page.add_row([f"{load}", f"{speed}", policy], runs)
 
 
 def main() -> None:
+    """Run all, and write the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--jobs", type=int, default=6)
-    given = parser.parse_args()
-    lines = [
-        "# Overload in virtual time: measured",
-        "",
-        f"By `python benchmarks/fleet/overload.py --seeds {given.seeds}` (model: `emulator/overload.py`):",
-        "six instances with 1:1:1:2:3:4 of the requests, nine engines of 50/s, 60% worth 1 and 40% worth 6,",
-        "clients that come up to three times. Worth: served, of the most that the engines could, the median",
-        "of all runs and the worst. Apart: the largest difference between two instances in the share of",
-        "tries served, the median.",
-        "",
-        "| load | engines' speed | policy | worth | dear apart | cheap apart | sends for one served |",
-        "| --- " * 7 + "|",
-    ]
-
-    def row(first: list[str], found: list[tuple[float, ...]]) -> None:
-        cols = np.array(found)
-        worth = f"{np.median(cols[:, 0]):.3f} / {min(cols[:, 0]):.3f}"
-        cells = [worth, *(f"{np.median(cols[:, i]):.2f}" for i in range(1, cols.shape[1]))]
-        lines.append("| " + " | ".join([*first, *cells]) + " |")
-        print(lines[-1], flush=True)
-
-    seeds = range(given.seeds)
-    with Pool(given.jobs) as pool:
-        for times in LOADS:
-            for speed in (1.0, 0.8):
-                for policy in POLICIES:
-                    jobs = [(seed, policy, {"times": times, "speed": speed}) for seed in seeds]
-                    row([f"{times}", f"{speed}", policy], [found[:4] for found in pool.map(measure, jobs, 1)])
-        lines += ["", "With one price:", ""]
-        lines += [
-            "| case | worth | dear ones apart | cheap ones apart | sends for one served | bytes a second |"
-        ]
-        lines.append("| --- " * 6 + "|")
+    arguments = parser.parse_args()
+    page, seeds = Page(arguments.seeds), range(arguments.seeds)
+    with Pool(arguments.jobs) as pool:
+        compare_policies(page, pool, seeds)
+        page.add_table(
+            "With one price:",
+            "case",
+            "worth",
+            "dear ones apart",
+            "cheap ones apart",
+            "sends for one served",
+            "bytes a second",
+        )
         for case, fields in CASES.items():
-            row([case], pool.map(measure, [(seed, "one price", fields) for seed in seeds], 1))
-        lines += ["", "Two of three zones gone for 7 s at 0.84 of the capacity of all:", ""]
-        lines += ["| clients | worth while out | from the second second after | last one refused, s after |"]
-        lines.append("| --- " * 4 + "|")
-        for marked in (True, False):
-            name = "say that they come again" if marked else "do not say so"
-            row([name], pool.map(outage, [(seed, marked) for seed in seeds], 1))
-    OUT.write_text("\n".join([*lines, ""]))
+            page.add_row([case], pool.map(measure, [(seed, SHARED, fields) for seed in seeds], 1))
+        page.add_table(
+            "Two of three zones gone for 7 s at 0.84 of the capacity of all:",
+            "clients",
+            "worth while out",
+            "from the second second after",
+            "last one refused, s after",
+        )
+        for marks_retries in (True, False):
+            label = "say that they come again" if marks_retries else "do not say so"
+            page.add_row([label], pool.map(measure_outage, [(seed, marks_retries) for seed in seeds], 1))
+    page.write()
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -11,6 +11,7 @@
 import random
 import time
 from collections import defaultdict
+from collections.abc import Iterable
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 from itertools import repeat
@@ -18,29 +19,41 @@
 
 import numpy as np
 
-from cottonhold.emulator.recovery import MEAN, Plan, PowerReturn
+from cottonhold.emulator.recovery import MEAN_WORK_MS, REQUEST_CLASSES, PowerReturn, PowerReturnPlan
 from cottonhold.fleet.coordinator import FleetSettings
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 
-USUAL = 0.6  # of what warm engines do
-SIZES = {5: 9, 50: 75, 500: 150}  # instances: engines
-LAST = 9000.0
-SLOT, GROUPS = 500.0, 5
+USUAL_LOAD = 0.6  # of what warm engines do
+ENGINES = {5: 9, 50: 75, 500: 150}  # by number of instances
+MANY_INSTANCES = 50
+RUN_MS = 9000.0
+SLOT_MS, GROUPS = 500.0, 5  # requests are compared within slots, instances in groups by order of start
+SHUFFLES = 20
+MIN_IN_GROUP, MIN_IN_GROUPS = 10, 50  # requests of a class, in one run and in all
+WEIGHTS = (1.0, 1.0, 1.0, 2.0, 3.0)
+BEFORE, WITH_RAMP = "before", "ramp"
+
+Attempts = dict[tuple[int, int], list[float]]  # by group and class: requests, and how many more were served
+Slots = dict[int, list[tuple[int, bool]]]  # requests by slot: the group, and whether it was served
 
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """begins: when engines are there; spread: ms in which instances come; later: so much, from half on."""
+    """How power returns.
+
+    engines_after_ms: engines after the instances, negative if before. instances_within_ms: from the first
+    instance to the last. second_half_delay_ms: how much later half of them return. load: of the usual.
+    """
 
     name: str
-    begins: float = 0.0
-    spread: float = 2500.0
-    later: float = 0.0
-    times: float = 1.0
-    until: float = LAST
-    fields: dict[str, Any] = field(default_factory=dict)
-    again: float | None = None
-    skew: bool = False
+    engines_after_ms: float = 0.0
+    instances_within_ms: float = 2500.0
+    second_half_delay_ms: float = 0.0
+    load: float = 1.0
+    until: float = RUN_MS
+    options: dict[str, Any] = field(default_factory=dict)  # of PowerReturn
+    second_loss_at: float | None = None
+    is_skewed: bool = False
 
 
 CASES = (
@@ -48,157 +61,207 @@
     Case("engines 2 s before", -2000.0, 1000.0),
     Case("engines 2 s after", 2000.0, 500.0),
     Case("half of the dispatchers 20 s later", 0.0, 500.0, 20_000.0, until=26_000.0),
-    Case("30% of datagrams lost", fields={"loss": 0.3}),
-    Case("a zone stays dark", fields={"dark": "c"}),
-    Case("power gone again after 2 s", again=2000.0, until=12_000.0),
-    Case("clients at three times the usual", times=3.0),
-    Case("clients 1:1:1:2:3 by instance", skew=True),
+    Case("30% of datagrams lost", options={"loss": 0.3}),
+    Case("a zone stays dark", options={"dark_zone": "c"}),
+    Case("power gone again after 2 s", second_loss_at=2000.0, until=12_000.0),
+    Case("clients at three times the usual", load=3.0),
+    Case("clients 1:1:1:2:3 by instance", is_skewed=True),
 )
 
 
 @dataclass(slots=True)
-class Found:
-    """What one run showed."""
-
-    seconds: list[float]
-    first: float
-    engines: float
-    ramp: float
-    warm: float
-    tries: dict[tuple[int, int], list[float]]
-    beyond: float
-    over: int
-    checked: int
-    tipped: int
-    bytes: float
-
-
-def world(case: Case, count: int, seed: int, on: bool) -> PowerReturn:
-    """A case, not played yet."""
-    gap, half = case.spread / max(count - 1, 1), count // 2
-    plan = Plan(
-        engines=lambda place: max(case.begins, 0.0),
-        instances=lambda i: max(-case.begins, 0.0) + gap * i + (case.later if i > half else 0.0),
-        again=case.again,
+class RunResult:
+    """What one run showed.
+
+    second_shares: utility of what was possible, by second after the return. arrived_share: in the first
+    three seconds, of what arrived. possible_share, permitted_share: in the first four, of what engines could
+    do, and of what slow start permitted. warm_share: once engines are warm. group_excess: of
+    `excess_difference`.
+    """
+
+    second_shares: list[float]
+    arrived_share: float
+    possible_share: float
+    permitted_share: float
+    warm_share: float
+    attempts: Attempts
+    group_excess: float
+    bound_violations: int
+    bound_checks: int
+    engine_failures: int
+    bytes_per_second: float
+
+
+def make_world(case: Case, instances: int, seed: int, has_slow_start: bool) -> PowerReturn:
+    """A world of a case at its start."""
+    interval_ms, half = case.instances_within_ms / max(instances - 1, 1), instances // 2
+
+    def instance_delay_ms(number: int) -> float:
+        delay_ms = max(-case.engines_after_ms, 0.0) + interval_ms * number
+        return delay_ms + (case.second_half_delay_ms if number > half else 0.0)
+
+    plan = PowerReturnPlan(
+        engine_delay_ms=lambda engine: max(case.engines_after_ms, 0.0),
+        instance_delay_ms=instance_delay_ms,
+        second_loss_at=case.second_loss_at,
     )
-    settings = FleetSettings(
-        dispatchers=count, sheds_load=True, slow_start=SlowStartSettings() if on else None
+    slow_start = SlowStartSettings() if has_slow_start else None
+    settings = FleetSettings(dispatchers=instances, sheds_load=True, slow_start=slow_start)
+    engines = ENGINES[instances]
+    rate = case.load * USUAL_LOAD * engines * 1000 / MEAN_WORK_MS
+    weights = [WEIGHTS[i % len(WEIGHTS)] for i in range(instances)] if case.is_skewed else ()
+    return PowerReturn(seed, rate, instances, engines, plan, settings, weights=weights, **case.options)
+
+
+def measure(case: Case, instances: int, seed: int, has_slow_start: bool) -> RunResult:
+    """Run a case."""
+    world = make_world(case, instances, seed, has_slow_start)
+    world.run(case.until)
+    power_at = world.plan.power_returned_at(case.until)
+    returned_at = power_at + abs(case.engines_after_ms)  # of both engines and instances
+    warm_at = power_at + max(case.engines_after_ms, 0.0) + world.plan.warmup_ms + 1000.0
+    ends = [returned_at + 1000.0 * second for second in range(6)]
+    possible = [world.possible_utility(power_at, end) for end in ends]
+    permitted = [0.0, math.inf]
+    if has_slow_start:
+        permitted = [world.possible_utility(power_at, ends[i], by_slow_start=True) for i in (0, 4)]
+    served = [world.served_utility(power_at, end) for end in ends]
+    in_four_seconds = served[4] - served[0]
+    return RunResult(
+        second_shares=[
+            (served[i + 1] - served[i]) / max(possible[i + 1] - possible[i], 1e-9) for i in range(5)
+        ],
+        arrived_share=world.served_utility(returned_at, ends[3])
+        / world.arrived_utility(returned_at, ends[3]),
+        possible_share=in_four_seconds / max(possible[4] - possible[0], 1e-9),
+        permitted_share=in_four_seconds / max(permitted[1] - permitted[0], 1e-9),
+        warm_share=warm_share(world, warm_at),
+        attempts=group_attempts(world, power_at, warm_at - 500.0),
+        group_excess=excess_difference(world, power_at, warm_at - 500.0),
+        bound_violations=world.bound_violations,
+        bound_checks=world.bound_checks,
+        engine_failures=sum(overload.failures for overload in world.engine_overloads),
+        bytes_per_second=world.sent_bytes / instances / (case.until / 1000),
     )
-    rate = case.times * USUAL * SIZES[count] * 1000 / MEAN
-    weights = [(1.0, 1.0, 1.0, 2.0, 3.0)[i % 5] for i in range(count)] if case.skew else ()
-    return PowerReturn(seed, rate, count, SIZES[count], plan, settings, weights=weights, **case.fields)
-
-
-def measure(case: Case, count: int, seed: int, on: bool) -> Found:
-    """Play a run."""
-    w = world(case, count, seed, on)
-    w.play(case.until)
-    power = w.power_at(case.until)
-    back = power + max(case.begins, 0.0) if case.begins >= 0 else power - case.begins
-    warm = power + max(case.begins, 0.0) + w.plan.warm + 1000.0
-    most = [w.possible(power, back + 1000.0 * i) for i in range(6)]
-    given = [w.possible(power, back + 1000.0 * i, ramp=True) for i in (0, 4)] if on else [0.0, math.inf]
-    got = [w.got(power, back + 1000.0 * i) for i in range(6)]
-    seconds = [(got[i + 1] - got[i]) / max(most[i + 1] - most[i], 1e-9) for i in range(5)]
-    first = w.got(back, back + 3000.0) / w.came(back, back + 3000.0)
-    full = min(
-        w.came(warm, warm + 2000.0),
-        w.possible(warm - 2000.0, warm + 2000.0) - w.possible(warm - 2000.0, warm),
-    )
-    after = w.got(warm, warm + 2000.0) / max(full, 1e-9)
-    served = got[4] - got[0]
-    return Found(
-        seconds, first, served / max(most[4] - most[0], 1e-9), served / max(given[1] - given[0], 1e-9), after,
-        shares(w, power, warm - 500.0), beyond(w, power, warm - 500.0), w.over, w.checked,
-        sum(p.tipped for p in w.pressed), w.bytes / count / (case.until / 1000),
-    )  # fmt: skip
-
-
-def shares(w: PowerReturn, begin: float, end: float) -> dict[tuple[int, int], list[float]]:
-    """By a fifth of the instances in order of start and by kind: requests, and how many more of them were
-    served than of all requests of that kind that came in the same half second."""
-    all_of: dict[tuple[int, int], list[int]] = defaultdict(lambda: [0, 0])
-    rows = [(int(c // SLOT), h, k, good) for c, _, h, k, good in w.served if begin <= c < end]
-    for slot, _, kind, good in rows:
-        all_of[slot, kind][0] += 1
-        all_of[slot, kind][1] += good
-    tries: dict[tuple[int, int], list[float]] = defaultdict(lambda: [0.0, 0.0])
-    for slot, home, kind, good in rows:
-        n, served = all_of[slot, kind]
-        entry = tries[home * GROUPS // len(w.there), kind]
+
+
+def warm_share(world: PowerReturn, warm_at: float) -> float:
+    """Utility served in the two seconds after engines are warm, of what arrived or was possible."""
+    end = warm_at + 2000.0
+    begin_of_estimate = warm_at - 2000.0  # what was queued by then counts as well
+    possible = world.possible_utility(begin_of_estimate, end)
+    possible -= world.possible_utility(begin_of_estimate, warm_at)
+    expected = min(world.arrived_utility(warm_at, end), possible)
+    return world.served_utility(warm_at, end) / max(expected, 1e-9)
+
+
+def group_of(world: PowerReturn, instance: int) -> int:
+    """The group of an instance, in the order of start."""
+    return instance * GROUPS // len(world.running)
+
+
+def group_attempts(world: PowerReturn, begin: float, end: float) -> Attempts:
+    """Requests by group and class, and how many more of them were served than of all in the same slot."""
+    slot_counts: dict[tuple[int, int], list[int]] = defaultdict(lambda: [0, 0])
+    requests = [request for request in world.finished if begin <= request.arrived_at < end]
+    for request in requests:
+        counts = slot_counts[int(request.arrived_at // SLOT_MS), request.class_number]
+        counts[0] += 1
+        counts[1] += request.is_in_time
+    attempts: Attempts = defaultdict(lambda: [0.0, 0.0])
+    for request in requests:
+        count, served = slot_counts[int(request.arrived_at // SLOT_MS), request.class_number]
+        entry = attempts[group_of(world, request.instance), request.class_number]
         entry[0] += 1
-        entry[1] += good - served / n
-    return dict(tries)
+        entry[1] += request.is_in_time - served / count
+    return dict(attempts)
 
 
-def beyond(w: PowerReturn, begin: float, end: float, plays: int = 20) -> float:
-    """The largest difference between fifths within this run, over kinds, less the mean of what the same
-    answers give where they are dealt out anew among equal requests of a half second."""
-    rows = [
-        (int(c // SLOT), h * GROUPS // len(w.there), k, good)
-        for c, _, h, k, good in w.served
-        if begin <= c < end
-    ]
+def excess_difference(world: PowerReturn, begin: float, end: float) -> float:
+    """The largest difference between groups, over classes, beyond chance.
+
+    Chance: the mean of what the same results give where they are dealt out anew among the requests of a slot.
+    """
     draw, worst = random.Random(1), 0.0
-    for kind in range(3):
-        slots: dict[int, list[tuple[int, bool]]] = defaultdict(list)
-        for slot, group, k, good in rows:
-            if k == kind:
-                slots[slot].append((group, good))
-        chance = []
-        for _ in range(plays):
-            dealt = {}
-            for slot, row in slots.items():
-                goods = [good for _, good in row]
-                draw.shuffle(goods)
-                dealt[slot] = [(group, good) for (group, _), good in zip(row, goods, strict=True)]
-            chance.append(_spread(dealt))
-        worst = max(worst, _spread(slots) - sum(chance) / plays)
+    for class_number in range(len(REQUEST_CLASSES)):
+        slots: Slots = defaultdict(list)
+        for request in world.finished:
+            if begin <= request.arrived_at < end and request.class_number == class_number:
+                entry = group_of(world, request.instance), request.is_in_time
+                slots[int(request.arrived_at // SLOT_MS)].append(entry)
+        by_chance = [_difference(_shuffled(slots, draw)) for _ in range(SHUFFLES)]
+        worst = max(worst, _difference(slots) - sum(by_chance) / SHUFFLES)
     return worst
 
 
-def _spread(slots: dict[int, list[tuple[int, bool]]]) -> float:
+def _shuffled(slots: Slots, draw: random.Random) -> Slots:
+    """The same requests with their results dealt out anew within each slot."""
+    shuffled: Slots = {}
+    for slot, entries in slots.items():
+        results = [is_served for _, is_served in entries]
+        draw.shuffle(results)
+        groups = [group for group, _ in entries]
+        shuffled[slot] = list(zip(groups, results, strict=True))
+    return shuffled
+
+
+def _difference(slots: Slots) -> float:
+    """The largest difference between groups in the share that is served."""
     sums: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
-    for row in slots.values():
-        mean = sum(good for _, good in row) / len(row)
-        for group, good in row:
+    for entries in slots.values():
+        mean = sum(is_served for _, is_served in entries) / len(entries)
+        for group, is_served in entries:
             sums[group][0] += 1
-            sums[group][1] += good - mean
-    rates = [extra / n for n, extra in sums.values() if n >= 10]
+            sums[group][1] += is_served - mean
+    rates = [extra / count for count, extra in sums.values() if count >= MIN_IN_GROUP]
     return max(rates, default=0.0) - min(rates, default=0.0)
 
 
-def apart(found: list[Found]) -> float:
-    """The largest difference between fifths in the share of a kind that is served, over all runs."""
+def difference_over_runs(results: list[RunResult]) -> float:
+    """The largest difference between groups in the share of a class that is served, over all runs."""
     worst = 0.0
-    for kind in range(3):
+    for class_number in range(len(REQUEST_CLASSES)):
         sums = [
-            [sum(f.tries.get((g, kind), [0, 0])[i] for f in found) for i in (0, 1)] for g in range(GROUPS)
+            [sum(r.attempts.get((group, class_number), [0, 0])[i] for r in results) for i in (0, 1)]
+            for group in range(GROUPS)
         ]
-        rates = [extra / n for n, extra in sums if n >= 50]
+        rates = [extra / count for count, extra in sums if count >= MIN_IN_GROUPS]
         worst = max(worst, max(rates, default=0.0) - min(rates, default=0.0))
     return worst
 
 
-def row(case: Case, count: int, on: bool, found: list[Found]) -> str:
-    """A line of the table: medians, and the worst of the first three seconds."""
-    seconds = np.median([f.seconds for f in found], axis=0)
-    mid = [
-        float(np.median([getattr(f, n) for f in found]))
-        for n in ("first", "engines", "ramp", "warm", "bytes")
-    ]
+def row(case: Case, instances: int, has_slow_start: bool, results: list[RunResult]) -> str:
+    """A row of the table: medians, and the worst of the first three seconds."""
+
+    def median(values: Iterable[float]) -> float:
+        return float(np.median(list(values)))
+
+    seconds = np.median([result.second_shares for result in results], axis=0)
+    arrived_shares = [result.arrived_share for result in results]
+    excesses = [result.group_excess for result in results]
+    permitted_share = f"{median(r.permitted_share for r in results):.2f}"
+    violations, checks = sum(r.bound_violations for r in results), sum(r.bound_checks for r in results)
     cells = [
-        str(count), case.name, "ramp" if on else "before", str(len(found)),
-        " ".join(f"{x:.2f}" for x in seconds), f"{mid[0]:.2f} / {min(f.first for f in found):.2f}",
-        f"{mid[1]:.2f}", f"{mid[2]:.2f}" if on else "", f"{mid[3]:.2f}", f"{apart(found):.2f}",
-        f"{np.median([f.beyond for f in found]):.2f} / {max(f.beyond for f in found):.2f}",
-        f"{sum(f.over for f in found)} of {sum(f.checked for f in found)}",
-        str(sum(f.tipped for f in found)), f"{mid[4]:.0f}",
-    ]  # fmt: skip
+        str(instances),
+        case.name,
+        WITH_RAMP if has_slow_start else BEFORE,
+        str(len(results)),
+        " ".join(f"{share:.2f}" for share in seconds),
+        f"{median(arrived_shares):.2f} / {min(arrived_shares):.2f}",
+        f"{median(r.possible_share for r in results):.2f}",
+        permitted_share if has_slow_start else "",
+        f"{median(r.warm_share for r in results):.2f}",
+        f"{difference_over_runs(results):.2f}",
+        f"{median(excesses):.2f} / {max(excesses):.2f}",
+        f"{violations} of {checks}",
+        str(sum(r.engine_failures for r in results)),
+        f"{median(r.bytes_per_second for r in results):.0f}",
+    ]
     return "| " + " | ".join(cells) + " |"
 
 
 def main() -> None:
+    """Run the chosen cases, and print their rows with the seconds so far."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--cases", default="")
@@ -206,24 +269,27 @@
     parser.add_argument("--only", default="")
     parser.add_argument("--many", type=int, default=1, help="seeds of 50 instances and more")
     parser.add_argument("--jobs", type=int, default=1, help="processes")
-    given = parser.parse_args()
-    begun = time.monotonic()
-    with ProcessPoolExecutor(given.jobs) as pool:
-        _rows(given, begun, pool)
-
-
-def _rows(given: argparse.Namespace, begun: float, pool: ProcessPoolExecutor) -> None:
-    for count in map(int, given.sizes.split(",")):
-        seeds = given.seeds if count < 50 else given.many
+    arguments = parser.parse_args()
+    started_at = time.monotonic()
+    with ProcessPoolExecutor(arguments.jobs) as pool:
+        for instances, case, has_slow_start in chosen_runs(arguments):
+            seeds = range(arguments.seeds if instances < MANY_INSTANCES else arguments.many)
+            runs = pool.map(measure, repeat(case), repeat(instances), seeds, repeat(has_slow_start))
+            line = row(case, instances, has_slow_start, list(runs))
+            print(line, round(time.monotonic() - started_at), flush=True)
+
+
+def chosen_runs(arguments: argparse.Namespace) -> Iterable[tuple[int, Case, bool]]:
+    """The number of instances, case and mode of each row, without those that take too long."""
+    for instances in map(int, arguments.sizes.split(",")):
         for case in CASES:
-            long = count == 500 and case is not CASES[0] or count > 5 and case.later > 0
-            if given.cases not in case.name or long:
+            is_long = instances == 500 and case is not CASES[0]
+            is_long = is_long or instances > 5 and case.second_half_delay_ms > 0
+            if arguments.cases not in case.name or is_long:
                 continue
-            for on in (False, True):
-                if given.only and on != (given.only == "ramp"):
-                    continue
-                found = list(pool.map(measure, repeat(case), repeat(count), range(seeds), repeat(on)))
-                print(row(case, count, on, found), round(time.monotonic() - begun), flush=True)
+            for has_slow_start in (False, True):
+                if not arguments.only or has_slow_start == (arguments.only == WITH_RAMP):
+                    yield instances, case, has_slow_start
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -2,8 +2,8 @@
 
     python benchmarks/fleet/run.py [--seeds 1000] [--jobs 6] [--many]
 
-Leaving and return at 5 and 50 instances, with --many also at 500 (four minutes a run), words and CPU each,
-and false leavings with 30% of words lost.
+Evacuation and return at 5 and 50 instances, with --many also at 500 (four minutes a run), bytes and CPU each,
+and false evacuations with 30% of messages lost.
 """
 
 from __future__ import annotations
@@ -11,155 +11,238 @@
 import argparse
 import math
 from multiprocessing import Pool
+from multiprocessing.pool import Pool as PoolType
 from pathlib import Path
 
 import numpy as np
 
-from cottonhold.emulator.fleet import World
+from cottonhold.emulator.fleet import FleetWorld
 from cottonhold.fleet.zone_failover.evacuation import Phase
 
-OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "fleet-core.md"
-FAULT, MEND, END = 4000.0, 10_000.0, 20_000.0
-SKEW = (1, 1, 1, 2, 3, 4)
-PER_INSTANCE = 45.0  # requests a second
-MANY = ("killed", "ten times slower")
+OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "fleet-core.md"
+FAULT_BEGIN, FAULT_END, END = 4000.0, 10_000.0, 20_000.0
+SETTLED_MS = 3000.0  # after the fault's begin; and until engines that were killed are warm
+WEIGHTS = (1, 1, 1, 2, 3, 4)
+REQUESTS_PER_INSTANCE = 45.0  # a second
+ENGINE_CAPACITY, LOAD = 50, 0.6  # requests a second; of what engines can do
+LOSSES = (0.0, 0.3)
+FAULTY_ZONE = "a"
+MANY_INSTANCES = 500
+FAULTS_AT_MANY_INSTANCES = ("killed", "ten times slower")
 SIZES = [(5, 20), (50, 3)]  # instances, and runs of each
 FAULTS: dict[str, dict[str, float]] = {
     "killed": {"is_dead": True},
-    "silent": {"silent_until": MEND},
+    "silent": {"silent_until": FAULT_END},
     "ten times slower": {"slow_factor": 10.0},
     "three in ten fail": {"failing_share": 0.3},
 }
+FLEET_REASONS = frozenset({"the fleet leaves", "others are sure"})
+INTRODUCTION = """# The fleet's core in virtual time: measured
 
+By `python benchmarks/fleet/run.py --seeds {seeds}{many}` (the model of
+`emulator/fleet.py`; faults from 4 s to 10 s; engines cold for 3 s after a kill). Times in ms from
+the fault or its end, each the median and the worst of all: 20 at 5 instances, 3 at 50, 1 at 500.
+"""
+
+FaultJob = tuple[int, int, str, float]  # seed, instances, fault, share of messages lost
+Figures = dict[str, float]
+
+
+def make_world(seed: int, instances: int, rate: float, loss: float) -> FleetWorld:
+    """Engines in three zones for a load of 0.6 of what they can do at the usual rate."""
+    engines = math.ceil(instances * REQUESTS_PER_INSTANCE / LOAD / ENGINE_CAPACITY / 3)
+    return FleetWorld(
+        seed, instances, rate, engines=engines, skew=lambda number: WEIGHTS[number % len(WEIGHTS)], loss=loss
+    )
 
-def world(seed: int, instances: int, rate: float, loss: float) -> World:
-    """Engines in three zones for a load of 0.6 of what they can do at 45 requests a second an instance."""
-    engines = math.ceil(instances * PER_INSTANCE / 0.6 / 50 / 3)
-    return World(seed, instances, rate, engines=engines, skew=lambda i: SKEW[i % 6], loss=loss)
 
+def run_calm(job: tuple[int, float]) -> tuple[int, int]:
+    """A run of a seed and a load without a fault, with 30% of messages lost.
 
-def calm(job: tuple[int, float]) -> tuple[int, int]:
-    """Leavings of single instances, and of a fleet, in 20 s without a fault and with 30% of words lost."""
-    seed, times = job
-    w = world(seed, 6, 6 * PER_INSTANCE * times, 0.3)
-    w.run(END)
-    outs = [
-        turn for node in w.nodes.values() for _, turn in node.phase_changes if turn.phase is Phase.EVACUATED
+    Returns the evacuations by single instances, and 1 if the fleet evacuated a zone.
+    """
+    seed, load = job
+    world = make_world(seed, 6, 6 * REQUESTS_PER_INSTANCE * load, 0.3)
+    world.run(END)
+    evacuations = [
+        change
+        for node in world.nodes.values()
+        for _, change in node.phase_changes
+        if change.phase is Phase.EVACUATED
     ]
-    followed = {"the fleet leaves", "others are sure"}
-    return len(outs), int(any(turn.reason in followed for turn in outs))
+    return len(evacuations), int(any(change.reason in FLEET_REASONS for change in evacuations))
 
 
-def faulty(job: tuple[int, int, str, float]) -> dict[str, float]:
-    """One run with a fault from 4 s to 10 s."""
-    seed, instances, fault, loss = job
-    w = world(seed, instances, instances * PER_INSTANCE, loss)
-    w.run(FAULT)
-    calm_bytes, calm_cpu = w.network.sent_bytes, sum(n.cpu_seconds for n in w.nodes.values())
-    for engine in w.engines.values():
-        for name, value in FAULTS[fault].items() if engine.zone == "a" else ():
-            setattr(engine, name, value)
-    w.run(MEND)
-    bytes_, cpu = w.network.sent_bytes - calm_bytes, sum(n.cpu_seconds for n in w.nodes.values()) - calm_cpu
-    for engine in w.engines.values():
-        if engine.zone == "a":
+def set_fault(world: FleetWorld, fault: str) -> None:
+    """Begin a fault of the engines of one zone."""
+    for engine in world.engines.values():
+        if engine.zone == FAULTY_ZONE:
+            for name, value in FAULTS[fault].items():
+                setattr(engine, name, value)
+
+
+def mend_fault(world: FleetWorld, fault: str) -> None:
+    """End a fault; engines that were killed come back cold."""
+    for engine in world.engines.values():
+        if engine.zone == FAULTY_ZONE:
             engine.is_dead, engine.slow_factor, engine.failing_share = False, 1.0, 0.0
             if fault == "killed":
-                engine.busy_until, engine.cold_until = MEND, MEND + 3000.0
-    w.run(END)
-    left = [
-        min(
-            (t for t, turn in n.phase_changes if turn.zone == "a" and turn.phase is Phase.EVACUATED),
-            default=np.inf,
-        )
-        - FAULT
-        for n in w.nodes.values()
-    ]
-    fair = w.share("a", 1000.0, FAULT)
-    after = [w.share("a", t, t + 1000) for t in range(int(MEND), int(END) - 1000, 250)]
-    full = [i * 250 for i, share in enumerate(after) if share >= 0.8 * fair]
+                engine.busy_until, engine.cold_until = FAULT_END, FAULT_END + SETTLED_MS
+
+
+def cost(world: FleetWorld) -> tuple[int, float]:
+    """Bytes sent and seconds of CPU so far."""
+    return world.network.sent_bytes, sum(node.cpu_seconds for node in world.nodes.values())
+
+
+def run_with_fault(job: FaultJob) -> Figures:
+    """One run with a fault from 4 s to 10 s."""
+    seed, instances, fault, loss = job
+    world = make_world(seed, instances, instances * REQUESTS_PER_INSTANCE, loss)
+    world.run(FAULT_BEGIN)
+    calm_bytes, calm_cpu = cost(world)
+    set_fault(world, fault)
+    world.run(FAULT_END)
+    total_bytes, total_cpu = cost(world)
+    mend_fault(world, fault)
+    world.run(END)
+    evacuated_after = [_evacuated_after(changes) for changes in _phase_changes(world)]
+    fair_share = world.share(FAULTY_ZONE, 1000.0, FAULT_BEGIN)
+    begins = range(int(FAULT_END), int(END) - 1000, 250)
+    shares_after = [world.share(FAULTY_ZONE, begin, begin + 1000) for begin in begins]
+    recovered = [i * 250 for i, share in enumerate(shares_after) if share >= 0.8 * fair_share]
+    calm_seconds, fault_seconds = FAULT_BEGIN / 1000, (FAULT_END - FAULT_BEGIN) / 1000
     return {
-        "first": min(left),
-        "all": max(left),
-        "share out": w.share("a", FAULT + 3000, MEND),
-        "first second back": after[0],
-        "most": max(after) / fair,
-        "full": full[0] if full else np.inf,
+        "first": min(evacuated_after),
+        "all": max(evacuated_after),
+        "share out": world.share(FAULTY_ZONE, FAULT_BEGIN + SETTLED_MS, FAULT_END),
+        "first second back": shares_after[0],
+        "most": max(shares_after) / fair_share,
+        "full": recovered[0] if recovered else np.inf,
         "wrong": sum(
-            t.zone != "a" and t.phase is Phase.EVACUATED for n in w.nodes.values() for _, t in n.phase_changes
+            zone != FAULTY_ZONE and phase is Phase.EVACUATED
+            for changes in _phase_changes(world)
+            for _, zone, phase in changes
         ),
-        "calm bytes": calm_bytes / instances / (FAULT / 1000),
-        "bytes": bytes_ / instances / ((MEND - FAULT) / 1000),
-        "calm cpu": 1000 * calm_cpu / instances / (FAULT / 1000),
-        "cpu": 1000 * cpu / instances / ((MEND - FAULT) / 1000),
+        "calm bytes": calm_bytes / instances / calm_seconds,
+        "bytes": (total_bytes - calm_bytes) / instances / fault_seconds,
+        "calm cpu": 1000 * calm_cpu / instances / calm_seconds,
+        "cpu": 1000 * (total_cpu - calm_cpu) / instances / fault_seconds,
     }
 
 
+def _phase_changes(world: FleetWorld) -> list[list[tuple[float, str, Phase]]]:
+    """Time, zone and phase of each change, by instance."""
+    return [
+        [(at, change.zone, change.phase) for at, change in node.phase_changes]
+        for node in world.nodes.values()
+    ]
+
+
+def _evacuated_after(changes: list[tuple[float, str, Phase]]) -> float:
+    """Ms from the fault until an instance first evacuates the faulty zone."""
+    times = [at for at, zone, phase in changes if zone == FAULTY_ZONE and phase is Phase.EVACUATED]
+    return min(times, default=np.inf) - FAULT_BEGIN
+
+
+class Page:
+    """The lines of the page; rows are printed as they are added."""
+
+    def __init__(self, seeds: int, has_many: bool) -> None:
+        self.lines = INTRODUCTION.format(seeds=seeds, many=" --many" * has_many).split("\n")
+
+    def add_header(self, *columns: str) -> None:
+        """Begin a table."""
+        self.lines += [f"| {' | '.join(columns)} |", "| --- " * len(columns) + "|"]
+
+    def add_row(self, *cells: str) -> None:
+        """Add a row to the table."""
+        self.lines.append(f"| {' | '.join(cells)} |")
+        print(self.lines[-1], flush=True)
+
+
+def median_and_worst(runs: list[Figures], name: str, form: str = "{:.0f}") -> str:
+    """A cell with a figure's median and greatest value."""
+    values = [figures[name] for figures in runs]
+    return f"{form} / {form}".format(np.median(values), max(values))
+
+
+def add_fault_table(
+    page: Page, cases: list[tuple[int, int, str, float]], runs: list[tuple[FaultJob, Figures]]
+) -> None:
+    """A row for each number of instances, fault and loss."""
+    page.add_header(
+        "instances",
+        "fault",
+        "words lost",
+        "first leaves",
+        "all have left",
+        "sends there from 3 s on",
+        "back: first second",
+        "most, of the fair share",
+        "0.8 of it after",
+        "wrong zones left",
+    )
+    for instances, _, fault, loss in cases:
+        of_case = [figures for job, figures in runs if job[1:] == (instances, fault, loss)]
+        page.add_row(
+            f"{instances}",
+            fault,
+            f"{loss:.0%}",
+            median_and_worst(of_case, "first"),
+            median_and_worst(of_case, "all"),
+            median_and_worst(of_case, "share out", "{:.3f}"),
+            median_and_worst(of_case, "first second back", "{:.3f}"),
+            median_and_worst(of_case, "most", "{:.2f}"),
+            median_and_worst(of_case, "full"),
+            str(int(sum(figures["wrong"] for figures in of_case))),
+        )
+
+
+def add_cost_table(page: Page, sizes: list[tuple[int, int]], runs: list[tuple[FaultJob, Figures]]) -> None:
+    """Bytes and CPU of an instance, by the number of instances."""
+    page.lines.append("")
+    page.add_header("instances", "bytes a second, calm", "in trouble", "CPU ms a second, calm", "in trouble")
+    for instances, _ in sizes:
+        of_size = [figures for job, figures in runs if job[1] == instances]
+        names = ("calm bytes", "bytes", "calm cpu", "cpu")
+        means = [np.mean([figures[name] for figures in of_size]) for name in names]
+        page.add_row(f"{instances}", *(f"{mean:.0f}" if mean > 10 else f"{mean:.1f}" for mean in means))
+    page.lines += ["", "Each instance sends and receives as much. CPU is that of the core in this process."]
+
+
+def add_calm_table(page: Page, pool: PoolType, seeds: int) -> None:
+    """False evacuations without a fault."""
+    page.lines.append("")
+    page.add_header(
+        "load, of what engines can do", "runs", "leavings by one alone", "runs in which the fleet left"
+    )
+    for load, count in ((1.0, seeds), (1.6, seeds // 3)):
+        results = pool.map(run_calm, [(seed, load) for seed in range(count)], chunksize=4)
+        alone, fleet = sum(single for single, _ in results), sum(of_fleet for _, of_fleet in results)
+        page.add_row(f"{LOAD * load:.2f}", f"{count}", f"{alone}", f"{fleet}")
+    page.lines += ["", "Six instances, skewed 1:1:1:2:3:4, 20 s each without a fault, 30% of words lost.", ""]
+
+
 def main() -> None:
+    """Run all, and write the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--jobs", type=int, default=6)
     parser.add_argument("--many", action="store_true")
-    given = parser.parse_args()
-    sizes = SIZES + ([(500, 1)] if given.many else [])
-    lines = [
-        "# The fleet's core in virtual time: measured",
-        "",
-        f"By `python benchmarks/fleet/run.py --seeds {given.seeds}{' --many' * given.many}` (the model of",
-        "`emulator/fleet.py`; faults from 4 s to 10 s; engines cold for 3 s after a kill). Times in ms from",
-        "the fault or its end, each the median and the worst of all: 20 at 5 instances, 3 at 50, 1 at 500.",
-        "",
-        "| instances | fault | words lost | first leaves | all have left | sends there from 3 s on "
-        "| back: first second | most, of the fair share | 0.8 of it after | wrong zones left |",
-        "| --- " * 10 + "|",
-    ]
-    cases = [(n, seeds, f, loss) for n, seeds in sizes for f in FAULTS for loss in (0.0, 0.3)]
-    cases = [case for case in cases if case[0] < 500 or case[2] in MANY and case[3]]  # those take minutes
-    jobs = [(seed, n, f, loss) for n, seeds, f, loss in reversed(cases) for seed in range(seeds)]
-    with Pool(given.jobs) as pool:
-        costs = list(zip(jobs, pool.map(faulty, jobs, 1), strict=True))
-        for instances, _, fault, loss in cases:
-            rows = [row for job, row in costs if job[1:] == (instances, fault, loss)]
-
-            def cell(name: str, form: str = "{:.0f}", rows: list[dict[str, float]] = rows) -> str:
-                values = [row[name] for row in rows]
-                return f"{form} / {form}".format(np.median(values), max(values))
-
-            cells = [cell("first"), cell("all"), cell("share out", "{:.3f}")]
-            cells += [cell("first second back", "{:.3f}"), cell("most", "{:.2f}"), cell("full")]
-            cells.append(str(int(sum(row["wrong"] for row in rows))))
-            lines.append(f"| {instances} | {fault} | {loss:.0%} | " + " | ".join(cells) + " |")
-            print(lines[-1], flush=True)
-        lines += [
-            "",
-            "| instances | bytes a second, calm | in trouble | CPU ms a second, calm | in trouble |",
-        ]
-        lines.append("| --- " * 5 + "|")
-        for instances, _ in sizes:
-            rows = [row for job, row in costs if job[1] == instances]
-            means = [
-                np.mean([row[name] for row in rows]) for name in ("calm bytes", "bytes", "calm cpu", "cpu")
-            ]
-            lines.append(
-                f"| {instances} | " + " | ".join(f"{m:.0f}" if m > 10 else f"{m:.1f}" for m in means) + " |"
-            )
-            print(lines[-1], flush=True)
-        lines += [
-            "",
-            "Each instance sends and receives as much. CPU is that of the core in this process.",
-            "",
-        ]
-        lines += [
-            "| load, of what engines can do | runs | leavings by one alone | runs in which the fleet left |"
-        ]
-        lines.append("| --- " * 4 + "|")
-        for times, seeds in ((1.0, given.seeds), (1.6, given.seeds // 3)):
-            found = pool.map(calm, [(seed, times) for seed in range(seeds)], chunksize=4)
-            alone, fleet = sum(a for a, _ in found), sum(f for _, f in found)
-            lines.append(f"| {0.6 * times:.2f} | {seeds} | {alone} | {fleet} |")
-            print(lines[-1], flush=True)
-    lines += ["", "Six instances, skewed 1:1:1:2:3:4, 20 s each without a fault, 30% of words lost.", ""]
-    OUT.write_text("\n".join(lines))
+    arguments = parser.parse_args()
+    sizes = SIZES + ([(MANY_INSTANCES, 1)] if arguments.many else [])
+    cases = [(n, seeds, fault, loss) for n, seeds in sizes for fault in FAULTS for loss in LOSSES]
+    # Runs of many instances take minutes.
+    cases = [c for c in cases if c[0] < MANY_INSTANCES or c[2] in FAULTS_AT_MANY_INSTANCES and c[3]]
+    jobs = [(seed, n, fault, loss) for n, seeds, fault, loss in reversed(cases) for seed in range(seeds)]
+    page = Page(arguments.seeds, arguments.many)
+    with Pool(arguments.jobs) as pool:
+        runs = list(zip(jobs, pool.map(run_with_fault, jobs, 1), strict=True))
+        add_fault_table(page, cases, runs)
+        add_cost_table(page, sizes, runs)
+        add_calm_table(page, pool, arguments.seeds)
+    OUTPUT.write_text("\n".join(page.lines))
 
 
 if __name__ == "__main__":
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -1,6 +1,6 @@
 """Coordinators in virtual time: instances with clients, zones of engines, faults between them.
 
-A model, far cheaper than processes: an engine is one server with a queue, a client is a Poisson arrival, the
+A model, far cheaper than processes: an engine is one server with a queue, clients are Poisson arrivals, the
 choice of an engine is a draw within the bounds. One seed replays the whole run. Times are ms.
 """
 
@@ -13,17 +13,22 @@
 import time
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from cottonhold.discovery.model import Address
-from cottonhold.emulator.network import Network
+from cottonhold.emulator.credit_account import CreditAccount
+from cottonhold.emulator.network import Datagram, Network
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.zone_failover.evacuation import PhaseChange
 
 TIMEOUT_MS = 2000.0
-CHECK_INTERVAL_MS = 500.0  # so often each engine is asked
-GOLDEN_RATIO = 0.6180339887
-DEATH_NOTICE_MS = 1200.0  # until membership tells of a death
+CHECK_INTERVAL_MS = 500.0  # between two health checks of an engine
+DEATH_NOTICE_MS = 1200.0  # until membership reports a death
+COLD_FACTOR = 3.0  # how many times longer a cold engine works
+CONNECT_FAILURE_MS, ERROR_MS = 1.0, 2.0
+COMPARED_ENGINES, MAX_ENGINE_DRAWS = 2, 8
+QUERY_CLASS = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -43,150 +48,149 @@
     sends: list[float] = field(default_factory=list)
 
     def run(self, now: float, draw: random.Random) -> tuple[bool | None, float]:
-        """Run an attempt: whether it was served, None if its time ran out, and after how many ms that is
-        known."""
+        """Run an attempt.
+
+        Returns whether it was served (None if it timed out), and after how many ms that is known.
+        """
         self.sends.append(now)
         if self.is_dead:
-            return False, 1.0
-        slow = self.slow_factor * (3.0 if now < self.cold_until else 1.0)
-        work = self.mean_work_ms * draw.lognormvariate(-0.08, 0.4) * slow
-        start = max(now, self.busy_until, self.silent_until)
-        if start + work - now > TIMEOUT_MS:
+            return False, CONNECT_FAILURE_MS
+        slow_factor = self.slow_factor * (COLD_FACTOR if now < self.cold_until else 1.0)
+        work_ms = self.mean_work_ms * draw.lognormvariate(-0.08, 0.4) * slow_factor
+        started_at = max(now, self.busy_until, self.silent_until)
+        if started_at + work_ms - now > TIMEOUT_MS:
             return None, TIMEOUT_MS
         if draw.random() < self.failing_share:
-            return False, 2.0
-        self.busy_until = start + work
-        return True, start + work - now
-
-
-@dataclass(slots=True)
-class Allowance:
-    """The credits that one instance has saved of its bounds, as the scheduler does it. is_cold: at engines
-    under slow start."""
-
-    number: int
-    is_cold: bool = False
-    bounds: EngineBounds = field(default_factory=lambda: EngineBounds({}, 0.0))
-    credits: dict[str, tuple[float, float]] = field(default_factory=dict)
-
-    def allows(self, now: float, engine: str, place: int, work: float) -> bool:
-        """Whether a query of so much work may go to an engine now."""
-        bound = self.bounds.work_rates.get(engine)
-        if bound is None:
-            return True
-        if not bound or now >= self.bounds.expires_at:
-            return False
-        saved, at = self.credits.get(engine, (0.0, now))
-        saved = min(max(bound * 250.0, work), saved + bound * (now - at))
-        self.credits[engine] = saved, now
-        # As the scheduler does: of many whose quota is less than a query, few may begin at a time.
-        turn = (place * 0.7548 + (self.number + (0 if self.is_cold else now // 2000)) * GOLDEN_RATIO) % 1
-        return saved >= max(work * turn, 1e-3)
-
-    def set_bounds(self, now: float, bound: EngineBounds) -> None:
-        """New bounds; at cold engines earlier credits were saved under the bounds before."""
-        before, self.bounds = self.bounds, bound
-        for engine, work in before.work_rates.items() if self.is_cold else ():
-            saved, at = self.credits.get(engine, (0.0, now))
-            self.credits[engine] = saved + work * max(0.0, min(now, before.expires_at) - at), now
-
-    def spend(self, engine: str, work: float) -> None:
-        """A query has been sent there."""
-        if engine in self.bounds.work_rates:
-            saved, at = self.credits[engine]
-            self.credits[engine] = saved - work, at
+            return False, ERROR_MS
+        self.busy_until = started_at + work_ms
+        return True, started_at + work_ms - now
+
+    def queue_ms(self, now: float) -> float:
+        """How long a new attempt would wait, as an instance sees it."""
+        return max(self.busy_until - now, 0.0) if not self.is_dead else 0.0
+
+
+class PendingEnd(NamedTuple):
+    """An attempt in flight whose end is known; sorts by time."""
+
+    ends_at: float
+    serial: int
+    request_id: str
+    sent_at: float
+    is_served: bool | None
+
+
+class SentAttempt(NamedTuple):
+    """An attempt as the model logs it. is_cut: its instance could not reach the zone."""
+
+    at: float
+    zone: str
+    is_served: bool
+    is_cut: bool
 
 
 class Node:
     """One instance on the network: its coordinator, its clients, and its choice of engines."""
 
-    def __init__(self, world: World, number: int, rate: float, now: float, life: int) -> None:
+    def __init__(self, world: FleetWorld, number: int, rate: float, now: float, incarnation: int) -> None:
         self.world, self.number, self.rate = world, number, rate
-        self.draw = random.Random(world.seed * 1000 + number * 10 + life)
-        self.fleet = FleetCoordinator(number + 1, life, now, world.settings, self.draw.getrandbits(30))
+        self.draw = random.Random(world.seed * 1000 + number * 10 + incarnation)
+        seed = self.draw.getrandbits(30)
+        self.fleet = FleetCoordinator(number + 1, incarnation, now, world.settings, seed)
         self.fleet.set_engines(world.zones)
-        self.told_members = False
-        self.allowance = Allowance(number)
-        self.next_arrival = now + self.draw.expovariate(rate / 1000)
-        self.pending_ends: list[tuple[float, int, str, bool | None]] = []
+        self.credits = CreditAccount(number)
+        self.next_arrival_at = now + self._draw_arrival_interval_ms()
+        self.pending_ends: list[PendingEnd] = []
         self.serial = itertools.count()
-        self.unreachable_zones: set[str] = set()  # zones that this instance can't reach
+        self.unreachable_zones: set[str] = set()
         self.phase_changes: list[tuple[float, PhaseChange]] = []
         self.cpu_seconds = 0.0
 
+    def _draw_arrival_interval_ms(self) -> float:
+        return self.draw.expovariate(self.rate / 1000)
+
     def next_at(self) -> float:
-        """When it is due."""
-        return min(
-            self.fleet.next_at(),
-            self.next_arrival,
-            self.pending_ends[0][0] if self.pending_ends else math.inf,
-        )
-
-    def step(self, now: float, received: list[tuple[bytes, Address]]) -> Iterable[tuple[bytes, Address]]:
+        """When the next step is due."""
+        end_at = self.pending_ends[0].ends_at if self.pending_ends else math.inf
+        return min(self.fleet.next_at(), self.next_arrival_at, end_at)
+
+    def step(self, now: float, received: list[Datagram]) -> Iterable[Datagram]:
         """Receive messages, serve clients, and let the coordinator decide."""
-        begun, said = time.perf_counter(), list[tuple[bytes, Address]]()
+        started_at, datagrams = time.perf_counter(), list[Datagram]()
         for data, sender in received:
-            said += self._carry_out(now, self.fleet.on_message(now, sender.port, data))
-        while self.pending_ends and self.pending_ends[0][0] <= now:
-            at, _, ref, good = heapq.heappop(self.pending_ends)
-            self.fleet.on_attempt_ended(now, ref, good, at - float(ref.split("@")[1]))
-        self.cpu_seconds += time.perf_counter() - begun
-        while self.next_arrival <= now:
-            self.next_arrival += self.draw.expovariate(self.rate / 1000)
+            datagrams += self._carry_out(now, self.fleet.on_message(now, sender.port, data))
+        while self.pending_ends and self.pending_ends[0].ends_at <= now:
+            end = heapq.heappop(self.pending_ends)
+            self.fleet.on_attempt_ended(now, end.request_id, end.is_served, end.ends_at - end.sent_at)
+        self.cpu_seconds += time.perf_counter() - started_at
+        while self.next_arrival_at <= now:
+            self.next_arrival_at += self._draw_arrival_interval_ms()
             self._serve(now)
-        begun = time.perf_counter()
-        said += self._carry_out(now, self.fleet.step(now))
-        self.cpu_seconds += time.perf_counter() - begun
-        return said
+        started_at = time.perf_counter()
+        datagrams += self._carry_out(now, self.fleet.step(now))
+        self.cpu_seconds += time.perf_counter() - started_at
+        return datagrams
 
     def _serve(self, now: float) -> None:
-        self.fleet.on_request(now, 0)
-        free = self._two(now)
-        if not free:
+        """Send a client's request to an engine, or reject it."""
+        self.fleet.on_request(now, QUERY_CLASS)
+        candidates = self._candidates(now)
+        if not candidates:
             self.world.rejected += 1
             return
-        engine = min(free, key=lambda e: self._line(now, e))
-        self.allowance.spend(engine.id, engine.mean_work_ms)
-        ref = f"{next(self.serial)}@{now}"
-        self.fleet.on_attempt_sent(now, ref, engine.id, 0)
-        cut = engine.zone in self.unreachable_zones
-        good, after = (False, 1.0) if cut else engine.run(now, self.draw)
-        self.world.on_attempt(now, engine.zone, bool(good), cut)
-        heapq.heappush(self.pending_ends, (now + after, next(self.serial), ref, good))
-
-    def _two(self, now: float) -> list[ModelEngine]:
-        """Two of those that are allowed, or fewer: by trial first: of many a choice costs the same."""
-        found: list[ModelEngine] = []
-        for _ in range(8):
+        engine = min(candidates, key=lambda candidate: candidate.queue_ms(now))
+        self.credits.spend(engine.id, engine.mean_work_ms)
+        request_id = f"{next(self.serial)}@{now}"
+        self.fleet.on_attempt_sent(now, request_id, engine.id, QUERY_CLASS)
+        is_cut = engine.zone in self.unreachable_zones
+        is_served, duration_ms = (False, CONNECT_FAILURE_MS) if is_cut else engine.run(now, self.draw)
+        self.world.log.append(SentAttempt(now, engine.zone, bool(is_served), is_cut))
+        end = PendingEnd(now + duration_ms, next(self.serial), request_id, now, is_served)
+        heapq.heappush(self.pending_ends, end)
+
+    def _candidates(self, now: float) -> list[ModelEngine]:
+        """Two engines that may be sent to, or fewer.
+
+        Drawn first, at a cost that does not grow with the fleet; if that finds too few, of all engines.
+        """
+        candidates: list[ModelEngine] = []
+        for _ in range(MAX_ENGINE_DRAWS):
             engine = self.draw.choice(self.world.engine_list)
-            if engine not in found and self._allowed(now, engine):
-                found.append(engine)
-                if len(found) == 2:
-                    return found
-        free = [e for e in self.world.engine_list if self._allowed(now, e)]
-        return self.draw.sample(free, min(2, len(free)))
-
-    def _line(self, now: float, engine: ModelEngine) -> float:
-        return max(engine.busy_until - now, 0.0) if not engine.is_dead else 0.0
-
-    def _allowed(self, now: float, engine: ModelEngine) -> bool:
-        return self.allowance.allows(now, engine.id, engine.number, engine.mean_work_ms)
-
-    def _carry_out(self, now: float, actions: Iterable[object]) -> list[tuple[bytes, Address]]:
-        said = []
+            if engine not in candidates and self._is_allowed(now, engine):
+                candidates.append(engine)
+                if len(candidates) == COMPARED_ENGINES:
+                    return candidates
+        allowed = [engine for engine in self.world.engine_list if self._is_allowed(now, engine)]
+        return self.draw.sample(allowed, min(COMPARED_ENGINES, len(allowed)))
+
+    def _is_allowed(self, now: float, engine: ModelEngine) -> bool:
+        return self.credits.allows(now, engine.id, engine.number, engine.mean_work_ms)
+
+    def _carry_out(self, now: float, actions: Iterable[object]) -> list[Datagram]:
+        """Carry out the coordinator's actions; return the datagrams to send."""
+        datagrams: list[Datagram] = []
         for action in actions:
             match action:
                 case SendMessage(member, data):
-                    said.append((data, Address("fleet", member)))
+                    datagrams.append((data, address_of(member)))
                 case EngineBounds():
-                    self.allowance.set_bounds(now, action)
+                    self.credits.set_bounds(now, action)
                 case PhaseChange():
                     self.phase_changes.append((now, action))
-        return said
+        return datagrams
+
+
+def address_of(member: int) -> Address:
+    """Where a member receives datagrams."""
+    return Address("fleet", member)
+
 
+class FleetWorld:
+    """Instances, clients and zones of engines, with faults.
 
-class World:
-    """All of it. `zones`: names; each has `engines` engines; `rate`: requests a second over all instances."""
+    zones: names; each has `engines` engines. rate: requests a second over all instances, divided among them
+    by `skew`.
+    """
 
     def __init__(
         self,
@@ -206,56 +210,53 @@
         self.engine_list = list(self.engines.values())
         self.zones = {z: {e.id: 1.0 for e in self.engines.values() if e.zone == z} for z in zones}
         self.rejected = 0
-        self.log: list[tuple[float, str, bool, bool]] = []
-        self.live: set[int] = set()
+        self.log: list[SentAttempt] = []
+        self.live_members: set[int] = set()
         self.nodes: dict[int, Node] = {}
         weights = [skew(i) for i in range(instances)]
-        self.rates = [rate * w / sum(weights) for w in weights]
-        for i in range(instances):
-            self.start(i, life=1)
+        self.rates = [rate * weight / sum(weights) for weight in weights]
+        for number in range(instances):
+            self.start(number, incarnation=1)
         self.announce_members()
-        self._probe()
+        self._check_engines()
 
-    def _probe(self) -> None:
-        """Health checks: one of all instances checks each engine, and a good result reaches all."""
-        now = self.network.now
-        for engine in self.engines.values():
-            good = not engine.is_dead and now >= engine.silent_until
-            for node in self.nodes.values() if good else ():
-                node.fleet.on_health_check(now, engine.id, True)
-        self.network.call_at(now + CHECK_INTERVAL_MS, self._probe)
-
-    def start(self, i: int, life: int) -> None:
+    def start(self, number: int, incarnation: int) -> None:
         """Start an instance without any memory."""
-        node = self.nodes[i] = Node(self, i, self.rates[i], self.network.now, life)
-        self.network.add(Address("fleet", i + 1), node)
-        self.live.add(i + 1)
+        node = Node(self, number, self.rates[number], self.network.now, incarnation)
+        self.nodes[number] = node
+        self.network.add(address_of(number + 1), node)
+        self.live_members.add(number + 1)
 
-    def kill(self, i: int) -> None:
+    def kill(self, number: int) -> None:
         """Kill an instance, and its clients with it."""
-        self.network.kill(Address("fleet", i + 1))
-        self.live.discard(i + 1)
-        del self.nodes[i]
+        self.network.kill(address_of(number + 1))
+        self.live_members.discard(number + 1)
+        del self.nodes[number]
         self.network.call_at(self.network.now + DEATH_NOTICE_MS, self.announce_members)
 
     def announce_members(self) -> None:
-        """What membership would announce."""
+        """Announce the live members to all, as membership would."""
         for node in self.nodes.values():
-            node.fleet.set_members(self.network.now, self.live)
-
-    def on_attempt(self, now: float, zone: str, good: bool, cut: bool) -> None:
-        """An attempt has been sent."""
-        self.log.append((now, zone, good, cut))
+            node.fleet.set_members(self.network.now, self.live_members)
 
     def run(self, until: float) -> None:
         """Let time pass."""
         self.network.run(until)
 
     def share(self, zone: str, begin: float, end: float) -> float:
-        """Share of all sends from begin to end that went to a zone."""
-        sends = [z for t, z, _, _ in self.log if begin <= t < end]
-        return sends.count(zone) / max(len(sends), 1)
+        """Share of all attempts from begin to end that went to a zone."""
+        zones = [attempt.zone for attempt in self.log if begin <= attempt.at < end]
+        return zones.count(zone) / max(len(zones), 1)
 
     def phases(self, zone: str) -> dict[int, str]:
         """Each instance's phase of a zone; "fleet" where it is out by the count alone."""
-        return {i: n.fleet.evacuation.states[zone].phase.value for i, n in self.nodes.items()}
+        return {number: node.fleet.evacuation.states[zone].phase.value for number, node in self.nodes.items()}
+
+    def _check_engines(self) -> None:
+        """One of all instances checks each engine's health, and a good result reaches all."""
+        now = self.network.now
+        for engine in self.engines.values():
+            is_well = not engine.is_dead and now >= engine.silent_until
+            for node in self.nodes.values() if is_well else ():
+                node.fleet.on_health_check(now, engine.id, True)
+        self.network.call_at(now + CHECK_INTERVAL_MS, self._check_engines)
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -1,7 +1,7 @@
 """Outages in virtual time: clients with homes, zones at a distance, engines with cold data sets.
 
 A model for asking whether the cost estimator's projection is true and its decisions are useful. An instance
-serves the clients of its own zone. An engine keeps the data sets that it used last; a request on another one
+serves the clients of its own zone. An engine caches the data sets that it used last; a request on another one
 takes longer. One seed replays the run. Times are ms; an engine does one ms of work a ms, times its speed.
 """
 
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from cottonhold.emulator.outage_log import Log, Row
+from cottonhold.emulator.outage_log import LogEntry, RequestEvent, RequestLog
 from cottonhold.emulator.virtual_time import VirtualClock
 from cottonhold.fleet.admission.demand import density_step
 from cottonhold.fleet.admission.demand_sharing import DemandSharing
@@ -24,17 +24,26 @@
 from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings
 from cottonhold.fleet.zone_failover.zone_assessment import MIN_RETAINED_SHARE
 
-STEP_MS, LOAD_REPORT_INTERVAL_MS, ANSWER_MARGIN_MS, FAILURE_DELAY_MS = 100.0, 250.0, 60.0, 300.0
-MAX_PREFERENCE_MS = 100.0  # held longer than this, a request may go to any engine that idles
+STEP_MS, LOAD_REPORT_INTERVAL_MS = 100.0, 250.0
+ANSWER_MARGIN_MS = 60.0  # a request is rejected so long before its timeout
+FAILURE_DELAY_MS = 300.0  # until a failed engine's request is known to have failed
+MESSAGE_DELAY_MS = 2.0
+MAX_PREFERENCE_MS = 100.0  # queued longer than this, a request may go to any engine that idles
+MAX_ZONE_CREDITS = 4.0
+MAX_BUDGET_REQUESTS = 4  # that may be saved for a zone which is evacuated in part
+MIN_IN_FLIGHT = 2  # requests at an engine or on the way that are always permitted
 
 
 @dataclass(slots=True, frozen=True)
-class Setup:
-    """What a world is made of. round_trips_ms: between zones; rates: first attempts a second by zone;
-    own_data_sets, shared_data_sets: of each zone's clients alone, and of all; cached_data_sets: that an
-    engine keeps; cold_factor: how many times longer a request takes on another. decides: "outlook", "today"
-    (the least loaded engine of all zones, and a fixed reserve) or "nearest" (the same, own zone first). loss:
-    part of the site reports."""
+class OutageSetup:
+    """What a world is made of.
+
+    rates: first attempts a second, by zone. round_trips_ms: between zones. own_data_sets, shared_data_sets:
+    of each zone's clients alone, and of all. cached_data_sets: that an engine caches; 0: all. cold_factor:
+    how many times longer a request takes on another. utilities: of requests, with their share of all.
+    decides: "outlook" (the cost estimator), "today" (the least loaded engine of all zones, and a fixed
+    reserve) or "nearest" (the same, own zone first). loss: share of site reports that are lost.
+    """
 
     rates: Mapping[str, float]
     round_trips_ms: Mapping[tuple[str, str], float]
@@ -46,7 +55,7 @@
     cold_factor: float = 3.0
     mean_work_ms: float = 20.0
     timeout_ms: float = 2000.0
-    utilities: tuple[tuple[float, float], ...] = ((1.0, 0.6), (6.0, 0.4))  # and their part of all
+    utilities: tuple[tuple[float, float], ...] = ((1.0, 0.6), (6.0, 0.4))
     decides: str = "outlook"
     loss: float = 0.0
     settings: CostEstimatorSettings = field(default_factory=CostEstimatorSettings)
@@ -54,7 +63,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request."""
+    """One request. home: its client's zone."""
 
     home: str
     utility: float
@@ -70,318 +79,359 @@
 
     zone: str
     speed: float = 1.0
-    up: bool = True
+    is_up: bool = True
     busy_until: float = 0.0
     in_flight: dict[int, int] = field(default_factory=dict)  # by instance
     cached_sets: dict[str, None] = field(default_factory=dict)
 
-    def use(self, data_set: str, keeps: int) -> bool:
-        """Whether a data set was warm; it is now."""
-        warm = data_set in self.cached_sets
+    def use(self, data_set: str, max_cached: int) -> bool:
+        """Use a data set; return whether it was cached. It is now."""
+        is_cached = data_set in self.cached_sets
         self.cached_sets.pop(data_set, None)
         self.cached_sets[data_set] = None
-        if keeps and len(self.cached_sets) > keeps:
+        if max_cached and len(self.cached_sets) > max_cached:
             del self.cached_sets[next(iter(self.cached_sets))]
-        return warm
+        return is_cached
 
 
 class Instance:
     """One dispatcher of a zone's clients."""
 
-    def __init__(self, world: World, number: int, home: str) -> None:
+    def __init__(self, world: OutageWorld, number: int, home: str) -> None:
         self.world, self.number, self.home = world, number, home
-        self.queue: list[tuple[float, int, Request]] = []
-        self.in_flight_elsewhere: list[int] = []  # what others have at each engine, as of the last word
+        self.queue: list[tuple[float, int, Request]] = []  # by falling utility and time
+        self.in_flight_elsewhere: list[int] = []  # by server, as of the last load report
         self.demand = DemandSharing(number + 1, 1, 0.0, number)
         self.estimator = CostEstimator(number + 1, 1, 0.0, home, number, world.setup.settings)
         self.estimator.set_engines(world.engines_by_zone)
-        self.credits: dict[str, float] = {}
+        self.zone_credits: dict[str, float] = {}
 
     def on_request(self, now: float, request: Request) -> None:
-        """A request arrives: counted, then admitted or rejected."""
-        w = self.world
-        self.demand.on_request(now, request.utility, w.setup.mean_work_ms, False)
-        self.estimator.on_request(now, request.utility, w.setup.mean_work_ms, request.data_set)
-        price = self.demand.threshold
-        if price is not None and not price.admits(
-            density_step(request.utility, w.setup.mean_work_ms), request.draw
-        ):
-            w.log.append(Row(now, "refused", self.home, request.utility))
+        """Count a request that arrives, and admit or reject it."""
+        world, mean_work_ms = self.world, self.world.setup.mean_work_ms
+        self.demand.on_request(now, request.utility, mean_work_ms, False)
+        self.estimator.on_request(now, request.utility, mean_work_ms, request.data_set)
+        threshold, step = self.demand.threshold, density_step(request.utility, mean_work_ms)
+        if threshold is not None and not threshold.admits(step, request.draw):
+            world.log.append(LogEntry(now, RequestEvent.REJECTED, self.home, request.utility))
             return
         self.enqueue(now, request)
 
     def enqueue(self, now: float, request: Request) -> None:
-        """Wait for capacity, densest first."""
+        """Queue a request, the greatest utility first, and send what there is capacity for."""
         request.queued_at = now
         heapq.heappush(self.queue, (-request.utility, next(self.world.serial), request))
         self.send(now)
 
     def send(self, now: float) -> None:
-        """Send what there is capacity for; what has run out of time is answered."""
-        w = self.world
+        """Send what there is capacity for; answer what has timed out meanwhile."""
+        setup = self.world.setup
         while self.queue:
             request = self.queue[0][2]
-            if request.arrived_at + w.setup.timeout_ms - ANSWER_MARGIN_MS <= now:
+            if request.arrived_at + setup.timeout_ms - ANSWER_MARGIN_MS <= now:
                 heapq.heappop(self.queue)
                 self.demand.on_admitted(1.0, True)
-                w.log.append(Row(now, "late", self.home, request.utility))
+                self.world.log.append(LogEntry(now, RequestEvent.LATE, self.home, request.utility))
                 continue
-            place = self._place(now, request)
-            if place is None:
+            server_number = self._choose_server(now, request)
+            if server_number is None:
                 return
             heapq.heappop(self.queue)
-            self.demand.on_admitted((now - request.arrived_at) / w.setup.timeout_ms, False)
-            w.run(now, self, place, request)
+            self.demand.on_admitted((now - request.arrived_at) / setup.timeout_ms, False)
+            self.world.send_to_server(now, self, server_number, request)
 
-    def usable_cores(self, now: float, cores: float) -> float:
+    def usable_cores(self, cores: float) -> float:
         """Cores that the threshold may count on, as the estimator says."""
-        if not self.world.remaining:
+        world = self.world
+        if not world.remaining:
             return cores
-        whole = [zone for zone in self.world.zones_out if self.world.remaining[zone] <= 0]
-        found = self.estimator.useful_cores(*whole)
-        return cores if found is None else min(cores, found)
-
-    def _place(self, now: float, request: Request) -> int | None:
-        """The engine for a request, if any has capacity."""
-        w = self.world
+        lost_zones = [zone for zone in world.zones_out if world.remaining[zone] <= 0]
+        useful_cores = self.estimator.useful_cores(*lost_zones)
+        return cores if useful_cores is None else min(cores, useful_cores)
+
+    def _used(self, server_number: int) -> int:
+        """Requests at a server, as far as the instance knows."""
+        own = self.world.servers[server_number].in_flight.get(self.number, 0)
+        return own + (self.in_flight_elsewhere[server_number] if self.in_flight_elsewhere else 0)
+
+    def _choose_server(self, now: float, request: Request) -> int | None:
+        """The server for a request, if any has capacity."""
+        world = self.world
         used = {
-            at: server.in_flight.get(self.number, 0)
-            + (self.in_flight_elsewhere[at] if self.in_flight_elsewhere else 0)
-            for at, server in enumerate(w.servers)
-            if w.usable(now, server.zone) and at not in w.known_down
+            number: self._used(number)
+            for number, server in enumerate(world.servers)
+            if world.is_usable(now, server.zone) and number not in world.known_down
         }
-        room = {at: n for at, n in used.items() if n < w.room(w.servers[at].zone)}
-        if not room:
+        zone_of = {number: world.servers[number].zone for number in used}
+        available = [number for number, count in used.items() if count < world.max_in_flight(zone_of[number])]
+        if not available:
             return None
-        zones = self._zones(now, {w.servers[at].zone for at in room}, request, used)
-        places = [at for at in room if w.servers[at].zone in zones]
-        if not places:
+        idle_zones = {zone_of[number] for number, count in used.items() if not count}
+        zones = self._zones(now, request, {zone_of[number] for number in available}, idle_zones)
+        candidates = [number for number in available if zone_of[number] in zones]
+        if not candidates:
             return None
-        place = min(places, key=lambda at: (room[at], w.draw.random()))
-        if w.setup.decides == "outlook":
-            self.credits[w.servers[place].zone] = self.credits.get(w.servers[place].zone, 0.0) - 1
-        return place
-
-    def _zones(self, now: float, roomy: set[str], request: Request, used: dict[int, int]) -> set[str]:
-        """The zones that it may go to now."""
-        w = self.world
-        if w.setup.decides == "today":
-            return roomy
-        if w.setup.decides == "nearest":
-            return {self.home} if self.home in roomy else roomy
-        shares = dict(w.shares(now, self))
+        chosen = min(candidates, key=lambda number: (used[number], world.draw.random()))
+        if world.setup.decides == "outlook":
+            zone = zone_of[chosen]
+            self.zone_credits[zone] = self._credit(zone) - 1
+        return chosen
+
+    def _zones(self, now: float, request: Request, available: set[str], idle: set[str]) -> set[str]:
+        """The zones that a request may go to now."""
+        world = self.world
+        if world.setup.decides == "today":
+            return available
+        nearest = {self.home} if self.home in available else available
+        if world.setup.decides == "nearest":
+            return nearest
+        shares = dict(world.shares(self))
         if not shares:
-            return {self.home} if self.home in roomy else roomy
-        if request.queued_at < now - MAX_PREFERENCE_MS or not self.credits:
-            idle = {w.servers[at].zone for at, n in used.items() if not n} & roomy
-            if idle:
-                return idle
-        if not any(self.credits.get(zone, 0.0) >= 0 for zone in shares):
-            for zone, share in shares.items():
-                self.credits[zone] = min(self.credits.get(zone, 0.0) + share, 4.0)
-        best = sorted((z for z in shares if z in roomy), key=lambda z: -self.credits.get(z, 0.0))
-        if best and self.credits.get(best[0], 0.0) < 0:
-            for zone, share in shares.items():
-                self.credits[zone] = min(self.credits.get(zone, 0.0) + share, 4.0)
+            return nearest
+        is_overdue = request.queued_at < now - MAX_PREFERENCE_MS
+        if (is_overdue or not self.zone_credits) and idle & available:
+            return idle & available
+        if not any(self._credit(zone) >= 0 for zone in shares):
+            self._add_credits(shares)
+        best = sorted((zone for zone in shares if zone in available), key=lambda zone: -self._credit(zone))
+        if best and self._credit(best[0]) < 0:
+            self._add_credits(shares)
         return set(best[:1])
 
+    def _credit(self, zone: str) -> float:
+        return self.zone_credits.get(zone, 0.0)
+
+    def _add_credits(self, shares: Mapping[str, float]) -> None:
+        for zone, share in shares.items():
+            self.zone_credits[zone] = min(self._credit(zone) + share, MAX_ZONE_CREDITS)
+
+
+class OutageWorld:
+    """The model.
 
-class World:
-    """The model. Set faults by `lose` and `slow`; `remaining` is what the fleet lets a zone have."""
+    Faults are set by `lose_engines` and `slow_zone`. remaining: the part of a zone's capacity that the fleet
+    uses, by zone. zones_out: zones that are evacuated, wholly or in part.
+    """
 
-    def __init__(self, seed: int, setup: Setup) -> None:
-        self.draw, self.serial, self.setup = random.Random(seed), itertools.count(), setup
-        self.clock = VirtualClock()
-        self.names = sorted(setup.rates)
-        self.servers = [Server(zone) for zone in self.names for _ in range(setup.engines)]
-        self.engines_by_zone = {z: {f"{z}{i}": 1.0 for i in range(setup.engines)} for z in self.names}
-        self.log = Log()
+    def __init__(self, seed: int, setup: OutageSetup) -> None:
+        self.clock, self.draw, self.serial = VirtualClock(), random.Random(seed), itertools.count()
+        self.setup = setup
+        self.zones = sorted(setup.rates)
+        self.servers = [Server(zone) for zone in self.zones for _ in range(setup.engines)]
+        self.engines_by_zone = {z: {f"{z}{i}": 1.0 for i in range(setup.engines)} for z in self.zones}
+        self.log = RequestLog()
         self.remaining: dict[str, float] = {}
-        self.zones_out: tuple[str, ...] = ()  # zones that are left, wholly or in part
+        self.zones_out: tuple[str, ...] = ()
         self.known_down: set[int] = set()
-        self.budget: dict[str, tuple[float, float]] = {}  # work that a zone left in part may still be sent
-        self.claim_factors: dict[
-            int, float
-        ] = {}  # instance -> times that it claims; it also tells all as warm
-        self.instances = [
-            self.instance(i, zone)
-            for i, zone in enumerate(zone for zone in self.names for _ in range(setup.instances))
-        ]
+        self.budgets: dict[str, tuple[float, float]] = {}  # by zone: work that may be sent, and when counted
+        # By instance: how many times its demand it claims; it also claims all data sets as cached.
+        self.claim_factors: dict[int, float] = {}
+        homes = [zone for zone in self.zones for _ in range(setup.instances)]
+        self.instances = [self.make_instance(number, home) for number, home in enumerate(homes)]
         for server in self.servers:  # warm for its own clients, as after a long calm
-            for name in [*self._names(server.zone)]:
-                server.use(name, setup.cached_data_sets)
-        for zone in self.names:
-            self.at(0.0, partial(self._arrival, zone))
-        for here in self.instances:
-            self.at(STEP_MS * self.draw.random(), partial(self._step, here))
-            self.at(LOAD_REPORT_INTERVAL_MS * self.draw.random(), partial(self._hear, here))
-
-    def instance(self, number: int, home: str) -> Instance:
+            for data_set in self._data_sets(server.zone):
+                server.use(data_set, setup.cached_data_sets)
+        for zone in self.zones:
+            self.call_at(0.0, partial(self._arrive, zone))
+        for instance in self.instances:
+            self.call_at(STEP_MS * self.draw.random(), partial(self._step, instance))
+            report_at = LOAD_REPORT_INTERVAL_MS * self.draw.random()
+            self.call_at(report_at, partial(self._report_load, instance))
+
+    def make_instance(self, number: int, home: str) -> Instance:
         """One of the dispatchers."""
         return Instance(self, number, home)
 
-    def at(self, when: float, action: Callable[[float], None]) -> None:
-        """Call an action at a time."""
+    def call_at(self, when: float, action: Callable[[float], None]) -> None:
+        """Call an action with the time at a time."""
         self.clock.call_at(when, lambda: action(self.clock.now))
 
-    def play(self, until: float) -> None:
+    def run(self, until: float) -> None:
         """Let time pass."""
         self.clock.run(until)
 
-    def lose(self, zone: str, count: int | None = None) -> None:
+    def lose_engines(self, zone: str, count: int | None = None) -> None:
         """So many engines of a zone, or all, are gone, with what they ran."""
-        places = [at for at, s in enumerate(self.servers) if s.zone == zone and s.up][:count]
-        for at in places:
-            self.servers[at].up = False
+        for server in [s for s in self.servers if s.zone == zone and s.is_up][:count]:
+            server.is_up = False
 
-    def slow(self, zone: str, speed: float) -> None:
+    def slow_zone(self, zone: str, speed: float) -> None:
         """A zone's engines work at so much of their speed."""
         for server in self.servers:
             if server.zone == zone:
                 server.speed = speed
 
-    def see(self, left: Mapping[str, float]) -> None:
-        """The fleet has seen it: so much is left of these zones, of which less than half is left by all."""
-        self.remaining = dict(left)
-        self.zones_out = tuple(sorted(left))
-        self.known_down = {at for at, s in enumerate(self.servers) if not s.up}
+    def announce_remaining(self, remaining: Mapping[str, float]) -> None:
+        """The fleet has noticed an outage: so much of these zones' capacity remains."""
+        self.remaining = dict(remaining)
+        self.zones_out = tuple(sorted(remaining))
+        self.known_down = {number for number, server in enumerate(self.servers) if not server.is_up}
 
-    def leave(self, now: float, zone: str, gives: float) -> float:
-        """A faulty zone is evacuated in part: how much of its load it retains, by who decides."""
+    def evacuate(self, now: float, zone: str, usable_share: float) -> float:
+        """Evacuate a faulty zone in part; return the share of its load that it retains, by who decides."""
         if self.setup.decides == "outlook":
-            kept = self.instances[0].estimator.retained_share(now, zone, gives) or 0.0
+            retained = self.instances[0].estimator.retained_share(now, zone, usable_share) or 0.0
         else:
-            s, cores = EvacuationSettings(), float(self.setup.engines)
-            offered = sum(self.setup.rates.values()) * self.setup.mean_work_ms / 1000
-            lacking = (offered - s.usable_capacity_share * cores * (len(self.names) - 1)) / cores
-            kept = min(max(lacking, 0.0), gives)
-            kept = kept if kept >= MIN_RETAINED_SHARE else 0.0
-        self.see({zone: kept})
-        return kept
-
-    def usable(self, now: float, zone: str) -> bool:
-        """Whether a zone may be sent to; one left in part within its budget."""
-        if zone not in self.remaining or self.remaining[zone] >= 1.0 or zone in self.known_partly():
+            retained = min(max(self._missing_share(), 0.0), usable_share)
+            retained = retained if retained >= MIN_RETAINED_SHARE else 0.0
+        self.announce_remaining({zone: retained})
+        return retained
+
+    def _missing_share(self) -> float:
+        """The load that the other zones can't take, as a part of a zone's cores."""
+        cores = float(self.setup.engines)
+        offered_cores = sum(self.setup.rates.values()) * self.setup.mean_work_ms / 1000
+        usable_cores = EvacuationSettings().usable_capacity_share * cores * (len(self.zones) - 1)
+        return (offered_cores - usable_cores) / cores
+
+    def is_usable(self, now: float, zone: str) -> bool:
+        """Whether a zone may be sent to; one that is evacuated in part within its budget."""
+        if zone not in self.remaining or self.remaining[zone] >= 1.0 or zone in self._partly_down_zones():
             return True
-        work, at = self.budget.get(zone, (0.0, now))
-        kept = self.remaining[zone] * self.setup.engines
-        work = min(work + (now - at) * kept, 4 * self.setup.mean_work_ms)
-        self.budget[zone] = work, now
-        return work >= self.setup.mean_work_ms
-
-    def known_partly(self) -> set[str]:
-        """Zones with engines that are known to be gone and others that are well."""
-        gone = {self.servers[at].zone for at in self.known_down}
-        return {z for z in gone if any(s.zone == z and s.up for s in self.servers)}
-
-    def room(self, zone: str) -> int:
-        """Requests that may be at an engine or on the way, for all alike."""
-        farthest = max(self.setup.round_trips_ms[name, zone] for name in self.names)
-        return 2 + math.ceil(farthest / self.setup.mean_work_ms)
-
-    def shares(self, now: float, here: Instance) -> tuple[tuple[str, float], ...]:
+        mean_work_ms = self.setup.mean_work_ms
+        work_ms, counted_at = self.budgets.get(zone, (0.0, now))
+        cores = self.remaining[zone] * self.setup.engines
+        work_ms = min(work_ms + (now - counted_at) * cores, MAX_BUDGET_REQUESTS * mean_work_ms)
+        self.budgets[zone] = work_ms, now
+        return work_ms >= mean_work_ms
+
+    def _partly_down_zones(self) -> set[str]:
+        """Zones with engines that are known to be down, and others that are up."""
+        zones = {self.servers[number].zone for number in self.known_down}
+        return {zone for zone in zones if any(s.zone == zone and s.is_up for s in self.servers)}
+
+    def max_in_flight(self, zone: str) -> int:
+        """Requests that may be at an engine or on the way, the same for all instances."""
+        longest_ms = max(self.setup.round_trips_ms[home, zone] for home in self.zones)
+        return MIN_IN_FLIGHT + math.ceil(longest_ms / self.setup.mean_work_ms)
+
+    def shares(self, instance: Instance) -> tuple[tuple[str, float], ...]:
         """Which zones serve an instance's clients now, by its estimator."""
-        plan = here.estimator.plan
-        if plan is not None and dict(plan.remaining) == {z: x for z, x in self.remaining.items() if x < 1.0}:
-            return here.estimator.serving_zones(here.home)
-        whole = [z for z in self.zones_out if self.remaining[z] <= 0]
-        return here.estimator.serving_zones(here.home, *whole)
-
-    def _names(self, home: str) -> dict[str, float]:
+        plan = instance.estimator.plan
+        reduced = {zone: share for zone, share in self.remaining.items() if share < 1.0}
+        if plan is not None and dict(plan.remaining) == reduced:
+            return instance.estimator.serving_zones(instance.home)
+        lost_zones = [zone for zone in self.zones_out if self.remaining[zone] <= 0]
+        return instance.estimator.serving_zones(instance.home, *lost_zones)
+
+    def _data_sets(self, home: str) -> dict[str, float]:
         """Data sets of a zone's clients and how much they are used."""
-        names = [f"{home}/{i}" for i in range(self.setup.own_data_sets)] + [
-            f"all/{i}" for i in range(self.setup.shared_data_sets)
-        ]
-        return {name: 1 / (1 + i) for i, name in enumerate(names)}
-
-    def _arrival(self, home: str, now: float) -> None:
-        names = self._names(home)
-        worth = self.draw.choices([w for w, _ in self.setup.utilities], [p for _, p in self.setup.utilities])[
-            0
-        ]
-        data_set = self.draw.choices(list(names), list(names.values()))[0]
-        request = Request(home, worth, data_set, self.draw.random(), now)
-        self.log.append(Row(now, "came", home, worth))
+        own = [f"{home}/{i}" for i in range(self.setup.own_data_sets)]
+        shared = [f"all/{i}" for i in range(self.setup.shared_data_sets)]
+        return {name: 1 / (1 + i) for i, name in enumerate(own + shared)}
+
+    def _arrive(self, home: str, now: float) -> None:
+        """A client's request arrives; the next one is scheduled."""
+        data_sets = self._data_sets(home)
+        utilities, utility_shares = zip(*self.setup.utilities, strict=True)
+        utility = self.draw.choices(utilities, utility_shares)[0]
+        data_set = self.draw.choices(list(data_sets), list(data_sets.values()))[0]
+        request = Request(home, utility, data_set, self.draw.random(), now)
+        self.log.append(LogEntry(now, RequestEvent.ARRIVED, home, utility))
         self.draw.choice([i for i in self.instances if i.home == home]).on_request(now, request)
-        self.at(now + self.draw.expovariate(self.setup.rates[home] / 1000), partial(self._arrival, home))
-
-    def run(self, now: float, here: Instance, place: int, request: Request) -> None:
-        """Send a request to an engine, and receive its end."""
-        server = self.servers[place]
-        server.in_flight[here.number] = server.in_flight.get(here.number, 0) + 1
-        trip = self.setup.round_trips_ms[here.home, server.zone] * self.draw.lognormvariate(-0.005, 0.1)
-        if server.zone in self.remaining and self.remaining[server.zone] < 1.0:
-            work, at = self.budget.get(server.zone, (0.0, now))
-            self.budget[server.zone] = work - self.setup.mean_work_ms, at
-        self.at(now + trip / 2, lambda t: self._begin(t, here, server, request, trip))
-
-    def _begin(self, now: float, here: Instance, server: Server, request: Request, trip: float) -> None:
-        if not server.up:
-            self.at(now + FAILURE_DELAY_MS, lambda t: self._broken(t, here, server, request))
+        next_at = now + self.draw.expovariate(self.setup.rates[home] / 1000)
+        self.call_at(next_at, partial(self._arrive, home))
+
+    def send_to_server(self, now: float, instance: Instance, server_number: int, request: Request) -> None:
+        """Send a request to an engine."""
+        server = self.servers[server_number]
+        server.in_flight[instance.number] = server.in_flight.get(instance.number, 0) + 1
+        mean_round_trip_ms = self.setup.round_trips_ms[instance.home, server.zone]
+        round_trip_ms = mean_round_trip_ms * self.draw.lognormvariate(-0.005, 0.1)
+        if self.remaining.get(server.zone, 1.0) < 1.0:
+            work_ms, counted_at = self.budgets.get(server.zone, (0.0, now))
+            self.budgets[server.zone] = work_ms - self.setup.mean_work_ms, counted_at
+        self.call_at(
+            now + round_trip_ms / 2, lambda now: self._begin(now, instance, server, request, round_trip_ms)
+        )
+
+    def _begin(
+        self, now: float, instance: Instance, server: Server, request: Request, round_trip_ms: float
+    ) -> None:
+        """A request arrives at an engine."""
+        if not server.is_up:
+            self.call_at(now + FAILURE_DELAY_MS, lambda now: self._on_failed(now, instance, server, request))
             return
-        mean = self.setup.mean_work_ms * self.draw.lognormvariate(-0.08, 0.4)
-        extra = (
-            0.0
-            if server.use(request.data_set, self.setup.cached_data_sets)
-            else mean * (self.setup.cold_factor - 1)
+        setup = self.setup
+        work_ms = setup.mean_work_ms * self.draw.lognormvariate(-0.08, 0.4)
+        is_cached = server.use(request.data_set, setup.cached_data_sets)
+        cold_work_ms = 0.0 if is_cached else work_ms * (setup.cold_factor - 1)
+        server.busy_until = max(now, server.busy_until) + (work_ms + cold_work_ms) / server.speed
+        run = LogEntry(
+            now,
+            RequestEvent.RAN,
+            instance.home,
+            request.utility,
+            server.zone,
+            work_ms,
+            cold_work_ms,
+            round_trip_ms,
         )
-        server.busy_until = max(now, server.busy_until) + (mean + extra) / server.speed
-        row = Row(now, "ran", here.home, request.utility, server.zone, mean, extra, trip)
-        self.log.append(row)
-        self.at(server.busy_until + trip / 2, lambda t: self._done(t, here, server, request, row))
-
-    def _broken(self, now: float, here: Instance, server: Server, request: Request) -> None:
-        server.in_flight[here.number] -= 1
-        here.enqueue(now, request)
-
-    def _done(self, now: float, here: Instance, server: Server, request: Request, row: Row) -> None:
-        if not server.up:
-            self._broken(now, here, server, request)
+        self.log.append(run)
+        ends_at = server.busy_until + round_trip_ms / 2
+        self.call_at(ends_at, lambda now: self._on_ended(now, instance, server, request, run))
+
+    def _on_failed(self, now: float, instance: Instance, server: Server, request: Request) -> None:
+        """An attempt has failed with its engine: the request is queued again."""
+        server.in_flight[instance.number] -= 1
+        instance.enqueue(now, request)
+
+    def _on_ended(
+        self, now: float, instance: Instance, server: Server, request: Request, run: LogEntry
+    ) -> None:
+        if not server.is_up:
+            self._on_failed(now, instance, server, request)
             return
-        server.in_flight[here.number] -= 1
-        here.estimator.on_answer(now, server.zone, request.data_set, row.round_trip_ms)
-        late = now > request.arrived_at + self.setup.timeout_ms
-        what = "late" if late else "served"
-        self.log.append(replace(row, at=now, what=what, arrived_at=request.arrived_at))
-        here.send(now)
-
-    def _step(self, here: Instance, now: float) -> None:
-        here.send(now)
-        live = range(1, len(self.instances) + 1)
-        capacity = self.setup.engines * sum(self.remaining.get(zone, 1.0) for zone in self.names)
-        if self.setup.decides == "outlook":
-            capacity = here.usable_cores(now, capacity)
-        for member, data in here.demand.step(now, live, capacity):
-            self.at(now + 2, partial(self._told, self.instances[member - 1].demand, data))
-        for zone in self.names:  # distances are measured by probes too
-            if zone not in here.estimator.observations.round_trips_ms:
-                here.estimator.observations.round_trips_ms[zone] = self.setup.round_trips_ms[here.home, zone]
-        if self.setup.decides == "outlook":
-            for member, data in here.estimator.step(now, live, self.remaining):
-                data = self._claim(here, data)
+        server.in_flight[instance.number] -= 1
+        instance.estimator.on_answer(now, server.zone, request.data_set, run.round_trip_ms)
+        is_late = now > request.arrived_at + self.setup.timeout_ms
+        event = RequestEvent.LATE if is_late else RequestEvent.SERVED
+        self.log.append(replace(run, at=now, event=event, arrived_at=request.arrived_at))
+        instance.send(now)
+
+    def _step(self, instance: Instance, now: float) -> None:
+        instance.send(now)
+        live_members = range(1, len(self.instances) + 1)
+        decides = self.setup.decides == "outlook"
+        capacity = self.setup.engines * sum(self.remaining.get(zone, 1.0) for zone in self.zones)
+        if decides:
+            capacity = instance.usable_cores(capacity)
+        for member, data in instance.demand.step(now, live_members, capacity):
+            self._send_message(now, self.instances[member - 1].demand, data)
+        observed_ms = instance.estimator.observations.round_trips_ms
+        for zone in self.zones:  # health checks measure distances too
+            observed_ms.setdefault(zone, self.setup.round_trips_ms[instance.home, zone])
+        if decides:
+            for member, data in instance.estimator.step(now, live_members, self.remaining):
                 if self.draw.random() >= self.setup.loss:
-                    self.at(now + 2, partial(self._told, self.instances[member - 1].estimator, data))
-        self.at(now + STEP_MS, partial(self._step, here))
+                    report = self._claim(instance, data)
+                    self._send_message(now, self.instances[member - 1].estimator, report)
+        self.call_at(now + STEP_MS, partial(self._step, instance))
+
+    def _send_message(self, now: float, receiver: DemandSharing | CostEstimator, data: bytes) -> None:
+        def deliver(now: float) -> None:
+            receiver.on_message(now, data)
 
-    def _claim(self, here: Instance, data: bytes) -> bytes:
+        self.call_at(now + MESSAGE_DELAY_MS, deliver)
+
+    def _claim(self, instance: Instance, data: bytes) -> bytes:
         """What an instance reports, which may be false."""
-        times = self.claim_factors.get(here.number, 1.0)
-        if times == 1.0:
+        factor = self.claim_factors.get(instance.number, 1.0)
+        if factor == 1.0:
             return data
         [site] = decode_site_reports(data)
-        rates = {step: work * times for step, work in site.rates.items()}
+        rates = {step: work * factor for step, work in site.rates.items()}
         zones = {
-            n: replace(seen, warm_filter=2**FILTER_BITS - 1, round_trip_ms=0.1)
-            for n, seen in site.zones.items()
+            name: replace(zone, warm_filter=2**FILTER_BITS - 1, round_trip_ms=0.1)
+            for name, zone in site.zones.items()
         }
         return encode_site_reports([replace(site, rates=rates, zones=zones)])
 
-    def _told(self, who: DemandSharing | CostEstimator, data: bytes, now: float) -> None:
-        who.on_message(now, data)
-
-    def _hear(self, here: Instance, now: float) -> None:
-        here.in_flight_elsewhere = [
-            sum(n for i, n in s.in_flight.items() if i != here.number) for s in self.servers
+    def _report_load(self, instance: Instance, now: float) -> None:
+        """Tell an instance what the others have in flight, all at once."""
+        instance.in_flight_elsewhere = [
+            sum(count for number, count in server.in_flight.items() if number != instance.number)
+            for server in self.servers
         ]
-        here.send(now)
-        self.at(now + LOAD_REPORT_INTERVAL_MS, partial(self._hear, here))
+        instance.send(now)
+        self.call_at(now + LOAD_REPORT_INTERVAL_MS, partial(self._report_load, instance))
--- a/cottonhold/emulator/overload.py
+++ b/cottonhold/emulator/overload.py
@@ -1,7 +1,7 @@
 """Overload in virtual time: instances with their own policies, engines with queues, clients that retry.
 
 A model, far cheaper than processes, for comparing who sheds what. An instance queues what it can't send,
-densest first, and sees what others have at an engine only as of their last report. One seed replays the run.
+densest first, and knows what others have at an engine only by their last report. One seed replays the run.
 Times are ms; an engine does one ms of work a ms, times its speed.
 """
 
@@ -12,6 +12,9 @@
 import random
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field, replace
+from enum import StrEnum
+from functools import partial
+from typing import NamedTuple
 
 from cottonhold.emulator.virtual_time import VirtualClock
 from cottonhold.fleet.admission import demand
@@ -20,34 +23,61 @@
 from cottonhold.fleet.admission.threshold import DensityThreshold, threshold_for
 
 MAX_IN_FLIGHT = 2  # requests at an engine, from all instances together, as far as they know
-LOAD_REPORT_INTERVAL_MS = 250.0  # so often an instance hears what the others have out
+LOAD_REPORT_INTERVAL_MS = 250.0  # between two reports of what the others have in flight
 STEP_MS = 100.0
-ANSWER_MARGIN_MS = 60.0  # a request is refused so long before its time is up
+ANSWER_MARGIN_MS = 60.0  # a request is rejected so long before its timeout
+RETRY_INTERVAL_MS = 200.0  # on average
+MIN_ATTEMPTS_PER_SHARE = 100  # of a class at an instance
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """A class of requests: utility, mean work in ms, time-out in ms, share of all."""
+class RequestClass:
+    """A class of requests: utility of each, mean work, timeout, and share of all requests."""
 
     utility: float
     mean_work_ms: float = 20.0
     timeout_ms: float = 2000.0
     share: float = 0.5
 
+    @property
+    def density(self) -> float:
+        """Utility by work."""
+        return self.utility / self.mean_work_ms
 
-KINDS = (Kind(1.0, share=0.6), Kind(6.0, share=0.4))
+
+REQUEST_CLASSES = (RequestClass(1.0, share=0.6), RequestClass(6.0, share=0.4))
+
+
+class RequestEvent(StrEnum):
+    """What the model logs of a request."""
+
+    ARRIVED = "came"  # its first attempt
+    ATTEMPTED = "try"
+    SENT = "sent"
+    SERVED = "served"
+    LATE = "late"
+    REJECTED = "refused"  # its last attempt
+
+
+class LogEntry(NamedTuple):
+    """An event of a request at an instance."""
+
+    at: float
+    instance: int
+    class_number: int
+    event: RequestEvent
 
 
 @dataclass(slots=True, eq=False)
 class Request:
     """One request, over all its attempts."""
 
-    kind: int
+    class_number: int
     draw: float
-    home: int = 0
+    instance: int = 0
     retries: int = 0
     arrived_at: float = 0.0
-    first_arrived_at: float = 0.0  # when its first try came
+    first_arrived_at: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
@@ -64,285 +94,330 @@
 
     def __init__(self, world: Overload, number: int, policy: Policy) -> None:
         self.world, self.number, self.policy = world, number, policy
-        self.queue: list[tuple[float, int, Request]] = []
-        self.in_flight_elsewhere: dict[int, int] = {}  # engine -> what others have out, as of the last word
+        self.queue: list[tuple[float, int, Request]] = []  # by falling density and time
+        self.in_flight_elsewhere: dict[int, int] = {}  # by engine, as of the last load report
         self.demand = DemandSharing(number + 1, 1, 0.0, number, world.settings)
 
     def on_request(self, now: float, request: Request) -> None:
-        """A request arrives: counted, then admitted or rejected."""
-        kind = self.world.kinds[request.kind]
+        """Count a request that arrives, and admit or reject it."""
+        request_class = self.world.class_of(request)
         request.arrived_at = now
-        step = demand.density_step(kind.utility, kind.mean_work_ms)
-        again = request.retries > 0 and self.world.marks_retries
-        self.demand.on_request(now, kind.utility, kind.mean_work_ms, again)
-        self.world.log.append((now, self.number, request.kind, "try"))
+        step = demand.density_step(request_class.utility, request_class.mean_work_ms)
+        is_retry = request.retries > 0 and self.world.marks_retries
+        self.demand.on_request(now, request_class.utility, request_class.mean_work_ms, is_retry)
+        self.world.record(now, self.number, request, RequestEvent.ATTEMPTED)
         if not self.policy.admits(self, request, step):
             self.world.reject(now, request)
             return
-        heapq.heappush(self.queue, (-kind.utility / kind.mean_work_ms, next(self.world.serial), request))
+        self.enqueue(request)
         self.send(now)
 
+    def enqueue(self, request: Request) -> None:
+        """Queue a request, densest first."""
+        density = self.world.class_of(request).density
+        heapq.heappush(self.queue, (-density, next(self.world.serial), request))
+
     def send(self, now: float) -> None:
-        """Send what engines have capacity for, densest first; what has run out of time is answered."""
+        """Send what engines have capacity for; reject what has timed out meanwhile."""
         while self.queue:
             _, _, request = self.queue[0]
-            if self._has_timed_out(now, request):
+            if self._reject_if_timed_out(now, request):
                 heapq.heappop(self.queue)
                 continue
-            place = self._engine_with_capacity()
-            if place is None:
+            engine_number = self._engine_with_capacity()
+            if engine_number is None:
                 return
             heapq.heappop(self.queue)
-            patience = self.world.kinds[request.kind].timeout_ms
-            self.on_admitted((now - request.arrived_at) / patience, lost=False)
-            self.world.run(now, self, place, request)
+            timeout_ms = self.world.class_of(request).timeout_ms
+            self.on_admitted((now - request.arrived_at) / timeout_ms, is_timed_out=False)
+            self.world.send_to_engine(now, self, engine_number, request)
 
     def expire(self, now: float) -> None:
-        """Answer all that ran out of time, wherever it is queued."""
-        self.queue = [entry for entry in self.queue if not self._has_timed_out(now, entry[2])]
+        """Reject all that has timed out, wherever it is queued."""
+        self.queue = [entry for entry in self.queue if not self._reject_if_timed_out(now, entry[2])]
         heapq.heapify(self.queue)
 
-    def _has_timed_out(self, now: float, request: Request) -> bool:
-        """Whether its time is up; then it is answered."""
-        if request.arrived_at + self.world.kinds[request.kind].timeout_ms - ANSWER_MARGIN_MS > now:
+    def _reject_if_timed_out(self, now: float, request: Request) -> bool:
+        """Whether a request has timed out; then it is rejected."""
+        timeout_ms = self.world.class_of(request).timeout_ms
+        if request.arrived_at + timeout_ms - ANSWER_MARGIN_MS > now:
             return False
-        self.on_admitted(1.0, lost=True)
+        self.on_admitted(1.0, is_timed_out=True)
         self.world.reject(now, request)
         return True
 
-    def on_admitted(self, wait: float, lost: bool) -> None:
-        """An admitted request was sent, or its time ran out."""
-        self.policy.on_admitted(wait, lost)
-        self.demand.on_admitted(wait, lost)
+    def on_admitted(self, wait: float, is_timed_out: bool) -> None:
+        """An admitted request was sent after a part of its timeout, or has timed out."""
+        self.policy.on_admitted(wait, is_timed_out)
+        self.demand.on_admitted(wait, is_timed_out)
 
     def _engine_with_capacity(self) -> int | None:
-        mine = [e.in_flight.get(self.number, 0) for e in self.world.engines]
-        used = [out + self.in_flight_elsewhere.get(place, 0) for place, out in enumerate(mine)]
-        place = min(range(len(used)), key=lambda at: (used[at], self.world.draw.random()))
-        return place if used[place] < MAX_IN_FLIGHT else None
+        """The least loaded engine; None if it is full."""
+        own = [engine.in_flight.get(self.number, 0) for engine in self.world.engines]
+        used = [count + self.in_flight_elsewhere.get(engine, 0) for engine, count in enumerate(own)]
+        engine = min(range(len(used)), key=lambda number: (used[number], self.world.draw.random()))
+        return engine if used[engine] < MAX_IN_FLIGHT else None
 
 
 class Policy:
-    """Rejects nothing but what ran out of time. With a threshold of its own, also what is below it."""
+    """Rejects nothing but what has timed out; with a threshold of its own, also what is below it."""
 
     threshold: DensityThreshold | None = None
 
-    def admits(self, here: Instance, request: Request, step: int) -> bool:
-        """Whether a request is admitted."""
+    def admits(self, instance: Instance, request: Request, step: int) -> bool:
+        """Whether a request of a density step is admitted."""
         return self.threshold is None or self.threshold.admits(step, request.draw)
 
-    def on_admitted(self, wait: float, lost: bool) -> None:
-        """An admitted request was sent after a part of its time, or its time ran out."""
+    def on_admitted(self, wait: float, is_timed_out: bool) -> None:
+        """An admitted request was sent after a part of its timeout, or has timed out."""
 
-    def step(self, now: float, here: Instance) -> None:
-        """Ten times a second."""
+    def step(self, now: float, instance: Instance) -> None:
+        """Adapt to what was seen since the last step, ten times a second."""
 
 
 class AdaptiveShare(Policy):
-    """Each adapts the share that it admits, densest first, by its own time-outs (AIMD)."""
+    """Each instance adapts the share that it admits, densest first, by its own timeouts (AIMD)."""
+
+    decrease_factor, increase = 0.9, 0.01
 
     def __init__(self) -> None:
-        self.share, self.lost = 1.0, False
+        self.share, self.has_timeouts = 1.0, False
 
-    def on_admitted(self, wait: float, lost: bool) -> None:
-        """Note whether a request that was admitted ran out of time."""
-        self.lost = self.lost or lost
+    def on_admitted(self, wait: float, is_timed_out: bool) -> None:
+        """Note timeouts."""
+        self.has_timeouts = self.has_timeouts or is_timed_out
 
-    def step(self, now: float, here: Instance) -> None:
-        """Adapt to what was seen since the last step."""
-        self.share = self.share * 0.9 if self.lost else min(self.share + 0.01, 1.0)
-        self.lost = False
-        rates = here.demand.demand.rates(now)
+    def step(self, now: float, instance: Instance) -> None:
+        """Adapt the share and its threshold."""
+        if self.has_timeouts:
+            self.share *= self.decrease_factor
+        else:
+            self.share = min(self.share + self.increase, 1.0)
+        self.has_timeouts = False
+        rates = instance.demand.demand.rates(now)
         self.threshold = threshold_for(rates, self.share * sum(rates.values())) if self.share < 1.0 else None
 
 
 class QueueDelay(Policy):
-    """Each drops its least dense queued request where its queue has stood too long (CoDel)."""
+    """Each instance drops its least dense queued requests while its queue is too old (CoDel)."""
 
-    target, interval = 100.0, 500.0
+    target_ms, interval_ms = 100.0, 500.0
 
     def __init__(self) -> None:
-        self.above_since, self.drops = -1.0, 0
+        self.above_target_since, self.drops = -1.0, 0
 
-    def step(self, now: float, here: Instance) -> None:
-        """Adapt to what was seen since the last step."""
-        delay = max((now - r.arrived_at for _, _, r in here.queue), default=0.0)
-        if delay < self.target:
-            self.above_since, self.drops = -1.0, 0
+    def step(self, now: float, instance: Instance) -> None:
+        """Drop one more request at each step above the target."""
+        delay_ms = max((now - request.arrived_at for _, _, request in instance.queue), default=0.0)
+        if delay_ms < self.target_ms:
+            self.above_target_since, self.drops = -1.0, 0
             return
-        self.above_since = now if self.above_since < 0 else self.above_since
-        if now - self.above_since >= self.interval:
+        if self.above_target_since < 0:
+            self.above_target_since = now
+        if now - self.above_target_since >= self.interval_ms:
             self.drops += 1
-            for _ in range(min(self.drops, len(here.queue))):
-                worst = max(here.queue)
-                here.queue.remove(worst)
-                here.world.reject(now, worst[2])
-            heapq.heapify(here.queue)
+            for _ in range(min(self.drops, len(instance.queue))):
+                least_dense = max(instance.queue)
+                instance.queue.remove(least_dense)
+                instance.world.reject(now, least_dense[2])
+            heapq.heapify(instance.queue)
 
 
 class Credits(Policy):
-    """Each gets a part of the capacity by its demand, and fills it with its own densest."""
+    """Each instance gets a part of the capacity by its demand, and fills it with its own densest."""
 
-    def step(self, now: float, here: Instance) -> None:
-        """Adapt to what was seen since the last step."""
-        own = here.demand.demand.rates(now)
-        everybody = range(1, len(here.world.instances) + 1)
-        others = sum(sum(told.rates.values()) for told in here.demand.reported_loads(now, everybody))
-        total = sum(own.values()) + others
-        part = here.world.capacity() * sum(own.values()) / max(total, 1e-9)
-        self.threshold = threshold_for(own, part) if total > here.world.capacity() else None
+    def step(self, now: float, instance: Instance) -> None:
+        """Set the threshold by what all instances report."""
+        world = instance.world
+        own_rates = instance.demand.demand.rates(now)
+        members = range(1, len(world.instances) + 1)
+        reports = instance.demand.reported_loads(now, members)
+        total = sum(own_rates.values()) + sum(sum(report.rates.values()) for report in reports)
+        capacity = world.capacity() * sum(own_rates.values()) / max(total, 1e-9)
+        self.threshold = threshold_for(own_rates, capacity) if total > world.capacity() else None
 
 
 class SharedThreshold(Policy):
-    """The threshold of all."""
+    """All instances have one threshold, by what all report."""
 
-    def admits(self, here: Instance, request: Request, step: int) -> bool:
+    def admits(self, instance: Instance, request: Request, step: int) -> bool:
         """Whether the request passes the threshold."""
-        return here.demand.threshold is None or here.demand.threshold.admits(step, request.draw)
+        threshold = instance.demand.threshold
+        return threshold is None or threshold.admits(step, request.draw)
 
 
 class Overload:
-    """The model. rate: first attempts a second over all; weights: the instances' parts of them."""
+    """The model.
+
+    rate: first attempts a second over all instances, at a time. weights: the instances' parts of them.
+    marks_retries: whether clients say that an attempt is a retry. loss, delay_ms: of demand reports.
+    """
 
     def __init__(
         self,
         seed: int,
         rate: Callable[[float], float],
         weights: Sequence[float],
-        policy: Callable[[int], Policy],
+        make_policy: Callable[[int], Policy],
         engines: int = 9,
-        tries: int = 3,
-        kinds: Sequence[Kind] = KINDS,
-        delay: float = 2.0,
+        max_attempts: int = 3,
+        classes: Sequence[RequestClass] = REQUEST_CLASSES,
+        delay_ms: float = 2.0,
         loss: float = 0.0,
         speed: float = 1.0,
-        marked: bool = True,
+        marks_retries: bool = True,
         settings: DemandSettings | None = None,
     ) -> None:
-        self.draw, self.serial = random.Random(seed), itertools.count()
-        self.rate, self.weights, self.max_attempts, self.kinds = rate, list(weights), tries, list(kinds)
-        self.delay, self.loss, self.marks_retries, self.settings = delay, loss, marked, settings
+        self.clock, self.draw, self.serial = VirtualClock(), random.Random(seed), itertools.count()
+        self.rate, self.weights, self.max_attempts = rate, list(weights), max_attempts
+        self.classes, self.delay_ms, self.loss = list(classes), delay_ms, loss
+        self.marks_retries, self.settings = marks_retries, settings
         self.engines = [Engine(speed) for _ in range(engines)]
         self.engines_up = engines
-        self.instances: list[Instance] = [self.make_instance(i, policy(i)) for i in range(len(self.weights))]
-        self.clock = VirtualClock()
-        self.is_cut: Callable[[int, int], bool] = lambda a, b: False
-        self.claim_factors: dict[int, float] = {}  # instance -> times that it claims
-        self.bytes = 0
-        # [time, instance, kind, what]: what is came (a first try), sent, served, refused (a last try).
-        self.log: list[tuple[float, int, int, str]] = []
-        self.at(0.0, self._arrival)
-        for here in self.instances:
-            self.at(STEP_MS * self.draw.random(), lambda now, h=here: self._step(now, h))  # type: ignore[misc]
-            self.at(LOAD_REPORT_INTERVAL_MS * self.draw.random(), lambda now, h=here: self._hear(now, h))  # type: ignore[misc]
+        self.instances: list[Instance] = [
+            self.make_instance(number, make_policy(number)) for number in range(len(self.weights))
+        ]
+        self.is_cut: Callable[[int, int], bool] = lambda sender, target: False
+        self.claim_factors: dict[int, float] = {}  # by instance: how many times its demand it claims
+        self.sent_bytes = 0
+        self.log: list[LogEntry] = []
+        self.call_at(0.0, self._arrive)
+        for instance in self.instances:
+            self.call_at(STEP_MS * self.draw.random(), partial(self._step, instance))
+            self.call_at(LOAD_REPORT_INTERVAL_MS * self.draw.random(), partial(self._report_load, instance))
 
     def make_instance(self, number: int, policy: Policy) -> Instance:
         """An instance at the start."""
         return Instance(self, number, policy)
 
-    def at(self, when: float, action: Callable[[float], None]) -> None:
-        """Call an action at a time."""
+    def call_at(self, when: float, action: Callable[[float], None]) -> None:
+        """Call an action with the time at a time."""
         self.clock.call_at(when, lambda: action(self.clock.now))
 
-    def play(self, until: float) -> None:
+    def run(self, until: float) -> None:
         """Let time pass."""
         self.clock.run(until)
 
+    def class_of(self, request: Request) -> RequestClass:
+        """The class of a request."""
+        return self.classes[request.class_number]
+
+    def record(self, now: float, instance: int, request: Request, event: RequestEvent) -> None:
+        """Log an event of a request."""
+        self.log.append(LogEntry(now, instance, request.class_number, event))
+
     def capacity(self) -> float:
-        """Cores of the engines in use, as the list tells; their true speed may differ."""
+        """Cores of the engines in use, as the endpoint list has them; their true speed may differ."""
         return float(self.engines_up)
 
-    def run(self, now: float, here: Instance, place: int, request: Request) -> None:
+    def set_engines_up(self, count: int) -> None:
+        """Set how many engines are up from now on, as the endpoint list says."""
+        self.engines_up = count
+
+    def send_to_engine(self, now: float, instance: Instance, engine_number: int, request: Request) -> None:
         """Send a request to an engine."""
-        engine, kind = self.engines[place], self.kinds[request.kind]
-        engine.in_flight[here.number] = engine.in_flight.get(here.number, 0) + 1
-        self.log.append((now, here.number, request.kind, "sent"))
-        work = kind.mean_work_ms * self.draw.lognormvariate(-0.08, 0.4) / engine.speed
-        engine.busy_until = max(now, engine.busy_until) + work
-        self.at(engine.busy_until, lambda t: self._done(t, here, engine, request))
+        engine = self.engines[engine_number]
+        engine.in_flight[instance.number] = engine.in_flight.get(instance.number, 0) + 1
+        self.record(now, instance.number, request, RequestEvent.SENT)
+        mean_work_ms = self.class_of(request).mean_work_ms
+        duration_ms = mean_work_ms * self.draw.lognormvariate(-0.08, 0.4) / engine.speed
+        engine.busy_until = max(now, engine.busy_until) + duration_ms
+        self.call_at(engine.busy_until, lambda now: self._on_served(now, instance, engine, request))
 
     def reject(self, now: float, request: Request) -> None:
-        """Reject a request; its client may retry."""
+        """Reject a request; its client may retry, at any instance."""
         if request.retries + 1 < self.max_attempts:
             request.retries += 1
             request.draw = 1.0 if self.marks_retries else self.draw.random()
-            request.home = self.draw.choices(range(len(self.weights)), self.weights)[0]
-            wait = 200.0 * (0.5 + self.draw.random())
-            self.at(now + wait, lambda t: self.instances[request.home].on_request(t, request))
+            request.instance = self._draw_instance()
+            retry_at = now + RETRY_INTERVAL_MS * (0.5 + self.draw.random())
+            self.call_at(retry_at, lambda now: self.instances[request.instance].on_request(now, request))
         else:
-            self.log.append((now, request.home, request.kind, "refused"))
-
-    def fail(self, count: int) -> None:
-        """So many engines are up from now on, and the list tells it."""
-        self.engines_up = count
-
-    def _done(self, now: float, here: Instance, engine: Engine, request: Request) -> None:
-        engine.in_flight[here.number] -= 1
-        late = now > request.arrived_at + self.kinds[request.kind].timeout_ms
-        self.log.append((now, here.number, request.kind, "late" if late else "served"))
-        here.send(now)
-
-    def _arrival(self, now: float) -> None:
-        kind = self.draw.choices(range(len(self.kinds)), [k.share for k in self.kinds])[0]
-        home = self.draw.choices(range(len(self.weights)), self.weights)[0]
-        request = Request(kind, self.draw.random(), home)
-        self.log.append((now, home, kind, "came"))
-        self.instances[home].on_request(now, request)
-        self.at(now + self.draw.expovariate(self.rate(now) / 1000), self._arrival)
-
-    def _step(self, now: float, here: Instance) -> None:
-        here.expire(now)
-        here.policy.step(now, here)
-        here.send(now)
-        live = range(1, len(self.instances) + 1)
-        for member, data in here.demand.step(now, live, self.capacity()):
-            self.bytes += len(data)
-            if not self.is_cut(here.number, member - 1) and self.draw.random() >= self.loss:
-                data, to = self._claim(here, data), self.instances[member - 1].demand
-                self.at(now + self.delay, lambda t, to=to, data=data: to.on_message(t, data))  # type: ignore[misc]
-        self.at(now + STEP_MS, lambda t: self._step(t, here))
-
-    def _claim(self, here: Instance, data: bytes) -> bytes:
+            self.record(now, request.instance, request, RequestEvent.REJECTED)
+
+    def _on_served(self, now: float, instance: Instance, engine: Engine, request: Request) -> None:
+        engine.in_flight[instance.number] -= 1
+        is_late = now > request.arrived_at + self.class_of(request).timeout_ms
+        event = RequestEvent.LATE if is_late else RequestEvent.SERVED
+        self.record(now, instance.number, request, event)
+        instance.send(now)
+
+    def _draw_instance(self) -> int:
+        return self.draw.choices(range(len(self.weights)), self.weights)[0]
+
+    def _draw_class(self) -> int:
+        return self.draw.choices(range(len(self.classes)), [c.share for c in self.classes])[0]
+
+    def _schedule_arrival(self, now: float) -> None:
+        self.call_at(now + self.draw.expovariate(self.rate(now) / 1000), self._arrive)
+
+    def _arrive(self, now: float) -> None:
+        """A client's request arrives; the next one is scheduled."""
+        class_number, instance = self._draw_class(), self._draw_instance()
+        request = Request(class_number, self.draw.random(), instance)
+        self.record(now, instance, request, RequestEvent.ARRIVED)
+        self.instances[instance].on_request(now, request)
+        self._schedule_arrival(now)
+
+    def _step(self, instance: Instance, now: float) -> None:
+        instance.expire(now)
+        instance.policy.step(now, instance)
+        instance.send(now)
+        live_members = range(1, len(self.instances) + 1)
+        for member, data in instance.demand.step(now, live_members, self.capacity()):
+            self.sent_bytes += len(data)
+            if not self.is_cut(instance.number, member - 1) and self.draw.random() >= self.loss:
+                self._send_demand_report(now, self._claim(instance, data), self.instances[member - 1])
+        self.call_at(now + STEP_MS, partial(self._step, instance))
+
+    def _send_demand_report(self, now: float, data: bytes, target: Instance) -> None:
+        receiver = target.demand  # not the one of a later incarnation
+
+        def deliver(now: float) -> None:
+            receiver.on_message(now, data)
+
+        self.call_at(now + self.delay_ms, deliver)
+
+    def _claim(self, instance: Instance, data: bytes) -> bytes:
         """What an instance reports, which may be false."""
-        times = self.claim_factors.get(here.number, 1.0)
-        if times == 1.0:
+        factor = self.claim_factors.get(instance.number, 1.0)
+        if factor == 1.0:
             return data
         own, *others = decode_demand_reports(data)
-        rates = {step: work * times for step, work in own.load.rates.items()}
+        rates = {step: work * factor for step, work in own.load.rates.items()}
         return encode_demand_reports([replace(own, load=replace(own.load, rates=rates)), *others])
 
-    def _hear(self, now: float, here: Instance) -> None:
-        """What the others have in flight, all at once: the scheduler's load reports."""
-        here.in_flight_elsewhere = {
-            place: sum(e.in_flight.values()) - e.in_flight.get(here.number, 0)
-            if place < self.engines_up
+    def _report_load(self, instance: Instance, now: float) -> None:
+        """Tell an instance what the others have in flight, all at once: the scheduler's load reports."""
+        instance.in_flight_elsewhere = {
+            number: sum(engine.in_flight.values()) - engine.in_flight.get(instance.number, 0)
+            if number < self.engines_up
             else MAX_IN_FLIGHT
-            for place, e in enumerate(self.engines)
+            for number, engine in enumerate(self.engines)
         }
-        here.send(now)
-        self.at(now + LOAD_REPORT_INTERVAL_MS, lambda t: self._hear(t, here))
-
-    def shares(self, begin: float, end: float) -> dict[tuple[int, int], float]:
-        """Share of tries that were served, by (instance, kind), where there were a hundred or more."""
-        rows = [(i, kind, what) for t, i, kind, what in self.log if begin <= t < end]
-        came = {key: 0 for key in sorted({(i, k) for i, k, _ in rows})}
-        served = dict(came)
-        for i, kind, what in rows:
-            came[i, kind] += what == "try"
-            served[i, kind] += what == "served"
-        return {key: served[key] / n for key, n in came.items() if n >= 100}
+        instance.send(now)
+        self.call_at(now + LOAD_REPORT_INTERVAL_MS, partial(self._report_load, instance))
+
+    def served_shares(self, begin: float, end: float) -> dict[tuple[int, int], float]:
+        """Share of attempts that were served, by instance and class, where there were enough attempts."""
+        entries = [entry for entry in self.log if begin <= entry.at < end]
+        keys = sorted({(entry.instance, entry.class_number) for entry in entries})
+        attempts, served = dict.fromkeys(keys, 0), dict.fromkeys(keys, 0)
+        for _, instance, class_number, event in entries:
+            attempts[instance, class_number] += event is RequestEvent.ATTEMPTED
+            served[instance, class_number] += event is RequestEvent.SERVED
+        return {key: served[key] / n for key, n in attempts.items() if n >= MIN_ATTEMPTS_PER_SHARE}
 
     def utility(self, begin: float, end: float) -> tuple[float, float]:
-        """Utility served, and the most that could have been: the densest first attempts that the engines
-        carry."""
-        rows = [(kind, what) for t, _, kind, what in self.log if begin <= t < end]
-        got = sum(self.kinds[k].utility for k, what in rows if what == "served")
-        left, most = sum(e.speed for e in self.engines[: self.engines_up]) * (end - begin), 0.0
-        for place in sorted(
-            range(len(self.kinds)), key=lambda k: -self.kinds[k].utility / self.kinds[k].mean_work_ms
-        ):
-            n = sum(k == place and what == "came" for k, what in rows)
-            fits = min(n, left / self.kinds[place].mean_work_ms)
-            left -= fits * self.kinds[place].mean_work_ms
-            most += fits * self.kinds[place].utility
-        return got, most
+        """Utility served, and the greatest possible one: the densest first attempts that engines can do."""
+        entries = [(entry.class_number, entry.event) for entry in self.log if begin <= entry.at < end]
+        served = sum(self.classes[c].utility for c, event in entries if event is RequestEvent.SERVED)
+        remaining_ms = sum(engine.speed for engine in self.engines[: self.engines_up]) * (end - begin)
+        possible = 0.0
+        for number in sorted(range(len(self.classes)), key=lambda c: -self.classes[c].density):
+            request_class = self.classes[number]
+            arrived = sum(c == number and event is RequestEvent.ARRIVED for c, event in entries)
+            count = min(arrived, remaining_ms / request_class.mean_work_ms)
+            remaining_ms -= count * request_class.mean_work_ms
+            possible += count * request_class.utility
+        return served, possible
