--- a/benchmarks/store/run.py
+++ b/benchmarks/store/run.py
@@ -29,19 +29,23 @@
 from cottonhold.store.ledger import Ledger, LedgerSettings
 from cottonhold.store.records import LoadRecord, LoadState, Record
 
-GROUPS = (1, 4, 16, 64, 256)
+CALLER_COUNTS = (1, 4, 16, 64, 256)
+COUNTED_TRANSACTIONS = 100
+LEDGER = "ledger"
 Commit = Callable[[list[Record]], None]
+OnDone = Callable[[bool], None]
+Put = Callable[[Record, OnDone], None]
 
 
-def record(number: int) -> Record:
+def make_record(number: int) -> Record:
     """A load's record as the product writes it."""
     return LoadRecord(
         number.to_bytes(16, "big"), "r" * 32, "k" * 24, b"d" * 16, "engine-1", 1, 1.0, LoadState.SENT
     ).to_record()
 
 
-def sqlite(folder: Path, journal: str, reserve: int = 0, vfs: str | None = None) -> Commit:
-    """SQLite with a full sync under this journal; `reserve`: the log is filled up to so many bytes first."""
+def open_sqlite(folder: Path, journal: str, log_bytes: int = 0, vfs: str | None = None) -> Commit:
+    """SQLite with a full sync under this journal; the write-ahead log is filled up to `log_bytes` first."""
     path = folder / "x.db"
     db = apsw.Connection(str(path), vfs=vfs)
     db.execute("PRAGMA locking_mode = EXCLUSIVE")
@@ -50,10 +54,10 @@
     db.execute("CREATE TABLE record (key BLOB PRIMARY KEY, value BLOB) WITHOUT ROWID")
     db.execute("CREATE TABLE proof (one INTEGER PRIMARY KEY, turn INTEGER)")
     db.execute("INSERT INTO proof VALUES (1, 0)")
-    if reserve:
+    if log_bytes:
         with open(f"{path}-wal", "r+b") as log:
             log.seek(0, os.SEEK_END)
-            log.write(bytes(reserve - log.tell()))
+            log.write(bytes(log_bytes - log.tell()))
             os.fsync(log.fileno())
 
     def commit(batch: list[Record]) -> None:
@@ -64,164 +68,175 @@
     return commit
 
 
-def lmdb_store(folder: Path) -> Commit:
+def open_lmdb(folder: Path) -> Commit:
     """LMDB as it syncs by default: data and meta page in each transaction."""
     # Not a dependency: pip install lmdb==3.0.0
-    env = importlib.import_module("lmdb").open(str(folder), map_size=1 << 28)
-    turn = 0
+    environment = importlib.import_module("lmdb").open(str(folder), map_size=1 << 28)
+    transactions = 0
 
     def commit(batch: list[Record]) -> None:
-        nonlocal turn
-        turn += 1
-        with env.begin(write=True) as txn:
-            for each in batch:
-                txn.put(each.key, each.value or b"")
-            txn.put(b"proof", turn.to_bytes(8, "big"))
+        nonlocal transactions
+        transactions += 1
+        with environment.begin(write=True) as transaction:
+            for record in batch:
+                transaction.put(record.key, record.value or b"")
+            transaction.put(b"proof", transactions.to_bytes(8, "big"))
 
     return commit
 
 
 STORES: dict[str, Callable[[Path], Commit]] = {
-    "SQLite, rollback, deleted": lambda folder: sqlite(folder, "DELETE"),
-    "SQLite, rollback, kept": lambda folder: sqlite(folder, "PERSIST"),
-    "SQLite, WAL": lambda folder: sqlite(folder, "WAL"),
-    "SQLite, WAL, 4 MiB filled first": lambda folder: sqlite(folder, "WAL", 4 << 20),
-    "LMDB": lmdb_store,
+    "SQLite, rollback, deleted": lambda folder: open_sqlite(folder, "DELETE"),
+    "SQLite, rollback, kept": lambda folder: open_sqlite(folder, "PERSIST"),
+    "SQLite, WAL": lambda folder: open_sqlite(folder, "WAL"),
+    "SQLite, WAL, 4 MiB filled first": lambda folder: open_sqlite(folder, "WAL", 4 << 20),
+    "LMDB": open_lmdb,
 }
 
 
-class Writer:
+class GroupWriter:
     """The product's writer without its guards: one thread, all that waits in one transaction."""
 
-    def __init__(self, make: Callable[[Path], Commit], folder: Path) -> None:
-        self.make, self.folder = make, folder
-        self.waiting: queue.SimpleQueue[tuple[Record, Callable[[bool], None]] | None] = queue.SimpleQueue()
+    def __init__(self, open_store: Callable[[Path], Commit], folder: Path) -> None:
+        self.open_store, self.folder = open_store, folder
+        self.pending: queue.SimpleQueue[tuple[Record, OnDone] | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._run)
         self.thread.start()
 
-    def put(self, one: Record, done: Callable[[bool], None]) -> None:
+    def put(self, record: Record, on_done: OnDone) -> None:
         """As Ledger.put."""
-        self.waiting.put((one, done))
+        self.pending.put((record, on_done))
 
     def close(self) -> None:
-        """Ends the thread."""
-        self.waiting.put(None)
+        """End the thread."""
+        self.pending.put(None)
         self.thread.join()
 
     def _run(self) -> None:
-        commit, ending = self.make(self.folder), False
-        while not ending:
-            group = [self.waiting.get()]
-            while not self.waiting.empty():
-                group.append(self.waiting.get())
-            taken = [each for each in group if each is not None]
-            ending = len(taken) < len(group)
-            if taken:
-                commit([one for one, _ in taken])
-            for _, done in taken:
-                done(True)
-
-
-Put = Callable[[Record, Callable[[bool], None]], None]
-
-
-def drive(put: Put, callers: int, seconds: float) -> tuple[list[float], float]:
-    """Latencies in ms, and loads a second."""
-    times: list[float] = []
-    lock, quiet, numbers = threading.Lock(), threading.Event(), iter(range(1, 1 << 40))
-    end = time.perf_counter() + seconds
-    left = callers
-
-    def one() -> None:
-        began = time.perf_counter()
-
-        def done(well: bool) -> None:
-            nonlocal left
-            assert well
+        commit, is_closing = self.open_store(self.folder), False
+        while not is_closing:
+            entries = [self.pending.get()]
+            while not self.pending.empty():
+                entries.append(self.pending.get())
+            group = [entry for entry in entries if entry is not None]
+            is_closing = len(group) < len(entries)
+            if group:
+                commit([record for record, _ in group])
+            for _, on_done in group:
+                on_done(True)
+
+
+class Callers:
+    """Callers that each put one record after another for a while."""
+
+    def __init__(self, put: Put, count: int, seconds: float) -> None:
+        self.put, self.count = put, count
+        self.latencies_ms: list[float] = []
+        self._numbers = iter(range(1, 1 << 40))
+        self._lock, self._all_ended = threading.Lock(), threading.Event()
+        self._running = count
+        self._end = time.perf_counter() + seconds
+
+    def run(self) -> tuple[list[float], float]:
+        """Return the latencies in ms, and loads a second."""
+        started_at = time.perf_counter()
+        for _ in range(self.count):
+            self._put_next()
+        self._all_ended.wait()
+        return self.latencies_ms, len(self.latencies_ms) / (time.perf_counter() - started_at)
+
+    def _put_next(self) -> None:
+        started_at = time.perf_counter()
+
+        def on_done(is_durable: bool) -> None:
+            assert is_durable
             now = time.perf_counter()
-            times.append((now - began) * 1000.0)
-            if now < end:
-                one()
+            self.latencies_ms.append((now - started_at) * 1000.0)
+            if now < self._end:
+                self._put_next()
             else:
-                with lock:
-                    left -= 1
-                    if not left:
-                        quiet.set()
+                self._on_caller_ended()
 
-        put(record(next(numbers)), done)
+        self.put(make_record(next(self._numbers)), on_done)
 
-    began = time.perf_counter()
-    for _ in range(callers):
-        one()
-    quiet.wait()
-    return times, len(times) / (time.perf_counter() - began)
+    def _on_caller_ended(self) -> None:
+        with self._lock:
+            self._running -= 1
+            if not self._running:
+                self._all_ended.set()
 
 
-def once(name: str, callers: int, folder: Path, seconds: float) -> tuple[list[float], float]:
-    """One storage, one number of callers, in a fresh folder."""
+def measure(name: str, callers: int, folder: Path, seconds: float) -> tuple[list[float], float]:
+    """Latencies in ms and loads a second of one storage and number of callers, in a fresh folder."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     try:
-        if name in STORES:
-            writer = Writer(STORES[name], folder)
+        if name != LEDGER:
+            writer = GroupWriter(STORES[name], folder)
             try:
-                return drive(writer.put, callers, seconds)
+                return Callers(writer.put, callers, seconds).run()
             finally:
                 writer.close()
         ledger = Ledger.open(folder, "a", settings=LedgerSettings(stall_timeout_ms=60_000.0))
         try:
-            return drive(lambda one, done: ledger.put([one], done), callers, seconds)
+            return Callers(lambda record, on_done: ledger.put([record], on_done), callers, seconds).run()
         finally:
             ledger.close(True)
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def syncs(folder: Path) -> None:
-    """How often SQLite waits for the disk in a transaction, counted by the disk of the tests."""
+def print_syncs(folder: Path) -> None:
+    """How often SQLite waits for the disk in a transaction, counted by the emulated disk."""
     print("| journal | syncs a transaction | writes a transaction |\n| --- | --- | --- |")
     for journal in ("DELETE", "TRUNCATE", "PERSIST", "WAL"):
-        play = folder / journal
-        play.mkdir(parents=True)
-        disk, seen = install("counting"), Counter[str]()
-        commit = sqlite(play, journal, vfs="counting")
-        disk.before = lambda _count, what, seen=seen: seen.update([what])  # type: ignore[misc]
-        for number in range(100):
-            commit([record(number)])
-        print(f"| {journal} | {seen['sync'] / 100:.2f} | {seen['write'] / 100:.2f} |")
+        journal_folder = folder / journal
+        journal_folder.mkdir(parents=True)
+        disk, counts = install("counting"), Counter[str]()
+        commit = open_sqlite(journal_folder, journal, vfs="counting")
+        disk.before = lambda _count, operation, counts=counts: counts.update([operation])  # type: ignore[misc]
+        for number in range(COUNTED_TRANSACTIONS):
+            commit([make_record(number)])
+        syncs, writes = counts["sync"] / COUNTED_TRANSACTIONS, counts["write"] / COUNTED_TRANSACTIONS
+        print(f"| {journal} | {syncs:.2f} | {writes:.2f} |")
         del commit
-        shutil.rmtree(play)
+        shutil.rmtree(journal_folder)
 
 
-def main() -> None:
-    """See the module."""
-    parser = argparse.ArgumentParser()
-    parser.add_argument("folder", type=Path)
-    parser.add_argument("--seconds", type=float, default=2.0)
-    parser.add_argument("--rounds", type=int, default=3)
-    parser.add_argument("--syncs", action="store_true")
-    told = parser.parse_args()
-    if told.syncs:
-        syncs(told.folder)
-        return
-    names = [*STORES, "ledger"]
+def print_latencies(folder: Path, rounds: int, seconds: float) -> None:
+    """Latency and throughput of all storages, by the number of callers."""
+    names = [*STORES, LEDGER]
     print("| storage | callers | p50 ms | p99 ms | loads/s | loads/s, lowest to highest |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for callers in GROUPS:
-        found: dict[str, list[tuple[list[float], float]]] = {name: [] for name in names}
-        for _ in range(told.rounds):
+    for callers in CALLER_COUNTS:
+        runs: dict[str, list[tuple[list[float], float]]] = {name: [] for name in names}
+        for _ in range(rounds):
             for name in names:
-                found[name].append(once(name, callers, told.folder / "play", told.seconds))
+                runs[name].append(measure(name, callers, folder / "play", seconds))
         for name in names:
-            times = sorted(ms for some, _ in found[name] for ms in some)
-            rates = sorted(rate for _, rate in found[name])
-            p99 = times[min(len(times) - 1, len(times) * 99 // 100)]
+            latencies_ms = sorted(ms for latencies, _ in runs[name] for ms in latencies)
+            rates = sorted(rate for _, rate in runs[name])
+            p99 = latencies_ms[min(len(latencies_ms) - 1, len(latencies_ms) * 99 // 100)]
             print(
-                f"| {name} | {callers} | {statistics.median(times):.2f} | {p99:.2f} "
+                f"| {name} | {callers} | {statistics.median(latencies_ms):.2f} | {p99:.2f} "
                 f"| {statistics.median(rates):.0f} | {rates[0]:.0f} to {rates[-1]:.0f} |",
                 flush=True,
             )
 
 
+def main() -> None:
+    """See the module."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("folder", type=Path)
+    parser.add_argument("--seconds", type=float, default=2.0)
+    parser.add_argument("--rounds", type=int, default=3)
+    parser.add_argument("--syncs", action="store_true")
+    arguments = parser.parse_args()
+    if arguments.syncs:
+        print_syncs(arguments.folder)
+    else:
+        print_latencies(arguments.folder, arguments.rounds, arguments.seconds)
+
+
 if __name__ == "__main__":
     main()
