--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import TYPE_CHECKING, Any
 
-from cottonhold.emulator.consul.script import Step
+from cottonhold.emulator.consul.script import ChangeKind, Step
 from cottonhold.emulator.fault_injection.instance_config import MEMBERSHIP_KEY
 from cottonhold.emulator.fault_injection.network import link_state
 from cottonhold.emulator.fault_injection.operators import Operators
@@ -176,7 +176,7 @@
         maintenance = "on" if fault.verb == "drain" else "off"
         for engine in self._targets(fault):
             for server in self.run.network.consuls.values():
-                server.carry_out(Step(0, "maintenance", (engine, maintenance)))
+                server.apply(Step(0, ChangeKind.MAINTENANCE, (engine, maintenance)))
             self.run.mark(fault.verb, engine)
 
     def _on_swap(self, fault: Fault) -> None:
