--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -24,6 +24,7 @@
 )
 from cottonhold.backend.health_check import LivenessBudget
 from cottonhold.backend.health_checker import HealthChecker
+from cottonhold.backend.liveness_monitor import LivenessMonitor
 from cottonhold.backend.resp import decode_count, decode_rows
 from cottonhold.config.relay import ConnectionSettings
 from cottonhold.discovery.model import Address, EngineListChange
@@ -34,10 +35,6 @@
 
 SILENT_MS = 1000.0  # a connection silent this long, when its engine is removed, has lost what was in flight
 MAX_PAGES = 64  # of at most 6,000 bytes; engines make at most 48,000
-CHECK_INTERVAL_MS = 200.0
-QUIET_MS = 1200.0  # a connection silent this long with attempts in flight gets a liveness check
-LIVENESS_TIMEOUT_MS = 500.0  # of that check; also the longest time from an answer's first byte to its last
-MAX_ABANDONED_IDS = 256  # of a connection: each could only come again within its request's lifetime
 MIN_ATTEMPT_MS = 1.0  # an attempt with less time left is not begun: no engine could answer it
 
 Connect = Callable[[Address, Connection], StreamHandle]
@@ -81,7 +78,7 @@
             self.check_health,
             lambda engine, outcome, report: self.listener.on_health_check_completed(engine, outcome, report),
         )
-        clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
+        self.liveness_monitor = LivenessMonitor(self)
 
     def apply(self, change: EngineListChange) -> None:
         """Apply a change of the engine list; what waits for an engine that has left ends at once."""
@@ -95,13 +92,13 @@
             elif engine.started_at > endpoint.engine.started_at:
                 self._on_restarted(endpoint, engine.started_at)
             endpoint.engine, endpoint.address = engine, address
-            self._close_if_leaving(endpoint)
+            self.close_if_leaving(endpoint)
         if change.is_complete:
             listed = {engine.id for engine in change.engines}
             for name in [name for name in self.endpoints if name not in listed]:
                 endpoint = self.endpoints[name]
                 endpoint.engine = Engine(name, state=EngineState.REMOVED)
-                self._close_if_leaving(endpoint)
+                self.close_if_leaving(endpoint)
 
     def _on_moved(self, endpoint: EngineEndpoint, started_at: float) -> None:
         """The engine has another address. What runs on connections to the former one goes on to its end."""
@@ -121,7 +118,7 @@
             and (c.is_unused() or c.last_received_at < silent_before)
         )
 
-    def _close_if_leaving(self, endpoint: EngineEndpoint) -> None:
+    def close_if_leaving(self, endpoint: EngineEndpoint) -> None:
         """Nothing new goes to an engine that drains or is removed; what is in flight at a removed one that is
         silent is lost."""
         if endpoint.engine.state is EngineState.LIVE:
@@ -141,48 +138,6 @@
         endpoint = self.endpoints.get(engine)
         return endpoint if endpoint is not None and endpoint.is_open() else None
 
-    def _check_periodically(self) -> None:
-        """Check connections that are open and silent, and engines that have left.
-
-        Only engines with connections are looked at, since most of a large list has none; a fault at one
-        leaves the others checked. Within their budget, liveness checks go to the most silent first.
-        """
-        now, quiet = self.clock.now(), list[Connection]()
-        self.clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
-        for name, endpoint in list(self.endpoints_in_use.items()):
-            try:
-                quiet += [
-                    c for c in list(endpoint.connections) if self._needs_liveness_check(endpoint, c, now)
-                ]
-                self._close_if_leaving(endpoint)
-                if not endpoint.connections:
-                    self.endpoints_in_use.pop(name, None)
-            except Exception as error:
-                self.counters.add("check_faults")
-                self.log(f"engine {endpoint.engine.id}: {type(error).__name__}: {error}")
-        for connection in sorted(quiet, key=lambda c: c.silent_since):
-            if self.liveness_budget.take(self.settings.health_check_cost):
-                self.health_checker.send(connection, is_awaited=False)
-
-    def _needs_liveness_check(self, endpoint: EngineEndpoint, connection: Connection, now: float) -> bool:
-        """Abandon a connection that has failed; whether one ought to get a liveness check."""
-        if not connection.is_up or connection.is_closed:
-            return False
-        for tag, check in list(connection.health_checks.items()):
-            if not check.is_awaited and check.answers_before != connection.answer_count:
-                del connection.health_checks[tag]
-        if now - connection.partial_since > LIVENESS_TIMEOUT_MS:
-            self.on_malformed_answer(f"engine {connection.engine}: an answer that stops short")
-            connection.abandon()
-        elif now - connection.health_check_since() >= LIVENESS_TIMEOUT_MS:
-            self.log(f"engine {connection.engine}: a connection does not answer its liveness check")
-            connection.abandon()
-        for request_id in list(connection.abandoned_ids)[:-MAX_ABANDONED_IDS]:
-            del connection.abandoned_ids[request_id]
-        is_live = endpoint.engine.state is EngineState.LIVE
-        is_working = bool(connection.attempts) and not connection.health_checks and is_live
-        return not connection.is_closed and is_working and now - connection.silent_since > QUIET_MS
-
     def send(self, attempt: Attempt) -> bool:
         """Start an attempt; false where the engine can't be sent anything, so that it surely never ran."""
         request_id = attempt.engine_request_id
--- /dev/null
+++ b/cottonhold/frontend/mysql_handshake.py
@@ -0,0 +1,79 @@
+"""The handshake of the MySQL client protocol 4.1: the greeting and the login. Knows no socket, no state."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from cottonhold.frontend.mysql_packets import (
+    ACCESS_DENIED,
+    AUTOCOMMIT,
+    BAD_HANDSHAKE,
+    MAX_SHORT_STRING,
+    UNKNOWN_DATABASE,
+    UTF8,
+    ProtocolError,
+    printable,
+)
+
+SERVER_VERSION = b"8.0.0-cottonhold"
+LONG_PASSWORD, LONG_FLAG, CONNECT_WITH_DB, PROTOCOL_41 = 0x1, 0x4, 0x8, 0x200
+TRANSACTIONS, SECURE_CONNECTION, PLUGIN_AUTH, LENENC_AUTH = 0x2000, 0x8000, 0x80000, 0x200000
+CAPABILITIES = (
+    LONG_PASSWORD | LONG_FLAG | CONNECT_WITH_DB | PROTOCOL_41 | TRANSACTIONS | SECURE_CONNECTION | PLUGIN_AUTH
+)
+SALT = b"cottonhold-salt-0123"  # there is no password that it could protect
+MIN_LOGIN_BYTES = 33
+USER, DATABASE = b"app", b"dw"  # the only ones
+
+
+class Login(NamedTuple):
+    """What a client sends to log in."""
+
+    user: bytes
+    password: bytes
+    database: bytes  # empty where the client names none
+
+
+def encode_greeting(connection_id: int) -> bytes:
+    """The payload of a server's first packet."""
+    low, high = CAPABILITIES & 0xFFFF, CAPABILITIES >> 16
+    return b"".join(
+        (
+            b"\x0a" + SERVER_VERSION + b"\x00",
+            connection_id.to_bytes(4, "little"),
+            SALT[:8] + b"\x00",
+            low.to_bytes(2, "little"),
+            bytes((UTF8,)) + AUTOCOMMIT,
+            high.to_bytes(2, "little"),
+            bytes((len(SALT) + 1,)) + bytes(10),
+            SALT[8:] + b"\x00",
+            b"mysql_native_password\x00",
+        )
+    )
+
+
+def decode_login(payload: bytes) -> Login:
+    """A client's login packet. Raises ProtocolError."""
+    capabilities = int.from_bytes(payload[:4], "little")
+    if len(payload) < MIN_LOGIN_BYTES or not capabilities & PROTOCOL_41:
+        raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+    user, terminator, rest = payload[MIN_LOGIN_BYTES - 1 :].partition(b"\x00")
+    if not terminator:
+        raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+    if capabilities & (LENENC_AUTH | SECURE_CONNECTION):
+        size = rest[0] if rest else 0
+        if size > MAX_SHORT_STRING or len(rest) < 1 + size:
+            raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+        password, rest = rest[1 : 1 + size], rest[1 + size :]
+    else:
+        password, _, rest = rest.partition(b"\x00")
+    database = rest.partition(b"\x00")[0] if capabilities & CONNECT_WITH_DB else b""
+    return Login(user, password.strip(b"\x00"), database)
+
+
+def check_login(login: Login) -> None:
+    """Raise ProtocolError for another user than the one there is, a password or another database."""
+    if login.user != USER or login.password:
+        raise ProtocolError(ACCESS_DENIED, f"access denied for user '{printable(login.user)}'")
+    if login.database not in (b"", DATABASE):
+        raise ProtocolError(UNKNOWN_DATABASE, f"unknown database '{printable(login.database)}'")
--- a/cottonhold/frontend/mysql_packets.py
+++ b/cottonhold/frontend/mysql_packets.py
@@ -5,19 +5,11 @@
 import re
 from typing import NamedTuple
 
-SERVER_VERSION = b"8.0.0-cottonhold"
-LONG_PASSWORD, LONG_FLAG, CONNECT_WITH_DB, PROTOCOL_41 = 0x1, 0x4, 0x8, 0x200
-TRANSACTIONS, SECURE_CONNECTION, PLUGIN_AUTH, LENENC_AUTH = 0x2000, 0x8000, 0x80000, 0x200000
-CAPABILITIES = (
-    LONG_PASSWORD | LONG_FLAG | CONNECT_WITH_DB | PROTOCOL_41 | TRANSACTIONS | SECURE_CONNECTION | PLUGIN_AUTH
-)
 AUTOCOMMIT = b"\x02\x00"
 UTF8 = 33
-SALT = b"cottonhold-salt-0123"  # there is no password that it could protect
 COM_QUIT, COM_INIT_DB, COM_QUERY, COM_PING, COM_RESET_CONNECTION = 0x01, 0x02, 0x03, 0x0E, 0x1F
 HEADER_BYTES = 4  # three of the payload's length, one of the sequence number
 MAX_ERROR_TEXT_BYTES = 500
-MIN_LOGIN_BYTES = 33
 MAX_SHORT_STRING = 250  # bytes of a string whose length is one byte
 ResultRows = list[list[bytes]]  # rows of text cells, as many as there are columns
 COLUMNS = (b"c1", b"c2", b"c3")
@@ -54,14 +46,6 @@
         self.code = code
 
 
-class Login(NamedTuple):
-    """What a client sends to log in."""
-
-    user: bytes
-    password: bytes
-    database: bytes  # empty where the client names none
-
-
 class KillCommand(NamedTuple):
     """A KILL statement."""
 
@@ -101,24 +85,6 @@
     )
 
 
-def encode_greeting(connection_id: int) -> bytes:
-    """The payload of a server's first packet."""
-    low, high = CAPABILITIES & 0xFFFF, CAPABILITIES >> 16
-    return b"".join(
-        (
-            b"\x0a" + SERVER_VERSION + b"\x00",
-            connection_id.to_bytes(4, "little"),
-            SALT[:8] + b"\x00",
-            low.to_bytes(2, "little"),
-            bytes((UTF8,)) + AUTOCOMMIT,
-            high.to_bytes(2, "little"),
-            bytes((len(SALT) + 1,)) + bytes(10),
-            SALT[8:] + b"\x00",
-            b"mysql_native_password\x00",
-        )
-    )
-
-
 EOF = b"\xfe\x00\x00" + AUTOCOMMIT
 OK = b"\x00\x00\x00" + AUTOCOMMIT + b"\x00\x00"
 RESULT_HEAD = (bytes((len(COLUMNS),)), *[encode_column(name) for name in COLUMNS], EOF)
@@ -151,25 +117,6 @@
     return parts
 
 
-def decode_login(payload: bytes) -> Login:
-    """A client's login packet. Raises ProtocolError."""
-    capabilities = int.from_bytes(payload[:4], "little")
-    if len(payload) < MIN_LOGIN_BYTES or not capabilities & PROTOCOL_41:
-        raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
-    user, terminator, rest = payload[MIN_LOGIN_BYTES - 1 :].partition(b"\x00")
-    if not terminator:
-        raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
-    if capabilities & (LENENC_AUTH | SECURE_CONNECTION):
-        size = rest[0] if rest else 0
-        if size > MAX_SHORT_STRING or len(rest) < 1 + size:
-            raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
-        password, rest = rest[1 : 1 + size], rest[1 + size :]
-    else:
-        password, _, rest = rest.partition(b"\x00")
-    database = rest.partition(b"\x00")[0] if capabilities & CONNECT_WITH_DB else b""
-    return Login(user, password.strip(b"\x00"), database)
-
-
 def decode_kill(statement: bytes) -> KillCommand | None:
     """A KILL statement; None for any other one."""
     found = KILL.match(statement)
--- a/cottonhold/frontend/mysql_session.py
+++ b/cottonhold/frontend/mysql_session.py
@@ -8,8 +8,8 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
+from cottonhold.frontend.mysql_handshake import DATABASE, check_login, decode_login, encode_greeting
 from cottonhold.frontend.mysql_packets import (
-    ACCESS_DENIED,
     COM_INIT_DB,
     COM_PING,
     COM_QUERY,
@@ -34,9 +34,7 @@
     ProtocolError,
     ResultRows,
     decode_kill,
-    decode_login,
     encode_error,
-    encode_greeting,
     encode_packet,
     encode_rows,
     printable,
@@ -47,7 +45,6 @@
 from cottonhold.transport.clock import Clock
 from cottonhold.transport.interface import StreamHandle
 
-USER, DATABASE = b"app", b"dw"
 MAX_PACKET_BYTES = 64 * 1024  # of a client's packet: many clients share the memory
 MAX_UNREAD_BYTES = 32 * 1024  # written but not read by the client; above it no command is carried out
 MAX_QUEUED_COMMANDS = 16  # on one connection: clients send one at a time
@@ -257,11 +254,7 @@
             self._after_response()
 
     def _log_in(self, payload: bytes) -> None:
-        login = decode_login(payload)
-        if login.user != USER or login.password:
-            raise ProtocolError(ACCESS_DENIED, f"access denied for user '{printable(login.user)}'")
-        if login.database not in (b"", DATABASE):
-            raise ProtocolError(UNKNOWN_DATABASE, f"unknown database '{printable(login.database)}'")
+        check_login(decode_login(payload))
         self.is_logged_in = True
         self._send(OK)
 
--- /dev/null
+++ b/cottonhold/node/attempt_sender.py
@@ -0,0 +1,129 @@
+"""Attempts of open requests: started, changed and cancelled as the scheduler decided.
+
+A load's attempt is started once the load guard has recorded it. One of which nothing was sent ends here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from cottonhold.backend.attempt import Attempt
+from cottonhold.backend.connection_pool import EngineConnections
+from cottonhold.node.client_request import OpenRequest
+from cottonhold.node.fault_containment import FaultContainment
+from cottonhold.node.notifications import Notifications
+from cottonhold.scheduler.actions import MAX_PRIORITY, Cancel, Send, UpdateAttempt
+from cottonhold.scheduler.events import AttemptEnded, Outcome
+from cottonhold.transport.clock import Clock
+
+RESPONSE_MARGIN_MS = 15.0  # an attempt ends this long before its request's deadline
+
+
+class AttemptSender:
+    """Sends the attempts of one gateway's requests. on_ended: called for one that was never started."""
+
+    def __init__(
+        self,
+        requests: dict[str, OpenRequest],
+        engines: EngineConnections,
+        clock: Clock,
+        notifications: Notifications,
+        faults: FaultContainment,
+        on_ended: Callable[[OpenRequest, AttemptEnded], None],
+    ) -> None:
+        self.requests, self.engines, self.clock = requests, engines, clock
+        self.notifications, self.faults, self.on_ended = notifications, faults, on_ended
+
+    def send(self, action: Send) -> None:
+        """Make and start an attempt."""
+        request = self.requests.get(action.query_id)
+        if request is None or request.response_sink is None:
+            # The client left in the turn in which this attempt was decided on: the scheduler must release
+            # the attempt's capacity and its ordering key.
+            self.faults.forget_attempt(action.query_id, action.engine)
+            return
+        attempt = self._new_attempt(request, action)
+        client_request, observer = request.client_request, self.notifications.observer
+        if observer is not None:
+            observer.on_attempt_sent(attempt, client_request.query_class)
+            if attempt.number == 0:
+                waited_ms = attempt.started_at - client_request.arrived_at
+                observer.on_admission_settled(waited_ms / client_request.timeout_ms, False)
+        load_guard = self.notifications.load_guard
+        if load_guard is None or not load_guard.guards(client_request.query_class):
+            self._start(request, attempt)
+            return
+        # A load must be recorded durably before it is sent: sent first, a power loss would leave it unknown.
+        load_guard.before_attempt_sent(
+            attempt, client_request, lambda recorded: self._on_load_recorded(request, attempt, recorded)
+        )
+        if _is_unsent(request, attempt):
+            limit_ms = attempt.deadline - attempt.started_at
+            self.clock.call_in(limit_ms, lambda: self._on_load_recorded(request, attempt, False))
+
+    def _new_attempt(self, request: OpenRequest, action: Send) -> Attempt:
+        now, client_request = self.clock.now(), request.client_request
+        number, request.attempts = request.attempts, request.attempts + 1
+        limit = now + action.timeout_ms if action.timeout_ms > 0 else request.deadline
+        request.attempt = Attempt(
+            action.query_id,
+            number,
+            action.engine,
+            client_request.class_name,
+            client_request.body,
+            request.priority,
+            started_at=now,
+            deadline=min(request.deadline - RESPONSE_MARGIN_MS, limit),
+            begin_deadline=action.begin_deadline,
+            idempotency_key=client_request.idempotency_key,
+        )
+        return request.attempt
+
+    def _on_load_recorded(self, request: OpenRequest, attempt: Attempt, is_recorded: bool) -> None:
+        """A load has been recorded, so that it may be sent; or it won't be, in time or at all."""
+        if not _is_unsent(request, attempt):
+            return
+        if is_recorded and request.response_sink is not None:
+            self._start(request, attempt)
+        else:
+            self._end_unstarted(request, attempt, Outcome.NOT_STARTED)
+
+    def _start(self, request: OpenRequest, attempt: Attempt) -> None:
+        if not self.engines.send(attempt):
+            self._end_unstarted(request, attempt, self.engines.unsent_outcome())
+
+    def _end_unstarted(self, request: OpenRequest, attempt: Attempt, outcome: Outcome) -> None:
+        """An attempt of which nothing was sent has ended."""
+        request.attempt = None
+        event = AttemptEnded(attempt.request_id, attempt.number, attempt.engine, outcome, 0.0)
+        self.notifications.attempt_not_started(attempt, event)
+        self.on_ended(request, event)
+
+    def update(self, action: UpdateAttempt) -> None:
+        """Change the priority of a request, and of its attempt in flight."""
+        if request := self.requests.get(action.query_id):
+            request.priority = action.priority
+            if request.attempt is not None:
+                self.engines.change_priority(request.attempt, action.priority)
+
+    def cancel(self, action: Cancel) -> None:
+        """Cancel an attempt, if it is in flight still; one that waits to be recorded ends unstarted."""
+        request = self.requests.get(action.query_id)
+        if request and request.attempt is not None and request.attempt.number == action.attempt:
+            self._on_load_recorded(request, request.attempt, False)
+            if request.attempt is not None:
+                self.engines.cancel(request.attempt, Outcome.CANCELLED)
+
+    def expedite(self, attempt: Attempt, request_deadline: float, has_priorities: bool) -> None:
+        """Cut an attempt in flight to its request's deadline, at the highest priority where there are any.
+
+        It has run in part already, and would be lost otherwise.
+        """
+        self.engines.shorten_deadline(attempt, request_deadline - RESPONSE_MARGIN_MS)
+        if has_priorities:
+            self.engines.change_priority(attempt, MAX_PRIORITY)
+
+
+def _is_unsent(request: OpenRequest, attempt: Attempt) -> bool:
+    """Whether an attempt still waits to be recorded."""
+    return request.attempt is attempt and attempt.connection is None
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -15,6 +15,7 @@
 from cottonhold.discovery.model import EngineListChange
 from cottonhold.frontend.query_comment import Statement
 from cottonhold.frontend.query_service import DuplicateRequestIdError, ResponseSink
+from cottonhold.node.attempt_sender import AttemptSender
 from cottonhold.node.client_request import ClientRequest, OpenRequest, RequestDecoder
 from cottonhold.node.fault_containment import FaultContainment
 from cottonhold.node.load_guard import LoadOutcome
@@ -53,8 +54,6 @@
 # A busy event loop reads a request, sees its time-out and writes its response some turns late. So a request
 # has this much less than its timeout to be done, or this fraction of a short one.
 EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION = 400.0, 0.2
-HIGHEST_PRIORITY = 3  # of the engines' protocol
-RESPONSE_MARGIN_MS = 15.0  # an attempt ends this long before its request's deadline
 
 
 class Gateway:
@@ -79,6 +78,9 @@
         self.shutdown_deadline = math.inf  # requests without a response by then never get one
         self.notifications = Notifications(counters, log)
         self.faults = FaultContainment(self.requests, self.push, self._fail, clock, counters)
+        self.attempts = AttemptSender(
+            self.requests, engines, clock, self.notifications, self.faults, self._report
+        )
         self.send_to_peer: Callable[[SendToPeer], None] = lambda message: None
         self.health_check_listener: HealthCheckListener = lambda engine, outcome, report: None
         engines.listener = self
@@ -95,16 +97,14 @@
     def begin_shutdown(self, deadline: float) -> None:
         """This process ends: requests without a response by `deadline` (ms of the clock) never get one.
 
-        Open requests are cut to that deadline. What is in flight gets the highest priority at its engine, as
-        it has run in part already and would be lost otherwise.
+        Open requests are cut to that deadline.
         """
         self.shutdown_deadline = deadline
         for request in self.requests.values():
             request.deadline = min(request.deadline, deadline)
             if request.attempt is not None:
-                self.engines.shorten_deadline(request.attempt, request.deadline - RESPONSE_MARGIN_MS)
-                if self.settings.features.has_priorities:
-                    self.engines.change_priority(request.attempt, HIGHEST_PRIORITY)
+                has_priorities = self.settings.features.has_priorities
+                self.attempts.expedite(request.attempt, request.deadline, has_priorities)
         self.push(ShutdownStarted(deadline))
 
     def push(self, event: Event) -> None:
@@ -264,11 +264,11 @@
     def _carry_out(self, action: Action) -> None:
         match action:
             case Send():
-                self._send(action)
+                self.attempts.send(action)
             case UpdateAttempt():
-                self._update_attempt(action)
+                self.attempts.update(action)
             case Cancel():
-                self._cancel(action)
+                self.attempts.cancel(action)
             case Reject():
                 self._reject(action)
             case Fail(request_id):
@@ -294,83 +294,6 @@
     def _mark_admitted(self, request: OpenRequest) -> None:
         request.was_admitted = True
 
-    def _send(self, action: Send) -> None:
-        request = self.requests.get(action.query_id)
-        if request is None or request.response_sink is None:
-            # The client left in the turn in which this attempt was decided on: the scheduler must release
-            # the attempt's capacity and its ordering key.
-            self.faults.forget_attempt(action.query_id, action.engine)
-            return
-        attempt = self._new_attempt(request, action)
-        client_request, observer = request.client_request, self.notifications.observer
-        if observer is not None:
-            observer.on_attempt_sent(attempt, client_request.query_class)
-            if attempt.number == 0:
-                waited_ms = attempt.started_at - client_request.arrived_at
-                observer.on_admission_settled(waited_ms / client_request.timeout_ms, False)
-        load_guard = self.notifications.load_guard
-        if load_guard is None or not load_guard.guards(client_request.query_class):
-            self._start(request, attempt)
-            return
-        # A load must be recorded durably before it is sent: sent first, a power loss would leave it unknown.
-        load_guard.before_attempt_sent(
-            attempt, client_request, lambda recorded: self._on_load_recorded(request, attempt, recorded)
-        )
-        if _is_unsent(request, attempt):
-            limit_ms = attempt.deadline - attempt.started_at
-            self.clock.call_in(limit_ms, lambda: self._on_load_recorded(request, attempt, False))
-
-    def _new_attempt(self, request: OpenRequest, action: Send) -> Attempt:
-        now, client_request = self.clock.now(), request.client_request
-        number, request.attempts = request.attempts, request.attempts + 1
-        limit = now + action.timeout_ms if action.timeout_ms > 0 else request.deadline
-        request.attempt = Attempt(
-            action.query_id,
-            number,
-            action.engine,
-            client_request.class_name,
-            client_request.body,
-            request.priority,
-            started_at=now,
-            deadline=min(request.deadline - RESPONSE_MARGIN_MS, limit),
-            begin_deadline=action.begin_deadline,
-            idempotency_key=client_request.idempotency_key,
-        )
-        return request.attempt
-
-    def _on_load_recorded(self, request: OpenRequest, attempt: Attempt, is_recorded: bool) -> None:
-        """A load has been recorded, so that it may be sent; or it won't be, in time or at all."""
-        if not _is_unsent(request, attempt):
-            return
-        if is_recorded and request.response_sink is not None:
-            self._start(request, attempt)
-        else:
-            self._end_unstarted(request, attempt, Outcome.NOT_STARTED)
-
-    def _start(self, request: OpenRequest, attempt: Attempt) -> None:
-        if not self.engines.send(attempt):
-            self._end_unstarted(request, attempt, self.engines.unsent_outcome())
-
-    def _end_unstarted(self, request: OpenRequest, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt of which nothing was sent has ended."""
-        request.attempt = None
-        event = AttemptEnded(attempt.request_id, attempt.number, attempt.engine, outcome, 0.0)
-        self.notifications.attempt_not_started(attempt, event)
-        self._report(request, event)
-
-    def _update_attempt(self, action: UpdateAttempt) -> None:
-        if request := self.requests.get(action.query_id):
-            request.priority = action.priority
-            if request.attempt is not None:
-                self.engines.change_priority(request.attempt, action.priority)
-
-    def _cancel(self, action: Cancel) -> None:
-        request = self.requests.get(action.query_id)
-        if request and request.attempt is not None and request.attempt.number == action.attempt:
-            self._on_load_recorded(request, request.attempt, False)
-            if request.attempt is not None:
-                self.engines.cancel(request.attempt, Outcome.CANCELLED)
-
     def _reject(self, action: Reject) -> None:
         if (request := self.requests.get(action.query_id)) and (sink := self._finish(request)):
             self.counters.add("answers_refused")
@@ -406,8 +329,3 @@
     """When a response must be ready, in ms of the clock: the client's timeout less the event loop's lag."""
     lag_ms = min(EVENT_LOOP_LAG_MS, request.timeout_ms * MAX_LAG_FRACTION)
     return request.arrived_at + request.timeout_ms - lag_ms
-
-
-def _is_unsent(request: OpenRequest, attempt: Attempt) -> bool:
-    """Whether an attempt still waits to be recorded."""
-    return request.attempt is attempt and attempt.connection is None
--- a/cottonhold/scheduler/actions.py
+++ b/cottonhold/scheduler/actions.py
@@ -9,6 +9,8 @@
 import math
 from dataclasses import dataclass
 
+MAX_PRIORITY = 3  # highest priority that engines know; 1 is the usual one
+
 
 @dataclass(slots=True, frozen=True)
 class Send:
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -12,6 +12,7 @@
 from typing import NamedTuple
 
 from cottonhold.scheduler import estimates, rate_estimation, responses, retry_policy, slow_start, utilization
+from cottonhold.scheduler.actions import MAX_PRIORITY
 from cottonhold.scheduler.engine_state import EngineView
 from cottonhold.scheduler.events import EngineState
 from cottonhold.scheduler.gateway_state import GatewayState
@@ -30,7 +31,6 @@
 PREFERRED_SHARE = 0.4  # of the engines, take the loads on a set of tables: the others serve its readers
 MIN_WORK_RATE = 0.02  # no engine is planned slower than that
 ERROR_DELAY_FACTOR = 3  # times the wait by which an engine that only gives errors looks later
-MAX_PRIORITY = 3  # highest priority that engines know; 1 is the usual one
 CANARY_INTERVAL_MS = 150.0  # between the canaries that all gateways together send to an ejected engine
 
 
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from cottonhold.backend.connection_pool import MAX_ABANDONED_IDS
 from cottonhold.backend.endpoint import IDLE_MARGIN_MS
+from cottonhold.backend.liveness_monitor import MAX_ABANDONED_IDS
 from cottonhold.frontend.client_sessions import CHECK_INTERVAL_MS
 from cottonhold.frontend.mysql_session import MAX_PACKET_BYTES
 from cottonhold.node.lifecycle import SHUTDOWN_ACCEPT_CLIENTS_MS
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -8,8 +8,8 @@
 
 from cottonhold.backend.attempt import Attempt
 from cottonhold.backend.connection import Connection
-from cottonhold.backend.connection_pool import EngineConnections
 from cottonhold.backend.endpoint import EngineEndpoint
+from cottonhold.backend.liveness_monitor import LivenessMonitor
 from cottonhold.frontend.mysql_session import Session
 from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.load_guard import LoadOutcome, LoadOutcomeCallback
@@ -133,19 +133,20 @@
     world.settled()
 
 
-@pytest.mark.parametrize(("name", "allow"), [("_send", 5000), ("_reject", 20)])
+@pytest.mark.parametrize(("name", "allow"), [("send", 5000), ("_reject", 20)])
 def test_an_action_that_fails_ends_its_request_only(
     name: str, allow: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = Faulty("")
-    carried_out = getattr(world.gateway, name)
+    owner: object = world.gateway.attempts if name == "send" else world.gateway
+    carried_out = getattr(owner, name)
 
     def broken(action: Send | Reject) -> None:
         if action.query_id == BAD:
             world.fail()
         carried_out(action)
 
-    monkeypatch.setattr(world.gateway, name, broken)
+    monkeypatch.setattr(owner, name, broken)
     world.run(f"turn begins now\nc9 query lookup r9 allow={allow}\nc1 query lookup r1\nturn ends now")
     world.run("c9 expect error 1105 *\nc1 expect nothing")
     assert [words[1] for line in world.engine_streams for words in line.received] == [b"%016x" % 1]
@@ -209,14 +210,16 @@
 ) -> None:
     world = Turns(SITES["little allowed"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
     world.run("list tell e1 draining\ne2 will mute\nc1 query load r1 allow=20000\ne2 expect GET r1 *")
-    look_at = EngineConnections._needs_liveness_check
+    needs_check = LivenessMonitor.needs_check
 
-    def broken(engines: EngineConnections, place: EngineEndpoint, connection: Connection, now: float) -> bool:
+    def broken(
+        monitor: LivenessMonitor, endpoint: EngineEndpoint, connection: Connection, now: float
+    ) -> bool:
         if connection is world.engine_streams[0].connection:
             raise LookupError("planted")
-        return look_at(engines, place, connection, now)
+        return needs_check(monitor, endpoint, connection, now)
 
-    monkeypatch.setattr(EngineConnections, "_needs_liveness_check", broken)
+    monkeypatch.setattr(LivenessMonitor, "needs_check", broken)
     world.run("time wait 2100\nc1 expect error 1105 *may have run*")
     world.run("e1 send r2 served count=1 a|b|c/\nc2 expect rows a|b|c")
     assert world.counters.counts["check_faults"]
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from cottonhold.node.gateway import EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION, RESPONSE_MARGIN_MS
+from cottonhold.node.attempt_sender import RESPONSE_MARGIN_MS
+from cottonhold.node.gateway import EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION
 from tests.frontend.test_client_departure import NAMES, SITES, Turns, nothing_left
 
 LITTLE = {
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -36,13 +36,13 @@
     for number in (1, 2, 3):
         world.run(f"c{number} query lookup r{number}")
     looks: list[str] = []
-    real = EngineConnections._close_if_leaving
+    real = EngineConnections.close_if_leaving
 
     def left(self: EngineConnections, place: EngineEndpoint) -> None:
         looks.append(place.engine.id)
         real(self, place)
 
-    monkeypatch.setattr(EngineConnections, "_close_if_leaving", left)
+    monkeypatch.setattr(EngineConnections, "close_if_leaving", left)
     world.wait(5000)
     return len(looks)
 
