--- a/cottonhold/frontend/mysql_packets.py
+++ b/cottonhold/frontend/mysql_packets.py
@@ -119,10 +119,10 @@
 
 def decode_kill(statement: bytes) -> KillCommand | None:
     """A KILL statement; None for any other one."""
-    found = KILL.match(statement)
-    if found is None:
+    match = KILL.match(statement)
+    if match is None:
         return None
-    return KillCommand(int(found[2]), (found[1] or b"").strip().upper() == b"QUERY")
+    return KillCommand(int(match[2]), (match[1] or b"").strip().upper() == b"QUERY")
 
 
 def printable(name: bytes) -> str:
--- a/cottonhold/frontend/query_comment.py
+++ b/cottonhold/frontend/query_comment.py
@@ -157,7 +157,7 @@
 def schema_group(text: str) -> int | None:
     """The number in a schema's name; None where it has none, or is the staging schema."""
     name = text.strip("`")
-    found = NUMBERED_SCHEMA.match(name)
-    if name.lower() == "staging" or found is None:
+    match = NUMBERED_SCHEMA.match(name)
+    if name.lower() == "staging" or match is None:
         return None
-    return int(found[1])
+    return int(match[1])
--- a/cottonhold/frontend/query_service.py
+++ b/cottonhold/frontend/query_service.py
@@ -45,7 +45,7 @@
     """Whether this process serves, drains or shuts down. All times are ms of the clock."""
 
     def phase(self) -> Enum:
-        """The phase; its value is told to clients."""
+        """The phase; clients see its value."""
 
     def is_ready(self) -> bool:
         """Whether health checks succeed."""
--- a/cottonhold/node/admin_api.py
+++ b/cottonhold/node/admin_api.py
@@ -65,7 +65,7 @@
     def open(self) -> AdminConnection:
         """The state machine of a new connection; at the limit, an answered one or the oldest makes room.
 
-        Callers that say nothing, or half a call, and stay must not keep others from being heard.
+        Callers that send nothing, or half a call, and stay must not keep others from being answered.
         """
         if len(self.connections) >= self.max_connections:
             oldest = next((c for c in self.connections if c.is_closing), next(iter(self.connections)))
--- a/cottonhold/node/descriptors.py
+++ b/cottonhold/node/descriptors.py
@@ -10,8 +10,8 @@
 CLIENTS_FRACTION = 0.48  # usual clients hold a third at most; the rest of this is for stalled connections
 ENGINES_FRACTION = 0.33
 MIN_QUOTA = 8
-SIBLING_OVERHEAD = 12  # what a further process holds for its loop, log and listeners
-ADMIN_FRACTION, MIN_ADMIN, MAX_ADMIN = 1 / 16, 4, 16  # operators' calls, heard whatever else is taken
+SIBLING_OVERHEAD = 12  # descriptors of a further process for its loop, log and listeners
+ADMIN_FRACTION, MIN_ADMIN, MAX_ADMIN = 1 / 16, 4, 16  # operators' calls, answered whatever else is in use
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,8 +31,8 @@
             admin=min(max(int(limit * ADMIN_FRACTION), MIN_ADMIN), MAX_ADMIN),
         )
 
-    def remaining_beside(self, others: Sequence[ProcessRecord]) -> DescriptorQuotas:
-        """What is left of each quota beside processes that count against the same limit."""
+    def remaining_after(self, others: Sequence[ProcessRecord]) -> DescriptorQuotas:
+        """What remains of each quota after other processes that count against the same limit."""
         if not others:
             return self
         clients = self.clients - sum(other.client_connections + SIBLING_OVERHEAD for other in others)
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -41,21 +41,21 @@
 from cottonhold.transport.event_loop import EventLoop
 from cottonhold.transport.socket_factory import MakeSocket
 
-CHECK_S = 0.02  # between two looks at what is open, while shutting down
+SHUTDOWN_POLL_S = 0.02  # between two looks at what is open, while shutting down
 SIBLINGS_INTERVAL_MS = 300.0
 CLIENT_CLOSE_MS = 250.0  # that clients have to close, once all is answered
-STARTING_MS = 3000.0  # that a process shutting down waits for a newer one that does not serve yet
+MAX_NEWER_START_MS = 3000.0  # that a shutdown waits for a newer process that does not serve yet
 EVENT_STREAM_ONLY = ((SOURCE, SourceGuard(is_trusted=True)),)
 
 
 class OperatorLog(Protocol):
-    """Where lines for the operators go."""
+    """The operators' log."""
 
     def say(self, text: str) -> None:
-        """A line."""
+        """Write a line of text."""
 
     def note(self, event: str, **fields: object) -> None:
-        """An event with its fields."""
+        """Write an event with its fields."""
 
 
 class Dispatcher:
@@ -160,11 +160,11 @@
         return False
 
     def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
-        """What runs beside serving on once shutdown has begun."""
+        """What runs once shutdown has begun, while requests are still served."""
         return ()
 
     def update_siblings(self) -> None:
-        """Publish what this process holds to its siblings, and keep within what they leave."""
+        """Publish what this process holds, and keep within the descriptors that its siblings leave."""
         others = self.sibling_processes.others()
         own_record = ProcessRecord(
             self.sibling_processes.record.start_number,
@@ -173,7 +173,7 @@
             self.is_serving,
         )
         self.sibling_processes.publish(own_record)
-        quotas = self.descriptor_quotas.remaining_beside(others)
+        quotas = self.descriptor_quotas.remaining_after(others)
         self.sessions.max_sessions, self.engines.max_connections = quotas.clients, quotas.engines
         if len(others) != self.sibling_count:
             self.sibling_count = len(others)
@@ -194,9 +194,9 @@
 
     async def wait_for_newer_process(self) -> None:
         """Go on accepting clients while a newer process does not serve yet, within limits."""
-        deadline = min(self.event_loop.clock.now() + STARTING_MS, self.lifecycle.close_deadline())
+        deadline = min(self.event_loop.clock.now() + MAX_NEWER_START_MS, self.lifecycle.close_deadline())
         while self.sibling_processes.is_newer_starting() and self.event_loop.clock.now() < deadline:
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
 
     async def run(self) -> None:
         """Serve until told to stop, then finish what is open."""
@@ -257,8 +257,10 @@
         """Go on accepting clients for a while, then close the listener and finish what is open."""
         self.gateway.begin_shutdown(self.lifecycle.answer_deadline())
         self._log_open_work("shutdown_started")
-        left_ms = max(self.lifecycle.accept_deadline() - self.event_loop.clock.now(), 0.0)
-        await asyncio.gather(asyncio.sleep(left_ms / 1000), *self.shutdown_tasks(), return_exceptions=True)
+        remaining_ms = max(self.lifecycle.accept_deadline() - self.event_loop.clock.now(), 0.0)
+        await asyncio.gather(
+            asyncio.sleep(remaining_ms / 1000), *self.shutdown_tasks(), return_exceptions=True
+        )
         await self.wait_for_newer_process()
         accepting.cancel()
         await asyncio.gather(accepting, return_exceptions=True)
@@ -291,10 +293,10 @@
                 done_at = min(done_at, now)
                 if now >= min(done_at + CLIENT_CLOSE_MS, lifecycle.answer_deadline()):
                     break
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
 
     def reload(self) -> None:
-        """Read the configuration again: its settings, and the event stream it names, on from the last event.
+        """Read the configuration again: apply its settings, and follow the event stream that it names.
 
         A file that can't be used changes nothing.
         """
@@ -334,7 +336,7 @@
         self.shutdown_requested.set()
 
     def print_counters(self) -> None:
-        """Counters, whatever the log's rate."""
+        """Print the counters, whatever the log's rate."""
         print(self.counters.line(), file=sys.stderr, flush=True)
 
     async def run_until_stopped(self) -> None:
@@ -348,7 +350,7 @@
             self.print_counters()
 
     def handle_signals(self, loop: asyncio.AbstractEventLoop) -> None:
-        """SIGTERM and SIGINT end it, SIGHUP reloads, SIGUSR1 prints the counters."""
+        """Have SIGTERM and SIGINT shut down, SIGHUP reload, and SIGUSR1 print the counters."""
         loop.set_exception_handler(lambda _, context: self.log.note("event_loop_error", context=context))
         loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
         loop.add_signal_handler(signal.SIGINT, self.begin_shutdown)
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -27,7 +27,7 @@
 
 
 class Phase(Enum):
-    """What this process is about; the values are told to operators and clients."""
+    """What this process is about; operators and clients see the values."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -81,7 +81,7 @@
         return min(self.shutdown_since + SHUTDOWN_ACCEPT_CLIENTS_MS, self.close_deadline())
 
     def is_ready(self) -> bool:
-        """Whether health checks succeed. They do while shutting down: a newer process may serve beside it."""
+        """Whether health checks succeed. They do while shutting down: a newer process may serve already."""
         return self.draining_since == math.inf
 
     def accepts_query(self, now: float, deadline: float) -> bool:
--- a/cottonhold/node/sibling_processes.py
+++ b/cottonhold/node/sibling_processes.py
@@ -1,7 +1,8 @@
 """Which processes stand for one dispatcher: slots in $TMPDIR, each a file that its process holds locked.
 
-In an upgrade a second process serves beside the first, at the same address. The kernel releases a lock with
-its process, however that ends, so a stale file is a free slot. Its record tells what the process holds.
+In an upgrade a second process serves at the same address, while the first one shuts down. The kernel releases
+a lock with its process, however that ends, so a stale file is a free slot. Its record says what the process
+holds.
 """
 
 from __future__ import annotations
@@ -54,7 +55,7 @@
         self.is_published = True  # the record stands in the file
         if folder is not None:
             try:
-                self._take_slot()
+                self._claim_slot()
             except OSError as error:
                 log(f"no slot in $TMPDIR, so that sibling processes are not seen: {error}")
 
@@ -64,7 +65,7 @@
     def _open(self, slot: int, flags: int) -> int:
         return os.open(self._path(slot), flags | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
 
-    def _take_slot(self) -> None:
+    def _claim_slot(self) -> None:
         """Lock the first free slot and publish the next start number there. Raises OSError."""
         last_start, reason = 0, OSError(f"all {SLOTS} slots are taken")
         for slot in range(SLOTS):
@@ -109,7 +110,7 @@
 
     def others(self) -> list[ProcessRecord]:
         """What the other living processes publish of themselves."""
-        found = []
+        records = []
         for slot in range(SLOTS if self.file != NO_FILE else 0):
             if slot == self.slot:
                 continue
@@ -119,10 +120,10 @@
                 continue
             try:
                 if not try_lock(file, fcntl.LOCK_SH):
-                    found.append(read_record(file) or ProcessRecord(0))
+                    records.append(read_record(file) or ProcessRecord(0))
             finally:
                 os.close(file)
-        return found
+        return records
 
     def is_newer_starting(self) -> bool:
         """Whether a process that was started later does not serve yet."""
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -118,7 +118,7 @@
         """Guard loads by the ledger, and make the other parts that need one."""
         membership, fleet = self.membership, self.zone_failover
         self.recovery = recovery = self.adapters.recovery(ledger, membership, fleet)
-        if self.unavailable_load_guard is not None:  # retries count from when they were first heard of
+        if self.unavailable_load_guard is not None:  # retries count from when they first arrived
             recovery.history.local.queried.update(self.unavailable_load_guard.history.local.queried)
         self.gateway.notifications.load_guard = recovery.load_guard
         if fleet is not None and self.installation.file.sources:
@@ -313,10 +313,10 @@
         """Deregister first, so that load balancers which read Consul send their clients elsewhere."""
         if self.membership is not None:
             self.membership.leave()
-        left_s = (self.lifecycle.close_deadline() - self.event_loop.clock.now()) / 1000
+        remaining_s = (self.lifecycle.close_deadline() - self.event_loop.clock.now()) / 1000
         if self.entry is None:
             return ()
-        return (asyncio.wait_for(self.entry.leave(), min(DEREGISTER_TIMEOUT_S, left_s)),)
+        return (asyncio.wait_for(self.entry.leave(), min(DEREGISTER_TIMEOUT_S, remaining_s)),)
 
     async def run(self) -> None:
         """Serve until told to stop; the ledger is closed last, and marked as closed cleanly."""
--- a/cottonhold/node/status.py
+++ b/cottonhold/node/status.py
@@ -1,6 +1,6 @@
-"""A local socket for this instance's operators: one JSON call a connection, one JSON answer, then the end.
+"""A local socket for this instance's operators: one JSON call a connection, and one JSON answer.
 
-A call is one line: `{"call": "view"}`, or an order by hand. Who says nothing gets the view.
+A call is one line: `{"call": "view"}`, or an operator's order. A caller that sends nothing gets the view.
 """
 
 from __future__ import annotations
@@ -18,14 +18,15 @@
 
 from cottonhold.transport.event_loop import EventLoop
 
-SEND_S = 1.0
-CALL_S = 0.1  # so long is waited for a call: who says nothing wants the view
-MOST_CALL = 4096
+SEND_TIMEOUT_S = 1.0
+CALL_TIMEOUT_S = 0.1  # after which a caller that has sent nothing gets the view
+ASK_TIMEOUT_S = 5.0
+MAX_CALL_BYTES = 4096
 Answer = Callable[[dict[str, Any]], dict[str, Any]]
 
 
 def listen(path: Path) -> socket.socket:
-    """The socket, for this user only; what an earlier life left at its path is removed. Raises OSError."""
+    """A socket for this user only; one that a former process left at its path is removed. Raises OSError."""
     with contextlib.suppress(FileNotFoundError):
         path.unlink()
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -40,10 +41,10 @@
 
 
 def ask(path: Path, call: dict[str, Any]) -> dict[str, Any]:
-    """A call to the instance at a path, from another process. Raises OSError and ValueError."""
+    """Call the instance whose socket is at a path, from another process. Raises OSError and ValueError."""
     data = b""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        sock.settimeout(5)
+        sock.settimeout(ASK_TIMEOUT_S)
         sock.connect(str(path))
         sock.sendall(json.dumps(call).encode() + b"\n")
         while part := sock.recv(65536):
@@ -52,40 +53,40 @@
     return answer
 
 
-async def serve(driver: EventLoop, sock: socket.socket, answer: Answer) -> None:
-    """Answer until cancelled. One that doesn't read costs itself only: it is given a second."""
+async def serve(event_loop: EventLoop, sock: socket.socket, answer: Answer) -> None:
+    """Answer calls until cancelled. A caller that does not read holds up nobody else."""
     try:
         while True:
             # A moment without a free descriptor must not close this socket.
-            client = await driver.listener.accept_one(sock, "status_accept", "local calls")
-            driver.spawn(_serve_one(driver, client, answer))
+            client = await event_loop.listener.accept_one(sock, "status_accept", "local calls")
+            event_loop.spawn(_serve_one(event_loop, client, answer))
     finally:
         sock.close()
 
 
-async def _serve_one(driver: EventLoop, client: socket.socket, answer: Answer) -> None:
+async def _serve_one(event_loop: EventLoop, client: socket.socket, answer: Answer) -> None:
     try:
-        call = await _read_call(driver, client)
-        async with asyncio.timeout(SEND_S):
-            await driver.loop.sock_sendall(client, orjson.dumps(answer(call)))
+        call = await _read_call(event_loop, client)
+        async with asyncio.timeout(SEND_TIMEOUT_S):
+            await event_loop.loop.sock_sendall(client, orjson.dumps(answer(call)))
     except OSError:
-        driver.counters.add("status_broken")
+        event_loop.counters.add("status_broken")
     except ValueError as error:
-        driver.counters.add("status_malformed")
+        event_loop.counters.add("status_malformed")
         with contextlib.suppress(OSError):
             client.send(orjson.dumps({"error": f"the call can't be read: {error}"}))
     finally:
         client.close()
 
 
-async def _read_call(driver: EventLoop, client: socket.socket) -> dict[str, Any]:
-    """The call's line. Raises ValueError for one that can't be read."""
+async def _read_call(event_loop: EventLoop, client: socket.socket) -> dict[str, Any]:
+    """A caller's call. Raises ValueError for one that can't be decoded."""
     data = b""
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(CALL_S):
-            while b"\n" not in data and (part := await driver.loop.sock_recv(client, MOST_CALL)):
+        async with asyncio.timeout(CALL_TIMEOUT_S):
+            while b"\n" not in data and (part := await event_loop.loop.sock_recv(client, MAX_CALL_BYTES)):
                 data += part
-                if len(data) > MOST_CALL:
+                if len(data) > MAX_CALL_BYTES:
                     raise ValueError("too long")
     if not data:
         return {"call": "view"}
--- a/cottonhold/transport/datagram.py
+++ b/cottonhold/transport/datagram.py
@@ -24,7 +24,7 @@
         self.sock: socket.socket | None = None
 
     def open(self, address: Address) -> socket.socket:
-        """Bind the socket, also beside another process. Raises OSError."""
+        """Bind the socket, also where another process has one. Raises OSError."""
         sock = self.context.make_socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
--- a/cottonhold/transport/io_context.py
+++ b/cottonhold/transport/io_context.py
@@ -32,7 +32,7 @@
         self.read_buffer = bytearray(READ_BUFFER_BYTES)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a task beside the rest; the loop itself keeps only weak references."""
+        """Run a task in the background; the loop itself keeps only weak references."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/cottonhold/transport/listener.py
+++ b/cottonhold/transport/listener.py
@@ -66,7 +66,7 @@
             await asyncio.sleep(RESOURCE_RETRY_S)
 
     def listen(self, address: Address, is_shared: bool = False) -> socket.socket:
-        """Listen at an address, and only there; a shared one also beside another process. Raises OSError."""
+        """Listen at an address; a shared one also where another process listens. Raises OSError."""
         sock = tcp_socket(self.context.make_socket, family_of(address))
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -99,17 +99,17 @@
                 failures += 1
                 await self._on_accept_failed(error, failures, "accept", "accept")
 
-    async def _on_accept_failed(self, error: OSError, in_a_row: int, counted_as: str, what: str) -> None:
-        """Count a failure of accept and wait for as long as it asks for.
+    async def _on_accept_failed(self, error: OSError, failures: int, counted_as: str, label: str) -> None:
+        """Count a failure of accept, log the first in a row, and wait for as long as it calls for.
 
         Where a resource lacks, accept fails at once and would spin. One connection that broke in the queue
         says nothing of those behind it.
         """
         self.context.counters.add(f"{counted_as}_failed")
         is_of_connection = error.errno in CONNECTION_ERRORS
-        if in_a_row == 1 and not is_of_connection:
-            self.context.log(f"{what}: {error}")
-        await asyncio.sleep(0 if is_of_connection and in_a_row % MAX_BROKEN_CONNECTIONS else ACCEPT_PAUSE_S)
+        if failures == 1 and not is_of_connection:
+            self.context.log(f"{label}: {error}")
+        await asyncio.sleep(0 if is_of_connection and failures % MAX_BROKEN_CONNECTIONS else ACCEPT_PAUSE_S)
 
     def _accept_now(self, sock: socket.socket) -> socket.socket | None:
         """A connection that has arrived already; None where none has. Raises OSError as accept does."""
@@ -150,7 +150,7 @@
                 pauses += error.errno not in CONNECTION_ERRORS or failures % MAX_BROKEN_CONNECTIONS == 0
                 await self._on_accept_failed(error, failures, "accept", "accept")
 
-    async def accept_one(self, sock: socket.socket, counted_as: str, what: str) -> socket.socket:
+    async def accept_one(self, sock: socket.socket, counted_as: str, label: str) -> socket.socket:
         """The next connection that arrives; failures meanwhile are counted, logged and waited out."""
         failures = 0  # in a row
         while True:
@@ -160,7 +160,7 @@
                     return client
             except OSError as error:
                 failures += 1
-                await self._on_accept_failed(error, failures, counted_as, what)
+                await self._on_accept_failed(error, failures, counted_as, label)
 
     async def serve_admin_api(self, sock: socket.socket, admin_api: ProtocolFactory) -> None:
         """Accept operators' calls until cancelled."""
--- a/cottonhold/transport/sockets.py
+++ b/cottonhold/transport/sockets.py
@@ -22,7 +22,7 @@
 
 
 def bind(sock: socket.socket, address: Address, is_shared: bool) -> None:
-    """Bind a socket, a shared one also beside another process of the same user. Raises OSError."""
+    """Bind a socket, a shared one also where another process of the same user has it. Raises OSError."""
     if is_shared:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     try:
@@ -44,9 +44,9 @@
 
 
 def steer_to_newest(sock: socket.socket, counters: Counters, log: Callable[[str], None]) -> None:
-    """Lead what is new to this socket, where an older process has one at the same address.
+    """Steer new connections and datagrams to this socket, where an older process has one at the same address.
 
-    Otherwise the kernel divides it between both, and the older one's queue is reset when it closes.
+    Otherwise the kernel divides them between both, and the older one's queue is reset when it closes.
     """
     code = ctypes.create_string_buffer(SELECT_SECOND_SOCKET)
     program = struct.pack("@HP", 1, ctypes.addressof(code))
--- a/cottonhold/transport/stream.py
+++ b/cottonhold/transport/stream.py
@@ -72,7 +72,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write the protocol's output, beside whatever else goes on."""
+        """Write the protocol's output, in a task of its own."""
         if self.sock is not None and self.writer is None:
             self.writer = self.context.spawn(self._write(self.sock))
 
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -16,7 +16,7 @@
 
 from cottonhold.config.relay import load
 from cottonhold.discovery.model import Address
-from cottonhold.node.dispatcher import STARTING_MS, Dispatcher
+from cottonhold.node.dispatcher import MAX_NEWER_START_MS, Dispatcher
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.node.sibling_processes import ProcessRecord, SiblingProcesses
 from cottonhold.observe.counters import Counters
@@ -208,12 +208,14 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize(("deadline", "most"), [(100.0, 500.0), (400.0, 800.0), (25000.0, STARTING_MS)])
+@pytest.mark.parametrize(
+    ("deadline", "most"), [(100.0, 500.0), (400.0, 800.0), (25000.0, MAX_NEWER_START_MS)]
+)
 def test_one_that_ends_waits_for_a_newer_process_only_while_it_can_still_end_in_time(
     deadline: float, most: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Clients are accepted no longer than the time of SIGKILL allows."""
-    monkeypatch.setattr("cottonhold.node.dispatcher.CHECK_S", 0.0)
+    monkeypatch.setattr("cottonhold.node.dispatcher.SHUTDOWN_POLL_S", 0.0)
     w = world(deadline).run("ops terminate")
     began = w.clock.now()
 
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -118,7 +118,7 @@
 )
 def test_two_processes_keep_within_one_limit(others: list[ProcessRecord], left: tuple[int, int]) -> None:
     parts = DescriptorQuotas.divide(256)
-    beside = parts.remaining_beside(others)
+    beside = parts.remaining_after(others)
     assert (beside.clients, beside.engines) == left
     for limit in (128, 256, 512, 1024):
         parts = DescriptorQuotas.divide(limit)
--- a/tests/transport/test_connection_close.py
+++ b/tests/transport/test_connection_close.py
@@ -404,7 +404,7 @@
 
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cottonhold.node.dispatcher.CHECK_S", 0.0)
+    monkeypatch.setattr("cottonhold.node.dispatcher.SHUTDOWN_POLL_S", 0.0)
 
 
 def test_the_process_ends_when_every_client_has_its_answer_and_the_end_of_its_connection(quick: None) -> None:
