--- a/tests/conformance/sockets.py
+++ b/tests/conformance/sockets.py
@@ -7,80 +7,82 @@
 
 from tests.conformance.rows import Direct, Row
 from tests.support.faulty_sockets import ACCEPTED, MADE, OK, Short
-from tests.support.loopback import GREETED, REF, Loopback, play
+from tests.support.loopback import GREETED, REQUEST_ID, Loopback, run_scenario
 from tests.support.loopback import ROWS as RESULT
 
 S, E = "The rules on sockets, {}".format, "Dispatchers to engines, {}".format
 
 
 def accepted() -> None:
-    async def story(rig: Loopback) -> None:
-        rig.faults.plan("accept", errno.ECONNABORTED, errno.EMFILE)
-        rig.faults.plan("setsockopt", errno.EINVAL, on=ACCEPTED)
-        client = rig.client()
-        client.ask(1)
-        await rig.serve(1)
-        await rig.until(client.finished)
-        assert client.answers() == RESULT
+    async def scenario(loopback: Loopback) -> None:
+        loopback.faults.plan("accept", errno.ECONNABORTED, errno.EMFILE)
+        loopback.faults.plan("setsockopt", errno.EINVAL, on=ACCEPTED)
+        client = loopback.client()
+        client.send_query(1)
+        await loopback.serve(1)
+        await loopback.until(client.finished)
+        assert client.responses() == RESULT
 
-    play(story)
+    run_scenario(scenario)
 
 
 def queued() -> None:
-    async def story(rig: Loopback) -> None:
-        rig.accepting.cancel()
-        await asyncio.gather(rig.accepting, return_exceptions=True)
-        clients = [rig.client() for _ in range(2)]
+    async def scenario(loopback: Loopback) -> None:
+        loopback.accepting.cancel()
+        await asyncio.gather(loopback.accepting, return_exceptions=True)
+        clients = [loopback.client() for _ in range(2)]
         for number, client in enumerate(clients):
-            client.ask(number)
-        rig.faults.plan("accept", errno.ECONNABORTED, OK, errno.ENFILE)
-        await rig.event_loop.listener.accept_queued(rig.listener, rig.world.sessions)
-        rig.listener.close()
+            client.send_query(number)
+        loopback.faults.plan("accept", errno.ECONNABORTED, OK, errno.ENFILE)
+        await loopback.event_loop.listener.accept_queued(loopback.listener, loopback.world.sessions)
+        loopback.listener.close()
         for number, client in enumerate(clients):
-            await rig.serve(number)
-            await rig.until(client.finished)
-            assert client.answers() == RESULT
+            await loopback.serve(number)
+            await loopback.until(client.finished)
+            assert client.responses() == RESULT
 
-    play(story)
+    run_scenario(scenario)
 
 
 def whole() -> None:
-    async def story(rig: Loopback) -> None:
-        client = rig.client()
-        await rig.until(lambda: client.answers() == GREETED)
-        rig.faults.plan("send", Short(7), errno.ENOBUFS, Short(1), errno.EINTR, errno.ENOMEM, on=ACCEPTED)
-        client.ask(1)
-        await rig.serve(1)
-        await rig.until(client.finished)
-        assert client.answers() == RESULT
+    async def scenario(loopback: Loopback) -> None:
+        client = loopback.client()
+        await loopback.until(lambda: client.responses() == GREETED)
+        loopback.faults.plan(
+            "send", Short(7), errno.ENOBUFS, Short(1), errno.EINTR, errno.ENOMEM, on=ACCEPTED
+        )
+        client.send_query(1)
+        await loopback.serve(1)
+        await loopback.until(client.finished)
+        assert client.responses() == RESULT
 
-    play(story)
+    run_scenario(scenario)
 
 
 def unreached() -> None:
-    async def story(rig: Loopback) -> None:
-        rig.faults.plan("connect", errno.EHOSTUNREACH, on=MADE)
-        client = rig.client()
-        client.ask(1, "load")
-        await rig.serve(1)
-        await rig.until(client.finished)
-        assert rig.asked() == [REF % 1] and rig.counts["attempts_connect_failed"] == 1
+    async def scenario(loopback: Loopback) -> None:
+        loopback.faults.plan("connect", errno.EHOSTUNREACH, on=MADE)
+        client = loopback.client()
+        client.send_query(1, "load")
+        await loopback.serve(1)
+        await loopback.until(client.finished)
+        assert loopback.request_ids() == [REQUEST_ID % 1] and loopback.counts["attempts_connect_failed"] == 1
 
-    play(story, engines=2)
+    run_scenario(scenario, engines=2)
 
 
 def broken() -> None:
-    async def story(rig: Loopback) -> None:
-        client = rig.client()
-        client.ask(1, "load")
-        await rig.until(lambda: rig.asked() == [REF % 1])
-        rig.faults.plan("recv_into", errno.ETIMEDOUT, on=MADE)
-        next(engine for engine in rig.engines if engine.asked).lines[-1][0].send(b"*")
-        await rig.until(lambda: len(client.answers()) > len(GREETED))
-        await rig.pass_ms(100)
-        assert client.answers() == [*GREETED, "error 1105"] and rig.asked() == [REF % 1]
-
-    play(story, engines=2)
+    async def scenario(loopback: Loopback) -> None:
+        client = loopback.client()
+        client.send_query(1, "load")
+        await loopback.until(lambda: loopback.request_ids() == [REQUEST_ID % 1])
+        loopback.faults.plan("recv_into", errno.ETIMEDOUT, on=MADE)
+        next(engine for engine in loopback.engines if engine.request_ids).connections[-1][0].send(b"*")
+        await loopback.until(lambda: len(client.responses()) > len(GREETED))
+        await loopback.pass_ms(100)
+        assert client.responses() == [*GREETED, "error 1105"] and loopback.request_ids() == [REQUEST_ID % 1]
+
+    run_scenario(scenario, engines=2)
 
 
 ROWS = (
--- a/tests/frontend/test_client_departure.py
+++ b/tests/frontend/test_client_departure.py
@@ -1,4 +1,4 @@
-"""Clients that leave at each moment between their request and its answer: nothing is begun for them."""
+"""Clients that leave at each moment between their request and its answer: nothing is started for them."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
     READ, name="keyed", idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_ms=4000.0
 )
 CLASSES = (READ, LOAD, KEYED)
-FEW = replace(PERMITS, can_cancel=False, has_priorities=False, has_retry_after=False, max_attempts=2)
+FEW_FEATURES = replace(PERMITS, can_cancel=False, has_priorities=False, has_retry_after=False, max_attempts=2)
 SITES = {
     "much allowed": replace(SETTINGS, classes=CLASSES),
-    "little allowed": replace(SETTINGS, classes=CLASSES, features=FEW),
+    "little allowed": replace(SETTINGS, classes=CLASSES, features=FEW_FEATURES),
 }
-LEAVES = {"closes": "c1 close", "kills": "c8 say KILL QUERY 1"}
-NAMES = ("lookup", "load", "keyed")
+DEPARTURES = {"closes": "c1 close", "kills": "c8 say KILL QUERY 1"}
+CLASS_NAMES = ("lookup", "load", "keyed")
 
 
 class Turns(World):
-    """A world in which much can happen before the dispatcher's next turn."""
+    """A world in which several things can happen before the dispatcher's next turn."""
 
-    held = False
+    is_held = False
 
     def wait(self, ms: float) -> None:
-        if not self.held:
+        if not self.is_held:
             super().wait(ms)
 
     def turn_begins(self, who: str, rest: str) -> None:
-        self.held = True
+        self.is_held = True
 
     def turn_decides(self, who: str, rest: str) -> None:
         """The decisions of a turn, before anything is written."""
         self.gateway._step()
 
     def turn_ends(self, who: str, rest: str) -> None:
-        self.held = False
+        self.is_held = False
 
 
-def nothing_left(world: World) -> None:
-    """Nothing is kept for a request that is over, and nothing failed."""
-    left_over(world)
+def assert_nothing_kept(world: World) -> None:
+    """Assert that nothing is kept for a request that is over, and that nothing failed."""
+    assert_no_request_kept(world)
     assert not world.counters.counts["step_faults"] + world.counters.counts["action_faults"], world.log
 
 
-def left_over(world: World) -> None:
-    """Nothing is kept for a request that is over: neither way back, place, room nor turn."""
+def assert_no_request_kept(world: World) -> None:
+    """Assert that a request that is over holds no sink, attempt, capacity or ordering key."""
     world.wait(300)
     gateway, scheduler = world.gateway, world.gateway.scheduler
     assert gateway.open_count == 0 and not gateway.requests
@@ -60,7 +60,7 @@
 
 
 # CLASS is the class of the request and LEAVES what its client does.
-BEGUN_FOR_NOBODY = {
+MOMENTS = {
     "while its request is held": """
         list tell e1 gone
         list tell e2 gone
@@ -163,13 +163,13 @@
 }
 
 
-@pytest.mark.parametrize("leaves", LEAVES)
+@pytest.mark.parametrize("departure", DEPARTURES)
 @pytest.mark.parametrize("site", SITES)
-@pytest.mark.parametrize("name", NAMES)
-@pytest.mark.parametrize("moment", BEGUN_FOR_NOBODY)
-def test_nothing_is_begun_for_a_client_that_left(moment: str, name: str, site: str, leaves: str) -> None:
+@pytest.mark.parametrize("name", CLASS_NAMES)
+@pytest.mark.parametrize("moment", MOMENTS)
+def test_nothing_is_started_for_a_client_that_left(moment: str, name: str, site: str, departure: str) -> None:
     world = Turns(SITES[site])
     for client in ("c1", "c8", "c9"):
         world.client(client)
-    world.run(BEGUN_FOR_NOBODY[moment].replace("CLASS", name).replace("LEAVES", LEAVES[leaves]))
-    nothing_left(world)
+    world.run(MOMENTS[moment].replace("CLASS", name).replace("LEAVES", DEPARTURES[departure]))
+    assert_nothing_kept(world)
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -1,4 +1,4 @@
-"""Clients that leave, on real sockets: however they end their connection, nothing is begun for them."""
+"""Clients that leave, on real sockets: however they end their connection, nothing is started for them."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 SERVED = [b"served", b"count=1", b"a\tb\tc\n"]
 
 
-class Rig:
-    """A dispatcher's protocols on the event loop: clients on loopback, an engine that comes up when told."""
+class DispatcherSockets:
+    """A dispatcher's protocols on the event loop: clients on loopback, an engine that accepts on demand."""
 
     def __init__(self) -> None:
         self.loop, counters = asyncio.get_running_loop(), Counters()
@@ -41,7 +41,7 @@
         )
         self.engines.connect = self.connect
         self.gateway = Gateway(SITES["little allowed"], 1, clock, self.engines, counters, print)
-        self.front = ClientSessions(self.gateway, clock, counters, Lifecycle(), 64)
+        self.sessions = ClientSessions(self.gateway, clock, counters, Lifecycle(), 64)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.connecting: list[Connection] = []
         self.clients: list[socket.socket] = []
@@ -53,38 +53,38 @@
         self.connecting.append(connection)
         return Stream(self.event_loop.streams, connection, 4096)
 
-    def come_up(self) -> None:
-        """The engine takes the connection that waits for it."""
+    def accept_connect(self) -> None:
+        """The engine accepts the connect that waits for it."""
         connection = self.connecting.pop()
-        near, self.engine = socket.socketpair()
-        near.setblocking(False)
+        dispatcher_end, self.engine = socket.socketpair()
+        dispatcher_end.setblocking(False)
         self.engine.setblocking(False)
         connection.on_connected()
         assert isinstance(connection.stream, Stream)
-        connection.stream.start(near)
+        connection.stream.start(dispatcher_end)
 
     def client(self, *queries: str) -> socket.socket:
         """A client that writes its login and these queries at once, as `CLASS REF`."""
-        far = socket.create_connection(self.listener.getsockname())
-        near, _ = self.listener.accept()
-        near.setblocking(False)
-        self.event_loop.listener.admit(near, self.front.open())
-        far.setblocking(False)
+        client_end = socket.create_connection(self.listener.getsockname())
+        dispatcher_end, _ = self.listener.accept()
+        dispatcher_end.setblocking(False)
+        self.event_loop.listener.admit(dispatcher_end, self.sessions.open())
+        client_end.setblocking(False)
         data = packet(1, LOGIN)
         for query in queries:
             name, ref = query.split()
             text = f"/* service={name},ref={int(ref):016x},allow=20000 */ SELECT a FROM s_7.t"
             data += packet(0, b"\x03" + text.encode())
-        far.send(data)
-        self.clients.append(far)
-        return far
+        client_end.send(data)
+        self.clients.append(client_end)
+        return client_end
 
-    async def until(self, there: Callable[[], object]) -> None:
-        while not there():
+    async def until(self, condition: Callable[[], object]) -> None:
+        while not condition():
             await asyncio.sleep(0)
 
-    def heard(self) -> list[bytes]:
-        """What lies at the engine this very moment, as verb and id."""
+    def received_now(self) -> list[bytes]:
+        """What has reached the engine at this moment, as verb and id."""
         assert self.engine is not None
         try:
             return [b" ".join(words[:2]) for words in RespReader().feed(self.engine.recv(1 << 16))]
@@ -92,107 +92,111 @@
             return []
 
     async def close(self) -> None:
-        for place in list(self.engines.endpoints.values()):
-            for connection in list(place.connections):
+        for endpoint in list(self.engines.endpoints.values()):
+            for connection in list(endpoint.connections):
                 connection.close()
-        for far in self.clients:
-            far.close()
-        for wire in list(self.event_loop.streams):
-            wire.abort()
+        for client_end in self.clients:
+            client_end.close()
+        for stream in list(self.event_loop.streams):
+            stream.abort()
         await asyncio.gather(*self.event_loop.tasks, return_exceptions=True)
         self.listener.close()
         if self.engine is not None:
             self.engine.close()
 
 
-def played(story: Callable[[Rig], Coroutine[Any, Any, None]]) -> None:
-    async def scenario() -> None:
-        rig = Rig()
+def run_scenario(scenario: Callable[[DispatcherSockets], Coroutine[Any, Any, None]]) -> None:
+    async def main() -> None:
+        dispatcher = DispatcherSockets()
         try:
-            await asyncio.wait_for(story(rig), 20)
+            await asyncio.wait_for(scenario(dispatcher), 20)
         finally:
-            await rig.close()
+            await dispatcher.close()
 
-    asyncio.run(scenario())
+    asyncio.run(main())
 
 
-def closes(rig: Rig, client: socket.socket) -> None:
+def close_socket(dispatcher: DispatcherSockets, client: socket.socket) -> None:
     client.close()
 
 
-def resets(rig: Rig, client: socket.socket) -> None:
+def reset_socket(dispatcher: DispatcherSockets, client: socket.socket) -> None:
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
 
 
-def sends_no_more(rig: Rig, client: socket.socket) -> None:
-    """It may still read, but can't be told from one that has gone; it is owed nothing, as at any server."""
+def shut_down_writing(dispatcher: DispatcherSockets, client: socket.socket) -> None:
+    """It may still read, but looks like one that has closed; it is owed nothing, as at any server."""
     client.shutdown(socket.SHUT_WR)
 
 
-def kills(rig: Rig, client: socket.socket) -> None:
-    number = min(rig.front.sessions)
-    rig.client().send(packet(0, b"\x03KILL QUERY %d" % number))
+def kill_query(dispatcher: DispatcherSockets, client: socket.socket) -> None:
+    number = min(dispatcher.sessions.sessions)
+    dispatcher.client().send(packet(0, b"\x03KILL QUERY %d" % number))
 
 
-LEAVES = [closes, resets, sends_no_more, kills]
+DEPARTURES = [close_socket, reset_socket, shut_down_writing, kill_query]
 
 
-@pytest.mark.parametrize("leaves", LEAVES)
+@pytest.mark.parametrize("depart", DEPARTURES)
 @pytest.mark.parametrize("name", ["lookup", "load", "keyed"])
-def test_nothing_is_begun_for_a_client_that_left_during_a_connect(
-    name: str, leaves: Callable[[Rig, socket.socket], None]
+def test_nothing_is_started_for_a_client_that_left_during_a_connect(
+    name: str, depart: Callable[[DispatcherSockets, socket.socket], None]
 ) -> None:
-    async def story(rig: Rig) -> None:
-        client = rig.client(f"{name} 1")
-        await rig.until(lambda: rig.connecting)
-        leaves(rig, client)
-        await rig.until(lambda: not rig.gateway.open_count)
-        rig.come_up()
-        await rig.until(lambda: not rig.gateway.requests and not rig.gateway.scheduler.queries)
-        assert rig.heard() == []
+    async def scenario(dispatcher: DispatcherSockets) -> None:
+        client = dispatcher.client(f"{name} 1")
+        await dispatcher.until(lambda: dispatcher.connecting)
+        depart(dispatcher, client)
+        await dispatcher.until(lambda: not dispatcher.gateway.open_count)
+        dispatcher.accept_connect()
+        await dispatcher.until(
+            lambda: not dispatcher.gateway.requests and not dispatcher.gateway.scheduler.queries
+        )
+        assert dispatcher.received_now() == []
 
-    played(story)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("leaves", [closes, resets, sends_no_more])
-def test_an_end_behind_commands_that_were_written_ahead_is_seen(
-    leaves: Callable[[Rig, socket.socket], None],
+@pytest.mark.parametrize("depart", [close_socket, reset_socket, shut_down_writing])
+def test_a_close_after_pipelined_commands_is_noticed(
+    depart: Callable[[DispatcherSockets, socket.socket], None],
 ) -> None:
-    async def story(rig: Rig) -> None:
-        client = rig.client("load 1", "load 2", "lookup 3")
-        leaves(rig, client)
-        await rig.until(lambda: rig.connecting or not rig.front.sessions)
-        await rig.until(lambda: not rig.gateway.open_count and not rig.front.sessions)
-        if rig.connecting:
-            rig.come_up()
-            await rig.until(lambda: not rig.gateway.requests and not rig.gateway.scheduler.queries)
-            assert rig.heard() == []
-
-    played(story)
-
-
-@pytest.mark.parametrize("leaves", LEAVES)
-def test_an_answer_that_meets_the_end_of_its_client_harms_nobody(
-    leaves: Callable[[Rig, socket.socket], None],
+    async def scenario(dispatcher: DispatcherSockets) -> None:
+        client = dispatcher.client("load 1", "load 2", "lookup 3")
+        depart(dispatcher, client)
+        await dispatcher.until(lambda: dispatcher.connecting or not dispatcher.sessions.sessions)
+        await dispatcher.until(lambda: not dispatcher.gateway.open_count and not dispatcher.sessions.sessions)
+        if dispatcher.connecting:
+            dispatcher.accept_connect()
+            await dispatcher.until(
+                lambda: not dispatcher.gateway.requests and not dispatcher.gateway.scheduler.queries
+            )
+            assert dispatcher.received_now() == []
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("depart", DEPARTURES)
+def test_an_answer_that_crosses_its_clients_close_harms_nobody(
+    depart: Callable[[DispatcherSockets, socket.socket], None],
 ) -> None:
-    """The answer is with the system before the end is read; another client's request is still served."""
-
-    async def story(rig: Rig) -> None:
-        client = rig.client("load 1")
-        await rig.until(lambda: rig.connecting)
-        rig.come_up()
-        await rig.until(rig.heard)
-        assert rig.engine is not None
-        rig.engine.send(encode_array(b"%016x" % 1, *SERVED))
-        leaves(rig, client)
-        await rig.until(lambda: not rig.gateway.requests)
-        other = rig.client("load 2")
-        await rig.until(rig.heard)
-        rig.engine.send(encode_array(b"%016x" % 2, *SERVED))
+    """The answer has arrived before the close is read; another client's request is still served."""
+
+    async def scenario(dispatcher: DispatcherSockets) -> None:
+        client = dispatcher.client("load 1")
+        await dispatcher.until(lambda: dispatcher.connecting)
+        dispatcher.accept_connect()
+        await dispatcher.until(dispatcher.received_now)
+        assert dispatcher.engine is not None
+        dispatcher.engine.send(encode_array(b"%016x" % 1, *SERVED))
+        depart(dispatcher, client)
+        await dispatcher.until(lambda: not dispatcher.gateway.requests)
+        other = dispatcher.client("load 2")
+        await dispatcher.until(dispatcher.received_now)
+        dispatcher.engine.send(encode_array(b"%016x" % 2, *SERVED))
         data = b""
         while not (data.endswith(EOF) and b"\x01a\x01b\x01c" in data):
-            data += await rig.loop.sock_recv(other, 4096)
-        assert rig.gateway.open_count == 0
+            data += await dispatcher.loop.sock_recv(other, 4096)
+        assert dispatcher.gateway.open_count == 0
 
-    played(story)
+    run_scenario(scenario)
--- a/tests/frontend/test_slow_readers.py
+++ b/tests/frontend/test_slow_readers.py
@@ -1,6 +1,6 @@
-"""Clients that don't read, stop in mid-packet or send all at once cost little memory each.
+"""Clients that do not read, stop within a packet or send everything at once cost little memory each.
 
-What is held for one is what it sent and is not answered yet, what waits to be written, and as much again that
+A session holds what its client sent and is not answered yet, what waits to be written, and as much again that
 the stream took to write last.
 """
 
@@ -14,7 +14,7 @@
 from cottonhold.frontend.mysql_session import Session
 from tests.support.scenario import LOGIN, World, packet
 
-MOST_OF_ONE = 240 * 1024  # bytes, with the longest result under way
+MAX_SESSION_BYTES = 240 * 1024  # bytes, with the longest result under way
 ROWS = "/".join(["a" * 50 + "|" + "b" * 50 + "|" + "c" * 50] * 38) + "/"  # a page of nearly 6,000 bytes
 PING = packet(0, b"\x0e")
 LONG = packet(0, b"\x03SELECT " + b"x" * 4000)
@@ -30,7 +30,7 @@
 }
 
 
-def held(session: Session) -> int:
+def held_bytes(session: Session) -> int:
     """The bytes that a session holds."""
     waiting = sum(len(payload) for _, payload, _ in session.commands)
     return len(session.buffer) + waiting + len(session.output)
@@ -41,27 +41,27 @@
 
 
 @pytest.mark.parametrize("parts", PARTS.values(), ids=PARTS)
-def test_one_that_never_reads(parts: list[bytes]) -> None:
-    """It is served up to the bound, and from then on told to go or not read on."""
+def test_memory_of_a_client_that_never_reads_is_bounded(parts: list[bytes]) -> None:
+    """It is served up to the bound; after that its connection is closed or not read any more."""
     world = World()
-    session, most = world.sessions.open(), 0
+    session, max_held = world.sessions.open(), 0
     session.receive(packet(1, LOGIN))
-    taken = 0
+    taken_bytes = 0
     for number, part in enumerate(repeated(parts)):
         session.receive(part)
-        most = max(most, held(session))
-        taken = max(taken, len(session.take_output())) if number == 100 else taken
+        max_held = max(max_held, held_bytes(session))
+        taken_bytes = max(taken_bytes, len(session.take_output())) if number == 100 else taken_bytes
         if session.is_closing:
             break
         if number % 1000 == 0:
             world.wait(0)
-    assert taken + most < MOST_OF_ONE
+    assert taken_bytes + max_held < MAX_SESSION_BYTES
     world.wait(1500.0)
     assert session.is_closing and not world.counters.counts["action_faults"]
 
 
-def test_results_that_nobody_reads() -> None:
-    """Sixteen queries at once: each next one is taken only once the results before have been written."""
+def test_pipelined_queries_wait_until_earlier_results_are_read() -> None:
+    """Sixteen queries at once: each is accepted only once the results before it have been written."""
     world = World().run(
         "c1 query lookup r1\ne1 expect GET r1 *\ne1 send r1 served count=1 a|b|c/\nc1 expect rows *"
     )
@@ -70,17 +70,20 @@
     session.receive(b"".join(packet(0, b"\x03" + (text % n).encode()) for n in range(16, 32)))
     world.wait(0)
     served = 0
-    while asked := [
-        (line, words[1]) for line in world.engine_streams for words in line.received if words[0] == b"GET"
+    while requests := [
+        (stream, words[1])
+        for stream in world.engine_streams
+        for words in stream.received
+        if words[0] == b"GET"
     ]:
-        line, ref = asked[0]
-        line.received.clear()
-        world.run(f"{line.engine} send {ref.decode()} served count=8 {ROWS}")
+        stream, request_id = requests[0]
+        stream.received.clear()
+        world.run(f"{stream.engine} send {request_id.decode()} served count=8 {ROWS}")
         for page in range(1, 8):
-            world.run(f"{line.engine} send {ref.decode()} rows pos={page} {ROWS}")
+            world.run(f"{stream.engine} send {request_id.decode()} rows pos={page} {ROWS}")
         served += 1
-        assert held(session) < MOST_OF_ONE / 2
+        assert held_bytes(session) < MAX_SESSION_BYTES / 2
     assert served == 1 and len(session.commands) == 15 and not session.is_closing
     while session.take_output():  # once it reads, the next one is taken
         world.wait(0)
-    assert len([1 for line in world.engine_streams for words in line.received if words[0] == b"GET"]) == 1
+    assert len([1 for stream in world.engine_streams for words in stream.received if words[0] == b"GET"]) == 1
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -126,7 +126,7 @@
     World().run(script)
 
 
-def test_one_that_leaves_does_not_come_back_and_stays_drained() -> None:
+def test_a_shutdown_cannot_be_undone_and_keeps_a_drain() -> None:
     lifecycle = Lifecycle()
     assert lifecycle.drain(0.0) and not lifecycle.drain(50.0) and lifecycle.draining_since == 0.0
     assert lifecycle.restore() and lifecycle.restore() and lifecycle.phase() is Phase.SERVING
@@ -213,7 +213,7 @@
         (FAIL[:-1], ""),
     ],
 )
-def test_a_call_has_one_answer_however_it_is_cut(text: bytes, status: str, size: int) -> None:
+def test_a_call_gets_one_response_however_its_bytes_are_split(text: bytes, status: str, size: int) -> None:
     if size < 3 and len(text) > 20000:
         pytest.skip("the same at greater length")
     caller = Caller(calls(World()).open())
@@ -237,7 +237,7 @@
     assert [ask("POST", "/healthcheck/ok"), ask("POST", "/healthcheck/fail")] == ["409", "200"]
 
 
-def test_slow_callers_are_told_so_and_cost_the_others_nothing() -> None:
+def test_slow_callers_time_out_without_blocking_others() -> None:
     world = World()
     shared = calls(world, most=2)
     silent, half = Caller(shared.open()), Caller(shared.open())
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize("held", ["unread", "unwritten"])
-def test_a_call_that_has_come_is_answered_where_another_needs_its_place(held: str) -> None:
+def test_a_received_call_is_answered_before_its_connection_is_evicted(held: str) -> None:
     """Whether its bytes lie unread or its answer waits for the next turn, it must not be cut off."""
 
     async def scenario() -> bytes:
@@ -281,14 +281,14 @@
 
 
 @pytest.mark.parametrize("text", ["nowhere", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:99999"])
-def test_an_address_for_the_calls_that_is_none_is_named(text: str) -> None:
+def test_an_invalid_admin_address_is_named(text: str) -> None:
     with pytest.raises(WireError, match="field 'ops': .* is no address"):
         decode({**SOURCE, "ops": text}, {}, Counters())
     with pytest.raises(WireError, match="field 'ops': .* is no address"):
         decode(SOURCE, {"RELAY_OPS": text}, Counters())
 
 
-def test_a_listener_that_closes_is_emptied_first() -> None:
+def test_queued_connections_are_accepted_before_a_listener_closes() -> None:
     """What waits in the queue of a listener that closes is reset, with its request written."""
 
     async def scenario() -> int:
--- a/tests/node/test_engine_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("state", LEFT)
 @pytest.mark.parametrize("cross", [before_the_step, after_the_step, in_the_connect])
-def test_nothing_is_sent_to_an_engine_that_leaves_in_the_moment_of_a_send(
+def test_nothing_is_sent_to_an_engine_that_leaves_while_a_request_is_being_sent(
     cross: Callable[[World, Callable[[], None]], None], state: str
 ) -> None:
     """Whichever engine the query was for, both are told to leave but one that comes in the same change."""
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("together", [True, False])
-def test_a_new_engine_at_the_address_of_one_that_goes_gets_a_connection_of_its_own(together: bool) -> None:
+def test_a_new_engine_at_a_removed_engines_address_gets_its_own_connection(together: bool) -> None:
     """The old one's answer to what was out may still come, and counts once."""
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *")
     gone, new = Engine("a", state=EngineState.REMOVED), Engine("fresh", started_at=900.0)
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("started", [0.0, 1200.0])
-def test_a_drained_engine_that_is_ready_again_gets_work_again(started: float) -> None:
+def test_a_drained_engine_back_in_service_gets_requests_again(started: float) -> None:
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining")
     world.run(f"c2 query lookup r2\ntime wait 300\ne1 expect nothing\ne1 send r1 {SERVED}")
     world.gateway.on_engine_list(EngineListChange((Engine("a", started_at=started),), {}, is_complete=False))
@@ -128,7 +128,7 @@
     ],
 )
 @pytest.mark.parametrize("one_by_one", [True, False])
-def test_events_that_come_together_say_what_they_say_one_by_one(
+def test_batched_events_have_the_same_result_as_single_ones(
     events: list[list[tuple[str, ServiceStatus]]], state: dict[str, str], one_by_one: bool
 ) -> None:
     """All at one address: the last word on each engine counts."""
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -275,13 +275,13 @@
         "served count=2 a|b|c/\ne1 send r1 rows pos=1 a|b|c",
     ],
 )
-def test_a_spoilt_answer_is_seen_before_the_first_row_and_becomes_another_attempt(answer: str) -> None:
+def test_a_malformed_answer_is_detected_before_the_first_row_and_retried(answer: str) -> None:
     world = World().run(f"c1 query lookup r1\ne1 expect GET *\ne1 send r1 {answer}\nc1 expect nothing")
     assert world.engine_streams[0].connection.is_closed
     world.run("e2 expect GET r1 *\ne2 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
 
 
-def test_a_probe_on_a_silent_connection_is_asked_again_on_a_new_one() -> None:
+def test_a_health_check_on_a_silent_connection_is_repeated_on_a_new_one() -> None:
     world = World(engines="a")
     world.run("e1 will mute\nc1 query lookup r1\ne1 expect GET *")
     told = list[Outcome]()
@@ -294,7 +294,7 @@
     assert world.engine_streams[0].connection.is_closed and not world.engine_streams[1].connection.is_closed
 
 
-def test_ids_given_up_are_remembered_for_a_while_only() -> None:
+def test_abandoned_ids_are_kept_in_bounded_number() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     connection = world.engine_streams[0].connection
     connection.abandoned_ids = dict.fromkeys(b"%016x" % n for n in range(1000))
@@ -304,7 +304,7 @@
     assert list(connection.abandoned_ids) == [b"%016x" % n for n in range(1000 - MAX_ABANDONED_IDS, 1000)]
 
 
-def test_engines_that_left_are_forgotten_with_their_connections() -> None:
+def test_removed_engines_are_forgotten_with_their_connections() -> None:
     world = World(engines="a b c").run("c1 query load r1 allow=20000\ne1 expect GET *")
     world.run("list tell e1 gone\ntime wait 500")
     assert len(world.engines.endpoints) == 3
@@ -337,7 +337,7 @@
         ("/* service=lookup,ref=r1,allow=9,dup=2 */ SELECT 1", "dup"),
     ],
 )
-def test_a_field_that_cannot_be_used_is_named(statement: str, named: str) -> None:
+def test_an_invalid_field_is_named(statement: str, named: str) -> None:
     World().run(f"c1 say {statement}\nc1 expect error 1105 *'{named}'*\nc1 send 010000000e\nc1 expect ok")
 
 
@@ -345,7 +345,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
-def test_login_and_first_query_may_come_before_the_greeting_is_read(size: int) -> None:
+def test_login_and_first_query_may_arrive_before_the_greeting_is_read(size: int) -> None:
     world = World()
     client = world.clients["c1"] = Client(world.sessions.open())
     data = packet(1, LOGIN) + QUERY
@@ -368,7 +368,7 @@
         ((MAX_PACKET_BYTES + 1).to_bytes(3, "little") + b"\x01", 1153),
     ],
 )
-def test_a_bad_login_is_told_why_and_closed(data: bytes, error: int) -> None:
+def test_a_rejected_login_gets_its_error_and_is_closed(data: bytes, error: int) -> None:
     world = World()
     client = world.clients["c1"] = Client(world.sessions.open())
     client.take()
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", HELLO[:20], HELLO, HELLO + QUERY[:30], HELLO + QUERY[:3]])
-def test_a_client_that_sends_nothing_whole_is_told_and_closed_within_3_s(data: bytes) -> None:
+def test_a_client_without_a_complete_packet_gets_an_error_and_is_closed_within_3_s(data: bytes) -> None:
     world = World()
     session = world.sessions.open()
     world.wait(500)
@@ -390,7 +390,7 @@
     assert session.is_closing and b"\xff\x87\x04#08S01" in session.take_output()
 
 
-def test_a_slow_request_and_a_short_pause_are_no_reason_to_close() -> None:
+def test_slow_requests_and_short_pauses_keep_a_connection_open() -> None:
     world = World().run("c1 query load r1 allow=20000\ne1 expect GET *\ntime wait 9000\nc1 expect nothing")
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c\ntime wait 4500")
     assert not world.clients["c1"].session.is_closing
@@ -398,7 +398,7 @@
 
 
 @pytest.mark.parametrize(("price", "least", "most"), [(0.0, 8, 12), (0.06, 1, 1)])
-def test_signs_of_life_keep_within_what_they_may_cost(price: float, least: int, most: int) -> None:
+def test_liveness_checks_stay_within_their_budget(price: float, least: int, most: int) -> None:
     """Without a budget most connections of a busy fleet would get liveness checks again and again."""
     world = World()
     world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=price)
@@ -406,7 +406,7 @@
     assert least <= world.counters.counts["probes_sent"] <= most
 
 
-def test_the_connection_that_has_been_silent_longest_is_asked_first() -> None:
+def test_the_longest_silent_connection_is_checked_first() -> None:
     world = World(engines="a b")
     world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=0.06)
     world.engines.liveness_budget.available = 0.0
@@ -416,7 +416,7 @@
     world.run("time wait 1000\nc1 expect error 1105 *may have run*\nc2 expect nothing")
 
 
-def test_connections_that_only_take_descriptors_make_room_in_order() -> None:
+def test_idle_connections_are_evicted_in_order() -> None:
     """Those that have sent nothing, then the longest idle, then those that stopped in mid-packet."""
     world = World(sockets=64).run("""
         c1 query lookup r1
@@ -441,20 +441,20 @@
     assert world.sessions.evicted_count == 0
 
 
-def test_results_longer_than_255_packets_wrap_their_numbers() -> None:
+def test_sequence_numbers_wrap_in_results_of_more_than_255_packets() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     world.run("e1 send r1 served count=1 " + "a|b|c/" * 300)
     assert world.clients["c1"].received == ["rows " + "/".join(["a|b|c"] * 300)]
 
 
-def test_long_rows_and_empty_cells_are_encoded_as_well() -> None:
+def test_long_rows_and_empty_cells_are_encoded() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     wide = "x" * 120
     world.run(f"e1 send r1 served count=1 ||/{wide}|{wide}|y/{'z' * 249}||/a|b|c/")
     assert world.clients["c1"].received == [f"rows ||/{wide}|{wide}|y/{'z' * 249}||/a|b|c"]
 
 
-def test_a_fault_in_a_decision_fails_its_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_scheduler_fault_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     step = world.gateway.scheduler.step
 
@@ -467,7 +467,7 @@
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
 
 
-def test_a_session_that_is_not_read_is_served_no_further() -> None:
+def test_a_session_whose_output_is_not_read_is_not_served_further() -> None:
     world = World().run("c1 send 010000000e\nc1 expect ok")
     session = world.clients["c1"].session
     session.output += bytes(300 * 1024)
@@ -480,7 +480,7 @@
     assert world.clients["c1"].received == ["ok"]
 
 
-def test_what_waits_on_one_connection_is_bounded_in_bytes() -> None:
+def test_queued_commands_of_one_connection_are_bounded_in_bytes() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     session = world.clients["c1"].session
     for _ in range(8):
@@ -488,7 +488,7 @@
     assert session.is_closing and not session.commands and len(session.buffer) <= 2 * MAX_PACKET_BYTES
 
 
-def test_leaving_answers_what_is_open_then_closes() -> None:
+def test_shutdown_answers_open_requests_then_closes() -> None:
     world = World().run("c1 query load r1 allow=20000\ne1 expect GET *\nc2 send 010000000e")
     world.run("ops leave")
     world.wait(SHUTDOWN_ACCEPT_CLIENTS_MS + CHECK_INTERVAL_MS)
@@ -497,7 +497,7 @@
     assert world.gateway.open_count == 0
 
 
-def test_leaving_ends_every_request_before_the_kill_and_speeds_what_is_out() -> None:
+def test_shutdown_ends_every_request_before_sigkill_and_raises_priorities() -> None:
     """No request may still be queued, or begun late, when SIGKILL comes."""
     key = "lookup=7f3a9c21e0b4d655 allow=20000"
     world = World(engines="a").run(
@@ -512,7 +512,7 @@
 
 
 @pytest.mark.parametrize("idle_ms", [400.0, 1500.0, 2000.0, 15000.0])
-def test_a_connection_is_used_again_unless_its_engine_may_be_closing_it(idle_ms: float) -> None:
+def test_a_connection_is_reused_unless_its_engine_may_be_closing_it(idle_ms: float) -> None:
     """Engines may close idle connections after less than the margin's 2 s."""
     world = World(engines="a")
     world.engines.settings = dataclasses.replace(world.engines.settings, idle_timeout_ms=idle_ms)
@@ -527,7 +527,7 @@
 
 
 @pytest.mark.parametrize("digits", [10, 11, 5000])
-def test_a_kill_of_a_number_that_no_session_can_have_is_an_error_and_no_more(digits: int) -> None:
+def test_a_kill_of_an_impossible_connection_id_is_only_an_error(digits: int) -> None:
     """Beyond 4,300 digits the number could not be read: the session was closed, with what it was owed."""
     world = World().run(f"c1 say KILL QUERY {'9' * digits}\nc1 expect error * *\nc1 query lookup r1")
     world.run("e1 expect GET r1 *\ne1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("gone", ["given up", "closed", "cut by the other side"])
-def test_what_was_told_as_never_sent_is_never_written(gone: str) -> None:
+def test_an_attempt_reported_as_unsent_is_never_written(gone: str) -> None:
     """It waits for the stream's write as its connection ends."""
     world, ends = World(engines="a"), list[Outcome]()
     world.gateway.on_attempt_ended = lambda attempt, event: ends.append(event.outcome)  # type: ignore[method-assign]
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -10,16 +10,16 @@
 from cottonhold.config.relay import load
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import DeduplicationScope, Idempotency, Rules
-from tests.frontend.test_client_departure import NAMES, SITES, Turns, nothing_left
+from tests.frontend.test_client_departure import CLASS_NAMES, SITES, Turns, assert_nothing_kept
 from tests.node.test_small_parts import write
 from tests.support.scenario import READ, SETTINGS, World
 
 
 @pytest.mark.parametrize("site", SITES)
-@pytest.mark.parametrize("name", NAMES)
+@pytest.mark.parametrize("name", CLASS_NAMES)
 @pytest.mark.parametrize("copies", [1, 2])
 @pytest.mark.parametrize("again", ["overload", "crashed", "nobody", "served count=1 x|y|z/"])
-def test_a_copy_of_the_answer_to_an_attempt_is_no_answer_to_the_next(
+def test_a_duplicate_answer_to_an_attempt_does_not_answer_the_next(
     again: str, copies: int, name: str, site: str
 ) -> None:
     """On one engine alone, so that the next attempt goes there too."""
@@ -31,7 +31,7 @@
         world.run(f"e1 send r1 {again}\nc1 expect nothing\ntime wait 1500\nany nothing there")
     number = world.engine_streams.index(second) + 1
     world.run(f"e1.{number} send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
-    nothing_left(world)
+    assert_nothing_kept(world)
 
 
 WINDOW_MS = 1000.0
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize(("group", "answer"), [("all", "1226"), ("zone", "1105"), ("cell", "1105")])
 @pytest.mark.parametrize(("comes_up", "goes_out"), [(980, True), (1000, False), (1040, False)])
-def test_a_repeat_begins_within_the_window_however_long_its_connect_takes(
+def test_a_retry_begins_within_the_deduplication_window_however_long_its_connect_takes(
     comes_up: int, goes_out: bool, group: str, answer: str
 ) -> None:
     """Counted from the first attempt that may have run, up to the first byte of the next one."""
@@ -63,7 +63,7 @@
         world.run("e2 expect GET r1 *\nc1 expect nothing")
     else:
         world.run(f"any nothing there\nc1 expect error {answer} *\ntime wait 2000\nany nothing there")
-        nothing_left(world)
+        assert_nothing_kept(world)
 
 
 SPAN_MS = 1000.0
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("connect", [0, 240])
 @pytest.mark.parametrize("gap", [300, 980, 1020, 1200, 1270, 1600])
-def test_no_two_further_attempts_begin_within_the_span_of_an_allowance_of_one(gap: int, connect: int) -> None:
+def test_a_retry_budget_of_one_allows_no_two_retries_within_its_window(gap: int, connect: int) -> None:
     """Counted when they begin, which a connect puts off."""
     rules = Rules(retry_budget_free=1, retry_budget_share=0.0, retry_budget_window_ms=SPAN_MS)
     few = replace(SETTINGS.features, can_cancel=False)
@@ -89,7 +89,7 @@
         world.run("c2 expect error 1226 *")
 
 
-def test_the_settings_of_a_dispatcher_say_how_late_an_attempt_may_begin(tmp_path: Path) -> None:
+def test_settings_hold_the_longest_time_of_a_connect(tmp_path: Path) -> None:
     config = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
     assert config.settings.max_connect_ms == config.connections.connect_timeout_ms > 0
 
@@ -106,7 +106,7 @@
         "nobody -",
     ],
 )
-def test_a_late_first_answer_beside_a_second_attempt_is_passed_over(late: str, before: bool) -> None:
+def test_a_late_answer_to_a_cancelled_attempt_is_ignored(late: str, before: bool) -> None:
     """The first one was given up as it took far longer than planned."""
     world = Turns(SITES["much allowed"])
     world.run("c1 query lookup r1 effort=20.0\ne1 expect GET r1 *\ntime wait 200\ne1 expect DROP r1")
@@ -115,12 +115,12 @@
         world.run(f"e1 send r1 {late}\nc1 expect nothing")
     world.run("e2 send r1 rows pos=1 d|e|f/\nc1 expect rows a|b|c/d|e|f\ne2 expect CLOSE r1")
     world.run(f"e1 send r1 {late}\ne2 send r1 {late}\nc1 expect nothing\nany nothing there")
-    nothing_left(world)
+    assert_nothing_kept(world)
     world.run("c1 query lookup r2\nany expect GET r2 *")
 
 
 @pytest.mark.parametrize("most", [1, 2, 3])
-@pytest.mark.parametrize("name", NAMES)
+@pytest.mark.parametrize("name", CLASS_NAMES)
 def test_no_request_has_more_attempts_than_the_settings_allow(name: str, most: int) -> None:
     """Each is turned away, so that each could go out again."""
     site = SITES["little allowed"]
@@ -131,4 +131,4 @@
         assert line.received.pop()[0] == b"GET" and not line.received
         world.run(f"c1 expect nothing\n{line.engine} send r1 overload -")
     world.run("c1 expect error 1226 *\ntime wait 1000\nany nothing there")
-    nothing_left(world)
+    assert_nothing_kept(world)
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -15,7 +15,7 @@
 from cottonhold.node.load_guard import LoadOutcome, LoadOutcomeCallback
 from cottonhold.scheduler.actions import Action, Reject, Send
 from cottonhold.scheduler.events import Event, Outcome
-from tests.frontend.test_client_departure import SITES, Turns, left_over
+from tests.frontend.test_client_departure import SITES, Turns, assert_no_request_kept
 from tests.node.test_load_guard import Guard
 
 BAD = f"{9:016x}"
@@ -59,7 +59,7 @@
         assert not [q for e in scheduler.engines.values() for q in (*e.in_flight.values(), *e.plan)]
 
 
-def test_an_arrival_that_fails_ends_that_request_and_the_others_go_out() -> None:
+def test_a_fault_in_an_arrival_fails_only_that_request() -> None:
     world = Faulty("QueryArrived")
     world.run("""
         turn begins now
@@ -77,7 +77,7 @@
     world.settled()
 
 
-def test_a_change_of_the_list_behind_a_fault_still_holds() -> None:
+def test_an_engine_list_change_after_a_fault_still_applies() -> None:
     world = Faulty("QueryArrived")
     world.run("""
         c1 query lookup r1
@@ -97,7 +97,7 @@
     world.settled()
 
 
-def test_an_end_that_fails_ends_that_request_and_frees_what_it_held() -> None:
+def test_a_fault_in_an_attempts_end_fails_its_request_and_frees_its_ordering_key() -> None:
     world = Faulty("AttemptEnded")
     world.run("""
         c9 query load r9 lookup=k1
@@ -113,7 +113,7 @@
     world.settled()
 
 
-def test_a_request_that_was_lost_by_a_fault_fails_in_time() -> None:
+def test_a_request_lost_by_a_fault_fails_by_its_deadline() -> None:
     world = Faulty("")
     world.run("list tell e1 gone\nlist tell e2 gone\nc1 query lookup r1 allow=1000\nc1 expect nothing")
     world.gateway.scheduler.queries.clear()
@@ -124,7 +124,7 @@
     world.settled()
 
 
-def test_what_is_held_is_answered_in_time_though_the_step_behind_it_failed() -> None:
+def test_a_queued_request_is_answered_in_time_after_a_failed_step() -> None:
     """The scheduler had not asked to be woken: on a quiet process nothing came of the request any more."""
     world = Faulty("")
     world.run("list tell e1 gone\nlist tell e2 gone\nc1 query lookup r1 allow=1000\nc1 expect nothing")
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize(("name", "allow"), [("send", 5000), ("_reject", 20)])
-def test_an_action_that_fails_ends_its_request_only(
+def test_a_failed_action_ends_only_its_request(
     name: str, allow: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = Faulty("")
@@ -185,7 +185,7 @@
     "fails", ["on_load_arrived", "before_attempt_sent", "on_attempt_ended", "on_request_closed"]
 )
 @pytest.mark.parametrize("end", ["served", "overload", "reset", "left"])
-def test_a_fault_of_who_keeps_loads_costs_no_request_its_answer(fails: str, end: str) -> None:
+def test_a_load_guard_fault_costs_no_request_its_answer(fails: str, end: str) -> None:
     world = Turns(SITES["much allowed"])
     world.gateway.notifications.load_guard = BrokenWatch(fails)
     world.run("c1 query load r1 allow=1000,effort=20.0")
@@ -200,12 +200,12 @@
         world.run("e1 expect GET r1 *\ne1 close\nc1 expect error 1105 *")
     else:
         world.run("e1 expect GET r1 *\nc1 close\ne1 send r1 served count=1 a|b|c/")
-    left_over(world)
+    assert_no_request_kept(world)
     world.run("c2 query lookup r2\nany expect GET r2 *")
     assert world.counters.counts["watch_faults"] + world.counters.counts["action_faults"]
 
 
-def test_a_fault_in_looking_after_one_engine_leaves_the_others_looked_after(
+def test_a_fault_in_checking_one_engine_leaves_the_others_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = Turns(SITES["little allowed"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
@@ -225,7 +225,7 @@
     assert world.counters.counts["check_faults"]
 
 
-def test_a_fault_in_looking_after_one_client_leaves_the_others_looked_after(
+def test_a_fault_in_checking_one_client_leaves_the_others_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = Turns(SITES["little allowed"])
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -100,7 +100,7 @@
     World().run(script)
 
 
-def test_a_request_whose_attempt_was_out_as_its_time_came_up_is_answered_after_a_change_too() -> None:
+def test_a_request_in_flight_at_a_reload_is_answered_by_its_deadline() -> None:
     """Times are looked at the earlier, the longer a tick is; the change made it a short one."""
     few = dataclasses.replace(PERMITS, can_cancel=False)
     long = dataclasses.replace(SETTINGS, features=few, tick_ms=50.0)
@@ -132,7 +132,7 @@
         ((dataclasses.replace(LOOKUP, deadline_ms=LOOKUP.deadline_ms / 2),), (None,)),
     ],
 )
-def test_what_was_learned_of_a_class_goes_to_no_other(
+def test_a_class_history_is_not_given_to_another_class(
     after: tuple[QueryClass, ...], places: tuple[int | None, ...]
 ) -> None:
     setup = settings(classes=(LOOKUP, LOAD))
@@ -147,7 +147,7 @@
     assert s.class_histories[0].answers_seen == (30 if 0 in places else 0)
 
 
-def test_an_answer_for_a_class_that_is_gone_is_taken_in() -> None:
+def test_an_attempt_of_a_removed_class_may_end() -> None:
     """Also where nothing was learned yet of any class in force."""
     setup = settings(classes=(LOOKUP, LOAD))
     s = Scheduler(setup, 1)
@@ -161,7 +161,7 @@
     assert not s.queries and not s.engines["e1"].in_flight and s.class_histories[0].answers_seen == 0
 
 
-def test_reloads_leave_nothing_behind() -> None:
+def test_repeated_reloads_leak_nothing() -> None:
     setup = settings(classes=(LOOKUP, LOAD))
     s = Scheduler(setup, 1)
     s.step(0.0, [engines("e1", "e2")])
@@ -179,7 +179,7 @@
     )
 
 
-def test_a_process_beside_halves_the_part_of_a_cold_engine() -> None:
+def test_a_sibling_process_halves_the_budget_for_a_warming_engine() -> None:
     """Two processes stand for one gateway, and share what it may send to a cold engine."""
     s = Scheduler(settings(), 1)
     s.step(0.0, [engines("e1")])
@@ -251,7 +251,9 @@
 
 
 @pytest.mark.parametrize("change", BROKEN.values(), ids=BROKEN)
-def test_a_broken_file_changes_nothing(change: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_invalid_file_changes_nothing(
+    change: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def scenario() -> None:
         monkeypatch.setenv("RELAY_CONFIG", write(tmp_path, **GOOD)["RELAY_CONFIG"])
         lines, counters = Lines(), Counters()
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT])
 @pytest.mark.parametrize("allow", [0.0, 20000.0])
 @pytest.mark.parametrize("deadline", DEADLINES)
-def test_engines_that_hang_through_the_whole_end_leave_no_request_without_an_answer(
+def test_every_request_is_answered_at_shutdown_though_engines_hang(
     deadline: float, allow: float, effect: Idempotency
 ) -> None:
     """Clients wait for a deadline, or for longer, as where the settings have become shorter. Seen with fixed
@@ -72,7 +72,9 @@
 
 @pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT])
 @pytest.mark.parametrize("deadline", DEADLINES)
-def test_what_waits_behind_a_request_that_hangs_is_answered_too(deadline: float, effect: Idempotency) -> None:
+def test_requests_queued_behind_a_hanging_one_are_answered_at_shutdown(
+    deadline: float, effect: Idempotency
+) -> None:
     w = world(deadline, effect)
     w.client("c1")
     for ref in range(1, 6):
@@ -85,7 +87,7 @@
     assert w.clients["c1"].session.is_closing
 
 
-def test_a_hang_is_refused_only_where_a_repeat_does_no_harm() -> None:
+def test_a_hanging_request_is_rejected_only_if_it_may_be_repeated() -> None:
     for effect, answer in (
         (Idempotency.IDEMPOTENT, "error 1226 *"),
         (Idempotency.NOT_IDEMPOTENT, "error 1105 *may have run"),
@@ -95,7 +97,7 @@
 
 
 @pytest.mark.parametrize("deadline", DEADLINES)
-def test_the_times_of_the_end_follow_from_the_settings(deadline: float) -> None:
+def test_shutdown_deadlines_follow_from_the_settings(deadline: float) -> None:
     lifecycle = Lifecycle()
     lifecycle.begin_shutdown(1000.0, deadline)
     killed = 1000.0 + killed_in(deadline)
@@ -111,7 +113,7 @@
     assert not lifecycle.accepts_query(1000.0 + COMING_MS, killed + 1.0)
 
 
-def test_a_second_order_or_other_settings_change_nothing() -> None:
+def test_a_second_sigterm_or_a_reload_does_not_postpone_the_shutdown() -> None:
     """A second SIGTERM, or a SIGHUP between two, must not put the end off beyond SIGKILL."""
     lifecycle = Lifecycle()
     lifecycle.begin_shutdown(1000.0, 400.0)
@@ -119,7 +121,7 @@
     assert (lifecycle.shutdown_since, lifecycle.kill_deadline) == (1000.0, 2100.0)
 
 
-def test_a_drain_before_the_end_holds_on_through_it() -> None:
+def test_a_drain_persists_through_shutdown() -> None:
     w = world(400.0).run("ops drain\ntime wait 1600\nops terminate\nc1 query lookup r1 allow=400")
     w.run("c1 expect error 1226 *did not run*\nc1 closing\nc2 send 010000000e\nc2 expect error 1053 *drained")
     assert not w.lifecycle.restore() and not w.lifecycle.is_ready()
@@ -170,7 +172,7 @@
         ([hup, bad_hup, term, hup, term], 400.0),
     ],
 )
-def test_the_first_order_to_end_counts_under_the_settings_then_in_force(
+def test_the_first_sigterm_counts_under_the_settings_in_force(
     signals: list[Callable[[Dispatcher, Path, float], None]],
     deadline: float,
     tmp_path: Path,
@@ -186,7 +188,7 @@
     asyncio.run(scenario())
 
 
-def test_an_order_to_end_before_it_serves_still_lets_clients_in_and_ends(
+def test_a_sigterm_before_serving_still_accepts_clients_and_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The new process of an upgrade may be told so, and connections may have come to it already."""
@@ -211,7 +213,7 @@
 @pytest.mark.parametrize(
     ("deadline", "most"), [(100.0, 500.0), (400.0, 800.0), (25000.0, MAX_NEWER_START_MS)]
 )
-def test_one_that_ends_waits_for_a_newer_process_only_while_it_can_still_end_in_time(
+def test_shutdown_waits_for_a_newer_process_only_while_it_can_end_in_time(
     deadline: float, most: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Clients are accepted no longer than the time of SIGKILL allows."""
@@ -236,7 +238,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-def test_a_seat_that_can_not_be_written_for_a_while_costs_no_service(
+def test_a_slot_that_cannot_be_written_costs_no_service(
     code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Neither the start may fail nor the periodic update of siblings end."""
@@ -262,7 +264,7 @@
 
 
 @pytest.mark.parametrize(("call", "seen"), [("open", []), ("pread", [ProcessRecord(0)])])
-def test_a_seat_that_can_not_be_read_for_a_while_costs_no_service(
+def test_a_slot_that_cannot_be_read_costs_no_service(
     call: str, seen: list[ProcessRecord], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first, second = (SiblingProcesses(str(tmp_path), "here", print) for _ in range(2))
@@ -277,7 +279,7 @@
 
 
 @pytest.mark.parametrize("shared", [False, True])
-def test_small_writes_are_held_back_on_no_socket(shared: bool) -> None:
+def test_no_socket_delays_small_writes(shared: bool) -> None:
     """What the system still holds back is lost with a reset."""
 
     async def scenario() -> None:
--- a/tests/node/test_sibling_process_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("error", ERRORS)
 @pytest.mark.parametrize("call", CALLS)
-def test_a_dispatcher_starts_and_looks_beside(
+def test_a_dispatcher_starts_and_updates_siblings_though_slot_files_fail(
     call: str, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("error", ERRORS)
 @pytest.mark.parametrize("call", CALLS)
-def test_what_fails_later_passes(
+def test_slot_files_are_used_again_after_errors(
     call: str, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     log = list[str]()
@@ -97,7 +97,7 @@
     os.close(second.file)
 
 
-def test_a_record_written_in_part_is_written_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_partly_written_record_is_written_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     log = list[str]()
     first, second = (SiblingProcesses(str(tmp_path), "here", log.append) for _ in range(2))
     whole = os.pwrite
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -45,11 +45,11 @@
         ("SELECT 1", -1),
     ],
 )
-def test_the_group_of_tables_is_found(sql: str, group: int) -> None:
+def test_the_table_group_of_a_statement(sql: str, group: int) -> None:
     assert table_group(sql) == group
 
 
-def test_a_statement_is_passed_on_without_its_fields() -> None:
+def test_a_statement_is_forwarded_without_its_fields() -> None:
     text = b"/* service=load,ref=9B1f03aa5c7e2d41,allow=1500,dup=1,lookup=k */ SELECT /* x */ '\xff'"
     got = parse(text)
     assert (got.body, got.request_id) == (b"SELECT /* x */ '\xff'", "9B1f03aa5c7e2d41")
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 100])
-def test_words_come_whole_however_they_are_cut(size: int) -> None:
+def test_arrays_are_decoded_however_their_bytes_are_split(size: int) -> None:
     data, reader, got = encode_array(b"a", b"", b"x\r\n$1") + encode_array(b"b"), RespReader(), []
     for at in range(0, len(data), size):
         got += reader.feed(data[at : at + size])
@@ -68,7 +68,7 @@
     "data",
     [b"+OK\r\n", b"*x\r\n", b"*99\r\n", b"*1\r\n$99999999\r\n", b"*1\r\n$1\r\nabc", b"*" * 20],
 )
-def test_what_is_no_array_of_words_is_an_error(data: bytes) -> None:
+def test_a_malformed_array_is_an_error(data: bytes) -> None:
     with pytest.raises(RespError):
         RespReader().feed(data)
 
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 50, 1000])
-def test_the_bus_tells_each_change_once(size: int) -> None:
+def test_the_event_stream_reports_each_change_once(size: int) -> None:
     poll, told, _ = bus()
     for _ in range(2):  # the same answer again, as after a broken link
         poll.request()
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize(
     "bad", [{"lifecycle": "Ready"}, {**ENTRY, "lifecycle": "Odd"}, {**ENTRY, "hostPort": "x"}, 7]
 )
-def test_an_entry_that_makes_no_sense_is_passed_over(bad: Any) -> None:
+def test_a_malformed_entry_is_skipped(bad: Any) -> None:
     poll, told, counters = bus()
     assert poll.receive(answer(4, bad, ENTRY))
     assert [e.id for e in told[0].observations] == ["s-1"] and counters.counts["bus_malformed"] == 1
@@ -137,7 +137,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]",
     ],
 )
-def test_a_malformed_answer_of_the_bus_is_survived(data: bytes) -> None:
+def test_the_event_stream_recovers_from_a_malformed_answer(data: bytes) -> None:
     poll, told, counters = bus()
     with pytest.raises(WireError):
         poll.receive(data)
@@ -145,7 +145,7 @@
     assert poll.receive(answer(4, ENTRY)) and len(told) == 1 and counters.counts["bus_malformed"] == 1
 
 
-def test_datagrams_are_known_by_their_sender_and_never_too_long() -> None:
+def test_datagrams_are_identified_by_sender_and_bounded_in_size() -> None:
     peers = PeerDatagrams(
         (Address("127.0.0.1", 1), Address("127.0.0.2", 1)), Address("127.0.0.3", 1), Counters()
     )
@@ -159,7 +159,7 @@
     )
 
 
-def test_a_storm_of_log_lines_is_cut_short(capsys: pytest.CaptureFixture[str]) -> None:
+def test_log_lines_are_rate_limited(capsys: pytest.CaptureFixture[str]) -> None:
     now = [0.0]
     log = Log(lambda: now[0])
     for i in range(1000):
@@ -187,7 +187,7 @@
     return {"RELAY_CONFIG": str(file)}
 
 
-def test_a_configuration_is_read_whole(tmp_path: Path) -> None:
+def test_a_configuration_is_loaded_completely(tmp_path: Path) -> None:
     got = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
     assert (got.event_offset, got.seed, got.initial_reports[0].is_complete) == (1, 0x8C1F30D27A5BE964, True)
     assert (
@@ -198,7 +198,7 @@
 @pytest.mark.parametrize(
     "changes", [{"listen": "nowhere"}, {"bus": None}, {"known": None}, {"settings": {}}, {"seed": "xyz"}]
 )
-def test_a_bad_configuration_is_one_clear_line(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
     environ = {**os.environ, **write(tmp_path, **{"listen": "127.0.0.1:80", **changes})}
     with pytest.raises(ConfigError):
         load(environ, Counters())
@@ -206,7 +206,7 @@
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
 
 
-def test_connections_that_came_together_are_taken_in_one_turn() -> None:
+def test_queued_connections_are_accepted_in_one_turn() -> None:
     async def scenario() -> int:
         world, calls = World(), 0
         event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
@@ -234,7 +234,7 @@
     assert asyncio.run(scenario()) == 2  # the second one waits for more
 
 
-def test_a_crowd_that_asks_once_and_stays_is_taken_in_without_long_pauses(
+def test_a_crowd_of_clients_that_turn_idle_is_accepted_without_long_pauses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Freed places are looked for at once: usual clients must not wait behind a crowd."""
@@ -274,7 +274,7 @@
     assert asyncio.run(scenario()).count(0.02) <= 5
 
 
-def test_what_a_client_sends_after_its_error_is_read_and_dropped() -> None:
+def test_bytes_after_a_protocol_error_are_read_and_discarded() -> None:
     async def scenario() -> bytes:
         loop, world = asyncio.get_running_loop(), World()
         event_loop = EventLoop(loop, Counters(), print)
@@ -302,7 +302,7 @@
     return client.recv(int.from_bytes(head[:3], "little"), socket.MSG_WAITALL)
 
 
-def test_sighup_moves_to_the_new_event_bus_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_follows_the_new_event_stream_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     home = ("127.0.0.1", 0)
     with socket.create_server(home) as first, socket.create_server(home) as second:
         with socket.create_server(home) as spare:
@@ -339,7 +339,7 @@
     assert program.returncode == 0 and "reloads=1 reloads_failed=1" in errors.splitlines()[-1]
 
 
-def test_the_program_serves_and_leaves_in_order(tmp_path: Path) -> None:
+def test_the_program_serves_and_shuts_down(tmp_path: Path) -> None:
     home = ("127.0.0.1", 0)
     with socket.create_server(home) as bus_server, socket.create_server(home) as spare:
         port = spare.getsockname()[1]
--- a/tests/node/test_start_faults.py
+++ b/tests/node/test_start_faults.py
@@ -42,7 +42,9 @@
 
 @pytest.mark.parametrize("error", LACKING)
 @pytest.mark.parametrize(("call", "place"), PLACES)
-def test_what_lacks_for_a_moment_delays_the_start(call: str, place: int, error: int, config: Config) -> None:
+def test_a_brief_lack_of_resources_delays_the_start(
+    call: str, place: int, error: int, config: Config
+) -> None:
     async def scenario() -> None:
         faults = Faults()
         dispatcher = Dispatcher(
@@ -63,7 +65,7 @@
 
 
 @pytest.mark.parametrize(("call", "error"), [*FINAL, *[("socket", error) for error in LACKING]])
-def test_what_can_not_be_had_ends_the_start(
+def test_a_lasting_socket_error_ends_the_start(
     call: str, error: int, config: Config, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("cottonhold.transport.listener.OPEN_TIMEOUT_S", 0.1)
@@ -79,9 +81,7 @@
     assert not faults.open or call == "listen"  # the peers' socket, which has no listen
 
 
-def test_an_address_that_another_program_has_is_named(
-    config: Config, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_an_address_in_use_is_named(config: Config, capsys: pytest.CaptureFixture[str]) -> None:
     faults = Faults()
     faults.plan("bind", OK, OK, errno.EADDRINUSE)
 
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -6,7 +6,7 @@
 
 from cottonhold.node.attempt_sender import RESPONSE_MARGIN_MS
 from cottonhold.node.gateway import EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION
-from tests.frontend.test_client_departure import NAMES, SITES, Turns, nothing_left
+from tests.frontend.test_client_departure import CLASS_NAMES, SITES, Turns, assert_nothing_kept
 
 LITTLE = {
     "with nothing else going on": """
@@ -32,9 +32,9 @@
 
 @pytest.mark.parametrize("left", ["0.1", "0.5", "1", "20", "100"])
 @pytest.mark.parametrize("site", SITES)
-@pytest.mark.parametrize("name", NAMES)
+@pytest.mark.parametrize("name", CLASS_NAMES)
 @pytest.mark.parametrize("moment", LITTLE)
-def test_a_request_with_little_time_left_is_refused_at_once_and_not_sent(
+def test_a_request_with_little_time_left_is_rejected_at_once_and_not_sent(
     moment: str, name: str, site: str, left: str
 ) -> None:
     world = Turns(SITES[site])
@@ -46,7 +46,7 @@
     world.run(LITTLE[moment].replace("CLASS", name).replace("LEFT", left))
     world.run("c1 expect error 1226 *\nany nothing there")
     assert not world.gateway.scheduler.ejected_engines
-    nothing_left(world)
+    assert_nothing_kept(world)
 
 
 def told(world: Turns) -> float:
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("allow", [300, 1000, 3000, 20000])
 @pytest.mark.parametrize("waits", ["for a connect", "behind another one", "after a first attempt"])
-def test_an_engine_is_told_at_most_the_time_that_its_client_has_left(waits: str, allow: int) -> None:
+def test_an_attempts_timeout_is_at_most_its_clients_remaining_time(waits: str, allow: int) -> None:
     """However the request waited: the time counts from its last byte."""
     world = Turns(SITES["little allowed"])
     world.client("c1")
@@ -83,8 +83,8 @@
 
 
 @pytest.mark.parametrize("site", SITES)
-@pytest.mark.parametrize("name", NAMES)
-def test_a_connect_that_outlasts_its_request_says_nothing_of_the_engine(name: str, site: str) -> None:
+@pytest.mark.parametrize("name", CLASS_NAMES)
+def test_a_connect_that_outlasts_its_request_is_no_evidence_against_the_engine(name: str, site: str) -> None:
     """Engines were left for seconds because of one request that could not wait for its connect."""
     world = Turns(SITES[site])
     world.client("c1")
@@ -92,4 +92,4 @@
     world.run(f"e1 will vanish\nc1 query {name} r1 allow=160\nc1 expect nothing\ntime wait 115")
     world.run("c1 expect error 1226 *\nany nothing there")
     assert len(world.engine_streams) == 1 and not world.gateway.scheduler.ejected_engines
-    nothing_left(world)
+    assert_nothing_kept(world)
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -35,7 +35,7 @@
     return {ids.base + 1, ids.base + ids.count}
 
 
-def test_two_processes_see_each_other_and_a_dead_one_leaves_a_free_seat(tmp_path: Path) -> None:
+def test_two_processes_see_each_other_and_a_dead_one_frees_its_slot(tmp_path: Path) -> None:
     first = seats(tmp_path)
     assert first.others() == [] and not first.is_newer_starting()
     second = seats(tmp_path)
@@ -52,13 +52,13 @@
 
 
 @pytest.mark.parametrize("left", [b"", b"CHS1", b"x" * 4096, ProcessRecord(7).encode()])
-def test_a_stale_file_is_a_free_seat_and_its_number_is_not_used_again(tmp_path: Path, left: bytes) -> None:
+def test_a_stale_file_is_a_free_slot_and_its_start_number_is_not_reused(tmp_path: Path, left: bytes) -> None:
     (tmp_path / "cottonhold-here.seat0").write_bytes(left)
     taken = seats(tmp_path)
     assert (taken.slot, taken.record.start_number) == (0, 8 if len(left) == 17 else 1)
 
 
-def test_without_a_folder_that_can_be_written_the_process_serves_and_says_so(tmp_path: Path) -> None:
+def test_without_a_writable_folder_the_process_serves_and_logs_it(tmp_path: Path) -> None:
     log: list[str] = []
     for none in (seats(None, log), seats(tmp_path / "absent", log)):
         none.publish(ProcessRecord(1, 2, 3))
@@ -72,7 +72,7 @@
     assert [s.slot for s in full] == [0, 1, 2, 3, -1] and "all 4 slots are taken" in log[1]
 
 
-def test_ids_of_two_processes_differ() -> None:
+def test_connection_ids_of_two_processes_differ() -> None:
     """A KILL QUERY that reaches the other process must not hit another client's query there."""
     given = [ConnectionIdRange.for_slot(start, seat) for start in (0, 1, 1023) for seat in range(4)]
     assert sorted(b for ids in given for b in span(ids)) == [b for ids in given for b in sorted(span(ids))]
@@ -83,7 +83,7 @@
     assert max(span(ConnectionIdRange.for_process(4194303, 4194304)) | span(given[-1])) < 1 << 32
 
 
-def test_a_kill_that_comes_to_the_wrong_process_hits_nobody(tmp_path: Path) -> None:
+def test_a_kill_at_the_wrong_process_kills_nothing(tmp_path: Path) -> None:
     worlds = [World(), World()]
     for world in worlds:
         world.sessions.connection_ids = seats(tmp_path).connection_ids()
@@ -94,7 +94,7 @@
     assert all(w.clients["c1"].session.request is not None for w in worlds)
 
 
-def test_ids_in_use_are_passed_over_when_they_come_round() -> None:
+def test_connection_ids_in_use_are_skipped_when_they_wrap() -> None:
     world = World()
     front = ClientSessions(
         world.gateway, world.clock, world.counters, world.lifecycle, 99, ConnectionIdRange(1 << 20, 3)
@@ -116,7 +116,9 @@
         ([ProcessRecord(1, 400, 400)], (MIN_QUOTA, MIN_QUOTA)),
     ],
 )
-def test_two_processes_keep_within_one_limit(others: list[ProcessRecord], left: tuple[int, int]) -> None:
+def test_two_processes_keep_within_one_descriptor_limit(
+    others: list[ProcessRecord], left: tuple[int, int]
+) -> None:
     parts = DescriptorQuotas.divide(256)
     beside = parts.remaining_after(others)
     assert (beside.clients, beside.engines) == left
@@ -126,7 +128,7 @@
         assert parts.clients > limit / 3
 
 
-def test_new_connections_and_datagrams_go_to_the_newer_process_and_the_older_can_leave() -> None:
+def test_new_connections_and_datagrams_go_to_the_newer_process_and_the_older_may_close() -> None:
     """SO_REUSEPORT alone divides them, and what waits at the one that closes is reset."""
 
     async def scenario() -> list[int]:
@@ -260,7 +262,7 @@
     asyncio.run(asyncio.wait_for(scenario, 60))
 
 
-def test_three_programs_take_over_from_each_other_and_every_request_is_answered_once(tmp_path: Path) -> None:
+def test_every_request_is_answered_once_through_two_upgrades(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with site(tmp_path, work_ms=300.0) as here:
             await here.start()
@@ -290,7 +292,7 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
-def test_the_one_that_is_left_serves_on(tmp_path: Path, how: signal.Signals) -> None:
+def test_the_remaining_process_serves_on(tmp_path: Path, how: signal.Signals) -> None:
     """The newer one dies, or is told to end first: the older one serves on untouched."""
 
     async def scenario() -> None:
@@ -307,7 +309,7 @@
     run(scenario())
 
 
-def test_one_told_to_end_takes_clients_until_the_newer_one_serves(tmp_path: Path) -> None:
+def test_a_process_shutting_down_accepts_clients_until_the_newer_one_serves(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with site(tmp_path, work_ms=1.0) as here:
             old = await here.start()
@@ -325,7 +327,7 @@
     run(scenario())
 
 
-def test_operators_are_answered_when_clients_and_slow_callers_hold_all_they_can(tmp_path: Path) -> None:
+def test_admin_calls_are_answered_though_clients_and_slow_callers_use_their_quotas(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with site(tmp_path, work_ms=1.0) as here:
             here.limits = {"sockets": 64}
@@ -358,7 +360,7 @@
     return answer
 
 
-def test_an_operators_address_that_is_taken_is_a_clear_error(tmp_path: Path) -> None:
+def test_an_admin_address_in_use_is_a_clear_error(tmp_path: Path) -> None:
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             at = "{}:{}".format(*taken.getsockname())
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("wrong_s", [0.0, 5.0, -5.0, HOUR, -HOUR])
-def test_the_cold_budget_and_deadlines_hold_whatever_the_wall_clock_says(
+def test_warm_up_budget_and_deadlines_hold_whatever_the_wall_clock_shows(
     tmp_path: Path, wrong_s: float
 ) -> None:
     engine = asyncio.run(play(tmp_path, wrong_s, age_s=0.0))
@@ -137,14 +137,14 @@
 
 
 @pytest.mark.parametrize("wrong_s", [0.0, 5.0, -5.0, HOUR, -HOUR])
-def test_an_engine_that_began_a_day_ago_is_not_held_back(tmp_path: Path, wrong_s: float) -> None:
+def test_an_engine_started_a_day_ago_is_not_limited(tmp_path: Path, wrong_s: float) -> None:
     engine = asyncio.run(play(tmp_path, wrong_s, age_s=DAY))
     assert len(engine.told) > COLD
     assert all(0 < ms <= ALLOW_MS for ms in engine.told)
 
 
 @pytest.mark.parametrize("step_s", [5.0, -5.0, HOUR, -HOUR])
-def test_one_that_ends_answers_all_it_has_read_however_its_wall_clock_is_stepped(
+def test_shutdown_answers_every_request_however_the_wall_clock_is_stepped(
     tmp_path: Path, step_s: float
 ) -> None:
     asyncio.run(play(tmp_path, 0.0, DAY, step_s, leaves=True))
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,6 +1,6 @@
-"""An event loop on loopback sockets whose calls fail by script, between a scenario's gateway and test peers.
+"""An event loop on loopback sockets whose calls fail by script, between a gateway and the test's peers.
 
-The gateway's clock stands still unless a test moves it; `until` turns the loop until something has happened.
+The gateway's clock stands still unless a test moves it; `until` runs the loop until something has happened.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from tests.support.faulty_sockets import Faults
 from tests.support.scenario import LOGIN, SETTINGS, World, packet
 
-HANG_S = 5.0  # a test that has not come to its end by then has failed
+HANG_S = 5.0  # a test that takes longer has failed
 GREETED = ["greeting", "ok"]
 ROWS = [*GREETED, "eof", "eof"]
-REF = b"%016x"
+REQUEST_ID = b"%016x"
 
 
 class Client:
@@ -35,78 +35,78 @@
         self.buffer, self.ended = b"", False
         self.sock.send(packet(1, LOGIN))
 
-    def ask(self, ref: int, service: str = "lookup", allow: int = 5000) -> None:
-        text = f"/* service={service},ref={ref:016x},allow={allow} */ SELECT a FROM s_7.t"
+    def send_query(self, number: int, service: str = "lookup", allow: int = 5000) -> None:
+        text = f"/* service={service},ref={number:016x},allow={allow} */ SELECT a FROM s_7.t"
         self.sock.send(packet(0, b"\x03" + text.encode()))
 
-    def answers(self) -> list[str]:
-        """Greeting, ok, rows and errors as they have come; "end" or "reset" behind the last."""
-        how = ""
+    def responses(self) -> list[str]:
+        """Greeting, ok, results and errors received so far; "end" or "reset" after the last."""
+        ending = ""
         try:
             while data := self.sock.recv(1 << 16):
                 self.buffer += data
-            how = "end"
+            ending = "end"
         except BlockingIOError:
             pass
         except ConnectionResetError:
-            how = "reset"
-        told, at, buffer = list[str](), 0, self.buffer
+            ending = "reset"
+        responses, at, buffer = list[str](), 0, self.buffer
         while at + 4 <= len(buffer) and at + 4 + (
             size := int.from_bytes(buffer[at : at + 3], "little")
         ) <= len(buffer):
             payload, at = buffer[at + 4 : at + 4 + size], at + 4 + size
             if payload[0] == 0xFF:
-                told.append(f"error {int.from_bytes(payload[1:3], 'little')}")
+                responses.append(f"error {int.from_bytes(payload[1:3], 'little')}")
             elif payload[0] == 0xFE:
-                told.append("eof")
+                responses.append("eof")
             elif payload[0] in (0x00, 0x0A):
-                told.append("ok" if payload[0] == 0 else "greeting")
-        return [*told, how] if how else told
+                responses.append("ok" if payload[0] == 0 else "greeting")
+        return [*responses, ending] if ending else responses
 
     def finished(self) -> bool:
-        """Whether a first result has come, or the connection has ended."""
-        told = self.answers()
-        return len(told) >= len(ROWS) or told[-1:] in (["end"], ["reset"])
+        """Whether a first result has arrived, or the connection has ended."""
+        responses = self.responses()
+        return len(responses) >= len(ROWS) or responses[-1:] in (["end"], ["reset"])
 
 
 class Engine:
-    """An engine's listener: counts what is asked, and answers when told to."""
+    """An engine's listener: records the requests, and answers one when the test says so."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        self.lines: list[tuple[socket.socket, RespReader]] = []
-        self.asked: list[bytes] = []
+        self.connections: list[tuple[socket.socket, RespReader]] = []
+        self.request_ids: list[bytes] = []
         self.verbs: list[bytes] = []
 
     def turn(self) -> None:
-        """Take in connections, requests and probes."""
+        """Accept connections, and read requests and health checks."""
         try:
             while True:
-                line, _ = self.sock.accept()
-                line.setblocking(False)
-                self.lines.append((line, RespReader()))
+                connection, _ = self.sock.accept()
+                connection.setblocking(False)
+                self.connections.append((connection, RespReader()))
         except BlockingIOError:
             pass
-        for line, reader in self.lines:
+        for connection, reader in self.connections:
             try:
-                data = line.recv(1 << 16)
+                data = connection.recv(1 << 16)
             except OSError:
                 continue
             for words in reader.feed(data):
                 self.verbs.append(words[0])
                 if words[0] == b"GET":
-                    self.asked.append(words[1])
+                    self.request_ids.append(words[1])
                 elif words[0] == b"LOAD":
-                    line.send(encode_array(words[1], b"green", b"gauges=inflight:1", b""))
+                    connection.send(encode_array(words[1], b"green", b"gauges=inflight:1", b""))
 
-    def serve(self, ref: bytes, page: bytes = b"a\tb\tc\n") -> None:
+    def serve(self, request_id: bytes, page: bytes = b"a\tb\tc\n") -> None:
         """Answer a request with one page."""
-        self.lines[-1][0].send(encode_array(ref, b"served", b"count=1,ticks=1.0", page))
+        self.connections[-1][0].send(encode_array(request_id, b"served", b"count=1,ticks=1.0", page))
 
     def close(self) -> None:
-        for line, _ in self.lines:
-            line.close()
+        for connection, _ in self.connections:
+            connection.close()
         self.sock.close()
 
 
@@ -147,33 +147,34 @@
         while not happened():
             await self.turn()
 
-    def asked(self) -> list[bytes]:
-        """The ids that came to any engine."""
-        return [ref for engine in self.engines for ref in engine.asked]
+    def request_ids(self) -> list[bytes]:
+        """The ids of the requests at all engines."""
+        return [request_id for engine in self.engines for request_id in engine.request_ids]
 
-    async def serve(self, ref: int) -> None:
-        """Wait until an engine is asked for a request, and have it answer."""
-        await self.until(lambda: REF % ref in self.asked())
-        next(engine for engine in self.engines if REF % ref in engine.asked).serve(REF % ref)
+    async def serve(self, number: int) -> None:
+        """Wait until an engine has a request, and have it answered."""
+        request_id = REQUEST_ID % number
+        await self.until(lambda: request_id in self.request_ids())
+        next(engine for engine in self.engines if request_id in engine.request_ids).serve(request_id)
 
     async def pass_ms(self, ms: int) -> None:
-        """Time passes for the gateway."""
+        """Let the gateway's time pass."""
         for _ in range(ms):
             self.world.wait(1)
             await self.turn()
 
     async def close(self) -> None:
-        """End all; whatever is still open then has leaked."""
+        """Close everything; whatever is still open then has leaked."""
         self.accepting.cancel()
-        for place in list(self.world.engines.endpoints.values()):
-            for connection in list(place.connections):
+        for endpoint in list(self.world.engines.endpoints.values()):
+            for connection in list(endpoint.connections):
                 connection.close()
-        for wire in list(self.event_loop.streams):
-            wire.abort()
+        for stream in list(self.event_loop.streams):
+            stream.abort()
         await asyncio.gather(*self.event_loop.tasks, return_exceptions=True)
         self.listener.close()
-        for peer in self.clients:
-            peer.sock.close()
+        for client in self.clients:
+            client.sock.close()
         for engine in self.engines:
             engine.close()
         assert (
@@ -183,15 +184,15 @@
         )
 
 
-def play(story: Callable[[Loopback], Coroutine[Any, Any, None]], **how: Any) -> None:
-    """Play a story on uvloop, as the program runs; nothing may be left open behind it."""
+def run_scenario(scenario: Callable[[Loopback], Coroutine[Any, Any, None]], **options: Any) -> None:
+    """Run a scenario on uvloop, as the program runs; nothing may be left open after it."""
 
-    async def scenario() -> None:
-        rig = Loopback(**how)
+    async def main() -> None:
+        loopback = Loopback(**options)
         try:
             async with asyncio.timeout(HANG_S):
-                await story(rig)
+                await scenario(loopback)
         finally:
-            await rig.close()
+            await loopback.close()
 
-    uvloop.run(scenario())
+    uvloop.run(main())
--- a/tests/transport/test_connect_faults.py
+++ b/tests/transport/test_connect_faults.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.faulty_sockets import MADE
-from tests.support.loopback import GREETED, REF, ROWS, Loopback, play
+from tests.support.loopback import GREETED, REQUEST_ID, ROWS, Loopback, run_scenario
 from tests.support.scenario import World
 
 PROOFS = [
@@ -26,49 +26,49 @@
 
 @pytest.mark.parametrize("call", ["connect", "so_error"])
 @pytest.mark.parametrize("error", PROOFS)
-def test_a_connect_that_fails_proves_that_nothing_ran(call: str, error: int) -> None:
+def test_a_failed_connect_proves_that_nothing_ran(call: str, error: int) -> None:
     """So a load goes to the other engine, once."""
 
-    async def story(rig: Loopback) -> None:
-        rig.faults.plan(call, error, on=MADE)
-        client = rig.client()
-        client.ask(1, "load")
-        await rig.serve(1)
-        await rig.until(lambda: client.answers() == ROWS)
-        assert rig.asked() == [REF % 1] and rig.counts["attempts_connect_failed"] == 1
-        assert rig.counts["connect_failed"] == 1
+    async def scenario(loopback: Loopback) -> None:
+        loopback.faults.plan(call, error, on=MADE)
+        client = loopback.client()
+        client.send_query(1, "load")
+        await loopback.serve(1)
+        await loopback.until(lambda: client.responses() == ROWS)
+        assert loopback.request_ids() == [REQUEST_ID % 1] and loopback.counts["attempts_connect_failed"] == 1
+        assert loopback.counts["connect_failed"] == 1
 
-    play(story, engines=2)
+    run_scenario(scenario, engines=2)
 
 
 @pytest.mark.parametrize("error", [errno.EAGAIN, errno.EINTR])
-def test_a_connect_that_seems_to_be_under_way_is_looked_at(error: int) -> None:
-    """EINTR leaves it under way; EAGAIN has not begun it, and its socket is as writable as one that is up."""
+def test_a_connect_in_progress_is_verified(error: int) -> None:
+    """EINTR leaves it in progress; EAGAIN has not begun it, and yet its socket is writable."""
 
-    async def story(rig: Loopback) -> None:
-        rig.faults.plan("connect", error, on=MADE)
-        client = rig.client()
-        client.ask(1, "load")
-        await rig.serve(1)
-        await rig.until(lambda: client.answers() == ROWS)
-        assert rig.asked() == [REF % 1]
-        assert rig.counts["attempts_connect_failed"] == (error == errno.EAGAIN)
+    async def scenario(loopback: Loopback) -> None:
+        loopback.faults.plan("connect", error, on=MADE)
+        client = loopback.client()
+        client.send_query(1, "load")
+        await loopback.serve(1)
+        await loopback.until(lambda: client.responses() == ROWS)
+        assert loopback.request_ids() == [REQUEST_ID % 1]
+        assert loopback.counts["attempts_connect_failed"] == (error == errno.EAGAIN)
 
-    play(story, engines=2)
+    run_scenario(scenario, engines=2)
 
 
 @pytest.mark.parametrize("error", PROOFS)
-def test_where_no_connect_succeeds_the_client_is_told_that_it_never_ran(error: int) -> None:
-    async def story(rig: Loopback) -> None:
-        rig.faults.always("connect", error, on=MADE)
-        client = rig.client()
-        client.ask(1, "load")
-        await rig.until(lambda: rig.counts["connect_failed"] >= 1)
-        await rig.pass_ms(5000)
-        await rig.until(lambda: len(client.answers()) > 2)
-        assert client.answers() == [*GREETED, "error 1226"] and not rig.asked()
+def test_a_request_is_rejected_as_never_run_where_no_connect_succeeds(error: int) -> None:
+    async def scenario(loopback: Loopback) -> None:
+        loopback.faults.always("connect", error, on=MADE)
+        client = loopback.client()
+        client.send_query(1, "load")
+        await loopback.until(lambda: loopback.counts["connect_failed"] >= 1)
+        await loopback.pass_ms(5000)
+        await loopback.until(lambda: len(client.responses()) > 2)
+        assert client.responses() == [*GREETED, "error 1226"] and not loopback.request_ids()
 
-    play(story, engines=2)
+    run_scenario(scenario, engines=2)
 
 
 @pytest.mark.parametrize(
@@ -79,43 +79,43 @@
         ("setsockopt", errno.ENOBUFS),
     ],
 )
-def test_an_engine_is_not_blamed_for_what_lacks_here(call: str, error: int) -> None:
+def test_an_engine_is_not_blamed_for_a_lack_of_local_resources(call: str, error: int) -> None:
     """Without a free descriptor no engine may be reported as unreachable."""
 
-    async def story(rig: Loopback) -> None:
-        rig.event_loop.connector.timeout_s = 5.0  # however slow the machine is
-        rig.faults.plan(call, error, error, error, on=MADE)
-        client = rig.client()
-        client.ask(1, "load")
-        await rig.serve(1)
-        await rig.until(lambda: client.answers() == ROWS)
-        assert rig.asked() == [REF % 1] and rig.counts["attempts_connect_failed"] == 0
-        assert rig.counts["engine_connections"] == 1 and rig.counts["connections_lacking"] == 3
+    async def scenario(loopback: Loopback) -> None:
+        loopback.event_loop.connector.timeout_s = 5.0  # however slow the machine is
+        loopback.faults.plan(call, error, error, error, on=MADE)
+        client = loopback.client()
+        client.send_query(1, "load")
+        await loopback.serve(1)
+        await loopback.until(lambda: client.responses() == ROWS)
+        assert loopback.request_ids() == [REQUEST_ID % 1] and loopback.counts["attempts_connect_failed"] == 0
+        assert loopback.counts["engine_connections"] == 1 and loopback.counts["connections_lacking"] == 3
 
-    play(story, engines=2)
+    run_scenario(scenario, engines=2)
 
 
 @pytest.mark.parametrize("error", LACKING)
-def test_what_lacks_for_good_is_told_as_never_run_and_does_not_spin(error: int) -> None:
-    async def story(rig: Loopback) -> None:
-        rig.event_loop.connector.timeout_s = 0.1
-        rig.faults.always("socket", error, on=MADE)
-        client = rig.client()
-        client.ask(1, "load")
-        await rig.until(lambda: rig.counts["connect_failed"] == 1)
-        await rig.turn()
-        assert (rig.counts["attempts_full"], rig.counts["attempts_connect_failed"]) == (1, 0)
-        assert not rig.world.gateway.scheduler.engines["e0"].ejection_reason
-        assert 2 <= rig.faults.calls["socket"] <= 8  # the listener's, and one each 20 ms
-        await rig.pass_ms(5000)
-        await rig.until(lambda: len(client.answers()) > 2)
-        assert client.answers() == [*GREETED, "error 1226"] and not rig.asked()
-
-    play(story)
-
-
-def test_engines_are_not_blamed_where_all_places_for_connections_are_taken() -> None:
-    """None may be taken for dead, nor peers be told so."""
+def test_a_lasting_lack_of_resources_is_a_rejection_and_does_not_spin(error: int) -> None:
+    async def scenario(loopback: Loopback) -> None:
+        loopback.event_loop.connector.timeout_s = 0.1
+        loopback.faults.always("socket", error, on=MADE)
+        client = loopback.client()
+        client.send_query(1, "load")
+        await loopback.until(lambda: loopback.counts["connect_failed"] == 1)
+        await loopback.turn()
+        assert (loopback.counts["attempts_full"], loopback.counts["attempts_connect_failed"]) == (1, 0)
+        assert not loopback.world.gateway.scheduler.engines["e0"].ejection_reason
+        assert 2 <= loopback.faults.calls["socket"] <= 8  # the listener's, and one each 20 ms
+        await loopback.pass_ms(5000)
+        await loopback.until(lambda: len(client.responses()) > 2)
+        assert client.responses() == [*GREETED, "error 1226"] and not loopback.request_ids()
+
+    run_scenario(scenario)
+
+
+def test_engines_are_not_blamed_when_all_connections_are_in_use() -> None:
+    """None may be reported as unreachable, to peers either."""
     world = World()
     world.engines.max_connections, world.engines.settings = 1, replace(world.engines.settings, max_streams=1)
     world.run("c1 query lookup r1\ne1 expect GET r1 *\nc2 query lookup r2\nany nothing\ntime wait 100")
--- a/tests/transport/test_connection_close.py
+++ b/tests/transport/test_connection_close.py
@@ -175,7 +175,7 @@
 
 @pytest.mark.parametrize("turns", range(4))
 @pytest.mark.parametrize("comes", MOMENTS)
-def test_a_request_that_has_come_when_its_idle_connection_is_closed_is_answered(
+def test_a_request_received_before_its_idle_connection_closes_is_answered(
     comes: Callable[[Here], None], turns: int
 ) -> None:
     """It lies with the system, or is in the loop's hands: `turns` of the loop have passed since it came."""
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("comes", MOMENTS)
-def test_a_request_that_comes_after_the_close_is_not_forwarded(comes: Callable[[Here], None]) -> None:
+def test_a_request_after_the_close_is_not_accepted(comes: Callable[[Here], None]) -> None:
     """Its client sends it once more elsewhere: taken here as well, it would run and be answered to nobody."""
 
     async def story(here: Here) -> None:
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("turns", range(4))
-def test_a_request_behind_an_answer_is_answered_before_the_connection_is_closed(turns: int) -> None:
+def test_a_request_sent_before_the_last_answer_is_answered_before_the_close(turns: int) -> None:
     async def story(here: Here) -> None:
         client = await here.client()
         client.write(query(1))
@@ -230,7 +230,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 4, 5, 30])
-def test_half_a_request_behind_an_answer_is_waited_for(cut: int) -> None:
+def test_a_partial_request_after_an_answer_is_waited_for(cut: int) -> None:
     async def story(here: Here) -> None:
         client = await here.client()
         client.write(query(1) + query(2)[:cut])
@@ -249,7 +249,7 @@
 
 @pytest.mark.parametrize("cut", [1, 4, 30])
 @pytest.mark.parametrize("logged_in", [True, False])
-def test_half_a_packet_at_the_very_end_is_told_that_nothing_ran(logged_in: bool, cut: int) -> None:
+def test_a_partial_packet_at_the_end_of_shutdown_is_rejected(logged_in: bool, cut: int) -> None:
     async def story(here: Here) -> None:
         client = await here.client(logged_in)
         here.world.run("ops terminate")
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("turns", range(6))
-def test_one_that_logs_in_as_the_process_ends_is_answered(turns: int) -> None:
+def test_a_client_that_logs_in_during_shutdown_is_answered(turns: int) -> None:
     """All in one packet, as clients may write it; the order to end comes in each of the turns it takes."""
 
     async def story(here: Here) -> None:
@@ -283,7 +283,7 @@
     played(story)
 
 
-def test_pipelined_requests_are_all_answered_and_those_behind_the_end_of_the_session_are_refused() -> None:
+def test_pipelined_requests_are_answered_and_those_after_quit_are_rejected() -> None:
     async def story(here: Here) -> None:
         client, other = await here.client(), await here.client()
         client.write(query(1) + query(2) + PING + query(3))
@@ -302,7 +302,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 100_000, 3_000_000])
-def test_an_answer_is_not_lost_to_what_its_client_still_sends(size: int) -> None:
+def test_an_answer_is_not_lost_while_its_client_still_sends(size: int) -> None:
     """Closed over unread bytes, a connection is reset, and what was written is lost with it."""
 
     async def story(here: Here) -> None:
@@ -323,7 +323,7 @@
     played(story)
 
 
-def test_an_answer_that_its_client_reads_late_is_written_to_its_end_and_owed_until_then() -> None:
+def test_an_answer_read_late_is_written_completely_and_unfinished_until_then() -> None:
     async def story(here: Here) -> None:
         client = await here.client()
         here.world.run("ops terminate")
@@ -338,7 +338,7 @@
 
 
 @pytest.mark.parametrize("turns", range(6))
-def test_a_client_that_is_just_accepted_as_the_door_closes_is_answered(turns: int) -> None:
+def test_a_client_accepted_as_the_listener_closes_is_answered(turns: int) -> None:
     """Accepted in one turn of the loop, it must not be dropped if accepting ends in the next."""
 
     async def story(here: Here) -> None:
@@ -366,7 +366,7 @@
 
 
 @pytest.mark.parametrize("lacking", [0, 1])
-def test_what_a_client_wrote_before_it_was_accepted_at_the_very_end_is_answered(lacking: int) -> None:
+def test_bytes_written_before_an_accept_at_the_end_of_shutdown_are_answered(lacking: int) -> None:
     """With short deadlines the listener closes as late as the last connections. One accepted then must not be
     closed before anything is read there."""
     text = packet(1, LOGIN) + query(1)
@@ -407,7 +407,7 @@
     monkeypatch.setattr("cottonhold.node.dispatcher.SHUTDOWN_POLL_S", 0.0)
 
 
-def test_the_process_ends_when_every_client_has_its_answer_and_the_end_of_its_connection(quick: None) -> None:
+def test_the_process_ends_once_every_client_is_answered_and_closed(quick: None) -> None:
     async def story(here: Here) -> None:
         busy, late = await here.client(), await here.client()
         busy.write(query(1))
@@ -432,7 +432,7 @@
     played(story)
 
 
-def test_the_process_does_not_wait_for_good_for_clients_that_stay(quick: None) -> None:
+def test_the_process_does_not_wait_forever_for_clients_that_stay(quick: None) -> None:
     async def story(here: Here) -> None:
         idle, stuck = await here.client(), await here.client()
         stuck.session.output += bytes(UNREAD_BYTES)
@@ -450,7 +450,7 @@
     played(story)
 
 
-def test_the_process_stays_for_an_open_request_until_the_last_moment_and_answers_it(quick: None) -> None:
+def test_the_process_waits_for_an_open_request_until_its_deadline_and_answers_it(quick: None) -> None:
     async def story(here: Here) -> None:
         client = await here.client()
         client.write(query(1, allow=60000))
--- a/tests/transport/test_datagram_faults.py
+++ b/tests/transport/test_datagram_faults.py
@@ -20,90 +20,90 @@
 from tests.support.faulty_sockets import Faults
 from tests.support.loopback import HANG_S
 
-BRIEF = [errno.EAGAIN, errno.EINTR]
+TRANSIENT = [errno.EAGAIN, errno.EINTR]
 ERRORS = [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENOBUFS, errno.ENOMEM, errno.EPERM]
 
 
 class Peer:
-    """A dispatcher's socket for datagrams, with one peer that the test holds."""
+    """A dispatcher's datagram socket, with one peer whose socket the test has."""
 
     def __init__(self) -> None:
-        self.faults, self.counters, self.heard = Faults(), Counters(), list[PeerMessage]()
+        self.faults, self.counters, self.received = Faults(), Counters(), list[PeerMessage]()
         self.event_loop = EventLoop(asyncio.get_running_loop(), self.counters, print, self.faults.make)
-        self.far = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.far.bind(("127.0.0.1", 0))
-        self.far_address = Address(*self.far.getsockname())
-        self.near = self.event_loop.datagrams.open(Address("127.0.0.1", 0))
-        peers = PeerDatagrams((self.far_address,), None, self.counters)
+        self.peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.peer.bind(("127.0.0.1", 0))
+        self.peer_address = Address(*self.peer.getsockname())
+        self.socket = self.event_loop.datagrams.open(Address("127.0.0.1", 0))
+        peers = PeerDatagrams((self.peer_address,), None, self.counters)
 
         def on_datagram(data: bytes, sender: Address) -> None:
             if message := peers.decode(data, (sender.host, sender.port)):
-                self.heard.append(message)
+                self.received.append(message)
 
-        self.event_loop.datagrams.receive(self.near, on_datagram)
-        self.at = self.near.getsockname()
+        self.event_loop.datagrams.receive(self.socket, on_datagram)
+        self.address = self.socket.getsockname()
 
-    async def hears(self, data: bytes) -> None:
-        self.far.sendto(data, self.at)
+    async def expect_received(self, data: bytes) -> None:
+        self.peer.sendto(data, self.address)
         async with asyncio.timeout(HANG_S):
-            while not self.heard or self.heard[-1].payload != data:
+            while not self.received or self.received[-1].payload != data:
                 await asyncio.sleep(0)
 
     def close(self) -> None:
-        self.event_loop.loop.remove_reader(self.near)
-        self.near.close()
-        self.far.close()
+        self.event_loop.loop.remove_reader(self.socket)
+        self.socket.close()
+        self.peer.close()
         assert not self.faults.open
 
 
-@pytest.mark.parametrize("error", [*BRIEF, *ERRORS])
-def test_datagrams_are_heard_again(error: int) -> None:
+@pytest.mark.parametrize("error", [*TRANSIENT, *ERRORS])
+def test_datagrams_are_received_again_after_errors(error: int) -> None:
     async def scenario() -> None:
         peer = Peer()
         peer.faults.plan("recvfrom", *[error] * 3)
-        await peer.hears(b"one")
-        await peer.hears(b"two")
-        assert len(peer.heard) == 2
+        await peer.expect_received(b"one")
+        await peer.expect_received(b"two")
+        assert len(peer.received) == 2
         peer.close()
 
     uvloop.run(scenario())
 
 
 @pytest.mark.parametrize("error", ERRORS)
-def test_a_read_that_goes_on_failing_does_not_spin(error: int) -> None:
-    """Counted by pauses: each ends with the reader set anew."""
+def test_a_lasting_read_error_does_not_spin(error: int) -> None:
+    """Counted by pauses: each ends as the reader is added again."""
 
     async def scenario() -> None:
-        peer, anew = Peer(), 0
+        peer, reader_starts = Peer(), 0
         add_reader = peer.event_loop.loop.add_reader
 
-        def counted(*args: object) -> None:
-            nonlocal anew
-            anew += 1
+        def counting_add_reader(*args: object) -> None:
+            nonlocal reader_starts
+            reader_starts += 1
             add_reader(*args)  # type: ignore[arg-type]
 
-        peer.event_loop.loop.add_reader = counted  # type: ignore[assignment, method-assign]
+        peer.event_loop.loop.add_reader = counting_add_reader  # type: ignore[assignment, method-assign]
         peer.faults.always("recvfrom", error)
-        peer.far.sendto(b"x", peer.at)
+        peer.peer.sendto(b"x", peer.address)
         async with asyncio.timeout(HANG_S):
-            while anew < 5:
+            while reader_starts < 5:
                 await asyncio.sleep(0)
         assert peer.faults.calls["recvfrom"] <= 6 * MAX_DATAGRAMS_PER_TURN
         peer.faults.heal("recvfrom")
-        await peer.hears(b"later")
+        await peer.expect_received(b"later")
         peer.close()
 
     uvloop.run(scenario())
 
 
-@pytest.mark.parametrize("error", [*BRIEF, *ERRORS, errno.EMSGSIZE])
-def test_a_datagram_that_can_not_be_sent_is_lost(error: int) -> None:
+@pytest.mark.parametrize("error", [*TRANSIENT, *ERRORS, errno.EMSGSIZE])
+def test_a_datagram_that_cannot_be_sent_is_dropped(error: int) -> None:
     async def scenario() -> None:
         peer = Peer()
         peer.faults.plan("sendto", error)
-        peer.event_loop.datagrams.send(b"lost", peer.far_address)
-        peer.event_loop.datagrams.send(b"kept", peer.far_address)
-        assert peer.far.recv(10) == b"kept"
+        peer.event_loop.datagrams.send(b"lost", peer.peer_address)
+        peer.event_loop.datagrams.send(b"kept", peer.peer_address)
+        assert peer.peer.recv(10) == b"kept"
         assert (peer.counters.counts["peer_broken"], peer.counters.counts["peer_sent"]) == (1, 1)
         peer.close()
 
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize(
     "error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.EINTR]
 )
-def test_local_calls_are_answered_again(error: int, tmp_path: Path) -> None:
+def test_local_calls_are_answered_after_accept_errors(error: int, tmp_path: Path) -> None:
     """One moment without a descriptor must not close the socket for the program's lifetime."""
 
     async def scenario() -> bytes:
--- a/tests/transport/test_faulty_sockets.py
+++ b/tests/transport/test_faulty_sockets.py
@@ -15,7 +15,7 @@
 LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]
 
 
-def test_steps_are_taken_in_their_order_and_then_the_system_decides() -> None:
+def test_planned_steps_run_in_order_before_the_system_decides() -> None:
     faults = Faults()
     faults.plan("send", Short(2), errno.ENOBUFS, OK)
     near, far = (
--- a/tests/transport/test_transfer_faults.py
+++ b/tests/transport/test_transfer_faults.py
@@ -8,10 +8,22 @@
 import pytest
 
 from tests.support.faulty_sockets import ACCEPTED, MADE, OK, Short, Step
-from tests.support.loopback import GREETED, REF, ROWS, Loopback, play
-
-BRIEF = [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]  # the call did nothing; the next one may
-ENDS = [errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENOTCONN]
+from tests.support.loopback import GREETED, REQUEST_ID, ROWS, Loopback, run_scenario
+
+TRANSIENT = [
+    errno.EAGAIN,
+    errno.EINTR,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+]  # the call did nothing, a later one may succeed
+FATAL = [
+    errno.ECONNRESET,
+    errno.EPIPE,
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ENOTCONN,
+]
 
 
 SHAPES: dict[str, Callable[[int], list[Step]]] = {
@@ -22,126 +34,126 @@
 
 
 @pytest.mark.parametrize("shape", SHAPES)
-@pytest.mark.parametrize("error", BRIEF)
+@pytest.mark.parametrize("error", TRANSIENT)
 @pytest.mark.parametrize("call", ["recv_into", "send"])
 @pytest.mark.parametrize("role", [ACCEPTED, MADE])
-def test_a_call_that_fails_for_a_moment_costs_no_answer(role: str, call: str, error: int, shape: str) -> None:
-    async def story(rig: Loopback) -> None:
-        client = rig.client()
-        await rig.until(lambda: client.answers() == GREETED)
-        rig.faults.plan(call, *SHAPES[shape](error), on=role)
-        client.ask(1, "load")
-        await rig.serve(1)
-        await rig.until(lambda: client.answers() == ROWS)
-        client.ask(2, "load")
-        await rig.serve(2)
-        await rig.until(lambda: client.answers() == [*ROWS, "eof", "eof"])
-        assert sorted(rig.asked()) == [REF % 1, REF % 2]
-
-    play(story, engines=2)
-
-
-@pytest.mark.parametrize("error", ENDS)
+def test_a_transient_error_costs_no_answer(role: str, call: str, error: int, shape: str) -> None:
+    async def scenario(loopback: Loopback) -> None:
+        client = loopback.client()
+        await loopback.until(lambda: client.responses() == GREETED)
+        loopback.faults.plan(call, *SHAPES[shape](error), on=role)
+        client.send_query(1, "load")
+        await loopback.serve(1)
+        await loopback.until(lambda: client.responses() == ROWS)
+        client.send_query(2, "load")
+        await loopback.serve(2)
+        await loopback.until(lambda: client.responses() == [*ROWS, "eof", "eof"])
+        assert sorted(loopback.request_ids()) == [REQUEST_ID % 1, REQUEST_ID % 2]
+
+    run_scenario(scenario, engines=2)
+
+
+@pytest.mark.parametrize("error", FATAL)
 @pytest.mark.parametrize("call", ["recv_into", "send"])
 def test_a_client_whose_connection_breaks_is_forgotten_and_others_keep_their_answers(
     call: str, error: int
 ) -> None:
-    async def story(rig: Loopback) -> None:
-        first, second = rig.client(), rig.client()
-        await rig.until(lambda: first.answers() == second.answers() == GREETED)
-        second.ask(2, "load")
-        await rig.until(lambda: rig.asked() == [REF % 2])
-        rig.faults.plan(call, error, on=ACCEPTED)
-        first.ask(1)
+    async def scenario(loopback: Loopback) -> None:
+        first, second = loopback.client(), loopback.client()
+        await loopback.until(lambda: first.responses() == second.responses() == GREETED)
+        second.send_query(2, "load")
+        await loopback.until(lambda: loopback.request_ids() == [REQUEST_ID % 2])
+        loopback.faults.plan(call, error, on=ACCEPTED)
+        first.send_query(1)
         if call == "send":
-            await rig.serve(1)
-        await rig.until(lambda: len(rig.world.sessions.sessions) == 1)
-        await rig.serve(2)
-        await rig.until(lambda: second.answers() == ROWS)
-        assert rig.counts["connection_faults"] == 0
+            await loopback.serve(1)
+        await loopback.until(lambda: len(loopback.world.sessions.sessions) == 1)
+        await loopback.serve(2)
+        await loopback.until(lambda: second.responses() == ROWS)
+        assert loopback.counts["connection_faults"] == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("before", [(), (Short(5),)])
-@pytest.mark.parametrize("error", ENDS)
-def test_an_engine_whose_connection_breaks_in_a_write_may_have_run_it(
+@pytest.mark.parametrize("error", FATAL)
+def test_a_request_may_have_run_if_its_engine_connection_breaks_in_a_write(
     error: int, before: tuple[Short, ...]
 ) -> None:
-    """A load fails and goes nowhere else; what may be repeated does, and both get one answer."""
+    """A load fails and is sent nowhere else, an idempotent query is; both get one answer."""
 
-    async def story(rig: Loopback) -> None:
-        clients = [rig.client() for _ in range(2)]
-        await rig.until(lambda: all(client.answers() == GREETED for client in clients))
+    async def scenario(loopback: Loopback) -> None:
+        clients = [loopback.client() for _ in range(2)]
+        await loopback.until(lambda: all(client.responses() == GREETED for client in clients))
         for number, service in enumerate(("load", "lookup")):
-            rig.faults.plan("send", *before, error, on=MADE)
-            clients[number].ask(number, service)
+            loopback.faults.plan("send", *before, error, on=MADE)
+            clients[number].send_query(number, service)
             if service == "load":
-                await rig.until(lambda: len(clients[0].answers()) > 2)
-                assert clients[0].answers() == [*GREETED, "error 1105"] and not rig.asked()
-        await rig.serve(1)
-        await rig.until(lambda: clients[1].answers() == ROWS)
-        assert rig.asked() == [REF % 1] and clients[0].answers()[2:] == ["error 1105"]
+                await loopback.until(lambda: len(clients[0].responses()) > 2)
+                assert clients[0].responses() == [*GREETED, "error 1105"] and not loopback.request_ids()
+        await loopback.serve(1)
+        await loopback.until(lambda: clients[1].responses() == ROWS)
+        assert loopback.request_ids() == [REQUEST_ID % 1] and clients[0].responses()[2:] == ["error 1105"]
 
-    play(story, engines=2)
+    run_scenario(scenario, engines=2)
 
 
-@pytest.mark.parametrize("error", ENDS)
-def test_an_engine_whose_connection_breaks_in_a_read_may_have_run_it(error: int) -> None:
-    async def story(rig: Loopback) -> None:
-        client = rig.client()
-        await rig.until(lambda: client.answers() == GREETED)
-        client.ask(1, "load")
-        await rig.until(lambda: rig.asked() == [REF % 1])
-        rig.faults.plan("recv_into", error, on=MADE)
-        next(engine for engine in rig.engines if engine.asked).lines[-1][0].send(b"*")
-        await rig.until(lambda: len(client.answers()) > 2)
-        assert client.answers() == [*GREETED, "error 1105"] and rig.asked() == [REF % 1]
+@pytest.mark.parametrize("error", FATAL)
+def test_a_request_may_have_run_if_its_engine_connection_breaks_in_a_read(error: int) -> None:
+    async def scenario(loopback: Loopback) -> None:
+        client = loopback.client()
+        await loopback.until(lambda: client.responses() == GREETED)
+        client.send_query(1, "load")
+        await loopback.until(lambda: loopback.request_ids() == [REQUEST_ID % 1])
+        loopback.faults.plan("recv_into", error, on=MADE)
+        next(engine for engine in loopback.engines if engine.request_ids).connections[-1][0].send(b"*")
+        await loopback.until(lambda: len(client.responses()) > 2)
+        assert client.responses() == [*GREETED, "error 1105"] and loopback.request_ids() == [REQUEST_ID % 1]
 
-    play(story, engines=2)
+    run_scenario(scenario, engines=2)
 
 
-@pytest.mark.parametrize("error", BRIEF)
-def test_what_gives_an_attempt_up_still_goes_first_when_its_write_fails_for_a_moment(error: int) -> None:
+@pytest.mark.parametrize("error", TRANSIENT)
+def test_a_cancel_is_still_written_first_after_a_transient_error(error: int) -> None:
     """EINTR in the immediate write must not end the connection, with all that is in flight on it."""
 
-    async def story(rig: Loopback) -> None:
-        clients = [rig.client() for _ in range(2)]
+    async def scenario(loopback: Loopback) -> None:
+        clients = [loopback.client() for _ in range(2)]
         for number, client in enumerate(clients):
-            client.ask(number, "lookup")
-        await rig.until(lambda: sorted(rig.asked()) == [REF % 0, REF % 1])
-        rig.faults.plan("send", error, on=MADE)
+            client.send_query(number, "lookup")
+        await loopback.until(lambda: sorted(loopback.request_ids()) == [REQUEST_ID % 0, REQUEST_ID % 1])
+        loopback.faults.plan("send", error, on=MADE)
         clients[0].sock.close()
-        await rig.until(lambda: b"DROP" in rig.engines[0].verbs)
-        rig.engines[0].serve(REF % 1)
-        await rig.until(lambda: clients[1].answers() == ROWS)
-        assert len(rig.engines[0].lines) == 1 and rig.counts["attempts_reset"] == 0
+        await loopback.until(lambda: b"DROP" in loopback.engines[0].verbs)
+        loopback.engines[0].serve(REQUEST_ID % 1)
+        await loopback.until(lambda: clients[1].responses() == ROWS)
+        assert len(loopback.engines[0].connections) == 1 and loopback.counts["attempts_reset"] == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("error", [errno.ENOTCONN, errno.EINVAL])
-def test_a_shutdown_that_fails_still_closes(error: int) -> None:
-    async def story(rig: Loopback) -> None:
-        client = rig.client()
-        await rig.until(lambda: client.answers() == GREETED)
-        rig.faults.plan("shutdown", error, error, on=ACCEPTED)
+def test_a_failed_socket_shutdown_still_closes(error: int) -> None:
+    async def scenario(loopback: Loopback) -> None:
+        client = loopback.client()
+        await loopback.until(lambda: client.responses() == GREETED)
+        loopback.faults.plan("shutdown", error, error, on=ACCEPTED)
         client.sock.send(b"\x01\x00\x00\x00\x01")  # COM_QUIT
-        await rig.until(lambda: not rig.world.sessions.sessions)
-        assert len(rig.faults.open) == 1
+        await loopback.until(lambda: not loopback.world.sessions.sessions)
+        assert len(loopback.faults.open) == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_answer_larger_than_the_buffers_comes_whole_through_short_writes() -> None:
-    async def story(rig: Loopback) -> None:
-        client = rig.client()
-        await rig.until(lambda: client.answers() == GREETED)
+def test_an_answer_larger_than_the_buffers_is_complete_after_short_writes() -> None:
+    async def scenario(loopback: Loopback) -> None:
+        client = loopback.client()
+        await loopback.until(lambda: client.responses() == GREETED)
         steps: list[Step] = [Short(1), errno.EAGAIN, Short(17), errno.EINTR, OK]
-        rig.faults.plan("send", *steps * 20, on=ACCEPTED)
-        client.ask(1)
-        await rig.until(lambda: rig.asked() == [REF % 1])
-        rig.engines[0].serve(REF % 1, b"a\tb\tc\n" * 900)
-        await rig.until(lambda: client.answers() == ROWS)
+        loopback.faults.plan("send", *steps * 20, on=ACCEPTED)
+        client.send_query(1)
+        await loopback.until(lambda: loopback.request_ids() == [REQUEST_ID % 1])
+        loopback.engines[0].serve(REQUEST_ID % 1, b"a\tb\tc\n" * 900)
+        await loopback.until(lambda: client.responses() == ROWS)
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/transport/test_write_order.py
+++ b/tests/transport/test_write_order.py
@@ -1,4 +1,4 @@
-"""Writes to engines on real sockets: what gives an attempt up goes out before what comes next."""
+"""Writes to engines on real sockets: a cancel goes out before the request's next attempt."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from tests.support.scenario import World
 
 SMALL = b"select"
-LARGE, MANY = b"s" * 8000, 24  # together more than a socket of so small a buffer takes at once
-BUFFER = 8192
+LARGE, LARGE_COUNT = b"s" * 8000, 24  # together more than a socket of so small a buffer takes at once
+SEND_BUFFER_BYTES = 8192
 
 
 def tcp_pair() -> tuple[socket.socket, socket.socket]:
@@ -32,31 +32,31 @@
         return near, listener.accept()[0]
 
 
-class Rig:
-    """Engines on the event_loop, each reached by a pair of sockets whose far end the test holds."""
+class EngineSockets:
+    """Engines on the event loop, each at the other end of a pair of sockets that the test has."""
 
     def __init__(self) -> None:
         self.world = World(engines="a b")
         self.event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
-        self.far: dict[str, socket.socket] = {}
-        self.tcp = False
+        self.engine_ends: dict[str, socket.socket] = {}
+        self.uses_tcp = False
         self.world.engines.connect = self.connect
         self.world.gateway.is_wanted = lambda attempt: True  # type: ignore[method-assign]
-        self.ends: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
         self.world.gateway.on_attempt_ended = (  # type: ignore[method-assign]
-            lambda attempt, event: self.ends.append(event.outcome)
+            lambda attempt, event: self.outcomes.append(event.outcome)
         )
 
     def connect(self, address: Address, connection: Connection) -> Stream:
-        near, far = tcp_pair() if self.tcp else socket.socketpair()
-        near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, BUFFER)
+        near, engine_end = tcp_pair() if self.uses_tcp else socket.socketpair()
+        near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         near.setblocking(False)
-        far.setblocking(False)
-        self.far[address.host] = far
-        connection.stream = wire = Stream(self.event_loop.streams, connection, 4096)
+        engine_end.setblocking(False)
+        self.engine_ends[address.host] = engine_end
+        connection.stream = stream = Stream(self.event_loop.streams, connection, 4096)
         connection.on_connected()
-        wire.start(near)
-        return wire
+        stream.start(near)
+        return stream
 
     def send(self, engine: str, query: str, body: bytes = SMALL) -> Attempt:
         now = self.world.clock.now()
@@ -64,220 +64,228 @@
         assert self.world.engines.send(attempt)
         return attempt
 
-    def there(self, engine: str) -> list[bytes]:
-        """The verbs that lie at an engine this very moment; "end" where the connection is over."""
+    def received_now(self, engine: str) -> list[bytes]:
+        """The verbs that have reached an engine at this moment; "end" last where the connection has ended."""
         reader, verbs = RespReader(), list[bytes]()
         try:
-            while data := self.far[engine].recv(1 << 16):
+            while data := self.engine_ends[engine].recv(1 << 16):
                 verbs += [words[0] for words in reader.feed(data)]
         except BlockingIOError:
             return verbs
         return [*verbs, b"end"]
 
-    async def heard(self, engine: str, count: int) -> list[bytes]:
-        """The next so many verbs that come to an engine."""
+    async def receive(self, engine: str, count: int) -> list[bytes]:
+        """Wait for the next verbs at an engine, so many."""
         reader, verbs = RespReader(), list[bytes]()
         while len(verbs) < count:
-            data = await self.event_loop.loop.sock_recv(self.far[engine], 1 << 16)
+            data = await self.event_loop.loop.sock_recv(self.engine_ends[engine], 1 << 16)
             verbs += [words[0] for words in reader.feed(data)]
         return verbs
 
     async def close(self) -> None:
-        for place in list(self.world.engines.endpoints.values()):
-            for connection in list(place.connections):
+        for endpoint in list(self.world.engines.endpoints.values()):
+            for connection in list(endpoint.connections):
                 connection.close()
         await asyncio.gather(*self.event_loop.tasks, return_exceptions=True)
-        for far in self.far.values():
-            far.close()
+        for engine_end in self.engine_ends.values():
+            engine_end.close()
 
 
-def played(story: Callable[[Rig], Coroutine[Any, Any, None]]) -> None:
-    async def scenario() -> None:
-        rig = Rig()
+def run_scenario(scenario: Callable[[EngineSockets], Coroutine[Any, Any, None]]) -> None:
+    async def main() -> None:
+        sockets = EngineSockets()
         try:
-            await story(rig)
+            await scenario(sockets)
         finally:
-            await rig.close()
+            await sockets.close()
 
-    asyncio.run(scenario())
+    asyncio.run(main())
 
 
-def dropped(rig: Rig, attempt: Attempt) -> None:
-    rig.world.engines.cancel(attempt, Outcome.CANCELLED)
+def cancel(sockets: EngineSockets, attempt: Attempt) -> None:
+    sockets.world.engines.cancel(attempt, Outcome.CANCELLED)
 
 
-def given_up(rig: Rig, attempt: Attempt) -> None:
+def abandon(sockets: EngineSockets, attempt: Attempt) -> None:
     assert isinstance(attempt.connection, Connection)
     attempt.connection.abandon()
 
 
-@pytest.mark.parametrize(("gives_up", "verb"), [(dropped, b"DROP"), (given_up, b"end")])
-def test_an_attempt_is_given_up_on_the_wire_before_the_next_can_be_written(
-    gives_up: Callable[[Rig, Attempt], None], verb: bytes
+@pytest.mark.parametrize(("give_up", "verb"), [(cancel, b"DROP"), (abandon, b"end")])
+def test_a_cancel_is_on_the_wire_before_the_next_attempt_is_written(
+    give_up: Callable[[EngineSockets, Attempt], None], verb: bytes
 ) -> None:
     """Another query has made the next engine's connection ready to write before."""
 
-    async def story(rig: Rig) -> None:
-        first = rig.send("a", "q1")
-        rig.send("b", "q0")
-        assert await rig.heard("a", 1) == [b"GET"] and await rig.heard("b", 1) == [b"GET"]
-        rig.send("b", "q2")
-        gives_up(rig, first)
-        rig.send("b", "q1")
-        assert rig.there("a") == [verb] and rig.there("b") == []  # no turn of the loop has passed
-        assert await rig.heard("b", 2) == [b"GET", b"GET"]
-        assert rig.ends == [Outcome.CANCELLED if verb == b"DROP" else Outcome.RESET]
-
-    played(story)
-
-
-@pytest.mark.parametrize("begun", [True, False])
-def test_what_is_written_at_once_comes_whole_and_in_its_place(begun: bool) -> None:
-    """Behind a write that is under way, or taking along all that still waits for its turn."""
-
-    async def story(rig: Rig) -> None:
-        first = rig.send("a", "q0")
-        assert await rig.heard("a", 1) == [b"GET"]
-        for number in range(MANY):
-            rig.send("a", f"q{number + 1}", LARGE)
-        for _ in range(3 if begun else 0):
+    async def scenario(sockets: EngineSockets) -> None:
+        first = sockets.send("a", "q1")
+        sockets.send("b", "q0")
+        assert await sockets.receive("a", 1) == [b"GET"] and await sockets.receive("b", 1) == [b"GET"]
+        sockets.send("b", "q2")
+        give_up(sockets, first)
+        sockets.send("b", "q1")
+        assert (
+            sockets.received_now("a") == [verb] and sockets.received_now("b") == []
+        )  # no turn of the loop has passed
+        assert await sockets.receive("b", 2) == [b"GET", b"GET"]
+        assert sockets.outcomes == [Outcome.CANCELLED if verb == b"DROP" else Outcome.RESET]
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("is_begun", [True, False])
+def test_an_immediate_write_is_complete_and_in_order(is_begun: bool) -> None:
+    """Behind a write in progress, or together with everything that is queued."""
+
+    async def scenario(sockets: EngineSockets) -> None:
+        first = sockets.send("a", "q0")
+        assert await sockets.receive("a", 1) == [b"GET"]
+        for number in range(LARGE_COUNT):
+            sockets.send("a", f"q{number + 1}", LARGE)
+        for _ in range(3 if is_begun else 0):
             await asyncio.sleep(0)
-        dropped(rig, first)
-        rig.send("a", "q99")
-        assert await rig.heard("a", MANY + 2) == [*[b"GET"] * MANY, b"DROP", b"GET"]
+        cancel(sockets, first)
+        sockets.send("a", "q99")
+        assert await sockets.receive("a", LARGE_COUNT + 2) == [*[b"GET"] * LARGE_COUNT, b"DROP", b"GET"]
 
-    played(story)
+    run_scenario(scenario)
 
 
-def closes(far: socket.socket) -> None:
-    far.close()
+def close_end(engine_end: socket.socket) -> None:
+    engine_end.close()
 
 
-def resets(far: socket.socket) -> None:
-    far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    far.close()
+def reset_end(engine_end: socket.socket) -> None:
+    engine_end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    engine_end.close()
 
 
-def leaves_half_a_line(far: socket.socket) -> None:
-    far.send(b"*4\r\n$2\r\nq9")
-    far.close()
+def close_within_a_line(engine_end: socket.socket) -> None:
+    engine_end.send(b"*4\r\n$2\r\nq9")
+    engine_end.close()
 
 
-@pytest.mark.parametrize("tcp", [False, True])
-@pytest.mark.parametrize("ends", [closes, resets, leaves_half_a_line])
-def test_a_request_that_crosses_the_engines_end_of_an_idle_connection_never_ran(
-    ends: Callable[[socket.socket], None], tcp: bool
+@pytest.mark.parametrize("uses_tcp", [False, True])
+@pytest.mark.parametrize("end", [close_end, reset_end, close_within_a_line])
+def test_a_request_that_crosses_an_engines_idle_close_never_ran(
+    end: Callable[[socket.socket], None], uses_tcp: bool
 ) -> None:
     """Written there it may have run, and a class that may not be repeated would fail."""
 
-    async def story(rig: Rig) -> None:
-        rig.tcp = tcp
-        first = rig.send("a", "q1")
-        assert await rig.heard("a", 1) == [b"GET"]
-        dropped(rig, first)
-        assert await rig.heard("a", 1) == [b"DROP"]
-        connection = rig.world.engines.endpoints["a"].connections[0]
-        ends(rig.far["a"])
-        rig.send("a", "q2")  # the loop has not looked at the connection since
-        while len(rig.ends) < 2:
+    async def scenario(sockets: EngineSockets) -> None:
+        sockets.uses_tcp = uses_tcp
+        first = sockets.send("a", "q1")
+        assert await sockets.receive("a", 1) == [b"GET"]
+        cancel(sockets, first)
+        assert await sockets.receive("a", 1) == [b"DROP"]
+        connection = sockets.world.engines.endpoints["a"].connections[0]
+        end(sockets.engine_ends["a"])
+        sockets.send("a", "q2")  # the loop has not looked at the connection since
+        while len(sockets.outcomes) < 2:
             await asyncio.sleep(0)
-        assert rig.ends == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
-        assert connection.is_closed and rig.world.engines.open_connections == 0
+        assert sockets.outcomes == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
+        assert connection.is_closed and sockets.world.engines.open_connections == 0
 
-    played(story)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("ends", [closes, resets, leaves_half_a_line])
-def test_a_request_that_is_out_when_its_connection_ends_may_have_run(
-    ends: Callable[[socket.socket], None],
+@pytest.mark.parametrize("end", [close_end, reset_end, close_within_a_line])
+def test_an_attempt_in_flight_when_its_connection_ends_may_have_run(
+    end: Callable[[socket.socket], None],
 ) -> None:
-    async def story(rig: Rig) -> None:
-        rig.send("a", "q1")
-        assert await rig.heard("a", 1) == [b"GET"]
-        ends(rig.far["a"])
-        rig.send("a", "q2")
-        while len(rig.ends) < 2:
+    async def scenario(sockets: EngineSockets) -> None:
+        sockets.send("a", "q1")
+        assert await sockets.receive("a", 1) == [b"GET"]
+        end(sockets.engine_ends["a"])
+        sockets.send("a", "q2")
+        while len(sockets.outcomes) < 2:
             await asyncio.sleep(0)
-        assert rig.ends[0] is Outcome.RESET
+        assert sockets.outcomes[0] is Outcome.RESET
 
-    played(story)
+    run_scenario(scenario)
 
 
-def test_what_lies_unread_at_a_connection_that_is_given_up_is_never_read() -> None:
-    """The id may be out again by then, on another connection."""
+def test_unread_bytes_of_an_abandoned_connection_are_never_read() -> None:
+    """The id may be in flight again by then, on another connection."""
 
-    async def story(rig: Rig) -> None:
-        first = rig.send("a", "q1")
-        assert await rig.heard("a", 1) == [b"GET"]
-        rig.far["a"].send(encode_array(b"q1", b"served", b"count=1", b"a\tb\tc\n"))
-        given_up(rig, first)
-        second = rig.send("a", "q1")
+    async def scenario(sockets: EngineSockets) -> None:
+        first = sockets.send("a", "q1")
+        assert await sockets.receive("a", 1) == [b"GET"]
+        sockets.engine_ends["a"].send(encode_array(b"q1", b"served", b"count=1", b"a\tb\tc\n"))
+        abandon(sockets, first)
+        second = sockets.send("a", "q1")
         for _ in range(20):
             await asyncio.sleep(0)
-        assert rig.ends == [Outcome.RESET] and second.connection is not None
+        assert sockets.outcomes == [Outcome.RESET] and second.connection is not None
 
-    played(story)
+    run_scenario(scenario)
 
 
-def test_what_is_written_at_once_to_a_connection_that_broke_ends_it() -> None:
-    async def story(rig: Rig) -> None:
-        first, second = rig.send("a", "q1"), rig.send("a", "q2")
-        assert await rig.heard("a", 2) == [b"GET", b"GET"]
-        rig.far["a"].close()
-        dropped(rig, first)
+def test_an_immediate_write_to_a_broken_connection_ends_it() -> None:
+    async def scenario(sockets: EngineSockets) -> None:
+        first, second = sockets.send("a", "q1"), sockets.send("a", "q2")
+        assert await sockets.receive("a", 2) == [b"GET", b"GET"]
+        sockets.engine_ends["a"].close()
+        cancel(sockets, first)
         while second.connection is not None:
             await asyncio.sleep(0)
-        assert rig.ends == [Outcome.CANCELLED, Outcome.RESET] and rig.world.engines.open_connections == 0
+        assert (
+            sockets.outcomes == [Outcome.CANCELLED, Outcome.RESET]
+            and sockets.world.engines.open_connections == 0
+        )
 
-    played(story)
+    run_scenario(scenario)
 
 
-def test_what_waits_behind_an_engine_that_reads_slowly_is_looked_at_again_before_it_begins() -> None:
-    async def story(rig: Rig) -> None:
+def test_attempts_queued_at_a_slow_reader_are_checked_again_before_they_begin() -> None:
+    async def scenario(sockets: EngineSockets) -> None:
         wanted = True
-        rig.world.gateway.is_wanted = lambda attempt: wanted  # type: ignore[method-assign]
-        for number in range(MANY):
-            rig.send("a", f"q{number}", LARGE)
+        sockets.world.gateway.is_wanted = lambda attempt: wanted  # type: ignore[method-assign]
+        for number in range(LARGE_COUNT):
+            sockets.send("a", f"q{number}", LARGE)
         for _ in range(3):
             await asyncio.sleep(0)
-        begun = MAX_WRITE_BYTES // len(LARGE) + 1
+        begun_count = MAX_WRITE_BYTES // len(LARGE) + 1
         wanted = False
-        assert await rig.heard("a", begun) == [b"GET"] * begun
-        while len(rig.ends) < MANY - begun:
+        assert await sockets.receive("a", begun_count) == [b"GET"] * begun_count
+        while len(sockets.outcomes) < LARGE_COUNT - begun_count:
             await asyncio.sleep(0)
-        assert rig.ends == [Outcome.NOT_STARTED] * (MANY - begun) and rig.there("a") == []
+        assert (
+            sockets.outcomes == [Outcome.NOT_STARTED] * (LARGE_COUNT - begun_count)
+            and sockets.received_now("a") == []
+        )
 
-    played(story)
+    run_scenario(scenario)
 
 
-class EndsAsItIsAsked:
-    """A machine that ends its connection as it is asked for what it has to say."""
+class AbortsAsItWrites:
+    """A protocol that aborts its connection as its output is taken."""
 
     is_closing = False
-    wire: Stream
+    stream: Stream
 
     def receive(self, data: bytes) -> None:
         pass
 
     def take_output(self) -> bytes:
-        self.wire.abort()
+        self.stream.abort()
         return b""
 
     def on_closed(self) -> None:
         pass
 
 
-def test_a_connection_that_ends_as_it_is_about_to_write_is_no_fault() -> None:
-    """What was begun before must not be written to a connection that has ended."""
+def test_a_connection_that_ends_as_it_writes_is_no_fault() -> None:
+    """The rest of an earlier write must not be written to a connection that has ended."""
 
-    async def story(rig: Rig) -> None:
-        near, far = socket.socketpair()
-        machine = EndsAsItIsAsked()
-        machine.wire = Stream(rig.event_loop.streams, machine, 4096)
-        machine.wire.sock, machine.wire.unsent = near, b"begun"
-        machine.wire.write_now()
-        assert machine.wire.sock is None and far.recv(10) == b""
+    async def scenario(sockets: EngineSockets) -> None:
+        near, engine_end = socket.socketpair()
+        protocol = AbortsAsItWrites()
+        protocol.stream = Stream(sockets.event_loop.streams, protocol, 4096)
+        protocol.stream.sock, protocol.stream.unsent = near, b"begun"
+        protocol.stream.write_now()
+        assert protocol.stream.sock is None and engine_end.recv(10) == b""
         near.close()
-        far.close()
+        engine_end.close()
 
-    played(story)
+    run_scenario(scenario)
