--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -1,4 +1,4 @@
-"""PROTOCOL: clients, engines, event bus and peers, at the machines that speak with them."""
+"""PROTOCOL: clients, engines, event bus and peers, at the state machines of their protocols."""
 
 # ruff: noqa: E501
 # Rows are scripts of short lines joined by line feeds: broken at 110 they would be harder to read.
@@ -19,14 +19,14 @@
 from cottonhold.scheduler.events import PeerMessage
 from cottonhold.scheduler.settings import Idempotency, Rules, Tenant
 from cottonhold.transport.clock import LoopClock
-from tests.conformance.rows import Direct, Machine, Row
+from tests.conformance.rows import Assertion, GatewayScript, Row
 from tests.support.scenario import LOGIN, PERMITS, READ, SETTINGS, Client, World, packet
 
-OUT = "c1 query lookup r1\ne1 expect GET r1 *\n"
-LOAD_OUT = "c1 query load r1 allow=20000\ne1 expect GET r1 *\n"
+LOOKUP_SENT = "c1 query lookup r1\ne1 expect GET r1 *\n"
+LOAD_SENT = "c1 query load r1 allow=20000\ne1 expect GET r1 *\n"
 PING = "send 010000000e\n"
 SERVED = "served count=1 a|b|c/\nc1 expect rows a|b|c\n"
-BRIEF = replace(
+SHORT_DEADLINE = replace(
     SETTINGS, classes=(replace(READ, name="brief", latency_objective_ms=100.0, deadline_ms=400.0),)
 )
 RENEWED = "Renewed terms, item {}".format
@@ -37,7 +37,7 @@
     UNCANCELLED,
     classes=(replace(READ, idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_ms=1000.0),),
 )
-ONE_MORE = replace(
+ONE_RETRY = replace(
     UNCANCELLED,
     rules=Rules(retry_budget_free=1, retry_budget_share=0.0, retry_budget_window_ms=1000.0),
     max_connect_ms=250.0,
@@ -45,7 +45,7 @@
 STATEMENT = "SELECT a FROM s_7.t WHERE b = '/* x */'"
 
 
-def greeted() -> tuple[World, Client]:
+def greeted_client() -> tuple[World, Client]:
     """A client that has its greeting."""
     world = World()
     client = world.clients["c1"] = Client(world.sessions.open())
@@ -53,7 +53,7 @@
 
 
 def login_before_greeting() -> None:
-    world, client = greeted()
+    world, client = greeted_client()
     text = b"/* service=lookup,ref=00000000000000aa,allow=900 */ SELECT a FROM s_7.t"
     client.starts.extend([2, 1])
     client.session.receive(packet(1, LOGIN) + packet(0, b"\x03" + text))
@@ -63,7 +63,7 @@
 
 
 def login_with_a_password() -> None:
-    world, client = greeted()
+    world, client = greeted_client()
     client.take()
     client.send(packet(1, LOGIN.replace(b"app\0\0", b"app\0\x02xy")))
     client.take()
@@ -72,11 +72,11 @@
 
 def biggest_result() -> None:
     page = ("x" * 12 + "|y|" + "z" * 14 + "/") * 193  # 5,983 bytes
-    world = World().run(OUT + f"e1 send r1 served count=8 {page}")
+    world = World().run(LOOKUP_SENT + f"e1 send r1 served count=8 {page}")
     for number in range(1, 8):
         world.run(f"e1 send r1 rows pos={number} {page}")
-    (heard,) = world.clients["c1"].received
-    assert heard == "rows " + "/".join([page[: page.index("/")]] * 193 * 8)
+    (response,) = world.clients["c1"].received
+    assert response == "rows " + "/".join([page[: page.index("/")]] * 193 * 8)
 
 
 def clock_is_stepped() -> None:
@@ -96,15 +96,15 @@
     assert table_group("SELECT 'FROM x_4.t' /* y_5.u */ FROM s_8.t") == 8
 
 
-def bus_at(offset: int = 3) -> tuple[EventStream, list[SourceReport]]:
-    told: list[SourceReport] = []
+def event_stream(offset: int = 3) -> tuple[EventStream, list[SourceReport]]:
+    reports: list[SourceReport] = []
     return EventStream(
-        "h", offset, ConfiguredNames(("west", "east"), ("small", "std")), Counters(), told.append
-    ), told
+        "h", offset, ConfiguredNames(("west", "east"), ("small", "std")), Counters(), reports.append
+    ), reports
 
 
-def bus_answer(offset: int, *events: tuple[int, str, int]) -> bytes:
-    """The bus's answer: events of number, state and start."""
+def poll_answer(offset: int, *events: tuple[int, str, int]) -> bytes:
+    """An answer of the event bus: events of number, state and start."""
     batch = []
     for number, state, started in events:
         entry = {
@@ -121,36 +121,36 @@
 
 
 def bus_call() -> None:
-    bus, _ = bus_at()
-    assert bus.request().startswith(f"GET /bus/read?from=3&hold={FIRST_POLL_MS} HTTP/1.1\r\n".encode())
+    stream, _ = event_stream()
+    assert stream.request().startswith(f"GET /bus/read?from=3&hold={FIRST_POLL_MS} HTTP/1.1\r\n".encode())
     assert FIRST_POLL_MS <= LONG_POLL_MS <= 5000
-    bus.receive(bus_answer(9, (9, "Ready", 0)))
-    assert bus.request().startswith(f"GET /bus/read?from=9&hold={LONG_POLL_MS} HTTP/1.1\r\n".encode())
+    stream.receive(poll_answer(9, (9, "Ready", 0)))
+    assert stream.request().startswith(f"GET /bus/read?from=9&hold={LONG_POLL_MS} HTTP/1.1\r\n".encode())
 
 
 def bus_whole_and_changes() -> None:
-    bus, told = bus_at(0)
-    bus.receive(bus_answer(2, (1, "Ready", 0), (2, "Ready", 0)))
-    assert [report.is_complete for report in told] == [True, False]
+    stream, reports = event_stream(0)
+    stream.receive(poll_answer(2, (1, "Ready", 0), (2, "Ready", 0)))
+    assert [report.is_complete for report in reports] == [True, False]
 
 
 def bus_states() -> None:
-    bus, told = bus_at()
-    bus.receive(bus_answer(6, (4, "Ready", 0), (5, "Terminating", 0), (6, "Gone", 0)))
-    got = [report.observations[0].status for report in told]
+    stream, reports = event_stream()
+    stream.receive(poll_answer(6, (4, "Ready", 0), (5, "Terminating", 0), (6, "Gone", 0)))
+    got = [report.observations[0].status for report in reports]
     assert got == [ServiceStatus.IN_SERVICE, ServiceStatus.DRAINED, ServiceStatus.ENDED]
 
 
 def bus_late_start() -> None:
-    bus, told = bus_at()
-    bus.receive(bus_answer(4, (4, "Ready", 1_790_000_000_000)))
-    (engine,) = told[0].observations
+    stream, reports = event_stream()
+    stream.receive(poll_answer(4, (4, "Ready", 1_790_000_000_000)))
+    (engine,) = reports[0].observations
     assert (engine.started_at, engine.zone, engine.machine_type, engine.cell) == (1.79e12, 1, 1, 2)
 
 
 def address_used_again() -> None:
     world = World(engines="a")
-    world.run(OUT + f"e1 send r1 {SERVED}list tell e1 gone")
+    world.run(LOOKUP_SENT + f"e1 send r1 {SERVED}list tell e1 gone")
     world.wait(300)
     world.unmet.append("a")
     world.change(["fresh"], "live")
@@ -165,7 +165,7 @@
     )
 
 
-def peers_most() -> None:
+def peer_datagram_limit() -> None:
     assert peers().destination(SendToPeer(bytes(256), 1)) == Address("10.3.0.2", 7)
     assert (
         peers().destination(SendToPeer(bytes(257), 1)) is None
@@ -182,8 +182,10 @@
     assert peers().decode(b"x", ("10.9.9.9", 7)) is None
 
 
-def unusable(field: str, name: str) -> Machine:
-    return Machine(f"c1 say /* {field} */ SELECT 1\nc1 expect error 1105 *'{name}'*\nc1 {PING}c1 expect ok")
+def unusable(field: str, name: str) -> GatewayScript:
+    return GatewayScript(
+        f"c1 say /* {field} */ SELECT 1\nc1 expect error 1105 *'{name}'*\nc1 {PING}c1 expect ok"
+    )
 
 
 def sent_without_token() -> None:
@@ -227,19 +229,19 @@
         "pro-login",
         C("paragraph 1, sentence 1"),
         "An empty password lets user and database in, one that is not is turned away",
-        Direct(login_with_a_password),
+        Assertion(login_with_a_password),
     ),
     Row(
         "pro-login-early",
         C("paragraph 1, sentence 2"),
         "Login and first query may come before the greeting is read",
-        Direct(login_before_greeting),
+        Assertion(login_before_greeting),
     ),
     Row(
         "pro-result-most",
         C("paragraph 1, sentence 4"),
         "A result of the largest size comes whole, in three text columns",
-        Direct(biggest_result),
+        Assertion(biggest_result),
     ),
     Row(
         "pro-field-service",
@@ -257,7 +259,7 @@
         "pro-field-allow",
         C("fields, row 3"),
         "A query is answered within the time that the client waits",
-        Machine(
+        GatewayScript(
             "list tell e1 gone\nlist tell e2 gone\nc1 query lookup r1 allow=1000\nc1 expect nothing\ntime wait 1000\nc1 expect error 1226 *"
         ),
     ),
@@ -265,13 +267,13 @@
         "pro-field-allow-engine",
         C("fields, row 3"),
         "and no engine is told to work longer than that",
-        Machine("c1 query lookup r1 allow=2000\ne1 expect GET r1 *ms=1???,*"),
+        GatewayScript("c1 query lookup r1 allow=2000\ne1 expect GET r1 *ms=1???,*"),
     ),
     Row(
         "pro-field-allow-connect",
         C("fields, row 3"),
         "nor after a connect that took some of it",
-        Machine(
+        GatewayScript(
             "e1 will vanish\nc1 query load r1 allow=2000\ntime wait 200\ne1 will up\ntime wait 1\ne1 expect GET r1 *ms=138?,*"
         ),
     ),
@@ -279,7 +281,7 @@
         "pro-field-allow-behind",
         C("fields, row 3"),
         "nor behind another query of its session: the time counts from its last byte",
-        Machine(
+        GatewayScript(
             "c1 query load r1 allow=9000\ne1 expect GET r1 *\nc1 query load r2 allow=2000\ntime wait 200\ne1 send r1 served count=1 a|b|c/\nany expect GET r2 *ms=138?,*"
         ),
     ),
@@ -287,7 +289,9 @@
         "pro-field-allow-little",
         C("fields, row 3"),
         "What no engine could answer in time is refused at once, and sent to none",
-        Machine("c1 query load r1 allow=1\nc1 expect error 1226 *\nany nothing\ntime wait 300\nany nothing"),
+        GatewayScript(
+            "c1 query load r1 allow=1\nc1 expect error 1226 *\nany nothing\ntime wait 300\nany nothing"
+        ),
     ),
     Row(
         "pro-field-dup",
@@ -311,7 +315,7 @@
         "pro-field-key",
         C("fields, row 7"),
         "In classes that keep order queries of one key run in turn",
-        Machine(
+        GatewayScript(
             "c1 query load r1 allow=9000 lookup=k1\ne1 expect GET r1 *\nc2 query load r2 allow=9000 lookup=k1\nany nothing\ne1 send r1 "
             + SERVED
             + "any expect GET r2 *"
@@ -321,7 +325,7 @@
         "pro-field-key-other",
         C("fields, row 7"),
         "and in other classes the key means nothing",
-        Machine(
+        GatewayScript(
             "c1 query lookup r1 lookup=k1\ne1 expect GET r1 *\nc2 query lookup r2 lookup=k1\nany expect GET r2 *"
         ),
     ),
@@ -329,13 +333,15 @@
         "pro-field-token",
         C("fields, idempotency key"),
         "The client's idempotency key goes to the engine as it is, in classes of any effect",
-        Machine(f"c1 query lookup r1 replay={TOKEN}\ne1 expect GET r1 kind=lookup,*,token={TOKEN} SELECT *"),
+        GatewayScript(
+            f"c1 query lookup r1 replay={TOKEN}\ne1 expect GET r1 kind=lookup,*,token={TOKEN} SELECT *"
+        ),
     ),
     Row(
         "pro-field-token-each",
         C("fields, idempotency key"),
         "and is the same on each attempt",
-        Machine(
+        GatewayScript(
             f"c1 query lookup r1 replay={TOKEN}\ne1 expect GET r1 *,token={TOKEN} *\ne1 send r1 overload -\ne2 expect GET r1 *,token={TOKEN} *"
         ),
     ),
@@ -343,7 +349,7 @@
         "pro-field-token-absent",
         C("fields, idempotency key"),
         "No key is made up where the client sent none",
-        Direct(sent_without_token),
+        Assertion(sent_without_token),
     ),
     *(
         Row(
@@ -358,13 +364,13 @@
         "pro-field-tenant",
         C("fields, tenant"),
         "The tenant is named as in the settings and reaches the decisions by its place there",
-        Direct(tenant_by_name),
+        Assertion(tenant_by_name),
     ),
     Row(
         "pro-field-tenant-unknown",
         C("fields, tenant"),
         "Another name is a named fault",
-        Machine(
+        GatewayScript(
             "c1 say /* service=lookup,ref=00000000000000aa,allow=900,project=nobody */ SELECT 1\nc1 expect error 1105 *'project'*\nany nothing",
             replace(SETTINGS, tenants=TENANTS),
         ),
@@ -373,20 +379,20 @@
         "pro-field-tenant-none",
         C("fields, tenant"),
         "and where the settings know no tenants it means nothing",
-        Machine("c1 query lookup r1 project=nobody\ne1 expect GET r1 *"),
+        GatewayScript("c1 query lookup r1 project=nobody\ne1 expect GET r1 *"),
     ),
     Row(
         "pro-tables",
         C("paragraph 2"),
         "The group of tables is read from the schema's name, not from staging, strings or comments",
-        Direct(tables_by_schema),
+        Assertion(tables_by_schema),
     ),
     Row(
         "pro-served",
         C("answers, row 1"),
         "A served query has all its rows, unchanged and in order, then an end",
-        Machine(
-            OUT
+        GatewayScript(
+            LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/d||f/\ne1 send r1 rows pos=1 1|2|3/\nc1 expect rows a|b|c/d||f/1|2|3"
         ),
     ),
@@ -394,25 +400,25 @@
         "pro-refused",
         C("answers, row 2"),
         "A refusal is one of three errors, before any row",
-        Machine("c1 query load r1 allow=100\nc1 expect error 1226 *"),
+        GatewayScript("c1 query load r1 allow=100\nc1 expect error 1226 *"),
     ),
     Row(
         "pro-failed",
         C("answers, row 3"),
         "What may have run and can't be repeated is another error",
-        Machine(LOAD_OUT + "e1 close\nc1 expect error 1105 *"),
+        GatewayScript(LOAD_SENT + "e1 close\nc1 expect error 1105 *"),
     ),
     Row(
         "pro-cooldown",
         C("list, item 1"),
         "A refusal says for how many ms to keep away",
-        Machine("c1 query load r1 allow=100\nc1 expect error 1226 *cooldown=400"),
+        GatewayScript("c1 query load r1 allow=100\nc1 expect error 1226 *cooldown=400"),
     ),
     Row(
         "pro-cooldown-none",
         C("list, item 1"),
         "and says nothing of it where the site gives its clients no such word",
-        Machine(
+        GatewayScript(
             "c1 query load r1 allow=100\nc1 expect error 1226 query refused, it did not run or may be repeated",
             replace(SETTINGS, features=replace(PERMITS, has_retry_after=False)),
         ),
@@ -421,25 +427,27 @@
         "pro-no-rank",
         E("form, RANK"),
         "No priority but the usual one is told where the site allows none, not even at the end of the process",
-        Direct(no_priority),
+        Assertion(no_priority),
     ),
     Row(
         "pro-kill",
         C("list, item 2"),
         "A kill from another session ends the query by the id of the greeting, and its attempt",
-        Machine(OUT + "c2 say KILL QUERY 1\nc2 expect ok\nc1 expect error 1317 *\ne1 expect DROP r1"),
+        GatewayScript(
+            LOOKUP_SENT + "c2 say KILL QUERY 1\nc2 expect ok\nc1 expect error 1317 *\ne1 expect DROP r1"
+        ),
     ),
     Row(
         "pro-kill-late",
         C("list, item 2"),
         "A client that has closed is owed nothing",
-        Machine(OUT + "c1 close\ne1 expect DROP r1\ne1 send r1 served count=1 a|b|c/"),
+        GatewayScript(LOOKUP_SENT + "c1 close\ne1 expect DROP r1\ne1 send r1 served count=1 a|b|c/"),
     ),
     Row(
         "pro-kill-connect",
         C("list, item 2"),
         "Nothing is begun for a client that left while a connect was under way, though loads are not cancelled",
-        Machine(
+        GatewayScript(
             "e1 will vanish\nc1 query load r1 allow=20000\nc1 close\ntime wait 200\ne1 will up\ntime wait 20\nany nothing"
         ),
     ),
@@ -447,7 +455,7 @@
         "pro-kill-connect-kept",
         C("list, item 2"),
         "nor where the site allows no cancelling",
-        Machine(
+        GatewayScript(
             "e1 will vanish\nc1 query lookup r1\nc2 say KILL QUERY 1\nc1 expect error 1317 *\ntime wait 200\ne1 will up\ntime wait 20\nany nothing",
             UNCANCELLED,
         ),
@@ -456,7 +464,7 @@
         "pro-kill-held",
         C("list, item 2"),
         "nor for one that left while its query was held, once there is an engine again",
-        Machine(
+        GatewayScript(
             "list tell e1 gone\nlist tell e2 gone\nc1 query load r1 allow=20000\nc1 close\nlist tell e1 live\ntime wait 300\nany nothing"
         ),
     ),
@@ -464,25 +472,25 @@
         "pro-ping",
         C("list, item 3"),
         "A ping after the start is answered with ok",
-        Machine(f"c1 {PING}c1 expect ok"),
+        GatewayScript(f"c1 {PING}c1 expect ok"),
     ),
     Row(
         "pro-close-idle",
         C("list, item 5, sentence 1"),
         "A connection that is still within 4 s of idleness is not closed",
-        Machine(f"c1 {PING}c1 expect ok\ntime wait 4000\nc1 {PING}c1 expect ok"),
+        GatewayScript(f"c1 {PING}c1 expect ok\ntime wait 4000\nc1 {PING}c1 expect ok"),
     ),
     Row(
         "pro-close-open",
         C("list, item 5, sentence 2"),
         "A connection with an open request is not closed, however long it takes",
-        Machine(LOAD_OUT + "time wait 9000\nc1 expect nothing\ne1 send r1 " + SERVED),
+        GatewayScript(LOAD_SENT + "time wait 9000\nc1 expect nothing\ne1 send r1 " + SERVED),
     ),
     Row(
         "pro-get",
         E("form, GET"),
         "A query goes out with its id, class, time, priority and statement",
-        Machine(
+        GatewayScript(
             "c1 query lookup r1 allow=5000\ne1 expect GET r1 kind=lookup,ms=458?,order=1 SELECT a FROM s_7.t"
         ),
     ),
@@ -490,7 +498,7 @@
         "pro-as-it-is",
         E("paragraph 2, sentence 1"),
         "The statement goes out unchanged, without the comment of the fields",
-        Machine(
+        GatewayScript(
             f"c1 say /* service=lookup,ref=00000000000000aa,allow=900 */ {STATEMENT}\ne1 expect GET 00000000000000aa * {STATEMENT}"
         ),
     ),
@@ -498,29 +506,33 @@
         "pro-never-made-up",
         E("paragraph 2, sentence 2"),
         "Nothing goes to an engine for a request whose fields can't be used",
-        Machine("c1 say /* service=lookup,ref=xyz,allow=9 */ SELECT 1\nc1 expect error 1105 *\nany nothing"),
+        GatewayScript(
+            "c1 say /* service=lookup,ref=xyz,allow=9 */ SELECT 1\nc1 expect error 1105 *\nany nothing"
+        ),
     ),
     Row(
         "pro-drop",
         E("form, DROP"),
         "What is given up at the client's limit is told to the engine",
-        Machine(
+        GatewayScript(
             "c1 query load r1 allow=3000\ne1 expect GET r1 *\ntime wait 2590\ne1 expect DROP r1\nc1 expect error 1105 *"
         ),
     ),
-    Row("pro-rank", E("form, RANK"), "A new priority of what is out is told", Direct(sent_priority)),
+    Row("pro-rank", E("form, RANK"), "A new priority of what is out is told", Assertion(sent_priority)),
     Row(
         "pro-page",
         E("form, PAGE"),
         "All further pages are asked for, from 1",
-        Machine(OUT + "e1 send r1 served count=3 a|b|c/\ne1 expect PAGE r1 1\ne1 expect PAGE r1 2"),
+        GatewayScript(
+            LOOKUP_SENT + "e1 send r1 served count=3 a|b|c/\ne1 expect PAGE r1 1\ne1 expect PAGE r1 2"
+        ),
     ),
     Row(
         "pro-page-close",
         E("form, CLOSE"),
         "and the engine is told when none is wanted any more",
-        Machine(
-            OUT
+        GatewayScript(
+            LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 expect PAGE r1 1\ne1 send r1 rows pos=1 1|2|3/\ne1 expect CLOSE r1"
         ),
     ),
@@ -528,8 +540,8 @@
         "pro-any-order",
         E("paragraph 1, sentence 4"),
         "Answers on one connection may come in any order",
-        Machine(
-            OUT
+        GatewayScript(
+            LOOKUP_SENT
             + "list tell e2 draining\nc2 query lookup r2\ne1 expect GET r2 *\ne1 send r2 served count=1 x|y|z/\nc2 expect rows x|y|z\ne1 send r1 "
             + SERVED
         ),
@@ -538,8 +550,8 @@
         "pro-closed-gives-up",
         E("paragraph 1, sentence 4"),
         "A connection's end is the end of all that is out on it",
-        Machine(
-            OUT
+        GatewayScript(
+            LOOKUP_SENT
             + "list tell e2 draining\nc2 query load r2\ne1 expect GET r2 *\nlist tell e2 live\ne1 close\nc2 expect error 1105 *\nany expect GET r1 *"
         ),
     ),
@@ -547,20 +559,20 @@
         "pro-overload",
         E("answers, row 2"),
         "An engine that is full never ran it: a load goes elsewhere",
-        Machine(LOAD_OUT + "e1 send r1 overload -\ne2 expect GET r1 *"),
+        GatewayScript(LOAD_SENT + "e1 send r1 overload -\ne2 expect GET r1 *"),
     ),
     Row(
         "pro-crashed",
         E("answers, row 3"),
         "A crash may have run it: a load fails",
-        Machine(LOAD_OUT + "e1 send r1 crashed -\nc1 expect error 1105 *\ne2 expect nothing"),
+        GatewayScript(LOAD_SENT + "e1 send r1 crashed -\nc1 expect error 1105 *\ne2 expect nothing"),
     ),
     Row(
         "pro-crashed-page",
         E("answers, row 3"),
         "and so does one whose page the engine no longer knows",
-        Machine(
-            LOAD_OUT
+        GatewayScript(
+            LOAD_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 send r1 crashed -\nc1 expect error 1105 *\ne2 expect nothing"
         ),
     ),
@@ -568,20 +580,20 @@
         "pro-nobody",
         E("answers, row 4"),
         "What was over before it ran can be refused, also for a load",
-        Machine(LOAD_OUT + "e1 send r1 nobody -\nc1 expect error 1226 *"),
+        GatewayScript(LOAD_SENT + "e1 send r1 nobody -\nc1 expect error 1226 *"),
     ),
     Row(
         "pro-page-rows",
         E("list, item 2, sentence 1"),
         "A page holds whole rows: one that does not is no answer for the client",
-        Machine(OUT + "e1 send r1 served count=1 a|b|c\nc1 expect nothing\ne2 expect GET r1 *"),
+        GatewayScript(LOOKUP_SENT + "e1 send r1 served count=1 a|b|c\nc1 expect nothing\ne2 expect GET r1 *"),
     ),
     Row(
         "pro-page-lost",
         E("list, item 2, sentence 2"),
         "Pages lost with their engine make another attempt of a safe query, and no row of the first is seen",
-        Machine(
-            OUT
+        GatewayScript(
+            LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 close\ne2 expect GET r1 *\ne2 send r1 served count=1 x|y|z/\nc1 expect rows x|y|z"
         ),
     ),
@@ -589,19 +601,19 @@
         "pro-refused-connect",
         E("list, item 5, sentence 1"),
         "A refused connect proves that nothing ran",
-        Machine("e1 will refuse\nc1 query load r1 allow=20000\ne1 expect nothing\ne2 expect GET r1 *"),
+        GatewayScript("e1 will refuse\nc1 query load r1 allow=20000\ne1 expect nothing\ne2 expect GET r1 *"),
     ),
     Row(
         "pro-reset",
         E("list, item 5, sentence 2"),
         "A reset proves nothing of what was written",
-        Machine(LOAD_OUT + "e1 close\nc1 expect error 1105 *may have run*"),
+        GatewayScript(LOAD_SENT + "e1 close\nc1 expect error 1105 *may have run*"),
     ),
     Row(
         "pro-vanished",
         E("list, item 5, sentence 3"),
         "A connect that never comes up is waited for no longer than told",
-        Machine(
+        GatewayScript(
             "e1 will vanish\nc1 query load r1 allow=20000\nc1 expect nothing\ntime wait 251\ne2 expect GET r1 *"
         ),
     ),
@@ -609,14 +621,14 @@
         "pro-cut-off",
         E("list, item 5, sentence 3"),
         "A connection that stays silent with work out is found out and given up",
-        Machine("e1 will mute\n" + LOAD_OUT + "time wait 2100\nc1 expect error 1105 *may have run*"),
+        GatewayScript("e1 will mute\n" + LOAD_SENT + "time wait 2100\nc1 expect error 1105 *may have run*"),
     ),
     Row(
         "pro-engine-idle",
         E("list, item 5, sentence 4"),
         "Nothing is written on a connection that may just be closing as idle",
-        Machine(
-            OUT
+        GatewayScript(
+            LOOKUP_SENT
             + f"e1 send r1 {SERVED}time wait 13500\nlist tell e2 gone\nc2 query lookup r2\ne1 expect nothing\ne1.2 expect GET r2 *"
         ),
     ),
@@ -624,32 +636,34 @@
         "pro-bus-call",
         B("paragraph 1, sentence 3"),
         "The next call names the last event that is known, and waits 5 s at most",
-        Direct(bus_call),
+        Assertion(bus_call),
     ),
     Row(
         "pro-bus-whole",
         B("list, item 1, sentence 1"),
         "The first event is the whole list, those after it are changes",
-        Direct(bus_whole_and_changes),
+        Assertion(bus_whole_and_changes),
+    ),
+    Row(
+        "pro-bus-states", B("list, item 1, sentence 2"), "Three states are told apart", Assertion(bus_states)
     ),
-    Row("pro-bus-states", B("list, item 1, sentence 2"), "Three states are told apart", Direct(bus_states)),
     Row(
         "pro-bus-start",
         B("list, item 1, sentence 3"),
         "A late start is read, with zone, kind and cell",
-        Direct(bus_late_start),
+        Assertion(bus_late_start),
     ),
     Row(
         "pro-bus-address",
         B("list, item 1, sentence 4"),
         "A new engine at a gone one's address gets connections of its own",
-        Direct(address_used_again),
+        Assertion(address_used_again),
     ),
     Row(
         "pro-bus-told",
         B("list, item 2"),
         "What the list tells holds from then on: nothing more goes to one that drains",
-        Machine(
+        GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining\nlist tell e2 draining\nc2 query lookup r2\nany nothing\nc2 expect nothing"
         ),
     ),
@@ -657,29 +671,38 @@
         "pro-bus-told-connect",
         B("list, item 2"),
         "not even what already waits there for its connection to come up",
-        Machine(
+        GatewayScript(
             "e1 will vanish\nc1 query lookup r1\nlist tell e1 draining\ne1 will up\ntime wait 10\ne1 expect nothing\ne2 expect GET r1 *"
         ),
     ),
-    Row("pro-peer-most", P("sentence 1"), "No datagram over 256 bytes leaves", Direct(peers_most)),
-    Row("pro-peer-all", P("sentence 1"), "What is for all goes to the one address for it", Direct(peers_all)),
+    Row(
+        "pro-peer-most", P("sentence 1"), "No datagram over 256 bytes leaves", Assertion(peer_datagram_limit)
+    ),
+    Row(
+        "pro-peer-all",
+        P("sentence 1"),
+        "What is for all goes to the one address for it",
+        Assertion(peers_all),
+    ),
     Row(
         "pro-peer-sender",
         P("sentence 2"),
         "Who sent one is known by its address; a stranger's is passed over",
-        Direct(peers_by_address),
+        Assertion(peers_by_address),
     ),
     Row(
         "pro-lost-second",
         S("item 1, sentence 2"),
         "A second answer never goes out: what an engine says again is passed over",
-        Machine(OUT + f"e1 send r1 {SERVED}e1 send r1 served count=1 x|y|z/\nc1 expect nothing"),
+        GatewayScript(
+            LOOKUP_SENT + f"e1 send r1 {SERVED}e1 send r1 served count=1 x|y|z/\nc1 expect nothing"
+        ),
     ),
     Row(
         "pro-lost-late",
         S("item 1, sentence 2"),
         "nor does one after an error",
-        Machine(
+        GatewayScript(
             "c1 query load r1 allow=3000\ne1 expect GET r1 *\ntime wait 2590\nc1 expect error 1105 *\ne1 send r1 served count=1 a|b|c/\nc1 expect nothing"
         ),
     ),
@@ -687,7 +710,7 @@
         "pro-lost-copy",
         S("item 1, sentence 2"),
         "A copy of the answer to an attempt is none to the next one under that id",
-        Machine(
+        GatewayScript(
             "c1 query load r1 allow=20000\ne1 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500\ne1.2 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500\nany nothing\ne1.2 send r1 "
             + SERVED,
             engines="a",
@@ -697,7 +720,7 @@
         "pro-window-connect",
         "The rules on sockets, paragraph 1",
         "A repeat begins within the window in which engines drop it, also where its connect takes long",
-        Machine(
+        GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\ntime wait 900\ne2 will vanish\ne1 close\ntime wait 120\ne2 will up\ntime wait 1\nany nothing\nc1 expect error 1226 *",
             KEYED,
         ),
@@ -706,22 +729,24 @@
         "pro-allowance-connect",
         "The rules on sockets, paragraph 1",
         "Further attempts count against their allowance when they begin, not when their connect does",
-        Machine(
+        GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\ne2 will vanish\ne1 send r1 overload -\ntime wait 240\ne2 will up\ntime wait 0\ne2 expect GET r1 *\nlist tell e1 draining\ntime wait 780\nc2 query lookup r2\ne2 expect GET r2 *\ne2 send r2 overload -\nc2 expect error 1226 *",
-            ONE_MORE,
+            ONE_RETRY,
         ),
     ),
     Row(
         "pro-lost-made-up",
         S("item 1, sentence 2"),
         "An answer to an id that is not out reaches nobody",
-        Machine(OUT + "e1 send r7 served count=1 x|y|z/\nc1 expect nothing\ne1 send r1 " + SERVED),
+        GatewayScript(
+            LOOKUP_SENT + "e1 send r7 served count=1 x|y|z/\nc1 expect nothing\ne1 send r1 " + SERVED
+        ),
     ),
     Row(
         "pro-attempt-out",
         S("item 2"),
         "An attempt given up is out no more: its order goes on",
-        Machine(
+        GatewayScript(
             "c1 query load r1 allow=3000 lookup=k1\ne1 expect GET r1 *\nc2 query load r2 allow=9000 lookup=k1\ntime wait 2590\ne1 expect DROP r1\nc1 expect error 1105 *\nany expect GET r2 *"
         ),
     ),
@@ -729,14 +754,16 @@
         "pro-refusal-rule",
         S("item 3"),
         "A full engine's word after a first attempt in doubt does not make a refusal of a load",
-        Machine(LOAD_OUT + "e1 send r1 overload -\ne2 expect GET r1 *\ne2 close\nc1 expect error 1105 *"),
+        GatewayScript(
+            LOAD_SENT + "e1 send r1 overload -\ne2 expect GET r1 *\ne2 close\nc1 expect error 1105 *"
+        ),
     ),
     Row(
         "pro-not-whole",
         F("item 2"),
         "No row goes out before all are there, so that a broken answer never looks whole",
-        Machine(
-            OUT
+        GatewayScript(
+            LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\nc1 expect nothing\ne1 close\nc1 expect nothing\ne2 expect GET r1 *"
         ),
     ),
@@ -744,7 +771,7 @@
         "pro-term-new",
         F("item 4, sentence 2"),
         "After SIGTERM new connections and their requests are served for 0.4 s and more",
-        Machine(
+        GatewayScript(
             "ops leave\ntime wait 380\nc1 query lookup r1 allow=1500\ne1 expect GET r1 *\ne1 send r1 "
             + SERVED
         ),
@@ -753,7 +780,7 @@
         "pro-term-open",
         F("item 4, sentence 2"),
         "and requests on open ones for 0.2 s longer",
-        Machine(
+        GatewayScript(
             f"c1 {PING}c1 expect ok\nops leave\ntime wait 590\nc1 query lookup r1 allow=1500\nany expect GET r1 *"
         ),
     ),
@@ -761,7 +788,7 @@
         "pro-term-kill",
         F("item 4, sentence 3"),
         "What comes after and could outlive SIGKILL is turned away before it ran",
-        Machine(
+        GatewayScript(
             "ops leave\ntime wait 710\nc1 query load r1 allow=20000\nc1 expect error 1226 *did not run*\nany nothing"
         ),
     ),
@@ -769,23 +796,23 @@
         "pro-term-answers",
         F("item 4, sentence 4"),
         "What had been taken is answered before the end",
-        Machine(
-            LOAD_OUT + "ops leave\ntime wait 1500\nc1 expect nothing\ne1 send r1 " + SERVED + "c1 closing"
+        GatewayScript(
+            LOAD_SENT + "ops leave\ntime wait 1500\nc1 expect nothing\ne1 send r1 " + SERVED + "c1 closing"
         ),
     ),
     Row(
         "pro-term-short",
         RENEWED(9),
         "With short deadlines SIGKILL comes soon: what engines that hang hold is answered before, and idle connections are closed",
-        Machine(
+        GatewayScript(
             "c2 send 010000000e\nc2 expect ok\nc1 query brief r1 allow=9000\ne1 expect GET r1 *\nops terminate\ntime wait 1000\nc1 expect error 1226 *\nc1 closing\nc2 closing",
-            BRIEF,
+            SHORT_DEADLINE,
         ),
     ),
     Row(
         "pro-clock-step",
         RENEWED(6),
         "A step of the wall clock by an hour moves neither deadlines nor waits",
-        Direct(clock_is_stepped),
+        Assertion(clock_is_stepped),
     ),
 )
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -1,13 +1,14 @@
-"""What a row of a conformance table is, and the three places at which it is looked at.
+"""What a row of a conformance table is, and the three ways in which it is checked.
 
-A row says in our own words what a page asks of the dispatcher, where on the page, and how it is seen: at the
-module (`Module`, a script of events into Scheduler.step), at the state machines of sockets (`Machine`, a
-script in the language of tests/support/scenario.py), or by a function that asserts (`Direct`).
+A row says in our own words what a page requires of the dispatcher, where on the page, and how it is checked:
+by a script of events into Scheduler.step (`SchedulerScript`), by a script for the gateway in the language of
+tests/support/scenario.py (`GatewayScript`), or by a function that asserts (`Assertion`).
 
-A module script is lines `TIME EVENT; EVENT -> ACTION, ACTION`. The scheduler is stepped each 10 ms up to TIME
-and then with the events; the actions are all sends and final answers since the line before. Events: `list
-NAME[:FIELD=VALUE,...] ...` (whole), `change ...`, `ask ID [FIELD=VALUE ...]`, `end ID OUTCOME`, `gone ID`,
-`fails`. Actions: `send ID [ENGINE]`, `reject ID`, `fail ID`, `cancel ID`, `subscribe`, or `nothing`.
+A scheduler script is lines `TIME EVENT; EVENT -> ACTION, ACTION`. The scheduler is stepped each 10 ms up to
+TIME and then with the events; the actions are all sends and final answers since the line before. Events:
+`list NAME[:FIELD=VALUE,...] ...` (complete), `change ...`, `ask ID [FIELD=VALUE ...]`, `end ID OUTCOME`,
+`gone ID`, `fails`. Actions: `send ID [ENGINE]`, `reject ID`, `fail ID`, `cancel ID`, `subscribe`, or
+`nothing`.
 """
 
 from __future__ import annotations
@@ -44,10 +45,10 @@
 
 
 class Check(Protocol):
-    """How a row is seen: run raises AssertionError where the row is not held."""
+    """How a row is checked: run raises AssertionError where the row is not met."""
 
     def run(self) -> None:
-        """Look."""
+        """Check."""
 
     def expects(self) -> bool:
         """Whether anything is expected at all: a check that can't fail is a defect of the table."""
@@ -55,13 +56,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """One sentence that asks for something. `unheld` says why it is not held yet; it then has to fail."""
+    """One sentence that requires something. `unmet`: why it is not met yet; its check then has to fail."""
 
     id: str
     place: str
-    asks: str
+    requirement: str
     check: Check
-    unheld: str = ""
+    unmet: str = ""
 
 
 def parse_value(text: str) -> Any:
@@ -122,19 +123,19 @@
 
     def play_line(self, at: float, events: str) -> list[str]:
         """Steps up to a time, then the events; what was done."""
-        done: list[Action] = []
+        actions: list[Action] = []
         while self.now + STEP_MS < at:
             self.now += STEP_MS
-            done += self.scheduler.step(self.now, [])
+            actions += self.scheduler.step(self.now, [])
         self.now = at
-        done += self.scheduler.step(
+        actions += self.scheduler.step(
             at, [self.parse_event(e) for e in filter(None, map(str.strip, events.split(";")))]
         )
-        return [word for word in map(self.describe, done) if word]
+        return [line for line in map(self.describe, actions) if line]
 
 
 @dataclass(slots=True, frozen=True)
-class Module:
+class SchedulerScript:
     """A script of events into Scheduler.step."""
 
     script: str
@@ -153,26 +154,28 @@
         )
         scripted = ScriptedScheduler(Scheduler(site, 1))
         for text in filter(None, map(str.strip, self.script.splitlines())):
-            head, arrow, wanted = text.partition("->")
+            head, arrow, expected = text.partition("->")
             at, _, events = head.strip().partition(" ")
-            done = scripted.play_line(float(at), events)
+            actions = scripted.play_line(float(at), events)
             if arrow:
-                self.compare(text, done, [w.strip() for w in wanted.split(",") if w.strip() != "nothing"])
-
-    def compare(self, text: str, done: list[str], wanted: list[str]) -> None:
-        left = list(done)
-        for word in wanted:
-            found = [w for w in left if w == word or w.startswith(f"{word} ")]
-            assert found, f"{text}: done {done}"
+                self.compare(
+                    text, actions, [w.strip() for w in expected.split(",") if w.strip() != "nothing"]
+                )
+
+    def compare(self, text: str, actions: list[str], expected: list[str]) -> None:
+        left = list(actions)
+        for line in expected:
+            found = [w for w in left if w == line or w.startswith(f"{line} ")]
+            assert found, f"{text}: done {actions}"
             left.remove(found[0])
-        assert not left, f"{text}: done {done}"
+        assert not left, f"{text}: done {actions}"
 
     def expects(self) -> bool:
         return "->" in self.script
 
 
 @dataclass(slots=True, frozen=True)
-class Machine:
+class GatewayScript:
     """A script for the gateway between fake clients and engines (tests/support/scenario.py)."""
 
     script: str
@@ -188,8 +191,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Direct:
-    """A function that asserts: a part looked at by itself, or the process."""
+class Assertion:
+    """A function that asserts: about one part, or the whole process."""
 
     call: Callable[[], None]
 
--- a/tests/conformance/sockets.py
+++ b/tests/conformance/sockets.py
@@ -5,7 +5,7 @@
 import asyncio
 import errno
 
-from tests.conformance.rows import Direct, Row
+from tests.conformance.rows import Assertion, Row
 from tests.support.faulty_sockets import ACCEPTED, MADE, OK, Short
 from tests.support.loopback import GREETED, REQUEST_ID, Loopback, run_scenario
 from tests.support.loopback import ROWS as RESULT
@@ -13,7 +13,7 @@
 S, E = "The rules on sockets, {}".format, "Dispatchers to engines, {}".format
 
 
-def accepted() -> None:
+def accept_failures() -> None:
     async def scenario(loopback: Loopback) -> None:
         loopback.faults.plan("accept", errno.ECONNABORTED, errno.EMFILE)
         loopback.faults.plan("setsockopt", errno.EINVAL, on=ACCEPTED)
@@ -26,7 +26,7 @@
     run_scenario(scenario)
 
 
-def queued() -> None:
+def queue_failures() -> None:
     async def scenario(loopback: Loopback) -> None:
         loopback.accepting.cancel()
         await asyncio.gather(loopback.accepting, return_exceptions=True)
@@ -44,7 +44,7 @@
     run_scenario(scenario)
 
 
-def whole() -> None:
+def write_failures() -> None:
     async def scenario(loopback: Loopback) -> None:
         client = loopback.client()
         await loopback.until(lambda: client.responses() == GREETED)
@@ -59,7 +59,7 @@
     run_scenario(scenario)
 
 
-def unreached() -> None:
+def connect_failure() -> None:
     async def scenario(loopback: Loopback) -> None:
         loopback.faults.plan("connect", errno.EHOSTUNREACH, on=MADE)
         client = loopback.client()
@@ -71,7 +71,7 @@
     run_scenario(scenario, engines=2)
 
 
-def broken() -> None:
+def read_failure() -> None:
     async def scenario(loopback: Loopback) -> None:
         client = loopback.client()
         client.send_query(1, "load")
@@ -90,30 +90,30 @@
         "pro-sock-accepted",
         S("item 1, sentence 1"),
         "A request on a connection that the machine accepted is answered though accept or an option failed",
-        Direct(accepted),
+        Assertion(accept_failures),
     ),
     Row(
         "pro-sock-queued",
         S("item 1, sentence 1"),
         "and so is one that waits in the queue as the listener closes",
-        Direct(queued),
+        Assertion(queue_failures),
     ),
     Row(
         "pro-sock-whole",
         S("item 1, sentence 2"),
         "Its answer goes out whole though writes are short, interrupted or lack memory",
-        Direct(whole),
+        Assertion(write_failures),
     ),
     Row(
         "pro-sock-unreached",
         E("list, item 5, sentence 1"),
         "A connect that the system could not make proves that nothing ran",
-        Direct(unreached),
+        Assertion(connect_failure),
     ),
     Row(
         "pro-sock-broken",
         E("list, item 5, sentence 2"),
         "A connection that ends in another error than a reset proves as little of what was written",
-        Direct(broken),
+        Assertion(read_failure),
     ),
 )
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -22,7 +22,7 @@
 
 def marked(row: Row) -> Any:
     """A row as a case; one not held yet has to fail, so that the mark goes when it holds."""
-    marks = [pytest.mark.xfail(reason=row.unheld, strict=True, raises=AssertionError)] if row.unheld else []
+    marks = [pytest.mark.xfail(reason=row.unmet, strict=True, raises=AssertionError)] if row.unmet else []
     return pytest.param(row, id=row.id, marks=marks)
 
 
@@ -34,7 +34,7 @@
 def test_tables_are_whole() -> None:
     every = [row for table in TABLES.values() for row in table]
     assert len(ROWS) == len(every), "an id is there twice"
-    assert not [r.id for r in every if not (r.place and r.asks and r.check.expects())]
+    assert not [r.id for r in every if not (r.place and r.requirement and r.check.expects())]
 
 
 DEFECTS: list[tuple[type | object, str, Any, str]] = [
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls, the lifecycle cycle, and a drain as clients meet it."""
+"""The admin API, the lifecycle, and a drain as clients see it."""
 
 from __future__ import annotations
 
@@ -177,9 +177,13 @@
         return self.call.take_output().partition(b"\r\n")[0].decode().removeprefix("HTTP/1.1 ")
 
 
-def calls(world: World, most: int = 4) -> AdminApi:
+def make_api(world: World, max_connections: int = 4) -> AdminApi:
     return AdminApi(
-        world.lifecycle, world.clock, world.counters, lambda event, **_: world.log.append(event), most
+        world.lifecycle,
+        world.clock,
+        world.counters,
+        lambda event, **_: world.log.append(event),
+        max_connections,
     )
 
 
@@ -216,7 +220,7 @@
 def test_a_call_gets_one_response_however_its_bytes_are_split(text: bytes, status: str, size: int) -> None:
     if size < 3 and len(text) > 20000:
         pytest.skip("the same at greater length")
-    caller = Caller(calls(World()).open())
+    caller = Caller(make_api(World()).open())
     assert caller.status(text, size) == status
     assert caller.call.is_closing is bool(status)
     assert not status or caller.status(b"more") == ""
@@ -224,58 +228,62 @@
 
 def test_calls_are_idempotent_and_change_the_one_state() -> None:
     world = World()
-    shared = calls(world, most=20)
-
-    def ask(method: str, path: str) -> str:
-        return Caller(shared.open()).status(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())[:3]
-
-    asked = [ask("POST", "/healthcheck/fail"), ask("POST", "/healthcheck/fail")]
-    drained = ask("GET", "/healthcheck"), world.lifecycle.phase(), world.counters.counts["drains"]
-    asked += [ask("POST", "/healthcheck/ok"), ask("POST", "/healthcheck/ok"), ask("GET", "/healthcheck")]
-    assert asked == ["200"] * 5 and drained == ("503", Phase.DRAINING, 1)
+    api = make_api(world, max_connections=20)
+
+    def call_api(method: str, path: str) -> str:
+        return Caller(api.open()).status(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())[:3]
+
+    statuses = [call_api("POST", "/healthcheck/fail"), call_api("POST", "/healthcheck/fail")]
+    drained = call_api("GET", "/healthcheck"), world.lifecycle.phase(), world.counters.counts["drains"]
+    statuses += [
+        call_api("POST", "/healthcheck/ok"),
+        call_api("POST", "/healthcheck/ok"),
+        call_api("GET", "/healthcheck"),
+    ]
+    assert statuses == ["200"] * 5 and drained == ("503", Phase.DRAINING, 1)
     world.run("ops leave")
-    assert [ask("POST", "/healthcheck/ok"), ask("POST", "/healthcheck/fail")] == ["409", "200"]
+    assert [call_api("POST", "/healthcheck/ok"), call_api("POST", "/healthcheck/fail")] == ["409", "200"]
 
 
 def test_slow_callers_time_out_without_blocking_others() -> None:
     world = World()
-    shared = calls(world, most=2)
-    silent, half = Caller(shared.open()), Caller(shared.open())
+    api = make_api(world, max_connections=2)
+    silent, half = Caller(api.open()), Caller(api.open())
     half.status(b"GET /health")
-    quick = Caller(shared.open())
+    quick = Caller(api.open())
     assert silent.call.is_closed and not half.call.is_closed  # the oldest made room
     assert quick.status(b"GET /healthcheck HTTP/1.1\r\n\r\n") == "200 OK"
     world.wait(CALL_TIMEOUT_MS)
     assert half.status() == "408 Request Timeout"
-    Caller(shared.open())
-    assert len(shared.connections) == 2 and half.call.is_closed  # one that is answered makes room first
+    Caller(api.open())
+    assert len(api.connections) == 2 and half.call.is_closed  # one that is answered makes room first
 
 
-@pytest.mark.parametrize("held", ["unread", "unwritten"])
-def test_a_received_call_is_answered_before_its_connection_is_evicted(held: str) -> None:
+@pytest.mark.parametrize("response_state", ["unread", "unwritten"])
+def test_a_received_call_is_answered_before_its_connection_is_evicted(response_state: str) -> None:
     """Whether its bytes lie unread or its answer waits for the next turn, it must not be cut off."""
 
     async def scenario() -> bytes:
         world, event_loop = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
-        shared = calls(world, most=1)
+        api = make_api(world, max_connections=1)
         listener = event_loop.listener.listen(Address("127.0.0.1", 0))
-        accepting = event_loop.spawn(event_loop.listener.serve_admin_api(listener, shared))
+        accepting = event_loop.spawn(event_loop.listener.serve_admin_api(listener, api))
         caller = socket.create_connection(listener.getsockname())
-        while len(shared.connections) < 1:
+        while len(api.connections) < 1:
             await asyncio.sleep(0)
-        first = next(iter(shared.connections))
+        first = next(iter(api.connections))
         caller.sendall(b"GET /healthcheck HTTP/1.1\r\n\r\n")
         assert first.stream is not None
-        if held == "unwritten":
+        if response_state == "unwritten":
             assert first.stream.read_available()
-        shared.open().on_closed()
+        api.open().on_closed()
         caller.setblocking(False)
-        got = await event_loop.loop.sock_recv(caller, 4096)
+        received = await event_loop.loop.sock_recv(caller, 4096)
         accepting.cancel()
         for sock in [listener, caller]:
             sock.close()
         await asyncio.gather(*event_loop.tasks, return_exceptions=True)
-        return got
+        return received
 
     assert asyncio.run(scenario()).startswith(b"HTTP/1.1 200")
 
@@ -289,7 +297,7 @@
 
 
 def test_queued_connections_are_accepted_before_a_listener_closes() -> None:
-    """What waits in the queue of a listener that closes is reset, with its request written."""
+    """What is in the queue of a listener that closes is reset, with its request written."""
 
     async def scenario() -> int:
         world, event_loop = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
@@ -297,10 +305,10 @@
             listener.setblocking(False)
             clients = [socket.create_connection(listener.getsockname()) for _ in range(5)]
             await event_loop.listener.accept_queued(listener, world.sessions)
-        taken = len(world.sessions.sessions)
+        accepted_count = len(world.sessions.sessions)
         for client in clients:
             client.close()
         await asyncio.gather(*event_loop.tasks, return_exceptions=True)
-        return taken
+        return accepted_count
 
     assert asyncio.run(scenario()) == 5
--- a/tests/node/test_engine_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the engine list that cross what is being sent: before its step, in its queue, in its connect."""
+"""Engine list changes that cross a request: before its step, in its queue, in its connect."""
 
 from __future__ import annotations
 
@@ -20,56 +20,56 @@
 from cottonhold.scheduler.events import Engine, EngineState
 from tests.support.scenario import World, packet
 
-LEFT = ["draining", "gone"]
+LEAVING_STATES = ["draining", "gone"]
 QUERY = b"/* service=lookup,ref=%016x,allow=5000 */ SELECT a FROM s_7.t"
 SERVED = "served count=1 a|b|c/\nc1 expect rows a|b|c"
 
 
-def ask(world: World, number: int) -> None:
-    """A query comes, and nothing else happens yet."""
+def receive_query(world: World, number: int) -> None:
+    """Receive a query; nothing else happens yet."""
     world.client("c1").session.receive(packet(0, b"\x03" + QUERY % number))
 
 
-def got(world: World) -> dict[str, list[int]]:
-    """The queries that each engine was sent, by its name."""
-    heard: dict[str, list[int]] = {name: [] for name in world.names}
-    for line in world.engine_streams:
-        name = world.names[int(line.engine[1:]) - 1]
-        heard[name] += [int(words[1], 16) for words in line.received if words[0] == b"GET"]
-    return heard
+def requests_by_engine(world: World) -> dict[str, list[int]]:
+    """The requests that each engine got, by its name."""
+    requests: dict[str, list[int]] = {name: [] for name in world.names}
+    for stream in world.engine_streams:
+        name = world.names[int(stream.engine[1:]) - 1]
+        requests[name] += [int(words[1], 16) for words in stream.received if words[0] == b"GET"]
+    return requests
 
 
-def before_the_step(world: World, change: Callable[[], None]) -> None:
-    ask(world, 1)
+def before_step(world: World, change: Callable[[], None]) -> None:
+    receive_query(world, 1)
     change()
 
 
-def after_the_step(world: World, change: Callable[[], None]) -> None:
-    """Decided, and in the queue of a connection that is up; nothing of it is written."""
-    ask(world, 1)
+def after_step(world: World, change: Callable[[], None]) -> None:
+    """Decided, and queued at a connection that is up; nothing of it is written."""
+    receive_query(world, 1)
     world.gateway._step()
     assert any(c.queue for p in world.engines.endpoints.values() for c in p.connections)
     change()
 
 
-def in_the_connect(world: World, change: Callable[[], None]) -> None:
+def during_connect(world: World, change: Callable[[], None]) -> None:
     for name in ("a", "b"):
         world.behaviour[world.met(name) if name not in world.names else ""] = "vanish"
-    ask(world, 1)
+    receive_query(world, 1)
     world.wait(10)
     change()
     world.behaviour.clear()
 
 
-@pytest.mark.parametrize("state", LEFT)
-@pytest.mark.parametrize("cross", [before_the_step, after_the_step, in_the_connect])
+@pytest.mark.parametrize("state", LEAVING_STATES)
+@pytest.mark.parametrize("apply_change", [before_step, after_step, during_connect])
 def test_nothing_is_sent_to_an_engine_that_leaves_while_a_request_is_being_sent(
-    cross: Callable[[World, Callable[[], None]], None], state: str
+    apply_change: Callable[[World, Callable[[], None]], None], state: str
 ) -> None:
-    """Whichever engine the query was for, both are told to leave but one that comes in the same change."""
+    """Whichever engine the query was for, both leave, and a new one arrives in the same change."""
     world = World(engines="a b")
     world.client("c1")
-    if cross is after_the_step:  # a connection to each that is up
+    if apply_change is after_step:  # a connection to each that is up
         for name in ("a", "b"):
             world.engines.check_health(name)
             world.met(name)
@@ -77,62 +77,64 @@
     world.unmet.append("new")
 
     def change() -> None:
-        left = [Engine(name, state=EngineState(state)) for name in ("a", "b")]
+        leaving = [Engine(name, state=EngineState(state)) for name in ("a", "b")]
         world.gateway.on_engine_list(
-            EngineListChange((*left, Engine("new")), {"new": Address("new", 1)}, is_complete=False)
+            EngineListChange((*leaving, Engine("new")), {"new": Address("new", 1)}, is_complete=False)
         )
 
-    cross(world, change)
+    apply_change(world, change)
     world.wait(400)
-    assert got(world) == {**{name: [] for name in world.names}, "new": [1]}
+    assert requests_by_engine(world) == {**{name: [] for name in world.names}, "new": [1]}
 
 
-@pytest.mark.parametrize("together", [True, False])
-def test_a_new_engine_at_a_removed_engines_address_gets_its_own_connection(together: bool) -> None:
-    """The old one's answer to what was out may still come, and counts once."""
+@pytest.mark.parametrize("in_one_change", [True, False])
+def test_a_new_engine_at_a_removed_engines_address_gets_its_own_connection(in_one_change: bool) -> None:
+    """The old one's answer to its attempt may still arrive, and counts once."""
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *")
-    gone, new = Engine("a", state=EngineState.REMOVED), Engine("fresh", started_at=900.0)
+    removed, new = Engine("a", state=EngineState.REMOVED), Engine("fresh", started_at=900.0)
     at = {"fresh": Address("a", 1)}
     world.unmet.append("a")
-    changes: list[tuple[Engine, ...]] = [(gone, new)] if together else [(gone,), (new,)]
+    changes: list[tuple[Engine, ...]] = [(removed, new)] if in_one_change else [(removed,), (new,)]
     for engines in changes:
         world.gateway.on_engine_list(EngineListChange(engines, at, is_complete=False))
     world.run(f"c2 query lookup r2\ne1 send r1 {SERVED}")
-    lines = [line for line in world.engine_streams if line.connection.engine == "fresh"]
-    assert len(lines) == 1 and lines[0] is not world.engine_streams[0]
-    assert [int(words[1], 16) for words in lines[0].received] == [2]
+    streams = [stream for stream in world.engine_streams if stream.connection.engine == "fresh"]
+    assert len(streams) == 1 and streams[0] is not world.engine_streams[0]
+    assert [int(words[1], 16) for words in streams[0].received] == [2]
 
 
-@pytest.mark.parametrize("started", [0.0, 1200.0])
-def test_a_drained_engine_back_in_service_gets_requests_again(started: float) -> None:
+@pytest.mark.parametrize("started_at", [0.0, 1200.0])
+def test_a_drained_engine_back_in_service_gets_requests_again(started_at: float) -> None:
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining")
     world.run(f"c2 query lookup r2\ntime wait 300\ne1 expect nothing\ne1 send r1 {SERVED}")
-    world.gateway.on_engine_list(EngineListChange((Engine("a", started_at=started),), {}, is_complete=False))
+    world.gateway.on_engine_list(
+        EngineListChange((Engine("a", started_at=started_at),), {}, is_complete=False)
+    )
     world.wait(3000)
-    assert any(words[1] == b"%016x" % 2 for line in world.engine_streams for words in line.received)
+    assert any(words[1] == b"%016x" % 2 for stream in world.engine_streams for words in stream.received)
 
 
-IN, OUT, END = ServiceStatus.IN_SERVICE, ServiceStatus.DRAINED, ServiceStatus.ENDED
+IN, DRAINED, ENDED = ServiceStatus.IN_SERVICE, ServiceStatus.DRAINED, ServiceStatus.ENDED
 
 
 @pytest.mark.parametrize(
     "events, state",
     [
-        ([[("a", OUT)], [("a", END)], [("b", IN)]], {"a": "gone", "b": "live"}),
-        ([[("a", OUT), ("b", IN)]], {"a": "draining", "b": "live"}),
-        ([[("a", END), ("b", IN)]], {"a": "gone", "b": "live"}),
-        ([[("b", IN), ("a", END)]], {"a": "gone", "b": "live"}),
-        ([[("a", OUT)], [("a", IN)]], {"a": "live"}),
-        ([[("a", END)], [("a", IN)]], {"a": "live"}),
-        ([[("a", IN)], [("a", OUT)]], {"a": "draining"}),
+        ([[("a", DRAINED)], [("a", ENDED)], [("b", IN)]], {"a": "gone", "b": "live"}),
+        ([[("a", DRAINED), ("b", IN)]], {"a": "draining", "b": "live"}),
+        ([[("a", ENDED), ("b", IN)]], {"a": "gone", "b": "live"}),
+        ([[("b", IN), ("a", ENDED)]], {"a": "gone", "b": "live"}),
+        ([[("a", DRAINED)], [("a", IN)]], {"a": "live"}),
+        ([[("a", ENDED)], [("a", IN)]], {"a": "live"}),
+        ([[("a", IN)], [("a", DRAINED)]], {"a": "draining"}),
     ],
 )
 @pytest.mark.parametrize("one_by_one", [True, False])
 def test_batched_events_have_the_same_result_as_single_ones(
     events: list[list[tuple[str, ServiceStatus]]], state: dict[str, str], one_by_one: bool
 ) -> None:
-    """All at one address: the last word on each engine counts."""
-    belief = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1)
+    """All at one address: the last event of each engine counts."""
+    catalog = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1)
     here = Address("h", 1)
     reports = [
         SourceReport(
@@ -145,7 +147,7 @@
     first = SourceReport(SOURCE, 1, (Observation("a", IN, address=here),), is_complete=True)
     published: dict[str, str] = {}
     for step in [[first], *([[report] for report in reports] if one_by_one else [reports])]:
-        for action in belief.step(1000.0, step):
+        for action in catalog.step(1000.0, step):
             if isinstance(action, PublishChange):
                 published |= {engine.id: engine.state.value for engine in action.change.engines}
     assert published == state
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -284,12 +284,12 @@
 def test_a_health_check_on_a_silent_connection_is_repeated_on_a_new_one() -> None:
     world = World(engines="a")
     world.run("e1 will mute\nc1 query lookup r1\ne1 expect GET *")
-    told = list[Outcome]()
-    world.gateway.on_health_check_completed = lambda engine, outcome, report: told.append(outcome)  # type: ignore[method-assign]
+    outcomes = list[Outcome]()
+    world.gateway.on_health_check_completed = lambda engine, outcome, report: outcomes.append(outcome)  # type: ignore[method-assign]
     world.engines.check_health("a")
     world.wait(240)
     world.run("e1 will up\ntime wait 20")
-    assert told == [Outcome.OK] and len(world.engine_streams) == 2
+    assert outcomes == [Outcome.OK] and len(world.engine_streams) == 2
     world.run("e1 will mute\ntime wait 500")
     assert world.engine_streams[0].connection.is_closed and not world.engine_streams[1].connection.is_closed
 
@@ -299,7 +299,7 @@
     connection = world.engine_streams[0].connection
     connection.abandoned_ids = dict.fromkeys(b"%016x" % n for n in range(1000))
     world.run("e1 send r7 served count=1 a|b|c/")
-    assert b"%016x" % 7 in connection.abandoned_ids  # another copy of its answer may follow
+    assert b"%016x" % 7 in connection.abandoned_ids  # a duplicate of its answer may follow
     world.wait(300)
     assert list(connection.abandoned_ids) == [b"%016x" % n for n in range(1000 - MAX_ABANDONED_IDS, 1000)]
 
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize(
-    ("statement", "named"),
+    ("statement", "field"),
     [
         ("SELECT 1", "service"),
         ("/* ref=r1,allow=9 */ SELECT 1", "service"),
@@ -337,8 +337,8 @@
         ("/* service=lookup,ref=r1,allow=9,dup=2 */ SELECT 1", "dup"),
     ],
 )
-def test_an_invalid_field_is_named(statement: str, named: str) -> None:
-    World().run(f"c1 say {statement}\nc1 expect error 1105 *'{named}'*\nc1 send 010000000e\nc1 expect ok")
+def test_an_invalid_field_is_named(statement: str, field: str) -> None:
+    World().run(f"c1 say {statement}\nc1 expect error 1105 *'{field}'*\nc1 send 010000000e\nc1 expect ok")
 
 
 QUERY = packet(0, b"\x03/* service=lookup,ref=00000000000000aa,allow=900 */ SELECT a FROM s_7.t")
@@ -377,10 +377,12 @@
     assert client.received[-1].startswith(f"error {error} ") and client.session.is_closing
 
 
-HELLO = packet(1, LOGIN)
+LOGIN_PACKET = packet(1, LOGIN)
 
 
-@pytest.mark.parametrize("data", [b"", HELLO[:20], HELLO, HELLO + QUERY[:30], HELLO + QUERY[:3]])
+@pytest.mark.parametrize(
+    "data", [b"", LOGIN_PACKET[:20], LOGIN_PACKET, LOGIN_PACKET + QUERY[:30], LOGIN_PACKET + QUERY[:3]]
+)
 def test_a_client_without_a_complete_packet_gets_an_error_and_is_closed_within_3_s(data: bytes) -> None:
     world = World()
     session = world.sessions.open()
@@ -397,13 +399,15 @@
     world.run("time wait 1000\nc1 closing")
 
 
-@pytest.mark.parametrize(("price", "least", "most"), [(0.0, 8, 12), (0.06, 1, 1)])
-def test_liveness_checks_stay_within_their_budget(price: float, least: int, most: int) -> None:
+@pytest.mark.parametrize(("check_cost", "min_checks", "max_checks"), [(0.0, 8, 12), (0.06, 1, 1)])
+def test_liveness_checks_stay_within_their_budget(
+    check_cost: float, min_checks: int, max_checks: int
+) -> None:
     """Without a budget most connections of a busy fleet would get liveness checks again and again."""
     world = World()
-    world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=price)
+    world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=check_cost)
     world.run("c1 query load r1 allow=20000\ne1 expect GET *\ntime wait 15000\nc1 expect nothing")
-    assert least <= world.counters.counts["probes_sent"] <= most
+    assert min_checks <= world.counters.counts["probes_sent"] <= max_checks
 
 
 def test_the_longest_silent_connection_is_checked_first() -> None:
@@ -417,7 +421,7 @@
 
 
 def test_idle_connections_are_evicted_in_order() -> None:
-    """Those that have sent nothing, then the longest idle, then those that stopped in mid-packet."""
+    """Those that have sent nothing, then the longest idle, then those that stopped within a packet."""
     world = World(sockets=64).run("""
         c1 query lookup r1
         c2 send 010000000e
@@ -431,13 +435,13 @@
     for client in silent:
         client.take()  # the greeting
     world.wait(60)
-    gone = []
+    evicted = []
     for _ in range(7):
         world.sessions.max_sessions = len(world.sessions.sessions)
         world.sessions.has_capacity()
-        gone += [n for n in world.clients if world.clients[n].session.is_closed and n not in gone]
-        gone += ["silent"] * (all(c.session.is_closed for c in silent) and "silent" not in gone)
-    assert gone == ["silent", "c2", "c5", "c3"]  # c4 may still be writing, and c1 is owed an answer
+        evicted += [n for n in world.clients if world.clients[n].session.is_closed and n not in evicted]
+        evicted += ["silent"] * (all(c.session.is_closed for c in silent) and "silent" not in evicted)
+    assert evicted == ["silent", "c2", "c5", "c3"]  # c4 may still be writing, and c1 is owed an answer
     assert world.sessions.evicted_count == 0
 
 
@@ -449,9 +453,9 @@
 
 def test_long_rows_and_empty_cells_are_encoded() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
-    wide = "x" * 120
-    world.run(f"e1 send r1 served count=1 ||/{wide}|{wide}|y/{'z' * 249}||/a|b|c/")
-    assert world.clients["c1"].received == [f"rows ||/{wide}|{wide}|y/{'z' * 249}||/a|b|c"]
+    long_cell = "x" * 120
+    world.run(f"e1 send r1 served count=1 ||/{long_cell}|{long_cell}|y/{'z' * 249}||/a|b|c/")
+    assert world.clients["c1"].received == [f"rows ||/{long_cell}|{long_cell}|y/{'z' * 249}||/a|b|c"]
 
 
 def test_a_scheduler_fault_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -1,4 +1,4 @@
-"""Loads whose past is asked about, remembered before they go out: scenarios, a guard by hand."""
+"""Loads that are recorded before they are sent, and whose earlier executions are looked up."""
 
 from __future__ import annotations
 
@@ -15,41 +15,43 @@
 
 
 class Guard:
-    """Says what the scenario tells it to, when it is told to."""
+    """A load guard whose answers the scenario gives, when it says so."""
 
     def __init__(self) -> None:
-        self.asked: list[LoadOutcomeCallback] = []
-        self.writing: list[Callable[[bool], None]] = []
-        self.ends: list[str] = []
-        self.over: list[str] = []
-        self.away = False
+        self.pending_outcomes: list[LoadOutcomeCallback] = []
+        self.pending_records: list[Callable[[bool], None]] = []
+        self.outcomes: list[str] = []
+        self.closed_ids: list[str] = []
+        self.is_unavailable = False
 
     def guards(self, query_class: int) -> bool:
         return query_class == 1
 
-    def on_load_arrived(self, taken: ClientRequest, until: float, settled: LoadOutcomeCallback) -> None:
-        if self.away:
-            settled(LoadOutcome.UNKNOWN_YET, 300.0)
-        elif taken.is_retry:
-            self.asked.append(settled)
+    def on_load_arrived(
+        self, request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
+    ) -> None:
+        if self.is_unavailable:
+            on_outcome(LoadOutcome.UNKNOWN_YET, 300.0)
+        elif request.is_retry:
+            self.pending_outcomes.append(on_outcome)
         else:
-            settled(LoadOutcome.NEVER_RAN, 0.0)
+            on_outcome(LoadOutcome.NEVER_RAN, 0.0)
 
     def before_attempt_sent(
-        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+        self, attempt: Attempt, request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
         assert attempt.connection is None
-        self.writing.append(kept)
+        self.pending_records.append(on_recorded)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
-        self.ends.append("never" if outcome is None else outcome.value)
+        self.outcomes.append("never" if outcome is None else outcome.value)
 
-    def on_request_closed(self, ref: str) -> None:
-        self.over.append(ref)
+    def on_request_closed(self, request_id: str) -> None:
+        self.closed_ids.append(request_id)
 
 
 class Guarded(World):
-    """A world with that guard, and verbs for it."""
+    """A world with such a guard, and verbs for it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -57,19 +59,19 @@
 
     def past_is(self, who: str, rest: str) -> None:
         word, _, ms = rest.partition(" ")
-        self.guard.asked.pop(0)(LoadOutcome(word), float(ms or 0))
+        self.guard.pending_outcomes.pop(0)(LoadOutcome(word), float(ms or 0))
 
     def disk_goes(self, who: str, rest: str) -> None:
-        self.guard.away = True
+        self.guard.is_unavailable = True
 
     def disk_writes(self, who: str, rest: str) -> None:
-        self.guard.writing.pop(0)(True)
+        self.guard.pending_records.pop(0)(True)
 
     def disk_fails(self, who: str, rest: str) -> None:
-        self.guard.writing.pop(0)(False)
+        self.guard.pending_records.pop(0)(False)
 
     def end_is(self, who: str, rest: str) -> None:
-        assert self.guard.ends == rest.split(), self.guard.ends
+        assert self.guard.outcomes == rest.split(), self.guard.outcomes
 
 
 SCENARIOS = {
@@ -181,23 +183,23 @@
 def test_guarded_loads(script: str) -> None:
     world = Guarded()
     world.run(script)
-    assert len(world.guard.over) == len(set(world.guard.over))
+    assert len(world.guard.closed_ids) == len(set(world.guard.closed_ids))
     assert world.gateway.open_count == sum(
         r.response_sink is not None for r in world.gateway.requests.values()
     )
     assert not world.counters.counts.get("action_faults") and not world.counters.counts.get("step_faults")
 
 
-@pytest.mark.parametrize("gone", ["given up", "closed", "cut by the other side"])
-def test_an_attempt_reported_as_unsent_is_never_written(gone: str) -> None:
-    """It waits for the stream's write as its connection ends."""
-    world, ends = World(engines="a"), list[Outcome]()
-    world.gateway.on_attempt_ended = lambda attempt, event: ends.append(event.outcome)  # type: ignore[method-assign]
+@pytest.mark.parametrize("cause", ["given up", "closed", "cut by the other side"])
+def test_an_attempt_reported_as_unsent_is_never_written(cause: str) -> None:
+    """It is queued for the stream's write as its connection ends."""
+    world, outcomes = World(engines="a"), list[Outcome]()
+    world.gateway.on_attempt_ended = lambda attempt, event: outcomes.append(event.outcome)  # type: ignore[method-assign]
     attempt = Attempt("r1", 0, "a", "load", b"insert", 1, world.clock.now(), world.clock.now() + 5000.0)
     assert world.engines.send(attempt)
     connection = attempt.connection
     assert isinstance(connection, Connection)
     connection.on_connected()
-    {"given up": connection.abandon, "closed": connection.close}.get(gone, connection.on_closed)()
-    assert ends == [Outcome.CONNECT_FAILED]
+    {"given up": connection.abandon, "closed": connection.close}.get(cause, connection.on_closed)()
+    assert outcomes == [Outcome.CONNECT_FAILED]
     assert connection.take_output() == b""
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -1,4 +1,4 @@
-"""Further attempts: never one where an earlier one may have run, whatever comes late, twice or not at all."""
+"""Retries: never one where an earlier attempt may have run, whatever arrives late, twice or not at all."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("name", CLASS_NAMES)
 @pytest.mark.parametrize("copies", [1, 2])
-@pytest.mark.parametrize("again", ["overload", "crashed", "nobody", "served count=1 x|y|z/"])
+@pytest.mark.parametrize("duplicate", ["overload", "crashed", "nobody", "served count=1 x|y|z/"])
 def test_a_duplicate_answer_to_an_attempt_does_not_answer_the_next(
-    again: str, copies: int, name: str, site: str
+    duplicate: str, copies: int, name: str, site: str
 ) -> None:
-    """On one engine alone, so that the next attempt goes there too."""
+    """On a single engine, so that the next attempt goes there too."""
     world = Turns(SITES[site], engines="a")
     world.run(f"c1 query {name} r1 allow=20000\ne1 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500")
-    second = next(line for line in world.engine_streams if line.received)
+    second = next(stream for stream in world.engine_streams if stream.received)
     second.received.clear()
     for _ in range(copies):
-        world.run(f"e1 send r1 {again}\nc1 expect nothing\ntime wait 1500\nany nothing there")
+        world.run(f"e1 send r1 {duplicate}\nc1 expect nothing\ntime wait 1500\nany nothing there")
     number = world.engine_streams.index(second) + 1
     world.run(f"e1.{number} send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
     assert_nothing_kept(world)
@@ -37,8 +37,8 @@
 WINDOW_MS = 1000.0
 
 
-def keyed(group: str) -> World:
-    """Two engines, of one cell, and a class whose repeats they drop for a time."""
+def keyed_world(group: str) -> World:
+    """Two engines of one cell, and a class whose duplicates they drop for a time."""
     cls = replace(
         READ,
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
@@ -49,43 +49,43 @@
 
 
 @pytest.mark.parametrize(("group", "answer"), [("all", "1226"), ("zone", "1105"), ("cell", "1105")])
-@pytest.mark.parametrize(("comes_up", "goes_out"), [(980, True), (1000, False), (1040, False)])
+@pytest.mark.parametrize(("connected_at_ms", "is_sent"), [(980, True), (1000, False), (1040, False)])
 def test_a_retry_begins_within_the_deduplication_window_however_long_its_connect_takes(
-    comes_up: int, goes_out: bool, group: str, answer: str
+    connected_at_ms: int, is_sent: bool, group: str, answer: str
 ) -> None:
     """Counted from the first attempt that may have run, up to the first byte of the next one."""
-    world = keyed(group).run(
+    world = keyed_world(group).run(
         "c1 query lookup r1\ne1 expect GET r1 *\ntime wait 900\ne2 will vanish\ne1 close"
     )
     assert len(world.engine_streams) == 2
-    world.run(f"time wait {comes_up - 900}\ne2 will up\ntime wait 1")
-    if goes_out:
+    world.run(f"time wait {connected_at_ms - 900}\ne2 will up\ntime wait 1")
+    if is_sent:
         world.run("e2 expect GET r1 *\nc1 expect nothing")
     else:
         world.run(f"any nothing there\nc1 expect error {answer} *\ntime wait 2000\nany nothing there")
         assert_nothing_kept(world)
 
 
-SPAN_MS = 1000.0
-SEND_LATE_MS = 250.0  # a connect's longest time
+BUDGET_WINDOW_MS = 1000.0
+MAX_CONNECT_MS = 250.0
 
 
-@pytest.mark.parametrize("connect", [0, 240])
-@pytest.mark.parametrize("gap", [300, 980, 1020, 1200, 1270, 1600])
-def test_a_retry_budget_of_one_allows_no_two_retries_within_its_window(gap: int, connect: int) -> None:
-    """Counted when they begin, which a connect puts off."""
-    rules = Rules(retry_budget_free=1, retry_budget_share=0.0, retry_budget_window_ms=SPAN_MS)
-    few = replace(SETTINGS.features, can_cancel=False)
-    world = World(replace(SETTINGS, rules=rules, features=few, max_connect_ms=SEND_LATE_MS))
+@pytest.mark.parametrize("connect_ms", [0, 240])
+@pytest.mark.parametrize("gap_ms", [300, 980, 1020, 1200, 1270, 1600])
+def test_a_retry_budget_of_one_allows_no_two_retries_within_its_window(gap_ms: int, connect_ms: int) -> None:
+    """Counted when they begin, which a connect delays."""
+    rules = Rules(retry_budget_free=1, retry_budget_share=0.0, retry_budget_window_ms=BUDGET_WINDOW_MS)
+    features = replace(SETTINGS.features, can_cancel=False)
+    world = World(replace(SETTINGS, rules=rules, features=features, max_connect_ms=MAX_CONNECT_MS))
     world.run("c1 query lookup r1\ne1 expect GET r1 *\ne2 will vanish\ne1 send r1 overload -")
-    world.run(f"time wait {connect}\ne2 will up\ntime wait 0\ne2 expect GET r1 *")
-    world.run(f"time wait {gap - connect - 10}\nc2 query lookup r2")
-    second = next(line.engine for line in world.engine_streams if line.received)
+    world.run(f"time wait {connect_ms}\ne2 will up\ntime wait 0\ne2 expect GET r1 *")
+    world.run(f"time wait {gap_ms - connect_ms - 10}\nc2 query lookup r2")
+    second = next(stream.engine for stream in world.engine_streams if stream.received)
     world.run(f"{second} expect GET r2 *\ntime wait 10\n{second} send r2 overload -")
-    if [line for line in world.engine_streams if line.received]:
-        assert gap - connect >= SPAN_MS
+    if [stream for stream in world.engine_streams if stream.received]:
+        assert gap_ms - connect_ms >= BUDGET_WINDOW_MS
     else:
-        assert gap < SPAN_MS + SEND_LATE_MS
+        assert gap_ms < BUDGET_WINDOW_MS + MAX_CONNECT_MS
         world.run("c2 expect error 1226 *")
 
 
@@ -107,7 +107,7 @@
     ],
 )
 def test_a_late_answer_to_a_cancelled_attempt_is_ignored(late: str, before: bool) -> None:
-    """The first one was given up as it took far longer than planned."""
+    """The first attempt was cancelled as it took far longer than planned."""
     world = Turns(SITES["much allowed"])
     world.run("c1 query lookup r1 effort=20.0\ne1 expect GET r1 *\ntime wait 200\ne1 expect DROP r1")
     world.run("e2 expect GET r1 *\ne2 send r1 served count=2 a|b|c/\ne2 expect PAGE r1 1")
@@ -119,16 +119,18 @@
     world.run("c1 query lookup r2\nany expect GET r2 *")
 
 
-@pytest.mark.parametrize("most", [1, 2, 3])
+@pytest.mark.parametrize("max_attempts", [1, 2, 3])
 @pytest.mark.parametrize("name", CLASS_NAMES)
-def test_no_request_has_more_attempts_than_the_settings_allow(name: str, most: int) -> None:
-    """Each is turned away, so that each could go out again."""
+def test_no_request_has_more_attempts_than_the_settings_allow(name: str, max_attempts: int) -> None:
+    """Each is rejected, so that each could be retried."""
     site = SITES["little allowed"]
-    world = Turns(replace(site, features=replace(site.features, max_attempts=most)), engines="a b c d")
+    world = Turns(
+        replace(site, features=replace(site.features, max_attempts=max_attempts)), engines="a b c d"
+    )
     world.run(f"c1 query {name} r1 allow=20000")
-    for _ in range(most):
-        (line,) = [line for line in world.engine_streams if line.received]
-        assert line.received.pop()[0] == b"GET" and not line.received
-        world.run(f"c1 expect nothing\n{line.engine} send r1 overload -")
+    for _ in range(max_attempts):
+        (stream,) = [stream for stream in world.engine_streams if stream.received]
+        assert stream.received.pop()[0] == b"GET" and not stream.received
+        world.run(f"c1 expect nothing\n{stream.engine} send r1 overload -")
     world.run("c1 expect error 1226 *\ntime wait 1000\nany nothing there")
     assert_nothing_kept(world)
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -1,4 +1,4 @@
-"""Faults inside the decisions of one turn: they end one request, and all others keep their answers."""
+"""Faults in the scheduler: they end one request, and all others keep their answers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from tests.frontend.test_client_departure import SITES, Turns, assert_no_request_kept
 from tests.node.test_load_guard import Guard
 
-BAD = f"{9:016x}"
+BAD_ID = f"{9:016x}"
 
 
-class Faulty(Turns):
-    """A world whose scheduler fails where it is told to."""
+class FaultyWorld(Turns):
+    """A world whose scheduler fails at a given event."""
 
     def __init__(self, fails: str) -> None:
         super().__init__(SITES["much allowed"])
@@ -33,15 +33,21 @@
             self.client(client)
 
     def broken(self, now: float, events: Iterable[Event]) -> list[Action]:
-        actions = self.step(now, self.spoilt(events))
+        actions = self.step(now, self.failing_events(events))
         if self.fails == "behind the events" and self.faults < 3:
             self.fail()
         return actions
 
-    def spoilt(self, events: Iterable[Event]) -> Iterator[Event]:
+    def failing_events(self, events: Iterable[Event]) -> Iterator[Event]:
         for event in events:
-            over = getattr(event, "outcome", None) is Outcome.NOT_STARTED  # which tells no more than that
-            if self.fails == type(event).__name__ and getattr(event, "query_id", "") == BAD and not over:
+            has_ended = (
+                getattr(event, "outcome", None) is Outcome.NOT_STARTED
+            )  # which reports no more than that
+            if (
+                self.fails == type(event).__name__
+                and getattr(event, "query_id", "") == BAD_ID
+                and not has_ended
+            ):
                 self.fail()
             yield event
 
@@ -49,8 +55,8 @@
         self.faults += 1
         raise LookupError("planted")
 
-    def settled(self) -> None:
-        """Nobody is owed anything, and nothing is kept for a request that is over."""
+    def assert_settled(self) -> None:
+        """Assert that all requests are answered, and that nothing is kept for one that is over."""
         for client in self.clients:
             self.run(f"{client} close")
         self.run("time wait 300")
@@ -60,7 +66,7 @@
 
 
 def test_a_fault_in_an_arrival_fails_only_that_request() -> None:
-    world = Faulty("QueryArrived")
+    world = FaultyWorld("QueryArrived")
     world.run("""
         turn begins now
         c1 query lookup r1
@@ -72,13 +78,13 @@
         c2 expect nothing
         time wait 150
     """)
-    heard = sorted(words[1] for line in world.engine_streams for words in line.received)
-    assert heard == [b"%016x" % 1, b"%016x" % 2]
-    world.settled()
+    requested = sorted(words[1] for stream in world.engine_streams for words in stream.received)
+    assert requested == [b"%016x" % 1, b"%016x" % 2]
+    world.assert_settled()
 
 
 def test_an_engine_list_change_after_a_fault_still_applies() -> None:
-    world = Faulty("QueryArrived")
+    world = FaultyWorld("QueryArrived")
     world.run("""
         c1 query lookup r1
         e1 expect GET r1 *
@@ -94,11 +100,11 @@
         any nothing there
         c2 expect nothing
     """)
-    world.settled()
+    world.assert_settled()
 
 
 def test_a_fault_in_an_attempts_end_fails_its_request_and_frees_its_ordering_key() -> None:
-    world = Faulty("AttemptEnded")
+    world = FaultyWorld("AttemptEnded")
     world.run("""
         c9 query load r9 lookup=k1
         e1 expect GET r9 *
@@ -108,77 +114,79 @@
         turn ends now
         c9 expect error 1105 *
     """)
-    second = next(line.engine for line in world.engine_streams if line.received)
+    second = next(stream.engine for stream in world.engine_streams if stream.received)
     world.run(f"{second} expect GET r2 *\n{second} send r2 served count=1 a|b|c/\nc2 expect rows a|b|c")
-    world.settled()
+    world.assert_settled()
 
 
 def test_a_request_lost_by_a_fault_fails_by_its_deadline() -> None:
-    world = Faulty("")
+    world = FaultyWorld("")
     world.run("list tell e1 gone\nlist tell e2 gone\nc1 query lookup r1 allow=1000\nc1 expect nothing")
     world.gateway.scheduler.queries.clear()
     world.gateway.scheduler.unplaced.clear()
     world.gateway.scheduler.deadlines.heap.clear()
     world.fails = "QueryArrived"
     world.run("c9 query lookup r9\nc9 expect error 1105 *\ntime wait 950\nc1 expect error 1105 *")
-    world.settled()
+    world.assert_settled()
 
 
 def test_a_queued_request_is_answered_in_time_after_a_failed_step() -> None:
-    """The scheduler had not asked to be woken: on a quiet process nothing came of the request any more."""
-    world = Faulty("")
+    """The failed step sets no timer: on an idle process nothing else would end the request."""
+    world = FaultyWorld("")
     world.run("list tell e1 gone\nlist tell e2 gone\nc1 query lookup r1 allow=1000\nc1 expect nothing")
     world.fails = "behind the events"
     world.run("time wait 950\nc1 expect error 1226 *")
-    world.settled()
+    world.assert_settled()
 
 
 @pytest.mark.parametrize(("name", "allow"), [("send", 5000), ("_reject", 20)])
 def test_a_failed_action_ends_only_its_request(
     name: str, allow: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world = Faulty("")
+    world = FaultyWorld("")
     owner: object = world.gateway.attempts if name == "send" else world.gateway
-    carried_out = getattr(owner, name)
+    carry_out = getattr(owner, name)
 
     def broken(action: Send | Reject) -> None:
-        if action.query_id == BAD:
+        if action.query_id == BAD_ID:
             world.fail()
-        carried_out(action)
+        carry_out(action)
 
     monkeypatch.setattr(owner, name, broken)
     world.run(f"turn begins now\nc9 query lookup r9 allow={allow}\nc1 query lookup r1\nturn ends now")
     world.run("c9 expect error 1105 *\nc1 expect nothing")
-    assert [words[1] for line in world.engine_streams for words in line.received] == [b"%016x" % 1]
-    world.settled()
+    assert [words[1] for stream in world.engine_streams for words in stream.received] == [b"%016x" % 1]
+    world.assert_settled()
 
 
-class BrokenWatch(Guard):
-    """Remembers loads, and fails at one of the calls; also one that watches all requests."""
+class FailingGuard(Guard):
+    """A load guard that fails at one of its calls."""
 
     def __init__(self, fails: str) -> None:
         super().__init__()
         self.fails = fails
 
-    def failing(self, name: str) -> None:
+    def fail_at(self, name: str) -> None:
         if self.fails == name:
             raise OSError("planted")
 
-    def on_load_arrived(self, taken: ClientRequest, until: float, settled: LoadOutcomeCallback) -> None:
-        self.failing("on_load_arrived")
-        settled(LoadOutcome.NEVER_RAN, 0.0)
+    def on_load_arrived(
+        self, request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
+    ) -> None:
+        self.fail_at("on_load_arrived")
+        on_outcome(LoadOutcome.NEVER_RAN, 0.0)
 
     def before_attempt_sent(
-        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+        self, attempt: Attempt, request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
-        self.failing("before_attempt_sent")
-        kept(True)
+        self.fail_at("before_attempt_sent")
+        on_recorded(True)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
-        self.failing("on_attempt_ended")
+        self.fail_at("on_attempt_ended")
 
-    def on_request_closed(self, ref: str) -> None:
-        self.failing("on_request_closed")
+    def on_request_closed(self, request_id: str) -> None:
+        self.fail_at("on_request_closed")
 
 
 @pytest.mark.parametrize(
@@ -187,7 +195,7 @@
 @pytest.mark.parametrize("end", ["served", "overload", "reset", "left"])
 def test_a_load_guard_fault_costs_no_request_its_answer(fails: str, end: str) -> None:
     world = Turns(SITES["much allowed"])
-    world.gateway.notifications.load_guard = BrokenWatch(fails)
+    world.gateway.notifications.load_guard = FailingGuard(fails)
     world.run("c1 query load r1 allow=1000,effort=20.0")
     if fails in ("on_load_arrived", "before_attempt_sent"):
         world.run("c1 expect error 1105 *\nany nothing there")
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -101,7 +101,7 @@
 
 
 def test_a_request_in_flight_at_a_reload_is_answered_by_its_deadline() -> None:
-    """Times are looked at the earlier, the longer a tick is; the change made it a short one."""
+    """Deadlines are checked the earlier, the longer a tick is; the change made it a short one."""
     few = dataclasses.replace(PERMITS, can_cancel=False)
     long = dataclasses.replace(SETTINGS, features=few, tick_ms=50.0)
     world = World(long).run("c1 query load r1 allow=2000,effort=20.0\ne1 expect GET r1 *\ntime wait 1425")
@@ -110,21 +110,27 @@
     world.run("time wait 175\nc1 expect error 1226 *")
 
 
-def teach(s: Scheduler, at: float, place: int, cost: float) -> None:
+def record_answers(scheduler: Scheduler, at: float, class_index: int, work_ms: float) -> None:
     for i in range(30):
-        name = f"t{at}-{place}-{i}"
+        name = f"t{at}-{class_index}-{i}"
         ((_, engine),) = sends(
-            s.step(at, [arrival(name, deadline_at=at + 5000, estimated_work_ms=100.0, query_class=place)])
+            scheduler.step(
+                at, [arrival(name, deadline_at=at + 5000, estimated_work_ms=100.0, query_class=class_index)]
+            )
         )
         at += 50
-        s.step(
+        scheduler.step(
             at,
-            [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=cost, elapsed_ms=cost)],
+            [
+                ended(
+                    name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=work_ms, elapsed_ms=work_ms
+                )
+            ],
         )
 
 
 @pytest.mark.parametrize(
-    ("after", "places"),
+    ("after", "expected"),
     [
         ((READ, LOOKUP), (None, 0)),  # moved behind a new one
         ((dataclasses.replace(LOOKUP, name="other"), READ), (None, None)),  # renamed
@@ -133,65 +139,73 @@
     ],
 )
 def test_a_class_history_is_not_given_to_another_class(
-    after: tuple[QueryClass, ...], places: tuple[int | None, ...]
+    after: tuple[QueryClass, ...], expected: tuple[int | None, ...]
 ) -> None:
     setup = settings(classes=(LOOKUP, LOAD))
-    s = Scheduler(setup, 1)
-    s.step(0.0, [engines("e1", "e2")])
-    teach(s, 100.0, 0, 400.0)
-    before = list(s.class_histories)
-    s.step(5000.0, [SettingsChanged(dataclasses.replace(setup, classes=after))])
-    found = [next((i for i, b in enumerate(before) if b is c), None) for c in s.class_histories]
-    assert found == list(places)
-    s.step(5050.0, [SettingsChanged(setup)])
-    assert s.class_histories[0].answers_seen == (30 if 0 in places else 0)
+    scheduler = Scheduler(setup, 1)
+    scheduler.step(0.0, [engines("e1", "e2")])
+    record_answers(scheduler, 100.0, 0, 400.0)
+    before = list(scheduler.class_histories)
+    scheduler.step(5000.0, [SettingsChanged(dataclasses.replace(setup, classes=after))])
+    indexes = [next((i for i, b in enumerate(before) if b is c), None) for c in scheduler.class_histories]
+    assert indexes == list(expected)
+    scheduler.step(5050.0, [SettingsChanged(setup)])
+    assert scheduler.class_histories[0].answers_seen == (30 if 0 in expected else 0)
 
 
 def test_an_attempt_of_a_removed_class_may_end() -> None:
     """Also where nothing was learned yet of any class in force."""
     setup = settings(classes=(LOOKUP, LOAD))
-    s = Scheduler(setup, 1)
-    s.step(0.0, [engines("e1")])
-    ((name, engine),) = sends(s.step(100.0, [arrival("q", deadline_at=5000.0, estimated_work_ms=100.0)]))
-    s.step(
+    scheduler = Scheduler(setup, 1)
+    scheduler.step(0.0, [engines("e1")])
+    ((name, engine),) = sends(
+        scheduler.step(100.0, [arrival("q", deadline_at=5000.0, estimated_work_ms=100.0)])
+    )
+    scheduler.step(
         150.0,
         [SettingsChanged(dataclasses.replace(setup, classes=(dataclasses.replace(LOOKUP, name="new"),)))],
     )
-    s.step(200.0, [ended(name, Outcome.OK, engine=engine, is_final=True, elapsed_ms=100.0)])
-    assert not s.queries and not s.engines["e1"].in_flight and s.class_histories[0].answers_seen == 0
+    scheduler.step(200.0, [ended(name, Outcome.OK, engine=engine, is_final=True, elapsed_ms=100.0)])
+    assert (
+        not scheduler.queries
+        and not scheduler.engines["e1"].in_flight
+        and scheduler.class_histories[0].answers_seen == 0
+    )
 
 
 def test_repeated_reloads_leak_nothing() -> None:
     setup = settings(classes=(LOOKUP, LOAD))
-    s = Scheduler(setup, 1)
-    s.step(0.0, [engines("e1", "e2")])
+    scheduler = Scheduler(setup, 1)
+    scheduler.step(0.0, [engines("e1", "e2")])
     for i in range(50):
         classes = tuple(dataclasses.replace(LOOKUP, name=f"c{n}") for n in range(i % 3 + 1))
         changed = SettingsChanged(dataclasses.replace(setup, classes=classes))
         ((name, engine),) = sends(
-            s.step(100.0 * i, [changed, arrival(f"q{i}", deadline_at=100.0 * i + 5000)])
+            scheduler.step(100.0 * i, [changed, arrival(f"q{i}", deadline_at=100.0 * i + 5000)])
+        )
+        scheduler.step(
+            100.0 * i + 50, [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=50.0)]
         )
-        s.step(100.0 * i + 50, [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=50.0)])
     assert (
-        len(s.class_histories) == len(s.settings.classes)
-        and not s.queries
-        and not s.active_engines["e1"].in_flight
+        len(scheduler.class_histories) == len(scheduler.settings.classes)
+        and not scheduler.queries
+        and not scheduler.active_engines["e1"].in_flight
     )
 
 
 def test_a_sibling_process_halves_the_budget_for_a_warming_engine() -> None:
     """Two processes stand for one gateway, and share what it may send to a cold engine."""
-    s = Scheduler(settings(), 1)
-    s.step(0.0, [engines("e1")])
-    alone = slow_start.own_budget_rate(s, s.engines["e1"])
-    s.step(10.0, [SettingsChanged(dataclasses.replace(settings(), concurrent_processes=2))])
-    assert slow_start.own_budget_rate(s, s.engines["e1"]) == alone / 2
+    scheduler = Scheduler(settings(), 1)
+    scheduler.step(0.0, [engines("e1")])
+    alone = slow_start.own_budget_rate(scheduler, scheduler.engines["e1"])
+    scheduler.step(10.0, [SettingsChanged(dataclasses.replace(settings(), concurrent_processes=2))])
+    assert slow_start.own_budget_rate(scheduler, scheduler.engines["e1"]) == alone / 2
 
 
-GOOD: dict[str, Any] = {**CONFIG, "listen": "127.0.0.1:80"}
-BROKEN: dict[str, Any] = {
+VALID: dict[str, Any] = {**CONFIG, "listen": "127.0.0.1:80"}
+INVALID: dict[str, Any] = {
     "empty": b"",
-    "cut off": orjson.dumps(GOOD)[:-200],
+    "cut off": orjson.dumps(VALID)[:-200],
     "not an object": b"[]",
     "no settings": {"settings": None},
     "settings of the wrong type": {"settings": []},
@@ -223,10 +237,10 @@
 }
 
 
-def broken(change: Any) -> bytes:
+def invalid_content(change: Any) -> bytes:
     if isinstance(change, bytes):
         return change
-    source = copy.deepcopy(GOOD)
+    source = copy.deepcopy(VALID)
     for path, value in change.items():
         at: Any = source
         keys = path.split(".")
@@ -239,7 +253,7 @@
     return orjson.dumps(source)
 
 
-class Lines:
+class RecordedLog:
     def __init__(self) -> None:
         self.lines: list[str] = []
 
@@ -250,13 +264,13 @@
         self.lines.append(" ".join([event, *(f"{key}={value}" for key, value in fields.items())]))
 
 
-@pytest.mark.parametrize("change", BROKEN.values(), ids=BROKEN)
+@pytest.mark.parametrize("change", INVALID.values(), ids=INVALID)
 def test_an_invalid_file_changes_nothing(
     change: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setenv("RELAY_CONFIG", write(tmp_path, **GOOD)["RELAY_CONFIG"])
-        lines, counters = Lines(), Counters()
+        monkeypatch.setenv("RELAY_CONFIG", write(tmp_path, **VALID)["RELAY_CONFIG"])
+        lines, counters = RecordedLog(), Counters()
         config = load({"RELAY_CONFIG": str(tmp_path / "config.json")}, counters)
         node = Dispatcher(config, counters, asyncio.get_running_loop(), lines)
         before = (
@@ -266,7 +280,7 @@
             node.engines.settings,
             node.config,
         )
-        (tmp_path / "config.json").write_bytes(broken(change))
+        (tmp_path / "config.json").write_bytes(invalid_content(change))
         node.reload()
         after = (
             node.gateway.settings,
@@ -279,7 +293,7 @@
         (line,) = lines.lines
         assert line.startswith("config_reload_failed problem=") and "\n" not in line
         assert counters.counts == {"reloads_failed": 1}
-        (tmp_path / "config.json").write_bytes(orjson.dumps(GOOD))
+        (tmp_path / "config.json").write_bytes(orjson.dumps(VALID))
         node.reload()
         assert counters.counts["reloads"] == 1
 
@@ -287,7 +301,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "problem"),
     [
         ({"settings.caps.most_tries": 0}, "field 'settings.caps.most_tries' is not over 0"),
         ({"settings.classes.0.hard_limit": 0}, r"field 'settings.classes\[0\].hard_limit' is not over 0"),
@@ -297,7 +311,7 @@
         ({"settings.classes": [CONFIG["settings"]["classes"][0]] * 2}, "class 'lookup' is there twice"),
     ],
 )
-def test_the_start_names_the_same_problems(tmp_path: Path, change: Any, named: str) -> None:
-    (tmp_path / "config.json").write_bytes(broken(change))
-    with pytest.raises(ConfigError, match=named):
+def test_the_start_names_the_same_problems(tmp_path: Path, change: Any, problem: str) -> None:
+    (tmp_path / "config.json").write_bytes(invalid_content(change))
+    with pytest.raises(ConfigError, match=problem):
         load({"RELAY_CONFIG": str(tmp_path / "config.json")}, Counters())
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process, as clients and engines meet it: what is taken is answered before SIGKILL can come."""
+"""The shutdown of a process as clients and engines see it: all requests are answered before SIGKILL."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import Idempotency
 from cottonhold.transport.event_loop import EventLoop
-from tests.node.test_settings_reload import Lines
+from tests.node.test_settings_reload import RecordedLog
 from tests.node.test_small_parts import CONFIG, write
 from tests.support.scenario import READ, SETTINGS, World, packet
 
 DEADLINES = (100.0, 400.0, 1000.0, 3000.0, 25000.0)
-COMING_MS = 600.0  # after SIGTERM requests come for so long on open connections
+ARRIVAL_MS = 600.0  # after SIGTERM, for which requests still arrive on open connections
 
 
-def world(deadline: float, effect: Idempotency = Idempotency.IDEMPOTENT) -> World:
+def world_with_deadline(deadline: float, effect: Idempotency = Idempotency.IDEMPOTENT) -> World:
     return World(replace(SETTINGS, classes=(replace(READ, deadline_ms=deadline, idempotency=effect),)))
 
 
-def killed_in(deadline: float) -> float:
-    """By the protocol: SIGKILL comes no sooner than so long after SIGTERM."""
+def kill_delay_ms(deadline: float) -> float:
+    """The shortest time from SIGTERM to SIGKILL by the protocol."""
     return min(deadline, 3000.0) + 700.0
 
 
@@ -45,29 +45,30 @@
 def test_every_request_is_answered_at_shutdown_though_engines_hang(
     deadline: float, allow: float, effect: Idempotency
 ) -> None:
-    """Clients wait for a deadline, or for longer, as where the settings have become shorter. Seen with fixed
-    times: SIGKILL came before the answers and the closes."""
-    w, clients = world(deadline, effect), list[str]()
+    """Clients wait for a deadline, or for longer, as where a reload has made the deadlines shorter."""
+    world, clients = world_with_deadline(deadline, effect), list[str]()
 
-    def ask() -> None:
+    def send_query() -> None:
         name = f"c{len(clients) + 1}"
         clients.append(name)
-        w.run(f"{name} query lookup r{len(clients)} allow={max(deadline, allow):.0f}")
-
-    w.client("c90"), w.client("c91")
-    w.run("c90 send 010000000e\nc90 expect ok\nc91 send 010000000e\nc91 expect ok")
-    ask()
-    w.wait(min(deadline / 2, 50.0))
-    ask()
-    w.run("ops terminate")
-    began = w.clock.now()
-    while w.clock.now() < began + COMING_MS - 25.0:
-        ask()
-        w.wait(25.0)
-    w.run("c91 query lookup r91 allow=20000")  # may not be taken any more
-    w.wait(began + killed_in(deadline) - 100.0 - w.clock.now())
-    assert [len(w.clients[name].received) for name in clients] == [1] * len(clients)
-    assert all(client.session.is_closing for client in w.clients.values()) and w.gateway.open_count == 0
+        world.run(f"{name} query lookup r{len(clients)} allow={max(deadline, allow):.0f}")
+
+    world.client("c90"), world.client("c91")
+    world.run("c90 send 010000000e\nc90 expect ok\nc91 send 010000000e\nc91 expect ok")
+    send_query()
+    world.wait(min(deadline / 2, 50.0))
+    send_query()
+    world.run("ops terminate")
+    started_at = world.clock.now()
+    while world.clock.now() < started_at + ARRIVAL_MS - 25.0:
+        send_query()
+        world.wait(25.0)
+    world.run("c91 query lookup r91 allow=20000")  # may not be accepted any more
+    world.wait(started_at + kill_delay_ms(deadline) - 100.0 - world.clock.now())
+    assert [len(world.clients[name].received) for name in clients] == [1] * len(clients)
+    assert (
+        all(client.session.is_closing for client in world.clients.values()) and world.gateway.open_count == 0
+    )
 
 
 @pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT])
@@ -75,16 +76,18 @@
 def test_requests_queued_behind_a_hanging_one_are_answered_at_shutdown(
     deadline: float, effect: Idempotency
 ) -> None:
-    w = world(deadline, effect)
-    w.client("c1")
+    world = world_with_deadline(deadline, effect)
+    world.client("c1")
     for ref in range(1, 6):
         text = f"/* service=lookup,ref={ref:016x},allow=20000 */ SELECT a FROM s_7.t"
-        w.bytes("c1", packet(0, b"\x03" + text.encode()))
-    w.run("ops terminate")
-    w.wait(killed_in(deadline) - 150.0)
-    heard = w.clients["c1"].received
-    assert len(heard) == 5 and all(answer.startswith(("error 1226", "error 1105")) for answer in heard)
-    assert w.clients["c1"].session.is_closing
+        world.bytes("c1", packet(0, b"\x03" + text.encode()))
+    world.run("ops terminate")
+    world.wait(kill_delay_ms(deadline) - 150.0)
+    responses = world.clients["c1"].received
+    assert len(responses) == 5 and all(
+        answer.startswith(("error 1226", "error 1105")) for answer in responses
+    )
+    assert world.clients["c1"].session.is_closing
 
 
 def test_a_hanging_request_is_rejected_only_if_it_may_be_repeated() -> None:
@@ -92,16 +95,18 @@
         (Idempotency.IDEMPOTENT, "error 1226 *"),
         (Idempotency.NOT_IDEMPOTENT, "error 1105 *may have run"),
     ):
-        w = world(400.0, effect).run("c1 query lookup r1 allow=20000\nany expect GET r1 *\nops terminate")
-        w.run(f"time wait 900\nc1 expect {answer}\nc1 closing")
+        world = world_with_deadline(400.0, effect).run(
+            "c1 query lookup r1 allow=20000\nany expect GET r1 *\nops terminate"
+        )
+        world.run(f"time wait 900\nc1 expect {answer}\nc1 closing")
 
 
 @pytest.mark.parametrize("deadline", DEADLINES)
 def test_shutdown_deadlines_follow_from_the_settings(deadline: float) -> None:
     lifecycle = Lifecycle()
     lifecycle.begin_shutdown(1000.0, deadline)
-    killed = 1000.0 + killed_in(deadline)
-    assert lifecycle.kill_deadline == killed and lifecycle.answer_deadline() <= killed - 200.0
+    kill_at = 1000.0 + kill_delay_ms(deadline)
+    assert lifecycle.kill_deadline == kill_at and lifecycle.answer_deadline() <= kill_at - 200.0
     assert (
         1000.0 + 400.0
         <= lifecycle.accept_deadline()
@@ -109,12 +114,12 @@
         < lifecycle.answer_deadline()
     )
     # What comes by the rules can be taken, however late, if its client can wait no longer than a deadline.
-    assert lifecycle.accepts_query(1000.0 + COMING_MS, 1000.0 + COMING_MS + min(deadline, 3000.0))
-    assert not lifecycle.accepts_query(1000.0 + COMING_MS, killed + 1.0)
+    assert lifecycle.accepts_query(1000.0 + ARRIVAL_MS, 1000.0 + ARRIVAL_MS + min(deadline, 3000.0))
+    assert not lifecycle.accepts_query(1000.0 + ARRIVAL_MS, kill_at + 1.0)
 
 
 def test_a_second_sigterm_or_a_reload_does_not_postpone_the_shutdown() -> None:
-    """A second SIGTERM, or a SIGHUP between two, must not put the end off beyond SIGKILL."""
+    """Neither may move the deadlines beyond SIGKILL."""
     lifecycle = Lifecycle()
     lifecycle.begin_shutdown(1000.0, 400.0)
     lifecycle.begin_shutdown(1500.0, 5000.0)
@@ -122,12 +127,13 @@
 
 
 def test_a_drain_persists_through_shutdown() -> None:
-    w = world(400.0).run("ops drain\ntime wait 1600\nops terminate\nc1 query lookup r1 allow=400")
-    w.run("c1 expect error 1226 *did not run*\nc1 closing\nc2 send 010000000e\nc2 expect error 1053 *drained")
-    assert not w.lifecycle.restore() and not w.lifecycle.is_ready()
-
-
-# --- signals ---
+    world = world_with_deadline(400.0).run(
+        "ops drain\ntime wait 1600\nops terminate\nc1 query lookup r1 allow=400"
+    )
+    world.run(
+        "c1 expect error 1226 *did not run*\nc1 closing\nc2 send 010000000e\nc2 expect error 1053 *drained"
+    )
+    assert not world.lifecycle.restore() and not world.lifecycle.is_ready()
 
 
 def with_deadline(deadline: float) -> dict[str, Any]:
@@ -140,22 +146,22 @@
     monkeypatch.setenv("RELAY_CONFIG", write(folder, **changes)["RELAY_CONFIG"])
     monkeypatch.delenv("TMPDIR", raising=False)
     counters = Counters()
-    return Dispatcher(load(os.environ, counters), counters, asyncio.get_running_loop(), Lines())
+    return Dispatcher(load(os.environ, counters), counters, asyncio.get_running_loop(), RecordedLog())
 
 
-def hup(node: Dispatcher, folder: Path, deadline: float) -> None:
+def sighup(node: Dispatcher, folder: Path, deadline: float) -> None:
     """SIGHUP, with other settings in the file."""
     write(folder, listen=str(node.config.listen), **with_deadline(deadline))
     node.reload()
 
 
-def bad_hup(node: Dispatcher, folder: Path, deadline: float) -> None:
+def sighup_with_invalid_file(node: Dispatcher, folder: Path, deadline: float) -> None:
     """SIGHUP, with a file that can't be used."""
     (folder / "config.json").write_bytes(b"{")
     node.reload()
 
 
-def term(node: Dispatcher, folder: Path, deadline: float) -> None:
+def sigterm(node: Dispatcher, folder: Path, deadline: float) -> None:
     """SIGTERM."""
     node.begin_shutdown()
 
@@ -163,13 +169,13 @@
 @pytest.mark.parametrize(
     ("signals", "deadline"),
     [
-        ([term], 2000.0),
-        ([term, term], 2000.0),
-        ([hup, term], 400.0),
-        ([bad_hup, term], 2000.0),
-        ([term, hup], 2000.0),
-        ([term, hup, term], 2000.0),
-        ([hup, bad_hup, term, hup, term], 400.0),
+        ([sigterm], 2000.0),
+        ([sigterm, sigterm], 2000.0),
+        ([sighup, sigterm], 400.0),
+        ([sighup_with_invalid_file, sigterm], 2000.0),
+        ([sigterm, sighup], 2000.0),
+        ([sigterm, sighup, sigterm], 2000.0),
+        ([sighup, sighup_with_invalid_file, sigterm, sighup, sigterm], 400.0),
     ],
 )
 def test_the_first_sigterm_counts_under_the_settings_in_force(
@@ -191,7 +197,7 @@
 def test_a_sigterm_before_serving_still_accepts_clients_and_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The new process of an upgrade may be told so, and connections may have come to it already."""
+    """The new process of an upgrade may get it, and connections may have arrived there already."""
 
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as spare:
@@ -211,30 +217,31 @@
 
 
 @pytest.mark.parametrize(
-    ("deadline", "most"), [(100.0, 500.0), (400.0, 800.0), (25000.0, MAX_NEWER_START_MS)]
+    ("deadline", "max_wait_ms"), [(100.0, 500.0), (400.0, 800.0), (25000.0, MAX_NEWER_START_MS)]
 )
 def test_shutdown_waits_for_a_newer_process_only_while_it_can_end_in_time(
-    deadline: float, most: float, monkeypatch: pytest.MonkeyPatch
+    deadline: float, max_wait_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Clients are accepted no longer than the time of SIGKILL allows."""
     monkeypatch.setattr("cottonhold.node.dispatcher.SHUTDOWN_POLL_S", 0.0)
-    w = world(deadline).run("ops terminate")
-    began = w.clock.now()
+    world = world_with_deadline(deadline).run("ops terminate")
+    started_at = world.clock.now()
 
-    def starts() -> bool:
-        w.clock.at += 10.0
+    def is_newer_starting() -> bool:
+        world.clock.at += 10.0
         return True
 
     parts = SimpleNamespace(
-        event_loop=SimpleNamespace(clock=w.clock),
-        lifecycle=w.lifecycle,
-        sibling_processes=SimpleNamespace(is_newer_starting=starts),
+        event_loop=SimpleNamespace(clock=world.clock),
+        lifecycle=world.lifecycle,
+        sibling_processes=SimpleNamespace(is_newer_starting=is_newer_starting),
     )
     asyncio.run(Dispatcher.wait_for_newer_process(cast(Dispatcher, parts)))
-    assert began + most <= w.clock.now() <= min(began + most + 10.0, w.lifecycle.answer_deadline())
-
-
-# --- two processes, and the folder between them ---
+    assert (
+        started_at + max_wait_ms
+        <= world.clock.now()
+        <= min(started_at + max_wait_ms + 10.0, world.lifecycle.answer_deadline())
+    )
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
@@ -246,11 +253,11 @@
     first = SiblingProcesses(str(tmp_path), "here", log.append)
     second = SiblingProcesses(str(tmp_path), "here", log.append)
 
-    def fails(*_: Any) -> int:
+    def raise_error(*_: Any) -> int:
         raise OSError(code, os.strerror(code))
 
     with monkeypatch.context() as faulty:
-        faulty.setattr(os, "pwrite", fails)
+        faulty.setattr(os, "pwrite", raise_error)
         for clients in range(3):
             second.publish(
                 ProcessRecord(second.record.start_number, client_connections=clients, is_serving=True)
@@ -263,28 +270,28 @@
     ] and third.connection_ids() != second.connection_ids()
 
 
-@pytest.mark.parametrize(("call", "seen"), [("open", []), ("pread", [ProcessRecord(0)])])
+@pytest.mark.parametrize(("call", "expected"), [("open", []), ("pread", [ProcessRecord(0)])])
 def test_a_slot_that_cannot_be_read_costs_no_service(
-    call: str, seen: list[ProcessRecord], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    call: str, expected: list[ProcessRecord], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first, second = (SiblingProcesses(str(tmp_path), "here", print) for _ in range(2))
 
-    def fails(*_: Any) -> Any:
+    def raise_error(*_: Any) -> Any:
         raise OSError(errno.EIO, "broken")
 
     with monkeypatch.context() as faulty:
-        faulty.setattr(os, call, fails)
-        assert first.others() == seen
+        faulty.setattr(os, call, raise_error)
+        assert first.others() == expected
     assert first.others() == [second.record]
 
 
-@pytest.mark.parametrize("shared", [False, True])
-def test_no_socket_delays_small_writes(shared: bool) -> None:
+@pytest.mark.parametrize("is_shared", [False, True])
+def test_no_socket_delays_small_writes(is_shared: bool) -> None:
     """What the system still holds back is lost with a reset."""
 
     async def scenario() -> None:
         event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
-        listener = event_loop.listener.listen(Address("127.0.0.1", 0), shared)
+        listener = event_loop.listener.listen(Address("127.0.0.1", 0), is_shared)
         host, port = listener.getsockname()
         dialed = await event_loop.connector.dial(Address(host, port), 1.0)
         accepted, _ = listener.accept()
--- a/tests/node/test_sibling_process_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -1,4 +1,4 @@
-"""Files in $TMPDIR fail: the dispatcher starts, serves and looks beside itself all the same."""
+"""Slot files in $TMPDIR fail: the dispatcher starts, serves and updates its siblings all the same."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ERRORS = [errno.ENOSPC, errno.EIO, errno.EDQUOT, errno.EMFILE, errno.ENOLCK, errno.EROFS]
 
 
-class Notes:
-    """A log that is kept."""
+class RecordedLog:
+    """A log whose lines are kept."""
 
     def __init__(self) -> None:
         self.lines = list[str]()
@@ -52,10 +52,10 @@
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     config = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
-    log, before = Notes(), descriptors()
+    log, descriptors_before = RecordedLog(), descriptors()
 
     async def scenario() -> None:
-        inside = descriptors()
+        descriptors_inside = descriptors()
         with monkeypatch.context() as patched:
             patched.setattr(f"cottonhold.node.sibling_processes.{call}", failing(error))
             dispatcher = Dispatcher(config, Counters(), asyncio.get_running_loop(), log)
@@ -71,10 +71,10 @@
                 == dispatcher.sibling_processes.record
             )
             os.close(dispatcher.sibling_processes.file)
-        assert descriptors() == inside
+        assert descriptors() == descriptors_inside
 
     asyncio.run(scenario())
-    assert descriptors() == before
+    assert descriptors() == descriptors_before
 
 
 @pytest.mark.parametrize("error", ERRORS)
@@ -100,10 +100,10 @@
 def test_a_partly_written_record_is_written_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     log = list[str]()
     first, second = (SiblingProcesses(str(tmp_path), "here", log.append) for _ in range(2))
-    whole = os.pwrite
+    pwrite = os.pwrite
     with monkeypatch.context() as patched:
         patched.setattr(
-            "cottonhold.node.sibling_processes.os.pwrite", lambda file, data, at: whole(file, data[:9], at)
+            "cottonhold.node.sibling_processes.os.pwrite", lambda file, data, at: pwrite(file, data[:9], at)
         )
         first.publish(ProcessRecord(first.record.start_number, 3))
     first.publish(ProcessRecord(first.record.start_number, 3))
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -1,4 +1,4 @@
-"""The dispatcher's smaller parts: statements, words, the event bus, peers, configuration, the program."""
+"""The dispatcher's smaller parts: statements, arrays, the event stream, peers, configuration, the program."""
 
 from __future__ import annotations
 
@@ -51,17 +51,17 @@
 
 def test_a_statement_is_forwarded_without_its_fields() -> None:
     text = b"/* service=load,ref=9B1f03aa5c7e2d41,allow=1500,dup=1,lookup=k */ SELECT /* x */ '\xff'"
-    got = parse(text)
-    assert (got.body, got.request_id) == (b"SELECT /* x */ '\xff'", "9B1f03aa5c7e2d41")
-    assert (got.ordering_key, got.is_retry) == ("k", True)
+    received = parse(text)
+    assert (received.body, received.request_id) == (b"SELECT /* x */ '\xff'", "9B1f03aa5c7e2d41")
+    assert (received.ordering_key, received.is_retry) == ("k", True)
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 100])
 def test_arrays_are_decoded_however_their_bytes_are_split(size: int) -> None:
-    data, reader, got = encode_array(b"a", b"", b"x\r\n$1") + encode_array(b"b"), RespReader(), []
+    data, reader, received = encode_array(b"a", b"", b"x\r\n$1") + encode_array(b"b"), RespReader(), []
     for at in range(0, len(data), size):
-        got += reader.feed(data[at : at + size])
-    assert got == [[b"a", b"", b"x\r\n$1"], [b"b"]] and not reader.buffer
+        received += reader.feed(data[at : at + size])
+    assert received == [[b"a", b"", b"x\r\n$1"], [b"b"]] and not reader.buffer
 
 
 @pytest.mark.parametrize(
@@ -82,27 +82,31 @@
 }
 
 
-def answer(offset: int, *entries: Any, status: str = "200 OK") -> bytes:
+def poll_answer(offset: int, *entries: Any, status: str = "200 OK") -> bytes:
     event = {"offset": offset, "topology": {"reset": False, "instances": entries}}
     body = orjson.dumps({"offset": offset, "batch": [event]})
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def bus() -> tuple[EventStream, list[SourceReport], Counters]:
-    told, counters = list[SourceReport](), Counters()
-    return EventStream("h", 3, ConfiguredNames(("z",), ("a", "b")), counters, told.append), told, counters
+def new_event_stream() -> tuple[EventStream, list[SourceReport], Counters]:
+    reports, counters = list[SourceReport](), Counters()
+    return (
+        EventStream("h", 3, ConfiguredNames(("z",), ("a", "b")), counters, reports.append),
+        reports,
+        counters,
+    )
 
 
 @pytest.mark.parametrize("size", [1, 50, 1000])
 def test_the_event_stream_reports_each_change_once(size: int) -> None:
-    poll, told, _ = bus()
+    stream, reports, _ = new_event_stream()
     for _ in range(2):  # the same answer again, as after a broken link
-        poll.request()
-        data = answer(4, ENTRY)
-        whole = [poll.receive(data[at : at + size]) for at in range(0, len(data), size)]
-        assert whole[-1] and not any(whole[:-1])
-    assert b"from=4&" in poll.request()
-    assert told == [
+        stream.request()
+        data = poll_answer(4, ENTRY)
+        completions = [stream.receive(data[at : at + size]) for at in range(0, len(data), size)]
+        assert completions[-1] and not any(completions[:-1])
+    assert b"from=4&" in stream.request()
+    assert reports == [
         SourceReport(
             "bus",
             4,
@@ -121,28 +125,30 @@
 
 
 @pytest.mark.parametrize(
-    "bad", [{"lifecycle": "Ready"}, {**ENTRY, "lifecycle": "Odd"}, {**ENTRY, "hostPort": "x"}, 7]
+    "entry", [{"lifecycle": "Ready"}, {**ENTRY, "lifecycle": "Odd"}, {**ENTRY, "hostPort": "x"}, 7]
 )
-def test_a_malformed_entry_is_skipped(bad: Any) -> None:
-    poll, told, counters = bus()
-    assert poll.receive(answer(4, bad, ENTRY))
-    assert [e.id for e in told[0].observations] == ["s-1"] and counters.counts["bus_malformed"] == 1
+def test_a_malformed_entry_is_skipped(entry: Any) -> None:
+    stream, reports, counters = new_event_stream()
+    assert stream.receive(poll_answer(4, entry, ENTRY))
+    assert [e.id for e in reports[0].observations] == ["s-1"] and counters.counts["bus_malformed"] == 1
 
 
 @pytest.mark.parametrize(
     "data",
     [
         b"garbage\r\n\r\n",
-        answer(4, status="500 No"),
+        poll_answer(4, status="500 No"),
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]",
     ],
 )
 def test_the_event_stream_recovers_from_a_malformed_answer(data: bytes) -> None:
-    poll, told, counters = bus()
+    stream, reports, counters = new_event_stream()
     with pytest.raises(WireError):
-        poll.receive(data)
-    poll.restart()
-    assert poll.receive(answer(4, ENTRY)) and len(told) == 1 and counters.counts["bus_malformed"] == 1
+        stream.receive(data)
+    stream.restart()
+    assert (
+        stream.receive(poll_answer(4, ENTRY)) and len(reports) == 1 and counters.counts["bus_malformed"] == 1
+    )
 
 
 def test_datagrams_are_identified_by_sender_and_bounded_in_size() -> None:
@@ -188,10 +194,15 @@
 
 
 def test_a_configuration_is_loaded_completely(tmp_path: Path) -> None:
-    got = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
-    assert (got.event_offset, got.seed, got.initial_reports[0].is_complete) == (1, 0x8C1F30D27A5BE964, True)
+    received = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
+    assert (received.event_offset, received.seed, received.initial_reports[0].is_complete) == (
+        1,
+        0x8C1F30D27A5BE964,
+        True,
+    )
     assert (
-        got.settings.classes[0].name == "lookup" and got.initial_reports[0].observations[0].machine_type == 1
+        received.settings.classes[0].name == "lookup"
+        and received.initial_reports[0].observations[0].machine_type == 1
     )
 
 
@@ -224,8 +235,8 @@
         while len(world.sessions.sessions) < 5:
             await asyncio.sleep(0)
         accepting.cancel()
-        for wire in list(event_loop.streams):
-            wire.abort()
+        for stream in list(event_loop.streams):
+            stream.abort()
         await asyncio.gather(*event_loop.tasks, return_exceptions=True)
         for sock in [listener, *clients]:
             sock.close()
@@ -237,7 +248,7 @@
 def test_a_crowd_of_clients_that_turn_idle_is_accepted_without_long_pauses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Freed places are looked for at once: usual clients must not wait behind a crowd."""
+    """Freed places are used at once: usual clients must not wait behind a crowd."""
 
     async def scenario() -> list[float]:
         world = World(sockets=64)
@@ -262,13 +273,13 @@
         while world.counters.counts["client_connections"] < 300:
             await counted(0)
         accepting.cancel()
-        for wire in list(event_loop.streams):
-            wire.abort()
+        for stream in list(event_loop.streams):
+            stream.abort()
         await asyncio.gather(*event_loop.tasks, return_exceptions=True)
         for sock in [listener, *clients]:
             sock.close()
-        out = [n for name, n in world.counters.counts.items() if name.startswith("clients_pushed_out")]
-        assert sum(out) >= 300 - world.sessions.max_sessions
+        evicted = [n for name, n in world.counters.counts.items() if name.startswith("clients_pushed_out")]
+        assert sum(evicted) >= 300 - world.sessions.max_sessions
         return pauses
 
     assert asyncio.run(scenario()).count(0.02) <= 5
@@ -282,17 +293,17 @@
         for sock in (ours, client):
             sock.setblocking(False)
         session = world.sessions.open()
-        session.stream = wire = Stream(event_loop.streams, session, 4096)
-        wire.start(ours)
+        session.stream = stream = Stream(event_loop.streams, session, 4096)
+        stream.start(ours)
         body = packet(1, LOGIN) + b"\xff\xff\xff\x00" + bytes(8 << 20)
         await loop.sock_sendall(client, body)
         client.shutdown(socket.SHUT_WR)
-        got = b""
+        received = b""
         while data := await loop.sock_recv(client, 4096):
-            got += data
+            received += data
         await asyncio.gather(*event_loop.tasks, return_exceptions=True)
-        assert wire.discarded_bytes > 7 << 20 and len(session.buffer) < 8192 and session.is_closed
-        return got
+        assert stream.discarded_bytes > 7 << 20 and len(session.buffer) < 8192 and session.is_closed
+        return received
 
     assert b"#08S01a packet of 16777215 bytes" in asyncio.run(scenario())
 
@@ -303,9 +314,9 @@
 
 
 def test_sighup_follows_the_new_event_stream_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
-    home = ("127.0.0.1", 0)
-    with socket.create_server(home) as first, socket.create_server(home) as second:
-        with socket.create_server(home) as spare:
+    any_port = ("127.0.0.1", 0)
+    with socket.create_server(any_port) as first, socket.create_server(any_port) as second:
+        with socket.create_server(any_port) as spare:
             listen = f"127.0.0.1:{spare.getsockname()[1]}"
 
         def configure(server: socket.socket) -> dict[str, str]:
@@ -316,7 +327,7 @@
         try:
             old = first.accept()[0]
             assert b"from=1&" in old.recv(1000)
-            old.sendall(answer(7, ENTRY))
+            old.sendall(poll_answer(7, ENTRY))
             assert b"from=7&" in old.recv(1000)
             configure(second)
             program.send_signal(signal.SIGHUP)
@@ -330,7 +341,7 @@
             (tmp_path / "config.json").write_text("{")
             program.send_signal(signal.SIGHUP)
             assert "config_reload_failed problem=" in program.stderr.readline()
-            new.sendall(answer(8, ENTRY))
+            new.sendall(poll_answer(8, ENTRY))
             assert b"from=8&" in new.recv(1000)
             program.send_signal(signal.SIGTERM)
             _, errors = program.communicate()
@@ -340,8 +351,8 @@
 
 
 def test_the_program_serves_and_shuts_down(tmp_path: Path) -> None:
-    home = ("127.0.0.1", 0)
-    with socket.create_server(home) as bus_server, socket.create_server(home) as spare:
+    any_port = ("127.0.0.1", 0)
+    with socket.create_server(any_port) as bus_server, socket.create_server(any_port) as spare:
         port = spare.getsockname()[1]
         spare.close()
         bus_at = f"127.0.0.1:{bus_server.getsockname()[1]}"
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -1,4 +1,4 @@
-"""How long an engine is told to work, and requests with little time left: all are answered, few are sent."""
+"""Timeouts of attempts, and requests with little time left: all are answered, few are sent."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from cottonhold.node.gateway import EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION
 from tests.frontend.test_client_departure import CLASS_NAMES, SITES, Turns, assert_nothing_kept
 
-LITTLE = {
+MOMENTS = {
     "with nothing else going on": """
         c1 query CLASS r1 allow=LEFT
     """,
@@ -30,12 +30,12 @@
 }
 
 
-@pytest.mark.parametrize("left", ["0.1", "0.5", "1", "20", "100"])
+@pytest.mark.parametrize("remaining_ms", ["0.1", "0.5", "1", "20", "100"])
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("name", CLASS_NAMES)
-@pytest.mark.parametrize("moment", LITTLE)
+@pytest.mark.parametrize("moment", MOMENTS)
 def test_a_request_with_little_time_left_is_rejected_at_once_and_not_sent(
-    moment: str, name: str, site: str, left: str
+    moment: str, name: str, site: str, remaining_ms: str
 ) -> None:
     world = Turns(SITES[site])
     for client in ("c1", "c9"):
@@ -43,49 +43,49 @@
     world.gateway.scheduler.fleet_utilization = (
         0.1  # else what can't be in time is not sent where the fleet may be full
     )
-    world.run(LITTLE[moment].replace("CLASS", name).replace("LEFT", left))
+    world.run(MOMENTS[moment].replace("CLASS", name).replace("LEFT", remaining_ms))
     world.run("c1 expect error 1226 *\nany nothing there")
     assert not world.gateway.scheduler.ejected_engines
     assert_nothing_kept(world)
 
 
-def told(world: Turns) -> float:
-    """The time that the one engine that heard something is told, in ms."""
-    (line,) = [line for line in world.engine_streams if line.received]
-    fields = line.received.pop(0)[2].decode()
+def sent_timeout_ms(world: Turns) -> float:
+    """The timeout that the one request at an engine carries, in ms."""
+    (stream,) = [stream for stream in world.engine_streams if stream.received]
+    fields = stream.received.pop(0)[2].decode()
     return float(fields.partition("ms=")[2].partition(",")[0])
 
 
 @pytest.mark.parametrize("allow", [300, 1000, 3000, 20000])
-@pytest.mark.parametrize("waits", ["for a connect", "behind another one", "after a first attempt"])
-def test_an_attempts_timeout_is_at_most_its_clients_remaining_time(waits: str, allow: int) -> None:
+@pytest.mark.parametrize("delay", ["for a connect", "behind another one", "after a first attempt"])
+def test_an_attempts_timeout_is_at_most_its_clients_remaining_time(delay: str, allow: int) -> None:
     """However the request waited: the time counts from its last byte."""
     world = Turns(SITES["little allowed"])
     world.client("c1")
     world.gateway.scheduler.fleet_utilization = 0.1
-    came, passed = world.clock.now(), min(allow / 5, 200)
+    arrived_at, passed = world.clock.now(), min(allow / 5, 200)
     query = f"c1 query lookup r1 allow={allow},effort=20.0"
-    if waits == "for a connect":
+    if delay == "for a connect":
         world.run(f"e1 will vanish\n{query}\ntime wait {passed}\ne1 will up\ntime wait 1")
-    elif waits == "behind another one":
+    elif delay == "behind another one":
         world.run(f"c1 query lookup r9\ne1 expect GET r9 *\n{query}\ntime wait {passed}")
         world.run("e1 send r9 served count=1 a|b|c/\nc1 expect rows a|b|c")
     else:
         world.run(f"{query}\ne1 expect GET r1 *\ntime wait {passed}\ne1 send r1 overload -")
-    left = (
-        came
+    remaining_ms = (
+        arrived_at
         + allow
         - min(EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION * allow)
         - RESPONSE_MARGIN_MS
         - world.clock.now()
     )
-    assert left - 2 < told(world) <= left + 1
+    assert remaining_ms - 2 < sent_timeout_ms(world) <= remaining_ms + 1
 
 
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("name", CLASS_NAMES)
 def test_a_connect_that_outlasts_its_request_is_no_evidence_against_the_engine(name: str, site: str) -> None:
-    """Engines were left for seconds because of one request that could not wait for its connect."""
+    """Else one request that can't wait for its connect would have the engine ejected for seconds."""
     world = Turns(SITES[site])
     world.client("c1")
     world.gateway.scheduler.fleet_utilization = 0.1
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes as one dispatcher: seats, ids, shared addresses, and real programs one after another."""
+"""Two processes as one dispatcher: slots, ids, shared addresses, and real programs one after another."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from tests.support.scenario import LOGIN, World, packet
 
 
-def seats(folder: Path | str | None, log: list[str] | None = None) -> SiblingProcesses:
+def join_folder(folder: Path | str | None, log: list[str] | None = None) -> SiblingProcesses:
     return SiblingProcesses(
         None if folder is None else str(folder), "here", (log if log is not None else []).append
     )
 
 
-def span(ids: ConnectionIdRange) -> set[int]:
+def first_and_last_id(ids: ConnectionIdRange) -> set[int]:
     return {ids.base + 1, ids.base + ids.count}
 
 
 def test_two_processes_see_each_other_and_a_dead_one_frees_its_slot(tmp_path: Path) -> None:
-    first = seats(tmp_path)
+    first = join_folder(tmp_path)
     assert first.others() == [] and not first.is_newer_starting()
-    second = seats(tmp_path)
+    second = join_folder(tmp_path)
     assert first.is_newer_starting() and not second.is_newer_starting()
     second.publish(
         ProcessRecord(second.record.start_number, client_connections=5, engine_connections=3, is_serving=True)
@@ -47,46 +47,53 @@
     assert not first.is_newer_starting()
     os.close(first.file)  # as its process ends
     assert second.others() == []
-    third = seats(tmp_path)
+    third = join_folder(tmp_path)
     assert third.slot == first.slot and third.record.start_number > second.record.start_number
 
 
-@pytest.mark.parametrize("left", [b"", b"CHS1", b"x" * 4096, ProcessRecord(7).encode()])
-def test_a_stale_file_is_a_free_slot_and_its_start_number_is_not_reused(tmp_path: Path, left: bytes) -> None:
-    (tmp_path / "cottonhold-here.seat0").write_bytes(left)
-    taken = seats(tmp_path)
-    assert (taken.slot, taken.record.start_number) == (0, 8 if len(left) == 17 else 1)
+@pytest.mark.parametrize("content", [b"", b"CHS1", b"x" * 4096, ProcessRecord(7).encode()])
+def test_a_stale_file_is_a_free_slot_and_its_start_number_is_not_reused(
+    tmp_path: Path, content: bytes
+) -> None:
+    (tmp_path / "cottonhold-here.seat0").write_bytes(content)
+    taken = join_folder(tmp_path)
+    assert (taken.slot, taken.record.start_number) == (0, 8 if len(content) == 17 else 1)
 
 
 def test_without_a_writable_folder_the_process_serves_and_logs_it(tmp_path: Path) -> None:
     log: list[str] = []
-    for none in (seats(None, log), seats(tmp_path / "absent", log)):
-        none.publish(ProcessRecord(1, 2, 3))
+    for process in (join_folder(None, log), join_folder(tmp_path / "absent", log)):
+        process.publish(ProcessRecord(1, 2, 3))
         assert (
-            none.others() == []
-            and none.connection_ids().base >> 32 == 0
-            and none.connection_ids().count >= 1023
+            process.others() == []
+            and process.connection_ids().base >> 32 == 0
+            and process.connection_ids().count >= 1023
         )
     assert len(log) == 1 and "no slot in $TMPDIR" in log[0]
-    full = [seats(tmp_path, log) for _ in range(5)]
+    full = [join_folder(tmp_path, log) for _ in range(5)]
     assert [s.slot for s in full] == [0, 1, 2, 3, -1] and "all 4 slots are taken" in log[1]
 
 
 def test_connection_ids_of_two_processes_differ() -> None:
     """A KILL QUERY that reaches the other process must not hit another client's query there."""
-    given = [ConnectionIdRange.for_slot(start, seat) for start in (0, 1, 1023) for seat in range(4)]
-    assert sorted(b for ids in given for b in span(ids)) == [b for ids in given for b in sorted(span(ids))]
-    assert len(set.union(*map(span, given))) == 24
-    assert span(ConnectionIdRange.for_process(4194303, 4194304)).isdisjoint(
-        span(ConnectionIdRange.for_process(4194302, 4194304))
+    given = [ConnectionIdRange.for_slot(start, slot) for start in (0, 1, 1023) for slot in range(4)]
+    assert sorted(b for ids in given for b in first_and_last_id(ids)) == [
+        b for ids in given for b in sorted(first_and_last_id(ids))
+    ]
+    assert len(set.union(*map(first_and_last_id, given))) == 24
+    assert first_and_last_id(ConnectionIdRange.for_process(4194303, 4194304)).isdisjoint(
+        first_and_last_id(ConnectionIdRange.for_process(4194302, 4194304))
+    )
+    assert (
+        max(first_and_last_id(ConnectionIdRange.for_process(4194303, 4194304)) | first_and_last_id(given[-1]))
+        < 1 << 32
     )
-    assert max(span(ConnectionIdRange.for_process(4194303, 4194304)) | span(given[-1])) < 1 << 32
 
 
 def test_a_kill_at_the_wrong_process_kills_nothing(tmp_path: Path) -> None:
     worlds = [World(), World()]
     for world in worlds:
-        world.sessions.connection_ids = seats(tmp_path).connection_ids()
+        world.sessions.connection_ids = join_folder(tmp_path).connection_ids()
         world.sessions.last_id = world.sessions.connection_ids.base
         world.run("c1 query load r1 allow=20000\ne1 expect GET r1 *")
     other = worlds[1].clients["c1"].session.connection_id
@@ -96,20 +103,20 @@
 
 def test_connection_ids_in_use_are_skipped_when_they_wrap() -> None:
     world = World()
-    front = ClientSessions(
+    sessions = ClientSessions(
         world.gateway, world.clock, world.counters, world.lifecycle, 99, ConnectionIdRange(1 << 20, 3)
     )
-    held = front.open()
+    held = sessions.open()
     numbers = [held.connection_id]
     for _ in range(4):
-        session = front.open()
+        session = sessions.open()
         numbers.append(session.connection_id)
         session.on_closed()
     assert numbers == [(1 << 20) + n for n in (1, 2, 3, 2, 3)]
 
 
 @pytest.mark.parametrize(
-    ("others", "left"),
+    ("others", "expected"),
     [
         ([], (122, 84)),
         ([ProcessRecord(1, 40, 10)], (122 - 40 - SIBLING_OVERHEAD, 74)),
@@ -117,15 +124,15 @@
     ],
 )
 def test_two_processes_keep_within_one_descriptor_limit(
-    others: list[ProcessRecord], left: tuple[int, int]
+    others: list[ProcessRecord], expected: tuple[int, int]
 ) -> None:
-    parts = DescriptorQuotas.divide(256)
-    beside = parts.remaining_after(others)
-    assert (beside.clients, beside.engines) == left
+    quotas = DescriptorQuotas.divide(256)
+    remaining = quotas.remaining_after(others)
+    assert (remaining.clients, remaining.engines) == expected
     for limit in (128, 256, 512, 1024):
-        parts = DescriptorQuotas.divide(limit)
-        assert parts.clients + parts.engines + parts.admin + SIBLING_OVERHEAD < limit
-        assert parts.clients > limit / 3
+        quotas = DescriptorQuotas.divide(limit)
+        assert quotas.clients + quotas.engines + quotas.admin + SIBLING_OVERHEAD < limit
+        assert quotas.clients > limit / 3
 
 
 def test_new_connections_and_datagrams_go_to_the_newer_process_and_the_older_may_close() -> None:
@@ -136,34 +143,34 @@
         with socket.create_server(("127.0.0.1", 0)) as spare:
             at = Address("127.0.0.1", spare.getsockname()[1])
         older, newer = [event_loop.listener.listen(at, is_shared=True) for event_loop in event_loops]
-        mail = [event_loop.datagrams.open(at) for event_loop in event_loops]
+        datagram_sockets = [event_loop.datagrams.open(at) for event_loop in event_loops]
         counts = []
-        for alone in (False, True):
-            if alone:
+        for is_alone in (False, True):
+            if is_alone:
                 older.close()
-                mail[0].close()
+                datagram_sockets[0].close()
             clients = [socket.create_connection((at.host, at.port)) for _ in range(40)]
             for client in clients:
                 client.close()
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                 for _ in range(40):
                     sender.sendto(b"x", (at.host, at.port))
-            counts += [waiting(newer), waiting(mail[1])]
+            counts += [count_waiting(newer), count_waiting(datagram_sockets[1])]
         newer.close()
-        mail[1].close()
+        datagram_sockets[1].close()
         return counts
 
     assert asyncio.run(scenario()) == [40, 40, 40, 40]
 
 
-def waiting(sock: socket.socket) -> int:
+def count_waiting(sock: socket.socket) -> int:
     count = 0
-    while took(sock):
+    while take_one(sock):
         count += 1
     return count
 
 
-def took(sock: socket.socket) -> bool:
+def take_one(sock: socket.socket) -> bool:
     try:
         if sock.type == socket.SOCK_DGRAM:
             sock.recv(10)
@@ -174,8 +181,8 @@
     return True
 
 
-class Site:
-    """A bus that tells nothing new, one stand-in engine, and programs that serve one address."""
+class UpgradeSite:
+    """An event stream without events, one stand-in engine, and programs that serve one address."""
 
     def __init__(self, folder: Path, engine: StandInEngine, addresses: list[str]) -> None:
         self.folder, self.engine = folder, engine
@@ -184,7 +191,7 @@
         self.limits: dict[str, Any] = {}
 
     async def start(self) -> asyncio.subprocess.Process:
-        """One more program; it is there once it says yes to the operators."""
+        """Start one more program; returns once its health check succeeds."""
         ops = self.ops[len(self.programs)]
         entry = {**ENTRY, "hostPort": self.engine_at, "machineType": "a", "startedAtMs": 0}
         known = {"offset": 1, "batch": [{"offset": 1, "topology": {"reset": True, "instances": [entry]}}]}
@@ -197,18 +204,18 @@
             stderr=asyncio.subprocess.PIPE,
         )
         self.programs.append(program)
-        while not (await call(ops, "GET /healthcheck")).startswith("HTTP/1.1 200"):
+        while not (await admin_call(ops, "GET /healthcheck")).startswith("HTTP/1.1 200"):
             assert program.returncode is None
             await asyncio.sleep(0.01)
         return program
 
 
-async def call(at: str, line: str) -> str:
-    """An operator's call; nothing where nobody listens."""
+async def admin_call(at: str, request_line: str) -> str:
+    """The response to an operator's call; empty where nobody listens."""
     host, _, port = at.partition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(f"{line} HTTP/1.1\r\nHost: {at}\r\n\r\n".encode())
+        writer.write(f"{request_line} HTTP/1.1\r\nHost: {at}\r\n\r\n".encode())
         answer = await reader.read()
         writer.close()
         return answer.decode()
@@ -216,8 +223,8 @@
         return ""
 
 
-async def query(at: str, ref: int) -> bytes:
-    """One request on a connection of its own: all that is answered."""
+async def send_query(at: str, ref: int) -> bytes:
+    """The response to one request on a connection of its own."""
     host, _, port = at.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     text = f"/* service=lookup,ref={ref:016x},allow=20000 */ SELECT a FROM s_7.t"
@@ -233,7 +240,7 @@
 
 
 @asynccontextmanager
-async def site(folder: Path, work_ms: float) -> AsyncIterator[Site]:
+async def running_site(folder: Path, work_ms: float) -> AsyncIterator[UpgradeSite]:
     spare = [socket.create_server(("127.0.0.1", 0)) for _ in range(7)]
     addresses = ["{}:{}".format(*sock.getsockname()) for sock in spare]
     for sock in spare:
@@ -241,16 +248,16 @@
     engine = StandInEngine("s-1", work_ms)
     await engine.start("127.0.0.1", int(addresses[2].rpartition(":")[2]))
 
-    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def hold_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
     host, _, port = addresses[1].partition(":")
-    bus = await asyncio.start_server(hold, host, int(port))
-    made = Site(folder, engine, addresses)
+    bus = await asyncio.start_server(hold_connection, host, int(port))
+    created = UpgradeSite(folder, engine, addresses)
     try:
-        yield made
+        yield created
     finally:
-        for program in made.programs:
+        for program in created.programs:
             if program.returncode is None:
                 program.kill()
             await program.communicate()
@@ -258,98 +265,98 @@
         await engine.stop()
 
 
-def run(scenario: Any) -> None:
+def run_scenario(scenario: Any) -> None:
     asyncio.run(asyncio.wait_for(scenario, 60))
 
 
 def test_every_request_is_answered_once_through_two_upgrades(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path, work_ms=300.0) as here:
-            await here.start()
-            asked: list[asyncio.Task[bytes]] = []
+        async with running_site(tmp_path, work_ms=300.0) as site:
+            await site.start()
+            queries: list[asyncio.Task[bytes]] = []
 
             async def traffic() -> None:
                 while True:
-                    asked.append(asyncio.create_task(query(here.listen, len(asked))))
+                    queries.append(asyncio.create_task(send_query(site.listen, len(queries))))
                     await asyncio.sleep(0.01)
 
-            going = asyncio.create_task(traffic())
+            sender = asyncio.create_task(traffic())
             for _ in range(2):
                 await asyncio.sleep(0.1)
-                newer = await here.start()
-                old = here.programs[-2]
+                newer = await site.start()
+                old = site.programs[-2]
                 old.send_signal(signal.SIGTERM)
                 _, errors = await old.communicate()
                 assert old.returncode == 0 and newer.returncode is None, errors
-            going.cancel()
-            answers = await asyncio.gather(*asked)
+            sender.cancel()
+            answers = await asyncio.gather(*queries)
             served = {f"{ref:016x}" for ref, answer in enumerate(answers) if b"s-1" in answer}
-            # On a slow machine the module may turn one away; what may not be is a request without an answer.
+            # On a slow machine the scheduler may reject one; but none may stay without an answer.
             assert all(b"s-1" in answer or b"\xff\xca\x04#42000" in answer for answer in answers)
-            assert served and served <= here.engine.runs.keys() and set(here.engine.runs.values()) == {1}
+            assert served and served <= site.engine.runs.keys() and set(site.engine.runs.values()) == {1}
 
-    run(scenario())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
-def test_the_remaining_process_serves_on(tmp_path: Path, how: signal.Signals) -> None:
+@pytest.mark.parametrize("end_signal", [signal.SIGKILL, signal.SIGTERM])
+def test_the_remaining_process_serves_on(tmp_path: Path, end_signal: signal.Signals) -> None:
     """The newer one dies, or is told to end first: the older one serves on untouched."""
 
     async def scenario() -> None:
-        async with site(tmp_path, work_ms=1.0) as here:
-            old = await here.start()
-            newer = await here.start()
-            newer.send_signal(how)
+        async with running_site(tmp_path, work_ms=1.0) as site:
+            old = await site.start()
+            newer = await site.start()
+            newer.send_signal(end_signal)
             await newer.communicate()
-            answers = [await query(here.listen, ref) for ref in range(10)]
+            answers = [await send_query(site.listen, ref) for ref in range(10)]
             assert all(b"s-1" in answer for answer in answers) and old.returncode is None
-            assert (await call(here.ops[0], "POST /healthcheck/fail")).startswith("HTTP/1.1 200")
-            assert b"\xff\x1d\x04#08S01" in await query_ping(here.listen)
+            assert (await admin_call(site.ops[0], "POST /healthcheck/fail")).startswith("HTTP/1.1 200")
+            assert b"\xff\x1d\x04#08S01" in await send_ping(site.listen)
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_a_process_shutting_down_accepts_clients_until_the_newer_one_serves(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path, work_ms=1.0) as here:
-            old = await here.start()
-            newer = SiblingProcesses(str(tmp_path), here.listen, print)  # starts, and does not serve yet
+        async with running_site(tmp_path, work_ms=1.0) as site:
+            old = await site.start()
+            newer = SiblingProcesses(str(tmp_path), site.listen, print)  # starts, and does not serve yet
             old.send_signal(signal.SIGTERM)
             assert old.stderr is not None
             while b"shutdown_started" not in await old.stderr.readline():
                 pass
-            await asyncio.sleep(1.2)  # beyond the time for which one alone keeps its door open
-            assert (await query_ping(here.listen)).endswith(b"\x00\x00\x00\x02\x00\x00\x00")
+            await asyncio.sleep(1.2)  # longer than a process without a newer one accepts clients
+            assert (await send_ping(site.listen)).endswith(b"\x00\x00\x00\x02\x00\x00\x00")
             newer.publish(ProcessRecord(newer.record.start_number, is_serving=True))
             _, errors = await old.communicate()
             assert b"listener_closed" in errors and old.returncode == 0
 
-    run(scenario())
+    run_scenario(scenario())
 
 
 def test_admin_calls_are_answered_though_clients_and_slow_callers_use_their_quotas(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path, work_ms=1.0) as here:
-            here.limits = {"sockets": 64}
-            await here.start()
-            host, _, port = here.listen.partition(":")
+        async with running_site(tmp_path, work_ms=1.0) as site:
+            site.limits = {"sockets": 64}
+            await site.start()
+            host, _, port = site.listen.partition(":")
             crowd = [await asyncio.open_connection(host, int(port)) for _ in range(100)]
-            host, _, port = here.ops[0].partition(":")
+            host, _, port = site.ops[0].partition(":")
             slow = [await asyncio.open_connection(host, int(port)) for _ in range(40)]
             for _, writer in slow[::2]:
                 writer.write(b"GET /health")
-            for line in ("GET /healthcheck", "POST /healthcheck/fail", "POST /healthcheck/ok"):
-                assert (await call(here.ops[0], line)).startswith("HTTP/1.1 200")
-            assert b"s-1" in await query(here.listen, 1)
-            held = os.listdir(f"/proc/{here.programs[0].pid}/fd")
+            for request_line in ("GET /healthcheck", "POST /healthcheck/fail", "POST /healthcheck/ok"):
+                assert (await admin_call(site.ops[0], request_line)).startswith("HTTP/1.1 200")
+            assert b"s-1" in await send_query(site.listen, 1)
+            held = os.listdir(f"/proc/{site.programs[0].pid}/fd")
             assert len(held) <= 64
             for _, writer in crowd + slow:
                 writer.close()
 
-    run(scenario())
+    run_scenario(scenario())
 
 
-async def query_ping(at: str) -> bytes:
+async def send_ping(at: str) -> bytes:
     host, _, port = at.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(packet(1, LOGIN) + packet(0, b"\x0e"))
@@ -371,4 +378,4 @@
             _, errors = await program.communicate()
             assert program.returncode == 1 and f"can't listen at {at}".encode() in errors
 
-    run(scenario())
+    run_scenario(scenario())
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The program on a machine whose wall clock is off: a cold engine, a warm one, and what each is told."""
+"""The program on a machine whose wall clock is off: a warming engine, a warm one, and the timeouts sent."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 RULES = CONFIG["settings"]["obligations"]
 CORES = CONFIG["settings"]["domain"]["size_cores"][0]
 # What the cold budget lets through in its window, which the clients' time does not outlast.
-COLD = RULES["overload_factor"] * RULES["cold_from"] * CORES * RULES["tip_after"] / WORK_MS
+WARM_UP_BUDGET = RULES["overload_factor"] * RULES["cold_from"] * CORES * RULES["tip_after"] / WORK_MS
 assert RULES["tip_after"] > ALLOW_MS
 
 
-class Listening(StandInEngine):
-    """An engine that notes how long each request says that it will be waited for, and is done in a tenth of
-    the work that it tells: so a busy machine decides nothing."""
+class RecordingEngine(StandInEngine):
+    """An engine that records the timeout of each request, and needs a tenth of the work that it reports: so a
+    busy machine decides nothing."""
 
     def __init__(self) -> None:
         super().__init__("s-1", WORK_MS / 10)
-        self.told: list[int] = []
+        self.timeouts_ms: list[int] = []
 
     def _take(
         self, words: list[bytes], writer: asyncio.StreamWriter, open_here: dict[bytes, asyncio.TimerHandle]
     ) -> None:
         if words[0] == b"GET":
-            self.told.append(int(decode_fields(words[2])["ms"]))
+            self.timeouts_ms.append(int(decode_fields(words[2])["ms"]))
         super()._take(words, writer, open_here)
 
     def _done(
@@ -63,7 +63,7 @@
 
 
 async def connect(port: int, program: asyncio.subprocess.Process) -> Streams:
-    """A connection to the dispatcher, which may not be there yet."""
+    """A connection to the dispatcher, which may not listen yet."""
     while program.returncode is None:
         try:
             return await asyncio.open_connection("127.0.0.1", port)
@@ -72,26 +72,30 @@
     raise AssertionError("the program has ended")
 
 
-async def ask(streams: Streams, number: int) -> bytes:
-    """One request on a connection: all that is answered, up to the end of the result or an error."""
+async def send_query(streams: Streams, number: int) -> bytes:
+    """The response to one request, up to the end of the result or an error; empty if it is cut off."""
     reader, writer = streams
     fields = f"service=lookup,ref={number:016x},allow={ALLOW_MS},effort={WORK_MS}.0,room=1"
     writer.write(packet(1, LOGIN) + packet(0, f"\x03/* {fields} */ SELECT a FROM s_7.t".encode()))
-    got = b""
-    while got.count(b"\xfe\x00\x00\x02\x00") < 2 and b"\xff" not in got and (data := await reader.read(4096)):
-        got += data
+    received = b""
+    while (
+        received.count(b"\xfe\x00\x00\x02\x00") < 2
+        and b"\xff" not in received
+        and (data := await reader.read(4096))
+    ):
+        received += data
     writer.close()
-    return got if b"\xff" in got or got.count(b"\xfe\x00\x00\x02\x00") == 2 else b""
+    return received if b"\xff" in received or received.count(b"\xfe\x00\x00\x02\x00") == 2 else b""
 
 
-async def play(
-    folder: Path, wrong_s: float, age_s: float, step_s: float = 0.0, leaves: bool = False
-) -> Listening:
+async def run_queries(
+    folder: Path, clock_error_s: float, age_s: float, step_s: float = 0.0, shuts_down: bool = False
+) -> RecordingEngine:
     """Many requests in one moment, by way of a program whose wall clock is off, to an engine of some age.
 
-    step_s: the clock is stepped in service. leaves: it is told to end as soon as the first request is out.
+    step_s: the clock is stepped in service. shuts_down: it gets SIGTERM once the first request is in flight.
     """
-    engine = Listening()
+    engine = RecordingEngine()
     ports = []
     for _ in range(2):
         with socket.create_server(("127.0.0.1", 0)) as spare:
@@ -105,20 +109,22 @@
         sys.executable,
         "-c",
         PROGRAM,
-        str(wrong_s),
+        str(clock_error_s),
         str(step_s),
         env={**os.environ, **environ},
         stderr=asyncio.subprocess.DEVNULL,
     )
     try:
-        open_now = await asyncio.gather(*(connect(ports[1], program) for _ in range(CLIENTS)))
-        asked = [asyncio.create_task(ask(streams, number)) for number, streams in enumerate(open_now)]
-        if leaves:
-            while not engine.told:
+        connections = await asyncio.gather(*(connect(ports[1], program) for _ in range(CLIENTS)))
+        queries = [
+            asyncio.create_task(send_query(streams, number)) for number, streams in enumerate(connections)
+        ]
+        if shuts_down:
+            while not engine.timeouts_ms:
                 await asyncio.sleep(0)
             program.terminate()
             assert await program.wait() == 0
-        assert all(await asyncio.gather(*asked)) and (leaves or program.returncode is None)
+        assert all(await asyncio.gather(*queries)) and (shuts_down or program.returncode is None)
     finally:
         if program.returncode is None:
             program.kill()
@@ -127,24 +133,24 @@
     return engine
 
 
-@pytest.mark.parametrize("wrong_s", [0.0, 5.0, -5.0, HOUR, -HOUR])
+@pytest.mark.parametrize("clock_error_s", [0.0, 5.0, -5.0, HOUR, -HOUR])
 def test_warm_up_budget_and_deadlines_hold_whatever_the_wall_clock_shows(
-    tmp_path: Path, wrong_s: float
+    tmp_path: Path, clock_error_s: float
 ) -> None:
-    engine = asyncio.run(play(tmp_path, wrong_s, age_s=0.0))
-    assert 1 <= len(engine.told) <= COLD
-    assert all(0 < ms <= ALLOW_MS for ms in engine.told)
+    engine = asyncio.run(run_queries(tmp_path, clock_error_s, age_s=0.0))
+    assert 1 <= len(engine.timeouts_ms) <= WARM_UP_BUDGET
+    assert all(0 < ms <= ALLOW_MS for ms in engine.timeouts_ms)
 
 
-@pytest.mark.parametrize("wrong_s", [0.0, 5.0, -5.0, HOUR, -HOUR])
-def test_an_engine_started_a_day_ago_is_not_limited(tmp_path: Path, wrong_s: float) -> None:
-    engine = asyncio.run(play(tmp_path, wrong_s, age_s=DAY))
-    assert len(engine.told) > COLD
-    assert all(0 < ms <= ALLOW_MS for ms in engine.told)
+@pytest.mark.parametrize("clock_error_s", [0.0, 5.0, -5.0, HOUR, -HOUR])
+def test_an_engine_started_a_day_ago_is_not_limited(tmp_path: Path, clock_error_s: float) -> None:
+    engine = asyncio.run(run_queries(tmp_path, clock_error_s, age_s=DAY))
+    assert len(engine.timeouts_ms) > WARM_UP_BUDGET
+    assert all(0 < ms <= ALLOW_MS for ms in engine.timeouts_ms)
 
 
 @pytest.mark.parametrize("step_s", [5.0, -5.0, HOUR, -HOUR])
 def test_shutdown_answers_every_request_however_the_wall_clock_is_stepped(
     tmp_path: Path, step_s: float
 ) -> None:
-    asyncio.run(play(tmp_path, 0.0, DAY, step_s, leaves=True))
+    asyncio.run(run_queries(tmp_path, 0.0, DAY, step_s, shuts_down=True))
