--- a/cottonhold/cli/main.py
+++ b/cottonhold/cli/main.py
@@ -47,10 +47,10 @@
 @app.command()
 def check(file: FileArgument) -> None:
     """Check a configuration: one line a problem, and code 2 if there are any."""
-    from cottonhold.config.installation import UnusableConfigError, read
+    from cottonhold.config.installation import UnusableConfigError, read_installation
 
     try:
-        installation = read(file)
+        installation = read_installation(file)
     except UnusableConfigError as error:
         for problem in error.problems:
             print(problem)
@@ -68,10 +68,10 @@
     """Print a configuration's evaluated values, tokens hidden."""
     import msgspec
 
-    from cottonhold.config.installation import UnusableConfigError, read, values
+    from cottonhold.config.installation import UnusableConfigError, evaluate_values, read_installation
 
     try:
-        shown = msgspec.to_builtins(read(file).file) if defaults else values(file)
+        shown = msgspec.to_builtins(read_installation(file).file) if defaults else evaluate_values(file)
     except UnusableConfigError as error:
         for problem in error.problems:
             print(problem, file=sys.stderr)
--- a/cottonhold/config/decode.py
+++ b/cottonhold/config/decode.py
@@ -1,7 +1,7 @@
-"""From plain values to a typed section, with every problem at once.
+"""Decodes plain values to a typed section and reports every problem at once.
 
-msgspec stops at the first error. An operator who has renamed five fields wants five lines, so this walks
-sections and lists itself and leaves only the leaves to msgspec.
+msgspec stops at the first error, so this walks sections and lists itself and leaves only the leaves to
+msgspec.
 """
 
 from __future__ import annotations
@@ -9,96 +9,99 @@
 import difflib
 import types
 import typing
-from collections.abc import Callable
 from typing import Annotated, Any, Literal, Union, get_args, get_origin
 
 import msgspec
 
-Path = tuple[str | int, ...]
-Report = Callable[[Path, str], None]
-WORDS = {"object": "a section", "array": "a list", "str": "a text", "bool": "true or false"}
+from cottonhold.config.problems import FieldPath, ReportProblem
 
+PLAIN_TYPE_NAMES = {"object": "a section", "array": "a list", "str": "a text", "bool": "true or false"}
 
-def decode(value: Any, kind: type[Any], report: Report) -> Any:
-    """The typed value; None where `report` has been told of problems."""
-    problems: list[Path] = []
 
-    def note(path: Path, why: str) -> None:
+def decode_section(value: Any, section_type: type[Any], report: ReportProblem) -> Any:
+    """The typed section; None if problems were reported."""
+    problems: list[FieldPath] = []
+
+    def count_and_report(path: FieldPath, reason: str) -> None:
         problems.append(path)
-        report(path, why)
+        report(path, reason)
 
-    _check(value, kind, (), note)
-    return None if problems else msgspec.convert(value, kind)
+    _check(value, section_type, (), count_and_report)
+    return None if problems else msgspec.convert(value, section_type)
 
 
-def _check(value: Any, kind: Any, path: Path, report: Report) -> None:
-    base = get_args(kind)[0] if get_origin(kind) is Annotated else kind
-    if get_origin(base) in (Union, types.UnionType):
-        _check_union(value, base, path, report)
-    elif isinstance(base, type) and issubclass(base, msgspec.Struct):
-        _check_section(value, base, path, report)
-    elif get_origin(base) is tuple and isinstance(value, list):
-        before = len(value)
-        _check_leaf([None] * before, _bounds(kind), path, report)
+def _check(value: Any, expected: Any, path: FieldPath, report: ReportProblem) -> None:
+    """Report what keeps a value from being of the expected type."""
+    bare_type = get_args(expected)[0] if get_origin(expected) is Annotated else expected
+    if get_origin(bare_type) in (Union, types.UnionType):
+        _check_union(value, bare_type, path, report)
+    elif isinstance(bare_type, type) and issubclass(bare_type, msgspec.Struct):
+        _check_section(value, bare_type, path, report)
+    elif get_origin(bare_type) is tuple and isinstance(value, list):
+        _check_leaf([None] * len(value), _length_bounds(expected), path, report)
         for i, element in enumerate(value):
-            _check(element, get_args(base)[0], (*path, i), report)
+            _check(element, get_args(bare_type)[0], (*path, i), report)
     else:
-        _check_leaf(value, kind, path, report)
+        _check_leaf(value, expected, path, report)
 
 
-def _bounds(kind: Any) -> Any:
-    """A list's own bounds, whatever its elements."""
-    if get_origin(kind) is Annotated:
-        return Annotated[tuple[Any, ...], *get_args(kind)[1:]]
+def _length_bounds(expected: Any) -> Any:
+    """The type of a list with the same bounds on its length, but with any elements."""
+    if get_origin(expected) is Annotated:
+        return Annotated[tuple[Any, ...], *get_args(expected)[1:]]
     return tuple[Any, ...]
 
 
-def _check_leaf(value: Any, kind: Any, path: Path, report: Report) -> None:
+def _check_leaf(value: Any, expected: Any, path: FieldPath, report: ReportProblem) -> None:
     try:
-        msgspec.convert(value, kind, strict=True)
+        msgspec.convert(value, expected, strict=True)
     except msgspec.ValidationError as error:
-        text = str(error).split(" - at `")[0]
-        if get_origin(kind) is Literal:
-            text = f"must be one of {', '.join(repr(a) for a in get_args(kind))}, is {value!r}"
-        report(path, _plain(text))
+        reason = str(error).split(" - at `")[0]
+        if get_origin(expected) is Literal:
+            reason = f"must be one of {', '.join(repr(a) for a in get_args(expected))}, is {value!r}"
+        report(path, _in_plain_words(reason))
 
 
-def _plain(text: str) -> str:
-    for word, plain in WORDS.items():
-        text = text.replace(f"`{word}`", plain)
-    return text.replace("`", "'")
+def _in_plain_words(reason: str) -> str:
+    """msgspec's text with the file's terms for types."""
+    for name, plain_name in PLAIN_TYPE_NAMES.items():
+        reason = reason.replace(f"`{name}`", plain_name)
+    return reason.replace("`", "'")
 
 
-def _check_union(value: Any, kind: Any, path: Path, report: Report) -> None:
-    options = [option for option in get_args(kind) if option is not types.NoneType]
-    if value is None and len(options) < len(get_args(kind)):
+def _check_union(value: Any, expected: Any, path: FieldPath, report: ReportProblem) -> None:
+    """Check a value that may be None, or one of several sections that a tag distinguishes."""
+    options = [option for option in get_args(expected) if option is not types.NoneType]
+    if value is None and len(options) < len(get_args(expected)):
         return
     if len(options) == 1:
         _check(value, options[0], path, report)
         return
-    tags = {option.__struct_config__.tag: option for option in options}
-    field = options[0].__struct_config__.tag_field
+    by_tag = {option.__struct_config__.tag: option for option in options}
+    tag_field = options[0].__struct_config__.tag_field
     if not isinstance(value, dict):
         report(path, f"Expected a section, got {type(value).__name__}")
-    elif value.get(field) not in tags:
-        what = f"is {value[field]!r}" if field in value else "is missing"
-        report((*path, field), f"must be one of {', '.join(map(repr, sorted(tags)))}, {what}")
+    elif value.get(tag_field) not in by_tag:
+        found = f"is {value[tag_field]!r}" if tag_field in value else "is missing"
+        report((*path, tag_field), f"must be one of {', '.join(map(repr, sorted(by_tag)))}, {found}")
     else:
-        _check(value, tags[value[field]], path, report)
+        _check(value, by_tag[value[tag_field]], path, report)
 
 
-def _check_section(value: Any, kind: type[msgspec.Struct], path: Path, report: Report) -> None:
+def _check_section(
+    value: Any, section_type: type[msgspec.Struct], path: FieldPath, report: ReportProblem
+) -> None:
     if not isinstance(value, dict):
         report(path, f"Expected a section, got {type(value).__name__}")
         return
-    fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
-    tag = kind.__struct_config__.tag_field
-    for name in value:
-        if name not in fields and name != tag:
-            near = difflib.get_close_matches(name, fields, 1)
-            report((*path, name), "unknown field" + (f"; is it '{near[0]}'?" if near else ""))
-    for name, field in fields.items():
-        if name in value:
-            _check(value[name], typing.cast(Any, field.type), (*path, name), report)
+    fields = {field.encode_name: field for field in msgspec.structs.fields(section_type)}
+    tag_field = section_type.__struct_config__.tag_field
+    for key in value:
+        if key not in fields and key != tag_field:
+            similar = difflib.get_close_matches(key, fields, 1)
+            report((*path, key), "unknown field" + (f"; is it '{similar[0]}'?" if similar else ""))
+    for key, field in fields.items():
+        if key in value:
+            _check(value[key], typing.cast(Any, field.type), (*path, key), report)
         elif field.required:
-            report((*path, name), "is missing")
+            report((*path, key), "is missing")
--- /dev/null
+++ b/cottonhold/config/jsonnet_template.py
@@ -0,0 +1,55 @@
+"""Evaluates Jsonnet templates by the official bindings; imports are limited to the file's own folder."""
+
+from __future__ import annotations
+
+import json
+import re
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import _jsonnet
+
+from cottonhold.config.problems import Problem
+
+MAX_STACK_FRAMES = 200  # ends a template that recurses without end
+
+
+def evaluate_template(path: Path) -> tuple[Any, list[Problem]]:
+    """The template's values, or None and the problem that prevents them."""
+    try:
+        source = path.read_text(encoding="utf-8")
+        text = _jsonnet.evaluate_snippet(
+            str(path), source, import_callback=_importer(path.resolve().parent), max_stack=MAX_STACK_FRAMES
+        )
+        return json.loads(text), []
+    except (OSError, UnicodeDecodeError) as error:
+        reason = getattr(error, "strerror", None) or str(error)
+        return None, [Problem(str(path), "", f"can't be read: {reason}")]
+    except RuntimeError as error:
+        return None, [_evaluation_problem(path, str(error))]
+
+
+def _importer(folder: Path) -> Callable[[str, str], tuple[str, bytes]]:
+    """The library's callback for imports, which allows files in the folder only.
+
+    The content of another file, such as /etc/passwd, could show in an error text or in `show`.
+    """
+
+    def load(importing_folder: str, name: str) -> tuple[str, bytes]:
+        target = (Path(importing_folder or folder) / name).resolve()
+        if not target.is_relative_to(folder):
+            raise RuntimeError(f"import '{name}' lies outside the folder of the configuration file")
+        return str(target), target.read_bytes()
+
+    return load
+
+
+def _evaluation_problem(path: Path, text: str) -> Problem:
+    """The first line of the library's text, which goes on with a stack, and the line number that it names."""
+    place = re.search(re.escape(str(path)) + r":\(?(\d+)", text)
+    lines = [line.strip() for line in text.splitlines() if line.strip()]
+    reason = lines[0] if lines else "no reason given"
+    reason = re.sub(r"^(STATIC|RUNTIME) ERROR: ", "", reason)
+    reason = re.sub(re.escape(str(path)) + r":\S+ ?", "", reason).strip(" :")
+    return Problem(str(path), "", reason or "the template is not valid", int(place.group(1)) if place else 0)
--- a/cottonhold/config/problems.py
+++ b/cottonhold/config/problems.py
@@ -1,13 +1,17 @@
-"""What is wrong with a configuration: each problem is one line."""
+"""Problems of a configuration: each is one line, with the place of the field that has to change."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 
+FieldPath = tuple[str | int, ...]  # keys and list positions, from the file's top level
+ReportProblem = Callable[[FieldPath, str], None]  # takes a field's path and what is wrong with it
+
 
 @dataclass(slots=True, frozen=True, order=True)
 class Problem:
-    """One problem: the file, the field's path (empty: the whole file), why, and its line (0: not known)."""
+    """One problem: the file, the field's path (empty: the whole file), the reason, the line (0: unknown)."""
 
     file: str
     path: str
@@ -19,9 +23,12 @@
         return f"{place}: {self.path}: {self.reason}" if self.path else f"{place}: {self.reason}"
 
 
-def path_text(path: tuple[str | int, ...]) -> str:
+def format_field_path(path: FieldPath) -> str:
     """A path as in sources[0].guard.floor."""
     text = ""
     for part in path:
-        text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
+        if isinstance(part, int):
+            text += f"[{part}]"
+        else:
+            text += f".{part}" if text else part
     return text
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -156,47 +156,48 @@
 
 
 def decode(source: Json, environ: Mapping[str, str], counters: Counters) -> Config:
-    """The configuration's JSON as typed values."""
-
-    def address(key: str, variable: str = "") -> Address | None:
-        text = read(source, key, str, None) or environ.get(variable)
-        try:
-            return Address.parse(text) if text else None
-        except WireError as error:
-            raise WireError(f"field '{key}': {error}") from error
-
-    listen = address("listen", "RELAY_LISTEN")
+    """The configuration's JSON as typed values. Raises WireError, ValueError or TypeError."""
+    listen = _address(source, "listen", environ.get("RELAY_LISTEN"))
     if listen is None:
         raise WireError("field 'listen' is missing")
-    bus = address("bus")
-    if bus is None:
+    event_stream = _address(source, "bus")
+    if event_stream is None:
         raise WireError("field 'bus' is missing")
     params, limits = read(source, "settings", dict), read(source, "limits", dict, {})
     check_complete(params)
     caps = read(params, "caps", dict)
-    connect_ms = read(caps, "connect_timeout", NUMBER, 250.0)
-    settings = replace(decode_settings(params), max_connect_ms=connect_ms)
+    connect_timeout_ms = read(caps, "connect_timeout", NUMBER, 250.0)
+    settings = replace(decode_settings(params), max_connect_ms=connect_timeout_ms)
     check_numbers(settings, "settings")
     names = ConfiguredNames(tuple(read_list(params, "zones", str)), tuple(read_list(params, "models", str)))
-    offset, known = decode_events(read(source, "known", dict), names, counters)
+    event_offset, initial_reports = decode_events(read(source, "known", dict), names, counters)
     return Config(
         name=read(source, "name", str, environ.get("RELAY_NAME", "")),
         listen=listen,
         seed=int(read(source, "seed", str, "0"), 16),
         max_descriptors=read(limits, "sockets", int, 1024),
-        admin_listen=address("ops", "RELAY_OPS"),
-        peer_listen=address("peer_listen"),
+        admin_listen=_address(source, "ops", environ.get("RELAY_OPS")),
+        peer_listen=_address(source, "peer_listen"),
         peers=tuple(Address.parse(p) for p in read_list(source, "peers", str)),
-        peers_all=address("peers_all"),
-        event_stream=bus,
-        event_offset=offset,
-        initial_reports=tuple(known),
+        peers_all=_address(source, "peers_all"),
+        event_stream=event_stream,
+        event_offset=event_offset,
+        initial_reports=tuple(initial_reports),
         names=names,
         settings=settings,
         connections=ConnectionSettings(
             idle_timeout_ms=read(caps, "conn_idle", NUMBER, 15000.0),
-            connect_timeout_ms=connect_ms,
+            connect_timeout_ms=connect_timeout_ms,
             max_streams=read(caps, "streams_per_conn", int, 32),
             health_check_cost=settings.overhead_costs.per_health_check,
         ),
     )
+
+
+def _address(source: Json, key: str, default: str | None = None) -> Address | None:
+    """The address in a field, else the default; None if there is neither. Raises WireError."""
+    text = read(source, key, str, None) or default
+    try:
+        return Address.parse(text) if text else None
+    except WireError as error:
+        raise WireError(f"field '{key}': {error}") from error
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -45,23 +45,25 @@
     file, config = installation.file, installation.config
     section = file.membership
     assert section is not None and config.peer_listen is not None
-    settings = SwimSettings(probe_interval_ms=section.period_ms, ping_timeout_ms=section.timeout_ms)
+    settings = SwimSettings(
+        probe_interval_ms=section.ping_interval_ms, ping_timeout_ms=section.ping_timeout_ms
+    )
     # The wall clock may have gone back since the last start: the others then report the higher incarnation,
     # which is passed; terms, and what distinguishes this start's datagrams from the last one's, are drawn.
     session = secrets.randbits(32)
     swim = Swim(
         file.name,
-        installation.announce or config.peer_listen,
+        installation.announced_address or config.peer_listen,
         settings,
         config.seed ^ session,
         max(incarnation, 1),
-        installation.keys,
+        installation.key_ring,
         config.peers,
     )
     voters = [member_id(name) for name in section.voters] or [swim.id]
     duties = DutyScheduler(
         swim.id,
-        [Duty(PROBE, section.probe_ms), Duty(REPORT, section.report_ms)],
+        [Duty(PROBE, section.health_check_interval_ms), Duty(REPORT, section.report_interval_ms)],
         voters,
         LeaseSettings(),
         now,
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -82,7 +82,10 @@
 def guarded_classes(installation: Installation) -> dict[int, bool]:
     """The classes whose requests are recorded, and whether a success of one may be reported."""
     classes = installation.file.classes
-    return {i: classes[i].again == "served" for i in guarded_class_indices(installation.config.settings)}
+    return {
+        i: classes[i].completed_retry_answer == "served"
+        for i in guarded_class_indices(installation.config.settings)
+    }
 
 
 def hold_ms_of(installation: Installation) -> float:
@@ -97,7 +100,7 @@
     """The guard while the folder is not available. found: its loads, as far as they could be read."""
     file, settings = installation.file, LoadHistorySettings(hold_ms_of(installation))
     recorded, _ = recorded_loads(found)
-    history = LoadHistory(file.number, file.dispatchers, 0, clock.now(), recorded, settings, 0)
+    history = LoadHistory(file.dispatcher_index, file.dispatcher_count, 0, clock.now(), recorded, settings, 0)
     max_retry_after_ms = installation.config.settings.features.max_retry_after_ms
     retry_after_ms = min(max_retry_after_ms, settings.retry_after_ms)
     return UnavailableLoadGuard(guarded_classes(installation), retry_after_ms, history, clock.now, counters)
@@ -135,8 +138,8 @@
         """The survey, the history and the guard, from what the folder showed."""
         file, ledger, now = installation.file, self.ledger, self.clock.now()
         self.survey = MembershipSurvey(
-            file.number,
-            file.dispatchers,
+            file.dispatcher_index,
+            file.dispatcher_count,
             dict(enumerate(file.peers.zones)) if file.peers is not None else {},
             ledger.boot_count,
             secrets.randbits(32),
@@ -150,8 +153,8 @@
         )
         recorded, records = recorded_loads(ledger.records(RecordKind.LOAD))
         self.history = LoadHistory(
-            file.number,
-            file.dispatchers,
+            file.dispatcher_index,
+            file.dispatcher_count,
             ledger.boot_count,
             now,
             recorded,
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -69,24 +69,28 @@
     slow_start = None
     if file.state_dir:
         slow_start = SlowStartSettings(
-            initial_share=file.rules.cold_from, warm_after_ms=file.rules.warm_within_ms
+            initial_share=file.rules.cold_capacity_share, warm_after_ms=file.rules.warm_up_ms
         )
     settings = FleetSettings(
-        dispatchers=file.dispatchers,
-        sheds_load=section.price,
-        checks_are_shared=file.permits.probes,
-        max_check_age_ms=max(MIN_CHECK_AGE_MS, CHECK_AGE_INTERVALS * file.membership.probe_ms),
-        evidence=EvidenceSettings(slow_factor=section.slow),
+        dispatchers=file.dispatcher_count,
+        sheds_load=section.sheds_load,
+        checks_are_shared=file.features.has_health_checks,
+        max_check_age_ms=max(
+            MIN_CHECK_AGE_MS, CHECK_AGE_INTERVALS * file.membership.health_check_interval_ms
+        ),
+        evidence=EvidenceSettings(slow_factor=section.slow_factor),
         evacuation=EvacuationSettings(
-            hold_ms=section.hold_ms,
-            max_hold_ms=section.hold_most_ms,
-            initial_share=section.first_share,
-            step_ms=section.step_ms,
-            usable_capacity_share=section.reserve,
+            hold_ms=section.evacuation_hold_ms,
+            max_hold_ms=section.max_evacuation_hold_ms,
+            initial_share=section.initial_return_share,
+            step_ms=section.return_step_ms,
+            usable_capacity_share=section.usable_capacity_share,
         ),
         slow_start=slow_start,
-        failover_cost=CostEstimatorSettings() if section.outlook else None,
-        home_zone=file.peers.zones[file.number] if file.peers is not None and file.peers.zones else "",
+        failover_cost=CostEstimatorSettings() if section.estimates_failover_cost else None,
+        home_zone=file.peers.zones[file.dispatcher_index]
+        if file.peers is not None and file.peers.zones
+        else "",
     )
     seed = installation.config.seed ^ secrets.randbits(32)
     return FleetCoordinator(self_id, incarnation, now, settings, seed)
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -13,7 +13,14 @@
 from typing import TYPE_CHECKING, Any
 
 from cottonhold.config import schema
-from cottonhold.config.installation import Installation, UnusableConfigError, Watched, known_report, read
+from cottonhold.config.installation import (
+    Installation,
+    UnusableConfigError,
+    changed_keys,
+    initial_report,
+    read_installation,
+)
+from cottonhold.config.sections import ConsulSource
 from cottonhold.discovery.consul.answers import Answers
 from cottonhold.discovery.consul.registration import Registration
 from cottonhold.discovery.consul.watch import Watch
@@ -59,7 +66,7 @@
 RELOADED = ("sources", "known", "log", "register")  # what a reload takes over; the rest needs a restart
 
 
-def tls_of(section: schema.Tls | None) -> Tls | None:
+def tls_of(section: schema.TlsConfig | None) -> Tls | None:
     """The rim's form of a TLS section."""
     if section is None:
         return None
@@ -75,7 +82,7 @@
         super().__init__(installation.config, Counters(), loop, log, installation.sources)
         self.path, self.installation, self.structured = path, installation, log
         self.quarantine = Quarantine()
-        self.watches: dict[str, tuple[Watched, Watch, asyncio.Task[None]]] = {}
+        self.watches: dict[str, tuple[ConsulSource, Watch, asyncio.Task[None]]] = {}
         self.entry: consul_client.Entry | None = None
         self.membership: MembershipAdapter | None = None
         self.fleet: ZoneFailoverAdapter | None = None
@@ -88,7 +95,7 @@
         self.unavailable_load_guard: UnavailableLoadGuard | None = None
         self.opening = LedgerOpening(self._open)
         self.opening.wait(OPENING_S)
-        self.metrics = self._measure() if installation.file.metrics else None
+        self.metrics = self._measure() if installation.file.has_metrics else None
         ledger = self._opened()
         if installation.file.membership is not None:
             self._start_membership(ledger)
@@ -197,7 +204,7 @@
                 self.log.note,
                 drains,
             )
-            if file.fleet is not None and file.fleet.pins:
+            if file.fleet is not None and file.fleet.has_session_affinity:
                 self._start_session_affinity(
                     ledger, membership, fleet.coordinator, self.recovery, self.rolling_replacement
                 )
@@ -274,7 +281,7 @@
                 gateway.push,
                 self.log.note,
                 self.engines.check_health,
-                self.installation.file.number,
+                self.installation.file.dispatcher_index,
             )
             gateway.notifications.observer = self.fleet
         rim.on_fleet_message, rim.on_joined = self._on_fleet_message, self._joined
@@ -378,10 +385,10 @@
         """Serve the known engines, follow all sources, and register."""
         if self.installation.file.sources:
             self.believe_known()
-        elif self.installation.known:
-            self.on_discovery_events([known_report(self.installation)])
+        elif self.installation.initial_engines:
+            self.on_discovery_events([initial_report(self.installation)])
         super().follow_sources()
-        for watched in self.installation.watched:
+        for watched in self.installation.consul_sources:
             self._watch(watched)
         if self.installation.registration is not None:
             self.entry = consul_client.Entry(
@@ -470,19 +477,21 @@
 
     def believe_known(self) -> None:
         """The list from the file, and what is remembered, stand for what no source has answered yet."""
-        now, known = self.event_loop.clock.now(), self.installation.known
+        now, known = self.event_loop.clock.now(), self.installation.initial_engines
         if self.engine_cache is not None:
             known = self.engine_cache.observations(known)
-            self.log.note("engines_remembered", engines=len(known) - len(self.installation.known))
+            self.log.note("engines_remembered", engines=len(known) - len(self.installation.initial_engines))
         if not known:
             return
         for action in self.engine_catalog.set_initial(now, known):
             if isinstance(action, PublishChange):
                 self.on_engine_list(action.change)
 
-    def _watch(self, watched: Watched) -> None:
-        settings = watched.settings
-        answers = Answers(self.config.names, watched.reading, lambda why: self._malformed(settings.name, why))
+    def _watch(self, watched: ConsulSource) -> None:
+        settings = watched.watch_settings
+        answers = Answers(
+            self.config.names, watched.interpretation, lambda why: self._malformed(settings.name, why)
+        )
         watch = Watch(settings, answers, self.config.seed)
         work = consul_client.follow(
             self.event_loop, watch, tls_of(watched.tls), self.on_discovery_events, self.counters
@@ -538,7 +547,7 @@
     def reload(self) -> None:
         """Read the file again. A bad one is one line a problem and changes nothing."""
         try:
-            new = read(self.path)
+            new = read_installation(self.path)
         except UnusableConfigError as error:
             self.counters.add("reloads_failed")
             for problem in error.problems:
@@ -547,19 +556,15 @@
         self.counters.add("reloads")
         old, self.installation = self.installation, new
         log = new.file.log
-        self.structured.reset(log.format, log.per_second, log.burst, new.secrets)
-        later = [
-            field
-            for field in schema.File.__struct_fields__
-            if field not in RELOADED and getattr(old.file, field) != getattr(new.file, field)
-        ]
+        self.structured.reset(log.format, log.lines_per_second, log.burst_lines, new.secrets)
+        later = [key for key in changed_keys(old.file, new.file) if key not in RELOADED]
         self.log.note("reloaded", restart_needed_for=",".join(later) or "nothing")
         self._reload_sources(new)
         self._reload_entry(old, new)
 
     def _reload_sources(self, new: Installation) -> None:
         for name, (watched, _, task) in list(self.watches.items()):
-            kept = next((w for w in new.watched if w.settings.name == name), None)
+            kept = next((w for w in new.consul_sources if w.watch_settings.name == name), None)
             if kept is None:
                 task.cancel()
                 del self.watches[name]
@@ -570,8 +575,8 @@
         for action in self.engine_catalog.reload(now, new.sources):
             if isinstance(action, PublishChange):
                 self.on_engine_list(action.change)
-        for watched in new.watched:
-            if watched.settings.name not in self.watches:
+        for watched in new.consul_sources:
+            if watched.watch_settings.name not in self.watches:
                 self._watch(watched)
         if self.event_stream_task is not None:
             self.event_stream_task.cancel()
@@ -594,15 +599,15 @@
 def serve(path: Path) -> int:
     """Run one dispatcher by its file; 2 if the file can't be used, 1 if its address can't."""
     try:
-        installation = read(path)
+        installation = read_installation(path)
     except UnusableConfigError as error:
         print(error, file=sys.stderr)
         return 2
     settings = installation.file.log
     log = StructuredLog(
         settings.format,
-        settings.per_second,
-        settings.burst,
+        settings.lines_per_second,
+        settings.burst_lines,
         installation.secrets,
         name=installation.file.name,
     )
--- a/tests/config/test_installation.py
+++ b/tests/config/test_installation.py
@@ -9,8 +9,8 @@
 from typer.testing import CliRunner
 
 from cottonhold.cli.main import app
-from cottonhold.config.installation import UnusableConfigError, read
-from cottonhold.config.locate import lines_of
+from cottonhold.config.installation import UnusableConfigError, read_installation
+from cottonhold.config.source_lines import find_field_lines
 from cottonhold.discovery.model import Address, ServiceStatus
 
 GOOD = """
@@ -40,17 +40,20 @@
 
 def problems(path: Path) -> list[str]:
     with pytest.raises(UnusableConfigError) as caught:
-        read(path)
+        read_installation(path)
     return [str(p).replace(str(path), "F") for p in caught.value.problems]
 
 
 def test_a_good_file_becomes_what_the_parts_take(tmp_path: Path) -> None:
-    got = read(write(tmp_path, GOOD))
+    got = read_installation(write(tmp_path, GOOD))
     assert got.config.listen == Address("127.0.0.1", 3306) and got.config.seed == 7
     assert [c.name for c in got.config.settings.classes] == ["lookup", "load"]
-    assert got.watched[0].settings.addresses[1] == Address("::1", 8500)
+    assert got.consul_sources[0].watch_settings.addresses[1] == Address("::1", 8500)
     assert got.sources[0][0] == "dc1" and not got.sources[0][1].is_trusted
-    assert got.watched[0].reading.zone == "z1" and got.watched[0].reading.warning is ServiceStatus.IN_SERVICE
+    assert (
+        got.consul_sources[0].interpretation.zone == "z1"
+        and got.consul_sources[0].interpretation.warning is ServiceStatus.IN_SERVICE
+    )
 
 
 # What is changed in the good file, and the lines that come of it: the deliberately bad files.
@@ -243,7 +246,9 @@
     inside.mkdir()
     (inside / "part.libsonnet").write_text("{ seed: 9 }")
     assert (
-        read(write(inside, GOOD.replace("{\n  name", "(import 'part.libsonnet') + {\n  name", 1))).config.seed
+        read_installation(
+            write(inside, GOOD.replace("{\n  name", "(import 'part.libsonnet') + {\n  name", 1))
+        ).config.seed
         == 7
     )
     for target in ("../secret.libsonnet", str(tmp_path / "secret.libsonnet")):
@@ -272,7 +277,7 @@
     ],
 )
 def test_where_a_field_is_written(text: str, path: tuple[str | int, ...], line: int) -> None:
-    assert lines_of(text).get(path, 0) == line
+    assert find_field_lines(text).get(path, 0) == line
 
 
 def test_check_and_show_hide_tokens_and_end_with_their_codes(tmp_path: Path) -> None:
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -202,7 +202,7 @@
 
 
 def test_keys_of_the_configuration() -> None:
-    assert schema_of(schema.File) == RECORD["configuration"]
+    assert schema_of(schema.ConfigFile) == RECORD["configuration"]
 
 
 def test_keys_of_a_script_of_faults() -> None:
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -23,7 +23,7 @@
 import trustme
 import uvloop
 
-from cottonhold.config.installation import read
+from cottonhold.config.installation import read_installation
 from cottonhold.emulator.consul.script import parse
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.engine import StandInEngine
@@ -93,9 +93,11 @@
 
     async def start(self, *sources: dict[str, Any], **more: Any) -> None:
         self.write(list(sources), **more)
-        installation = read(self.path)
+        installation = read_installation(self.path)
         settings = installation.file.log
-        log = StructuredLog("logfmt", settings.per_second, settings.burst, installation.secrets, self.log)
+        log = StructuredLog(
+            "logfmt", settings.lines_per_second, settings.burst_lines, installation.secrets, self.log
+        )
         self.node = StandaloneDispatcher(self.path, installation, log, asyncio.get_running_loop())
         driver = self.node.event_loop
         self.listener = driver.listener.listen(self.node.config.listen.__class__("127.0.0.1", 0))
@@ -230,7 +232,9 @@
                 server.catalog.checks,
             )
             s.servers[1].catalog.indexes = server.catalog.indexes
-            await s.servers[1].start("127.0.0.1", s.node.installation.watched[0].settings.addresses[0].port)
+            await s.servers[1].start(
+                "127.0.0.1", s.node.installation.consul_sources[0].watch_settings.addresses[0].port
+            )
         await s.until(lambda: s.live() == ["e1", "e2", "e3"], "the news after the fault")
 
     play(tmp_path, scenario)
@@ -455,7 +459,7 @@
             [
                 {
                     **SOURCE,
-                    "addresses": [str(s.node.installation.watched[0].settings.addresses[0])],
+                    "addresses": [str(s.node.installation.consul_sources[0].watch_settings.addresses[0])],
                     "most_bytes": 1_000_000,
                 }
             ]
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cottonhold.config.installation import read
+from cottonhold.config.installation import read_installation
 from cottonhold.discovery.model import (
     Address,
     ConfiguredNames,
@@ -173,7 +173,7 @@
 
     async def scenario() -> list[bool]:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.believe_known()
         assert node.recovery is not None
         may = [node.recovery.has_other_prerequisites(), node._listed()]
@@ -197,7 +197,7 @@
 
     async def life(story: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.believe_known()
         assert node.recovery is not None and node.rolling_replacement is not None
         await story(node)
@@ -248,7 +248,7 @@
 
     async def life(story: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.believe_known()
         assert node.recovery is not None and node.rolling_replacement is not None
         await asyncio.wait_for(story(node), 60.0)
@@ -306,7 +306,7 @@
 
     async def life() -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         story(node)
         for part in (node.session_affinity, node.rolling_replacement, node.recovery):
             if part is not None:
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cottonhold.config.installation import Installation, read
+from cottonhold.config.installation import Installation, read_installation
 from cottonhold.fleet.engine_drain import DrainSettings
 from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
@@ -50,7 +50,7 @@
 
     def make(self) -> StandaloneDispatcher:
         log = StructuredLog("logfmt", 100, 100, (), self.said)
-        return StandaloneDispatcher(self.path, read(self.path), log, asyncio.get_running_loop())
+        return StandaloneDispatcher(self.path, read_installation(self.path), log, asyncio.get_running_loop())
 
     def lines(self) -> list[str]:
         return [line for line in self.said.getvalue().splitlines() if "ledger_unusable" in line]
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -12,7 +12,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from cottonhold.config.installation import UnusableConfigError, read
+from cottonhold.config.installation import UnusableConfigError, read_installation
 from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
 from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
 from cottonhold.observe.structured import StructuredLog
@@ -70,7 +70,7 @@
 
     async def scenario() -> dict[str, Any]:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
-        node = StandaloneDispatcher(path, read(path), log, asyncio.get_running_loop())
+        node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.believe_known()
         node.counters.add("answers_served", 5)
         for part in (node.rolling_replacement, node.recovery):
