--- a/cottonhold/cli/emulate.py
+++ b/cottonhold/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`cottonhold emulate`: the project's own stand-ins on loopback."""
+"""`cottonhold emulate`: emulators of Consul and of an engine, on loopback."""
 
 from __future__ import annotations
 
--- a/cottonhold/cli/main.py
+++ b/cottonhold/cli/main.py
@@ -1,7 +1,6 @@
-"""`cottonhold`: the command line of other installations. Thin: each command parses, calls one part, and
-prints.
+"""`cottonhold`: the command line of standalone dispatchers. Each command parses, calls one part, and prints.
 
-Exit codes: 0 done, 1 it failed, 2 the configuration or the command can't be used.
+Exit codes: 0 done, 1 failed, 2 the configuration or the command can't be used.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 import typer
 
 from cottonhold.cli import emulate, trial, zone
-from cottonhold.cli.local import JsonOption, SocketOption, ask, table
+from cottonhold.cli.instance_socket import JsonOption, SocketOption, call_instance, print_table
 
 app = typer.Typer(
     help="A dispatcher between clients and a fleet of query engines.",
@@ -25,6 +24,7 @@
 app.add_typer(emulate.app, name="emulate")
 app.add_typer(zone.app, name="zone")
 app.add_typer(trial.app, name="trial")
+SECRET_KEYS = ("token", "secret")
 FileArgument = Annotated[Path, typer.Argument(help="A Jsonnet template, or plain JSON.", metavar="FILE")]
 
 
@@ -36,12 +36,12 @@
 ) -> None:
     """Run one dispatcher until SIGTERM; SIGHUP reloads."""
     if config is None:
-        from cottonhold.__main__ import serve as serve_relay
+        from cottonhold.__main__ import serve as serve_platform
 
-        raise typer.Exit(serve_relay())
-    from cottonhold.node.standalone_dispatcher import serve as serve_installation
+        raise typer.Exit(serve_platform())
+    from cottonhold.node.standalone_dispatcher import serve as serve_standalone
 
-    raise typer.Exit(serve_installation(config))
+    raise typer.Exit(serve_standalone(config))
 
 
 @app.command()
@@ -71,48 +71,50 @@
     from cottonhold.config.installation import UnusableConfigError, evaluate_values, read_installation
 
     try:
-        shown = msgspec.to_builtins(read_installation(file).file) if defaults else evaluate_values(file)
+        values = msgspec.to_builtins(read_installation(file).file) if defaults else evaluate_values(file)
     except UnusableConfigError as error:
         for problem in error.problems:
             print(problem, file=sys.stderr)
         raise typer.Exit(2) from None
-    print(json.dumps(_hide(shown), indent=2, ensure_ascii=False))
+    print(json.dumps(_hide_secrets(values), indent=2, ensure_ascii=False))
 
 
 @app.command()
 def members(path: SocketOption, as_json: JsonOption = False) -> None:
     """Print the other instances as a running one sees them."""
-    view = ask(path)
+    view = call_instance(path)
     rows = view.get("members", [])
     if as_json:
         print(json.dumps({"name": view["name"], "members": rows}))
     else:
-        table(rows, ["name", "address", "status", "incarnation", "since_ms"])
+        print_table(rows, ["name", "address", "status", "incarnation", "since_ms"])
 
 
 @app.command()
 def duties(path: SocketOption, as_json: JsonOption = False) -> None:
     """Print who holds which duty as a running instance sees it."""
-    view = ask(path)
+    view = call_instance(path)
     rows = view.get("duties", [])
     if as_json:
         print(json.dumps({"name": view["name"], "duties": rows, "runs": view.get("runs", {})}))
     else:
-        table(rows, ["duty", "subject", "holder", "done_ms_ago"])
+        print_table(rows, ["duty", "subject", "holder", "done_ms_ago"])
 
 
 @app.command()
 def metrics(path: SocketOption) -> None:
     """Print a running instance's counters and gauges, as Prometheus reads them."""
-    print(ask(path, {"call": "metrics"})["metrics"], end="")
+    print(call_instance(path, {"call": "metrics"})["metrics"], end="")
 
 
-def _hide(value: object) -> object:
-    """Sections without what is named like a secret; the names of secret files may be seen."""
+def _hide_secrets(value: object) -> object:
+    """The values without secrets, at any depth; the names of secret files stay."""
     if isinstance(value, dict):
-        hidden = ("token", "secret")
-        return {k: "(hidden)" if k in hidden and inner else _hide(inner) for k, inner in value.items()}
-    return [_hide(inner) for inner in value] if isinstance(value, list | tuple) else value
+        return {
+            key: "(hidden)" if key in SECRET_KEYS and inner else _hide_secrets(inner)
+            for key, inner in value.items()
+        }
+    return [_hide_secrets(inner) for inner in value] if isinstance(value, list | tuple) else value
 
 
 def main() -> None:
--- a/cottonhold/cli/trial.py
+++ b/cottonhold/cli/trial.py
@@ -1,4 +1,4 @@
-"""`cottonhold trial`: several processes of the program with faults between them, judged from outside."""
+"""`cottonhold trial`: scenario runs, several real processes with scripted faults, checked from outside."""
 
 from __future__ import annotations
 
@@ -10,8 +10,11 @@
 import typer
 
 if TYPE_CHECKING:
+    from cottonhold.emulator.fault_injection.event_log import Verdict
     from cottonhold.emulator.fault_injection.script import Scenario
 
+MAX_FINDINGS_PRINTED = 10
+
 app = typer.Typer(help="Play days of faults on several real processes.", no_args_is_help=True)
 
 
@@ -20,8 +23,8 @@
     """Print the days by name."""
     from cottonhold.emulator.fault_injection.scenarios import SCENARIOS
 
-    for day in SCENARIOS:
-        print(f"{day.name:18} {day.seconds:4.0f} s  {day.about}")
+    for scenario in SCENARIOS:
+        print(f"{scenario.name:18} {scenario.seconds:4.0f} s  {scenario.about}")
 
 
 @app.command()
@@ -36,49 +39,66 @@
 
     from cottonhold.emulator.fault_injection import script
     from cottonhold.emulator.fault_injection.checker import summary
-    from cottonhold.emulator.fault_injection.harness import ScenarioRunError, play
-    from cottonhold.emulator.fault_injection.projection_check import missed_projections
-    from cottonhold.emulator.fault_injection.scenarios import BY_NAME, SCENARIOS
+    from cottonhold.emulator.fault_injection.harness import ScenarioRunError
 
     folder = out or Path(tempfile.mkdtemp(prefix="cottonhold-trial-"))
-    rows, broken = [], False
+    verdicts: list[tuple[str, Verdict]] = []
     try:
-        chosen = [d for name in days for d in (SCENARIOS if name == "all" else [_day(name, BY_NAME)])]
-        for day in chosen:
+        for scenario in _chosen_scenarios(days):
             changed = msgspec.structs.replace(
-                day, seed=day.seed if seed is None else seed, fleet=fleet and day.fleet
+                scenario,
+                seed=scenario.seed if seed is None else seed,
+                fleet=fleet and scenario.fleet,
             )
-            where = folder / f"{day.name}-{time.strftime('%H%M%S')}"
-            with typer.progressbar(length=100, label=f"{day.name:18}") as bar:
-                result = play(changed, where, lambda share, _: bar.update(int(100 * share) - bar.pos))
-                bar.update(100 - bar.pos)
-            rows.append((day.name, result.verdict))
-            broken = broken or bool(result.verdict.findings)
-            for line in result.timeline:
-                print(f"  {line}")
-            for finding in result.verdict.findings[:10]:
-                print(f"  FOUND {finding}")
-            for line in missed_projections(result.verdict):
-                print(f"  OFF {line}")
+            verdicts.append((scenario.name, _play(changed, folder)))
     except (script.ScriptError, ScenarioRunError) as error:
         print(error)
         raise typer.Exit(2) from None
-    print("\n".join(summary(rows)))
+    print("\n".join(summary(verdicts)))
     print(f"kept in {folder}")
-    raise typer.Exit(1 if broken else 0)
+    raise typer.Exit(1 if any(verdict.findings for _, verdict in verdicts) else 0)
+
+
+def _chosen_scenarios(names: list[str]) -> list[Scenario]:
+    """The scenarios by names or files; `all` stands for every one that comes with the program."""
+    from cottonhold.emulator.fault_injection.scenarios import SCENARIOS
 
+    chosen: list[Scenario] = []
+    for name in names:
+        chosen += SCENARIOS if name == "all" else [_find_scenario(name)]
+    return chosen
 
-def _day(name: str, known: dict[str, Scenario]) -> Scenario:
+
+def _find_scenario(name: str) -> Scenario:
     from cottonhold.emulator.fault_injection import script
+    from cottonhold.emulator.fault_injection.scenarios import BY_NAME
 
-    if name in known:
-        return known[name]
+    if name in BY_NAME:
+        return BY_NAME[name]
     path = Path(name)
     if not path.is_file():
         raise script.ScriptError(f"'{name}' is neither a day (see `trial list`) nor a file")
     return script.decode_scenario(path.read_bytes())
 
 
+def _play(scenario: Scenario, folder: Path) -> Verdict:
+    """Run a scenario with a progress bar, and print its timeline and what is wrong."""
+    from cottonhold.emulator.fault_injection.harness import play
+    from cottonhold.emulator.fault_injection.projection_check import missed_projections
+
+    run_folder = folder / f"{scenario.name}-{time.strftime('%H%M%S')}"
+    with typer.progressbar(length=100, label=f"{scenario.name:18}") as bar:
+        result = play(scenario, run_folder, lambda share, _: bar.update(int(100 * share) - bar.pos))
+        bar.update(100 - bar.pos)
+    for line in result.timeline:
+        print(f"  {line}")
+    for finding in result.verdict.findings[:MAX_FINDINGS_PRINTED]:
+        print(f"  FOUND {finding}")
+    for line in missed_projections(result.verdict):
+        print(f"  OFF {line}")
+    return result.verdict
+
+
 @app.command()
 def report(
     folder: Annotated[Path, typer.Argument(help="A run's folder.")],
@@ -90,9 +110,9 @@
     from cottonhold.emulator.fault_injection.script import ScriptError
 
     try:
-        from cottonhold.emulator.fault_injection.report import page as make
+        from cottonhold.emulator.fault_injection.report import page as render_page
 
-        text = make(folder)
+        text = render_page(folder)
     except ImportError:
         print("a report needs matplotlib: pip install 'cottonhold[lab]'")
         raise typer.Exit(2) from None
