--- a/benchmarks/consul/run.py
+++ b/benchmarks/consul/run.py
@@ -26,8 +26,8 @@
 import numpy as np
 import uvloop
 
-from cottonhold.discovery.consul.answers import Answers
-from cottonhold.discovery.consul.checks import Entry, Reading
+from cottonhold.discovery.consul.health_entry import Entry, EntryInterpretation
+from cottonhold.discovery.consul.health_response import HealthResponseDecoder
 from cottonhold.discovery.engine_catalog import EngineCatalog
 from cottonhold.discovery.model import ConfiguredNames, SourceGuard, SourceReport
 from cottonhold.emulator.consul.catalog import Catalog
@@ -200,11 +200,11 @@
         catalog.put_check("agent-1", {"CheckID": f"check:e{i}", "Status": "passing"}, made)
     rows = catalog.health("engine")
     names = ConfiguredNames((), ("std",))
-    answers = Answers(names, Reading(), print)
+    answers = HealthResponseDecoder(names, EntryInterpretation(), print)
     belief = EngineCatalog((("dc1", SourceGuard(min_quiet_ms=0.0)),), 1)
     tracemalloc.start()
-    first = answers.read(json.dumps(rows).encode())
-    belief.step(0.0, [SourceReport("dc1", 1, first.observations, first.absent)])
+    first = answers.decode_health_response(json.dumps(rows).encode())
+    belief.step(0.0, [SourceReport("dc1", 1, first.observations, first.absent_ids)])
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     plain: msgspec.json.Decoder[list[Entry]] = msgspec.json.Decoder(list[Entry])
@@ -213,9 +213,9 @@
         rows[number % size]["Checks"][-1]["Status"] = "critical" if number // size % 2 == 0 else "passing"
         data = json.dumps(rows).encode()
         t0 = time.perf_counter()
-        got = answers.read(data)
+        got = answers.decode_health_response(data)
         t1 = time.perf_counter()
-        belief.step(number * 1000.0, [SourceReport("dc1", number + 2, got.observations, got.absent)])
+        belief.step(number * 1000.0, [SourceReport("dc1", number + 2, got.observations, got.absent_ids)])
         t2 = time.perf_counter()
         plain.decode(data)
         t3 = time.perf_counter()
--- a/cottonhold/config/sections.py
+++ b/cottonhold/config/sections.py
@@ -9,7 +9,7 @@
 from cottonhold.config.problems import FieldPath, ReportProblem
 from cottonhold.config.referenced_files import ReferencedFiles
 from cottonhold.config.relay import ConnectionSettings
-from cottonhold.discovery.consul.checks import Reading
+from cottonhold.discovery.consul.health_entry import EntryInterpretation
 from cottonhold.discovery.consul.registration import RegistrationSettings
 from cottonhold.discovery.consul.watch import WatchSettings
 from cottonhold.discovery.model import Address, ConfiguredNames, Observation, ServiceStatus, SourceGuard
@@ -37,7 +37,7 @@
     """A Consul source: what is watched, how its entries are interpreted, how far it is trusted, its TLS."""
 
     watch_settings: WatchSettings
-    interpretation: Reading
+    interpretation: EntryInterpretation
     guard: SourceGuard
     tls: schema.TlsConfig | None
 
@@ -124,10 +124,10 @@
     """A Consul source, with its token and TLS files."""
     return ConsulSource(
         watch_settings=_watch_settings(section, path, files),
-        interpretation=Reading(
-            warning=ServiceStatus(section.status_if_warning),
-            unchecked=ServiceStatus(section.status_if_unchecked),
-            by_node=section.id_from == "node/service",
+        interpretation=EntryInterpretation(
+            status_if_warning=ServiceStatus(section.status_if_warning),
+            status_if_unchecked=ServiceStatus(section.status_if_unchecked),
+            ids_include_node=section.id_from == "node/service",
             zone=section.zone,
         ),
         guard=_source_guard(section.guard),
@@ -145,14 +145,14 @@
         tag=section.tag,
         consistency=section.consistency,
         token=section.token or files.read_secret(section.token_file, (*path, "token_file")),
-        wait=section.max_wait_ms,
-        first=section.first_byte_timeout_ms,
-        rest=section.body_timeout_ms,
-        pause=section.min_backoff_ms,
-        pause_most=section.max_backoff_ms,
-        gap=section.min_interval_ms,
-        stale_most=section.max_staleness_ms,
-        most_bytes=section.max_body_bytes,
+        max_wait_ms=section.max_wait_ms,
+        first_byte_timeout_ms=section.first_byte_timeout_ms,
+        body_timeout_ms=section.body_timeout_ms,
+        min_backoff_ms=section.min_backoff_ms,
+        max_backoff_ms=section.max_backoff_ms,
+        min_interval_ms=section.min_interval_ms,
+        max_staleness_ms=section.max_staleness_ms,
+        max_body_bytes=section.max_body_bytes,
     )
 
 
@@ -178,9 +178,9 @@
         tags=section.tags,
         meta=section.meta,
         token=section.token or files.read_secret(section.token_file, ("register", "token_file")),
-        ttl=section.ttl_ms,
-        lag=section.max_loop_lag_ms,
-        forget=section.deregister_after_ms,
+        ttl_ms=section.ttl_ms,
+        max_loop_lag_ms=section.max_loop_lag_ms,
+        deregister_after_ms=section.deregister_after_ms,
     )
 
 
--- a/cottonhold/node/consul_client.py
+++ b/cottonhold/node/consul_client.py
@@ -1,4 +1,4 @@
-"""The rim of Consul: runs the watches and keeps the dispatcher's own entry. Decides nothing."""
+"""Consul adapter: runs the watches and the dispatcher's own registration, and decides nothing."""
 
 from __future__ import annotations
 
@@ -6,124 +6,126 @@
 import contextlib
 from collections.abc import Callable, Iterable
 
-from cottonhold.discovery.consul.exchange import Answer
+from cottonhold.discovery.consul.http_exchange import HttpResponse
 from cottonhold.discovery.consul.registration import Registration
-from cottonhold.discovery.consul.watch import Watch
+from cottonhold.discovery.consul.watch import ServiceWatch
 from cottonhold.discovery.model import Event
 from cottonhold.message_validation import WireError
-from cottonhold.node.http_client import HttpLink, Tls
+from cottonhold.node.http_client import HttpConnection, TlsSettings
 from cottonhold.observe.counters import Counters
 from cottonhold.transport.event_loop import EventLoop
 
-LEAST_PAUSE_MS = 1.0  # also between calls that fail at once, so that the loop gets its turn
-LAG_TICK_S = 0.05
-LEAVE_PAUSE_S = 0.2  # between tries to leave: SIGTERM leaves little time
-ENTRY_BYTES = 1 << 20  # the most that an answer to an entry's call may have
+MIN_PAUSE_MS = 1.0  # so that calls which fail at once don't block the event loop
+LAG_TICK_INTERVAL_S = 0.05
+DEREGISTRATION_RETRY_S = 0.2  # short, as little time is left after SIGTERM
+MAX_AGENT_RESPONSE_BYTES = 1 << 20
+DEREGISTRATION_POLL_S = 0.01
 
 
-async def follow(
-    driver: EventLoop,
-    watch: Watch,
-    tls: Tls | None,
-    tell: Callable[[Iterable[Event]], None],
+async def follow_service(
+    event_loop: EventLoop,
+    watch: ServiceWatch,
+    tls: TlsSettings | None,
+    publish: Callable[[Iterable[Event]], None],
     counters: Counters,
 ) -> None:
-    """Keep a blocking query open until cancelled."""
-    link = HttpLink(driver, tls, watch.settings.most_bytes)
+    """Keep a blocking query open until cancelled, and publish the events of its responses."""
+    connection = HttpConnection(event_loop, tls, watch.settings.max_body_bytes)
     try:
         while True:
-            call = watch.call()
+            request = watch.next_request()
             try:
-                answer = await link.call(watch.address, call)
+                response = await connection.request(watch.address, request)
                 counters.add("consul_answers")
-                counters.add("consul_bytes", len(answer.body))
-                events = watch.answered(answer)
+                counters.add("consul_bytes", len(response.body))
+                events = watch.on_response(response)
             except (OSError, WireError) as error:
-                events = watch.failed(words(error))
-            if watch.failures:
+                events = watch.on_failure(describe_error(error))
+            if watch.failure_count:
                 counters.add("consul_failures")
-                link.close()
-            tell(events)
-            await asyncio.sleep(max(watch.pause_ms, LEAST_PAUSE_MS) / 1000)
+                connection.close()
+            publish(events)
+            await asyncio.sleep(max(watch.next_call_in_ms, MIN_PAUSE_MS) / 1000)
     finally:
-        link.close()
+        connection.close()
 
 
-def words(error: BaseException) -> str:
-    """An error for the log: a time-out has no text of its own."""
+def describe_error(error: BaseException) -> str:
+    """An error for the log; a time-out has no text of its own."""
     if isinstance(error, TimeoutError):
         return "no answer in time"
     return f"{type(error).__name__}: {error}"[:300]
 
 
-class LagMeter:
-    """How late the loop ran at worst: a timer that should come every 50 ms, and when it came."""
+class LoopLagMeter:
+    """Measures the event loop's lag: how much later than scheduled a periodic timer runs."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self.worst = loop, 0.0
-        self.due = loop.time() + LAG_TICK_S
-        loop.call_at(self.due, self._tick)
+        self.loop, self.max_lag_s = loop, 0.0
+        self.next_tick_at = loop.time() + LAG_TICK_INTERVAL_S
+        loop.call_at(self.next_tick_at, self._tick)
 
     def _tick(self) -> None:
         now = self.loop.time()
-        self.worst = max(self.worst, now - self.due)
-        self.due = now + LAG_TICK_S
-        self.loop.call_at(self.due, self._tick)
+        self.max_lag_s = max(self.max_lag_s, now - self.next_tick_at)
+        self.next_tick_at = now + LAG_TICK_INTERVAL_S
+        self.loop.call_at(self.next_tick_at, self._tick)
 
-    def take_ms(self) -> float:
-        """The worst since the last call, with the lateness of a tick that is due now."""
-        worst, self.worst = max(self.worst, self.loop.time() - self.due, 0.0), 0.0
+    def take_max_lag_ms(self) -> float:
+        """The largest lag since the last call, including a tick that is overdue now."""
+        worst, self.max_lag_s = max(self.max_lag_s, self.loop.time() - self.next_tick_at, 0.0), 0.0
         return worst * 1000
 
 
-class Entry:
-    """The dispatcher's own entry, kept until it leaves."""
+class RegistrationTask:
+    """Keeps the dispatcher's own entry registered until `deregister`."""
 
     def __init__(
         self,
-        driver: EventLoop,
+        event_loop: EventLoop,
         registration: Registration,
-        tls: Tls | None,
+        tls: TlsSettings | None,
         open_requests: Callable[[], int],
         note: Callable[..., None],
     ) -> None:
-        self.driver, self.registration, self.note = driver, registration, note
-        self.open_requests, self.lag = open_requests, LagMeter(driver.loop)
-        self.link = HttpLink(driver, tls, ENTRY_BYTES)
-        self.leaving = asyncio.Event()
+        self.event_loop, self.registration, self.note = event_loop, registration, note
+        self.open_requests, self.lag_meter = open_requests, LoopLagMeter(event_loop.loop)
+        self.connection = HttpConnection(event_loop, tls, MAX_AGENT_RESPONSE_BYTES)
+        self.is_deregistering = asyncio.Event()
 
-    async def keep(self) -> None:
-        """Register, beat, and at last leave."""
+    async def run(self) -> None:
+        """Register, send heartbeats, and at last deregister."""
         registration = self.registration
         try:
-            while not registration.over():
-                await self._beat()
-                if self.leaving.is_set():
-                    await asyncio.sleep(LEAVE_PAUSE_S if registration.failures else 0)
+            while not registration.is_finished():
+                await self._call_agent()
+                if self.is_deregistering.is_set():
+                    await asyncio.sleep(DEREGISTRATION_RETRY_S if registration.failure_count else 0)
                     continue
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(max(registration.pause_ms, LEAST_PAUSE_MS) / 1000):
-                        await self.leaving.wait()
+                    async with asyncio.timeout(max(registration.next_call_in_ms, MIN_PAUSE_MS) / 1000):
+                        await self.is_deregistering.wait()
         finally:
-            self.link.close()
+            self.connection.close()
 
-    async def _beat(self) -> None:
-        registration, phase, why = self.registration, self.registration.phase, self.registration.why
-        call = registration.call(self.lag.take_ms(), self.open_requests())
+    async def _call_agent(self) -> None:
+        registration = self.registration
+        last_phase, last_error = registration.phase, registration.last_error
+        request = registration.next_request(self.lag_meter.take_max_lag_ms(), self.open_requests())
         try:
-            answer: Answer = await self.link.call(registration.settings.agent, call)
+            response: HttpResponse = await self.connection.request(registration.settings.agent, request)
         except (OSError, WireError) as error:
-            registration.failed(words(error))
+            registration.on_failure(describe_error(error))
         else:
-            registration.answered(answer)
-        if registration.why and registration.why != why:
-            self.note("entry_failed", id=registration.settings.id, why=registration.why)
-        elif registration.phase is not phase:
+            registration.on_response(response)
+        if registration.last_error and registration.last_error != last_error:
+            self.note("entry_failed", id=registration.settings.id, why=registration.last_error)
+        elif registration.phase is not last_phase:
             self.note("entry", id=registration.settings.id, phase=registration.phase.value)
 
-    async def leave(self) -> None:
-        """Have the entry removed; returns when it is, or can't be."""
-        self.registration.leave()
-        self.leaving.set()
-        while not self.registration.over():
-            await asyncio.sleep(0.01)
+    async def deregister(self) -> None:
+        """Have the entry removed; returns once it is, or once that is given up."""
+        self.registration.begin_deregistration()
+        self.is_deregistering.set()
+        while not self.registration.is_finished():
+            await asyncio.sleep(DEREGISTRATION_POLL_S)
--- a/cottonhold/node/http_client.py
+++ b/cottonhold/node/http_client.py
@@ -1,6 +1,6 @@
-"""Calls over HTTP/1.1, plain or with TLS, on the driver's sockets.
+"""An HTTP/1.1 client, plain or with TLS, on the event loop's sockets.
 
-TLS runs in memory between the machine's bytes and the socket's: asyncio's socket calls know none.
+TLS runs in memory, between the request's bytes and the socket's, as asyncio's socket calls have none.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from cottonhold.discovery.consul.exchange import Answer, Call, Exchange
+from cottonhold.discovery.consul.http_exchange import HttpRequest, HttpResponse, HttpResponseParser
 from cottonhold.discovery.model import Address
 from cottonhold.message_validation import WireError
 from cottonhold.transport.event_loop import EventLoop
 
-CONNECT_S = 1.0
-READ_BYTES = 64 << 10
+CONNECT_TIMEOUT_S = 1.0
+MAX_READ_BYTES = 64 << 10
 T = TypeVar("T")
 
 
 @dataclass(slots=True, frozen=True)
-class Tls:
-    """How a server is checked and what is shown to it. An empty ca_file means the system's authorities."""
+class TlsSettings:
+    """The server's authorities and the client's certificate. No ca_file: the system's authorities count."""
 
     ca_file: str = ""
     cert_file: str = ""
@@ -32,7 +32,7 @@
     server_name: str = ""
 
     def context(self) -> ssl.SSLContext:
-        """The library's settings. Raises OSError, and ssl.SSLError is one, where a file can't be used."""
+        """The library's settings. Raises OSError (ssl.SSLError is one) for a file that can't be used."""
         context = ssl.create_default_context(cafile=self.ca_file or None)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         if self.cert_file:
@@ -40,58 +40,58 @@
         return context
 
 
-class TlsPipe:
-    """TLS between two buffers: `feed` what came, take from `outgoing` what goes."""
+class TlsSession:
+    """TLS between two buffers: write received bytes to `incoming`, send what `outgoing` holds."""
 
-    def __init__(self, context: ssl.SSLContext, name: str) -> None:
+    def __init__(self, context: ssl.SSLContext, server_name: str) -> None:
         self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self.tls = context.wrap_bio(self.incoming, self.outgoing, server_hostname=name)
+        self.tls = context.wrap_bio(self.incoming, self.outgoing, server_hostname=server_name)
 
 
-class HttpLink:
-    """One connection to one server, opened when a call needs it and closed on any doubt."""
+class HttpConnection:
+    """One connection to one server, opened when a request needs it and closed after any error."""
 
-    def __init__(self, driver: EventLoop, tls: Tls | None, most_bytes: int) -> None:
-        self.driver, self.tls, self.most_bytes = driver, tls, most_bytes
+    def __init__(self, event_loop: EventLoop, tls: TlsSettings | None, max_body_bytes: int) -> None:
+        self.event_loop, self.tls, self.max_body_bytes = event_loop, tls, max_body_bytes
         self.address: Address | None = None
         self.sock: socket.socket | None = None
-        self.pipe: TlsPipe | None = None
-        self.buffer = bytearray(READ_BYTES)
+        self.tls_session: TlsSession | None = None
+        self.buffer = bytearray(MAX_READ_BYTES)
 
-    async def call(self, address: Address, call: Call) -> Answer:
-        """Make a call and take its whole answer. Raises OSError (a time-out is one) and WireError."""
+    async def request(self, address: Address, request: HttpRequest) -> HttpResponse:
+        """Send a request and receive its response. Raises OSError (a time-out is one) and WireError."""
         try:
-            if self.sock is None or address != self.address or self._spoke():
+            if self.sock is None or address != self.address or self._has_unexpected_data():
                 self.close()
                 await self._open(address)
-            await self._send(call.encode(str(address)))
-            answer, keep = await self._answer(call)
+            await self._send(request.encode(str(address)))
+            response, keeps_alive = await self._read_response(request)
         except BaseException:
-            # The rest of a broken answer would be read as the next one's beginning.
+            # The rest of a broken response would be read as the beginning of the next one.
             self.close()
             raise
-        if not keep:
+        if not keeps_alive:
             self.close()
-        return answer
+        return response
 
-    def _spoke(self) -> bool:
-        """Whether the server has said something, or closed, since its last answer: a call's time to look.
+    def _has_unexpected_data(self) -> bool:
+        """Whether the server has sent something since its last response, or closed the connection.
 
-        TLS has messages of its own, such as tickets; only what comes out of them counts.
+        TLS has messages of its own, such as tickets; only decrypted data counts.
         """
         assert self.sock is not None
         try:
-            data = self.sock.recv(READ_BYTES)
+            data = self.sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
             data = None
         except OSError:
             return True
-        # An unrequested answer must not be taken for the answer to the next call.
-        if self.pipe is None or data == b"":
+        # An unrequested response must not be taken for that to the next request.
+        if self.tls_session is None or data == b"":
             return data is not None
-        self.pipe.incoming.write(data or b"")
+        self.tls_session.incoming.write(data or b"")
         try:
-            self.pipe.tls.read(1)
+            self.tls_session.tls.read(1)
         except ssl.SSLWantReadError:
             return False
         except OSError:
@@ -102,63 +102,64 @@
         """Close the connection, if there is one."""
         if self.sock is not None:
             self.sock.close()
-        self.sock = self.pipe = None
+        self.sock = self.tls_session = None
 
     async def _open(self, address: Address) -> None:
-        self.sock, self.address = await self.driver.connector.dial(address, CONNECT_S), address
+        self.sock, self.address = await self.event_loop.connector.dial(address, CONNECT_TIMEOUT_S), address
         if self.tls is not None:
-            self.pipe = pipe = TlsPipe(self.tls.context(), self.tls.server_name or address.host)
-            async with asyncio.timeout(CONNECT_S):
-                await self._run(pipe, pipe.tls.do_handshake)
+            self.tls_session = session = TlsSession(self.tls.context(), self.tls.server_name or address.host)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await self._run_tls_step(session, session.tls.do_handshake)
 
-    async def _run(self, pipe: TlsPipe, step: Callable[[], T]) -> T:
-        """A step of TLS, with the bytes that it wants to send and to see."""
+    async def _run_tls_step(self, session: TlsSession, step: Callable[[], T]) -> T:
+        """Run a step of TLS, with the sends and receives that it needs."""
         while True:
             try:
                 result = step()
             except ssl.SSLWantReadError:
-                await self._flush(pipe)
+                await self._flush(session)
                 data = await self._read_raw()
                 if data:
-                    pipe.incoming.write(data)
+                    session.incoming.write(data)
                 else:
-                    pipe.incoming.write_eof()
+                    session.incoming.write_eof()
             else:
-                await self._flush(pipe)
+                await self._flush(session)
                 return result
 
-    async def _flush(self, pipe: TlsPipe) -> None:
-        if pipe.outgoing.pending:
+    async def _flush(self, session: TlsSession) -> None:
+        if session.outgoing.pending:
             assert self.sock is not None
-            await self.driver.loop.sock_sendall(self.sock, pipe.outgoing.read())
+            await self.event_loop.loop.sock_sendall(self.sock, session.outgoing.read())
 
     async def _read_raw(self) -> bytes:
         assert self.sock is not None
-        count = await self.driver.loop.sock_recv_into(self.sock, self.buffer)
+        count = await self.event_loop.loop.sock_recv_into(self.sock, self.buffer)
         return bytes(memoryview(self.buffer)[:count])
 
     async def _send(self, data: bytes) -> None:
         assert self.sock is not None
-        if self.pipe is None:
-            await self.driver.loop.sock_sendall(self.sock, data)
+        if self.tls_session is None:
+            await self.event_loop.loop.sock_sendall(self.sock, data)
         else:
-            tls = self.pipe.tls
-            await self._run(self.pipe, lambda: tls.write(data))
+            tls = self.tls_session.tls
+            await self._run_tls_step(self.tls_session, lambda: tls.write(data))
 
     async def _read(self) -> bytes:
-        if self.pipe is None:
+        if self.tls_session is None:
             return await self._read_raw()
-        tls = self.pipe.tls
-        return await self._run(self.pipe, lambda: tls.read(READ_BYTES))
+        tls = self.tls_session.tls
+        return await self._run_tls_step(self.tls_session, lambda: tls.read(MAX_READ_BYTES))
 
-    async def _answer(self, call: Call) -> tuple[Answer, bool]:
-        exchange, loop = Exchange(self.most_bytes), self.driver.loop
-        async with asyncio.timeout(call.first_ms / 1000) as limit:
+    async def _read_response(self, request: HttpRequest) -> tuple[HttpResponse, bool]:
+        """The response, and whether the connection stays open after it."""
+        parser, loop = HttpResponseParser(self.max_body_bytes), self.event_loop.loop
+        async with asyncio.timeout(request.first_byte_timeout_ms / 1000) as timeout:
             data = await self._read()
-            # An answer that trickles in byte by byte must not delay the next one for good.
-            limit.reschedule(loop.time() + call.rest_ms / 1000)
+            # A response that arrives byte by byte must not delay the next one without end.
+            timeout.reschedule(loop.time() + request.body_timeout_ms / 1000)
             while data:
-                if (answer := exchange.receive(data)) is not None:
-                    return answer, exchange.keep
+                if (response := parser.receive(data)) is not None:
+                    return response, parser.keeps_alive
                 data = await self._read()
         raise WireError("the connection was closed in the middle of an answer")
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -21,9 +21,9 @@
     read_installation,
 )
 from cottonhold.config.sections import ConsulSource
-from cottonhold.discovery.consul.answers import Answers
+from cottonhold.discovery.consul.health_response import HealthResponseDecoder
 from cottonhold.discovery.consul.registration import Registration
-from cottonhold.discovery.consul.watch import Watch
+from cottonhold.discovery.consul.watch import ServiceWatch
 from cottonhold.discovery.model import Address, EngineListChange, Event, PublishChange
 from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.fleet.coordinator import FleetCoordinator
@@ -43,7 +43,7 @@
 from cottonhold.membership.codec import MemberStatus
 from cottonhold.node import consul_client, status
 from cottonhold.node.dispatcher import Dispatcher, run_program
-from cottonhold.node.http_client import Tls
+from cottonhold.node.http_client import TlsSettings
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import Engine, EngineState, HealthCheckCompleted, Outcome
@@ -66,11 +66,11 @@
 RELOADED = ("sources", "known", "log", "register")  # what a reload takes over; the rest needs a restart
 
 
-def tls_of(section: schema.TlsConfig | None) -> Tls | None:
+def tls_of(section: schema.TlsConfig | None) -> TlsSettings | None:
     """The rim's form of a TLS section."""
     if section is None:
         return None
-    return Tls(section.ca_file, section.cert_file, section.key_file, section.server_name)
+    return TlsSettings(section.ca_file, section.cert_file, section.key_file, section.server_name)
 
 
 class StandaloneDispatcher(Dispatcher):
@@ -82,8 +82,8 @@
         super().__init__(installation.config, Counters(), loop, log, installation.sources)
         self.path, self.installation, self.structured = path, installation, log
         self.quarantine = Quarantine()
-        self.watches: dict[str, tuple[ConsulSource, Watch, asyncio.Task[None]]] = {}
-        self.entry: consul_client.Entry | None = None
+        self.watches: dict[str, tuple[ConsulSource, ServiceWatch, asyncio.Task[None]]] = {}
+        self.entry: consul_client.RegistrationTask | None = None
         self.membership: MembershipAdapter | None = None
         self.fleet: ZoneFailoverAdapter | None = None
         self.recovery: RecoveryAdapter | None = None
@@ -391,14 +391,14 @@
         for watched in self.installation.consul_sources:
             self._watch(watched)
         if self.installation.registration is not None:
-            self.entry = consul_client.Entry(
+            self.entry = consul_client.RegistrationTask(
                 self.event_loop,
                 Registration(self.installation.registration),
                 tls_of(self.installation.registration_tls),
                 lambda: self.gateway.open_count,
                 self.log.note,
             )
-            self.event_loop.spawn(self.entry.keep())
+            self.event_loop.spawn(self.entry.run())
         if self.membership is not None:
             self.membership.start()
         if self.fleet is not None:
@@ -489,11 +489,11 @@
 
     def _watch(self, watched: ConsulSource) -> None:
         settings = watched.watch_settings
-        answers = Answers(
+        answers = HealthResponseDecoder(
             self.config.names, watched.interpretation, lambda why: self._malformed(settings.name, why)
         )
-        watch = Watch(settings, answers, self.config.seed)
-        work = consul_client.follow(
+        watch = ServiceWatch(settings, answers, self.config.seed)
+        work = consul_client.follow_service(
             self.event_loop, watch, tls_of(watched.tls), self.on_discovery_events, self.counters
         )
         self.watches[settings.name] = (watched, watch, self.event_loop.spawn(work))
@@ -512,7 +512,7 @@
     def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
         """Ask the catalogue before the next health call."""
         if source in self.watches:
-            self.watches[source][1].confirm(absent)
+            self.watches[source][1].confirm_absence(absent)
 
     def _report_silence(self) -> None:
         """Log the sources that have not answered: a dispatcher without engines rejects everything."""
@@ -530,7 +530,9 @@
         if self.membership is not None:
             self.membership.leave()
         left_s = (self.lifecycle.close_deadline() - self.event_loop.clock.now()) / 1000
-        return () if self.entry is None else (asyncio.wait_for(self.entry.leave(), min(LEAVE_S, left_s)),)
+        return (
+            () if self.entry is None else (asyncio.wait_for(self.entry.deregister(), min(LEAVE_S, left_s)),)
+        )
 
     async def run(self) -> None:
         """As the dispatcher does; the ledger is closed last, as one that ended by order."""
--- a/tests/config/test_installation.py
+++ b/tests/config/test_installation.py
@@ -52,7 +52,7 @@
     assert got.sources[0][0] == "dc1" and not got.sources[0][1].is_trusted
     assert (
         got.consul_sources[0].interpretation.zone == "z1"
-        and got.consul_sources[0].interpretation.warning is ServiceStatus.IN_SERVICE
+        and got.consul_sources[0].interpretation.status_if_warning is ServiceStatus.IN_SERVICE
     )
 
 
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -20,7 +20,7 @@
 import cottonhold
 from cottonhold.cli.main import app
 from cottonhold.config import relay, schema
-from cottonhold.discovery.consul.checks import Entry
+from cottonhold.discovery.consul.health_entry import Entry
 from cottonhold.emulator.fault_injection import script
 from cottonhold.fleet.recovery.survey_results import OutageVerdict
 from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -12,11 +12,11 @@
 from cottonhold import simulator_adapter
 from cottonhold.backend.connection import Connection
 from cottonhold.backend.resp import RespReader
-from cottonhold.discovery.consul.answers import Answers
-from cottonhold.discovery.consul.checks import Reading
-from cottonhold.discovery.consul.exchange import Answer
+from cottonhold.discovery.consul.health_entry import EntryInterpretation
+from cottonhold.discovery.consul.health_response import HealthResponseDecoder
+from cottonhold.discovery.consul.http_exchange import HttpResponse
 from cottonhold.discovery.consul.registration import Registration, RegistrationSettings
-from cottonhold.discovery.consul.watch import Watch, WatchSettings
+from cottonhold.discovery.consul.watch import ServiceWatch, WatchSettings
 from cottonhold.discovery.event_stream import EventStream
 from cottonhold.discovery.model import Address, ConfiguredNames
 from cottonhold.node.admin_api import AdminApi
@@ -153,21 +153,23 @@
     settings = WatchSettings(
         "dc1", (place,), "engine", datacenter="dc-1", filter='"a" in Tags', tag="blue", token="t"
     )
-    watch = Watch(settings, Answers(ConfiguredNames((), ()), Reading(), lambda text: None), 1)
-    written = [watch.call().encode("agent").decode()]
-    watch.answered(Answer(200, {"x-consul-index": "12"}, b"[]"))
-    written.append(watch.call().encode("agent").decode())
-    watch.confirm(("e1",))
-    written.append(watch.call().encode("agent").decode())
+    watch = ServiceWatch(
+        settings, HealthResponseDecoder(ConfiguredNames((), ()), EntryInterpretation(), lambda text: None), 1
+    )
+    written = [watch.next_request().encode("agent").decode()]
+    watch.on_response(HttpResponse(200, {"x-consul-index": "12"}, b"[]"))
+    written.append(watch.next_request().encode("agent").decode())
+    watch.confirm_absence(("e1",))
+    written.append(watch.next_request().encode("agent").decode())
     entry = RegistrationSettings(
         place, "n1", "cottonhold", Address("10.0.0.1", 3306), ("a",), {"k": "v"}, "t"
     )
     registration = Registration(entry)
     for lag in (0.0, 10.0, 900.0):
-        written.append(registration.call(lag, 5).encode("agent").decode())
-        registration.answered(Answer(200, {}, b""))
-    registration.leave()
-    return [*written, registration.call(0.0, 0).encode("agent").decode()]
+        written.append(registration.next_request(lag, 5).encode("agent").decode())
+        registration.on_response(HttpResponse(200, {}, b""))
+    registration.begin_deregistration()
+    return [*written, registration.next_request(0.0, 0).encode("agent").decode()]
 
 
 def simulator_lines() -> list[str]:
--- a/tests/discovery/test_consul_parts.py
+++ b/tests/discovery/test_consul_parts.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.discovery.consul.answers import Answers
-from cottonhold.discovery.consul.checks import Reading
-from cottonhold.discovery.consul.exchange import Answer, Call, Exchange
-from cottonhold.discovery.consul.registration import Phase, Registration, RegistrationSettings
-from cottonhold.discovery.consul.watch import Watch, WatchSettings
+from cottonhold.discovery.consul.health_entry import EntryInterpretation
+from cottonhold.discovery.consul.health_response import HealthResponseDecoder
+from cottonhold.discovery.consul.http_exchange import HttpRequest, HttpResponse, HttpResponseParser
+from cottonhold.discovery.consul.registration import Registration, RegistrationPhase, RegistrationSettings
+from cottonhold.discovery.consul.watch import ServiceWatch, WatchSettings
 from cottonhold.discovery.model import Address, ConfiguredNames, ServiceStatus, SourceLost, SourceReport
 from cottonhold.message_validation import WireError
 from tests.support.drawn_cases import ODD, changed, places
@@ -39,9 +39,9 @@
     return json.dumps(entries).encode()
 
 
-def answers(reading: Reading | None = None) -> tuple[Answers, list[str]]:
+def answers(reading: EntryInterpretation | None = None) -> tuple[HealthResponseDecoder, list[str]]:
     malformed: list[str] = []
-    return Answers(NAMES, reading or Reading(), malformed.append), malformed
+    return HealthResponseDecoder(NAMES, reading or EntryInterpretation(), malformed.append), malformed
 
 
 def check(status: str, engine_id: str = "check:e1", service: str = "e1", **more: str) -> dict[str, str]:
@@ -55,7 +55,7 @@
         ([check("warning")], {}, ServiceStatus.IN_SERVICE, "check check:e1 is warning: words"),
         (
             [check("warning")],
-            {"warning": ServiceStatus.UNHEALTHY},
+            {"status_if_warning": ServiceStatus.UNHEALTHY},
             ServiceStatus.UNHEALTHY,
             "check check:e1 is warning",
         ),
@@ -70,7 +70,7 @@
         ([check("passing", "x", "other")], {}, ServiceStatus.IN_SERVICE, "no check of its own"),
         (
             [check("passing", "x", "")],
-            {"unchecked": ServiceStatus.UNHEALTHY},
+            {"status_if_unchecked": ServiceStatus.UNHEALTHY},
             ServiceStatus.UNHEALTHY,
             "no check of its own",
         ),
@@ -91,8 +91,8 @@
 def test_the_table_of_states(
     checks: list[Any], reading: dict[str, Any], verdict: ServiceStatus, reason: str
 ) -> None:
-    reader, _ = answers(Reading(**reading))
-    (got,) = reader.read(body(entry("e1", *checks))).observations
+    reader, _ = answers(EntryInterpretation(**reading))
+    (got,) = reader.decode_health_response(body(entry("e1", *checks))).observations
     assert got.status is verdict and got.reason.startswith(reason)
 
 
@@ -100,7 +100,7 @@
     reader, malformed = answers()
     service = {"Address": "10.0.0.7", "Weights": {"Passing": 4, "Warning": 2}}
     meta = {"machine_type": "big", "cell": "3", "started_at_ms": "1700000000000"}
-    got = reader.read(
+    got = reader.decode_health_response(
         body(entry(service=service, **meta), entry("e2", cell="x", started_at_ms="nan"))
     ).observations
     first, second = got
@@ -117,12 +117,12 @@
 def test_only_what_has_changed_is_decoded_and_told() -> None:
     reader, _ = answers()
     many = [entry(f"e{i}") for i in range(1000)]
-    assert len(reader.read(body(*many)).observations) == 1000
+    assert len(reader.decode_health_response(body(*many)).observations) == 1000
     many[7] = entry("e7", check("critical", service="e7"))
     del many[500]
-    got = reader.read(body(*reversed(many)))
-    assert [o.id for o in got.observations] == ["e7"] and got.absent == ("e500",)
-    assert reader.decoded == 1001
+    got = reader.decode_health_response(body(*reversed(many)))
+    assert [o.id for o in got.observations] == ["e7"] and got.absent_ids == ("e500",)
+    assert reader.decoded_count == 1001
 
 
 @pytest.mark.parametrize(
@@ -130,42 +130,42 @@
 )
 def test_an_entry_that_cannot_be_read_is_counted_and_its_engine_is_not_absent(spoil: Any) -> None:
     reader, malformed = answers()
-    reader.read(body(entry("e1"), entry("e2")))
-    got = reader.read(body(spoil, entry("e2")))
-    assert (got.observations, got.absent, len(malformed)) == ((), (), 1)
-    assert not got.whole
-    assert reader.read(body(entry("e2"))).absent == ("e1",)
+    reader.decode_health_response(body(entry("e1"), entry("e2")))
+    got = reader.decode_health_response(body(spoil, entry("e2")))
+    assert (got.observations, got.absent_ids, len(malformed)) == ((), (), 1)
+    assert not got.is_complete
+    assert reader.decode_health_response(body(entry("e2"))).absent_ids == ("e1",)
 
 
 @pytest.mark.parametrize("bad", [b"", b"{}", b"[", b'[{"Node":\xff}]', b"7"])
 def test_an_answer_that_cannot_be_read_changes_nothing(bad: bytes) -> None:
     reader, _ = answers()
-    reader.read(body(entry("e1")))
+    reader.decode_health_response(body(entry("e1")))
     with pytest.raises(WireError):
-        reader.read(bad)
-    assert reader.read(body(entry("e1"))).observations == ()
+        reader.decode_health_response(bad)
+    assert reader.decode_health_response(body(entry("e1"))).observations == ()
 
 
 def test_while_an_engine_moves_the_later_registration_counts() -> None:
     reader, _ = answers()
     old, new = entry(), entry(service={"CreateIndex": 9, "Address": "10.0.0.9"})
     for order in ((old, new), (new, old)):
-        reader.forget()
-        (got,) = reader.read(body(*order)).observations
+        reader.reset()
+        (got,) = reader.decode_health_response(body(*order)).observations
         assert got.address == Address("10.0.0.9", 1000)
-    by_node, _ = answers(Reading(by_node=True))
-    assert by_node.read(body(old)).observations[0].id == "node-1/e1"
+    by_node, _ = answers(EntryInterpretation(ids_include_node=True))
+    assert by_node.decode_health_response(body(old)).observations[0].id == "node-1/e1"
 
 
 def test_the_first_answer_is_the_whole_list_unless_a_part_of_it_cannot_be_read() -> None:
     """Found by reading: engines known from the file stayed for good if Consul's first answer lacked them."""
     reader, _ = answers()
-    assert not reader.read(body(entry("e1"), 7)).whole
-    second = reader.read(body(entry("e1"), entry("e2")))
-    assert second.whole and [o.id for o in second.observations] == ["e1", "e2"]
-    assert not reader.read(body(entry("e1"))).whole
-    reader.forget()
-    assert reader.read(body(entry("e1"))).whole
+    assert not reader.decode_health_response(body(entry("e1"), 7)).is_complete
+    second = reader.decode_health_response(body(entry("e1"), entry("e2")))
+    assert second.is_complete and [o.id for o in second.observations] == ["e1", "e2"]
+    assert not reader.decode_health_response(body(entry("e1"))).is_complete
+    reader.reset()
+    assert reader.decode_health_response(body(entry("e1"))).is_complete
 
 
 # --- exchanges ---
@@ -195,9 +195,9 @@
     ],
 )
 def test_an_answer_comes_whole_however_it_is_cut(wire: bytes, size: int) -> None:
-    exchange = Exchange(1000)
+    exchange = HttpResponseParser(1000)
     got = [exchange.receive(wire[i : i + size]) for i in range(0, len(wire), size)]
-    assert got[-1] is not None and got[-1].body == b"some text" and not any(got[:-1]) and exchange.keep
+    assert got[-1] is not None and got[-1].body == b"some text" and not any(got[:-1]) and exchange.keeps_alive
 
 
 BOMB = gzip.compress(b"0" * 1_000_000, mtime=0)
@@ -220,7 +220,7 @@
     ],
 )
 def test_an_answer_that_makes_no_sense_is_refused(wire: bytes, why: str) -> None:
-    exchange = Exchange(1000)
+    exchange = HttpResponseParser(1000)
     with pytest.raises(WireError, match=why):
         exchange.receive(wire)
         exchange.receive(b"more")
@@ -229,7 +229,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.booleans())
 def test_any_bytes_are_an_answer_an_error_or_not_enough(data: bytes, with_head: bool) -> None:
-    exchange = Exchange(1000)
+    exchange = HttpResponseParser(1000)
     with contextlib.suppress(WireError):
         exchange.receive(b"HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\n" + data if with_head else data)
 
@@ -243,16 +243,16 @@
 )
 def test_an_entry_of_odd_values_costs_only_itself(path: tuple[Any, ...], value: Any) -> None:
     odd, malformed = answers()
-    told = odd.read(body(changed(ENTRY, path, value), entry("e2"))).observations
+    told = odd.decode_health_response(body(changed(ENTRY, path, value), entry("e2"))).observations
     assert "e2" in [o.id for o in told] and len(malformed) <= 1
     catalogue = {"Node": "n", "ServiceID": "e1"}
     with contextlib.suppress(WireError):
-        odd.listed(body(changed(catalogue, (("Node", "ServiceID")[len(path) % 2],), value)))
+        odd.decode_catalog_response(body(changed(catalogue, (("Node", "ServiceID")[len(path) % 2],), value)))
 
 
 def test_no_header_can_smuggle_a_line() -> None:
     with pytest.raises(WireError):
-        Call("GET", "/", {"X-Consul-Token": "a\r\nX: b"}).encode("h")
+        HttpRequest("GET", "/", {"X-Consul-Token": "a\r\nX: b"}).encode("h")
 
 
 # --- the watch ---
@@ -260,86 +260,86 @@
 AGENTS = (Address("10.0.0.1", 8500), Address("10.0.0.2", 8500))
 
 
-def watch(**more: Any) -> Watch:
-    return Watch(WatchSettings("dc1", AGENTS, "engine", **more), answers()[0], 1)
+def watch(**more: Any) -> ServiceWatch:
+    return ServiceWatch(WatchSettings("dc1", AGENTS, "engine", **more), answers()[0], 1)
 
 
-def ok(data: bytes, index: int | str = 7, **headers: str) -> Answer:
+def ok(data: bytes, index: int | str = 7, **headers: str) -> HttpResponse:
     named = {k.replace("_", "-"): v for k, v in headers.items()}
-    return Answer(200, {"x-consul-index": str(index), **named}, data)
+    return HttpResponse(200, {"x-consul-index": str(index), **named}, data)
 
 
 def test_the_first_call_does_not_block_and_the_next_does() -> None:
-    w = watch(datacenter="z1", filter='Service.Meta.a == "b"', tag="t", token="secret", wait=8000.0)
-    first = w.call()
+    w = watch(datacenter="z1", filter='Service.Meta.a == "b"', tag="t", token="secret", max_wait_ms=8000.0)
+    first = w.next_request()
     assert first.target == "/v1/health/service/engine?dc=z1&filter=Service.Meta.a+%3D%3D+%22b%22&tag=t&stale"
-    assert first.headers == {"X-Consul-Token": "secret"} and first.first_ms == 1000
-    (report,) = w.answered(ok(body(entry())))
+    assert first.headers == {"X-Consul-Token": "secret"} and first.first_byte_timeout_ms == 1000
+    (report,) = w.on_response(ok(body(entry())))
     assert isinstance(report, SourceReport) and [o.id for o in report.observations] == ["e1"]
-    second = w.call()
+    second = w.next_request()
     assert (
-        "index=7&wait=8000ms" in second.target and second.first_ms == 9500
+        "index=7&wait=8000ms" in second.target and second.first_byte_timeout_ms == 9500
     )  # the wait, a sixteenth, a second
 
 
 def test_after_the_wait_the_same_answer_tells_only_that_all_is_as_it_was() -> None:
     w = watch()
-    w.answered(ok(body(entry())))
-    assert w.answered(ok(body(entry()))) == [SourceReport("dc1", 7)] and w.answers.decoded == 1
+    w.on_response(ok(body(entry())))
+    assert w.on_response(ok(body(entry()))) == [SourceReport("dc1", 7)] and w.decoder.decoded_count == 1
 
 
 def test_a_full_list_after_an_empty_one_under_the_same_index_is_read() -> None:
     """Found against the stand-in: the index alone was taken as proof that nothing had changed."""
     w = watch()
-    w.answered(ok(body(entry())))
-    assert w.answered(ok(b"[]")) == [SourceReport("dc1", 7, absent=("e1",))]
-    (report,) = w.answered(ok(body(entry())))
+    w.on_response(ok(body(entry())))
+    assert w.on_response(ok(b"[]")) == [SourceReport("dc1", 7, absent=("e1",))]
+    (report,) = w.on_response(ok(body(entry())))
     assert isinstance(report, SourceReport) and [o.id for o in report.observations] == ["e1"]
 
 
 @pytest.mark.parametrize("index, following", [("3", ""), ("0", ""), ("9", "index=9")])
 def test_an_index_that_goes_backwards_starts_anew(index: str, following: str) -> None:
     w = watch()
-    w.answered(ok(body(entry())))
-    w.answered(ok(body(entry()), index))
-    assert ("index=" in w.call().target) is bool(following) and following in w.call().target
+    w.on_response(ok(body(entry())))
+    w.on_response(ok(body(entry()), index))
+    assert ("index=" in w.next_request().target) is bool(following) and following in w.next_request().target
 
 
 def test_an_index_of_0_counts_as_1() -> None:
     w = watch()
-    w.answered(ok(body(entry()), 0))
-    assert "index=1&" in w.call().target
+    w.on_response(ok(body(entry()), 0))
+    assert "index=1&" in w.next_request().target
 
 
 @pytest.mark.parametrize("bad", [{"x-consul-index": "x"}, {}, {"x-consul-index": "-1"}])
 def test_an_answer_without_a_usable_index_is_a_failure(bad: dict[str, str]) -> None:
-    (event,) = watch().answered(Answer(200, bad, body(entry())))
+    (event,) = watch().on_response(HttpResponse(200, bad, body(entry())))
     assert isinstance(event, SourceLost) and "X-Consul-Index" in event.reason
 
 
 @pytest.mark.parametrize("headers", [{"x_consul_knownleader": "false"}, {"x_consul_lastcontact": "5000"}])
 def test_an_answer_from_the_past_is_asked_for_again_at_the_leader(headers: dict[str, str]) -> None:
     w = watch()
-    assert w.answered(ok(b"[]", **headers)) == [] and "stale" not in w.call().target
-    (event,) = w.answered(ok(b"[]", **headers))
+    assert w.on_response(ok(b"[]", **headers)) == [] and "stale" not in w.next_request().target
+    (event,) = w.on_response(ok(b"[]", **headers))
     assert isinstance(event, SourceLost)
-    assert w.call().target.endswith("?stale")
+    assert w.next_request().target.endswith("?stale")
 
 
 def test_after_a_failure_the_next_agent_is_asked_and_pauses_grow_once_all_have_failed() -> None:
-    w = watch(pause=100.0, pause_most=400.0)
-    w.answered(ok(body(entry())))
+    w = watch(min_backoff_ms=100.0, max_backoff_ms=400.0)
+    w.on_response(ok(body(entry())))
     pauses, asked = [], []
     for _ in range(10):
         asked.append(w.address)
-        w.failed("refused")
-        pauses.append(w.pause_ms)
-        assert "index" not in w.call().target
+        w.on_failure("refused")
+        pauses.append(w.next_call_in_ms)
+        assert "index" not in w.next_request().target
     assert asked[:4] == [*AGENTS, *AGENTS]
     for i, most in enumerate([100, 100, 200, 200, 400, 400, 400, 400]):
         assert most / 2 <= pauses[i] <= most
-    w.answered(ok(body(entry())))
-    assert w.pause_ms == 20.0
+    w.on_response(ok(body(entry())))
+    assert w.next_call_in_ms == 20.0
 
 
 @pytest.mark.parametrize(
@@ -355,26 +355,28 @@
     status: int, headers: dict[str, str], least: float, most: float
 ) -> None:
     w = watch()
-    (event,) = w.answered(Answer(status, headers, b"Permission\ndenied"))
+    (event,) = w.on_response(HttpResponse(status, headers, b"Permission\ndenied"))
     assert event == SourceLost("dc1", f"10.0.0.1:8500: status {status}: Permission denied")
-    assert least <= w.pause_ms <= most
+    assert least <= w.next_call_in_ms <= most
 
 
 def test_an_absence_is_confirmed_at_the_leader_and_an_empty_catalogue_proves_nothing() -> None:
     w = watch()
-    w.answered(ok(body(entry("e1"), entry("e2"))))
-    w.answered(ok(b"[]", 8))
-    w.confirm(("e1", "e2"))
-    assert w.call().target == "/v1/catalog/service/engine?consistent"
-    assert w.answered(Answer(200, {}, b"[]")) == []
-    assert "health" in w.call().target
-    w.confirm(("e1", "e2"))
+    w.on_response(ok(body(entry("e1"), entry("e2"))))
+    w.on_response(ok(b"[]", 8))
+    w.confirm_absence(("e1", "e2"))
+    assert w.next_request().target == "/v1/catalog/service/engine?consistent"
+    assert w.on_response(HttpResponse(200, {}, b"[]")) == []
+    assert "health" in w.next_request().target
+    w.confirm_absence(("e1", "e2"))
     listed = json.dumps([{"Node": "n", "ServiceID": "e2"}]).encode()
-    assert w.answered(Answer(200, {}, listed)) == [SourceReport("dc1", 8, absent=("e1",), is_confirmed=True)]
-    assert "health" in w.call().target
-    w.confirm(("e1",))
-    w.failed("cut")
-    assert "health" in w.call().target  # another answer decides first what is still absent
+    assert w.on_response(HttpResponse(200, {}, listed)) == [
+        SourceReport("dc1", 8, absent=("e1",), is_confirmed=True)
+    ]
+    assert "health" in w.next_request().target
+    w.confirm_absence(("e1",))
+    w.on_failure("cut")
+    assert "health" in w.next_request().target  # another answer decides first what is still absent
 
 
 # --- the own entry ---
@@ -387,64 +389,64 @@
     return Registration(settings)
 
 
-GOOD = Answer(200, {}, b"")
+GOOD = HttpResponse(200, {}, b"")
 
 
 def test_the_entry_is_made_kept_and_removed() -> None:
     r = registration()
-    made = r.call(0, 0)
+    made = r.next_request(0, 0)
     assert made.target == "/v1/agent/service/register?replace-existing-checks=true"
     wanted = json.loads(made.body)
     assert (wanted["ID"], wanted["Port"], wanted["Check"]["TTL"]) == ("n 1", 3306, "6000ms")
-    r.answered(GOOD)
-    beat = r.call(12, 3)
-    assert beat.target == "/v1/agent/check/update/service%3An%201" and r.pause_ms == 2000
+    r.on_response(GOOD)
+    beat = r.next_request(12, 3)
+    assert beat.target == "/v1/agent/check/update/service%3An%201" and r.next_call_in_ms == 2000
     assert json.loads(beat.body) == {
         "Status": "passing",
         "Output": "loop at most 12 ms late; 3 requests open",
     }
-    r.answered(GOOD)
-    r.leave()
-    assert r.call(0, 0).target == "/v1/agent/service/deregister/n%201"
-    r.answered(GOOD)
-    assert r.phase is Phase.LEFT
+    r.on_response(GOOD)
+    r.begin_deregistration()
+    assert r.next_request(0, 0).target == "/v1/agent/service/deregister/n%201"
+    r.on_response(GOOD)
+    assert r.phase is RegistrationPhase.DEREGISTERED
 
 
 def test_a_lagging_loop_is_critical_until_it_has_been_calm() -> None:
     r = registration()
-    r.call(0, 0)
-    r.answered(GOOD)
+    r.next_request(0, 0)
+    r.on_response(GOOD)
     states = []
     for lag in (0, 800, 10, 10, 10):
-        states.append(json.loads(r.call(lag, 0).body)["Status"])
-        r.answered(GOOD)
+        states.append(json.loads(r.next_request(lag, 0).body)["Status"])
+        r.on_response(GOOD)
     assert states == ["passing", "critical", "critical", "passing", "passing"]
 
 
 @pytest.mark.parametrize("status", [404, 500])
 def test_an_agent_that_forgot_the_entry_gets_it_anew_at_once(status: int) -> None:
     r = registration()
-    r.call(0, 0)
-    r.answered(GOOD)
-    r.call(0, 0)
-    r.answered(Answer(status, {}, b'Unknown check ID "service:n 1"'))
-    assert r.phase is Phase.ABSENT and r.pause_ms == 0
-    assert "register" in r.call(0, 0).target
-    r.answered(GOOD)
-    assert r.registered == 2
+    r.next_request(0, 0)
+    r.on_response(GOOD)
+    r.next_request(0, 0)
+    r.on_response(HttpResponse(status, {}, b'Unknown check ID "service:n 1"'))
+    assert r.phase is RegistrationPhase.ABSENT and r.next_call_in_ms == 0
+    assert "register" in r.next_request(0, 0).target
+    r.on_response(GOOD)
+    assert r.registration_count == 2
 
 
 def test_failures_back_off_to_the_beat_and_a_leave_gives_up_in_the_end() -> None:
     r = registration()
     pauses = []
     for _ in range(8):
-        r.call(0, 0)
-        r.failed("refused")
-        pauses.append(r.pause_ms)
+        r.next_request(0, 0)
+        r.on_failure("refused")
+        pauses.append(r.next_call_in_ms)
     assert pauses[:3] == [100, 200, 400] and pauses[-1] == 2000
-    r.leave()
+    r.begin_deregistration()
     for _ in range(3):
-        assert not r.over()
-        r.call(0, 0)
-        r.failed("refused")
-    assert r.over()
+        assert not r.is_finished()
+        r.next_request(0, 0)
+        r.on_failure("refused")
+    assert r.is_finished()
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -27,7 +27,7 @@
 from cottonhold.emulator.consul.script import parse
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.engine import StandInEngine
-from cottonhold.node.consul_client import LagMeter
+from cottonhold.node.consul_client import LoopLagMeter
 from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import EngineState
@@ -377,10 +377,10 @@
 
 def test_the_lag_of_a_loop_that_stood_still_is_seen() -> None:
     async def main() -> float:
-        meter = LagMeter(asyncio.get_running_loop())
+        meter = LoopLagMeter(asyncio.get_running_loop())
         await asyncio.sleep(0)
         time.sleep(0.2)  # the loop stands still; a tick was due after 50 ms of it
-        return meter.take_ms()
+        return meter.take_max_lag_ms()
 
     assert uvloop.run(main()) > 100
 
@@ -520,7 +520,7 @@
         await s.until(there, "registered anew")
         leaving: list[Awaitable[object]] = list(s.node.shutdown_tasks())
         await asyncio.gather(*leaving)
-        assert not there() and s.node.entry is not None and s.node.entry.registration.over()
+        assert not there() and s.node.entry is not None and s.node.entry.registration.is_finished()
 
     play(tmp_path, scenario)
 
--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -12,14 +12,19 @@
 import pytest
 import trustme
 
-from cottonhold.discovery.consul.answers import Answers
-from cottonhold.discovery.consul.checks import Reading
-from cottonhold.discovery.consul.exchange import MOST_HEADER_BYTES, Answer, Call, Exchange
-from cottonhold.discovery.consul.watch import Watch, WatchSettings
+from cottonhold.discovery.consul.health_entry import EntryInterpretation
+from cottonhold.discovery.consul.health_response import HealthResponseDecoder
+from cottonhold.discovery.consul.http_exchange import (
+    MAX_HEADER_BYTES,
+    HttpRequest,
+    HttpResponse,
+    HttpResponseParser,
+)
+from cottonhold.discovery.consul.watch import ServiceWatch, WatchSettings
 from cottonhold.discovery.model import Address, ConfiguredNames, Event, SourceLost, SourceReport
 from cottonhold.message_validation import WireError
-from cottonhold.node.consul_client import follow
-from cottonhold.node.http_client import HttpLink, Tls
+from cottonhold.node.consul_client import follow_service
+from cottonhold.node.http_client import HttpConnection, TlsSettings
 from cottonhold.observe.counters import Counters
 from cottonhold.transport.event_loop import EventLoop
 
@@ -29,12 +34,12 @@
 CHUNKS = f"{OK}Transfer-Encoding: chunked\r\n\r\n".encode()
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-LONG = b"a" * (MOST_HEADER_BYTES * 2)
-CALL = Call("GET", "/", first_ms=60_000, rest_ms=60_000)
+LONG = b"a" * (MAX_HEADER_BYTES * 2)
+CALL = HttpRequest("GET", "/", first_byte_timeout_ms=60_000, body_timeout_ms=60_000)
 
 
-def receive(wire: bytes, size: int = 1 << 20) -> Answer | None:
-    exchange, answer = Exchange(1000), None
+def receive(wire: bytes, size: int = 1 << 20) -> HttpResponse | None:
+    exchange, answer = HttpResponseParser(1000), None
     for at in range(0, len(wire), size):
         answer = exchange.receive(wire[at : at + size])
     return answer
@@ -54,7 +59,7 @@
 def test_an_answer_in_an_odd_form_is_the_same_answer(wire: bytes, size: int) -> None:
     answer = receive(wire, size)
     assert answer is not None and (answer.status, answer.body) == (200, b"[]")
-    assert answer.number("x-consul-index") == 7 and "link" not in answer.headers
+    assert answer.integer_header("x-consul-index") == 7 and "link" not in answer.headers
 
 
 @pytest.mark.parametrize("size", [1, 7, 16 << 10])
@@ -77,7 +82,7 @@
         (b"HTTP/1.1 200 " + LONG, "no further"),
         (CHUNKS + b"1;" + LONG, "no further"),
         (CHUNKS + b"1\r\n[\r\n0\r\nX: " + LONG, "no further"),
-        (CONTINUE * (MOST_HEADER_BYTES // len(CONTINUE) + 1), "no further"),
+        (CONTINUE * (MAX_HEADER_BYTES // len(CONTINUE) + 1), "no further"),
     ],
     ids=[
         "two answers",
@@ -113,7 +118,7 @@
 
 def test_bytes_that_bring_the_body_further_are_no_endless_head() -> None:
     parts = [CHUNKS, *[b"1\r\nx\r\n"] * 20_000, b"0\r\n\r\n"]
-    exchange = Exchange(20_000)
+    exchange = HttpResponseParser(20_000)
     last = [exchange.receive(part) for part in parts][-1]
     assert last is not None and len(last.body) == 20_000
 
@@ -187,10 +192,19 @@
 def test_a_watch_counts_a_bad_answer_and_goes_on(script: list[bytes]) -> None:
     async def scenario(driver: EventLoop, address: Address) -> None:
         names = ConfiguredNames(("z",), ("std",))
-        settings = WatchSettings("dc", (address,), "engine", first=60_000.0, rest=60_000.0, pause=1.0)
-        watch = Watch(settings, Answers(names, Reading(), lambda why: None), 1)
+        settings = WatchSettings(
+            "dc",
+            (address,),
+            "engine",
+            first_byte_timeout_ms=60_000.0,
+            body_timeout_ms=60_000.0,
+            min_backoff_ms=1.0,
+        )
+        watch = ServiceWatch(
+            settings, HealthResponseDecoder(names, EntryInterpretation(), lambda why: None), 1
+        )
         told: list[Event] = []
-        work = asyncio.create_task(follow(driver, watch, None, told.extend, driver.counters))
+        work = asyncio.create_task(follow_service(driver, watch, None, told.extend, driver.counters))
         while not any(isinstance(event, SourceReport) for event in told) and not work.done():
             await asyncio.sleep(0.001)
         assert not work.done() and [type(event) for event in told][:2] == [SourceLost, SourceReport]
@@ -214,9 +228,9 @@
     scripts: Scripts, connections: int, secure: bool, tmp_path: Path
 ) -> None:
     async def scenario(driver: EventLoop, address: Address) -> None:
-        link = HttpLink(driver, tls, 1000)
+        link = HttpConnection(driver, tls, 1000)
         for call in range(3):
-            assert (await link.call(address, CALL)).body == b"[]"
+            assert (await link.request(address, CALL)).body == b"[]"
             if call == 0 and connections == 2 and link.sock is not None:
                 await asyncio.to_thread(select.select, [link.sock], [], [])
         assert server.taken == connections
@@ -245,20 +259,20 @@
     answered, early = asyncio.Event(), Early([])
 
     async def scenario(driver: EventLoop, address: Address) -> None:
-        link = HttpLink(driver, tls, 1000)
-        first = await link.call(address, CALL)
+        link = HttpConnection(driver, tls, 1000)
+        first = await link.request(address, CALL)
         answered.set()
         await asyncio.to_thread(select.select, [link.sock], [], [])
-        second = await link.call(address, CALL)
-        assert [a.number("x-consul-index") for a in (first, second)] == [7, 7] and early.taken == 2
+        second = await link.request(address, CALL)
+        assert [a.integer_header("x-consul-index") for a in (first, second)] == [7, 7] and early.taken == 2
         link.close()
 
     tls, context = certified(tmp_path) if secure else (None, None)
     play(early, scenario, context)
 
 
-def certified(folder: Path) -> tuple[Tls, ssl.SSLContext]:
+def certified(folder: Path) -> tuple[TlsSettings, ssl.SSLContext]:
     authority, context = trustme.CA(), ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     authority.issue_cert("127.0.0.1").configure_cert(context)
     authority.cert_pem.write_to_path(str(folder / "ca.pem"))
-    return Tls(str(folder / "ca.pem")), context
+    return TlsSettings(str(folder / "ca.pem")), context
