--- a/cottonhold/membership/member.py
+++ b/cottonhold/membership/member.py
@@ -1,4 +1,4 @@
-"""What is believed of one other instance."""
+"""One other instance, as this one knows it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is believed of one other instance. status_since: in ms, on this instance's clock."""
+    """One other instance, as this one knows it. status_since: in ms, on this instance's clock."""
 
     id: int
     name: str
@@ -23,14 +23,15 @@
 
     @property
     def is_live(self) -> bool:
-        """It is alive, or only suspected."""
+        """Whether it is alive, or only suspected."""
         return self.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
     def as_update(self, source: int) -> Update:
         """Its row in a full exchange.
 
-        A dead member is passed on as a suspect, which it can refute: else one side's error would kill the
-        other half at the moment at which a split network meets again."""
+        A dead member is passed on as a suspect, which it can refute: otherwise, when a partition heals, one
+        side's error would have the other declared dead.
+        """
         if self.status is MemberStatus.ALIVE:
             return Update(MemberStatus.ALIVE, self.id, self.incarnation, 0, self.address, self.name)
         status = MemberStatus.LEFT if self.status is MemberStatus.LEFT else MemberStatus.SUSPECT
--- a/cottonhold/membership/swim.py
+++ b/cottonhold/membership/swim.py
@@ -4,11 +4,11 @@
 Motivala) and "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar, Phillips,
 Currey).
 
-In each probe interval one member is pinged, in an order shuffled anew each round. One that doesn't answer is
+In each probe interval one member is pinged, in an order shuffled anew each round. One that doesn't ack is
 pinged through others; then it is *suspect*, which it may refute by a higher incarnation; then it is *dead*.
-Updates ride on pings and acks. The Lifeguard additions: an instance that misses answers doubts itself first
-(it waits longer and probes less often); a suspicion begins long and shortens with each independent
-confirmation; a suspect is told of it in every ping.
+Updates are piggybacked on pings and acks. The Lifeguard additions: an instance that misses acks suspects
+itself first (it waits longer and probes less often); a suspicion begins long and shortens with each
+independent confirmation; a suspect is notified of it in every ping.
 
 Times are milliseconds on the caller's clock, of which only differences count.
 """
@@ -18,7 +18,7 @@
 import itertools
 import math
 import random
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
 from cottonhold.discovery.model import Address
@@ -42,7 +42,7 @@
     SendDatagram,
 )
 from cottonhold.membership.member import Member
-from cottonhold.membership.suspicion import SuspicionTimers, begin_suspicion
+from cottonhold.membership.member_table import MemberTable
 from cottonhold.membership.swim_settings import SwimSettings
 from cottonhold.membership.table_sync import TableSender, sync_targets
 
@@ -53,13 +53,13 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe that is under way. helpers_asked: 0 before its indirect part."""
+    """The probe in progress. helper_count: 0 before its indirect part."""
 
     sequence: int
     target: int
     indirect_at: float
     ends_at: float
-    helpers_asked: int = 0
+    helper_count: int = 0
     nacks: set[int] = field(default_factory=set)
 
 
@@ -72,8 +72,7 @@
 
 
 class Swim:
-    """One instance's view. `step` with what arrived and the clock; it returns datagrams to send and
-    changes."""
+    """One instance's view: `step` takes received datagrams and the time, and returns actions."""
 
     def __init__(
         self,
@@ -90,47 +89,46 @@
         self.incarnation = incarnation
         self.codec = Codec(self.id, self.random.getrandbits(32), keys)
         self.seeds = [seed for seed in seeds if seed != address]
-        self.members: dict[int, Member] = {}
-        self._probe_order: list[int] = []  # whom to probe next, last first
         self._updates = UpdateQueue(settings.retransmit_factor)
+        self._table = MemberTable(self.id, settings, self.random, self._updates, self._on_member_changed)
+        self.members = self._table.members
         self._probe: Probe | None = None
         self._relays: dict[int, Relay] = {}  # by own sequence
         self._sequence = itertools.count(self.random.getrandbits(16))
-        self._suspicion_timers = SuspicionTimers()
-        self.awareness = 0  # Lifeguard's local health: 0 is well
-        self._next_probe_at = self._next_sync_at = self._due_at = -math.inf
-        self._table = TableSender(self.id)
+        self.awareness = 0  # Lifeguard's local health multiplier; 0 is healthy
+        self._next_probe_at = self._next_sync_at = self._next_step_at = -math.inf
+        self._table_sender = TableSender(self.id)
         self._is_leaving = False
         self.counts: dict[str, int] = {}
         self._actions: list[Action] = []
         self._now = 0.0
 
     def step(self, now: float, events: Iterable[DatagramReceived] = ()) -> list[Action]:
-        """Take in what arrived by now; call again at `next_at` at the latest."""
+        """Process received datagrams and due timers; call again at `next_at` at the latest."""
         self._actions = []
         if self._next_probe_at == -math.inf:
             self._next_probe_at = now + self.settings.probe_interval_ms * self.random.random()
             self._next_sync_at = now
-        elif now - self._due_at > self.settings.stall_threshold_ms:
-            self._on_stall(now, now - self._due_at)
+        elif now - self._next_step_at > self.settings.stall_threshold_ms:
+            self._on_stall(now, now - self._next_step_at)
         self._now = now
         for event in events:
             self._on_datagram(event)
         self._run_probe()
-        self._run_suspicions()
+        self._table.run_suspicions(now)
         if now >= self._next_sync_at and not self._is_leaving:
             self._sync()
-        self._due_at = self.next_at()
+        self._next_step_at = self.next_at()
         return self._actions
 
     def next_at(self) -> float:
         """When the next step is due."""
-        times = [math.inf if self._is_leaving else self._next_sync_at, self._suspicion_timers.next_at()]
+        times = [math.inf if self._is_leaving else self._next_sync_at, self._table.next_suspicion_at()]
         probe = self._probe
         if probe is None:
             times.append(self._next_probe_at)
         else:
-            times.append(probe.ends_at if probe.helpers_asked else probe.indirect_at)
+            times.append(probe.ends_at if probe.helper_count else probe.indirect_at)
         return min(times)
 
     def leave(self, now: float) -> list[Action]:
@@ -138,7 +136,7 @@
         self._actions, self._now, self._is_leaving = [], now, True
         self._updates.add(Update(MemberStatus.LEFT, self.id, self.incarnation, self.id))
         count = self.settings.indirect_probes * 2
-        for member in self._sample(count, lambda m: m.status is not MemberStatus.DEAD):
+        for member in self._table.sample(count, lambda m: m.status is not MemberStatus.DEAD):
             self._send(MessageKind.ACK, 0, member.address, 0)
         return self._actions
 
@@ -148,19 +146,19 @@
 
     def live_members(self) -> list[int]:
         """The ids of this instance and of all that are alive or only suspected."""
-        return sorted([self.id, *(m.id for m in self.members.values() if m.is_live)])
+        return self._table.live_ids()
 
     def message_to(self, kind: MessageKind, sequence: int, subject: int, member: int) -> SendDatagram | None:
-        """A message of the parts above to a member; None where its address isn't known."""
+        """A message of the layers above to a member; None if its address isn't known."""
         receiver = self.members.get(member)
         if receiver is None:
             return None
-        updates = self._take_updates(member)
+        updates = self._next_updates(member)
         data = self.codec.encode(Message(kind, self.id, sequence, subject), updates)
         return SendDatagram(data, receiver.address)
 
     def payload_to(self, payload: bytes, member: int) -> SendDatagram | None:
-        """Bytes of fleet/ to a member; None where its address isn't known or they are too long."""
+        """A payload of fleet/ to a member; None if its address isn't known or the payload is too long."""
         receiver = self.members.get(member)
         if receiver is None or len(payload) > self.codec.update_capacity():
             return None
@@ -177,10 +175,7 @@
         if self._probe is not None:
             self._probe.indirect_at += late_ms
             self._probe.ends_at += late_ms
-        for member in self.members.values():
-            if member.suspicion is not None:
-                member.suspicion.started_at += late_ms
-                self._suspicion_timers.schedule(member.id, member.suspicion.ends_at())
+        self._table.postpone_suspicions(late_ms)
         self._next_probe_at = max(self._next_probe_at, now)
 
     def _adjust_awareness(self, by: int) -> None:
@@ -195,13 +190,13 @@
         if probe is not None:
             if self._now >= probe.ends_at:
                 self._on_probe_missed(probe)
-            elif self._now >= probe.indirect_at and not probe.helpers_asked:
+            elif self._now >= probe.indirect_at and not probe.helper_count:
                 self._probe_indirectly(probe)
         if self._now >= self._next_probe_at and self._probe is None:
             self._begin_probe()
 
     def _begin_probe(self) -> None:
-        target = self._next_target()
+        target = self._table.next_probe_target()
         self._next_probe_at = self._now + self.settings.probe_interval_ms * self._awareness_factor()
         if target is None:
             return
@@ -211,22 +206,11 @@
         self._probe = Probe(sequence, target.id, self._now + timeout_ms, ends_at)
         self._send(MessageKind.PING, sequence, target.address, target.id)
 
-    def _next_target(self) -> Member | None:
-        """The next of the shuffled round: each is probed once a round, so detection has a bound."""
-        for _ in range(2):
-            while self._probe_order:
-                member = self.members.get(self._probe_order.pop())
-                if member is not None and member.is_live:
-                    return member
-            self._probe_order = sorted(self.members)
-            self.random.shuffle(self._probe_order)
-        return None
-
     def _probe_indirectly(self, probe: Probe) -> None:
-        helpers = self._sample(
+        helpers = self._table.sample(
             self.settings.indirect_probes, lambda m: m.status is MemberStatus.ALIVE and m.id != probe.target
         )
-        probe.helpers_asked = len(helpers) or NO_HELPERS
+        probe.helper_count = len(helpers) or NO_HELPERS
         for helper in helpers:
             self._send(MessageKind.PING_REQ, probe.sequence, helper.address, probe.target)
         target = self.members.get(probe.target)
@@ -234,18 +218,18 @@
             self._send(MessageKind.PING, probe.sequence, target.address, target.id)
 
     def _on_probe_missed(self, probe: Probe) -> None:
-        """No answer, direct or indirect: the target is suspect, and this instance doubts itself a little.
+        """No answer, direct or indirect: the target is suspect, and this instance suspects itself a little.
 
         A helper that sends a nack shows that this instance's own link works; one that sends nothing at all
         shows the contrary, and weighs against this instance."""
         self._probe = None
         self._next_probe_at = max(self._next_probe_at, self._now)
-        silent_helpers = max(probe.helpers_asked, 0) - len(probe.nacks)
-        self._adjust_awareness(silent_helpers if probe.helpers_asked > 0 else 1)
+        silent_helpers = max(probe.helper_count, 0) - len(probe.nacks)
+        self._adjust_awareness(silent_helpers if probe.helper_count > 0 else 1)
         member = self.members.get(probe.target)
         if member is not None and member.is_live:
             self._count("missed")
-            self._suspect(member, member.incarnation, self.id)
+            self._table.suspect(member, member.incarnation, self.id, self._now)
 
     def _on_datagram(self, event: DatagramReceived) -> None:
         try:
@@ -255,7 +239,10 @@
             return
         self._count("received")
         for update in message.updates:
-            self._apply(update)
+            if update.member == self.id:
+                self._on_update_of_self(update)
+            else:
+                self._table.apply(update, self._now)
         match message.kind:
             case MessageKind.PING:
                 self._on_ping(message, event.address)
@@ -269,7 +256,7 @@
             case MessageKind.SYNC:
                 self._send_table(event.address, MessageKind.SYNC_REPLY)
             case MessageKind.SYNC_REPLY:
-                pass  # all that it says is in its updates
+                pass  # its updates are all it has
             case _:
                 self._actions.append(MessageReceived(message))
 
@@ -302,109 +289,34 @@
         if relay is not None:
             self._send(MessageKind.ACK, relay.sequence, relay.address, message.subject)
 
-    def _apply(self, update: Update) -> None:
-        """Merge an update: it counts where its incarnation isn't older than what is known."""
-        if update.member == self.id:
-            self._on_update_of_self(update)
-            return
-        member = self.members.get(update.member)
-        if update.status is MemberStatus.ALIVE:
-            self._on_alive(member, update)
-        elif member is None or update.incarnation < member.incarnation or not member.is_live:
-            return  # unknown, and then its address is unknown too; or outdated; or ended already
-        elif update.status is MemberStatus.SUSPECT:
-            self._suspect(member, update.incarnation, update.source)
-        else:
-            self._end(member, update.status, update.incarnation, update.source)
-
     def _on_update_of_self(self, update: Update) -> None:
         """Another instance suspects this one: refute it by a higher incarnation."""
         if update.status is MemberStatus.ALIVE or self._is_leaving or update.incarnation < self.incarnation:
             # After a wall clock went back, this start may have a lower incarnation than the last one had.
             if update.incarnation > self.incarnation:
                 self.incarnation = update.incarnation + 1
-                self._updates.add(self._own_update())
+                self._updates.add(self._self_update())
             return
         self.incarnation = update.incarnation + 1
         self._count("refuted")
         self._adjust_awareness(1)
-        self._updates.add(self._own_update())
-        # Some members are told at once: with much loss, a refutation that only rides on the next ping would
-        # come after the suspicion's end.
-        for member in self._sample(self.settings.indirect_probes, lambda m: m.status is MemberStatus.ALIVE):
+        self._updates.add(self._self_update())
+        # Some members are notified at once: with much loss, a refutation that waits for the next ping would
+        # arrive after the suspicion's end.
+        for member in self._table.sample(
+            self.settings.indirect_probes, lambda m: m.status is MemberStatus.ALIVE
+        ):
             self._send(MessageKind.SYNC_REPLY, 0, member.address, 0)
 
-    def _own_update(self) -> Update:
+    def _self_update(self) -> Update:
         return Update(MemberStatus.ALIVE, self.id, self.incarnation, 0, self.address, self.name)
 
-    def _on_alive(self, member: Member | None, update: Update) -> None:
-        assert update.address is not None
-        if member is None:
-            self._add_member(update, update.address)
-            return
-        if update.incarnation <= member.incarnation:
-            return
-        was_alive = member.status is MemberStatus.ALIVE
-        member.name, member.address = update.name, update.address
-        member.incarnation, member.suspicion = update.incarnation, None
-        member.status = MemberStatus.ALIVE
-        if not was_alive:
-            member.status_since = self._now
-        self._updates.add(update)
-        if not was_alive:
-            self._report_change(member)
-
-    def _add_member(self, update: Update, address: Address) -> None:
-        member = Member(
-            update.member, update.name, address, MemberStatus.ALIVE, update.incarnation, self._now
-        )
-        self.members[member.id] = member
-        self._probe_order.insert(self.random.randrange(len(self._probe_order) + 1), member.id)
-        self._updates.add(update)
-        self._report_change(member)
-
-    def _suspect(self, member: Member, incarnation: int, source: int) -> None:
-        update = Update(MemberStatus.SUSPECT, member.id, incarnation, source)
-        if member.suspicion is not None and member.incarnation == incarnation:
-            sources = member.suspicion.sources
-            known = len(sources)
-            sources.add(source)
-            # The first independent confirmations are passed on, so that others can shorten theirs as well.
-            if known < len(sources) <= self.settings.max_confirmations + 1:
-                self._updates.add(update)
-                self._suspicion_timers.schedule(member.id, member.suspicion.ends_at())
-            return
-        live_count = len(self.live_members())
-        member.suspicion = begin_suspicion(self._now, source, live_count, self.settings)
-        member.incarnation, member.status = incarnation, MemberStatus.SUSPECT
-        member.status_since = self._now
-        self._suspicion_timers.schedule(member.id, member.suspicion.ends_at())
-        self._updates.add(update)
-        self._report_change(member)
-
-    def _run_suspicions(self) -> None:
-        for due_id in self._suspicion_timers.pop_due(self._now):
-            member = self.members.get(due_id)
-            if member is None or member.suspicion is None:
-                continue
-            ends_at = member.suspicion.ends_at()
-            if ends_at <= self._now:
-                self._end(member, MemberStatus.DEAD, member.incarnation, self.id)
-            elif not self._suspicion_timers.has(member.id, ends_at):
-                self._suspicion_timers.schedule(member.id, ends_at)
-
-    def _end(self, member: Member, status: MemberStatus, incarnation: int, source: int) -> None:
-        member.status, member.incarnation, member.suspicion = status, incarnation, None
-        member.status_since = self._now
-        self._updates.add(Update(status, member.id, incarnation, source))
-        self._report_change(member)
-
-    def _report_change(self, member: Member) -> None:
+    def _on_member_changed(self, member: Member) -> None:
         self._count(f"became_{member.status.name.lower()}")
         self._actions.append(MemberChanged(member.id, member.name, member.status, member.incarnation))
 
-    def _take_updates(self, receiver: int) -> bytes:
-        """What rides along: a suspect's own suspicion first, then what was sent least often."""
+    def _next_updates(self, receiver: int) -> bytes:
+        """Updates to piggyback: a suspect's own suspicion first, then those that were sent least often."""
         capacity = self.codec.update_capacity()
         parts: list[bytes] = []
         suspect = self.members.get(receiver)
@@ -417,43 +329,32 @@
         self, kind: MessageKind, sequence: int, address: Address, subject: int, receiver: int | None = None
     ) -> None:
         """Send a message with updates. receiver: the member at the address, where it isn't the subject."""
-        updates = self._take_updates(subject if receiver is None else receiver)
+        updates = self._next_updates(subject if receiver is None else receiver)
         message = Message(kind, self.id, sequence, subject)
         self._actions.append(SendDatagram(self.codec.encode(message, updates), address))
 
-    def _sample(self, count: int, is_wanted: Callable[[Member], bool]) -> list[Member]:
-        wanted = [m for m in self.members.values() if is_wanted(m)]
-        return self.random.sample(wanted, min(count, len(wanted)))
-
     def _next_sequence(self) -> int:
         return next(self._sequence) & SEQUENCE_MASK
 
     def _sync(self) -> None:
         """Exchange tables with one member or seed, and with one believed dead, so that halves meet again."""
-        self._remove_ended_members()
+        self._table.remove_expired(self._now)
         is_alone = not any(m.status is MemberStatus.ALIVE for m in self.members.values())
         if is_alone:
-            pause_ms = self.settings.probe_interval_ms * 2
+            interval_ms = self.settings.probe_interval_ms * 2
         else:
-            pause_ms = self.settings.sync_interval_ms * (0.75 + self.random.random() / 2)
-        self._next_sync_at = self._now + pause_ms
+            interval_ms = self.settings.sync_interval_ms * (0.75 + self.random.random() / 2)
+        self._next_sync_at = self._now + interval_ms
         for address in sync_targets(self.members.values(), self.seeds, is_alone, self.random):
             self._send_table(address, MessageKind.SYNC)
 
     def _send_table(self, address: Address, kind: MessageKind) -> None:
         """This instance and a part of the table; only the first of several datagrams asks for a reply."""
         capacity, max_parts = self.codec.update_capacity(), self.settings.max_sync_datagrams
-        for rows in self._table.parts(self._own_update(), self.members, address, capacity, max_parts):
+        for rows in self._table_sender.parts(self._self_update(), self.members, address, capacity, max_parts):
             message = Message(kind, self.id, self._next_sequence())
             self._actions.append(SendDatagram(self.codec.encode(message, rows), address))
             kind = MessageKind.SYNC_REPLY
 
-    def _remove_ended_members(self) -> None:
-        """Ended members are remembered for a while."""
-        expired_before = self._now - self.settings.retention_ms
-        for member in list(self.members.values()):
-            if not member.is_live and member.status_since < expired_before:
-                del self.members[member.id]
-
     def _count(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
