--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -64,7 +64,7 @@
         )
         self.quarantine = self.engine_list.quarantine
         self.consul_sources = ConsulSources(self, self.on_discovery_events)
-        self.entry: consul_client.Entry | None = None
+        self.registration_task: consul_client.RegistrationTask | None = None
         self.adapters = AdapterFactory(self, lambda: self.installation)
         self.membership: MembershipAdapter | None = None
         self.zone_failover: ZoneFailoverAdapter | None = None
@@ -277,14 +277,14 @@
         """Keep this dispatcher registered in Consul, where the configuration asks for it."""
         if self.installation.registration is None:
             return
-        self.entry = consul_client.Entry(
+        self.registration_task = consul_client.RegistrationTask(
             self.event_loop,
             Registration(self.installation.registration),
             client_tls(self.installation.registration_tls),
             lambda: self.gateway.open_count,
             self.log.note,
         )
-        self.event_loop.spawn(self.entry.keep())
+        self.event_loop.spawn(self.registration_task.run())
 
     def _serve_operator_calls(self) -> None:
         if self.installation.file.status_socket:
@@ -319,9 +319,11 @@
         if self.membership is not None:
             self.membership.leave()
         remaining_s = (self.lifecycle.close_deadline() - self.event_loop.clock.now()) / 1000
-        if self.entry is None:
+        if self.registration_task is None:
             return ()
-        return (asyncio.wait_for(self.entry.leave(), min(DEREGISTER_TIMEOUT_S, remaining_s)),)
+        return (
+            asyncio.wait_for(self.registration_task.deregister(), min(DEREGISTER_TIMEOUT_S, remaining_s)),
+        )
 
     async def run(self) -> None:
         """Serve until told to stop; the ledger is closed last, and marked as closed cleanly."""
@@ -363,10 +365,10 @@
 
     def _reload_registration(self, old: Installation, new: Installation) -> None:
         """A token may change in place; another entry needs a restart, since clients hold its address."""
-        if self.entry is None or new.registration is None or old.registration is None:
+        if self.registration_task is None or new.registration is None or old.registration is None:
             return
         if (new.registration.id, new.registration.agent) == (old.registration.id, old.registration.agent):
-            self.entry.registration.settings = new.registration
+            self.registration_task.registration.settings = new.registration
 
 
 def serve(path: Path) -> int:
