--- a/benchmarks/fleet/outlook.py
+++ b/benchmarks/fleet/outlook.py
@@ -20,7 +20,7 @@
 from cottonhold.emulator.outages import Setup, World
 from cottonhold.emulator.outages_in_service import ServiceWorld
 from cottonhold.fleet.failover_cost.cost_settings import CostSettings
-from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "outlook-core.md"
 ZONES = ("a", "b", "c")
--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -19,8 +19,8 @@
 import numpy as np
 
 from cottonhold.emulator.recovery import MEAN, Plan, PowerReturn
-from cottonhold.fleet.coordinator import FleetSettings
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
+from cottonhold.fleet.settings import FleetSettings
 
 USUAL = 0.6  # of what warm engines do
 SIZES = {5: 9, 50: 75, 500: 150}  # instances: engines
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -16,7 +16,7 @@
 import numpy as np
 
 from cottonhold.emulator.fleet import World
-from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 
 OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "fleet-core.md"
 FAULT, MEND, END = 4000.0, 10_000.0, 20_000.0
@@ -44,7 +44,10 @@
     w = world(seed, 6, 6 * PER_INSTANCE * times, 0.3)
     w.run(END)
     outs = [
-        turn for node in w.nodes.values() for _, turn in node.phase_changes if turn.phase is Phase.EVACUATED
+        turn
+        for node in w.nodes.values()
+        for _, turn in node.phase_changes
+        if turn.phase is ZonePhase.EVACUATED
     ]
     followed = {"the fleet leaves", "others are sure"}
     return len(outs), int(any(turn.reason in followed for turn in outs))
@@ -69,7 +72,7 @@
     w.run(END)
     left = [
         min(
-            (t for t, turn in n.phase_changes if turn.zone == "a" and turn.phase is Phase.EVACUATED),
+            (t for t, turn in n.phase_changes if turn.zone == "a" and turn.phase is ZonePhase.EVACUATED),
             default=np.inf,
         )
         - FAULT
@@ -86,7 +89,9 @@
         "most": max(after) / fair,
         "full": full[0] if full else np.inf,
         "wrong": sum(
-            t.zone != "a" and t.phase is Phase.EVACUATED for n in w.nodes.values() for _, t in n.phase_changes
+            t.zone != "a" and t.phase is ZonePhase.EVACUATED
+            for n in w.nodes.values()
+            for _, t in n.phase_changes
         ),
         "calm bytes": calm_bytes / instances / (FAULT / 1000),
         "bytes": bytes_ / instances / ((MEND - FAULT) / 1000),
--- a/cottonhold/emulator/fault_injection/machines.py
+++ b/cottonhold/emulator/fault_injection/machines.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from cottonhold.fleet_adapters.recovery_folder import BASE_KEY
+from cottonhold.fleet_adapters.recovery_folder import CHECKPOINT_BOOT_KEY
 from cottonhold.store.ledger import Ledger, LedgerSettings
 from cottonhold.store.records import Record, RecordKind
 
@@ -54,7 +54,9 @@
         # lock for good, and the instance served everything but loads.
         ledger = Ledger.open(self.state(name), name, settings=LedgerSettings(stall_timeout_ms=SETTLING_MS))
         ledger.mark_complete()
-        ledger.put([Record(RecordKind.INCARNATION, BASE_KEY, ledger.boot_count.to_bytes(8, "big"))])
+        ledger.put(
+            [Record(RecordKind.INCARNATION, CHECKPOINT_BOOT_KEY, ledger.boot_count.to_bytes(8, "big"))]
+        )
         ledger.close(clean=True)
 
     def set_disk(self, name: str, state: str, **orders: Any) -> None:
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -16,9 +16,11 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.network import Network
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.actions import SendFleetMessage
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
-from cottonhold.fleet.zone_failover.evacuation import PhaseChange
+from cottonhold.fleet.settings import FleetSettings
+from cottonhold.fleet.zone_failover.zone_state import PhaseChange
 
 TIMEOUT_MS = 2000.0
 CHECK_INTERVAL_MS = 500.0  # so often each engine is asked
@@ -176,7 +178,7 @@
         said = []
         for action in actions:
             match action:
-                case SendMessage(member, data):
+                case SendFleetMessage(member, data):
                     said.append((data, Address("fleet", member)))
                 case EngineBounds():
                     self.allowance.set_bounds(now, action)
--- a/cottonhold/emulator/model_checker.py
+++ b/cottonhold/emulator/model_checker.py
@@ -20,7 +20,7 @@
 from enum import Enum
 from typing import Any
 
-from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.actions import PersistState, SendConsensusMessage
 
 Choice = tuple[Any, ...]
 
@@ -112,7 +112,7 @@
     def act(self, member: int, actions: Iterable[Any]) -> None:
         """Carry out what a machine asks for."""
         for action in actions:
-            if isinstance(action, SendMessage):
+            if isinstance(action, SendConsensusMessage):
                 if action.member in self.disks:
                     self.net[action.member, member, action.payload] = self.copies
             elif isinstance(action, PersistState):
--- a/cottonhold/emulator/outages.py
+++ b/cottonhold/emulator/outages.py
@@ -19,7 +19,8 @@
 from cottonhold.emulator.outage_log import Log, Row
 from cottonhold.fleet.admission.demand import density_step
 from cottonhold.fleet.admission.demand_sharing import DemandSharing
-from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.estimator import CostEstimator
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import FILTER_BITS, decode_site_reports, encode_site_reports
 from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings
 from cottonhold.fleet.zone_failover.zone_assessment import MIN_RETAINED_SHARE
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -16,8 +16,10 @@
 from cottonhold.emulator.fleet import Allowance
 from cottonhold.emulator.outage_log import Row
 from cottonhold.emulator.outages import STEP_MS, Instance, Request, Server, Setup, World
-from cottonhold.fleet.coordinator import Action, FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.actions import Action, SendFleetMessage
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
+from cottonhold.fleet.settings import FleetSettings
 
 CANDIDATE_ENGINES = 8  # engines that the module compares
 OUTLIER_MS = 2000.0  # so long it passes over an engine that failed
@@ -88,7 +90,7 @@
     def carry_out(self, now: float, actions: Iterable[Action]) -> None:
         """Send messages, and apply the bounds."""
         for action in actions:
-            if isinstance(action, SendMessage):
+            if isinstance(action, SendFleetMessage):
                 there = self.world.instances[action.member - 1]
                 assert isinstance(there, CoordinatedInstance)
                 self.world.at(now + 2, partial(there.on_message, self.fleet.self_id, action.data))
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -23,10 +23,12 @@
     Request,
     SharedThreshold,
 )
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage, ThresholdUpdate
+from cottonhold.fleet.actions import SendFleetMessage, ThresholdUpdate
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.recovery.first_prober import first_prober
-from cottonhold.fleet.recovery.slow_start import OutageScope
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope
+from cottonhold.fleet.settings import FleetSettings
 
 KINDS = (Kind(1.0, share=0.48), Kind(6.0, share=0.32), Kind(6.0, 60.0, 4000.0, 0.2))
 MEAN = sum(k.mean_work_ms * k.share for k in KINDS)
@@ -113,7 +115,7 @@
         """Carry out the coordinator's actions."""
         for action in actions:
             match action:
-                case SendMessage(member, data):
+                case SendFleetMessage(member, data):
                     self.back.say(now, self.number, member - 1, data)
                 case EngineBounds():
                     self.allowance.set_bounds(now, action)
--- a/cottonhold/fleet/admission/capacity.py
+++ b/cottonhold/fleet/admission/capacity.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from cottonhold.fleet.recovery.slow_start import SlowStart
+from cottonhold.fleet.recovery.shared_slow_start import SharedSlowStart
 from cottonhold.fleet.zone_failover.evacuation import Evacuation
 
 MIN_OWNED_CORES = 1e-6  # so that an instance without any still counts as one that owns cores
@@ -31,7 +31,7 @@
 def warming_capacity(
     engines: Mapping[str, Mapping[str, float]],
     evacuation: Evacuation,
-    slow_start: SlowStart,
+    slow_start: SharedSlowStart,
     dispatchers: int,
     is_just_started: bool,
     offered_cores: Mapping[int, float],
--- a/cottonhold/fleet/admission/demand_messages.py
+++ b/cottonhold/fleet/admission/demand_messages.py
@@ -14,9 +14,13 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.admission import demand
-from cottonhold.fleet.admission.threshold import ReportedLoad
+from cottonhold.fleet.admission.threshold import ReportedDemand
 from cottonhold.fleet.latest_reports import Stamp
-from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
+from cottonhold.fleet.message_format import (
+    MessageError,
+    decode_list,
+    encode_list,
+)
 from cottonhold.fleet.zone_failover.messages import DEMAND_REPORTS
 
 HEADER = struct.Struct("!QIIBBBB")
@@ -32,7 +36,7 @@
     member: int
     incarnation: int
     version: int
-    load: ReportedLoad
+    load: ReportedDemand
 
     @property
     def stamp(self) -> Stamp:
@@ -57,33 +61,15 @@
 
 def encode_demand_reports(reports: Iterable[DemandReport]) -> bytes:
     """A message with as many of these as fit, first ones first."""
-    parts, remaining = list[bytes](), MAX_MESSAGE_BYTES - 2
-    for report in reports:
-        part = encode_demand_report(report)
-        if len(part) > remaining:
-            break
-        parts.append(part)
-        remaining -= len(part)
-    return bytes((DEMAND_REPORTS, len(parts))) + b"".join(parts)
+    return encode_list(DEMAND_REPORTS, map(encode_demand_report, reports))
 
 
 def decode_demand_reports(data: bytes) -> list[DemandReport]:
     """The reports of a message. Raises MessageError; then none of them is applied."""
-    if len(data) < 2 or data[0] != DEMAND_REPORTS:
-        raise MessageError("no demand reports")
-    reports, offset = [], 2
-    try:
-        for _ in range(data[1]):
-            report, offset = _decode(data, offset)
-            reports.append(report)
-    except struct.error:
-        raise MessageError("truncated") from None
-    if offset != len(data):
-        raise MessageError("too long")
-    return reports
-
-
-def _decode(data: bytes, offset: int) -> tuple[DemandReport, int]:
+    return decode_list(data, DEMAND_REPORTS, "demand reports", _decode_report)
+
+
+def _decode_report(data: bytes, offset: int) -> tuple[DemandReport, int]:
     """The report that begins at an offset, and where it ends."""
     member, incarnation, version, gain, finished, wait, steps = HEADER.unpack_from(data, offset)
     begin = offset + HEADER.size
@@ -91,5 +77,5 @@
     rates = demand.decode_rates(data[begin:end])
     if not member or rates is None or len(data) < end:
         raise MessageError("demand report")
-    load = ReportedLoad(rates, gain / GAIN_STEPS, float(finished), wait / WAIT_STEPS)
+    load = ReportedDemand(rates, gain / GAIN_STEPS, float(finished), wait / WAIT_STEPS)
     return DemandReport(member, incarnation, version, load), end
--- a/cottonhold/fleet/admission/demand_sharing.py
+++ b/cottonhold/fleet/admission/demand_sharing.py
@@ -16,7 +16,7 @@
 )
 from cottonhold.fleet.admission.threshold import (
     DensityThreshold,
-    ReportedLoad,
+    ReportedDemand,
     ThresholdController,
     ThresholdSettings,
 )
@@ -115,12 +115,12 @@
         others = {r.member: sum(r.load.rates.values()) for r in reports if r.member != self.self_id}
         return {self.self_id: sum(self.demand.rates(now).values()), **others}
 
-    def reported_loads(self, now: float, members: Iterable[int]) -> list[ReportedLoad]:
+    def reported_loads(self, now: float, members: Iterable[int]) -> list[ReportedDemand]:
         """What these members reported lately."""
         reports = self.reports.fresh(now, self.settings.max_report_age_ms, members)
         return [report.load for report in reports]
 
-    def _round(self, now: float, members: list[int], own: ReportedLoad) -> list[tuple[int, bytes]]:
+    def _round(self, now: float, members: list[int], own: ReportedDemand) -> list[tuple[int, bytes]]:
         """This instance's report to the others, as (member, message)."""
         s = self.settings
         self.next_round = now + s.report_interval_ms * (0.8 + 0.4 * self.random.random())
--- a/cottonhold/fleet/admission/threshold.py
+++ b/cottonhold/fleet/admission/threshold.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class ReportedLoad:
+class ReportedDemand:
     """One instance's load: its demand by step in cores, its gain, how many requests that it admitted were
     sent or ran out of time lately, and their mean wait as a part of the time to their deadline."""
 
@@ -97,13 +97,13 @@
         self.admitted_requests += 1
         self.waits += 1.0 if ran_out_of_time else min(wait, 1.0)
 
-    def report(self, rates: Mapping[int, float]) -> ReportedLoad:
+    def report(self, rates: Mapping[int, float]) -> ReportedDemand:
         """What to report to the others."""
         mean_wait = self.waits / max(self.admitted_requests, MIN_REQUESTS)
-        return ReportedLoad(rates, self.gain, self.admitted_requests, mean_wait)
+        return ReportedDemand(rates, self.gain, self.admitted_requests, mean_wait)
 
     def step(
-        self, now: float, own: ReportedLoad, others: Iterable[ReportedLoad], alive: int, capacity: float
+        self, now: float, own: ReportedDemand, others: Iterable[ReportedDemand], alive: int, capacity: float
     ) -> DensityThreshold | None:
         """The threshold from now on. alive: instances with this one; capacity: cores of the engines in use.
 
@@ -126,14 +126,16 @@
             self.threshold = None
         return self.threshold
 
-    def _fleet_demand(self, reports: Sequence[ReportedLoad], alive: int, capacity: float) -> dict[int, float]:
+    def _fleet_demand(
+        self, reports: Sequence[ReportedDemand], alive: int, capacity: float
+    ) -> dict[int, float]:
         """Demand of all instances by step, in cores; those that do not report count as the mean."""
         max_cores = self.settings.max_claim_share * capacity if len(reports) > 2 else math.inf
         rates = demand.merge_rates([report.rates for report in reports], max_cores)
         unheard_factor = alive / len(reports)
         return {step: cores * unheard_factor for step, cores in rates.items()}
 
-    def _adapt(self, now: float, reports: Sequence[ReportedLoad]) -> None:
+    def _adapt(self, now: float, reports: Sequence[ReportedDemand]) -> None:
         """Let the gain follow the waits of admitted requests at all instances.
 
         By those of all, since one that few clients use waits for nothing and its gain would run off. With
--- a/cottonhold/fleet/consensus/acceptor.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.consensus import messages
-from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.actions import PersistState, SendConsensusMessage
 from cottonhold.fleet.consensus.messages import (
     NO_BALLOT,
     AcceptedState,
@@ -87,14 +87,14 @@
         self.registers: dict[str, VoterRegister] = {}
         self.last_token = 0
         self.folder_id_durable = False  # before, no other voter may learn of the folder id
-        self.answers_by_token: dict[int, list[SendMessage]] = {}  # that wait for a record
+        self.answers_by_token: dict[int, list[SendConsensusMessage]] = {}  # that wait for a record
         self.pending_writes: dict[str, int] = {}  # the last token of each record that is not on disk yet
         self.removals_by_token: dict[int, list[str]] = {}  # registers to remove once the floor is on disk
         self.served_copies: dict[int, ServedCopy] = {}  # by recovering voter
         self.recovery = VoterRecovery(member, self.voters, folder_id)
         self.voting_token: int | None = None  # of the record with which it begins to vote
         self.next_request_at = 0.0
-        self.actions: list[SendMessage | PersistState] = []
+        self.actions: list[SendConsensusMessage | PersistState] = []
         self._load(records)
 
     @property
@@ -102,7 +102,7 @@
         """The number drawn when this voter's folder was created."""
         return self.recovery.folder_id
 
-    def take_actions(self) -> list[SendMessage | PersistState]:
+    def take_actions(self) -> list[SendConsensusMessage | PersistState]:
         """Return the actions to be carried out, once."""
         actions, self.actions = self.actions, []
         return actions
@@ -233,11 +233,11 @@
     def _refuse(self, sender: int, message: RegisterMessage, register: VoterRegister) -> None:
         promised = AcceptedState(register.promised)
         refusal = RegisterMessage(messages.REFUSED, message.name, message.ballot, promised)
-        self.actions.append(SendMessage(sender, messages.encode_message(refusal)))
+        self.actions.append(SendConsensusMessage(sender, messages.encode_message(refusal)))
 
     def _send_after_write(self, record_name: str, member: int, payload: bytes) -> None:
         """Send an answer once the record that it depends on is on disk."""
-        answer = SendMessage(member, payload)
+        answer = SendConsensusMessage(member, payload)
         token = self.pending_writes.get(record_name)
         if token is None:
             self.actions.append(answer)
--- a/cottonhold/fleet/consensus/actions.py
+++ b/cottonhold/fleet/consensus/actions.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SendMessage:
+class SendConsensusMessage:
     """Send a datagram's payload to another member."""
 
     member: int
@@ -61,7 +61,7 @@
     value: bytes
 
 
-Action = SendMessage | PersistState | RegisterChanged | OperationOutcome
+Action = SendConsensusMessage | PersistState | RegisterChanged | OperationOutcome
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/consensus/proposer.py
+++ b/cottonhold/fleet/consensus/proposer.py
@@ -14,7 +14,7 @@
     ChangeResult,
     OperationOutcome,
     RegisterChanged,
-    SendMessage,
+    SendConsensusMessage,
 )
 from cottonhold.fleet.consensus.messages import AcceptedState, Ballot, RegisterMessage
 from cottonhold.fleet.consensus.settings import RegisterSettings
@@ -197,7 +197,7 @@
         else:
             message = RegisterMessage(messages.ACCEPT, pending.name, pending.ballot, pending.proposed_state)
         payload = messages.encode_message(message)
-        self.actions += [SendMessage(voter, payload) for voter in self.voters]
+        self.actions += [SendConsensusMessage(voter, payload) for voter in self.voters]
 
     def _on_majority_promised(self, now: float, pending: PendingChange, states: list[AcceptedState]) -> None:
         """Propose the newest accepted state, with the change applied if the version is the expected one."""
@@ -265,7 +265,7 @@
         if announcement.sent_count <= self.settings.max_announcements:
             payload = messages.encode_message(RegisterMessage(messages.CHOSEN, name, state.ballot, state))
             receivers = sorted({*self.voters, *self.listeners})
-            self.actions += [SendMessage(member, payload) for member in receivers]
+            self.actions += [SendConsensusMessage(member, payload) for member in receivers]
         if is_finished:
             self._remove_finished(now, name, announcement)
 
@@ -279,13 +279,13 @@
         ballot = announcement.state.ballot
         accept = messages.encode_message(RegisterMessage(messages.ACCEPT, name, ballot, announcement.state))
         missing = [voter for voter in self.voters if voter not in announcement.accepted_by]
-        self.actions += [SendMessage(voter, accept) for voter in missing]
+        self.actions += [SendConsensusMessage(voter, accept) for voter in missing]
         timeout_ms = self.settings.operation_timeout_ms
         if now < announcement.chosen_at + timeout_ms * REMOVAL_DELAY_OPERATION_TIMEOUTS:
             return
         if len(announcement.accepted_by) == len(self.voters):
             forget = messages.encode_message(RegisterMessage(messages.FORGET, name, ballot))
-            self.actions += [SendMessage(voter, forget) for voter in self.voters]
+            self.actions += [SendConsensusMessage(voter, forget) for voter in self.voters]
         if now > announcement.chosen_at + timeout_ms * GIVE_UP_REMOVAL_OPERATION_TIMEOUTS:
             # Either it is removed, or a voter is away: a voter that still has it reads it again later.
             del self.announcements[name]
--- a/cottonhold/fleet/consensus/register.py
+++ b/cottonhold/fleet/consensus/register.py
@@ -26,7 +26,7 @@
 
 from cottonhold.fleet.consensus import messages
 from cottonhold.fleet.consensus.acceptor import Acceptor
-from cottonhold.fleet.consensus.actions import Action, SendMessage
+from cottonhold.fleet.consensus.actions import Action, SendConsensusMessage
 from cottonhold.fleet.consensus.messages import AcceptedState, Ballot
 from cottonhold.fleet.consensus.proposer import Proposer
 from cottonhold.fleet.consensus.settings import RegisterSettings
@@ -176,12 +176,12 @@
             if not actions:
                 break
             for action in actions:
-                if isinstance(action, SendMessage) and action.member == self.member:
+                if isinstance(action, SendConsensusMessage) and action.member == self.member:
                     self._dispatch(now, self.member, action.payload)
                 else:
                     external.append(action)
         self._forget_finished()
-        self.counts["said"] += sum(isinstance(action, SendMessage) for action in external)
+        self.counts["said"] += sum(isinstance(action, SendConsensusMessage) for action in external)
         if self.acceptor is not None:
             self._read_unsettled(now)
         return external
--- a/cottonhold/fleet/consensus/voter_recovery.py
+++ b/cottonhold/fleet/consensus/voter_recovery.py
@@ -27,7 +27,7 @@
 from dataclasses import dataclass, field
 
 from cottonhold.fleet.consensus import messages
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.consensus.messages import HelloReply, RecoveryRequest, RegisterPage
 
 MAX_EPOCH = 255  # an epoch is one byte of a message
@@ -74,9 +74,9 @@
         self.previous_new_folders: dict[int, int] = {}  # voters that had never voted, in the round before
         self.copies: dict[int, RegisterCopy] = {}
         self.pages_at_last_request = 0
-        self.messages: list[SendMessage] = []
+        self.messages: list[SendConsensusMessage] = []
 
-    def take_messages(self) -> list[SendMessage]:
+    def take_messages(self) -> list[SendConsensusMessage]:
         """Return the messages to be sent, once."""
         taken, self.messages = self.messages, []
         return taken
@@ -145,7 +145,7 @@
         self.copies = {}
         hello = RecoveryRequest(messages.HELLO, self.folder_id, self.round)
         payload = messages.encode_recovery_request(hello)
-        self.messages += [SendMessage(voter, payload) for voter in self.other_voters]
+        self.messages += [SendConsensusMessage(voter, payload) for voter in self.other_voters]
 
     def _request_missing_pages(self, received_pages: int) -> None:
         """Copies still arrive: request only the pages that were lost."""
@@ -157,4 +157,4 @@
 
     def _request_page(self, voter: int, page_index: int) -> None:
         request = RecoveryRequest(messages.PAGE_REQUEST, self.folder_id, self.round, self.epoch, page_index)
-        self.messages.append(SendMessage(voter, messages.encode_recovery_request(request)))
+        self.messages.append(SendConsensusMessage(voter, messages.encode_recovery_request(request)))
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -10,90 +10,37 @@
 import math
 import random
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
 from typing import Any
 
 from cottonhold.fleet import engine_bounds
+from cottonhold.fleet.actions import Action, SendFleetMessage, ThresholdUpdate
 from cottonhold.fleet.admission.capacity import AvailableCapacity, steady_capacity, warming_capacity
-from cottonhold.fleet.admission.demand_sharing import DemandSettings, DemandSharing
-from cottonhold.fleet.admission.threshold import DensityThreshold
+from cottonhold.fleet.admission.demand_sharing import DemandSharing
 from cottonhold.fleet.engine_bounds import EngineBounds
-from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.estimator import CostEstimator
 from cottonhold.fleet.failover_cost.messages import SITE_REPORTS
+from cottonhold.fleet.fleet_load import FleetLoad
 from cottonhold.fleet.message_format import MAX_UINT32, MessageError
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
-from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET, SlowStartSettings
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope, SharedSlowStart
+from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET
 from cottonhold.fleet.recovery.warmup_messages import WARMUP_REPORTS
+from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover import messages, operator_overrides, quota_lending
 from cottonhold.fleet.zone_failover.electorate import Electorate
-from cottonhold.fleet.zone_failover.evacuation import Evacuation, EvacuationSettings, Phase, PhaseChange
-from cottonhold.fleet.zone_failover.failure_evidence import EvidenceSettings, FailureEvidence
+from cottonhold.fleet.zone_failover.evacuation import Evacuation
+from cottonhold.fleet.zone_failover.failure_evidence import FailureEvidence
 from cottonhold.fleet.zone_failover.messages import ZoneReport
 from cottonhold.fleet.zone_failover.offered_load import OfferedLoad
 from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode, Overrides
-from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount, QuotaMessage, QuotaSettings
-from cottonhold.fleet.zone_failover.reporting import ReportingSettings, ZoneReporting
+from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount, QuotaMessage
+from cottonhold.fleet.zone_failover.reporting import ZoneReporting
 from cottonhold.fleet.zone_failover.status import override_row, zone_row
-from cottonhold.fleet.zone_failover.zone_assessment import AssessmentSettings, ZoneAssessment
+from cottonhold.fleet.zone_failover.zone_assessment import ZoneAssessment
+from cottonhold.fleet.zone_failover.zone_state import PhaseChange, ZonePhase
 
 HURRIED_STEPS = 4  # times more often an instance steps that has just started
 
 
-@dataclass(slots=True, frozen=True)
-class FleetSettings:
-    """Times in ms.
-
-    dispatchers: configured ones; each owns one part of a budget. step_interval_ms: between two steps, and two
-    rounds of reports while a zone has a fault. report_interval_ms: between two rounds else.
-    gossip_from_members, gossip_fanout: see ReportingSettings. max_voters, electorate_memory_ms: see
-    Electorate. sheds_load: overload is handled by all together. bounds_ttl_ms: so long bounds hold; an
-    instance that was suspended must not go on by old ones. checks_are_shared, max_check_age_ms: see
-    AssessmentSettings. slow_start: engines that start get work as all instances see them warm up; None: off.
-    failover_cost: the cost of a zone's loss is estimated, and decides how much an evacuated zone retains and
-    which zones serve whose clients; None: off. home_zone: of this instance and its clients.
-    """
-
-    dispatchers: int = 1
-    step_interval_ms: float = 100.0
-    report_interval_ms: float = 1000.0
-    gossip_from_members: int = 9
-    gossip_fanout: int = 4
-    max_voters: int = 16
-    sheds_load: bool = False
-    electorate_memory_ms: float = 60_000.0
-    bounds_ttl_ms: float = 500.0
-    checks_are_shared: bool = True
-    max_check_age_ms: float = 3000.0
-    evidence: EvidenceSettings = field(default_factory=EvidenceSettings)
-    evacuation: EvacuationSettings = field(default_factory=EvacuationSettings)
-    demand: DemandSettings = field(default_factory=DemandSettings)
-    quota: QuotaSettings = field(default_factory=QuotaSettings)
-    slow_start: SlowStartSettings | None = None
-    failover_cost: CostEstimatorSettings | None = None
-    home_zone: str = ""
-
-
-@dataclass(slots=True, frozen=True)
-class SendMessage:
-    """A message for a member."""
-
-    member: int
-    data: bytes
-
-
-@dataclass(slots=True, frozen=True)
-class ThresholdUpdate:
-    """What is admitted until `expires_at`; all, without a threshold. retry_after_ms: when a request that is
-    rejected now should find capacity; 0: nothing is known."""
-
-    threshold: DensityThreshold | None
-    expires_at: float
-    retry_after_ms: float = 0.0
-
-
-Action = SendMessage | EngineBounds | PhaseChange | ThresholdUpdate
-
-
 class FleetCoordinator:
     """The state of one instance.
 
@@ -117,10 +64,10 @@
         self.overrides = Overrides(self_id)
         self.electorate = Electorate(self_id, settings.electorate_memory_ms, settings.max_voters)
         self.offered_load = OfferedLoad(now)
-        self.reporting = ZoneReporting(self_id, _reporting_settings(settings), self.overrides, self.random)
+        self.reporting = ZoneReporting(self_id, settings.reporting, self.overrides, self.random)
         self.reports = self.reporting.reports
         self.assessment = ZoneAssessment(
-            AssessmentSettings(settings.checks_are_shared, settings.max_check_age_ms),
+            settings.assessment,
             self.evidence,
             self.evacuation,
             self.overrides,
@@ -129,6 +76,8 @@
         owned = 1 / settings.dispatchers
         self.quotas = QuotaAccount(now, owned, self.random.getrandbits(30), settings.quota)
         self._start_optional_parts(now, seed, is_only_process)
+        declared_demand = self.demand if self.slow_start is not None else None
+        self.fleet_load = FleetLoad(self_id, self.offered_load, self.reporting, declared_demand)
         self.engines: dict[str, dict[str, float]] = {}  # zone -> engine -> cores
         self.zone_of: dict[str, str] = {}
         self.zone_numbers: dict[str, int] = {}
@@ -145,10 +94,10 @@
         self.demand: DemandSharing | None = None
         if settings.sheds_load:
             self.demand = DemandSharing(self_id, incarnation, now, seed, settings.demand)
-        self.slow_start: SlowStart | None = None
+        self.slow_start: SharedSlowStart | None = None
         if settings.slow_start is not None:
             owned, first_term = 1 / settings.dispatchers, self.random.getrandbits(30)
-            self.slow_start = SlowStart(self_id, incarnation, now, settings.slow_start, seed)
+            self.slow_start = SharedSlowStart(self_id, incarnation, now, settings.slow_start, seed)
             self.warmup_quotas = QuotaAccount(
                 now, owned, first_term, settings.slow_start.quota, is_only_process
             )
@@ -207,26 +156,26 @@
         self.evidence.on_sent(now, attempt_id, engine, self.zone_of.get(engine, ""), query_class)
 
     def on_attempt_ended(
-        self, now: float, attempt_id: str, good: bool | None, elapsed_ms: float, work_ms: float = 0.0
+        self, now: float, attempt_id: str, succeeded: bool | None, elapsed_ms: float, work_ms: float = 0.0
     ) -> None:
         """An attempt has succeeded, failed, or was cancelled here (None). work_ms: as the engine reports it,
         0 where it does not."""
         attempt = self.evidence.open_attempts.get(attempt_id)
-        if attempt is not None and good is not None:
+        if attempt is not None and succeeded is not None:
             if self.slow_start is not None:
                 work_ms = work_ms or self.evidence.usual_work_ms(attempt.query_class)
-                self.slow_start.on_answer(now, attempt.engine, good, work_ms, elapsed_ms)
+                self.slow_start.on_answer(now, attempt.engine, succeeded, work_ms, elapsed_ms)
             if self.failover_cost is not None:
-                self.failover_cost.unstable_engines.on_result(now, attempt.engine, good)
-        self.evidence.on_ended(now, attempt_id, good, elapsed_ms)
+                self.failover_cost.unstable_engines.on_result(now, attempt.engine, succeeded)
+        self.evidence.on_ended(now, attempt_id, succeeded, elapsed_ms)
 
-    def on_health_check(self, now: float, engine: str, good: bool) -> None:
+    def on_health_check(self, now: float, engine: str, succeeded: bool) -> None:
         """A health check by this instance has ended, or a good one by another."""
-        self.assessment.on_health_check(now, engine, good)
+        self.assessment.on_health_check(now, engine, succeeded)
         if self.slow_start is not None:
-            self.slow_start.on_health_check(now, engine, good)
+            self.slow_start.on_health_check(now, engine, succeeded)
         if self.failover_cost is not None:
-            self.failover_cost.unstable_engines.on_result(now, engine, good)
+            self.failover_cost.unstable_engines.on_result(now, engine, succeeded)
 
     def on_message(self, now: float, sender: int, data: bytes) -> list[Action]:
         """A message from a member; a malformed one is counted and changes nothing."""
@@ -315,14 +264,14 @@
         self, now: float, reports: Mapping[str, list[ZoneReport]], electorate: int
     ) -> list[PhaseChange]:
         """Evacuate zones and return to them. What is new is reported at once, without waiting for a round."""
-        assessed = self.assessment.assess(now, self._fleet_load(now))
+        assessed = self.assessment.assess(now, self.fleet_load.total_cores(now, self.live))
         changes = self.evacuation.step(now, assessed, reports, electorate)
         suspected = {zone for zone, evidence in assessed.items() if evidence.suspects_failure}
         if changes or suspected - self.suspected_zones:
             self.next_report = now
         self.suspected_zones = suspected
         for change in changes:
-            evacuated, returning = change.phase is Phase.EVACUATED, change.phase is Phase.RETURNING
+            evacuated, returning = change.phase is ZonePhase.EVACUATED, change.phase is ZonePhase.RETURNING
             self.evidence.reset(change.zone, evacuated, returning)
         return changes
 
@@ -332,17 +281,6 @@
             return None
         return self.failover_cost.retained_share(now, zone, success_share=served_share)
 
-    def _load_by_member(self, now: float) -> dict[int, float]:
-        """Work offered to each instance that reports, in cores."""
-        own = self.offered_load.cores(now)
-        others = {report.member: report.offered_centicores / 100 for report in self.reporting.fresh}
-        return {self.self_id: own, **others}
-
-    def _fleet_load(self, now: float) -> float:
-        """Work offered to the whole fleet, in cores; members that do not report count as the mean."""
-        by_member = self._load_by_member(now)
-        return sum(by_member.values()) * (1 + len(self.live)) / len(by_member)
-
     def _bound_engines(self, now: float, reports: Mapping[str, list[ZoneReport]]) -> list[Action]:
         bounds = engine_bounds.zone_bounds(
             now, self.engines, self.evacuation, reports, self.quotas, self.zone_numbers
@@ -367,29 +305,12 @@
             budgets.append(WARMUP_BUDGET)
         if not budgets:
             return []
-        load_shares = self._load_shares(now)
+        load_shares = self.fleet_load.shares(now, self.live)
         requests = list[QuotaMessage]()
         for budget in budgets if load_shares else ():
             requests += self._account(budget).request(now, budget, load_shares, self.self_id)
         return self._send_quota(requests)
 
-    def _load_shares(self, now: float) -> dict[int, float]:
-        """By member, its share of the load of the whole fleet; empty without any load.
-
-        After a restart an instance does not know the usual work of its requests, so the demand that requests
-        declare is used where it is shared.
-        """
-        members, by_member, total = {self.self_id, *self.live}, self._load_by_member(now), 0.0
-        if self.slow_start is not None and self.demand is not None:
-            by_member = self.demand.offered_cores(now, self.live)
-            total = sum(by_member.values()) * len(members) / len(by_member)
-        else:
-            total = self._fleet_load(now)
-        if total <= 0:
-            return {}
-        mean = total / len(members)
-        return {member: by_member.get(member, mean) / total for member in members}
-
     def _update_threshold(self, now: float) -> list[Action]:
         """Compute the admission threshold, and report this instance's demand."""
         if self.demand is None:
@@ -427,23 +348,23 @@
         interval_ms = self.settings.report_interval_ms * (0.8 + 0.4 * self.random.random())
         self.next_report = now if self._has_fault() else now + interval_ms
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
-        own = self.reporting.own_report(
+        own_report = self.reporting.build_report(
             (self.incarnation, self.version),
             self.offered_load.centicores(),
             self.evacuation,
             self.evidence,
             self.zone_numbers,
         )
-        return self._send(self.reporting.messages(now, own, self.live, self.electorate.voters(now)))
+        return self._send(self.reporting.messages(now, own_report, self.live, self.electorate.voters(now)))
 
     def _has_fault(self) -> bool:
         """Whether any instance sees a zone that is not in full service."""
-        if any(state.phase is not Phase.IN_SERVICE for state in self.evacuation.states.values()):
+        if any(state.phase is not ZonePhase.IN_SERVICE for state in self.evacuation.states.values()):
             return True
         return any(map(self.reporting.is_alarming, self.reporting.fresh))
 
     def _send(self, messages_out: list[tuple[int, bytes]]) -> list[Action]:
-        actions: list[Action] = [SendMessage(member, data) for member, data in messages_out]
+        actions: list[Action] = [SendFleetMessage(member, data) for member, data in messages_out]
         self.counters["words_sent"] += len(actions)
         self.counters["bytes_sent"] += sum(len(data) for _, data in messages_out)
         return actions
@@ -477,9 +398,3 @@
         max_age_ms = self.settings.evacuation.max_report_age_ms
         fresh = {report.member: report for report in self.reports.fresh(now, max_age_ms, members)}
         return override_row(now, override, self.overrides.digest(), fresh, members, names)
-
-
-def _reporting_settings(settings: FleetSettings) -> ReportingSettings:
-    return ReportingSettings(
-        settings.gossip_from_members, settings.gossip_fanout, settings.evacuation.max_report_age_ms
-    )
--- a/cottonhold/fleet/engine_bounds.py
+++ b/cottonhold/fleet/engine_bounds.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.failover_cost.estimator import CostEstimator
-from cottonhold.fleet.recovery.slow_start import SlowStart
+from cottonhold.fleet.recovery.shared_slow_start import SharedSlowStart
 from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET
 from cottonhold.fleet.zone_failover.evacuation import Evacuation
 from cottonhold.fleet.zone_failover.messages import ZoneReport
@@ -28,7 +28,7 @@
     expires_at: float
 
 
-def is_warming_up(slow_start: SlowStart | None) -> bool:
+def is_warming_up(slow_start: SharedSlowStart | None) -> bool:
     """Whether any engine is under slow start."""
     return slow_start is not None and slow_start.is_active
 
@@ -56,7 +56,7 @@
 
 
 def add_warmup_bounds(
-    now: float, bounds: EngineBounds, slow_start: SlowStart, quotas: QuotaAccount
+    now: float, bounds: EngineBounds, slow_start: SharedSlowStart, quotas: QuotaAccount
 ) -> EngineBounds:
     """Bounds narrowed by this instance's quota of engines that warm up."""
     usable = quotas.usable(now, WARMUP_BUDGET)
@@ -69,7 +69,7 @@
     bounds: EngineBounds,
     engines: EngineCores,
     evacuation: Evacuation,
-    slow_start: SlowStart | None,
+    slow_start: SharedSlowStart | None,
     cost: CostEstimator,
 ) -> EngineBounds:
     """Bounds narrowed by the failover plan: where clients are served first, and by which other zones."""
@@ -83,7 +83,7 @@
 
 
 def remaining_capacity(
-    engines: EngineCores, evacuation: Evacuation, slow_start: SlowStart | None
+    engines: EngineCores, evacuation: Evacuation, slow_start: SharedSlowStart | None
 ) -> dict[str, float]:
     """By zone that has less than all, the part of its cores that the fleet may use now."""
     remaining = {}
--- a/cottonhold/fleet/failover_cost/allocation_reference.py
+++ b/cottonhold/fleet/failover_cost/allocation_reference.py
@@ -20,8 +20,8 @@
         return Allocation({}, 0.0, 0.0)
     zones = sorted(problem.capacity)
     rows, limits = _demand_rows(problem, flows, len(zones))
-    for at, zone in enumerate(zones):
-        congested = [-1.0 if i == at else 0.0 for i in range(len(zones))]
+    for row, zone in enumerate(zones):
+        congested = [-1.0 if i == row else 0.0 for i in range(len(zones))]
         used = [problem.cost_factors.get((h, z), 1.0) if z == zone else 0.0 for h, z, _ in flows]
         cross_zone = [x if home != zone else 0.0 for x, (home, _, _) in zip(used, flows, strict=True)]
         rows += [used + congested, cross_zone + [0.0] * len(zones)]
@@ -29,11 +29,11 @@
     costs = [-problem.utility(flow) for flow in flows] + [problem.congestion_cost] * len(zones)
     bounds: list[tuple[float, float | None]] = [(0.0, None)] * len(flows)
     bounds += [(0.0, problem.congested_capacity.get(zone, 0.0)) for zone in zones]
-    found = linprog(costs, A_ub=rows, b_ub=limits, bounds=bounds, method="highs")
-    if found.status:
-        raise RuntimeError(found.message)
-    work = zip(flows, found.x[: len(flows)], strict=True)
-    utility = -float(found.fun)
+    result = linprog(costs, A_ub=rows, b_ub=limits, bounds=bounds, method="highs")
+    if result.status:
+        raise RuntimeError(result.message)
+    work = zip(flows, result.x[: len(flows)], strict=True)
+    utility = -float(result.fun)
     return Allocation({flow: float(x) for flow, x in work if x > EPSILON}, utility, utility)
 
 
--- a/cottonhold/fleet/failover_cost/cold_work.py
+++ b/cottonhold/fleet/failover_cost/cold_work.py
@@ -25,13 +25,13 @@
 
 def zone_uses(snapshot: FleetSnapshot, flows: ZoneFlows, zone: str) -> dict[int, float]:
     """Uses of each data set a second in a zone, by what it serves."""
-    found = dict[int, list[float]]()
+    rates_by_data_set = dict[int, list[float]]()
     for (home, serving), work in flows.items():
         if serving == zone:
             share = work / max(snapshot.homes[home].cores, MIN_AMOUNT)
             for number, rate in home_uses(snapshot, home, share).items():
-                found.setdefault(number, []).append(rate)
-    return {number: math.fsum(rates) for number, rates in found.items()}
+                rates_by_data_set.setdefault(number, []).append(rate)
+    return {number: math.fsum(rates) for number, rates in rates_by_data_set.items()}
 
 
 def cold_share(snapshot: FleetSnapshot, home: str, zone: str, share: float, settings: CostSettings) -> float:
--- a/cottonhold/fleet/failover_cost/cross_zone_limits.py
+++ b/cottonhold/fleet/failover_cost/cross_zone_limits.py
@@ -1,4 +1,4 @@
-"""How much one instance may send to zones that are not its clients' own, while capacity is missing. Pure.
+"""How much one instance may send to zones other than its clients' own, while capacity is missing. Pure.
 
 Each instance takes its part by its own demand, which nobody else counts: so two instances of one home never
 both take the whole of what the plan gives that home. Work is in cores.
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-MIN_WORK_RATE = 1e-6  # no limit is nothing: that would mean that the fleet has evacuated the engine
+MIN_CROSS_ZONE_LIMIT = 1e-6  # no limit is nothing: that would mean that the fleet has evacuated the engine
 MIN_CORES = 1e-9  # keeps a home without demand from dividing by nothing
 
 ZoneFlows = Mapping[tuple[str, str], float]  # work in cores by home and zone
@@ -45,59 +45,60 @@
     def served_share(self, home: str) -> float:
         """Part of a home's work that is admitted. Not less than that of all homes, since the admission
         threshold is one for all: work that it admits needs a zone that serves it."""
-        own = math.fsum(cores for (h, _), cores in self.flows.items() if h == home)
-        of_all = math.fsum(self.flows.values()) / max(math.fsum(self.demand.values()), MIN_CORES)
-        return min(max(own / max(self.demand.get(home, 0.0), MIN_CORES), of_all), 1.0)
+        home_cores = math.fsum(cores for (h, _), cores in self.flows.items() if h == home)
+        fleet_share = math.fsum(self.flows.values()) / max(math.fsum(self.demand.values()), MIN_CORES)
+        return min(max(home_cores / max(self.demand.get(home, 0.0), MIN_CORES), fleet_share), 1.0)
 
 
 def cross_zone_work(
     home: str,
     shares: Mapping[str, float],
-    own_demand: float,
+    instance_demand: float,
     allocation: OutageAllocation,
     is_home_evacuated: bool,
     settings: CrossZoneSettings | None = None,
 ) -> dict[str, float]:
     """By zone the work that an instance may send there; its own zone is not named, nor any if it has no work.
 
-    shares: parts of its home's served work by zone. own_demand: its own now. is_home_evacuated: all of its
-    work has to find a place elsewhere; what the limits of single zones cut off goes to those with capacity.
+    shares: parts of its home's served work by zone. instance_demand: this instance's, in cores.
+    is_home_evacuated: all of its work has to find a place elsewhere; what the limits of single zones cut off
+    goes to those with capacity.
     """
     s = settings or CrossZoneSettings()
-    needed = own_demand * allocation.served_share(home) * (1 + s.slack)
+    needed = instance_demand * allocation.served_share(home) * (1 + s.slack)
     if needed <= 0:
         return {}
-    total = max(math.fsum(allocation.demand.values()), own_demand)
-    part = min(own_demand / max(allocation.demand.get(home, 0.0), MIN_CORES), 1.0)
+    total = max(math.fsum(allocation.demand.values()), instance_demand)
+    demand_share = min(instance_demand / max(allocation.demand.get(home, 0.0), MIN_CORES), 1.0)
     limits, work = dict[str, float](), dict[str, float]()
     for zone, capacity in allocation.cross_zone_capacity.items():
         if zone != home:
-            limits[zone] = _limit(home, zone, capacity, own_demand, part, allocation)
-            spill = s.spill_share * allocation.free_cores.get(zone, 0.0) * own_demand / total
+            limits[zone] = _limit(home, zone, capacity, instance_demand, demand_share, allocation)
+            spill = s.spill_share * allocation.free_cores.get(zone, 0.0) * instance_demand / total
             work[zone] = min(shares.get(zone, 0.0) * needed + spill, limits[zone])
-    lacking = needed - math.fsum(work.values()) if is_home_evacuated else 0.0
+    unplaced = needed - math.fsum(work.values()) if is_home_evacuated else 0.0
     spare = {zone: limits[zone] - cores for zone, cores in work.items()}
     all_spare = math.fsum(spare.values())
-    if lacking > 0 and all_spare > 0:
-        used = min(lacking / all_spare, 1.0)
+    if unplaced > 0 and all_spare > 0:
+        used = min(unplaced / all_spare, 1.0)
         work = {zone: cores + spare[zone] * used for zone, cores in work.items()}
-    return {zone: max(cores, MIN_WORK_RATE) for zone, cores in work.items()}
+    return {zone: max(cores, MIN_CROSS_ZONE_LIMIT) for zone, cores in work.items()}
 
 
 def _limit(
     home: str,
     zone: str,
     capacity: float,
-    own_demand: float,
-    part: float,
+    instance_demand: float,
+    demand_share: float,
     allocation: OutageAllocation,
 ) -> float:
     """What an instance's clients may take of a zone: its part of the plan, and by its demand of the
     cross-zone capacity that the plan leaves free there."""
-    taken = math.fsum(cores for (h, z), cores in allocation.flows.items() if z == zone and h != zone)
+    allocated = math.fsum(cores for (h, z), cores in allocation.flows.items() if z == zone and h != zone)
     other_demand = math.fsum(cores for h, cores in allocation.demand.items() if h != zone)
-    free = max(capacity - taken, 0.0) * own_demand / max(other_demand, own_demand)
-    return allocation.flows.get((home, zone), 0.0) * part + free
+    free = max(capacity - allocated, 0.0) * instance_demand / max(other_demand, instance_demand)
+    return allocation.flows.get((home, zone), 0.0) * demand_share + free
 
 
 @dataclass(slots=True)
@@ -108,9 +109,9 @@
     failures: dict[str, int] = field(default_factory=dict)  # in a row
     unreachable_at: dict[str, float] = field(default_factory=dict)  # when it was last known to be
 
-    def on_result(self, now: float, engine: str, good: bool) -> None:
+    def on_result(self, now: float, engine: str, succeeded: bool) -> None:
         """An attempt, or a health check, has ended."""
-        self.failures[engine] = 0 if good else self.failures.get(engine, 0) + 1
+        self.failures[engine] = 0 if succeeded else self.failures.get(engine, 0) + 1
         if self.failures[engine] >= self.settings.failures_until_unstable:
             self.unreachable_at[engine] = now
 
@@ -138,13 +139,17 @@
     A limited engine is not held to the scheduler's own slow start, so its limit has to be that of a cold one.
     More than half of the engines cold at once is more likely a fault of the observer, and is ignored.
     """
-    few = [engine for engine in cold if engine in engines]
-    few = few if 2 * len(few) <= len(engines) else []
-    limited = {engine: min(settings.cold_share * engines[engine] * demand_share, work) for engine in few}
+    possibly_cold = [engine for engine in cold if engine in engines]
+    possibly_cold = possibly_cold if 2 * len(possibly_cold) <= len(engines) else []
+    limited = {
+        engine: min(settings.cold_share * engines[engine] * demand_share, work) for engine in possibly_cold
+    }
     warm_cores = math.fsum(cores for engine, cores in engines.items() if engine not in limited)
     remaining = max(work - math.fsum(limited.values()), 0.0)
     return {
-        engine: max(limited[engine] if engine in limited else remaining * cores / warm_cores, MIN_WORK_RATE)
+        engine: max(
+            limited[engine] if engine in limited else remaining * cores / warm_cores, MIN_CROSS_ZONE_LIMIT
+        )
         for engine, cores in engines.items()
     }
 
--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -13,10 +13,10 @@
 import math
 import random
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 from enum import Enum
 
-from cottonhold.fleet.failover_cost.cost_settings import MIN_AMOUNT, CostSettings
+from cottonhold.fleet.failover_cost.cost_settings import MIN_AMOUNT
 from cottonhold.fleet.failover_cost.cross_zone_limits import (
     CrossZoneSettings,
     OutageAllocation,
@@ -25,8 +25,9 @@
     divide_among_engines,
     fill_in_order,
 )
-from cottonhold.fleet.failover_cost.fleet_snapshot import SnapshotSettings, take_snapshot
-from cottonhold.fleet.failover_cost.hysteresis import HeldShares, HysteresisSettings
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
+from cottonhold.fleet.failover_cost.fleet_snapshot import take_snapshot
+from cottonhold.fleet.failover_cost.hysteresis import StableShares
 from cottonhold.fleet.failover_cost.messages import SiteReport, decode_site_reports, encode_site_reports
 from cottonhold.fleet.failover_cost.projection import Projection
 from cottonhold.fleet.failover_cost.site_observations import SiteObservations
@@ -47,41 +48,6 @@
     RETAINED = "retained"  # how much an evacuated zone retains
 
 
-@dataclass(slots=True, frozen=True)
-class CostEstimatorSettings:
-    """Times in ms. max_report_age_ms: older reports do not count. snapshot_interval_ms: between two snapshots
-    while capacity is missing or there is no plan yet; idle_snapshot_interval_ms: else. plan_ttl_ms: so long a
-    plan counts without fresh reports of enough instances. report_interval_ms: between two rounds of reports;
-    gossip_from_members, gossip_fanout: as for demand reports. memory_ms: of which data sets are warm where.
-    max_zones_for_pairs: up to so many zones the loss of pairs is foreseen.
-
-    min_bearable_share: part of the utility offered, or of what is served now if that is less, that must be
-    served with any one zone lost. warming_share: part of the cores that cold engines give first.
-    min_retained_share: a smaller part of a zone is not worth the queries that it delays. cross_zone: which
-    zones serve whose clients while capacity is missing; None: any. limits_when_calm: also while none is.
-    save_interval_ms: between two reports for the disk.
-    """
-
-    max_report_age_ms: float = 5000.0
-    snapshot_interval_ms: float = 1000.0
-    idle_snapshot_interval_ms: float = 3000.0
-    plan_ttl_ms: float = 30_000.0
-    report_interval_ms: float = 1000.0
-    gossip_from_members: int = 9
-    gossip_fanout: int = 4
-    memory_ms: float = 10_000.0
-    max_zones_for_pairs: int = 8
-    min_bearable_share: float = 0.85
-    warming_share: float = 0.2
-    min_retained_share: float = 0.1
-    snapshot: SnapshotSettings = field(default_factory=SnapshotSettings)
-    cost: CostSettings = field(default_factory=CostSettings)
-    hysteresis: HysteresisSettings = field(default_factory=HysteresisSettings)
-    cross_zone: CrossZoneSettings | None = field(default_factory=CrossZoneSettings)
-    limits_when_calm: bool = False
-    save_interval_ms: float = 5000.0
-
-
 class CostEstimator:
     """Feed it requests, answers and reports; call `step` ten times a second. home_zone: the instance's."""
 
@@ -105,7 +71,7 @@
         self.next_report = self.next_snapshot = self.next_save = now
         self.is_capacity_missing = False
         self.plan: SnapshotPlan | None = None  # the one in force
-        self.held_shares: dict[tuple[Question, str], HeldShares] = {}
+        self.stable_shares: dict[tuple[Question, str], StableShares] = {}
         self.unstable_engines = UnstableEngines(self.settings.cross_zone or CrossZoneSettings())
 
     def set_engines(self, engines: Mapping[str, Mapping[str, float]]) -> None:
@@ -187,7 +153,7 @@
             self._take_snapshot(now, members, remaining or {})
         if self.plan is not None and now - self.plan.made_at > s.plan_ttl_ms:
             self.plan = None
-            self.held_shares.clear()
+            self.stable_shares.clear()
         return self._messages(now, members)
 
     def _take_snapshot(self, now: float, members: list[int], remaining: Mapping[str, float]) -> None:
@@ -196,8 +162,8 @@
         s = self.settings
         if not members:
             self.last_report = self._next_report(now)
-        own = [self.last_report] if self.last_report is not None else []
-        reports = [*own, *self.reports.fresh(now, s.max_report_age_ms, members)]
+        own_reports = [self.last_report] if self.last_report is not None else []
+        reports = [*own_reports, *self.reports.fresh(now, s.max_report_age_ms, members)]
         snapshot = take_snapshot(reports, self.engines, 1 + len(members), None, s.snapshot)
         known = {zone: x for zone, x in sorted(remaining.items()) if x < 1.0 and zone in self.engines}
         if snapshot is None or not snapshot.total_demand():
@@ -211,7 +177,7 @@
 
     def _plan_from_restored(self, now: float, remaining: Mapping[str, float]) -> None:
         """Where there was never a plan, restored reports say from where clients are served first."""
-        has_answer = any(question is Question.FIRST for question, _ in self.held_shares)
+        has_answer = any(question is Question.FIRST for question, _ in self.stable_shares)
         if self.plan is not None or not self.restored_reports or has_answer:
             return
         reports = self.restored_reports
@@ -225,13 +191,13 @@
 
     def _set_plan(self, plan: SnapshotPlan) -> None:
         """This plan is in force from now on. Answers that nobody asked for under the one before are dropped,
-        so that they are not held against what is wanted now."""
+        so that hysteresis does not weigh them against what is wanted now."""
         before, self.plan = self.plan, plan
         self.restored_reports.clear()
         if before is not None:
-            for key in list(self.held_shares):
+            for key in list(self.stable_shares):
                 if key[0] in (Question.OUTAGE, Question.FIRST) and key not in before.followed:
-                    del self.held_shares[key]
+                    del self.stable_shares[key]
 
     def _while_warming(self, plan: SnapshotPlan) -> dict[str, float]:
         """What remains of zones at first, if all engines were cold."""
@@ -239,15 +205,15 @@
         return {zone: min(share, plan.remaining.get(zone, 1.0)) for zone in self.engines}
 
     def _follow(self, now: float, question: Question, zone: str, wanted: dict[str, float]) -> None:
-        held = self.held_shares.get((question, zone))
-        if held is None:
-            self.held_shares[question, zone] = HeldShares(wanted)
+        stable = self.stable_shares.get((question, zone))
+        if stable is None:
+            self.stable_shares[question, zone] = StableShares(wanted)
         else:
-            held.follow(now, wanted, self.settings.hysteresis)
+            stable.follow(now, wanted, self.settings.hysteresis)
 
-    def projection(self, *zones_out: str) -> Projection | None:
+    def projection(self, *lost_zones: str) -> Projection | None:
         """What it would cost if these zones were out now; None if that is not foreseen or too old."""
-        return None if self.plan is None else self.plan.projection(tuple(sorted(zones_out)))
+        return None if self.plan is None else self.plan.projection(tuple(sorted(lost_zones)))
 
     def projection_with(self, remaining: Mapping[str, float]) -> Projection | None:
         """What it would cost if so much remained of these zones, on top of what is missing now."""
@@ -258,29 +224,29 @@
         Empty without a plan."""
         if self.plan is not None and (zone,) in self.plan.foreseen:
             self._answer_once(self.plan, Question.OUTAGE, zone, self.plan.without(zone))
-        return self._held_answer(Question.OUTAGE, zone)
+        return self._stable_answer(Question.OUTAGE, zone)
 
-    def serving_zones(self, home: str, *zones_out: str) -> Shares:
+    def serving_zones(self, home: str, *lost_zones: str) -> Shares:
         """Which zones are best to serve a zone's clients while these zones are out, beyond what remains of
         them; most first. Empty without a plan, or where nothing is served."""
-        zones_out = tuple(sorted(zones_out))
-        if len(zones_out) == 1 and zones_out[0] == home:
+        lost_zones = tuple(sorted(lost_zones))
+        if len(lost_zones) == 1 and lost_zones[0] == home:
             return self.neighbours(home)
-        if self.plan is None or zones_out and zones_out not in self.plan.foreseen:
+        if self.plan is None or lost_zones and lost_zones not in self.plan.foreseen:
             return ()
-        return largest_first(shares_by_zone(self.plan.flows(self.plan.without(*zones_out)), home))
+        return largest_first(shares_by_zone(self.plan.flows(self.plan.without(*lost_zones)), home))
 
-    def useful_cores(self, *zones_out: str) -> float | None:
+    def useful_cores(self, *lost_zones: str) -> float | None:
         """Cores that are left for work while these zones are out, once cold work is done; None if unknown."""
-        found = self.projection(*zones_out)
-        return None if found is None else found.useful_cores
+        projection = self.projection(*lost_zones)
+        return None if projection is None else projection.useful_cores
 
     def first_serving_zones(self, home: str) -> Shares:
         """From where a zone's clients are served first while all engines are cold; empty without a plan, or
         where they are served by none at first. Until there is a plan, by restored reports."""
         if self.plan is not None and home in self.plan.snapshot.homes:
             self._answer_once(self.plan, Question.FIRST, home, self._while_warming(self.plan))
-        return self._held_answer(Question.FIRST, home)
+        return self._stable_answer(Question.FIRST, home)
 
     def _answer_once(
         self, plan: SnapshotPlan, question: Question, zone: str, remaining: Mapping[str, float]
@@ -290,9 +256,9 @@
             plan.followed.add((question, zone))
             self._follow(plan.made_at, question, zone, shares_by_zone(plan.flows(remaining), zone))
 
-    def _held_answer(self, question: Question, zone: str) -> Shares:
-        held = self.held_shares.get((question, zone))
-        return largest_first(held.shares) if held is not None else ()
+    def _stable_answer(self, question: Question, zone: str) -> Shares:
+        stable = self.stable_shares.get((question, zone))
+        return largest_first(stable.shares) if stable is not None else ()
 
     def engine_limits(self, now: float, remaining: Mapping[str, float]) -> dict[str, float]:
         """By engine, the work in ms a ms that this instance may send to other zones than its clients' own,
@@ -303,10 +269,10 @@
             return {}
         allocation = self._current_allocation(remaining)
         if allocation is None:
-            self.held_shares.pop((Question.NOW, home), None)
+            self.stable_shares.pop((Question.NOW, home), None)
             return {}
         self._follow(now, Question.NOW, home, shares_by_zone(allocation.flows, home))
-        shares = self.held_shares[Question.NOW, home].shares
+        shares = self.stable_shares[Question.NOW, home].shares
         demand, is_home_evacuated = self.observations.offered_cores(now), remaining.get(home, 1.0) < 1.0
         by_zone = cross_zone_work(home, shares, demand, allocation, is_home_evacuated, s)
         demand_share = demand / max(math.fsum(allocation.demand.values()), demand, MIN_AMOUNT)
@@ -353,13 +319,13 @@
         if plan is None or zone not in plan.snapshot.zones:
             return None
         available_tenths = math.floor(min(available_share, 1.0) * 10 + ROUNDING)
-        asked = zone, available_tenths / 10, math.ceil(success_share * 10) / 10
-        share = plan.retained_shares.get(asked)
+        question = zone, available_tenths / 10, math.ceil(success_share * 10) / 10
+        share = plan.retained_shares.get(question)
         if share is None:
-            share = plan.retained_shares[asked] = self._solve_retained(plan, *asked)
+            share = plan.retained_shares[question] = self._solve_retained(plan, *question)
         wanted = share if share >= self.settings.min_retained_share else 0.0
         self._follow(now, Question.RETAINED, zone, {zone: wanted})
-        return self.held_shares[Question.RETAINED, zone].shares.get(zone, 0.0)
+        return self.stable_shares[Question.RETAINED, zone].shares.get(zone, 0.0)
 
     def _solve_retained(
         self, plan: SnapshotPlan, zone: str, available_share: float, success_share: float
@@ -372,25 +338,25 @@
         return min(used / max(usable, MIN_AMOUNT), 1.0)
 
     def removal_objections(
-        self, cores_out: Mapping[str, float], more_out: Mapping[str, float] | None = None
+        self, removed_cores: Mapping[str, float], additional_cores: Mapping[str, float] | None = None
     ) -> list[str]:
-        """Why so many cores by zone, and `more_out` of them, may not be out now; empty if any single zone's
-        loss on top stays bearable."""
+        """Why so many cores by zone, and `additional_cores`, may not be removed now; empty if any single
+        zone's loss on top stays bearable."""
         plan = self.plan
         if plan is None:
             return [NO_PLAN]
         remaining = dict(plan.remaining)
         for zone, view in plan.snapshot.zones.items():
-            removed = cores_out.get(zone, 0.0) + (more_out or {}).get(zone, 0.0)
+            removed = removed_cores.get(zone, 0.0) + (additional_cores or {}).get(zone, 0.0)
             if removed > 0:
                 part = max(1 - removed / max(view.cores, MIN_AMOUNT), 0.0)
                 remaining[zone] = min(remaining.get(zone, 1.0), part)
         objections = []
         for zone in sorted(plan.snapshot.zones):
-            found = plan.project({**remaining, zone: 0.0})
-            bearable = min(found.offered_utility, found.served_utility + found.lost_utility)
-            if found.served_utility < self.settings.min_bearable_share * bearable:
-                share = found.served_share()
+            projection = plan.project({**remaining, zone: 0.0})
+            bearable = min(projection.offered_utility, projection.served_utility + projection.lost_utility)
+            if projection.served_utility < self.settings.min_bearable_share * bearable:
+                share = projection.served_share()
                 objections.append(f"with {zone} lost as well {share:.2f} of the worth would be served")
         return objections
 
@@ -420,14 +386,14 @@
         if not members or now < self.next_report:
             return []
         self.next_report = now + s.report_interval_ms * (0.8 + 0.4 * self.random.random())
-        self.last_report = own = self._next_report(now)
+        self.last_report = own_report = self._next_report(now)
         if len(members) < s.gossip_from_members:
-            data = encode_site_reports([own])
+            data = encode_site_reports([own_report])
             return [(member, data) for member in members]
         max_relayed = math.ceil(
             len(members) / s.gossip_fanout * 2 * s.report_interval_ms / s.max_report_age_ms
         )
         fresh = [r.report for r in self.reports.newest() if now - r.received_at <= s.max_report_age_ms]
-        messages = [encode_site_reports([report]) for report in (own, *fresh[:max_relayed])]
+        messages = [encode_site_reports([report]) for report in (own_report, *fresh[:max_relayed])]
         targets = self.random.sample(members, s.gossip_fanout)
         return [(member, data) for member in targets for data in messages]
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -84,17 +84,17 @@
 def take_snapshot(
     reports: Iterable[SiteReport],
     engines: Mapping[str, Mapping[str, float]],
-    alive: int,
+    live_count: int,
     available_shares: Mapping[str, float] | None = None,
     settings: SnapshotSettings | None = None,
 ) -> FleetSnapshot | None:
-    """The snapshot; None where no more than `quorum_share` of the `alive` instances report.
+    """The snapshot; None where no more than `quorum_share` of the `live_count` instances report.
 
     engines: cores by zone and engine, as the list has them. available_shares: by zone, what the fleet lets a
     zone have. What one instance claims is capped, since it would move all others out of every plan.
     """
     s, sites = settings or SnapshotSettings(), sorted(reports, key=lambda site: site.member)
-    if len(sites) <= s.quorum_share * alive or not sites:
+    if len(sites) <= s.quorum_share * live_count or not sites:
         return None
     cores = {zone: math.fsum(engines[zone].values()) for zone in sorted(engines)}
     max_share = min(s.max_claim_share, s.max_skew / len(sites))
@@ -109,24 +109,24 @@
         for zone in cores
     }
     excess = [min(site.excess_cores, max_cores) for site in sites if site.excess_cores >= 0]
-    excess_cores = math.fsum(excess) * alive / len(excess) if excess else None
-    return FleetSnapshot(zones, _homes(sites, list(cores), max_cores, alive, s), excess_cores)
+    excess_cores = math.fsum(excess) * live_count / len(excess) if excess else None
+    return FleetSnapshot(zones, _homes(sites, list(cores), max_cores, live_count, s), excess_cores)
 
 
 def _homes(
-    sites: list[SiteReport], zones: list[str], max_cores: float, alive: int, settings: SnapshotSettings
+    sites: list[SiteReport], zones: list[str], max_cores: float, live_count: int, settings: SnapshotSettings
 ) -> dict[str, HomeZone]:
     """All homes by name, in order; one in a zone that isn't listed is named by its number."""
-    names = {zone_number(zone): zone for zone in zones}
+    zone_names = {zone_number(zone): zone for zone in zones}
     rates = {site.member: demand.merge_rates([site.rates], max_cores) for site in sites}
     by_home: dict[str, list[SiteReport]] = {}
     for site in sites:
-        by_home.setdefault(names.get(site.home_zone, f"#{site.home_zone}"), []).append(site)
-    unheard_factor = max(alive / len(sites), 1.0)
+        by_home.setdefault(zone_names.get(site.home_zone, f"#{site.home_zone}"), []).append(site)
+    unheard_factor = max(live_count / len(sites), 1.0)
     homes = {}
     for home in sorted(by_home):
         round_trips = _round_trips(sites, by_home[home][0].home_zone, zones, settings.default_round_trip_ms)
-        homes[home] = _home(by_home[home], rates, unheard_factor, round_trips, names)
+        homes[home] = _home(by_home[home], rates, unheard_factor, round_trips, zone_names)
     return homes
 
 
@@ -135,9 +135,9 @@
     rates: Mapping[int, Mapping[int, float]],
     unheard_factor: float,
     round_trips_ms: dict[str, float],
-    names: Mapping[int, str],
+    zone_names: Mapping[int, str],
 ) -> HomeZone:
-    """One home, from the sites there. rates: by member; names: of zones, by number."""
+    """One home, from the sites there. rates: by member; zone_names: by number."""
     steps = sorted({step for site in sites for step in rates[site.member]})
     total = {
         step: math.fsum(rates[site.member].get(step, 0.0) for site in sites) * unheard_factor
@@ -153,7 +153,7 @@
         zone: math.fsum(
             site.zones[number].served_share * work[site.member] for site in sites if number in site.zones
         )
-        for number, zone in names.items()
+        for number, zone in zone_names.items()
     }
     all_served = math.fsum(served.values())
     served_shares = {zone: cores / all_served for zone, cores in sorted(served.items()) if cores > 0}
@@ -166,15 +166,15 @@
     that lies would decide how far it is."""
     round_trips = {}
     for zone in zones:
-        there = zone_number(zone)
-        ends = ((home, there),) if home == there else ((home, there), (there, home))
+        zone_id = zone_number(zone)
+        ends = ((home, zone_id),) if home == zone_id else ((home, zone_id), (zone_id, home))
         reported = [
             site.zones[to].round_trip_ms
             for at, to in ends
             for site in sites
             if site.home_zone == at and to in site.zones
         ]
-        unmeasured = 0.0 if home == there else default_ms
+        unmeasured = 0.0 if home == zone_id else default_ms
         round_trips[zone] = lower_median(reported) if reported else unmeasured
     return round_trips
 
@@ -183,9 +183,9 @@
     """The data sets that are warm in a zone: two must have seen it, or one that lives there alone, so that
     one that lies can't make every zone look warm for all."""
     is_alone = sum(site.home_zone == number for site in sites) < 2
-    own = once = twice = 0
+    local_filter = seen_once = seen_twice = 0
     for site in sites:
         seen = site.zones[number].warm_filter if number in site.zones else 0
-        own |= seen if is_alone and site.home_zone == number else 0
-        once, twice = once | seen, twice | once & seen
-    return own | twice if len(sites) > 2 else once
+        local_filter |= seen if is_alone and site.home_zone == number else 0
+        seen_once, seen_twice = seen_once | seen, seen_twice | seen_once & seen
+    return local_filter | seen_twice if len(sites) > 2 else seen_once
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -11,23 +11,23 @@
 
 @dataclass(slots=True, frozen=True)
 class HysteresisSettings:
-    """band: shares that differ by less don't change; hold_ms: a change that is wanted for so long is made;
-    jump: one that is so large is made at once."""
+    """band: shares that differ by less don't change; confirmation_ms: a change that is wanted for so long is
+    made; jump: one that is so large is made at once."""
 
     band: float = 0.1
-    hold_ms: float = 3000.0
+    confirmation_ms: float = 3000.0
     jump: float = 0.3
 
 
 @dataclass(slots=True)
-class HeldShares:
+class StableShares:
     """Shares that stay until others are clearly wanted. differs_since: in ms, since when others are."""
 
     shares: dict[str, float]
     differs_since: float = math.inf
 
     def follow(self, now: float, wanted: Mapping[str, float], settings: HysteresisSettings) -> None:
-        """Other shares are wanted. A zone that can serve nothing any more is never held on to."""
+        """Other shares are wanted. A zone that can serve nothing any more is dropped at once."""
         names = wanted.keys() | self.shares.keys()
         difference = max(
             (abs(wanted.get(name, 0.0) - self.shares.get(name, 0.0)) for name in names), default=0.0
@@ -36,9 +36,11 @@
             self.differs_since = math.inf
             return
         self.differs_since = min(self.differs_since, now)
-        is_gone = any(not wanted.get(name) and part > settings.band for name, part in self.shares.items())
-        has_lasted = now - self.differs_since >= settings.hold_ms
-        if difference >= settings.jump or is_gone or has_lasted:
+        has_lost_zone = any(
+            not wanted.get(name) and part > settings.band for name, part in self.shares.items()
+        )
+        has_lasted = now - self.differs_since >= settings.confirmation_ms
+        if difference >= settings.jump or has_lost_zone or has_lasted:
             self.shares, self.differs_since = dict(wanted), math.inf
 
 
--- a/cottonhold/fleet/failover_cost/messages.py
+++ b/cottonhold/fleet/failover_cost/messages.py
@@ -20,7 +20,11 @@
 
 from cottonhold.fleet.admission import demand
 from cottonhold.fleet.latest_reports import Stamp
-from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
+from cottonhold.fleet.message_format import (
+    MessageError,
+    decode_list,
+    encode_list,
+)
 
 SITE_REPORTS = 49  # kind of message; 48 was an earlier format
 HEADER = struct.Struct("!QIIHBBBBB")
@@ -126,37 +130,19 @@
 
 
 def _encode_zone(number: int, zone: ZoneObservation) -> bytes:
-    served = round(min(max(zone.served_share, 0.0), 1.0) * SHARE_STEPS)
-    warm = zone.warm_filter.to_bytes(FILTER_BITS // 8, "big")
-    return ZONE_ENTRY.pack(number, _encode_ms(zone.round_trip_ms), served, warm)
+    served_code = round(min(max(zone.served_share, 0.0), 1.0) * SHARE_STEPS)
+    warm_filter = zone.warm_filter.to_bytes(FILTER_BITS // 8, "big")
+    return ZONE_ENTRY.pack(number, _encode_ms(zone.round_trip_ms), served_code, warm_filter)
 
 
 def encode_site_reports(reports: Iterable[SiteReport]) -> bytes:
     """A message with as many of these as fit, first ones first."""
-    parts, remaining = list[bytes](), MAX_MESSAGE_BYTES - 2
-    for report in reports:
-        part = encode_site_report(report)
-        if len(part) > remaining:
-            break
-        parts.append(part)
-        remaining -= len(part)
-    return bytes((SITE_REPORTS, len(parts))) + b"".join(parts)
+    return encode_list(SITE_REPORTS, map(encode_site_report, reports))
 
 
 def decode_site_reports(data: bytes) -> list[SiteReport]:
     """The reports of a message. Raises MessageError; then none of them is applied."""
-    if len(data) < 2 or data[0] != SITE_REPORTS:
-        raise MessageError("no site reports")
-    reports, offset = [], 2
-    try:
-        for _ in range(data[1]):
-            report, offset = _decode_report(data, offset)
-            reports.append(report)
-    except struct.error:
-        raise MessageError("truncated") from None
-    if offset != len(data):
-        raise MessageError("too long")
-    return reports
+    return decode_list(data, SITE_REPORTS, "site reports", _decode_report)
 
 
 def _decode_report(data: bytes, offset: int) -> tuple[SiteReport, int]:
@@ -171,10 +157,10 @@
     shares, offset = _decode_shares(data, end, data_sets)
     observations = {}
     for _ in range(zones):
-        number, round_trip, served, warm = ZONE_ENTRY.unpack_from(data, offset)
+        number, round_trip_code, served_code, warm_filter = ZONE_ENTRY.unpack_from(data, offset)
         offset += ZONE_ENTRY.size
         observations[number] = ZoneObservation(
-            _decode_ms(round_trip), served / SHARE_STEPS, int.from_bytes(warm, "big")
+            _decode_ms(round_trip_code), served_code / SHARE_STEPS, int.from_bytes(warm_filter, "big")
         )
     report = SiteReport(
         member,
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -143,9 +143,7 @@
 
 def _mean_utility(snapshot: FleetSnapshot) -> float:
     """Utility a second of a core of the demand."""
-    demand = snapshot.total_demand()
-    utility = math.fsum(utility_of_step(step) * cores for step, cores in demand.items())
-    return utility / max(math.fsum(demand.values()), MIN_AMOUNT)
+    return _offered_utility(snapshot) / max(math.fsum(snapshot.total_demand().values()), MIN_AMOUNT)
 
 
 def solve_with_cold_work(
@@ -161,9 +159,9 @@
     the allocation before, until that changes little.
     """
     s, problem = settings, allocation_problem(snapshot, remaining, settings, success_shares)
-    alone, allocation = problem.cost_factors, allocate(problem, s.tolerance)
+    separate_factors, allocation = problem.cost_factors, allocate(problem, s.tolerance)
     for _ in range(s.max_rounds):
-        factors = _adapted_factors(snapshot, problem, alone, flows_by_pair(allocation.flows), s)
+        factors = _adapted_factors(snapshot, problem, separate_factors, flows_by_pair(allocation.flows), s)
         before = problem.cost_factors
         if all(abs(x - before.get(pair, 1.0)) <= s.tolerance * x for pair, x in factors.items()):
             break
@@ -175,21 +173,24 @@
 def _adapted_factors(
     snapshot: FleetSnapshot,
     problem: AllocationProblem,
-    alone: Mapping[tuple[str, str], float],
+    separate_factors: Mapping[tuple[str, str], float],
     flows: ZoneFlows,
     settings: CostSettings,
 ) -> dict[tuple[str, str], float]:
-    """Cost factors half way to those of the cold work that these flows make. alone: those of each home by
-    itself."""
+    """Cost factors half way to those of the cold work that these flows make. separate_factors: those of each
+    home by itself."""
     factors = dict(problem.cost_factors)
     for zone in snapshot.zones:
         work = math.fsum(x for (_, at), x in flows.items() if at == zone)
         if work <= MIN_CORES:
             continue
-        expected = math.fsum(x * alone.get(pair, 1.0) for pair, x in flows.items() if pair[1] == zone) / work
+        expected = (
+            math.fsum(x * separate_factors.get(pair, 1.0) for pair, x in flows.items() if pair[1] == zone)
+            / work
+        )
         ratio = (1 + cold_work_cores(snapshot, flows, zone, settings) / work) / expected
         for home in snapshot.homes:
-            wanted = max(alone.get((home, zone), 1.0) * ratio, 1.0)
+            wanted = max(separate_factors.get((home, zone), 1.0) * ratio, 1.0)
             factors[home, zone] = (problem.cost_factors.get((home, zone), 1.0) + wanted) / 2
     return factors
 
@@ -208,29 +209,22 @@
     data from staying warm in calm is not known here.
     """
     s = settings or CostSettings()
-    base = current if current is not None else solve_with_cold_work(snapshot, {}, s).allocation
+    baseline = current if current is not None else solve_with_cold_work(snapshot, {}, s).allocation
     problem, allocation = solution or solve_with_cold_work(snapshot, remaining, s)
     flows = flows_by_pair(allocation.flows)
-    usual = flows_as_served(snapshot, flows_by_pair(base.flows))
+    usual = flows_as_served(snapshot, flows_by_pair(baseline.flows))
     served_utility = _utility(allocation.flows)
-    moved = {
-        pair: x - usual.get(pair, 0.0) for pair, x in flows.items() if x - usual.get(pair, 0.0) > MIN_CORES
-    }
-    cold_cores = math.fsum(cold_work_cores(snapshot, flows, zone, s) for zone in snapshot.zones)
+    moved = _moved_work(flows, usual)
+    cold_cores = _cold_cores(snapshot, flows, s)
     cold_before = snapshot.excess_cores
     if cold_before is None:
-        cold_before = math.fsum(cold_work_cores(snapshot, usual, zone, s) for zone in snapshot.zones)
-    available_cores = math.fsum(
-        view.cores * view.available_share * remaining.get(zone, 1.0) for zone, view in snapshot.zones.items()
-    )
+        cold_before = _cold_cores(snapshot, usual, s)
     return Projection(
         remaining=dict(sorted(remaining.items())),
         flows=flows,
-        offered_utility=math.fsum(
-            utility_of_step(step) * cores for step, cores in snapshot.total_demand().items()
-        ),
+        offered_utility=_offered_utility(snapshot),
         served_utility=served_utility,
-        lost_utility=max(_utility(base.flows) - served_utility, 0.0),
+        lost_utility=max(_utility(baseline.flows) - served_utility, 0.0),
         threshold=_threshold(snapshot, allocation, s),
         added_round_trip_ms=_added_round_trip_ms(snapshot, moved, usual),
         moved_cores=math.fsum(moved.values()),
@@ -239,11 +233,34 @@
         warm_ms=warm_up_ms(snapshot, moved),
         return_ms=_return_ms(snapshot, remaining, s),
         return_work_ms=_return_work_ms(snapshot, remaining, s),
-        useful_cores=max(available_cores - cold_cores, 0.0),
+        useful_cores=max(_available_cores(snapshot, remaining) - cold_cores, 0.0),
         flows_by_step=allocation.flows,
     )
 
 
+def _moved_work(flows: ZoneFlows, usual: ZoneFlows) -> dict[tuple[str, str], float]:
+    """Work in cores that a home sends to a zone beyond what it usually does."""
+    added = {pair: cores - usual.get(pair, 0.0) for pair, cores in flows.items()}
+    return {pair: cores for pair, cores in added.items() if cores > MIN_CORES}
+
+
+def _cold_cores(snapshot: FleetSnapshot, flows: ZoneFlows, settings: CostSettings) -> float:
+    """Cores of cold work that these flows make in all zones."""
+    return math.fsum(cold_work_cores(snapshot, flows, zone, settings) for zone in snapshot.zones)
+
+
+def _available_cores(snapshot: FleetSnapshot, remaining: Mapping[str, float]) -> float:
+    """Cores that work gets in what remains of all zones."""
+    return math.fsum(
+        view.cores * view.available_share * remaining.get(zone, 1.0) for zone, view in snapshot.zones.items()
+    )
+
+
+def _offered_utility(snapshot: FleetSnapshot) -> float:
+    """Utility a second of all demand."""
+    return math.fsum(utility_of_step(step) * cores for step, cores in snapshot.total_demand().items())
+
+
 def _utility(flows: Mapping[Flow, float]) -> float:
     return math.fsum(utility_of_step(step) * cores for (_, _, step), cores in flows.items())
 
@@ -261,35 +278,35 @@
 
 def flows_by_pair(flows: Mapping[Flow, float]) -> dict[tuple[str, str], float]:
     """Work by home and zone, in cores."""
-    found = dict[tuple[str, str], list[float]]()
+    flows_of_pair = dict[tuple[str, str], list[float]]()
     for (home, zone, _), cores in flows.items():
-        found.setdefault((home, zone), []).append(cores)
-    return {pair: math.fsum(parts) for pair, parts in found.items()}
+        flows_of_pair.setdefault((home, zone), []).append(cores)
+    return {pair: math.fsum(parts) for pair, parts in flows_of_pair.items()}
 
 
 def flows_as_served(snapshot: FleetSnapshot, flows: ZoneFlows) -> dict[tuple[str, str], float]:
     """What is served of each home now, by zone: as its instances report it, else as allocated. An allocation
     serves each home in its own zone as far as possible, while in service all zones may serve it alike."""
-    found = dict[tuple[str, str], float]()
+    served = dict[tuple[str, str], float]()
     for home, view in snapshot.homes.items():
         allocated = {pair: cores for pair, cores in flows.items() if pair[0] == home}
         total = math.fsum(allocated.values())
         if view.served_shares:
-            found |= {(home, zone): total * part for zone, part in view.served_shares.items()}
+            served |= {(home, zone): total * part for zone, part in view.served_shares.items()}
         else:
-            found |= allocated
-    return found
+            served |= allocated
+    return served
 
 
 def _added_round_trip_ms(snapshot: FleetSnapshot, moved: ZoneFlows, usual: ZoneFlows) -> float:
     """Mean round trip on top of the usual one, over the work that moves."""
     added = []
     for (home, zone), work in moved.items():
-        trips = snapshot.homes[home].round_trips_ms
-        before = [(cores, trips.get(z, 0.0)) for (h, z), cores in usual.items() if h == home]
+        round_trips_ms = snapshot.homes[home].round_trips_ms
+        before = [(cores, round_trips_ms.get(z, 0.0)) for (h, z), cores in usual.items() if h == home]
         all_before = max(math.fsum(cores for cores, _ in before), MIN_AMOUNT)
-        mean = math.fsum(cores * trip for cores, trip in before) / all_before
-        added.append(work * (trips.get(zone, 0.0) - mean))
+        usual_mean_ms = math.fsum(cores * round_trip_ms for cores, round_trip_ms in before) / all_before
+        added.append(work * (round_trips_ms.get(zone, 0.0) - usual_mean_ms))
     return math.fsum(added) / max(math.fsum(moved.values()), MIN_AMOUNT)
 
 
--- a/cottonhold/fleet/failover_cost/simplex.py
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -116,7 +116,7 @@
             self.problem.retained_utility.get(pair, 1.0),
         )
 
-    def prices(self) -> list[float]:
+    def shadow_prices(self) -> list[float]:
         """The shadow price of each row."""
         prices = [0.0] * len(self.limits)
         for column, row in zip(self.basis, self.inverse, strict=True):
@@ -124,7 +124,7 @@
                 prices = [price + gain * x for price, x in zip(prices, row, strict=True)]
         return prices
 
-    def answer(self, home: str, prices: list[float]) -> Column:
+    def best_column_of_home(self, home: str, prices: list[float]) -> Column:
         """The best that a home can do at these prices.
 
         Of the lines utility * retained - cost the one that is best at a step stays so until one that retains
@@ -161,11 +161,11 @@
             begin = end
         return Column(gain, usage, home, assignments)
 
-    def best(self, prices: list[float]) -> tuple[Column | None, float]:
+    def best_column(self, prices: list[float]) -> tuple[Column | None, float]:
         """The column that gains most, and the most that all homes could still gain together."""
         chosen, highest, all_gains = None, self.min_utility * MIN_GAIN_EPSILONS, 0.0
         for home in self.homes:
-            column = self.answer(home, prices)
+            column = self.best_column_of_home(home, prices)
             gain = column.gain - _cost(column, prices)
             all_gains += max(gain, 0.0)
             if gain > highest:
@@ -204,10 +204,10 @@
     def enter(self, column: Column) -> bool:
         """Take a column into the mix; returns false if it can't be."""
         direction = [_cost(column, row) for row in self.inverse]
-        leaving, least = NO_ROW, math.inf
+        leaving, min_ratio = NO_ROW, math.inf
         for i, change in enumerate(direction):
-            if change > EPSILON and self.levels[i] / change < least - RATIO_TOLERANCE:
-                leaving, least = i, self.levels[i] / change
+            if change > EPSILON and self.levels[i] / change < min_ratio - RATIO_TOLERANCE:
+                leaving, min_ratio = i, self.levels[i] / change
         if leaving < 0:
             return False
         pivot = [x / direction[leaving] for x in self.inverse[leaving]]
@@ -217,20 +217,20 @@
                 row = self.inverse[i]
                 for j, p in non_zero:
                     row[j] -= change * p
-                self.levels[i] = max(self.levels[i] - change * least, 0.0)
-        self.inverse[leaving], self.levels[leaving], self.basis[leaving] = pivot, least, column
+                self.levels[i] = max(self.levels[i] - change * min_ratio, 0.0)
+        self.inverse[leaving], self.levels[leaving], self.basis[leaving] = pivot, min_ratio, column
         return True
 
     def flows(self) -> dict[Flow, float]:
         """The mix as work by home, zone and step."""
-        found = dict[Flow, float]()
+        flows = dict[Flow, float]()
         for column, level in zip(self.basis, self.levels, strict=True):
             for zone, begin, end in column.assignments if level > EPSILON else ():
                 for step in self.demand[column.home].steps[begin:end]:
                     flow = column.home, zone, step
                     work = level * self.problem.demand[column.home][step]
-                    found[flow] = found.get(flow, 0.0) + work
-        return dict(sorted(found.items()))
+                    flows[flow] = flows.get(flow, 0.0) + work
+        return dict(sorted(flows.items()))
 
 
 def allocate(problem: AllocationProblem, tolerance: float = 0.0) -> Allocation:
@@ -238,8 +238,8 @@
     `tolerance`."""
     simplex, bound = Simplex(problem), math.inf
     for _ in range(MAX_ROUNDS):
-        prices = simplex.prices()
-        column, gains = simplex.best(prices)
+        prices = simplex.shadow_prices()
+        column, gains = simplex.best_column(prices)
         if min(prices) >= -simplex.min_utility:
             bound = min(bound, simplex.bound(prices, gains))
             if tolerance and bound - simplex.utility() <= tolerance * bound:
--- a/cottonhold/fleet/failover_cost/site_observations.py
+++ b/cottonhold/fleet/failover_cost/site_observations.py
@@ -21,7 +21,7 @@
 RECENT_MEMORY_MS = 700.0  # of the quicker count of the own demand
 DATA_SET_MEMORY_MS = 2000.0
 MEAN_DECAY = 0.999  # a request, of what the mean work of requests remembers
-TRIP_GAIN = 0.1  # of a new round trip, against those before
+ROUND_TRIP_GAIN = 0.1  # of a new round trip, against those before
 DEFAULT_WORK_MS = 20.0
 MIN_DATA_SET_SHARE = 1e-3  # of the demand; what has less is not reported
 MIN_KNOWN_PART = 4  # the excess work counts from a fourth of its memory on: by a few answers, chance would
@@ -56,8 +56,8 @@
 
     def on_round_trip(self, zone: str, round_trip_ms: float) -> None:
         """A zone has answered a health check: its distance, without any work."""
-        before = self.round_trips_ms.get(zone, round_trip_ms)
-        self.round_trips_ms[zone] = before * (1 - TRIP_GAIN) + round_trip_ms * TRIP_GAIN
+        mean_ms = self.round_trips_ms.get(zone, round_trip_ms)
+        self.round_trips_ms[zone] = mean_ms * (1 - ROUND_TRIP_GAIN) + round_trip_ms * ROUND_TRIP_GAIN
 
     def offered_cores(self, now: float) -> float:
         """The demand of this instance's clients. The quicker count matters after clients were led here: the
@@ -111,9 +111,9 @@
             zone_number(zone): ZoneObservation(
                 self.round_trips_ms.get(zone, default_round_trip_ms),
                 answers.get(zone, 0.0) / all_answers,
-                self._warm_filter(now, zone, len(list(there))),
+                self._warm_filter(now, zone, len(list(zone_engines))),
             )
-            for zone, there in engines.items()
+            for zone, zone_engines in engines.items()
         }
 
     def _warm_filter(self, now: float, zone: str, engine_count: int) -> int:
--- a/cottonhold/fleet/failover_cost/snapshot_plan.py
+++ b/cottonhold/fleet/failover_cost/snapshot_plan.py
@@ -55,7 +55,7 @@
     outage_allocations: dict[tuple[str, ...], OutageAllocation | None] = field(default_factory=dict)
     projections: dict[tuple[str, ...], Projection] = field(default_factory=dict)
     solutions: dict[tuple[Parts, Parts], Solution] = field(default_factory=dict)
-    pairs: dict[Parts, dict[tuple[str, str], float]] = field(default_factory=dict)
+    flows_by_remaining: dict[Parts, dict[tuple[str, str], float]] = field(default_factory=dict)
     followed: set[tuple[object, str]] = field(default_factory=set)
 
     def solve(
@@ -86,33 +86,33 @@
     def flows(self, remaining: Mapping[str, float]) -> dict[tuple[str, str], float]:
         """Work by home and zone with so much remaining."""
         key = _parts(remaining)
-        if key not in self.pairs:
-            self.pairs[key] = flows_by_pair(self.solve(remaining).allocation.flows)
-        return self.pairs[key]
+        if key not in self.flows_by_remaining:
+            self.flows_by_remaining[key] = flows_by_pair(self.solve(remaining).allocation.flows)
+        return self.flows_by_remaining[key]
 
     def project(self, remaining: Mapping[str, float]) -> Projection:
         """What it would cost if so much remained of zones."""
         current = self.current.allocation
         return project(self.snapshot, remaining, self.settings, current, self.solve(remaining))
 
-    def projection(self, zones_out: tuple[str, ...]) -> Projection | None:
+    def projection(self, lost_zones: tuple[str, ...]) -> Projection | None:
         """What it would cost if these zones, in order, were out too; None if that is not foreseen."""
-        if zones_out in self.foreseen and zones_out not in self.projections:
-            self.projections[zones_out] = self.project(self.without(*zones_out))
-        return self.projections.get(zones_out)
+        if lost_zones in self.foreseen and lost_zones not in self.projections:
+            self.projections[lost_zones] = self.project(self.without(*lost_zones))
+        return self.projections.get(lost_zones)
 
-    def outage_allocation(self, zones_out: tuple[str, ...]) -> OutageAllocation | None:
+    def outage_allocation(self, lost_zones: tuple[str, ...]) -> OutageAllocation | None:
         """What it says of an outage of these zones, whole or in part; None if it doesn't know of them."""
-        if zones_out not in self.outage_allocations:
-            self.outage_allocations[zones_out] = self._outage_allocation(zones_out)
-        return self.outage_allocations[zones_out]
+        if lost_zones not in self.outage_allocations:
+            self.outage_allocations[lost_zones] = self._outage_allocation(lost_zones)
+        return self.outage_allocations[lost_zones]
 
-    def _outage_allocation(self, zones_out: tuple[str, ...]) -> OutageAllocation | None:
+    def _outage_allocation(self, lost_zones: tuple[str, ...]) -> OutageAllocation | None:
         """A zone that is out only since the snapshot counts as wholly so until there is a new one."""
-        is_current = self.remaining.keys() == set(zones_out)
-        if not is_current and zones_out not in self.foreseen:
+        is_current = self.remaining.keys() == set(lost_zones)
+        if not is_current and lost_zones not in self.foreseen:
             return None
-        remaining = self.remaining if is_current else self.without(*zones_out)
+        remaining = self.remaining if is_current else self.without(*lost_zones)
         problem, flows = self.solve(remaining).problem, self.flows(remaining)
         demand = {home: view.cores for home, view in self.snapshot.homes.items()}
         return OutageAllocation(demand, flows, problem.cross_zone_capacity, free_cores(problem, flows))
--- /dev/null
+++ b/cottonhold/fleet/fleet_load.py
@@ -0,0 +1,56 @@
+"""The work that clients offer to each instance and to the whole fleet. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from cottonhold.fleet.admission.demand_sharing import DemandSharing
+from cottonhold.fleet.zone_failover.offered_load import OfferedLoad
+from cottonhold.fleet.zone_failover.reporting import ZoneReporting
+
+
+class FleetLoad:
+    """The load of all instances, by this one's own and by what others report.
+
+    declared_demand: the demand that requests declare themselves. With slow start it stands for the load where
+    it is shared, since after a restart an instance does not know the usual work of its requests; else None.
+    """
+
+    def __init__(
+        self,
+        self_id: int,
+        offered_load: OfferedLoad,
+        reporting: ZoneReporting,
+        declared_demand: DemandSharing | None,
+    ) -> None:
+        self.self_id, self.offered_load, self.reporting = self_id, offered_load, reporting
+        self.declared_demand = declared_demand
+
+    def total_cores(self, now: float, live: Collection[int]) -> float:
+        """Work offered to the whole fleet, in cores. live: the other members; those that do not report count
+        as the mean."""
+        return _total(self._offered_cores(now), 1 + len(live))
+
+    def shares(self, now: float, live: Collection[int]) -> dict[int, float]:
+        """By member, its share of the load of the whole fleet; empty without any load."""
+        members = {self.self_id, *live}
+        if self.declared_demand is not None:
+            cores = self.declared_demand.offered_cores(now, live)
+        else:
+            cores = self._offered_cores(now)
+        total = _total(cores, len(members))
+        if total <= 0:
+            return {}
+        mean = total / len(members)
+        return {member: cores.get(member, mean) / total for member in members}
+
+    def _offered_cores(self, now: float) -> dict[int, float]:
+        """Work offered to each instance that reports, in cores."""
+        own_cores = self.offered_load.cores(now)
+        others = {report.member: report.offered_centicores / 100 for report in self.reporting.fresh}
+        return {self.self_id: own_cores, **others}
+
+
+def _total(cores: dict[int, float], member_count: int) -> float:
+    """The sum over all members; those that are not named count as the mean of the others."""
+    return sum(cores.values()) * member_count / len(cores)
--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -20,7 +20,7 @@
 
 
 class CachedEngine(msgspec.Struct, array_like=True, frozen=True):
-    """What is kept of one engine. Zone and machine type by name: their numbers are of one configuration."""
+    """What is cached of one engine. Zone and machine type by name: their numbers are of one configuration."""
 
     address: str
     zone: str
@@ -55,7 +55,7 @@
         """
         known_ids = {observation.id for observation in known}
         addresses = {observation.address for observation in known}
-        found = list(known)
+        observations = list(known)
         for engine_id, cached in sorted(self.engines.items()):
             address = Address.parse(cached.address)
             if engine_id in known_ids or address in addresses or cached.zone not in self.names.zones:
@@ -65,7 +65,7 @@
                 self.names.zone_index(cached.zone),
                 self.names.machine_type_index(cached.machine_type),
             )
-            found.append(
+            observations.append(
                 Observation(
                     engine_id,
                     ServiceStatus.IN_SERVICE,
@@ -77,7 +77,7 @@
                     cached.size,
                 )
             )
-        return tuple(found)
+        return tuple(observations)
 
     def apply(self, change: EngineListChange) -> list[Record]:
         """What has to be written for a change of the list."""
@@ -101,15 +101,19 @@
         return Record(RecordKind.ENGINE_ADDRESS, engine_id.encode(), None)
 
     def _cached(self, engine: Engine, address: Address | None) -> CachedEngine | None:
-        """What to keep of an engine; None where its address isn't known, or where too many are cached."""
+        """What to cache of an engine; None where its address isn't known, or where too many are cached."""
         known = self.engines.get(engine.id)
         known_address = known.address if known is not None else ""
-        where = str(address) if address is not None else known_address
-        if not where or known is None and len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_ADDRESS]:
+        current_address = str(address) if address is not None else known_address
+        if (
+            not current_address
+            or known is None
+            and len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_ADDRESS]
+        ):
             return None
         zones, machine_types = self.names.zones, self.names.machine_types
         zone = zones[engine.zone] if engine.zone < len(zones) else ""
         machine_type = ""
         if engine.machine_type < len(machine_types):
             machine_type = machine_types[engine.machine_type]
-        return CachedEngine(where, zone, machine_type, engine.cell, engine.size)
+        return CachedEngine(current_address, zone, machine_type, engine.cell, engine.size)
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -21,7 +21,7 @@
 
 Rule: an own record decides at once. Else every other configured dispatcher has to have said that it never
 sent it, on a query of this very retry, or to be proven silent. One whose memory is empty or stale says
-UNKNOWN for a hold after its start, never NEVER_SENT; one whose memory nobody has confirmed yet says
+UNKNOWN for a retention after its start, never NEVER_SENT; one whose memory nobody has confirmed yet says
 NOT_KNOWN_YET. While `has_pending`, the survey has to `expedite`: what it says of silent ones must be newer
 than the retry.
 
@@ -33,20 +33,26 @@
 one of these, and the second hears ALSO_QUERIED, which is MAY_HAVE_RUN where anybody is silent. A first
 request that is queued here and that another has asked about is not sent: `begin` is False.
 
-Hold: a client asks first at t and waits for at most the longest deadline L; at t + L at the latest it knows
-that its load broke, and asks again; that retry waits for at most L too. So what was sent at t is asked about
-until t + 2 L, and a slack covers retries after a pause. A retry that was told NOT_KNOWN_YET may come back
-after that: so a retry counts from the first time it was heard of, here or where it is queried.
+Retention: a client asks first at t and waits for at most the longest deadline L; at t + L at the latest it
+knows that its load broke, and asks again; that retry waits for at most L too. So what was sent at t is asked
+about until t + 2 L, and a slack covers retries after a pause. A retry that was told NOT_KNOWN_YET may come
+back after that: so a retry counts from the first time it was heard of, here or where it is queried.
 """
 
 from __future__ import annotations
 
 import hashlib
-import random
-from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
+from collections.abc import Iterable
 
 from cottonhold.fleet.message_format import MAX_UINT32
+from cottonhold.fleet.recovery.load_history_interface import (
+    Action,
+    FleetState,
+    LoadHistorySettings,
+    LoadSettled,
+    SendToDispatcher,
+)
+from cottonhold.fleet.recovery.load_queries import QUERY_LIFETIME_RETRIES, LoadQueries, PendingRetry
 from cottonhold.fleet.recovery.local_loads import (
     LoadKnowledge,
     LoadResult,
@@ -64,108 +70,33 @@
     batches,
     encode,
 )
-from cottonhold.fleet.recovery.survey_results import ProvenSilence
 
 CLEANUP_INTERVAL_MS = 1000.0
-QUERY_LIFETIME_RETRIES = 10  # times the longest retry pause after which a query's answer is void
-
-
-@dataclass(slots=True, frozen=True)
-class LoadHistorySettings:
-    """Times in ms. hold_ms: see `hold_ms_for`. retry_ms, max_retry_ms: a query that isn't answered is sent
-    again after so long, doubled up to the second. retry_after_ms: told with NOT_KNOWN_YET.
-    max_unconfirmed_ms: for so long a retry that too few others have heard of is told NOT_KNOWN_YET; less than
-    the slack of `hold_ms_for` by a few pauses. announcements: how often loads of earlier boots are announced.
-    max_loads: remembered, queried and pending, each; beyond, retries are told NOT_KNOWN_YET at once."""
-
-    hold_ms: float
-    retry_ms: float = 60.0
-    max_retry_ms: float = 1000.0
-    retry_after_ms: float = 1000.0
-    max_unconfirmed_ms: float = 5000.0
-    announcements: int = 3
-    max_loads: int = 20_000
-
-
-@dataclass(slots=True, frozen=True)
-class FleetState:
-    """What the survey knows. memory: this instance's, STALE once that was found out. silent: by number, those
-    proven so. is_partitioned: one that isn't can't be heard."""
-
-    may_send_loads: bool
-    has_confirmed_memory: bool
-    memory: MemoryState
-    silent: Mapping[int, ProvenSilence]
-    is_partitioned: bool = False
-
-
-@dataclass(slots=True, frozen=True)
-class SendToDispatcher:
-    """A message for a dispatcher's number."""
-
-    number: int
-    data: bytes
-
-
-@dataclass(slots=True, frozen=True)
-class LoadSettled:
-    """What is known now of the load of a retry. retry_after_ms: with NOT_KNOWN_YET."""
-
-    request_id: str
-    load: bytes
-    knowledge: LoadKnowledge
-    retry_after_ms: float = 0.0
-
-
-Action = SendToDispatcher | LoadSettled
-
-
-@dataclass(slots=True)
-class PendingRetry:
-    """A retry that is being settled. deadlines: by request that waits. noted_by: who has heard of it.
-    statements, query_at, retry_ms: by number."""
-
-    started_at: float
-    deadlines: dict[str, float]
-    statements: dict[int, LoadStatement] = field(default_factory=dict)
-    query_at: dict[int, float] = field(default_factory=dict)
-    retry_ms: dict[int, float] = field(default_factory=dict)
-    noted_by: set[int] = field(default_factory=set)
-
-
-@dataclass(slots=True)
-class SentQuery:
-    """A query that was sent, so that its answer can be told from a forged or late one."""
-
-    sent_at: float
-    dispatcher: int
-    loads: tuple[bytes, ...]
 
 
 class LoadHistory:
-    """One instance's side. number: its own, of 0 to `dispatchers` - 1; boot: of this start; recorded: the
-    folder's loads; seed: for serials."""
+    """One instance's side. number: its own, of 0 to `dispatchers` - 1; boot_count: of this start; recorded:
+    the folder's loads; seed: for serials."""
 
     def __init__(
         self,
         number: int,
         dispatchers: int,
-        boot: int,
+        boot_count: int,
         now: float,
         recorded: Iterable[RecordedLoad],
         settings: LoadHistorySettings,
         seed: int,
     ) -> None:
-        self.number, self.boot, self.settings = number, boot & MAX_UINT32, settings
+        self.number, self.boot_count, self.settings = number, boot_count & MAX_UINT32, settings
         self.others = [n for n in range(dispatchers) if n != number]
         is_alone = dispatchers == 1
         self.fleet = FleetState(is_alone, is_alone, MemoryState.INTACT, {})
-        self.local = LocalLoads(now, list(recorded), settings.hold_ms, settings.max_loads)
+        self.local = LocalLoads(now, list(recorded), settings.retention_ms, settings.max_loads)
         self.pending: dict[bytes, PendingRetry] = {}
         self.granted: dict[bytes, str] = {}  # settled as NEVER_SENT, and not sent yet: by which request
         self.load_by_request: dict[str, bytes] = {}
-        self.queries: dict[int, SentQuery] = {}  # by serial
-        self.serial = random.Random(seed).getrandbits(32)
+        self.queries = LoadQueries(self.boot_count, seed)
         self.announced, self.next_announcement = 0, now
         self.actions: list[Action] = []
         self.next_cleanup = now + CLEANUP_INTERVAL_MS
@@ -256,11 +187,11 @@
         if number not in self.others:
             return []
         match message:
-            case LoadQuery(boot, serial, loads):
+            case LoadQuery(boot_count, serial, loads):
                 verdicts = [
                     LoadVerdict(i, self._statement(now, number, load)) for i, load in enumerate(loads)
                 ]
-                answer = LoadAnswer(boot, serial, tuple(verdicts))
+                answer = LoadAnswer(boot_count, serial, tuple(verdicts))
                 self.actions.append(SendToDispatcher(number, encode(answer)))
             case LoadAnswer():
                 self._on_answer(now, number, message)
@@ -297,8 +228,8 @@
     def _on_answer(self, now: float, number: int, answer: LoadAnswer) -> None:
         """An answer; void where it is of no query of this boot. One to a query from before the retry began
         doesn't bind whoever gave it any more."""
-        query = self.queries.get(answer.serial)
-        if query is None or answer.boot != self.boot or query.dispatcher != number:
+        query = self.queries.match(number, answer)
+        if query is None:
             self.counters["void"] += 1
             return
         for verdict in answer.verdicts:
@@ -339,8 +270,7 @@
     def _clean_up(self, now: float) -> None:
         self.next_cleanup = now + CLEANUP_INTERVAL_MS
         self.local.expire(now, self.pending.keys() | self.granted.keys())
-        oldest = now - QUERY_LIFETIME_RETRIES * self.settings.max_retry_ms
-        self.queries = {serial: query for serial, query in self.queries.items() if query.sent_at > oldest}
+        self.queries.expire(now - QUERY_LIFETIME_RETRIES * self.settings.max_retry_ms)
 
     def _try_to_settle(self, now: float, load: bytes, pending: PendingRetry) -> None:
         """Settle a retry as soon as what is known decides."""
@@ -353,7 +283,7 @@
             return
         unanswered = [number for number in self.others if number not in pending.statements]
         # One that isn't proven silent may have sent it, and be back with its record in a moment.
-        if not all(self._is_out_of_question(n, pending.started_at, pending) for n in unanswered):
+        if not all(self._cannot_have_sent(n, pending.started_at, pending) for n in unanswered):
             return
         queried = self.local.queried[load]
         may_predate = self.local.may_predate_start(queried)
@@ -379,15 +309,15 @@
         is_queried_by_others = bool(queried.dispatchers - {self.number})
         if unanswered and (LoadStatement.ALSO_QUERIED in statements or is_queried_by_others):
             return True
-        return not all(self._is_out_of_question(n, queried.first_at, pending) for n in unanswered)
+        return not all(self._cannot_have_sent(n, queried.first_at, pending) for n in unanswered)
 
-    def _is_out_of_question(self, number: int, first_query_at: float, pending: PendingRetry) -> bool:
+    def _cannot_have_sent(self, number: int, first_query_at: float, pending: PendingRetry) -> bool:
         """Whether a dispatcher is proven silent since so long before the first query that whatever it sent
         can't be what is asked about."""
         silence = self.fleet.silent.get(number)
         if silence is None or silence.valid_until < pending.started_at:
             return False
-        return silence.nothing_sent_after + self.settings.hold_ms < first_query_at
+        return silence.nothing_sent_after + self.settings.retention_ms < first_query_at
 
     def _settle(self, load: bytes, knowledge: LoadKnowledge) -> None:
         """All that wait for a load learn what is known; where nobody sent it, the first of them sends it."""
@@ -424,31 +354,28 @@
         """What a retry is told that too few others have heard of: to come later, but not for long, since
         whoever sent its load will forget it."""
         queried_ms = now - self.local.queried[load].first_at
-        may_come_back = queried_ms <= self.settings.max_unconfirmed_ms
-        return LoadKnowledge.NOT_KNOWN_YET if may_come_back else LoadKnowledge.MAY_HAVE_RUN
+        may_retry = queried_ms <= self.settings.max_unconfirmed_ms
+        return LoadKnowledge.NOT_KNOWN_YET if may_retry else LoadKnowledge.MAY_HAVE_RUN
 
     def _conclude(self, request_id: str, load: bytes, knowledge: LoadKnowledge) -> None:
         self.load_by_request.pop(request_id, None)
-        may_come_back = knowledge is LoadKnowledge.NOT_KNOWN_YET
-        retry_after_ms = self.settings.retry_after_ms if may_come_back else 0.0
+        may_retry = knowledge is LoadKnowledge.NOT_KNOWN_YET
+        retry_after_ms = self.settings.retry_after_ms if may_retry else 0.0
         self.actions.append(LoadSettled(request_id, load, knowledge, retry_after_ms))
 
     def _send_queries(self, now: float) -> None:
         """All queries that are due, a message for as many loads as fit."""
-        due: dict[int, list[bytes]] = {}
+        loads_by_dispatcher: dict[int, list[bytes]] = {}
         for load, pending in self.pending.items():
             for number, query_at in pending.query_at.items():
                 if query_at <= now:
                     retry_ms = pending.retry_ms.get(number, self.settings.retry_ms)
                     pending.retry_ms[number] = min(2 * retry_ms, self.settings.max_retry_ms)
                     pending.query_at[number] = now + retry_ms
-                    due.setdefault(number, []).append(load)
-        for number, loads in due.items():
-            for batch in batches(loads):
-                self.serial = (self.serial + 1) & MAX_UINT32
-                self.queries[self.serial] = SentQuery(now, number, batch)
-                data = encode(LoadQuery(self.boot, self.serial, batch))
-                self.actions.append(SendToDispatcher(number, data))
+                    loads_by_dispatcher.setdefault(number, []).append(load)
+        for number, loads in loads_by_dispatcher.items():
+            for query in self.queries.create(now, number, loads):
+                self.actions.append(SendToDispatcher(number, encode(query)))
                 self.counters["asks"] += 1
 
     def _has_announcement(self) -> bool:
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -1,9 +1,9 @@
 """What one instance itself knows of loads: those it sent, and those that it was asked about. Pure.
 
-Times are ms of this instance's monotonic clock. An entry expires a hold after its end, or after this start
-where an earlier boot sent it; a queried load a hold after it was last queried. While an instance that isn't
-proven silent can't be heard, its clients are told to come later: so entries last until one more hold has
-passed since then, as long as they leave half of the capacity free.
+Times are ms of this instance's monotonic clock. An entry expires one retention after its end, or after this
+start where an earlier boot sent it; a queried load one retention after it was last queried. While an instance
+that isn't proven silent can't be heard, its clients are told to come later: so entries last until one more
+retention has passed since then, as long as they leave half of the capacity free.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     return digest.digest()
 
 
-def hold_ms_for(deadlines_ms: Iterable[float], slack_ms: float = 10_000.0) -> float:
+def retention_ms_for(deadlines_ms: Iterable[float], slack_ms: float = 10_000.0) -> float:
     """How long after it was sent a load can still be asked about: see load_history."""
     return 2 * max(deadlines_ms, default=0.0) + slack_ms
 
@@ -78,8 +78,10 @@
 class LocalLoads:
     """This instance's records, `max_loads` of each kind at most."""
 
-    def __init__(self, now: float, recorded: Sequence[RecordedLoad], hold_ms: float, max_loads: int) -> None:
-        self.hold_ms, self.max_loads, self.started_at = hold_ms, max_loads, now
+    def __init__(
+        self, now: float, recorded: Sequence[RecordedLoad], retention_ms: float, max_loads: int
+    ) -> None:
+        self.retention_ms, self.max_loads, self.started_at = retention_ms, max_loads, now
         self.partitioned_at = -math.inf  # when last one that isn't proven silent could not be heard
         self.entries: dict[bytes, Entry] = {}
         self.queried: dict[bytes, QueriedLoad] = {}
@@ -87,7 +89,7 @@
         for earlier in recorded:
             if earlier.result is not LoadResult.NEVER_RAN:
                 succeeded = earlier.result is LoadResult.SUCCEEDED
-                self.entries[earlier.load] = Entry(0, not succeeded, succeeded, now + hold_ms)
+                self.entries[earlier.load] = Entry(0, not succeeded, succeeded, now + retention_ms)
         self.open = [earlier.load for earlier in recorded if earlier.result is None]
 
     def is_full(self, load: bytes) -> bool:
@@ -108,7 +110,7 @@
         entry.succeeded |= result is LoadResult.SUCCEEDED
         entry.may_have_run |= result is LoadResult.FAILED
         if not entry.open_runs:
-            entry.expires_at = now + self.hold_ms
+            entry.expires_at = now + self.retention_ms
             if not entry.succeeded and not entry.may_have_run:
                 del self.entries[load]
 
@@ -135,25 +137,25 @@
         """Another instance's loads of earlier boots."""
         for load in loads:
             if len(self.reported) < self.max_loads:
-                self.reported.setdefault(load, now + self.hold_ms)
+                self.reported.setdefault(load, now + self.retention_ms)
 
     def may_predate_start(self, queried: QueriedLoad) -> bool:
         """Whether a load that was first queried then may have been sent before this start."""
-        return queried.first_at <= self.started_at + self.hold_ms
+        return queried.first_at <= self.started_at + self.retention_ms
 
     def is_late(self, now: float, queried: QueriedLoad) -> bool:
         """Whether its client has come back for so long that whoever sent it may have forgotten it. What was
-        sent at s is kept until s + `hold_ms` at least; its client asked first at s + the longest deadline at
-        the latest; and half a hold is no more than what remains."""
-        return now - queried.first_at > self.hold_ms / 2
+        sent at s is kept until s + `retention_ms` at least; its client asked first at s + the longest
+        deadline at the latest; and half a retention is no more than what remains."""
+        return now - queried.first_at > self.retention_ms / 2
 
     def expire(self, now: float, pending: Iterable[bytes]) -> None:
         """Drop what can't be asked about any more, but for pending loads.
 
-        During a partition, and a hold after it, entries are kept while there is capacity: the client of one
-        may have been told to come later on the other side all the while.
+        During a partition, and one retention after it, entries are kept while there is capacity: the client
+        of one may have been told to come later on the other side all the while.
         """
-        kept, oldest = set(pending), now - self.hold_ms
+        pending_loads, oldest = set(pending), now - self.retention_ms
         expired = {load for load, entry in self.entries.items() if entry.expires_at <= now}
         if self.partitioned_at > oldest:
             surplus = max(len(self.entries) - self.max_loads // 2, 0)
@@ -162,6 +164,6 @@
         self.queried = {
             load: queried
             for load, queried in self.queried.items()
-            if queried.last_at > oldest or load in kept
+            if queried.last_at > oldest or load in pending_loads
         }
         self.reported = {load: expires_at for load, expires_at in self.reported.items() if expires_at > now}
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -3,14 +3,16 @@
 Feed it the members that are alive (`set_members`) and their reports (`on_message`); call `step` at `next_at`
 at the latest and carry out the actions that it returns (see survey_results):
 
-    SendMessage         a datagram
-    ViewChanged         what was away, as far as it is known
-    RaiseBoot           the folder is empty or a copy of an earlier day: store a boot of at least so much,
-                        then call `on_boot_stored`; from then on it answers as one with such a memory
-    DuplicateIdentity   a second process stands for this number; the later one must not serve loads
-    PeerBootLearned     a hint for the folder: given back in `known_boots` and `known_bases` at the next start
-    StoreBase           store the base; once stored, call `on_base_stored`. A folder starts as EMPTY without a
-                        boot, as STALE without a base, else as INTACT
+    SendSurveyMessage     a datagram
+    ViewChanged           what was away, as far as it is known
+    RaiseBootCount        the folder is empty or a copy of an earlier day: store a boot count of at least so
+                          much, then call `on_boot_count_stored`; from then on it answers as one with such a
+                          memory
+    DuplicateIdentity     a second process stands for this number; the later one must not serve loads
+    PeerBootCountLearned  a hint for the folder: given back in `known_boot_counts` and `known_checkpoints` at
+                          the next start
+    StoreCheckpoint       store the checkpoint; once stored, call `on_checkpoint_stored`. A folder starts as
+                          EMPTY without a boot count, as STALE without a checkpoint, else as INTACT
 
 Each configured dispatcher has a number, and the first member that claims a number is bound to it: one name,
 one vote, whatever it says of others. A member that claims a second number isn't heard.
@@ -30,8 +32,7 @@
 
 from cottonhold.fleet.message_format import MAX_UINT32
 from cottonhold.fleet.recovery.messages import (
-    BASE_PER_BOOT,
-    MAX_PEER_STATES,
+    CHECKPOINTS_PER_BOOT,
     MemoryState,
     PeerState,
     Presence,
@@ -39,15 +40,22 @@
 )
 from cottonhold.fleet.recovery.peer_observations import PeerObservation, SilenceReport
 from cottonhold.fleet.recovery.silence_proof import prove_silence
+from cottonhold.fleet.recovery.survey_peers import (
+    MIN_REACHABLE_PEERS,
+    peers_to_report,
+    rotated,
+    unclean_starts,
+    zones_lost,
+)
 from cottonhold.fleet.recovery.survey_results import (
     Action,
     DuplicateIdentity,
     OutageVerdict,
-    PeerBootLearned,
+    PeerBootCountLearned,
     ProvenSilence,
-    RaiseBoot,
-    SendMessage,
-    StoreBase,
+    RaiseBootCount,
+    SendSurveyMessage,
+    StoreCheckpoint,
     SurveySettings,
     SurveyView,
     ViewChanged,
@@ -55,16 +63,15 @@
 
 BATCHING_MS = 20.0  # after a report until what it changed is weighed, with those that arrive beside it
 EXPEDITED_MS = 1000.0  # how long reports go out faster once something waits for them
-MIN_REACHABLE_PEERS = 3  # entries of a report reserved for peers that are heard
 MIN_WITNESSES = 2  # others that have to say the same of this instance; a single one may lie
 
 
 class MembershipSurvey:
     """One instance's side.
 
-    number: its own, of 0 to `dispatchers` - 1; zones: of each number; boot: of this start, at least 1;
-    incarnation: drawn anew at each start; memory, was_clean_shutdown, base: what the folder showed;
-    known_boots, known_bases: those of others as the folder had them.
+    number: its own, of 0 to `dispatchers` - 1; zones: of each number; boot_count: of this start, at least 1;
+    incarnation: drawn anew at each start; memory, was_clean_shutdown, checkpoint: what the folder showed;
+    known_boot_counts, known_checkpoints: those of others as the folder had them.
     """
 
     def __init__(
@@ -72,36 +79,36 @@
         number: int,
         dispatchers: int,
         zones: Mapping[int, str],
-        boot: int,
+        boot_count: int,
         incarnation: int,
         memory: MemoryState,
         was_clean_shutdown: bool,
-        known_boots: Mapping[int, int],
+        known_boot_counts: Mapping[int, int],
         now: float,
         settings: SurveySettings | None = None,
-        base: int = 0,
-        known_bases: Mapping[int, int] | None = None,
+        checkpoint: int = 0,
+        known_checkpoints: Mapping[int, int] | None = None,
     ) -> None:
         self.settings = settings or SurveySettings()
         self.number, self.dispatchers, self.zones = number, dispatchers, dict(zones)
-        self.boot, self.incarnation, self.memory = boot, incarnation & MAX_UINT32, memory
+        self.boot_count, self.incarnation, self.memory = boot_count, incarnation & MAX_UINT32, memory
         self.was_clean_shutdown, self.started_at = was_clean_shutdown, now
-        bases = known_bases or {}
+        checkpoints = known_checkpoints or {}
         self.peers = {
-            n: PeerObservation(n, boot=known_boots.get(n, 0), base=bases.get(n, 0))
+            n: PeerObservation(n, boot_count=known_boot_counts.get(n, 0), checkpoint=checkpoints.get(n, 0))
             for n in range(dispatchers)
             if n != number
         }
-        self.base = self.requested_base = base  # as reported, and as requested to be stored
+        self.checkpoint = self.requested_checkpoint = checkpoint  # as reported, and as requested to be stored
         self.is_memory_confirmed = self.is_memory_doubted = False
-        self.mark_requested_at = now
+        self.checkpoint_requested_at = now
         self.number_by_member: dict[int, int] = {}
         self.live: list[int] = []
         self.next_target = 0  # whose report goes out next
         self.rotation = 0  # of the peers that a report names
         self.view = SurveyView()
         self.covered_until = -math.inf  # starts up to here belong to a loss of the fleet that is over
-        self.quorum_heard_at = now  # when half of the configured ones were last heard
+        self.quorum_reachable_at = now  # when half of the configured ones were last reachable
         self.duplicate: DuplicateIdentity | None = None
         self.actions: list[Action] = []
         self.next_step = self.next_report = now
@@ -115,14 +122,14 @@
             self.next_step = self.next_report = now
         self.live = members
 
-    def on_boot_stored(self, now: float, boot: int) -> None:
-        """A raised boot is stored."""
-        self.boot = max(self.boot, boot)
+    def on_boot_count_stored(self, now: float, boot_count: int) -> None:
+        """A raised boot count is stored."""
+        self.boot_count = max(self.boot_count, boot_count)
         self.next_step = self.next_report = now
 
-    def on_base_stored(self, now: float, base: int) -> None:
-        """A base is stored."""
-        self.base = base
+    def on_checkpoint_stored(self, now: float, checkpoint: int) -> None:
+        """A checkpoint is stored."""
+        self.checkpoint = checkpoint
 
     def expedite(self, now: float) -> None:
         """Something waits for reports, so they go out faster for a second."""
@@ -137,19 +144,19 @@
         if peer is None:
             self.counters["unbound"] += 1
             return
-        incarnation, known = peer.current, (peer.boot, peer.base)
+        incarnation, known = peer.current, (peer.boot_count, peer.checkpoint)
         if not peer.apply(now, presence):
             self.counters["old"] += 1
             return
-        if (peer.boot, peer.base) != known:
-            self.actions.append(PeerBootLearned(presence.number, peer.boot, peer.base))
+        if (peer.boot_count, peer.checkpoint) != known:
+            self.actions.append(PeerBootCountLearned(presence.number, peer.boot_count, peer.checkpoint))
         for state in presence.peers:
             if state.number == self.number:
                 peer.on_view_of_self(state, self.incarnation, self.started_at)
             elif state.number in self.peers:
                 peer.on_view_of_third(now, state, self.settings.max_report_age_ms)
         if peer.current is not incarnation:
-            self.actions.append(SendMessage(member, encode(self.presence_for(now, presence.number))))
+            self.actions.append(SendSurveyMessage(member, encode(self.presence_for(now, presence.number))))
         self.next_step = min(self.next_step, now + BATCHING_MS)
 
     def _bind(self, now: float, member: int, number: int) -> PeerObservation | None:
@@ -188,8 +195,8 @@
 
     def may_send_loads(self, now: float) -> bool:
         """Whether this instance may send loads: it is no second process of its number, its memory has been
-        judged by others (a folder that was copied before this incarnation has the same base), and half of the
-        configured ones hear it."""
+        judged by others (a folder that was copied before this incarnation has the same checkpoint), and half
+        of the configured ones hear it."""
         if self.duplicate is not None and self.duplicate.is_later:
             return False
         if self.memory is MemoryState.INTACT and not (self.is_memory_confirmed or self.is_memory_doubted):
@@ -198,21 +205,21 @@
         return 2 * (1 + sum(peer.echoed_at > oldest for peer in self.peers.values())) >= self.dispatchers
 
     def has_confirmed_memory(self) -> bool:
-        """Whether this instance's memory is intact: others with intact memory know of no later base."""
+        """Whether this instance's memory is intact: others with intact memory know of no later checkpoint."""
         is_intact = self.memory is MemoryState.INTACT
         return is_intact and self.is_memory_confirmed and not self.is_memory_doubted
 
     def proven_silent(self, now: float) -> dict[int, ProvenSilence]:
         """Others that are proven to have sent no load for a while."""
-        found = {}
+        proofs = {}
         for number, peer in self.peers.items():
             if now - peer.received_at > self.settings.max_report_age_ms:
-                own = SilenceReport(max(peer.received_at, self.started_at), now)
-                others = [p.silences[number] for p in self.peers.values() if number in p.silences]
-                proof = prove_silence([*others, own], self.dispatchers, self.settings)
+                own_report = SilenceReport(max(peer.received_at, self.started_at), now)
+                peer_reports = [p.silences[number] for p in self.peers.values() if number in p.silences]
+                proof = prove_silence([*peer_reports, own_report], self.dispatchers, self.settings)
                 if proof is not None:
-                    found[number] = proof
-        return found
+                    proofs[number] = proof
+        return proofs
 
     def is_partitioned(self, silent: Mapping[int, ProvenSilence]) -> bool:
         """Whether one can't be heard that isn't among the proven silent ones."""
@@ -248,32 +255,23 @@
 
     def _assess(self, now: float) -> SurveyView:
         """What was away, by the start times of all."""
-        starts = self._unclean_starts()
+        starts = unclean_starts(self.peers)
+        if not self.was_clean_shutdown:
+            starts[self.number] = self.started_at
         since = self._restarted_since(now)
         restarted = frozenset(number for number, start in starts.items() if start > since)
         oldest = now - self.settings.max_report_age_ms
-        heard = {n for n, peer in self.peers.items() if peer.received_at >= oldest} | {self.number}
-        missing = frozenset(self.peers.keys() - heard)
-        if 2 * len(heard) >= self.dispatchers:
-            self.quorum_heard_at = now
-        zones = self._lost_zones(restarted)
+        reachable = {n for n, peer in self.peers.items() if peer.received_at >= oldest} | {self.number}
+        missing = frozenset(self.peers.keys() - reachable)
+        if 2 * len(reachable) >= self.dispatchers:
+            self.quorum_reachable_at = now
+        zones = zones_lost(self.zones, restarted)
         verdict = self._verdict(now, restarted, zones)
         first_start = min((starts[number] for number in restarted), default=-math.inf)
         if verdict is self.view.verdict is OutageVerdict.FLEET:
             first_start = min(first_start, self.view.first_start)
         is_settled = not missing or now - self.started_at >= self.settings.settle_ms
-        return SurveyView(verdict, first_start, is_settled, zones, restarted, frozenset(heard), missing)
-
-    def _unclean_starts(self) -> dict[int, float]:
-        """When each started that had not ended by order."""
-        starts = {
-            number: peer.current.started_at
-            for number, peer in self.peers.items()
-            if peer.current is not None and not peer.was_clean_shutdown
-        }
-        if not self.was_clean_shutdown:
-            starts[self.number] = self.started_at
-        return starts
+        return SurveyView(verdict, first_start, is_settled, zones, restarted, frozenset(reachable), missing)
 
     def _restarted_since(self, now: float) -> float:
         """The time since when a start counts as a restart. While the fleet counts as lost that is its first
@@ -289,8 +287,8 @@
     def _verdict(self, now: float, restarted: frozenset[int], zones: frozenset[str]) -> OutageVerdict:
         if self._is_majority(restarted):
             return OutageVerdict.FLEET
-        knows_others = any(peer.boot for peer in self.peers.values())
-        if knows_others and now - self.quorum_heard_at >= self.settings.settle_ms:
+        has_known_peers = any(peer.boot_count for peer in self.peers.values())
+        if has_known_peers and now - self.quorum_reachable_at >= self.settings.settle_ms:
             return OutageVerdict.CUT_OFF
         if restarted == {self.number}:
             return OutageVerdict.ALONE
@@ -302,25 +300,19 @@
         """More than half of the configured ones: not of those that happen to be heard."""
         return 2 * len(numbers) > self.dispatchers
 
-    def _lost_zones(self, restarted: frozenset[int]) -> frozenset[str]:
-        """Zones all of whose dispatchers restarted."""
-        zones = {self.zones[number] for number in restarted if number in self.zones}
-        intact = {zone for number, zone in self.zones.items() if number not in restarted}
-        return frozenset(zones - intact)
-
     def _check_identity(self) -> None:
         """What others know of this number that its folder doesn't. Two of them have to say it: one that lies
-        could use up the boots, and void a memory."""
+        could use up the boot counts, and void a memory."""
         witnesses = min(MIN_WITNESSES, len(self.peers))
         if not witnesses:
             return
         views = [peer.view_of_self for peer in self.peers.values() if peer.view_of_self is not None]
-        higher = sorted((view.boot for view in views if self._exceeds_folder(view)), reverse=True)
+        higher = sorted((view.boot_count for view in views if self._exceeds_folder(view)), reverse=True)
         if len(higher) >= witnesses:
             is_stale = sum(view.is_stale for view in views) >= witnesses
             if self.memory is MemoryState.INTACT and is_stale:
                 self.memory = MemoryState.STALE
-            self.actions.append(RaiseBoot(higher[witnesses - 1] + 1))
+            self.actions.append(RaiseBootCount(higher[witnesses - 1] + 1))
         duplicates = [view for view in views if view.is_duplicate]
         if len(duplicates) >= witnesses and self.duplicate is None:
             others_first = sum(view.incarnation != self.incarnation for view in duplicates)
@@ -328,72 +320,69 @@
             self.actions.append(self.duplicate)
 
     def _exceeds_folder(self, view: PeerState) -> bool:
-        """Whether another knows of a later boot or base of this number than its folder."""
+        """Whether another knows of a later boot count or checkpoint of this number than its folder."""
         if view.incarnation != self.incarnation:
             return False
-        return view.boot > self.boot or view.is_stale and self.memory is MemoryState.INTACT
+        return view.boot_count > self.boot_count or view.is_stale and self.memory is MemoryState.INTACT
 
     def _check_memory(self, now: float) -> None:
-        """Whether the folder's loads are complete, and up to which base. A memory that nobody confirmed
-        within the hold is stale: what is reported from now on others confirm, what was asked before is
+        """Whether the folder's loads are complete, and up to which checkpoint. A memory that nobody confirmed
+        within the retention is stale: what is reported from now on others confirm, what was asked before is
         unknown."""
         self._confirm_memory(now)
-        is_hold_over = now > self.started_at + self.settings.hold_ms
-        if is_hold_over and self.memory is MemoryState.INTACT and not self.has_confirmed_memory():
+        is_retention_over = now > self.started_at + self.settings.retention_ms
+        if is_retention_over and self.memory is MemoryState.INTACT and not self.has_confirmed_memory():
             self.memory = MemoryState.STALE
-        base = self.requested_base
-        if is_hold_over or self.has_confirmed_memory():
-            base = self._next_base(now)
-        if not is_hold_over and self.memory is not MemoryState.INTACT:
-            base = 0
-        if base != self.requested_base:
-            self.requested_base, self.mark_requested_at = base, now
-            self.actions.append(StoreBase(base))
+        checkpoint = self.requested_checkpoint
+        if is_retention_over or self.has_confirmed_memory():
+            checkpoint = self._next_checkpoint(now)
+        if not is_retention_over and self.memory is not MemoryState.INTACT:
+            checkpoint = 0
+        if checkpoint != self.requested_checkpoint:
+            self.requested_checkpoint, self.checkpoint_requested_at = checkpoint, now
+            self.actions.append(StoreCheckpoint(checkpoint))
 
     def _confirm_memory(self, now: float) -> None:
         """Whether others confirm this incarnation's memory.
 
-        One that knows of a later base is enough to doubt it: those that were cut off when it was last intact
-        know of nothing later. A doubt costs at most a hold, in which retries wait. And all are heard, or
-        waited for: the first to report may know the least.
+        One that knows of a later checkpoint is enough to doubt it: those that were cut off when it was last
+        intact know of nothing later. A doubt costs at most one retention, in which retries wait. And the
+        views of all have arrived, or were waited for: the first to report may know the least.
         """
-        judges = [
+        witnesses = [
             peer
             for peer in self.peers.values()
             if peer.view_of_self is not None and peer.view_of_self.incarnation == self.incarnation
         ]
         views = [
-            p.view_of_self for p in judges if p.memory is MemoryState.INTACT and p.view_of_self is not None
+            p.view_of_self for p in witnesses if p.memory is MemoryState.INTACT and p.view_of_self is not None
         ]
-        self.is_memory_doubted |= any(view.is_stale or view.boot > self.boot for view in views)
+        self.is_memory_doubted |= any(view.is_stale or view.boot_count > self.boot_count for view in views)
         has_waited = now - self.started_at >= self.settings.settle_ms
-        all_heard = len(judges) == len(self.peers) or has_waited
+        has_enough_views = len(witnesses) == len(self.peers) or has_waited
         needed = max(1, (self.dispatchers + 1) // 2 - 1)
-        self.is_memory_confirmed |= self.dispatchers == 1 or all_heard and len(views) >= needed
+        self.is_memory_confirmed |= self.dispatchers == 1 or has_enough_views and len(views) >= needed
 
-    def _next_base(self, now: float) -> int:
-        """The base of an intact memory. It grows with time, so that a backup made in this incarnation and put
-        back after it has a base that others know to be exceeded."""
+    def _next_checkpoint(self, now: float) -> int:
+        """The checkpoint of an intact memory. It grows with time, so that a backup made in this incarnation
+        and restored after it has a checkpoint that others know to be exceeded."""
         s = self.settings
-        interval_ms = max(s.mark_interval_ms, s.mark_interval_per_dispatcher_ms * self.dispatchers)
-        is_due = now - self.mark_requested_at >= interval_ms
-        return max(self.requested_base + is_due, self.boot * BASE_PER_BOOT)
+        interval_ms = max(
+            s.checkpoint_interval_ms, s.checkpoint_interval_per_dispatcher_ms * self.dispatchers
+        )
+        is_due = now - self.checkpoint_requested_at >= interval_ms
+        return max(self.requested_checkpoint + is_due, self.boot_count * CHECKPOINTS_PER_BOOT)
 
     def presence_for(self, now: float, receiver: int | None = None) -> Presence:
         """This instance's report, for a number or for a member whose number is not known yet. Peers that
         aren't heard come first: that they are silent is what others wait to hear."""
-        first = [receiver] if receiver is not None else []
         oldest = now - self.settings.max_report_age_ms
-        silent = [n for n, peer in self.peers.items() if peer.received_at < oldest and n != receiver]
-        heard = [n for n, peer in self.peers.items() if peer.received_at >= oldest and n != receiver]
-        for_silent = MAX_PEER_STATES - MIN_REACHABLE_PEERS - len(first)
-        numbers = first + _rotated(silent, self.rotation)[:for_silent]
-        numbers += _rotated(heard, self.rotation)[: MAX_PEER_STATES - len(numbers)]
+        numbers = peers_to_report(self.peers, oldest, receiver, self.rotation)
         states = tuple(self.peers[n].state(now, self.settings.min_alternations) for n in numbers)
         return Presence(
             self.number,
-            self.boot,
-            self.base,
+            self.boot_count,
+            self.checkpoint,
             self.incarnation,
             now - self.started_at,
             self.memory,
@@ -405,16 +394,10 @@
         """This instance's report to the next few members."""
         if not self.live:
             return
-        targets = _rotated(self.live, self.next_target)[: self.settings.max_messages]
+        targets = rotated(self.live, self.next_target)[: self.settings.max_messages]
         self.next_target += len(targets)
         self.rotation += MIN_REACHABLE_PEERS
         for member in targets:
             presence = self.presence_for(now, self.number_by_member.get(member))
-            self.actions.append(SendMessage(member, encode(presence)))
+            self.actions.append(SendSurveyMessage(member, encode(presence)))
         self.counters["here_sent"] += len(targets)
-
-
-def _rotated(numbers: list[int], by: int) -> list[int]:
-    """A list from another place on, so that all get their turn."""
-    start = by % len(numbers) if numbers else 0
-    return numbers[start:] + numbers[:start]
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -1,15 +1,16 @@
 """What instances tell one another after a power loss: who is there, and which loads may have run. Pure.
 
-    PRESENCE     kind 1 | number 2 | boot 4 | base 8 | incarnation 4 | uptime ms 4 | memory and clean 1 |
-                 peers 1 | peers, each: number 2 | boot 4 | incarnation 4 | uptime ms 4 | age in 10 ms 2 |
-                 flags 1
-    LOAD_QUERY   kind 1 | boot 4 | serial 4 | loads 1 | loads, each 16
-    LOAD_ANSWER  kind 1 | boot 4 | serial 4 | loads 1 | verdicts, each: index of the load 1 | statement 1
+    PRESENCE     kind 1 | number 2 | boot count 4 | checkpoint 8 | incarnation 4 | uptime ms 4 |
+                 memory and clean 1 | peers 1 | peers, each: number 2 | boot count 4 | incarnation 4 |
+                 uptime ms 4 | age in 10 ms 2 | flags 1
+    LOAD_QUERY   kind 1 | boot count 4 | serial 4 | loads 1 | loads, each 16
+    LOAD_ANSWER  kind 1 | boot count 4 | serial 4 | loads 1 | verdicts, each: index of the load 1 |
+                 statement 1
     OPEN_LOADS   kind 1 | loads 1 | loads, each 16
 
-A peer's entry is what the sender knows of a dispatcher's number: the highest boot that it ever knew of
-(stored on its disk too), the incarnation that it last heard, how long that one had been up by its own
-report, and how long ago that report arrived. A number that was never heard of has boot 0. The entry for the
+A peer's entry is what the sender knows of a dispatcher's number: the highest boot count that it ever knew of
+(stored on its disk too), the incarnation that it last heard, how long that one had been up by its own report,
+and how long ago that report arrived. A number that was never heard of has boot count 0. The entry for the
 receiver stands first, so each learns which of its reports were heard. All of it merges in any order, any
 number of times. Boots and incarnations are 32 bits, uptimes 49 days (more counts as that).
 """
@@ -36,7 +37,8 @@
 LOAD_ID_BYTES = 16
 MAX_PEER_STATES = (MAX_MESSAGE_BYTES - HEADER.size) // PEER.size
 MAX_LOADS = (MAX_MESSAGE_BYTES - SERIAL.size) // LOAD_ID_BYTES
-BASE_PER_BOOT = 1 << 32  # of a base for each boot; below it are the marks of one incarnation
+# Of one boot; the rest of a checkpoint counts the marks of that boot's incarnation.
+CHECKPOINTS_PER_BOOT = 1 << 32
 AGE_STEP_MS = 10.0
 AGE_NEVER = 0xFFFF  # the age of a report that never came
 
@@ -72,10 +74,10 @@
 class PeerState:
     """What the sender knows of a number. age_ms: since its report arrived, None: never in this incarnation of
     the sender. is_duplicate: two incarnations stand for it at once; then `incarnation` is the one that was
-    there first. is_stale: it reports a lower base than once before: its folder is an old one."""
+    there first. is_stale: it reports a lower checkpoint than once before: its folder is an old one."""
 
     number: int
-    boot: int
+    boot_count: int
     incarnation: int = 0
     uptime_ms: float = 0.0
     age_ms: float | None = None
@@ -85,13 +87,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Presence:
-    """One instance's report on itself. base: the last boot in which its memory was intact, times
-    BASE_PER_BOOT, and the marks of that incarnation so far. was_clean_shutdown: its last incarnation ended by
-    order."""
+    """One instance's report on itself. checkpoint: the last boot in which its memory was intact, times
+    CHECKPOINTS_PER_BOOT, and the marks of that incarnation so far. was_clean_shutdown: its last incarnation
+    ended by order."""
 
     number: int
-    boot: int
-    base: int
+    boot_count: int
+    checkpoint: int
     incarnation: int
     uptime_ms: float
     memory: MemoryState
@@ -101,9 +103,9 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadQuery:
-    """Asks what is known of these loads. boot: the sender's; serial: never used twice in a boot."""
+    """Asks what is known of these loads. boot_count: the sender's; serial: never used twice in a boot."""
 
-    boot: int
+    boot_count: int
     serial: int
     loads: tuple[bytes, ...]
 
@@ -120,7 +122,7 @@
 class LoadAnswer:
     """The answer to a query, by the boot and serial of that."""
 
-    boot: int
+    boot_count: int
     serial: int
     verdicts: tuple[LoadVerdict, ...]
 
@@ -140,11 +142,11 @@
     match message:
         case Presence():
             return _encode_presence(message)
-        case LoadQuery(boot, serial, loads):
-            return SERIAL.pack(LOAD_QUERY, boot, serial, len(loads)) + b"".join(loads)
-        case LoadAnswer(boot, serial, verdicts):
+        case LoadQuery(boot_count, serial, loads):
+            return SERIAL.pack(LOAD_QUERY, boot_count, serial, len(loads)) + b"".join(loads)
+        case LoadAnswer(boot_count, serial, verdicts):
             entries = [VERDICT.pack(verdict.index, verdict.statement) for verdict in verdicts]
-            return SERIAL.pack(LOAD_ANSWER, boot, serial, len(entries)) + b"".join(entries)
+            return SERIAL.pack(LOAD_ANSWER, boot_count, serial, len(entries)) + b"".join(entries)
         case OpenLoads(loads):
             return bytes((OPEN_LOADS, len(loads))) + b"".join(loads)
 
@@ -153,8 +155,8 @@
     header = HEADER.pack(
         PRESENCE,
         presence.number,
-        presence.boot,
-        presence.base,
+        presence.boot_count,
+        presence.checkpoint,
         presence.incarnation,
         _steps(presence.uptime_ms, 1, MAX_UINT32),
         presence.memory | presence.was_clean_shutdown * CLEAN_BIT,
@@ -166,7 +168,7 @@
 def _encode_peer(peer: PeerState) -> bytes:
     return PEER.pack(
         peer.number,
-        peer.boot,
+        peer.boot_count,
         peer.incarnation,
         _steps(peer.uptime_ms, 1, MAX_UINT32),
         AGE_NEVER if peer.age_ms is None else _steps(peer.age_ms, AGE_STEP_MS, AGE_NEVER - 1),
@@ -185,33 +187,35 @@
             return _decode_presence(data)
         if data[:1] == bytes((OPEN_LOADS,)):
             return OpenLoads(_decode_loads(data, 2, data[1]))
-        kind, boot, serial, count = SERIAL.unpack_from(data)
+        kind, boot_count, serial, count = SERIAL.unpack_from(data)
         if kind == LOAD_QUERY:
-            return LoadQuery(boot, serial, _decode_loads(data, SERIAL.size, count))
+            return LoadQuery(boot_count, serial, _decode_loads(data, SERIAL.size, count))
         if kind == LOAD_ANSWER:
-            return LoadAnswer(boot, serial, _decode_verdicts(data, count))
+            return LoadAnswer(boot_count, serial, _decode_verdicts(data, count))
     except (struct.error, IndexError):
         raise MessageError("truncated") from None
     raise MessageError("no message of recovery")
 
 
 def _decode_presence(data: bytes) -> Presence:
-    _, number, boot, base, incarnation, uptime_ms, flags, count = HEADER.unpack_from(data)
+    _, number, boot_count, checkpoint, incarnation, uptime_ms, flags, count = HEADER.unpack_from(data)
     if len(data) != HEADER.size + count * PEER.size:
         raise MessageError("length")
-    if not boot or flags > PRESENCE_BITS or flags & MEMORY_BITS > MemoryState.STALE:
+    if not boot_count or flags > PRESENCE_BITS or flags & MEMORY_BITS > MemoryState.STALE:
         raise MessageError("boot or memory")
     memory, was_clean = MemoryState(flags & MEMORY_BITS), bool(flags & CLEAN_BIT)
     peers = tuple(_decode_peer(*fields) for fields in PEER.iter_unpack(data[HEADER.size :]))
-    return Presence(number, boot, base, incarnation, uptime_ms, memory, was_clean, peers)
+    return Presence(number, boot_count, checkpoint, incarnation, uptime_ms, memory, was_clean, peers)
 
 
-def _decode_peer(number: int, boot: int, incarnation: int, uptime_ms: int, age: int, flags: int) -> PeerState:
+def _decode_peer(
+    number: int, boot_count: int, incarnation: int, uptime_ms: int, age: int, flags: int
+) -> PeerState:
     if flags > PEER_BITS:
         raise MessageError("peer")
     age_ms = None if age == AGE_NEVER else age * AGE_STEP_MS
     is_duplicate, is_stale = bool(flags & DUPLICATE_BIT), bool(flags & STALE_BIT)
-    return PeerState(number, boot, incarnation, uptime_ms, age_ms, is_duplicate, is_stale)
+    return PeerState(number, boot_count, incarnation, uptime_ms, age_ms, is_duplicate, is_stale)
 
 
 def _decode_loads(data: bytes, offset: int, count: int) -> tuple[bytes, ...]:
@@ -232,5 +236,5 @@
 
 def batches(loads: Iterable[bytes]) -> list[tuple[bytes, ...]]:
     """Loads in batches that fit a message each."""
-    every = list(loads)
-    return [tuple(every[i : i + MAX_LOADS]) for i in range(0, len(every), MAX_LOADS)]
+    all_loads = list(loads)
+    return [tuple(all_loads[i : i + MAX_LOADS]) for i in range(0, len(all_loads), MAX_LOADS)]
--- a/cottonhold/fleet/recovery/peer_observations.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -25,10 +25,10 @@
 
 @dataclass(slots=True)
 class SilenceReport:
-    """What another last heard of a number: at the latest at `heard_before`; it said so at `reported_after` at
-    the earliest."""
+    """When another last received a report of a number: at `last_contact_before` at the latest. It reported
+    that at `reported_after` at the earliest."""
 
-    heard_before: float
+    last_contact_before: float
     reported_after: float
 
 
@@ -36,16 +36,16 @@
 class PeerObservation:
     """Another configured dispatcher. Times in ms.
 
-    boot, base: the highest known. previous: the incarnation before. alternations: how often the two reported
-    in turns. rivals: reports of other members in its name while it was there. has_stale_folder: the
-    incarnation began with a base that was exceeded already. echoed_at: when the newest of our reports that it
-    has heard was sent. silences: by number, what it last heard of third ones.
+    boot_count, checkpoint: the highest known. previous: the incarnation before. alternations: how often the
+    two reported in turns. rivals: reports of other members in its name while it was there. has_stale_folder:
+    the incarnation began with a checkpoint that was exceeded already. echoed_at: when the newest of our
+    reports that it has heard was sent. silences: by number, what it last heard of third ones.
     """
 
     number: int
     member: int = 0
-    boot: int = 0
-    base: int = 0
+    boot_count: int = 0
+    checkpoint: int = 0
     current: Incarnation | None = None
     previous: Incarnation | None = None
     alternations: int = 0
@@ -61,17 +61,20 @@
     def apply(self, now: float, presence: Presence) -> bool:
         """Merge a report; returns whether it is news.
 
-        A folder is stale by its base: an old one that is started often enough comes to a boot that nobody
-        knew, while its base stays.
+        A folder is stale by its checkpoint: an old one that is started often enough comes to a boot count
+        that nobody knew, while its checkpoint stays.
         """
         incarnation = self._incarnation_of(now, presence)
         if incarnation is None:
             return False
         incarnation.uptime_ms = presence.uptime_ms
         incarnation.started_at = min(incarnation.started_at, now - presence.uptime_ms)
-        is_behind = self.has_stale_folder or presence.base < self.base
+        is_behind = self.has_stale_folder or presence.checkpoint < self.checkpoint
         self.has_stale_folder = is_behind and presence.memory is MemoryState.INTACT
-        self.boot, self.base = max(self.boot, presence.boot), max(self.base, presence.base)
+        self.boot_count, self.checkpoint = (
+            max(self.boot_count, presence.boot_count),
+            max(self.checkpoint, presence.checkpoint),
+        )
         self.received_at, self.memory = now, presence.memory
         self.was_clean_shutdown = presence.was_clean_shutdown
         return True
@@ -109,8 +112,8 @@
         if state.age_ms is not None and state.age_ms <= max_report_age_ms:
             self.silences.pop(state.number, None)
             return
-        heard_before = self.current.started_at if state.age_ms is None else now - state.age_ms
-        self.silences[state.number] = SilenceReport(heard_before, self.echoed_at)
+        last_contact_before = self.current.started_at if state.age_ms is None else now - state.age_ms
+        self.silences[state.number] = SilenceReport(last_contact_before, self.echoed_at)
 
     def state(self, now: float, min_alternations: int) -> PeerState:
         """What is known of it, for another. min_alternations: so many turns are two incarnations at once.
@@ -120,7 +123,7 @@
         """
         incarnation = self.current
         if incarnation is None:
-            return PeerState(self.number, self.boot)
+            return PeerState(self.number, self.boot_count)
         alternates = self.alternations >= min_alternations
         is_duplicate = alternates or self.rivals >= min_alternations
         previous = self.previous
@@ -128,7 +131,7 @@
             incarnation = previous
         return PeerState(
             self.number,
-            self.boot,
+            self.boot_count,
             incarnation.id,
             incarnation.uptime_ms,
             now - self.received_at,
--- a/cottonhold/fleet/recovery/slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -30,7 +30,7 @@
 )
 
 MAX_WARM_ROWS = 5  # warm engines that others still bound, in a report of many members
-MIN_WORK_RATE = 1e-9  # stands for no work: the scheduler ignores bounds that leave no engine at all
+MIN_WARMUP_LIMIT = 1e-9  # stands for no work: the scheduler ignores bounds that leave no engine at all
 STEP_TOLERANCE_MS = 1.0  # of timers, where a step is due
 ROTATION = 0x9E3779B1  # the golden ratio of 32 bits: spreads successive versions over all engine numbers
 
@@ -43,7 +43,7 @@
     FLEET = "fleet"
 
 
-class SlowStart:
+class SharedSlowStart:
     """Feed it what is listed, lost, checked and answered, and others' reports; ask for `share`."""
 
     def __init__(
@@ -58,7 +58,7 @@
         self.warming: dict[str, WarmingEngine] = {}
         self.answering_since: dict[str, float] = {}  # by engine, without a fault, as seen here
         self.is_listed = False  # the own list of engines has been received since the start
-        self.was_lost_alone = False  # nobody else was away, as far as is known
+        self.was_only_this_instance_away = False  # nobody else was away, as far as is known
         self.reported_warming: set[int] = set()  # numbers of engines that others bound
         self.stepped_at = -math.inf
 
@@ -80,7 +80,7 @@
         self.is_listed = True
         for engine, warming in list(self.warming.items()):
             if not warming.has_answered and not warming.was_tried:
-                self._prove(engine, warming, warming.started_at)
+                self._mark_answering(engine, warming, warming.started_at)
 
     def on_loss(
         self,
@@ -98,8 +98,8 @@
         bounds.
         """
         affected = set(self.engines) if engines is None else set(engines) & set(self.engines)
-        self.was_lost_alone = scope is OutageScope.ALONE
-        if self.was_lost_alone:
+        self.was_only_this_instance_away = scope is OutageScope.ALONE
+        if self.was_only_this_instance_away:
             self._free_engines(affected)
             return
         for engine in sorted(affected - set(self.warming)):
@@ -138,32 +138,32 @@
         if engine in self.engines:
             self._start(now, engine, now).has_answered = False
 
-    def on_health_check(self, now: float, engine: str, good: bool) -> None:
+    def on_health_check(self, now: float, engine: str, succeeded: bool) -> None:
         """A health check by this instance has ended, or a good one by another."""
-        self._note_answering(now, engine, good)
+        self._note_answering(now, engine, succeeded)
         warming = self.warming.get(engine)
         if warming is None:
             return
         warming.was_tried = True
-        if good and not warming.has_answered:
-            self._prove(engine, warming, now)
-        elif not good and not warming.answers:
+        if succeeded and not warming.has_answered:
+            self._mark_answering(engine, warming, now)
+        elif not succeeded and not warming.answers:
             warming.has_answered = False
 
-    def on_answer(self, now: float, engine: str, good: bool, work_ms: float, elapsed_ms: float) -> None:
+    def on_answer(self, now: float, engine: str, succeeded: bool, work_ms: float, elapsed_ms: float) -> None:
         """An attempt has ended with an answer. work_ms: as the engine reports it, else as such a query
         usually takes; 0: not known, and the answer only proves that the engine is there."""
-        self._note_answering(now, engine, good)
+        self._note_answering(now, engine, succeeded)
         warming = self.warming.get(engine)
         if warming is None:
             return
         warming.was_tried = True
-        if not good:
+        if not succeeded:
             # Without any good answer an engine that is only listed counts as capacity no longer.
             warming.has_answered = warming.has_answered and bool(warming.answers)
             return
         if not warming.has_answered:
-            self._prove(engine, warming, now)
+            self._mark_answering(engine, warming, now)
         if work_ms > 0:
             warming.answers.append(Answer(now, work_ms, elapsed_ms))
 
@@ -193,7 +193,7 @@
         """Work in ms a ms that may be sent to each engine that warms up. quota: of the budget of all."""
         limits = {e: warming.cores * self.share(e) * quota for e, warming in self.warming.items()}
         if len(limits) == len(self.engines) and not any(limits.values()):
-            return dict.fromkeys(limits, MIN_WORK_RATE)
+            return dict.fromkeys(limits, MIN_WARMUP_LIMIT)
         return limits
 
     def cores(self) -> tuple[float, float]:
@@ -254,15 +254,16 @@
         self.warming[engine] = warming
         return warming
 
-    def _prove(self, engine: str, warming: WarmingEngine, since: float) -> None:
-        """It is there: a list names it, or it has answered. If only this instance was away it is free."""
+    def _mark_answering(self, engine: str, warming: WarmingEngine, since: float) -> None:
+        """An engine is there: a list names it, or it has answered. If only this instance was away it is
+        free."""
         warming.has_answered, warming.started_at = True, since
-        if self.was_lost_alone and warming.number not in self.reported_warming:
+        if self.was_only_this_instance_away and warming.number not in self.reported_warming:
             del self.warming[engine]
 
-    def _note_answering(self, now: float, engine: str, good: bool) -> None:
+    def _note_answering(self, now: float, engine: str, succeeded: bool) -> None:
         """Note since when an engine answers; after a fault it may have restarted."""
-        if not good:
+        if not succeeded:
             self.answering_since.pop(engine, None)
         elif engine in self.engines:
             self.answering_since.setdefault(engine, now)
@@ -277,12 +278,12 @@
     ) -> None:
         """An engine's share from now on; it is free once it is warm, by own or most others' observations."""
         warming.adopt_age(now, reported)
-        own = warming.observation = warming.observe(now)
+        own_observation = warming.observation = warming.observe(now)
         is_overdue = now - warming.started_at > self.settings.max_duration_ms
-        if not reported and not own.speed and warming.has_answered and not is_overdue:
+        if not reported and not own_observation.speed and warming.has_answered and not is_overdue:
             warming.updated_at = now
             return
-        observations = [own, *reported] if warming.has_answered else reported
+        observations = [own_observation, *reported] if warming.has_answered else reported
         pooled = warmup_messages.pool_observations(observations, unheard_factor)
         passed_ms, warming.updated_at = now - warming.updated_at, now
         if pooled.speed > 0 and not warming.has_answered:
@@ -306,19 +307,21 @@
             return []
         s, is_small_fleet = self.settings, len(members) < self.settings.gossip_from_members
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
-        own = WarmupReport(self.self_id, self.incarnation, self.version, self._observations(is_small_fleet))
+        own_report = WarmupReport(
+            self.self_id, self.incarnation, self.version, self._observations(is_small_fleet)
+        )
         if is_small_fleet:
-            data = encode_warmup_reports([own])
+            data = encode_warmup_reports([own_report])
             return [(member, data) for member in members]
         relayed = [r.report for r in self.reports.newest() if now - r.received_at <= s.max_report_age_ms]
-        data = encode_warmup_reports([own, *relayed])
+        data = encode_warmup_reports([own_report, *relayed])
         return [(member, data) for member in self.random.sample(members, s.gossip_fanout)]
 
     def _observations(self, is_small_fleet: bool) -> dict[int, EngineObservation]:
-        """What to report: engines with answers first, the others in turn.
+        """What to report: engines with answers first, the others in rotation.
 
         In a large fleet each instance has few answers; engines of which it saw nothing are left out, so that
-        there is room to relay others' reports.
+        others' reports can be relayed as well.
         """
         observations = {
             warming.number: warming.observation
@@ -331,6 +334,6 @@
             observations[number] = EngineObservation(0.0, 0.0, UNLIMITED_SHARE, 0.0)
         if len(observations) <= warmup_messages.MAX_ENGINES:
             return observations
-        turn = self.version * ROTATION
-        ranked = sorted(observations, key=lambda n: (observations[n].speed <= 0, n + turn & MAX_UINT32))
+        rotation = self.version * ROTATION
+        ranked = sorted(observations, key=lambda n: (observations[n].speed <= 0, n + rotation & MAX_UINT32))
         return {number: observations[number] for number in ranked[: warmup_messages.MAX_ENGINES]}
--- a/cottonhold/fleet/recovery/silence_proof.py
+++ b/cottonhold/fleet/recovery/silence_proof.py
@@ -26,6 +26,6 @@
     newest = sorted(reports, key=lambda report: -report.reported_after)[:needed]
     if len(newest) < needed or settings.lease_ms == math.inf:
         return None
-    last_heard = max(report.heard_before for report in newest)
+    last_contact_before = max(report.last_contact_before for report in newest)
     lease_ms = settings.lease_ms * (1 + settings.clock_drift)
-    return ProvenSilence(last_heard + lease_ms, min(report.reported_after for report in newest))
+    return ProvenSilence(last_contact_before + lease_ms, min(report.reported_after for report in newest))
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -19,11 +19,12 @@
     one; idle_interval_ms: else. max_messages: of a step; what others receive must not grow with the square of
     the fleet. lease_ms: see membership_survey; infinity: never cut off, and nobody is ever proven silent.
     clock_drift: margin for clocks' rates. rebind_ms: a number whose member was silent for so long is bound to
-    another that claims it: a machine that was replaced. hold_ms: as LoadHistorySettings.hold_ms.
+    another that claims it: a machine that was replaced. retention_ms: as in LoadHistorySettings.
     min_alternations: so often two incarnations must have reported in turns to be two at once; late datagrams
-    of an ended one arrive by themselves. mark_interval_ms, mark_interval_per_dispatcher_ms: a base grows so
-    often, and for each configured dispatcher so much less often, since all others write it down: ten records
-    a second at most. A copy of a folder is detected if a mark was made and reported after it.
+    of an ended one arrive by themselves. checkpoint_interval_ms,
+    checkpoint_interval_per_dispatcher_ms: a checkpoint is raised so often, and for each configured dispatcher
+    so much less often, since all others record it: ten records a second at most. A copy of a folder is
+    detected if a checkpoint was made and reported after it.
     """
 
     recent_start_ms: float = 60_000.0
@@ -36,9 +37,9 @@
     clock_drift: float = 0.02
     rebind_ms: float = 30_000.0
     min_alternations: int = 3
-    hold_ms: float = 60_000.0
-    mark_interval_ms: float = 2000.0
-    mark_interval_per_dispatcher_ms: float = 100.0
+    retention_ms: float = 60_000.0
+    checkpoint_interval_ms: float = 2000.0
+    checkpoint_interval_per_dispatcher_ms: float = 100.0
 
 
 class OutageVerdict(Enum):
@@ -69,7 +70,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SendMessage:
+class SendSurveyMessage:
     """A message for a member."""
 
     member: int
@@ -84,10 +85,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RaiseBoot:
-    """The boot must be raised to at least this and stored."""
+class RaiseBootCount:
+    """The boot count must be raised to at least this and stored."""
 
-    min_boot: int
+    min_boot_count: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -99,23 +100,31 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PeerBootLearned:
-    """A hint to store: the highest boot and base known of a number."""
+class PeerBootCountLearned:
+    """A hint to store: the highest boot count and checkpoint known of a number."""
 
     number: int
-    boot: int
-    base: int = 0
+    boot_count: int
+    checkpoint: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class StoreBase:
-    """To be stored as the folder's base: the boot and the mark up to which its loads are complete; 0: they
-    are not, so that an empty or old folder that is started twice is not taken for a complete one."""
-
-    base: int
-
-
-Action = SendMessage | ViewChanged | RaiseBoot | DuplicateIdentity | PeerBootLearned | StoreBase
+class StoreCheckpoint:
+    """To be stored as the folder's checkpoint: the boot, and the mark in it, up to which its loads are
+    complete; 0: they are not, so that an empty or old folder that is started twice is not taken for a
+    complete one."""
+
+    checkpoint: int
+
+
+Action = (
+    SendSurveyMessage
+    | ViewChanged
+    | RaiseBootCount
+    | DuplicateIdentity
+    | PeerBootCountLearned
+    | StoreCheckpoint
+)
 
 
 @dataclass(slots=True, frozen=True)
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -19,13 +19,19 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.latest_reports import Stamp
-from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
+from cottonhold.fleet.message_format import (
+    LIST_HEADER_BYTES,
+    MAX_MESSAGE_BYTES,
+    MessageError,
+    decode_list,
+    encode_list,
+)
 from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 
 WARMUP_REPORTS = 16  # the kind of message
 HEADER = struct.Struct("!QIIB")
 ENTRY = struct.Struct("!IBBBB")
-MAX_ENGINES = (MAX_MESSAGE_BYTES - 2 - HEADER.size) // ENTRY.size  # of a report
+MAX_ENGINES = (MAX_MESSAGE_BYTES - LIST_HEADER_BYTES - HEADER.size) // ENTRY.size  # of a report
 MAX_BYTE = 255
 SHARE_STEPS = 255
 SPEED_STEPS = 170.0  # of a speed of one, so that 1.5 can be encoded
@@ -70,16 +76,12 @@
 
 def encode_warmup_reports(reports: Iterable[WarmupReport]) -> bytes:
     """A message with as many of these reports as fit, first ones first."""
-    parts, remaining = list[bytes](), MAX_MESSAGE_BYTES - 2
-    for report in reports:
-        size = HEADER.size + len(report.engines) * ENTRY.size
-        if size > remaining:
-            break
-        header = HEADER.pack(report.member, report.incarnation, report.version, len(report.engines))
-        entries = [_encode_entry(number, seen) for number, seen in report.engines.items()]
-        parts.append(header + b"".join(entries))
-        remaining -= size
-    return bytes((WARMUP_REPORTS, len(parts))) + b"".join(parts)
+    return encode_list(WARMUP_REPORTS, map(_encode_report, reports))
+
+
+def _encode_report(report: WarmupReport) -> bytes:
+    header = HEADER.pack(report.member, report.incarnation, report.version, len(report.engines))
+    return header + b"".join(_encode_entry(number, seen) for number, seen in report.engines.items())
 
 
 def _encode_entry(number: int, observation: EngineObservation) -> bytes:
@@ -95,18 +97,7 @@
 
 def decode_warmup_reports(data: bytes) -> list[WarmupReport]:
     """The reports of a message. Raises MessageError; then none of them is applied."""
-    if len(data) < 2 or data[0] != WARMUP_REPORTS:
-        raise MessageError("no warm-up reports")
-    reports, offset = [], 2
-    try:
-        for _ in range(data[1]):
-            report, offset = _decode_report(data, offset)
-            reports.append(report)
-    except struct.error:
-        raise MessageError("truncated") from None
-    if offset != len(data):
-        raise MessageError("too long")
-    return reports
+    return decode_list(data, WARMUP_REPORTS, "warm-up reports", _decode_report)
 
 
 def _decode_report(data: bytes, offset: int) -> tuple[WarmupReport, int]:
--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -12,7 +12,7 @@
 import math
 from collections import Counter
 
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.interface import (
     Action,
@@ -43,7 +43,7 @@
     "RequestAbandoned",
     "RequestForwarder",
     "ForwardingSettings",
-    "SendMessage",
+    "SendConsensusMessage",
     "RequestAccepted",
 ]
 
--- a/cottonhold/fleet/request_forwarding/interface.py
+++ b/cottonhold/fleet/request_forwarding/interface.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.request_forwarding.messages import ForwardResult
 
 
@@ -83,4 +83,4 @@
     ForwardResult.NOT_ACCEPTED: "nobody",
     ForwardResult.TOO_LARGE: "too_large",
 }
-Action = SendMessage | RequestAccepted | RequestAbandoned | ForwardingEnded
+Action = SendConsensusMessage | RequestAccepted | RequestAbandoned | ForwardingEnded
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -24,7 +24,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.fragmentation import (
     MAX_BACKOFF_DOUBLINGS,
@@ -59,7 +59,7 @@
 )
 
 
-class Phase(IntEnum):
+class SendPhase(IntEnum):
     """Where a request stands at its origin."""
 
     QUEUED = 0
@@ -84,7 +84,7 @@
     queue_key: bytes
     deadline: float
     next_action_at: float
-    phase: Phase = Phase.QUEUED
+    phase: SendPhase = SendPhase.QUEUED
     owner_incarnation: int = 0
     withdraw_count: int = 0
     is_ended: bool = False  # the client has its end, or left
@@ -227,15 +227,18 @@
             return
         if ack.state is RequestState.ACCEPTED and not request.body.is_fully_sent:
             raise MessageError("taken before it was sent")
-        if request.phase is Phase.SENDING:
+        if request.phase is SendPhase.SENDING:
             owner.window.on_ack(ack.number, ack.received_bits)
         self._apply_timestamp(now, owner, ack.timestamp)
         if ack.state is RequestState.NOT_ACCEPTED:
             self._end(request, ForwardResult.NOT_ACCEPTED)
             self._close(owner, request)
-        elif ack.state is RequestState.CANCELLED and request.phase is Phase.ABANDONED:
+        elif ack.state is RequestState.CANCELLED and request.phase is SendPhase.ABANDONED:
             self._close(owner, request)
-        elif ack.state is RequestState.ACCEPTED and request.phase in (Phase.SENDING, Phase.WITHDRAWING):
+        elif ack.state is RequestState.ACCEPTED and request.phase in (
+            SendPhase.SENDING,
+            SendPhase.WITHDRAWING,
+        ):
             self._on_accepted(owner, request)
         self._send_due(now, owner)
 
@@ -255,7 +258,7 @@
         if request.outcome != (fragment.result, fragment.retry_after_ms):
             raise MessageError("two ends")
         is_complete = request.answer.add(fragment.body_bytes, fragment.index, fragment.data)
-        if request.phase is not Phase.ACCEPTED:
+        if request.phase is not SendPhase.ACCEPTED:
             self._on_accepted(owner, request)
         self._send_message(sender, AnswerAck(fragment.number, is_complete, request.answer.received_bits))
         if is_complete:
@@ -326,7 +329,7 @@
         self._start_sending(owner, request)
 
     def _start_sending(self, owner: KnownOwner, request: OutgoingRequest) -> None:
-        request.phase = Phase.SENDING
+        request.phase = SendPhase.SENDING
         owner.window.add(request.body)
 
     def _dequeue(self, owner: KnownOwner, request: OutgoingRequest) -> None:
@@ -343,7 +346,7 @@
 
     def _on_accepted(self, owner: KnownOwner, request: OutgoingRequest) -> None:
         """The owner has accepted the request."""
-        request.phase = Phase.ACCEPTED
+        request.phase = SendPhase.ACCEPTED
         owner.window.on_fully_received(request.number)
         self._schedule(request, request.deadline - self.settings.answer_reserve_ms)
         self._dequeue(owner, request)
@@ -367,9 +370,9 @@
         """Withdraw the request, give its client a result, or forget it."""
         settings = self.settings
         answer_deadline = request.deadline - settings.answer_reserve_ms
-        if request.phase is Phase.ABANDONED and now >= request.deadline:
+        if request.phase is SendPhase.ABANDONED and now >= request.deadline:
             self._close(owner, request)
-        elif request.phase is Phase.ABANDONED:
+        elif request.phase is SendPhase.ABANDONED:
             self._send_withdraw(now, owner, request, request.deadline)
         elif not request.body.is_fully_sent:
             self._end(request, ForwardResult.NOT_ACCEPTED)
@@ -378,20 +381,20 @@
             self._end(request, ForwardResult.FAILED)
             self._cancel(now, owner, request)
         else:
-            if request.phase is Phase.SENDING:
-                request.phase, request.withdraw_count = Phase.WITHDRAWING, 0
+            if request.phase is SendPhase.SENDING:
+                request.phase, request.withdraw_count = SendPhase.WITHDRAWING, 0
                 owner.window.remove(request.number)
             self._send_withdraw(now, owner, request, answer_deadline)
 
     def _cancel(self, now: float, owner: KnownOwner, request: OutgoingRequest) -> None:
         """No client waits for the request; its owner is to know that."""
-        request.phase, request.withdraw_count = Phase.ABANDONED, 0
+        request.phase, request.withdraw_count = SendPhase.ABANDONED, 0
         owner.window.remove(request.number)
         self._send_withdraw(now, owner, request, request.deadline)
 
     def _send_withdraw(self, now: float, owner: KnownOwner, request: OutgoingRequest, latest: float) -> None:
         """Withdraw the request, and again later."""
-        is_abandoned = request.phase is Phase.ABANDONED
+        is_abandoned = request.phase is SendPhase.ABANDONED
         self._send_message(owner.id, WithdrawRequest(self._header(now, owner, request), is_abandoned))
         backoff_ms = self._backoff_ms(request.withdraw_count)
         request.withdraw_count = min(request.withdraw_count + 1, MAX_BACKOFF_DOUBLINGS)
@@ -457,4 +460,4 @@
             self._send_message(owner.id, fragment)
 
     def _send_message(self, member: int, message: Message) -> None:
-        self.actions.append(SendMessage(member, encode(message)))
+        self.actions.append(SendConsensusMessage(member, encode(message)))
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.fragmentation import FragmentedBody, Reassembly, SendWindow
 from cottonhold.fleet.request_forwarding.interface import (
@@ -404,4 +404,4 @@
         self.next_sweep_at = now + self.settings.liveness_interval_ms if self.origins else math.inf
 
     def _send_message(self, member: int, message: Message) -> None:
-        self.actions.append(SendMessage(member, encode(message)))
+        self.actions.append(SendConsensusMessage(member, encode(message)))
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -4,7 +4,7 @@
 
 import math
 
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.messages import (
     MAY_HAVE_RUN,
@@ -18,10 +18,10 @@
     NO_MEMBER,
     Action,
     Candidate,
+    DeferredMigrationAnswer,
     MoveEnded,
     OwnershipRecord,
     OwnershipState,
-    PendingAnswer,
     WithdrawnOffer,
 )
 
@@ -148,9 +148,9 @@
         if record is None or self._is_outdated(record, entry):
             owner = NO_MEMBER if entry.flags & TARGET_REMOVED else sender
             record = self._record_other_owner(entry.key, entry.epoch, owner)
-            record.pending_answer = PendingAnswer(sender, entry)
+            record.pending_answer = DeferredMigrationAnswer(sender, entry)
         elif record.pending_token:
-            record.pending_answer = PendingAnswer(sender, entry)
+            record.pending_answer = DeferredMigrationAnswer(sender, entry)
         else:
             self._add_entry(sender, EntryKind.ANNOUNCE_ACK, entry)
 
@@ -186,7 +186,7 @@
             self._add_entry(member, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
         else:
             record = self._record_other_owner(key, epoch, member)
-            record.pending_answer = PendingAnswer(member, MigrationEntry(key, epoch, TENTATIVE))
+            record.pending_answer = DeferredMigrationAnswer(member, MigrationEntry(key, epoch, TENTATIVE))
 
     def _decide_candidates(self, now: float) -> None:
         """Decide the candidates that were announced before this home's knowledge was complete."""
@@ -302,7 +302,7 @@
         self._send_entries()
         actions = [*self.actions, *self.lease.actions]
         self.actions, self.lease.actions = [], []
-        self.counts["said"] += sum(isinstance(action, SendMessage) for action in actions)
+        self.counts["said"] += sum(isinstance(action, SendConsensusMessage) for action in actions)
         return actions
 
     def _send_withdrawals(self, now: float) -> None:
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.actions import PersistState, SendConsensusMessage
 from cottonhold.fleet.consensus.messages import MessageReader
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.membership.leases import LeaseManager, LeaseReply, LeaseRequest, LeaseSettings, SendToMember
@@ -42,11 +42,11 @@
     next_request_at: float = -math.inf
 
 
-class PendingAnswer(NamedTuple):
+class DeferredLeaseAnswer(NamedTuple):
     """An answer that is sent once the record's version is on disk."""
 
     record_version: int
-    message: SendMessage
+    message: SendConsensusMessage
 
 
 class MembershipLease:
@@ -93,8 +93,8 @@
         self.requested_version = 0  # the version last passed to the disk
         self.durable_version = 0
         self.versions_by_token: dict[int, int] = {}
-        self.pending_answers: list[PendingAnswer] = []
-        self.actions: list[SendMessage | PersistState] = []
+        self.pending_answers: list[DeferredLeaseAnswer] = []
+        self.actions: list[SendConsensusMessage | PersistState] = []
 
     def valid_until(self) -> float:
         """Return until when this member may act on what it owns; a time in the past if it may not."""
@@ -150,7 +150,7 @@
             fence.next_request_at = now + retry_interval_ms
             request = messages.encode_notice(messages.REFUSE, False, member, self.epoch)
             for voter in {*self.voters, member} - fence.refusing_voters - {self.member}:
-                self.actions.append(SendMessage(voter, request))
+                self.actions.append(SendConsensusMessage(voter, request))
             if self.member in self.voters:
                 self._promise_refusal(now, self.member, member, self.epoch)
 
@@ -253,11 +253,11 @@
 
         A promise that were forgotten in a restart would let the lease be renewed.
         """
-        answer = SendMessage(requester, messages.encode_notice(messages.REFUSE, True, member, epoch))
+        answer = SendConsensusMessage(requester, messages.encode_notice(messages.REFUSE, True, member, epoch))
         if self.refused_epochs.get(member, 0) < epoch:
             self.refused_epochs[member] = epoch
             self.record_version += 1
-        pending = PendingAnswer(self.record_version, answer)
+        pending = DeferredLeaseAnswer(self.record_version, answer)
         if pending not in self.pending_answers:
             self.pending_answers.append(pending)
         self._send_durable_answers(now)
@@ -271,4 +271,4 @@
         self._send(member, messages.encode_lease(message, self.epoch))
 
     def _send(self, member: int, payload: bytes) -> None:
-        self.actions.append(SendMessage(member, payload))
+        self.actions.append(SendConsensusMessage(member, payload))
--- a/cottonhold/fleet/session_affinity/migration.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -6,11 +6,11 @@
 
 from cottonhold.fleet.session_affinity.messages import MAY_HAVE_RUN, EntryKind, MigrationEntry
 from cottonhold.fleet.session_affinity.record_book import (
+    DeferredMigrationAnswer,
     MoveAllowance,
     MoveEnded,
     OwnershipRecord,
     OwnershipState,
-    PendingAnswer,
     RecordBook,
     WithdrawnOffer,
 )
@@ -221,4 +221,4 @@
         record.release_confirmed = True
         record.home_informed = True
         self._persist(entry.key, record)
-        record.pending_answer = PendingAnswer(sender, entry)
+        record.pending_answer = DeferredMigrationAnswer(sender, entry)
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.actions import PersistState, SendConsensusMessage
 from cottonhold.fleet.consensus.messages import MessageReader
 from cottonhold.fleet.session_affinity.membership_lease import MembershipLease
 from cottonhold.fleet.session_affinity.messages import EntryKind, MigrationEntry
@@ -106,10 +106,10 @@
     may_have_run: bool
 
 
-Action = SendMessage | PersistState | MoveEnded | OwnershipAcquired
+Action = SendConsensusMessage | PersistState | MoveEnded | OwnershipAcquired
 
 
-class PendingAnswer(NamedTuple):
+class DeferredMigrationAnswer(NamedTuple):
     """The entry that is answered to a member once the record of its key is on disk."""
 
     member: int
@@ -161,7 +161,7 @@
     offered_at: float = 0.0
     stopped_at: float = math.nan  # when a mover stopped starting requests; unknown after a restart
     next_send_at: float = -math.inf
-    pending_answer: PendingAnswer | None = None
+    pending_answer: DeferredMigrationAnswer | None = None
 
 
 def home_score(member: int, key: bytes) -> tuple[float, int]:
@@ -306,7 +306,7 @@
         self.outgoing_entries.setdefault((member, kind), []).append(entry)
 
     def _send(self, member: int, payload: bytes) -> None:
-        self.actions.append(SendMessage(member, payload))
+        self.actions.append(SendConsensusMessage(member, payload))
 
     def _persist(self, key: bytes, record: OwnershipRecord) -> None:
         self.last_token += 1
--- a/cottonhold/fleet/session_affinity/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -119,7 +119,7 @@
         """Return under which ownership requests of the key may start here now, or None."""
         return self.ownership.ownership_of(now, key) if self.ownership is not None else None
 
-    def is_lost(self, now: float, key: bytes) -> bool:
+    def will_not_start(self, now: float, key: bytes) -> bool:
         """Whether a waiting request of the key will not start here: the lease is valid, and the key is not
         owned.
         """
