--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -11,11 +11,11 @@
 import math
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from enum import Enum
 
 from cottonhold.fleet.zone_failover.attempt_pool import lower_median, pool_counts
 from cottonhold.fleet.zone_failover.failure_evidence import AttemptCounts, ZoneHealth
 from cottonhold.fleet.zone_failover.messages import Vote, ZoneReport
+from cottonhold.fleet.zone_failover.zone_state import LocalEvidence, PhaseChange, ZonePhase, ZoneState
 
 # What speaks against joining others: so many served attempts, and at most this share of bad ones.
 MIN_HEALTHY_ATTEMPTS = 3
@@ -23,7 +23,7 @@
 MIN_CERTAIN = 2  # one instance alone, which lies or has a bad link, never moves another
 MIN_SUSPECTING = 3
 MIN_BAD_REPORTERS = 2  # instances that have to see a return fail
-BAD_OVER_ELSEWHERE = 1.5  # times the share of bad attempts elsewhere that a return may show
+MAX_BAD_SHARE_RATIO = 1.5  # times the share of bad attempts elsewhere that a return may show
 
 # Reasons as operators read them.
 BY_OPERATOR = "by hand"
@@ -33,29 +33,21 @@
 ENGINES_ANSWER = "its engines answer"
 FLEET_RETURNS = "the fleet returns"
 RETURNED = "returned"
-OWN_EVIDENCE = {
+EVIDENCE_REASONS = {
     ZoneHealth.SLOW: "own evidence: slow",
     ZoneHealth.FAILING: "own evidence: failing",
     ZoneHealth.DOWN: "own evidence: lost",
 }
 
 
-class Phase(Enum):
-    """What this instance does with a zone."""
-
-    IN_SERVICE = "in"
-    EVACUATED = "out"
-    RETURNING = "return"
-
-
 @dataclass(slots=True, frozen=True)
 class EvacuationSettings:
     """Times in ms.
 
-    max_report_age_ms: older reports move nobody; several rounds of them, a lost one among them. hold_ms: a
-    zone stays evacuated at least so long; doubled by each return that failed, up to max_hold_ms, and halved
-    by each quiet_ms without one. initial_share: of its full load, with which a return begins. step_ms: a
-    return's share may double so often. idle_step_ms: without any attempt only so often, so that a fleet
+    max_report_age_ms: older reports move nobody; several rounds of them, a lost one among them. hold_down_ms:
+    a zone stays evacuated at least so long; doubled by each return that failed, up to max_hold_down_ms, and
+    halved by each quiet_ms without one. initial_share: of its full load, with which a return begins. step_ms:
+    a return's share may double so often. idle_step_ms: without any attempt only so often, so that a fleet
     without load is not bounded for good. max_bad_share: share of bad attempts over all instances from which a
     return has failed. min_good_ratio: part of the share of good ones elsewhere from which the traffic share
     doubles; under back_off_ratio it is halved. min_attempts: it takes so many at least, and max_bad_per_good:
@@ -67,8 +59,8 @@
     """
 
     max_report_age_ms: float = 2000.0
-    hold_ms: float = 2000.0
-    max_hold_ms: float = 30_000.0
+    hold_down_ms: float = 2000.0
+    max_hold_down_ms: float = 30_000.0
     quiet_ms: float = 30_000.0
     initial_share: float = 0.03
     step_ms: float = 250.0
@@ -84,66 +76,14 @@
     settle_ms: float = 6000.0
 
 
-@dataclass(slots=True)
-class ZoneState:
-    """One zone at this instance. Times in ms."""
-
-    phase: Phase = Phase.IN_SERVICE
-    since: float = -math.inf
-    is_certain: bool = False
-    wants_return: bool = False  # evacuated here, and votes for the return
-    is_fleet_evacuated: bool = False  # by a majority's votes
-    was_fleet_evacuated: bool = False  # at some time since this instance evacuated it
-    majority_heard_at: float = 0.0
-    traffic_share: float = 1.0
-    share_changed_at: float = 0.0
-    retained_share: float = 0.0
-    hold_ms: float = 0.0
-    return_started_at: float = -math.inf
-    hold_reduced_at: float = 0.0
-    joining_requested_at: float = math.inf  # since when enough others want it evacuated
-    seen_healthy_at: float = -math.inf  # when own attempts last spoke against that
-    reason: str = ""
-
-    @property
-    def vote(self) -> Vote:
-        """What this instance votes for."""
-        is_against = self.phase is Phase.EVACUATED and not self.wants_return
-        return Vote.EVACUATE if is_against else Vote.KEEP
-
-
-@dataclass(slots=True, frozen=True)
-class LocalEvidence:
-    """What this instance brings to one zone's decision.
-
-    engines_answer: the zone's engines pass health checks, as far as there were any. retained_share: share of
-    the zone's load that the others can't carry and it still serves. override: an operator's, or None.
-    """
-
-    health: ZoneHealth
-    counts: AttemptCounts
-    suspects_failure: bool
-    engines_answer: bool
-    retained_share: float = 0.0
-    override: Vote | None = None
-
-
-@dataclass(slots=True, frozen=True)
-class PhaseChange:
-    """A zone's phase has changed here, for the log and the status."""
-
-    zone: str
-    phase: Phase
-    reason: str
-
-
 def majority(electorate: int) -> int:
     """The smallest number that is more than half."""
     return electorate // 2 + 1
 
 
 class Evacuation:
-    """The states of all zones. `step` with own evidence and the others' reports; then ask `traffic_share`."""
+    """The states of all zones. `step` with local evidence and the others' reports; then ask
+    `traffic_share`."""
 
     def __init__(self, settings: EvacuationSettings | None = None) -> None:
         self.settings = settings or EvacuationSettings()
@@ -155,24 +95,26 @@
 
     def set_zones(self, names: Iterable[str]) -> None:
         """Exactly these zones exist."""
-        new = self.settings.hold_ms
-        self.states = {name: self.states.get(name) or ZoneState(hold_ms=new) for name in names}
+        initial_hold_down_ms = self.settings.hold_down_ms
+        self.states = {
+            name: self.states.get(name) or ZoneState(hold_down_ms=initial_hold_down_ms) for name in names
+        }
 
     def step(
         self,
         now: float,
-        own: Mapping[str, LocalEvidence],
+        evidence: Mapping[str, LocalEvidence],
         reports: Mapping[str, list[ZoneReport]],
         electorate: int,
     ) -> list[PhaseChange]:
         """Decide on each zone. reports: the others' fresh ones by zone; electorate: the number of voters,
         with this one."""
         self.now, self.changes = now, []
-        self._compare_zones(own, reports)
+        self._compare_zones(evidence, reports)
         for name, state in self.states.items():
-            if name in own:
+            if name in evidence:
                 self._count_votes(state, reports.get(name, []), electorate)
-                self._decide(name, state, own[name], reports.get(name, []), electorate)
+                self._decide(name, state, evidence[name], reports.get(name, []), electorate)
         return self.changes
 
     def traffic_share(self, name: str, reports: Iterable[ZoneReport] = ()) -> float:
@@ -184,9 +126,9 @@
         state = self.states.get(name)
         if state is None:
             return 1.0
-        if state.phase is Phase.EVACUATED or state.is_fleet_evacuated:
+        if state.phase is ZonePhase.EVACUATED or state.is_fleet_evacuated:
             return state.retained_share
-        if state.phase is Phase.IN_SERVICE:
+        if state.phase is ZonePhase.IN_SERVICE:
             return 1.0
         proposed = [report.traffic_share for report in reports if report.vote is Vote.KEEP]
         return min(state.traffic_share, lower_median([state.traffic_share, *proposed]))
@@ -198,8 +140,8 @@
         in_favour = len(reports) + 1 - against
         needed = majority(electorate)
         if len(reports) + 1 >= needed:
-            state.majority_heard_at = self.now
-        is_isolated = self.now - state.majority_heard_at > self.settings.isolation_ms
+            state.majority_reachable_at = self.now
+        is_isolated = self.now - state.majority_reachable_at > self.settings.isolation_ms
         if against >= needed:
             state.is_fleet_evacuated = True
         elif in_favour >= needed or is_isolated:
@@ -207,60 +149,66 @@
         state.was_fleet_evacuated = state.was_fleet_evacuated or state.is_fleet_evacuated
 
     def _decide(
-        self, name: str, state: ZoneState, own: LocalEvidence, reports: list[ZoneReport], electorate: int
+        self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> None:
-        """An operator's override first, then own evidence, then the fleet's votes."""
-        if state.phase is Phase.EVACUATED:
-            self._decide_return(name, state, own, reports, electorate)
-        elif own.override is Vote.EVACUATE:
-            self._evacuate(name, state, own, BY_OPERATOR, is_certain=True)
-        elif own.override is Vote.KEEP:
-            self._ramp_up(name, state, own, reports)
-        elif self._is_unhealthy(name, own.health):
-            self._evacuate(name, state, own, OWN_EVIDENCE[own.health], is_certain=True)
+        """An operator's override first, then local evidence, then the fleet's votes."""
+        if state.phase is ZonePhase.EVACUATED:
+            self._decide_return(name, state, evidence, reports, electorate)
+        elif evidence.override is Vote.EVACUATE:
+            self._evacuate(name, state, evidence, BY_OPERATOR, is_certain=True)
+        elif evidence.override is Vote.KEEP:
+            self._ramp_up(name, state, evidence, reports)
+        elif self._is_unhealthy(name, evidence.health):
+            self._evacuate(name, state, evidence, EVIDENCE_REASONS[evidence.health], is_certain=True)
         elif state.is_fleet_evacuated:
-            self._evacuate(name, state, own, FLEET_EVACUATES, is_certain=False)
-        elif self._joins_others(name, state, own, reports, electorate):
-            self._evacuate(name, state, own, OTHERS_CERTAIN, is_certain=False)
-        elif state.phase is Phase.RETURNING:
-            self._ramp_up(name, state, own, reports)
+            self._evacuate(name, state, evidence, FLEET_EVACUATES, is_certain=False)
+        elif self._joins_others(name, state, evidence, reports, electorate):
+            self._evacuate(name, state, evidence, OTHERS_CERTAIN, is_certain=False)
+        elif state.phase is ZonePhase.RETURNING:
+            self._ramp_up(name, state, evidence, reports)
         else:
-            self._reduce_hold(state)
+            self._reduce_hold_down(state)
 
     def _is_unhealthy(self, name: str, health: ZoneHealth) -> bool:
-        """Whether own evidence is enough. Slowness is not while another zone recovers: the zone that carried
-        its load still has a long queue."""
+        """Whether local evidence is enough. Slowness is not while another zone recovers: the zone that
+        carried its load still has a long queue."""
         if health < ZoneHealth.FAILING and self._is_another_recovering(name):
             return False
         return health >= ZoneHealth.SLOW
 
-    def _reduce_hold(self, state: ZoneState) -> None:
-        """Quiet time wears off what failed returns added to the hold."""
+    def _reduce_hold_down(self, state: ZoneState) -> None:
+        """Quiet time takes back what failed returns added to the hold-down."""
         s = self.settings
-        if self.now - max(state.since, state.hold_reduced_at) > s.quiet_ms and state.hold_ms > s.hold_ms:
-            state.hold_ms, state.hold_reduced_at = max(s.hold_ms, state.hold_ms / 2), self.now
+        if (
+            self.now - max(state.since, state.hold_down_reduced_at) > s.quiet_ms
+            and state.hold_down_ms > s.hold_down_ms
+        ):
+            state.hold_down_ms, state.hold_down_reduced_at = (
+                max(s.hold_down_ms, state.hold_down_ms / 2),
+                self.now,
+            )
 
     def _decide_return(
-        self, name: str, state: ZoneState, own: LocalEvidence, reports: list[ZoneReport], electorate: int
+        self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> None:
         """Whether it is time for the return.
 
-        An instance whose hold is over votes for the return and goes with the majority: one that returned by
-        itself would find the zone still evacuated by the count, and take that for a failed return.
+        An instance whose hold-down is over votes for the return and goes with the majority: one that returned
+        by itself would find the zone still evacuated by the count, and take that for a failed return.
         """
-        state.retained_share = own.retained_share if own.override is None else 0.0
-        if own.override is Vote.EVACUATE:
+        state.retained_share = evidence.retained_share if evidence.override is None else 0.0
+        if evidence.override is Vote.EVACUATE:
             return
-        if own.override is Vote.KEEP:
-            self._change(name, state, Phase.RETURNING, BY_OPERATOR)
+        if evidence.override is Vote.KEEP:
+            self._change(name, state, ZonePhase.RETURNING, BY_OPERATOR)
             return
-        state.wants_return = self.now - state.since >= state.hold_ms and own.engines_answer
+        state.votes_for_return = self.now - state.since >= state.hold_down_ms and evidence.engines_answer
         if state.is_fleet_evacuated:
             return
-        if state.wants_return:
-            self._change(name, state, Phase.RETURNING, ENGINES_ANSWER)
+        if state.votes_for_return:
+            self._change(name, state, ZonePhase.RETURNING, ENGINES_ANSWER)
         elif self._has_fleet_returned(state, reports, electorate):
-            self._change(name, state, Phase.RETURNING, FLEET_RETURNS)
+            self._change(name, state, ZonePhase.RETURNING, FLEET_RETURNS)
             proposed = lower_median([r.traffic_share for r in reports if r.vote is Vote.KEEP])
             state.traffic_share = max(state.traffic_share, proposed / 4)
 
@@ -278,12 +226,12 @@
         settled_before = self.now - self.settings.settle_ms
         others = [state for other, state in self.states.items() if other != name]
         return any(
-            s.phase is Phase.RETURNING or s.phase is Phase.IN_SERVICE and s.since > settled_before
+            s.phase is ZonePhase.RETURNING or s.phase is ZonePhase.IN_SERVICE and s.since > settled_before
             for s in others
         )
 
     def _joins_others(
-        self, name: str, state: ZoneState, own: LocalEvidence, reports: list[ZoneReport], electorate: int
+        self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> bool:
         """Whether to evacuate a zone by others' evidence, as instances with little traffic have to.
 
@@ -291,50 +239,54 @@
         attempts of its own, or too few attempts to tell: a zone that is cut off from one half of the fleet
         must not be evacuated by the other. What was seen since the others spoke counts until a bad attempt.
         """
-        if not self._is_joining_requested(own, reports, electorate):
+        if not self._is_joining_requested(evidence, reports, electorate):
             state.joining_requested_at = math.inf
             return False
         state.joining_requested_at = min(state.joining_requested_at, self.now)
-        good, late, bad = own.counts
+        good, late, bad = evidence.counts
         if good + late >= MIN_HEALTHY_ATTEMPTS and bad <= MAX_HEALTHY_BAD_SHARE * (good + late + bad):
             state.seen_healthy_at = self.now
         is_healthy_now = state.seen_healthy_at == self.now
         was_healthy_since = not bad and state.seen_healthy_at >= state.joining_requested_at
         if is_healthy_now or was_healthy_since:
             return False
-        return own.health >= ZoneHealth.FAILING or not self._is_another_recovering(name)
+        return evidence.health >= ZoneHealth.FAILING or not self._is_another_recovering(name)
 
-    def _is_joining_requested(self, own: LocalEvidence, reports: list[ZoneReport], electorate: int) -> bool:
+    def _is_joining_requested(
+        self, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
+    ) -> bool:
         certain = sum(r.vote is Vote.EVACUATE and r.is_certain for r in reports)
-        suspecting = own.suspects_failure + sum(
+        suspecting = evidence.suspects_failure + sum(
             r.suspects_failure or r.vote is Vote.EVACUATE and r.is_certain for r in reports
         )
         enough_certain = certain >= max(MIN_CERTAIN, electorate // 3 + 1)
         return enough_certain or suspecting >= max(MIN_SUSPECTING, majority(electorate))
 
     def _evacuate(
-        self, name: str, state: ZoneState, own: LocalEvidence, reason: str, is_certain: bool
+        self, name: str, state: ZoneState, evidence: LocalEvidence, reason: str, is_certain: bool
     ) -> None:
-        """Evacuate a zone; soon after a return that doubles its hold. A zone that serves nothing retains
+        """Evacuate a zone; soon after a return that doubles its hold-down. A zone that serves nothing retains
         nothing."""
         s = self.settings
         if self.now - state.return_started_at < s.quiet_ms and reason != BY_OPERATOR:
-            state.hold_ms = min(state.hold_ms * 2, s.max_hold_ms)
-        retains_nothing = own.health is ZoneHealth.DOWN or own.override is Vote.EVACUATE
-        state.retained_share = 0.0 if retains_nothing else own.retained_share
+            state.hold_down_ms = min(state.hold_down_ms * 2, s.max_hold_down_ms)
+        retains_nothing = evidence.health is ZoneHealth.DOWN or evidence.override is Vote.EVACUATE
+        state.retained_share = 0.0 if retains_nothing else evidence.retained_share
         state.is_certain = is_certain
-        self._change(name, state, Phase.EVACUATED, reason)
+        self._change(name, state, ZonePhase.EVACUATED, reason)
 
-    def _change(self, name: str, state: ZoneState, phase: Phase, reason: str) -> None:
+    def _change(self, name: str, state: ZoneState, phase: ZonePhase, reason: str) -> None:
         state.phase, state.since, state.reason = phase, self.now, reason
-        if phase is Phase.RETURNING:
+        if phase is ZonePhase.RETURNING:
             state.traffic_share = self.settings.initial_share
             state.share_changed_at = state.return_started_at = self.now
             state.is_certain = False
-        state.wants_return = state.was_fleet_evacuated = False
+        state.votes_for_return = state.was_fleet_evacuated = False
         self.changes.append(PhaseChange(name, phase, reason))
 
-    def _ramp_up(self, name: str, state: ZoneState, own: LocalEvidence, reports: list[ZoneReport]) -> None:
+    def _ramp_up(
+        self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport]
+    ) -> None:
         """Double a returning zone's traffic share, keep it, halve it, or give the return up.
 
         By the attempts of all instances that serve it. Where all zones show bad attempts the fleet is
@@ -343,29 +295,29 @@
         halved, since it is the share itself that makes cold engines late.
         """
         s = self.settings
-        if state.phase is not Phase.RETURNING or self.now - state.share_changed_at < s.step_ms:
+        if state.phase is not ZonePhase.RETURNING or self.now - state.share_changed_at < s.step_ms:
             return
-        pooled = pool_counts([own.counts, *_counts_of(reports)])
+        pooled = pool_counts([evidence.counts, *_counts_of(reports)])
         good, bad, total = pooled.good, pooled.bad, pooled.total
-        max_bad_share = max(s.max_bad_share, BAD_OVER_ELSEWHERE * self.best_bad_share)
+        max_bad_share = max(s.max_bad_share, MAX_BAD_SHARE_RATIO * self.best_bad_share)
         has_failed = pooled.reporters_of_bad >= MIN_BAD_REPORTERS and bad >= 2 and bad > max_bad_share * total
-        if own.override is None and has_failed:
-            self._evacuate(name, state, own, RETURN_FAILED, is_certain=True)
+        if evidence.override is None and has_failed:
+            self._evacuate(name, state, evidence, RETURN_FAILED, is_certain=True)
             return
-        if own.counts.bad > max_bad_share * sum(own.counts):
+        if evidence.counts.bad > max_bad_share * sum(evidence.counts):
             return
         has_enough = total >= s.min_attempts
-        is_well = (
+        is_healthy = (
             has_enough
             and good > s.min_good_ratio * self.best_good_share * total
             and bad <= good * s.max_bad_per_good
         )
-        is_borne = has_enough and bad == 0 and state.traffic_share * 2 <= s.max_share_while_late
+        is_only_late = has_enough and bad == 0 and state.traffic_share * 2 <= s.max_share_while_late
         is_idle = not total and self.now - state.share_changed_at >= s.idle_step_ms
-        if is_well or is_borne or is_idle:
+        if is_healthy or is_only_late or is_idle:
             state.traffic_share, state.share_changed_at = min(1.0, state.traffic_share * 2), self.now
             if state.traffic_share >= 1.0:
-                self._change(name, state, Phase.IN_SERVICE, RETURNED)
+                self._change(name, state, ZonePhase.IN_SERVICE, RETURNED)
             return
         has_queue = bad or state.traffic_share > s.max_share_while_late
         if has_queue and good < s.back_off_ratio * self.best_good_share * total:
@@ -373,14 +325,14 @@
             state.share_changed_at = self.now
 
     def _compare_zones(
-        self, own: Mapping[str, LocalEvidence], reports: Mapping[str, list[ZoneReport]]
+        self, evidence: Mapping[str, LocalEvidence], reports: Mapping[str, list[ZoneReport]]
     ) -> None:
         """Note the best shares of good and of bad attempts among the zones in service."""
         good_shares, bad_shares = [0.0], list[float]()
         for name, state in self.states.items():
-            if state.phase is not Phase.IN_SERVICE or name not in own:
+            if state.phase is not ZonePhase.IN_SERVICE or name not in evidence:
                 continue
-            pooled = pool_counts([own[name].counts, *_counts_of(reports.get(name, []))])
+            pooled = pool_counts([evidence[name].counts, *_counts_of(reports.get(name, []))])
             if pooled.total:
                 good_shares.append(pooled.good / pooled.total)
                 bad_shares.append(pooled.bad / pooled.total)
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -20,12 +20,11 @@
 
 # Attempts at a slow zone are cancelled and retried elsewhere at two or three times the usual duration. One
 # that was cut short would have taken longer, nobody knows how much; it counts as so many times its duration.
-CUT_SHORT_FACTOR = 2.0
+CANCELLED_DURATION_FACTOR = 2.0
 MIN_DURATIONS = 4  # fewer durations say nothing of a zone
-LOADED_FACTOR = (
-    1.5  # how much more a zone has to stand out while another one is evacuated: the rest are loaded
-)
-SLOW_CONFIRMATIONS = 3  # how often in a row a zone has to stand out by slowness
+# How much more of an outlier a zone has to be while another one is evacuated: the rest are loaded.
+LOADED_FACTOR = 1.5
+SLOW_CONFIRMATIONS = 3  # how often in a row a zone has to be an outlier by slowness
 MIN_SUSPECT_ATTEMPTS = 3  # bad attempts in the window that are worth a report
 MIN_SUSPECT_SHARE = 0.2  # and their share
 SCORE_TOLERANCE = 1e-9  # of rounding, where a sum of engines' parts equals the threshold
@@ -117,7 +116,7 @@
     engine_count: int = 1
     is_evacuated: bool = False
     is_returning: bool = False
-    outlier_count: int = 0  # how often it stood out, less how often it did not
+    outlier_count: int = 0  # how often it was an outlier, less how often it was not
     engine_scores: dict[str, EngineScore] = field(default_factory=dict)
     recent: deque[tuple[float, AttemptResult]] = field(default_factory=deque)  # when, and the result
     # When, and the log of how many times the usual duration it took.
@@ -149,8 +148,8 @@
 
     def median_log_ratio(self, count: int) -> float:
         """Log of how many times their usual duration the newest attempts take, by the median of `count`."""
-        logs = sorted(log for _, log in list(self.durations)[-count:])
-        return logs[len(logs) // 2] if logs else 0.0
+        log_ratios = sorted(log_ratio for _, log_ratio in list(self.durations)[-count:])
+        return log_ratios[len(log_ratios) // 2] if log_ratios else 0.0
 
     def score(self, threshold: float) -> float:
         """The engines' sums, each up to what half of those heard of have to reach together.
@@ -174,8 +173,8 @@
     def set_engines(self, engines: Mapping[str, Iterable[str]]) -> None:
         """Exactly these zones with these engines exist; evidence on other zones is dropped."""
         zones = {name: self.zones.get(name) or ZoneEvidence() for name in engines}
-        for name, there in engines.items():
-            zones[name].engine_count = len(list(there))
+        for name, zone_engines in engines.items():
+            zones[name].engine_count = len(list(zone_engines))
         self.zones = zones
 
     def usual_work_ms(self, query_class: int) -> float:
@@ -188,24 +187,24 @@
         if zone in self.zones:
             self.open_attempts[attempt_id] = OpenAttempt(zone, engine, query_class, now)
 
-    def on_ended(self, now: float, attempt_id: str, good: bool | None, elapsed_ms: float) -> None:
+    def on_ended(self, now: float, attempt_id: str, succeeded: bool | None, elapsed_ms: float) -> None:
         """An attempt has succeeded, failed, or was cancelled here (None)."""
         attempt = self.open_attempts.pop(attempt_id, None)
         if attempt is None or attempt.zone not in self.zones:
             return
         usual = self.usual_durations.setdefault(attempt.query_class, UsualDuration())
         is_late = elapsed_ms > usual.mean_ms() * self.settings.late_factor
-        if good is None:
+        if succeeded is None:
             # Attempts at a silent zone are cancelled before they are overdue here; a late one counts as slow.
             if usual.is_known and is_late:
-                self._add_duration(now, attempt, CUT_SHORT_FACTOR * elapsed_ms)
+                self._add_duration(now, attempt, CANCELLED_DURATION_FACTOR * elapsed_ms)
                 self._add_result(now, attempt, AttemptResult.SLOW)
             return
         is_slow = elapsed_ms > self._overdue_after_ms(attempt)
-        if good:
+        if succeeded:
             self._add_duration(now, attempt, elapsed_ms)
-        self._add_result(now, attempt, _result(good, is_slow, is_late))
-        if good and not is_slow and not self.zones[attempt.zone].is_returning:
+        self._add_result(now, attempt, _result(succeeded, is_slow, is_late))
+        if succeeded and not is_slow and not self.zones[attempt.zone].is_returning:
             usual.update(now, elapsed_ms, self.settings.learning_time_ms)
 
     def reset(self, zone: str, is_evacuated: bool, is_returning: bool) -> None:
@@ -217,7 +216,7 @@
 
     def assess(self, now: float) -> dict[str, ZoneHealth]:
         """The health of each zone."""
-        self._judge_overdue(now)
+        self._record_overdue(now)
         s = self.settings
         for zone in self.zones.values():
             zone.expire(now - (s.returning_window_ms if zone.is_returning else s.window_ms))
@@ -236,7 +235,7 @@
 
     def suspects_failure(self, zone: str) -> bool:
         """Whether there are enough bad attempts to report, if not to be certain."""
-        if not self._stands_out(self.zones[zone]):
+        if not self._is_outlier(self.zones[zone]):
             return False
         counts = self.counts(zone)
         others = [z.bad_share() for name, z in self.zones.items() if name != zone and z.recent]
@@ -244,12 +243,12 @@
         min_share = max(MIN_SUSPECT_SHARE, 3 * min(others, default=0.0))
         return counts.bad >= MIN_SUSPECT_ATTEMPTS and share >= min_share
 
-    def _judge_overdue(self, now: float) -> None:
+    def _record_overdue(self, now: float) -> None:
         """Judge attempts in flight that are overdue; their end says nothing more."""
         for attempt_id, attempt in list(self.open_attempts.items()):
             if now - attempt.sent_at > self._overdue_after_ms(attempt):
                 del self.open_attempts[attempt_id]
-                self._add_duration(now, attempt, CUT_SHORT_FACTOR * (now - attempt.sent_at))
+                self._add_duration(now, attempt, CANCELLED_DURATION_FACTOR * (now - attempt.sent_at))
                 self._add_result(now, attempt, AttemptResult.SLOW)
 
     def _overdue_after_ms(self, attempt: OpenAttempt) -> float:
@@ -283,12 +282,12 @@
         zone.recent.append((now, result))
         zone.newest.append(result)
 
-    def _stands_out(self, zone: ZoneEvidence) -> bool:
+    def _is_outlier(self, zone: ZoneEvidence) -> bool:
         """Whether a zone's attempts fail, or take far longer than those of the best other zone do now.
 
-        Without another zone in service nothing stands out: there is nowhere to go, and slowness may be load.
-        The median of the newest durations counts, since a loaded zone's few long waits say little, and both
-        ends of them have to agree, since a common fault comes and goes in all zones a moment apart.
+        Without another zone in service nothing is an outlier: there is nowhere to go, and slowness may be
+        load. The median of the newest durations counts, since a loaded zone's few long waits say little, and
+        both ends of them have to agree, since a common fault comes and goes in all zones a moment apart.
         """
         in_service = [
             z for z in self.zones.values() if z is not zone and not z.is_evacuated and not z.is_returning
@@ -311,8 +310,8 @@
         """A zone's health. Slowness has to last a few looks: where all zones slow down at once, the evidence
         on one of them arrives a moment before that on the others."""
         s, score = self.settings, zone.score(self.settings.score_threshold)
-        stands_out = score >= s.score_threshold - SCORE_TOLERANCE and self._stands_out(zone)
-        if stands_out:
+        is_outlier = score >= s.score_threshold - SCORE_TOLERANCE and self._is_outlier(zone)
+        if is_outlier:
             zone.outlier_count = min(zone.outlier_count + 1, 2 * SLOW_CONFIRMATIONS)
         else:
             zone.outlier_count = max(zone.outlier_count - 1, 0)
@@ -321,13 +320,13 @@
             return ZoneHealth.DOWN if zone.bad_share() >= s.down_bad_share else ZoneHealth.FAILING
         if zone.outlier_count >= SLOW_CONFIRMATIONS:
             return ZoneHealth.SLOW
-        good = sum(result < AttemptResult.SLOW for _, result in zone.recent)
-        is_healthy = score < s.score_threshold / 4 and good >= s.min_good
+        served = sum(result < AttemptResult.SLOW for _, result in zone.recent)
+        is_healthy = score < s.score_threshold / 4 and served >= s.min_good
         return ZoneHealth.HEALTHY if is_healthy else ZoneHealth.UNKNOWN
 
 
-def _result(good: bool, is_slow: bool, is_late: bool) -> AttemptResult:
-    if not good:
+def _result(succeeded: bool, is_slow: bool, is_late: bool) -> AttemptResult:
+    if not succeeded:
         return AttemptResult.FAILED
     if is_slow:
         return AttemptResult.SLOW
--- a/cottonhold/fleet/zone_failover/messages.py
+++ b/cottonhold/fleet/zone_failover/messages.py
@@ -15,7 +15,11 @@
 from enum import IntEnum
 
 from cottonhold.fleet.latest_reports import Stamp
-from cottonhold.fleet.message_format import MessageError
+from cottonhold.fleet.message_format import (
+    LIST_HEADER_BYTES,
+    MessageError,
+    decode_list,
+)
 
 # Kinds of message.
 ZONE_REPORTS = 1
@@ -108,7 +112,7 @@
 
 def encode_zone_reports(reports: Iterable[MemberReport], max_bytes: int) -> bytes:
     """A message with as many of these reports as fit, first ones first."""
-    parts, remaining = list[bytes](), max_bytes - 2
+    parts, remaining = list[bytes](), max_bytes - LIST_HEADER_BYTES
     for report in reports:
         size = REPORT_HEADER.size + len(report.zones) * ZONE_ENTRY.size
         if size <= remaining and len(parts) < MAX_REPORTS:
@@ -121,18 +125,7 @@
 
 def decode_zone_reports(data: bytes) -> list[MemberReport]:
     """The reports of a message. Raises MessageError; then none of them is applied."""
-    if len(data) < 2 or data[0] != ZONE_REPORTS:
-        raise MessageError("no zone reports")
-    reports, offset = [], 2
-    try:
-        for _ in range(data[1]):
-            report, offset = _decode_report(data, offset)
-            reports.append(report)
-    except struct.error:
-        raise MessageError("truncated") from None
-    if offset != len(data):
-        raise MessageError("too long")
-    return reports
+    return decode_list(data, ZONE_REPORTS, "zone reports", _decode_report)
 
 
 def _decode_report(data: bytes, offset: int) -> tuple[MemberReport, int]:
--- a/cottonhold/fleet/zone_failover/quota_lending.py
+++ b/cottonhold/fleet/zone_failover/quota_lending.py
@@ -139,22 +139,22 @@
 class QuotaAccount:
     """This instance's quota of each zone's budget.
 
-    own: its fixed part, 0 to 1 over all; first_term: drawn at the start, so that a late grant to an earlier
-    incarnation is void; is_only_process: it is its dispatcher's one process, and no successor beside an older
-    one.
+    own_quota: its fixed part, 0 to 1 over all; first_term: drawn at the start, so that a late grant to an
+    earlier incarnation is void; is_only_process: it is its dispatcher's one process, and no successor beside
+    an older one.
     """
 
     def __init__(
         self,
         now: float,
-        own: float,
+        own_quota: float,
         first_term: int,
         settings: QuotaSettings | None = None,
         is_only_process: bool = False,
     ) -> None:
         self.settings = settings or QuotaSettings()
-        self.own = int(own * QUOTA_STEPS)
-        self.unlent = math.ceil(self.own * self.settings.unlent_share)
+        self.own_quota = int(own_quota * QUOTA_STEPS)
+        self.unlent = math.ceil(self.own_quota * self.settings.unlent_share)
         self.usable_from = now + self.settings.restart_wait_loans * self.settings.loan_ms
         self.unlent_usable_from = now if is_only_process else self.usable_from
         self.last_term = first_term & FIRST_TERM_MASK
@@ -181,17 +181,21 @@
         loans = self.loans.setdefault(zone, ZoneLoans())
         if self.process_count > 1 or now < self.usable_from or len(load_shares) < 2:
             return []
-        fair = self.own / QUOTA_STEPS
+        fair = self.own_quota / QUOTA_STEPS
         lacking = {member: share - fair for member, share in load_shares.items() if share > fair}
         spare = {member: fair - share for member, share in load_shares.items() if share < fair}
-        own, all_lacking, all_spare = lacking.get(self_id, 0.0), sum(lacking.values()), sum(spare.values())
-        if own <= MIN_SHARE or all_spare <= MIN_SHARE:
+        own_lack, all_lacking, all_spare = (
+            lacking.get(self_id, 0.0),
+            sum(lacking.values()),
+            sum(spare.values()),
+        )
+        if own_lack <= MIN_SHARE or all_spare <= MIN_SHARE:
             return []
         requests = []
         for lender, share in spare.items():
-            amount = int(QUOTA_STEPS * min(own / all_lacking * share, own * share / all_spare))
+            amount = int(QUOTA_STEPS * min(own_lack / all_lacking * share, own_lack * share / all_spare))
             loan = loans.borrowed.setdefault(lender, BorrowedQuota())
-            if amount > 0 and self._is_due(now, loan):
+            if amount > 0 and self._needs_renewal(now, loan):
                 requests.append(QuotaMessage(lender, self._new_request(now, zone, loan, amount)))
         return requests
 
@@ -215,7 +219,7 @@
             for member in departed:
                 loans.borrowed.pop(member, None)
 
-    def _is_due(self, now: float, loan: BorrowedQuota) -> bool:
+    def _needs_renewal(self, now: float, loan: BorrowedQuota) -> bool:
         return now - loan.requested_at >= self.settings.renew_after_share * self.settings.loan_ms
 
     def _new_request(self, now: float, zone: int, loan: BorrowedQuota, amount: int) -> QuotaRequest:
@@ -234,7 +238,7 @@
             return self.unlent // self.process_count if now >= self.unlent_usable_from else 0
         loans = self.loans.get(zone)
         lent = sum(loans.reserved(now, borrower) for borrower in list(loans.lent)) if loans else 0
-        return self.own // self.process_count - lent
+        return self.own_quota // self.process_count - lent
 
     def _grant(self, now: float, loans: ZoneLoans, borrower: int, request: QuotaRequest) -> int:
         """Lend what is spare, in steps; what the borrower has already counts as spare."""
--- a/cottonhold/fleet/zone_failover/reporting.py
+++ b/cottonhold/fleet/zone_failover/reporting.py
@@ -8,7 +8,7 @@
 
 from cottonhold.fleet.latest_reports import LatestReports, Stamp
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES
-from cottonhold.fleet.zone_failover.evacuation import Evacuation, Phase, ZoneState
+from cottonhold.fleet.zone_failover.evacuation import Evacuation
 from cottonhold.fleet.zone_failover.failure_evidence import FailureEvidence
 from cottonhold.fleet.zone_failover.messages import (
     MAX_CENTICORES,
@@ -18,6 +18,7 @@
     encode_zone_reports,
 )
 from cottonhold.fleet.zone_failover.operator_overrides import Overrides, encode_overrides
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase, ZoneState
 
 
 @dataclass(slots=True, frozen=True)
@@ -79,7 +80,7 @@
             for zone, number in zone_numbers.items()
         }
 
-    def own_report(
+    def build_report(
         self,
         stamp: Stamp,
         offered_centicores: int,
@@ -102,14 +103,14 @@
         return MemberReport(self.self_id, *stamp, centicores, self.overrides.digest(), zones)
 
     def messages(
-        self, now: float, own: MemberReport, live: Iterable[int], voters: Iterable[int]
+        self, now: float, own_report: MemberReport, live: Iterable[int], voters: Iterable[int]
     ) -> list[tuple[int, bytes]]:
         """One round, as (member, message): this instance's report, relayed ones, and missing overrides."""
         targets, relayed = sorted(live), list[MemberReport]()
         if len(targets) >= self.settings.gossip_from_members:
             targets = self.random.sample(targets, self.settings.gossip_fanout)
             relayed = self.relayed(now, voters)
-        data = encode_zone_reports([own, *relayed], MAX_MESSAGE_BYTES)
+        data = encode_zone_reports([own_report, *relayed], MAX_MESSAGE_BYTES)
         messages = [(member, data) for member in targets]
         for member in targets:
             if self._lacks_overrides(member):
@@ -138,6 +139,6 @@
 
 def _traffic_share(state: ZoneState) -> float:
     """The share of a zone's full load that this instance's state stands for."""
-    if state.phase is Phase.RETURNING:
+    if state.phase is ZonePhase.RETURNING:
         return state.traffic_share
-    return 1.0 if state.phase is Phase.IN_SERVICE else 0.0
+    return 1.0 if state.phase is ZonePhase.IN_SERVICE else 0.0
--- a/cottonhold/fleet/zone_failover/status.py
+++ b/cottonhold/fleet/zone_failover/status.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping
 from typing import Any
 
-from cottonhold.fleet.zone_failover.evacuation import ZoneState
 from cottonhold.fleet.zone_failover.failure_evidence import AttemptCounts
 from cottonhold.fleet.zone_failover.messages import MemberReport, Vote, ZoneReport
 from cottonhold.fleet.zone_failover.operator_overrides import MODE_NAMES, Override
+from cottonhold.fleet.zone_failover.zone_state import ZoneState
 
 
 def zone_row(
@@ -23,21 +23,21 @@
     override: dict[str, Any] | None,
 ) -> dict[str, Any]:
     """One zone's row, under the keys that operators know."""
-    votes_out = sum(report.vote is Vote.EVACUATE for report in reports) + (state.vote is Vote.EVACUATE)
+    evacuation_votes = sum(report.vote is Vote.EVACUATE for report in reports) + (state.vote is Vote.EVACUATE)
     return {
         "zone": zone,
         "phase": state.phase.value,
         "since_ms": round(now - state.since) if state.since > -math.inf else None,
         "why": state.reason,
         "fleet_out": state.is_fleet_evacuated,
-        "votes_out": votes_out,
+        "votes_out": evacuation_votes,
         "heard": len(reports) + 1,
         "electorate": electorate,
         "pace": round(traffic_share, 3),
         "good": counts.good,
         "late": counts.late,
         "bad": counts.bad,
-        "hold_ms": round(state.hold_ms),
+        "hold_ms": round(state.hold_down_ms),
         "order": override,
     }
 
--- a/cottonhold/fleet/zone_failover/zone_assessment.py
+++ b/cottonhold/fleet/zone_failover/zone_assessment.py
@@ -6,10 +6,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from cottonhold.fleet.zone_failover.evacuation import Evacuation, LocalEvidence, Phase
+from cottonhold.fleet.zone_failover.evacuation import Evacuation
 from cottonhold.fleet.zone_failover.failure_evidence import FailureEvidence, ZoneHealth
 from cottonhold.fleet.zone_failover.messages import Vote, zone_number
 from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode, Overrides
+from cottonhold.fleet.zone_failover.zone_state import LocalEvidence, ZonePhase
 
 MIN_RETAINED_SHARE = 0.1  # a smaller part of a zone is not worth the queries that it delays
 
@@ -49,9 +50,9 @@
         known = {engine for there in engines.values() for engine in there}
         self.checked_at = {engine: at for engine, at in self.checked_at.items() if engine in known}
 
-    def on_health_check(self, now: float, engine: str, good: bool) -> None:
+    def on_health_check(self, now: float, engine: str, succeeded: bool) -> None:
         """A health check has ended."""
-        if good:
+        if succeeded:
             self.checked_at[engine] = now
         else:
             self.checked_at.pop(engine, None)
@@ -66,7 +67,7 @@
         if sum(counts):
             self.served_shares[zone] = self.evidence.served_share(zone)
         retained = self._retained_share(now, offered_cores, zone)
-        evacuated = state.phase is Phase.EVACUATED
+        evacuated = state.phase is ZonePhase.EVACUATED
         return LocalEvidence(
             health,
             counts,
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -25,7 +25,11 @@
 from cottonhold.fleet.rolling_replacement.coordinator import ReplacementCoordinator
 from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, MachineRecord, ReplacementStep
 from cottonhold.fleet_adapters.membership import MembershipAdapter
-from cottonhold.fleet_adapters.recovery_folder import INCARNATION_BASE, INCARNATIONS_PER_BOOT, incarnation_of
+from cottonhold.fleet_adapters.recovery_folder import (
+    FIRST_COUNTED_INCARNATION,
+    INCARNATIONS_PER_BOOT,
+    incarnation_of,
+)
 from cottonhold.fleet_adapters.write_queue import OrderedWriteQueue
 from cottonhold.membership.codec import member_id
 from cottonhold.node.dispatcher import OperatorLog
@@ -84,32 +88,37 @@
         """Whether it is known here which engines are drained, so that loads may be sent."""
         return self.startup_gate.is_open
 
-    def machines(self, now: float, swap: ReplacementCoordinator) -> list[Machine]:
+    def machines(self, now: float, replacement: ReplacementCoordinator) -> list[Machine]:
         """Return the engines that are there now; called first in each step."""
         if self.startup_gate.check_pause(now):
-            swap.on_pause(now)
+            replacement.on_pause(now)
         self.drains.set_listed_engines(self.owner.listed())
-        return self.drains.present_engines(swap.view.records)
+        return self.drains.present_engines(replacement.view.records)
 
-    def update_view(self, now: float, swap: ReplacementCoordinator) -> None:
+    def update_view(self, now: float, replacement: ReplacementCoordinator) -> None:
         """Pass on what is open at engines that are replaced, and how far new ones are."""
-        ramp = self.fleet.slow_start
-        for zone in swap.view.zone_troubles.keys() - self.fleet.evacuation.states.keys():
-            swap.set_zone_trouble(now, zone, "")  # its last engine is withheld, so nothing reports its state
-        for name, record in _engines(swap).items():
-            swap.set_open_requests(now, name, self.drains.open_requests(now, name, record.serial))
-            if ramp is not None and record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING):
-                swap.set_traffic_share(
+        slow_start = self.fleet.slow_start
+        for zone in replacement.view.zone_troubles.keys() - self.fleet.evacuation.states.keys():
+            replacement.set_zone_trouble(
+                now, zone, ""
+            )  # its last engine is withheld, so nothing reports its state
+        for name, record in _engines(replacement).items():
+            replacement.set_open_requests(now, name, self.drains.open_requests(now, name, record.serial))
+            if slow_start is not None and record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING):
+                replacement.set_traffic_share(
                     now,
                     record.replacement,
-                    ramp.share(record.replacement) if record.replacement in ramp.engines else 0.0,
+                    slow_start.share(record.replacement) if record.replacement in slow_start.engines else 0.0,
                 )
 
     def act(
-        self, now: float, swap: ReplacementCoordinator, action: step_decision.Drain | step_decision.Undrain
+        self,
+        now: float,
+        replacement: ReplacementCoordinator,
+        action: step_decision.Drain | step_decision.Undrain,
     ) -> None:
         """Drain or undrain an engine."""
-        engine, record = action.machine, swap.view.records.get(action.machine)
+        engine, record = action.machine, replacement.view.records.get(action.machine)
         if isinstance(action, step_decision.Drain):
             if record is not None:
                 self.owner.counters.add("engine_drains")
@@ -120,16 +129,18 @@
         self.drains.undrain(engine)
         self._release(now, engine, record)
 
-    def step(self, now: float, swap: ReplacementCoordinator) -> None:
+    def step(self, now: float, replacement: ReplacementCoordinator) -> None:
         """Report to drivers, and check engines that are out."""
         drains, live = self.drains, set(self.swim.live_members())
         drains.incarnation = incarnation_of(self.ledger)
-        lives = {key: _life(m.incarnation) for key, m in self.swim.members.items() if key in live}
-        drains.set_live_members(now, lives)
-        self._step_startup(now, swap, live)
+        min_incarnations = {
+            key: _min_incarnation(m.incarnation) for key, m in self.swim.members.items() if key in live
+        }
+        drains.set_live_members(now, min_incarnations)
+        self._step_startup(now, replacement, live)
         for engine in drains.drained:
             drains.set_open_requests(engine, self.owner.engines.attempts_in_flight(engine))
-        for action in drains.step(now, swap.view.records):
+        for action in drains.step(now, replacement.view.records):
             match action:
                 case SendReport(member, data):
                     self.membership.send_payload(member, data)
@@ -137,61 +148,68 @@
                     if not self.owner.engines.check_liveness(engine, self._on_liveness_check(engine)):
                         drains.on_liveness_check(engine, False)
 
-    def row(self, now: float, swap: ReplacementCoordinator, engine: str) -> dict[str, Any]:
+    def row(self, now: float, replacement: ReplacementCoordinator, engine: str) -> dict[str, Any]:
         """Return what operators see of an engine's replacement besides its step; {} for a dispatcher."""
-        record = swap.view.records.get(engine)
+        record = replacement.view.records.get(engine)
         if record is None or not record.has_flag(MachineFlag.ENGINE):
             return {}
         names = {self.swim.id: self.swim.name, **{m.id: m.name for m in self.swim.members.values()}}
-        counts = record.driver == self.swim.id and record.step is ReplacementStep.DRAINING
-        untold = self.drains.missing_reports(now, engine, record.serial) if counts else set[int]()
+        is_counting_here = record.driver == self.swim.id and record.step is ReplacementStep.DRAINING
+        missing_members = (
+            self.drains.missing_reports(now, engine, record.serial) if is_counting_here else set[int]()
+        )
         return {
             "ready": record.step is ReplacementStep.OUT and not record.has_flag(MachineFlag.ABORTING),
             "drained": engine in self.drains.drained,
             "away": record.has_flag(MachineFlag.WAS_AWAY),
-            "open": self.drains.open_requests(now, engine, record.serial) if counts else None,
-            "untold": sorted(names.get(m, f"{m:x}") for m in untold),
+            "open": self.drains.open_requests(now, engine, record.serial) if is_counting_here else None,
+            "untold": sorted(names.get(m, f"{m:x}") for m in missing_members),
         }
 
     def _drain(self, engine: str, record: MachineRecord) -> None:
         """Drain the engine once the record is on disk, or cannot be written now."""
 
-        def told() -> None:
+        def on_record_settled() -> None:
             if self.pending_drains.get(engine) is record:
                 del self.pending_drains[engine]
                 self.drains.drain(engine, record.serial, self.owner.engines.attempts_in_flight(engine))
 
         self.pending_drains[engine] = record
         if not (records := self.drain_records.drain(engine)):
-            told()
+            on_record_settled()
         for record_of in records:
             # A failed write is repeated, or the next restart would forget the drain.
-            self.records.put(record_of, told, told)
+            self.records.put(record_of, on_record_settled, on_record_settled)
 
     def _release(self, now: float, engine: str, record: MachineRecord | None) -> None:
         for record_of in self.drain_records.undrain(engine):
             self.records.put(record_of)
         self.owner.republish(self.owner.quarantine.release(engine, now if is_new_process(record) else 0.0))
 
-    def _step_startup(self, now: float, swap: ReplacementCoordinator, live: set[int]) -> None:
+    def _step_startup(self, now: float, replacement: ReplacementCoordinator, live: set[int]) -> None:
         if not self.startup_gate.is_open:
-            majority = 2 * len(self.voters & live) > len(self.voters)
-            if self.startup_gate.step(now, swap.has_read_all(), majority):
-                after = round(now - self.startup_gate.started_at)
-                over = self.drain_records.release_previous(swap.drained)
-                for engine in over:
-                    self._release(now, engine, swap.view.records.get(engine))
-                words = {"read": swap.has_read_all(), "drained": len(swap.drained), "over": ",".join(over)}
-                self.owner.log.note("drains_known", after_ms=after, **words)
+            has_majority = 2 * len(self.voters & live) > len(self.voters)
+            if self.startup_gate.step(now, replacement.has_read_all(), has_majority):
+                after_ms = round(now - self.startup_gate.started_at)
+                released = self.drain_records.release_previous(replacement.drained)
+                for engine in released:
+                    self._release(now, engine, replacement.view.records.get(engine))
+                self.owner.log.note(
+                    "drains_known",
+                    after_ms=after_ms,
+                    read=replacement.has_read_all(),
+                    drained=len(replacement.drained),
+                    over=",".join(released),
+                )
 
     def _on_liveness_check(self, engine: str) -> Callable[[bool], None]:
-        return lambda good: self.drains.on_liveness_check(engine, good)
+        return lambda is_alive: self.drains.on_liveness_check(engine, is_alive)
 
 
-def _engines(swap: ReplacementCoordinator) -> Mapping[str, MachineRecord]:
-    return {name: r for name, r in swap.view.records.items() if r.has_flag(MachineFlag.ENGINE)}
+def _engines(replacement: ReplacementCoordinator) -> Mapping[str, MachineRecord]:
+    return {name: r for name, r in replacement.view.records.items() if r.has_flag(MachineFlag.ENGINE)}
 
 
-def _life(incarnation: int) -> int:
+def _min_incarnation(incarnation: int) -> int:
     """Return the least incarnation of a member's reports, by the boot that its incarnation began with."""
-    return INCARNATION_BASE + incarnation // INCARNATIONS_PER_BOOT & 0xFFFFFFFF
+    return FIRST_COUNTED_INCARNATION + incarnation // INCARNATIONS_PER_BOOT & 0xFFFFFFFF
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -31,16 +31,7 @@
 KNOWN_OUTCOMES = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other a load may still run
 MAX_WAIT_MS = 2000.0  # for a key to have an owner; longer than a fence takes
 MAX_FORWARDED_WAIT_MS = 400.0  # the same for a request that was forwarded to here
-WAIT_STEPS_MS = (
-    10.0,
-    20.0,
-    50.0,
-    100.0,
-    200.0,
-    500.0,
-    1000.0,
-    MAX_WAIT_MS,
-)
+WAIT_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, MAX_WAIT_MS)
 MAX_HOPS_WITHOUT_PAUSE = 3  # the home, the owner, and one move in between
 MAX_HINTS = 20_000
 RETRY_RESERVE_MS = 100.0  # of its time that is left when a client is told to retry
@@ -62,21 +53,23 @@
     def is_member(self, member: int) -> bool:
         """Whether a member may own keys, as far as is known here."""
 
-    def is_lost(self, key: bytes) -> bool:
+    def will_not_start(self, key: bytes) -> bool:
         """Whether a waiting request of the key will not start here any more."""
 
     def on_request_opened(self, key: bytes, load: int) -> None:
         """A request waits or runs here."""
 
-    def on_request_ended(self, key: bytes, load: int, known: bool) -> None:
+    def on_request_ended(self, key: bytes, load: int, is_outcome_known: bool) -> None:
         """A request has ended."""
 
-    def forward(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
+    def forward(
+        self, client_request: ClientRequest, owner: int, key: bytes, deadline: float, round_number: int
+    ) -> None:
         """Forward a request to a member, in a round of its key; KeyedLoadGuard.on_forwarding_ended gets the
         result.
         """
 
-    def abandon(self, ref: str) -> None:
+    def abandon(self, request_id: str) -> None:
         """No client waits any more for a forwarded request."""
 
 
@@ -110,7 +103,7 @@
     key: bytes
     deadline: float
     wait_deadline: float
-    settled: LoadOutcomeCallback
+    on_outcome: LoadOutcomeCallback
     origin_round: OriginRound | None
     owner: int = 0
     retry_at: float = 0.0  # it is not placed before
@@ -120,7 +113,7 @@
     is_opened: bool = False
     is_in_flight: bool = False
     is_closed: bool = False
-    outcome_known: bool = True
+    is_outcome_known: bool = True
 
     def __lt__(self, other: KeyedRequest) -> bool:
         return self.number < other.number
@@ -140,9 +133,8 @@
         self.forwarding_rounds: dict[bytes, ForwardingRound] = {}
         self.round_numbers = itertools.count(secrets.randbits(62))
         self.origin_rounds: dict[str, OriginRound] = {}  # by id of a request forwarded to here
-        self.returned_rounds: dict[
-            tuple[int, bytes], int
-        ] = {}  # by origin and key: the last round that was returned
+        # By origin and key: the last round that was returned
+        self.returned_rounds: dict[tuple[int, bytes], int] = {}
         self.owners_by_returned: dict[str, int] = {}  # by id of a returned request; 0: not known
         self.wait_histogram = [0] * (len(WAIT_STEPS_MS) + 1)  # of own requests
         self.owner_hints: dict[bytes, int] = {}  # by key: its owner, as its home reported
@@ -154,23 +146,24 @@
     def on_load_arrived(
         self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
     ) -> None:
-        """A load has come; one with a key begins only where that is owned."""
+        """A load has arrived; one with a key begins only where that is owned."""
         if client_request.ordering_key is None:
             self.loads.on_load_arrived(client_request, deadline, on_outcome)
             return
         now = self.clock.now()
-        remote = self.origin_rounds.get(client_request.request_id)
-        patience = max(
-            min(deadline - RETRY_RESERVE_MS, now + (MAX_FORWARDED_WAIT_MS if remote else MAX_WAIT_MS)), now
+        origin_round = self.origin_rounds.get(client_request.request_id)
+        wait_deadline = max(
+            min(deadline - RETRY_RESERVE_MS, now + (MAX_FORWARDED_WAIT_MS if origin_round else MAX_WAIT_MS)),
+            now,
         )
         request = KeyedRequest(
             next(self.numbers),
             client_request,
             affinity_key(client_request.ordering_key),
             deadline,
-            patience,
+            wait_deadline,
             on_outcome,
-            remote,
+            origin_round,
         )
         self.requests[client_request.request_id] = request
         # A request must not overtake others of its key that wait for an owner.
@@ -180,7 +173,7 @@
     def before_attempt_sent(
         self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
-        """An attempt goes out only while its key is owned, also once the disk has taken it."""
+        """An attempt is sent only while its key is owned, also once its record is durable."""
         request = self.requests.get(attempt.request_id)
         if request is None:
             self.loads.before_attempt_sent(attempt, client_request, on_recorded)
@@ -190,14 +183,14 @@
             self._stop_attempt(request, on_recorded)
             return
 
-        def remembered(durable: bool) -> None:
+        def on_written(durable: bool) -> None:
             # The lease may have ended while the record was written; the next owner may start its own request.
             if durable and not self.router.is_owner(request.key):
                 self._stop_attempt(request, on_recorded)
             else:
                 on_recorded(durable)
 
-        self.loads.before_attempt_sent(attempt, request.client_request, remembered)
+        self.loads.before_attempt_sent(attempt, request.client_request, on_written)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
         """An attempt has ended."""
@@ -205,7 +198,7 @@
         request = self.requests.get(attempt.request_id)
         if request is not None:
             request.is_in_flight = False
-            request.outcome_known = request.outcome_known and outcome in KNOWN_OUTCOMES
+            request.is_outcome_known = request.is_outcome_known and outcome in KNOWN_OUTCOMES
             if request.is_closed:
                 self._end(request)
 
@@ -233,18 +226,18 @@
             try:
                 rows = decode_rows(ended.data)
             except MessageError:
-                request.settled(LoadOutcome.MAY_HAVE_RUN, 0.0)
+                request.on_outcome(LoadOutcome.MAY_HAVE_RUN, 0.0)
                 return
             self.gateway.finish_without_attempt(
                 ended.request_id, "served", lambda client: client.complete(rows)
             )
         elif ended.result is ForwardResult.FAILED:
-            request.settled(LoadOutcome.MAY_HAVE_RUN, 0.0)
+            request.on_outcome(LoadOutcome.MAY_HAVE_RUN, 0.0)
         elif ended.result is ForwardResult.NOT_OWNER and self.clock.now() < request.wait_deadline:
             self._on_not_owner(request, ended)
             self._enqueue(request)
         else:
-            request.settled(LoadOutcome.UNKNOWN_YET, ended.retry_after_ms or self.router.retry_after_ms)
+            request.on_outcome(LoadOutcome.UNKNOWN_YET, ended.retry_after_ms or self.router.retry_after_ms)
         self.place_waiting(request.key)
 
     def _on_not_owner(self, request: KeyedRequest, ended: ForwardingEnded) -> None:
@@ -269,7 +262,7 @@
                 request.is_opened
                 and not request.is_in_flight
                 and not request.is_closed
-                and self.router.is_lost(request.key)
+                and self.router.will_not_start(request.key)
             ):
                 self._reject(request)
 
@@ -299,8 +292,8 @@
 
     def _count_wait(self, request: KeyedRequest) -> None:
         if request.waiting_since and not request.origin_round:
-            ms = self.clock.now() - request.waiting_since
-            self.wait_histogram[bisect_left(WAIT_STEPS_MS, ms)] += 1
+            waited_ms = self.clock.now() - request.waiting_since
+            self.wait_histogram[bisect_left(WAIT_STEPS_MS, waited_ms)] += 1
             request.waiting_since = 0.0
 
     def _dequeue(self, request: KeyedRequest) -> None:
@@ -325,7 +318,7 @@
         if isinstance(route, OwnedHere):
             request.is_opened = True
             self.router.on_request_opened(request.key, request.number)
-            self.loads.on_load_arrived(request.client_request, request.deadline, request.settled)
+            self.loads.on_load_arrived(request.client_request, request.deadline, request.on_outcome)
             return True
         if not target or request.origin_round:
             return False
@@ -383,24 +376,24 @@
     def _retry_later(self, request: KeyedRequest) -> None:
         self.counters.add("pins_later")
         self._return_round(request, request.known_owner)
-        request.settled(LoadOutcome.UNKNOWN_YET, self.router.retry_after_ms)
+        request.on_outcome(LoadOutcome.UNKNOWN_YET, self.router.retry_after_ms)
 
-    def _stop_attempt(self, request: KeyedRequest, kept: Callable[[bool], None]) -> None:
+    def _stop_attempt(self, request: KeyedRequest, on_recorded: Callable[[bool], None]) -> None:
         """The attempt may not be sent from here any more."""
-        kept(False)
+        on_recorded(False)
         self._reject(request)
 
     def _reject(self, request: KeyedRequest) -> None:
         """Another member owns the key of a request that is queued here: its client retries."""
         self.counters.add("pins_turned_back")
         self._return_round(request, 0)
-        back = self.router.retry_after_ms
+        retry_after_ms = self.router.retry_after_ms
         self.gateway.finish_without_attempt(
-            request.client_request.request_id, "refused", lambda client: client.reject(back)
+            request.client_request.request_id, "refused", lambda client: client.reject(retry_after_ms)
         )
 
     def _end(self, request: KeyedRequest) -> None:
         self.requests.pop(request.client_request.request_id, None)
         self._dequeue(request)
         if request.is_opened:
-            self.router.on_request_ended(request.key, request.number, request.outcome_known)
+            self.router.on_request_ended(request.key, request.number, request.is_outcome_known)
--- a/cottonhold/fleet_adapters/load_conversions.py
+++ b/cottonhold/fleet_adapters/load_conversions.py
@@ -1,4 +1,5 @@
-"""What the gateway, the load history and the folder call the same result of a load."""
+"""What the gateway, the load history and the folder call the same result of a load, and constants of all
+load guards."""
 
 from __future__ import annotations
 
@@ -11,6 +12,8 @@
 from cottonhold.scheduler.settings import Idempotency, Settings
 from cottonhold.store.records import LoadRecord, LoadState, decode_loads
 
+EXPIRE_INTERVAL_MS = 1000.0  # between two removals of loads that can't be asked about any more
+
 # What proves that an attempt never ran; None: it was never started.
 NEVER_RAN = (None, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
@@ -35,12 +38,12 @@
 
 def recorded_loads(folder: Mapping[bytes, bytes]) -> tuple[list[RecordedLoad], dict[bytes, LoadRecord]]:
     """The loads of a folder; one that can't be read may have run."""
-    found = decode_loads(folder)
+    decoded = decode_loads(folder)
     readable = [
-        RecordedLoad(load, RESULT_OF_STATE.get(record.state)) for load, record in found.by_identity.items()
+        RecordedLoad(load, RESULT_OF_STATE.get(record.state)) for load, record in decoded.by_identity.items()
     ]
-    unreadable = [RecordedLoad(load) for load in found.unreadable]
-    return readable + unreadable, dict(found.by_identity)
+    unreadable = [RecordedLoad(load) for load in decoded.unreadable]
+    return readable + unreadable, dict(decoded.by_identity)
 
 
 def identity_of(request: ClientRequest) -> bytes:
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -11,9 +11,16 @@
 from typing import NamedTuple
 
 from cottonhold.backend.attempt import Attempt
-from cottonhold.fleet.recovery.load_history import Action, LoadHistory, LoadSettled
+from cottonhold.fleet.recovery.load_history import LoadHistory
+from cottonhold.fleet.recovery.load_history_interface import Action, LoadSettled
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult
-from cottonhold.fleet_adapters.load_conversions import NEVER_RAN, STATE_OF_RESULT, identity_of, outcome_of
+from cottonhold.fleet_adapters.load_conversions import (
+    EXPIRE_INTERVAL_MS,
+    NEVER_RAN,
+    STATE_OF_RESULT,
+    identity_of,
+    outcome_of,
+)
 from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.load_guard import LoadOutcome, LoadOutcomeCallback
 from cottonhold.observe.counters import Counters
@@ -22,7 +29,6 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import LoadRecord, LoadState, Record, RecordKind, evict_loads
 
-EXPIRE_INTERVAL_MS = 1000.0
 DIGEST_BYTES = 8  # of a load's identity, as its record keeps them
 
 
@@ -45,7 +51,7 @@
     on_settled: LoadOutcomeCallback
 
 
-class PendingAnswer(NamedTuple):
+class SettlementWaiter(NamedTuple):
     """Who waits for what becomes known of a load, and whether a success may be reported."""
 
     on_settled: LoadOutcomeCallback
@@ -55,7 +61,7 @@
 class LoadRecorder:
     """Implements node/load_guard.py.
 
-    records: the folder's; classes: by guarded class, whether a success may be reported; hold_ms: see
+    records: the folder's; classes: by guarded class, whether a success may be reported; retention_ms: see
     load_history. now: this process's clock; disk_now: the ledger's; hop: calls back in the event loop's
     thread.
     """
@@ -66,7 +72,7 @@
         ledger: Ledger,
         records: dict[bytes, LoadRecord],
         classes: Mapping[int, bool],
-        hold_ms: float,
+        retention_ms: float,
         now: Callable[[], float],
         disk_now: Callable[[], float],
         call_in: Callable[[float, Callable[[], None]], object],
@@ -77,11 +83,17 @@
         log: Callable[..., None],
     ) -> None:
         self.history, self.ledger, self.records, self.classes = history, ledger, records, classes
-        self.hold_ms, self.now, self.disk_now, self.call_in, self.hop = hold_ms, now, disk_now, call_in, hop
+        self.retention_ms, self.now, self.disk_now, self.call_in, self.hop = (
+            retention_ms,
+            now,
+            disk_now,
+            call_in,
+            hop,
+        )
         self.may_send, self.carry_out, self.counters, self.log = may_send, carry_out, counters, log
         self.started_at = self.expired_at = now()
         self.runs: dict[str, LoadRun] = {}  # by request
-        self.pending: dict[str, PendingAnswer] = {}  # by request
+        self.pending: dict[str, SettlementWaiter] = {}  # by request
         self.queues: dict[str, deque[QueuedRequest]] = {}  # by key of a retry that is not settled yet
         self.key_of_retry: dict[str, str] = {}  # by request
         self.disk_state = DiskState.HEALTHY
@@ -126,7 +138,7 @@
             return
         self.counters.add("loads_asked")
         request_id, key = request.request_id, request.ordering_key
-        self.pending[request_id] = PendingAnswer(on_settled, self.classes[request.query_class])
+        self.pending[request_id] = SettlementWaiter(on_settled, self.classes[request.query_class])
         knowledge = self.history.on_retry(self.now(), request_id, identity_of(request), deadline)
         if knowledge is not None:
             self._answer(request_id, knowledge, self.history.settings.retry_after_ms)
@@ -157,8 +169,8 @@
     def before_attempt_sent(
         self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
-        """Record an attempt, and call `kept` once the record is durable. The load counts as sent from here
-        on: another instance that asks meanwhile must not hear that it was never sent."""
+        """Record an attempt, and call `on_recorded` once the record is durable. The load counts as sent from
+        here on: another instance that queries it meanwhile must not be answered that it was never sent."""
         now = self.now()
         run = self.runs.setdefault(client_request.request_id, LoadRun(identity_of(client_request)))
         if not run.is_begun:
@@ -251,19 +263,19 @@
             return
         self.expired_at = now
         self._check_disk()
-        found = evict_loads(
+        evicted = evict_loads(
             self.records.values(),
             now_ms=now,
             boot_count=self.ledger.boot_count,
             boot_started_at_ms=self.started_at,
-            retention_ms=self.hold_ms,
+            retention_ms=self.retention_ms,
             free_slots=0,
         )
-        if found.early_count:
-            self.counters.add("loads_forgotten_early", found.early_count)
+        if evicted.early_count:
+            self.counters.add("loads_forgotten_early", evicted.early_count)
         # What the history still has may yet be asked about, also after a power loss.
         known = self.history.local.entries
-        keys = [key for key in found.keys if found.early_count or key not in known]
+        keys = [key for key in evicted.keys if evicted.early_count or key not in known]
         if keys and self.disk_state is DiskState.HEALTHY:
             self._remove(keys)
 
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -203,11 +203,14 @@
         self.counters.add(f"duties_{run.duty}")
         now = self.clock.now()
         if run.duty == REPORT:
-            there = [
+            reported_names = [
                 m.name for m in self.instance.swim.members_by_name() if m.id in self.instance.reported_members
             ]
             self.log_event(
-                "fleet", members=len(there) + 1, duties=len(self.instance.duties.tasks), runs=str(self.runs)
+                "fleet",
+                members=len(reported_names) + 1,
+                duties=len(self.instance.duties.tasks),
+                runs=str(self.runs),
             )
             self._carry_out(self.instance.on_run_ended(now, run, 0))
         elif self.probe(run.subject):
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -12,33 +12,33 @@
 from cottonhold.config.installation import Installation
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.recovery import load_history, survey_results
-from cottonhold.fleet.recovery.load_history import (
+from cottonhold.fleet.recovery import load_history_interface, survey_results
+from cottonhold.fleet.recovery.load_history import LoadHistory
+from cottonhold.fleet.recovery.load_history_interface import (
     FleetState,
-    LoadHistory,
     LoadHistorySettings,
     LoadSettled,
     SendToDispatcher,
 )
-from cottonhold.fleet.recovery.local_loads import hold_ms_for
+from cottonhold.fleet.recovery.local_loads import RecordedLoad, retention_ms_for
 from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
 from cottonhold.fleet.recovery.messages import (
-    BASE_PER_BOOT,
+    CHECKPOINTS_PER_BOOT,
     OPEN_LOADS,
     PRESENCE,
     MemoryState,
     Presence,
     decode,
 )
-from cottonhold.fleet.recovery.slow_start import OutageScope
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope
 from cottonhold.fleet.recovery.survey_results import (
     DuplicateIdentity,
     OutageVerdict,
-    PeerBootLearned,
+    PeerBootCountLearned,
     ProvenSilence,
-    RaiseBoot,
-    SendMessage,
-    StoreBase,
+    RaiseBootCount,
+    SendSurveyMessage,
+    StoreCheckpoint,
     SurveySettings,
     SurveyView,
     ViewChanged,
@@ -48,7 +48,7 @@
 from cottonhold.fleet_adapters.recovery_folder import (
     FolderState,
     KnownPeer,
-    base_records,
+    checkpoint_records,
     incarnation_of,
     peer_record,
     read_folder,
@@ -60,7 +60,7 @@
 from cottonhold.membership.swim import Swim
 from cottonhold.observe.counters import Counters
 from cottonhold.store.ledger import Ledger
-from cottonhold.store.records import RecordKind
+from cottonhold.store.records import LoadRecord, RecordKind
 from cottonhold.transport.clock import Clock, Timer
 
 MEMORY_NAMES = {  # as operators know them
@@ -73,7 +73,7 @@
 
 
 class ReportedLoss(NamedTuple):
-    """The loss that the fleet's coordinator was told of."""
+    """The loss that was reported to the fleet's coordinator."""
 
     verdict: OutageVerdict
     zones: frozenset[str]
@@ -85,18 +85,21 @@
     return {i: classes[i].again == "served" for i in guarded_class_indices(installation.config.settings)}
 
 
-def hold_ms_of(installation: Installation) -> float:
+def retention_ms_of(installation: Installation) -> float:
     """How long after it was sent a load can still be asked about."""
     classes = installation.file.classes
-    return hold_ms_for(classes[i].deadline_ms for i in guarded_class_indices(installation.config.settings))
+    return retention_ms_for(
+        classes[i].deadline_ms for i in guarded_class_indices(installation.config.settings)
+    )
 
 
 def unavailable_guard(
-    installation: Installation, found: Mapping[bytes, bytes], clock: Clock, counters: Counters
+    installation: Installation, loads: Mapping[bytes, bytes], clock: Clock, counters: Counters
 ) -> UnavailableLoadGuard:
-    """The guard while the folder is not available. found: its loads, as far as they could be read."""
-    file, settings = installation.file, LoadHistorySettings(hold_ms_of(installation))
-    recorded, _ = recorded_loads(found)
+    """The guard while the folder is not available. loads: its records of loads, as far as they could be
+    read."""
+    file, settings = installation.file, LoadHistorySettings(retention_ms_of(installation))
+    recorded, _ = recorded_loads(loads)
     history = LoadHistory(file.number, file.dispatchers, 0, clock.now(), recorded, settings, 0)
     max_retry_after_ms = installation.config.settings.features.max_retry_after_ms
     retry_after_ms = min(max_retry_after_ms, settings.retry_after_ms)
@@ -120,7 +123,7 @@
     ) -> None:
         self.ledger, self.swim, self.fleet, self.clock = ledger, swim, fleet, clock
         self.hop, self.send, self.counters, self.log = hop, send, counters, log
-        self.hold_ms = hold_ms_of(installation)
+        self.retention_ms = retention_ms_of(installation)
         self.has_other_prerequisites: Callable[[], bool] = lambda: True  # of sending loads
         self.timer: Timer | None = None
         self.silent: dict[int, ProvenSilence] = {}
@@ -142,20 +145,34 @@
             secrets.randbits(32),
             folder.memory,
             ledger.closed_cleanly,
-            {number: peer.boot for number, peer in folder.peers.items()},
+            {number: peer.boot_count for number, peer in folder.peers.items()},
             now,
-            SurveySettings(hold_ms=self.hold_ms),
-            folder.base,
-            {number: peer.base for number, peer in folder.peers.items()},
+            SurveySettings(retention_ms=self.retention_ms),
+            folder.checkpoint,
+            {number: peer.checkpoint for number, peer in folder.peers.items()},
         )
         recorded, records = recorded_loads(ledger.records(RecordKind.LOAD))
+        self._start_load_guard(installation, recorded, records)
+        self.log(
+            "recovered",
+            boot=ledger.boot_count,
+            memory=MEMORY_NAMES[folder.memory],
+            why=ledger.reason,
+            loads=len(recorded),
+        )
+
+    def _start_load_guard(
+        self, installation: Installation, recorded: list[RecordedLoad], records: dict[bytes, LoadRecord]
+    ) -> None:
+        """The history and the guard. recorded, records: the folder's loads, as each of the two needs them."""
+        file, ledger = installation.file, self.ledger
         self.history = LoadHistory(
             file.number,
             file.dispatchers,
             ledger.boot_count,
-            now,
+            self.clock.now(),
             recorded,
-            LoadHistorySettings(self.hold_ms),
+            LoadHistorySettings(self.retention_ms),
             secrets.randbits(31),
         )
         self.load_guard = LoadRecorder(
@@ -163,7 +180,7 @@
             ledger,
             records,
             guarded_classes(installation),
-            self.hold_ms,
+            self.retention_ms,
             self.clock.now,
             lambda: ledger.clock(),
             self.clock.call_in,
@@ -173,15 +190,13 @@
             self.counters,
             self.log,
         )
-        memory, boot = MEMORY_NAMES[folder.memory], ledger.boot_count
-        self.log("recovered", boot=boot, memory=memory, why=ledger.reason, loads=len(recorded))
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
         self._step()
 
     def on_member_joined(self) -> None:
-        """Another instance is there: it hears of this one at once."""
+        """Another instance is there: it receives this one's report at once."""
         self._arm(MIN_STEP_MS)
 
     def on_message(self, member: int, payload: bytes) -> bool:
@@ -226,7 +241,7 @@
                 "boot": self.ledger.boot_count,
                 "memory": MEMORY_NAMES[self.survey.memory],
                 "confirmed": self.survey.has_confirmed_memory(),
-                "marks": self.survey.base % BASE_PER_BOOT,
+                "marks": self.survey.checkpoint % CHECKPOINTS_PER_BOOT,
                 "disk": health.state.value,
                 "disk_why": health.reason,
                 "verdict": view.verdict.value,
@@ -237,11 +252,11 @@
                 "twice": self.survey.duplicate is not None,
                 "loads_remembered": len(self.history.local.entries),
                 "loads_asked": len(self.history.pending),
-                "hold_ms": self.hold_ms,
+                "hold_ms": self.retention_ms,
             }
         }
 
-    def _carry_out_soon(self, actions: Iterable[load_history.Action]) -> None:
+    def _carry_out_soon(self, actions: Iterable[load_history_interface.Action]) -> None:
         self._carry_out(actions)
         self._arm(MIN_STEP_MS)
 
@@ -283,10 +298,10 @@
             self.timer.cancel()
         self.timer = self.clock.call_in(min(max(ms, MIN_STEP_MS), MAX_STEP_MS), self._step)
 
-    def _carry_out(self, actions: Iterable[survey_results.Action | load_history.Action]) -> None:
+    def _carry_out(self, actions: Iterable[survey_results.Action | load_history_interface.Action]) -> None:
         for action in actions:
             match action:
-                case SendMessage(member, data):
+                case SendSurveyMessage(member, data):
                     self.send(member, data)
                 case SendToDispatcher(number, data):
                     if (known := self.survey.member_of(number)) is not None:
@@ -295,48 +310,48 @@
                     self.load_guard.on_settled(action)
                 case ViewChanged(view):
                     self._on_view_changed(view)
-                case RaiseBoot(min_boot):
-                    self._raise_boot(min_boot)
+                case RaiseBootCount(min_boot_count):
+                    self._raise_boot_count(min_boot_count)
                 case DuplicateIdentity(is_later):
                     self.counters.add("twice")
                     self.log("twice", later=is_later)
-                case PeerBootLearned(number, boot, base):
-                    self.ledger.put([peer_record(number, KnownPeer(boot, base))])
-                case StoreBase(base):
-                    self._store_base(base)
+                case PeerBootCountLearned(number, boot_count, checkpoint):
+                    self.ledger.put([peer_record(number, KnownPeer(boot_count, checkpoint))])
+                case StoreCheckpoint(checkpoint):
+                    self._store_checkpoint(checkpoint)
 
-    def _raise_boot(self, min_boot: int) -> None:
-        """The folder forgot boots: reports go on above those of the forgotten incarnations."""
+    def _raise_boot_count(self, min_boot_count: int) -> None:
+        """The folder's boot count is too low: reports go on above those of the forgotten incarnations."""
         self.counters.add("boots_raised")
-        self.log("boot", least=min_boot, memory=MEMORY_NAMES[self.survey.memory])
-        self.ledger.raise_boot_count(min_boot)
-        self.survey.on_boot_stored(self.clock.now(), self.ledger.boot_count)
+        self.log("boot", least=min_boot_count, memory=MEMORY_NAMES[self.survey.memory])
+        self.ledger.raise_boot_count(min_boot_count)
+        self.survey.on_boot_count_stored(self.clock.now(), self.ledger.boot_count)
         if self.fleet is not None:
             self.fleet.set_incarnation(incarnation_of(self.ledger))
 
-    def _store_base(self, base: int) -> None:
-        """Store up to which boot and mark the folder's loads are complete; the survey hears once it is
+    def _store_checkpoint(self, checkpoint: int) -> None:
+        """Store up to which boot and mark the folder's loads are complete; the survey learns once it is
         durable."""
 
         def on_written(durable: bool) -> None:
-            self.hop(lambda: self._on_base_written(base, durable))
+            self.hop(lambda: self._on_checkpoint_written(checkpoint, durable))
 
-        if base:
+        if checkpoint:
             self.ledger.mark_complete()
-        self.ledger.put(base_records(base), on_written)
+        self.ledger.put(checkpoint_records(checkpoint), on_written)
 
-    def _on_base_written(self, base: int, durable: bool) -> None:
-        """A base is durable, or has to be written again while it is still wanted: a stale folder that stayed
-        marked as complete would be trusted after the next power loss."""
+    def _on_checkpoint_written(self, checkpoint: int, durable: bool) -> None:
+        """A checkpoint is durable, or has to be written again while it is still wanted: a stale folder that
+        stayed marked as complete would be trusted after the next power loss."""
         if durable:
-            self.survey.on_base_stored(self.clock.now(), base)
+            self.survey.on_checkpoint_stored(self.clock.now(), checkpoint)
             return
 
-        def write_again() -> None:
-            if self.survey.requested_base == base:
-                self._store_base(base)
+        def retry() -> None:
+            if self.survey.requested_checkpoint == checkpoint:
+                self._store_checkpoint(checkpoint)
 
-        self.clock.call_in(RETRY_MS, write_again)
+        self.clock.call_in(RETRY_MS, retry)
 
     def _on_view_changed(self, view: SurveyView) -> None:
         self.counters.add(f"census_{view.verdict.value}")
@@ -351,7 +366,7 @@
             self._report_loss(self.fleet, view)
 
     def _report_loss(self, fleet: FleetCoordinator, view: SurveyView) -> None:
-        """Tell the coordinator of a loss, and each only once: engines that have warmed up since must not be
+        """Report a loss to the coordinator, and each only once: engines that have warmed up since must not be
         put under slow start again when the view changes."""
         now, before = self.clock.now(), self.reported_loss
         lost_zones = view.lost_zones if view.verdict is OutageVerdict.ZONE else frozenset[str]()
--- /dev/null
+++ b/cottonhold/fleet_adapters/request_forwarding.py
@@ -0,0 +1,206 @@
+"""Carries out request forwarding: passes requests to the owners of their keys, and those from others to the
+gateway. Decides nothing.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from cottonhold.backend.resp import Rows
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
+from cottonhold.fleet.message_format import MessageError
+from cottonhold.fleet.request_forwarding import forwarder
+from cottonhold.fleet.request_forwarding.forwarder import ForwardResult, RequestForwarder
+from cottonhold.fleet.request_forwarding.request_codec import (
+    ForwardedRequest,
+    decode_request,
+    encode_request,
+    encode_rows,
+)
+from cottonhold.fleet_adapters.keyed_loads import KeyedLoadGuard, OriginRound
+from cottonhold.frontend.query_service import DuplicateRequestIdError
+from cottonhold.node.client_request import ClientRequest, OpenRequest
+from cottonhold.node.gateway import Gateway
+from cottonhold.observe.counters import Counters
+from cottonhold.transport.clock import Clock
+
+
+class ForwardedClient:
+    """The way back to the dispatcher that forwarded a request; stands for a client at the gateway."""
+
+    def __init__(self, adapter: RequestForwardingAdapter, origin: int, number: int, request_id: str) -> None:
+        self.adapter, self.origin, self.number, self.request_id = adapter, origin, number, request_id
+
+    def complete(self, rows: Rows) -> None:
+        """The complete result."""
+        self.adapter.on_forwarded_ended(self, ForwardResult.ANSWERED, 0.0, encode_rows(rows))
+
+    def reject(self, retry_after: float) -> None:
+        """Rejected, or this is not the key's owner: nothing ran."""
+        owner = self.adapter.guard.owners_by_returned.get(self.request_id)
+        if owner is None:
+            self.adapter.on_forwarded_ended(self, ForwardResult.REJECTED, retry_after, b"")
+        else:
+            self.adapter.on_forwarded_ended(
+                self, ForwardResult.NOT_OWNER, 0.0, owner.to_bytes(8, "big") if owner else b""
+            )
+
+    def fail(self, why: str) -> None:
+        """The request may have run."""
+        self.adapter.on_forwarded_ended(self, ForwardResult.FAILED, 0.0, b"")
+
+
+class RequestForwardingAdapter:
+    """Feeds the forwarder of one instance, and carries out its actions.
+
+    guard: of loads with keys, which learns how forwarded requests end. retry_after_ms: sent with rejections.
+    schedule_step: called after each event, so that `step` follows soon.
+    """
+
+    def __init__(
+        self,
+        request_forwarder: RequestForwarder,
+        guard: KeyedLoadGuard,
+        gateway: Gateway,
+        clock: Clock,
+        send: Callable[[int, bytes], None],
+        counters: Counters,
+        retry_after_ms: float,
+        schedule_step: Callable[[], None],
+    ) -> None:
+        self.forwarder, self.guard, self.gateway, self.clock = request_forwarder, guard, gateway, clock
+        self.send, self.counters = send, counters
+        self.retry_after_ms, self.schedule_step = retry_after_ms, schedule_step
+        # By origin and its number of the request.
+        self.incoming_requests: dict[tuple[int, int], tuple[OpenRequest, ForwardedClient]] = {}
+
+    def on_message(self, now: float, member: int, payload: bytes) -> None:
+        """A message of request forwarding from a member."""
+        self._carry_out(self.forwarder.on_message(now, member, payload))
+
+    def step(self, now: float) -> None:
+        """Send again what is not confirmed, and give up what is too late."""
+        self._carry_out(self.forwarder.step(now))
+
+    def next_at(self) -> float:
+        """When `step` is due."""
+        return self.forwarder.next_at()
+
+    def status(self) -> dict[str, Any]:
+        """How many requests are under way, for operators."""
+        return self.forwarder.status()
+
+    def forward(
+        self, client_request: ClientRequest, owner: int, key: bytes, deadline: float, round_number: int
+    ) -> None:
+        """Forward a request to the owner of its key."""
+        self.counters.add("pins_handed_on")
+        tenants = self.gateway.settings.tenants
+        forwarded = ForwardedRequest(
+            request_id=client_request.request_id,
+            class_name=client_request.class_name,
+            ordering_key=client_request.ordering_key or "",
+            estimated_work_ms=client_request.estimated_work_ms,
+            estimated_memory_mb=client_request.estimated_memory_mb,
+            tables=client_request.table_group,
+            is_retry=client_request.is_retry,
+            body=client_request.body,
+            round=round_number,
+            tenant=tenants[client_request.tenant].name if client_request.tenant < len(tenants) else "",
+            idempotency_key=client_request.idempotency_key or "",
+        )
+        body = encode_request(forwarded)
+        now = self.clock.now()
+        actions = self.forwarder.forward(now, client_request.request_id, owner, body, deadline, queue_key=key)
+        # A result that is there at once must reach the guard only after it has recorded the forwarding.
+        self.clock.call_soon(lambda: self._carry_out(actions))
+
+    def abandon(self, request_id: str) -> None:
+        """No client waits any more for a forwarded request."""
+        self._carry_out(self.forwarder.abandon(self.clock.now(), request_id))
+
+    def _on_request_accepted(self, action: forwarder.RequestAccepted) -> None:
+        """Pass a request that was forwarded to here to the gateway."""
+        try:
+            forwarded = decode_request(action.body)
+        except MessageError:
+            self.counters.add("pins_malformed")
+            self._reject(action, retry_after_ms=0.0)
+            return
+        query_class = self.gateway.decoder.class_indexes.get(forwarded.class_name)
+        request_id = forwarded.request_id
+        if request_id in self.gateway.requests:
+            request_id = f"{request_id}.{action.number:x}"
+        if query_class is None or request_id in self.gateway.requests:
+            self._reject(action, self.retry_after_ms)
+            return
+        self.counters.add("pins_handed_here")
+        client_request = self._client_request(forwarded, request_id, query_class, action.remaining_ms)
+        client = ForwardedClient(self, action.origin, action.number, request_id)
+        self.guard.origin_rounds[request_id] = OriginRound(action.origin, forwarded.round)
+        try:
+            request = self.gateway.accept(client_request, client)
+        except DuplicateRequestIdError:
+            self._reject(action, self.retry_after_ms)
+            return
+        self.incoming_requests[action.origin, action.number] = request, client
+
+    def _client_request(
+        self, forwarded: ForwardedRequest, request_id: str, query_class: int, remaining_ms: float
+    ) -> ClientRequest:
+        """A forwarded request as the gateway takes it from a client of its own."""
+        return ClientRequest(
+            request_id,
+            query_class,
+            forwarded.class_name,
+            self.clock.now(),
+            remaining_ms,
+            forwarded.estimated_work_ms,
+            forwarded.estimated_memory_mb,
+            forwarded.tables,
+            forwarded.ordering_key,
+            forwarded.is_retry,
+            forwarded.body,
+            self.gateway.decoder.tenant_indexes.get(forwarded.tenant, 0),
+            forwarded.idempotency_key or None,
+        )
+
+    def _reject(self, action: forwarder.RequestAccepted, retry_after_ms: float) -> None:
+        now, result = self.clock.now(), ForwardResult.REJECTED
+        actions = self.forwarder.on_request_ended(now, action.origin, action.number, result, retry_after_ms)
+        self._carry_out(actions)
+
+    def on_forwarded_ended(
+        self, client: ForwardedClient, result: ForwardResult, retry_after_ms: float, data: bytes
+    ) -> None:
+        """A request that was forwarded to here has ended."""
+        request_key = client.origin, client.number
+        self.incoming_requests.pop(request_key, None)
+        self.guard.origin_rounds.pop(client.request_id, None)
+        self.guard.owners_by_returned.pop(client.request_id, None)
+        self._carry_out(
+            self.forwarder.on_request_ended(self.clock.now(), *request_key, result, retry_after_ms, data)
+        )
+        self.schedule_step()
+
+    def _on_request_abandoned(self, origin: int, number: int) -> None:
+        """No client waits for it any more."""
+        incoming = self.incoming_requests.pop((origin, number), None)
+        if incoming is not None:
+            request, client = incoming
+            self.guard.origin_rounds.pop(client.request_id, None)
+            self.gateway.on_client_disconnected(request)
+
+    def _carry_out(self, actions: Iterable[forwarder.Action]) -> None:
+        for action in actions:
+            match action:
+                case SendConsensusMessage(member, data):
+                    self.send(member, data)
+                case forwarder.RequestAccepted():
+                    self._on_request_accepted(action)
+                case forwarder.RequestAbandoned(origin, number):
+                    self._on_request_abandoned(origin, number)
+                case forwarder.ForwardingEnded():
+                    self.guard.on_forwarding_ended(action)
+        self.schedule_step()
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -20,25 +20,25 @@
     PersistState,
     ReadRegister,
     RegisterChanged,
-    SendMessage,
+    SendConsensusMessage,
 )
 from cottonhold.fleet.consensus.register import Registers
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
 from cottonhold.fleet.recovery.survey_results import OutageVerdict
-from cottonhold.fleet.rolling_replacement import step_decision as steps_of
+from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.coordinator import ReplacementCoordinator
 from cottonhold.fleet.rolling_replacement.machine_driver import ReplacementSettings
 from cottonhold.fleet.rolling_replacement.plan import Machine, PlanError
 from cottonhold.fleet.rolling_replacement.request_parsing import parse_request
-from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 from cottonhold.fleet_adapters.engine_drain import EngineDrainAdapter
 from cottonhold.fleet_adapters.write_queue import OrderedWriteQueue
 from cottonhold.membership.codec import member_id
 from cottonhold.membership.swim import Swim
 from cottonhold.node.lifecycle import Lifecycle
 from cottonhold.observe.counters import Counters
-from cottonhold.store.health import Completeness as Folder
+from cottonhold.store.health import Completeness
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
 from cottonhold.transport.clock import Clock, Timer
@@ -85,43 +85,49 @@
         ledger: Ledger,
         swim: Swim,
         fleet: FleetCoordinator,
-        census: MembershipSurvey,
+        survey: MembershipSurvey,
         lifecycle: Lifecycle,
         clock: Clock,
         hop: Callable[[Callable[[], None]], object],
-        say: Callable[[int, bytes], None],
+        send: Callable[[int, bytes], None],
         open_requests: Callable[[], int],
         counters: Counters,
-        note: Callable[..., None],
+        log: Callable[..., None],
         drains: EngineDrainAdapter,
     ) -> None:
         file, now = installation.file, clock.now()
         assert file.membership is not None
-        self.swim, self.fleet, self.census, self.lifecycle = swim, fleet, census, lifecycle
+        self.swim, self.fleet, self.survey, self.lifecycle = swim, fleet, survey, lifecycle
         self.record_writer = OrderedWriteQueue(ledger, hop, clock.call_in)
-        self.clock, self.send, self.open_requests = clock, say, open_requests
-        self.counters, self.log, self.name, self.drains = counters, note, file.name, drains
+        self.clock, self.send, self.open_requests = clock, send, open_requests
+        self.counters, self.log, self.name, self.drains = counters, log, file.name, drains
         self.zones_by_number = file.peers.zones if file.peers is not None else ()
         self.voters = {member_id(name) for name in file.membership.voters}
-        # A voter with an empty or old folder starts without records, and recovers them from the others.
-        kept = ledger.records(RecordKind.PROMISE) if ledger.completeness is Folder.COMPLETE else {}
-        self.registers = Registers(
-            swim.id,
-            self.voters,
-            ledger.boot_count,
-            ledger.boot_count,
-            secrets.randbits(63),
-            {key.decode(): value for key, value in kept.items()},
+        self.registers = self._make_registers(ledger)
+        removal_objections = (
+            fleet.failover_cost.removal_objections if fleet.failover_cost is not None else None
         )
-        bearable = fleet.failover_cost.removal_objections if fleet.failover_cost is not None else None
         self.coordinator = ReplacementCoordinator(
-            file.name, now, ReplacementSettings(len(self.voters)), secrets.randbits(63), bearable
+            file.name, now, ReplacementSettings(len(self.voters)), secrets.randbits(63), removal_objections
         )
         self.answers: list[dict[str, str]] = []
         self.ready_epochs: dict[str, int] = {}
         self.timer: Timer | None = None
         self.key_mover: KeyMover | None = None
 
+    def _make_registers(self, ledger: Ledger) -> Registers:
+        """The registers, with what this voter promised before its start. One with an empty or old folder
+        starts without promises, and recovers them from the others."""
+        promises = ledger.records(RecordKind.PROMISE) if ledger.completeness is Completeness.COMPLETE else {}
+        return Registers(
+            self.swim.id,
+            self.voters,
+            ledger.boot_count,
+            ledger.boot_count,
+            secrets.randbits(63),
+            {key.decode(): value for key, value in promises.items()},
+        )
+
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
         self._step()
@@ -199,65 +205,71 @@
 
     def _update_view(self, now: float) -> None:
         """Pass on what this instance sees."""
-        swap, live = self.coordinator, set(self.swim.live_members())
-        there = [self._machine(self.name, self.swim.id, self.census.number, self.census.incarnation)]
-        there[0] = replace(there[0], is_voting=self.registers.is_voting())
+        coordinator, live = self.coordinator, set(self.swim.live_members())
+        dispatchers = [self._machine(self.name, self.swim.id, self.survey.number, self.survey.incarnation)]
+        dispatchers[0] = replace(dispatchers[0], is_voting=self.registers.is_voting())
         for member in self.swim.members.values():
-            number = self.census.number_of(member.id)
+            number = self.survey.number_of(member.id)
             if member.id in live and number is not None:
-                there.append(
-                    self._machine(member.name, member.id, number, self.census.incarnation_of(number))
+                dispatchers.append(
+                    self._machine(member.name, member.id, number, self.survey.incarnation_of(number))
                 )
-        swap.set_machines(now, [*self.drains.machines(now, swap), *there])
-        self.drains.update_view(now, swap)
-        swap.set_open_requests(now, self.name, self.open_requests())
-        swap.set_remaining_keys(
+        coordinator.set_machines(now, [*self.drains.machines(now, coordinator), *dispatchers])
+        self.drains.update_view(now, coordinator)
+        coordinator.set_open_requests(now, self.name, self.open_requests())
+        coordinator.set_remaining_keys(
             now, self.name, self.key_mover.remaining_here() if self.key_mover is not None else 0
         )
         for machine, count in (
             self.key_mover.remaining_elsewhere() if self.key_mover is not None else {}
         ).items():
-            swap.set_remaining_keys(now, machine, count)
+            coordinator.set_remaining_keys(now, machine, count)
         for zone, state in self.fleet.evacuation.states.items():
-            swap.set_zone_trouble(
-                now, zone, "" if state.phase is Phase.IN_SERVICE else f"is {state.phase.value}"
+            coordinator.set_zone_trouble(
+                now, zone, "" if state.phase is ZonePhase.IN_SERVICE else f"is {state.phase.value}"
             )
-        loads = self.fleet.demand
-        shed = loads is not None and loads.threshold is not None and loads.threshold.step > 0
+        demand = self.fleet.demand
+        is_shedding_load = demand is not None and demand.threshold is not None and demand.threshold.step > 0
         # Shedding has a name of its own: a draining engine may cause it, and must not block itself.
-        swap.set_fleet_trouble(now, "sheds", "the fleet turns requests away" if shed else "")
-        verdict = self.census.view.verdict
-        ramping = self.fleet.slow_start is not None and self.fleet.slow_start.is_active
-        unrest = verdict in OUTAGE_VERDICTS and (
-            ramping or not self.census.view.is_settled or verdict is OutageVerdict.CUT_OFF
+        coordinator.set_fleet_trouble(
+            now, "sheds", "the fleet turns requests away" if is_shedding_load else ""
+        )
+        verdict = self.survey.view.verdict
+        is_warming_up = self.fleet.slow_start is not None and self.fleet.slow_start.is_active
+        is_recovering = verdict in OUTAGE_VERDICTS and (
+            is_warming_up or not self.survey.view.is_settled or verdict is OutageVerdict.CUT_OFF
+        )
+        coordinator.set_fleet_trouble(
+            now, "recovery", f"the fleet recovers: {verdict.value}" if is_recovering else ""
         )
-        swap.set_fleet_trouble(now, "recovery", f"the fleet recovers: {verdict.value}" if unrest else "")
 
-    def _machine(self, name: str, member: int, number: int, life: int) -> Machine:
+    def _machine(self, name: str, member: int, number: int, incarnation: int) -> Machine:
         zone = self.zones_by_number[number] if number < len(self.zones_by_number) else ""
         # Capacity planning knows engines only, so a dispatcher counts as 0 cores.
-        return Machine(name, zone, 0.0, False, life, member in self.voters)
+        return Machine(name, zone, 0.0, False, incarnation, member in self.voters)
 
-    def _carry_out_replacement(self, now: float, action: steps_of.Action) -> None:
+    def _carry_out_replacement(self, now: float, action: step_decision.Action) -> None:
         match action:
             case ChangeRegister() | ReadRegister():
                 self.use_register(action)
-            case steps_of.MoveKeys(machine, _, most) if machine == self.name and self.key_mover is not None:
-                self.key_mover.move_keys(most)
-            case steps_of.Drain(machine) | steps_of.Undrain(machine) if machine != self.name:
+            case step_decision.MoveKeys(machine, _, max_keys) if (
+                machine == self.name and self.key_mover is not None
+            ):
+                self.key_mover.move_keys(max_keys)
+            case step_decision.Drain(machine) | step_decision.Undrain(machine) if machine != self.name:
                 self.drains.act(now, self.coordinator, action)
-            case steps_of.Drain(machine):
+            case step_decision.Drain(machine):
                 self.counters.add("swap_drains")
                 self.lifecycle.drain(now)
-            case steps_of.Undrain(machine):
+            case step_decision.Undrain(machine):
                 self.lifecycle.restore()
-            case steps_of.ReadyToPowerOff(machine, epoch):
+            case step_decision.ReadyToPowerOff(machine, epoch):
                 self.ready_epochs[machine] = epoch
                 self.log("swap_ready", machine=machine, epoch=epoch)
-            case steps_of.LogStep(machine, step, why):
+            case step_decision.LogStep(machine, step, reason):
                 name = step.name.lower() if step is not None else ""
-                self.log("swap", machine=machine, step=name, why=why)
-            case steps_of.RequestAnswered(request, refused):
+                self.log("swap", machine=machine, step=name, why=reason)
+            case step_decision.RequestAnswered(request, refused):
                 self.answers.append({"who": request.requested_by, "refused": refused})
                 self.log("swap_answer", who=request.requested_by, refused=refused or "no")
 
@@ -267,24 +279,24 @@
         if isinstance(action, ReadRegister):
             self._carry_out_registers(self.registers.read(now, action.name, action.token))
         else:
-            words = action.name, action.version, action.value, action.token
-            self._carry_out_registers(self.registers.change(now, *words))
+            change = action.name, action.version, action.value, action.token
+            self._carry_out_registers(self.registers.change(now, *change))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
     def _carry_out_registers(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case SendMessage(member, data):
+                case SendConsensusMessage(member, data):
                     self.send(member, data)
-                case PersistState(name, data, then):
-                    self._persist(name, data, then)
+                case PersistState(name, data, token):
+                    self._persist(name, data, token)
                 case RegisterChanged(name, version, value):
                     self.coordinator.on_register_changed(self.clock.now(), name, version, value)
                     if self.key_mover is not None:
                         self.key_mover.on_register_changed(name, version, value)
-                case OperationOutcome(token, how, version, value) if token:
+                case OperationOutcome(token, result, version, value) if token:
                     # An operation that was lost without an answer says nothing of the register.
-                    won = WON_BY_RESULT[how] if version >= 0 else None
+                    won = WON_BY_RESULT[result] if version >= 0 else None
                     self.coordinator.on_outcome(self.clock.now(), token, won, version, value)
                     if self.key_mover is not None:
                         self.key_mover.on_outcome(token, won, version, value)
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -1,4 +1,4 @@
-"""Carries out session affinity and request forwarding: records, datagrams and timers. Decides nothing.
+"""Carries out session affinity: records, datagrams and timers. Decides nothing.
 
 Off unless the installation's file says `fleet: {pins: true}`.
 """
@@ -10,24 +10,19 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from cottonhold.backend.resp import Rows
 from cottonhold.config.installation import Installation
-from cottonhold.fleet.consensus.actions import ChangeRegister, PersistState, ReadRegister, SendMessage
+from cottonhold.fleet.consensus.actions import (
+    ChangeRegister,
+    PersistState,
+    ReadRegister,
+    SendConsensusMessage,
+)
 from cottonhold.fleet.coordinator import FleetCoordinator
-from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
 from cottonhold.fleet.recovery.messages import MemoryState
-from cottonhold.fleet.request_forwarding import forwarder
-from cottonhold.fleet.request_forwarding.forwarder import ForwardingSettings, ForwardResult, RequestForwarder
-from cottonhold.fleet.request_forwarding.messages import U32
-from cottonhold.fleet.request_forwarding.request_codec import (
-    ForwardedRequest,
-    decode_request,
-    encode_request,
-    encode_rows,
-)
-from cottonhold.fleet.rolling_replacement.plan import MachineRecord as Swapped
-from cottonhold.fleet.rolling_replacement.plan import ReplacementStep, machine_id
+from cottonhold.fleet.request_forwarding.forwarder import ForwardingSettings, RequestForwarder
+from cottonhold.fleet.request_forwarding.messages import REQUEST_FORWARDING, U32
+from cottonhold.fleet.rolling_replacement.plan import MachineRecord, ReplacementStep, machine_id
 from cottonhold.fleet.session_affinity import membership_table, messages
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
 from cottonhold.fleet.session_affinity.record_book import HANDOVER_STEPS_MS
@@ -37,12 +32,12 @@
     SessionAffinityService,
     Surroundings,
 )
-from cottonhold.fleet_adapters.keyed_loads import WAIT_STEPS_MS, KeyedLoadGuard, OriginRound
+from cottonhold.fleet_adapters.keyed_loads import WAIT_STEPS_MS, KeyedLoadGuard
 from cottonhold.fleet_adapters.recovery_folder import incarnation_of
+from cottonhold.fleet_adapters.request_forwarding import RequestForwardingAdapter
 from cottonhold.fleet_adapters.rolling_replacement import RollingReplacementAdapter
-from cottonhold.frontend.query_service import DuplicateRequestIdError
 from cottonhold.membership.swim import Swim
-from cottonhold.node.client_request import ClientRequest, OpenRequest
+from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.gateway import Gateway
 from cottonhold.node.load_guard import LoadGuard
 from cottonhold.observe.counters import Counters
@@ -51,7 +46,6 @@
 from cottonhold.transport.clock import Clock, Timer
 
 MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 2.0, 20.0
-REQUEST_FORWARDING = 79  # first byte of its messages
 WRITE_RETRY_MS = 500.0
 LEAVING_STEPS = (ReplacementStep.MOVING, ReplacementStep.DRAINING, ReplacementStep.OUT)
 DEPARTURE_BY_STEP = {
@@ -61,31 +55,6 @@
 }
 
 
-class ForwardedClient:
-    """The way back to the dispatcher that forwarded a request; stands for a client at the gateway."""
-
-    def __init__(self, adapter: SessionAffinityAdapter, origin: int, number: int, request_id: str) -> None:
-        self.adapter, self.origin, self.number, self.request_id = adapter, origin, number, request_id
-
-    def complete(self, rows: Rows) -> None:
-        """The complete result."""
-        self.adapter.on_forwarded_ended(self, ForwardResult.ANSWERED, 0.0, encode_rows(rows))
-
-    def reject(self, retry_after: float) -> None:
-        """Rejected, or this is not the key's owner: nothing ran."""
-        owner = self.adapter.guard.owners_by_returned.get(self.request_id)
-        if owner is None:
-            self.adapter.on_forwarded_ended(self, ForwardResult.REJECTED, retry_after, b"")
-        else:
-            self.adapter.on_forwarded_ended(
-                self, ForwardResult.NOT_OWNER, 0.0, owner.to_bytes(8, "big") if owner else b""
-            )
-
-    def fail(self, why: str) -> None:
-        """The request may have run."""
-        self.adapter.on_forwarded_ended(self, ForwardResult.FAILED, 0.0, b"")
-
-
 class SessionAffinityAdapter:
     """Feeds the session affinity of one instance, and carries out its actions."""
 
@@ -95,34 +64,46 @@
         ledger: Ledger,
         swim: Swim,
         fleet: FleetCoordinator,
-        census: MembershipSurvey,
-        swap: RollingReplacementAdapter,
+        survey: MembershipSurvey,
+        replacement: RollingReplacementAdapter,
         loads: LoadGuard,
         gateway: Gateway,
         clock: Clock,
         hop: Callable[[Callable[[], None]], object],
-        say: Callable[[int, bytes], None],
+        send: Callable[[int, bytes], None],
         counters: Counters,
-        note: Callable[..., None],
+        log: Callable[..., None],
     ) -> None:
         now = clock.now()
-        self.ledger, self.swim, self.fleet, self.census, self.replacement = ledger, swim, fleet, census, swap
-        self.gateway, self.clock, self.hop, self.send = gateway, clock, hop, say
-        self.counters, self.log, self.name = counters, note, installation.file.name
+        self.ledger, self.swim, self.fleet = ledger, swim, fleet
+        self.survey, self.replacement = survey, replacement
+        self.gateway, self.clock, self.hop, self.send = gateway, clock, hop, send
+        self.counters, self.log, self.name = counters, log, installation.file.name
         self.zones_by_number = installation.file.peers.zones if installation.file.peers is not None else ()
-        kept = {key.decode(): value for key, value in ledger.records(RecordKind.AFFINITY).items()}
-        self.service = SessionAffinityService(swim.id, swap.voters, now, secrets.randbits(30), kept)
+        records = {key.decode(): value for key, value in ledger.records(RecordKind.AFFINITY).items()}
+        self.service = SessionAffinityService(swim.id, replacement.voters, now, secrets.randbits(30), records)
         self.member, self.retry_after_ms = swim.id, self.service.settings.retry_after_ms
-        life = incarnation_of(ledger) & U32 or 1
-        self.forwarder = RequestForwarder(swim.id, life, ForwardingSettings(), secrets.randbits(30))
         self.guard = KeyedLoadGuard(loads, self, gateway, clock, counters)
-        self.incoming_requests: dict[tuple[int, int], tuple[OpenRequest, ForwardedClient]] = {}
+        self.forwarding = self._make_forwarding()
         self.last_tokens: dict[str, int] = {}  # by name of the record
         self.failed_writes: dict[str, tuple[bytes, int]] = {}  # by name: the record and its token
         self.next_write_retry_at = 0.0
         self.timer: Timer | None = None
         self.timer_at = 0.0
-        swap.key_mover = self
+        replacement.key_mover = self
+
+    def _make_forwarding(self) -> RequestForwardingAdapter:
+        incarnation = incarnation_of(self.ledger) & U32 or 1
+        return RequestForwardingAdapter(
+            RequestForwarder(self.member, incarnation, ForwardingSettings(), secrets.randbits(30)),
+            self.guard,
+            self.gateway,
+            self.clock,
+            self.send,
+            self.counters,
+            self.retry_after_ms,
+            lambda: self._schedule_step(MIN_STEP_INTERVAL_MS),
+        )
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -145,7 +126,7 @@
             return False
         now = self.clock.now()
         if payload[0] == REQUEST_FORWARDING:
-            self._carry_out_forwarding(self.forwarder.on_message(now, member, payload))
+            self.forwarding.on_message(now, member, payload)
         else:
             self._carry_out(self.service.on_message(now, member, payload))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
@@ -161,121 +142,31 @@
 
     def is_member(self, member: int) -> bool:
         """Whether a member may own keys, as far as is known here."""
-        pins = self.service.ownership
-        return pins is not None and member in pins.lease.members
+        ownership = self.service.ownership
+        return ownership is not None and member in ownership.lease.members
 
-    def is_lost(self, key: bytes) -> bool:
+    def will_not_start(self, key: bytes) -> bool:
         """Whether a waiting request of the key will not start here any more."""
-        return self.service.is_lost(self.clock.now(), key)
+        return self.service.will_not_start(self.clock.now(), key)
 
     def on_request_opened(self, key: bytes, load: int) -> None:
         """A request waits or runs here."""
         self._carry_out(self.service.on_request_opened(self.clock.now(), key, load))
 
-    def on_request_ended(self, key: bytes, load: int, known: bool) -> None:
+    def on_request_ended(self, key: bytes, load: int, is_outcome_known: bool) -> None:
         """A request has ended."""
-        self._carry_out(self.service.on_request_ended(self.clock.now(), key, load, known))
+        self._carry_out(self.service.on_request_ended(self.clock.now(), key, load, is_outcome_known))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    def forward(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
+    def forward(
+        self, client_request: ClientRequest, owner: int, key: bytes, deadline: float, round_number: int
+    ) -> None:
         """Forward a request to the owner of its key."""
-        self.counters.add("pins_handed_on")
-        tenants = self.gateway.settings.tenants
-        forwarded = ForwardedRequest(
-            request_id=taken.request_id,
-            class_name=taken.class_name,
-            ordering_key=taken.ordering_key or "",
-            estimated_work_ms=taken.estimated_work_ms,
-            estimated_memory_mb=taken.estimated_memory_mb,
-            tables=taken.table_group,
-            is_retry=taken.is_retry,
-            body=taken.body,
-            round=number,
-            tenant=tenants[taken.tenant].name if taken.tenant < len(tenants) else "",
-            idempotency_key=taken.idempotency_key or "",
-        )
-        body = encode_request(forwarded)
-        now = self.clock.now()
-        actions = self.forwarder.forward(now, taken.request_id, owner, body, until, queue_key=key)
-        # A result that is there at once must reach the guard only after it has recorded the forwarding.
-        self.clock.call_soon(lambda: self._carry_out_forwarding(actions))
+        self.forwarding.forward(client_request, owner, key, deadline, round_number)
 
-    def abandon(self, ref: str) -> None:
+    def abandon(self, request_id: str) -> None:
         """No client waits any more for a forwarded request."""
-        self._carry_out_forwarding(self.forwarder.abandon(self.clock.now(), ref))
-
-    def _on_request_accepted(self, action: forwarder.RequestAccepted) -> None:
-        """Pass a request that was forwarded to here to the gateway."""
-        try:
-            forwarded = decode_request(action.body)
-        except MessageError:
-            self.counters.add("pins_malformed")
-            self._reject(action, retry_after_ms=0.0)
-            return
-        kind = self.gateway.decoder.class_indexes.get(forwarded.class_name)
-        request_id = forwarded.request_id
-        if request_id in self.gateway.requests:
-            request_id = f"{request_id}.{action.number:x}"
-        if kind is None or request_id in self.gateway.requests:
-            self._reject(action, self.retry_after_ms)
-            return
-        self.counters.add("pins_handed_here")
-        work = forwarded.estimated_work_ms, forwarded.estimated_memory_mb, forwarded.tables
-        words = forwarded.ordering_key, forwarded.is_retry, forwarded.body
-        named = (
-            self.gateway.decoder.tenant_indexes.get(forwarded.tenant, 0),
-            forwarded.idempotency_key or None,
-        )
-        now = self.clock.now()
-        taken = ClientRequest(
-            request_id, kind, forwarded.class_name, now, action.remaining_ms, *work, *words, *named
-        )
-        client = ForwardedClient(self, action.origin, action.number, request_id)
-        self.guard.origin_rounds[request_id] = OriginRound(action.origin, forwarded.round)
-        try:
-            request = self.gateway.accept(taken, client)
-        except DuplicateRequestIdError:
-            self._reject(action, self.retry_after_ms)
-            return
-        self.incoming_requests[action.origin, action.number] = request, client
-
-    def _reject(self, action: forwarder.RequestAccepted, retry_after_ms: float) -> None:
-        now, result = self.clock.now(), ForwardResult.REJECTED
-        actions = self.forwarder.on_request_ended(now, action.origin, action.number, result, retry_after_ms)
-        self._carry_out_forwarding(actions)
-
-    def on_forwarded_ended(
-        self, client: ForwardedClient, result: ForwardResult, retry_after_ms: float, data: bytes
-    ) -> None:
-        """A request that was forwarded to here has ended."""
-        place = client.origin, client.number
-        self.incoming_requests.pop(place, None)
-        self.guard.origin_rounds.pop(client.request_id, None)
-        self.guard.owners_by_returned.pop(client.request_id, None)
-        self._carry_out_forwarding(
-            self.forwarder.on_request_ended(self.clock.now(), *place, result, retry_after_ms, data)
-        )
-        self._schedule_step(MIN_STEP_INTERVAL_MS)
-
-    def _on_request_abandoned(self, origin: int, number: int) -> None:
-        """No client waits for it any more."""
-        found = self.incoming_requests.pop((origin, number), None)
-        if found is not None:
-            self.guard.origin_rounds.pop(found[1].request_id, None)
-            self.gateway.on_client_disconnected(found[0])
-
-    def _carry_out_forwarding(self, actions: Iterable[forwarder.Action]) -> None:
-        for action in actions:
-            match action:
-                case SendMessage(member, data):
-                    self.send(member, data)
-                case forwarder.RequestAccepted():
-                    self._on_request_accepted(action)
-                case forwarder.RequestAbandoned(origin, number):
-                    self._on_request_abandoned(origin, number)
-                case forwarder.ForwardingEnded():
-                    self.guard.on_forwarding_ended(action)
-        self._schedule_step(MIN_STEP_INTERVAL_MS)
+        self.forwarding.abandon(request_id)
 
     def on_outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
         """A change or read of a register has ended."""
@@ -300,11 +191,11 @@
 
         Nothing is left at one that is not in the table; of the others it is not known here.
         """
-        inside, known = self.service.table.member_list.members, self.service.table.is_known
+        members, known = self.service.table.member_list.members, self.service.table.is_known
         others = {
             n for n, r in self.replacement.coordinator.view.records.items() if r.step in LEAVING_STEPS
         } - {self.name}
-        return {name: 0 if known and machine_id(name) not in inside else None for name in others}
+        return {name: 0 if known and machine_id(name) not in members else None for name in others}
 
     def move_keys(self, max_keys: int) -> None:
         """Move at most so many keys to others."""
@@ -314,68 +205,70 @@
 
     def _target_capacities(self) -> dict[int, float]:
         """Return the capacity of each member that may take keys: by what is left in its zone, else even."""
-        chain = self.replacement.coordinator.view.records
-        going = {machine_id(name) for name, record in chain.items() if record.step in LEAVING_STEPS}
-        there = [m for m in self.swim.live_members() if m != self.swim.id and m not in going]
-        outlook = self.fleet.failover_cost
-        left = outlook.plan.free_cores if outlook is not None and outlook.plan is not None else {}
-        zones = {member: self._zone(member) for member in there}
-        count = Counter(zones.values())
-        found = {member: left.get(zone, 0.0) / count[zone] for member, zone in zones.items()}
-        return found if any(value > 0 for value in found.values()) else dict.fromkeys(there, 1.0)
+        records = self.replacement.coordinator.view.records
+        leaving = {machine_id(name) for name, record in records.items() if record.step in LEAVING_STEPS}
+        targets = [m for m in self.swim.live_members() if m != self.swim.id and m not in leaving]
+        cost = self.fleet.failover_cost
+        free_cores = cost.plan.free_cores if cost is not None and cost.plan is not None else {}
+        zones = {member: self._zone(member) for member in targets}
+        targets_in_zone = Counter(zones.values())
+        capacities = {
+            member: free_cores.get(zone, 0.0) / targets_in_zone[zone] for member, zone in zones.items()
+        }
+        return capacities if any(value > 0 for value in capacities.values()) else dict.fromkeys(targets, 1.0)
 
     def _zone(self, member: int) -> str:
-        number = self.census.number_of(member)
+        number = self.survey.number_of(member)
         return (
             self.zones_by_number[number] if number is not None and number < len(self.zones_by_number) else ""
         )
 
     def _step(self) -> None:
         self.timer = None
-        now, before = self.clock.now(), self.service.surroundings.departure
-        around = self._surroundings()
-        if around.departure is DepartureState.STAYING and before in (
+        now, previous_departure = self.clock.now(), self.service.surroundings.departure
+        surroundings = self._surroundings()
+        if surroundings.departure is DepartureState.STAYING and previous_departure in (
             DepartureState.MOVING_KEYS,
             DepartureState.DRAINING,
         ):
             self._carry_out(self.service.cancel_moves(now))
-        began = self.service.start_count
-        self._carry_out(self.service.step(now, around))
-        if self.service.start_count != began:
+        previous_start_count = self.service.start_count
+        self._carry_out(self.service.step(now, surroundings))
+        if self.service.start_count != previous_start_count:
             self.log(
                 "pins",
                 began=self.service.start_count,
-                whole=str(around.folder_is_current),
+                whole=str(surroundings.folder_is_current),
                 epoch=self._epoch(),
             )
-        self._carry_out_forwarding(self.forwarder.step(now))
+        self.forwarding.step(now)
         self._retry_failed_writes(now)
         self.guard.step()
-        self._schedule_step(min(self.service.next_at(now), self.forwarder.next_at()) - now)
+        self._schedule_step(min(self.service.next_at(now), self.forwarding.next_at()) - now)
 
     def _surroundings(self) -> Surroundings:
-        chain = self.replacement.coordinator.view.records
-        out = frozenset(
-            machine_id(name) for name, record in chain.items() if record.step is ReplacementStep.OUT
+        records = self.replacement.coordinator.view.records
+        removed = frozenset(
+            machine_id(name) for name, record in records.items() if record.step is ReplacementStep.OUT
         )
         return Surroundings(
             self._folder_is_current(),
-            self._departure(chain.get(self.name)),
+            self._departure(records.get(self.name)),
             frozenset(self.swim.live_members()),
-            out,
+            removed,
         )
 
     def _folder_is_current(self) -> bool | None:
         """Whether the folder is the one that this number last had, as far as others confirm it."""
-        if self.census.memory is not MemoryState.INTACT:
+        if self.survey.memory is not MemoryState.INTACT:
             return False
         return (
             True
-            if self.census.has_confirmed_memory() or self.service.surroundings.folder_is_current
+            if self.survey.has_confirmed_memory() or self.service.surroundings.folder_is_current
             else None
         )
 
-    def _departure(self, record: Swapped | None) -> DepartureState:
+    def _departure(self, record: MachineRecord | None) -> DepartureState:
         return (
             DEPARTURE_BY_STEP.get(record.step, DepartureState.STAYING)
             if record is not None
@@ -398,10 +291,10 @@
     def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case SendMessage(member, data):
+                case SendConsensusMessage(member, data):
                     self.send(member, data)
-                case PersistState(name, data, then):
-                    self._persist(name, data, then)
+                case PersistState(name, data, token):
+                    self._persist(name, data, token)
                 case ChangeRegister() | ReadRegister():
                     self.replacement.use_register(action)
 
@@ -409,10 +302,10 @@
         self.last_tokens[name] = token
         self.failed_writes.pop(name, None)
 
-        def done(durable: bool) -> None:
+        def on_written(durable: bool) -> None:
             self.hop(lambda: self._on_written(name, data, token, durable))
 
-        self.ledger.put([Record(RecordKind.AFFINITY, name.encode(), data or None)], done)
+        self.ledger.put([Record(RecordKind.AFFINITY, name.encode(), data or None)], on_written)
 
     def _on_written(self, name: str, data: bytes, token: int, is_durable: bool) -> None:
         if is_durable:
@@ -429,9 +322,9 @@
         if not self.failed_writes or now < self.next_write_retry_at:
             return
         self.next_write_retry_at = now + WRITE_RETRY_MS
-        unkept, self.failed_writes = self.failed_writes, {}
-        for name, (data, then) in unkept.items():
-            self._persist(name, data, then)
+        failed, self.failed_writes = self.failed_writes, {}
+        for name, (data, token) in failed.items():
+            self._persist(name, data, token)
 
     def _wait_histogram(self) -> str:
         """How many requests waited here for an owner, by ms: up to 10, 20 and so on, and longer."""
@@ -439,34 +332,34 @@
 
     def _handover_histogram(self) -> str:
         """The same of keys that were moved from here: how long no member started their requests."""
-        pins = self.service.ownership
-        return _histogram(HANDOVER_STEPS_MS, pins.handover_histogram) if pins is not None else ""
+        ownership = self.service.ownership
+        return _histogram(HANDOVER_STEPS_MS, ownership.handover_histogram) if ownership is not None else ""
 
     def status(self) -> dict[str, Any]:
         """Return the view of this instance, for operators."""
         now, service = self.clock.now(), self.service
-        pins = service.ownership
-        inside = pins.lease.members if pins is not None else ()
+        ownership = service.ownership
+        members = ownership.lease.members if ownership is not None else ()
         names = {self.swim.id: self.swim.name, **{m.id: m.name for m in self.swim.members.values()}}
-        found = {
+        row = {
             "began": service.start_count,
             "whole": service.surroundings.folder_is_current,
-            "owned": len(pins.owned_keys()) if pins is not None else 0,
-            "moving": pins.moving_count() if pins is not None else 0,
-            "open": len(pins.open_requests) if pins is not None else 0,
-            "stands": pins is not None and pins.lease.valid_until() > now,
-            "complete": pins is not None and pins.lease.complete_epoch == pins.lease.epoch,
+            "owned": len(ownership.owned_keys()) if ownership is not None else 0,
+            "moving": ownership.moving_count() if ownership is not None else 0,
+            "open": len(ownership.open_requests) if ownership is not None else 0,
+            "stands": ownership is not None and ownership.lease.valid_until() > now,
+            "complete": ownership is not None and ownership.lease.complete_epoch == ownership.lease.epoch,
             "epoch": self._epoch(),
-            "table": sorted(names.get(member, f"{member:x}") for member in inside),
+            "table": sorted(names.get(member, f"{member:x}") for member in members),
             "left": service.remaining_count(now, service.surroundings.departure),
             "waiting": sum(map(len, self.guard.queues.values())),
             "waits": self._wait_histogram(),
             "ownerless": self._handover_histogram(),
             "why": service.table.blocked_reason,
-            "handed_on": self.forwarder.status(),
+            "handed_on": self.forwarding.status(),
             **service.counts,
         }
-        return {"pins": found}
+        return {"pins": row}
 
 
 def _histogram(steps: Sequence[float], counts: Sequence[int]) -> str:
--- a/cottonhold/fleet_adapters/unavailable_load_guard.py
+++ b/cottonhold/fleet_adapters/unavailable_load_guard.py
@@ -7,14 +7,12 @@
 from cottonhold.backend.attempt import Attempt
 from cottonhold.fleet.recovery.load_history import LoadHistory
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge
-from cottonhold.fleet_adapters.load_conversions import identity_of, outcome_of
+from cottonhold.fleet_adapters.load_conversions import EXPIRE_INTERVAL_MS, identity_of, outcome_of
 from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.load_guard import LoadOutcomeCallback
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import Outcome
 
-EXPIRE_INTERVAL_MS = 1000.0
-
 
 class UnavailableLoadGuard:
     """The guard while the folder is another process's still, or its disk fails: no load is sent, all else is.
--- a/cottonhold/fleet_adapters/write_queue.py
+++ b/cottonhold/fleet_adapters/write_queue.py
@@ -63,10 +63,10 @@
         for row_key in self.in_flight:
             del self.pending[row_key]
 
-        def done(durable: bool) -> None:
+        def on_written(durable: bool) -> None:
             self.hop(lambda: self._on_written(durable))
 
-        self.ledger.put([entry.record for entry in self.in_flight.values()], done)
+        self.ledger.put([entry.record for entry in self.in_flight.values()], on_written)
 
     def _on_written(self, durable: bool) -> None:
         writing, self.in_flight = self.in_flight, {}
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -11,17 +11,20 @@
 
 from cottonhold.backend.attempt import Attempt
 from cottonhold.config.installation import Installation
+from cottonhold.fleet.actions import Action, SendFleetMessage, ThresholdUpdate
 from cottonhold.fleet.admission.demand import density_of_step
 from cottonhold.fleet.admission.demand_sharing import admission_draw
-from cottonhold.fleet.coordinator import Action, FleetCoordinator, FleetSettings, SendMessage, ThresholdUpdate
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
-from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.projection import Projection
 from cottonhold.fleet.recovery.first_prober import first_prober
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
-from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings, PhaseChange
+from cottonhold.fleet.settings import FleetSettings
+from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings
 from cottonhold.fleet.zone_failover.failure_evidence import EvidenceSettings
 from cottonhold.fleet.zone_failover.operator_overrides import MODE_NAMES
+from cottonhold.fleet.zone_failover.zone_state import PhaseChange
 from cottonhold.membership.codec import MemberStatus
 from cottonhold.membership.swim import Swim
 from cottonhold.node.client_request import ClientRequest
@@ -32,7 +35,7 @@
 # What the end of an attempt says of its engine. One that was rejected, cancelled or never sent says nothing;
 # nor does a time-out, since the query may have spent its time in the queue here: it counts as a cancelled
 # attempt, by how long the attempt itself ran.
-IS_GOOD = {
+SUCCEEDED = {
     Outcome.OK: True,
     Outcome.ERROR: False,
     Outcome.CONNECT_FAILED: False,
@@ -49,14 +52,14 @@
     """An operator's override is invalid; the text says what is wrong in it."""
 
 
-class OpenRequest(NamedTuple):
+class ObservedRequest(NamedTuple):
     """The data of a request that is open, and its estimated work; negative group: none."""
 
     table_group: int
     estimated_work_ms: float
 
 
-NO_REQUEST = OpenRequest(-1, 0.0)
+NO_REQUEST = ObservedRequest(-1, 0.0)
 
 
 def make_coordinator(
@@ -78,8 +81,8 @@
         max_check_age_ms=max(MIN_CHECK_AGE_MS, CHECK_AGE_INTERVALS * file.membership.probe_ms),
         evidence=EvidenceSettings(slow_factor=section.slow),
         evacuation=EvacuationSettings(
-            hold_ms=section.hold_ms,
-            max_hold_ms=section.hold_most_ms,
+            hold_down_ms=section.hold_ms,
+            max_hold_down_ms=section.hold_most_ms,
             initial_share=section.first_share,
             step_ms=section.step_ms,
             usable_capacity_share=section.reserve,
@@ -115,7 +118,7 @@
         self.send, self.push, self.log, self.check_health = send, push, log, check_health
         self.dispatcher_number, self.started_at, self.checked_at = dispatcher_number, clock.now(), 0.0
         self.timer: Timer | None = None
-        self.open_requests: dict[str, OpenRequest] = {}
+        self.open_requests: dict[str, ObservedRequest] = {}
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -143,7 +146,7 @@
             cost.on_request(
                 now, utility, work_ms, _data_set(client_request.table_group), client_request.is_retry
             )
-            self.open_requests[client_request.request_id] = OpenRequest(
+            self.open_requests[client_request.request_id] = ObservedRequest(
                 client_request.table_group, client_request.estimated_work_ms
             )
 
@@ -158,15 +161,17 @@
 
     def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """An attempt has ended."""
-        now, good, cost = self.clock.now(), IS_GOOD.get(event.outcome), self.coordinator.failover_cost
+        now, succeeded, cost = self.clock.now(), SUCCEEDED.get(event.outcome), self.coordinator.failover_cost
         actual_work_ms = event.actual_work_ms
-        if cost is not None and good:
+        if cost is not None and succeeded:
             request = self.open_requests.get(attempt.request_id, NO_REQUEST)
             is_known = request.estimated_work_ms > 0 and actual_work_ms > 0
             excess_work_ms = actual_work_ms - request.estimated_work_ms if is_known else None
             zone = self.coordinator.zone_of.get(attempt.engine, "")
             cost.on_answer(now, zone, _data_set(request.table_group), excess_work_ms=excess_work_ms)
-        self.coordinator.on_attempt_ended(now, _attempt_id(attempt), good, event.elapsed_ms, actual_work_ms)
+        self.coordinator.on_attempt_ended(
+            now, _attempt_id(attempt), succeeded, event.elapsed_ms, actual_work_ms
+        )
 
     def on_request_closed(self, request_id: str) -> None:
         """A request is over for its client."""
@@ -268,23 +273,24 @@
 
     def _step(self) -> None:
         now = self.clock.now()
-        left = (member.id for member in self.swim.members_by_name() if member.status is MemberStatus.LEFT)
-        self.coordinator.set_members(now, self.swim.live_members(), left)
+        departed = (member.id for member in self.swim.members_by_name() if member.status is MemberStatus.LEFT)
+        self.coordinator.set_members(now, self.swim.live_members(), departed)
         self._carry_out(self.coordinator.step(now))
         self._check_unproven(now)
         self._arm()
 
     def _check_unproven(self, now: float) -> None:
-        """Check engines that have to answer first: each by one dispatcher a turn, whoever is there yet."""
+        """Check engines that have to answer first: each by one dispatcher a time slot, whoever is there
+        yet."""
         slow_start = self.coordinator.slow_start
-        if slow_start is None or now - self.checked_at < slow_start.settings.prober_turn_ms:
+        if slow_start is None or now - self.checked_at < slow_start.settings.prober_slot_ms:
             return
         self.checked_at = now
         passed_ms, dispatchers = now - self.started_at, self.coordinator.settings.dispatchers
         for engine, warming in slow_start.warming.items():
             if warming.has_answered:
                 continue
-            prober = first_prober(engine, passed_ms, dispatchers, slow_start.settings.prober_turn_ms)
+            prober = first_prober(engine, passed_ms, dispatchers, slow_start.settings.prober_slot_ms)
             if prober == self.dispatcher_number:
                 self.counters.add("first_probes")
                 self.check_health(engine)
@@ -298,7 +304,7 @@
     def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case SendMessage(member, data):
+                case SendFleetMessage(member, data):
                     self.send(member, data)
                 case EngineBounds(work_rates, expires_at):
                     self.push(EngineQuotas(work_rates, expires_at))
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -17,7 +17,7 @@
 from cottonhold.discovery.model import Address, ConfiguredNames, EngineListChange
 from cottonhold.fleet import engine_drain
 from cottonhold.fleet.admission import demand_messages
-from cottonhold.fleet.admission.threshold import ReportedLoad
+from cottonhold.fleet.admission.threshold import ReportedDemand
 from cottonhold.fleet.consensus import acceptor, messages
 from cottonhold.fleet.consensus.actions import PersistState
 from cottonhold.fleet.consensus.messages import AcceptedState, Ballot
@@ -101,11 +101,11 @@
 
 def price_loads() -> bytes:
     """Two instances' loads."""
-    busy = ReportedLoad({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
+    busy = ReportedDemand({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
     return demand_messages.encode_demand_reports(
         [
             demand_messages.DemandReport(MEMBER, LIFE, VERSION, busy),
-            demand_messages.DemandReport(2, 3, 4, ReportedLoad({})),
+            demand_messages.DemandReport(2, 3, 4, ReportedDemand({})),
         ]
     )
 
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -26,7 +26,7 @@
 from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
 from cottonhold.fleet.request_forwarding.messages import ForwardResult
 from cottonhold.fleet.rolling_replacement.plan import ReplacementStep
-from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
 from cottonhold.membership.codec import MemberStatus
 from cottonhold.node.lifecycle import Phase
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -20,7 +20,7 @@
 from cottonhold.fleet.admission.demand_sharing import DemandSharing, admission_draw
 from cottonhold.fleet.admission.threshold import (
     DensityThreshold,
-    ReportedLoad,
+    ReportedDemand,
     ThresholdController,
     threshold_for,
 )
@@ -112,7 +112,7 @@
     ids=["all heard", "four of six", "half", "alone of six", "one in all"],
 )
 def test_a_threshold_takes_the_reports_of_more_than_half(others: int, alive: int, priced: bool) -> None:
-    pricing, word = ThresholdController(0.0), ReportedLoad({60: 1.0, 70: 1.0})
+    pricing, word = ThresholdController(0.0), ReportedDemand({60: 1.0, 70: 1.0})
     price = pricing.step(100.0, word, [word] * others, alive, alive * 1.2)
     assert (price is not None) is priced
     assert price is None or price.step == 60
@@ -131,7 +131,7 @@
 
 
 def test_the_gain_is_bounded_and_returns_to_one_without_overload() -> None:
-    pricing, word = ThresholdController(0.0), ReportedLoad({60: 100.0})
+    pricing, word = ThresholdController(0.0), ReportedDemand({60: 100.0})
     for t in range(100, 60_000, 100):
         pricing.on_admitted(1.0, ran_out_of_time=True)
         pricing.step(float(t), pricing.report(word.rates), [], 1, 10.0)
@@ -244,13 +244,13 @@
 def test_demand_reports_merge_by_version_and_the_owner_outranks_a_forged_one() -> None:
     loads = DemandSharing(1, 1, 0.0, 1)
     news = [
-        DemandReport(2, life, version, ReportedLoad({version: 1.0}))
+        DemandReport(2, life, version, ReportedDemand({version: 1.0}))
         for life, version in ((1, 5), (1, 4), (2, 1), (1, 9))
     ]
     for load in news:
         loads.on_message(0.0, encode_demand_reports([load]))
     assert list(loads.reports.received[2].report.load.rates) == [1]
-    loads.on_message(0.0, encode_demand_reports([DemandReport(1, 1, 90, ReportedLoad({}))]))
+    loads.on_message(0.0, encode_demand_reports([DemandReport(1, 1, 90, ReportedDemand({}))]))
     ((_, data),) = loads.step(100.0, [1, 2], 10.0)
     assert decode_demand_reports(data)[0].version == 91
 
@@ -260,7 +260,7 @@
     for member in range(2, 100):
         loads.on_message(
             float(member),
-            encode_demand_reports([DemandReport(member, 1, 1, ReportedLoad({s: 1.0 for s in range(30)}))]),
+            encode_demand_reports([DemandReport(member, 1, 1, ReportedDemand({s: 1.0 for s in range(30)}))]),
         )
     said = loads.step(200.0, range(1, 100), 1000.0)
     assert len(said) == 4 and all(len(data) <= 200 for _, data in said)
--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -6,11 +6,13 @@
 
 import pytest
 
+from cottonhold.fleet.actions import ThresholdUpdate
 from cottonhold.fleet.admission.demand import density_of_step
 from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
 from cottonhold.fleet.admission.demand_sharing import admission_draw
-from cottonhold.fleet.admission.threshold import ReportedLoad
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
+from cottonhold.fleet.admission.threshold import ReportedDemand
+from cottonhold.fleet.coordinator import FleetCoordinator
+from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode
 from cottonhold.node.client_request import ClientRequest
 from cottonhold.scheduler.actions import DemandEstimate, Reject
@@ -136,7 +138,9 @@
         for member in (2, 3):
             rates = {20: 4.0, 40: 1.0} if t < 6000 else {40: 0.1}
             made.on_message(
-                float(t), member, encode_demand_reports([DemandReport(member, 1, t + 1, ReportedLoad(rates))])
+                float(t),
+                member,
+                encode_demand_reports([DemandReport(member, 1, t + 1, ReportedDemand(rates))]),
             )
         said += [a for a in made.step(float(t)) if isinstance(a, ThresholdUpdate)]
     if not price:
@@ -154,7 +158,7 @@
 def test_an_evacuated_zone_is_no_capacity() -> None:
     made = fleet()
     load = encode_demand_reports(
-        [DemandReport(member, 1, 1, ReportedLoad({20: 0.7, 40: 0.7})) for member in (2, 3)]
+        [DemandReport(member, 1, 1, ReportedDemand({20: 0.7, 40: 0.7})) for member in (2, 3)]
     )
     made.on_message(0.0, 2, load)
     assert not [a for a in made.step(0.0) if isinstance(a, ThresholdUpdate)]
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -21,7 +21,7 @@
 )
 from cottonhold.emulator import disk as disk_of
 from cottonhold.fleet.recovery.cached_engines import EngineCache
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope, SharedSlowStart
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import ReplacementStep
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize("proof", ["probe", "attempt", "another's word of all", "the list"])
 def test_nothing_is_sent_to_a_cached_engine_before_it_is_proven(proof: str) -> None:
     """Also by one that takes itself for the only one that was away: then it is free once it has answered."""
-    made = SlowStart(1, 1, 0.0, SlowStartSettings(), 1)
+    made = SharedSlowStart(1, 1, 0.0, SlowStartSettings(), 1)
     made.set_engines(0.0, {"e1": 1.0, "e2": 1.0})
     made.on_loss(20.0, OutageScope.ALONE)
     assert made.share("e1") == made.share("e2") == 0.0 and max(made.work_limits(1.0).values()) < 1e-6
@@ -324,15 +324,17 @@
         assert rim is not None
         with monkeypatch.context() as patched:
             disk, told = Scripted(node, patched), list[int]()
-            patched.setattr(rim.survey, "on_base_stored", lambda now, base: told.append(base))
-            rim.survey.requested_base = 0
-            rim._store_base(0)
+            patched.setattr(
+                rim.survey, "on_checkpoint_stored", lambda now, checkpoint: told.append(checkpoint)
+            )
+            rim.survey.requested_checkpoint = 0
+            rim._store_checkpoint(0)
             assert told == [] and len(disk.timers) == 1, "not told before it is kept"
             disk.fire()
             assert told == [] and len(disk.timers) == 1, "and tried until it is"
             disk.well = True
             if later:
-                rim.survey.requested_base = 7
+                rim.survey.requested_checkpoint = 7
             disk.fire()
             assert told == ([] if later else [0]) and len(disk.put_of) == len(told) and not disk.timers
 
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.failover_cost.cross_zone_limits import (
     CrossZoneSettings,
@@ -19,13 +19,15 @@
     cross_zone_work,
     divide_among_engines,
 )
-from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings, Question
+from cottonhold.fleet.failover_cost.estimator import CostEstimator, Question
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import encode_site_reports
 from cottonhold.fleet.failover_cost.snapshot_plan import SnapshotPlan
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope, SharedSlowStart
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
-from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 from cottonhold.fleet_adapters.recovery_folder import SITE_KEY, restore_site_report, save_site_report
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
@@ -137,7 +139,7 @@
 
 def leave(made: FleetCoordinator, zone: str) -> None:
     """A zone is out."""
-    made.evacuation.states[zone].phase = Phase.EVACUATED
+    made.evacuation.states[zone].phase = ZonePhase.EVACUATED
 
 
 @pytest.mark.parametrize("home, bounded", [("a", {"b", "c"}), ("b", {"c"}), ("c", {"b"})])
@@ -171,7 +173,7 @@
 
 def test_an_engine_that_starts_is_no_outage() -> None:
     made = core("a")
-    made.slow_start = SlowStart(99, 1, 2500.0, SlowStartSettings(), 1)
+    made.slow_start = SharedSlowStart(99, 1, 2500.0, SlowStartSettings(), 1)
     made.warmup_quotas = QuotaAccount(0.0, 1 / 7, 1)
     made.slow_start.set_engines(2500.0, {engine: 1.0 for engine in made.zone_of})
     made.slow_start.warming = {"b0": made.slow_start.warming["b0"]}
@@ -191,12 +193,12 @@
         for _ in range(20):
             made.on_request(now + 1900.0, 6.0, 20.0)
         made.engine_limits(now + 2000.0, {"a": 0.0})
-        return dict(made.held_shares[Question.NOW, "a"].shares)
+        return dict(made.stable_shares[Question.NOW, "a"].shares)
 
     first = shares(0.0, 0.8)
     assert shares(2000.0, 0.85) == first != shares(4000.0, 2.4)
     made.engine_limits(6100.0, {})
-    assert (Question.NOW, "a") not in made.held_shares
+    assert (Question.NOW, "a") not in made.stable_shares
 
 
 def test_the_same_question_is_solved_once(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -16,9 +16,10 @@
 from cottonhold.fleet.failover_cost import fleet_snapshot as pictures
 from cottonhold.fleet.failover_cost.allocation import utility_of_step
 from cottonhold.fleet.failover_cost.cost_settings import CostSettings
-from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.estimator import CostEstimator
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.fleet_snapshot import SnapshotSettings, take_snapshot
-from cottonhold.fleet.failover_cost.hysteresis import HeldShares, HysteresisSettings
+from cottonhold.fleet.failover_cost.hysteresis import HysteresisSettings, StableShares
 from cottonhold.fleet.failover_cost.messages import (
     FILTER_BITS,
     SiteReport,
@@ -379,7 +380,7 @@
 
 
 def test_small_changes_wait_and_large_ones_do_not() -> None:
-    s, held = HysteresisSettings(), HeldShares({"b": 0.6, "c": 0.4})
+    s, held = HysteresisSettings(), StableShares({"b": 0.6, "c": 0.4})
     held.follow(0.0, {"b": 0.55, "c": 0.45}, s)
     held.follow(100.0, {"b": 0.4, "c": 0.6}, s)
     held.follow(3000.0, {"b": 0.4, "c": 0.6}, s)
--- a/tests/fleet/test_incarnations.py
+++ b/tests/fleet/test_incarnations.py
@@ -4,11 +4,13 @@
 
 import pytest
 
+from cottonhold.fleet.actions import SendFleetMessage
 from cottonhold.fleet.admission.demand_messages import DemandReport
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
-from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
+from cottonhold.fleet.coordinator import FleetCoordinator
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import SITE_REPORTS
 from cottonhold.fleet.latest_reports import LatestReports
+from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.messages import DEMAND_REPORTS, ZONE_REPORTS, MemberReport
 
 BEGAN = 1_790_000_000  # seconds of Unix time; a life without a folder is the second of its start
@@ -52,10 +54,12 @@
             told = [(me, a) for me, fleet in self.fleets.items() for a in fleet.step(self.now)]
             while told:
                 sender, action = told.pop()
-                if isinstance(action, SendMessage):
+                if isinstance(action, SendFleetMessage):
                     answers = self.fleets[action.member].on_message(self.now, sender, action.data)
                     told += [(action.member, answer) for answer in answers]
-                    self.told_back += sum(isinstance(a, SendMessage) and a.data[0] in KINDS for a in answers)
+                    self.told_back += sum(
+                        isinstance(a, SendFleetMessage) and a.data[0] in KINDS for a in answers
+                    )
 
     def heard_since(self, at: float, of: int) -> list[bool]:
         """By each other instance and kind of words: whether one of this instance came since."""
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -9,7 +9,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.recovery import load_history, local_loads
+from cottonhold.fleet.recovery import load_history, load_history_interface, local_loads
 from cottonhold.fleet.recovery.local_loads import LocalLoads
 from cottonhold.fleet.recovery.membership_survey import MembershipSurvey
 from cottonhold.fleet.recovery.messages import (
@@ -23,7 +23,7 @@
 from tests.support.recovery_world import HISTORY, LONGEST, SURVEY, World, client_retries, settled
 
 LOAD = local_loads.load_identity("orders", "7", b"insert into t values (1)")
-WHOLE = load_history.FleetState(True, True, MemoryState.INTACT, {})
+WHOLE = load_history_interface.FleetState(True, True, MemoryState.INTACT, {})
 
 
 def test_a_load_is_known_by_class_key_and_statement() -> None:
@@ -96,7 +96,7 @@
 def test_an_owner_proven_silent_holds_nothing_up() -> None:
     world = settled(5)
     world.kill(1)
-    world.run(SURVEY.lease_ms + HISTORY.hold_ms + SURVEY.max_report_age_ms + 2000.0)
+    world.run(SURVEY.lease_ms + HISTORY.retention_ms + SURVEY.max_report_age_ms + 2000.0)
     client = client_retries(world, 2, LOAD)
     world.run(LONGEST + 10.0)
     assert client.answer == "ran"
@@ -135,7 +135,7 @@
     clients = [client_retries(world, n, LOAD) for n in range(5)]
     world.run(LONGEST + 10.0)
     assert {x.answer for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
-    world.run(HISTORY.hold_ms)
+    world.run(HISTORY.retention_ms)
     fresh = client_retries(world, 1, local_loads.load_identity("orders", "10", b""))
     world.run(1000.0)
     assert fresh.answer == "ran"  # by now nobody asks for what it has forgotten
@@ -146,7 +146,7 @@
     world = settled(5)
     world.run(3000.0)
     copied = copy.deepcopy(world.folders[1])
-    world.run(SURVEY.mark_interval_ms + 2 * SURVEY.idle_interval_ms)
+    world.run(SURVEY.checkpoint_interval_ms + 2 * SURVEY.idle_interval_ms)
     world.first(1, LOAD, lasts=1900.0)
     world.clients[0].attempts = 6
     world.run(300.0)
@@ -202,7 +202,7 @@
     world.run(300.0)
     node = world.nodes[0]
     assert not node.history.begin(node.clock(world.now), LOAD)
-    world.run(HISTORY.hold_ms + 2000.0)
+    world.run(HISTORY.retention_ms + 2000.0)
     assert node.history.begin(node.clock(world.now), LOAD)
 
 
@@ -217,7 +217,7 @@
 
 def one(count: int = 3, **changes: int) -> load_history.LoadHistory:
     memory = load_history.LoadHistory(
-        0, count, 5, 0.0, [], load_history.LoadHistorySettings(6000.0, **changes), seed=3
+        0, count, 5, 0.0, [], load_history_interface.LoadHistorySettings(6000.0, **changes), seed=3
     )
     memory.step(0.0, WHOLE)
     return memory
@@ -226,7 +226,7 @@
 def asked(memory: load_history.LoadHistory, now: float) -> dict[int, LoadQuery]:
     found = {}
     for action in memory.step(now, WHOLE):
-        if isinstance(action, load_history.SendToDispatcher) and isinstance(
+        if isinstance(action, load_history_interface.SendToDispatcher) and isinstance(
             word := decode(action.data), LoadQuery
         ):
             found[action.number] = word
@@ -254,7 +254,7 @@
     assert not memory.pending[LOAD].statements
     for number, ask in asked(memory, 5.0).items():
         found = memory.on_message(6.0, number, LoadAnswer(5, ask.serial, never))
-    assert found == [load_history.LoadSettled("b", LOAD, local_loads.LoadKnowledge.NEVER_SENT)]
+    assert found == [load_history_interface.LoadSettled("b", LOAD, local_loads.LoadKnowledge.NEVER_SENT)]
 
 
 def test_queries_are_batched_retried_with_backoff_and_bounded() -> None:
@@ -265,7 +265,12 @@
     sent, now = [], 0.0
     while now < 5000.0:
         now = memory.next_at()
-        sent.append((now, sum(isinstance(a, load_history.SendToDispatcher) for a in memory.step(now, WHOLE))))
+        sent.append(
+            (
+                now,
+                sum(isinstance(a, load_history_interface.SendToDispatcher) for a in memory.step(now, WHOLE)),
+            )
+        )
     assert sent[0] == (0.0, 2 * 5)  # 50 loads, 11 a datagram, to two
     gaps = [b[0] - a[0] for a, b in zip(sent, sent[1:], strict=False) if b[1]]
     assert gaps[:4] == [60.0, 120.0, 240.0, 480.0] and len(sent) < 30
@@ -280,7 +285,9 @@
         local_loads.RecordedLoad(b"w" * 16, local_loads.LoadResult.SUCCEEDED),
         local_loads.RecordedLoad(b"n" * 16, local_loads.LoadResult.NEVER_RAN),
     ]
-    memory = load_history.LoadHistory(0, 1, 5, 0.0, kept, load_history.LoadHistorySettings(6000.0), seed=3)
+    memory = load_history.LoadHistory(
+        0, 1, 5, 0.0, kept, load_history_interface.LoadHistorySettings(6000.0), seed=3
+    )
     around = [memory.on_retry(1.0, str(n), x.load, 9.0) for n, x in enumerate(kept)]
     assert around == [
         local_loads.LoadKnowledge.MAY_HAVE_RUN,
@@ -334,7 +341,7 @@
         world.run(float(after))
     world.partition(range(count))
     world.start(*[n for n in range(count) if not world.nodes[n].alive])
-    world.run(max(stop - world.now, 0.0) + 6 * (LONGEST + 600.0) + SURVEY.lease_ms + HISTORY.hold_ms)
+    world.run(max(stop - world.now, 0.0) + 6 * (LONGEST + 600.0) + SURVEY.lease_ms + HISTORY.retention_ms)
     return world
 
 
@@ -422,7 +429,7 @@
 
 
 def test_planted_missing_dispatcher_as_never_sent_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(load_history.LoadHistory, "_is_out_of_question", lambda self, *of: True)
+    monkeypatch.setattr(load_history.LoadHistory, "_cannot_have_sent", lambda self, *of: True)
     with pytest.raises(AssertionError):
         test_a_retry_waits_for_the_owner_and_else_is_not_known_yet()
 
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -12,7 +12,7 @@
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import membership_survey, survey_results
 from cottonhold.fleet.recovery.messages import (
-    BASE_PER_BOOT,
+    CHECKPOINTS_PER_BOOT,
     MAX_LOADS,
     MAX_PEER_STATES,
     LoadAnswer,
@@ -205,12 +205,16 @@
     world.run(2000.0)
     census = world.nodes[0].survey
     assert census.memory is (MemoryState.EMPTY if folder == "empty" else MemoryState.STALE)
-    assert not census.has_confirmed_memory() and census.boot > known and world.folders[0].boot == census.boot
-    boot = census.boot
+    assert (
+        not census.has_confirmed_memory()
+        and census.boot_count > known
+        and world.folders[0].boot == census.boot_count
+    )
+    boot = census.boot_count
     world.run(5000.0)
-    assert census.boot == boot  # once
+    assert census.boot_count == boot  # once
     assert all(world.nodes[n].survey.has_confirmed_memory() for n in (1, 2, 3, 4))
-    assert world.nodes[1].folder.known[0].boot == boot
+    assert world.nodes[1].folder.known[0].boot_count == boot
 
 
 @pytest.mark.parametrize("folder", ["empty", "old"])
@@ -230,9 +234,9 @@
     assert (
         census.memory is MemoryState.STALE and not census.has_confirmed_memory() and not world.folders[0].base
     )
-    world.run(SURVEY.hold_ms)
+    world.run(SURVEY.retention_ms)
     assert (
-        world.folders[0].base // BASE_PER_BOOT == census.boot
+        world.folders[0].base // CHECKPOINTS_PER_BOOT == census.boot_count
     )  # what it has forgotten is asked about no more
     world.kill(0)
     world.start(0)
@@ -250,7 +254,7 @@
     world.start(0, folder="old")
     world.partition(range(3))
     world.start(1, 2)  # 1 alone knows better: one name
-    world.run(SURVEY.hold_ms - 500.0)
+    world.run(SURVEY.retention_ms - 500.0)
     census = world.nodes[0].survey
     assert census.memory.name == "INTACT" and not census.has_confirmed_memory()
     world.run(2000.0)
@@ -308,11 +312,11 @@
         assert not [
             a
             for a in census.step(up * 100.0)
-            if isinstance(a, survey_results.RaiseBoot | survey_results.DuplicateIdentity)
+            if isinstance(a, survey_results.RaiseBootCount | survey_results.DuplicateIdentity)
         ]
     assert census.memory is MemoryState.INTACT
     census.on_message(6000.0, 1002, here(2, 6000.0, peers=(PeerState(0, 9, 11, 1.0, 10.0, is_stale=True),)))
-    boots = [a.min_boot for a in census.step(6100.0) if isinstance(a, survey_results.RaiseBoot)]
+    boots = [a.min_boot_count for a in census.step(6100.0) if isinstance(a, survey_results.RaiseBootCount)]
     assert boots == [10]  # two say that there was more: raised by what both bear out
 
 
--- a/tests/fleet/test_model_checker.py
+++ b/tests/fleet/test_model_checker.py
@@ -10,7 +10,7 @@
 from cottonhold.emulator.model_checker import World, explore, walk
 from cottonhold.emulator.models import PinWorld, RegisterWorld, pin_end, register_end
 from cottonhold.fleet.consensus import acceptor, proposer
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.session_affinity import announcements, membership_lease
 from cottonhold.fleet.session_affinity.messages import MigrationEntry
 from cottonhold.fleet.session_affinity.record_book import OwnershipRecord, OwnershipState
@@ -69,7 +69,7 @@
     monkeypatch.setattr(
         acceptor.Acceptor,
         "_send_after_write",
-        lambda self, _, to, data: self.actions.append(SendMessage(to, data)),
+        lambda self, _, to, data: self.actions.append(SendConsensusMessage(to, data)),
     )
 
 
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -10,13 +10,14 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator.recovery import MEAN, Plan, PowerReturn
+from cottonhold.fleet.actions import ThresholdUpdate
 from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
-from cottonhold.fleet.admission.threshold import ReportedLoad
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
+from cottonhold.fleet.admission.threshold import ReportedDemand
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import warmup_messages
 from cottonhold.fleet.recovery.first_prober import first_prober
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope, SharedSlowStart
 from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET, SlowStartSettings
 from cottonhold.fleet.recovery.warming_engine import WarmingEngine
 from cottonhold.fleet.recovery.warmup_messages import (
@@ -27,6 +28,7 @@
     encode_warmup_reports,
     pool_observations,
 )
+from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount, QuotaRequest
 
 unhurried = settings(deadline=None)  # the same verdict on a busy machine
@@ -34,8 +36,8 @@
 NUMBER = warmup_messages.engine_number("a0")
 
 
-def ramp(**fields: object) -> SlowStart:
-    made = SlowStart(1, 1, 0.0, SlowStartSettings(**fields), 1)  # type: ignore[arg-type]
+def ramp(**fields: object) -> SharedSlowStart:
+    made = SharedSlowStart(1, 1, 0.0, SlowStartSettings(**fields), 1)  # type: ignore[arg-type]
     made.set_engines(0.0, ENGINES)
     return made
 
@@ -282,7 +284,9 @@
     for t in range(0, 3000, 100):
         # Of four configured two are there: half of 0.3 of six cores is for what those are offered.
         made.on_message(
-            float(t), 2, encode_demand_reports([DemandReport(2, 1, t + 1, ReportedLoad({20: 1.0, 40: 0.5}))])
+            float(t),
+            2,
+            encode_demand_reports([DemandReport(2, 1, t + 1, ReportedDemand({20: 1.0, 40: 0.5}))]),
         )
         priced += [a for a in made.step(float(t)) if isinstance(a, ThresholdUpdate)]
     last = priced[-1]
@@ -341,27 +345,29 @@
     assert served[1] > 0.9 * served[0] and twice.over == 0
 
 
-def greedy_step(self: SlowStart, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
+def greedy_step(self: SharedSlowStart, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
     self.present = 1 + len(set(live))  # type: ignore[attr-defined]
     return STEP(self, now, live)
 
 
-def greedy_bounds(self: SlowStart, part: float) -> dict[str, float]:
+def greedy_bounds(self: SharedSlowStart, part: float) -> dict[str, float]:
     return BOUNDS(self, 1 / getattr(self, "present", 1))
 
 
-def by_the_clock(self: SlowStart, young: WarmingEngine, pooled: PooledObservation, passed: float) -> bool:
+def by_the_clock(
+    self: SharedSlowStart, young: WarmingEngine, pooled: PooledObservation, passed: float
+) -> bool:
     young.share = min(young.share * 2 ** (passed / 1000), 1.0)
     return False
 
 
-def trusting(self: SlowStart, now: float, engine: str, not_before: float) -> WarmingEngine:
+def trusting(self: SharedSlowStart, now: float, engine: str, not_before: float) -> WarmingEngine:
     young = START(self, now, engine, not_before)
     young.has_answered = True
     return young
 
 
-STEP, BOUNDS, START = SlowStart.step, SlowStart.work_limits, SlowStart._start
+STEP, BOUNDS, START = SharedSlowStart.step, SharedSlowStart.work_limits, SharedSlowStart._start
 
 
 def most(world: PowerReturn) -> float:
@@ -394,7 +400,7 @@
 
     assert mean() <= least
     for name, defect in defects.items():
-        monkeypatch.setattr(SlowStart, name, defect)
+        monkeypatch.setattr(SharedSlowStart, name, defect)
     assert mean() > least
 
 
--- a/tests/fleet/test_request_forwarding.py
+++ b/tests/fleet/test_request_forwarding.py
@@ -17,7 +17,7 @@
     ForwardResult,
     RequestForwarder,
 )
-from cottonhold.fleet.request_forwarding.origin import Phase, RequestOrigin
+from cottonhold.fleet.request_forwarding.origin import RequestOrigin, SendPhase
 from cottonhold.fleet.request_forwarding.owner import RequestOwner
 from tests.support.forwarding_network import LIAR, A, B, C, ForwardingNetwork, random_faults
 
@@ -88,7 +88,7 @@
     def defect(
         self: RequestOrigin, request: Any, result: ForwardResult, ms: float = 0.0, data: bytes = b""
     ) -> None:
-        is_unsure = result is ForwardResult.FAILED and request.phase is Phase.WITHDRAWING
+        is_unsure = result is ForwardResult.FAILED and request.phase is SendPhase.WITHDRAWING
         end(self, request, ForwardResult.NOT_ACCEPTED if is_unsure else result, ms, data)
 
     at.setattr(RequestOrigin, "_end", defect)
@@ -100,7 +100,7 @@
             if request.owner_incarnation == previous_incarnation and not request.is_ended:
                 owner.window.remove(request.number)
                 request.body.reset()
-                request.phase = Phase.SENDING
+                request.phase = SendPhase.SENDING
                 owner.window.add(request.body)
 
     at.setattr(RequestOrigin, "_on_owner_restarted", defect)
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -14,7 +14,7 @@
     PersistState,
     ReadRegister,
     RegisterChanged,
-    SendMessage,
+    SendConsensusMessage,
 )
 from cottonhold.fleet.consensus.messages import MAX_VALUE_BYTES
 from cottonhold.fleet.consensus.register import Registers
@@ -360,6 +360,8 @@
     pins.admit(0.0, B, 20)
     said = pins.on_message(2000.0, C, messages.encode_lease(LeaseRequest(C, 7), epoch))
     words = [
-        messages.decode_lease(a.payload)[0] for a in said if isinstance(a, SendMessage) and a.member == C
+        messages.decode_lease(a.payload)[0]
+        for a in said
+        if isinstance(a, SendConsensusMessage) and a.member == C
     ]
     assert [w.is_granted for w in words if isinstance(w, LeaseReply)] == [granted]
--- a/tests/fleet/test_snapshot_plan.py
+++ b/tests/fleet/test_snapshot_plan.py
@@ -10,7 +10,8 @@
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.failover_cost import projection
 from cottonhold.fleet.failover_cost import snapshot_plan as plans
-from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings
+from cottonhold.fleet.failover_cost.estimator import CostEstimator
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import SiteReport, encode_site_reports
 from tests.fleet.test_cross_zone_limits import core, leave
 from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, steps
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -9,10 +9,12 @@
 
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.fleet import World
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.actions import SendFleetMessage
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
+from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.attempt_pool import pool_counts
-from cottonhold.fleet.zone_failover.evacuation import Evacuation, LocalEvidence, Phase
+from cottonhold.fleet.zone_failover.evacuation import Evacuation
 from cottonhold.fleet.zone_failover.failure_evidence import AttemptCounts, ZoneHealth
 from cottonhold.fleet.zone_failover.messages import (
     MemberReport,
@@ -22,6 +24,7 @@
     zone_number,
 )
 from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode
+from cottonhold.fleet.zone_failover.zone_state import LocalEvidence, ZonePhase
 
 FAULT, MEND = 4000.0, 10_000.0
 SKEW = (1, 1, 1, 2, 3, 4, 2, 2)
@@ -57,10 +60,10 @@
 def left(world: World, zone: str = "a") -> dict[int, float]:
     """When each instance first left a zone, in ms from the fault."""
     return {
-        i: min(t for t, turn in node.phase_changes if turn.zone == zone and turn.phase is Phase.EVACUATED)
+        i: min(t for t, turn in node.phase_changes if turn.zone == zone and turn.phase is ZonePhase.EVACUATED)
         - FAULT
         for i, node in world.nodes.items()
-        if any(turn.zone == zone and turn.phase is Phase.EVACUATED for _, turn in node.phase_changes)
+        if any(turn.zone == zone and turn.phase is ZonePhase.EVACUATED for _, turn in node.phase_changes)
     }
 
 
@@ -177,10 +180,12 @@
 
     world = play(fault, end=25_000.0)
     for node in world.nodes.values():
-        outs = [t for t, turn in node.phase_changes if turn.zone == "a" and turn.phase is Phase.EVACUATED]
-        backs = [t for t, turn in node.phase_changes if turn.zone == "a" and turn.phase is Phase.RETURNING]
+        outs = [t for t, turn in node.phase_changes if turn.zone == "a" and turn.phase is ZonePhase.EVACUATED]
+        backs = [
+            t for t, turn in node.phase_changes if turn.zone == "a" and turn.phase is ZonePhase.RETURNING
+        ]
         holds = [b - o for o, b in zip(outs, backs, strict=False)]
-        hold = world.settings.evacuation.hold_ms
+        hold = world.settings.evacuation.hold_down_ms
         assert len(holds) >= 2 and holds[0] >= hold and holds[1] >= 2 * hold
 
 
@@ -241,7 +246,7 @@
 ) -> None:
     fleet = lone()
     drive(fleet, 4000.0, say)
-    assert (fleet.evacuation.states["a"].phase is Phase.EVACUATED) is moved
+    assert (fleet.evacuation.states["a"].phase is ZonePhase.EVACUATED) is moved
 
 
 @pytest.mark.parametrize(
@@ -259,7 +264,7 @@
         return [word(m, int(now)) for m in (2, 3, 4)] if now >= 1000.0 else []
 
     drive(fleet, 2500.0, others)
-    assert (fleet.evacuation.states["a"].phase is Phase.EVACUATED) is joins
+    assert (fleet.evacuation.states["a"].phase is ZonePhase.EVACUATED) is joins
 
 
 @pytest.mark.parametrize("bad, joins", [(0, False), (2, True)], ids=["still well", "bad signs"])
@@ -273,14 +278,14 @@
         return [word(m, int(now)) for m in (2, 3, 4)] if now >= 1500.0 else []
 
     drive(fleet, 6000.0, others)
-    assert (fleet.evacuation.states["a"].phase is Phase.EVACUATED) is joins
+    assert (fleet.evacuation.states["a"].phase is ZonePhase.EVACUATED) is joins
 
 
 def test_an_instance_that_joined_does_not_take_late_voters_for_a_return() -> None:
     fleet = lone()
     drive(fleet, 1500.0, lambda t: [word(m, int(t), Vote.KEEP, accuses=t < 500) for m in range(2, 7)])
     state = fleet.evacuation.states["a"]
-    assert state.phase is Phase.EVACUATED and not state.is_fleet_evacuated and state.since < 500.0
+    assert state.phase is ZonePhase.EVACUATED and not state.is_fleet_evacuated and state.since < 500.0
 
 
 @pytest.mark.parametrize("bad, spoken", [(0, False), (4, True), (20, True)], ids=["well", "accused", "left"])
@@ -292,7 +297,7 @@
         zone, good = "abc"[n % 3], n % 3 > 0 or n >= 3 * bad
         fleet.on_attempt_sent(90.0, f"{n}", f"{zone}{n // 3 % 3}", 0)
         fleet.on_attempt_ended(90.0, f"{n}", good, 1.0)
-    said = [a for a in fleet.step(100.0) if isinstance(a, SendMessage)]
+    said = [a for a in fleet.step(100.0) if isinstance(a, SendFleetMessage)]
     assert {a.member for a in said} == ({2, 3, 4, 5, 6} if spoken else set())
 
 
@@ -312,7 +317,7 @@
     for data in old:
         fleet.on_message(3000.0, 2, data)
     drive(fleet, 4000.0, lambda t: [], 3000.0)
-    assert fleet.evacuation.states["a"].phase is Phase.IN_SERVICE
+    assert fleet.evacuation.states["a"].phase is ZonePhase.IN_SERVICE
 
 
 def test_half_of_a_partitioned_fleet_is_no_majority_for_a_minute() -> None:
@@ -340,10 +345,10 @@
 
 
 @pytest.mark.parametrize(
-    "mode, phase", [(OverrideMode.EVACUATE, Phase.EVACUATED), (OverrideMode.RETURN, Phase.IN_SERVICE)]
+    "mode, phase", [(OverrideMode.EVACUATE, ZonePhase.EVACUATED), (OverrideMode.RETURN, ZonePhase.IN_SERVICE)]
 )
 def test_an_override_outranks_evidence_until_it_expires_and_reaches_all(
-    mode: OverrideMode, phase: Phase
+    mode: OverrideMode, phase: ZonePhase
 ) -> None:
     fleet, other = (
         lone(),
@@ -369,9 +374,9 @@
     (row,) = [r for r in other.status(4000.0, {1: "n0"}) if r["zone"] == "a"]
     assert row["order"]["who"] == "someone" and row["order"]["author"] == "n0"
     if mode is OverrideMode.EVACUATE:
-        assert said[-1][1:] == (Phase.IN_SERVICE, Phase.IN_SERVICE), "it runs out"
+        assert said[-1][1:] == (ZonePhase.IN_SERVICE, ZonePhase.IN_SERVICE), "it runs out"
     else:
-        assert said[-1][1] is Phase.EVACUATED, "evidence counts again"
+        assert said[-1][1] is ZonePhase.EVACUATED, "evidence counts again"
 
 
 def test_a_zone_whose_load_the_others_cannot_carry_retains_a_share_unless_it_is_down() -> None:
@@ -395,21 +400,21 @@
     zones = Evacuation()
     zones.set_zones(["a"])
     state = zones.states["a"]
-    state.phase, state.traffic_share = Phase.RETURNING, 0.8
+    state.phase, state.traffic_share = ZonePhase.RETURNING, 0.8
     told = [ZoneReport(Vote.KEEP, traffic_share=p) for p in (0.1, 0.2, 1.0)]
     assert zones.traffic_share("a", told) == 0.2 and zones.traffic_share("nowhere") == 1.0
 
 
 @pytest.mark.parametrize(
     "elsewhere, phase",
-    [(AttemptCounts(20, 0, 0), Phase.EVACUATED), (AttemptCounts(14, 0, 6), Phase.RETURNING)],
+    [(AttemptCounts(20, 0, 0), ZonePhase.EVACUATED), (AttemptCounts(14, 0, 6), ZonePhase.RETURNING)],
     ids=["it alone", "all zones"],
 )
-def test_a_return_fails_by_comparison_with_other_zones(elsewhere: AttemptCounts, phase: Phase) -> None:
+def test_a_return_fails_by_comparison_with_other_zones(elsewhere: AttemptCounts, phase: ZonePhase) -> None:
     zones = Evacuation()
     zones.set_zones("ab")
     state = zones.states["a"]
-    state.phase, state.traffic_share, state.return_started_at = Phase.RETURNING, 0.1, 0.0
+    state.phase, state.traffic_share, state.return_started_at = ZonePhase.RETURNING, 0.1, 0.0
     told = {"a": [ZoneReport(Vote.KEEP, 7, 0, 3)] * 3, "b": [ZoneReport(Vote.KEEP, *elsewhere)] * 3}
     own = {
         name: LocalEvidence(ZoneHealth.UNKNOWN, signs, False, True)
@@ -422,11 +427,11 @@
 def test_quiet_time_reduces_the_hold() -> None:
     zones = Evacuation()
     zones.set_zones(["a"])
-    zones.states["a"].hold_ms = 16_000.0
+    zones.states["a"].hold_down_ms = 16_000.0
     own = {"a": LocalEvidence(ZoneHealth.HEALTHY, AttemptCounts(10, 0, 0), False, True)}
     for t in range(0, 200_000, 1000):
         zones.step(float(t), own, {}, 1)
-    assert zones.states["a"].hold_ms == zones.settings.hold_ms
+    assert zones.states["a"].hold_down_ms == zones.settings.hold_down_ms
 
 
 def test_messages_that_make_no_sense_are_counted_and_change_nothing() -> None:
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -84,7 +84,7 @@
     def is_member(self, member: int) -> bool:
         return member in self.table
 
-    def is_lost(self, key: bytes) -> bool:
+    def will_not_start(self, key: bytes) -> bool:
         return not self.is_owner(key)
 
     def on_request_opened(self, key: bytes, load: int) -> None:
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -9,7 +9,8 @@
 import pytest
 
 from cottonhold.backend.attempt import Attempt
-from cottonhold.fleet.recovery.load_history import FleetState, LoadHistory, LoadHistorySettings, LoadSettled
+from cottonhold.fleet.recovery.load_history import LoadHistory
+from cottonhold.fleet.recovery.load_history_interface import FleetState, LoadHistorySettings, LoadSettled
 from cottonhold.fleet.recovery.messages import MemoryState
 from cottonhold.fleet_adapters.load_records import LoadRecorder
 from cottonhold.node.client_request import ClientRequest
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as st
 
 from cottonhold.backend.attempt import Attempt
-from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
+from cottonhold.fleet.recovery.load_history import LoadHistory
+from cottonhold.fleet.recovery.load_history_interface import LoadHistorySettings
 from cottonhold.fleet_adapters import load_conversions, load_records
 from cottonhold.fleet_adapters.load_conversions import recorded_loads
 from cottonhold.fleet_adapters.load_records import LoadRecorder
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -13,7 +13,8 @@
 
 from cottonhold.config.installation import Installation, read
 from cottonhold.fleet.engine_drain import DrainSettings
-from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
+from cottonhold.fleet.recovery.load_history import LoadHistory
+from cottonhold.fleet.recovery.load_history_interface import LoadHistorySettings
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
 from cottonhold.fleet_adapters.recovery_folder import open_ledger
 from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -12,8 +12,9 @@
 
 from cottonhold.backend.attempt import Attempt
 from cottonhold.discovery.model import Address
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings
-from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet.coordinator import FleetCoordinator
+from cottonhold.fleet.settings import FleetSettings
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 from cottonhold.fleet_adapters.membership import REPORT, MembershipAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter
 from cottonhold.membership.codec import KeyRing
@@ -79,8 +80,8 @@
         )
         rim.on_attempt_ended(attempt, end)
         clock.run_until(clock.now() + 5.0, lambda: None)
-    assert (rim.coordinator.evacuation.states["a"].phase is Phase.EVACUATED) is left
-    assert rim.coordinator.evacuation.states["b"].phase is Phase.IN_SERVICE
+    assert (rim.coordinator.evacuation.states["a"].phase is ZonePhase.EVACUATED) is left
+    assert rim.coordinator.evacuation.states["b"].phase is ZonePhase.IN_SERVICE
     assert bool(bounds) is left and (not left or set(bounds[-1].work_rate_by_engine.values()) == {0.0})
 
 
--- a/tests/support/forwarding_network.py
+++ b/tests/support/forwarding_network.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.request_forwarding.forwarder import (
     Action,
     ForwardingEnded,
@@ -164,7 +164,7 @@
 
     def act(self, member: int, actions: Iterable[Any]) -> None:
         for a in actions:
-            if isinstance(a, SendMessage):
+            if isinstance(a, SendConsensusMessage):
                 assert a.member != member and len(a.payload) <= 200
                 self.sent += 1
                 self.carry(member, a)
@@ -177,7 +177,7 @@
             elif isinstance(a, RequestAbandoned):
                 self.abandoned.append((member, a.number))
 
-    def carry(self, member: int, say: SendMessage) -> None:
+    def carry(self, member: int, say: SendConsensusMessage) -> None:
         """Deliver a message: lost, late, twice, or forged after it."""
         if self.forged and self.draw.random() < self.forged:
             self.forge(member, say)
@@ -192,7 +192,7 @@
     def post(self, delay: float, member: int, life: int, what: Any) -> None:
         heapq.heappush(self.events, (self.now + delay, next(self.order), member, life, what))
 
-    def forge(self, member: int, say: SendMessage) -> None:
+    def forge(self, member: int, say: SendConsensusMessage) -> None:
         """Another member repeats the message in its own name; it arrives truncated, longer, or as noise."""
         data, cut = say.payload, self.draw.randrange(1, len(say.payload))
         noise = data[:2] + self.draw.randbytes(self.draw.randrange(60))
--- a/tests/support/member_network.py
+++ b/tests/support/member_network.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.actions import PersistState, SendConsensusMessage
 
 
 class Net:
@@ -55,7 +55,7 @@
 
     def act(self, member: int, actions: Iterable[Any]) -> None:
         for a in actions:
-            if isinstance(a, SendMessage):
+            if isinstance(a, SendConsensusMessage):
                 assert a.member != member and len(a.payload) <= 200
                 if self.draw.random() < self.loss or frozenset((member, a.member)) in self.cut:
                     continue
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -15,20 +15,26 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from cottonhold.fleet.recovery import load_history, local_loads, membership_survey, survey_results
+from cottonhold.fleet.recovery import (
+    load_history,
+    load_history_interface,
+    local_loads,
+    membership_survey,
+    survey_results,
+)
 from cottonhold.fleet.recovery.messages import MemoryState, Presence, decode
 
 LONGEST = 2000.0  # clients' deadline, ms
-HOLD = local_loads.hold_ms_for([LONGEST], slack_ms=2000.0)
+HOLD = local_loads.retention_ms_for([LONGEST], slack_ms=2000.0)
 SURVEY = survey_results.SurveySettings(
     recent_start_ms=12_000.0,
     lease_ms=3000.0,
     rebind_ms=3000.0,
     max_report_age_ms=2500.0,
     idle_interval_ms=500.0,
-    hold_ms=HOLD,
+    retention_ms=HOLD,
 )
-HISTORY = load_history.LoadHistorySettings(HOLD, retry_after_ms=300.0, max_unconfirmed_ms=1000.0)
+HISTORY = load_history_interface.LoadHistorySettings(HOLD, retry_after_ms=300.0, max_unconfirmed_ms=1000.0)
 
 
 @dataclass
@@ -39,7 +45,7 @@
     clean: bool = True
     base: int = 0
     loads: dict[bytes, local_loads.LoadResult | None] = field(default_factory=dict)
-    known: dict[int, survey_results.PeerBootLearned] = field(default_factory=dict)
+    known: dict[int, survey_results.PeerBootCountLearned] = field(default_factory=dict)
 
 
 @dataclass
@@ -122,8 +128,8 @@
         offset, rate = self.draw.uniform(-1e11, 1e11), self.draw.uniform(0.998, 1.002)
         clock = offset + self.now * rate
         remembered = [local_loads.RecordedLoad(load, how) for load, how in kept.loads.items()]
-        known = {n: hint.boot for n, hint in kept.known.items()}
-        bases = {n: hint.base for n, hint in kept.known.items()}
+        known = {n: hint.boot_count for n, hint in kept.known.items()}
+        bases = {n: hint.checkpoint for n, hint in kept.known.items()}
         life, seed = self.draw.getrandbits(32), self.draw.getrandbits(32)
         node = Node(
             number,
@@ -182,11 +188,11 @@
         self._memory(node, node.history.step(clock, self._around(node)))
         self._schedule(node)
 
-    def _around(self, node: Node) -> load_history.FleetState:
+    def _around(self, node: Node) -> load_history_interface.FleetState:
         clock, census = node.clock(self.now), node.survey
         gone = census.proven_silent(clock)
         apart = census.is_partitioned(gone)
-        return load_history.FleetState(
+        return load_history_interface.FleetState(
             census.may_send_loads(clock), census.has_confirmed_memory(), census.memory, gone, apart
         )
 
@@ -199,24 +205,24 @@
 
     def _carry_out(self, node: Node, actions: list[survey_results.Action]) -> None:
         for action in actions:
-            if isinstance(action, survey_results.SendMessage):
+            if isinstance(action, survey_results.SendSurveyMessage):
                 self.send(node, action.member - 1000, action.data)
-            elif isinstance(action, survey_results.RaiseBoot):
-                node.folder.boot = max(node.folder.boot, action.min_boot)
-                node.survey.on_boot_stored(node.clock(self.now), action.min_boot)
-            elif isinstance(action, survey_results.StoreBase):
-                node.folder.base = action.base
-                node.survey.on_base_stored(node.clock(self.now), action.base)
-            elif isinstance(action, survey_results.PeerBootLearned):
+            elif isinstance(action, survey_results.RaiseBootCount):
+                node.folder.boot = max(node.folder.boot, action.min_boot_count)
+                node.survey.on_boot_count_stored(node.clock(self.now), action.min_boot_count)
+            elif isinstance(action, survey_results.StoreCheckpoint):
+                node.folder.base = action.checkpoint
+                node.survey.on_checkpoint_stored(node.clock(self.now), action.checkpoint)
+            elif isinstance(action, survey_results.PeerBootCountLearned):
                 node.folder.known[action.number] = action
             elif isinstance(action, survey_results.ViewChanged):
                 node.views_seen.append(action.view)
             else:
                 node.duplicates_seen.append(action.is_later)
 
-    def _memory(self, node: Node, actions: list[load_history.Action]) -> None:
+    def _memory(self, node: Node, actions: list[load_history_interface.Action]) -> None:
         for action in actions:
-            if isinstance(action, load_history.SendToDispatcher):
+            if isinstance(action, load_history_interface.SendToDispatcher):
                 self.send(node, action.number, action.data)
             else:
                 client = self.waits.pop(action.request_id, None)
@@ -327,7 +333,7 @@
     """A fleet that has been up for long: no loss counts any more."""
     world = World(count, seed, **links)  # type: ignore[arg-type]
     world.start(*range(count), folder="kept")
-    world.run(HISTORY.hold_ms + 1100.0)
+    world.run(HISTORY.retention_ms + 1100.0)
     world.kill(*range(count), clean=True)  # the second start finds folders
     world.start(*range(count))
     world.run(SURVEY.recent_start_ms + 3000.0)
