--- a/cottonhold/emulator/rolling_replacement.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -423,7 +423,7 @@
     def over(self, *machines: str) -> bool:
         """All of these have come to their end."""
         records = [self.record(m) for m in machines]
-        return all(r is not None and r.is_over for r in records) and not self.whole().machines_out
+        return all(r is not None and r.is_over for r in records) and not self.whole().active_machine_ids
 
     def driver(self, machine: str) -> str:
         """Who drives a machine's swap."""
@@ -448,7 +448,7 @@
     def _check(self, name: str, before: bytes, after: bytes) -> None:
         if name == PLAN_REGISTER:
             old, new = decode_plan(before), decode_plan(after)
-            for begun in set(new.machines_out) - set(old.machines_out):
+            for begun in set(new.active_machine_ids) - set(old.active_machine_ids):
                 if any(self.now - since > TOLD for _, since in self.zones.values()):
                     self.breach(f"{begun:x} starts while {sorted(self.zones)} is in trouble")
             return
@@ -468,8 +468,8 @@
         whole = self.whole()
         records = {m: self.record(m) for m in self.hosts}
         busy = [m for m, r in records.items() if r is not None and r.step in BUSY]
-        if len(busy) > whole.max_out:
-            self.breach(f"{busy} are out, at most {whole.max_out} may be")
+        if len(busy) > whole.max_concurrent:
+            self.breach(f"{busy} are out, at most {whole.max_concurrent} may be")
         if len({self.hosts[m].zone for m in busy}) > whole.max_zones:
             self.breach(f"{busy} are out, in more than {whole.max_zones} zones")
         if record.step in (ReplacementStep.DRAINING, ReplacementStep.OUT) and self.hosts[machine].pins:
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -60,12 +60,12 @@
     world.run_until(lambda: bool(world.answers), 30_000.0)
     if any(answer.rejection for answer in world.answers):
         # Not one could be settled in time: whoever asked does so again.
-        most = world.answers[0].request.max_out
+        most = world.answers[0].request.max_concurrent
         world.answers.clear()
         world.ask("d1" if world.hosts["d1"].up else "d2", "ann", *items(count), most_out=most)
     if not world.run_until(lambda: world.over(*names), LONG):
         left = {n: r.step.name if (r := world.record(n)) else "unasked" for n in names}
-        world.breach(f"not at its end: {left}, out {world.whole().machines_out}")
+        world.breach(f"not at its end: {left}, out {world.whole().active_machine_ids}")
     for name in names:
         record = world.record(name)
         host = (
@@ -237,7 +237,7 @@
     world.run_until(lambda: (r := world.record(ONE)) is not None and r.is_over, LONG)
     world.run(world.now + 10_000.0)
     steps = [r.step for n in world.hosts if (r := world.record(n)) and not r.is_over]
-    if world.whole().machines_out or any(step > ReplacementStep.AGREED for step in steps):
+    if world.whole().active_machine_ids or any(step > ReplacementStep.AGREED for step in steps):
         world.breach(f"others went on: {steps}")
     rows = [row for h in world.hosts.values() if h.up and h.swap for row in h.swap.status()]
     if not any("2 cores of 8" in text for row in rows for text in row.reasons):
@@ -253,7 +253,7 @@
 
     def abort() -> None:
         # Asked at one that stays: one that is powered off a moment later takes the word with it.
-        out = {ONE, *(n for n in world.hosts if machine_id(n) in world.whole().machines_out)}
+        out = {ONE, *(n for n in world.hosts if machine_id(n) in world.whole().active_machine_ids)}
         for host in world.hosts.values():
             if host.swap is not None and host.up and ONE in host.swap.view.records and host.name not in out:
                 host.swap.abort(world.now, "bob", "wrong rack", ONE)
--- a/cottonhold/emulator/rolling_replacement_defects.py
+++ b/cottonhold/emulator/rolling_replacement_defects.py
@@ -29,7 +29,7 @@
 
 def _count_of_before(name: str, record: Any, view: Any, settings: Any) -> step_decision.StepDecision:
     pins = 0 if view.remaining_keys is None else view.remaining_keys
-    return step_decision._draining(name, record, replace(view, remaining_keys=pins), settings)
+    return step_decision._decide_draining(name, record, replace(view, remaining_keys=pins), settings)
 
 
 # name -> the case that shows it, what the check says, and what is put in whose place
--- a/cottonhold/fleet/admission/demand.py
+++ b/cottonhold/fleet/admission/demand.py
@@ -15,7 +15,7 @@
 MIN_DENSITY = 2.0**-24  # utility a ms; what is below counts as it
 DENSITY_STEPS = 160
 MIN_WORK_MS = 1e-3  # what takes less counts as it
-MIN_KEPT_MS = 1e-3  # a step with less remaining work is dropped
+MIN_REMAINING_MS = 1e-3  # a step with less remaining work is dropped
 MAX_ENCODED_STEPS = 10  # of a message
 MAX_CODE = 255
 MIN_CODED_CORES, CODE_GROWTH = 0.002, 1.05  # cores on the wire: MIN * GROWTH ** byte, to 490 cores
@@ -56,9 +56,11 @@
         return {step: work_ms / max(seen_ms, 1.0) for step, work_ms in self.work_ms_by_step.items()}
 
     def _decay(self, now: float) -> None:
-        kept = math.exp((self.updated_at - now) / self.memory_ms)
-        decayed = {step: work_ms * kept for step, work_ms in self.work_ms_by_step.items()}
-        self.work_ms_by_step = {step: work_ms for step, work_ms in decayed.items() if work_ms > MIN_KEPT_MS}
+        remaining_share = math.exp((self.updated_at - now) / self.memory_ms)
+        decayed = {step: work_ms * remaining_share for step, work_ms in self.work_ms_by_step.items()}
+        self.work_ms_by_step = {
+            step: work_ms for step, work_ms in decayed.items() if work_ms > MIN_REMAINING_MS
+        }
         self.updated_at = now
 
 
--- a/cottonhold/fleet/admission/demand_sharing.py
+++ b/cottonhold/fleet/admission/demand_sharing.py
@@ -73,9 +73,9 @@
         if not is_retry:
             self.demand.add(now, demand.density_step(utility, work_ms), work_ms)
 
-    def on_admitted(self, wait: float, ran_out_of_time: bool) -> None:
+    def on_admitted(self, wait: float, has_expired: bool) -> None:
         """An admitted request was sent after `wait`, a part of the time to its deadline, or never."""
-        self.controller.on_admitted(wait, ran_out_of_time)
+        self.controller.on_admitted(wait, has_expired)
 
     def on_message(self, now: float, data: bytes, sender: int = 0) -> bytes | None:
         """A message of demand reports; returns one for its sender if that is behind its own reports. Raises
@@ -97,17 +97,17 @@
         """
         members = sorted(set(live) - {self.self_id})
         others = self.reported_loads(now, members)
-        own = self.controller.report(self.demand.rates(now))
-        alive = 1 + len(members)
+        own_demand = self.controller.report(self.demand.rates(now))
+        live_count = 1 + len(members)
         if owned_capacity:
-            alive = 1 + len(others)
-            capacity += owned_capacity * alive
-        self.controller.step(now, own, others, alive, capacity)
-        offered = sum(own.rates.values()) + sum(sum(load.rates.values()) for load in others)
+            live_count = 1 + len(others)
+            capacity += owned_capacity * live_count
+        self.controller.step(now, own_demand, others, live_count, capacity)
+        offered = sum(own_demand.rates.values()) + sum(sum(load.rates.values()) for load in others)
         is_busy = self.threshold is not None or offered > self.settings.busy_share * capacity
         if not members or now < self.next_round and not is_busy:
             return []
-        return self._round(now, members, own)
+        return self._round(now, members, own_demand)
 
     def offered_cores(self, now: float, members: Iterable[int]) -> dict[int, float]:
         """Work offered to this instance and to those of these members that reported it lately, in cores."""
@@ -120,12 +120,12 @@
         reports = self.reports.fresh(now, self.settings.max_report_age_ms, members)
         return [report.load for report in reports]
 
-    def _round(self, now: float, members: list[int], own: ReportedDemand) -> list[tuple[int, bytes]]:
+    def _round(self, now: float, members: list[int], own_demand: ReportedDemand) -> list[tuple[int, bytes]]:
         """This instance's report to the others, as (member, message)."""
         s = self.settings
         self.next_round = now + s.report_interval_ms * (0.8 + 0.4 * self.random.random())
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
-        report = DemandReport(self.self_id, self.incarnation, self.version, own)
+        report = DemandReport(self.self_id, self.incarnation, self.version, own_demand)
         if len(members) < s.gossip_from_members:
             data = encode_demand_reports([report])
             return [(member, data) for member in members]
--- a/cottonhold/fleet/admission/threshold.py
+++ b/cottonhold/fleet/admission/threshold.py
@@ -92,10 +92,10 @@
         self.admitted_requests, self.waits = 0.0, 0.0
         self.wait_error = 0.0  # mean wait beyond the target
 
-    def on_admitted(self, wait: float, ran_out_of_time: bool) -> None:
+    def on_admitted(self, wait: float, has_expired: bool) -> None:
         """An admitted request was sent after `wait`, a part of the time to its deadline, or never."""
         self.admitted_requests += 1
-        self.waits += 1.0 if ran_out_of_time else min(wait, 1.0)
+        self.waits += 1.0 if has_expired else min(wait, 1.0)
 
     def report(self, rates: Mapping[int, float]) -> ReportedDemand:
         """What to report to the others."""
@@ -103,19 +103,24 @@
         return ReportedDemand(rates, self.gain, self.admitted_requests, mean_wait)
 
     def step(
-        self, now: float, own: ReportedDemand, others: Iterable[ReportedDemand], alive: int, capacity: float
+        self,
+        now: float,
+        own_demand: ReportedDemand,
+        others: Iterable[ReportedDemand],
+        live_count: int,
+        capacity: float,
     ) -> DensityThreshold | None:
         """The threshold from now on. alive: instances with this one; capacity: cores of the engines in use.
 
         None without the reports of a quorum: by those of a few, it would reject what the fleet can serve.
         Within the hysteresis the threshold is one that rejects nothing, and the gain goes on.
         """
-        s, reports = self.settings, [own, *others]
+        s, reports = self.settings, [own_demand, *others]
         self._adapt(now, reports)
-        if len(reports) <= s.quorum_share * alive or capacity <= 0:
+        if len(reports) <= s.quorum_share * live_count or capacity <= 0:
             self.threshold = None
             return None
-        rates = self._fleet_demand(reports, alive, capacity)
+        rates = self._fleet_demand(reports, live_count, capacity)
         correction = min(max(1 - s.wait_correction * self.wait_error, s.min_gain), s.max_gain)
         gain = lower_median([self.gain, *(report.gain for report in reports[1:])])
         usable = capacity * s.usable_capacity_share * correction * gain
@@ -127,12 +132,12 @@
         return self.threshold
 
     def _fleet_demand(
-        self, reports: Sequence[ReportedDemand], alive: int, capacity: float
+        self, reports: Sequence[ReportedDemand], live_count: int, capacity: float
     ) -> dict[int, float]:
         """Demand of all instances by step, in cores; those that do not report count as the mean."""
         max_cores = self.settings.max_claim_share * capacity if len(reports) > 2 else math.inf
         rates = demand.merge_rates([report.rates for report in reports], max_cores)
-        unheard_factor = alive / len(reports)
+        unheard_factor = live_count / len(reports)
         return {step: cores * unheard_factor for step, cores in rates.items()}
 
     def _adapt(self, now: float, reports: Sequence[ReportedDemand]) -> None:
--- a/cottonhold/fleet/consensus/voter_recovery.py
+++ b/cottonhold/fleet/consensus/voter_recovery.py
@@ -78,8 +78,8 @@
 
     def take_messages(self) -> list[SendConsensusMessage]:
         """Return the messages to be sent, once."""
-        taken, self.messages = self.messages, []
-        return taken
+        messages, self.messages = self.messages, []
+        return messages
 
     def next_round(self) -> list[int] | None:
         """Send the requests that are due; return the founding folder ids if the fleet is found to be new."""
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -363,10 +363,10 @@
             return True
         return any(map(self.reporting.is_alarming, self.reporting.fresh))
 
-    def _send(self, messages_out: list[tuple[int, bytes]]) -> list[Action]:
-        actions: list[Action] = [SendFleetMessage(member, data) for member, data in messages_out]
+    def _send(self, outgoing: list[tuple[int, bytes]]) -> list[Action]:
+        actions: list[Action] = [SendFleetMessage(member, data) for member, data in outgoing]
         self.counters["words_sent"] += len(actions)
-        self.counters["bytes_sent"] += sum(len(data) for _, data in messages_out)
+        self.counters["bytes_sent"] += sum(len(data) for _, data in outgoing)
         return actions
 
     def _send_quota(self, requests: Iterable[QuotaMessage]) -> list[Action]:
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -77,7 +77,7 @@
 def decode_report(data: bytes) -> DrainReport:
     """Decode a report. Raises MessageError."""
     try:
-        kind, member, life, version, count = HEAD_FORMAT.unpack_from(data)
+        kind, member, incarnation, version, count = HEAD_FORMAT.unpack_from(data)
     except struct.error:
         raise MessageError("truncated") from None
     if (
@@ -88,11 +88,11 @@
     ):
         raise MessageError("drains")
     rows = {}
-    for number, serial, open_there, flags in ROW_FORMAT.iter_unpack(data[HEAD_FORMAT.size :]):
+    for number, serial, open_requests, flags in ROW_FORMAT.iter_unpack(data[HEAD_FORMAT.size :]):
         if flags > int(RowFlag.AWAY):
             raise MessageError("flags")
-        rows[number] = DrainedEngineRow(serial, open_there, bool(flags & RowFlag.AWAY))
-    return DrainReport(member, life, version, rows)
+        rows[number] = DrainedEngineRow(serial, open_requests, bool(flags & RowFlag.AWAY))
+    return DrainReport(member, incarnation, version, rows)
 
 
 @dataclass(slots=True, frozen=True)
@@ -193,12 +193,12 @@
         if engine in self.drained:
             self.drained[engine].open_requests = count
 
-    def on_liveness_check(self, engine: str, good: bool) -> None:
+    def on_liveness_check(self, engine: str, is_alive: bool) -> None:
         """A liveness check of this instance has ended."""
         drained = self.drained.get(engine)
         if drained is not None:
-            drained.failed_checks = 0 if good else drained.failed_checks + 1
-            drained.last_check_answered = good
+            drained.failed_checks = 0 if is_alive else drained.failed_checks + 1
+            drained.last_check_answered = is_alive
 
     def on_message(self, now: float, data: bytes) -> None:
         """Apply another instance's report; a malformed one is counted and changes nothing."""
@@ -215,8 +215,8 @@
 
     def missing_reports(self, now: float, engine: str, serial: int) -> set[int]:
         """Return the ids of dispatchers that have not reported since they drained an engine."""
-        own = self.drained.get(engine)
-        missing = {self.member} if own is None or own.serial != serial else set[int]()
+        drained = self.drained.get(engine)
+        missing = {self.member} if drained is None or drained.serial != serial else set[int]()
         for member, at in self.last_live_at.items():
             if member in self.min_incarnations:
                 if self._row(now, member, engine, serial) is None:
@@ -230,17 +230,21 @@
 
         One that was absent is there again once it is listed and has answered this instance.
         """
-        found = []
+        present = []
         for name, machine in self.last_listed.items():
             record = chain.get(name)
-            back = (
+            is_back = (
                 record is not None
                 and record.step is ReplacementStep.OUT
                 and record.has_flag(MachineFlag.WAS_AWAY)
             )
-            if name not in self.drained or not self.is_absent(name) and (not back or self.is_answering(name)):
-                found.append(machine)
-        return found
+            if (
+                name not in self.drained
+                or not self.is_absent(name)
+                and (not is_back or self.is_answering(name))
+            ):
+                present.append(machine)
+        return present
 
     def is_absent(self, engine: str) -> bool:
         """Whether an engine is absent, by the reports of more than half of the live dispatchers."""
@@ -272,8 +276,10 @@
             for e, d in reported.items()
         }
         drivers = {chain[engine].driver for engine in reported} - {self.member, 0}
-        due = now - self.last_report_at >= self.settings.report_interval_ms or rows != self.last_rows
-        if rows and due:
+        is_report_due = (
+            now - self.last_report_at >= self.settings.report_interval_ms or rows != self.last_rows
+        )
+        if rows and is_report_due:
             self.last_report_at, self.last_rows = now, rows
             self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
             data = encode_report(DrainReport(self.member, self.incarnation, self.version, rows))
@@ -286,15 +292,15 @@
 
     def _row(self, now: float, member: int, engine: str, serial: int) -> DrainedEngineRow | None:
         """Return what a live dispatcher reports of an engine, in its present incarnation."""
-        heard = self.reports.received.get(member)
+        received = self.reports.received.get(member)
         # A report of an earlier incarnation says nothing of requests that the present one has open.
         if (
-            heard is None
-            or now - heard.received_at > self.settings.max_report_age_ms
-            or heard.report.incarnation < self.min_incarnations[member]
+            received is None
+            or now - received.received_at > self.settings.max_report_age_ms
+            or received.report.incarnation < self.min_incarnations[member]
         ):
             return None
-        row = heard.report.rows.get(engine_number(engine))
+        row = received.report.rows.get(engine_number(engine))
         return row if row is not None and row.serial == serial & U32 else None
 
     def _seems_absent(self, engine: str, drained: DrainedEngine) -> bool:
--- a/cottonhold/fleet/latest_reports.py
+++ b/cottonhold/fleet/latest_reports.py
@@ -92,8 +92,8 @@
 
     def fresh(self, now: float, max_age_ms: float, members: Iterable[int]) -> list[ReportT]:
         """Reports of these members that are at most so old."""
-        found = (self.received.get(member) for member in members)
-        return [r.report for r in found if r is not None and now - r.received_at <= max_age_ms]
+        received = (self.received.get(member) for member in members)
+        return [r.report for r in received if r is not None and now - r.received_at <= max_age_ms]
 
     def forget(self, members: Iterable[int]) -> None:
         """Drop the reports of members that have left for good."""
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -370,8 +370,8 @@
         interval_ms = max(
             s.checkpoint_interval_ms, s.checkpoint_interval_per_dispatcher_ms * self.dispatchers
         )
-        is_due = now - self.checkpoint_requested_at >= interval_ms
-        return max(self.requested_checkpoint + is_due, self.boot_count * CHECKPOINTS_PER_BOOT)
+        is_checkpoint_due = now - self.checkpoint_requested_at >= interval_ms
+        return max(self.requested_checkpoint + is_checkpoint_due, self.boot_count * CHECKPOINTS_PER_BOOT)
 
     def presence_for(self, now: float, receiver: int | None = None) -> Presence:
         """This instance's report, for a number or for a member whose number is not known yet. Peers that
--- a/cottonhold/fleet/request_forwarding/interface.py
+++ b/cottonhold/fleet/request_forwarding/interface.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.consensus.actions import SendConsensusMessage
+from cottonhold.fleet.request_forwarding.fragmentation import SendWindow
 from cottonhold.fleet.request_forwarding.messages import ForwardResult
 
 
@@ -45,6 +46,10 @@
     max_origin_incarnations: int = 8
     max_origins: int = 64
 
+    def send_window(self) -> SendWindow:
+        """An empty window of fragments to one member."""
+        return SendWindow(self.max_fragments_in_flight, self.retry_interval_ms, self.max_retry_interval_ms)
+
 
 @dataclass(slots=True, frozen=True)
 class RequestAccepted:
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -204,47 +204,44 @@
     """Encode a message; the result has at most MAX_MESSAGE_BYTES bytes."""
     match message:
         case RequestFragment():
-            return (
-                encode_header(PART, message.header)
-                + FRAGMENT_FORMAT.pack(message.index, message.body_bytes)
-                + message.data
-            )
+            shape = FRAGMENT_FORMAT.pack(message.index, message.body_bytes)
+            return encode_header(PART, message.header) + shape + message.data
         case WithdrawRequest():
             return encode_header(WITHDRAW, message.header) + bytes((message.is_abandoned,))
         case IncarnationQuery():
             return INCARNATION_QUERY_FORMAT.pack(REQUEST_FORWARDING, PROBE, message.believed_incarnation)
-        case IncarnationReply():
+        case IncarnationReply(believed_incarnation, incarnation, timestamp):
             return INCARNATION_REPLY_FORMAT.pack(
-                REQUEST_FORWARDING,
-                INCARNATION,
-                message.believed_incarnation,
-                message.incarnation,
-                message.timestamp,
+                REQUEST_FORWARDING, INCARNATION, believed_incarnation, incarnation, timestamp
             )
         case RequestAck():
-            fixed = REQUEST_ACK_FORMAT.pack(
-                REQUEST_FORWARDING,
-                ACK,
-                message.number,
-                message.owner_incarnation,
-                message.timestamp,
-                message.state,
-            )
-            return fixed + encode_bits(message.received_bits)
+            return _encode_request_ack(message)
         case AnswerFragment():
-            shape = (
-                message.number,
-                message.owner_incarnation,
-                message.result,
-                message.retry_after_ms,
-                message.body_bytes,
-                message.index,
-            )
-            return ANSWER_FRAGMENT_FORMAT.pack(REQUEST_FORWARDING, ANSWER, *shape) + message.data
-        case AnswerAck():
-            return ANSWER_ACK_FORMAT.pack(
-                REQUEST_FORWARDING, ANSWER_ACK, message.number, message.is_complete
-            ) + encode_bits(message.received_bits)
+            return _encode_answer_fragment(message)
+        case AnswerAck(number, is_complete, received_bits):
+            fixed = ANSWER_ACK_FORMAT.pack(REQUEST_FORWARDING, ANSWER_ACK, number, is_complete)
+            return fixed + encode_bits(received_bits)
+
+
+def _encode_request_ack(ack: RequestAck) -> bytes:
+    fixed = REQUEST_ACK_FORMAT.pack(
+        REQUEST_FORWARDING, ACK, ack.number, ack.owner_incarnation, ack.timestamp, ack.state
+    )
+    return fixed + encode_bits(ack.received_bits)
+
+
+def _encode_answer_fragment(fragment: AnswerFragment) -> bytes:
+    fixed = ANSWER_FRAGMENT_FORMAT.pack(
+        REQUEST_FORWARDING,
+        ANSWER,
+        fragment.number,
+        fragment.owner_incarnation,
+        fragment.result,
+        fragment.retry_after_ms,
+        fragment.body_bytes,
+        fragment.index,
+    )
+    return fixed + fragment.data
 
 
 def decode(data: bytes) -> Message:
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -20,9 +20,6 @@
 import math
 import random
 from collections import Counter, deque
-from dataclasses import dataclass, field
-from enum import IntEnum
-from typing import NamedTuple
 
 from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.message_format import MessageError
@@ -30,7 +27,6 @@
     MAX_BACKOFF_DOUBLINGS,
     FragmentedBody,
     Reassembly,
-    SendWindow,
 )
 from cottonhold.fleet.request_forwarding.interface import (
     RESULT_NAMES,
@@ -57,64 +53,7 @@
     encode,
     request_number,
 )
-
-
-class SendPhase(IntEnum):
-    """Where a request stands at its origin."""
-
-    QUEUED = 0
-    SENDING = 1
-    WITHDRAWING = 2
-    ACCEPTED = 3
-    ABANDONED = 4
-
-
-@dataclass(slots=True, eq=False)
-class OutgoingRequest:
-    """A client's request of this member.
-
-    owner_incarnation: to which fragments were sent; 0 for none yet. next_action_at: when something is to be
-    done about it. is_ended: the client has its result, or left.
-    """
-
-    request_id: str
-    owner: int
-    number: int
-    body: FragmentedBody
-    queue_key: bytes
-    deadline: float
-    next_action_at: float
-    phase: SendPhase = SendPhase.QUEUED
-    owner_incarnation: int = 0
-    withdraw_count: int = 0
-    is_ended: bool = False  # the client has its end, or left
-    answer: Reassembly | None = None
-    outcome: tuple[ForwardResult, float] | None = None
-
-
-@dataclass(slots=True, eq=False)
-class KnownOwner:
-    """An owner as this origin knows it, with its newest timestamp."""
-
-    id: int
-    window: SendWindow
-    incarnation: int = 0
-    timestamp: int = -1
-    timestamp_received_at: float = -math.inf
-    timestamp_is_fresh: bool = False  # the stamp is new enough to prove time by it
-    request_count: int = 0
-    next_query_at: float = math.inf
-    query_count: int = 0
-    open_requests: dict[int, OutgoingRequest] = field(default_factory=dict)
-    queues: dict[bytes, deque[OutgoingRequest]] = field(default_factory=dict)
-
-
-class ActionTimer(NamedTuple):
-    """When something is to be done about a request."""
-
-    due_at: float
-    owner: int
-    number: int
+from cottonhold.fleet.request_forwarding.outgoing import ActionTimer, KnownOwner, OutgoingRequest, SendPhase
 
 
 class RequestOrigin:
@@ -144,50 +83,46 @@
         self, now: float, request_id: str, owner_id: int, body: bytes, deadline: float, queue_key: bytes
     ) -> None:
         """Forward a client's request. Raises ValueError for an id in use, or if this member is the owner."""
-        settings = self.settings
         if request_id in self.requests_by_id or owner_id == self.member:
             raise ValueError(request_id)
-        deadline = min(deadline, now + settings.max_timeout_ms)
-        if len(body) > MAX_BODY_BYTES:
-            self.actions.append(ForwardingEnded(request_id, ForwardResult.TOO_LARGE))
-            return
-        if deadline - now <= settings.answer_reserve_ms:
-            self.actions.append(ForwardingEnded(request_id, ForwardResult.NOT_ACCEPTED))
+        deadline = min(deadline, now + self.settings.max_timeout_ms)
+        rejection = self._rejection(now, request_id, body, deadline)
+        if rejection is not None:
+            self.actions.append(rejection)
             return
-        if self.open_count >= settings.max_open_requests:
-            self.counts["full"] += 1
-            self.actions.append(ForwardingEnded(request_id, ForwardResult.REJECTED, settings.retry_after_ms))
-            return
-        owner = self.owners.get(owner_id)
-        if owner is None:
-            owner = self.owners[owner_id] = KnownOwner(
-                owner_id,
-                SendWindow(
-                    settings.max_fragments_in_flight,
-                    settings.retry_interval_ms,
-                    settings.max_retry_interval_ms,
-                ),
-            )
+        owner = self._owner(owner_id)
         owner.request_count += 1
         number = request_number(self.incarnation, owner.request_count)
-        reserve = min(settings.withdraw_reserve_ms, (deadline - now) / 2)
-        request = OutgoingRequest(
-            request_id,
-            owner_id,
-            number,
-            FragmentedBody(number, body, REQUEST_FRAGMENT_BYTES),
-            queue_key,
-            deadline,
-            0.0,
-        )
+        fragments = FragmentedBody(number, body, REQUEST_FRAGMENT_BYTES)
+        request = OutgoingRequest(request_id, owner_id, number, fragments, queue_key, deadline, 0.0)
         if not owner.open_requests:
-            owner.next_query_at, owner.query_count = now + settings.liveness_interval_ms, 0
+            owner.next_query_at, owner.query_count = now + self.settings.liveness_interval_ms, 0
         owner.open_requests[number] = self.requests_by_id[request_id] = request
         self.open_count += 1
         self.counts["handed"] += 1
-        self._schedule(request, deadline - max(reserve, settings.answer_reserve_ms))
+        reserve_ms = min(self.settings.withdraw_reserve_ms, (deadline - now) / 2)
+        self._schedule(request, deadline - max(reserve_ms, self.settings.answer_reserve_ms))
         self._enqueue(owner, request)
-        self._send_due(now, owner)
+        self._send_pending(now, owner)
+
+    def _rejection(self, now: float, request_id: str, body: bytes, deadline: float) -> ForwardingEnded | None:
+        """Why a request can't be forwarded; None if it can."""
+        settings = self.settings
+        if len(body) > MAX_BODY_BYTES:
+            return ForwardingEnded(request_id, ForwardResult.TOO_LARGE)
+        if deadline - now <= settings.answer_reserve_ms:
+            return ForwardingEnded(request_id, ForwardResult.NOT_ACCEPTED)
+        if self.open_count >= settings.max_open_requests:
+            self.counts["full"] += 1
+            return ForwardingEnded(request_id, ForwardResult.REJECTED, settings.retry_after_ms)
+        return None
+
+    def _owner(self, owner_id: int) -> KnownOwner:
+        """An owner as it is known, or a new one."""
+        owner = self.owners.get(owner_id)
+        if owner is None:
+            owner = self.owners[owner_id] = KnownOwner(owner_id, self.settings.send_window())
+        return owner
 
     def abandon(self, now: float, request_id: str) -> None:
         """The client left: there is no result for it."""
@@ -200,7 +135,7 @@
             self._cancel(now, owner, request)
         else:
             self._close(owner, request)
-        self._send_due(now, owner)
+        self._send_pending(now, owner)
 
     def on_incarnation_reply(self, now: float, sender: int, reply: IncarnationReply) -> None:
         """Apply an owner's incarnation. Raises MessageError."""
@@ -210,11 +145,11 @@
             self.counts["stray"] += 1
             return
         if reply.incarnation != owner.incarnation:
-            owner.incarnation, owner.timestamp, owner.timestamp_is_fresh = reply.incarnation, -1, False
+            owner.incarnation, owner.timestamp, owner.is_timestamp_fresh = reply.incarnation, -1, False
             if reply.believed_incarnation:
                 self._on_owner_restarted(owner, reply.believed_incarnation)
         self._apply_timestamp(now, owner, reply.timestamp)
-        self._send_due(now, owner)
+        self._send_pending(now, owner)
 
     def on_request_ack(self, now: float, sender: int, ack: RequestAck) -> None:
         """Apply the state of a request at its owner. Raises MessageError."""
@@ -223,7 +158,7 @@
             return
         if request is None or request.owner_incarnation != ack.owner_incarnation:
             self._apply_timestamp(now, owner, ack.timestamp)
-            self._send_due(now, owner)
+            self._send_pending(now, owner)
             return
         if ack.state is RequestState.ACCEPTED and not request.body.is_fully_sent:
             raise MessageError("taken before it was sent")
@@ -240,7 +175,7 @@
             SendPhase.WITHDRAWING,
         ):
             self._on_accepted(owner, request)
-        self._send_due(now, owner)
+        self._send_pending(now, owner)
 
     def on_answer_fragment(self, now: float, sender: int, fragment: AnswerFragment) -> None:
         """Apply a fragment of an answer. Raises MessageError."""
@@ -264,13 +199,13 @@
         if is_complete:
             self._end(request, fragment.result, fragment.retry_after_ms, request.answer.body())
             self._close(owner, request)
-        self._send_due(now, owner)
+        self._send_pending(now, owner)
 
     def step(self, now: float) -> None:
         """Do what is due."""
         self.expire(now)
         for owner in self.owners.values():
-            self._send_due(now, owner)
+            self._send_pending(now, owner)
 
     def expire(self, now: float) -> None:
         """Do what is due for single requests; called before a message is read, since a late answer must not
@@ -278,16 +213,16 @@
         """
         changed: set[int] = set()
         while self.action_timers and self.action_timers[0][0] <= now:
-            due_at, owner_id, number = heapq.heappop(self.action_timers)
+            action_at, owner_id, number = heapq.heappop(self.action_timers)
             owner = self.owners[owner_id]
             request = owner.open_requests.get(number)
-            if request is not None and request.next_action_at == due_at:
+            if request is not None and request.next_action_at == action_at:
                 self._on_timer(now, owner, request)
                 changed.add(owner_id)
         # Sent only after all that is overdue was handled: each withdrawn request would let the next overdue
         # one be sent to a failed owner, and then it could not go elsewhere any more.
         for owner_id in changed:
-            self._send_due(now, self.owners[owner_id])
+            self._send_pending(now, self.owners[owner_id])
 
     def next_at(self) -> float:
         """Return when `step` is due."""
@@ -296,14 +231,14 @@
             if owner.open_requests:
                 times += [
                     owner.next_query_at,
-                    owner.window.next_at() if owner.timestamp_is_fresh else math.inf,
+                    owner.window.next_at() if owner.is_timestamp_fresh else math.inf,
                 ]
         return min(times, default=math.inf)
 
     def _apply_timestamp(self, now: float, owner: KnownOwner, timestamp: int) -> None:
         """Keep a timestamp of the owner's present incarnation if it is the newest."""
         if timestamp > owner.timestamp:
-            owner.timestamp, owner.timestamp_received_at, owner.timestamp_is_fresh = timestamp, now, True
+            owner.timestamp, owner.timestamp_received_at, owner.is_timestamp_fresh = timestamp, now, True
             owner.next_query_at, owner.query_count = now + self.settings.liveness_interval_ms, 0
 
     def _find(self, sender: int, number: int) -> tuple[KnownOwner | None, OutgoingRequest | None]:
@@ -438,19 +373,19 @@
             lowest_open_count,
         )
 
-    def _send_due(self, now: float, owner: KnownOwner) -> None:
+    def _send_pending(self, now: float, owner: KnownOwner) -> None:
         """Send fragments as far as the window allows; query an owner whose incarnation is not known."""
         if not owner.open_requests:
             return
         if now - owner.timestamp_received_at > self.settings.max_timestamp_age_ms:
-            owner.timestamp_is_fresh = False
-        if not owner.timestamp_is_fresh and owner.query_count == 0:
+            owner.is_timestamp_fresh = False
+        if not owner.is_timestamp_fresh and owner.query_count == 0:
             owner.next_query_at = now
         if now >= owner.next_query_at:
             self._send_message(owner.id, IncarnationQuery(owner.incarnation))
             owner.next_query_at = now + self._backoff_ms(owner.query_count)
             owner.query_count = min(owner.query_count + 1, MAX_BACKOFF_DOUBLINGS)
-        if not owner.timestamp_is_fresh:
+        if not owner.is_timestamp_fresh:
             return
         for body, index in owner.window.take_sendable(now):
             request = owner.open_requests[body.number]
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -16,11 +16,11 @@
 import math
 from collections import Counter
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 
 from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.message_format import MessageError
-from cottonhold.fleet.request_forwarding.fragmentation import FragmentedBody, Reassembly, SendWindow
+from cottonhold.fleet.request_forwarding.fragmentation import FragmentedBody, Reassembly
+from cottonhold.fleet.request_forwarding.incoming import IncomingRequest, Origin, OriginIncarnation
 from cottonhold.fleet.request_forwarding.interface import (
     Action,
     ForwardingSettings,
@@ -45,48 +45,7 @@
     encode,
 )
 
-TIMESTAMPS_PER_MS = 1000.0  # a ms
-
-
-@dataclass(slots=True, eq=False)
-class IncomingRequest:
-    """A request that is being received (`reassembly`), runs, or has an answer to be sent (`answer_body`).
-
-    earliest_deadline: its deadline is not before it; latest_deadline: nor after it (own clock).
-    """
-
-    number: int
-    reassembly: Reassembly | None
-    earliest_deadline: float = -math.inf  # proven: its time is not over before
-    latest_deadline: float = -math.inf  # proven: its time is over by then
-    is_abandoned: bool = False
-    outcome: tuple[ForwardResult, float] | None = None
-    answer_body: FragmentedBody | None = None
-
-
-@dataclass(slots=True, eq=False)
-class OriginIncarnation:
-    """One incarnation of an origin. Requests below lowest_open_count are never accepted again.
-
-    was_accepted: for other requests that have ended, by count.
-    """
-
-    number: int
-    lowest_open_count: int = 1
-    latest_deadline: float = -math.inf
-    requests: dict[int, IncomingRequest] = field(default_factory=dict)
-    was_accepted: dict[int, bool] = field(default_factory=dict)
-
-
-@dataclass(slots=True, eq=False)
-class Origin:
-    """One origin: its incarnations, the memory that it uses, and the answers sent to it."""
-
-    id: int
-    window: SendWindow
-    incarnations: dict[int, OriginIncarnation] = field(default_factory=dict)
-    receiving_bytes: int = 0
-    answer_bytes: int = 0
+TIMESTAMPS_PER_MS = 1000.0
 
 
 class RequestOwner:
@@ -117,10 +76,10 @@
         _, _, request = self._find(sender, fragment.header.number)
         if request is not None and request.reassembly is not None:
             request.reassembly.check(fragment.body_bytes, fragment.index, fragment.data)
-        found = self._incarnation_of(now, sender, fragment.header, deadline > now)
-        if found is None or count < found[1].lowest_open_count:
+        known = self._incarnation_of(now, sender, fragment.header, deadline > now)
+        if known is None or count < known[1].lowest_open_count:
             return None
-        origin, incarnation = found
+        origin, incarnation = known
         request = incarnation.requests.get(count)
         if count in incarnation.was_accepted or (request is not None and request.reassembly is None):
             return self._send_ack(now, origin, incarnation, fragment.header.number)
@@ -144,10 +103,10 @@
         count = message.header.number & U32
         if message.header.owner_incarnation != self.incarnation:
             return self.on_incarnation_query(now, sender, message.header.owner_incarnation)
-        found = self._incarnation_of(now, sender, message.header, True)
-        if found is None or count < found[1].lowest_open_count:
+        known = self._incarnation_of(now, sender, message.header, True)
+        if known is None or count < known[1].lowest_open_count:
             return None
-        origin, incarnation = found
+        origin, incarnation = known
         request = incarnation.requests.get(count)
         if request is not None and request.reassembly is None:
             if message.is_abandoned:
@@ -190,10 +149,8 @@
             self.counts["answers_too_large"] += 1
             result, retry_after_ms, data = ForwardResult.FAILED, 0.0, b""
         origin.answer_bytes += len(data)
-        request.outcome = (
-            result,
-            retry_after_ms if math.isfinite(retry_after_ms) and retry_after_ms > 0.0 else 0.0,
-        )
+        is_valid_delay = math.isfinite(retry_after_ms) and retry_after_ms > 0.0
+        request.outcome = result, retry_after_ms if is_valid_delay else 0.0
         request.answer_body = FragmentedBody(number, data, ANSWER_FRAGMENT_BYTES)
         origin.window.add(request.answer_body)
         self._send_answers(now, origin)
@@ -227,10 +184,14 @@
             raise MessageError("time left")
         if header.owner_incarnation != self.incarnation:
             return -math.inf
-        began, even = header.timestamp / TIMESTAMPS_PER_MS, 1.0 - settings.max_clock_drift
-        if began + header.timestamp_age_ms * even > now:
+        timestamp_ms, min_clock_rate = header.timestamp / TIMESTAMPS_PER_MS, 1.0 - settings.max_clock_drift
+        if timestamp_ms + header.timestamp_age_ms * min_clock_rate > now:
             raise MessageError("stamp")
-        return began + (header.timestamp_age_ms + header.remaining_ms) * even - settings.clock_margin_ms
+        return (
+            timestamp_ms
+            + (header.timestamp_age_ms + header.remaining_ms) * min_clock_rate
+            - settings.clock_margin_ms
+        )
 
     def _latest_deadline(self, now: float, header: RequestHeader) -> float:
         """Return a time on this clock after which the request's deadline is not."""
@@ -246,23 +207,16 @@
         origin = self.origins.get(sender)
         incarnation = origin.incarnations.get(number) if origin is not None else None
         if incarnation is None:
-            full = (
+            is_full = (
                 len(self.origins) >= settings.max_origins
                 if origin is None
                 else len(origin.incarnations) >= settings.max_origin_incarnations
             )
-            if full or not may_create:
-                self.counts["full"] += full and may_create
+            if is_full or not may_create:
+                self.counts["full"] += is_full and may_create
                 return None
             if origin is None:
-                origin = self.origins[sender] = Origin(
-                    sender,
-                    SendWindow(
-                        settings.max_fragments_in_flight,
-                        settings.retry_interval_ms,
-                        settings.max_retry_interval_ms,
-                    ),
-                )
+                origin = self.origins[sender] = Origin(sender, settings.send_window())
                 self.next_sweep_at = min(self.next_sweep_at, now + settings.liveness_interval_ms)
             for older in origin.incarnations.values():
                 if older.number < number:
@@ -277,15 +231,15 @@
         """All requests with a smaller count have ended at the origin."""
         if lowest_open_count <= incarnation.lowest_open_count:
             return
-        few = lowest_open_count - incarnation.lowest_open_count <= len(incarnation.was_accepted) + len(
-            incarnation.requests
-        )
-        past = (
+        is_range_shorter = lowest_open_count - incarnation.lowest_open_count <= len(
+            incarnation.was_accepted
+        ) + len(incarnation.requests)
+        counts = (
             range(incarnation.lowest_open_count, lowest_open_count)
-            if few
+            if is_range_shorter
             else [*incarnation.was_accepted, *incarnation.requests]
         )
-        for count in [c for c in past if c < lowest_open_count]:
+        for count in [c for c in counts if c < lowest_open_count]:
             request = incarnation.requests.get(count)
             if request is not None:
                 self._abandon(origin, [request])
@@ -294,11 +248,11 @@
         incarnation.lowest_open_count = lowest_open_count
 
     def _is_full(self, incarnation: OriginIncarnation) -> bool:
-        full = (
+        is_full = (
             len(incarnation.requests) + len(incarnation.was_accepted) >= self.settings.max_remembered_requests
         )
-        self.counts["full"] += full
-        return full
+        self.counts["full"] += is_full
+        return is_full
 
     def _begin_request(
         self, origin: Origin, incarnation: OriginIncarnation, fragment: RequestFragment
@@ -319,8 +273,8 @@
         self, now: float, origin: Origin, incarnation: OriginIncarnation, request: IncomingRequest
     ) -> None:
         """Accept a request that has arrived in full, unless it is too late."""
-        left = request.earliest_deadline - now
-        if left <= self.settings.min_remaining_ms or request.reassembly is None:
+        remaining_ms = request.earliest_deadline - now
+        if remaining_ms <= self.settings.min_remaining_ms or request.reassembly is None:
             self.counts["late"] += 1
             self._close(origin, incarnation, request.number & U32, False)
             return
@@ -330,11 +284,11 @@
         )
         request.reassembly = None
         self.counts["taken"] += 1
-        self.actions.append(RequestAccepted(origin.id, request.number, body, left))
+        self.actions.append(RequestAccepted(origin.id, request.number, body, remaining_ms))
 
-    def _abandon(self, origin: Origin, records: Iterable[IncomingRequest]) -> None:
+    def _abandon(self, origin: Origin, requests: Iterable[IncomingRequest]) -> None:
         """No client waits for those of these requests that run."""
-        for request in records:
+        for request in requests:
             if request.reassembly is None and request.outcome is None and not request.is_abandoned:
                 request.is_abandoned = True
                 self.actions.append(RequestAbandoned(origin.id, request.number))
@@ -345,10 +299,10 @@
         if request.outcome is not None:
             self._close(origin, incarnation, request.number & U32, True)
 
-    def _close(self, origin: Origin, incarnation: OriginIncarnation, count: int, taken: bool) -> None:
+    def _close(self, origin: Origin, incarnation: OriginIncarnation, count: int, was_accepted: bool) -> None:
         """Forget a request, but for whether it was accepted."""
         request = incarnation.requests.pop(count, None)
-        incarnation.was_accepted[count] = taken
+        incarnation.was_accepted[count] = was_accepted
         if request is None:
             return
         if request.reassembly is not None:
@@ -369,7 +323,12 @@
         )
 
     def _send_ack(
-        self, now: float, origin: Origin, incarnation: OriginIncarnation, number: int, left: bool = False
+        self,
+        now: float,
+        origin: Origin,
+        incarnation: OriginIncarnation,
+        number: int,
+        is_cancelled: bool = False,
     ) -> None:
         """Send a request's state."""
         request, bits = incarnation.requests.get(number & U32), 0
@@ -378,7 +337,7 @@
         elif request is None and not incarnation.was_accepted.get(number & U32, True):
             state = RequestState.NOT_ACCEPTED
         else:
-            state = RequestState.CANCELLED if left else RequestState.ACCEPTED
+            state = RequestState.CANCELLED if is_cancelled else RequestState.ACCEPTED
         self._send_message(origin.id, RequestAck(number, self.incarnation, self._timestamp(now), state, bits))
 
     def _send_answers(self, now: float, origin: Origin) -> None:
@@ -386,8 +345,8 @@
         for body, index in origin.window.take_sendable(now):
             _, _, request = self._find(origin.id, body.number)
             if request is not None and request.outcome is not None:
-                end, ms = request.outcome
-                shape = (body.number, self.incarnation, end, ms, len(body.body), index)
+                result, retry_after_ms = request.outcome
+                shape = (body.number, self.incarnation, result, retry_after_ms, len(body.body), index)
                 self._send_message(origin.id, AnswerFragment(*shape, body.fragment(index)))
 
     def _sweep(self, now: float) -> None:
@@ -395,8 +354,8 @@
         for origin in list(self.origins.values()):
             for incarnation in list(origin.incarnations.values()):
                 for count in [c for c, r in incarnation.requests.items() if r.latest_deadline < now]:
-                    taken = incarnation.requests[count].reassembly is None
-                    self._close(origin, incarnation, count, taken)
+                    was_accepted = incarnation.requests[count].reassembly is None
+                    self._close(origin, incarnation, count, was_accepted)
                 if not incarnation.requests and incarnation.latest_deadline < now:
                     del origin.incarnations[incarnation.number]
             if not origin.incarnations:
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -63,20 +63,20 @@
 
 
 class ReplacementCoordinator:
-    """Rolling replacement at one instance; own_machine: its name."""
+    """Rolling replacement at one instance. local_machine: its name; capacity_check: see StartConditions."""
 
     def __init__(
         self,
-        own_machine: str,
+        local_machine: str,
         now: float,
         settings: ReplacementSettings,
         seed: int,
-        bearable: CapacityCheck | None = None,
+        capacity_check: CapacityCheck | None = None,
     ) -> None:
         self.settings, self.random_source = settings, random.Random(seed)
-        self.view = FleetView(own_machine, now, last_trouble_at=now)
+        self.view = FleetView(local_machine, now, last_trouble_at=now)
         self.registers = RegisterCache(self.random_source, settings.operation_timeout_ms)
-        self.driver = MachineDriver(self.view, self.registers, settings, bearable)
+        self.driver = MachineDriver(self.view, self.registers, settings, capacity_check)
         self.drained: set[str] = set()
         self.submission: PlanSubmission | None = None
         self.cleanup_needed_since: float | None = None
@@ -92,7 +92,7 @@
             raise plan.PlanError(f"a request by {self.submission.request.requested_by} is being laid here")
         plan.check_request(replacement, self.view.machines)
         self.submission, self.next_step_at = (
-            PlanSubmission(self.view.own_id, replacement, now + self.settings.submission_timeout_ms),
+            PlanSubmission(self.view.local_id, replacement, now + self.settings.submission_timeout_ms),
             now,
         )
 
@@ -151,10 +151,10 @@
             self.registers.on_hint(now, name, version, value)
             self.next_step_at = min(self.next_step_at, now + self.settings.step_interval_ms)
 
-    def _set_trouble(self, now: float, where: dict[str, str], key: str, trouble: str) -> None:
+    def _set_trouble(self, now: float, troubles: dict[str, str], key: str, trouble: str) -> None:
         if trouble:
-            where[key] = trouble
-        elif where.pop(key, ""):
+            troubles[key] = trouble
+        elif troubles.pop(key, ""):
             self.view.last_trouble_at = now
 
     def next_at(self) -> float:
@@ -165,8 +165,10 @@
         """Return what to do now."""
         if now < self.next_step_at:
             return []
-        idle = not self.view.plan.first_machine and self.submission is None and not self.pending_actions
-        self.next_step_at = now + (self.settings.idle_interval_ms if idle else self.settings.step_interval_ms)
+        is_idle = not self.view.plan.first_machine and self.submission is None and not self.pending_actions
+        self.next_step_at = now + (
+            self.settings.idle_interval_ms if is_idle else self.settings.step_interval_ms
+        )
         self.view.last_seen_at.update(dict.fromkeys(self.view.machines, now))
         actions, self.pending_actions = self.pending_actions, []
         actions += self._read_registers(now)
@@ -241,7 +243,7 @@
                 if record is None or not current_plan.first_serial <= record.serial <= current_plan.serial:
                     return chain
             elif not record.is_over:
-                is_driver = record.driver == self.view.own_id and record.step not in plan.WAITING_STEPS
+                is_driver = record.driver == self.view.local_id and record.step not in plan.WAITING_STEPS
                 actions += self.registers.read(
                     now, key, self.settings.driver_read_interval_ms if is_driver else interval_ms
                 )
@@ -265,26 +267,26 @@
             if r.has_flag(MachineFlag.ENGINE):
                 wanted |= {name} if self._is_withheld(name, r) else set()
                 continue
-            if name == self.view.own_machine and self._is_taken_out(r):
+            if name == self.view.local_machine and self._must_not_serve(r):
                 wanted.add(name)
         actions: list[Action] = [Drain(name) for name in sorted(wanted - self.drained)]
         # While a part of the chain is being read again, machines on it seem to be gone.
-        over = self.drained - wanted if self.view.is_complete else set[str]()
-        actions += [Undrain(name) for name in sorted(over)]
-        self.drained = (self.drained | wanted) - over
-        record = self.view.records.get(self.view.own_machine)
-        if record is not None and record.step is ReplacementStep.OUT and self.view.own_machine in wanted:
-            progress = self.driver.progress[self.view.own_machine]
+        released = self.drained - wanted if self.view.is_complete else set[str]()
+        actions += [Undrain(name) for name in sorted(released)]
+        self.drained = (self.drained | wanted) - released
+        record = self.view.records.get(self.view.local_machine)
+        if record is not None and record.step is ReplacementStep.OUT and self.view.local_machine in wanted:
+            progress = self.driver.progress[self.view.local_machine]
             if progress.ready_epoch != record.epoch and not record.has_flag(MachineFlag.ABORTING):
                 progress.ready_epoch = record.epoch
-                actions.append(ReadyToPowerOff(self.view.own_machine, record.epoch))
+                actions.append(ReadyToPowerOff(self.view.local_machine, record.epoch))
         return actions
 
-    def _is_taken_out(self, record: MachineRecord) -> bool:
+    def _must_not_serve(self, record: MachineRecord) -> bool:
         """Whether this machine must not serve: it drains, or is out and was not started again since."""
         if record.step is ReplacementStep.DRAINING:
             return True
-        is_same_incarnation = self._own_incarnation() == record.incarnation
+        is_same_incarnation = self._local_incarnation() == record.incarnation
         return record.step is ReplacementStep.OUT and is_same_incarnation
 
     def _is_withheld(self, name: str, record: MachineRecord) -> bool:
@@ -312,8 +314,8 @@
         """This instance was paused: what it knows of registers may be out of date."""
         self.all_read, self.read_since, self.next_step_at = False, now, now
 
-    def _own_incarnation(self) -> int:
-        machine = self.view.machines.get(self.view.own_machine)
+    def _local_incarnation(self) -> int:
+        machine = self.view.machines.get(self.view.local_machine)
         return machine.incarnation & 0xFFFFFFFF if machine is not None else -1
 
     def _clean_up(self, now: float) -> list[Action]:
@@ -321,8 +323,8 @@
 
         Any instance may; they try one after another, so that they seldom compete.
         """
-        after = self._cleaned_plan(now)
-        if after == self.view.plan:
+        cleaned_plan = self._cleaned_plan(now)
+        if cleaned_plan == self.view.plan:
             self.cleanup_needed_since = None
             return []
         if self.cleanup_needed_since is None:
@@ -331,29 +333,30 @@
             (m.name for m in self.view.machines.values() if not m.is_engine),
             key=lambda n: takeover_order(PLAN_REGISTER, n),
         )
-        rank = live.index(self.view.own_machine) if self.view.own_machine in live else len(live)
+        rank = live.index(self.view.local_machine) if self.view.local_machine in live else len(live)
         if now - self.cleanup_needed_since < rank * self.settings.takeover_stagger_ms:
             return []
-        return list(self.registers.change(now, PLAN_REGISTER, plan_codec.encode_plan(after)))
+        return list(self.registers.change(now, PLAN_REGISTER, plan_codec.encode_plan(cleaned_plan)))
 
     def _cleaned_plan(self, now: float) -> ReplacementPlan:
         current_plan = self.view.plan
-        over = {machine_id(name) for name, r in self.view.records.items() if r.is_over}
-        if over & set(current_plan.machines_out):
+        finished_ids = {machine_id(name) for name, r in self.view.records.items() if r.is_over}
+        if finished_ids & set(current_plan.active_machine_ids):
             current_plan = replace(
-                current_plan, machines_out=tuple(i for i in current_plan.machines_out if i not in over)
+                current_plan,
+                active_machine_ids=tuple(i for i in current_plan.active_machine_ids if i not in finished_ids),
             )
         if current_plan.state is PlanState.SUBMITTING:
             if self.lock_seen[0] != current_plan.serial:
                 self.lock_seen = current_plan.serial, now
             live = {m.id for m in self.view.machines.values()}
-            ours = current_plan.locked_by == self.view.own_id and self.submission is not None
-            held = now - self.lock_seen[1]
+            is_submitted_here = current_plan.locked_by == self.view.local_id and self.submission is not None
+            locked_ms = now - self.lock_seen[1]
             if (
-                held > self.settings.submission_timeout_ms * 1.5
-                or not ours
-                and held > self.settings.startup_grace_ms
-                and (current_plan.locked_by == self.view.own_id or current_plan.locked_by not in live)
+                locked_ms > self.settings.submission_timeout_ms * 1.5
+                or not is_submitted_here
+                and locked_ms > self.settings.startup_grace_ms
+                and (current_plan.locked_by == self.view.local_id or current_plan.locked_by not in live)
             ):
                 current_plan = without_submission(current_plan)
         elif (
@@ -361,5 +364,5 @@
             and self.view.is_complete
             and all(r.is_over for r in self.view.records.values())
         ):
-            current_plan = replace(current_plan, first_machine="", machines_out=())
+            current_plan = replace(current_plan, first_machine="", active_machine_ids=())
         return current_plan
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -93,7 +93,7 @@
     last so. is_complete: the whole chain is known.
     """
 
-    own_machine: str
+    local_machine: str
     started_at: float
     machines: dict[str, Machine] = field(default_factory=dict)
     last_seen_at: dict[str, float] = field(default_factory=dict)
@@ -108,9 +108,9 @@
     is_complete: bool = False
 
     @property
-    def own_id(self) -> int:
+    def local_id(self) -> int:
         """This instance's id among members."""
-        return machine_id(self.own_machine)
+        return machine_id(self.local_machine)
 
     def dispatchers(self) -> list[Machine]:
         """Return the dispatchers that are there."""
@@ -121,7 +121,7 @@
         return (
             not record.is_over
             and record.step not in plan.WAITING_STEPS
-            and machine_id(name) not in self.plan.machines_out
+            and machine_id(name) not in self.plan.active_machine_ids
         )
 
 
@@ -133,13 +133,13 @@
         view: FleetView,
         registers: RegisterCache,
         settings: ReplacementSettings,
-        bearable: CapacityCheck | None,
+        capacity_check: CapacityCheck | None,
     ) -> None:
         self.view, self.registers, self.settings = view, registers, settings
-        self.start_conditions = StartConditions(settings.voters, settings.default_duration_ms, bearable)
+        self.start_conditions = StartConditions(settings.voters, settings.default_duration_ms, capacity_check)
         self.progress: dict[str, LocalProgress] = {}
         self.keys_by_target: dict[str, int] = {}  # keys moved to each target
-        self.abort_deadlines: dict[str, float] = {}  # until when an abort is tried
+        self.abort_deadlines: dict[str, float] = {}  # by machine
 
     def step(self, now: float, name: str, record: MachineRecord) -> list[Action]:
         """Return what to do about a machine: abort it, drive it, or take it over."""
@@ -150,9 +150,12 @@
             return []
         if self.abort_deadlines.get(name, 0.0) > now and not record.has_flag(MachineFlag.ABORTING):
             return self._change_record(now, name, replace(record, flags=record.flags | MachineFlag.ABORTING))
-        if record.driver == self.view.own_id and record.epoch == progress.claimed_epoch != progress.won_epoch:
+        if (
+            record.driver == self.view.local_id
+            and record.epoch == progress.claimed_epoch != progress.won_epoch
+        ):
             progress.won_epoch, progress.won_at = record.epoch, now
-        if record.driver == self.view.own_id and record.epoch == progress.won_epoch:
+        if record.driver == self.view.local_id and record.epoch == progress.won_epoch:
             progress.undriven_since = None
             return self._drive(now, name, record, progress, cached)
         progress.reasons = [*record_reasons(record), "driven by another"]
@@ -167,21 +170,21 @@
         if progress.undriven_since is None:
             progress.undriven_since = now
         # An instance that finds its own name there drove it in its previous incarnation: no other will.
-        rank = 0 if record.driver == self.view.own_id else self._takeover_position(name, record)
+        rank = 0 if record.driver == self.view.local_id else self._takeover_position(name, record)
         if rank is None or now - progress.undriven_since < rank * self.settings.takeover_stagger_ms:
             return []
         progress.claimed_epoch = record.epoch + 1
         step = ReplacementStep.AGREED if record.step is ReplacementStep.ASKED else record.step
         return self._change_record(
-            now, name, replace(record, step=step, driver=self.view.own_id, epoch=record.epoch + 1)
+            now, name, replace(record, step=step, driver=self.view.local_id, epoch=record.epoch + 1)
         )
 
     def _is_undriven(self, now: float, name: str, record: MachineRecord, cached: CachedRegister) -> bool:
         """Whether no instance that may drive this machine does."""
-        if record.driver == self.view.own_id:
-            return record.step <= ReplacementStep.DRAINING or name != self.view.own_machine
+        if record.driver == self.view.local_id:
+            return record.step <= ReplacementStep.DRAINING or name != self.view.local_machine
         if (
-            self.view.own_machine == name
+            self.view.local_machine == name
             and record.step <= ReplacementStep.DRAINING
             and not record.has_flag(MachineFlag.ENGINE)
         ):
@@ -201,19 +204,21 @@
     def _takeover_position(self, name: str, record: MachineRecord) -> int | None:
         """Return this instance's place among those that may drive a machine; None if it may not."""
         ranked = self._candidates(name, record)
-        return ranked.index(self.view.own_machine) if self.view.own_machine in ranked else None
+        return ranked.index(self.view.local_machine) if self.view.local_machine in ranked else None
 
     def _candidates(self, name: str, record: MachineRecord) -> list[str]:
-        out = set(self.view.plan.machines_out)
+        active_ids = set(self.view.plan.active_machine_ids)
         live = self.view.dispatchers()
-        others = [m.name for m in live if m.name != name and m.id not in out and m.name != record.replacement]
-        found = sorted(others, key=lambda other: takeover_order(name, other))
-        own = (
+        others = [
+            m.name for m in live if m.name != name and m.id not in active_ids and m.name != record.replacement
+        ]
+        ranked = sorted(others, key=lambda other: takeover_order(name, other))
+        drives_itself = (
             name in self.view.machines
             and not self.view.machines[name].is_engine
             and record.step <= ReplacementStep.DRAINING
         )
-        return [name, *found] if own else found
+        return [name, *ranked] if drives_itself else ranked
 
     def _drive(
         self, now: float, name: str, record: MachineRecord, progress: LocalProgress, cached: CachedRegister
@@ -228,17 +233,17 @@
         if not self._is_sole_driver(now, name, progress):
             return []
         actions = list[Action]()
-        for effect in decision.actions:
-            if isinstance(effect, MoveKeys):
+        for action in decision.actions:
+            if isinstance(action, MoveKeys):
                 progress.last_move_at = now
-                self.keys_by_target[effect.target] = self.keys_by_target.get(effect.target, 0) + min(
-                    effect.max_keys, self.view.remaining_keys.get(name, 0)
+                self.keys_by_target[action.target] = self.keys_by_target.get(action.target, 0) + min(
+                    action.max_keys, self.view.remaining_keys.get(name, 0)
                 )
-            if isinstance(effect, ReadyToPowerOff):
+            if isinstance(action, ReadyToPowerOff):
                 if progress.ready_epoch == record.epoch:
                     continue
                 progress.ready_epoch = record.epoch
-            actions.append(effect)
+            actions.append(action)
         return actions
 
     def _is_sole_driver(self, now: float, name: str, progress: LocalProgress) -> bool:
@@ -252,26 +257,28 @@
             and now - progress.won_at > s.max_read_age_ms * 1.1
         )
 
-    def _with_next_driver(self, name: str, record: MachineRecord, after: MachineRecord) -> MachineRecord:
+    def _with_next_driver(
+        self, name: str, record: MachineRecord, next_record: MachineRecord
+    ) -> MachineRecord:
         """A machine that goes out names another driver for what follows."""
-        if after.step is not ReplacementStep.OUT or name != self.view.own_machine:
-            return after
-        others = self._candidates(name, after)
+        if next_record.step is not ReplacementStep.OUT or name != self.view.local_machine:
+            return next_record
+        others = self._candidates(name, next_record)
         driver = machine_id(others[0]) if others else 0
-        return replace(after, driver=driver, epoch=record.epoch + 1)
+        return replace(next_record, driver=driver, epoch=record.epoch + 1)
 
     def _machine_view(
         self, now: float, name: str, record: MachineRecord, progress: LocalProgress, cached: CachedRegister
     ) -> MachineView:
         # An engine that only its driver cannot reach still runs what others have in flight there.
-        here = name == self.view.own_machine or record.has_flag(MachineFlag.ENGINE)
+        is_present = name == self.view.local_machine or record.has_flag(MachineFlag.ENGINE)
         return MachineView(
             step_age_ms=now - progress.step_seen_at,
             machines=self.view.machines,
             blocked_reasons=self._blocked_reasons(now, record.step),
             remaining_keys=self.view.remaining_keys.get(name),
             open_requests=self.view.open_requests.get(name),
-            absent_ms=0.0 if here else now - self.view.last_seen_at.get(name, self.view.started_at),
+            absent_ms=0.0 if is_present else now - self.view.last_seen_at.get(name, self.view.started_at),
             replacement_absent_ms=now - self.view.last_seen_at.get(record.replacement, self.view.started_at),
             traffic_share=self.view.traffic_shares.get(record.replacement),
             keeps_quorum=not record.has_flag(MachineFlag.VOTER) or self._keeps_quorum(),
@@ -287,12 +294,16 @@
 
     def _move_target(self, name: str) -> str:
         """Return the dispatcher that was given the fewest keys so far, in proportion to its cores."""
-        out = set(self.view.plan.machines_out)
-        fit = [
-            m for m in self.view.machines.values() if not m.is_engine and m.name != name and m.id not in out
+        active_ids = set(self.view.plan.active_machine_ids)
+        candidates = [
+            m
+            for m in self.view.machines.values()
+            if not m.is_engine and m.name != name and m.id not in active_ids
         ]
         best = min(
-            fit, key=lambda m: (self.keys_by_target.get(m.name, 0) / max(m.cores, 0.1), m.name), default=None
+            candidates,
+            key=lambda m: (self.keys_by_target.get(m.name, 0) / max(m.cores, 0.1), m.name),
+            default=None,
         )
         return best.name if best is not None else ""
 
@@ -303,32 +314,34 @@
             for k, v in self.view.fleet_troubles.items()
             if k != "sheds" or step is not ReplacementStep.DRAINING
         }
-        why = [*self.view.zone_troubles.values(), *trouble.values()]
-        if not why and now - self.view.last_trouble_at < self.settings.calm_period_ms:
-            why = ["all is calm only since a moment"]
-        return why
+        reasons = [*self.view.zone_troubles.values(), *trouble.values()]
+        if not reasons and now - self.view.last_trouble_at < self.settings.calm_period_ms:
+            reasons = ["all is calm only since a moment"]
+        return reasons
 
     def _start(self, now: float, name: str, record: MachineRecord, progress: LocalProgress) -> list[Action]:
-        own_id = machine_id(name)
-        if own_id in self.view.plan.machines_out:
+        started_id = machine_id(name)
+        if started_id in self.view.plan.active_machine_ids:
             return self._change_record(now, name, replace(record, step=ReplacementStep.MOVING))
         progress.reasons = self._start_blockers(now, name)
         if progress.reasons:
             return []
         # All starts change this one register, so two cannot begin on the same view of the plan.
-        started = replace(self.view.plan, machines_out=(*self.view.plan.machines_out, own_id))
-        return list(self.registers.change(now, PLAN_REGISTER, plan_codec.encode_plan(started)))
+        started_plan = replace(
+            self.view.plan, active_machine_ids=(*self.view.plan.active_machine_ids, started_id)
+        )
+        return list(self.registers.change(now, PLAN_REGISTER, plan_codec.encode_plan(started_plan)))
 
     def _start_blockers(self, now: float, name: str) -> list[str]:
         """Return why a machine may not start now."""
         if not self.view.is_complete:
             return ["not all registers are known yet"]
-        if behind := [n for n, r in self.view.records.items() if self.view.is_outdated(n, r)]:
-            return [f"the end of '{behind[0]}' is not known yet"]
+        if outdated := [n for n, r in self.view.records.items() if self.view.is_outdated(n, r)]:
+            return [f"the end of '{outdated[0]}' is not known yet"]
         if name not in self.view.machines:
             return [f"'{name}' is not there"]
-        if held := self._blocked_reasons(now, ReplacementStep.AGREED):
-            return held
+        if reasons := self._blocked_reasons(now, ReplacementStep.AGREED):
+            return reasons
         return self.start_conditions.blockers(
             now, name, self.view.plan, self.view.records, self.view.machines
         )
@@ -344,16 +357,16 @@
 
 def record_reasons(record: MachineRecord) -> list[str]:
     """Return what a record says besides the step."""
-    why = []
+    reasons = []
     if (
         record.reason is StepReason.SMALLER
         or record.arrived_cores_tenths
         and record.arrived_cores_tenths < record.requested_cores_tenths
     ):
         arrived, requested = record.arrived_cores_tenths / 10, record.requested_cores_tenths / 10
-        why.append(f"'{record.replacement}' came with {arrived:g} cores of {requested:g} told")
+        reasons.append(f"'{record.replacement}' came with {arrived:g} cores of {requested:g} told")
     if record.reason is StepReason.TIMED_OUT:
-        why.append("moving or draining took too long")
+        reasons.append("moving or draining took too long")
     if record.has_flag(MachineFlag.ABORTING):
-        why.append("aborted by hand")
-    return why
+        reasons.append("aborted by hand")
+    return reasons
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -20,8 +20,8 @@
 from cottonhold.fleet.zone_failover.operator_overrides import truncate_utf8
 from cottonhold.membership.codec import MAX_NAME_BYTES, member_id
 
-MAX_REQUESTER_BYTES = 16  # bytes
-MAX_MACHINES_OUT = 5  # machines out at once
+MAX_REQUESTER_BYTES = 16
+MAX_CONCURRENT_REPLACEMENTS = 5
 MAX_RECORD_BYTES = 120
 MAX_KEY_BYTES = 11  # of a machine's name in the name of its register
 MAX_MACHINES = 256
@@ -126,28 +126,29 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplacementRequest:
-    """What one person requests: at most max_out machines at once, in at most max_zones zones at once."""
+    """What one person requests: at most max_concurrent machines at once, in at most max_zones zones at
+    once."""
 
     requested_by: str
     items: tuple[MachineRequest, ...]
-    max_out: int = 1
+    max_concurrent: int = 1
     max_zones: int = 1
 
 
 def request_for_zone(
-    requested_by: str, zone: str, machines: Iterable[Machine], max_out: int = 1
+    requested_by: str, zone: str, machines: Iterable[Machine], max_concurrent: int = 1
 ) -> ReplacementRequest:
     """Return a request for all machines of a zone, each replaced under its own name."""
     names = sorted(m.name for m in machines if m.zone == zone)
-    return ReplacementRequest(requested_by, tuple(MachineRequest(name) for name in names), max_out)
+    return ReplacementRequest(requested_by, tuple(MachineRequest(name) for name in names), max_concurrent)
 
 
 @dataclass(slots=True, frozen=True)
 class ReplacementPlan:
     """The register `swap`.
 
-    serial: of the newest request; first_serial: of the first one of this chain. machines_out: ids of the
-    machines that have begun and are not over.
+    serial: of the newest request; first_serial: of the first one of this chain. active_machine_ids: of
+    the machines that have begun and are not over.
     """
 
     state: PlanState = PlanState.OPEN
@@ -155,11 +156,11 @@
     first_serial: int = 0
     epoch: int = 0
     locked_by: int = 0
-    max_out: int = 1
+    max_concurrent: int = 1
     max_zones: int = 1
     first_machine: str = ""
     requested_by: str = ""
-    machines_out: tuple[int, ...] = ()
+    active_machine_ids: tuple[int, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -216,22 +217,24 @@
         raise PlanError("names no machine")
     if len(request.items) > MAX_MACHINES:
         raise PlanError(f"names {len(request.items)} machines, at most {MAX_MACHINES}")
-    if not 1 <= request.max_out <= MAX_MACHINES_OUT:
-        raise PlanError(f"{request.max_out} machines out at once: must be 1 to {MAX_MACHINES_OUT}")
+    if not 1 <= request.max_concurrent <= MAX_CONCURRENT_REPLACEMENTS:
+        raise PlanError(
+            f"{request.max_concurrent} machines out at once: must be 1 to {MAX_CONCURRENT_REPLACEMENTS}"
+        )
     if request.max_zones < 1:
         raise PlanError(f"{request.max_zones} zones at once: must be at least 1")
     if not request.requested_by:
         raise PlanError("says not who asks")
-    old, news = set[str](), set[str]()
+    replaced, replacements = set[str](), set[str]()
     for item in request.items:
         new = item.replacement or item.machine
         _check_item(item, new, machines)
-        if item.machine in old:
+        if item.machine in replaced:
             raise PlanError(f"'{item.machine}' is named twice")
-        if new in news or new != item.machine and new in {i.machine for i in request.items}:
+        if new in replacements or new != item.machine and new in {i.machine for i in request.items}:
             raise PlanError(f"'{new}' would replace two machines, or is to be replaced itself")
-        old.add(item.machine)
-        news.add(new)
+        replaced.add(item.machine)
+        replacements.add(new)
 
 
 def _check_item(item: MachineRequest, new: str, machines: Mapping[str, Machine]) -> None:
@@ -255,7 +258,10 @@
 
     Raises PlanError if the request contradicts an earlier one, naming who made that.
     """
-    left, news = [], {r.replacement: name for name, r in records.items() if not r.is_over}
+    new_items, requested_replacements = (
+        [],
+        {r.replacement: name for name, r in records.items() if not r.is_over},
+    )
     for item in request.items:
         new, before = item.replacement or item.machine, records.get(item.machine)
         if before is not None and before.is_over:
@@ -270,12 +276,12 @@
                 f"'{item.machine}' is already asked to become '{before.replacement}' with {cores:g} cores "
                 f"by {before.requested_by}"
             )
-        if before is None and new in news:
-            other = news[new]
+        if before is None and new in requested_replacements:
+            other = requested_replacements[new]
             raise PlanError(f"'{new}' already replaces '{other}', asked by {records[other].requested_by}")
         if before is None:
-            left.append(item)
-    return tuple(left)
+            new_items.append(item)
+    return tuple(new_items)
 
 
 def build_records(
@@ -311,16 +317,16 @@
 
 def with_request(plan: ReplacementPlan, request: ReplacementRequest, first_machine: str) -> ReplacementPlan:
     """Return the plan with a submitted request; of several requests' limits the stricter ones count."""
-    most, zones = request.max_out, request.max_zones
+    max_concurrent, max_zones = request.max_concurrent, request.max_zones
     if plan.first_machine:
-        most, zones = min(most, plan.max_out), min(zones, plan.max_zones)
+        max_concurrent, max_zones = min(max_concurrent, plan.max_concurrent), min(max_zones, plan.max_zones)
     return replace(
         plan,
         state=PlanState.OPEN,
         locked_by=0,
         first_serial=plan.first_serial if plan.first_machine else plan.serial,
         first_machine=first_machine,
-        max_out=most,
-        max_zones=min(zones, 255),
+        max_concurrent=max_concurrent,
+        max_zones=min(max_zones, 255),
         requested_by=truncate_utf8(request.requested_by, MAX_REQUESTER_BYTES),
     )
--- a/cottonhold/fleet/rolling_replacement/plan_codec.py
+++ b/cottonhold/fleet/rolling_replacement/plan_codec.py
@@ -17,7 +17,7 @@
 
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.rolling_replacement.plan import (
-    MAX_MACHINES_OUT,
+    MAX_CONCURRENT_REPLACEMENTS,
     MAX_REQUESTER_BYTES,
     MachineFlag,
     MachineRecord,
@@ -42,15 +42,15 @@
         plan.first_serial,
         plan.epoch,
         plan.locked_by,
-        plan.max_out,
+        plan.max_concurrent,
         plan.max_zones,
     )
     return (
         head
         + _encode_text(plan.first_machine)
         + _encode_text(plan.requested_by)
-        + bytes([len(plan.machines_out)])
-        + struct.pack(f"!{len(plan.machines_out)}Q", *plan.machines_out)
+        + bytes([len(plan.active_machine_ids)])
+        + struct.pack(f"!{len(plan.active_machine_ids)}Q", *plan.active_machine_ids)
     )
 
 
@@ -61,11 +61,11 @@
         return ReplacementPlan()
     try:
         fields = PLAN_FORMAT.unpack_from(data)
-        format_version, state, serial, first_serial, epoch, locked_by, max_out, max_zones = fields
+        format_version, state, serial, first_serial, epoch, locked_by, max_concurrent, max_zones = fields
         max_sizes = (MAX_NAME_BYTES, MAX_REQUESTER_BYTES)
         texts, position = _decode_texts(data, PLAN_FORMAT.size, max_sizes)
-        machines_out = struct.unpack(f"!{data[position]}Q", data[position + 1 :])
-        if format_version != FORMAT_VERSION or len(machines_out) > MAX_MACHINES_OUT:
+        active_machine_ids = struct.unpack(f"!{data[position]}Q", data[position + 1 :])
+        if format_version != FORMAT_VERSION or len(active_machine_ids) > MAX_CONCURRENT_REPLACEMENTS:
             raise MessageError("swap")
         return ReplacementPlan(
             state=PlanState(state),
@@ -73,11 +73,11 @@
             first_serial=first_serial,
             epoch=epoch,
             locked_by=locked_by,
-            max_out=max_out,
+            max_concurrent=max_concurrent,
             max_zones=max_zones,
             first_machine=texts[0],
             requested_by=texts[1],
-            machines_out=machines_out,
+            active_machine_ids=active_machine_ids,
         )
     except (struct.error, IndexError, ValueError):
         raise MessageError("swap") from None
--- a/cottonhold/fleet/rolling_replacement/plan_submission.py
+++ b/cottonhold/fleet/rolling_replacement/plan_submission.py
@@ -98,17 +98,17 @@
         zones: Mapping[str, int],
     ) -> list[Action]:
         if not self.records:
-            if gone := [item.machine for item in self.items if item.machine not in machines]:
-                self.deadline, self.answer = now, f"'{gone[0]}' is not there any more"
+            if missing := [item.machine for item in self.items if item.machine not in machines]:
+                self.deadline, self.answer = now, f"'{missing[0]}' is not there any more"
                 return self._give_up(now, registers, plan, True)
             self.records = build_records(self.request, self.items, machines, plan, zones)
-        actions, left = list[Action](), 0
+        actions, unwritten = list[Action](), 0
         for machine, record in self.records.items():
             value, cell = encode_record(record), registers.received(register_name(machine))
             if cell is None or cell.value != value:
-                left += 1
+                unwritten += 1
                 actions += registers.change(now, register_name(machine), value)
-        if not left:
+        if not unwritten:
             plan = with_request(plan, self.request, self.items[0].machine)
             actions += registers.change(now, PLAN_REGISTER, encode_plan(plan))
         return actions
--- a/cottonhold/fleet/rolling_replacement/request_parsing.py
+++ b/cottonhold/fleet/rolling_replacement/request_parsing.py
@@ -20,10 +20,12 @@
     if not isinstance(rows, list) or not rows:
         raise PlanError("machines has to be a list that names at least one")
     items = [item for row in rows for item in _parse_row(row, machines)]
-    most, zones = call.get("most_out", 1), call.get("zones", 1)
-    if not all(isinstance(n, int) and not isinstance(n, bool) and n >= 1 for n in (most, zones)):
+    max_concurrent, max_zones = call.get("most_out", 1), call.get("zones", 1)
+    if not all(
+        isinstance(n, int) and not isinstance(n, bool) and n >= 1 for n in (max_concurrent, max_zones)
+    ):
         raise PlanError("most_out and zones have to be whole numbers from 1")
-    return ReplacementRequest(requested_by, tuple(items), int(most), int(zones))
+    return ReplacementRequest(requested_by, tuple(items), int(max_concurrent), int(max_zones))
 
 
 def _parse_row(row: Any, machines: Mapping[str, Machine]) -> list[MachineRequest]:
--- a/cottonhold/fleet/rolling_replacement/schedule.py
+++ b/cottonhold/fleet/rolling_replacement/schedule.py
@@ -14,8 +14,9 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-CapacityCheck = Callable[[Mapping[int, float]], list[str]]  # cores out by zone number -> why not
-MAX_SCHEDULES = 300  # that are tried at most; takes about 20 ms for ten machines
+CapacityCheck = Callable[[Mapping[int, float]], list[str]]  # missing cores by zone number -> why not
+MAX_SCHEDULES = 300  # that are tried at most
+RULE_COUNT = 4  # orders that are tried first
 STUCK_DURATION_MS = 1e7  # of a machine that waits for its replacement
 
 
@@ -34,11 +35,11 @@
 class Limits:
     """Limits on machines that are out together.
 
-    spare_voters: voters that may be out besides those that are down. missing_cores: cores lost by zone,
-    whatever is out.
+    spare_voters: voters that may be out besides those that are down. missing_cores: by zone, cores that are
+    missing whatever is out.
     """
 
-    max_out: int = 1
+    max_concurrent: int = 1
     max_zones: int = 1
     spare_voters: int = 0
     missing_cores: Mapping[int, float] = field(default_factory=dict)
@@ -59,68 +60,66 @@
         self.limits, self.capacity_check = limits, capacity_check
         self.known_blockers: dict[frozenset[str], list[str]] = {}
 
-    def blockers(self, out: Sequence[ReplacementJob]) -> list[str]:
+    def blockers(self, active: Sequence[ReplacementJob]) -> list[str]:
         """Return why these machines may not be out together; nothing if they may."""
-        key = frozenset(job.name for job in out)
+        key = frozenset(job.name for job in active)
         if key not in self.known_blockers:
-            self.known_blockers[key] = self._find_blockers(out)
+            self.known_blockers[key] = self._find_blockers(active)
         return self.known_blockers[key]
 
-    def _find_blockers(self, out: Sequence[ReplacementJob]) -> list[str]:
-        limits, zones, why = self.limits, {job.zone for job in out}, []
-        if len(out) > limits.max_out:
-            why.append(f"{limits.max_out} at once")
+    def _find_blockers(self, active: Sequence[ReplacementJob]) -> list[str]:
+        limits, zones, reasons = self.limits, {job.zone for job in active}, []
+        if len(active) > limits.max_concurrent:
+            reasons.append(f"{limits.max_concurrent} at once")
         if len(zones) > limits.max_zones:
-            why.append(f"{limits.max_zones} zone{'s' * (limits.max_zones > 1)} at once")
-        if (voters := sum(job.is_voter for job in out)) > max(limits.spare_voters, 0):
-            why.append(f"a majority of voters: {voters} out, {max(limits.spare_voters, 0)} to spare")
-        lost = dict(limits.missing_cores)
-        for job in out:
-            lost[job.zone] = lost.get(job.zone, 0.0) + job.cores
+            reasons.append(f"{limits.max_zones} zone{'s' * (limits.max_zones > 1)} at once")
+        if (voters := sum(job.is_voter for job in active)) > max(limits.spare_voters, 0):
+            reasons.append(f"a majority of voters: {voters} out, {max(limits.spare_voters, 0)} to spare")
+        missing_cores = dict(limits.missing_cores)
+        for job in active:
+            missing_cores[job.zone] = missing_cores.get(job.zone, 0.0) + job.cores
         # Last, and only if all else allows it, because it may be costly.
-        return why or [f"outlook: {text}" for text in self.capacity_check(lost)]
+        return reasons or [f"outlook: {text}" for text in self.capacity_check(missing_cores)]
 
     def find_schedule(
-        self, waiting: Sequence[ReplacementJob], out: Sequence[ReplacementJob] = ()
+        self, waiting: Sequence[ReplacementJob], active: Sequence[ReplacementJob] = ()
     ) -> Schedule:
         """Find a schedule for waiting machines, besides those that are out."""
         waiting = sorted(waiting, key=lambda job: job.name)
-        best, left = self._best_by_rules(waiting, out), MAX_SCHEDULES
+        best, remaining_tries = self._best_by_rules(waiting, active), MAX_SCHEDULES - RULE_COUNT
         if len(best[1]) > 1:
-            left -= 4
             improved = True
-            while improved and left > 0:
+            while improved and remaining_tries > 0:
                 improved = False
                 for order in _neighbouring_orders(best[1]):
-                    left -= 1
-                    found = self.place(order, out)
-                    if found.duration_ms < best[0].duration_ms - 1e-9:
-                        best, improved = (found, order), True
+                    remaining_tries -= 1
+                    schedule = self.place(order, active)
+                    if schedule.duration_ms < best[0].duration_ms - 1e-9:
+                        best, improved = (schedule, order), True
                         break
-                    if left <= 0:
+                    if remaining_tries <= 0:
                         break
         return best[0]
 
     def _best_by_rules(
-        self, waiting: Sequence[ReplacementJob], out: Sequence[ReplacementJob]
+        self, waiting: Sequence[ReplacementJob], active: Sequence[ReplacementJob]
     ) -> tuple[Schedule, list[ReplacementJob]]:
-        work, busy = dict[int, float](), {job.zone for job in out}
+        work, busy_zones = dict[int, float](), {job.zone for job in active}
         for job in waiting:
             work[job.zone] = work.get(job.zone, 0.0) + job.duration_ms
         rules: list[Callable[[ReplacementJob], tuple[float, ...]]] = [
-            lambda job: (job.zone not in busy, -work[job.zone], job.zone, -job.duration_ms),
-            lambda job: (job.zone not in busy, job.zone, not job.is_voter, -job.duration_ms),
+            lambda job: (job.zone not in busy_zones, -work[job.zone], job.zone, -job.duration_ms),
+            lambda job: (job.zone not in busy_zones, job.zone, not job.is_voter, -job.duration_ms),
             lambda job: (-job.duration_ms,),
-            lambda job: (job.zone not in busy, not job.is_voter, -job.duration_ms, -job.cores),
+            lambda job: (job.zone not in busy_zones, not job.is_voter, -job.duration_ms, -job.cores),
         ]
-        lists = [sorted(waiting, key=rule) for rule in rules]
-        return min(
-            ((self.place(order, out), order) for order in lists), key=lambda found: found[0].duration_ms
-        )
+        orders = [sorted(waiting, key=rule) for rule in rules]
+        schedules = [(self.place(order, active), order) for order in orders]
+        return min(schedules, key=lambda entry: entry[0].duration_ms)
 
-    def place(self, order: Sequence[ReplacementJob], out: Sequence[ReplacementJob] = ()) -> Schedule:
+    def place(self, order: Sequence[ReplacementJob], active: Sequence[ReplacementJob] = ()) -> Schedule:
         """Start each machine of an order as early as those before it allow."""
-        spans = [(0.0, job.duration_ms, job) for job in out]
+        spans = [(0.0, job.duration_ms, job) for job in active]
         starts = dict[str, float]()
         for job in order:
             start = self._earliest(job, spans)
@@ -138,28 +137,28 @@
                 return start
         return math.inf
 
-    def wait_reasons(self, job: ReplacementJob, out: Sequence[ReplacementJob], start: float) -> list[str]:
+    def wait_reasons(self, job: ReplacementJob, active: Sequence[ReplacementJob], start: float) -> list[str]:
         """Return why a machine does not start now, for operators."""
-        why = list(self.blockers([*out, job]))
-        if why and out:
-            why = [f"{text} (out: {', '.join(sorted(o.name for o in out))})" for text in why]
-        if not why and start > 0:
-            why = ["its turn comes later: another order is shorter"]
-        return why
+        reasons = list(self.blockers([*active, job]))
+        if reasons and active:
+            reasons = [f"{text} (out: {', '.join(sorted(o.name for o in active))})" for text in reasons]
+        if not reasons and start > 0:
+            reasons = ["its turn comes later: another order is shorter"]
+        return reasons
 
 
 def _neighbouring_orders(order: Sequence[ReplacementJob]) -> list[list[ReplacementJob]]:
     """Return orders with one machine moved, or two exchanged."""
-    found, n = [], len(order)
+    orders, n = [], len(order)
     for i in range(n):
         for j in range(i + 1, n):
             changed = list(order)
             changed[i], changed[j] = changed[j], changed[i]
-            found.append(changed)
+            orders.append(changed)
     for i in range(n):
         for j in range(n):
             if abs(i - j) > 1:
                 changed = list(order)
                 changed.insert(j, changed.pop(i))
-                found.append(changed)
-    return found
+                orders.append(changed)
+    return orders
--- a/cottonhold/fleet/rolling_replacement/start_conditions.py
+++ b/cottonhold/fleet/rolling_replacement/start_conditions.py
@@ -31,10 +31,11 @@
     plan: ReplacementPlan, records: Mapping[str, MachineRecord], machines: Mapping[str, Machine]
 ) -> int:
     """Return how many voters are up and stay so: neither out, nor replacing one that is out."""
-    out = set(plan.machines_out)
-    away = {r.replacement for name, r in records.items() if machine_id(name) in out}
+    active_ids = set(plan.active_machine_ids)
+    arriving = {r.replacement for name, r in records.items() if machine_id(name) in active_ids}
     return sum(
-        m.is_voter and m.is_voting and m.id not in out and m.name not in away for m in machines.values()
+        m.is_voter and m.is_voting and m.id not in active_ids and m.name not in arriving
+        for m in machines.values()
     )
 
 
@@ -47,9 +48,9 @@
 
     def __init__(self, voters: int, default_duration_ms: float, capacity_check: CapacityCheck | None) -> None:
         self.voters, self.default_duration_ms = voters, default_duration_ms
-        self.capacity_check = capacity_check or (lambda out: [])
+        self.capacity_check = capacity_check or (lambda missing_cores: [])
         self.checked_at, self.key = 0.0, tuple[object, ...]()
-        self.constraints = ScheduleConstraints(Limits(), lambda out: [])
+        self.constraints = ScheduleConstraints(Limits(), lambda missing_cores: [])
         self.schedule: Schedule | None = None
 
     def blockers(
@@ -62,48 +63,54 @@
     ) -> list[str]:
         """Return why a machine may not start now."""
         jobs = self._jobs(plan, records, machines)
-        out = [jobs[n] for n in jobs if machine_id(n) in plan.machines_out]
-        waiting = [jobs[n] for n, r in records.items() if r.step in WAITING_STEPS and jobs[n] not in out]
+        active = [jobs[n] for n in jobs if machine_id(n) in plan.active_machine_ids]
+        waiting = [jobs[n] for n, r in records.items() if r.step in WAITING_STEPS and jobs[n] not in active]
         limits, zones = (
             self._limits(plan, records, machines),
             {zone_number(m.zone): m.zone for m in machines.values()},
         )
         key = (
-            tuple(out),
+            tuple(active),
             tuple(waiting),
-            limits.max_out,
+            limits.max_concurrent,
             limits.max_zones,
             limits.spare_voters,
             tuple(limits.missing_cores.items()),
         )
         if key != self.key or now - self.checked_at > MAX_CHECK_AGE_MS:
             self.key, self.checked_at, self.schedule = key, now, None
-            self.constraints = ScheduleConstraints(limits, lambda lost: self._check_capacity(lost, zones))
+            self.constraints = ScheduleConstraints(
+                limits, lambda missing_cores: self._check_capacity(missing_cores, zones)
+            )
         # The schedule is costly, so it is sought only for a machine that could start.
-        why = self.constraints.wait_reasons(jobs[name], out, 0.0)
-        if why:
-            return why
+        reasons = self.constraints.wait_reasons(jobs[name], active, 0.0)
+        if reasons:
+            return reasons
         if self.schedule is None:
-            self.schedule = self.constraints.find_schedule(waiting, out)
-        return self.constraints.wait_reasons(jobs[name], out, self.schedule.start_times[name])
+            self.schedule = self.constraints.find_schedule(waiting, active)
+        return self.constraints.wait_reasons(jobs[name], active, self.schedule.start_times[name])
 
-    def _check_capacity(self, lost: Mapping[int, float], zones: Mapping[int, str]) -> list[str]:
-        return self.capacity_check({zones.get(zone, str(zone)): cores for zone, cores in lost.items()})
+    def _check_capacity(self, missing_cores: Mapping[int, float], zones: Mapping[int, str]) -> list[str]:
+        return self.capacity_check(
+            {zones.get(zone, str(zone)): cores for zone, cores in missing_cores.items()}
+        )
 
     def _limits(
         self, plan: ReplacementPlan, records: Mapping[str, MachineRecord], machines: Mapping[str, Machine]
     ) -> Limits:
-        out = [n for n in records if machine_id(n) in plan.machines_out]
-        voters_out = sum(records[n].has_flag(MachineFlag.VOTER) for n in out)
-        down = max(self.voters - available_voters(plan, records, machines) - voters_out, 0)
-        lacking = dict[int, float]()
+        active = [n for n in records if machine_id(n) in plan.active_machine_ids]
+        active_voters = sum(records[n].has_flag(MachineFlag.VOTER) for n in active)
+        voters_down = max(self.voters - available_voters(plan, records, machines) - active_voters, 0)
+        missing_cores = dict[int, float]()
         for name, record in records.items():
             # A smaller engine in place is in the endpoint list with its cores, so they are known there.
-            known = record.has_flag(MachineFlag.ENGINE) and record.replacement in machines
-            if name not in out and record.missing_cores_tenths() and not known:
-                lacking[record.zone] = lacking.get(record.zone, 0.0) + record.missing_cores_tenths() / 10
-        spare = self.voters - majority(self.voters) - down
-        return Limits(plan.max_out, plan.max_zones, spare, lacking)
+            is_known = record.has_flag(MachineFlag.ENGINE) and record.replacement in machines
+            if name not in active and record.missing_cores_tenths() and not is_known:
+                missing_cores[record.zone] = (
+                    missing_cores.get(record.zone, 0.0) + record.missing_cores_tenths() / 10
+                )
+        spare_voters = self.voters - majority(self.voters) - voters_down
+        return Limits(plan.max_concurrent, plan.max_zones, spare_voters, missing_cores)
 
     def _jobs(
         self, plan: ReplacementPlan, records: Mapping[str, MachineRecord], machines: Mapping[str, Machine]
@@ -114,8 +121,12 @@
                 durations[r.has_flag(MachineFlag.ENGINE)].append(r.duration_tenths)
         jobs = {}
         for name, r in records.items():
-            known = durations[r.has_flag(MachineFlag.ENGINE)]
-            duration_ms = 100.0 * sum(known) / len(known) if known else self.default_duration_ms
+            known_durations = durations[r.has_flag(MachineFlag.ENGINE)]
+            duration_ms = (
+                100.0 * sum(known_durations) / len(known_durations)
+                if known_durations
+                else self.default_duration_ms
+            )
             duration_ms = (
                 STUCK_DURATION_MS
                 if r.reason in (StepReason.NOT_ARRIVED, StepReason.LEFT_AGAIN)
@@ -124,17 +135,19 @@
             jobs[name] = ReplacementJob(
                 name,
                 r.zone,
-                self._lost_cores(name, r, plan, machines),
+                self._removed_cores(name, r, plan, machines),
                 r.has_flag(MachineFlag.VOTER),
                 duration_ms,
             )
         return jobs
 
-    def _lost_cores(
+    def _removed_cores(
         self, name: str, record: MachineRecord, plan: ReplacementPlan, machines: Mapping[str, Machine]
     ) -> float:
         """Return the cores that are lost, besides those that are counted no longer."""
         machine = machines.get(name)
         # An engine that is out is not in the fleet snapshot any more; its cores must not be counted twice.
-        gone = record.has_flag(MachineFlag.ENGINE) and (machine is None or not machine.is_counted)
-        return 0.0 if gone and machine_id(name) in plan.machines_out else record.cores_tenths / 10
+        is_uncounted = record.has_flag(MachineFlag.ENGINE) and (machine is None or not machine.is_counted)
+        return (
+            0.0 if is_uncounted and machine_id(name) in plan.active_machine_ids else record.cores_tenths / 10
+        )
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -142,7 +142,9 @@
     return step(name, record, view, settings) if step is not None else StepDecision()
 
 
-def _moving(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+def _decide_moving(
+    name: str, record: MachineRecord, view: MachineView, settings: StepSettings
+) -> StepDecision:
     if view.step_age_ms > settings.step_timeout_ms:
         return StepDecision(replace(record, step=ReplacementStep.FAILED, reason=StepReason.TIMED_OUT))
     if view.blocked_reasons:
@@ -161,13 +163,17 @@
         return StepDecision(reasons=["its pins are not counted yet"])
     if not view.target:
         return StepDecision(reasons=[f"{view.remaining_keys} pins, and nobody to take them"])
-    why = [f"{view.remaining_keys} pins left"]
+    reasons = [f"{view.remaining_keys} pins left"]
     if view.last_move_age_ms < settings.move_interval_ms:
-        return StepDecision(reasons=why)
-    return StepDecision(None, [MoveKeys(name, view.target, settings.max_keys_per_move, record.epoch)], why)
+        return StepDecision(reasons=reasons)
+    return StepDecision(
+        None, [MoveKeys(name, view.target, settings.max_keys_per_move, record.epoch)], reasons
+    )
 
 
-def _draining(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+def _decide_draining(
+    name: str, record: MachineRecord, view: MachineView, settings: StepSettings
+) -> StepDecision:
     if view.step_age_ms > settings.step_timeout_ms:
         return StepDecision(replace(record, step=ReplacementStep.FAILED, reason=StepReason.TIMED_OUT))
     if not view.keeps_quorum and view.step_age_ms > settings.quorum_wait_ms:
@@ -178,16 +184,16 @@
     # A request between the last move and the drain may have brought a new key.
     if not record.has_flag(MachineFlag.ENGINE) and view.remaining_keys != 0:
         return _move_keys(name, record, view, settings)
-    dead = view.absent_ms > settings.absence_timeout_ms
-    if view.open_requests is None and not dead:
+    is_absent = view.absent_ms > settings.absence_timeout_ms
+    if view.open_requests is None and not is_absent:
         return StepDecision(reasons=["its open requests are not counted yet"])
-    if view.open_requests and not dead:
+    if view.open_requests and not is_absent:
         return StepDecision(reasons=[f"{view.open_requests} requests open"])
     if not view.keeps_quorum:
         return StepDecision(reasons=[QUORUM_REASON])
     old = view.machines.get(name)
-    life = old.incarnation & 0xFFFFFFFF if old is not None else record.incarnation
-    return StepDecision(replace(record, step=ReplacementStep.OUT, incarnation=life))
+    incarnation = old.incarnation & 0xFFFFFFFF if old is not None else record.incarnation
+    return StepDecision(replace(record, step=ReplacementStep.OUT, incarnation=incarnation))
 
 
 def arrived_machine(name: str, record: MachineRecord, machines: Mapping[str, Machine]) -> Machine | None:
@@ -195,32 +201,32 @@
 
     After an abort also the old one that was never powered off.
     """
-    new = machines.get(record.replacement)
-    if new is not None and (record.replacement != name or _is_other_incarnation(record, new)):
-        return new
+    replacement = machines.get(record.replacement)
+    if replacement is not None and (record.replacement != name or _is_other_incarnation(record, replacement)):
+        return replacement
     return machines.get(name) if record.has_flag(MachineFlag.ABORTING) else None
 
 
-def _is_other_incarnation(record: MachineRecord, new: Machine) -> bool:
+def _is_other_incarnation(record: MachineRecord, arrived: Machine) -> bool:
     """Whether the machine under the old one's id was started after the old one was out."""
-    life = new.incarnation & 0xFFFFFFFF
+    incarnation = arrived.incarnation & 0xFFFFFFFF
     if not record.has_flag(MachineFlag.ENGINE):
-        return life != record.incarnation
+        return incarnation != record.incarnation
     # A list without start times shows the old engine, not powered off yet, as it would show the new one. So
     # it must have been absent first; the record says so, since the next driver may not have seen it.
     return record.has_flag(MachineFlag.WAS_AWAY) or bool(
-        life and record.incarnation and life != record.incarnation
+        incarnation and record.incarnation and incarnation != record.incarnation
     )
 
 
-def _out(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
-    new = arrived_machine(name, record, view.machines)
-    if new is not None:
+def _decide_out(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
+    arrived = arrived_machine(name, record, view.machines)
+    if arrived is not None:
         return StepDecision(
             replace(
                 record,
                 step=ReplacementStep.IN_PLACE,
-                arrived_cores_tenths=max(to_tenths(new.cores), 1),
+                arrived_cores_tenths=max(to_tenths(arrived.cores), 1),
                 reason=StepReason.NONE,
             )
         )
@@ -232,44 +238,54 @@
         return StepDecision(
             replace(record, flags=record.flags | MachineFlag.WAS_AWAY), reasons=[f"'{name}' is away"]
         )
-    ready: list[Action] = [ReadyToPowerOff(name, record.epoch)]
+    notifications: list[Action] = [ReadyToPowerOff(name, record.epoch)]
     if record.has_flag(MachineFlag.ABORTING):
         return StepDecision(None, [], [f"aborted: '{name}' or '{record.replacement}' has to be put back"])
     if view.step_age_ms > settings.arrival_timeout_ms:
-        late = (
+        late_record = (
             replace(record, reason=StepReason.NOT_ARRIVED)
             if record.reason is not StepReason.NOT_ARRIVED
             else None
         )
         return StepDecision(
-            late, ready, [f"'{record.replacement}' has not come in {settings.arrival_timeout_ms / 1000:g} s"]
+            late_record,
+            notifications,
+            [f"'{record.replacement}' has not come in {settings.arrival_timeout_ms / 1000:g} s"],
         )
-    still = record.has_flag(MachineFlag.ENGINE) and name in view.machines
-    why = f"'{name}' is there still, as before it was out" if still else f"waits for '{record.replacement}'"
-    return StepDecision(None, ready, [why])
+    is_still_listed = record.has_flag(MachineFlag.ENGINE) and name in view.machines
+    reason = (
+        f"'{name}' is there still, as before it was out"
+        if is_still_listed
+        else f"waits for '{record.replacement}'"
+    )
+    return StepDecision(None, notifications, [reason])
 
 
-def _in_place(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
-    smaller = record.arrived_cores_tenths < (
+def _decide_in_place(
+    name: str, record: MachineRecord, view: MachineView, settings: StepSettings
+) -> StepDecision:
+    is_smaller = record.arrived_cores_tenths < (
         record.requested_cores_tenths if not record.has_flag(MachineFlag.ABORTING) else record.cores_tenths
     )
     return StepDecision(
         replace(
-            record, step=ReplacementStep.RAMPING, reason=StepReason.SMALLER if smaller else StepReason.NONE
+            record, step=ReplacementStep.RAMPING, reason=StepReason.SMALLER if is_smaller else StepReason.NONE
         )
     )
 
 
-def _ramping(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
-    new = arrived_machine(name, record, view.machines)
-    if new is None:
+def _decide_ramping(
+    name: str, record: MachineRecord, view: MachineView, settings: StepSettings
+) -> StepDecision:
+    arrived = arrived_machine(name, record, view.machines)
+    if arrived is None:
         if view.replacement_absent_ms < settings.absence_timeout_ms:
             return StepDecision(reasons=[f"'{record.replacement}' is not seen"])
         return StepDecision(
             replace(record, step=ReplacementStep.OUT, arrived_cores_tenths=0, reason=StepReason.LEFT_AGAIN)
         )
-    if record.has_flag(MachineFlag.VOTER) and not new.is_voting:
-        return StepDecision(reasons=[f"'{new.name}' has an empty memory: it may not vote yet"])
+    if record.has_flag(MachineFlag.VOTER) and not arrived.is_voting:
+        return StepDecision(reasons=[f"'{arrived.name}' has an empty memory: it may not vote yet"])
     if (
         view.traffic_share is not None
         and view.traffic_share < 1.0
@@ -286,9 +302,9 @@
 
 Decider = Callable[[str, MachineRecord, MachineView, StepSettings], StepDecision]
 STEPS: dict[ReplacementStep, Decider] = {
-    ReplacementStep.MOVING: _moving,
-    ReplacementStep.DRAINING: _draining,
-    ReplacementStep.OUT: _out,
-    ReplacementStep.IN_PLACE: _in_place,
-    ReplacementStep.RAMPING: _ramping,
+    ReplacementStep.MOVING: _decide_moving,
+    ReplacementStep.DRAINING: _decide_draining,
+    ReplacementStep.OUT: _decide_out,
+    ReplacementStep.IN_PLACE: _decide_in_place,
+    ReplacementStep.RAMPING: _decide_ramping,
 }
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -57,7 +57,7 @@
         """Record keys with open requests whose home is another now, lest it start their next requests."""
         for key in self.open_requests:
             if key not in self.records and self.home(key) != self.member:
-                record = OwnershipRecord(self._next_epoch(0), self.member, OwnershipState.HELD)
+                record = OwnershipRecord(self._next_epoch(0), self.member, OwnershipState.OWNED)
                 self.records[key] = record
                 self._persist(key, record)
 
@@ -200,7 +200,7 @@
         self.records[key] = record = OwnershipRecord(
             self._next_epoch(epoch),
             self.member,
-            OwnershipState.HELD,
+            OwnershipState.OWNED,
             uncertain_until=uncertain_until,
             home_informed=True,
         )
@@ -223,7 +223,7 @@
             record.home_has_candidate = record.home_has_candidate or is_candidate
         elif entry.epoch == self._announcement(record).epoch:
             record.home_informed = True
-            if record.state is OwnershipState.HELD and record.peer:
+            if record.state is OwnershipState.OWNED and record.peer:
                 self._add_entry(record.peer, EntryKind.RELEASE_ACK, entry)
 
     def _announcement(self, record: OwnershipRecord, key: bytes = b"") -> MigrationEntry:
@@ -251,7 +251,7 @@
         }
         handlers[kind](now, sender, entry)
 
-    def _send_due(self, now: float, key: bytes, record: OwnershipRecord) -> None:
+    def _send_pending(self, now: float, key: bytes, record: OwnershipRecord) -> None:
         """Send what this key still lacks an answer to; it is finished if nothing is left."""
         if record.pending_token:
             record.next_send_at = math.inf  # scheduled again by `on_persisted`
@@ -292,7 +292,7 @@
             self._decide_candidates(now)
         self._offer_queued(now)
         for key in [key for key in self.unfinished_keys if self.records[key].next_send_at <= now]:
-            self._send_due(now, key, self.records[key])
+            self._send_pending(now, key, self.records[key])
         self._send_withdrawals(now)
         if len(self.records) >= self.purge_at:
             self._purge()
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -211,9 +211,9 @@
 
     def _send_durable_answers(self, now: float) -> None:
         pending = self.pending_answers
-        due = [answer.message for answer in pending if answer.record_version <= self.durable_version]
+        durable = [answer.message for answer in pending if answer.record_version <= self.durable_version]
         self.pending_answers = [a for a in pending if a.record_version > self.durable_version]
-        for message in due:
+        for message in durable:
             if message.member == self.member:
                 self.on_refusal(now, self.member, *messages.decode_notice(message.payload))
             else:
--- a/cottonhold/fleet/session_affinity/migration.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -50,13 +50,13 @@
     def _offer(self, now: float, key: bytes, target: int) -> bool:
         """Offer a key to a target; return False if it cannot be moved, or not yet."""
         record = self.records.get(key)
-        if record is not None and record.owner == self.member and record.state is OwnershipState.HELD:
+        if record is not None and record.owner == self.member and record.state is OwnershipState.OWNED:
             if record.pending_token or any(withdrawn == key for withdrawn, _ in self.withdrawn_offers):
                 self.move_queues[target].append(key)  # an earlier offer is not withdrawn yet
                 return False
         elif record is None and self.home(key) == self.member and self._may_start_without_record(key):
             self.records[key] = record = OwnershipRecord(
-                self._next_epoch(0), self.member, OwnershipState.HELD, home_informed=True
+                self._next_epoch(0), self.member, OwnershipState.OWNED, home_informed=True
             )
             # What was in flight without a record before this member's last restart may still run.
             uncertain_until = self.started_at + self.settings.uncertainty_ms
@@ -105,7 +105,7 @@
         self._end_move(key, record, False)
         record.stopped_at = math.nan
         record.epoch = self._next_epoch(record.offered_epoch)
-        record.state = OwnershipState.HELD
+        record.state = OwnershipState.OWNED
         record.is_accepted = False
         record.home_informed = self.home(key) == self.member
         record.home_has_candidate = False
@@ -204,7 +204,7 @@
         return record.epoch == entry.epoch and record.home_informed and not record.pending_token
 
     def _acquire(self, now: float, key: bytes, record: OwnershipRecord, may_have_run: bool) -> None:
-        record.state = OwnershipState.HELD
+        record.state = OwnershipState.OWNED
         record.uncertain_until = now + self.settings.uncertainty_ms if may_have_run else -math.inf
         record.home_informed = self.home(key) == self.member
         record.is_newly_acquired = True
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -5,14 +5,14 @@
 knows that owner. A move takes these steps:
 
     owner                                             target
-    HELD --OFFER--> (OFFERED on disk)                 ACCEPTED on disk --ACCEPT-->
+    OWNED --OFFER--> (OFFERED on disk)                ACCEPTED on disk --ACCEPT-->
     no request of the key is open, or the fence delay is over:
     FENCED on disk: starts no further request         (requests of the key wait or are retried)
     no request is open any more, or its outcome is unknown:
-    RELEASED on disk --RELEASE-->                     HELD on disk: starts requests. --RELEASE_ACK-->
+    RELEASED on disk --RELEASE-->                     OWNED on disk: starts requests. --RELEASE_ACK-->
 
 Every message is sent again until it is answered, and a message carries many keys. At each moment at most one
-member may start requests of a key: the owner until FENCED, the target from its HELD on. An epoch is never
+member may start requests of a key: the owner until FENCED, the target from its OWNED on. An epoch is never
 used twice: the epochs of one member only grow, and a member that forgot a record declines offers that are
 not newer than all it forgot.
 
@@ -100,8 +100,8 @@
                 return None
             return OwnedHere(0, valid_until, self._uncertain_until(now, key) > now)
         # A restart would undo an epoch that is not on disk, after requests had begun under it.
-        is_durably_held = record.state is OwnershipState.HELD and not record.pending_token
-        may_start = is_durably_held or record.state is OwnershipState.OFFERED
+        is_durably_owned = record.state is OwnershipState.OWNED and not record.pending_token
+        may_start = is_durably_owned or record.state is OwnershipState.OFFERED
         if not may_start or record.owner != self.member:
             return None
         return OwnedHere(record.epoch, valid_until, record.uncertain_until > now)
@@ -168,7 +168,7 @@
         is_own_home = self.home(key) == self.member and self.settings.is_enabled
         if not outcome_known and record is None and is_own_home:
             epoch = self._next_epoch(0)
-            record = OwnershipRecord(epoch, self.member, OwnershipState.HELD, home_informed=True)
+            record = OwnershipRecord(epoch, self.member, OwnershipState.OWNED, home_informed=True)
             self.records[key] = record
             self._persist(key, record)
         if record is None:
@@ -186,10 +186,10 @@
 
     def cancel_moves(self, now: float, keys: Iterable[bytes]) -> list[Action]:
         """Keep these keys; those that are released already go on to their targets."""
-        kept_keys = set(keys)
+        retained_keys = set(keys)
         for target, queue in self.move_queues.items():
-            self.move_queues[target] = deque(key for key in queue if key not in kept_keys)
-        for key in kept_keys:
+            self.move_queues[target] = deque(key for key in queue if key not in retained_keys)
+        for key in retained_keys:
             record = self.records.get(key)
             if record is None or record.owner != self.member:
                 continue
@@ -259,7 +259,7 @@
                 self._add_entry(sender, EntryKind.ANNOUNCE_ACK, entry)
         if record.state is OwnershipState.ACCEPTED and record.peer:
             self._add_entry(record.peer, EntryKind.ACCEPT, MigrationEntry(key, record.epoch))
-        elif record.state is OwnershipState.HELD and record.is_newly_acquired:
+        elif record.state is OwnershipState.OWNED and record.is_newly_acquired:
             record.is_newly_acquired = False
             self.actions.append(OwnershipAcquired(key, record.epoch, record.uncertain_until > now))
             if record.home_informed and record.peer:
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -57,7 +57,7 @@
 class OwnershipState(IntEnum):
     """The state of a key at this member; in RELEASED another member owns it."""
 
-    HELD, OFFERED, ACCEPTED, FENCED, RELEASED = range(5)
+    OWNED, OFFERED, ACCEPTED, FENCED, RELEASED = range(5)
 
 
 @dataclass(slots=True, frozen=True)
@@ -157,7 +157,7 @@
     home_informed: bool = False  # the key's home knows the owner
     home_has_candidate: bool = False  # the key's home knows of the acceptance, without having decided
     target_removed: bool = False  # in RELEASED: the target was fenced and never confirmed the release
-    is_newly_acquired: bool = False  # in HELD: acquired by this write
+    is_newly_acquired: bool = False  # in OWNED: acquired by this write
     offered_at: float = 0.0
     stopped_at: float = math.nan  # when a mover stopped starting requests; unknown after a restart
     next_send_at: float = -math.inf
@@ -220,15 +220,6 @@
         self.records: dict[bytes, OwnershipRecord] = {}
         self.open_requests: dict[bytes, set[int]] = {}
         self.unfinished_keys: set[bytes] = set()  # keys with something left to send
-        self.move_queues: dict[int, deque[bytes]] = {}  # by target
-        self.move_allowances: dict[int, MoveAllowance] = {}  # by target
-        self.pending_offers: dict[int, int] = {}  # by target: number of keys being moved
-        self.candidates: dict[bytes, Candidate] = {}
-        self.announced_epochs: dict[int, int] = {}  # by member: the epoch for which it announced all it owns
-        self.acknowledged_epochs: dict[
-            int, int
-        ] = {}  # by member: the same of this member, as it acknowledged
-        self.next_announcement_at = -math.inf
         self.home_cache: dict[bytes, int] = {}
         self.highest_epoch = 0
         self.last_token = 0
@@ -237,17 +228,32 @@
         self.outgoing_entries: dict[tuple[int, EntryKind], list[MigrationEntry]] = {}
         self.actions: list[Action] = []
         self.counts = {"malformed": 0, "said": 0}
+        self.keys_by_token: dict[int, bytes] = {}
+        self._start_moves()
+        self._start_announcements()
+        if has_full_memory:
+            self._load(now, records)
+
+    def _start_moves(self) -> None:
+        """The moves of keys to other members: none yet."""
+        self.move_queues: dict[int, deque[bytes]] = {}  # by target
+        self.move_allowances: dict[int, MoveAllowance] = {}  # by target
+        self.pending_offers: dict[int, int] = {}  # by target: number of keys being moved
+        self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
         # Of keys moved away: the time from when this member stopped until it received the target's
         # confirmation, which is one network delay longer than the time without an owner.
         self.handover_histogram = [0] * (len(HANDOVER_STEPS_MS) + 1)
-        self.keys_by_token: dict[int, bytes] = {}
-        self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
+
+    def _start_announcements(self) -> None:
+        """What members announced of the keys that they own: nothing yet."""
+        self.candidates: dict[bytes, Candidate] = {}
+        self.announced_epochs: dict[int, int] = {}  # by member: the epoch for which it announced all it owns
+        self.acknowledged_epochs: dict[int, int] = {}  # by member: the same of this one, as it acknowledged
+        self.next_announcement_at = -math.inf
         # The member lists since the last complete epoch; None if some are not known.
         self.recent_tables: list[frozenset[int]] | None = None
         if self.lease.complete_epoch == self.lease.epoch:
             self.recent_tables = [frozenset(self.lease.members)]
-        if has_full_memory:
-            self._load(now, records)
 
     def home(self, key: bytes) -> int:
         """Return the member that owns a key without a record, or NO_MEMBER."""
--- a/cottonhold/fleet/session_affinity/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -151,7 +151,7 @@
         movable = []
         for key in dict.fromkeys((*ownership.owned_keys(), *self.recent_keys)):
             record = ownership.records.get(key)
-            is_moving = record is not None and record.state is not record_book.OwnershipState.HELD
+            is_moving = record is not None and record.state is not record_book.OwnershipState.OWNED
             if not is_moving and key not in queued and ownership.ownership_of(now, key) is not None:
                 movable.append(key)
         return movable
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -301,10 +301,10 @@
             for z in in_service
             if len(z.durations) >= MIN_DURATIONS
         ]
-        own = min(zone.median_log_ratio(FEW), zone.median_log_ratio(MANY))
+        log_ratio = min(zone.median_log_ratio(FEW), zone.median_log_ratio(MANY))
         is_loaded = len(in_service) < len(self.zones) - 1
         margin = math.log(self.settings.outlier_factor * (LOADED_FACTOR if is_loaded else 1.0))
-        return len(zone.durations) >= MIN_DURATIONS and own >= min(others, default=0.0) + margin
+        return len(zone.durations) >= MIN_DURATIONS and log_ratio >= min(others, default=0.0) + margin
 
     def _health(self, zone: ZoneEvidence) -> ZoneHealth:
         """A zone's health. Slowness has to last a few looks: where all zones slow down at once, the evidence
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -123,7 +123,7 @@
     for ended in (0, 3, 300):
         pricing = ThresholdController(0.0)
         for _ in range(ended):
-            pricing.on_admitted(0.0, ran_out_of_time=False)
+            pricing.on_admitted(0.0, has_expired=False)
         price = pricing.step(10.0, pricing.report(word), [], 1, 5.0)
         assert price is not None
         shares.append(price.admitted_share / 0.97 * 2)
@@ -133,7 +133,7 @@
 def test_the_gain_is_bounded_and_returns_to_one_without_overload() -> None:
     pricing, word = ThresholdController(0.0), ReportedDemand({60: 100.0})
     for t in range(100, 60_000, 100):
-        pricing.on_admitted(1.0, ran_out_of_time=True)
+        pricing.on_admitted(1.0, has_expired=True)
         pricing.step(float(t), pricing.report(word.rates), [], 1, 10.0)
     assert pricing.gain == pricing.settings.min_gain
     for t in range(60_000, 90_000, 100):
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -300,7 +300,7 @@
     for counted, cores in ((True, 16.0), (False, 8.0)):
         asked.clear()
         there = THERE | {"a0": Machine("a0", "a", 8.0, True, is_counted=counted)}
-        whole = ReplacementPlan(machines_out=(machine_id("a0"),), max_out=2, max_zones=3)
+        whole = ReplacementPlan(active_machine_ids=(machine_id("a0"),), max_concurrent=2, max_zones=3)
         assert starts.blockers(0.0, "a1", whole, chain, there) == []
         assert {sum(out.values()) for out in asked} >= {cores}, asked
         starts.key = ()
--- a/tests/fleet/test_request_forwarding.py
+++ b/tests/fleet/test_request_forwarding.py
@@ -17,7 +17,8 @@
     ForwardResult,
     RequestForwarder,
 )
-from cottonhold.fleet.request_forwarding.origin import RequestOrigin, SendPhase
+from cottonhold.fleet.request_forwarding.origin import RequestOrigin
+from cottonhold.fleet.request_forwarding.outgoing import SendPhase
 from cottonhold.fleet.request_forwarding.owner import RequestOwner
 from tests.support.forwarding_network import LIAR, A, B, C, ForwardingNetwork, random_faults
 
--- a/tests/fleet/test_rolling_replacement.py
+++ b/tests/fleet/test_rolling_replacement.py
@@ -56,7 +56,7 @@
         (ReplacementRequest("ann", (MachineRequest("d1", "x1"),)), "'x1' is no machine of the kind"),
         (ReplacementRequest("ann", (MachineRequest("d1", "e" * 33),)), "longer than 32 bytes"),
         (ReplacementRequest("ann", (MachineRequest("d1", cores=-1.0),)), "-1.0 cores"),
-        (ReplacementRequest("ann", (MachineRequest("d1"),), max_out=9), "must be 1 to 5"),
+        (ReplacementRequest("ann", (MachineRequest("d1"),), max_concurrent=9), "must be 1 to 5"),
     ],
 )
 def test_a_request_that_makes_no_sense_is_told_what_is_wrong(request_: ReplacementRequest, says: str) -> None:
@@ -120,7 +120,7 @@
     st.builds(
         ReplacementPlan, st.sampled_from(plan.PlanState), U32, U32, U32, U64, U8, U8, NAMES,
         st.just("w" * 16),
-        st.lists(U64, max_size=plan.MAX_MACHINES_OUT).map(tuple),
+        st.lists(U64, max_size=plan.MAX_CONCURRENT_REPLACEMENTS).map(tuple),
     )
 )  # fmt: skip
 def test_an_encoded_plan_fits_into_a_register_and_decodes_to_the_same(whole: ReplacementPlan) -> None:
--- a/tests/fleet/test_schedule.py
+++ b/tests/fleet/test_schedule.py
@@ -33,7 +33,7 @@
 def allowed(out: Sequence[ReplacementJob], limits: Limits) -> bool:
     """Said anew, so that a mistake in the order's own rule is seen."""
     lost = {z: sum(j.cores for j in out if j.zone == z) for z in {j.zone for j in out}}
-    few = len(out) <= limits.max_out and len(lost) <= limits.max_zones
+    few = len(out) <= limits.max_concurrent and len(lost) <= limits.max_zones
     return few and sum(j.is_voter for j in out) <= limits.spare_voters and not bears(lost)
 
 
