--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -276,7 +276,7 @@
     assert gaps[:4] == [60.0, 120.0, 240.0, 480.0] and len(sent) < 30
     assert not memory.has_pending and not memory.load_by_request
     memory.step(20_000.0, WHOLE)
-    assert not memory.local.queried and not memory.queries
+    assert not memory.local.queried and not memory.queries.sent
 
 
 def test_an_entry_expires_a_hold_after_its_end() -> None:
