--- a/tests/fleet/test_admission_gateway.py
+++ b/tests/fleet/test_admission_gateway.py
@@ -64,7 +64,7 @@
     ],
     ids=["none", "as the fleet says", "as much as is allowed", "no longer"],
 )
-def test_a_rejected_client_is_told_the_fleets_retry_after(
+def test_a_rejected_client_gets_the_fleets_retry_after(
     prices: list[AdmissionThreshold], most: float, told: float
 ) -> None:
     cls = dataclasses.replace(LOOKUP, utility=60.0)
@@ -77,49 +77,49 @@
     assert [a.retry_after_ms for a in found if isinstance(a, Reject)] == [told]
 
 
-class Notes:
-    """A watch that keeps what it is told."""
+class RecordingObserver:
+    """An observer that records its notifications."""
 
     def __init__(self) -> None:
-        self.heard: list[str] = []
+        self.events: list[str] = []
 
-    def on_request_arrived(self, taken: ClientRequest) -> float:
-        return admission_draw(taken.request_id.encode(), taken.is_retry)
+    def on_request_arrived(self, client_request: ClientRequest) -> float:
+        return admission_draw(client_request.request_id.encode(), client_request.is_retry)
 
-    def on_demand_estimated(self, taken: ClientRequest, worth: float, work: float) -> None:
-        self.heard.append("offered")
+    def on_demand_estimated(self, client_request: ClientRequest, utility: float, work_ms: float) -> None:
+        self.events.append("estimated")
 
-    def on_admission_settled(self, wait: float, lost: bool) -> None:
-        self.heard.append(f"let in {lost}")
+    def on_admission_settled(self, waited_fraction: float, was_rejected: bool) -> None:
+        self.events.append(f"settled, rejected: {was_rejected}")
 
     def on_attempt_sent(self, attempt: object, query_class: int) -> None:
-        self.heard.append("sent")
+        self.events.append("sent")
 
     def on_attempt_ended(self, attempt: object, event: object) -> None:
-        self.heard.append("ended")
+        self.events.append("ended")
 
-    def on_request_closed(self, ref: str) -> None:
+    def on_request_closed(self, request_id: str) -> None:
         pass
 
 
 @pytest.mark.parametrize(
-    "engines, price, heard",
+    "engines, threshold, events",
     [
-        ("a", FREE, ["offered", "let in False", "sent"]),
-        ("a", AdmissionThreshold(1e9, 1e9, 0.0, 1e9), ["offered"]),
-        ("", FREE, ["offered", "let in True"]),
+        ("a", FREE, ["estimated", "settled, rejected: False", "sent"]),
+        ("a", AdmissionThreshold(1e9, 1e9, 0.0, 1e9), ["estimated"]),
+        ("", FREE, ["estimated", "settled, rejected: True"]),
     ],
-    ids=["sent", "turned away", "ran out of time"],
+    ids=["sent", "rejected", "ran out of time"],
 )
 def test_the_gateway_reports_what_became_of_requests(
-    engines: str, price: AdmissionThreshold, heard: list[str]
+    engines: str, threshold: AdmissionThreshold, events: list[str]
 ) -> None:
-    world, notes = World(engines=engines), Notes()
-    world.gateway.notifications.observer = notes
-    world.gateway.push(price)
+    world, observer = World(engines=engines), RecordingObserver()
+    world.gateway.notifications.observer = observer
+    world.gateway.push(threshold)
     world.run("c1 query lookup r1 allow=1000")
     world.wait(1200)
-    assert sorted(set(notes.heard) - {"ended"}) == sorted(heard)
+    assert sorted(set(observer.events) - {"ended"}) == sorted(events)
 
 
 def fleet(price: bool = True) -> FleetCoordinator:
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -46,7 +46,7 @@
     return EngineListChange(made, {e.id: Address("10.0.0.1", port + int(e.id[1:])) for e in made}, whole)
 
 
-def kept(records: list[Record], before: dict[bytes, bytes] | None = None) -> dict[bytes, bytes]:
+def folder_after(records: list[Record], before: dict[bytes, bytes] | None = None) -> dict[bytes, bytes]:
     """The folder after these records."""
     folder = dict(before or {})
     for record in records:
@@ -57,7 +57,7 @@
     return folder
 
 
-LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.REMOVED
+LIVE, DRAINING, REMOVED = EngineState.LIVE, EngineState.DRAINING, EngineState.REMOVED
 FIRST = change(("e1", 0, LIVE), ("e2", 1, LIVE))
 
 
@@ -70,7 +70,7 @@
     [
         (change(("e3", 0, LIVE)), ["e1", "e2", "e3"]),
         (change(("e1", 0, DRAINING)), ["e2"]),
-        (change(("e1", 0, GONE)), ["e2"]),
+        (change(("e1", 0, REMOVED)), ["e2"]),
         (change(("e2", 1, LIVE), whole=True), ["e2"]),
         (change(("e4", 0, DRAINING)), ["e1", "e2"]),
     ],
@@ -78,14 +78,14 @@
 )
 def test_only_live_engines_are_cached(then: EngineListChange, left: list[str]) -> None:
     made = EngineCache({}, NAMES)
-    folder = kept(made.apply(FIRST))
+    folder = folder_after(made.apply(FIRST))
     assert made.apply(FIRST) == []  # nothing is written twice
-    folder = kept(made.apply(then), folder)
+    folder = folder_after(made.apply(then), folder)
     assert ids(EngineCache(folder, NAMES)) == left == ids(made)
 
 
 def test_a_cached_engine_is_restored_by_the_names_of_its_zone_and_type() -> None:
-    folder = kept(EngineCache({}, NAMES).apply(FIRST))
+    folder = folder_after(EngineCache({}, NAMES).apply(FIRST))
     [one, two] = EngineCache(folder, ConfiguredNames(("b", "c", "a"), ("large",))).observations()
     assert (one.address, one.zone, one.machine_type, one.cell, one.size) == (
         Address("10.0.0.1", 7001),
@@ -114,7 +114,7 @@
     ids=["the same engine elsewhere", "another engine at its address"],
 )
 def test_the_configuration_outranks_the_cache(known: Observation, found: list[str]) -> None:
-    made = EngineCache(kept(EngineCache({}, NAMES).apply(FIRST)), NAMES)
+    made = EngineCache(folder_after(EngineCache({}, NAMES).apply(FIRST)), NAMES)
     observations = made.observations((known,))
     assert [o.id for o in observations] == found and observations[0] == known
 
@@ -131,7 +131,7 @@
     ids=["empty", "version", "nothing", "short", "no address"],
 )
 def test_an_unreadable_record_is_counted_and_the_others_count(value: bytes) -> None:
-    folder = kept(EngineCache({}, NAMES).apply(FIRST))
+    folder = folder_after(EngineCache({}, NAMES).apply(FIRST))
     made = EngineCache({**folder, b"e1": value}, NAMES)
     assert made.malformed == 1 and ids(made) == ["e2"]
 
@@ -209,24 +209,24 @@
         node.rolling_replacement.coordinator.view.records = {
             "e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)
         }
-        rim, swap = node.rolling_replacement.drains, node.rolling_replacement.coordinator
-        rim.act(0.0, swap, Drain("e1"))
-        assert set(node.quarantine.live_engines()) == {"e2"} and "e1" not in rim.drains.drained, (
+        adapter, replacement = node.rolling_replacement.drains, node.rolling_replacement.coordinator
+        adapter.act(0.0, replacement, Drain("e1"))
+        assert set(node.quarantine.live_engines()) == {"e2"} and "e1" not in adapter.drains.drained, (
             "told before it is kept"
         )
-        while "e1" not in rim.drains.drained:
+        while "e1" not in adapter.drains.drained:
             await asyncio.sleep(0)
 
     async def back(node: StandaloneDispatcher) -> None:
         assert node.rolling_replacement is not None and set(node.quarantine.live_engines()) == {"e2"}
-        rim, swap, now = (
+        adapter, replacement, now = (
             node.rolling_replacement.drains,
             node.rolling_replacement.coordinator,
             node.event_loop.clock.now(),
         )
-        rim.step(now, swap)
+        adapter.step(now, replacement)
         assert set(node.quarantine.live_engines()) == {"e2"}
-        rim.step(now + rim.drains.settings.startup_timeout_ms, swap)
+        adapter.step(now + adapter.drains.settings.startup_timeout_ms, replacement)
         assert set(node.quarantine.live_engines()) == {"e1", "e2"}
 
     async def after(node: StandaloneDispatcher) -> None:
@@ -237,7 +237,7 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "failed"])
-def test_a_drain_that_the_disk_did_not_take_is_kept_once_it_does(
+def test_a_drain_that_the_disk_refused_is_recorded_once_it_can(
     tmp_path: Path, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It counts at once, and outlasts a kill after the fault has passed."""
@@ -260,14 +260,14 @@
         node.rolling_replacement.coordinator.view.records = {
             "e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)
         }
-        rim, swap = node.rolling_replacement.drains, node.rolling_replacement.coordinator
+        adapter, replacement = node.rolling_replacement.drains, node.rolling_replacement.coordinator
         disk.orders = disk_of.Orders(full=True) if fault == "full" else disk_of.Orders(fail_sync=1.0)
-        rim.act(0.0, swap, Drain("e1"))
-        while "e1" not in rim.drains.drained:
+        adapter.act(0.0, replacement, Drain("e1"))
+        while "e1" not in adapter.drains.drained:
             await asyncio.sleep(0)
-        assert rim.records.pending or rim.records.in_flight, "not kept yet, and not given up"
+        assert adapter.records.pending or adapter.records.in_flight, "not kept yet, and not given up"
         disk.orders = disk_of.Orders()
-        while rim.records.pending or rim.records.in_flight:
+        while adapter.records.pending or adapter.records.in_flight:
             await asyncio.sleep(0.01)
         disk.cut()
 
@@ -279,21 +279,21 @@
         asyncio.run(life(story))
 
 
-class Scripted:
+class ScriptedDisk:
     """A node's disk and timers: a write ends as told, a timer fires when told."""
 
     def __init__(self, node: StandaloneDispatcher, monkeypatch: pytest.MonkeyPatch) -> None:
         assert node.recovery is not None
-        self.well, self.timers, self.put_of = False, list[Callable[[], None]](), list[list[Record]]()
+        self.is_healthy, self.timers, self.put_of = False, list[Callable[[], None]](), list[list[Record]]()
         monkeypatch.setattr(node.recovery.ledger, "put", self.put)
         monkeypatch.setattr(node.recovery, "hop", lambda then: then())
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: self.timers.append(then))
 
     def put(self, records: list[Record], done: Callable[[bool], None] | None = None) -> None:
-        if self.well:
+        if self.is_healthy:
             self.put_of.append(list(records))
         if done is not None:
-            done(self.well)
+            done(self.is_healthy)
 
     def fire(self) -> None:
         timers, self.timers = self.timers, []
@@ -316,51 +316,51 @@
 
 
 @pytest.mark.parametrize("later", [False, True], ids=["the last", "another came"])
-def test_a_base_that_the_disk_did_not_take_is_put_again(
+def test_a_checkpoint_that_the_disk_refused_is_written_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, later: bool
 ) -> None:
     def story(node: StandaloneDispatcher) -> None:
-        rim = node.recovery
-        assert rim is not None
+        adapter = node.recovery
+        assert adapter is not None
         with monkeypatch.context() as patched:
-            disk, told = Scripted(node, patched), list[int]()
+            disk, told = ScriptedDisk(node, patched), list[int]()
             patched.setattr(
-                rim.survey, "on_checkpoint_stored", lambda now, checkpoint: told.append(checkpoint)
+                adapter.survey, "on_checkpoint_stored", lambda now, checkpoint: told.append(checkpoint)
             )
-            rim.survey.requested_checkpoint = 0
-            rim._store_checkpoint(0)
+            adapter.survey.requested_checkpoint = 0
+            adapter._store_checkpoint(0)
             assert told == [] and len(disk.timers) == 1, "not told before it is kept"
             disk.fire()
             assert told == [] and len(disk.timers) == 1, "and tried until it is"
-            disk.well = True
+            disk.is_healthy = True
             if later:
-                rim.survey.requested_checkpoint = 7
+                adapter.survey.requested_checkpoint = 7
             disk.fire()
             assert told == ([] if later else [0]) and len(disk.put_of) == len(told) and not disk.timers
 
     with_node(tmp_path / "n1.json", {}, story)
 
 
-def test_a_pin_that_the_disk_did_not_take_is_put_again(
+def test_an_ownership_record_that_the_disk_refused_is_written_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def story(node: StandaloneDispatcher) -> None:
-        rim = node.session_affinity
-        assert rim is not None
+        adapter = node.session_affinity
+        assert adapter is not None
         with monkeypatch.context() as patched:
-            disk, told = Scripted(node, patched), list[int]()
-            patched.setattr(rim, "hop", lambda then: then())
+            disk, told = ScriptedDisk(node, patched), list[int]()
+            patched.setattr(adapter, "hop", lambda then: then())
 
             def kept_as(_now: float, token: int) -> list[object]:
                 told.append(token)
                 return []
 
-            patched.setattr(rim.service, "on_persisted", kept_as)
-            rim._persist("pin", b"one", 5)
-            rim._retry_failed_writes(1e12)
-            rim._persist("pin", b"two", 6)
-            disk.well = True
-            rim._retry_failed_writes(3e12)
+            patched.setattr(adapter.service, "on_persisted", kept_as)
+            adapter._persist("pin", b"one", 5)
+            adapter._retry_failed_writes(1e12)
+            adapter._persist("pin", b"two", 6)
+            disk.is_healthy = True
+            adapter._retry_failed_writes(3e12)
             assert told == [6] and [[r.value for r in put] for put in disk.put_of] == [[b"two"]]
 
     with_node(tmp_path / "n1.json", {"fleet": {"pins": True}}, story)
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -31,7 +31,7 @@
 from cottonhold.fleet_adapters.recovery_folder import SITE_KEY, restore_site_report, save_site_report
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
-from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, site, steps
+from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, run_steps, site
 
 S = CrossZoneSettings()
 
@@ -124,7 +124,7 @@
     )
     made.set_engines(ENGINES)
     assert made.failover_cost is not None
-    steps(made.failover_cost, fleet() if plan else [], 0.0, 2500.0)
+    run_steps(made.failover_cost, fleet() if plan else [], 0.0, 2500.0)
     made.set_members(2500.0, [s.member for s in fleet()])
     for i in range(100):  # 0.7 cores
         made.failover_cost.on_request(500.0 + i * 20.0, 6.0, 14.0)
@@ -189,7 +189,7 @@
     def shares(now: float, cheap: float) -> dict[str, float]:
         told = fleet()
         told[1] = site(2, "b", cheap=cheap)
-        steps(made, told, now, 2000.0, a=0.0)
+        run_steps(made, told, now, 2000.0, a=0.0)
         for _ in range(20):
             made.on_request(now + 1900.0, 6.0, 20.0)
         made.engine_limits(now + 2000.0, {"a": 0.0})
@@ -204,7 +204,7 @@
 def test_the_same_question_is_solved_once(monkeypatch: pytest.MonkeyPatch) -> None:
     made, asked = CostEstimator(99, 1, 0.0, "a", 1), list[str]()
     made.set_engines(ENGINES)
-    steps(made, fleet(), 0.0, 2000.0)
+    run_steps(made, fleet(), 0.0, 2000.0)
     keep = CostEstimator._solve_retained
 
     def counted(self: CostEstimator, plan: SnapshotPlan, zone: str, gives: float, good: float) -> float:
@@ -297,6 +297,6 @@
     made, drawn = CostEstimator(99, 1, 0.0, "a", 1), set[float]()
     made.set_engines(ENGINES)
     for t in range(0, 10_000, 1000):
-        steps(made, fleet(), float(t), 1000.0, **left)
+        run_steps(made, fleet(), float(t), 1000.0, **left)
         drawn.add(made.plan.made_at if made.plan is not None else 0.0)
     assert most - 3 <= len(drawn) <= most
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -47,16 +47,16 @@
 
 U16, U32, U64 = (st.integers(0, 2**bits - 1) for bits in (16, 32, 64))
 ROWS = st.dictionaries(U32, st.builds(DrainedEngineRow, U32, U16, st.booleans()), max_size=MAX_ROWS)
-THERE = {"d0": Machine("d0", "a", 0.0)} | {
+MACHINES = {"d0": Machine("d0", "a", 0.0)} | {
     f"{z}{i}": Machine(f"{z}{i}", z, 8.0, True) for z in "abc" for i in (0, 1)
 }
-S = DrainSettings()
+SETTINGS = DrainSettings()
 CHAIN = {"x0": MachineRecord(ReplacementStep.OUT, 7)}
-SEEN = (ReplacementStep.OUT, ReplacementStep.DRAINING, ReplacementStep.DONE)
+STEPS = (ReplacementStep.OUT, ReplacementStep.DRAINING, ReplacementStep.DONE)
 
 
 @given(st.builds(DrainReport, st.integers(1, 2**64 - 1), U32, U32, ROWS))
-def test_a_word_comes_back_fits_and_is_refused_cut(word: DrainReport) -> None:
+def test_a_report_is_decoded_as_encoded_and_a_truncated_one_is_rejected(word: DrainReport) -> None:
     data = encode_report(word)
     assert decode_report(data) == word and len(data) <= MAX_MESSAGE_BYTES
     for cut in range(len(data)):
@@ -64,113 +64,113 @@
             decode_report(data[:cut])
 
 
-class Three:
-    """This instance (1) and two others, of which each has drained x0 if it told."""
+class ThreeDispatchers:
+    """This instance (1) and two others, each of which has drained x0 if it reported."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.drains = EngineDrains(1, 5, 0.0, S, [1, 2, 3])
-        self.drains.set_listed_engines({"x0": THERE["a0"]})
+        self.drains = EngineDrains(1, 5, 0.0, SETTINGS, [1, 2, 3])
+        self.drains.set_listed_engines({"x0": MACHINES["a0"]})
         self.drains.drain("x0", 7, 2)
-        self.live(self.now, 2, 3)
+        self.set_live(self.now, 2, 3)
 
-    def live(self, now: float, *members: int, life: int = 5) -> None:
+    def set_live(self, now: float, *members: int, incarnation: int = 5) -> None:
         self.now = now
-        self.drains.set_live_members(now, dict.fromkeys(members, life))
+        self.drains.set_live_members(now, dict.fromkeys(members, incarnation))
 
-    def tell(self, member: int, open_: int, life: int = 5, version: int = 1, **row: int) -> None:
-        other = EngineDrains(member, life, 0.0, S)
+    def report(self, member: int, open_: int, incarnation: int = 5, version: int = 1, **row: int) -> None:
+        other = EngineDrains(member, incarnation, 0.0, SETTINGS)
         other.version = version - 1
         if row.get("away", 0) == 0:
-            other.set_listed_engines({"x0": THERE["a0"]})
+            other.set_listed_engines({"x0": MACHINES["a0"]})
         other.drain("x0", row.get("serial", 7), open_)
         for action in other.step(self.now, {"x0": MachineRecord(ReplacementStep.DRAINING, 7, driver=1)}):
             assert isinstance(action, SendReport)
             self.drains.on_message(self.now, action.payload)
 
-    def open(self) -> int | None:
+    def open_requests(self) -> int | None:
         return self.drains.open_requests(self.now, "x0", 7)
 
 
-def test_who_has_not_told_since_the_drain_is_unknown_and_not_zero() -> None:
-    three = Three()
-    assert three.open() is None
-    three.tell(2, 3)
-    assert three.open() is None and three.drains.missing_reports(0.0, "x0", 7) == {3}
-    three.tell(3, 0, serial=6)  # of an earlier swap of the same engine
-    assert three.open() is None
-    three.tell(3, 0, version=2)
-    assert three.open() == 5
-    three.tell(2, 9, version=1)  # late, again
-    assert three.open() == 5
+def test_a_dispatcher_without_a_report_since_the_drain_counts_as_unknown() -> None:
+    three = ThreeDispatchers()
+    assert three.open_requests() is None
+    three.report(2, 3)
+    assert three.open_requests() is None and three.drains.missing_reports(0.0, "x0", 7) == {3}
+    three.report(3, 0, serial=6)  # of an earlier swap of the same engine
+    assert three.open_requests() is None
+    three.report(3, 0, version=2)
+    assert three.open_requests() == 5
+    three.report(2, 9, version=1)  # late, again
+    assert three.open_requests() == 5
     three.drains.set_open_requests("x0", 0)
-    three.tell(2, 0, version=4)
-    assert three.open() == 0
-
-
-def test_a_word_of_an_earlier_life_or_an_old_one_tells_nothing() -> None:
-    three = Three()
-    three.tell(2, 0)
-    three.tell(3, 0)
-    assert three.open() == 2
-    three.live(100.0, 2, 3, life=6)  # both have started anew
-    assert three.open() is None
-    three.tell(2, 0, life=6)
-    three.tell(3, 0, life=6)
-    assert three.open() == 2
-    three.live(100.0 + S.max_report_age_ms + 1, 2, 3, life=6)
-    assert three.open() is None
-
-
-def test_a_dead_one_counts_as_zero_after_a_while_and_one_never_seen_does_too() -> None:
-    three = Three()
-    three.tell(2, 0)
-    three.live(100.0, 2)
-    assert three.open() is None and three.drains.missing_reports(100.0, "x0", 7) == {3}
-    three.live(S.member_absence_ms + 101.0, 2)
-    three.tell(2, 1, version=9)
-    assert three.open() == 3
-    three.live(S.member_absence_ms + 102.0, 2, 3)  # it is back
-    assert three.open() is None
-
-
-def test_what_this_instance_has_not_drained_itself_is_unknown() -> None:
-    three = Three()
-    three.tell(2, 0)
-    three.tell(3, 0)
+    three.report(2, 0, version=4)
+    assert three.open_requests() == 0
+
+
+def test_reports_of_an_earlier_incarnation_and_outdated_ones_do_not_count() -> None:
+    three = ThreeDispatchers()
+    three.report(2, 0)
+    three.report(3, 0)
+    assert three.open_requests() == 2
+    three.set_live(100.0, 2, 3, incarnation=6)  # both have started anew
+    assert three.open_requests() is None
+    three.report(2, 0, incarnation=6)
+    three.report(3, 0, incarnation=6)
+    assert three.open_requests() == 2
+    three.set_live(100.0 + SETTINGS.max_report_age_ms + 1, 2, 3, incarnation=6)
+    assert three.open_requests() is None
+
+
+def test_an_absent_dispatcher_counts_as_zero_after_a_while() -> None:
+    three = ThreeDispatchers()
+    three.report(2, 0)
+    three.set_live(100.0, 2)
+    assert three.open_requests() is None and three.drains.missing_reports(100.0, "x0", 7) == {3}
+    three.set_live(SETTINGS.member_absence_ms + 101.0, 2)
+    three.report(2, 1, version=9)
+    assert three.open_requests() == 3
+    three.set_live(SETTINGS.member_absence_ms + 102.0, 2, 3)  # it is back
+    assert three.open_requests() is None
+
+
+def test_open_requests_are_unknown_until_this_instance_has_drained_the_engine() -> None:
+    three = ThreeDispatchers()
+    three.report(2, 0)
+    three.report(3, 0)
     three.drains.undrain("x0")
-    assert three.open() is None
+    assert three.open_requests() is None
 
 
-def test_an_engine_is_away_by_more_than_half_for_a_while() -> None:
-    three = Three()
+def test_an_engine_is_absent_once_more_than_half_report_it_for_a_while() -> None:
+    three = ThreeDispatchers()
     for _ in range(3):
         three.drains.on_liveness_check("x0", False)
-    three.tell(2, 0)
-    three.tell(3, 0)
+    three.report(2, 0)
+    three.report(3, 0)
     three.drains.step(0.0, CHAIN)
-    three.live(S.engine_absence_ms + 1, 2, 3)
+    three.set_live(SETTINGS.engine_absence_ms + 1, 2, 3)
     three.drains.step(three.now, CHAIN)
     assert not three.drains.is_absent("x0"), "one alone may have lost its own way"
-    three.tell(2, 0, version=2, away=1)
+    three.report(2, 0, version=2, away=1)
     three.drains.step(three.now, CHAIN)
-    three.live(three.now + S.engine_absence_ms, 2, 3)
-    three.tell(2, 0, version=3, away=1)
+    three.set_live(three.now + SETTINGS.engine_absence_ms, 2, 3)
+    three.report(2, 0, version=3, away=1)
     three.drains.step(three.now, CHAIN)
     assert three.drains.is_absent("x0") and not three.drains.present_engines({})
     three.drains.on_liveness_check("x0", True)
-    three.tell(2, 0, version=4)
+    three.report(2, 0, version=4)
     three.drains.step(three.now, CHAIN)
     assert not three.drains.is_absent("x0") and three.drains.is_answering("x0")
 
 
-def test_engines_that_are_out_are_asked_now_and_then_and_drivers_are_told_at_once() -> None:
-    drains = EngineDrains(1, 5, 0.0, S)
-    drains.set_listed_engines(THERE)
+def test_removed_engines_are_checked_at_intervals_and_changes_are_reported_at_once() -> None:
+    drains = EngineDrains(1, 5, 0.0, SETTINGS)
+    drains.set_listed_engines(MACHINES)
     drains.drain("a0", 7, 2)
     drains.drain("b0", 7, 0)
     drains.drain("c0", 7, 0)
-    chain = {e: MachineRecord(step, 7, driver=2) for e, step in zip(("a0", "b0", "c0"), SEEN, strict=True)}
+    chain = {e: MachineRecord(step, 7, driver=2) for e, step in zip(("a0", "b0", "c0"), STEPS, strict=True)}
     assert drains.step(0.0, chain)[0] == CheckLiveness("a0")
     assert drains.step(50.0, chain) == [], "nothing new"
     drains.set_open_requests("a0", 1)
@@ -181,19 +181,21 @@
     assert [type(a) for a in drains.step(300.0, chain)] == [CheckLiveness, SendReport]
 
 
-def test_no_load_goes_out_before_registers_are_read_unless_nobody_is_there() -> None:
-    settled = StartupGate(0.0, S)
-    assert not settled.step(S.no_majority_timeout_ms * 2, False, True) and settled.step(
-        S.no_majority_timeout_ms * 2, True, True
+def test_loads_wait_for_the_registers_unless_no_majority_is_there() -> None:
+    settled = StartupGate(0.0, SETTINGS)
+    assert not settled.step(SETTINGS.no_majority_timeout_ms * 2, False, True) and settled.step(
+        SETTINGS.no_majority_timeout_ms * 2, True, True
     )
-    settled = StartupGate(0.0, S)
-    assert not settled.step(S.no_majority_timeout_ms - 1, False, False) and settled.step(
-        S.no_majority_timeout_ms, False, False
+    settled = StartupGate(0.0, SETTINGS)
+    assert not settled.step(SETTINGS.no_majority_timeout_ms - 1, False, False) and settled.step(
+        SETTINGS.no_majority_timeout_ms, False, False
     )
-    settled = StartupGate(0.0, S)
-    assert settled.step(S.startup_timeout_ms, False, True), "a fleet that has forgotten all serves"
-    assert not settled.check_pause(S.pause_threshold_ms - 1) and settled.check_pause(3 * S.pause_threshold_ms)
-    assert not settled.step(3 * S.pause_threshold_ms, False, True), (
+    settled = StartupGate(0.0, SETTINGS)
+    assert settled.step(SETTINGS.startup_timeout_ms, False, True), "a fleet that has forgotten all serves"
+    assert not settled.check_pause(SETTINGS.pause_threshold_ms - 1) and settled.check_pause(
+        3 * SETTINGS.pause_threshold_ms
+    )
+    assert not settled.step(3 * SETTINGS.pause_threshold_ms, False, True), (
         "one that stood still knows nothing any more"
     )
 
@@ -203,7 +205,7 @@
     [((), ["a0", "b0"]), (("a0",), ["b0"]), (("a0", "b0", "c0"), [])],
     ids=["over meanwhile", "one of two", "out as before"],
 )
-def test_drains_of_a_life_before_hold_until_it_is_known_which_are_over(
+def test_drains_of_the_previous_start_stay_until_it_is_known_which_have_ended(
     drained: tuple[str, ...], over: list[str]
 ) -> None:
     kept, folder = DrainRecords({}), dict[bytes, bytes]()
@@ -228,7 +230,7 @@
     assert DrainRecords({b"\xff": b""}).from_previous_start, "what can't be read holds too"
 
 
-def test_what_is_held_comes_through_as_draining_and_back_as_the_list_has_it() -> None:
+def test_a_quarantined_engine_is_published_as_draining_until_it_is_released() -> None:
     held = Quarantine()
     a, b = Engine("a", zone=1, started_at=5.0), Engine("b", state=EngineState.DRAINING)
     shown = held.on_change(EngineListChange((a, b), {}, is_complete=True))
@@ -264,21 +266,21 @@
 )
 def test_a_request_for_engines_says_what_is_wrong(rows: list[object], says: str) -> None:
     with pytest.raises(PlanError, match=says):
-        plan.check_request(parse_request("ann", {"machines": rows}, THERE), THERE)
+        plan.check_request(parse_request("ann", {"machines": rows}, MACHINES), MACHINES)
 
 
-def test_a_zone_stands_for_its_engines() -> None:
-    request = parse_request("ann", {"machines": [{"zone": "b", "cores": 4}, {"name": "d0"}]}, THERE)
+def test_a_request_for_a_zone_names_all_its_engines() -> None:
+    request = parse_request("ann", {"machines": [{"zone": "b", "cores": 4}, {"name": "d0"}]}, MACHINES)
     assert request.items == (
         MachineRequest("b0", cores=4.0),
         MachineRequest("b1", cores=4.0),
         MachineRequest("d0"),
     )
-    plan.check_request(request, THERE)
+    plan.check_request(request, MACHINES)
 
 
 def chain_of(*steps: ReplacementStep) -> dict[str, MachineRecord]:
-    names = sorted(n for n, m in THERE.items() if m.is_engine)
+    names = sorted(n for n, m in MACHINES.items() if m.is_engine)
     return {
         name: MachineRecord(
             step,
@@ -293,16 +295,16 @@
     }
 
 
-def test_starts_ask_the_outlook_with_engines_cores_and_count_none_twice() -> None:
-    asked: list[dict[str, float]] = []
-    starts = StartConditions(1, 1000.0, lambda out: asked.append(dict(out)) or [])  # type: ignore[func-returns-value]
+def test_starts_check_capacity_with_the_engines_cores_and_count_none_twice() -> None:
+    checked: list[dict[str, float]] = []
+    starts = StartConditions(1, 1000.0, lambda cores: checked.append(dict(cores)) or [])  # type: ignore[func-returns-value]
     chain = chain_of(ReplacementStep.OUT, ReplacementStep.AGREED)
     for counted, cores in ((True, 16.0), (False, 8.0)):
-        asked.clear()
-        there = THERE | {"a0": Machine("a0", "a", 8.0, True, is_counted=counted)}
+        checked.clear()
+        there = MACHINES | {"a0": Machine("a0", "a", 8.0, True, is_counted=counted)}
         whole = ReplacementPlan(active_machine_ids=(machine_id("a0"),), max_concurrent=2, max_zones=3)
         assert starts.blockers(0.0, "a1", whole, chain, there) == []
-        assert {sum(out.values()) for out in asked} >= {cores}, asked
+        assert {sum(out.values()) for out in checked} >= {cores}, checked
         starts.key = ()
     smaller = {
         "a0": MachineRecord(
@@ -315,12 +317,12 @@
             replacement="a0",
         )
     }
-    asked.clear()
-    starts.blockers(0.0, "a1", ReplacementPlan(), smaller | {"a1": chain["a1"]}, THERE)
-    assert [sum(out.values()) for out in asked] == [8.0], "the list has the smaller one's cores already"
+    checked.clear()
+    starts.blockers(0.0, "a1", ReplacementPlan(), smaller | {"a1": chain["a1"]}, MACHINES)
+    assert [sum(out.values()) for out in checked] == [8.0], "the list has the smaller one's cores already"
 
 
-def test_an_engine_that_comes_smaller_is_said_and_one_not_away_is_the_old_one() -> None:
+def test_a_smaller_replacement_is_reported_and_an_engine_never_absent_is_the_old_one() -> None:
     record = chain_of(ReplacementStep.OUT)["a0"]
     view, settings = MachineView(0.0, {"a0": Machine("a0", "a", 4.0, True)}), StepSettings()
     assert decide_step("a0", record, view, settings).record is None
@@ -336,19 +338,19 @@
 
 
 # All of them are played by benchmarks/fleet/swap_engines.py.
-PLAYED = ["calm", "lossy", "driver dies: draining", "all restart: draining", "all restart: out"]
-PLAYED += ["stands 13 s: agreed", "another is long away: draining", "link lost: out", "power: out"]
-PLAYED += ["engine pauses: out"]
-PLAYED += [f"aborted: {step}" for step in ("agreed", "draining", "out", "ramping")]
+PLAYED_CASES = ["calm", "lossy", "driver dies: draining", "all restart: draining", "all restart: out"]
+PLAYED_CASES += ["stands 13 s: agreed", "another is long away: draining", "link lost: out", "power: out"]
+PLAYED_CASES += ["engine pauses: out"]
+PLAYED_CASES += [f"aborted: {step}" for step in ("agreed", "draining", "out", "ramping")]
 
 
-@pytest.mark.parametrize("name", PLAYED)
-def test_no_request_is_broken_and_all_come_to_their_end(name: str) -> None:
+@pytest.mark.parametrize("name", PLAYED_CASES)
+def test_no_request_fails_and_all_replacements_finish(name: str) -> None:
     assert CASES[name](3) == []
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_a_planted_defect_is_noticed(name: str) -> None:
+def test_a_planted_defect_is_detected(name: str) -> None:
     with planted(name) as (case, says):
         found = CASES[case](1)
     assert any(says in breach for breach in found), found
--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -174,6 +174,6 @@
 @pytest.mark.parametrize(
     "story", [one_by_one, aborted, the_driver_dies, refused], ids=lambda story: story.__name__
 )
-def test_engines_in_a_swap_on_processes(story: Story, tmp_path: Path) -> None:
+def test_engine_replacement_on_processes(story: Story, tmp_path: Path) -> None:
     found = played(DAY, tmp_path, story)
     assert [f for f in found if not f.startswith("answers")] == []
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -62,7 +62,7 @@
     return [site(i + 1, zone, **fields) for i, zone in enumerate((*ZONES, *ZONES))]  # type: ignore[arg-type]
 
 
-def shown(sites: list[SiteReport], **left: float) -> Projection:
+def projected(sites: list[SiteReport], **left: float) -> Projection:
     """The projection of a fleet with so much left of zones."""
     picture = take_snapshot(sites, ENGINES, len(sites))
     assert picture is not None
@@ -132,10 +132,10 @@
     """Whether two instances that heard the same in another order project differently."""
     r = random.Random(3)
     sites = [site(i + 1, ZONES[i % 3], dear=r.random(), cheap=r.random()) for i in range(11)]
-    first = shown(sites, a=0.0)
+    first = projected(sites, a=0.0)
     for _ in range(shuffles):
         r.shuffle(sites)
-        if shown(sites, a=0.0) != first:
+        if projected(sites, a=0.0) != first:
             return True
     return False
 
@@ -150,7 +150,7 @@
 
 def test_a_pair_is_no_sum_of_two_zones() -> None:
     sites = fleet()
-    one, other, both = shown(sites, a=0.0), shown(sites, b=0.0), shown(sites, a=0.0, b=0.0)
+    one, other, both = projected(sites, a=0.0), projected(sites, b=0.0), projected(sites, a=0.0, b=0.0)
     assert both.lost_utility > 2 * (
         one.lost_utility + other.lost_utility
     ) and both.served_utility <= 4 * 0.97 * utility_of_step(DEAR)
@@ -162,7 +162,7 @@
 
 def test_cross_zone_work_never_takes_the_reserved_home_share() -> None:
     sites = [site(1, "a", dear=9.0), site(2, "b", dear=0.0, cheap=3.0), site(3, "c", dear=0.0, cheap=3.0)]
-    found = shown(sites, a=0.0)
+    found = projected(sites, a=0.0)
     for zone in ("b", "c"):
         assert found.flows["a", zone] <= 4 * 0.97 - 4 * 0.97 * 0.4 + 1e-6
         assert found.flows[zone, zone] >= 1.2
@@ -170,8 +170,8 @@
 
 def most_off(lie: Callable[[SiteReport], SiteReport]) -> float:
     """How much one liar of six shifts the part of the worth that is projected."""
-    honest, sites = shown(fleet(), a=0.0), fleet()
-    return abs(shown([*sites[:5], lie(sites[5])], a=0.0).served_share() - honest.served_share())
+    honest, sites = projected(fleet(), a=0.0), fleet()
+    return abs(projected([*sites[:5], lie(sites[5])], a=0.0).served_share() - honest.served_share())
 
 
 @pytest.mark.parametrize(
@@ -217,7 +217,7 @@
 
 
 def test_cold_data_distance_and_evictions_cost() -> None:
-    near = shown(fleet(), b=0.0)
+    near = projected(fleet(), b=0.0)
     assert (
         near.added_round_trip_ms > 10
         and near.extra_cold_cores > 0
@@ -236,7 +236,7 @@
         replace(s, zones={n: replace(z, warm_filter=2**FILTER_BITS - 1) for n, z in s.zones.items()})
         for s in fleet()
     ]
-    assert shown(everywhere, b=0.0).extra_cold_cores == pytest.approx(0.0, abs=1e-9)
+    assert projected(everywhere, b=0.0).extra_cold_cores == pytest.approx(0.0, abs=1e-9)
 
 
 def spread(s: SiteReport) -> SiteReport:
@@ -273,7 +273,7 @@
 )
 def test_cold_work_is_compared_with_what_requests_take_now(told: list[float], now: float) -> None:
     sites = [replace(s, excess_cores=cold) for s, cold in zip(fleet(dear=0.3, cheap=0.4), told, strict=True)]
-    found, usual = shown(sites, a=0.0), shown(fleet(dear=0.3, cheap=0.4), a=0.0)
+    found, usual = projected(sites, a=0.0), projected(fleet(dear=0.3, cheap=0.4), a=0.0)
     assert usual.extra_cold_cores > 0.1 and found.extra_cold_cores == pytest.approx(
         usual.extra_cold_cores - now, abs=0.01
     )
@@ -281,7 +281,7 @@
 
 
 def test_excess_work_is_reported_once_it_is_known() -> None:
-    made = told(fleet())
+    made = make_estimator(fleet())
     assert made.build_report(2000.0).excess_cores == -1.0
     for t in range(2000, 12_000, 50):  # each needs 20 ms; one in four takes 60
         made.on_request(float(t), 6.0, 20.0, "x")
@@ -294,21 +294,23 @@
 def test_a_false_served_share_moves_the_round_trip_by_its_part() -> None:
     honest = [spread(s) for s in fleet(dear=0.3, cheap=0.4)]
     far = {n: replace(z, served_share=float(n == zone_number("c"))) for n, z in honest[0].zones.items()}
-    before, after = shown(honest, a=0.0), shown([replace(honest[0], zones=far), *honest[1:]], a=0.0)
+    before, after = projected(honest, a=0.0), projected([replace(honest[0], zones=far), *honest[1:]], a=0.0)
     # It is half of its home, whose mean way can seem longer by half of the longest one at most.
     assert abs(after.added_round_trip_ms - before.added_round_trip_ms) <= TRIPS["a", "c"] / 2
     assert after.served_utility == before.served_utility
 
 
-def told(sites: list[SiteReport], now: float = 0.0, me: str = "a", **fields: object) -> CostEstimator:
+def make_estimator(
+    sites: list[SiteReport], now: float = 0.0, me: str = "a", **fields: object
+) -> CostEstimator:
     """An outlook with a plan, by these words of the others."""
     made = CostEstimator(99, 1, now, me, 1, CostEstimatorSettings(**fields))  # type: ignore[arg-type]
     made.set_engines(ENGINES)
-    steps(made, sites, now, 2000.0)
+    run_steps(made, sites, now, 2000.0)
     return made
 
 
-def steps(made: CostEstimator, sites: list[SiteReport], begin: float, last: float, **left: float) -> None:
+def run_steps(made: CostEstimator, sites: list[SiteReport], begin: float, last: float, **left: float) -> None:
     """So many ms of steps, in which these words come once a second, each time with a higher version."""
     for t in range(int(last // 100)):
         now = begin + t * 100.0
@@ -319,10 +321,10 @@
 
 
 def test_neighbours_are_chosen_by_distance_and_free_cores() -> None:
-    made = told(fleet(dear=0.3, cheap=0.4))
+    made = make_estimator(fleet(dear=0.3, cheap=0.4))
     [(nearest, part), *_] = made.neighbours("a")
     assert nearest == "b" and part > 0.9
-    full = told([*fleet(dear=0.3, cheap=0.4), site(7, "b", dear=1.5, cheap=0.5)])
+    full = make_estimator([*fleet(dear=0.3, cheap=0.4), site(7, "b", dear=1.5, cheap=0.5)])
     assert dict(full.neighbours("a")).get("c", 0.0) > 0.1
     assert dict(made.serving_zones("b")) == {"b": 1.0} and made.serving_zones("a", "a") == made.neighbours(
         "a"
@@ -331,7 +333,7 @@
 
 
 def test_a_faulty_zone_retains_what_the_others_cannot_carry_and_it_still_serves() -> None:
-    calm, full = told(fleet(dear=0.3, cheap=0.4)), told(fleet(dear=0.8, cheap=0.9))
+    calm, full = make_estimator(fleet(dear=0.3, cheap=0.4)), make_estimator(fleet(dear=0.8, cheap=0.9))
     assert calm.retained_share(2000.0, "a", 0.5, 0.7) == 0.0
     kept = full.retained_share(2000.0, "a", 0.5, 0.7)
     assert kept is not None and 0.3 < kept <= 0.5
@@ -340,7 +342,7 @@
 
 
 def test_a_replacement_may_remove_only_what_leaves_each_loss_bearable() -> None:
-    calm, full = told(fleet(dear=0.3, cheap=0.4)), told(fleet(dear=0.6, cheap=0.8))
+    calm, full = make_estimator(fleet(dear=0.3, cheap=0.4)), make_estimator(fleet(dear=0.6, cheap=0.8))
     assert (
         not calm.removal_objections({})
         and not calm.removal_objections({"a": 2.0})
@@ -352,11 +354,11 @@
 
 
 def test_a_plan_stands_without_new_reports_and_expires() -> None:
-    made = told(fleet())
+    made = make_estimator(fleet())
     before = made.neighbours("a")
-    steps(made, [], 2000.0, 20_000.0)
+    run_steps(made, [], 2000.0, 20_000.0)
     assert before and made.neighbours("a") == before and made.projection("a") is not None
-    steps(made, [], 22_000.0, 15_000.0)
+    run_steps(made, [], 22_000.0, 15_000.0)
     assert (
         made.neighbours("a") == ()
         and made.removal_objections({})
@@ -398,7 +400,7 @@
 ) -> None:
     sites = [site(i + 1, ZONES[i % 3], dear, cheap) for i, (dear, cheap) in enumerate(kinds)]
     left = {z: data.draw(st.sampled_from([0.0, 0.5, 1.0])) for z in ZONES}
-    found = shown(sites, **left)
+    found = projected(sites, **left)
     assert found.served_utility <= found.offered_utility * (1 + 1e-9) and found.lost_utility >= 0
     for zone in ZONES:
         served = sum(x for (_, z), x in found.flows.items() if z == zone)
@@ -423,7 +425,7 @@
 
 
 def test_data_sets_used_once_are_forgotten() -> None:
-    made = told(fleet())
+    made = make_estimator(fleet())
     for i in range(2000):
         made.on_request(2000.0, 1.0, 20.0, f"once/{i}")
         made.on_answer(2000.0, "a", f"once/{i}")
--- a/tests/fleet/test_incarnations.py
+++ b/tests/fleet/test_incarnations.py
@@ -1,4 +1,4 @@
-"""One that starts anew with a wall clock that was stepped: the others hear its words at once."""
+"""An instance that restarts after its wall clock was stepped: the others accept its reports at once."""
 
 from __future__ import annotations
 
@@ -13,16 +13,18 @@
 from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.messages import DEMAND_REPORTS, ZONE_REPORTS, MemberReport
 
-BEGAN = 1_790_000_000  # seconds of Unix time; a life without a folder is the second of its start
-HIGHEST = 0xFFFFFFFF
+FIRST_INCARNATION = (
+    1_790_000_000  # seconds of Unix time; without a folder an incarnation is the second of its start
+)
+MAX_INCARNATION = 0xFFFFFFFF
 KINDS = (ZONE_REPORTS, DEMAND_REPORTS, SITE_REPORTS)
 
 
-class Crowd:
-    """Instances that hear whatever they tell one another, in virtual time."""
+class ReportingFleet:
+    """Instances that receive all of one another's messages, in virtual time."""
 
     def __init__(self, count: int) -> None:
-        self.now, self.told_back = 0.0, 0
+        self.now, self.reply_count = 0.0, 0
         self.settings = FleetSettings(
             dispatchers=count,
             sheds_load=True,
@@ -30,45 +32,45 @@
             failover_cost=CostEstimatorSettings(),
             home_zone="a",
         )
-        self.fleets = {me: self.start(me, BEGAN) for me in range(1, count + 1)}
-        self.meet()
+        self.fleets = {me: self.start(me, FIRST_INCARNATION) for me in range(1, count + 1)}
+        self.update_members()
 
-    def start(self, me: int, life: int) -> FleetCoordinator:
-        fleet = FleetCoordinator(me, life, self.now, self.settings, me)
+    def start(self, me: int, incarnation: int) -> FleetCoordinator:
+        fleet = FleetCoordinator(me, incarnation, self.now, self.settings, me)
         fleet.set_engines({zone: {f"{zone}{i}": 4.0 for i in range(2)} for zone in "ab"}, self.now)
         return fleet
 
-    def meet(self) -> None:
+    def update_members(self) -> None:
         for fleet in self.fleets.values():
             fleet.set_members(self.now, self.fleets)
 
-    def restart(self, me: int, life: int) -> FleetCoordinator:
-        self.fleets[me] = self.start(me, life)
-        self.meet()
+    def restart(self, me: int, incarnation: int) -> FleetCoordinator:
+        self.fleets[me] = self.start(me, incarnation)
+        self.update_members()
         return self.fleets[me]
 
     def run(self, ms: float) -> None:
         end = self.now + ms
         while self.now < end:
             self.now += 20.0
-            told = [(me, a) for me, fleet in self.fleets.items() for a in fleet.step(self.now)]
-            while told:
-                sender, action = told.pop()
+            outgoing = [(me, a) for me, fleet in self.fleets.items() for a in fleet.step(self.now)]
+            while outgoing:
+                sender, action = outgoing.pop()
                 if isinstance(action, SendFleetMessage):
                     answers = self.fleets[action.member].on_message(self.now, sender, action.data)
-                    told += [(action.member, answer) for answer in answers]
-                    self.told_back += sum(
+                    outgoing += [(action.member, answer) for answer in answers]
+                    self.reply_count += sum(
                         isinstance(a, SendFleetMessage) and a.data[0] in KINDS for a in answers
                     )
 
-    def heard_since(self, at: float, of: int) -> list[bool]:
-        """By each other instance and kind of words: whether one of this instance came since."""
+    def has_report_since(self, at: float, of: int) -> list[bool]:
+        """By each other instance and kind of report: whether one of this instance has arrived since."""
         found = []
         for me, fleet in self.fleets.items():
             if me != of:
                 assert fleet.demand is not None and fleet.failover_cost is not None
-                for words in (fleet.reports, fleet.demand.reports, fleet.failover_cost.reports):
-                    found.append(of in words.received and words.received[of].received_at > at)
+                for reports in (fleet.reports, fleet.demand.reports, fleet.failover_cost.reports):
+                    found.append(of in reports.received and reports.received[of].received_at > at)
         return found
 
 
@@ -76,24 +78,26 @@
 @pytest.mark.parametrize("step", [0, 5, -5, 3600, -3600], ids=lambda s: f"{s:+} s")
 def test_reports_of_a_new_incarnation_count_whatever_the_wall_clock_did(step: int, count: int) -> None:
     """With the same second (0) it is the versions that begin anew."""
-    crowd = Crowd(count)
-    crowd.run(30_000)
-    assert all(crowd.heard_since(crowd.now - 6000, 1))
-    crowd.restart(1, BEGAN + step)
-    begun = crowd.now
-    crowd.run(10_000)
-    assert all(crowd.heard_since(begun + 4000, 1))
-    new = crowd.fleets[1]
-    assert new.demand is not None and new.demand.incarnation == new.incarnation == BEGAN + max(step, 0)
+    fleet = ReportingFleet(count)
+    fleet.run(30_000)
+    assert all(fleet.has_report_since(fleet.now - 6000, 1))
+    fleet.restart(1, FIRST_INCARNATION + step)
+    begun = fleet.now
+    fleet.run(10_000)
+    assert all(fleet.has_report_since(begun + 4000, 1))
+    new = fleet.fleets[1]
+    assert new.demand is not None and new.demand.incarnation == new.incarnation == FIRST_INCARNATION + max(
+        step, 0
+    )
 
 
 def test_without_a_restart_no_report_is_sent_back() -> None:
-    crowd = Crowd(16)
-    crowd.run(30_000)
-    assert crowd.told_back == 0
-    crowd.restart(1, BEGAN - 5)
-    crowd.run(10_000)
-    assert 3 <= crowd.told_back < 3 * 16 * 2, "of three kinds, and no more once it knows"
+    fleet = ReportingFleet(16)
+    fleet.run(30_000)
+    assert fleet.reply_count == 0
+    fleet.restart(1, FIRST_INCARNATION - 5)
+    fleet.run(10_000)
+    assert 3 <= fleet.reply_count < 3 * 16 * 2, "of three kinds, and no more once it knows"
 
 
 def test_no_forged_stamp_stops_an_instances_reports() -> None:
@@ -104,10 +108,10 @@
     assert view.next_stamp(7, 3) == (7, 4)
     view.apply(0.0, MemberReport(1, 7, 900, 0, 0, {}))
     assert view.next_stamp(7, 3) == (7, 901)
-    view.apply(0.0, MemberReport(1, 9, HIGHEST, 0, 0, {}))
+    view.apply(0.0, MemberReport(1, 9, MAX_INCARNATION, 0, 0, {}))
     assert view.next_stamp(7, 901) == (10, 1) and view.next_stamp(10, 1) == (10, 2)
-    view.apply(0.0, MemberReport(1, HIGHEST, HIGHEST, 0, 0, {}))
-    assert view.next_stamp(10, 2) == (HIGHEST, HIGHEST)
+    view.apply(0.0, MemberReport(1, MAX_INCARNATION, MAX_INCARNATION, 0, 0, {}))
+    assert view.next_stamp(10, 2) == (MAX_INCARNATION, MAX_INCARNATION)
 
 
 def test_only_an_older_report_by_the_sender_itself_is_answered() -> None:
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -20,10 +20,10 @@
     MemoryState,
     decode,
 )
-from tests.support.recovery_world import HISTORY, LONGEST, SURVEY, World, client_retries, settled
+from tests.support.recovery_world import HISTORY, LONGEST_DEADLINE_MS, SURVEY, World, client_retries, settled
 
 LOAD = local_loads.load_identity("orders", "7", b"insert into t values (1)")
-WHOLE = load_history_interface.FleetState(True, True, MemoryState.INTACT, {})
+INTACT_FLEET = load_history_interface.FleetState(True, True, MemoryState.INTACT, {})
 
 
 def test_a_load_is_known_by_class_key_and_statement() -> None:
@@ -70,10 +70,10 @@
     world.start(*range(6))
     world.run(50.0)
     clients = [client_retries(world, n, LOAD) for n in range(6)]
-    world.run(LONGEST + 100.0)
+    world.run(LONGEST_DEADLINE_MS + 100.0)
     assert {x.answer for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
     fresh = client_retries(world, 5, local_loads.load_identity("orders", "9", b""))
-    world.run(LONGEST)
+    world.run(LONGEST_DEADLINE_MS)
     assert fresh.answer == "ran"
 
 
@@ -83,7 +83,7 @@
     world.clients[0].attempts = 6
     world.kill(1)
     patient = client_retries(world, 2, LOAD)
-    world.run(LONGEST + 10.0)
+    world.run(LONGEST_DEADLINE_MS + 10.0)
     assert patient.answer == "NOT_KNOWN_YET"
     patient = client_retries(world, 3, LOAD)
     world.run(500.0)
@@ -98,7 +98,7 @@
     world.kill(1)
     world.run(SURVEY.lease_ms + HISTORY.retention_ms + SURVEY.max_report_age_ms + 2000.0)
     client = client_retries(world, 2, LOAD)
-    world.run(LONGEST + 10.0)
+    world.run(LONGEST_DEADLINE_MS + 10.0)
     assert client.answer == "ran"
 
 
@@ -110,7 +110,7 @@
     told = []
     for turn in range(30):  # a client of unusual patience, at another instance each time
         client = client_retries(world, (0, 2, 3, 4)[turn % 4], LOAD)
-        world.run(LONGEST + 100.0)
+        world.run(LONGEST_DEADLINE_MS + 100.0)
         told.append(client.answer)
     assert (
         set(told) == {"NOT_KNOWN_YET", "MAY_HAVE_RUN"}
@@ -133,7 +133,7 @@
     world.start(0, 2, 3, 4)
     world.start(1, folder=folder)
     clients = [client_retries(world, n, LOAD) for n in range(5)]
-    world.run(LONGEST + 10.0)
+    world.run(LONGEST_DEADLINE_MS + 10.0)
     assert {x.answer for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1
     world.run(HISTORY.retention_ms)
     fresh = client_retries(world, 1, local_loads.load_identity("orders", "10", b""))
@@ -154,7 +154,7 @@
     world.folders[1] = copied
     world.start(*range(5))
     clients = [client_retries(world, n, LOAD) for n in range(5)]
-    world.run(LONGEST + 10.0)
+    world.run(LONGEST_DEADLINE_MS + 10.0)
     assert {x.answer for x in clients} == {"MAY_HAVE_RUN"} and world.runs[LOAD] == 1 and not world.violations
 
 
@@ -165,12 +165,12 @@
     world.kill(*range(6))
     world.start(0, 1, 2)
     client = client_retries(world, 1, LOAD)
-    world.run(LONGEST + 10.0)
+    world.run(LONGEST_DEADLINE_MS + 10.0)
     assert client.answer == "NOT_KNOWN_YET"
     world.start(3, 4, 5)
     world.run(300.0)
     client = client_retries(world, 2, LOAD)
-    world.run(LONGEST)
+    world.run(LONGEST_DEADLINE_MS)
     assert client.answer == "MAY_HAVE_RUN" and world.runs[LOAD] == 1
 
 
@@ -182,7 +182,7 @@
     for number in world.draw.sample(range(4), 3):
         clients.append(client_retries(world, number, LOAD))
         world.run(world.draw.uniform(0.0, 40.0))
-    world.run(LONGEST + 500.0)
+    world.run(LONGEST_DEADLINE_MS + 500.0)
     assert world.runs[LOAD] <= 1 and not world.violations
     assert all(x.answer in ("ran", "MAY_HAVE_RUN", "SUCCEEDED", "NOT_KNOWN_YET") for x in clients)
 
@@ -215,17 +215,17 @@
     assert other.answer == "ran" and not world.nodes[2].history.pending
 
 
-def one(count: int = 3, **changes: int) -> load_history.LoadHistory:
+def make_history(count: int = 3, **changes: int) -> load_history.LoadHistory:
     memory = load_history.LoadHistory(
         0, count, 5, 0.0, [], load_history_interface.LoadHistorySettings(6000.0, **changes), seed=3
     )
-    memory.step(0.0, WHOLE)
+    memory.step(0.0, INTACT_FLEET)
     return memory
 
 
-def asked(memory: load_history.LoadHistory, now: float) -> dict[int, LoadQuery]:
+def sent_queries(memory: load_history.LoadHistory, now: float) -> dict[int, LoadQuery]:
     found = {}
-    for action in memory.step(now, WHOLE):
+    for action in memory.step(now, INTACT_FLEET):
         if isinstance(action, load_history_interface.SendToDispatcher) and isinstance(
             word := decode(action.data), LoadQuery
         ):
@@ -234,9 +234,9 @@
 
 
 def test_forged_late_and_strange_answers_settle_nothing() -> None:
-    memory = one()
+    memory = make_history()
     memory.on_retry(1.0, "a", LOAD, 900.0)
-    asks = asked(memory, 1.0)
+    asks = sent_queries(memory, 1.0)
     never = (LoadVerdict(0, LoadStatement.NEVER_SENT),)
     serial = asks[1].serial
     for number, answer in [
@@ -252,13 +252,13 @@
     for number, ask in asks.items():  # to a retry that is over
         assert memory.on_message(5.0, number, LoadAnswer(5, ask.serial, never)) == []
     assert not memory.pending[LOAD].statements
-    for number, ask in asked(memory, 5.0).items():
+    for number, ask in sent_queries(memory, 5.0).items():
         found = memory.on_message(6.0, number, LoadAnswer(5, ask.serial, never))
     assert found == [load_history_interface.LoadSettled("b", LOAD, local_loads.LoadKnowledge.NEVER_SENT)]
 
 
 def test_queries_are_batched_retried_with_backoff_and_bounded() -> None:
-    memory = one(max_loads=50)
+    memory = make_history(max_loads=50)
     loads = [local_loads.load_identity("x", str(n), b"") for n in range(60)]
     known = [memory.on_retry(0.0, str(n), load, 5000.0) for n, load in enumerate(loads)]
     assert known.count(local_loads.LoadKnowledge.NOT_KNOWN_YET) == 10
@@ -268,18 +268,21 @@
         sent.append(
             (
                 now,
-                sum(isinstance(a, load_history_interface.SendToDispatcher) for a in memory.step(now, WHOLE)),
+                sum(
+                    isinstance(a, load_history_interface.SendToDispatcher)
+                    for a in memory.step(now, INTACT_FLEET)
+                ),
             )
         )
     assert sent[0] == (0.0, 2 * 5)  # 50 loads, 11 a datagram, to two
     gaps = [b[0] - a[0] for a, b in zip(sent, sent[1:], strict=False) if b[1]]
     assert gaps[:4] == [60.0, 120.0, 240.0, 480.0] and len(sent) < 30
     assert not memory.has_pending and not memory.load_by_request
-    memory.step(20_000.0, WHOLE)
+    memory.step(20_000.0, INTACT_FLEET)
     assert not memory.local.queried and not memory.queries.sent
 
 
-def test_an_entry_expires_a_hold_after_its_end() -> None:
+def test_an_entry_expires_one_retention_after_its_end() -> None:
     kept = [
         local_loads.RecordedLoad(LOAD),
         local_loads.RecordedLoad(b"w" * 16, local_loads.LoadResult.SUCCEEDED),
@@ -297,12 +300,12 @@
     memory.on_sent(2.0, b"n" * 16)
     memory.on_ended(3.0, b"n" * 16, local_loads.LoadResult.NEVER_RAN)
     assert memory.begin(4.0, b"r" * 16)
-    memory.step(7001.0, WHOLE)
+    memory.step(7001.0, INTACT_FLEET)
     assert set(memory.local.entries) == {b"r" * 16}  # still running
     memory.on_ended(8000.0, b"r" * 16, local_loads.LoadResult.SUCCEEDED)
-    memory.step(13_999.0, WHOLE)
+    memory.step(13_999.0, INTACT_FLEET)
     assert set(memory.local.entries) == {b"r" * 16}
-    memory.step(15_000.0, WHOLE)
+    memory.step(15_000.0, INTACT_FLEET)
     assert not memory.local.entries
 
 
@@ -327,7 +330,7 @@
     def load() -> None:
         up = [n.number for n in world.nodes.values() if n.alive]
         if up:
-            lasts = draw.uniform(50.0, 1.5 * LONGEST)
+            lasts = draw.uniform(50.0, 1.5 * LONGEST_DEADLINE_MS)
             name = local_loads.load_identity("orders", str(next(world.names)), b"")
             world.first(draw.choice(up), name, lasts, ends=draw.random() < 0.8)
         if world.now < stop:
@@ -341,7 +344,12 @@
         world.run(float(after))
     world.partition(range(count))
     world.start(*[n for n in range(count) if not world.nodes[n].alive])
-    world.run(max(stop - world.now, 0.0) + 6 * (LONGEST + 600.0) + SURVEY.lease_ms + HISTORY.retention_ms)
+    world.run(
+        max(stop - world.now, 0.0)
+        + 6 * (LONGEST_DEADLINE_MS + 600.0)
+        + SURVEY.lease_ms
+        + HISTORY.retention_ms
+    )
     return world
 
 
@@ -375,7 +383,7 @@
 )
 
 
-def drawn(seed: int) -> World:
+def run_random_history(seed: int) -> World:
     """A history from a seed."""
     draw = random.Random(seed)
     faults = [
@@ -391,7 +399,7 @@
     """Each ran a load twice: it was asked about across a cut for longer than its sender remembered it (216,
     426, 1536, 1625; with those who had heard of it started again in the last two), at one that nobody heard
     (272, 631, 949), or its sender was emptied and said at first that it did not know (4419)."""
-    assert not drawn(seed).violations
+    assert not run_random_history(seed).violations
 
 
 @given(st.integers(3, 6), st.integers(0, 10**6), FAULTS, st.sampled_from([0.0, 0.1, 0.3]))
@@ -405,7 +413,7 @@
     assert not any(n.history.has_pending for n in world.live_nodes())
 
 
-def wrongs(seeds: range = range(14, 22)) -> int:
+def count_violations(seeds: range = range(14, 22)) -> int:
     """How often a fixed set of histories runs a load twice or tells NEVER of one that was sent."""
     found = 0
     for seed in seeds:
@@ -419,7 +427,7 @@
 
 
 def test_fixed_histories_are_right() -> None:
-    assert wrongs() == 0
+    assert count_violations() == 0
 
 
 def test_planted_empty_folder_as_never_sent_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -1,4 +1,4 @@
-"""Who was away: what a census tells after losses of power, and whom it believes."""
+"""Who was away: what a survey tells after losses of power, and whom it believes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 )
 from tests.support.recovery_world import SURVEY, World, settled
 
-V = survey_results.OutageVerdict
+OUTAGE = survey_results.OutageVerdict
 U32 = st.integers(0, 2**32 - 1)
 LOAD = st.binary(min_size=16, max_size=16)
 AGE = st.none() | st.integers(0, 65534).map(lambda n: n * 10.0)
@@ -42,7 +42,7 @@
     min_size=1,
     max_size=MAX_LOADS,
 ).map(tuple)
-HERE = st.builds(
+PRESENCE_REPORTS = st.builds(
     Presence,
     st.integers(0, 65535),
     st.integers(1, 2**32 - 1),
@@ -54,7 +54,7 @@
     st.lists(PAIR, max_size=MAX_PEER_STATES).map(tuple),
 )
 MESSAGE = st.one_of(
-    HERE,
+    PRESENCE_REPORTS,
     st.builds(LoadQuery, U32, U32, LOADS),
     st.builds(LoadAnswer, U32, U32, VERDICTS),
     st.builds(OpenLoads, LOADS),
@@ -63,9 +63,9 @@
 
 @given(MESSAGE)
 @settings(max_examples=200, deadline=None)
-def test_messages_are_decoded_as_encoded_and_fit(word: Message) -> None:
-    data = encode(word)
-    assert len(data) <= 200 and decode(data) == word
+def test_messages_are_decoded_as_encoded_and_fit(message: Message) -> None:
+    data = encode(message)
+    assert len(data) <= 200 and decode(data) == message
     for cut in range(len(data)):
         with pytest.raises(MessageError):
             decode(data[:cut])
@@ -87,11 +87,11 @@
 
 
 CASES = {
-    "one": ([0], {0: V.ALONE, 1: V.SOME, 5: V.SOME}),
-    "a zone": ([0, 3], {0: V.ZONE, 3: V.ZONE, 4: V.ZONE}),
-    "half, of no whole zone": ([0, 1, 2], {0: V.SOME, 5: V.SOME}),
-    "more than half": ([0, 1, 2, 3], {0: V.FLEET, 5: V.FLEET}),
-    "all": (list(range(6)), {n: V.FLEET for n in range(6)}),
+    "one": ([0], {0: OUTAGE.ALONE, 1: OUTAGE.SOME, 5: OUTAGE.SOME}),
+    "a zone": ([0, 3], {0: OUTAGE.ZONE, 3: OUTAGE.ZONE, 4: OUTAGE.ZONE}),
+    "half, of no whole zone": ([0, 1, 2], {0: OUTAGE.SOME, 5: OUTAGE.SOME}),
+    "more than half": ([0, 1, 2, 3], {0: OUTAGE.FLEET, 5: OUTAGE.FLEET}),
+    "all": (list(range(6)), {n: OUTAGE.FLEET for n in range(6)}),
 }
 
 
@@ -100,7 +100,7 @@
 def test_all_instances_find_the_same_outage(case: str, loss: float) -> None:
     numbers, found = CASES[case]
     world = settled(6)
-    assert world.verdicts() == {V.NOTHING}
+    assert world.verdicts() == {OUTAGE.NOTHING}
     world.loss = world.again = loss
     lose(world, numbers)
     world.run(SURVEY.settle_ms)
@@ -109,7 +109,7 @@
         assert len({(n.survey.view.restarted, n.survey.view.lost_zones) for n in world.live_nodes()}) == 1
     world.loss = world.again = 0.0
     world.run(SURVEY.recent_start_ms + 2000.0)
-    assert world.verdicts() == {V.NOTHING}
+    assert world.verdicts() == {OUTAGE.NOTHING}
 
 
 def test_a_clean_shutdown_is_no_outage() -> None:
@@ -117,7 +117,7 @@
     world.kill(*range(6), clean=True)
     world.start(*range(6))
     world.run(3000.0)
-    assert world.verdicts() == {V.NOTHING}
+    assert world.verdicts() == {OUTAGE.NOTHING}
 
 
 def test_instances_that_return_later_join_the_same_outage() -> None:
@@ -127,15 +127,15 @@
     back = world.now
     world.start(0, 1, 2)
     world.run(8000.0)
-    assert world.verdicts() == {V.SOME}  # three of six are no more than half
+    assert world.verdicts() == {OUTAGE.SOME}  # three of six are no more than half
     assert all(n.survey.view.is_settled for n in world.live_nodes())
     world.start(3, 4, 5)
     world.run(2000.0)
-    assert world.verdicts() == {V.FLEET}
+    assert world.verdicts() == {OUTAGE.FLEET}
     for node in world.live_nodes():
         assert node.world(node.survey.view.first_start) == pytest.approx(back, abs=100)
     world.run(SURVEY.recent_start_ms - 9500.0)
-    assert world.verdicts() == {V.NOTHING}  # it ends for the late ones with the first ones
+    assert world.verdicts() == {OUTAGE.NOTHING}  # it ends for the late ones with the first ones
 
 
 def test_a_second_power_loss_is_a_new_outage() -> None:
@@ -143,23 +143,25 @@
     for _ in range(3):
         lose(world, range(5))
         world.run(700.0)
-        assert world.verdicts() == {V.FLEET}
+        assert world.verdicts() == {OUTAGE.FLEET}
     world.kill(*range(5))
     world.start(0, 1, 2)
     world.run(SURVEY.settle_ms + 100.0)
     view = world.nodes[0].survey.view
-    assert (view.verdict, view.is_settled, view.missing) == (V.FLEET, True, frozenset({3, 4}))
+    assert (view.verdict, view.is_settled, view.missing) == (OUTAGE.FLEET, True, frozenset({3, 4}))
 
 
 def test_being_cut_off_is_told_from_being_restarted_alone() -> None:
     world = settled(6)
     world.partition([0, 1], [2, 3, 4, 5])
     world.run(SURVEY.max_report_age_ms + SURVEY.settle_ms + 2000.0)
-    assert [world.nodes[n].survey.view.verdict for n in (0, 1, 2, 5)] == [V.CUT_OFF] * 2 + [V.NOTHING] * 2
+    assert [world.nodes[n].survey.view.verdict for n in (0, 1, 2, 5)] == [OUTAGE.CUT_OFF] * 2 + [
+        OUTAGE.NOTHING
+    ] * 2
     assert not world.nodes[0].survey.may_send_loads(world.nodes[0].clock(world.now))
     world.partition(range(6))
     world.run(2000.0)
-    assert world.verdicts() == {V.NOTHING}
+    assert world.verdicts() == {OUTAGE.NOTHING}
     assert all(n.survey.may_send_loads(n.clock(world.now)) for n in world.live_nodes())
 
 
@@ -192,27 +194,27 @@
 
 
 @pytest.mark.parametrize("folder", ["empty", "old"])
-def test_an_outdated_folder_is_detected_and_its_boot_raised(folder: str) -> None:
+def test_an_outdated_folder_is_detected_and_its_boot_count_raised(folder: str) -> None:
     world = settled(5)
     for _ in range(2):
         lose(world, [0])
         world.run(2000.0)
-    known = world.folders[0].boot
+    known = world.folders[0].boot_count
     world.kill(*range(5))
     world.start(1, 2, 3, 4)
     world.start(0, folder=folder)
-    assert world.folders[0].boot <= known
+    assert world.folders[0].boot_count <= known
     world.run(2000.0)
-    census = world.nodes[0].survey
-    assert census.memory is (MemoryState.EMPTY if folder == "empty" else MemoryState.STALE)
+    survey = world.nodes[0].survey
+    assert survey.memory is (MemoryState.EMPTY if folder == "empty" else MemoryState.STALE)
     assert (
-        not census.has_confirmed_memory()
-        and census.boot_count > known
-        and world.folders[0].boot == census.boot_count
+        not survey.has_confirmed_memory()
+        and survey.boot_count > known
+        and world.folders[0].boot_count == survey.boot_count
     )
-    boot = census.boot_count
+    boot = survey.boot_count
     world.run(5000.0)
-    assert census.boot_count == boot  # once
+    assert survey.boot_count == boot  # once
     assert all(world.nodes[n].survey.has_confirmed_memory() for n in (1, 2, 3, 4))
     assert world.nodes[1].folder.known[0].boot_count == boot
 
@@ -230,13 +232,15 @@
         world.kill(0)
         world.start(0)
     world.run(2000.0)
-    census = world.nodes[0].survey
+    survey = world.nodes[0].survey
     assert (
-        census.memory is MemoryState.STALE and not census.has_confirmed_memory() and not world.folders[0].base
+        survey.memory is MemoryState.STALE
+        and not survey.has_confirmed_memory()
+        and not world.folders[0].checkpoint
     )
     world.run(SURVEY.retention_ms)
     assert (
-        world.folders[0].base // CHECKPOINTS_PER_BOOT == census.boot_count
+        world.folders[0].checkpoint // CHECKPOINTS_PER_BOOT == survey.boot_count
     )  # what it has forgotten is asked about no more
     world.kill(0)
     world.start(0)
@@ -244,7 +248,7 @@
     assert world.nodes[0].survey.has_confirmed_memory()
 
 
-def test_an_unconfirmed_folder_is_stale_after_a_hold() -> None:
+def test_an_unconfirmed_folder_is_stale_after_the_retention() -> None:
     world = settled(3)
     world.partition([0, 1], [2])
     lose(world, [0])
@@ -255,10 +259,10 @@
     world.partition(range(3))
     world.start(1, 2)  # 1 alone knows better: one name
     world.run(SURVEY.retention_ms - 500.0)
-    census = world.nodes[0].survey
-    assert census.memory.name == "INTACT" and not census.has_confirmed_memory()
+    survey = world.nodes[0].survey
+    assert survey.memory.name == "INTACT" and not survey.has_confirmed_memory()
     world.run(2000.0)
-    assert census.memory.name == "STALE"
+    assert survey.memory.name == "STALE"
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
@@ -281,7 +285,7 @@
     assert not any(n.duplicates_seen for n in world.live_nodes())
 
 
-def one() -> membership_survey.MembershipSurvey:
+def make_survey() -> membership_survey.MembershipSurvey:
     numbers = range(5)
     zones, known = dict.fromkeys(numbers, "z"), dict.fromkeys(numbers, 7)
     return membership_survey.MembershipSurvey(
@@ -289,43 +293,45 @@
     )
 
 
-def here(number: int, up: float, **changes: object) -> Presence:
+def presence(number: int, up: float, **changes: object) -> Presence:
     word = Presence(number, 8, 8, 100 + number, up, MemoryState.INTACT, False)
     return dataclasses.replace(word, **changes)  # type: ignore[arg-type]
 
 
 def test_a_member_is_bound_to_one_number() -> None:
-    census = one()
+    survey = make_survey()
     for number in (1, 2, 3, 4):
-        census.on_message(10.0, 1001, here(number, 5.0))
-    census.step(50.0)
-    assert census.view.restarted == {1} and census.counters["unbound"] == 3
+        survey.on_message(10.0, 1001, presence(number, 5.0))
+    survey.step(50.0)
+    assert survey.view.restarted == {1} and survey.counters["unbound"] == 3
 
 
 def test_one_member_can_neither_make_a_memory_stale_nor_stop_an_instance() -> None:
     def lie(up: float) -> tuple[PeerState, ...]:
         return (PeerState(0, 4_000_000_000, 11, up, 0.0, is_duplicate=True, is_stale=True),)
 
-    census = one()
+    survey = make_survey()
     for up in range(1, 50):
-        census.on_message(up * 100.0, 1001, here(1, up * 100.0, peers=lie(up)))
+        survey.on_message(up * 100.0, 1001, presence(1, up * 100.0, peers=lie(up)))
         assert not [
             a
-            for a in census.step(up * 100.0)
+            for a in survey.step(up * 100.0)
             if isinstance(a, survey_results.RaiseBootCount | survey_results.DuplicateIdentity)
         ]
-    assert census.memory is MemoryState.INTACT
-    census.on_message(6000.0, 1002, here(2, 6000.0, peers=(PeerState(0, 9, 11, 1.0, 10.0, is_stale=True),)))
-    boots = [a.min_boot_count for a in census.step(6100.0) if isinstance(a, survey_results.RaiseBootCount)]
+    assert survey.memory is MemoryState.INTACT
+    survey.on_message(
+        6000.0, 1002, presence(2, 6000.0, peers=(PeerState(0, 9, 11, 1.0, 10.0, is_stale=True),))
+    )
+    boots = [a.min_boot_count for a in survey.step(6100.0) if isinstance(a, survey_results.RaiseBootCount)]
     assert boots == [10]  # two say that there was more: raised by what both bear out
 
 
 def test_presence_reports_merge_in_any_order_and_old_ones_change_nothing() -> None:
-    census = one()
-    census.on_message(100.0, 1001, here(1, 90.0))
-    census.on_message(101.0, 1001, here(1, 30.0, was_clean_shutdown=True))
-    census.on_message(102.0, 1001, here(1, 90.0, was_clean_shutdown=True))
-    assert not census.peers[1].was_clean_shutdown and census.counters["old"] == 2
+    survey = make_survey()
+    survey.on_message(100.0, 1001, presence(1, 90.0))
+    survey.on_message(101.0, 1001, presence(1, 30.0, was_clean_shutdown=True))
+    survey.on_message(102.0, 1001, presence(1, 90.0, was_clean_shutdown=True))
+    assert not survey.peers[1].was_clean_shutdown and survey.counters["old"] == 2
 
 
 def test_a_clock_that_jumps_by_years_changes_nothing() -> None:
@@ -334,7 +340,7 @@
     for world in (first, second):
         lose(world, range(5))
         world.run(1000.0)
-        assert world.verdicts() == {V.FLEET}
+        assert world.verdicts() == {OUTAGE.FLEET}
         assert max(abs(n.offset) for n in world.live_nodes()) > 1e9
 
 
@@ -369,4 +375,4 @@
 def test_planted_boots_not_compared_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(membership_survey.MembershipSurvey, "_exceeds_folder", lambda self, view: False)
     with pytest.raises(AssertionError):
-        test_an_outdated_folder_is_detected_and_its_boot_raised("old")
+        test_an_outdated_folder_is_detected_and_its_boot_count_raised("old")
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -1,4 +1,4 @@
-"""Words and orders between instances: any order, any number of times; forged, cut and replayed ones."""
+"""Reports and overrides between instances: any order, any number of times; forged, truncated and replayed."""
 
 from __future__ import annotations
 
@@ -35,27 +35,27 @@
     encode_quota_message,
 )
 
-SMALL = st.integers(0, 255)
-ZONE = st.builds(
+UINT8 = st.integers(0, 255)
+ZONE_REPORT = st.builds(
     ZoneReport,
     st.sampled_from(Vote),
-    SMALL,
-    SMALL,
-    SMALL,
-    SMALL.map(lambda n: n / 255),
+    UINT8,
+    UINT8,
+    UINT8,
+    UINT8.map(lambda n: n / 255),
     st.booleans(),
     st.booleans(),
 )
-WORD = st.builds(
+MEMBER_REPORT = st.builds(
     MemberReport,
     st.integers(1, 5),
     st.integers(0, 3),
     st.integers(0, 3),
     st.integers(0, 65535),
     st.integers(0, 2**32 - 1),
-    st.dictionaries(st.integers(0, 65535), ZONE, max_size=4),
+    st.dictionaries(st.integers(0, 65535), ZONE_REPORT, max_size=4),
 )
-ORDER = st.builds(
+OVERRIDE = st.builds(
     Override,
     st.integers(0, 3),
     st.sampled_from(OverrideMode),
@@ -67,54 +67,54 @@
 )
 
 
-@given(st.lists(WORD, max_size=6))
-def test_reports_are_decoded_as_encoded(words: list[MemberReport]) -> None:
-    data = encode_zone_reports(words, 200)
+@given(st.lists(MEMBER_REPORT, max_size=6))
+def test_reports_are_decoded_as_encoded(reports: list[MemberReport]) -> None:
+    data = encode_zone_reports(reports, 200)
     assert len(data) <= 200
-    got = decode_zone_reports(data)
-    left = iter(words)
-    assert all(any(word == other for other in left) for word in got), "in their order"
-    assert got[:1] == words[:1]
+    decoded = decode_zone_reports(data)
+    remaining = iter(reports)
+    assert all(any(report == other for other in remaining) for report in decoded), "in their order"
+    assert decoded[:1] == reports[:1]
 
 
-@given(st.lists(WORD, max_size=12), st.randoms())
+@given(st.lists(MEMBER_REPORT, max_size=12), st.randoms())
 def test_reports_merge_in_any_order_and_any_number_of_times(
-    words: list[MemberReport], draw: random.Random
+    reports: list[MemberReport], draw: random.Random
 ) -> None:
     newest = dict[object, MemberReport]()
-    for word in words:  # one stamp, one word: an instance never says two things under one version
-        newest.setdefault((word.member, word.stamp), word)
+    for report in reports:  # one stamp, one report: an instance never sends two under one version
+        newest.setdefault((report.member, report.stamp), report)
     views = []
     for _ in range(2):
-        told = [*newest.values(), *draw.sample(list(newest.values()), len(newest) // 2)]
-        draw.shuffle(told)
+        arrivals = [*newest.values(), *draw.sample(list(newest.values()), len(newest) // 2)]
+        draw.shuffle(arrivals)
         view = LatestReports[MemberReport](5)
-        for word in told:
-            view.apply(1.0, word)
-        views.append({member: heard.report for member, heard in view.received.items()})
+        for report in arrivals:
+            view.apply(1.0, report)
+        views.append({member: received.report for member, received in view.received.items()})
     assert views[0] == views[1] and 5 not in views[0]
 
 
-@given(st.lists(ORDER, max_size=10), st.randoms())
+@given(st.lists(OVERRIDE, max_size=10), st.randoms())
 def test_overrides_merge_alike_and_are_decoded_as_encoded(
-    orders: list[Override], draw: random.Random
+    overrides: list[Override], draw: random.Random
 ) -> None:
-    unique = list({(o.zone, o.stamp): o for o in orders}.values())
+    unique = list({(o.zone, o.stamp): o for o in overrides}.values())
     digests = set()
     for _ in range(3):
         draw.shuffle(unique)
         view = Overrides(9)
-        for order in unique:
-            (got,) = decode_overrides(0.0, encode_overrides(0.0, [order], 200))
-            assert got == order
-            view.apply(got)
+        for override in unique:
+            (decoded,) = decode_overrides(0.0, encode_overrides(0.0, [override], 200))
+            assert decoded == override
+            view.apply(decoded)
         digests.add(view.digest())
     assert len(digests) == 1
 
 
 @given(st.binary(max_size=220))
 @settings(max_examples=300)
-def test_bytes_that_make_no_sense_are_an_error_and_nothing_else(data: bytes) -> None:
+def test_malformed_bytes_raise_a_message_error(data: bytes) -> None:
     for read in (decode_zone_reports, decode_quota_message, lambda d: decode_overrides(0.0, d)):
         with contextlib.suppress(MessageError):
             read(data)
@@ -155,6 +155,6 @@
 
 
 def test_a_report_of_three_zones_is_small() -> None:
-    """The cost at rest is one such word a second to each of a few members."""
-    word = MemberReport(2**63, 1, 1, 100, 0, {zone_number(z): ZoneReport() for z in "abc"})
-    assert len(encode_zone_report(word)) == 44
+    """The cost at rest is one such report a second to each of a few members."""
+    report = MemberReport(2**63, 1, 1, 100, 0, {zone_number(z): ZoneReport() for z in "abc"})
+    assert len(encode_zone_report(report)) == 44
--- a/tests/fleet/test_quota_lending.py
+++ b/tests/fleet/test_quota_lending.py
@@ -29,12 +29,12 @@
 
 ZONE, TICK = 1, 5.0
 SETTINGS = QuotaSettings(loan_ms=20.0, renew_after_share=0.5, clock_drift=0.1, restart_wait_loans=1.5)
-KEPT = replace(SETTINGS, unlent_share=0.6)
+SETTINGS_WITH_UNLENT_SHARE = replace(SETTINGS, unlent_share=0.6)
 COUNT, DEPTH = 3, 7
 
 
 @dataclass(slots=True)
-class Small:
+class QuotaModel:
     """The whole world: instances by number, messages under way, the time."""
 
     now: float = 100.0
@@ -45,7 +45,7 @@
     settings: QuotaSettings = SETTINGS
 
     @classmethod
-    def begin(cls, settings: QuotaSettings = SETTINGS) -> Small:
+    def begin(cls, settings: QuotaSettings = SETTINGS) -> QuotaModel:
         """Three that have been there for long."""
         world = cls(settings=settings)
         for i in range(COUNT):
@@ -56,9 +56,9 @@
         """What all of them may use now, by their own clocks, the stopped ones as well."""
         return sum(p.usable(self.now, ZONE)[0] for p in self.members.values())
 
-    def copy(self) -> Small:
+    def copy(self) -> QuotaModel:
         """Another world that is the same so far."""
-        made = Small(self.now, {}, self.stopped, self.flying, self.lives, self.settings)
+        made = QuotaModel(self.now, {}, self.stopped, self.flying, self.lives, self.settings)
         for i, p in self.members.items():
             made.members[i] = q = copy.copy(p)
             q.loans = {}
@@ -96,7 +96,7 @@
             )
         return tuple(rows), self.stopped, self.flying
 
-    def want(self, i: int, share: float) -> Small | None:
+    def want(self, i: int, share: float) -> QuotaModel | None:
         """An instance has so much of the demand, and asks for what it lacks."""
         p = self.members[i]
         if i in self.stopped:
@@ -104,7 +104,7 @@
         demand = {m: share if m == i else (1 - share) / (COUNT - 1) for m in range(COUNT)}
         return self._fly(i, p.request(self.now, ZONE, demand, i))
 
-    def deliver(self, place: int, keep: bool) -> Small | None:
+    def deliver(self, place: int, keep: bool) -> QuotaModel | None:
         """A message arrives, and may arrive again."""
         if place >= len(self.flying):
             return None
@@ -116,19 +116,19 @@
             return self
         return self._fly(target, p.on_message(self.now, sender, what))
 
-    def lose(self, place: int) -> Small | None:
+    def lose(self, place: int) -> QuotaModel | None:
         """A message is lost."""
         if place >= len(self.flying):
             return None
         self.flying = self.flying[:place] + self.flying[place + 1 :]
         return self
 
-    def tick(self) -> Small:
+    def tick(self) -> QuotaModel:
         """Time passes for all."""
         self.now += TICK
         return self
 
-    def die(self, i: int) -> Small | None:
+    def die(self, i: int) -> QuotaModel | None:
         """One is gone, and back from nothing at once."""
         self.lives += 1
         if self.lives > 1:
@@ -138,20 +138,20 @@
         self.stopped -= {i}
         return self
 
-    def stop(self, i: int) -> Small:
+    def stop(self, i: int) -> QuotaModel:
         """One stands still, or goes on."""
         self.stopped ^= {i}
         return self
 
-    def _fly(self, sender: int, messages: list[QuotaMessage]) -> Small:
+    def _fly(self, sender: int, messages: list[QuotaMessage]) -> QuotaModel:
         self.flying += tuple((sender, to.member, to.message) for to in messages)
         return self
 
 
-Step = Callable[[Small], Small | None]
+Step = Callable[[QuotaModel], QuotaModel | None]
 
 
-def steps(world: Small) -> list[Step]:
+def steps(world: QuotaModel) -> list[Step]:
     """All that may happen next."""
     found: list[Step] = [lambda w: w.tick(), lambda w: w.want(0, 0.9), lambda w: w.want(0, 0.5)]
     for place in range(len(world.flying)):
@@ -165,7 +165,7 @@
 def search(depth: int, settings: QuotaSettings = SETTINGS) -> tuple[int, float]:
     """How many different worlds were seen, and the most that all could use in one of them. Bound: so many
     steps, four messages under way, one death."""
-    seen, front, worst = set[object](), [Small.begin(settings)], 0.0
+    seen, front, worst = set[object](), [QuotaModel.begin(settings)], 0.0
     for _ in range(depth):
         following = []
         for world in front:
@@ -180,14 +180,16 @@
     return len(seen), worst
 
 
-@pytest.mark.parametrize("settings, depth", [(SETTINGS, DEPTH), (KEPT, DEPTH - 1)], ids=["all lent", "kept"])
+@pytest.mark.parametrize(
+    "settings, depth", [(SETTINGS, DEPTH), (SETTINGS_WITH_UNLENT_SHARE, DEPTH - 1)], ids=["all lent", "kept"]
+)
 def test_in_every_interleaving_the_quotas_add_up_to_at_most_one(settings: QuotaSettings, depth: int) -> None:
     seen, worst = search(depth, settings)
     assert seen > 5000 and worst <= 1.0
 
 
-def newest_only(purse: quota_lending.ZoneLoans, now: float, member: int) -> int:
-    loans = purse.lent.get(member, [])
+def newest_only(zone_loans: quota_lending.ZoneLoans, now: float, member: int) -> int:
+    loans = zone_loans.lent.get(member, [])
     return loans[-1][1] if loans and loans[-1][0] > now else 0
 
 
@@ -213,7 +215,7 @@
     [
         (QuotaAccount, "__init__", unwary, SETTINGS),
         (quota_lending.ZoneLoans, "reserved", newest_only, SETTINGS),
-        (QuotaAccount, "_grant", lends_all, KEPT),
+        (QuotaAccount, "_grant", lends_all, SETTINGS_WITH_UNLENT_SHARE),
     ],
     ids=["a lender that forgets", "a smaller loan after a larger", "what is kept is lent"],
 )
@@ -291,20 +293,20 @@
         assert used <= 1.0 + 1e-9
 
 
-class DrawnKept(Drawn):
+class DrawnWithUnlentShare(Drawn):
     """With a share that is never lent, and used from the first moment."""
 
-    settings_used = KEPT
+    settings_used = SETTINGS_WITH_UNLENT_SHARE
 
 
-TestDrawnKept = DrawnKept.TestCase
+TestDrawnKept = DrawnWithUnlentShare.TestCase
 TestDrawnKept.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
 TestDrawn = Drawn.TestCase
 TestDrawn.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
 
 
 def test_the_instance_with_most_load_gets_most_of_the_budget() -> None:
-    world = Small.begin()
+    world = QuotaModel.begin()
     world.want(0, 0.8)
     while world.flying:
         world.deliver(0, keep=False)
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -36,7 +36,7 @@
 NUMBER = warmup_messages.engine_number("a0")
 
 
-def ramp(**fields: object) -> SharedSlowStart:
+def make_slow_start(**fields: object) -> SharedSlowStart:
     made = SharedSlowStart(1, 1, 0.0, SlowStartSettings(**fields), 1)  # type: ignore[arg-type]
     made.set_engines(0.0, ENGINES)
     return made
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("proof", ["list", "probe", "attempt", "another's attempt"])
 def test_nothing_goes_to_an_engine_before_it_is_listed_or_has_answered(proof: str) -> None:
-    made = ramp()
+    made = make_slow_start()
     assert made.share("a0") == 0.0 and 0 < max(made.work_limits(1.0).values()) < 1e-6
     if proof == "list":
         made.on_list_received(10.0)
@@ -83,7 +83,7 @@
 
 
 def test_a_list_does_not_prove_an_engine_that_failed_a_health_check() -> None:
-    made = ramp()
+    made = make_slow_start()
     made.on_health_check(10.0, "a0", False)
     made.on_list_received(300.0)
     assert made.share("a0") == 0.0 and made.share("a1") == made.settings.initial_share
@@ -92,7 +92,7 @@
 
 
 def test_a_share_follows_observations_and_not_the_clock() -> None:
-    made = ramp(warm_after_ms=60_000.0)
+    made = make_slow_start(warm_after_ms=60_000.0)
     made.on_list_received(0.0)
     for t in range(100, 5000, 100):
         made.on_answer(float(t), "a0", True, 20.0, 60.0)  # stays three times slower
@@ -107,7 +107,7 @@
 
 
 def test_a_slow_engine_is_free_at_its_configured_age_and_a_silent_one_is_not() -> None:
-    made = ramp(warm_after_ms=3000.0)
+    made = make_slow_start(warm_after_ms=3000.0)
     made.on_list_received(0.0)
     for t in range(100, 3400, 100):
         made.on_answer(float(t), "a0", True, 20.0, 120.0)  # 20 ms of work, and a machine that is busy
@@ -116,7 +116,7 @@
 
 
 def test_after_an_outage_engines_warm_up_anew_unless_only_this_instance_was_away() -> None:
-    made = ramp()
+    made = make_slow_start()
     made.on_list_received(0.0)
     made.on_loss(0.0, OutageScope.ALONE)
     assert not made.is_active
@@ -136,7 +136,7 @@
     since: float, failed: bool, share: float
 ) -> None:
     """More than half of the fleet are back after two seconds, and only then all know that it was lost."""
-    made = ramp(warm_after_ms=3000.0)
+    made = make_slow_start(warm_after_ms=3000.0)
     made.on_loss(0.0, OutageScope.ALONE)
     made.on_answer(100.0, "a0", True, 20.0, 60.0)
     if failed:
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("tellers, older", [(1, False), (2, True), (3, True)], ids=str)
 def test_an_engine_is_as_old_as_two_others_know(tellers: int, older: bool) -> None:
-    made = ramp(warm_after_ms=3000.0)
+    made = make_slow_start(warm_after_ms=3000.0)
     made.on_list_received(0.0)
     for t in (100.0, 200.0, 300.0, 400.0, 500.0):
         made.on_answer(t, "a0", True, 20.0, 60.0)
@@ -167,7 +167,7 @@
 
 
 def test_observations_of_an_engines_earlier_incarnation_do_not_count() -> None:
-    made = ramp()
+    made = make_slow_start()
     made.on_loss(0.0, OutageScope.ALONE)
     made.on_engine_started(5000.0, "a0")
     for version, age, share in ((1, 4000.0, 0.3), (2, 0.0, 0.345 * 1.15)):
@@ -179,7 +179,7 @@
 
 
 def test_a_queue_at_an_engine_lowers_its_share() -> None:
-    made = ramp()
+    made = make_slow_start()
     made.on_list_received(0.0)
     made.warming["a0"].share, made.warming["a0"].started_at = 0.48, -2000.0
     for t in range(100, 1500, 20):  # 0.4 of its capacity, each after a line of half a second
@@ -189,7 +189,7 @@
 
 
 def test_a_restarted_instance_advises_the_same_retry_after_as_the_others() -> None:
-    early, late, told = ramp(), ramp(), set[float]()
+    early, late, told = make_slow_start(), make_slow_start(), set[float]()
     early.on_list_received(0.0)
     for t in range(100, 2500, 100):
         for engine in ENGINES:
@@ -220,7 +220,7 @@
 
 
 ROWS = st.builds(EngineObservation, *(st.floats(0, 1) for _ in range(3)), st.floats(0, 20_000))
-WORDS = st.builds(
+WARMUP_REPORTS = st.builds(
     WarmupReport,
     *(st.integers(1, 2**32 - 1) for _ in range(3)),
     st.dictionaries(st.integers(0, 2**32 - 1), ROWS, max_size=warmup_messages.MAX_ENGINES),
@@ -228,7 +228,7 @@
 
 
 @unhurried
-@given(st.lists(WORDS, max_size=4))
+@given(st.lists(WARMUP_REPORTS, max_size=4))
 def test_warmup_reports_keep_their_meaning_and_fit_a_datagram(words: list[WarmupReport]) -> None:
     data = encode_warmup_reports(words)
     back = decode_warmup_reports(data)
@@ -405,7 +405,7 @@
 
 
 def test_a_slow_engine_is_free_at_last() -> None:
-    made = ramp(max_duration_ms=3000.0)
+    made = make_slow_start(max_duration_ms=3000.0)
     made.on_list_received(0.0)
     for t in range(0, 4000, 100):
         made.on_answer(float(t), "a0", True, 20.0, 60.0)
--- a/tests/fleet/test_rolling_replacement.py
+++ b/tests/fleet/test_rolling_replacement.py
@@ -28,7 +28,7 @@
 )
 from cottonhold.fleet.rolling_replacement.step_decision import MachineView, StepSettings, decide_step
 
-THERE = {f"d{i}": Machine(f"d{i}", "abc"[i % 3], 8.0, is_voter=True) for i in range(6)} | {
+MACHINES = {f"d{i}": Machine(f"d{i}", "abc"[i % 3], 8.0, is_voter=True) for i in range(6)} | {
     "x1": Machine("x1", "a", 16.0, is_engine=True)
 }
 NAMES = st.text(st.characters(codec="ascii", exclude_categories=["C"]), max_size=32)
@@ -59,9 +59,9 @@
         (ReplacementRequest("ann", (MachineRequest("d1"),), max_concurrent=9), "must be 1 to 5"),
     ],
 )
-def test_a_request_that_makes_no_sense_is_told_what_is_wrong(request_: ReplacementRequest, says: str) -> None:
+def test_an_invalid_request_is_rejected_with_the_reason(request_: ReplacementRequest, says: str) -> None:
     with pytest.raises(PlanError, match=says):
-        plan.check_request(request_, THERE)
+        plan.check_request(request_, MACHINES)
 
 
 @pytest.mark.parametrize(
@@ -76,10 +76,10 @@
         (ReplacementStep.DRAINING, 1e4, True, 3, None),
     ],
 )
-def test_a_machine_that_can_not_go_for_want_of_voters_serves_meanwhile(
+def test_a_machine_that_must_stay_for_the_quorum_serves_meanwhile(
     at: ReplacementStep, since: float, spare: bool, pins: int, then: ReplacementStep | None
 ) -> None:
-    view = MachineView(since, THERE, remaining_keys=pins, open_requests=0, keeps_quorum=spare)
+    view = MachineView(since, MACHINES, remaining_keys=pins, open_requests=0, keeps_quorum=spare)
     found = decide_step(
         "d1", MachineRecord(at, 1, flags=plan.MachineFlag.VOTER, replacement="d1"), view, StepSettings()
     )
@@ -87,10 +87,10 @@
     assert spare or pins or "a majority of voters must stay up" in found.reasons
 
 
-def test_a_contradiction_names_who_asked_the_other_and_the_same_is_taken_once() -> None:
+def test_a_contradicting_request_names_the_other_requester_and_a_repeated_one_counts_once() -> None:
     request = ReplacementRequest("ann", (MachineRequest("d1", "e1"), MachineRequest("d2")))
-    plan.check_request(request, THERE)
-    chain = plan.build_records(request, request.items, THERE, ReplacementPlan(serial=1), {})
+    plan.check_request(request, MACHINES)
+    chain = plan.build_records(request, request.items, MACHINES, ReplacementPlan(serial=1), {})
     assert [r.next_machine for r in chain.values()] == ["d2", ""]
     assert plan.select_new_items(
         ReplacementRequest("bob", (MachineRequest("d1", "e1"), MachineRequest("d3"))), chain
@@ -98,7 +98,11 @@
     for item in (MachineRequest("d1", "f1"), MachineRequest("d2", cores=2.0), MachineRequest("d3", "e1")):
         with pytest.raises(PlanError, match="by ann"):
             plan.select_new_items(ReplacementRequest("bob", (item,)), chain)
-    assert [i.machine for i in plan.request_for_zone("ann", "a", THERE.values()).items] == ["d0", "d3", "x1"]
+    assert [i.machine for i in plan.request_for_zone("ann", "a", MACHINES.values()).items] == [
+        "d0",
+        "d3",
+        "x1",
+    ]
 
 
 @given(
@@ -135,7 +139,7 @@
     assert len(plan.register_name(machine).encode()) <= 16
 
 
-def test_an_answer_that_was_overtaken_changes_nothing_and_an_unknown_end_is_read_first() -> None:
+def test_an_overtaken_answer_changes_nothing_and_an_unknown_outcome_is_read_first() -> None:
     ledger = RegisterCache(random.Random(1), 6000.0)
     (read,) = ledger.read(0.0, "r")
     ledger.on_outcome(10.0, read.token, True, 3, b"three")
@@ -161,21 +165,27 @@
 
 
 # All of them, each at each step, are played by benchmarks/fleet/swap.py.
-PLAYED = [
+PLAYED_CASES = [
     name for name in CASES if name.endswith((" draining", ": out")) and "dies" in name or ":" not in name
 ]
-PLAYED = [name for name in PLAYED if name not in ("storm", "calm", "target dies", "author dies")]
-PLAYED += ["power: draining", "stopped: moving", "aborted: draining", "aborted: out", "zone lost: draining"]
+PLAYED_CASES = [name for name in PLAYED_CASES if name not in ("storm", "calm", "target dies", "author dies")]
+PLAYED_CASES += [
+    "power: draining",
+    "stopped: moving",
+    "aborted: draining",
+    "aborted: out",
+    "zone lost: draining",
+]
 
 
-@pytest.mark.parametrize("name", PLAYED)
-def test_nothing_is_broken_and_all_come_to_their_end(name: str) -> None:
+@pytest.mark.parametrize("name", PLAYED_CASES)
+def test_no_rule_is_broken_and_all_replacements_finish(name: str) -> None:
     found = CASES[name](7)
     assert not found.breaches
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_a_planted_defect_is_noticed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_planted_defect_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(rolling_replacement_cases, "LONG", 30_000.0)
     with planted(name) as (case, says):
         found = CASES[case](2)
@@ -193,7 +203,7 @@
     assert play() == play()
 
 
-def test_operators_read_where_each_machine_stands_and_why_it_waits() -> None:
+def test_the_status_gives_each_machines_step_and_why_it_waits() -> None:
     world = World(2, 4)
     world.run(2000.0)
     world.ask("d0", "ann", MachineRequest("d1", "e1"), MachineRequest("d2"), MachineRequest("d3"))
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -174,6 +174,6 @@
     [one_after_another, whoever_asked_dies, a_voter_is_dead, power_goes, contradicting],
     ids=lambda s: s.__name__,
 )
-def test_a_swap_on_processes(story: Story, tmp_path: Path) -> None:
+def test_rolling_replacement_on_processes(story: Story, tmp_path: Path) -> None:
     found = played(DAY, tmp_path, story)
     assert [f for f in found if not f.startswith("answers")] == []
--- a/tests/fleet/test_schedule.py
+++ b/tests/fleet/test_schedule.py
@@ -13,12 +13,12 @@
 from cottonhold.fleet.rolling_replacement.schedule import Limits, ReplacementJob, ScheduleConstraints
 
 
-def bears(lost: Mapping[int, float]) -> list[str]:
+def capacity_check(lost: Mapping[int, float]) -> list[str]:
     """An outlook that bears 12 cores out, and 8 of one zone."""
     return ["too much is out"] * (sum(lost.values()) > 12 or max(lost.values(), default=0) > 8)
 
 
-def case(seed: int, most: int = 7) -> tuple[list[ReplacementJob], Limits]:
+def draw_jobs(seed: int, most: int = 7) -> tuple[list[ReplacementJob], Limits]:
     """Some machines of three zones and what holds for them."""
     draw = random.Random(seed)
     jobs = [
@@ -34,7 +34,7 @@
     """Said anew, so that a mistake in the order's own rule is seen."""
     lost = {z: sum(j.cores for j in out if j.zone == z) for z in {j.zone for j in out}}
     few = len(out) <= limits.max_concurrent and len(lost) <= limits.max_zones
-    return few and sum(j.is_voter for j in out) <= limits.spare_voters and not bears(lost)
+    return few and sum(j.is_voter for j in out) <= limits.spare_voters and not capacity_check(lost)
 
 
 def best(jobs: Sequence[ReplacementJob], limits: Limits) -> float:
@@ -58,8 +58,8 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_the_makespan_is_near_the_best_there_is(seed: int) -> None:
-    jobs, limits = case(seed, 6)
-    schedule = ScheduleConstraints(limits, bears).find_schedule(jobs)
+    jobs, limits = draw_jobs(seed, 6)
+    schedule = ScheduleConstraints(limits, capacity_check).find_schedule(jobs)
     assert schedule.duration_ms <= 1.2 * best(jobs, limits)
     moments = sorted({*schedule.start_times.values()})
     for t in moments:
@@ -71,18 +71,18 @@
         assert allowed(out, limits)
 
 
-def test_all_settle_the_same_order_whatever_order_they_read_in() -> None:
+def test_the_schedule_does_not_depend_on_the_order_of_the_input() -> None:
     for seed in range(20):
-        jobs, limits = case(seed, 9)
+        jobs, limits = draw_jobs(seed, 9)
         mixed = random.Random(seed).sample(jobs, len(jobs))
-        assert ScheduleConstraints(limits, bears).find_schedule(jobs) == ScheduleConstraints(
-            limits, bears
+        assert ScheduleConstraints(limits, capacity_check).find_schedule(jobs) == ScheduleConstraints(
+            limits, capacity_check
         ).find_schedule(mixed)
 
 
-def test_what_never_fits_never_starts_and_says_why() -> None:
+def test_a_machine_that_never_fits_never_starts_and_says_why() -> None:
     jobs = [ReplacementJob("big", 1, 9.0, False, 5.0), ReplacementJob("small", 1, 2.0, True, 5.0)]
-    order = ScheduleConstraints(Limits(2, 1, 0), bears)
+    order = ScheduleConstraints(Limits(2, 1, 0), capacity_check)
     schedule = order.find_schedule(jobs)
     assert schedule.start_times == {"big": math.inf, "small": math.inf}
     assert order.wait_reasons(jobs[0], [], math.inf) == ["outlook: too much is out"]
--- a/tests/fleet/test_session_affinity_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize(
     ("story", "day"), STORIES, ids=lambda v: getattr(v, "__name__", getattr(v, "name", ""))
 )
-def test_pins_on_processes(story: Story, day: Scenario, tmp_path: Path) -> None:
+def test_session_affinity_on_processes(story: Story, day: Scenario, tmp_path: Path) -> None:
     async def with_pins(trial: ScenarioRun) -> None:
         await settled(trial)
         await more(trial, "load", 5)
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -50,14 +50,16 @@
 class Member:
     """Registers and session affinity of one member, joined as the adapter does."""
 
-    def __init__(self, fleet: Fleet, me: int, life: int, disk: dict[str, bytes]) -> None:
-        now, seed = fleet.now, life * 1000 + me
+    def __init__(self, fleet: Fleet, me: int, incarnation: int, disk: dict[str, bytes]) -> None:
+        now, seed = fleet.now, incarnation * 1000 + me
         parts: tuple[dict[str, bytes], dict[str, bytes]] = ({}, {})
         for name, data in disk.items():
             parts[name.startswith("p:")][name[2:]] = data
         self.fleet, self.me, self.next = fleet, me, now
         whole = fleet.whole[me]
-        self.registers = Registers(me, fleet.voters, life, life, seed, parts[0] if whole else {})
+        self.registers = Registers(
+            me, fleet.voters, incarnation, incarnation, seed, parts[0] if whole else {}
+        )
         self.service = SessionAffinityService(me, fleet.voters, now, seed, parts[1])
 
     def next_at(self) -> float:
@@ -70,16 +72,16 @@
         out = frozenset(m for m, g in self.fleet.going.items() if g is DepartureState.OUT)
         around = Surroundings(self.fleet.whole[self.me], going, frozenset(self.fleet.live), out)
         found = self.carry(now, self.registers.step(now))
-        return found + self.pins(now, self.service.step(now, around))
+        return found + self.carry_out_affinity(now, self.service.step(now, around))
 
     def on_message(self, now: float, sender: int, data: bytes) -> list[Any]:
         if data[0] < 75:
             return self.carry(now, self.registers.on_message(now, sender, data))
-        return self.pins(now, self.service.on_message(now, sender, data))
+        return self.carry_out_affinity(now, self.service.on_message(now, sender, data))
 
     def on_persisted(self, now: float, token: int) -> list[Any]:
         if token % 2:
-            return self.pins(now, self.service.on_persisted(now, token // 2))
+            return self.carry_out_affinity(now, self.service.on_persisted(now, token // 2))
         return self.carry(now, self.registers.on_persisted(now, token // 2))
 
     def carry(self, now: float, actions: Iterable[Any]) -> list[Any]:
@@ -98,7 +100,7 @@
                     found.append(a)
         return found
 
-    def pins(self, now: float, actions: Iterable[Any]) -> list[Any]:
+    def carry_out_affinity(self, now: float, actions: Iterable[Any]) -> list[Any]:
         found: list[Any] = []
         for a in actions:
             match a:
@@ -132,7 +134,7 @@
         found: SessionAffinityService = self.up[member].service
         return found
 
-    def left(self, member: int) -> int:
+    def remaining_keys(self, member: int) -> int:
         """What its replacement counts, which already knows its state."""
         return self.service(member).remaining_count(self.now, self.going[member])
 
@@ -147,7 +149,7 @@
             owners = [m for m in self.up if self.service(m).ownership_of(self.now, key) is not None]
             assert len(owners) <= 1, (self.now, key, owners)
 
-    def born(self) -> Fleet:
+    def establish(self) -> Fleet:
         self.run(6000)
         assert self.inside() == set(self.ids)
         self.whole = dict.fromkeys(self.ids, True)
@@ -185,12 +187,12 @@
             self.going[member] = DepartureState.STAYING
             self.run(1500)
 
-    def die(self, *members: int) -> None:
+    def power_off(self, *members: int) -> None:
         for member in members:
             self.stop(member)
             self.live.discard(member)
 
-    def come(self, member: int, whole: bool = True) -> None:
+    def rejoin(self, member: int, whole: bool = True) -> None:
         self.whole[member] = whole
         self.live.add(member)
         self.start(member, empty=not whole)
@@ -221,13 +223,13 @@
 def test_in_a_new_fleet_each_key_gets_an_owner(seed: int) -> None:
     fleet = Fleet(seed=seed)
     fleet.loss, fleet.twice, fleet.lost = 0.1 * seed, 0.1, seed
-    fleet.born()
+    fleet.establish()
     fleet.run(3000)
     assert fleet.owners() == {A, B, C, D}
 
 
 def test_a_replaced_machine_leaves_the_table_and_owns_nothing_before_it_stops() -> None:
-    fleet = Fleet().born()
+    fleet = Fleet().establish()
     for member in (D, A):
         before = [key for key in KEYS if fleet.service(member).ownership_of(fleet.now, key)]
         for n, key in enumerate(before):
@@ -235,25 +237,25 @@
             fleet.do(member, fleet.service(member).on_request_ended(fleet.now, key, n, True))
         fleet.going[member] = DepartureState.MOVING_KEYS
         fleet.run(100)
-        assert fleet.left(member) == len(before) > 0
+        assert fleet.remaining_keys(member) == len(before) > 0
         room = dict.fromkeys((m for m in fleet.ids if m != member), 1.0)
         fleet.do(member, fleet.service(member).move_keys(fleet.now, 100, room))
         fleet.run(1000)
-        assert fleet.left(member) == 0
+        assert fleet.remaining_keys(member) == 0
         assert fleet.service(member).counts["moved"] == len(before)
         assert member not in {fleet.owner(key) for key in before}
         fleet.going[member] = DepartureState.DRAINING  # which the service itself has not stepped with yet
-        assert fleet.left(member) == 1 and member in fleet.inside()
+        assert fleet.remaining_keys(member) == 1 and member in fleet.inside()
         while member in fleet.service(member).table.member_list.members:
             fleet.run(20)
-        assert fleet.left(member) == 1  # the others may not know yet
+        assert fleet.remaining_keys(member) == 1  # the others may not know yet
         fleet.run(1500)
         assert fleet.inside() == set(fleet.ids) - {member}
-        assert fleet.left(member) == 0 and fleet.owners() == set(fleet.ids) - {member}
+        assert fleet.remaining_keys(member) == 0 and fleet.owners() == set(fleet.ids) - {member}
         fleet.going[member] = DepartureState.OUT
-        fleet.die(member)
+        fleet.power_off(member)
         fleet.run(1000)
-        fleet.come(member, whole=member == A)
+        fleet.rejoin(member, whole=member == A)
         fleet.run(500)
         assert fleet.inside() == set(fleet.ids) - {member}  # its swap still has it out
         fleet.going[member] = DepartureState.STAYING
@@ -264,18 +266,18 @@
 
 
 def test_a_member_with_an_empty_folder_is_fenced_and_admitted() -> None:
-    fleet = Fleet().born()
+    fleet = Fleet().establish()
     epoch = fleet.service(A).table.member_list.epoch
-    fleet.die(B)
-    fleet.come(B, whole=False)
+    fleet.power_off(B)
+    fleet.rejoin(B, whole=False)
     fleet.run(4000)
     assert fleet.inside() == set(fleet.ids) and fleet.service(A).table.member_list.epoch == epoch + 2
     assert fleet.owners() == set(fleet.ids)
 
 
 def test_a_failed_member_is_fenced_while_a_majority_of_voters_stays() -> None:
-    fleet = Fleet().born()
-    fleet.die(C)
+    fleet = Fleet().establish()
+    fleet.power_off(C)
     fleet.run(4000)
     assert C in fleet.inside()
     fleet.run(4000)
@@ -285,14 +287,14 @@
     assert fleet.inside() == {A, B, D}
     assert "majority" in fleet.service(D).table.blocked_reason
     fleet.live.add(B)
-    fleet.come(C)
+    fleet.rejoin(C)
     fleet.run(6000)
     assert fleet.inside() == set(fleet.ids) and fleet.owners() == set(fleet.ids)
 
 
 def test_contradicting_changes_are_applied_one_after_the_other() -> None:
     """D is fenced as failed and requests its admission at once, while outcomes of changes are lost."""
-    fleet = Fleet().born()
+    fleet = Fleet().establish()
     fleet.live -= {D}
     fleet.run(4900)
     fleet.lost = 4
@@ -304,7 +306,7 @@
 
 @pytest.mark.parametrize("changes", [2, 24])
 def test_a_member_that_was_cut_off_applies_missed_changes_or_starts_anew(changes: int) -> None:
-    fleet = Fleet().born()
+    fleet = Fleet().establish()
     fleet.cut = {frozenset((D, m)) for m in (A, B, C)}
     fleet.live.discard(D)
     fleet.run(6000)
@@ -317,19 +319,19 @@
 
 
 def test_all_members_continue_with_their_folders_after_a_power_loss() -> None:
-    fleet = Fleet().born()
+    fleet = Fleet().establish()
     fleet.run(3000)
     epoch = fleet.service(A).table.member_list.epoch
-    fleet.die(*fleet.ids)
+    fleet.power_off(*fleet.ids)
     for member in fleet.ids:
-        fleet.come(member)
+        fleet.rejoin(member)
     fleet.run(4000)
     assert fleet.service(A).table.member_list.epoch == epoch and fleet.owners() == set(fleet.ids)
 
 
 def test_a_member_whose_folder_is_not_checked_yet_forwards_requests_and_owns_nothing() -> None:
-    fleet = Fleet().born()
-    fleet.die(D)
+    fleet = Fleet().establish()
+    fleet.power_off(D)
     fleet.whole[D] = None
     fleet.live.add(D)
     fleet.start(D)
@@ -343,7 +345,7 @@
 
 
 def test_a_member_whose_folder_is_found_out_of_date_starts_anew() -> None:
-    fleet = Fleet().born()
+    fleet = Fleet().establish()
     fleet.run(200)
     fleet.whole[D] = False
     fleet.run(4000)
--- a/tests/fleet/test_snapshot_plan.py
+++ b/tests/fleet/test_snapshot_plan.py
@@ -14,12 +14,12 @@
 from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import SiteReport, encode_site_reports
 from tests.fleet.test_cross_zone_limits import core, leave
-from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, steps
+from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, run_steps
 
 S = CostEstimatorSettings()
 
 
-def divisions(monkeypatch: pytest.MonkeyPatch) -> list[Mapping[str, float]]:
+def record_solutions(monkeypatch: pytest.MonkeyPatch) -> list[Mapping[str, float]]:
     """What is divided from now on, by what is left of zones."""
     found = list[Mapping[str, float]]()
     settle = projection.solve_with_cold_work
@@ -50,7 +50,7 @@
 
 
 def test_without_an_outage_each_snapshot_is_solved_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    made, found = core("a"), divisions(monkeypatch)
+    made, found = core("a"), record_solutions(monkeypatch)
     run(made, 2600.0, 30_000.0, fleet())
     assert 9 <= len(found) <= 11 and not any(found)  # each 3 s, of all that is left
 
@@ -61,7 +61,7 @@
 ) -> None:
     made = core("a")
     run(made, 2600.0, 1000.0, fleet())
-    found = divisions(monkeypatch)
+    found = record_solutions(monkeypatch)
     run(made, 3600.0, 10_000.0, fleet(), a=good)
     assert 9 * each <= len(found) <= 11 * each
 
@@ -69,9 +69,9 @@
 def test_pairs_and_costs_are_computed_when_they_are_asked_for_and_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made, found = CostEstimator(99, 1, 0.0, "a", 1), divisions(monkeypatch)
+    made, found = CostEstimator(99, 1, 0.0, "a", 1), record_solutions(monkeypatch)
     made.set_engines(ENGINES)
-    steps(made, fleet(), 0.0, 2000.0)
+    run_steps(made, fleet(), 0.0, 2000.0)
     assert not found
     for _ in range(3):
         assert made.projection("a", "b") is not None and made.serving_zones("a", "a", "b")
@@ -96,30 +96,30 @@
 def test_a_changed_demand_is_seen_within_a_snapshot_interval(left: dict[str, float], within: float) -> None:
     made = CostEstimator(99, 1, 0.0, "a", 1)
     made.set_engines(ENGINES)
-    steps(made, fleet(), 0.0, 10_100.0, **left)
+    run_steps(made, fleet(), 0.0, 10_100.0, **left)
     assert made.plan is not None
     before = made.plan.snapshot.homes["a"].cores
-    steps(made, more(2.0), 10_100.0, within + 100.0, **left)
+    run_steps(made, more(2.0), 10_100.0, within + 100.0, **left)
     assert made.plan.snapshot.homes["a"].cores > 1.5 * before
 
 
 def test_an_evacuated_zone_is_planned_for_in_the_same_step() -> None:
     made = CostEstimator(99, 1, 0.0, "a", 1)
     made.set_engines(ENGINES)
-    steps(made, fleet(), 0.0, 5000.0)
-    steps(made, [], 5000.0, 100.0)
+    run_steps(made, fleet(), 0.0, 5000.0)
+    run_steps(made, [], 5000.0, 100.0)
     made.step(5100.0, {s.member for s in fleet()}, {"b": 0.0})
     assert made.plan is not None and (made.plan.made_at, made.plan.remaining) == (5100.0, {"b": 0.0})
 
 
-def test_an_answer_of_long_ago_is_not_held_against_a_new_one() -> None:
+def test_an_old_answer_does_not_delay_a_new_one() -> None:
     def neighbours(asked: bool) -> dict[str, float]:
         made = CostEstimator(99, 1, 0.0, "a", 1)
         made.set_engines(ENGINES)
-        steps(made, fleet(), 0.0, 2000.0)
+        run_steps(made, fleet(), 0.0, 2000.0)
         if asked:
             made.neighbours("a")
-        steps(made, more(1.2), 2000.0, 20_000.0)  # 0.15 other, which the band would hold for 3 s
+        run_steps(made, more(1.2), 2000.0, 20_000.0)  # 0.15 other, which the band would hold for 3 s
         return dict(made.neighbours("a"))
 
     assert neighbours(True) == neighbours(False)
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -57,7 +57,7 @@
     return world
 
 
-def left(world: World, zone: str = "a") -> dict[int, float]:
+def evacuated_at(world: World, zone: str = "a") -> dict[int, float]:
     """When each instance first left a zone, in ms from the fault."""
     return {
         i: min(t for t, turn in node.phase_changes if turn.zone == zone and turn.phase is ZonePhase.EVACUATED)
@@ -80,9 +80,9 @@
 def test_all_evacuate_a_faulty_zone_in_time_and_return_gradually(name: str, loss: float) -> None:
     fault, within = FAULTS[name]
     world = play(fault, loss=loss)
-    assert len(left(world)) == 6 and max(left(world).values()) <= within
+    assert len(evacuated_at(world)) == 6 and max(evacuated_at(world).values()) <= within
     assert world.share("a", FAULT + within, MEND) < 0.05
-    assert not left(world, "b") and not left(world, "c")
+    assert not evacuated_at(world, "b") and not evacuated_at(world, "c")
     assert set(world.phases("a").values()) == {"in"}, "all are back"
     fair = world.share("a", 1000.0, FAULT)
     shares = [world.share("a", t, t + 1000) for t in range(int(MEND), 20_000, 500)]
@@ -105,8 +105,8 @@
     world.run(MEND)
     FAULTS[name][0](world, False)
     world.run(26_000.0)
-    assert len(left(world)) == 6 and max(left(world).values()) <= within
-    assert not left(world, "b") and not left(world, "c")
+    assert len(evacuated_at(world)) == 6 and max(evacuated_at(world).values()) <= within
+    assert not evacuated_at(world, "b") and not evacuated_at(world, "c")
     fair = world.share("a", 1000.0, FAULT)
     assert max(world.share("a", t, t + 1000) for t in range(int(MEND), 25_000, 500)) < 1.25 * fair
     assert set(world.phases("a").values()) == {"in"}
@@ -121,7 +121,7 @@
             world.nodes[i].unreachable_zones = {"a"} if on else set()
 
     world = play(fault, instances=instances)
-    assert set(left(world)) == set(cut)
+    assert set(evacuated_at(world)) == set(cut)
     assert set(world.phases("a").values()) == {"in"}
 
 
@@ -131,7 +131,7 @@
         world.network.cut = lambda a, b: on and (a.port <= 3) != (b.port <= 3)
 
     world = play(fault, end=25_000.0)
-    assert len(left(world)) == 6 and set(world.phases("a").values()) == {"in"}
+    assert len(evacuated_at(world)) == 6 and set(world.phases("a").values()) == {"in"}
     assert not any(n.fleet.evacuation.states["a"].is_fleet_evacuated for n in world.nodes.values())
 
 
@@ -142,7 +142,7 @@
             world.network.at(FAULT + 300.0, lambda i=i: world.kill(i))  # type: ignore[misc]
 
     world = play(fault, instances=8)
-    assert set(left(world)) == {1, 2, 3, 6, 7} and max(left(world).values()) <= 4000.0
+    assert set(evacuated_at(world)) == {1, 2, 3, 6, 7} and max(evacuated_at(world).values()) <= 4000.0
     assert set(world.phases("a").values()) == {"in"}
 
 
@@ -162,7 +162,7 @@
         for engine in world.engines.values():
             engine.slow_factor = 4.0 if on else 1.0
 
-    assert not any(left(play(fault), zone) for zone in "abc")
+    assert not any(evacuated_at(play(fault), zone) for zone in "abc")
 
 
 def test_two_faulty_zones_are_evacuated_and_the_third_is_not() -> None:
@@ -171,10 +171,12 @@
             engine.is_dead = on and engine.zone in "ab"
 
     world = play(fault, end=25_000.0)
-    assert len(left(world, "a")) == len(left(world, "b")) == 6 and not left(world, "c")
+    assert len(evacuated_at(world, "a")) == len(evacuated_at(world, "b")) == 6 and not evacuated_at(
+        world, "c"
+    )
 
 
-def test_a_failed_return_doubles_the_hold() -> None:
+def test_a_failed_return_doubles_the_hold_down() -> None:
     def fault(world: World, on: bool) -> None:
         set_zone(slow_factor=10.0)(world, on)
 
@@ -189,14 +191,14 @@
         assert len(holds) >= 2 and holds[0] >= hold and holds[1] >= 2 * hold
 
 
-def lone(count: int = 6, dispatchers: int = 6) -> FleetCoordinator:
+def make_coordinator(count: int = 6, dispatchers: int = 6) -> FleetCoordinator:
     fleet = FleetCoordinator(1, 1, 0.0, FleetSettings(dispatchers=dispatchers, checks_are_shared=False), 1)
     fleet.set_engines({z: {f"{z}{i}": 1.0 for i in range(3)} for z in "abc"})
     fleet.set_members(0.0, range(2, count + 1))
     return fleet
 
 
-def word(
+def encoded_report(
     member: int, version: int, vote: Vote = Vote.EVACUATE, life: int = 1, **fields: bool
 ) -> MemberReport:
     zone = ZoneReport(vote, 0, 0, 5, 0.0, fields.get("sure", True), fields.get("accuses", False))
@@ -219,15 +221,18 @@
 @pytest.mark.parametrize(
     "say, moved",
     [
-        (lambda t: [word(2, int(t))], False),  # one that lies, or has a bad link
-        (lambda t: [word(2, int(t), life=9), word(2, int(t), life=7)], False),  # two lives of one
-        (lambda t: [word(m, 1) for m in (2, 3, 4, 5)] if t == 0 or t > 2500 else [], True),
-        (lambda t: [word(m, 1) for m in (2, 3, 4, 5)] if t > 2500 else [], True),
-        (lambda t: [word(m, int(t)) for m in (2, 3)], False),  # a third, not more
-        (lambda t: [word(m, int(t), sure=False) for m in (2, 3)], False),
-        (lambda t: [word(m, int(t)) for m in (2, 3, 4)], True),
-        (lambda t: [word(m, int(t), Vote(int(t) // 100 % 2)) for m in (2, 3)], False),
-        (lambda t: [word(m, int(t)) for m in (90, 91, 92, 93, 94)], False),  # strangers
+        (lambda t: [encoded_report(2, int(t))], False),  # one that lies, or has a bad link
+        (
+            lambda t: [encoded_report(2, int(t), life=9), encoded_report(2, int(t), life=7)],
+            False,
+        ),  # two lives of one
+        (lambda t: [encoded_report(m, 1) for m in (2, 3, 4, 5)] if t == 0 or t > 2500 else [], True),
+        (lambda t: [encoded_report(m, 1) for m in (2, 3, 4, 5)] if t > 2500 else [], True),
+        (lambda t: [encoded_report(m, int(t)) for m in (2, 3)], False),  # a third, not more
+        (lambda t: [encoded_report(m, int(t), sure=False) for m in (2, 3)], False),
+        (lambda t: [encoded_report(m, int(t)) for m in (2, 3, 4)], True),
+        (lambda t: [encoded_report(m, int(t), Vote(int(t) // 100 % 2)) for m in (2, 3)], False),
+        (lambda t: [encoded_report(m, int(t)) for m in (90, 91, 92, 93, 94)], False),  # strangers
     ],
     ids=[
         "liar",
@@ -244,7 +249,7 @@
 def test_whose_reports_make_an_instance_evacuate(
     say: Callable[[float], list[MemberReport]], moved: bool
 ) -> None:
-    fleet = lone()
+    fleet = make_coordinator()
     drive(fleet, 4000.0, say)
     assert (fleet.evacuation.states["a"].phase is ZonePhase.EVACUATED) is moved
 
@@ -255,13 +260,13 @@
     ids=["nothing seen", "too little", "bad signs", "all well", "one bad of many"],
 )
 def test_an_instance_joins_others_only_without_contrary_evidence(well: int, bad: int, joins: bool) -> None:
-    fleet = lone()
+    fleet = make_coordinator()
 
     def others(now: float) -> list[MemberReport]:
         for n in range(well + bad if now == 1000.0 else 0):
             fleet.on_attempt_sent(now, f"{now}-{n}", f"a{n % 3}", 0)
             fleet.on_attempt_ended(now, f"{now}-{n}", n < well, 1.0)
-        return [word(m, int(now)) for m in (2, 3, 4)] if now >= 1000.0 else []
+        return [encoded_report(m, int(now)) for m in (2, 3, 4)] if now >= 1000.0 else []
 
     drive(fleet, 2500.0, others)
     assert (fleet.evacuation.states["a"].phase is ZonePhase.EVACUATED) is joins
@@ -269,28 +274,30 @@
 
 @pytest.mark.parametrize("bad, joins", [(0, False), (2, True)], ids=["still well", "bad signs"])
 def test_healthy_attempts_since_others_voted_prevent_joining_until_bad_ones(bad: int, joins: bool) -> None:
-    fleet = lone()
+    fleet = make_coordinator()
 
     def others(now: float) -> list[MemberReport]:
         for n in range(6 if now == 1500.0 else bad if now == 4000.0 else 0):
             fleet.on_attempt_sent(now, f"{now}-{n}", f"a{n % 3}", 0)
             fleet.on_attempt_ended(now, f"{now}-{n}", now < 4000.0, 1.0)
-        return [word(m, int(now)) for m in (2, 3, 4)] if now >= 1500.0 else []
+        return [encoded_report(m, int(now)) for m in (2, 3, 4)] if now >= 1500.0 else []
 
     drive(fleet, 6000.0, others)
     assert (fleet.evacuation.states["a"].phase is ZonePhase.EVACUATED) is joins
 
 
 def test_an_instance_that_joined_does_not_take_late_voters_for_a_return() -> None:
-    fleet = lone()
-    drive(fleet, 1500.0, lambda t: [word(m, int(t), Vote.KEEP, accuses=t < 500) for m in range(2, 7)])
+    fleet = make_coordinator()
+    drive(
+        fleet, 1500.0, lambda t: [encoded_report(m, int(t), Vote.KEEP, accuses=t < 500) for m in range(2, 7)]
+    )
     state = fleet.evacuation.states["a"]
     assert state.phase is ZonePhase.EVACUATED and not state.is_fleet_evacuated and state.since < 500.0
 
 
 @pytest.mark.parametrize("bad, spoken", [(0, False), (4, True), (20, True)], ids=["well", "accused", "left"])
 def test_the_first_to_see_a_fault_reports_it_at_once(bad: int, spoken: bool) -> None:
-    fleet = lone()
+    fleet = make_coordinator()
     fleet.step(0.0)
     assert fleet.next_report > 700.0, "nothing is wrong: a round a second"
     for n in range(40):
@@ -302,9 +309,11 @@
 
 
 def test_relaying_is_bounded_with_five_hundred_members() -> None:
-    fleet = lone(500)
+    fleet = make_coordinator(500)
     for member in range(2, 501):
-        fleet.on_message(float(member), member, encode_zone_reports([word(member, 1, Vote.KEEP)], 200))
+        fleet.on_message(
+            float(member), member, encode_zone_reports([encoded_report(member, 1, Vote.KEEP)], 200)
+        )
     voters = set(fleet.electorate.voters(600.0))
     passed = fleet.reporting.relayed(600.0, voters)
     assert len(passed) <= 32 and {w.member for w in passed} >= voters - {1}
@@ -312,8 +321,8 @@
 
 
 def test_replayed_reports_evacuate_nothing() -> None:
-    fleet, old = lone(), [encode_zone_reports([word(m, 5)], 200) for m in (2, 3, 4, 5)]
-    drive(fleet, 3000.0, lambda t: [word(m, 1000 + int(t), Vote.KEEP) for m in (2, 3, 4, 5)])
+    fleet, old = make_coordinator(), [encode_zone_reports([encoded_report(m, 5)], 200) for m in (2, 3, 4, 5)]
+    drive(fleet, 3000.0, lambda t: [encoded_report(m, 1000 + int(t), Vote.KEEP) for m in (2, 3, 4, 5)])
     for data in old:
         fleet.on_message(3000.0, 2, data)
     drive(fleet, 4000.0, lambda t: [], 3000.0)
@@ -321,26 +330,26 @@
 
 
 def test_half_of_a_partitioned_fleet_is_no_majority_for_a_minute() -> None:
-    fleet = lone()
-    drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
+    fleet = make_coordinator()
+    drive(fleet, 1000.0, lambda t: [encoded_report(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
     fleet.set_members(1000.0, [2, 3])
-    drive(fleet, 5000.0, lambda t: [word(m, int(t), sure=False) for m in (2, 3)], 1000.0)
+    drive(fleet, 5000.0, lambda t: [encoded_report(m, int(t), sure=False) for m in (2, 3)], 1000.0)
     assert not fleet.evacuation.states["a"].is_fleet_evacuated
-    drive(fleet, 70_000.0, lambda t: [word(m, int(t), sure=False) for m in (2, 3)], 5000.0)
+    drive(fleet, 70_000.0, lambda t: [encoded_report(m, int(t), sure=False) for m in (2, 3)], 5000.0)
     assert fleet.evacuation.states["a"].is_fleet_evacuated, "the others are gone for good"
 
 
 def test_a_member_that_left_by_announcement_counts_no_longer() -> None:
-    fleet = lone()
-    drive(fleet, 1000.0, lambda t: [word(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
+    fleet = make_coordinator()
+    drive(fleet, 1000.0, lambda t: [encoded_report(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
     fleet.set_members(1000.0, [2, 3], left=[4, 5, 6])
-    drive(fleet, 3000.0, lambda t: [word(m, int(t)) for m in (2, 3)], 1000.0)
+    drive(fleet, 3000.0, lambda t: [encoded_report(m, int(t)) for m in (2, 3)], 1000.0)
     assert fleet.evacuation.states["a"].is_fleet_evacuated
 
 
 def test_a_restarted_instance_learns_of_an_evacuation_from_the_first_reports() -> None:
-    fleet = lone()
-    bounds = drive(fleet, 300.0, lambda t: [word(m, int(t)) for m in (2, 3, 4, 5)])
+    fleet = make_coordinator()
+    bounds = drive(fleet, 300.0, lambda t: [encoded_report(m, int(t)) for m in (2, 3, 4, 5)])
     assert bounds and bounds[-1].work_rates == {"a0": 0.0, "a1": 0.0, "a2": 0.0}
 
 
@@ -351,7 +360,7 @@
     mode: OverrideMode, phase: ZonePhase
 ) -> None:
     fleet, other = (
-        lone(),
+        make_coordinator(),
         FleetCoordinator(2, 1, 0.0, FleetSettings(dispatchers=6, checks_are_shared=False), 2),
     )
     other.set_engines(fleet.engines)
@@ -424,7 +433,7 @@
     assert state.phase is phase
 
 
-def test_quiet_time_reduces_the_hold() -> None:
+def test_quiet_time_reduces_the_hold_down() -> None:
     zones = Evacuation()
     zones.set_zones(["a"])
     zones.states["a"].hold_down_ms = 16_000.0
@@ -434,8 +443,8 @@
     assert zones.states["a"].hold_down_ms == zones.settings.hold_down_ms
 
 
-def test_messages_that_make_no_sense_are_counted_and_change_nothing() -> None:
-    fleet = lone()
+def test_malformed_messages_are_counted_and_change_nothing() -> None:
+    fleet = make_coordinator()
     for data in (b"", b"\x01", b"\x01\xff", b"\x04\x01", b"\x02", b"\x09" * 200):
         assert fleet.on_message(1.0, 2, data) == []
     assert fleet.counters["malformed"] == 6 and not fleet.reports.received
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -35,10 +35,10 @@
 from tests.support.scenario import FakeClock
 
 ME, X, Y = 11, 12, 13
-OWN = OwnedHere(1, 1e9)
+OWNED_HERE = OwnedHere(1, 1e9)
 
 
-class Loads:
+class RecordingLoadGuard:
     """The guard behind: it lets all through."""
 
     def __init__(self) -> None:
@@ -47,8 +47,8 @@
     def guards(self, query_class: int) -> bool:
         return True
 
-    def on_load_arrived(self, taken: ClientRequest, until: float, settled: Tell) -> None:
-        settled(LoadOutcome.NEVER_RAN, 0.0)
+    def on_load_arrived(self, client_request: ClientRequest, deadline: float, on_outcome: Tell) -> None:
+        on_outcome(LoadOutcome.NEVER_RAN, 0.0)
 
     def before_attempt_sent(
         self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
@@ -66,8 +66,8 @@
     member, retry_after_ms = ME, 40.0
 
     def __init__(self) -> None:
-        self.clock, self.loads = FakeClock(), Loads()
-        self.found: OwnedHere | OwnedElsewhere | RetryAfter = OWN
+        self.clock, self.loads = FakeClock(), RecordingLoadGuard()
+        self.found: OwnedHere | OwnedElsewhere | RetryAfter = OWNED_HERE
         self.handed: list[tuple[str, int]] = []
         self.heard: list[tuple[str, str]] = []
         self.rounds: list[int] = []
@@ -90,21 +90,23 @@
     def on_request_opened(self, key: bytes, load: int) -> None:
         self.events.append(("opened", load))
 
-    def on_request_ended(self, key: bytes, load: int, known: bool) -> None:
-        self.events.append(("ended", load, known))
+    def on_request_ended(self, key: bytes, load: int, is_outcome_known: bool) -> None:
+        self.events.append(("ended", load, is_outcome_known))
 
-    def forward(self, taken: ClientRequest, owner: int, key: bytes, until: float, number: int) -> None:
-        self.handed.append((taken.request_id, owner))
-        self.rounds.append(number)
+    def forward(
+        self, client_request: ClientRequest, owner: int, key: bytes, deadline: float, round_number: int
+    ) -> None:
+        self.handed.append((client_request.request_id, owner))
+        self.rounds.append(round_number)
 
-    def abandon(self, ref: str) -> None:
-        self.events.append(("left", ref))
+    def abandon(self, request_id: str) -> None:
+        self.events.append(("left", request_id))
 
     def finish_without_attempt(self, ref: str, word: str, answer: Callable[[Any], None]) -> None:
         self.heard.append((ref, word))
         self.guard.on_request_closed(ref)
 
-    def come(self, ref: str, key: str | None = "k", allow: float = 8000.0) -> None:
+    def arrive(self, ref: str, key: str | None = "k", allow: float = 8000.0) -> None:
         taken = ClientRequest(ref, 1, "load", self.clock.now(), allow, 1.0, 0.0, -1, key, False, b"INSERT")
 
         def settled(past: LoadOutcome, ms: float) -> None:
@@ -119,19 +121,19 @@
         self.guard.before_attempt_sent(attempt, cast(ClientRequest, None), kept.append)
         return attempt, kept
 
-    def later(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         self.clock.at += ms
         self.guard.step()
 
-    def back_with(self, ref: str, end: ForwardResult, data: bytes = b"") -> None:
+    def end_forwarding(self, ref: str, end: ForwardResult, data: bytes = b"") -> None:
         self.guard.on_forwarding_ended(ForwardingEnded(ref, end, 0.0, data))
 
 
-def test_its_own_begins_here_and_without_a_key_nobody_is_asked() -> None:
+def test_a_request_of_an_owned_key_starts_here_and_one_without_a_key_is_not_routed() -> None:
     world = World()
-    world.come("a")
+    world.arrive("a")
     world.found = RetryAfter(40.0)
-    world.come("b", key=None)
+    world.arrive("b", key=None)
     assert world.heard == [("a", "never"), ("b", "never")] and world.events == [("opened", 1)]
 
 
@@ -140,7 +142,7 @@
 )
 def test_a_load_is_open_until_its_last_attempt_has_ended(outcome: Outcome, known: bool) -> None:
     world = World()
-    world.come("a")
+    world.arrive("a")
     attempt, _ = world.send("a")
     world.guard.on_request_closed("a")
     assert world.events == [("opened", 1)]
@@ -148,11 +150,11 @@
     assert world.events[1:] == [("ended", 1, known)]
 
 
-def test_nothing_goes_out_once_the_key_is_anothers() -> None:
+def test_no_attempt_is_sent_once_another_member_owns_the_key() -> None:
     """Before the disk is asked, and behind it."""
     world = World()
-    world.come("a")
-    world.come("b")
+    world.arrive("a")
+    world.arrive("b")
     _, kept = world.send("a")
     world.found = OwnedElsewhere(b"", X)
     world.loads.kept[0](True)
@@ -161,106 +163,106 @@
     assert world.heard[2:] == [("a", "refused"), ("b", "refused")]
 
 
-def test_what_waits_for_an_engine_goes_back_when_its_key_is_lost() -> None:
+def test_a_queued_request_is_rejected_when_its_key_is_lost() -> None:
     world = World()
-    world.come("a")
-    world.come("b")
+    world.arrive("a")
+    world.arrive("b")
     world.send("b")
     world.found = RetryAfter(40.0)
-    world.later(10)
+    world.advance(10)
     assert world.heard[2:] == [("a", "refused")]
 
 
-def test_a_key_without_an_owner_is_waited_for_in_order_and_not_for_good() -> None:
+def test_requests_wait_for_an_owner_in_order_and_for_a_limited_time() -> None:
     world = World()
     world.found = RetryAfter(40.0)
     for ref in "abc":
-        world.come(ref)
-    world.later(500)
+        world.arrive(ref)
+    world.advance(500)
     assert world.heard == []
     world.guard.on_request_closed("b")  # its client left
-    world.found = OWN
-    world.later(1)
+    world.found = OWNED_HERE
+    world.advance(1)
     assert world.heard == [("a", "never"), ("c", "never")]
     world.guard.on_request_closed("a")
     world.guard.on_request_closed("c")
     world.found = RetryAfter(40.0)
-    world.come("d")
-    world.later(MAX_WAIT_MS)
+    world.arrive("d")
+    world.advance(MAX_WAIT_MS)
     assert world.heard[2:] == [("d", "later")]
 
 
-def test_one_that_is_anothers_is_handed_on_and_its_end_told() -> None:
+def test_a_request_of_another_members_key_is_forwarded_and_its_result_passed_on() -> None:
     world = World()
     world.found = OwnedElsewhere(b"", X)
     for ref in "abc":
-        world.come(ref)
+        world.arrive(ref)
     assert world.handed == [("a", X), ("b", X), ("c", X)]
-    world.back_with("a", ForwardResult.ANSWERED, encode_rows([[b"1", b"2", b"3"]]))
-    world.back_with("b", ForwardResult.FAILED)
+    world.end_forwarding("a", ForwardResult.ANSWERED, encode_rows([[b"1", b"2", b"3"]]))
+    world.end_forwarding("b", ForwardResult.FAILED)
     world.guard.on_request_closed("c")
-    world.back_with("c", ForwardResult.ANSWERED)
+    world.end_forwarding("c", ForwardResult.ANSWERED)
     assert world.heard == [("a", "served"), ("b", "may")] and world.events == [("left", "c")]
     assert not world.guard.requests and not world.guard.forwarding_rounds
 
 
-def test_a_moved_one_goes_where_its_home_says_and_later_ones_go_there_at_once() -> None:
+def test_a_forwarded_request_follows_the_owner_that_the_home_reports() -> None:
     world = World()
     world.found = OwnedElsewhere(b"", X)
-    world.come("a")
-    world.back_with("a", ForwardResult.NOT_OWNER, Y.to_bytes(8, "big"))
-    world.come("b")
+    world.arrive("a")
+    world.end_forwarding("a", ForwardResult.NOT_OWNER, Y.to_bytes(8, "big"))
+    world.arrive("b")
     assert world.handed == [("a", X), ("a", Y), ("b", Y)]
     world.table.discard(Y)  # it was swapped
-    world.back_with("a", ForwardResult.NOT_OWNER)
-    world.later(50)
+    world.end_forwarding("a", ForwardResult.NOT_OWNER)
+    world.advance(50)
     assert len(world.handed) == 3  # the next of its key is still there
-    world.back_with("b", ForwardResult.NOT_OWNER)
-    world.later(50)
+    world.end_forwarding("b", ForwardResult.NOT_OWNER)
+    world.advance(50)
     assert world.handed[3:] == [("a", X), ("b", X)]
     assert len(set(world.rounds)) == 3 and world.rounds[3] == world.rounds[4]
 
 
-def test_none_overtakes_one_that_is_with_an_owner_of_before() -> None:
+def test_no_request_overtakes_one_that_is_with_a_previous_owner() -> None:
     world = World()
     world.found = OwnedElsewhere(b"", X)
-    world.come("a")
-    world.found = OWN
-    world.come("b")
-    world.later(100)
+    world.arrive("a")
+    world.found = OWNED_HERE
+    world.arrive("b")
+    world.advance(100)
     assert world.heard == []
-    world.back_with("a", ForwardResult.NOT_OWNER)
-    world.later(100)
+    world.end_forwarding("a", ForwardResult.NOT_OWNER)
+    world.advance(100)
     assert world.heard == [("a", "never"), ("b", "never")]
 
 
-def test_two_that_take_each_other_for_the_owner_pause() -> None:
+def test_two_members_that_take_each_other_for_the_owner_pause() -> None:
     world = World()
     world.found = OwnedElsewhere(b"", X)
-    world.come("a")
+    world.arrive("a")
     for _ in range(20):
-        world.back_with("a", ForwardResult.NOT_OWNER, X.to_bytes(8, "big"))
+        world.end_forwarding("a", ForwardResult.NOT_OWNER, X.to_bytes(8, "big"))
     assert len(world.handed) == 3
-    world.later(50)
+    world.advance(50)
     assert len(world.handed) == 4
 
 
-def test_one_that_was_handed_on_to_here_is_sent_back_with_the_owners_name() -> None:
+def test_a_request_forwarded_to_the_wrong_member_is_returned_with_the_owner() -> None:
     world = World()
     world.guard.origin_rounds |= {"a": OriginRound(Y, 1), "b": OriginRound(Y, 2), "c": OriginRound(Y, 2)}
     world.found = OwnedElsewhere(b"", X)
-    world.come("a")
+    world.arrive("a")
     assert world.heard == [("a", "later")] and world.guard.owners_by_returned == {"a": X}
     world.found = RetryAfter(40.0)
-    world.come("b")
-    world.come("c")
-    world.later(MAX_FORWARDED_WAIT_MS / 2)
-    world.found = OWN
-    world.later(1)
+    world.arrive("b")
+    world.arrive("c")
+    world.advance(MAX_FORWARDED_WAIT_MS / 2)
+    world.found = OWNED_HERE
+    world.advance(1)
     assert world.heard[1:] == [("b", "never"), ("c", "never")] and not world.handed
 
 
-def test_what_comes_behind_one_that_was_sent_back_does_not_begin_before_it() -> None:
+def test_later_requests_of_a_returned_round_do_not_start_before_it() -> None:
     """Both were handed on before their origin heard of it; of the next round all begin."""
     world = World()
     world.guard.origin_rounds |= {
@@ -271,22 +273,22 @@
         "e": OriginRound(X, 1),
     }
     world.found = RetryAfter(40.0)
-    world.come("a")
-    world.come("b")
-    world.later(MAX_FORWARDED_WAIT_MS)
-    world.found = OWN
-    world.come("c")
+    world.arrive("a")
+    world.arrive("b")
+    world.advance(MAX_FORWARDED_WAIT_MS)
+    world.found = OWNED_HERE
+    world.arrive("c")
     assert [h for h, _ in world.heard] == ["a", "b", "c"] and set(world.guard.owners_by_returned) == {
         "a",
         "b",
         "c",
     }
-    world.come("d")
-    world.come("e")
+    world.arrive("d")
+    world.arrive("e")
     assert world.heard[3:] == [("d", "never"), ("e", "never")]
 
 
-def test_a_request_and_its_rows_have_a_form() -> None:
+def test_forwarded_requests_and_rows_are_decoded_as_encoded() -> None:
     asked = ForwardedRequest("00ff", "load", "k\u00e9y", 20.0, 0.5, -1, True, b"INSERT INTO t", 2**63)
     assert decode_request(encode_request(asked)) == asked
     for tenant, token in (("acme", ""), ("", "5c0f"), ("acme", "5c0f")):
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -75,18 +75,18 @@
             lambda event, **fields: None,
         )
 
-    def taken(self, ref: str, key: str, retry: bool) -> ClientRequest:
+    def client_request(self, ref: str, key: str, retry: bool) -> ClientRequest:
         body = f"INSERT {ref[:1]}".encode()
         return ClientRequest(ref, 1, "load", self.clock.now(), 8000.0, 0.0, 0.0, -1, key, retry, body)
 
-    def come(self, ref: str, key: str = "k", retry: bool = False, wait: float = 5000.0) -> None:
+    def arrive(self, ref: str, key: str = "k", retry: bool = False, wait: float = 5000.0) -> None:
         def settled(past: LoadOutcome, ms: float) -> None:
             self.heard.append((ref, past.value))
 
-        self.loads.on_load_arrived(self.taken(ref, key, retry), self.clock.now() + wait, settled)
+        self.loads.on_load_arrived(self.client_request(ref, key, retry), self.clock.now() + wait, settled)
 
     def send(self, ref: str) -> tuple[Attempt, list[bool]]:
-        taken, told = self.taken(ref, "k", False), list[bool]()
+        taken, told = self.client_request(ref, "k", False), list[bool]()
         attempt = Attempt(ref, 0, "e", "load", taken.body, 1, self.clock.now(), self.clock.now() + 5000)
         self.loads.before_attempt_sent(attempt, taken, told.append)
         return attempt, told
@@ -94,10 +94,10 @@
 
 def test_a_request_behind_an_unsettled_retry_of_its_key_waits() -> None:
     world = World()
-    world.come("a1", retry=True)
-    world.come("b1")
-    world.come("c1", wait=1000.0)
-    world.come("d1", key="other")
+    world.arrive("a1", retry=True)
+    world.arrive("b1")
+    world.arrive("c1", wait=1000.0)
+    world.arrive("d1", key="other")
     assert world.heard == [("d1", "never")]
     world.clock.run_until(world.clock.now() + 1500.0, lambda: None)
     assert world.heard[1:] == [("c1", "later")]  # its own time ran out first
@@ -145,7 +145,7 @@
         world.ledger.state = DiskState.FULL
     else:
         world.may_send = False
-    world.come("a1")
+    world.arrive("a1")
     assert world.heard == [("a1", "later")]
 
 
@@ -159,7 +159,7 @@
         world.may_send = False
     for at, ref in ((0.0, "a1"), (4000.0, "a2"), (7000.0, "a3")):
         world.clock.run_until(world.start + at, lambda: None)
-        world.come(ref, retry=True, wait=500.0)
+        world.arrive(ref, retry=True, wait=500.0)
         world.clock.run_until(world.start + at + 500.0, lambda: None)
         world.memory.step(world.clock.now(), world.memory.fleet)
         for action in world.memory.actions:
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -27,7 +27,7 @@
 from tests.support.scenario import FakeClock
 
 OnWritten = Callable[[bool], None]
-HOLD = 1e9
+RETENTION_MS = 1e9
 
 
 class FaultyLedger:
@@ -84,24 +84,24 @@
     """One dispatcher and its clients, which ask again until they have a good answer."""
 
     def __init__(self) -> None:
-        self.clock, self.disk, self.boot = FakeClock(), dict[bytes, bytes](), 0
+        self.clock, self.disk, self.boot_count = FakeClock(), dict[bytes, bytes](), 0
         self.ran, self.ended_well = Counter[int](), set[int]()
         self.asked, self.serial = set[int](), 0
         self.start()
 
     def start(self) -> None:
-        self.boot += 1
-        self.ledger = FaultyLedger(self.disk, self.boot)
+        self.boot_count += 1
+        self.ledger = FaultyLedger(self.disk, self.boot_count)
         self.requests = list[Request]()
         kept, records = recorded_loads(self.disk)
-        settings = LoadHistorySettings(HOLD)
-        memory = LoadHistory(0, 1, self.boot, self.clock.now(), kept, settings, 1)
+        settings = LoadHistorySettings(RETENTION_MS)
+        memory = LoadHistory(0, 1, self.boot_count, self.clock.now(), kept, settings, 1)
         self.loads = LoadRecorder(
             memory,
             cast(Ledger, self.ledger),
             records,
             {1: True},
-            HOLD,
+            RETENTION_MS,
             self.clock.now,
             self.clock.now,
             self.clock.call_in,
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -30,7 +30,7 @@
 from tests.observe.test_metrics import FILE, FLEET
 from tests.support.scenario import FakeClock
 
-MOST_TURNS = 2000  # of the event loop, each 10 ms at most: a bound for a test that has failed
+MAX_LOOP_TURNS = 2000  # of the event loop, each 10 ms at most: a bound for a test that has failed
 
 
 class World:
@@ -67,16 +67,16 @@
     return world
 
 
-async def kept(node: StandaloneDispatcher) -> None:
+async def wait_until_loads_are_recorded(node: StandaloneDispatcher) -> None:
     """Until the folder is in use."""
-    for _ in range(MOST_TURNS):
+    for _ in range(MAX_LOOP_TURNS):
         if node.recovery is not None:
             return
         await asyncio.sleep(0.01)
     raise AssertionError("the folder is never used")
 
 
-def end(node: StandaloneDispatcher) -> None:
+def close_parts(node: StandaloneDispatcher) -> None:
     for part in (node.session_affinity, node.rolling_replacement, node.recovery):
         if part is not None:
             part.close()
@@ -106,11 +106,11 @@
         assert world.tries == 1, "one try at a time"
         assert len(world.lines()) == 1 and "has not answered" in world.lines()[0]
         world.hangs.set()
-        await kept(node)
+        await wait_until_loads_are_recorded(node)
         assert node.gateway.notifications.load_guard is not None and not isinstance(
             node.gateway.notifications.load_guard, UnavailableLoadGuard
         )
-        end(node)
+        close_parts(node)
 
     play(story)
 
@@ -123,15 +123,15 @@
     async def story() -> None:
         node = world.make()
         world.hangs.clear()
-        for _ in range(MOST_TURNS):
+        for _ in range(MAX_LOOP_TURNS):
             if world.tries == 2 and len(world.lines()) == 2:
                 break
             await asyncio.sleep(0.002)
         assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and world.tries == 2
         assert ["planted" in world.lines()[0], "has not answered" in world.lines()[1]] == [True, True]
         world.hangs.set()
-        await kept(node)
-        end(node)
+        await wait_until_loads_are_recorded(node)
+        close_parts(node)
 
     play(story)
 
@@ -151,9 +151,9 @@
     async def story() -> None:
         node = world.make()
         assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
-        await kept(node)
+        await wait_until_loads_are_recorded(node)
         assert world.tries == len(errors) + 1 and len(world.lines()) == 1
-        end(node)
+        close_parts(node)
 
     play(story)
 
@@ -162,17 +162,17 @@
     path.write_text("")
 
 
-def life_is_a_folder(path: Path) -> None:
+def boot_file_is_a_folder(path: Path) -> None:
     path.mkdir()
     (path / f"{FILE['name']}.life").mkdir()
 
 
-def book_is_a_folder(path: Path) -> None:
+def record_file_is_a_folder(path: Path) -> None:
     path.mkdir()
     (path / f"{FILE['name']}.1.db").mkdir()
 
 
-@pytest.mark.parametrize("wrong", [not_a_folder, life_is_a_folder, book_is_a_folder])
+@pytest.mark.parametrize("wrong", [not_a_folder, boot_file_is_a_folder, record_file_is_a_folder])
 def test_an_unusable_folder_is_reported_and_used_once_it_can(
     world: World, wrong: Callable[[Path], None]
 ) -> None:
@@ -187,13 +187,13 @@
         )
         assert str(folder) in world.lines()[0]
         folder.rename(folder.with_name("away"))
-        await kept(node)
-        end(node)
+        await wait_until_loads_are_recorded(node)
+        close_parts(node)
 
     play(story)
 
 
-def told(unkept: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
+def answer_to_retry(unkept: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
     heard = list[str]()
     taken = ClientRequest("ref", 1, "load", unkept.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
     unkept.on_load_arrived(taken, unkept.now() + 500.0, lambda past, ms: heard.append(past.value))
@@ -201,7 +201,7 @@
     return past
 
 
-def unkept_with(clock: FakeClock, loads: dict[bytes, LoadResult | None]) -> UnavailableLoadGuard:
+def make_unavailable_guard(clock: FakeClock, loads: dict[bytes, LoadResult | None]) -> UnavailableLoadGuard:
     kept = [RecordedLoad(load_identity("load", "k", body), how) for body, how in loads.items()]
     memory = LoadHistory(0, 3, 0, clock.now(), kept, LoadHistorySettings(20_000.0), 0)
     return UnavailableLoadGuard({1: True, 2: False}, 1000.0, memory, clock.now, Counters())
@@ -212,18 +212,18 @@
     start, heard = clock.now(), list[str]()
     for second in range(8):
         clock.run_until(start + 1000.0 * second, lambda: None)
-        heard.append(told(unkept, b"INSERT a", True))
+        heard.append(answer_to_retry(unkept, b"INSERT a", True))
     assert heard == ["later"] * 6 + ["may"] * 2
 
 
 def test_a_retry_is_not_postponed_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
-    put_off_by_turns(unkept_with(clock, {}), clock)
+    put_off_by_turns(make_unavailable_guard(clock, {}), clock)
     monkeypatch.setattr(
         LoadHistory, "answer_unavailable", lambda memory, now, load: LoadKnowledge.NOT_KNOWN_YET
     )
     with pytest.raises(AssertionError):
-        put_off_by_turns(unkept_with(clock, {}), clock)
+        put_off_by_turns(make_unavailable_guard(clock, {}), clock)
 
 
 @pytest.mark.parametrize(
@@ -236,17 +236,19 @@
     ],
 )
 def test_a_retry_is_answered_by_what_could_be_read(how: LoadResult | None, retried: str) -> None:
-    unkept = unkept_with(FakeClock(), {b"INSERT a": how})
-    assert told(unkept, b"INSERT a", True) == retried
-    assert told(unkept, b"INSERT a", False) == told(unkept, b"INSERT b", False) == "later"
+    unkept = make_unavailable_guard(FakeClock(), {b"INSERT a": how})
+    assert answer_to_retry(unkept, b"INSERT a", True) == retried
+    assert (
+        answer_to_retry(unkept, b"INSERT a", False) == answer_to_retry(unkept, b"INSERT b", False) == "later"
+    )
 
 
-def test_postponed_retries_are_forgotten_after_a_hold() -> None:
+def test_postponed_retries_are_forgotten_after_the_retention() -> None:
     clock = FakeClock()
-    unkept = unkept_with(clock, {})
+    unkept = make_unavailable_guard(clock, {})
     for number in range(50):
         clock.run_until(clock.now() + 1000.0, lambda: None)
-        told(unkept, b"INSERT %d" % number, True)
+        answer_to_retry(unkept, b"INSERT %d" % number, True)
     assert len(unkept.history.local.queried) <= 22
 
 
@@ -260,9 +262,9 @@
             node.unavailable_load_guard.now() - 4000.0, b"x" * 16
         )
         first = node.unavailable_load_guard.history.local.queried[b"x" * 16].first_at
-        await kept(node)
+        await wait_until_loads_are_recorded(node)
         assert node.recovery is not None and node.recovery.history.local.queried[b"x" * 16].first_at == first
-        end(node)
+        close_parts(node)
 
     play(story)
 
@@ -283,8 +285,8 @@
             )
             is LoadKnowledge.MAY_HAVE_RUN
         )
-        await kept(node)
-        end(node)
+        await wait_until_loads_are_recorded(node)
+        close_parts(node)
 
     play(story)
 
@@ -297,7 +299,7 @@
 
 
 @pytest.mark.parametrize("had", [True, False], ids=["had-later", "never-had"])
-def test_drains_of_a_folder_that_could_be_read_are_held(
+def test_drains_of_a_readable_folder_stay_in_force(
     world: World, monkeypatch: pytest.MonkeyPatch, had: bool
 ) -> None:
     """Until its ledger holds them, or for as long as registers are waited for."""
@@ -311,7 +313,7 @@
         node.believe_known()
         assert set(node.quarantine.live_engines()) == {"e2"}
         if had:
-            await kept(node)
+            await wait_until_loads_are_recorded(node)
             assert set(node.quarantine.live_engines()) == {"e2"}
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
         node._quarantine_drained_engines(drain[RecordKind.ENGINE_DRAIN])
@@ -319,6 +321,6 @@
         assert ms == DrainSettings().startup_timeout_ms
         let_go()
         assert set(node.quarantine.live_engines()) == ({"e2"} if had else {"e1", "e2"})
-        end(node)
+        close_parts(node)
 
     play(story)
--- a/tests/support/recovery_world.py
+++ b/tests/support/recovery_world.py
@@ -1,7 +1,7 @@
 """Surveys and load histories on a network in virtual time: folders, links, clients, and what really ran.
 
-Each has its own monotonic clock, off by years and a little too fast or slow. A client asks for a load, and
-again where it doesn't hear the end; the world counts what really ran.
+Each has its own monotonic clock, off by years and a little too fast or slow. A client requests a load, and
+retries where it gets no result; the world counts what really ran.
 """
 
 from __future__ import annotations
@@ -24,26 +24,28 @@
 )
 from cottonhold.fleet.recovery.messages import MemoryState, Presence, decode
 
-LONGEST = 2000.0  # clients' deadline, ms
-HOLD = local_loads.retention_ms_for([LONGEST], slack_ms=2000.0)
+LONGEST_DEADLINE_MS = 2000.0  # clients' deadline, ms
+RETENTION_MS = local_loads.retention_ms_for([LONGEST_DEADLINE_MS], slack_ms=2000.0)
 SURVEY = survey_results.SurveySettings(
     recent_start_ms=12_000.0,
     lease_ms=3000.0,
     rebind_ms=3000.0,
     max_report_age_ms=2500.0,
     idle_interval_ms=500.0,
-    retention_ms=HOLD,
+    retention_ms=RETENTION_MS,
+)
+HISTORY = load_history_interface.LoadHistorySettings(
+    RETENTION_MS, retry_after_ms=300.0, max_unconfirmed_ms=1000.0
 )
-HISTORY = load_history_interface.LoadHistorySettings(HOLD, retry_after_ms=300.0, max_unconfirmed_ms=1000.0)
 
 
 @dataclass
 class Folder:
     """What lasts."""
 
-    boot: int = 0
-    clean: bool = True
-    base: int = 0
+    boot_count: int = 0
+    was_clean_shutdown: bool = True
+    checkpoint: int = 0
     loads: dict[bytes, local_loads.LoadResult | None] = field(default_factory=dict)
     known: dict[int, survey_results.PeerBootCountLearned] = field(default_factory=dict)
 
@@ -73,7 +75,7 @@
 
 @dataclass
 class Client:
-    """Waits for a load. heard: what it was told at last."""
+    """Waits for a load. answer: its final one."""
 
     load: bytes
     name: str
@@ -114,23 +116,23 @@
     def start(self, *numbers: int, folder: str = "kept", twin: bool = False) -> None:
         for number in numbers:
             if folder == "empty":
-                self.folders[number] = Folder(clean=False)
+                self.folders[number] = Folder(was_clean_shutdown=False)
             elif folder == "old" and self.earlier[number]:
                 self.folders[number] = copy.deepcopy(self.earlier[number][-1])
             self._start(number, twin)
 
     def _start(self, number: int, twin: bool) -> None:
-        kept = self.folders[number]
-        self.earlier[number].append(copy.deepcopy(kept))
-        whole = MemoryState.INTACT if kept.base else MemoryState.STALE
-        state = whole if kept.boot else MemoryState.EMPTY
-        kept.boot += 1
+        folder = self.folders[number]
+        self.earlier[number].append(copy.deepcopy(folder))
+        with_boot_count = MemoryState.INTACT if folder.checkpoint else MemoryState.STALE
+        memory = with_boot_count if folder.boot_count else MemoryState.EMPTY
+        folder.boot_count += 1
         offset, rate = self.draw.uniform(-1e11, 1e11), self.draw.uniform(0.998, 1.002)
         clock = offset + self.now * rate
-        remembered = [local_loads.RecordedLoad(load, how) for load, how in kept.loads.items()]
-        known = {n: hint.boot_count for n, hint in kept.known.items()}
-        bases = {n: hint.checkpoint for n, hint in kept.known.items()}
-        life, seed = self.draw.getrandbits(32), self.draw.getrandbits(32)
+        recorded = [local_loads.RecordedLoad(load, how) for load, how in folder.loads.items()]
+        known_boot_counts = {n: hint.boot_count for n, hint in folder.known.items()}
+        known_checkpoints = {n: hint.checkpoint for n, hint in folder.known.items()}
+        incarnation, seed = self.draw.getrandbits(32), self.draw.getrandbits(32)
         node = Node(
             number,
             1000 + number,
@@ -138,22 +140,22 @@
                 number,
                 self.count,
                 self.zones,
-                kept.boot,
-                life,
-                state,
-                kept.clean,
-                known,
+                folder.boot_count,
+                incarnation,
+                memory,
+                folder.was_clean_shutdown,
+                known_boot_counts,
                 clock,
                 SURVEY,
-                kept.base,
-                bases,
+                folder.checkpoint,
+                known_checkpoints,
             ),
-            load_history.LoadHistory(number, self.count, kept.boot, clock, remembered, HISTORY, seed),
-            kept,
+            load_history.LoadHistory(number, self.count, folder.boot_count, clock, recorded, HISTORY, seed),
+            folder,
             offset,
             rate,
         )
-        kept.clean = False
+        folder.was_clean_shutdown = False
         if twin:
             self.twins.append(node)
         else:
@@ -163,7 +165,7 @@
     def kill(self, *numbers: int, clean: bool = False) -> None:
         for number in numbers:
             node = self.nodes[number]
-            node.alive, node.folder.clean = False, clean
+            node.alive, node.folder.was_clean_shutdown = False, clean
             for client in [x for x in self.waits.values() if x.name.startswith(f"{number}/")]:
                 del self.waits[client.name]
                 self._again(client)
@@ -185,15 +187,19 @@
         if node.history.has_pending:
             node.survey.expedite(clock)
         self._carry_out(node, node.survey.step(clock))
-        self._memory(node, node.history.step(clock, self._around(node)))
+        self._memory(node, node.history.step(clock, self._fleet_state(node)))
         self._schedule(node)
 
-    def _around(self, node: Node) -> load_history_interface.FleetState:
-        clock, census = node.clock(self.now), node.survey
-        gone = census.proven_silent(clock)
-        apart = census.is_partitioned(gone)
+    def _fleet_state(self, node: Node) -> load_history_interface.FleetState:
+        clock, survey = node.clock(self.now), node.survey
+        silent = survey.proven_silent(clock)
+        is_partitioned = survey.is_partitioned(silent)
         return load_history_interface.FleetState(
-            census.may_send_loads(clock), census.has_confirmed_memory(), census.memory, gone, apart
+            survey.may_send_loads(clock),
+            survey.has_confirmed_memory(),
+            survey.memory,
+            silent,
+            is_partitioned,
         )
 
     def _schedule(self, node: Node) -> None:
@@ -208,10 +214,10 @@
             if isinstance(action, survey_results.SendSurveyMessage):
                 self.send(node, action.member - 1000, action.data)
             elif isinstance(action, survey_results.RaiseBootCount):
-                node.folder.boot = max(node.folder.boot, action.min_boot_count)
+                node.folder.boot_count = max(node.folder.boot_count, action.min_boot_count)
                 node.survey.on_boot_count_stored(node.clock(self.now), action.min_boot_count)
             elif isinstance(action, survey_results.StoreCheckpoint):
-                node.folder.base = action.checkpoint
+                node.folder.checkpoint = action.checkpoint
                 node.survey.on_checkpoint_stored(node.clock(self.now), action.checkpoint)
             elif isinstance(action, survey_results.PeerBootCountLearned):
                 node.folder.known[action.number] = action
@@ -242,17 +248,18 @@
         if frozenset((source, number)) in self.cut:
             return
         for node in [n for n in self.live_nodes() if n.number == number]:
-            clock, word = node.clock(self.now), decode(data)
-            if isinstance(word, Presence):
-                node.survey.on_message(clock, member, word)
+            clock, message = node.clock(self.now), decode(data)
+            if isinstance(message, Presence):
+                node.survey.on_message(clock, member, message)
             else:
                 of = node.survey.number_of(member)
                 if of is not None:
-                    self._memory(node, node.history.on_message(clock, of, word))
+                    self._memory(node, node.history.on_message(clock, of, message))
             self._schedule(node)
 
     def first(self, number: int, load: bytes, lasts: float, ends: bool = True) -> Client:
-        """A client's first request for a load, which lasts so long; without `ends` its end is never heard."""
+        """A client's first request for a load, which lasts so long; without `ends` its client never learns of
+        its end."""
         client = Client(load, f"{number}/{next(self.names)}")
         self.clients.append(client)
         node, took = self.nodes[number], False
@@ -271,16 +278,19 @@
         if self.runs[client.load] > 1:
             self.violations.append(f"{client.load!r} was sent twice")
         self.waits[client.name] = client
-        self.at(self.now + min(lasts, LONGEST), lambda: self._ended(node, client, ends and lasts < LONGEST))
+        self.at(
+            self.now + min(lasts, LONGEST_DEADLINE_MS),
+            lambda: self._ended(node, client, ends and lasts < LONGEST_DEADLINE_MS),
+        )
 
-    def _ended(self, node: Node, client: Client, well: bool) -> None:
+    def _ended(self, node: Node, client: Client, succeeded: bool) -> None:
         if not node.alive:
             return
-        how = local_loads.LoadResult.SUCCEEDED if well else local_loads.LoadResult.FAILED
-        node.folder.loads[client.load] = how
-        node.history.on_ended(node.clock(self.now), client.load, how)
+        result = local_loads.LoadResult.SUCCEEDED if succeeded else local_loads.LoadResult.FAILED
+        node.folder.loads[client.load] = result
+        node.history.on_ended(node.clock(self.now), client.load, result)
         if self.waits.pop(client.name, None) is not None:
-            if well:
+            if succeeded:
                 self._done(client, "ran")
             else:
                 self._again(client)
@@ -302,7 +312,7 @@
             return
         client.name = f"{number}/{next(self.names)}"
         clock = node.clock(self.now)
-        known = node.history.on_retry(clock, client.name, client.load, clock + LONGEST)
+        known = node.history.on_retry(clock, client.name, client.load, clock + LONGEST_DEADLINE_MS)
         if known is None:
             self.waits[client.name] = client
             self._tick(node)
@@ -322,8 +332,8 @@
                 self.violations.append(f"{client.load!r} told WELL, never ran")
             self._done(client, known.name)
 
-    def _done(self, client: Client, heard: str) -> None:
-        client.answer, client.settled_at = heard, self.now
+    def _done(self, client: Client, answer: str) -> None:
+        client.answer, client.settled_at = answer, self.now
 
     def verdicts(self) -> set[survey_results.OutageVerdict]:
         return {node.survey.view.verdict for node in self.live_nodes()}
