--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -209,16 +209,13 @@
     data from staying warm in calm is not known here.
     """
     s = settings or CostSettings()
-    baseline = current if current is not None else solve_with_cold_work(snapshot, {}, s).allocation
+    baseline = current or solve_with_cold_work(snapshot, {}, s).allocation
     problem, allocation = solution or solve_with_cold_work(snapshot, remaining, s)
     flows = flows_by_pair(allocation.flows)
     usual = flows_as_served(snapshot, flows_by_pair(baseline.flows))
     served_utility = _utility(allocation.flows)
     moved = _moved_work(flows, usual)
     cold_cores = _cold_cores(snapshot, flows, s)
-    cold_before = snapshot.excess_cores
-    if cold_before is None:
-        cold_before = _cold_cores(snapshot, usual, s)
     return Projection(
         remaining=dict(sorted(remaining.items())),
         flows=flows,
@@ -228,7 +225,7 @@
         threshold=_threshold(snapshot, allocation, s),
         added_round_trip_ms=_added_round_trip_ms(snapshot, moved, usual),
         moved_cores=math.fsum(moved.values()),
-        extra_cold_cores=cold_cores - cold_before,
+        extra_cold_cores=cold_cores - _usual_cold_cores(snapshot, usual, s),
         free_cores=free_cores(problem, flows),
         warm_ms=warm_up_ms(snapshot, moved),
         return_ms=_return_ms(snapshot, remaining, s),
@@ -249,6 +246,13 @@
     return math.fsum(cold_work_cores(snapshot, flows, zone, settings) for zone in snapshot.zones)
 
 
+def _usual_cold_cores(snapshot: FleetSnapshot, usual: ZoneFlows, settings: CostSettings) -> float:
+    """Cores of cold work now: as it is reported, else as the usual flows make it."""
+    if snapshot.excess_cores is not None:
+        return snapshot.excess_cores
+    return _cold_cores(snapshot, usual, settings)
+
+
 def _available_cores(snapshot: FleetSnapshot, remaining: Mapping[str, float]) -> float:
     """Cores that work gets in what remains of all zones."""
     return math.fsum(
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -259,9 +259,9 @@
             found.update({f"{name}=".encode() + data: None for name, data in disk.items() if "pin/" in name})
 
     net = Net([1, 2], make)
-    net.watch = watch
+    net.after_event = watch
     net.run(1000.0)
-    net.act(1, net.up[1].move(net.now, [b"pinned-1"], 2))
+    net.act(1, net.running[1].move(net.now, [b"pinned-1"], 2))
     net.run(1000.0)
     return b";".join(found)
 
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -161,7 +161,9 @@
 
 @pytest.mark.parametrize("times", [1.2, 2.0, 5.0])
 @pytest.mark.parametrize("speed", [1.0, 0.8], ids=["as the list says", "slower than it says"])
-def test_served_utility_stays_near_the_maximum_and_is_shared_alike(times: float, speed: float) -> None:
+def test_served_utility_stays_near_the_maximum_and_is_equal_at_all_instances(
+    times: float, speed: float
+) -> None:
     world = play(times, speed=speed)
     got, most = world.utility(6000.0, 15_000.0)
     assert got >= 0.95 * most
@@ -208,7 +210,7 @@
 
 
 @pytest.mark.parametrize("marked, within", [(True, 1000.0), (False, 4000.0)], ids=["marked", "unmarked"])
-def test_capacity_that_comes_back_is_used(marked: bool, within: float) -> None:
+def test_returned_capacity_is_used(marked: bool, within: float) -> None:
     """A second where clients say that they come again; else when what was counted too often is forgotten."""
     world = Overload(2, lambda now: 380.0, SKEW, lambda i: SharedThreshold(), marked=marked)
     world.at(5000.0, lambda now: world.fail(3))
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -36,8 +36,8 @@
 
 ZONES = ("a", "b", "c")
 ENGINES = {zone: {f"{zone}{i}": 1.0 for i in range(4)} for zone in ZONES}
-FAR = {("a", "b"): 15.0, ("b", "c"): 25.0, ("a", "c"): 60.0}
-TRIPS = {(x, y): 1.0 if x == y else FAR[min(x, y), max(x, y)] for x in ZONES for y in ZONES}
+DISTANCES_MS = {("a", "b"): 15.0, ("b", "c"): 25.0, ("a", "c"): 60.0}
+ROUND_TRIPS_MS = {(x, y): 1.0 if x == y else DISTANCES_MS[min(x, y), max(x, y)] for x in ZONES for y in ZONES}
 DEAR, CHEAP = density_step(6.0, 20.0), density_step(1.0, 20.0)
 SETS = {zone: {data_set_number(f"{zone}/{i}"): 0.25 for i in range(4)} for zone in ZONES}
 
@@ -48,7 +48,7 @@
     for number in SETS[home]:
         warm |= filter_bits(number)
     zones = {
-        zone_number(z): ZoneObservation(TRIPS[home, z], float(z == home), warm if z == home else 0)
+        zone_number(z): ZoneObservation(ROUND_TRIPS_MS[home, z], float(z == home), warm if z == home else 0)
         for z in ZONES
     }
     made = SiteReport(
@@ -168,7 +168,7 @@
         assert found.flows[zone, zone] >= 1.2
 
 
-def most_off(lie: Callable[[SiteReport], SiteReport]) -> float:
+def max_deviation(lie: Callable[[SiteReport], SiteReport]) -> float:
     """How much one liar of six shifts the part of the worth that is projected."""
     honest, sites = projected(fleet(), a=0.0), fleet()
     return abs(projected([*sites[:5], lie(sites[5])], a=0.0).served_share() - honest.served_share())
@@ -197,14 +197,14 @@
 def test_one_instances_report_moves_the_projection_by_a_bounded_part(
     lie: Callable[[SiteReport], SiteReport], bound: float
 ) -> None:
-    assert most_off(lie) <= bound
+    assert max_deviation(lie) <= bound
 
 
 def test_an_uncapped_claim_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def much(s: SiteReport) -> SiteReport:
         return replace(s, rates={DEAR: 400.0})
 
-    assert most_off(much) <= 0.1
+    assert max_deviation(much) <= 0.1
     monkeypatch.setattr(SnapshotSettings, "__init__", lambda self: None)
     for name, free in (
         ("max_claim_share", 1e6),
@@ -213,7 +213,7 @@
         ("default_round_trip_ms", 50.0),
     ):
         monkeypatch.setattr(SnapshotSettings, name, free)
-    assert most_off(much) > 0.30
+    assert max_deviation(much) > 0.30
 
 
 def test_cold_data_distance_and_evictions_cost() -> None:
@@ -296,7 +296,7 @@
     far = {n: replace(z, served_share=float(n == zone_number("c"))) for n, z in honest[0].zones.items()}
     before, after = projected(honest, a=0.0), projected([replace(honest[0], zones=far), *honest[1:]], a=0.0)
     # It is half of its home, whose mean way can seem longer by half of the longest one at most.
-    assert abs(after.added_round_trip_ms - before.added_round_trip_ms) <= TRIPS["a", "c"] / 2
+    assert abs(after.added_round_trip_ms - before.added_round_trip_ms) <= ROUND_TRIPS_MS["a", "c"] / 2
     assert after.served_utility == before.served_utility
 
 
@@ -395,7 +395,7 @@
 
 @settings(max_examples=25, deadline=None)
 @given(st.lists(st.tuples(st.floats(0.0, 3.0), st.floats(0.0, 3.0)), min_size=3, max_size=6), st.data())
-def test_a_projection_never_serves_more_than_was_asked_or_fits(
+def test_a_projection_never_serves_more_than_the_demand_or_the_capacity(
     kinds: list[tuple[float, float]], data: st.DataObject
 ) -> None:
     sites = [site(i + 1, ZONES[i % 3], dear, cheap) for i, (dear, cheap) in enumerate(kinds)]
@@ -407,7 +407,7 @@
         assert served <= 4 * 0.97 * left[zone] + 1e-6
 
 
-def test_thirty_instances_hear_of_one_another_in_few_datagrams() -> None:
+def test_thirty_instances_learn_of_one_another_in_few_datagrams() -> None:
     instances = {
         m: CostEstimator(m, 1, 0.0, ZONES[m % 3], m, CostEstimatorSettings(snapshot_interval_ms=1e9))
         for m in range(1, 31)
@@ -433,11 +433,11 @@
     assert not made.observations.data_set_use.weights and not made.observations.answer_use.weights
 
 
-def lost(seed: int, decides: str) -> tuple[Projection | None, float, float]:
+def run_zone_loss(seed: int, decides: str) -> tuple[Projection | None, float, float]:
     """A day on which zone a is lost: what was projected, the part of the worth served, cold work on top."""
     plans = CostEstimatorSettings(snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=10))
     rates = dict.fromkeys(ZONES, 140.0)
-    world = World(seed, Setup(rates, TRIPS, cached_data_sets=10, decides=decides, settings=plans))
+    world = World(seed, Setup(rates, ROUND_TRIPS_MS, cached_data_sets=10, decides=decides, settings=plans))
     world.play(5500)
     told = world.instances[0].estimator.projection("a")
     world.play(6000)
@@ -452,17 +452,17 @@
 def test_the_loss_of_a_zone_costs_what_was_projected() -> None:
     worth, extra = [], []
     for seed in (4, 5, 6):
-        told, served, cold = lost(seed, "outlook")
+        told, served, cold = run_zone_loss(seed, "outlook")
         assert told is not None
         worth.append(abs(told.served_share() - served))
         extra.append(abs(told.extra_cold_cores - cold) / cold)
     assert sorted(worth)[1] <= 0.05 and sorted(extra)[1] <= 0.35
-    told, today, _ = lost(4, "today")
+    told, today, _ = run_zone_loss(4, "today")
     assert told is None and today < 0.9
 
 
 def test_six_instances_reach_one_plan_by_their_reports() -> None:
-    world = World(1, Setup(dict.fromkeys(ZONES, 60.0), TRIPS, loss=0.3))
+    world = World(1, Setup(dict.fromkeys(ZONES, 60.0), ROUND_TRIPS_MS, loss=0.3))
     world.play(6000)
     plans = [i.estimator.neighbours("a") for i in world.instances]
     assert all(plan and plan[0][0] == "b" for plan in plans)
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -34,7 +34,7 @@
     assert len(LOAD) == 16 and len({*same, *others}) == 4
 
 
-def test_never_sent_is_sent_once_where_all_say_so() -> None:
+def test_a_load_that_nobody_sent_is_sent_once() -> None:
     world = settled(5)
     client = client_retries(world, 2, LOAD)
     world.run(300.0)
@@ -196,7 +196,7 @@
     )
 
 
-def test_a_queued_first_request_is_not_sent_once_another_has_asked() -> None:
+def test_a_queued_first_request_is_not_sent_after_another_instance_queried_it() -> None:
     world = settled(4)
     client_retries(world, 2, LOAD)
     world.run(300.0)
@@ -309,7 +309,7 @@
     assert not memory.local.entries
 
 
-def test_others_learn_of_open_loads_without_asking() -> None:
+def test_open_loads_are_announced_to_the_others() -> None:
     world = settled(4)
     world.first(1, LOAD, lasts=1500.0)
     world.clients[0].attempts = 6
@@ -404,7 +404,7 @@
 
 @given(st.integers(3, 6), st.integers(0, 10**6), FAULTS, st.sampled_from([0.0, 0.1, 0.3]))
 @settings(max_examples=16, deadline=None, phases=[Phase.generate])
-def test_nothing_is_sent_twice_and_every_retry_is_settled(
+def test_no_load_is_sent_twice_and_every_retry_is_settled(
     count: int, seed: int, faults: list[tuple[int, int, int]], loss: float
 ) -> None:
     world = history(count, seed, faults, loss)
@@ -467,7 +467,7 @@
         load_history.LoadHistory, "begin", lambda self, now, load: self.local.begin(load) or True
     )
     with pytest.raises(AssertionError):
-        test_a_queued_first_request_is_not_sent_once_another_has_asked()
+        test_a_queued_first_request_is_not_sent_after_another_instance_queried_it()
 
 
 def test_planted_unconfirmed_memory_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -151,7 +151,7 @@
     assert (view.verdict, view.is_settled, view.missing) == (OUTAGE.FLEET, True, frozenset({3, 4}))
 
 
-def test_being_cut_off_is_told_from_being_restarted_alone() -> None:
+def test_being_cut_off_is_distinguished_from_being_restarted_alone() -> None:
     world = settled(6)
     world.partition([0, 1], [2, 3, 4, 5])
     world.run(SURVEY.max_report_age_ms + SURVEY.settle_ms + 2000.0)
--- a/tests/fleet/test_model_checker.py
+++ b/tests/fleet/test_model_checker.py
@@ -20,19 +20,19 @@
     return RegisterWorld(crashes=3, forgets=1, asks=3)
 
 
-def many_pins() -> World:
+def many_owned_keys() -> World:
     return PinWorld(crashes=2, moves=4, loads=6)
 
 
-def test_registers_and_pins_hold_in_random_orders() -> None:
+def test_registers_and_ownership_keep_their_rules_in_random_orders() -> None:
     found = walk(many_registers, 1, 60, 200, register_end)
     assert not found.broken, found.trace
-    found = walk(many_pins, 1, 40, 250, pin_end)
+    found = walk(many_owned_keys, 1, 40, 250, pin_end)
     assert not found.broken, found.trace
 
 
 @pytest.mark.parametrize("world", [RegisterWorld, PinWorld])
-def test_they_hold_in_every_order_of_a_few_events(world: Callable[[], World]) -> None:
+def test_both_keep_their_rules_in_every_order_of_a_few_events(world: Callable[[], World]) -> None:
     found = explore(world, 4, 250)
     assert not found.broken and found.depth >= 3
 
@@ -103,7 +103,7 @@
     monkeypatch.setattr(announcements.Announcements, "_on_offer", taken)
 
 
-def not_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def skips_synchronization(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new home begins without having been told what others own."""
 
     def at_once(self: Any, now: float) -> None:
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("plant", [no_quorum, forgetful, unwritten])
-def test_a_defect_of_registers_is_found(
+def test_a_defect_of_registers_is_detected(
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
@@ -121,12 +121,12 @@
     assert "two values" in found.broken or "was lost" in found.broken, found.broken
 
 
-@pytest.mark.parametrize("plant", [no_fence, no_wait, early_release, not_told])
-def test_a_defect_of_pins_is_found(
+@pytest.mark.parametrize("plant", [no_fence, no_wait, early_release, skips_synchronization])
+def test_a_defect_of_ownership_is_detected(
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    found = walk(many_pins, 7, 1500, 250, pin_end)  # a seed that meets all soon
+    found = walk(many_owned_keys, 7, 1500, 250, pin_end)  # a seed that meets all soon
     assert "two owners" in found.broken or "a load started" in found.broken, found.broken
 
 
--- a/tests/fleet/test_quota_lending.py
+++ b/tests/fleet/test_quota_lending.py
@@ -40,13 +40,13 @@
     now: float = 100.0
     members: dict[int, QuotaAccount] = field(default_factory=dict)
     stopped: frozenset[int] = frozenset()
-    flying: tuple[tuple[int, int, QuotaRequest | QuotaGrant], ...] = ()
-    lives: int = 0
+    in_flight: tuple[tuple[int, int, QuotaRequest | QuotaGrant], ...] = ()
+    restart_count: int = 0
     settings: QuotaSettings = SETTINGS
 
     @classmethod
     def begin(cls, settings: QuotaSettings = SETTINGS) -> QuotaModel:
-        """Three that have been there for long."""
+        """Three instances that started long ago."""
         world = cls(settings=settings)
         for i in range(COUNT):
             world.members[i] = QuotaAccount(-1000.0, 1 / COUNT, 100 * i, settings)
@@ -58,24 +58,24 @@
 
     def copy(self) -> QuotaModel:
         """Another world that is the same so far."""
-        made = QuotaModel(self.now, {}, self.stopped, self.flying, self.lives, self.settings)
-        for i, p in self.members.items():
-            made.members[i] = q = copy.copy(p)
-            q.loans = {}
-            for zone, purse in p.loans.items():
-                lent = {m: list(loans) for m, loans in purse.lent.items()}
-                q.loans[zone] = quota_lending.ZoneLoans(
-                    lent, {m: copy.copy(b) for m, b in purse.borrowed.items()}
+        made = QuotaModel(self.now, {}, self.stopped, self.in_flight, self.restart_count, self.settings)
+        for i, account in self.members.items():
+            made.members[i] = copied = copy.copy(account)
+            copied.loans = {}
+            for zone, zone_loans in account.loans.items():
+                lent = {m: list(loans) for m, loans in zone_loans.lent.items()}
+                copied.loans[zone] = quota_lending.ZoneLoans(
+                    lent, {m: copy.copy(b) for m, b in zone_loans.borrowed.items()}
                 )
         return made
 
-    def key(self) -> object:
-        """Two worlds with one key go on alike."""
+    def state_key(self) -> object:
+        """Two worlds with the same key behave alike from now on."""
         now, rows = self.now, list[object]()
-        for p in self.members.values():
-            purse = p.loans.get(ZONE, quota_lending.ZoneLoans())
-            lent = [(m, u - now, a) for m, loans in purse.lent.items() for u, a in loans if u > now]
-            held = [
+        for account in self.members.values():
+            zone_loans = account.loans.get(ZONE, quota_lending.ZoneLoans())
+            lent = [(m, u - now, a) for m, loans in zone_loans.lent.items() for u, a in loans if u > now]
+            borrowed = [
                 (
                     m,
                     max(b.expires_at - now, 0),
@@ -84,43 +84,43 @@
                     b.requested_amount,
                     b.term,
                 )
-                for m, b in purse.borrowed.items()
+                for m, b in zone_loans.borrowed.items()
             ]
             rows.append(
                 (
-                    max(p.usable_from - now, 0),
-                    max(p.unlent_usable_from - now, 0),
+                    max(account.usable_from - now, 0),
+                    max(account.unlent_usable_from - now, 0),
                     tuple(sorted(lent)),
-                    tuple(sorted(held)),
+                    tuple(sorted(borrowed)),
                 )
             )
-        return tuple(rows), self.stopped, self.flying
+        return tuple(rows), self.stopped, self.in_flight
 
-    def want(self, i: int, share: float) -> QuotaModel | None:
-        """An instance has so much of the demand, and asks for what it lacks."""
+    def request(self, i: int, share: float) -> QuotaModel | None:
+        """An instance has so much of the demand, and requests what it lacks."""
         p = self.members[i]
         if i in self.stopped:
             return None
         demand = {m: share if m == i else (1 - share) / (COUNT - 1) for m in range(COUNT)}
-        return self._fly(i, p.request(self.now, ZONE, demand, i))
+        return self._send(i, p.request(self.now, ZONE, demand, i))
 
-    def deliver(self, place: int, keep: bool) -> QuotaModel | None:
+    def deliver(self, place: int, may_repeat: bool) -> QuotaModel | None:
         """A message arrives, and may arrive again."""
-        if place >= len(self.flying):
+        if place >= len(self.in_flight):
             return None
-        sender, target, what = self.flying[place]
-        if not keep:
-            self.flying = self.flying[:place] + self.flying[place + 1 :]
+        sender, target, what = self.in_flight[place]
+        if not may_repeat:
+            self.in_flight = self.in_flight[:place] + self.in_flight[place + 1 :]
         p = self.members[target]
         if target in self.stopped:
             return self
-        return self._fly(target, p.on_message(self.now, sender, what))
+        return self._send(target, p.on_message(self.now, sender, what))
 
     def lose(self, place: int) -> QuotaModel | None:
         """A message is lost."""
-        if place >= len(self.flying):
+        if place >= len(self.in_flight):
             return None
-        self.flying = self.flying[:place] + self.flying[place + 1 :]
+        self.in_flight = self.in_flight[:place] + self.in_flight[place + 1 :]
         return self
 
     def tick(self) -> QuotaModel:
@@ -128,23 +128,25 @@
         self.now += TICK
         return self
 
-    def die(self, i: int) -> QuotaModel | None:
-        """One is gone, and back from nothing at once."""
-        self.lives += 1
-        if self.lives > 1:
+    def restart(self, i: int) -> QuotaModel | None:
+        """An instance restarts with nothing remembered."""
+        self.restart_count += 1
+        if self.restart_count > 1:
             return None
-        term, kept = 10_000 * self.lives + 100 * i, self.settings.unlent_share > 0
-        self.members[i] = QuotaAccount(self.now, 1 / COUNT, term, self.settings, is_only_process=kept)
+        term, is_only_process = 10_000 * self.restart_count + 100 * i, self.settings.unlent_share > 0
+        self.members[i] = QuotaAccount(
+            self.now, 1 / COUNT, term, self.settings, is_only_process=is_only_process
+        )
         self.stopped -= {i}
         return self
 
-    def stop(self, i: int) -> QuotaModel:
-        """One stands still, or goes on."""
+    def toggle_stopped(self, i: int) -> QuotaModel:
+        """An instance is paused, or goes on."""
         self.stopped ^= {i}
         return self
 
-    def _fly(self, sender: int, messages: list[QuotaMessage]) -> QuotaModel:
-        self.flying += tuple((sender, to.member, to.message) for to in messages)
+    def _send(self, sender: int, messages: list[QuotaMessage]) -> QuotaModel:
+        self.in_flight += tuple((sender, to.member, to.message) for to in messages)
         return self
 
 
@@ -153,13 +155,13 @@
 
 def steps(world: QuotaModel) -> list[Step]:
     """All that may happen next."""
-    found: list[Step] = [lambda w: w.tick(), lambda w: w.want(0, 0.9), lambda w: w.want(0, 0.5)]
-    for place in range(len(world.flying)):
-        found.append(lambda w, at=place: w.deliver(at, keep=False))  # type: ignore[misc]
-        found.append(lambda w, at=place: w.lose(at))  # type: ignore[misc]
-    if world.flying:
-        found.append(lambda w: w.deliver(0, keep=True))
-    return found + [lambda w: w.die(0), lambda w: w.die(1), lambda w: w.stop(0)]
+    next_steps: list[Step] = [lambda w: w.tick(), lambda w: w.request(0, 0.9), lambda w: w.request(0, 0.5)]
+    for place in range(len(world.in_flight)):
+        next_steps.append(lambda w, at=place: w.deliver(at, keep=False))  # type: ignore[misc]
+        next_steps.append(lambda w, at=place: w.lose(at))  # type: ignore[misc]
+    if world.in_flight:
+        next_steps.append(lambda w: w.deliver(0, may_repeat=True))
+    return next_steps + [lambda w: w.die(0), lambda w: w.die(1), lambda w: w.stop(0)]
 
 
 def search(depth: int, settings: QuotaSettings = SETTINGS) -> tuple[int, float]:
@@ -171,7 +173,7 @@
         for world in front:
             for step in steps(world):
                 new = step(world.copy())
-                if new is None or len(new.flying) > 4 or (key := new.key()) in seen:
+                if new is None or len(new.in_flight) > 4 or (key := new.state_key()) in seen:
                     continue
                 seen.add(key)
                 worst = max(worst, new.used())
@@ -181,7 +183,9 @@
 
 
 @pytest.mark.parametrize(
-    "settings, depth", [(SETTINGS, DEPTH), (SETTINGS_WITH_UNLENT_SHARE, DEPTH - 1)], ids=["all lent", "kept"]
+    "settings, depth",
+    [(SETTINGS, DEPTH), (SETTINGS_WITH_UNLENT_SHARE, DEPTH - 1)],
+    ids=["all lent", "unlent share"],
 )
 def test_in_every_interleaving_the_quotas_add_up_to_at_most_one(settings: QuotaSettings, depth: int) -> None:
     seen, worst = search(depth, settings)
@@ -194,30 +198,30 @@
 
 
 def lends_all(
-    self: QuotaAccount, now: float, purse: quota_lending.ZoneLoans, member: int, ask: QuotaRequest
+    self: QuotaAccount, now: float, zone_loans: quota_lending.ZoneLoans, member: int, request: QuotaRequest
 ) -> int:
-    kept, self.unlent = self.unlent, 0
-    amount = LEND(self, now, purse, member, ask)
-    self.unlent = kept
+    unlent, self.unlent = self.unlent, 0
+    amount = ORIGINAL_GRANT(self, now, zone_loans, member, request)
+    self.unlent = unlent
     return amount
 
 
-def unwary(self: QuotaAccount, now: float, *args: object, **fields: object) -> None:
-    PLAIN(self, now, *args, **fields)  # type: ignore[arg-type]
+def forgets_loans(self: QuotaAccount, now: float, *args: object, **fields: object) -> None:
+    ORIGINAL_INIT(self, now, *args, **fields)  # type: ignore[arg-type]
     self.usable_from = -1e9
 
 
-PLAIN, LEND = QuotaAccount.__init__, QuotaAccount._grant
+ORIGINAL_INIT, ORIGINAL_GRANT = QuotaAccount.__init__, QuotaAccount._grant
 
 
 @pytest.mark.parametrize(
     "place, name, defect, settings",
     [
-        (QuotaAccount, "__init__", unwary, SETTINGS),
+        (QuotaAccount, "__init__", forgets_loans, SETTINGS),
         (quota_lending.ZoneLoans, "reserved", newest_only, SETTINGS),
         (QuotaAccount, "_grant", lends_all, SETTINGS_WITH_UNLENT_SHARE),
     ],
-    ids=["a lender that forgets", "a smaller loan after a larger", "what is kept is lent"],
+    ids=["a lender that forgets", "a smaller loan after a larger", "the unlent share is lent"],
 )
 def test_the_search_detects_a_removed_guard(
     monkeypatch: pytest.MonkeyPatch,
@@ -239,11 +243,11 @@
         super().__init__()
         self.now = 0.0
         self.rates = [1.0, 1.04, 0.96]
-        self.held: list[list[QuotaAccount]] = [
+        self.processes: list[list[QuotaAccount]] = [
             [QuotaAccount(-1000.0, 1 / COUNT, 0, self.settings_used)] for _ in range(COUNT)
         ]
-        self.flying: list[tuple[int, int, QuotaRequest | QuotaGrant]] = []
-        self.lives = 1
+        self.in_flight: list[tuple[int, int, QuotaRequest | QuotaGrant]] = []
+        self.restart_count = 1
 
     def clock(self, i: int) -> float:
         return 1000.0 * i + self.now * self.rates[i]
@@ -255,41 +259,47 @@
     @rule(i=st.integers(0, COUNT - 1), share=st.floats(0.0, 1.0))
     def ask(self, i: int, share: float) -> None:
         demand = {m: share if m == i else (1 - share) / (COUNT - 1) for m in range(COUNT)}
-        for to in self.held[i][-1].request(self.clock(i), ZONE, demand, i):
-            self.flying.append((i, to.member, to.message))
+        for to in self.processes[i][-1].request(self.clock(i), ZONE, demand, i):
+            self.in_flight.append((i, to.member, to.message))
 
     @rule(place=st.integers(0, 20), keep=st.booleans())
     def deliver(self, place: int, keep: bool) -> None:
-        if place < len(self.flying):
-            sender, target, what = self.flying[place] if keep else self.flying.pop(place)
-            for to in self.held[target][-1].on_message(self.clock(target), sender, what):
-                self.flying.append((target, to.member, to.message))
+        if place < len(self.in_flight):
+            sender, target, what = self.in_flight[place] if keep else self.in_flight.pop(place)
+            for to in self.processes[target][-1].on_message(self.clock(target), sender, what):
+                self.in_flight.append((target, to.member, to.message))
 
     @rule(i=st.integers(0, COUNT - 1))
     def restart(self, i: int) -> None:
-        self.lives += 1
-        kept = self.settings_used.unlent_share > 0
-        self.held[i] = [
+        self.restart_count += 1
+        is_only_process = self.settings_used.unlent_share > 0
+        self.processes[i] = [
             QuotaAccount(
-                self.clock(i), 1 / COUNT, 1000 * self.lives, self.settings_used, is_only_process=kept
+                self.clock(i),
+                1 / COUNT,
+                1000 * self.restart_count,
+                self.settings_used,
+                is_only_process=is_only_process,
             )
         ]
 
     @rule(i=st.integers(0, COUNT - 1))
     def upgrade(self, i: int) -> None:
         """A second process begins beside the first one, which learns of it; then the first one ends."""
-        if len(self.held[i]) == 1:
-            self.lives += 1
-            self.held[i][0].process_count = 2
-            self.held[i].append(QuotaAccount(self.clock(i), 1 / COUNT, 1000 * self.lives, self.settings_used))
-            self.held[i][1].process_count = 2
-        elif self.clock(i) >= self.held[i][1].usable_from:
-            self.held[i] = [self.held[i][1]]
-            self.held[i][0].process_count = 1
+        if len(self.processes[i]) == 1:
+            self.restart_count += 1
+            self.processes[i][0].process_count = 2
+            self.processes[i].append(
+                QuotaAccount(self.clock(i), 1 / COUNT, 1000 * self.restart_count, self.settings_used)
+            )
+            self.processes[i][1].process_count = 2
+        elif self.clock(i) >= self.processes[i][1].usable_from:
+            self.processes[i] = [self.processes[i][1]]
+            self.processes[i][0].process_count = 1
 
     @invariant()
     def never_more_than_the_whole(self) -> None:
-        used = sum(p.usable(self.clock(i), ZONE)[0] for i, there in enumerate(self.held) for p in there)
+        used = sum(p.usable(self.clock(i), ZONE)[0] for i, there in enumerate(self.processes) for p in there)
         assert used <= 1.0 + 1e-9
 
 
@@ -299,17 +309,17 @@
     settings_used = SETTINGS_WITH_UNLENT_SHARE
 
 
-TestDrawnKept = DrawnWithUnlentShare.TestCase
-TestDrawnKept.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
+TestDrawnWithUnlentShare = DrawnWithUnlentShare.TestCase
+TestDrawnWithUnlentShare.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
 TestDrawn = Drawn.TestCase
 TestDrawn.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
 
 
 def test_the_instance_with_most_load_gets_most_of_the_budget() -> None:
     world = QuotaModel.begin()
-    world.want(0, 0.8)
-    while world.flying:
-        world.deliver(0, keep=False)
+    world.request(0, 0.8)
+    while world.in_flight:
+        world.deliver(0, may_repeat=False)
     part, ends = world.members[0].usable(world.now, ZONE)
     assert part > 0.75 and ends == world.now + SETTINGS.loan_ms and world.used() <= 1.0
     world.now += 2 * SETTINGS.loan_ms
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -370,7 +370,7 @@
 STEP, BOUNDS, START = SharedSlowStart.step, SharedSlowStart.work_limits, SharedSlowStart._start
 
 
-def most(world: PowerReturn) -> float:
+def max_engine_load(world: PowerReturn) -> float:
     """The most that came to any engine within its window, against what it does at the time."""
     return max(p.most for p in world.pressed)
 
@@ -380,7 +380,7 @@
     [
         ({"step": greedy_step, "work_limits": greedy_bounds}, lambda w: w.over, 0.0, 1, 3000.0, 0.0),
         # The largest of nine engines differs by chance, 1.25 to 1.35 by seed, so it is held to by the mean.
-        ({"_follow": by_the_clock}, most, 1.3, 8, 20_000.0, 0.0),
+        ({"_follow": by_the_clock}, max_engine_load, 1.3, 8, 20_000.0, 0.0),
         ({"_start": trusting}, lambda w: w.blind, 0.0, 1, 3000.0, 1000.0),
     ],
     ids=["all of the budget for those present", "by the clock", "proof not awaited"],
--- a/tests/fleet/test_register.py
+++ b/tests/fleet/test_register.py
@@ -35,18 +35,18 @@
         self, member: int, name: str, expected: int, value: bytes, ms: float = 6000
     ) -> OperationOutcome:
         self.tokens += 1
-        self.act(member, self.up[member].change(self.now, name, expected, value, self.tokens))
+        self.act(member, self.running[member].change(self.now, name, expected, value, self.tokens))
         self.run(ms)
         return self.outcome_of(self.tokens)
 
     def read(self, member: int, name: str = "a") -> OperationOutcome:
         self.tokens += 1
-        self.act(member, self.up[member].read(self.now, name, self.tokens))
+        self.act(member, self.running[member].read(self.now, name, self.tokens))
         self.run(6000)
         return self.outcome_of(self.tokens)
 
     def outcome_of(self, token: int) -> OperationOutcome:
-        (outcome,) = (o for o in self.of(OperationOutcome) if o.token == token)
+        (outcome,) = (o for o in self.actions_of(OperationOutcome) if o.token == token)
         assert isinstance(outcome, OperationOutcome)
         return outcome
 
@@ -56,7 +56,7 @@
     fleet.run(1000)
     assert fleet.change(105, "a", 0, b"one", 100) == OperationOutcome(1, ChangeResult.WON, 1, b"one")
     assert fleet.change(101, "a", 0, b"two", 500) == OperationOutcome(2, ChangeResult.LOST, 1, b"one")
-    informed = {m for _, m, a in fleet.seen if a == RegisterChanged("a", 1, b"one")}
+    informed = {m for _, m, a in fleet.other_actions if a == RegisterChanged("a", 1, b"one")}
     assert informed >= {101, 102, 103, 105}
     assert fleet.read(104).value == b"one"
     assert fleet.read(104, "b") == OperationOutcome(4, ChangeResult.WON, 0, b"")
@@ -65,10 +65,10 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_competing_proposers_all_finish_under_message_loss(seed: int) -> None:
     fleet = Fleet(voters=5, members=5, seed=seed)
-    fleet.loss, fleet.twice, fleet.slow = 0.3, 0.3, 40.0
+    fleet.loss, fleet.duplicate_chance, fleet.max_delay_ms = 0.3, 0.3, 40.0
     fleet.run(3000)
     for token, member in enumerate(fleet.ids, 1):
-        fleet.act(member, fleet.up[member].change(fleet.now, "a", 0, b"%d" % member, token))
+        fleet.act(member, fleet.running[member].change(fleet.now, "a", 0, b"%d" % member, token))
     fleet.run(6000)
     outcomes = [fleet.outcome_of(token) for token in range(1, 6)]
     assert sorted(outcome.result.value for outcome in outcomes) == ["lost"] * 4 + ["won"]
@@ -86,21 +86,21 @@
 def test_answers_wait_until_the_record_is_on_disk() -> None:
     fleet = Fleet()
     fleet.run(1000)
-    fleet.stuck = {102, 103}
+    fleet.failed_disks = {102, 103}
     assert fleet.change(101, "a", 0, b"x").result is not ChangeResult.WON
-    assert not fleet.of(RegisterChanged)
+    assert not fleet.actions_of(RegisterChanged)
 
 
 def test_a_voter_completes_a_change_whose_proposer_failed() -> None:
     fleet = Fleet()
     fleet.run(1000)
-    fleet.act(101, fleet.up[101].change(fleet.now, "a", 0, b"x", 1))
+    fleet.act(101, fleet.running[101].change(fleet.now, "a", 0, b"x", 1))
     while not any(v.acceptor.registers.get("a", None) and v.acceptor.registers["a"].state.version
-                  for m, v in fleet.up.items() if m != 101):  # fmt: skip
+                  for m, v in fleet.running.items() if m != 101):  # fmt: skip
         fleet.run(0.2)
     fleet.stop(101)
     fleet.run(5000)
-    assert {m for _, m, a in fleet.seen if a == RegisterChanged("a", 1, b"x")} >= {102, 103}
+    assert {m for _, m, a in fleet.other_actions if a == RegisterChanged("a", 1, b"x")} >= {102, 103}
 
 
 def test_a_voter_with_an_empty_folder_votes_again_only_with_a_quorums_copies() -> None:
@@ -112,10 +112,10 @@
     fleet.stop(103)
     fleet.start(103, empty=True)
     fleet.run(2000)
-    assert not fleet.up[103].is_voting()  # a copy from one of the two others is not enough
+    assert not fleet.running[103].is_voting()  # a copy from one of the two others is not enough
     fleet.start(102)
     fleet.run(4000)
-    assert fleet.up[103].is_voting()
+    assert fleet.running[103].is_voting()
     fleet.stop(101)
     assert all(fleet.read(103, f"r{n}").value == b"v%d" % n for n in range(10))
 
@@ -127,10 +127,10 @@
     fleet.stop(103)
     assert fleet.change(102, "a", 1, b"").result is ChangeResult.WON
     fleet.run(20_000)
-    assert "a" in fleet.up[101].acceptor.registers
+    assert "a" in fleet.running[101].acceptor.registers
     fleet.start(103)
     fleet.run(90_000)
-    assert all("a" not in one.acceptor.registers for one in fleet.up.values())
+    assert all("a" not in one.acceptor.registers for one in fleet.running.values())
     assert fleet.change(103, "a", 0, b"y").result is ChangeResult.WON
     assert all("reg/a" in disk for disk in fleet.disks.values())
 
@@ -139,13 +139,13 @@
     fleet = Fleet()
     fleet.run(1000)
     fleet.change(101, "a", 0, b"x")
-    state = fleet.up[102].acceptor.registers["a"].state
+    state = fleet.running[102].acceptor.registers["a"].state
     fleet.change(101, "a", 1, b"")
     fleet.run(30_000)
     late = messages.encode_message(RegisterMessage(messages.ACCEPT, "a", state.ballot, state))
-    fleet.act(102, fleet.up[102].on_message(fleet.now, 101, late))
+    fleet.act(102, fleet.running[102].on_message(fleet.now, 101, late))
     fleet.run(10)
-    assert "a" not in fleet.up[102].acceptor.registers
+    assert "a" not in fleet.running[102].acceptor.registers
 
 
 def test_a_proposer_draws_another_id_at_each_start() -> None:
@@ -157,10 +157,10 @@
     fleet = Fleet()
     fleet.run(1000)
     for n in range(SETTINGS.max_registers + 6):
-        fleet.act(101, fleet.up[101].read(fleet.now, f"x{n}", 1000 + n))
+        fleet.act(101, fleet.running[101].read(fleet.now, f"x{n}", 1000 + n))
         fleet.run(100)
     assert fleet.change(101, "a", 0, b"y").result is ChangeResult.WON
-    assert all(len(one.acceptor.registers) <= SETTINGS.max_registers for one in fleet.up.values())
+    assert all(len(one.acceptor.registers) <= SETTINGS.max_registers for one in fleet.running.values())
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/fleet/test_request_forwarding.py
+++ b/tests/fleet/test_request_forwarding.py
@@ -161,7 +161,7 @@
 
 def test_the_largest_request_passes_a_faulty_network_and_a_larger_one_is_refused() -> None:
     net = ForwardingNetwork(3)
-    net.loss, net.twice, net.slow = 0.3, 0.3, 20.0
+    net.loss, net.duplicate_chance, net.max_delay_ms = 0.3, 0.3, 20.0
     largest, larger = (
         net.forward(A, B, messages.MAX_BODY_BYTES, 8000),
         net.forward(A, B, messages.MAX_BODY_BYTES + 1, 8000),
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize(("size", "loss", "most"), [(100, 0.0, 10), (900, 0.0, 10), (100, 0.3, 300)])
 def test_many_concurrent_requests_do_not_delay_one_another(size: int, loss: float, most: float) -> None:
     net = ForwardingNetwork(4)
-    net.loss, net.slow = loss, 2.0
+    net.loss, net.max_delay_ms = loss, 2.0
     for n in range(400):
         net.post(n * 2.5, A, 1, lambda: net.forward(A, B, size, 3000))
     net.run(4000)
@@ -191,7 +191,7 @@
     net = ForwardingNetwork(4)
     net.forward(A, B, 900, 300)
     net.run(400)
-    net.cut = {frozenset((A, B))}
+    net.cut_links = {frozenset((A, B))}
     before = net.sent
     for _ in range(300):
         net.forward(A, B, 900, 1000)
@@ -208,12 +208,12 @@
     net = ForwardingNetwork(5)
     net.serve = lambda: (2000.0, ForwardResult.ANSWERED)
     if sure:
-        net.cut = {frozenset((A, B))}
+        net.cut_links = {frozenset((A, B))}
     attempt = net.forward(A, B, 50, 8000)
     net.run(100)
     net.stop(B)
     net.start(B)
-    net.cut = set()
+    net.cut_links = set()
     net.run(7500)
     assert attempt.results[0][1].result is (ForwardResult.ANSWERED if sure else ForwardResult.FAILED)
     assert sure or attempt.results[0][0] < 1000
@@ -224,7 +224,7 @@
     net = ForwardingNetwork(6)
     net.forward(A, B, 10, 500)
     net.run(400)  # so that the owner's incarnation is known
-    net.slow, net.late = 3000.0, 1.0
+    net.max_delay_ms, net.late = 3000.0, 1.0
     held = net.forward(A, B, 10, 1000)
     net.run(8000)
     net.check()
@@ -243,7 +243,7 @@
     net.leave(attempt)
     net.run(2000)
     assert bool(attempt.accepts) is taken and len(net.abandoned) == taken
-    assert not attempt.results and not net.one(A).status()["open"]
+    assert not attempt.results and not net.forwarder_of(A).status()["open"]
 
 
 def part(number: int, index: int = 0, size: int = 1000, left: float = 500_000.0) -> bytes:
@@ -276,8 +276,8 @@
     net.serve = lambda: (500.0, ForwardResult.ANSWERED)
     attempt = net.forward(A, B, 1000, 4000)
     net.run(100)
-    origin, owner = net.one(A), net.one(B)
-    now_a, now_b = net.up[A].at(net.now), net.up[B].at(net.now)
+    origin, owner = net.forwarder_of(A), net.forwarder_of(B)
+    now_a, now_b = net.running[A].at(net.now), net.running[B].at(net.now)
     number = messages.request_number(origin.incarnation, 1)
     future = messages.RequestHeader(number + 1, owner.incarnation, int(now_b * 1000) + 10**9, 0.0, 100.0, 1)
     held = messages.RequestHeader(number + 1, owner.incarnation, int(now_b * 1000), 1000.0, 100.0, 1)
--- a/tests/fleet/test_rolling_replacement.py
+++ b/tests/fleet/test_rolling_replacement.py
@@ -192,7 +192,7 @@
     assert any(says in breach for breach in found.breaches), found.breaches
 
 
-def test_the_whole_run_is_the_same_again_from_its_seed() -> None:
+def test_a_run_is_the_same_again_from_its_seed() -> None:
     def play() -> tuple[object, ...]:
         world = World(5, 4, Trouble(loss=0.2))
         world.run(2000.0)
--- a/tests/fleet/test_schedule.py
+++ b/tests/fleet/test_schedule.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_the_makespan_is_near_the_best_there_is(seed: int) -> None:
+def test_the_makespan_is_near_the_shortest_possible(seed: int) -> None:
     jobs, limits = draw_jobs(seed, 6)
     schedule = ScheduleConstraints(limits, capacity_check).find_schedule(jobs)
     assert schedule.duration_ms <= 1.2 * best(jobs, limits)
--- a/tests/fleet/test_session_affinity_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -27,15 +27,17 @@
 pytestmark = pytest.mark.xdist_group("affinity processes")
 
 # Long enough for a busy machine, and calm enough: the stories end it.
-PINNED = msgspec.structs.replace(DAY, name="pins", pins=True, order_across=True, rate=30.0, seconds=300.0)
+AFFINITY_DAY = msgspec.structs.replace(
+    DAY, name="pins", pins=True, order_across=True, rate=30.0, seconds=300.0
+)
 # Clients that hear nothing for a while ask again, for the same load and at any instance.
 IMPATIENT = msgspec.structs.replace(
-    PINNED, name="impatient", manner=Manner(tries=4, asks_again=True, hears=400.0)
+    AFFINITY_DAY, name="impatient", manner=Manner(tries=4, asks_again=True, hears=400.0)
 )
 Story = Callable[[ScenarioRun], Coroutine[Any, Any, None]]
 
 
-def pins(trial: ScenarioRun, name: str) -> dict[str, Any]:
+def affinity_status(trial: ScenarioRun, name: str) -> dict[str, Any]:
     """What an instance tells of its pins; nothing if it isn't there."""
     found: dict[str, Any] = trial.view(name).get("pins", {})
     return found
@@ -46,7 +48,7 @@
     wanted = sorted(names or ALL)
 
     def holds() -> bool:
-        views = [pins(trial, name) for name in wanted]
+        views = [affinity_status(trial, name) for name in wanted]
         if not all(v and v["table"] == wanted and v["stands"] and v["complete"] for v in views):
             return False
         return len({v["epoch"] for v in views}) == 1
@@ -55,14 +57,14 @@
 
 
 def counted(trial: ScenarioRun, what: str) -> int:
-    return sum(pins(trial, name).get(what, 0) for name in trial.running_instances())
+    return sum(affinity_status(trial, name).get(what, 0) for name in trial.running_instances())
 
 
 async def all_are_swapped(trial: ScenarioRun) -> None:
     """Each goes and comes; what was asked for at any of them runs where its key is owned."""
     await one_after_another(trial)
     await settled(trial)
-    assert counted(trial, "took") > 0 and pins(trial, "n0")["epoch"] >= 3 + 2 * len(ALL)
+    assert counted(trial, "took") > 0 and affinity_status(trial, "n0")["epoch"] >= 3 + 2 * len(ALL)
 
 
 async def through(trial: ScenarioRun, machine: str) -> None:
@@ -117,34 +119,34 @@
     """Another machine takes the place of one that was swapped, with nothing in its folder."""
     await ask_for(trial, "n0", "n1")
     await step(trial, "n1", "out")
-    before = pins(trial, "n0")["epoch"]
+    before = affinity_status(trial, "n0")["epoch"]
     for verb in ("kill", "empty", "start"):
         await trial.apply(Fault(0.0, verb, "n1"))
     await done(trial, "n1")
     await settled(trial)
-    assert pins(trial, "n1")["whole"] is False and pins(trial, "n0")["epoch"] > before
+    assert affinity_status(trial, "n1")["whole"] is False and affinity_status(trial, "n0")["epoch"] > before
     await more(trial, "load")
 
 
 async def an_emptied_folder(trial: ScenarioRun) -> None:
     """One that is in the table loses its folder: it is fenced, and comes in again owning nothing."""
-    before = pins(trial, "n0")["epoch"]
+    before = affinity_status(trial, "n0")["epoch"]
     for verb in ("kill", "empty", "start"):
         await trial.apply(Fault(0.0, verb, "n1"))
     await trial.until(
-        lambda: pins(trial, "n0").get("epoch", 0) >= before + 2, "fenced, admitted", seconds=90.0
+        lambda: affinity_status(trial, "n0").get("epoch", 0) >= before + 2, "fenced, admitted", seconds=90.0
     )
     await settled(trial)
     await more(trial, "load")
 
 
 STORIES = [
-    (all_are_swapped, PINNED),
-    (the_mover_is_killed, PINNED),
-    (the_target_is_killed, PINNED),
-    (power_in_the_middle, PINNED),
-    (a_new_machine, PINNED),
-    (an_emptied_folder, PINNED),
+    (all_are_swapped, AFFINITY_DAY),
+    (the_mover_is_killed, AFFINITY_DAY),
+    (the_target_is_killed, AFFINITY_DAY),
+    (power_in_the_middle, AFFINITY_DAY),
+    (a_new_machine, AFFINITY_DAY),
+    (an_emptied_folder, AFFINITY_DAY),
     (all_are_swapped, IMPATIENT),
 ]
 
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -131,7 +131,7 @@
         return self.lost > 0
 
     def service(self, member: int) -> SessionAffinityService:
-        found: SessionAffinityService = self.up[member].service
+        found: SessionAffinityService = self.running[member].service
         return found
 
     def remaining_keys(self, member: int) -> int:
@@ -139,14 +139,14 @@
         return self.service(member).remaining_count(self.now, self.going[member])
 
     def do(self, member: int, actions: Iterable[Any]) -> None:
-        self.act(member, self.up[member].pins(self.now, actions))
+        self.act(member, self.running[member].pins(self.now, actions))
 
     def one_owner(self) -> None:
         self.turns += 1
         if self.turns % 7:
             return
         for key in KEYS:
-            owners = [m for m in self.up if self.service(m).ownership_of(self.now, key) is not None]
+            owners = [m for m in self.running if self.service(m).ownership_of(self.now, key) is not None]
             assert len(owners) <= 1, (self.now, key, owners)
 
     def establish(self) -> Fleet:
@@ -157,18 +157,18 @@
 
     def inside(self) -> set[int]:
         """The members in the table, on which all running members agree."""
-        found = {frozenset(self.service(m).table.member_list.members) for m in self.up}
-        known = {self.service(m).ownership.lease.epoch for m in self.up}  # type: ignore[union-attr]
+        found = {frozenset(self.service(m).table.member_list.members) for m in self.running}
+        known = {self.service(m).ownership.lease.epoch for m in self.running}  # type: ignore[union-attr]
         assert len(found) == len(known) == 1, (found, known)
         return set(next(iter(found)))
 
     def owner(self, key: bytes) -> int:
-        at = min(self.up)
+        at = min(self.running)
         for _ in range(6):
             found = self.service(at).route(self.now, key)
             if isinstance(found, OwnedHere):
                 return at
-            if isinstance(found, RetryAfter) or found.owner not in self.up:
+            if isinstance(found, RetryAfter) or found.owner not in self.running:
                 return 0
             assert isinstance(found, OwnedElsewhere)
             at = found.owner
@@ -222,7 +222,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_in_a_new_fleet_each_key_gets_an_owner(seed: int) -> None:
     fleet = Fleet(seed=seed)
-    fleet.loss, fleet.twice, fleet.lost = 0.1 * seed, 0.1, seed
+    fleet.loss, fleet.duplicate_chance, fleet.lost = 0.1 * seed, 0.1, seed
     fleet.establish()
     fleet.run(3000)
     assert fleet.owners() == {A, B, C, D}
@@ -307,11 +307,11 @@
 @pytest.mark.parametrize("changes", [2, 24])
 def test_a_member_that_was_cut_off_applies_missed_changes_or_starts_anew(changes: int) -> None:
     fleet = Fleet().establish()
-    fleet.cut = {frozenset((D, m)) for m in (A, B, C)}
+    fleet.cut_links = {frozenset((D, m)) for m in (A, B, C)}
     fleet.live.discard(D)
     fleet.run(6000)
     fleet.churn(C, changes // 2)
-    fleet.cut = set()
+    fleet.cut_links = set()
     fleet.live.add(D)
     fleet.run(8000)
     assert fleet.service(D).counts["gaps"] == (changes > MAX_CHANGES)
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -286,7 +286,7 @@
     assert (fleet.evacuation.states["a"].phase is ZonePhase.EVACUATED) is joins
 
 
-def test_an_instance_that_joined_does_not_take_late_voters_for_a_return() -> None:
+def test_an_instance_that_joined_does_not_mistake_late_voters_for_a_return() -> None:
     fleet = make_coordinator()
     drive(
         fleet, 1500.0, lambda t: [encoded_report(m, int(t), Vote.KEEP, accuses=t < 500) for m in range(2, 7)]
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -42,7 +42,7 @@
     """The guard behind: it lets all through."""
 
     def __init__(self) -> None:
-        self.kept: list[Callable[[bool], None]] = []
+        self.recorded_callbacks: list[Callable[[bool], None]] = []
 
     def guards(self, query_class: int) -> bool:
         return True
@@ -51,13 +51,13 @@
         on_outcome(LoadOutcome.NEVER_RAN, 0.0)
 
     def before_attempt_sent(
-        self, attempt: Attempt, taken: ClientRequest, kept: Callable[[bool], None]
+        self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
-        self.kept.append(kept)
+        self.recorded_callbacks.append(on_recorded)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None: ...
 
-    def on_request_closed(self, ref: str) -> None: ...
+    def on_request_closed(self, request_id: str) -> None: ...
 
 
 class World:
@@ -67,19 +67,19 @@
 
     def __init__(self) -> None:
         self.clock, self.loads = FakeClock(), RecordingLoadGuard()
-        self.found: OwnedHere | OwnedElsewhere | RetryAfter = OWNED_HERE
-        self.handed: list[tuple[str, int]] = []
-        self.heard: list[tuple[str, str]] = []
+        self.current_route: OwnedHere | OwnedElsewhere | RetryAfter = OWNED_HERE
+        self.forwarded: list[tuple[str, int]] = []
+        self.outcomes: list[tuple[str, str]] = []
         self.rounds: list[int] = []
         self.events: list[Any] = []
         self.table = {ME, X, Y}
         self.guard = KeyedLoadGuard(self.loads, self, cast(Gateway, self), self.clock, Counters())
 
     def route(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
-        return self.found
+        return self.current_route
 
     def is_owner(self, key: bytes) -> bool:
-        return isinstance(self.found, OwnedHere)
+        return isinstance(self.current_route, OwnedHere)
 
     def is_member(self, member: int) -> bool:
         return member in self.table
@@ -96,45 +96,47 @@
     def forward(
         self, client_request: ClientRequest, owner: int, key: bytes, deadline: float, round_number: int
     ) -> None:
-        self.handed.append((client_request.request_id, owner))
+        self.forwarded.append((client_request.request_id, owner))
         self.rounds.append(round_number)
 
     def abandon(self, request_id: str) -> None:
         self.events.append(("left", request_id))
 
-    def finish_without_attempt(self, ref: str, word: str, answer: Callable[[Any], None]) -> None:
-        self.heard.append((ref, word))
-        self.guard.on_request_closed(ref)
+    def finish_without_attempt(self, request_id: str, outcome: str, answer: Callable[[Any], None]) -> None:
+        self.outcomes.append((request_id, outcome))
+        self.guard.on_request_closed(request_id)
 
-    def arrive(self, ref: str, key: str | None = "k", allow: float = 8000.0) -> None:
-        taken = ClientRequest(ref, 1, "load", self.clock.now(), allow, 1.0, 0.0, -1, key, False, b"INSERT")
+    def arrive(self, request_id: str, key: str | None = "k", timeout_ms: float = 8000.0) -> None:
+        client_request = ClientRequest(
+            request_id, 1, "load", self.clock.now(), timeout_ms, 1.0, 0.0, -1, key, False, b"INSERT"
+        )
 
-        def settled(past: LoadOutcome, ms: float) -> None:
-            self.heard.append((ref, past.value))
-            if past is not LoadOutcome.NEVER_RAN:
-                self.guard.on_request_closed(ref)
+        def settled(outcome: LoadOutcome, ms: float) -> None:
+            self.outcomes.append((request_id, outcome.value))
+            if outcome is not LoadOutcome.NEVER_RAN:
+                self.guard.on_request_closed(request_id)
 
-        self.guard.on_load_arrived(taken, self.clock.now() + allow * 0.8, settled)
+        self.guard.on_load_arrived(client_request, self.clock.now() + timeout_ms * 0.8, settled)
 
-    def send(self, ref: str) -> tuple[Attempt, list[bool]]:
-        attempt, kept = Attempt(ref, 0, "e1", "load", b"", 1, 0.0, 1e9), list[bool]()
-        self.guard.before_attempt_sent(attempt, cast(ClientRequest, None), kept.append)
-        return attempt, kept
+    def send(self, request_id: str) -> tuple[Attempt, list[bool]]:
+        attempt, recorded = Attempt(request_id, 0, "e1", "load", b"", 1, 0.0, 1e9), list[bool]()
+        self.guard.before_attempt_sent(attempt, cast(ClientRequest, None), recorded.append)
+        return attempt, recorded
 
     def advance(self, ms: float) -> None:
         self.clock.at += ms
         self.guard.step()
 
-    def end_forwarding(self, ref: str, end: ForwardResult, data: bytes = b"") -> None:
-        self.guard.on_forwarding_ended(ForwardingEnded(ref, end, 0.0, data))
+    def end_forwarding(self, request_id: str, end: ForwardResult, data: bytes = b"") -> None:
+        self.guard.on_forwarding_ended(ForwardingEnded(request_id, end, 0.0, data))
 
 
 def test_a_request_of_an_owned_key_starts_here_and_one_without_a_key_is_not_routed() -> None:
     world = World()
     world.arrive("a")
-    world.found = RetryAfter(40.0)
+    world.current_route = RetryAfter(40.0)
     world.arrive("b", key=None)
-    assert world.heard == [("a", "never"), ("b", "never")] and world.events == [("opened", 1)]
+    assert world.outcomes == [("a", "never"), ("b", "never")] and world.events == [("opened", 1)]
 
 
 @pytest.mark.parametrize(
@@ -156,11 +158,11 @@
     world.arrive("a")
     world.arrive("b")
     _, kept = world.send("a")
-    world.found = OwnedElsewhere(b"", X)
-    world.loads.kept[0](True)
+    world.current_route = OwnedElsewhere(b"", X)
+    world.loads.recorded_callbacks[0](True)
     _, other = world.send("b")
-    assert kept == other == [False] and len(world.loads.kept) == 1
-    assert world.heard[2:] == [("a", "refused"), ("b", "refused")]
+    assert kept == other == [False] and len(world.loads.recorded_callbacks) == 1
+    assert world.outcomes[2:] == [("a", "refused"), ("b", "refused")]
 
 
 def test_a_queued_request_is_rejected_when_its_key_is_lost() -> None:
@@ -168,98 +170,98 @@
     world.arrive("a")
     world.arrive("b")
     world.send("b")
-    world.found = RetryAfter(40.0)
+    world.current_route = RetryAfter(40.0)
     world.advance(10)
-    assert world.heard[2:] == [("a", "refused")]
+    assert world.outcomes[2:] == [("a", "refused")]
 
 
 def test_requests_wait_for_an_owner_in_order_and_for_a_limited_time() -> None:
     world = World()
-    world.found = RetryAfter(40.0)
+    world.current_route = RetryAfter(40.0)
     for ref in "abc":
         world.arrive(ref)
     world.advance(500)
-    assert world.heard == []
+    assert world.outcomes == []
     world.guard.on_request_closed("b")  # its client left
-    world.found = OWNED_HERE
+    world.current_route = OWNED_HERE
     world.advance(1)
-    assert world.heard == [("a", "never"), ("c", "never")]
+    assert world.outcomes == [("a", "never"), ("c", "never")]
     world.guard.on_request_closed("a")
     world.guard.on_request_closed("c")
-    world.found = RetryAfter(40.0)
+    world.current_route = RetryAfter(40.0)
     world.arrive("d")
     world.advance(MAX_WAIT_MS)
-    assert world.heard[2:] == [("d", "later")]
+    assert world.outcomes[2:] == [("d", "later")]
 
 
 def test_a_request_of_another_members_key_is_forwarded_and_its_result_passed_on() -> None:
     world = World()
-    world.found = OwnedElsewhere(b"", X)
+    world.current_route = OwnedElsewhere(b"", X)
     for ref in "abc":
         world.arrive(ref)
-    assert world.handed == [("a", X), ("b", X), ("c", X)]
+    assert world.forwarded == [("a", X), ("b", X), ("c", X)]
     world.end_forwarding("a", ForwardResult.ANSWERED, encode_rows([[b"1", b"2", b"3"]]))
     world.end_forwarding("b", ForwardResult.FAILED)
     world.guard.on_request_closed("c")
     world.end_forwarding("c", ForwardResult.ANSWERED)
-    assert world.heard == [("a", "served"), ("b", "may")] and world.events == [("left", "c")]
+    assert world.outcomes == [("a", "served"), ("b", "may")] and world.events == [("left", "c")]
     assert not world.guard.requests and not world.guard.forwarding_rounds
 
 
 def test_a_forwarded_request_follows_the_owner_that_the_home_reports() -> None:
     world = World()
-    world.found = OwnedElsewhere(b"", X)
+    world.current_route = OwnedElsewhere(b"", X)
     world.arrive("a")
     world.end_forwarding("a", ForwardResult.NOT_OWNER, Y.to_bytes(8, "big"))
     world.arrive("b")
-    assert world.handed == [("a", X), ("a", Y), ("b", Y)]
+    assert world.forwarded == [("a", X), ("a", Y), ("b", Y)]
     world.table.discard(Y)  # it was swapped
     world.end_forwarding("a", ForwardResult.NOT_OWNER)
     world.advance(50)
-    assert len(world.handed) == 3  # the next of its key is still there
+    assert len(world.forwarded) == 3  # the next of its key is still there
     world.end_forwarding("b", ForwardResult.NOT_OWNER)
     world.advance(50)
-    assert world.handed[3:] == [("a", X), ("b", X)]
+    assert world.forwarded[3:] == [("a", X), ("b", X)]
     assert len(set(world.rounds)) == 3 and world.rounds[3] == world.rounds[4]
 
 
 def test_no_request_overtakes_one_that_is_with_a_previous_owner() -> None:
     world = World()
-    world.found = OwnedElsewhere(b"", X)
+    world.current_route = OwnedElsewhere(b"", X)
     world.arrive("a")
-    world.found = OWNED_HERE
+    world.current_route = OWNED_HERE
     world.arrive("b")
     world.advance(100)
-    assert world.heard == []
+    assert world.outcomes == []
     world.end_forwarding("a", ForwardResult.NOT_OWNER)
     world.advance(100)
-    assert world.heard == [("a", "never"), ("b", "never")]
+    assert world.outcomes == [("a", "never"), ("b", "never")]
 
 
 def test_two_members_that_take_each_other_for_the_owner_pause() -> None:
     world = World()
-    world.found = OwnedElsewhere(b"", X)
+    world.current_route = OwnedElsewhere(b"", X)
     world.arrive("a")
     for _ in range(20):
         world.end_forwarding("a", ForwardResult.NOT_OWNER, X.to_bytes(8, "big"))
-    assert len(world.handed) == 3
+    assert len(world.forwarded) == 3
     world.advance(50)
-    assert len(world.handed) == 4
+    assert len(world.forwarded) == 4
 
 
 def test_a_request_forwarded_to_the_wrong_member_is_returned_with_the_owner() -> None:
     world = World()
     world.guard.origin_rounds |= {"a": OriginRound(Y, 1), "b": OriginRound(Y, 2), "c": OriginRound(Y, 2)}
-    world.found = OwnedElsewhere(b"", X)
+    world.current_route = OwnedElsewhere(b"", X)
     world.arrive("a")
-    assert world.heard == [("a", "later")] and world.guard.owners_by_returned == {"a": X}
-    world.found = RetryAfter(40.0)
+    assert world.outcomes == [("a", "later")] and world.guard.owners_by_returned == {"a": X}
+    world.current_route = RetryAfter(40.0)
     world.arrive("b")
     world.arrive("c")
     world.advance(MAX_FORWARDED_WAIT_MS / 2)
-    world.found = OWNED_HERE
+    world.current_route = OWNED_HERE
     world.advance(1)
-    assert world.heard[1:] == [("b", "never"), ("c", "never")] and not world.handed
+    assert world.outcomes[1:] == [("b", "never"), ("c", "never")] and not world.forwarded
 
 
 def test_later_requests_of_a_returned_round_do_not_start_before_it() -> None:
@@ -272,20 +274,20 @@
         "d": OriginRound(Y, 2),
         "e": OriginRound(X, 1),
     }
-    world.found = RetryAfter(40.0)
+    world.current_route = RetryAfter(40.0)
     world.arrive("a")
     world.arrive("b")
     world.advance(MAX_FORWARDED_WAIT_MS)
-    world.found = OWNED_HERE
+    world.current_route = OWNED_HERE
     world.arrive("c")
-    assert [h for h, _ in world.heard] == ["a", "b", "c"] and set(world.guard.owners_by_returned) == {
+    assert [h for h, _ in world.outcomes] == ["a", "b", "c"] and set(world.guard.owners_by_returned) == {
         "a",
         "b",
         "c",
     }
     world.arrive("d")
     world.arrive("e")
-    assert world.heard[3:] == [("d", "never"), ("e", "never")]
+    assert world.outcomes[3:] == [("d", "never"), ("e", "never")]
 
 
 def test_forwarded_requests_and_rows_are_decoded_as_encoded() -> None:
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -31,18 +31,18 @@
 
 
 class FaultyLedger:
-    """Its writes end when the test says so; a kill leaves some of them there."""
+    """Its writes end when the test says so; a kill leaves some of them on the disk."""
 
-    def __init__(self, disk: dict[bytes, bytes], boot: int) -> None:
-        self.disk, self.boot_count, self.state = disk, boot, DiskState.HEALTHY
-        self.flying: list[tuple[Sequence[Record], OnWritten | None]] = []
+    def __init__(self, disk: dict[bytes, bytes], boot_count: int) -> None:
+        self.disk, self.boot_count, self.state = disk, boot_count, DiskState.HEALTHY
+        self.writes_in_flight: list[tuple[Sequence[Record], OnWritten | None]] = []
 
     def health(self, now: float) -> DiskHealth:
         return DiskHealth(self.state, "as told")
 
     def put(self, records: Sequence[Record], done: OnWritten | None = None) -> None:
         if self.state is DiskState.HEALTHY:
-            self.flying.append((records, done))
+            self.writes_in_flight.append((records, done))
         elif done is not None:
             done(False)
 
@@ -52,52 +52,52 @@
             if record.value is not None:
                 self.disk[record.key] = record.value
 
-    def answer(self, well: bool | None) -> None:
+    def answer(self, succeeded: bool | None) -> None:
         """The oldest write ends. None: it failed, and is there all the same."""
-        if not self.flying:
+        if not self.writes_in_flight:
             return
-        records, done = self.flying.pop(0)
-        if well is not False:
+        records, done = self.writes_in_flight.pop(0)
+        if succeeded is not False:
             self.write(records)
-        if not well:
+        if not succeeded:
             self.state = DiskState.FAILED
         if done is not None:
-            done(bool(well))
+            done(bool(succeeded))
 
-    def kill(self, kept: int) -> None:
-        """Of what is under way the first writes got there."""
-        for records, _ in self.flying[:kept]:
+    def kill(self, written_count: int) -> None:
+        """The process is killed; of the writes in flight the first ones have reached the disk."""
+        for records, _ in self.writes_in_flight[:written_count]:
             self.write(records)
 
 
 @dataclass(eq=False)
 class Request:
-    """One asking of a load by its client."""
+    """One request of a load by its client."""
 
     load: int
     attempt: Attempt
-    out: bool = False  # at the engine
-    over: bool = False
+    is_sent: bool = False  # at the engine
+    is_over: bool = False
 
 
 class World:
-    """One dispatcher and its clients, which ask again until they have a good answer."""
+    """One dispatcher and its clients, which retry until they succeed."""
 
     def __init__(self) -> None:
         self.clock, self.disk, self.boot_count = FakeClock(), dict[bytes, bytes](), 0
         self.ran, self.ended_well = Counter[int](), set[int]()
-        self.asked, self.serial = set[int](), 0
+        self.requested_loads, self.serial = set[int](), 0
         self.start()
 
     def start(self) -> None:
         self.boot_count += 1
         self.ledger = FaultyLedger(self.disk, self.boot_count)
         self.requests = list[Request]()
-        kept, records = recorded_loads(self.disk)
+        recorded, records = recorded_loads(self.disk)
         settings = LoadHistorySettings(RETENTION_MS)
-        memory = LoadHistory(0, 1, self.boot_count, self.clock.now(), kept, settings, 1)
+        history = LoadHistory(0, 1, self.boot_count, self.clock.now(), recorded, settings, 1)
         self.loads = LoadRecorder(
-            memory,
+            history,
             cast(Ledger, self.ledger),
             records,
             {1: True},
@@ -112,38 +112,46 @@
             lambda event, **fields: None,
         )
 
-    def ask(self, load: int) -> None:
-        """A client's asking; from the second on it is marked as a retry."""
+    def send_request(self, load: int) -> None:
+        """A client's request; from the second on it is marked as a retry."""
         self.serial += 1
         now, body = self.clock.now(), b"INSERT %d" % load
-        ref, retry = f"r{self.serial}", load in self.asked
-        self.asked.add(load)
-        taken = ClientRequest(ref, 1, "load", now, 8000.0, 0.0, 0.0, -1, f"k{load}", retry, body)
-        request = Request(load, Attempt(ref, 0, "e", "load", body, 1, now, now + 5000))
-        self.loads.on_load_arrived(taken, now + 5000.0, lambda past, ms: self.settled(request, taken, past))
-
-    def settled(self, request: Request, taken: ClientRequest, past: LoadOutcome) -> None:
-        if past is LoadOutcome.NEVER_RAN:
+        request_id, retry = f"r{self.serial}", load in self.requested_loads
+        self.requested_loads.add(load)
+        client_request = ClientRequest(
+            request_id, 1, "load", now, 8000.0, 0.0, 0.0, -1, f"k{load}", retry, body
+        )
+        request = Request(load, Attempt(request_id, 0, "e", "load", body, 1, now, now + 5000))
+        self.loads.on_load_arrived(
+            client_request,
+            now + 5000.0,
+            lambda outcome, ms: self.on_outcome(request, client_request, outcome),
+        )
+
+    def on_outcome(self, request: Request, client_request: ClientRequest, outcome: LoadOutcome) -> None:
+        if outcome is LoadOutcome.NEVER_RAN:
             self.requests.append(request)
-            self.loads.before_attempt_sent(request.attempt, taken, lambda kept: self.kept(request, kept))
+            self.loads.before_attempt_sent(
+                request.attempt, client_request, lambda is_recorded: self.on_recorded(request, is_recorded)
+            )
             return
-        if past is LoadOutcome.COMPLETED:
+        if outcome is LoadOutcome.COMPLETED:
             assert request.load in self.ended_well, "told as well"
-        self.loads.on_request_closed(taken.request_id)
+        self.loads.on_request_closed(client_request.request_id)
 
-    def kept(self, request: Request, kept: bool) -> None:
-        if request.over or request.out:
+    def on_recorded(self, request: Request, is_recorded: bool) -> None:
+        if request.is_over or request.is_sent:
             return
-        if kept:
+        if is_recorded:
             self.ran[request.load] += 1
             assert self.ran[request.load] == 1, f"load {request.load} ran twice"
-            request.out = True
+            request.is_sent = True
         else:
             self.close(request, None)
 
     def close(self, request: Request, outcome: Outcome | None) -> None:
         """The attempt has ended, and the request with it."""
-        request.over = True
+        request.is_over = True
         if outcome is Outcome.OK:
             self.ended_well.add(request.load)
         if outcome is Outcome.OVERLOADED:
@@ -153,16 +161,16 @@
         self.requests.remove(request)
 
     def end(self, outcome: Outcome) -> None:
-        for request in [r for r in self.requests if r.out][:1]:
+        for request in [r for r in self.requests if r.is_sent][:1]:
             self.close(request, outcome)
 
     def leave(self) -> None:
-        """A client goes away, or its time is over, while its record is written."""
-        for request in [r for r in self.requests if not r.out][:1]:
+        """A client leaves, or its deadline passes, while its record is written."""
+        for request in [r for r in self.requests if not r.is_sent][:1]:
             self.close(request, None)
 
-    def kill(self, kept: int) -> None:
-        self.ledger.kill(kept)
+    def kill(self, written_count: int) -> None:
+        self.ledger.kill(written_count)
         self.start()
 
     def play(self, steps: Sequence[tuple[str, Any]]) -> None:
@@ -175,25 +183,25 @@
                 self.clock.run_until(self.clock.now() + argument, lambda: None)
                 self.loads.expire()
             elif what == "ask":
-                self.ask(argument)
+                self.send_request(argument)
             elif what == "end":
                 self.end(argument)
             elif what == "kill":
                 self.kill(argument)
             else:
                 self.leave()
-        self.after()
+        self.check_service_after_faults()
 
-    def after(self) -> None:
-        """The fault has passed, no restart: what is new is taken, and kept once it is told so."""
+    def check_service_after_faults(self) -> None:
+        """Once the fault has passed, without a restart, new loads run and outlast a kill."""
         self.ledger.state = DiskState.HEALTHY
-        self.ask(99)
-        while self.ledger.flying:
+        self.send_request(99)
+        while self.ledger.writes_in_flight:
             self.ledger.answer(True)
         assert self.ran[99] == 1
         self.kill(0)
-        self.ask(99)
-        while self.ledger.flying:
+        self.send_request(99)
+        while self.ledger.writes_in_flight:
             self.ledger.answer(True)
         assert self.ran[99] == 1
 
@@ -219,38 +227,46 @@
     World().play(steps)
 
 
-WELL, FAIL = ("answer", True), ("answer", False)
-RAN_AND_KILLED = [("ask", 1), WELL, ("kill", 0), ("ask", 1), WELL]
-RESET_AND_KILLED = [("ask", 1), WELL, ("end", Outcome.RESET), WELL, ("kill", 0), ("ask", 1), WELL]
-FAILED = [("ask", 1), FAIL, ("wait", 10_000), ("health", DiskState.HEALTHY), ("ask", 1), WELL, ("kill", 0)]
-END_NOT_KEPT = [
+WRITTEN, REFUSED = ("answer", True), ("answer", False)
+RAN_AND_KILLED = [("ask", 1), WRITTEN, ("kill", 0), ("ask", 1), WRITTEN]
+RESET_AND_KILLED = [("ask", 1), WRITTEN, ("end", Outcome.RESET), WRITTEN, ("kill", 0), ("ask", 1), WRITTEN]
+FAILED = [
+    ("ask", 1),
+    REFUSED,
+    ("wait", 10_000),
+    ("health", DiskState.HEALTHY),
+    ("ask", 1),
+    WRITTEN,
+    ("kill", 0),
+]
+END_NOT_RECORDED = [
     ("ask", 1),
-    WELL,
+    WRITTEN,
     ("health", DiskState.FULL),
     ("end", Outcome.OK),
     ("kill", 0),
     ("ask", 1),
-    WELL,
+    WRITTEN,
 ]
 
 
-THERE_ALL_THE_SAME = [("ask", 1), ("answer", None), ("kill", 0), ("ask", 1), WELL]
+WRITTEN_THOUGH_FAILED = [("ask", 1), ("answer", None), ("kill", 0), ("ask", 1), WRITTEN]
 
 
 @pytest.mark.parametrize(
-    "steps", [RAN_AND_KILLED, RESET_AND_KILLED, FAILED, END_NOT_KEPT, THERE_ALL_THE_SAME]
+    "steps", [RAN_AND_KILLED, RESET_AND_KILLED, FAILED, END_NOT_RECORDED, WRITTEN_THOUGH_FAILED]
 )
 def test_a_load_that_may_have_run_is_not_sent_again(steps: list[tuple[str, Any]]) -> None:
     World().play(steps)
 
 
-def test_a_load_that_the_disk_did_not_take_is_sent_once_it_does() -> None:
+def test_a_load_that_the_disk_refused_is_sent_once_it_can_be_recorded() -> None:
     world = World()
     world.play(FAILED[:-1])
     assert world.ran[1] == 1
 
 
-def sent_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def sends_before_the_record_is_durable(monkeypatch: pytest.MonkeyPatch) -> None:
     put = FaultyLedger.put
 
     def hasty(ledger: FaultyLedger, records: Sequence[Record], done: OnWritten | None = None) -> None:
@@ -261,11 +277,11 @@
     monkeypatch.setattr(FaultyLedger, "put", hasty)
 
 
-def reset_is_never(monkeypatch: pytest.MonkeyPatch) -> None:
+def takes_a_reset_for_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(load_records, "NEVER_RAN", (*load_conversions.NEVER_RAN, Outcome.RESET))
 
 
-def forgotten_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def forgets_records_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         load_conversions, "decode_loads", lambda kept: replace(decode_loads(kept), by_identity={})
     )
@@ -274,12 +290,12 @@
 @pytest.mark.parametrize(
     "plant, steps",
     [
-        (sent_at_once, [("ask", 1), ("kill", 0), ("ask", 1)]),
-        (reset_is_never, RESET_AND_KILLED),
-        (forgotten_at_the_start, RAN_AND_KILLED),
+        (sends_before_the_record_is_durable, [("ask", 1), ("kill", 0), ("ask", 1)]),
+        (takes_a_reset_for_never_ran, RESET_AND_KILLED),
+        (forgets_records_at_the_start, RAN_AND_KILLED),
     ],
 )
-def test_a_planted_defect_is_caught(
+def test_a_planted_defect_is_detected(
     monkeypatch: pytest.MonkeyPatch,
     plant: Callable[[pytest.MonkeyPatch], None],
     steps: list[tuple[str, Any]],
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -34,27 +34,27 @@
 
 
 class World:
-    """A node, and a folder that is had when the test says so."""
+    """A node, and a folder that can be opened when the test says so."""
 
     def __init__(self, folder: Path) -> None:
-        self.path, self.said = folder / "n1.json", StringIO()
+        self.path, self.log_text = folder / "n1.json", StringIO()
         self.path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
-        self.hangs, self.errors, self.tries = threading.Event(), list[Exception](), 0
-        self.hangs.set()
+        self.may_open, self.errors, self.open_count = threading.Event(), list[Exception](), 0
+        self.may_open.set()
 
     def open(self, installation: Installation, folder: Path) -> Ledger | None:
-        self.tries += 1
-        assert self.hangs.wait(60.0)
+        self.open_count += 1
+        assert self.may_open.wait(60.0)
         if self.errors:
             raise self.errors.pop(0)
         return open_ledger(installation, folder)
 
-    def make(self) -> StandaloneDispatcher:
-        log = StructuredLog("logfmt", 100, 100, (), self.said)
+    def make_node(self) -> StandaloneDispatcher:
+        log = StructuredLog("logfmt", 100, 100, (), self.log_text)
         return StandaloneDispatcher(self.path, read(self.path), log, asyncio.get_running_loop())
 
     def lines(self) -> list[str]:
-        return [line for line in self.said.getvalue().splitlines() if "ledger_unusable" in line]
+        return [line for line in self.log_text.getvalue().splitlines() if "ledger_unusable" in line]
 
 
 @pytest.fixture
@@ -94,18 +94,18 @@
 ) -> None:
     monkeypatch.setattr(installation_module, "OPENING_S", 0.0)
     monkeypatch.setattr(installation_module, "SLOW_S", 0.0)
-    world.hangs.clear()
+    world.may_open.clear()
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert (
             isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and node.recovery is None
         )
         for _ in range(20):  # the loop goes on meanwhile
             await asyncio.sleep(0.002)
-        assert world.tries == 1, "one try at a time"
+        assert world.open_count == 1, "one try at a time"
         assert len(world.lines()) == 1 and "has not answered" in world.lines()[0]
-        world.hangs.set()
+        world.may_open.set()
         await wait_until_loads_are_recorded(node)
         assert node.gateway.notifications.load_guard is not None and not isinstance(
             node.gateway.notifications.load_guard, UnavailableLoadGuard
@@ -121,15 +121,17 @@
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
-        node = world.make()
-        world.hangs.clear()
+        node = world.make_node()
+        world.may_open.clear()
         for _ in range(MAX_LOOP_TURNS):
-            if world.tries == 2 and len(world.lines()) == 2:
+            if world.open_count == 2 and len(world.lines()) == 2:
                 break
             await asyncio.sleep(0.002)
-        assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and world.tries == 2
+        assert (
+            isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and world.open_count == 2
+        )
         assert ["planted" in world.lines()[0], "has not answered" in world.lines()[1]] == [True, True]
-        world.hangs.set()
+        world.may_open.set()
         await wait_until_loads_are_recorded(node)
         close_parts(node)
 
@@ -149,10 +151,10 @@
     world.errors = list(errors)
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
         await wait_until_loads_are_recorded(node)
-        assert world.tries == len(errors) + 1 and len(world.lines()) == 1
+        assert world.open_count == len(errors) + 1 and len(world.lines()) == 1
         close_parts(node)
 
     play(story)
@@ -180,7 +182,7 @@
     wrong(folder)
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert (
             isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
             and len(world.lines()) == 1
@@ -193,37 +195,39 @@
     play(story)
 
 
-def answer_to_retry(unkept: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
-    heard = list[str]()
-    taken = ClientRequest("ref", 1, "load", unkept.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
-    unkept.on_load_arrived(taken, unkept.now() + 500.0, lambda past, ms: heard.append(past.value))
-    (past,) = heard
-    return past
+def answer_to_retry(guard: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
+    outcomes = list[str]()
+    client_request = ClientRequest("ref", 1, "load", guard.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
+    guard.on_load_arrived(
+        client_request, guard.now() + 500.0, lambda outcome, ms: outcomes.append(outcome.value)
+    )
+    (outcome,) = outcomes
+    return outcome
 
 
 def make_unavailable_guard(clock: FakeClock, loads: dict[bytes, LoadResult | None]) -> UnavailableLoadGuard:
-    kept = [RecordedLoad(load_identity("load", "k", body), how) for body, how in loads.items()]
-    memory = LoadHistory(0, 3, 0, clock.now(), kept, LoadHistorySettings(20_000.0), 0)
-    return UnavailableLoadGuard({1: True, 2: False}, 1000.0, memory, clock.now, Counters())
+    recorded = [RecordedLoad(load_identity("load", "k", body), result) for body, result in loads.items()]
+    history = LoadHistory(0, 3, 0, clock.now(), recorded, LoadHistorySettings(20_000.0), 0)
+    return UnavailableLoadGuard({1: True, 2: False}, 1000.0, history, clock.now, Counters())
 
 
-def put_off_by_turns(unkept: UnavailableLoadGuard, clock: FakeClock) -> None:
-    """Its load was sent elsewhere, and is forgotten there after a hold."""
-    start, heard = clock.now(), list[str]()
+def check_postponement(guard: UnavailableLoadGuard, clock: FakeClock) -> None:
+    """Its load was sent elsewhere, and is forgotten there after the retention."""
+    start, outcomes = clock.now(), list[str]()
     for second in range(8):
         clock.run_until(start + 1000.0 * second, lambda: None)
-        heard.append(answer_to_retry(unkept, b"INSERT a", True))
-    assert heard == ["later"] * 6 + ["may"] * 2
+        outcomes.append(answer_to_retry(guard, b"INSERT a", True))
+    assert outcomes == ["later"] * 6 + ["may"] * 2
 
 
 def test_a_retry_is_not_postponed_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
-    put_off_by_turns(make_unavailable_guard(clock, {}), clock)
+    check_postponement(make_unavailable_guard(clock, {}), clock)
     monkeypatch.setattr(
         LoadHistory, "answer_unavailable", lambda memory, now, load: LoadKnowledge.NOT_KNOWN_YET
     )
     with pytest.raises(AssertionError):
-        put_off_by_turns(make_unavailable_guard(clock, {}), clock)
+        check_postponement(make_unavailable_guard(clock, {}), clock)
 
 
 @pytest.mark.parametrize(
@@ -236,27 +240,25 @@
     ],
 )
 def test_a_retry_is_answered_by_what_could_be_read(how: LoadResult | None, retried: str) -> None:
-    unkept = make_unavailable_guard(FakeClock(), {b"INSERT a": how})
-    assert answer_to_retry(unkept, b"INSERT a", True) == retried
-    assert (
-        answer_to_retry(unkept, b"INSERT a", False) == answer_to_retry(unkept, b"INSERT b", False) == "later"
-    )
+    guard = make_unavailable_guard(FakeClock(), {b"INSERT a": how})
+    assert answer_to_retry(guard, b"INSERT a", True) == retried
+    assert answer_to_retry(guard, b"INSERT a", False) == answer_to_retry(guard, b"INSERT b", False) == "later"
 
 
 def test_postponed_retries_are_forgotten_after_the_retention() -> None:
     clock = FakeClock()
-    unkept = make_unavailable_guard(clock, {})
+    guard = make_unavailable_guard(clock, {})
     for number in range(50):
         clock.run_until(clock.now() + 1000.0, lambda: None)
-        answer_to_retry(unkept, b"INSERT %d" % number, True)
-    assert len(unkept.history.local.queried) <= 22
+        answer_to_retry(guard, b"INSERT %d" % number, True)
+    assert len(guard.history.local.queried) <= 22
 
 
 def test_a_retry_counts_from_its_first_time_once_the_folder_is_available(world: World) -> None:
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert node.unavailable_load_guard is not None
         node.unavailable_load_guard.history.answer_unavailable(
             node.unavailable_load_guard.now() - 4000.0, b"x" * 16
@@ -269,15 +271,15 @@
     play(story)
 
 
-def test_a_full_folder_still_tells_what_became_of_loads(world: World) -> None:
-    """Of one that could be read, but whose boot could not be counted."""
+def test_loads_of_a_full_folder_are_answered_by_what_could_be_read(world: World) -> None:
+    """A folder that could be read, but whose boot could not be counted."""
     body = b"INSERT a"
     record = LoadRecord(load_identity("load", "k", body), "r", "k", b"", "e1", 1, 0.0, LoadState.SENT)
     error = StoreError("full", Folder.COMPLETE, {RecordKind.LOAD: {record.identity: record.encode()}})
     world.errors = [error]
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert node.unavailable_load_guard is not None
         assert (
             node.unavailable_load_guard.history.answer_unavailable(
@@ -291,8 +293,8 @@
     play(story)
 
 
-def with_drain(folder: Path, drain: dict[RecordKind, dict[bytes, bytes]]) -> None:
-    """A folder of an earlier life."""
+def make_folder_with_drain(folder: Path, drain: dict[RecordKind, dict[bytes, bytes]]) -> None:
+    """A folder of an earlier incarnation."""
     ledger = Ledger.open(folder, str(FILE["name"]))
     ledger.put([Record(kind, key, value) for kind, kept in drain.items() for key, value in kept.items()])
     ledger.close(True)
@@ -306,10 +308,10 @@
     monkeypatch.setattr(installation_module, "LEDGER_MS", 1.0 if had else 1e6)
     drain = {RecordKind.ENGINE_DRAIN: {b"e1": Hint(b"", 0.0).encode()}}
     world.errors = [StoreError("full", Folder.COMPLETE, drain)]
-    with_drain(world.path.parent / "state", drain)
+    make_folder_with_drain(world.path.parent / "state", drain)
 
     async def story() -> None:
-        node, due = world.make(), list[tuple[float, Callable[[], None]]]()
+        node, due = world.make_node(), list[tuple[float, Callable[[], None]]]()
         node.believe_known()
         assert set(node.quarantine.live_engines()) == {"e2"}
         if had:
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -80,7 +80,7 @@
     assert world.told == ["a1", "b1", "c1"] and world.ledger.disk == [b"a1", b"b1", b"c1"]
 
 
-def test_what_the_disk_did_not_take_goes_first_the_next_time() -> None:
+def test_refused_records_are_written_first_the_next_time() -> None:
     world = World()
     for key, value in (("a", "1"), ("b", "1"), ("a", "2")):
         world.put(key, value)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("state", [DiskState.STALLED, DiskState.FULL, DiskState.FAILED])
-def test_a_disk_that_isn_t_well_is_told_of_at_once_and_tried_again(state: DiskState) -> None:
+def test_a_faulty_disk_is_reported_at_once_and_retried(state: DiskState) -> None:
     world = World()
     world.put("a", "1")
     world.ledger.state = state
@@ -160,7 +160,7 @@
 PUT = [("put", "a"), "no", ("put", "b"), "wait", "ok"]
 
 
-def test_putting_behind_what_came_since_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_writing_refused_records_after_newer_ones_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def behind(self: OrderedWriteQueue, durable: bool) -> None:
         flying, self.in_flight = self.in_flight, {}
         if durable:
@@ -177,7 +177,7 @@
         durable_in_order([("put", "a"), ("put", "b"), "no", "ok"])
 
 
-def test_never_putting_again_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_never_retrying_a_write_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def forgotten(self: OrderedWriteQueue, durable: bool) -> None:
         flying, self.in_flight = self.in_flight, {}
         for entry in flying.values():
@@ -189,9 +189,6 @@
         durable_in_order(PUT)
 
 
-# --- voters ---
-
-
 class FailingLedger:
     """A member's disk on the voters' network."""
 
@@ -231,12 +228,14 @@
         super().start(member, empty)
 
     def later(self, member: int, ms: float, then: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (self.now + ms, next(self.order), member, self.life[member], then))
+        heapq.heappush(
+            self.events, (self.now + ms, next(self.order), member, self.incarnations[member], then)
+        )
 
     def deliver(self, member: int, life: int, what: Any) -> None:
         if not callable(what):
             super().deliver(member, life, what)
-        elif member in self.up and life == self.life[member]:
+        elif member in self.running and life == self.incarnations[member]:
             what()
 
     def act(self, member: int, actions: Iterable[Any]) -> None:
@@ -252,7 +251,7 @@
         record = Record(RecordKind.PROMISE, action.name.encode(), action.data or None)
 
         def kept() -> None:
-            self.act(member, self.up[member].on_persisted(self.now, action.token))
+            self.act(member, self.running[member].on_persisted(self.now, action.token))
 
         self.writers[member].put(record, kept)
 
@@ -260,10 +259,10 @@
 def a_voter_votes_after_its_disk_failed_at_the_start() -> None:
     fleet = FailingFleet(failing=[102])
     fleet.run(10_000)
-    assert not fleet.up[102].is_voting() and not fleet.disks[102]
+    assert not fleet.running[102].is_voting() and not fleet.disks[102]
     fleet.failing.clear()
     fleet.run(10_000)
-    assert all(one.is_voting() for one in fleet.up.values())
+    assert all(one.is_voting() for one in fleet.running.values())
     fleet.stop(103)
     assert fleet.change(101, "a", 0, b"x").result is ChangeResult.WON, "its voice counts again"
 
@@ -272,13 +271,13 @@
     a_voter_votes_after_its_disk_failed_at_the_start()
 
 
-def test_a_voter_whose_records_are_not_put_again_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_voter_whose_records_are_not_retried_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(OrderedWriteQueue, "_retry", lambda self: None)
     with pytest.raises(AssertionError):
         a_voter_votes_after_its_disk_failed_at_the_start()
 
 
-def test_promises_keep_over_a_disk_that_failed_and_a_kill() -> None:
+def test_promises_survive_a_failed_disk_and_a_kill() -> None:
     fleet = FailingFleet()
     fleet.run(1000)
     assert fleet.change(101, "a", 0, b"one").result is ChangeResult.WON
@@ -305,10 +304,10 @@
     fleet.stop(103)
     fleet.start(103, empty=True)
     fleet.run(10_000)
-    assert not fleet.up[103].is_voting()
+    assert not fleet.running[103].is_voting()
     fleet.failing.clear()
     fleet.run(10_000)
-    assert fleet.up[103].is_voting()
+    assert fleet.running[103].is_voting()
 
 
 def test_all_finished_registers_go_once_the_last_floor_is_durable() -> None:
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -1,4 +1,5 @@
-"""The rim of the fleet: what the gateway tells it, orders and calls at the local socket, bad ones by name."""
+"""The adapter of the fleet: what the gateway tells it, orders and calls at the local socket, bad ones by
+name."""
 
 from __future__ import annotations
 
@@ -37,7 +38,7 @@
 def make(clock: FakeClock) -> tuple[ZoneFailoverAdapter, list[Any]]:
     bounds = list[Any]()
     fleet = FleetCoordinator(1, 1, clock.now(), FleetSettings(dispatchers=1, checks_are_shared=False), 1)
-    rim = ZoneFailoverAdapter(
+    adapter = ZoneFailoverAdapter(
         fleet,
         Swim("n0", PLACE, SwimSettings(), 1, 1),
         clock,
@@ -47,9 +48,9 @@
         lambda event, **fields: None,
         lambda engine: True,
     )
-    rim.set_engines({zone: {f"{zone}{i}": 1.0 for i in range(3)} for zone in "ab"})
-    rim.start()
-    return rim, bounds
+    adapter.set_engines({zone: {f"{zone}{i}": 1.0 for i in range(3)} for zone in "ab"})
+    adapter.start()
+    return adapter, bounds
 
 
 @pytest.mark.parametrize(
@@ -66,22 +67,22 @@
 )
 def test_the_results_of_attempts_decide_on_an_evacuation(outcome: Outcome, left: bool) -> None:
     clock = FakeClock()
-    rim, bounds = make(clock)
+    adapter, bounds = make(clock)
     for n in range(300):
         engine = f"{'ab'[n % 2]}{n // 2 % 3}"
         attempt = Attempt(f"q{n}", 0, engine, "lookup", b"", 1, clock.now(), 0.0)
-        rim.on_request_arrived(
+        adapter.on_request_arrived(
             ClientRequest(f"q{n}", 0, "lookup", clock.now(), 1000.0, 0.0, 0.0, -1, None, False, b"")
         )
-        rim.on_attempt_sent(attempt, 0)
+        adapter.on_attempt_sent(attempt, 0)
         bad = n >= 100 and engine[0] == "a"
         end = AttemptEnded(
             attempt.request_id, 0, engine, outcome if bad else Outcome.OK, 1.0 if bad else 20.0
         )
-        rim.on_attempt_ended(attempt, end)
+        adapter.on_attempt_ended(attempt, end)
         clock.run_until(clock.now() + 5.0, lambda: None)
-    assert (rim.coordinator.evacuation.states["a"].phase is ZonePhase.EVACUATED) is left
-    assert rim.coordinator.evacuation.states["b"].phase is ZonePhase.IN_SERVICE
+    assert (adapter.coordinator.evacuation.states["a"].phase is ZonePhase.EVACUATED) is left
+    assert adapter.coordinator.evacuation.states["b"].phase is ZonePhase.IN_SERVICE
     assert bool(bounds) is left and (not left or set(bounds[-1].work_rate_by_engine.values()) == {0.0})
 
 
@@ -101,12 +102,12 @@
     ids=str,
 )
 def test_an_invalid_override_is_rejected_with_its_reason(changes: dict[str, Any], wanted: str) -> None:
-    rim, bounds = make(FakeClock())
+    adapter, bounds = make(FakeClock())
     good = {"zone": "a", "mode": "leave", "for_ms": 1000, "who": "me", "why": "work"}
     with pytest.raises(OverrideError, match=wanted):
-        rim.issue_override(good | changes)
+        adapter.issue_override(good | changes)
     assert not bounds
-    (row, _) = rim.issue_override(good)["zones"]
+    (row, _) = adapter.issue_override(good)["zones"]
     assert row["phase"] == "out" and row["order"]["why"] == "work" and bounds
 
 
@@ -183,7 +184,7 @@
     clock, sent, joined = FakeClock(), list[bytes](), list[float]()
     swim = Swim("n0", PLACE, SwimSettings(), 1, 1)
     other = Swim("n1", Address("127.0.0.1", 7001), SwimSettings(), 1, 1, seeds=[PLACE])
-    rim = MembershipAdapter(
+    adapter = MembershipAdapter(
         MembershipInstance(
             swim, DutyScheduler(swim.id, [Duty(REPORT, 1000.0)], [swim.id], LeaseSettings(), clock.now(), 1)
         ),
@@ -194,12 +195,12 @@
         lambda engine, report: None,
         lambda event, **fields: None,
     )
-    rim.on_joined = lambda: joined.append(clock.now())
-    rim.start()
+    adapter.on_joined = lambda: joined.append(clock.now())
+    adapter.start()
     clock.run_until(clock.now() + 150.0, lambda: None)
     assert not joined
     hello = next(a for a in other.step(clock.now()) if isinstance(a, SendDatagram))
     came = clock.now()
-    assert rim.on_datagram(hello.data, other.address)
+    assert adapter.on_datagram(hello.data, other.address)
     clock.run_until(came + 1.0, lambda: None)
     assert joined == [came] and [m.name for m in swim.members_by_name()] == ["n1"]
--- a/tests/support/forwarding_network.py
+++ b/tests/support/forwarding_network.py
@@ -7,6 +7,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any
 
 from cottonhold.fleet.consensus.actions import SendConsensusMessage
@@ -45,7 +46,7 @@
     accepts: list[tuple[float, int, float]] = field(default_factory=list)  # when, owner, remaining ms
     answered: tuple[ForwardResult, bytes] | None = None  # by the gateway
     results: list[tuple[float, ForwardingEnded]] = field(default_factory=list)
-    lost: bool = False  # its client left, or its origin died
+    has_no_client: bool = False  # its client left, or its origin died
 
     @property
     def may_have_run(self) -> bool:
@@ -53,8 +54,8 @@
         return bool(self.accepts) and (self.answered is None or self.answered[0] not in NOTHING_RAN)
 
 
-class OwnClock:
-    """A `HandOn` on a clock of its own: another zero, a rate that is off by up to 0.04%."""
+class DriftingClock:
+    """A `RequestForwarder` on a clock of its own: another zero, a rate that is off by up to 0.04%."""
 
     def __init__(self, inner: RequestForwarder, draw: random.Random, born: float) -> None:
         self.inner, self.rate = inner, 1.0 + draw.uniform(-4e-4, 4e-4)
@@ -74,7 +75,7 @@
 
 
 class ForwardingNetwork(Net):
-    """`rim`: what an origin does after a result. `serve`: how long a gateway takes, and its result."""
+    """on_result: what an origin does after a result. serve: how long a gateway takes, and its result."""
 
     def __init__(self, seed: int, settings: ForwardingSettings | None = None) -> None:
         self.settings, self.attempts = settings or ForwardingSettings(), list[Attempt]()
@@ -89,19 +90,19 @@
             5.0,
             ForwardResult.ANSWERED,
         )
-        self.rim: Callable[[Attempt, ForwardResult], None] = lambda attempt, end: None
+        self.on_result: Callable[[Attempt, ForwardResult], None] = lambda attempt, end: None
         draws = random.Random(seed ^ 0x5EED)
 
-        def make(member: int, life: int, disk: dict[str, bytes]) -> OwnClock:
+        def make(member: int, life: int, disk: dict[str, bytes]) -> DriftingClock:
             inner = RequestForwarder(member, 7000 + life, self.settings, draws.getrandbits(32))
-            return OwnClock(inner, draws, self.now)
+            return DriftingClock(inner, draws, self.now)
 
         super().__init__((A, B, C), make, seed)
 
-    def one(self, member: int) -> RequestForwarder:
-        found = self.up[member]
-        assert isinstance(found, OwnClock)
-        return found.inner
+    def forwarder_of(self, member: int) -> RequestForwarder:
+        machine = self.running[member]
+        assert isinstance(machine, DriftingClock)
+        return machine.inner
 
     def forward(
         self,
@@ -119,7 +120,7 @@
             id_,
             request_id or f"r{id_}",
             origin,
-            self.life[origin],
+            self.incarnations[origin],
             owner,
             body,
             queue_key,
@@ -127,7 +128,7 @@
         )
         self.attempts.append(attempt)
         self.by_body[body] = self.current[origin, attempt.request_id] = attempt
-        clock = self.up[origin]
+        clock = self.running[origin]
         deadline = clock.at(attempt.deadline)
         self.act(
             origin,
@@ -137,20 +138,20 @@
 
     def leave(self, attempt: Attempt) -> None:
         """Its client leaves before the result."""
-        if not attempt.results and not attempt.lost:
-            attempt.lost = True
-            clock = self.up[attempt.origin]
+        if not attempt.results and not attempt.has_no_client:
+            attempt.has_no_client = True
+            clock = self.running[attempt.origin]
             self.act(attempt.origin, clock.inner.abandon(clock.at(self.now), attempt.request_id))
 
     def start(self, member: int, empty: bool = False) -> None:
-        if member not in self.up:  # crashed twice within one absence, it comes back once
+        if member not in self.running:  # a member that crashed twice while it was down starts once
             super().start(member, empty)
 
     def stop(self, member: int) -> None:
         super().stop(member)
         self.waiting.pop(member, None)
         for attempt in self.attempts:
-            attempt.lost |= attempt.origin == member and not attempt.results
+            attempt.has_no_client |= attempt.origin == member and not attempt.results
 
     def pause(self, member: int) -> None:
         super().pause(member)
@@ -158,8 +159,8 @@
 
     def resume(self, member: int) -> None:
         super().resume(member)
-        for life, what in self.waiting.pop(member, []):
-            self.post(self.draw.uniform(0.0, 1.0), member, life, what)
+        for incarnation, delivery in self.waiting.pop(member, []):
+            self.post(self.draw.uniform(0.0, 1.0), member, incarnation, delivery)
         self.stalls = [(m, a, min(b, self.now) if m == member else b) for m, a, b in self.stalls]
 
     def act(self, member: int, actions: Iterable[Any]) -> None:
@@ -167,154 +168,191 @@
             if isinstance(a, SendConsensusMessage):
                 assert a.member != member and len(a.payload) <= 200
                 self.sent += 1
-                self.carry(member, a)
+                self.transmit(member, a)
             elif isinstance(a, RequestAccepted):
-                self.took(member, a)
+                self.on_request_accepted(member, a)
             elif isinstance(a, ForwardingEnded):
                 attempt = self.current[member, a.request_id]
                 attempt.results.append((self.now, a))
-                self.rim(attempt, a.result)
+                self.on_result(attempt, a.result)
             elif isinstance(a, RequestAbandoned):
                 self.abandoned.append((member, a.number))
 
-    def carry(self, member: int, say: SendConsensusMessage) -> None:
-        """Deliver a message: lost, late, twice, or forged after it."""
+    def transmit(self, member: int, message: SendConsensusMessage) -> None:
+        """Deliver a message: lost, late, duplicated, or followed by a forged one."""
         if self.forged and self.draw.random() < self.forged:
-            self.forge(member, say)
-        if self.draw.random() < self.loss or frozenset((member, say.member)) in self.cut:
+            self.forge(member, message)
+        if self.draw.random() < self.loss or frozenset((member, message.member)) in self.cut_links:
             return
-        for _ in range(1 + (self.draw.random() < self.twice)):
-            delay = self.draw.uniform(0.2, self.slow)
+        for _ in range(1 + (self.draw.random() < self.duplicate_chance)):
+            delay = self.draw.uniform(0.2, self.max_delay_ms)
             if self.draw.random() < self.late:
-                delay = self.draw.uniform(self.slow, 2500)
-            self.post(delay, say.member, 0, (member, say.payload))
+                delay = self.draw.uniform(self.max_delay_ms, 2500)
+            self.post(delay, message.member, 0, (member, message.payload))
 
-    def post(self, delay: float, member: int, life: int, what: Any) -> None:
-        heapq.heappush(self.events, (self.now + delay, next(self.order), member, life, what))
+    def post(self, delay: float, member: int, incarnation: int, delivery: Any) -> None:
+        heapq.heappush(self.events, (self.now + delay, next(self.order), member, incarnation, delivery))
 
-    def forge(self, member: int, say: SendConsensusMessage) -> None:
+    def forge(self, member: int, message: SendConsensusMessage) -> None:
         """Another member repeats the message in its own name; it arrives truncated, longer, or as noise."""
-        data, cut = say.payload, self.draw.randrange(1, len(say.payload))
+        data, length = message.payload, self.draw.randrange(1, len(message.payload))
         noise = data[:2] + self.draw.randbytes(self.draw.randrange(60))
-        for sender, word in ((LIAR, data), (member, data[:cut]), (member, data + b"\0"), (LIAR, noise)):
-            self.post(self.draw.uniform(0.2, self.slow), say.member, 0, (sender, word))
+        for sender, payload in ((LIAR, data), (member, data[:length]), (member, data + b"\0"), (LIAR, noise)):
+            self.post(self.draw.uniform(0.2, self.max_delay_ms), message.member, 0, (sender, payload))
 
-    def deliver(self, member: int, life: int, what: Any) -> None:
+    def deliver(self, member: int, incarnation: int, delivery: Any) -> None:
         if member in self.stopped:
-            self.waiting[member].append((life, what))
-        elif not callable(what):
-            super().deliver(member, life, what)
-        elif member in self.up and life == self.life[member]:
-            what()
-
-    def took(self, owner: int, take: RequestAccepted) -> None:
-        """The gateway accepted it, and will report a result."""
-        if take.origin == LIAR:
+            self.waiting[member].append((incarnation, delivery))
+        elif not callable(delivery):
+            super().deliver(member, incarnation, delivery)
+        elif member in self.running and incarnation == self.incarnations[member]:
+            delivery()
+
+    def on_request_accepted(self, owner: int, accepted: RequestAccepted) -> None:
+        """The gateway has accepted a request, and will report a result."""
+        if accepted.origin == LIAR:
             return
-        attempt = self.by_body[take.body]
-        attempt.accepts.append((self.now, owner, take.remaining_ms))
-        wait, end = self.serve()
+        attempt = self.by_body[accepted.body]
+        attempt.accepts.append((self.now, owner, accepted.remaining_ms))
+        wait, result = self.serve()
         data = (
             self.draw.randbytes(self.draw.choice((0, 10, 400, 3000)))
-            if end is ForwardResult.ANSWERED
+            if result is ForwardResult.ANSWERED
             else b""
         )
 
         def done() -> None:
-            attempt.answered = (end, data)
-            clock = self.up[owner]
+            attempt.answered = (result, data)
+            clock = self.running[owner]
             now = clock.at(self.now)
-            self.act(owner, clock.inner.on_request_ended(now, take.origin, take.number, end, 30.0, data))
-
-        self.post(wait, owner, self.life[owner], done)
+            self.act(
+                owner, clock.inner.on_request_ended(now, accepted.origin, accepted.number, result, 30.0, data)
+            )
 
-    # --- the rules ---
+        self.post(wait, owner, self.incarnations[owner], done)
 
     def check(self) -> None:
         """Check all rules after all deadlines. Raises AssertionError with the rule's name."""
-        for a in self.attempts:
-            assert len(a.accepts) <= 1, ("taken twice", a.id, a.accepts)
-            assert all(owner == a.owner for _, owner, _ in a.accepts), ("not its owner", a.id)
-            for at, _, left in a.accepts:
-                assert 0 < left <= a.deadline - at, ("left_ms", a.id, left, a.deadline - at)
-            self.check_end(a)
+        for attempt in self.attempts:
+            assert len(attempt.accepts) <= 1, ("accepted twice", attempt.id, attempt.accepts)
+            assert all(owner == attempt.owner for _, owner, _ in attempt.accepts), (
+                "not its owner",
+                attempt.id,
+            )
+            for at, _, remaining_ms in attempt.accepts:
+                assert 0 < remaining_ms <= attempt.deadline - at, (
+                    "left_ms",
+                    attempt.id,
+                    remaining_ms,
+                    attempt.deadline - at,
+                )
+            self.check_end(attempt)
         self.check_order()
-        for member in self.up:
-            status = self.one(member).status()
+        for member in self.running:
+            status = self.forwarder_of(member).status()
             assert not status["open"] and not status["gathering_bytes"], ("not forgotten", status)
 
-    def check_end(self, a: Attempt) -> None:
+    def check_end(self, attempt: Attempt) -> None:
         """Check that a request has one result, in time, and true."""
-        assert len(a.results) <= 1 and (a.lost or a.results), ("one end", a.id, a.results)
-        for at, ended in a.results:
-            stalled = [b for m, s, b in self.stalls if m == a.origin and s <= a.deadline <= b]
-            assert at <= max([a.deadline, *(b + 1 for b in stalled)]), ("in time", a.id, at, a.deadline)
+        assert len(attempt.results) <= 1 and (attempt.has_no_client or attempt.results), (
+            "one end",
+            attempt.id,
+            attempt.results,
+        )
+        for at, ended in attempt.results:
+            stalled = [b for m, s, b in self.stalls if m == attempt.origin and s <= attempt.deadline <= b]
+            assert at <= max([attempt.deadline, *(b + 1 for b in stalled)]), (
+                "in time",
+                attempt.id,
+                at,
+                attempt.deadline,
+            )
             if ended.result in NOTHING_RAN:
-                assert not a.may_have_run, ("nothing ran", a.id, ended.result, a.accepts)
+                assert not attempt.may_have_run, ("nothing ran", attempt.id, ended.result, attempt.accepts)
             if ended.result is ForwardResult.NOT_ACCEPTED:
-                assert not a.accepts, ("nobody", a.id, a.accepts)
+                assert not attempt.accepts, ("nobody", attempt.id, attempt.accepts)
             if ended.result is ForwardResult.ANSWERED:
-                assert a.answered == (ForwardResult.ANSWERED, ended.data), ("answer", a.id)
+                assert attempt.answered == (ForwardResult.ANSWERED, ended.data), ("answer", attempt.id)
             if ended.result is ForwardResult.REJECTED:
-                assert ended.retry_after_ms == 30.0, ("ms", a.id, ended.retry_after_ms)
+                assert ended.retry_after_ms == 30.0, ("ms", attempt.id, ended.retry_after_ms)
 
     def check_order(self) -> None:
         """Check that requests of one queue to one owner are accepted in the order of forwarding."""
         queues = defaultdict[tuple[int, int, int, bytes], list[Attempt]](list)
-        for a in self.attempts:
-            if a.queue_key and a.accepts:
-                queues[a.origin, a.incarnation, a.owner, a.queue_key].append(a)
-        for found in queues.values():
-            assert found == sorted(found, key=lambda a: a.accepts[0][0]), ("order", [a.id for a in found])
+        for attempt in self.attempts:
+            if attempt.queue_key and attempt.accepts:
+                queues[attempt.origin, attempt.incarnation, attempt.owner, attempt.queue_key].append(attempt)
+        for attempts in queues.values():
+            assert attempts == sorted(attempts, key=lambda attempt: attempt.accepts[0][0]), (
+                "order",
+                [attempt.id for attempt in attempts],
+            )
 
 
 def random_faults(seed: int) -> ForwardingNetwork:
     """Run some 20 requests among three dispatchers with random faults, until all deadlines are over."""
     net, draw = ForwardingNetwork(seed), random.Random(seed)
-    net.loss, net.twice = draw.choice((0.0, 0.1, 0.4)), draw.choice((0.0, 0.3))
-    net.slow, net.late = draw.choice((2.0, 15.0, 60.0)), draw.choice((0.0, 0.03, 0.1))
+    _draw_network_faults(net, draw)
+    net.on_result = lambda attempt, result: _retry_elsewhere(net, draw, attempt, result)
+    events: list[tuple[float, Callable[[], None]]] = [
+        (draw.uniform(0, 1500), lambda: _forward_one(net, draw)) for _ in range(20)
+    ]
+    events += _draw_member_faults(net, draw)
+    for at, action in sorted(events, key=lambda event: event[0]):
+        net.run(max(at - net.now, 0))
+        action()
+    net.run(6000)
+    return net
+
+
+def _draw_network_faults(net: ForwardingNetwork, draw: random.Random) -> None:
+    net.loss, net.duplicate_chance = draw.choice((0.0, 0.1, 0.4)), draw.choice((0.0, 0.3))
+    net.max_delay_ms, net.late = draw.choice((2.0, 15.0, 60.0)), draw.choice((0.0, 0.03, 0.1))
     net.forged = draw.choice((0.0, 0.0, 0.2))
-    ends = [ForwardResult.ANSWERED] * 6 + [
+    results = [ForwardResult.ANSWERED] * 6 + [
         ForwardResult.REJECTED,
         ForwardResult.NOT_OWNER,
         ForwardResult.NOT_OWNER,
         ForwardResult.FAILED,
     ]
-    net.serve = lambda: (draw.choice((1.0, 20.0, 200.0, 1500.0)), draw.choice(ends))
-
-    def again(attempt: Attempt, end: ForwardResult) -> None:
-        allow = attempt.deadline - net.now
-        if (
-            end in (ForwardResult.NOT_OWNER, ForwardResult.NOT_ACCEPTED)
-            and allow > 50
-            and draw.random() < 0.7
-        ):
-            other = next(m for m in (A, B, C) if m not in (attempt.origin, attempt.owner))
-            net.forward(
-                attempt.origin, other, len(attempt.body) + 1, allow, attempt.queue_key, attempt.request_id
-            )
-
-    def one() -> None:
-        origin, owner = draw.sample((A, B, C), 2)
-        if origin in net.up and origin not in net.stopped:
-            line = draw.choice((b"", b"k1", b"k1", b"k2"))
-            size = draw.choice((8, 100, 100, 500, 2000) if draw.random() < 0.95 else (16384, 16385))
-            attempt = net.forward(origin, owner, size, draw.choice((30, 200, 700, 700, 2000, 4000)), line)
-            if draw.random() < 0.1:
-                life = net.life[origin]
-                net.post(draw.uniform(0, 100), origin, life, lambda: net.leave(attempt))
-
-    net.rim = again
-    todo: list[tuple[float, Callable[[], None]]] = [(draw.uniform(0, 1500), one) for _ in range(20)]
+    net.serve = lambda: (draw.choice((1.0, 20.0, 200.0, 1500.0)), draw.choice(results))
+
+
+def _retry_elsewhere(
+    net: ForwardingNetwork, draw: random.Random, attempt: Attempt, result: ForwardResult
+) -> None:
+    """Forward most requests that did not run to the third dispatcher."""
+    remaining_ms = attempt.deadline - net.now
+    did_not_run = result in (ForwardResult.NOT_OWNER, ForwardResult.NOT_ACCEPTED)
+    if did_not_run and remaining_ms > 50 and draw.random() < 0.7:
+        other = next(m for m in (A, B, C) if m not in (attempt.origin, attempt.owner))
+        size = len(attempt.body) + 1
+        net.forward(attempt.origin, other, size, remaining_ms, attempt.queue_key, attempt.request_id)
+
+
+def _forward_one(net: ForwardingNetwork, draw: random.Random) -> None:
+    """Forward a request between two dispatchers; one client in ten leaves early."""
+    origin, owner = draw.sample((A, B, C), 2)
+    if origin not in net.running or origin in net.stopped:
+        return
+    queue_key = draw.choice((b"", b"k1", b"k1", b"k2"))
+    size = draw.choice((8, 100, 100, 500, 2000) if draw.random() < 0.95 else (16384, 16385))
+    attempt = net.forward(origin, owner, size, draw.choice((30, 200, 700, 700, 2000, 4000)), queue_key)
+    if draw.random() < 0.1:
+        incarnation = net.incarnations[origin]
+        net.post(draw.uniform(0, 100), origin, incarnation, lambda: net.leave(attempt))
+
+
+def _draw_member_faults(
+    net: ForwardingNetwork, draw: random.Random
+) -> list[tuple[float, Callable[[], None]]]:
+    """Up to two crashes or pauses of a dispatcher, each with its end."""
+    events: list[tuple[float, Callable[[], None]]] = []
     for _ in range(draw.randrange(3)):
         member, at = draw.choice((A, B, C)), draw.uniform(0, 1500)
         if draw.random() < 0.5:
-            todo += [(at, lambda m=member: net.stop(m)), (at + 100, lambda m=member: net.start(m))]  # type: ignore[misc]
+            events += [(at, partial(net.stop, member)), (at + 100, partial(net.start, member))]
         else:
-            back = at + draw.choice((300.0, 5000.0))
-            todo += [(at, lambda m=member: net.pause(m)), (back, lambda m=member: net.resume(m))]  # type: ignore[misc]
-    for at, what in sorted(todo, key=lambda t: t[0]):
-        net.run(max(at - net.now, 0))
-        what()
-    net.run(6000)
-    return net
+            end = at + draw.choice((300.0, 5000.0))
+            events += [(at, partial(net.pause, member)), (end, partial(net.resume, member))]
+    return events
