--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -1,9 +1,6 @@
 """Engines that are being replaced: nothing new goes there, and all dispatchers report what is open there.
 Pure.
 
-    kind 96 | member 8 | incarnation 4 | version 4 | rows 1 | rows, each: engine 4 | serial 4 | open 2 |
-    flags 1
-
 A dispatcher reports a row of each engine that it has drained: under which request's serial, how many of its
 attempts are open there, and whether the engine seems absent to it. Reports merge by (incarnation, version):
 in any order, any number of times. The driver adds them up. A live dispatcher that has not reported since it
@@ -14,87 +11,26 @@
 
 from __future__ import annotations
 
-import struct
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
-from enum import IntFlag
 
+from cottonhold.fleet.engine_drain_messages import (
+    U32,
+    DrainedEngineRow,
+    DrainReport,
+    decode_report,
+    encode_report,
+)
 from cottonhold.fleet.latest_reports import LatestReports
-from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery.warmup_messages import engine_number
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, ReplacementStep
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordKind
 
-DRAIN_REPORT = 96  # kind of message
-HEAD_FORMAT = struct.Struct("!BQIIB")
-ROW_FORMAT = struct.Struct("!IIHB")
-MAX_ROWS = (MAX_MESSAGE_BYTES - HEAD_FORMAT.size) // ROW_FORMAT.size
-U16, U32 = 0xFFFF, 0xFFFFFFFF
 REPORTED_STEPS = (ReplacementStep.DRAINING, ReplacementStep.OUT)
 
 
-class RowFlag(IntFlag):
-    """What a row reports besides its count."""
-
-    AWAY = 1  # the engine is not listed, or does not answer liveness checks
-
-
-@dataclass(slots=True, frozen=True)
-class DrainedEngineRow:
-    """One dispatcher's report on one engine that it has drained."""
-
-    serial: int
-    open_requests: int
-    is_absent: bool = False
-
-
-@dataclass(slots=True, frozen=True)
-class DrainReport:
-    """All that one dispatcher reports of drained engines, by their numbers."""
-
-    member: int
-    incarnation: int
-    version: int
-    rows: Mapping[int, DrainedEngineRow]
-
-    @property
-    def stamp(self) -> tuple[int, int]:
-        """By which of two reports of a member the newer one is known."""
-        return self.incarnation, self.version
-
-
-def encode_report(report: DrainReport) -> bytes:
-    """Encode a report, with as many rows as fit."""
-    rows = list(report.rows.items())[:MAX_ROWS]
-    head = HEAD_FORMAT.pack(DRAIN_REPORT, report.member, report.incarnation, report.version, len(rows))
-    return head + b"".join(
-        ROW_FORMAT.pack(number, r.serial, min(r.open_requests, U16), int(RowFlag.AWAY) if r.is_absent else 0)
-        for number, r in rows
-    )
-
-
-def decode_report(data: bytes) -> DrainReport:
-    """Decode a report. Raises MessageError."""
-    try:
-        kind, member, incarnation, version, count = HEAD_FORMAT.unpack_from(data)
-    except struct.error:
-        raise MessageError("truncated") from None
-    if (
-        kind != DRAIN_REPORT
-        or not member
-        or count > MAX_ROWS
-        or len(data) != HEAD_FORMAT.size + count * ROW_FORMAT.size
-    ):
-        raise MessageError("drains")
-    rows = {}
-    for number, serial, open_requests, flags in ROW_FORMAT.iter_unpack(data[HEAD_FORMAT.size :]):
-        if flags > int(RowFlag.AWAY):
-            raise MessageError("flags")
-        rows[number] = DrainedEngineRow(serial, open_requests, bool(flags & RowFlag.AWAY))
-    return DrainReport(member, incarnation, version, rows)
-
-
 @dataclass(slots=True, frozen=True)
 class DrainSettings:
     """Times of engine drains.
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -222,18 +222,22 @@
         self.unfinished_keys: set[bytes] = set()  # keys with something left to send
         self.home_cache: dict[bytes, int] = {}
         self.highest_epoch = 0
-        self.last_token = 0
         self.started_at = now
         self.purge_at = PURGE_BATCH
-        self.outgoing_entries: dict[tuple[int, EntryKind], list[MigrationEntry]] = {}
-        self.actions: list[Action] = []
-        self.counts = {"malformed": 0, "said": 0}
-        self.keys_by_token: dict[int, bytes] = {}
+        self._start_output()
         self._start_moves()
         self._start_announcements()
         if has_full_memory:
             self._load(now, records)
 
+    def _start_output(self) -> None:
+        """What is to be sent and written: nothing yet."""
+        self.outgoing_entries: dict[tuple[int, EntryKind], list[MigrationEntry]] = {}
+        self.actions: list[Action] = []
+        self.counts = {"malformed": 0, "said": 0}
+        self.last_token = 0
+        self.keys_by_token: dict[int, bytes] = {}
+
     def _start_moves(self) -> None:
         """The moves of keys to other members: none yet."""
         self.move_queues: dict[int, deque[bytes]] = {}  # by target
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -12,7 +12,6 @@
 from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_drain import (
-    DRAIN_REPORT,
     CheckLiveness,
     DrainRecords,
     DrainSettings,
@@ -21,6 +20,7 @@
     StartupGate,
     is_new_process,
 )
+from cottonhold.fleet.engine_drain_messages import DRAIN_REPORT
 from cottonhold.fleet.rolling_replacement import step_decision
 from cottonhold.fleet.rolling_replacement.coordinator import ReplacementCoordinator
 from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, MachineRecord, ReplacementStep
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cottonhold.discovery.model import Address, ConfiguredNames, EngineListChange
-from cottonhold.fleet import engine_drain
+from cottonhold.fleet import engine_drain, engine_drain_messages
 from cottonhold.fleet.admission import demand_messages
 from cottonhold.fleet.admission.threshold import ReportedDemand
 from cottonhold.fleet.consensus import acceptor, messages
@@ -165,8 +165,11 @@
 
 def drain_word() -> bytes:
     """One dispatcher's word on drained engines."""
-    rows = {7: engine_drain.DrainedEngineRow(3, 70_000, True), 8: engine_drain.DrainedEngineRow(4, 0)}
-    return engine_drain.encode_report(engine_drain.DrainReport(MEMBER, LIFE, VERSION, rows))
+    rows = {
+        7: engine_drain_messages.DrainedEngineRow(3, 70_000, True),
+        8: engine_drain_messages.DrainedEngineRow(4, 0),
+    }
+    return engine_drain_messages.encode_report(engine_drain_messages.DrainReport(MEMBER, LIFE, VERSION, rows))
 
 
 def handed_request(named: bool) -> bytes:
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -12,15 +12,17 @@
 from cottonhold.discovery.quarantine import Quarantine
 from cottonhold.emulator.engine_replacement_cases import CASES, DEFECTS, planted
 from cottonhold.fleet.engine_drain import (
-    MAX_ROWS,
     CheckLiveness,
-    DrainedEngineRow,
     DrainRecords,
-    DrainReport,
     DrainSettings,
     EngineDrains,
     SendReport,
     StartupGate,
+)
+from cottonhold.fleet.engine_drain_messages import (
+    MAX_ROWS,
+    DrainedEngineRow,
+    DrainReport,
     decode_report,
     encode_report,
 )
