--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -26,7 +26,7 @@
 from cottonhold.fleet.actions import SendFleetMessage, ThresholdUpdate
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
-from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.first_checker import first_checker
 from cottonhold.fleet.recovery.shared_slow_start import OutageScope
 from cottonhold.fleet.settings import FleetSettings
 
@@ -140,7 +140,7 @@
         self.probed: list[dict[int, list[int]]] = [{} for _ in range(count)]  # by turn and prober: places
         for place, name in enumerate(self.names):
             for turn, due in enumerate(self.probed):
-                due.setdefault(first_prober(name, 100.0 * turn, count), []).append(place)
+                due.setdefault(first_checker(name, 100.0 * turn, count), []).append(place)
         self.served: list[tuple[float, float, int, int, bool]] = []  # came, end, home, kind, in time
         self.life, self.over, self.checked, self.blind = 0, 0, 0, 0
         self.before: dict[str, float] = {}  # the ramp of an engine as of the last check
--- a/cottonhold/fleet/recovery/first_prober.py
+++ b/cottonhold/fleet/recovery/first_checker.py
@@ -14,7 +14,7 @@
     return tuple(sorted(range(dispatchers), key=lambda number: -score(number + 1, 1.0, engine)))
 
 
-def first_prober(engine: str, passed_ms: float, dispatchers: int, slot_ms: float = 100.0) -> int:
+def first_checker(engine: str, passed_ms: float, dispatchers: int, slot_ms: float = 100.0) -> int:
     """The number of the configured dispatcher that checks an engine now.
 
     passed_ms: since this one's start, or since the loss. Each dispatcher gets a time slot, in an order by
--- a/cottonhold/fleet/recovery/slow_start_settings.py
+++ b/cottonhold/fleet/recovery/slow_start_settings.py
@@ -20,7 +20,7 @@
     drain_factor of what it does is sent until the queue is gone. max_cold_share: most that is sent to an
     engine that is not warm yet, whatever it shows: it may be overloaded at once, and never by being slow
     first. warm_speed: from this speed on, shown for warm_confirmation_ms, an engine is warm; under
-    doubtful_speed that begins anew. max_report_age_ms: older reports do not count. prober_slot_ms: how long
+    doubtful_speed that begins anew. max_report_age_ms: older reports do not count. checker_slot_ms: how long
     one dispatcher has to check an engine first. max_duration_ms: after so long an engine is free whatever it
     shows: a slow one must not be bounded for good. warm_after_ms: so long after its start an engine is warm,
     as the configuration says. gossip_from_members, gossip_fanout: as for zone reports; gossip_interval_ms:
@@ -39,7 +39,7 @@
     doubtful_speed: float = 0.65
     warm_confirmation_ms: float = 400.0
     max_report_age_ms: float = 1000.0
-    prober_slot_ms: float = 100.0
+    checker_slot_ms: float = 100.0
     max_duration_ms: float = 30_000.0
     warm_after_ms: float = 13_000.0
     gossip_from_members: int = 9
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -25,7 +25,15 @@
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
 REQUEST_FORWARDING = 79
-PROBE, INCARNATION, PART, WITHDRAW, ACK, ANSWER, ANSWER_ACK = range(7)
+(
+    INCARNATION_QUERY,
+    INCARNATION_REPLY,
+    REQUEST_FRAGMENT,
+    WITHDRAW_REQUEST,
+    REQUEST_ACK,
+    ANSWER_FRAGMENT,
+    ANSWER_ACK,
+) = range(7)
 U32 = 0xFFFF_FFFF
 MAX_BODY_BYTES = 16 * 1024  # of a request or an answer
 TIME_UNIT_MS = 0.01
@@ -205,14 +213,16 @@
     match message:
         case RequestFragment():
             shape = FRAGMENT_FORMAT.pack(message.index, message.body_bytes)
-            return encode_header(PART, message.header) + shape + message.data
+            return encode_header(REQUEST_FRAGMENT, message.header) + shape + message.data
         case WithdrawRequest():
-            return encode_header(WITHDRAW, message.header) + bytes((message.is_abandoned,))
+            return encode_header(WITHDRAW_REQUEST, message.header) + bytes((message.is_abandoned,))
         case IncarnationQuery():
-            return INCARNATION_QUERY_FORMAT.pack(REQUEST_FORWARDING, PROBE, message.believed_incarnation)
+            return INCARNATION_QUERY_FORMAT.pack(
+                REQUEST_FORWARDING, INCARNATION_QUERY, message.believed_incarnation
+            )
         case IncarnationReply(believed_incarnation, incarnation, timestamp):
             return INCARNATION_REPLY_FORMAT.pack(
-                REQUEST_FORWARDING, INCARNATION, believed_incarnation, incarnation, timestamp
+                REQUEST_FORWARDING, INCARNATION_REPLY, believed_incarnation, incarnation, timestamp
             )
         case RequestAck():
             return _encode_request_ack(message)
@@ -225,7 +235,7 @@
 
 def _encode_request_ack(ack: RequestAck) -> bytes:
     fixed = REQUEST_ACK_FORMAT.pack(
-        REQUEST_FORWARDING, ACK, ack.number, ack.owner_incarnation, ack.timestamp, ack.state
+        REQUEST_FORWARDING, REQUEST_ACK, ack.number, ack.owner_incarnation, ack.timestamp, ack.state
     )
     return fixed + encode_bits(ack.received_bits)
 
@@ -233,7 +243,7 @@
 def _encode_answer_fragment(fragment: AnswerFragment) -> bytes:
     fixed = ANSWER_FRAGMENT_FORMAT.pack(
         REQUEST_FORWARDING,
-        ANSWER,
+        ANSWER_FRAGMENT,
         fragment.number,
         fragment.owner_incarnation,
         fragment.result,
@@ -332,11 +342,11 @@
 
 
 DECODERS: dict[int, Callable[[bytes], Message]] = {
-    PROBE: _decode_incarnation_query,
-    INCARNATION: _decode_incarnation_reply,
-    PART: _decode_request_fragment,
-    WITHDRAW: _decode_withdraw,
-    ACK: _decode_request_ack,
-    ANSWER: _decode_answer_fragment,
+    INCARNATION_QUERY: _decode_incarnation_query,
+    INCARNATION_REPLY: _decode_incarnation_reply,
+    REQUEST_FRAGMENT: _decode_request_fragment,
+    WITHDRAW_REQUEST: _decode_withdraw,
+    REQUEST_ACK: _decode_request_ack,
+    ANSWER_FRAGMENT: _decode_answer_fragment,
     ANSWER_ACK: _decode_answer_ack,
 }
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -1,4 +1,4 @@
-"""Carries out membership: datagrams, timers, and the duties of probing and reporting. Decides nothing."""
+"""Carries out membership: datagrams, timers, and the duties of health checks and reports. Decides nothing."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from cottonhold.scheduler.events import Outcome
 from cottonhold.transport.clock import Clock, Timer
 
-PROBE, REPORT, FLEET = "probe", "report", "fleet"
+HEALTH_CHECKS, FLEET_REPORT, FLEET_SUBJECT = "probe", "report", "fleet"
 NO_REPORT = 0xFFFFFFFF  # a detail without a load report
 MAX_SCALED = 0xFFFE
 
 
 def encode_load_report(report: dict[str, float]) -> int:
-    """A probe's load report in 32 bits: queries in flight, and the share of cores that is busy."""
+    """A health check's load report in 32 bits: queries in flight, and the share of cores that is busy."""
     inflight, util = report.get("inflight"), report.get("util")
     if inflight is None or util is None:
         return NO_REPORT
@@ -33,7 +33,7 @@
 
 
 def decode_load_report(detail: int) -> dict[str, float]:
-    """The load report of another instance's probe; empty where there was none."""
+    """The load report of another instance's health check; empty where there was none."""
     if detail == NO_REPORT:
         return {}
     return {"inflight": float(detail >> 16), "util": (detail & 0xFFFF) / MAX_SCALED}
@@ -61,7 +61,7 @@
     voters = [member_id(name) for name in section.voters] or [swim.id]
     duties = DutyScheduler(
         swim.id,
-        [Duty(PROBE, section.probe_ms), Duty(REPORT, section.report_ms)],
+        [Duty(HEALTH_CHECKS, section.probe_ms), Duty(FLEET_REPORT, section.report_ms)],
         voters,
         LeaseSettings(),
         now,
@@ -79,12 +79,17 @@
         clock: Clock,
         counters: Counters,
         send: Callable[[bytes, Address], None],
-        probe: Callable[[str], bool],
-        on_probe_result: Callable[[str, dict[str, float]], None],
+        check_health: Callable[[str], bool],
+        on_health_check_result: Callable[[str, dict[str, float]], None],
         log_event: Callable[..., None],
     ) -> None:
         self.instance, self.clock, self.counters = instance, clock, counters
-        self.send, self.probe, self.on_probe_result, self.log_event = send, probe, on_probe_result, log_event
+        self.send, self.check_health, self.on_health_check_result, self.log_event = (
+            send,
+            check_health,
+            on_health_check_result,
+            log_event,
+        )
         self.on_fleet_message: Callable[[int, bytes], None] = lambda member, payload: None
         self.on_joined: Callable[[], None] = lambda: None  # called when a member has become alive
         self.received: list[DatagramReceived] = []
@@ -96,7 +101,7 @@
     def start(self) -> None:
         """Begin; the first step contacts the seeds."""
         now = self.clock.now()
-        self._carry_out(self.instance.on_subjects(now, REPORT, [FLEET]))
+        self._carry_out(self.instance.on_subjects(now, FLEET_REPORT, [FLEET_SUBJECT]))
         self._step()
 
     def on_datagram(self, data: bytes, sender: Address) -> bool:
@@ -111,12 +116,13 @@
         return True
 
     def set_engines(self, ids: Iterable[str]) -> None:
-        """Probe exactly these engines from now on."""
-        self._carry_out(self.instance.on_subjects(self.clock.now(), PROBE, ids))
+        """Check the health of exactly these engines from now on."""
+        self._carry_out(self.instance.on_subjects(self.clock.now(), HEALTH_CHECKS, ids))
         self._schedule_step()
 
-    def on_probe_ended(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
-        """A probe has ended. A success is announced; a failure may be this instance's own link, and isn't."""
+    def on_health_check_ended(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
+        """A health check has ended. A success is announced; a failure may be this instance's own link, and
+        isn't."""
         run = self.runs_by_engine.pop(engine, None)
         if run is not None:
             detail = encode_load_report(report) if outcome is Outcome.OK else None
@@ -195,14 +201,14 @@
                 case FleetMessageReceived(member, payload):
                     self.on_fleet_message(member, payload)
                 case DutyDone(duty, subject, _, detail):
-                    if duty == PROBE:
-                        self.on_probe_result(subject, decode_load_report(detail))
+                    if duty == HEALTH_CHECKS:
+                        self.on_health_check_result(subject, decode_load_report(detail))
 
     def _run_duty(self, run: RunDuty) -> None:
         self.runs[run.duty] = self.runs.get(run.duty, 0) + 1
         self.counters.add(f"duties_{run.duty}")
         now = self.clock.now()
-        if run.duty == REPORT:
+        if run.duty == FLEET_REPORT:
             reported_names = [
                 m.name for m in self.instance.swim.members_by_name() if m.id in self.instance.reported_members
             ]
@@ -213,7 +219,7 @@
                 runs=str(self.runs),
             )
             self._carry_out(self.instance.on_run_ended(now, run, 0))
-        elif self.probe(run.subject):
+        elif self.check_health(run.subject):
             self.runs_by_engine[run.subject] = run
         else:
             self._carry_out(self.instance.on_run_ended(now, run, None))
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -18,7 +18,7 @@
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.projection import Projection
-from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.first_checker import first_checker
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.evacuation import EvacuationSettings
@@ -283,15 +283,15 @@
         """Check engines that have to answer first: each by one dispatcher a time slot, whoever is there
         yet."""
         slow_start = self.coordinator.slow_start
-        if slow_start is None or now - self.checked_at < slow_start.settings.prober_slot_ms:
+        if slow_start is None or now - self.checked_at < slow_start.settings.checker_slot_ms:
             return
         self.checked_at = now
         passed_ms, dispatchers = now - self.started_at, self.coordinator.settings.dispatchers
         for engine, warming in slow_start.warming.items():
             if warming.has_answered:
                 continue
-            prober = first_prober(engine, passed_ms, dispatchers, slow_start.settings.prober_slot_ms)
-            if prober == self.dispatcher_number:
+            checker = first_checker(engine, passed_ms, dispatchers, slow_start.settings.checker_slot_ms)
+            if checker == self.dispatcher_number:
                 self.counters.add("first_probes")
                 self.check_health(engine)
 
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -297,7 +297,7 @@
     def _on_health_check_completed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
         """A probe of this instance has ended."""
         if self.membership is not None:
-            self.membership.on_probe_ended(engine, outcome, report)
+            self.membership.on_health_check_ended(engine, outcome, report)
         if self.fleet is not None:
             self.fleet.on_health_check(engine, outcome)
             if outcome is Outcome.OK:
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -106,7 +106,11 @@
         "swap": [s.name.lower() for s in ReplacementStep],
         "life cycle": [p.value for p in Phase],
         "handed on": [RESULT_NAMES[result] for result in ForwardResult],
-        "duties": [membership_adapter.PROBE, membership_adapter.REPORT, membership_adapter.FLEET],
+        "duties": [
+            membership_adapter.HEALTH_CHECKS,
+            membership_adapter.FLEET_REPORT,
+            membership_adapter.FLEET_SUBJECT,
+        ],
     }
     return {name: sorted(words) for name, words in enums.items()}
 
--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -45,7 +45,7 @@
             )
 
         super().__init__(ids, make, seed)
-        self.watch = self.one_owner
+        self.after_event = self.one_owner
 
     def one_owner(self) -> None:
         self.events_seen += 1
@@ -255,7 +255,7 @@
         keys=300,
         settings=OwnershipSettings(is_enabled=True, max_moves_per_second=100.0, max_pending_offers=10),
     )
-    fleet.watch = lambda: None
+    fleet.after_event = lambda: None
     fleet.run(1500)
     mine = fleet.move(A, D)
     fleet.run(500)
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -16,7 +16,7 @@
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import warmup_messages
-from cottonhold.fleet.recovery.first_prober import first_prober
+from cottonhold.fleet.recovery.first_checker import first_checker
 from cottonhold.fleet.recovery.shared_slow_start import OutageScope, SharedSlowStart
 from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET, SlowStartSettings
 from cottonhold.fleet.recovery.warming_engine import WarmingEngine
@@ -205,8 +205,8 @@
 
 
 def test_each_engine_is_checked_by_each_dispatcher_in_turn() -> None:
-    found = {first_prober("a0", 100.0 * k, 6) for k in range(6)}
-    firsts = [first_prober(f"e{i}", 0.0, 6) for i in range(600)]
+    found = {first_checker("a0", 100.0 * k, 6) for k in range(6)}
+    firsts = [first_checker(f"e{i}", 0.0, 6) for i in range(600)]
     assert found == set(range(6)) and min(firsts.count(n) for n in range(6)) > 60
 
 
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -123,7 +123,7 @@
         self.voters, self.going = [A, B, C], dict[int, DepartureState]()
         self.live, self.lost, self.turns = set(self.whole), 0, 0
         super().__init__(list(self.whole), lambda m, life, disk: Member(self, m, life, disk), seed)
-        self.watch = self.one_owner
+        self.after_event = self.one_owner
 
     def lose(self, member: int) -> bool:
         """Whether the outcome of a change is lost."""
@@ -139,7 +139,7 @@
         return self.service(member).remaining_count(self.now, self.going[member])
 
     def do(self, member: int, actions: Iterable[Any]) -> None:
-        self.act(member, self.running[member].pins(self.now, actions))
+        self.act(member, self.running[member].carry_out_affinity(self.now, actions))
 
     def one_owner(self) -> None:
         self.turns += 1
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -16,7 +16,7 @@
 from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.zone_state import ZonePhase
-from cottonhold.fleet_adapters.membership import REPORT, MembershipAdapter
+from cottonhold.fleet_adapters.membership import FLEET_REPORT, MembershipAdapter
 from cottonhold.fleet_adapters.zone_failover import OverrideError, ZoneFailoverAdapter
 from cottonhold.membership.codec import KeyRing
 from cottonhold.membership.duties import Duty, DutyScheduler
@@ -186,7 +186,8 @@
     other = Swim("n1", Address("127.0.0.1", 7001), SwimSettings(), 1, 1, seeds=[PLACE])
     adapter = MembershipAdapter(
         MembershipInstance(
-            swim, DutyScheduler(swim.id, [Duty(REPORT, 1000.0)], [swim.id], LeaseSettings(), clock.now(), 1)
+            swim,
+            DutyScheduler(swim.id, [Duty(FLEET_REPORT, 1000.0)], [swim.id], LeaseSettings(), clock.now(), 1),
         ),
         clock,
         Counters(),
