--- a/cottonhold/fleet/actions.py
+++ b/cottonhold/fleet/actions.py
@@ -1,4 +1,4 @@
-"""What the fleet coordinator asks its caller to do. Pure."""
+"""The actions that the fleet coordinator returns to its caller. Pure."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet/admission/capacity.py
+++ b/cottonhold/fleet/admission/capacity.py
@@ -38,8 +38,9 @@
 ) -> AvailableCapacity:
     """The capacity while engines warm up.
 
-    is_just_started: this instance has had no time yet to hear of engines; they count for what they are likely
-    to bear, since with nothing known of them it would reject what all others serve. offered_cores: by member.
+    is_just_started: this instance has had no time yet to get reports on engines; they count for what they are
+    likely to bear, since with nothing known of them it would reject what all others serve. offered_cores: by
+    member.
     """
     free, owned, assumed = 0.0, 0.0, slow_start.assumed_share()
     for zone, cores_by_engine in engines.items():
--- a/cottonhold/fleet/admission/threshold.py
+++ b/cottonhold/fleet/admission/threshold.py
@@ -158,5 +158,6 @@
         else:
             self.gain -= s.gain_rate * self.wait_error * passed_s
         self.gain = min(max(self.gain, s.min_gain), s.max_gain)
-        kept = math.exp(-passed_s)
-        self.admitted_requests, self.waits = self.admitted_requests * kept, self.waits * kept
+        remaining_share = math.exp(-passed_s)
+        self.admitted_requests *= remaining_share
+        self.waits *= remaining_share
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -124,7 +124,7 @@
     def on_loss(
         self, now: float, scope: OutageScope, zones: Iterable[str] | None = None, since: float = math.inf
     ) -> None:
-        """The membership survey has found an outage of this scope; since: when the first of those lost came
+        """The membership survey has found an outage of this scope; since: when the first of those lost was
         back."""
         if self.slow_start is not None:
             engines = None if zones is None else [e for zone in zones for e in self.engines.get(zone, ())]
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -194,7 +194,7 @@
 
     def step(self, now: float, chain: Mapping[str, plan.MachineRecord]) -> list[SendReport | CheckLiveness]:
         """Return what to report to drivers, and which engines to check."""
-        # Only engines that drain or are out: a report has room for a few, and replaced ones stay drained.
+        # Only engines that drain or are out: a report holds a few, and replaced ones stay drained.
         reported = {
             n: d for n, d in sorted(self.drained.items()) if n in chain and chain[n].step in REPORTED_STEPS
         }
@@ -258,7 +258,7 @@
     """Whether a dispatcher that has just started knows which engines are drained.
 
     Until then it sends no loads to any engine: if it was down while an engine was drained, it would send a
-    load as the engine is powered off, and nobody could tell whether it ran. Idempotent requests do not wait.
+    load as the engine is powered off, and nobody would know whether it ran. Idempotent requests do not wait.
 
     It knows once it has read all registers of the replacement from a majority. While more than half of the
     voters are absent nothing can be read, and after no_majority_timeout_ms of that it serves all the same,
--- a/cottonhold/fleet/failover_cost/cross_zone_limits.py
+++ b/cottonhold/fleet/failover_cost/cross_zone_limits.py
@@ -19,8 +19,8 @@
 @dataclass(slots=True, frozen=True)
 class CrossZoneSettings:
     """slack: that much more than the plan says may go to a zone. spill_share: and that part of what the plan
-    leaves free there. min_share: the least part of its limits that an instance uses of a zone that comes late
-    in the order. failures_until_unstable: so many failed attempts in a row mean that an engine is gone;
+    leaves free there. min_share: the least part of its limits that an instance uses of a zone that is late
+    in the order. failures_until_unstable: so many failed attempts in a row mean that an engine is down;
     warm_up_ms: so long it may be cold once it is back; cold_share: part of its cores that all cross-zone work
     together may take then."""
 
@@ -163,7 +163,7 @@
     """By zone, the part of its limit that an instance uses, so that zones first in the order are filled
     first.
 
-    needed: its work; limits: what it may send. Nothing is held back before the zones that come first can take
+    needed: its work; limits: what it may send. No zone is limited before those first in the order can take
     all of the work.
     """
     s, parts = settings or CrossZoneSettings(), dict.fromkeys(limits, 1.0)
--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -40,7 +40,7 @@
 
 
 class Question(Enum):
-    """What a plan is asked about a zone's clients, or about a zone."""
+    """A question to a plan about a zone's clients, or about a zone."""
 
     OUTAGE = "outage"  # who serves them while their zone is out
     FIRST = "first"  # who serves them first while all engines are cold
@@ -190,7 +190,7 @@
             self._follow(now, Question.FIRST, home, shares_by_zone(flows, home))
 
     def _set_plan(self, plan: SnapshotPlan) -> None:
-        """This plan is in force from now on. Answers that nobody asked for under the one before are dropped,
+        """This plan is in force from now on. Answers that nobody requested under the one before are dropped,
         so that hysteresis does not weigh them against what is wanted now."""
         before, self.plan = self.plan, plan
         self.restored_reports.clear()
@@ -251,7 +251,7 @@
     def _answer_once(
         self, plan: SnapshotPlan, question: Question, zone: str, remaining: Mapping[str, float]
     ) -> None:
-        """Let what a plan says count once, at the first time that it is asked."""
+        """Let a plan's answer count once, when it is first requested."""
         if (question, zone) not in plan.followed:
             plan.followed.add((question, zone))
             self._follow(plan.made_at, question, zone, shares_by_zone(plan.flows(remaining), zone))
@@ -380,7 +380,7 @@
         """A round of reports, as (member, message).
 
         A report nearly fills a message. In a large fleet each instance sends others' reports along in
-        messages of their own, so many that each hears of more than half of all while a report is fresh.
+        messages of their own, so many that each gets reports of more than half of all while they are fresh.
         """
         s = self.settings
         if not members or now < self.next_report:
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -56,7 +56,7 @@
         self.weights[zone, number] = self.weight(now, zone, number) + weight, now
 
     def prune(self, now: float, min_weight: float = MIN_WEIGHT) -> None:
-        """Drop what has all but decayed, so that names that occur once are not kept for good."""
+        """Drop what has all but decayed, so that names that occur once do not accumulate."""
         for key in [key for key in self.weights if self.weight(now, *key) < min_weight]:
             del self.weights[key]
 
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -43,7 +43,7 @@
     added_round_trip_ms: mean, on top, over the work that moves; moved_cores: that work. extra_cold_cores:
     cores of cold work more than now, mean of the window; negative where sharing ends. free_cores: by zone.
     warm_ms: until nine in ten of the moved uses are warm. return_ms, return_work_ms: the return if the zone
-    comes back cold. useful_cores: that are left for work once cold work is done, which a threshold may count
+    returns cold. useful_cores: that are left for work once cold work is done, which a threshold may count
     on.
     """
 
--- a/cottonhold/fleet/failover_cost/snapshot_plan.py
+++ b/cottonhold/fleet/failover_cost/snapshot_plan.py
@@ -1,4 +1,4 @@
-"""What follows from one snapshot: each question is solved once, and only if it is asked. Pure."""
+"""What follows from one snapshot: each question is solved once, and on demand only. Pure."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class SnapshotPlan:
-    """remaining: by zone, the part that there was of it. foreseen: outages that may be asked of on top, by
+    """remaining: by zone, the part that there was of it. foreseen: outages on top that may be queried, by
     zones in order. followed: questions whose answers were followed with hysteresis."""
 
     made_at: float
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -11,13 +11,13 @@
     on_retry(now, request_id, load, deadline)
                                a client's retry. Known at once, or None: then a LoadSettled follows from
                                `step` or `on_message`, at the client's deadline at the latest
-    cancel(now, request_id)    its client went away, or what was to be sent won't be
+    cancel(now, request_id)    its client has left, or the load will not be sent after all
 
 and what the membership survey found: `step(now, FleetState(...))`, at `next_at` and after each step of the
 survey. `on_message(now, number, message)` takes others' messages, by the number that the survey bound the
 sender to. Both return actions. LoadKnowledge: SUCCEEDED; MAY_HAVE_RUN: it is failed and never sent;
 NEVER_SENT: it is this instance's to send at once (`on_sent` follows, or `cancel`); NOT_KNOWN_YET within the
-client's deadline: it is rejected and may come back after `retry_after_ms`.
+client's deadline: it is rejected and may be retried after `retry_after_ms`.
 
 Rule: an own record decides at once. Else every other configured dispatcher has to have said that it never
 sent it, on a query of this very retry, or to be proven silent. One whose memory is empty or stale says
@@ -25,18 +25,18 @@
 NOT_KNOWN_YET. While `has_pending`, the survey has to `expedite`: what it says of silent ones must be newer
 than the retry.
 
-No two send one load (proof). Whoever has a retry pending says MAY_HAVE_RUN to others that ask, unless theirs
-ranks higher (by a hash of number and load): then it gives its own up, as MAY_HAVE_RUN. Of two that both got
-the other's NEVER_SENT, each would have answered before it began to ask and so each before the other (Ricart
-and Agrawala, "An Optimal Algorithm for Mutual Exclusion in Computer Networks"). Where one is taken for
-silent, more than half of the configured ones have said so since, and have answered; two such queries meet at
-one of these, and the second hears ALSO_QUERIED, which is MAY_HAVE_RUN where anybody is silent. A first
-request that is queued here and that another has asked about is not sent: `begin` is False.
-
-Retention: a client asks first at t and waits for at most the longest deadline L; at t + L at the latest it
-knows that its load broke, and asks again; that retry waits for at most L too. So what was sent at t is asked
-about until t + 2 L, and a slack covers retries after a pause. A retry that was told NOT_KNOWN_YET may come
-back after that: so a retry counts from the first time it was heard of, here or where it is queried.
+No two send one load (proof). Whoever has a retry pending answers others' queries with MAY_HAVE_RUN, unless
+theirs ranks higher (by a hash of number and load): then it gives its own up, as MAY_HAVE_RUN. Of two that
+both got the other's NEVER_SENT, each would have answered before it began to query and so each before the
+other (Ricart and Agrawala, "An Optimal Algorithm for Mutual Exclusion in Computer Networks"). Where one is
+taken for silent, more than half of the configured ones have said so since, and have answered; two such
+queries meet at one of these, and the second is answered ALSO_QUERIED, which is MAY_HAVE_RUN where anybody is
+silent. A first request that is queued here and that another has queried is not sent: `begin` is False.
+
+Retention: a client sends its first request at t and waits for at most the longest deadline L; at t + L at the
+latest it knows that its load failed, and retries; that retry waits for at most L too. So what was sent at t
+is queried until t + 2 L, and a slack covers retries after a pause. A retry that was answered NOT_KNOWN_YET
+may be repeated after that: so a retry counts from the first time it was known, here or where it is queried.
 """
 
 from __future__ import annotations
@@ -109,7 +109,7 @@
 
     def begin(self, now: float, load: bytes) -> bool:
         """A load that isn't marked as a retry is about to be made durable and sent. False if another has
-        asked about it: its client may have given up here, and it runs elsewhere by this instance's word."""
+        queried it: its client may have given up here, and it runs elsewhere by this instance's answer."""
         if load in self.local.queried or load in self.granted:
             return False
         if self.local.is_full(load):
@@ -119,7 +119,7 @@
         return True
 
     def on_sent(self, now: float, load: bytes) -> None:
-        """It is sent now: after `begin`, or as what a retry was told NEVER_SENT for."""
+        """It is sent now: after `begin`, or after a retry was answered NEVER_SENT."""
         request_id = self.granted.pop(load, None)
         if request_id is not None:
             self.load_by_request.pop(request_id, None)
@@ -167,7 +167,7 @@
                 del self.pending[load]
 
     def answer_unavailable(self, now: float, load: bytes) -> LoadKnowledge:
-        """What a client's retry is told while this instance can't accept its load at all."""
+        """The answer to a client's retry while this instance can't accept its load at all."""
         knowledge = self._knowledge(now, load)
         if knowledge is not None:
             return knowledge
@@ -297,9 +297,9 @@
     ) -> bool:
         """Whether a load may have run though nobody says so.
 
-        One that answers doesn't know, or this instance's own memory is not intact. Or another asks too, and
-        both take each other for silent. Or the client has come back for so long that the sender, on either
-        side of a partition, may have forgotten its load.
+        One that answers doesn't know, or this instance's own memory is not intact. Or another has queried it
+        too, and both take each other for silent. Or the client has retried for so long that the sender, on
+        either side of a partition, may have forgotten its load.
         """
         statements = pending.statements.values()
         if LoadStatement.UNKNOWN in statements or self.local.is_late(now, queried):
@@ -313,7 +313,7 @@
 
     def _cannot_have_sent(self, number: int, first_query_at: float, pending: PendingRetry) -> bool:
         """Whether a dispatcher is proven silent since so long before the first query that whatever it sent
-        can't be what is asked about."""
+        can't be the load in question."""
         silence = self.fleet.silent.get(number)
         if silence is None or silence.valid_until < pending.started_at:
             return False
@@ -339,10 +339,10 @@
             del self.pending[load]
 
     def _unsettled(self, now: float, load: bytes, pending: PendingRetry) -> LoadKnowledge:
-        """What a retry is told that could not be settled in time.
+        """The answer to a retry that could not be settled in time.
 
         One that doesn't know may say NEVER_SENT later on, of what it sent before it lost its memory: so the
-        load is given up. Else the client may come later, if half of the fleet heard of its retry: they are
+        load is given up. Else the client may retry later, if half of the fleet knows of its retry: they are
         among any that can settle it as NEVER_SENT, and say then for how long it has been queried.
         """
         if LoadStatement.UNKNOWN in pending.statements.values():
@@ -351,7 +351,7 @@
         return LoadKnowledge.NOT_KNOWN_YET if is_noted else self._unconfirmed(now, load)
 
     def _unconfirmed(self, now: float, load: bytes) -> LoadKnowledge:
-        """What a retry is told that too few others have heard of: to come later, but not for long, since
+        """The answer to a retry that too few others know of: to retry later, but not for long, since
         whoever sent its load will forget it."""
         queried_ms = now - self.local.queried[load].first_at
         may_retry = queried_ms <= self.settings.max_unconfirmed_ms
--- a/cottonhold/fleet/recovery/load_history_interface.py
+++ b/cottonhold/fleet/recovery/load_history_interface.py
@@ -17,10 +17,10 @@
 @dataclass(slots=True, frozen=True)
 class LoadHistorySettings:
     """Times in ms. retention_ms: see `retention_ms_for`. retry_ms, max_retry_ms: a query that isn't answered
-    is sent again after so long, doubled up to the second. retry_after_ms: told with NOT_KNOWN_YET.
-    max_unconfirmed_ms: for so long a retry that too few others have heard of is told NOT_KNOWN_YET; less than
+    is sent again after so long, doubled up to the second. retry_after_ms: sent with NOT_KNOWN_YET.
+    max_unconfirmed_ms: for so long a retry that too few others know of is answered NOT_KNOWN_YET; less than
     the slack of `retention_ms_for` by a few pauses. announcements: how often loads of earlier boots are
-    announced. max_loads: remembered, queried and pending, each; beyond, retries are told NOT_KNOWN_YET at
+    announced. max_loads: remembered, queried and pending, each; beyond, retries are answered NOT_KNOWN_YET at
     once."""
 
     retention_ms: float
@@ -35,7 +35,7 @@
 @dataclass(slots=True, frozen=True)
 class FleetState:
     """What the survey knows. memory: this instance's, STALE once that was found out. silent: by number, those
-    proven so. is_partitioned: one that isn't can't be heard."""
+    proven so. is_partitioned: one that isn't is unreachable."""
 
     may_send_loads: bool
     has_confirmed_memory: bool
--- a/cottonhold/fleet/recovery/load_queries.py
+++ b/cottonhold/fleet/recovery/load_queries.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class SentQuery:
-    """A query that was sent, so that its answer can be told from a forged or late one."""
+    """A query that was sent, so that its answer can be distinguished from a forged or late one."""
 
     sent_at: float
     dispatcher: int
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class PendingRetry:
-    """A retry that is being settled. deadlines: by request that waits. noted_by: who has heard of it.
+    """A retry that is being settled. deadlines: by request that waits. noted_by: who knows of it.
     statements, query_at, retry_ms: by number."""
 
     started_at: float
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -1,4 +1,4 @@
-"""What one instance itself knows of loads: those it sent, and those that it was asked about. Pure.
+"""What one instance itself knows of loads: those it sent, and those that were queried here. Pure.
 
 Times are ms of this instance's monotonic clock. An entry expires one retention after its end, or after this
 start where an earlier boot sent it; a queried load one retention after it was last queried. While an instance
@@ -26,7 +26,7 @@
 
 
 def retention_ms_for(deadlines_ms: Iterable[float], slack_ms: float = 10_000.0) -> float:
-    """How long after it was sent a load can still be asked about: see load_history."""
+    """How long after it was sent a load can still be queried: see load_history."""
     return 2 * max(deadlines_ms, default=0.0) + slack_ms
 
 
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class QueriedLoad:
-    """Retries of a load that were heard of here: when first and last, and the dispatchers that asked."""
+    """Retries of a load that are known here: when first and last, and the dispatchers that queried it."""
 
     first_at: float
     last_at: float
@@ -82,7 +82,7 @@
         self, now: float, recorded: Sequence[RecordedLoad], retention_ms: float, max_loads: int
     ) -> None:
         self.retention_ms, self.max_loads, self.started_at = retention_ms, max_loads, now
-        self.partitioned_at = -math.inf  # when last one that isn't proven silent could not be heard
+        self.partitioned_at = -math.inf  # when one that isn't proven silent was last unreachable
         self.entries: dict[bytes, Entry] = {}
         self.queried: dict[bytes, QueriedLoad] = {}
         self.reported: dict[bytes, float] = {}  # others' loads of earlier boots, and when each expires
@@ -144,16 +144,16 @@
         return queried.first_at <= self.started_at + self.retention_ms
 
     def is_late(self, now: float, queried: QueriedLoad) -> bool:
-        """Whether its client has come back for so long that whoever sent it may have forgotten it. What was
-        sent at s is kept until s + `retention_ms` at least; its client asked first at s + the longest
+        """Whether its client has retried for so long that whoever sent it may have forgotten it. What was
+        sent at s is kept until s + `retention_ms` at least; its client queried it first at s + the longest
         deadline at the latest; and half a retention is no more than what remains."""
         return now - queried.first_at > self.retention_ms / 2
 
     def expire(self, now: float, pending: Iterable[bytes]) -> None:
-        """Drop what can't be asked about any more, but for pending loads.
+        """Drop what can't be queried any more, but for pending loads.
 
         During a partition, and one retention after it, entries are kept while there is capacity: the client
-        of one may have been told to come later on the other side all the while.
+        of one may have been told to retry later on the other side all the while.
         """
         pending_loads, oldest = set(pending), now - self.retention_ms
         expired = {load for load, entry in self.entries.items() if entry.expires_at <= now}
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -104,7 +104,7 @@
         self.checkpoint_requested_at = now
         self.number_by_member: dict[int, int] = {}
         self.live: list[int] = []
-        self.next_target = 0  # whose report goes out next
+        self.next_target = 0  # who gets the next report
         self.rotation = 0  # of the peers that a report names
         self.view = SurveyView()
         self.covered_until = -math.inf  # starts up to here belong to a loss of the fleet that is over
@@ -185,7 +185,7 @@
         return peer.member or None if peer is not None else None
 
     def incarnation_of(self, number: int) -> int:
-        """The incarnation that stands for a number now; 0 where none was heard."""
+        """The incarnation that stands for a number now; 0 where none has reported."""
         peer = self.peers.get(number)
         return peer.current.id if peer is not None and peer.current is not None else 0
 
@@ -196,7 +196,7 @@
     def may_send_loads(self, now: float) -> bool:
         """Whether this instance may send loads: it is no second process of its number, its memory has been
         judged by others (a folder that was copied before this incarnation has the same checkpoint), and half
-        of the configured ones hear it."""
+        of the configured ones receive its reports."""
         if self.duplicate is not None and self.duplicate.is_later:
             return False
         if self.memory is MemoryState.INTACT and not (self.is_memory_confirmed or self.is_memory_doubted):
@@ -222,7 +222,7 @@
         return proofs
 
     def is_partitioned(self, silent: Mapping[int, ProvenSilence]) -> bool:
-        """Whether one can't be heard that isn't among the proven silent ones."""
+        """Whether one is unreachable that isn't among the proven silent ones."""
         return not self.view.missing <= silent.keys()
 
     def next_at(self) -> float:
@@ -297,7 +297,7 @@
         return OutageVerdict.SOME if restarted else OutageVerdict.NOTHING
 
     def _is_majority(self, numbers: frozenset[int]) -> bool:
-        """More than half of the configured ones: not of those that happen to be heard."""
+        """More than half of the configured ones: not of those that happen to be reachable."""
         return 2 * len(numbers) > self.dispatchers
 
     def _check_identity(self) -> None:
@@ -327,7 +327,7 @@
 
     def _check_memory(self, now: float) -> None:
         """Whether the folder's loads are complete, and up to which checkpoint. A memory that nobody confirmed
-        within the retention is stale: what is reported from now on others confirm, what was asked before is
+        within the retention is stale: what is reported from now on others confirm, what was queried before is
         unknown."""
         self._confirm_memory(now)
         is_retention_over = now > self.started_at + self.settings.retention_ms
@@ -375,7 +375,7 @@
 
     def presence_for(self, now: float, receiver: int | None = None) -> Presence:
         """This instance's report, for a number or for a member whose number is not known yet. Peers that
-        aren't heard come first: that they are silent is what others wait to hear."""
+        are silent come first: that is what others wait for."""
         oldest = now - self.settings.max_report_age_ms
         numbers = peers_to_report(self.peers, oldest, receiver, self.rotation)
         states = tuple(self.peers[n].state(now, self.settings.min_alternations) for n in numbers)
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -1,4 +1,4 @@
-"""What instances tell one another after a power loss: who is there, and which loads may have run. Pure.
+"""What instances report to one another after a power loss: who is there, and which loads may have run. Pure.
 
     PRESENCE     kind 1 | number 2 | boot count 4 | checkpoint 8 | incarnation 4 | uptime ms 4 |
                  memory and clean 1 | peers 1 | peers, each: number 2 | boot count 4 | incarnation 4 |
@@ -40,7 +40,7 @@
 # Of one boot; the rest of a checkpoint counts the marks of that boot's incarnation.
 CHECKPOINTS_PER_BOOT = 1 << 32
 AGE_STEP_MS = 10.0
-AGE_NEVER = 0xFFFF  # the age of a report that never came
+AGE_NEVER = 0xFFFF  # the age of a report that never arrived
 
 # Bits of the flags.
 MEMORY_BITS = 3
@@ -56,7 +56,7 @@
 
     EMPTY = 0  # its folder was empty: what it sent before is unknown
     INTACT = 1  # complete up to the power loss
-    STALE = 2  # a copy of an earlier day: what came after it is unknown
+    STALE = 2  # a copy of an earlier day: what happened after it is unknown
 
 
 class LoadStatement(IntEnum):
--- a/cottonhold/fleet/recovery/peer_observations.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -1,4 +1,5 @@
-"""What one instance has heard of another: its incarnation, its boot, and what it says of third ones. Pure.
+"""What one instance knows of another by its reports: incarnation, boot count, and its view of third ones.
+Pure.
 
 Incarnations are told apart by a number drawn at each start. Start times are on this instance's clock, from
 reported uptimes: at the latest, by how long a report was under way. Reports merge in any order: of one
@@ -39,7 +40,7 @@
     boot_count, checkpoint: the highest known. previous: the incarnation before. alternations: how often the
     two reported in turns. rivals: reports of other members in its name while it was there. has_stale_folder:
     the incarnation began with a checkpoint that was exceeded already. echoed_at: when the newest of our
-    reports that it has heard was sent. silences: by number, what it last heard of third ones.
+    reports that it has received was sent. silences: by number, when it last received reports of third ones.
     """
 
     number: int
@@ -106,7 +107,7 @@
     def on_view_of_third(self, now: float, state: PeerState, max_report_age_ms: float) -> None:
         """What it knows of a third one. Call it after `on_view_of_self` of the same report.
 
-        One that has not heard it in its current incarnation may have heard it until that began.
+        One that has received none in its current incarnation may have received some until that began.
         """
         assert self.current is not None
         if state.age_ms is not None and state.age_ms <= max_report_age_ms:
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -90,7 +90,7 @@
         since: float = math.inf,
     ) -> None:
         """The membership survey has found an outage. engines: of its zones; since: when the first of those
-        lost came back.
+        lost was back.
 
         After the loss of a zone or of all, each of its engines that is free counts as one that starts, and
         has to answer first. One that has answered since then goes on as old as its first answer at least. So
--- a/cottonhold/fleet/recovery/survey_peers.py
+++ b/cottonhold/fleet/recovery/survey_peers.py
@@ -31,7 +31,7 @@
 ) -> list[int]:
     """The numbers that a report names: its receiver first, then silent peers, then reachable ones.
 
-    That a peer is silent is what others wait to learn. oldest: whoever was last heard before is silent;
+    That a peer is silent is what others wait for. oldest: whoever last reported before is silent;
     rotation: grows with each report, so that all peers are named in the course of time.
     """
     numbers = [receiver] if receiver is not None else []
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -1,4 +1,4 @@
-"""What a membership survey finds and asks for: verdicts, actions, and the times it goes by. Pure."""
+"""Verdicts and actions of a membership survey, and its settings. Pure."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 class OutageVerdict(Enum):
     """What was away. ALONE: this instance and no other. SOME: one or several, no whole zone of them. ZONE:
     all dispatchers of a zone or more. FLEET: more than half of the configured ones. CUT_OFF: fewer than half
-    are heard, this one counted, and not more than half are known to have restarted."""
+    are reachable, this one counted, and not more than half are known to have restarted."""
 
     NOTHING = "nothing"
     ALONE = "alone"
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -136,7 +136,7 @@
 def pool_observations(
     observations: Sequence[EngineObservation], unheard_factor: float, quorum: int = SHARE_QUORUM
 ) -> PooledObservation:
-    """Observations of one engine taken together. unheard_factor: instances for each one that was heard.
+    """Observations of one engine taken together. unheard_factor: instances for each one that reported.
 
     No instance may claim far more work than the median, nor be the one whose speed counts: one that lies must
     not lift the share for all.
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -270,7 +270,7 @@
             if name == self.view.local_machine and self._must_not_serve(r):
                 wanted.add(name)
         actions: list[Action] = [Drain(name) for name in sorted(wanted - self.drained)]
-        # While a part of the chain is being read again, machines on it seem to be gone.
+        # While a part of the chain is being read again, machines on it seem to be missing.
         released = self.drained - wanted if self.view.is_complete else set[str]()
         actions += [Undrain(name) for name in sorted(released)]
         self.drained = (self.drained | wanted) - released
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -260,7 +260,7 @@
     def _with_next_driver(
         self, name: str, record: MachineRecord, next_record: MachineRecord
     ) -> MachineRecord:
-        """A machine that goes out names another driver for what follows."""
+        """The record, with another driver for what follows where this machine is taken out itself."""
         if next_record.step is not ReplacementStep.OUT or name != self.view.local_machine:
             return next_record
         others = self._candidates(name, next_record)
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -141,8 +141,8 @@
 class OwnershipRecord:
     """What this member knows of a key that its home does not simply own.
 
-    peer: the target of a move, or at the target the member from which the key comes. offered_epoch: the epoch
-    under which the key is offered.
+    peer: the target of a move, or at the target the member from which the key is moved. offered_epoch: the
+    epoch under which the key is offered.
     """
 
     epoch: int
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -17,7 +17,7 @@
 from cottonhold.fleet.zone_failover.messages import Vote, ZoneReport
 from cottonhold.fleet.zone_failover.zone_state import LocalEvidence, PhaseChange, ZonePhase, ZoneState
 
-# What speaks against joining others: so many served attempts, and at most this share of bad ones.
+# What keeps an instance from joining others: so many served attempts, and at most this share of bad ones.
 MIN_HEALTHY_ATTEMPTS = 3
 MAX_HEALTHY_BAD_SHARE = 0.1
 MIN_CERTAIN = 2  # one instance alone, which lies or has a bad link, never moves another
@@ -95,10 +95,8 @@
 
     def set_zones(self, names: Iterable[str]) -> None:
         """Exactly these zones exist."""
-        initial_hold_down_ms = self.settings.hold_down_ms
-        self.states = {
-            name: self.states.get(name) or ZoneState(hold_down_ms=initial_hold_down_ms) for name in names
-        }
+        hold_down_ms = self.settings.hold_down_ms
+        self.states = {name: self.states.get(name) or ZoneState(hold_down_ms=hold_down_ms) for name in names}
 
     def step(
         self,
@@ -178,15 +176,10 @@
 
     def _reduce_hold_down(self, state: ZoneState) -> None:
         """Quiet time takes back what failed returns added to the hold-down."""
-        s = self.settings
-        if (
-            self.now - max(state.since, state.hold_down_reduced_at) > s.quiet_ms
-            and state.hold_down_ms > s.hold_down_ms
-        ):
-            state.hold_down_ms, state.hold_down_reduced_at = (
-                max(s.hold_down_ms, state.hold_down_ms / 2),
-                self.now,
-            )
+        s, quiet_since = self.settings, max(state.since, state.hold_down_reduced_at)
+        if self.now - quiet_since > s.quiet_ms and state.hold_down_ms > s.hold_down_ms:
+            state.hold_down_ms = max(s.hold_down_ms, state.hold_down_ms / 2)
+            state.hold_down_reduced_at = self.now
 
     def _decide_return(
         self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
@@ -236,8 +229,9 @@
         """Whether to evacuate a zone by others' evidence, as instances with little traffic have to.
 
         It takes more than a third that are certain, or half of all that suspect the same. And it takes bad
-        attempts of its own, or too few attempts to tell: a zone that is cut off from one half of the fleet
-        must not be evacuated by the other. What was seen since the others spoke counts until a bad attempt.
+        attempts of its own, or too few attempts to judge by: a zone that is cut off from one half of the
+        fleet must not be evacuated by the other. What was seen since the others spoke counts until a bad
+        attempt.
         """
         if not self._is_joining_requested(evidence, reports, electorate):
             state.joining_requested_at = math.inf
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -152,7 +152,7 @@
         return log_ratios[len(log_ratios) // 2] if log_ratios else 0.0
 
     def score(self, threshold: float) -> float:
-        """The engines' sums, each up to what half of those heard of have to reach together.
+        """The engines' sums, each up to what half of the engines with results have to reach together.
 
         So no engine counts for more than its part, and one is never enough where there are two: a failed
         engine and one bad answer of another are no fault of the zone.
@@ -287,7 +287,7 @@
 
         Without another zone in service nothing is an outlier: there is nowhere to go, and slowness may be
         load. The median of the newest durations counts, since a loaded zone's few long waits say little, and
-        both ends of them have to agree, since a common fault comes and goes in all zones a moment apart.
+        both ends of them have to agree, since a common fault begins and ends in all zones a moment apart.
         """
         in_service = [
             z for z in self.zones.values() if z is not zone and not z.is_evacuated and not z.is_returning
--- a/cottonhold/fleet/zone_failover/usual_duration.py
+++ b/cottonhold/fleet/zone_failover/usual_duration.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-MIN_KNOWN = 5  # fewer answers tell nothing of what is usual
+MIN_KNOWN = 5  # fewer answers do not show what is usual
 EARLY_COUNT = 30  # up to so many answers the plain mean of them all counts
 MIN_DURATION_MS = 0.1
 LOW_WEIGHT = 1 / 6  # of answers above the low expectile, against those below
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -34,7 +34,7 @@
 WAIT_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, MAX_WAIT_MS)
 MAX_HOPS_WITHOUT_PAUSE = 3  # the home, the owner, and one move in between
 MAX_HINTS = 20_000
-RETRY_RESERVE_MS = 100.0  # of its time that is left when a client is told to retry
+RETRY_RESERVE_MS = 100.0  # of its time that remains when a client is told to retry
 ANSWER_RESERVE_MS = 50.0  # of the client's time, for the answer to a forwarded request
 
 
--- a/cottonhold/fleet_adapters/load_conversions.py
+++ b/cottonhold/fleet_adapters/load_conversions.py
@@ -8,14 +8,14 @@
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
 from cottonhold.node.client_request import ClientRequest
 from cottonhold.node.load_guard import LoadOutcome
-from cottonhold.scheduler.events import Outcome
+from cottonhold.scheduler import retry_policy
 from cottonhold.scheduler.settings import Idempotency, Settings
 from cottonhold.store.records import LoadRecord, LoadState, decode_loads
 
-EXPIRE_INTERVAL_MS = 1000.0  # between two removals of loads that can't be asked about any more
+EXPIRE_INTERVAL_MS = 1000.0  # between two removals of loads that can't be queried any more
 
 # What proves that an attempt never ran; None: it was never started.
-NEVER_RAN = (None, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
+NEVER_RAN = (None, *retry_policy.NEVER_RAN)
 
 STATE_OF_RESULT = {
     LoadResult.SUCCEEDED: LoadState.COMPLETED,
@@ -52,7 +52,7 @@
 
 
 def outcome_of(knowledge: LoadKnowledge, may_report_success: bool) -> LoadOutcome:
-    """What the gateway is told. may_report_success: its class allows a success to be reported without the
+    """The outcome for the gateway. may_report_success: its class allows a success to be reported without the
     result."""
     if knowledge is LoadKnowledge.SUCCEEDED:
         return LoadOutcome.COMPLETED if may_report_success else LoadOutcome.MAY_HAVE_RUN
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -119,7 +119,7 @@
 
     def _reject_unrecordable(self, request: ClientRequest, on_settled: LoadOutcomeCallback) -> bool:
         """Whether a request was rejected, since its load can't be recorded or may not be sent now. A retry is
-        noted in the history, which bounds for how long it is told to come later."""
+        noted in the history, which bounds for how long it is told to retry later."""
         can_record = self._check_disk() is DiskState.HEALTHY
         if can_record and (request.is_retry or self.may_send()):
             return False
@@ -132,7 +132,7 @@
         return True
 
     def _query(self, request: ClientRequest, deadline: float, on_settled: LoadOutcomeCallback) -> None:
-        """A load that is the first of its key: others are asked about a retry."""
+        """A load that is the first of its key: others are queried about a retry."""
         if not request.is_retry:
             on_settled(LoadOutcome.NEVER_RAN, 0.0)
             return
@@ -257,7 +257,7 @@
         return self.disk_state
 
     def expire(self) -> None:
-        """Once a second: drop records of loads that can't be asked about any more from the disk too."""
+        """Once a second: drop records of loads that can't be queried any more from the disk too."""
         now = self.now()
         if now - self.expired_at < EXPIRE_INTERVAL_MS:
             return
@@ -273,7 +273,7 @@
         )
         if evicted.early_count:
             self.counters.add("loads_forgotten_early", evicted.early_count)
-        # What the history still has may yet be asked about, also after a power loss.
+        # What the history still has may yet be queried, also after a power loss.
         known = self.history.local.entries
         keys = [key for key in evicted.keys if evicted.early_count or key not in known]
         if keys and self.disk_state is DiskState.HEALTHY:
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -86,7 +86,7 @@
 
 
 def retention_ms_of(installation: Installation) -> float:
-    """How long after it was sent a load can still be asked about."""
+    """How long after it was sent a load can still be queried."""
     classes = installation.file.classes
     return retention_ms_for(
         classes[i].deadline_ms for i in guarded_class_indices(installation.config.settings)
--- a/cottonhold/fleet_adapters/recovery_folder.py
+++ b/cottonhold/fleet_adapters/recovery_folder.py
@@ -1,4 +1,4 @@
-"""What recovery keeps in an instance's folder, and reads from it at the start."""
+"""What recovery stores in an instance's folder, and reads from it at the start."""
 
 from __future__ import annotations
 
--- a/cottonhold/fleet_adapters/unavailable_load_guard.py
+++ b/cottonhold/fleet_adapters/unavailable_load_guard.py
@@ -17,7 +17,7 @@
 class UnavailableLoadGuard:
     """The guard while the folder is another process's still, or its disk fails: no load is sent, all else is.
 
-    classes: by guarded class, whether a success may be reported; retry_after_ms: told with each rejection.
+    classes: by guarded class, whether a success may be reported; retry_after_ms: sent with each rejection.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
     def on_load_arrived(
         self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
     ) -> None:
-        """Answered at once: to come later, or what is known of a retry. A retry is noted in the history,
-        which bounds for how long it is told to come later."""
+        """Answered at once: to retry later, or what is known of a retry. A retry is noted in the history,
+        which bounds for how long it is told to retry later."""
         self.counters.add("loads_unkept")
         knowledge, now = LoadKnowledge.NOT_KNOWN_YET, self.now()
         if client_request.is_retry:
--- a/cottonhold/fleet_adapters/write_queue.py
+++ b/cottonhold/fleet_adapters/write_queue.py
@@ -48,8 +48,8 @@
         self.is_paused = False
 
     def put(self, record: Record, on_durable: Callback = _nothing, on_refused: Callback = _nothing) -> None:
-        """Write a record. on_durable is called once it is durable, unless another record of its key came
-        before that; on_refused each time that the disk doesn't take it."""
+        """Write a record. on_durable is called once it is durable, unless another record of its key was
+        put before that; on_refused each time that the disk doesn't take it."""
         row_key = record.kind, record.key
         self.pending.pop(row_key, None)
         self.pending[row_key] = PendingWrite(record, on_durable, on_refused)
@@ -76,7 +76,8 @@
             if self.pending and not self.in_flight:
                 self._write()
             return
-        # These go before what came since: a vote must not be durable without the promises that it rests on.
+        # These are written before what was put since: a vote must not be durable without the promises that it
+        # rests on.
         self.pending = {
             row_key: entry for row_key, entry in writing.items() if row_key not in self.pending
         } | self.pending
