--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -20,8 +20,8 @@
 import numpy as np
 
 from cottonhold.emulator.recovery import MEAN_WORK_MS, REQUEST_CLASSES, PowerReturn, PowerReturnPlan
-from cottonhold.fleet.coordinator import FleetSettings
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
+from cottonhold.fleet.settings import FleetSettings
 
 USUAL_LOAD = 0.6  # of what warm engines do
 ENGINES = {5: 9, 50: 75, 500: 150}  # by number of instances
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from cottonhold.emulator.fleet import FleetWorld
-from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 
 OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements" / "fleet-core.md"
 FAULT_BEGIN, FAULT_END, END = 4000.0, 10_000.0, 20_000.0
@@ -68,7 +68,7 @@
         change
         for node in world.nodes.values()
         for _, change in node.phase_changes
-        if change.phase is Phase.EVACUATED
+        if change.phase is ZonePhase.EVACUATED
     ]
     return len(evacuations), int(any(change.reason in FLEET_REASONS for change in evacuations))
 
@@ -120,7 +120,7 @@
         "most": max(shares_after) / fair_share,
         "full": recovered[0] if recovered else np.inf,
         "wrong": sum(
-            zone != FAULTY_ZONE and phase is Phase.EVACUATED
+            zone != FAULTY_ZONE and phase is ZonePhase.EVACUATED
             for changes in _phase_changes(world)
             for _, zone, phase in changes
         ),
@@ -131,7 +131,7 @@
     }
 
 
-def _phase_changes(world: FleetWorld) -> list[list[tuple[float, str, Phase]]]:
+def _phase_changes(world: FleetWorld) -> list[list[tuple[float, str, ZonePhase]]]:
     """Time, zone and phase of each change, by instance."""
     return [
         [(at, change.zone, change.phase) for at, change in node.phase_changes]
@@ -139,9 +139,9 @@
     ]
 
 
-def _evacuated_after(changes: list[tuple[float, str, Phase]]) -> float:
+def _evacuated_after(changes: list[tuple[float, str, ZonePhase]]) -> float:
     """Ms from the fault until an instance first evacuates the faulty zone."""
-    times = [at for at, zone, phase in changes if zone == FAULTY_ZONE and phase is Phase.EVACUATED]
+    times = [at for at, zone, phase in changes if zone == FAULTY_ZONE and phase is ZonePhase.EVACUATED]
     return min(times, default=np.inf) - FAULT_BEGIN
 
 
--- a/cottonhold/emulator/fault_injection/machines.py
+++ b/cottonhold/emulator/fault_injection/machines.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from cottonhold.fleet_adapters.recovery_folder import BASE_KEY
+from cottonhold.fleet_adapters.recovery_folder import CHECKPOINT_BOOT_KEY
 from cottonhold.store.ledger import Ledger, LedgerSettings
 from cottonhold.store.records import Record, RecordKind
 
@@ -62,7 +62,9 @@
         settings = LedgerSettings(stall_timeout_ms=WRITE_TIMEOUT_MS)
         ledger = Ledger.open(self.state_folder(name), name, settings=settings)
         ledger.mark_complete()
-        ledger.put([Record(RecordKind.INCARNATION, BASE_KEY, ledger.boot_count.to_bytes(8, "big"))])
+        ledger.put(
+            [Record(RecordKind.INCARNATION, CHECKPOINT_BOOT_KEY, ledger.boot_count.to_bytes(8, "big"))]
+        )
         ledger.close(clean=True)
 
     def set_disk(self, name: str, state: str, **faults: Any) -> None:
--- a/cottonhold/emulator/fleet.py
+++ b/cottonhold/emulator/fleet.py
@@ -18,9 +18,11 @@
 from cottonhold.discovery.model import Address
 from cottonhold.emulator.credit_account import CreditAccount
 from cottonhold.emulator.network import Datagram, Network
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.actions import SendFleetMessage
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
-from cottonhold.fleet.zone_failover.evacuation import PhaseChange
+from cottonhold.fleet.settings import FleetSettings
+from cottonhold.fleet.zone_failover.zone_state import PhaseChange
 
 TIMEOUT_MS = 2000.0
 CHECK_INTERVAL_MS = 500.0  # between two health checks of an engine
@@ -171,7 +173,7 @@
         datagrams: list[Datagram] = []
         for action in actions:
             match action:
-                case SendMessage(member, data):
+                case SendFleetMessage(member, data):
                     datagrams.append((data, address_of(member)))
                 case EngineBounds():
                     self.credits.set_bounds(now, action)
--- a/cottonhold/emulator/model_checker.py
+++ b/cottonhold/emulator/model_checker.py
@@ -20,7 +20,7 @@
 from enum import Enum, StrEnum
 from typing import Any, NamedTuple
 
-from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.actions import PersistState, SendConsensusMessage
 
 SETTLING_ROUNDS = 60  # of messages and due steps in a quarter of a tick
 INITIAL_SETTLING_TICKS, FINAL_SETTLING_TICKS = 40, 80
@@ -139,7 +139,7 @@
     def carry_out(self, member: int, actions: Iterable[Any]) -> None:
         """Carry out a machine's actions."""
         for action in actions:
-            if isinstance(action, SendMessage):
+            if isinstance(action, SendConsensusMessage):
                 if action.member in self.disks:
                     self.in_flight[Message(action.member, member, action.payload)] = self.max_deliveries
             elif isinstance(action, PersistState):
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -23,8 +23,10 @@
     Request,
     Server,
 )
-from cottonhold.fleet.coordinator import Action, FleetCoordinator, FleetSettings, SendMessage
+from cottonhold.fleet.actions import Action, SendFleetMessage
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
+from cottonhold.fleet.settings import FleetSettings
 
 CANDIDATE_ENGINES = 8  # that the scheduler compares
 EJECTION_MS = 2000.0  # of an engine that failed
@@ -95,7 +97,7 @@
     def carry_out(self, now: float, actions: Iterable[Action]) -> None:
         """Send messages, and apply bounds."""
         for action in actions:
-            if isinstance(action, SendMessage):
+            if isinstance(action, SendFleetMessage):
                 target = self.world.coordinated[action.member - 1]
                 deliver = partial(target.on_message, self.fleet.self_id, action.data)
                 self.world.call_at(now + MESSAGE_DELAY_MS, deliver)
--- a/cottonhold/emulator/recovery.py
+++ b/cottonhold/emulator/recovery.py
@@ -26,10 +26,12 @@
     RequestEvent,
     SharedThreshold,
 )
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, SendMessage, ThresholdUpdate
+from cottonhold.fleet.actions import SendFleetMessage, ThresholdUpdate
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
-from cottonhold.fleet.recovery.first_prober import first_prober
-from cottonhold.fleet.recovery.slow_start import OutageScope
+from cottonhold.fleet.recovery.first_checker import first_checker
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope
+from cottonhold.fleet.settings import FleetSettings
 
 REQUEST_CLASSES = (
     RequestClass(1.0, share=0.48),
@@ -156,7 +158,7 @@
         """Carry out the coordinator's actions."""
         for action in actions:
             match action:
-                case SendMessage(member, data):
+                case SendFleetMessage(member, data):
                     self.world.send_message(now, self.number, member - 1, data)
                 case EngineBounds():
                     self.credits.set_bounds(now, action)
@@ -212,7 +214,7 @@
         rounds: list[dict[int, list[int]]] = [{} for _ in range(count)]
         for engine, name in enumerate(self.engine_names):
             for number, engines_by_instance in enumerate(rounds):
-                instance = first_prober(name, CHECK_INTERVAL_MS * number, count)
+                instance = first_checker(name, CHECK_INTERVAL_MS * number, count)
                 engines_by_instance.setdefault(instance, []).append(engine)
         return rounds
 
--- a/cottonhold/emulator/replacement_fleet.py
+++ b/cottonhold/emulator/replacement_fleet.py
@@ -153,7 +153,7 @@
     def are_over(self, *machines: str) -> bool:
         """Whether the replacements of all these machines have ended, and no machine is out."""
         records = [self.record(m) for m in machines]
-        return all(r is not None and r.is_over for r in records) and not self.plan().machines_out
+        return all(r is not None and r.is_over for r in records) and not self.plan().active_machine_ids
 
     def driver(self, machine: str) -> str:
         """The name of the host that drives a machine's replacement; empty if none does."""
--- a/cottonhold/emulator/replacement_invariants.py
+++ b/cottonhold/emulator/replacement_invariants.py
@@ -80,7 +80,9 @@
 
     def _check_starts(self, before: bytes, after: bytes) -> None:
         """No machine is taken out while a zone's trouble is known."""
-        for started in set(decode_plan(after).machines_out) - set(decode_plan(before).machines_out):
+        for started in set(decode_plan(after).active_machine_ids) - set(
+            decode_plan(before).active_machine_ids
+        ):
             troubles = self.fleet.zone_troubles
             if any(self.fleet.now - since > ZONE_NOTICE_MS for _, since in troubles.values()):
                 self.breach(f"{started:x} starts while {sorted(troubles)} is in trouble")
@@ -92,8 +94,8 @@
         """No more machines and zones are out at a time than the plan permits."""
         plan = self.fleet.plan()
         out = [m for m, r in self._records().items() if r is not None and r.step in ACTIVE_STEPS]
-        if len(out) > plan.max_out:
-            self.breach(f"{out} are out, at most {plan.max_out} may be")
+        if len(out) > plan.max_concurrent:
+            self.breach(f"{out} are out, at most {plan.max_concurrent} may be")
         if len({self.fleet.hosts[m].zone for m in out}) > plan.max_zones:
             self.breach(f"{out} are out, in more than {plan.max_zones} zones")
 
--- a/cottonhold/emulator/rolling_replacement_cases.py
+++ b/cottonhold/emulator/rolling_replacement_cases.py
@@ -68,14 +68,14 @@
     world.run_until(lambda: bool(world.answers), 30_000.0)
     if any(answer.rejection for answer in world.answers):
         # None could be answered in time: the client retries.
-        max_out = world.answers[0].request.max_out
+        max_out = world.answers[0].request.max_concurrent
         world.answers.clear()
         retry_host = "d1" if world.hosts["d1"].is_up else "d2"
         world.request(retry_host, "ann", *machine_requests(count), max_out=max_out)
     names = [f"d{i}" for i in range(count)]
     if not world.run_until(lambda: world.are_over(*names), MAX_RUN_MS):
         unfinished = {n: r.step.name if (r := world.record(n)) else "unasked" for n in names}
-        world.invariants.breach(f"not at its end: {unfinished}, out {world.plan().machines_out}")
+        world.invariants.breach(f"not at its end: {unfinished}, out {world.plan().active_machine_ids}")
     for name in names:
         check_replacement_serves(world, name)
     return result(world, checks_takeovers)
@@ -270,7 +270,7 @@
     world.run(world.now + 10_000.0)
     breach = world.invariants.breach
     steps = [r.step for n in world.hosts if (r := world.record(n)) and not r.is_over]
-    if world.plan().machines_out or any(step > ReplacementStep.AGREED for step in steps):
+    if world.plan().active_machine_ids or any(step > ReplacementStep.AGREED for step in steps):
         breach(f"others went on: {steps}")
     coordinators = [h.coordinator for h in world.hosts.values() if h.is_up and h.coordinator]
     reasons = [reason for c in coordinators for row in c.status() for reason in row.reasons]
@@ -287,8 +287,8 @@
 
     def abort() -> None:
         # At a host that stays: one that is powered off a moment later would lose the request.
-        machines_out = world.plan().machines_out
-        leaving = {WATCHED_MACHINE, *(n for n in world.hosts if machine_id(n) in machines_out)}
+        active = world.plan().active_machine_ids
+        leaving = {WATCHED_MACHINE, *(n for n in world.hosts if machine_id(n) in active)}
         for host in world.hosts.values():
             coordinator = host.coordinator
             if coordinator is None or not host.is_up or host.name in leaving:
--- a/cottonhold/emulator/rolling_replacement_defects.py
+++ b/cottonhold/emulator/rolling_replacement_defects.py
@@ -69,7 +69,9 @@
 
 def _drain_with_old_key_count(name: str, record: Any, view: Any, settings: Any) -> step_decision.StepDecision:
     remaining_keys = 0 if view.remaining_keys is None else view.remaining_keys
-    return step_decision._draining(name, record, replace(view, remaining_keys=remaining_keys), settings)
+    return step_decision._decide_draining(
+        name, record, replace(view, remaining_keys=remaining_keys), settings
+    )
 
 
 def _always(*args: Any) -> bool:
--- a/cottonhold/fleet/admission/capacity.py
+++ b/cottonhold/fleet/admission/capacity.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from cottonhold.fleet.recovery.slow_start import SlowStart
+from cottonhold.fleet.recovery.shared_slow_start import SharedSlowStart
 from cottonhold.fleet.zone_failover.evacuation import Evacuation
 
 MIN_OWNED_CORES = 1e-6  # so that an instance without any still counts as one that owns cores
@@ -31,15 +31,16 @@
 def warming_capacity(
     engines: Mapping[str, Mapping[str, float]],
     evacuation: Evacuation,
-    slow_start: SlowStart,
+    slow_start: SharedSlowStart,
     dispatchers: int,
     is_just_started: bool,
     offered_cores: Mapping[int, float],
 ) -> AvailableCapacity:
     """The capacity while engines warm up.
 
-    is_just_started: this instance has had no time yet to hear of engines; they count for what they are likely
-    to bear, since with nothing known of them it would reject what all others serve. offered_cores: by member.
+    is_just_started: this instance has had no time yet to get reports on engines; they count for what they are
+    likely to bear, since with nothing known of them it would reject what all others serve. offered_cores: by
+    member.
     """
     free, owned, assumed = 0.0, 0.0, slow_start.assumed_share()
     for zone, cores_by_engine in engines.items():
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -1,9 +1,6 @@
 """Engines that are being replaced: nothing new goes there, and all dispatchers report what is open there.
 Pure.
 
-    kind 96 | member 8 | incarnation 4 | version 4 | rows 1 | rows, each: engine 4 | serial 4 | open 2 |
-    flags 1
-
 A dispatcher reports a row of each engine that it has drained: under which request's serial, how many of its
 attempts are open there, and whether the engine seems absent to it. Reports merge by (incarnation, version):
 in any order, any number of times. The driver adds them up. A live dispatcher that has not reported since it
@@ -14,87 +11,26 @@
 
 from __future__ import annotations
 
-import struct
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
-from enum import IntFlag
 
+from cottonhold.fleet.engine_drain_messages import (
+    U32,
+    DrainedEngineRow,
+    DrainReport,
+    decode_report,
+    encode_report,
+)
 from cottonhold.fleet.latest_reports import LatestReports
-from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
+from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery.warmup_messages import engine_number
 from cottonhold.fleet.rolling_replacement import plan
 from cottonhold.fleet.rolling_replacement.plan import Machine, MachineFlag, ReplacementStep
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordKind
 
-DRAIN_REPORT = 96  # kind of message
-HEAD_FORMAT = struct.Struct("!BQIIB")
-ROW_FORMAT = struct.Struct("!IIHB")
-MAX_ROWS = (MAX_MESSAGE_BYTES - HEAD_FORMAT.size) // ROW_FORMAT.size
-U16, U32 = 0xFFFF, 0xFFFFFFFF
 REPORTED_STEPS = (ReplacementStep.DRAINING, ReplacementStep.OUT)
 
 
-class RowFlag(IntFlag):
-    """What a row reports besides its count."""
-
-    AWAY = 1  # the engine is not listed, or does not answer liveness checks
-
-
-@dataclass(slots=True, frozen=True)
-class DrainedEngineRow:
-    """One dispatcher's report on one engine that it has drained."""
-
-    serial: int
-    open_requests: int
-    is_absent: bool = False
-
-
-@dataclass(slots=True, frozen=True)
-class DrainReport:
-    """All that one dispatcher reports of drained engines, by their numbers."""
-
-    member: int
-    incarnation: int
-    version: int
-    rows: Mapping[int, DrainedEngineRow]
-
-    @property
-    def stamp(self) -> tuple[int, int]:
-        """By which of two reports of a member the newer one is known."""
-        return self.incarnation, self.version
-
-
-def encode_report(report: DrainReport) -> bytes:
-    """Encode a report, with as many rows as fit."""
-    rows = list(report.rows.items())[:MAX_ROWS]
-    head = HEAD_FORMAT.pack(DRAIN_REPORT, report.member, report.incarnation, report.version, len(rows))
-    return head + b"".join(
-        ROW_FORMAT.pack(number, r.serial, min(r.open_requests, U16), int(RowFlag.AWAY) if r.is_absent else 0)
-        for number, r in rows
-    )
-
-
-def decode_report(data: bytes) -> DrainReport:
-    """Decode a report. Raises MessageError."""
-    try:
-        kind, member, life, version, count = HEAD_FORMAT.unpack_from(data)
-    except struct.error:
-        raise MessageError("truncated") from None
-    if (
-        kind != DRAIN_REPORT
-        or not member
-        or count > MAX_ROWS
-        or len(data) != HEAD_FORMAT.size + count * ROW_FORMAT.size
-    ):
-        raise MessageError("drains")
-    rows = {}
-    for number, serial, open_there, flags in ROW_FORMAT.iter_unpack(data[HEAD_FORMAT.size :]):
-        if flags > int(RowFlag.AWAY):
-            raise MessageError("flags")
-        rows[number] = DrainedEngineRow(serial, open_there, bool(flags & RowFlag.AWAY))
-    return DrainReport(member, life, version, rows)
-
-
 @dataclass(slots=True, frozen=True)
 class DrainSettings:
     """Times of engine drains.
@@ -193,12 +129,12 @@
         if engine in self.drained:
             self.drained[engine].open_requests = count
 
-    def on_liveness_check(self, engine: str, good: bool) -> None:
+    def on_liveness_check(self, engine: str, is_alive: bool) -> None:
         """A liveness check of this instance has ended."""
         drained = self.drained.get(engine)
         if drained is not None:
-            drained.failed_checks = 0 if good else drained.failed_checks + 1
-            drained.last_check_answered = good
+            drained.failed_checks = 0 if is_alive else drained.failed_checks + 1
+            drained.last_check_answered = is_alive
 
     def on_message(self, now: float, data: bytes) -> None:
         """Apply another instance's report; a malformed one is counted and changes nothing."""
@@ -215,8 +151,8 @@
 
     def missing_reports(self, now: float, engine: str, serial: int) -> set[int]:
         """Return the ids of dispatchers that have not reported since they drained an engine."""
-        own = self.drained.get(engine)
-        missing = {self.member} if own is None or own.serial != serial else set[int]()
+        drained = self.drained.get(engine)
+        missing = {self.member} if drained is None or drained.serial != serial else set[int]()
         for member, at in self.last_live_at.items():
             if member in self.min_incarnations:
                 if self._row(now, member, engine, serial) is None:
@@ -230,17 +166,21 @@
 
         One that was absent is there again once it is listed and has answered this instance.
         """
-        found = []
+        present = []
         for name, machine in self.last_listed.items():
             record = chain.get(name)
-            back = (
+            is_back = (
                 record is not None
                 and record.step is ReplacementStep.OUT
                 and record.has_flag(MachineFlag.WAS_AWAY)
             )
-            if name not in self.drained or not self.is_absent(name) and (not back or self.is_answering(name)):
-                found.append(machine)
-        return found
+            if (
+                name not in self.drained
+                or not self.is_absent(name)
+                and (not is_back or self.is_answering(name))
+            ):
+                present.append(machine)
+        return present
 
     def is_absent(self, engine: str) -> bool:
         """Whether an engine is absent, by the reports of more than half of the live dispatchers."""
@@ -254,7 +194,7 @@
 
     def step(self, now: float, chain: Mapping[str, plan.MachineRecord]) -> list[SendReport | CheckLiveness]:
         """Return what to report to drivers, and which engines to check."""
-        # Only engines that drain or are out: a report has room for a few, and replaced ones stay drained.
+        # Only engines that drain or are out: a report holds a few, and replaced ones stay drained.
         reported = {
             n: d for n, d in sorted(self.drained.items()) if n in chain and chain[n].step in REPORTED_STEPS
         }
@@ -272,8 +212,10 @@
             for e, d in reported.items()
         }
         drivers = {chain[engine].driver for engine in reported} - {self.member, 0}
-        due = now - self.last_report_at >= self.settings.report_interval_ms or rows != self.last_rows
-        if rows and due:
+        is_report_due = (
+            now - self.last_report_at >= self.settings.report_interval_ms or rows != self.last_rows
+        )
+        if rows and is_report_due:
             self.last_report_at, self.last_rows = now, rows
             self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
             data = encode_report(DrainReport(self.member, self.incarnation, self.version, rows))
@@ -286,15 +228,15 @@
 
     def _row(self, now: float, member: int, engine: str, serial: int) -> DrainedEngineRow | None:
         """Return what a live dispatcher reports of an engine, in its present incarnation."""
-        heard = self.reports.received.get(member)
+        received = self.reports.received.get(member)
         # A report of an earlier incarnation says nothing of requests that the present one has open.
         if (
-            heard is None
-            or now - heard.received_at > self.settings.max_report_age_ms
-            or heard.report.incarnation < self.min_incarnations[member]
+            received is None
+            or now - received.received_at > self.settings.max_report_age_ms
+            or received.report.incarnation < self.min_incarnations[member]
         ):
             return None
-        row = heard.report.rows.get(engine_number(engine))
+        row = received.report.rows.get(engine_number(engine))
         return row if row is not None and row.serial == serial & U32 else None
 
     def _seems_absent(self, engine: str, drained: DrainedEngine) -> bool:
@@ -316,7 +258,7 @@
     """Whether a dispatcher that has just started knows which engines are drained.
 
     Until then it sends no loads to any engine: if it was down while an engine was drained, it would send a
-    load as the engine is powered off, and nobody could tell whether it ran. Idempotent requests do not wait.
+    load as the engine is powered off, and nobody would know whether it ran. Idempotent requests do not wait.
 
     It knows once it has read all registers of the replacement from a majority. While more than half of the
     voters are absent nothing can be read, and after no_majority_timeout_ms of that it serves all the same,
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -11,42 +11,48 @@
     on_retry(now, request_id, load, deadline)
                                a client's retry. Known at once, or None: then a LoadSettled follows from
                                `step` or `on_message`, at the client's deadline at the latest
-    cancel(now, request_id)    its client went away, or what was to be sent won't be
+    cancel(now, request_id)    its client has left, or the load will not be sent after all
 
 and what the membership survey found: `step(now, FleetState(...))`, at `next_at` and after each step of the
 survey. `on_message(now, number, message)` takes others' messages, by the number that the survey bound the
 sender to. Both return actions. LoadKnowledge: SUCCEEDED; MAY_HAVE_RUN: it is failed and never sent;
 NEVER_SENT: it is this instance's to send at once (`on_sent` follows, or `cancel`); NOT_KNOWN_YET within the
-client's deadline: it is rejected and may come back after `retry_after_ms`.
+client's deadline: it is rejected and may be retried after `retry_after_ms`.
 
 Rule: an own record decides at once. Else every other configured dispatcher has to have said that it never
 sent it, on a query of this very retry, or to be proven silent. One whose memory is empty or stale says
-UNKNOWN for a hold after its start, never NEVER_SENT; one whose memory nobody has confirmed yet says
+UNKNOWN for a retention after its start, never NEVER_SENT; one whose memory nobody has confirmed yet says
 NOT_KNOWN_YET. While `has_pending`, the survey has to `expedite`: what it says of silent ones must be newer
 than the retry.
 
-No two send one load (proof). Whoever has a retry pending says MAY_HAVE_RUN to others that ask, unless theirs
-ranks higher (by a hash of number and load): then it gives its own up, as MAY_HAVE_RUN. Of two that both got
-the other's NEVER_SENT, each would have answered before it began to ask and so each before the other (Ricart
-and Agrawala, "An Optimal Algorithm for Mutual Exclusion in Computer Networks"). Where one is taken for
-silent, more than half of the configured ones have said so since, and have answered; two such queries meet at
-one of these, and the second hears ALSO_QUERIED, which is MAY_HAVE_RUN where anybody is silent. A first
-request that is queued here and that another has asked about is not sent: `begin` is False.
-
-Hold: a client asks first at t and waits for at most the longest deadline L; at t + L at the latest it knows
-that its load broke, and asks again; that retry waits for at most L too. So what was sent at t is asked about
-until t + 2 L, and a slack covers retries after a pause. A retry that was told NOT_KNOWN_YET may come back
-after that: so a retry counts from the first time it was heard of, here or where it is queried.
+No two send one load (proof). Whoever has a retry pending answers others' queries with MAY_HAVE_RUN, unless
+theirs ranks higher (by a hash of number and load): then it gives its own up, as MAY_HAVE_RUN. Of two that
+both got the other's NEVER_SENT, each would have answered before it began to query and so each before the
+other (Ricart and Agrawala, "An Optimal Algorithm for Mutual Exclusion in Computer Networks"). Where one is
+taken for silent, more than half of the configured ones have said so since, and have answered; two such
+queries meet at one of these, and the second is answered ALSO_QUERIED, which is MAY_HAVE_RUN where anybody is
+silent. A first request that is queued here and that another has queried is not sent: `begin` is False.
+
+Retention: a client sends its first request at t and waits for at most the longest deadline L; at t + L at the
+latest it knows that its load failed, and retries; that retry waits for at most L too. So what was sent at t
+is queried until t + 2 L, and a slack covers retries after a pause. A retry that was answered NOT_KNOWN_YET
+may be repeated after that: so a retry counts from the first time it was known, here or where it is queried.
 """
 
 from __future__ import annotations
 
 import hashlib
-import random
-from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
+from collections.abc import Iterable
 
 from cottonhold.fleet.message_format import MAX_UINT32
+from cottonhold.fleet.recovery.load_history_interface import (
+    Action,
+    FleetState,
+    LoadHistorySettings,
+    LoadSettled,
+    SendToDispatcher,
+)
+from cottonhold.fleet.recovery.load_queries import QUERY_LIFETIME_RETRIES, LoadQueries, PendingRetry
 from cottonhold.fleet.recovery.local_loads import (
     LoadKnowledge,
     LoadResult,
@@ -64,108 +70,33 @@
     batches,
     encode,
 )
-from cottonhold.fleet.recovery.survey_results import ProvenSilence
 
 CLEANUP_INTERVAL_MS = 1000.0
-QUERY_LIFETIME_RETRIES = 10  # times the longest retry pause after which a query's answer is void
-
-
-@dataclass(slots=True, frozen=True)
-class LoadHistorySettings:
-    """Times in ms. hold_ms: see `hold_ms_for`. retry_ms, max_retry_ms: a query that isn't answered is sent
-    again after so long, doubled up to the second. retry_after_ms: told with NOT_KNOWN_YET.
-    max_unconfirmed_ms: for so long a retry that too few others have heard of is told NOT_KNOWN_YET; less than
-    the slack of `hold_ms_for` by a few pauses. announcements: how often loads of earlier boots are announced.
-    max_loads: remembered, queried and pending, each; beyond, retries are told NOT_KNOWN_YET at once."""
-
-    hold_ms: float
-    retry_ms: float = 60.0
-    max_retry_ms: float = 1000.0
-    retry_after_ms: float = 1000.0
-    max_unconfirmed_ms: float = 5000.0
-    announcements: int = 3
-    max_loads: int = 20_000
-
-
-@dataclass(slots=True, frozen=True)
-class FleetState:
-    """What the survey knows. memory: this instance's, STALE once that was found out. silent: by number, those
-    proven so. is_partitioned: one that isn't can't be heard."""
-
-    may_send_loads: bool
-    has_confirmed_memory: bool
-    memory: MemoryState
-    silent: Mapping[int, ProvenSilence]
-    is_partitioned: bool = False
-
-
-@dataclass(slots=True, frozen=True)
-class SendToDispatcher:
-    """A message for a dispatcher's number."""
-
-    number: int
-    data: bytes
-
-
-@dataclass(slots=True, frozen=True)
-class LoadSettled:
-    """What is known now of the load of a retry. retry_after_ms: with NOT_KNOWN_YET."""
-
-    request_id: str
-    load: bytes
-    knowledge: LoadKnowledge
-    retry_after_ms: float = 0.0
-
-
-Action = SendToDispatcher | LoadSettled
-
-
-@dataclass(slots=True)
-class PendingRetry:
-    """A retry that is being settled. deadlines: by request that waits. noted_by: who has heard of it.
-    statements, query_at, retry_ms: by number."""
-
-    started_at: float
-    deadlines: dict[str, float]
-    statements: dict[int, LoadStatement] = field(default_factory=dict)
-    query_at: dict[int, float] = field(default_factory=dict)
-    retry_ms: dict[int, float] = field(default_factory=dict)
-    noted_by: set[int] = field(default_factory=set)
-
-
-@dataclass(slots=True)
-class SentQuery:
-    """A query that was sent, so that its answer can be told from a forged or late one."""
-
-    sent_at: float
-    dispatcher: int
-    loads: tuple[bytes, ...]
 
 
 class LoadHistory:
-    """One instance's side. number: its own, of 0 to `dispatchers` - 1; boot: of this start; recorded: the
-    folder's loads; seed: for serials."""
+    """One instance's side. number: its own, of 0 to `dispatchers` - 1; boot_count: of this start; recorded:
+    the folder's loads; seed: for serials."""
 
     def __init__(
         self,
         number: int,
         dispatchers: int,
-        boot: int,
+        boot_count: int,
         now: float,
         recorded: Iterable[RecordedLoad],
         settings: LoadHistorySettings,
         seed: int,
     ) -> None:
-        self.number, self.boot, self.settings = number, boot & MAX_UINT32, settings
+        self.number, self.boot_count, self.settings = number, boot_count & MAX_UINT32, settings
         self.others = [n for n in range(dispatchers) if n != number]
         is_alone = dispatchers == 1
         self.fleet = FleetState(is_alone, is_alone, MemoryState.INTACT, {})
-        self.local = LocalLoads(now, list(recorded), settings.hold_ms, settings.max_loads)
+        self.local = LocalLoads(now, list(recorded), settings.retention_ms, settings.max_loads)
         self.pending: dict[bytes, PendingRetry] = {}
         self.granted: dict[bytes, str] = {}  # settled as NEVER_SENT, and not sent yet: by which request
         self.load_by_request: dict[str, bytes] = {}
-        self.queries: dict[int, SentQuery] = {}  # by serial
-        self.serial = random.Random(seed).getrandbits(32)
+        self.queries = LoadQueries(self.boot_count, seed)
         self.announced, self.next_announcement = 0, now
         self.actions: list[Action] = []
         self.next_cleanup = now + CLEANUP_INTERVAL_MS
@@ -178,7 +109,7 @@
 
     def begin(self, now: float, load: bytes) -> bool:
         """A load that isn't marked as a retry is about to be made durable and sent. False if another has
-        asked about it: its client may have given up here, and it runs elsewhere by this instance's word."""
+        queried it: its client may have given up here, and it runs elsewhere by this instance's answer."""
         if load in self.local.queried or load in self.granted:
             return False
         if self.local.is_full(load):
@@ -188,7 +119,7 @@
         return True
 
     def on_sent(self, now: float, load: bytes) -> None:
-        """It is sent now: after `begin`, or as what a retry was told NEVER_SENT for."""
+        """It is sent now: after `begin`, or after a retry was answered NEVER_SENT."""
         request_id = self.granted.pop(load, None)
         if request_id is not None:
             self.load_by_request.pop(request_id, None)
@@ -236,7 +167,7 @@
                 del self.pending[load]
 
     def answer_unavailable(self, now: float, load: bytes) -> LoadKnowledge:
-        """What a client's retry is told while this instance can't accept its load at all."""
+        """The answer to a client's retry while this instance can't accept its load at all."""
         knowledge = self._knowledge(now, load)
         if knowledge is not None:
             return knowledge
@@ -256,11 +187,11 @@
         if number not in self.others:
             return []
         match message:
-            case LoadQuery(boot, serial, loads):
+            case LoadQuery(boot_count, serial, loads):
                 verdicts = [
                     LoadVerdict(i, self._statement(now, number, load)) for i, load in enumerate(loads)
                 ]
-                answer = LoadAnswer(boot, serial, tuple(verdicts))
+                answer = LoadAnswer(boot_count, serial, tuple(verdicts))
                 self.actions.append(SendToDispatcher(number, encode(answer)))
             case LoadAnswer():
                 self._on_answer(now, number, message)
@@ -297,8 +228,8 @@
     def _on_answer(self, now: float, number: int, answer: LoadAnswer) -> None:
         """An answer; void where it is of no query of this boot. One to a query from before the retry began
         doesn't bind whoever gave it any more."""
-        query = self.queries.get(answer.serial)
-        if query is None or answer.boot != self.boot or query.dispatcher != number:
+        query = self.queries.match(number, answer)
+        if query is None:
             self.counters["void"] += 1
             return
         for verdict in answer.verdicts:
@@ -339,8 +270,7 @@
     def _clean_up(self, now: float) -> None:
         self.next_cleanup = now + CLEANUP_INTERVAL_MS
         self.local.expire(now, self.pending.keys() | self.granted.keys())
-        oldest = now - QUERY_LIFETIME_RETRIES * self.settings.max_retry_ms
-        self.queries = {serial: query for serial, query in self.queries.items() if query.sent_at > oldest}
+        self.queries.expire(now - QUERY_LIFETIME_RETRIES * self.settings.max_retry_ms)
 
     def _try_to_settle(self, now: float, load: bytes, pending: PendingRetry) -> None:
         """Settle a retry as soon as what is known decides."""
@@ -353,7 +283,7 @@
             return
         unanswered = [number for number in self.others if number not in pending.statements]
         # One that isn't proven silent may have sent it, and be back with its record in a moment.
-        if not all(self._is_out_of_question(n, pending.started_at, pending) for n in unanswered):
+        if not all(self._cannot_have_sent(n, pending.started_at, pending) for n in unanswered):
             return
         queried = self.local.queried[load]
         may_predate = self.local.may_predate_start(queried)
@@ -367,9 +297,9 @@
     ) -> bool:
         """Whether a load may have run though nobody says so.
 
-        One that answers doesn't know, or this instance's own memory is not intact. Or another asks too, and
-        both take each other for silent. Or the client has come back for so long that the sender, on either
-        side of a partition, may have forgotten its load.
+        One that answers doesn't know, or this instance's own memory is not intact. Or another has queried it
+        too, and both take each other for silent. Or the client has retried for so long that the sender, on
+        either side of a partition, may have forgotten its load.
         """
         statements = pending.statements.values()
         if LoadStatement.UNKNOWN in statements or self.local.is_late(now, queried):
@@ -379,15 +309,15 @@
         is_queried_by_others = bool(queried.dispatchers - {self.number})
         if unanswered and (LoadStatement.ALSO_QUERIED in statements or is_queried_by_others):
             return True
-        return not all(self._is_out_of_question(n, queried.first_at, pending) for n in unanswered)
+        return not all(self._cannot_have_sent(n, queried.first_at, pending) for n in unanswered)
 
-    def _is_out_of_question(self, number: int, first_query_at: float, pending: PendingRetry) -> bool:
+    def _cannot_have_sent(self, number: int, first_query_at: float, pending: PendingRetry) -> bool:
         """Whether a dispatcher is proven silent since so long before the first query that whatever it sent
-        can't be what is asked about."""
+        can't be the load in question."""
         silence = self.fleet.silent.get(number)
         if silence is None or silence.valid_until < pending.started_at:
             return False
-        return silence.nothing_sent_after + self.settings.hold_ms < first_query_at
+        return silence.nothing_sent_after + self.settings.retention_ms < first_query_at
 
     def _settle(self, load: bytes, knowledge: LoadKnowledge) -> None:
         """All that wait for a load learn what is known; where nobody sent it, the first of them sends it."""
@@ -409,10 +339,10 @@
             del self.pending[load]
 
     def _unsettled(self, now: float, load: bytes, pending: PendingRetry) -> LoadKnowledge:
-        """What a retry is told that could not be settled in time.
+        """The answer to a retry that could not be settled in time.
 
         One that doesn't know may say NEVER_SENT later on, of what it sent before it lost its memory: so the
-        load is given up. Else the client may come later, if half of the fleet heard of its retry: they are
+        load is given up. Else the client may retry later, if half of the fleet knows of its retry: they are
         among any that can settle it as NEVER_SENT, and say then for how long it has been queried.
         """
         if LoadStatement.UNKNOWN in pending.statements.values():
@@ -421,34 +351,31 @@
         return LoadKnowledge.NOT_KNOWN_YET if is_noted else self._unconfirmed(now, load)
 
     def _unconfirmed(self, now: float, load: bytes) -> LoadKnowledge:
-        """What a retry is told that too few others have heard of: to come later, but not for long, since
+        """The answer to a retry that too few others know of: to retry later, but not for long, since
         whoever sent its load will forget it."""
         queried_ms = now - self.local.queried[load].first_at
-        may_come_back = queried_ms <= self.settings.max_unconfirmed_ms
-        return LoadKnowledge.NOT_KNOWN_YET if may_come_back else LoadKnowledge.MAY_HAVE_RUN
+        may_retry = queried_ms <= self.settings.max_unconfirmed_ms
+        return LoadKnowledge.NOT_KNOWN_YET if may_retry else LoadKnowledge.MAY_HAVE_RUN
 
     def _conclude(self, request_id: str, load: bytes, knowledge: LoadKnowledge) -> None:
         self.load_by_request.pop(request_id, None)
-        may_come_back = knowledge is LoadKnowledge.NOT_KNOWN_YET
-        retry_after_ms = self.settings.retry_after_ms if may_come_back else 0.0
+        may_retry = knowledge is LoadKnowledge.NOT_KNOWN_YET
+        retry_after_ms = self.settings.retry_after_ms if may_retry else 0.0
         self.actions.append(LoadSettled(request_id, load, knowledge, retry_after_ms))
 
     def _send_queries(self, now: float) -> None:
         """All queries that are due, a message for as many loads as fit."""
-        due: dict[int, list[bytes]] = {}
+        loads_by_dispatcher: dict[int, list[bytes]] = {}
         for load, pending in self.pending.items():
             for number, query_at in pending.query_at.items():
                 if query_at <= now:
                     retry_ms = pending.retry_ms.get(number, self.settings.retry_ms)
                     pending.retry_ms[number] = min(2 * retry_ms, self.settings.max_retry_ms)
                     pending.query_at[number] = now + retry_ms
-                    due.setdefault(number, []).append(load)
-        for number, loads in due.items():
-            for batch in batches(loads):
-                self.serial = (self.serial + 1) & MAX_UINT32
-                self.queries[self.serial] = SentQuery(now, number, batch)
-                data = encode(LoadQuery(self.boot, self.serial, batch))
-                self.actions.append(SendToDispatcher(number, data))
+                    loads_by_dispatcher.setdefault(number, []).append(load)
+        for number, loads in loads_by_dispatcher.items():
+            for query in self.queries.create(now, number, loads):
+                self.actions.append(SendToDispatcher(number, encode(query)))
                 self.counters["asks"] += 1
 
     def _has_announcement(self) -> bool:
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -25,7 +25,15 @@
 from cottonhold.fleet.message_format import MAX_MESSAGE_BYTES, MessageError
 
 REQUEST_FORWARDING = 79
-PROBE, INCARNATION, PART, WITHDRAW, ACK, ANSWER, ANSWER_ACK = range(7)
+(
+    INCARNATION_QUERY,
+    INCARNATION_REPLY,
+    REQUEST_FRAGMENT,
+    WITHDRAW_REQUEST,
+    REQUEST_ACK,
+    ANSWER_FRAGMENT,
+    ANSWER_ACK,
+) = range(7)
 U32 = 0xFFFF_FFFF
 MAX_BODY_BYTES = 16 * 1024  # of a request or an answer
 TIME_UNIT_MS = 0.01
@@ -204,47 +212,46 @@
     """Encode a message; the result has at most MAX_MESSAGE_BYTES bytes."""
     match message:
         case RequestFragment():
-            return (
-                encode_header(PART, message.header)
-                + FRAGMENT_FORMAT.pack(message.index, message.body_bytes)
-                + message.data
-            )
+            shape = FRAGMENT_FORMAT.pack(message.index, message.body_bytes)
+            return encode_header(REQUEST_FRAGMENT, message.header) + shape + message.data
         case WithdrawRequest():
-            return encode_header(WITHDRAW, message.header) + bytes((message.is_abandoned,))
+            return encode_header(WITHDRAW_REQUEST, message.header) + bytes((message.is_abandoned,))
         case IncarnationQuery():
-            return INCARNATION_QUERY_FORMAT.pack(REQUEST_FORWARDING, PROBE, message.believed_incarnation)
-        case IncarnationReply():
+            return INCARNATION_QUERY_FORMAT.pack(
+                REQUEST_FORWARDING, INCARNATION_QUERY, message.believed_incarnation
+            )
+        case IncarnationReply(believed_incarnation, incarnation, timestamp):
             return INCARNATION_REPLY_FORMAT.pack(
-                REQUEST_FORWARDING,
-                INCARNATION,
-                message.believed_incarnation,
-                message.incarnation,
-                message.timestamp,
+                REQUEST_FORWARDING, INCARNATION_REPLY, believed_incarnation, incarnation, timestamp
             )
         case RequestAck():
-            fixed = REQUEST_ACK_FORMAT.pack(
-                REQUEST_FORWARDING,
-                ACK,
-                message.number,
-                message.owner_incarnation,
-                message.timestamp,
-                message.state,
-            )
-            return fixed + encode_bits(message.received_bits)
+            return _encode_request_ack(message)
         case AnswerFragment():
-            shape = (
-                message.number,
-                message.owner_incarnation,
-                message.result,
-                message.retry_after_ms,
-                message.body_bytes,
-                message.index,
-            )
-            return ANSWER_FRAGMENT_FORMAT.pack(REQUEST_FORWARDING, ANSWER, *shape) + message.data
-        case AnswerAck():
-            return ANSWER_ACK_FORMAT.pack(
-                REQUEST_FORWARDING, ANSWER_ACK, message.number, message.is_complete
-            ) + encode_bits(message.received_bits)
+            return _encode_answer_fragment(message)
+        case AnswerAck(number, is_complete, received_bits):
+            fixed = ANSWER_ACK_FORMAT.pack(REQUEST_FORWARDING, ANSWER_ACK, number, is_complete)
+            return fixed + encode_bits(received_bits)
+
+
+def _encode_request_ack(ack: RequestAck) -> bytes:
+    fixed = REQUEST_ACK_FORMAT.pack(
+        REQUEST_FORWARDING, REQUEST_ACK, ack.number, ack.owner_incarnation, ack.timestamp, ack.state
+    )
+    return fixed + encode_bits(ack.received_bits)
+
+
+def _encode_answer_fragment(fragment: AnswerFragment) -> bytes:
+    fixed = ANSWER_FRAGMENT_FORMAT.pack(
+        REQUEST_FORWARDING,
+        ANSWER_FRAGMENT,
+        fragment.number,
+        fragment.owner_incarnation,
+        fragment.result,
+        fragment.retry_after_ms,
+        fragment.body_bytes,
+        fragment.index,
+    )
+    return fixed + fragment.data
 
 
 def decode(data: bytes) -> Message:
@@ -335,11 +342,11 @@
 
 
 DECODERS: dict[int, Callable[[bytes], Message]] = {
-    PROBE: _decode_incarnation_query,
-    INCARNATION: _decode_incarnation_reply,
-    PART: _decode_request_fragment,
-    WITHDRAW: _decode_withdraw,
-    ACK: _decode_request_ack,
-    ANSWER: _decode_answer_fragment,
+    INCARNATION_QUERY: _decode_incarnation_query,
+    INCARNATION_REPLY: _decode_incarnation_reply,
+    REQUEST_FRAGMENT: _decode_request_fragment,
+    WITHDRAW_REQUEST: _decode_withdraw,
+    REQUEST_ACK: _decode_request_ack,
+    ANSWER_FRAGMENT: _decode_answer_fragment,
     ANSWER_ACK: _decode_answer_ack,
 }
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -4,7 +4,7 @@
 
 import math
 
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.messages import (
     MAY_HAVE_RUN,
@@ -18,10 +18,10 @@
     NO_MEMBER,
     Action,
     Candidate,
+    DeferredMigrationAnswer,
     MoveEnded,
     OwnershipRecord,
     OwnershipState,
-    PendingAnswer,
     WithdrawnOffer,
 )
 
@@ -57,7 +57,7 @@
         """Record keys with open requests whose home is another now, lest it start their next requests."""
         for key in self.open_requests:
             if key not in self.records and self.home(key) != self.member:
-                record = OwnershipRecord(self._next_epoch(0), self.member, OwnershipState.HELD)
+                record = OwnershipRecord(self._next_epoch(0), self.member, OwnershipState.OWNED)
                 self.records[key] = record
                 self._persist(key, record)
 
@@ -148,9 +148,9 @@
         if record is None or self._is_outdated(record, entry):
             owner = NO_MEMBER if entry.flags & TARGET_REMOVED else sender
             record = self._record_other_owner(entry.key, entry.epoch, owner)
-            record.pending_answer = PendingAnswer(sender, entry)
+            record.pending_answer = DeferredMigrationAnswer(sender, entry)
         elif record.pending_token:
-            record.pending_answer = PendingAnswer(sender, entry)
+            record.pending_answer = DeferredMigrationAnswer(sender, entry)
         else:
             self._add_entry(sender, EntryKind.ANNOUNCE_ACK, entry)
 
@@ -186,7 +186,7 @@
             self._add_entry(member, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
         else:
             record = self._record_other_owner(key, epoch, member)
-            record.pending_answer = PendingAnswer(member, MigrationEntry(key, epoch, TENTATIVE))
+            record.pending_answer = DeferredMigrationAnswer(member, MigrationEntry(key, epoch, TENTATIVE))
 
     def _decide_candidates(self, now: float) -> None:
         """Decide the candidates that were announced before this home's knowledge was complete."""
@@ -200,7 +200,7 @@
         self.records[key] = record = OwnershipRecord(
             self._next_epoch(epoch),
             self.member,
-            OwnershipState.HELD,
+            OwnershipState.OWNED,
             uncertain_until=uncertain_until,
             home_informed=True,
         )
@@ -223,7 +223,7 @@
             record.home_has_candidate = record.home_has_candidate or is_candidate
         elif entry.epoch == self._announcement(record).epoch:
             record.home_informed = True
-            if record.state is OwnershipState.HELD and record.peer:
+            if record.state is OwnershipState.OWNED and record.peer:
                 self._add_entry(record.peer, EntryKind.RELEASE_ACK, entry)
 
     def _announcement(self, record: OwnershipRecord, key: bytes = b"") -> MigrationEntry:
@@ -251,7 +251,7 @@
         }
         handlers[kind](now, sender, entry)
 
-    def _send_due(self, now: float, key: bytes, record: OwnershipRecord) -> None:
+    def _send_pending(self, now: float, key: bytes, record: OwnershipRecord) -> None:
         """Send what this key still lacks an answer to; it is finished if nothing is left."""
         if record.pending_token:
             record.next_send_at = math.inf  # scheduled again by `on_persisted`
@@ -292,7 +292,7 @@
             self._decide_candidates(now)
         self._offer_queued(now)
         for key in [key for key in self.unfinished_keys if self.records[key].next_send_at <= now]:
-            self._send_due(now, key, self.records[key])
+            self._send_pending(now, key, self.records[key])
         self._send_withdrawals(now)
         if len(self.records) >= self.purge_at:
             self._purge()
@@ -302,7 +302,7 @@
         self._send_entries()
         actions = [*self.actions, *self.lease.actions]
         self.actions, self.lease.actions = [], []
-        self.counts["said"] += sum(isinstance(action, SendMessage) for action in actions)
+        self.counts["said"] += sum(isinstance(action, SendConsensusMessage) for action in actions)
         return actions
 
     def _send_withdrawals(self, now: float) -> None:
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from cottonhold.fleet.consensus.actions import PersistState, SendMessage
+from cottonhold.fleet.consensus.actions import PersistState, SendConsensusMessage
 from cottonhold.fleet.consensus.messages import MessageReader
 from cottonhold.fleet.session_affinity.membership_lease import MembershipLease
 from cottonhold.fleet.session_affinity.messages import EntryKind, MigrationEntry
@@ -57,7 +57,7 @@
 class OwnershipState(IntEnum):
     """The state of a key at this member; in RELEASED another member owns it."""
 
-    HELD, OFFERED, ACCEPTED, FENCED, RELEASED = range(5)
+    OWNED, OFFERED, ACCEPTED, FENCED, RELEASED = range(5)
 
 
 @dataclass(slots=True, frozen=True)
@@ -106,10 +106,10 @@
     may_have_run: bool
 
 
-Action = SendMessage | PersistState | MoveEnded | OwnershipAcquired
+Action = SendConsensusMessage | PersistState | MoveEnded | OwnershipAcquired
 
 
-class PendingAnswer(NamedTuple):
+class DeferredMigrationAnswer(NamedTuple):
     """The entry that is answered to a member once the record of its key is on disk."""
 
     member: int
@@ -141,8 +141,8 @@
 class OwnershipRecord:
     """What this member knows of a key that its home does not simply own.
 
-    peer: the target of a move, or at the target the member from which the key comes. offered_epoch: the epoch
-    under which the key is offered.
+    peer: the target of a move, or at the target the member from which the key is moved. offered_epoch: the
+    epoch under which the key is offered.
     """
 
     epoch: int
@@ -157,11 +157,11 @@
     home_informed: bool = False  # the key's home knows the owner
     home_has_candidate: bool = False  # the key's home knows of the acceptance, without having decided
     target_removed: bool = False  # in RELEASED: the target was fenced and never confirmed the release
-    is_newly_acquired: bool = False  # in HELD: acquired by this write
+    is_newly_acquired: bool = False  # in OWNED: acquired by this write
     offered_at: float = 0.0
     stopped_at: float = math.nan  # when a mover stopped starting requests; unknown after a restart
     next_send_at: float = -math.inf
-    pending_answer: PendingAnswer | None = None
+    pending_answer: DeferredMigrationAnswer | None = None
 
 
 def home_score(member: int, key: bytes) -> tuple[float, int]:
@@ -220,34 +220,44 @@
         self.records: dict[bytes, OwnershipRecord] = {}
         self.open_requests: dict[bytes, set[int]] = {}
         self.unfinished_keys: set[bytes] = set()  # keys with something left to send
-        self.move_queues: dict[int, deque[bytes]] = {}  # by target
-        self.move_allowances: dict[int, MoveAllowance] = {}  # by target
-        self.pending_offers: dict[int, int] = {}  # by target: number of keys being moved
-        self.candidates: dict[bytes, Candidate] = {}
-        self.announced_epochs: dict[int, int] = {}  # by member: the epoch for which it announced all it owns
-        self.acknowledged_epochs: dict[
-            int, int
-        ] = {}  # by member: the same of this member, as it acknowledged
-        self.next_announcement_at = -math.inf
         self.home_cache: dict[bytes, int] = {}
         self.highest_epoch = 0
-        self.last_token = 0
         self.started_at = now
         self.purge_at = PURGE_BATCH
+        self._start_output()
+        self._start_moves()
+        self._start_announcements()
+        if has_full_memory:
+            self._load(now, records)
+
+    def _start_output(self) -> None:
+        """What is to be sent and written: nothing yet."""
         self.outgoing_entries: dict[tuple[int, EntryKind], list[MigrationEntry]] = {}
         self.actions: list[Action] = []
         self.counts = {"malformed": 0, "said": 0}
+        self.last_token = 0
+        self.keys_by_token: dict[int, bytes] = {}
+
+    def _start_moves(self) -> None:
+        """The moves of keys to other members: none yet."""
+        self.move_queues: dict[int, deque[bytes]] = {}  # by target
+        self.move_allowances: dict[int, MoveAllowance] = {}  # by target
+        self.pending_offers: dict[int, int] = {}  # by target: number of keys being moved
+        self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
         # Of keys moved away: the time from when this member stopped until it received the target's
         # confirmation, which is one network delay longer than the time without an owner.
         self.handover_histogram = [0] * (len(HANDOVER_STEPS_MS) + 1)
-        self.keys_by_token: dict[int, bytes] = {}
-        self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
+
+    def _start_announcements(self) -> None:
+        """What members announced of the keys that they own: nothing yet."""
+        self.candidates: dict[bytes, Candidate] = {}
+        self.announced_epochs: dict[int, int] = {}  # by member: the epoch for which it announced all it owns
+        self.acknowledged_epochs: dict[int, int] = {}  # by member: the same of this one, as it acknowledged
+        self.next_announcement_at = -math.inf
         # The member lists since the last complete epoch; None if some are not known.
         self.recent_tables: list[frozenset[int]] | None = None
         if self.lease.complete_epoch == self.lease.epoch:
             self.recent_tables = [frozenset(self.lease.members)]
-        if has_full_memory:
-            self._load(now, records)
 
     def home(self, key: bytes) -> int:
         """Return the member that owns a key without a record, or NO_MEMBER."""
@@ -306,7 +316,7 @@
         self.outgoing_entries.setdefault((member, kind), []).append(entry)
 
     def _send(self, member: int, payload: bytes) -> None:
-        self.actions.append(SendMessage(member, payload))
+        self.actions.append(SendConsensusMessage(member, payload))
 
     def _persist(self, key: bytes, record: OwnershipRecord) -> None:
         self.last_token += 1
--- a/cottonhold/fleet/session_affinity/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -119,7 +119,7 @@
         """Return under which ownership requests of the key may start here now, or None."""
         return self.ownership.ownership_of(now, key) if self.ownership is not None else None
 
-    def is_lost(self, now: float, key: bytes) -> bool:
+    def will_not_start(self, now: float, key: bytes) -> bool:
         """Whether a waiting request of the key will not start here: the lease is valid, and the key is not
         owned.
         """
@@ -151,7 +151,7 @@
         movable = []
         for key in dict.fromkeys((*ownership.owned_keys(), *self.recent_keys)):
             record = ownership.records.get(key)
-            is_moving = record is not None and record.state is not record_book.OwnershipState.HELD
+            is_moving = record is not None and record.state is not record_book.OwnershipState.OWNED
             if not is_moving and key not in queued and ownership.ownership_of(now, key) is not None:
                 movable.append(key)
         return movable
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -15,9 +15,9 @@
 import pytest
 
 from cottonhold.discovery.model import Address, ConfiguredNames, EngineListChange
-from cottonhold.fleet import engine_drain
+from cottonhold.fleet import engine_drain, engine_drain_messages
 from cottonhold.fleet.admission import demand_messages
-from cottonhold.fleet.admission.threshold import ReportedLoad
+from cottonhold.fleet.admission.threshold import ReportedDemand
 from cottonhold.fleet.consensus import acceptor, messages
 from cottonhold.fleet.consensus.actions import PersistState
 from cottonhold.fleet.consensus.messages import AcceptedState, Ballot
@@ -101,11 +101,11 @@
 
 def price_loads() -> bytes:
     """Two instances' loads."""
-    busy = ReportedLoad({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
+    busy = ReportedDemand({40: 3.25, 41: 0.5, 7: 0.001, 120: 700.0}, 1.25, 300.0, 0.5)
     return demand_messages.encode_demand_reports(
         [
             demand_messages.DemandReport(MEMBER, LIFE, VERSION, busy),
-            demand_messages.DemandReport(2, 3, 4, ReportedLoad({})),
+            demand_messages.DemandReport(2, 3, 4, ReportedDemand({})),
         ]
     )
 
@@ -165,8 +165,11 @@
 
 def drain_word() -> bytes:
     """One dispatcher's word on drained engines."""
-    rows = {7: engine_drain.DrainedEngineRow(3, 70_000, True), 8: engine_drain.DrainedEngineRow(4, 0)}
-    return engine_drain.encode_report(engine_drain.DrainReport(MEMBER, LIFE, VERSION, rows))
+    rows = {
+        7: engine_drain_messages.DrainedEngineRow(3, 70_000, True),
+        8: engine_drain_messages.DrainedEngineRow(4, 0),
+    }
+    return engine_drain_messages.encode_report(engine_drain_messages.DrainReport(MEMBER, LIFE, VERSION, rows))
 
 
 def handed_request(named: bool) -> bytes:
@@ -259,9 +262,9 @@
             found.update({f"{name}=".encode() + data: None for name, data in disk.items() if "pin/" in name})
 
     net = Net([1, 2], make)
-    net.watch = watch
+    net.after_event = watch
     net.run(1000.0)
-    net.act(1, net.up[1].move(net.now, [b"pinned-1"], 2))
+    net.act(1, net.running[1].move(net.now, [b"pinned-1"], 2))
     net.run(1000.0)
     return b";".join(found)
 
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -26,7 +26,7 @@
 from cottonhold.fleet.request_forwarding.interface import RESULT_NAMES
 from cottonhold.fleet.request_forwarding.messages import ForwardResult
 from cottonhold.fleet.rolling_replacement.plan import ReplacementStep
-from cottonhold.fleet.zone_failover.evacuation import Phase as ZonePhase
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 from cottonhold.fleet_adapters import membership as membership_adapter
 from cottonhold.membership.codec import MemberStatus
 from cottonhold.node.lifecycle import Phase
@@ -106,7 +106,11 @@
         "swap": [s.name.lower() for s in ReplacementStep],
         "life cycle": [p.value for p in Phase],
         "handed on": [RESULT_NAMES[result] for result in ForwardResult],
-        "duties": [membership_adapter.PROBE, membership_adapter.REPORT, membership_adapter.FLEET],
+        "duties": [
+            membership_adapter.HEALTH_CHECKS,
+            membership_adapter.FLEET_REPORT,
+            membership_adapter.FLEET_SUBJECT,
+        ],
     }
     return {name: sorted(words) for name, words in enums.items()}
 
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -20,7 +20,7 @@
 from cottonhold.fleet.admission.demand_sharing import DemandSharing, admission_draw
 from cottonhold.fleet.admission.threshold import (
     DensityThreshold,
-    ReportedLoad,
+    ReportedDemand,
     ThresholdController,
     threshold_for,
 )
@@ -112,7 +112,7 @@
     ids=["all heard", "four of six", "half", "alone of six", "one in all"],
 )
 def test_a_threshold_takes_the_reports_of_more_than_half(others: int, alive: int, priced: bool) -> None:
-    pricing, word = ThresholdController(0.0), ReportedLoad({60: 1.0, 70: 1.0})
+    pricing, word = ThresholdController(0.0), ReportedDemand({60: 1.0, 70: 1.0})
     price = pricing.step(100.0, word, [word] * others, alive, alive * 1.2)
     assert (price is not None) is priced
     assert price is None or price.step == 60
@@ -123,7 +123,7 @@
     for ended in (0, 3, 300):
         pricing = ThresholdController(0.0)
         for _ in range(ended):
-            pricing.on_admitted(0.0, ran_out_of_time=False)
+            pricing.on_admitted(0.0, has_expired=False)
         price = pricing.step(10.0, pricing.report(word), [], 1, 5.0)
         assert price is not None
         shares.append(price.admitted_share / 0.97 * 2)
@@ -131,9 +131,9 @@
 
 
 def test_the_gain_is_bounded_and_returns_to_one_without_overload() -> None:
-    pricing, word = ThresholdController(0.0), ReportedLoad({60: 100.0})
+    pricing, word = ThresholdController(0.0), ReportedDemand({60: 100.0})
     for t in range(100, 60_000, 100):
-        pricing.on_admitted(1.0, ran_out_of_time=True)
+        pricing.on_admitted(1.0, has_expired=True)
         pricing.step(float(t), pricing.report(word.rates), [], 1, 10.0)
     assert pricing.gain == pricing.settings.min_gain
     for t in range(60_000, 90_000, 100):
@@ -161,7 +161,9 @@
 
 @pytest.mark.parametrize("times", [1.2, 2.0, 5.0])
 @pytest.mark.parametrize("speed", [1.0, 0.8], ids=["as the list says", "slower than it says"])
-def test_served_utility_stays_near_the_maximum_and_is_shared_alike(times: float, speed: float) -> None:
+def test_served_utility_stays_near_the_maximum_and_is_equal_at_all_instances(
+    times: float, speed: float
+) -> None:
     world = play(times, speed=speed)
     got, most = world.utility(6000.0, 15_000.0)
     assert got >= 0.95 * most
@@ -208,7 +210,7 @@
 
 
 @pytest.mark.parametrize("marked, within", [(True, 1000.0), (False, 4000.0)], ids=["marked", "unmarked"])
-def test_capacity_that_comes_back_is_used(marked: bool, within: float) -> None:
+def test_returned_capacity_is_used(marked: bool, within: float) -> None:
     """A second where clients say that they come again; else when what was counted too often is forgotten."""
     world = Overload(2, lambda now: 380.0, SKEW, lambda i: SharedThreshold(), marks_retries=marked)
     world.call_at(5000.0, lambda now: world.set_engines_up(3))
@@ -244,13 +246,13 @@
 def test_demand_reports_merge_by_version_and_the_owner_outranks_a_forged_one() -> None:
     loads = DemandSharing(1, 1, 0.0, 1)
     news = [
-        DemandReport(2, life, version, ReportedLoad({version: 1.0}))
+        DemandReport(2, life, version, ReportedDemand({version: 1.0}))
         for life, version in ((1, 5), (1, 4), (2, 1), (1, 9))
     ]
     for load in news:
         loads.on_message(0.0, encode_demand_reports([load]))
     assert list(loads.reports.received[2].report.load.rates) == [1]
-    loads.on_message(0.0, encode_demand_reports([DemandReport(1, 1, 90, ReportedLoad({}))]))
+    loads.on_message(0.0, encode_demand_reports([DemandReport(1, 1, 90, ReportedDemand({}))]))
     ((_, data),) = loads.step(100.0, [1, 2], 10.0)
     assert decode_demand_reports(data)[0].version == 91
 
@@ -260,7 +262,7 @@
     for member in range(2, 100):
         loads.on_message(
             float(member),
-            encode_demand_reports([DemandReport(member, 1, 1, ReportedLoad({s: 1.0 for s in range(30)}))]),
+            encode_demand_reports([DemandReport(member, 1, 1, ReportedDemand({s: 1.0 for s in range(30)}))]),
         )
     said = loads.step(200.0, range(1, 100), 1000.0)
     assert len(said) == 4 and all(len(data) <= 200 for _, data in said)
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.engine_bounds import EngineBounds
 from cottonhold.fleet.failover_cost.cross_zone_limits import (
     CrossZoneSettings,
@@ -19,17 +19,19 @@
     cross_zone_work,
     divide_among_engines,
 )
-from cottonhold.fleet.failover_cost.estimator import CostEstimator, CostEstimatorSettings, Question
+from cottonhold.fleet.failover_cost.estimator import CostEstimator, Question
+from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import encode_site_reports
 from cottonhold.fleet.failover_cost.snapshot_plan import SnapshotPlan
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope, SharedSlowStart
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
-from cottonhold.fleet.zone_failover.evacuation import Phase
+from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount
+from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 from cottonhold.fleet_adapters.recovery_folder import SITE_KEY, restore_site_report, save_site_report
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
-from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, site, steps
+from tests.fleet.test_failover_cost import ENGINES, ZONES, fleet, run_steps, site
 
 S = CrossZoneSettings()
 
@@ -122,7 +124,7 @@
     )
     made.set_engines(ENGINES)
     assert made.failover_cost is not None
-    steps(made.failover_cost, fleet() if plan else [], 0.0, 2500.0)
+    run_steps(made.failover_cost, fleet() if plan else [], 0.0, 2500.0)
     made.set_members(2500.0, [s.member for s in fleet()])
     for i in range(100):  # 0.7 cores
         made.failover_cost.on_request(500.0 + i * 20.0, 6.0, 14.0)
@@ -137,7 +139,7 @@
 
 def leave(made: FleetCoordinator, zone: str) -> None:
     """A zone is out."""
-    made.evacuation.states[zone].phase = Phase.EVACUATED
+    made.evacuation.states[zone].phase = ZonePhase.EVACUATED
 
 
 @pytest.mark.parametrize("home, bounded", [("a", {"b", "c"}), ("b", {"c"}), ("c", {"b"})])
@@ -171,7 +173,7 @@
 
 def test_an_engine_that_starts_is_no_outage() -> None:
     made = core("a")
-    made.slow_start = SlowStart(99, 1, 2500.0, SlowStartSettings(), 1)
+    made.slow_start = SharedSlowStart(99, 1, 2500.0, SlowStartSettings(), 1)
     made.warmup_quotas = QuotaAccount(0.0, 1 / 7, 1)
     made.slow_start.set_engines(2500.0, {engine: 1.0 for engine in made.zone_of})
     made.slow_start.warming = {"b0": made.slow_start.warming["b0"]}
@@ -187,22 +189,22 @@
     def shares(now: float, cheap: float) -> dict[str, float]:
         told = fleet()
         told[1] = site(2, "b", cheap=cheap)
-        steps(made, told, now, 2000.0, a=0.0)
+        run_steps(made, told, now, 2000.0, a=0.0)
         for _ in range(20):
             made.on_request(now + 1900.0, 6.0, 20.0)
         made.engine_limits(now + 2000.0, {"a": 0.0})
-        return dict(made.held_shares[Question.NOW, "a"].shares)
+        return dict(made.stable_shares[Question.NOW, "a"].shares)
 
     first = shares(0.0, 0.8)
     assert shares(2000.0, 0.85) == first != shares(4000.0, 2.4)
     made.engine_limits(6100.0, {})
-    assert (Question.NOW, "a") not in made.held_shares
+    assert (Question.NOW, "a") not in made.stable_shares
 
 
 def test_the_same_question_is_solved_once(monkeypatch: pytest.MonkeyPatch) -> None:
     made, asked = CostEstimator(99, 1, 0.0, "a", 1), list[str]()
     made.set_engines(ENGINES)
-    steps(made, fleet(), 0.0, 2000.0)
+    run_steps(made, fleet(), 0.0, 2000.0)
     keep = CostEstimator._solve_retained
 
     def counted(self: CostEstimator, plan: SnapshotPlan, zone: str, gives: float, good: float) -> float:
@@ -295,6 +297,6 @@
     made, drawn = CostEstimator(99, 1, 0.0, "a", 1), set[float]()
     made.set_engines(ENGINES)
     for t in range(0, 10_000, 1000):
-        steps(made, fleet(), float(t), 1000.0, **left)
+        run_steps(made, fleet(), float(t), 1000.0, **left)
         drawn.add(made.plan.made_at if made.plan is not None else 0.0)
     assert most - 3 <= len(drawn) <= most
--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -178,6 +178,6 @@
 @pytest.mark.parametrize(
     "case", [one_by_one, aborted, the_driver_is_killed, invalid_requests], ids=lambda case: case.__name__
 )
-def test_engines_in_a_swap_on_processes(case: FleetCase, tmp_path: Path) -> None:
+def test_engine_replacement_on_processes(case: FleetCase, tmp_path: Path) -> None:
     found = play_case(DAY, tmp_path, case)
     assert [f for f in found if not f.startswith("answers")] == []
--- a/tests/fleet/test_model_checker.py
+++ b/tests/fleet/test_model_checker.py
@@ -15,7 +15,7 @@
     registers_violation_at_end,
 )
 from cottonhold.fleet.consensus import acceptor, proposer
-from cottonhold.fleet.consensus.actions import SendMessage
+from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.session_affinity import announcements, membership_lease
 from cottonhold.fleet.session_affinity.messages import MigrationEntry
 from cottonhold.fleet.session_affinity.record_book import OwnershipRecord, OwnershipState
@@ -25,19 +25,19 @@
     return RegisterModel(crashes=3, disk_losses=1, changes=3)
 
 
-def many_pins() -> Model:
+def many_owned_keys() -> Model:
     return OwnershipModel(crashes=2, moves=4, loads=6)
 
 
-def test_registers_and_pins_hold_in_random_orders() -> None:
+def test_registers_and_ownership_keep_their_rules_in_random_orders() -> None:
     found = walk(many_registers, 1, 60, 200, registers_violation_at_end)
     assert not found.violation, found.trace
-    found = walk(many_pins, 1, 40, 250, ownership_violation_at_end)
+    found = walk(many_owned_keys, 1, 40, 250, ownership_violation_at_end)
     assert not found.violation, found.trace
 
 
 @pytest.mark.parametrize("world", [RegisterModel, OwnershipModel])
-def test_they_hold_in_every_order_of_a_few_events(world: Callable[[], Model]) -> None:
+def test_both_keep_their_rules_in_every_order_of_a_few_events(world: Callable[[], Model]) -> None:
     found = explore(world, 4, 250)
     assert not found.violation and found.depth >= 3
 
@@ -74,7 +74,7 @@
     monkeypatch.setattr(
         acceptor.Acceptor,
         "_send_after_write",
-        lambda self, _, to, data: self.actions.append(SendMessage(to, data)),
+        lambda self, _, to, data: self.actions.append(SendConsensusMessage(to, data)),
     )
 
 
@@ -108,7 +108,7 @@
     monkeypatch.setattr(announcements.Announcements, "_on_offer", taken)
 
 
-def not_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def skips_synchronization(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new home begins without having been told what others own."""
 
     def at_once(self: Any, now: float) -> None:
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("plant", [no_quorum, forgetful, unwritten])
-def test_a_defect_of_registers_is_found(
+def test_a_defect_of_registers_is_detected(
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
@@ -126,12 +126,12 @@
     assert "two values" in found.violation or "was lost" in found.violation, found.violation
 
 
-@pytest.mark.parametrize("plant", [no_fence, no_wait, early_release, not_told])
-def test_a_defect_of_pins_is_found(
+@pytest.mark.parametrize("plant", [no_fence, no_wait, early_release, skips_synchronization])
+def test_a_defect_of_ownership_is_detected(
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    found = walk(many_pins, 7, 1500, 250, ownership_violation_at_end)  # a seed that meets all soon
+    found = walk(many_owned_keys, 7, 1500, 250, ownership_violation_at_end)  # a seed that meets all soon
     assert "two owners" in found.violation or "a load started" in found.violation, found.violation
 
 
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -10,13 +10,14 @@
 from hypothesis import strategies as st
 
 from cottonhold.emulator.recovery import MEAN_WORK_MS, PowerReturn, PowerReturnPlan
+from cottonhold.fleet.actions import ThresholdUpdate
 from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
-from cottonhold.fleet.admission.threshold import ReportedLoad
-from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
+from cottonhold.fleet.admission.threshold import ReportedDemand
+from cottonhold.fleet.coordinator import FleetCoordinator
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.recovery import warmup_messages
-from cottonhold.fleet.recovery.first_prober import first_prober
-from cottonhold.fleet.recovery.slow_start import OutageScope, SlowStart
+from cottonhold.fleet.recovery.first_checker import first_checker
+from cottonhold.fleet.recovery.shared_slow_start import OutageScope, SharedSlowStart
 from cottonhold.fleet.recovery.slow_start_settings import WARMUP_BUDGET, SlowStartSettings
 from cottonhold.fleet.recovery.warming_engine import WarmingEngine
 from cottonhold.fleet.recovery.warmup_messages import (
@@ -27,6 +28,7 @@
     encode_warmup_reports,
     pool_observations,
 )
+from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount, QuotaRequest
 
 unhurried = settings(deadline=None)  # the same verdict on a busy machine
@@ -34,8 +36,8 @@
 NUMBER = warmup_messages.engine_number("a0")
 
 
-def ramp(**fields: object) -> SlowStart:
-    made = SlowStart(1, 1, 0.0, SlowStartSettings(**fields), 1)  # type: ignore[arg-type]
+def make_slow_start(**fields: object) -> SharedSlowStart:
+    made = SharedSlowStart(1, 1, 0.0, SlowStartSettings(**fields), 1)  # type: ignore[arg-type]
     made.set_engines(0.0, ENGINES)
     return made
 
@@ -59,7 +61,7 @@
 
 @pytest.mark.parametrize("proof", ["list", "probe", "attempt", "another's attempt"])
 def test_nothing_goes_to_an_engine_before_it_is_listed_or_has_answered(proof: str) -> None:
-    made = ramp()
+    made = make_slow_start()
     assert made.share("a0") == 0.0 and 0 < max(made.work_limits(1.0).values()) < 1e-6
     if proof == "list":
         made.on_list_received(10.0)
@@ -81,7 +83,7 @@
 
 
 def test_a_list_does_not_prove_an_engine_that_failed_a_health_check() -> None:
-    made = ramp()
+    made = make_slow_start()
     made.on_health_check(10.0, "a0", False)
     made.on_list_received(300.0)
     assert made.share("a0") == 0.0 and made.share("a1") == made.settings.initial_share
@@ -90,7 +92,7 @@
 
 
 def test_a_share_follows_observations_and_not_the_clock() -> None:
-    made = ramp(warm_after_ms=60_000.0)
+    made = make_slow_start(warm_after_ms=60_000.0)
     made.on_list_received(0.0)
     for t in range(100, 5000, 100):
         made.on_answer(float(t), "a0", True, 20.0, 60.0)  # stays three times slower
@@ -105,7 +107,7 @@
 
 
 def test_a_slow_engine_is_free_at_its_configured_age_and_a_silent_one_is_not() -> None:
-    made = ramp(warm_after_ms=3000.0)
+    made = make_slow_start(warm_after_ms=3000.0)
     made.on_list_received(0.0)
     for t in range(100, 3400, 100):
         made.on_answer(float(t), "a0", True, 20.0, 120.0)  # 20 ms of work, and a machine that is busy
@@ -114,7 +116,7 @@
 
 
 def test_after_an_outage_engines_warm_up_anew_unless_only_this_instance_was_away() -> None:
-    made = ramp()
+    made = make_slow_start()
     made.on_list_received(0.0)
     made.on_loss(0.0, OutageScope.ALONE)
     assert not made.is_active
@@ -134,7 +136,7 @@
     since: float, failed: bool, share: float
 ) -> None:
     """More than half of the fleet are back after two seconds, and only then all know that it was lost."""
-    made = ramp(warm_after_ms=3000.0)
+    made = make_slow_start(warm_after_ms=3000.0)
     made.on_loss(0.0, OutageScope.ALONE)
     made.on_answer(100.0, "a0", True, 20.0, 60.0)
     if failed:
@@ -151,7 +153,7 @@
 
 @pytest.mark.parametrize("tellers, older", [(1, False), (2, True), (3, True)], ids=str)
 def test_an_engine_is_as_old_as_two_others_know(tellers: int, older: bool) -> None:
-    made = ramp(warm_after_ms=3000.0)
+    made = make_slow_start(warm_after_ms=3000.0)
     made.on_list_received(0.0)
     for t in (100.0, 200.0, 300.0, 400.0, 500.0):
         made.on_answer(t, "a0", True, 20.0, 60.0)
@@ -165,7 +167,7 @@
 
 
 def test_observations_of_an_engines_earlier_incarnation_do_not_count() -> None:
-    made = ramp()
+    made = make_slow_start()
     made.on_loss(0.0, OutageScope.ALONE)
     made.on_engine_started(5000.0, "a0")
     for version, age, share in ((1, 4000.0, 0.3), (2, 0.0, 0.345 * 1.15)):
@@ -177,7 +179,7 @@
 
 
 def test_a_queue_at_an_engine_lowers_its_share() -> None:
-    made = ramp()
+    made = make_slow_start()
     made.on_list_received(0.0)
     made.warming["a0"].share, made.warming["a0"].started_at = 0.48, -2000.0
     for t in range(100, 1500, 20):  # 0.4 of its capacity, each after a line of half a second
@@ -187,7 +189,7 @@
 
 
 def test_a_restarted_instance_advises_the_same_retry_after_as_the_others() -> None:
-    early, late, told = ramp(), ramp(), set[float]()
+    early, late, told = make_slow_start(), make_slow_start(), set[float]()
     early.on_list_received(0.0)
     for t in range(100, 2500, 100):
         for engine in ENGINES:
@@ -203,8 +205,8 @@
 
 
 def test_each_engine_is_checked_by_each_dispatcher_in_turn() -> None:
-    found = {first_prober("a0", 100.0 * k, 6) for k in range(6)}
-    firsts = [first_prober(f"e{i}", 0.0, 6) for i in range(600)]
+    found = {first_checker("a0", 100.0 * k, 6) for k in range(6)}
+    firsts = [first_checker(f"e{i}", 0.0, 6) for i in range(600)]
     assert found == set(range(6)) and min(firsts.count(n) for n in range(6)) > 60
 
 
@@ -218,7 +220,7 @@
 
 
 ROWS = st.builds(EngineObservation, *(st.floats(0, 1) for _ in range(3)), st.floats(0, 20_000))
-WORDS = st.builds(
+WARMUP_REPORTS = st.builds(
     WarmupReport,
     *(st.integers(1, 2**32 - 1) for _ in range(3)),
     st.dictionaries(st.integers(0, 2**32 - 1), ROWS, max_size=warmup_messages.MAX_ENGINES),
@@ -226,7 +228,7 @@
 
 
 @unhurried
-@given(st.lists(WORDS, max_size=4))
+@given(st.lists(WARMUP_REPORTS, max_size=4))
 def test_warmup_reports_keep_their_meaning_and_fit_a_datagram(words: list[WarmupReport]) -> None:
     data = encode_warmup_reports(words)
     back = decode_warmup_reports(data)
@@ -282,7 +284,9 @@
     for t in range(0, 3000, 100):
         # Of four configured two are there: half of 0.3 of six cores is for what those are offered.
         made.on_message(
-            float(t), 2, encode_demand_reports([DemandReport(2, 1, t + 1, ReportedLoad({20: 1.0, 40: 0.5}))])
+            float(t),
+            2,
+            encode_demand_reports([DemandReport(2, 1, t + 1, ReportedDemand({20: 1.0, 40: 0.5}))]),
         )
         priced += [a for a in made.step(float(t)) if isinstance(a, ThresholdUpdate)]
     last = priced[-1]
@@ -341,30 +345,32 @@
     assert served[1] > 0.9 * served[0] and twice.bound_violations == 0
 
 
-def greedy_step(self: SlowStart, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
+def greedy_step(self: SharedSlowStart, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
     self.present = 1 + len(set(live))  # type: ignore[attr-defined]
     return STEP(self, now, live)
 
 
-def greedy_bounds(self: SlowStart, part: float) -> dict[str, float]:
+def greedy_bounds(self: SharedSlowStart, part: float) -> dict[str, float]:
     return BOUNDS(self, 1 / getattr(self, "present", 1))
 
 
-def by_the_clock(self: SlowStart, young: WarmingEngine, pooled: PooledObservation, passed: float) -> bool:
+def by_the_clock(
+    self: SharedSlowStart, young: WarmingEngine, pooled: PooledObservation, passed: float
+) -> bool:
     young.share = min(young.share * 2 ** (passed / 1000), 1.0)
     return False
 
 
-def trusting(self: SlowStart, now: float, engine: str, not_before: float) -> WarmingEngine:
+def trusting(self: SharedSlowStart, now: float, engine: str, not_before: float) -> WarmingEngine:
     young = START(self, now, engine, not_before)
     young.has_answered = True
     return young
 
 
-STEP, BOUNDS, START = SlowStart.step, SlowStart.work_limits, SlowStart._start
+STEP, BOUNDS, START = SharedSlowStart.step, SharedSlowStart.work_limits, SharedSlowStart._start
 
 
-def most(world: PowerReturn) -> float:
+def max_engine_load(world: PowerReturn) -> float:
     """The most that came to any engine within its window, against what it does at the time."""
     return max(overload.max_load for overload in world.engine_overloads)
 
@@ -381,7 +387,7 @@
             0.0,
         ),
         # The largest of nine engines differs by chance, 1.25 to 1.35 by seed, so it is held to by the mean.
-        ({"_follow": by_the_clock}, most, 1.3, 8, 20_000.0, 0.0),
+        ({"_follow": by_the_clock}, max_engine_load, 1.3, 8, 20_000.0, 0.0),
         ({"_start": trusting}, lambda w: w.blind_sends, 0.0, 1, 3000.0, 1000.0),
     ],
     ids=["all of the budget for those present", "by the clock", "proof not awaited"],
@@ -401,12 +407,12 @@
 
     assert mean() <= least
     for name, defect in defects.items():
-        monkeypatch.setattr(SlowStart, name, defect)
+        monkeypatch.setattr(SharedSlowStart, name, defect)
     assert mean() > least
 
 
 def test_a_slow_engine_is_free_at_last() -> None:
-    made = ramp(max_duration_ms=3000.0)
+    made = make_slow_start(max_duration_ms=3000.0)
     made.on_list_received(0.0)
     for t in range(0, 4000, 100):
         made.on_answer(float(t), "a0", True, 20.0, 60.0)
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -184,6 +184,6 @@
     ],
     ids=lambda s: s.__name__,
 )
-def test_a_swap_on_processes(case: FleetCase, tmp_path: Path) -> None:
+def test_rolling_replacement_on_processes(case: FleetCase, tmp_path: Path) -> None:
     found = play_case(DAY, tmp_path, case)
     assert [f for f in found if not f.startswith("answers")] == []
--- a/tests/fleet/test_session_affinity_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -27,12 +27,12 @@
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("affinity processes")]
 
 # Long enough for a busy machine, and calm enough: the stories end it.
-PINNED = msgspec.structs.replace(
+AFFINITY_DAY = msgspec.structs.replace(
     DAY, name="pins", has_affinity=True, orders_across=True, requests_per_s=30.0, duration_s=300.0
 )
 # Clients that hear nothing for a while ask again, for the same load and at any instance.
 IMPATIENT = msgspec.structs.replace(
-    PINNED,
+    AFFINITY_DAY,
     name="impatient",
     client_behaviour=ClientBehaviour(
         max_attempts=4, retries_unfinished_loads=True, response_timeout_ms=400.0
@@ -147,18 +147,18 @@
 
 
 CASES = [
-    (all_are_replaced, PINNED),
-    (the_source_is_killed, PINNED),
-    (the_target_is_killed, PINNED),
-    (power_loss_during_a_migration, PINNED),
-    (a_new_machine, PINNED),
-    (an_emptied_folder, PINNED),
+    (all_are_replaced, AFFINITY_DAY),
+    (the_source_is_killed, AFFINITY_DAY),
+    (the_target_is_killed, AFFINITY_DAY),
+    (power_loss_during_a_migration, AFFINITY_DAY),
+    (a_new_machine, AFFINITY_DAY),
+    (an_emptied_folder, AFFINITY_DAY),
     (all_are_replaced, IMPATIENT),
 ]
 
 
 @pytest.mark.parametrize(("case", "day"), CASES, ids=lambda v: getattr(v, "__name__", getattr(v, "name", "")))
-def test_pins_on_processes(case: FleetCase, day: Scenario, tmp_path: Path) -> None:
+def test_session_affinity_on_processes(case: FleetCase, day: Scenario, tmp_path: Path) -> None:
     async def with_pins(run: ScenarioRun) -> None:
         await until_settled(run)
         await serve_more(run, "load", 5)
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -13,7 +13,8 @@
 
 from cottonhold.config.installation import Installation, read_installation
 from cottonhold.fleet.engine_drain import DrainSettings
-from cottonhold.fleet.recovery.load_history import LoadHistory, LoadHistorySettings
+from cottonhold.fleet.recovery.load_history import LoadHistory
+from cottonhold.fleet.recovery.load_history_interface import LoadHistorySettings
 from cottonhold.fleet.recovery.local_loads import LoadKnowledge, LoadResult, RecordedLoad, load_identity
 from cottonhold.fleet_adapters.recovery_folder import open_ledger
 from cottonhold.fleet_adapters.unavailable_load_guard import UnavailableLoadGuard
@@ -29,31 +30,31 @@
 from tests.observe.test_metrics import FILE, FLEET
 from tests.support.scenario import FakeClock
 
-MOST_TURNS = 2000  # of the event loop, each 10 ms at most: a bound for a test that has failed
+MAX_LOOP_TURNS = 2000  # of the event loop, each 10 ms at most: a bound for a test that has failed
 
 
 class World:
-    """A node, and a folder that is had when the test says so."""
+    """A node, and a folder that can be opened when the test says so."""
 
     def __init__(self, folder: Path) -> None:
-        self.path, self.said = folder / "n1.json", StringIO()
+        self.path, self.log_text = folder / "n1.json", StringIO()
         self.path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
-        self.hangs, self.errors, self.tries = threading.Event(), list[Exception](), 0
-        self.hangs.set()
+        self.may_open, self.errors, self.open_count = threading.Event(), list[Exception](), 0
+        self.may_open.set()
 
     def open(self, installation: Installation, folder: Path) -> Ledger | None:
-        self.tries += 1
-        assert self.hangs.wait(60.0)
+        self.open_count += 1
+        assert self.may_open.wait(60.0)
         if self.errors:
             raise self.errors.pop(0)
         return open_ledger(installation, folder)
 
-    def make(self) -> StandaloneDispatcher:
-        log = StructuredLog("logfmt", 100, 100, (), self.said)
+    def make_node(self) -> StandaloneDispatcher:
+        log = StructuredLog("logfmt", 100, 100, (), self.log_text)
         return StandaloneDispatcher(self.path, read_installation(self.path), log, asyncio.get_running_loop())
 
     def lines(self) -> list[str]:
-        return [line for line in self.said.getvalue().splitlines() if "ledger_unavailable" in line]
+        return [line for line in self.log_text.getvalue().splitlines() if "ledger_unavailable" in line]
 
 
 @pytest.fixture
@@ -66,16 +67,16 @@
     return world
 
 
-async def kept(node: StandaloneDispatcher) -> None:
+async def wait_until_loads_are_recorded(node: StandaloneDispatcher) -> None:
     """Until the folder is in use."""
-    for _ in range(MOST_TURNS):
+    for _ in range(MAX_LOOP_TURNS):
         if node.recovery is not None:
             return
         await asyncio.sleep(0.01)
     raise AssertionError("the folder is never used")
 
 
-def end(node: StandaloneDispatcher) -> None:
+def close_parts(node: StandaloneDispatcher) -> None:
     for part in (node.session_affinity, node.rolling_replacement, node.recovery):
         if part is not None:
             part.close()
@@ -93,23 +94,23 @@
 ) -> None:
     monkeypatch.setattr(ledger_access, "START_WAIT_S", 0.0)
     monkeypatch.setattr(ledger_access, "SLOW_OPENING_S", 0.0)
-    world.hangs.clear()
+    world.may_open.clear()
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert (
             isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and node.recovery is None
         )
         for _ in range(20):  # the loop goes on meanwhile
             await asyncio.sleep(0.002)
-        assert world.tries == 1, "one try at a time"
+        assert world.open_count == 1, "one try at a time"
         assert len(world.lines()) == 1 and "has not answered" in world.lines()[0]
-        world.hangs.set()
-        await kept(node)
+        world.may_open.set()
+        await wait_until_loads_are_recorded(node)
         assert node.gateway.notifications.load_guard is not None and not isinstance(
             node.gateway.notifications.load_guard, UnavailableLoadGuard
         )
-        end(node)
+        close_parts(node)
 
     play(story)
 
@@ -120,17 +121,19 @@
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
-        node = world.make()
-        world.hangs.clear()
-        for _ in range(MOST_TURNS):
-            if world.tries == 2 and len(world.lines()) == 2:
+        node = world.make_node()
+        world.may_open.clear()
+        for _ in range(MAX_LOOP_TURNS):
+            if world.open_count == 2 and len(world.lines()) == 2:
                 break
             await asyncio.sleep(0.002)
-        assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and world.tries == 2
+        assert (
+            isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and world.open_count == 2
+        )
         assert ["planted" in world.lines()[0], "has not answered" in world.lines()[1]] == [True, True]
-        world.hangs.set()
-        await kept(node)
-        end(node)
+        world.may_open.set()
+        await wait_until_loads_are_recorded(node)
+        close_parts(node)
 
     play(story)
 
@@ -148,11 +151,11 @@
     world.errors = list(errors)
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
-        await kept(node)
-        assert world.tries == len(errors) + 1 and len(world.lines()) == 1
-        end(node)
+        await wait_until_loads_are_recorded(node)
+        assert world.open_count == len(errors) + 1 and len(world.lines()) == 1
+        close_parts(node)
 
     play(story)
 
@@ -161,17 +164,17 @@
     path.write_text("")
 
 
-def life_is_a_folder(path: Path) -> None:
+def boot_file_is_a_folder(path: Path) -> None:
     path.mkdir()
     (path / f"{FILE['name']}.life").mkdir()
 
 
-def book_is_a_folder(path: Path) -> None:
+def record_file_is_a_folder(path: Path) -> None:
     path.mkdir()
     (path / f"{FILE['name']}.1.db").mkdir()
 
 
-@pytest.mark.parametrize("wrong", [not_a_folder, life_is_a_folder, book_is_a_folder])
+@pytest.mark.parametrize("wrong", [not_a_folder, boot_file_is_a_folder, record_file_is_a_folder])
 def test_an_unusable_folder_is_reported_and_used_once_it_can(
     world: World, wrong: Callable[[Path], None]
 ) -> None:
@@ -179,50 +182,52 @@
     wrong(folder)
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert (
             isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
             and len(world.lines()) == 1
         )
         assert str(folder) in world.lines()[0]
         folder.rename(folder.with_name("away"))
-        await kept(node)
-        end(node)
+        await wait_until_loads_are_recorded(node)
+        close_parts(node)
 
     play(story)
 
 
-def told(unkept: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
-    heard = list[str]()
-    taken = ClientRequest("ref", 1, "load", unkept.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
-    unkept.on_load_arrived(taken, unkept.now() + 500.0, lambda past, ms: heard.append(past.value))
-    (past,) = heard
-    return past
+def answer_to_retry(guard: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
+    outcomes = list[str]()
+    client_request = ClientRequest("ref", 1, "load", guard.now(), 8000.0, 0.0, 0.0, -1, "k", retry, body)
+    guard.on_load_arrived(
+        client_request, guard.now() + 500.0, lambda outcome, ms: outcomes.append(outcome.value)
+    )
+    (outcome,) = outcomes
+    return outcome
 
 
-def unkept_with(clock: FakeClock, loads: dict[bytes, LoadResult | None]) -> UnavailableLoadGuard:
-    kept = [RecordedLoad(load_identity("load", "k", body), how) for body, how in loads.items()]
-    memory = LoadHistory(0, 3, 0, clock.now(), kept, LoadHistorySettings(20_000.0), 0)
-    return UnavailableLoadGuard({1: True, 2: False}, 1000.0, memory, clock.now, Counters())
+def make_unavailable_guard(clock: FakeClock, loads: dict[bytes, LoadResult | None]) -> UnavailableLoadGuard:
+    recorded = [RecordedLoad(load_identity("load", "k", body), result) for body, result in loads.items()]
+    history = LoadHistory(0, 3, 0, clock.now(), recorded, LoadHistorySettings(20_000.0), 0)
+    return UnavailableLoadGuard({1: True, 2: False}, 1000.0, history, clock.now, Counters())
 
 
-def put_off_by_turns(unkept: UnavailableLoadGuard, clock: FakeClock) -> None:
-    """Its load was sent elsewhere, and is forgotten there after a hold."""
-    start, heard = clock.now(), list[str]()
+def check_postponement(guard: UnavailableLoadGuard, clock: FakeClock) -> None:
+    """Its load was sent elsewhere, and is forgotten there after the retention."""
+    start, outcomes = clock.now(), list[str]()
     for second in range(8):
         clock.run_until(start + 1000.0 * second, lambda: None)
-        heard.append(told(unkept, b"INSERT a", True))
-    assert heard == ["later"] * 6 + ["may"] * 2
+        outcomes.append(answer_to_retry(guard, b"INSERT a", True))
+    assert outcomes == ["later"] * 6 + ["may"] * 2
 
 
 def test_a_retry_is_not_postponed_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
-    put_off_by_turns(unkept_with(clock, {}), clock)
+    check_postponement(make_unavailable_guard(clock, {}), clock)
     monkeypatch.setattr(
         LoadHistory, "answer_unavailable", lambda memory, now, load: LoadKnowledge.NOT_KNOWN_YET
     )
     with pytest.raises(AssertionError):
-        put_off_by_turns(unkept_with(clock, {}), clock)
+        check_postponement(make_unavailable_guard(clock, {}), clock)
 
 
 @pytest.mark.parametrize(
@@ -235,46 +240,46 @@
     ],
 )
 def test_a_retry_is_answered_by_what_could_be_read(how: LoadResult | None, retried: str) -> None:
-    unkept = unkept_with(FakeClock(), {b"INSERT a": how})
-    assert told(unkept, b"INSERT a", True) == retried
-    assert told(unkept, b"INSERT a", False) == told(unkept, b"INSERT b", False) == "later"
+    guard = make_unavailable_guard(FakeClock(), {b"INSERT a": how})
+    assert answer_to_retry(guard, b"INSERT a", True) == retried
+    assert answer_to_retry(guard, b"INSERT a", False) == answer_to_retry(guard, b"INSERT b", False) == "later"
 
 
-def test_postponed_retries_are_forgotten_after_a_hold() -> None:
+def test_postponed_retries_are_forgotten_after_the_retention() -> None:
     clock = FakeClock()
-    unkept = unkept_with(clock, {})
+    guard = make_unavailable_guard(clock, {})
     for number in range(50):
         clock.run_until(clock.now() + 1000.0, lambda: None)
-        told(unkept, b"INSERT %d" % number, True)
-    assert len(unkept.history.local.queried) <= 22
+        answer_to_retry(guard, b"INSERT %d" % number, True)
+    assert len(guard.history.local.queried) <= 22
 
 
 def test_a_retry_counts_from_its_first_time_once_the_folder_is_available(world: World) -> None:
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert node.unavailable_load_guard is not None
         node.unavailable_load_guard.history.answer_unavailable(
             node.unavailable_load_guard.now() - 4000.0, b"x" * 16
         )
         first = node.unavailable_load_guard.history.local.queried[b"x" * 16].first_at
-        await kept(node)
+        await wait_until_loads_are_recorded(node)
         assert node.recovery is not None and node.recovery.history.local.queried[b"x" * 16].first_at == first
-        end(node)
+        close_parts(node)
 
     play(story)
 
 
-def test_a_full_folder_still_tells_what_became_of_loads(world: World) -> None:
-    """Of one that could be read, but whose boot could not be counted."""
+def test_loads_of_a_full_folder_are_answered_by_what_could_be_read(world: World) -> None:
+    """A folder that could be read, but whose boot could not be counted."""
     body = b"INSERT a"
     record = LoadRecord(load_identity("load", "k", body), "r", "k", b"", "e1", 1, 0.0, LoadState.SENT)
     error = StoreError("full", Folder.COMPLETE, {RecordKind.LOAD: {record.identity: record.encode()}})
     world.errors = [error]
 
     async def story() -> None:
-        node = world.make()
+        node = world.make_node()
         assert node.unavailable_load_guard is not None
         assert (
             node.unavailable_load_guard.history.answer_unavailable(
@@ -282,35 +287,35 @@
             )
             is LoadKnowledge.MAY_HAVE_RUN
         )
-        await kept(node)
-        end(node)
+        await wait_until_loads_are_recorded(node)
+        close_parts(node)
 
     play(story)
 
 
-def with_drain(folder: Path, drain: dict[RecordKind, dict[bytes, bytes]]) -> None:
-    """A folder of an earlier life."""
+def make_folder_with_drain(folder: Path, drain: dict[RecordKind, dict[bytes, bytes]]) -> None:
+    """A folder of an earlier incarnation."""
     ledger = Ledger.open(folder, str(FILE["name"]))
     ledger.put([Record(kind, key, value) for kind, kept in drain.items() for key, value in kept.items()])
     ledger.close(True)
 
 
 @pytest.mark.parametrize("had", [True, False], ids=["had-later", "never-had"])
-def test_drains_of_a_folder_that_could_be_read_are_held(
+def test_drains_of_a_readable_folder_stay_in_force(
     world: World, monkeypatch: pytest.MonkeyPatch, had: bool
 ) -> None:
     """Until its ledger holds them, or for as long as registers are waited for."""
     monkeypatch.setattr(ledger_access, "RETRY_INTERVAL_MS", 1.0 if had else 1e6)
     drain = {RecordKind.ENGINE_DRAIN: {b"e1": Hint(b"", 0.0).encode()}}
     world.errors = [StoreError("full", Folder.COMPLETE, drain)]
-    with_drain(world.path.parent / "state", drain)
+    make_folder_with_drain(world.path.parent / "state", drain)
 
     async def story() -> None:
-        node, due = world.make(), list[tuple[float, Callable[[], None]]]()
+        node, due = world.make_node(), list[tuple[float, Callable[[], None]]]()
         node.publish_initial_engines()
         assert set(node.quarantine.live_engines()) == {"e2"}
         if had:
-            await kept(node)
+            await wait_until_loads_are_recorded(node)
             assert set(node.quarantine.live_engines()) == {"e2"}
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
         node._withhold_drained_engines(drain[RecordKind.ENGINE_DRAIN])
@@ -318,6 +323,6 @@
         assert ms == DrainSettings().startup_timeout_ms
         let_go()
         assert set(node.quarantine.live_engines()) == ({"e2"} if had else {"e1", "e2"})
-        end(node)
+        close_parts(node)
 
     play(story)
