--- a/benchmarks/fleet/cuts.py
+++ b/benchmarks/fleet/cuts.py
@@ -83,9 +83,9 @@
     """One fleet, and what its logs show so far."""
 
     def __init__(
-        self, day: Scenario, folder: Path, guard: bool = True, defect: str = "", forks: bool = True
+        self, scenario: Scenario, folder: Path, guard: bool = True, defect: str = "", forks: bool = True
     ) -> None:
-        super().__init__(day, folder, forks=forks, defect=defect)
+        super().__init__(scenario, folder, forks=forks, defect=defect)
         self.guard, self.tally = guard, Tally()
         self.bytes_read: dict[str, int] = {}  # of each log
         self.power_lost_at: list[float] = []
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -25,7 +25,7 @@
 from cottonhold.emulator.fault_injection.run_folder import ownerless_times
 from cottonhold.emulator.fault_injection.script import Fault, Scenario, ScriptError, check_scenario
 
-DAY = check_scenario(
+SCENARIO = check_scenario(
     Scenario(
         name="judged",
         description="a run by hand",
@@ -103,7 +103,7 @@
 
 
 def test_a_load_that_never_began_may_be_run_for_a_retry() -> None:
-    verdict = check_run(DAY, clean_logs())
+    verdict = check_run(SCENARIO, clean_logs())
     assert verdict.findings == []
     assert verdict.figures["loads"] == 2 and verdict.figures["loads_run_twice"] == 0
 
@@ -113,7 +113,7 @@
     finding_start, plant_defect = DEFECTS[name]
     logs = clean_logs()
     plant_defect(logs)
-    findings = check_run(DAY, logs).findings
+    findings = check_run(SCENARIO, logs).findings
     assert findings and all(finding.startswith(finding_start) for finding in findings)
 
 
@@ -133,14 +133,14 @@
     (tmp_path / "n0.log").write_text(log_text)
     logs = clean_logs()
     logs.ownerless_counts = ownerless_times(tmp_path, [{"pins": {"ownerless": view}}, {}])
-    figures = check_run(DAY, logs).figures
+    figures = check_run(SCENARIO, logs).figures
     assert (figures.get("pins_moved"), figures.get("ownerless_p99_ms")) == (migrated, p99)
 
 
 def test_order_across_instances_is_a_figure_where_it_is_no_rule() -> None:
     logs = clean_logs()
     run_at_once(logs)
-    verdict = check_run(msgspec.structs.replace(DAY, orders_across=False), logs)
+    verdict = check_run(msgspec.structs.replace(SCENARIO, orders_across=False), logs)
     assert verdict.findings == [] and verdict.figures["order_across"] == 1
 
 
--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -227,7 +227,7 @@
         decode_scenario(json.dumps({"name": "bad", "about": "bad", **changes}).encode())
 
 
-DAY = check_scenario(
+SCENARIO = check_scenario(
     Scenario(
         name="judged",
         description="a run by hand",
@@ -302,7 +302,7 @@
 
 
 def test_a_clean_run_has_no_findings_and_full_utility() -> None:
-    verdict = check_run(DAY, clean_logs())
+    verdict = check_run(SCENARIO, clean_logs())
     assert verdict.findings == [] and verdict.figures["worth"] == 1.0
     assert verdict.figures["attempts_per_served"] == 1.0 and sum(verdict.series["sends a"]) == 2
     assert len(summary([("judged", verdict)])) == 3
@@ -315,7 +315,7 @@
     if name == "out of order":
         remove_lines(logs.engines["b0"], "run", "r1")
     plant_defect(logs)
-    findings = check_run(DAY, logs).findings
+    findings = check_run(SCENARIO, logs).findings
     assert findings and all(finding.startswith(kind) for finding in findings)
 
 
@@ -324,7 +324,7 @@
     logs = clean_logs()
     overlap_attempts(logs)
     logs.stalls += [(90.0, 100.0), (100.05, end)]
-    assert len(check_run(DAY, logs).findings) == found
+    assert len(check_run(SCENARIO, logs).findings) == found
 
 
 @pytest.mark.parametrize(
@@ -339,14 +339,14 @@
     logs = clean_logs()
     remove_lines(logs.clients, "served", "r1")
     excuse(logs)
-    assert check_run(DAY, logs).findings == []
+    assert check_run(SCENARIO, logs).findings == []
 
 
 def test_a_load_that_was_rejected_or_cancelled_may_be_sent_to_another_engine() -> None:
     logs = clean_logs()
     logs.links[2:2] = [[101.001, "get", "r1", "n0", "a0"], [101.002, "overload", "r1", "n0", "a0"]]
     logs.links[0:0] = [[100.005, "get", "r0", "n0", "b0"], [100.009, "drop", "r0", "n0", "b0"]]
-    assert check_run(DAY, logs).findings == []
+    assert check_run(SCENARIO, logs).findings == []
 
 
 @pytest.mark.parametrize(
@@ -364,7 +364,7 @@
 ) -> None:
     logs = clean_logs()
     logs.marks += marks
-    assert check_run(DAY, logs).findings == []
+    assert check_run(SCENARIO, logs).findings == []
 
 
 def test_utility_is_compared_with_what_the_engines_could_do() -> None:
@@ -373,15 +373,15 @@
         lines.insert(1, [99.5, "set", "", "slow", 40.0])
     half = copy.deepcopy(logs)
     remove_lines(half.clients, "served", "r3")
-    assert check_run(DAY, half).figures["worth"] < check_run(DAY, logs).figures["worth"]
+    assert check_run(SCENARIO, half).figures["worth"] < check_run(SCENARIO, logs).figures["worth"]
     dead = clean_logs()
     dead.marks += [(99.9, "kill", "a0"), (99.9, "kill", "b0")]
-    assert sum(check_run(DAY, dead).series["worth most"]) == 0.0
+    assert sum(check_run(SCENARIO, dead).series["worth most"]) == 0.0
 
 
 def test_a_report_is_one_page_and_invalid_commands_fail(tmp_path: Path) -> None:
-    verdict = check_run(DAY, clean_logs())
-    (tmp_path / "day.json").write_bytes(encode_scenario(DAY))
+    verdict = check_run(SCENARIO, clean_logs())
+    (tmp_path / "day.json").write_bytes(encode_scenario(SCENARIO))
     kept = {
         "verdict": {"findings": ["made: <r1>"], "figures": verdict.figures, "series": verdict.series},
         "timeline": [str(Fault(1.0, "kill", "a"))],
--- a/tests/fleet/test_engine_drain_processes.py
+++ b/tests/fleet/test_engine_drain_processes.py
@@ -17,14 +17,14 @@
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault
 from tests.fleet.test_recovery_processes import ALL, served_count
-from tests.fleet.test_recovery_processes import DAY as POWER
+from tests.fleet.test_recovery_processes import SCENARIO as POWER_LOSS
 from tests.fleet.test_rolling_replacement_processes import play_case, replacement_rows, send_call
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("replacement processes")
 
 # Little load: on a machine that is busy with other things zones look slow, and nothing starts meanwhile.
-DAY = msgspec.structs.replace(POWER, name="swap of engines", duration_s=580.0, requests_per_s=20.0)
+SCENARIO = msgspec.structs.replace(POWER_LOSS, name="swap of engines", duration_s=580.0, requests_per_s=20.0)
 TIMEOUT_S = 280.0  # s until a state that does not come is an error
 ENGINES = ("a0", "b0", "c0")
 END_EVENTS = {"done", "drop", "broke", "crashed", "overload"}
@@ -179,5 +179,5 @@
     "case", [one_by_one, aborted, the_driver_is_killed, invalid_requests], ids=lambda case: case.__name__
 )
 def test_engines_in_a_swap_on_processes(case: FleetCase, tmp_path: Path) -> None:
-    found = play_case(DAY, tmp_path, case)
+    found = play_case(SCENARIO, tmp_path, case)
     assert [f for f in found if not f.startswith("answers")] == []
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -22,7 +22,7 @@
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("fleet processes")
 
-DAY = Scenario(
+SCENARIO = Scenario(
     name="short",
     description="in CI",
     instances=4,
@@ -60,7 +60,7 @@
 
     def received_by_zone() -> dict[str, int]:
         lines = run.logs().engines.items()
-        by_zone = dict.fromkeys(DAY.zones, 0)
+        by_zone = dict.fromkeys(SCENARIO.zones, 0)
         for engine, there in lines:
             by_zone[engine[0]] += sum(line[1] == "get" for line in there)
         return by_zone
@@ -139,9 +139,9 @@
     "case", [killed, one_link, ordered_by_operator, no_path_around_the_harness], ids=lambda s: s.__name__
 )
 def test_a_fleet_of_processes(case: FleetCase, tmp_path: Path) -> None:
-    run = ScenarioRun(DAY, tmp_path)
+    run = ScenarioRun(SCENARIO, tmp_path)
 
-    async def scenario() -> None:
+    async def play() -> None:
         try:
             await run.start()
             await count_sends(run, 150)
@@ -149,6 +149,6 @@
         finally:
             await run.close()
 
-    asyncio.run(scenario())
-    findings = check_run(DAY, run.logs()).findings
+    asyncio.run(play())
+    findings = check_run(SCENARIO, run.logs()).findings
     assert [f for f in findings if not f.startswith("answers")] == []  # asks were open at its end
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -20,7 +20,7 @@
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("fleet processes")
 
-DAY = Scenario(
+SCENARIO = Scenario(
     name="power",
     description="in CI",
     instances=3,
@@ -223,10 +223,10 @@
 
 @pytest.mark.parametrize("case", CASES, ids=lambda s: s.__name__)
 def test_a_power_loss_on_processes(case: FleetCase, tmp_path: Path) -> None:
-    day = msgspec.structs.replace(DAY, has_consul=case is the_engine_list_source_stays_away)
-    run = ScenarioRun(day, tmp_path, forks=True)
+    scenario = msgspec.structs.replace(SCENARIO, has_consul=case is the_engine_list_source_stays_away)
+    run = ScenarioRun(scenario, tmp_path, forks=True)
 
-    async def scenario() -> None:
+    async def play() -> None:
         try:
             await run.start()
             await until_recovery(run, lambda view: view["sends_loads"] and view["confirmed"], "all are there")
@@ -235,7 +235,7 @@
         finally:
             await run.close()
 
-    asyncio.run(scenario())
-    findings = check_run(day, run.logs()).findings
+    asyncio.run(play())
+    findings = check_run(scenario, run.logs()).findings
     # Asks are open at its end; times are no part of this.
     assert [f for f in findings if not f.startswith("answers")] == []
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -13,7 +13,7 @@
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 from cottonhold.node.status import ask
-from tests.fleet.test_recovery_processes import ALL, DAY, recovery_view, serve_more
+from tests.fleet.test_recovery_processes import ALL, SCENARIO, recovery_view, serve_more
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
 pytestmark = pytest.mark.xdist_group("replacement processes")
@@ -65,14 +65,14 @@
     await serve_more(run, "load")
 
 
-def play_case(day: Scenario, folder: Path, case: FleetCase) -> list[str]:
+def play_case(scenario: Scenario, folder: Path, case: FleetCase) -> list[str]:
     """Play a case on a fleet whose voters all vote; return the checker's findings."""
-    run = ScenarioRun(day, folder)
+    run = ScenarioRun(scenario, folder)
 
     def voting() -> bool:
         return all(run.view(name).get("swap", {}).get("votes") for name in ALL)
 
-    async def scenario() -> None:
+    async def play() -> None:
         try:
             await run.start()
             await run.until(voting, "all vote", seconds=280.0)
@@ -81,8 +81,8 @@
         finally:
             await run.close()
 
-    asyncio.run(scenario())
-    return check_run(day, run.logs()).findings
+    asyncio.run(play())
+    return check_run(scenario, run.logs()).findings
 
 
 async def one_after_another(run: ScenarioRun) -> None:
@@ -185,5 +185,5 @@
     ids=lambda s: s.__name__,
 )
 def test_a_swap_on_processes(case: FleetCase, tmp_path: Path) -> None:
-    found = play_case(DAY, tmp_path, case)
+    found = play_case(SCENARIO, tmp_path, case)
     assert [f for f in found if not f.startswith("answers")] == []
--- a/tests/fleet/test_session_affinity_processes.py
+++ b/tests/fleet/test_session_affinity_processes.py
@@ -13,7 +13,7 @@
 from cottonhold.emulator.fault_injection.client_model import ClientBehaviour
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
-from tests.fleet.test_recovery_processes import ALL, DAY, serve_more
+from tests.fleet.test_recovery_processes import ALL, SCENARIO, serve_more
 from tests.fleet.test_rolling_replacement_processes import (
     one_after_another,
     play_case,
@@ -28,7 +28,7 @@
 
 # Long enough for a busy machine, and calm enough: the stories end it.
 PINNED = msgspec.structs.replace(
-    DAY, name="pins", has_affinity=True, orders_across=True, requests_per_s=30.0, duration_s=300.0
+    SCENARIO, name="pins", has_affinity=True, orders_across=True, requests_per_s=30.0, duration_s=300.0
 )
 # Clients that hear nothing for a while ask again, for the same load and at any instance.
 IMPATIENT = msgspec.structs.replace(
@@ -157,14 +157,16 @@
 ]
 
 
-@pytest.mark.parametrize(("case", "day"), CASES, ids=lambda v: getattr(v, "__name__", getattr(v, "name", "")))
-def test_pins_on_processes(case: FleetCase, day: Scenario, tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    ("case", "scenario"), CASES, ids=lambda v: getattr(v, "__name__", getattr(v, "name", ""))
+)
+def test_pins_on_processes(case: FleetCase, scenario: Scenario, tmp_path: Path) -> None:
     async def with_pins(run: ScenarioRun) -> None:
         await until_settled(run)
         await serve_more(run, "load", 5)
         await case(run)
 
-    findings = play_case(day, tmp_path, with_pins)
+    findings = play_case(scenario, tmp_path, with_pins)
     # Times are no part of this. Where a process died with loads out, they run on beside the next owner's.
     rules = ("twice", "loads", "made") + ("order",) * (case in (all_are_replaced, a_new_machine))
     assert [f for f in findings if f.startswith(rules)] == []
