--- a/cottonhold/emulator/fault_injection/event_log.py
+++ b/cottonhold/emulator/fault_injection/event_log.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import Any
+from typing import Any, NamedTuple
 
 from cottonhold.emulator.fault_injection.client_model import RequestEnd
 from cottonhold.emulator.fault_injection.script import Scenario
@@ -19,11 +19,36 @@
 REQUEST_ENDS = frozenset(RequestEnd)
 
 
+class MarkVerb(StrEnum):
+    """What the harness did or noted, by the word that stands for it in a run's result."""
+
+    KILL = "kill"
+    START = "start"
+    STOP = "stop"
+    CONTINUE = "go"
+    END = "end"
+    DRAIN = "drain"
+    UNDRAIN = "undrain"
+    SOURCE_CUT = "deaf"
+    SOURCE_HEALED = "hears"
+    REPLACEMENT_REQUESTED = "swap"
+    REPLACEMENT_DONE = "swapped"
+    DUPLICATE_RUNS = "lives"
+
+
+class Mark(NamedTuple):
+    """What the harness did to a process, or noted of it. A run's result has marks as arrays."""
+
+    at: float
+    verb: str  # a MarkVerb, or the word for one
+    name: str
+
+
 @dataclass(slots=True)
 class RunLogs:
     """All that was seen.
 
-    marks: what the harness did to processes, as (time, verb, name). links: lines of [seconds, event, request
+    marks: what the harness did to processes. links: lines of [seconds, event, request
     id, instance, engine], where the event is get, drop, closed or the engine's status. stalls: from when to
     when the harness itself was not scheduled: what it saw then may have happened long before.
     projected_costs: by zone, what an instance projected a second before the zone's outage. ownerless_counts:
@@ -33,7 +58,7 @@
     engines: Mapping[str, list[LogLine]]
     clients: list[LogLine]
     load_started_at: float
-    marks: list[tuple[float, str, str]] = field(default_factory=list)
+    marks: list[Mark] = field(default_factory=list)
     links: list[LogLine] = field(default_factory=list)
     stalls: list[tuple[float, float]] = field(default_factory=list)
     projected_costs: Mapping[str, Any] = field(default_factory=dict)
@@ -158,7 +183,7 @@
     """Return the executions by request id, each in the order of arrival. A killed engine ends all it had."""
     executions: dict[str, list[Execution]] = defaultdict(list)
     for engine, lines in logs.engines.items():
-        kills = sorted(at for at, verb, name in logs.marks if verb == "kill" and name == engine)
+        kills = sorted(mark.at for mark in logs.marks if mark.verb == MarkVerb.KILL and mark.name == engine)
         _read_engine(engine, lines, kills, executions)
     for of_request in executions.values():
         of_request.sort(key=lambda execution: execution.arrived_at)
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -13,6 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from cottonhold.emulator.consul.script import Step
+from cottonhold.emulator.fault_injection.event_log import MarkVerb
 from cottonhold.emulator.fault_injection.instance_config import MEMBERSHIP_KEY
 from cottonhold.emulator.fault_injection.network import link_state
 from cottonhold.emulator.fault_injection.operators import Operators
@@ -104,7 +105,7 @@
         for name in self._targets(fault):
             if name in self.run.network.source_links:
                 await self.run.network.source_links[name].set(link_state(fault.options))
-                self.run.mark("deaf" if is_cut else "hears", name)
+                self.run.mark(MarkVerb.SOURCE_CUT if is_cut else MarkVerb.SOURCE_HEALED, name)
 
     def _on_peers(self, fault: Fault) -> None:
         options = {name: value for name, value in fault.options.items() if name not in ("forth", "heal")}
@@ -188,7 +189,7 @@
             if process.poll() is not None:
                 process.wait()
                 self.run.processes.start(name)
-                self.run.mark("start", name)
+                self.run.mark(MarkVerb.START, name)
 
     def _on_signal(self, fault: Fault) -> None:
         for name in self._targets(fault):
@@ -208,7 +209,7 @@
             self.run.processes[name].send_signal(signal.SIGKILL)
         for name in names:
             self.run.processes[name].wait()
-            self.run.mark("kill", name, killed_at)
+            self.run.mark(MarkVerb.KILL, name, killed_at)
         for name in names:
             self.run.processes.prepare(name)
 
@@ -220,13 +221,13 @@
             if process.poll() is not None:
                 continue
             process.send_signal(signal.SIGTERM)
-            self.run.mark("end", name)
+            self.run.mark(MarkVerb.END, name)
             try:
                 await asyncio.to_thread(process.wait, timeout_s)
             except subprocess.TimeoutExpired:
                 process.kill()
                 await asyncio.to_thread(process.wait)
-            self.run.mark("kill", name)
+            self.run.mark(MarkVerb.KILL, name)
             self.run.processes.prepare(name)
 
     def _on_duplicate(self, fault: Fault) -> None:
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from cottonhold.emulator.fault_injection.checker import check_run
-from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs, Verdict
+from cottonhold.emulator.fault_injection.event_log import LogLine, Mark, MarkVerb, RunLogs, Verdict
 from cottonhold.emulator.fault_injection.faults import FaultInjector
 from cottonhold.emulator.fault_injection.instance_config import instance_config
 from cottonhold.emulator.fault_injection.machines import Machines
@@ -88,7 +88,7 @@
         )
         self.fault_injector = FaultInjector(self)
         self.stall_monitor = StallMonitor()
-        self.marks: list[tuple[float, str, str]] = []
+        self.marks: list[Mark] = []
         self.link_lines: list[LogLine] = []
         self.timeline: list[str] = []
         self.projected_costs: dict[str, Any] = {}
@@ -100,7 +100,7 @@
             await self.start()
             await self._inject_faults()
             for name in self.processes.duplicates_running():
-                self.mark("lives", name)
+                self.mark(MarkVerb.DUPLICATE_RUNS, name)
             views = {name: self.view(name) for name in self.running_instances()}
         finally:
             await self.close()
@@ -216,7 +216,7 @@
 
     def mark(self, verb: str, name: str, at: float | None = None) -> None:
         """Note what was done to a process, now or at a time of the monotonic clock."""
-        self.marks.append((time.monotonic() if at is None else at, verb, name))
+        self.marks.append(Mark(time.monotonic() if at is None else at, verb, name))
 
     async def until(self, holds: Callable[[], bool], what: str, seconds: float = START_TIMEOUT_S) -> None:
         """Wait for a state. Raises ScenarioRunError if it does not come in time."""
@@ -229,8 +229,8 @@
 
     def running_instances(self) -> list[str]:
         """Return the instances that have neither ended nor been stopped."""
-        stopped = {name for _, verb, name in self.marks if verb == "stop"}
-        stopped -= {name for _, verb, name in self.marks if verb == "go"}
+        stopped = {mark.name for mark in self.marks if mark.verb == MarkVerb.STOP}
+        stopped -= {mark.name for mark in self.marks if mark.verb == MarkVerb.CONTINUE}
         return [
             name
             for name in self.scenario.instance_names()
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -6,6 +6,7 @@
 import contextlib
 from typing import TYPE_CHECKING, Any
 
+from cottonhold.emulator.fault_injection.event_log import MarkVerb
 from cottonhold.emulator.fault_injection.script import Fault
 from cottonhold.node.status import ask
 
@@ -47,7 +48,7 @@
                 if name in self.pending_machines and may_change:
                     self.pending_machines.discard(name)
                     await (self._replace_engine(name) if is_engine else self._replace_instance(name))
-        self.scenario_run.mark("swapped", "*")
+        self.scenario_run.mark(MarkVerb.REPLACEMENT_DONE, "*")
 
     async def _request_replacement(self) -> bool:
         path = self.scenario_run.folder / f"{self.instance}.sock"
@@ -55,7 +56,7 @@
             with contextlib.suppress(OSError, ValueError):
                 answer: dict[str, Any] = await asyncio.to_thread(ask, path, self.call)
                 result = str(answer.get("error", "asked"))
-                self.scenario_run.mark("swap", result)
+                self.scenario_run.mark(MarkVerb.REPLACEMENT_REQUESTED, result)
                 self.scenario_run.timeline.append(f"swap asked at {self.instance}: {result}")
                 for machine in self.call["machines"]:
                     self.pending_machines.update(self._names_of(machine))
--- a/cottonhold/emulator/fault_injection/recovery_quality.py
+++ b/cottonhold/emulator/fault_injection/recovery_quality.py
@@ -12,6 +12,7 @@
 from cottonhold.emulator.fault_injection.event_log import (
     BIN_S,
     LogLine,
+    MarkVerb,
     RequestLog,
     RunHistory,
     RunLogs,
@@ -55,7 +56,7 @@
     for end in REPORTED_ENDS:
         verdict.figures[f"return_{end}"] = float(ends[end])
     last_start_s = max(
-        (at - logs.load_started_at for at, verb, _ in logs.marks if verb == "start"),
+        (mark.at - logs.load_started_at for mark in logs.marks if mark.verb == MarkVerb.START),
         default=scenario.power_restored_at_s,
     )
     settled_at_s = max(last_start_s, warm_at_s) + SETTLED_S
--- a/cottonhold/emulator/fault_injection/request_rules.py
+++ b/cottonhold/emulator/fault_injection/request_rules.py
@@ -9,6 +9,7 @@
 from cottonhold.emulator.fault_injection.client_model import RequestEnd
 from cottonhold.emulator.fault_injection.event_log import (
     ExecutionEnd,
+    MarkVerb,
     RequestLog,
     RunHistory,
     RunLogs,
@@ -22,21 +23,24 @@
 MIN_ORDER_GAP_S = 0.05  # loads that are closer to one another may arrive in either order
 # An engine answers so if it has done nothing: the load may be sent again.
 NOT_STARTED = ("overload", "nobody")
+# What cuts an instance from announcements, and what ends that.
+UNREACHABLE_FROM = (MarkVerb.SOURCE_CUT, MarkVerb.STOP, MarkVerb.KILL)
+REACHABLE_FROM = (MarkVerb.SOURCE_HEALED, MarkVerb.CONTINUE, MarkVerb.START)
 
 
 def is_disturbed(logs: RunLogs, name: str, begin: float, end: float) -> bool:
     """Return whether a process was killed or stopped within a time, so that it could not respond."""
     stopped_at = None
-    for at, verb, target in sorted(logs.marks):
-        if target != name:
+    for mark in sorted(logs.marks):
+        if mark.name != name:
             continue
-        if verb == "stop":
-            stopped_at = at
-        elif verb == "go" and stopped_at is not None:
-            if stopped_at <= end and at >= begin:
+        if mark.verb == MarkVerb.STOP:
+            stopped_at = mark.at
+        elif mark.verb == MarkVerb.CONTINUE and stopped_at is not None:
+            if stopped_at <= end and mark.at >= begin:
                 return True
             stopped_at = None
-        elif verb == "kill" and begin <= at <= end:
+        elif mark.verb == MarkVerb.KILL and begin <= mark.at <= end:
             return True
     return stopped_at is not None and stopped_at <= end
 
@@ -138,11 +142,12 @@
 def _drains(logs: RunLogs) -> dict[str, list[tuple[float, float]]]:
     """Return from when to when each engine was drained."""
     drains: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for at, verb, engine in sorted(logs.marks):
-        if verb == "drain":
-            drains[engine].append((at, math.inf))
-        elif verb == "undrain" and drains[engine]:
-            drains[engine][-1] = (drains[engine][-1][0], at)
+    for mark in sorted(logs.marks):
+        of_engine = drains[mark.name]
+        if mark.verb == MarkVerb.DRAIN:
+            of_engine.append((mark.at, math.inf))
+        elif mark.verb == MarkVerb.UNDRAIN and of_engine:
+            of_engine[-1] = (of_engine[-1][0], mark.at)
     return drains
 
 
@@ -150,13 +155,13 @@
     """Return when an instance can have received what was announced at a time: later, if it was stopped, down
     or cut from the source of the list then."""
     unreachable_since = math.inf
-    for marked_at, verb, name in sorted(logs.marks):
-        if name != instance:
+    for mark in sorted(logs.marks):
+        if mark.name != instance:
             continue
-        if verb in ("deaf", "stop", "kill"):
-            unreachable_since = min(unreachable_since, marked_at)
-        elif verb in ("hears", "go", "start"):
-            if unreachable_since <= at + RESPONSE_SLACK_S and marked_at >= at:
-                return marked_at + (INSTANCE_START_S if verb == "start" else 0.0)
+        if mark.verb in UNREACHABLE_FROM:
+            unreachable_since = min(unreachable_since, mark.at)
+        elif mark.verb in REACHABLE_FROM:
+            if unreachable_since <= at + RESPONSE_SLACK_S and mark.at >= at:
+                return mark.at + (INSTANCE_START_S if mark.verb == MarkVerb.START else 0.0)
             unreachable_since = math.inf
     return at if unreachable_since > at + RESPONSE_SLACK_S else math.inf
--- a/cottonhold/emulator/fault_injection/run_folder.py
+++ b/cottonhold/emulator/fault_injection/run_folder.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from cottonhold.emulator.fault_injection.checker import check_run
-from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs, Verdict
+from cottonhold.emulator.fault_injection.event_log import LogLine, Mark, RunLogs, Verdict
 from cottonhold.emulator.fault_injection.script import Scenario, decode_scenario
 
 SCENARIO_FILE, RESULT_FILE = "day.json", "result.json"
@@ -51,7 +51,7 @@
         read_engine_logs(folder, scenario),
         read_log(folder / CLIENT_LOG),
         result["begun"],
-        marks=[(at, verb, name) for at, verb, name in result["marks"]],
+        marks=[Mark(*mark) for mark in result["marks"]],
         links=read_log(folder / LINK_LOG),
         stalls=[(begin, end) for begin, end in result.get("stalls", [])],
         projected_costs=result.get("told", {}),
--- a/cottonhold/emulator/fault_injection/utility_figures.py
+++ b/cottonhold/emulator/fault_injection/utility_figures.py
@@ -11,6 +11,7 @@
 from cottonhold.emulator.fault_injection.event_log import (
     BIN_S,
     LogLine,
+    MarkVerb,
     RequestLog,
     RunHistory,
     RunLogs,
@@ -77,7 +78,9 @@
 def _engine_events(engine: str, lines: list[LogLine], logs: RunLogs) -> list[tuple[float, str, LogLine]]:
     """Return what changed an engine's speed, by time."""
     events = [(at, event, details) for at, event, _, *details in lines if event in ("start", "set", "tipped")]
-    events += [(at, verb, []) for at, verb, name in logs.marks if name == engine and verb != "start"]
+    events += [
+        (mark.at, mark.verb, []) for mark in logs.marks if mark.name == engine and mark.verb != MarkVerb.START
+    ]
     return sorted(events, key=lambda event: event[0])
 
 
@@ -178,6 +181,6 @@
         verdict.figures["worth_out_of_asked"] = ratio(served, offered, begin, end)
         verdict.figures["worth_lost_a_second"] = lost / outage_s
         verdict.figures["worth_before_of_asked"] = ratio(served, offered, 0, begin)
-    duplicates = sum(verb == "lives" for _, verb, _ in history.logs.marks)
+    duplicates = sum(mark.verb == MarkVerb.DUPLICATE_RUNS for mark in history.logs.marks)
     if duplicates:
         verdict.figures["second_processes_alive"] = float(duplicates)
--- a/tests/emulator/test_checker_loads.py
+++ b/tests/emulator/test_checker_loads.py
@@ -19,7 +19,7 @@
 
 from cottonhold.emulator.fault_injection.checker import check_run
 from cottonhold.emulator.fault_injection.client_model import ClientBehaviour, RequestClass, RequestEnd
-from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs
+from cottonhold.emulator.fault_injection.event_log import LogLine, Mark, RunLogs
 from cottonhold.emulator.fault_injection.instance import shift_wall_clock
 from cottonhold.emulator.fault_injection.machines import Machines
 from cottonhold.emulator.fault_injection.run_folder import ownerless_times
@@ -64,7 +64,7 @@
         [101.0, "ask", "r3", "load", 0, 0, 2, 3000],
         [101.2, "served", "r3", "b0"],
     ]
-    return RunLogs(engines, clients, 100.0, marks=[(100.3, "kill", "n0")])
+    return RunLogs(engines, clients, 100.0, marks=[Mark(100.3, "kill", "n0")])
 
 
 Defect = Callable[[RunLogs], object]
--- a/tests/emulator/test_fault_injection.py
+++ b/tests/emulator/test_fault_injection.py
@@ -22,7 +22,7 @@
 from cottonhold.cli.main import app
 from cottonhold.emulator.fault_injection.checker import check_run, summary
 from cottonhold.emulator.fault_injection.client_model import RequestClass
-from cottonhold.emulator.fault_injection.event_log import LogLine, RunLogs
+from cottonhold.emulator.fault_injection.event_log import LogLine, Mark, RunLogs
 from cottonhold.emulator.fault_injection.links import DatagramSwitch, Link, NetworkPath, TcpLink
 from cottonhold.emulator.fault_injection.report import page
 from cottonhold.emulator.fault_injection.scenarios import SCENARIOS, without_fleet
@@ -292,10 +292,12 @@
         overlap_attempts,
     ),
     "out of order": ("order", lambda s: s.engines["b0"].insert(2, [103.5, "run", "r1"])),
-    "after a drain": ("drain", lambda s: s.marks.append((101.2, "drain", "a0"))),
+    "after a drain": ("drain", lambda s: s.marks.append(Mark(101.2, "drain", "a0"))),
     "after a drain and a deaf spell": (
         "drain",
-        lambda s: s.marks.extend([(99.5, "drain", "a0"), (99.4, "deaf", "n0"), (101.0, "hears", "n0")]),
+        lambda s: s.marks.extend(
+            [Mark(99.5, "drain", "a0"), Mark(99.4, "deaf", "n0"), Mark(101.0, "hears", "n0")]
+        ),
     ),
     "pushed over": ("cold", lambda s: add_line(s.engines["a0"], 102.0, "tipped", "")),
 }
@@ -330,8 +332,8 @@
 @pytest.mark.parametrize(
     "excuse",
     [
-        lambda s: s.marks.append((101.5, "kill", "n0")),
-        lambda s: s.marks.extend([(101.1, "stop", "n0"), (109.0, "go", "n0")]),
+        lambda s: s.marks.append(Mark(101.5, "kill", "n0")),
+        lambda s: s.marks.extend([Mark(101.1, "stop", "n0"), Mark(109.0, "go", "n0")]),
     ],
     ids=["killed", "stood still"],
 )
@@ -352,15 +354,15 @@
 @pytest.mark.parametrize(
     "marks",
     [
-        [(101.8, "drain", "a0")],
-        [(101.2, "drain", "a0"), (101.7, "undrain", "a0")],
-        [(101.2, "drain", "a0"), (101.1, "deaf", "n0")],
-        [(101.2, "drain", "a0"), (101.3, "stop", "n0"), (101.9, "go", "n0")],
+        [Mark(101.8, "drain", "a0")],
+        [Mark(101.2, "drain", "a0"), Mark(101.7, "undrain", "a0")],
+        [Mark(101.2, "drain", "a0"), Mark(101.1, "deaf", "n0")],
+        [Mark(101.2, "drain", "a0"), Mark(101.3, "stop", "n0"), Mark(101.9, "go", "n0")],
     ],
     ids=["just told", "taken back", "cut off", "stood still"],
 )
 def test_a_send_to_a_draining_engine_is_excused_while_the_drain_is_unknown(
-    marks: list[tuple[float, str, str]],
+    marks: list[Mark],
 ) -> None:
     logs = clean_logs()
     logs.marks += marks
@@ -375,7 +377,7 @@
     remove_lines(half.clients, "served", "r3")
     assert check_run(SCENARIO, half).figures["worth"] < check_run(SCENARIO, logs).figures["worth"]
     dead = clean_logs()
-    dead.marks += [(99.9, "kill", "a0"), (99.9, "kill", "b0")]
+    dead.marks += [Mark(99.9, "kill", "a0"), Mark(99.9, "kill", "b0")]
     assert sum(check_run(SCENARIO, dead).series["worth most"]) == 0.0
 
 
