--- a/benchmarks/fleet/trials.py
+++ b/benchmarks/fleet/trials.py
@@ -1,9 +1,10 @@
-"""Plays the rig's days with the fleet on and off and writes docs/measurements/zones.md and zones.svg:
+"""Plays the scenarios of zones with the fleet on and off and writes docs/measurements/zones.md and zones.svg:
 
     python benchmarks/fleet/trials.py FOLDER [--read] [--overload]      # --read: only what is kept in FOLDER
 
-With --overload it plays the days of overload with the price on and off and writes overload.md. FOLDER gets
-one folder a run, `NAME-on` or `NAME-off`. Half a minute each; the machine should have nothing else to do.
+With --overload it plays the scenarios of overload with admission on and off and writes overload.md. FOLDER
+gets one folder a run, `NAME-on` or `NAME-off`. Half a minute each; the machine should have nothing else to
+do.
 """
 
 from __future__ import annotations
@@ -26,25 +27,25 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
 
-OUT = Path(__file__).resolve().parents[2] / "docs" / "measurements"
-COMPARED = ("zone-killed", "zone-silent", "zone-slow", "zone-failing", "storm", "half-cut")
-DRAWN = ("zone-killed", "zone-silent", "zone-slow", "storm")
+MEASUREMENTS = Path(__file__).resolve().parents[2] / "docs" / "measurements"
+COMPARED_SCENARIOS = ("zone-killed", "zone-silent", "zone-slow", "zone-failing", "storm", "half-cut")
+DRAWN_SCENARIOS = ("zone-killed", "zone-silent", "zone-slow", "storm")
 
 
-def kept(folder: Path, name: str) -> tuple[Verdict, dict[str, Any]] | None:
-    """A run's verdict and all that was kept of it; None if it wasn't played."""
+def read_run(folder: Path, name: str) -> tuple[Verdict, dict[str, Any]] | None:
+    """Return a run's verdict and its result; None if it was not played."""
     path = folder / name / "result.json"
     if not path.is_file():
         return None
     return recheck_run(folder / name), json.loads(path.read_bytes())
 
 
-def chart(folder: Path) -> None:
-    """Sends to zone a and worth served over the most possible, on and off."""
-    figure, axes = pyplot.subplots(2, len(DRAWN), figsize=(13, 5), sharex="col")
-    for column, name in enumerate(DRAWN):
+def draw_chart(folder: Path) -> None:
+    """Draw sends to zone a and utility served over the most possible, with the fleet on and off."""
+    figure, axes = pyplot.subplots(2, len(DRAWN_SCENARIOS), figsize=(13, 5), sharex="col")
+    for column, name in enumerate(DRAWN_SCENARIOS):
         for mode, colour in (("off", "#d55e00"), ("on", "#0072b2")):
-            run = kept(folder, f"{name}-{mode}")
+            run = read_run(folder, f"{name}-{mode}")
             if run is None:
                 continue
             series = run[0].series
@@ -62,7 +63,7 @@
     axes[1][0].set_ylabel("share of the worth")
     axes[0][0].legend(frameon=False, title="fleet")
     figure.tight_layout()
-    figure.savefig(OUT / "zones.svg", metadata={"Date": None})
+    figure.savefig(MEASUREMENTS / "zones.svg", metadata={"Date": None})
 
 
 def main() -> None:
@@ -70,16 +71,26 @@
     parser.add_argument("folder", type=Path)
     parser.add_argument("--read", action="store_true")
     parser.add_argument("--overload", action="store_true")
-    given = parser.parse_args()
-    if given.overload:
-        overload(given.folder, given.read)
+    arguments = parser.parse_args()
+    if arguments.overload:
+        write_overload_page(arguments.folder, arguments.read)
         return
-    if not given.read:
-        for day in (day for day in SCENARIOS if not day.has_admission):
-            play(day, given.folder / f"{day.name}-on")
-            if day.name in COMPARED:
-                play(without_fleet(day), given.folder / f"{day.name}-off")
-    text = [
+    write_zones_page(arguments.folder, arguments.read)
+
+
+def play_zone_scenarios(folder: Path) -> None:
+    """Play the scenarios of zones with the fleet on, and some of them with it off."""
+    for scenario in (scenario for scenario in SCENARIOS if not scenario.has_admission):
+        play(scenario, folder / f"{scenario.name}-on")
+        if scenario.name in COMPARED_SCENARIOS:
+            play(without_fleet(scenario), folder / f"{scenario.name}-off")
+
+
+def write_zones_page(folder: Path, reads_only: bool) -> None:
+    """Write the page on zones, and its chart."""
+    if not reads_only:
+        play_zone_scenarios(folder)
+    lines = [
         "# Zones on real processes: measured",
         "",
         "By `python benchmarks/fleet/trials.py` on one shared machine: six instances (eight on `three-of-",
@@ -91,26 +102,28 @@
         "![sends and worth over time, fleet on and off](zones.svg)",
         "",
     ]
-    rows = [(f"{d.name} ({mode})", run[0]) for d in SCENARIOS for mode in ("off", "on")
-            if (run := kept(given.folder, f"{d.name}-{mode}"))]  # fmt: skip
-    text += summary(rows)
-    text += ["", "## When each instance left, in seconds from the fault", ""]
-    text += ["| day | by instance | wrong zones left |", "| --- | --- | --- |"]
-    for day in SCENARIOS:
-        if run := kept(given.folder, f"{day.name}-on"):
-            begun = run[1]["begun_unix"] + day.outage_at_s
-            left, wrong = leavings(given.folder / f"{day.name}-on", begun, day)
-            shown = ", ".join(f"{name} {t:.1f}" for name, t in sorted(left.items()))
-            text.append(f"| {day.name} | {shown or 'none'} | {wrong or ''} |")
+    rows = [(f"{scenario.name} ({mode})", run[0]) for scenario in SCENARIOS for mode in ("off", "on")
+            if (run := read_run(folder, f"{scenario.name}-{mode}"))]  # fmt: skip
+    lines += summary(rows)
+    lines += ["", "## When each instance left, in seconds from the fault", ""]
+    lines += ["| day | by instance | wrong zones left |", "| --- | --- | --- |"]
+    for scenario in SCENARIOS:
+        if run := read_run(folder, f"{scenario.name}-on"):
+            fault_at = run[1]["begun_unix"] + scenario.outage_at_s
+            left_after_s, wrong_departures = departure_times(
+                folder / f"{scenario.name}-on", fault_at, scenario
+            )
+            cells = ", ".join(f"{name} {t:.1f}" for name, t in sorted(left_after_s.items()))
+            lines.append(f"| {scenario.name} | {cells or 'none'} | {wrong_departures or ''} |")
     findings = [f"{name}: {finding}" for name, verdict in rows for finding in verdict.findings[:3]]
-    text += ["", "## What the judge found", "", *([f"- {f}" for f in findings] or ["Nothing."]), ""]
-    (OUT / "zones.md").write_text("\n".join(text))
-    chart(given.folder)
+    lines += ["", "## What the judge found", "", *([f"- {f}" for f in findings] or ["Nothing."]), ""]
+    (MEASUREMENTS / "zones.md").write_text("\n".join(lines))
+    draw_chart(folder)
 
 
-def overload(folder: Path, read: bool) -> None:
-    """The days of overload, each with the price and without."""
-    days = [day for day in SCENARIOS if day.has_admission]
+def write_overload_page(folder: Path, reads_only: bool) -> None:
+    """Write the page on overload, from its scenarios with admission and without."""
+    scenarios = [scenario for scenario in SCENARIOS if scenario.has_admission]
     columns = ["worth", "worth_out", "worth_after_5s", "served_dear", "served_cheap"]
     columns += ["unlike_between_instances", "attempts_per_served", "p99_ms"]
     lines = [
@@ -126,31 +139,36 @@
         "| day | price | findings | " + " | ".join(columns) + " |",
         "| --- " * (len(columns) + 3) + "|",
     ]
-    for day in days:
-        for mode, played in (("off", without_admission(day)), ("on", day)):
-            if not read:
-                play(played, folder / f"{day.name}-{mode}")
-            if run := kept(folder, f"{day.name}-{mode}"):
+    for scenario in scenarios:
+        for mode, variant in (("off", without_admission(scenario)), ("on", scenario)):
+            if not reads_only:
+                play(variant, folder / f"{scenario.name}-{mode}")
+            if run := read_run(folder, f"{scenario.name}-{mode}"):
                 figures = run[0].figures
-                shown = [f"{figures[c]:.3g}" if c in figures else "" for c in columns]
-                lines.append(f"| {day.name} | {mode} | {len(run[0].findings)} | " + " | ".join(shown) + " |")
+                cells = [f"{figures[c]:.3g}" if c in figures else "" for c in columns]
+                lines.append(
+                    f"| {scenario.name} | {mode} | {len(run[0].findings)} | " + " | ".join(cells) + " |"
+                )
                 print(lines[-1], *run[0].findings[:2], flush=True)
-    (OUT / "overload.md").write_text("\n".join([*lines, ""]))
+    (MEASUREMENTS / "overload.md").write_text("\n".join([*lines, ""]))
 
 
-def leavings(folder: Path, fault: float, day: Scenario) -> tuple[dict[str, float], int]:
-    """When each instance left the zone by its own log, and how often any left one that was well."""
-    left, wrong = dict[str, float](), 0
-    ill = {day.failing_zone} | {fault.target for fault in day.faults if fault.target in day.zones}
+def departure_times(folder: Path, fault_at: float, scenario: Scenario) -> tuple[dict[str, float], int]:
+    """Return when each instance left the failing zone by its own log, in seconds from the fault, and how
+    often any left a zone that was well."""
+    left_after_s, wrong_departures = dict[str, float](), 0
+    failing_zones = {scenario.failing_zone} | {
+        fault.target for fault in scenario.faults if fault.target in scenario.zones
+    }
     for log in sorted(folder.glob("n*.log")):
         for line in log.read_text().splitlines():
             if " event=zone " in line and " phase=out " in line:
-                if f" zone={day.failing_zone} " not in line:
-                    wrong += not any(f" zone={zone} " in line for zone in ill)
+                if f" zone={scenario.failing_zone} " not in line:
+                    wrong_departures += not any(f" zone={zone} " in line for zone in failing_zones)
                     continue
                 at = datetime.fromisoformat(line.split()[0].removeprefix("ts=")).timestamp()
-                left.setdefault(log.stem, at - fault)
-    return left, wrong
+                left_after_s.setdefault(log.stem, at - fault_at)
+    return left_after_s, wrong_departures
 
 
 if __name__ == "__main__":
--- a/cottonhold/emulator/fault_injection/script.py
+++ b/cottonhold/emulator/fault_injection/script.py
@@ -4,22 +4,23 @@
 engines of a zone (`a`), all hosts of a zone, instances too (`zone-a`), all instances (`n*`) or engines
 (`e*`), or `*`. Verbs and their options:
 
-    traits ENGINES name=value ...       what an engine process is, from now on
-    kill|start|stop|go PROCESSES        SIGKILL; a new process from nothing; SIGSTOP; SIGCONT
-    end PROCESSES                       SIGTERM, and waited for; killed if it takes longer than `within` s
+    traits ENGINES name=value ...       changes traits of engines; see engine_traits.py
+    kill|start|stop|go PROCESSES        SIGKILL; a new process; SIGSTOP; SIGCONT
+    end PROCESSES within=S              SIGTERM; SIGKILL if it takes longer than `within` seconds
     power PROCESSES                     SIGKILL for all of them in the same instant
-    keep|empty|old INSTANCES            their state folders: copied; emptied; put back as the copy was
+    keep|empty|old INSTANCES            their state folders are copied; emptied; replaced by the copy
     twice INSTANCE                      a second process on the same state folder, at other ports
     disk INSTANCES state=S              full, failing, stalled or well
     clock INSTANCES offset_s=S          the machine's wall clock is off by so much from the next start on
     link INSTANCES ENGINES state ...    instance to engine: cut, forth, back (one way), refuse, reset, heal
     door INSTANCES state ...            client to instance
-    source INSTANCES state ...          source of the list to instance; needs `consul` of the day
-    drain|undrain ENGINES               told by the source of the list
+    source INSTANCES state ...          source of the engine list to instance; needs `consul`
+    drain|undrain ENGINES               announced by the source of the engine list; needs `consul`
     peers INSTANCES INSTANCES state ... datagrams both ways, or `forth`: cut, loss, twice, delay, jitter
-    forge INSTANCE zone=Z               that instance's words are said falsely, with a key, from now on
-    replay                              all datagrams so far are sent once more, in disorder
-    order INSTANCE zone=Z mode=M        an order by hand at its local socket
+    forge INSTANCE zone=Z               reports are forged in the instance's name, with the key, from now on
+    replay                              recent datagrams are sent again, out of order
+    order INSTANCE zone=Z mode=M        an operator's override at its local socket
+    swap INSTANCE machines=M gone=S empty   a rolling replacement is requested there; see operators.py
 """
 
 from __future__ import annotations
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -23,12 +23,12 @@
 
 @pytest.fixture
 def tier(tmp_path: Path) -> Iterator[Tier]:
-    made = Tier(tmp_path, 5)
-    yield made
-    made.stop()
+    new_tier = Tier(tmp_path, 5)
+    yield new_tier
+    new_tier.stop()
 
 
-def test_five_instances_share_the_probes_through_deaths_a_stop_and_a_return(tier: Tier) -> None:
+def test_five_instances_share_health_checks_through_kills_a_stop_and_a_restart(tier: Tier) -> None:
     for i in range(5):
         tier.start(i)
     tier.until(tier.agreed, "all five know one another")
@@ -50,10 +50,10 @@
     tier.start(1)
     tier.until(tier.agreed, "one returned from nothing")
     assert all(len(ports) == 1 for ports in tier.probers().values())
-    shown = CliRunner().invoke(app, ["members", "--socket", str(tier.folder / "n0.sock")])
-    assert shown.exit_code == 0 and "n1" in shown.output and "alive" in shown.output
-    table = CliRunner().invoke(app, ["duties", "--socket", str(tier.folder / "n0.sock"), "--json"])
-    assert {d["subject"] for d in json.loads(table.output)["duties"]} == {*tier.engines, "fleet"}
+    members = CliRunner().invoke(app, ["members", "--socket", str(tier.folder / "n0.sock")])
+    assert members.exit_code == 0 and "n1" in members.output and "alive" in members.output
+    duties = CliRunner().invoke(app, ["duties", "--socket", str(tier.folder / "n0.sock"), "--json"])
+    assert {d["subject"] for d in json.loads(duties.output)["duties"]} == {*tier.engines, "fleet"}
     assert CliRunner().invoke(app, ["members", "--socket", str(tier.folder / "none")]).exit_code == 1
 
 
