--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -228,31 +228,31 @@
     Row(
         "pro-login",
         C("paragraph 1, sentence 1"),
-        "An empty password lets user and database in, one that is not is turned away",
+        "A login with an empty password is accepted, one with another password is rejected",
         Assertion(login_with_a_password),
     ),
     Row(
         "pro-login-early",
         C("paragraph 1, sentence 2"),
-        "Login and first query may come before the greeting is read",
+        "Login and first query may arrive before the greeting is read",
         Assertion(login_before_greeting),
     ),
     Row(
         "pro-result-most",
         C("paragraph 1, sentence 4"),
-        "A result of the largest size comes whole, in three text columns",
+        "A result of the largest size is served completely, in three text columns",
         Assertion(biggest_result),
     ),
     Row(
         "pro-field-service",
         C("fields, row 1"),
-        "The class is named as in the settings; another one is a named fault",
+        "The class is named as in the settings; another name is an error that names the field",
         unusable("service=dance,ref=00000000000000aa,allow=9", "service"),
     ),
     Row(
         "pro-field-ref",
         C("fields, row 2"),
-        "The id is 16 hex digits; another form is a named fault",
+        "The id is 16 hex digits; another form is an error that names the field",
         unusable("service=lookup,ref=xyz,allow=9", "ref"),
     ),
     Row(
@@ -266,7 +266,7 @@
     Row(
         "pro-field-allow-engine",
         C("fields, row 3"),
-        "and no engine is told to work longer than that",
+        "and no attempt's timeout is longer than that",
         GatewayScript("c1 query lookup r1 allow=2000\ne1 expect GET r1 *ms=1???,*"),
     ),
     Row(
@@ -288,7 +288,7 @@
     Row(
         "pro-field-allow-little",
         C("fields, row 3"),
-        "What no engine could answer in time is refused at once, and sent to none",
+        "A query that no engine could answer in time is rejected at once, and sent to none",
         GatewayScript(
             "c1 query load r1 allow=1\nc1 expect error 1226 *\nany nothing\ntime wait 300\nany nothing"
         ),
@@ -296,7 +296,7 @@
     Row(
         "pro-field-dup",
         C("fields, row 4"),
-        "A client's retry is marked by one figure only",
+        "A client's retry is marked by one digit",
         unusable("service=lookup,ref=00000000000000aa,allow=9,dup=2", "dup"),
     ),
     Row(
@@ -314,7 +314,7 @@
     Row(
         "pro-field-key",
         C("fields, row 7"),
-        "In classes that keep order queries of one key run in turn",
+        "In classes that are ordered by key, queries of one key run one after the other",
         GatewayScript(
             "c1 query load r1 allow=9000 lookup=k1\ne1 expect GET r1 *\nc2 query load r2 allow=9000 lookup=k1\nany nothing\ne1 send r1 "
             + SERVED
@@ -332,7 +332,7 @@
     Row(
         "pro-field-token",
         C("fields, idempotency key"),
-        "The client's idempotency key goes to the engine as it is, in classes of any effect",
+        "The client's idempotency key is sent to the engine unchanged, in all classes",
         GatewayScript(
             f"c1 query lookup r1 replay={TOKEN}\ne1 expect GET r1 kind=lookup,*,token={TOKEN} SELECT *"
         ),
@@ -348,14 +348,14 @@
     Row(
         "pro-field-token-absent",
         C("fields, idempotency key"),
-        "No key is made up where the client sent none",
+        "No key is invented where the client sent none",
         Assertion(sent_without_token),
     ),
     *(
         Row(
             f"pro-field-token-{name}",
             C("fields, idempotency key"),
-            f"A key that can't be a field's value is a named fault: {name}",
+            f"A key that can't be a field's value is an error that names the field: {name}",
             unusable(f"service=lookup,ref=00000000000000aa,allow=9,replay={value}", "replay"),
         )
         for name, value in {"empty": "", "long": "a" * 129, "spaces": "a b", "equals": "a=b"}.items()
@@ -363,13 +363,13 @@
     Row(
         "pro-field-tenant",
         C("fields, tenant"),
-        "The tenant is named as in the settings and reaches the decisions by its place there",
+        "The tenant is named as in the settings, and reaches the scheduler as its index there",
         Assertion(tenant_by_name),
     ),
     Row(
         "pro-field-tenant-unknown",
         C("fields, tenant"),
-        "Another name is a named fault",
+        "Another name is an error that names the field",
         GatewayScript(
             "c1 say /* service=lookup,ref=00000000000000aa,allow=900,project=nobody */ SELECT 1\nc1 expect error 1105 *'project'*\nany nothing",
             replace(SETTINGS, tenants=TENANTS),
@@ -378,13 +378,13 @@
     Row(
         "pro-field-tenant-none",
         C("fields, tenant"),
-        "and where the settings know no tenants it means nothing",
+        "and where the settings have no tenants it means nothing",
         GatewayScript("c1 query lookup r1 project=nobody\ne1 expect GET r1 *"),
     ),
     Row(
         "pro-tables",
         C("paragraph 2"),
-        "The group of tables is read from the schema's name, not from staging, strings or comments",
+        "The table group is read from the schema's name, not from staging, strings or comments",
         Assertion(tables_by_schema),
     ),
     Row(
@@ -399,25 +399,25 @@
     Row(
         "pro-refused",
         C("answers, row 2"),
-        "A refusal is one of three errors, before any row",
+        "A rejection is one of three errors, before any row",
         GatewayScript("c1 query load r1 allow=100\nc1 expect error 1226 *"),
     ),
     Row(
         "pro-failed",
         C("answers, row 3"),
-        "What may have run and can't be repeated is another error",
+        "A query that may have run and may not be retried gets another error",
         GatewayScript(LOAD_SENT + "e1 close\nc1 expect error 1105 *"),
     ),
     Row(
         "pro-cooldown",
         C("list, item 1"),
-        "A refusal says for how many ms to keep away",
+        "A rejection says after how many ms to retry",
         GatewayScript("c1 query load r1 allow=100\nc1 expect error 1226 *cooldown=400"),
     ),
     Row(
         "pro-cooldown-none",
         C("list, item 1"),
-        "and says nothing of it where the site gives its clients no such word",
+        "and does not where the settings have no retry delays",
         GatewayScript(
             "c1 query load r1 allow=100\nc1 expect error 1226 query refused, it did not run or may be repeated",
             replace(SETTINGS, features=replace(PERMITS, has_retry_after=False)),
@@ -426,13 +426,13 @@
     Row(
         "pro-no-rank",
         E("form, RANK"),
-        "No priority but the usual one is told where the site allows none, not even at the end of the process",
+        "Only the default priority is sent where the settings have no priorities, also during shutdown",
         Assertion(no_priority),
     ),
     Row(
         "pro-kill",
         C("list, item 2"),
-        "A kill from another session ends the query by the id of the greeting, and its attempt",
+        "A KILL from another session ends the query by the greeting's connection id, and its attempt",
         GatewayScript(
             LOOKUP_SENT + "c2 say KILL QUERY 1\nc2 expect ok\nc1 expect error 1317 *\ne1 expect DROP r1"
         ),
@@ -440,13 +440,13 @@
     Row(
         "pro-kill-late",
         C("list, item 2"),
-        "A client that has closed is owed nothing",
+        "A client that has closed gets nothing",
         GatewayScript(LOOKUP_SENT + "c1 close\ne1 expect DROP r1\ne1 send r1 served count=1 a|b|c/"),
     ),
     Row(
         "pro-kill-connect",
         C("list, item 2"),
-        "Nothing is begun for a client that left while a connect was under way, though loads are not cancelled",
+        "Nothing is started for a client that left during a connect, though loads are not cancelled",
         GatewayScript(
             "e1 will vanish\nc1 query load r1 allow=20000\nc1 close\ntime wait 200\ne1 will up\ntime wait 20\nany nothing"
         ),
@@ -454,7 +454,7 @@
     Row(
         "pro-kill-connect-kept",
         C("list, item 2"),
-        "nor where the site allows no cancelling",
+        "nor where the settings allow no cancels",
         GatewayScript(
             "e1 will vanish\nc1 query lookup r1\nc2 say KILL QUERY 1\nc1 expect error 1317 *\ntime wait 200\ne1 will up\ntime wait 20\nany nothing",
             UNCANCELLED,
@@ -463,7 +463,7 @@
     Row(
         "pro-kill-held",
         C("list, item 2"),
-        "nor for one that left while its query was held, once there is an engine again",
+        "nor for one that left while its query was queued, once there is an engine again",
         GatewayScript(
             "list tell e1 gone\nlist tell e2 gone\nc1 query load r1 allow=20000\nc1 close\nlist tell e1 live\ntime wait 300\nany nothing"
         ),
@@ -489,7 +489,7 @@
     Row(
         "pro-get",
         E("form, GET"),
-        "A query goes out with its id, class, time, priority and statement",
+        "A query is sent with its id, class, timeout, priority and statement",
         GatewayScript(
             "c1 query lookup r1 allow=5000\ne1 expect GET r1 kind=lookup,ms=458?,order=1 SELECT a FROM s_7.t"
         ),
@@ -497,7 +497,7 @@
     Row(
         "pro-as-it-is",
         E("paragraph 2, sentence 1"),
-        "The statement goes out unchanged, without the comment of the fields",
+        "The statement is sent unchanged, without the comment of the fields",
         GatewayScript(
             f"c1 say /* service=lookup,ref=00000000000000aa,allow=900 */ {STATEMENT}\ne1 expect GET 00000000000000aa * {STATEMENT}"
         ),
@@ -505,7 +505,7 @@
     Row(
         "pro-never-made-up",
         E("paragraph 2, sentence 2"),
-        "Nothing goes to an engine for a request whose fields can't be used",
+        "Nothing is sent to an engine for a request with invalid fields",
         GatewayScript(
             "c1 say /* service=lookup,ref=xyz,allow=9 */ SELECT 1\nc1 expect error 1105 *\nany nothing"
         ),
@@ -513,16 +513,21 @@
     Row(
         "pro-drop",
         E("form, DROP"),
-        "What is given up at the client's limit is told to the engine",
+        "An attempt that reaches its client's timeout is cancelled at the engine",
         GatewayScript(
             "c1 query load r1 allow=3000\ne1 expect GET r1 *\ntime wait 2590\ne1 expect DROP r1\nc1 expect error 1105 *"
         ),
     ),
-    Row("pro-rank", E("form, RANK"), "A new priority of what is out is told", Assertion(sent_priority)),
+    Row(
+        "pro-rank",
+        E("form, RANK"),
+        "A new priority of an attempt in flight is sent",
+        Assertion(sent_priority),
+    ),
     Row(
         "pro-page",
         E("form, PAGE"),
-        "All further pages are asked for, from 1",
+        "All further pages are fetched, from 1",
         GatewayScript(
             LOOKUP_SENT + "e1 send r1 served count=3 a|b|c/\ne1 expect PAGE r1 1\ne1 expect PAGE r1 2"
         ),
@@ -530,7 +535,7 @@
     Row(
         "pro-page-close",
         E("form, CLOSE"),
-        "and the engine is told when none is wanted any more",
+        "and the result is closed at the engine after the last one",
         GatewayScript(
             LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 expect PAGE r1 1\ne1 send r1 rows pos=1 1|2|3/\ne1 expect CLOSE r1"
@@ -539,7 +544,7 @@
     Row(
         "pro-any-order",
         E("paragraph 1, sentence 4"),
-        "Answers on one connection may come in any order",
+        "Answers on one connection may arrive in any order",
         GatewayScript(
             LOOKUP_SENT
             + "list tell e2 draining\nc2 query lookup r2\ne1 expect GET r2 *\ne1 send r2 served count=1 x|y|z/\nc2 expect rows x|y|z\ne1 send r1 "
@@ -549,7 +554,7 @@
     Row(
         "pro-closed-gives-up",
         E("paragraph 1, sentence 4"),
-        "A connection's end is the end of all that is out on it",
+        "The end of a connection ends all attempts on it",
         GatewayScript(
             LOOKUP_SENT
             + "list tell e2 draining\nc2 query load r2\ne1 expect GET r2 *\nlist tell e2 live\ne1 close\nc2 expect error 1105 *\nany expect GET r1 *"
@@ -558,7 +563,7 @@
     Row(
         "pro-overload",
         E("answers, row 2"),
-        "An engine that is full never ran it: a load goes elsewhere",
+        "An overloaded engine never ran it: a load is sent to another",
         GatewayScript(LOAD_SENT + "e1 send r1 overload -\ne2 expect GET r1 *"),
     ),
     Row(
@@ -570,7 +575,7 @@
     Row(
         "pro-crashed-page",
         E("answers, row 3"),
-        "and so does one whose page the engine no longer knows",
+        "and so does one whose page the engine has forgotten",
         GatewayScript(
             LOAD_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 send r1 crashed -\nc1 expect error 1105 *\ne2 expect nothing"
@@ -579,19 +584,19 @@
     Row(
         "pro-nobody",
         E("answers, row 4"),
-        "What was over before it ran can be refused, also for a load",
+        "An attempt that ended before it ran may be rejected, also a load's",
         GatewayScript(LOAD_SENT + "e1 send r1 nobody -\nc1 expect error 1226 *"),
     ),
     Row(
         "pro-page-rows",
         E("list, item 2, sentence 1"),
-        "A page holds whole rows: one that does not is no answer for the client",
+        "A page has complete rows: one that has not is no answer for the client",
         GatewayScript(LOOKUP_SENT + "e1 send r1 served count=1 a|b|c\nc1 expect nothing\ne2 expect GET r1 *"),
     ),
     Row(
         "pro-page-lost",
         E("list, item 2, sentence 2"),
-        "Pages lost with their engine make another attempt of a safe query, and no row of the first is seen",
+        "An idempotent query whose pages are lost with their engine is retried, and no row of the first is sent",
         GatewayScript(
             LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\ne1 close\ne2 expect GET r1 *\ne2 send r1 served count=1 x|y|z/\nc1 expect rows x|y|z"
@@ -606,13 +611,13 @@
     Row(
         "pro-reset",
         E("list, item 5, sentence 2"),
-        "A reset proves nothing of what was written",
+        "A reset proves nothing about requests that were written",
         GatewayScript(LOAD_SENT + "e1 close\nc1 expect error 1105 *may have run*"),
     ),
     Row(
         "pro-vanished",
         E("list, item 5, sentence 3"),
-        "A connect that never comes up is waited for no longer than told",
+        "A connect that never succeeds is waited for no longer than configured",
         GatewayScript(
             "e1 will vanish\nc1 query load r1 allow=20000\nc1 expect nothing\ntime wait 251\ne2 expect GET r1 *"
         ),
@@ -620,13 +625,13 @@
     Row(
         "pro-cut-off",
         E("list, item 5, sentence 3"),
-        "A connection that stays silent with work out is found out and given up",
+        "A connection that stays silent with attempts in flight is detected and abandoned",
         GatewayScript("e1 will mute\n" + LOAD_SENT + "time wait 2100\nc1 expect error 1105 *may have run*"),
     ),
     Row(
         "pro-engine-idle",
         E("list, item 5, sentence 4"),
-        "Nothing is written on a connection that may just be closing as idle",
+        "Nothing is written on a connection that its engine may be closing as idle",
         GatewayScript(
             LOOKUP_SENT
             + f"e1 send r1 {SERVED}time wait 13500\nlist tell e2 gone\nc2 query lookup r2\ne1 expect nothing\ne1.2 expect GET r2 *"
@@ -635,34 +640,37 @@
     Row(
         "pro-bus-call",
         B("paragraph 1, sentence 3"),
-        "The next call names the last event that is known, and waits 5 s at most",
+        "The next call names the last known event, and waits 5 s at most",
         Assertion(bus_call),
     ),
     Row(
         "pro-bus-whole",
         B("list, item 1, sentence 1"),
-        "The first event is the whole list, those after it are changes",
+        "The first event is the complete list, those after it are changes",
         Assertion(bus_whole_and_changes),
     ),
     Row(
-        "pro-bus-states", B("list, item 1, sentence 2"), "Three states are told apart", Assertion(bus_states)
+        "pro-bus-states",
+        B("list, item 1, sentence 2"),
+        "Three states are distinguished",
+        Assertion(bus_states),
     ),
     Row(
         "pro-bus-start",
         B("list, item 1, sentence 3"),
-        "A late start is read, with zone, kind and cell",
+        "A start time is read, with zone, machine type and cell",
         Assertion(bus_late_start),
     ),
     Row(
         "pro-bus-address",
         B("list, item 1, sentence 4"),
-        "A new engine at a gone one's address gets connections of its own",
+        "A new engine at a removed one's address gets connections of its own",
         Assertion(address_used_again),
     ),
     Row(
         "pro-bus-told",
         B("list, item 2"),
-        "What the list tells holds from then on: nothing more goes to one that drains",
+        "A change of the list applies at once: nothing more is sent to a draining engine",
         GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining\nlist tell e2 draining\nc2 query lookup r2\nany nothing\nc2 expect nothing"
         ),
@@ -670,30 +678,30 @@
     Row(
         "pro-bus-told-connect",
         B("list, item 2"),
-        "not even what already waits there for its connection to come up",
+        "not even what is queued there for its connect",
         GatewayScript(
             "e1 will vanish\nc1 query lookup r1\nlist tell e1 draining\ne1 will up\ntime wait 10\ne1 expect nothing\ne2 expect GET r1 *"
         ),
     ),
     Row(
-        "pro-peer-most", P("sentence 1"), "No datagram over 256 bytes leaves", Assertion(peer_datagram_limit)
+        "pro-peer-most", P("sentence 1"), "No datagram over 256 bytes is sent", Assertion(peer_datagram_limit)
     ),
     Row(
         "pro-peer-all",
         P("sentence 1"),
-        "What is for all goes to the one address for it",
+        "A message for all is sent to the one address for that",
         Assertion(peers_all),
     ),
     Row(
         "pro-peer-sender",
         P("sentence 2"),
-        "Who sent one is known by its address; a stranger's is passed over",
+        "A datagram's sender is known by its address; a stranger's is ignored",
         Assertion(peers_by_address),
     ),
     Row(
         "pro-lost-second",
         S("item 1, sentence 2"),
-        "A second answer never goes out: what an engine says again is passed over",
+        "A client gets no second answer: an engine's duplicate is ignored",
         GatewayScript(
             LOOKUP_SENT + f"e1 send r1 {SERVED}e1 send r1 served count=1 x|y|z/\nc1 expect nothing"
         ),
@@ -709,7 +717,7 @@
     Row(
         "pro-lost-copy",
         S("item 1, sentence 2"),
-        "A copy of the answer to an attempt is none to the next one under that id",
+        "A duplicate answer to an attempt does not answer the next one under that id",
         GatewayScript(
             "c1 query load r1 allow=20000\ne1 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500\ne1.2 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500\nany nothing\ne1.2 send r1 "
             + SERVED,
@@ -719,7 +727,7 @@
     Row(
         "pro-window-connect",
         "The rules on sockets, paragraph 1",
-        "A repeat begins within the window in which engines drop it, also where its connect takes long",
+        "A retry begins within the deduplication window, also where its connect takes long",
         GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\ntime wait 900\ne2 will vanish\ne1 close\ntime wait 120\ne2 will up\ntime wait 1\nany nothing\nc1 expect error 1226 *",
             KEYED,
@@ -728,7 +736,7 @@
     Row(
         "pro-allowance-connect",
         "The rules on sockets, paragraph 1",
-        "Further attempts count against their allowance when they begin, not when their connect does",
+        "Retries count against their budget when they begin, not when their connect does",
         GatewayScript(
             "c1 query lookup r1\ne1 expect GET r1 *\ne2 will vanish\ne1 send r1 overload -\ntime wait 240\ne2 will up\ntime wait 0\ne2 expect GET r1 *\nlist tell e1 draining\ntime wait 780\nc2 query lookup r2\ne2 expect GET r2 *\ne2 send r2 overload -\nc2 expect error 1226 *",
             ONE_RETRY,
@@ -737,7 +745,7 @@
     Row(
         "pro-lost-made-up",
         S("item 1, sentence 2"),
-        "An answer to an id that is not out reaches nobody",
+        "An answer to an id that is not in flight reaches nobody",
         GatewayScript(
             LOOKUP_SENT + "e1 send r7 served count=1 x|y|z/\nc1 expect nothing\ne1 send r1 " + SERVED
         ),
@@ -745,7 +753,7 @@
     Row(
         "pro-attempt-out",
         S("item 2"),
-        "An attempt given up is out no more: its order goes on",
+        "A cancelled attempt is in flight no more: its ordering key is free",
         GatewayScript(
             "c1 query load r1 allow=3000 lookup=k1\ne1 expect GET r1 *\nc2 query load r2 allow=9000 lookup=k1\ntime wait 2590\ne1 expect DROP r1\nc1 expect error 1105 *\nany expect GET r2 *"
         ),
@@ -753,7 +761,7 @@
     Row(
         "pro-refusal-rule",
         S("item 3"),
-        "A full engine's word after a first attempt in doubt does not make a refusal of a load",
+        "After a first attempt that may have run, an overloaded engine's answer is no rejection of a load",
         GatewayScript(
             LOAD_SENT + "e1 send r1 overload -\ne2 expect GET r1 *\ne2 close\nc1 expect error 1105 *"
         ),
@@ -761,7 +769,7 @@
     Row(
         "pro-not-whole",
         F("item 2"),
-        "No row goes out before all are there, so that a broken answer never looks whole",
+        "No row is sent before all have arrived, so that a broken answer never looks complete",
         GatewayScript(
             LOOKUP_SENT
             + "e1 send r1 served count=2 a|b|c/\nc1 expect nothing\ne1 close\nc1 expect nothing\ne2 expect GET r1 *"
@@ -787,7 +795,7 @@
     Row(
         "pro-term-kill",
         F("item 4, sentence 3"),
-        "What comes after and could outlive SIGKILL is turned away before it ran",
+        "Later queries that could outlast SIGKILL are rejected before they run",
         GatewayScript(
             "ops leave\ntime wait 710\nc1 query load r1 allow=20000\nc1 expect error 1226 *did not run*\nany nothing"
         ),
@@ -795,7 +803,7 @@
     Row(
         "pro-term-answers",
         F("item 4, sentence 4"),
-        "What had been taken is answered before the end",
+        "All accepted requests are answered before the end",
         GatewayScript(
             LOAD_SENT + "ops leave\ntime wait 1500\nc1 expect nothing\ne1 send r1 " + SERVED + "c1 closing"
         ),
@@ -803,7 +811,7 @@
     Row(
         "pro-term-short",
         RENEWED(9),
-        "With short deadlines SIGKILL comes soon: what engines that hang hold is answered before, and idle connections are closed",
+        "With short deadlines SIGKILL comes soon: requests at hanging engines are answered before, and idle connections are closed",
         GatewayScript(
             "c2 send 010000000e\nc2 expect ok\nc1 query brief r1 allow=9000\ne1 expect GET r1 *\nops terminate\ntime wait 1000\nc1 expect error 1226 *\nc1 closing\nc2 closing",
             SHORT_DEADLINE,
@@ -812,7 +820,7 @@
     Row(
         "pro-clock-step",
         RENEWED(6),
-        "A step of the wall clock by an hour moves neither deadlines nor waits",
+        "A step of the wall clock by an hour changes neither deadlines nor waits",
         Assertion(clock_is_stepped),
     ),
 )
--- a/tests/conformance/wire.py
+++ b/tests/conformance/wire.py
@@ -48,7 +48,7 @@
     Row(
         "wire-answer-held",
         RULE(1, 1),
-        "A query that was held to its end gets one final answer by its deadline, and no other",
+        "A query that stays queued gets one final answer by its deadline, and no other",
         SchedulerScript("0 list\n5 ask q allow=500\n520 -> reject q\n900 list e1\n1100 -> nothing"),
     ),
     Row(
@@ -74,7 +74,7 @@
     Row(
         "wire-safe-repeat",
         RULE(2, 1),
-        "A query without effects goes out again, whatever became of it before",
+        "An idempotent query is retried, however its attempts ended",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q reset -> send q\n40 end q timeout -> send q"
         ),
@@ -82,7 +82,7 @@
     Row(
         "wire-safe-refused",
         RULE(2, 1),
-        "and is refused after attempts that may have run",
+        "and is rejected after attempts that may have run",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q reset -> reject q", features={"max_attempts": 1}
         ),
@@ -91,7 +91,7 @@
         Row(
             f"wire-unsafe-{how}",
             RULE(2, 2),
-            f"A query with effects whose attempt ended as {how} fails, and goes nowhere else",
+            f"A non-idempotent query whose attempt ended as {how} fails, and is not retried",
             SchedulerScript(
                 TWO_ENGINES + f"5 ask q -> send q\n20 end q {how} -> fail q\n900 -> nothing", (LOAD,)
             ),
@@ -102,7 +102,7 @@
         Row(
             f"wire-unsafe-{how}",
             RULE(2, 2),
-            f"A query with effects whose attempt ended as {how} never ran, so it may go out again",
+            f"A non-idempotent query whose attempt ended as {how} never ran, so it may be retried",
             SchedulerScript(TWO_ENGINES + f"5 ask q -> send q\n20 end q {how} -> send q", (LOAD,)),
         )
         for how in ("full", "connect_failed")
@@ -110,7 +110,7 @@
     Row(
         "wire-unsafe-refused",
         RULE(2, 2),
-        "and may be refused when each attempt is proven not to have run",
+        "and may be rejected when each attempt is proven not to have run",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q full -> reject q",
             (LOAD,),
@@ -120,7 +120,7 @@
     Row(
         "wire-unsafe-any-doubt",
         RULE(2, 2),
-        "One attempt in doubt is enough: a later one that never ran does not make it safe",
+        "One attempt that may have run is enough: a later one that never ran changes nothing",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q full -> send q\n30 end q reset -> fail q", (LOAD,)
         ),
@@ -128,7 +128,7 @@
     Row(
         "wire-keyed-window",
         RULE(2, 3),
-        "A keyed query goes out again within its window",
+        "A query with an idempotency key is retried within its deduplication window",
         SchedulerScript(TWO_ENGINES + "5 ask q -> send q\n900 end q reset -> send q", (WITH_KEY,)),
     ),
     Row(
@@ -143,7 +143,7 @@
         Row(
             f"wire-keyed-{name}",
             RULE(2, 3),
-            f"A keyed query stays in the {name} whose engines know it, and waits where none is left there",
+            f"A query with a key stays in the {name} whose engines deduplicate it, and waits where none is left there",
             SchedulerScript(
                 f"0 list e1:{name}=1\n5 ask q -> send q e1\n10 change e2:{name}=2 e1:{name}=1,state=gone"
                 f"\n20 end q reset -> nothing\n40 change e3:{name}=1\n200 -> send q e3",
@@ -155,7 +155,7 @@
     Row(
         "wire-keyed-refusal",
         RULE(2, 3),
-        "A keyed query of a group is not refused after an attempt that may have run: it fails",
+        "One with a limited deduplication scope is not rejected after an attempt that may have run: it fails",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q reset -> fail q", (CELL,), features={"max_attempts": 1}
         ),
@@ -163,7 +163,7 @@
     Row(
         "wire-keyed-refusal-all",
         RULE(2, 3),
-        "and is refused where all engines know it",
+        "and is rejected where all engines deduplicate it",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q reset -> reject q",
             (WITH_KEY,),
@@ -173,7 +173,7 @@
     Row(
         "wire-one-attempt",
         RULE(2, 4),
-        "A query has one attempt out at a time, however long it takes",
+        "A query has one attempt in flight at a time, however long it takes",
         SchedulerScript(
             TWO_ENGINES + "5 ask q allow=20000 -> send q\n9000 -> nothing", features={"can_cancel": False}
         ),
@@ -182,7 +182,7 @@
         Row(
             f"wire-drain-{state}",
             RULE(3, 1),
-            f"Nothing new goes to an engine that is listed as {state}, from that step on",
+            f"Nothing new is sent to an engine that is listed as {state}, from that step on",
             SchedulerScript(f"0 list e1\n5 change e1:state={state}; ask q -> nothing\n300 ask r -> nothing"),
         )
         for state in ("draining", "gone")
@@ -190,25 +190,25 @@
     Row(
         "wire-drain-repeat",
         RULE(3, 1),
-        "not even a further attempt of what ran there",
+        "not even a retry of what ran there",
         SchedulerScript("0 list e1\n5 ask q -> send q\n10 change e1:state=draining; end q full -> nothing"),
     ),
     Row(
         "wire-drain-absent",
         "7 Discovery, VIEW, sentence 3",
-        "An engine that a whole list leaves out is gone",
+        "An engine that a complete list leaves out is removed",
         SchedulerScript(TWO_ENGINES + "5 list e2; ask a; ask b; ask c -> send a e2, send b e2, send c e2"),
     ),
     Row(
         "wire-cold-budget",
         RULE(4, 5),
-        "A just started engine is sent less than its multiple of its least capacity times the span",
+        "A just started engine is sent less than the multiple of its least capacity in the window",
         Assertion(warming_engine_keeps_its_budget),
     ),
     Row(
         "wire-order-one",
         RULE(5, 1),
-        "Of one key one query runs, in the order in which they came; other keys and none go on",
+        "Of one ordering key one query runs at a time, in order of arrival; other queries are not delayed",
         SchedulerScript(
             TWO_ENGINES
             + "5 ask a ordering_key=k; ask b ordering_key=k; ask c ordering_key=j; ask d -> send a, send c, send d\n"
@@ -219,7 +219,7 @@
     Row(
         "wire-order-engines-gone",
         RULE(5, 1),
-        "A query of a key waits also for the attempt of one whose client has left",
+        "A query of a key waits also for an attempt whose client has left",
         SchedulerScript(
             TWO_ENGINES
             + "5 ask a ordering_key=k; ask b ordering_key=k -> send a\n20 gone a\n200 -> nothing\n210 end a ok -> send b",
@@ -231,7 +231,7 @@
         Row(
             f"wire-order-quiet-{how}",
             RULE(5, 2),
-            f"After {how} its key is quiet for the set time before the next one goes out",
+            f"After {how} its key is quiet for the configured time before the next one is sent",
             SchedulerScript(
                 TWO_ENGINES
                 + f"5 ask a ordering_key=k; ask b ordering_key=k -> send a\n100 end a {how} -> fail a\n"
@@ -245,7 +245,7 @@
     Row(
         "wire-order-space",
         RULE(5, 3),
-        "Classes in order share their keys",
+        "Classes that are ordered by key share their keys",
         SchedulerScript(
             TWO_ENGINES
             + "5 ask a kind=0 ordering_key=k; ask b kind=1 ordering_key=k -> send a\n50 end a ok -> send b",
@@ -255,7 +255,7 @@
     Row(
         "wire-order-own",
         RULE(5, 6),
-        "A query's own next attempt does not wait for its key's quiet time",
+        "A query's own retry does not wait for its key's quiet time",
         SchedulerScript(
             TWO_ENGINES + "5 ask a ordering_key=k -> send a\n50 end a reset -> send a",
             (replace(ORDERED, idempotency=Idempotency.IDEMPOTENT),),
@@ -265,7 +265,7 @@
     Row(
         "wire-where-zone",
         RULE(6, 1),
-        "A class that names zones goes nowhere else, nor on a further attempt",
+        "A class that names zones is sent nowhere else, nor are its retries",
         SchedulerScript(
             "0 list e1:zone=0 e2:zone=1\n5 ask q -> send q e2\n10 change e2:zone=1,state=gone\n"
             "20 end q connect_failed -> nothing\n600 -> nothing",
@@ -275,7 +275,7 @@
     Row(
         "wire-where-model",
         RULE(6, 2),
-        "One that names kinds only may be in any zone",
+        "One that names machine types only may be in any zone",
         SchedulerScript(
             "0 list e1:machine_type=0 e2:machine_type=1,zone=3\n5 ask q; ask r -> send q e2, send r e2",
             (replace(LOOKUP, machine_types=(1,)),),
@@ -285,7 +285,7 @@
     Row(
         "wire-budget",
         RULE(7, 2),
-        "Further attempts within the span stay under the free ones and the part of what was taken",
+        "Retries within the window stay within the free ones and the share of accepted queries",
         SchedulerScript(
             "0 list e1 e2 e3\n5 "
             + TEN_QUERIES
@@ -299,7 +299,7 @@
     Row(
         "wire-most-tries",
         "15 Parameters, caps.most_tries",
-        "No more attempts than the site allows",
+        "No more attempts than the settings allow",
         SchedulerScript(
             TWO_ENGINES + "5 ask q -> send q\n20 end q full -> send q\n30 end q full -> reject q",
             features={"max_attempts": 2},
@@ -316,7 +316,7 @@
     Row(
         "wire-list-asked",
         "7 Discovery, TAIL",
-        "Where the list has to be asked for it is asked for at once, and again after a failure",
+        "Where the list has to be polled, it is polled at once, and again after a failure",
         SchedulerScript(
             "0 list e1 -> subscribe\n10 fails -> nothing\n900 -> subscribe",
             features={"polls_engine_list": True},
@@ -325,7 +325,7 @@
     Row(
         "wire-lapsed",
         "8 Traffic, LAPSED",
-        "Word of a query that is not known, or is over, is passed over",
+        "Events of a query that is unknown, or has ended, are ignored",
         SchedulerScript(TWO_ENGINES + "5 ask q -> send q\n10 end q ok\n20 gone q; gone never -> nothing"),
     ),
 )
--- a/tests/frontend/test_client_departure.py
+++ b/tests/frontend/test_client_departure.py
@@ -15,8 +15,8 @@
 CLASSES = (READ, LOAD, KEYED)
 FEW_FEATURES = replace(PERMITS, can_cancel=False, has_priorities=False, has_retry_after=False, max_attempts=2)
 SITES = {
-    "much allowed": replace(SETTINGS, classes=CLASSES),
-    "little allowed": replace(SETTINGS, classes=CLASSES, features=FEW_FEATURES),
+    "all features": replace(SETTINGS, classes=CLASSES),
+    "few features": replace(SETTINGS, classes=CLASSES, features=FEW_FEATURES),
 }
 DEPARTURES = {"closes": "c1 close", "kills": "c8 say KILL QUERY 1"}
 CLASS_NAMES = ("lookup", "load", "keyed")
@@ -61,7 +61,7 @@
 
 # CLASS is the class of the request and LEAVES what its client does.
 MOMENTS = {
-    "while its request is held": """
+    "while its request is queued": """
         list tell e1 gone
         list tell e2 gone
         c1 query CLASS r1 lookup=k1
@@ -79,7 +79,7 @@
         turn ends now
         any nothing there
     """,
-    "between two attempts, while the next one is held": """
+    "between two attempts, while the next one is queued": """
         c1 query CLASS r1 lookup=k1
         e1 expect GET r1 *
         list tell e1 draining
@@ -90,7 +90,7 @@
         time wait 300
         any nothing there
     """,
-    "while a connect for it is under way": """
+    "during the connect for it": """
         e1 will vanish
         c1 query CLASS r1 lookup=k1
         time wait 40
@@ -100,7 +100,7 @@
         time wait 20
         any nothing there
     """,
-    "while a connect for its second attempt is under way": """
+    "during the connect for its second attempt": """
         c1 query CLASS r1 lookup=k1
         e1 expect GET r1 *
         e2 will vanish
@@ -132,14 +132,14 @@
         turn ends now
         any nothing there
     """,
-    "in the turn in which its request comes": """
+    "in the turn in which its request arrives": """
         turn begins now
         c1 query CLASS r1 lookup=k1
         LEAVES
         turn ends now
         any nothing there
     """,
-    "with its answer on the way to it": """
+    "with its answer in flight": """
         c1 query CLASS r1 lookup=k1
         e1 expect GET r1 *
         turn begins now
@@ -148,7 +148,7 @@
         turn ends now
         any nothing there
     """,
-    "with another request of its written behind the first": """
+    "with further requests pipelined": """
         c1 query CLASS r1 lookup=k1
         e1 expect GET r1 *
         turn begins now
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -40,7 +40,7 @@
             ConnectionSettings(15000.0, 60_000.0, 32), clock, counters, print, 64
         )
         self.engines.connect = self.connect
-        self.gateway = Gateway(SITES["little allowed"], 1, clock, self.engines, counters, print)
+        self.gateway = Gateway(SITES["few features"], 1, clock, self.engines, counters, print)
         self.sessions = ClientSessions(self.gateway, clock, counters, Lifecycle(), 64)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.connecting: list[Connection] = []
--- a/tests/frontend/test_slow_readers.py
+++ b/tests/frontend/test_slow_readers.py
@@ -22,7 +22,7 @@
     "pings one by one": [PING],
     "pings by sixteen": [PING * 16],
     "pings at once": [PING * 800],
-    "queries that can't be used": [packet(0, b"\x03SELECT 1") * 10],
+    "invalid queries": [packet(0, b"\x03SELECT 1") * 10],
     "long queries": [LONG],
     "half a packet": [(64 * 1024).to_bytes(3, "little") + b"\x00" + bytes(60 * 1024)],
     "packets in small pieces": [PING[:3], PING[3:] + PING[:2], PING[2:]],
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -32,7 +32,7 @@
 from tests.test_simulator_adapter import PARAMS
 
 DRAIN = {
-    "a ping says no at once, and its connection is closed behind the answer": """
+    "a ping fails at once, and its connection is closed after the response": """
         c1 send 010000000e
         c1 expect ok
         ops drain
@@ -40,7 +40,7 @@
         c1 expect error 1053 *drained
         c1 closing
     """,
-    "what still comes is served, and closed behind its answer": """
+    "a late query is served, and its connection closed after the response": """
         ops drain
         time wait 300
         c1 query lookup r1
@@ -49,7 +49,7 @@
         c1 expect rows a|b|c
         c1 closing
     """,
-    "a client that never pauses gets its answer and no more": """
+    "a client that is never idle gets its response and is closed": """
         c1 query load r1 allow=20000
         e1 expect GET r1 *
         ops drain
@@ -60,7 +60,7 @@
         c2 query lookup r2
         any expect GET r2 *
     """,
-    "what comes late is refused at once and never sent": """
+    "a query too late in a drain is rejected at once and never sent": """
         ops drain
         time wait 1500
         c1 query lookup r1
@@ -68,7 +68,7 @@
         c1 closing
         e1 expect nothing
     """,
-    "idle connections are closed, busy ones when they are through": """
+    "idle connections are closed, busy ones after their response": """
         c1 send 010000000e
         c1 expect ok
         c2 query load r1 allow=20000
@@ -81,14 +81,14 @@
         c2 expect rows a|b|c
         c2 closing
     """,
-    "a request half written is waited for": """
+    "a partly received request is waited for": """
         ops drain
         c1 send 050000000e
         time wait 900
         c1 send 00000000
         c1 expect error 1053 *
     """,
-    "one that ends takes no long query late, and closes behind each answer": """
+    "a process shutting down accepts no late long query, and closes after each response": """
         c1 query load r1 allow=20000
         e1 expect GET r1 *
         ops leave
@@ -102,7 +102,7 @@
         c1 expect rows a|b|c
         c1 closing
     """,
-    "a drain may be undone half way": """
+    "a drain may be undone": """
         c1 send 010000000e
         c1 expect ok
         ops drain
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -21,7 +21,7 @@
         e1 send r1 served count=1,ticks=70,footprint=20,gauges=inflight:7;util:0.5 a|b|c/d||f/
         c1 expect rows a|b|c/d||f
     """,
-    "an empty result is a result": """
+    "an empty result is served": """
         c1 query lookup r1
         e1 expect GET *
         e1 send r1 served count=1
@@ -39,7 +39,7 @@
         e1 expect CLOSE r1
         c1 expect rows a|b|c/d|e|f/g|h|i
     """,
-    "lost pages of a safe query become another attempt": """
+    "an idempotent query with lost pages is retried": """
         c1 query lookup r1
         e1 expect GET *
         e1 send r1 served count=2 a|b|c/
@@ -48,7 +48,7 @@
         e2 send r1 served count=1 x|y|z/
         c1 expect rows x|y|z
     """,
-    "a page that the engine no longer knows is a lost one": """
+    "a page that the engine has forgotten counts as lost": """
         c1 query load r1
         e1 expect GET *
         e1 send r1 served count=2 a|b|c/
@@ -56,14 +56,14 @@
         c1 expect error 1105 *may have run*
         e2 expect nothing
     """,
-    "a load that may have run never goes out again": """
+    "a load that may have run is never retried": """
         c1 query load r1 allow=20000
         e1 expect GET *
         e1 close
         c1 expect error 1105 *may have run*
         e2 expect nothing
     """,
-    "a load turned away unseen may go elsewhere": """
+    "a load rejected by an engine is sent to another": """
         c1 query load r1 allow=20000
         e1 expect GET *
         e1 send r1 overload -
@@ -84,7 +84,7 @@
         time wait 251
         e2 expect GET r1 *
     """,
-    "at the client's limit the attempt is given up, told, and its late answer passed over": """
+    "at the client's timeout the attempt is cancelled and its late answer ignored": """
         c1 query load r1 allow=3000
         e1 expect GET *
         time wait 2590
@@ -93,7 +93,7 @@
         e1 send r1 served count=1 a|b|c/
         c1 expect nothing
     """,
-    "a refusal says when to come back": """
+    "a rejection says when to retry": """
         list tell e1 gone
         list tell e2 gone
         c1 query lookup r1 allow=1000
@@ -102,12 +102,12 @@
         c1 expect error 1226 *cooldown=400
         e1 expect nothing
     """,
-    "a query that was given up is refused at once, not held": """
+    "a query without enough time is rejected at once, not queued": """
         c1 query load r1 allow=100
         c1 expect error 1226 *cooldown=*
         e1 expect nothing
     """,
-    "nothing new goes to an engine that drains, not even what waits for its connect": """
+    "nothing new goes to a draining engine, not even what waits for its connect": """
         e1 will vanish
         c1 query lookup r1
         list tell e1 draining
@@ -117,7 +117,7 @@
         c2 query lookup r2
         e1 expect nothing
     """,
-    "a gone engine's silent connections are given up": """
+    "silent connections of a removed engine are abandoned": """
         c1 query load r1 allow=20000
         e1 expect GET *
         time wait 1100
@@ -135,7 +135,7 @@
         e1 expect nothing
         e1.2 expect GET r2 *
     """,
-    "KILL QUERY ends a query's answer and its attempt": """
+    "KILL QUERY ends a query and cancels its attempt": """
         c1 query lookup r1
         e1 expect GET *
         c2 say KILL QUERY 1
@@ -145,14 +145,14 @@
         c1 query lookup r2
         any expect GET r2 *
     """,
-    "a client that leaves takes its query along": """
+    "a client that leaves has its query cancelled": """
         c1 query lookup r1
         e1 expect GET *
         c1 close
         e1 expect DROP r1
         e1 send r1 served count=1 a|b|c/
     """,
-    "a load whose client left keeps its turn until it ends": """
+    "a load whose client left holds its ordering key until it ends": """
         c1 query load r1 allow=9000 lookup=k1
         e1 expect GET r1 *
         c1 close
@@ -162,7 +162,7 @@
         e1 send r1 served count=1 a|b|c/
         any expect GET r2 *
     """,
-    "a load that timed out keeps its turn until it was given up": """
+    "a load that timed out holds its ordering key until it is cancelled": """
         c1 query load r1 allow=3000 lookup=k1
         e1 expect GET r1 *
         c2 query load r2 allow=9000 lookup=k1
@@ -173,7 +173,7 @@
         c1 expect error 1105 *
         any expect GET r2 *
     """,
-    "garbage of an engine ends that connection only": """
+    "malformed bytes from an engine end that connection only": """
         c1 query lookup r1
         e1 expect GET *
         e1 raw HTTP/1.1 200 OK
@@ -182,7 +182,7 @@
         e2 send r1 served count=1 a|b|c/
         c1 expect rows a|b|c
     """,
-    "what shares a connection with a spoilt answer is lost with it; loads never go out again": """
+    "attempts that share a connection with a malformed answer are lost; loads are not retried": """
         c1 query lookup r1
         e1 expect GET *
         list tell e2 draining
@@ -193,7 +193,7 @@
         c2 expect error 1105 *may have run*
         any expect GET r1 *
     """,
-    "a second copy and an unknown id are harmless": """
+    "duplicate answers and unknown ids are harmless": """
         c1 query lookup r1
         e1 expect GET *
         e1 send r7 served count=1 x|y|z/
@@ -206,21 +206,21 @@
         c1 query load r2
         c1 expect nothing
     """,
-    "a connection that gives no sign of life is given up": """
+    "a connection without an answer to its liveness check is abandoned": """
         e1 will mute
         c1 query load r1 allow=20000
         e1 expect GET *
         time wait 2100
         c1 expect error 1105 *may have run*
     """,
-    "an answer that stops short is not waited for": """
+    "a truncated answer is not waited for": """
         c1 query load r1 allow=20000
         e1 expect GET *
         e1 raw *4
         time wait 750
         c1 expect error 1105 *may have run*
     """,
-    "an id that is still open is not taken twice": """
+    "a request id that is still open is not accepted again": """
         c1 query lookup r1
         c2 query lookup r1
         c2 expect error 1105 field 'ref' *
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -75,7 +75,7 @@
 
 
 SCENARIOS = {
-    "nothing of a load goes out before it is remembered": """
+    "nothing of a load is sent before it is recorded": """
         c1 query load r1 allow=20000
         any nothing there
         disk writes it
@@ -84,7 +84,7 @@
         c1 expect rows a|b|c
         end is ok
     """,
-    "one that can't be remembered is refused at once, and harms no engine": """
+    "a load that can't be recorded is rejected at once, without blame for an engine": """
         c1 query load r1 allow=20000
         disk fails it
         c1 expect error 1226 *cooldown=*
@@ -93,14 +93,14 @@
         c1 query lookup r2
         any expect GET r2 *
     """,
-    "a disk that stands still holds a load no longer than its own time": """
+    "a stalled disk delays a load no longer than to its deadline": """
         c1 query load r1 allow=3000
         time wait 2590
         c1 expect error 1226 *
         disk writes it
         any nothing there
     """,
-    "a client that leaves while the disk writes is owed nothing, and nothing goes out": """
+    "nothing is sent for a client that leaves while its load is being recorded": """
         c1 query load r1 allow=20000
         c1 close
         disk writes it
@@ -110,7 +110,7 @@
         disk writes it
         any expect GET r1 *
     """,
-    "a client that leaves once it is written, while a connect is under way, has nothing begun for it": """
+    "nothing is sent for a client that leaves during the connect of its recorded load": """
         e1 will vanish
         c1 query load r1 allow=20000
         disk writes it
@@ -121,7 +121,7 @@
         any nothing there
         end is moot
     """,
-    "a client that leaves between the disk's word and the write has nothing begun for it": """
+    "nothing is sent for a query killed between its record and its write": """
         c1 query load r1 allow=20000
         e1 will vanish
         disk writes it
@@ -132,42 +132,42 @@
         any nothing there
         end is moot
     """,
-    "one that is turned away as it comes leaves its session as it was": """
+    "a load rejected on arrival leaves its session usable": """
         disk goes away
         c1 query load r1 allow=20000
         c1 expect error 1226 *cooldown=300*
         c1 query lookup r2
         any expect GET r2 *
     """,
-    "safe queries wait for no disk": """
+    "idempotent queries are not recorded": """
         c1 query lookup r1
         e1 expect GET r1 *
     """,
-    "a load that ran to its end is not run again": """
+    "a completed load is not run again": """
         c1 query load r1 allow=20000,dup=1
         past is well
         c1 expect rows *
         any nothing there
     """,
-    "one that may have run fails": """
+    "a load that may have run fails": """
         c1 query load r1 allow=20000,dup=1
         past is may
         c1 expect error 1105 *may have run*
         any nothing there
     """,
-    "one of which nobody can tell yet comes back later": """
+    "a load of unknown outcome is to be retried later": """
         c1 query load r1 allow=20000,dup=1
         c1 expect nothing
         past is later 750
         c1 expect error 1226 *cooldown=750*
     """,
-    "one that never ran goes out": """
+    "a load that never ran is sent": """
         c1 query load r1 allow=25000,dup=1
         past is never
         disk writes it
         any expect GET r1 *
     """,
-    "a client that leaves while others are asked is forgotten": """
+    "a client that leaves while other dispatchers are queried is forgotten": """
         c1 query load r1 allow=20000,dup=1
         c1 close
         past is never
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -108,7 +108,7 @@
 )
 def test_a_late_answer_to_a_cancelled_attempt_is_ignored(late: str, before: bool) -> None:
     """The first attempt was cancelled as it took far longer than planned."""
-    world = Turns(SITES["much allowed"])
+    world = Turns(SITES["all features"])
     world.run("c1 query lookup r1 effort=20.0\ne1 expect GET r1 *\ntime wait 200\ne1 expect DROP r1")
     world.run("e2 expect GET r1 *\ne2 send r1 served count=2 a|b|c/\ne2 expect PAGE r1 1")
     if before:
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("name", CLASS_NAMES)
 def test_no_request_has_more_attempts_than_the_settings_allow(name: str, max_attempts: int) -> None:
     """Each is rejected, so that each could be retried."""
-    site = SITES["little allowed"]
+    site = SITES["few features"]
     world = Turns(
         replace(site, features=replace(site.features, max_attempts=max_attempts)), engines="a b c d"
     )
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -25,7 +25,7 @@
     """A world whose scheduler fails at a given event."""
 
     def __init__(self, fails: str) -> None:
-        super().__init__(SITES["much allowed"])
+        super().__init__(SITES["all features"])
         self.fails, self.step = fails, self.gateway.scheduler.step
         self.gateway.scheduler.step = self.broken  # type: ignore[method-assign]
         self.faults = 0
@@ -194,7 +194,7 @@
 )
 @pytest.mark.parametrize("end", ["served", "overload", "reset", "left"])
 def test_a_load_guard_fault_costs_no_request_its_answer(fails: str, end: str) -> None:
-    world = Turns(SITES["much allowed"])
+    world = Turns(SITES["all features"])
     world.gateway.notifications.load_guard = FailingGuard(fails)
     world.run("c1 query load r1 allow=1000,effort=20.0")
     if fails in ("on_load_arrived", "before_attempt_sent"):
@@ -216,7 +216,7 @@
 def test_a_fault_in_checking_one_engine_leaves_the_others_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = Turns(SITES["little allowed"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
+    world = Turns(SITES["few features"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
     world.run("list tell e1 draining\ne2 will mute\nc1 query load r1 allow=20000\ne2 expect GET r1 *")
     needs_check = LivenessMonitor.needs_check
 
@@ -236,7 +236,7 @@
 def test_a_fault_in_checking_one_client_leaves_the_others_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = Turns(SITES["little allowed"])
+    world = Turns(SITES["few features"])
     world.client("c1"), world.client("c2")
     check = Session.check_timeouts
 
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -23,14 +23,14 @@
 from tests.support.scheduler_events import LOOKUP, arrival, ended, engines, sends, settings
 
 SCENARIOS = {
-    "a new class is served, and one that is gone is a clear error": """
+    "a new class is served, and a removed one is a clear error": """
         settings are lookup bulk
         c1 query bulk r1
         any expect GET r1 kind=bulk,*
         c2 query load r2
         c2 expect error 1105 field 'service' names no class: 'load'
     """,
-    "an open load stays one that must not run twice, though its class is gone": """
+    "an open load stays non-idempotent though its class is removed": """
         c1 query load r1 allow=20000
         e1 expect GET *
         settings are lookup
@@ -38,7 +38,7 @@
         c1 expect error 1105 *may have run*
         e2 expect nothing
     """,
-    "an open load stays one that must not run twice, though its name may now": """
+    "an open load stays non-idempotent though its class becomes idempotent": """
         c1 query load r1 allow=20000
         e1 expect GET *
         settings are load:safe lookup
@@ -47,21 +47,21 @@
         c2 query load r2 allow=20000
         any expect GET r2 *
     """,
-    "a new load of that name may be repeated": """
+    "a new load of a class that has become idempotent may be retried": """
         settings are load:safe lookup
         c1 query load r1 allow=20000
         e1 expect GET r1 *
         e1 close
         e2 expect GET r1 *
     """,
-    "an open lookup is repeated though its name stands for what must not be": """
+    "an open lookup is retried though its class has become non-idempotent": """
         c1 query lookup r1
         e1 expect GET r1 *
         settings are lookup:unsafe
         e1 close
         e2 expect GET r1 kind=lookup,*
     """,
-    "attempts that become fewer do not cut an open request short, a new one has as many": """
+    "a lower limit of attempts holds for new requests only": """
         c1 query lookup r1
         e1 expect GET r1 *
         settings are lookup load attempts=1
@@ -74,7 +74,7 @@
         e2 close
         c1 expect error 1226 *
     """,
-    "one key keeps its order over a change": """
+    "an ordering key keeps its order over a reload": """
         c1 query load r1 allow=20000,lookup=k
         e1 expect GET r1 *
         settings are load lookup
@@ -83,7 +83,7 @@
         e1 send r1 served count=1 a|b|c/
         any expect GET r2 *
     """,
-    "a request and a change in one turn go by the order in which they came": """
+    "a request and reloads in one turn apply in order of arrival": """
         c1 query load r1 allow=20000
         settings are lookup
         settings are load lookup
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -12,7 +12,7 @@
     "with nothing else going on": """
         c1 query CLASS r1 allow=LEFT
     """,
-    "in a turn in which another one goes out again": """
+    "in a turn in which another request is retried": """
         c9 query lookup r9
         e1 expect GET r9 *
         turn begins now
@@ -22,7 +22,7 @@
         e2 expect GET r9 *
         e2 send r9 served count=1 a|b|c/
     """,
-    "while no engine can be connected to": """
+    "while no engine accepts connects": """
         e1 will vanish
         e2 will vanish
         c1 query CLASS r1 allow=LEFT
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("delay", ["for a connect", "behind another one", "after a first attempt"])
 def test_an_attempts_timeout_is_at_most_its_clients_remaining_time(delay: str, allow: int) -> None:
     """However the request waited: the time counts from its last byte."""
-    world = Turns(SITES["little allowed"])
+    world = Turns(SITES["few features"])
     world.client("c1")
     world.gateway.scheduler.fleet_utilization = 0.1
     arrived_at, passed = world.clock.now(), min(allow / 5, 200)
