--- a/benchmarks/consul/run.py
+++ b/benchmarks/consul/run.py
@@ -10,6 +10,7 @@
 
 import argparse
 import asyncio
+import itertools
 import json
 import os
 import statistics
@@ -18,6 +19,7 @@
 import tempfile
 import time
 import tracemalloc
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -38,16 +40,38 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
 
-ROOT = Path(__file__).resolve().parents[2]
-OUT = ROOT / "docs" / "measurements"
+OUTPUT = Path(__file__).resolve().parents[2] / "docs" / "measurements"
 PORT = 23306
 ENGINES, CLIENTS, WORK_MS = 8, 24, 4.0
 # Between two changes, and how long an engine stays out: three of eight at once, which the floor lets go.
-GAP_S, AWAY_S = 0.09, 0.25
+CHANGE_INTERVAL_S, OUTAGE_S = 0.09, 0.25
+WARMUP_S, IDLE_S = 1.0, 20.0
 LOGIN = (0x8208).to_bytes(4, "little") + bytes(28) + b"app\0\0dw\0"
+ERROR_MARK, END_MARK, MAX_END_BYTES = b"\xff", b"\xfe", 9
+ENDS_PER_RESPONSE = 2  # of the columns and of the rows
+CATALOG_SIZES = (10, 1000, 10_000)  # engines
+# A change in Consul, and the one that takes it back (the engine's address is added to a register).
+REVERSALS = {
+    ChangeKind.CRITICAL: ChangeKind.PASSING,
+    ChangeKind.MAINTENANCE: ChangeKind.MAINTENANCE,
+    ChangeKind.DEREGISTER: ChangeKind.REGISTER,
+}
+
+Latencies = dict[str, list[float]]  # by kind of change
+Costs = dict[str, float]
+
+
+@dataclass(slots=True, frozen=True)
+class Usage:
+    """What the dispatcher did and used."""
+
+    queries_per_second: float
+    idle_cpu_percent: float  # of a core
+    resident_mb: float
 
 
 def config(agent: str) -> dict[str, Any]:
+    """A dispatcher's configuration."""
     return {
         "name": "bench",
         "listen": f"127.0.0.1:{PORT}",
@@ -68,125 +92,146 @@
     }
 
 
-def packet(sequence: int, body: bytes) -> bytes:
-    return len(body).to_bytes(3, "little") + bytes([sequence]) + body
+class Client:
+    """A MySQL session that sends one query after another."""
 
+    def __init__(self, number: int) -> None:
+        self.number, self.served = number, 0
 
-async def client(number: int, served: list[int], stop: asyncio.Event) -> None:
-    """One session that sends one query after another."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", PORT)
-    writer.write(packet(1, LOGIN))
-
-    async def read() -> bytes:
-        head = await reader.readexactly(4)
-        return await reader.readexactly(int.from_bytes(head[:3], "little"))
-
-    await read(), await read()
-    count = 0
-    while not stop.is_set():
-        count += 1
-        sql = f"/* service=lookup,ref={number:08x}{count:08x},allow=4000 */ SELECT a FROM sales_{count % 7}.t"
-        writer.write(packet(0, b"\x03" + sql.encode()))
-        ends = 0
-        while ends < 2:
-            body = await read()
-            if body[:1] == b"\xff":
-                await asyncio.sleep(0.01)
+    async def run(self, stop: asyncio.Event) -> None:
+        """Log in, and send queries until the event is set."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", PORT)
+        writer.write(_packet(1, LOGIN))
+        for _ in ("greeting", "result of the login"):
+            await _read_packet(reader)
+        for count in itertools.count(1):
+            if stop.is_set():
                 break
-            ends += body[:1] == b"\xfe" and len(body) < 9
-        else:
-            served[0] += 1
-    writer.close()
+            request_id = f"{self.number:08x}{count:08x}"
+            query = f"/* service=lookup,ref={request_id},allow=4000 */ SELECT a FROM sales_{count % 7}.t"
+            writer.write(_packet(0, b"\x03" + query.encode()))
+            if await _is_served(reader):
+                self.served += 1
+            else:
+                await asyncio.sleep(0.01)
+        writer.close()
+
+
+def _packet(sequence: int, body: bytes) -> bytes:
+    return len(body).to_bytes(3, "little") + bytes([sequence]) + body
+
+
+async def _read_packet(reader: asyncio.StreamReader) -> bytes:
+    head = await reader.readexactly(4)
+    return await reader.readexactly(int.from_bytes(head[:3], "little"))
+
+
+async def _is_served(reader: asyncio.StreamReader) -> bool:
+    """Read a response; return whether it has rows, and not an error."""
+    ends = 0
+    while ends < ENDS_PER_RESPONSE:
+        body = await _read_packet(reader)
+        if body[:1] == ERROR_MARK:
+            return False
+        ends += body[:1] == END_MARK and len(body) < MAX_END_BYTES
+    return True
 
 
-async def latencies(changes: int, folder: Path) -> tuple[dict[str, list[float]], dict[str, float]]:
+async def measure_latencies(changes: int, folder: Path) -> tuple[Latencies, Usage]:
     """Milliseconds from each change to the last request that came to its engine; 0 where none came."""
     server = Server()
     agent = f"127.0.0.1:{await server.start('127.0.0.1', 0)}"
-    engines = {}
-    for i in range(ENGINES):
-        engine = engines[f"e{i}"] = StandInEngine(f"e{i}", WORK_MS)
-        server.add_engine(f"e{i}", f"127.0.0.1:{await engine.start()}")
+    engines = [StandInEngine(f"e{i}", WORK_MS) for i in range(ENGINES)]
+    for engine in engines:
+        server.add_engine(engine.id, f"127.0.0.1:{await engine.start()}")
     path = folder / "bench.json"
     path.write_text(json.dumps(config(agent)))
-    node = subprocess.Popen(
+    dispatcher = subprocess.Popen(
         [sys.executable, "-m", "cottonhold.cli.main", "serve", "--config", str(path)],
         stderr=subprocess.DEVNULL,
     )
     try:
-        for _ in range(200):
-            await asyncio.sleep(0.05)
-            if server.waiting:
-                break
-        idle = await idle_cpu(node.pid)
-        stop, served = asyncio.Event(), [0]
-        sessions = [asyncio.create_task(client(i, served, stop)) for i in range(CLIENTS)]
-        await asyncio.sleep(1.0)
-        begun = time.monotonic()
-        found: dict[str, list[float]] = {"critical": [], "maintenance": [], "deregister": []}
-        watchers = []
-        kinds = list(found)
-        for number in range(changes):
-            engine_id, kind = f"e{number % ENGINES}", kinds[number // ENGINES % 3]
-            watchers.append(
-                asyncio.create_task(one_change(server, engines[engine_id], engine_id, kind, found))
-            )
-            await asyncio.sleep(GAP_S)
-        await asyncio.gather(*watchers)
-        rate = served[0] / (time.monotonic() - begun)
+        await _wait_for_watch(server)
+        idle_cpu_percent = await measure_idle_cpu_percent(dispatcher.pid)
+        clients = [Client(number) for number in range(CLIENTS)]
+        stop = asyncio.Event()
+        sessions = [asyncio.create_task(client.run(stop)) for client in clients]
+        await asyncio.sleep(WARMUP_S)
+        started_at = time.monotonic()
+        latencies = await make_changes(server, engines, changes)
+        served = sum(client.served for client in clients)
+        queries_per_second = served / (time.monotonic() - started_at)
         stop.set()
         await asyncio.gather(*sessions, return_exceptions=True)
-        return found, {
-            "queries a second": rate,
-            "idle CPU, % of a core": idle,
-            "resident MB": resident(node.pid),
-        }
+        return latencies, Usage(queries_per_second, idle_cpu_percent, resident_mb(dispatcher.pid))
     finally:
-        node.terminate()
-        node.wait(30)
-        for engine in engines.values():
+        dispatcher.terminate()
+        dispatcher.wait(30)
+        for engine in engines:
             await engine.stop()
         await server.stop()
 
 
-async def one_change(
-    server: Server, engine: StandInEngine, engine_id: str, kind: str, found: dict[str, list[float]]
+async def _wait_for_watch(server: Server) -> None:
+    """Wait until the dispatcher's blocking query is there."""
+    for _ in range(200):
+        await asyncio.sleep(0.05)
+        if server.waiting:
+            return
+
+
+async def make_changes(server: Server, engines: list[StandInEngine], count: int) -> Latencies:
+    """Make changes of all kinds to one engine after another; return each one's latencies."""
+    latencies: Latencies = {kind: [] for kind in REVERSALS}
+    kinds, changes = list(REVERSALS), list[asyncio.Task[None]]()
+    for number in range(count):
+        kind = kinds[number // ENGINES % len(kinds)]
+        change = make_change(server, engines[number % ENGINES], kind, latencies[kind])
+        changes.append(asyncio.create_task(change))
+        await asyncio.sleep(CHANGE_INTERVAL_S)
+    await asyncio.gather(*changes)
+    return latencies
+
+
+async def make_change(
+    server: Server, engine: StandInEngine, kind: ChangeKind, latencies_ms: list[float]
 ) -> None:
-    args = (engine_id, "on") if kind == "maintenance" else (engine_id,)
-    at = time.monotonic()
-    server.apply(Step(0, ChangeKind(kind), args))
-    await asyncio.sleep(AWAY_S)
-    last = engine.arrivals[-1] if engine.arrivals else 0.0
-    found[kind].append(max(last - at, 0.0) * 1000)
+    """Take an engine out, note when its last request came, and bring it back."""
+    is_maintenance = kind is ChangeKind.MAINTENANCE
+    changed_at = time.monotonic()
+    server.apply(Step(0, kind, (engine.id, "on") if is_maintenance else (engine.id,)))
+    await asyncio.sleep(OUTAGE_S)
+    last_arrival_at = engine.arrivals[-1] if engine.arrivals else 0.0
+    latencies_ms.append(max(last_arrival_at - changed_at, 0.0) * 1000)
     engine.arrivals.clear()
-    assert engine.server is not None
-    port = engine.server.sockets[0].getsockname()[1]
-    back = {
-        "critical": ("passing", (engine_id,)),
-        "maintenance": ("maintenance", (engine_id, "off")),
-        "deregister": ("register", (engine_id, f"127.0.0.1:{port}")),
-    }[kind]
-    server.apply(Step(0, ChangeKind(back[0]), back[1]))
+    args: tuple[str, ...] = (engine.id, "off") if is_maintenance else (engine.id,)
+    if kind is ChangeKind.DEREGISTER:
+        assert engine.server is not None
+        args = (engine.id, f"127.0.0.1:{engine.server.sockets[0].getsockname()[1]}")
+    server.apply(Step(0, REVERSALS[kind], args))
 
 
 def cpu_s(pid: int) -> float:
+    """Seconds of CPU that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(") ", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def resident(pid: int) -> float:
+def resident_mb(pid: int) -> float:
+    """Resident memory of a process."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) / 1024 for line in lines if line.startswith("VmRSS"))
 
 
-async def idle_cpu(pid: int, seconds: float = 20.0) -> float:
-    begun = cpu_s(pid)
-    await asyncio.sleep(seconds)
-    return 100 * (cpu_s(pid) - begun) / seconds
+async def measure_idle_cpu_percent(pid: int) -> float:
+    """CPU of a process while nothing happens, in percent of a core."""
+    before_s = cpu_s(pid)
+    await asyncio.sleep(IDLE_S)
+    return 100 * (cpu_s(pid) - before_s) / IDLE_S
 
 
-def change_cost(size: int, rounds: int = 60) -> dict[str, float]:
-    """One engine of `size` changes: median ms for cutting, for deciding, and for a plain reading."""
+def make_catalog(size: int) -> Catalog:
+    """A catalogue of so many engines."""
     catalog = Catalog(lambda: 0.0)
     for i in range(size):
         body = {
@@ -196,8 +241,14 @@
             "Port": 1 + i,
             "Meta": {"machine_type": "std", "started_at_ms": "1700000000000"},
         }
-        made = catalog.put_service("agent-1", body)
-        catalog.put_check("agent-1", {"CheckID": f"check:e{i}", "Status": "passing"}, made)
+        service = catalog.put_service("agent-1", body)
+        catalog.put_check("agent-1", {"CheckID": f"check:e{i}", "Status": "passing"}, service)
+    return catalog
+
+
+def measure_change_cost(size: int, rounds: int = 60) -> Costs:
+    """One engine of `size` changes: median ms for cutting, for deciding, and for a plain reading."""
+    catalog = make_catalog(size)
     rows = catalog.health_rows("engine")
     names = ConfiguredNames((), ("std",))
     answers = Answers(names, Reading(), print)
@@ -229,30 +280,25 @@
     }
 
 
-def write(found: dict[str, list[float]], more: dict[str, float], costs: list[dict[str, float]]) -> None:
-    OUT.mkdir(parents=True, exist_ok=True)
-    everything = [v for values in found.values() for v in values]
-    rows = [*found.items(), ("all", everything)]
-    text = [
-        "# Consul: measured",
-        "",
-        "By `python benchmarks/consul/run.py`, on a shared machine of 8 cores. "
-        f"{ENGINES} stand-in engines, {CLIENTS} sessions that send one query after another, "
-        f"{more['queries a second']:.0f} queries a second through one dispatcher.",
-        "",
+def latency_section(latencies: Latencies) -> list[str]:
+    """A table of latencies by kind of change."""
+    lines = [
         "## From a change in Consul to the last request at that engine",
         "",
         "| change | count | p50 ms | p99 ms | max ms | no request after it |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for name, values in rows:
+    all_ms = [value for values in latencies.values() for value in values]
+    for name, values in [*latencies.items(), ("all", all_ms)]:
         p50, p99 = np.percentile(values, [50, 99])
-        none = sum(v == 0 for v in values)
-        text.append(f"| {name} | {len(values)} | {p50:.1f} | {p99:.1f} | {max(values):.1f} | {none} |")
-    text += [
-        "",
-        "![latencies and costs](consul.svg)",
-        "",
+        without = sum(value == 0 for value in values)
+        lines.append(f"| {name} | {len(values)} | {p50:.1f} | {p99:.1f} | {max(values):.1f} | {without} |")
+    return lines
+
+
+def cost_section(costs: list[Costs]) -> list[str]:
+    """A table of what a change costs, by the number of engines."""
+    lines = [
         "## What one change costs",
         "",
         "Median of 60. *Cutting* finds the changed entry in the answer (digests of all, decoding of one); "
@@ -261,46 +307,69 @@
         "| engines | answer MB | cutting ms | deciding ms | plain ms | KB kept an engine |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for c in costs:
-        text.append(
-            f"| {c['engines']:.0f} | {c['answer MB']:.2f} | {c['cut']:.3f} | {c['decide']:.3f} | "
-            f"{c['plain']:.3f} | {c['KB an engine']:.2f} |"
+    for cost in costs:
+        lines.append(
+            f"| {cost['engines']:.0f} | {cost['answer MB']:.2f} | {cost['cut']:.3f} | {cost['decide']:.3f} | "
+            f"{cost['plain']:.3f} | {cost['KB an engine']:.2f} |"
         )
-    text += [
-        "",
-        "## At rest",
-        "",
-        f"One dispatcher with one watch, no clients: {more['idle CPU, % of a core']:.2f}% of a "
-        f"core over 20 s. After the load above it held {more['resident MB']:.1f} MB resident.",
-        "",
-    ]
-    (OUT / "consul.md").write_text("\n".join(text))
+    return lines
+
+
+def draw_figure(latencies: Latencies, costs: list[Costs]) -> None:
+    """Write the figure: the latencies' distribution, and costs by the number of engines."""
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 3.6))
-    for name, values in found.items():
+    for name, values in latencies.items():
         ordered = np.sort(values)
         left.plot(ordered, np.arange(1, len(ordered) + 1) / len(ordered), label=name)
     left.set(
         xlabel="ms to the last request", ylabel="share of changes", title="From a change to the last request"
     )
     left.legend()
-    sizes = [c["engines"] for c in costs]
+    sizes = [cost["engines"] for cost in costs]
     for name, label in (("cut", "cutting"), ("decide", "deciding"), ("plain", "plain decoding")):
-        right.plot(sizes, [c[name] for c in costs], marker="o", label=label)
+        right.plot(sizes, [cost[name] for cost in costs], marker="o", label=label)
     right.set(xscale="log", yscale="log", xlabel="engines", ylabel="ms", title="One change")
     right.legend()
     figure.tight_layout()
-    figure.savefig(OUT / "consul.svg", metadata={"Date": None})
+    figure.savefig(OUTPUT / "consul.svg", metadata={"Date": None})
+
+
+def write(latencies: Latencies, usage: Usage, costs: list[Costs]) -> None:
+    """Write the page and its figure."""
+    OUTPUT.mkdir(parents=True, exist_ok=True)
+    lines = [
+        "# Consul: measured",
+        "",
+        "By `python benchmarks/consul/run.py`, on a shared machine of 8 cores. "
+        f"{ENGINES} stand-in engines, {CLIENTS} sessions that send one query after another, "
+        f"{usage.queries_per_second:.0f} queries a second through one dispatcher.",
+        "",
+        *latency_section(latencies),
+        "",
+        "![latencies and costs](consul.svg)",
+        "",
+        *cost_section(costs),
+        "",
+        "## At rest",
+        "",
+        f"One dispatcher with one watch, no clients: {usage.idle_cpu_percent:.2f}% of a "
+        f"core over 20 s. After the load above it held {usage.resident_mb:.1f} MB resident.",
+        "",
+    ]
+    (OUTPUT / "consul.md").write_text("\n".join(lines))
+    draw_figure(latencies, costs)
 
 
 def main() -> None:
+    """Measure, write the page and print it."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--changes", type=int, default=1000)
     arguments = parser.parse_args()
-    costs = [change_cost(size) for size in (10, 1000, 10_000)]
+    costs = [measure_change_cost(size) for size in CATALOG_SIZES]
     with tempfile.TemporaryDirectory() as folder:
-        found, more = uvloop.run(latencies(arguments.changes, Path(folder)))
-    write(found, more, costs)
-    print((OUT / "consul.md").read_text())
+        latencies, usage = uvloop.run(measure_latencies(arguments.changes, Path(folder)))
+    write(latencies, usage, costs)
+    print((OUTPUT / "consul.md").read_text())
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/outlook.py
+++ b/benchmarks/fleet/outlook.py
@@ -17,7 +17,8 @@
 from pathlib import Path
 from typing import Any
 
-from cottonhold.emulator.outages import OutageSetup, OutageWorld
+from cottonhold.emulator.outage_setup import OutageSetup
+from cottonhold.emulator.outages import OutageWorld
 from cottonhold.emulator.outages_in_service import ServiceWorld
 from cottonhold.fleet.failover_cost.cost_settings import CostSettings
 from cottonhold.fleet.failover_cost.estimator import CostEstimatorSettings
--- a/benchmarks/fleet/overload.py
+++ b/benchmarks/fleet/overload.py
@@ -14,15 +14,8 @@
 
 import numpy as np
 
-from cottonhold.emulator.overload import (
-    AdaptiveShare,
-    Credits,
-    Overload,
-    Policy,
-    QueueDelay,
-    RequestEvent,
-    SharedThreshold,
-)
+from cottonhold.emulator.admission_policies import AdaptiveShare, Credits, QueueDelay, SharedThreshold
+from cottonhold.emulator.overload import Overload, Policy, RequestEvent
 from cottonhold.fleet.admission.demand_sharing import DemandSettings
 from cottonhold.fleet.admission.threshold import ThresholdSettings
 
--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -19,7 +19,8 @@
 
 import numpy as np
 
-from cottonhold.emulator.recovery import MEAN_WORK_MS, REQUEST_CLASSES, PowerReturn, PowerReturnPlan
+from cottonhold.emulator.power_return_plan import PowerReturnPlan
+from cottonhold.emulator.recovery import MEAN_WORK_MS, REQUEST_CLASSES, PowerReturn
 from cottonhold.fleet.coordinator import FleetSettings
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 
--- a/cottonhold/emulator/outages_in_service.py
+++ b/cottonhold/emulator/outages_in_service.py
@@ -14,15 +14,8 @@
 
 from cottonhold.emulator.credit_account import CreditAccount
 from cottonhold.emulator.outage_log import LogEntry
-from cottonhold.emulator.outages import (
-    MESSAGE_DELAY_MS,
-    STEP_MS,
-    Instance,
-    OutageSetup,
-    OutageWorld,
-    Request,
-    Server,
-)
+from cottonhold.emulator.outage_setup import OutageSetup, Request, Server
+from cottonhold.emulator.outages import MESSAGE_DELAY_MS, STEP_MS, Instance, OutageWorld
 from cottonhold.fleet.coordinator import Action, FleetCoordinator, FleetSettings, SendMessage
 from cottonhold.fleet.engine_bounds import EngineBounds
 
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -9,7 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.emulator.overload import Overload, Policy, SharedThreshold
+from cottonhold.emulator.admission_policies import SharedThreshold
+from cottonhold.emulator.overload import Overload, Policy
 from cottonhold.fleet.admission import demand
 from cottonhold.fleet.admission.demand import DENSITY_STEPS, MAX_ENCODED_STEPS, Demand
 from cottonhold.fleet.admission.demand_messages import (
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -11,7 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.emulator.outages import OutageSetup, OutageWorld
+from cottonhold.emulator.outage_setup import OutageSetup
+from cottonhold.emulator.outages import OutageWorld
 from cottonhold.fleet.admission.demand import DENSITY_STEPS, density_step
 from cottonhold.fleet.failover_cost import fleet_snapshot as pictures
 from cottonhold.fleet.failover_cost.allocation import utility_of_step
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -9,7 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonhold.emulator.recovery import MEAN_WORK_MS, PowerReturn, PowerReturnPlan
+from cottonhold.emulator.power_return_plan import PowerReturnPlan
+from cottonhold.emulator.recovery import MEAN_WORK_MS, PowerReturn
 from cottonhold.fleet.admission.demand_messages import DemandReport, encode_demand_reports
 from cottonhold.fleet.admission.threshold import ReportedLoad
 from cottonhold.fleet.coordinator import FleetCoordinator, FleetSettings, ThresholdUpdate
