--- a/tests/fleet/test_quota_lending.py
+++ b/tests/fleet/test_quota_lending.py
@@ -157,11 +157,11 @@
     """All that may happen next."""
     next_steps: list[Step] = [lambda w: w.tick(), lambda w: w.request(0, 0.9), lambda w: w.request(0, 0.5)]
     for place in range(len(world.in_flight)):
-        next_steps.append(lambda w, at=place: w.deliver(at, keep=False))  # type: ignore[misc]
+        next_steps.append(lambda w, at=place: w.deliver(at, may_repeat=False))  # type: ignore[misc]
         next_steps.append(lambda w, at=place: w.lose(at))  # type: ignore[misc]
     if world.in_flight:
         next_steps.append(lambda w: w.deliver(0, may_repeat=True))
-    return next_steps + [lambda w: w.die(0), lambda w: w.die(1), lambda w: w.stop(0)]
+    return next_steps + [lambda w: w.restart(0), lambda w: w.restart(1), lambda w: w.toggle_stopped(0)]
 
 
 def search(depth: int, settings: QuotaSettings = SETTINGS) -> tuple[int, float]:
--- a/tests/fleet/test_request_forwarding.py
+++ b/tests/fleet/test_request_forwarding.py
@@ -132,13 +132,13 @@
 
 
 DEFECTS: dict[Callable[[pytest.MonkeyPatch], None], str] = {
-    forgets_an_accepted_request: "taken twice",
-    forgets_an_answered_request: "taken twice",
+    forgets_an_accepted_request: "accepted twice",
+    forgets_an_answered_request: "accepted twice",
     forgets_a_withdrawn_request: "nobody|nothing ran",
-    accepts_a_request_for_an_earlier_incarnation: "taken twice",
+    accepts_a_request_for_an_earlier_incarnation: "accepted twice",
     does_not_reduce_the_remaining_time: "left_ms",
     reports_not_accepted_after_all_was_sent: "nobody|nothing ran",
-    sends_again_what_an_earlier_incarnation_may_have_accepted: "taken twice",
+    sends_again_what_an_earlier_incarnation_may_have_accepted: "accepted twice",
     ignores_the_order: "order",
     reports_too_late: "in time",
     reports_twice: "one end",
