--- a/benchmarks/membership/run.py
+++ b/benchmarks/membership/run.py
@@ -133,7 +133,7 @@
         shares.add_subject(name)
     begun = time.perf_counter()
     for member in (1, 2, 3):
-        shares.drop_member(member)
+        shares.remove_member(member)
         shares.add_member(member)
     mine = (time.perf_counter() - begun) / 6 * 1000
     begun = time.perf_counter()
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -88,15 +88,15 @@
         self.in_service_count = 0  # by the last observations that count
         self.unhealthy_count = 0
         self.index, self.answer_count, self.last_answer_at = 0, 0, 0.0
-        self.lost_since, self.lost_reason = math.inf, ""
+        self.unreachable_since, self.unreachable_reason = math.inf, ""
         self.changed_engines: set[str] = set()
         self.actions: list[LogEvent | ConfirmAbsence] = []
 
     def on_report(self, now: float, report: SourceReport) -> None:
         """Take an answer in. The engines that may have changed are in `changed_engines` afterwards."""
-        if self.lost_since < math.inf:
-            self._log("source_back", after_ms=round(now - self.lost_since))
-            self.lost_since, self.lost_reason = math.inf, ""
+        if self.unreachable_since < math.inf:
+            self._log("source_back", after_ms=round(now - self.unreachable_since))
+            self.unreachable_since, self.unreachable_reason = math.inf, ""
         is_first, self.answer_count = self.answer_count == 0, self.answer_count + 1
         self.index, self.last_answer_at = report.index, now
         absent = list(report.absent)
@@ -117,18 +117,18 @@
                 self._remove(now, engine_id, observation, "a consistent reading agrees")
         else:
             losses += lost
-        self._weigh_losses(now, losses, report.index, report.is_confirmed)
+        self._on_losses(now, losses, report.index, report.is_confirmed)
         if not self.guard.is_trusted:  # of the event stream many reports may make up one answer
             self.start_times.on_complete_answer(now)
 
     def on_lost(self, now: float, event: SourceLost) -> None:
         """The source can't be reached: log it once, and again if the reason changes; keep all claims."""
-        if self.lost_since == math.inf:
-            self.lost_since = now
+        if self.unreachable_since == math.inf:
+            self.unreachable_since = now
             self._log("source_lost", why=event.reason, engines_kept=len(self.claims), index=self.index)
-        elif event.reason != self.lost_reason:
-            self._log("source_still_lost", why=event.reason, after_ms=round(now - self.lost_since))
-        self.lost_reason = event.reason
+        elif event.reason != self.unreachable_reason:
+            self._log("source_still_lost", why=event.reason, after_ms=round(now - self.unreachable_since))
+        self.unreachable_reason = event.reason
 
     def step(self, now: float) -> None:
         """Return engines to service that have been quiet for long enough, and count held losses that may."""
@@ -313,7 +313,7 @@
             self._set_observation(claim, observation)
             self._drain(now, claim, observation)
 
-    def _weigh_losses(
+    def _on_losses(
         self, now: float, losses: Iterable[tuple[str, Observation]], index: int, is_confirmed: bool
     ) -> None:
         """Take in the losses of one answer: with those held before all of them count, or none beyond the
--- a/cottonhold/membership/codec.py
+++ b/cottonhold/membership/codec.py
@@ -5,7 +5,8 @@
 
 The first byte tells them apart from the scheduler's own messages, which begin with 1 or 2. `session` is drawn
 at the sender's start and `count` grows with each datagram, so a receiver can tell a replay. The MAC is
-has_key BLAKE2b over all before it; key 0 means that there is none."""
+keyed BLAKE2b over all before it; key 0 means that there is none.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +29,7 @@
 MAC_BYTES = 12
 MAX_NAME_BYTES = 32
 REPLAY_WINDOW = 256  # datagrams that may overtake one another: more than one full exchange sends at once
-MAX_TRACKED_SESSIONS = 4096  # senders' sessions remembered
+MAX_TRACKED_SESSIONS = 4096
 
 
 class CodecError(Exception):
@@ -48,7 +49,7 @@
     NACK = 4
     SYNC = 5  # part of the sender's table; the receiver answers with part of its own
     SYNC_REPLY = 6
-    LEASE_REQUEST = 7  # of leases: the sequence is the term, the subject the number of the lease
+    LEASE_REQUEST = 7  # in all four, the sequence is the term, the subject the number of the lease
     LEASE_RELEASE = 8
     LEASE_GRANT = 9
     LEASE_DENY = 10
@@ -57,7 +58,7 @@
 
 
 class MemberStatus(IntEnum):
-    """What is believed of a member."""
+    """A member's status, as one instance knows it. The numbers are on the wire."""
 
     ALIVE = 1
     SUSPECT = 2
@@ -67,8 +68,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Update:
-    """A change of one member. Address and name come with ALIVE only. source: the member that suspects it or
-    declares it dead."""
+    """A change of one member. Address and name are present with ALIVE only. source: the member that suspects
+    it or declares it dead.
+    """
 
     status: MemberStatus
     member: int
@@ -80,8 +82,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """A datagram's meaning. subject: the member that a ping is for, so that a new process at an old address
-    doesn't answer."""
+    """A decoded datagram. subject: the member that a ping is for, so that a new process at an old address
+    doesn't answer.
+    """
 
     kind: MessageKind
     sender: int
@@ -119,29 +122,29 @@
     def __init__(self, data: bytes) -> None:
         self.data, self.position = data, 0
 
-    def take(self, size: int) -> bytes:
+    def read_bytes(self, size: int) -> bytes:
         part = self.data[self.position : self.position + size]
         if len(part) != size:
             raise CodecError("truncated")
         self.position += size
         return part
 
-    def update(self) -> Update:
-        status, member, incarnation = UPDATE.unpack(self.take(UPDATE.size))
+    def read_update(self) -> Update:
+        status, member, incarnation = UPDATE.unpack(self.read_bytes(UPDATE.size))
         if status not in MemberStatus.__members__.values():
             raise CodecError("status")
         if status != MemberStatus.ALIVE:
-            (source,) = struct.unpack("!Q", self.take(8))
+            (source,) = struct.unpack("!Q", self.read_bytes(8))
             return Update(MemberStatus(status), member, incarnation, source)
-        size = self.take(1)[0]
+        size = self.read_bytes(1)[0]
         if size not in (4, 16):
             raise CodecError("address")
-        host = str(ipaddress.ip_address(self.take(size)))
-        port, length = struct.unpack("!HB", self.take(3))
+        host = str(ipaddress.ip_address(self.read_bytes(size)))
+        port, length = struct.unpack("!HB", self.read_bytes(3))
         if not port or length > MAX_NAME_BYTES:
             raise CodecError("address")
         try:
-            name = self.take(length).decode()
+            name = self.read_bytes(length).decode()
         except UnicodeDecodeError:
             raise CodecError("name") from None
         return Update(MemberStatus.ALIVE, member, incarnation, 0, Address(host, port), name)
@@ -169,37 +172,38 @@
 
 @dataclass(slots=True)
 class KeyRing:
-    """Shared keys by number, 1 to 255. All are accepted; `sending_number` is the one that is sent with.
-    Without keys there is no MAC at all.
+    """Shared keys by number, 1 to 255. All are accepted; datagrams are sent with `send_key_id`. Without keys
+    there is no MAC.
 
-    A rotation without a gap: give all instances the new key beside the old one, then have all send with the
-    new one, then remove the old one."""
+    A rotation without a gap: give all instances the new key in addition to the old one, then have all send
+    with the new one, then remove the old one.
+    """
 
     keys: Mapping[int, bytes] = field(default_factory=dict)
-    sending_number: int = 0
+    send_key_id: int = 0
 
-    def mac(self, number: int, data: bytes) -> bytes:
+    def mac(self, key_id: int, data: bytes) -> bytes:
         """The MAC under a key. Raises CodecError for a key that isn't there."""
-        if number not in self.keys:
+        if key_id not in self.keys:
             raise CodecError("key")
-        return hashlib.blake2b(data, key=self.keys[number], digest_size=MAC_BYTES).digest()
+        return hashlib.blake2b(data, key=self.keys[key_id], digest_size=MAC_BYTES).digest()
 
 
 class Codec:
-    """Encodes one sender's datagrams and decodes everybody's, keeping their replay windows."""
+    """Encodes one sender's datagrams, and decodes all senders' with their replay windows."""
 
-    def __init__(self, sender: int, session: int, keys: KeyRing | None = None) -> None:
+    def __init__(self, sender: int, session: int, key_ring: KeyRing | None = None) -> None:
         self.sender, self.session, self.datagram_count = sender, session & 0xFFFFFFFF, 0
-        self.keys = keys or KeyRing()
+        self.key_ring = key_ring or KeyRing()
         self.replay_windows: OrderedDict[tuple[int, int], _ReplayWindow] = OrderedDict()
 
     def update_capacity(self) -> int:
         """Bytes that a datagram has for updates."""
-        return update_capacity(bool(self.keys.keys))
+        return update_capacity(bool(self.key_ring.keys))
 
     def encode(self, message: Message, updates: bytes) -> bytes:
         """A datagram, with its updates or its payload already encoded."""
-        number = self.keys.sending_number if self.keys.keys else 0
+        number = self.key_ring.send_key_id if self.key_ring.keys else 0
         self.datagram_count = (self.datagram_count + 1) & 0xFFFFFFFF
         data = b"".join(
             (
@@ -208,12 +212,12 @@
                 updates,
             )
         )
-        data += self.keys.mac(number, data) if self.keys.keys else b""
+        data += self.key_ring.mac(number, data) if self.key_ring.keys else b""
         assert len(data) <= MAX_DATAGRAM_BYTES
         return data
 
     def decode(self, data: bytes) -> Message:
-        """A datagram's meaning. Raises CodecError; then nothing has changed."""
+        """The message in a datagram. Raises CodecError, and then no state has changed."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise CodecError("long")
         if len(data) < HEAD.size + BODY.size:
@@ -223,19 +227,19 @@
             raise CodecError("magic")
         if version != VERSION:
             raise CodecError("version")
-        if self.keys.keys:
+        if self.key_ring.keys:
             data, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
             # In constant time: else the time of the reply would show how many bytes of a forgery were right.
-            if not hmac.compare_digest(mac, self.keys.mac(number, data)):
+            if not hmac.compare_digest(mac, self.key_ring.mac(number, data)):
                 raise CodecError("mac")
         elif number:
             raise CodecError("key")
-        message = self._body(data, sender)
+        message = self._decode_body(data, sender)
         if not self._is_new(sender, session, count):
             raise CodecError("replay")
         return message
 
-    def _body(self, data: bytes, sender: int) -> Message:
+    def _decode_body(self, data: bytes, sender: int) -> Message:
         if len(data) < HEAD.size + BODY.size:
             raise CodecError("truncated")
         kind, sequence, subject = BODY.unpack_from(data, HEAD.size)
@@ -249,12 +253,13 @@
             )
         reader, updates = _Reader(data[HEAD.size + BODY.size :]), []
         while reader.position < len(reader.data):
-            updates.append(reader.update())
+            updates.append(reader.read_update())
         return Message(MessageKind(kind), sender, sequence, subject, tuple(updates))
 
     def _is_new(self, sender: int, session: int, count: int) -> bool:
-        """Whether a datagram is no replay. A replay of a session never met isn't recognized; its incarnations
-        are old, and so it changes nothing."""
+        """Whether a datagram is no replay. A replay of an unknown session isn't recognized; its incarnations
+        are old, and so it changes nothing.
+        """
         key = (sender, session)
         window = self.replay_windows.pop(key, None) or _ReplayWindow()
         self.replay_windows[key] = window
--- a/cottonhold/membership/dissemination.py
+++ b/cottonhold/membership/dissemination.py
@@ -8,14 +8,15 @@
 from cottonhold.membership.codec import Update, encode_update
 
 MIN_UPDATE_BYTES = 25  # the shortest update
-MAX_TRIED_PER_COUNT = 16  # updates tried for a datagram among those sent equally often: it holds nine at most
+MAX_TRIED_PER_COUNT = 16  # updates considered for a datagram among those sent equally often; it holds nine
 
 
 class UpdateQueue:
-    """Updates to spread, one for each member, by how often each was sent.
+    """Updates to disseminate, one for each member, by how often each was sent.
 
-    They lie in one mapping for each number of times, so that taking the least sent doesn't look at all of
-    them."""
+    There is one mapping for each number of times, so that choosing the least sent doesn't look at all of
+    them.
+    """
 
     def __init__(self, retransmit_factor: float) -> None:
         self.retransmit_factor = retransmit_factor
@@ -23,7 +24,7 @@
         self._times_sent: dict[int, int] = {}  # by member
 
     def add(self, update: Update) -> None:
-        """Spread an update; it replaces an older one of the same member."""
+        """Disseminate an update; it replaces an older one of the same member."""
         times = self._times_sent.get(update.member)
         if times is not None:
             del self._updates_by_times_sent[times][update.member]
@@ -35,19 +36,21 @@
         self._updates_by_times_sent[times][member] = data
         self._times_sent[member] = times
 
-    def take(self, capacity: int, member_count: int) -> list[bytes]:
-        """Encoded updates that fit so many bytes, where so many other members are known."""
-        max_times = math.ceil(self.retransmit_factor * math.log10(member_count + 2))
-        taken: list[tuple[int, bytes, int]] = []
+    def next_batch(self, capacity: int, member_count: int) -> list[bytes]:
+        """Encoded updates for one datagram, which count as sent. capacity: in bytes; member_count: the
+        others.
+        """
+        max_times_sent = math.ceil(self.retransmit_factor * math.log10(member_count + 2))
+        batch: list[tuple[int, bytes, int]] = []
         for times, updates in enumerate(self._updates_by_times_sent):
             for member, data in itertools.islice(updates.items(), MAX_TRIED_PER_COUNT):
                 if len(data) <= capacity:
-                    taken.append((member, data, times))
+                    batch.append((member, data, times))
                     capacity -= len(data)
             if capacity < MIN_UPDATE_BYTES:
                 break
-        for member, data, times in taken:
+        for member, data, times in batch:
             del self._updates_by_times_sent[times][member], self._times_sent[member]
-            if times + 1 < max_times:
+            if times + 1 < max_times_sent:
                 self._insert(member, data, times + 1)
-        return [data for _, data, _ in taken]
+        return [data for _, data, _ in batch]
--- a/cottonhold/membership/instance.py
+++ b/cottonhold/membership/instance.py
@@ -1,7 +1,8 @@
 """One instance's membership and duties as one step function. Pure.
 
 The live members of the view become the duties' members; leases and announced results travel as datagrams of
-the same codec."""
+the same codec.
+"""
 
 from __future__ import annotations
 
@@ -40,16 +41,16 @@
 
 
 class MembershipInstance:
-    """Feed it datagrams and the clock; it returns what to send and which duties to run."""
+    """Membership and duties of one instance: datagrams and the time in, actions out."""
 
     def __init__(self, swim: Swim, duties: DutyScheduler) -> None:
         self.swim, self.duties = swim, duties
         self.actions: list[Action] = []
-        self.reported_members: list[int] = []  # the members that the duties were last told of
+        self.reported_members: list[int] = []  # what the duties got last
         self.settled_at = -math.inf if not swim.seeds else math.inf
 
     def step(self, now: float, datagrams: Iterable[DatagramReceived] = ()) -> list[Action]:
-        """Take in what arrived by now; call again at `next_at` at the latest."""
+        """Process received datagrams and due timers; call again at `next_at` at the latest."""
         self.actions = []
         for action in self.swim.step(now, datagrams):
             if isinstance(action, MessageReceived):
@@ -57,7 +58,7 @@
             else:
                 self.actions.append(action)
         if self.settled_at == math.inf:
-            # One that has just started has met nobody yet, and would take all duties for its own.
+            # An instance that has just started knows no others yet, and would assign all duties to itself.
             self.settled_at = now + SETTLING_INTERVALS * self.swim.settings.probe_interval_ms
         live = self.swim.live_members()
         if live != self.reported_members and now >= self.settled_at:
@@ -75,9 +76,9 @@
     def on_run_ended(self, now: float, run: RunDuty, detail: int | None) -> list[Action]:
         """A run has ended. Its result is announced to the others unless `detail` is None (it failed)."""
         self.actions = []
-        told = self.duties.on_run_ended(now, run)
-        self._on_duty_actions([a for a in told if not isinstance(a, AnnounceDone)])
-        if detail is not None and any(isinstance(a, AnnounceDone) for a in told):
+        duty_actions = self.duties.on_run_ended(now, run)
+        self._on_duty_actions([a for a in duty_actions if not isinstance(a, AnnounceDone)])
+        if detail is not None and any(isinstance(a, AnnounceDone) for a in duty_actions):
             number = lease_number((run.duty, run.subject))
             for member in self.swim.live_members():
                 self._send(MessageKind.DUTY_DONE, detail, number, member)
@@ -103,18 +104,17 @@
                 self.actions.append(FleetMessageReceived(sender, message.payload))
                 return
             case MessageKind.LEASE_REQUEST | MessageKind.LEASE_RELEASE:
-                what: LeaseRequest | LeaseReply = LeaseRequest(
-                    number, term, message.kind is MessageKind.LEASE_RELEASE
-                )
+                is_release = message.kind is MessageKind.LEASE_RELEASE
+                lease_message: LeaseRequest | LeaseReply = LeaseRequest(number, term, is_release)
             case MessageKind.LEASE_GRANT | MessageKind.LEASE_DENY:
-                what = LeaseReply(number, term, message.kind is MessageKind.LEASE_GRANT)
+                lease_message = LeaseReply(number, term, message.kind is MessageKind.LEASE_GRANT)
             case _:
-                pair = self.duties.subject_by_lease.get(number)
-                if pair is not None:  # else a subject that this instance doesn't know of yet, or any more
-                    self._on_duty_actions(self.duties.on_done_elsewhere(now, *pair, 0.0))
-                    self.actions.append(DutyDone(*pair, sender, term))
+                key = self.duties.subject_by_lease.get(number)
+                if key is not None:  # else a subject that this instance doesn't know of yet, or any more
+                    self._on_duty_actions(self.duties.on_done_elsewhere(now, *key, 0.0))
+                    self.actions.append(DutyDone(*key, sender, term))
                 return
-        self._on_duty_actions(self.duties.on_lease_message(now, sender, what))
+        self._on_duty_actions(self.duties.on_lease_message(now, sender, lease_message))
 
     def _on_duty_actions(self, actions: Iterable[DutyAction]) -> None:
         for action in actions:
--- a/cottonhold/membership/leases.py
+++ b/cottonhold/membership/leases.py
@@ -1,4 +1,4 @@
-"""Leases for duties that must not run twice: held by a majority's grants, and ended before these expire.
+"""Leases for duties that must not run twice: a majority grants one, and it ends before its grants expire.
 Pure.
 
 The member named by rendezvous hashing requests the lease of one term from every voter. A voter grants it
@@ -11,9 +11,9 @@
 lease ends first on anyone's clock. Only differences of each one's own monotonic clock count: clocks may
 differ and be set.
 
-A voter that restarts without its memory has forgotten what it granted, so it grants nothing for one whole
-lease after its start. A term is never used twice by one incarnation, and late replies to an old term are
-void: that fences late work."""
+A voter that restarts has lost what it granted, so it grants nothing for one whole lease after its start. A
+term is never used twice by one incarnation, and late replies to an old term are void: that fences late work.
+"""
 
 from __future__ import annotations
 
@@ -24,9 +24,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseSettings:
-    """duration_ms: of one grant; a takeover can't be faster. renew_fraction: part of it after which the
-    holder requests again. max_clock_drift: margin for clocks' rates, as a part. retry_interval_ms: after so
-    long without a majority it requests again."""
+    """Times of leases.
+
+    duration_ms: of one grant; a takeover can't be faster.
+    renew_fraction: the part of it after which the holder requests again.
+    max_clock_drift: the margin for differing clock rates, as a fraction.
+    retry_interval_ms: how long after a request without a majority the next one follows.
+    """
 
     duration_ms: float = 1200.0
     renew_fraction: float = 0.3
@@ -36,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """Requests a term of a duty from a voter, or gives it back (`is_release`)."""
+    """Requests a term of a duty from a voter, or releases it (`is_release`)."""
 
     duty: int
     term: int
@@ -45,8 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseReply:
-    """A voter's reply. retry_after_ms: how long its grant to another is still valid, so that nobody asks in
-    vain."""
+    """A voter's reply. retry_after_ms: how long its grant to another is still valid."""
 
     duty: int
     term: int
@@ -93,7 +96,7 @@
 
 @dataclass(slots=True)
 class LeaseClaim:
-    """This instance's side of one duty that it wants to hold."""
+    """This instance's side of one duty that it claims."""
 
     term: int
     requested_at: float
@@ -106,19 +109,19 @@
     """One instance's side of all leases: as a voter, and as one that claims duties."""
 
     def __init__(
-        self, me: int, voters: Iterable[int], settings: LeaseSettings, now: float, first_term: int
+        self, self_id: int, voters: Iterable[int], settings: LeaseSettings, now: float, first_term: int
     ) -> None:
         # A late reply to the last incarnation must not fit a term of this one: `first_term` is drawn anew.
-        self.me, self.voters, self.settings = me, tuple(sorted(set(voters))), settings
+        self.self_id, self.voters, self.settings = self_id, tuple(sorted(set(voters))), settings
         self.majority = len(self.voters) // 2 + 1
-        self.votes_from = now + settings.duration_ms * (1 + settings.max_clock_drift)
+        self.votes_after = now + settings.duration_ms * (1 + settings.max_clock_drift)
         self.grants: dict[int, Grant] = {}
         self.claims: dict[int, LeaseClaim] = {}
         self.last_term = first_term
         self.actions: list[Action] = []
 
     def claim(self, now: float, duties: Iterable[int]) -> list[Action]:
-        """Claim exactly these duties from now on: others are given back, new ones requested."""
+        """Claim exactly these duties from now on: others are released, new ones requested."""
         self.actions, wanted = [], set(duties)
         for duty in [duty for duty in self.claims if duty not in wanted]:
             claim = self.claims.pop(duty)
@@ -169,8 +172,8 @@
 
     def _request(self, request: LeaseRequest, now: float) -> None:
         for voter in self.voters:
-            if voter == self.me:
-                self._on_request(now, self.me, request)
+            if voter == self.self_id:
+                self._on_request(now, self.self_id, request)
             else:
                 self.actions.append(SendToMember(voter, request))
 
@@ -186,13 +189,13 @@
                 )
             return
         claim.granted_by.add(sender)
-        until = claim.requested_at + self.settings.duration_ms * (1 - self.settings.max_clock_drift)
-        if len(claim.granted_by) >= self.majority and until > max(now, claim.expires_at):
-            claim.expires_at = until
+        expires_at = claim.requested_at + self.settings.duration_ms * (1 - self.settings.max_clock_drift)
+        if len(claim.granted_by) >= self.majority and expires_at > max(now, claim.expires_at):
+            claim.expires_at = expires_at
             claim.next_request_at = max(
                 now, claim.requested_at + self.settings.duration_ms * self.settings.renew_fraction
             )
-            self.actions.append(LeaseHeld(reply.duty, claim.term, until))
+            self.actions.append(LeaseHeld(reply.duty, claim.term, expires_at))
 
     def _on_request(self, now: float, sender: int, request: LeaseRequest) -> None:
         grant = self.grants.get(request.duty)
@@ -200,8 +203,8 @@
             if grant is not None and grant.holder == sender and grant.term <= request.term:
                 del self.grants[request.duty]
             return
-        if now < self.votes_from:
-            self._reply(now, sender, LeaseReply(request.duty, request.term, False, self.votes_from - now))
+        if now < self.votes_after:
+            self._reply(now, sender, LeaseReply(request.duty, request.term, False, self.votes_after - now))
             return
         if grant is not None and grant.expires_at > now and grant.holder != sender:
             self._reply(now, sender, LeaseReply(request.duty, request.term, False, grant.expires_at - now))
@@ -209,8 +212,8 @@
         self.grants[request.duty] = Grant(sender, request.term, now + self.settings.duration_ms)
         self._reply(now, sender, LeaseReply(request.duty, request.term, True))
 
-    def _reply(self, now: float, asker: int, reply: LeaseReply) -> None:
-        if asker == self.me:
-            self._on_reply(now, self.me, reply)
+    def _reply(self, now: float, requester: int, reply: LeaseReply) -> None:
+        if requester == self.self_id:
+            self._on_reply(now, self.self_id, reply)
         else:
-            self.actions.append(SendToMember(asker, reply))
+            self.actions.append(SendToMember(requester, reply))
--- a/cottonhold/membership/rendezvous.py
+++ b/cottonhold/membership/rendezvous.py
@@ -31,7 +31,7 @@
         self.members: dict[int, float] = {}
         self.holders: dict[str, tuple[float, int]] = {}  # by subject: the highest score and whose it is
         self.subjects_by_member: dict[int, set[str]] = {}
-        self.scores_computed = 0  # scores computed so far: the measure of the cost
+        self.score_count = 0  # scores computed so far, the measure of the cost
 
     def holder(self, subject: str) -> int | None:
         """The member that holds a subject; None where there is no member or no such subject."""
@@ -46,24 +46,24 @@
         """Add a member, or change its weight; returns the subjects that have another holder now."""
         if self.members.get(member) == weight:
             return set()
-        dropped = self.drop_member(member)
+        released = self.remove_member(member)
         self.members[member] = weight
         gained = set()
         for subject, (best, holder) in list(self.holders.items()):
-            own_score = self._score(member, subject)
-            if (own_score, member) > (best, holder):
-                self._give(subject, own_score, member)
+            member_score = self._score(member, subject)
+            if (member_score, member) > (best, holder):
+                self._set_holder(subject, member_score, member)
                 gained.add(subject)
-        return dropped ^ gained
+        return released ^ gained
 
-    def drop_member(self, member: int) -> set[str]:
+    def remove_member(self, member: int) -> set[str]:
         """Remove a member; returns the subjects that it held."""
         if self.members.pop(member, None) is None:
             return set()
-        held = self.subjects_by_member.pop(member, set())
-        for subject in held:
+        released = self.subjects_by_member.pop(member, set())
+        for subject in released:
             self._assign(subject)
-        return held
+        return released
 
     def add_subject(self, subject: str) -> bool:
         """Add a subject; false if it was there."""
@@ -73,7 +73,7 @@
         self._assign(subject)
         return True
 
-    def drop_subject(self, subject: str) -> int | None:
+    def remove_subject(self, subject: str) -> int | None:
         """Remove a subject; returns the member that held it."""
         entry = self.holders.pop(subject, None)
         if entry is None:
@@ -82,14 +82,14 @@
         return entry[1] or None
 
     def _score(self, member: int, subject: str) -> float:
-        self.scores_computed += 1
+        self.score_count += 1
         return score(member, self.members[member], subject)
 
     def _assign(self, subject: str) -> None:
         best = max(((self._score(m, subject), m) for m in self.members), default=(-math.inf, 0))
-        self._give(subject, *best)
+        self._set_holder(subject, *best)
 
-    def _give(self, subject: str, best: float, member: int) -> None:
+    def _set_holder(self, subject: str, best: float, member: int) -> None:
         self.subjects_by_member.get(self.holders[subject][1], set()).discard(subject)
         self.holders[subject] = (best, member)
         if member:
--- a/cottonhold/membership/suspicion.py
+++ b/cottonhold/membership/suspicion.py
@@ -1,5 +1,4 @@
-"""Suspicions that run: long while one instance alone holds one, shorter with each independent
-confirmation."""
+"""Suspicions of members: long while one instance alone has one, shorter with each confirmation."""
 
 from __future__ import annotations
 
@@ -13,7 +12,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspicion of one member: who holds it, and when it ends. Times in ms."""
+    """A suspicion of one member: its sources, and when it ends. Times in ms."""
 
     started_at: float
     min_ms: float
@@ -22,7 +21,7 @@
     sources: set[int] = field(default_factory=set)
 
     def ends_at(self) -> float:
-        """Late while one instance alone holds it; as early as possible once enough others agree."""
+        """Late while one instance alone has it; as early as possible once enough others confirm it."""
         confirmations = max(len(self.sources) - 1, 0)
         if self.confirmations_needed < 1 or confirmations >= self.confirmations_needed:
             return self.started_at + self.min_ms
@@ -44,7 +43,7 @@
 
 
 class SuspicionTimers:
-    """Members by when their suspicions end. An end may have moved since: whoever pops one checks it again."""
+    """Members by when their suspicions end. An end may have moved since: the caller checks it again."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int]] = []
@@ -62,6 +61,6 @@
         return self._heap[0][0] if self._heap else math.inf
 
     def pop_due(self, now: float) -> Iterator[int]:
-        """Members whose time has come, one by one."""
+        """Members whose time is over, one by one."""
         while self._heap and self._heap[0][0] <= now:
             yield heapq.heappop(self._heap)[1]
--- a/cottonhold/membership/swim.py
+++ b/cottonhold/membership/swim.py
@@ -323,7 +323,7 @@
         if suspect is not None and suspect.status is not MemberStatus.ALIVE:
             parts = [encode_update(Update(suspect.status, suspect.id, suspect.incarnation, self.id))]
             capacity -= len(parts[0])
-        return b"".join(parts + self._updates.take(capacity, len(self.members)))
+        return b"".join(parts + self._updates.next_batch(capacity, len(self.members)))
 
     def _send(
         self, kind: MessageKind, sequence: int, address: Address, subject: int, receiver: int | None = None
--- a/cottonhold/membership/swim_settings.py
+++ b/cottonhold/membership/swim_settings.py
@@ -1,4 +1,4 @@
-"""Every time-out of the membership protocol, with its reason."""
+"""Settings of the membership protocol, with the reasons for their defaults."""
 
 from __future__ import annotations
 
@@ -9,17 +9,22 @@
 class SwimSettings:
     """Time-outs and bounds of the membership protocol.
 
-    probe_interval_ms: one probe; with five members each is probed within a second. ping_timeout_ms: the
-    direct ping's part of it, several round trips of one site. indirect_probes: members that are asked for an
-    indirect ping. min_suspicion_intervals: the shortest suspicion, in probe intervals times log10 of the
-    members: a refutation needs that long to spread. max_suspicion_factor: the longest suspicion is so many
-    times that; without Lifeguard the shortest counts. max_confirmations: independent ones that bring a
-    suspicion to its shortest. max_awareness: the local health multiplier at its worst. retransmit_factor: an
-    update is sent so many times log10 of the members. sync_interval_ms, max_sync_datagrams: full exchange of
-    tables, also with members believed dead, so that halves of a split network meet again. retention_ms: how
-    long the dead are remembered; longer than any replay or late update lives. stall_threshold_ms: a step
-    later than this past its due time means that this instance stood still, and its own time-outs prove
-    nothing. uses_lifeguard: with the Lifeguard additions."""
+    probe_interval_ms: of one probe; with five members each is probed within a second.
+    ping_timeout_ms: the direct ping's part of it, several round trips in one site.
+    indirect_probes: members that are requested to ping indirectly.
+    min_suspicion_intervals: the shortest suspicion, in probe intervals times log10 of the members: a
+    refutation needs that long to spread.
+    max_suspicion_factor: the longest suspicion, in shortest ones; without Lifeguard the shortest counts.
+    max_confirmations: independent ones that bring a suspicion to its shortest.
+    max_awareness: the local health multiplier at its worst.
+    retransmit_factor: an update is sent this many times log10 of the members.
+    sync_interval_ms, max_sync_datagrams: of the full exchange of tables, also with members that count as
+    dead, so that the halves of a partition find each other again.
+    retention_ms: of ended members; longer than any replay or late update is under way.
+    stall_threshold_ms: a step that is later than this means that this instance did not run, and that its own
+    time-outs prove nothing.
+    uses_lifeguard: with the Lifeguard additions.
+    """
 
     probe_interval_ms: float = 200.0
     ping_timeout_ms: float = 80.0
--- a/cottonhold/membership/table_sync.py
+++ b/cottonhold/membership/table_sync.py
@@ -1,4 +1,4 @@
-"""The full exchange of members' tables: with whom, and which rows go into which datagram."""
+"""The full exchange of members' tables: its targets, and the rows of each datagram."""
 
 from __future__ import annotations
 
@@ -11,33 +11,38 @@
 
 
 def sync_targets(
-    members: Collection[Member], seeds: Sequence[Address], is_alone: bool, draw: random.Random
+    members: Collection[Member], seeds: Sequence[Address], is_alone: bool, random_source: random.Random
 ) -> list[Address]:
-    """One live member, one believed dead, and a seed that was never met; all such seeds while alone.
+    """One live member, one dead one, and a seed that is no member; all such seeds while alone.
 
-    The dead are among them so that the halves of a split network meet again.
+    The dead are included so that the halves of a partition find each other again.
     """
     dead = [m.address for m in members if m.status is MemberStatus.DEAD]
     known = {m.address for m in members}
     unmet_seeds = [address for address in seeds if address not in known]
     live = [m.address for m in members if m.is_live]
-    targets = [draw.choice(group) for group in (live, dead) if group]
+    targets = [random_source.choice(group) for group in (live, dead) if group]
     return targets + (unmet_seeds if is_alone else unmet_seeds[:1])
 
 
 class TableSender:
     """Divides the table into datagrams; a large one arrives in rotation, over several exchanges."""
 
-    def __init__(self, own_id: int) -> None:
-        self.own_id = own_id
+    def __init__(self, self_id: int) -> None:
+        self.self_id = self_id
         self._cursor = 0
 
     def parts(
-        self, own: Update, members: Mapping[int, Member], address: Address, capacity: int, max_parts: int
+        self,
+        self_update: Update,
+        members: Mapping[int, Member],
+        address: Address,
+        capacity: int,
+        max_parts: int,
     ) -> Iterator[bytes]:
         """Rows for the receiver at an address, at most `capacity` bytes in each part."""
         parts, rows, used_bytes = 0, list[bytes](), 0
-        for row in self._rows(own, members, address):
+        for row in self._rows(self_update, members, address):
             if used_bytes + len(row) > capacity:
                 yield b"".join(rows)
                 parts, rows, used_bytes = parts + 1, [], 0
@@ -49,12 +54,12 @@
         if rows:
             yield b"".join(rows)
 
-    def _rows(self, own: Update, members: Mapping[int, Member], address: Address) -> Iterator[bytes]:
+    def _rows(self, self_update: Update, members: Mapping[int, Member], address: Address) -> Iterator[bytes]:
         """Rows encoded as they are needed: most of a large table waits for the next exchange."""
-        yield encode_update(own)
-        # The receiver's own row comes first: if it is believed dead here, it learns so and can refute.
+        yield encode_update(self_update)
+        # The receiver's own row comes first: if it counts as dead here, it learns so and can refute.
         for member in [m for m in members.values() if m.address == address][:2]:
-            yield encode_update(member.as_update(self.own_id))
-        others, begin = sorted(members), self._cursor
+            yield encode_update(member.as_update(self.self_id))
+        others, start = sorted(members), self._cursor
         for i in range(len(others)):
-            yield encode_update(members[others[(begin + i) % len(others)]].as_update(self.own_id))
+            yield encode_update(members[others[(start + i) % len(others)]].as_update(self.self_id))
--- a/cottonhold/store/boot_file.py
+++ b/cottonhold/store/boot_file.py
@@ -1,4 +1,4 @@
-"""The boot file's form: which boot this is, which record file counts, and whether the last one was closed."""
+"""The boot file: which boot this is, which record file counts, and whether the last boot was closed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 @dataclass(slots=True, frozen=True)
 class BootFile:
     """The boot file. generation: the record file that counts. transactions_at_close: of that file at a clean
-    close, NOT_CLOSED while the boot lasts and after it was cut off."""
+    close; NOT_CLOSED during the boot and after it was cut off.
+    """
 
     boot_count: int
     generation: int
@@ -28,7 +29,7 @@
 
     @classmethod
     def decode(cls, content: bytes | None) -> BootFile | None:
-        """The file's meaning; None where it is missing or garbled."""
+        """The file's content; None if it is missing or garbled."""
         if content is None or len(content) != _FORM.size + _CHECKSUM_BYTES:
             return None
         head, checksum = content[:-_CHECKSUM_BYTES], int.from_bytes(content[-_CHECKSUM_BYTES:], "little")
--- a/cottonhold/store/files.py
+++ b/cottonhold/store/files.py
@@ -1,8 +1,9 @@
-"""Operations on whole files beside SQLite's own, so that tests can cut and fail these writes too.
+"""Operations on whole files, in addition to SQLite's own, so that tests can cut and fail these writes too.
 
 `Files` is the operating system's. Its primitives are single system operations; `replace`, `extend` and
-`rename` put them together in the one order that survives a power loss. A stand-in replaces the primitives
-only, so that the order itself is under test. Each SQLite VFS may have its own `Files`."""
+`rename` combine them in the one order that survives a power loss. A test double replaces the primitives
+only, so that the order itself is under test. Each SQLite VFS may have its own `Files`.
+"""
 
 from __future__ import annotations
 
@@ -85,10 +86,10 @@
 
 
 def register_files(vfs: str, files: Files) -> None:
-    """From now on a ledger on this VFS reads and writes its small files by these."""
+    """Have ledgers on this VFS read and write whole files by these."""
     _FILES_BY_VFS[vfs] = files
 
 
 def files_of(vfs: str) -> Files:
-    """The files that belong to a VFS; the operating system's where none are registered."""
+    """The files of a VFS; the operating system's if none are registered."""
     return _FILES_BY_VFS.get(vfs) or Files()
--- a/cottonhold/store/health.py
+++ b/cottonhold/store/health.py
@@ -1,4 +1,4 @@
-"""What a ledger says of its disk and its content, and the errors of opening one."""
+"""The states of a ledger's disk and content, and the errors of opening one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DiskState(Enum):
-    """How the disk does. Writes are accepted while it is HEALTHY and refused at once in all other states."""
+    """The disk's state. Writes are accepted while it is HEALTHY and refused at once in all other states."""
 
     HEALTHY = "well"
     STALLED = "stalled"
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiskHealth:
-    """The state of the disk, and why it is in it."""
+    """The state of the disk, and the reason for it."""
 
     state: DiskState
     reason: str
@@ -35,7 +35,7 @@
 class StoreError(Exception):
     """No ledger can be written in this folder now: its disk fails or is full.
 
-    What could be read all the same is in `records`, by kind and key; the boot isn't counted.
+    What could be read nevertheless is in `records`, by kind and key; the boot isn't counted.
     """
 
     completeness: Completeness
@@ -49,4 +49,4 @@
 
 
 class StoreBusyError(StoreError):
-    """Another living process has this folder."""
+    """Another running process has this folder."""
--- a/cottonhold/store/ledger.py
+++ b/cottonhold/store/ledger.py
@@ -1,13 +1,13 @@
-"""The ledger of one instance: records that are durable before anyone is told of them.
+"""The ledger of one instance: records that are durable before they are reported as written.
 
-Reads are from memory as of opening. Writes go to one thread, which takes all queued records into one
-transaction with a full sync and reports them as written only after it. What is in the folder never keeps an
-instance from starting: a damaged file is put aside, and the content counts as incomplete, which means
-unknown.
+Reads are from memory as of opening. One thread writes: all queued records go into one transaction with a full
+sync and are reported after it. The folder's content never keeps an instance from starting: a damaged file is
+set aside, and the content counts as incomplete, which means unknown.
 
-After a failed sync nothing is asked of that file again: the kernel may have dropped the pages and report
-success the next time, and a read shows the cache and not the disk. All records are written anew, from memory,
-to a file of the next generation (see `ledger_folder`)."""
+After a failed sync that file is not used again: the kernel may have dropped the pages and report success the
+next time, and a read shows the cache and not the disk. All records are written anew, from memory, to a file
+of the next generation (see `ledger_folder`).
+"""
 
 from __future__ import annotations
 
@@ -29,14 +29,18 @@
 
 # The VFS a ledger opens by when none is given: the fault-injection harness sets one whose disk fails.
 DEFAULT_VFS = ""
-MAX_BACKOFF_FACTOR = 16.0  # the longest pause between recoveries, in retry intervals
+MAX_BACKOFF_FACTOR = 16.0  # between recoveries, in retry intervals
 OnWritten = Callable[[bool], None]  # called with whether the records are durable
 
 
 @dataclass(slots=True, frozen=True)
 class LedgerSettings:
-    """stall_timeout_ms: a write may wait so long before new ones are refused. retry_interval_ms: between
-    attempts on a full or failed disk. max_group_records: in one transaction."""
+    """Limits of a ledger.
+
+    stall_timeout_ms: how long a write may wait before new ones are refused.
+    retry_interval_ms: between attempts on a full or failed disk.
+    max_group_records: in one transaction.
+    """
 
     stall_timeout_ms: float = 1000.0
     retry_interval_ms: float = 500.0
@@ -57,7 +61,7 @@
 
 
 class Ledger:
-    """See the module. Made by `open`; all public methods may be called from any thread."""
+    """A ledger, made by `open`. All public methods may be called from any thread."""
 
     def __init__(self, folder: LedgerFolder, settings: LedgerSettings, clock: Callable[[], float]) -> None:
         self.folder, self.settings, self.clock = folder, settings, clock
@@ -67,8 +71,8 @@
         self._lock = threading.Condition()
         self._queue, self._queued_records = deque[_Write](), 0
         self._state, self._state_reason = DiskState.HEALTHY, ""
-        self._retry_pause_ms = settings.retry_interval_ms
-        self._writing_since: float | None = None  # when the oldest write under way was queued
+        self._retry_interval_ms = settings.retry_interval_ms
+        self._writing_since: float | None = None  # when the oldest write in progress was queued
         self._is_closing = self._closes_cleanly = False
         self._thread = threading.Thread(target=self._run, name=f"ledger-{folder.name}", daemon=True)
 
@@ -81,9 +85,9 @@
         settings: LedgerSettings | None = None,
         clock: Callable[[], float] = _monotonic_ms,
     ) -> Ledger:
-        """Open a folder's ledger, or make one; the boot is counted and durable on return.
+        """Open a folder's ledger, or create one; the boot is counted and durable on return.
 
-        Raises StoreBusyError where another process has the folder, StoreError where the disk fails.
+        Raises StoreBusyError if another process has the folder, StoreError if the disk fails.
         """
         vfs, settings = vfs or DEFAULT_VFS, settings or LedgerSettings()
         folder = LedgerFolder(path, name, vfs, files_of(vfs), settings.file_sizes)
@@ -122,20 +126,20 @@
             on_written(False)
 
     def raise_boot_count(self, minimum: int, on_written: OnWritten | None = None) -> None:
-        """Make the boot count at least `minimum`: others know of a later boot than this folder does."""
+        """Make the boot count at least `minimum`, as others know of a later boot than this folder does."""
         with self._lock:
             self.boot_count = max(self.boot_count, minimum)
         self.put([], on_written)
 
     def mark_complete(self, on_written: OnWritten | None = None) -> None:
-        """Record that what was before can't matter any more, since a whole retention time has passed.
+        """Record that earlier content can't matter any more, since a whole retention time has passed.
 
-        Until then each next opening reports the content as UNKNOWN again, though with the records it has.
+        Until then each opening reports the content as UNKNOWN again, along with the records it has.
         """
         self.put([COMPLETE_MARK], on_written)
 
     def health(self, now_ms: float) -> DiskHealth:
-        """How the disk does. now_ms: on the ledger's own monotonic clock."""
+        """The state of the disk. now_ms: on the ledger's own monotonic clock."""
         with self._lock:
             return self._health(now_ms)
 
@@ -153,9 +157,9 @@
         return DiskHealth(DiskState.HEALTHY, "")
 
     def close(self, clean: bool) -> None:
-        """Write what is queued and end. clean: the next boot is told so, if all of it became durable.
+        """Write what is queued and end. clean: record a clean close for the next boot, if all became durable.
 
-        On a disk that stalls the folder is given back only by the end of the process.
+        On a disk that stalls the folder stays locked until the end of the process.
         """
         with self._lock:
             self._is_closing, self._closes_cleanly = True, clean
@@ -170,8 +174,8 @@
             with self._lock:
                 if not self._queue and not self._is_closing:
                     is_healthy = self._state is DiskState.HEALTHY
-                    self._lock.wait(None if is_healthy else self._retry_pause_ms / 1000.0)
-                group = self._take_group()
+                    self._lock.wait(None if is_healthy else self._retry_interval_ms / 1000.0)
+                group = self._next_group()
                 is_closing, state = self._is_closing, self._state
             if not group and is_closing:
                 self._finish()
@@ -181,7 +185,7 @@
             elif state is not DiskState.HEALTHY:
                 self._recover(state)
 
-    def _take_group(self) -> list[_Write]:
+    def _next_group(self) -> list[_Write]:
         """The oldest writes, as many as fit one transaction and at least one."""
         group: list[_Write] = []
         size = 0
@@ -216,7 +220,7 @@
         return True
 
     def _checkpoint(self, record_file: RecordFile) -> None:
-        # What was committed is durable in the log whatever comes of this.
+        # What was committed is durable in the log, whether this succeeds or not.
         try:
             record_file.checkpoint()
         except (apsw.Error, OSError) as error:
@@ -229,19 +233,18 @@
     def _set_state(self, state: DiskState, reason: str) -> None:
         with self._lock:
             if state is DiskState.FAILED and self._state is DiskState.FAILED:
-                # Writing all anew is more work for a disk that fails already, so it is done less and less
-                # often.
-                longest_ms = self.settings.retry_interval_ms * MAX_BACKOFF_FACTOR
-                self._retry_pause_ms = min(self._retry_pause_ms * 2.0, longest_ms)
+                # Each recovery writes all records anew, which is more work for a disk that fails already.
+                max_interval_ms = self.settings.retry_interval_ms * MAX_BACKOFF_FACTOR
+                self._retry_interval_ms = min(self._retry_interval_ms * 2.0, max_interval_ms)
             else:
-                self._retry_pause_ms = self.settings.retry_interval_ms
+                self._retry_interval_ms = self.settings.retry_interval_ms
             self._state, self._state_reason = state, reason
 
     def _recover(self, state: DiskState) -> None:
         """Try whether a full or failed disk can be written again."""
         try:
             if state is DiskState.FULL and self.folder.record_file is not None:
-                # The checkpoint goes first: a commit that is tried again and again must not fill the log.
+                # The checkpoint comes first, so that repeated commits don't fill the log.
                 self.folder.record_file.checkpoint()
                 self.folder.record_file.commit([], self.boot_count)
             else:
@@ -255,10 +258,11 @@
             self._set_state(DiskState.HEALTHY, "")
 
     def _finish(self) -> None:
-        """Record the clean close, in the writer's thread: a disk that hangs must not keep the caller from
-        ending the process."""
+        """Record the clean close, in the writer's thread: a disk that hangs must not keep the process from
+        ending.
+        """
         if not self._closes_cleanly or self._state is not DiskState.HEALTHY:
             return
-        # Where it fails the next boot takes this one for cut off, which is the safe side.
+        # If it fails, the next boot takes this one for cut off, which is safe.
         with contextlib.suppress(OSError, apsw.Error):
             self.folder.record_clean_close(self.boot_count)
--- a/cottonhold/store/ledger_folder.py
+++ b/cottonhold/store/ledger_folder.py
@@ -1,8 +1,9 @@
 """The folder of one ledger: its lock, its boot file, and record files by generation.
 
-The boot file names the generation of the record file that counts. A new generation is written wherever the
-present file can't be relied on: after an end that wasn't a clean close, and after a write that failed. It
-counts once the boot file, replaced atomically, names it; then files of other generations are removed."""
+The boot file names the generation of the record file that counts. A new generation is written whenever the
+present file can't be relied on: after an end that wasn't a clean close, and after a failed write. It
+counts once the boot file, replaced atomically, names it; then files of other generations are removed.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +36,7 @@
         self._lock_descriptor = -1
 
     def lock(self) -> None:
-        """Take the folder for this process. Raises StoreBusyError where another living one has it."""
+        """Lock the folder for this process. Raises StoreBusyError if another running one has it."""
         self.path.mkdir(parents=True, exist_ok=True)
         self._lock_descriptor = os.open(
             self.path / f"{self.name}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600
@@ -48,26 +49,29 @@
             raise StoreBusyError(text, self.completeness, {}) from error
 
     def open(self) -> None:
-        """Read what is there, or make it anew; the boot is counted and durable on return."""
+        """Read the present files, or create them; the boot is counted and durable on return."""
         content = self.files.read(self._boot_path)
-        boot = BootFile.decode(content)
+        boot_file = BootFile.decode(content)
         newest = max(self._generations(), default=0)
-        self.generation = boot.generation if boot else newest
-        found = self._read_record_file(boot, content is not None)
-        self.boot_count = max(boot.boot_count if boot else 0, found.boot_count if found else 0) + 1
-        if found is not None:
-            self._take_records(found)
-        self.closed_cleanly = found is not None and _was_closed(boot)
-        if found is None or not self.closed_cleanly:
-            rows = found.rows if found is not None else {}
-            if found is not None:
-                found.close()
-                self._make_generation_durable(boot.boot_count if boot is not None else 0)
+        self.generation = boot_file.generation if boot_file else newest
+        record_file = self._read_record_file(boot_file, content is not None)
+        last_boot_count = max(
+            boot_file.boot_count if boot_file else 0, record_file.boot_count if record_file else 0
+        )
+        self.boot_count = last_boot_count + 1
+        if record_file is not None:
+            self._load_records(record_file)
+        self.closed_cleanly = record_file is not None and _was_closed_cleanly(boot_file)
+        if record_file is None or not self.closed_cleanly:
+            rows = record_file.rows if record_file is not None else {}
+            if record_file is not None:
+                record_file.close()
+                self._make_generation_durable(boot_file.boot_count if boot_file is not None else 0)
             self.generation = max(newest, self.generation) + 1
-            found = self._create(self.generation, rows, self.boot_count)
-        self.record_file = found
+            record_file = self._create(self.generation, rows, self.boot_count)
+        self.record_file = record_file
         self._write_boot_file(self.boot_count)
-        found.commit([], self.boot_count)
+        record_file.commit([], self.boot_count)
         self._remove_old_files()
 
     def rewrite(self, boot_count: int) -> None:
@@ -93,13 +97,13 @@
         self._remove_old_files()
 
     def record_clean_close(self, boot_count: int) -> None:
-        """Say in the boot file that all of this boot is durable, once it is."""
+        """Make all of this boot durable, then record that in the boot file."""
         if self.record_file is not None:
             self.record_file.checkpoint()
             self._write_boot_file(boot_count, self.record_file.transaction_count)
 
     def close(self) -> None:
-        """Close the record file and give the folder back."""
+        """Close the record file and unlock the folder."""
         if self.record_file is not None:
             self.record_file.close()
         if self._lock_descriptor >= 0:
@@ -121,34 +125,34 @@
         path = self._record_path(generation)
         return RecordFile.create(path, self.vfs, self.files, self.sizes, rows, boot_count)
 
-    def _read_record_file(self, boot: BootFile | None, has_boot_file: bool) -> RecordFile | None:
+    def _read_record_file(self, boot_file: BootFile | None, has_boot_file: bool) -> RecordFile | None:
         """The record file that counts, if it is intact; else None, with the reason."""
         path = self._record_path(self.generation)
         if self.files.read(path) is None:
             self.reason = "its file is missing" if has_boot_file else "nothing was here"
             return None
         try:
-            found = RecordFile.open(path, self.vfs, self.files, self.sizes)
-            if boot is not None and boot.transactions_at_close > found.transaction_count:
-                found.close()
-                missing = boot.transactions_at_close - found.transaction_count
+            record_file = RecordFile.open(path, self.vfs, self.files, self.sizes)
+            if boot_file is not None and boot_file.transactions_at_close > record_file.transaction_count:
+                record_file.close()
+                missing = boot_file.transactions_at_close - record_file.transaction_count
                 raise RecordFileError(f"{missing} transactions are missing")
         except RecordFileError as error:
             self.reason = str(error)
-            self._put_aside(path)
+            self._set_aside_damaged(path)
             return None
-        return found
+        return record_file
 
-    def _put_aside(self, path: Path) -> None:
-        """Rename a damaged file and its log, so that they are there for whoever looks into it."""
+    def _set_aside_damaged(self, path: Path) -> None:
+        """Rename a damaged file and its log, so that they can be inspected."""
         self.damaged_files += 1
         for damaged in (path, log_path(path)):
             if self.files.read(damaged) is not None:
                 self.files.rename(damaged, damaged.with_name(damaged.name + DAMAGED_SUFFIX))
 
-    def _take_records(self, found: RecordFile) -> None:
+    def _load_records(self, record_file: RecordFile) -> None:
         """The rows of kinds that this version knows; rows of other kinds stay in the file only."""
-        for (kind, key), value in found.rows.items():
+        for (kind, key), value in record_file.rows.items():
             if kind in RecordKind.__members__.values():
                 self.records.setdefault(RecordKind(kind), {})[key] = value
         if self.records.get(RecordKind.INCARNATION, {}).pop(COMPLETE_MARK.key, None) is not None:
@@ -165,9 +169,9 @@
     def _make_generation_durable(self, boot_count: int) -> None:
         """Make it durable that the present generation counts, and remove the files of all others.
 
-        Where a replacement of the boot file has failed there are several record files, and any of them may be
-        the one that counts on the disk. Without this each further attempt would leave one more file, until
-        the disk is full. The boot file is made durable first: else the one file that counts could be removed.
+        After a failed replacement of the boot file there are several record files, and any of them may be the
+        one that counts on the disk. Without this each further attempt would leave one more file, until the
+        disk is full. The boot file is made durable first, as the file that counts could be removed otherwise.
         """
         if self._generations() not in ([], [self.generation]):
             self._write_boot_file(boot_count)
@@ -187,9 +191,10 @@
                     self.files.remove(old.with_name(old.name + DAMAGED_SUFFIX))
 
 
-def _was_closed(boot: BootFile | None) -> bool:
+def _was_closed_cleanly(boot_file: BootFile | None) -> bool:
     """Whether the last boot was closed with all of it durable.
 
-    After any other end what is read may be in the kernel's cache only, and stay there for good if a sync of
-    the last boot had failed; what is put behind it in the log would be lost with it."""
-    return boot is not None and boot.transactions_at_close > NOT_CLOSED
+    After any other end, what is read may be in the kernel's cache only, and never reach the disk if a sync of
+    the last boot had failed; what is appended to the log after it would be lost with it.
+    """
+    return boot_file is not None and boot_file.transactions_at_close > NOT_CLOSED
--- a/cottonhold/store/record_file.py
+++ b/cottonhold/store/record_file.py
@@ -1,9 +1,11 @@
 """One SQLite file with all records, and the proof that it is intact.
 
-SQLite takes the first frame of its log that doesn't fit for the log's end, and a cell that was cut off reads
+SQLite takes the first frame of its log that doesn't match for the log's end, and a cell that was cut off
+reads
 as zeros: either would lose a load's record silently. So each row has a checksum, one row holds the sum of all
 checksums and the number of transactions, and the log is filled up to a fixed size before anything is written,
-so that a log cut short is recognized by its size."""
+so that a log cut short is recognized by its size.
+"""
 
 from __future__ import annotations
 
@@ -49,8 +51,11 @@
 
 @dataclass(slots=True, frozen=True)
 class FileSizes:
-    """page_bytes: SQLite's page. log_bytes: the least size of the log, within which `checkpoint_pages` pages
-    and one group of records must fit."""
+    """Sizes of a record file.
+
+    page_bytes: SQLite's page.
+    log_bytes: the least size of the log, in which `checkpoint_pages` pages and one group of records must fit.
+    """
 
     page_bytes: int = 4096
     log_bytes: int = 4 << 20
@@ -73,7 +78,7 @@
 
 
 def _raise_if_unreadable(check_result: str) -> None:
-    """Raise OSError where the check's result is of a page that the disk didn't let it read."""
+    """Raise OSError if the check failed because the disk couldn't read a page."""
     code = UNREADABLE_PAGE.search(check_result)
     if code is not None and int(code[1]) & PRIMARY_CODE_MASK in (apsw.SQLITE_IOERR, apsw.SQLITE_NOMEM):
         raise OSError(errno.EIO, check_result)
@@ -92,16 +97,16 @@
         self.transaction_count = 0
         self.checksum_total = 0
         self.log_pages = 0
-        self.db = apsw.Connection(str(path), vfs=vfs or None)
+        self.connection = apsw.Connection(str(path), vfs=vfs or None)
         try:
             self._configure()
         except BaseException:
-            self.db.close(True)
+            self.connection.close(True)
             raise
 
     def _configure(self) -> None:
-        self.db.config(apsw.SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, 1)
-        # Exclusive: no shared memory beside the log, which a VFS in Python couldn't give.
+        self.connection.config(apsw.SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, 1)
+        # Exclusive: without the log's shared memory, which a VFS in Python can't provide.
         self._pragma("locking_mode = EXCLUSIVE")
         self._pragma(f"page_size = {self.sizes.page_bytes}")
         if self._pragma("journal_mode = WAL") != "wal":
@@ -110,8 +115,8 @@
         self._pragma("wal_autocheckpoint = 0")
         # The log stays at its size when the file is closed.
         persistent = ctypes.c_int(1)
-        self.db.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(persistent))
-        self.db.set_wal_hook(self._on_log_written)
+        self.connection.file_control("main", apsw.SQLITE_FCNTL_PERSIST_WAL, ctypes.addressof(persistent))
+        self.connection.set_wal_hook(self._on_log_written)
 
     @classmethod
     def create(
@@ -137,11 +142,11 @@
     def _write_new(cls, path: Path, vfs: str, sizes: FileSizes, rows: Rows, boot_count: int) -> None:
         new = cls(path, vfs, sizes)
         try:
-            new.db.execute("BEGIN IMMEDIATE")
-            new.db.execute(SCHEMA)
-            new.db.execute("INSERT INTO proof VALUES (1, 0, 0, 0, X'', ?)", (sizes.log_bytes,))
+            new.connection.execute("BEGIN IMMEDIATE")
+            new.connection.execute(SCHEMA)
+            new.connection.execute("INSERT INTO proof VALUES (1, 0, 0, 0, X'', ?)", (sizes.log_bytes,))
             new._write(list(rows.items()), boot_count)
-            new.db.execute("COMMIT")
+            new.connection.execute("COMMIT")
             new.checkpoint()
         finally:
             new.close()
@@ -176,23 +181,27 @@
         return opened
 
     def _verify(self, log_bytes: int) -> None:
-        """Read all rows and hold them against the proof. Raises RecordFileError where they don't fit."""
-        result = self.db.execute("PRAGMA quick_check(1)").get
+        """Read all rows and compare them with the proof. Raises RecordFileError if they don't match."""
+        result = self.connection.execute("PRAGMA quick_check(1)").get
         if result != "ok":
             _raise_if_unreadable(str(result))
             raise RecordFileError(f"damaged: {result}")
-        proof = self.db.execute("SELECT boot, turn, rows, total, reserve FROM proof WHERE one = 1").fetchone()
+        proof = self.connection.execute(
+            "SELECT boot, turn, rows, total, reserve FROM proof WHERE one = 1"
+        ).fetchone()
         if proof is None:
             raise RecordFileError("no proof in it")
-        self.boot_count, self.transaction_count, row_count, checksum_total, least_log_bytes = proof
-        if log_bytes < least_log_bytes:
-            raise RecordFileError(f"its log was cut to {log_bytes} of {least_log_bytes} bytes")
+        self.boot_count, self.transaction_count, row_count, checksum_total, min_log_bytes = proof
+        if log_bytes < min_log_bytes:
+            raise RecordFileError(f"its log was cut to {log_bytes} of {min_log_bytes} bytes")
         self._read_rows()
         if len(self.rows) != row_count or self.checksum_total.to_bytes(8, "little") != checksum_total:
             raise RecordFileError("rows are missing")
 
     def _read_rows(self) -> None:
-        for kind, key, value, checksum in self.db.execute("SELECT kind, key, value, mark FROM record"):
+        for kind, key, value, checksum in self.connection.execute(
+            "SELECT kind, key, value, mark FROM record"
+        ):
             if row_checksum(kind, key, value) != checksum:
                 raise RecordFileError("a row doesn't fit its checksum")
             self.rows[kind, key] = value
@@ -204,56 +213,56 @@
         batch = [((int(record.kind), record.key), record.value) for record in records]
         previous = {row_key: self.rows.get(row_key) for row_key, _ in batch}
         try:
-            self.db.execute("BEGIN IMMEDIATE")
+            self.connection.execute("BEGIN IMMEDIATE")
             self._write(batch, boot_count)
-            self.db.execute("COMMIT")
+            self.connection.execute("COMMIT")
         except BaseException:
             self.checksum_total, self.transaction_count = checksum_total, transaction_count
             for row_key, value in previous.items():
-                self._set(row_key, value)
-            if self.db.in_transaction:
-                self.db.execute("ROLLBACK")
+                self._set_row(row_key, value)
+            if self.connection.in_transaction:
+                self.connection.execute("ROLLBACK")
             raise
 
     def checkpoint(self) -> None:
         """Move the log into the file, so that the log starts again at its beginning."""
-        self.db.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
+        self.connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
         self.log_pages = 0
 
     @property
     def is_checkpoint_due(self) -> bool:
-        """A checkpoint is due before the log outgrows the size it was filled up to."""
+        """Whether a checkpoint is due, before the log outgrows the size it was filled up to."""
         return self.log_pages >= self.sizes.checkpoint_pages
 
     def close(self) -> None:
         """Close the file; nothing more is written."""
-        self.db.close(True)
+        self.connection.close(True)
 
     def _write(self, batch: Sequence[tuple[RowKey, bytes | None]], boot_count: int) -> None:
-        """Write rows and the proof that fits them, within the open transaction."""
+        """Write rows and the proof of them, within the open transaction."""
         for row_key, value in batch:
             old = self.rows.get(row_key)
             if old is not None:
                 self.checksum_total -= row_checksum(*row_key, old)
             if value is None:
-                self.db.execute("DELETE FROM record WHERE kind = ? AND key = ?", row_key)
+                self.connection.execute("DELETE FROM record WHERE kind = ? AND key = ?", row_key)
             else:
                 checksum = row_checksum(*row_key, value)
                 self.checksum_total += checksum
-                self.db.execute(
+                self.connection.execute(
                     "INSERT OR REPLACE INTO record VALUES (?, ?, ?, ?)", (*row_key, value, checksum)
                 )
-            self._set(row_key, value)
+            self._set_row(row_key, value)
         self.checksum_total &= MASK_64_BITS
         self.transaction_count += 1
         self.boot_count = max(self.boot_count, boot_count)
         total = self.checksum_total.to_bytes(8, "little")
-        self.db.execute(
+        self.connection.execute(
             "UPDATE proof SET boot = ?, turn = ?, rows = ?, total = ? WHERE one = 1",
             (self.boot_count, self.transaction_count, len(self.rows), total),
         )
 
-    def _set(self, row_key: RowKey, value: bytes | None) -> None:
+    def _set_row(self, row_key: RowKey, value: bytes | None) -> None:
         if value is None:
             self.rows.pop(row_key, None)
         else:
@@ -264,4 +273,4 @@
         return 0
 
     def _pragma(self, setting: str) -> object:
-        return self.db.execute(f"PRAGMA {setting}").get
+        return self.connection.execute(f"PRAGMA {setting}").get
--- a/cottonhold/store/records.py
+++ b/cottonhold/store/records.py
@@ -1,12 +1,12 @@
-"""What lasts over a restart, how far each kind of it is trusted when read again, and when it is evicted.
-Pure.
+"""The records that survive a restart: formats, how far each kind is trusted when read again, eviction. Pure.
 
-A record is a kind, a key and a value. The forms of values carry a version byte: a record of a later program,
-met after a step back to an older one, and a garbled one raise RecordError and are never guessed at. For a
-load that means: it may have run.
+A record is a kind, a key and a value. Values carry a version byte: a record of a later program, met after a
+downgrade, and a garbled one raise RecordError and are never guessed at. For a load that means: it may have
+run.
 
 No record holds a wall time. Times are this boot's monotonic ms; those of an earlier boot can't be compared
-with anything and are used for nothing but showing."""
+with anything and are only displayed.
+"""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
     "lease": "its clock stopped; a voter is silent for a whole lease after its start instead",
 }
 
-# At most so many records of a kind. A load's record is some 300 bytes: 20,000 are 6 MB of file and of memory.
+# A load's record is some 300 bytes: 20,000 are 6 MB of file and of memory.
 MAX_RECORDS: dict[RecordKind, int] = {
     RecordKind.INCARNATION: 4,
     RecordKind.LOAD: 20_000,
@@ -113,7 +113,8 @@
 
 class LoadState(IntEnum):
     """SENT: its end isn't known, it may have run. COMPLETED, FAILED: as the engine answered. NEVER_SENT: no
-    byte went out."""
+    byte was sent.
+    """
 
     SENT = 0
     COMPLETED = 1
@@ -131,7 +132,8 @@
 @dataclass(slots=True, frozen=True)
 class LoadRecord:
     """A load: its identity, the client's request id, ordering key, digest of the statement, the engine and
-    the boot it was sent in. Times are on that boot's monotonic clock and mean nothing in another."""
+    the boot it was sent in. Times are on that boot's monotonic clock and mean nothing in another.
+    """
 
     identity: bytes
     request_id: str
@@ -145,7 +147,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Its end isn't known."""
+        """Whether its end isn't known."""
         return self.state is LoadState.SENT
 
     def encode(self) -> bytes:
@@ -215,8 +217,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Hint:
-    """Something that was so when it was written. age_ms: its age by then. How long the power was away since
-    isn't known, so a hint's true age is always more."""
+    """Something that was true when it was written. age_ms: its age by then; how long the power was off since
+    isn't known, so its true age is higher.
+    """
 
     value: bytes
     age_ms: float
@@ -265,7 +268,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DecodedLoads:
-    """Loads as read. unreadable: identities of loads of which no more can be said; they may have run."""
+    """Loads as read. unreadable: identities of loads whose records can't be decoded; they may have run."""
 
     by_identity: dict[bytes, LoadRecord]
     unreadable: frozenset[bytes]
@@ -285,8 +288,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Eviction:
-    """These keys may go. early_count: so many of them go only to make room, within their retention, so that a
-    retry of theirs would run again. is_full: there is still no room, since only open ones are left."""
+    """The keys to evict. early_count: how many of them are within their retention and go only to make room,
+    so that a retry of theirs would run again. is_full: there is still no room, since only open ones remain.
+    """
 
     keys: tuple[bytes, ...]
     early_count: int = 0
@@ -303,7 +307,7 @@
     max_records: int = MAX_RECORDS[RecordKind.LOAD],
     free_slots: int = 1,
 ) -> Eviction:
-    """Which loads may be forgotten so that `free_slots` more fit under `max_records`.
+    """Which loads to evict so that `free_slots` more fit under `max_records`.
 
     retention_ms: how long a client may still retry after a load's end. A load of this boot goes one retention
     after its end. Those of earlier boots go one retention after this boot's start: by then their clients have
@@ -331,7 +335,7 @@
 def evict_records(
     kind: RecordKind, ages_ms: Mapping[bytes, float], *, free_slots: int = 1, max_records: int = 0
 ) -> Eviction:
-    """Which of a kind's records may go so that `free_slots` more fit.
+    """Which of a kind's records to evict so that `free_slots` more fit.
 
     Hints go by age, the oldest first. Authoritative records are removed by their owners only: `is_full` when
     they leave no room.
--- a/tests/membership/test_duties.py
+++ b/tests/membership/test_duties.py
@@ -62,11 +62,11 @@
             moved = made.add_member(number, weight)
         elif kind == "drop":
             members.pop(number, None)
-            moved = made.drop_member(number)
+            moved = made.remove_member(number)
         elif kind == "subject":
             made.add_subject(f"s{number}")
         else:
-            made.drop_subject(f"s{number}")
+            made.remove_subject(f"s{number}")
         after = {s: made.holder(s) for s in made.holders}
         assert after == (plain(members, after) if members else dict.fromkeys(after))
         if moved is not None:
@@ -77,19 +77,19 @@
 def test_a_member_that_comes_or_goes_moves_only_its_own_share() -> None:
     made = shared(dict.fromkeys(range(1, 11), 1.0))
     went = made.subjects_of(3)
-    assert made.drop_member(3) == went and 5 <= len(went) <= 40
+    assert made.remove_member(3) == went and 5 <= len(went) <= 40
     assert made.add_member(3) == went
 
 
 def test_the_cost_is_that_of_the_change() -> None:
     made = shared(dict.fromkeys(range(1, 51), 1.0))
-    made.scores_computed = 0
+    made.score_count = 0
     held = len(made.subjects_of(7))
-    made.drop_member(7)
-    assert made.scores_computed == held * 49  # all pairs would be 200 x 49
-    made.scores_computed = 0
+    made.remove_member(7)
+    assert made.score_count == held * 49  # all pairs would be 200 x 49
+    made.score_count = 0
     made.add_member(7)
-    assert made.scores_computed == 200
+    assert made.score_count == 200
 
 
 def test_weights_are_kept_in_the_long_run() -> None:
@@ -292,7 +292,7 @@
     members = {1: 1.0, 2: 1.0, 3: 1.0}
     d.on_members(0.0, members)
     d.on_subjects(0.0, "probe", [f"e{i}" for i in range(30)])
-    others = {f"e{i}" for i in range(30)} - {subject for _, subject in d.held_subjects()}
+    others = {f"e{i}" for i in range(30)} - {subject for _, subject in d.active_subjects()}
     for subject in others:
         d.on_done_elsewhere(100.0, "probe", subject, 50.0)
     assert runs(d.on_members(200.0, {1: 1.0})) == []
@@ -337,7 +337,7 @@
     stopped = [a for t in range(int(began), int(began) + 1500, 10) for a in d.step(float(t))]
     assert [a for a in stopped if isinstance(a, StopDuty)] == [
         StopDuty("watch", "dc1", 1)
-    ] and d.held_subjects() == []
+    ] and d.active_subjects() == []
 
 
 def test_a_duty_that_makes_no_sense_is_named() -> None:
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -186,7 +186,7 @@
     # Without a checkpoint, which would happen to write what was lost once more.
     settings = replace(SMALL, file_sizes=replace(SMALL.file_sizes, checkpoint_pages=1000))
     start_again_after_a_failed_sync(Play(tmp_path / "right", settings))
-    monkeypatch.setattr(ledger_folder, "_was_closed", lambda boot: boot is not None)
+    monkeypatch.setattr(ledger_folder, "_was_closed_cleanly", lambda boot_file: boot_file is not None)
     with pytest.raises(AssertionError, match=LOST):
         start_again_after_a_failed_sync(Play(tmp_path / "planted", settings))
 
