--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -1,6 +1,6 @@
 """The one list of engines, merged from the claims of all sources. Pure.
 
-`EngineCatalog.step` is fed the clock and what sources reported and returns what to publish, confirm and log.
+`EngineCatalog.step` takes the time and the sources' events, and returns what to publish, confirm and log.
 Where sources disagree:
 
 1. *The most cautious claim wins.* An engine that any source lists as draining or unhealthy gets nothing new.
@@ -38,8 +38,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CatalogRow:
-    """A row for operators: the state of one engine, why, since when, by which source's claim and how old that
-    is."""
+    """A row for operators: the state of one engine, the reason, since when, and the deciding claim with
+    its age.
+    """
 
     id: str
     state: str
@@ -59,9 +60,7 @@
     engine: Engine
     address: Address | None
     ended_at: float = -math.inf
-    address_rivals: set[str] = field(
-        default_factory=set
-    )  # ids that claim this one's address and did not get it
+    address_rivals: set[str] = field(default_factory=set)  # ids that claim its address in vain
 
 
 class EngineCatalog:
@@ -74,16 +73,14 @@
         self.views = {name: self._view(name, i, guard) for i, (name, guard) in enumerate(sources)}
         self.published: dict[str, PublishedEngine] = {}
         self.owner_by_address: dict[Address, str] = {}
-        self.unresolved: set[str] = (
-            set()
-        )  # evaluated in each step: an end that other sources have not answered yet
+        # Engines with a reported end that other sources have not answered yet; evaluated in each step.
+        self.unresolved: set[str] = set()
 
     def _view(self, name: str, precedence: int, guard: SourceGuard) -> SourceView:
         return SourceView(name, precedence, guard, self.seed, self.unix_offset)
 
     def step(self, now: float, events: Iterable[Event] = ()) -> list[Action]:
-        """Take in what sources reported by now; returns what is to be done. Raises KeyError for an unknown
-        source."""
+        """Apply the sources' events; returns what is to be done. Raises KeyError for an unknown source."""
         actions: list[Action] = []
         events = list(events)
         # All start stamps are learned before any is converted: a list may come in many reports, and its
@@ -109,7 +106,7 @@
         return actions + log_events
 
     def set_initial(self, now: float, observations: Sequence[Observation]) -> list[Action]:
-        """The list to begin with where no source has answered yet, as if every source had reported it."""
+        """Begin with a list before any source has answered, as if every source had reported it."""
         for view in self.views.values():
             view.on_report(now, SourceReport(view.name, 0, tuple(observations), is_complete=True))
             view.answer_count = 0  # the first real answer still lists engines that were there before
@@ -117,7 +114,7 @@
         return self.step(now)
 
     def on_complete_answer(self, now: float, source: str) -> None:
-        """A complete answer of a trusted source was taken in; it may have brought nothing new."""
+        """A complete answer of a trusted source was applied; it may have brought nothing new."""
         if source in self.views:
             self.views[source].start_times.on_complete_answer(now)
 
@@ -126,8 +123,7 @@
         return min((view.next_at() for view in self.views.values()), default=math.inf)
 
     def reload(self, now: float, sources: Sequence[tuple[str, SourceGuard]]) -> list[Action]:
-        """Change sources or guards. The claims of a source that stays are kept; those of one that was removed
-        end."""
+        """Change sources or guards. A source that stays retains its claims; those of a removed one end."""
         old = self.views
         self.views = {}
         for precedence, (name, guard) in enumerate(sources):
@@ -149,7 +145,7 @@
         self.unresolved.clear()
         changed: dict[str, Engine] = {}
         log_events: list[Action] = []
-        # What leaves an address is evaluated before what comes there, whatever the order of names.
+        # An engine that leaves an address is evaluated before one that arrives there, whatever their names.
         queue = sorted(changed_by, key=lambda engine_id: (bool(self._claims(engine_id)), engine_id))
         while queue:
             engine_id = queue.pop(0)
@@ -174,50 +170,39 @@
         log_events: list[Action],
         queue: list[str],
     ) -> None:
-        """The state of one engine now; appends to `queue` the engines that this concerns as well."""
+        """Determine one engine's state; appends to `queue` the engines that this concerns as well."""
         claims, entry = self._claims(engine_id), self.published.get(engine_id)
         if not claims:
             if entry is not None:
                 self._release_address(engine_id, entry, queue)
                 changed[engine_id] = entry.engine = Engine(engine_id, state=EngineState.REMOVED)
             return
-        view, first = claims[0]
-        address = first.observation.address
         if entry is None:
-            entry = self.published[engine_id] = PublishedEngine(
-                Engine(engine_id, state=EngineState.REMOVED), None
-            )
-        if any(engine_id not in v.claims for v in changed_views):
+            entry = PublishedEngine(Engine(engine_id, state=EngineState.REMOVED), None)
+            self.published[engine_id] = entry
+        if any(engine_id not in view.claims for view in changed_views):
             entry.ended_at = now
         state = self._state(claims, entry)
+        address = claims[0][1].observation.address
         if address != entry.address:
             self._release_address(engine_id, entry, queue)
-        is_denied = (
-            address is not None
-            and self._addresses_are_exclusive()
-            and not self._claim_address(engine_id, claims, address, queue)
-        )
-        if address is not None and is_denied and state is EngineState.LIVE:
+        if not self._may_use_address(engine_id, claims, address, queue) and state is EngineState.LIVE:
+            assert address is not None
             owner = self.owner_by_address[address]
             log_events.append(LogEvent("address_taken", {"engine": engine_id, "by": owner}))
             state = EngineState.DRAINING
-        engine = Engine(
-            engine_id,
-            zone=first.observation.zone,
-            machine_type=first.observation.machine_type,
-            cell=first.observation.cell,
-            state=state,
-            size=first.observation.size,
-            started_at=max(claim.started_at for _, claim in claims),
-        )
+        engine = _merge(engine_id, claims, state)
         if engine != entry.engine or address != entry.address:
             entry.engine, entry.address = engine, address
             changed[engine_id] = engine
 
     def _claims(self, engine_id: str) -> list[SourceClaim]:
         """The claims on an engine, by precedence."""
-        found = [(view, view.claims[engine_id]) for view in self.views.values() if engine_id in view.claims]
-        return [named for named in found if named[1].state is not EngineState.REMOVED]
+        return [
+            (view, claim)
+            for view in self.views.values()
+            if (claim := view.claims.get(engine_id)) is not None and claim.state is not EngineState.REMOVED
+        ]
 
     def _state(self, claims: list[SourceClaim], entry: PublishedEngine) -> EngineState:
         if any(claim.state is not EngineState.LIVE for _, claim in claims):
@@ -232,10 +217,18 @@
         """Whether addresses are compared; a single trusted source has compared its own."""
         return len(self.views) > 1 or not all(view.guard.is_trusted for view in self.views.values())
 
+    def _may_use_address(
+        self, engine_id: str, claims: list[SourceClaim], address: Address | None, queue: list[str]
+    ) -> bool:
+        """Whether no other engine keeps the address; claims it for this one."""
+        if address is None or not self._addresses_are_exclusive():
+            return True
+        return self._claim_address(engine_id, claims, address, queue)
+
     def _claim_address(
         self, engine_id: str, claims: list[SourceClaim], address: Address, queue: list[str]
     ) -> bool:
-        """Whether the address is this engine's; if it takes it from another, that one is evaluated anew."""
+        """Whether the address is this engine's now; one that loses it is evaluated anew."""
         owner = self.owner_by_address.get(address)
         if owner is None or owner == engine_id:
             self.owner_by_address[address] = engine_id
@@ -247,10 +240,10 @@
                 holder.address_rivals.add(engine_id)
             return False
         self.owner_by_address[address] = engine_id
-        own = self.published[engine_id]
-        own.address_rivals.add(owner)
+        entry = self.published[engine_id]
+        entry.address_rivals.add(owner)
         if holder is not None:
-            own.address_rivals |= holder.address_rivals - {engine_id}
+            entry.address_rivals |= holder.address_rivals - {engine_id}
             holder.address_rivals.clear()
         if owner not in queue:
             queue.append(owner)
@@ -291,3 +284,17 @@
                 )
             )
         return rows
+
+
+def _merge(engine_id: str, claims: list[SourceClaim], state: EngineState) -> Engine:
+    """The engine as the first claim describes it, with the latest start of all."""
+    observation = claims[0][1].observation
+    return Engine(
+        engine_id,
+        zone=observation.zone,
+        machine_type=observation.machine_type,
+        cell=observation.cell,
+        state=state,
+        size=observation.size,
+        started_at=max(claim.started_at for _, claim in claims),
+    )
