--- a/benchmarks/membership/run.py
+++ b/benchmarks/membership/run.py
@@ -158,7 +158,7 @@
         shares.add_subject(name)
     started_at = time.perf_counter()
     for member in (1, 2, 3):
-        shares.drop_member(member)
+        shares.remove_member(member)
         shares.add_member(member)
     incremental_ms = (time.perf_counter() - started_at) / 6 * 1000
     started_at = time.perf_counter()
