--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -45,23 +45,25 @@
     file, config = installation.file, installation.config
     section = file.membership
     assert section is not None and config.peer_listen is not None
-    settings = SwimSettings(probe_interval_ms=section.period_ms, ping_timeout_ms=section.timeout_ms)
+    settings = SwimSettings(
+        probe_interval_ms=section.ping_interval_ms, ping_timeout_ms=section.ping_timeout_ms
+    )
     # The wall clock may have gone back since the last start: the others then report the higher incarnation,
     # which is passed; terms, and what distinguishes this start's datagrams from the last one's, are drawn.
     session = secrets.randbits(32)
     swim = Swim(
         file.name,
-        installation.announce or config.peer_listen,
+        installation.announced_address or config.peer_listen,
         settings,
         config.seed ^ session,
         max(incarnation, 1),
-        installation.keys,
+        installation.key_ring,
         config.peers,
     )
     voters = [member_id(name) for name in section.voters] or [swim.id]
     duties = DutyScheduler(
         swim.id,
-        [Duty(PROBE, section.probe_ms), Duty(REPORT, section.report_ms)],
+        [Duty(PROBE, section.health_check_interval_ms), Duty(REPORT, section.report_interval_ms)],
         voters,
         LeaseSettings(),
         now,
@@ -185,7 +187,12 @@
                     self.send(data, address)
                 case MemberChanged(_, name, status, incarnation):
                     self.counters.add(f"members_{status.name.lower()}")
-                    self.log_event("member", name=name, status=status.name.lower(), incarnation=incarnation)
+                    self.log_event(
+                        "member_status_changed",
+                        member=name,
+                        status=status.name.lower(),
+                        incarnation=incarnation,
+                    )
                     if status is MemberStatus.ALIVE:
                         self.clock.call_soon(self.on_joined)
                 case RunDuty():
@@ -207,7 +214,10 @@
                 m.name for m in self.instance.swim.members_by_name() if m.id in self.instance.reported_members
             ]
             self.log_event(
-                "fleet", members=len(there) + 1, duties=len(self.instance.duties.tasks), runs=str(self.runs)
+                "fleet_reported",
+                members=len(there) + 1,
+                duties=len(self.instance.duties.tasks),
+                duty_runs=str(self.runs),
             )
             self._carry_out(self.instance.on_run_ended(now, run, 0))
         elif self.probe(run.subject):
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -82,7 +82,10 @@
 def guarded_classes(installation: Installation) -> dict[int, bool]:
     """The classes whose requests are recorded, and whether a success of one may be reported."""
     classes = installation.file.classes
-    return {i: classes[i].again == "served" for i in guarded_class_indices(installation.config.settings)}
+    return {
+        i: classes[i].completed_retry_answer == "served"
+        for i in guarded_class_indices(installation.config.settings)
+    }
 
 
 def hold_ms_of(installation: Installation) -> float:
@@ -97,7 +100,7 @@
     """The guard while the folder is not available. found: its loads, as far as they could be read."""
     file, settings = installation.file, LoadHistorySettings(hold_ms_of(installation))
     recorded, _ = recorded_loads(found)
-    history = LoadHistory(file.number, file.dispatchers, 0, clock.now(), recorded, settings, 0)
+    history = LoadHistory(file.dispatcher_index, file.dispatcher_count, 0, clock.now(), recorded, settings, 0)
     max_retry_after_ms = installation.config.settings.features.max_retry_after_ms
     retry_after_ms = min(max_retry_after_ms, settings.retry_after_ms)
     return UnavailableLoadGuard(guarded_classes(installation), retry_after_ms, history, clock.now, counters)
@@ -135,8 +138,8 @@
         """The survey, the history and the guard, from what the folder showed."""
         file, ledger, now = installation.file, self.ledger, self.clock.now()
         self.survey = MembershipSurvey(
-            file.number,
-            file.dispatchers,
+            file.dispatcher_index,
+            file.dispatcher_count,
             dict(enumerate(file.peers.zones)) if file.peers is not None else {},
             ledger.boot_count,
             secrets.randbits(32),
@@ -150,8 +153,8 @@
         )
         recorded, records = recorded_loads(ledger.records(RecordKind.LOAD))
         self.history = LoadHistory(
-            file.number,
-            file.dispatchers,
+            file.dispatcher_index,
+            file.dispatcher_count,
             ledger.boot_count,
             now,
             recorded,
@@ -174,7 +177,7 @@
             self.log,
         )
         memory, boot = MEMORY_NAMES[folder.memory], ledger.boot_count
-        self.log("recovered", boot=boot, memory=memory, why=ledger.reason, loads=len(recorded))
+        self.log("ledger_opened", boot=boot, memory=memory, reason=ledger.reason, loads=len(recorded))
 
     def start(self) -> None:
         """Begin; from now on it steps by its own timer."""
@@ -299,7 +302,7 @@
                     self._raise_boot(min_boot)
                 case DuplicateIdentity(is_later):
                     self.counters.add("twice")
-                    self.log("twice", later=is_later)
+                    self.log("duplicate_instance", is_later=is_later)
                 case PeerBootLearned(number, boot, base):
                     self.ledger.put([peer_record(number, KnownPeer(boot, base))])
                 case StoreBase(base):
@@ -308,7 +311,7 @@
     def _raise_boot(self, min_boot: int) -> None:
         """The folder forgot boots: reports go on above those of the forgotten incarnations."""
         self.counters.add("boots_raised")
-        self.log("boot", least=min_boot, memory=MEMORY_NAMES[self.survey.memory])
+        self.log("boot_count_raised", min_boot=min_boot, memory=MEMORY_NAMES[self.survey.memory])
         self.ledger.raise_boot_count(min_boot)
         self.survey.on_boot_stored(self.clock.now(), self.ledger.boot_count)
         if self.fleet is not None:
@@ -341,10 +344,10 @@
     def _on_view_changed(self, view: SurveyView) -> None:
         self.counters.add(f"census_{view.verdict.value}")
         self.log(
-            "census",
+            "membership_surveyed",
             verdict=view.verdict.value,
-            settled=view.is_settled,
-            lost=",".join(map(str, sorted(view.restarted))) or "none",
+            is_settled=view.is_settled,
+            restarted=",".join(map(str, sorted(view.restarted))) or "none",
             missing=",".join(map(str, sorted(view.missing))) or "none",
         )
         if self.fleet is not None:
--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -32,7 +32,7 @@
     if query is None or not query.is_in_flight:
         return
     query.is_in_flight = query.is_canary = False
-    gateway.release_is_due = True
+    gateway.is_release_pending = True
     if engine is not None:
         _leave_engine(gateway, query, engine)
     if event.outcome is Outcome.TIMEOUT and not gateway.settings.features.can_cancel:
@@ -49,7 +49,7 @@
     """Free what the attempt took of its engine's capacity."""
     gateway.in_flight.remove_attempt(query, engine, MIN_REMAINING_SHARE)
     query.tried_engine_ids.add(engine.id)
-    release.rest_after_wide_query(gateway, query)
+    release.pause_after_wide_query(gateway, query)
     if query.query_class.is_load and not engine.loads_in_flight.get(query.table_group):
         engine.locked_until.pop(query.table_group, None)
 
@@ -84,7 +84,7 @@
     engine = gateway.engines.get(event.engine)
     if query is None or engine is None or query.id not in engine.in_flight:
         return
-    engine_health.on_sign_of_life(gateway, engine, query.sent_at)
+    engine_health.on_alive(gateway, engine, query.sent_at)
     if event.kind is ProgressKind.PROGRESS:
         rate_estimation.record_progress(gateway, query, engine, event.value)
     elif event.kind is ProgressKind.SPILL:
--- a/cottonhold/scheduler/queues.py
+++ b/cottonhold/scheduler/queues.py
@@ -46,12 +46,12 @@
             heapq.heappop(self.heap)
         return self.heap[0].deadline_at if self.heap else math.inf
 
-    def pop_due(self, now: float) -> list[Query]:
+    def pop_expired(self, now: float) -> list[Query]:
         """Remove and return the queries whose deadline has come."""
-        due = []
+        expired = []
         while self.earliest() <= now:
-            due.append(heapq.heappop(self.heap).query)
-        return due
+            expired.append(heapq.heappop(self.heap).query)
+        return expired
 
 
 @dataclass(slots=True)
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -23,12 +23,12 @@
 import trustme
 import uvloop
 
-from cottonhold.config.installation import read
+from cottonhold.config.installation import read_installation
 from cottonhold.emulator.consul.script import parse
 from cottonhold.emulator.consul.server import Server
 from cottonhold.emulator.engine import StandInEngine
 from cottonhold.node.consul_client import LagMeter
-from cottonhold.node.standalone_dispatcher import StandaloneDispatcher
+from cottonhold.node.standalone.dispatcher import StandaloneDispatcher
 from cottonhold.observe.structured import StructuredLog
 from cottonhold.scheduler.events import EngineState
 from tests.support.scenario import LOGIN, packet
@@ -93,9 +93,11 @@
 
     async def start(self, *sources: dict[str, Any], **more: Any) -> None:
         self.write(list(sources), **more)
-        installation = read(self.path)
+        installation = read_installation(self.path)
         settings = installation.file.log
-        log = StructuredLog("logfmt", settings.per_second, settings.burst, installation.secrets, self.log)
+        log = StructuredLog(
+            "logfmt", settings.lines_per_second, settings.burst_lines, installation.secrets, self.log
+        )
         self.node = StandaloneDispatcher(self.path, installation, log, asyncio.get_running_loop())
         driver = self.node.event_loop
         self.listener = driver.listener.listen(self.node.config.listen.__class__("127.0.0.1", 0))
@@ -230,7 +232,9 @@
                 server.catalog.checks,
             )
             s.servers[1].catalog.indexes = server.catalog.indexes
-            await s.servers[1].start("127.0.0.1", s.node.installation.watched[0].settings.addresses[0].port)
+            await s.servers[1].start(
+                "127.0.0.1", s.node.installation.consul_sources[0].watch_settings.addresses[0].port
+            )
         await s.until(lambda: s.live() == ["e1", "e2", "e3"], "the news after the fault")
 
     play(tmp_path, scenario)
@@ -252,7 +256,7 @@
     async def scenario(s: Site) -> None:
         await serving(s, "e1", "e2", "e3", "e4")
         s.script("\n".join(f"0 critical e{i}" for i in (1, 2, 3, 4)))
-        await s.until(lambda: s.events("floor_holds"), "the floor")
+        await s.until(lambda: s.events("engine_losses_held"), "the floor")
         assert len(s.live()) >= 2 and b"e" in await s.query(1)
 
     play(tmp_path, scenario)
@@ -271,7 +275,7 @@
             s.script("0 passing e1")
             index = s.servers[0].catalog.service_index("engine")
             await s.until(lambda at=index: s.node.engine_catalog.views["dc1"].index >= at, "the news")  # type: ignore[misc]
-        assert len(s.events("engine_in")) <= 3
+        assert len(s.events("engine_in_service")) <= 3
 
     play(tmp_path, scenario)
 
@@ -335,9 +339,9 @@
         await s.start({**SOURCE, "addresses": ["127.0.0.1:1"]}, known=[{"id": "e1", "address": address}])
         assert b"e1" in await s.query(1)
         await s.until(lambda: s.events("source_lost"), "the log line")
-        assert "engines_kept=1" in s.events("source_lost")[0]
-        s.node._report_silence()
-        assert "engines_known=1" in s.events("source_unheard")[0]
+        assert "known_engines=1" in s.events("source_lost")[0]
+        s.node._log_silent_sources()
+        assert "known_engines=1" in s.events("source_silent")[0]
 
     play(tmp_path, scenario)
 
@@ -415,7 +419,7 @@
         assert "status 403" in s.log.getvalue() and s.live()
         (tmp_path / "token").write_text("second-token")
         s.node.reload()
-        await s.until(lambda: s.events("source_back") and s.live() == ["e2"], "back with the new token")
+        await s.until(lambda: s.events("source_recovered") and s.live() == ["e2"], "back with the new token")
         assert "first-token" not in s.log.getvalue() and "second-token" not in s.log.getvalue()
 
     play(tmp_path, scenario)
@@ -431,10 +435,10 @@
         await s.until(lambda: len(s.live()) == 2, "the first source")
         s.path.write_text("{")
         s.node.reload()
-        assert s.events("reload_refused") and len(s.live()) == 2
+        assert s.events("config_reload_failed") and len(s.live()) == 2
         s.write(sources, number=0, dispatchers=2)
         s.node.reload()
-        assert "restart_needed_for=dispatchers" in s.events("reloaded")[0]
+        assert "restart_needed_for=dispatchers" in s.events("config_reloaded")[0]
         await s.until(lambda: len(s.live()) == 4, "the second source beside it")
         s.write(sources[1:])
         s.node.reload()
@@ -455,7 +459,7 @@
             [
                 {
                     **SOURCE,
-                    "addresses": [str(s.node.installation.watched[0].settings.addresses[0])],
+                    "addresses": [str(s.node.installation.consul_sources[0].watch_settings.addresses[0])],
                     "most_bytes": 1_000_000,
                 }
             ]
@@ -566,10 +570,10 @@
         line(node, "phase=there")
         path.write_text("{ name: 1 }")
         node.send_signal(signal.SIGHUP)
-        assert "name: Expected a text" in line(node, "reload_refused")
+        assert "name: Expected a text" in line(node, "config_reload_failed")
         path.write_text(json.dumps({**config, "log": {"format": "json"}}))
         node.send_signal(signal.SIGHUP)
-        assert json.loads(line(node, "reloaded"))["restart_needed_for"] == "nothing"
+        assert json.loads(line(node, "config_reloaded"))["restart_needed_for"] == "nothing"
         node.send_signal(signal.SIGTERM)
         assert json.loads(line(node, "left"))["phase"] == "left"
         assert "reloads=1 reloads_failed=1" in line(node, "counters")
