--- a/tests/emulator/test_consul.py
+++ b/tests/emulator/test_consul.py
@@ -48,80 +48,81 @@
     return consul.Consul(host="127.0.0.1", port=server_thread.port, **options)
 
 
-def service_check_statuses(c: Any, **options: Any) -> list[str]:
-    _, rows = c.health.service("engine", **options)
+def check_statuses(api: Any, **options: Any) -> list[str]:
+    _, rows = api.health.service("engine", **options)
     return sorted(check["Status"] for row in rows for check in row["Checks"] if check["ServiceID"])
 
 
 def test_service_registration_checks_and_deregistration(server_thread: ServerThread) -> None:
-    c = client(server_thread)
+    api = client(server_thread)
     check = consul.Check.ttl("30s")
-    assert c.agent.service.register("engine", "e1", "10.0.0.1", 9000, tags=["a"], check=check)
-    assert service_check_statuses(c) == ["critical"]  # a TTL check begins critical, as the agent's page says
-    assert c.agent.check.ttl_pass("service:e1", notes="fine")
-    assert service_check_statuses(c) == ["passing"]
-    assert c.agent.check.ttl_warn("service:e1") and service_check_statuses(c) == ["warning"]
-    assert c.agent.check.ttl_fail("service:e1") and service_check_statuses(c) == ["critical"]
-    assert c.health.service("engine", passing=True)[1] == []
-    assert c.agent.services()["e1"]["Port"] == 9000 and "service:e1" in c.agent.checks()
-    index, rows = c.catalog.service("engine")
+    assert api.agent.service.register("engine", "e1", "10.0.0.1", 9000, tags=["a"], check=check)
+    # A TTL check begins critical, as the agent's page says.
+    assert check_statuses(api) == ["critical"]
+    assert api.agent.check.ttl_pass("service:e1", notes="fine")
+    assert check_statuses(api) == ["passing"]
+    assert api.agent.check.ttl_warn("service:e1") and check_statuses(api) == ["warning"]
+    assert api.agent.check.ttl_fail("service:e1") and check_statuses(api) == ["critical"]
+    assert api.health.service("engine", passing=True)[1] == []
+    assert api.agent.services()["e1"]["Port"] == 9000 and "service:e1" in api.agent.checks()
+    index, rows = api.catalog.service("engine")
     assert int(index) > 0 and rows[0]["ServiceID"] == "e1" and rows[0]["ServiceTags"] == ["a"]
-    assert c.catalog.services()[1] == {"engine": ["a"]}
-    assert c.agent.service.deregister("e1") and service_check_statuses(c) == []
-    assert c.status.leader() and c.status.peers()
+    assert api.catalog.services()[1] == {"engine": ["a"]}
+    assert api.agent.service.deregister("e1") and check_statuses(api) == []
+    assert api.status.leader() and api.status.peers()
 
 
 def test_maintenance_of_service_or_node_is_a_critical_check(server_thread: ServerThread) -> None:
-    c = client(server_thread)
-    c.agent.service.register("engine", "e1", "10.0.0.1", 9000)
-    c.agent.service.maintenance("e1", "true", "disk swap")
-    c.agent.maintenance("true", "kernel")
-    checks = {x["CheckID"]: x for x in c.health.service("engine")[1][0]["Checks"]}
+    api = client(server_thread)
+    api.agent.service.register("engine", "e1", "10.0.0.1", 9000)
+    api.agent.service.maintenance("e1", "true", "disk swap")
+    api.agent.maintenance("true", "kernel")
+    checks = {x["CheckID"]: x for x in api.health.service("engine")[1][0]["Checks"]}
     assert checks["_service_maintenance:e1"]["Notes"] == "disk swap"
     assert checks["_node_maintenance"]["Status"] == "critical"
-    c.agent.service.maintenance("e1", "false")
-    c.agent.maintenance("false")
-    assert service_check_statuses(c) == []
+    api.agent.service.maintenance("e1", "false")
+    api.agent.maintenance("false")
+    assert check_statuses(api) == []
 
 
 def test_blocking_query_returns_at_a_change(server_thread: ServerThread) -> None:
-    c = client(server_thread)
-    c.agent.service.register("engine", "e1", "10.0.0.1", 9000, check=consul.Check.ttl("60s"))
-    index, _ = c.health.service("engine")
+    api = client(server_thread)
+    api.agent.service.register("engine", "e1", "10.0.0.1", 9000, check=consul.Check.ttl("60s"))
+    index, _ = api.health.service("engine")
     responses: list[Any] = []
-    waiting = threading.Thread(
-        target=lambda: responses.append(
-            client(server_thread).health.service("engine", index=index, wait="60s")
-        )
-    )
+
+    def wait_for_change() -> None:
+        responses.append(client(server_thread).health.service("engine", index=index, wait="60s"))
+
+    waiting = threading.Thread(target=wait_for_change)
     waiting.start()
     while not server_thread.server.waiting:
         pass
     assert not responses
-    c.agent.check.ttl_pass("service:e1")
+    api.agent.check.ttl_pass("service:e1")
     waiting.join(30)
-    new, rows = responses[0]
-    assert int(new) > int(index) and rows[0]["Checks"][-1]["Status"] == "passing"
-    after, _ = c.health.service("engine", index=new, wait="10ms")
-    assert after == new
+    new_index, rows = responses[0]
+    assert int(new_index) > int(index) and rows[0]["Checks"][-1]["Status"] == "passing"
+    after, _ = api.health.service("engine", index=new_index, wait="10ms")
+    assert after == new_index
 
 
 def test_blocking_query_ignores_changes_of_other_services(server_thread: ServerThread) -> None:
-    c = client(server_thread)
-    c.agent.service.register("engine", "e1", "10.0.0.1", 9000)
-    index, _ = c.health.service("engine")
-    c.agent.service.register("other", "o1", "10.0.0.1", 9001)
-    assert c.health.service("engine", index=index, wait="20ms")[0] == index
+    api = client(server_thread)
+    api.agent.service.register("engine", "e1", "10.0.0.1", 9000)
+    index, _ = api.health.service("engine")
+    api.agent.service.register("other", "o1", "10.0.0.1", 9001)
+    assert api.health.service("engine", index=index, wait="20ms")[0] == index
 
 
 def test_catalog_registers_and_removes_other_nodes(server_thread: ServerThread) -> None:
-    c = client(server_thread)
+    api = client(server_thread)
     service = {"Service": "engine", "ID": "e9", "Address": "10.0.0.9", "Port": 1}
-    assert c.catalog.register("far", "10.0.0.9", service=service)
-    assert [n["Node"] for n in c.catalog.nodes()[1]] == ["agent-1", "far"]
-    assert c.health.service("engine")[1][0]["Node"]["Node"] == "far"
-    c.catalog.deregister("far")
-    assert c.health.service("engine")[1] == []
+    assert api.catalog.register("far", "10.0.0.9", service=service)
+    assert [n["Node"] for n in api.catalog.nodes()[1]] == ["agent-1", "far"]
+    assert api.health.service("engine")[1][0]["Node"]["Node"] == "far"
+    api.catalog.deregister("far")
+    assert api.health.service("engine")[1] == []
 
 
 def test_token_is_required_and_can_be_revoked() -> None:
@@ -129,11 +130,11 @@
     try:
         with pytest.raises(consul.ACLPermissionDenied):
             client(server_thread, token="wrong").health.service("engine")
-        good = client(server_thread, token="right")
-        assert good.health.service("engine")[1] == []
+        permitted = client(server_thread, token="right")
+        assert permitted.health.service("engine")[1] == []
         server_thread.server.is_token_revoked = True
         with pytest.raises(consul.ACLPermissionDenied):
-            good.health.service("engine")
+            permitted.health.service("engine")
     finally:
         server_thread.stop()
 
