--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -95,7 +95,9 @@
     def on_report(self, now: float, report: SourceReport) -> None:
         """Take an answer in. The engines that may have changed are in `changed_engines` afterwards."""
         if self.unreachable_since < math.inf:
-            self._log("source_recovered", counted_as="source_back", after_ms=round(now - self.unreachable_since))
+            self._log(
+                "source_recovered", counted_as="source_back", after_ms=round(now - self.unreachable_since)
+            )
             self.unreachable_since, self.unreachable_reason = math.inf, ""
         is_first, self.answer_count = self.answer_count == 0, self.answer_count + 1
         self.index, self.last_answer_at = report.index, now
