--- a/tests/support/faulty_sockets.py
+++ b/tests/support/faulty_sockets.py
@@ -1,7 +1,7 @@
 """Real sockets whose calls fail by script: errno values, EINTR, short reads and writes, call by call.
 
     faults = Faults()
-    event_loop = Driver(loop, counters, say, faults.make)
+    event_loop = EventLoop(loop, counters, log, faults.make)
     faults.plan("accept", errno.ECONNABORTED, OK, errno.EMFILE)  # the next three calls
     faults.plan("send", Short(3), errno.ENOBUFS, on=ACCEPTED)    # only on sockets that were accepted
     faults.always("accept", errno.EMFILE)                        # until faults.heal("accept")
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Short:
-    """So many bytes at most."""
+    """A call that moves so many bytes at most."""
 
     count: int
 
@@ -36,7 +36,7 @@
 
 
 class Faults:
-    """The script for all sockets of one event_loop, and what was called on them."""
+    """The script for all sockets of one event loop, and the calls on them."""
 
     def __init__(self) -> None:
         self.plans: defaultdict[tuple[str, str], deque[Step]] = defaultdict(deque)
@@ -45,15 +45,15 @@
         self.open: set[FaultySocket] = set()  # what was made or accepted, and not closed
 
     def plan(self, call: str, *steps: Step, on: str = "") -> None:
-        """What the next calls do: an errno fails, Short(n) moves n bytes at most, OK does as usual."""
+        """Plan the next calls: an errno fails, Short(n) moves n bytes at most, OK calls the system."""
         self.plans[call, on].extend(steps)
 
     def always(self, call: str, step: Step, on: str = "") -> None:
-        """What each call does that no plan is left for, until healed."""
+        """Plan each call that has no planned step, until healed."""
         self.lasting[call, on] = step
 
     def heal(self, call: str, on: str = "") -> None:
-        """From now on as the system does."""
+        """Have the system decide from now on."""
         self.lasting.pop((call, on), None)
         self.plans.pop((call, on), None)
 
@@ -71,14 +71,14 @@
         return sock
 
     def step(self, call: str, role: str) -> int:
-        """How many bytes this call may move. Raises the OSError that is its turn."""
+        """How many bytes this call may move. Raises the planned OSError."""
         step = self.next(call, role)
         if isinstance(step, int):
             raise OSError(step, os.strerror(step))
         return step.count
 
     def next(self, call: str, role: str) -> Step:
-        """The step whose turn it is."""
+        """The next step of a call."""
         self.calls[call] += 1
         for key in ((call, role), (call, "")):
             if self.plans[key]:
@@ -95,7 +95,7 @@
     role: str
 
     def join(self, faults: Faults, role: str) -> None:
-        """Under the script from now on."""
+        """Put the socket under the script."""
         self.faults, self.role = faults, role
         faults.open.add(self)
 
@@ -125,15 +125,15 @@
         super().setsockopt(*args)
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        most = self.faults.step("recv_into", self.role)
-        return super().recv_into(buffer, min(nbytes or len(buffer), most), flags)
+        max_bytes = self.faults.step("recv_into", self.role)
+        return super().recv_into(buffer, min(nbytes or len(buffer), max_bytes), flags)
 
     def recv(self, bufsize: int, flags: int = 0) -> bytes:
         return super().recv(min(bufsize, self.faults.step("recv", self.role)), flags)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        most = self.faults.step("send", self.role)
-        return super().send(memoryview(data)[:most], flags)
+        max_bytes = self.faults.step("send", self.role)
+        return super().send(memoryview(data)[:max_bytes], flags)
 
     def sendto(self, data: Any, *args: Any) -> int:
         self.faults.step("sendto", self.role)
