--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -261,7 +261,7 @@
             queue += [rival for rival in sorted(entry.address_rivals) if rival not in queue]
             entry.address_rivals.clear()
 
-    def rows(self, now: float) -> list[CatalogRow]:
+    def status_rows(self, now: float) -> list[CatalogRow]:
         """All engines that a source lists, by id."""
         rows = []
         for engine_id, entry in sorted(self.published.items()):
--- a/cottonhold/discovery/quarantine.py
+++ b/cottonhold/discovery/quarantine.py
@@ -33,7 +33,7 @@
                 self.listed[engine.id] = engine
         return replace(change, engines=tuple(self._published(engine) for engine in change.engines))
 
-    def hold(self, engine: str) -> EngineListChange | None:
+    def quarantine(self, engine: str) -> EngineListChange | None:
         """Send nothing new to an engine from now on, listed or not; returns what is to be published, if
         anything."""
         if engine in self.quarantined:
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -71,7 +71,7 @@
         self.drain_records = DrainRecords(ledger.records(RecordKind.ENGINE_DRAIN))
         self.pending_drains: dict[str, MachineRecord] = {}  # not on disk yet
         for engine in self.drain_records.from_previous_start:
-            owner.republish(owner.quarantine.hold(engine))
+            owner.republish(owner.quarantine.quarantine(engine))
 
     def on_message(self, payload: bytes) -> bool:
         """Apply a datagram's payload; return whether it is a drain report."""
@@ -113,7 +113,7 @@
         if isinstance(action, step_decision.Drain):
             if record is not None:
                 self.owner.counters.add("engine_drains")
-                self.owner.republish(self.owner.quarantine.hold(engine))
+                self.owner.republish(self.owner.quarantine.quarantine(engine))
                 self._drain(engine, record)
             return
         self.pending_drains.pop(engine, None)
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -51,7 +51,7 @@
 class OperatorLog(Protocol):
     """Where lines for the operators go."""
 
-    def say(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         """A line."""
 
     def note(self, event: str, **fields: object) -> None:
@@ -71,7 +71,7 @@
         make_socket: MakeSocket = socket.socket,
     ) -> None:
         self.config, self.counters, self.log = config, counters, log
-        say = self.log.say
+        say = self.log.write_line
         self.event_loop = EventLoop(loop, counters, say, make_socket)
         self.event_loop.connector.timeout_s = config.connections.connect_timeout_ms / 1000
         clock = self.event_loop.clock
@@ -108,7 +108,7 @@
             config.names,
             self.counters,
             lambda report: self.on_discovery_events([report]),
-            self.log.say,
+            self.log.write_line,
         )
         clock = self.event_loop.clock
         event_stream.on_complete_answer = lambda: self.engine_catalog.on_complete_answer(clock.now(), SOURCE)
@@ -293,7 +293,7 @@
             check_change(self.config, config)
         except ConfigError as error:
             self.counters.add("reloads_failed")
-            self.log.say(f"reload: the configuration stays as it is: {error}")
+            self.log.write_line(f"reload: the configuration stays as it is: {error}")
             return
         self.counters.add("reloads")
         self._log_reload(config)
@@ -339,7 +339,7 @@
 
     def handle_signals(self, loop: asyncio.AbstractEventLoop) -> None:
         """SIGTERM and SIGINT end it, SIGHUP reloads, SIGUSR1 prints the counters."""
-        loop.set_exception_handler(lambda _, context: self.log.say(f"loop: {context}"))
+        loop.set_exception_handler(lambda _, context: self.log.write_line(f"loop: {context}"))
         loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
         loop.add_signal_handler(signal.SIGINT, self.begin_shutdown)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
--- a/cottonhold/node/standalone_dispatcher.py
+++ b/cottonhold/node/standalone_dispatcher.py
@@ -137,7 +137,7 @@
                 self.republish(self.quarantine.release(engine))
 
         for engine in sorted(engines):
-            self.republish(self.quarantine.hold(engine))
+            self.republish(self.quarantine.quarantine(engine))
         self.event_loop.clock.call_in(DrainSettings().startup_timeout_ms, let_go)
 
     def _reject_loads_until_ledger_opens(self) -> None:
@@ -558,7 +558,7 @@
         self.counters.add("reloads")
         old, self.installation = self.installation, new
         log = new.file.log
-        self.structured.reset(log.format, log.lines_per_second, log.burst_lines, new.secrets)
+        self.structured.reconfigure(log.format, log.lines_per_second, log.burst_lines, new.secrets)
         later = [key for key in changed_keys(old.file, new.file) if key not in RELOADED]
         self.log.note("reloaded", restart_needed_for=",".join(later) or "nothing")
         self._reload_sources(new)
--- a/cottonhold/observe/counters.py
+++ b/cottonhold/observe/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the dispatcher takes in, sends and answers."""
+"""Counts of what the dispatcher receives, sends and answers."""
 
 from __future__ import annotations
 
--- a/cottonhold/observe/log.py
+++ b/cottonhold/observe/log.py
@@ -6,28 +6,29 @@
 import time
 from collections.abc import Callable
 
-PER_SECOND = 20.0
-BURST = 100.0
+LINES_PER_SECOND = 20.0
+BURST_LINES = 100.0
 
 
 class Log:
-    """A bucket of lines that fills at a steady rate; lines that find it empty are only counted."""
+    """A token bucket: lines without a token are only counted."""
 
     def __init__(self, seconds: Callable[[], float] = time.monotonic) -> None:
-        self.seconds, self.tokens, self.at, self.dropped = seconds, BURST, seconds(), 0
+        self.seconds, self.tokens, self.filled_at, self.dropped_count = seconds, BURST_LINES, seconds(), 0
 
-    def say(self, text: str) -> None:
-        """Print a line, unless too many came of late."""
+    def write_line(self, text: str) -> None:
+        """Print a line, unless the bucket is empty."""
         now = self.seconds()
-        self.tokens, self.at = min(BURST, self.tokens + (now - self.at) * PER_SECOND), now
+        self.tokens = min(BURST_LINES, self.tokens + (now - self.filled_at) * LINES_PER_SECOND)
+        self.filled_at = now
         if self.tokens < 1:
-            self.dropped += 1
+            self.dropped_count += 1
             return
         self.tokens -= 1
-        if self.dropped:
-            text, self.dropped = f"{text} ({self.dropped} lines left out before this)", 0
+        if self.dropped_count:
+            text, self.dropped_count = f"{text} ({self.dropped_count} lines left out before this)", 0
         print(text, file=sys.stderr, flush=True)
 
     def note(self, event: str, **fields: object) -> None:
         """Print an event with its fields."""
-        self.say(" ".join([event, *(f"{key}={value}" for key, value in fields.items())]))
+        self.write_line(" ".join([event, *(f"{key}={value}" for key, value in fields.items())]))
--- a/cottonhold/observe/metrics.py
+++ b/cottonhold/observe/metrics.py
@@ -1,7 +1,7 @@
 """Counters and gauges as text for a scraper, by the library's registry.
 
-Loaded only where `metrics` is on, as the library takes up to 3 MB and 50 ms of the start. Nothing listens
-for it; the local socket gives it out.
+Loaded only if `metrics` is on, as the library takes up to 3 MB and 50 ms of the start. It listens nowhere;
+the local socket serves it.
 """
 
 from __future__ import annotations
@@ -20,11 +20,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Readings:
-    """What one instance shows at one moment.
+    """What one instance reports at one moment.
 
-    counts: since the start, by the names of the counters' line. engines: by state; members: the others, by
-    what is believed of them; verdicts: 1 at the one that holds; steps: machines by how far their swap is. A
-    part that is off gives an empty tally.
+    counts: since the start, by counter. engines: by state. members: the others, by status. verdicts: 1 for
+    the present one. steps: machines by the step of their replacement. A part that is off has an empty tally.
     """
 
     counts: Tally
@@ -36,17 +35,17 @@
 
 
 def tally(labels: Iterable[str], seen: Iterable[str]) -> dict[str, int]:
-    """How often each label was seen. A label that was not seen counts 0: a series that ends looks lost."""
+    """How often each label occurs; 0 for one that doesn't, as a series that ends would look lost."""
     return dict.fromkeys(labels, 0) | Counter(seen)
 
 
 def names_of(kind: type[Enum]) -> list[str]:
-    """The labels of an enumeration whose members' names are its labels."""
+    """The labels of an enumeration: its members' names in lower case."""
     return [member.name.lower() for member in kind]
 
 
 class Reader(Collector):
-    """What the registry asks at each scrape."""
+    """What the registry calls at each scrape."""
 
     def __init__(self, read: Callable[[], Readings]) -> None:
         self.read = read
@@ -55,21 +54,23 @@
         """All series. Counters are one family: their names are made where they are counted, and none may
         clash with the text's own rules.
         """
-        now = self.read()
+        readings = self.read()
         events = CounterMetricFamily("cottonhold_events", "What happened since the start.", labels=["event"])
-        for name, count in sorted(now.counts.items()):
+        for name, count in sorted(readings.counts.items()):
             events.add_metric([name], count)
         yield events
-        yield GaugeMetricFamily("cottonhold_open_requests", "Requests without an answer.", now.open_requests)
+        yield GaugeMetricFamily(
+            "cottonhold_open_requests", "Requests without an answer.", readings.open_requests
+        )
         for name, label, text, values in (
-            ("cottonhold_engines", "state", "Engines of the list.", now.engines),
-            ("cottonhold_members", "status", "The other instances, as believed here.", now.members),
-            ("cottonhold_recovery_verdict", "verdict", "What was away, 1 at what holds.", now.verdicts),
-            ("cottonhold_swap_machines", "step", "Machines by the step of their swap.", now.steps),
+            ("cottonhold_engines", "state", "Engines of the list.", readings.engines),
+            ("cottonhold_members", "status", "The other instances, as believed here.", readings.members),
+            ("cottonhold_recovery_verdict", "verdict", "What was away, 1 at what holds.", readings.verdicts),
+            ("cottonhold_swap_machines", "step", "Machines by the step of their swap.", readings.steps),
         ):
             family = GaugeMetricFamily(name, text, labels=[label])
-            for word, value in values.items():
-                family.add_metric([word], value)
+            for label_value, count in values.items():
+                family.add_metric([label_value], count)
             yield family
 
 
--- a/cottonhold/observe/structured.py
+++ b/cottonhold/observe/structured.py
@@ -10,11 +10,12 @@
 import structlog
 
 HIDDEN = "(hidden)"
-SECRET_WORDS = ("token", "secret", "password", "key_file_text", "authorization")
+MAX_DROPPED_EVENTS = 64  # counted apart; all others together
+SECRET_NAME_PARTS = ("token", "secret", "password", "key_file_text", "authorization")
 
 
 class Redactor:
-    """Takes secrets out of a line: fields that are named like one, and known values wherever they stand."""
+    """Removes secrets from a line: fields that are named like one, and known values anywhere."""
 
     def __init__(self, secrets: Iterable[str] = ()) -> None:
         self.secrets = tuple(secrets)
@@ -22,40 +23,41 @@
     def __call__(self, _: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         """Return the line without secrets (structlog processor)."""
         for key, value in event.items():
-            if any(word in key.lower() for word in SECRET_WORDS):
+            if any(word in key.lower() for word in SECRET_NAME_PARTS):
                 event[key] = HIDDEN
             else:
-                event[key] = self.clean(value)
+                event[key] = self.redact(value)
         return event
 
-    def clean(self, value: Any) -> Any:
-        """The value without secrets, however deep they lie."""
+    def redact(self, value: Any) -> Any:
+        """The value without secrets, at any depth."""
         if isinstance(value, str):
             for secret in self.secrets:
                 value = value.replace(secret, HIDDEN)
         elif isinstance(value, dict):
-            return {self.clean(k): self.clean(v) for k, v in value.items()}
+            return {self.redact(k): self.redact(v) for k, v in value.items()}
         elif isinstance(value, list | tuple):
-            return [self.clean(v) for v in value]
+            return [self.redact(v) for v in value]
         return value
 
 
 class Limiter:
-    """A bucket of lines. What finds it empty is counted by its event, and the next line tells the counts."""
+    """A token bucket: lines without a token are counted by event, and the next line gives the counts."""
 
     def __init__(self, per_second: float, burst: float, seconds: Callable[[], float]) -> None:
         self.per_second, self.burst, self.seconds = per_second, burst, seconds
-        self.tokens, self.at = burst, seconds()
+        self.tokens, self.filled_at = burst, seconds()
         self.dropped: dict[str, int] = {}
 
     def __call__(self, _: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         """Pass a line on, or drop it if the bucket is empty (structlog processor)."""
         now = self.seconds()
-        self.tokens, self.at = min(self.burst, self.tokens + (now - self.at) * self.per_second), now
+        self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.per_second)
+        self.filled_at = now
         if self.tokens < 1:
             name = str(event.get("event", ""))
-            # The number of keys is bounded: a storm of different texts must not take memory without end.
-            if len(self.dropped) >= 64 and name not in self.dropped:
+            # A storm of different events must not take memory without bound.
+            if len(self.dropped) >= MAX_DROPPED_EVENTS and name not in self.dropped:
                 name = "others"
             self.dropped[name] = self.dropped.get(name, 0) + 1
             raise structlog.DropEvent
@@ -68,7 +70,7 @@
 
 
 class StructuredLog:
-    """The log of other installations; says and notes as the platform's lean one does."""
+    """The log of standalone dispatchers, with the same methods as the platform's lean one."""
 
     def __init__(
         self,
@@ -83,10 +85,10 @@
         self.seconds, self.stream, self.context = seconds, stream or sys.stderr, context
         self.redactor = Redactor(secrets)
         self.limiter = Limiter(per_second, burst, seconds)
-        self.set_form(form)
+        self.set_format(form)
 
-    def set_form(self, form: str) -> None:
-        """Logfmt or JSON from now on."""
+    def set_format(self, form: str) -> None:
+        """Write logfmt or JSON from now on."""
         renderer: Any = (
             structlog.processors.JSONRenderer(default=str)
             if form == "json"
@@ -104,13 +106,13 @@
             ],
         ).bind(**self.context)
 
-    def reset(self, form: str, per_second: float, burst: float, secrets: Iterable[str]) -> None:
-        """Other settings, as after a reload. Old secrets stay hidden: a line may still hold them."""
+    def reconfigure(self, form: str, per_second: float, burst: float, secrets: Iterable[str]) -> None:
+        """Apply other settings after a reload. Old secrets stay hidden, as a line may still hold them."""
         self.redactor.secrets = tuple({*self.redactor.secrets, *secrets})
         self.limiter.per_second, self.limiter.burst = per_second, burst
-        self.set_form(form)
+        self.set_format(form)
 
-    def say(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         """A line of text."""
         self.note("note", text=text)
 
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -24,7 +24,7 @@
 from cottonhold.frontend.query_comment import FieldError, parse
 from cottonhold.node.admin_api import AdminApi
 from cottonhold.node.peer_datagrams import PeerDatagrams
-from cottonhold.observe.log import BURST, Log
+from cottonhold.observe.log import BURST_LINES, Log
 from cottonhold.scheduler.events import EngineListFailed
 from tests.support.drawn_cases import CASES, untroubled
 from tests.support.scenario import LOGIN, FakeClock, World, packet
@@ -197,8 +197,8 @@
 def test_what_is_malformed_is_counted_and_told_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
     """All of it within one moment: the log's bucket is never filled again."""
     log, world = Log(seconds=lambda: 0.0), World(engines="a")
-    world.gateway.log = world.engines.log = log.say
-    peers = PeerDatagrams((Address("a", 1),), None, world.counters, log.say)
+    world.gateway.log = world.engines.log = log.write_line
+    peers = PeerDatagrams((Address("a", 1),), None, world.counters, log.write_line)
     entries = [{"instanceId": "s-1", "lifecycle": "Odd"}] * 50
     answer = orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": entries}}]})
     for _ in range(50):
@@ -206,10 +206,12 @@
         session.receive(packet(1, LOGIN.replace(b"app", b"a\nb")))
         peers.decode(b"x", ("stranger", 1))
         world.engines.on_malformed_answer("engine a: nonsense")
-    bus = EventStream("h", 1, ConfiguredNames(("z",), ("a",)), world.counters, lambda report: None, log.say)
+    bus = EventStream(
+        "h", 1, ConfiguredNames(("z",), ("a",)), world.counters, lambda report: None, log.write_line
+    )
     assert bus.receive(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
     names = ("client_malformed", "peer_malformed", "engine_malformed", "bus_malformed")
     assert [world.counters.counts[name] for name in names] == [50] * 4
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == BURST and log.dropped == 100
+    assert len(lines) == BURST_LINES and log.dropped_count == 100
     assert {line.split(" ")[0] for line in lines} >= {"client", "peers:", "engine"}
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -233,9 +233,9 @@
     a, b = Engine("a", zone=1, started_at=5.0), Engine("b", state=EngineState.DRAINING)
     shown = held.on_change(EngineListChange((a, b), {}, is_complete=True))
     assert shown.engines == (a, b) and set(held.live_engines()) == {"a"}
-    change = held.hold("a")
+    change = held.quarantine("a")
     assert change is not None and change.engines[0].state is EngineState.DRAINING
-    assert held.hold("a") is None and not held.live_engines()
+    assert held.quarantine("a") is None and not held.live_engines()
     back = held.release("a", 70.0)
     assert back is not None and back.engines == (Engine("a", zone=1, started_at=70.0),)
     assert held.release("a") is None
@@ -243,7 +243,7 @@
         EngineListChange((a, Engine("b", state=EngineState.REMOVED)), {}, is_complete=False)
     )
     assert again.engines[0].started_at == 70.0 and again.engines[1].state is EngineState.REMOVED
-    assert set(held.listed) == {"a"} and held.hold("z") is None
+    assert set(held.listed) == {"a"} and held.quarantine("z") is None
 
 
 @pytest.mark.parametrize(
--- a/tests/node/test_sibling_process_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.lines = list[str]()
 
-    def say(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         self.lines.append(text)
 
     def note(self, event: str, **fields: object) -> None:
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -22,7 +22,7 @@
 from cottonhold.message_validation import WireError
 from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.counters import Counters
-from cottonhold.observe.log import BURST, Log
+from cottonhold.observe.log import BURST_LINES, Log
 from cottonhold.scheduler.actions import SendToPeer
 from cottonhold.scheduler.events import PeerMessage
 from cottonhold.transport.event_loop import EventLoop
@@ -163,11 +163,14 @@
     now = [0.0]
     log = Log(lambda: now[0])
     for i in range(1000):
-        log.say(f"line {i}")
+        log.write_line(f"line {i}")
     now[0] = 1.0
-    log.say("later")
+    log.write_line("later")
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == BURST + 1 and lines[-1] == f"later ({1000 - int(BURST)} lines left out before this)"
+    assert (
+        len(lines) == BURST_LINES + 1
+        and lines[-1] == f"later ({1000 - int(BURST_LINES)} lines left out before this)"
+    )
 
 
 PROGRAM = [sys.executable, "-m", "cottonhold"]
--- a/tests/observe/test_structured.py
+++ b/tests/observe/test_structured.py
@@ -36,7 +36,7 @@
     for i in range(1000):
         made.note("storm" if i % 10 else "other", i=i)
     clock.now = 1.0
-    made.say("calm")
+    made.write_line("calm")
     got = lines(stream)
     assert len(got) == 6 and got[-1]["dropped"] == 995 and got[-1]["dropped_most"] == "storm"
 
@@ -51,9 +51,9 @@
 def test_secrets_are_never_printed_however_they_come() -> None:
     made, stream, _ = log(secrets=("s3cr3t",))
     made.note("call", token="x", X_Consul_Token="y", why="403 for s3cr3t", deep={"list": ["s3cr3t!"]})
-    made.say("s3cr3t")
+    made.write_line("s3cr3t")
     text = stream.getvalue()
     assert "s3cr3t" not in text and text.count("(hidden)") == 5
-    made.reset("logfmt", 10.0, 5.0, ["new-one"])
+    made.reconfigure("logfmt", 10.0, 5.0, ["new-one"])
     made.note("after", why="s3cr3t and new-one")
     assert "s3cr3t" not in stream.getvalue() and "new-one" not in stream.getvalue()
