--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -51,7 +51,7 @@
 class OperatorLog(Protocol):
     """The operators' log."""
 
-    def say(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         """Write a line of text."""
 
     def note(self, event: str, **fields: object) -> None:
@@ -71,7 +71,7 @@
         make_socket: MakeSocket = socket.socket,
     ) -> None:
         self.config, self.counters, self.log = config, counters, log
-        say = self.log.say
+        say = self.log.write_line
         self.event_loop = EventLoop(loop, counters, say, make_socket)
         self.event_loop.connector.timeout_s = config.connections.connect_timeout_ms / 1000
         clock = self.event_loop.clock
@@ -108,7 +108,7 @@
             config.names,
             self.counters,
             lambda report: self.on_discovery_events([report]),
-            self.log.say,
+            self.log.write_line,
         )
         clock = self.event_loop.clock
         event_stream.on_complete_answer = lambda: self.engine_catalog.on_complete_answer(clock.now(), SOURCE)
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -344,7 +344,7 @@
         self.counters.add("reloads")
         old, self.installation = self.installation, new
         log = new.file.log
-        self.structured_log.reset(log.format, log.lines_per_second, log.burst_lines, new.secrets)
+        self.structured_log.reconfigure(log.format, log.lines_per_second, log.burst_lines, new.secrets)
         unapplied = [key for key in changed_keys(old.file, new.file) if key not in RELOADED_SECTIONS]
         self.log.note("config_reloaded", restart_needed_for=",".join(unapplied) or "nothing")
         self._reload_sources(new)
--- a/cottonhold/node/standalone/engine_list.py
+++ b/cottonhold/node/standalone/engine_list.py
@@ -55,7 +55,7 @@
                 self.republish(self.quarantine.release(engine))
 
         for engine in sorted(engines):
-            self.republish(self.quarantine.hold(engine))
+            self.republish(self.quarantine.quarantine(engine))
         self.clock.call_in(duration_ms, release)
 
     def cores_by_zone(self, live: Mapping[str, Engine]) -> dict[str, dict[str, float]]:
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -257,7 +257,7 @@
     def __init__(self) -> None:
         self.lines: list[str] = []
 
-    def say(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         self.lines.append(text)
 
     def note(self, event: str, **fields: object) -> None:
