--- a/cottonhold/cli/trial.py
+++ b/cottonhold/cli/trial.py
@@ -24,7 +24,7 @@
     from cottonhold.emulator.fault_injection.scenarios import SCENARIOS
 
     for scenario in SCENARIOS:
-        print(f"{scenario.name:18} {scenario.seconds:4.0f} s  {scenario.about}")
+        print(f"{scenario.name:18} {scenario.duration_s:4.0f} s  {scenario.description}")
 
 
 @app.command()
@@ -48,7 +48,7 @@
             changed = msgspec.structs.replace(
                 scenario,
                 seed=scenario.seed if seed is None else seed,
-                fleet=fleet and scenario.fleet,
+                has_fleet=fleet and scenario.has_fleet,
             )
             verdicts.append((scenario.name, _play(changed, folder)))
     except (script.ScriptError, ScenarioRunError) as error:
--- a/cottonhold/node/standalone/consul_sources.py
+++ b/cottonhold/node/standalone/consul_sources.py
@@ -8,19 +8,19 @@
 
 from cottonhold.config import schema
 from cottonhold.config.sections import ConsulSource
-from cottonhold.discovery.consul.answers import Answers
-from cottonhold.discovery.consul.watch import Watch
+from cottonhold.discovery.consul.health_response import HealthResponseDecoder
+from cottonhold.discovery.consul.watch import ServiceWatch
 from cottonhold.discovery.model import Event
 from cottonhold.node import consul_client
 from cottonhold.node.dispatcher import Dispatcher
-from cottonhold.node.http_client import Tls
+from cottonhold.node.http_client import TlsSettings
 
 
-def client_tls(section: schema.TlsConfig | None) -> Tls | None:
+def client_tls(section: schema.TlsConfig | None) -> TlsSettings | None:
     """A configuration's TLS section as the HTTP client takes it."""
     if section is None:
         return None
-    return Tls(section.ca_file, section.cert_file, section.key_file, section.server_name)
+    return TlsSettings(section.ca_file, section.cert_file, section.key_file, section.server_name)
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     """A source that is followed."""
 
     watched: ConsulSource
-    watch: Watch
+    watch: ServiceWatch
     task: asyncio.Task[None]
 
 
@@ -43,11 +43,11 @@
     def follow(self, watched: ConsulSource) -> None:
         """Follow a source from now on."""
         name = watched.watch_settings.name
-        answers = Answers(
+        answers = HealthResponseDecoder(
             self.config.names, watched.interpretation, lambda reason: self._on_malformed(name, reason)
         )
-        watch = Watch(watched.watch_settings, answers, self.config.seed)
-        work = consul_client.follow(
+        watch = ServiceWatch(watched.watch_settings, answers, self.config.seed)
+        work = consul_client.follow_service(
             self.event_loop, watch, client_tls(watched.tls), self.on_events, self.counters
         )
         self.running[name] = RunningWatch(watched, watch, self.event_loop.spawn(work))
@@ -73,7 +73,7 @@
     def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
         """Ask a source's catalogue for engines that its last list lacks, before its next health call."""
         if source in self.running:
-            self.running[source].watch.confirm(absent)
+            self.running[source].watch.confirm_absence(absent)
 
     def _on_malformed(self, source: str, reason: str) -> None:
         self.counters.add("consul_malformed")
