--- a/tests/config/test_bad_relay.py
+++ b/tests/config/test_bad_relay.py
@@ -1,4 +1,4 @@
-"""Drawn configurations: one that can't be used is told as such, in one line."""
+"""RELAY_CONFIG files that can't be used: each is refused in one line."""
 
 from __future__ import annotations
 
@@ -29,7 +29,9 @@
 
 @settings(max_examples=1500)
 @given(st.sampled_from(places(USABLE)), VALUES)
-def test_a_configuration(path: tuple[Any, ...], value: Any) -> None:
+def test_a_drawn_configuration_is_refused_or_a_dispatcher_works_under_it(
+    path: tuple[Any, ...], value: Any
+) -> None:
     """It can't be used, or a dispatcher under it decides without a fault."""
     try:
         config = decode(changed(USABLE, path, value), {}, Counters())
@@ -55,7 +57,7 @@
 
 
 @pytest.mark.parametrize("content", FILES.values(), ids=FILES)
-def test_a_file_that_can_not_be_used(content: bytes, tmp_path: Path) -> None:
+def test_an_unusable_file_is_one_short_line(content: bytes, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(content)
     with pytest.raises(ConfigError) as error:
@@ -63,7 +65,7 @@
     assert len(str(error.value).splitlines()) == 1 and len(str(error.value)) < 500
 
 
-def test_a_path_that_is_no_file(tmp_path: Path) -> None:
+def test_a_path_that_is_no_regular_file_is_one_line(tmp_path: Path) -> None:
     for path in (tmp_path, tmp_path / "none", Path("/dev/zero"), Path("a\0b")):
         with pytest.raises(ConfigError) as error:
             load({"RELAY_CONFIG": str(path)}, Counters())
@@ -75,12 +77,12 @@
 
 @pytest.mark.parametrize("value", [0, -1, None, "5000", True])
 @pytest.mark.parametrize("key", NOT_POSITIVE)
-def test_a_class_needs_its_figures(key: str, value: Any) -> None:
+def test_a_class_without_a_positive_objective_and_deadline_is_refused(key: str, value: Any) -> None:
     with pytest.raises(WireError, match=key):
         decode(changed(USABLE, ("settings", "classes", 0, key), value), {}, Counters())
 
 
-def usable(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+def write_usable_config(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(USABLE))
     monkeypatch.setenv("RELAY_CONFIG", str(path))
@@ -88,20 +90,20 @@
 
 
 @pytest.mark.parametrize("content", FILES.values(), ids=FILES)
-def test_the_start_ends_with_one_line(
+def test_a_start_under_an_unusable_file_ends_with_one_line_and_code_2(
     content: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    usable(tmp_path, monkeypatch).write_bytes(content)
+    write_usable_config(tmp_path, monkeypatch).write_bytes(content)
     assert serve() == 2
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == 1 and lines[0].startswith("cottonhold: configuration: ")
 
 
 @pytest.mark.parametrize("content", FILES.values(), ids=FILES)
-def test_a_reload_changes_nothing(
+def test_a_reload_of_an_unusable_file_changes_nothing(
     content: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path, counters = usable(tmp_path, monkeypatch), Counters()
+    path, counters = write_usable_config(tmp_path, monkeypatch), Counters()
     config = load(os.environ, counters)
 
     async def scenario() -> None:
--- a/tests/config/test_installation.py
+++ b/tests/config/test_installation.py
@@ -1,4 +1,4 @@
-"""Configuration files: every problem at once, each with its line; nothing loaded from outside."""
+"""Configuration files: all problems at once with their lines; no imports from outside the folder."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cottonhold.config.source_lines import find_field_lines
 from cottonhold.discovery.model import Address, ServiceStatus
 
-GOOD = """
+VALID_CONFIG = """
 local base = { aim_ms: 1000, deadline_ms: 5000 };
 {
   name: 'n1',
@@ -32,20 +32,20 @@
 """
 
 
-def write(folder: Path, text: str, name: str = "c.jsonnet") -> Path:
+def write_config(folder: Path, text: str, name: str = "c.jsonnet") -> Path:
     path = folder / name
     path.write_text(text)
     return path
 
 
-def problems(path: Path) -> list[str]:
+def read_problems(path: Path) -> list[str]:
     with pytest.raises(UnusableConfigError) as caught:
         read_installation(path)
     return [str(p).replace(str(path), "F") for p in caught.value.problems]
 
 
-def test_a_good_file_becomes_what_the_parts_take(tmp_path: Path) -> None:
-    got = read_installation(write(tmp_path, GOOD))
+def test_a_valid_file_becomes_the_settings_of_all_parts(tmp_path: Path) -> None:
+    got = read_installation(write_config(tmp_path, VALID_CONFIG))
     assert got.config.listen == Address("127.0.0.1", 3306) and got.config.seed == 7
     assert [c.name for c in got.config.settings.classes] == ["lookup", "load"]
     assert got.consul_sources[0].watch_settings.addresses[1] == Address("::1", 8500)
@@ -56,8 +56,8 @@
     )
 
 
-# What is changed in the good file, and the lines that come of it: the deliberately bad files.
-BAD: list[tuple[str, str, list[str]]] = [
+# A text of the valid file, its replacement, and how the problems' lines begin.
+INVALID_CHANGES: list[tuple[str, str, list[str]]] = [
     (
         "seed: 7",
         "seed: 7, dispatchers: 13, fleet: { pins: true }",
@@ -223,47 +223,55 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, wanted", BAD, ids=[f"{i}-{new[:24]}" for i, (_, new, _) in enumerate(BAD)]
+    "old, new, wanted",
+    INVALID_CHANGES,
+    ids=[f"{i}-{new[:24]}" for i, (_, new, _) in enumerate(INVALID_CHANGES)],
 )
-def test_a_bad_file_is_refused_with_its_line(tmp_path: Path, old: str, new: str, wanted: list[str]) -> None:
+def test_an_invalid_file_is_refused_with_the_line_of_each_problem(
+    tmp_path: Path, old: str, new: str, wanted: list[str]
+) -> None:
     (tmp_path / "good.token").write_text("t")
-    assert old in GOOD
-    got = problems(write(tmp_path, GOOD.replace(old, new, 1)))
+    assert old in VALID_CONFIG
+    got = read_problems(write_config(tmp_path, VALID_CONFIG.replace(old, new, 1)))
     assert len(got) == len(wanted), got
     for line, begin in zip(got, wanted, strict=True):
         assert line.startswith(begin)
 
 
-def test_all_problems_come_at_once_in_the_order_of_their_lines(tmp_path: Path) -> None:
-    text = GOOD.replace("seed: 7", "seed: -1").replace("cores: 8", "coers: 8").replace("'safe'", "'no'")
-    got = problems(write(tmp_path, text))
+def test_all_problems_are_reported_at_once_in_the_order_of_lines(tmp_path: Path) -> None:
+    text = (
+        VALID_CONFIG.replace("seed: 7", "seed: -1").replace("cores: 8", "coers: 8").replace("'safe'", "'no'")
+    )
+    got = read_problems(write_config(tmp_path, text))
     assert [line.split(": ")[0] for line in got] == ["F:6", "F:8", "F:10"]
 
 
-def test_imports_stay_inside_the_folder(tmp_path: Path) -> None:
+def test_imports_from_outside_the_folder_are_refused(tmp_path: Path) -> None:
     (tmp_path / "secret.libsonnet").write_text("{ hidden: 'treasure' }")
     inside = tmp_path / "site"
     inside.mkdir()
     (inside / "part.libsonnet").write_text("{ seed: 9 }")
     assert (
         read_installation(
-            write(inside, GOOD.replace("{\n  name", "(import 'part.libsonnet') + {\n  name", 1))
+            write_config(
+                inside, VALID_CONFIG.replace("{\n  name", "(import 'part.libsonnet') + {\n  name", 1)
+            )
         ).config.seed
         == 7
     )
     for target in ("../secret.libsonnet", str(tmp_path / "secret.libsonnet")):
         for verb in ("import", "importstr"):
-            (line,) = problems(write(inside, GOOD.replace("'n1'", f"{verb} '{target}'")))
+            (line,) = read_problems(write_config(inside, VALID_CONFIG.replace("'n1'", f"{verb} '{target}'")))
             assert "lies outside the folder" in line and "treasure" not in line
 
 
-def test_a_template_without_end_is_an_error(tmp_path: Path) -> None:
-    (line,) = problems(write(tmp_path, "local f(x) = f(x + 1) + 1; f(0)"))
+def test_a_template_that_recurses_without_end_is_an_error(tmp_path: Path) -> None:
+    (line,) = read_problems(write_config(tmp_path, "local f(x) = f(x + 1) + 1; f(0)"))
     assert "max stack frames exceeded" in line.lower()
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path: Path) -> None:
-    assert problems(tmp_path / "none") == ["F: can't be read: No such file or directory"]
+def test_a_missing_file_is_named(tmp_path: Path) -> None:
+    assert read_problems(tmp_path / "none") == ["F: can't be read: No such file or directory"]
 
 
 @pytest.mark.parametrize(
@@ -276,12 +284,16 @@
         ("f({ a: 1 })", ("a",), 0),
     ],
 )
-def test_where_a_field_is_written(text: str, path: tuple[str | int, ...], line: int) -> None:
+def test_the_line_of_a_field_is_where_it_is_written_literally(
+    text: str, path: tuple[str | int, ...], line: int
+) -> None:
     assert find_field_lines(text).get(path, 0) == line
 
 
-def test_check_and_show_hide_tokens_and_end_with_their_codes(tmp_path: Path) -> None:
-    path = write(tmp_path, GOOD.replace("service: 'engine'", "service: 'engine', token: 'hush-hush'"))
+def test_check_and_show_hide_tokens_and_exit_with_their_codes(tmp_path: Path) -> None:
+    path = write_config(
+        tmp_path, VALID_CONFIG.replace("service: 'engine'", "service: 'engine', token: 'hush-hush'")
+    )
     run = CliRunner().invoke
     good = run(app, ["check", str(path)])
     assert good.exit_code == 0 and "good: n1, sources dc1, classes lookup, load" in good.output
@@ -289,6 +301,6 @@
         shown = run(app, ["show", str(path), *more])
         assert shown.exit_code == 0 and "hush" not in shown.output
         assert json.loads(shown.output)["sources"][0]["token"] == "(hidden)"
-    bad = run(app, ["check", str(write(tmp_path, "{", "bad.jsonnet"))])
+    bad = run(app, ["check", str(write_config(tmp_path, "{", "bad.jsonnet"))])
     assert bad.exit_code == 2 and bad.output.count("\n") == 1 and "bad.jsonnet:1" in bad.output
     assert run(app, ["serve", "--config", str(tmp_path / "none")]).exit_code == 2
--- a/tests/discovery/test_consul_parts.py
+++ b/tests/discovery/test_consul_parts.py
@@ -1,4 +1,4 @@
-"""Consul's protocol without sockets: the table of states, answers, exchanges, the watch and the own entry."""
+"""Consul's protocol without sockets: status table, responses, HTTP, the watch and the registration."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return json.dumps(entries).encode()
 
 
-def answers(reading: EntryInterpretation | None = None) -> tuple[HealthResponseDecoder, list[str]]:
+def make_decoder(reading: EntryInterpretation | None = None) -> tuple[HealthResponseDecoder, list[str]]:
     malformed: list[str] = []
     return HealthResponseDecoder(NAMES, reading or EntryInterpretation(), malformed.append), malformed
 
@@ -88,16 +88,16 @@
         ),
     ],
 )
-def test_the_table_of_states(
+def test_checks_map_to_a_service_status_and_its_reason(
     checks: list[Any], reading: dict[str, Any], verdict: ServiceStatus, reason: str
 ) -> None:
-    reader, _ = answers(EntryInterpretation(**reading))
+    reader, _ = make_decoder(EntryInterpretation(**reading))
     (got,) = reader.decode_health_response(body(entry("e1", *checks))).observations
     assert got.status is verdict and got.reason.startswith(reason)
 
 
 def test_an_entry_becomes_an_observation() -> None:
-    reader, malformed = answers()
+    reader, malformed = make_decoder()
     service = {"Address": "10.0.0.7", "Weights": {"Passing": 4, "Warning": 2}}
     meta = {"machine_type": "big", "cell": "3", "started_at_ms": "1700000000000"}
     got = reader.decode_health_response(
@@ -114,8 +114,8 @@
     assert not malformed
 
 
-def test_only_what_has_changed_is_decoded_and_told() -> None:
-    reader, _ = answers()
+def test_only_changed_entries_are_decoded_and_reported() -> None:
+    reader, _ = make_decoder()
     many = [entry(f"e{i}") for i in range(1000)]
     assert len(reader.decode_health_response(body(*many)).observations) == 1000
     many[7] = entry("e7", check("critical", service="e7"))
@@ -128,8 +128,8 @@
 @pytest.mark.parametrize(
     "spoil", [{"Service": {"ID": "e1"}}, 7, {**entry(), "Checks": None}, entry(service={"Port": 0})]
 )
-def test_an_entry_that_cannot_be_read_is_counted_and_its_engine_is_not_absent(spoil: Any) -> None:
-    reader, malformed = answers()
+def test_an_unreadable_entry_is_counted_and_its_engine_is_not_absent(spoil: Any) -> None:
+    reader, malformed = make_decoder()
     reader.decode_health_response(body(entry("e1"), entry("e2")))
     got = reader.decode_health_response(body(spoil, entry("e2")))
     assert (got.observations, got.absent_ids, len(malformed)) == ((), (), 1)
@@ -138,8 +138,8 @@
 
 
 @pytest.mark.parametrize("bad", [b"", b"{}", b"[", b'[{"Node":\xff}]', b"7"])
-def test_an_answer_that_cannot_be_read_changes_nothing(bad: bytes) -> None:
-    reader, _ = answers()
+def test_an_unreadable_response_changes_nothing(bad: bytes) -> None:
+    reader, _ = make_decoder()
     reader.decode_health_response(body(entry("e1")))
     with pytest.raises(WireError):
         reader.decode_health_response(bad)
@@ -147,19 +147,19 @@
 
 
 def test_while_an_engine_moves_the_later_registration_counts() -> None:
-    reader, _ = answers()
+    reader, _ = make_decoder()
     old, new = entry(), entry(service={"CreateIndex": 9, "Address": "10.0.0.9"})
     for order in ((old, new), (new, old)):
         reader.reset()
         (got,) = reader.decode_health_response(body(*order)).observations
         assert got.address == Address("10.0.0.9", 1000)
-    by_node, _ = answers(EntryInterpretation(ids_include_node=True))
+    by_node, _ = make_decoder(EntryInterpretation(ids_include_node=True))
     assert by_node.decode_health_response(body(old)).observations[0].id == "node-1/e1"
 
 
-def test_the_first_answer_is_the_whole_list_unless_a_part_of_it_cannot_be_read() -> None:
+def test_the_first_response_is_complete_unless_an_entry_is_unreadable() -> None:
     """Found by reading: engines known from the file stayed for good if Consul's first answer lacked them."""
-    reader, _ = answers()
+    reader, _ = make_decoder()
     assert not reader.decode_health_response(body(entry("e1"), 7)).is_complete
     second = reader.decode_health_response(body(entry("e1"), entry("e2")))
     assert second.is_complete and [o.id for o in second.observations] == ["e1", "e2"]
@@ -168,9 +168,6 @@
     assert reader.decode_health_response(body(entry("e1"))).is_complete
 
 
-# --- exchanges ---
-
-
 def response(data: bytes, *headers: str, status: str = "200 OK") -> bytes:
     lines = [f"HTTP/1.1 {status}", *(headers or [f"Content-Length: {len(data)}"]), "", ""]
     return "\r\n".join(lines).encode() + data
@@ -194,7 +191,7 @@
         ),
     ],
 )
-def test_an_answer_comes_whole_however_it_is_cut(wire: bytes, size: int) -> None:
+def test_a_response_is_parsed_however_it_is_split(wire: bytes, size: int) -> None:
     exchange = HttpResponseParser(1000)
     got = [exchange.receive(wire[i : i + size]) for i in range(0, len(wire), size)]
     assert got[-1] is not None and got[-1].body == b"some text" and not any(got[:-1]) and exchange.keeps_alive
@@ -219,7 +216,7 @@
         (response(b"a") + response(b"b"), "can't be read|more bytes"),
     ],
 )
-def test_an_answer_that_makes_no_sense_is_refused(wire: bytes, why: str) -> None:
+def test_an_invalid_response_is_refused(wire: bytes, why: str) -> None:
     exchange = HttpResponseParser(1000)
     with pytest.raises(WireError, match=why):
         exchange.receive(wire)
@@ -228,7 +225,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.booleans())
-def test_any_bytes_are_an_answer_an_error_or_not_enough(data: bytes, with_head: bool) -> None:
+def test_any_bytes_are_a_response_an_error_or_incomplete(data: bytes, with_head: bool) -> None:
     exchange = HttpResponseParser(1000)
     with contextlib.suppress(WireError):
         exchange.receive(b"HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\n" + data if with_head else data)
@@ -241,8 +238,8 @@
 @given(
     st.sampled_from(places(ENTRY)), st.one_of(ODD, st.just(...), st.sampled_from(["²", "9" * 5000, "nan"]))
 )
-def test_an_entry_of_odd_values_costs_only_itself(path: tuple[Any, ...], value: Any) -> None:
-    odd, malformed = answers()
+def test_an_entry_of_odd_values_affects_only_itself(path: tuple[Any, ...], value: Any) -> None:
+    odd, malformed = make_decoder()
     told = odd.decode_health_response(body(changed(ENTRY, path, value), entry("e2"))).observations
     assert "e2" in [o.id for o in told] and len(malformed) <= 1
     catalogue = {"Node": "n", "ServiceID": "e1"}
@@ -250,31 +247,31 @@
         odd.decode_catalog_response(body(changed(catalogue, (("Node", "ServiceID")[len(path) % 2],), value)))
 
 
-def test_no_header_can_smuggle_a_line() -> None:
+def test_a_header_with_a_line_end_is_refused() -> None:
     with pytest.raises(WireError):
         HttpRequest("GET", "/", {"X-Consul-Token": "a\r\nX: b"}).encode("h")
 
 
-# --- the watch ---
-
 AGENTS = (Address("10.0.0.1", 8500), Address("10.0.0.2", 8500))
 
 
-def watch(**more: Any) -> ServiceWatch:
-    return ServiceWatch(WatchSettings("dc1", AGENTS, "engine", **more), answers()[0], 1)
+def make_watch(**more: Any) -> ServiceWatch:
+    return ServiceWatch(WatchSettings("dc1", AGENTS, "engine", **more), make_decoder()[0], 1)
 
 
-def ok(data: bytes, index: int | str = 7, **headers: str) -> HttpResponse:
+def ok_response(data: bytes, index: int | str = 7, **headers: str) -> HttpResponse:
     named = {k.replace("_", "-"): v for k, v in headers.items()}
     return HttpResponse(200, {"x-consul-index": str(index), **named}, data)
 
 
-def test_the_first_call_does_not_block_and_the_next_does() -> None:
-    w = watch(datacenter="z1", filter='Service.Meta.a == "b"', tag="t", token="secret", max_wait_ms=8000.0)
+def test_the_first_request_does_not_block_and_the_next_does() -> None:
+    w = make_watch(
+        datacenter="z1", filter='Service.Meta.a == "b"', tag="t", token="secret", max_wait_ms=8000.0
+    )
     first = w.next_request()
     assert first.target == "/v1/health/service/engine?dc=z1&filter=Service.Meta.a+%3D%3D+%22b%22&tag=t&stale"
     assert first.headers == {"X-Consul-Token": "secret"} and first.first_byte_timeout_ms == 1000
-    (report,) = w.on_response(ok(body(entry())))
+    (report,) = w.on_response(ok_response(body(entry())))
     assert isinstance(report, SourceReport) and [o.id for o in report.observations] == ["e1"]
     second = w.next_request()
     assert (
@@ -282,53 +279,55 @@
     )  # the wait, a sixteenth, a second
 
 
-def test_after_the_wait_the_same_answer_tells_only_that_all_is_as_it_was() -> None:
-    w = watch()
-    w.on_response(ok(body(entry())))
-    assert w.on_response(ok(body(entry()))) == [SourceReport("dc1", 7)] and w.decoder.decoded_count == 1
+def test_an_equal_response_after_the_wait_reports_no_change() -> None:
+    w = make_watch()
+    w.on_response(ok_response(body(entry())))
+    assert (
+        w.on_response(ok_response(body(entry()))) == [SourceReport("dc1", 7)] and w.decoder.decoded_count == 1
+    )
 
 
 def test_a_full_list_after_an_empty_one_under_the_same_index_is_read() -> None:
     """Found against the stand-in: the index alone was taken as proof that nothing had changed."""
-    w = watch()
-    w.on_response(ok(body(entry())))
-    assert w.on_response(ok(b"[]")) == [SourceReport("dc1", 7, absent=("e1",))]
-    (report,) = w.on_response(ok(body(entry())))
+    w = make_watch()
+    w.on_response(ok_response(body(entry())))
+    assert w.on_response(ok_response(b"[]")) == [SourceReport("dc1", 7, absent=("e1",))]
+    (report,) = w.on_response(ok_response(body(entry())))
     assert isinstance(report, SourceReport) and [o.id for o in report.observations] == ["e1"]
 
 
 @pytest.mark.parametrize("index, following", [("3", ""), ("0", ""), ("9", "index=9")])
 def test_an_index_that_goes_backwards_starts_anew(index: str, following: str) -> None:
-    w = watch()
-    w.on_response(ok(body(entry())))
-    w.on_response(ok(body(entry()), index))
+    w = make_watch()
+    w.on_response(ok_response(body(entry())))
+    w.on_response(ok_response(body(entry()), index))
     assert ("index=" in w.next_request().target) is bool(following) and following in w.next_request().target
 
 
 def test_an_index_of_0_counts_as_1() -> None:
-    w = watch()
-    w.on_response(ok(body(entry()), 0))
+    w = make_watch()
+    w.on_response(ok_response(body(entry()), 0))
     assert "index=1&" in w.next_request().target
 
 
 @pytest.mark.parametrize("bad", [{"x-consul-index": "x"}, {}, {"x-consul-index": "-1"}])
-def test_an_answer_without_a_usable_index_is_a_failure(bad: dict[str, str]) -> None:
-    (event,) = watch().on_response(HttpResponse(200, bad, body(entry())))
+def test_a_response_without_a_usable_index_is_a_failure(bad: dict[str, str]) -> None:
+    (event,) = make_watch().on_response(HttpResponse(200, bad, body(entry())))
     assert isinstance(event, SourceLost) and "X-Consul-Index" in event.reason
 
 
 @pytest.mark.parametrize("headers", [{"x_consul_knownleader": "false"}, {"x_consul_lastcontact": "5000"}])
-def test_an_answer_from_the_past_is_asked_for_again_at_the_leader(headers: dict[str, str]) -> None:
-    w = watch()
-    assert w.on_response(ok(b"[]", **headers)) == [] and "stale" not in w.next_request().target
-    (event,) = w.on_response(ok(b"[]", **headers))
+def test_a_stale_response_is_requested_again_from_the_leader(headers: dict[str, str]) -> None:
+    w = make_watch()
+    assert w.on_response(ok_response(b"[]", **headers)) == [] and "stale" not in w.next_request().target
+    (event,) = w.on_response(ok_response(b"[]", **headers))
     assert isinstance(event, SourceLost)
     assert w.next_request().target.endswith("?stale")
 
 
-def test_after_a_failure_the_next_agent_is_asked_and_pauses_grow_once_all_have_failed() -> None:
-    w = watch(min_backoff_ms=100.0, max_backoff_ms=400.0)
-    w.on_response(ok(body(entry())))
+def test_after_a_failure_the_next_agent_is_tried_and_the_backoff_grows_once_all_have_failed() -> None:
+    w = make_watch(min_backoff_ms=100.0, max_backoff_ms=400.0)
+    w.on_response(ok_response(body(entry())))
     pauses, asked = [], []
     for _ in range(10):
         asked.append(w.address)
@@ -338,7 +337,7 @@
     assert asked[:4] == [*AGENTS, *AGENTS]
     for i, most in enumerate([100, 100, 200, 200, 400, 400, 400, 400]):
         assert most / 2 <= pauses[i] <= most
-    w.on_response(ok(body(entry())))
+    w.on_response(ok_response(body(entry())))
     assert w.next_call_in_ms == 20.0
 
 
@@ -351,19 +350,19 @@
         (500, {}, 25, 50),
     ],
 )
-def test_refusals_are_losses_with_a_pause(
+def test_an_error_status_is_a_failure_with_a_pause(
     status: int, headers: dict[str, str], least: float, most: float
 ) -> None:
-    w = watch()
+    w = make_watch()
     (event,) = w.on_response(HttpResponse(status, headers, b"Permission\ndenied"))
     assert event == SourceLost("dc1", f"10.0.0.1:8500: status {status}: Permission denied")
     assert least <= w.next_call_in_ms <= most
 
 
 def test_an_absence_is_confirmed_at_the_leader_and_an_empty_catalogue_proves_nothing() -> None:
-    w = watch()
-    w.on_response(ok(body(entry("e1"), entry("e2"))))
-    w.on_response(ok(b"[]", 8))
+    w = make_watch()
+    w.on_response(ok_response(body(entry("e1"), entry("e2"))))
+    w.on_response(ok_response(b"[]", 8))
     w.confirm_absence(("e1", "e2"))
     assert w.next_request().target == "/v1/catalog/service/engine?consistent"
     assert w.on_response(HttpResponse(200, {}, b"[]")) == []
@@ -379,10 +378,7 @@
     assert "health" in w.next_request().target  # another answer decides first what is still absent
 
 
-# --- the own entry ---
-
-
-def registration(**more: Any) -> Registration:
+def make_registration(**more: Any) -> Registration:
     settings = RegistrationSettings(
         AGENTS[0], "n 1", "cottonhold", Address("10.1.0.1", 3306), token="t", **more
     )
@@ -392,8 +388,8 @@
 GOOD = HttpResponse(200, {}, b"")
 
 
-def test_the_entry_is_made_kept_and_removed() -> None:
-    r = registration()
+def test_the_entry_is_registered_kept_passing_and_deregistered() -> None:
+    r = make_registration()
     made = r.next_request(0, 0)
     assert made.target == "/v1/agent/service/register?replace-existing-checks=true"
     wanted = json.loads(made.body)
@@ -412,8 +408,8 @@
     assert r.phase is RegistrationPhase.DEREGISTERED
 
 
-def test_a_lagging_loop_is_critical_until_it_has_been_calm() -> None:
-    r = registration()
+def test_a_lagging_loop_is_critical_until_two_heartbeats_without_lag() -> None:
+    r = make_registration()
     r.next_request(0, 0)
     r.on_response(GOOD)
     states = []
@@ -424,8 +420,8 @@
 
 
 @pytest.mark.parametrize("status", [404, 500])
-def test_an_agent_that_forgot_the_entry_gets_it_anew_at_once(status: int) -> None:
-    r = registration()
+def test_an_agent_that_lost_the_entry_gets_it_registered_at_once(status: int) -> None:
+    r = make_registration()
     r.next_request(0, 0)
     r.on_response(GOOD)
     r.next_request(0, 0)
@@ -436,8 +432,8 @@
     assert r.registration_count == 2
 
 
-def test_failures_back_off_to_the_beat_and_a_leave_gives_up_in_the_end() -> None:
-    r = registration()
+def test_failures_back_off_to_the_heartbeat_interval_and_deregistration_gives_up() -> None:
+    r = make_registration()
     pauses = []
     for _ in range(8):
         r.next_request(0, 0)
--- a/tests/discovery/test_engine_catalog.py
+++ b/tests/discovery/test_engine_catalog.py
@@ -277,8 +277,6 @@
     assert told.engines["e0"].started_at == 9000.0 and told.live() == ["e0", "e1", "e2", "e3", "e4"]
 
 
-# --- any sequence of answers and faults ---
-
 PHASES = (Phase.explicit, Phase.generate)  # shrinking takes minutes: switch it on by hand for a failure
 NAMES = [f"e{i}" for i in range(6)]
 ENTRY = st.builds(
--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -56,7 +56,7 @@
     ],
     ids=["100", "three interim", "chunk extensions", "lengths with zeros"],
 )
-def test_an_answer_in_an_odd_form_is_the_same_answer(wire: bytes, size: int) -> None:
+def test_a_response_in_an_unusual_form_is_parsed_alike(wire: bytes, size: int) -> None:
     answer = receive(wire, size)
     assert answer is not None and (answer.status, answer.body) == (200, b"[]")
     assert answer.integer_header("x-consul-index") == 7 and "link" not in answer.headers
@@ -104,32 +104,30 @@
         "endless 100",
     ],
 )
-def test_an_answer_that_lies_or_has_no_end_is_refused(wire: bytes, why: str, size: int) -> None:
+def test_a_false_or_endless_response_is_refused(wire: bytes, why: str, size: int) -> None:
     with pytest.raises(WireError, match=why):
         receive(wire, size)
 
 
-def test_what_stands_behind_a_compressed_body_is_not_kept() -> None:
+def test_bytes_after_a_compressed_body_are_not_retained() -> None:
     packed = gzip.compress(b"[]")
     head = f"{OK}Content-Encoding: gzip\r\nContent-Length: {len(packed) + 1}\r\n\r\n".encode()
     with pytest.raises(WireError, match="behind the end"):
         receive(head + packed + b"x")
 
 
-def test_bytes_that_bring_the_body_further_are_no_endless_head() -> None:
+def test_a_long_body_does_not_count_as_an_endless_header() -> None:
     parts = [CHUNKS, *[b"1\r\nx\r\n"] * 20_000, b"0\r\n\r\n"]
     exchange = HttpResponseParser(20_000)
     last = [exchange.receive(part) for part in parts][-1]
     assert last is not None and len(last.body) == 20_000
 
 
-# --- on sockets ---
-
 HOLD = b""  # in a script: say nothing more and keep the connection
 Scripts = list[list[bytes]]
 
 
-class Scripted:
+class ScriptedServer:
     """A server that answers each call on each connection with the next bytes of that connection's script."""
 
     def __init__(self, scripts: Scripts) -> None:
@@ -151,14 +149,14 @@
             writer.close()
 
 
-async def listen(server: Scripted, context: ssl.SSLContext | None) -> asyncio.Server:
+async def listen(server: ScriptedServer, context: ssl.SSLContext | None) -> asyncio.Server:
     # asyncio keeps a TLS connection that it closes for 30 s, in case the other end still talks
     wait = None if context is None else 0.01
     return await asyncio.start_server(server.serve, "127.0.0.1", 0, ssl=context, ssl_shutdown_timeout=wait)
 
 
 def play(
-    server: Scripted,
+    server: ScriptedServer,
     scenario: Callable[[EventLoop, Address], Awaitable[None]],
     context: ssl.SSLContext | None = None,
 ) -> None:
@@ -189,7 +187,7 @@
     ],
     ids=["short body", "long length", "no last chunk", "no length", "101", "endless", "100", "junk", "two"],
 )
-def test_a_watch_counts_a_bad_answer_and_goes_on(script: list[bytes]) -> None:
+def test_a_watch_counts_an_invalid_response_and_continues(script: list[bytes]) -> None:
     async def scenario(driver: EventLoop, address: Address) -> None:
         names = ConfiguredNames(("z",), ("std",))
         settings = WatchSettings(
@@ -211,7 +209,7 @@
         assert driver.counters.counts["consul_failures"] == 1
         work.cancel()
 
-    play(Scripted([script, [GOOD, HOLD]]), scenario)
+    play(ScriptedServer([script, [GOOD, HOLD]]), scenario)
 
 
 @pytest.mark.parametrize("secure", [False, True], ids=["plain", "tls"])
@@ -224,7 +222,7 @@
     ],
     ids=["kept", "said to close", "closed between calls"],
 )
-def test_calls_share_a_connection_until_the_server_ends_it(
+def test_requests_share_a_connection_until_the_server_closes_it(
     scripts: Scripts, connections: int, secure: bool, tmp_path: Path
 ) -> None:
     async def scenario(driver: EventLoop, address: Address) -> None:
@@ -236,16 +234,16 @@
         assert server.taken == connections
         link.close()
 
-    server = Scripted(scripts)
-    tls, context = certified(tmp_path) if secure else (None, None)
+    server = ScriptedServer(scripts)
+    tls, context = make_certificates(tmp_path) if secure else (None, None)
     play(server, scenario, context)
 
 
 @pytest.mark.parametrize("secure", [False, True], ids=["plain", "tls"])
-def test_an_answer_from_before_the_call_is_not_taken_for_its_own(secure: bool, tmp_path: Path) -> None:
+def test_a_response_that_precedes_its_request_is_not_used(secure: bool, tmp_path: Path) -> None:
     """Found by reading: a second answer that came late was read as the answer to the next call."""
 
-    class Early(Scripted):
+    class Early(ScriptedServer):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.taken += 1
             await reader.readuntil(b"\r\n\r\n")
@@ -267,11 +265,11 @@
         assert [a.integer_header("x-consul-index") for a in (first, second)] == [7, 7] and early.taken == 2
         link.close()
 
-    tls, context = certified(tmp_path) if secure else (None, None)
+    tls, context = make_certificates(tmp_path) if secure else (None, None)
     play(early, scenario, context)
 
 
-def certified(folder: Path) -> tuple[TlsSettings, ssl.SSLContext]:
+def make_certificates(folder: Path) -> tuple[TlsSettings, ssl.SSLContext]:
     authority, context = trustme.CA(), ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     authority.issue_cert("127.0.0.1").configure_cert(context)
     authority.cert_pem.write_to_path(str(folder / "ca.pem"))
--- a/tests/discovery/test_malformed_lists.py
+++ b/tests/discovery/test_malformed_lists.py
@@ -58,7 +58,7 @@
 @given(st.one_of(LISTS.map(answered), st.binary(max_size=80), st.binary(max_size=40).map(answered)))
 @example(answered(orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": [
     {**ENTRY, "hostPort": "a:²"}, ENTRY]}}]})))  # fmt: skip
-def test_a_lists_bytes(data: bytes) -> None:
+def test_an_event_list_of_any_bytes_is_applied_or_refused(data: bytes) -> None:
     """What can be read of it reaches the gateway, and no number in it breaks a decision."""
     reports, counters = list[SourceReport](), Counters()
     try:
@@ -80,7 +80,7 @@
     assert untroubled(world) and len(world.clients["c2"].received) == 1, world.log
 
 
-def test_one_entry_that_can_not_be_read_costs_only_itself() -> None:
+def test_an_unreadable_entry_affects_only_itself() -> None:
     """Danger: one address with a digit of another script hid all that its answer told, again and again."""
     entries = [{**ENTRY, "hostPort": "a:²"}, {**ENTRY, "hostPort": "a:" + "9" * 5000}, ENTRY]
     body = orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": entries}}]})
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges as a scraper reads them, by the library's own reader."""
+"""Counters and gauges as a scraper parses them."""
 
 from __future__ import annotations
 
@@ -40,21 +40,21 @@
 Series = dict[tuple[str, str], float]
 
 
-def parsed(text: str) -> Series:
+def parse_series(text: str) -> Series:
     families = text_string_to_metric_families(text)
     return {(s.name, "".join(s.labels.values())): s.value for f in families for s in f.samples}
 
 
-class Word(Enum):
+class Step(Enum):
     NONE = "none"
     SOME = "some"
 
 
-def test_series_are_those_of_the_moment_and_any_name_is_safe() -> None:
+def test_series_are_current_and_any_counter_name_is_escaped() -> None:
     counts = {"answers_served": 3, 'odd "name"\n': 1}
-    metrics = Metrics(lambda: Readings(counts, 7, steps=tally(names_of(Word), ["some", "some"])))
+    metrics = Metrics(lambda: Readings(counts, 7, steps=tally(names_of(Step), ["some", "some"])))
     counts["answers_served"] += 1
-    assert parsed(metrics.text()) == {
+    assert parse_series(metrics.text()) == {
         ("cottonhold_events_total", "answers_served"): 4,
         ("cottonhold_events_total", 'odd "name"\n'): 1,
         ("cottonhold_open_requests", ""): 7,
@@ -63,8 +63,8 @@
     }
 
 
-def asked(folder: Path, **changes: Any) -> dict[str, Any]:
-    """What an instance by this file, just made, answers at its socket."""
+def query_metrics(folder: Path, **changes: Any) -> dict[str, Any]:
+    """The answer of a new instance's socket to the call `metrics`."""
     path = folder / "n1.json"
     path.write_text(json.dumps(FILE | changes))
 
@@ -82,10 +82,10 @@
 
 
 @pytest.mark.parametrize("changes", [{"metrics": True}, FLEET], ids=["one alone", "one of a fleet"])
-def test_an_instance_tells_its_counters_and_the_parts_that_it_has(
+def test_an_instance_reports_its_counters_and_the_parts_that_it_has(
     tmp_path: Path, changes: dict[str, Any]
 ) -> None:
-    got = parsed(asked(tmp_path, **changes)["metrics"])
+    got = parse_series(query_metrics(tmp_path, **changes)["metrics"])
     assert got["cottonhold_events_total", "answers_served"] == 5
     assert got["cottonhold_open_requests", ""] == 0
     assert got["cottonhold_engines", "live"] == 2 and got["cottonhold_engines", "draining"] == 0
@@ -96,7 +96,7 @@
         assert sum(value for (name, _), value in got.items() if name.endswith("recovery_verdict")) == 1
 
 
-def test_off_is_said_and_needs_a_socket(tmp_path: Path) -> None:
-    assert "off" in asked(tmp_path)["error"]
+def test_metrics_that_are_off_are_an_error_and_need_a_socket(tmp_path: Path) -> None:
+    assert "off" in query_metrics(tmp_path)["error"]
     with pytest.raises(UnusableConfigError, match="metrics: needs status_socket"):
-        asked(tmp_path, status_socket="", metrics=True)
+        query_metrics(tmp_path, status_socket="", metrics=True)
--- a/tests/observe/test_structured.py
+++ b/tests/observe/test_structured.py
@@ -1,4 +1,4 @@
-"""Structured lines: forms, limits and secrets."""
+"""Structured log lines: formats, rate limit and secrets."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
         return self.now
 
 
-def log(form: str = "json", secrets: tuple[str, ...] = ()) -> tuple[StructuredLog, io.StringIO, Clock]:
+def make_log(form: str = "json", secrets: tuple[str, ...] = ()) -> tuple[StructuredLog, io.StringIO, Clock]:
     stream, clock = io.StringIO(), Clock()
     return StructuredLog(form, 10.0, 5.0, secrets, stream, clock, name="n1"), stream, clock
 
 
-def lines(stream: io.StringIO) -> list[dict[str, object]]:
+def read_lines(stream: io.StringIO) -> list[dict[str, object]]:
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
-def test_an_event_is_one_line_in_either_form() -> None:
+def test_an_event_is_one_line_in_either_format() -> None:
     for form, wanted in (("json", '"event": "engine_out"'), ("logfmt", "event=engine_out")):
-        made, stream, _ = log(form)
+        made, stream, _ = make_log(form)
         made.note("engine_out", engine="e 1", why='a "quoted"\nreason')
         assert wanted in stream.getvalue() and stream.getvalue().count("\n") == 1
 
 
-def test_a_storm_is_cut_and_the_next_line_counts_what_was_dropped() -> None:
-    made, stream, clock = log()
+def test_a_storm_is_limited_and_the_next_line_counts_what_was_dropped() -> None:
+    made, stream, clock = make_log()
     for i in range(1000):
         made.note("storm" if i % 10 else "other", i=i)
     clock.now = 1.0
     made.write_line("calm")
-    got = lines(stream)
+    got = read_lines(stream)
     assert len(got) == 6 and got[-1]["dropped"] == 995 and got[-1]["dropped_most"] == "storm"
 
 
 def test_dropped_events_of_many_names_are_counted_in_bounded_memory() -> None:
-    made, _, _ = log()
+    made, _, _ = make_log()
     for i in range(5000):
         made.note(f"event {i}")
     assert len(made.limiter.dropped) <= 65 and sum(made.limiter.dropped.values()) == 4995
 
 
-def test_secrets_are_never_printed_however_they_come() -> None:
-    made, stream, _ = log(secrets=("s3cr3t",))
+def test_secrets_are_never_printed_in_any_field() -> None:
+    made, stream, _ = make_log(secrets=("s3cr3t",))
     made.note("call", token="x", X_Consul_Token="y", why="403 for s3cr3t", deep={"list": ["s3cr3t!"]})
     made.write_line("s3cr3t")
     text = stream.getvalue()
