--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -165,7 +165,7 @@
 Scenario = Callable[[Site], Coroutine[Any, Any, None]]
 
 
-def play(folder: Path, scenario: Scenario) -> None:
+def run_scenario(folder: Path, scenario: Scenario) -> None:
     async def main() -> None:
         async with site(folder) as made:
             await asyncio.wait_for(scenario(made), 60)
@@ -173,7 +173,7 @@
     uvloop.run(main())
 
 
-async def serving(s: Site, *ids: str, **more: Any) -> None:
+async def start_serving(s: Site, *ids: str, **more: Any) -> None:
     address = await s.consul()
     await s.engines_in(0, *ids)
     await s.start({**SOURCE, "addresses": [address]}, **more)
@@ -182,7 +182,7 @@
 
 def test_queries_run_on_what_consul_lists_and_follow_its_changes(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
-        await serving(s, "e1", "e2", "e3")
+        await start_serving(s, "e1", "e2", "e3")
         assert b"e" in await s.query(1)
         s.script("0 critical e1\n0 maintenance e2 on")
         await s.until(lambda: s.live() == ["e3"], "two out")
@@ -194,7 +194,7 @@
             s.node.engines.endpoints["e1"].engine.started_at > 0
         )  # back as cold: nothing proves the old process
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 FAULTS = [
@@ -211,9 +211,9 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_no_fault_of_consul_empties_the_list_and_news_comes_after_it(tmp_path: Path, fault: str) -> None:
+def test_no_fault_of_consul_empties_the_list_and_changes_follow_after_it(tmp_path: Path, fault: str) -> None:
     async def scenario(s: Site) -> None:
-        await serving(s, "e1", "e2", "e3", "e4")
+        await start_serving(s, "e1", "e2", "e3", "e4")
         server = s.servers[0]
         answered = len(server.calls)
         s.script(f"0 fault {fault}\n0 critical e4")
@@ -237,32 +237,32 @@
             )
         await s.until(lambda: s.live() == ["e1", "e2", "e3"], "the news after the fault")
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("fault", ["gzip 60", "chunked 60", "backwards 60"])
-def test_answers_in_other_forms_are_understood(tmp_path: Path, fault: str) -> None:
+def test_responses_in_other_forms_are_understood(tmp_path: Path, fault: str) -> None:
     async def scenario(s: Site) -> None:
-        await serving(s, "e1", "e2", "e3")
+        await start_serving(s, "e1", "e2", "e3")
         s.script(f"0 fault {fault}\n0 critical e1")
         await s.until(lambda: s.live() == ["e2", "e3"], "the change")
         s.script("0 passing e1")
         await s.until(lambda: len(s.live()) == 3, "the return")
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_all_critical_within_one_answer_keeps_the_last_list(tmp_path: Path) -> None:
+def test_all_critical_in_one_response_keeps_the_last_list(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
-        await serving(s, "e1", "e2", "e3", "e4")
+        await start_serving(s, "e1", "e2", "e3", "e4")
         s.script("\n".join(f"0 critical e{i}" for i in (1, 2, 3, 4)))
         await s.until(lambda: s.events("floor_holds"), "the floor")
         assert len(s.live()) >= 2 and b"e" in await s.query(1)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_flapping_ten_times_lets_the_engine_in_a_few_times_only(tmp_path: Path) -> None:
+def test_an_engine_that_flaps_ten_times_returns_a_few_times_only(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         source = {**SOURCE, "guard": {"quiet_ms": 200, "jitter": 0}}
         address = await s.consul()
@@ -277,10 +277,10 @@
             await s.until(lambda at=index: s.node.engine_catalog.views["dc1"].index >= at, "the news")  # type: ignore[misc]
         assert len(s.events("engine_in")) <= 3
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_drain_lets_a_load_finish_that_runs_there_and_sends_nothing_new(tmp_path: Path) -> None:
+def test_a_drain_lets_a_running_load_finish_and_sends_nothing_new(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         address = await s.consul()
         await s.engines_in(0, "e1", work_ms=1500)
@@ -296,12 +296,12 @@
         assert b"e1" in await load
         assert s.engines["e1"].runs == {f"{1:016x}": 1} and s.engines["e2"].runs == {f"{2:016x}": 1}
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_deregistered_and_registered_anew_under_its_id_at_a_new_address(tmp_path: Path) -> None:
+def test_an_engine_registered_anew_at_a_new_address_serves_there(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
-        await serving(s, "e1", "e2")
+        await start_serving(s, "e1", "e2")
         old = s.addresses["e1"]
         new = await s.engine("e1")
         assert new != old
@@ -311,10 +311,10 @@
         )
         assert s.node.engines.endpoints["e1"].engine.started_at > 0
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_two_sources_that_disagree(tmp_path: Path) -> None:
+def test_of_two_sources_that_disagree_the_cautious_claim_wins(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         addresses = [await s.consul(), await s.consul()]
         await s.engines_in(0, "e1", "e2", "e3")
@@ -330,10 +330,10 @@
             "the other's word",
         )
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_unreachable_at_start_the_known_list_serves_and_the_log_says_so(tmp_path: Path) -> None:
+def test_with_consul_unreachable_at_start_initial_engines_serve_and_it_is_logged(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         address = await s.engine("e1")
         await s.start({**SOURCE, "addresses": ["127.0.0.1:1"]}, known=[{"id": "e1", "address": address}])
@@ -343,10 +343,10 @@
         s.node._report_silence()
         assert "engines_known=1" in s.events("source_unheard")[0]
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_known_engine_that_consul_does_not_list_goes_with_its_first_answer(tmp_path: Path) -> None:
+def test_an_initial_engine_that_consul_does_not_list_goes_with_its_first_response(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         address = await s.consul()
         await s.engines_in(0, "e1", "e2")
@@ -360,10 +360,10 @@
             0.0
         }  # known before: not cold
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_list_known_that_is_all_wrong_is_replaced_once_the_catalogue_agrees(tmp_path: Path) -> None:
+def test_a_wrong_initial_list_is_replaced_once_the_catalogue_confirms(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         address = await s.consul()
         await s.engines_in(0, "e1")
@@ -372,10 +372,10 @@
         await s.until(lambda: s.live() == ["e1"], "the floor gives way to a consistent reading")
         assert any("/v1/catalog/service/engine?consistent" in url for _, _, url in s.servers[0].calls)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_lag_of_a_loop_that_stood_still_is_seen() -> None:
+def test_the_lag_of_a_stalled_loop_is_measured() -> None:
     async def main() -> float:
         meter = LoopLagMeter(asyncio.get_running_loop())
         await asyncio.sleep(0)
@@ -385,7 +385,7 @@
     assert uvloop.run(main()) > 100
 
 
-def test_unreachable_in_service_then_another_agent_and_back(tmp_path: Path) -> None:
+def test_an_unreachable_agent_is_replaced_by_another_and_returns(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         addresses = [await s.consul(), await s.consul()]
         await s.engines_in(0, "e1", "e2")
@@ -402,10 +402,10 @@
         await s.until(lambda: s.node.counters.counts["consul_failures"] > 8, "many tries")
         assert s.live() == ["e2"] and b"e2" in await s.query(1)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_token_revoked_in_service_keeps_the_list_and_a_reload_brings_the_new_one(tmp_path: Path) -> None:
+def test_a_revoked_token_keeps_the_list_and_a_reload_applies_a_new_one(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         address = await s.consul(token="first-token")
         await s.engines_in(0, "e1", "e2")
@@ -422,10 +422,10 @@
         await s.until(lambda: s.events("source_back") and s.live() == ["e2"], "back with the new token")
         assert "first-token" not in s.log.getvalue() and "second-token" not in s.log.getvalue()
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_reload_takes_sources_in_and_out_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_a_reload_adds_and_removes_sources_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         addresses = [await s.consul(), await s.consul()]
         await s.engines_in(0, "e1", "e2")
@@ -444,12 +444,12 @@
         s.node.reload()
         assert s.live() == ["e3", "e4"]
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_answer_of_20_mb_is_taken_and_one_past_the_limit_refused(tmp_path: Path) -> None:
+def test_a_response_of_20_mb_is_applied_and_one_past_the_limit_refused(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
-        await serving(s, "e1", "e2")
+        await start_serving(s, "e1", "e2")
         server = s.servers[0]
         for i in range(200):
             server.add_engine(f"big{i}", f"127.0.0.2:{1000 + i}", pad="x" * 100_000)
@@ -468,10 +468,10 @@
         await s.until(lambda: s.events("source_lost"), "the refusal")
         assert "more than 1000000 bytes" in s.events("source_lost")[0] and len(s.live()) == 202
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_https_with_an_authority_of_its_own_a_client_certificate_and_ipv6(tmp_path: Path) -> None:
+def test_https_with_a_private_authority_a_client_certificate_and_ipv6(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         authority = trustme.CA()
         ours, theirs = authority.issue_cert("::1", "consul.test"), authority.issue_cert("n1.test")
@@ -501,10 +501,10 @@
         await s.until(lambda: s.events("source_lost"), "a server under another name")
         assert "ertificate" in s.events("source_lost")[0] and s.live() == ["e2"]
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_own_entry_survives_an_agent_that_forgets_and_goes_with_the_dispatcher(tmp_path: Path) -> None:
+def test_the_registration_survives_an_agent_without_data_and_ends_with_the_dispatcher(tmp_path: Path) -> None:
     async def scenario(s: Site) -> None:
         address = await s.consul()
         await s.engines_in(0, "e1")
@@ -522,7 +522,7 @@
         await asyncio.gather(*leaving)
         assert not there() and s.node.entry is not None and s.node.entry.registration.is_finished()
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def free_port() -> int:
@@ -532,7 +532,7 @@
         return int(spare.getsockname()[1])
 
 
-def test_the_console_program_serves_reloads_and_leaves_in_order(tmp_path: Path) -> None:
+def test_the_command_serves_reloads_and_shuts_down_gracefully(tmp_path: Path) -> None:
     """The whole program as operators run it: stand-ins, `serve --config`, SIGHUP, SIGTERM."""
     program = [sys.executable, "-m", "cottonhold.cli.main"]
     environ = {**os.environ, "PYTHONUNBUFFERED": "1"}
--- a/tests/discovery/test_engine_catalog.py
+++ b/tests/discovery/test_engine_catalog.py
@@ -25,7 +25,7 @@
 from cottonhold.scheduler.events import Engine, EngineState
 
 LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.REMOVED
-IN, TROUBLED, DRAINED, ENDED = (
+IN, UNHEALTHY, DRAINED, ENDED = (
     ServiceStatus.IN_SERVICE,
     ServiceStatus.UNHEALTHY,
     ServiceStatus.DRAINED,
@@ -34,13 +34,13 @@
 GUARD = SourceGuard(jitter=0.0)
 
 
-def seen(name: str, verdict: ServiceStatus = IN, **more: Any) -> Observation:
+def make_observation(name: str, verdict: ServiceStatus = IN, **more: Any) -> Observation:
     number = int(name[1:]) if name[1:].isdigit() else 0
     given = {"address": Address("10.0.0.1", 1000 + number), "registration_index": 5, **more}
     return Observation(name, verdict, **given)
 
 
-class Told:
+class CatalogHarness:
     """A belief, and what has been published of it."""
 
     def __init__(self, *sources: tuple[str, SourceGuard], seed: int = 1) -> None:
@@ -78,16 +78,16 @@
         return [a.event for a in self.actions if isinstance(a, LogEvent)]
 
 
-def five(*bad: str, verdict: ServiceStatus = TROUBLED) -> list[Observation]:
-    return [seen(f"e{i}", verdict if f"e{i}" in bad else IN) for i in range(5)]
+def make_five(*bad: str, verdict: ServiceStatus = UNHEALTHY) -> list[Observation]:
+    return [make_observation(f"e{i}", verdict if f"e{i}" in bad else IN) for i in range(5)]
 
 
-def test_a_symptom_takes_effect_at_once_and_a_return_needs_quiet() -> None:
-    told = Told()
-    told.tell(*five())
-    told.tell(*five("e1"), at=2000)
+def test_an_unhealthy_engine_is_out_at_once_and_returns_after_a_quiet_time() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
+    told.tell(*make_five("e1"), at=2000)
     assert told.states()["e1"] is DRAINING
-    told.tell(*five(), at=2100)
+    told.tell(*make_five(), at=2100)
     assert told.states()["e1"] is DRAINING and told.belief.next_at() == 3100
     told.step(at=3099)
     assert told.states()["e1"] is DRAINING
@@ -95,23 +95,23 @@
     assert told.states()["e1"] is LIVE
 
 
-def test_an_engine_that_comes_back_counts_as_cold_unless_its_process_is_proven_the_same() -> None:
+def test_an_engine_that_returns_is_cold_unless_its_process_is_proven_the_same() -> None:
     for process, started in (("", 3100.0), ("77", 77.0)):
-        told = Told()
+        told = CatalogHarness()
         more: dict[str, Any] = {"process_id": process, "started_at": float(process or 0)}
-        told.tell(*five(), seen("e9", **more))
-        told.tell(*five(), seen("e9", TROUBLED, **more), at=2000)
-        told.tell(*five(), seen("e9", **more), at=2100)
+        told.tell(*make_five(), make_observation("e9", **more))
+        told.tell(*make_five(), make_observation("e9", UNHEALTHY, **more), at=2000)
+        told.tell(*make_five(), make_observation("e9", **more), at=2100)
         told.step(at=3100)
         assert told.engines["e9"].started_at == started
 
 
-def test_ten_flaps_in_ten_seconds_let_the_engine_in_twice_at_most() -> None:
-    told = Told()
-    told.tell(*five())
+def test_ten_flaps_in_ten_seconds_return_the_engine_twice_at_most() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
     for i in range(10):
-        told.tell(*five("e1"), at=2000 + i * 1000)
-        told.tell(*five(), at=2500 + i * 1000)
+        told.tell(*make_five("e1"), at=2000 + i * 1000)
+        told.tell(*make_five(), at=2500 + i * 1000)
     told.step(at=60_000)
     entries = [
         at for at, engine_id, state in told.published if engine_id == "e1" and state is LIVE and at > 2000
@@ -124,88 +124,94 @@
     assert quiet.failure_count("e1", 3_000_000) == 0 and not quiet.counts
 
 
-def test_all_critical_within_one_answer_leaves_the_last_list_in_force() -> None:
-    told = Told()
-    told.tell(*five())
-    told.tell(*(seen(f"e{i}", TROUBLED) for i in range(5)))
+def test_all_critical_in_one_report_leaves_the_last_list_in_force() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
+    told.tell(*(make_observation(f"e{i}", UNHEALTHY) for i in range(5)))
     assert len(told.live()) == 5 and "floor_holds" in told.events()
-    told.tell(*five("e1", "e2"))  # three are well again: now the two that aren't do count
+    told.tell(*make_five("e1", "e2"))  # three are well again: now the two that aren't do count
     assert told.live() == ["e0", "e3", "e4"]
 
 
-def test_an_empty_answer_after_a_full_one_is_confirmed_before_it_counts() -> None:
-    told = Told()
-    told.tell(*five())
+def test_an_empty_report_after_a_full_one_is_confirmed_before_it_counts() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
     told.tell()
     assert len(told.live()) == 5 and ConfirmAbsence("dc1", ("e0", "e1", "e2", "e3", "e4")) in told.actions
     told.step(SourceReport("dc1", 8, absent=("e0", "e1", "e2"), is_confirmed=True))
     assert told.live() == ["e3", "e4"] and not [a for a in told.actions if isinstance(a, ConfirmAbsence)]
 
 
-def test_one_engine_told_as_deregistered_does_count_but_not_the_last() -> None:
-    told = Told()
-    told.tell(seen("e0"), seen("e1"))
-    told.tell(seen("e0"))
+def test_one_deregistered_engine_is_removed_but_not_the_last() -> None:
+    told = CatalogHarness()
+    told.tell(make_observation("e0"), make_observation("e1"))
+    told.tell(make_observation("e0"))
     assert told.states() == {"e0": LIVE}
     told.tell()
     assert told.states() == {"e0": LIVE}
 
 
-def test_waiting_engines_do_not_count_as_serving_when_the_rest_falls() -> None:
+def test_engines_in_their_quiet_time_do_not_count_as_in_service() -> None:
     """Half fall and come back; while they wait for their quiet the other half falls."""
-    told = Told()
+    told = CatalogHarness()
     half, rest = ("e0", "e1"), ("e2", "e3", "e4")
-    told.tell(*five())
-    told.tell(*five(*half), at=2000)
-    told.tell(*five(), at=2100)
-    told.tell(*five(*rest), at=2200)
+    told.tell(*make_five())
+    told.tell(*make_five(*half), at=2000)
+    told.tell(*make_five(), at=2100)
+    told.tell(*make_five(*rest), at=2200)
     assert told.live() == list(rest)
     told.step(at=3100)  # the first two serve again, but two of five are too few to let the others fall
     assert told.live() == ["e0", "e1", *rest]
 
 
-def test_a_told_drain_counts_whatever_the_floor_says() -> None:
-    told = Told()
-    told.tell(*five())
-    told.tell(*(seen(f"e{i}", DRAINED) for i in range(5)))
+def test_a_drain_counts_whatever_min_in_service_is() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
+    told.tell(*(make_observation(f"e{i}", DRAINED) for i in range(5)))
     assert told.live() == []
 
 
-def test_registered_anew_under_the_same_id_is_a_new_process_though_no_gap_was_seen() -> None:
-    told = Told()
-    told.tell(*five())
-    told.tell(*five()[1:], seen("e0", registration_index=9), at=5000)
+def test_an_id_registered_anew_is_a_new_process_even_without_a_gap() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
+    told.tell(*make_five()[1:], make_observation("e0", registration_index=9), at=5000)
     assert told.engines["e0"] == Engine("e0", started_at=5000.0)
 
 
-def test_an_old_id_at_a_new_address_is_a_new_process() -> None:
-    told = Told()
-    told.tell(*five())
+def test_a_known_id_at_a_new_address_is_a_new_process() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
     moved = Address("10.0.0.9", 1)
-    told.tell(*five()[1:], seen("e0", address=moved), at=5000)
+    told.tell(*make_five()[1:], make_observation("e0", address=moved), at=5000)
     assert told.engines["e0"].started_at == 5000 and told.addresses["e0"] == moved
 
 
-def test_a_new_id_at_an_old_address_takes_it_and_the_old_id_gets_nothing_new() -> None:
-    told = Told()
-    told.tell(*five())
-    told.tell(*five(), seen("e9", address=seen("e0").address, registration_index=9), at=5000)
+def test_a_new_id_at_a_known_address_owns_it_and_the_old_id_drains() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
+    told.tell(
+        *make_five(),
+        make_observation("e9", address=make_observation("e0").address, registration_index=9),
+        at=5000,
+    )
     assert told.states()["e9"] is LIVE and told.engines["e9"].started_at == 5000
     assert told.states()["e0"] is DRAINING and "address_taken" in told.events()
-    told.tell(*five(), at=6000)
+    told.tell(*make_five(), at=6000)
     assert told.states()["e0"] is LIVE and "e9" not in told.states()
 
 
 def test_a_stale_id_with_the_older_registration_does_not_take_the_address() -> None:
-    told = Told()
-    told.tell(*five())
-    told.tell(*five(), seen("e9", address=seen("e0").address, registration_index=2))
+    told = CatalogHarness()
+    told.tell(*make_five())
+    told.tell(
+        *make_five(), make_observation("e9", address=make_observation("e0").address, registration_index=2)
+    )
     assert told.states()["e9"] is DRAINING and told.states()["e0"] is LIVE
 
 
-def test_a_source_that_is_lost_changes_nothing_and_says_so_once() -> None:
-    told = Told()
-    told.tell(*five())
+def test_an_unreachable_source_changes_nothing_and_is_logged_once() -> None:
+    told = CatalogHarness()
+    told.tell(*make_five())
     told.step(SourceLost("dc1", "refused"))
     assert told.events() == ["source_lost"] and len(told.live()) == 5
     told.step(SourceLost("dc1", "refused"), at=400_000)
@@ -214,75 +220,82 @@
     assert told.events() == ["source_back"]
 
 
-def test_of_two_sources_the_cautious_word_wins() -> None:
-    told = Told(("a", GUARD), ("b", GUARD))
-    told.tell(*five(), source="a")
-    told.tell(*five("e1"), source="b")
+def test_of_two_sources_the_more_cautious_claim_wins() -> None:
+    told = CatalogHarness(("a", GUARD), ("b", GUARD))
+    told.tell(*make_five(), source="a")
+    told.tell(*make_five("e1"), source="b")
     assert told.states()["e1"] is DRAINING and told.states()["e2"] is LIVE
 
 
-def test_an_end_told_by_one_source_drains_until_the_other_has_answered_after_it() -> None:
-    told = Told(("a", GUARD), ("b", GUARD))
-    told.tell(*five(), source="a")
-    told.tell(*five(), source="b")
-    told.tell(*five()[1:], source="a")
+def test_an_end_reported_by_one_source_drains_until_the_other_answers() -> None:
+    told = CatalogHarness(("a", GUARD), ("b", GUARD))
+    told.tell(*make_five(), source="a")
+    told.tell(*make_five(), source="b")
+    told.tell(*make_five()[1:], source="a")
     assert told.states()["e0"] is DRAINING
     told.step(SourceReport("b", 9))  # nothing changed there: it still lists e0
     assert told.states()["e0"] is LIVE
-    told.tell(*five()[1:], source="b")
+    told.tell(*make_five()[1:], source="b")
     assert "e0" not in told.states()
 
 
-def test_a_source_taken_out_of_the_configuration_ends_no_engine_that_another_lists() -> None:
-    told = Told(("a", GUARD), ("b", GUARD))
-    told.tell(*five(), source="a")
-    told.tell(*five(), seen("e9"), source="b")
+def test_a_removed_source_ends_no_engine_that_another_lists() -> None:
+    told = CatalogHarness(("a", GUARD), ("b", GUARD))
+    told.tell(*make_five(), source="a")
+    told.tell(*make_five(), make_observation("e9"), source="b")
     actions = told.belief.reload(2000.0, (("a", GUARD),))
     (publish,) = [a for a in actions if isinstance(a, PublishChange)]
     assert publish.change.engines == (Engine("e9", state=GONE),)
 
 
-def test_the_trusted_bus_is_taken_at_its_word() -> None:
-    told = Told(("bus", SourceGuard(is_trusted=True)))
-    told.tell(seen("e0", started_at=0.0), seen("e1", started_at=9e12), source="bus")
+def test_a_trusted_source_has_no_quiet_times_and_no_minimum_in_service() -> None:
+    told = CatalogHarness(("bus", SourceGuard(is_trusted=True)))
+    told.tell(make_observation("e0", started_at=0.0), make_observation("e1", started_at=9e12), source="bus")
     assert told.engines["e0"].started_at == 0.0
     assert told.engines["e1"].started_at == told.now == 1001.0  # but no start is to come
-    told.step(SourceReport("bus", 3, (seen("e0", ENDED), seen("e1", DRAINED))))
+    told.step(SourceReport("bus", 3, (make_observation("e0", ENDED), make_observation("e1", DRAINED))))
     assert told.states() == {"e1": DRAINING}
-    told.step(SourceReport("bus", 4, (seen("e1"),)))
+    told.step(SourceReport("bus", 4, (make_observation("e1"),)))
     assert told.states() == {"e1": LIVE} and told.belief.next_at() == float("inf")
     told.tell(source="bus")
     assert told.states() == {}
 
 
-def test_the_known_list_serves_until_a_source_answers_and_its_engines_are_not_cold() -> None:
-    told = Told()
-    told.take(told.belief.set_initial(1000.0, [dataclasses.replace(o, registration_index=0) for o in five()]))
+def test_initial_engines_serve_until_a_source_answers_and_are_not_cold() -> None:
+    told = CatalogHarness()
+    told.take(
+        told.belief.set_initial(1000.0, [dataclasses.replace(o, registration_index=0) for o in make_five()])
+    )
     told.step(SourceLost("dc1", "refused"))
-    told.tell(*five()[:4], seen("e7"), at=9000)
+    told.tell(*make_five()[:4], make_observation("e7"), at=9000)
     assert told.live() == ["e0", "e1", "e2", "e3", "e7"]
     assert {e.started_at for e in told.engines.values() if e.state is LIVE} == {0.0}
 
 
-def test_an_engine_known_from_before_is_as_old_as_the_first_answer_tells() -> None:
-    told = Told()
+def test_an_initial_engine_is_as_old_as_the_first_answer_reports() -> None:
+    told = CatalogHarness()
     told.take(
-        told.belief.set_initial(10_000.0, [dataclasses.replace(o, registration_index=0) for o in five()])
+        told.belief.set_initial(10_000.0, [dataclasses.replace(o, registration_index=0) for o in make_five()])
+    )
+    told.tell(
+        make_observation("e0", started_at=9000.0),
+        make_observation("e1", started_at=99_000.0),
+        *make_five()[2:],
+        at=11_000,
     )
-    told.tell(seen("e0", started_at=9000.0), seen("e1", started_at=99_000.0), *five()[2:], at=11_000)
     assert {e.id: e.started_at for e in told.engines.values()} == {
         "e0": 9000.0, "e1": 11_000.0, "e2": 0.0, "e3": 0.0, "e4": 0.0
     }  # fmt: skip
-    told.tell(seen("e0", started_at=9000.0), *five()[1:], at=12_000)
+    told.tell(make_observation("e0", started_at=9000.0), *make_five()[1:], at=12_000)
     assert told.engines["e0"].started_at == 9000.0 and told.live() == ["e0", "e1", "e2", "e3", "e4"]
 
 
 PHASES = (Phase.explicit, Phase.generate)  # shrinking takes minutes: switch it on by hand for a failure
 NAMES = [f"e{i}" for i in range(6)]
 ENTRY = st.builds(
-    seen,
+    make_observation,
     st.sampled_from(NAMES),
-    st.sampled_from([IN, IN, IN, TROUBLED, TROUBLED, DRAINED]),
+    st.sampled_from([IN, IN, IN, UNHEALTHY, UNHEALTHY, DRAINED]),
     registration_index=st.integers(1, 3),
     address=st.sampled_from([Address("10.0.0.1", 1000 + i) for i in range(6)]),
     process_id=st.sampled_from(["", "1", "2"]),
@@ -296,10 +309,10 @@
 )
 
 
-def play(steps: list[Any], check: bool = True) -> Told:
-    told = Told(("a", SourceGuard()), ("b", SourceGuard()), seed=3)
-    told.tell(*five(), source="a")
-    told.tell(*five(), source="b")
+def play(steps: list[Any], check: bool = True) -> CatalogHarness:
+    told = CatalogHarness(("a", SourceGuard()), ("b", SourceGuard()), seed=3)
+    told.tell(*make_five(), source="a")
+    told.tell(*make_five(), source="b")
     for source, kind, observations, gap in steps:
         view, at = told.belief.views[source], told.now + gap
         served = any(c.state is LIVE for c in view.claims.values())
@@ -320,23 +333,25 @@
     return told
 
 
-def check_answer(told: Told, source: str, observations: list[Observation], served: bool) -> None:
+def check_answer(told: CatalogHarness, source: str, observations: list[Observation], served: bool) -> None:
     view = told.belief.views[source]
     for o in observations:
         if o.status is DRAINED:  # told drains count at once, always
             assert told.states().get(o.id) is not LIVE
-        elif o.status is TROUBLED:
+        elif o.status is UNHEALTHY:
             assert told.states().get(o.id) is not LIVE or view.claims[o.id].is_held
     # Symptoms and absences alone never take the last engine of a source out of service.
     if served and not any(o.status is DRAINED for o in observations):
         assert any(c.state is LIVE for c in view.claims.values())
 
 
-def check_counts(told: Told) -> None:
+def check_counts(told: CatalogHarness) -> None:
     for view in told.belief.views.values():
         claims = view.claims.values()
         assert view.in_service_count == sum(c.observation.status is IN and not c.is_held for c in claims)
-        assert view.unhealthy_count == sum(c.observation.status is TROUBLED and not c.is_held for c in claims)
+        assert view.unhealthy_count == sum(
+            c.observation.status is UNHEALTHY and not c.is_held for c in claims
+        )
         assert view.held_losses.keys() == {c.observation.id for c in claims if c.is_held}
         assert view.return_times.keys() == {c.observation.id for c in claims if c.returns_at < float("inf")}
         for c in claims:
@@ -347,19 +362,19 @@
 
 @settings(max_examples=150, deadline=None, phases=PHASES)
 @given(st.lists(STEP, max_size=25))
-def test_any_sequence_keeps_the_books_and_the_guards_and_replays_the_same(steps: list[Any]) -> None:
+def test_any_sequence_keeps_counts_and_guards_and_repeats_by_seed(steps: list[Any]) -> None:
     first, second = play(steps), play(steps)
     assert first.published == second.published and first.engines == second.engines
 
 
 @settings(max_examples=60, deadline=None, phases=PHASES)
 @given(st.lists(st.tuples(st.booleans(), st.floats(1, 3000)), min_size=1, max_size=60))
-def test_flaps_are_bounded_whatever_their_rhythm(steps: list[tuple[bool, float]]) -> None:
+def test_returns_of_a_flapping_engine_are_bounded(steps: list[tuple[bool, float]]) -> None:
     """In any minute an engine comes back at most seven times: quiet doubles while falls decay by half."""
-    told = Told(seed=3)
-    told.tell(*five())
+    told = CatalogHarness(seed=3)
+    told.tell(*make_five())
     for well, gap in steps:
-        told.tell(*(five() if well else five("e1")), at=told.now + gap)
+        told.tell(*(make_five() if well else make_five("e1")), at=told.now + gap)
     entries = [at for at, engine_id, state in told.published if engine_id == "e1" and state is LIVE][1:]
     for start in entries:
         assert sum(start <= at < start + 60_000 for at in entries) <= 7
@@ -367,11 +382,11 @@
 
 @settings(max_examples=80, deadline=None, phases=PHASES)
 @given(st.lists(st.tuples(LISTS, st.floats(1, 500)), max_size=30))
-def test_only_told_drains_and_confirmed_ends_empty_the_list(steps: list[Any]) -> None:
-    told = Told(seed=4)
-    told.tell(*five())
+def test_only_drains_and_confirmed_ends_empty_the_list(steps: list[Any]) -> None:
+    told = CatalogHarness(seed=4)
+    told.tell(*make_five())
     for observations, gap in steps:
-        symptoms = [dataclasses.replace(o, address=seen(o.id).address) for o in observations]
+        symptoms = [dataclasses.replace(o, address=make_observation(o.id).address) for o in observations]
         symptoms = [o for o in symptoms if o.status is not DRAINED]
         told.tell(*symptoms, at=told.now + gap)
         assert told.live()
--- a/tests/discovery/test_event_stream.py
+++ b/tests/discovery/test_event_stream.py
@@ -38,10 +38,10 @@
     return f"HTTP/1.1 200 OK\r\n{head.format(len(body))}\r\n\r\n".encode() + body
 
 
-Play = Callable[["Call"], Awaitable[None]]
+Play = Callable[["ServerConnection"], Awaitable[None]]
 
 
-class Call:
+class ServerConnection:
     """One connection that the bus has taken, with the first call on it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, text: bytes) -> None:
@@ -56,7 +56,7 @@
         return self.text
 
 
-class Rig:
+class StreamHarness:
     """A driver that follows a bus whose connections play a script each, one after the other."""
 
     def __init__(self, offset: int = 3) -> None:
@@ -77,7 +77,7 @@
         for script in scripts:
             sock, _ = await self.loop.sock_accept(self.listener)
             held.append(sock)
-            call = Call(self.loop, sock, await self.loop.sock_recv(sock, 1000))
+            call = ServerConnection(self.loop, sock, await self.loop.sock_recv(sock, 1000))
             self.calls.append(call.text)
             await script(call)
         following.cancel()
@@ -98,15 +98,15 @@
     return asyncio.run(limited())
 
 
-async def silence(call: Call) -> None:
+async def send_nothing(call: ServerConnection) -> None:
     """Say nothing until the dispatcher gives the connection up."""
     assert await call.next() == b""
 
 
-def saying(*parts: bytes, close: bool = False) -> Play:
+def respond_with(*parts: bytes, close: bool = False) -> Play:
     """Say these, a part at a time, then close or wait for the next call."""
 
-    async def script(call: Call) -> None:
+    async def script(call: ServerConnection) -> None:
         for part in parts:
             await call.say(part)
             await asyncio.sleep(0)
@@ -119,30 +119,32 @@
 
 
 @pytest.fixture
-def short(monkeypatch: pytest.MonkeyPatch) -> None:
+def shorten_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch, "LONG_POLL_MS", 2 * SHORT_MS)
     monkeypatch.setattr(watch, "FIRST_POLL_MS", SHORT_MS)
     monkeypatch.setattr(watch, "FIRST_BYTE_TIMEOUT_MS", SHORT_MS)
     monkeypatch.setattr(client_module, "FIRST_BYTE_TIMEOUT_MS", SHORT_MS)
 
 
-def test_a_dead_link_is_left_within_what_counts_as_told() -> None:
+def test_a_dead_connection_is_left_within_the_time_of_a_poll() -> None:
     """A break, or a new bus, may be followed by one connection that comes up and says nothing."""
     pause = 1000 * INITIAL_BACKOFF_S
     assert pause + FIRST_POLL_MS + FIRST_BYTE_TIMEOUT_MS + 2 * pause < BREAK_TOLD_MS < RELOAD_TOLD_MS
     assert LONG_POLL_MS + FIRST_BYTE_TIMEOUT_MS + pause < LONG_POLL_MS + STOP_TOLD_MS
 
 
-@pytest.mark.usefixtures("short")
-def test_silent_watches_in_a_row_are_left_and_every_second_call_is_a_long_one() -> None:
-    async def story() -> Rig:
-        rig = Rig()
-        await rig.play(silence, silence, silence, saying(answer(4, (4, "Terminating"))))
-        return rig
+@pytest.mark.usefixtures("shorten_waits")
+def test_silent_polls_in_a_row_are_left_and_every_second_one_is_long() -> None:
+    async def story() -> StreamHarness:
+        harness = StreamHarness()
+        await harness.play(
+            send_nothing, send_nothing, send_nothing, respond_with(answer(4, (4, "Terminating")))
+        )
+        return harness
 
-    rig = run(story)
-    holds = [int(call.split(b"hold=")[1].split(b".")[0].split(b" ")[0]) for call in rig.calls]
-    assert holds == [SHORT_MS, 2 * SHORT_MS, SHORT_MS, 2 * SHORT_MS] and rig.states() == ["Terminating"]
+    harness = run(story)
+    holds = [int(call.split(b"hold=")[1].split(b".")[0].split(b" ")[0]) for call in harness.calls]
+    assert holds == [SHORT_MS, 2 * SHORT_MS, SHORT_MS, 2 * SHORT_MS] and harness.states() == ["Terminating"]
 
 
 GONE = batch(5, (5, "Gone"))
@@ -157,64 +159,66 @@
 
 
 @pytest.mark.parametrize("parts, close", FORMS.values(), ids=FORMS)
-def test_an_answer_in_any_form_is_taken_in_at_its_end(parts: list[bytes], close: bool) -> None:
-    async def story() -> Rig:
-        rig = Rig()
-        await rig.play(saying(*parts, close=close), saying(answer(6, (6, "Ready"))))
-        return rig
+def test_a_response_in_any_form_is_applied_at_its_end(parts: list[bytes], close: bool) -> None:
+    async def story() -> StreamHarness:
+        harness = StreamHarness()
+        await harness.play(respond_with(*parts, close=close), respond_with(answer(6, (6, "Ready"))))
+        return harness
 
-    async def kept() -> Rig:
-        rig = Rig()
-        await rig.play(saying(*parts))
-        return rig
+    async def kept() -> StreamHarness:
+        harness = StreamHarness()
+        await harness.play(respond_with(*parts))
+        return harness
 
-    rig = run(story if close else kept)
-    assert rig.states()[0] == "Gone" and rig.counters.counts["bus_broken"] == 0
-    assert all(b"from=5&" in call for call in rig.calls[1:])
+    harness = run(story if close else kept)
+    assert harness.states()[0] == "Gone" and harness.counters.counts["bus_broken"] == 0
+    assert all(b"from=5&" in call for call in harness.calls[1:])
 
 
-@pytest.mark.usefixtures("short")
+@pytest.mark.usefixtures("shorten_waits")
 @pytest.mark.parametrize(
     "half",
     [
-        pytest.param(saying(answer(4, (4, "Gone"))[:-9], close=True), id="broken off"),
-        pytest.param(saying(answer(4, (4, "Gone"), head="X: {}")[:-9], close=True), id="no length"),
-        pytest.param(saying(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", close=True), id="an error"),
-        pytest.param(saying(close=True), id="nothing"),
+        pytest.param(respond_with(answer(4, (4, "Gone"))[:-9], close=True), id="broken off"),
+        pytest.param(respond_with(answer(4, (4, "Gone"), head="X: {}")[:-9], close=True), id="no length"),
+        pytest.param(
+            respond_with(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", close=True), id="an error"
+        ),
+        pytest.param(respond_with(close=True), id="nothing"),
     ],
 )
-def test_half_an_answer_tells_nothing_and_is_asked_for_again(half: Play) -> None:
-    async def story() -> Rig:
-        rig = Rig()
-        await rig.play(half, half, saying(answer(4, (4, "Gone"))))
-        return rig
+def test_half_a_response_changes_nothing_and_is_requested_again(half: Play) -> None:
+    async def story() -> StreamHarness:
+        harness = StreamHarness()
+        await harness.play(half, half, respond_with(answer(4, (4, "Gone"))))
+        return harness
 
-    rig = run(story)
-    assert rig.states() == ["Gone"] and all(b"from=3&" in call for call in rig.calls)
+    harness = run(story)
+    assert harness.states() == ["Gone"] and all(b"from=3&" in call for call in harness.calls)
 
 
-def test_an_answer_that_comes_slowly_is_waited_for_as_long_as_it_comes(
+def test_a_slow_response_is_awaited_as_long_as_bytes_arrive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It comes for longer than the call's own limit, with no pause as long as the limit on one."""
     monkeypatch.setattr(EventStream, "first_byte_timeout_ms", lambda self: LIMIT_MS)
     data = answer(4, (4, "Gone"))
 
-    async def drip(call: Call) -> None:
+    async def drip(call: ServerConnection) -> None:
         for at in range(0, len(data), len(data) // 5):
             await call.say(data[at : at + len(data) // 5])
             await asyncio.sleep(LIMIT_MS / 3000)
         assert b"from=4&" in await call.next()
 
-    async def story() -> Rig:
-        rig = Rig()
-        await rig.play(drip)
-        return rig
+    async def story() -> StreamHarness:
+        harness = StreamHarness()
+        await harness.play(drip)
+        return harness
 
     assert run(story).states() == ["Gone"]
 
 
-def test_a_bus_that_holds_no_call_is_asked_ever_less_often(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_source_that_answers_polls_at_once_is_polled_with_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     pauses: list[float] = []
     real = EventStreamClient._back_off
 
@@ -225,7 +229,7 @@
     async def no_sleep(_: float) -> None:
         return None
 
-    async def empty(call: Call) -> None:
+    async def empty(call: ServerConnection) -> None:
         for _ in range(6):
             await call.say(answer(3))
             if len(pauses) >= 6:
@@ -233,12 +237,12 @@
             assert await call.next()
         call.sock.close()
 
-    async def story() -> Rig:
-        rig = Rig()
+    async def story() -> StreamHarness:
+        harness = StreamHarness()
         monkeypatch.setattr(EventStreamClient, "_back_off", noted)
         monkeypatch.setattr(asyncio, "sleep", no_sleep)
-        await rig.play(empty, saying(answer(4, (4, "Gone"))))
-        return rig
+        await harness.play(empty, respond_with(answer(4, (4, "Gone"))))
+        return harness
 
     assert run(story).states() == ["Gone"]
     assert pauses[:6] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.0]
@@ -253,7 +257,7 @@
     ],
     ids=["sent again", "out of order", "one after the other"],
 )
-def test_events_count_once_and_in_the_order_of_their_numbers(
+def test_events_count_once_and_in_the_order_of_their_sequence_numbers(
     events: list[tuple[int, str]], states: list[str]
 ) -> None:
     told: list[SourceReport] = []
@@ -263,60 +267,62 @@
     assert [o.reason for report in told for o in report.observations] == states
 
 
-def test_a_watch_that_is_moved_takes_nothing_more_from_the_old_bus() -> None:
+def test_a_client_that_is_moved_applies_nothing_more_of_the_old_source() -> None:
     """Moved twice, the second time before the first new bus was reached; the old one answers late."""
 
-    async def story() -> tuple[Rig, bytes]:
-        rig, held = Rig(), list[socket.socket]()
-        buses = [rig.listener, *(socket.create_server(("127.0.0.1", 0)) for _ in range(2))]
+    async def story() -> tuple[StreamHarness, bytes]:
+        harness, held = StreamHarness(), list[socket.socket]()
+        buses = [harness.listener, *(socket.create_server(("127.0.0.1", 0)) for _ in range(2))]
         following: asyncio.Task[None] | None = None
         for listener in buses:
             listener.setblocking(False)
             if following is not None:
                 following.cancel()
-            following = rig.loop.create_task(
-                rig.driver.event_stream.follow(rig.bus, Address(*listener.getsockname()))
+            following = harness.loop.create_task(
+                harness.driver.event_stream.follow(harness.bus, Address(*listener.getsockname()))
             )
             if listener is not buses[1]:
-                held.append((await rig.loop.sock_accept(listener))[0])
-                rig.calls.append(await rig.loop.sock_recv(held[-1], 1000))
+                held.append((await harness.loop.sock_accept(listener))[0])
+                harness.calls.append(await harness.loop.sock_recv(held[-1], 1000))
             if listener is buses[0]:
-                await rig.loop.sock_sendall(held[0], answer(5, (5, "Gone")))
-                rig.calls.append(await rig.loop.sock_recv(held[0], 1000))
+                await harness.loop.sock_sendall(held[0], answer(5, (5, "Gone")))
+                harness.calls.append(await harness.loop.sock_recv(held[0], 1000))
         with suppress(OSError):
-            await rig.loop.sock_sendall(held[0], answer(6, (6, "Ready")))
-        await rig.loop.sock_sendall(held[1], answer(7, (6, "Terminating"), (7, "Gone")))
-        last = await rig.loop.sock_recv(held[1], 1000)
+            await harness.loop.sock_sendall(held[0], answer(6, (6, "Ready")))
+        await harness.loop.sock_sendall(held[1], answer(7, (6, "Terminating"), (7, "Gone")))
+        last = await harness.loop.sock_recv(held[1], 1000)
         assert following is not None
         following.cancel()
         await asyncio.gather(following, return_exceptions=True)
         for sock in (*held, *buses):
             sock.close()
-        return rig, last
+        return harness, last
 
-    rig, last = run(story)
-    assert rig.states() == ["Gone", "Terminating", "Gone"]
-    assert [b"from=%d&" % n in call for n, call in zip((3, 5, 5), rig.calls, strict=True)] == [True] * 3
+    harness, last = run(story)
+    assert harness.states() == ["Gone", "Terminating", "Gone"]
+    assert [b"from=%d&" % n in call for n, call in zip((3, 5, 5), harness.calls, strict=True)] == [True] * 3
     assert b"from=7&" in last
 
 
-def test_a_watch_whose_new_address_refuses_is_tried_until_it_is_there() -> None:
-    async def story() -> Rig:
-        rig = Rig()
-        address = rig.listener.getsockname()
-        rig.listener.close()
-        following = rig.loop.create_task(rig.driver.event_stream.follow(rig.bus, Address(*address)))
-        while rig.counters.counts["bus_broken"] < 3:
+def test_a_new_address_that_refuses_is_retried_until_it_answers() -> None:
+    async def story() -> StreamHarness:
+        harness = StreamHarness()
+        address = harness.listener.getsockname()
+        harness.listener.close()
+        following = harness.loop.create_task(
+            harness.driver.event_stream.follow(harness.bus, Address(*address))
+        )
+        while harness.counters.counts["bus_broken"] < 3:
             await asyncio.sleep(0.005)
         with socket.create_server(address) as listener:
             listener.setblocking(False)
-            sock, _ = await rig.loop.sock_accept(listener)
-            rig.calls.append(await rig.loop.sock_recv(sock, 1000))
-            await rig.loop.sock_sendall(sock, answer(4, (4, "Gone")))
-            assert await rig.loop.sock_recv(sock, 1000)
+            sock, _ = await harness.loop.sock_accept(listener)
+            harness.calls.append(await harness.loop.sock_recv(sock, 1000))
+            await harness.loop.sock_sendall(sock, answer(4, (4, "Gone")))
+            assert await harness.loop.sock_recv(sock, 1000)
             following.cancel()
             await asyncio.gather(following, return_exceptions=True)
             sock.close()
-        return rig
+        return harness
 
     assert run(story).states() == ["Gone"]
--- a/tests/discovery/test_start_times.py
+++ b/tests/discovery/test_start_times.py
@@ -40,7 +40,7 @@
         return self.booted + self.up_s * 1000
 
 
-class Node:
+class CatalogUnderTest:
     """What the dispatcher does with an answer of the event bus, up to its module's view of each engine."""
 
     def __init__(self, machine: Machine, *known: tuple[str, float]) -> None:
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_the_own_clock_runs_on_whatever_the_wall_clock_does(step: float) -> None:
+def test_a_step_of_the_wall_clock_does_not_move_the_loop_clock(step: float) -> None:
     machine = Machine()
     before = machine.clock.now()
     machine.wrong_s += step
@@ -98,11 +98,11 @@
 @pytest.mark.parametrize("late", [0.0, 0.3, 1.9, 8.0], ids=lambda s: f"told {s} s late")
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("wrong", STEPS)
-def test_a_late_start_is_cold_for_no_less_and_hardly_longer_than_its_time(
+def test_a_late_reported_start_is_cold_for_its_time_and_hardly_longer(
     wrong: float, step: float, late: float
 ) -> None:
     """wrong: the wall clock's error at the own start; step: in service; late: the list was down meanwhile."""
-    node = Node(Machine(wrong), ("old", 0.0))
+    node = CatalogUnderTest(Machine(wrong), ("old", 0.0))
     node.wait(60.0, step)
     node.answer()
     started = node.machine.true()
@@ -113,8 +113,8 @@
 
 
 @pytest.mark.parametrize("wrong", STEPS)
-def test_once_a_start_was_told_promptly_those_told_late_are_placed_right(wrong: float) -> None:
-    node = Node(Machine(wrong), ("old", 0.0))
+def test_after_a_promptly_reported_start_late_ones_are_derived_correctly(wrong: float) -> None:
+    node = CatalogUnderTest(Machine(wrong), ("old", 0.0))
     node.answer(("first", node.machine.true()))
     node.wait(1.0)
     started = node.machine.true()
@@ -125,25 +125,25 @@
 
 
 @pytest.mark.parametrize("wrong", STEPS)
-def test_engines_of_the_first_list_that_began_just_before_are_cold_and_none_for_long(wrong: float) -> None:
+def test_recently_started_engines_of_the_first_list_are_cold_and_none_for_long(wrong: float) -> None:
     machine = Machine(wrong)
     began = {"just now": 100.0, "before": 4000.0, "long": 600_000.0, "ages": 30 * DAY}
-    node = Node(machine, *((name, machine.true() - ago) for name, ago in began.items()))
+    node = CatalogUnderTest(machine, *((name, machine.true() - ago) for name, ago in began.items()))
     for name, ago in began.items():
         assert max(WARM - ago, 0.0) <= node.cold_for(name) <= WARM
     assert node.cold_for("ages") == 0.0 and (wrong < 0 or node.cold_for("long") == 0.0)
 
 
 @pytest.mark.parametrize("wrong", STEPS)
-def test_a_fleet_that_began_ages_ago_is_warm_at_the_own_start(wrong: float) -> None:
+def test_a_fleet_that_started_long_ago_is_warm_at_this_start(wrong: float) -> None:
     machine = Machine(wrong)
-    node = Node(machine, *((f"e{i}", machine.true() - DAY) for i in range(3)))
+    node = CatalogUnderTest(machine, *((f"e{i}", machine.true() - DAY) for i in range(3)))
     assert [node.cold_for(f"e{i}") for i in range(3)] == [0.0] * 3
 
 
 @pytest.mark.parametrize("stamped", [-3600.0, -5.0, 5.0, 3600.0])
-def test_a_stamp_by_a_clock_that_is_off_counts_as_now_and_spoils_no_other(stamped: float) -> None:
-    node = Node(Machine(), ("old", 0.0))
+def test_a_stamp_of_a_wrong_clock_counts_as_now_and_affects_no_other(stamped: float) -> None:
+    node = CatalogUnderTest(Machine(), ("old", 0.0))
     node.wait(1.0)
     node.answer()
     node.wait(0.5)
@@ -155,8 +155,8 @@
 
 
 @pytest.mark.parametrize("wrong", STEPS)
-def test_a_start_told_again_stays_where_it_was_placed_and_a_new_one_is_cold_anew(wrong: float) -> None:
-    node = Node(Machine(wrong), ("e", 0.0))
+def test_a_start_reported_again_stays_and_a_new_one_is_cold_anew(wrong: float) -> None:
+    node = CatalogUnderTest(Machine(wrong), ("e", 0.0))
     node.wait(10.0)
     first = node.machine.true()
     node.answer(("e", first))
@@ -170,10 +170,8 @@
 
 @pytest.mark.parametrize("state", ["Terminating", "Gone"])
 @pytest.mark.parametrize("wrong", STEPS)
-def test_an_engine_that_was_off_the_list_for_a_while_and_never_off_is_no_colder(
-    wrong: float, state: str
-) -> None:
-    node = Node(Machine(wrong), ("old", 0.0))
+def test_an_engine_that_was_only_unlisted_for_a_while_is_not_cold_anew(wrong: float, state: str) -> None:
+    node = CatalogUnderTest(Machine(wrong), ("old", 0.0))
     started = node.machine.true()
     node.answer(("e", started))
     node.wait(WARM / 2000)
@@ -187,8 +185,8 @@
     assert node.cold_for("e") == WARM
 
 
-def test_only_so_many_engines_that_are_gone_are_remembered() -> None:
-    node = Node(Machine(), ("old", 0.0))
+def test_starts_of_removed_engines_are_retained_up_to_a_limit() -> None:
+    node = CatalogUnderTest(Machine(), ("old", 0.0))
     for i in range(MAX_PAST_STARTS + 10):
         node.answer((f"e{i}", node.machine.true()))
         node.answer((f"e{i}", 0.0), state="Gone")
@@ -196,16 +194,16 @@
 
 
 @pytest.mark.parametrize("wrong", STEPS)
-def test_a_machine_that_has_just_booted_takes_no_cold_engine_for_long_past(wrong: float) -> None:
+def test_on_a_machine_just_booted_a_cold_engine_is_not_taken_for_warm(wrong: float) -> None:
     machine = Machine(wrong, up_s=0.5)
-    node = Node(machine, ("e", machine.true() - 2000.0))
+    node = CatalogUnderTest(machine, ("e", machine.true() - 2000.0))
     assert WARM - 2000.0 <= node.cold_for("e") <= WARM
     assert StartTimes(0.0).local_start(500.0, 1.0) > 0  # 0 would say: warm
 
 
 @pytest.mark.parametrize("stamp", [1e308, 1e300, 0.5, 1.79e9])
-def test_a_stamp_that_makes_no_sense_is_now_once_the_list_is_known(stamp: float) -> None:
-    node = Node(Machine(), ("old", 0.0))
+def test_an_invalid_stamp_counts_as_now_once_the_list_is_known(stamp: float) -> None:
+    node = CatalogUnderTest(Machine(), ("old", 0.0))
     node.wait(1.0)
     node.answer(("odd", stamp))
     assert node.cold_for("odd") == WARM
@@ -213,11 +211,11 @@
 
 @pytest.mark.parametrize("wrong", STEPS)
 @pytest.mark.parametrize("late", [0.5, 2.0, 4.5], ids=lambda s: f"told {s} s late")
-def test_a_start_told_with_a_usual_delay_is_placed_by_a_wall_clock_that_agrees(
+def test_a_start_reported_with_a_usual_delay_is_derived_by_an_agreeing_wall_clock(
     wrong: float, late: float
 ) -> None:
     """Danger: counted from when they were told, new engines stood idle beside full ones for seconds."""
-    node = Node(Machine(wrong), ("old", 0.0))
+    node = CatalogUnderTest(Machine(wrong), ("old", 0.0))
     node.wait(60.0)
     node.answer()
     started = node.machine.true()
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -36,7 +36,7 @@
 KEYS = KeyRing({1: b"old key", 2: b"new key"}, 2)
 
 
-def pair(sending: KeyRing | None = None, receiving: KeyRing | None = None) -> tuple[Codec, Codec]:
+def make_codecs(sending: KeyRing | None = None, receiving: KeyRing | None = None) -> tuple[Codec, Codec]:
     return Codec(member_id("a"), 7, sending), Codec(member_id("b"), 9, receiving)
 
 
@@ -44,7 +44,7 @@
     return codec.encode(Message(MessageKind.PING, codec.sender, 5, 6), updates)
 
 
-def reason(codec: Codec, data: bytes) -> str:
+def rejection_reason(codec: Codec, data: bytes) -> str:
     with pytest.raises(CodecError) as caught:
         codec.decode(data)
     return caught.value.reason
@@ -54,11 +54,11 @@
 @given(
     st.sampled_from(MessageKind), st.integers(0, 2**32 - 1), U64, st.lists(UPDATES, max_size=3), st.booleans()
 )
-def test_what_is_encoded_comes_back(
+def test_an_encoded_message_decodes_to_the_same(
     kind: MessageKind, sequence: int, subject: int, updates: list[Update], keyed: bool
 ) -> None:
     keys = KEYS if keyed else None
-    a, b = pair(keys, keys)
+    a, b = make_codecs(keys, keys)
     tail = b"".join(map(encode_update, updates))
     data = a.encode(Message(kind, a.sender, sequence, subject), tail)
     assert len(data) <= MAX_DATAGRAM_BYTES and data[0] == MAGIC not in (1, 2)
@@ -71,7 +71,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.booleans())
 def test_any_bytes_are_a_message_or_a_named_error(data: bytes, with_head: bool) -> None:
-    a, b = pair()
+    a, b = make_codecs()
     data = ping(a)[:-5] + data if with_head else data
     try:
         b.decode(data)
@@ -82,35 +82,35 @@
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 60), st.integers(1, 255))
 def test_a_datagram_changed_in_any_byte_is_refused(at: int, by: int) -> None:
-    a, b = pair(KEYS, KEYS)
+    a, b = make_codecs(KEYS, KEYS)
     data = bytearray(ping(a, encode_update(Update(MemberStatus.DEAD, 1, 2, 3))))
     data[at % len(data)] ^= by
-    assert reason(b, bytes(data)) in ("mac", "key", "magic", "version") and not b.replay_windows
+    assert rejection_reason(b, bytes(data)) in ("mac", "key", "magic", "version") and not b.replay_windows
 
 
-def test_truncated_long_and_unknown_ones_are_told_apart() -> None:
-    a, b = pair()
+def test_truncated_long_and_unknown_datagrams_have_reasons_of_their_own() -> None:
+    a, b = make_codecs()
     data = ping(a, encode_update(Update(MemberStatus.DEAD, 1, 2, 3)))
-    assert {reason(b, data[:n]) for n in range(1, 32)} == {"truncated"}
-    assert reason(b, data + bytes(300)) == "long"
-    assert reason(b, b"\x01" + data[1:]) == "magic"
-    assert reason(b, data[:1] + b"\x02" + data[2:]) == "version"
-    assert reason(b, data[:19] + b"\x63" + data[20:]) == "kind"
-    assert reason(a, ping(a)) == "sender"  # one's own, come back
+    assert {rejection_reason(b, data[:n]) for n in range(1, 32)} == {"truncated"}
+    assert rejection_reason(b, data + bytes(300)) == "long"
+    assert rejection_reason(b, b"\x01" + data[1:]) == "magic"
+    assert rejection_reason(b, data[:1] + b"\x02" + data[2:]) == "version"
+    assert rejection_reason(b, data[:19] + b"\x63" + data[20:]) == "kind"
+    assert rejection_reason(a, ping(a)) == "sender"  # one's own, come back
 
 
-def test_a_replay_is_refused_and_overtaking_is_not() -> None:
-    a, b = pair(KEYS, KEYS)
+def test_a_replay_is_refused_and_a_reordered_datagram_is_not() -> None:
+    a, b = make_codecs(KEYS, KEYS)
     datagrams = [ping(a) for _ in range(300)]
     b.decode(datagrams[200])
     for i in (199, 100, 0, 299):
         b.decode(datagrams[i])
     for i in (200, 100, 299):
-        assert reason(b, datagrams[i]) == "replay"
-    assert reason(b, datagrams[1]) == "replay"  # further behind than any datagram can be late
+        assert rejection_reason(b, datagrams[i]) == "replay"
+    assert rejection_reason(b, datagrams[1]) == "replay"  # further behind than any datagram can be late
     again = Codec(a.sender, 8, KEYS)
     b.decode(ping(again))  # a new life begins anew
-    assert reason(b, datagrams[299]) == "replay"
+    assert rejection_reason(b, datagrams[299]) == "replay"
 
 
 def test_keys_rotate_without_a_gap() -> None:
@@ -123,15 +123,15 @@
     steps = [(old, both_old), (both_old, both_new), (both_new, new)]
     for before, after in steps:
         for sending, receiving in ((before, after), (after, before)):
-            a, b = pair(sending, receiving)
+            a, b = make_codecs(sending, receiving)
             assert b.decode(ping(a)).kind is MessageKind.PING
-    a, b = pair(old, new)
-    assert reason(b, ping(a)) == "key"
-    plain, keyed = pair(None, KEYS)
-    assert reason(keyed, ping(plain)) in ("mac", "key")
-    assert reason(plain, ping(Codec(member_id("c"), 1, KEYS))) == "key"
+    a, b = make_codecs(old, new)
+    assert rejection_reason(b, ping(a)) == "key"
+    plain, keyed = make_codecs(None, KEYS)
+    assert rejection_reason(keyed, ping(plain)) in ("mac", "key")
+    assert rejection_reason(plain, ping(Codec(member_id("c"), 1, KEYS))) == "key"
 
 
-def test_a_name_too_long_is_refused_before_it_goes_out() -> None:
+def test_a_name_too_long_is_refused_before_it_is_sent() -> None:
     with pytest.raises(ValueError, match="longer than 32"):
         encode_update(Update(MemberStatus.ALIVE, 1, 1, 0, Address("127.0.0.1", 1), "x" * 33))
--- a/tests/membership/test_duties.py
+++ b/tests/membership/test_duties.py
@@ -28,7 +28,7 @@
 SUBJECTS = [f"e{i}" for i in range(200)]
 
 
-def shared(members: dict[int, float], subjects: Iterable[str] = SUBJECTS) -> Rendezvous:
+def make_rendezvous(members: dict[int, float], subjects: Iterable[str] = SUBJECTS) -> Rendezvous:
     made = Rendezvous()
     for member, weight in members.items():
         made.add_member(member, weight)
@@ -37,8 +37,8 @@
     return made
 
 
-def plain(members: dict[int, float], subjects: Iterable[str]) -> dict[str, int]:
-    """The definition itself: all pairs."""
+def holders_by_all_pairs(members: dict[int, float], subjects: Iterable[str]) -> dict[str, int]:
+    """The holder of each subject, by the definition of rendezvous hashing."""
     return {s: max(((score(m, w, s), m) for m, w in members.items()))[1] for s in subjects}
 
 
@@ -52,7 +52,7 @@
 
 @settings(max_examples=150, deadline=None, phases=PHASES)
 @given(st.lists(CHANGE, max_size=40))
-def test_after_any_changes_the_holders_are_those_of_all_pairs(changes: list[Any]) -> None:
+def test_after_any_changes_the_holders_equal_those_by_all_pairs(changes: list[Any]) -> None:
     made, members = Rendezvous(), dict[int, float]()
     for kind, number, weight in changes:
         before = {s: made.holder(s) for s in made.holders}
@@ -68,21 +68,21 @@
         else:
             made.remove_subject(f"s{number}")
         after = {s: made.holder(s) for s in made.holders}
-        assert after == (plain(members, after) if members else dict.fromkeys(after))
+        assert after == (holders_by_all_pairs(members, after) if members else dict.fromkeys(after))
         if moved is not None:
             assert moved == {s for s in after if after[s] != before[s]}
         assert all(made.subjects_of(m) == {s for s, h in after.items() if h == m} for m in members)
 
 
-def test_a_member_that_comes_or_goes_moves_only_its_own_share() -> None:
-    made = shared(dict.fromkeys(range(1, 11), 1.0))
+def test_a_member_that_joins_or_leaves_moves_only_its_own_subjects() -> None:
+    made = make_rendezvous(dict.fromkeys(range(1, 11), 1.0))
     went = made.subjects_of(3)
     assert made.remove_member(3) == went and 5 <= len(went) <= 40
     assert made.add_member(3) == went
 
 
-def test_the_cost_is_that_of_the_change() -> None:
-    made = shared(dict.fromkeys(range(1, 51), 1.0))
+def test_a_change_costs_no_scores_of_unaffected_subjects() -> None:
+    made = make_rendezvous(dict.fromkeys(range(1, 51), 1.0))
     made.score_count = 0
     held = len(made.subjects_of(7))
     made.remove_member(7)
@@ -92,18 +92,15 @@
     assert made.score_count == 200
 
 
-def test_weights_are_kept_in_the_long_run() -> None:
-    made = shared({1: 1.0, 2: 3.0}, [f"s{i}" for i in range(4000)])
+def test_subjects_are_shared_by_weight() -> None:
+    made = make_rendezvous({1: 1.0, 2: 3.0}, [f"s{i}" for i in range(4000)])
     assert 0.7 < len(made.subjects_of(2)) / 4000 < 0.8
 
 
-# --- leases, on a network in virtual time ---
-
-
 class Voter:
-    """One instance: asks for what it is told to want, and keeps a record of what it holds when."""
+    """One instance: claims the leases in `wanted`, and reports those that it acquires and loses."""
 
-    def __init__(self, number: int, site: Site, now: float, first_term: int) -> None:
+    def __init__(self, number: int, site: LeaseNetwork, now: float, first_term: int) -> None:
         self.number, self.site = number, site
         self.leases = LeaseManager(number, range(1, 6), site.settings, now, first_term)
         self.wanted: set[int] = set()
@@ -131,8 +128,8 @@
         return self.leases.next_at()
 
 
-class Site:
-    """Five voters; checks after each word that nobody holds what another still may hold, by true time."""
+class LeaseNetwork:
+    """Five voters; checks after each message that no two hold a lease at the same time."""
 
     def __init__(self, seed: int, loss: float = 0.0) -> None:
         self.network, self.settings = Network(seed, loss=loss), LeaseSettings()
@@ -174,8 +171,8 @@
         self.network.run(self.network.now + ms)
 
 
-def test_a_lease_is_taken_kept_and_handed_over() -> None:
-    site = Site(1)
+def test_a_lease_is_acquired_renewed_and_handed_over() -> None:
+    site = LeaseNetwork(1)
     site.want(1, 2)
     site.run(3000)
     assert site.holder(1) == 2
@@ -187,8 +184,8 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_dead_holders_duty_is_taken_over_within_two_seconds(seed: int) -> None:
-    site = Site(seed)
+def test_a_dead_holders_lease_is_taken_over_within_two_seconds(seed: int) -> None:
+    site = LeaseNetwork(seed)
     site.want(1, 2)
     site.run(5000)
     site.network.kill(site.addresses[2])
@@ -198,8 +195,8 @@
     assert site.holder(1) == 4
 
 
-def test_without_a_majority_nobody_holds_it() -> None:
-    site = Site(1)
+def test_without_a_majority_nobody_holds_a_lease() -> None:
+    site = LeaseNetwork(1)
     site.want(1, 2)
     site.run(3000)
     minority = {site.addresses[1], site.addresses[2]}
@@ -209,7 +206,7 @@
     assert site.holder(1) == 4
 
 
-def test_a_voter_back_from_nothing_grants_nothing_for_one_lease() -> None:
+def test_a_voter_that_restarts_without_state_grants_nothing_for_one_lease() -> None:
     leases = LeaseManager(1, range(1, 6), LeaseSettings(), 1000.0, 0)
     (answer,) = leases.on_message(1100.0, 2, LeaseRequest(7, 1))
     assert (
@@ -222,7 +219,7 @@
     assert answer.message.is_granted
 
 
-def test_a_late_word_for_an_earlier_term_is_void() -> None:
+def test_a_late_reply_for_an_earlier_term_is_ignored() -> None:
     leases = LeaseManager(1, range(1, 6), LeaseSettings(), 0.0, 100)
     leases.claim(5000.0, [7])
     leases.step(5200.0)
@@ -235,11 +232,11 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_whatever_fails_no_duty_is_held_twice(seed: int) -> None:
+def test_under_any_faults_no_lease_is_held_twice(seed: int) -> None:
     """Contenders that disagree about who should hold, under loss, splits, stops, deaths and clocks that
     differ.
     """
-    site, draw = Site(seed, loss=0.1), random.Random(seed)
+    site, draw = LeaseNetwork(seed, loss=0.1), random.Random(seed)
     for _ in range(40):
         kind = draw.choice(["want", "want", "stop", "kill", "start", "split", "heal", "loss"])
         running = sorted(site.voters)
@@ -264,53 +261,51 @@
         site.run(draw.uniform(50, 1500))
 
 
-# --- duties ---
-
 PROBE = Duty("probe", 1000.0)
 WATCH = Duty("watch", 1000.0, Guarantee.AT_MOST_ONCE, max_run_ms=200.0)
 
 
-def alone(*duties: Duty) -> DutyScheduler:
+def make_only_member(*duties: Duty) -> DutyScheduler:
     return DutyScheduler(1, duties, [1], LeaseSettings(), 0.0, 0)
 
 
-def runs(actions: Iterable[object]) -> list[str]:
+def subjects_run(actions: Iterable[object]) -> list[str]:
     return [a.subject for a in actions if isinstance(a, RunDuty)]
 
 
-def test_a_subject_is_run_each_period_counted_from_its_end() -> None:
-    d = alone(PROBE)
+def test_a_subject_is_run_one_interval_after_its_last_run_ended() -> None:
+    d = make_only_member(PROBE)
     d.on_members(0.0, {})
     (run,) = [a for a in d.on_subjects(0.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
     assert not d.step(500.0)  # it runs already
     assert d.on_run_ended(600.0, run) == [AnnounceDone("probe", "e1", 600.0)] and d.next_at() == 1600.0
-    assert runs(d.step(1600.0)) == ["e1"]
+    assert subjects_run(d.step(1600.0)) == ["e1"]
 
 
-def test_a_takeover_does_not_do_at_once_what_has_just_been_done() -> None:
-    d = alone(PROBE)
+def test_a_takeover_does_not_repeat_what_has_just_been_done() -> None:
+    d = make_only_member(PROBE)
     members = {1: 1.0, 2: 1.0, 3: 1.0}
     d.on_members(0.0, members)
     d.on_subjects(0.0, "probe", [f"e{i}" for i in range(30)])
     others = {f"e{i}" for i in range(30)} - {subject for _, subject in d.active_subjects()}
     for subject in others:
         d.on_done_elsewhere(100.0, "probe", subject, 50.0)
-    assert runs(d.on_members(200.0, {1: 1.0})) == []
-    assert set(runs(d.step(1050.0))) == others
+    assert subjects_run(d.on_members(200.0, {1: 1.0})) == []
+    assert set(subjects_run(d.step(1050.0))) == others
 
 
-def test_a_fresh_engine_is_greeted_by_exactly_one_of_five() -> None:
+def test_a_new_engine_is_checked_by_exactly_one_of_five() -> None:
     members = dict.fromkeys(range(1, 6), 1.0)
     greeted = []
     for me in members:
         d = DutyScheduler(me, [PROBE], members, LeaseSettings(), 0.0, 0)
         d.on_members(0.0, members)
-        greeted += runs(d.on_subjects(0.0, "probe", [f"e{i}" for i in range(40)]))
+        greeted += subjects_run(d.on_subjects(0.0, "probe", [f"e{i}" for i in range(40)]))
     assert sorted(greeted) == sorted(f"e{i}" for i in range(40))
 
 
-def test_late_work_is_fenced_and_its_subject_may_vanish_meanwhile() -> None:
-    d = alone(PROBE)
+def test_a_late_run_is_fenced_even_if_its_subject_was_removed() -> None:
+    d = make_only_member(PROBE)
     d.on_members(0.0, {})
     (run,) = [a for a in d.on_subjects(0.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
     assert d.on_subjects(100.0, "probe", []) == [StopDuty("probe", "e1", run.epoch)]
@@ -321,16 +316,16 @@
     ]
 
 
-def test_an_at_most_once_run_begins_only_with_enough_of_its_lease_left() -> None:
-    d = alone(
+def test_an_at_most_once_run_starts_only_with_enough_of_its_lease_left() -> None:
+    d = make_only_member(
         WATCH
     )  # the only voter: its own word is the majority, once one lease has passed since its start
     d.on_members(0.0, {})
-    assert runs(d.on_subjects(0.0, "watch", ["dc1"])) == []
+    assert subjects_run(d.on_subjects(0.0, "watch", ["dc1"])) == []
     began, now = -1.0, 0.0
     while now < 5000.0 and began < 0:
         now = max(d.next_at(), now + 1.0)
-        if runs(d.step(now)):
+        if subjects_run(d.step(now)):
             began = now
     assert 1200.0 <= began < 2000.0 and d.lease_expiry["watch", "dc1"] - began >= WATCH.max_run_ms
     d.leases.voters, d.leases.majority = (1, 2, 3), 2  # the others are gone: no renewal
@@ -340,6 +335,6 @@
     ] and d.active_subjects() == []
 
 
-def test_a_duty_that_makes_no_sense_is_named() -> None:
+def test_a_duty_whose_run_exceeds_its_interval_is_refused() -> None:
     with pytest.raises(ValueError, match="'x'"):
         Duty("x", 100.0, max_run_ms=100.0)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -28,7 +28,7 @@
     made.stop()
 
 
-def test_five_instances_share_the_probes_through_deaths_a_stop_and_a_return(tier: Tier) -> None:
+def test_five_instances_share_health_checks_through_deaths_a_stop_and_a_return(tier: Tier) -> None:
     for i in range(5):
         tier.start(i)
     tier.until(tier.agreed, "all five know one another")
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -96,30 +96,32 @@
         return [(i, t, c.name, c.status.name) for i, n in sorted(self.instances.items()) for t, c in n.told]
 
 
-def settled(size: int = 5, seed: int = 1, loss: float = 0.0, settings: SwimSettings | None = None) -> Fleet:
+def run_until_agreed(
+    size: int = 5, seed: int = 1, loss: float = 0.0, settings: SwimSettings | None = None
+) -> Fleet:
     fleet = Fleet(size, seed, loss, settings)
     fleet.until_agreed(60_000)
     return fleet
 
 
 @pytest.mark.parametrize("size", [2, 5, 50])
-def test_all_meet_and_nobody_dies_on_a_quiet_day(size: int) -> None:
-    fleet = settled(size)
+def test_without_faults_all_members_meet_and_none_is_declared_dead(size: int) -> None:
+    fleet = run_until_agreed(size)
     fleet.run(60_000)
     assert fleet.agree() and fleet.deaths() == 0
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_two_of_five_killed_at_once_are_known_dead_within_two_seconds(seed: int) -> None:
-    fleet = settled(seed=seed)
+def test_two_of_five_killed_at_once_are_declared_dead_within_two_seconds(seed: int) -> None:
+    fleet = run_until_agreed(seed=seed)
     fleet.run(5000)
     fleet.kill(1, 3)
     assert fleet.until_agreed(2000) <= 2000
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_process_stopped_for_5_s_and_continued_is_back_and_calls_nobody_dead(seed: int) -> None:
-    fleet = settled(seed=seed)
+def test_a_process_stopped_for_5_s_returns_and_declares_nobody_dead(seed: int) -> None:
+    fleet = run_until_agreed(seed=seed)
     fleet.run(2000)
     fleet.network.stop(fleet.addresses[2], 5000)
     fleet.run(5000)
@@ -131,8 +133,8 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_loop_that_stalls_for_half_of_its_time_is_not_dead_forever(seed: int) -> None:
-    fleet = settled(seed=seed)
+def test_an_instance_that_stalls_half_of_the_time_is_seen_alive_again(seed: int) -> None:
+    fleet = run_until_agreed(seed=seed)
     for _ in range(10):
         fleet.network.stop(fleet.addresses[2], 1500)
         fleet.run(3000)
@@ -144,9 +146,9 @@
 
 @pytest.mark.parametrize("end", ["suspected", "dead", "left"])
 @pytest.mark.parametrize("skew", [0.0, 5000.0, -5000.0, 3_600_000.0, -3_600_000.0])
-def test_one_that_returns_from_nothing_passes_its_old_self(skew: float, end: str) -> None:
+def test_a_restart_without_state_outranks_its_earlier_incarnation(skew: float, end: str) -> None:
     """Also where its clock has gone back: it learns of its old incarnation and passes it."""
-    fleet = settled()
+    fleet = run_until_agreed()
     fleet.run(3_000)
     if end == "left":
         for farewell in fleet.instances[2].swim.leave(fleet.network.now):
@@ -167,8 +169,8 @@
     assert fleet.agree()
 
 
-def test_a_split_of_two_and_three_heals() -> None:
-    fleet = settled()
+def test_a_partition_of_two_and_three_heals() -> None:
+    fleet = run_until_agreed()
     half = set(fleet.addresses[:2])
     fleet.network.cut = lambda a, b: (a in half) is not (b in half)
     fleet.run(20_000)
@@ -179,15 +181,15 @@
     fleet.until_agreed(15_000)
 
 
-def test_a_one_way_link_kills_nobody_where_others_can_help() -> None:
-    fleet = settled()
+def test_a_one_way_link_is_bridged_by_indirect_pings() -> None:
+    fleet = run_until_agreed()
     deaf, heard = fleet.addresses[0], fleet.addresses[1]
     fleet.network.cut = lambda a, b: a == heard and b == deaf
     fleet.run(60_000)
     assert fleet.deaths() == 0
 
 
-def test_thirty_percent_loss_is_borne_and_lifeguard_is_what_bears_it() -> None:
+def test_lifeguard_reduces_false_deaths_at_thirty_percent_loss() -> None:
     def wrong(lifeguard: bool) -> int:
         fleet = Fleet(5, 3, 0.3, SwimSettings(uses_lifeguard=lifeguard))
         fleet.run(120_000)
@@ -196,8 +198,8 @@
     assert wrong(True) < wrong(False)
 
 
-def test_one_that_leaves_is_known_to_have_left_without_a_suspicion() -> None:
-    fleet = settled()
+def test_a_member_that_leaves_is_not_suspected_first() -> None:
+    fleet = run_until_agreed()
     leaving = fleet.instances.pop(2)
     for action in leaving.swim.leave(fleet.network.now):
         assert isinstance(action, SendDatagram)
@@ -210,8 +212,8 @@
     }
 
 
-def test_ten_members_restart_one_after_the_other() -> None:
-    fleet = settled(10)
+def test_ten_members_restarted_in_turn_are_all_alive_again() -> None:
+    fleet = run_until_agreed(10)
     for i in range(10):
         fleet.kill(i)
         fleet.run(300)
@@ -221,7 +223,7 @@
 
 
 def test_forged_replayed_and_malformed_datagrams_change_nothing() -> None:
-    fleet = settled()
+    fleet = run_until_agreed()
     swim = fleet.instances[0].swim
     before, now = fleet.views(), fleet.network.now
     other = fleet.instances[1].swim
@@ -241,7 +243,7 @@
     )
 
 
-def trouble(seed: int) -> Fleet:
+def run_with_faults(seed: int) -> Fleet:
     """A day of faults drawn from a seed: kills, returns, stops, loss, splits; then quiet."""
     fleet = Fleet(5, seed)
     draw = fleet.network.draw
@@ -271,10 +273,10 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_after_any_day_of_faults_all_agree_again_and_the_seed_replays_it(seed: int) -> None:
-    fleet = trouble(seed)
+def test_after_any_faults_all_agree_again_and_a_seed_repeats_the_run(seed: int) -> None:
+    fleet = run_with_faults(seed)
     fleet.until_agreed(30_000)
     if seed % 8 == 0:
-        again = trouble(seed)
+        again = run_with_faults(seed)
         again.until_agreed(30_000)
         assert again.trace() == fleet.trace()
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -23,7 +23,7 @@
 from tests.store.history import SMALL, VFS, Play, script
 
 
-def operations(folder: Path) -> int:
+def count_operations(folder: Path) -> int:
     """Writes and syncs of the whole script."""
     play = Play(folder)
     assert play.open()
@@ -31,7 +31,7 @@
     return play.disk.operations
 
 
-def cut_everywhere(folder: Path, counts: Iterable[int], some: bool = False) -> None:
+def cut_at_each_operation(folder: Path, counts: Iterable[int], some: bool = False) -> None:
     """Plays the script once for each count, cut there; `some`: part of what was unsynced got there."""
     for count in counts:
         play = Play(folder / f"{count}-{some}")
@@ -54,14 +54,12 @@
 
 
 @pytest.mark.parametrize("some", [False, True], ids=["unsynced-lost", "some-unsynced-kept"])
-def test_cut_at_every_write_and_sync(tmp_path: Path, some: bool) -> None:
-    last = operations(tmp_path / "whole")
+def test_a_power_loss_at_any_write_or_sync_loses_nothing_reported(tmp_path: Path, some: bool) -> None:
+    last = count_operations(tmp_path / "whole")
     assert last > 100
-    cut_everywhere(tmp_path, range(1, last + 1), some)
+    cut_at_each_operation(tmp_path, range(1, last + 1), some)
 
 
-# --- planted defects ---
-
 LOST = "became|a cut isn't a loss"
 
 
@@ -78,25 +76,25 @@
 
 
 @pytest.mark.parametrize("defect", [done_before_sync, failed_sync_is_done])
-def test_a_wrong_commit_is_caught(
+def test_a_commit_reported_without_a_successful_sync_is_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, defect: Callable[..., bool]
 ) -> None:
     commit = Ledger._commit
-    last = operations(tmp_path / "whole")
+    last = count_operations(tmp_path / "whole")
     monkeypatch.setattr(Ledger, "_commit", lambda ledger, group: defect(ledger, group, commit))
     with pytest.raises(AssertionError, match=LOST):
-        cut_everywhere(tmp_path, range(1, last + 1))
+        cut_at_each_operation(tmp_path, range(1, last + 1))
 
 
-def test_a_sync_that_is_not_awaited_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_sync_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     pragma = RecordFile._pragma
     full, off = "synchronous = FULL", "synchronous = OFF"
     monkeypatch.setattr(RecordFile, "_pragma", lambda book, what: pragma(book, off if what == full else what))
     with pytest.raises(AssertionError, match=LOST):
-        cut_everywhere(tmp_path, range(1, 200))
+        cut_at_each_operation(tmp_path, range(1, 200))
 
 
-def test_a_record_after_the_send_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_record_written_after_its_send_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     put = Ledger.put
 
     def sent_first(ledger: Ledger, records: Any, done: Callable[[bool], None]) -> None:
@@ -105,10 +103,10 @@
 
     monkeypatch.setattr(Ledger, "put", sent_first)
     with pytest.raises(AssertionError, match=LOST):
-        cut_everywhere(tmp_path, range(1, 200))
+        cut_at_each_operation(tmp_path, range(1, 200))
 
 
-def test_a_name_moved_before_its_content_is_synced_is_caught(
+def test_a_rename_before_the_sync_of_its_content_is_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def hasty(files: Files, path: Path, content: bytes) -> None:
@@ -129,9 +127,6 @@
             assert empty == planted
 
 
-# --- a sync fails ---
-
-
 def fail_one_sync(play: Play) -> None:
     """Then a load, well taken, and the power goes."""
     assert play.open() and play.send(1) and play.settle()
@@ -144,14 +139,14 @@
     assert play.open()
 
 
-def test_after_a_failed_sync_all_is_written_anew(tmp_path: Path) -> None:
+def test_after_a_failed_sync_all_records_are_rewritten(tmp_path: Path) -> None:
     play = Play(tmp_path)
     fail_one_sync(play)
     assert play.ledger is not None and play.ledger.folder.generation == 3, "by the failure, and by the cut"
     play.end(True)
 
 
-def test_repeating_a_failed_sync_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_repeated_sync_after_a_failure_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def repeat(file: disk_module._File, _flags: int) -> None:
         try:
             file.disk.sync(file.node)
@@ -169,7 +164,7 @@
         play.open()
 
 
-def start_again_after_a_failed_sync(play: Play) -> None:
+def restart_after_a_failed_sync(play: Play) -> None:
     """Without a power loss between: the cache still has what the failed sync should have written."""
     assert play.open() and play.send(1) and play.settle()
     play.disk.orders = Orders(fail_sync=1)
@@ -182,16 +177,18 @@
     play.end(True)
 
 
-def test_a_new_life_does_not_build_on_the_cache(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_restart_does_not_rely_on_the_kernels_cache(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # Without a checkpoint, which would happen to write what was lost once more.
     settings = replace(SMALL, file_sizes=replace(SMALL.file_sizes, checkpoint_pages=1000))
-    start_again_after_a_failed_sync(Play(tmp_path / "right", settings))
+    restart_after_a_failed_sync(Play(tmp_path / "right", settings))
     monkeypatch.setattr(ledger_folder, "_was_closed_cleanly", lambda boot_file: boot_file is not None)
     with pytest.raises(AssertionError, match=LOST):
-        start_again_after_a_failed_sync(Play(tmp_path / "planted", settings))
+        restart_after_a_failed_sync(Play(tmp_path / "planted", settings))
 
 
-def test_a_disk_that_lies_is_caught(tmp_path: Path) -> None:
+def test_a_disk_that_ignores_syncs_is_detected(tmp_path: Path) -> None:
     """No ledger can do anything against it: the checker must see it all the same."""
     play = Play(tmp_path)
     assert play.open() and play.send(1) and play.settle()
@@ -202,7 +199,7 @@
         play.open()
 
 
-def test_it_stays_failed_while_the_disk_does(tmp_path: Path) -> None:
+def test_the_ledger_stays_failed_while_the_disk_fails(tmp_path: Path) -> None:
     play = Play(tmp_path)
     assert play.open() and play.send(1) and play.settle()
     play.disk.orders = Orders(fail_sync=1)
@@ -214,8 +211,6 @@
     play.end(True)
 
 
-# --- histories ---
-
 STEPS = st.one_of(
     st.tuples(st.just("send"), st.integers(1, 12)),
     st.tuples(st.just("end"), st.integers(1, 12)),
@@ -229,7 +224,7 @@
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(steps=st.lists(STEPS, max_size=25), seed=st.integers(0, 2**32))
-def test_any_history(
+def test_any_history_of_faults_loses_nothing_reported(
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, int]], seed: int
 ) -> None:
     play, chance = Play(tmp_path_factory.mktemp("history")), random.Random(seed)
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -39,7 +39,7 @@
     return play.folder
 
 
-def rows(folder: Path) -> dict[tuple[int, bytes], bytes] | None:
+def read_rows(folder: Path) -> dict[tuple[int, bytes], bytes] | None:
     """What the book says of itself; None: that it isn't whole."""
     install(VFS)
     try:
@@ -50,63 +50,65 @@
     return book.rows
 
 
-def told_wrong(folder: Path, name: str, sizes: range, work: Path) -> list[int]:
+def sizes_read_wrongly(folder: Path, name: str, sizes: range, work: Path) -> list[int]:
     """The cut sizes after which a book calls itself whole and isn't."""
-    whole, wrong = rows(folder), []
+    whole, wrong = read_rows(folder), []
     assert whole is not None and len(whole) == LOADS + 1
     shutil.copytree(folder, work)
     content = (folder / name).read_bytes()
     for size in sizes:
         (work / name).write_bytes(content[:size])
-        if rows(work) not in (None, whole):
+        if read_rows(work) not in (None, whole):
             wrong.append(size)
     return wrong
 
 
-def test_the_file_cut_at_every_byte(folder: Path, tmp_path: Path) -> None:
+def test_a_file_truncated_at_any_byte_is_recognized(folder: Path, tmp_path: Path) -> None:
     size = (folder / "a.1.db").stat().st_size
     # After a cut the log holds all of it, and few of the file's bytes are read at all.
     clean = (folder / "a.life").read_bytes()[-12:-4] != NOT_CLEAN
-    assert told_wrong(folder, "a.1.db", range(0, size, 1 if clean else 11), tmp_path / "work") == []
+    assert sizes_read_wrongly(folder, "a.1.db", range(0, size, 1 if clean else 11), tmp_path / "work") == []
 
 
-def test_the_log_cut_at_every_byte(folder: Path, tmp_path: Path) -> None:
+def test_a_log_truncated_at_any_byte_is_recognized(folder: Path, tmp_path: Path) -> None:
     size = (folder / "a.1.db-wal").stat().st_size
-    assert told_wrong(folder, "a.1.db-wal", range(200), tmp_path / "first") == []
-    assert told_wrong(folder, "a.1.db-wal", range(200, size, 67), tmp_path / "rest") == []
-    assert told_wrong(folder, "a.1.db-wal", range(size - 20, size), tmp_path / "last") == []
+    assert sizes_read_wrongly(folder, "a.1.db-wal", range(200), tmp_path / "first") == []
+    assert sizes_read_wrongly(folder, "a.1.db-wal", range(200, size, 67), tmp_path / "rest") == []
+    assert sizes_read_wrongly(folder, "a.1.db-wal", range(size - 20, size), tmp_path / "last") == []
 
 
-def test_a_log_not_measured_is_caught(folder: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_log_whose_size_is_not_checked_is_detected(
+    folder: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The plant: SQLite alone takes a cut log for a shorter one."""
     monkeypatch.setattr(Files, "size", lambda files, path: 1 << 30)
     monkeypatch.setattr("cottonhold.emulator.disk.DiskFiles.size", lambda files, path: 1 << 30)
     if (folder / "a.life").read_bytes()[-12:-4] != NOT_CLEAN:
         return  # After a clean end the log's content is in the file as well.
     size = (folder / "a.1.db-wal").stat().st_size
-    assert told_wrong(folder, "a.1.db-wal", range(0, size, 64), tmp_path / "work")
+    assert sizes_read_wrongly(folder, "a.1.db-wal", range(0, size, 64), tmp_path / "work")
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_bytes_overwritten(folder: Path, seed: int) -> None:
+def test_overwritten_bytes_are_recognized(folder: Path, seed: int) -> None:
     chance, path = random.Random(seed), folder / "a.1.db"
-    whole, content = rows(folder), bytearray(path.read_bytes())
+    whole, content = read_rows(folder), bytearray(path.read_bytes())
     for _ in range(chance.randint(1, 4)):
         at = chance.randrange(len(content))
         content[at : at + 8] = chance.randbytes(min(8, len(content) - at))
     path.write_bytes(content)
-    assert rows(folder) in (None, whole)
+    assert read_rows(folder) in (None, whole)
 
 
-def test_rows_without_checksums_are_caught(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rows_without_checksums_are_detected(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The plant: with every checksum taken for right, a value overwritten is told as it now is."""
     path = folder / "a.1.db"
     content = path.read_bytes()
     if b"ref-5" not in content:
         return  # It is in the log, which has checksums of its own.
-    whole = rows(folder)
+    whole = read_rows(folder)
     path.write_bytes(content.replace(b"ref-5", b"ref-7"))
-    assert rows(folder) is None
+    assert read_rows(folder) is None
 
     class Same(int):
         __hash__ = int.__hash__
@@ -119,12 +121,12 @@
 
     real = record_file.row_checksum
     monkeypatch.setattr(record_file, "row_checksum", lambda kind, key, value: Same(real(kind, key, value)))
-    assert rows(folder) not in (None, whole)
+    assert read_rows(folder) not in (None, whole)
 
 
 @pytest.mark.parametrize("name", ["a.1.db", "a.1.db-wal", "a.life"])
 @pytest.mark.parametrize("left", [-1, 0, 1, 20])
-def test_a_damaged_folder_starts_and_says_so(folder: Path, name: str, left: int) -> None:
+def test_a_damaged_folder_opens_and_reports_the_damage(folder: Path, name: str, left: int) -> None:
     """-1: the file is missing."""
     content = (folder / name).read_bytes()
     (folder / name).unlink()
@@ -155,7 +157,7 @@
 
 
 @pytest.mark.parametrize("left", range(34))
-def test_the_life_file_cut_at_every_byte(folder: Path, left: int) -> None:
+def test_a_boot_file_truncated_at_any_byte_is_recognized(folder: Path, left: int) -> None:
     content = (folder / "a.life").read_bytes()
     assert len(content) == 33
     (folder / "a.life").write_bytes(content[:left])
@@ -165,7 +167,7 @@
     ledger.close(False)
 
 
-def test_an_emptied_folder_is_unknown_until_settled(tmp_path: Path) -> None:
+def test_an_emptied_folder_is_unknown_until_marked_complete(tmp_path: Path) -> None:
     seen = []
     for life in range(4):
         install(VFS)
@@ -184,7 +186,7 @@
     ]
 
 
-def test_a_clean_life_whose_last_transactions_are_missing_is_unknown(tmp_path: Path) -> None:
+def test_a_clean_boot_whose_last_transactions_are_missing_is_unknown(tmp_path: Path) -> None:
     """A log from before a clean end beside the life file from after it."""
     play = Play(tmp_path / "a")
     assert play.open() and play.send(1) and play.settle()
@@ -199,7 +201,7 @@
     ledger.close(True)
 
 
-def test_a_folder_is_one_process_s(tmp_path: Path) -> None:
+def test_a_folder_is_locked_by_one_process(tmp_path: Path) -> None:
     """Here by the real files."""
     settings = SMALL
     first = Ledger.open(tmp_path, "a", "", settings)
@@ -213,7 +215,7 @@
     again.close(True)
 
 
-def test_a_log_larger_than_its_reserve_is_avoided(tmp_path: Path) -> None:
+def test_the_log_stays_within_its_reserved_size(tmp_path: Path) -> None:
     """Checkpoints keep it within, so that its size proves that it is whole."""
     play = Play(tmp_path)
     assert play.open() and play.settle()
--- a/tests/store/test_faults.py
+++ b/tests/store/test_faults.py
@@ -40,9 +40,6 @@
     return play
 
 
-# --- reads at the start ---
-
-
 def open_with_one_failed_read(play: Play, count: int) -> StoreError | None:
     """What opening tells where its `count`th read fails; None if it has fewer, or could do without."""
     disk = install(VFS)
@@ -102,9 +99,6 @@
     play.end(True)
 
 
-# --- the life file's replacement fails ---
-
-
 def refuse_life(disk: Disk, stage: str) -> None:
     """Each replacement of a whole file fails: before anything, or with its new name seen and not durable."""
 
@@ -217,8 +211,6 @@
     play.end(True)
 
 
-# --- every kind of record, every kind of fault ---
-
 KINDS = {
     "load": (RecordKind.LOAD, load(50).identity, load(50).encode(), load(50, LoadState.COMPLETED).encode()),
     "promise": (RecordKind.PROMISE, b"reg/a", b"one", b"two"),
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -32,7 +32,7 @@
     play.cut()
 
 
-def health(play: Play, now: float = 0.0) -> DiskState:
+def disk_state(play: Play, now: float = 0.0) -> DiskState:
     assert play.ledger is not None
     return play.ledger.health(now).state
 
@@ -41,7 +41,7 @@
     play.disk.orders = Orders(full=True)
     assert not play.send(2)
     assert play.ledger is not None and play.ledger.health(0.0).reason == "[Errno 28] the disk is full"
-    assert health(play) is DiskState.FULL and not play.send(3)
+    assert disk_state(play) is DiskState.FULL and not play.send(3)
     play.disk.orders = Orders()
     play.wait_well()
     assert play.send(4) and play.ledger.folder.generation == 1
@@ -49,12 +49,12 @@
     assert play.open()
 
 
-def test_a_disk_without_room_to_grow_is_seen_by_a_checkpoint(play: Play) -> None:
+def test_a_full_disk_is_detected_by_a_checkpoint(play: Play) -> None:
     """The log was filled up before, so what is promised fits; the file's growth doesn't."""
     play.disk.orders = Orders(room=0)
     taken = [play.send(number) for number in range(2, 40)]
     assert True in taken and False in taken and taken == sorted(taken, reverse=True)
-    assert health(play) is DiskState.FULL
+    assert disk_state(play) is DiskState.FULL
     play.disk.orders = Orders()
     play.wait_well()
     assert play.send(50)
@@ -62,7 +62,7 @@
     assert play.open()
 
 
-def test_a_stalled_disk_refuses_at_once_and_goes_on(tmp_path: Path) -> None:
+def test_a_stalled_disk_refuses_writes_at_once_and_recovers(tmp_path: Path) -> None:
     now = [0.0]
     disk = install(VFS)
     ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall_timeout_ms=100.0), lambda: now[0])
@@ -96,7 +96,7 @@
     assert told.count(True) == 40 - refused, "each is answered once"
 
 
-def test_what_waits_together_is_one_transaction(tmp_path: Path) -> None:
+def test_queued_writes_are_one_transaction(tmp_path: Path) -> None:
     disk = install(VFS)
     ledger = Ledger.open(
         tmp_path, "a", VFS, replace(SMALL, file_sizes=replace(SMALL.file_sizes, checkpoint_pages=1000))
@@ -112,7 +112,7 @@
     assert told == [True] * 50 and len(syncs) <= 3
 
 
-def test_after_the_close_nothing_is_taken(play: Play) -> None:
+def test_after_the_close_writes_are_refused(play: Play) -> None:
     assert play.ledger is not None
     ledger = play.ledger
     told: list[bool] = []
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("last", ["checkpoint", "life file"])
-def test_a_disk_that_hangs_at_the_end_does_not_hold_it_up(tmp_path: Path, last: str) -> None:
+def test_a_disk_that_hangs_at_the_close_does_not_delay_the_exit(tmp_path: Path, last: str) -> None:
     """The next life takes this one for cut off, with all that was promised."""
     disk = install(VFS)
     ledger = Ledger.open(tmp_path, "a", VFS, replace(SMALL, stall_timeout_ms=50.0))
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("orders", [Orders(full=True), Orders(fail_sync=1), Orders(fail_write=1)])
-def test_a_boot_that_can_t_be_counted_is_told(play: Play, orders: Orders) -> None:
+def test_a_boot_that_can_not_be_counted_is_an_error(play: Play, orders: Orders) -> None:
     play.cut()
     before = sorted(path.name for path in play.folder.iterdir())
     install(VFS).orders = orders
@@ -170,7 +170,7 @@
     assert play.open(), "and nothing was lost by it"
 
 
-def test_a_kind_of_a_later_version_is_kept_over_a_rewrite(play: Play) -> None:
+def test_records_of_an_unknown_kind_survive_a_rewrite(play: Play) -> None:
     assert play.ledger is not None and play.ledger.folder.record_file is not None
     later = Record(RecordKind.OPERATOR_OVERRIDE, b"later", b"\x09")
     assert play.put([later])
@@ -188,8 +188,6 @@
     )
 
 
-# --- a process that is killed ---
-
 CHILD = """
 import sys, threading
 from pathlib import Path
@@ -215,7 +213,7 @@
 
 
 @pytest.mark.parametrize("defect", ["", "after"])
-def test_a_killed_process_loses_nothing_promised(tmp_path: Path, defect: str) -> None:
+def test_a_killed_process_loses_nothing_reported_as_written(tmp_path: Path, defect: str) -> None:
     """`after`, the plant: it tells before it is told."""
     control = tmp_path / "control.json"
     control.write_text(json.dumps({"leak": 0.3, "seed": 5, "stall_ms": 1 if defect else 0}))
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -39,12 +39,14 @@
 
 
 @given(LOADS)
-def test_a_load_is_read_as_it_was_packed(load: LoadRecord) -> None:
+def test_an_encoded_load_decodes_to_the_same(load: LoadRecord) -> None:
     assert LoadRecord.decode(load.identity, load.encode()) == load
 
 
 @given(LOADS, st.data())
-def test_a_load_cut_short_or_of_a_later_version_may_have_run(load: LoadRecord, data: st.DataObject) -> None:
+def test_a_truncated_load_or_one_of_a_later_version_may_have_run(
+    load: LoadRecord, data: st.DataObject
+) -> None:
     packed = load.encode()
     for value in (packed[: data.draw(st.integers(0, len(packed) - 1))], b"\x02" + packed[1:], packed + b"x"):
         with pytest.raises(RecordError):
@@ -54,13 +56,13 @@
 
 
 @given(st.binary(max_size=200))
-def test_garbage_is_never_anything_but_an_error(value: bytes) -> None:
+def test_garbage_is_a_record_error(value: bytes) -> None:
     for read in (lambda: LoadRecord.decode(b"i" * 16, value), lambda: IncarnationRecord.decode(value)):
         with contextlib.suppress(RecordError):
             read()
 
 
-def test_lives_and_hints() -> None:
+def test_incarnations_and_hints_decode_to_the_same() -> None:
     assert IncarnationRecord.decode(IncarnationRecord(3, 9, True).encode()) == IncarnationRecord(3, 9, True)
     assert Hint.decode(Hint(b"10.0.0.1", 250.0).encode()) == Hint(b"10.0.0.1", 250.0)
     for bad in (b"", b"\x01", Hint(b"", float("nan")).encode(), Hint(b"", -1.0).encode()):
@@ -68,7 +70,7 @@
             Hint.decode(bad)
 
 
-def test_each_kind_has_its_trust_its_reason_and_its_bound() -> None:
+def test_each_kind_has_a_trust_a_reason_and_a_bound() -> None:
     assert set(TRUST_BY_KIND) == set(REASONS) == set(MAX_RECORDS) == set(RecordKind)
     assert {kind for kind in RecordKind if TRUST_BY_KIND[kind] is Trust.AUTHORITATIVE} == {
         RecordKind.INCARNATION,
@@ -79,31 +81,29 @@
     }
 
 
-# --- forgotten ---
-
 BOOT, START, HOLD = 5, 1_000.0, 500.0
 
 
-def one(number: int, state: LoadState, boot: int = BOOT, ended: float = 0.0) -> LoadRecord:
+def make_load(number: int, state: LoadState, boot: int = BOOT, ended: float = 0.0) -> LoadRecord:
     return LoadRecord(bytes([number]) * 16, "", "", b"", "", boot, 0.0, state, ended)
 
 
 @pytest.mark.parametrize(
     ("load", "now", "gone"),
     [
-        (one(1, LoadState.COMPLETED, ended=1_200.0), 1_700.0, False),
-        (one(1, LoadState.COMPLETED, ended=1_200.0), 1_700.1, True),
-        (one(1, LoadState.SENT), 1e9, False),
+        (make_load(1, LoadState.COMPLETED, ended=1_200.0), 1_700.0, False),
+        (make_load(1, LoadState.COMPLETED, ended=1_200.0), 1_700.1, True),
+        (make_load(1, LoadState.SENT), 1e9, False),
         # Of an earlier boot: its times, however large or small, say nothing.
-        (one(1, LoadState.SENT, BOOT - 1), START + HOLD, False),
-        (one(1, LoadState.SENT, BOOT - 1), START + HOLD + 0.1, True),
-        (one(1, LoadState.COMPLETED, BOOT - 1, ended=-1e9), START + HOLD, False),
-        (one(1, LoadState.COMPLETED, BOOT - 1, ended=1e9), START + HOLD + 0.1, True),
+        (make_load(1, LoadState.SENT, BOOT - 1), START + HOLD, False),
+        (make_load(1, LoadState.SENT, BOOT - 1), START + HOLD + 0.1, True),
+        (make_load(1, LoadState.COMPLETED, BOOT - 1, ended=-1e9), START + HOLD, False),
+        (make_load(1, LoadState.COMPLETED, BOOT - 1, ended=1e9), START + HOLD + 0.1, True),
         # A boot number above this one's comes from a folder put back: it's another boot all the same.
-        (one(1, LoadState.COMPLETED, BOOT + 1, ended=1e9), START + HOLD + 0.1, True),
+        (make_load(1, LoadState.COMPLETED, BOOT + 1, ended=1e9), START + HOLD + 0.1, True),
     ],
 )
-def test_a_load_goes_one_hold_after_it_can_matter(load: LoadRecord, now: float, gone: bool) -> None:
+def test_a_load_is_evicted_one_retention_after_its_end(load: LoadRecord, now: float, gone: bool) -> None:
     decided = evict_loads([load], now_ms=now, boot_count=BOOT, boot_started_at_ms=START, retention_ms=HOLD)
     assert (
         decided.keys == ((load.identity,) if gone else ())
@@ -112,13 +112,13 @@
     )
 
 
-def test_to_make_room_the_first_ended_goes_first_and_open_ones_never() -> None:
+def test_to_make_room_loads_go_by_their_end_and_open_ones_never() -> None:
     kept = [
-        one(1, LoadState.SENT),
-        one(2, LoadState.COMPLETED, ended=1_300.0),
-        one(3, LoadState.FAILED, ended=1_200.0),
-        one(4, LoadState.SENT, BOOT - 1),
-        one(5, LoadState.NEVER_SENT, BOOT - 1, ended=1_400.0),
+        make_load(1, LoadState.SENT),
+        make_load(2, LoadState.COMPLETED, ended=1_300.0),
+        make_load(3, LoadState.FAILED, ended=1_200.0),
+        make_load(4, LoadState.SENT, BOOT - 1),
+        make_load(5, LoadState.NEVER_SENT, BOOT - 1, ended=1_400.0),
     ]
 
     def keys(most: int, room: int = 1) -> tuple[list[int], int, bool]:
@@ -145,7 +145,7 @@
 
 
 @given(DISTINCT, st.integers(0, 15), st.integers(0, 5), st.floats(0, 1e6))
-def test_an_open_load_within_its_hold_is_never_forgotten(
+def test_an_open_load_within_its_retention_is_never_evicted(
     kept: list[LoadRecord], most: int, room: int, now: float
 ) -> None:
     decided = evict_loads(
@@ -162,7 +162,7 @@
     assert left + room <= most or decided.is_full
 
 
-def test_hints_go_by_age_and_what_is_trusted_never() -> None:
+def test_hints_are_evicted_by_age_and_authoritative_records_never() -> None:
     ages = {b"a": 3.0, b"b": 9.0, b"c": 5.0}
     assert evict_records(RecordKind.ENGINE_RATE, ages, max_records=3).keys == (b"b",)
     assert evict_records(RecordKind.ENGINE_RATE, ages, max_records=2).keys == (b"b", b"c")
