--- a/cottonhold/discovery/consul/http_exchange.py
+++ b/cottonhold/discovery/consul/http_exchange.py
@@ -53,8 +53,8 @@
 class HttpResponseParser:
     """Parses the response to one request. Its `on_…` methods are called by httptools."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self.max_body_bytes = most_bytes
+    def __init__(self, max_body_bytes: int) -> None:
+        self.max_body_bytes = max_body_bytes
         self.parser = httptools.HttpResponseParser(self)
         self.headers: dict[str, str] = {}
         self.header_bytes = 0
--- a/cottonhold/discovery/event_stream.py
+++ b/cottonhold/discovery/event_stream.py
@@ -46,14 +46,13 @@
 
 
 def decode_events(
-    source: Any, names: ConfiguredNames, counters: Counters, say: Callable[[str], None] = lambda text: None
+    source: Any, names: ConfiguredNames, counters: Counters, log: Callable[[str], None] = lambda text: None
 ) -> tuple[int, list[SourceReport]]:
-    """The last event's sequence number and the report of each; an entry that makes no sense is counted and
-    skipped."""
+    """The last event's sequence number and the report of each; an invalid entry is counted and skipped."""
 
     def malformed(error: Exception) -> None:
         counters.add("bus_malformed")
-        say(f"event bus: passed over: {str(error)!r}")
+        log(f"event bus: passed over: {str(error)!r}")
 
     if not isinstance(source, dict):
         raise WireError("not an object")
@@ -89,44 +88,41 @@
         offset: int,
         names: ConfiguredNames,
         counters: Counters,
-        tell: Callable[[SourceReport], None],
-        say: Callable[[str], None] = lambda text: None,
+        on_report: Callable[[SourceReport], None],
+        log: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self.host, self.offset, self.names, self.counters, self.on_report = (
-            host,
-            offset,
-            names,
-            counters,
-            tell,
-        )
+        self.host, self.offset, self.names, self.counters = host, offset, names, counters
+        self.on_report, self.log = on_report, log
         self.is_short_call_unanswered = False  # the last call, a short one
-        self.on_complete_answer: Callable[[], None] = (
-            lambda: None
-        )  # called for each complete answer, even if nothing is new
-        self.log = say
+        # Called for each complete answer, even if it brings nothing new.
+        self.on_complete_answer: Callable[[], None] = lambda: None
         self.restart()
 
     def restart(self) -> None:
-        """Begin a new connection: a partial answer of the old one is void."""
+        """Begin a new connection: a partial answer of the old one is dropped."""
         self.parser = httptools.HttpResponseParser(self)
         self.body, self.is_complete, self.keeps_connection, self.has_length = bytearray(), False, True, False
-        # Where answers are slow a short call might never get one, so every second one is a long one.
-        self.hold_ms = LONG_POLL_MS if self.is_short_call_unanswered else FIRST_POLL_MS
+        # If answers are slow, a short call might never get one, so that every second call is long.
+        self.max_poll_ms = LONG_POLL_MS if self.is_short_call_unanswered else FIRST_POLL_MS
         self.is_short_call_unanswered = False
 
     def request(self) -> bytes:
         """The next call."""
         self.is_complete = self.has_length = False
-        self.is_short_call_unanswered = self.hold_ms == FIRST_POLL_MS
-        call = f"GET /bus/read?from={self.offset}&hold={self.hold_ms} HTTP/1.1\r\nHost: {self.host}\r\n\r\n"
+        self.is_short_call_unanswered = self.max_poll_ms == FIRST_POLL_MS
+        call = (
+            f"GET /bus/read?from={self.offset}&hold={self.max_poll_ms} HTTP/1.1\r\nHost: {self.host}\r\n\r\n"
+        )
         return call.encode()
 
     def first_byte_timeout_ms(self) -> float:
         """How long the answer to a call may take to begin."""
-        return self.hold_ms + FIRST_BYTE_TIMEOUT_MS
+        return self.max_poll_ms + FIRST_BYTE_TIMEOUT_MS
 
     def receive(self, data: bytes) -> bool:
-        """Take bytes in; true once the answer is complete. Raises WireError for what can't be used."""
+        """Parse received bytes; true once the answer is complete. Raises WireError for one that can't be
+        used.
+        """
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -144,7 +140,7 @@
 
     def _on_answer(self) -> None:
         """Pass on the reports of a complete answer."""
-        self.is_short_call_unanswered, self.hold_ms = False, LONG_POLL_MS
+        self.is_short_call_unanswered, self.max_poll_ms = False, LONG_POLL_MS
         status, body = self.parser.get_status_code(), bytes(self.body)
         self.body.clear()
         try:
@@ -159,11 +155,10 @@
             self.on_complete_answer()
 
     def _report(self, offset: int, reports: list[SourceReport]) -> None:
-        known, self.offset = self.offset, offset
+        last_offset, self.offset = self.offset, offset
         for report in sorted(reports, key=lambda report: report.index):
-            # An event that is sent again, of an engine as it was before it drained, must not put it in
-            # service.
-            if not 0 < report.index <= known:
+            # A repeated event of an engine before its drain must not put it back in service.
+            if not 0 < report.index <= last_offset:
                 self.on_report(report)
 
     def _malformed(self, error: Exception) -> NoReturn:
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -93,7 +93,7 @@
         self.actions: list[LogEvent | ConfirmAbsence] = []
 
     def on_report(self, now: float, report: SourceReport) -> None:
-        """Take an answer in. The engines that may have changed are in `changed_engines` afterwards."""
+        """Apply a report. The engines that may have changed are in `changed_engines` afterwards."""
         if self.unreachable_since < math.inf:
             self._log("source_back", after_ms=round(now - self.unreachable_since))
             self.unreachable_since, self.unreachable_reason = math.inf, ""
@@ -149,13 +149,12 @@
         )
 
     def _on_observation(self, now: float, observation: Observation, index: int, is_first: bool) -> bool:
-        """Take in an observation of one engine; true where it is a loss that the floor must allow first."""
+        """Apply an observation of one engine; true for a loss that min_in_service must allow first."""
         claim = self.claims.get(observation.id)
         if claim is None:
             return self._add_claim(now, observation, index, is_first)
         claim.last_seen_at, claim.index = now, index
-        # A loss is kept apart: an engine in service only because the floor holds its loss must not pass for
-        # healthy.
+        # A loss is kept apart: an engine in service only because its loss is held must not count as healthy.
         if observation.status in LOSSES:
             if self.guard.is_trusted or claim.state is not EngineState.LIVE:
                 self._apply_loss(now, claim, observation)
@@ -171,11 +170,10 @@
         return False
 
     def _add_claim(self, now: float, observation: Observation, index: int, is_first: bool) -> bool:
-        """Add an engine not claimed before. It counts as cold, unless it was listed at this dispatcher's own
-        start.
+        """Add a new engine. It counts as cold, unless it was listed at this dispatcher's own start.
 
-        One that is unhealthy from the start is out of service: there is no earlier list that could stay in
-        force."""
+        One that is unhealthy from the start is out of service: no earlier list could stay in force.
+        """
         if observation.status is ServiceStatus.ENDED:
             return False
         started = 0.0 if is_first and observation.started_at <= 0 else self._derive_start(now, observation)
@@ -316,8 +314,7 @@
     def _on_losses(
         self, now: float, losses: Iterable[tuple[str, Observation]], index: int, is_confirmed: bool
     ) -> None:
-        """Take in the losses of one answer: with those held before all of them count, or none beyond the
-        floor."""
+        """Apply the losses of one answer: together with those held before, all of them count or none."""
         known = [(engine_id, observation) for engine_id, observation in losses if engine_id in self.claims]
         for engine_id, observation in known:
             claim = self.claims[engine_id]
