--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -56,7 +56,7 @@
     """One of three dispatchers; the others say what the test has them say."""
 
     def __init__(self) -> None:
-        self.clock, self.ledger, self.heard = FakeClock(), FakeLedger(), list[tuple[str, str]]()
+        self.clock, self.ledger, self.outcomes = FakeClock(), FakeLedger(), list[tuple[str, str]]()
         self.memory = LoadHistory(0, 3, 3, self.clock.now(), (), LoadHistorySettings(20_000.0), 1)
         self.may_send, self.start = True, self.clock.now()
         self.loads = LoadRecorder(
@@ -81,15 +81,17 @@
 
     def arrive(self, ref: str, key: str = "k", retry: bool = False, wait: float = 5000.0) -> None:
         def settled(past: LoadOutcome, ms: float) -> None:
-            self.heard.append((ref, past.value))
+            self.outcomes.append((ref, past.value))
 
         self.loads.on_load_arrived(self.client_request(ref, key, retry), self.clock.now() + wait, settled)
 
     def send(self, ref: str) -> tuple[Attempt, list[bool]]:
-        taken, told = self.client_request(ref, "k", False), list[bool]()
-        attempt = Attempt(ref, 0, "e", "load", taken.body, 1, self.clock.now(), self.clock.now() + 5000)
-        self.loads.before_attempt_sent(attempt, taken, told.append)
-        return attempt, told
+        client_request, recorded = self.client_request(ref, "k", False), list[bool]()
+        attempt = Attempt(
+            ref, 0, "e", "load", client_request.body, 1, self.clock.now(), self.clock.now() + 5000
+        )
+        self.loads.before_attempt_sent(attempt, client_request, recorded.append)
+        return attempt, recorded
 
 
 def test_a_request_behind_an_unsettled_retry_of_its_key_waits() -> None:
@@ -98,11 +100,11 @@
     world.arrive("b1")
     world.arrive("c1", wait=1000.0)
     world.arrive("d1", key="other")
-    assert world.heard == [("d1", "never")]
+    assert world.outcomes == [("d1", "never")]
     world.clock.run_until(world.clock.now() + 1500.0, lambda: None)
-    assert world.heard[1:] == [("c1", "later")]  # its own time ran out first
+    assert world.outcomes[1:] == [("c1", "later")]  # its own time ran out first
     world.loads.on_request_closed("a1")  # its client left: it is no longer asked about
-    assert world.heard[2:] == [("b1", "never")]
+    assert world.outcomes[2:] == [("b1", "never")]
 
 
 @pytest.mark.parametrize(
@@ -146,7 +148,7 @@
     else:
         world.may_send = False
     world.arrive("a1")
-    assert world.heard == [("a1", "later")]
+    assert world.outcomes == [("a1", "later")]
 
 
 @pytest.mark.parametrize("change", ["disk", "unheard"])
@@ -165,7 +167,7 @@
         for action in world.memory.actions:
             if isinstance(action, LoadSettled):
                 world.loads.on_settled(action)
-    assert world.heard == [("a1", "later"), ("a2", "later"), ("a3", "may")]
+    assert world.outcomes == [("a1", "later"), ("a2", "later"), ("a3", "may")]
 
 
 def test_a_load_in_the_history_stays_on_the_disk() -> None:
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -25,11 +25,11 @@
 
 
 class ScriptedLedger:
-    """Takes what it is given while it is well; `answer` tells the writer what became of it."""
+    """Accepts writes while it is healthy; `answer` ends the oldest one."""
 
     def __init__(self) -> None:
         self.state = DiskState.HEALTHY
-        self.given: list[tuple[Sequence[Record], Done]] = []
+        self.pending_writes: list[tuple[Sequence[Record], Done]] = []
         self.disk: list[bytes] = []
 
     def clock(self) -> float:
@@ -40,12 +40,12 @@
 
     def put(self, records: Sequence[Record], done: Done) -> None:
         if self.state is DiskState.HEALTHY:
-            self.given.append((records, done))
+            self.pending_writes.append((records, done))
         else:
             done(False)
 
     def answer(self, durable: bool) -> None:
-        records, done = self.given.pop(0)
+        records, done = self.pending_writes.pop(0)
         if durable:
             self.disk += [record.key + (record.value or b"") for record in records]
         done(durable)
@@ -54,15 +54,15 @@
 class World:
     def __init__(self) -> None:
         self.clock, self.ledger = FakeClock(), ScriptedLedger()
-        self.told: list[str] = []
+        self.notifications: list[str] = []
         self.writer = OrderedWriteQueue(cast(Ledger, self.ledger), lambda then: then(), self.clock.call_in)
 
     def put(self, key: str, value: str) -> None:
         name = key + value
         self.writer.put(
             Record(RecordKind.PROMISE, key.encode(), value.encode()),
-            lambda: self.told.append(name),
-            lambda: self.told.append("-" + name),
+            lambda: self.notifications.append(name),
+            lambda: self.notifications.append("-" + name),
         )
 
     def wait(self, ms: float) -> None:
@@ -73,11 +73,11 @@
     world = World()
     for key in "abc":
         world.put(key, "1")
-    assert len(world.ledger.given) == 1
+    assert len(world.ledger.pending_writes) == 1
     world.ledger.answer(True)
-    assert world.told == ["a1"] and len(world.ledger.given) == 1
+    assert world.notifications == ["a1"] and len(world.ledger.pending_writes) == 1
     world.ledger.answer(True)
-    assert world.told == ["a1", "b1", "c1"] and world.ledger.disk == [b"a1", b"b1", b"c1"]
+    assert world.notifications == ["a1", "b1", "c1"] and world.ledger.disk == [b"a1", b"b1", b"c1"]
 
 
 def test_refused_records_are_written_first_the_next_time() -> None:
@@ -86,11 +86,13 @@
         world.put(key, value)
     world.ledger.answer(False)
     world.put("c", "1")
-    assert world.told == ["-a1"] and not world.ledger.given
+    assert world.notifications == ["-a1"] and not world.ledger.pending_writes
     world.wait(write_queue.RETRY_MS + 1)
     world.ledger.answer(True)
     assert world.ledger.disk == [b"b1", b"a2", b"c1"]
-    assert world.told == ["-a1", "b1", "a2", "c1"], "the later record of a key stands for the earlier one"
+    assert world.notifications == ["-a1", "b1", "a2", "c1"], (
+        "the later record of a key stands for the earlier one"
+    )
 
 
 @pytest.mark.parametrize("state", [DiskState.STALLED, DiskState.FULL, DiskState.FAILED])
@@ -99,14 +101,14 @@
     world.put("a", "1")
     world.ledger.state = state
     world.put("b", "1")
-    assert world.told == ["-b1"], "behind one that hangs it isn't waited for"
+    assert world.notifications == ["-b1"], "behind one that hangs it isn't waited for"
     world.ledger.answer(False)
     world.wait(20 * write_queue.RETRY_MS)
-    assert set(world.told) == {"-a1", "-b1"} and not world.ledger.given
+    assert set(world.notifications) == {"-a1", "-b1"} and not world.ledger.pending_writes
     world.ledger.state = DiskState.HEALTHY
     world.wait(write_queue.RETRY_MS + 1)
     world.ledger.answer(True)
-    assert world.ledger.disk == [b"a1", b"b1"] and world.told[-2:] == ["a1", "b1"]
+    assert world.ledger.disk == [b"a1", b"b1"] and world.notifications[-2:] == ["a1", "b1"]
 
 
 def test_many_records_are_several_transactions() -> None:
@@ -115,10 +117,10 @@
     for number in range(write_queue.MAX_GROUP_RECORDS + 5):
         world.put(f"{number}", "")
     sizes = []
-    while world.ledger.given:
-        sizes.append(len(world.ledger.given[0][0]))
+    while world.ledger.pending_writes:
+        sizes.append(len(world.ledger.pending_writes[0][0]))
         world.ledger.answer(True)
-    assert sizes == [1, write_queue.MAX_GROUP_RECORDS, 5] and len(world.told) == sum(sizes)
+    assert sizes == [1, write_queue.MAX_GROUP_RECORDS, 5] and len(world.notifications) == sum(sizes)
 
 
 STEPS = st.lists(
@@ -135,20 +137,20 @@
         if step == "wait":
             world.wait(write_queue.RETRY_MS + 1)
         elif step in ("ok", "no"):
-            if world.ledger.given:
+            if world.ledger.pending_writes:
                 world.ledger.answer(step == "ok")
         else:
             last[step[1]] = f"{number:03}"
             world.put(step[1], last[step[1]])
-        kept = [name for name in world.told if not name.startswith("-")]
+        kept = [name for name in world.notifications if not name.startswith("-")]
         assert set(kept) <= {name.decode() for name in world.ledger.disk}
     for _ in range(2 * len(last) + 2):
         world.wait(write_queue.RETRY_MS + 1)
-        if world.ledger.given:
+        if world.ledger.pending_writes:
             world.ledger.answer(True)
     disk = [name.decode() for name in world.ledger.disk]
     assert [name[1:] for name in disk] == sorted(name[1:] for name in disk), "out of order"
-    assert all(key + value in disk and key + value in world.told for key, value in last.items())
+    assert all(key + value in disk and key + value in world.notifications for key, value in last.items())
 
 
 @settings(max_examples=200, deadline=None)
@@ -202,15 +204,15 @@
         return DiskHealth(DiskState.FAILED if self.member in self.fleet.failing else DiskState.HEALTHY, "")
 
     def put(self, records: Sequence[Record], done: Done) -> None:
-        self.fleet.later(self.member, 0.3, lambda: self._write(records, done))
+        self.fleet.schedule(self.member, 0.3, lambda: self._write(records, done))
 
     def _write(self, records: Sequence[Record], done: Done) -> None:
-        well = self.member not in self.fleet.failing
-        for record in records if well else ():
+        is_healthy = self.member not in self.fleet.failing
+        for record in records if is_healthy else ():
             self.fleet.disks[self.member].pop(record.key.decode(), None)
             if record.value:
                 self.fleet.disks[self.member][record.key.decode()] = record.value
-        done(well)
+        done(is_healthy)
 
 
 class FailingFleet(Fleet):
@@ -223,37 +225,37 @@
     def start(self, member: int, empty: bool = False) -> None:
         ledger = cast(Ledger, FailingLedger(self, member))
         self.writers[member] = OrderedWriteQueue(
-            ledger, lambda then: then(), lambda ms, then: self.later(member, ms, then)
+            ledger, lambda then: then(), lambda ms, then: self.schedule(member, ms, then)
         )
         super().start(member, empty)
 
-    def later(self, member: int, ms: float, then: Callable[[], None]) -> None:
+    def schedule(self, member: int, ms: float, then: Callable[[], None]) -> None:
         heapq.heappush(
             self.events, (self.now + ms, next(self.order), member, self.incarnations[member], then)
         )
 
-    def deliver(self, member: int, life: int, what: Any) -> None:
-        if not callable(what):
-            super().deliver(member, life, what)
-        elif member in self.running and life == self.incarnations[member]:
-            what()
+    def deliver(self, member: int, incarnation: int, delivery: Any) -> None:
+        if not callable(delivery):
+            super().deliver(member, incarnation, delivery)
+        elif member in self.running and incarnation == self.incarnations[member]:
+            delivery()
 
     def act(self, member: int, actions: Iterable[Any]) -> None:
         others = []
         for action in actions:
             if isinstance(action, PersistState):
-                self.keep(member, action)
+                self.persist(member, action)
             else:
                 others.append(action)
         super().act(member, others)
 
-    def keep(self, member: int, action: PersistState) -> None:
+    def persist(self, member: int, action: PersistState) -> None:
         record = Record(RecordKind.PROMISE, action.name.encode(), action.data or None)
 
-        def kept() -> None:
+        def on_written() -> None:
             self.act(member, self.running[member].on_persisted(self.now, action.token))
 
-        self.writers[member].put(record, kept)
+        self.writers[member].put(record, on_written)
 
 
 def a_voter_votes_after_its_disk_failed_at_the_start() -> None:
@@ -264,7 +266,7 @@
     fleet.run(10_000)
     assert all(one.is_voting() for one in fleet.running.values())
     fleet.stop(103)
-    assert fleet.change(101, "a", 0, b"x").result is ChangeResult.WON, "its voice counts again"
+    assert fleet.change(101, "a", 0, b"x").result is ChangeResult.WON, "its vote counts again"
 
 
 def test_a_voter_votes_after_its_disk_failed_at_the_start() -> None:
@@ -283,7 +285,7 @@
     assert fleet.change(101, "a", 0, b"one").result is ChangeResult.WON
     fleet.failing = {102, 103}
     assert fleet.change(101, "a", 1, b"two").result is not ChangeResult.WON, (
-        "nothing is told that isn't durable"
+        "no result is reported that is not durable"
     )
     fleet.failing.clear()
     fleet.run(5000)
@@ -311,7 +313,7 @@
 
 
 def test_all_finished_registers_go_once_the_last_floor_is_durable() -> None:
-    """Of one record only the last one's end is told; an earlier one may never have been on the disk."""
+    """Of one record only the last write's end is reported; an earlier one may never have reached the disk."""
     voter = Acceptor(101, [101], 7, {}, 64, 200.0)
     voter.step(0.0)
     for _ in range(2):
@@ -324,7 +326,7 @@
         voter.registers[name] = VoterRegister(Ballot(3, 101))
         voter._remove_register(name)
     voter.on_persisted(voter.last_token)
-    gone = {
+    removed = {
         action.name for action in voter.take_actions() if isinstance(action, PersistState) and not action.data
     }
-    assert gone == {"reg/a", "reg/b"}
+    assert removed == {"reg/a", "reg/b"}
