--- a/cottonhold/backend/attempt.py
+++ b/cottonhold/backend/attempt.py
@@ -37,10 +37,10 @@
     class_name: str
     body: bytes
     priority: int
-    started_at: float
+    started_at: float  # when it was handed over to be sent
     deadline: float
     idempotency_key: str | None = None  # the client's, the same on each attempt
-    begin_deadline: float = math.inf  # not begun by then, it must not begin any more
+    begin_deadline: float = math.inf  # its first byte has to be written before this
     connection: AttemptConnection | None = None  # None before it is queued on one, and once it has ended
     timer: Timer | None = None
     is_written: bool = False
--- a/cottonhold/backend/connection.py
+++ b/cottonhold/backend/connection.py
@@ -24,7 +24,7 @@
     clock: Clock
     counters: Counters
 
-    def may_begin(self, attempt: Attempt) -> bool:
+    def end_unless_sendable(self, attempt: Attempt) -> bool:
         """Whether an attempt may still begin; called before its first byte. One that may not has ended."""
 
     def encode_request(self, attempt: Attempt) -> bytes:
@@ -80,7 +80,7 @@
         while self.queue and size < MAX_WRITE_BYTES:
             item = self.queue.popleft()
             if isinstance(item, Attempt):
-                if not self.owner.may_begin(item):
+                if not self.owner.end_unless_sendable(item):
                     continue
                 item.is_written = True
                 item = self.owner.encode_request(item)
--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -188,8 +188,8 @@
         connection.stream = self.connect(endpoint.address, connection)
         return connection
 
-    def may_begin(self, attempt: Attempt) -> bool:
-        """The one check before an attempt's first byte. What fails it has ended, and never ran.
+    def end_unless_sendable(self, attempt: Attempt) -> bool:
+        """End an attempt that may not be sent any more, before its first byte; return whether it may be sent.
 
         It may have been queued for long, as during a connect: its client may have left, its time may be over.
         """
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -1,4 +1,4 @@
-"""Carries out engine drains: withholds engines from the list, counts requests, checks liveness. Decides
+"""Carries out engine drains: quarantines engines, counts requests, checks liveness. Decides
 nothing.
 """
 
--- a/cottonhold/node/attempt_sender.py
+++ b/cottonhold/node/attempt_sender.py
@@ -55,11 +55,11 @@
             return
         # A load must be recorded durably before it is sent: sent first, a power loss would leave it unknown.
         load_guard.before_attempt_sent(
-            attempt, client_request, lambda recorded: self._on_load_recorded(request, attempt, recorded)
+            attempt, client_request, lambda recorded: self._resolve_recording(request, attempt, recorded)
         )
-        if _is_unsent(request, attempt):
+        if _awaits_recording(request, attempt):
             limit_ms = attempt.deadline - attempt.started_at
-            self.clock.call_in(limit_ms, lambda: self._on_load_recorded(request, attempt, False))
+            self.clock.call_in(limit_ms, lambda: self._resolve_recording(request, attempt, False))
 
     def _new_attempt(self, request: OpenRequest, action: Send) -> Attempt:
         now, client_request = self.clock.now(), request.client_request
@@ -79,9 +79,9 @@
         )
         return request.attempt
 
-    def _on_load_recorded(self, request: OpenRequest, attempt: Attempt, is_recorded: bool) -> None:
-        """A load has been recorded, so that it may be sent; or it won't be, in time or at all."""
-        if not _is_unsent(request, attempt):
+    def _resolve_recording(self, request: OpenRequest, attempt: Attempt, is_recorded: bool) -> None:
+        """A load has been recorded and may be sent, or it ends unsent: not recorded in time, or cancelled."""
+        if not _awaits_recording(request, attempt):
             return
         if is_recorded and request.response_sink is not None:
             self._start(request, attempt)
@@ -110,7 +110,7 @@
         """Cancel an attempt, if it is in flight still; one that waits to be recorded ends unstarted."""
         request = self.requests.get(action.query_id)
         if request and request.attempt is not None and request.attempt.number == action.attempt:
-            self._on_load_recorded(request, request.attempt, False)
+            self._resolve_recording(request, request.attempt, False)
             if request.attempt is not None:
                 self.engines.cancel(request.attempt, Outcome.CANCELLED)
 
@@ -124,6 +124,6 @@
             self.engines.change_priority(attempt, MAX_PRIORITY)
 
 
-def _is_unsent(request: OpenRequest, attempt: Attempt) -> bool:
+def _awaits_recording(request: OpenRequest, attempt: Attempt) -> bool:
     """Whether an attempt still waits to be recorded."""
     return request.attempt is attempt and attempt.connection is None
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -289,6 +289,7 @@
         request, observer = self.requests.get(action.query_id), self.notifications.observer
         if observer is not None and request is not None:
             observer.on_demand_estimated(request.client_request, action.utility, action.work_ms)
+            # After this turn: a request that this turn rejects was not admitted.
             self.clock.call_soon(lambda: self._mark_admitted(request))
 
     def _mark_admitted(self, request: OpenRequest) -> None:
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -17,10 +17,12 @@
 DRAIN_IDLE_CLOSE_MS = 500.0  # into a drain, from which on idle connections are closed
 DRAIN_ACCEPT_QUERIES_MS = 1500.0  # into a drain: 4 s into it no request may be open that is younger than 2 s
 # After SIGTERM new connections arrive for 0.4 s, and requests on open ones for 0.2 s more.
-SHUTDOWN_ACCEPT_LONG_MS = 400.0  # to which long queries are accepted: 0.7 s, less a busy loop's lag
+SHUTDOWN_ACCEPT_LONG_MS = (
+    400.0  # to which queries that may outlast SIGKILL are accepted, with a busy loop's lag
+)
 SHUTDOWN_IDLE_CLOSE_MS = 600.0  # from which on idle connections are closed
 SHUTDOWN_ACCEPT_CLIENTS_MS = 800.0  # to which new clients are accepted
-# SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s after SIGTERM.
+# SIGKILL comes no sooner after SIGTERM than the longest deadline (3 s at most) plus 0.7 s.
 MAX_KILL_DEADLINE_MS, KILL_GRACE_MS = 3000.0, 700.0
 KILL_MARGIN_MS = 200.0  # before SIGKILL the last request has its response: a busy loop is late by this
 CLOSE_MARGIN_MS = 100.0  # and before that the last connection is closed, so that its client sees it
@@ -87,7 +89,8 @@
     def accepts_query(self, now: float, deadline: float) -> bool:
         """Whether a query that arrives now and has until `deadline` is accepted.
 
-        Only queries that arrive within 0.7 s after SIGTERM may be unanswered at SIGKILL.
+        Queries that may outlast SIGKILL are accepted for SHUTDOWN_ACCEPT_LONG_MS only: those that arrive
+        later than 0.7 s after SIGTERM have to be answered before it.
         """
         if now >= self.shutdown_since + SHUTDOWN_ACCEPT_LONG_MS and deadline > self.kill_deadline:
             return False
--- a/cottonhold/node/standalone/adapter_factory.py
+++ b/cottonhold/node/standalone/adapter_factory.py
@@ -39,9 +39,12 @@
     ) -> MembershipAdapter:
         """Membership, with an incarnation above all former ones. on_health_check: called with an engine and
         its load report once another instance has checked it with success."""
-        boots = INCARNATIONS_PER_BOOT * ledger.boot_count if ledger is not None else int(self.clock.unix())
+        # Without a ledger the wall clock, in ms, is above the incarnations of former starts.
+        first_incarnation = int(self.clock.unix())
+        if ledger is not None:
+            first_incarnation = INCARNATIONS_PER_BOOT * ledger.boot_count
         return MembershipAdapter(
-            make_instance(self.installation(), self.clock.now(), boots),
+            make_instance(self.installation(), self.clock.now(), first_incarnation),
             self.clock,
             self.counters,
             self.dispatcher.event_loop.datagrams.send,
@@ -51,7 +54,7 @@
         )
 
     def zone_failover(self, ledger: Ledger | None, membership: MembershipAdapter) -> ZoneFailoverAdapter:
-        """The fleet's coordinator."""
+        """The adapter around the fleet's coordinator: zone failover, admission and slow start."""
         swim = membership.instance.swim
         start_s = max(int(self.clock.unix() / 1000), 1)
         incarnation = incarnation_of(ledger) if ledger is not None else start_s
@@ -91,7 +94,7 @@
         fleet: ZoneFailoverAdapter,
         voters: Sequence[str],
     ) -> EngineDrainAdapter:
-        """Engine drains. owner: of the list from which they withhold engines."""
+        """Engine drains. owner: of the list in which they quarantine engines."""
         return EngineDrainAdapter(owner, ledger, membership, fleet.coordinator, voters, self.call_in_loop)
 
     def rolling_replacement(
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -104,18 +104,18 @@
         records = self.ledger_access.readable_records()
         self.unavailable_load_guard = self.adapters.unavailable_load_guard(records.get(RecordKind.LOAD, {}))
         self.gateway.notifications.load_guard = self.unavailable_load_guard
-        self._withhold_drained_engines(records.get(RecordKind.ENGINE_DRAIN, {}))
+        self._quarantine_drained_engines(records.get(RecordKind.ENGINE_DRAIN, {}))
         self.ledger_access.call_when_open(self._use_ledger)
 
-    def _withhold_drained_engines(self, drain_records: Mapping[bytes, bytes]) -> None:
-        """Withhold engines that were drained before the start: until the ledger says that they are, or for as
-        long as they would be without an answer of the voters."""
+    def _quarantine_drained_engines(self, drain_records: Mapping[bytes, bytes]) -> None:
+        """Quarantine engines that were drained before the start, for the startup timeout; those that the
+        drain records name then stay quarantined."""
 
         def still_drained() -> set[str]:
             replacement = self.rolling_replacement
             return replacement.drains.drain_records.engines if replacement is not None else set()
 
-        self.engine_list.withhold_for(
+        self.engine_list.quarantine_for(
             DrainSettings().startup_timeout_ms, DrainRecords(drain_records).from_previous_start, still_drained
         )
 
@@ -315,7 +315,10 @@
         self.consul_sources.confirm_absent(source, absent)
 
     def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
-        """Deregister first, so that load balancers which read Consul send their clients elsewhere."""
+        """Leave membership, and return the deregistration, which runs while requests are still served.
+
+        It comes first, so that load balancers which read Consul send their clients elsewhere.
+        """
         if self.membership is not None:
             self.membership.leave()
         remaining_s = (self.lifecycle.close_deadline() - self.event_loop.clock.now()) / 1000
--- a/cottonhold/node/standalone/engine_list.py
+++ b/cottonhold/node/standalone/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list as this instance publishes it: what sources report, less what the fleet withholds."""
+"""The engine list as this instance publishes it: what sources report, less what the fleet quarantines."""
 
 from __future__ import annotations
 
@@ -39,16 +39,16 @@
         self.republish(self.quarantine.on_change(change))
 
     def republish(self, change: EngineListChange | None) -> None:
-        """Publish engines that the fleet withholds from now on, or no longer; None changes nothing."""
+        """Publish engines that the fleet quarantines from now on, or no longer; None changes nothing."""
         if change is None:
             return
         self.gateway.on_engine_list(change)
         self.on_published(self.quarantine.live_engines())
 
-    def withhold_for(
+    def quarantine_for(
         self, duration_ms: float, engines: set[str], still_drained: Callable[[], set[str]]
     ) -> None:
-        """Withhold engines for a time; those that are still drained when it is over stay withheld."""
+        """Quarantine engines for a time; those that are still drained when it is over stay quarantined."""
 
         def release() -> None:
             for engine in sorted(engines - still_drained()):
@@ -67,15 +67,15 @@
         return cores
 
     def listed(self) -> dict[str, Machine]:
-        """All engines of the list as machines to be replaced; those withheld don't count as capacity."""
+        """All engines of the list as machines to be replaced; those in quarantine don't count as capacity."""
         zone_names, live = self.zone_names(), self.quarantine.live_engines()
         return {
             engine_id: Machine(
                 engine_id,
                 zone_names[engine.zone],
                 engine_cores(engine, self.machine_types),
-                True,
-                self._incarnation(engine_id),
+                is_engine=True,
+                incarnation=self._incarnation(engine_id),
                 is_counted=engine_id in live,
             )
             for engine_id, engine in self.quarantine.listed.items()
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -1,11 +1,11 @@
 """Engine health: the evidence of faults, ejection and readmission.
 
-An engine is ejected when a connect fails, when it answers mostly errors or loses connection after connection,
-when it says nothing while queries are overdue, or when a health check times out. Time-outs and cancelled
-attempts say nothing about it, and OVERLOADED only backs off. An ejected engine gets canaries only, unless no
-usable engine may run the query. It is readmitted after MIN_CANARY_SUCCESSES served queries in a row, when
-the evidence is refuted, when it restarts, when the fleet opens it again, or after EJECTION_MS without new
-evidence.
+An engine is ejected when a connect fails, when its smoothed share of errors and lost connections passes
+EJECTION_ERROR_SHARE, when it sends nothing while queries are overdue, or when a health check times out.
+Time-outs and cancelled attempts are no evidence, and OVERLOADED only backs off. An ejected engine gets
+canaries only, unless no usable engine may run the query. It is readmitted after MIN_CANARY_SUCCESSES served
+queries in a row with the share below READMISSION_ERROR_SHARE, when the evidence is refuted, when it restarts
+or leaves the live state, when the fleet opens it again, or after EJECTION_MS without new evidence.
 """
 
 from __future__ import annotations
@@ -119,7 +119,7 @@
     A failed connect is proof. All connections lost at one moment are one sign, no more than one error: a
     failed engine shows in the next connect, or in the health check that follows.
     """
-    if outcome is Outcome.ERROR and query is not None and _blame_query_or_engine(query, engine):
+    if outcome is Outcome.ERROR and query is not None and _count_query_error(query, engine):
         return
     if outcome is Outcome.RESET:
         if engine.connection_lost_at == gateway.now:
@@ -134,7 +134,7 @@
         eject(gateway, engine, EjectionReason.ERRORS if is_error else EjectionReason.UNREACHABLE)
 
 
-def _blame_query_or_engine(query: Query, engine: EngineView) -> bool:
+def _count_query_error(query: Query, engine: EngineView) -> bool:
     """Count an error of the query, and return whether the query is to blame.
 
     It is from its second error on: that one counts against no engine, and the first is taken back from its
@@ -158,7 +158,7 @@
     """Whether queries are overdue and neither answer nor progress note comes: a hang or a lost host.
 
     A query that waits for memory gets no further note until it runs, and is not overdue. Without progress
-    notes one long query is silence as well; then a health check decides.
+    notes one long query is silence as well: then a health check is sent, and its result decides.
     """
     overdue_from = [
         query.sent_at + OVERDUE_FACTOR * query.planned_run_ms
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -205,7 +205,7 @@
         return False
     if query_class.machine_types is not None and entry.machine_type not in query_class.machine_types:
         return False
-    return retry_policy.deduplicates_retry(query, engine)
+    return retry_policy.permits_retry_on(query, engine)
 
 
 def place(gateway: GatewayState, query: Query, count: int = CANDIDATES) -> None:
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -115,7 +115,7 @@
     ranking_density = query.density if gateway.settings.features.has_priorities else 0.0
     if _is_engine_full(gateway, query, engine, is_pressed, ranking_density):
         return False
-    return _has_quota_left(gateway, query, is_pressed, ranking_density)
+    return _fits_traffic_share(gateway, query, is_pressed, ranking_density)
 
 
 def _is_engine_full(
@@ -145,7 +145,9 @@
     return is_pressed and needed_threads > limit or is_short_of_memory
 
 
-def _has_quota_left(gateway: GatewayState, query: Query, is_pressed: bool, ranking_density: float) -> bool:
+def _fits_traffic_share(
+    gateway: GatewayState, query: Query, is_pressed: bool, ranking_density: float
+) -> bool:
     """Whether this gateway's share of the whole fleet has capacity for one more query.
 
     The share is of the fleet, not of each engine: one query of each gateway on each engine would flood it.
--- a/cottonhold/scheduler/retry_policy.py
+++ b/cottonhold/scheduler/retry_policy.py
@@ -25,7 +25,7 @@
 class RetryBarrier(Enum):
     """Why a query may have no further attempt."""
 
-    ATTEMPTS_EXHAUSTED = "attempts exhausted"
+    ATTEMPTS_EXHAUSTED = "attempts used up, or too many errors of engines"
     NOT_IDEMPOTENT = "not idempotent"
     DEDUPLICATION_WINDOW_OVER = "deduplication window over"
     RETRY_BUDGET_SPENT = "retry budget spent"
@@ -101,8 +101,12 @@
     )
 
 
-def deduplicates_retry(query: Query, engine: EngineView) -> bool:
-    """Whether the engine drops a repeat of what an earlier attempt of a query with a key may have done."""
+def permits_retry_on(query: Query, engine: EngineView) -> bool:
+    """Whether a repeat may go to the engine.
+
+    It may unless an earlier attempt of a query with a key may have run: then only to an engine that drops the
+    repeat.
+    """
     query_class = query.query_class
     if query_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY or query.may_have_run_on is None:
         return True
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -3,7 +3,7 @@
 All gateways together may send a cold engine no more than it takes without falling over; each keeps to its own
 part of that, so that the parts add up to the budget whatever the others do. The budget is counted in work, in
 which a query weighs what its class usually takes. An engine with a quota of the fleet
-(fleet/recovery/slow_start.py) keeps to that instead.
+(fleet/recovery/shared_slow_start.py) keeps to that instead.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
     if not has_quota and work_ms > _max_single_work_ms(gateway, engine):
         return True
     _save_up(gateway, engine, quota_rate, work_ms)
-    slot = _round_robin_slot(gateway, engine, is_cold, has_quota)
+    savings_share = _required_savings(gateway, engine, is_cold, has_quota)
     if has_quota:
-        return engine.allowance_ms < slot * work_ms
-    return engine.allowance_ms < slot * work_ms / _budget_share(gateway, engine, work_ms)
+        return engine.allowance_ms < savings_share * work_ms
+    return engine.allowance_ms < savings_share * work_ms / _budget_share(gateway, engine, work_ms)
 
 
 def _budget_share(gateway: GatewayState, engine: EngineView, work_ms: float) -> float:
@@ -67,7 +67,7 @@
 def _max_single_work_ms(gateway: GatewayState, engine: EngineView) -> float:
     """The most work that one query may have: the budget of all gateways and a little slack.
 
-    A query of many times the mean work overloads a small cold engine by itself, whoever's turn it is.
+    A query of many times the mean work overloads a small cold engine by itself, whichever gateway sends it.
     """
     rules = gateway.settings.rules
     capacity = engine.cores * engine.warm_capacity_share(gateway.now, rules)
@@ -116,8 +116,9 @@
     engine.allowance_updated_at = gateway.now
 
 
-def _round_robin_slot(gateway: GatewayState, engine: EngineView, is_cold: bool, has_quota: bool) -> float:
-    """Share of a usual query that has to be saved up: spread evenly over the gateways, which take turns.
+def _required_savings(gateway: GatewayState, engine: EngineView, is_cold: bool, has_quota: bool) -> float:
+    """The share of a usual query that has to be saved up, from 0 to 1: spread evenly over the gateways, which
+    take turns.
 
     At a cold engine with a quota the order stays: dealt anew, many gateways that have saved up would begin at
     once.
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -318,7 +318,7 @@
             await wait_until_loads_are_recorded(node)
             assert set(node.quarantine.live_engines()) == {"e2"}
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
-        node._withhold_drained_engines(drain[RecordKind.ENGINE_DRAIN])
+        node._quarantine_drained_engines(drain[RecordKind.ENGINE_DRAIN])
         ((ms, let_go),) = due
         assert ms == DrainSettings().startup_timeout_ms
         let_go()
