--- a/tests/discovery/test_engine_catalog.py
+++ b/tests/discovery/test_engine_catalog.py
@@ -53,9 +53,9 @@
 
     def step(self, *events: Event, at: float | None = None) -> list[Action]:
         self.now = self.now + 1 if at is None else at
-        return self.take(self.belief.step(self.now, events))
+        return self.apply(self.belief.step(self.now, events))
 
-    def take(self, actions: list[Action]) -> list[Action]:
+    def apply(self, actions: list[Action]) -> list[Action]:
         self.actions = actions
         for action in self.actions:
             if isinstance(action, PublishChange):
@@ -65,7 +65,9 @@
                 self.addresses |= action.change.addresses
         return self.actions
 
-    def tell(self, *observations: Observation, source: str = "dc1", at: float | None = None) -> list[Action]:
+    def report(
+        self, *observations: Observation, source: str = "dc1", at: float | None = None
+    ) -> list[Action]:
         return self.step(SourceReport(source, 7, observations, is_complete=True), at=at)
 
     def states(self) -> dict[str, EngineState]:
@@ -84,10 +86,10 @@
 
 def test_an_unhealthy_engine_is_out_at_once_and_returns_after_a_quiet_time() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
-    told.tell(*make_five("e1"), at=2000)
+    told.report(*make_five())
+    told.report(*make_five("e1"), at=2000)
     assert told.states()["e1"] is DRAINING
-    told.tell(*make_five(), at=2100)
+    told.report(*make_five(), at=2100)
     assert told.states()["e1"] is DRAINING and told.belief.next_at() == 3100
     told.step(at=3099)
     assert told.states()["e1"] is DRAINING
@@ -99,19 +101,19 @@
     for process, started in (("", 3100.0), ("77", 77.0)):
         told = CatalogHarness()
         more: dict[str, Any] = {"process_id": process, "started_at": float(process or 0)}
-        told.tell(*make_five(), make_observation("e9", **more))
-        told.tell(*make_five(), make_observation("e9", UNHEALTHY, **more), at=2000)
-        told.tell(*make_five(), make_observation("e9", **more), at=2100)
+        told.report(*make_five(), make_observation("e9", **more))
+        told.report(*make_five(), make_observation("e9", UNHEALTHY, **more), at=2000)
+        told.report(*make_five(), make_observation("e9", **more), at=2100)
         told.step(at=3100)
         assert told.engines["e9"].started_at == started
 
 
 def test_ten_flaps_in_ten_seconds_return_the_engine_twice_at_most() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
+    told.report(*make_five())
     for i in range(10):
-        told.tell(*make_five("e1"), at=2000 + i * 1000)
-        told.tell(*make_five(), at=2500 + i * 1000)
+        told.report(*make_five("e1"), at=2000 + i * 1000)
+        told.report(*make_five(), at=2500 + i * 1000)
     told.step(at=60_000)
     entries = [
         at for at, engine_id, state in told.published if engine_id == "e1" and state is LIVE and at > 2000
@@ -126,17 +128,17 @@
 
 def test_all_critical_in_one_report_leaves_the_last_list_in_force() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
-    told.tell(*(make_observation(f"e{i}", UNHEALTHY) for i in range(5)))
+    told.report(*make_five())
+    told.report(*(make_observation(f"e{i}", UNHEALTHY) for i in range(5)))
     assert len(told.live()) == 5 and "floor_holds" in told.events()
-    told.tell(*make_five("e1", "e2"))  # three are well again: now the two that aren't do count
+    told.report(*make_five("e1", "e2"))  # three are well again: now the two that aren't do count
     assert told.live() == ["e0", "e3", "e4"]
 
 
 def test_an_empty_report_after_a_full_one_is_confirmed_before_it_counts() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
-    told.tell()
+    told.report(*make_five())
+    told.report()
     assert len(told.live()) == 5 and ConfirmAbsence("dc1", ("e0", "e1", "e2", "e3", "e4")) in told.actions
     told.step(SourceReport("dc1", 8, absent=("e0", "e1", "e2"), is_confirmed=True))
     assert told.live() == ["e3", "e4"] and not [a for a in told.actions if isinstance(a, ConfirmAbsence)]
@@ -144,10 +146,10 @@
 
 def test_one_deregistered_engine_is_removed_but_not_the_last() -> None:
     told = CatalogHarness()
-    told.tell(make_observation("e0"), make_observation("e1"))
-    told.tell(make_observation("e0"))
+    told.report(make_observation("e0"), make_observation("e1"))
+    told.report(make_observation("e0"))
     assert told.states() == {"e0": LIVE}
-    told.tell()
+    told.report()
     assert told.states() == {"e0": LIVE}
 
 
@@ -155,10 +157,10 @@
     """Half fall and come back; while they wait for their quiet the other half falls."""
     told = CatalogHarness()
     half, rest = ("e0", "e1"), ("e2", "e3", "e4")
-    told.tell(*make_five())
-    told.tell(*make_five(*half), at=2000)
-    told.tell(*make_five(), at=2100)
-    told.tell(*make_five(*rest), at=2200)
+    told.report(*make_five())
+    told.report(*make_five(*half), at=2000)
+    told.report(*make_five(), at=2100)
+    told.report(*make_five(*rest), at=2200)
     assert told.live() == list(rest)
     told.step(at=3100)  # the first two serve again, but two of five are too few to let the others fall
     assert told.live() == ["e0", "e1", *rest]
@@ -166,44 +168,44 @@
 
 def test_a_drain_counts_whatever_min_in_service_is() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
-    told.tell(*(make_observation(f"e{i}", DRAINED) for i in range(5)))
+    told.report(*make_five())
+    told.report(*(make_observation(f"e{i}", DRAINED) for i in range(5)))
     assert told.live() == []
 
 
 def test_an_id_registered_anew_is_a_new_process_even_without_a_gap() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
-    told.tell(*make_five()[1:], make_observation("e0", registration_index=9), at=5000)
+    told.report(*make_five())
+    told.report(*make_five()[1:], make_observation("e0", registration_index=9), at=5000)
     assert told.engines["e0"] == Engine("e0", started_at=5000.0)
 
 
 def test_a_known_id_at_a_new_address_is_a_new_process() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
+    told.report(*make_five())
     moved = Address("10.0.0.9", 1)
-    told.tell(*make_five()[1:], make_observation("e0", address=moved), at=5000)
+    told.report(*make_five()[1:], make_observation("e0", address=moved), at=5000)
     assert told.engines["e0"].started_at == 5000 and told.addresses["e0"] == moved
 
 
 def test_a_new_id_at_a_known_address_owns_it_and_the_old_id_drains() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
-    told.tell(
+    told.report(*make_five())
+    told.report(
         *make_five(),
         make_observation("e9", address=make_observation("e0").address, registration_index=9),
         at=5000,
     )
     assert told.states()["e9"] is LIVE and told.engines["e9"].started_at == 5000
     assert told.states()["e0"] is DRAINING and "address_taken" in told.events()
-    told.tell(*make_five(), at=6000)
+    told.report(*make_five(), at=6000)
     assert told.states()["e0"] is LIVE and "e9" not in told.states()
 
 
 def test_a_stale_id_with_the_older_registration_does_not_take_the_address() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
-    told.tell(
+    told.report(*make_five())
+    told.report(
         *make_five(), make_observation("e9", address=make_observation("e0").address, registration_index=2)
     )
     assert told.states()["e9"] is DRAINING and told.states()["e0"] is LIVE
@@ -211,7 +213,7 @@
 
 def test_an_unreachable_source_changes_nothing_and_is_logged_once() -> None:
     told = CatalogHarness()
-    told.tell(*make_five())
+    told.report(*make_five())
     told.step(SourceLost("dc1", "refused"))
     assert told.events() == ["source_lost"] and len(told.live()) == 5
     told.step(SourceLost("dc1", "refused"), at=400_000)
@@ -222,27 +224,27 @@
 
 def test_of_two_sources_the_more_cautious_claim_wins() -> None:
     told = CatalogHarness(("a", GUARD), ("b", GUARD))
-    told.tell(*make_five(), source="a")
-    told.tell(*make_five("e1"), source="b")
+    told.report(*make_five(), source="a")
+    told.report(*make_five("e1"), source="b")
     assert told.states()["e1"] is DRAINING and told.states()["e2"] is LIVE
 
 
 def test_an_end_reported_by_one_source_drains_until_the_other_answers() -> None:
     told = CatalogHarness(("a", GUARD), ("b", GUARD))
-    told.tell(*make_five(), source="a")
-    told.tell(*make_five(), source="b")
-    told.tell(*make_five()[1:], source="a")
+    told.report(*make_five(), source="a")
+    told.report(*make_five(), source="b")
+    told.report(*make_five()[1:], source="a")
     assert told.states()["e0"] is DRAINING
     told.step(SourceReport("b", 9))  # nothing changed there: it still lists e0
     assert told.states()["e0"] is LIVE
-    told.tell(*make_five()[1:], source="b")
+    told.report(*make_five()[1:], source="b")
     assert "e0" not in told.states()
 
 
 def test_a_removed_source_ends_no_engine_that_another_lists() -> None:
     told = CatalogHarness(("a", GUARD), ("b", GUARD))
-    told.tell(*make_five(), source="a")
-    told.tell(*make_five(), make_observation("e9"), source="b")
+    told.report(*make_five(), source="a")
+    told.report(*make_five(), make_observation("e9"), source="b")
     actions = told.belief.reload(2000.0, (("a", GUARD),))
     (publish,) = [a for a in actions if isinstance(a, PublishChange)]
     assert publish.change.engines == (Engine("e9", state=GONE),)
@@ -250,34 +252,34 @@
 
 def test_a_trusted_source_has_no_quiet_times_and_no_minimum_in_service() -> None:
     told = CatalogHarness(("bus", SourceGuard(is_trusted=True)))
-    told.tell(make_observation("e0", started_at=0.0), make_observation("e1", started_at=9e12), source="bus")
+    told.report(make_observation("e0", started_at=0.0), make_observation("e1", started_at=9e12), source="bus")
     assert told.engines["e0"].started_at == 0.0
     assert told.engines["e1"].started_at == told.now == 1001.0  # but no start is to come
     told.step(SourceReport("bus", 3, (make_observation("e0", ENDED), make_observation("e1", DRAINED))))
     assert told.states() == {"e1": DRAINING}
     told.step(SourceReport("bus", 4, (make_observation("e1"),)))
     assert told.states() == {"e1": LIVE} and told.belief.next_at() == float("inf")
-    told.tell(source="bus")
+    told.report(source="bus")
     assert told.states() == {}
 
 
 def test_initial_engines_serve_until_a_source_answers_and_are_not_cold() -> None:
     told = CatalogHarness()
-    told.take(
+    told.apply(
         told.belief.set_initial(1000.0, [dataclasses.replace(o, registration_index=0) for o in make_five()])
     )
     told.step(SourceLost("dc1", "refused"))
-    told.tell(*make_five()[:4], make_observation("e7"), at=9000)
+    told.report(*make_five()[:4], make_observation("e7"), at=9000)
     assert told.live() == ["e0", "e1", "e2", "e3", "e7"]
     assert {e.started_at for e in told.engines.values() if e.state is LIVE} == {0.0}
 
 
 def test_an_initial_engine_is_as_old_as_the_first_answer_reports() -> None:
     told = CatalogHarness()
-    told.take(
+    told.apply(
         told.belief.set_initial(10_000.0, [dataclasses.replace(o, registration_index=0) for o in make_five()])
     )
-    told.tell(
+    told.report(
         make_observation("e0", started_at=9000.0),
         make_observation("e1", started_at=99_000.0),
         *make_five()[2:],
@@ -286,7 +288,7 @@
     assert {e.id: e.started_at for e in told.engines.values()} == {
         "e0": 9000.0, "e1": 11_000.0, "e2": 0.0, "e3": 0.0, "e4": 0.0
     }  # fmt: skip
-    told.tell(make_observation("e0", started_at=9000.0), *make_five()[1:], at=12_000)
+    told.report(make_observation("e0", started_at=9000.0), *make_five()[1:], at=12_000)
     assert told.engines["e0"].started_at == 9000.0 and told.live() == ["e0", "e1", "e2", "e3", "e4"]
 
 
@@ -311,8 +313,8 @@
 
 def play(steps: list[Any], check: bool = True) -> CatalogHarness:
     told = CatalogHarness(("a", SourceGuard()), ("b", SourceGuard()), seed=3)
-    told.tell(*make_five(), source="a")
-    told.tell(*make_five(), source="b")
+    told.report(*make_five(), source="a")
+    told.report(*make_five(), source="b")
     for source, kind, observations, gap in steps:
         view, at = told.belief.views[source], told.now + gap
         served = any(c.state is LIVE for c in view.claims.values())
@@ -327,7 +329,7 @@
             told.step(SourceReport(source, 9, absent=absent, is_confirmed=True), at=at)
             assert not any(engine_id in view.claims for engine_id in absent)
         else:
-            told.tell(*observations, source=source, at=at)
+            told.report(*observations, source=source, at=at)
             check_answer(told, source, observations, served)
         check_counts(told)
     return told
@@ -372,9 +374,9 @@
 def test_returns_of_a_flapping_engine_are_bounded(steps: list[tuple[bool, float]]) -> None:
     """In any minute an engine comes back at most seven times: quiet doubles while falls decay by half."""
     told = CatalogHarness(seed=3)
-    told.tell(*make_five())
+    told.report(*make_five())
     for well, gap in steps:
-        told.tell(*(make_five() if well else make_five("e1")), at=told.now + gap)
+        told.report(*(make_five() if well else make_five("e1")), at=told.now + gap)
     entries = [at for at, engine_id, state in told.published if engine_id == "e1" and state is LIVE][1:]
     for start in entries:
         assert sum(start <= at < start + 60_000 for at in entries) <= 7
@@ -384,9 +386,9 @@
 @given(st.lists(st.tuples(LISTS, st.floats(1, 500)), max_size=30))
 def test_only_drains_and_confirmed_ends_empty_the_list(steps: list[Any]) -> None:
     told = CatalogHarness(seed=4)
-    told.tell(*make_five())
+    told.report(*make_five())
     for observations, gap in steps:
         symptoms = [dataclasses.replace(o, address=make_observation(o.id).address) for o in observations]
         symptoms = [o for o in symptoms if o.status is not DRAINED]
-        told.tell(*symptoms, at=told.now + gap)
+        told.report(*symptoms, at=told.now + gap)
         assert told.live()
--- a/tests/discovery/test_event_stream.py
+++ b/tests/discovery/test_event_stream.py
@@ -47,7 +47,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, text: bytes) -> None:
         self.loop, self.sock, self.text = loop, sock, text
 
-    async def say(self, data: bytes) -> None:
+    async def send(self, data: bytes) -> None:
         await self.loop.sock_sendall(self.sock, data)
 
     async def next(self) -> bytes:
@@ -108,7 +108,7 @@
 
     async def script(call: ServerConnection) -> None:
         for part in parts:
-            await call.say(part)
+            await call.send(part)
             await asyncio.sleep(0)
         if close:
             call.sock.close()
@@ -206,7 +206,7 @@
 
     async def drip(call: ServerConnection) -> None:
         for at in range(0, len(data), len(data) // 5):
-            await call.say(data[at : at + len(data) // 5])
+            await call.send(data[at : at + len(data) // 5])
             await asyncio.sleep(LIMIT_MS / 3000)
         assert b"from=4&" in await call.next()
 
@@ -231,7 +231,7 @@
 
     async def empty(call: ServerConnection) -> None:
         for _ in range(6):
-            await call.say(answer(3))
+            await call.send(answer(3))
             if len(pauses) >= 6:
                 break
             assert await call.next()
--- a/tests/membership/test_duties.py
+++ b/tests/membership/test_duties.py
@@ -119,9 +119,9 @@
                 index = len(self.site.messages) - 1
                 out.append((index.to_bytes(8, "big"), self.site.addresses[action.member]))
             elif isinstance(action, LeaseHeld):
-                self.site.held(self.number, action.duty, action.expires_at - now)
+                self.site.on_lease_held(self.number, action.duty, action.expires_at - now)
             elif isinstance(action, LeaseLost):
-                self.site.released(self.number, action.duty)
+                self.site.on_lease_lost(self.number, action.duty)
         return out
 
     def next_at(self) -> float:
@@ -147,19 +147,19 @@
         self.voters[n] = Voter(n, self, now, self.network.draw.getrandbits(20))
         self.network.add(self.addresses[n], self.voters[n], skew)
 
-    def want(self, duty: int, *numbers: int) -> None:
+    def claim(self, duty: int, *numbers: int) -> None:
         for n, voter in self.voters.items():
             (voter.wanted.add if n in numbers else voter.wanted.discard)(duty)
             host = self.network.hosts[self.addresses[n]]
             self.network.at(self.network.now, lambda host=host: self.network._run(host))  # type: ignore[misc]
 
-    def held(self, number: int, duty: int, left: float) -> None:
+    def on_lease_held(self, number: int, duty: int, left: float) -> None:
         holder, until = self.holds.get(duty, (number, 0.0))
         assert holder == number or until <= self.network.now, (duty, holder, number)
         self.takeovers += holder != number
         self.holds[duty] = (number, self.network.now + left)
 
-    def released(self, number: int, duty: int) -> None:
+    def on_lease_lost(self, number: int, duty: int) -> None:
         if self.holds.get(duty, (0, 0.0))[0] == number:
             self.holds[duty] = (number, self.network.now)
 
@@ -173,12 +173,12 @@
 
 def test_a_lease_is_acquired_renewed_and_handed_over() -> None:
     site = LeaseNetwork(1)
-    site.want(1, 2)
+    site.claim(1, 2)
     site.run(3000)
     assert site.holder(1) == 2
     site.run(10_000)
     assert site.holder(1) == 2 and site.takeovers == 0
-    site.want(1, 4)
+    site.claim(1, 4)
     site.run(400)  # told as given back, so that nobody waits for the end of a lease
     assert site.holder(1) == 4
 
@@ -186,22 +186,22 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_a_dead_holders_lease_is_taken_over_within_two_seconds(seed: int) -> None:
     site = LeaseNetwork(seed)
-    site.want(1, 2)
+    site.claim(1, 2)
     site.run(5000)
     site.network.kill(site.addresses[2])
     del site.voters[2]
-    site.want(1, 4)
+    site.claim(1, 4)
     site.run(2000)
     assert site.holder(1) == 4
 
 
 def test_without_a_majority_nobody_holds_a_lease() -> None:
     site = LeaseNetwork(1)
-    site.want(1, 2)
+    site.claim(1, 2)
     site.run(3000)
     minority = {site.addresses[1], site.addresses[2]}
     site.network.cut = lambda a, b: (a in minority) is not (b in minority)
-    site.want(1, 2, 4)  # each half believes that it is its own
+    site.claim(1, 2, 4)  # each half believes that it is its own
     site.run(3000)
     assert site.holder(1) == 4
 
@@ -241,7 +241,7 @@
         kind = draw.choice(["want", "want", "stop", "kill", "start", "split", "heal", "loss"])
         running = sorted(site.voters)
         if kind == "want":
-            site.want(draw.randrange(3), *draw.sample(range(1, 6), draw.choice([1, 1, 2, 3])))
+            site.claim(draw.randrange(3), *draw.sample(range(1, 6), draw.choice([1, 1, 2, 3])))
         elif kind == "stop":
             site.network.stop(site.addresses[draw.choice(running)], draw.uniform(100, 4000))
         elif kind == "kill" and len(running) > 1:
@@ -249,7 +249,7 @@
             site.network.kill(site.addresses[number])
             del site.voters[number]
             for duty in [d for d, (holder, _) in site.holds.items() if holder == number]:
-                site.released(number, duty)  # a dead process does no work
+                site.on_lease_lost(number, duty)  # a dead process does no work
         elif kind == "start" and len(running) < 5:
             site.start(draw.choice([n for n in range(1, 6) if n not in running]), draw.uniform(-1e6, 1e6))
         elif kind == "split":
--- a/tests/store/history.py
+++ b/tests/store/history.py
@@ -40,8 +40,8 @@
     )
 
 
-class Play:
-    """Lives of one ledger in one folder, with what was promised over all of them."""
+class LedgerRun:
+    """Boots of one ledger in one folder, with what was reported as durable over all of them."""
 
     def __init__(self, folder: Path, settings: LedgerSettings = SMALL) -> None:
         self.folder, self.settings = folder, settings
@@ -53,7 +53,7 @@
         self.ledger: Ledger | None = None
 
     def open(self, orders: Orders | None = None) -> bool:
-        """The power is there: opens and checks. False: the disk failed meanwhile, as it may."""
+        """Open after a power loss and check the records; false if the disk failed meanwhile, which it may."""
         self.disk = install(VFS)
         self.disk.orders = orders or Orders()
         return self.reopen()
@@ -98,7 +98,7 @@
         assert told.wait(20.0) and len(answers) == 1
         return answers[0]
 
-    def wait_well(self) -> None:
+    def wait_until_healthy(self) -> None:
         """The disk is well again, and soon the ledger is."""
         assert self.ledger is not None
         for _ in range(5000):
@@ -117,8 +117,8 @@
             self.tried[record.identity] = set()
         return well
 
-    def forget(self, number: int) -> bool:
-        """It doesn't matter any more."""
+    def remove(self, number: int) -> bool:
+        """Remove a load's record."""
         identity = load(number).identity
         self.tried.setdefault(identity, set()).add(None)
         well = self.put([Record(RecordKind.LOAD, identity, None)])
@@ -127,26 +127,26 @@
             self.tried[identity] = set()
         return well
 
-    def settle(self) -> bool:
-        """The memory is whole from now on."""
+    def mark_complete(self) -> bool:
+        """Mark the content as complete."""
         self.may_be_settled = True
         well = self.put([COMPLETE_MARK])
         self.settled = self.settled or well
         return well
 
-    def end(self, clean: bool) -> None:
-        """Closes; after a cut that is only to end the thread."""
+    def close(self, clean: bool) -> None:
+        """Close the ledger; after a power loss that only ends its thread."""
         if self.ledger is not None:
             self.ledger.close(clean)
             self.ledger = None
 
-    def cut(self, chance: random.Random | None = None) -> None:
-        """The power goes."""
+    def cut_power(self, chance: random.Random | None = None) -> None:
+        """Lose power."""
         self.disk.cut(chance)
-        self.end(False)
+        self.close(False)
 
-    def cut_at(self, count: int, chance: random.Random | None) -> None:
-        """The power goes at the disk's next `count`th write or sync."""
+    def cut_power_at(self, count: int, chance: random.Random | None) -> None:
+        """Lose power at the disk's `count`th write or sync from now."""
         start = self.disk.operations
 
         def before(operation: int, _what: str) -> None:
@@ -156,19 +156,19 @@
         self.disk.before = before
 
 
-def script(play: Play) -> None:
+def script(play: LedgerRun) -> None:
     """Two lives with everything in them, each step only if the one before was taken."""
     play.send(1)
-    play.settle()
+    play.mark_complete()
     for number in range(2, 9):
         play.send(number)
     play.send(1, LoadState.COMPLETED)
     play.send(2, LoadState.FAILED)
-    play.forget(1)
-    play.end(True)
+    play.remove(1)
+    play.close(True)
     if not play.reopen():
         return
     for number in range(10, 14):
         play.send(number)
     play.send(3, LoadState.COMPLETED)
-    play.end(False)
+    play.close(False)
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -20,12 +20,12 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.record_file import RecordFile
 from cottonhold.store.records import LoadState
-from tests.store.history import SMALL, VFS, Play, script
+from tests.store.history import SMALL, VFS, LedgerRun, script
 
 
 def count_operations(folder: Path) -> int:
     """Writes and syncs of the whole script."""
-    play = Play(folder)
+    play = LedgerRun(folder)
     assert play.open()
     script(play)
     return play.disk.operations
@@ -34,21 +34,21 @@
 def cut_at_each_operation(folder: Path, counts: Iterable[int], some: bool = False) -> None:
     """Plays the script once for each count, cut there; `some`: part of what was unsynced got there."""
     for count in counts:
-        play = Play(folder / f"{count}-{some}")
+        play = LedgerRun(folder / f"{count}-{some}")
         play.folder.mkdir(parents=True)
         chance = random.Random(count) if some else None
         install_and_cut(play, count, chance)
-        play.cut()
+        play.cut_power()
         for _ in range(2):
             assert play.open(), "it refused to start"
-            assert play.send(100) and play.settle()
-            play.cut(chance)
+            assert play.send(100) and play.mark_complete()
+            play.cut_power(chance)
 
 
-def install_and_cut(play: Play, count: int, chance: random.Random | None) -> None:
+def install_and_cut(play: LedgerRun, count: int, chance: random.Random | None) -> None:
     """The cut may come while it opens."""
     play.disk = install(VFS)
-    play.cut_at(count, chance)
+    play.cut_power_at(count, chance)
     if play.reopen():
         script(play)
 
@@ -119,31 +119,31 @@
         with monkeypatch.context() as patched:
             if planted:
                 patched.setattr(Files, "replace", hasty)
-            play = Play(tmp_path / str(planted))
+            play = LedgerRun(tmp_path / str(planted))
             play.folder.mkdir()
             assert play.open() and play.send(1)
-            play.cut()
+            play.cut_power()
             empty = (play.folder / "a.life").read_bytes() == b""
             assert empty == planted
 
 
-def fail_one_sync(play: Play) -> None:
+def fail_one_sync(play: LedgerRun) -> None:
     """Then a load, well taken, and the power goes."""
-    assert play.open() and play.send(1) and play.settle()
+    assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(fail_sync=1)
     assert not play.send(2)
     play.disk.orders = Orders()
-    play.wait_well()
+    play.wait_until_healthy()
     assert play.send(4, LoadState.NEVER_SENT)
-    play.cut()
+    play.cut_power()
     assert play.open()
 
 
 def test_after_a_failed_sync_all_records_are_rewritten(tmp_path: Path) -> None:
-    play = Play(tmp_path)
+    play = LedgerRun(tmp_path)
     fail_one_sync(play)
     assert play.ledger is not None and play.ledger.folder.generation == 3, "by the failure, and by the cut"
-    play.end(True)
+    play.close(True)
 
 
 def test_a_repeated_sync_after_a_failure_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -155,26 +155,26 @@
             file.disk.sync(file.node)
 
     monkeypatch.setattr(disk_module._File, "xSync", repeat)
-    play = Play(tmp_path)
-    assert play.open() and play.send(1) and play.settle()
+    play = LedgerRun(tmp_path)
+    assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(fail_sync=1)
     assert play.send(2), "the second sync said yes"
-    play.cut()
+    play.cut_power()
     with pytest.raises(AssertionError, match=LOST):
         play.open()
 
 
-def restart_after_a_failed_sync(play: Play) -> None:
+def restart_after_a_failed_sync(play: LedgerRun) -> None:
     """Without a power loss between: the cache still has what the failed sync should have written."""
-    assert play.open() and play.send(1) and play.settle()
+    assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(fail_sync=1)
     assert not play.send(2)
-    play.end(True)
+    play.close(True)
     play.disk.orders = Orders()
     assert play.reopen() and play.send(3)
-    play.cut()
+    play.cut_power()
     assert play.open()
-    play.end(True)
+    play.close(True)
 
 
 def test_a_restart_does_not_rely_on_the_kernels_cache(
@@ -182,33 +182,33 @@
 ) -> None:
     # Without a checkpoint, which would happen to write what was lost once more.
     settings = replace(SMALL, file_sizes=replace(SMALL.file_sizes, checkpoint_pages=1000))
-    restart_after_a_failed_sync(Play(tmp_path / "right", settings))
+    restart_after_a_failed_sync(LedgerRun(tmp_path / "right", settings))
     monkeypatch.setattr(ledger_folder, "_was_closed_cleanly", lambda boot_file: boot_file is not None)
     with pytest.raises(AssertionError, match=LOST):
-        restart_after_a_failed_sync(Play(tmp_path / "planted", settings))
+        restart_after_a_failed_sync(LedgerRun(tmp_path / "planted", settings))
 
 
 def test_a_disk_that_ignores_syncs_is_detected(tmp_path: Path) -> None:
     """No ledger can do anything against it: the checker must see it all the same."""
-    play = Play(tmp_path)
-    assert play.open() and play.send(1) and play.settle()
+    play = LedgerRun(tmp_path)
+    assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(lie_sync=True)
     assert play.send(2)
-    play.cut()
+    play.cut_power()
     with pytest.raises(AssertionError, match=LOST):
         play.open()
 
 
 def test_the_ledger_stays_failed_while_the_disk_fails(tmp_path: Path) -> None:
-    play = Play(tmp_path)
-    assert play.open() and play.send(1) and play.settle()
+    play = LedgerRun(tmp_path)
+    assert play.open() and play.send(1) and play.mark_complete()
     play.disk.orders = Orders(fail_sync=1)
     for number in range(2, 6):
         assert not play.send(number)
     assert play.ledger is not None and play.ledger.health(0.0).state is DiskState.FAILED
-    play.cut()
+    play.cut_power()
     assert play.open()
-    play.end(True)
+    play.close(True)
 
 
 STEPS = st.one_of(
@@ -227,7 +227,7 @@
 def test_any_history_of_faults_loses_nothing_reported(
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, int]], seed: int
 ) -> None:
-    play, chance = Play(tmp_path_factory.mktemp("history")), random.Random(seed)
+    play, chance = LedgerRun(tmp_path_factory.mktemp("history")), random.Random(seed)
     assert play.open()
     for what, number in steps:
         if what == "send":
@@ -235,19 +235,19 @@
         elif what == "end":
             play.send(number, LoadState.COMPLETED)
         elif what == "forget":
-            play.forget(number)
+            play.remove(number)
         elif what == "settle":
-            play.settle()
+            play.mark_complete()
         elif what == "fail":
             play.disk.orders = Orders(fail_sync=0.2, fail_write=0.1, leak=0.2) if number else Orders()
         elif what == "cut":
-            play.cut_at(number, chance)
+            play.cut_power_at(number, chance)
         if what == "close" or play.disk.off:
             # A close may be cut as well.
             play.disk.orders = play.disk.orders if play.disk.off else Orders()
-            play.end(True)
+            play.close(True)
             if play.disk.off or not play.reopen():
                 assert play.disk.off and play.open()
-    play.cut(chance)
+    play.cut_power(chance)
     assert play.open()
-    play.end(True)
+    play.close(True)
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -15,7 +15,7 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.record_file import RecordFile, RecordFileError
 from cottonhold.store.records import LoadState, RecordKind
-from tests.store.history import SMALL, VFS, Play, load
+from tests.store.history import SMALL, VFS, LedgerRun, load
 
 LOADS = 6
 # The turn in a life file whose life wasn't closed.
@@ -25,17 +25,17 @@
 @pytest.fixture(params=[True, False], ids=["clean-end", "cut-off"])
 def folder(request: pytest.FixtureRequest, tmp_path: Path) -> Path:
     """A ledger's folder after two lives, with its loads."""
-    play = Play(tmp_path / "kept")
+    play = LedgerRun(tmp_path / "kept")
     assert play.open()
     for number in range(LOADS):
         assert play.send(number)
-    assert play.settle()
-    play.end(True)
+    assert play.mark_complete()
+    play.close(True)
     assert play.reopen() and play.send(0, LoadState.COMPLETED)
     if request.param:
-        play.end(True)
+        play.close(True)
     else:
-        play.cut()
+        play.cut_power()
     return play.folder
 
 
@@ -188,12 +188,12 @@
 
 def test_a_clean_boot_whose_last_transactions_are_missing_is_unknown(tmp_path: Path) -> None:
     """A log from before a clean end beside the life file from after it."""
-    play = Play(tmp_path / "a")
-    assert play.open() and play.send(1) and play.settle()
-    play.end(True)
+    play = LedgerRun(tmp_path / "a")
+    assert play.open() and play.send(1) and play.mark_complete()
+    play.close(True)
     shutil.copytree(play.folder, tmp_path / "old")
     assert play.reopen() and play.send(2)
-    play.end(True)
+    play.close(True)
     shutil.copy(play.folder / "a.life", tmp_path / "old")
     install(VFS)
     ledger = Ledger.open(tmp_path / "old", "a", VFS, SMALL)
@@ -217,9 +217,9 @@
 
 def test_the_log_stays_within_its_reserved_size(tmp_path: Path) -> None:
     """Checkpoints keep it within, so that its size proves that it is whole."""
-    play = Play(tmp_path)
-    assert play.open() and play.settle()
+    play = LedgerRun(tmp_path)
+    assert play.open() and play.mark_complete()
     for number in range(200):
         assert play.send(number % 40)
     assert (tmp_path / "a.1.db-wal").stat().st_size == SMALL.file_sizes.log_bytes
-    play.end(True)
+    play.close(True)
--- a/tests/store/test_faults.py
+++ b/tests/store/test_faults.py
@@ -21,26 +21,26 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.ledger_folder import LedgerFolder
 from cottonhold.store.records import Hint, LoadState, Record, RecordKind
-from tests.store.history import SMALL, VFS, Play, load
+from tests.store.history import SMALL, VFS, LedgerRun, load
 from tests.store.test_cuts import done_before_sync, failed_sync_is_done
 
 LOADS = 5
 PROMISE = b"promise"
 
 
-def kept_folder(folder: Path, clean: bool = False) -> Play:
+def kept_folder(folder: Path, clean: bool = False) -> LedgerRun:
     """A folder with loads that may have run, and with a whole memory."""
-    play = Play(folder)
-    assert play.open() and play.settle()
+    play = LedgerRun(folder)
+    assert play.open() and play.mark_complete()
     assert all(play.send(number) for number in range(LOADS))
     if clean:
-        play.end(True)
+        play.close(True)
     else:
-        play.cut()
+        play.cut_power()
     return play
 
 
-def open_with_one_failed_read(play: Play, count: int) -> StoreError | None:
+def open_with_one_failed_read(play: LedgerRun, count: int) -> StoreError | None:
     """What opening tells where its `count`th read fails; None if it has fewer, or could do without."""
     disk = install(VFS)
 
@@ -69,7 +69,7 @@
         assert play.ledger.records(RecordKind.LOAD).keys() == {
             load(number).identity for number in range(LOADS)
         }
-        play.end(True)
+        play.close(True)
     assert failed > 5
 
 
@@ -96,7 +96,7 @@
         with pytest.raises(StoreError, match="planted"):
             Ledger.open(play.folder, "a", VFS, SMALL)
     assert play.open() and not list(play.folder.glob("*.broken"))
-    play.end(True)
+    play.close(True)
 
 
 def refuse_life(disk: Disk, stage: str) -> None:
@@ -125,7 +125,7 @@
             disk._move_real(node, to)
 
 
-def open_often(play: Play, stage: str, seed: int) -> None:
+def open_often(play: LedgerRun, stage: str, seed: int) -> None:
     """Ten tries, as the start does, then a power loss in which some of what was unsynced got there."""
     disk = install(VFS)
     refuse_life(disk, stage)
@@ -137,7 +137,7 @@
     play.settled = True
     assert play.open()
     assert books(play.folder, play.disk) == 1
-    play.end(True)
+    play.close(True)
 
 
 @pytest.mark.parametrize("stage", ["refused", "moved"])
@@ -174,7 +174,7 @@
     disk.cut()
     play.settled = True
     assert play.open()
-    play.end(True)
+    play.close(True)
 
 
 def test_what_counts_is_durable_before_anything_is_cleared_up(
@@ -192,8 +192,8 @@
 
 @pytest.mark.parametrize("stage", ["refused", "moved"])
 def test_a_ledger_that_can_t_be_written_anew_does_not_fill_the_disk(tmp_path: Path, stage: str) -> None:
-    play = Play(tmp_path)
-    assert play.open() and play.settle() and play.send(1)
+    play = LedgerRun(tmp_path)
+    assert play.open() and play.mark_complete() and play.send(1)
     assert play.ledger is not None
     ledger = play.ledger
     refuse_life(play.disk, stage)
@@ -206,9 +206,9 @@
     ledger.folder.files = DiskFiles(play.disk)
     ledger._recover(DiskState.FAILED)
     assert play.send(3)
-    play.cut()
+    play.cut_power()
     assert play.open() and books(play.folder, play.disk) == 1
-    play.end(True)
+    play.close(True)
 
 
 KINDS = {
@@ -237,9 +237,9 @@
             raise OSError(self.code, errno.errorcode[self.code])
 
 
-def well_again(play: Play) -> None:
+def well_again(play: LedgerRun) -> None:
     """It works without a restart, and keeps what it then says."""
-    play.wait_well()
+    play.wait_until_healthy()
     assert play.send(60)
 
 
@@ -250,8 +250,8 @@
 def test_a_record_on_a_disk_that_fails(tmp_path: Path, kind: str, code: int, what: str, once: bool) -> None:
     """Told as not kept; what was before stands, it works again by itself, and a kill then loses nothing."""
     which, key, old, new = KINDS[kind]
-    play = Play(tmp_path)
-    assert play.open() and play.settle() and play.put([Record(which, key, old)])
+    play = LedgerRun(tmp_path)
+    assert play.open() and play.mark_complete() and play.put([Record(which, key, old)])
     faults = Faults(play.disk, code, what, once)
     assert not play.put([Record(which, key, new)]) and faults.met
     if not once:
@@ -259,25 +259,25 @@
         assert play.ledger is not None and play.ledger.health(0.0).state in (DiskState.FULL, DiskState.FAILED)
     faults.on = False
     well_again(play)
-    play.cut()
+    play.cut_power()
     assert play.open() and play.ledger is not None
     assert play.ledger.records(which)[key] in (old, new)
-    play.end(True)
+    play.close(True)
 
 
 def killed_while_written(folder: Path, kind: str, seed: int, plant: Callable[[], None]) -> None:
     """At each operation of its write; the old value or the new one, whole, and all others."""
     which, key, old, new = KINDS[kind]
     for count in range(1, 9):
-        play = Play(folder / str(count))
-        assert play.open() and play.settle() and play.send(1) and play.put([Record(which, key, old)])
+        play = LedgerRun(folder / str(count))
+        assert play.open() and play.mark_complete() and play.send(1) and play.put([Record(which, key, old)])
         plant()
-        play.cut_at(count, random.Random(seed))
+        play.cut_power_at(count, random.Random(seed))
         kept = play.put([Record(which, key, new)])
-        play.cut()
+        play.cut_power()
         assert play.open() and play.ledger is not None
         assert play.ledger.records(which).get(key) in ((new,) if kept else (old, new))
-        play.end(True)
+        play.close(True)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -333,9 +333,9 @@
     faults.on = False
     play.disk, play.settled = disk, True
     assert play.reopen() and not list(play.folder.glob("*.broken"))
-    play.cut()
+    play.cut_power()
     assert play.open()
-    play.end(True)
+    play.close(True)
 
 
 def test_a_failure_told_as_kept_is_caught(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -20,45 +20,45 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.ledger_folder import COMPLETE_MARK
 from cottonhold.store.records import LoadRecord, Record, RecordKind
-from tests.store.history import SMALL, VFS, Play, load
+from tests.store.history import SMALL, VFS, LedgerRun, load
 
 
 @pytest.fixture
-def play(tmp_path: Path) -> Iterator[Play]:
-    play = Play(tmp_path)
-    assert play.open() and play.send(1) and play.settle()
+def play(tmp_path: Path) -> Iterator[LedgerRun]:
+    play = LedgerRun(tmp_path)
+    assert play.open() and play.send(1) and play.mark_complete()
     yield play
     play.disk.orders = Orders()
-    play.cut()
+    play.cut_power()
 
 
-def disk_state(play: Play, now: float = 0.0) -> DiskState:
+def disk_state(play: LedgerRun, now: float = 0.0) -> DiskState:
     assert play.ledger is not None
     return play.ledger.health(now).state
 
 
-def test_a_full_disk_refuses_and_recovers(play: Play) -> None:
+def test_a_full_disk_refuses_and_recovers(play: LedgerRun) -> None:
     play.disk.orders = Orders(full=True)
     assert not play.send(2)
     assert play.ledger is not None and play.ledger.health(0.0).reason == "[Errno 28] the disk is full"
     assert disk_state(play) is DiskState.FULL and not play.send(3)
     play.disk.orders = Orders()
-    play.wait_well()
+    play.wait_until_healthy()
     assert play.send(4) and play.ledger.folder.generation == 1
-    play.cut()
+    play.cut_power()
     assert play.open()
 
 
-def test_a_full_disk_is_detected_by_a_checkpoint(play: Play) -> None:
+def test_a_full_disk_is_detected_by_a_checkpoint(play: LedgerRun) -> None:
     """The log was filled up before, so what is promised fits; the file's growth doesn't."""
     play.disk.orders = Orders(room=0)
     taken = [play.send(number) for number in range(2, 40)]
     assert True in taken and False in taken and taken == sorted(taken, reverse=True)
     assert disk_state(play) is DiskState.FULL
     play.disk.orders = Orders()
-    play.wait_well()
+    play.wait_until_healthy()
     assert play.send(50)
-    play.cut()
+    play.cut_power()
     assert play.open()
 
 
@@ -112,11 +112,11 @@
     assert told == [True] * 50 and len(syncs) <= 3
 
 
-def test_after_the_close_writes_are_refused(play: Play) -> None:
+def test_after_the_close_writes_are_refused(play: LedgerRun) -> None:
     assert play.ledger is not None
     ledger = play.ledger
     told: list[bool] = []
-    play.end(True)
+    play.close(True)
     ledger.put([load(9).to_record()], told.append)
     assert told == [False]
 
@@ -145,17 +145,17 @@
     disk.cut()
     ledger._thread.join(20.0)
     ledger.folder.close()
-    play = Play(tmp_path)
+    play = LedgerRun(tmp_path)
     play.may_be_settled = True
     assert play.open() and play.ledger is not None
     assert not play.ledger.closed_cleanly and load(1).identity in play.ledger.records(RecordKind.LOAD)
     assert play.ledger.completeness is Completeness.COMPLETE
-    play.end(True)
+    play.close(True)
 
 
 @pytest.mark.parametrize("orders", [Orders(full=True), Orders(fail_sync=1), Orders(fail_write=1)])
-def test_a_boot_that_can_not_be_counted_is_an_error(play: Play, orders: Orders) -> None:
-    play.cut()
+def test_a_boot_that_can_not_be_counted_is_an_error(play: LedgerRun, orders: Orders) -> None:
+    play.cut_power()
     before = sorted(path.name for path in play.folder.iterdir())
     install(VFS).orders = orders
     with pytest.raises(StoreError) as told:
@@ -170,7 +170,7 @@
     assert play.open(), "and nothing was lost by it"
 
 
-def test_records_of_an_unknown_kind_survive_a_rewrite(play: Play) -> None:
+def test_records_of_an_unknown_kind_survive_a_rewrite(play: LedgerRun) -> None:
     assert play.ledger is not None and play.ledger.folder.record_file is not None
     later = Record(RecordKind.OPERATOR_OVERRIDE, b"later", b"\x09")
     assert play.put([later])
@@ -179,8 +179,8 @@
     play.disk.orders = Orders(fail_sync=1)
     assert not play.send(2)
     play.disk.orders = Orders()
-    play.wait_well()
-    play.cut()
+    play.wait_until_healthy()
+    play.cut_power()
     assert play.open() and play.ledger.records(RecordKind.OPERATOR_OVERRIDE) == {b"later": b"\x09"}
     assert (
         play.ledger.folder.record_file is not None
