--- a/cottonhold/config/installation.py
+++ b/cottonhold/config/installation.py
@@ -59,6 +59,7 @@
     problems: list[Problem] = []
 
     def report(field: FieldPath, reason: str) -> None:
+        # A field whose reason says that it is missing has no line of its own: its section's is shown.
         line = _line_of(field, lines, is_missing="is missing" in reason)
         problems.append(Problem(str(path), format_field_path(field), reason, line))
 
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -3,13 +3,13 @@
 A source that is not trusted is guarded in three ways:
 
 - *Floor*: symptoms and absences can't take more than a share of the engines out of service. Losses beyond
-that
-  are held: the engine counts as before, until fewer are unhealthy or a second reading confirms that it is
-  absent. One observer that sees everything fail is more likely broken than everything is, and the scheduler's
-  own failure evidence (refused connects, silence, errors) still shows which engines really are.
-- *Flap damping*: a loss takes effect at once; a return needs quiet time (damping.py). - *Cold start*: an
-engine that returns counts as a new process, which has nothing cached, unless the source proves
-  that it is the old one.
+  that are held: the engine stays in service until enough others are, it recovers, or a second reading
+  confirms that it is absent. One observer that sees everything fail is more likely broken than everything
+  is, and the scheduler's own failure evidence (refused connects, silence, errors) still shows which engines
+  really are.
+- *Flap damping*: a loss takes effect at once; a return needs quiet time (damping.py).
+- *Cold start*: an engine that returns counts as a new process, which has nothing cached, unless the source
+  proves that it is the old one.
 """
 
 from __future__ import annotations
--- a/cottonhold/emulator/fault_injection/harness.py
+++ b/cottonhold/emulator/fault_injection/harness.py
@@ -153,7 +153,7 @@
                 raise ScenarioRunError(f"{name} did not start: {(self.folder / f'{name}.log').read_text()}")
 
     async def _start_clients(self) -> None:
-        self.started_at = time.monotonic() + CLIENT_START_S
+        self.started_at = time.monotonic() + CLIENT_START_S  # an estimate until the clients have started
         clients = self.processes.start_clients(self.client_settings())
         assert clients.stdout is not None
         await asyncio.to_thread(clients.stdout.readline)
--- a/cottonhold/emulator/fault_injection/processes.py
+++ b/cottonhold/emulator/fault_injection/processes.py
@@ -102,7 +102,7 @@
         return self._start_and_keep("clients", program, stdout=subprocess.PIPE)
 
     def prepare(self, name: str) -> None:
-        """Load the program of a process that a later fault starts.
+        """Load the program of a process that a later fault starts; only with state folders and without forks.
 
         Where many programs load at once on a busy machine, the seconds that it takes would be measured as the
         fleet's own slowness.
--- a/cottonhold/emulator/rolling_replacement.py
+++ b/cottonhold/emulator/rolling_replacement.py
@@ -1,4 +1,4 @@
-"""A rolling replacement in virtual time: dispatchers with registers over their majority, and faults.
+"""A rolling replacement in virtual time: dispatchers whose registers need a majority, and faults.
 
 The coordinators are real; sticky keys and open requests are counts, and operators power a machine off once
 they are notified that they may. One seed replays the whole run. Times are ms.
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -261,11 +261,11 @@
         return interval_ms / HURRIED_STEPS if just_started else interval_ms
 
     def _decide_zones(
-        self, now: float, reports: Mapping[str, list[ZoneReport]], electorate: int
+        self, now: float, reports: Mapping[str, list[ZoneReport]], voter_count: int
     ) -> list[PhaseChange]:
         """Evacuate zones and return to them. What is new is reported at once, without waiting for a round."""
         assessed = self.assessment.assess(now, self.fleet_load.total_cores(now, self.live))
-        changes = self.evacuation.step(now, assessed, reports, electorate)
+        changes = self.evacuation.step(now, assessed, reports, voter_count)
         suspected = {zone for zone, evidence in assessed.items() if evidence.suspects_failure}
         if changes or suspected - self.suspected_zones:
             self.next_report = now
--- a/cottonhold/fleet/recovery/silence_proof.py
+++ b/cottonhold/fleet/recovery/silence_proof.py
@@ -1,11 +1,11 @@
 """The proof that a dispatcher has sent no load for a while. Pure.
 
-An instance sends loads only while half of the configured ones, itself counted, have reported that they heard
-a report of its of less than `lease_ms` ago, by its own clock. Another takes it for silent by the reports of
-more than half of them that did not hear it; each says so after it was heard by whoever counts, which dates
-it. Half and more than half share one. What that one heard last was sent before it was heard, so nothing was
-sent later than `lease_ms` after that, up to the oldest of these reports. What each heard is bounded from
-above: its report arrived at most so long after it was sent as it arrived after the report that it answers.
+An instance sends loads only while at least half of the configured instances, itself included, confirm that
+they received a report that it sent less than `lease_ms` ago, by its own clock. Another instance takes it for
+silent when more than half report that they no longer hear it. Any half and any majority share a member: the
+silent instance can't have used that member's confirmation for longer than `lease_ms` after the member last
+heard it. The time of that last report is bounded from above: a report was sent at most as long before its
+arrival as the arrival came after the report that it answers.
 """
 
 from __future__ import annotations
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -17,7 +17,7 @@
     reports with a third of them lost. max_report_age_ms: whoever's last report is older counts as missing;
     five idle rounds. busy_interval_ms: between two rounds while somebody is restarted or a load waits for
     one; idle_interval_ms: else. max_messages: of a step; what others receive must not grow with the square of
-    the fleet. lease_ms: see membership_survey; infinity: never cut off, and nobody is ever proven silent.
+    the fleet. lease_ms: see silence_proof; infinity: never cut off, and nobody is ever proven silent.
     clock_drift: margin for clocks' rates. rebind_ms: a number whose member was silent for so long is bound to
     another that claims it: a machine that was replaced. retention_ms: as in LoadHistorySettings.
     min_alternations: so often two incarnations must have reported in turns to be two at once; late datagrams
@@ -93,8 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DuplicateIdentity:
-    """Another process stands for this number. is_later: it was there first, and this one must not serve
-    loads."""
+    """Another process stands for this number. is_later: this one started later, and must not serve loads."""
 
     is_later: bool
 
--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -237,7 +237,7 @@
             self._on_not_owner(request, ended)
             self._enqueue(request)
         else:
-            request.on_outcome(LoadOutcome.UNKNOWN_YET, ended.retry_after_ms or self.router.retry_after_ms)
+            request.on_outcome(LoadOutcome.NOT_KNOWN_YET, ended.retry_after_ms or self.router.retry_after_ms)
         self.place_waiting(request.key)
 
     def _on_not_owner(self, request: KeyedRequest, ended: ForwardingEnded) -> None:
@@ -376,7 +376,7 @@
     def _retry_later(self, request: KeyedRequest) -> None:
         self.counters.add("pins_later")
         self._return_round(request, request.known_owner)
-        request.on_outcome(LoadOutcome.UNKNOWN_YET, self.router.retry_after_ms)
+        request.on_outcome(LoadOutcome.NOT_KNOWN_YET, self.router.retry_after_ms)
 
     def _stop_attempt(self, request: KeyedRequest, on_recorded: Callable[[bool], None]) -> None:
         """The attempt may not be sent from here any more."""
--- a/cottonhold/fleet_adapters/load_conversions.py
+++ b/cottonhold/fleet_adapters/load_conversions.py
@@ -26,7 +26,7 @@
 OUTCOME_OF_KNOWLEDGE = {
     LoadKnowledge.NEVER_SENT: LoadOutcome.NEVER_RAN,
     LoadKnowledge.MAY_HAVE_RUN: LoadOutcome.MAY_HAVE_RUN,
-    LoadKnowledge.NOT_KNOWN_YET: LoadOutcome.UNKNOWN_YET,
+    LoadKnowledge.NOT_KNOWN_YET: LoadOutcome.NOT_KNOWN_YET,
 }
 
 
@@ -55,5 +55,5 @@
     """The outcome for the gateway. may_report_success: its class allows a success to be reported without the
     result."""
     if knowledge is LoadKnowledge.SUCCEEDED:
-        return LoadOutcome.COMPLETED if may_report_success else LoadOutcome.MAY_HAVE_RUN
+        return LoadOutcome.SUCCEEDED if may_report_success else LoadOutcome.MAY_HAVE_RUN
     return OUTCOME_OF_KNOWLEDGE[knowledge]
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -153,7 +153,7 @@
         queue = self.queues.get(queued.request.ordering_key or "", deque())
         if queued in queue:
             queue.remove(queued)
-            queued.on_settled(LoadOutcome.UNKNOWN_YET, self.history.settings.retry_after_ms)
+            queued.on_settled(LoadOutcome.NOT_KNOWN_YET, self.history.settings.retry_after_ms)
 
     def _release_queue(self, request_id: str) -> None:
         """A retry is settled: those queued behind it follow, up to the next retry of the key."""
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -127,7 +127,7 @@
         self.ledger, self.swim, self.fleet, self.clock = ledger, swim, fleet, clock
         self.hop, self.send, self.counters, self.log = hop, send, counters, log
         self.retention_ms = retention_ms_of(installation)
-        self.has_other_prerequisites: Callable[[], bool] = lambda: True  # of sending loads
+        self.may_send_loads_otherwise: Callable[[], bool] = lambda: True  # set by the dispatcher
         self.timer: Timer | None = None
         self.silent: dict[int, ProvenSilence] = {}
         self.silent_at = -MAX_STEP_MS  # when that was last computed
@@ -294,7 +294,7 @@
 
     def _may_send_loads(self) -> bool:
         """Whether loads may be sent now."""
-        return self.survey.may_send_loads(self.clock.now()) and self.has_other_prerequisites()
+        return self.survey.may_send_loads(self.clock.now()) and self.may_send_loads_otherwise()
 
     def _arm(self, ms: float) -> None:
         if self.timer is not None:
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -168,10 +168,10 @@
         if sink is None:
             return
         self.counters.add(f"loads_{outcome.value}")
-        if outcome is LoadOutcome.UNKNOWN_YET:
+        if outcome is LoadOutcome.NOT_KNOWN_YET:
             self.counters.add("answers_refused")
             self._respond(lambda: sink.reject(retry_after_ms))
-        elif outcome is LoadOutcome.COMPLETED:
+        elif outcome is LoadOutcome.SUCCEEDED:
             self.counters.add("answers_served")
             self._respond(lambda: sink.complete([]))
         else:
--- a/cottonhold/node/load_guard.py
+++ b/cottonhold/node/load_guard.py
@@ -15,12 +15,12 @@
     """What is known of earlier executions of a load. The values are part of counters' names."""
 
     NEVER_RAN = "never"
-    COMPLETED = "well"
+    SUCCEEDED = "well"
     MAY_HAVE_RUN = "may"
-    UNKNOWN_YET = "later"
+    NOT_KNOWN_YET = "later"
 
 
-LoadOutcomeCallback = Callable[[LoadOutcome, float], None]  # with the retry delay in ms for UNKNOWN_YET
+LoadOutcomeCallback = Callable[[LoadOutcome, float], None]  # with the retry delay in ms for NOT_KNOWN_YET
 
 
 class LoadGuard(Protocol):
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -131,7 +131,7 @@
             self.engine_cache = EngineCache(ledger.records(RecordKind.ENGINE_ADDRESS), self.config.names)
             self.counters.add("recovery_malformed", self.engine_cache.malformed)
             # An engine in the cached list may have been drained since it was cached.
-            recovery.has_other_prerequisites = self.is_list_settled
+            recovery.may_send_loads_otherwise = self.is_list_settled
         if membership is not None and fleet is not None:
             self._make_replacement(ledger, membership, fleet, recovery)
         if fleet is not None:
@@ -155,7 +155,7 @@
         )
         # Loads wait until drained engines are known, since an engine may be about to lose its power.
         # Queries that may be repeated do not wait: a majority may take seconds to come back.
-        recovery.has_other_prerequisites = lambda: drains.may_send_loads() and self.is_list_settled()
+        recovery.may_send_loads_otherwise = lambda: drains.may_send_loads() and self.is_list_settled()
         self.rolling_replacement = self.adapters.rolling_replacement(
             ledger, membership, fleet, recovery, drains
         )
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -177,10 +177,10 @@
         node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.publish_initial_engines()
         assert node.recovery is not None
-        may = [node.recovery.has_other_prerequisites(), node.is_list_settled()]
+        may = [node.recovery.may_send_loads_otherwise(), node.is_list_settled()]
         seen = Observation("e1", ServiceStatus.IN_SERVICE, address=Address("127.0.0.1", 3))
         node.on_discovery_events([SourceReport("dc1", 1, (seen,), is_complete=True)])
-        may += [node.recovery.has_other_prerequisites(), node.is_list_settled()]
+        may += [node.recovery.may_send_loads_otherwise(), node.is_list_settled()]
         for part in (node.rolling_replacement, node.recovery):
             if part is not None:
                 part.close()
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -135,7 +135,7 @@
                 request.attempt, client_request, lambda is_recorded: self.on_recorded(request, is_recorded)
             )
             return
-        if outcome is LoadOutcome.COMPLETED:
+        if outcome is LoadOutcome.SUCCEEDED:
             assert request.load in self.ended_well, "told as well"
         self.loads.on_request_closed(client_request.request_id)
 
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -31,7 +31,7 @@
         self, request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
     ) -> None:
         if self.is_unavailable:
-            on_outcome(LoadOutcome.UNKNOWN_YET, 300.0)
+            on_outcome(LoadOutcome.NOT_KNOWN_YET, 300.0)
         elif request.is_retry:
             self.pending_outcomes.append(on_outcome)
         else:
