--- a/cottonhold/scheduler/in_flight.py
+++ b/cottonhold/scheduler/in_flight.py
@@ -18,6 +18,9 @@
     has_attempts: bool
 
 
+NOTHING_IN_FLIGHT = Occupancy(0, 0.0, has_attempts=False)
+
+
 @dataclass(slots=True)
 class DensityLevel:
     """The attempts of one density."""
@@ -69,6 +72,8 @@
 
     def not_outranked(self, density: float, margin: float) -> Occupancy:
         """What the attempts hold that a density does not outrank."""
+        if not self.by_density:
+            return NOTHING_IN_FLIGHT
         threads, memory_mb, has_attempts = 0, 0.0, False
         for other, level in self.by_density.items():
             if density <= margin * other:
