--- a/cottonhold/fleet/session_affinity/__init__.py
+++ b/cottonhold/fleet/session_affinity/__init__.py
@@ -1,1 +1,1 @@
-"""Which dispatcher owns a key, one at a time, and how ownership migrates between dispatchers. Pure."""
+"""Session affinity: at most one dispatcher owns a key, and ownership can move between dispatchers. Pure."""
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -1,4 +1,4 @@
-"""Announcement of owned keys to their homes, changes of the membership table, and what is due. Pure."""
+"""Announces keys to their homes, applies changes of the membership table, and sends due messages. Pure."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class Announcements(Migration):
-    """The exchange between owners and homes, and all that is due to be sent."""
+    """The exchange between owners and homes, and the sending of all messages that are due."""
 
     def _on_table_changed(self, now: float, removed: int) -> None:
-        """Apply a change of the table; `removed` is the member that is out of it now, or NO_MEMBER."""
+        """Apply a change of the table; `removed` is the removed member, or NO_MEMBER after an admission."""
         members, previous_homes = self.lease.members, self.home_cache
         if self.recent_tables is not None:
             self.recent_tables.append(frozenset(members))
@@ -54,7 +54,10 @@
         self.next_announcement_at = now
 
     def _record_open_requests(self) -> None:
-        """Record keys with open requests whose home is another now, lest it start their next requests."""
+        """Record ownership of keys with open requests whose home is now another member.
+
+        Without the record the new home would start the keys' next requests.
+        """
         for key in self.open_requests:
             if key not in self.records and self.home(key) != self.member:
                 record = OwnershipRecord(self._next_epoch(0), self.member, OwnershipState.OWNED)
@@ -62,7 +65,7 @@
                 self._persist(key, record)
 
     def _cancel_queued_moves(self) -> None:
-        """Drop the moves to and from members that were removed."""
+        """Cancel queued moves and withdrawals to removed members, or all if this member was removed."""
         is_member = self.member in self.lease.members
         for target, queue in self.move_queues.items():
             if target not in self.lease.members or not is_member:
@@ -75,7 +78,7 @@
         }
 
     def _announce_again(self, now: float, key: bytes, record: OwnershipRecord, removed: int) -> None:
-        """Announce a key to its new home, or end what was pending with a removed member."""
+        """Announce a key to its new home, and end a pending move from or to a removed member."""
         if removed and record.peer == removed:
             if record.state in (OwnershipState.OFFERED, OwnershipState.FENCED):
                 self._cancel_move(now, key, record)
@@ -83,7 +86,7 @@
                 self._end_move(key, record, True)
                 record.release_confirmed = True
                 record.target_removed = True
-        # The removed member may be admitted again, but then it owns nothing that it owned or offered before.
+        # The removed member may be admitted again, but it will not own any key that it owned or offered.
         if removed and record.state is OwnershipState.RELEASED and record.owner == removed:
             record.owner = 0
             self._persist(key, record)
@@ -97,7 +100,7 @@
             self._schedule(now, key, record)
 
     def _synchronize(self, now: float) -> None:
-        """Tell the other members that all ownership is announced; see whether all of them have said so."""
+        """Notify other members once their keys are announced, and check whether all of them did the same."""
         lease, other_members = self.lease, self._other_members()
         if lease.complete_epoch != lease.epoch and self.member in lease.members:
             all_announced = all(self.announced_epochs.get(m) == lease.epoch for m in other_members)
@@ -106,7 +109,7 @@
                 self.recent_tables = [frozenset(lease.members)]
                 lease.record_version += 1
         waiting = [m for m in other_members if self.acknowledged_epochs.get(m) != lease.epoch]
-        # The table must be on disk first: after a crash this member would act as a home under the old one.
+        # The table must be on disk first: after a crash this member would act as a home under the old table.
         if not waiting or now < self.next_announcement_at or lease.durable_version < lease.record_version:
             return
         self.next_announcement_at = now + self.settings.retry_interval_ms
@@ -117,7 +120,7 @@
                 self._send(member, notice)
 
     def _uninformed_homes(self) -> set[int]:
-        """Return the homes that do not know yet of all that this member owns of their keys."""
+        """Return the homes that have not acknowledged the announcement of one of their keys."""
         unfinished = [(key, self.records[key]) for key in self.unfinished_keys]
         return {
             self.home(key)
@@ -179,9 +182,9 @@
         elif record is not None and record.epoch > epoch:
             self._add_entry(member, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
         elif record is not None and record.owner in self.lease.members:
-            return  # the fenced member is still in the table, as far as this home knows
+            return  # this home has not applied the removal of the previous owner yet
         elif is_late:
-            # This home may have started requests of the key before it learnt of the candidate.
+            # This home may have started requests for the key before it received the announcement.
             self._take_over(now, key, epoch)
             self._add_entry(member, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
         else:
@@ -189,13 +192,13 @@
             record.pending_answer = DeferredMigrationAnswer(member, MigrationEntry(key, epoch, TENTATIVE))
 
     def _decide_candidates(self, now: float) -> None:
-        """Decide the candidates that were announced before this home's knowledge was complete."""
+        """Decide on the candidates that were announced before all members had announced their keys."""
         for key, (epoch, member) in self.candidates.items():
             self._decide_candidate(now, key, epoch, member)
         self.candidates.clear()
 
     def _take_over(self, now: float, key: bytes, epoch: int) -> None:
-        """Become, as its home, the owner of a key whose owner was fenced."""
+        """Take ownership, as the key's home, of a key whose owner was fenced."""
         uncertain_until = now + self.settings.uncertainty_ms
         self.records[key] = record = OwnershipRecord(
             self._next_epoch(epoch),
@@ -227,7 +230,7 @@
                 self._add_entry(record.peer, EntryKind.RELEASE_ACK, entry)
 
     def _announcement(self, record: OwnershipRecord, key: bytes = b"") -> MigrationEntry:
-        """Return what the key's home is to know of the record."""
+        """Return the entry that announces the record to the key's home."""
         if record.state is OwnershipState.RELEASED:
             if record.target_removed:
                 return MigrationEntry(key, record.epoch, TARGET_REMOVED)
@@ -252,7 +255,7 @@
         handlers[kind](now, sender, entry)
 
     def _send_pending(self, now: float, key: bytes, record: OwnershipRecord) -> None:
-        """Send what this key still lacks an answer to; it is finished if nothing is left."""
+        """Send again the key's messages that are not answered; the key is finished if there are none."""
         if record.pending_token:
             record.next_send_at = math.inf  # scheduled again by `on_persisted`
             return
@@ -285,7 +288,7 @@
             self.unfinished_keys.discard(key)
 
     def _drain_actions(self, now: float) -> list[Action]:
-        """Do all that is due, and return the actions to be carried out."""
+        """Do everything that is due, and return the resulting actions."""
         self.lease.step(now, self.settings.retry_interval_ms)
         self._synchronize(now)
         if self._is_complete() and self.candidates:
@@ -313,7 +316,7 @@
                 self._add_entry(offer.target, EntryKind.WITHDRAW, MigrationEntry(key, epoch))
 
     def _send_entries(self) -> None:
-        """Send the entries that were added, many in a message."""
+        """Send the collected entries, with as many in a message as fit."""
         for (member, kind), entries in self.outgoing_entries.items():
             for start in range(0, len(entries), messages.MAX_ENTRIES):
                 payload = messages.encode_entries(kind, entries[start : start + messages.MAX_ENTRIES])
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -1,14 +1,16 @@
-"""The members that may own keys, this member's lease as one of them, and fences. Pure.
+"""The members that may own keys, this member's lease, and the fencing of removed members. Pure.
 
-The membership table is a list of members under an epoch. It changes only by what the table's register says;
-each epoch is one change, the admission or the removal (fence) of a member.
+The membership table is a list of members with an epoch. It follows the table's register; each epoch is one
+change: the admission of a member, or its removal (fence).
+
+A member starts requests for its keys only while its lease is valid, which a majority of the voters must have
+granted. The lease starts at the request by the member's clock, and at the receipt by a voter's clock (see
+membership/leases.py), so it expires first at the member.
 
-A member acts on what it owns only while its lease is valid: while a majority of the voters granted it
-lately, by its own clock (membership/leases.py: a member counts from its request, a voter from the receipt).
 A fence is in force once a majority of voters has promised, on disk, not to renew the fenced member's lease,
-and a whole lease and the clock margin have passed since; or once the fenced member itself has said that it
-stopped. So a member that was paused for seconds finds its lease over when it goes on, whatever it knows of
-the table.
+and the duration of a lease plus the clock margin has passed since; or once the fenced member has confirmed
+that it stopped. A member that resumes after a pause of seconds finds its lease expired, even if it has not
+seen the newest table.
 """
 
 from __future__ import annotations
@@ -25,7 +27,7 @@
 from cottonhold.membership.leases import LeaseManager, LeaseReply, LeaseRequest, LeaseSettings, SendToMember
 
 TABLE_RECORD = "table"  # name of the record
-# Epoch, complete epoch + 1, forgotten epoch, whether barred; numbers of members, fences, fenced, refusals.
+# Epoch, complete epoch + 1, forgotten epoch, is_barred; numbers of members, fences, fenced members, refusals.
 HEAD_FORMAT = struct.Struct("!QQQ?HHHH")
 MEMBER_FORMAT = struct.Struct("!Q")
 REFUSAL_FORMAT = struct.Struct("!QQ")  # member, epoch
@@ -35,7 +37,7 @@
 
 @dataclass(slots=True)
 class Fence:
-    """A pending fence: the voters that refuse the member, and from when on it is in force (own clock)."""
+    """A pending fence: the voters that refuse the member, and when it will be in force (local clock)."""
 
     refusing_voters: set[int] = field(default_factory=set)
     in_force_at: float = math.inf
@@ -43,18 +45,29 @@
 
 
 class DeferredLeaseAnswer(NamedTuple):
-    """An answer that is sent once the record's version is on disk."""
+    """An answer that is sent once this version of the table's record is on disk."""
 
     record_version: int
     message: SendConsensusMessage
 
 
 class MembershipLease:
-    """One member's view of the membership table, its own lease, and its promises as a voter.
-
-    members, epoch and fenced (recently removed members) are used if there is no record of the table.
-    has_full_memory is False for a member whose folder is empty or out of date: it owns, grants and promises
-    nothing until it is admitted again. Times are in ms of the own clock.
+    """One member's view of the membership table, its lease, and its promises as a voter.
+
+    Times are in ms of the local clock.
+
+    Args:
+        member: The id of this member.
+        members: The members of the table; used if `records` does not contain the table.
+        voters: The ids of all configured voters.
+        now: The current time.
+        first_term: The first term in which this member requests its lease.
+        records: The records in this member's state folder, by name.
+        has_full_memory: Whether the state folder is the one that this member last used. If it is empty or out
+            of date, the member owns, grants and promises nothing until it is admitted again.
+        settings: Times of leases.
+        epoch: The epoch of the table; used with `members`.
+        fenced: The recently removed members; used with `members`.
     """
 
     def __init__(
@@ -76,33 +89,32 @@
         self.members = set(members)
         if not has_full_memory:
             self.members.discard(member)
-        # The epoch for which all other members have announced to this home what they own.
+        # The epoch for which all other members have announced their keys to this home.
         self.complete_epoch = 0 if has_full_memory else NEVER_COMPLETE
-        self.forgotten_epoch = 0  # the highest epoch of an ownership record that was purged
-        self.refused_epochs: dict[
-            int, int
-        ] = {}  # as a voter: no lease for a member that knows no later epoch
+        self.forgotten_epoch = 0  # highest epoch of an ownership record that was purged
+        # As a voter: for each refused member, the least epoch of a table with which it may get a lease.
+        self.refused_epochs: dict[int, int] = {}
         self.is_barred = not has_full_memory  # grants and promises nothing until it is admitted
-        # A member that starts anew does not know whether recent fences are in force already.
+        # A member without a usable state folder does not know whether recent fences are in force already.
         self.fences: dict[int, Fence] = {m: Fence() for m in fenced if m != member and m not in self.members}
         self.fenced_at: dict[int, float] = dict.fromkeys(self.fences, now)
         if has_full_memory and TABLE_RECORD in records:
             self._load(now, records[TABLE_RECORD])
         self.leases = LeaseManager(member, self.voters, settings, now, first_term)
         self.record_version = 0
-        self.requested_version = 0  # the version last passed to the disk
+        self.requested_version = 0  # the version whose write was last requested
         self.durable_version = 0
         self.versions_by_token: dict[int, int] = {}
         self.pending_answers: list[DeferredLeaseAnswer] = []
         self.actions: list[SendConsensusMessage | PersistState] = []
 
     def valid_until(self) -> float:
-        """Return until when this member may act on what it owns; a time in the past if it may not."""
+        """Return until when this member may start requests for its keys; a past time if it may not."""
         bid = self.leases.claims.get(self.member)
         return bid.expires_at if bid is not None and self.member in self.members else -math.inf
 
     def fences_in_force(self, now: float) -> bool:
-        """Whether all fences of this epoch are in force."""
+        """Whether the fences of all members removed up to this epoch are in force."""
         return all(now >= fence.in_force_at for fence in self.fences.values())
 
     def next_at(self) -> float:
@@ -114,11 +126,14 @@
         return min(times)
 
     def apply_change(self, now: float, member: int, epoch: int, is_admitted: bool) -> bool:
-        """Apply one change of the table, in the order of epochs; return False if it is known already."""
+        """Apply a change of the table; return False if it was applied before.
+
+        Changes must be applied in the order of epochs.
+        """
         if epoch <= self.epoch:
             return False
         if epoch != self.epoch + 1:
-            # In a missed epoch another member may have been the home of a key.
+            # In a missed epoch, one of this home's keys may have had another home.
             self.complete_epoch = NEVER_COMPLETE
         self.epoch = epoch
         self.record_version += 1
@@ -137,7 +152,7 @@
         return True
 
     def step(self, now: float, retry_interval_ms: float) -> None:
-        """Renew the lease and request what pending fences lack."""
+        """Renew the lease, and request the refusals that pending fences are waiting for."""
         wanted = [self.member] if self.member in self.members else []
         if set(wanted) != set(self.leases.claims):
             self._send_lease_actions(self.leases.claim(now, wanted))
@@ -157,7 +172,7 @@
     def on_lease_message(
         self, now: float, sender: int, message: LeaseRequest | LeaseReply, epoch: int
     ) -> None:
-        """Apply a lease request or answer of a member that knows this epoch of the table."""
+        """Apply a lease request or answer; `epoch` is that of the newest table at the sender."""
         if isinstance(message, LeaseRequest):
             if message.duty != sender or self.is_barred:
                 return
@@ -171,21 +186,21 @@
         self._send_lease_actions(self.leases.on_message(now, sender, message))
 
     def _is_refused(self, member: int, epoch: int) -> bool:
-        """Whether a member that knows this epoch of the table gets no lease.
+        """Whether a member whose newest table has this epoch must not get a lease.
 
-        A voter that lost its folder has forgotten its promises to refuse, so it goes by its table as well:
-        otherwise a member that was fenced while it was cut off would get a lease under an old table.
+        A voter that lost its state folder has lost its promises to refuse members, so it checks its table as
+        well. Otherwise a member that was fenced while it was cut off would get a lease under an old table.
         """
         if epoch < self.refused_epochs.get(member, 0):
             return True
         return epoch <= self.epoch and member not in self.members
 
     def on_refusal(self, now: float, sender: int, is_answer: bool, member: int, epoch: int) -> None:
-        """Apply a request to refuse a member from an epoch on, or the answer to one."""
+        """Apply a request to refuse leases to a member whose table is older than `epoch`, or an answer."""
         if is_answer:
             self._on_refusal_answer(now, sender, member, epoch)
         elif member == self.member:
-            # A fenced member says that it stopped only if its record on disk says so.
+            # A fenced member confirms that it stopped only once its removal is on disk.
             is_durable = self.durable_version >= self.record_version
             if self.member not in self.members and self.epoch >= epoch and is_durable:
                 self._send(sender, messages.encode_notice(messages.REFUSE, True, member, epoch))
@@ -193,7 +208,7 @@
             self._promise_refusal(now, sender, member, epoch)
 
     def _on_refusal_answer(self, now: float, sender: int, member: int, epoch: int) -> None:
-        """The fenced member has stopped, or a voter promises to refuse it."""
+        """Record that the fenced member has stopped, or that a voter promises to refuse it."""
         fence = self.fences.get(member)
         if fence is None or epoch > self.epoch:
             return
@@ -205,7 +220,7 @@
                 fence.in_force_at = now + self.settings.duration_ms * (1 + self.settings.max_clock_drift)
 
     def on_persisted(self, now: float, token: int) -> None:
-        """The table's record with this token is on disk."""
+        """Record that the write of the table with this token is on disk."""
         self.durable_version = max(self.durable_version, self.versions_by_token.pop(token, 0))
         self._send_durable_answers(now)
 
@@ -220,7 +235,7 @@
                 self.actions.append(message)
 
     def persist(self, token: int) -> PersistState:
-        """Return the action that writes the table's record as it is now."""
+        """Return the action that writes the current table."""
         self.requested_version = self.versions_by_token[token] = self.record_version
         refusals = list(self.refused_epochs.items())
         counts = len(self.members), len(self.fences), len(self.fenced_at), len(refusals)
@@ -240,18 +255,18 @@
         self.complete_epoch = complete_epoch_plus_one - 1
         self.is_barred = bool(is_barred)
         self.members = {reader.read_struct(MEMBER_FORMAT)[0] for _ in range(member_count)}
-        # A pending fence begins anew, because a restart must not shorten its wait.
+        # Pending fences start again, because a restart must not shorten their delay.
         self.fences = {reader.read_struct(MEMBER_FORMAT)[0]: Fence() for _ in range(fence_count)}
-        # How long ago they were fenced is not known, so the time in which their requests may run begins now.
+        # It is not known when they were fenced, so the time during which their requests may run starts now.
         self.fenced_at = {reader.read_struct(MEMBER_FORMAT)[0]: now for _ in range(fenced_count)}
         refusals = [reader.read_struct(REFUSAL_FORMAT) for _ in range(refusal_count)]
         self.refused_epochs = {member: epoch for member, epoch in refusals}
         reader.expect_end()
 
     def _promise_refusal(self, now: float, requester: int, member: int, epoch: int) -> None:
-        """Promise to refuse a member, once the promise is on disk.
+        """Promise to refuse a member; the answer is sent once the promise is on disk.
 
-        A promise that were forgotten in a restart would let the lease be renewed.
+        If the promise were lost in a restart, the member's lease could be renewed.
         """
         answer = SendConsensusMessage(requester, messages.encode_notice(messages.REFUSE, True, member, epoch))
         if self.refused_epochs.get(member, 0) < epoch:
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -1,16 +1,17 @@
-"""The membership table of session affinity: its form in a register, and the change it needs now. Pure.
+"""The membership table of session affinity: its encoding in a register, and which change it needs. Pure.
 
-The table's register holds the epoch, the members, and the last changes, each of which is one epoch. Every
-member reads it and applies the changes that it does not know yet, in order (`MemberList.changes_since`). A
-member that missed more changes than are remembered cannot tell whether it was itself fenced and admitted
-meanwhile, so it starts anew as one with an empty folder.
+The table's register holds the epoch, the members and the last changes, each of which is one epoch. Every
+member reads it and applies the changes that it has not applied yet, in order (`MemberList.changes_since`). A
+member that missed more changes than the register holds cannot determine whether it was fenced and admitted
+meanwhile, so it restarts like a member with an empty state folder.
 
-The table begins empty, and each member requests its own admission. So a member whose folder has no table, or
-is known to be out of date, need not guess whether the fleet is new: if it is in the table without knowing it,
-it first has itself fenced, and admitted then.
+The table is empty initially, and each member requests its own admission. So a member whose state folder has
+no table or is known to be out of date does not depend on whether the fleet is new: if it is listed in the
+table, it first requests its own removal, and then its admission.
 
-A change is proposed only by a member that has applied the newest table and for which all its fences are in
-force. So the fences that a member with a gap has missed are in force, except those still remembered.
+A change is proposed only by a member that has applied the newest table and has all of its fences in force. So
+of the fences that a member missed, all are in force except possibly those whose changes the register still
+holds.
 """
 
 from __future__ import annotations
@@ -28,20 +29,23 @@
 from cottonhold.fleet.rolling_replacement.machine_driver import takeover_order
 
 TABLE_REGISTER = "pins"  # name of the register
-HEAD_FORMAT = struct.Struct("!IBBH")  # epoch, listed members, changes, bit mask of those in the table
+HEAD_FORMAT = struct.Struct("!IBBH")  # epoch, number of listed members, of changes; bit mask of members
 MEMBER_FORMAT = struct.Struct("!Q")
-MAX_CHANGES = 16  # that are remembered, as far as they fit into a register
-MAX_MEMBERS = 12  # that fit into a register
+MAX_CHANGES = 16  # fewer are kept if they do not fit into a register
+MAX_MEMBERS = 12  # as many as fit into a register
 
 
 @dataclass(slots=True, frozen=True)
 class TableSettings:
     """Times of the membership table.
 
-    failure_timeout_ms: a member that membership has not seen for so long is fenced. proposer_stagger_ms:
-    between the turns of two members that could propose a change. max_read_age_ms: how old the knowledge of
-    the register may be when a change is proposed. pending_read_interval_ms: between reads while a change is
-    needed; idle_read_interval_ms: otherwise. operation_timeout_ms: after it a change counts as lost.
+    Attributes:
+        failure_timeout_ms: Time after which a member is fenced that is not among the live members, in ms.
+        proposer_stagger_ms: Delay between one member's turn to propose a change and the next one's, in ms.
+        max_read_age_ms: Maximum age of the last read of the register when a change is proposed, in ms.
+        pending_read_interval_ms: Interval between reads while a change is needed, in ms.
+        idle_read_interval_ms: Interval between reads otherwise, in ms.
+        operation_timeout_ms: Time after which a pending change of the register is given up, in ms.
     """
 
     failure_timeout_ms: float = 5000.0
@@ -60,7 +64,7 @@
 
 
 class NumberedChange(NamedTuple):
-    """A change and the epoch that it led to."""
+    """A change, and the epoch of the table after it."""
 
     epoch: int
     member: int
@@ -69,14 +73,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberList:
-    """The table at an epoch, and the last changes that led there, oldest first."""
+    """The table at an epoch, and the last changes up to this epoch, oldest first."""
 
     epoch: int = 0
     members: frozenset[int] = frozenset()
     changes: tuple[TableChange, ...] = ()
 
     def with_change(self, member: int, is_admitted: bool) -> MemberList:
-        """Return the table after one more change; the oldest changes are dropped if they do not fit."""
+        """Return the table after one more change, without the oldest changes if they do not fit."""
         members = self.members | {member} if is_admitted else self.members - {member}
         changes = (*self.changes, TableChange(member, is_admitted))[-MAX_CHANGES:]
         member_list = MemberList(self.epoch + 1, members, changes)
@@ -87,7 +91,7 @@
     def changes_since(self, epoch: int) -> list[NumberedChange] | None:
         """Return the changes after an epoch, in order.
 
-        None if some of them are no longer remembered, or if the epoch is not one of this table.
+        Returns None if some of them are no longer held, or if the epoch is newer than this table.
         """
         first_epoch = self.epoch - len(self.changes)
         if not first_epoch <= epoch <= self.epoch:
@@ -96,7 +100,7 @@
         return [NumberedChange(number, *change) for number, change in numbered if number > epoch]
 
     def fenced_members(self) -> set[int]:
-        """Return the members that were removed and not admitted again, as far as that is remembered."""
+        """Return the removed members that were not admitted again, according to the changes still held."""
         return {change.member for change in self.changes if not change.is_admitted} - self.members
 
 
@@ -112,7 +116,7 @@
 
 
 def decode_member_list(data: bytes) -> MemberList:
-    """Decode the register's value; an empty one is the initial table. Raises MessageError."""
+    """Decode the register's value; an empty value is the initial table. Raises MessageError."""
     if not data:
         return MemberList()
     if len(data) < HEAD_FORMAT.size:
@@ -134,12 +138,16 @@
 
 @dataclass(slots=True, frozen=True)
 class LocalView:
-    """What this member knows when it considers a change of the table.
-
-    applied_epoch: of the table that its ownership of keys has applied, and is_member: whether it is in that
-    table. fences_in_force: all fences of that table. is_ready_to_leave: it is being replaced, and owns
-    nothing any more. is_being_replaced: it must not be admitted. live_members: by membership, including
-    itself. removed_members: taken out by a rolling replacement.
+    """The state of this member on which a change of the table depends.
+
+    Attributes:
+        applied_epoch: Epoch of the newest table that its ownership of keys has applied.
+        is_member: Whether this member is in that table.
+        fences_in_force: Whether all fences of that table are in force.
+        is_ready_to_leave: Whether this member is being replaced and owns no keys any more.
+        is_being_replaced: Whether this member is being replaced, so that it must not be admitted.
+        live_members: Live members by the membership protocol, including this one.
+        removed_members: Members that a rolling replacement has taken out.
     """
 
     applied_epoch: int
@@ -153,14 +161,22 @@
 
 @dataclass(slots=True, frozen=True)
 class NeededChange:
-    """A change that this member considers needed, and since when."""
+    """A change that the table needs, and since when this member has found it needed."""
 
     change: TableChange
     needed_since: float
 
 
 class MembershipTable:
-    """One member's view of the table's register. seed: for tokens, drawn anew at each start."""
+    """One member's view of the table's register.
+
+    Args:
+        member: The id of this member.
+        voters: The ids of all configured voters.
+        now: The current time, in ms of the local clock.
+        settings: Times of the membership table.
+        seed: A random number for tokens, drawn at each start.
+    """
 
     def __init__(
         self, member: int, voters: Iterable[int], now: float, settings: TableSettings, seed: int
@@ -171,7 +187,7 @@
         self.majority = len(self.voters) // 2 + 1
         self.registers = RegisterCache(random.Random(seed), settings.operation_timeout_ms)
         self.member_list = MemberList()
-        self.is_known = False  # a majority has been read since this start
+        self.is_known = False  # whether the register has been read from a majority since this start
         self.needed_change: NeededChange | None = None
         self.blocked_reason = ""
         self.last_seen_at: dict[int, float] = {}
@@ -179,7 +195,7 @@
         self.next_step_at = now
 
     def on_outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
-        """Apply the end of a change or read of a register; those of other parts are ignored."""
+        """Apply the outcome of an operation on a register; operations of other components are ignored."""
         if self.registers.on_outcome(now, token, won, version, value):
             self.is_known = self.is_known or (won is not None and version >= 0)
             self._update_member_list(now)
@@ -204,7 +220,7 @@
         return self.next_step_at
 
     def step(self, now: float, view: LocalView) -> list[ChangeRegister | ReadRegister]:
-        """Propose the change that is needed, at this member's turn; otherwise follow the register."""
+        """Propose the needed change if it is this member's turn; otherwise read the register when due."""
         for member in self.member_list.members | {self.member}:
             if member in view.live_members or member not in self.last_seen_at:
                 self.last_seen_at[member] = now
@@ -225,7 +241,7 @@
         return list(self.registers.change(now, TABLE_REGISTER, value))
 
     def _read_idle(self, now: float) -> list[ChangeRegister | ReadRegister]:
-        """Follow the register while no change is needed."""
+        """Read the register when due, while no change is needed or known."""
         self.needed_change = None
         self.blocked_reason = "" if self.is_known else "the table has not been read yet"
         interval_ms = self.settings.pending_read_interval_ms
@@ -234,10 +250,11 @@
         return list(self.registers.read(now, TABLE_REGISTER, interval_ms))
 
     def _find_needed_change(self, now: float, view: LocalView) -> TableChange | None:
-        """Return one change that the table needs; this member's own first, since no other knows of it.
+        """Return one change that the table needs, or None.
 
-        A member outside of the table may have been cut off, so what it takes for the failure of others may be
-        its own: it proposes only its own admission.
+        This member's own admission or removal comes first, since no other member proposes it. A member
+        outside of the table proposes only its own admission: it may have been cut off itself, so that others
+        only seem to have failed.
         """
         members = self.member_list.members
         if self.member not in members:
@@ -253,7 +270,7 @@
         return None
 
     def _find_blocked_reason(self, view: LocalView, change: TableChange) -> str:
-        """Return why the change may not be proposed now, or "" if it may; for operators."""
+        """Return why the change must not be proposed now, as shown to operators, or "" if it may be."""
         members = self.member_list.members
         if view.applied_epoch != self.member_list.epoch:
             return "the newest table isn't in force here yet"
@@ -267,10 +284,10 @@
         return ""
 
     def _proposer_position(self, view: LocalView, member: int) -> int:
-        """Return this member's place among those that may propose a change of `member`.
+        """Return this member's position in the order in which members propose a change of `member`.
 
-        The member itself is first, the others follow in the order of a hash: they propose one after the
-        other, so that they seldom compete.
+        The member itself is first, the others follow in the order of a hash. They propose one after the
+        other, so that their proposals seldom compete.
         """
         if member == self.member:
             return 0
--- a/cottonhold/fleet/session_affinity/messages.py
+++ b/cottonhold/fleet/session_affinity/messages.py
@@ -1,9 +1,11 @@
-"""Codec of the messages of session affinity: migration of many keys in one datagram, and membership. Pure.
+"""Codec of the session affinity messages, about the migration of keys and about membership. Pure.
+
+The first byte is the kind of message, field sizes are in bytes:
 
 75 | kind of entries 1 | count 1 | entries: key 8, epoch 8, flags 1
 76 | request for a membership lease, or a voter's answer
-77 | request to refuse a member from an epoch on, or the answer
-78 | all ownership was announced for an epoch, or the answer
+77 | request to refuse leases to a member, or the answer
+78 | notice that all owned keys were announced for an epoch, or the answer
 """
 
 from __future__ import annotations
@@ -21,18 +23,18 @@
 HEAD_FORMAT = struct.Struct("!BBB")  # message kind, kind of entries, count
 LEASE_FORMAT = struct.Struct("!BBQIQf")  # kind, request or answer, duty, term, epoch, wait
 NOTICE_FORMAT = struct.Struct("!BBQQ")  # kind, answer, member, epoch
-REQUEST, ANSWER, RELEASE_REQUEST = 0, 1, 2  # second byte of LEASE
+REQUEST, ANSWER, RELEASE_REQUEST = 0, 1, 2  # second byte of a LEASE message
 GRANTED_WAIT = -1.0
 MAX_WAIT_MS = 1e9
 MAX_ENTRIES = (MAX_MESSAGE_BYTES - HEAD_FORMAT.size) // ENTRY_FORMAT.size
 
 
 class EntryKind(IntEnum):
-    """What the entries of a message say of their keys.
+    """The kind of all entries in a message.
 
-    From the present owner to the target of a move: OFFER, RELEASE, WITHDRAW; back: ACCEPT, DECLINE,
-    RELEASE_ACK, WITHDRAW_ACK. From an owner to its key's home: ANNOUNCE; back: ANNOUNCE_ACK, CONFIRM_OWNER,
-    or WITHDRAW.
+    The owner sends OFFER, RELEASE and WITHDRAW to the target of a move, which answers with ACCEPT, DECLINE,
+    RELEASE_ACK and WITHDRAW_ACK. An owner sends ANNOUNCE to its key's home, which answers with ANNOUNCE_ACK,
+    CONFIRM_OWNER or WITHDRAW.
     """
 
     OFFER = 0
@@ -52,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrationEntry:
-    """One key in a message, the epoch of its ownership, and flags."""
+    """A key in a message, with the epoch of its ownership and flags."""
 
     key: bytes
     epoch: int
@@ -66,7 +68,11 @@
 
 
 def decode_entries(data: bytes) -> tuple[EntryKind, list[MigrationEntry]]:
-    """Decode entries. Raises MessageError, and then none of them counts."""
+    """Decode the entries of a message.
+
+    Raises:
+        MessageError: The message is malformed; none of its entries may be applied.
+    """
     if len(data) < HEAD_FORMAT.size or data[0] != MIGRATION:
         raise MessageError("batch")
     if len(data) != HEAD_FORMAT.size + data[2] * ENTRY_FORMAT.size:
@@ -80,7 +86,7 @@
 
 
 def encode_lease(message: leases.LeaseRequest | leases.LeaseReply, epoch: int) -> bytes:
-    """Encode a lease request or answer, with the epoch of the table that the sender knows."""
+    """Encode a lease request or answer, with the epoch of the newest table that the sender has applied."""
     if isinstance(message, leases.LeaseRequest):
         kind = RELEASE_REQUEST if message.is_release else REQUEST
         return LEASE_FORMAT.pack(LEASE, kind, message.duty, message.term, epoch, 0.0)
@@ -89,12 +95,12 @@
 
 
 def decode_lease(data: bytes) -> tuple[leases.LeaseRequest | leases.LeaseReply, int]:
-    """Decode a lease request or answer, and the sender's epoch. Raises MessageError."""
+    """Return a decoded lease request or answer, and the sender's epoch. Raises MessageError."""
     if len(data) != LEASE_FORMAT.size or data[0] != LEASE or data[1] > RELEASE_REQUEST:
         raise MessageError("lease")
     _, kind, duty, term, epoch, wait_ms = LEASE_FORMAT.unpack(data)
     if kind == ANSWER:
-        if not wait_ms < MAX_WAIT_MS:  # also refuses a value that is not a number
+        if not wait_ms < MAX_WAIT_MS:  # also rejects NaN
             raise MessageError("wait")
         return leases.LeaseReply(duty, term, wait_ms < 0, max(wait_ms, 0.0)), epoch
     return leases.LeaseRequest(duty, term, kind == RELEASE_REQUEST), epoch
@@ -106,7 +112,10 @@
 
 
 def decode_notice(data: bytes) -> tuple[bool, int, int]:
-    """Decode whether it is an answer, the member and the epoch. Raises MessageError."""
+    """Decode REFUSE or ANNOUNCED: return whether it is an answer, the member and the epoch.
+
+    Raises MessageError.
+    """
     if len(data) != NOTICE_FORMAT.size or data[1] > 1:
         raise MessageError("short")
     _, is_answer, member, epoch = NOTICE_FORMAT.unpack(data)
--- a/cottonhold/fleet/session_affinity/migration.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -1,4 +1,4 @@
-"""Migration of keys between an owner and the target of a move, as drawn in ownership.py. Pure."""
+"""Migration of keys from an owner to the target of a move; ownership.py lists the steps. Pure."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
             self.move_allowances[target] = MoveAllowance(allowance, now)
 
     def _move_allowance(self, now: float, target: int) -> float:
-        """How many keys may be offered now: a token bucket that holds at most 50 ms of the rate."""
+        """Return how many keys may be offered now, by a token bucket that holds the tokens of 50 ms."""
         keys_per_second = self.settings.max_moves_per_second
         earlier = self.move_allowances.get(target, MoveAllowance(1.0, now))
         allowance = earlier.keys + (now - earlier.computed_at) * keys_per_second / 1000
@@ -48,17 +48,17 @@
         return max(allowance.computed_at + wait_ms, allowance.computed_at + 1)
 
     def _offer(self, now: float, key: bytes, target: int) -> bool:
-        """Offer a key to a target; return False if it cannot be moved, or not yet."""
+        """Offer a key to a target; return False if it cannot be moved, or cannot be moved yet."""
         record = self.records.get(key)
         if record is not None and record.owner == self.member and record.state is OwnershipState.OWNED:
             if record.pending_token or any(withdrawn == key for withdrawn, _ in self.withdrawn_offers):
-                self.move_queues[target].append(key)  # an earlier offer is not withdrawn yet
+                self.move_queues[target].append(key)  # the withdrawal of an earlier offer is pending
                 return False
         elif record is None and self.home(key) == self.member and self._may_start_without_record(key):
             self.records[key] = record = OwnershipRecord(
                 self._next_epoch(0), self.member, OwnershipState.OWNED, home_informed=True
             )
-            # What was in flight without a record before this member's last restart may still run.
+            # Requests without a record that were in flight before this member's last restart may still run.
             uncertain_until = self.started_at + self.settings.uncertainty_ms
             record.uncertain_until = max(self._uncertain_until(now, key), uncertain_until)
         else:
@@ -77,12 +77,12 @@
         return True
 
     def _release_if_idle(self, now: float, key: bytes, record: OwnershipRecord) -> None:
-        """Release an accepted key once no request of it is open; fence it before if that takes long."""
+        """Release an accepted key once no request for it is open; fence it first after the fence delay."""
         is_moving = record.state in (OwnershipState.OFFERED, OwnershipState.FENCED)
         if record.owner != self.member or not record.is_accepted or not is_moving:
             return
         if not self.open_requests.get(key):
-            # The RELEASED record implies FENCED, so one write is enough.
+            # RELEASED implies FENCED, so a single write is sufficient.
             self._on_stopped(now, record)
             record.state = OwnershipState.RELEASED
             record.owner = record.peer
@@ -99,7 +99,7 @@
         return now >= record.offered_at + self.settings.fence_delay_ms
 
     def _cancel_move(self, now: float, key: bytes, record: OwnershipRecord) -> None:
-        """Keep the key after all, under an epoch above the offered one."""
+        """Withdraw the offer of a key and keep it, under an epoch above the offered one."""
         if record.peer in self.lease.members:
             self.withdrawn_offers[key, record.offered_epoch] = WithdrawnOffer(record.peer, now)
         self._end_move(key, record, False)
@@ -134,7 +134,7 @@
         if record.peer != sender or record.is_accepted:
             return
         if entry.epoch >= record.offered_epoch:
-            # The target has forgotten a record that is newer than the offer: offer again, above it.
+            # The target has removed a record that is newer than the offer: offer again under a higher epoch.
             record.offered_epoch = self._next_epoch(entry.epoch)
             self._persist(entry.key, record)
         else:
@@ -180,7 +180,7 @@
         return is_accepted and record.epoch == entry.epoch
 
     def _may_accept(self, record: OwnershipRecord | None, sender: int) -> bool:
-        """Whether a key may be accepted: both are members, this one does not own it and has capacity."""
+        """Whether a key may be accepted: both are members, and this one has capacity and is not the owner."""
         if self.member not in self.lease.members or sender not in self.lease.members:
             return False
         if len(self.records) >= 2 * self.settings.max_records:
@@ -200,7 +200,7 @@
             self._add_entry(sender, EntryKind.RELEASE_ACK, entry)
 
     def _has_acquired(self, record: OwnershipRecord, entry: MigrationEntry) -> bool:
-        """Whether the ownership under the entry's epoch is on disk, and the key's home knows it."""
+        """Whether ownership under the entry's epoch is on disk and the key's home has recorded it."""
         return record.epoch == entry.epoch and record.home_informed and not record.pending_token
 
     def _acquire(self, now: float, key: bytes, record: OwnershipRecord, may_have_run: bool) -> None:
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -1,26 +1,28 @@
-"""Which member owns a key, one at a time, and how ownership moves between members. Pure.
+"""Which member owns a key, and how ownership moves from one member to another. Pure.
 
-Each key has a *home*: the member of the table that rendezvous hashing ranks first. A key without an ownership
-record belongs to its home. A record (key, epoch, owner) exists where another member owns the key; the home
-knows that owner. A move takes these steps:
+At most one member owns a key. Each key has a *home*: the member of the table that ranks first for it by
+rendezvous hashing. A key without an ownership record is owned by its home. A record (key, epoch, owner)
+names the owner; the home holds one for each of its keys that another member owns.
+
+A key moves in these steps:
 
     owner                                             target
-    OWNED --OFFER--> (OFFERED on disk)                ACCEPTED on disk --ACCEPT-->
-    no request of the key is open, or the fence delay is over:
-    FENCED on disk: starts no further request         (requests of the key wait or are retried)
-    no request is open any more, or its outcome is unknown:
+    OFFERED on disk --OFFER-->                        ACCEPTED on disk --ACCEPT-->
+    if a request for the key is still open when the fence delay has passed:
+    FENCED on disk: starts no further request         (requests for the key wait or are retried)
+    once no request for the key is open:
     RELEASED on disk --RELEASE-->                     OWNED on disk: starts requests. --RELEASE_ACK-->
 
-Every message is sent again until it is answered, and a message carries many keys. At each moment at most one
-member may start requests of a key: the owner until FENCED, the target from its OWNED on. An epoch is never
-used twice: the epochs of one member only grow, and a member that forgot a record declines offers that are
-not newer than all it forgot.
+Every message is sent again until it is answered, and one message carries many keys. At any time at most one
+member may start requests for a key: the owner until it is FENCED or RELEASED, the target once it is OWNED.
+An epoch is never used twice: the epochs that a member assigns only grow, and a member that purged records
+declines all offers that are not newer than the purged records.
 
-When a member is fenced (membership_lease.py), homes change. A new home acts once the fence is in force and
-all other members have announced to it what they own of its keys (ANNOUNCED), because one of them may be the
-owner. Then it takes over what the fenced member owned, as *uncertain*: a request of it may have run. A
-target that had accepted a key from the fenced member becomes the owner only if the key's home confirms it
-(CONFIRM_OWNER).
+When a member is fenced (see membership_lease.py), its keys get new homes. A new home starts requests only
+once the fence is in force and all other members have announced to it which of its keys they own (ANNOUNCED),
+because one of them may be the owner. Then it takes over the keys of the fenced member as *uncertain*: a
+request of the fenced member may have run. A target that had accepted a key from the fenced member becomes
+the owner only if the key's home confirms it (CONFIRM_OWNER).
 """
 
 from __future__ import annotations
@@ -60,18 +62,26 @@
 
 
 class KeyOwnership(Announcements):
-    """One member's ownership of keys.
+    """One member's ownership of keys. Times are in ms of the local clock.
 
-    members: the table as of `epoch`, and fenced: the recently removed members, if there is no record of the
-    table. has_full_memory: whether this member's folder is the one that it last had; if it is empty or out
-    of date, the member owns nothing until it was fenced and admitted. seed: drawn anew at each start.
-    records: of the folder, by name. Times are in ms of the own clock.
+    Args:
+        member: The id of this member.
+        members: The members of the table; used if `records` does not contain the table.
+        voters: The ids of all configured voters.
+        now: The current time.
+        seed: A random number, drawn at each start.
+        records: The records in this member's state folder, by name.
+        settings: Limits and times; the defaults if None.
+        has_full_memory: Whether the state folder is the one that this member last used. If it is empty or out
+            of date, the member owns nothing until it has been fenced and admitted again.
+        epoch: The epoch of the table; used with `members`.
+        fenced: The recently removed members; used with `members`.
     """
 
     def route(self, now: float, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
-        """Return where an arriving request of the key belongs.
+        """Return which member may start an arriving request for the key.
 
-        After OwnedHere, the caller calls `on_request_opened` at once.
+        If the result is OwnedHere, the caller must call `on_request_opened` immediately.
         """
         owned = self.ownership_of(now, key)
         if owned is not None:
@@ -88,7 +98,10 @@
         return RetryAfter(self.settings.retry_after_ms)
 
     def ownership_of(self, now: float, key: bytes) -> OwnedHere | None:
-        """Return under which ownership requests of the key may start here now, or None; changes nothing."""
+        """Return the ownership under which requests for the key may start here now, or None.
+
+        Changes no state.
+        """
         if not self.settings.is_enabled:
             return OwnedHere(0, math.inf)
         record = self.records.get(key)
@@ -99,7 +112,7 @@
             if self.home(key) != self.member or not self._may_start_without_record(key):
                 return None
             return OwnedHere(0, valid_until, self._uncertain_until(now, key) > now)
-        # A restart would undo an epoch that is not on disk, after requests had begun under it.
+        # A restart would undo an epoch that is not on disk, although requests had started under it.
         is_durably_owned = record.state is OwnershipState.OWNED and not record.pending_token
         may_start = is_durably_owned or record.state is OwnershipState.OFFERED
         if not may_start or record.owner != self.member:
@@ -109,8 +122,8 @@
     def choose_targets(self, keys: Iterable[bytes], capacities: Mapping[int, float]) -> dict[bytes, int]:
         """Choose a target for each key, by consistent hashing with bounded loads.
 
-        Each key goes to the first member in rendezvous order that has received less than its share, which is
-        in proportion to its capacity (in any unit, e.g. spare cores). A key gets no target if no member has
+        Each key is assigned to the first member in rendezvous order that has not reached its limit, which is
+        proportional to its capacity (in any unit, e.g. spare cores). A key gets no target if no member has
         capacity. See "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup, Zadimoghaddam).
         """
         sorted_keys = sorted(keys)
@@ -129,13 +142,13 @@
         return chosen
 
     def owned_keys(self) -> list[bytes]:
-        """Return the keys to be moved before this member leaves: recorded, or with open requests."""
+        """Return the keys to move away before this member leaves: those recorded or with open requests."""
         recorded = {key for key, record in self.records.items() if record.owner == self.member}
         unrecorded = {key for key in self.open_requests if key not in self.records}
         return sorted(recorded | unrecorded)
 
     def moving_count(self) -> int:
-        """Return how many keys are still to be moved from here."""
+        """Return the number of keys whose move to another member is queued or in progress."""
         return sum(map(len, self.move_queues.values())) + sum(self.pending_offers.values())
 
     def next_at(self, now: float = 0.0) -> float:
@@ -149,16 +162,16 @@
         return min([*times, self.lease.next_at()])
 
     def on_request_opened(self, now: float, key: bytes, request_id: int) -> list[Action]:
-        """A request of the key waits or runs here: the key stays until it has ended."""
+        """Record that a request for the key waits or runs here; the key stays here until it has ended."""
         self.open_requests.setdefault(key, set()).add(request_id)
         return []
 
     def on_request_ended(
         self, now: float, key: bytes, request_id: int, outcome_known: bool = True
     ) -> list[Action]:
-        """A request of the key has ended.
+        """Record that a request for the key has ended.
 
-        If its outcome is not known it may have run, and the key's next owner learns that.
+        If its outcome is unknown, the request may have run; this is reported to the key's next owner.
         """
         open_requests = self.open_requests.get(key, set())
         open_requests.discard(request_id)
@@ -179,13 +192,13 @@
         return self._drain_actions(now)
 
     def move(self, now: float, keys: Iterable[bytes], target: int) -> list[Action]:
-        """Move keys to a target; each ends in a MoveEnded, as do keys that this member does not own."""
+        """Move keys to a target; a MoveEnded follows for each key, even if this member does not own it."""
         queue = self.move_queues.setdefault(target, deque())
         queue.extend(key for key in keys if key not in queue)
         return self._drain_actions(now)
 
     def cancel_moves(self, now: float, keys: Iterable[bytes]) -> list[Action]:
-        """Keep these keys; those that are released already go on to their targets."""
+        """Keep these keys here; the move of a key that is already released is completed."""
         retained_keys = set(keys)
         for target, queue in self.move_queues.items():
             self.move_queues[target] = deque(key for key in queue if key not in retained_keys)
@@ -198,19 +211,19 @@
         return self._drain_actions(now)
 
     def fence(self, now: float, owner: int, epoch: int) -> list[Action]:
-        """Apply the removal of a member with this epoch of the table."""
+        """Apply the removal of a member, which led to this epoch of the table."""
         if self.lease.apply_change(now, owner, epoch, False):
             self._on_table_changed(now, owner)
         return self._drain_actions(now)
 
     def admit(self, now: float, member: int, epoch: int) -> list[Action]:
-        """Apply the admission of a member, which owns nothing yet, with this epoch of the table."""
+        """Apply the admission of a member that owns nothing yet, which led to this epoch of the table."""
         if self.lease.apply_change(now, member, epoch, True):
             self._on_table_changed(now, 0)
         return self._drain_actions(now)
 
     def on_message(self, now: float, sender: int, payload: bytes) -> list[Action]:
-        """Apply a message of session affinity (first byte 75 to 78); a malformed one is counted."""
+        """Apply a session affinity message (first byte 75 to 78); a malformed one is only counted."""
         try:
             message_kind = payload[0] if payload else 0
             if message_kind == messages.MIGRATION:
@@ -231,7 +244,7 @@
         return self._drain_actions(now)
 
     def on_persisted(self, now: float, token: int) -> list[Action]:
-        """The record with this token is on disk."""
+        """Record that the write with this token is on disk."""
         self.lease.on_persisted(now, token)
         key = self.keys_by_token.pop(token, None)
         record = self.records.get(key) if key is not None else None
@@ -241,11 +254,11 @@
         return self._drain_actions(now)
 
     def step(self, now: float) -> list[Action]:
-        """Do what is due; call at `next_at` at the latest, and once at the start."""
+        """Return the actions that are due; called at `next_at` at the latest, and once after the start."""
         return self._drain_actions(now)
 
     def _on_record_durable(self, now: float, key: bytes, record: OwnershipRecord) -> None:
-        """Send what waited for a key's record to be on disk."""
+        """Send the messages that had to wait until a key's record is on disk."""
         self._schedule(now, key, record)
         answer, record.pending_answer = record.pending_answer, None
         if answer is not None:
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -1,4 +1,4 @@
-"""What one member knows of the ownership of keys: records, homes and epochs. Pure."""
+"""The ownership records of one member, with the homes and epochs of keys. Pure."""
 
 from __future__ import annotations
 
@@ -19,25 +19,30 @@
 from cottonhold.membership.leases import LeaseSettings
 from cottonhold.membership.rendezvous import score
 
-OWNERSHIP_RECORD_PREFIX = "pin/"  # names of records
-# Epoch, owner, peer, offered epoch, state, whether a request of an earlier owner may run.
+OWNERSHIP_RECORD_PREFIX = "pin/"  # of the names of records; the key in hexadecimal follows
+# Epoch, owner, peer, offered epoch, state, whether a request of an earlier owner may have run.
 RECORD_FORMAT = struct.Struct("!QQQQBB")
 RELEASE_CONFIRMED_FORMAT = struct.Struct("!B")
-PURGE_BATCH = 1000  # records that are no longer needed are removed so many at once
+PURGE_BATCH = 1000  # least number of unneeded records that are removed together
 NO_MEMBER = 0
-HANDOVER_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0)  # upper bounds of the histogram
+HANDOVER_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0)  # upper bounds of histogram buckets
 
 
 @dataclass(slots=True, frozen=True)
 class OwnershipSettings:
     """Limits and times of the ownership of keys.
 
-    is_enabled: if False, every member owns every key. retry_interval_ms: messages without an answer are sent
-    again after it. max_moves_per_second and max_pending_offers: of keys, for one target. fence_delay_ms: how
-    long an offered key waits for its open requests before no further request starts. retry_after_ms: after
-    which a request is tried again whose key has no owner now. uncertainty_ms: how long after a fence requests
-    of the fenced member may still run. max_records: of one owner. max_overload_factor: a target gets at most
-    so many times its proportional share of the moved keys.
+    Attributes:
+        is_enabled: Whether keys have owners; if False, every member may start requests for every key.
+        retry_interval_ms: Interval at which unanswered messages are sent again, in ms.
+        max_moves_per_second: Maximum rate of offers to one target, in keys per second.
+        max_pending_offers: Maximum number of keys that are being moved to one target.
+        fence_delay_ms: Time after an offer until no further request for the key starts, in ms.
+        retry_after_ms: Time after which a request is retried whose key has no owner now, in ms.
+        uncertainty_ms: Time after a fence during which the fenced member's requests may still run, in ms.
+        max_records: Expected maximum number of keys of an owner; offers are declined at twice this number.
+        max_overload_factor: Maximum ratio of the keys moved to a target to its proportional share.
+        lease: Times of the leases of members.
     """
 
     is_enabled: bool = False
@@ -62,9 +67,9 @@
 
 @dataclass(slots=True, frozen=True)
 class OwnedHere:
-    """Requests of the key may start here until `valid_until` (own clock), under this epoch.
+    """Requests for the key may start here until `valid_until` (local clock), under this epoch.
 
-    may_have_run: a request of an earlier owner may have run without its outcome being known here.
+    If may_have_run is set, a request of an earlier owner may have run with an outcome that is not known here.
     """
 
     epoch: int
@@ -74,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OwnedElsewhere:
-    """Requests of the key belong to another member."""
+    """Requests for the key must be forwarded to another member."""
 
     key: bytes
     owner: int
@@ -82,14 +87,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryAfter:
-    """No member may start requests of the key now; try again after the delay."""
+    """No member may start requests for the key now; they are retried after the delay."""
 
     delay_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class MoveEnded:
-    """A key that was to be moved belongs to its target now, or stays here."""
+    """The move of a key has ended: the target owns the key if `is_moved`, else it stays here."""
 
     key: bytes
     epoch: int
@@ -110,28 +115,28 @@
 
 
 class DeferredMigrationAnswer(NamedTuple):
-    """The entry that is answered to a member once the record of its key is on disk."""
+    """A member's entry that is answered once the record of its key is on disk."""
 
     member: int
     entry: MigrationEntry
 
 
 class MoveAllowance(NamedTuple):
-    """How many keys may be offered to a target, and at what time that was computed."""
+    """The number of keys that may be offered to a target, and when it was computed."""
 
     keys: float
     computed_at: float
 
 
 class Candidate(NamedTuple):
-    """At a key's home: an epoch that a target accepted from a fenced member, and the target."""
+    """A target that accepted a key from a fenced member, and the accepted epoch; kept by the key's home."""
 
     epoch: int
     member: int
 
 
 class WithdrawnOffer(NamedTuple):
-    """The target of an offer that is taken back, and when that is sent next."""
+    """The target of a withdrawn offer, and when the withdrawal is sent next."""
 
     target: int
     next_send_at: float
@@ -139,10 +144,10 @@
 
 @dataclass(slots=True)
 class OwnershipRecord:
-    """What this member knows of a key that its home does not simply own.
+    """The owner of a key as recorded at one member, and the progress of its move.
 
-    peer: the target of a move, or at the target the member from which the key is moved. offered_epoch: the
-    epoch under which the key is offered.
+    peer is the target of a move; at the target it is the member from which the key is moved. offered_epoch is
+    the epoch under which the key is offered.
     """
 
     epoch: int
@@ -150,27 +155,27 @@
     state: OwnershipState
     peer: int = 0
     offered_epoch: int = 0
-    uncertain_until: float = -math.inf  # until when a request of an earlier owner may still run
-    pending_token: int = 0  # of the last write; 0 once it is on disk
-    is_accepted: bool = False  # in OFFERED, FENCED: the target has accepted
-    release_confirmed: bool = False  # in RELEASED: the target has confirmed it, or need not
-    home_informed: bool = False  # the key's home knows the owner
-    home_has_candidate: bool = False  # the key's home knows of the acceptance, without having decided
-    target_removed: bool = False  # in RELEASED: the target was fenced and never confirmed the release
-    is_newly_acquired: bool = False  # in OWNED: acquired by this write
+    uncertain_until: float = -math.inf  # end of the time during which an earlier owner's request may run
+    pending_token: int = 0  # token of the last write; 0 once it is on disk
+    is_accepted: bool = False  # in OFFERED and FENCED: the target has accepted the key
+    release_confirmed: bool = False  # in RELEASED: the target has confirmed it, or no confirmation is needed
+    home_informed: bool = False  # the key's home has recorded the owner
+    home_has_candidate: bool = False  # the key's home has received the acceptance but not decided on it
+    target_removed: bool = False  # in RELEASED: the target was fenced without confirming the release
+    is_newly_acquired: bool = False  # in OWNED: acquired by the pending write
     offered_at: float = 0.0
-    stopped_at: float = math.nan  # when a mover stopped starting requests; unknown after a restart
+    stopped_at: float = math.nan  # when this member stopped starting requests; NaN if unknown or never
     next_send_at: float = -math.inf
     pending_answer: DeferredMigrationAnswer | None = None
 
 
 def home_score(member: int, key: bytes) -> tuple[float, int]:
-    """Rank a member for a key; the highest is the key's home (rendezvous hashing)."""
+    """Return a member's rank for a key by rendezvous hashing; the highest-ranked member is the home."""
     return score(member, 1.0, key.hex()), member
 
 
 def home_among(members: Iterable[int], key: bytes) -> int:
-    """Return a key's home among these members, or NO_MEMBER."""
+    """Return the key's home among these members, or NO_MEMBER if there are none."""
     return max(members, key=lambda member: home_score(member, key), default=NO_MEMBER)
 
 
@@ -184,9 +189,9 @@
 
 
 class RecordBook:
-    """One member's ownership records, with what it persists and sends of them.
+    """One member's ownership records, and the writes and messages that result from them.
 
-    See KeyOwnership for the arguments.
+    The arguments are documented at KeyOwnership.
     """
 
     def __init__(
@@ -219,7 +224,7 @@
         )
         self.records: dict[bytes, OwnershipRecord] = {}
         self.open_requests: dict[bytes, set[int]] = {}
-        self.unfinished_keys: set[bytes] = set()  # keys with something left to send
+        self.unfinished_keys: set[bytes] = set()  # keys with writes or unanswered messages
         self.home_cache: dict[bytes, int] = {}
         self.highest_epoch = 0
         self.started_at = now
@@ -231,7 +236,7 @@
             self._load(now, records)
 
     def _start_output(self) -> None:
-        """What is to be sent and written: nothing yet."""
+        """Initialize the queues of messages and writes."""
         self.outgoing_entries: dict[tuple[int, EntryKind], list[MigrationEntry]] = {}
         self.actions: list[Action] = []
         self.counts = {"malformed": 0, "said": 0}
@@ -239,28 +244,28 @@
         self.keys_by_token: dict[int, bytes] = {}
 
     def _start_moves(self) -> None:
-        """The moves of keys to other members: none yet."""
+        """Initialize the state of moves to other members."""
         self.move_queues: dict[int, deque[bytes]] = {}  # by target
         self.move_allowances: dict[int, MoveAllowance] = {}  # by target
-        self.pending_offers: dict[int, int] = {}  # by target: number of keys being moved
+        self.pending_offers: dict[int, int] = {}  # by target: number of keys that are being moved
         self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
-        # Of keys moved away: the time from when this member stopped until it received the target's
-        # confirmation, which is one network delay longer than the time without an owner.
+        # For keys moved away: the time from the stop here until the target's confirmation arrived, which is
+        # one network delay longer than the time during which no member could start requests.
         self.handover_histogram = [0] * (len(HANDOVER_STEPS_MS) + 1)
 
     def _start_announcements(self) -> None:
-        """What members announced of the keys that they own: nothing yet."""
+        """Initialize the state of announcements of owned keys."""
         self.candidates: dict[bytes, Candidate] = {}
-        self.announced_epochs: dict[int, int] = {}  # by member: the epoch for which it announced all it owns
-        self.acknowledged_epochs: dict[int, int] = {}  # by member: the same of this one, as it acknowledged
+        self.announced_epochs: dict[int, int] = {}  # by member: epoch for which it announced all its keys
+        self.acknowledged_epochs: dict[int, int] = {}  # by member: epoch of this member's announcement
         self.next_announcement_at = -math.inf
-        # The member lists since the last complete epoch; None if some are not known.
+        # The member lists since the last complete epoch; None if some of them are unknown.
         self.recent_tables: list[frozenset[int]] | None = None
         if self.lease.complete_epoch == self.lease.epoch:
             self.recent_tables = [frozenset(self.lease.members)]
 
     def home(self, key: bytes) -> int:
-        """Return the member that owns a key without a record, or NO_MEMBER."""
+        """Return the key's home, which owns the key unless there is a record, or NO_MEMBER."""
         home = self.home_cache.get(key)
         if home is None:
             if len(self.home_cache) > 4 * self.settings.max_records:
@@ -272,11 +277,13 @@
         return self.lease.members - {self.member} if self.member in self.lease.members else set()
 
     def _is_complete(self) -> bool:
-        """Whether all others have announced to this home what they own, and all fences are in force."""
+        """Whether all other members have announced their keys to this home, and all fences are in force."""
         return self.lease.complete_epoch == self.lease.epoch and self.member in self.lease.members
 
     def _may_start_without_record(self, key: bytes) -> bool:
-        """Whether this home owns a key without a record: by a complete table, or in all tables since the last
+        """Whether this member owns a key without a record.
+
+        It does if the table is complete, or if it was the key's home in all tables since the last complete
         one.
         """
         if self._is_complete():
@@ -286,24 +293,24 @@
         )
 
     def _on_stopped(self, now: float, record: OwnershipRecord) -> None:
-        """This member starts no further request of the key."""
+        """Record that this member starts no further request for the key."""
         if math.isnan(record.stopped_at):
             record.stopped_at = now
 
     def _on_target_started(self, now: float, record: OwnershipRecord) -> None:
-        """The target has confirmed that it starts requests of the key."""
+        """Record that the target has confirmed that it starts requests for the key."""
         if not math.isnan(record.stopped_at):
             self.handover_histogram[bisect_left(HANDOVER_STEPS_MS, now - record.stopped_at)] += 1
             record.stopped_at = math.nan
 
     def _next_epoch(self, epoch: int) -> int:
-        """Return an epoch above all that this member knows."""
+        """Return an epoch above `epoch` and above all epochs that this member has seen."""
         table_epoch = self.lease.epoch << 32
         self.highest_epoch = max(self.highest_epoch, epoch, self.lease.forgotten_epoch, table_epoch) + 1
         return self.highest_epoch
 
     def _uncertain_until(self, now: float, key: bytes) -> float:
-        """Return until when a request of a key without a record may run at a home that was fenced."""
+        """Return the time until which a fenced former home's request for an unrecorded key may still run."""
         own_score = home_score(self.member, key)
         fenced_at = [at for m, at in self.lease.fenced_at.items() if home_score(m, key) >= own_score]
         return max(fenced_at, default=-math.inf) + self.settings.uncertainty_ms
@@ -349,7 +356,7 @@
         self.records[key] = record
         record.release_confirmed = bool(release_confirmed)
         if may_have_run or owner == self.member:
-            # What was in flight when this member's last run ended may have been executed.
+            # Requests that were in flight when this member's previous process ended may have run.
             record.uncertain_until = now + self.settings.uncertainty_ms
         record.offered_at = now
         record.is_accepted = record.state is OwnershipState.FENCED
@@ -362,10 +369,10 @@
             self.pending_offers[peer] = self.pending_offers.get(peer, 0) + 1
 
     def _purge(self) -> None:
-        """Forget old records of keys that other members own.
+        """Remove old records of keys that other members own.
 
-        A late offer of a forgotten key must not be accepted again, so offers that are not newer than all
-        forgotten records are declined, and the epoch that says so is on disk first.
+        A late offer of such a key must not be accepted again. So offers that are not newer than all removed
+        records are declined, and the highest epoch of these is on disk before the records are removed.
         """
         old_keys = [key for key, record in self.records.items() if self._may_forget(key, record)]
         if len(old_keys) < PURGE_BATCH:
@@ -381,7 +388,7 @@
             self._forget(key)
 
     def _may_forget(self, key: bytes, record: OwnershipRecord) -> bool:
-        """Whether another member owns the key, and neither a pending move nor this home needs the record."""
+        """Whether another member owns the key, and no pending move and no duty as home needs the record."""
         if record.state is not OwnershipState.RELEASED or not record.release_confirmed:
             return False
         if record.pending_token or key in self.unfinished_keys:
--- a/cottonhold/fleet/session_affinity/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -1,8 +1,8 @@
-"""Session affinity in service at one member: joins key ownership and the membership table. Pure.
+"""Session affinity at one member: combines key ownership and the membership table. Pure.
 
-A member whose folder is current goes on with what it owns. Otherwise, and if the table's register shows
-changes that the member missed for good, all its records are removed and it starts anew: with the present
-table, but outside of it, until it was fenced (if it is in the table) and admitted.
+A member whose state folder is current starts with the keys recorded there. If the folder is not current, or
+if the table's register no longer holds changes that the member missed, all its records are removed. It then
+starts with the current table, but outside of it until it has been fenced (if it is listed) and admitted.
 """
 
 from __future__ import annotations
@@ -26,14 +26,17 @@
 
 Action = record_book.Action | ChangeRegister | ReadRegister
 TOKENS_PER_START = 1 << 32
-REMOVAL_GRACE_MS = 500.0  # after its removal from the table a member stays up until the others know of it
+REMOVAL_GRACE_MS = 500.0  # time until the other members have applied this member's removal from the table
 
 
 class DepartureState(Enum):
-    """What this member's rolling replacement requires of it.
+    """How far this member has to withdraw for its rolling replacement.
 
-    STAYING: nothing. MOVING_KEYS: its keys move to others. DRAINING: it leaves the table as well. OUT: it is
-    removed, or about to be.
+    Attributes:
+        STAYING: It is not being replaced.
+        MOVING_KEYS: Its keys are moved to other members.
+        DRAINING: Its keys are moved, and it leaves the table.
+        OUT: It has been taken out of service, or is about to be.
     """
 
     STAYING = 0
@@ -44,10 +47,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Surroundings:
-    """What the adapter knows of this member and of others.
+    """The state of this member and of others that the adapter passes to each step.
 
-    folder_is_current: whether the folder is the one that this member last had; None while that is not known.
-    live_members: by membership. removed_members: taken out by a rolling replacement.
+    Attributes:
+        folder_is_current: Whether the state folder is the one that this member last used; None if unknown.
+        departure: State of this member's rolling replacement.
+        live_members: Live members by the membership protocol.
+        removed_members: Members that a rolling replacement has taken out.
     """
 
     folder_is_current: bool | None
@@ -57,10 +63,16 @@
 
 
 class SessionAffinityService:
-    """Session affinity of one member.
-
-    records: ownership records of its folder, by name. seed: drawn anew at each start. Times are in ms of the
-    own clock.
+    """Session affinity of one member. Times are in ms of the local clock.
+
+    Args:
+        member: The id of this member.
+        voters: The ids of all configured voters.
+        now: The current time.
+        seed: A random number, drawn at each start.
+        records: The session affinity records in this member's state folder, by name.
+        settings: Limits and times of key ownership; the defaults if None.
+        table: Times of the membership table; the defaults if None.
     """
 
     def __init__(
@@ -82,19 +94,19 @@
         self.records = dict(records)
         self.ownership: KeyOwnership | None = None
         self.surroundings = Surroundings(None)
-        self.start_count = 0  # with the folder, or anew
-        self.removed_at: float | None = None  # when it left the table
-        self.is_closing = False  # it owns nothing any more, and its own fence is requested
-        self.open_request_ids: set[int] = set()  # since the last start
-        self.recent_keys: dict[bytes, None] = {}  # of arrived requests: they are moved as well, oldest first
+        self.start_count = 0  # starts of key ownership, with the records or without
+        self.removed_at: float | None = None  # when this member was found removed from the table
+        self.is_closing = False  # owns no keys any more, and requests its own fence
+        self.open_request_ids: set[int] = set()  # opened since the last start
+        self.recent_keys: dict[bytes, None] = {}  # keys of arrived requests, oldest first; they are moved too
         self.actions: list[Action] = []
         self.counts = {"gaps": 0, "moved": 0, "took": 0, "stayed": 0}
 
     def route(self, now: float, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
-        """Return where an arriving request of the key belongs; see KeyOwnership.route.
+        """Return which member may start an arriving request for the key; see KeyOwnership.route.
 
-        Nothing starts here while this member's own fence is pending: the key's new home, which knows that no
-        request was open here, may start the next one.
+        No request starts here while this member's own fence is pending: the key's new home relies on no
+        request being open here and may start the next one.
         """
         if self.ownership is None:
             return self._route_before_start(key)
@@ -104,9 +116,9 @@
         return route
 
     def _route_before_start(self, key: bytes) -> OwnedElsewhere | RetryAfter:
-        """Forward requests to the key's home while it is not known yet whether the folder is current.
+        """Return the key's home among the other members, before key ownership has started here.
 
-        The receiver checks for itself whether it is the owner.
+        The receiver of a forwarded request checks whether it is the owner.
         """
         home = record_book.NO_MEMBER
         if self.table.is_known:
@@ -116,34 +128,38 @@
         return OwnedElsewhere(key, home)
 
     def ownership_of(self, now: float, key: bytes) -> OwnedHere | None:
-        """Return under which ownership requests of the key may start here now, or None."""
+        """Return the ownership under which requests for the key may start here now, or None."""
         return self.ownership.ownership_of(now, key) if self.ownership is not None else None
 
     def will_not_start(self, now: float, key: bytes) -> bool:
-        """Whether a waiting request of the key will not start here: the lease is valid, and the key is not
-        owned.
+        """Whether a waiting request for the key will not start here.
+
+        That is so before key ownership has started, or if the lease is valid and the key is not owned here.
         """
         if self.ownership is None:
             return True
         return self.ownership.lease.valid_until() > now and self.ownership.ownership_of(now, key) is None
 
     def remaining_count(self, now: float, departure: DepartureState) -> int:
-        """Return how much is left before this machine may be taken out.
+        """Return the amount of work that is left before this machine may be taken out of service.
+
+        Counts owned keys, keys with arrived requests, and from DRAINING on this member's table entry.
 
-        That is owned keys, keys with arrived requests, and, once it drains, its place in the table.
-        departure: the newest state of its replacement, which `step` may not have received yet.
+        Args:
+            now: The current time.
+            departure: The newest state of its replacement, which `step` may not have received yet.
         """
         if self.ownership is None or DepartureState.STAYING in (departure, self.surroundings.departure):
-            return 1  # nothing was counted yet
+            return 1  # the keys have not been counted yet
         remaining = len(self._movable_keys(now)) + self.ownership.moving_count()
         remaining += len(self.ownership.open_requests)
         if remaining or departure is DepartureState.MOVING_KEYS:
             return remaining
-        # Members that do not know the new table yet may still forward requests to this one.
+        # Members that have not applied the new table may still forward requests to this member.
         return int(self.removed_at is None or now < self.removed_at + REMOVAL_GRACE_MS)
 
     def _movable_keys(self, now: float) -> list[bytes]:
-        """Return the keys that may be moved away from here now and are not being moved."""
+        """Return the keys that may be moved away now and are not being moved yet."""
         if self.ownership is None:
             return []
         ownership = self.ownership
@@ -162,7 +178,7 @@
         return min(self.table.next_at(), ownership_at)
 
     def on_request_opened(self, now: float, key: bytes, request_id: int) -> list[Action]:
-        """A request of the key waits or runs here."""
+        """Record that a request for the key waits or runs here."""
         if self.ownership is None:
             return []
         self.open_request_ids.add(request_id)
@@ -173,14 +189,14 @@
         return self._convert_actions(self.ownership.on_request_opened(now, key, request_id))
 
     def on_request_ended(self, now: float, key: bytes, request_id: int, outcome_known: bool) -> list[Action]:
-        """A request has ended; one from before the last start is ignored. See KeyOwnership."""
+        """Record that a request for the key has ended; requests opened before the last start are ignored."""
         if self.ownership is None or request_id not in self.open_request_ids:
             return []
         self.open_request_ids.discard(request_id)
         return self._convert_actions(self.ownership.on_request_ended(now, key, request_id, outcome_known))
 
     def move_keys(self, now: float, max_keys: int, capacities: Mapping[int, float]) -> list[Action]:
-        """Move at most `max_keys` to others, in proportion to their capacities (in any unit)."""
+        """Move at most `max_keys` keys to other members, in proportion to their capacities (in any unit)."""
         if self.ownership is None:
             return []
         chosen = self.ownership.choose_targets(self._movable_keys(now)[:max_keys], capacities)
@@ -198,19 +214,19 @@
         return self._convert_actions(self.ownership.cancel_moves(now, [*self.ownership.records, *queued]))
 
     def on_message(self, now: float, sender: int, payload: bytes) -> list[Action]:
-        """Apply a message of session affinity."""
+        """Apply a session affinity message."""
         if self.ownership is None:
             return []
         return self._convert_actions(self.ownership.on_message(now, sender, payload))
 
     def on_persisted(self, now: float, token: int) -> list[Action]:
-        """The record with this token is on disk; one of an earlier start is ignored."""
+        """Record that the write with this token is on disk; writes of an earlier start are ignored."""
         if self.ownership is None or token // TOKENS_PER_START != self.start_count:
             return []
         return self._convert_actions(self.ownership.on_persisted(now, token % TOKENS_PER_START))
 
     def on_outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
-        """Apply the end of a change or read of a register."""
+        """Apply the outcome of an operation on a register."""
         self.table.on_outcome(now, token, won, version, value)
 
     def on_register_changed(self, now: float, name: str, version: int, value: bytes) -> None:
@@ -218,7 +234,7 @@
         self.table.on_register_changed(now, name, version, value)
 
     def step(self, now: float, surroundings: Surroundings) -> list[Action]:
-        """Do what is due, in the present surroundings."""
+        """Return the actions that are due, given the current surroundings."""
         was_current = self.surroundings.folder_is_current
         self.surroundings = surroundings
         if self.ownership is None:
@@ -238,7 +254,7 @@
         return actions
 
     def _start(self, now: float) -> None:
-        """Start with the folder if it is current, else with nothing once the table is known."""
+        """Start key ownership with the records if they are current, or without once the table is known."""
         if self.surroundings.folder_is_current is None:
             return
         if self.surroundings.folder_is_current and TABLE_RECORD in self.records:
@@ -265,7 +281,7 @@
         self.records = {}
 
     def _start_anew(self, now: float) -> None:
-        """Start again without what this member holds, which cannot be relied on any more."""
+        """Restart key ownership without this member's records, which may be out of date."""
         assert self.ownership is not None
         self.counts["gaps"] += 1
         prefix = record_book.OWNERSHIP_RECORD_PREFIX
@@ -277,12 +293,12 @@
         self._start(now)
 
     def _apply_table_changes(self, now: float) -> list[Action]:
-        """Apply the changes of the table that the ownership of keys does not know yet."""
+        """Apply the changes of the table that key ownership has not applied yet."""
         if self.ownership is None:
             return []
         changes = self.table.member_list.changes_since(self.ownership.lease.epoch)
         if changes is None:
-            # An announced table may be older than the one applied here; one read from a majority may not.
+            # An announced table may be older than the applied one; a table read from a majority is not.
             if self.table.is_known:
                 self._start_anew(now)
             actions, self.actions = self.actions, []
