--- a/cottonhold/fleet/rolling_replacement/__init__.py
+++ b/cottonhold/fleet/rolling_replacement/__init__.py
@@ -1,1 +1,1 @@
-"""The rolling replacement of machines: planned, ordered and stepped by all dispatchers together. Pure."""
+"""Rolling replacement of machines, which all dispatchers plan, schedule and carry out together. Pure."""
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -1,10 +1,13 @@
-"""Rolling replacement at one instance: drives machines' replacements and keeps the plan. Pure.
+"""Rolling replacement at one instance: drives machines' replacements and maintains the plan. Pure.
 
-Feed it machines, zones, keys, open requests and the outcomes of registers; call `step` at `next_at` at the
-latest. A machine's record is the state; this instance only remembers what it has seen of it. All changes are
-compare-and-set. A machine's replacement has one driver, named in its record with an epoch: the instance
-itself until it is out, then the one that a hash puts first. If the driver is absent, the others take over
-one after another; an earlier driver finds its epoch gone. See docs/design/swap.md.
+The state of a replacement is the machine's record in its register, which is changed only by compare-and-set;
+an instance holds only what it has observed of it. Each replacement has one driver, which the record names
+with an epoch: the machine itself until it is out, then the first instance in the order of a hash. If the
+driver is absent, the other instances try in this order to take over; an earlier driver then finds that the
+epoch has changed. See docs/design/swap.md.
+
+The caller reports machines, zones, keys, open requests and the outcomes of register operations, and calls
+`step` at `next_at` at the latest.
 """
 
 from __future__ import annotations
@@ -50,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatusRow:
-    """One machine's replacement for operators; changed_at: when its record last changed (own clock)."""
+    """The status of one machine's replacement; `changed_at` is when its record last changed (local clock)."""
 
     machine: str
     replacement: str
@@ -63,7 +66,15 @@
 
 
 class ReplacementCoordinator:
-    """Rolling replacement at one instance. local_machine: its name; capacity_check: see StartConditions."""
+    """Rolling replacement at one instance. Times are in ms of the local clock.
+
+    Args:
+        local_machine: The name of this instance.
+        now: The current time.
+        settings: Times of rolling replacement.
+        seed: Seed of the random numbers for tokens and read intervals.
+        capacity_check: Returns reasons against losing cores, by zone; None to skip the check.
+    """
 
     def __init__(
         self,
@@ -87,7 +98,11 @@
         self.next_step_at = now
 
     def request(self, now: float, replacement: ReplacementRequest) -> None:
-        """Submit an operator's request. Raises PlanError; a RequestAnswered follows."""
+        """Submit an operator's request; `step` returns a RequestAnswered later.
+
+        Raises:
+            PlanError: The request is invalid, or another request is being submitted here.
+        """
         if self.submission is not None:
             raise plan.PlanError(f"a request by {self.submission.request.requested_by} is being laid here")
         plan.check_request(replacement, self.view.machines)
@@ -97,7 +112,11 @@
         )
 
     def abort(self, now: float, requested_by: str, reason: str, machine: str = "") -> None:
-        """Abort a machine's replacement, or all of them. Raises PlanError if there is none."""
+        """Abort a machine's replacement, or all replacements if `machine` is empty.
+
+        Raises:
+            PlanError: No such replacement is in progress.
+        """
         names = [n for n, r in self.view.records.items() if not r.is_over and machine in ("", n)]
         if not names:
             raise plan.PlanError(f"no swap of '{machine}' runs" if machine else "no swap runs")
@@ -107,29 +126,35 @@
         self.next_step_at = now
 
     def set_machines(self, now: float, machines: Iterable[Machine]) -> None:
-        """Set the machines that are there: engines and dispatchers, this one among them."""
+        """Set the present machines: engines and dispatchers, including this instance."""
         self.view.machines = {m.name: m for m in machines}
         self.view.last_seen_at.update(dict.fromkeys(self.view.machines, now))
 
     def set_zone_trouble(self, now: float, zone: str, trouble: str) -> None:
-        """Set why a zone is evacuated or returns; "" if it is in use as usual."""
+        """Set why a zone is evacuated or returning; "" if it is in normal use."""
         self._set_trouble(now, self.view.zone_troubles, zone, trouble and f"zone {zone}: {trouble}")
 
     def set_fleet_trouble(self, now: float, what: str, trouble: str) -> None:
-        """Set why the fleet sheds load, recovers or the like (`what`); "" if it does not any more."""
+        """Set why no machine may be taken out because of a condition of the fleet.
+
+        Args:
+            now: The current time.
+            what: Name of the condition, such as load shedding or recovery.
+            trouble: Description of the condition; "" once it is over.
+        """
         self._set_trouble(now, self.view.fleet_troubles, what, trouble)
 
     def set_remaining_keys(self, now: float, machine: str, count: int | None) -> None:
-        """Set how many keys a machine still owns, by its present step; None if that is not known."""
+        """Set how many keys a machine still owns, counted in its current step; None if unknown."""
         if count is None:
             self.view.remaining_keys.pop(machine, None)
         else:
             self.view.remaining_keys[machine] = count
 
     def set_open_requests(self, now: float, machine: str, count: int | None) -> None:
-        """Set how many requests are open at this dispatcher, or over all dispatchers at an engine.
+        """Set how many requests are open at a dispatcher, or at an engine from all dispatchers.
 
-        None if that is not known.
+        `count` is None if the number is unknown.
         """
         if count is None:
             self.view.open_requests.pop(machine, None)
@@ -137,11 +162,11 @@
             self.view.open_requests[machine] = count
 
     def set_traffic_share(self, now: float, machine: str, share: float) -> None:
-        """Set the share of its traffic, 0 to 1, that a new machine takes."""
+        """Set the fraction of its normal traffic that a replacement receives."""
         self.view.traffic_shares[machine] = share
 
     def on_outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> None:
-        """Apply the end of a change or read of a register; won is None if it is unknown."""
+        """Apply the outcome of an operation on a register; `won` is None if the outcome is unknown."""
         if self.registers.on_outcome(now, token, won, version, value):
             self.next_step_at = now
 
@@ -162,7 +187,7 @@
         return self.next_step_at
 
     def step(self, now: float) -> list[Action]:
-        """Return what to do now."""
+        """Return the actions that are due."""
         if now < self.next_step_at:
             return []
         is_idle = not self.view.plan.first_machine and self.submission is None and not self.pending_actions
@@ -180,7 +205,7 @@
         return actions + self._clean_up(now)
 
     def status(self) -> list[StatusRow]:
-        """Return each machine's replacement, in the order of the chain."""
+        """Return the status of each machine's replacement, in the order of the chain."""
         names = {m.id: m.name for m in self.view.machines.values()}
         rows = []
         for name, record in self.view.records.items():
@@ -199,7 +224,7 @@
         return rows
 
     def _read_registers(self, now: float) -> list[Action]:
-        """Read what is due, and follow the chain."""
+        """Read the registers that are due and update the view from their values."""
         s, actions = self.settings, list[Action]()
         interval_ms = s.read_interval_ms * (0.8 + 0.4 * self.random_source.random())
         actions += self.registers.read(now, PLAN_REGISTER, interval_ms)
@@ -217,7 +242,7 @@
             if progress.step is not record.step:
                 actions.append(LogStep(name, record.step, ""))
                 progress.step, progress.step_seen_at = record.step, now
-                # In DRAINING the place in the table counts as well, so a count from MOVING must not be used.
+                # In DRAINING the entry in the membership table counts too, so a count from MOVING is invalid.
                 self.view.remaining_keys.pop(name, None)
                 if record.step is ReplacementStep.MOVING:
                     progress.moving_since = now
@@ -233,7 +258,7 @@
             key = register_name(name)
             cell = self.registers.received(key)
             record = plan_codec.decode_record(cell.value) if cell else None
-            # A record of an earlier replacement would lead along an earlier chain.
+            # A record of an earlier replacement would link to an earlier chain.
             if (
                 record is None
                 or not current_plan.first_serial <= record.serial <= current_plan.serial
@@ -261,7 +286,7 @@
         return actions
 
     def _drain_actions(self, now: float) -> list[Action]:
-        """Drain and undrain this machine and engines, as their records say."""
+        """Return the actions that drain or undrain this machine and engines according to their records."""
         wanted = set[str]()
         for name, r in self.view.records.items():
             if r.has_flag(MachineFlag.ENGINE):
@@ -270,7 +295,7 @@
             if name == self.view.local_machine and self._must_not_serve(r):
                 wanted.add(name)
         actions: list[Action] = [Drain(name) for name in sorted(wanted - self.drained)]
-        # While a part of the chain is being read again, machines on it seem to be missing.
+        # While a part of the chain is being read again, its machines seem to have no records.
         released = self.drained - wanted if self.view.is_complete else set[str]()
         actions += [Undrain(name) for name in sorted(released)]
         self.drained = (self.drained | wanted) - released
@@ -283,16 +308,17 @@
         return actions
 
     def _must_not_serve(self, record: MachineRecord) -> bool:
-        """Whether this machine must not serve: it drains, or is out and was not started again since."""
+        """Whether this machine must not accept clients: it is draining, or out and not restarted since."""
         if record.step is ReplacementStep.DRAINING:
             return True
         is_same_incarnation = self._local_incarnation() == record.incarnation
         return record.step is ReplacementStep.OUT and is_same_incarnation
 
     def _is_withheld(self, name: str, record: MachineRecord) -> bool:
-        """Whether an engine must get no new requests.
+        """Whether an engine must not get new requests.
 
-        That is from DRAINING until it, or the one under its id, is back; for good if another id replaces it.
+        That holds from DRAINING until an engine with its name is in place, or permanently if its replacement
+        has another name.
         """
         if record.step in (ReplacementStep.DRAINING, ReplacementStep.OUT):
             return True
@@ -301,7 +327,7 @@
         return is_after and is_replaced
 
     def has_read_all(self) -> bool:
-        """Whether all records were read from a majority since the start, or since `on_pause`."""
+        """Whether all records were read from a majority since the start or the last `on_pause`."""
         if not self.all_read and self.view.is_complete:
             names = [
                 PLAN_REGISTER,
@@ -311,7 +337,7 @@
         return self.all_read
 
     def on_pause(self, now: float) -> None:
-        """This instance was paused: what it knows of registers may be out of date."""
+        """Record that this instance was paused, so that its view of the registers may be out of date."""
         self.all_read, self.read_since, self.next_step_at = False, now, now
 
     def _local_incarnation(self) -> int:
@@ -319,9 +345,9 @@
         return machine.incarnation & 0xFFFFFFFF if machine is not None else -1
 
     def _clean_up(self, now: float) -> list[Action]:
-        """Take finished machines off the plan, and undo a request whose author failed.
+        """Remove finished machines from the plan, and undo a submission whose instance failed.
 
-        Any instance may; they try one after another, so that they seldom compete.
+        Any instance may do this; they try one after the other, so that they seldom compete.
         """
         cleaned_plan = self._cleaned_plan(now)
         if cleaned_plan == self.view.plan:
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -1,8 +1,8 @@
-"""Which instance drives a machine's replacement, and what the driver does. Pure.
+"""Selects the instance that drives a machine's replacement, and carries out the driver's steps. Pure.
 
-A driver is named in the machine's record with an epoch. It changes records by compare-and-set. For other
-actions (moving keys, notifying operators) it must have read its own epoch there a moment ago, and a new
-driver waits until that moment of the previous one is over.
+The machine's record names the driver with an epoch. The driver changes the record by compare-and-set. Before
+other actions (moving keys, notifying operators) it must have read its own epoch from the record within
+`max_read_age_ms`; a new driver first waits for longer than that, so that the previous one has stopped acting.
 """
 
 from __future__ import annotations
@@ -43,14 +43,22 @@
 class ReplacementSettings:
     """Times of rolling replacement.
 
-    voters: number of configured voters. step_interval_ms: between steps; idle_interval_ms: while no
-    replacement runs. max_read_age_ms: how old a driver's knowledge of its record may be when it acts; a new
-    driver waits that long first. driver_read_interval_ms: between reads of a driver; read_interval_ms: of
-    others. takeover_stagger_ms: between two that could take over. startup_grace_ms: how long a machine must
-    be back before it drives its own replacement again, and nothing is begun after a start. stalled_step_ms:
-    an active step that stands still so long is driven by another. calm_period_ms: how long there must have
-    been no trouble before a start. operation_timeout_ms: of a register's change. submission_timeout_ms: of a
-    request. default_duration_ms: of a machine's replacement, until one was seen.
+    Attributes:
+        voters: Number of configured voters.
+        step_interval_ms: Interval between steps while a replacement is in progress, in ms.
+        idle_interval_ms: Interval between steps otherwise, in ms.
+        max_read_age_ms: Maximum age of a driver's last read of the record when it acts, in ms.
+        driver_read_interval_ms: Interval at which a driver reads its machine's register, in ms.
+        read_interval_ms: Interval at which other instances read registers, in ms.
+        takeover_stagger_ms: Delay between one instance's turn to take over and the next one's, in ms.
+        startup_grace_ms: Time after its start until an instance takes over its own replacement again, in ms;
+            also the time until it undoes a submission that no live instance continues.
+        stalled_step_ms: Time without a change of an active step until another instance takes over, in ms.
+        calm_period_ms: Time without trouble before a machine may be taken out, in ms.
+        operation_timeout_ms: Time after which a pending change of a register is given up, in ms.
+        submission_timeout_ms: Maximum time of a request's submission, and of setting the abort flag, in ms.
+        default_duration_ms: Assumed duration of a replacement until one has been completed, in ms.
+        steps: Times of the steps.
     """
 
     voters: int = 1
@@ -71,7 +79,7 @@
 
 @dataclass(slots=True)
 class LocalProgress:
-    """What this incarnation knows of a machine's replacement besides its record."""
+    """What this instance has observed of a machine's replacement since its start, besides the record."""
 
     won_epoch: int = -1
     won_at: float = 0.0
@@ -87,10 +95,22 @@
 
 @dataclass(slots=True)
 class FleetView:
-    """What this instance sees.
-
-    zone_troubles, fleet_troubles: why a zone or the fleet is not as usual; last_trouble_at: when that was
-    last so. is_complete: the whole chain is known.
+    """This instance's view of the fleet and of the registers.
+
+    Attributes:
+        local_machine: Name of this instance.
+        started_at: When this instance started.
+        machines: Present machines by name.
+        last_seen_at: When each machine was last present, by name.
+        remaining_keys: Number of keys that machines still own, by name.
+        open_requests: Number of open requests at machines, by name.
+        traffic_shares: Fraction of their normal traffic that replacements receive, by name.
+        zone_troubles: Reasons why zones are not in normal use, by zone.
+        fleet_troubles: Reasons why the fleet is not in normal operation, by condition.
+        last_trouble_at: When such a reason was last removed, or the start of this instance.
+        plan: The plan.
+        records: Machine records by name, in the order of the chain.
+        is_complete: Whether the plan and all records of the chain are known.
     """
 
     local_machine: str
@@ -109,15 +129,15 @@
 
     @property
     def local_id(self) -> int:
-        """This instance's id among members."""
+        """The member id of this instance."""
         return machine_id(self.local_machine)
 
     def dispatchers(self) -> list[Machine]:
-        """Return the dispatchers that are there."""
+        """Return the present dispatchers."""
         return [m for m in self.machines.values() if not m.is_engine]
 
     def is_outdated(self, name: str, record: MachineRecord) -> bool:
-        """Whether the record is older than the plan: it is in progress, and the plan says that it is not."""
+        """Whether the record is older than the plan: it is in progress, but not active in the plan."""
         return (
             not record.is_over
             and record.step not in plan.WAITING_STEPS
@@ -126,7 +146,7 @@
 
 
 class MachineDriver:
-    """This instance's side of all replacements that it drives or may take over."""
+    """Drives replacements at this instance, and takes over those whose driver is absent."""
 
     def __init__(
         self,
@@ -142,7 +162,7 @@
         self.abort_deadlines: dict[str, float] = {}  # by machine
 
     def step(self, now: float, name: str, record: MachineRecord) -> list[Action]:
-        """Return what to do about a machine: abort it, drive it, or take it over."""
+        """Return the actions that abort, drive or take over a machine's replacement."""
         progress, cached = self.progress[name], self.registers.register(register_name(name))
         if record.is_over:
             progress.undriven_since, progress.reasons = None, record_reasons(record)
@@ -169,7 +189,7 @@
             return []
         if progress.undriven_since is None:
             progress.undriven_since = now
-        # An instance that finds its own name there drove it in its previous incarnation: no other will.
+        # If the record names this instance, its previous incarnation was the driver: no other takes over.
         rank = 0 if record.driver == self.view.local_id else self._takeover_position(name, record)
         if rank is None or now - progress.undriven_since < rank * self.settings.takeover_stagger_ms:
             return []
@@ -180,7 +200,7 @@
         )
 
     def _is_undriven(self, now: float, name: str, record: MachineRecord, cached: CachedRegister) -> bool:
-        """Whether no instance that may drive this machine does."""
+        """Whether a new driver is needed: the current one is absent, stalled, or must not drive this step."""
         if record.driver == self.view.local_id:
             return record.step <= ReplacementStep.DRAINING or name != self.view.local_machine
         if (
@@ -188,9 +208,8 @@
             and record.step <= ReplacementStep.DRAINING
             and not record.has_flag(MachineFlag.ENGINE)
         ):
-            return (
-                now - self.view.started_at > self.settings.startup_grace_ms
-            )  # its own again, once it is back
+            # Once it has started again, it takes its own replacement back.
+            return now - self.view.started_at > self.settings.startup_grace_ms
         live = {m.id for m in self.view.machines.values() if not m.is_engine}
         if (
             record.driver not in live
@@ -202,7 +221,7 @@
         return active and now - cached.first_seen_at > self.settings.stalled_step_ms
 
     def _takeover_position(self, name: str, record: MachineRecord) -> int | None:
-        """Return this instance's place among those that may drive a machine; None if it may not."""
+        """Return this instance's position in the order of takeover, or None if it may not take over."""
         ranked = self._candidates(name, record)
         return ranked.index(self.view.local_machine) if self.view.local_machine in ranked else None
 
@@ -247,9 +266,9 @@
         return actions
 
     def _is_sole_driver(self, now: float, name: str, progress: LocalProgress) -> bool:
-        """Whether this is the only driver at this moment.
+        """Whether this instance is the only driver now.
 
-        Its epoch was read from the record lately, and the previous driver has stopped.
+        It has read its epoch from the record recently, and the previous driver has stopped acting.
         """
         s = self.settings
         return (
@@ -260,7 +279,7 @@
     def _with_next_driver(
         self, name: str, record: MachineRecord, next_record: MachineRecord
     ) -> MachineRecord:
-        """The record, with another driver for what follows where this machine is taken out itself."""
+        """Return the record, with another driver if this instance itself is taken out by it."""
         if next_record.step is not ReplacementStep.OUT or name != self.view.local_machine:
             return next_record
         others = self._candidates(name, next_record)
@@ -270,7 +289,7 @@
     def _machine_view(
         self, now: float, name: str, record: MachineRecord, progress: LocalProgress, cached: CachedRegister
     ) -> MachineView:
-        # An engine that only its driver cannot reach still runs what others have in flight there.
+        # An engine that only the driver cannot reach may still run requests of other dispatchers.
         is_present = name == self.view.local_machine or record.has_flag(MachineFlag.ENGINE)
         return MachineView(
             step_age_ms=now - progress.step_seen_at,
@@ -293,7 +312,7 @@
         )
 
     def _move_target(self, name: str) -> str:
-        """Return the dispatcher that was given the fewest keys so far, in proportion to its cores."""
+        """Return the dispatcher that has received the fewest keys per core so far, or ""."""
         active_ids = set(self.view.plan.active_machine_ids)
         candidates = [
             m
@@ -308,7 +327,10 @@
         return best.name if best is not None else ""
 
     def _blocked_reasons(self, now: float, step: ReplacementStep) -> list[str]:
-        """Return why nothing may be taken out now; an engine that drains causes load shedding itself."""
+        """Return why no machine may be taken out now.
+
+        Load shedding does not block DRAINING, since a draining engine may cause it.
+        """
         trouble = {
             k: v
             for k, v in self.view.fleet_troubles.items()
@@ -326,7 +348,7 @@
         progress.reasons = self._start_blockers(now, name)
         if progress.reasons:
             return []
-        # All starts change this one register, so two cannot begin on the same view of the plan.
+        # All starts change this register, so two machines cannot start based on the same state of the plan.
         started_plan = replace(
             self.view.plan, active_machine_ids=(*self.view.plan.active_machine_ids, started_id)
         )
@@ -351,12 +373,12 @@
 
 
 def takeover_order(machine: str, other: str) -> bytes:
-    """Return a sort key: in this order instances take over a machine."""
+    """Return the sort key of the order in which instances take over a machine."""
     return hashlib.blake2b(f"{machine}/{other}".encode(), digest_size=8).digest()
 
 
 def record_reasons(record: MachineRecord) -> list[str]:
-    """Return what a record says besides the step."""
+    """Return the reasons that a record holds, as shown to operators."""
     reasons = []
     if (
         record.reason is StepReason.SMALLER
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -1,11 +1,13 @@
-"""What a rolling replacement consists of: machines, requests, the plan and its records, and their checks.
-Pure.
-
-The plan lies in the register `swap`, and the record of each machine in `swap/<machine>`; see plan_codec.py.
-The machines form a chain: the plan names the first, each record the next, so a request may be of any length,
-and whoever knows the one name `swap` finds all of it. A request is submitted in two phases: its author locks
-the plan, writes the machines' records, and opens the plan with the new first machine. A record that is not
-on the chain means nothing, so an author that fails half way leaves nothing behind.
+"""The data of a rolling replacement: machines, requests, the plan and machine records, with checks. Pure.
+
+The plan is stored in the register `swap`, and the record of each machine in `swap/<machine>`; plan_codec.py
+encodes them. The machines form a linked list, called the chain: the plan names the first machine and each
+record the next one. So a request may name any number of machines, and all records can be found from the
+register `swap`.
+
+An instance submits a request in three steps: it locks the plan, writes the machines' records, and opens the
+plan with the new first machine. Records that are not on the chain are ignored, so an instance that fails
+before the last step has no effect.
 """
 
 from __future__ import annotations
@@ -23,7 +25,7 @@
 MAX_REQUESTER_BYTES = 16
 MAX_CONCURRENT_REPLACEMENTS = 5
 MAX_RECORD_BYTES = 120
-MAX_KEY_BYTES = 11  # of a machine's name in the name of its register
+MAX_KEY_BYTES = 11  # length of a machine's part in the name of its register
 MAX_MACHINES = 256
 PLAN_REGISTER = "swap"
 U16 = 0xFFFF
@@ -31,24 +33,24 @@
 
 @lru_cache(1024)
 def machine_id(name: str) -> int:
-    """Return a machine's id among members."""
+    """Return the member id of a machine."""
     return member_id(name)
 
 
 class PlanError(Exception):
-    """A request that cannot be accepted; its text says what is wrong with which machine."""
+    """A request that cannot be accepted; the text names the machine and the reason."""
 
 
 class ReplacementStep(IntEnum):
-    """How far the replacement of one machine is. Lower-case names are shown to operators and metrics."""
+    """The steps of the replacement of one machine; operators and metrics see the names in lower case."""
 
     ASKED = 1
-    AGREED = 2  # a dispatcher drives it and waits for its turn
-    MOVING = 3  # its keys move to others
-    DRAINING = 4
-    OUT = 5  # may be powered off
+    AGREED = 2  # a dispatcher drives the replacement and waits until it may start
+    MOVING = 3  # its keys are moved to other dispatchers
+    DRAINING = 4  # accepts no new requests; open requests end
+    OUT = 5  # out of service: may be powered off
     IN_PLACE = 6  # the replacement has arrived
-    RAMPING = 7
+    RAMPING = 7  # the replacement's share of traffic grows
     DONE = 8
     ABORTED = 9
     FAILED = 10
@@ -59,40 +61,46 @@
 
 
 class MachineFlag(IntFlag):
-    """What else a machine's record says."""
+    """Flags of a machine's record."""
 
     ENGINE = 1
     VOTER = 2
-    EMPTY_FOLDER = 4  # the replacement comes with an empty folder
-    ABORTING = 8
-    WAS_AWAY = 16  # an engine that was absent at some time since it was out
+    EMPTY_FOLDER = 4  # the replacement starts with an empty state folder
+    ABORTING = 8  # an operator has requested to abort the replacement
+    WAS_AWAY = 16  # the engine was absent at some time since step OUT
 
 
 class StepReason(IntEnum):
-    """Why a machine's replacement is as it is, where all instances should know."""
+    """The reason for a machine's step, as far as all instances need it."""
 
     NONE = 0
     NOT_ARRIVED = 1  # the replacement has not arrived in time
-    SMALLER = 2  # it arrived with fewer cores than requested
-    OPERATOR = 3
+    SMALLER = 2  # the replacement arrived with fewer cores than requested
+    OPERATOR = 3  # an operator aborted the replacement
     TIMED_OUT = 4  # moving or draining took too long
-    LEFT_AGAIN = 5  # the replacement left again
+    LEFT_AGAIN = 5  # the replacement disappeared while ramping up
 
 
 class PlanState(IntEnum):
     """The state of the plan."""
 
     OPEN = 1
-    SUBMITTING = 2  # the member that locked it writes a request
+    SUBMITTING = 2  # locked by the member that is writing a request
 
 
 @dataclass(slots=True, frozen=True)
 class Machine:
-    """A machine as it is now.
-
-    incarnation: another one after each start; 0 for an engine if the endpoint list does not report it.
-    is_voting: it is a configured voter whose memory is complete. is_counted: capacity planning counts its
-    cores, as those of an engine in service.
+    """The current state of a machine.
+
+    Attributes:
+        name: Name of the machine.
+        zone: Name of its zone.
+        cores: Number of its cores.
+        is_engine: Whether it is an engine; otherwise it is a dispatcher.
+        incarnation: Differs after each start; 0 for an engine if the endpoint list does not report it.
+        is_voter: Whether it is a configured voter.
+        is_voting: Whether its memory as a voter is complete, so that it may vote.
+        is_counted: Whether capacity planning counts its cores, as it does for an engine in service.
     """
 
     name: str
@@ -106,7 +114,7 @@
 
     @property
     def id(self) -> int:
-        """Its id among members."""
+        """The member id of the machine."""
         return machine_id(self.name)
 
 
@@ -114,8 +122,11 @@
 class MachineRequest:
     """One machine of a request.
 
-    replacement: the name of what replaces it; empty for the same name. cores: of the replacement; 0 for as
-    many as before. empty_folder: it arrives without the old one's folder.
+    Attributes:
+        machine: Name of the machine to be replaced.
+        replacement: Name of the replacing machine; empty if it has the same name.
+        cores: Number of cores of the replacement; 0 if it has as many as the old machine.
+        empty_folder: Whether the replacement starts without the old machine's state folder.
     """
 
     machine: str
@@ -126,8 +137,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplacementRequest:
-    """What one person requests: at most max_concurrent machines at once, in at most max_zones zones at
-    once."""
+    """One operator's request: at most max_concurrent machines at a time, in at most max_zones zones."""
 
     requested_by: str
     items: tuple[MachineRequest, ...]
@@ -145,10 +155,19 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplacementPlan:
-    """The register `swap`.
-
-    serial: of the newest request; first_serial: of the first one of this chain. active_machine_ids: of
-    the machines that have begun and are not over.
+    """The contents of the register `swap`.
+
+    Attributes:
+        state: Whether the plan is locked for the submission of a request.
+        serial: Serial number of the newest request.
+        first_serial: Serial number of the first request of the current chain.
+        epoch: Number of requests whose submission was undone.
+        locked_by: Id of the member that locked the plan, or 0.
+        max_concurrent: Maximum number of machines that are replaced at a time.
+        max_zones: Maximum number of zones in which machines are replaced at a time.
+        first_machine: Name of the first machine of the chain, or empty.
+        requested_by: Who made the newest request.
+        active_machine_ids: Ids of the machines whose replacement has started and not ended.
     """
 
     state: PlanState = PlanState.OPEN
@@ -165,7 +184,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineRecord:
-    """The register of one machine. duration_tenths: of a second."""
+    """The register of one machine; `duration_tenths` is in tenths of a second, cores are in tenths."""
 
     step: ReplacementStep
     serial: int
@@ -185,21 +204,21 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more happens to the machine."""
+        """Whether the replacement has ended."""
         return self.step in FINAL_STEPS
 
     def has_flag(self, flag: MachineFlag) -> bool:
-        """Whether the record has a flag."""
+        """Whether the flag is set."""
         return bool(int(self.flags) & int(flag))
 
     def missing_cores_tenths(self) -> int:
-        """Return by how many tenths of cores an arrived replacement is smaller than the old machine."""
+        """Return how many tenths of a core an arrived replacement has less than the old machine."""
         return max(self.cores_tenths - self.arrived_cores_tenths, 0) if self.arrived_cores_tenths else 0
 
 
 @lru_cache(1024)
 def register_name(machine: str) -> str:
-    """Return the name of a machine's register, of at most 16 bytes: a long name is hashed."""
+    """Return the name of a machine's register, in which a long machine name is replaced by a hash."""
     if len(machine.encode()) > MAX_KEY_BYTES:
         digest = hashlib.blake2b(machine.encode(), digest_size=6).digest()
         machine = "." + base64.b32encode(digest).decode()[: MAX_KEY_BYTES - 1]
@@ -207,12 +226,12 @@
 
 
 def to_tenths(cores: float) -> int:
-    """Return cores as they are stored in registers."""
+    """Return a number of cores in tenths, as stored in registers."""
     return min(max(round(cores * 10), 0), U16)
 
 
 def check_request(request: ReplacementRequest, machines: Mapping[str, Machine]) -> None:
-    """Check a request against the present machines. Raises PlanError."""
+    """Check a request against the current machines. Raises PlanError."""
     if not request.items:
         raise PlanError("names no machine")
     if len(request.items) > MAX_MACHINES:
@@ -254,9 +273,10 @@
 def select_new_items(
     request: ReplacementRequest, records: Mapping[str, MachineRecord]
 ) -> tuple[MachineRequest, ...]:
-    """Return the items of a request that are not requested yet.
+    """Return the items of a request that were not requested before.
 
-    Raises PlanError if the request contradicts an earlier one, naming who made that.
+    Raises:
+        PlanError: The request contradicts an earlier one; the text names who made that one.
     """
     new_items, requested_replacements = (
         [],
@@ -291,7 +311,7 @@
     plan: ReplacementPlan,
     zones: Mapping[str, int],
 ) -> dict[str, MachineRecord]:
-    """Build the records of a request, chained before those that are in the plan already."""
+    """Return the records of a request, linked in front of the existing chain."""
     names, records = [item.machine for item in items], {}
     for item, after in zip(items, [*names[1:], plan.first_machine], strict=True):
         machine = machines[item.machine]
@@ -316,7 +336,7 @@
 
 
 def with_request(plan: ReplacementPlan, request: ReplacementRequest, first_machine: str) -> ReplacementPlan:
-    """Return the plan with a submitted request; of several requests' limits the stricter ones count."""
+    """Return the plan with a submitted request; the strictest limits of all its requests apply."""
     max_concurrent, max_zones = request.max_concurrent, request.max_zones
     if plan.first_machine:
         max_concurrent, max_zones = min(max_concurrent, plan.max_concurrent), min(max_zones, plan.max_zones)
--- a/cottonhold/fleet/rolling_replacement/plan_codec.py
+++ b/cottonhold/fleet/rolling_replacement/plan_codec.py
@@ -1,4 +1,6 @@
-"""Codec of the plan and of machines' records in registers, of at most 120 bytes each. Pure.
+"""Codec of the plan and of machine records in registers, of at most 120 bytes each. Pure.
+
+Field sizes are in bytes; n is the length of a text that follows its one-byte length.
 
     plan: format 1 | state 1 | serial 4 | first serial 4 | epoch 4 | locked by 8 | max out 1 | max zones 1 |
           first machine 1 + n | requested by 1 + n | machines out 1, each 8
@@ -6,7 +8,7 @@
             requested cores 2 | arrived cores 2 | incarnation 4 | reason 1 | replacement 1 + n | next 1 + n |
             requested by 1 + n
 
-Cores are in tenths, durations in tenths of a second.
+Cores are in tenths, durations are in tenths of a second.
 """
 
 from __future__ import annotations
@@ -56,7 +58,7 @@
 
 @lru_cache(64)
 def decode_plan(data: bytes) -> ReplacementPlan:
-    """Decode a plan; nothing is one that was never set. Raises MessageError."""
+    """Decode a plan; empty data is the initial plan. Raises MessageError."""
     if not data:
         return ReplacementPlan()
     try:
@@ -110,7 +112,7 @@
 
 @lru_cache(1024)
 def decode_record(data: bytes) -> MachineRecord | None:
-    """Decode a machine's record, or return None for one that was never set. Raises MessageError."""
+    """Decode a machine's record; return None for empty data. Raises MessageError."""
     if not data:
         return None
     try:
--- a/cottonhold/fleet/rolling_replacement/plan_submission.py
+++ b/cottonhold/fleet/rolling_replacement/plan_submission.py
@@ -1,6 +1,7 @@
-"""One request on its way into the registers: plan locked, records written, plan opened. Pure.
+"""Submits a request to the registers: locks the plan, writes the records and opens the plan. Pure.
 
-Each step depends only on what the registers show, so an operation with an unknown outcome is no special case.
+Each step depends only on the values of the registers, so an operation with an unknown outcome needs no
+special handling.
 """
 
 from __future__ import annotations
@@ -28,7 +29,15 @@
 
 
 class PlanSubmission:
-    """A request of this instance. answer: why it was rejected, or "" if it was accepted."""
+    """The submission of a request by this instance.
+
+    When it has ended, `answer` is the reason for which the request was rejected, or "" if it was accepted.
+
+    Args:
+        member: The member id of this instance.
+        request: The request.
+        deadline: The time at which the submission is given up.
+    """
 
     def __init__(self, member: int, request: ReplacementRequest, deadline: float) -> None:
         self.member, self.request, self.deadline = member, request, deadline
@@ -46,7 +55,16 @@
         machines: Mapping[str, Machine],
         zones: Mapping[str, int],
     ) -> list[Action]:
-        """Return what to do with registers now. records: None while parts of the chain are not known."""
+        """Return the register operations that are due.
+
+        Args:
+            now: The current time.
+            registers: This instance's cache of registers.
+            plan: The current plan.
+            records: The machine records by name; None while a part of the chain is unknown.
+            machines: The present machines by name.
+            zones: The numbers of zones by name.
+        """
         is_locked = plan.state is PlanState.SUBMITTING and plan.locked_by == self.member
         if is_locked and plan.serial == self.requested_serial:
             self.locked_serial = self.requested_serial
@@ -72,7 +90,7 @@
         plan: ReplacementPlan,
         records: Mapping[str, MachineRecord],
     ) -> list[Action]:
-        # By an old state of the registers two contradicting requests could both be accepted.
+        # With outdated registers, two contradicting requests could both be accepted.
         if not registers.is_confirmed(now, PLAN_REGISTER, 1000.0):
             return list(registers.read(now, PLAN_REGISTER, 100.0))
         try:
@@ -81,7 +99,7 @@
             self.answer = str(error)
             return []
         if not self.items:
-            self.answer = ""  # the same was requested before
+            self.answer = ""  # all items were requested before
             return []
         self.locked_serial, self.records, self.requested_serial = 0, {}, plan.serial + 1
         locked = replace(
@@ -123,5 +141,5 @@
 
 
 def without_submission(plan: ReplacementPlan) -> ReplacementPlan:
-    """Return the plan without the request that was being submitted; its serial is not used again."""
+    """Return the plan without the request being submitted, whose serial number is not used again."""
     return replace(plan, state=PlanState.OPEN, locked_by=0, epoch=plan.epoch + 1)
--- a/cottonhold/fleet/rolling_replacement/request_parsing.py
+++ b/cottonhold/fleet/rolling_replacement/request_parsing.py
@@ -1,4 +1,4 @@
-"""Parses an operator's call into a request: machines by name, engines by zone. Pure."""
+"""Parses an operator's call that requests the replacement of machines by name or engines by zone. Pure."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 def parse_request(
     requested_by: str, call: Mapping[str, Any], machines: Mapping[str, Machine]
 ) -> ReplacementRequest:
-    """Return the request of a call's fields `machines`, `most_out` and `zones`.
+    """Return the request that a call's fields `machines`, `most_out` and `zones` describe.
 
-    Each row names a machine (`name`), or a zone (`zone`) for all of its engines. Raises PlanError, which says
-    what is wrong with which row.
+    Each row of `machines` names a machine (`name`), or a zone (`zone`) to select all of its engines.
+
+    Raises:
+        PlanError: The call is invalid; the text names the row and the reason.
     """
     rows = call.get("machines")
     if not isinstance(rows, list) or not rows:
--- a/cottonhold/fleet/rolling_replacement/schedule.py
+++ b/cottonhold/fleet/rolling_replacement/schedule.py
@@ -1,11 +1,12 @@
-"""In which order machines are replaced, and why one waits. Pure, and alike for all who read the same
-registers.
-
-A set of machines may be out together if it is small enough, lies in few enough zones, leaves a majority of
-the voters, and the remaining capacity suffices. Any part of such a set may be out as well. So each order of
-machines has one schedule, in which each starts as early as those before it allow, and some order gives the
-best schedule. Orders by a few rules are tried, and the best is improved by exchanging and moving single
-machines.
+"""Schedules the replacement of machines, and explains why a machine waits. Pure.
+
+The schedule is deterministic, so all instances that read the same registers find the same one.
+
+Machines may be out at the same time if they are not too many, in not too many zones, and leave a majority of
+the voters and enough capacity. This also holds for each subset of such machines. So each order of machines
+has one schedule, in which each machine starts as early as the machines before it allow, and the best schedule
+is that of some order. The search starts with orders by a few rules and improves the best of them by swapping
+and moving single machines.
 """
 
 from __future__ import annotations
@@ -14,15 +15,16 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-CapacityCheck = Callable[[Mapping[int, float]], list[str]]  # missing cores by zone number -> why not
-MAX_SCHEDULES = 300  # that are tried at most
-RULE_COUNT = 4  # orders that are tried first
-STUCK_DURATION_MS = 1e7  # of a machine that waits for its replacement
+# Takes the missing cores by zone number, and returns why they must not be missing.
+CapacityCheck = Callable[[Mapping[int, float]], list[str]]
+MAX_SCHEDULES = 300  # maximum number of schedules in a search
+RULE_COUNT = 4  # number of orders by a rule with which a search starts
+STUCK_DURATION_MS = 1e7  # assumed duration of a replacement whose new machine has not arrived or has left
 
 
 @dataclass(slots=True, frozen=True)
 class ReplacementJob:
-    """One machine to replace; duration_ms: from its start to its end, as learnt."""
+    """The replacement of one machine; `duration_ms` is its expected duration."""
 
     name: str
     zone: int
@@ -33,10 +35,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Limits on machines that are out together.
+    """Limits on machines that are out at the same time.
 
-    spare_voters: voters that may be out besides those that are down. missing_cores: by zone, cores that are
-    missing whatever is out.
+    Attributes:
+        max_concurrent: Maximum number of machines.
+        max_zones: Maximum number of zones in which machines are out.
+        spare_voters: Maximum number of voters that may be out in addition to those that are down.
+        missing_cores: Cores that are missing regardless of the machines that are out, by zone number.
     """
 
     max_concurrent: int = 1
@@ -47,21 +52,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """When each machine starts, in ms from now (infinite if never), and when the last one ends."""
+    """The start of each machine's replacement, in ms from now (infinite if never), and the total duration."""
 
     start_times: Mapping[str, float]
     duration_ms: float
 
 
 class ScheduleConstraints:
-    """What may be out together; remembered while the capacity is the same."""
+    """Decides which machines may be out at the same time, and caches the results."""
 
     def __init__(self, limits: Limits, capacity_check: CapacityCheck) -> None:
         self.limits, self.capacity_check = limits, capacity_check
         self.known_blockers: dict[frozenset[str], list[str]] = {}
 
     def blockers(self, active: Sequence[ReplacementJob]) -> list[str]:
-        """Return why these machines may not be out together; nothing if they may."""
+        """Return why these machines must not be out at the same time; empty if they may be."""
         key = frozenset(job.name for job in active)
         if key not in self.known_blockers:
             self.known_blockers[key] = self._find_blockers(active)
@@ -78,13 +83,13 @@
         missing_cores = dict(limits.missing_cores)
         for job in active:
             missing_cores[job.zone] = missing_cores.get(job.zone, 0.0) + job.cores
-        # Last, and only if all else allows it, because it may be costly.
+        # The capacity check may be expensive, so it is made only if there is no other reason.
         return reasons or [f"outlook: {text}" for text in self.capacity_check(missing_cores)]
 
     def find_schedule(
         self, waiting: Sequence[ReplacementJob], active: Sequence[ReplacementJob] = ()
     ) -> Schedule:
-        """Find a schedule for waiting machines, besides those that are out."""
+        """Find a short schedule for the waiting machines, given the active ones."""
         waiting = sorted(waiting, key=lambda job: job.name)
         best, remaining_tries = self._best_by_rules(waiting, active), MAX_SCHEDULES - RULE_COUNT
         if len(best[1]) > 1:
@@ -118,7 +123,7 @@
         return min(schedules, key=lambda entry: entry[0].duration_ms)
 
     def place(self, order: Sequence[ReplacementJob], active: Sequence[ReplacementJob] = ()) -> Schedule:
-        """Start each machine of an order as early as those before it allow."""
+        """Return the schedule that starts each machine of an order as early as those before it allow."""
         spans = [(0.0, job.duration_ms, job) for job in active]
         starts = dict[str, float]()
         for job in order:
@@ -131,14 +136,14 @@
     def _earliest(self, job: ReplacementJob, spans: Sequence[tuple[float, float, ReplacementJob]]) -> float:
         for start in sorted({0.0, *(end for _, end, _ in spans)}):
             end = start + job.duration_ms
-            # What is out changes only where another begins.
+            # The set of machines that are out grows only when another one starts.
             moments = [start, *(s for s, _, _ in spans if start < s < end)]
             if not any(self.blockers([*(o for s, e, o in spans if s <= t < e), job]) for t in moments):
                 return start
         return math.inf
 
     def wait_reasons(self, job: ReplacementJob, active: Sequence[ReplacementJob], start: float) -> list[str]:
-        """Return why a machine does not start now, for operators."""
+        """Return why a machine does not start now, as shown to operators."""
         reasons = list(self.blockers([*active, job]))
         if reasons and active:
             reasons = [f"{text} (out: {', '.join(sorted(o.name for o in active))})" for text in reasons]
@@ -148,7 +153,7 @@
 
 
 def _neighbouring_orders(order: Sequence[ReplacementJob]) -> list[list[ReplacementJob]]:
-    """Return orders with one machine moved, or two exchanged."""
+    """Return the orders in which two machines are swapped or one is moved."""
     orders, n = [], len(order)
     for i in range(n):
         for j in range(i + 1, n):
--- a/cottonhold/fleet/rolling_replacement/start_conditions.py
+++ b/cottonhold/fleet/rolling_replacement/start_conditions.py
@@ -1,4 +1,4 @@
-"""Whether a machine's replacement may start now, by what registers and members show. Pure."""
+"""Whether a machine's replacement may start now, according to the registers and present machines. Pure."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
 from cottonhold.fleet.zone_failover.evacuation import majority
 from cottonhold.fleet.zone_failover.messages import zone_number
 
+# Takes the missing cores by zone, and returns why they must not be missing.
 CapacityCheck = Callable[[Mapping[str, float]], list[str]]
-MAX_CHECK_AGE_MS = 500.0
+MAX_CHECK_AGE_MS = 500.0  # how long results of the capacity check are reused
 
 
 def available_voters(
     plan: ReplacementPlan, records: Mapping[str, MachineRecord], machines: Mapping[str, Machine]
 ) -> int:
-    """Return how many voters are up and stay so: neither out, nor replacing one that is out."""
+    """Return how many voters are up and neither being replaced nor replacing a machine."""
     active_ids = set(plan.active_machine_ids)
     arriving = {r.replacement for name, r in records.items() if machine_id(name) in active_ids}
     return sum(
@@ -40,10 +41,12 @@
 
 
 class StartConditions:
-    """Conditions on starting a machine's replacement.
+    """Conditions for starting a machine's replacement.
 
-    voters: configured ones. default_duration_ms: of a replacement, until one was seen. capacity_check:
-    reasons against losing cores by zone.
+    Args:
+        voters: Number of configured voters.
+        default_duration_ms: Assumed duration of a replacement until one has been completed, in ms.
+        capacity_check: Returns reasons against losing cores, by zone; None to skip the check.
     """
 
     def __init__(self, voters: int, default_duration_ms: float, capacity_check: CapacityCheck | None) -> None:
@@ -61,7 +64,7 @@
         records: Mapping[str, MachineRecord],
         machines: Mapping[str, Machine],
     ) -> list[str]:
-        """Return why a machine may not start now."""
+        """Return why a machine's replacement must not start now; empty if it may."""
         jobs = self._jobs(plan, records, machines)
         active = [jobs[n] for n in jobs if machine_id(n) in plan.active_machine_ids]
         waiting = [jobs[n] for n, r in records.items() if r.step in WAITING_STEPS and jobs[n] not in active]
@@ -82,7 +85,7 @@
             self.constraints = ScheduleConstraints(
                 limits, lambda missing_cores: self._check_capacity(missing_cores, zones)
             )
-        # The schedule is costly, so it is sought only for a machine that could start.
+        # Finding a schedule is expensive, so it is done only for a machine that could start.
         reasons = self.constraints.wait_reasons(jobs[name], active, 0.0)
         if reasons:
             return reasons
@@ -103,7 +106,7 @@
         voters_down = max(self.voters - available_voters(plan, records, machines) - active_voters, 0)
         missing_cores = dict[int, float]()
         for name, record in records.items():
-            # A smaller engine in place is in the endpoint list with its cores, so they are known there.
+            # The capacity check takes the cores of a smaller engine that is in place from the endpoint list.
             is_known = record.has_flag(MachineFlag.ENGINE) and record.replacement in machines
             if name not in active and record.missing_cores_tenths() and not is_known:
                 missing_cores[record.zone] = (
@@ -144,9 +147,9 @@
     def _removed_cores(
         self, name: str, record: MachineRecord, plan: ReplacementPlan, machines: Mapping[str, Machine]
     ) -> float:
-        """Return the cores that are lost, besides those that are counted no longer."""
+        """Return the cores that are lost while the machine is out, unless they are no longer counted."""
         machine = machines.get(name)
-        # An engine that is out is not in the fleet snapshot any more; its cores must not be counted twice.
+        # An engine that is out is already missing in the fleet snapshot; it must not be subtracted twice.
         is_uncounted = record.has_flag(MachineFlag.ENGINE) and (machine is None or not machine.is_counted)
         return (
             0.0 if is_uncounted and machine_id(name) in plan.active_machine_ids else record.cores_tenths / 10
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -1,10 +1,10 @@
-"""The steps of one machine's replacement: which one follows from what is seen. Pure, one function a step.
+"""Decides the next step of one machine's replacement, with one function for each step. Pure.
 
-Each decision holds a new record to be set by compare-and-set, actions, and reasons to wait.
+A decision holds a new record to be set by compare-and-set, actions, and reasons to wait.
 
-Aborting: before MOVING it ends the replacement at once. In MOVING and DRAINING keys that have moved stay
-where they are, and the machine accepts clients again. From OUT on a machine must be put in place first, the
-old one or the replacement; it takes its share of traffic again, and then the replacement counts as aborted.
+An abort before OUT ends the replacement immediately: keys that were already moved stay with their new owners,
+and the machine accepts clients again. From OUT on, the old machine or the replacement must first be put in
+place and take its full share of traffic; then the replacement ends as aborted.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MoveKeys:
-    """Move at most so many of a machine's keys, under this epoch of its replacement."""
+    """Move at most `max_keys` keys of a machine to the target, under this epoch of the replacement."""
 
     machine: str
     target: str
@@ -36,21 +36,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """This instance accepts no new clients and moves its keys; of an engine: it gets no new requests."""
+    """Drain a machine: this instance stops accepting clients, or stops sending requests to an engine."""
 
     machine: str
 
 
 @dataclass(slots=True, frozen=True)
 class Undrain:
-    """Undo Drain."""
+    """Reverse a Drain."""
 
     machine: str
 
 
 @dataclass(slots=True, frozen=True)
 class ReadyToPowerOff:
-    """A machine may be powered off: operators are notified."""
+    """Notify operators that a machine may be powered off."""
 
     machine: str
     epoch: int
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogStep:
-    """For the log: a machine's step has changed, or why it waits; an empty machine is the request itself."""
+    """Log that a machine's step has changed, or the event that `reason` describes if `step` is None."""
 
     machine: str
     step: ReplacementStep | None
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAnswered:
-    """The end of a request made here: why it was rejected, or "" if it was accepted."""
+    """Report the result of a request made here: why it was rejected, or "" if it was accepted."""
 
     request: ReplacementRequest
     rejection: str
@@ -83,11 +83,17 @@
 class StepSettings:
     """Times of the steps.
 
-    move_interval_ms and max_keys_per_move: how keys are moved. step_timeout_ms: moving or draining longer
-    fails the replacement, so that it does not block others for good. arrival_timeout_ms: after it a
-    replacement counts as late. ramp_ms: until full traffic, where no share is reported. absence_timeout_ms:
-    after it the open requests of an absent machine count as ended. quorum_wait_ms: a drained machine that
-    cannot be taken out for want of voters accepts clients again.
+    Attributes:
+        move_interval_ms: Minimum interval between moves of a machine's keys, in ms.
+        max_keys_per_move: Maximum number of keys that are moved at a time.
+        step_timeout_ms: Maximum time of MOVING or DRAINING, in ms; after it the replacement fails, so that it
+            does not block others forever.
+        arrival_timeout_ms: Time after which a replacement that has not arrived is late, in ms.
+        ramp_ms: Time of RAMPING if no traffic share is reported, in ms.
+        absence_timeout_ms: Time after which an absent machine's open requests are regarded as ended, and an
+            absent replacement as gone, in ms.
+        quorum_wait_ms: Time after which a draining machine that is needed for the voters' majority accepts
+            clients again, in ms.
     """
 
     move_interval_ms: float = 250.0
@@ -101,14 +107,21 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineView:
-    """What the driver of one machine knows of it.
-
-    step_age_ms: how long it has been in its step, as far as this instance saw. blocked_reasons: why nothing
-    may be taken out now. remaining_keys, open_requests: of the old machine; None if never reported.
-    absent_ms, replacement_absent_ms: how long the old one and the replacement have not been seen.
-    traffic_share: of the replacement, if reported. keeps_quorum: a majority of voters stays up without the
-    machine. target: where its keys move. last_move_age_ms: since keys were last moved. running_ms: since
-    MOVING.
+    """The state of one machine's replacement that its driver decides on.
+
+    Attributes:
+        step_age_ms: Time since this instance has seen the current step, in ms.
+        machines: Present machines by name.
+        blocked_reasons: Reasons why no machine may be taken out now.
+        remaining_keys: Number of keys that the old machine still owns; None if not reported.
+        open_requests: Number of open requests at the old machine; None if not reported.
+        absent_ms: Time since the old machine was last seen, in ms.
+        replacement_absent_ms: Time since the replacement was last seen, in ms.
+        traffic_share: Fraction of its normal traffic that the replacement receives; None if not reported.
+        keeps_quorum: Whether a majority of voters stays up without the machine.
+        target: Name of the dispatcher to which its keys are moved; empty if there is none.
+        last_move_age_ms: Time since keys were last moved, in ms.
+        running_ms: Time since the start of MOVING, in ms.
     """
 
     step_age_ms: float
@@ -127,7 +140,7 @@
 
 @dataclass(slots=True)
 class StepDecision:
-    """What follows: the next record if it changes, actions, and reasons to wait."""
+    """The next record if it changes, actions, and reasons to wait."""
 
     record: MachineRecord | None = None
     actions: list[Action] = field(default_factory=list)
@@ -135,7 +148,7 @@
 
 
 def decide_step(name: str, record: MachineRecord, view: MachineView, settings: StepSettings) -> StepDecision:
-    """Decide the next step of a machine that has begun, or that is aborted before."""
+    """Decide the next step of a machine whose replacement has started or is aborted."""
     if record.has_flag(MachineFlag.ABORTING) and record.step <= ReplacementStep.DRAINING:
         return StepDecision(replace(record, step=ReplacementStep.ABORTED, reason=StepReason.OPERATOR))
     step = STEPS.get(record.step)
@@ -177,11 +190,11 @@
     if view.step_age_ms > settings.step_timeout_ms:
         return StepDecision(replace(record, step=ReplacementStep.FAILED, reason=StepReason.TIMED_OUT))
     if not view.keeps_quorum and view.step_age_ms > settings.quorum_wait_ms:
-        # It accepts clients again: it cannot be taken out until another voter is up.
+        # The machine accepts clients again, because it cannot be taken out until another voter is up.
         return StepDecision(replace(record, step=ReplacementStep.MOVING), reasons=[QUORUM_REASON])
     if view.blocked_reasons:
         return StepDecision(reasons=view.blocked_reasons)
-    # A request between the last move and the drain may have brought a new key.
+    # A request that arrived between the last move and the drain may have added a key.
     if not record.has_flag(MachineFlag.ENGINE) and view.remaining_keys != 0:
         return _move_keys(name, record, view, settings)
     is_absent = view.absent_ms > settings.absence_timeout_ms
@@ -197,9 +210,9 @@
 
 
 def arrived_machine(name: str, record: MachineRecord, machines: Mapping[str, Machine]) -> Machine | None:
-    """Return the machine that is in place: another id, or another incarnation of the same one.
+    """Return the machine that is in place now: one with another name, or a new incarnation of the old one.
 
-    After an abort also the old one that was never powered off.
+    When the replacement is aborted, this may also be the old machine if it was never powered off.
     """
     replacement = machines.get(record.replacement)
     if replacement is not None and (record.replacement != name or _is_other_incarnation(record, replacement)):
@@ -208,12 +221,12 @@
 
 
 def _is_other_incarnation(record: MachineRecord, arrived: Machine) -> bool:
-    """Whether the machine under the old one's id was started after the old one was out."""
+    """Whether the machine with the old machine's name was started after the old machine was out."""
     incarnation = arrived.incarnation & 0xFFFFFFFF
     if not record.has_flag(MachineFlag.ENGINE):
         return incarnation != record.incarnation
-    # A list without start times shows the old engine, not powered off yet, as it would show the new one. So
-    # it must have been absent first; the record says so, since the next driver may not have seen it.
+    # In a list without start times, an old engine that is not powered off yet looks like the new one. So the
+    # engine must have been absent first; this is recorded, because the next driver may not have seen it.
     return record.has_flag(MachineFlag.WAS_AWAY) or bool(
         incarnation and record.incarnation and incarnation != record.incarnation
     )
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -257,7 +257,7 @@
         """Initialize the state of announcements of owned keys."""
         self.candidates: dict[bytes, Candidate] = {}
         self.announced_epochs: dict[int, int] = {}  # by member: epoch for which it announced all its keys
-        self.acknowledged_epochs: dict[int, int] = {}  # by member: epoch of this member's announcement
+        self.acknowledged_epochs: dict[int, int] = {}  # by member: epoch whose announcement it acknowledged
         self.next_announcement_at = -math.inf
         # The member lists since the last complete epoch; None if some of them are unknown.
         self.recent_tables: list[frozenset[int]] | None = None
@@ -388,7 +388,7 @@
             self._forget(key)
 
     def _may_forget(self, key: bytes, record: OwnershipRecord) -> bool:
-        """Whether another member owns the key, and no pending move and no duty as home needs the record."""
+        """Whether another member owns the key, and neither a pending move nor this home needs its record."""
         if record.state is not OwnershipState.RELEASED or not record.release_confirmed:
             return False
         if record.pending_token or key in self.unfinished_keys:
