--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -1,12 +1,13 @@
-"""Engines that are being replaced: nothing new goes there, and all dispatchers report what is open there.
-Pure.
-
-A dispatcher reports a row of each engine that it has drained: under which request's serial, how many of its
-attempts are open there, and whether the engine seems absent to it. Reports merge by (incarnation, version):
-in any order, any number of times. The driver adds them up. A live dispatcher that has not reported since it
-drained the engine is *unknown*, never zero; a failed one counts as zero once it has been absent for
-`member_absence_ms`. An engine is absent, or back, if more than half of the live dispatchers report it: a
-single one may only have lost its route.
+"""Draining of engines that are being replaced: no new requests, and reports of open attempts. Pure.
+
+A dispatcher's report has a row for each engine that it has drained: the serial number of the replacement
+request, the number of its attempts that are open at the engine, and whether the engine seems absent to it.
+Reports are merged by (incarnation, version), so they may arrive in any order and any number of times.
+
+The driver of a replacement adds up the open attempts. The number is unknown while a live dispatcher has not
+reported since it drained the engine; a failed dispatcher is regarded as having none once it has been absent
+for `member_absence_ms`. An engine is regarded as absent, or as back, if more than half of the live
+dispatchers report it, because a single dispatcher may only have lost its route to the engine.
 """
 
 from __future__ import annotations
@@ -35,11 +36,16 @@
 class DrainSettings:
     """Times of engine drains.
 
-    report_interval_ms: between reports to drivers; a change is reported at once. liveness_check_interval_ms:
-    of a drained engine. max_report_age_ms: of another's report. engine_absence_ms: an engine counts as
-    absent once more than half have reported it for so long. member_absence_ms: how long a dispatcher must be
-    absent before its open requests count as ended. no_majority_timeout_ms, startup_timeout_ms,
-    pause_threshold_ms: see StartupGate.
+    Attributes:
+        report_interval_ms: Interval between reports to drivers, in ms; a change is reported immediately.
+        liveness_check_interval_ms: Interval between liveness checks of a drained engine, in ms.
+        max_report_age_ms: Time after which a dispatcher's last report is no longer used, in ms.
+        engine_absence_ms: Time for which more than half of the dispatchers must report an engine as absent
+            until it is regarded as absent, in ms.
+        member_absence_ms: Time after which an absent dispatcher's open requests are regarded as ended, in ms.
+        no_majority_timeout_ms: Time without a majority of voters until the StartupGate opens, in ms.
+        startup_timeout_ms: Time after the start until the StartupGate opens in any case, in ms.
+        pause_threshold_ms: Time between two steps from which the instance is regarded as paused, in ms.
     """
 
     report_interval_ms: float = 200.0
@@ -54,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendReport:
-    """Send a report to a member."""
+    """Send an encoded report to a member."""
 
     member: int
     payload: bytes
@@ -62,14 +68,24 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckLiveness:
-    """Check an engine's liveness; `on_liveness_check` gets the result."""
+    """Check an engine's liveness; the result is passed to `on_liveness_check`."""
 
     engine: str
 
 
 @dataclass(slots=True)
 class DrainedEngine:
-    """An engine that this instance has drained; failed_checks: in a row; absent_since: by more than half."""
+    """An engine that this instance has drained.
+
+    Attributes:
+        serial: Serial number of the replacement request for which it was drained.
+        open_requests: Number of this instance's attempts that are open at the engine.
+        failed_checks: Number of consecutive failed liveness checks.
+        last_check_answered: Whether the last liveness check succeeded.
+        last_check_at: When the last liveness check was requested.
+        absent_since: Since when more than half of the dispatchers report it as absent, or None.
+        is_absent: Whether it is regarded as absent.
+    """
 
     serial: int
     open_requests: int
@@ -81,10 +97,14 @@
 
 
 class EngineDrains:
-    """One instance's part.
-
-    member: its id. incarnation: grows with each start. expected: ids of dispatchers that may be there, though
-    none was seen yet.
+    """The drained engines and received reports of one instance. Times are in ms of the local clock.
+
+    Args:
+        member: The member id of this instance.
+        incarnation: A number that grows with each start of this instance.
+        now: The current time.
+        settings: Times of engine drains.
+        expected: The ids of dispatchers that may be running although they have not been seen yet.
     """
 
     def __init__(
@@ -95,33 +115,41 @@
         self.min_incarnations: dict[int, int] = {}
         self.last_live_at = dict.fromkeys(set(expected) - {member}, now)  # by member
         self.listed: dict[str, Machine] = {}
-        self.last_listed: dict[str, Machine] = {}  # drained ones as they were last listed
+        self.last_listed: dict[str, Machine] = {}  # listed engines, and drained ones as last listed
         self.drained: dict[str, DrainedEngine] = {}
         self.version, self.last_report_at, self.last_rows = 0, -1e12, dict[int, DrainedEngineRow]()
         self.malformed_count = 0
 
     def set_live_members(self, now: float, live: Mapping[int, int]) -> None:
-        """Set the live members, and the least incarnation that each one's reports may be of."""
+        """Set the live members and their incarnations; reports of older incarnations are ignored.
+
+        Args:
+            now: The current time.
+            live: The incarnation of each live member, by member id.
+        """
         self.min_incarnations = {m: life & U32 for m, life in live.items() if m != self.member}
         self.last_live_at.update(dict.fromkeys(self.min_incarnations, now))
 
     def set_listed_engines(self, engines: Mapping[str, Machine]) -> None:
-        """Set the listed engines, drained or not."""
+        """Set the engines of the endpoint list, whether drained or not."""
         self.listed = dict(engines)
         known = (self.last_listed | self.listed).items()
         self.last_listed = {name: m for name, m in known if name in self.listed or name in self.drained}
 
     def drain(self, engine: str, serial: int, count: int) -> None:
-        """This instance sends nothing new to an engine, by the request of this serial.
+        """Record that this instance sends no new requests to an engine.
 
-        count: its attempts that are open there.
+        Args:
+            engine: The name of the engine.
+            serial: The serial number of the replacement request.
+            count: The number of this instance's attempts that are open at the engine.
         """
         known = self.drained.get(engine)
         if known is None or known.serial != serial:
             self.drained[engine] = DrainedEngine(serial, count)
 
     def undrain(self, engine: str) -> None:
-        """Undo `drain`."""
+        """Record that this instance may send requests to an engine again."""
         self.drained.pop(engine, None)
 
     def set_open_requests(self, engine: str, count: int) -> None:
@@ -130,7 +158,7 @@
             self.drained[engine].open_requests = count
 
     def on_liveness_check(self, engine: str, is_alive: bool) -> None:
-        """A liveness check of this instance has ended."""
+        """Record the result of a liveness check by this instance."""
         drained = self.drained.get(engine)
         if drained is not None:
             drained.failed_checks = 0 if is_alive else drained.failed_checks + 1
@@ -144,13 +172,17 @@
             self.malformed_count += 1
 
     def open_requests(self, now: float, engine: str, serial: int) -> int | None:
-        """Return the attempts of all dispatchers that are open at an engine; None while one is unknown."""
+        """Return the number of attempts of all dispatchers that are open at an engine; None while unknown."""
         return (
             None if self.missing_reports(now, engine, serial) else sum(self._open_counts(now, engine, serial))
         )
 
     def missing_reports(self, now: float, engine: str, serial: int) -> set[int]:
-        """Return the ids of dispatchers that have not reported since they drained an engine."""
+        """Return the ids of the dispatchers whose reports on an engine are missing.
+
+        A live dispatcher's report is missing if it has not reported under this serial number recently. A
+        failed dispatcher's report is missing until it has been absent for `member_absence_ms`.
+        """
         drained = self.drained.get(engine)
         missing = {self.member} if drained is None or drained.serial != serial else set[int]()
         for member, at in self.last_live_at.items():
@@ -162,9 +194,10 @@
         return missing
 
     def present_engines(self, chain: Mapping[str, plan.MachineRecord]) -> list[Machine]:
-        """Return the engines that are there: listed ones, but of drained ones those that are not absent.
+        """Return the present engines: those last listed, except drained engines that are absent.
 
-        One that was absent is there again once it is listed and has answered this instance.
+        An engine that was absent is present again once it is listed and has answered a check of this
+        instance.
         """
         present = []
         for name, machine in self.last_listed.items():
@@ -188,13 +221,14 @@
         return drained is not None and drained.is_absent
 
     def is_answering(self, engine: str) -> bool:
-        """Whether a drained engine is listed, and answered this instance's last check."""
+        """Whether a drained engine is listed and has answered this instance's last liveness check."""
         drained = self.drained.get(engine)
         return drained is not None and drained.last_check_answered and engine in self.listed
 
     def step(self, now: float, chain: Mapping[str, plan.MachineRecord]) -> list[SendReport | CheckLiveness]:
-        """Return what to report to drivers, and which engines to check."""
-        # Only engines that drain or are out: a report holds a few, and replaced ones stay drained.
+        """Return the reports to drivers and the liveness checks that are due."""
+        # Only engines that are draining or out are reported: a report holds few rows, and replaced engines
+        # remain drained.
         reported = {
             n: d for n, d in sorted(self.drained.items()) if n in chain and chain[n].step in REPORTED_STEPS
         }
@@ -227,9 +261,9 @@
         return [self.drained[engine].open_requests, *(row.open_requests for row in rows if row is not None)]
 
     def _row(self, now: float, member: int, engine: str, serial: int) -> DrainedEngineRow | None:
-        """Return what a live dispatcher reports of an engine, in its present incarnation."""
+        """Return a live dispatcher's row on an engine, or None if it is missing or too old."""
         received = self.reports.received.get(member)
-        # A report of an earlier incarnation says nothing of requests that the present one has open.
+        # A report of an earlier incarnation does not include the requests of the current one.
         if (
             received is None
             or now - received.received_at > self.settings.max_report_age_ms
@@ -249,24 +283,24 @@
             drained.absent_since, drained.is_absent = None, False
         elif drained.absent_since is None:
             drained.absent_since = now
-        # An engine that only paused must not pass for a new one when it answers again.
+        # An engine that was only paused must not be mistaken for a new one when it answers again.
         elif now - drained.absent_since >= self.settings.engine_absence_ms:
             drained.is_absent = True
 
 
 class StartupGate:
-    """Whether a dispatcher that has just started knows which engines are drained.
+    """Holds back loads after a start until the instance knows which engines are drained.
 
-    Until then it sends no loads to any engine: if it was down while an engine was drained, it would send a
-    load as the engine is powered off, and nobody would know whether it ran. Idempotent requests do not wait.
+    If an engine was drained while the instance was down, the instance might otherwise send it a load just as
+    it is powered off, and the outcome of the load would be unknown. Idempotent requests are not held back.
 
-    It knows once it has read all registers of the replacement from a majority. While more than half of the
-    voters are absent nothing can be read, and after no_majority_timeout_ms of that it serves all the same,
-    as it does after startup_timeout_ms in any case: a fleet whose voters all have empty folders cannot read,
-    and must serve.
+    The gate opens once all registers of the rolling replacement have been read from a majority. Without a
+    majority of the voters they cannot be read; then it opens after no_majority_timeout_ms. In any case it
+    opens after startup_timeout_ms, because a fleet whose voters all have empty state folders cannot read
+    registers but must serve.
 
-    An instance that was paused for pause_threshold_ms begins again: others may have taken it for failed, and
-    may not have counted its open requests.
+    The gate closes again if the instance was paused for pause_threshold_ms: other instances may have regarded
+    it as failed and its open requests as ended.
     """
 
     def __init__(self, now: float, settings: DrainSettings) -> None:
@@ -274,7 +308,7 @@
         self.is_open = False
 
     def check_pause(self, now: float) -> bool:
-        """Return whether this instance was paused since the last step, and begin again if so."""
+        """Return whether this instance was paused since the last call, and close the gate if so."""
         late = now - self.last_step_at >= self.settings.pause_threshold_ms
         self.last_step_at = now
         if late:
@@ -282,10 +316,12 @@
         return late
 
     def step(self, now: float, all_read: bool, has_majority: bool) -> bool:
-        """Return whether loads may be sent from now on.
+        """Return whether loads may be sent.
 
-        all_read: all registers were read from a majority since the start. has_majority: more than half of the
-        voters are there.
+        Args:
+            now: The current time.
+            all_read: Whether all registers were read from a majority since the start or the last pause.
+            has_majority: Whether more than half of the voters are present.
         """
         if has_majority:
             self.last_majority_at = now
@@ -298,11 +334,12 @@
 
 
 class DrainRecords:
-    """Engines that this instance has drained, as its folder holds them over a restart.
+    """The records in this instance's state folder of the engines that it has drained.
 
-    A restarted dispatcher must not send a request to an engine that it had drained before it has read the
-    registers: the engine may be powered off at any moment. A record that cannot be decoded counts too, since
-    its key names the engine. What was drained before the start is withheld until `release_previous`.
+    Until a restarted dispatcher has read the registers, it must not send requests to engines that it had
+    drained, because they may be powered off at any moment. So engines that were drained before the start are
+    withheld until `release_previous`. A record that cannot be decoded is used too, since its key is the name
+    of the engine.
     """
 
     def __init__(self, folder: Mapping[bytes, bytes]) -> None:
@@ -310,14 +347,14 @@
         self.engines = set(self.from_previous_start)
 
     def drain(self, engine: str) -> list[Record]:
-        """Return what must be on disk before the drain is reported."""
+        """Return the records that must be on disk before the drain is reported."""
         if engine in self.engines or len(self.engines) >= MAX_RECORDS[RecordKind.ENGINE_DRAIN]:
             return []
         self.engines.add(engine)
         return [Record(RecordKind.ENGINE_DRAIN, engine.encode(), Hint(b"", 0.0).encode())]
 
     def undrain(self, engine: str) -> list[Record]:
-        """Return what undoes `drain` on disk."""
+        """Return the records that remove the drain from the disk."""
         self.from_previous_start.discard(engine)
         if engine not in self.engines:
             return []
@@ -325,9 +362,9 @@
         return [Record(RecordKind.ENGINE_DRAIN, engine.encode(), None)]
 
     def release_previous(self, drained: Collection[str]) -> list[str]:
-        """Return the engines that need not be withheld any longer.
+        """Stop withholding engines drained before the start; return those that are not drained now.
 
-        It is known which engines are drained, or service must go on without knowing it.
+        Called once it is known which engines are drained, or once the instance must serve without knowing it.
         """
         over = sorted(self.from_previous_start.difference(drained))
         self.from_previous_start.clear()
@@ -335,8 +372,9 @@
 
 
 def is_new_process(record: plan.MachineRecord | None) -> bool:
-    """Whether an engine that is drained no longer is another process than before.
+    """Whether an engine that is no longer drained is regarded as a new process, which gets a slow start.
 
-    One whose replacement is over and forgotten counts as that: an unneeded slow start costs little.
+    Without a record, the replacement has ended and was removed from the plan; the engine is then regarded as
+    a new process, because an unneeded slow start costs little.
     """
     return record is None or record.arrived_cores_tenths > 0
--- a/cottonhold/fleet/engine_drain_messages.py
+++ b/cottonhold/fleet/engine_drain_messages.py
@@ -1,9 +1,11 @@
-"""What dispatchers report to one another of engines that are being replaced, and its wire format. Pure.
+"""Codec of the reports that dispatchers send one another about engines being replaced. Pure.
+
+Field sizes are in bytes:
 
     kind 96 | member 8 | incarnation 4 | version 4 | rows 1 | rows, each: engine 4 | serial 4 | open 2 |
     flags 1
 
-Reports merge as `latest_reports` says.
+Reports are merged as described in latest_reports.py.
 """
 
 from __future__ import annotations
@@ -24,14 +26,20 @@
 
 
 class RowFlag(IntFlag):
-    """What a row reports besides its count."""
+    """Flags of a row."""
 
     AWAY = 1  # the engine is not listed, or does not answer liveness checks
 
 
 @dataclass(slots=True, frozen=True)
 class DrainedEngineRow:
-    """One dispatcher's report on one engine that it has drained."""
+    """One dispatcher's report on one engine that it has drained.
+
+    Attributes:
+        serial: Serial number of the replacement request for which it was drained.
+        open_requests: Number of the dispatcher's attempts that are open at the engine.
+        is_absent: Whether the engine seems absent to the dispatcher.
+    """
 
     serial: int
     open_requests: int
@@ -40,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainReport:
-    """All that one dispatcher reports of drained engines, by their numbers."""
+    """One dispatcher's report on the engines that it has drained, with a row for each engine number."""
 
     member: int
     incarnation: int
@@ -49,12 +57,12 @@
 
     @property
     def stamp(self) -> tuple[int, int]:
-        """By which of two reports of a member the newer one is known."""
+        """Orders the reports of a member: the newer one has the higher stamp."""
         return self.incarnation, self.version
 
 
 def encode_report(report: DrainReport) -> bytes:
-    """Encode a report, with as many rows as fit."""
+    """Encode a report with at most MAX_ROWS rows."""
     rows = list(report.rows.items())[:MAX_ROWS]
     head = HEAD_FORMAT.pack(DRAIN_REPORT, report.member, report.incarnation, report.version, len(rows))
     return head + b"".join(
