--- a/cottonhold/fleet/consensus/__init__.py
+++ b/cottonhold/fleet/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Values that the fleet settles by majority: registers changed by compare-and-set over the voters. Pure."""
+"""Registers: replicated values that are changed by compare-and-set on a majority of the voters. Pure."""
--- a/cottonhold/fleet/consensus/acceptor.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -1,7 +1,7 @@
-"""A voter: what it promised and accepted for each register, on disk before it answers. Pure.
+"""A voter, which holds its promise and its accepted state for each register. Pure.
 
-An answer waits for the token of the record that it depends on. See voter_recovery.py for a voter that starts
-with an empty folder.
+A voter answers only once the record on which the answer depends is on disk. voter_recovery.py describes how a
+voter recovers that starts with an empty state folder.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 VOTER_RECORD, REGISTER_RECORD_PREFIX = "voter", "reg/"  # names of records
 MAX_PROPOSER_ID = 2**64 - 1
-VOTER_RECORD_FORMAT = struct.Struct("!Q?I")  # folder id, whether it votes, ballot floor
+VOTER_RECORD_FORMAT = struct.Struct("!Q?I")  # folder id, is_voting, ballot floor
 
 
 @dataclass(slots=True)
 class VoterRegister:
-    """One register at a voter: the highest ballot promised, and the state accepted last."""
+    """One register at a voter: the highest promised ballot, and the last accepted state."""
 
     promised: Ballot = NO_BALLOT
     state: AcceptedState = AcceptedState()
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServedCopy:
-    """The copy of this voter's registers that a recovering voter reads, and the round of its requests."""
+    """A copy of this voter's registers for a recovering voter, and the round of its requests."""
 
     round: int
     registers: list[tuple[str, VoterRegister]]
@@ -62,8 +62,16 @@
 class Acceptor:
     """One voter.
 
-    folder_id: drawn anew, and used if the folder is empty. records: of the previous start, by name. Raises
-    MessageError if they are unusable.
+    Args:
+        member: The id of this member, which must be one of `voters`.
+        voters: The ids of all configured voters.
+        folder_id: A newly drawn number that identifies the state folder if it is empty.
+        records: The records in the state folder, by name.
+        max_registers: Maximum number of registers that the voter holds.
+        retry_interval_ms: Interval between requests while recovering, in ms.
+
+    Raises:
+        MessageError: The records cannot be decoded, or the number of voters has changed.
     """
 
     def __init__(
@@ -80,19 +88,19 @@
         self.retry_interval_ms = retry_interval_ms
         self.index = self.voters.index(member)
         self.is_voting = False
-        self.ballot_floor = 0  # ballots up to it are refused for registers that this voter does not hold
+        self.ballot_floor = 0  # highest ballot number refused for registers not held here
         self.epochs = [0] * len(self.voters)  # how often each voter has recovered
-        self.recovered_folder_ids = [0] * len(self.voters)  # the folder to which each epoch belongs
+        self.recovered_folder_ids = [0] * len(self.voters)  # state folder to which each epoch belongs
         self.founding_folder_ids = [0] * len(self.voters)
         self.registers: dict[str, VoterRegister] = {}
         self.last_token = 0
-        self.folder_id_durable = False  # before, no other voter may learn of the folder id
-        self.answers_by_token: dict[int, list[SendConsensusMessage]] = {}  # that wait for a record
-        self.pending_writes: dict[str, int] = {}  # the last token of each record that is not on disk yet
+        self.folder_id_durable = False  # until it is, the folder id is not sent to other voters
+        self.answers_by_token: dict[int, list[SendConsensusMessage]] = {}  # answers that wait for a write
+        self.pending_writes: dict[str, int] = {}  # by record name: token of its last unfinished write
         self.removals_by_token: dict[int, list[str]] = {}  # registers to remove once the floor is on disk
-        self.served_copies: dict[int, ServedCopy] = {}  # by recovering voter
+        self.served_copies: dict[int, ServedCopy] = {}  # by id of the recovering voter
         self.recovery = VoterRecovery(member, self.voters, folder_id)
-        self.voting_token: int | None = None  # of the record with which it begins to vote
+        self.voting_token: int | None = None  # token of the write after which this voter votes
         self.next_request_at = 0.0
         self.actions: list[SendConsensusMessage | PersistState] = []
         self._load(records)
@@ -103,7 +111,7 @@
         return self.recovery.folder_id
 
     def take_actions(self) -> list[SendConsensusMessage | PersistState]:
-        """Return the actions to be carried out, once."""
+        """Return the pending actions and clear them."""
         actions, self.actions = self.actions, []
         return actions
 
@@ -125,7 +133,7 @@
             self._after_recovery_step(self.recovery.next_round())
 
     def on_persisted(self, token: int) -> None:
-        """The record with this token is on disk; tokens arrive in the order of the requests."""
+        """Record that the write with this token is on disk; must be called in the order of the writes."""
         for name in [name for name, last in self.pending_writes.items() if last == token]:
             del self.pending_writes[name]
             if name == VOTER_RECORD:
@@ -139,7 +147,7 @@
             self.is_voting = True
 
     def on_message(self, sender: int, payload: bytes) -> None:
-        """Apply a message for a voter. Raises MessageError if it is malformed."""
+        """Apply a message to a voter. Raises MessageError if it is malformed."""
         kind = payload[0]
         if kind in (messages.PREPARE, messages.ACCEPT, messages.FORGET):
             message = messages.decode_message(payload)
@@ -165,7 +173,7 @@
             self._on_forget(message)
 
     def _on_prepare(self, sender: int, message: RegisterMessage) -> None:
-        """Promise a ballot that is not lower than the one promised before."""
+        """Promise a ballot unless a higher one was promised before."""
         register = self._register(message.name)
         if message.ballot < register.promised or not self._has_capacity(message.name):
             self._refuse(sender, message, register)
@@ -178,7 +186,7 @@
         self._send_after_write(REGISTER_RECORD_PREFIX + message.name, sender, messages.encode_message(answer))
 
     def _on_accept(self, sender: int, message: RegisterMessage) -> None:
-        """Accept a state whose ballot is not lower than the one promised."""
+        """Accept a state unless a higher ballot was promised."""
         register = self._register(message.name)
         ballot = message.ballot
         is_acceptable = ballot >= register.promised and message.state.ballot == ballot
@@ -193,7 +201,7 @@
         self._send_after_write(REGISTER_RECORD_PREFIX + message.name, sender, messages.encode_message(answer))
 
     def _on_forget(self, message: RegisterMessage) -> None:
-        """Remove a finished register: all voters have accepted its final state."""
+        """Remove a finished register, whose final state all voters have accepted."""
         register = self.registers.get(message.name)
         if register is None or register.promised != message.ballot or register.state.ballot != message.ballot:
             return
@@ -201,9 +209,10 @@
             self._remove_register(message.name)
 
     def _has_capacity(self, name: str) -> bool:
-        """Whether there is capacity for this register.
+        """Whether this voter can hold the register.
 
-        Registers without an accepted state are removed if need be: the ballot floor keeps their promises.
+        If necessary, registers without an accepted state are removed; the ballot floor preserves their
+        promises.
         """
         if name in self.registers or len(self.registers) < self.max_registers:
             return True
@@ -215,7 +224,7 @@
     def _remove_register(self, name: str) -> None:
         """Raise the ballot floor, and remove the register's record once the floor is on disk.
 
-        Without the floor, a late ACCEPT of an old ballot would bring an old value back.
+        Without the floor, a late ACCEPT of an old ballot would restore an old value.
         """
         self.ballot_floor = max(self.ballot_floor, self.registers.pop(name).promised.number)
         self.removals_by_token.setdefault(self._persist_voter(), []).append(name)
@@ -249,8 +258,8 @@
     def _persist(self, name: str, data: bytes) -> int:
         """Write a record and return its token.
 
-        An earlier record of the name may be overwritten before it reaches the disk, so whatever waits for it
-        now waits for this one.
+        An earlier write of the record may be replaced before it reaches the disk, so answers and removals
+        that wait for it then wait for this write.
         """
         self.last_token += 1
         token = self.last_token
@@ -266,7 +275,7 @@
         return token
 
     def _on_hello(self, sender: int, round_: int) -> None:
-        """Answer a recovering voter, or one that wonders whether the fleet is new."""
+        """Answer a voter that is recovering or checking whether the fleet is new."""
         if not self.folder_id_durable:
             return
         epochs, founding_folder_ids = tuple(self.epochs), tuple(self.founding_folder_ids)
@@ -274,14 +283,14 @@
         self._send_after_write(VOTER_RECORD, sender, messages.encode_hello_reply(reply))
 
     def _on_page_request(self, sender: int, request: RecoveryRequest) -> None:
-        """Record a recovering voter's epoch, and send a page of the copy made at that moment."""
+        """Record a recovering voter's epoch, and send a page of a copy made at the same time."""
         if not self.is_voting:
             return
         voter_index = self.voters.index(sender)
         known_epoch = self.epochs[voter_index]
         is_other_folder = request.folder_id != self.recovered_folder_ids[voter_index]
         if request.epoch < known_epoch or (request.epoch == known_epoch and is_other_folder):
-            # The request is late, or another recovery of that voter took this epoch.
+            # The request is outdated, or another recovery of that voter has used this epoch.
             self._on_hello(sender, request.round)
             return
         if request.epoch > known_epoch:
@@ -292,7 +301,8 @@
         if request.page_index == 0 and (served is None or served.round != request.round):
             copies = [(n, VoterRegister(r.promised, r.state)) for n, r in sorted(self.registers.items())]
             served = self.served_copies[sender] = ServedCopy(request.round, copies)
-        # After a restart there is another copy, and pages of two copies may miss what changed between them.
+        # After a restart the copy is lost. Pages of two copies must not be mixed, since a change between them
+        # could be missed.
         if served is None or served.round != request.round:
             return
         if request.page_index < max(len(served.registers), 1):
@@ -322,7 +332,7 @@
         self._after_recovery_step(self.recovery.on_hello_reply(sender, reply))
 
     def _after_recovery_step(self, founding_folder_ids: list[int] | None) -> None:
-        """Send what the recovery requests; vote at once if this folder belongs to the fleet's founding."""
+        """Send the recovery's requests; start to vote if this state folder is one of the founding folders."""
         self.actions += self.recovery.take_messages()
         if founding_folder_ids is not None:
             self.founding_folder_ids = founding_folder_ids
@@ -337,7 +347,7 @@
             self._adopt(recovered)
 
     def _adopt(self, recovered: RecoveredMemory) -> None:
-        """Take over the highest promise and the newest state of each register from the copies."""
+        """Adopt the highest promise and the newest state of each register from the copies."""
         self.registers = {}
         for page in (page for copy in recovered.copies for page in copy.pages.values()):
             self.ballot_floor = max(self.ballot_floor, page.ballot_floor)
@@ -352,11 +362,11 @@
         self._start_voting()
 
     def _start_voting(self) -> None:
-        """Vote once the record that says so is on disk."""
+        """Start to vote once this is recorded on disk."""
         self.voting_token = self._persist_voter(is_voting=True)
 
     def _persist_voter(self, is_voting: bool = False) -> int:
-        """Write this voter's own record; return its token."""
+        """Write this voter's record and return its token."""
         fixed = VOTER_RECORD_FORMAT.pack(self.folder_id, self.is_voting or is_voting, self.ballot_floor)
         epochs = bytes((len(self.epochs), *self.epochs))
         folder_ids = [*self.recovered_folder_ids, *self.founding_folder_ids]
--- a/cottonhold/fleet/consensus/actions.py
+++ b/cottonhold/fleet/consensus/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the pure fleet machines return, to be carried out by their adapters."""
+"""Actions that the fleet's state machines return and their adapters carry out."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendConsensusMessage:
-    """Send a datagram's payload to another member."""
+    """Send a message to another member, as the payload of a datagram."""
 
     member: int
     payload: bytes
@@ -16,10 +16,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistState:
-    """Make a record durable under a name; empty data removes it.
+    """Write a record durably under a name; empty data removes the record.
 
-    The adapter calls `on_persisted(now, token)` once the disk has the record, and never if the write failed:
-    messages that depend on the record are then never sent.
+    The adapter calls `on_persisted(now, token)` once the record is on disk, and not at all if the write
+    failed: messages that depend on the record are then never sent.
     """
 
     name: str
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RegisterChanged:
-    """A register's value was chosen; emitted once for each newer state that this member learns of."""
+    """Report a newly chosen version or value of a register that this member has received."""
 
     name: str
     version: int
@@ -37,10 +37,12 @@
 
 
 class ChangeResult(Enum):
-    """How a change or read ended.
+    """The result of a change or read.
 
-    WON: the change took effect. LOST: it never took effect and never will. UNKNOWN: it may have taken effect,
-    or may yet do so.
+    Attributes:
+        WON: The change took effect, or the read returned a value.
+        LOST: The change did not take effect and never will, or the read failed.
+        UNKNOWN: The change may have taken effect, or may take effect later.
     """
 
     WON = "won"
@@ -50,9 +52,9 @@
 
 @dataclass(slots=True, frozen=True)
 class OperationOutcome:
-    """The end of one change or read.
+    """Report the outcome of a change or read.
 
-    version and value are those of the register at that time; version is -1 if nothing was learnt.
+    `version` and `value` are those of the register at that time; `version` is -1 if they are unknown.
     """
 
     token: int
@@ -66,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeRegister:
-    """Set a register to a value if it still has this version; the outcome is reported under the token."""
+    """Set a register to a value if it still has this version; an OperationOutcome with the token follows."""
 
     name: str
     version: int
@@ -76,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadRegister:
-    """Read a register from a majority of the voters; the outcome is reported under the token."""
+    """Read a register from a majority of the voters; an OperationOutcome with the token follows."""
 
     name: str
     token: int
--- a/cottonhold/fleet/consensus/messages.py
+++ b/cottonhold/fleet/consensus/messages.py
@@ -1,9 +1,11 @@
 """Codec of the messages between proposers and voters, and of states on disk. Pure.
 
-    kind 1 | name's length 1, name | the kind's fixed part | value's length 1, value | voters' epochs, 1 each
+Field sizes are in bytes; which fields a message has depends on its kind:
 
-Messages may arrive any number of times and in any order. Each names what it is about (register, ballot,
-folder), and the receiver compares that with what it waits for.
+    kind 1 | length 1, name | fixed fields of the kind | length 1, value | count 1, epochs of voters 1 each
+
+Messages may arrive any number of times and in any order. Each one identifies its subject (register, ballot or
+state folder), which the receiver compares with the operation that it has in progress.
 """
 
 from __future__ import annotations
@@ -17,7 +19,7 @@
 HELLO, HELLO_REPLY, PAGE_REQUEST, REGISTER_PAGE = range(71, 75)
 KINDS_WITH_STATE = (PROMISE, ACCEPT, CHOSEN)
 KINDS_WITH_EPOCHS = (PROMISE, ACCEPTED)
-MAX_BALLOT_NUMBER = 2**31  # leaves a higher number for the next ballot
+MAX_BALLOT_NUMBER = 2**31  # below the limit of 32 bits, so that the next ballot can have a higher number
 MAX_NAME_BYTES, MAX_VALUE_BYTES, MAX_VOTERS = 16, 120, 9
 BYTE_FORMAT = struct.Struct("!B")
 UINT64_FORMAT = struct.Struct("!Q")
@@ -30,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Ballot:
-    """A ballot of a register: a number, and a proposer id that is drawn anew at each start."""
+    """A ballot of a register: a number, and a proposer id that is drawn at each start of a member."""
 
     number: int = 0
     proposer_id: int = 0
@@ -41,9 +43,9 @@
 
 @dataclass(slots=True, frozen=True)
 class AcceptedState:
-    """What a voter has accepted: the ballot, the register's version and value, and the change that wrote it.
+    """The state that a voter has accepted: the ballot, the version and value, and the change that wrote it.
 
-    writer is the proposer id and that proposer's count of changes.
+    `writer` identifies the change by its proposer's id and the number of this proposer's changes.
     """
 
     ballot: Ballot = NO_BALLOT
@@ -56,8 +58,8 @@
 class RegisterMessage:
     """A message about one register.
 
-    epochs (in PROMISE and ACCEPTED): for each voter, how often the sender knows it to have recovered from an
-    empty folder.
+    In PROMISE and ACCEPTED, `epochs` holds for each voter how often it has recovered from an empty state
+    folder, as far as the sender has recorded it.
     """
 
     kind: int
@@ -69,10 +71,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveryRequest:
-    """A request of a voter with an empty folder: HELLO or PAGE_REQUEST.
-
-    folder_id: drawn when its folder was created. round: of its requests. epoch: how often it will have
-    recovered. page_index: the register that it requests next.
+    """A request of a voter with an empty state folder: HELLO or PAGE_REQUEST.
+
+    Attributes:
+        kind: HELLO or PAGE_REQUEST.
+        folder_id: Number that was drawn when the sender's state folder was created.
+        round: Number of the sender's round of requests.
+        epoch: Number of the sender's recoveries, including this one.
+        page_index: Index of the requested page, which holds one register.
     """
 
     kind: int
@@ -86,8 +92,13 @@
 class HelloReply:
     """A voter's answer to HELLO.
 
-    founding_folder_ids: the folders with which the fleet began, as far as the voter knows; 0 for an unknown
-    one.
+    Attributes:
+        folder_id: Number that was drawn when the sender's state folder was created.
+        round: Number of the round that is answered.
+        is_voting: Whether the sender votes.
+        epochs: Number of recoveries of each voter, as recorded by the sender.
+        founding_folder_ids: State folder of each voter when the fleet was new; 0 if the sender does not know
+            it.
     """
 
     folder_id: int
@@ -99,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RegisterPage:
-    """A voter's answer to PAGE_REQUEST: one of its registers, in the order of names."""
+    """A voter's answer to PAGE_REQUEST: one of its registers, which are paged in the order of names."""
 
     round: int
     epoch: int
@@ -124,13 +135,13 @@
 
 
 class MessageReader:
-    """Reads a message from the front. Its methods raise MessageError if it is truncated or invalid."""
+    """Reads the fields of a message one by one; the methods raise MessageError if it is malformed."""
 
     def __init__(self, data: bytes, position: int = 0) -> None:
         self.data, self.position = data, position
 
     def read_struct(self, struct_format: struct.Struct) -> tuple[int, ...]:
-        """Read a fixed part."""
+        """Read fields of a fixed format."""
         try:
             fields = struct_format.unpack_from(self.data, self.position)
         except struct.error:
@@ -139,7 +150,7 @@
         return fields
 
     def read_counted_bytes(self, max_bytes: int) -> bytes:
-        """Read bytes that follow their count."""
+        """Read a count of bytes and the bytes that follow it."""
         (size,) = self.read_struct(BYTE_FORMAT)
         content = self.data[self.position : self.position + size]
         if size > max_bytes or len(content) != size:
@@ -168,14 +179,14 @@
         return AcceptedState(Ballot(number, proposer_id), version, value, (writer_id, change_count))
 
     def read_folder_ids(self) -> tuple[int, ...]:
-        """Read folder ids that follow their count."""
+        """Read a count of state folder ids and the ids that follow it."""
         (count,) = self.read_struct(BYTE_FORMAT)
         if count > MAX_VOTERS:
             raise MessageError("voters")
         return tuple(self.read_struct(UINT64_FORMAT)[0] for _ in range(count))
 
     def expect_end(self) -> None:
-        """Check that nothing follows."""
+        """Check that all bytes have been read."""
         if self.position != len(self.data):
             raise MessageError("too long")
 
--- a/cottonhold/fleet/consensus/proposer.py
+++ b/cottonhold/fleet/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer of registers: runs the two phases of a change or read and announces what was chosen. Pure."""
+"""The proposer: runs the two phases of a change or read of a register, and announces chosen states. Pure."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 from cottonhold.fleet.consensus.settings import RegisterSettings
 
 MAX_ANNOUNCEMENT_DOUBLINGS = 6
-# A finished register is removed everywhere only when no change of it can be pending any more, on any clock.
+# Both as multiples of the operation timeout. A finished register is removed from the voters only after every
+# change of it has timed out, even with clocks that run at different rates.
 REMOVAL_DELAY_OPERATION_TIMEOUTS = 1.25
 GIVE_UP_REMOVAL_OPERATION_TIMEOUTS = 3
 
 
 @dataclass(slots=True)
 class PendingChange:
-    """A change in progress, or a read if `expected_version` is None."""
+    """A change that is queued or in progress, or a read if `expected_version` is None."""
 
     name: str
     expected_version: int | None
@@ -36,9 +37,9 @@
     writer: tuple[int, int]
     deadline: float
     ballot: Ballot = messages.NO_BALLOT
-    proposed_state: AcceptedState | None = None  # set in the accept phase
+    proposed_state: AcceptedState | None = None  # None in the prepare phase
     answers: dict[int, RegisterMessage] = field(default_factory=dict)
-    accept_sent: bool = False  # an ACCEPT with this change's value was sent
+    accept_sent: bool = False  # whether an ACCEPT with this change's value was sent
     refusal_count: int = 0
     next_send_at: float = -math.inf
     needs_new_ballot: bool = True
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class Announcement:
-    """A chosen state that is sent to all members several times; a finished one until all voters hold it."""
+    """The announcement of a chosen state to all members, and the removal of a finished register."""
 
     state: AcceptedState
     chosen_at: float
@@ -56,9 +57,14 @@
 
 
 class Proposer:
-    """One member's changes and reads.
+    """The changes and reads of registers by one member. Times are in ms of the local clock.
 
-    proposer_id is drawn for each start of the member, so no two starts use the same ballots.
+    Args:
+        member: The id of this member.
+        voters: The ids of all configured voters.
+        proposer_id: A number drawn at each start of the member, so that no two starts use the same ballots.
+        settings: Timeouts and limits of registers.
+        random_source: Source of the random part of backoff times.
     """
 
     def __init__(
@@ -79,13 +85,13 @@
         self.change_count = 0
         self.in_progress: dict[str, PendingChange] = {}
         self.queue: deque[PendingChange] = deque()
-        self.chosen_states: dict[str, AcceptedState] = {}  # the newest that this member learnt of
+        self.chosen_states: dict[str, AcceptedState] = {}  # the newest one received, by register
         self.announcements: dict[str, Announcement] = {}
         self.listeners: set[int] = set()
         self.actions: list[Action] = []
 
     def propose(self, now: float, name: str, expected_version: int | None, value: bytes, token: int) -> None:
-        """Begin a change, or a read if `expected_version` is None."""
+        """Queue a change, or a read if `expected_version` is None, and send what is due."""
         self.change_count += 1
         deadline = now + self.settings.operation_timeout_ms
         writer = self.proposer_id, self.change_count
@@ -104,13 +110,13 @@
         return min(times, default=math.inf)
 
     def step(self, now: float) -> None:
-        """End overdue operations, start queued ones and send what is due."""
+        """Time out overdue operations, start queued ones and send what is due."""
         for pending in [p for p in [*self.in_progress.values(), *self.queue] if now >= p.deadline]:
             result = ChangeResult.UNKNOWN if pending.accept_sent else ChangeResult.LOST
             self._finish_operation(now, pending, result, None)
         queued = self.queue
         self.queue = deque()
-        for pending in queued:  # one operation a register at a time, in the order of arrival
+        for pending in queued:  # one operation per register at a time, in order of arrival
             if pending.name in self.in_progress:
                 self.queue.append(pending)
             else:
@@ -123,7 +129,7 @@
                 self._announce(now, name, announcement)
 
     def on_message(self, now: float, sender: int, message: RegisterMessage) -> None:
-        """Apply a voter's answer, or a chosen state that another member announces."""
+        """Apply a voter's answer, or a chosen state that another member announced."""
         self.highest_ballot_number = max(
             self.highest_ballot_number, message.ballot.number, message.state.ballot.number
         )
@@ -139,7 +145,7 @@
         if announcement is not None and is_announced and message.kind == messages.ACCEPTED:
             announcement.accepted_by.add(sender)
         pending = self.in_progress.get(message.name)
-        # A late answer to an earlier ballot may be a promise that the voter no longer keeps.
+        # A late answer to an earlier ballot may be a promise that no longer holds.
         if pending is None or pending.needs_new_ballot or pending.ballot != message.ballot:
             return
         if message.kind == messages.REFUSED:
@@ -148,7 +154,7 @@
             self._on_answer(now, sender, message, pending)
 
     def _back_off(self, now: float, pending: PendingChange) -> None:
-        """Wait a random time before the next ballot, lest competing proposers block one another."""
+        """Wait a random time before the next ballot, so that competing proposers do not block each other."""
         pending.refusal_count += 1
         backoff_ms = self.settings.initial_backoff_ms * 2**pending.refusal_count
         backoff_ms = min(backoff_ms, self.settings.max_backoff_ms)
@@ -156,7 +162,7 @@
         pending.next_send_at = now + backoff_ms * (0.25 + 0.75 * self.random_source.random())
 
     def _on_answer(self, now: float, sender: int, message: RegisterMessage, pending: PendingChange) -> None:
-        """Count an answer of the current phase; a majority ends the phase."""
+        """Record an answer of the current phase, which ends with answers from a majority."""
         pending.answers[sender] = message
         current_answers = self._current_answers(pending.answers)
         if len(current_answers) < self.majority:
@@ -167,10 +173,9 @@
             self._on_majority_accepted(now, pending)
 
     def _current_answers(self, answers: Mapping[int, RegisterMessage]) -> dict[int, RegisterMessage]:
-        """Return the answers given under the newest recovery epoch that any answer reports of their voter.
+        """Return the answers that were given under the newest recovery epoch of their voter in any answer.
 
-        Without this, a voter that lost its folder after its answer would count for a promise that it no
-        longer knows.
+        Otherwise, an answer would be used after its voter has lost its state folder and with it the promise.
         """
         newest_epochs = [max(column) for column in zip(*(a.epochs for a in answers.values()), strict=True)]
         newest_epoch_of = dict(zip(self.voters, newest_epochs, strict=True))
@@ -181,9 +186,9 @@
         }
 
     def _send_phase(self, now: float, pending: PendingChange) -> None:
-        """Send the current phase's message to all voters, even to those that have answered it.
+        """Send the message of the current phase to all voters, including those that have answered.
 
-        An answer given under an old recovery epoch is replaced only by a new answer.
+        An answer that was given under an old recovery epoch can only be replaced by a new answer.
         """
         if pending.needs_new_ballot:
             self.highest_ballot_number += 1
@@ -200,11 +205,11 @@
         self.actions += [SendConsensusMessage(voter, payload) for voter in self.voters]
 
     def _on_majority_promised(self, now: float, pending: PendingChange, states: list[AcceptedState]) -> None:
-        """Propose the newest accepted state, with the change applied if the version is the expected one."""
+        """Propose the newest accepted state, with the change applied if it has the expected version."""
         newest = max(states, key=lambda state: state.ballot)
         version, value, writer = newest.version, newest.value, newest.writer
         if newest.ballot == messages.NO_BALLOT and pending.expected_version != 0:
-            # The register did not exist; writing that down would only fill the voters' memory.
+            # The register does not exist; a state for it would only use up the voters' capacity.
             result = ChangeResult.UNKNOWN if pending.accept_sent else ChangeResult.LOST
             if pending.expected_version is None:
                 result = ChangeResult.WON
@@ -218,7 +223,7 @@
         self._send_phase(now, pending)
 
     def _on_majority_accepted(self, now: float, pending: PendingChange) -> None:
-        """The proposed state is chosen: announce it and report whether it holds this change."""
+        """Announce the proposed state, which is now chosen, and report whether it contains this change."""
         state = pending.proposed_state
         assert state is not None
         self.announcements[pending.name] = Announcement(state, now, now, accepted_by=set(pending.answers))
@@ -226,7 +231,7 @@
         if pending.expected_version is None or state.writer == pending.writer:
             result = ChangeResult.WON
         elif not pending.accept_sent or state.version == pending.expected_version + 1:
-            # No voter was asked to accept it, or another's change holds the only version it could have had.
+            # No ACCEPT with this change was sent, or another change has the only version it could have had.
             result = ChangeResult.LOST
         else:
             result = ChangeResult.UNKNOWN
@@ -253,7 +258,7 @@
             self.actions.append(RegisterChanged(name, state.version, state.value))
 
     def _announce(self, now: float, name: str, announcement: Announcement) -> None:
-        """Send a chosen state to all members; remove the register everywhere if it is finished."""
+        """Send a chosen state to all members; if the register is finished, remove it from the voters."""
         announcement.sent_count += 1
         doublings = min(announcement.sent_count, MAX_ANNOUNCEMENT_DOUBLINGS)
         announcement.next_send_at = now + self.settings.retry_interval_ms * 2**doublings
@@ -270,11 +275,11 @@
             self._remove_finished(now, name, announcement)
 
     def _remove_finished(self, now: float, name: str, announcement: Announcement) -> None:
-        """Have all voters accept the finished state, then have all of them forget the register.
+        """Send the final state to all voters until they have accepted it, then a FORGET to all of them.
 
-        If only a majority forgot it, a voter that was away would bring its older value back. The delay lets
-        every pending change of the register time out first: a change that found the register missing, as it
-        was before the change, would be applied a second time.
+        If only a majority removed the register, a voter that was absent could restore an older value. The
+        delay lets every pending change of the register time out first: a change that expects the register not
+        to exist could otherwise be applied a second time after the removal.
         """
         ballot = announcement.state.ballot
         accept = messages.encode_message(RegisterMessage(messages.ACCEPT, name, ballot, announcement.state))
@@ -287,5 +292,5 @@
             forget = messages.encode_message(RegisterMessage(messages.FORGET, name, ballot))
             self.actions += [SendConsensusMessage(voter, forget) for voter in self.voters]
         if now > announcement.chosen_at + timeout_ms * GIVE_UP_REMOVAL_OPERATION_TIMEOUTS:
-            # Either it is removed, or a voter is away: a voter that still has it reads it again later.
+            # The register is removed, or a voter is absent: voters that still hold it read it again later.
             del self.announcements[name]
--- a/cottonhold/fleet/consensus/register.py
+++ b/cottonhold/fleet/consensus/register.py
@@ -1,19 +1,19 @@
-"""Registers: small values that the fleet agrees on, each changed by compare-and-set over a majority of the
-configured voters. Pure.
-
-CASPaxos ("CASPaxos: Replicated State Machines without logs", Rystsov): a change draws a *ballot*, has a
-majority promise it and report the state that they accepted last, applies the change to the newest of those,
-and has a majority accept the result. There is no leader and no log: any member proposes, and a register that
-is not in use costs nothing. A read is a change that changes nothing.
-
-A change that was interrupted by another's ballot may have been completed by that ballot's proposer. Each
-state therefore names the change that wrote it. A proposer that finds its own change is `WON`. One that finds
-another version than expected without having sent an ACCEPT, or finds another's change in the only version
-that its own could have had, is `LOST`. Otherwise the result is `UNKNOWN`.
-
-Messages may be lost, repeated and reordered: a message without an answer is sent again; an answer counts once
-for each voter, for the current ballot, and only under the newest recovery epoch that any answer reports of
-its voter (see voter_recovery.py).
+"""Registers: small replicated values that are changed by compare-and-set on a majority of the voters. Pure.
+
+The protocol is CASPaxos ("CASPaxos: Replicated State Machines without logs", Rystsov). The proposer of a
+change chooses a *ballot*, obtains promises for it from a majority together with their last accepted states,
+applies the change to the newest of these states, and has a majority accept the result. There is no leader and
+no log: any member may propose, and a register that is not in use causes no traffic. A read is a change that
+keeps the value.
+
+A change that was interrupted by another proposer's ballot may have been completed by that proposer. Therefore
+each state identifies the change that wrote it. The result of a change is `WON` if its proposer finds it in
+the chosen state. It is `LOST` if the version was not the expected one and no ACCEPT was sent, or if another
+change has the only version that this one could have had. Otherwise it is `UNKNOWN`.
+
+Messages may be lost, repeated and reordered. Unanswered messages are sent again. Only one answer per voter is
+used, for the current ballot, and only if it was given under the newest recovery epoch of its voter that any
+answer reports (see voter_recovery.py).
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 from cottonhold.fleet.message_format import MessageError
 
 UINT64_MASK = 2**64 - 1
-INTERNAL_READ_TOKEN = 0  # of reads that a voter begins by itself; their outcome is ignored
-# A finished register is read again only after it should have been removed.
+INTERNAL_READ_TOKEN = 0  # token of reads that a voter starts by itself, whose outcome is ignored
+# Delay, as a multiple of the operation timeout, until a finished register that was not removed is read again.
 FINISHED_READ_OPERATION_TIMEOUTS = 4
 
 
 class UnsettledState(NamedTuple):
-    """A state that this voter accepted, whether it is known to be chosen, and when it is read again."""
+    """A register at this voter that will be read again: the accepted ballot, whether chosen, and when."""
 
     ballot: Ballot
     is_chosen: bool
@@ -47,12 +47,24 @@
 
 
 class Registers:
-    """One member's side of all registers: a proposer, and a voter if the member is one of `voters`.
-
-    incarnation, boot_count and seed are those of this start; with `member` they make ballots that no other
-    start uses. The seed must be drawn anew, because an emptied folder counts boots from the beginning.
-    records: of the previous start, by name; empty if the folder is empty or known to be old.
-    Raises ValueError for an unusable number of voters.
+    """All registers at one member, which is a proposer, and also a voter if it is one of `voters`.
+
+    Times are in ms of the local clock.
+
+    Args:
+        member: The id of this member.
+        voters: The ids of all configured voters.
+        incarnation: The incarnation of this start; with `member`, `boot_count` and `seed` it makes ballots
+            unique to this start.
+        boot_count: The number of starts with this state folder.
+        seed: A random number, drawn at each start, because `boot_count` starts again if the folder is
+            emptied.
+        records: The records in the state folder, by name; empty if the folder is known to be out of date.
+        settings: Timeouts and limits; the defaults if None.
+
+    Raises:
+        ValueError: There are no voters or too many.
+        MessageError: The records cannot be decoded, or the number of voters has changed.
     """
 
     def __init__(
@@ -88,10 +100,17 @@
         self.counts = {"said": 0, "heard": 0, "malformed": 0}
 
     def change(self, now: float, name: str, expected_version: int, value: bytes, token: int) -> list[Action]:
-        """Set a register if its version is the expected one; 0 stands for a register that does not exist.
+        """Set a register if it has the expected version; an OperationOutcome follows.
+
+        Args:
+            now: The current time.
+            name: The name of the register.
+            expected_version: The version that is required; 0 for a register that does not exist.
+            value: The new value; an empty one finishes the register, which the voters then remove.
+            token: Identifies the OperationOutcome.
 
-        An empty value finishes the register, which all voters then forget. Ends in an OperationOutcome with
-        this token. Raises ValueError if the name or the value is too long.
+        Raises:
+            ValueError: The name is empty, or the name or value is too long.
         """
         if not name or len(name.encode()) > messages.MAX_NAME_BYTES or len(value) > messages.MAX_VALUE_BYTES:
             raise ValueError("name or value too long")
@@ -99,27 +118,27 @@
         return self._drain_actions(now)
 
     def read(self, now: float, name: str, token: int) -> list[Action]:
-        """Read a register from a majority.
+        """Read a register from a majority; an OperationOutcome with this token follows.
 
-        Ends in an OperationOutcome with this token: WON, or LOST if no majority answered.
+        Its result is WON, or LOST if no majority has answered in time.
         """
         self.proposer.propose(now, name, None, b"", token)
         return self._drain_actions(now)
 
     def on_message(self, now: float, sender: int, payload: bytes) -> list[Action]:
-        """Apply a message of a register (first byte 64 to 74); a malformed one is counted."""
+        """Apply a message about registers (first byte 64 to 74); a malformed one is only counted."""
         self.counts["heard"] += 1
         self._dispatch(now, sender, payload)
         return self._drain_actions(now)
 
     def on_persisted(self, now: float, token: int) -> list[Action]:
-        """The record with this token is on disk."""
+        """Record that the write with this token is on disk."""
         if self.acceptor is not None:
             self.acceptor.on_persisted(token)
         return self._drain_actions(now)
 
     def step(self, now: float) -> list[Action]:
-        """Do what is due; call at `next_at` at the latest, and once at the start."""
+        """Return the actions that are due; called at `next_at` at the latest, and once after the start."""
         self.proposer.step(now)
         if self.acceptor is not None:
             self.acceptor.step(now)
@@ -135,7 +154,7 @@
         return min(times)
 
     def set_listeners(self, live_members: Iterable[int]) -> None:
-        """Set the members that learn of chosen states besides the voters."""
+        """Set the members to which chosen states are announced in addition to the voters."""
         self.proposer.listeners = set(live_members) - {self.member}
 
     def is_voting(self) -> bool:
@@ -143,9 +162,9 @@
         return self.acceptor is not None and self.acceptor.is_voting
 
     def last_known(self, name: str) -> tuple[int, bytes]:
-        """Return the newest chosen version and value that this member learnt of, or (0, b"").
+        """Return the newest chosen version and value that this member has received, or (0, b"").
 
-        It may be out of date: a change checks the version.
+        They may be out of date; a change checks the version.
         """
         state = self.proposer.chosen_states.get(name, AcceptedState())
         return state.version, state.value
@@ -167,7 +186,7 @@
             self.counts["malformed"] += 1
 
     def _drain_actions(self, now: float) -> list[Action]:
-        """Deliver messages to this member itself until there are none; return the other actions."""
+        """Deliver messages from this member to itself until there are none; return the other actions."""
         external: list[Action] = []
         while True:
             actions, self.proposer.actions = self.proposer.actions, []
@@ -187,10 +206,10 @@
         return external
 
     def _read_unsettled(self, now: float) -> None:
-        """Read each register that this voter accepted without learning that it was chosen.
+        """Read each register whose accepted state is not known to be chosen.
 
-        The proposer may have failed, and a read completes its change. A finished register is read until it
-        is removed.
+        Its proposer may have failed, and a read completes the change. A finished register is read until it is
+        removed.
         """
         assert self.acceptor is not None
         registers = self.acceptor.registers
@@ -220,7 +239,7 @@
         return delay_ms * (0.75 + 0.5 * self.random_source.random())
 
     def _forget_finished(self) -> None:
-        """Limit the number of known registers by forgetting the oldest finished ones."""
+        """Limit the number of known registers by removing the oldest finished ones."""
         chosen_states = self.proposer.chosen_states
         finished = [name for name, state in chosen_states.items() if not state.value]
         for name in finished[: max(len(chosen_states) - self.settings.max_registers, 0)]:
@@ -228,5 +247,5 @@
 
 
 def _digest(identity: bytes) -> int:
-    """Return 64 bits that identify a start or a folder."""
+    """Return a 64-bit hash that identifies a start or a state folder."""
     return int.from_bytes(hashlib.blake2b(identity, digest_size=8).digest(), "big")
--- a/cottonhold/fleet/consensus/register_cache.py
+++ b/cottonhold/fleet/consensus/register_cache.py
@@ -1,8 +1,8 @@
-"""What this instance knows of registers: their values, how current these are, and pending operations. Pure.
+"""A cache of registers at one instance: their values, how current these are, and pending operations. Pure.
 
-A value is *confirmed* for a while from the moment at which the read or change that returned it was requested.
-An instance that acts only on confirmed values has stopped before another, which waits that long after it took
-over, begins.
+A value is *confirmed* for a limited time after the request of the read or change that returned it. If an
+instance acts only on confirmed values, and its successor first waits for longer than this time after taking
+over, the two never act at the same time.
 """
 
 from __future__ import annotations
@@ -13,16 +13,24 @@
 
 from cottonhold.fleet.consensus.actions import ChangeRegister, ReadRegister
 
-READ_TIMEOUT_MS = 1000.0  # shorter than that of a change, because a read may safely be repeated
+READ_TIMEOUT_MS = 1000.0  # shorter than the timeout of a change, because a read may be repeated safely
 UNKNOWN_VERSION = -1
 
 
 @dataclass(slots=True)
 class CachedRegister:
-    """One register as this instance knows it. Times are of the own clock.
-
-    first_seen_at: when this value was first received. outcome_unknown: the result of the last operation is
-    not known, so the register is read before the next change.
+    """One register as cached at this instance. Times are in ms of the local clock.
+
+    Attributes:
+        version: Version of the value; UNKNOWN_VERSION until one has been received.
+        value: The value.
+        first_seen_at: When this value was first received.
+        confirmed_at: Latest time at which this is known to have been the register's value.
+        version_received_at: When this version was first received.
+        pending_token: Token of the pending operation, or 0.
+        requested_at: When the last operation was requested.
+        change_pending: Whether the pending operation is a change.
+        outcome_unknown: Whether the last operation's result is unknown, so that a read must precede a change.
     """
 
     version: int = UNKNOWN_VERSION
@@ -37,9 +45,11 @@
 
 
 class RegisterCache:
-    """All registers that one part of this instance uses.
+    """The registers that one component of this instance uses.
 
-    operation_timeout_ms: a change that takes longer counts as lost.
+    Args:
+        random_source: Source of the random part of tokens.
+        operation_timeout_ms: Time after which a pending change is given up, in ms.
     """
 
     def __init__(self, random_source: random.Random, operation_timeout_ms: float) -> None:
@@ -49,7 +59,7 @@
         self.last_token = random_source.getrandbits(30) << 20
 
     def register(self, name: str) -> CachedRegister:
-        """Return a register, whether or not anything is known of it."""
+        """Return a register, which is added if it is not cached yet."""
         return self.registers.setdefault(name, CachedRegister())
 
     def received(self, name: str) -> CachedRegister | None:
@@ -58,7 +68,7 @@
         return register if register is not None and register.version >= 0 else None
 
     def can_send(self, now: float, name: str) -> bool:
-        """Whether no operation of this instance on the register is pending."""
+        """Whether no operation on the register is pending, or the pending one has timed out."""
         register = self.register(name)
         timeout_ms = self.operation_timeout_ms
         if not register.change_pending:
@@ -66,7 +76,7 @@
         return not register.pending_token or now - register.requested_at > timeout_ms
 
     def read(self, now: float, name: str, min_interval_ms: float = 0.0) -> list[ReadRegister]:
-        """Read the register, unless an operation is pending or one was requested within the interval."""
+        """Read the register unless an operation is pending or was requested within the interval."""
         register = self.register(name)
         if not self.can_send(now, name):
             return []
@@ -77,8 +87,8 @@
     def change(self, now: float, name: str, value: bytes) -> list[ChangeRegister | ReadRegister]:
         """Set the register unless a change is pending; read it first if the last outcome is unknown.
 
-        A pending read does not delay a change: reads are frequent, and where answers take longer than the
-        time between two reads the change would never be sent.
+        A pending read does not delay a change: if answers take longer than the interval between reads, the
+        change would never be sent.
         """
         register = self.register(name)
         if register.change_pending and not self.can_send(now, name):
@@ -90,9 +100,17 @@
         return [ChangeRegister(name, register.version, value, token)]
 
     def on_outcome(self, now: float, token: int, won: bool | None, version: int, value: bytes) -> str:
-        """Apply the end of an operation; return the register's name, or "" for an operation of others.
+        """Apply the outcome of an operation.
+
+        Args:
+            now: The current time.
+            token: The token of the operation.
+            won: Whether it took effect; None if unknown.
+            version: The version of the register; negative if unknown.
+            value: The value of the register.
 
-        won is None if the outcome is unknown.
+        Returns:
+            The register's name, or "" if the operation is not one of this cache.
         """
         name = self.names_by_token.pop(token, "")
         if not name:
@@ -110,21 +128,21 @@
         return name
 
     def on_hint(self, now: float, name: str, version: int, value: bytes) -> None:
-        """Apply a version that another member announced, which confirms nothing."""
+        """Apply a version that another member announced, without confirming it."""
         self._update(now, self.register(name), version, value, -math.inf)
 
     def is_confirmed(self, now: float, name: str, max_age_ms: float) -> bool:
-        """Whether the known value was the register's at some moment within `max_age_ms`."""
+        """Whether the cached value was the register's value at some time within the last `max_age_ms`."""
         register = self.registers.get(name)
         return register is not None and now - register.confirmed_at <= max_age_ms
 
     def _update(
         self, now: float, register: CachedRegister, version: int, value: bytes, requested_at: float
     ) -> None:
-        """Take over a version, unless the answer was overtaken by a newer one.
+        """Store a version, unless a newer one was received after the request.
 
-        Only a register that was finished and forgotten counts its versions from the beginning, and then its
-        answer was requested after the newer version was received.
+        A lower version is valid only if the register was finished and removed, so that its versions start
+        again. Then it was requested after the higher version was received.
         """
         if version < register.version and requested_at < register.version_received_at:
             return
--- a/cottonhold/fleet/consensus/settings.py
+++ b/cottonhold/fleet/consensus/settings.py
@@ -9,11 +9,17 @@
 class RegisterSettings:
     """Timeouts and limits of registers.
 
-    retry_interval_ms: messages without an answer are sent again after this time. initial_backoff_ms: after a
-    refusal a proposer waits a random part of it, doubled at each refusal up to max_backoff_ms.
-    operation_timeout_ms: a change or read that takes longer ends with an unknown outcome. settle_delay_ms: a
-    voter that accepted a state and did not learn that it was chosen reads the register after this time.
-    max_announcements: how often a chosen state is sent to all members.
+    Attributes:
+        retry_interval_ms: Interval at which unanswered messages are sent again, in ms.
+        initial_backoff_ms: Base of a proposer's backoff after a refusal, in ms; it is doubled at each
+            refusal, and the proposer waits a random part of it.
+        max_backoff_ms: Upper limit of the backoff, in ms.
+        operation_timeout_ms: Time after which a change or read ends without a result from the voters, in ms.
+        settle_delay_ms: Time after which a voter reads a register whose accepted state it does not know to be
+            chosen, in ms.
+        max_registers: Maximum number of registers that a voter holds.
+        max_pending_operations: Maximum number of changes and reads in progress or queued at a proposer.
+        max_announcements: Number of times that a chosen state is sent to all members.
     """
 
     retry_interval_ms: float = 80.0
--- a/cottonhold/fleet/consensus/voter_recovery.py
+++ b/cottonhold/fleet/consensus/voter_recovery.py
@@ -1,24 +1,27 @@
-"""How a voter with an empty folder regains its memory of registers, and with it its vote. Pure.
-
-A voter that has forgotten must not vote: what it and one of two others accepted would be unknown to the next
-majority. It recovers in these steps. Each request is sent again until it is answered, and each answer is on
-disk before it is sent.
-
-1. It asks how often the other voters know it to have recovered (its epoch), and takes the next number.
-2. Each of the others records that number and from then on reports it in each promise and acceptance. In the
-   same moment it copies its registers for the recovering voter.
-3. With copies of more than half of *the others* it holds the newest accepted state of each register, and
-   refuses all ballots up to the highest promised.
-
-This is enough because a ballot's quorum that contains the recovering voter contains at least half of the
-others, so one of them also gave a copy. If that one promised (or accepted) first, the copy shows it. If it
-gave the copy first, its answer reports the new epoch to the proposer, and the forgotten answer, given under
-the lower epoch, is not counted.
-
-A new fleet has only empty folders. It is new only if *all* voters say in two consecutive rounds, under the
-same folder ids, that they have never voted: then all of them had empty folders at one moment, and nothing
-was accepted that could be lost. A voter whose folder id was there at that founding has missed nothing since
-and votes at once.
+"""Recovery of a voter whose state folder is empty, until it may vote again. Pure.
+
+A voter that has lost its promises and accepted states must not vote. With three voters, for example, a state
+accepted by it and one other voter could be missed by the next majority. It recovers in these steps. Each
+request is sent again until it is answered, and what an answer depends on is on disk before the answer is
+sent.
+
+1. The recovering voter requests from each other voter how often it has recovered before (its epoch), and uses
+   the next number as its new epoch.
+2. Each other voter records the new epoch and reports it in all later promises and acceptances. At the same
+   time it makes a copy of its registers for the recovering voter.
+3. With the copies of more than half of *the other voters*, the recovering voter holds the newest accepted
+state
+   of each register, and refuses all ballots below the highest promised one.
+
+This is sufficient because a ballot's quorum that includes the recovering voter includes at least half of the
+other voters, so at least one of them also sent a copy. If this one answered the ballot before it made the
+copy, the copy contains its promise or accepted state. If it made the copy first, its answer reports the new
+epoch to the proposer, which then ignores the lost answer that was given under a lower epoch.
+
+In a new fleet all state folders are empty. A fleet is regarded as new only if *all* voters report in two
+consecutive rounds, with the same folder ids, that they have never voted. Then all folders were empty at the
+same time, so no accepted state can be lost. These are the founding folders: a voter that still has its
+founding folder has lost nothing and may vote immediately.
 """
 
 from __future__ import annotations
@@ -36,7 +39,7 @@
 
 @dataclass(slots=True)
 class RegisterCopy:
-    """Another voter's registers, as far as their pages have arrived, by page index."""
+    """The received pages of another voter's registers, by page index."""
 
     pages: dict[int, RegisterPage] = field(default_factory=dict)
 
@@ -52,37 +55,43 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveredMemory:
-    """With which the voter may vote again: copies of a quorum of the others, and all voters' epochs."""
+    """The result of a recovery: the copies of a quorum of the other voters, and the epochs of all voters."""
 
     copies: list[RegisterCopy]
     epochs: list[int]
 
 
 class VoterRecovery:
-    """The recovering side: requests, and the answers to them."""
+    """The requests of a recovering voter and the received answers.
+
+    Args:
+        member: The id of this member.
+        voters: The ids of all configured voters.
+        folder_id: The number that identifies its state folder.
+    """
 
     def __init__(self, member: int, voters: Sequence[int], folder_id: int) -> None:
         self.member = member
         self.voters = tuple(voters)
         self.index = self.voters.index(member)
         self.other_voters = [voter for voter in self.voters if voter != member]
-        self.quorum = len(self.other_voters) // 2 + 1  # more than half of the others
+        self.quorum = len(self.other_voters) // 2 + 1  # more than half of the other voters
         self.folder_id = folder_id
         self.round = folder_id & 0x7FFFFFFF
-        self.epoch = 0  # the epoch under which it recovers
+        self.epoch = 0  # the epoch of this recovery
         self.hello_replies: dict[int, HelloReply] = {}
-        self.previous_new_folders: dict[int, int] = {}  # voters that had never voted, in the round before
+        self.previous_new_folders: dict[int, int] = {}  # previous round: folders of voters not voting
         self.copies: dict[int, RegisterCopy] = {}
         self.pages_at_last_request = 0
         self.messages: list[SendConsensusMessage] = []
 
     def take_messages(self) -> list[SendConsensusMessage]:
-        """Return the messages to be sent, once."""
+        """Return the pending messages and clear them."""
         messages, self.messages = self.messages, []
         return messages
 
     def next_round(self) -> list[int] | None:
-        """Send the requests that are due; return the founding folder ids if the fleet is found to be new."""
+        """Send the requests that are due; return the founding folder ids if the fleet is new, else None."""
         new_folders = {
             voter: reply.folder_id for voter, reply in self.hello_replies.items() if not reply.is_voting
         }
@@ -99,7 +108,7 @@
         return None
 
     def on_hello_reply(self, sender: int, reply: HelloReply) -> list[int] | None:
-        """Apply an answer to HELLO; return the founding folder ids if this voter's folder is among them."""
+        """Apply an answer to HELLO; return the founding folder ids if they include this voter's folder."""
         self.hello_replies[sender] = reply
         if not reply.is_voting:
             return None
@@ -114,7 +123,7 @@
         return None
 
     def on_register_page(self, sender: int, page: RegisterPage) -> RecoveredMemory | None:
-        """Apply a page of another voter's registers; return the whole once a quorum's copies are complete."""
+        """Apply a page of another voter's registers; return the result once a quorum sent complete copies."""
         if page.round != self.round or page.epoch != self.epoch:
             return None
         copy = self.copies.setdefault(sender, RegisterCopy())
@@ -126,7 +135,10 @@
         return self._recovered_memory()
 
     def _recovered_memory(self) -> RecoveredMemory | None:
-        """Two voters may recover at once: the copy of one that has itself forgotten since is not counted."""
+        """Return the result if a quorum's copies are complete and valid.
+
+        A copy is invalid if its voter has since lost its own state folder, as reported by a newer epoch.
+        """
         complete = {voter: copy for voter, copy in self.copies.items() if copy.is_complete()}
         reported_epochs = {voter: copy.pages[0].epochs for voter, copy in complete.items()}
         newest_epochs = [max(column) for column in zip(*reported_epochs.values(), strict=True)]
@@ -138,7 +150,7 @@
         return RecoveredMemory(valid, newest_epochs) if len(valid) >= self.quorum else None
 
     def _begin_round(self) -> None:
-        """Send HELLO to all others; answers to earlier rounds no longer count."""
+        """Send HELLO to all other voters; answers to earlier rounds are ignored from now on."""
         self.pages_at_last_request = 0
         self.round = (self.round + 1) & MAX_ROUND
         self.hello_replies = {}
@@ -148,7 +160,7 @@
         self.messages += [SendConsensusMessage(voter, payload) for voter in self.other_voters]
 
     def _request_missing_pages(self, received_pages: int) -> None:
-        """Copies still arrive: request only the pages that were lost."""
+        """Request only the missing pages, since pages have arrived after the last request."""
         self.pages_at_last_request = received_pages
         for voter, copy in self.copies.items():
             missing_page = copy.first_missing_page()
