--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -127,7 +127,7 @@
             now: The current time.
             live: The incarnation of each live member, by member id.
         """
-        self.min_incarnations = {m: life & U32 for m, life in live.items() if m != self.member}
+        self.min_incarnations = {m: incarnation & U32 for m, incarnation in live.items() if m != self.member}
         self.last_live_at.update(dict.fromkeys(self.min_incarnations, now))
 
     def set_listed_engines(self, engines: Mapping[str, Machine]) -> None:
@@ -246,10 +246,10 @@
             for e, d in reported.items()
         }
         drivers = {chain[engine].driver for engine in reported} - {self.member, 0}
-        is_report_due = (
+        should_report = (
             now - self.last_report_at >= self.settings.report_interval_ms or rows != self.last_rows
         )
-        if rows and is_report_due:
+        if rows and should_report:
             self.last_report_at, self.last_rows = now, rows
             self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
             data = encode_report(DrainReport(self.member, self.incarnation, self.version, rows))
@@ -278,8 +278,10 @@
 
     def _update_absence(self, now: float, engine: str, drained: DrainedEngine) -> None:
         rows = [self._row(now, member, engine, drained.serial) for member in self.min_incarnations]
-        away = self._seems_absent(engine, drained) + sum(row is not None and row.is_absent for row in rows)
-        if 2 * away <= 1 + len(self.min_incarnations):
+        absent_count = self._seems_absent(engine, drained) + sum(
+            row is not None and row.is_absent for row in rows
+        )
+        if 2 * absent_count <= 1 + len(self.min_incarnations):
             drained.absent_since, drained.is_absent = None, False
         elif drained.absent_since is None:
             drained.absent_since = now
@@ -309,11 +311,11 @@
 
     def check_pause(self, now: float) -> bool:
         """Return whether this instance was paused since the last call, and close the gate if so."""
-        late = now - self.last_step_at >= self.settings.pause_threshold_ms
+        was_paused = now - self.last_step_at >= self.settings.pause_threshold_ms
         self.last_step_at = now
-        if late:
+        if was_paused:
             self.started_at, self.last_majority_at, self.is_open = now, now, False
-        return late
+        return was_paused
 
     def step(self, now: float, all_read: bool, has_majority: bool) -> bool:
         """Return whether loads may be sent.
@@ -325,11 +327,11 @@
         """
         if has_majority:
             self.last_majority_at = now
-        late = (
+        has_timed_out = (
             now - self.last_majority_at >= self.settings.no_majority_timeout_ms
             or now - self.started_at >= self.settings.startup_timeout_ms
         )
-        self.is_open = self.is_open or all_read or late
+        self.is_open = self.is_open or all_read or has_timed_out
         return self.is_open
 
 
@@ -366,9 +368,9 @@
 
         Called once it is known which engines are drained, or once the instance must serve without knowing it.
         """
-        over = sorted(self.from_previous_start.difference(drained))
+        ended = sorted(self.from_previous_start.difference(drained))
         self.from_previous_start.clear()
-        return over
+        return ended
 
 
 def is_new_process(record: plan.MachineRecord | None) -> bool:
--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -225,17 +225,17 @@
 
     def _read_registers(self, now: float) -> list[Action]:
         """Read the registers that are due and update the view from their values."""
-        s, actions = self.settings, list[Action]()
-        interval_ms = s.read_interval_ms * (0.8 + 0.4 * self.random_source.random())
+        settings, actions = self.settings, list[Action]()
+        interval_ms = settings.read_interval_ms * (0.8 + 0.4 * self.random_source.random())
         actions += self.registers.read(now, PLAN_REGISTER, interval_ms)
-        cell = self.registers.received(PLAN_REGISTER)
+        cached = self.registers.received(PLAN_REGISTER)
         try:
-            self.view.plan = plan_codec.decode_plan(cell.value if cell else b"")
+            self.view.plan = plan_codec.decode_plan(cached.value if cached else b"")
             chain = self._walk_chain(now, actions, interval_ms)
         except MessageError:
             self.malformed_count += 1
             chain, self.view.is_complete = {}, False
-        self.view.is_complete = self.view.is_complete and cell is not None
+        self.view.is_complete = self.view.is_complete and cached is not None
         self.view.records = chain
         for name, record in chain.items():
             progress = self.driver.progress.setdefault(name, LocalProgress())
@@ -256,8 +256,8 @@
         self.view.is_complete = False
         while name and name not in chain:
             key = register_name(name)
-            cell = self.registers.received(key)
-            record = plan_codec.decode_record(cell.value) if cell else None
+            cached = self.registers.received(key)
+            record = plan_codec.decode_record(cached.value) if cached else None
             # A record of an earlier replacement would link to an earlier chain.
             if (
                 record is None
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -270,10 +270,10 @@
 
         It has read its epoch from the record recently, and the previous driver has stopped acting.
         """
-        s = self.settings
+        settings = self.settings
         return (
-            self.registers.is_confirmed(now, register_name(name), s.max_read_age_ms)
-            and now - progress.won_at > s.max_read_age_ms * 1.1
+            self.registers.is_confirmed(now, register_name(name), settings.max_read_age_ms)
+            and now - progress.won_at > settings.max_read_age_ms * 1.1
         )
 
     def _with_next_driver(
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -246,26 +246,30 @@
         raise PlanError("says not who asks")
     replaced, replacements = set[str](), set[str]()
     for item in request.items:
-        new = item.replacement or item.machine
-        _check_item(item, new, machines)
+        replacement = item.replacement or item.machine
+        _check_item(item, replacement, machines)
         if item.machine in replaced:
             raise PlanError(f"'{item.machine}' is named twice")
-        if new in replacements or new != item.machine and new in {i.machine for i in request.items}:
-            raise PlanError(f"'{new}' would replace two machines, or is to be replaced itself")
+        if (
+            replacement in replacements
+            or replacement != item.machine
+            and replacement in {i.machine for i in request.items}
+        ):
+            raise PlanError(f"'{replacement}' would replace two machines, or is to be replaced itself")
         replaced.add(item.machine)
-        replacements.add(new)
+        replacements.add(replacement)
 
 
-def _check_item(item: MachineRequest, new: str, machines: Mapping[str, Machine]) -> None:
+def _check_item(item: MachineRequest, replacement: str, machines: Mapping[str, Machine]) -> None:
     name = item.machine
     if name not in machines:
         raise PlanError(f"'{name}' is no machine that is there")
-    if max(len(name.encode()), len(new.encode())) > MAX_NAME_BYTES:
-        raise PlanError(f"'{name}' or '{new}' is longer than {MAX_NAME_BYTES} bytes")
-    if new in machines and machines[new].is_engine != machines[name].is_engine:
-        raise PlanError(f"'{new}' is no machine of the kind of '{name}'")
-    if machines[name].is_engine and new != name and new in machines:
-        raise PlanError(f"'{name}': '{new}' is an engine that is in use already")
+    if max(len(name.encode()), len(replacement.encode())) > MAX_NAME_BYTES:
+        raise PlanError(f"'{name}' or '{replacement}' is longer than {MAX_NAME_BYTES} bytes")
+    if replacement in machines and machines[replacement].is_engine != machines[name].is_engine:
+        raise PlanError(f"'{replacement}' is no machine of the kind of '{name}'")
+    if machines[name].is_engine and replacement != name and replacement in machines:
+        raise PlanError(f"'{name}': '{replacement}' is an engine that is in use already")
     if not 0 <= item.cores <= U16 / 10:
         raise PlanError(f"'{name}': {item.cores} cores")
 
@@ -273,7 +277,7 @@
 def select_new_items(
     request: ReplacementRequest, records: Mapping[str, MachineRecord]
 ) -> tuple[MachineRequest, ...]:
-    """Return the items of a request that were not requested before.
+    """Return the items of a request that were not requested earlier.
 
     Raises:
         PlanError: The request contradicts an earlier one; the text names who made that one.
@@ -283,23 +287,27 @@
         {r.replacement: name for name, r in records.items() if not r.is_over},
     )
     for item in request.items:
-        new, before = item.replacement or item.machine, records.get(item.machine)
-        if before is not None and before.is_over:
+        replacement, earlier = item.replacement or item.machine, records.get(item.machine)
+        if earlier is not None and earlier.is_over:
             raise PlanError(
-                f"'{item.machine}' is {before.step.name.lower()} in a swap that still runs: ask when it ends"
+                f"'{item.machine}' is {earlier.step.name.lower()} in a swap that still runs: ask when it ends"
             )
-        if before is not None and (
-            before.replacement != new or item.cores and to_tenths(item.cores) != before.requested_cores_tenths
+        if earlier is not None and (
+            earlier.replacement != replacement
+            or item.cores
+            and to_tenths(item.cores) != earlier.requested_cores_tenths
         ):
-            cores = before.requested_cores_tenths / 10
+            cores = earlier.requested_cores_tenths / 10
+            raise PlanError(
+                f"'{item.machine}' is already asked to become '{earlier.replacement}' with {cores:g} cores "
+                f"by {earlier.requested_by}"
+            )
+        if earlier is None and replacement in requested_replacements:
+            other = requested_replacements[replacement]
             raise PlanError(
-                f"'{item.machine}' is already asked to become '{before.replacement}' with {cores:g} cores "
-                f"by {before.requested_by}"
+                f"'{replacement}' already replaces '{other}', asked by {records[other].requested_by}"
             )
-        if before is None and new in requested_replacements:
-            other = requested_replacements[new]
-            raise PlanError(f"'{new}' already replaces '{other}', asked by {records[other].requested_by}")
-        if before is None:
+        if earlier is None:
             new_items.append(item)
     return tuple(new_items)
 
@@ -313,7 +321,7 @@
 ) -> dict[str, MachineRecord]:
     """Return the records of a request, linked in front of the existing chain."""
     names, records = [item.machine for item in items], {}
-    for item, after in zip(items, [*names[1:], plan.first_machine], strict=True):
+    for item, next_machine in zip(items, [*names[1:], plan.first_machine], strict=True):
         machine = machines[item.machine]
         flags = (
             MachineFlag.ENGINE * machine.is_engine
@@ -329,7 +337,7 @@
             requested_cores_tenths=to_tenths(item.cores or machine.cores),
             incarnation=machine.incarnation & 0xFFFFFFFF,
             replacement=item.replacement or item.machine,
-            next_machine=after,
+            next_machine=next_machine,
             requested_by=truncate_utf8(request.requested_by, MAX_REQUESTER_BYTES),
         )
     return records
--- a/cottonhold/fleet/rolling_replacement/plan_submission.py
+++ b/cottonhold/fleet/rolling_replacement/plan_submission.py
@@ -122,8 +122,8 @@
             self.records = build_records(self.request, self.items, machines, plan, zones)
         actions, unwritten = list[Action](), 0
         for machine, record in self.records.items():
-            value, cell = encode_record(record), registers.received(register_name(machine))
-            if cell is None or cell.value != value:
+            value, cached = encode_record(record), registers.received(register_name(machine))
+            if cached is None or cached.value != value:
                 unwritten += 1
                 actions += registers.change(now, register_name(machine), value)
         if not unwritten:
--- a/cottonhold/fleet/rolling_replacement/request_parsing.py
+++ b/cottonhold/fleet/rolling_replacement/request_parsing.py
@@ -35,16 +35,16 @@
         raise PlanError(f"a row needs either a name or a zone: {row!r}")
     if unknown := sorted(set(row) - {"name", "zone", "new", "cores", "empty"}):
         raise PlanError(f"{row!r}: there is no field '{unknown[0]}'")
-    cores, new = row.get("cores", 0.0), row.get("new") or ""
+    cores, replacement = row.get("cores", 0.0), row.get("new") or ""
     if not isinstance(cores, int | float) or isinstance(cores, bool):
         raise PlanError(f"cores of '{row.get('name', row.get('zone'))}' is no number: {cores!r}")
-    if not isinstance(new, str):
-        raise PlanError(f"new of '{row.get('name', row.get('zone'))}' is no name: {new!r}")
+    if not isinstance(replacement, str):
+        raise PlanError(f"new of '{row.get('name', row.get('zone'))}' is no name: {replacement!r}")
     if "name" in row:
-        return [MachineRequest(row["name"], new, float(cores), bool(row.get("empty")))]
+        return [MachineRequest(row["name"], replacement, float(cores), bool(row.get("empty")))]
     zone, zones = row["zone"], sorted({m.zone for m in machines.values() if m.is_engine})
-    if new:
-        raise PlanError(f"zone '{zone}': its engines can't all become '{new}'; name each of them")
+    if replacement:
+        raise PlanError(f"zone '{zone}': its engines can't all become '{replacement}'; name each of them")
     if zone not in zones:
         raise PlanError(f"no engine is in a zone '{zone}'; there are: {', '.join(zones) or 'none'}")
     names = sorted(m.name for m in machines.values() if m.is_engine and m.zone == zone)
--- a/cottonhold/fleet/rolling_replacement/schedule.py
+++ b/cottonhold/fleet/rolling_replacement/schedule.py
@@ -109,11 +109,11 @@
     def _best_by_rules(
         self, waiting: Sequence[ReplacementJob], active: Sequence[ReplacementJob]
     ) -> tuple[Schedule, list[ReplacementJob]]:
-        work, busy_zones = dict[int, float](), {job.zone for job in active}
+        zone_durations, busy_zones = dict[int, float](), {job.zone for job in active}
         for job in waiting:
-            work[job.zone] = work.get(job.zone, 0.0) + job.duration_ms
+            zone_durations[job.zone] = zone_durations.get(job.zone, 0.0) + job.duration_ms
         rules: list[Callable[[ReplacementJob], tuple[float, ...]]] = [
-            lambda job: (job.zone not in busy_zones, -work[job.zone], job.zone, -job.duration_ms),
+            lambda job: (job.zone not in busy_zones, -zone_durations[job.zone], job.zone, -job.duration_ms),
             lambda job: (job.zone not in busy_zones, job.zone, not job.is_voter, -job.duration_ms),
             lambda job: (-job.duration_ms,),
             lambda job: (job.zone not in busy_zones, not job.is_voter, -job.duration_ms, -job.cores),
@@ -154,14 +154,14 @@
 
 def _neighbouring_orders(order: Sequence[ReplacementJob]) -> list[list[ReplacementJob]]:
     """Return the orders in which two machines are swapped or one is moved."""
-    orders, n = [], len(order)
-    for i in range(n):
-        for j in range(i + 1, n):
+    orders, count = [], len(order)
+    for i in range(count):
+        for j in range(i + 1, count):
             changed = list(order)
             changed[i], changed[j] = changed[j], changed[i]
             orders.append(changed)
-    for i in range(n):
-        for j in range(n):
+    for i in range(count):
+        for j in range(count):
             if abs(i - j) > 1:
                 changed = list(order)
                 changed.insert(j, changed.pop(i))
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -113,10 +113,10 @@
         if not waiting or now < self.next_announcement_at or lease.durable_version < lease.record_version:
             return
         self.next_announcement_at = now + self.settings.retry_interval_ms
-        uninformed_homes = self._uninformed_homes()
+        unacknowledged_homes = self._uninformed_homes()
         notice = messages.encode_notice(messages.ANNOUNCED, False, self.member, lease.epoch)
         for member in waiting:
-            if member not in uninformed_homes:
+            if member not in unacknowledged_homes:
                 self._send(member, notice)
 
     def _uninformed_homes(self) -> set[int]:
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -110,8 +110,8 @@
 
     def valid_until(self) -> float:
         """Return until when this member may start requests for its keys; a past time if it may not."""
-        bid = self.leases.claims.get(self.member)
-        return bid.expires_at if bid is not None and self.member in self.members else -math.inf
+        claim = self.leases.claims.get(self.member)
+        return claim.expires_at if claim is not None and self.member in self.members else -math.inf
 
     def fences_in_force(self, now: float) -> bool:
         """Whether the fences of all members removed up to this epoch are in force."""
--- a/cottonhold/fleet/session_affinity/membership_table.py
+++ b/cottonhold/fleet/session_affinity/membership_table.py
@@ -232,8 +232,8 @@
             self.needed_change = NeededChange(change, now)
         self.blocked_reason = self._find_blocked_reason(view, change)
         stagger_ms = self._proposer_position(view, change.member) * self.settings.proposer_stagger_ms
-        is_own_turn = now - self.needed_change.needed_since >= stagger_ms
-        if self.blocked_reason or not is_own_turn:
+        may_propose = now - self.needed_change.needed_since >= stagger_ms
+        if self.blocked_reason or not may_propose:
             return list(self.registers.read(now, TABLE_REGISTER, self.settings.pending_read_interval_ms))
         if not self.registers.is_confirmed(now, TABLE_REGISTER, self.settings.max_read_age_ms):
             return list(self.registers.read(now, TABLE_REGISTER))
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -178,8 +178,8 @@
         if not open_requests:
             self.open_requests.pop(key, None)
         record = self.records.get(key)
-        is_own_home = self.home(key) == self.member and self.settings.is_enabled
-        if not outcome_known and record is None and is_own_home:
+        is_home = self.home(key) == self.member and self.settings.is_enabled
+        if not outcome_known and record is None and is_home:
             epoch = self._next_epoch(0)
             record = OwnershipRecord(epoch, self.member, OwnershipState.OWNED, home_informed=True)
             self.records[key] = record
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/record_book.py
@@ -311,8 +311,8 @@
 
     def _uncertain_until(self, now: float, key: bytes) -> float:
         """Return the time until which a fenced former home's request for an unrecorded key may still run."""
-        own_score = home_score(self.member, key)
-        fenced_at = [at for m, at in self.lease.fenced_at.items() if home_score(m, key) >= own_score]
+        local_score = home_score(self.member, key)
+        fenced_at = [at for m, at in self.lease.fenced_at.items() if home_score(m, key) >= local_score]
         return max(fenced_at, default=-math.inf) + self.settings.uncertainty_ms
 
     def _schedule(self, now: float, key: bytes, record: OwnershipRecord) -> None:
