--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -81,15 +81,15 @@
 class LocalProgress:
     """What this instance has observed of a machine's replacement since its start, besides the record."""
 
-    won_epoch: int = -1
+    won_epoch: int = -1  # epoch under which this instance is the driver
     won_at: float = 0.0
-    claimed_epoch: int = -1
+    claimed_epoch: int = -1  # epoch of its last attempt to become the driver
     undriven_since: float | None = None
     moving_since: float | None = None
     step: ReplacementStep | None = None
     step_seen_at: float = 0.0
     last_move_at: float = -1e12
-    ready_epoch: int = -1
+    ready_epoch: int = -1  # epoch for which operators were notified
     reasons: list[str] = field(default_factory=list)
 
 
@@ -158,8 +158,8 @@
         self.view, self.registers, self.settings = view, registers, settings
         self.start_conditions = StartConditions(settings.voters, settings.default_duration_ms, capacity_check)
         self.progress: dict[str, LocalProgress] = {}
-        self.keys_by_target: dict[str, int] = {}  # keys moved to each target
-        self.abort_deadlines: dict[str, float] = {}  # by machine
+        self.keys_by_target: dict[str, int] = {}  # number of keys moved to each target
+        self.abort_deadlines: dict[str, float] = {}  # by machine: when a requested abort is given up
 
     def step(self, now: float, name: str, record: MachineRecord) -> list[Action]:
         """Return the actions that abort, drive or take over a machine's replacement."""
