--- a/cottonhold/emulator/rolling_replacement_defects.py
+++ b/cottonhold/emulator/rolling_replacement_defects.py
@@ -91,7 +91,7 @@
         "goes out and leaves",
         (
             Patch(StartConditions, "_limits", _limits_without_quorum),
-            Patch(MachineDriver, "_keeps_quorum", _always),
+            Patch(MachineDriver, "_leaves_quorum", _always),
         ),
     ),
     "start while a zone is out": Defect(
@@ -111,6 +111,6 @@
         (Patch(step_decision.STEPS, ReplacementStep.DRAINING, _drain_with_old_key_count),),
     ),
     "nobody takes over": Defect(
-        "driver dies: out", "not at its end", (Patch(MachineDriver, "_is_undriven", _never),)
+        "driver dies: out", "not at its end", (Patch(MachineDriver, "_needs_new_driver", _never),)
     ),
 }
--- a/cottonhold/fleet/consensus/acceptor.py
+++ b/cottonhold/fleet/consensus/acceptor.py
@@ -22,7 +22,7 @@
     RegisterMessage,
     RegisterPage,
 )
-from cottonhold.fleet.consensus.voter_recovery import RecoveredMemory, VoterRecovery
+from cottonhold.fleet.consensus.voter_recovery import RecoveryResult, VoterRecovery
 from cottonhold.fleet.message_format import MessageError
 
 VOTER_RECORD, REGISTER_RECORD_PREFIX = "voter", "reg/"  # names of records
@@ -110,7 +110,7 @@
         """The number drawn when this voter's folder was created."""
         return self.recovery.folder_id
 
-    def take_actions(self) -> list[SendConsensusMessage | PersistState]:
+    def drain_actions(self) -> list[SendConsensusMessage | PersistState]:
         """Return the pending actions and clear them."""
         actions, self.actions = self.actions, []
         return actions
@@ -333,7 +333,7 @@
 
     def _after_recovery_step(self, founding_folder_ids: list[int] | None) -> None:
         """Send the recovery's requests; start to vote if this state folder is one of the founding folders."""
-        self.actions += self.recovery.take_messages()
+        self.actions += self.recovery.drain_messages()
         if founding_folder_ids is not None:
             self.founding_folder_ids = founding_folder_ids
             self._start_voting()
@@ -342,11 +342,11 @@
         if self.is_voting or self.voting_token is not None or len(page.epochs) != len(self.voters):
             return
         recovered = self.recovery.on_register_page(sender, page)
-        self.actions += self.recovery.take_messages()
+        self.actions += self.recovery.drain_messages()
         if recovered is not None:
             self._adopt(recovered)
 
-    def _adopt(self, recovered: RecoveredMemory) -> None:
+    def _adopt(self, recovered: RecoveryResult) -> None:
         """Adopt the highest promise and the newest state of each register from the copies."""
         self.registers = {}
         for page in (page for copy in recovered.copies for page in copy.pages.values()):
--- a/cottonhold/fleet/consensus/register.py
+++ b/cottonhold/fleet/consensus/register.py
@@ -191,7 +191,7 @@
         while True:
             actions, self.proposer.actions = self.proposer.actions, []
             if self.acceptor is not None:
-                actions += self.acceptor.take_actions()
+                actions += self.acceptor.drain_actions()
             if not actions:
                 break
             for action in actions:
--- a/cottonhold/fleet/consensus/voter_recovery.py
+++ b/cottonhold/fleet/consensus/voter_recovery.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RecoveredMemory:
+class RecoveryResult:
     """The result of a recovery: the copies of a quorum of the other voters, and the epochs of all voters."""
 
     copies: list[RegisterCopy]
@@ -85,7 +85,7 @@
         self.pages_at_last_request = 0
         self.messages: list[SendConsensusMessage] = []
 
-    def take_messages(self) -> list[SendConsensusMessage]:
+    def drain_messages(self) -> list[SendConsensusMessage]:
         """Return the pending messages and clear them."""
         messages, self.messages = self.messages, []
         return messages
@@ -122,7 +122,7 @@
                     self._request_page(voter, 0)
         return None
 
-    def on_register_page(self, sender: int, page: RegisterPage) -> RecoveredMemory | None:
+    def on_register_page(self, sender: int, page: RegisterPage) -> RecoveryResult | None:
         """Apply a page of another voter's registers; return the result once a quorum sent complete copies."""
         if page.round != self.round or page.epoch != self.epoch:
             return None
@@ -132,9 +132,9 @@
         if missing_pages:
             self._request_page(sender, missing_pages[0])
             return None
-        return self._recovered_memory()
+        return self._recovery_result()
 
-    def _recovered_memory(self) -> RecoveredMemory | None:
+    def _recovery_result(self) -> RecoveryResult | None:
         """Return the result if a quorum's copies are complete and valid.
 
         A copy is invalid if its voter has since lost its own state folder, as reported by a newer epoch.
@@ -147,7 +147,7 @@
             index = self.voters.index(voter)
             if reported_epochs[voter][index] >= newest_epochs[index]:
                 valid.append(copy)
-        return RecoveredMemory(valid, newest_epochs) if len(valid) >= self.quorum else None
+        return RecoveryResult(valid, newest_epochs) if len(valid) >= self.quorum else None
 
     def _begin_round(self) -> None:
         """Send HELLO to all other voters; answers to earlier rounds are ignored from now on."""
--- a/cottonhold/fleet/engine_drain.py
+++ b/cottonhold/fleet/engine_drain.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from cottonhold.fleet.engine_drain_messages import (
-    U32,
+    MAX_UINT32,
     DrainedEngineRow,
     DrainReport,
     decode_report,
@@ -110,7 +110,7 @@
     def __init__(
         self, member: int, incarnation: int, now: float, settings: DrainSettings, expected: Iterable[int] = ()
     ) -> None:
-        self.member, self.incarnation, self.settings = member, incarnation & U32, settings
+        self.member, self.incarnation, self.settings = member, incarnation & MAX_UINT32, settings
         self.reports = LatestReports[DrainReport](member)
         self.min_incarnations: dict[int, int] = {}
         self.last_live_at = dict.fromkeys(set(expected) - {member}, now)  # by member
@@ -127,7 +127,9 @@
             now: The current time.
             live: The incarnation of each live member, by member id.
         """
-        self.min_incarnations = {m: incarnation & U32 for m, incarnation in live.items() if m != self.member}
+        self.min_incarnations = {
+            m: incarnation & MAX_UINT32 for m, incarnation in live.items() if m != self.member
+        }
         self.last_live_at.update(dict.fromkeys(self.min_incarnations, now))
 
     def set_listed_engines(self, engines: Mapping[str, Machine]) -> None:
@@ -242,7 +244,9 @@
                 actions.append(CheckLiveness(engine))
             self._update_absence(now, engine, drained)
         rows = {
-            engine_number(e): DrainedEngineRow(d.serial & U32, d.open_requests, self._seems_absent(e, d))
+            engine_number(e): DrainedEngineRow(
+                d.serial & MAX_UINT32, d.open_requests, self._seems_absent(e, d)
+            )
             for e, d in reported.items()
         }
         drivers = {chain[engine].driver for engine in reported} - {self.member, 0}
@@ -271,7 +275,7 @@
         ):
             return None
         row = received.report.rows.get(engine_number(engine))
-        return row if row is not None and row.serial == serial & U32 else None
+        return row if row is not None and row.serial == serial & MAX_UINT32 else None
 
     def _seems_absent(self, engine: str, drained: DrainedEngine) -> bool:
         return engine not in self.listed or drained.failed_checks >= 2
--- a/cottonhold/fleet/engine_drain_messages.py
+++ b/cottonhold/fleet/engine_drain_messages.py
@@ -21,14 +21,14 @@
 HEAD_FORMAT = struct.Struct("!BQIIB")
 ROW_FORMAT = struct.Struct("!IIHB")
 MAX_ROWS = (MAX_MESSAGE_BYTES - HEAD_FORMAT.size) // ROW_FORMAT.size
-U16 = 0xFFFF
-U32 = 0xFFFFFFFF
+MAX_UINT16 = 0xFFFF
+MAX_UINT32 = 0xFFFFFFFF
 
 
 class RowFlag(IntFlag):
     """Flags of a row."""
 
-    AWAY = 1  # the engine is not listed, or does not answer liveness checks
+    ABSENT = 1  # the engine is not listed, or does not answer liveness checks
 
 
 @dataclass(slots=True, frozen=True)
@@ -66,7 +66,9 @@
     rows = list(report.rows.items())[:MAX_ROWS]
     head = HEAD_FORMAT.pack(DRAIN_REPORT, report.member, report.incarnation, report.version, len(rows))
     return head + b"".join(
-        ROW_FORMAT.pack(number, r.serial, min(r.open_requests, U16), int(RowFlag.AWAY) if r.is_absent else 0)
+        ROW_FORMAT.pack(
+            number, r.serial, min(r.open_requests, MAX_UINT16), int(RowFlag.ABSENT) if r.is_absent else 0
+        )
         for number, r in rows
     )
 
@@ -86,7 +88,7 @@
         raise MessageError("drains")
     rows = {}
     for number, serial, open_requests, flags in ROW_FORMAT.iter_unpack(data[HEAD_FORMAT.size :]):
-        if flags > int(RowFlag.AWAY):
+        if flags > int(RowFlag.ABSENT):
             raise MessageError("flags")
-        rows[number] = DrainedEngineRow(serial, open_requests, bool(flags & RowFlag.AWAY))
+        rows[number] = DrainedEngineRow(serial, open_requests, bool(flags & RowFlag.ABSENT))
     return DrainReport(member, incarnation, version, rows)
--- a/cottonhold/fleet/rolling_replacement/machine_driver.py
+++ b/cottonhold/fleet/rolling_replacement/machine_driver.py
@@ -54,7 +54,7 @@
         startup_grace_ms: Time after its start until an instance takes over its own replacement again, in ms;
             also the time until it undoes a submission that no live instance continues.
         stalled_step_ms: Time without a change of an active step until another instance takes over, in ms.
-        calm_period_ms: Time without trouble before a machine may be taken out, in ms.
+        stable_period_ms: Time without trouble before a machine may be taken out, in ms.
         operation_timeout_ms: Time after which a pending change of a register is given up, in ms.
         submission_timeout_ms: Maximum time of a request's submission, and of setting the abort flag, in ms.
         default_duration_ms: Assumed duration of a replacement until one has been completed, in ms.
@@ -70,7 +70,7 @@
     takeover_stagger_ms: float = 250.0
     startup_grace_ms: float = 1000.0
     stalled_step_ms: float = 30_000.0
-    calm_period_ms: float = 1000.0
+    stable_period_ms: float = 1000.0
     operation_timeout_ms: float = 6000.0
     submission_timeout_ms: float = 20_000.0
     default_duration_ms: float = 20_000.0
@@ -84,7 +84,7 @@
     won_epoch: int = -1  # epoch under which this instance is the driver
     won_at: float = 0.0
     claimed_epoch: int = -1  # epoch of its last attempt to become the driver
-    undriven_since: float | None = None
+    driver_needed_since: float | None = None
     moving_since: float | None = None
     step: ReplacementStep | None = None
     step_seen_at: float = 0.0
@@ -165,7 +165,7 @@
         """Return the actions that abort, drive or take over a machine's replacement."""
         progress, cached = self.progress[name], self.registers.register(register_name(name))
         if record.is_over:
-            progress.undriven_since, progress.reasons = None, record_reasons(record)
+            progress.driver_needed_since, progress.reasons = None, record_reasons(record)
             self.abort_deadlines.pop(name, None)
             return []
         if self.abort_deadlines.get(name, 0.0) > now and not record.has_flag(MachineFlag.ABORTING):
@@ -176,7 +176,7 @@
         ):
             progress.won_epoch, progress.won_at = record.epoch, now
         if record.driver == self.view.local_id and record.epoch == progress.won_epoch:
-            progress.undriven_since = None
+            progress.driver_needed_since = None
             return self._drive(now, name, record, progress, cached)
         progress.reasons = [*record_reasons(record), "driven by another"]
         return self._take_over(now, name, record, progress, cached)
@@ -184,14 +184,14 @@
     def _take_over(
         self, now: float, name: str, record: MachineRecord, progress: LocalProgress, cached: CachedRegister
     ) -> list[Action]:
-        if not self._is_undriven(now, name, record, cached):
-            progress.undriven_since = None
+        if not self._needs_new_driver(now, name, record, cached):
+            progress.driver_needed_since = None
             return []
-        if progress.undriven_since is None:
-            progress.undriven_since = now
+        if progress.driver_needed_since is None:
+            progress.driver_needed_since = now
         # If the record names this instance, its previous incarnation was the driver: no other takes over.
         rank = 0 if record.driver == self.view.local_id else self._takeover_position(name, record)
-        if rank is None or now - progress.undriven_since < rank * self.settings.takeover_stagger_ms:
+        if rank is None or now - progress.driver_needed_since < rank * self.settings.takeover_stagger_ms:
             return []
         progress.claimed_epoch = record.epoch + 1
         step = ReplacementStep.AGREED if record.step is ReplacementStep.ASKED else record.step
@@ -199,7 +199,7 @@
             now, name, replace(record, step=step, driver=self.view.local_id, epoch=record.epoch + 1)
         )
 
-    def _is_undriven(self, now: float, name: str, record: MachineRecord, cached: CachedRegister) -> bool:
+    def _needs_new_driver(self, now: float, name: str, record: MachineRecord, cached: CachedRegister) -> bool:
         """Whether a new driver is needed: the current one is absent, stalled, or must not drive this step."""
         if record.driver == self.view.local_id:
             return record.step <= ReplacementStep.DRAINING or name != self.view.local_machine
@@ -300,13 +300,13 @@
             absent_ms=0.0 if is_present else now - self.view.last_seen_at.get(name, self.view.started_at),
             replacement_absent_ms=now - self.view.last_seen_at.get(record.replacement, self.view.started_at),
             traffic_share=self.view.traffic_shares.get(record.replacement),
-            keeps_quorum=not record.has_flag(MachineFlag.VOTER) or self._keeps_quorum(),
+            leaves_quorum=not record.has_flag(MachineFlag.VOTER) or self._leaves_quorum(),
             target=self._move_target(name),
             last_move_age_ms=now - progress.last_move_at,
             running_ms=now - progress.moving_since if progress.moving_since is not None else 0.0,
         )
 
-    def _keeps_quorum(self) -> bool:
+    def _leaves_quorum(self) -> bool:
         return available_voters(self.view.plan, self.view.records, self.view.machines) >= majority(
             self.settings.voters
         )
@@ -337,7 +337,7 @@
             if k != "sheds" or step is not ReplacementStep.DRAINING
         }
         reasons = [*self.view.zone_troubles.values(), *trouble.values()]
-        if not reasons and now - self.view.last_trouble_at < self.settings.calm_period_ms:
+        if not reasons and now - self.view.last_trouble_at < self.settings.stable_period_ms:
             reasons = ["all is calm only since a moment"]
         return reasons
 
--- a/cottonhold/fleet/rolling_replacement/plan.py
+++ b/cottonhold/fleet/rolling_replacement/plan.py
@@ -28,7 +28,7 @@
 MAX_KEY_BYTES = 11  # length of a machine's part in the name of its register
 MAX_MACHINES = 256
 PLAN_REGISTER = "swap"
-U16 = 0xFFFF
+MAX_UINT16 = 0xFFFF
 
 
 @lru_cache(1024)
@@ -78,7 +78,7 @@
     SMALLER = 2  # the replacement arrived with fewer cores than requested
     OPERATOR = 3  # an operator aborted the replacement
     TIMED_OUT = 4  # moving or draining took too long
-    LEFT_AGAIN = 5  # the replacement disappeared while ramping up
+    REPLACEMENT_LEFT = 5  # the replacement disappeared while ramping up
 
 
 class PlanState(IntEnum):
@@ -227,7 +227,7 @@
 
 def to_tenths(cores: float) -> int:
     """Return a number of cores in tenths, as stored in registers."""
-    return min(max(round(cores * 10), 0), U16)
+    return min(max(round(cores * 10), 0), MAX_UINT16)
 
 
 def check_request(request: ReplacementRequest, machines: Mapping[str, Machine]) -> None:
@@ -270,7 +270,7 @@
         raise PlanError(f"'{replacement}' is no machine of the kind of '{name}'")
     if machines[name].is_engine and replacement != name and replacement in machines:
         raise PlanError(f"'{name}': '{replacement}' is an engine that is in use already")
-    if not 0 <= item.cores <= U16 / 10:
+    if not 0 <= item.cores <= MAX_UINT16 / 10:
         raise PlanError(f"'{name}': {item.cores} cores")
 
 
--- a/cottonhold/fleet/rolling_replacement/schedule.py
+++ b/cottonhold/fleet/rolling_replacement/schedule.py
@@ -127,13 +127,15 @@
         spans = [(0.0, job.duration_ms, job) for job in active]
         starts = dict[str, float]()
         for job in order:
-            start = self._earliest(job, spans)
+            start = self._earliest_start(job, spans)
             starts[job.name] = start
             if start < math.inf:
                 spans.append((start, start + job.duration_ms, job))
         return Schedule(starts, max((end for _, end, _ in spans), default=0.0))
 
-    def _earliest(self, job: ReplacementJob, spans: Sequence[tuple[float, float, ReplacementJob]]) -> float:
+    def _earliest_start(
+        self, job: ReplacementJob, spans: Sequence[tuple[float, float, ReplacementJob]]
+    ) -> float:
         for start in sorted({0.0, *(end for _, end, _ in spans)}):
             end = start + job.duration_ms
             # The set of machines that are out grows only when another one starts.
--- a/cottonhold/fleet/rolling_replacement/start_conditions.py
+++ b/cottonhold/fleet/rolling_replacement/start_conditions.py
@@ -132,7 +132,7 @@
             )
             duration_ms = (
                 STUCK_DURATION_MS
-                if r.reason in (StepReason.NOT_ARRIVED, StepReason.LEFT_AGAIN)
+                if r.reason in (StepReason.NOT_ARRIVED, StepReason.REPLACEMENT_LEFT)
                 else duration_ms
             )
             jobs[name] = ReplacementJob(
--- a/cottonhold/fleet/rolling_replacement/step_decision.py
+++ b/cottonhold/fleet/rolling_replacement/step_decision.py
@@ -118,7 +118,7 @@
         absent_ms: Time since the old machine was last seen, in ms.
         replacement_absent_ms: Time since the replacement was last seen, in ms.
         traffic_share: Fraction of its normal traffic that the replacement receives; None if not reported.
-        keeps_quorum: Whether a majority of voters stays up without the machine.
+        leaves_quorum: Whether a majority of voters stays up without the machine.
         target: Name of the dispatcher to which its keys are moved; empty if there is none.
         last_move_age_ms: Time since keys were last moved, in ms.
         running_ms: Time since the start of MOVING, in ms.
@@ -132,7 +132,7 @@
     absent_ms: float = 0.0
     replacement_absent_ms: float = 0.0
     traffic_share: float | None = None
-    keeps_quorum: bool = True
+    leaves_quorum: bool = True
     target: str = ""
     last_move_age_ms: float = float("inf")
     running_ms: float = 0.0
@@ -165,7 +165,7 @@
     if record.has_flag(MachineFlag.ENGINE) or view.remaining_keys == 0:
         return (
             StepDecision(replace(record, step=ReplacementStep.DRAINING))
-            if view.keeps_quorum
+            if view.leaves_quorum
             else StepDecision(reasons=[QUORUM_REASON])
         )
     return _move_keys(name, record, view, settings)
@@ -189,7 +189,7 @@
 ) -> StepDecision:
     if view.step_age_ms > settings.step_timeout_ms:
         return StepDecision(replace(record, step=ReplacementStep.FAILED, reason=StepReason.TIMED_OUT))
-    if not view.keeps_quorum and view.step_age_ms > settings.quorum_wait_ms:
+    if not view.leaves_quorum and view.step_age_ms > settings.quorum_wait_ms:
         # The machine accepts clients again, because it cannot be taken out until another voter is up.
         return StepDecision(replace(record, step=ReplacementStep.MOVING), reasons=[QUORUM_REASON])
     if view.blocked_reasons:
@@ -202,7 +202,7 @@
         return StepDecision(reasons=["its open requests are not counted yet"])
     if view.open_requests and not is_absent:
         return StepDecision(reasons=[f"{view.open_requests} requests open"])
-    if not view.keeps_quorum:
+    if not view.leaves_quorum:
         return StepDecision(reasons=[QUORUM_REASON])
     old = view.machines.get(name)
     incarnation = old.incarnation & 0xFFFFFFFF if old is not None else record.incarnation
@@ -295,7 +295,9 @@
         if view.replacement_absent_ms < settings.absence_timeout_ms:
             return StepDecision(reasons=[f"'{record.replacement}' is not seen"])
         return StepDecision(
-            replace(record, step=ReplacementStep.OUT, arrived_cores_tenths=0, reason=StepReason.LEFT_AGAIN)
+            replace(
+                record, step=ReplacementStep.OUT, arrived_cores_tenths=0, reason=StepReason.REPLACEMENT_LEFT
+            )
         )
     if record.has_flag(MachineFlag.VOTER) and not arrived.is_voting:
         return StepDecision(reasons=[f"'{arrived.name}' has an empty memory: it may not vote yet"])
--- a/cottonhold/fleet/session_affinity/announcements.py
+++ b/cottonhold/fleet/session_affinity/announcements.py
@@ -14,7 +14,7 @@
     MigrationEntry,
 )
 from cottonhold.fleet.session_affinity.migration import Migration
-from cottonhold.fleet.session_affinity.record_book import (
+from cottonhold.fleet.session_affinity.ownership_records import (
     NO_MEMBER,
     Action,
     Candidate,
@@ -48,7 +48,7 @@
         for key, record in list(self.records.items()):
             home_changed = previous_homes.get(key) != self.home(key)
             if home_changed or removed in (record.peer, record.owner):
-                self._announce_again(now, key, record, removed)
+                self._reannounce(now, key, record, removed)
         self._cancel_queued_moves()
         self.candidates.clear()
         self.next_announcement_at = now
@@ -77,7 +77,7 @@
             if offer.target in self.lease.members and is_member
         }
 
-    def _announce_again(self, now: float, key: bytes, record: OwnershipRecord, removed: int) -> None:
+    def _reannounce(self, now: float, key: bytes, record: OwnershipRecord, removed: int) -> None:
         """Announce a key to its new home, and end a pending move from or to a removed member."""
         if removed and record.peer == removed:
             if record.state in (OwnershipState.OFFERED, OwnershipState.FENCED):
@@ -113,13 +113,13 @@
         if not waiting or now < self.next_announcement_at or lease.durable_version < lease.record_version:
             return
         self.next_announcement_at = now + self.settings.retry_interval_ms
-        unacknowledged_homes = self._uninformed_homes()
+        unacknowledged_homes = self._unacknowledged_homes()
         notice = messages.encode_notice(messages.ANNOUNCED, False, self.member, lease.epoch)
         for member in waiting:
             if member not in unacknowledged_homes:
                 self._send(member, notice)
 
-    def _uninformed_homes(self) -> set[int]:
+    def _unacknowledged_homes(self) -> set[int]:
         """Return the homes that have not acknowledged the announcement of one of their keys."""
         unfinished = [(key, self.records[key]) for key in self.unfinished_keys]
         return {
--- a/cottonhold/fleet/session_affinity/membership_lease.py
+++ b/cottonhold/fleet/session_affinity/membership_lease.py
@@ -63,8 +63,8 @@
         now: The current time.
         first_term: The first term in which this member requests its lease.
         records: The records in this member's state folder, by name.
-        has_full_memory: Whether the state folder is the one that this member last used. If it is empty or out
-            of date, the member owns, grants and promises nothing until it is admitted again.
+        folder_is_current: Whether the state folder is the one that this member last used. If it is empty or
+            out of date, the member owns, grants and promises nothing until it is admitted again.
         settings: Times of leases.
         epoch: The epoch of the table; used with `members`.
         fenced: The recently removed members; used with `members`.
@@ -78,7 +78,7 @@
         now: float,
         first_term: int,
         records: Mapping[str, bytes],
-        has_full_memory: bool,
+        folder_is_current: bool,
         settings: LeaseSettings,
         epoch: int = 0,
         fenced: Iterable[int] = (),
@@ -87,18 +87,18 @@
         self.majority = len(self.voters) // 2 + 1
         self.epoch = epoch
         self.members = set(members)
-        if not has_full_memory:
+        if not folder_is_current:
             self.members.discard(member)
         # The epoch for which all other members have announced their keys to this home.
-        self.complete_epoch = 0 if has_full_memory else NEVER_COMPLETE
+        self.complete_epoch = 0 if folder_is_current else NEVER_COMPLETE
         self.forgotten_epoch = 0  # highest epoch of an ownership record that was purged
         # As a voter: for each refused member, the least epoch of a table with which it may get a lease.
         self.refused_epochs: dict[int, int] = {}
-        self.is_barred = not has_full_memory  # grants and promises nothing until it is admitted
+        self.is_barred = not folder_is_current  # grants and promises nothing until it is admitted
         # A member without a usable state folder does not know whether recent fences are in force already.
         self.fences: dict[int, Fence] = {m: Fence() for m in fenced if m != member and m not in self.members}
         self.fenced_at: dict[int, float] = dict.fromkeys(self.fences, now)
-        if has_full_memory and TABLE_RECORD in records:
+        if folder_is_current and TABLE_RECORD in records:
             self._load(now, records[TABLE_RECORD])
         self.leases = LeaseManager(member, self.voters, settings, now, first_term)
         self.record_version = 0
--- a/cottonhold/fleet/session_affinity/migration.py
+++ b/cottonhold/fleet/session_affinity/migration.py
@@ -5,18 +5,18 @@
 import math
 
 from cottonhold.fleet.session_affinity.messages import MAY_HAVE_RUN, EntryKind, MigrationEntry
-from cottonhold.fleet.session_affinity.record_book import (
+from cottonhold.fleet.session_affinity.ownership_records import (
     DeferredMigrationAnswer,
     MoveAllowance,
     MoveEnded,
     OwnershipRecord,
+    OwnershipRecords,
     OwnershipState,
-    RecordBook,
     WithdrawnOffer,
 )
 
 
-class Migration(RecordBook):
+class Migration(OwnershipRecords):
     """The exchange between an owner and the target of a move."""
 
     def _offer_queued(self, now: float) -> None:
@@ -83,19 +83,19 @@
             return
         if not self.open_requests.get(key):
             # RELEASED implies FENCED, so a single write is sufficient.
-            self._on_stopped(now, record)
+            self._record_stop(now, record)
             record.state = OwnershipState.RELEASED
             record.owner = record.peer
             record.epoch = record.offered_epoch
             record.release_confirmed = False
             record.home_informed = record.home_informed or self.home(key) == self.member
             self._persist(key, record)
-        elif record.state is OwnershipState.OFFERED and self._fence_is_due(now, record):
-            self._on_stopped(now, record)
+        elif record.state is OwnershipState.OFFERED and self._has_fence_delay_passed(now, record):
+            self._record_stop(now, record)
             record.state = OwnershipState.FENCED
             self._persist(key, record)
 
-    def _fence_is_due(self, now: float, record: OwnershipRecord) -> bool:
+    def _has_fence_delay_passed(self, now: float, record: OwnershipRecord) -> bool:
         return now >= record.offered_at + self.settings.fence_delay_ms
 
     def _cancel_move(self, now: float, key: bytes, record: OwnershipRecord) -> None:
@@ -147,7 +147,7 @@
         if record.peer == sender and record.epoch == entry.epoch and not record.pending_token:
             record.release_confirmed = True
             record.home_informed = True
-            self._on_target_started(now, record)
+            self._record_target_start(now, record)
             self._end_move(entry.key, record, True)
 
     def _on_withdraw_ack(self, now: float, sender: int, entry: MigrationEntry) -> None:
--- a/cottonhold/fleet/session_affinity/ownership.py
+++ b/cottonhold/fleet/session_affinity/ownership.py
@@ -35,7 +35,7 @@
 from cottonhold.fleet.session_affinity import messages
 from cottonhold.fleet.session_affinity.announcements import Announcements
 from cottonhold.fleet.session_affinity.messages import TENTATIVE, EntryKind, MigrationEntry
-from cottonhold.fleet.session_affinity.record_book import (
+from cottonhold.fleet.session_affinity.ownership_records import (
     NO_MEMBER,
     Action,
     MoveEnded,
@@ -72,8 +72,8 @@
         seed: A random number, drawn at each start.
         records: The records in this member's state folder, by name.
         settings: Limits and times; the defaults if None.
-        has_full_memory: Whether the state folder is the one that this member last used. If it is empty or out
-            of date, the member owns nothing until it has been fenced and admitted again.
+        folder_is_current: Whether the state folder is the one that this member last used. If it is empty or
+            out of date, the member owns nothing until it has been fenced and admitted again.
         epoch: The epoch of the table; used with `members`.
         fenced: The recently removed members; used with `members`.
     """
--- a/cottonhold/fleet/session_affinity/record_book.py
+++ b/cottonhold/fleet/session_affinity/ownership_records.py
@@ -25,7 +25,7 @@
 RELEASE_CONFIRMED_FORMAT = struct.Struct("!B")
 PURGE_BATCH = 1000  # least number of unneeded records that are removed together
 NO_MEMBER = 0
-HANDOVER_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0)  # upper bounds of histogram buckets
+HANDOVER_BUCKETS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0)  # upper bounds of histogram buckets
 
 
 @dataclass(slots=True, frozen=True)
@@ -188,7 +188,7 @@
     return fixed + RELEASE_CONFIRMED_FORMAT.pack(record.release_confirmed)
 
 
-class RecordBook:
+class OwnershipRecords:
     """One member's ownership records, and the writes and messages that result from them.
 
     The arguments are documented at KeyOwnership.
@@ -203,7 +203,7 @@
         seed: int,
         records: Mapping[str, bytes],
         settings: OwnershipSettings | None = None,
-        has_full_memory: bool = True,
+        folder_is_current: bool = True,
         epoch: int = 0,
         fenced: Iterable[int] = (),
     ) -> None:
@@ -217,7 +217,7 @@
             now,
             self.random_source.getrandbits(30),
             records,
-            has_full_memory,
+            folder_is_current,
             self.settings.lease,
             epoch,
             fenced,
@@ -229,13 +229,13 @@
         self.highest_epoch = 0
         self.started_at = now
         self.purge_at = PURGE_BATCH
-        self._start_output()
-        self._start_moves()
-        self._start_announcements()
-        if has_full_memory:
+        self._initialize_output()
+        self._initialize_moves()
+        self._initialize_announcements()
+        if folder_is_current:
             self._load(now, records)
 
-    def _start_output(self) -> None:
+    def _initialize_output(self) -> None:
         """Initialize the queues of messages and writes."""
         self.outgoing_entries: dict[tuple[int, EntryKind], list[MigrationEntry]] = {}
         self.actions: list[Action] = []
@@ -243,7 +243,7 @@
         self.last_token = 0
         self.keys_by_token: dict[int, bytes] = {}
 
-    def _start_moves(self) -> None:
+    def _initialize_moves(self) -> None:
         """Initialize the state of moves to other members."""
         self.move_queues: dict[int, deque[bytes]] = {}  # by target
         self.move_allowances: dict[int, MoveAllowance] = {}  # by target
@@ -251,9 +251,9 @@
         self.withdrawn_offers: dict[tuple[bytes, int], WithdrawnOffer] = {}  # by key and offered epoch
         # For keys moved away: the time from the stop here until the target's confirmation arrived, which is
         # one network delay longer than the time during which no member could start requests.
-        self.handover_histogram = [0] * (len(HANDOVER_STEPS_MS) + 1)
+        self.handover_histogram = [0] * (len(HANDOVER_BUCKETS_MS) + 1)
 
-    def _start_announcements(self) -> None:
+    def _initialize_announcements(self) -> None:
         """Initialize the state of announcements of owned keys."""
         self.candidates: dict[bytes, Candidate] = {}
         self.announced_epochs: dict[int, int] = {}  # by member: epoch for which it announced all its keys
@@ -292,15 +292,15 @@
             home_among(table, key) == self.member for table in self.recent_tables or ()
         )
 
-    def _on_stopped(self, now: float, record: OwnershipRecord) -> None:
+    def _record_stop(self, now: float, record: OwnershipRecord) -> None:
         """Record that this member starts no further request for the key."""
         if math.isnan(record.stopped_at):
             record.stopped_at = now
 
-    def _on_target_started(self, now: float, record: OwnershipRecord) -> None:
+    def _record_target_start(self, now: float, record: OwnershipRecord) -> None:
         """Record that the target has confirmed that it starts requests for the key."""
         if not math.isnan(record.stopped_at):
-            self.handover_histogram[bisect_left(HANDOVER_STEPS_MS, now - record.stopped_at)] += 1
+            self.handover_histogram[bisect_left(HANDOVER_BUCKETS_MS, now - record.stopped_at)] += 1
             record.stopped_at = math.nan
 
     def _next_epoch(self, epoch: int) -> int:
--- a/cottonhold/fleet/session_affinity/service.py
+++ b/cottonhold/fleet/session_affinity/service.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from cottonhold.fleet.consensus.actions import ChangeRegister, PersistState, ReadRegister
-from cottonhold.fleet.session_affinity import record_book
+from cottonhold.fleet.session_affinity import ownership_records
 from cottonhold.fleet.session_affinity.membership_lease import TABLE_RECORD
 from cottonhold.fleet.session_affinity.membership_table import LocalView, MembershipTable, TableSettings
 from cottonhold.fleet.session_affinity.ownership import (
@@ -24,7 +24,7 @@
     RetryAfter,
 )
 
-Action = record_book.Action | ChangeRegister | ReadRegister
+Action = ownership_records.Action | ChangeRegister | ReadRegister
 TOKENS_PER_START = 1 << 32
 REMOVAL_GRACE_MS = 500.0  # time until the other members have applied this member's removal from the table
 
@@ -120,10 +120,10 @@
 
         The receiver of a forwarded request checks whether it is the owner.
         """
-        home = record_book.NO_MEMBER
+        home = ownership_records.NO_MEMBER
         if self.table.is_known:
-            home = record_book.home_among(self.table.member_list.members - {self.member}, key)
-        if home == record_book.NO_MEMBER:
+            home = ownership_records.home_among(self.table.member_list.members - {self.member}, key)
+        if home == ownership_records.NO_MEMBER:
             return RetryAfter(self.settings.retry_after_ms)
         return OwnedElsewhere(key, home)
 
@@ -167,7 +167,7 @@
         movable = []
         for key in dict.fromkeys((*ownership.owned_keys(), *self.recent_keys)):
             record = ownership.records.get(key)
-            is_moving = record is not None and record.state is not record_book.OwnershipState.OWNED
+            is_moving = record is not None and record.state is not ownership_records.OwnershipState.OWNED
             if not is_moving and key not in queued and ownership.ownership_of(now, key) is not None:
                 movable.append(key)
         return movable
@@ -240,7 +240,7 @@
         if self.ownership is None:
             self._start(now)
         elif surroundings.folder_is_current is False and was_current is True:
-            self._start_anew(now)
+            self._restart_without_records(now)
         actions, self.actions = self.actions, []
         actions += self._apply_table_changes(now)
         if self.ownership is not None:
@@ -274,17 +274,17 @@
                 self.seed + self.start_count,
                 {},
                 self.settings,
-                has_full_memory=False,
+                folder_is_current=False,
                 epoch=table.epoch,
                 fenced=table.fenced_members(),
             )
         self.records = {}
 
-    def _start_anew(self, now: float) -> None:
+    def _restart_without_records(self, now: float) -> None:
         """Restart key ownership without this member's records, which may be out of date."""
         assert self.ownership is not None
         self.counts["gaps"] += 1
-        prefix = record_book.OWNERSHIP_RECORD_PREFIX
+        prefix = ownership_records.OWNERSHIP_RECORD_PREFIX
         self.record_names |= {TABLE_RECORD, *(prefix + key.hex() for key in self.ownership.records)}
         self.ownership = None
         self.records = {}
@@ -300,7 +300,7 @@
         if changes is None:
             # An announced table may be older than the applied one; a table read from a majority is not.
             if self.table.is_known:
-                self._start_anew(now)
+                self._restart_without_records(now)
             actions, self.actions = self.actions, []
             return actions
         actions = []
@@ -326,15 +326,15 @@
             removed_members=self.surroundings.removed_members,
         )
 
-    def _convert_actions(self, actions: Iterable[record_book.Action]) -> list[Action]:
+    def _convert_actions(self, actions: Iterable[ownership_records.Action]) -> list[Action]:
         converted: list[Action] = []
         for action in actions:
             if isinstance(action, PersistState):
                 token = self.start_count * TOKENS_PER_START + action.token
                 action = PersistState(action.name, action.data, token)
-            elif isinstance(action, record_book.MoveEnded):
+            elif isinstance(action, ownership_records.MoveEnded):
                 self.counts["moved" if action.is_moved else "stayed"] += 1
-            elif isinstance(action, record_book.OwnershipAcquired):
+            elif isinstance(action, ownership_records.OwnershipAcquired):
                 self.counts["took"] += 1
             converted.append(action)
         return converted
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -25,7 +25,7 @@
 from cottonhold.fleet.rolling_replacement.plan import MachineRecord, ReplacementStep, machine_id
 from cottonhold.fleet.session_affinity import membership_table, messages
 from cottonhold.fleet.session_affinity.ownership import OwnedElsewhere, OwnedHere, RetryAfter
-from cottonhold.fleet.session_affinity.record_book import HANDOVER_STEPS_MS
+from cottonhold.fleet.session_affinity.ownership_records import HANDOVER_BUCKETS_MS
 from cottonhold.fleet.session_affinity.service import (
     Action,
     DepartureState,
@@ -333,7 +333,7 @@
     def _handover_histogram(self) -> str:
         """The same of keys that were moved from here: how long no member started their requests."""
         ownership = self.service.ownership
-        return _histogram(HANDOVER_STEPS_MS, ownership.handover_histogram) if ownership is not None else ""
+        return _histogram(HANDOVER_BUCKETS_MS, ownership.handover_histogram) if ownership is not None else ""
 
     def status(self) -> dict[str, Any]:
         """Return the view of this instance, for operators."""
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -240,7 +240,7 @@
     """What a voter keeps of itself when its folder is empty, and of a promise."""
     voter = acceptor.Acceptor(1, [1, 2, 3], 0x5566, {}, 10, 100.0)
     voter.step(0.0)
-    return kept(list(voter.take_actions())) + acceptor.encode_register(acceptor.VoterRegister(BALLOT, STATE))
+    return kept(list(voter.drain_actions())) + acceptor.encode_register(acceptor.VoterRegister(BALLOT, STATE))
 
 
 def standing_record() -> bytes:
--- a/tests/fleet/test_model_checker.py
+++ b/tests/fleet/test_model_checker.py
@@ -18,7 +18,7 @@
 from cottonhold.fleet.consensus.actions import SendConsensusMessage
 from cottonhold.fleet.session_affinity import announcements, membership_lease
 from cottonhold.fleet.session_affinity.messages import MigrationEntry
-from cottonhold.fleet.session_affinity.record_book import OwnershipRecord, OwnershipState
+from cottonhold.fleet.session_affinity.ownership_records import OwnershipRecord, OwnershipState
 
 
 def many_registers() -> Model:
--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cottonhold.fleet.session_affinity import record_book
+from cottonhold.fleet.session_affinity import ownership_records
 from cottonhold.fleet.session_affinity.ownership import (
     KeyOwnership,
     MoveEnded,
@@ -34,10 +34,10 @@
         self, members: int = 4, seed: int = 1, keys: int = 24, settings: OwnershipSettings = ENABLED
     ) -> None:
         self.keys = [make_key(number) for number in range(keys)]
-        self.has_full_memory = dict.fromkeys(range(101, 101 + members), True)
+        self.folder_is_current = dict.fromkeys(range(101, 101 + members), True)
         self.table: list[tuple[int, bool]] = []
         self.event_count = 0
-        ids, random_source = list(self.has_full_memory), random.Random(seed)
+        ids, random_source = list(self.folder_is_current), random.Random(seed)
 
         def make(member: int, incarnation: int, disk: dict[str, bytes]) -> KeyOwnership:
             return KeyOwnership(
@@ -48,7 +48,7 @@
                 random_source.getrandbits(32),
                 disk,
                 settings,
-                self.has_full_memory[member],
+                self.folder_is_current[member],
             )
 
         super().__init__(ids, make, seed)
@@ -154,7 +154,11 @@
                 fleet.act(A, fleet.running[A].on_request_ended(fleet.now, key, 1))
             open_ms = 0.0
     histogram = dict(
-        zip((*record_book.HANDOVER_STEPS_MS, math.inf), fleet.running[A].handover_histogram, strict=True)
+        zip(
+            (*ownership_records.HANDOVER_BUCKETS_MS, math.inf),
+            fleet.running[A].handover_histogram,
+            strict=True,
+        )
     )
     # Gaps shorter than the interval of 2 ms may not be observed.
     assert sum(histogram.values()) == len(moved_keys) and 0 < len(observed_gaps) <= len(moved_keys)
@@ -249,7 +253,7 @@
     moved = fleet.move(A, D)
     fleet.run(1000)
     fleet.stop(D)
-    fleet.has_full_memory[D] = False
+    fleet.folder_is_current[D] = False
     fleet.start(D, empty=True)
     fleet.run(2000)
     assert not any(fleet.running[D].ownership_of(fleet.now, key) for key in fleet.keys)
@@ -265,7 +269,7 @@
 def test_moves_are_rate_limited_and_old_records_are_purged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(record_book, "PURGE_BATCH", 20)
+    monkeypatch.setattr(ownership_records, "PURGE_BATCH", 20)
     fleet = Fleet(
         keys=300,
         settings=OwnershipSettings(is_enabled=True, max_moves_per_second=100.0, max_pending_offers=10),
--- a/tests/fleet/test_rolling_replacement.py
+++ b/tests/fleet/test_rolling_replacement.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    "step, step_age_ms, keeps_quorum, remaining_keys, next_step",
+    "step, step_age_ms, leaves_quorum, remaining_keys, next_step",
     [
         (ReplacementStep.MOVING, 0.0, True, 0, ReplacementStep.DRAINING),
         (ReplacementStep.MOVING, 1e4, False, 0, None),
@@ -79,18 +79,18 @@
 def test_a_machine_that_is_needed_for_the_quorum_serves_meanwhile(
     step: ReplacementStep,
     step_age_ms: float,
-    keeps_quorum: bool,
+    leaves_quorum: bool,
     remaining_keys: int,
     next_step: ReplacementStep | None,
 ) -> None:
     view = MachineView(
-        step_age_ms, MACHINES, remaining_keys=remaining_keys, open_requests=0, keeps_quorum=keeps_quorum
+        step_age_ms, MACHINES, remaining_keys=remaining_keys, open_requests=0, leaves_quorum=leaves_quorum
     )
     decision = decide_step(
         "d1", MachineRecord(step, 1, flags=plan.MachineFlag.VOTER, replacement="d1"), view, StepSettings()
     )
     assert (decision.record.step if decision.record is not None else None) is next_step
-    assert keeps_quorum or remaining_keys or "a majority of voters must stay up" in decision.reasons
+    assert leaves_quorum or remaining_keys or "a majority of voters must stay up" in decision.reasons
 
 
 def test_a_contradicting_request_names_the_other_requester_and_repeated_items_are_ignored() -> None:
--- a/tests/fleet/test_session_affinity_service.py
+++ b/tests/fleet/test_session_affinity_service.py
@@ -372,7 +372,15 @@
 def test_a_voter_that_lost_its_refusals_refuses_members_outside_its_table(epoch: int, granted: bool) -> None:
     """C was fenced and then admitted in epoch 21. B has lost its folder since, and C requests a lease."""
     ownership = KeyOwnership(
-        B, {A, D}, [A, B, C], 0.0, 1, {}, OwnershipSettings(is_enabled=True), has_full_memory=False, epoch=19
+        B,
+        {A, D},
+        [A, B, C],
+        0.0,
+        1,
+        {},
+        OwnershipSettings(is_enabled=True),
+        folder_is_current=False,
+        epoch=19,
     )
     ownership.admit(0.0, B, 20)
     actions = ownership.on_message(2000.0, C, messages.encode_lease(LeaseRequest(C, 7), epoch))
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -317,7 +317,7 @@
     voter = Acceptor(101, [101], 7, {}, 64, 200.0)
     voter.step(0.0)
     for _ in range(2):
-        for action in voter.take_actions():
+        for action in voter.drain_actions():
             if isinstance(action, PersistState):
                 voter.on_persisted(action.token)
         voter.step(1000.0)
@@ -327,6 +327,8 @@
         voter._remove_register(name)
     voter.on_persisted(voter.last_token)
     removed = {
-        action.name for action in voter.take_actions() if isinstance(action, PersistState) and not action.data
+        action.name
+        for action in voter.drain_actions()
+        if isinstance(action, PersistState) and not action.data
     }
     assert removed == {"reg/a", "reg/b"}
