--- a/cottonhold/fleet/rolling_replacement/coordinator.py
+++ b/cottonhold/fleet/rolling_replacement/coordinator.py
@@ -122,7 +122,7 @@
             raise plan.PlanError(f"no swap of '{machine}' runs" if machine else "no swap runs")
         for name in names:
             self.driver.abort_deadlines[name] = now + self.settings.submission_timeout_ms
-            self.pending_actions.append(LogStep(name, None, f"abort asked by {requested_by}: {reason}"))
+            self.pending_actions.append(LogStep(name, None, f"abort requested by {requested_by}: {reason}"))
         self.next_step_at = now
 
     def set_machines(self, now: float, machines: Iterable[Machine]) -> None:
--- a/tests/fleet/test_engine_drain.py
+++ b/tests/fleet/test_engine_drain.py
@@ -135,7 +135,7 @@
     fleet.set_live(SETTINGS.member_absence_ms + 101.0, 2)
     fleet.report(2, 1, version=9)
     assert fleet.open_requests() == 3
-    fleet.set_live(SETTINGS.member_absence_ms + 102.0, 2, 3)  # it is back
+    fleet.set_live(SETTINGS.member_absence_ms + 102.0, 2, 3)  # dispatcher 3 is live again
     assert fleet.open_requests() is None
 
 
