--- a/cottonhold/fleet/rolling_replacement/request_parsing.py
+++ b/cottonhold/fleet/rolling_replacement/request_parsing.py
@@ -1,4 +1,4 @@
-"""Parses an operator's call into a request: machines by name, engines by zone. Pure."""
+"""Parses an operator's call that requests the replacement of machines by name or engines by zone. Pure."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 def parse_request(
     requested_by: str, call: Mapping[str, Any], machines: Mapping[str, Machine]
 ) -> ReplacementRequest:
-    """Return the request of a call's fields `machines`, `most_out` and `zones`.
+    """Return the request that a call's fields `machines`, `most_out` and `zones` describe.
 
-    Each row names a machine (`name`), or a zone (`zone`) for all of its engines. Raises PlanError, which says
-    what is wrong with which row.
+    Each row of `machines` names a machine (`name`), or a zone (`zone`) to select all of its engines.
+
+    Raises:
+        PlanError: The call is invalid; the text names the row and the reason.
     """
     rows = call.get("machines")
     if not isinstance(rows, list) or not rows:
@@ -33,16 +35,16 @@
         raise PlanError(f"a row needs either a name or a zone: {row!r}")
     if unknown := sorted(set(row) - {"name", "zone", "new", "cores", "empty"}):
         raise PlanError(f"{row!r}: there is no field '{unknown[0]}'")
-    cores, new = row.get("cores", 0.0), row.get("new") or ""
+    cores, replacement = row.get("cores", 0.0), row.get("new") or ""
     if not isinstance(cores, int | float) or isinstance(cores, bool):
         raise PlanError(f"cores of '{row.get('name', row.get('zone'))}' is no number: {cores!r}")
-    if not isinstance(new, str):
-        raise PlanError(f"new of '{row.get('name', row.get('zone'))}' is no name: {new!r}")
+    if not isinstance(replacement, str):
+        raise PlanError(f"new of '{row.get('name', row.get('zone'))}' is no name: {replacement!r}")
     if "name" in row:
-        return [MachineRequest(row["name"], new, float(cores), bool(row.get("empty")))]
+        return [MachineRequest(row["name"], replacement, float(cores), bool(row.get("empty")))]
     zone, zones = row["zone"], sorted({m.zone for m in machines.values() if m.is_engine})
-    if new:
-        raise PlanError(f"zone '{zone}': its engines can't all become '{new}'; name each of them")
+    if replacement:
+        raise PlanError(f"zone '{zone}': its engines can't all become '{replacement}'; name each of them")
     if zone not in zones:
         raise PlanError(f"no engine is in a zone '{zone}'; there are: {', '.join(zones) or 'none'}")
     names = sorted(m.name for m in machines.values() if m.is_engine and m.zone == zone)
