--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: that of the live engines, the engines that this gateway draws on, and its own part of all."""
+"""Capacity: computes the capacity of engines and fleet, and this gateway's engines and part of the fleet."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     THREADS_PER_CORE,
 )
 
-MEMORY_SHARE = 0.9  # of an engine's memory is planned for; needs are estimates
-CHANCE_DEVIATIONS = 1.5  # standard deviations of an engine's memory in use left free for chance
-MAX_CHANCE_SHARE = 0.5  # of the memory, at most, is left free for chance
-COVERAGE_FACTOR = 1.25  # a gateway draws on so many times the engines that its traffic could fill, at least
-FEW_ENGINES = 250  # up to which the capacity of all is counted each time
-RECOUNT_MS_PER_ENGINE = 1.0  # for each live engine, before the capacity of all is counted again
-MIN_QUOTA_CAPACITY_SHARE = 0.05  # of its capacity stays to an engine with a quota, however small
+MEMORY_SHARE = 0.9  # share of an engine's memory that is planned for; the rest covers estimation errors
+CHANCE_DEVIATIONS = 1.5  # standard deviations of an engine's memory in use that are kept free
+MAX_CHANCE_SHARE = 0.5  # largest share of the memory that is kept free for random imbalance
+COVERAGE_FACTOR = 1.25  # smallest ratio of a gateway's engines to the engines that its traffic could fill
+FEW_ENGINES = 250  # largest fleet whose whole capacity is recomputed at every change and heartbeat
+RECOUNT_MS_PER_ENGINE = 1.0  # interval between computations of a larger fleet's capacity, per live engine
+MIN_QUOTA_CAPACITY_SHARE = 0.05  # smallest share of its capacity planned for an engine with a quota
 
 
 def apply_engine_changes(gateway: GatewayState) -> None:
-    """The list has changed: rebuild who is live, in which order and under which hash, and count capacity."""
+    """Rebuild the lists of live and ranked engines and recompute capacity after the engine list changed."""
     changed, gateway.changed_engines = gateway.changed_engines, {}
     gateway.live_engines = [e for e in gateway.engines.values() if e.entry.state is EngineState.LIVE]
     gateway.ranked_engines = sorted(gateway.live_engines, key=lambda engine: engine.id)
@@ -44,7 +44,7 @@
 
 
 def count_all(gateway: GatewayState) -> None:
-    """Count the capacity of all live engines, and choose the engines that this gateway draws on."""
+    """Compute the capacity of all live engines and assign engines to this gateway."""
     gateway.capacity_counted_at = gateway.now
     gateway.usable_engine_count = sum(engine.is_usable() for engine in gateway.live_engines)
     gateway.preferred_engines.clear()
@@ -57,9 +57,10 @@
 
 
 def refresh(gateway: GatewayState) -> None:
-    """Time has passed: count the capacity of all engines anew, or of those in use only where there are many.
+    """Recompute the capacity of all engines; in a large fleet usually only that of the engines in use.
 
-    The cost of a heartbeat must not grow with a fleet of thousands, of which a gateway uses a few.
+    The cost of a heartbeat must not grow with a fleet of thousands of engines, of which a gateway uses a few.
+    So the capacity of a large fleet is recomputed every RECOUNT_MS_PER_ENGINE for each live engine only.
     """
     count = len(gateway.live_engines)
     needs_recount = gateway.now - gateway.capacity_counted_at >= count * RECOUNT_MS_PER_ENGINE
@@ -70,7 +71,7 @@
 
 
 def _count_in_use(gateway: GatewayState, changed: dict[str, EngineView]) -> None:
-    """Count the capacity of the engines in use and of those that have changed."""
+    """Compute the capacity of the engines in use and of those whose list entry has changed."""
     gateway.preferred_engines.clear()
     _assess_observation(gateway)
     _assign_engines(gateway)
@@ -87,7 +88,7 @@
 
 
 def _assess_observation(gateway: GatewayState) -> None:
-    """Set how rarely this gateway hears of each engine, and whether peers report their loads."""
+    """Update how little of each engine this gateway observes, and whether peers report their loads."""
     local_per_s = max(gateway.local_traffic.per_s(gateway.now), 1e-3)
     observation_interval_ms = 1000 * len(gateway.live_engines) / local_per_s
     silence_ms = gateway.now - gateway.peer_load_received_at
@@ -97,9 +98,10 @@
 
 
 def _count_engine(gateway: GatewayState, engine: EngineView) -> None:
-    """Count the threads and memory of one engine.
+    """Compute the capacity of one engine in threads and memory.
 
-    Engines fill unevenly by chance. So the more memory is left free, the rarer this gateway hears of each.
+    Random placement fills engines unevenly. The less this gateway observes of each engine, the less of the
+    imbalance it can correct, so the more memory is kept free.
     """
     threads = engine.cores * THREADS_PER_CORE
     engine.thread_capacity = threads * engine.warm_capacity_share(gateway.now, gateway.settings.rules)
@@ -111,12 +113,13 @@
 
 
 def _assign_engines(gateway: GatewayState) -> None:
-    """Choose the engines that this gateway's queries are drawn to.
+    """Assign a range of the ranked engines to this gateway.
 
-    Each gateway draws on a range of the ranked engines that it gets to know, and the ranges cover the fleet
-    evenly. A range has CANDIDATES engines at least and grows with the root of the traffic share, as each
-    engine costs connections, but covers that share. Engines that are not usable keep their place in the
-    range, so that peers still report their loads to the right gateways, and are replaced by more.
+    The ranges of the gateways cover the fleet evenly. A range has at least CANDIDATES engines. As each engine
+    costs connections, it grows with the square root of the traffic share only, but it always has
+    COVERAGE_FACTOR times the engines that the traffic share could fill. Engines that are not usable stay in
+    the range, so that peers still report their loads to the right gateways, and the range is extended by
+    as many usable ones.
     """
     ranked = gateway.ranked_engines
     settings = gateway.settings
@@ -135,7 +138,10 @@
 
 
 def _build_affinity_ring(gateway: GatewayState) -> None:
-    """Build the ring of preferred engines: by rank, each as often as it has the cores of the smallest."""
+    """Build the ring of preferred engines, by rank.
+
+    Engines appear in proportion to their cores: the engine with the fewest cores appears once.
+    """
     ranked = gateway.ranked_engines
     min_cores = min((engine.cores for engine in gateway.live_engines), default=1.0)
     gateway.affinity_ring = []
@@ -144,10 +150,11 @@
 
 
 def _set_local_capacity(gateway: GatewayState, engines: Iterable[EngineView]) -> None:
-    """Set this gateway's part of the fleet's capacity and of these engines'.
+    """Set this gateway's part of the capacity of the fleet and of the given engines.
 
-    Local queued work is drained by the local share of its engine, by all of the engine where peers report
-    theirs, and by the local share of the whole fleet as far as engines are not observed.
+    Queued work is served by this gateway's share of its engine; where peers report their loads, these are
+    added to the work instead and the whole engine serves it. As far as engines are not observed, queued work
+    is served by this gateway's share of the fleet if that is more.
     """
     gateway.local_thread_capacity = gateway.fleet_thread_capacity * gateway.traffic_share
     local_memory_mb = gateway.fleet_memory_capacity_mb * gateway.traffic_share
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -1,11 +1,18 @@
-"""Engine health: the evidence of faults, ejection and readmission.
-
-An engine is ejected when a connect fails, when its smoothed share of errors and lost connections passes
-EJECTION_ERROR_SHARE, when it sends nothing while queries are overdue, or when a health check times out.
-Time-outs and cancelled attempts are no evidence, and OVERLOADED only backs off. An ejected engine gets
-canaries only, unless no usable engine may run the query. It is readmitted after MIN_CANARY_SUCCESSES served
-queries in a row with the share below READMISSION_ERROR_SHARE, when the evidence is refuted, when it restarts
-or leaves the live state, when the fleet opens it again, or after EJECTION_MS without new evidence.
+"""Engine health: evaluates evidence of faults, and ejects and readmits engines.
+
+An engine is ejected when
+- a connect fails,
+- its smoothed share of errors and lost connections exceeds EJECTION_ERROR_SHARE,
+- it sends nothing while queries are overdue, or
+- a health check times out.
+Time-outs and cancelled attempts are not evidence of a fault, and OVERLOADED only causes a back-off.
+
+An ejected engine is sent only canaries, unless no usable engine may run a query. It is readmitted
+- after MIN_CANARY_SUCCESSES served queries in a row with an error share below READMISSION_ERROR_SHARE,
+- when an answer shows that the evidence was false,
+- when it restarts or leaves the live state,
+- when the fleet reopens it with a quota above 0, or
+- EJECTION_MS after the last evidence.
 """
 
 from __future__ import annotations
@@ -18,22 +25,21 @@
 from cottonhold.scheduler.parameters import EJECTION_MS
 from cottonhold.scheduler.query import Query
 
-UNRESPONSIVE = (EjectionReason.SILENT, EjectionReason.HEALTH_CHECK_TIMEOUT)  # takes work and says nothing
+UNRESPONSIVE = (EjectionReason.SILENT, EjectionReason.HEALTH_CHECK_TIMEOUT)  # accepts work but sends nothing
 MAY_HAVE_RESTARTED = (EjectionReason.UNREACHABLE, *UNRESPONSIVE)
-MIN_SILENCE_MS = 900.0  # no shorter silence is a symptom: engines pause for half a second at times
-OVERDUE_FACTOR = (
-    1.5  # planned run times after which an attempt should have answered: silence counts from there
-)
+MIN_SILENCE_MS = 900.0  # shorter silence is not a fault: healthy engines pause for half a second at times
+OVERDUE_FACTOR = 1.5  # run time by planned run time from which an attempt is overdue
 ERROR_GAIN = 0.15  # weight of one outcome in an engine's error share
-EJECTION_ERROR_SHARE = 0.35  # from which an engine is ejected; healthy engines stay far below
-READMISSION_ERROR_SHARE = 0.15  # below which it is readmitted: hysteresis against flapping
+EJECTION_ERROR_SHARE = 0.35  # an engine with a larger share is ejected; healthy engines stay far below
+READMISSION_ERROR_SHARE = 0.15  # upper limit for readmission; the gap between the limits prevents flapping
 MIN_CANARY_SUCCESSES = 3  # served queries in a row that end an ejection
 
 
 def eject(gateway: GatewayState, engine: EngineView, reason: EjectionReason) -> None:
-    """Eject an engine: what is queued for it goes elsewhere, and only canaries test it.
+    """Eject an engine: place its queued queries again and send it only canaries from now on.
 
-    The list reports a failed engine seconds late. A healthy one that was ejected is soon readmitted.
+    The engine list reports a failed engine seconds late, so this gateway acts on its own evidence. A healthy
+    engine that is ejected by mistake is soon readmitted.
     """
     now = gateway.now
     engine.ejected_until = now + EJECTION_MS
@@ -53,7 +59,7 @@
 
 
 def readmit(gateway: GatewayState, engine: EngineView) -> None:
-    """End the ejection of an engine, if there is one."""
+    """End the ejection of an engine, if it is ejected."""
     if engine.ejection_reason:
         gateway.actions.append(LogLine(f"engine {engine.id} trusted again"))
         del gateway.ejected_engines[engine.id]
@@ -63,16 +69,20 @@
 
 
 def on_alive(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
-    """The engine spoke. An answer to a query sent before a silence proves that the process lived."""
+    """Record that the engine sent something about a query that was sent to it at `sent_at`.
+
+    Readmits an engine ejected as unresponsive if the query was sent before the ejection: this shows that its
+    process has been alive throughout.
+    """
     engine.last_received_at = gateway.now
     if engine.ejection_reason in UNRESPONSIVE and sent_at < engine.ejected_at:
         readmit(gateway, engine)
 
 
 def on_outcome(gateway: GatewayState, engine: EngineView, query: Query | None, event: AttemptEnded) -> None:
-    """Judge an engine by the outcome of an attempt.
+    """Update the health and the work rate of an engine by the outcome of an attempt.
 
-    A rejection as overloaded is no sign of life: a hung engine still turns work away.
+    OVERLOADED does not show that the engine is alive: a hung engine still rejects work.
     """
     outcome = event.outcome
     sent_at = gateway.now - event.elapsed_ms
@@ -90,9 +100,10 @@
 
 
 def _back_off(gateway: GatewayState, engine: EngineView) -> None:
-    """Pass over an engine that rejected work as overloaded, for a time that doubles each time in a row.
+    """Back off from an engine that rejected work as overloaded.
 
-    A hung engine rejects at once and would otherwise attract ever more work.
+    The time doubles with each rejection in a row, up to EJECTION_MS. A hung engine rejects work immediately,
+    so it looks idle and would be sent ever more of it.
     """
     engine.consecutive_overloads += 1
     engine.under_pressure_until = gateway.now + utilization.PRESSURE_HOLD_MS
@@ -101,7 +112,10 @@
 
 
 def _on_success(gateway: GatewayState, engine: EngineView, sent_at: float) -> None:
-    """Count served work towards readmission; an engine that may have restarted is kept to the cold budget."""
+    """Record a served query, and readmit the engine after enough of them.
+
+    An engine that may have restarted is treated as cold from its first served query on.
+    """
     engine.error_share -= ERROR_GAIN * engine.error_share
     engine.consecutive_successes += 1
     engine.consecutive_overloads = 0
@@ -114,10 +128,10 @@
 
 
 def _on_failure(gateway: GatewayState, engine: EngineView, query: Query | None, outcome: Outcome) -> None:
-    """Weigh an error, a lost connection or a failed connect.
+    """Record an error, a lost connection or a failed connect, and eject the engine if they suffice.
 
-    A failed connect is proof. All connections lost at one moment are one sign, no more than one error: a
-    failed engine shows in the next connect, or in the health check that follows.
+    A failed connect ejects the engine immediately. All connections lost at the same time count as one error:
+    the next connect or the health check sent here shows whether the engine has failed.
     """
     if outcome is Outcome.ERROR and query is not None and _count_query_error(query, engine):
         return
@@ -135,10 +149,10 @@
 
 
 def _count_query_error(query: Query, engine: EngineView) -> bool:
-    """Count an error of the query, and return whether the query is to blame.
+    """Count an error of the query, and return whether the query rather than the engine causes it.
 
-    It is from its second error on: that one counts against no engine, and the first is taken back from its
-    engine.
+    This is assumed from the query's second error on. That error counts against no engine, and the first error
+    is subtracted from the error share of its engine.
     """
     query.engine_error_count += 1
     if query.first_error_engine is None:
@@ -149,16 +163,17 @@
 
 
 def check_silence(gateway: GatewayState, engine: EngineView) -> None:
-    """Eject an engine that has said nothing for too long."""
+    """Eject an engine that has sent nothing for too long while queries are overdue."""
     if not engine.ejection_reason and _is_silent(gateway, engine):
         eject(gateway, engine, EjectionReason.SILENT)
 
 
 def _is_silent(gateway: GatewayState, engine: EngineView) -> bool:
-    """Whether queries are overdue and neither answer nor progress note comes: a hang or a lost host.
+    """Return whether queries are overdue and the engine sends neither answers nor progress notes.
 
-    A query that waits for memory gets no further note until it runs, and is not overdue. Without progress
-    notes one long query is silence as well: then a health check is sent, and its result decides.
+    The cause is a hang or a lost host. A query that waits for memory is never overdue, as the engine sends no
+    progress note for it until it runs. Without progress notes a single long query looks the same as silence:
+    then this sends a health check, whose result decides, and returns false.
     """
     overdue_from = [
         query.sent_at + OVERDUE_FACTOR * query.planned_run_ms
@@ -176,7 +191,7 @@
 
 
 def review_ejections(gateway: GatewayState) -> None:
-    """Readmit engines whose ejection has run out, and check the health of the others."""
+    """Readmit the engines whose ejection has expired, and check the health of the other ejected ones."""
     for engine in list(gateway.ejected_engines.values()):
         if gateway.now >= engine.ejected_until:
             readmit(gateway, engine)
@@ -185,7 +200,10 @@
 
 
 def check_health(gateway: GatewayState, engine: EngineView) -> None:
-    """Send a health check, within the budget that own traffic earns: each has its price."""
+    """Send a health check if the budget permits and the last one of this engine is not too recent.
+
+    Accepted queries add to the budget, as each check has a cost.
+    """
     is_rested = gateway.now - engine.health_checked_at >= MIN_SILENCE_MS
     if gateway.health_check_budget >= 1 and is_rested:
         gateway.health_check_budget -= 1
@@ -194,7 +212,11 @@
 
 
 def on_health_check_completed(gateway: GatewayState, event: HealthCheckCompleted) -> None:
-    """Judge an engine by a health check: it refutes a check that timed out, and lets a canary go at once."""
+    """Update the health of an engine by the result of a health check.
+
+    A success readmits an engine ejected for a health check that timed out, and permits an immediate canary to
+    an engine ejected as unreachable.
+    """
     engine = gateway.engines.get(event.engine)
     if engine is None:
         return
@@ -209,7 +231,7 @@
 
 
 def _on_health_check_failed(gateway: GatewayState, engine: EngineView, outcome: Outcome) -> None:
-    """Eject an engine with queries in flight whose health check timed out or found no connection."""
+    """Eject an engine with queries in flight if its health check timed out or could not connect."""
     if engine.in_flight and outcome is Outcome.TIMEOUT:
         eject(gateway, engine, EjectionReason.HEALTH_CHECK_TIMEOUT)
     elif engine.in_flight and outcome is Outcome.CONNECT_FAILED:
--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -1,4 +1,4 @@
-"""One engine: its plan, what is in flight there, its capacity, and what it and the peers reported of it."""
+"""One engine: its plan, attempts in flight, capacity, and what the engine and the peers reported."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from cottonhold.scheduler.reported_load import ReportedLoad
 from cottonhold.scheduler.settings import MachineType, Rules
 
-COUNT_INTERVAL_MS = 5.0  # sums over what is in flight or reported are reused so long: runs take far longer
+COUNT_INTERVAL_MS = 5.0  # interval between sums over attempts and reports; runs take far longer than this
 
 
 class EjectionReason(Enum):
-    """Why an engine is ejected; see engine_health.py. The values are those of the operators' log."""
+    """Why an engine is ejected, as decided in engine_health.py; the values appear in the operators' log."""
 
     UNREACHABLE = "dead"
     ERRORS = "errors"
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class RemainingWork:
-    """What is expected to remain of runs in flight."""
+    """The expected remaining work of runs in flight: thread time, and memory by run time."""
 
     thread_ms: float = 0.0
     memory_mb_ms: float = 0.0
@@ -37,45 +37,43 @@
 
 @dataclass(slots=True, eq=False)
 class EngineView:
-    """What this gateway knows of one engine."""
+    """This gateway's view of one engine. Times are milliseconds on the caller's clock."""
 
     id: str
     entry: Engine
     cores: float
-    memory_mb: float  # 0 where it is not known
-    id_hash: int = 0  # names it in messages between gateways
-    rank: int = 0  # position among the live engines, the same at every gateway
+    memory_mb: float  # 0 if unknown
+    id_hash: int = 0  # CRC-32 of the id; identifies the engine in messages between gateways
+    rank: int = 0  # position among the live engines by id, the same at every gateway
 
-    # what is queued for it, and what is in flight there
+    # queries queued for the engine, and attempts in flight on it
     plan: list[Query] = field(default_factory=list)
     queued_thread_ms: float = 0.0
     queued_memory_mb_ms: float = 0.0
-    queued_load_ms: dict[int, float] = field(default_factory=dict)  # run time of queued loads, by table group
+    queued_load_ms: dict[int, float] = field(default_factory=dict)  # by table group: run time of queued loads
     in_flight: dict[str, Query] = field(default_factory=dict)
     threads_in_flight: int = 0
     memory_in_flight_mb: float = 0.0
     in_flight_by_density: InFlightByDensity = field(default_factory=InFlightByDensity)
     loads_in_flight: dict[int, int] = field(default_factory=dict)  # by table group
-    locked_until: dict[int, float] = field(
-        default_factory=dict
-    )  # expected end of table locks, by table group
+    locked_until: dict[int, float] = field(default_factory=dict)  # by table group: expected end of the locks
     remaining_by_density: dict[float, RemainingWork] = field(default_factory=dict)
     remaining_counted_at: float = -math.inf
 
-    # its capacity, and this gateway's part of it
+    # capacity of the engine, and this gateway's part of it
     thread_capacity: float = 1.0
     memory_capacity_mb: float = math.inf
     local_thread_capacity: float = 1.0
     local_memory_capacity_mb: float = math.inf
 
-    # what peers reported of it
+    # load that peers reported, and queries that this gateway sent since its last report to peers
     reported_by_peer: dict[int, ReportedLoad] = field(default_factory=dict)
     peer_total: ReportedLoad = field(default_factory=lambda: ReportedLoad(-math.inf, 0, 0.0, 0.0))
     sent_since_report: ReportedLoad = field(default_factory=lambda: ReportedLoad(-math.inf, 0, 0.0, 0.0))
 
-    # its speed, its load and the evidence of faults
+    # speed and load of the engine, and evidence of faults
     rate_average: WorkRate = field(default_factory=WorkRate)
-    work_rate: float = 1.0  # ms of work a thread ms, as of work_rate_at
+    work_rate: float = 1.0  # ms of work per thread ms, computed at work_rate_at
     work_rate_at: float = -1.0
     load_report: dict[str, float] = field(default_factory=dict)
     load_report_at: float = -math.inf
@@ -84,7 +82,7 @@
     consecutive_overloads: int = 0
     last_received_at: float = 0.0
     health_checked_at: float = -math.inf
-    error_share: float = 0.0  # share of outcomes that were errors, smoothed
+    error_share: float = 0.0  # smoothed share of the outcomes that were errors
     connection_lost_at: float = -math.inf
     consecutive_successes: int = 0
     ejection_reason: EjectionReason | None = None
@@ -96,38 +94,38 @@
     cold_until: float = 0.0
     allowance_ms: float = 0.0  # work that may be sent now
     allowance_updated_at: float = 0.0
-    quota_rate: float = math.inf  # work in ms a ms that the fleet lets this gateway send here
+    quota_rate: float = math.inf  # ms of work per ms that the fleet permits this gateway to send
     quota_expires_at: float = math.inf
 
     def __post_init__(self) -> None:
-        """Derive the hash of the id, the same at every gateway."""
+        """Compute the hash of the id, which is the same at every gateway."""
         self.id_hash = zlib.crc32(self.id.encode())
 
     @classmethod
     def from_entry(cls, entry: Engine, machine_types: tuple[MachineType, ...], now: float) -> EngineView:
-        """An engine that is new to the list."""
+        """Return the view of an engine that is new to the list."""
         memory_mb = machine_of(entry, machine_types).memory_mb
         return cls(entry.id, entry, engine_cores(entry, machine_types), memory_mb, last_received_at=now)
 
     def warm_capacity_share(self, now: float, rules: Rules) -> float:
-        """Share of its capacity that it is expected to have: an even ramp from a cold start to all of it."""
+        """Return the expected share of the engine's capacity: a linear ramp from the cold share to 1."""
         cold = min(1.0, max(0.0, self.cold_until - now) / rules.warm_up_ms)
         return 1 - (1 - rules.cold_capacity_share) * cold
 
     def is_usable(self) -> bool:
-        """Neither ejected here nor closed to this gateway by a quota of zero."""
+        """Return whether the engine is neither ejected nor closed to this gateway by a quota of 0."""
         return not self.ejection_reason and self.quota_rate > 0
 
     def effective_quota_rate(self, now: float) -> float:
-        """The quota in force: infinite where the fleet has set none, zero once it has expired."""
+        """Return the quota in force: infinite if the fleet has set none, 0 once it has expired."""
         return self.quota_rate if now < self.quota_expires_at or self.quota_rate == math.inf else 0.0
 
     def set_quota(self, now: float, quota_rate: float, expires_at: float) -> bool:
-        """Apply another quota; true if the engine was closed before and is open now.
+        """Replace the quota; return whether the engine was closed before and is open now.
 
-        What was saved up under the former quota is counted before it is replaced, so that time without a
-        quota earns nothing. An engine that gets its first quota starts with nothing saved up. One whose quota
-        is lifted has shown what it can do and is no longer warming up.
+        The allowance earned under the former quota of a cold engine is added first, so that time after that
+        quota's expiry earns nothing. An engine with its first quota starts without allowance. An engine whose
+        quota is lifted has reached its full capacity and is no longer cold.
         """
         is_reopened = not self.quota_rate and quota_rate > 0
         if self.quota_rate < math.inf and now < self.cold_until:
@@ -144,20 +142,20 @@
         return is_reopened
 
     def apply_load_report(self, now: float, report: dict[str, float]) -> bool:
-        """Take over the values of a load report that make sense; false if there are none."""
+        """Store the finite, non-negative values of a load report; return whether there are any."""
         if valid := {name: value for name, value in report.items() if math.isfinite(value) and value >= 0}:
             self.load_report = valid
             self.load_report_at = now
         return bool(valid)
 
     def forget_process(self) -> None:
-        """Forget what was learned of the process that ran before a restart."""
+        """Discard what was learned about the process that ran before a restart."""
         self.rate_average = WorkRate()
         self.error_share = 0.0
         self.locked_until = {}
 
     def has_load_on(self, table_group: int, now: float) -> bool:
-        """Whether a load on these tables is queued or runs here, of this gateway or as a peer reported."""
+        """Return whether a load of this gateway or a peer on these tables is queued or running here."""
         is_local = (
             self.loads_in_flight.get(table_group, 0) > 0 or self.queued_load_ms.get(table_group, 0.0) > 0
         )
@@ -166,11 +164,19 @@
     def work_ahead_ms(
         self, now: float, min_share: float, density: float, margin: float, outranked_weight: float
     ) -> float:
-        """Time that this gateway's capacity here takes for the work in flight, as a density finds it.
+        """Return the time until this gateway's work in flight here is done, for a query of a given density.
 
-        Work that the density outranks by more than `margin` times weighs `outranked_weight`, as the engine
-        serves the higher priority first. What remains is counted every COUNT_INTERVAL_MS only: there may be
-        hundreds of attempts.
+        The remaining work is summed at most every COUNT_INTERVAL_MS, as there may be hundreds of attempts.
+
+        Args:
+            now: Present time, in ms.
+            min_share: Lowest remaining share of its run that is assumed for an attempt.
+            density: Density of the query that waits for the work in flight.
+            margin: Factor by which the density must exceed another to outrank it.
+            outranked_weight: Weight of the work that is outranked: the engine serves a higher priority first.
+
+        Returns:
+            Time that this gateway's capacity on the engine needs for the weighted work, in ms.
         """
         if now - self.remaining_counted_at >= COUNT_INTERVAL_MS:
             self._count_remaining(now, min_share)
@@ -182,7 +188,7 @@
         return max(thread_ms / self.local_thread_capacity, memory_mb_ms / self.local_memory_capacity_mb)
 
     def _count_remaining(self, now: float, min_share: float) -> None:
-        """Count anew what remains of the attempts in flight."""
+        """Recompute the remaining work of the attempts in flight."""
         self.remaining_counted_at = now
         self.remaining_by_density.clear()
         for query in self.in_flight.values():
@@ -194,7 +200,7 @@
             self._add_remaining(query, share if share > min_share else min_share)
 
     def _add_remaining(self, query: Query, share: float) -> None:
-        """Count a share of a query's run as remaining; a negative one takes it back."""
+        """Add a share of a query's run to the remaining work; a negative share subtracts it."""
         remaining = self.remaining_by_density.get(query.density)
         if remaining is None:
             remaining = self.remaining_by_density[query.density] = RemainingWork()
@@ -203,17 +209,17 @@
         remaining.memory_mb_ms = max(remaining.memory_mb_ms + memory_mb_ms * share, 0.0)
 
     def apply_peer_load(self, peer: int, load: ReportedLoad | None, expires_at: float) -> None:
-        """Take over what a peer has here, or that it has nothing; forgotten unless reported again in time."""
+        """Replace the load that a peer reported, valid until `expires_at`; None if the peer has none here."""
         self.reported_by_peer.pop(peer, None)
         if load is not None:
             load.expires_at = expires_at
             self.reported_by_peer[peer] = load
 
     def peer_load(self, now: float, peer_sends_per_local: float) -> ReportedLoad:
-        """What the peers are expected to have here.
+        """Return the load that the peers are expected to have here.
 
-        That is what they reported less what has run since, and for each query that this gateway has sent
-        since its own last report `peer_sends_per_local` of theirs.
+        This is the load that they reported, less the work done since. For each query that this gateway has
+        sent here since its own last report, `peer_sends_per_local` queries of peers are added.
         """
         if now - self.peer_total.received_at >= COUNT_INTERVAL_MS:
             self._sum_reported(now)
@@ -228,7 +234,7 @@
         )
 
     def _sum_reported(self, now: float) -> None:
-        """Sum what the peers reported, without reports that have expired."""
+        """Sum the loads that the peers reported, and drop reports that have expired."""
         if not self.reported_by_peer:
             self.peer_total = ReportedLoad(now, 0, 0.0, 0.0)
             return
@@ -244,7 +250,7 @@
         self.peer_total = ReportedLoad(now, threads, memory_mb, remaining_thread_ms)
 
     def enqueue(self, position: int, query: Query) -> None:
-        """Queue a query at a position of the plan."""
+        """Insert a query into the plan at a position."""
         self.plan.insert(position, query)
         self.queued_thread_ms += query.planned_thread_ms
         self.queued_memory_mb_ms += query.planned_run_ms * query.planned_memory_mb
@@ -253,7 +259,7 @@
             self.queued_load_ms[query.table_group] = queued_ms + query.planned_run_ms
 
     def dequeue(self, query: Query) -> None:
-        """Take a query out of the plan if it is there."""
+        """Remove a query from the plan if it is queued there."""
         if query not in self.plan:
             return
         self.plan.remove(query)
@@ -264,7 +270,7 @@
             self.queued_load_ms[query.table_group] = max(queued_ms - query.planned_run_ms, 0.0)
 
     def clear_plan(self) -> list[Query]:
-        """Empty the plan and return what was queued."""
+        """Empty the plan and return the queries that were queued."""
         queued = self.plan
         self.plan = []
         self.queued_thread_ms = 0.0
@@ -273,7 +279,7 @@
         return queued
 
     def add_in_flight(self, query: Query) -> None:
-        """Count an attempt of the query that is sent here."""
+        """Add an attempt of the query that is sent to this engine."""
         self.in_flight[query.id] = query
         if query.query_class.is_load:
             self.loads_in_flight[query.table_group] = self.loads_in_flight.get(query.table_group, 0) + 1
@@ -284,7 +290,7 @@
         self.sent_since_report.add(query, 1)
 
     def remove_in_flight(self, query: Query, min_share: float) -> bool:
-        """Count an attempt that has ended no more; false if none was in flight here."""
+        """Remove the query's attempt, which has ended; return whether one was in flight here."""
         if self.in_flight.pop(query.id, None) is None:
             return False
         self.in_flight_by_density.remove_attempt(query)
@@ -300,10 +306,10 @@
 
 
 def machine_of(entry: Engine, machine_types: Sequence[MachineType]) -> MachineType:
-    """The type of an engine's machine; one without figures where the list names none that is known."""
+    """Return an engine's machine type; a type without figures if the entry names no known one."""
     return machine_types[entry.machine_type] if entry.machine_type < len(machine_types) else MachineType()
 
 
 def engine_cores(entry: Engine, machine_types: Sequence[MachineType]) -> float:
-    """An engine's cores; without a known machine type its size counts as cores."""
+    """Return an engine's cores; if its machine type has no figure, its size is taken as the cores."""
     return machine_of(entry, machine_types).cores or max(entry.size, 1.0)
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -1,8 +1,9 @@
-"""Placement: which engine a query is queued for, and at which position of its plan (Algorithms 1 and 3).
+"""Placement: chooses the engine that a query is queued for and its position in that engine's plan.
 
-Each engine has a plan of the queries queued for it, kept by insertion: a query goes before those that it
-outranks by OUTRANK_MARGIN or does not make late, else it goes last; canaries go first. A query goes to the
-engine with the earliest estimated finish among a few candidates drawn at random.
+Implements Algorithms 1 and 3 of the paper named in scheduler.py. A plan is the ordered list of the queries
+queued for one engine. A query is inserted before queries that it outranks by OUTRANK_MARGIN or does not make
+late, and is appended otherwise; canaries are inserted at the front. Among a few candidates drawn at random,
+the engine with the earliest estimated finish is chosen.
 """
 
 from __future__ import annotations
@@ -26,16 +27,23 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import Idempotency
 
-BETA = 0.2  # share of the slack that is reserved: the tentative run time is 1.4 of the planned one
-REPLAN_CANDIDATES = 2  # for a queued query where engines are rarely heard of: more is only CPU
-PREFERRED_SHARE = 0.4  # of the engines, take the loads on a set of tables: the others serve its readers
-MIN_WORK_RATE = 0.02  # no engine is planned slower than that
-ERROR_DELAY_FACTOR = 3  # times the wait by which an engine that only gives errors looks later
-CANARY_INTERVAL_MS = 150.0  # between the canaries that all gateways together send to an ejected engine
+BETA = 0.2  # reserved share of the slack EPSILON: the finish is estimated with 1.4 times the run time
+REPLAN_CANDIDATES = 2  # candidates for replanning a query on unobserved engines: more only costs CPU time
+PREFERRED_SHARE = 0.4  # share of the engines that takes the loads on a table group; the rest serves readers
+MIN_WORK_RATE = 0.02  # lowest work rate that planning assumes, in ms of work per thread ms
+ERROR_DELAY_FACTOR = 3  # factor of the time to the finish that is added at an error share of 1
+CANARY_INTERVAL_MS = 150.0  # interval between the canaries of all gateways to one ejected engine
 
 
 class TentativePlan(NamedTuple):
-    """What would become of a query on one engine: its finish, position in the plan, density and run time."""
+    """The estimated result of queueing a query for one engine.
+
+    Attributes:
+        finish_at: Estimated finish, in ms on the caller's clock.
+        offset: Position in the engine's plan, counted from 0.
+        density: Utility per ms of thread time at that finish, rounded down to a power of two.
+        run_ms: Estimated run time, in ms.
+    """
 
     finish_at: float
     offset: int
@@ -44,7 +52,7 @@
 
 
 def tentative_plan(gateway: GatewayState, query: Query, engine: EngineView) -> TentativePlan:
-    """What would become of a query on an engine, at the densest position that it may take there."""
+    """Return the plan for a query on an engine, at the position with the highest density that is allowed."""
     work_ms = query.planned_work_ms * (1 + query.class_history.run_time_error)
     rate = max(rate_estimation.work_rate(gateway, engine), MIN_WORK_RATE)
     run_ms = work_ms / (query.query_class.threads * rate)
@@ -63,10 +71,11 @@
 
 
 def _finish_without_queue(gateway: GatewayState, query: Query, engine: EngineView, run_ms: float) -> float:
-    """When the query would finish on the engine if nothing were queued there before it.
+    """Return when the query would finish on the engine if no query were queued before it.
 
-    Readers wait for a load that locks their tables; loads on the same tables run one at a time, those of all
-    gateways in turn.
+    Queries in flight still delay it. Readers wait for a load that locks their tables. Loads on the same
+    tables run one at a time, including those of other gateways, so the wait for queued loads is scaled by the
+    traffic share.
     """
     now, query_class = gateway.now, query.query_class
     finish_at = now + (1 + BETA * EPSILON) * run_ms
@@ -92,16 +101,16 @@
 def _densest_position(
     query: Query, engine: EngineView, unqueued_finish_at: float, last: TentativePlan
 ) -> TentativePlan:
-    """The densest position, from the last one to the front, where the query may delay those behind it.
+    """Return the plan at the position with the highest density where the query may delay those behind it.
 
-    It may where its density is over OUTRANK_MARGIN times that of each query behind it that would lose utility
-    by the delay.
+    Positions are tried from the end of the plan to its front. The query may take a position if its density
+    exceeds OUTRANK_MARGIN times the density of each query behind it that the delay would make late.
     """
     best, run_ms = last, last.run_ms
     queued_thread_ms, queued_memory_mb_ms = engine.queued_thread_ms, engine.queued_memory_mb_ms
     thread_capacity, memory_capacity_mb = engine.local_thread_capacity, engine.local_memory_capacity_mb
     max_density = estimates.density(query, run_ms, unqueued_finish_at)
-    delayed_density = 0.0  # highest density that would lose by the delay
+    delayed_density = 0.0  # highest density among the queries that the delay would make late
     delay_ms = run_ms * query.query_class.threads / thread_capacity
     for index in range(len(engine.plan) - 1, -1, -1):
         other = engine.plan[index]
@@ -122,9 +131,11 @@
 
 
 def candidate_engines(gateway: GatewayState, query: Query, count: int = CANDIDATES) -> list[EngineView]:
-    """Up to `count` engines drawn by capacity, without ejected, tried and backed-off ones and spent budgets.
+    """Return up to `count` engines drawn at random, weighted by capacity, that may be sent the query now.
 
-    If none is left, all engines that may run the query. Loads go to the preferred engines of their tables.
+    Engines are left out that are ejected, were tried before, are in back-off or have no slow-start budget
+    left. If none remains, all engines that may run the query are returned. For a load, the preferred engines
+    of its tables are returned.
     """
     query_class = query.query_class
     if query_class.is_load and (preferred := _preferred_for_load(gateway, query)):
@@ -139,16 +150,16 @@
 
 
 def _is_ready(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
-    """Whether the engine may be sent the query now."""
+    """Return whether the engine may be sent the query now."""
     if engine.ejection_reason or engine.id in query.tried_engine_ids or not may_run_on(query, engine):
         return False
     return gateway.now >= engine.backoff_until and not slow_start.exceeds_budget(gateway, query, engine)
 
 
 def _without_loaded(gateway: GatewayState, query: Query, pool: list[EngineView]) -> list[EngineView]:
-    """The pool without preferred engines of the query's tables that have a load on these now.
+    """Return the pool without the preferred engines of the query's tables that have a load on these tables.
 
-    Readers use preferred engines while no load is there, so that their capacity is not left idle.
+    Readers still use preferred engines that have no load, so that their capacity does not stay idle.
     """
     tables, now = query.table_group, gateway.now
     if not any(engine.has_load_on(tables, now) for engine in pool):
@@ -159,9 +170,10 @@
 
 
 def _preferred_for_load(gateway: GatewayState, query: Query) -> list[EngineView]:
-    """The preferred engines of its tables that a load may be sent to.
+    """Return the preferred engines of its tables that a load may be sent to.
 
-    Those whose load this gateway hears of come first: the others look empty to it.
+    Engines assigned to this gateway take precedence: peers report their work only for these, so any other
+    engine would look idle.
     """
     preferred = engines_preferred_for(gateway, query.table_group)
     untried = [
@@ -174,7 +186,7 @@
 
 
 def _fallback_candidates(gateway: GatewayState, query: Query) -> list[EngineView]:
-    """All engines that may run the query: usable ones not tried yet, else usable ones, else any."""
+    """Return the engines that may run the query: usable and untried ones, else usable ones, else all."""
     live = [engine for engine in gateway.live_engines if may_run_on(query, engine)]
     usable = [engine for engine in live if engine.is_usable()]
     untried = [engine for engine in usable if engine.id not in query.tried_engine_ids]
@@ -182,10 +194,11 @@
 
 
 def engines_preferred_for(gateway: GatewayState, table_group: int) -> list[EngineView]:
-    """The engines that take the loads on these tables, the same at every gateway.
+    """Return the engines that take the loads on these tables; every gateway computes the same engines.
 
-    A load locks its tables on its engine. Loads that were spread over all engines would leave no engine to
-    the readers, so each set of tables keeps to a share of the engines, sets in turn around the ring.
+    A load locks its tables on its engine. Loads spread over all engines would leave no engine for readers,
+    so each table group is confined to PREFERRED_SHARE of the engines. The number of the table group selects
+    where its engines begin on the affinity ring.
     """
     ring, preferred = gateway.affinity_ring, gateway.preferred_engines
     if table_group not in preferred and ring:
@@ -197,7 +210,10 @@
 
 
 def may_run_on(query: Query, engine: EngineView) -> bool:
-    """Whether the engine may run the query: it is live, of a permitted zone and type, and drops repeats."""
+    """Return whether the engine may run the query.
+
+    The engine must be live, of a permitted zone and machine type, and permitted for a retry of the query.
+    """
     query_class, entry = query.query_class, engine.entry
     if entry.state is not EngineState.LIVE:
         return False
@@ -209,7 +225,10 @@
 
 
 def place(gateway: GatewayState, query: Query, count: int = CANDIDATES) -> None:
-    """Queue a query for the candidate with the earliest finish, or for an ejected engine as a canary."""
+    """Queue a query for an ejected engine as a canary, else for the candidate with the earliest finish.
+
+    A query without a candidate stays in `gateway.unplaced` until the next replanning.
+    """
     gateway.unplaced.pop(query.id, None)
     estimates.estimate(gateway, query)
     engine = _engine_for_canary(gateway, query)
@@ -229,9 +248,10 @@
 
 
 def _enqueue(gateway: GatewayState, query: Query, engine: EngineView, plan: TentativePlan) -> None:
-    """Queue the query at its position; those behind it finish later.
+    """Queue the query at its planned position and delay the estimated finish of the queries behind it.
 
-    Where priorities are allowed its priority is one above those of the queries that it outranks.
+    Where the deployment has priorities, the query's priority is one above the highest of the queries behind
+    it and of the attempts in flight that it outranks.
     """
     query.estimated_finish_at, index, query.density, query.planned_run_ms = plan
     query.engine = engine
@@ -249,9 +269,9 @@
 
 
 def _engine_for_canary(gateway: GatewayState, query: Query) -> EngineView | None:
-    """The ejected engine that the query should test, if any.
+    """Return the ejected engine that the query should test as a canary, if any.
 
-    Only first attempts of short idempotent queries are canaries, so that a recovery is seen at little risk.
+    Only first attempts of short idempotent queries are canaries, which limits the harm of a failed test.
     """
     if (
         query.query_class.idempotency is not Idempotency.IDEMPOTENT
@@ -270,9 +290,9 @@
 
 
 def replan(gateway: GatewayState) -> None:
-    """Place the queued queries anew in order of arrival, by what is known of rates and engines now.
+    """Place all queued queries again in order of arrival, with the present work rates and engine states.
 
-    Those that can't earn anything any more are answered.
+    Queries that can no longer finish with any utility are rejected or failed.
     """
     queued = [query for engine in gateway.active_engines.values() for query in engine.clear_plan()]
     queued += gateway.unplaced.values()
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -1,4 +1,4 @@
-"""Release: queued queries are sent in plan order while engines and the own fleet share have capacity."""
+"""Release: sends queued queries in plan order while their engine and the local fleet share have capacity."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import MemoryShortage
 
-MAX_OVERFILL = 1.25  # times its capacity an engine takes nothing more: work done falls steeply from there
+MAX_OVERFILL = 1.25  # use by capacity above which an engine is sent nothing: throughput drops steeply there
 
 
 class SendBarrier(Enum):
-    """Why a queued query may not be sent now; RetryBarrier has the reasons that concern retries."""
+    """Why a queued query may not be sent now; RetryBarrier lists the reasons that apply to retries."""
 
     NOT_PERMITTED_THERE = "in flight, finished, or not permitted on the engine"
     DEADLINE_NEAR = "deadline near"
@@ -49,14 +49,14 @@
 
 
 def _release_plan(gateway: GatewayState, engine: EngineView) -> None:
-    """Send what may go of one engine's plan, densest first."""
+    """Send the queries of one engine's plan that may be sent now, in plan order."""
     index, blocked_density = 0, 0.0
     while index < len(engine.plan):
         query = engine.plan[index]
         if _is_blocked(query, engine, blocked_density):
             index += 1
         elif not has_capacity(gateway, query, engine) or _would_displace(gateway, query):
-            blocked_density = query.density  # above any before it, else it was passed over
+            blocked_density = query.density  # exceeds the previous value, else _is_blocked() were true
             if not blocked_density or not gateway.settings.features.has_priorities:
                 return
             index += 1
@@ -68,9 +68,10 @@
 
 
 def _is_blocked(query: Query, engine: EngineView, blocked_density: float) -> bool:
-    """Whether a query waits for one that is blocked, unless it outranks it, or a load for one on its tables.
+    """Return whether a query must wait for a blocked query that it does not outrank, or for a load.
 
-    A second load on the same tables would only stand still at the engine and keep readers waiting.
+    A load waits for another load in flight on its tables: it would only wait for the lock at the engine and
+    block readers meanwhile.
     """
     if blocked_density and query.density <= OUTRANK_MARGIN * blocked_density:
         return True
@@ -78,7 +79,10 @@
 
 
 def _would_displace(gateway: GatewayState, query: Query) -> bool:
-    """Whether a query without expected utility would take the capacity of another: not on an idle fleet."""
+    """Return whether a query without expected utility would take capacity that other queries need.
+
+    On a fleet used below IDLE_UTILIZATION it takes no capacity from others.
+    """
     if query.density > 0:
         return False
     used_share = utilization.fleet_used_share(gateway, gateway.fleet_utilization)
@@ -88,9 +92,9 @@
 def send_barrier(
     gateway: GatewayState, query: Query, engine: EngineView
 ) -> SendBarrier | retry_policy.RetryBarrier | None:
-    """The rule that keeps a query from being sent to an engine now; None where it may go.
+    """Return the rule that forbids sending a query to an engine now; None if it may be sent.
 
-    Every rule is checked at the moment of sending, whatever the plan says.
+    All rules are checked again at the time of sending, as they may have changed since the query was planned.
     """
     if query.is_in_flight or query.is_finished or not placement.may_run_on(query, engine):
         return SendBarrier.NOT_PERMITTED_THERE
@@ -106,10 +110,11 @@
 
 
 def has_capacity(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
-    """Whether the engine and the local share of the fleet have capacity for the query.
+    """Return whether the engine and this gateway's share of the fleet have capacity for the query.
 
-    Threads bind only under pressure, and what the query outranks holds it back in part only, as the engine
-    lets it pass. One query of this gateway may always be in flight.
+    The limit on threads applies only under pressure. Attempts that the query outranks count in part or not at
+    all, as the engine serves the higher priority first. A gateway without attempts in flight may send one
+    query of any size, except in the pause after a query larger than its share.
     """
     is_pressed = utilization.is_under_pressure(gateway, engine)
     ranking_density = query.density if gateway.settings.features.has_priorities else 0.0
@@ -121,9 +126,9 @@
 def _is_engine_full(
     gateway: GatewayState, query: Query, engine: EngineView, is_pressed: bool, ranking_density: float
 ) -> bool:
-    """Whether the engine has no capacity for the query beside what it doesn't outrank.
+    """Return whether the engine lacks capacity for the query next to the attempts that it does not outrank.
 
-    An engine with nothing in flight is never full; one over MAX_OVERFILL is for every query.
+    An engine with nothing in flight is never full; one used above MAX_OVERFILL is full for every query.
     """
     peers = engine.peer_load(gateway.now, gateway.peer_sends_per_local)
     if not engine.in_flight and not peers.threads:
@@ -148,10 +153,12 @@
 def _fits_traffic_share(
     gateway: GatewayState, query: Query, is_pressed: bool, ranking_density: float
 ) -> bool:
-    """Whether this gateway's share of the whole fleet has capacity for one more query.
+    """Return whether this gateway's share of the fleet has capacity for one more query.
 
-    The share is of the fleet, not of each engine: one query of each gateway on each engine would flood it.
-    Timed out attempts that may run on count for the time planned. A query wider than the share goes alone.
+    The share applies to the fleet, not to each engine: one query of each gateway on each engine would
+    overload the fleet. Attempts that timed out and may still run count until their planned end. A query that
+    needs more than the share is sent only while no query that it does not outrank is in flight, and after the
+    pause that follows another such query.
     """
     in_flight = gateway.in_flight.on_admitted_engines.not_outranked(ranking_density, OUTRANK_MARGIN)
     unobserved = [a.query for a in gateway.unobserved_attempts if a.expected_end_at > gateway.now]
@@ -170,10 +177,11 @@
 
 
 def _unpressed_memory_weight(gateway: GatewayState) -> float:
-    """How far the share of memory binds without pressure, as a shortage shows only once it has come.
+    """Return the weight, from 0 to 1, of the memory limit on an engine without pressure.
 
-    Not where queries wait for memory. Where grants shrink one query pays, not all, so there it binds as far
-    as the fleet is reported busy.
+    A memory shortage shows as pressure only after it has begun, so the limit may apply earlier. The weight is
+    0 where queries wait for memory. Where grants shrink, a shortage slows only one query, so the weight is
+    the reported utilization of the fleet. Where engines page, it slows all queries, and the weight is 1.
     """
     shortage = gateway.settings.on_memory_shortage
     if shortage is MemoryShortage.WAIT:
@@ -182,10 +190,11 @@
 
 
 def _share_stretch(gateway: GatewayState, query: Query) -> float:
-    """Part of a query by which the share is stretched now.
+    """Return the part of one query, from 0 to 1, by which this gateway may exceed its share now.
 
-    Where the fleet has one admission threshold, gateways take turns with what is left over of a share that is
-    no whole number of queries: rounded down, admitted queries would wait in vain at small gateways.
+    A share rarely amounts to a whole number of queries, and rounding down would keep admitted queries waiting
+    at gateways with a small share. So where one admission threshold applies to the whole fleet, gateways take
+    turns to use the remainder.
     """
     if not gateway.threshold.is_fleet_wide:
         return 0.0
@@ -215,7 +224,7 @@
 
 
 def _update_attempt(gateway: GatewayState, query: Query, engine: EngineView) -> None:
-    """Send the memory grant and the priority of the next attempts, where they have changed."""
+    """Send the memory grant and the priority for the query's next attempts if either has changed."""
     grant_mb = estimates.memory_grant_mb(gateway, query, engine)
     if grant_mb != query.sent_memory_grant_mb or query.priority != query.sent_priority:
         gateway.actions.append(UpdateAttempt(query.id, grant_mb, query.priority))
@@ -224,10 +233,10 @@
 
 
 def pause_after_wide_query(gateway: GatewayState, query: Query) -> None:
-    """An attempt has ended: after one wider than the local share the share is paused.
+    """Pause further queries that exceed the local share after the attempt of such a query has ended.
 
-    One query may always be in flight. Of hundreds of gateways with one wider than the share each, the pause
-    keeps the mean within capacity.
+    A gateway without attempts in flight may send a query larger than its share. If hundreds of gateways did
+    so back to back, they would overload the fleet. The pause keeps the mean use within the share.
     """
     threads = query.query_class.threads / gateway.fleet_thread_capacity
     memory = query.planned_memory_mb / gateway.fleet_memory_capacity_mb
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: the budget of work that an engine that has just started may be sent.
+"""Slow start: limits the work that is sent to an engine that has just started.
 
-All gateways together may send a cold engine no more than it takes without falling over; each keeps to its own
-part of that, so that the parts add up to the budget whatever the others do. The budget is counted in work, in
-which a query weighs what its class usually takes. An engine with a quota of the fleet
-(fleet/recovery/shared_slow_start.py) keeps to that instead.
+A cold engine fails if all gateways together send it more work than its budget. Each gateway sends no more
+than its own part, so the parts add up to the budget without coordination. The budget is a token bucket
+counted in work (`EngineView.allowance_ms`): a query costs the work that its class usually needs. For an
+engine with a quota of the fleet (fleet/recovery/shared_slow_start.py), the quota replaces the budget.
 """
 
 from __future__ import annotations
@@ -16,24 +16,25 @@
 from cottonhold.scheduler.parameters import GOLDEN_RATIO
 from cottonhold.scheduler.query import Query
 
-COLD_MARGIN = 0.5  # of a cold engine's budget: its true speed, estimates and traffic shares are all guesses
-EARNED_SHARE = 0.5  # of the budget is earned over the window, the rest is the burst at its begin
-MAX_PART_FACTOR = 1.5  # times an even part of the fleet's traffic: the most that counts as this gateway's
-LARGE_QUERY_SHARE = 0.7  # of the budget goes to queries larger than what a gateway can save up
-SINGLE_QUERY_SLACK = 2  # queries of mean work by which one query may exceed the budget of all gateways
-MAX_MEAN_SAMPLES = 200  # queries over which their mean work is taken
-MEAN_PRIOR_SAMPLES = 10  # queries that the first guess of it stands for
-SETTLED_ANSWERS = 8  # answers of a class after which its mean work is used, not the query's own estimate
-QUOTA_BURST_MS = 250.0  # of a quota's work may come at once: the gateways' quotas add up within a moment
-HASH_COUNT = 2**32  # hashes of engine ids: a hash over it is a place between 0 and 1
+COLD_MARGIN = 0.5  # used share of a cold engine's budget; speed, work and traffic shares are only estimated
+EARNED_SHARE = 0.5  # share of the budget that is earned over the window; the rest is the initial burst
+MAX_PART_FACTOR = 1.5  # largest part of the budget a gateway may claim, in even parts of all gateways
+LARGE_QUERY_SHARE = 0.7  # share of the turns that is open to queries larger than one burst
+SINGLE_QUERY_SLACK = 2  # work by which one query may exceed the budget of all gateways, in mean queries
+MAX_MEAN_SAMPLES = 200  # number of queries over which the mean work is averaged
+MEAN_PRIOR_SAMPLES = 10  # weight of the initial estimate of the mean work, in queries
+SETTLED_ANSWERS = 8  # answers from which on the mean work of a class replaces the query's own estimate
+QUOTA_BURST_MS = 250.0  # time over which an unused quota accumulates: bursts of all gateways may coincide
+HASH_COUNT = 2**32  # number of hashes of engine ids; divided by it, a hash is a fraction from 0 to 1
 
 
 def exceeds_budget(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
-    """Whether the budget of a cold engine, or an engine's quota, keeps the query from being sent there now.
+    """Return whether a cold engine's budget or an engine's quota forbids sending the query there now.
 
-    Also adds what was saved up since the last call. A cold engine is sent work only by the gateways that draw
-    on it. Where a gateway's part is less than a query, gateways take turns in how much of the query has to be
-    saved up. An engine that was seen to fail is cold as well, before the list reports a restart.
+    Also adds the allowance earned since the last call. A cold engine is sent work only by the gateways that
+    it is assigned to. Where the part of a gateway is less than one query, gateways take turns in the share of
+    the query that must be earned before it is sent. An engine that has recovered from a failure counts as
+    cold too, even before the engine list reports a restart.
     """
     is_cold = gateway.now < engine.cold_until
     quota_rate = engine.effective_quota_rate(gateway.now)
@@ -55,19 +56,19 @@
 
 
 def _budget_share(gateway: GatewayState, engine: EngineView, work_ms: float) -> float:
-    """Share of the turns that is open to a query.
+    """Return the share of the turns that is open to a query of this work.
 
-    Only a part is for large ones, so that gateways whose turn is too late for a large query and send a small
-    one do not spend what others spend on the large one.
+    Queries larger than one burst get only LARGE_QUERY_SHARE. The rest pays for the small queries that the
+    other gateways send in the same window, whose turn is too late for a large query.
     """
     burst_ms = local_budget_rate(gateway, engine) * gateway.settings.rules.overload_window_ms
     return LARGE_QUERY_SHARE if work_ms > burst_ms else 1.0
 
 
 def _max_single_work_ms(gateway: GatewayState, engine: EngineView) -> float:
-    """The most work that one query may have: the budget of all gateways and a little slack.
+    """Return the largest work that one query may have: the budget of all gateways and some slack.
 
-    A query of many times the mean work overloads a small cold engine by itself, whichever gateway sends it.
+    A single query of many times the mean work overloads a small cold engine, whichever gateway sends it.
     """
     rules = gateway.settings.rules
     capacity = engine.cores * engine.warm_capacity_share(gateway.now, rules)
@@ -76,9 +77,9 @@
 
 
 def _usual_work_ms(query: Query) -> float:
-    """The work that a query takes off the budget: the mean of its class once that is settled.
+    """Return the work that a query costs: the mean of its class once enough answers have arrived.
 
-    The mean of the first few answers may be far too low.
+    Before that the query's own estimate is used, as the mean of the first few answers may be far too low.
     """
     history = query.class_history
     if history.answers_seen >= SETTLED_ANSWERS:
@@ -89,7 +90,7 @@
 
 
 def record_arrival(gateway: GatewayState, query: Query) -> None:
-    """Count an accepted query for the mean work."""
+    """Update the mean work of accepted queries with one more query."""
     if not gateway.mean_work_samples:
         objectives = [query_class.latency_objective_ms for query_class in gateway.settings.classes]
         gateway.mean_work_ms = sum(objectives) / len(objectives) * DEFAULT_WORK_OF_OBJECTIVE
@@ -99,9 +100,10 @@
 
 
 def _save_up(gateway: GatewayState, engine: EngineView, quota_rate: float, work_ms: float) -> None:
-    """Add to the engine's allowance what was earned since it was last updated, up to one burst.
+    """Add the allowance that the engine has earned since the last update, up to one burst.
 
-    Without a quota the rate follows the ramp of a cold engine; a quota follows what the engine shows.
+    Without a quota, the rate follows the expected ramp of a cold engine. With a quota no ramp is needed, as
+    the fleet sets the quota by the performance of the engine.
     """
     rules = gateway.settings.rules
     elapsed_ms = gateway.now - engine.allowance_updated_at
@@ -117,11 +119,10 @@
 
 
 def _required_savings(gateway: GatewayState, engine: EngineView, is_cold: bool, has_quota: bool) -> float:
-    """The share of a usual query that has to be saved up, from 0 to 1: spread evenly over the gateways, which
-    take turns.
+    """Return the share of a query's usual work, from 0 to 1, that must be earned before the query is sent.
 
-    At a cold engine with a quota the order stays: dealt anew, many gateways that have saved up would begin at
-    once.
+    The shares are spread evenly over the gateways and rotate with each window. At a cold engine with a quota
+    they stay constant: a new order would let many gateways with a full allowance send at the same time.
     """
     slot = gateway.settings.gateway_index
     if not has_quota or not is_cold:
@@ -130,9 +131,10 @@
 
 
 def local_budget_rate(gateway: GatewayState, engine: EngineView) -> float:
-    """This gateway's part of the work that a cold engine may be sent, in ms a ms; as much again as one burst.
+    """Return the rate at which this gateway earns its part of a cold engine's budget, in ms of work per ms.
 
-    The part is bounded whatever peers reported: all gateways may believe in a larger share than they have.
+    The earnings of one window are also the size of the burst. The part is bounded independently of peers'
+    reports, as all gateways may overestimate their traffic share at the same time.
     """
     rules, settings = gateway.settings.rules, gateway.settings
     part = gateway.assigned_engine_share / settings.concurrent_processes
@@ -143,7 +145,7 @@
 
 
 def start_warming(gateway: GatewayState, engine: EngineView, cold_until: float) -> None:
-    """Keep an engine that may have started to the cold budget, from a full burst on."""
+    """Treat an engine that may have started as cold until `cold_until`, beginning with a full burst."""
     if gateway.now >= engine.cold_until:
         burst_ms = local_budget_rate(gateway, engine) * gateway.settings.rules.overload_window_ms
         engine.allowance_ms = burst_ms
@@ -152,5 +154,5 @@
 
 
 def spend(query: Query, engine: EngineView) -> None:
-    """Take a query that is sent off the engine's allowance."""
+    """Subtract a query that is sent from the engine's allowance."""
     engine.allowance_ms -= _usual_work_ms(query)
