--- a/cottonhold/scheduler/actions.py
+++ b/cottonhold/scheduler/actions.py
@@ -1,7 +1,6 @@
-"""Actions: what the scheduler asks its caller to carry out after a step.
+"""Actions: the output of a scheduler step, which the caller carries out.
 
-Times are milliseconds on the caller's clock, memory is in MB, work is in milliseconds on one thread.
-Positions (class, tenant, zone, machine type) count from 0 in the settings' lists.
+Times are in milliseconds on the caller's clock, memory is in MB, and work is in milliseconds on one thread.
 """
 
 from __future__ import annotations
@@ -9,15 +8,19 @@
 import math
 from dataclasses import dataclass
 
-MAX_PRIORITY = 3  # highest priority that engines know; 1 is the usual one
+MAX_PRIORITY = 3  # highest priority that engines accept; the default is 1
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; timeout 0 lasts until the client gives up.
-
-    An attempt that has not begun by `begin_deadline`, as when a connect takes long, must not begin any more:
-    engines no longer drop repeats then.
+    """Start an attempt.
+
+    Attributes:
+        query_id: Id of the query.
+        engine: Id of the engine.
+        timeout_ms: Time after which the attempt is abandoned, in ms; 0 for the client's deadline.
+        begin_deadline: Time from which the attempt must not be started, for example after a slow connect:
+            engines no longer drop repeats then.
     """
 
     query_id: str
@@ -28,7 +31,10 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateAttempt:
-    """Memory grant (0: the engine chooses) and priority for the query's next attempts."""
+    """Set the memory grant, in MB, and the priority of the query's next attempts.
+
+    With a grant of 0 the engine chooses the grant.
+    """
 
     query_id: str
     memory_grant_mb: int
@@ -37,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Cancel one attempt."""
+    """Cancel one attempt, identified by its number from 0."""
 
     query_id: str
     attempt: int
@@ -45,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected, trying again is harmless."""
+    """Answer the query with a rejection: a retry by the client does no harm."""
 
     query_id: str
     retry_after_ms: float = 0.0
@@ -53,28 +59,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed; the query may have had effects."""
+    """Answer the query with a failure: the query may have had effects."""
 
     query_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Check the health of an engine."""
+    """Send a health check to an engine."""
 
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for changes of the engine list from now on."""
+    """Subscribe to changes of the engine list."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class SendToPeer:
-    """Send a short message to one peer, or to all."""
+    """Send a short message to one peer, or to all if `peer` is None."""
 
     payload: bytes
     peer: int | None = None
@@ -82,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Set a timer, which comes back as TimerExpired."""
+    """Set a timer, whose expiry the caller reports as TimerExpired with the same token."""
 
     delay_ms: float
     token: int
@@ -90,14 +96,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class DemandEstimate:
-    """The utility and the work in thread ms of a query with a draw, for the fleet's admission threshold."""
+    """Report the utility and the work, in thread ms, of a query for the fleet's admission threshold.
+
+    Returned for each arriving query that has an admission draw.
+    """
 
     query_id: str
     utility: float
--- a/cottonhold/scheduler/admission.py
+++ b/cottonhold/scheduler/admission.py
@@ -1,4 +1,4 @@
-"""Admission: a query that arrives is queued for an engine, or rejected at once."""
+"""Admission: queues an arriving query for an engine, or rejects it immediately."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import Idempotency
 
-SPARE_HEALTH_CHECKS = 2  # stay for engines in doubt: load is asked for with what is left over
-REMAINING_TIME_TOLERANCE = 0.02  # of the time that most clients leave: ticks and the way here scatter it
-MAX_REMAINING_TIME_VOTES = 40  # of the majority vote on it
-SETTLED_REMAINING_TIME_VOTES = MAX_REMAINING_TIME_VOTES / 4  # from which most clients are taken to be alike
-MAX_RETRIES_PER_UNSERVED = 1.5  # clients' retries for each query unserved: those of other gateways come too
-MIN_ADMISSION_WORK_MS = 1e-3  # of a query without known work, where utility is divided by it
+SPARE_HEALTH_CHECKS = 2  # budget from which load reports are requested: suspect engines take precedence
+REMAINING_TIME_TOLERANCE = 0.02  # relative; ticks and network delay scatter the time until the deadline
+MAX_REMAINING_TIME_VOTES = 40  # upper limit of the vote count for the usual time until the deadline
+SETTLED_REMAINING_TIME_VOTES = MAX_REMAINING_TIME_VOTES / 4  # votes from which the usual time is trusted
+MAX_RETRIES_PER_UNSERVED = 1.5  # client retries per unserved query; includes retries from other gateways
+MIN_ADMISSION_WORK_MS = 1e-3  # work assumed for a query without known work, to avoid division by zero
 
 
 def on_query_arrived(gateway: GatewayState, event: QueryArrived) -> None:
-    """Accept a query: queue it for an engine, or reject it where waiting would be in vain."""
+    """Queue an arriving query for an engine, or reject it if it should not wait."""
     history = gateway.class_histories[event.query_class]
     query = Query(event, gateway.settings, history, gateway.now, next(gateway.sequence_numbers))
     query.first_tried_at = _first_tried_at(gateway, query, event.is_retry)
@@ -45,10 +45,10 @@
 
 
 def _is_rejected(gateway: GatewayState, query: Query, admission_draw: float | None) -> bool:
-    """Whether a query that an engine could take is rejected on arrival.
+    """Return whether a query that has an engine is rejected on arrival.
 
-    That is a load that would be late, a query below the admission threshold, or a client's retry that can't
-    earn anything any more.
+    This applies to a load that would be late, a query below the admission threshold, and a client's retry
+    that can no longer earn any utility.
     """
     if _is_late_load(query) or _is_below_threshold(gateway, query, admission_draw):
         return True
@@ -56,7 +56,7 @@
 
 
 def _count_arrival(gateway: GatewayState, query: Query) -> None:
-    """Count a query for the retry budget, the traffic, the health checks and its tenant."""
+    """Count an accepted query for the retry budget, the traffic, the health check budget and its tenant."""
     retry_policy.count_accepted_query(gateway)
     gateway.local_traffic.add(gateway.now)
     budget = gateway.health_check_budget + gateway.health_checks_per_query
@@ -67,9 +67,10 @@
 
 
 def _refresh_oldest_report(gateway: GatewayState) -> None:
-    """Check the health of the engine with the oldest load report, within the budget left by engines in doubt.
+    """Request a load report from the engine with the oldest one by a health check, if the budget permits.
 
-    Where answers are rare, or only health checks bring load reports, load would be a guess.
+    Where answers are rare, or only health checks return load reports, the load of engines would otherwise be
+    unknown. SPARE_HEALTH_CHECKS of the budget remain for suspect engines.
     """
     if (
         gateway.settings.features.has_health_checks
@@ -85,9 +86,9 @@
 
 
 def _is_late_load(query: Query) -> bool:
-    """Whether a load would end late behind those queued for the same tables.
+    """Return whether a load would end late because of the loads queued for the same tables.
 
-    Loads that come faster than their tables come free would otherwise queue up to the deadline, all late.
+    If loads arrive faster than they are executed, their queue would otherwise grow until all end late.
     """
     is_late = query.estimated_finish_at > query.latency_objective_at
     if not query.query_class.is_load or not is_late or query.engine is None:
@@ -96,9 +97,9 @@
 
 
 def _is_below_threshold(gateway: GatewayState, query: Query, admission_draw: float | None) -> bool:
-    """Whether the query's utility by work is below the fleet's admission threshold.
+    """Return whether the query's utility per work is below the fleet's admission threshold.
 
-    One threshold for all gateways keeps one from serving queries of less utility than another rejects.
+    With one threshold for all gateways, none serves queries of less utility than those that another rejects.
     """
     threshold = gateway.threshold
     if admission_draw is None or gateway.now >= threshold.expires_at:
@@ -110,10 +111,11 @@
 
 
 def _first_tried_at(gateway: GatewayState, query: Query, is_marked_retry: bool) -> float:
-    """When the client first tried: now, or for a client's retry as long ago as it can have been.
+    """Return when the client sent its first try: now, or for a retry the earliest time it can have been.
 
-    Utility runs from the first try, so that a late retry must not look as dense as a new query. An unmarked
-    retry is recognized by a time left unlike that of most; only where queries went unserved can there be any.
+    The latency objective is measured from the first try, so a late retry must not appear as dense as a new
+    query. A retry that is not marked is recognized by an unusual time until its deadline. It is expected only
+    as often as queries of the class went unserved.
     """
     history, now = query.class_history, gateway.now
     max_votes = None if is_marked_retry else MAX_REMAINING_TIME_VOTES
@@ -128,7 +130,7 @@
 
 
 def on_client_disconnected(gateway: GatewayState, event: ClientDisconnected) -> None:
-    """The client has left: the query is finished, and its attempt cancelled unless it is not idempotent."""
+    """Finish the query of a disconnected client, and cancel its attempt if the query is idempotent."""
     query = gateway.queries.get(event.query_id)
     if query is None or query.is_finished:
         return
@@ -140,5 +142,5 @@
 
 
 def on_admission_threshold(gateway: GatewayState, event: AdmissionThreshold) -> None:
-    """The fleet has another admission threshold."""
+    """Apply the fleet's new admission threshold."""
     gateway.threshold = event
--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What comes of attempts: progress notes, their end, and what follows it for the query."""
+"""Handles progress notes and the end of attempts, after which the query is answered or retried."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from cottonhold.scheduler.parameters import MIN_REMAINING_SHARE
 from cottonhold.scheduler.query import Query
 
-WAITS_FOR_MEMORY = 1  # value of a note that an attempt waits: for memory, else for a load on its tables
+WAITS_FOR_MEMORY = 1  # value of a WAITING note for memory; another value means a load on the tables
 
 
 def on_attempt_ended(gateway: GatewayState, event: AttemptEnded) -> None:
-    """An attempt has ended: judge its engine, then answer the query or retry it."""
+    """Update the health of the engine of an ended attempt, then retry, answer or finish its query."""
     query = gateway.queries.get(event.query_id)
     engine = gateway.engines.get(event.engine)
     if engine is not None:
@@ -46,7 +46,7 @@
 
 
 def _leave_engine(gateway: GatewayState, query: Query, engine: EngineView) -> None:
-    """Free what the attempt took of its engine's capacity."""
+    """Free the capacity and the table locks that the attempt held on its engine."""
     gateway.in_flight.remove_attempt(query, engine, MIN_REMAINING_SHARE)
     query.tried_engine_ids.add(engine.id)
     release.pause_after_wide_query(gateway, query)
@@ -55,18 +55,19 @@
 
 
 def _count_unobserved(gateway: GatewayState, query: Query) -> None:
-    """Count a timed-out attempt that nothing cancels, which runs on unobserved for the time planned."""
+    """Record a timed-out attempt that can't be cancelled and is assumed to run on until its planned end."""
     running = [a for a in gateway.unobserved_attempts if a.expected_end_at > gateway.now]
     expected_end_at = gateway.now + query.planned_run_ms * (1 - query.completed_share)
     gateway.unobserved_attempts = [*running, UnobservedAttempt(expected_end_at, query)]
 
 
 def _retry_or_answer(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
-    """Queue the query for a further attempt if the rules and the time left allow one, else answer it.
+    """Queue the query for a further attempt if the rules and the remaining time permit, else answer it.
 
-    An attempt that this side withdrew before it started is not tried again: the client left, too little time
-    remained, or the load could not be recorded. A further attempt needs half a planned run of time at least.
-    The deadline is added again: it may have come up, and been dropped, while the attempt was in flight.
+    There is no further attempt after one that the gateway withdrew before its start: its client disconnected,
+    the remaining time was too short, or the load could not be recorded. A further attempt needs at least half
+    the planned run time. The deadline is added again, as it may have expired, and been removed from the queue
+    of deadlines, while the attempt was in flight.
     """
     needed_ms = max(query.planned_run_ms / 2, gateway.answer_margin_ms)
     is_late = gateway.now + needed_ms > query.deadline_at
@@ -79,7 +80,7 @@
 
 
 def on_progress_note(gateway: GatewayState, event: ProgressNote) -> None:
-    """Apply news of a running attempt."""
+    """Apply a progress note of an attempt in flight; ignore a note of any other attempt."""
     query = gateway.queries.get(event.query_id)
     engine = gateway.engines.get(event.engine)
     if query is None or engine is None or query.id not in engine.in_flight:
@@ -96,13 +97,13 @@
 
 
 def _on_memory_wait(gateway: GatewayState, query: Query, engine: EngineView) -> None:
-    """The attempt waits for memory: it does not run yet, and its engine is under pressure."""
+    """Record that the attempt waits for memory, so it does not run yet and its engine is under pressure."""
     query.is_waiting_for_memory = True
     query.running_since = gateway.now
     engine.under_pressure_until = gateway.now + utilization.PRESSURE_HOLD_MS
 
 
 def on_stream_started(gateway: GatewayState, event: StreamStarted) -> None:
-    """The result has begun: the attempt belongs to the client now."""
+    """Record that the result is being streamed to the client, so the attempt must not be cancelled."""
     if query := gateway.queries.get(event.query_id):
         query.is_streaming = True
--- a/cottonhold/scheduler/events.py
+++ b/cottonhold/scheduler/events.py
@@ -1,7 +1,7 @@
-"""Events: what the scheduler takes in with a step.
+"""Events: the input of a scheduler step.
 
-Times are milliseconds on the caller's clock, memory is in MB, work is in milliseconds on one thread.
-Positions (class, tenant, zone, machine type) count from 0 in the settings' lists.
+Times are in milliseconds on the caller's clock, memory is in MB, and work is in milliseconds on one thread.
+Classes, tenants, zones and machine types are identified by their index in the lists of the settings, from 0.
 """
 
 from __future__ import annotations
@@ -21,7 +21,18 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """How an attempt or a health check ended.
+
+    Attributes:
+        OK: The engine answered.
+        ERROR: The engine answered with an error.
+        OVERLOADED: The engine rejected the attempt as it has no capacity.
+        TIMEOUT: No answer arrived in time.
+        CONNECT_FAILED: No connection to the engine was established.
+        RESET: The connection was lost during the attempt.
+        CANCELLED: The gateway or the client cancelled the attempt.
+        NOT_STARTED: The gateway withdrew the attempt before it was started.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -34,7 +45,7 @@
 
 
 class ProgressKind(Enum):
-    """What a progress note is about."""
+    """What a progress note reports; ProgressNote describes the values."""
 
     PROGRESS = 1
     SPILL = 2
@@ -43,7 +54,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Engine:
-    """One line of the engine list."""
+    """One entry of the engine list.
+
+    Attributes:
+        id: Id of the engine.
+        zone: Zone of the engine.
+        machine_type: Type of its machine.
+        cell: Cell of the engine.
+        state: State of the engine.
+        size: Number of cores that is assumed if the machine type has no figure.
+        started_at: Time at which its process started; 0 if unknown.
+    """
 
     id: str
     zone: int = 0
@@ -56,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineList:
-    """The engine list, complete or only what changed."""
+    """The complete engine list, or only the entries that changed."""
 
     engines: tuple[Engine, ...]
     is_complete: bool
@@ -64,12 +85,26 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineListFailed:
-    """A call for the list failed or the subscription broke; the old list still holds."""
+    """A request for the engine list failed or the subscription ended; the last list remains valid."""
 
 
 @dataclass(slots=True, frozen=True)
 class QueryArrived:
-    """A client's query has arrived at this gateway."""
+    """A query has arrived from a client.
+
+    Attributes:
+        query_id: Id of the query, unique at this gateway.
+        query_class: Class of the query.
+        deadline_at: Time at which the client gives up.
+        estimated_work_ms: The client's estimate of the work, in ms on one thread; 0 without an estimate.
+        estimated_memory_mb: The client's estimate of the memory, in MB; 0 without an estimate.
+        table_group: Number of the set of tables that the query reads or writes.
+        tenant: Tenant of the client.
+        ordering_key: Key whose queries are sent in order of arrival; None if the order does not matter.
+        is_retry: Whether the client marked the query as a retry.
+        admission_draw: Random number from 0 to 1 that selects the density the query needs, see
+            AdmissionThreshold; None without admission control.
+    """
 
     query_id: str
     query_class: int
@@ -80,12 +115,24 @@
     tenant: int = 0
     ordering_key: str | None = None
     is_retry: bool = False
-    admission_draw: float | None = None  # 0 to 1, for the marginal share; None without admission control
+    admission_draw: float | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """How an attempt ended; `is_final` is set when the query is finished with it."""
+    """An attempt has ended.
+
+    Attributes:
+        query_id: Id of the query.
+        attempt: Number of the attempt, from 0.
+        engine: Id of the engine.
+        outcome: How the attempt ended.
+        elapsed_ms: Time since the attempt was sent, in ms.
+        is_final: Whether the query is finished with this attempt.
+        actual_work_ms: Work that the engine reports to have done, in ms; 0 if it reports none.
+        actual_memory_mb: Memory that the engine reports to have used, in MB; 0 if it reports none.
+        load_report: Load of the engine by the field's name; empty if it reports none.
+    """
 
     query_id: str
     attempt: int
@@ -100,7 +147,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ProgressNote:
-    """News of a running attempt: share completed, MB missing, or what it waits for, 1 memory or 2 a load."""
+    """A progress note of a running attempt.
+
+    Attributes:
+        query_id: Id of the query.
+        attempt: Number of the attempt, from 0.
+        engine: Id of the engine.
+        kind: What the note reports.
+        value: For PROGRESS the completed share of the run; for SPILL the missing memory, in MB; for WAITING
+            what the attempt waits for: 1 for memory, 2 for a load on its tables.
+    """
 
     query_id: str
     attempt: int
@@ -111,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The result of a streamed query has begun; the attempt belongs to the client now."""
+    """The result of an attempt has begun to be streamed to the client, so it can't be retried any more."""
 
     query_id: str
     attempt: int
@@ -120,7 +176,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has left; the query is finished."""
+    """The client has disconnected, which finishes its query."""
 
     query_id: str
 
@@ -135,7 +191,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckCompleted:
-    """The result of a health check: how it ended, and the load report that came along."""
+    """A health check has ended; its answer may contain a load report."""
 
     engine: str
     outcome: Outcome
@@ -151,17 +207,20 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """Other settings from now on; queries that arrived before keep their class and their attempts."""
+    """New settings apply; queries that arrived before keep their class and their number of attempts."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class EngineQuotas:
-    """What the fleet lets this gateway send, as work in ms a ms by engine id; 0 closes an engine.
+    """The fleet has set new quotas of work for this gateway, which replace all earlier ones.
 
-    Engines without a quota are free. Replaces all quotas before. From `expires_at` on an engine with a quota
-    gets nothing, as the quotas of all gateways were divided until then.
+    Attributes:
+        work_rate_by_engine: Work that may be sent to an engine, by its id, in ms of work per ms; 0 closes the
+            engine. Other engines have no quota.
+        expires_at: Time from which nothing may be sent to an engine with a quota, as the division among the
+            gateways is valid until then only.
     """
 
     work_rate_by_engine: dict[str, float]
@@ -170,11 +229,15 @@
 
 @dataclass(slots=True, frozen=True)
 class AdmissionThreshold:
-    """What the fleet admits until a time, by utility a ms of work. Replaces the threshold before.
-
-    A query whose draw is below `marginal_share` needs `marginal_density`, the others `full_density`. A
-    rejected client should stay away for `retry_after_ms` at least. `is_fleet_wide` says that one threshold
-    holds for all gateways, even if it admits everything.
+    """The fleet has set a new admission threshold, which replaces the earlier one.
+
+    Attributes:
+        marginal_density: Utility per ms of work that a query needs if its draw is below `marginal_share`.
+        full_density: Utility per ms of work that any other query needs.
+        marginal_share: Share of the queries to which `marginal_density` applies.
+        expires_at: Time until which the threshold is valid; afterwards all queries are admitted.
+        retry_after_ms: Shortest time until a retry that is advised to a rejected client, in ms.
+        is_fleet_wide: Whether one threshold applies to all gateways, even if it admits everything.
     """
 
     marginal_density: float = 0.0
@@ -187,7 +250,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """This gateway shuts down: what has no final answer by `ends_at` never gets one."""
+    """This gateway shuts down: queries without a final answer at `ends_at` never get one."""
 
     ends_at: float
 
--- a/cottonhold/scheduler/peer_load.py
+++ b/cottonhold/scheduler/peer_load.py
@@ -20,16 +20,16 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.reported_load import ReportedLoad, ReportedTraffic
 
-MAX_PEER_MESSAGE_COST = 0.003  # of the result that messages on loads may cost: their interval follows from it
-MIN_PEER_INTERVAL_MS = 250.0  # the shortest interval between messages on loads
-COST_UNIT_BYTES = 256  # bytes that one `per_peer_message` is the cost of
-MIN_COST_TRAFFIC_PER_S = 0.1  # least traffic by which the cost of messages is weighed
-MIN_TRAFFIC_SHARE = 0.2  # of an equal share is left to a gateway, however little of the traffic it has
+MAX_PEER_MESSAGE_COST = 0.003  # share of the utility that work reports may cost; determines their interval
+MIN_PEER_INTERVAL_MS = 250.0  # shortest interval between work reports
+COST_UNIT_BYTES = 256  # number of bytes that cost `per_peer_message`
+MIN_COST_TRAFFIC_PER_S = 0.1  # lowest traffic assumed for the cost of messages, in queries per second
+MIN_TRAFFIC_SHARE = 0.2  # lowest traffic share assumed for a gateway, in equal shares of all gateways
 TRAFFIC_MAX_AGE_MS = 10 * MAX_PEER_INTERVAL_MS  # older reports of a peer's traffic are ignored
 
 
 def on_peer_message(gateway: GatewayState, event: PeerMessage) -> None:
-    """Take over a peer's load or work; anything else is skipped."""
+    """Apply a peer's message on a load or its work report; ignore any other message."""
     if load := peer_messages.decode_load_sent(event.payload):
         _on_load_sent(gateway, load)
     elif report := peer_messages.decode_work(gateway.now, event.payload):
@@ -37,7 +37,10 @@
 
 
 def _on_load_sent(gateway: GatewayState, load: peer_messages.LoadSent) -> None:
-    """A peer sent a load: its tables are locked on the engine, no longer than any query may run."""
+    """Record that a peer sent a load, which locks its tables on the engine.
+
+    The lock is limited to the longest deadline of all classes, as no query may run longer.
+    """
     max_run_ms = max(query_class.deadline_ms for query_class in gateway.settings.classes)
     locked_until = gateway.now + min(load.planned_run_ms, max_run_ms)
     for engine in gateway.engines_by_hash.get(load.engine_hash, ()):
@@ -46,7 +49,7 @@
 
 
 def _on_work_report(gateway: GatewayState, peer: int, report: peer_messages.WorkReport) -> None:
-    """Take over a peer's traffic, and its work on the engines that it names in place of its last report."""
+    """Record a peer's traffic and its work on engines, in place of its last report."""
     gateway.peer_load_received_at = gateway.now
     gateway.traffic_by_peer[peer] = ReportedTraffic(gateway.now, report.queries_per_s)
     for engine in gateway.engines_by_peer.pop(peer, ()):
@@ -63,16 +66,17 @@
 
 
 def announce_load(gateway: GatewayState, query: Query, engine: EngineView) -> None:
-    """A load was sent: notify the gateways whose readers would stand still behind it."""
+    """Notify the gateways that share the engine of a load, as their readers would wait for its locks."""
     if gateway.settings.features.has_peer_messages:
         payload = peer_messages.encode_load_sent(engine, query.table_group, query.planned_run_ms)
         gateway.actions += [SendToPeer(payload, peer) for peer in peers_sharing(gateway, engine)]
 
 
 def publish_work(gateway: GatewayState) -> None:
-    """Send this gateway's traffic, and what it has on engines, to the peers that draw on them too.
+    """Send this gateway's traffic and its work on engines to the peers that share them.
 
-    The interval to the next messages follows from their cost and is drawn, not to be in step with peers.
+    The time until the next messages is set by their cost, with random jitter so that the gateways don't send
+    in step.
     """
     now = gateway.now
     local_per_s = gateway.local_traffic.per_s(now)
@@ -90,7 +94,11 @@
 
 
 def _engines_by_peer(gateway: GatewayState) -> dict[int, list[EngineView]]:
-    """The engines that each peer is sent: those it draws on, with something of this gateway there."""
+    """Return, by peer, the engines whose work is reported to it.
+
+    These are the engines that it shares with this gateway and where this gateway has queries queued or in
+    flight. Also starts new counts of the queries sent since the report.
+    """
     engines_by_peer = dict[int, list[EngineView]]()
     for engine in gateway.live_engines:
         if engine.id not in gateway.assigned_engine_ids and engine.id not in gateway.active_engines:
@@ -104,7 +112,7 @@
 
 
 def _update_traffic_share(gateway: GatewayState, local_per_s: float) -> None:
-    """Set this gateway's share of all traffic; peers that have not reported count as the mean."""
+    """Update this gateway's share of all traffic; a peer without a recent report counts as the mean."""
     since = gateway.now - TRAFFIC_MAX_AGE_MS
     rates = [local_per_s]
     rates += [
@@ -118,7 +126,10 @@
 
 
 def peers_sharing(gateway: GatewayState, engine: EngineView) -> list[int]:
-    """The other gateways that draw on an engine, by the ranges of ranked engines that each has."""
+    """Return the other gateways to which an engine is assigned, by their ranges of the ranked engines.
+
+    The ranges are assumed to be as long as this gateway's.
+    """
     gateway_count = gateway.settings.gateway_count
     gateways_per_engine = gateway_count / max(len(gateway.live_engines), 1)
     range_length = max(len(gateway.candidate_pool), CANDIDATES)
--- a/cottonhold/scheduler/peer_messages.py
+++ b/cottonhold/scheduler/peer_messages.py
@@ -1,4 +1,4 @@
-"""The wire form of messages between gateways: a load that was sent, and the work of a gateway on engines."""
+"""The wire format of the messages between gateways: a load that was sent, and a gateway's work on engines."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from cottonhold.scheduler.reported_load import ReportedLoad
 
 LOAD_SENT_KIND, WORK_KIND = 2, 3  # first byte of a message
-LOAD_SENT = struct.Struct(">BIHf")  # kind, hash of the engine, table group and planned length of a load
-WORK_HEADER = struct.Struct(">Bf")  # kind and the sender's traffic
-WORK_ENTRY = struct.Struct(">IBHH")  # hash of an engine, the sender's threads, memory and thread time there
+LOAD_SENT = struct.Struct(">BIHf")  # kind, hash of the engine id, table group, planned run time in ms
+WORK_HEADER = struct.Struct(">Bf")  # kind, the sender's traffic in queries per second
+WORK_ENTRY = struct.Struct(">IBHH")  # hash of an engine id, the sender's threads, memory, thread time
 MEMORY_STEP_MB = 16.0
 THREAD_TIME_STEP_MS = 32.0
 MAX_STEPS = 65535
 MAX_THREADS = 255
 TABLE_GROUP_MASK = 0xFFFF
-MAX_ENTRIES = 28  # of a message, which has 256 bytes at most
+MAX_ENTRIES = 28  # entries of one message, which has 256 bytes at most
 
 
 class LoadSent(NamedTuple):
-    """A peer sent a load to an engine, which locks its tables."""
+    """Message that a peer sent a load to an engine, which locks its tables."""
 
     engine_hash: int
     table_group: int
@@ -30,19 +30,19 @@
 
 
 class WorkReport(NamedTuple):
-    """A peer's arrivals a second, and what it has on engines by their hash."""
+    """A peer's arrivals per second, and its load on engines by the hash of the engine id."""
 
     queries_per_s: float
     load_by_engine_hash: dict[int, ReportedLoad]
 
 
 def encode_load_sent(engine: EngineView, table_group: int, planned_run_ms: float) -> bytes:
-    """A load that is sent to an engine, as a message to a peer."""
+    """Return the message to a peer that a load was sent to an engine."""
     return LOAD_SENT.pack(LOAD_SENT_KIND, engine.id_hash, table_group & TABLE_GROUP_MASK, planned_run_ms)
 
 
 def decode_load_sent(payload: bytes) -> LoadSent | None:
-    """A peer's load; None for another message or one that makes no sense."""
+    """Return the load that a peer sent; None for a message of another kind or an invalid one."""
     if len(payload) != LOAD_SENT.size or payload[0] != LOAD_SENT_KIND:
         return None
     _, engine_hash, table_group, planned_run_ms = LOAD_SENT.unpack(payload)
@@ -50,7 +50,7 @@
 
 
 def encode_work(queries_per_s: float, engines: list[EngineView]) -> bytes:
-    """This gateway's traffic and what it has on these engines, as a message to a peer."""
+    """Return the work report to a peer: this gateway's traffic and its work on these engines."""
     payload = WORK_HEADER.pack(WORK_KIND, queries_per_s)
     for engine in engines[:MAX_ENTRIES]:
         in_flight_ms = sum(remaining.thread_ms for remaining in engine.remaining_by_density.values())
@@ -63,7 +63,7 @@
 
 
 def decode_work(now: float, payload: bytes) -> WorkReport | None:
-    """A peer's traffic and its work; None for a message that makes no sense."""
+    """Return a peer's work report; None for a message of another kind or an invalid one."""
     if payload[:1] != bytes([WORK_KIND]) or len(payload) % WORK_ENTRY.size != WORK_HEADER.size:
         return None
     _, queries_per_s = WORK_HEADER.unpack_from(payload)
--- a/cottonhold/scheduler/retry_policy.py
+++ b/cottonhold/scheduler/retry_policy.py
@@ -1,7 +1,7 @@
-"""Retries: whether a query may have a further attempt, and whether its client may be told to try again.
+"""Retries: decides whether a query may be attempted again, and whether its client may be advised to retry.
 
-A further attempt is made only where the first can not have run, or where a repeat does no harm, within the
-attempts that the query may have and the retry budget of the gateway.
+A further attempt is made only if no earlier attempt can have run, or if a repeat does no harm. It has to be
+within the query's number of attempts and the gateway's retry budget.
 """
 
 from __future__ import annotations
@@ -14,16 +14,17 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import DeduplicationScope, Idempotency
 
-MAX_ENGINE_ERRORS = 2  # engines that could not run a query: then the query is at fault
+MAX_ENGINE_ERRORS = 2  # errors of engines after which the query itself is assumed to cause them
+# Outcomes that prove that the attempt never ran.
 NEVER_RAN = (
     Outcome.OVERLOADED,
     Outcome.CONNECT_FAILED,
     Outcome.NOT_STARTED,
-)  # proof that the attempt never ran
+)
 
 
 class RetryBarrier(Enum):
-    """Why a query may have no further attempt."""
+    """Why a query may not be attempted again."""
 
     ATTEMPTS_EXHAUSTED = "attempts used up, or too many errors of engines"
     NOT_IDEMPOTENT = "not idempotent"
@@ -32,7 +33,7 @@
 
 
 def retry_barrier(gateway: GatewayState, query: Query) -> RetryBarrier | None:
-    """What keeps a query from a further attempt; None where it may have one."""
+    """Return why a query may not be attempted again; None if it may."""
     if query.attempts_sent >= query.max_attempts or query.engine_error_count >= MAX_ENGINE_ERRORS:
         return RetryBarrier.ATTEMPTS_EXHAUSTED
     if query.may_have_run_since is not None:
@@ -46,15 +47,18 @@
 
 
 def latest_attempt_begin(gateway: GatewayState, query: Query) -> float:
-    """Until when a further attempt may begin, as engines drop repeats until then; infinity without an end."""
+    """Return the time before which a further attempt must begin, as engines drop repeats only until then.
+
+    The time is infinite if nothing can have run, or if the query has no key.
+    """
     return query.deduplication_window_end() - gateway.settings.tick_ms
 
 
 def _retry_budget_is_spent(gateway: GatewayState) -> bool:
-    """Whether one more retry would pass the budget of the deployment in its window.
+    """Return whether one more retry would exceed the retry budget of the deployment.
 
-    An attempt begins up to max_connect_ms after the decision. So retries are counted over a window that is
-    longer by that, and accepted queries over one that is shorter.
+    An attempt begins up to max_connect_ms after the decision. To allow for this, retries are counted over a
+    window longer by this time, and accepted queries over a window shorter by it.
     """
     rules = gateway.settings.rules
     if rules.retry_budget_free is None:
@@ -67,7 +71,10 @@
 
 
 def count_accepted_query(gateway: GatewayState) -> None:
-    """Count a query for the retry budget; without a budget nothing would forget old entries."""
+    """Count an accepted query for the retry budget, if there is one.
+
+    Without a budget the entries would never be read, so old ones would never be dropped.
+    """
     if gateway.settings.rules.retry_budget_free is not None:
         gateway.queries_accepted.add(gateway.now, 1.0)
 
@@ -79,16 +86,16 @@
 
 
 def record_possible_execution(query: Query, engine: EngineView | None, outcome: Outcome) -> None:
-    """Remember the first attempt that may have run: repeats are judged from when it was sent."""
+    """Record the first attempt that may have run: the deduplication window begins when it was sent."""
     if outcome not in NEVER_RAN and query.may_have_run_since is None:
         query.may_have_run_since = query.sent_at
         query.may_have_run_on = engine
 
 
 def may_reject(query: Query) -> bool:
-    """Whether the client may be told to try again: nothing ran, or a repeat does no harm at any engine.
+    """Return whether the client may be advised to retry: nothing ran, or a repeat does no harm on any engine.
 
-    A query that two engines could not run fails: a rejection would only bring it back.
+    A query that failed on MAX_ENGINE_ERRORS engines is not rejected, as a retry would fail again.
     """
     if query.engine_error_count >= MAX_ENGINE_ERRORS:
         return False
@@ -102,10 +109,9 @@
 
 
 def permits_retry_on(query: Query, engine: EngineView) -> bool:
-    """Whether a repeat may go to the engine.
+    """Return whether the query may be sent to the engine, given its earlier attempts.
 
-    It may unless an earlier attempt of a query with a key may have run: then only to an engine that drops the
-    repeat.
+    If an earlier attempt of a keyed query may have run, only engines that drop the repeat are permitted.
     """
     query_class = query.query_class
     if query_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY or query.may_have_run_on is None:
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -1,10 +1,10 @@
-"""The decisions of one query gateway in front of analytic query engines: the entry point.
+"""Entry point of the scheduler, which decides for one query gateway in front of analytic query engines.
 
-What goes in and out: settings.py, events.py, actions.py. `Scheduler` passes each event to the part that it
-concerns; the parts are the other modules of this package, functions over one shared state (gateway_state.py).
+Input and output are defined in settings.py, events.py and actions.py. `Scheduler` dispatches each event to
+its handler in another module of this package; the handlers share one state (gateway_state.py).
 
-The mechanism is the utility density plan of O4A and DO4A ("Online Approximation Scheme for Scheduling
-Heterogeneous Utility Jobs in Edge Computing"); docs/design/scheduler.md says what is kept and changed.
+The scheduler implements the utility density plan of O4A and DO4A ("Online Approximation Scheme for Scheduling
+Heterogeneous Utility Jobs in Edge Computing"). docs/design/scheduler.md describes the differences.
 """
 
 from __future__ import annotations
@@ -60,23 +60,28 @@
 
 __all__ = ["MAX_PEER_MESSAGE_COST", "THREADS_PER_CORE", "Scheduler"]
 
-MAX_HEALTH_CHECKS_PER_QUERY = 0.3
-MAX_HEALTH_CHECK_COST = 0.003  # of the result that health checks may cost: where they are dear fewer are sent
+MAX_HEALTH_CHECKS_PER_QUERY = 0.3  # upper limit of the health checks sent per accepted query
+MAX_HEALTH_CHECK_COST = 0.003  # share of the utility that health checks may cost; limits their number
 
 
 class Scheduler(GatewayState):
-    """Decides for one gateway: call step with the clock and what happened, carry out what it returns."""
+    """Decides for one gateway.
+
+    The caller passes the time and the events that have happened to `step`, and carries out the actions that
+    it returns.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """A gateway that has seen nothing yet; the seed sets all of its random draws."""
+        """Create the state of a new gateway; the seed determines all of its random draws."""
         share = 1.0 / settings.gateway_count
         super().__init__(settings, random.Random(seed), traffic_share=share, assigned_engine_share=share)
         self.apply_settings(settings)
 
     def step(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Take in what happened by now and decide; the one entry point.
+        """Process the events that have happened up to `now` and return the actions to carry out.
 
-        Changes of the list that come together are applied once, as that counts the capacity of the fleet.
+        Consecutive changes of the engine list are applied together, as each application recomputes the capacity
+        of the fleet.
         """
         deadlines.begin_step(self, now)
         for event in events:
@@ -98,9 +103,9 @@
         return self.actions
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put settings in force; a query keeps its class and its attempts to its end.
+        """Apply new settings; queries that arrived before keep their class and their number of attempts.
 
-        What was learned goes on only with a class that is the same in all figures.
+        The history of a class is kept only if all values of the class are unchanged.
         """
         known = dict(zip(self.settings.classes, self.class_histories, strict=False))
         self.class_histories = [
@@ -108,7 +113,7 @@
         ]
         self.tenant_traffic = [ArrivalRate(TRAFFIC_MEMORY_MS) for _ in settings.tenants]
         self.settings = settings
-        # A step comes this late at the longest, and a deadline must not pass between two steps.
+        # The longest delay of a step: a deadline must not pass between two steps.
         self.answer_margin_ms = HEARTBEAT_MS + 2 * settings.tick_ms
         affordable = MAX_HEALTH_CHECK_COST / max(settings.overhead_costs.per_health_check, 1e-9)
         self.health_checks_per_query = min(MAX_HEALTH_CHECKS_PER_QUERY, affordable)
@@ -116,7 +121,7 @@
         self.next_peer_message_at = 0.0 if has_peers else math.inf
 
     def _on_heartbeat(self) -> None:
-        """Look for silent engines, stragglers and ejections that end; less often, make the plans anew."""
+        """Check for silent engines, stragglers and expired ejections; plan again every REPLAN_INTERVAL_MS."""
         self.next_heartbeat_at = math.inf
         self.is_release_pending = True
         rate_estimation.update_best_rate(self)
@@ -138,10 +143,10 @@
 
 
 def _on_timer_expired(scheduler: Scheduler, event: TimerExpired) -> None:
-    """Nothing to do: each step looks after what is due."""
+    """Do nothing, as each step already does what is due."""
 
 
-# Each event with the part that takes it in: a handler's argument is of the type of its key.
+# Handlers by event type; the type of a handler's event is its key.
 HANDLERS: dict[type, Callable[[Scheduler, Any], None]] = {
     QueryArrived: admission.on_query_arrived,
     AttemptEnded: attempt_outcomes.on_attempt_ended,
