--- a/cottonhold/scheduler/__init__.py
+++ b/cottonhold/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: placement, retries and refusals, free of I/O."""
+"""The scheduler, which decides on placement, retries and rejections of queries without any I/O."""
--- a/cottonhold/scheduler/class_history.py
+++ b/cottonhold/scheduler/class_history.py
@@ -1,4 +1,4 @@
-"""What answers taught of one class of queries: its work, its memory and how long its clients wait."""
+"""Statistics of one class of queries: its work, its memory and the time that its clients wait."""
 
 from __future__ import annotations
 
@@ -12,32 +12,48 @@
 class ClassHistory:
     """Averages over the answers of one class.
 
-    A log bias is the mean logarithm of measured over estimated: its exponential corrects an estimate.
+    Attributes:
+        unusual_remaining_times: Rate of queries with an unusual time between arrival and deadline.
+        unserved: Rate of queries that were rejected, failed or abandoned by their client.
+        work_log_bias: Mean logarithm of actual by estimated work; its exponential corrects an estimate.
+        memory_log_bias: Mean logarithm of used by estimated memory; its exponential corrects an estimate.
+        mean_work_ms: Mean work, in ms on one thread.
+        mean_memory_mb: Mean memory used, in MB.
+        run_time_error: Mean share by which runs take longer than planned.
+        usual_remaining_ms: Time between arrival and deadline of most first tries, in ms.
+        remaining_time_votes: Count of the majority vote on `usual_remaining_ms`.
+        answers_seen: Number of answers recorded.
     """
 
-    unusual_remaining_times: ArrivalRate  # queries that came with a time left unlike that of most
-    unserved: ArrivalRate  # queries that were rejected or given up
+    unusual_remaining_times: ArrivalRate
+    unserved: ArrivalRate
     work_log_bias: float = 0.0
     memory_log_bias: float = 0.0
     mean_work_ms: float = 0.0
     mean_memory_mb: float = 0.0
-    run_time_error: float = 0.0  # share by which runs take longer than planned
-    usual_remaining_ms: float = 0.0  # the time that most clients leave a first try
-    remaining_time_votes: int = 0  # majority vote on it
+    run_time_error: float = 0.0
+    usual_remaining_ms: float = 0.0
+    remaining_time_votes: int = 0
     answers_seen: int = 0
 
     @classmethod
     def empty(cls, memory_ms: float) -> ClassHistory:
-        """Of a class without answers; its arrival rates forget over `memory_ms`."""
+        """Return the history of a class without answers; its rates decay over `memory_ms`."""
         return cls(ArrivalRate(memory_ms), ArrivalRate(memory_ms))
 
     def record_work(
         self, gain: float, work_ms: float, estimated_work_ms: float, implied_work_ms: float
     ) -> None:
-        """Move towards the work of one answer.
+        """Update the mean work and its bias with one answer.
 
-        The mean starts at the first answer: an average that started at zero would plan the first queries
-        at a fraction of their work and overrun the budgets of engines that are warming up.
+        The mean starts at the first answer. An average that starts at 0 would underestimate the work of the
+        first queries, so that they exceed the budgets of cold engines.
+
+        Args:
+            gain: Weight of the answer, from 0 to 1.
+            work_ms: Work of the query, in ms; the planned work if the engine reports none.
+            estimated_work_ms: The client's estimate, in ms; 0 without an estimate.
+            implied_work_ms: Work of the query, in ms; derived from its run time if the engine reports none.
         """
         self.answers_seen += 1
         if estimated_work_ms > 0:
@@ -45,22 +61,28 @@
         self.mean_work_ms += max(gain, 1 / self.answers_seen) * (work_ms - self.mean_work_ms)
 
     def record_memory(self, gain: float, memory_mb: float, estimated_memory_mb: float) -> None:
-        """Move towards the memory of one answer; an answer that reports none teaches nothing."""
+        """Update the mean memory and its bias with one answer; an answer without a figure is ignored."""
         if memory_mb > 0:
             self.mean_memory_mb += gain * (memory_mb - self.mean_memory_mb)
             if estimated_memory_mb > 0:
                 self.record_memory_bias(gain, memory_mb, estimated_memory_mb)
 
     def record_memory_bias(self, gain: float, memory_mb: float, estimated_memory_mb: float) -> None:
-        """Move the bias towards the memory that a query with an estimate took."""
+        """Update the memory bias with a query that had an estimate."""
         self.memory_log_bias += gain * (math.log(memory_mb / estimated_memory_mb) - self.memory_log_bias)
 
     def record_remaining_time(
         self, now: float, remaining_ms: float, tolerance: float, max_votes: int | None
     ) -> bool:
-        """Whether a query comes with the time left that is usual in its class.
+        """Record the time until the deadline of an arriving query, and return whether it is usual.
+
+        The usual time is found by a Boyer-Moore majority vote.
 
-        With `max_votes` it votes on what is usual (Boyer-Moore majority); None for a query without a vote.
+        Args:
+            now: Present time, in ms.
+            remaining_ms: Time until the query's deadline, in ms.
+            tolerance: Relative difference up to which a time equals the usual one.
+            max_votes: Upper limit of the vote count; None if the query does not vote.
         """
         is_usual = abs(remaining_ms - self.usual_remaining_ms) <= tolerance * self.usual_remaining_ms
         if max_votes is not None:
@@ -74,9 +96,9 @@
 
 
 def centre_work_biases(histories: list[ClassHistory]) -> None:
-    """Subtract the mean work bias of the classes with answers from each of them.
+    """Subtract the mean work bias of all classes with answers from the bias of each of them.
 
-    Without any there is no mean: the answer may be of a class that a change of settings has removed.
+    Does nothing if no class has answers, as after a change of settings that removed the answer's class.
     """
     answered = [history for history in histories if history.answers_seen]
     if not answered:
--- a/cottonhold/scheduler/deadlines.py
+++ b/cottonhold/scheduler/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines and timers: what is answered because its time is up, and when the next step comes."""
+"""Deadlines and timers: answers queries whose deadline is near, and sets the timer for the next step."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def is_reached(gateway: GatewayState, at: float) -> bool:
-    """Whether a time has come, to half a tick: timers are that exact."""
+    """Return whether a time is reached within half a tick, the precision of timers."""
     return gateway.now >= at - gateway.settings.tick_ms / 2
 
 
 def begin_step(gateway: GatewayState, now: float) -> None:
-    """Begin a step; a timer that has expired counts no more.
+    """Begin a step: set the time, clear the actions and a timer that has expired.
 
-    Traffic is first published once the gateway has run for a while: the little that it has at its start would
-    let all peers that start with it claim more than their share of the fleet.
+    Traffic is first reported to peers TRAFFIC_MIN_AGE_MS after the first step: if gateways that start
+    together reported the little traffic seen so far, each would claim more than its share of the fleet.
     """
     gateway.now = now
     if not gateway.has_started:
@@ -33,19 +33,19 @@
 
 
 def answer_overdue(gateway: GatewayState) -> None:
-    """Answer the queries whose time is up; those with an attempt in flight wait for its end."""
+    """Reject or fail the queries whose deadline is near, except those with an attempt in flight."""
     for query in gateway.deadlines.pop_expired(gateway.now + gateway.answer_margin_ms):
         if not query.is_in_flight and not query.is_finished:
             responses.reject_or_fail(gateway, query)
 
 
 def on_shutdown_started(gateway: GatewayState, event: ShutdownStarted) -> None:
-    """Cap all deadlines at the end of this gateway."""
+    """Limit all deadlines to the time at which this gateway ends."""
     gateway.deadlines.cap(event.ends_at)
 
 
 def set_timer(gateway: GatewayState) -> None:
-    """Set a timer for what comes next; a gateway with nothing queued or in flight needs none."""
+    """Set a timer for the next step that is due, unless an earlier one is set already."""
     if gateway.active_engines or gateway.ejected_engines or gateway.unplaced:
         gateway.next_heartbeat_at = min(gateway.next_heartbeat_at, gateway.now + HEARTBEAT_MS)
     first_deadline = gateway.deadlines.earliest() - gateway.answer_margin_ms
--- a/cottonhold/scheduler/engine_list.py
+++ b/cottonhold/scheduler/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list and the fleet's quotas: which engines there are, and what may be sent to each."""
+"""The engine list and the fleet's quotas: tracks which engines exist and what may be sent to each."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from cottonhold.scheduler.events import Engine, EngineList, EngineListFailed, EngineQuotas, EngineState
 from cottonhold.scheduler.gateway_state import GatewayState
 
-RESUBSCRIBE_DELAY_MS = 400.0  # after a call for the list that failed
+RESUBSCRIBE_DELAY_MS = 400.0  # time after a failed request for the list until the next request
 
 
 def on_engine_list(gateway: GatewayState, event: EngineList) -> None:
-    """Apply the list, complete or what changed: queries queued for engines that depart are placed anew.
+    """Apply a complete list or changed entries, and place the queries queued for departing engines again.
 
-    An engine that is missing from a complete list is removed. Engines removed earlier that still have
-    attempts in flight are looked at again.
+    An engine that is missing from a complete list is removed. Engines removed earlier are dropped once no
+    attempt is in flight on them.
     """
     for entry in event.engines:
         _apply_entry(gateway, entry)
@@ -34,7 +34,10 @@
 
 
 def _vacate(gateway: GatewayState, engine: EngineView) -> None:
-    """Place anew what is queued for an engine that is not live; forget one removed with nothing in flight."""
+    """Place the queries queued for an engine that is not live again.
+
+    Drops a removed engine unless attempts are in flight on it.
+    """
     gateway.departing_engines.pop(engine.id, None)
     if engine.entry.state is EngineState.LIVE:
         return
@@ -48,7 +51,7 @@
 
 
 def _apply_entry(gateway: GatewayState, entry: Engine) -> None:
-    """Apply one line of the list; another start time means a restart, which voids what was learned."""
+    """Apply one entry of the list; a changed start time means a restart, which resets learned values."""
     engine = gateway.engines.get(entry.id)
     if engine is None:
         engine = EngineView.from_entry(entry, gateway.settings.machine_types, gateway.now)
@@ -62,21 +65,22 @@
 
 
 def on_engine_list_failed(gateway: GatewayState, event: EngineListFailed) -> None:
-    """A call for the list failed: the old one holds, and it is asked for again."""
+    """Schedule a new subscription after a failed request for the list; the last list remains valid."""
     gateway.next_subscribe_at = gateway.now + RESUBSCRIBE_DELAY_MS
 
 
 def subscribe(gateway: GatewayState) -> None:
-    """Ask for changes of the list, where they do not come by themselves."""
+    """Subscribe to changes of the list, if the deployment does not send them unrequested."""
     gateway.next_subscribe_at = math.inf
     if gateway.settings.features.polls_engine_list:
         gateway.actions.append(Subscribe(True))
 
 
 def on_engine_quotas(gateway: GatewayState, event: EngineQuotas) -> None:
-    """Apply the fleet's quotas. Quotas that close every live engine are wrong and lift all quotas instead.
+    """Apply the fleet's new quotas.
 
-    An engine that is opened again is readmitted: what it was ejected for is past.
+    Quotas that close every live engine are assumed to be wrong, and all quotas are lifted instead. An engine
+    that is reopened is readmitted, as the cause of its ejection is assumed to be over.
     """
     has_open_engine = any(
         event.work_rate_by_engine.get(engine.id, math.inf) for engine in gateway.live_engines
--- a/cottonhold/scheduler/estimates.py
+++ b/cottonhold/scheduler/estimates.py
@@ -1,4 +1,4 @@
-"""What a query is expected to need and to earn, the same on every engine, and its utility density."""
+"""Estimates of a query's work, memory and utility, which are the same on every engine, and its density."""
 
 from __future__ import annotations
 
@@ -9,16 +9,19 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import MemoryShortage
 
-DEFAULT_WORK_OF_OBJECTIVE = 0.25  # of the latency objective: the work of a query of an unknown class
-LATE_FALL_OF_OBJECTIVE = 0.5  # of the objective: how fast utility falls behind it, as finishes are estimates
-GRANT_FACTOR_PAGING = 2.0  # grant over need where unused memory stays free to others
-GRANT_FACTOR_RESERVING = 1.3  # grant over need where granted memory is taken from others
+DEFAULT_WORK_OF_OBJECTIVE = 0.25  # work by latency objective that is assumed for a class without answers
+# Time after the latency objective, as a share of it, over which the expected utility falls to that of a late
+# result. The fall is not a step, as finishes are only estimates.
+LATE_FALL_OF_OBJECTIVE = 0.5
+GRANT_FACTOR_PAGING = 2.0  # memory grant by need, where unused granted memory stays available to others
+GRANT_FACTOR_RESERVING = 1.3  # memory grant by need, where granted memory is reserved
 
 
 def estimate(gateway: GatewayState, query: Query) -> None:
-    """Set a query's work and memory, its latency objective and its utility.
+    """Set the planned work and memory, the latency objective and the utility of a query.
 
-    The work is the client's estimate corrected by the bias of the class, else the mean of the class.
+    The planned work is the client's estimate corrected by the bias of the class, or without an estimate the
+    mean of the class.
     """
     query_class, history = query.query_class, query.class_history
     if query.estimated_work_ms > 0:
@@ -34,10 +37,11 @@
 
 
 def _planned_memory_mb(gateway: GatewayState, query: Query) -> float:
-    """The MB that the query is planned to take.
+    """Return the memory that the query is planned to use, in MB.
 
-    An engine without memory grants from here grants the client's estimate and some more, whatever the query
-    needs; one that pages counts the need where that is less.
+    Where the gateway does not set grants, the engine grants the client's estimate times
+    GRANT_FACTOR_RESERVING, whatever the query needs. If engines page, unused memory stays available, so the
+    need is used if it is less.
     """
     if query.estimated_memory_mb <= 0:
         return query.class_history.mean_memory_mb
@@ -50,7 +54,7 @@
 
 
 def _tenant_factor(gateway: GatewayState, query: Query) -> float:
-    """Mean utility of the tenant's next query: beyond its quota it earns little."""
+    """Return the mean factor by which the tenant's quota reduces the utility of its next query."""
     if query.tenant >= len(gateway.tenant_traffic):
         return 1.0
     per_s = gateway.tenant_traffic[query.tenant].per_s(gateway.now)
@@ -60,10 +64,15 @@
 
 
 def density(query: Query, run_ms: float, finish_at: float) -> float:
-    """Utility by thread time, rounded down to a power of two (Algorithm 1, lines 3 to 6).
+    """Return the utility per ms of thread time, rounded down to a power of two (Algorithm 1, lines 3 to 6).
 
-    The utility is full up to the latency objective, falls to that of a late answer behind it, and is nothing
-    past the deadline.
+    The utility is full up to the latency objective, then falls linearly to that of a late result, and is 0
+    after the deadline.
+
+    Args:
+        query: Query with its planned utility and latency objective.
+        run_ms: Planned run time, in ms.
+        finish_at: Estimated finish, in ms on the caller's clock.
     """
     if finish_at > query.deadline_at or query.full_utility <= 0:
         return 0.0
@@ -77,9 +86,10 @@
 
 
 def memory_grant_mb(gateway: GatewayState, query: Query, engine: EngineView) -> int:
-    """The MB that the engine has to grant; 0 where it chooses.
+    """Return the memory that the engine has to grant, in MB; 0 if the engine chooses.
 
-    Too small a grant spills to disk; too large a one starves others, unless only used memory counts.
+    With too small a grant the query spills to disk. Too large a grant takes memory from other queries, unless
+    only used memory counts.
     """
     if not gateway.settings.features.has_memory_grants:
         return 0
--- a/cottonhold/scheduler/fleet_in_flight.py
+++ b/cottonhold/scheduler/fleet_in_flight.py
@@ -1,4 +1,4 @@
-"""All attempts of this gateway in flight: threads, memory, and those not on ejected engines by density."""
+"""Totals of this gateway's attempts in flight: threads, memory and, without ejected engines, density."""
 
 from __future__ import annotations
 
@@ -11,14 +11,20 @@
 
 @dataclass(slots=True)
 class FleetInFlight:
-    """Totals over all engines; attempts on ejected engines are left out of `on_admitted_engines`."""
+    """Totals of the attempts in flight on all engines.
+
+    Attributes:
+        on_admitted_engines: The attempts on engines that are not ejected, by density.
+        threads: Threads of all attempts.
+        memory_mb: Planned memory of all attempts, in MB.
+    """
 
     on_admitted_engines: InFlightByDensity = field(default_factory=InFlightByDensity)
     threads: int = 0
     memory_mb: float = 0.0
 
     def add_attempt(self, query: Query, engine: EngineView) -> None:
-        """Count an attempt that was sent to an engine, there and here."""
+        """Add an attempt that was sent to an engine to the engine and to the totals."""
         engine.add_in_flight(query)
         self.threads += query.query_class.threads
         self.memory_mb += query.planned_memory_mb
@@ -26,7 +32,10 @@
             self.on_admitted_engines.add_attempt(query)
 
     def remove_attempt(self, query: Query, engine: EngineView, min_remaining_share: float) -> None:
-        """Count an attempt that has ended no more; with none left the memory is zero, without rounding."""
+        """Remove an attempt that has ended from the engine and from the totals.
+
+        The memory is set to 0 when no attempt remains, which discards rounding errors.
+        """
         if engine.remove_in_flight(query, min_remaining_share):
             self.threads -= query.query_class.threads
             self.memory_mb = self.memory_mb - query.planned_memory_mb if self.threads else 0.0
@@ -34,11 +43,11 @@
                 self.on_admitted_engines.remove_attempt(query)
 
     def on_engine_ejected(self, engine: EngineView) -> None:
-        """Leave out the attempts on an engine that is ejected now."""
+        """Remove the attempts on an engine that has just been ejected from `on_admitted_engines`."""
         for query in engine.in_flight.values():
             self.on_admitted_engines.remove_attempt(query)
 
     def on_engine_readmitted(self, engine: EngineView) -> None:
-        """Count the attempts on an engine that is readmitted now."""
+        """Add the attempts on an engine that has just been readmitted to `on_admitted_engines`."""
         for query in engine.in_flight.values():
             self.on_admitted_engines.add_attempt(query)
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -1,7 +1,7 @@
-"""The working state of one gateway's decisions, shared by all parts of this package.
+"""The state of one gateway's scheduler, shared by all modules of this package.
 
-Each part is a module of functions that take this state first. The comments name the modules that write the
-fields below them.
+Most modules consist of functions whose first argument is this state. The comments above groups of fields name
+the modules that write them.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class UnobservedAttempt(NamedTuple):
-    """An attempt that has timed out here and may run on at its engine until it is expected to end."""
+    """An attempt that timed out at this gateway and may still run on its engine until its expected end."""
 
     expected_end_at: float
     query: Query
@@ -39,21 +39,24 @@
 
 @dataclass(slots=True, eq=False)
 class GatewayState:
-    """What one gateway knows, owes and has in flight, and the actions of the step under way."""
+    """The queries, engines, capacity and statistics of one gateway, and the actions of the current step.
+
+    Times are in milliseconds on the caller's clock.
+    """
 
     settings: Settings
     random: random.Random
 
-    # the step under way (scheduler, deadlines)
+    # the current step (scheduler, deadlines)
     now: float = 0.0
-    has_started: bool = False  # there has been a step
+    has_started: bool = False  # whether the first step has begun
     actions: list[Action] = field(default_factory=list)
-    is_release_pending: bool = False  # something happened that may let a queued query go
-    answer_margin_ms: float = 0.0  # before its deadline a query without an attempt in flight is answered
+    is_release_pending: bool = False  # whether a queued query may have become ready to be sent
+    answer_margin_ms: float = 0.0  # time before its deadline at which a query not in flight is answered
 
     # queries, by id (admission)
     queries: dict[str, Query] = field(default_factory=dict)
-    unplaced: dict[str, Query] = field(default_factory=dict)  # those that no engine may take now
+    unplaced: dict[str, Query] = field(default_factory=dict)  # queries that no engine may run now
     deadlines: Deadlines = field(default_factory=Deadlines)
     key_queues: KeyQueues = field(default_factory=KeyQueues)
     sequence_numbers: Iterator[int] = field(default_factory=itertools.count)
@@ -67,41 +70,41 @@
     engines: dict[str, EngineView] = field(default_factory=dict)
     active_engines: dict[str, EngineView] = field(default_factory=dict)  # with queries queued or in flight
     ejected_engines: dict[str, EngineView] = field(default_factory=dict)
-    best_work_rate: float = 0.0  # of the fleet, seen lately, in ms of work a thread ms
-    health_check_budget: float = 0.0  # health checks that may be sent now
-    health_checks_per_query: float = 0.0  # that each query accepted adds to the budget
-    changed_engines: dict[str, EngineView] = field(default_factory=dict)  # listed since capacity was counted
+    best_work_rate: float = 0.0  # highest recent work rate of the fleet, in ms of work per thread ms
+    health_check_budget: float = 0.0  # number of health checks that may be sent now
+    health_checks_per_query: float = 0.0  # amount that each accepted query adds to the budget
+    changed_engines: dict[str, EngineView] = field(default_factory=dict)  # changed entries not yet applied
     departing_engines: dict[str, EngineView] = field(default_factory=dict)  # removed with attempts in flight
 
     # the capacity of the live engines, and this gateway's part of it (capacity)
     live_engines: list[EngineView] = field(default_factory=list)
     ranked_engines: list[EngineView] = field(default_factory=list)  # in the same order at every gateway
     engines_by_hash: dict[int, list[EngineView]] = field(default_factory=dict)
-    capacity_counted_at: float = -math.inf  # when the capacity of all engines was last counted
-    usable_engine_count: int = 0  # as of then
+    capacity_counted_at: float = -math.inf  # when the capacity of all engines was last computed
+    usable_engine_count: int = 0  # number of usable live engines when capacity was last computed or changed
     candidate_pool: list[EngineView] = field(default_factory=list)  # engines that candidates are drawn from
-    assigned_engine_ids: set[str] = field(default_factory=set)  # engines that this gateway draws on
-    assigned_engine_share: float = 1.0  # its part of what each of those is sent
+    assigned_engine_ids: set[str] = field(default_factory=set)  # range of engines that this gateway sends to
+    assigned_engine_share: float = 1.0  # this gateway's share of the traffic to each assigned engine
     affinity_ring: list[EngineView] = field(default_factory=list)
     preferred_engines: dict[int, list[EngineView]] = field(default_factory=dict)  # for loads, by table group
-    unobserved_share: float = 1.0  # how little is observed of each engine: 0 for all, 1 for nothing
-    peer_sends_per_local: float = 0.0  # queries that peers send for each of this gateway's on the same engine
+    unobserved_share: float = 1.0  # how little of each engine is observed, from 0 (all) to 1 (nothing)
+    peer_sends_per_local: float = 0.0  # queries sent by peers per query of this gateway on the same engine
     fleet_thread_capacity: float = 1.0
     fleet_memory_capacity_mb: float = 1.0
-    local_thread_capacity: float = 1.0  # this gateway's share of the fleet's
+    local_thread_capacity: float = 1.0  # this gateway's share of the fleet's thread capacity
     in_flight: FleetInFlight = field(default_factory=FleetInFlight)
-    wide_query_pause_until: float = 0.0  # no query wider than the local share follows another until then
+    wide_query_pause_until: float = 0.0  # end of the pause after a query larger than the local share
     unobserved_attempts: list[UnobservedAttempt] = field(default_factory=list)
 
-    # the mean work of the queries accepted lately (slow_start)
+    # the mean work of recently accepted queries (slow_start)
     mean_work_ms: float = 0.0
     mean_work_samples: int = 0
 
-    # what answers and reports taught (rate_estimation)
+    # statistics of answers and load reports (rate_estimation)
     class_histories: list[ClassHistory] = field(default_factory=list)
     tenant_traffic: list[ArrivalRate] = field(default_factory=list)
     fleet_rate_average: WorkRate = field(default_factory=WorkRate)
-    fleet_utilization: float = 1.0  # reported share of cores busy, smoothed over the fleet
+    fleet_utilization: float = 1.0  # reported share of busy cores, smoothed over the fleet
 
     # peer gateways (peer_load)
     local_traffic: ArrivalRate = field(
@@ -109,12 +112,12 @@
     )
     traffic_share: float = 1.0  # this gateway's share of all traffic
     traffic_by_peer: dict[int, ReportedTraffic] = field(default_factory=dict)
-    engines_by_peer: dict[int, list[EngineView]] = field(default_factory=dict)  # where each reported load
-    peer_interval_ms: float = MAX_PEER_INTERVAL_MS  # between messages on loads
+    engines_by_peer: dict[int, list[EngineView]] = field(default_factory=dict)  # engines in its last report
+    peer_interval_ms: float = MAX_PEER_INTERVAL_MS  # interval between work reports to peers
     peer_load_received_at: float = -math.inf
-    has_peer_loads: bool = False  # peers have reported their loads lately
+    has_peer_loads: bool = False  # whether peers have recently reported their work
 
-    # when something is due next (deadlines)
+    # times at which something is due next (deadlines)
     next_peer_message_at: float = 0.0
     next_replan_at: float = 0.0
     next_subscribe_at: float = 0.0  # in the first step
--- a/cottonhold/scheduler/in_flight.py
+++ b/cottonhold/scheduler/in_flight.py
@@ -1,4 +1,4 @@
-"""Attempts in flight by density: the threads, memory and priorities that each density holds."""
+"""Attempts in flight by density: counts the threads, memory and priorities in use at each density."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from cottonhold.scheduler.query import Query
 
-PRIORITY_COUNT = 4  # priorities that engines know, from 0
+PRIORITY_COUNT = 4  # number of priorities that engines accept, from 0
 
 
 class Occupancy(NamedTuple):
-    """What attempts in flight hold; `has_attempts` is false where there are none."""
+    """Threads and memory in use by attempts in flight, and whether there are any such attempts."""
 
     threads: int
     memory_mb: float
@@ -32,19 +32,19 @@
 
 @dataclass(slots=True)
 class InFlightByDensity:
-    """Attempts in flight by density. Densities are powers of two, so there are few levels."""
+    """Totals of attempts in flight by density; as densities are powers of two, there are few levels."""
 
     by_density: dict[float, DensityLevel] = field(default_factory=dict)
 
     def add_attempt(self, query: Query) -> None:
-        """Count the query's attempt."""
+        """Add the query's attempt."""
         level = self.by_density.setdefault(query.density, DensityLevel())
         level.threads += query.query_class.threads
         level.memory_mb += query.planned_memory_mb
         level.attempts_by_priority[query.priority] += 1
 
     def remove_attempt(self, query: Query) -> None:
-        """Count the query's attempt no more; an empty level is dropped, and its rounding error with it."""
+        """Remove the query's attempt; an empty level is dropped, which discards its rounding errors."""
         level = self.by_density[query.density]
         level.threads -= query.query_class.threads
         level.memory_mb -= query.planned_memory_mb
@@ -53,7 +53,10 @@
             del self.by_density[query.density]
 
     def outranked_priorities(self, density: float, margin: float) -> list[int]:
-        """The priorities in use by attempts that a density outranks: by more than `margin` times."""
+        """Return the priorities of the attempts that a density outranks.
+
+        A density outranks another if it is more than `margin` times as high.
+        """
         outranked = [level for other, level in self.by_density.items() if density > margin * other]
         return [
             priority
@@ -63,7 +66,7 @@
         ]
 
     def threads_not_outranked(self, density: float, margin: float) -> int:
-        """The threads that the attempts hold that a density does not outrank."""
+        """Return the threads in use by the attempts that a density does not outrank."""
         threads = 0
         for other, level in self.by_density.items():
             if density <= margin * other:
@@ -71,7 +74,7 @@
         return threads
 
     def not_outranked(self, density: float, margin: float) -> Occupancy:
-        """What the attempts hold that a density does not outrank."""
+        """Return the threads and memory in use by the attempts that a density does not outrank."""
         if not self.by_density:
             return NOTHING_IN_FLIGHT
         threads, memory_mb, has_attempts = 0, 0.0, False
--- a/cottonhold/scheduler/key_ordering.py
+++ b/cottonhold/scheduler/key_ordering.py
@@ -1,4 +1,4 @@
-"""Order by key: queries of one key start one after the other, in the order of their arrival."""
+"""Ordering by key: queries with the same ordering key are sent one at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -8,17 +8,22 @@
 from cottonhold.scheduler.gateway_state import GatewayState
 from cottonhold.scheduler.query import Query
 
-MAY_RUN_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may run on at its engine
+# Outcomes after which the attempt may still run on its engine.
+MAY_RUN_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 def append(gateway: GatewayState, query: Query) -> None:
-    """Queue an accepted query behind all others of its key, if it has one."""
+    """Append an accepted query to the queue of its key, if it has one."""
     if query.ordering_key is not None:
         gateway.key_queues.append(query.ordering_key, query)
 
 
 def waits_for_earlier_query(gateway: GatewayState, query: Query) -> bool:
-    """Whether another query of the key goes first, or the key is quiet, which holds back first attempts."""
+    """Return whether the query must wait for its key.
+
+    It waits for an earlier query of the key that is not finished. Its first attempt also waits for the end of
+    the key's quiet time.
+    """
     if query.ordering_key is None:
         return False
     queues = gateway.key_queues
@@ -29,13 +34,13 @@
 
 
 def quiet_after(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
-    """Keep the key quiet for a while where the attempt that ended may run on at its engine."""
+    """Begin the key's quiet time if the attempt that ended may still run on its engine."""
     if query.ordering_key is not None and outcome in MAY_RUN_ON:
         quiet_until = gateway.now + gateway.settings.rules.key_quiet_ms
         gateway.key_queues.quiet(query.ordering_key, gateway.now, quiet_until)
 
 
 def remove(gateway: GatewayState, query: Query) -> None:
-    """Let the next query of the key start: this one is finished and has no attempt in flight."""
+    """Remove a query that is finished and not in flight, so that the next query of its key may be sent."""
     if query.ordering_key is not None:
         gateway.key_queues.remove_finished(query.ordering_key)
--- a/cottonhold/scheduler/moving_average.py
+++ b/cottonhold/scheduler/moving_average.py
@@ -1,4 +1,4 @@
-"""Averages and sums that forget: rates of work, rates of arrivals, and sums over a sliding window."""
+"""Decaying averages of work and arrival rates, and sums over a sliding window."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class WorkRate:
-    """Work seen done and the thread time it took, both forgotten by half-lives."""
+    """Sums of completed work and of the thread time it took, which decay exponentially."""
 
     work_ms: float = 0.0
     thread_ms: float = 0.0
     updated_at: float = 0.0
 
     def add(self, now: float, half_life_ms: float, work_ms: float, thread_ms: float) -> None:
-        """Add work seen done in some thread time."""
+        """Add completed work and the thread time it took."""
         fade = math.exp2((self.updated_at - now) / half_life_ms)
         self.work_ms = self.work_ms * fade + work_ms
         self.thread_ms = self.thread_ms * fade + thread_ms
         self.updated_at = now
 
     def value(self, now: float, half_life_ms: float, prior_thread_ms: float, prior_rate: float) -> float:
-        """Work by thread time, with a prior rate that weighs as much as some thread time."""
+        """Return the work per thread time, with a prior rate that has the weight of some thread time."""
         fade = math.exp2((self.updated_at - now) / half_life_ms)
         return (self.work_ms * fade + prior_thread_ms * prior_rate) / (
             self.thread_ms * fade + prior_thread_ms
@@ -33,10 +33,18 @@
 
 @dataclass(slots=True)
 class ArrivalRate:
-    """An exponentially forgotten count of arrivals.
-
-    With `min_age_ms` the rate is by the time since the first arrival, of that age at least, so that a gateway
-    that has just started reports its traffic in full; without it the rate grows over `memory_ms`.
+    """Arrival rate from a count of arrivals that decays exponentially.
+
+    Without `min_age_ms` the rate starts at 0 and grows to its value over `memory_ms`. With it the count is
+    divided by the time since the first arrival, so that a gateway that has just started reports its full
+    traffic.
+
+    Attributes:
+        memory_ms: Time constant of the decay, in ms.
+        min_age_ms: Shortest time by which the count is divided, in ms; 0 to divide by `memory_ms`.
+        count: Decayed number of arrivals as of `updated_at`.
+        updated_at: Time of the last arrival, in ms.
+        first_at: Time of the first arrival, in ms; only recorded with `min_age_ms`.
     """
 
     memory_ms: float
@@ -46,7 +54,7 @@
     first_at: float = math.inf
 
     def add(self, now: float) -> None:
-        """Count one arrival; the one that time is counted from is not counted itself."""
+        """Record one arrival; with `min_age_ms` the first arrival only starts the measurement."""
         if self.min_age_ms and now < self.first_at:
             self.first_at = self.updated_at = now
             return
@@ -54,7 +62,7 @@
         self.updated_at = now
 
     def per_s(self, now: float) -> float:
-        """Arrivals a second."""
+        """Return the arrivals per second."""
         rate = self.count * math.exp((self.updated_at - now) / self.memory_ms) * 1000 / self.memory_ms
         if now <= self.first_at:
             return rate
@@ -62,7 +70,7 @@
 
 
 class TimedAmount(NamedTuple):
-    """An amount and when it was recorded."""
+    """An amount and the time at which it was recorded."""
 
     at: float
     amount: float
@@ -70,7 +78,7 @@
 
 @dataclass(slots=True)
 class SlidingSum:
-    """Amounts with their times, for sums over a sliding window."""
+    """Amounts with their times, which are summed over a sliding window."""
 
     entries: deque[TimedAmount] = field(default_factory=deque)
     total: float = 0.0
@@ -81,7 +89,7 @@
         self.total += amount
 
     def since(self, start: float) -> float:
-        """The sum of what came after `start`; older entries are dropped."""
+        """Return the sum of the amounts recorded after `start`; older entries are dropped."""
         while self.entries and self.entries[0].at <= start:
             self.total -= self.entries.popleft().amount
         return self.total if self.entries else 0.0
--- a/cottonhold/scheduler/query.py
+++ b/cottonhold/scheduler/query.py
@@ -1,4 +1,4 @@
-"""One query: what its client asked for, what it is expected to need, where it is queued, and its attempts."""
+"""One query: the client's request, its estimates, its position in a plan, and its attempts."""
 
 from __future__ import annotations
 
@@ -12,39 +12,42 @@
 
 
 class EngineReference(Protocol):
-    """What a query uses of the engine that it is queued for or was sent to."""
+    """The attributes that a query uses of the engine that it is queued for or was sent to."""
 
     entry: Engine
     error_share: float
     queued_load_ms: dict[int, float]
 
     def dequeue(self, query: Query) -> None:
-        """Take a query out of the engine's plan if it is there."""
+        """Remove a query from the engine's plan if it is queued there."""
 
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """A query that this gateway owes an answer, or whose attempt still lacks its outcome."""
+    """A query without a final answer, or with an attempt whose outcome is not known yet.
+
+    Times are in milliseconds on the caller's clock.
+    """
 
     arrival: InitVar[QueryArrived]
-    settings: InitVar[Settings]  # in force at its arrival; later ones do not concern it
+    settings: InitVar[Settings]  # as of its arrival; later settings do not apply to it
     class_history: ClassHistory
     arrived_at: float
-    sequence: int  # its position among all queries accepted
+    sequence: int  # number of the query in order of arrival
 
-    # as its client sent it
+    # as the client sent it
     query_class: QueryClass = field(init=False)
     max_attempts: int = 1
     id: str = ""
-    deadline_at: float = 0.0  # when its client gives up
+    deadline_at: float = 0.0  # time at which its client gives up
     estimated_work_ms: float = 0.0  # the client's estimate; 0 without one
     estimated_memory_mb: float = 0.0  # the client's estimate; 0 without one
     table_group: int = -1
     tenant: int = 0
-    ordering_key: str | None = None  # queries of one key keep their order
-    first_tried_at: float = 0.0  # when its client sent its first try
+    ordering_key: str | None = None  # queries with the same key are sent in order of arrival
+    first_tried_at: float = 0.0  # time at which its client sent its first try
 
-    # what it is expected to need, and its utility
+    # its estimates and utility
     planned_work_ms: float = 0.0
     planned_memory_mb: float = 0.0
     latency_objective_ms: float = 0.0  # from the first try: a result within it earns the full utility
@@ -56,31 +59,31 @@
     estimated_finish_at: float = 0.0
     planned_run_ms: float = 0.0
     planned_thread_ms: float = 0.0
-    density: float = 0.0  # utility by ms of thread time, rounded down to a power of two
+    density: float = 0.0  # utility per ms of thread time, rounded down to a power of two
     priority: int = 1
-    sent_priority: int = 1  # the priority that engines were last sent
-    sent_memory_grant_mb: int = 0  # the grant that engines were last sent
+    sent_priority: int = 1  # last priority sent with UpdateAttempt
+    sent_memory_grant_mb: int = 0  # last grant sent with UpdateAttempt
     is_canary: bool = False  # its attempt tests an ejected engine
 
-    # the attempt in flight, and what came of those before
+    # the attempt in flight, and results of earlier attempts
     is_in_flight: bool = False
     attempts_sent: int = 0
     sent_at: float = 0.0
-    progress_at: float = 0.0  # of the last note on its progress, else when it was sent
-    running_since: float = 0.0  # when it was last known to begin to run
-    completed_share: float = 0.0  # of its run, by progress notes
+    progress_at: float = 0.0  # time of its last PROGRESS note, else the time it was sent
+    running_since: float = 0.0  # earliest time at which the current run can have begun
+    completed_share: float = 0.0  # completed share of its run, by progress notes
     is_waiting_for_memory: bool = False
     is_streaming: bool = False
     is_cancelled: bool = False
     tried_engine_ids: set[str] = field(default_factory=set)
-    may_have_run_since: float | None = None  # when the first attempt that may have run was sent
+    may_have_run_since: float | None = None  # time at which the first attempt that may have run was sent
     may_have_run_on: EngineReference | None = None
-    engine_error_count: int = 0  # engines that answered with an error
+    engine_error_count: int = 0  # attempts that ended with an error of the engine
     first_error_engine: EngineReference | None = None
-    is_finished: bool = False  # it has its final answer, or its client has left
+    is_finished: bool = False  # whether it has its final answer or its client has disconnected
 
     def __post_init__(self, arrival: QueryArrived, settings: Settings) -> None:
-        """Take over what the client sent and the rules that hold for the query to its end."""
+        """Copy the client's request, and the settings that apply to the query until its end."""
         self.query_class = settings.classes[arrival.query_class]
         self.max_attempts = settings.features.max_attempts
         self.id = arrival.query_id
@@ -92,16 +95,19 @@
         self.ordering_key = arrival.ordering_key if self.query_class.is_ordered_by_key else None
 
     def admission_work_ms(self) -> float:
-        """Work in thread ms for the admission threshold: by the client's estimate, alike at every gateway."""
+        """Return the work in thread ms for the admission threshold.
+
+        The client's estimate is used where there is one, as it is the same at every gateway.
+        """
         return (self.estimated_work_ms or self.planned_work_ms) * self.query_class.threads
 
     def remaining_share(self, now: float, min_share: float) -> float:
-        """Share of the run that is expected to remain, by progress notes and by the time run."""
+        """Return the expected remaining share of the run, by progress notes and elapsed time."""
         run_share = (now - self.sent_at) / max(self.planned_run_ms, 1.0)
         return max(min_share, 1 - max(self.completed_share, run_share))
 
     def begin_attempt(self, now: float, engine: EngineReference) -> None:
-        """Record that an attempt is sent to an engine now."""
+        """Record that an attempt is sent to an engine."""
         self.engine = engine
         self.is_in_flight = True
         self.sent_at = self.progress_at = self.running_since = now
@@ -109,7 +115,7 @@
         self.is_cancelled = self.is_waiting_for_memory = False
 
     def deduplication_window_end(self) -> float:
-        """Until when engines drop repeats; infinite while no attempt can have run, or without a key."""
+        """Return when engines cease to drop repeats; infinite if no attempt can have run or without a key."""
         if (
             self.may_have_run_since is None
             or self.query_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
--- a/cottonhold/scheduler/rate_estimation.py
+++ b/cottonhold/scheduler/rate_estimation.py
@@ -1,4 +1,4 @@
-"""What answers, progress notes and load reports teach: work rates, biases of estimates, the fleet's load."""
+"""Estimation of work rates, biases and utilization from answers, progress notes and load reports."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from cottonhold.scheduler.parameters import HEARTBEAT_MS
 from cottonhold.scheduler.query import Query
 
-RATE_HALF_LIFE_MS = 3000.0  # of an engine's rate: some queries long, yet seconds short
-RATE_PRIOR_MS = 800.0  # thread time for which the fleet's rate stands in while an engine taught little
-BEST_RATE_HALF_LIFE_MS = 60000.0  # of the best rate seen, so that one lucky moment is forgotten
-MAX_RUN_FACTOR = 3.0  # planned run times up to which an attempt teaches rate: beyond, the plan was bad
-CLASS_GAIN = 0.03  # weight of one answer in a class's bias and error: tens of answers settle it
-RUN_TIME_ERROR_GAIN = 0.5  # part of that weight with which a run longer than planned counts
-IMPLIED_WORK_FACTOR = 8  # a run time implies no work further from the planned one than this
-UTILIZATION_GAIN = 0.15  # weight of one report in the fleet's share of cores busy
+RATE_HALF_LIFE_MS = 3000.0  # half-life of an engine's work rate: covers several queries, but follows changes
+RATE_PRIOR_MS = 800.0  # thread time that the fleet's rate weighs in an engine's rate, for few samples
+BEST_RATE_HALF_LIFE_MS = 60000.0  # half-life of the best rate seen, so that a single outlier is forgotten
+MAX_RUN_FACTOR = 3.0  # run time by planned run time above which an attempt does not change rates
+CLASS_GAIN = 0.03  # weight of one answer in a class's averages: they settle after some tens of answers
+RUN_TIME_ERROR_GAIN = 0.5  # factor of CLASS_GAIN for the run time error
+IMPLIED_WORK_FACTOR = 8  # largest ratio of implied to planned work, or of planned to implied work
+UTILIZATION_GAIN = 0.15  # weight of one load report in the fleet's utilization
 
 
 def record_load_report(gateway: GatewayState, engine: EngineView, report: dict[str, float]) -> None:
-    """Take over a load report, of an answer or a health check; values that make no sense are skipped."""
+    """Store a load report of an engine and update the fleet's utilization; invalid values are ignored."""
     if engine.apply_load_report(gateway.now, report):
         reported = min(engine.load_report.get("util", gateway.fleet_utilization), 1.0)
         gateway.fleet_utilization += UTILIZATION_GAIN * (reported - gateway.fleet_utilization)
 
 
 def work_rate(gateway: GatewayState, engine: EngineView) -> float:
-    """Learned rate in ms of work a thread ms; an engine with few or old samples counts as the fleet does."""
+    """Return an engine's rate in ms of work per thread ms; close to the fleet's if samples are few or old."""
     now = gateway.now
     if engine.work_rate_at != now:
         fleet_rate = fleet_work_rate(gateway)
@@ -37,30 +37,30 @@
 
 
 def fleet_work_rate(gateway: GatewayState) -> float:
-    """Learned rate of all engines together."""
+    """Return the rate of all engines together, in ms of work per thread ms."""
     return gateway.fleet_rate_average.value(gateway.now, RATE_HALF_LIFE_MS, RATE_PRIOR_MS, 1.0)
 
 
 def update_best_rate(gateway: GatewayState) -> None:
-    """Once a heartbeat: the best rate that the fleet has shown, slowly forgotten."""
+    """Update the slowly decaying best rate of the fleet; called once per heartbeat."""
     faded = gateway.best_work_rate * 0.5 ** (HEARTBEAT_MS / BEST_RATE_HALF_LIFE_MS)
     gateway.best_work_rate = max(faded, fleet_work_rate(gateway))
 
 
 def _record_work(gateway: GatewayState, engine: EngineView, work_ms: float, thread_ms: float) -> None:
-    """Only work seen done teaches rate: a fast error must never make an engine look quick."""
+    """Update the rates with completed work; errors are not recorded, as fast errors would raise the rate."""
     for average in (engine.rate_average, gateway.fleet_rate_average):
         average.add(gateway.now, RATE_HALF_LIFE_MS, work_ms, thread_ms)
 
 
 def record_answer(gateway: GatewayState, query: Query, engine: EngineView, event: AttemptEnded) -> None:
-    """Correct the class and the engine's rate by what a served query needed.
+    """Update the history of the class and the rate of the engine with a served query.
 
-    An answer without its actual work implies it by the engine's rate; from that only biases between classes
-    can be learned.
+    If the answer doesn't report the actual work, it is derived from the run time and the engine's rate. Such
+    work only shows biases of classes relative to each other, so the mean bias is subtracted.
     """
     history, now = query.class_history, gateway.now
-    engine_rate = work_rate(gateway, engine)  # before this answer, which counts from the next step on
+    engine_rate = work_rate(gateway, engine)  # without this answer, which changes it from the next step on
     work_ms = event.actual_work_ms or query.planned_work_ms
     implied_ms = event.actual_work_ms or _implied_work_ms(query, engine_rate, event.elapsed_ms, work_ms)
     gain = max(CLASS_GAIN, 1 / (history.answers_seen + 2))
@@ -77,7 +77,7 @@
 
 
 def _record_run_time(query: Query, elapsed_ms: float) -> None:
-    """Move the class's run time error towards the share by which the run took longer than planned."""
+    """Update the class's run time error with the share by which the run took longer than planned."""
     history = query.class_history
     excess = 0.0
     if query.planned_run_ms:
@@ -86,14 +86,14 @@
 
 
 def _implied_work_ms(query: Query, engine_rate: float, elapsed_ms: float, planned_work_ms: float) -> float:
-    """The work that a run time stands for at the engine's rate, within bounds of the planned work."""
+    """Return the work derived from run time and engine rate, within IMPLIED_WORK_FACTOR of the plan."""
     thread_ms = max(elapsed_ms, 1.0) * query.query_class.threads
     implied_ms = max(thread_ms * engine_rate, planned_work_ms / IMPLIED_WORK_FACTOR)
     return min(implied_ms, planned_work_ms * IMPLIED_WORK_FACTOR)
 
 
 def record_progress(gateway: GatewayState, query: Query, engine: EngineView, completed_share: float) -> None:
-    """A progress note reported the share of the run that is completed."""
+    """Record the completed share of a run that a progress note reported."""
     now = gateway.now
     if now - query.sent_at <= MAX_RUN_FACTOR * query.planned_run_ms:
         work_ms = query.planned_work_ms * max(0.0, completed_share - query.completed_share)
@@ -104,7 +104,7 @@
 
 
 def record_spill(query: Query, missing_mb: float) -> None:
-    """A progress note reported how many MB a run lacked."""
+    """Record the missing memory, in MB, that a progress note reported."""
     if query.estimated_memory_mb > 0 and query.sent_memory_grant_mb:
         needed_mb = query.sent_memory_grant_mb + missing_mb
         query.class_history.record_memory_bias(CLASS_GAIN, needed_mb, query.estimated_memory_mb)
--- a/cottonhold/scheduler/reported_load.py
+++ b/cottonhold/scheduler/reported_load.py
@@ -1,4 +1,4 @@
-"""What peer gateways report: their traffic, and what each has on an engine."""
+"""Reports of peer gateways: their traffic, and the load of each on an engine."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class ReportedLoad:
-    """What a gateway has on an engine: threads and memory in flight, and the thread time that remains."""
+    """The load of a gateway on an engine: threads and memory in flight, and remaining thread time."""
 
     received_at: float
     threads: float
@@ -20,14 +20,14 @@
     expires_at: float = math.inf
 
     def add(self, query: Query, times: int) -> None:
-        """Add a query, or take it back with -1."""
+        """Add a query `times` times; -1 subtracts it."""
         self.threads += times * query.query_class.threads
         self.memory_mb += times * query.planned_memory_mb
         self.remaining_thread_ms += times * query.planned_thread_ms
 
 
 class ReportedTraffic(NamedTuple):
-    """A peer's arrivals a second, and when its report came."""
+    """A peer's arrivals per second, and the time at which its report was received."""
 
     received_at: float
     queries_per_s: float
--- a/cottonhold/scheduler/responses.py
+++ b/cottonhold/scheduler/responses.py
@@ -1,4 +1,4 @@
-"""Final answers other than results: rejected where a new try is harmless, failed where it is not."""
+"""Final answers other than results: a rejection if a retry is harmless, otherwise a failure."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from cottonhold.scheduler.gateway_state import GatewayState
 from cottonhold.scheduler.query import Query
 
-MIN_RETRY_AFTER_MS = 400.0  # shortest advice on when to come back
+MIN_RETRY_AFTER_MS = 400.0  # shortest time until a retry that is advised
 
 
 def reject_or_fail(gateway: GatewayState, query: Query) -> None:
-    """Give a query its final answer; the one place for every answer that is no result.
+    """Answer a query with a rejection or a failure; all final answers except results are given here.
 
-    Callers: admission (on arrival), placement (no utility left, or too late to finish), deadlines (its time
-    is almost over) and attempt_outcomes (no further attempt is allowed).
+    Called by admission (rejected on arrival), placement (no utility left, or too late to finish), deadlines
+    (deadline near) and attempt_outcomes (no further attempt allowed).
     """
     query.leave_plan()
     if retry_policy.may_reject(query):
@@ -25,7 +25,7 @@
 
 
 def _retry_after_ms(gateway: GatewayState) -> float:
-    """Advice on when to come back: when the plans have drained, within what the deployment allows."""
+    """Return the time until a retry, in ms: until the queued work is done, within the deployment's limit."""
     queued_thread_ms = sum(engine.queued_thread_ms for engine in gateway.active_engines.values())
     drained_ms = queued_thread_ms / gateway.local_thread_capacity
     features = gateway.settings.features
@@ -34,7 +34,7 @@
 
 
 def finish(gateway: GatewayState, query: Query, is_served: bool = False) -> None:
-    """End a query; it is forgotten once no attempt of it is in flight."""
+    """Finish a query, and drop it once no attempt of it is in flight."""
     if not is_served:
         query.class_history.unserved.add(gateway.now)
     query.is_finished = True
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -80,8 +80,8 @@
     def step(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Process the events that have happened up to `now` and return the actions to carry out.
 
-        Consecutive changes of the engine list are applied together, as each application recomputes the capacity
-        of the fleet.
+        Consecutive changes of the engine list are applied together, as each application recomputes the
+        capacity of the fleet.
         """
         deadlines.begin_step(self, now)
         for event in events:
--- a/cottonhold/scheduler/straggler_cancellation.py
+++ b/cottonhold/scheduler/straggler_cancellation.py
@@ -1,4 +1,4 @@
-"""Straggler cancellation: an attempt far past its plan is given up where a fresh one would end sooner."""
+"""Straggler cancellation: cancels an attempt far beyond its plan if a new attempt would end much sooner."""
 
 from __future__ import annotations
 
@@ -12,15 +12,18 @@
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.settings import Idempotency
 
-STRAGGLER_FACTOR = 2.0  # planned runs before a retry, times run expected to remain, times sooner than it
-MIN_COMPLETED_SHARE = 0.05  # of a run, taken to be completed where progress notes report less
+# Used for three limits: planned run times until an attempt may be cancelled, expected remaining time by
+# elapsed time, and how many times shorter than that a new attempt has to be.
+STRAGGLER_FACTOR = 2.0
+MIN_COMPLETED_SHARE = 0.05  # lowest completed share assumed for a run, if progress notes report less
 
 
 def cancel_stragglers(gateway: GatewayState, engine: EngineView) -> None:
-    """Cancel the attempts on an engine that a fresh one elsewhere would overtake.
+    """Cancel the attempts on an engine that a new attempt on another engine would overtake.
 
-    On a full fleet most runs pass two planned ones, and giving them up would only add work: there up to twice
-    as many are waited for, the rarer engines are observed. Fullness is by own work in flight, as reports lag.
+    On a full fleet most runs take more than STRAGGLER_FACTOR times the planned time, and cancelling them
+    would only add work. So the limit is raised there: the less engines are observed, the more, up to twice as
+    high. Whether the fleet is full is determined by this gateway's work in flight, as load reports lag.
     """
     is_full = utilization.fleet_used_share(gateway, 0.0) > utilization.IDLE_UTILIZATION
     planned_runs = STRAGGLER_FACTOR * (1 + gateway.unobserved_share * is_full)
@@ -30,9 +33,10 @@
 
 
 def _may_cancel(gateway: GatewayState, query: Query, engine: EngineView, planned_runs: float) -> bool:
-    """Whether the attempt is late enough, or its engine given up, and a further attempt is allowed.
+    """Return whether the attempt may be cancelled and retried.
 
-    A progress note shows a bad plan at once, before the planned runs are over.
+    The attempt must be late, have a progress note, or be on an engine that is given up. A progress note is
+    sufficient as it allows a better estimate than the plan.
     """
     if (
         query.is_cancelled
@@ -49,7 +53,7 @@
 
 
 def _is_overtaken(gateway: GatewayState, query: Query, engine: EngineView) -> bool:
-    """Whether a fresh attempt elsewhere would end much sooner, and in time."""
+    """Return whether a new attempt on another engine would end much sooner, and before the deadline."""
     remaining_ms = _remaining_ms(gateway, query, engine)
     others = [
         other
@@ -62,12 +66,12 @@
 
 
 def _is_given_up(engine: EngineView) -> bool:
-    """Whether nothing is expected of the engine: it is unresponsive, or the fleet has closed it."""
+    """Return whether no answer is expected: the engine is unresponsive, or its quota is 0."""
     return engine.ejection_reason in UNRESPONSIVE or not engine.quota_rate
 
 
 def _remaining_ms(gateway: GatewayState, query: Query, engine: EngineView) -> float:
-    """How long the attempt is expected to run on: by its progress notes, else by the time run."""
+    """Return the expected remaining time of the attempt, in ms, by its progress notes or elapsed time."""
     if _is_given_up(engine):
         return math.inf
     if gateway.settings.progress_interval_ms:
@@ -78,7 +82,7 @@
 
 
 def cancel(gateway: GatewayState, query: Query) -> None:
-    """Cancel the attempt in flight, once."""
+    """Cancel the query's attempt in flight, unless this was done before."""
     if query.is_in_flight and not query.is_cancelled:
         query.is_cancelled = True
         gateway.actions.append(Cancel(query.id, query.attempts_sent - 1))
--- a/cottonhold/scheduler/utilization.py
+++ b/cottonhold/scheduler/utilization.py
@@ -1,4 +1,4 @@
-"""How full engines and the fleet are, by load reports and by this gateway's own work in flight."""
+"""Utilization of engines and the fleet, by load reports and by this gateway's own work in flight."""
 
 from __future__ import annotations
 
@@ -15,19 +15,21 @@
 )
 from cottonhold.scheduler.settings import MemoryShortage
 
-PRESSURE_RATE = 0.6  # of the fleet's best rate: a slower engine is under pressure
-PRESSURE_UTILIZATION = 0.9  # reported share of cores busy that means pressure
-MAX_DENIABLE_USE = 2.0  # of the capacity: no report can deny more own work in flight
-OUTDATED_FACTOR = 1.2  # own queries in flight for each reported that show a report to lag; it is noisy too
-PRESSURE_HOLD_MS = 500.0  # pressure holds so long after a rejection as overloaded or a wait for memory
-IDLE_UTILIZATION = 0.8  # of the fleet: below it a query without utility takes no other's capacity
+PRESSURE_RATE = 0.6  # work rate, as a share of the fleet's best, below which an engine is under pressure
+PRESSURE_UTILIZATION = 0.9  # reported share of busy cores above which an engine is under pressure
+MAX_DENIABLE_USE = 2.0  # use by capacity above which a load report can't refute pressure
+OUTDATED_FACTOR = 1.2  # queries in flight by reported ones above which a report is outdated; allows for noise
+PRESSURE_HOLD_MS = 500.0  # duration of pressure after a rejection as overloaded or a wait for memory
+IDLE_UTILIZATION = 0.8  # use of the fleet up to which a query without utility takes no other's capacity
 
 
 def is_under_pressure(gateway: GatewayState, engine: EngineView) -> bool:
-    """Whether the engine shows pressure, so that its capacity binds.
+    """Return whether the engine is under pressure, so that the limits of its capacity apply.
 
-    Signs are a slow rate, a busy report, and own work in flight, as reports lag and the cores of an engine
-    that is short of memory idle. Its report may deny the last sign up to MAX_DENIABLE_USE, unless it lags.
+    Signs of pressure are a recent OVERLOADED or wait for memory, a low work rate, a load report with busy
+    cores or a queue, and own work in flight beyond capacity. The last sign is needed as load reports lag, and
+    as cores idle if the engine is short of memory. A load report with few queries refutes it, up to
+    MAX_DENIABLE_USE and unless the report is outdated.
     """
     now = gateway.now
     min_rate = PRESSURE_RATE * gateway.best_work_rate
@@ -44,9 +46,9 @@
 
 
 def _reported_queries(gateway: GatewayState, engine: EngineView, report: dict[str, float]) -> float:
-    """Queries in flight by the engine's report, else guessed from the share of cores busy.
+    """Return the queries in flight by the engine's report, or estimated by its share of busy cores.
 
-    Where engines page, cores idle while they do, so that half busy is no proof of free capacity.
+    If engines page, cores idle meanwhile, so half of the cores busy does not show that capacity is free.
     """
     is_paging = gateway.settings.on_memory_shortage is MemoryShortage.PAGE
     full_utilization = 1 / THREADS_PER_CORE if is_paging else PRESSURE_UTILIZATION
@@ -55,7 +57,7 @@
 
 
 def _used_share(gateway: GatewayState, engine: EngineView) -> float:
-    """Share of this gateway's capacity on the engine in use, by its own work and what peers reported."""
+    """Return the used share of this gateway's capacity on the engine, by its own and the peers' work."""
     peers = engine.peer_load(gateway.now, gateway.peer_sends_per_local)
     threads = (engine.threads_in_flight + peers.threads) / engine.local_thread_capacity
     memory = (engine.memory_in_flight_mb + peers.memory_mb) / engine.local_memory_capacity_mb
@@ -66,9 +68,10 @@
 
 
 def blocking_share(gateway: GatewayState, density: float) -> float:
-    """Weight of the peers' work in flight before a query of this density: what it outranks counts in part.
+    """Return the weight of the peers' work in flight for a query of this density.
 
-    How much it outranks is taken from this gateway's own work in flight.
+    Work that the query outranks has the weight OUTRANKED_WEIGHT. As peers don't report densities, its part is
+    assumed to be the same as in this gateway's own work in flight.
     """
     ahead = gateway.in_flight.on_admitted_engines.threads_not_outranked(density, OUTRANK_MARGIN)
     total = max(ahead, gateway.in_flight.threads)
@@ -76,7 +79,7 @@
 
 
 def fleet_used_share(gateway: GatewayState, reported: float) -> float:
-    """Share of the fleet in use: as reported, or own work in flight over the local share if that is more."""
+    """Return the used share of the fleet: the reported one, or one extrapolated from own work if higher."""
     threads = gateway.in_flight.threads / gateway.fleet_thread_capacity
     memory = gateway.in_flight.memory_mb / gateway.fleet_memory_capacity_mb
     return max(reported, max(threads, memory) / gateway.traffic_share)
--- a/cottonhold/simulator_adapter.py
+++ b/cottonhold/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""The simulator's wire on standard input and output, for many gateways in one process.
+"""Adapter between the simulator's protocol on standard input and output and the scheduler.
 
-Translates only; every decision is in cottonhold/scheduler. Runs as `python -m cottonhold.simulator_adapter`.
+One process serves many gateway instances. The adapter only translates messages; all decisions are made in
+cottonhold/scheduler. Run it as `python -m cottonhold.simulator_adapter`.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 
 __all__ = ["decode_health_check", "decode_settings", "run"]
 
-USED_WORK_SHIFT = 12  # the ms of work used stand above this many bits of memory steps
+USED_WORK_SHIFT = 12  # "used_up" has the work in ms above this many bits, which hold the memory in steps
 USED_MEMORY_MASK = (1 << USED_WORK_SHIFT) - 1
 USED_MEMORY_STEP_MB = 4
 
@@ -70,7 +71,7 @@
 
 
 def decode_engine(source: Json) -> Engine:
-    """One line of an engine list."""
+    """Decode one entry of an engine list."""
     return Engine(
         id=read(source, "node", str),
         zone=read(source, "campus", int, 0),
@@ -83,7 +84,7 @@
 
 
 def decode_load_report(source: Json, settings: Settings) -> dict[str, float]:
-    """A load report under the field's names."""
+    """Decode a load report into values by field name; entries that are not numbers are left out."""
     values = read(source, "gauge", list, [])
     return {
         name: value
@@ -93,7 +94,11 @@
 
 
 def decode_query_arrived(message: Json, settings: Settings) -> Event:
-    """A client's query. Raises WireError for a class that the settings don't have."""
+    """Decode the arrival of a query.
+
+    Raises:
+        WireError: A field is malformed, or the settings don't have the query's class.
+    """
     query_class = read(message, "kind", int)
     tenant = read(message, "party", int, 0)
     if not 0 <= query_class < len(settings.classes):
@@ -112,7 +117,7 @@
 
 
 def decode_attempt_ended(message: Json, settings: Settings) -> Event:
-    """The end of an attempt. The work and memory used share one number."""
+    """Decode the end of an attempt; the work and memory used are packed in one number."""
     used = read(message, "used_up", int, 0)
     return AttemptEnded(
         query_id=read(message, "req", str),
@@ -128,7 +133,7 @@
 
 
 def decode_progress_note(message: Json, settings: Settings) -> Event:
-    """A progress note."""
+    """Decode a progress note."""
     kinds = {kind.value: kind for kind in ProgressKind}
     return ProgressNote(
         read(message, "req", str),
@@ -140,12 +145,16 @@
 
 
 def decode_stream_started(message: Json, settings: Settings) -> Event:
-    """The begin of a streamed result."""
+    """Decode the start of a streamed result."""
     return StreamStarted(read(message, "req", str), read(message, "attempt", int), read(message, "node", str))
 
 
 def decode_peer_message(message: Json, settings: Settings) -> Event:
-    """A message of another gateway. Raises WireError for data that is not hex."""
+    """Decode a message from another gateway.
+
+    Raises:
+        WireError: A field is malformed, or the data is not hexadecimal.
+    """
     try:
         return PeerMessage(read(message, "src_peer", int), bytes.fromhex(read(message, "data", str)))
     except ValueError as error:
@@ -153,7 +162,7 @@
 
 
 def decode_health_check(message: Json, settings: Settings) -> Event:
-    """The result of a health check."""
+    """Decode the result of a health check."""
     outcome = word(message, "ending", OUTCOMES, int)
     return HealthCheckCompleted(read(message, "node", str), outcome, decode_load_report(message, settings))
 
@@ -171,7 +180,11 @@
 
 
 def encode_action(action: Action) -> Json:
-    """An action as a line of the wire. Raises ValueError for one that the wire lacks."""
+    """Encode an action as a message.
+
+    Raises:
+        ValueError: The protocol has no message for the action.
+    """
     match action:
         case Send(query, engine, timeout_ms):
             return {"event_type": "ISSUE", "req": query, "node": engine, "allow_for": timeout_ms}
@@ -194,14 +207,14 @@
         case LogLine(text):
             return {"event_type": "LOG", "reason_text": text}
         case DemandEstimate():
-            raise ValueError("the wire has no line for demand estimates")
+            raise ValueError("the protocol has no message for demand estimates")
 
 
 class Adapter:
-    """Collects a batch's events by gateway instance and writes one reply for the batch."""
+    """Collects the events of a batch by gateway instance, and writes one reply to the batch."""
 
     def __init__(self, out: TextIO) -> None:
-        """An adapter without instances that writes to `out`."""
+        """Create an adapter without instances that writes its replies to `out`."""
         self.out = out
         self.schedulers: dict[int, Scheduler] = {}
         self.pending_events: dict[int, list[Event]] = {}
@@ -210,7 +223,11 @@
         self.round = 0
 
     def on_message(self, message: Json) -> None:
-        """Take one line of a batch. Raises WireError for one that does not follow the wire."""
+        """Process one message of a batch.
+
+        Raises:
+            WireError: The message violates the protocol.
+        """
         name = read(message, "event_type", str)
         if name == "TICK":
             self.now = read(message, "sim_time", NUMBER)
@@ -225,12 +242,12 @@
             self._on_event(name, message)
 
     def _on_register(self, message: Json) -> None:
-        """A numbered engine list, for later VIEW events."""
+        """Store a numbered engine list, to which later VIEW events refer."""
         entries = read(message, "entries", list)
         self.engine_lists[read(message, "sheet", int)] = tuple(decode_engine(entry) for entry in entries)
 
     def _on_hello(self, message: Json) -> None:
-        """A new instance, which knows nothing but its settings."""
+        """Create an instance with its settings; it replaces an instance with the same id and its state."""
         gateway_id = read(message, "gateway_id", int)
         seed = read(message, "init_seed", int)
         try:
@@ -241,7 +258,7 @@
         self.pending_events[gateway_id] = []
 
     def _on_event(self, name: str, message: Json) -> None:
-        """An event of one instance."""
+        """Remove the instance at a HALT message, or add the event of any other message to its batch."""
         gateway_id = read(message, "gateway_id", int)
         if gateway_id not in self.schedulers:
             raise WireError(f"field 'gateway_id' names an unknown instance: {gateway_id}")
@@ -258,7 +275,7 @@
         self.pending_events.setdefault(gateway_id, []).append(event)
 
     def _decode_view(self, message: Json) -> Event:
-        """A change of the engine list, by the number of a registered list."""
+        """Decode a change of the engine list, which refers to a stored list by its number."""
         form = read(message, "form", str)
         if form == "X":
             return EngineListFailed()
@@ -268,7 +285,7 @@
         return EngineList(self.engine_lists[sheet], is_complete=form != "D")
 
     def _reply(self) -> None:
-        """Step every instance with events and write the reply."""
+        """Run a step of every instance in the batch, and write the actions and the acknowledgement."""
         lines = []
         for gateway_id, events in self.pending_events.items():
             for action in self._step(gateway_id, events):
@@ -280,7 +297,10 @@
         self.pending_events = {}
 
     def _step(self, gateway_id: int, events: list[Event]) -> list[Json]:
-        """The actions of one instance; a failure ends the simulated day with its text."""
+        """Run a step of one instance and return its encoded actions.
+
+        If the step fails, the GIVE_IN message that is returned instead ends the simulation.
+        """
         try:
             return [encode_action(action) for action in self.schedulers[gateway_id].step(self.now, events)]
         except Exception as error:
@@ -290,7 +310,7 @@
 
 
 def run(source: TextIO, out: TextIO, errors: TextIO) -> int:
-    """Serve the wire until input ends; 2 after a line that does not follow it."""
+    """Process messages until the input ends; return 0, or 2 after a line that violates the protocol."""
     adapter = Adapter(out)
     for number, line in enumerate(source, 1):
         if not line.strip():
