--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -1,4 +1,4 @@
-"""The work of a dispatcher for each request, or as time passes, does not grow with the fleet: in counts."""
+"""The work of a dispatcher per request and per second does not grow with the fleet, measured in calls."""
 
 from __future__ import annotations
 
@@ -27,34 +27,34 @@
 from cottonhold.scheduler.settings import Features, MachineType, QueryClass, Settings
 from tests.support.scenario import World
 
-MOST = 3200  # engines of the largest fleets
+MAX_ENGINES = 3200  # number of engines in the largest fleets
 
 
-def places_looked_at(count: int, monkeypatch: pytest.MonkeyPatch) -> int:
-    """Places looked at in five seconds, where three queries have gone to engines and one has left."""
+def checked_endpoint_count(count: int, monkeypatch: pytest.MonkeyPatch) -> int:
+    """Return the number of endpoint checks in five seconds after three queries, for a number of engines."""
     world = World(engines=" ".join(f"a{i}" for i in range(count)))
     for number in (1, 2, 3):
         world.run(f"c{number} query lookup r{number}")
-    looks: list[str] = []
-    real = EngineConnections.close_if_leaving
+    checked_ids: list[str] = []
+    close_if_leaving = EngineConnections.close_if_leaving
 
-    def left(self: EngineConnections, place: EngineEndpoint) -> None:
-        looks.append(place.engine.id)
-        real(self, place)
+    def count_check(self: EngineConnections, endpoint: EngineEndpoint) -> None:
+        checked_ids.append(endpoint.engine.id)
+        close_if_leaving(self, endpoint)
 
-    monkeypatch.setattr(EngineConnections, "close_if_leaving", left)
+    monkeypatch.setattr(EngineConnections, "close_if_leaving", count_check)
     world.wait(5000)
-    return len(looks)
+    return len(checked_ids)
 
 
 def test_checks_of_connections_do_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    few = places_looked_at(8, monkeypatch)
-    assert 0 < places_looked_at(MOST, monkeypatch) <= 2 * few
+    few = checked_endpoint_count(8, monkeypatch)
+    assert 0 < checked_endpoint_count(MAX_ENGINES, monkeypatch) <= 2 * few
 
 
 @pytest.mark.parametrize("answered", [False, True])
-def test_a_new_engine_under_the_id_of_a_removed_one_keeps_its_connections(answered: bool) -> None:
-    """Removed with nothing or something in flight: a check of the old engine leaves the new one alone."""
+def test_a_new_engine_with_the_id_of_a_removed_one_retains_its_connections(answered: bool) -> None:
+    """A check of the removed engine, with or without a query in flight, must not affect the new one."""
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *")
     if answered:
         world.run("e1 send r1 served count=1,ticks=5 x")
@@ -72,7 +72,7 @@
 
 
 class Gateway:
-    """One of many gateways, which is asked 20 times a second; `counts` says how often it did what."""
+    """One of many gateways with 20 queries per second; `counts` has the numbers of calls by kind."""
 
     def __init__(self, engines: int, monkeypatch: pytest.MonkeyPatch) -> None:
         self.counts = dict.fromkeys(("counted", "reported", "listed"), 0)
@@ -96,16 +96,16 @@
         self.counts.update(counted=0, reported=0, listed=0)
 
     def count(self, owner: object, name: str, key: str, monkeypatch: pytest.MonkeyPatch) -> None:
-        real = getattr(owner, name)
+        function = getattr(owner, name)
 
         def counted(*args: object) -> object:
             self.counts[key] += 1
-            return real(*args)
+            return function(*args)
 
         monkeypatch.setattr(owner, name, counted)
 
     def serve(self, seconds: int) -> None:
-        """Queries, their ends, and four messages of peers a second."""
+        """Deliver 20 queries with their ends and four peer messages per second."""
         draw = random.Random(1)
         for number in range(20 * seconds):
             now = 1000.0 + 50 * number
@@ -124,26 +124,28 @@
                     self.scheduler.step(now + 30, [end])
 
 
-def test_capacity_counts_and_messages_do_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the usual size all engines are counted each time; at the largest all only at times."""
+def test_capacity_and_message_work_does_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A usual fleet's capacity is always computed in full, that of the largest fleet only now and then."""
     with monkeypatch.context() as patch:
         usual = Gateway(200, patch)
         usual.serve(20)
-    largest = Gateway(MOST, monkeypatch)
+    largest = Gateway(MAX_ENGINES, monkeypatch)
     largest.serve(20)
     assert largest.counts["reported"] <= usual.counts["reported"] > 0
-    assert MOST < largest.counts["counted"] <= 2 * usual.counts["counted"]  # of 16 times the engines
+    assert MAX_ENGINES < largest.counts["counted"] <= 2 * usual.counts["counted"]  # with 16 times the engines
 
 
-@pytest.mark.parametrize("engines", [200, MOST])
-def test_a_list_that_changes_often_is_taken_in_once_a_step(
+@pytest.mark.parametrize("engines", [200, MAX_ENGINES])
+def test_changes_of_the_engine_list_are_applied_once_per_step(
     engines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gateway = Gateway(engines, monkeypatch)
     scheduler, names = gateway.scheduler, gateway.names
-    gone = [EngineList((Engine(name, state=EngineState.REMOVED),), is_complete=False) for name in names[:50]]
-    come = [EngineList((Engine(f"n{n:04}"),), is_complete=False) for n in range(50)]
-    scheduler.step(2000.0, [*gone, *come])
+    removals = [
+        EngineList((Engine(name, state=EngineState.REMOVED),), is_complete=False) for name in names[:50]
+    ]
+    additions = [EngineList((Engine(f"n{n:04}"),), is_complete=False) for n in range(50)]
+    scheduler.step(2000.0, [*removals, *additions])
     assert gateway.counts["listed"] == 1 and len(scheduler.live_engines) == engines
     assert {e.id for e in scheduler.ranked_engines} == set(names[50:]) | {f"n{n:04}" for n in range(50)}
     scheduler.step(2001.0, [EngineList((), is_complete=True)])
@@ -151,30 +153,30 @@
 
 
 def test_a_query_after_a_change_in_the_same_step_sees_the_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    scheduler = Gateway(MOST, monkeypatch).scheduler
+    scheduler = Gateway(MAX_ENGINES, monkeypatch).scheduler
     usual = tuple(Engine(e.id, state=EngineState.DRAINING) for e in scheduler.candidate_pool)
     scheduler.step(2000.0, [EngineList(usual, is_complete=False), QueryArrived("q", 0, 6000.0, 200.0)])
     (engine,) = [e.id for e in scheduler.active_engines.values() if e.in_flight]
     assert engine not in {e.id for e in usual} and engine in scheduler.assigned_engine_ids
     assert (
         scheduler.engines[engine].local_thread_capacity > 1
-    )  # counted, though all are counted again only later
+    )  # computed, although all engines are computed only later
 
 
 @pytest.mark.parametrize("gateways, engines", [(200, 80), (200, 200), (20, 24), (20, 60), (5, 8), (3, 6)])
-def test_a_gateway_draws_on_little_more_of_sixteen_times_the_engines_and_all_are_covered(
+def test_a_gateway_is_assigned_few_more_of_sixteen_times_the_engines_and_all_are_assigned(
     gateways: int, engines: int
 ) -> None:
-    """Each engine that is drawn on costs a connection: 2.5 times as many, and 40 more, are allowed."""
+    """Each assigned engine costs a connection: at most 2.5 times as many and 40 more are allowed."""
 
-    def drawn_on(count: int) -> list[set[str]]:
-        crowd = []
-        for me in range(gateways):
-            scheduler = Scheduler(Settings((READ,), gateway_count=gateways, gateway_index=me), 1)
+    def assigned_engine_ids(count: int) -> list[set[str]]:
+        ids_by_gateway = []
+        for gateway_index in range(gateways):
+            scheduler = Scheduler(Settings((READ,), gateway_count=gateways, gateway_index=gateway_index), 1)
             scheduler.step(1000.0, [EngineList(tuple(Engine(f"e{n:04}") for n in range(count)), True)])
-            crowd.append(scheduler.assigned_engine_ids)
-        return crowd
+            ids_by_gateway.append(scheduler.assigned_engine_ids)
+        return ids_by_gateway
 
-    usual, many = drawn_on(engines), drawn_on(16 * engines)
+    usual, many = assigned_engine_ids(engines), assigned_engine_ids(16 * engines)
     assert max(map(len, many)) <= 2.5 * max(map(len, usual)) + 40
     assert len(set[str]().union(*many)) == 16 * engines
--- a/tests/scheduler/test_many_gateways.py
+++ b/tests/scheduler/test_many_gateways.py
@@ -1,4 +1,4 @@
-"""Many gateways on one fleet: their shares add up, and each has the cost only of what concerns it."""
+"""Many gateways on one fleet: their shares add up, and peer messages stay within their cost."""
 
 from __future__ import annotations
 
@@ -47,74 +47,85 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 40, 270])
-def test_all_gateways_together_keep_to_the_budget_of_a_cold_engine(gateways: int) -> None:
-    """Neither one query of each gateway at once nor a few long ones may exceed the budget."""
-    setup = settings(classes=(LOOKUP, REPORT), gateway_count=gateways)
+def test_all_gateways_together_stay_within_the_budget_of_a_cold_engine(gateways: int) -> None:
+    """Neither one query from each gateway nor a few long queries may exceed the budget."""
+    shared_settings = settings(classes=(LOOKUP, REPORT), gateway_count=gateways)
     gateway_fleet = [
-        Scheduler(dataclasses.replace(setup, gateway_index=seed), seed) for seed in range(gateways)
+        Scheduler(dataclasses.replace(shared_settings, gateway_index=seed), seed) for seed in range(gateways)
     ]
     cold = EngineList((Engine("cold", started_at=900.0),), is_complete=True)
     for scheduler in gateway_fleet:
         scheduler.step(1000.0, [cold])
     sent: list[tuple[int, float]] = []
-    costs = (200.0, 2800.0)
+    work_by_class = (200.0, 2800.0)
     for t in range(1000, 7000, 200):
-        for n, scheduler in enumerate(gateway_fleet):
-            kind = int((t // 200 + n) % 6 == 0)
+        for gateway_index, scheduler in enumerate(gateway_fleet):
+            query_class = int((t // 200 + gateway_index) % 6 == 0)
             events = [
-                arrival(f"q{t}", deadline_at=t + 20000.0, estimated_work_ms=costs[kind], query_class=kind)
+                arrival(
+                    f"q{t}",
+                    deadline_at=t + 20000.0,
+                    estimated_work_ms=work_by_class[query_class],
+                    query_class=query_class,
+                )
             ]
             for name, engine in sends(scheduler.step(float(t), events)):
-                reported = costs[int(scheduler.queries[name].query_class is REPORT)]
-                sent.append((t, reported))
+                actual_work_ms = work_by_class[int(scheduler.queries[name].query_class is REPORT)]
+                sent.append((t, actual_work_ms))
                 done = ended(
                     name,
                     Outcome.OK,
                     engine=engine,
                     is_final=True,
-                    actual_work_ms=reported,
-                    elapsed_ms=reported,
+                    actual_work_ms=actual_work_ms,
+                    elapsed_ms=actual_work_ms,
                 )
                 scheduler.step(float(t), [done])
-    limit = RULES.overload_factor * RULES.cold_capacity_share * MODEL.cores * RULES.overload_window_ms
-    worst = max(
-        sum(c for t, c in sent if a <= t < a + RULES.overload_window_ms) for a in range(1000, 9000, 100)
+    budget_ms = RULES.overload_factor * RULES.cold_capacity_share * MODEL.cores * RULES.overload_window_ms
+    max_work_ms = max(
+        sum(work_ms for t, work_ms in sent if window_start <= t < window_start + RULES.overload_window_ms)
+        for window_start in range(1000, 9000, 100)
     )
-    assert sent and worst <= limit
+    assert sent and max_work_ms <= budget_ms
 
 
-def test_cold_engines_get_a_fair_part_of_their_budget_where_each_gateway_draws_on_a_few() -> None:
-    """The budget is divided among the gateways that draw on the engine, and open to long queries."""
-    setup = settings(classes=(LOOKUP, REPORT), gateway_count=40)
-    gateway_fleet = [Scheduler(dataclasses.replace(setup, gateway_index=n), n) for n in range(40)]
+def test_cold_engines_are_sent_a_fair_part_of_their_budget_where_each_gateway_uses_few_engines() -> None:
+    """The budget is divided among the gateways that the engine is assigned to, and open to long queries."""
+    shared_settings = settings(classes=(LOOKUP, REPORT), gateway_count=40)
+    gateway_fleet = [
+        Scheduler(dataclasses.replace(shared_settings, gateway_index=gateway_index), gateway_index)
+        for gateway_index in range(40)
+    ]
     cold = tuple(Engine(f"e{i:02}", started_at=900.0) for i in range(30))
-    work: dict[str, dict[int, float]] = {e.id: {0: 0.0, 1: 0.0} for e in cold}
-    for n, scheduler in enumerate(gateway_fleet):
+    work_by_engine: dict[str, dict[int, float]] = {e.id: {0: 0.0, 1: 0.0} for e in cold}
+    for gateway_index, scheduler in enumerate(gateway_fleet):
         scheduler.step(1000.0, [EngineList(cold, is_complete=True)])
         for t in range(1000, 5000, 200):
-            kind = t // 200 % 2
+            query_class = t // 200 % 2
             events = [
                 arrival(
                     f"q{t}",
                     deadline_at=t + 20000.0,
-                    estimated_work_ms=(200.0, 2800.0)[kind],
-                    query_class=kind,
+                    estimated_work_ms=(200.0, 2800.0)[query_class],
+                    query_class=query_class,
                 )
             ]
-            for name, engine in sends(scheduler.step(float(t + n), events)):
-                cost = scheduler.queries[name].estimated_work_ms
-                work[engine][int(scheduler.queries[name].query_class is REPORT)] += cost
+            for name, engine in sends(scheduler.step(float(t + gateway_index), events)):
+                work_ms = scheduler.queries[name].estimated_work_ms
+                work_by_engine[engine][int(scheduler.queries[name].query_class is REPORT)] += work_ms
                 scheduler.step(
-                    float(t + n),
-                    [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=cost)],
+                    float(t + gateway_index),
+                    [ended(name, Outcome.OK, engine=engine, is_final=True, actual_work_ms=work_ms)],
                 )
-    most = RULES.overload_factor * RULES.cold_capacity_share * MODEL.cores * 4000 * len(cold)
-    by_kind = [sum(w[kind] for w in work.values()) for kind in (0, 1)]
-    assert sum(by_kind) > most / 8 and by_kind[1] > by_kind[0]
+    budget_ms = RULES.overload_factor * RULES.cold_capacity_share * MODEL.cores * 4000 * len(cold)
+    work_by_class = [
+        sum(by_class[query_class] for by_class in work_by_engine.values()) for query_class in (0, 1)
+    ]
+    assert sum(work_by_class) > budget_ms / 8 and work_by_class[1] > work_by_class[0]
 
 
-def test_own_long_query_does_not_hide_the_fleet_from_a_lookup_at_a_small_share() -> None:
-    """A long query in flight must not make every finish look late where the own share is below a thread."""
+def test_a_long_query_in_flight_does_not_delay_a_lookup_at_a_small_traffic_share() -> None:
+    """At a share below one thread, a long query in flight must not make every estimated finish late."""
     scheduler = Scheduler(settings(classes=(LOOKUP, REPORT), gateway_count=200), 1)
     scheduler.step(0.0, [fleet(40)])
     assert sends(
@@ -123,10 +134,10 @@
     assert [q for q, _ in sends(scheduler.step(10.0, [arrival("a"), arrival("b")]))] == ["a", "b"]
 
 
-def test_paging_engines_are_not_flooded_by_one_query_of_each_gateway_on_each_engine() -> None:
-    """The share is of the fleet's memory, not one query on each engine."""
-    setup = settings(classes=(REPORT,), gateway_count=200, on_memory_shortage=MemoryShortage.PAGE)
-    scheduler = Scheduler(setup, 1)
+def test_paging_engines_are_not_overloaded_by_one_query_of_each_gateway_on_each_engine() -> None:
+    """The share applies to the memory of the fleet, not to each engine."""
+    shared_settings = settings(classes=(REPORT,), gateway_count=200, on_memory_shortage=MemoryShortage.PAGE)
+    scheduler = Scheduler(shared_settings, 1)
     scheduler.step(0.0, [fleet(20)])
     events = [
         arrival(f"r{i}", deadline_at=20000.0, estimated_work_ms=3000.0, estimated_memory_mb=2000.0)
@@ -140,15 +151,17 @@
     assert not [a for a in scheduler.step(0.0, [fleet(40)]) if isinstance(a, SetTimer)]
     ((name, engine),) = sends(scheduler.step(5.0, [arrival("q")]))
     scheduler.step(100.0, [ended(name, Outcome.OK, engine=engine, is_final=True)])
-    wakes = [a for t in range(150, 2000, 50) for a in scheduler.step(float(t), []) if isinstance(a, SetTimer)]
-    assert len(wakes) <= 2
+    timers = [
+        a for t in range(150, 2000, 50) for a in scheduler.step(float(t), []) if isinstance(a, SetTimer)
+    ]
+    assert len(timers) <= 2
 
 
 WITH_PEER_MESSAGES = dataclasses.replace(PERMITS, has_peer_messages=True)
 
 
 @pytest.mark.parametrize("gateways, count", [(3, 7), (40, 30), (200, 60)])
-def test_messages_to_peers_stay_within_their_price_and_go_to_those_that_share_engines(
+def test_peer_messages_stay_within_their_cost_and_are_sent_to_peers_that_share_engines(
     gateways: int, count: int
 ) -> None:
     scheduler = Scheduler(
@@ -161,72 +174,80 @@
         1,
     )
     scheduler.step(0.0, [fleet(count)])
-    reported = list[SendToPeer]()
+    messages = list[SendToPeer]()
     for t in range(0, 20000, 125):
         done = scheduler.step(float(t), [arrival(f"q{t}", deadline_at=t + 5000.0)])
-        reported += [a for a in done if isinstance(a, SendToPeer)]
+        messages += [a for a in done if isinstance(a, SendToPeer)]
         for name, engine in sends(done):
             scheduler.step(t + 100.0, [ended(name, Outcome.OK, engine=engine, is_final=True)])
-    assert 0.01 * sum(len(a.payload) for a in reported) / 256 < 1.3 * MAX_PEER_MESSAGE_COST * 160
+    assert 0.01 * sum(len(a.payload) for a in messages) / 256 < 1.3 * MAX_PEER_MESSAGE_COST * 160
     sharing = {
-        m
-        for e in scheduler.live_engines
-        if e.id in scheduler.assigned_engine_ids
-        for m in peer_load.peers_sharing(scheduler, e)
+        peer
+        for engine in scheduler.live_engines
+        if engine.id in scheduler.assigned_engine_ids
+        for peer in peer_load.peers_sharing(scheduler, engine)
     }
     assert (
-        reported
+        messages
         and 2 not in sharing
-        and {a.peer for a in reported} <= sharing
-        and all(len(a.payload) <= 256 for a in reported)
+        and {a.peer for a in messages} <= sharing
+        and all(len(a.payload) <= 256 for a in messages)
     )
 
 
 def receive_work_report(
     scheduler: Scheduler, now: float, peer: int, *engines: tuple[str, int, float, float]
 ) -> list[Action]:
-    """A peer's message: its threads, memory and planned thread time on engines."""
-    rows = [(scheduler.engines[e].id_hash, n, int(mb / 16), int(area / 32)) for e, n, mb, area in engines]
-    data = struct.pack(">Bf", 3, 0.0) + b"".join(struct.pack(">IBHH", *row) for row in rows)
+    """Deliver a peer's work report: its threads, memory and remaining thread time on engines."""
+    entries = [
+        (scheduler.engines[engine].id_hash, threads, int(memory_mb / 16), int(thread_ms / 32))
+        for engine, threads, memory_mb, thread_ms in engines
+    ]
+    data = struct.pack(">Bf", 3, 0.0) + b"".join(struct.pack(">IBHH", *row) for row in entries)
     return scheduler.step(now, [PeerMessage(peer, data)])
 
 
 @pytest.mark.parametrize(
-    "threads, memory, area, silent, again, sent",
+    "threads, memory, thread_ms, silent_ms, has_second_report, expected",
     [
         (1, 100.0, 100.0, 0.0, False, {"e1", "e2"}),
-        (60, 100.0, 90000.0, 0.0, False, {"e2"}),  # more is planned there than on the other
-        (1, 16000.0, 100.0, 0.0, False, {"e2"}),  # its memory is full: one more spills
-        (60, 16000.0, 90000.0, 0.0, True, {"e1", "e2"}),  # the peer has reported since that nothing is left
-        (60, 16000.0, 90000.0, 20000.0, False, {"e1", "e2"}),  # the peer fell silent: it may have died
+        (60, 100.0, 90000.0, 0.0, False, {"e2"}),  # more work than on the other engine
+        (1, 16000.0, 100.0, 0.0, False, {"e2"}),  # its memory is full
+        (60, 16000.0, 90000.0, 0.0, True, {"e1", "e2"}),  # a later report names no work
+        (60, 16000.0, 90000.0, 20000.0, False, {"e1", "e2"}),  # the report has expired
     ],
     ids=["little", "busy", "full", "left", "silent"],
 )
-def test_what_peers_have_in_flight_on_an_engine_counts_there(
-    threads: int, memory: float, area: float, silent: float, again: bool, sent: set[str]
+def test_work_that_peers_report_on_an_engine_delays_queries_there(
+    threads: int,
+    memory: float,
+    thread_ms: float,
+    silent_ms: float,
+    has_second_report: bool,
+    expected: set[str],
 ) -> None:
-    """What peers reported weighs until they report otherwise or fall silent."""
-    setup = settings(
+    """A report is valid until the peer's next report, or until it expires."""
+    shared_settings = settings(
         classes=(REPORT,),
         gateway_count=3,
         features=WITH_PEER_MESSAGES,
         on_memory_shortage=MemoryShortage.SHRINK,
     )
-    scheduler = Scheduler(setup, 1)
+    scheduler = Scheduler(shared_settings, 1)
     scheduler.step(0.0, [engines("e1", "e2")])
-    receive_work_report(scheduler, 5.0, 1, ("e1", threads, memory, area))
-    start = 400.0 + silent
+    receive_work_report(scheduler, 5.0, 1, ("e1", threads, memory, thread_ms))
+    start = 400.0 + silent_ms
     receive_work_report(scheduler, start - 1, 2, ("e1", 1, 0.0, 0.0))
-    if again:
+    if has_second_report:
         receive_work_report(scheduler, start - 1, 1)
     scheduler.step(start, [engines("e1", "e2")])
-    went = list[tuple[str, str]]()
+    sent = list[tuple[str, str]]()
     for i in range(6):
         query = arrival(
             f"r{i}", deadline_at=start + 20000, estimated_work_ms=1000.0, estimated_memory_mb=600.0
         )
-        went += sends(scheduler.step(start + i, [query]))
-    assert {e for _, e in went} == sent
+        sent += sends(scheduler.step(start + i, [query]))
+    assert {e for _, e in sent} == expected
 
 
 @pytest.mark.parametrize("data", [b"\x03", b"\x03" * 12, struct.pack(">Bf", 3, math.nan), b"\x03" * 256])
@@ -237,7 +258,7 @@
     assert not scheduler.traffic_by_peer and not scheduler.engines["e1"].reported_by_peer
 
 
-def test_ejection_ends_by_itself_where_no_canary_tests_it() -> None:
+def test_ejection_expires_without_canaries() -> None:
     scheduler = Scheduler(settings(gateway_count=200), 1)
     scheduler.step(0.0, [engines("e1", "e2")])
     ((name, engine),) = sends(scheduler.step(5.0, [arrival("q")]))
@@ -248,20 +269,26 @@
     assert not scheduler.engines[engine].ejection_reason
 
 
-def test_invalid_input_is_survived_and_removed_engines_are_forgotten() -> None:
+def test_invalid_input_is_ignored_and_removed_engines_are_dropped() -> None:
     scheduler = Scheduler(
         settings(gateway_count=20, features=dataclasses.replace(PERMITS, has_peer_messages=True)), 1
     )
-    twice = Engine("e1")
-    scheduler.step(0.0, [EngineList((twice, twice), is_complete=True)])
+    entry = Engine("e1")
+    scheduler.step(0.0, [EngineList((entry, entry), is_complete=True)])
     for i in range(300):
         scheduler.step(
             10.0 + i, [fleet(10, prefix=f"n{i}-"), fleet(10, EngineState.REMOVED, prefix=f"n{i}-")]
         )
     assert set(scheduler.engines) == {"e1"} and len(scheduler.live_engines) == 1
-    bad = [b"", b"\x01", b"\x09" * 40, struct.pack(">Bf", 1, math.nan), struct.pack(">Bf", 1, math.inf)]
-    bad.append(struct.pack(">BIHf", 2, scheduler.engines["e1"].id_hash, 3, math.nan))
-    scheduler.step(400.0, [PeerMessage(n, data) for n, data in enumerate(bad)])
+    invalid_messages = [
+        b"",
+        b"\x01",
+        b"\x09" * 40,
+        struct.pack(">Bf", 1, math.nan),
+        struct.pack(">Bf", 1, math.inf),
+    ]
+    invalid_messages.append(struct.pack(">BIHf", 2, scheduler.engines["e1"].id_hash, 3, math.nan))
+    scheduler.step(400.0, [PeerMessage(n, data) for n, data in enumerate(invalid_messages)])
     scheduler.step(401.0, [ended("never", Outcome.OK, engine="n3-1")])
     assert not scheduler.traffic_by_peer and not scheduler.engines["e1"].locked_until
     for i in range(500):
@@ -272,11 +299,11 @@
 
 
 def test_an_overloaded_engine_is_backed_off_from_exponentially() -> None:
-    """An engine that rejects at once would otherwise attract ever more queries."""
+    """An engine that rejects immediately would otherwise attract ever more queries."""
     scheduler = Scheduler(settings(gateway_count=100), 1)
     scheduler.step(0.0, [engines("e1", "e2")])
-    ((_, full),) = sends(scheduler.step(5.0, [arrival("q")]))
-    ((_, other),) = sends(scheduler.step(10.0, [ended("q", Outcome.OVERLOADED, engine=full)]))
+    ((_, overloaded),) = sends(scheduler.step(5.0, [arrival("q")]))
+    ((_, other),) = sends(scheduler.step(10.0, [ended("q", Outcome.OVERLOADED, engine=overloaded)]))
     scheduler.step(20.0, [ended("q", Outcome.OK, attempt=1, engine=other, is_final=True)])
     chosen = set()
     for t in range(30, 900, 50):
@@ -286,8 +313,8 @@
     assert chosen == {other}
 
 
-def test_a_query_that_waits_for_memory_is_no_silence() -> None:
-    """A query that waits for memory sends no notes until it runs."""
+def test_a_query_that_waits_for_memory_is_not_silence() -> None:
+    """The engine sends no progress note for a query that waits for memory until the query runs."""
     scheduler = Scheduler(settings(gateway_count=200, progress_interval_ms=1000.0), 1)
     scheduler.step(0.0, [fleet(4)])
     ((name, engine),) = sends(scheduler.step(5.0, [arrival("q")]))
@@ -301,34 +328,34 @@
     assert scheduler.engines[engine].ejection_reason is EjectionReason.SILENT
 
 
-@pytest.mark.parametrize("marked", [True, False])
-def test_the_latency_objective_of_a_clients_retry_runs_from_the_first_try(marked: bool) -> None:
-    """A client's retry must not look as dense as a new query."""
-    late_is_nothing = dataclasses.replace(LOOKUP, late_utility=0.0)
-    scheduler = Scheduler(settings(late_is_nothing, gateway_count=20), 1)
+@pytest.mark.parametrize("is_marked", [True, False])
+def test_the_latency_objective_of_a_clients_retry_is_measured_from_the_first_try(is_marked: bool) -> None:
+    """A client's retry must not appear as dense as a new query."""
+    query_class = dataclasses.replace(LOOKUP, late_utility=0.0)
+    scheduler = Scheduler(settings(query_class, gateway_count=20), 1)
     scheduler.step(0.0, [fleet(4)])
-    for i in range(30):  # first tries are cut at 4.5 s here, repeats last to the class's deadline
+    for i in range(30):  # first tries have 4.5 s, retries the rest of the class's 5 s
         for name, engine in sends(
             scheduler.step(5.0 + 90 * i, [arrival(f"f{i}", deadline_at=4505.0 + 90 * i)])
         ):
             if i % 6:
                 scheduler.step(50.0 + 90 * i, [ended(name, Outcome.OK, engine=engine, is_final=True)])
-            else:  # some go unserved: only those can come again
+            else:  # some are not served: only these can be retried
                 scheduler.step(
                     50.0 + 90 * i,
                     [ClientDisconnected(name), ended(name, Outcome.CANCELLED, engine=engine)],
                 )
     done = scheduler.step(
-        3000.0, [arrival("past", deadline_at=5500.0, is_retry=marked), arrival("new", deadline_at=7500.0)]
+        3000.0, [arrival("past", deadline_at=5500.0, is_retry=is_marked), arrival("new", deadline_at=7500.0)]
     )
     assert [q for q, _ in sends(done)] == ["new"]
     assert [a.query_id for a in answers(done) if isinstance(a, Reject)] == ["past"]
     assert scheduler.queries["new"].latency_objective_at == 3000.0 + LOOKUP.latency_objective_ms
-    scheduler.step(3100.0, [arrival("late", deadline_at=7900.0, is_retry=marked)])
+    scheduler.step(3100.0, [arrival("late", deadline_at=7900.0, is_retry=is_marked)])
     assert scheduler.queries["late"].latency_objective_at == 2900.0 + LOOKUP.latency_objective_ms
 
 
-def test_where_client_timeouts_differ_no_unmarked_query_counts_as_a_retry() -> None:
+def test_without_a_usual_client_timeout_no_unmarked_query_is_treated_as_a_retry() -> None:
     scheduler = Scheduler(settings(gateway_count=20), 1)
     scheduler.step(0.0, [fleet(4)])
     for i in range(60):
@@ -337,7 +364,7 @@
 
 
 def test_a_dense_query_does_not_wait_for_queries_of_peers_that_it_outranks() -> None:
-    """Work that a dense query outranks delays it in part only."""
+    """Work of peers that a dense query outranks delays it only in part."""
     lookup = dataclasses.replace(LOOKUP, late_utility=0.0)
     scheduler = Scheduler(
         settings(classes=(lookup, REPORT), gateway_count=200, features=WITH_PEER_MESSAGES), 1
@@ -355,18 +382,18 @@
 
 
 def test_a_query_without_expected_utility_is_not_sent() -> None:
-    """On a fleet that may be full it would take the capacity of another."""
+    """On a fleet that may be full it would take the capacity of another query."""
     scheduler = Scheduler(settings(dataclasses.replace(LOOKUP, late_utility=0.0, deadline_ms=9000.0)), 1)
     scheduler.step(0.0, [engines("e1")])
-    assert scheduler.fleet_utilization > 0.9  # nothing reported: the fleet may be full
+    assert scheduler.fleet_utilization > 0.9  # without load reports the fleet may be full
     done = scheduler.step(5.0, [arrival("q", deadline_at=9005.0, estimated_work_ms=6000.0)])
     assert sends(done) == []
     reported = [a for t in range(10, 400, 10) for a in answers(scheduler.step(float(t), []))]
     assert len(reported) == 1 and isinstance(reported[0], Reject) and reported[0].query_id == "q"
 
 
-def test_under_pressure_the_shares_of_all_gateways_fill_the_fleet_and_no_more() -> None:
-    """The shares of all gateways add up to the fleet."""
+def test_under_pressure_a_gateway_uses_no_more_than_its_share_of_the_fleet() -> None:
+    """The shares of all gateways add up to the capacity of the fleet."""
     scheduler = Scheduler(settings(classes=(REPORT,), gateway_count=200), 1)
     scheduler.step(0.0, [fleet(60)])
     for e in scheduler.engines.values():
@@ -376,9 +403,9 @@
     assert 0 < threads <= scheduler.local_thread_capacity < 5
 
 
-def test_each_of_many_gateways_draws_on_a_range_of_engines_and_all_are_covered() -> None:
-    """Each gateway draws on a range of engines; the ranges cover all of them evenly."""
-    used: dict[str, int] = {}
+def test_each_of_many_gateways_uses_a_range_of_engines_and_the_ranges_cover_all() -> None:
+    """The ranges cover all engines evenly."""
+    gateways_by_engine: dict[str, int] = {}
     for gateway_index in range(60):
         scheduler = Scheduler(settings(gateway_count=60, gateway_index=gateway_index), gateway_index)
         scheduler.step(0.0, [fleet(30)])
@@ -389,11 +416,11 @@
                 scheduler.step(10.0 + 10 * i, [ended(name, Outcome.OK, engine=engine, is_final=True)])
         assert len(scheduler.candidate_pool) == 8 and chosen <= {e.id for e in scheduler.candidate_pool}
         for e in scheduler.candidate_pool:
-            used[e.id] = used.get(e.id, 0) + 1
-    assert len(used) == 30 and set(used.values()) == {16}
+            gateways_by_engine[e.id] = gateways_by_engine.get(e.id, 0) + 1
+    assert len(gateways_by_engine) == 30 and set(gateways_by_engine.values()) == {16}
 
 
-def test_one_gateway_of_few_uses_the_whole_fleet() -> None:
+def test_one_of_two_gateways_uses_the_whole_fleet() -> None:
     scheduler = Scheduler(settings(gateway_count=2, gateway_index=1), 1)
     scheduler.step(0.0, [fleet(30)])
     assert (
@@ -409,7 +436,7 @@
 
 
 def test_a_query_without_expected_utility_is_sent_while_the_fleet_is_idle() -> None:
-    """Estimates are rough, and on an idle fleet it takes no other's capacity."""
+    """Estimates are imprecise, and on an idle fleet the query takes no capacity from others."""
     scheduler = Scheduler(settings(REPORT), 1)
     scheduler.step(0.0, [engines("e1", "e2")])
     idle = {"util": 0.2}
@@ -427,25 +454,33 @@
     ] == ["long"]
 
 
-def test_a_load_is_announced_to_the_gateways_that_draw_on_its_engine() -> None:
-    """Readers of other gateways would stand still behind it."""
-    cls = dataclasses.replace(LOOKUP, is_load=True)
-    setup = settings(
-        cls, gateway_count=60, gateway_index=30, features=dataclasses.replace(PERMITS, has_peer_messages=True)
+def test_a_load_is_announced_to_the_gateways_that_share_its_engine() -> None:
+    """Readers of these gateways would wait for the locks of the load."""
+    query_class = dataclasses.replace(LOOKUP, is_load=True)
+    shared_settings = settings(
+        query_class,
+        gateway_count=60,
+        gateway_index=30,
+        features=dataclasses.replace(PERMITS, has_peer_messages=True),
     )
-    gateway_fleet = [Scheduler(dataclasses.replace(setup, gateway_index=m), m) for m in range(60)]
+    gateway_fleet = [
+        Scheduler(dataclasses.replace(shared_settings, gateway_index=gateway_index), gateway_index)
+        for gateway_index in range(60)
+    ]
     for scheduler in gateway_fleet:
         scheduler.step(0.0, [fleet(30)])
     done = gateway_fleet[30].step(5.0, [arrival("q", table_group=3)])
     ((_, engine),) = sends(done)
-    reported = {a.peer for a in done if isinstance(a, SendToPeer) and len(a.payload) == 11}
+    notified = {a.peer for a in done if isinstance(a, SendToPeer) and len(a.payload) == 11}
     sharing = {
-        m for m, scheduler in enumerate(gateway_fleet) if engine in {e.id for e in scheduler.candidate_pool}
+        gateway_index
+        for gateway_index, scheduler in enumerate(gateway_fleet)
+        if engine in {e.id for e in scheduler.candidate_pool}
     } - {30}
-    assert len(sharing) > 10 and len(reported & sharing) >= len(sharing) - 2 and len(reported - sharing) <= 2
+    assert len(sharing) > 10 and len(notified & sharing) >= len(sharing) - 2 and len(notified - sharing) <= 2
 
 
-def test_an_absurd_length_of_a_peers_load_locks_no_tables_for_good() -> None:
+def test_an_excessive_run_time_of_a_peers_load_is_limited() -> None:
     scheduler = Scheduler(
         settings(gateway_count=20, features=dataclasses.replace(PERMITS, has_peer_messages=True)), 1
     )
@@ -454,10 +489,12 @@
     assert scheduler.engines["e1"].locked_until[3] <= 5.0 + LOOKUP.deadline_ms
 
 
-@pytest.mark.parametrize("cancel, wanted", [(True, ["next"]), (False, [])])
-def test_a_timed_out_attempt_that_nothing_cancels_keeps_its_capacity(cancel: bool, wanted: list[str]) -> None:
-    """An attempt that nothing cancels runs on at its engine."""
-    permits = dataclasses.replace(PERMITS, can_cancel=cancel)
+@pytest.mark.parametrize("can_cancel, expected", [(True, ["next"]), (False, [])])
+def test_a_timed_out_attempt_that_cannot_be_cancelled_occupies_its_capacity(
+    can_cancel: bool, expected: list[str]
+) -> None:
+    """An attempt that is not cancelled may still run on its engine."""
+    permits = dataclasses.replace(PERMITS, can_cancel=can_cancel)
     scheduler = Scheduler(settings(classes=(LOOKUP, REPORT), gateway_count=200, features=permits), 1)
     scheduler.step(0.0, [fleet(40)])
     for e in scheduler.engines.values():
@@ -470,11 +507,11 @@
     after = scheduler.step(
         405.0, [arrival("next", deadline_at=20000.0, estimated_work_ms=6000.0, query_class=1)]
     )
-    assert [q for q, _ in sends(after)] == wanted
+    assert [q for q, _ in sends(after)] == expected
 
 
-def test_own_sends_since_the_last_report_stand_for_those_of_peers() -> None:
-    """Peers are expected to send as much as this gateway between two reports."""
+def test_queries_sent_since_the_last_report_imply_queries_of_peers() -> None:
+    """Between two reports, each peer is expected to send as much as this gateway."""
     scheduler = Scheduler(settings(classes=(REPORT,), gateway_count=11, features=WITH_PEER_MESSAGES), 1)
     scheduler.step(0.0, [engines("e1")])
     receive_work_report(scheduler, 5.0, 1, ("e1", 1, 0.0, 0.0))
@@ -497,8 +534,8 @@
 
 
 @pytest.mark.parametrize("gateway_index", range(0, 40, 7))
-def test_loads_go_to_preferred_engines_that_this_gateway_hears_of(gateway_index: int) -> None:
-    """Preferred engines that this gateway hears nothing of would look empty."""
+def test_loads_are_sent_to_preferred_engines_that_are_assigned_to_this_gateway(gateway_index: int) -> None:
+    """The gateway receives no reports on other preferred engines, so they would appear idle."""
     load = dataclasses.replace(REPORT, name="load", is_load=True)
     scheduler = Scheduler(settings(classes=(load,), gateway_count=40, gateway_index=gateway_index), 1)
     scheduler.step(0.0, [fleet(30)])
@@ -513,13 +550,13 @@
 
 
 @pytest.mark.parametrize("threads, passes", [(18, True), (22, False)])
-def test_an_outranking_query_finds_no_capacity_on_an_overfilled_engine(threads: int, passes: bool) -> None:
-    """Also a query that outranks the others must not overfill an engine."""
+def test_an_outranking_query_is_not_sent_to_an_overfilled_engine(threads: int, passes: bool) -> None:
+    """Even a query that outranks the others must not overfill an engine."""
     scheduler = Scheduler(settings(classes=(LOOKUP, REPORT), gateway_count=3, features=WITH_PEER_MESSAGES), 1)
     scheduler.step(0.0, [engines("e1")])
-    held = [arrival(f"r{i}", deadline_at=2e4, estimated_work_ms=3000.0, query_class=1) for i in range(7)]
-    sent = sends(scheduler.step(1.0, held))
-    scheduler.next_peer_message_at = 0.0  # this gateway reports now, and what peers have follows
+    reports = [arrival(f"r{i}", deadline_at=2e4, estimated_work_ms=3000.0, query_class=1) for i in range(7)]
+    sent = sends(scheduler.step(1.0, reports))
+    scheduler.next_peer_message_at = 0.0  # report now, before the peer's report arrives
     receive_work_report(scheduler, 20.0, 1, ("e1", threads - 2 * len(sent), 0.0, 500.0))
     scheduler.step(21.0, [engines("e1")])
     assert bool(sends(scheduler.step(22.0, [arrival("a", estimated_work_ms=50.0)]))) == passes
--- a/tests/scheduler/test_retry_matrix.py
+++ b/tests/scheduler/test_retry_matrix.py
@@ -1,4 +1,4 @@
-"""Each way in which an attempt can end, under each effect and group: what may follow, and nothing else."""
+"""The reaction to each way in which an attempt can end, for each idempotency and deduplication scope."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def expected_reaction(effect: str, group: str, evidence: str, elsewhere: str) -> str:
-    """What has to follow: a further attempt, an answer, or a wait that ends in one."""
+    """Return the expected reaction: a further attempt, an answer, or a wait that ends with an answer."""
     if evidence is NEVER_RAN:
         return "attempt"
     if evidence is ALREADY_FINISHED:
@@ -71,17 +71,16 @@
 @pytest.mark.parametrize("end", ATTEMPT_ENDS)
 @pytest.mark.parametrize(("effect", "group"), CASES)
 def test_what_follows_an_attempt(effect: str, group: str, end: str, elsewhere: str) -> None:
-    cls = replace(
+    query_class = replace(
         READ,
         idempotency=Idempotency(effect),
         deduplication_scope=DeduplicationScope(group),
         deduplication_window_ms=WINDOW_MS,
     )
-    permits = replace(PERMITS, can_cancel=False)  # else a slow safe one is moved before its end
-    world = World(replace(SETTINGS, classes=(cls,), features=permits), engines="a")
-    world.gateway.scheduler.fleet_utilization = (
-        0.1  # else what is late already is not sent where the fleet may be full
-    )
+    features = replace(PERMITS, can_cancel=False)  # else a slow idempotent attempt is cancelled
+    world = World(replace(SETTINGS, classes=(query_class,), features=features), engines="a")
+    # Otherwise a query that is late already is not sent, as the fleet may be full.
+    world.gateway.scheduler.fleet_utilization = 0.1
     list_engine(world, "a", 0, 1)
     world.run(f"c1 query lookup r1 allow={ALLOW_MS}\ne1 expect GET r1 *")
     world.unmet.append("b")
@@ -89,28 +88,28 @@
     list_engine(world, "b", *ELSEWHERE[elsewhere])
     evidence, script = ATTEMPT_ENDS[end]
     world.run(script)
-    wanted = expected_reaction(effect, group, evidence, elsewhere)
-    if wanted == "attempt":
+    expected = expected_reaction(effect, group, evidence, elsewhere)
+    if expected == "attempt":
         world.run(
             "e2 expect GET r1 *\nc1 expect nothing\ne2 send r1 served count=1 x|y|z/\nc1 expect rows x|y|z"
         )
-    elif wanted == "wait":
+    elif expected == "wait":
         world.run(f"any nothing there\nc1 expect nothing\ntime wait {ALLOW_MS}\nc1 expect error 1105 *")
     else:
-        world.run(f"c1 expect error {1226 if wanted == 'refusal' else 1105} *")
+        world.run(f"c1 expect error {1226 if expected == 'refusal' else 1105} *")
     world.run("any nothing there\ntime wait 1000\nany nothing there\nc1 expect nothing")
     assert_nothing_kept(world)
 
 
-@pytest.mark.parametrize("allow", [300, 1000, 4000])
-@pytest.mark.parametrize("late", [True, False])
-def test_a_deadline_between_two_attempts_is_kept(allow: int, late: bool) -> None:
-    """A request whose first attempt ends too late for another one is answered in the turn of that end."""
+@pytest.mark.parametrize("timeout_ms", [300, 1000, 4000])
+@pytest.mark.parametrize("is_late", [True, False])
+def test_a_deadline_between_two_attempts_is_met(timeout_ms: int, is_late: bool) -> None:
+    """A request whose first attempt ends too late for another one is answered in the same step."""
     world = World(replace(SETTINGS, features=replace(PERMITS, can_cancel=False)))
     world.gateway.scheduler.fleet_utilization = 0.1
-    wait = allow - min(400, 0.2 * allow) - (105 if late else 125)
-    world.run(f"c1 query lookup r1 allow={allow},effort=20.0\ne1 expect GET r1 *\ntime wait {wait}")
+    wait_ms = timeout_ms - min(400, 0.2 * timeout_ms) - (105 if is_late else 125)
+    world.run(f"c1 query lookup r1 allow={timeout_ms},effort=20.0\ne1 expect GET r1 *\ntime wait {wait_ms}")
     world.run("e1 send r1 overload -")
     world.run(
-        "any nothing there\nc1 expect error 1226 *" if late else "e2 expect GET r1 *\nc1 expect nothing"
+        "any nothing there\nc1 expect error 1226 *" if is_late else "e2 expect GET r1 *\nc1 expect nothing"
     )
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The budget of a cold engine over whole fleets: what all gateways send together, drawn in virtual time."""
+"""The budget of a cold engine in whole fleets: simulates the work that all gateways send together."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
     "two hundred, large engines": Site(200, 24, 3.0, cores=16, costs=(60.0, 3000.0)),
     "two hundred": Site(200, 40, 3.0),
 }
-LENGTH_MS = {200: 1600.0, 60: 2500.0}  # after the start; where there are many gateways, just past one window
+LENGTH_MS = {
+    200: 1600.0,
+    60: 2500.0,
+}  # after the start, by number of gateways; many gateways run little longer than one window
 
 
 @pytest.mark.parametrize("site", SITES.values(), ids=SITES)
@@ -41,7 +44,7 @@
 
 @pytest.mark.parametrize("gateways", [2, 20, 60])
 def test_gateways_that_all_restart_in_the_burst_do_not_overload_cold_engines(gateways: int) -> None:
-    """Their first reports say little of their traffic, and nobody knows what was sent before."""
+    """Their first reports contain little traffic, and the work sent before the restart is unknown."""
     fleet = ColdFleet(Site(gateways, 12, 200.0 / gateways))
     for gateway_index in range(gateways):
         fleet.at(COLD_MS + 700.0 + 3 * gateway_index, partial(fleet.start, gateway_index=gateway_index))
@@ -50,13 +53,13 @@
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
-def test_parts_add_up_to_no_more_than_the_budget_whatever_the_traffic_shares(gateways: int) -> None:
+def test_parts_add_up_to_no_more_than_the_budget_for_any_traffic_shares(gateways: int) -> None:
     site = Site(gateways, 4, 10.0)
     parts = 0.0
     for gateway_index in range(gateways):
         gateway = Scheduler(replace(site.settings(), gateway_index=gateway_index), gateway_index)
         gateway.step(1000.0, [EngineList((Engine("e0", started_at=900.0),), is_complete=True)])
-        gateway.traffic_share = gateway.assigned_engine_share = 1.0  # as if peers reported no traffic at all
+        gateway.traffic_share = gateway.assigned_engine_share = 1.0  # as if peers reported no traffic
         parts += slow_start.local_budget_rate(gateway, gateway.engines["e0"])
     budget = site.overload_factor * site.cold_capacity_share * site.cores
     assert 0.2 * budget < 2 * parts < budget
@@ -70,7 +73,7 @@
 
 
 @pytest.mark.parametrize("gateways", [5, 20, 60])
-def test_shares_add_up_to_about_the_whole_while_gateways_start(gateways: int) -> None:
+def test_traffic_shares_add_up_to_about_one_while_gateways_start(gateways: int) -> None:
     site = Site(gateways, 12, 200.0 / gateways, uneven=0.5)
     for seconds in (0.5, 1.0, 1.5, 2.0, 2.4):
         fleet = ColdFleet(site).play(START_MS + 1000 * seconds)
--- a/tests/scheduler/test_sparse_signals.py
+++ b/tests/scheduler/test_sparse_signals.py
@@ -1,4 +1,4 @@
-"""Engines that report little: no progress notes, load by health checks only, memory grants that shrink."""
+"""Engines that report little: no progress notes, load reports with health checks only, shrinking grants."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def started_without_notes(*names: str, **changes: Any) -> Scheduler:
-    """A gateway whose engines send no notes; its traffic has earned it health checks."""
+    """Return a gateway whose engines send no progress notes, after traffic that filled its check budget."""
     scheduler = Scheduler(
         settings(**{"features": WITH_HEALTH_CHECKS, "progress_interval_ms": 0.0, **changes}), 1
     )
@@ -51,8 +51,8 @@
     return [a.engine for actions in steps for a in actions if isinstance(a, CheckHealth)]
 
 
-def test_one_long_query_without_notes_causes_a_health_check_and_no_ejection() -> None:
-    """Without progress notes silence alone is no evidence."""
+def test_one_long_query_without_progress_notes_causes_a_health_check_and_no_ejection() -> None:
+    """Without progress notes, silence alone is not evidence of a fault."""
     scheduler = started_without_notes("e1", "e2")
     ((_, engine),) = sends(
         scheduler.step(4050.0, [arrival("q", deadline_at=30000.0, estimated_work_ms=1000.0)])
@@ -62,7 +62,7 @@
     assert not scheduler.engines[engine].ejection_reason
 
 
-def test_health_check_timeout_ejects_an_overdue_engine_and_a_passed_one_readmits_it() -> None:
+def test_health_check_timeout_ejects_an_overdue_engine_and_a_success_readmits_it() -> None:
     scheduler = started_without_notes("e1", "e2")
     ((_, engine),) = sends(
         scheduler.step(4050.0, [arrival("q", deadline_at=30000.0, estimated_work_ms=1000.0)])
@@ -72,14 +72,14 @@
     assert scheduler.engines[engine].ejection_reason is EjectionReason.HEALTH_CHECK_TIMEOUT
     actions = [
         a for t in range(5950, 6050, 50) for a in scheduler.step(float(t), [])
-    ]  # before two plans are over
+    ]  # before twice the planned run time
     assert Cancel("q", 0) in actions
     scheduler.step(8000.0, [HealthCheckCompleted(engine, Outcome.OK)])
     assert not scheduler.engines[engine].ejection_reason
 
 
-def test_without_notes_a_query_a_little_over_its_planned_run_is_not_cancelled() -> None:
-    """What has run a plan and a half is not taken to need fifteen more: that wasted work on a quiet day."""
+def test_without_progress_notes_a_query_a_little_over_its_planned_run_is_not_cancelled() -> None:
+    """At 1.5 times the planned run, 15 more must not be expected: cancelling wasted work on an idle fleet."""
     scheduler = started_without_notes("e1", "e2")
     sends(scheduler.step(4050.0, [arrival("q", deadline_at=30000.0, estimated_work_ms=1000.0)]))
     actions = [a for t in range(4100, 6050, 50) for a in scheduler.step(float(t), [])]
@@ -88,11 +88,11 @@
     assert Cancel("q", 0) in actions
 
 
-@pytest.mark.parametrize("gateways, least, most", [(1, 2.0, 2.1), (40, 3.5, 4.0)])
-def test_cancellation_waits_for_more_planned_runs_on_a_full_fleet_rarely_observed(
-    gateways: int, least: float, most: float
+@pytest.mark.parametrize("gateways, min_runs, max_runs", [(1, 2.0, 2.1), (40, 3.5, 4.0)])
+def test_cancellation_waits_for_more_planned_runs_on_a_full_and_rarely_observed_fleet(
+    gateways: int, min_runs: float, max_runs: float
 ) -> None:
-    """On a full fleet most runs pass two plans: giving them up there only adds work."""
+    """On a full fleet most runs take more than twice the plan, so cancelling them only adds work."""
     scheduler = started_without_notes(*(f"e{i}" for i in range(60)), gateway_count=gateways)
     assert (
         len(
@@ -105,35 +105,35 @@
         )
         > 20
     )
-    p, steps = scheduler.queries["q0"].planned_run_ms, range(4100, 30000, 50)
-    given_up = next(t for t in steps if any(isinstance(a, Cancel) for a in scheduler.step(float(t), [])))
-    assert least * p <= given_up - 4050 < most * p + 300
+    planned_run_ms, steps = scheduler.queries["q0"].planned_run_ms, range(4100, 30000, 50)
+    cancelled_at = next(t for t in steps if any(isinstance(a, Cancel) for a in scheduler.step(float(t), [])))
+    assert min_runs * planned_run_ms <= cancelled_at - 4050 < max_runs * planned_run_ms + 300
 
 
 def test_a_short_query_whose_answer_is_lost_is_retried_in_time() -> None:
-    """What remains is judged by the time run, so that a lost answer is given up in time."""
+    """The remaining time is estimated by the elapsed time, so it is cancelled before the deadline."""
     scheduler = started_without_notes("e1", "e2")
     sends(scheduler.step(4050.0, [arrival("q", deadline_at=9050.0)]))
-    at = [t for t in range(4100, 9000, 50) if Cancel("q", 0) in scheduler.step(float(t), [])]
-    assert 4050 + 2 * 100 <= at[0] < 4050 + 350
+    cancelled_at = [t for t in range(4100, 9000, 50) if Cancel("q", 0) in scheduler.step(float(t), [])]
+    assert 4050 + 2 * 100 <= cancelled_at[0] < 4050 + 350
 
 
 @pytest.mark.parametrize(
-    "effect, cancelled", [(Idempotency.IDEMPOTENT, True), (Idempotency.NOT_IDEMPOTENT, False)]
+    "idempotency, is_cancelled", [(Idempotency.IDEMPOTENT, True), (Idempotency.NOT_IDEMPOTENT, False)]
 )
 def test_work_of_a_disconnected_client_is_cancelled_but_a_load_runs_on(
-    effect: Idempotency, cancelled: bool
+    idempotency: Idempotency, is_cancelled: bool
 ) -> None:
-    scheduler = started_without_notes("e1", classes=(dataclasses.replace(LOOKUP, idempotency=effect),))
+    scheduler = started_without_notes("e1", classes=(dataclasses.replace(LOOKUP, idempotency=idempotency),))
     scheduler.step(4050.0, [arrival("q", deadline_at=9000.0)])
     actions = scheduler.step(4100.0, [ClientDisconnected("q")])
-    assert (Cancel("q", 0) in actions) is cancelled
-    assert "q" in scheduler.queries  # until its outcome, so that a key's turn is not passed on early
-    scheduler.step(4200.0, [ended("q", Outcome.CANCELLED if cancelled else Outcome.OK, is_final=True)])
+    assert (Cancel("q", 0) in actions) is is_cancelled
+    assert "q" in scheduler.queries  # until its outcome is known, so that its key is not released early
+    scheduler.step(4200.0, [ended("q", Outcome.CANCELLED if is_cancelled else Outcome.OK, is_final=True)])
     assert "q" not in scheduler.queries
 
 
-def test_health_checks_stay_within_a_share_of_own_queries() -> None:
+def test_health_checks_are_limited_by_the_number_of_queries() -> None:
     scheduler = started_without_notes("e1", "e2", "e3")
     scheduler.step(
         4050.0, [arrival(f"q{i}", deadline_at=30000.0, estimated_work_ms=3000.0) for i in range(3)]
@@ -141,18 +141,18 @@
     assert len(health_checks(scheduler, 4100, 29000)) <= 13  # 0.3 for each of 43 queries
 
 
-def actions_after_note(share: float) -> list[Action]:
-    """One report of a second's run, the first note after a second, what follows in the half second after."""
+def actions_after_note(completed_share: float) -> list[Action]:
+    """Return the actions from the first progress note, 1 s after the query was sent, until 0.5 s later."""
     scheduler = started_without_notes("e1", "e2", progress_interval_ms=1000.0)
     ((_, engine),) = sends(
         scheduler.step(4050.0, [arrival("q", deadline_at=30000.0, estimated_work_ms=1000.0)])
     )
-    first = scheduler.step(5050.0, [ProgressNote("q", 0, engine, ProgressKind.PROGRESS, share)])
-    return first + [a for t in range(5100, 5600, 50) for a in scheduler.step(float(t), [])]
+    actions = scheduler.step(5050.0, [ProgressNote("q", 0, engine, ProgressKind.PROGRESS, completed_share)])
+    return actions + [a for t in range(5100, 5600, 50) for a in scheduler.step(float(t), [])]
 
 
-def test_a_straggler_is_cancelled_at_the_first_note_that_shows_its_pace() -> None:
-    """A note that shows the pace counts before the planned run is over."""
+def test_a_straggler_is_cancelled_at_the_first_progress_note_that_shows_its_speed() -> None:
+    """The progress note is used even before the limit of planned run times is reached."""
     assert Cancel("q", 0) in actions_after_note(0.06)
     assert not [a for a in actions_after_note(0.7) if isinstance(a, Cancel)]
 
@@ -169,28 +169,28 @@
     assert not [a for a in actions if isinstance(a, Cancel)]
 
 
-@pytest.mark.parametrize("util, pressed", [(0.7, False), (0.95, True)])
-def test_a_report_below_full_denies_pressure_where_queries_in_flight_are_not_reported(
-    util: float, pressed: bool
+@pytest.mark.parametrize("reported_utilization, is_under_pressure", [(0.7, False), (0.95, True)])
+def test_a_report_with_free_capacity_refutes_pressure_if_queries_in_flight_are_not_reported(
+    reported_utilization: float, is_under_pressure: bool
 ) -> None:
-    """Own work in flight fills the share, yet the report shows free capacity."""
+    """Own work in flight fills the local share, but the load report shows free capacity."""
     scheduler = Scheduler(settings(features=WITH_HEALTH_CHECKS, gateway_count=4), 1)
     scheduler.step(0.0, [engines("e1")])
-    scheduler.step(5.0, [HealthCheckCompleted("e1", Outcome.OK, {"util": util})])
+    scheduler.step(5.0, [HealthCheckCompleted("e1", Outcome.OK, {"util": reported_utilization})])
     scheduler.step(10.0, [arrival(f"a{i}", estimated_work_ms=3000.0, deadline_at=30000.0) for i in range(3)])
-    e = scheduler.engines["e1"]
+    e1 = scheduler.engines["e1"]
     assert (
         1
-        < e.threads_in_flight / e.local_thread_capacity
+        < e1.threads_in_flight / e1.local_thread_capacity
         + scheduler.unobserved_share * scheduler.fleet_utilization
         <= 2
     )
-    assert utilization.is_under_pressure(scheduler, e) is pressed
+    assert utilization.is_under_pressure(scheduler, e1) is is_under_pressure
 
 
-def test_planned_memory_is_what_the_engine_grants_by_itself() -> None:
+def test_planned_memory_is_the_grant_that_the_engine_chooses() -> None:
     scheduler = started_without_notes("e1", on_memory_shortage=MemoryShortage.SHRINK)
-    scheduler.class_histories[0].memory_log_bias = 1.0  # answers showed that need is far over estimates
+    scheduler.class_histories[0].memory_log_bias = 1.0  # queries used far more than estimated
     scheduler.step(4050.0, [arrival("q", deadline_at=30000.0, estimated_memory_mb=100.0)])
     assert scheduler.queries["q"].planned_memory_mb == pytest.approx(130.0)
 
@@ -198,22 +198,22 @@
 @pytest.mark.parametrize("report", [{}, {"util": float("nan")}, {"util": -1.0}, {"util": float("inf")}])
 def test_an_invalid_health_check_report_changes_nothing(report: dict[str, float]) -> None:
     scheduler = started_without_notes("e1")
-    before = scheduler.fleet_utilization
+    utilization_before = scheduler.fleet_utilization
     for engine in ("e1", "unknown"):
         for outcome in (Outcome.OK, Outcome.ERROR):
             scheduler.step(4050.0, [HealthCheckCompleted(engine, outcome, report)])
     assert (
-        scheduler.fleet_utilization == before
+        scheduler.fleet_utilization == utilization_before
         and not scheduler.engines["e1"].load_report
         and "unknown" not in scheduler.engines
     )
 
 
-def test_a_query_wider_than_the_own_share_is_followed_by_a_rest_under_pressure() -> None:
-    """One query wider than the share from each gateway, always, would overfill the fleet."""
+def test_a_query_larger_than_the_local_share_is_followed_by_a_pause_under_pressure() -> None:
+    """If each gateway always had one such query in flight, they would overfill the fleet."""
     report = dataclasses.replace(LOOKUP, latency_objective_ms=9000.0, deadline_ms=30000.0, threads=3)
     scheduler = Scheduler(settings(classes=(report,), gateway_count=100, features=WITH_HEALTH_CHECKS), 1)
-    scheduler.step(0.0, [engines("e1", "e2", "e3", "e4", "e5")])  # own share: 0.8 threads
+    scheduler.step(0.0, [engines("e1", "e2", "e3", "e4", "e5")])  # local share: 0.8 threads
     scheduler.fleet_utilization = 1.0
     ((name, engine),) = sends(
         scheduler.step(5.0, [arrival("a", deadline_at=29000.0, estimated_work_ms=1000.0)])
@@ -231,31 +231,34 @@
     assert 1005 + 2500 < min(t for t, q in sent.items() if q) < 1005 + 3200
 
 
-def test_quiet_times_of_keys_are_forgotten_once_past() -> None:
+def test_expired_quiet_times_of_keys_are_dropped() -> None:
     load = dataclasses.replace(LOOKUP, idempotency=Idempotency.NOT_IDEMPOTENT, is_ordered_by_key=True)
     rules = dataclasses.replace(settings().rules, key_quiet_ms=500.0)
     scheduler = Scheduler(settings(classes=(load,), rules=rules), 1)
     scheduler.step(0.0, [engines("e1", "e2")])
     for i in range(50):
-        at = 1000.0 * i
+        now = 1000.0 * i
         ((name, engine),) = sends(
-            scheduler.step(at, [arrival(f"q{i}", deadline_at=at + 5000, ordering_key=f"k{i}")])
+            scheduler.step(now, [arrival(f"q{i}", deadline_at=now + 5000, ordering_key=f"k{i}")])
         )
-        scheduler.step(at + 20, [ended(name, Outcome.RESET, engine=engine)])
+        scheduler.step(now + 20, [ended(name, Outcome.RESET, engine=engine)])
     assert len(scheduler.key_queues.quiet_until) <= 2
 
 
-def test_an_ordered_query_without_a_key_waits_for_no_other() -> None:
+def test_an_ordered_query_without_a_key_does_not_wait_for_others() -> None:
     load = dataclasses.replace(LOOKUP, idempotency=Idempotency.NOT_IDEMPOTENT, is_ordered_by_key=True)
     scheduler = Scheduler(settings(classes=(load,)), 1)
     scheduler.step(0.0, [engines("e1")])
     assert len(sends(scheduler.step(5.0, [arrival("a"), arrival("b")]))) == 2
 
 
-def test_a_class_without_a_permitted_machine_type_is_rejected_in_time_and_never_sent() -> None:
-    bound = dataclasses.replace(LOOKUP, machine_types=(1,))
+def test_a_class_without_a_permitted_engine_is_rejected_before_its_deadline_and_never_sent() -> None:
+    restricted_class = dataclasses.replace(LOOKUP, machine_types=(1,))
     scheduler = Scheduler(
-        settings(classes=(bound,), machine_types=(MachineType(8, 16000.0), MachineType(8, 16000.0))), 1
+        settings(
+            classes=(restricted_class,), machine_types=(MachineType(8, 16000.0), MachineType(8, 16000.0))
+        ),
+        1,
     )
     scheduler.step(0.0, [engines("e1", "e2")])
     actions = scheduler.step(5.0, [arrival("q")])
@@ -264,7 +267,7 @@
     assert len([a for a in actions if isinstance(a, Reject)]) == 1 and not scheduler.queries
 
 
-def test_an_engine_listed_twice_or_under_a_new_id_counts_once() -> None:
+def test_an_engine_listed_twice_or_with_a_new_id_is_counted_once() -> None:
     scheduler = Scheduler(settings(), 1)
     scheduler.step(0.0, [EngineList((Engine("e1"), Engine("e1")), is_complete=True)])
     assert len(scheduler.live_engines) == 1
@@ -273,61 +276,65 @@
     assert list(scheduler.engines) == ["n199"]
 
 
-def test_short_client_timeouts_are_no_retries_where_nothing_went_unserved() -> None:
-    """A short time left marks a retry only where queries went unserved."""
+def test_short_client_timeouts_are_not_treated_as_retries_if_all_queries_were_served() -> None:
+    """An unusually short time until the deadline indicates a retry only if queries were not served."""
     scheduler = started_without_notes("e1", "e2")
-    refused = []
+    rejected = []
     for i in range(40):
-        at = 4000.0 + i * 200
-        left = 1500.0 if i % 5 == 4 else 5000.0
-        actions = scheduler.step(at, [arrival(f"q{i}", deadline_at=at + left)])
-        refused += [a for a in actions if isinstance(a, Reject)]
+        now = 4000.0 + i * 200
+        remaining_ms = 1500.0 if i % 5 == 4 else 5000.0
+        actions = scheduler.step(now, [arrival(f"q{i}", deadline_at=now + remaining_ms)])
+        rejected += [a for a in actions if isinstance(a, Reject)]
         for name, engine in sends(actions):
-            assert scheduler.queries[name].first_tried_at == at
+            assert scheduler.queries[name].first_tried_at == now
             fields: dict[str, Any] = {
                 "engine": engine,
                 "is_final": True,
                 "actual_work_ms": 100.0,
                 "elapsed_ms": 100.0,
             }
-            scheduler.step(at + 100, [ended(name, Outcome.OK, **fields)])
-    assert not refused
+            scheduler.step(now + 100, [ended(name, Outcome.OK, **fields)])
+    assert not rejected
 
 
-@pytest.mark.parametrize("short, util, sent", [("SHRINK", 0.3, 2), ("SHRINK", 1.0, 1), ("PAGE", 0.3, 1)])
-def test_memory_binds_without_pressure_by_how_engines_handle_a_shortage(
-    short: str, util: float, sent: int
+@pytest.mark.parametrize(
+    "shortage, fleet_utilization, expected", [("SHRINK", 0.3, 2), ("SHRINK", 1.0, 1), ("PAGE", 0.3, 1)]
+)
+def test_the_memory_limit_without_pressure_depends_on_what_engines_do_in_a_shortage(
+    shortage: str, fleet_utilization: float, expected: int
 ) -> None:
-    """Where memory grants shrink one query pays, where engines page all do."""
+    """If memory grants shrink, only one query slows down; if engines page, all queries do."""
     report = dataclasses.replace(LOOKUP, latency_objective_ms=9000.0, deadline_ms=30000.0)
-    setup = settings(
+    gateway_settings = settings(
         classes=(report,),
         gateway_count=20,
         features=WITH_HEALTH_CHECKS,
-        on_memory_shortage=MemoryShortage[short],
+        on_memory_shortage=MemoryShortage[shortage],
     )
-    scheduler = Scheduler(setup, 1)
+    scheduler = Scheduler(gateway_settings, 1)
     scheduler.step(0.0, [engines(*(f"e{i}" for i in range(20)))])
-    scheduler.fleet_utilization = util
+    scheduler.fleet_utilization = fleet_utilization
     events = [
         arrival(f"q{i}", deadline_at=29000.0, estimated_work_ms=1000.0, estimated_memory_mb=6000.0)
         for i in range(2)
     ]
-    assert len(sends(scheduler.step(5.0, events))) == sent
+    assert len(sends(scheduler.step(5.0, events))) == expected
 
 
-def test_half_of_the_cores_busy_denies_pressure_on_paging_engines() -> None:
-    """Half of the cores busy is the limit up to which a paging engine denies pressure."""
-    setup = settings(features=WITH_HEALTH_CHECKS, gateway_count=4, on_memory_shortage=MemoryShortage.PAGE)
-    scheduler = Scheduler(setup, 1)
+def test_less_than_half_of_the_cores_busy_refutes_pressure_on_paging_engines() -> None:
+    """The load report of a paging engine refutes pressure up to half of its cores busy."""
+    gateway_settings = settings(
+        features=WITH_HEALTH_CHECKS, gateway_count=4, on_memory_shortage=MemoryShortage.PAGE
+    )
+    scheduler = Scheduler(gateway_settings, 1)
     scheduler.step(0.0, [engines("e1")])
     scheduler.step(5.0, [HealthCheckCompleted("e1", Outcome.OK, {"util": 0.48})])
     scheduler.step(10.0, [arrival(f"a{i}", estimated_work_ms=3000.0, deadline_at=30000.0) for i in range(3)])
-    e = scheduler.engines["e1"]
+    e1 = scheduler.engines["e1"]
     assert (
         1
-        < e.threads_in_flight / e.local_thread_capacity
+        < e1.threads_in_flight / e1.local_thread_capacity
         + scheduler.unobserved_share * scheduler.fleet_utilization
         <= 2
-        and not utilization.is_under_pressure(scheduler, e)
+        and not utilization.is_under_pressure(scheduler, e1)
     )
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire round trip, bad input, and the module's size."""
+"""The simulator adapter: decoding of messages, replies, invalid input, and the size of the scheduler."""
 
 from __future__ import annotations
 
@@ -92,17 +92,17 @@
     "retry": False,
     "extra": "skipped",
 }
-TURN = {"event_type": "YOUR_TURN"}
+YOUR_TURN = {"event_type": "YOUR_TURN"}
 
 
 def serve(*messages: dict[str, Any] | str) -> tuple[int, list[dict[str, Any]], str]:
-    lines = [m if isinstance(m, str) else json.dumps(m) for m in messages]
-    out, errors = io.StringIO(), io.StringIO()
-    code = simulator_adapter.run(io.StringIO("\n".join(lines) + "\n"), out, errors)
-    return code, [json.loads(line) for line in out.getvalue().splitlines()], errors.getvalue()
+    lines = [message if isinstance(message, str) else json.dumps(message) for message in messages]
+    output, errors = io.StringIO(), io.StringIO()
+    code = simulator_adapter.run(io.StringIO("\n".join(lines) + "\n"), output, errors)
+    return code, [json.loads(line) for line in output.getvalue().splitlines()], errors.getvalue()
 
 
-def test_a_query_goes_round_the_wire() -> None:
+def test_a_query_is_sent_and_its_end_is_acknowledged() -> None:
     done = {
         "event_type": "DONE",
         "gateway_id": 3,
@@ -115,33 +115,47 @@
         "elapsed": 60.0,
         "gauge": [0.4],
     }
-    code, out, errors = serve(
-        tick(1), HELLO, REGISTER, VIEW, TURN, tick(2, 5.0), REQUEST, TURN, tick(3, 65.0), done, TURN
+    code, replies, errors = serve(
+        tick(1),
+        HELLO,
+        REGISTER,
+        VIEW,
+        YOUR_TURN,
+        tick(2, 5.0),
+        REQUEST,
+        YOUR_TURN,
+        tick(3, 65.0),
+        done,
+        YOUR_TURN,
     )
     assert (code, errors) == (0, "")
-    assert [m["round"] for m in out if m["event_type"] == "ACK"] == [1, 2, 3]
-    issued = [m for m in out if m["event_type"] == "ISSUE"]
-    assert [(m["gateway_id"], m["req"], m["node"]) for m in issued] == [(3, "r1", NODE)]
+    assert [message["round"] for message in replies if message["event_type"] == "ACK"] == [1, 2, 3]
+    issued = [message for message in replies if message["event_type"] == "ISSUE"]
+    assert [(message["gateway_id"], message["req"], message["node"]) for message in issued] == [
+        (3, "r1", NODE)
+    ]
 
 
-def test_settings_that_the_further_deployments_use_reach_the_module() -> None:
+def test_optional_settings_are_decoded() -> None:
     domain = {**PARAMS["domain"], "when_short": "trim", "note_period": 0.0, "grants_count": False}
     load = {**PARAMS["classes"][0], "effect": "fragile", "by_arrival": True, "models_open": [0]}
     caps = {**PARAMS["caps"], "probes": True}
     report = {"how": "on_probe", "fields": ["waiting", "cpu", "x1", "x0"]}
     rules = {"key_quiet": 500.0, "stop_sending_within": 1000.0}
-    more = {"domain": domain, "classes": [load], "caps": caps, "report": report, "obligations": rules}
-    got = simulator_adapter.decode_settings({**PARAMS, **more})
+    changes = {"domain": domain, "classes": [load], "caps": caps, "report": report, "obligations": rules}
+    decoded = simulator_adapter.decode_settings({**PARAMS, **changes})
     assert (
-        got.on_memory_shortage is MemoryShortage.SHRINK
-        and got.progress_interval_ms == 0.0
-        and not got.features.has_memory_grants
+        decoded.on_memory_shortage is MemoryShortage.SHRINK
+        and decoded.progress_interval_ms == 0.0
+        and not decoded.features.has_memory_grants
     )
-    assert got.features.has_health_checks and got.load_report_fields == ("queue", "util", "x1", "x0")
-    assert got.rules.key_quiet_ms == 500.0 and got.rules.drain_grace_ms == 1000.0
-    (cls,) = got.classes
+    assert decoded.features.has_health_checks and decoded.load_report_fields == ("queue", "util", "x1", "x0")
+    assert decoded.rules.key_quiet_ms == 500.0 and decoded.rules.drain_grace_ms == 1000.0
+    (query_class,) = decoded.classes
     assert (
-        cls.is_ordered_by_key and cls.machine_types == (0,) and cls.idempotency is Idempotency.NOT_IDEMPOTENT
+        query_class.is_ordered_by_key
+        and query_class.machine_types == (0,)
+        and query_class.idempotency is Idempotency.NOT_IDEMPOTENT
     )
 
 
@@ -155,7 +169,7 @@
         (200, ["busy"], Outcome.OK, {}),
     ],
 )
-def test_a_probe_result_reaches_the_module(
+def test_a_health_check_result_is_decoded(
     ending: int, gauge: list[Any] | None, outcome: Outcome, report: dict[str, float]
 ) -> None:
     sampled = {"event_type": "SAMPLED", "gateway_id": 3, "elapsed": 1.4, "ending": ending, "node": NODE}
@@ -165,29 +179,39 @@
     assert event == HealthCheckCompleted(NODE, outcome, report)
 
 
-def test_an_overdue_engine_is_probed_over_the_wire_and_its_answer_survives_an_engine_that_left() -> None:
+def test_an_overdue_engine_is_checked_and_a_result_for_an_unknown_engine_is_ignored() -> None:
     hello = {**HELLO, "params": {**PARAMS, "caps": {**PARAMS["caps"], "probes": True}}}
-    lines: list[dict[str, Any]] = [tick(1), hello, REGISTER, VIEW, TURN]
-    for i in range(8):
-        lines += [tick(2 + i, 5.0 + i), {**REQUEST, "req": f"r{i}"}, TURN]
-    for i in range(20):
+    lines: list[dict[str, Any]] = [tick(1), hello, REGISTER, VIEW, YOUR_TURN]
+    for index in range(8):
+        lines += [tick(2 + index, 5.0 + index), {**REQUEST, "req": f"r{index}"}, YOUR_TURN]
+    for index in range(20):
         wake = {"event_type": "ELAPSED", "gateway_id": 3, "name": 0}
-        lines += [tick(10 + i, 100.0 + 100 * i), wake, TURN]
-    gone = {"event_type": "SAMPLED", "gateway_id": 3, "elapsed": 250.0, "ending": 408, "node": "10.9.9.9:1"}
-    code, out, errors = serve(*lines, tick(30, 2200.0), {**gone, "gauge": [float("nan")]}, TURN)
+        lines += [tick(10 + index, 100.0 + 100 * index), wake, YOUR_TURN]
+    unknown_engine_sample = {
+        "event_type": "SAMPLED",
+        "gateway_id": 3,
+        "elapsed": 250.0,
+        "ending": 408,
+        "node": "10.9.9.9:1",
+    }
+    code, replies, errors = serve(
+        *lines, tick(30, 2200.0), {**unknown_engine_sample, "gauge": [float("nan")]}, YOUR_TURN
+    )
     assert (code, errors) == (0, "")
-    assert {m["node"] for m in out if m["event_type"] == "HEALTH_CHECK"} == {NODE}
-    assert not [m for m in out if m["event_type"] == "GIVE_IN"]
+    assert {message["node"] for message in replies if message["event_type"] == "HEALTH_CHECK"} == {NODE}
+    assert not [message for message in replies if message["event_type"] == "GIVE_IN"]
 
 
-def test_a_halted_instance_starts_again_with_nothing() -> None:
+def test_a_halted_instance_restarts_without_state() -> None:
     halt = {"event_type": "HALT", "gateway_id": 3}
-    code, out, _ = serve(tick(1), HELLO, REGISTER, VIEW, REQUEST, TURN, tick(2, 5.0), halt, HELLO, VIEW, TURN)
-    assert code == 0 and [m["req"] for m in out if m["event_type"] == "ISSUE"] == ["r1"]
+    code, replies, _ = serve(
+        tick(1), HELLO, REGISTER, VIEW, REQUEST, YOUR_TURN, tick(2, 5.0), halt, HELLO, VIEW, YOUR_TURN
+    )
+    assert code == 0 and [message["req"] for message in replies if message["event_type"] == "ISSUE"] == ["r1"]
 
 
 @pytest.mark.parametrize(
-    "line, message",
+    "invalid_message, expected_error",
     [
         ("{nonsense", "line 3: not JSON"),
         ("[1]", "line 3: not an object"),
@@ -198,25 +222,27 @@
         ({**HELLO, "params": {**PARAMS, "siblings": 0}}, "line 3: field 'params': settings field 'gateways'"),
     ],
 )
-def test_bad_input_is_named_with_its_line_and_field(line: dict[str, Any] | str, message: str) -> None:
-    code, _, errors = serve(tick(1), HELLO, line)
-    assert code != 0 and errors.startswith(message) and "Traceback" not in errors
+def test_an_invalid_message_is_reported_by_line_and_field(
+    invalid_message: dict[str, Any] | str, expected_error: str
+) -> None:
+    code, _, errors = serve(tick(1), HELLO, invalid_message)
+    assert code != 0 and errors.startswith(expected_error) and "Traceback" not in errors
 
 
-def test_an_exception_in_the_module_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_scheduler_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise RuntimeError("broken on purpose")
 
     monkeypatch.setattr("cottonhold.scheduler.scheduler.Scheduler.step", broken)
-    _, out, _ = serve(tick(1), HELLO, TURN)
-    assert out[0] == {
+    _, replies, _ = serve(tick(1), HELLO, YOUR_TURN)
+    assert replies[0] == {
         "event_type": "GIVE_IN",
         "gateway_id": 3,
         "reason_text": "RuntimeError: broken on purpose",
     }
 
 
-def test_the_module_stays_within_its_size() -> None:
+def test_the_scheduler_module_stays_within_its_size() -> None:
     lines = (ROOT / "cottonhold" / "scheduler" / "scheduler.py").read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= 860
     assert max(map(len, lines)) <= 110
