--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -104,6 +104,6 @@
 
 
 def on_stream_started(gateway: GatewayState, event: StreamStarted) -> None:
-    """Record that the result is being streamed to the client, so the attempt must not be cancelled."""
+    """Record that the result is streamed to the client, so the attempt is not cancelled as a straggler."""
     if query := gateway.queries.get(event.query_id):
         query.is_streaming = True
--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -88,7 +88,7 @@
 
 
 def _assess_observation(gateway: GatewayState) -> None:
-    """Update how little of each engine this gateway observes, and whether peers report their loads."""
+    """Update how little of each engine this gateway observes, and whether peers report their work."""
     local_per_s = max(gateway.local_traffic.per_s(gateway.now), 1e-3)
     observation_interval_ms = 1000 * len(gateway.live_engines) / local_per_s
     silence_ms = gateway.now - gateway.peer_load_received_at
@@ -118,8 +118,8 @@
     The ranges of the gateways cover the fleet evenly. A range has at least CANDIDATES engines. As each engine
     costs connections, it grows with the square root of the traffic share only, but it always has
     COVERAGE_FACTOR times the engines that the traffic share could fill. Engines that are not usable stay in
-    the range, so that peers still report their loads to the right gateways, and the range is extended by
-    as many usable ones.
+    the range, so that peers still report their work to the right gateways, and the range is extended by as
+    many usable ones.
     """
     ranked = gateway.ranked_engines
     settings = gateway.settings
@@ -152,9 +152,9 @@
 def _set_local_capacity(gateway: GatewayState, engines: Iterable[EngineView]) -> None:
     """Set this gateway's part of the capacity of the fleet and of the given engines.
 
-    Queued work is served by this gateway's share of its engine; where peers report their loads, these are
-    added to the work instead and the whole engine serves it. As far as engines are not observed, queued work
-    is served by this gateway's share of the fleet if that is more.
+    The part of an engine is its capacity times the traffic share. Where peers report their work, it is the
+    whole capacity, as the reported work is taken into account. As far as engines are not observed, it is
+    this gateway's part of the fleet, if that is more.
     """
     gateway.local_thread_capacity = gateway.fleet_thread_capacity * gateway.traffic_share
     local_memory_mb = gateway.fleet_memory_capacity_mb * gateway.traffic_share
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -36,7 +36,7 @@
 
 
 def eject(gateway: GatewayState, engine: EngineView, reason: EjectionReason) -> None:
-    """Eject an engine: place its queued queries again and send it only canaries from now on.
+    """Eject an engine: requeue its queries and send it only canaries from now on.
 
     The engine list reports a failed engine seconds late, so this gateway acts on its own evidence. A healthy
     engine that is ejected by mistake is soon readmitted.
--- a/cottonhold/scheduler/engine_list.py
+++ b/cottonhold/scheduler/engine_list.py
@@ -15,10 +15,10 @@
 
 
 def on_engine_list(gateway: GatewayState, event: EngineList) -> None:
-    """Apply a complete list or changed entries, and place the queries queued for departing engines again.
+    """Apply a complete list or changed entries, and requeue the queries of engines that are not live.
 
-    An engine that is missing from a complete list is removed. Engines removed earlier are dropped once no
-    attempt is in flight on them.
+    An engine that is missing from a complete list is removed. Removed engines are dropped once no attempt is
+    in flight on them.
     """
     for entry in event.engines:
         _apply_entry(gateway, entry)
@@ -34,10 +34,7 @@
 
 
 def _vacate(gateway: GatewayState, engine: EngineView) -> None:
-    """Place the queries queued for an engine that is not live again.
-
-    Drops a removed engine unless attempts are in flight on it.
-    """
+    """Requeue the queries of an engine that is not live, and drop a removed engine without attempts."""
     gateway.departing_engines.pop(engine.id, None)
     if engine.entry.state is EngineState.LIVE:
         return
--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -66,7 +66,7 @@
     local_thread_capacity: float = 1.0
     local_memory_capacity_mb: float = math.inf
 
-    # load that peers reported, and queries that this gateway sent since its last report to peers
+    # work that peers reported, and queries that this gateway sent since its last report to peers
     reported_by_peer: dict[int, ReportedLoad] = field(default_factory=dict)
     peer_total: ReportedLoad = field(default_factory=lambda: ReportedLoad(-math.inf, 0, 0.0, 0.0))
     sent_since_report: ReportedLoad = field(default_factory=lambda: ReportedLoad(-math.inf, 0, 0.0, 0.0))
@@ -209,16 +209,16 @@
         remaining.memory_mb_ms = max(remaining.memory_mb_ms + memory_mb_ms * share, 0.0)
 
     def apply_peer_load(self, peer: int, load: ReportedLoad | None, expires_at: float) -> None:
-        """Replace the load that a peer reported, valid until `expires_at`; None if the peer has none here."""
+        """Replace the work that a peer reported, valid until `expires_at`; None if the peer has none here."""
         self.reported_by_peer.pop(peer, None)
         if load is not None:
             load.expires_at = expires_at
             self.reported_by_peer[peer] = load
 
     def peer_load(self, now: float, peer_sends_per_local: float) -> ReportedLoad:
-        """Return the load that the peers are expected to have here.
+        """Return the work that the peers are expected to have here.
 
-        This is the load that they reported, less the work done since. For each query that this gateway has
+        This is the work that they reported, less the work done since. For each query that this gateway has
         sent here since its own last report, `peer_sends_per_local` queries of peers are added.
         """
         if now - self.peer_total.received_at >= COUNT_INTERVAL_MS:
@@ -234,7 +234,7 @@
         )
 
     def _sum_reported(self, now: float) -> None:
-        """Sum the loads that the peers reported, and drop reports that have expired."""
+        """Sum the work that the peers reported, and drop reports that have expired."""
         if not self.reported_by_peer:
             self.peer_total = ReportedLoad(now, 0, 0.0, 0.0)
             return
--- a/cottonhold/scheduler/events.py
+++ b/cottonhold/scheduler/events.py
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The result of an attempt has begun to be streamed to the client, so it can't be retried any more."""
+    """The result of an attempt has begun to be streamed to the client."""
 
     query_id: str
     attempt: int
--- a/cottonhold/scheduler/fleet_in_flight.py
+++ b/cottonhold/scheduler/fleet_in_flight.py
@@ -1,4 +1,4 @@
-"""Totals of this gateway's attempts in flight: threads, memory and, without ejected engines, density."""
+"""Totals of this gateway's attempts in flight on all engines: threads, memory, and both by density."""
 
 from __future__ import annotations
 
--- a/cottonhold/scheduler/peer_load.py
+++ b/cottonhold/scheduler/peer_load.py
@@ -1,4 +1,7 @@
-"""Peer gateways: each publishes its traffic, for shares, and its loads and work in flight, for capacity."""
+"""Peer messages: gateways report their traffic, loads and work to the peers that share their engines.
+
+The traffic determines the traffic shares of the gateways. The reported work and loads occupy capacity.
+"""
 
 from __future__ import annotations
 
--- a/cottonhold/scheduler/peer_messages.py
+++ b/cottonhold/scheduler/peer_messages.py
@@ -30,7 +30,7 @@
 
 
 class WorkReport(NamedTuple):
-    """A peer's arrivals per second, and its load on engines by the hash of the engine id."""
+    """A peer's arrivals per second, and its work on engines by the hash of the engine id."""
 
     queries_per_s: float
     load_by_engine_hash: dict[int, ReportedLoad]
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -56,7 +56,7 @@
         if _is_blocked(query, engine, blocked_density):
             index += 1
         elif not has_capacity(gateway, query, engine) or _would_displace(gateway, query):
-            blocked_density = query.density  # exceeds the previous value, else _is_blocked() were true
+            blocked_density = query.density  # exceeds the previous one, as _is_blocked() is false
             if not blocked_density or not gateway.settings.features.has_priorities:
                 return
             index += 1
@@ -94,7 +94,7 @@
 ) -> SendBarrier | retry_policy.RetryBarrier | None:
     """Return the rule that forbids sending a query to an engine now; None if it may be sent.
 
-    All rules are checked again at the time of sending, as they may have changed since the query was planned.
+    All rules are checked at the time of sending, as the state may have changed since the query was planned.
     """
     if query.is_in_flight or query.is_finished or not placement.may_run_on(query, engine):
         return SendBarrier.NOT_PERMITTED_THERE
--- a/cottonhold/scheduler/reported_load.py
+++ b/cottonhold/scheduler/reported_load.py
@@ -1,4 +1,4 @@
-"""Reports of peer gateways: their traffic, and the load of each on an engine."""
+"""Reports of peer gateways: their traffic, and their work on an engine."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class ReportedLoad:
-    """The load of a gateway on an engine: threads and memory in flight, and remaining thread time."""
+    """The work of a gateway on an engine: threads and memory in flight, and remaining thread time."""
 
     received_at: float
     threads: float
