--- a/cottonhold/scheduler/attempt_outcomes.py
+++ b/cottonhold/scheduler/attempt_outcomes.py
@@ -34,7 +34,7 @@
     query.is_in_flight = query.is_canary = False
     gateway.is_release_pending = True
     if engine is not None:
-        _leave_engine(gateway, query, engine)
+        _free_engine_capacity(gateway, query, engine)
     if event.outcome is Outcome.TIMEOUT and not gateway.settings.features.can_cancel:
         _count_unobserved(gateway, query)
     retry_policy.record_possible_execution(query, engine, event.outcome)
@@ -45,18 +45,18 @@
     _retry_or_answer(gateway, query, event.outcome)
 
 
-def _leave_engine(gateway: GatewayState, query: Query, engine: EngineView) -> None:
+def _free_engine_capacity(gateway: GatewayState, query: Query, engine: EngineView) -> None:
     """Free the capacity and the table locks that the attempt held on its engine."""
     gateway.in_flight.remove_attempt(query, engine, MIN_REMAINING_SHARE)
     query.tried_engine_ids.add(engine.id)
-    release.pause_after_wide_query(gateway, query)
+    release.pause_after_oversized_query(gateway, query)
     if query.query_class.is_load and not engine.loads_in_flight.get(query.table_group):
         engine.locked_until.pop(query.table_group, None)
 
 
 def _count_unobserved(gateway: GatewayState, query: Query) -> None:
     """Record a timed-out attempt that can't be cancelled and is assumed to run on until its planned end."""
-    running = [a for a in gateway.unobserved_attempts if a.expected_end_at > gateway.now]
+    running = [attempt for attempt in gateway.unobserved_attempts if attempt.expected_end_at > gateway.now]
     expected_end_at = gateway.now + query.planned_run_ms * (1 - query.completed_share)
     gateway.unobserved_attempts = [*running, UnobservedAttempt(expected_end_at, query)]
 
@@ -100,7 +100,7 @@
     """Record that the attempt waits for memory, so it does not run yet and its engine is under pressure."""
     query.is_waiting_for_memory = True
     query.running_since = gateway.now
-    engine.under_pressure_until = gateway.now + utilization.PRESSURE_HOLD_MS
+    engine.under_pressure_until = gateway.now + utilization.PRESSURE_DURATION_MS
 
 
 def on_stream_started(gateway: GatewayState, event: StreamStarted) -> None:
--- a/cottonhold/scheduler/capacity.py
+++ b/cottonhold/scheduler/capacity.py
@@ -17,40 +17,42 @@
 )
 
 MEMORY_SHARE = 0.9  # share of an engine's memory that is planned for; the rest covers estimation errors
-CHANCE_DEVIATIONS = 1.5  # standard deviations of an engine's memory in use that are kept free
-MAX_CHANCE_SHARE = 0.5  # largest share of the memory that is kept free for random imbalance
+RESERVE_DEVIATIONS = 1.5  # standard deviations of an engine's memory in use that are kept free
+MAX_RESERVE_SHARE = 0.5  # largest share of the memory that is kept free for random imbalance
 COVERAGE_FACTOR = 1.25  # smallest ratio of a gateway's engines to the engines that its traffic could fill
-FEW_ENGINES = 250  # largest fleet whose whole capacity is recomputed at every change and heartbeat
-RECOUNT_MS_PER_ENGINE = 1.0  # interval between computations of a larger fleet's capacity, per live engine
+SMALL_FLEET_SIZE = 250  # largest fleet whose whole capacity is recomputed at every change and heartbeat
+RECOMPUTE_MS_PER_ENGINE = 1.0  # time between computations of a larger fleet's capacity, per live engine
 MIN_QUOTA_CAPACITY_SHARE = 0.05  # smallest share of its capacity planned for an engine with a quota
 
 
 def apply_engine_changes(gateway: GatewayState) -> None:
     """Rebuild the lists of live and ranked engines and recompute capacity after the engine list changed."""
     changed, gateway.changed_engines = gateway.changed_engines, {}
-    gateway.live_engines = [e for e in gateway.engines.values() if e.entry.state is EngineState.LIVE]
+    gateway.live_engines = [
+        engine for engine in gateway.engines.values() if engine.entry.state is EngineState.LIVE
+    ]
     gateway.ranked_engines = sorted(gateway.live_engines, key=lambda engine: engine.id)
     gateway.engines_by_hash = {}
     for rank, engine in enumerate(gateway.ranked_engines):
         engine.rank = rank
         gateway.engines_by_hash.setdefault(engine.id_hash, []).append(engine)
     _build_affinity_ring(gateway)
-    if len(gateway.live_engines) <= FEW_ENGINES:
-        count_all(gateway)
+    if len(gateway.live_engines) <= SMALL_FLEET_SIZE:
+        recompute_all(gateway)
         return
     gateway.usable_engine_count = sum(engine.is_usable() for engine in gateway.live_engines)
-    _count_in_use(gateway, changed)
+    _recompute_in_use(gateway, changed)
     _sum_fleet(gateway)
 
 
-def count_all(gateway: GatewayState) -> None:
+def recompute_all(gateway: GatewayState) -> None:
     """Compute the capacity of all live engines and assign engines to this gateway."""
-    gateway.capacity_counted_at = gateway.now
+    gateway.capacity_computed_at = gateway.now
     gateway.usable_engine_count = sum(engine.is_usable() for engine in gateway.live_engines)
     gateway.preferred_engines.clear()
     _assess_observation(gateway)
     for engine in gateway.live_engines:
-        _count_engine(gateway, engine)
+        _compute_engine_capacity(gateway, engine)
     _assign_engines(gateway)
     _sum_fleet(gateway)
     _set_local_capacity(gateway, gateway.live_engines)
@@ -60,44 +62,47 @@
     """Recompute the capacity of all engines; in a large fleet usually only that of the engines in use.
 
     The cost of a heartbeat must not grow with a fleet of thousands of engines, of which a gateway uses a few.
-    So the capacity of a large fleet is recomputed every RECOUNT_MS_PER_ENGINE for each live engine only.
+    The time between two computations of a large fleet's whole capacity is RECOMPUTE_MS_PER_ENGINE for each
+    live engine.
     """
     count = len(gateway.live_engines)
-    needs_recount = gateway.now - gateway.capacity_counted_at >= count * RECOUNT_MS_PER_ENGINE
-    if count <= FEW_ENGINES or needs_recount:
-        count_all(gateway)
+    needs_full_recompute = gateway.now - gateway.capacity_computed_at >= count * RECOMPUTE_MS_PER_ENGINE
+    if count <= SMALL_FLEET_SIZE or needs_full_recompute:
+        recompute_all(gateway)
         return
-    _count_in_use(gateway, {})
+    _recompute_in_use(gateway, {})
 
 
-def _count_in_use(gateway: GatewayState, changed: dict[str, EngineView]) -> None:
+def _recompute_in_use(gateway: GatewayState, changed: dict[str, EngineView]) -> None:
     """Compute the capacity of the engines in use and of those whose list entry has changed."""
     gateway.preferred_engines.clear()
     _assess_observation(gateway)
     _assign_engines(gateway)
     in_use = {engine.id: engine for engine in gateway.candidate_pool} | gateway.active_engines | changed
     for engine in in_use.values():
-        _count_engine(gateway, engine)
+        _compute_engine_capacity(gateway, engine)
     _set_local_capacity(gateway, in_use.values())
 
 
 def _sum_fleet(gateway: GatewayState) -> None:
     """Sum the capacity of the whole fleet."""
-    gateway.fleet_thread_capacity = sum(e.thread_capacity for e in gateway.live_engines) or 1.0
-    gateway.fleet_memory_capacity_mb = sum(e.memory_capacity_mb for e in gateway.live_engines) or math.inf
+    gateway.fleet_thread_capacity = sum(engine.thread_capacity for engine in gateway.live_engines) or 1.0
+    gateway.fleet_memory_capacity_mb = (
+        sum(engine.memory_capacity_mb for engine in gateway.live_engines) or math.inf
+    )
 
 
 def _assess_observation(gateway: GatewayState) -> None:
     """Update how little of each engine this gateway observes, and whether peers report their work."""
     local_per_s = max(gateway.local_traffic.per_s(gateway.now), 1e-3)
     observation_interval_ms = 1000 * len(gateway.live_engines) / local_per_s
-    silence_ms = gateway.now - gateway.peer_load_received_at
-    gateway.has_peer_loads = silence_ms < PEER_TIMEOUT_INTERVALS * gateway.peer_interval_ms
+    silence_ms = gateway.now - gateway.work_report_received_at
+    gateway.has_work_reports = silence_ms < PEER_TIMEOUT_INTERVALS * gateway.peer_interval_ms
     unobserved = 1 - math.exp(-observation_interval_ms / REPORT_MAX_AGE_MS)
     gateway.unobserved_share = (1 - gateway.traffic_share) * unobserved
 
 
-def _count_engine(gateway: GatewayState, engine: EngineView) -> None:
+def _compute_engine_capacity(gateway: GatewayState, engine: EngineView) -> None:
     """Compute the capacity of one engine in threads and memory.
 
     Random placement fills engines unevenly. The less this gateway observes of each engine, the less of the
@@ -108,8 +113,8 @@
     if engine.quota_rate:
         quota_share = engine.quota_rate / (engine.cores * gateway.traffic_share)
         engine.thread_capacity *= min(1.0, max(quota_share, MIN_QUOTA_CAPACITY_SHARE))
-    chance_share = min(CHANCE_DEVIATIONS * math.sqrt(gateway.unobserved_share / threads), MAX_CHANCE_SHARE)
-    engine.memory_capacity_mb = engine.memory_mb * MEMORY_SHARE * (1 - chance_share) or math.inf
+    reserve_share = min(RESERVE_DEVIATIONS * math.sqrt(gateway.unobserved_share / threads), MAX_RESERVE_SHARE)
+    engine.memory_capacity_mb = engine.memory_mb * MEMORY_SHARE * (1 - reserve_share) or math.inf
 
 
 def _assign_engines(gateway: GatewayState) -> None:
@@ -158,8 +163,8 @@
     """
     gateway.local_thread_capacity = gateway.fleet_thread_capacity * gateway.traffic_share
     local_memory_mb = gateway.fleet_memory_capacity_mb * gateway.traffic_share
-    part = 1.0 if gateway.has_peer_loads else gateway.traffic_share
-    gateway.peer_sends_per_local = (1 / gateway.assigned_engine_share - 1) * gateway.has_peer_loads
+    part = 1.0 if gateway.has_work_reports else gateway.traffic_share
+    gateway.peer_sends_per_local = (1 / gateway.assigned_engine_share - 1) * gateway.has_work_reports
     unobserved = gateway.unobserved_share
     for engine in engines:
         threads, memory_mb = engine.thread_capacity, engine.memory_capacity_mb
--- a/cottonhold/scheduler/class_history.py
+++ b/cottonhold/scheduler/class_history.py
@@ -37,9 +37,9 @@
     answers_seen: int = 0
 
     @classmethod
-    def empty(cls, memory_ms: float) -> ClassHistory:
-        """Return the history of a class without answers; its rates decay over `memory_ms`."""
-        return cls(ArrivalRate(memory_ms), ArrivalRate(memory_ms))
+    def empty(cls, time_constant_ms: float) -> ClassHistory:
+        """Return the history of a class without answers; its rates decay over `time_constant_ms`."""
+        return cls(ArrivalRate(time_constant_ms), ArrivalRate(time_constant_ms))
 
     def record_work(
         self, gain: float, work_ms: float, estimated_work_ms: float, implied_work_ms: float
--- a/cottonhold/scheduler/engine_health.py
+++ b/cottonhold/scheduler/engine_health.py
@@ -106,8 +106,8 @@
     so it looks idle and would be sent ever more of it.
     """
     engine.consecutive_overloads += 1
-    engine.under_pressure_until = gateway.now + utilization.PRESSURE_HOLD_MS
-    backoff_ms = min(utilization.PRESSURE_HOLD_MS * 2**engine.consecutive_overloads, EJECTION_MS)
+    engine.under_pressure_until = gateway.now + utilization.PRESSURE_DURATION_MS
+    backoff_ms = min(utilization.PRESSURE_DURATION_MS * 2**engine.consecutive_overloads, EJECTION_MS)
     engine.backoff_until = gateway.now + backoff_ms
 
 
--- a/cottonhold/scheduler/engine_list.py
+++ b/cottonhold/scheduler/engine_list.py
@@ -29,11 +29,11 @@
                 engine.entry = dataclasses.replace(engine.entry, state=EngineState.REMOVED)
     changed = dict(gateway.engines) if event.is_complete else listed | gateway.departing_engines
     for engine in changed.values():
-        _vacate(gateway, engine)
+        _requeue_departed(gateway, engine)
     gateway.changed_engines |= changed
 
 
-def _vacate(gateway: GatewayState, engine: EngineView) -> None:
+def _requeue_departed(gateway: GatewayState, engine: EngineView) -> None:
     """Requeue the queries of an engine that is not live, and drop a removed engine without attempts."""
     gateway.departing_engines.pop(engine.id, None)
     if engine.entry.state is EngineState.LIVE:
@@ -54,7 +54,7 @@
         engine = EngineView.from_entry(entry, gateway.settings.machine_types, gateway.now)
         gateway.engines[entry.id] = engine
     elif entry.started_at != engine.entry.started_at:
-        engine.forget_process()
+        engine.reset_process_statistics()
         engine_health.readmit(gateway, engine)
     engine.entry = entry
     if entry.started_at > 0:
@@ -87,7 +87,7 @@
         quota_rate = quota_rates.get(engine.id, math.inf)
         if engine.set_quota(gateway.now, quota_rate, event.expires_at):
             engine_health.readmit(gateway, engine)
-    capacity.count_all(gateway)
+    capacity.recompute_all(gateway)
     closed = [engine for engine in gateway.engines.values() if not engine.quota_rate]
     for query in [query for engine in closed for query in engine.clear_plan()]:
         placement.place(gateway, query)
--- a/cottonhold/scheduler/engine_state.py
+++ b/cottonhold/scheduler/engine_state.py
@@ -12,10 +12,10 @@
 from cottonhold.scheduler.in_flight import InFlightByDensity
 from cottonhold.scheduler.moving_average import WorkRate
 from cottonhold.scheduler.query import Query
-from cottonhold.scheduler.reported_load import ReportedLoad
+from cottonhold.scheduler.reported_load import ReportedWork
 from cottonhold.scheduler.settings import MachineType, Rules
 
-COUNT_INTERVAL_MS = 5.0  # interval between sums over attempts and reports; runs take far longer than this
+SUM_INTERVAL_MS = 5.0  # interval between sums over attempts and reports; runs take far longer than this
 
 
 class EjectionReason(Enum):
@@ -58,7 +58,7 @@
     loads_in_flight: dict[int, int] = field(default_factory=dict)  # by table group
     locked_until: dict[int, float] = field(default_factory=dict)  # by table group: expected end of the locks
     remaining_by_density: dict[float, RemainingWork] = field(default_factory=dict)
-    remaining_counted_at: float = -math.inf
+    remaining_computed_at: float = -math.inf
 
     # capacity of the engine, and this gateway's part of it
     thread_capacity: float = 1.0
@@ -67,9 +67,9 @@
     local_memory_capacity_mb: float = math.inf
 
     # work that peers reported, and queries that this gateway sent since its last report to peers
-    reported_by_peer: dict[int, ReportedLoad] = field(default_factory=dict)
-    peer_total: ReportedLoad = field(default_factory=lambda: ReportedLoad(-math.inf, 0, 0.0, 0.0))
-    sent_since_report: ReportedLoad = field(default_factory=lambda: ReportedLoad(-math.inf, 0, 0.0, 0.0))
+    reported_by_peer: dict[int, ReportedWork] = field(default_factory=dict)
+    peer_work_total: ReportedWork = field(default_factory=lambda: ReportedWork(-math.inf, 0, 0.0, 0.0))
+    sent_since_report: ReportedWork = field(default_factory=lambda: ReportedWork(-math.inf, 0, 0.0, 0.0))
 
     # speed and load of the engine, and evidence of faults
     rate_average: WorkRate = field(default_factory=WorkRate)
@@ -148,7 +148,7 @@
             self.load_report_at = now
         return bool(valid)
 
-    def forget_process(self) -> None:
+    def reset_process_statistics(self) -> None:
         """Discard what was learned about the process that ran before a restart."""
         self.rate_average = WorkRate()
         self.error_share = 0.0
@@ -166,7 +166,7 @@
     ) -> float:
         """Return the time until this gateway's work in flight here is done, for a query of a given density.
 
-        The remaining work is summed at most every COUNT_INTERVAL_MS, as there may be hundreds of attempts.
+        The remaining work is summed at most every SUM_INTERVAL_MS, as there may be hundreds of attempts.
 
         Args:
             now: Present time, in ms.
@@ -178,8 +178,8 @@
         Returns:
             Time that this gateway's capacity on the engine needs for the weighted work, in ms.
         """
-        if now - self.remaining_counted_at >= COUNT_INTERVAL_MS:
-            self._count_remaining(now, min_share)
+        if now - self.remaining_computed_at >= SUM_INTERVAL_MS:
+            self._recompute_remaining(now, min_share)
         thread_ms = memory_mb_ms = 0.0
         for other_density, remaining in self.remaining_by_density.items():
             weight = 1.0 if density <= margin * other_density else outranked_weight
@@ -187,9 +187,9 @@
             memory_mb_ms += remaining.memory_mb_ms * weight
         return max(thread_ms / self.local_thread_capacity, memory_mb_ms / self.local_memory_capacity_mb)
 
-    def _count_remaining(self, now: float, min_share: float) -> None:
+    def _recompute_remaining(self, now: float, min_share: float) -> None:
         """Recompute the remaining work of the attempts in flight."""
-        self.remaining_counted_at = now
+        self.remaining_computed_at = now
         self.remaining_by_density.clear()
         for query in self.in_flight.values():
             share = (
@@ -208,25 +208,25 @@
         remaining.thread_ms = max(remaining.thread_ms + query.planned_thread_ms * share, 0.0)
         remaining.memory_mb_ms = max(remaining.memory_mb_ms + memory_mb_ms * share, 0.0)
 
-    def apply_peer_load(self, peer: int, load: ReportedLoad | None, expires_at: float) -> None:
+    def apply_reported_work(self, peer: int, load: ReportedWork | None, expires_at: float) -> None:
         """Replace the work that a peer reported, valid until `expires_at`; None if the peer has none here."""
         self.reported_by_peer.pop(peer, None)
         if load is not None:
             load.expires_at = expires_at
             self.reported_by_peer[peer] = load
 
-    def peer_load(self, now: float, peer_sends_per_local: float) -> ReportedLoad:
+    def peer_work(self, now: float, peer_sends_per_local: float) -> ReportedWork:
         """Return the work that the peers are expected to have here.
 
         This is the work that they reported, less the work done since. For each query that this gateway has
         sent here since its own last report, `peer_sends_per_local` queries of peers are added.
         """
-        if now - self.peer_total.received_at >= COUNT_INTERVAL_MS:
+        if now - self.peer_work_total.received_at >= SUM_INTERVAL_MS:
             self._sum_reported(now)
         if not peer_sends_per_local:
-            return self.peer_total
-        total, local = self.peer_total, self.sent_since_report
-        return ReportedLoad(
+            return self.peer_work_total
+        total, local = self.peer_work_total, self.sent_since_report
+        return ReportedWork(
             now,
             total.threads + local.threads * peer_sends_per_local,
             total.memory_mb + local.memory_mb * peer_sends_per_local,
@@ -236,7 +236,7 @@
     def _sum_reported(self, now: float) -> None:
         """Sum the work that the peers reported, and drop reports that have expired."""
         if not self.reported_by_peer:
-            self.peer_total = ReportedLoad(now, 0, 0.0, 0.0)
+            self.peer_work_total = ReportedWork(now, 0, 0.0, 0.0)
             return
         self.reported_by_peer = {
             peer: load for peer, load in self.reported_by_peer.items() if load.expires_at > now
@@ -247,7 +247,7 @@
             memory_mb += load.memory_mb
             run_thread_ms = load.threads * (now - load.received_at)
             remaining_thread_ms += max(load.remaining_thread_ms - run_thread_ms, 0.0)
-        self.peer_total = ReportedLoad(now, threads, memory_mb, remaining_thread_ms)
+        self.peer_work_total = ReportedWork(now, threads, memory_mb, remaining_thread_ms)
 
     def enqueue(self, position: int, query: Query) -> None:
         """Insert a query into the plan at a position."""
@@ -296,7 +296,7 @@
         self.in_flight_by_density.remove_attempt(query)
         if query.query_class.is_load:
             self.loads_in_flight[query.table_group] -= 1
-        counted_at = max(self.remaining_counted_at, query.sent_at)
+        counted_at = max(self.remaining_computed_at, query.sent_at)
         self._add_remaining(query, -query.remaining_share(counted_at, min_share))
         self.threads_in_flight -= query.query_class.threads
         self.memory_in_flight_mb -= query.planned_memory_mb
--- a/cottonhold/scheduler/estimates.py
+++ b/cottonhold/scheduler/estimates.py
@@ -12,7 +12,7 @@
 DEFAULT_WORK_OF_OBJECTIVE = 0.25  # work by latency objective that is assumed for a class without answers
 # Time after the latency objective, as a share of it, over which the expected utility falls to that of a late
 # result. The fall is not a step, as finishes are only estimates.
-LATE_FALL_OF_OBJECTIVE = 0.5
+LATE_DECAY_OF_OBJECTIVE = 0.5
 GRANT_FACTOR_PAGING = 2.0  # memory grant by need, where unused granted memory stays available to others
 GRANT_FACTOR_RESERVING = 1.3  # memory grant by need, where granted memory is reserved
 
@@ -77,7 +77,7 @@
     if finish_at > query.deadline_at or query.full_utility <= 0:
         return 0.0
     lateness = (finish_at - query.latency_objective_at) / (
-        LATE_FALL_OF_OBJECTIVE * query.latency_objective_ms
+        LATE_DECAY_OF_OBJECTIVE * query.latency_objective_ms
     )
     late_utility = query.query_class.late_utility
     utility_share = 1.0 if lateness <= 0 else late_utility + (1 - late_utility) * max(0.0, 1 - lateness)
--- a/cottonhold/scheduler/gateway_state.py
+++ b/cottonhold/scheduler/gateway_state.py
@@ -21,8 +21,8 @@
 from cottonhold.scheduler.moving_average import ArrivalRate, SlidingSum, WorkRate
 from cottonhold.scheduler.parameters import (
     MAX_PEER_INTERVAL_MS,
-    TRAFFIC_MEMORY_MS,
     TRAFFIC_MIN_AGE_MS,
+    TRAFFIC_TIME_CONSTANT_MS,
 )
 from cottonhold.scheduler.query import Query
 from cottonhold.scheduler.queues import Deadlines, KeyQueues
@@ -80,7 +80,7 @@
     live_engines: list[EngineView] = field(default_factory=list)
     ranked_engines: list[EngineView] = field(default_factory=list)  # in the same order at every gateway
     engines_by_hash: dict[int, list[EngineView]] = field(default_factory=dict)
-    capacity_counted_at: float = -math.inf  # when the capacity of all engines was last computed
+    capacity_computed_at: float = -math.inf  # when the capacity of all engines was last computed
     usable_engine_count: int = 0  # number of usable live engines when capacity was last computed or changed
     candidate_pool: list[EngineView] = field(default_factory=list)  # engines that candidates are drawn from
     assigned_engine_ids: set[str] = field(default_factory=set)  # range of engines that this gateway sends to
@@ -93,7 +93,7 @@
     fleet_memory_capacity_mb: float = 1.0
     local_thread_capacity: float = 1.0  # this gateway's share of the fleet's thread capacity
     in_flight: FleetInFlight = field(default_factory=FleetInFlight)
-    wide_query_pause_until: float = 0.0  # end of the pause after a query larger than the local share
+    oversized_query_pause_until: float = 0.0  # end of the pause after a query larger than the local share
     unobserved_attempts: list[UnobservedAttempt] = field(default_factory=list)
 
     # the mean work of recently accepted queries (slow_start)
@@ -108,14 +108,14 @@
 
     # peer gateways (peer_load)
     local_traffic: ArrivalRate = field(
-        default_factory=lambda: ArrivalRate(TRAFFIC_MEMORY_MS, TRAFFIC_MIN_AGE_MS)
+        default_factory=lambda: ArrivalRate(TRAFFIC_TIME_CONSTANT_MS, TRAFFIC_MIN_AGE_MS)
     )
     traffic_share: float = 1.0  # this gateway's share of all traffic
     traffic_by_peer: dict[int, ReportedTraffic] = field(default_factory=dict)
     engines_by_peer: dict[int, list[EngineView]] = field(default_factory=dict)  # engines in its last report
     peer_interval_ms: float = MAX_PEER_INTERVAL_MS  # interval between work reports to peers
-    peer_load_received_at: float = -math.inf
-    has_peer_loads: bool = False  # whether peers have recently reported their work
+    work_report_received_at: float = -math.inf
+    has_work_reports: bool = False  # whether peers have recently reported their work
 
     # times at which something is due next (deadlines)
     next_peer_message_at: float = 0.0
--- a/cottonhold/scheduler/key_ordering.py
+++ b/cottonhold/scheduler/key_ordering.py
@@ -9,7 +9,7 @@
 from cottonhold.scheduler.query import Query
 
 # Outcomes after which the attempt may still run on its engine.
-MAY_RUN_ON = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
+MAY_STILL_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 def append(gateway: GatewayState, query: Query) -> None:
@@ -35,7 +35,7 @@
 
 def quiet_after(gateway: GatewayState, query: Query, outcome: Outcome) -> None:
     """Begin the key's quiet time if the attempt that ended may still run on its engine."""
-    if query.ordering_key is not None and outcome in MAY_RUN_ON:
+    if query.ordering_key is not None and outcome in MAY_STILL_RUN:
         quiet_until = gateway.now + gateway.settings.rules.key_quiet_ms
         gateway.key_queues.quiet(query.ordering_key, gateway.now, quiet_until)
 
--- a/cottonhold/scheduler/moving_average.py
+++ b/cottonhold/scheduler/moving_average.py
@@ -18,16 +18,16 @@
 
     def add(self, now: float, half_life_ms: float, work_ms: float, thread_ms: float) -> None:
         """Add completed work and the thread time it took."""
-        fade = math.exp2((self.updated_at - now) / half_life_ms)
-        self.work_ms = self.work_ms * fade + work_ms
-        self.thread_ms = self.thread_ms * fade + thread_ms
+        decay = math.exp2((self.updated_at - now) / half_life_ms)
+        self.work_ms = self.work_ms * decay + work_ms
+        self.thread_ms = self.thread_ms * decay + thread_ms
         self.updated_at = now
 
     def value(self, now: float, half_life_ms: float, prior_thread_ms: float, prior_rate: float) -> float:
         """Return the work per thread time, with a prior rate that has the weight of some thread time."""
-        fade = math.exp2((self.updated_at - now) / half_life_ms)
-        return (self.work_ms * fade + prior_thread_ms * prior_rate) / (
-            self.thread_ms * fade + prior_thread_ms
+        decay = math.exp2((self.updated_at - now) / half_life_ms)
+        return (self.work_ms * decay + prior_thread_ms * prior_rate) / (
+            self.thread_ms * decay + prior_thread_ms
         )
 
 
@@ -35,19 +35,19 @@
 class ArrivalRate:
     """Arrival rate from a count of arrivals that decays exponentially.
 
-    Without `min_age_ms` the rate starts at 0 and grows to its value over `memory_ms`. With it the count is
-    divided by the time since the first arrival, so that a gateway that has just started reports its full
+    Without `min_age_ms` the rate starts at 0 and grows to its value over `time_constant_ms`. With it the count
+    is divided by the time since the first arrival, so that a gateway that has just started reports its full
     traffic.
 
     Attributes:
-        memory_ms: Time constant of the decay, in ms.
-        min_age_ms: Shortest time by which the count is divided, in ms; 0 to divide by `memory_ms`.
+        time_constant_ms: Time constant of the decay, in ms.
+        min_age_ms: Shortest time by which the count is divided, in ms; 0 to divide by `time_constant_ms`.
         count: Decayed number of arrivals as of `updated_at`.
         updated_at: Time of the last arrival, in ms.
         first_at: Time of the first arrival, in ms; only recorded with `min_age_ms`.
     """
 
-    memory_ms: float
+    time_constant_ms: float
     min_age_ms: float = 0.0
     count: float = 0.0
     updated_at: float = 0.0
@@ -58,15 +58,20 @@
         if self.min_age_ms and now < self.first_at:
             self.first_at = self.updated_at = now
             return
-        self.count = self.count * math.exp((self.updated_at - now) / self.memory_ms) + 1
+        self.count = self.count * math.exp((self.updated_at - now) / self.time_constant_ms) + 1
         self.updated_at = now
 
     def per_s(self, now: float) -> float:
         """Return the arrivals per second."""
-        rate = self.count * math.exp((self.updated_at - now) / self.memory_ms) * 1000 / self.memory_ms
+        rate = (
+            self.count
+            * math.exp((self.updated_at - now) / self.time_constant_ms)
+            * 1000
+            / self.time_constant_ms
+        )
         if now <= self.first_at:
             return rate
-        return rate / -math.expm1(-max(now - self.first_at, self.min_age_ms) / self.memory_ms)
+        return rate / -math.expm1(-max(now - self.first_at, self.min_age_ms) / self.time_constant_ms)
 
 
 class TimedAmount(NamedTuple):
--- a/cottonhold/scheduler/peer_load.py
+++ b/cottonhold/scheduler/peer_load.py
@@ -21,7 +21,7 @@
     PEER_TIMEOUT_INTERVALS,
 )
 from cottonhold.scheduler.query import Query
-from cottonhold.scheduler.reported_load import ReportedLoad, ReportedTraffic
+from cottonhold.scheduler.reported_load import ReportedTraffic, ReportedWork
 
 MAX_PEER_MESSAGE_COST = 0.003  # share of the utility that work reports may cost; determines their interval
 MIN_PEER_INTERVAL_MS = 250.0  # shortest interval between work reports
@@ -53,18 +53,18 @@
 
 def _on_work_report(gateway: GatewayState, peer: int, report: peer_messages.WorkReport) -> None:
     """Record a peer's traffic and its work on engines, in place of its last report."""
-    gateway.peer_load_received_at = gateway.now
+    gateway.work_report_received_at = gateway.now
     gateway.traffic_by_peer[peer] = ReportedTraffic(gateway.now, report.queries_per_s)
     for engine in gateway.engines_by_peer.pop(peer, ()):
-        engine.apply_peer_load(peer, None, gateway.now)
+        engine.apply_reported_work(peer, None, gateway.now)
     named = [
         (engine, load)
-        for engine_hash, load in report.load_by_engine_hash.items()
+        for engine_hash, load in report.work_by_engine_hash.items()
         for engine in gateway.engines_by_hash.get(engine_hash, ())
     ]
     expires_at = gateway.now + PEER_TIMEOUT_INTERVALS * gateway.peer_interval_ms
     for engine, load in named:
-        engine.apply_peer_load(peer, load, expires_at)
+        engine.apply_reported_work(peer, load, expires_at)
     gateway.engines_by_peer[peer] = [engine for engine, _ in named]
 
 
@@ -107,7 +107,7 @@
         if engine.id not in gateway.assigned_engine_ids and engine.id not in gateway.active_engines:
             continue
         engine.work_ahead_ms(gateway.now, MIN_REMAINING_SHARE, 0.0, OUTRANK_MARGIN, OUTRANKED_WEIGHT)
-        engine.sent_since_report = ReportedLoad(gateway.now, 0, 0.0, 0.0)
+        engine.sent_since_report = ReportedWork(gateway.now, 0, 0.0, 0.0)
         in_use = [engine] if engine.in_flight or engine.plan else []
         for peer in peers_sharing(gateway, engine):
             engines_by_peer.setdefault(peer, []).extend(in_use)
--- a/cottonhold/scheduler/peer_messages.py
+++ b/cottonhold/scheduler/peer_messages.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from cottonhold.scheduler.engine_state import EngineView
-from cottonhold.scheduler.reported_load import ReportedLoad
+from cottonhold.scheduler.reported_load import ReportedWork
 
 LOAD_SENT_KIND, WORK_KIND = 2, 3  # first byte of a message
 LOAD_SENT = struct.Struct(">BIHf")  # kind, hash of the engine id, table group, planned run time in ms
@@ -33,7 +33,7 @@
     """A peer's arrivals per second, and its work on engines by the hash of the engine id."""
 
     queries_per_s: float
-    load_by_engine_hash: dict[int, ReportedLoad]
+    work_by_engine_hash: dict[int, ReportedWork]
 
 
 def encode_load_sent(engine: EngineView, table_group: int, planned_run_ms: float) -> bytes:
@@ -72,5 +72,5 @@
     loads = {}
     for engine_hash, threads, memory_steps, time_steps in WORK_ENTRY.iter_unpack(payload[WORK_HEADER.size :]):
         memory_mb = memory_steps * MEMORY_STEP_MB
-        loads[engine_hash] = ReportedLoad(now, threads, memory_mb, time_steps * THREAD_TIME_STEP_MS)
+        loads[engine_hash] = ReportedWork(now, threads, memory_mb, time_steps * THREAD_TIME_STEP_MS)
     return WorkReport(max(queries_per_s, 0.0), loads)
--- a/cottonhold/scheduler/placement.py
+++ b/cottonhold/scheduler/placement.py
@@ -40,13 +40,13 @@
 
     Attributes:
         finish_at: Estimated finish, in ms on the caller's clock.
-        offset: Position in the engine's plan, counted from 0.
+        position: Position in the engine's plan, counted from 0.
         density: Utility per ms of thread time at that finish, rounded down to a power of two.
         run_ms: Estimated run time, in ms.
     """
 
     finish_at: float
-    offset: int
+    position: int
     density: float
     run_ms: float
 
@@ -62,12 +62,12 @@
         engine.queued_memory_mb_ms / engine.local_memory_capacity_mb,
     )
     finish_at = unqueued_finish_at + queue_ms
-    offset, density = len(engine.plan), estimates.density(query, run_ms, finish_at)
+    position, density = len(engine.plan), estimates.density(query, run_ms, finish_at)
     if engine.plan:
-        last = TentativePlan(finish_at, offset, density, run_ms)
-        finish_at, offset, density, _ = _densest_position(query, engine, unqueued_finish_at, last)
+        last = TentativePlan(finish_at, position, density, run_ms)
+        finish_at, position, density, _ = _densest_position(query, engine, unqueued_finish_at, last)
     finish_at += engine.error_share * (finish_at - gateway.now) * ERROR_DELAY_FACTOR
-    return TentativePlan(finish_at, offset, density, run_ms)
+    return TentativePlan(finish_at, position, density, run_ms)
 
 
 def _finish_without_queue(gateway: GatewayState, query: Query, engine: EngineView, run_ms: float) -> float:
@@ -85,11 +85,11 @@
     finish_at += engine.work_ahead_ms(
         now, MIN_REMAINING_SHARE, ranking_density, OUTRANK_MARGIN, OUTRANKED_WEIGHT
     )
-    peers = engine.peer_load(now, gateway.peer_sends_per_local)
+    peers = engine.peer_work(now, gateway.peer_sends_per_local)
     peer_memory_mb = peers.memory_mb / max(peers.threads, 1)
-    ms_by_thread_ms = max(1 / engine.thread_capacity, peer_memory_mb / engine.memory_capacity_mb)
+    ms_per_thread_ms = max(1 / engine.thread_capacity, peer_memory_mb / engine.memory_capacity_mb)
     finish_at += (
-        peers.remaining_thread_ms * ms_by_thread_ms * utilization.blocking_share(gateway, ranking_density)
+        peers.remaining_thread_ms * ms_per_thread_ms * utilization.peer_work_weight(gateway, ranking_density)
     )
     if engine.locked_until and (query_class.waits_for_loads or query_class.is_load):
         finish_at += max(0.0, engine.locked_until.get(query.table_group, 0.0) - now)
@@ -143,8 +143,8 @@
     pool = gateway.candidate_pool
     if query_class.is_load or query_class.waits_for_loads:
         pool = _without_loaded(gateway, query, pool)
-    draw = gateway.random.random
-    drawn = heapq.nlargest(count, pool, key=lambda engine: draw() ** (1 / engine.thread_capacity))
+    random_number = gateway.random.random
+    drawn = heapq.nlargest(count, pool, key=lambda engine: random_number() ** (1 / engine.thread_capacity))
     ready = [engine for engine in drawn if _is_ready(gateway, query, engine)]
     return ready or _fallback_candidates(gateway, query)
 
@@ -233,7 +233,7 @@
     estimates.estimate(gateway, query)
     engine = _engine_for_canary(gateway, query)
     if engine is not None:
-        _enqueue(gateway, query, engine, tentative_plan(gateway, query, engine)._replace(offset=0))
+        _enqueue(gateway, query, engine, tentative_plan(gateway, query, engine)._replace(position=0))
         return
     best_plan, best_engine = None, None
     for engine in candidate_engines(gateway, query, count):
--- a/cottonhold/scheduler/rate_estimation.py
+++ b/cottonhold/scheduler/rate_estimation.py
@@ -43,8 +43,8 @@
 
 def update_best_rate(gateway: GatewayState) -> None:
     """Update the slowly decaying best rate of the fleet; called once per heartbeat."""
-    faded = gateway.best_work_rate * 0.5 ** (HEARTBEAT_MS / BEST_RATE_HALF_LIFE_MS)
-    gateway.best_work_rate = max(faded, fleet_work_rate(gateway))
+    decayed = gateway.best_work_rate * 0.5 ** (HEARTBEAT_MS / BEST_RATE_HALF_LIFE_MS)
+    gateway.best_work_rate = max(decayed, fleet_work_rate(gateway))
 
 
 def _record_work(gateway: GatewayState, engine: EngineView, work_ms: float, thread_ms: float) -> None:
--- a/cottonhold/scheduler/release.py
+++ b/cottonhold/scheduler/release.py
@@ -116,21 +116,21 @@
     all, as the engine serves the higher priority first. A gateway without attempts in flight may send one
     query of any size, except in the pause after a query larger than its share.
     """
-    is_pressed = utilization.is_under_pressure(gateway, engine)
+    has_pressure = utilization.is_under_pressure(gateway, engine)
     ranking_density = query.density if gateway.settings.features.has_priorities else 0.0
-    if _is_engine_full(gateway, query, engine, is_pressed, ranking_density):
+    if _is_engine_full(gateway, query, engine, has_pressure, ranking_density):
         return False
-    return _fits_traffic_share(gateway, query, is_pressed, ranking_density)
+    return _fits_traffic_share(gateway, query, has_pressure, ranking_density)
 
 
 def _is_engine_full(
-    gateway: GatewayState, query: Query, engine: EngineView, is_pressed: bool, ranking_density: float
+    gateway: GatewayState, query: Query, engine: EngineView, has_pressure: bool, ranking_density: float
 ) -> bool:
     """Return whether the engine lacks capacity for the query next to the attempts that it does not outrank.
 
     An engine with nothing in flight is never full; one used above MAX_OVERFILL is full for every query.
     """
-    peers = engine.peer_load(gateway.now, gateway.peer_sends_per_local)
+    peers = engine.peer_work(gateway.now, gateway.peer_sends_per_local)
     if not engine.in_flight and not peers.threads:
         return False
     ahead = engine.in_flight_by_density.not_outranked(ranking_density, OUTRANK_MARGIN)
@@ -138,20 +138,20 @@
     outranked_memory_mb = engine.memory_in_flight_mb - ahead.memory_mb
     threads = ahead.threads + outranked_threads * OUTRANKED_WEIGHT + query.query_class.threads
     memory_mb = ahead.memory_mb + (outranked_memory_mb * OUTRANKED_WEIGHT + query.planned_memory_mb)
-    peer_weight = utilization.blocking_share(gateway, ranking_density)
+    peer_weight = utilization.peer_work_weight(gateway, ranking_density)
     needed_threads = (threads + peers.threads * peer_weight) / engine.thread_capacity
     needed_memory = (memory_mb + peers.memory_mb * peer_weight) / engine.memory_capacity_mb
     used_threads = (engine.threads_in_flight + peers.threads) / engine.thread_capacity
     used_memory = (engine.memory_in_flight_mb + peers.memory_mb) / engine.memory_capacity_mb
     if max(used_threads, used_memory) / MAX_OVERFILL > 1:
         return True
-    limit = 1.0 if gateway.has_peer_loads else gateway.traffic_share
-    is_short_of_memory = (is_pressed or gateway.has_peer_loads) and needed_memory > limit
-    return is_pressed and needed_threads > limit or is_short_of_memory
+    limit = 1.0 if gateway.has_work_reports else gateway.traffic_share
+    is_short_of_memory = (has_pressure or gateway.has_work_reports) and needed_memory > limit
+    return has_pressure and needed_threads > limit or is_short_of_memory
 
 
 def _fits_traffic_share(
-    gateway: GatewayState, query: Query, is_pressed: bool, ranking_density: float
+    gateway: GatewayState, query: Query, has_pressure: bool, ranking_density: float
 ) -> bool:
     """Return whether this gateway's share of the fleet has capacity for one more query.
 
@@ -161,22 +161,24 @@
     pause that follows another such query.
     """
     in_flight = gateway.in_flight.on_admitted_engines.not_outranked(ranking_density, OUTRANK_MARGIN)
-    unobserved = [a.query for a in gateway.unobserved_attempts if a.expected_end_at > gateway.now]
+    unobserved = [
+        attempt.query for attempt in gateway.unobserved_attempts if attempt.expected_end_at > gateway.now
+    ]
     memory_mb = in_flight.memory_mb + sum(other.planned_memory_mb for other in unobserved)
     threads = in_flight.threads + sum(other.query_class.threads for other in unobserved)
     used_memory = (memory_mb + query.planned_memory_mb) / gateway.fleet_memory_capacity_mb
     used = (threads + query.query_class.threads) / gateway.fleet_thread_capacity
-    if is_pressed:
+    if has_pressure:
         used = max(used, used_memory)
     else:
-        used = used_memory * math.sqrt(gateway.unobserved_share) * _unpressed_memory_weight(gateway)
+        used = used_memory * math.sqrt(gateway.unobserved_share) * _memory_weight_without_pressure(gateway)
     if not in_flight.has_attempts:
-        return used <= gateway.traffic_share or gateway.now >= gateway.wide_query_pause_until
-    stretch = _share_stretch(gateway, query) * query.query_class.threads / gateway.fleet_thread_capacity
-    return used <= gateway.traffic_share + stretch
+        return used <= gateway.traffic_share or gateway.now >= gateway.oversized_query_pause_until
+    remainder = _share_remainder(gateway, query) * query.query_class.threads / gateway.fleet_thread_capacity
+    return used <= gateway.traffic_share + remainder
 
 
-def _unpressed_memory_weight(gateway: GatewayState) -> float:
+def _memory_weight_without_pressure(gateway: GatewayState) -> float:
     """Return the weight, from 0 to 1, of the memory limit on an engine without pressure.
 
     A memory shortage shows as pressure only after it has begun, so the limit may apply earlier. The weight is
@@ -189,7 +191,7 @@
     return gateway.fleet_utilization if shortage is MemoryShortage.SHRINK else 1.0
 
 
-def _share_stretch(gateway: GatewayState, query: Query) -> float:
+def _share_remainder(gateway: GatewayState, query: Query) -> float:
     """Return the part of one query, from 0 to 1, by which this gateway may exceed its share now.
 
     A share rarely amounts to a whole number of queries, and rounding down would keep admitted queries waiting
@@ -232,7 +234,7 @@
         query.sent_priority = query.priority
 
 
-def pause_after_wide_query(gateway: GatewayState, query: Query) -> None:
+def pause_after_oversized_query(gateway: GatewayState, query: Query) -> None:
     """Pause further queries that exceed the local share after the attempt of such a query has ended.
 
     A gateway without attempts in flight may send a query larger than its share. If hundreds of gateways did
@@ -240,7 +242,9 @@
     """
     threads = query.query_class.threads / gateway.fleet_thread_capacity
     memory = query.planned_memory_mb / gateway.fleet_memory_capacity_mb
-    width = max(threads, memory) / gateway.traffic_share
-    if width > 1:
-        pause_from = max(gateway.wide_query_pause_until, gateway.now)
-        gateway.wide_query_pause_until = pause_from + (gateway.now - query.sent_at) * (width - 1)
+    share_multiple = max(threads, memory) / gateway.traffic_share
+    if share_multiple > 1:
+        pause_start = max(gateway.oversized_query_pause_until, gateway.now)
+        gateway.oversized_query_pause_until = pause_start + (gateway.now - query.sent_at) * (
+            share_multiple - 1
+        )
--- a/cottonhold/scheduler/reported_load.py
+++ b/cottonhold/scheduler/reported_load.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class ReportedLoad:
+class ReportedWork:
     """The work of a gateway on an engine: threads and memory in flight, and remaining thread time."""
 
     received_at: float
--- a/cottonhold/scheduler/scheduler.py
+++ b/cottonhold/scheduler/scheduler.py
@@ -53,7 +53,7 @@
     HEARTBEAT_MS,
     REPLAN_INTERVAL_MS,
     THREADS_PER_CORE,
-    TRAFFIC_MEMORY_MS,
+    TRAFFIC_TIME_CONSTANT_MS,
 )
 from cottonhold.scheduler.peer_load import MAX_PEER_MESSAGE_COST
 from cottonhold.scheduler.settings import Settings
@@ -111,7 +111,7 @@
         self.class_histories = [
             known.get(query_class) or ClassHistory.empty(EJECTION_MS) for query_class in settings.classes
         ]
-        self.tenant_traffic = [ArrivalRate(TRAFFIC_MEMORY_MS) for _ in settings.tenants]
+        self.tenant_traffic = [ArrivalRate(TRAFFIC_TIME_CONSTANT_MS) for _ in settings.tenants]
         self.settings = settings
         # The longest delay of a step: a deadline must not pass between two steps.
         self.answer_margin_ms = HEARTBEAT_MS + 2 * settings.tick_ms
--- a/cottonhold/scheduler/slow_start.py
+++ b/cottonhold/scheduler/slow_start.py
@@ -48,11 +48,11 @@
     work_ms = _usual_work_ms(query)
     if not has_quota and work_ms > _max_single_work_ms(gateway, engine):
         return True
-    _save_up(gateway, engine, quota_rate, work_ms)
-    savings_share = _required_savings(gateway, engine, is_cold, has_quota)
+    _add_earned_allowance(gateway, engine, quota_rate, work_ms)
+    required_share = _required_allowance_share(gateway, engine, is_cold, has_quota)
     if has_quota:
-        return engine.allowance_ms < savings_share * work_ms
-    return engine.allowance_ms < savings_share * work_ms / _budget_share(gateway, engine, work_ms)
+        return engine.allowance_ms < required_share * work_ms
+    return engine.allowance_ms < required_share * work_ms / _budget_share(gateway, engine, work_ms)
 
 
 def _budget_share(gateway: GatewayState, engine: EngineView, work_ms: float) -> float:
@@ -99,7 +99,9 @@
     gateway.mean_work_ms += (query.planned_work_ms - gateway.mean_work_ms) / gateway.mean_work_samples
 
 
-def _save_up(gateway: GatewayState, engine: EngineView, quota_rate: float, work_ms: float) -> None:
+def _add_earned_allowance(
+    gateway: GatewayState, engine: EngineView, quota_rate: float, work_ms: float
+) -> None:
     """Add the allowance that the engine has earned since the last update, up to one burst.
 
     Without a quota, the rate follows the expected ramp of a cold engine. With a quota no ramp is needed, as
@@ -118,7 +120,9 @@
     engine.allowance_updated_at = gateway.now
 
 
-def _required_savings(gateway: GatewayState, engine: EngineView, is_cold: bool, has_quota: bool) -> float:
+def _required_allowance_share(
+    gateway: GatewayState, engine: EngineView, is_cold: bool, has_quota: bool
+) -> float:
     """Return the share of a query's usual work, from 0 to 1, that must be earned before the query is sent.
 
     The shares are spread evenly over the gateways and rotate with each window. At a cold engine with a quota
--- a/cottonhold/scheduler/straggler_cancellation.py
+++ b/cottonhold/scheduler/straggler_cancellation.py
@@ -47,7 +47,7 @@
         return False
     has_progress_note = query.progress_at > query.running_since
     is_in_plan = gateway.now - query.sent_at < planned_runs * query.planned_run_ms
-    if not _is_given_up(engine) and is_in_plan and not has_progress_note:
+    if not _expects_no_answer(engine) and is_in_plan and not has_progress_note:
         return False
     return retry_policy.retry_barrier(gateway, query) is None
 
@@ -65,14 +65,14 @@
     return remaining_ms > STRAGGLER_FACTOR * fresh_ms and gateway.now + fresh_ms < query.deadline_at
 
 
-def _is_given_up(engine: EngineView) -> bool:
+def _expects_no_answer(engine: EngineView) -> bool:
     """Return whether no answer is expected: the engine is unresponsive, or its quota is 0."""
     return engine.ejection_reason in UNRESPONSIVE or not engine.quota_rate
 
 
 def _remaining_ms(gateway: GatewayState, query: Query, engine: EngineView) -> float:
     """Return the expected remaining time of the attempt, in ms, by its progress notes or elapsed time."""
-    if _is_given_up(engine):
+    if _expects_no_answer(engine):
         return math.inf
     if gateway.settings.progress_interval_ms:
         run_ms = gateway.now - query.running_since
--- a/cottonhold/scheduler/utilization.py
+++ b/cottonhold/scheduler/utilization.py
@@ -17,9 +17,9 @@
 
 PRESSURE_RATE = 0.6  # work rate, as a share of the fleet's best, below which an engine is under pressure
 PRESSURE_UTILIZATION = 0.9  # reported share of busy cores above which an engine is under pressure
-MAX_DENIABLE_USE = 2.0  # use by capacity above which a load report can't refute pressure
+MAX_REFUTABLE_USE = 2.0  # use by capacity above which a load report can't refute pressure
 OUTDATED_FACTOR = 1.2  # queries in flight by reported ones above which a report is outdated; allows for noise
-PRESSURE_HOLD_MS = 500.0  # duration of pressure after a rejection as overloaded or a wait for memory
+PRESSURE_DURATION_MS = 500.0  # duration of pressure after a rejection as overloaded or a wait for memory
 IDLE_UTILIZATION = 0.8  # use of the fleet up to which a query without utility takes no other's capacity
 
 
@@ -29,7 +29,7 @@
     Signs of pressure are a recent OVERLOADED or wait for memory, a low work rate, a load report with busy
     cores or a queue, and own work in flight beyond capacity. The last sign is needed as load reports lag, and
     as cores idle if the engine is short of memory. A load report with few queries refutes it, up to
-    MAX_DENIABLE_USE and unless the report is outdated.
+    MAX_REFUTABLE_USE and unless the report is outdated.
     """
     now = gateway.now
     min_rate = PRESSURE_RATE * gateway.best_work_rate
@@ -40,7 +40,7 @@
         return True
     used = _used_share(gateway, engine)
     is_outdated = report.get("inflight", math.inf) * OUTDATED_FACTOR < len(engine.in_flight)
-    if used < 1 or used > MAX_DENIABLE_USE or is_outdated:
+    if used < 1 or used > MAX_REFUTABLE_USE or is_outdated:
         return used >= 1
     return _reported_queries(gateway, engine, report) > engine.cores
 
@@ -58,16 +58,16 @@
 
 def _used_share(gateway: GatewayState, engine: EngineView) -> float:
     """Return the used share of this gateway's capacity on the engine, by its own and the peers' work."""
-    peers = engine.peer_load(gateway.now, gateway.peer_sends_per_local)
+    peers = engine.peer_work(gateway.now, gateway.peer_sends_per_local)
     threads = (engine.threads_in_flight + peers.threads) / engine.local_thread_capacity
     memory = (engine.memory_in_flight_mb + peers.memory_mb) / engine.local_memory_capacity_mb
     unreported = 0.0
-    if not gateway.has_peer_loads:
+    if not gateway.has_work_reports:
         unreported = gateway.unobserved_share * fleet_used_share(gateway, gateway.fleet_utilization)
     return max(threads, memory) + unreported
 
 
-def blocking_share(gateway: GatewayState, density: float) -> float:
+def peer_work_weight(gateway: GatewayState, density: float) -> float:
     """Return the weight of the peers' work in flight for a query of this density.
 
     Work that the query outranks has the weight OUTRANKED_WEIGHT. As peers don't report densities, its part is
--- a/cottonhold/simulator_adapter.py
+++ b/cottonhold/simulator_adapter.py
@@ -213,9 +213,9 @@
 class Adapter:
     """Collects the events of a batch by gateway instance, and writes one reply to the batch."""
 
-    def __init__(self, out: TextIO) -> None:
-        """Create an adapter without instances that writes its replies to `out`."""
-        self.out = out
+    def __init__(self, output: TextIO) -> None:
+        """Create an adapter without instances that writes its replies to `output`."""
+        self.output = output
         self.schedulers: dict[int, Scheduler] = {}
         self.pending_events: dict[int, list[Event]] = {}
         self.engine_lists: dict[int, tuple[Engine, ...]] = {}
@@ -292,8 +292,8 @@
                 action["gateway_id"] = gateway_id
                 lines.append(json.dumps(action))
         lines.append(json.dumps({"event_type": "ACK", "round": self.round}))
-        self.out.write("\n".join(lines) + "\n")
-        self.out.flush()
+        self.output.write("\n".join(lines) + "\n")
+        self.output.flush()
         self.pending_events = {}
 
     def _step(self, gateway_id: int, events: list[Event]) -> list[Json]:
@@ -309,9 +309,9 @@
             return [{"event_type": "GIVE_IN", "reason_text": text}]
 
 
-def run(source: TextIO, out: TextIO, errors: TextIO) -> int:
+def run(source: TextIO, output: TextIO, errors: TextIO) -> int:
     """Process messages until the input ends; return 0, or 2 after a line that violates the protocol."""
-    adapter = Adapter(out)
+    adapter = Adapter(output)
     for number, line in enumerate(source, 1):
         if not line.strip():
             continue
--- a/tests/scheduler/test_many_engines.py
+++ b/tests/scheduler/test_many_engines.py
@@ -77,8 +77,8 @@
     def __init__(self, engines: int, monkeypatch: pytest.MonkeyPatch) -> None:
         self.counts = dict.fromkeys(("counted", "reported", "listed"), 0)
         for owner, name, key in (
-            (capacity, "_count_engine", "counted"),
-            (EngineView, "apply_peer_load", "reported"),
+            (capacity, "_compute_engine_capacity", "counted"),
+            (EngineView, "apply_reported_work", "reported"),
             (capacity, "apply_engine_changes", "listed"),
         ):
             self.count(owner, name, key, monkeypatch)
