--- a/cottonhold/scheduler/moving_average.py
+++ b/cottonhold/scheduler/moving_average.py
@@ -35,9 +35,9 @@
 class ArrivalRate:
     """Arrival rate from a count of arrivals that decays exponentially.
 
-    Without `min_age_ms` the rate starts at 0 and grows to its value over `time_constant_ms`. With it the count
-    is divided by the time since the first arrival, so that a gateway that has just started reports its full
-    traffic.
+    Without `min_age_ms` the rate starts at 0 and grows to its value over `time_constant_ms`. With it the
+    count is divided by the time since the first arrival, so that a gateway that has just started reports its
+    full traffic.
 
     Attributes:
         time_constant_ms: Time constant of the decay, in ms.
