--- a/tests/scheduler/test_sparse_signals.py
+++ b/tests/scheduler/test_sparse_signals.py
@@ -79,7 +79,10 @@
 
 
 def test_without_progress_notes_a_query_a_little_over_its_planned_run_is_not_cancelled() -> None:
-    """At 1.5 times the planned run, 15 more must not be expected: cancelling wasted work on an idle fleet."""
+    """An attempt at 1.5 times its planned run must not be expected to need 15 times more.
+
+    Such an estimate cancelled attempts on an idle fleet, which wasted their work.
+    """
     scheduler = started_without_notes("e1", "e2")
     sends(scheduler.step(4050.0, [arrival("q", deadline_at=30000.0, estimated_work_ms=1000.0)]))
     actions = [a for t in range(4100, 6050, 50) for a in scheduler.step(float(t), [])]
@@ -111,7 +114,7 @@
 
 
 def test_a_short_query_whose_answer_is_lost_is_retried_in_time() -> None:
-    """The remaining time is estimated by the elapsed time, so it is cancelled before the deadline."""
+    """As the remaining time is estimated by the elapsed time, the attempt is cancelled soon enough."""
     scheduler = started_without_notes("e1", "e2")
     sends(scheduler.step(4050.0, [arrival("q", deadline_at=9050.0)]))
     cancelled_at = [t for t in range(4100, 9000, 50) if Cancel("q", 0) in scheduler.step(float(t), [])]
