--- a/cottonhold/scheduler/straggler_cancellation.py
+++ b/cottonhold/scheduler/straggler_cancellation.py
@@ -22,8 +22,8 @@
     """Cancel the attempts on an engine that a new attempt on another engine would overtake.
 
     On a full fleet most runs take more than STRAGGLER_FACTOR times the planned time, and cancelling them
-    would only add work. So the limit is raised there: the less engines are observed, the more, up to twice as
-    high. Whether the fleet is full is determined by this gateway's work in flight, as load reports lag.
+    would only add work. So the limit is raised there, by up to a factor of two for engines that are not
+    observed. Whether the fleet is full is determined by this gateway's work in flight, as load reports lag.
     """
     is_full = utilization.fleet_used_share(gateway, 0.0) > utilization.IDLE_UTILIZATION
     planned_runs = STRAGGLER_FACTOR * (1 + gateway.unobserved_share * is_full)
@@ -35,8 +35,8 @@
 def _may_cancel(gateway: GatewayState, query: Query, engine: EngineView, planned_runs: float) -> bool:
     """Return whether the attempt may be cancelled and retried.
 
-    The attempt must be late, have a progress note, or be on an engine that is given up. A progress note is
-    sufficient as it allows a better estimate than the plan.
+    The attempt must be late, have a progress note, or be on an engine from which no answer is expected. A
+    progress note is sufficient as it permits a better estimate than the plan.
     """
     if (
         query.is_cancelled
@@ -61,8 +61,10 @@
         if other is not engine and not other.ejection_reason
     ]
     finishes = [placement.tentative_plan(gateway, query, other).finish_at for other in others]
-    fresh_ms = min(finishes, default=math.inf) - gateway.now
-    return remaining_ms > STRAGGLER_FACTOR * fresh_ms and gateway.now + fresh_ms < query.deadline_at
+    new_attempt_ms = min(finishes, default=math.inf) - gateway.now
+    return (
+        remaining_ms > STRAGGLER_FACTOR * new_attempt_ms and gateway.now + new_attempt_ms < query.deadline_at
+    )
 
 
 def _expects_no_answer(engine: EngineView) -> bool:
