--- a/cottonhold/fleet_adapters/keyed_loads.py
+++ b/cottonhold/fleet_adapters/keyed_loads.py
@@ -1,8 +1,7 @@
-"""The gateway's guard of loads with ordering keys: each starts at its key's owner, or is forwarded to it.
+"""Load guard for loads with ordering keys: each one starts at its key's owner or is forwarded to it.
 
-It stands before the guard of loads that may have run (load_records.py). It decides neither who owns a key
-(fleet/session_affinity/service.py) nor what becomes of a forwarded request
-(fleet/request_forwarding/forwarder.py).
+It wraps the load guard that prevents double execution (load_records.py). Who owns a key is decided by
+fleet/session_affinity/service.py, and how a forwarded request ends by fleet/request_forwarding/forwarder.py.
 """
 
 from __future__ import annotations
@@ -28,53 +27,51 @@
 from cottonhold.scheduler.events import Outcome
 from cottonhold.transport.clock import Clock
 
-KNOWN_OUTCOMES = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other a load may still run
-MAX_WAIT_MS = 2000.0  # for a key to have an owner; longer than a fence takes
-MAX_FORWARDED_WAIT_MS = 400.0  # the same for a request that was forwarded to here
-WAIT_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, MAX_WAIT_MS)
-MAX_HOPS_WITHOUT_PAUSE = 3  # the home, the owner, and one move in between
-MAX_HINTS = 20_000
-RETRY_RESERVE_MS = 100.0  # of its time that remains when a client is told to retry
-ANSWER_RESERVE_MS = 50.0  # of the client's time, for the answer to a forwarded request
+KNOWN_OUTCOMES = (*NEVER_RAN, Outcome.OK, Outcome.ERROR)  # after any other outcome, the load may still run
+MAX_WAIT_MS = 2000.0  # longest wait for the key to have an owner; longer than a fence takes
+MAX_FORWARDED_WAIT_MS = 400.0  # the same limit for a request that another member forwarded to this one
+WAIT_STEPS_MS = (10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0, MAX_WAIT_MS)  # upper bounds of the histogram
+MAX_HOPS_WITHOUT_PAUSE = 3  # hops via the key's home, its owner, and one move in between
+MAX_HINTS = 20_000  # largest number of owner hints kept, and of returned rounds
+RETRY_RESERVE_MS = 100.0  # part of the client's timeout that is left when it is told to retry
+ANSWER_RESERVE_MS = 50.0  # part of the client's timeout that is reserved for a forwarded request's answer
 
 
 class KeyRouter(Protocol):
-    """What the guard needs of session affinity."""
+    """The part of session affinity that the guard uses."""
 
-    member: int
-    retry_after_ms: float
+    member: int  # id of this instance
+    retry_after_ms: float  # delay sent to clients that have to retry
 
     def route(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
-        """Return where a request of the key belongs."""
+        """Return where a request with this key has to start."""
 
     def is_owner(self, key: bytes) -> bool:
-        """Whether a request of the key may start here at this moment."""
+        """Return whether this instance owns the key now, so that a request may start here."""
 
     def is_member(self, member: int) -> bool:
-        """Whether a member may own keys, as far as is known here."""
+        """Return whether a member may own keys, by the membership table that this instance knows."""
 
     def will_not_start(self, key: bytes) -> bool:
-        """Whether a waiting request of the key will not start here any more."""
+        """Return whether a waiting request with this key can no longer start here."""
 
     def on_request_opened(self, key: bytes, load: int) -> None:
-        """A request waits or runs here."""
+        """Record that a request with this key waits or runs here."""
 
     def on_request_ended(self, key: bytes, load: int, is_outcome_known: bool) -> None:
-        """A request has ended."""
+        """Record that a request has ended; without a known outcome it may still be running."""
 
     def forward(
         self, client_request: ClientRequest, owner: int, key: bytes, deadline: float, round_number: int
     ) -> None:
-        """Forward a request to a member, in a round of its key; KeyedLoadGuard.on_forwarding_ended gets the
-        result.
-        """
+        """Forward a request to a member; the result is passed to `KeyedLoadGuard.on_forwarding_ended`."""
 
     def abandon(self, request_id: str) -> None:
-        """No client waits any more for a forwarded request."""
+        """Abandon a forwarded request: its client no longer waits for the answer."""
 
 
 class OriginRound(NamedTuple):
-    """Which member forwarded a request to here, and in which round of its key."""
+    """The member that forwarded a request to this one, and the number of its forwarding round."""
 
     origin: int
     number: int
@@ -82,45 +79,41 @@
 
 @dataclass(slots=True, eq=False)
 class ForwardingRound:
-    """A key's requests that are with another owner: which one, how many, in which round."""
+    """The requests of one key that are forwarded to the same owner at the same time."""
 
-    owner: int
-    number: int
-    open_count: int = 0
-    has_returned: bool = False
+    owner: int  # id of the member that they are forwarded to
+    number: int  # identifies the round at that member
+    open_count: int = 0  # requests without a result
+    has_returned: bool = False  # the owner sent a request back unexecuted; the key's next requests wait
 
 
 @dataclass(slots=True, eq=False, order=False)
 class KeyedRequest:
-    """A load with a key, from its arrival to the end of its last attempt.
+    """A load with a key, from its arrival to the end of its last attempt. Times are ms of the clock."""
 
-    number: in the order of arrival. owner: the member to which it was forwarded; 0: it is here. origin_round:
-    for a request that was forwarded to here, by whom and in which round of its key.
-    """
-
-    number: int
+    number: int  # sequence number in order of arrival
     client_request: ClientRequest
     key: bytes
-    deadline: float
-    wait_deadline: float
+    deadline: float  # time by which the client needs its response
+    wait_deadline: float  # time until which the request waits for an owner
     on_outcome: LoadOutcomeCallback
-    origin_round: OriginRound | None
-    owner: int = 0
-    retry_at: float = 0.0  # it is not placed before
-    waiting_since: float = 0.0
-    known_owner: int = 0  # of a request forwarded to here
-    hop_count: int = 0  # how often a receiver was not the owner
-    is_opened: bool = False
-    is_in_flight: bool = False
-    is_closed: bool = False
-    is_outcome_known: bool = True
+    origin_round: OriginRound | None  # None unless another member forwarded the request to this one
+    owner: int = 0  # id of the member that it is forwarded to; 0: it is here
+    retry_at: float = 0.0  # earliest time of the next placement
+    waiting_since: float = 0.0  # 0: not waiting
+    known_owner: int = 0  # for a request forwarded to this member: the owner to report to its origin; 0: none
+    hop_count: int = 0  # number of receivers that were not the key's owner
+    is_opened: bool = False  # reported to the router as open
+    is_in_flight: bool = False  # an attempt waits for its record or runs
+    is_closed: bool = False  # its client has the final response or has disconnected
+    is_outcome_known: bool = True  # no attempt ended with an outcome after which it may still run
 
     def __lt__(self, other: KeyedRequest) -> bool:
         return self.number < other.number
 
 
 class KeyedLoadGuard:
-    """The gateway's guard where session affinity is on; see node/load_guard.py."""
+    """Implements `LoadGuard` (node/load_guard.py) for an instance with session affinity."""
 
     def __init__(
         self, loads: LoadGuard, router: KeyRouter, gateway: Gateway, clock: Clock, counters: Counters
@@ -129,24 +122,24 @@
         self.clock, self.counters = clock, counters
         self.numbers = itertools.count(1)
         self.requests: dict[str, KeyedRequest] = {}
-        self.queues: dict[bytes, list[KeyedRequest]] = {}  # waiting for an owner, in order of arrival
+        self.queues: dict[bytes, list[KeyedRequest]] = {}  # requests without an owner, in order of arrival
         self.forwarding_rounds: dict[bytes, ForwardingRound] = {}
         self.round_numbers = itertools.count(secrets.randbits(62))
-        self.origin_rounds: dict[str, OriginRound] = {}  # by id of a request forwarded to here
-        # By origin and key: the last round that was returned
+        self.origin_rounds: dict[str, OriginRound] = {}  # by id of a request forwarded to this member
+        # Number of the last round that was returned, by origin and key.
         self.returned_rounds: dict[tuple[int, bytes], int] = {}
-        self.owners_by_returned: dict[str, int] = {}  # by id of a returned request; 0: not known
-        self.wait_histogram = [0] * (len(WAIT_STEPS_MS) + 1)  # of own requests
-        self.owner_hints: dict[bytes, int] = {}  # by key: its owner, as its home reported
+        self.owners_by_returned: dict[str, int] = {}  # owner by id of a returned request; 0: not known
+        self.wait_histogram = [0] * (len(WAIT_STEPS_MS) + 1)  # requests of this instance's own clients
+        self.owner_hints: dict[bytes, int] = {}  # owner by key, as the key's home reported it
 
     def guards(self, query_class: int) -> bool:
-        """Whether requests of a class are remembered."""
+        """Return whether requests of a class are recorded."""
         return self.loads.guards(query_class)
 
     def on_load_arrived(
         self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
     ) -> None:
-        """A load has arrived; one with a key begins only where that is owned."""
+        """Place an arriving load: one with a key starts only at the key's owner."""
         if client_request.ordering_key is None:
             self.loads.on_load_arrived(client_request, deadline, on_outcome)
             return
@@ -166,14 +159,14 @@
             origin_round,
         )
         self.requests[client_request.request_id] = request
-        # A request must not overtake others of its key that wait for an owner.
+        # A request must not overtake earlier requests of its key that wait for an owner.
         if request.key in self.queues or not self._place(request):
             self._enqueue(request)
 
     def before_attempt_sent(
         self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
-        """An attempt is sent only while its key is owned, also once its record is durable."""
+        """Have an attempt recorded, and stop it if this instance does not own the key before and after."""
         request = self.requests.get(attempt.request_id)
         if request is None:
             self.loads.before_attempt_sent(attempt, client_request, on_recorded)
@@ -184,7 +177,7 @@
             return
 
         def on_written(durable: bool) -> None:
-            # The lease may have ended while the record was written; the next owner may start its own request.
+            # If the lease expired during the write, the next owner may already run a request of this key.
             if durable and not self.router.is_owner(request.key):
                 self._stop_attempt(request, on_recorded)
             else:
@@ -193,7 +186,7 @@
         self.loads.before_attempt_sent(attempt, request.client_request, on_written)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
-        """An attempt has ended."""
+        """Record that an attempt has ended, and end the request if its client has its response."""
         self.loads.on_attempt_ended(attempt, outcome)
         request = self.requests.get(attempt.request_id)
         if request is not None:
@@ -203,7 +196,7 @@
                 self._end(request)
 
     def on_request_closed(self, request_id: str) -> None:
-        """A request is over for its client."""
+        """Record that a client has its final response; an attempt in flight keeps the request open."""
         self.loads.on_request_closed(request_id)
         request = self.requests.get(request_id)
         if request is None:
@@ -216,7 +209,7 @@
             self._end(request)
 
     def on_forwarding_ended(self, ended: ForwardingEnded) -> None:
-        """A forwarded request has ended; if nothing ran it is placed again."""
+        """Answer the client of a forwarded request, or queue the request again if it reached no owner."""
         request = self.requests.get(ended.request_id)
         if request is None or not request.owner:
             return
@@ -241,7 +234,7 @@
         self.place_waiting(request.key)
 
     def _on_not_owner(self, request: KeyedRequest, ended: ForwardingEnded) -> None:
-        """Another member owns the key: remember the owner that the receiver, its home, reported."""
+        """Store the owner that the receiver reported, which is the key's home but not its owner."""
         owner = int.from_bytes(ended.data, "big") if len(ended.data) == 8 else 0
         self.owner_hints.pop(request.key, None)
         if owner:
@@ -249,12 +242,12 @@
             if len(self.owner_hints) > MAX_HINTS:
                 del self.owner_hints[next(iter(self.owner_hints))]
         request.hop_count += 1
-        # Two members that each take the other for the owner must not send it to and fro without a pause.
+        # Two members that each believe the other to be the owner would forward it in a loop without a pause.
         if not owner or request.hop_count % MAX_HOPS_WITHOUT_PAUSE == 0:
             request.retry_at = self.clock.now() + self.router.retry_after_ms
 
     def step(self) -> None:
-        """Place what waits, and return what cannot start here any more."""
+        """Place waiting requests, and reject those that can no longer start here."""
         for key in list(self.queues):
             self.place_waiting(key)
         for request in list(self.requests.values()):
@@ -267,7 +260,7 @@
                 self._reject(request)
 
     def place_waiting(self, key: bytes) -> None:
-        """Place the requests that wait for a key, in their order."""
+        """Place the waiting requests of a key in order of arrival, until one has to wait longer."""
         now = self.clock.now()
         while queue := self.queues.get(key):
             request = queue[0]
@@ -283,7 +276,7 @@
                 return
 
     def _enqueue(self, request: KeyedRequest) -> None:
-        if request.known_owner:  # its origin finds the owner
+        if request.known_owner:  # its origin forwards it to that owner
             self._retry_later(request)
             return
         self.counters.add("pins_waited")
@@ -305,7 +298,7 @@
             self.queues.pop(request.key, None)
 
     def _place(self, request: KeyedRequest) -> bool:
-        """Return whether the request has started here, or was forwarded to the owner."""
+        """Start the request here or forward it to the owner; return False if it has to wait."""
         route = self.router.route(request.key)
         target = self._target(request.key, route.owner) if isinstance(route, OwnedElsewhere) else 0
         request.known_owner = target if request.origin_round else 0
@@ -314,7 +307,7 @@
             return False
         earlier = self.forwarding_rounds.get(request.key)
         if earlier is not None and (earlier.owner != target or earlier.has_returned):
-            return False  # earlier requests of the key are still with a previous owner
+            return False  # a previous owner still has earlier requests of the key
         if isinstance(route, OwnedHere):
             request.is_opened = True
             self.router.on_request_opened(request.key, request.number)
@@ -326,9 +319,9 @@
         return True
 
     def _is_of_returned_round(self, request: KeyedRequest) -> bool:
-        """Whether a request that was forwarded to here belongs to a round that was returned.
+        """Return whether a request forwarded to this member belongs to a round that was returned.
 
-        All of that round go back, or a later request of the key could start before an earlier one.
+        The whole round is returned, or a later request of the key could start before an earlier one.
         """
         if request.origin_round is None:
             return False
@@ -347,15 +340,15 @@
         self.router.forward(client_request, target, request.key, deadline, forwarding_round.number)
 
     def _target(self, key: bytes, owner: int) -> int:
-        """Return to whom a request of the key is forwarded: the reported owner, else its home."""
+        """Return the member to forward a request to: the reported owner, or else the key's home."""
         hint = self.owner_hints.get(key, 0)
         if hint in (0, self.router.member):
             return owner
-        # A machine that was replaced is no member any more, and a hint may still name it.
+        # A hint may still name a machine that was replaced and is no longer a member.
         return hint if self.router.is_member(hint) else owner
 
     def _on_returned(self, request: KeyedRequest, did_not_run: bool = False) -> None:
-        """The request is no longer with another member."""
+        """Remove a request from its forwarding round, as no other member has it any more."""
         request.owner = 0
         forwarding_round = self.forwarding_rounds[request.key]
         forwarding_round.open_count -= 1
@@ -364,7 +357,7 @@
             del self.forwarding_rounds[request.key]
 
     def _return_round(self, request: KeyedRequest, owner: int) -> None:
-        """Return a request that was forwarded to here, and with it all later ones of its round."""
+        """Return a request to the member that forwarded it, and all later requests of its round with it."""
         if request.origin_round is None:
             return
         self.owners_by_returned[request.client_request.request_id] = owner
@@ -379,12 +372,12 @@
         request.on_outcome(LoadOutcome.NOT_KNOWN_YET, self.router.retry_after_ms)
 
     def _stop_attempt(self, request: KeyedRequest, on_recorded: Callable[[bool], None]) -> None:
-        """The attempt may not be sent from here any more."""
+        """Cancel an attempt that has not been sent, and reject its request."""
         on_recorded(False)
         self._reject(request)
 
     def _reject(self, request: KeyedRequest) -> None:
-        """Another member owns the key of a request that is queued here: its client retries."""
+        """Reject a request whose key this instance does not own any more; its client retries."""
         self.counters.add("pins_turned_back")
         self._return_round(request, 0)
         retry_after_ms = self.router.retry_after_ms
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -1,6 +1,7 @@
 """The gateway's load guard: records loads on disk before they are sent, and queries others about retries.
 
-Decides nothing: what may be sent is the load history's matter, what is durable the store's.
+It makes no decisions: the load history decides whether a load may be sent, and the store reports what is
+durable.
 """
 
 from __future__ import annotations
@@ -29,41 +30,48 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import LoadRecord, LoadState, Record, RecordKind, evict_loads
 
-DIGEST_BYTES = 8  # of a load's identity, as its record keeps them
+DIGEST_BYTES = 8  # length of the prefix of a load's identity that its record stores as the statement's digest
 
 
 @dataclass(slots=True, eq=False)
 class LoadRun:
-    """A request's load, from its first attempt to its end."""
+    """The execution of a request's load, from its first attempt to its end."""
 
-    load: bytes
-    is_begun: bool = False  # the history counts it as sent
+    load: bytes  # identity of the load
+    is_begun: bool = False  # the history counts the load as sent
     is_attempt_in_flight: bool = False
-    is_closed: bool = False  # the request is over for its client
+    is_closed: bool = False  # the client has the final response or has disconnected
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A load that arrived behind a retry of its key that is not settled yet. deadline: in ms."""
+    """A load that waits for the result of an earlier retry with the same ordering key."""
 
     request: ClientRequest
-    deadline: float
+    deadline: float  # ms of the clock
     on_settled: LoadOutcomeCallback
 
 
 class SettlementWaiter(NamedTuple):
-    """Who waits for what becomes known of a load, and whether a success may be reported."""
+    """The callback for the outcome of a retry's earlier executions."""
 
     on_settled: LoadOutcomeCallback
-    may_report_success: bool
+    may_report_success: bool  # whether a success may be reported to the client without the result
 
 
 class LoadRecorder:
-    """Implements node/load_guard.py.
-
-    records: the folder's; classes: by guarded class, whether a success may be reported; retention_ms: see
-    load_history. now: this process's clock; disk_now: the ledger's; hop: calls back in the event loop's
-    thread.
+    """Implements `LoadGuard` (node/load_guard.py) on top of the load history and the ledger.
+
+    Args:
+        records: The loads recorded in the state folder, by identity.
+        classes: Indexes of the guarded classes, and whether a success may be reported without the result.
+        retention_ms: Time after sending during which a load can still be queried, in ms.
+        now: Returns the time of this process's clock, in ms.
+        disk_now: Returns the time of the ledger's clock, in ms.
+        call_in: Calls a function after a delay in ms.
+        hop: Calls a function in the event loop's thread; may be called in any thread.
+        may_send: Returns whether this instance may send loads now.
+        carry_out: Executes actions of the load history.
     """
 
     def __init__(
@@ -92,21 +100,23 @@
         )
         self.may_send, self.carry_out, self.counters, self.log = may_send, carry_out, counters, log
         self.started_at = self.expired_at = now()
-        self.runs: dict[str, LoadRun] = {}  # by request
-        self.pending: dict[str, SettlementWaiter] = {}  # by request
-        self.queues: dict[str, deque[QueuedRequest]] = {}  # by key of a retry that is not settled yet
-        self.key_of_retry: dict[str, str] = {}  # by request
+        self.runs: dict[str, LoadRun] = {}  # by request id
+        self.pending: dict[str, SettlementWaiter] = {}  # by request id
+        self.queues: dict[str, deque[QueuedRequest]] = {}  # by ordering key of a retry without an outcome yet
+        self.key_of_retry: dict[str, str] = {}  # by request id
         self.disk_state = DiskState.HEALTHY
 
     def guards(self, query_class: int) -> bool:
-        """Whether requests of a class are recorded."""
+        """Return whether requests of a class are recorded."""
         return query_class in self.classes
 
     def on_load_arrived(
         self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
     ) -> None:
-        """A load has arrived. One behind a retry of its key that is not settled yet waits for that, so that
-        requests of a key stay in order."""
+        """Reject a load, queue it, or call `on_outcome`; a retry first queries the other instances.
+
+        A load waits while a retry with its ordering key has no outcome, so that they run in order.
+        """
         if self._reject_unrecordable(client_request, on_outcome):
             return
         key = client_request.ordering_key
@@ -118,8 +128,10 @@
             self._query(client_request, deadline, on_outcome)
 
     def _reject_unrecordable(self, request: ClientRequest, on_settled: LoadOutcomeCallback) -> bool:
-        """Whether a request was rejected, since its load can't be recorded or may not be sent now. A retry is
-        noted in the history, which bounds for how long it is told to retry later."""
+        """Reject a request whose load can't be recorded or may not be sent now; return whether it did.
+
+        The history records a retry, and limits the time for which it is told to retry later.
+        """
         can_record = self._check_disk() is DiskState.HEALTHY
         if can_record and (request.is_retry or self.may_send()):
             return False
@@ -132,7 +144,7 @@
         return True
 
     def _query(self, request: ClientRequest, deadline: float, on_settled: LoadOutcomeCallback) -> None:
-        """A load that is the first of its key: others are queried about a retry."""
+        """Query the other instances about a retry; a load that is no retry may be sent right away."""
         if not request.is_retry:
             on_settled(LoadOutcome.NEVER_RAN, 0.0)
             return
@@ -149,14 +161,14 @@
         self.carry_out(())
 
     def _on_queue_timeout(self, queued: QueuedRequest) -> None:
-        """A request's deadline has passed; it may still be queued behind a retry."""
+        """Tell the client to retry later if its request is still queued at its deadline."""
         queue = self.queues.get(queued.request.ordering_key or "", deque())
         if queued in queue:
             queue.remove(queued)
             queued.on_settled(LoadOutcome.NOT_KNOWN_YET, self.history.settings.retry_after_ms)
 
     def _release_queue(self, request_id: str) -> None:
-        """A retry is settled: those queued behind it follow, up to the next retry of the key."""
+        """Process the loads that were queued behind a retry, up to the next retry with the same key."""
         key = self.key_of_retry.pop(request_id, None)
         queue = self.queues.pop(key, None) if key is not None else None
         while queue:
@@ -169,8 +181,11 @@
     def before_attempt_sent(
         self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
-        """Record an attempt, and call `on_recorded` once the record is durable. The load counts as sent from
-        here on: another instance that queries it meanwhile must not be answered that it was never sent."""
+        """Record an attempt, and call `on_recorded` once the record is durable.
+
+        The load counts as sent from this call on: an instance that queries it during the write must not get
+        the answer that it was never sent.
+        """
         now = self.now()
         run = self.runs.setdefault(client_request.request_id, LoadRun(identity_of(client_request)))
         if not run.is_begun:
@@ -200,7 +215,7 @@
         self.ledger.put([record.to_record()], on_written)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
-        """An attempt has ended; None: it was never started."""
+        """Record the outcome of an attempt; None if the attempt was never started."""
         run = self.runs.get(attempt.request_id)
         if run is None:
             return
@@ -212,7 +227,7 @@
             self._finish(attempt.request_id, run, LoadResult.NEVER_RAN)
 
     def on_request_closed(self, request_id: str) -> None:
-        """A request is over for its client; an attempt of it may still be in flight."""
+        """Record that a client has its final response; an attempt of the request may still be in flight."""
         self.pending.pop(request_id, None)
         self.history.cancel(self.now(), request_id)
         self._release_queue(request_id)
@@ -223,12 +238,14 @@
             self._finish(request_id, run, LoadResult.NEVER_RAN)
 
     def on_settled(self, action: LoadSettled) -> None:
-        """The history knows what became of a load."""
+        """Report the outcome of a retry's earlier executions to the gateway."""
         self._answer(action.request_id, action.knowledge, action.retry_after_ms)
 
     def _finish(self, request_id: str, run: LoadRun, result: LoadResult) -> None:
-        """A request's load has ended. Two requests may have one load: its record is closed only when no run
-        of it is open any more."""
+        """Record the result of a request's load.
+
+        Several requests may carry the same load: its record is closed once none of its runs is open.
+        """
         del self.runs[request_id]
         if not run.is_begun:
             return
@@ -248,7 +265,7 @@
         self._release_queue(request_id)
 
     def _check_disk(self) -> DiskState:
-        """The disk's state; a change is counted and logged."""
+        """Return the state of the disk; count and log a change."""
         health = self.ledger.health(self.disk_now())
         if health.state is not self.disk_state:
             self.disk_state = health.state
@@ -257,7 +274,7 @@
         return self.disk_state
 
     def expire(self) -> None:
-        """Once a second: drop records of loads that can't be queried any more from the disk too."""
+        """Remove records of loads that can't be queried any more; does so once a second at most."""
         now = self.now()
         if now - self.expired_at < EXPIRE_INTERVAL_MS:
             return
@@ -273,14 +290,14 @@
         )
         if evicted.early_count:
             self.counters.add("loads_forgotten_early", evicted.early_count)
-        # What the history still has may yet be queried, also after a power loss.
+        # A load that the history still holds can be queried, also after a power loss.
         known = self.history.local.entries
         keys = [key for key in evicted.keys if evicted.early_count or key not in known]
         if keys and self.disk_state is DiskState.HEALTHY:
             self._remove(keys)
 
     def _remove(self, keys: Iterable[bytes]) -> None:
-        """Remove records; those that stay on the disk are known again, so that they are removed later."""
+        """Remove records from disk; restore the entries of those that can't be removed, to retry later."""
         removed = {key: self.records.pop(key) for key in keys}
 
         def on_written(durable: bool) -> None:
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -1,4 +1,7 @@
-"""Carries out membership: datagrams, timers, and the duties of health checks and reports. Decides nothing."""
+"""Runs the membership protocol: datagrams, timers, and the duties of health checks and fleet reports.
+
+The adapter makes no decisions of its own.
+"""
 
 from __future__ import annotations
 
@@ -20,12 +23,12 @@
 from cottonhold.transport.clock import Clock, Timer
 
 HEALTH_CHECKS, FLEET_REPORT, FLEET_SUBJECT = "probe", "report", "fleet"
-NO_REPORT = 0xFFFFFFFF  # a detail without a load report
-MAX_SCALED = 0xFFFE
+NO_REPORT = 0xFFFFFFFF  # encoding of a missing load report
+MAX_SCALED = 0xFFFE  # largest value of each 16-bit half of an encoded load report
 
 
 def encode_load_report(report: dict[str, float]) -> int:
-    """A health check's load report in 32 bits: queries in flight, and the share of cores that is busy."""
+    """Encode a health check's load report in 32 bits: queries in flight, and the fraction of busy cores."""
     inflight, util = report.get("inflight"), report.get("util")
     if inflight is None or util is None:
         return NO_REPORT
@@ -33,23 +36,29 @@
 
 
 def decode_load_report(detail: int) -> dict[str, float]:
-    """The load report of another instance's health check; empty where there was none."""
+    """Decode the load report of another instance's health check; empty if it had none."""
     if detail == NO_REPORT:
         return {}
     return {"inflight": float(detail >> 16), "util": (detail & 0xFFFF) / MAX_SCALED}
 
 
 def make_instance(installation: Installation, now: float, incarnation: int) -> MembershipInstance:
-    """The pure parts for an installation that has a section `membership`. incarnation: the least to begin
-    with."""
+    """Make the membership protocol and the duties for an installation with a section `membership`.
+
+    Args:
+        installation: The configuration in force.
+        now: The time in ms of the clock.
+        incarnation: The lowest incarnation to start with.
+    """
     file, config = installation.file, installation.config
     section = file.membership
     assert section is not None and config.peer_listen is not None
     settings = SwimSettings(
         probe_interval_ms=section.ping_interval_ms, ping_timeout_ms=section.ping_timeout_ms
     )
-    # The wall clock may have gone back since the last start: the others then report the higher incarnation,
-    # which is passed; terms, and what distinguishes this start's datagrams from the last one's, are drawn.
+    # The wall clock may have been set back since the last start. The others then report the higher
+    # incarnation, and this instance exceeds it. The session number, which distinguishes this start's datagrams
+    # and terms from those of the last start, is random.
     session = secrets.randbits(32)
     swim = Swim(
         file.name,
@@ -76,7 +85,16 @@
 
 
 class MembershipAdapter:
-    """Runs a membership instance: takes datagrams in, keeps its timer, sends, and carries out its duties."""
+    """Runs a membership instance: receives and sends its datagrams, keeps its timer, performs its duties.
+
+    Args:
+        instance: The membership protocol and the duties.
+        send: Sends a datagram to an address.
+        check_health: Starts a health check of an engine; returns whether it could be sent.
+        on_health_check_result: Receives an engine and its load report after another instance's successful
+            health check.
+        log_event: Logs an event with its fields.
+    """
 
     def __init__(
         self,
@@ -100,18 +118,20 @@
         self.received: list[DatagramReceived] = []
         self.timer: Timer | None = None
         self.is_step_scheduled = False
-        self.runs_by_engine: dict[str, RunDuty] = {}
-        self.runs: dict[str, int] = {}
+        self.runs_by_engine: dict[str, RunDuty] = {}  # health checks in flight
+        self.runs: dict[str, int] = {}  # number of runs by duty
 
     def start(self) -> None:
-        """Begin; the first step contacts the seeds."""
+        """Run the first step, which contacts the configured peers."""
         now = self.clock.now()
         self._carry_out(self.instance.on_subjects(now, FLEET_REPORT, [FLEET_SUBJECT]))
         self._step()
 
     def on_datagram(self, data: bytes, sender: Address) -> bool:
-        """Take a datagram in; false if it isn't membership's. All of one turn of the event loop go into one
-        step."""
+        """Queue a datagram for the next step; return whether it is one of membership.
+
+        All datagrams of one event loop iteration are processed in one step.
+        """
         if not data or data[0] != MAGIC:
             return False
         self.received.append(DatagramReceived(data, sender))
@@ -121,13 +141,15 @@
         return True
 
     def set_engines(self, ids: Iterable[str]) -> None:
-        """Check the health of exactly these engines from now on."""
+        """Replace the set of engines whose health checks are shared among the members."""
         self._carry_out(self.instance.on_subjects(self.clock.now(), HEALTH_CHECKS, ids))
         self._schedule_step()
 
     def on_health_check_ended(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
-        """A health check has ended. A success is announced; a failure may be this instance's own link, and
-        isn't."""
+        """Record the result of a health check, and announce a success to the other members.
+
+        A failure is not announced, since this instance's own network link may be the cause.
+        """
         run = self.runs_by_engine.pop(engine, None)
         if run is not None:
             detail = encode_load_report(report) if outcome is Outcome.OK else None
@@ -135,16 +157,16 @@
             self._schedule_step()
 
     def send_payload(self, member: int, payload: bytes) -> None:
-        """Send bytes of fleet/ to a member."""
+        """Send a fleet message to a member."""
         if (send := self.instance.swim.payload_to(payload, member)) is not None:
             self.send(send.data, send.address)
 
     def leave(self) -> None:
-        """Announce the end of this instance."""
+        """Announce to the other members that this instance leaves."""
         self._carry_out(self.instance.leave(self.clock.now()))
 
     def status(self) -> dict[str, Any]:
-        """The view of this instance, for operators."""
+        """Return the members and duties that this instance knows, for the status socket."""
         now, swim, duties = self.clock.now(), self.instance.swim, self.instance.duties
         names = {swim.id: swim.name, **{m.id: m.name for m in swim.members.values()}}
         return {
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -1,6 +1,6 @@
-"""Runs the membership survey and the load history: feeds them messages and time, carries out their actions.
+"""Runs the membership survey and the load history: passes them messages and time, and executes their actions.
 
-Decides nothing.
+The adapter makes no decisions of its own.
 """
 
 from __future__ import annotations
@@ -63,24 +63,24 @@
 from cottonhold.store.records import LoadRecord, RecordKind
 from cottonhold.transport.clock import Clock, Timer
 
-MEMORY_NAMES = {  # as operators know them
+MEMORY_NAMES = {  # names in the log and in the status socket's answers
     MemoryState.EMPTY: "empty",
     MemoryState.INTACT: "kept",
     MemoryState.STALE: "old",
 }
-MIN_STEP_MS, MAX_STEP_MS = 5.0, 1000.0  # between two steps
-SILENCE_INTERVAL_MS = 200.0  # between two proofs of silence while a retry waits: a round of reports
+MIN_STEP_MS, MAX_STEP_MS = 5.0, 1000.0  # bounds of the interval between two steps
+SILENCE_INTERVAL_MS = 200.0  # interval between two proofs of silence while a retry waits: a round of reports
 
 
 class ReportedLoss(NamedTuple):
-    """The loss that was reported to the fleet's coordinator."""
+    """The loss of instances that was last reported to the fleet's coordinator."""
 
     verdict: OutageVerdict
     zones: frozenset[str]
 
 
 def guarded_classes(installation: Installation) -> dict[int, bool]:
-    """The classes whose requests are recorded, and whether a success of one may be reported."""
+    """Return the indexes of the guarded classes, and whether a success may be reported without the result."""
     classes = installation.file.classes
     return {
         i: classes[i].completed_retry_answer == "served"
@@ -89,7 +89,7 @@
 
 
 def retention_ms_of(installation: Installation) -> float:
-    """How long after it was sent a load can still be queried."""
+    """Return the time after sending during which a load can still be queried, in ms."""
     classes = installation.file.classes
     return retention_ms_for(
         classes[i].deadline_ms for i in guarded_class_indices(installation.config.settings)
@@ -99,8 +99,10 @@
 def unavailable_guard(
     installation: Installation, loads: Mapping[bytes, bytes], clock: Clock, counters: Counters
 ) -> UnavailableLoadGuard:
-    """The guard while the folder is not available. loads: its records of loads, as far as they could be
-    read."""
+    """Make the load guard for the time in which the state folder can't be used.
+
+    `loads` are the folder's records of loads, as far as they could be read.
+    """
     file, settings = installation.file, LoadHistorySettings(retention_ms_of(installation))
     recorded, _ = recorded_loads(loads)
     history = LoadHistory(file.dispatcher_index, file.dispatcher_count, 0, clock.now(), recorded, settings, 0)
@@ -110,7 +112,13 @@
 
 
 class RecoveryAdapter:
-    """Runs the survey, the history and the load guard. hop: calls back in the event loop's thread."""
+    """Runs the membership survey, the load history and the load guard of one instance.
+
+    Args:
+        swim: The membership protocol; None without membership.
+        fleet: The fleet's coordinator; None without one.
+        hop: Calls a function in the event loop's thread; may be called in any thread.
+    """
 
     def __init__(
         self,
@@ -129,8 +137,8 @@
         self.retention_ms = retention_ms_of(installation)
         self.may_send_loads_otherwise: Callable[[], bool] = lambda: True  # set by the dispatcher
         self.timer: Timer | None = None
-        self.silent: dict[int, ProvenSilence] = {}
-        self.silent_at = -MAX_STEP_MS  # when that was last computed
+        self.silent: dict[int, ProvenSilence] = {}  # by dispatcher number
+        self.silent_at = -MAX_STEP_MS  # time at which `silent` was last computed, in ms of the clock
         self.reported_loss = ReportedLoss(OutageVerdict.NOTHING, frozenset())
         cost = fleet.failover_cost if fleet is not None else None
         if cost is not None and not restore_site_report(ledger, cost):
@@ -138,7 +146,7 @@
         self._start_parts(installation, read_folder(ledger))
 
     def _start_parts(self, installation: Installation, folder: FolderState) -> None:
-        """The survey, the history and the guard, from what the folder showed."""
+        """Make the survey, the history and the load guard from the content of the state folder."""
         file, ledger, now = installation.file, self.ledger, self.clock.now()
         self.survey = MembershipSurvey(
             file.dispatcher_index,
@@ -167,7 +175,7 @@
     def _start_load_guard(
         self, installation: Installation, recorded: list[RecordedLoad], records: dict[bytes, LoadRecord]
     ) -> None:
-        """The history and the guard. recorded, records: the folder's loads, as each of the two needs them."""
+        """Make the load history from `recorded` and the load guard from `records`, the folder's loads."""
         file, ledger = installation.file, self.ledger
         self.history = LoadHistory(
             file.dispatcher_index,
@@ -195,15 +203,15 @@
         )
 
     def start(self) -> None:
-        """Begin; from now on it steps by its own timer."""
+        """Run the first step; later steps run by the adapter's own timer."""
         self._step()
 
     def on_member_joined(self) -> None:
-        """Another instance is there: it receives this one's report at once."""
+        """Send this instance's report soon; called when another instance has joined."""
         self._arm(MIN_STEP_MS)
 
     def on_message(self, member: int, payload: bytes) -> bool:
-        """Whether bytes from another instance are recovery's; malformed ones are counted."""
+        """Apply a payload from another instance; return whether it is one of recovery, valid or malformed."""
         if not payload or not PRESENCE <= payload[0] <= OPEN_LOADS:
             return False
         try:
@@ -222,7 +230,7 @@
         return True
 
     def _on_presence(self, member: int, presence: Presence) -> None:
-        """A report for the survey; what was away is assessed as soon as it can be known."""
+        """Pass a report to the survey, and schedule the step that assesses which instances were absent."""
         now = self.clock.now()
         self.survey.on_message(now, member, presence)
         if self.history.has_pending:
@@ -231,13 +239,13 @@
             self._arm(min(self.survey.next_at(), self.history.next_at()) - now)
 
     def close(self) -> None:
-        """The end of this incarnation, by order."""
+        """Stop the timer and close the ledger as after a clean shutdown."""
         if self.timer is not None:
             self.timer.cancel()
         self.ledger.close(clean=True)
 
     def status(self) -> dict[str, Any]:
-        """The view of this instance, under the keys that operators know."""
+        """Return the status of recovery for the status socket."""
         view, health = self.survey.view, self.ledger.health(self.ledger.clock())
         return {
             "recovery": {
@@ -284,8 +292,10 @@
         self._arm(min(self.survey.next_at(), self.history.next_at()) - now)
 
     def _update_silent(self, now: float) -> None:
-        """Who is proven silent. That takes a look at each pair of dispatchers, and only a retry that waits
-        needs it at each round."""
+        """Compute which dispatchers are proven silent, which visits each pair of dispatchers.
+
+        Only a pending retry needs it after each round of reports.
+        """
         is_needed_soon = self.history.has_pending
         if not is_needed_soon and not self.survey.view.missing:
             self.silent = {}
@@ -293,7 +303,7 @@
             self.silent, self.silent_at = self.survey.proven_silent(now), now
 
     def _may_send_loads(self) -> bool:
-        """Whether loads may be sent now."""
+        """Return whether loads may be sent now."""
         return self.survey.may_send_loads(self.clock.now()) and self.may_send_loads_otherwise()
 
     def _arm(self, ms: float) -> None:
@@ -324,7 +334,7 @@
                     self._store_checkpoint(checkpoint)
 
     def _raise_boot_count(self, min_boot_count: int) -> None:
-        """The folder's boot count is too low: reports go on above those of the forgotten incarnations."""
+        """Raise a boot count that is too low above those of the incarnations that the folder lost."""
         self.counters.add("boots_raised")
         self.log("boot_count_raised", min_boot=min_boot_count, memory=MEMORY_NAMES[self.survey.memory])
         self.ledger.raise_boot_count(min_boot_count)
@@ -333,8 +343,7 @@
             self.fleet.set_incarnation(incarnation_of(self.ledger))
 
     def _store_checkpoint(self, checkpoint: int) -> None:
-        """Store up to which boot and mark the folder's loads are complete; the survey learns once it is
-        durable."""
+        """Store the checkpoint up to which the folder's loads are complete; tell the survey once durable."""
 
         def on_written(durable: bool) -> None:
             self.hop(lambda: self._on_checkpoint_written(checkpoint, durable))
@@ -344,8 +353,10 @@
         self.ledger.put(checkpoint_records(checkpoint), on_written)
 
     def _on_checkpoint_written(self, checkpoint: int, durable: bool) -> None:
-        """A checkpoint is durable, or has to be written again while it is still wanted: a stale folder that
-        stayed marked as complete would be trusted after the next power loss."""
+        """Report a durable checkpoint to the survey, or retry the write while the checkpoint is requested.
+
+        A stale folder that stayed marked as complete would be trusted after the next power loss.
+        """
         if durable:
             self.survey.on_checkpoint_stored(self.clock.now(), checkpoint)
             return
@@ -369,8 +380,10 @@
             self._report_loss(self.fleet, view)
 
     def _report_loss(self, fleet: FleetCoordinator, view: SurveyView) -> None:
-        """Report a loss to the coordinator, and each only once: engines that have warmed up since must not be
-        put under slow start again when the view changes."""
+        """Report a loss of instances to the coordinator, each loss only once.
+
+        A second report would put engines that have warmed up since then under slow start again.
+        """
         now, before = self.clock.now(), self.reported_loss
         lost_zones = view.lost_zones if view.verdict is OutageVerdict.ZONE else frozenset[str]()
         self.reported_loss = ReportedLoss(view.verdict, lost_zones)
--- a/cottonhold/fleet_adapters/request_forwarding.py
+++ b/cottonhold/fleet_adapters/request_forwarding.py
@@ -1,5 +1,6 @@
-"""Carries out request forwarding: passes requests to the owners of their keys, and those from others to the
-gateway. Decides nothing.
+"""Runs request forwarding: sends requests to the owners of their keys, and accepts requests for the gateway.
+
+The adapter makes no decisions of its own.
 """
 
 from __future__ import annotations
@@ -27,17 +28,17 @@
 
 
 class ForwardedClient:
-    """The way back to the dispatcher that forwarded a request; stands for a client at the gateway."""
+    """Response sink of a request that was forwarded to this instance: returns its result to the origin."""
 
     def __init__(self, adapter: RequestForwardingAdapter, origin: int, number: int, request_id: str) -> None:
         self.adapter, self.origin, self.number, self.request_id = adapter, origin, number, request_id
 
     def complete(self, rows: Rows) -> None:
-        """The complete result."""
+        """Return the complete result to the origin."""
         self.adapter.on_forwarded_ended(self, ForwardResult.ANSWERED, 0.0, encode_rows(rows))
 
     def reject(self, retry_after: float) -> None:
-        """Rejected, or this is not the key's owner: nothing ran."""
+        """Report that nothing ran: the request was rejected, or this instance does not own its key."""
         owner = self.adapter.guard.owners_by_returned.get(self.request_id)
         if owner is None:
             self.adapter.on_forwarded_ended(self, ForwardResult.REJECTED, retry_after, b"")
@@ -47,15 +48,19 @@
             )
 
     def fail(self, why: str) -> None:
-        """The request may have run."""
+        """Report that the request failed and may have run."""
         self.adapter.on_forwarded_ended(self, ForwardResult.FAILED, 0.0, b"")
 
 
 class RequestForwardingAdapter:
-    """Feeds the forwarder of one instance, and carries out its actions.
-
-    guard: of loads with keys, which learns how forwarded requests end. retry_after_ms: sent with rejections.
-    schedule_step: called after each event, so that `step` follows soon.
+    """Passes events and time to the forwarder of one instance, and executes its actions.
+
+    Args:
+        request_forwarder: The forwarder, which decides what is sent and when.
+        guard: The guard of loads with keys; receives the results of forwarded requests.
+        send: Sends a payload to a member.
+        retry_after_ms: Delay sent with rejections, in ms.
+        schedule_step: Called after each event, so that `step` runs soon.
     """
 
     def __init__(
@@ -72,23 +77,23 @@
         self.forwarder, self.guard, self.gateway, self.clock = request_forwarder, guard, gateway, clock
         self.send, self.counters = send, counters
         self.retry_after_ms, self.schedule_step = retry_after_ms, schedule_step
-        # By origin and its number of the request.
+        # Requests that others forwarded to this instance, by origin and the origin's request number.
         self.incoming_requests: dict[tuple[int, int], tuple[OpenRequest, ForwardedClient]] = {}
 
     def on_message(self, now: float, member: int, payload: bytes) -> None:
-        """A message of request forwarding from a member."""
+        """Apply a member's message of request forwarding."""
         self._carry_out(self.forwarder.on_message(now, member, payload))
 
     def step(self, now: float) -> None:
-        """Send again what is not confirmed, and give up what is too late."""
+        """Resend unconfirmed messages, and give up requests that have reached their deadlines."""
         self._carry_out(self.forwarder.step(now))
 
     def next_at(self) -> float:
-        """When `step` is due."""
+        """Return when `step` is due, in ms of the clock."""
         return self.forwarder.next_at()
 
     def status(self) -> dict[str, Any]:
-        """How many requests are under way, for operators."""
+        """Return the counts of forwarded requests for the status socket."""
         return self.forwarder.status()
 
     def forward(
@@ -113,15 +118,15 @@
         body = encode_request(forwarded)
         now = self.clock.now()
         actions = self.forwarder.forward(now, client_request.request_id, owner, body, deadline, queue_key=key)
-        # A result that is there at once must reach the guard only after it has recorded the forwarding.
+        # An immediate result must reach the guard only after the guard has recorded the forwarding.
         self.clock.call_soon(lambda: self._carry_out(actions))
 
     def abandon(self, request_id: str) -> None:
-        """No client waits any more for a forwarded request."""
+        """Abandon a forwarded request: its client no longer waits for the answer."""
         self._carry_out(self.forwarder.abandon(self.clock.now(), request_id))
 
     def _on_request_accepted(self, action: forwarder.RequestAccepted) -> None:
-        """Pass a request that was forwarded to here to the gateway."""
+        """Pass a request that another member forwarded to the gateway, or reject it."""
         try:
             forwarded = decode_request(action.body)
         except MessageError:
@@ -149,7 +154,7 @@
     def _client_request(
         self, forwarded: ForwardedRequest, request_id: str, query_class: int, remaining_ms: float
     ) -> ClientRequest:
-        """A forwarded request as the gateway takes it from a client of its own."""
+        """Convert a forwarded request to the form in which the gateway accepts its own clients' requests."""
         return ClientRequest(
             request_id,
             query_class,
@@ -174,7 +179,7 @@
     def on_forwarded_ended(
         self, client: ForwardedClient, result: ForwardResult, retry_after_ms: float, data: bytes
     ) -> None:
-        """A request that was forwarded to here has ended."""
+        """Return the result of a request that another member forwarded to this instance."""
         request_key = client.origin, client.number
         self.incoming_requests.pop(request_key, None)
         self.guard.origin_rounds.pop(client.request_id, None)
@@ -185,7 +190,7 @@
         self.schedule_step()
 
     def _on_request_abandoned(self, origin: int, number: int) -> None:
-        """No client waits for it any more."""
+        """Cancel a request whose client no longer waits at the origin."""
         incoming = self.incoming_requests.pop((origin, number), None)
         if incoming is not None:
             request, client = incoming
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -1,6 +1,6 @@
-"""Carries out session affinity: records, datagrams and timers. Decides nothing.
+"""Runs session affinity: its records on disk, datagrams and timers. Makes no decisions of its own.
 
-Off unless the installation's file says `fleet: {pins: true}`.
+It is off unless the configuration file contains `fleet: {pins: true}`.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 from cottonhold.transport.clock import Clock, Timer
 
 MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 2.0, 20.0
-WRITE_RETRY_MS = 500.0
+WRITE_RETRY_MS = 500.0  # pause before failed writes are retried
 LEAVING_STEPS = (ReplacementStep.MOVING, ReplacementStep.DRAINING, ReplacementStep.OUT)
 DEPARTURE_BY_STEP = {
     ReplacementStep.MOVING: DepartureState.MOVING_KEYS,
@@ -56,7 +56,15 @@
 
 
 class SessionAffinityAdapter:
-    """Feeds the session affinity of one instance, and carries out its actions."""
+    """Passes events and time to the session affinity of one instance, and executes its actions.
+
+    Args:
+        replacement: Rolling replacement, which also provides the registers.
+        loads: The load guard that prevents double execution.
+        hop: Calls a function in the event loop's thread; may be called in any thread.
+        send: Sends a payload to a member.
+        log: Logs an event with its fields.
+    """
 
     def __init__(
         self,
@@ -85,8 +93,8 @@
         self.member, self.retry_after_ms = swim.id, self.service.settings.retry_after_ms
         self.guard = KeyedLoadGuard(loads, self, gateway, clock, counters)
         self.forwarding = self._make_forwarding()
-        self.last_tokens: dict[str, int] = {}  # by name of the record
-        self.failed_writes: dict[str, tuple[bytes, int]] = {}  # by name: the record and its token
+        self.last_tokens: dict[str, int] = {}  # token of the last write, by name of the record
+        self.failed_writes: dict[str, tuple[bytes, int]] = {}  # record and its token, by name
         self.next_write_retry_at = 0.0
         self.timer: Timer | None = None
         self.timer_at = 0.0
@@ -106,11 +114,11 @@
         )
 
     def start(self) -> None:
-        """Begin; from now on it steps by its own timer."""
+        """Run the first step; later steps run by the adapter's own timer."""
         self._step()
 
     def close(self) -> None:
-        """Stop the timer."""
+        """Stop the timer and log the counts of this run."""
         self.log(
             "session_affinity_ended",
             **self.service.counts,
@@ -121,7 +129,7 @@
             self.timer.cancel()
 
     def on_message(self, member: int, payload: bytes) -> bool:
-        """Apply a datagram's payload; return whether it is one of session affinity or request forwarding."""
+        """Apply a member's payload; return whether it is one of session affinity or request forwarding."""
         if not payload or not messages.MIGRATION <= payload[0] <= REQUEST_FORWARDING:
             return False
         now = self.clock.now()
@@ -133,28 +141,28 @@
         return True
 
     def route(self, key: bytes) -> OwnedHere | OwnedElsewhere | RetryAfter:
-        """Return where a request of the key belongs."""
+        """Return where a request with this key has to start."""
         return self.service.route(self.clock.now(), key)
 
     def is_owner(self, key: bytes) -> bool:
-        """Whether a request of the key may start here at this moment."""
+        """Return whether this instance owns the key now, so that a request may start here."""
         return self.service.ownership_of(self.clock.now(), key) is not None
 
     def is_member(self, member: int) -> bool:
-        """Whether a member may own keys, as far as is known here."""
+        """Return whether a member may own keys, by the membership table that this instance knows."""
         ownership = self.service.ownership
         return ownership is not None and member in ownership.lease.members
 
     def will_not_start(self, key: bytes) -> bool:
-        """Whether a waiting request of the key will not start here any more."""
+        """Return whether a waiting request with this key can no longer start here."""
         return self.service.will_not_start(self.clock.now(), key)
 
     def on_request_opened(self, key: bytes, load: int) -> None:
-        """A request waits or runs here."""
+        """Record that a request with this key waits or runs here."""
         self._carry_out(self.service.on_request_opened(self.clock.now(), key, load))
 
     def on_request_ended(self, key: bytes, load: int, is_outcome_known: bool) -> None:
-        """A request has ended."""
+        """Record that a request has ended; without a known outcome it may still be running."""
         self._carry_out(self.service.on_request_ended(self.clock.now(), key, load, is_outcome_known))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
@@ -165,31 +173,31 @@
         self.forwarding.forward(client_request, owner, key, deadline, round_number)
 
     def abandon(self, request_id: str) -> None:
-        """No client waits any more for a forwarded request."""
+        """Abandon a forwarded request: its client no longer waits for the answer."""
         self.forwarding.abandon(request_id)
 
     def on_outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
-        """A change or read of a register has ended."""
+        """Pass the outcome of a register change or read to the service."""
         self.service.on_outcome(self.clock.now(), token, won, version, value)
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
     def on_register_changed(self, name: str, version: int, value: bytes) -> None:
-        """A register has changed."""
+        """Pass a new version of the membership table's register to the service; ignore other registers."""
         if name == membership_table.TABLE_REGISTER:
             self.service.on_register_changed(self.clock.now(), name, version, value)
             self._schedule_step(MIN_STEP_INTERVAL_MS)
 
     def remaining_here(self) -> int:
-        """Return how much is left here before this machine may be taken out."""
-        # By the newest step of the replacement: at its own last step this part may have seen an earlier one.
+        """Return the number of keys and requests that still prevent this machine's removal."""
+        # The replacement's newest step counts: the service may still have an earlier one from its last step.
         return self.service.remaining_count(
             self.clock.now(), self._departure(self.replacement.coordinator.view.records.get(self.name))
         )
 
     def remaining_elsewhere(self) -> dict[str, int | None]:
-        """Return the same of other machines that are being replaced.
+        """Return `remaining_here` of the other machines that are being replaced; None where it is not known.
 
-        Nothing is left at one that is not in the table; of the others it is not known here.
+        It is 0 for a machine that is not in the membership table, and unknown for the others.
         """
         members, known = self.service.table.member_list.members, self.service.table.is_known
         others = {
@@ -198,13 +206,16 @@
         return {name: 0 if known and machine_id(name) not in members else None for name in others}
 
     def move_keys(self, max_keys: int) -> None:
-        """Move at most so many keys to others."""
+        """Move at most `max_keys` keys to other members."""
         self.counters.add("pins_asked_to_move")
         self._carry_out(self.service.move_keys(self.clock.now(), max_keys, self._target_capacities()))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
     def _target_capacities(self) -> dict[int, float]:
-        """Return the capacity of each member that may take keys: by what is left in its zone, else even."""
+        """Return the capacity of each member that may receive keys.
+
+        A zone's free cores are divided evenly among its members; if no zone has any, all members are equal.
+        """
         records = self.replacement.coordinator.view.records
         leaving = {machine_id(name) for name, record in records.items() if record.step in LEAVING_STEPS}
         targets = [m for m in self.swim.live_members() if m != self.swim.id and m not in leaving]
@@ -259,7 +270,7 @@
         )
 
     def _folder_is_current(self) -> bool | None:
-        """Whether the folder is the one that this number last had, as far as others confirm it."""
+        """Return whether the state folder is this dispatcher's latest one; None until others confirm it."""
         if self.survey.memory is not MemoryState.INTACT:
             return False
         return (
@@ -280,7 +291,7 @@
 
     def _schedule_step(self, delay_ms: float) -> None:
         delay_ms = min(max(delay_ms, MIN_STEP_INTERVAL_MS), MAX_STEP_INTERVAL_MS)
-        # An earlier step stays scheduled, or frequent events would postpone it for ever.
+        # An earlier step stays scheduled, or frequent events would postpone it without end.
         if self.timer is not None and self.timer_at <= self.clock.now() + delay_ms:
             return
         if self.timer is not None:
@@ -314,7 +325,7 @@
             self._carry_out(self.service.on_persisted(self.clock.now(), token))
             self._schedule_step(MIN_STEP_INTERVAL_MS)
         elif self.last_tokens.get(name) == token:
-            # The record is written again later, because its key is blocked until it is on disk.
+            # The write is retried later, because the record's key is blocked until it is on disk.
             self.failed_writes[name] = data, token
             self.counters.add("pins_unkept")
 
@@ -327,16 +338,16 @@
             self._persist(name, data, token)
 
     def _wait_histogram(self) -> str:
-        """How many requests waited here for an owner, by ms: up to 10, 20 and so on, and longer."""
+        """Return how many requests waited here for an owner, by the upper bound of the wait in ms."""
         return _histogram(WAIT_STEPS_MS, self.guard.wait_histogram)
 
     def _handover_histogram(self) -> str:
-        """The same of keys that were moved from here: how long no member started their requests."""
+        """Return how many keys moved from here had no owner, by the upper bound of that time in ms."""
         ownership = self.service.ownership
         return _histogram(HANDOVER_STEPS_MS, ownership.handover_histogram) if ownership is not None else ""
 
     def status(self) -> dict[str, Any]:
-        """Return the view of this instance, for operators."""
+        """Return the status of session affinity for the status socket."""
         now, service = self.clock.now(), self.service
         ownership = service.ownership
         members = ownership.lease.members if ownership is not None else ()
--- a/cottonhold/fleet_adapters/write_queue.py
+++ b/cottonhold/fleet_adapters/write_queue.py
@@ -1,7 +1,7 @@
-"""Records that are written in the order in which they were put, and retried until the disk takes them.
+"""A queue that writes records to the ledger in order, and retries until they are durable.
 
-One transaction is under way at a time, so none can be durable before an earlier one. Of one key only the last
-record counts.
+Only one transaction is in flight at a time, so no record becomes durable before an earlier one. For each key
+only the last record is written.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Record, RecordKind
 
-RETRY_MS = 500.0  # after which what the disk did not take is written again
-MAX_GROUP_RECORDS = 256  # records in one transaction at most
+RETRY_MS = 500.0  # pause before a failed write is retried
+MAX_GROUP_RECORDS = 256  # largest number of records in one transaction
 
 Callback = Callable[[], None]
 
@@ -25,16 +25,21 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingWrite:
-    """A record. on_durable: called once it is. on_refused: called when the disk did not take it; it is
-    retried all the same."""
+    """A record that is not durable yet."""
 
     record: Record
-    on_durable: Callback
-    on_refused: Callback
+    on_durable: Callback  # called once the record is durable
+    on_refused: Callback  # called after each failed write; the write is retried nevertheless
 
 
 class OrderedWriteQueue:
-    """Belongs to the event loop's thread, as do all its callbacks. hop: calls back there from any thread."""
+    """Writes records in the order in which they were put; used from the event loop's thread only.
+
+    Args:
+        ledger: The ledger that the records are written to.
+        hop: Calls a function in the event loop's thread; may be called in any thread.
+        call_in: Calls a function after a delay in ms.
+    """
 
     def __init__(
         self,
@@ -48,8 +53,14 @@
         self.is_paused = False
 
     def put(self, record: Record, on_durable: Callback = _nothing, on_refused: Callback = _nothing) -> None:
-        """Write a record. on_durable is called once it is durable, unless another record of its key was
-        put before that; on_refused each time that the disk doesn't take it."""
+        """Queue a record for writing.
+
+        Args:
+            record: The record; it replaces a queued record with the same key.
+            on_durable: Called once the record is durable, unless another record replaced it before that.
+            on_refused: Called each time that a write of the record fails, and soon after this call if the
+                record has to wait and the disk is unhealthy.
+        """
         row_key = record.kind, record.key
         self.pending.pop(row_key, None)
         self.pending[row_key] = PendingWrite(record, on_durable, on_refused)
@@ -76,8 +87,8 @@
             if self.pending and not self.in_flight:
                 self._write()
             return
-        # These are written before what was put since: a vote must not be durable without the promises that it
-        # rests on.
+        # The failed records are written before later ones: a vote must not become durable without the
+        # promises that it depends on.
         self.pending = {
             row_key: entry for row_key, entry in writing.items() if row_key not in self.pending
         } | self.pending
