--- a/cottonhold/fleet_adapters/__init__.py
+++ b/cottonhold/fleet_adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Carries out what the fleet decides: timers, datagrams and disk. Decides nothing."""
+"""Adapters between the fleet's decision logic and its surroundings: event loop, datagrams and disk."""
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -1,5 +1,6 @@
-"""Carries out engine drains: quarantines engines, counts requests, checks liveness. Decides
-nothing.
+"""Runs engine drains: quarantines engines, counts their open requests and checks their liveness.
+
+The adapter makes no decisions of its own.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 class EngineListOwner(Protocol):
-    """The dispatcher, as far as engines of its list go."""
+    """The part of the dispatcher that owns the engine list."""
 
     quarantine: Quarantine
     engines: EngineConnections
@@ -47,14 +48,23 @@
     log: OperatorLog
 
     def listed(self) -> dict[str, Machine]:
-        """Return all engines of the list."""
+        """Return all engines of the list as machines, by engine id."""
 
     def republish(self, change: EngineListChange | None) -> None:
-        """Publish what is withheld now."""
+        """Publish a change of the quarantine; None changes nothing."""
 
 
 class EngineDrainAdapter:
-    """Feeds one instance's drains, and carries out their actions."""
+    """Passes events and time to one instance's engine drains, and executes their actions.
+
+    Args:
+        owner: The owner of the list in which the drains quarantine engines.
+        ledger: The instance's open ledger.
+        membership: The membership adapter.
+        fleet: The fleet's coordinator.
+        voters: The configured names of the voters.
+        hop: Calls a function in the event loop's thread; may be called in any thread.
+    """
 
     def __init__(
         self,
@@ -73,35 +83,34 @@
         self.drains = EngineDrains(swim.id, incarnation_of(ledger), now, settings, self.voters)
         self.startup_gate = StartupGate(now, settings)
         self.drain_records = DrainRecords(ledger.records(RecordKind.ENGINE_DRAIN))
-        self.pending_drains: dict[str, MachineRecord] = {}  # not on disk yet
+        self.pending_drains: dict[str, MachineRecord] = {}  # drains whose records are not on disk yet
         for engine in self.drain_records.from_previous_start:
             owner.republish(owner.quarantine.quarantine(engine))
 
     def on_message(self, payload: bytes) -> bool:
-        """Apply a datagram's payload; return whether it is a drain report."""
+        """Apply a member's payload; return whether it is a drain report."""
         if not payload or payload[0] != DRAIN_REPORT:
             return False
         self.drains.on_message(self.clock.now(), payload)
         return True
 
     def may_send_loads(self) -> bool:
-        """Whether it is known here which engines are drained, so that loads may be sent."""
+        """Return whether this instance knows which engines are drained, so that loads may be sent."""
         return self.startup_gate.is_open
 
     def machines(self, now: float, replacement: ReplacementCoordinator) -> list[Machine]:
-        """Return the engines that are there now; called first in each step."""
+        """Return the engines that are present now; called first in each step."""
         if self.startup_gate.check_pause(now):
             replacement.on_pause(now)
         self.drains.set_listed_engines(self.owner.listed())
         return self.drains.present_engines(replacement.view.records)
 
     def update_view(self, now: float, replacement: ReplacementCoordinator) -> None:
-        """Pass on what is open at engines that are replaced, and how far new ones are."""
+        """Report open requests of engines in replacement, and the traffic share of new ones."""
         slow_start = self.fleet.slow_start
         for zone in replacement.view.zone_troubles.keys() - self.fleet.evacuation.states.keys():
-            replacement.set_zone_trouble(
-                now, zone, ""
-            )  # its last engine is withheld, so nothing reports its state
+            # The zone's last engine is quarantined, so nothing reports the zone's state any more.
+            replacement.set_zone_trouble(now, zone, "")
         for name, record in _engines(replacement).items():
             replacement.set_open_requests(now, name, self.drains.open_requests(now, name, record.serial))
             if slow_start is not None and record.step in (ReplacementStep.IN_PLACE, ReplacementStep.RAMPING):
@@ -117,7 +126,7 @@
         replacement: ReplacementCoordinator,
         action: step_decision.Drain | step_decision.Undrain,
     ) -> None:
-        """Drain or undrain an engine."""
+        """Drain or undrain the engine that the action names."""
         engine, record = action.machine, replacement.view.records.get(action.machine)
         if isinstance(action, step_decision.Drain):
             if record is not None:
@@ -130,7 +139,7 @@
         self._release(now, engine, record)
 
     def step(self, now: float, replacement: ReplacementCoordinator) -> None:
-        """Report to drivers, and check engines that are out."""
+        """Send drain reports to the drivers of replacements, and check the liveness of drained engines."""
         drains, live = self.drains, set(self.swim.live_members())
         drains.incarnation = incarnation_of(self.ledger)
         min_incarnations = {
@@ -149,7 +158,7 @@
                         drains.on_liveness_check(engine, False)
 
     def row(self, now: float, replacement: ReplacementCoordinator, engine: str) -> dict[str, Any]:
-        """Return what operators see of an engine's replacement besides its step; {} for a dispatcher."""
+        """Return the engine-specific status of a replacement; empty for a dispatcher's replacement."""
         record = replacement.view.records.get(engine)
         if record is None or not record.has_flag(MachineFlag.ENGINE):
             return {}
@@ -167,7 +176,7 @@
         }
 
     def _drain(self, engine: str, record: MachineRecord) -> None:
-        """Drain the engine once the record is on disk, or cannot be written now."""
+        """Drain an engine once its record is on disk, or its write has failed."""
 
         def on_record_settled() -> None:
             if self.pending_drains.get(engine) is record:
@@ -178,7 +187,7 @@
         if not (records := self.drain_records.drain(engine)):
             on_record_settled()
         for record_of in records:
-            # A failed write is repeated, or the next restart would forget the drain.
+            # A failed write is retried, or the drain would be lost at the next restart.
             self.records.put(record_of, on_record_settled, on_record_settled)
 
     def _release(self, now: float, engine: str, record: MachineRecord | None) -> None:
@@ -211,5 +220,5 @@
 
 
 def _min_incarnation(incarnation: int) -> int:
-    """Return the least incarnation of a member's reports, by the boot that its incarnation began with."""
+    """Return the lowest incarnation of a member's valid reports, from the boot count in its incarnation."""
     return FIRST_COUNTED_INCARNATION + incarnation // INCARNATIONS_PER_BOOT & 0xFFFFFFFF
--- a/cottonhold/fleet_adapters/ledger_opener.py
+++ b/cottonhold/fleet_adapters/ledger_opener.py
@@ -1,4 +1,4 @@
-"""Opens a ledger in a thread of its own, so that a disk that hangs holds up nothing else."""
+"""Opens a ledger in a separate thread, so that a hanging disk blocks nothing else."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class LedgerOpening:
-    """One attempt. `ledger` or `error` is set once it `is_over`."""
+    """One attempt to open a ledger. Once it `is_over`, `ledger` or `error` holds the result."""
 
     def __init__(self, open_ledger: Callable[[], Ledger | None]) -> None:
         self.open_ledger = open_ledger
         self.ledger: Ledger | None = None
         self.error: StoreError | None = None
         self._over, self._started_at_s = threading.Event(), time.monotonic()
-        # Not on the event loop: there a disk that hangs would stop all service and not only loads.
+        # On the event loop a hanging disk would stop all service, and not only loads.
         threading.Thread(target=self._run, name="opening", daemon=True).start()
 
     @property
     def is_over(self) -> bool:
-        """Whether it has succeeded or failed."""
+        """Whether the attempt has succeeded or failed."""
         return self._over.is_set()
 
     def is_slow(self, seconds: float) -> bool:
-        """Whether it isn't over after so long."""
+        """Return whether the attempt has been running for at least `seconds`."""
         return not self.is_over and time.monotonic() - self._started_at_s >= seconds
 
     def wait(self, seconds: float) -> None:
-        """Wait until it is over, for so long at most."""
+        """Block until the attempt is over, for at most `seconds`."""
         self._over.wait(seconds)
 
     def _run(self) -> None:
@@ -39,7 +39,7 @@
             self.ledger = self.open_ledger()
         except StoreError as error:
             self.error = error
-        except Exception as error:  # the content of a folder never keeps a dispatcher from serving
+        except Exception as error:  # the content of a folder must never prevent a dispatcher from serving
             self.error = StoreError(f"{type(error).__name__}: {error}", Completeness.UNKNOWN, {})
         finally:
             self._over.set()
--- a/cottonhold/fleet_adapters/load_conversions.py
+++ b/cottonhold/fleet_adapters/load_conversions.py
@@ -1,5 +1,7 @@
-"""What the gateway, the load history and the folder call the same result of a load, and constants of all
-load guards."""
+"""Conversions between the load results of the gateway, the load history and the state folder.
+
+Also contains the constants that all load guards share.
+"""
 
 from __future__ import annotations
 
@@ -12,9 +14,9 @@
 from cottonhold.scheduler.settings import Idempotency, Settings
 from cottonhold.store.records import LoadRecord, LoadState, decode_loads
 
-EXPIRE_INTERVAL_MS = 1000.0  # between two removals of loads that can't be queried any more
+EXPIRE_INTERVAL_MS = 1000.0  # interval between removals of loads that can't be queried any more
 
-# What proves that an attempt never ran; None: it was never started.
+# Outcomes that prove that an attempt never ran; None: it was never started.
 NEVER_RAN = (None, *retry_policy.NEVER_RAN)
 
 STATE_OF_RESULT = {
@@ -31,13 +33,16 @@
 
 
 def guarded_class_indices(settings: Settings) -> frozenset[int]:
-    """The classes whose requests are recorded: loads, and all that must not run twice."""
+    """Return the indexes of the classes whose requests are recorded: loads and non-idempotent requests."""
     classes = enumerate(settings.classes)
     return frozenset(i for i, c in classes if c.is_load or c.idempotency is Idempotency.NOT_IDEMPOTENT)
 
 
 def recorded_loads(folder: Mapping[bytes, bytes]) -> tuple[list[RecordedLoad], dict[bytes, LoadRecord]]:
-    """The loads of a folder; one that can't be read may have run."""
+    """Decode a folder's loads for the load history and for the load guard, in this order.
+
+    A load whose record can't be decoded has no result for the history: it may have run.
+    """
     decoded = decode_loads(folder)
     readable = [
         RecordedLoad(load, RESULT_OF_STATE.get(record.state)) for load, record in decoded.by_identity.items()
@@ -47,13 +52,15 @@
 
 
 def identity_of(request: ClientRequest) -> bytes:
-    """The identity of a request's load."""
+    """Return the identity of a request's load."""
     return load_identity(request.class_name, request.ordering_key or "", request.body)
 
 
 def outcome_of(knowledge: LoadKnowledge, may_report_success: bool) -> LoadOutcome:
-    """The outcome for the gateway. may_report_success: its class allows a success to be reported without the
-    result."""
+    """Convert the knowledge of a load to the gateway's outcome.
+
+    `may_report_success` tells whether its class allows a success to be reported without the result.
+    """
     if knowledge is LoadKnowledge.SUCCEEDED:
         return LoadOutcome.SUCCEEDED if may_report_success else LoadOutcome.MAY_HAVE_RUN
     return OUTCOME_OF_KNOWLEDGE[knowledge]
--- a/cottonhold/fleet_adapters/recovery_folder.py
+++ b/cottonhold/fleet_adapters/recovery_folder.py
@@ -1,4 +1,4 @@
-"""What recovery stores in an instance's folder, and reads from it at the start."""
+"""The records that recovery stores in an instance's state folder, and reads from it at the start."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import Hint, Record, RecordError, RecordKind
 
-SITE_KEY = b"site"  # the instance's own site report: a hint
-CHECKPOINT_BOOT_KEY = b"base"  # the boot up to which a folder's loads are complete; none: they are not
-CHECKPOINT_MARK_KEY = (
-    b"mark"  # the mark in that boot; beside it, so that a program from before marks reads the boot
-)
-NUMBER_BYTES = 2  # of a dispatcher's number as a key
-COUNT_BYTES = 8  # of a boot count or checkpoint
+SITE_KEY = b"site"  # key of the instance's own site report, a hint
+# Key of the boot up to which the folder's loads are complete; without this record they are not complete.
+CHECKPOINT_BOOT_KEY = b"base"
+# Key of the mark within that boot. It is a separate record, so that a version without marks reads the boot.
+CHECKPOINT_MARK_KEY = b"mark"
+NUMBER_BYTES = 2  # length of a dispatcher's number as a key
+COUNT_BYTES = 8  # length of a boot count or checkpoint
 
-INCARNATIONS_PER_BOOT = 1 << 42  # more than an incarnation taken from a clock's ms ever was
-FIRST_COUNTED_INCARNATION = 0x8000_0000  # of one counted by boots: above all that were taken from a clock
+INCARNATIONS_PER_BOOT = 1 << 42  # exceeds any incarnation that was taken from a clock in ms
+FIRST_COUNTED_INCARNATION = 0x8000_0000  # boot-counted incarnations start above all that a clock gave in s
 
 
 class KnownPeer(NamedTuple):
@@ -35,28 +35,31 @@
 
 @dataclass(slots=True, frozen=True)
 class FolderState:
-    """What a folder showed at the start. checkpoint: 0 where its loads are not complete; peers: by number,
-    hints."""
+    """The state of a folder as it was read at the start."""
 
-    checkpoint: int
+    checkpoint: int  # 0: the folder's loads are not complete
     memory: MemoryState
-    peers: dict[int, KnownPeer]
+    peers: dict[int, KnownPeer]  # hints about other dispatchers, by number
 
 
 def open_ledger(installation: Installation, folder: Path) -> Ledger | None:
-    """The instance's ledger; None where none is kept. Raises StoreError."""
+    """Open the instance's ledger; return None if the configuration has none.
+
+    Raises:
+        StoreError: The folder can't be used.
+    """
     if not installation.file.state_dir:
         return None
     return Ledger.open(folder / installation.file.state_dir, installation.file.name)
 
 
 def incarnation_of(ledger: Ledger) -> int:
-    """The incarnation that an instance's reports carry."""
+    """Return the incarnation that an instance's reports carry."""
     return FIRST_COUNTED_INCARNATION + ledger.boot_count & MAX_UINT32
 
 
 def read_folder(ledger: Ledger) -> FolderState:
-    """The state of a folder as of its start."""
+    """Read the state that a folder had when its ledger was opened."""
     records = ledger.records(RecordKind.INCARNATION)
     complete_boot, mark = (
         int.from_bytes(records.get(key, b""), "big") for key in (CHECKPOINT_BOOT_KEY, CHECKPOINT_MARK_KEY)
@@ -70,7 +73,7 @@
 
 
 def checkpoint_records(checkpoint: int) -> list[Record]:
-    """The records of a checkpoint."""
+    """Return the records that store a checkpoint."""
     parts = zip(
         (CHECKPOINT_BOOT_KEY, CHECKPOINT_MARK_KEY), divmod(checkpoint, CHECKPOINTS_PER_BOOT), strict=True
     )
@@ -78,13 +81,13 @@
 
 
 def peer_record(number: int, peer: KnownPeer) -> Record:
-    """The record of what is known of another dispatcher."""
+    """Return the record that stores the boot count and checkpoint of another dispatcher."""
     value = peer.boot_count.to_bytes(COUNT_BYTES, "big") + peer.checkpoint.to_bytes(COUNT_BYTES, "big")
     return Record(RecordKind.MEMBER, number.to_bytes(NUMBER_BYTES, "big"), Hint(value, 0.0).encode())
 
 
 def _known_peers(ledger: Ledger) -> dict[int, KnownPeer]:
-    """What is known of the others, as far as the folder can be read."""
+    """Return the boot counts and checkpoints of other dispatchers, without unreadable records."""
     peers = {}
     for key, record in ledger.records(RecordKind.MEMBER).items():
         try:
@@ -98,7 +101,7 @@
 
 
 def restore_site_report(ledger: Ledger, cost: CostEstimator) -> bool:
-    """Give the estimator the site report from before the power loss; returns false if that can't be read."""
+    """Restore the site report from before the power loss; return False if it can't be decoded."""
     value = ledger.records(RecordKind.WARM_DATA).get(SITE_KEY)
     try:
         if value is not None:
@@ -109,6 +112,6 @@
 
 
 def save_site_report(ledger: Ledger, cost: CostEstimator, now: float) -> None:
-    """Write the site report to the disk, if it is due."""
+    """Write the site report to the disk if it is due."""
     if data := cost.report_to_save(now):
         ledger.put([Record(RecordKind.WARM_DATA, SITE_KEY, Hint(data, 0.0).encode())])
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -1,7 +1,8 @@
-"""Carries out rolling replacement: registers over the voters, durable promises, and actions on this machine.
+"""Runs rolling replacement: registers shared by the voters, durable promises, and actions on this machine.
 
-Decides nothing. With session affinity a machine's keys move before it goes; without it, it is out once its
-open requests have ended. What concerns engines is in engine_drain.py.
+The adapter makes no decisions of its own. With session affinity a machine's keys move to others before it is
+removed; without it, a machine can be removed once its open requests have ended. Engines are drained by
+engine_drain.py.
 """
 
 from __future__ import annotations
@@ -43,9 +44,9 @@
 from cottonhold.store.records import Record, RecordKind
 from cottonhold.transport.clock import Clock, Timer
 
-FIRST_KIND, LAST_KIND = 64, 79  # first bytes of messages
+FIRST_KIND, LAST_KIND = 64, 79  # range of the first byte of the registers' messages
 MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 5.0, 250.0
-WON_BY_RESULT = {
+WON_BY_RESULT = {  # whether a change took effect; None: not known
     ChangeResult.WON: True,
     ChangeResult.LOST: False,
     ChangeResult.UNKNOWN: None,
@@ -54,30 +55,40 @@
 
 
 class KeyMover(Protocol):
-    """What the replacement needs of session affinity."""
+    """The part of session affinity that rolling replacement uses."""
 
     def remaining_here(self) -> int:
-        """Return how much is left here before this machine may be taken out."""
+        """Return the number of keys and requests that still prevent this machine's removal."""
 
     def remaining_elsewhere(self) -> dict[str, int | None]:
-        """Return the same of other machines that are being replaced, as far as it is known here."""
+        """Return the same number for the other machines in replacement; None where it is not known here."""
 
     def move_keys(self, max_keys: int) -> None:
-        """Move at most so many keys to others."""
+        """Move at most `max_keys` keys to other members."""
 
     def on_outcome(self, token: int, won: bool | None, version: int, value: bytes) -> None:
-        """A change or read of a register has ended."""
+        """Receive the outcome of a register change or read; `won` is None if it is not known."""
 
     def on_register_changed(self, name: str, version: int, value: bytes) -> None:
-        """A register has changed."""
+        """Receive a new version of a register."""
 
 
 class ReplacementCallError(Exception):
-    """A call that cannot be accepted; its text says what is wrong in it."""
+    """An operator's call is invalid; the message states the reason."""
 
 
 class RollingReplacementAdapter:
-    """Feeds one instance's replacement and registers, and carries out their actions."""
+    """Passes events and time to one instance's replacement and registers, and executes their actions.
+
+    Args:
+        survey: The membership survey, which provides dispatcher numbers and incarnations.
+        lifecycle: The lifecycle of this process, which a replacement of this machine drains.
+        hop: Calls a function in the event loop's thread; may be called in any thread.
+        send: Sends a payload to a member.
+        open_requests: Returns the number of open requests of this instance.
+        log: Logs an event with its fields.
+        drains: The drains of engines.
+    """
 
     def __init__(
         self,
@@ -116,8 +127,10 @@
         self.key_mover: KeyMover | None = None
 
     def _make_registers(self, ledger: Ledger) -> Registers:
-        """The registers, with what this voter promised before its start. One with an empty or old folder
-        starts without promises, and recovers them from the others."""
+        """Make the registers with the promises that this voter made before its start.
+
+        A voter whose folder is empty or stale starts without promises, and recovers them from the others.
+        """
         promises = ledger.records(RecordKind.PROMISE) if ledger.completeness is Completeness.COMPLETE else {}
         return Registers(
             self.swim.id,
@@ -129,7 +142,7 @@
         )
 
     def start(self) -> None:
-        """Begin; from now on it steps by its own timer."""
+        """Run the first step; later steps run by the adapter's own timer."""
         self._step()
 
     def close(self) -> None:
@@ -138,7 +151,7 @@
             self.timer.cancel()
 
     def on_message(self, member: int, payload: bytes) -> bool:
-        """Apply a datagram's payload; return whether it is a register's, or of drained engines."""
+        """Apply a member's payload; return whether it is a register message or a drain report."""
         if self.drains.on_message(payload):
             return True
         if not payload or not FIRST_KIND <= payload[0] <= LAST_KIND:
@@ -148,7 +161,11 @@
         return True
 
     def call(self, call: Mapping[str, Any]) -> dict[str, Any]:
-        """Handle a call at this instance's socket: `swap` or `abort`. Raises ReplacementCallError."""
+        """Handle an operator's call `swap` or `abort`, and return the status.
+
+        Raises:
+            ReplacementCallError: The call is invalid.
+        """
         who, why = call.get("who"), call.get("why")
         if not isinstance(who, str) or not who:
             raise ReplacementCallError("who has to be given")
@@ -167,7 +184,7 @@
         return self.status()
 
     def status(self) -> dict[str, Any]:
-        """Return the view of this instance, for operators."""
+        """Return the replacements that this instance knows, for the status socket."""
         now = self.clock.now()
         rows = [
             {
@@ -204,7 +221,7 @@
         )
 
     def _update_view(self, now: float) -> None:
-        """Pass on what this instance sees."""
+        """Report the machines, open requests and troubles that this instance observes to the coordinator."""
         coordinator, live = self.coordinator, set(self.swim.live_members())
         dispatchers = [self._machine(self.name, self.swim.id, self.survey.number, self.survey.incarnation)]
         dispatchers[0] = replace(dispatchers[0], is_voting=self.registers.is_voting())
@@ -230,7 +247,7 @@
             )
         demand = self.fleet.demand
         is_shedding_load = demand is not None and demand.threshold is not None and demand.threshold.step > 0
-        # Shedding has a name of its own: a draining engine may cause it, and must not block itself.
+        # Load shedding is a separate reason: a draining engine may cause it and must not block itself by it.
         coordinator.set_fleet_trouble(
             now, "sheds", "the fleet turns requests away" if is_shedding_load else ""
         )
@@ -245,7 +262,7 @@
 
     def _machine(self, name: str, member: int, number: int, incarnation: int) -> Machine:
         zone = self.zones_by_number[number] if number < len(self.zones_by_number) else ""
-        # Capacity planning knows engines only, so a dispatcher counts as 0 cores.
+        # Capacity planning covers engines only, so a dispatcher has 0 cores.
         return Machine(name, zone, 0.0, False, incarnation, member in self.voters)
 
     def _carry_out_replacement(self, now: float, action: step_decision.Action) -> None:
@@ -276,7 +293,7 @@
                 )
 
     def use_register(self, action: ChangeRegister | ReadRegister) -> None:
-        """Change or read a register, for this part or for session affinity; both get the outcome."""
+        """Change or read a register for rolling replacement or session affinity; both receive the outcome."""
         now = self.clock.now()
         if isinstance(action, ReadRegister):
             self._carry_out_registers(self.registers.read(now, action.name, action.token))
@@ -297,15 +314,15 @@
                     if self.key_mover is not None:
                         self.key_mover.on_register_changed(name, version, value)
                 case OperationOutcome(token, result, version, value) if token:
-                    # An operation that was lost without an answer says nothing of the register.
+                    # An operation that was lost without an answer gives no information about the register.
                     won = WON_BY_RESULT[result] if version >= 0 else None
                     self.coordinator.on_outcome(self.clock.now(), token, won, version, value)
                     if self.key_mover is not None:
                         self.key_mover.on_outcome(token, won, version, value)
 
     def _persist(self, name: str, data: bytes, token: int) -> None:
-        # An answer is sent only once its record is on disk, or a power loss could break a promise. A failed
-        # write is repeated, since the voter stays silent until then.
+        # The voter answers only once the record is on disk, or a power loss could break a promise. A failed
+        # write is retried, since the voter does not answer before it succeeds.
         record = Record(RecordKind.PROMISE, name.encode(), data or None)
         self.record_writer.put(record, lambda: self._on_persisted(token))
 
--- a/cottonhold/fleet_adapters/unavailable_load_guard.py
+++ b/cottonhold/fleet_adapters/unavailable_load_guard.py
@@ -1,4 +1,4 @@
-"""The gateway's load guard while there is no ledger."""
+"""The gateway's load guard while the ledger can't be opened."""
 
 from __future__ import annotations
 
@@ -15,9 +15,14 @@
 
 
 class UnavailableLoadGuard:
-    """The guard while the folder is another process's still, or its disk fails: no load is sent, all else is.
+    """Rejects loads while another process still holds the folder or its disk fails; other queries are sent.
 
-    classes: by guarded class, whether a success may be reported; retry_after_ms: sent with each rejection.
+    Args:
+        classes: Indexes of the guarded classes, and whether a success may be reported without the result.
+        retry_after_ms: Delay sent with each rejection, in ms.
+        history: The load history from the folder's readable records.
+        now: Returns the time of this process's clock, in ms.
+        counters: The counters of this instance.
     """
 
     def __init__(
@@ -32,14 +37,16 @@
         self.counters, self.expired_at = counters, now()
 
     def guards(self, query_class: int) -> bool:
-        """Whether requests of a class would have to be recorded."""
+        """Return whether requests of a class have to be recorded."""
         return query_class in self.classes
 
     def on_load_arrived(
         self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
     ) -> None:
-        """Answered at once: to retry later, or what is known of a retry. A retry is noted in the history,
-        which bounds for how long it is told to retry later."""
+        """Tell the client to retry later, or report what the history knows about a retry.
+
+        The history records a retry, and limits the time for which it is told to retry later.
+        """
         self.counters.add("loads_unkept")
         knowledge, now = LoadKnowledge.NOT_KNOWN_YET, self.now()
         if client_request.is_retry:
@@ -52,11 +59,11 @@
     def before_attempt_sent(
         self, attempt: Attempt, client_request: ClientRequest, on_recorded: Callable[[bool], None]
     ) -> None:
-        """An attempt of a request that was accepted under another ledger: it can't be recorded."""
+        """Report that an attempt can't be recorded."""
         on_recorded(False)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
-        """Nothing was recorded."""
+        """Do nothing, since no attempt was recorded."""
 
     def on_request_closed(self, request_id: str) -> None:
-        """Nothing was recorded."""
+        """Do nothing, since no request was recorded."""
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -1,6 +1,6 @@
-"""Runs the fleet's coordinator: feeds it what happens here, keeps its timer and carries out its actions.
+"""Runs the fleet's coordinator: passes it local events and time, and executes its actions.
 
-Decides nothing.
+The adapter makes no decisions of its own.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 from cottonhold.scheduler.events import AdmissionThreshold, AttemptEnded, EngineQuotas, Outcome
 from cottonhold.transport.clock import Clock, Timer
 
-# What the end of an attempt says of its engine. One that was rejected, cancelled or never sent says nothing;
-# nor does a time-out, since the query may have spent its time in the queue here: it counts as a cancelled
-# attempt, by how long the attempt itself ran.
+# Whether an attempt's outcome is evidence for or against its engine. Attempts that were rejected, cancelled
+# or never sent are no evidence. Neither is a time-out, since the query may have spent its time in this
+# instance's queue: it counts as a cancelled attempt, with the time that the attempt itself ran.
 SUCCEEDED = {
     Outcome.OK: True,
     Outcome.ERROR: False,
@@ -42,20 +42,20 @@
     Outcome.RESET: False,
 }
 MODES = {name: mode for mode, name in MODE_NAMES.items()}
-MAX_OVERRIDE_MS = 7 * 86_400_000.0  # one that nobody remembers expires at last
-MIN_CHECK_AGE_MS = 3000.0
-CHECK_AGE_INTERVALS = 2.5  # health checks that may be missed
-TIMER_SLACK_MS = 0.5  # so that a step is due when its timer fires
+MAX_OVERRIDE_MS = 7 * 86_400_000.0  # longest duration of an override, so that a forgotten one expires
+MIN_CHECK_AGE_MS = 3000.0  # lower limit of the age to which a successful health check counts
+CHECK_AGE_INTERVALS = 2.5  # the same age in health check intervals
+TIMER_SLACK_MS = 0.5  # added to timers, so that the step is due when its timer fires
 
 
 class OverrideError(Exception):
-    """An operator's override is invalid; the text says what is wrong in it."""
+    """An operator's override is invalid; the message states the reason."""
 
 
 class ObservedRequest(NamedTuple):
-    """The data of a request that is open, and its estimated work; negative group: none."""
+    """The data set and the estimated work of an open request."""
 
-    table_group: int
+    table_group: int  # negative: the request names none
     estimated_work_ms: float
 
 
@@ -65,8 +65,14 @@
 def make_coordinator(
     installation: Installation, self_id: int, now: float, incarnation: int
 ) -> FleetCoordinator:
-    """The coordinator of an installation that has a section `fleet`. incarnation: as its folder counts, else
-    the second of its start."""
+    """Make the coordinator of an installation that has a section `fleet`.
+
+    Args:
+        installation: The configuration in force.
+        self_id: Member id of this instance.
+        now: The time in ms of the clock.
+        incarnation: The incarnation from the ledger, or without a ledger the start's Unix time in seconds.
+    """
     file, section = installation.file, installation.file.fleet
     assert section is not None and file.membership is not None
     slow_start = None
@@ -100,10 +106,18 @@
 
 
 class ZoneFailoverAdapter:
-    """Runs a coordinator.
-
-    send: a message to a member; push: an event to the scheduler; check_health: starts a health check of an
-    engine; dispatcher_number: as configured.
+    """Runs the fleet's coordinator for one instance.
+
+    Args:
+        coordinator: The coordinator, which makes the decisions.
+        swim: The membership protocol.
+        clock: This process's clock.
+        counters: The counters of this instance.
+        send: Sends a message to a member.
+        push: Queues an event for the scheduler.
+        log: Logs an event with its fields.
+        check_health: Starts a health check of an engine; returns whether it could be sent.
+        dispatcher_number: The configured number of this dispatcher.
     """
 
     def __init__(
@@ -125,24 +139,24 @@
         self.open_requests: dict[str, ObservedRequest] = {}
 
     def start(self) -> None:
-        """Begin; from now on it steps by its own timer."""
+        """Run the first step; later steps run by the adapter's own timer."""
         if self.coordinator.demand is not None:
-            self.push(AdmissionThreshold())  # that admits all
+            self.push(AdmissionThreshold())  # a threshold that admits all requests
         self._step()
 
     def on_member_joined(self) -> None:
-        """Another instance is there."""
+        """Run a step right away; called when another instance has joined."""
         self._step()
 
     def on_request_arrived(self, client_request: ClientRequest) -> float | None:
-        """A request has arrived; returns its draw where there may be a threshold."""
+        """Record an arriving request; return its admission draw, None without load shedding."""
         self.coordinator.on_request(self.clock.now(), client_request.query_class)
         if self.coordinator.demand is None:
             return None
         return admission_draw(client_request.request_id.encode(), client_request.is_retry)
 
     def on_demand_estimated(self, client_request: ClientRequest, utility: float, work_ms: float) -> None:
-        """A request's utility, and its work in ms."""
+        """Record the scheduler's estimate of a request's utility and work in ms."""
         now, cost = self.clock.now(), self.coordinator.failover_cost
         if self.coordinator.demand is not None:
             self.coordinator.demand.on_request(now, utility, work_ms, client_request.is_retry)
@@ -155,16 +169,16 @@
             )
 
     def on_admission_settled(self, waited_fraction: float, was_rejected: bool) -> None:
-        """An admitted request was sent after a part of its time, or was rejected after all."""
+        """Record that an admitted request was sent or rejected, after a fraction of its timeout."""
         if self.coordinator.demand is not None:
             self.coordinator.demand.on_admitted(waited_fraction, was_rejected)
 
     def on_attempt_sent(self, attempt: Attempt, query_class: int) -> None:
-        """An attempt has been sent."""
+        """Record that an attempt is about to be sent."""
         self.coordinator.on_attempt_sent(self.clock.now(), _attempt_id(attempt), attempt.engine, query_class)
 
     def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """An attempt has ended."""
+        """Record the outcome of an attempt."""
         now, succeeded, cost = self.clock.now(), SUCCEEDED.get(event.outcome), self.coordinator.failover_cost
         actual_work_ms = event.actual_work_ms
         if cost is not None and succeeded:
@@ -178,42 +192,46 @@
         )
 
     def on_request_closed(self, request_id: str) -> None:
-        """A request is over for its client."""
+        """Remove a request whose client has its final response."""
         self.open_requests.pop(request_id, None)
 
     def on_health_check_time(self, engine: str, round_trip_ms: float) -> None:
-        """An engine has answered a health check of this instance after so long."""
+        """Record the round-trip time of a health check that this instance sent."""
         zone = self.coordinator.zone_of.get(engine)
         if self.coordinator.failover_cost is not None and zone is not None:
             self.coordinator.failover_cost.on_health_check_answer(zone, round_trip_ms)
 
     def on_health_check(self, engine: str, outcome: Outcome) -> None:
-        """A health check has ended here, or a good one elsewhere."""
+        """Record a health check of this instance, or a successful one of another instance."""
         self.coordinator.on_health_check(self.clock.now(), engine, outcome is Outcome.OK)
 
     def set_engines(self, engines: Mapping[str, Mapping[str, float]]) -> None:
-        """Exactly these engines exist. engines: cores by zone and engine."""
+        """Replace the engines in service; `engines` has the cores of each by zone and engine."""
         self.coordinator.set_engines(engines, self.clock.now())
 
     def on_list_received(self) -> None:
-        """A source of the endpoint list has answered since the start."""
+        """Notify slow start once that a source of the engine list has answered since the start."""
         slow_start = self.coordinator.slow_start
         if slow_start is not None and not slow_start.is_listed:
             slow_start.on_list_received(self.clock.now())
 
     def on_message(self, member: int, payload: bytes) -> None:
-        """Bytes from another instance."""
+        """Apply a fleet message from another instance."""
         self._carry_out(self.coordinator.on_message(self.clock.now(), member, payload))
         self._arm()
 
     def set_process_count(self, processes: int) -> None:
-        """So many processes stand for this dispatcher now."""
+        """Divide the engine quotas by the number of processes that now run as this dispatcher."""
         self.coordinator.quotas.process_count = processes
         if self.coordinator.slow_start is not None:
             self.coordinator.warmup_quotas.process_count = processes
 
     def issue_override(self, call: Mapping[str, Any]) -> dict[str, Any]:
-        """An operator's override from this instance's socket. Raises OverrideError."""
+        """Issue an override that an operator requested at the status socket, and return the status.
+
+        Raises:
+            OverrideError: The call is invalid.
+        """
         zone, mode = call.get("zone"), MODES.get(str(call.get("mode")))
         lasts_ms, who, why = call.get("for_ms"), call.get("who"), call.get("why")
         if mode is None:
@@ -241,7 +259,7 @@
         return self.status()
 
     def status(self) -> dict[str, Any]:
-        """What `cottonhold zone show` prints, under the keys that operators know."""
+        """Return the status that `cottonhold zone show` prints."""
         names = {self.swim.id: self.swim.name, **{m.id: m.name for m in self.swim.members.values()}}
         return {
             "outlook": self._cost_status(),
@@ -252,7 +270,7 @@
         }
 
     def _threshold_status(self) -> dict[str, float] | None:
-        """The admission threshold in force."""
+        """Return the admission threshold in force; None without one."""
         demand = self.coordinator.demand
         if demand is None or demand.threshold is None:
             return None
@@ -260,14 +278,14 @@
         return {"worth_a_ms": density_of_step(threshold.step), "share": round(threshold.admitted_share, 3)}
 
     def _warming_status(self) -> dict[str, float]:
-        """Engines that warm up, and the share of their capacity that all may send."""
+        """Return the share of each warming engine's capacity that all dispatchers together may use."""
         slow_start = self.coordinator.slow_start
         if slow_start is None:
             return {}
         return {engine: round(slow_start.share(engine), 3) for engine in sorted(slow_start.warming)}
 
     def _cost_status(self) -> dict[str, Any] | None:
-        """What it would cost if a zone were out now, and who would serve its clients."""
+        """Return for each zone the cost of its outage now, and the zones that would serve its clients."""
         cost = self.coordinator.failover_cost
         if cost is None:
             return None
@@ -291,8 +309,7 @@
         self._arm()
 
     def _check_unproven(self, now: float) -> None:
-        """Check engines that have to answer first: each by one dispatcher a time slot, whoever is there
-        yet."""
+        """Check engines that have not answered yet; each engine has one checking dispatcher per time slot."""
         slow_start = self.coordinator.slow_start
         if slow_start is None or now - self.checked_at < slow_start.settings.checker_slot_ms:
             return
@@ -327,7 +344,7 @@
 
 
 def _threshold_event(update: ThresholdUpdate) -> AdmissionThreshold:
-    """The scheduler's event for an update."""
+    """Convert an update of the admission threshold to the scheduler's event."""
     threshold = update.threshold
     if threshold is None:
         return AdmissionThreshold()
@@ -336,7 +353,7 @@
 
 
 def _cost_row(projection: Projection) -> dict[str, float]:
-    """A projection under the names that `cottonhold zone show` knows."""
+    """Return a projection under the keys that `cottonhold zone show` reads."""
     return {
         "offered": projection.offered_utility,
         "worth": projection.served_utility,
@@ -351,7 +368,7 @@
 
 
 def _data_set(table_group: int) -> str:
-    """The name of a request's data set; empty without one."""
+    """Return the name of a request's data set; empty without one."""
     return str(table_group) if table_group >= 0 else ""
 
 
