--- a/cottonhold/node/__init__.py
+++ b/cottonhold/node/__init__.py
@@ -1,1 +1,1 @@
-"""One dispatcher put together: the gateway, the lifecycle, the operators' calls."""
+"""The dispatcher process: the gateway, the lifecycle and the operators' interfaces."""
--- a/cottonhold/node/admin_api.py
+++ b/cottonhold/node/admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API: HTTP/1.1, one call a connection, as state machines that know no socket."""
+"""The operators' HTTP API: HTTP/1.1, one call per connection, as state machines independent of sockets."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from cottonhold.transport.clock import Clock, Timer
 from cottonhold.transport.interface import StreamHandle
 
-CALL_TIMEOUT_MS = 2000.0  # from connecting to the call's last byte
-MAX_HEAD_BYTES = 8 * 1024  # of a call's line and headers
-MAX_BODY_BYTES = 64 * 1024  # of a body, which is read and discarded
+CALL_TIMEOUT_MS = 2000.0  # longest time from connecting to the call's last byte
+MAX_HEAD_BYTES = 8 * 1024  # largest size of the request line and headers
+MAX_BODY_BYTES = 64 * 1024  # largest size of a body, which is read and discarded
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -32,18 +32,26 @@
     """A call's response."""
 
     status: int
-    text: str  # for 405 the method that is allowed
+    text: str  # for status 405 the method that is allowed
 
 
 class Route(NamedTuple):
-    """What a path is for."""
+    """The method and the handler of a path."""
 
     method: bytes
     handler: Callable[[], Response]
 
 
 class AdminApi:
-    """What all connections share: the state that they ask and change, and how many there may be at once."""
+    """Handles the calls of all connections, and limits the number of open connections.
+
+    Args:
+        lifecycle: The lifecycle that calls query and change.
+        clock: This process's clock.
+        counters: The counters of this process.
+        log_event: Logs an event with its fields.
+        max_connections: Largest number of open connections.
+    """
 
     def __init__(
         self,
@@ -63,9 +71,9 @@
         }
 
     def open(self) -> AdminConnection:
-        """The state machine of a new connection; at the limit, an answered one or the oldest makes room.
+        """Return the state machine of a new connection; at the limit, close an answered or the oldest one.
 
-        Callers that send nothing, or half a call, and stay must not keep others from being answered.
+        Callers that stay connected without sending a complete call must not block other callers.
         """
         if len(self.connections) >= self.max_connections:
             oldest = next((c for c in self.connections if c.is_closing), next(iter(self.connections)))
@@ -76,7 +84,7 @@
         return connection
 
     def respond(self, method: bytes, path: bytes) -> Response:
-        """Carry out a call."""
+        """Execute a call and return its response."""
         route = self.routes.get(path)
         if route is None:
             return Response(404, "no such call")
@@ -102,7 +110,7 @@
 
 
 class AdminConnection:
-    """One connection, with the one call on it."""
+    """The state machine of one connection, which accepts one call."""
 
     def __init__(self, api: AdminApi) -> None:
         self.api = api
@@ -115,7 +123,7 @@
         self.timer: Timer = api.clock.call_in(CALL_TIMEOUT_MS, self._on_timeout)
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the caller."""
+        """Process bytes from the caller."""
         if self.is_closing:
             return
         self.received_bytes += len(data)
@@ -132,19 +140,19 @@
             self._respond(Response(413, f"at most {MAX_BODY_BYTES} bytes"))
 
     def take_output(self) -> bytes:
-        """Take what is to be written now."""
+        """Return and clear the bytes to be written to the caller."""
         data, self.output = self.output, b""
         return data
 
     def on_closed(self) -> None:
-        """The connection has ended."""
+        """Release the connection; called when it has been closed."""
         if not self.is_closed:
             self.is_closed = self.is_closing = True
             self.timer.cancel()
             self.api.connections.pop(self, None)
 
     def evict(self) -> None:
-        """Close at once, to make room; a call that has arrived, read or not, is answered first."""
+        """Close the connection to make room for another; first answer a call that has already arrived."""
         if self.stream is not None:
             self.stream.read_available()
             self.stream.close_gracefully()
@@ -154,15 +162,15 @@
             stream.abort()
 
     def on_url(self, url: bytes) -> None:
-        """The parser's callback: the call's path, maybe in parts."""
+        """Append a part of the call's path; called by the parser."""
         self.path += url
 
     def on_headers_complete(self) -> None:
-        """The parser's callback: what follows is a body, which nobody wants."""
+        """Record that a body follows, which is discarded; called by the parser."""
         self.is_reading_head = False
 
     def on_message_complete(self) -> None:
-        """The parser's callback: the call is complete; what follows on this connection is not read."""
+        """Execute the complete call, and ignore all bytes after it; called by the parser."""
         if not self.is_closing:
             method = self.parser.get_method()
             self._respond(self.api.respond(method, self.path.partition(b"?")[0]))
@@ -171,7 +179,7 @@
         self._respond(Response(408, "the call did not come in time"))
 
     def _respond(self, response: Response) -> None:
-        """The one response, with which the connection ends."""
+        """Send the only response, after which the connection is closed."""
         if self.is_closing:
             return
         self.is_closing = True
@@ -185,7 +193,7 @@
 
 
 def encode_response(status: int, text: str) -> bytes:
-    """A response as bytes."""
+    """Encode a response as HTTP/1.1."""
     allow = f"Allow: {text}\r\n" if status == 405 else ""
     body = f"{text}\n"
     head = f"HTTP/1.1 {status} {REASONS[status]}\r\n{allow}Content-Type: text/plain\r\n"
--- a/cottonhold/node/attempt_sender.py
+++ b/cottonhold/node/attempt_sender.py
@@ -1,6 +1,6 @@
-"""Attempts of open requests: started, changed and cancelled as the scheduler decided.
+"""Starts, changes and cancels attempts of open requests as the scheduler decides.
 
-A load's attempt is started once the load guard has recorded it. One of which nothing was sent ends here.
+The attempt of a load starts once the load guard has recorded it. An attempt that was never sent ends here.
 """
 
 from __future__ import annotations
@@ -16,11 +16,20 @@
 from cottonhold.scheduler.events import AttemptEnded, Outcome
 from cottonhold.transport.clock import Clock
 
-RESPONSE_MARGIN_MS = 15.0  # an attempt ends this long before its request's deadline
+RESPONSE_MARGIN_MS = 15.0  # time between an attempt's deadline and that of its request
 
 
 class AttemptSender:
-    """Sends the attempts of one gateway's requests. on_ended: called for one that was never started."""
+    """Sends the attempts of one gateway's requests.
+
+    Args:
+        requests: The gateway's open requests, by id.
+        engines: The connections to the engines.
+        clock: This process's clock.
+        notifications: Notifies the observer and the load guard.
+        faults: Handles faults of the scheduler's steps and actions.
+        on_ended: Called when an attempt has ended that was never started.
+    """
 
     def __init__(
         self,
@@ -35,11 +44,11 @@
         self.notifications, self.faults, self.on_ended = notifications, faults, on_ended
 
     def send(self, action: Send) -> None:
-        """Make and start an attempt."""
+        """Create an attempt and start it; a load's attempt starts once it is recorded."""
         request = self.requests.get(action.query_id)
         if request is None or request.response_sink is None:
-            # The client left in the turn in which this attempt was decided on: the scheduler must release
-            # the attempt's capacity and its ordering key.
+            # The client disconnected in the iteration in which the scheduler decided on this attempt: the
+            # scheduler must release the attempt's capacity and its ordering key.
             self.faults.forget_attempt(action.query_id, action.engine)
             return
         attempt = self._new_attempt(request, action)
@@ -53,7 +62,7 @@
         if load_guard is None or not load_guard.guards(client_request.query_class):
             self._start(request, attempt)
             return
-        # A load must be recorded durably before it is sent: sent first, a power loss would leave it unknown.
+        # A load must be recorded durably before it is sent, or a power loss could leave it without a record.
         load_guard.before_attempt_sent(
             attempt, client_request, lambda recorded: self._resolve_recording(request, attempt, recorded)
         )
@@ -80,7 +89,7 @@
         return request.attempt
 
     def _resolve_recording(self, request: OpenRequest, attempt: Attempt, is_recorded: bool) -> None:
-        """A load has been recorded and may be sent, or it ends unsent: not recorded in time, or cancelled."""
+        """Start a recorded load; end it unsent if it was not recorded in time or its client has left."""
         if not _awaits_recording(request, attempt):
             return
         if is_recorded and request.response_sink is not None:
@@ -93,7 +102,7 @@
             self._end_unstarted(request, attempt, self.engines.unsent_outcome())
 
     def _end_unstarted(self, request: OpenRequest, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt of which nothing was sent has ended."""
+        """End an attempt that was never sent."""
         request.attempt = None
         event = AttemptEnded(attempt.request_id, attempt.number, attempt.engine, outcome, 0.0)
         self.notifications.attempt_not_started(attempt, event)
@@ -107,7 +116,7 @@
                 self.engines.change_priority(request.attempt, action.priority)
 
     def cancel(self, action: Cancel) -> None:
-        """Cancel an attempt, if it is in flight still; one that waits to be recorded ends unstarted."""
+        """Cancel an attempt if it is still in flight; one that waits for its record ends unsent."""
         request = self.requests.get(action.query_id)
         if request and request.attempt is not None and request.attempt.number == action.attempt:
             self._resolve_recording(request, request.attempt, False)
@@ -115,9 +124,9 @@
                 self.engines.cancel(request.attempt, Outcome.CANCELLED)
 
     def expedite(self, attempt: Attempt, request_deadline: float, has_priorities: bool) -> None:
-        """Cut an attempt in flight to its request's deadline, at the highest priority where there are any.
+        """Limit an attempt in flight to its request's new deadline, and raise its priority if enabled.
 
-        It has run in part already, and would be lost otherwise.
+        Without that, the work that the engine has already done for it would be lost.
         """
         self.engines.shorten_deadline(attempt, request_deadline - RESPONSE_MARGIN_MS)
         if has_priorities:
@@ -125,5 +134,5 @@
 
 
 def _awaits_recording(request: OpenRequest, attempt: Attempt) -> bool:
-    """Whether an attempt still waits to be recorded."""
+    """Return whether an attempt still waits to be recorded."""
     return request.attempt is attempt and attempt.connection is None
--- a/cottonhold/node/client_request.py
+++ b/cottonhold/node/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the gateway handles it, and the way back to the client."""
+"""A client's request as the gateway handles it, and its decoding from a statement."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientRequest:
-    """A request as a client protocol decoded it, under the settings in force at its arrival."""
+    """A decoded request, with indexes into the settings in force at its arrival."""
 
     request_id: str
     query_class: int  # index in `Settings.classes`
@@ -32,19 +32,19 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that is owed a response, or whose attempt has not ended yet."""
+    """A request without a final response, or with an attempt that has not ended yet."""
 
     client_request: ClientRequest
     deadline: float  # ms of the gateway's clock
     response_sink: ResponseSink | None  # None once the final response has been given
-    attempts: int = 0
+    attempts: int = 0  # number of attempts so far
     priority: int = 1
-    attempt: Attempt | None = None  # the one in flight
+    attempt: Attempt | None = None  # the attempt in flight
     was_admitted: bool = False  # not rejected in the step in which it arrived
 
 
 class RequestDecoder:
-    """Turns decoded statements into requests, with the indexes of classes and tenants by name."""
+    """Converts statements to requests, which refer to query classes and tenants by index."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -52,7 +52,11 @@
         self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
     def decode(self, statement: Statement, arrived_at: float) -> ClientRequest:
-        """The request of a statement. Raises FieldError for an unknown class or tenant."""
+        """Convert a statement to a request.
+
+        Raises:
+            FieldError: The class or the tenant is unknown.
+        """
         index = self.class_indexes.get(statement.class_name)
         if index is None:
             raise FieldError(f"field 'service' names no class: '{statement.class_name[:40]}'")
@@ -75,7 +79,11 @@
 
 
 def tenant_index(name: str | None, tenant_indexes: Mapping[str, int]) -> int:
-    """A tenant's index; the first where the client names none or there are none. Raises FieldError."""
+    """Return a tenant's index, or 0 if the client names no tenant or none are configured.
+
+    Raises:
+        FieldError: The tenant is unknown.
+    """
     if name is None or not tenant_indexes:
         return 0
     if name not in tenant_indexes:
--- a/cottonhold/node/consul_client.py
+++ b/cottonhold/node/consul_client.py
@@ -1,4 +1,7 @@
-"""Consul adapter: runs the watches and the dispatcher's own registration, and decides nothing."""
+"""Consul adapter: runs the watches of services and the dispatcher's own registration.
+
+The adapter makes no decisions of its own.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,11 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.transport.event_loop import EventLoop
 
-MIN_PAUSE_MS = 1.0  # so that calls which fail at once don't block the event loop
-LAG_TICK_INTERVAL_S = 0.05
-DEREGISTRATION_RETRY_S = 0.2  # short, as little time is left after SIGTERM
+MIN_PAUSE_MS = 1.0  # shortest pause between calls, so that immediate failures don't block the event loop
+LAG_TICK_INTERVAL_S = 0.05  # interval of the timer that measures the event loop's lag
+DEREGISTRATION_RETRY_S = 0.2  # pause after a failed attempt; short, as little time is left after SIGTERM
 MAX_AGENT_RESPONSE_BYTES = 1 << 20
-DEREGISTRATION_POLL_S = 0.01
+DEREGISTRATION_POLL_S = 0.01  # interval between checks whether the deregistration has ended
 
 
 async def follow_service(
@@ -29,7 +32,15 @@
     publish: Callable[[Iterable[Event]], None],
     counters: Counters,
 ) -> None:
-    """Keep a blocking query open until cancelled, and publish the events of its responses."""
+    """Run blocking queries of a watch until cancelled, and publish the events of their responses.
+
+    Args:
+        event_loop: The event loop whose sockets are used.
+        watch: The watch, which makes requests and interprets responses.
+        tls: The TLS settings; None for plain HTTP.
+        publish: Receives the events of each response or failure.
+        counters: The counters of this process.
+    """
     connection = HttpConnection(event_loop, tls, watch.settings.max_body_bytes)
     try:
         while True:
@@ -51,7 +62,7 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """An error for the log; a time-out has no text of its own."""
+    """Describe an error for the log; a timeout has no text of its own."""
     if isinstance(error, TimeoutError):
         return "no answer in time"
     return f"{type(error).__name__}: {error}"[:300]
@@ -72,13 +83,21 @@
         self.loop.call_at(self.next_tick_at, self._tick)
 
     def take_max_lag_ms(self) -> float:
-        """The largest lag since the last call, including a tick that is overdue now."""
+        """Return and reset the largest lag since the last call, including that of an overdue tick, in ms."""
         worst, self.max_lag_s = max(self.max_lag_s, self.loop.time() - self.next_tick_at, 0.0), 0.0
         return worst * 1000
 
 
 class RegistrationTask:
-    """Keeps the dispatcher's own entry registered until `deregister`."""
+    """Keeps the dispatcher's own entry registered in Consul until `deregister` is called.
+
+    Args:
+        event_loop: The event loop whose sockets are used.
+        registration: The registration, which makes requests and interprets responses.
+        tls: The TLS settings; None for plain HTTP.
+        open_requests: Returns the number of the gateway's open requests.
+        note: Logs an event with its fields.
+    """
 
     def __init__(
         self,
@@ -94,7 +113,7 @@
         self.is_deregistering = asyncio.Event()
 
     async def run(self) -> None:
-        """Register, send heartbeats, and at last deregister."""
+        """Register, send heartbeats, and deregister at the end."""
         registration = self.registration
         try:
             while not registration.is_finished():
@@ -124,7 +143,7 @@
             self.note("registration_changed", id=registration.settings.id, phase=registration.phase.value)
 
     async def deregister(self) -> None:
-        """Have the entry removed; returns once it is, or once that is given up."""
+        """Remove the entry; return once it is removed or the attempts are given up."""
         self.registration.begin_deregistration()
         self.is_deregistering.set()
         while not self.registration.is_finished():
--- a/cottonhold/node/descriptors.py
+++ b/cottonhold/node/descriptors.py
@@ -1,4 +1,4 @@
-"""How the limit on descriptors is divided: in this one place, so that the quotas add up to less than it."""
+"""Divides the limit on file descriptors into quotas, whose sum stays below the limit."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 
 from cottonhold.node.sibling_processes import ProcessRecord
 
-CLIENTS_FRACTION = 0.48  # usual clients hold a third at most; the rest of this is for stalled connections
+CLIENTS_FRACTION = 0.48  # active clients use at most 1/3 of the limit; the rest is for stalled connections
 ENGINES_FRACTION = 0.33
 MIN_QUOTA = 8
-SIBLING_OVERHEAD = 12  # descriptors of a further process for its loop, log and listeners
-ADMIN_FRACTION, MIN_ADMIN, MAX_ADMIN = 1 / 16, 4, 16  # operators' calls, answered whatever else is in use
+SIBLING_OVERHEAD = 12  # descriptors that a sibling process uses for its event loop, log and listeners
+# Reserved for operators' calls, which are answered even when all other descriptors are in use.
+ADMIN_FRACTION, MIN_ADMIN, MAX_ADMIN = 1 / 16, 4, 16
 
 
 @dataclass(slots=True, frozen=True)
 class DescriptorQuotas:
-    """What each part may hold; the rest serves listeners, event stream, peers, log and the loop."""
+    """Numbers of descriptors; the rest is for listeners, event stream, peers, log and the event loop."""
 
-    clients: int
-    engines: int
-    admin: int
+    clients: int  # client connections
+    engines: int  # engine connections
+    admin: int  # operators' connections
 
     @classmethod
     def divide(cls, limit: int) -> DescriptorQuotas:
-        """The quotas of a limit."""
+        """Divide a limit into quotas."""
         return cls(
             clients=max(int(limit * CLIENTS_FRACTION), MIN_QUOTA),
             engines=max(int(limit * ENGINES_FRACTION), MIN_QUOTA),
@@ -32,7 +33,7 @@
         )
 
     def remaining_after(self, others: Sequence[ProcessRecord]) -> DescriptorQuotas:
-        """What remains of each quota after other processes that count against the same limit."""
+        """Return what remains of each quota after the use by other processes under the same limit."""
         if not others:
             return self
         clients = self.clients - sum(other.client_connections + SIBLING_OVERHEAD for other in others)
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatcher put together: its parts, its lifecycle from start to end, and its reload."""
+"""The dispatcher process: constructs its parts, serves until shutdown, and reloads the configuration."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 from cottonhold.transport.event_loop import EventLoop
 from cottonhold.transport.socket_factory import MakeSocket
 
-SHUTDOWN_POLL_S = 0.02  # between two looks at what is open, while shutting down
-SIBLINGS_INTERVAL_MS = 300.0
-CLIENT_CLOSE_MS = 250.0  # that clients have to close, once all is answered
-MAX_NEWER_START_MS = 3000.0  # that a shutdown waits for a newer process that does not serve yet
+SHUTDOWN_POLL_S = 0.02  # interval between checks of open requests and connections during a shutdown
+SIBLINGS_INTERVAL_MS = 300.0  # interval between updates of the sibling processes' records
+CLIENT_CLOSE_MS = 250.0  # time that clients have to close their connections after the last response
+MAX_NEWER_START_MS = 3000.0  # longest time that a shutdown waits for a newer process to begin serving
 EVENT_STREAM_ONLY = ((SOURCE, SourceGuard(is_trusted=True)),)
 
 
@@ -59,7 +59,16 @@
 
 
 class Dispatcher:
-    """The parts of one dispatcher, put together."""
+    """A dispatcher process: owns its parts and connects them.
+
+    Args:
+        config: The configuration, which `reload` replaces.
+        counters: The counters of this process.
+        loop: The event loop to run in.
+        log: The operators' log.
+        sources: The name of each source of the engine list, and how far its reports are trusted.
+        make_socket: Creates sockets; tests replace it.
+    """
 
     def __init__(
         self,
@@ -121,7 +130,7 @@
             self.event_loop.datagrams.send(message.payload, target)
 
     def on_discovery_events(self, events: Iterable[Event]) -> None:
-        """Sources have sent events, or a timer is over: the catalog's actions are carried out at once."""
+        """Pass events of sources to the engine catalog, and execute its actions; also called by its timer."""
         now = self.event_loop.clock.now()
         for action in self.engine_catalog.step(now, events):
             match action:
@@ -142,29 +151,29 @@
             )
 
     def on_engine_list(self, change: EngineListChange) -> None:
-        """The engine list has changed."""
+        """Apply a change of the engine list."""
         self.gateway.on_engine_list(change)
 
     def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
-        """Poll a source once more for engines that it lacks; the event stream needs no confirmation."""
+        """Query a source again for engines missing from its list; the event stream needs no confirmation."""
 
     def follow_sources(self) -> None:
-        """Follow the sources from now on."""
+        """Start following the sources of the engine list."""
         if self.config.event_stream is not None:
             self.event_stream_task = self.event_loop.spawn(
                 self.event_loop.event_stream.follow(self.event_stream, self.config.event_stream)
             )
 
     def on_other_datagram(self, data: bytes, sender: Address) -> bool:
-        """Whether a datagram is another part's; the platform's dispatcher has none."""
+        """Process a datagram that is not a peer message; return whether it was one. Here there are none."""
         return False
 
     def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
-        """What runs once shutdown has begun, while requests are still served."""
+        """Return tasks to run at the begin of a shutdown, while requests are still served."""
         return ()
 
     def update_siblings(self) -> None:
-        """Publish what this process holds, and keep within the descriptors that its siblings leave."""
+        """Publish this process's connection counts, and limit them to the descriptors that siblings leave."""
         others = self.sibling_processes.others()
         own_record = ProcessRecord(
             self.sibling_processes.record.start_number,
@@ -187,19 +196,19 @@
         self.event_loop.clock.call_in(SIBLINGS_INTERVAL_MS, self.update_siblings)
 
     def apply_settings(self) -> None:
-        """Apply the file's settings, with the number of processes that stand for this dispatcher."""
+        """Apply the configured settings with the number of processes that run as this dispatcher."""
         self.gateway.apply_settings(
             dataclasses.replace(self.config.settings, concurrent_processes=1 + self.sibling_count)
         )
 
     async def wait_for_newer_process(self) -> None:
-        """Go on accepting clients while a newer process does not serve yet, within limits."""
+        """Keep accepting clients until a newer process serves, for a limited time."""
         deadline = min(self.event_loop.clock.now() + MAX_NEWER_START_MS, self.lifecycle.close_deadline())
         while self.sibling_processes.is_newer_starting() and self.event_loop.clock.now() < deadline:
             await asyncio.sleep(SHUTDOWN_POLL_S)
 
     async def run(self) -> None:
-        """Serve until told to stop, then finish what is open."""
+        """Serve until a shutdown is requested, then finish open requests."""
         listeners = self.event_loop.listener
         self.on_discovery_events(self.config.initial_reports)
         self.event_stream.on_complete_answer()
@@ -227,7 +236,7 @@
         datagrams.receive(sock, self.on_datagram)
 
     def on_datagram(self, data: bytes, sender: Address) -> None:
-        """A datagram has arrived: another part's, or a peer's message for the scheduler."""
+        """Process a datagram: pass a peer's message to the scheduler, and others to `on_other_datagram`."""
         if self.on_other_datagram(data, sender):
             return
         if message := self.peer_datagrams.decode(data, (sender.host, sender.port)):
@@ -254,7 +263,7 @@
         )
 
     async def _shut_down(self, client_socket: socket.socket, accepting: asyncio.Task[None]) -> None:
-        """Go on accepting clients for a while, then close the listener and finish what is open."""
+        """Keep accepting clients for a limited time, then close the listener and finish open requests."""
         self.gateway.begin_shutdown(self.lifecycle.answer_deadline())
         self._log_open_work("shutdown_started")
         remaining_ms = max(self.lifecycle.accept_deadline() - self.event_loop.clock.now(), 0.0)
@@ -275,9 +284,10 @@
         )
 
     async def finish_open_requests(self) -> None:
-        """Go on until all is answered and every client has seen the end of its connection, within limits.
+        """Wait for responses to all requests, and then for clients to close, until the answer deadline.
 
-        A connection that ends with bytes of its client unread is reset, and the last response lost.
+        Closing a connection that still has unread bytes of its client would reset it and lose the last
+        response.
         """
         clock, lifecycle, done_at = self.event_loop.clock, self.lifecycle, math.inf
         while self.sessions.sessions or self.gateway.open_count:
@@ -298,7 +308,7 @@
     def reload(self) -> None:
         """Read the configuration again: apply its settings, and follow the event stream that it names.
 
-        A file that can't be used changes nothing.
+        An invalid configuration is logged and changes nothing.
         """
         try:
             config = load(os.environ, self.counters)
@@ -323,34 +333,34 @@
             )
 
     def _log_reload(self, config: Config) -> None:
-        """Log which classes the new configuration adds and removes."""
+        """Log which query classes the new configuration adds and removes."""
         before = {cls.name for cls in self.config.settings.classes}
         after = {cls.name for cls in config.settings.classes}
         added, removed = ",".join(after - before), ",".join(before - after)
         self.log.note("config_reloaded", classes=len(after), added=added, removed=removed)
 
     def begin_shutdown(self) -> None:
-        """Shut down: from now on, not from when the loop comes to it."""
+        """Begin a shutdown; its deadlines count from this call, not from when `run` resumes."""
         max_deadline_ms = max(cls.deadline_ms for cls in self.gateway.settings.classes)
         self.lifecycle.begin_shutdown(self.event_loop.clock.now(), max_deadline_ms)
         self.shutdown_requested.set()
 
     def print_counters(self) -> None:
-        """Print the counters, whatever the log's rate."""
+        """Print the counters to stderr, regardless of the log's rate limit."""
         print(self.counters.line(), file=sys.stderr, flush=True)
 
     async def run_until_stopped(self) -> None:
-        """Run as a program: signals, serving, and the counters at the end."""
+        """Handle signals and serve until a shutdown has ended, then print the counters."""
         self.handle_signals(self.event_loop.loop)
         gc.collect()
-        gc.freeze()  # objects of the program's lifetime need not be traversed at each collection
+        gc.freeze()  # excludes long-lived objects from each later collection
         try:
             await self.run()
         finally:
             self.print_counters()
 
     def handle_signals(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Have SIGTERM and SIGINT shut down, SIGHUP reload, and SIGUSR1 print the counters."""
+        """Install handlers: SIGTERM and SIGINT shut down, SIGHUP reloads, SIGUSR1 prints the counters."""
         loop.set_exception_handler(lambda _, context: self.log.note("event_loop_error", context=context))
         loop.add_signal_handler(signal.SIGTERM, self.begin_shutdown)
         loop.add_signal_handler(signal.SIGINT, self.begin_shutdown)
@@ -359,7 +369,7 @@
 
 
 def run_program(name: str, make: Callable[[asyncio.AbstractEventLoop], Dispatcher]) -> int:
-    """Run the dispatcher that `make` gives until told to stop; 1 if its address can't be had, else 0."""
+    """Run the dispatcher that `make` returns; return the exit status: 1 after an OSError, else 0."""
 
     async def main() -> None:
         await make(asyncio.get_running_loop()).run_until_stopped()
--- a/cottonhold/node/fault_containment.py
+++ b/cottonhold/node/fault_containment.py
@@ -1,7 +1,7 @@
-"""Containment of faults in the scheduler's steps and in carrying out its actions.
+"""Containment of faults (unexpected exceptions) in the scheduler's steps and in the execution of its actions.
 
-A fault fails the request that it struck, and no other: events that the failed step had not consumed are
-delivered again, and requests that the scheduler may have lost are ended at their deadlines.
+A fault fails only the request that it concerns: events that the failed step had not consumed are delivered
+again, and requests that the scheduler may have lost fail at their deadlines.
 """
 
 from __future__ import annotations
@@ -14,11 +14,19 @@
 from cottonhold.scheduler.events import AttemptEnded, ClientDisconnected, Event, Outcome, TimerExpired
 from cottonhold.transport.clock import Clock
 
-EXPIRY_CHECK_INTERVAL_MS = 100.0  # of open requests' deadlines, once a step has failed
+EXPIRY_CHECK_INTERVAL_MS = 100.0  # interval of checks of open requests' deadlines, once a step has failed
 
 
 class FaultContainment:
-    """Ends what a fault has struck, in the gateway and in the scheduler."""
+    """Ends requests and attempts that a fault concerns, in the gateway and in the scheduler.
+
+    Args:
+        requests: The gateway's open requests, by id.
+        push: Queues an event for the scheduler.
+        fail: Responds to a request, by its id, with an error.
+        clock: This process's clock.
+        counters: The counters of this process.
+    """
 
     def __init__(
         self,
@@ -28,15 +36,15 @@
         clock: Clock,
         counters: Counters,
     ) -> None:
-        """`push` queues an event for the scheduler; `fail` answers a request by its id with an error."""
         self.requests, self.push, self.fail = requests, push, fail
         self.clock, self.counters = clock, counters
         self.has_step_failed = False
 
     def on_step_failed(self, events: list[Event], unconsumed: list[Event]) -> None:
-        """A step broke off: end what its last event was about and queue the events behind that again.
+        """Handle an exception in a step: abandon the last consumed event's request, and requeue later events.
 
-        Where none or all of the events had been consumed, any of them may be at fault.
+        If none or all of the events had been consumed, any of them may be the cause: the requests of all are
+        abandoned.
         """
         consumed = len(events) - len(unconsumed)
         if not unconsumed or not consumed:
@@ -55,7 +63,7 @@
             self.clock.call_in(EXPIRY_CHECK_INTERVAL_MS, self._expire_requests)
 
     def on_action_failed(self, action: Action) -> None:
-        """An action could not be carried out: the request that it was about must not wait for it."""
+        """Handle an exception in an action's execution: end the request, which would wait for it forever."""
         request_id = getattr(action, "query_id", "")
         request = self.requests.get(request_id)
         self.abandon(request_id)
@@ -67,18 +75,18 @@
         self.forget_attempt(request_id, action.engine)
 
     def abandon(self, request_id: str) -> None:
-        """A fault has struck a request: it fails, and is over for the scheduler too."""
+        """Fail a request in the gateway, and close it in the scheduler."""
         if request_id in self.requests:
             self.fail(request_id)
         if request_id:
             self.push(ClientDisconnected(request_id))
 
     def forget_attempt(self, request_id: str, engine: str) -> None:
-        """Report to the scheduler only that an attempt is over."""
+        """Tell the scheduler that an attempt has ended without being started, and nothing else."""
         self.push(AttemptEnded(request_id, 0, engine, Outcome.NOT_STARTED, 0.0, is_final=True))
 
     def _expire_requests(self) -> None:
-        """Make sure that there is a next step, and end requests that the scheduler may have lost."""
+        """Fail requests that the scheduler may have lost, and schedule a step and the next check."""
         now = self.clock.now()
         expired = [r for r in self.requests.values() if r.response_sink is not None and now >= r.deadline]
         for request in expired:
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -1,7 +1,7 @@
-"""A request's lifecycle, from its arrival to one final response. Knows no socket and no client protocol.
+"""The lifecycle of requests, from arrival to one final response, independent of sockets and client protocols.
 
-Feeds the scheduler with the events of one turn of the event loop and carries out its actions. Whether, where
-and when a request is sent, retried or rejected is the scheduler's decision alone.
+The gateway passes the events of each event loop iteration to the scheduler and executes its actions. Only the
+scheduler decides whether, where and when a request is sent, retried or rejected.
 """
 
 from __future__ import annotations
@@ -51,13 +51,22 @@
 from cottonhold.scheduler.settings import Settings
 from cottonhold.transport.clock import Clock
 
-# A busy event loop reads a request, sees its time-out and writes its response some turns late. So a request
-# has this much less than its timeout to be done, or this fraction of a short one.
+# A busy event loop reads a request, handles its timeout and writes its response a few iterations late. So a
+# request's deadline is earlier than its timeout by this time, or by this fraction of a short timeout.
 EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION = 400.0, 0.2
 
 
 class Gateway:
-    """All open requests, with the scheduler that decides about them."""
+    """Holds all open requests, and executes what the scheduler decides about them.
+
+    Args:
+        settings: The scheduler's settings in force.
+        seed: Seed of the scheduler's random numbers.
+        clock: This process's clock.
+        engines: The connections to the engines.
+        counters: The counters of this process.
+        log: Writes a line to the operators' log.
+    """
 
     def __init__(
         self,
@@ -72,10 +81,10 @@
         self._adopt(settings)
         self.scheduler = Scheduler(settings, seed)
         self.requests: dict[str, OpenRequest] = {}
-        self.open_count = 0  # requests that are owed a response
-        self.events: list[Event] = []
+        self.open_count = 0  # requests without a final response
+        self.events: list[Event] = []  # events for the next step of the scheduler
         self.is_step_scheduled = False
-        self.shutdown_deadline = math.inf  # requests without a response by then never get one
+        self.shutdown_deadline = math.inf  # time after which no response is sent, in ms of the clock
         self.notifications = Notifications(counters, log)
         self.faults = FaultContainment(self.requests, self.push, self._fail, clock, counters)
         self.attempts = AttemptSender(
@@ -86,7 +95,7 @@
         engines.listener = self
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use other settings from now on; open requests keep those that they arrived under."""
+        """Use other settings from now on; open requests keep the settings in force at their arrival."""
         self._adopt(settings)
         self.push(SettingsChanged(settings))
 
@@ -95,9 +104,9 @@
         self.decoder = RequestDecoder(settings)
 
     def begin_shutdown(self, deadline: float) -> None:
-        """This process ends: requests without a response by `deadline` (ms of the clock) never get one.
+        """Limit the deadlines of open and later requests to `deadline`, in ms of the clock.
 
-        Open requests are cut to that deadline.
+        This process ends then, so requests without a response by that time never get one.
         """
         self.shutdown_deadline = deadline
         for request in self.requests.values():
@@ -108,29 +117,34 @@
         self.push(ShutdownStarted(deadline))
 
     def push(self, event: Event) -> None:
-        """Queue an event; all events of one turn of the event loop go into one step."""
+        """Queue an event; the scheduler processes all events of one event loop iteration in one step."""
         self.events.append(event)
         if not self.is_step_scheduled:
             self.is_step_scheduled = True
             self.clock.call_soon(self._step)
 
     def on_engine_list(self, change: EngineListChange) -> None:
-        """The engine list has changed."""
+        """Apply a change of the engine list to the connections and the scheduler."""
         self.engines.apply(change)
         self.push(EngineList(change.engines, change.is_complete))
 
     def submit(self, statement: Statement, arrived_at: float, sink: ResponseSink) -> Callable[[], None]:
-        """Accept a client's statement; returns what to call when the client disconnects.
+        """Accept a client's statement; return the function to call when the client disconnects.
 
-        Raises FieldError and DuplicateRequestIdError.
+        Raises:
+            FieldError: The statement's comment has an invalid field.
+            DuplicateRequestIdError: A request with this id is open.
         """
         request = self.accept(self.decoder.decode(statement, arrived_at), sink)
         return lambda: self.on_client_disconnected(request)
 
     def accept(self, client_request: ClientRequest, sink: ResponseSink) -> OpenRequest:
-        """Take responsibility for a request. Raises DuplicateRequestIdError.
+        """Accept a decoded request, which gets exactly one final response.
+
+        `sink` is never called before this returns, since its owner needs the request first.
 
-        `sink` is never called before this returns: its owner must know of the request first.
+        Raises:
+            DuplicateRequestIdError: A request with this id is open.
         """
         request_id = client_request.request_id
         if request_id in self.requests:
@@ -155,7 +169,7 @@
         return request
 
     def _on_load_outcome(self, request: OpenRequest, outcome: LoadOutcome, retry_after_ms: float) -> None:
-        """A load's earlier executions are known: only one that never ran is given to the scheduler."""
+        """Pass a load that never ran to the scheduler, and answer the client of any other load."""
         if request.response_sink is None:
             return
         if outcome is LoadOutcome.NEVER_RAN:
@@ -199,8 +213,15 @@
     def finish_without_attempt(
         self, request_id: str, counted_as: str, respond: Callable[[ResponseSink], None]
     ) -> None:
-        """The load guard ends a request without an attempt in flight: it was served elsewhere, or must not be
-        sent from here any more. `counted_as`: `served`, `refused` or `failed`."""
+        """End a request without an attempt in flight; called by the load guard.
+
+        The request was served by another instance, or must not be sent by this one any more.
+
+        Args:
+            request_id: The id of the request.
+            counted_as: How its response is counted: `served`, `refused` or `failed`.
+            respond: Gives the final response to the sink.
+        """
         request = self.requests.get(request_id)
         if request is not None and request.attempt is None and (sink := self._finish(request)):
             self.counters.add(f"answers_{counted_as}")
@@ -208,18 +229,18 @@
             self._respond(lambda: respond(sink))
 
     def on_client_disconnected(self, request: OpenRequest) -> None:
-        """The client has left: nothing is owed, but an attempt in flight still ends."""
+        """Close a request whose client has disconnected; an attempt in flight continues to its end."""
         if self._finish(request) is not None:
             self.counters.add("clients_gone")
             self.push(ClientDisconnected(request.client_request.request_id))
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Whether an attempt that has not begun may still begin: its client waits, and for this attempt."""
+        """Return whether an attempt may still start: it is its request's current one, and a client waits."""
         request = self.requests.get(attempt.request_id)
         return request is not None and request.response_sink is not None and request.attempt is attempt
 
     def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """An attempt has ended; one that completed answers the client at once."""
+        """Report an attempt's end to the scheduler; if it succeeded, respond to the client."""
         self.notifications.attempt_ended(attempt, event)
         request = self.requests.get(attempt.request_id)
         if request is None:
@@ -237,12 +258,12 @@
         self.push(dataclasses.replace(event, is_final=is_final))
 
     def on_health_check_completed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
-        """A health check has ended."""
+        """Report a health check's result to the scheduler and the listener."""
         self.push(HealthCheckCompleted(engine, outcome, report))
         self.health_check_listener(engine, outcome, report)
 
     def _step(self) -> None:
-        """Run one scheduler step. After a fault, what was decided before it is still carried out."""
+        """Run one scheduler step and execute its actions, also those decided before a fault in the step."""
         self.is_step_scheduled, events = False, self.events
         self.events = []
         unconsumed = iter(events)
@@ -289,7 +310,7 @@
         request, observer = self.requests.get(action.query_id), self.notifications.observer
         if observer is not None and request is not None:
             observer.on_demand_estimated(request.client_request, action.utility, action.work_ms)
-            # After this turn: a request that this turn rejects was not admitted.
+            # Called after this iteration: a request that is rejected in this iteration was not admitted.
             self.clock.call_soon(lambda: self._mark_admitted(request))
 
     def _mark_admitted(self, request: OpenRequest) -> None:
@@ -309,7 +330,7 @@
             self._respond(lambda: sink.fail("the query failed; it may have run"))
 
     def _finish(self, request: OpenRequest) -> ResponseSink | None:
-        """Detach the response sink, so that at most one final response is given."""
+        """Detach and return the response sink, so that a request gets at most one final response."""
         sink, request.response_sink = request.response_sink, None
         if sink is not None:
             self.open_count -= 1
@@ -327,6 +348,6 @@
 
 
 def response_deadline(request: ClientRequest) -> float:
-    """When a response must be ready, in ms of the clock: the client's timeout less the event loop's lag."""
+    """Return when a response must be ready, in ms of the clock: the client's timeout less the loop's lag."""
     lag_ms = min(EVENT_LOOP_LAG_MS, request.timeout_ms * MAX_LAG_FRACTION)
     return request.arrived_at + request.timeout_ms - lag_ms
--- a/cottonhold/node/http_client.py
+++ b/cottonhold/node/http_client.py
@@ -1,6 +1,6 @@
 """An HTTP/1.1 client, plain or with TLS, on the event loop's sockets.
 
-TLS runs in memory, between the request's bytes and the socket's, as asyncio's socket calls have none.
+TLS is processed in memory buffers, since asyncio's socket calls don't support it.
 """
 
 from __future__ import annotations
@@ -24,15 +24,19 @@
 
 @dataclass(slots=True, frozen=True)
 class TlsSettings:
-    """The server's authorities and the client's certificate. No ca_file: the system's authorities count."""
+    """The trusted certificate authorities, the client's certificate, and the expected server name."""
 
-    ca_file: str = ""
-    cert_file: str = ""
-    key_file: str = ""
-    server_name: str = ""
+    ca_file: str = ""  # empty: the system's authorities
+    cert_file: str = ""  # empty: no client certificate
+    key_file: str = ""  # empty: the key is in `cert_file`
+    server_name: str = ""  # empty: the host of the server's address
 
     def context(self) -> ssl.SSLContext:
-        """The library's settings. Raises OSError (ssl.SSLError is one) for a file that can't be used."""
+        """Return an SSL context with these settings.
+
+        Raises:
+            OSError: A file can't be used (ssl.SSLError is an OSError).
+        """
         context = ssl.create_default_context(cafile=self.ca_file or None)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         if self.cert_file:
@@ -41,7 +45,7 @@
 
 
 class TlsSession:
-    """TLS between two buffers: write received bytes to `incoming`, send what `outgoing` holds."""
+    """A TLS session on two buffers: received bytes go to `incoming`; `outgoing` has the bytes to send."""
 
     def __init__(self, context: ssl.SSLContext, server_name: str) -> None:
         self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
@@ -59,7 +63,12 @@
         self.buffer = bytearray(MAX_READ_BYTES)
 
     async def request(self, address: Address, request: HttpRequest) -> HttpResponse:
-        """Send a request and receive its response. Raises OSError (a time-out is one) and WireError."""
+        """Send a request and receive its response.
+
+        Raises:
+            OSError: The connection failed or timed out.
+            WireError: The response is malformed or incomplete.
+        """
         try:
             if self.sock is None or address != self.address or self._has_unexpected_data():
                 self.close()
@@ -67,7 +76,7 @@
             await self._send(request.encode(str(address)))
             response, keeps_alive = await self._read_response(request)
         except BaseException:
-            # The rest of a broken response would be read as the beginning of the next one.
+            # The rest of an incomplete response would be read as the beginning of the next one.
             self.close()
             raise
         if not keeps_alive:
@@ -75,9 +84,9 @@
         return response
 
     def _has_unexpected_data(self) -> bool:
-        """Whether the server has sent something since its last response, or closed the connection.
+        """Return whether the server has sent data since its last response, or closed the connection.
 
-        TLS has messages of its own, such as tickets; only decrypted data counts.
+        Of a TLS connection only decrypted data counts, and not messages of TLS itself such as tickets.
         """
         assert self.sock is not None
         try:
@@ -86,7 +95,7 @@
             data = None
         except OSError:
             return True
-        # An unrequested response must not be taken for that to the next request.
+        # An unrequested response must not be taken for the response to the next request.
         if self.tls_session is None or data == b"":
             return data is not None
         self.tls_session.incoming.write(data or b"")
@@ -112,7 +121,7 @@
                 await self._run_tls_step(session, session.tls.do_handshake)
 
     async def _run_tls_step(self, session: TlsSession, step: Callable[[], T]) -> T:
-        """Run a step of TLS, with the sends and receives that it needs."""
+        """Run a TLS operation, with the sends and receives that it needs."""
         while True:
             try:
                 result = step()
@@ -152,11 +161,11 @@
         return await self._run_tls_step(self.tls_session, lambda: tls.read(MAX_READ_BYTES))
 
     async def _read_response(self, request: HttpRequest) -> tuple[HttpResponse, bool]:
-        """The response, and whether the connection stays open after it."""
+        """Return the response, and whether the connection stays open after it."""
         parser, loop = HttpResponseParser(self.max_body_bytes), self.event_loop.loop
         async with asyncio.timeout(request.first_byte_timeout_ms / 1000) as timeout:
             data = await self._read()
-            # A response that arrives byte by byte must not delay the next one without end.
+            # A response that arrives byte by byte must not block the connection without end.
             timeout.reschedule(loop.time() + request.body_timeout_ms / 1000)
             while data:
                 if (response := parser.receive(data)) is not None:
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -1,8 +1,9 @@
-"""Whether this process serves, drains or shuts down: one small state that all ask and change here alone.
+"""The lifecycle phase of this process: serving, draining or shutting down.
 
-Knows no clock and no socket. Times are milliseconds on the caller's clock; infinity where not begun.
+All parts of the process query and change the phase here only. Times are ms of the caller's clock; infinity
+stands for a phase that has not begun.
 
-| phase | from | queries accepted | new clients | idle connections closed |
+| phase | begins with | queries accepted | new clients accepted | idle connections closed |
 | --- | --- | --- | --- | --- |
 | draining | drain | 1.5 s | yes | from 0.5 s on |
 | shutting down | SIGTERM | long ones 0.4 s, others to the end | 0.8 s | from 0.6 s on |
@@ -13,23 +14,25 @@
 import math
 from enum import Enum
 
-# A load balancer that asks every 0.1 s still sends new connections for 0.2 s after a failed health check.
-DRAIN_IDLE_CLOSE_MS = 500.0  # into a drain, from which on idle connections are closed
-DRAIN_ACCEPT_QUERIES_MS = 1500.0  # into a drain: 4 s into it no request may be open that is younger than 2 s
-# After SIGTERM new connections arrive for 0.4 s, and requests on open ones for 0.2 s more.
-SHUTDOWN_ACCEPT_LONG_MS = (
-    400.0  # to which queries that may outlast SIGKILL are accepted, with a busy loop's lag
-)
-SHUTDOWN_IDLE_CLOSE_MS = 600.0  # from which on idle connections are closed
-SHUTDOWN_ACCEPT_CLIENTS_MS = 800.0  # to which new clients are accepted
-# SIGKILL comes no sooner after SIGTERM than the longest deadline (3 s at most) plus 0.7 s.
+# A load balancer that checks every 0.1 s still opens connections for 0.2 s after a failed health check.
+DRAIN_IDLE_CLOSE_MS = 500.0  # time after the begin of a drain from which idle connections are closed
+# Time after the begin of a drain during which queries are accepted. 4 s after the begin of a drain, no open
+# request may be younger than 2 s.
+DRAIN_ACCEPT_QUERIES_MS = 1500.0
+# After SIGTERM, new connections arrive for 0.4 s, and requests on open connections for 0.2 s more.
+# Time after SIGTERM during which queries are accepted that may still run at SIGKILL; includes a busy loop's
+# lag.
+SHUTDOWN_ACCEPT_LONG_MS = 400.0
+SHUTDOWN_IDLE_CLOSE_MS = 600.0  # time after SIGTERM from which idle connections are closed
+SHUTDOWN_ACCEPT_CLIENTS_MS = 800.0  # time after SIGTERM during which new clients are accepted
+# SIGKILL follows SIGTERM after the longest deadline (3 s at most) plus 0.7 s, or later.
 MAX_KILL_DEADLINE_MS, KILL_GRACE_MS = 3000.0, 700.0
-KILL_MARGIN_MS = 200.0  # before SIGKILL the last request has its response: a busy loop is late by this
-CLOSE_MARGIN_MS = 100.0  # and before that the last connection is closed, so that its client sees it
+KILL_MARGIN_MS = 200.0  # time between the last response and SIGKILL; covers a busy loop's lag
+CLOSE_MARGIN_MS = 100.0  # time between closing the last connections and the last response's deadline
 
 
 class Phase(Enum):
-    """What this process is about; operators and clients see the values."""
+    """The phase of this process; operators and clients see the values."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -37,77 +40,81 @@
 
 
 class Lifecycle:
-    """The one owner of serving, draining and shutting down."""
+    """Owns the phase of this process, and derives from it what is accepted and closed."""
 
     def __init__(self) -> None:
         self.draining_since = self.shutdown_since = self.kill_deadline = math.inf
 
     def phase(self) -> Phase:
-        """The phase; a shutdown hides a drain."""
+        """Return the phase; a shutdown takes precedence over a drain."""
         if self.shutdown_since < math.inf:
             return Phase.SHUTTING_DOWN
         return Phase.SERVING if self.draining_since == math.inf else Phase.DRAINING
 
     def drain(self, now: float) -> bool:
-        """Begin a drain, in which queries are accepted for a while; whether that changed anything."""
+        """Begin a drain, in which queries are accepted for a limited time; return False if it had begun."""
         changed = self.draining_since == math.inf
         self.draining_since = min(self.draining_since, now)
         return changed
 
     def restore(self) -> bool:
-        """End a drain; false while shutting down, which can't be undone."""
+        """End a drain; return False during a shutdown, which can't be undone."""
         if self.shutdown_since < math.inf:
             return False
         self.draining_since = math.inf
         return True
 
     def begin_shutdown(self, now: float, max_deadline_ms: float) -> None:
-        """Shut down. `max_deadline_ms` is the longest deadline in force, and bounds when SIGKILL may come.
+        """Begin a shutdown; a later call changes nothing.
 
-        A drain holds on: its clients have gone elsewhere. A further order, or other settings, change nothing.
+        A drain continues, since its clients already use other dispatchers.
+
+        Args:
+            now: The time in ms of the clock.
+            max_deadline_ms: The longest deadline in force, in ms; SIGKILL comes no earlier.
         """
         if self.shutdown_since == math.inf:
             self.shutdown_since = now
             self.kill_deadline = now + min(max_deadline_ms, MAX_KILL_DEADLINE_MS) + KILL_GRACE_MS
 
     def answer_deadline(self) -> float:
-        """By when all accepted requests have their responses."""
+        """Return the time by which all accepted requests have their responses."""
         return self.kill_deadline - KILL_MARGIN_MS
 
     def close_deadline(self) -> float:
-        """From when on every connection without an open request is closed, however recently active."""
+        """Return the time from which all connections without an open request are closed."""
         return self.answer_deadline() - CLOSE_MARGIN_MS
 
     def accept_deadline(self) -> float:
-        """To when new clients are accepted."""
+        """Return the time until which new clients are accepted."""
         return min(self.shutdown_since + SHUTDOWN_ACCEPT_CLIENTS_MS, self.close_deadline())
 
     def is_ready(self) -> bool:
-        """Whether health checks succeed. They do while shutting down: a newer process may serve already."""
+        """Return whether health checks succeed; true in a shutdown, as a newer process may serve already."""
         return self.draining_since == math.inf
 
     def accepts_query(self, now: float, deadline: float) -> bool:
-        """Whether a query that arrives now and has until `deadline` is accepted.
+        """Return whether a query that arrives now, with the given deadline, is accepted.
 
-        Queries that may outlast SIGKILL are accepted for SHUTDOWN_ACCEPT_LONG_MS only: those that arrive
-        later than 0.7 s after SIGTERM have to be answered before it.
+        Queries that may still run at SIGKILL are accepted for SHUTDOWN_ACCEPT_LONG_MS only: queries that
+        arrive later than 0.7 s after SIGTERM have to be answered before SIGKILL.
         """
         if now >= self.shutdown_since + SHUTDOWN_ACCEPT_LONG_MS and deadline > self.kill_deadline:
             return False
         return now < self.draining_since + DRAIN_ACCEPT_QUERIES_MS
 
     def closes_idle(self, now: float) -> bool:
-        """Whether connections without an open request are closed."""
+        """Return whether idle connections without an open request are closed."""
         settled_at = min(self.shutdown_since + SHUTDOWN_IDLE_CLOSE_MS, self.close_deadline())
         return now >= min(self.draining_since + DRAIN_IDLE_CLOSE_MS, settled_at)
 
     def closes_all(self, now: float) -> bool:
-        """Whether every connection without an open request is closed, however recently active."""
+        """Return whether all connections without an open request are closed, even recently active ones."""
         return now >= self.close_deadline()
 
     def closes_answered(self, now: float) -> bool:
-        """Whether a connection is closed right after its response, where no request is on its way.
+        """Return whether a connection is closed right after its response if no further request has arrived.
 
-        Clients that are never idle would keep their connections for good.
+        Otherwise, clients that are never idle would keep their connections open for ever.
         """
         return now >= min(self.draining_since, self.shutdown_since)
--- a/cottonhold/node/load_guard.py
+++ b/cottonhold/node/load_guard.py
@@ -1,4 +1,4 @@
-"""Guard against running a load twice: the interface between the gateway and whoever records loads durably."""
+"""The interface between the gateway and the load guard, which prevents that a load runs twice."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LoadOutcome(Enum):
-    """What is known of earlier executions of a load. The values are part of counters' names."""
+    """The known outcome of earlier executions of a load. The values are parts of counters' names."""
 
     NEVER_RAN = "never"
     SUCCEEDED = "well"
@@ -20,27 +20,28 @@
     NOT_KNOWN_YET = "later"
 
 
-LoadOutcomeCallback = Callable[[LoadOutcome, float], None]  # with the retry delay in ms for NOT_KNOWN_YET
+# Receives the outcome, and the client's retry delay in ms (used for NOT_KNOWN_YET only).
+LoadOutcomeCallback = Callable[[LoadOutcome, float], None]
 
 
 class LoadGuard(Protocol):
-    """Records loads beyond this process's lifetime, and decides whether one may be sent, not where."""
+    """Records loads durably, and decides whether a load may be sent; the scheduler decides where."""
 
     def guards(self, query_class: int) -> bool:
-        """Whether requests of a class (its index) are guarded."""
+        """Return whether requests of a class, given by its index, are guarded."""
 
     def on_load_arrived(
         self, request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback, /
     ) -> None:
-        """A load has arrived; `on_outcome` is called exactly once, now or by `deadline`."""
+        """Look up an arriving load's earlier executions; call `on_outcome` exactly once, by `deadline`."""
 
     def before_attempt_sent(
         self, attempt: Attempt, request: ClientRequest, on_recorded: Callable[[bool], None], /
     ) -> None:
-        """An attempt is about to be sent; `on_recorded` is called once: it has been recorded, or can't be."""
+        """Record an attempt before it is sent; call `on_recorded` once, with whether it was recorded."""
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome | None) -> None:
-        """An attempt has ended; None: it was never started."""
+        """Record the outcome of an attempt; None if the attempt was never started."""
 
     def on_request_closed(self, request_id: str, /) -> None:
-        """A request has had its final response; an attempt of it may still be in flight."""
+        """Record that a request has its final response; an attempt of it may still be in flight."""
--- a/cottonhold/node/notifications.py
+++ b/cottonhold/node/notifications.py
@@ -1,4 +1,4 @@
-"""Notifies the observer and the load guard; a fault in either costs no request its response."""
+"""Notifies the observer and the load guard, and isolates requests from exceptions in either."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Notifications:
-    """The observer and the load guard of one gateway; either may be absent."""
+    """Holds and notifies the observer and the load guard of one gateway; either may be absent."""
 
     def __init__(self, counters: Counters, log: Callable[[str], None]) -> None:
         self.counters, self.log = counters, log
@@ -22,7 +22,7 @@
         self.load_guard: LoadGuard | None = None
 
     def attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """An attempt that was started has ended."""
+        """Notify both of the end of an attempt that was started."""
         try:
             if self.observer is not None:
                 self.observer.on_attempt_ended(attempt, event)
@@ -32,7 +32,7 @@
             self.on_fault(error)
 
     def attempt_not_started(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """An attempt has ended before it was started, which is no evidence about its engine."""
+        """Notify both of the end of an attempt that was never started and says nothing about its engine."""
         if self.observer is not None:
             never_started = dataclasses.replace(event, outcome=Outcome.NOT_STARTED)
             self.observer.on_attempt_ended(attempt, never_started)
@@ -40,7 +40,7 @@
             self.load_guard.on_attempt_ended(attempt, None)
 
     def request_closed(self, request: ClientRequest) -> None:
-        """A request's final response is about to be given."""
+        """Notify both that a request is about to get its final response."""
         try:
             if self.observer is not None:
                 self.observer.on_request_closed(request.request_id)
@@ -50,6 +50,6 @@
             self.on_fault(error)
 
     def on_fault(self, error: Exception) -> None:
-        """Count and log a fault of the observer or the load guard."""
+        """Count and log an exception in the observer or the load guard."""
         self.counters.add("watch_faults")
         self.log(f"observer: {type(error).__name__}: {error}")
--- a/cottonhold/node/peer_datagrams.py
+++ b/cottonhold/node/peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between dispatchers: whom one is from, and where one goes."""
+"""Datagrams between dispatchers: identifies their senders and determines their destinations."""
 
 from __future__ import annotations
 
@@ -9,11 +9,18 @@
 from cottonhold.scheduler.actions import SendToPeer
 from cottonhold.scheduler.events import PeerMessage
 
-MAX_BYTES = 256  # of a datagram, by the platform's rules
+MAX_BYTES = 256  # largest datagram that the platform permits
 
 
 class PeerDatagrams:
-    """Which peer an address is, and where a message for a peer goes."""
+    """Maps addresses to peers, and messages for peers to addresses.
+
+    Args:
+        addresses: The addresses of the peers, by peer number.
+        all_peers: The address that reaches all peers; None without one.
+        counters: The counters of this process.
+        log: Writes a line to the operators' log.
+    """
 
     def __init__(
         self,
@@ -26,7 +33,7 @@
         self.numbers = {(a.host, a.port): number for number, a in enumerate(addresses)}
 
     def decode(self, data: bytes, sender: tuple[str, int]) -> PeerMessage | None:
-        """A datagram as an event; None for a stranger's."""
+        """Convert a datagram to an event; return None if its sender is no peer or it is too long."""
         number = self.numbers.get(sender)
         if number is None or len(data) > MAX_BYTES:
             self.counters.add("peer_malformed")
@@ -36,7 +43,7 @@
         return PeerMessage(number, data)
 
     def destination(self, message: SendToPeer) -> Address | None:
-        """Where a message goes; None where it can't: a datagram over the limit would break the rules."""
+        """Return the address for a message; None if it is too long or its peer is not configured."""
         if len(message.payload) > MAX_BYTES:
             self.counters.add("peer_too_long")
             return None
--- a/cottonhold/node/request_observer.py
+++ b/cottonhold/node/request_observer.py
@@ -1,4 +1,4 @@
-"""Observers of requests, attempts and health checks. They decide nothing, but may draw for admission."""
+"""Interfaces for observing requests, attempts and health checks. An observer may provide admission draws."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class RequestObserver(Protocol):
-    """Is notified of requests and attempts as they arrive and end."""
+    """Receives notifications about requests and attempts."""
 
     def on_request_arrived(self, request: ClientRequest, /) -> float | None:
-        """A request has arrived; returns its admission draw, 0 to 1, where a threshold may apply."""
+        """Record an arriving request; return its admission draw, 0 to 1, if a threshold may apply."""
 
     def on_demand_estimated(self, request: ClientRequest, utility: float, work_ms: float, /) -> None:
-        """The scheduler's estimate of a request's utility and work."""
+        """Record the scheduler's estimate of a request's utility and its work in ms."""
 
     def on_admission_settled(self, waited_fraction: float, was_rejected: bool, /) -> None:
-        """An admitted request was sent after a fraction of its time, or was rejected after all."""
+        """Record that an admitted request was sent or rejected, after a fraction of its timeout."""
 
     def on_request_closed(self, request_id: str, /) -> None:
-        """A request has had its final response."""
+        """Record that a request has its final response or its client has disconnected."""
 
     def on_attempt_sent(self, attempt: Attempt, query_class: int) -> None:
-        """An attempt has been sent."""
+        """Record that an attempt is about to be sent."""
 
     def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """An attempt has ended."""
+        """Record the outcome of an attempt."""
--- a/cottonhold/node/sibling_processes.py
+++ b/cottonhold/node/sibling_processes.py
@@ -1,8 +1,8 @@
-"""Which processes stand for one dispatcher: slots in $TMPDIR, each a file that its process holds locked.
+"""Finds the other processes of the same dispatcher by slots in $TMPDIR, files that their processes lock.
 
-In an upgrade a second process serves at the same address, while the first one shuts down. The kernel releases
-a lock with its process, however that ends, so a stale file is a free slot. Its record says what the process
-holds.
+In an upgrade a second process serves at the same address while the first one shuts down. The kernel releases
+a lock however its process ends, so an unlocked file is a free slot. The record in the file contains the
+numbers of connections that the process holds.
 """
 
 from __future__ import annotations
@@ -19,40 +19,48 @@
 MAGIC = b"CHS1"
 MAX_START_NUMBER = 0xFFFFFFFF
 PID_MAX_FILE = "/proc/sys/kernel/pid_max"
-MAX_PIDS = 1 << 22  # the most that the kernel gives
+MAX_PIDS = 1 << 22  # the kernel's upper limit, used if `PID_MAX_FILE` can't be read
 NO_FILE = -1
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessRecord:
-    """What a process publishes of itself."""
+    """The record that a process publishes in its slot."""
 
-    start_number: int  # numbers the starts under one $TMPDIR
-    client_connections: int = 0  # descriptors that it holds for clients
-    engine_connections: int = 0  # and for engines
+    start_number: int  # sequence number of the process among the starts under one $TMPDIR
+    client_connections: int = 0  # descriptors in use for clients
+    engine_connections: int = 0  # descriptors in use for engines
     is_serving: bool = False
 
     def encode(self) -> bytes:
-        """The record as it stands in the file."""
+        """Encode the record for the file."""
         return RECORD.pack(
             MAGIC, self.start_number, self.client_connections, self.engine_connections, self.is_serving
         )
 
     @classmethod
     def decode(cls, data: bytes) -> ProcessRecord | None:
-        """From a file's bytes; None where they are not ours, or cut off."""
+        """Decode a file's bytes; return None if they are not a complete record."""
         if len(data) != RECORD.size or not data.startswith(MAGIC):
             return None
         return cls(*RECORD.unpack(data)[1:])
 
 
 class SiblingProcesses:
-    """This process's slot and its view of the others. Without a writable folder there is none."""
+    """Holds this process's slot, and reads the records of the others.
+
+    Without a writable folder this process has no slot and sees no others.
+
+    Args:
+        folder: The folder of the slots; None without one.
+        name: The name of the dispatcher, as part of the files' names.
+        log: Writes a line to the operators' log.
+    """
 
     def __init__(self, folder: str | None, name: str, log: Callable[[str], None]) -> None:
         self.folder, self.name, self.log = folder, name, log
         self.slot, self.file, self.record = -1, NO_FILE, ProcessRecord(0)
-        self.is_published = True  # the record stands in the file
+        self.is_published = True  # whether the file contains the record
         if folder is not None:
             try:
                 self._claim_slot()
@@ -66,7 +74,11 @@
         return os.open(self._path(slot), flags | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
 
     def _claim_slot(self) -> None:
-        """Lock the first free slot and publish the next start number there. Raises OSError."""
+        """Lock the first free slot and publish the next start number there.
+
+        Raises:
+            OSError: No slot could be locked.
+        """
         last_start, reason = 0, OSError(f"all {SLOTS} slots are taken")
         for slot in range(SLOTS):
             try:
@@ -85,7 +97,7 @@
         self.publish(ProcessRecord((last_start + 1) & MAX_START_NUMBER))
 
     def connection_ids(self) -> ConnectionIdRange:
-        """The ids of this process's client connections."""
+        """Return the range of ids for this process's client connections."""
         if self.file != NO_FILE:
             return ConnectionIdRange.for_slot(self.record.start_number, self.slot)
         try:
@@ -95,8 +107,7 @@
             return ConnectionIdRange.for_process(os.getpid(), MAX_PIDS)
 
     def publish(self, record: ProcessRecord) -> None:
-        """Write what this process holds now; a full or broken disk is logged once, and tried again with the
-        next call."""
+        """Write this process's record; a write error is logged once, and the next call retries."""
         if self.file == NO_FILE or record == self.record and self.is_published:
             return
         self.record, was_published = record, self.is_published
@@ -109,7 +120,7 @@
             self.log(f"slot in $TMPDIR: this process's record can't be written: {reason}")
 
     def others(self) -> list[ProcessRecord]:
-        """What the other living processes publish of themselves."""
+        """Return the records of the other running processes."""
         records = []
         for slot in range(SLOTS if self.file != NO_FILE else 0):
             if slot == self.slot:
@@ -126,13 +137,13 @@
         return records
 
     def is_newer_starting(self) -> bool:
-        """Whether a process that was started later does not serve yet."""
+        """Return whether a process that was started later does not serve yet."""
         own_start = self.record.start_number
         return any(other.start_number > own_start and not other.is_serving for other in self.others())
 
 
 def read_record(file: int) -> ProcessRecord | None:
-    """The record in an open file; None where there is none, or it can't be read."""
+    """Read the record in an open file; return None if there is none or it can't be read."""
     try:
         return ProcessRecord.decode(os.pread(file, RECORD.size + 1, 0))
     except OSError:
@@ -140,9 +151,9 @@
 
 
 def try_lock(file: int, operation: int) -> bool:
-    """Whether the lock on an open file could be had; it is held until the file is closed.
+    """Try to lock an open file, until the file is closed; return whether that succeeded.
 
-    Where locks fail altogether, another process may well hold it: false.
+    An error in locking counts as a lock that another process holds.
     """
     try:
         fcntl.flock(file, operation | fcntl.LOCK_NB)
--- a/cottonhold/node/standalone/__init__.py
+++ b/cottonhold/node/standalone/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher of other installations than the platform: Consul, a fleet, a ledger and a local socket."""
+"""The dispatcher of standalone installations: Consul sources, a fleet, a ledger and a local status socket."""
--- a/cottonhold/node/standalone/adapter_factory.py
+++ b/cottonhold/node/standalone/adapter_factory.py
@@ -1,7 +1,7 @@
 """Makes the adapters of membership, recovery and the fleet for one dispatcher.
 
-Each is made from the installation in force and the dispatcher's own parts. Which of them an instance has, and
-how they are connected, is the dispatcher's matter.
+Each adapter is made from the configuration in force and the dispatcher's own parts. The dispatcher decides
+which adapters it needs, and connects them.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class AdapterFactory:
-    """Makes adapters for one dispatcher. installation: the one in force."""
+    """Makes adapters for one dispatcher; `installation` returns the configuration in force."""
 
     def __init__(self, dispatcher: Dispatcher, installation: Callable[[], Installation]) -> None:
         self.dispatcher, self.installation = dispatcher, installation
@@ -31,15 +31,17 @@
         self.call_in_loop = dispatcher.event_loop.loop.call_soon_threadsafe
 
     def unavailable_load_guard(self, loads: Mapping[bytes, bytes]) -> UnavailableLoadGuard:
-        """The load guard while there is no ledger. loads: of its folder, as far as they could be read."""
+        """Make the load guard for the time without a ledger from the folder's readable records of loads."""
         return unavailable_guard(self.installation(), loads, self.clock, self.counters)
 
     def membership(
         self, ledger: Ledger | None, on_health_check: Callable[[str, dict[str, float]], None]
     ) -> MembershipAdapter:
-        """Membership, with an incarnation above all former ones. on_health_check: called with an engine and
-        its load report once another instance has checked it with success."""
-        # Without a ledger the wall clock, in ms, is above the incarnations of former starts.
+        """Make membership, with a higher incarnation than at all former starts.
+
+        `on_health_check` receives an engine and its load report after another instance's successful check.
+        """
+        # Without a ledger, the Unix time in ms is used, which is higher than at former starts.
         first_incarnation = int(self.clock.unix())
         if ledger is not None:
             first_incarnation = INCARNATIONS_PER_BOOT * ledger.boot_count
@@ -54,7 +56,7 @@
         )
 
     def zone_failover(self, ledger: Ledger | None, membership: MembershipAdapter) -> ZoneFailoverAdapter:
-        """The adapter around the fleet's coordinator: zone failover, admission and slow start."""
+        """Make the adapter of the fleet's coordinator: zone failover, admission and slow start."""
         swim = membership.instance.swim
         start_s = max(int(self.clock.unix() / 1000), 1)
         incarnation = incarnation_of(ledger) if ledger is not None else start_s
@@ -73,7 +75,7 @@
     def recovery(
         self, ledger: Ledger, membership: MembershipAdapter | None, fleet: ZoneFailoverAdapter | None
     ) -> RecoveryAdapter:
-        """Recovery, which guards loads; an instance without membership has nobody to ask."""
+        """Make recovery with its load guard; without membership it queries no other instances."""
         return RecoveryAdapter(
             self.installation(),
             ledger,
@@ -94,7 +96,7 @@
         fleet: ZoneFailoverAdapter,
         voters: Sequence[str],
     ) -> EngineDrainAdapter:
-        """Engine drains. owner: of the list in which they quarantine engines."""
+        """Make engine drains; `owner` has the engine list in which they quarantine engines."""
         return EngineDrainAdapter(owner, ledger, membership, fleet.coordinator, voters, self.call_in_loop)
 
     def rolling_replacement(
@@ -105,7 +107,7 @@
         recovery: RecoveryAdapter,
         drains: EngineDrainAdapter,
     ) -> RollingReplacementAdapter:
-        """Rolling replacement of machines, with the registers that the voters keep."""
+        """Make rolling replacement of machines, with the registers that the voters share."""
         gateway = self.dispatcher.gateway
         return RollingReplacementAdapter(
             self.installation(),
@@ -131,7 +133,7 @@
         recovery: RecoveryAdapter,
         replacement: RollingReplacementAdapter,
     ) -> SessionAffinityAdapter:
-        """Session affinity: loads with a key start at the instance that owns the key."""
+        """Make session affinity, by which loads with an ordering key start at the key's owner."""
         return SessionAffinityAdapter(
             self.installation(),
             ledger,
--- a/cottonhold/node/standalone/consul_sources.py
+++ b/cottonhold/node/standalone/consul_sources.py
@@ -1,4 +1,4 @@
-"""Follows the Consul sources of an installation, each in a task of its own; a reload may change them."""
+"""Follows the Consul sources of an installation, each in a separate task; a reload may change them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def client_tls(section: schema.TlsConfig | None) -> TlsSettings | None:
-    """A configuration's TLS section as the HTTP client takes it."""
+    """Convert a configuration's TLS section to the HTTP client's settings."""
     if section is None:
         return None
     return TlsSettings(section.ca_file, section.cert_file, section.key_file, section.server_name)
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RunningWatch:
-    """A source that is followed."""
+    """The watch of a source, and its task."""
 
     watched: ConsulSource
     watch: ServiceWatch
@@ -33,7 +33,7 @@
 
 
 class ConsulSources:
-    """The watches of one dispatcher. on_events: called with what sources report."""
+    """Runs the watches of one dispatcher; `on_events` receives the events of sources."""
 
     def __init__(self, dispatcher: Dispatcher, on_events: Callable[[Iterable[Event]], None]) -> None:
         self.event_loop, self.config = dispatcher.event_loop, dispatcher.config
@@ -41,7 +41,7 @@
         self.running: dict[str, RunningWatch] = {}  # by name of the source
 
     def follow(self, watched: ConsulSource) -> None:
-        """Follow a source from now on."""
+        """Start following a source."""
         name = watched.watch_settings.name
         answers = HealthResponseDecoder(
             self.config.names, watched.interpretation, lambda reason: self._on_malformed(name, reason)
@@ -53,7 +53,7 @@
         self.running[name] = RunningWatch(watched, watch, self.event_loop.spawn(work))
 
     def replace_changed(self, sources: Sequence[ConsulSource]) -> None:
-        """Stop sources that are not configured any more, and follow those anew whose settings changed."""
+        """Stop sources that are no longer configured, and restart those whose settings have changed."""
         configured = {watched.watch_settings.name: watched for watched in sources}
         for name, running in list(self.running.items()):
             watched = configured.get(name)
@@ -62,16 +62,16 @@
                 del self.running[name]
             elif watched != running.watched:
                 running.task.cancel()
-                self.follow(watched)  # its first answer is a complete list, compared with all that is claimed
+                self.follow(watched)  # its first answer is a complete list, so removed engines are noticed
 
     def follow_new(self, sources: Sequence[ConsulSource]) -> None:
-        """Follow sources that are not followed yet."""
+        """Start following sources that are not followed yet."""
         for watched in sources:
             if watched.watch_settings.name not in self.running:
                 self.follow(watched)
 
     def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
-        """Ask a source's catalogue for engines that its last list lacks, before its next health call."""
+        """Query a source's catalog for engines missing from its last list, before its next health query."""
         if source in self.running:
             self.running[source].watch.confirm_absence(absent)
 
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -1,6 +1,6 @@
-"""A dispatcher with Consul sources, a structured log, a configuration that reloads, and a fleet.
+"""A dispatcher with Consul sources, a structured log, a reloadable configuration file, and a fleet.
 
-Only `cottonhold serve --config` imports it; the platform's `run` has no use for it.
+Only `cottonhold serve --config` imports this module; `cottonhold run` on the platform does not use it.
 """
 
 from __future__ import annotations
@@ -41,17 +41,14 @@
 from cottonhold.store.ledger import Ledger
 from cottonhold.store.records import RecordKind
 
-SILENT_SOURCE_S = 10.0  # after the start, a source without an answer by then is logged
-MAX_LIST_WAIT_MS = 10_000.0  # that loads wait after the start for a source's first answer
-DEREGISTER_TIMEOUT_S = 3.0  # where SIGKILL leaves that time
-RELOADED_SECTIONS = ("sources", "known", "log", "register")  # the others need a restart
+SILENT_SOURCE_S = 10.0  # time after the start after which a source without an answer is logged
+MAX_LIST_WAIT_MS = 10_000.0  # longest time that loads wait after the start for a source's first answer
+DEREGISTER_TIMEOUT_S = 3.0  # longest deregistration, unless SIGKILL comes earlier
+RELOADED_SECTIONS = ("sources", "known", "log", "register")  # changes in other sections need a restart
 
 
 class StandaloneDispatcher(Dispatcher):
-    """One dispatcher with its Consul sources and its part in the fleet.
-
-    path: of the configuration, which a reload reads again; installation: what it says now.
-    """
+    """A dispatcher that takes part in a fleet. `installation` is the content of the file at `path`."""
 
     def __init__(
         self, path: Path, installation: Installation, log: StructuredLog, loop: asyncio.AbstractEventLoop
@@ -91,7 +88,7 @@
                 self._reject_loads_until_ledger_opens()
 
     def _make_membership(self, ledger: Ledger | None) -> None:
-        """Make membership and the fleet's coordinator; they contact others once the sources are followed."""
+        """Make membership and the fleet's coordinator; `follow_sources` starts both."""
         self.membership = membership = self.adapters.membership(ledger, self._on_peer_health_check)
         self.gateway.health_check_listener = self._on_health_check_completed
         if self.installation.file.fleet is not None:
@@ -108,8 +105,10 @@
         self.ledger_access.call_when_open(self._use_ledger)
 
     def _quarantine_drained_engines(self, drain_records: Mapping[bytes, bytes]) -> None:
-        """Quarantine engines that were drained before the start, for the startup timeout; those that the
-        drain records name then stay quarantined."""
+        """Quarantine engines that were drained before the start, until the startup timeout.
+
+        Engines that are still in the drain records then stay quarantined.
+        """
 
         def still_drained() -> set[str]:
             replacement = self.rolling_replacement
@@ -120,17 +119,17 @@
         )
 
     def _use_ledger(self, ledger: Ledger) -> None:
-        """Guard loads by the ledger, and make the other parts that need one."""
+        """Record loads in the ledger, and make the other parts that need it."""
         membership, fleet = self.membership, self.zone_failover
         self.recovery = recovery = self.adapters.recovery(ledger, membership, fleet)
-        if self.unavailable_load_guard is not None:  # retries count from when they first arrived
+        if self.unavailable_load_guard is not None:  # keeps the times at which retries first arrived
             recovery.history.local.queried.update(self.unavailable_load_guard.history.local.queried)
         self.gateway.notifications.load_guard = recovery.load_guard
         if fleet is not None and self.installation.file.sources:
-            # Without slow start nothing would wait for the health check that proves a cached engine.
+            # Engines are cached only with slow start, which waits for a health check of each cached engine.
             self.engine_cache = EngineCache(ledger.records(RecordKind.ENGINE_ADDRESS), self.config.names)
             self.counters.add("recovery_malformed", self.engine_cache.malformed)
-            # An engine in the cached list may have been drained since it was cached.
+            # An engine may have been drained since it was cached, so loads wait for a source's list.
             recovery.may_send_loads_otherwise = self.is_list_settled
         if membership is not None and fleet is not None:
             self._make_replacement(ledger, membership, fleet, recovery)
@@ -146,15 +145,15 @@
         fleet: ZoneFailoverAdapter,
         recovery: RecoveryAdapter,
     ) -> None:
-        """Make rolling replacement, and session affinity on top of it, where they are configured."""
+        """Make rolling replacement, and session affinity which depends on it, if they are configured."""
         file = self.installation.file
         if file.membership is None or not file.membership.voters:
             return
         drains = self.adapters.engine_drains(
             self.engine_list, ledger, membership, fleet, file.membership.voters
         )
-        # Loads wait until drained engines are known, since an engine may be about to lose its power.
-        # Queries that may be repeated do not wait: a majority may take seconds to come back.
+        # Loads wait until the drained engines are known, since an engine may be about to be powered off.
+        # Idempotent queries do not wait, since it may take seconds until a majority is reachable.
         recovery.may_send_loads_otherwise = lambda: drains.may_send_loads() and self.is_list_settled()
         self.rolling_replacement = self.adapters.rolling_replacement(
             ledger, membership, fleet, recovery, drains
@@ -171,7 +170,7 @@
                 part.start()
 
     def _on_fleet_message(self, member: int, payload: bytes) -> None:
-        """Another instance's message goes to the part that knows its first byte."""
+        """Pass another instance's message to the part that handles its first byte."""
         for part in (self.recovery, self.session_affinity, self.rolling_replacement):
             if part is not None and part.on_message(member, payload):
                 return
@@ -179,21 +178,21 @@
             self.zone_failover.on_message(member, payload)
 
     def _on_member_joined(self) -> None:
-        # All parts are notified at once: an instance that waits for its next round believes that it is alone
-        # and admits what the others shed.
+        # The parts are notified without waiting for their next round: until then this instance would believe
+        # that it is alone, and admit requests that the others shed.
         if self.recovery is not None:
             self.recovery.on_member_joined()
         if self.zone_failover is not None:
             self.zone_failover.on_member_joined()
 
     def _on_peer_health_check(self, engine: str, report: dict[str, float]) -> None:
-        """Another instance has checked an engine with success."""
+        """Process another instance's successful health check of an engine."""
         self.gateway.push(HealthCheckCompleted(engine, Outcome.OK, report))
         if self.zone_failover is not None:
             self.zone_failover.on_health_check(engine, Outcome.OK)
 
     def _on_health_check_completed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
-        """A health check of this instance has ended."""
+        """Pass the result of this instance's health check to membership and the fleet."""
         if self.membership is not None:
             self.membership.on_health_check_ended(engine, outcome, report)
         if self.zone_failover is not None:
@@ -203,17 +202,17 @@
                 self.zone_failover.on_health_check_time(engine, duration_ms)
 
     def apply_settings(self) -> None:
-        """Apply the settings; the fleet's quotas follow the number of processes as well."""
+        """Apply the settings, and divide the fleet's quotas by the number of processes."""
         super().apply_settings()
         if self.zone_failover is not None:
             self.zone_failover.set_process_count(1 + self.sibling_count)
 
     def on_other_datagram(self, data: bytes, sender: Address) -> bool:
-        """Whether a datagram is membership's, which begins with a byte of its own."""
+        """Process a datagram of membership, which has its own first byte; return whether it was one."""
         return self.membership is not None and self.membership.on_datagram(data, sender)
 
     def on_engine_list(self, change: EngineListChange) -> None:
-        """The engine list has changed: cache what sources have answered for, and publish the change."""
+        """Publish a change of the engine list, and cache the list once a source has answered."""
         if self.engine_cache is not None and self.recovery is not None and self.has_source_answered():
             records = self.engine_cache.apply(change)
             if records:
@@ -221,7 +220,7 @@
         self.engine_list.on_change(change)
 
     def _on_list_published(self, live: Mapping[str, Engine]) -> None:
-        """Health checks are shared out, and capacity planned, for the engines in service."""
+        """Pass the engines in service to the shared health checks and to the fleet's capacity planning."""
         if self.membership is None:
             return
         self.membership.set_engines(live)
@@ -229,17 +228,17 @@
             self.zone_failover.set_engines(self.engine_list.cores_by_zone(live))
 
     def has_source_answered(self) -> bool:
-        """Whether any source has answered since the start."""
+        """Return whether any source has answered since the start."""
         return any(view.answer_count for view in self.engine_catalog.views.values())
 
     def is_list_settled(self) -> bool:
-        """Whether loads may rely on the list: it is a source's, or none has answered for too long to wait."""
+        """Return whether loads may use the engine list: a source has answered, or the wait has timed out."""
         if not self.installation.file.sources or self.has_source_answered():
             return True
         return self.event_loop.clock.now() - self.started_at >= MAX_LIST_WAIT_MS
 
     def publish_initial_engines(self) -> None:
-        """Publish the configured and the cached engines, until a source has answered."""
+        """Publish the configured and the cached engines, which are in use until a source has answered."""
         observations = self.installation.initial_engines
         if self.engine_cache is not None:
             observations = self.engine_cache.observations(observations)
@@ -250,7 +249,7 @@
             self._publish(self.engine_catalog.set_initial(now, observations))
 
     def _publish(self, actions: Iterable[object]) -> None:
-        """Publish the changes among the catalog's actions."""
+        """Publish the list changes among the catalog's actions."""
         for action in actions:
             if isinstance(action, PublishChange):
                 self.on_engine_list(action.change)
@@ -274,7 +273,7 @@
         self.event_loop.loop.call_later(SILENT_SOURCE_S, self._log_silent_sources)
 
     def _register(self) -> None:
-        """Keep this dispatcher registered in Consul, where the configuration asks for it."""
+        """Keep this dispatcher registered in Consul, if that is configured."""
         if self.installation.registration is None:
             return
         self.registration_task = consul_client.RegistrationTask(
@@ -292,7 +291,7 @@
             self.event_loop.spawn(status.serve(self.event_loop, listener, self.operator_calls.answer))
 
     def _log_silent_sources(self) -> None:
-        """Log the sources that have not answered: a dispatcher without engines rejects everything."""
+        """Log the sources that have not answered, as a dispatcher without engines rejects all requests."""
         for name, view in self.engine_catalog.views.items():
             if view.answer_count == 0:
                 self.log.note(
@@ -303,21 +302,20 @@
                 )
 
     def on_discovery_events(self, events: Iterable[Event]) -> None:
-        """Sources have sent events. Those of a source that a reload removed, from a task that ended late, are
-        dropped."""
+        """Process events of sources; drop late events of a source that a reload has removed."""
         known = [event for event in events if event.source in self.engine_catalog.views]
         super().on_discovery_events(known)
         if self.zone_failover is not None and self.has_source_answered():
             self.zone_failover.on_list_received()
 
     def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
-        """Ask the source's catalogue before the next health call."""
+        """Query the source's catalog for missing engines before its next health query."""
         self.consul_sources.confirm_absent(source, absent)
 
     def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
         """Leave membership, and return the deregistration, which runs while requests are still served.
 
-        It comes first, so that load balancers which read Consul send their clients elsewhere.
+        It starts first, so that load balancers that read Consul send clients to other dispatchers.
         """
         if self.membership is not None:
             self.membership.leave()
@@ -329,14 +327,14 @@
         )
 
     async def run(self) -> None:
-        """Serve until told to stop; the ledger is closed last, and marked as closed cleanly."""
+        """Serve until a shutdown has ended; close the ledger last, as after a clean shutdown."""
         await super().run()
         for part in (self.session_affinity, self.rolling_replacement, self.recovery):
             if part is not None:
                 part.close()
 
     def reload(self) -> None:
-        """Read the configuration again. One that can't be used changes nothing; its problems are logged."""
+        """Read the configuration again; the problems of an invalid one are logged, and it changes nothing."""
         try:
             new = read_installation(self.path)
         except UnusableConfigError as error:
@@ -367,7 +365,10 @@
             )
 
     def _reload_registration(self, old: Installation, new: Installation) -> None:
-        """A token may change in place; another entry needs a restart, since clients hold its address."""
+        """Apply changed settings of the same entry, such as a token.
+
+        Another id or agent needs a restart, since clients hold the address of the registered entry.
+        """
         if self.registration_task is None or new.registration is None or old.registration is None:
             return
         if (new.registration.id, new.registration.agent) == (old.registration.id, old.registration.agent):
@@ -375,7 +376,7 @@
 
 
 def serve(path: Path) -> int:
-    """Run one dispatcher by its configuration; returns 2 if that can't be used, 1 if its address can't."""
+    """Run a dispatcher; return the exit status: 2 for an invalid file, 1 after an OSError, else 0."""
     try:
         installation = read_installation(path)
     except UnusableConfigError as error:
--- a/cottonhold/node/standalone/engine_list.py
+++ b/cottonhold/node/standalone/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list as this instance publishes it: what sources report, less what the fleet quarantines."""
+"""The engine list that this instance publishes: the engines of the sources without the quarantined ones."""
 
 from __future__ import annotations
 
@@ -13,9 +13,12 @@
 
 
 class EngineListPublisher:
-    """Publishes changes of the list, and shows its engines to the parts of the fleet.
+    """Publishes changes of the engine list, and provides its engines to the parts of the fleet.
 
-    zone_names: by the engines' zone numbers; on_published: called with the engines in service after a change.
+    Args:
+        dispatcher: The dispatcher that owns the engine catalog and the gateway.
+        zone_names: Returns the names of the zones, by zone number.
+        on_published: Called with the engines in service after each change.
     """
 
     def __init__(
@@ -35,11 +38,11 @@
         self.quarantine = Quarantine()
 
     def on_change(self, change: EngineListChange) -> None:
-        """Sources have changed the list."""
+        """Publish a change that sources have reported, without quarantined engines."""
         self.republish(self.quarantine.on_change(change))
 
     def republish(self, change: EngineListChange | None) -> None:
-        """Publish engines that the fleet quarantines from now on, or no longer; None changes nothing."""
+        """Publish a change of the quarantine; None changes nothing."""
         if change is None:
             return
         self.gateway.on_engine_list(change)
@@ -48,7 +51,7 @@
     def quarantine_for(
         self, duration_ms: float, engines: set[str], still_drained: Callable[[], set[str]]
     ) -> None:
-        """Quarantine engines for a time; those that are still drained when it is over stay quarantined."""
+        """Quarantine engines for a limited time; those still drained at its end stay quarantined."""
 
         def release() -> None:
             for engine in sorted(engines - still_drained()):
@@ -59,7 +62,7 @@
         self.clock.call_in(duration_ms, release)
 
     def cores_by_zone(self, live: Mapping[str, Engine]) -> dict[str, dict[str, float]]:
-        """The cores of each engine, by the name of its zone and its id."""
+        """Return the cores of each engine, by the name of its zone and its id."""
         zone_names, cores = self.zone_names(), dict[str, dict[str, float]]()
         for engine_id, engine in live.items():
             zone_cores = cores.setdefault(zone_names[engine.zone], {})
@@ -67,7 +70,7 @@
         return cores
 
     def listed(self) -> dict[str, Machine]:
-        """All engines of the list as machines to be replaced; those in quarantine don't count as capacity."""
+        """Return all engines of the list as machines, by id; quarantined ones don't count as capacity."""
         zone_names, live = self.zone_names(), self.quarantine.live_engines()
         return {
             engine_id: Machine(
@@ -82,6 +85,6 @@
         }
 
     def _incarnation(self, engine_id: str) -> int:
-        """When the engine's process started, as the last of its sources says; 0: none says it."""
+        """Return the latest start time of the engine's process that a source reports; 0 if none does."""
         claims = (view.claims.get(engine_id) for view in self.catalog.views.values())
         return int(max((c.observation.started_at for c in claims if c is not None), default=0.0))
--- a/cottonhold/node/standalone/ledger_access.py
+++ b/cottonhold/node/standalone/ledger_access.py
@@ -1,4 +1,4 @@
-"""Opens an instance's ledger at its start, and retries for as long as the folder can't be used."""
+"""Opens an instance's ledger at its start, and retries while the state folder can't be used."""
 
 from __future__ import annotations
 
@@ -14,16 +14,22 @@
 from cottonhold.store.records import RecordKind
 from cottonhold.transport.clock import Clock
 
-START_WAIT_S = 3.0  # that a start waits for the folder before it serves without one
-SLOW_OPENING_S = 1.0  # an attempt that takes longer is logged
-RETRY_INTERVAL_MS = 250.0  # between attempts, as while the process that an upgrade replaces has the folder
-POLL_INTERVAL_MS = 20.0  # between two looks at whether an attempt is over
+START_WAIT_S = 3.0  # longest time that a start waits for the ledger before it serves without one
+SLOW_OPENING_S = 1.0  # duration of an attempt after which it is logged
+# Pause between attempts; in an upgrade they fail until the replaced process has closed the folder.
+RETRY_INTERVAL_MS = 250.0
+POLL_INTERVAL_MS = 20.0  # interval between checks whether an attempt has ended
 
 
 class LedgerAccess:
-    """The attempts to open one ledger, in threads of their own: a disk that hangs delays loads only.
+    """Opens one ledger in separate threads, so that a hanging disk delays loads only.
 
-    installation: the one in force; folder: of its file; log_event: called with an event and its fields.
+    Args:
+        installation: Returns the configuration in force.
+        folder: The folder of the configuration file.
+        clock: This process's clock.
+        counters: The counters of this process.
+        log_event: Logs an event with its fields.
     """
 
     def __init__(
@@ -41,7 +47,7 @@
         self.opening.wait(START_WAIT_S)
 
     def ledger(self) -> Ledger | None:
-        """The ledger, if it is open by now; each new reason why it isn't is logged once."""
+        """Return the ledger if it is open; otherwise log the reason, each one once in a row."""
         reason = self._failure_reason()
         if reason and reason != self.logged_reason:
             self.logged_reason = reason
@@ -49,7 +55,7 @@
         return self.opening.ledger if self.opening.is_over else None
 
     def _failure_reason(self) -> str:
-        """Why there is no ledger; empty where there is one, or none is kept, or it may still come."""
+        """Return why the ledger is not open; empty if it is open, not configured, or still being opened."""
         if self.opening.is_slow(SLOW_OPENING_S):
             return f"{self.installation().file.state_dir}: the disk has not answered yet"
         error = self.opening.error
@@ -59,12 +65,12 @@
         return str(error)
 
     def readable_records(self) -> Mapping[RecordKind, Mapping[bytes, bytes]]:
-        """The records of a folder whose ledger could not be opened, as far as they could be read."""
+        """Return the readable records of a folder whose ledger could not be opened."""
         error = self.opening.error if self.opening.is_over else None
         return error.records if error is not None else {}
 
     def call_when_open(self, use: Callable[[Ledger], None]) -> None:
-        """Call `use` with the ledger once it is open, after as many attempts as that takes."""
+        """Call `use` with the ledger once it is open; retry without limit."""
         if self.opening.is_over and self.opening.ledger is None:
             self.clock.call_in(RETRY_INTERVAL_MS, lambda: self._retry(use))
         else:
--- a/cottonhold/node/standalone/operator_calls.py
+++ b/cottonhold/node/standalone/operator_calls.py
@@ -1,4 +1,4 @@
-"""Answers calls at the local socket, as `cottonhold members`, `duties`, `zone` and `swap` make them."""
+"""Answers operators' calls at the status socket: `cottonhold members`, `duties`, `zone` and `swap`."""
 
 from __future__ import annotations
 
@@ -24,8 +24,7 @@
 
 
 class Instance(Protocol):
-    """The instance that is asked. Parts that its configuration leaves out, or that wait for the ledger, are
-    None."""
+    """The instance that answers; parts that are not configured, or that wait for the ledger, are None."""
 
     config: Config
     counters: Counters
@@ -39,14 +38,14 @@
 
 
 class OperatorCalls:
-    """Answers calls for one instance. has_metrics: whether its configuration has `metrics` on."""
+    """Answers calls for one instance; `has_metrics` tells whether its configuration enables metrics."""
 
     def __init__(self, instance: Instance, has_metrics: bool) -> None:
         self.instance = instance
         self.metrics = make_metrics(instance, self.view) if has_metrics else None
 
     def answer(self, call: dict[str, Any]) -> dict[str, Any]:
-        """The answer to a call, which names what it wants in `call`; an `error` says why there is none."""
+        """Return the answer to a call, whose kind is under the key `call`, or the reason under `error`."""
         name = call.get("call")
         if name == "view":
             return self.view()
@@ -61,7 +60,7 @@
         return {"error": f"there is no call {name!r}"}
 
     def view(self) -> dict[str, Any]:
-        """The status of all parts, under the keys that operators know."""
+        """Return the status of all parts."""
         instance = self.instance
         view: dict[str, Any] = {"name": instance.config.name}
         for part in (
@@ -99,7 +98,7 @@
 
 
 def make_metrics(instance: Instance, view: Callable[[], dict[str, Any]]) -> Metrics:
-    """The instance's metrics. view: the status of its parts, from which their gauges are read."""
+    """Make the instance's metrics; `view` returns the status from which the gauges of its parts are read."""
     from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
 
     def read() -> Readings:
--- a/cottonhold/node/status.py
+++ b/cottonhold/node/status.py
@@ -1,6 +1,6 @@
-"""A local socket for this instance's operators: one JSON call a connection, and one JSON answer.
+"""The local status socket for this instance's operators: one JSON call and one JSON answer per connection.
 
-A call is one line: `{"call": "view"}`, or an operator's order. A caller that sends nothing gets the view.
+A call is one line, such as `{"call": "view"}`. A caller that sends nothing gets the view.
 """
 
 from __future__ import annotations
@@ -19,14 +19,18 @@
 from cottonhold.transport.event_loop import EventLoop
 
 SEND_TIMEOUT_S = 1.0
-CALL_TIMEOUT_S = 0.1  # after which a caller that has sent nothing gets the view
+CALL_TIMEOUT_S = 0.1  # time after which a caller that has sent nothing gets the view
 ASK_TIMEOUT_S = 5.0
 MAX_CALL_BYTES = 4096
 Answer = Callable[[dict[str, Any]], dict[str, Any]]
 
 
 def listen(path: Path) -> socket.socket:
-    """A socket for this user only; one that a former process left at its path is removed. Raises OSError."""
+    """Open a socket that only this user may connect to, and remove the file that a former process left.
+
+    Raises:
+        OSError: The socket can't be opened at this path.
+    """
     with contextlib.suppress(FileNotFoundError):
         path.unlink()
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -41,7 +45,16 @@
 
 
 def ask(path: Path, call: dict[str, Any]) -> dict[str, Any]:
-    """Call the instance whose socket is at a path, from another process. Raises OSError and ValueError."""
+    """Call an instance from another process, and return its answer.
+
+    Args:
+        path: The path of the instance's status socket.
+        call: The call, which names its kind under the key `call`.
+
+    Raises:
+        OSError: The instance can't be reached or does not answer in time.
+        ValueError: The answer is not valid JSON.
+    """
     data = b""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(ASK_TIMEOUT_S)
@@ -54,10 +67,10 @@
 
 
 async def serve(event_loop: EventLoop, sock: socket.socket, answer: Answer) -> None:
-    """Answer calls until cancelled. A caller that does not read holds up nobody else."""
+    """Answer calls until cancelled; each call has its own task, so that slow callers block no others."""
     try:
         while True:
-            # A moment without a free descriptor must not close this socket.
+            # A temporary lack of descriptors must not close this socket.
             client = await event_loop.listener.accept_one(sock, "status_accept", "local calls")
             event_loop.spawn(_serve_one(event_loop, client, answer))
     finally:
@@ -80,7 +93,11 @@
 
 
 async def _read_call(event_loop: EventLoop, client: socket.socket) -> dict[str, Any]:
-    """A caller's call. Raises ValueError for one that can't be decoded."""
+    """Read and decode a caller's call.
+
+    Raises:
+        ValueError: The call can't be decoded.
+    """
     data = b""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(CALL_TIMEOUT_S):
