--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -1,4 +1,4 @@
-"""The guard of loads with keys, on a fake clock: owners, forwarding, leases that end, order by key."""
+"""The guard of loads with keys on a fake clock: owners, forwarding, expired leases, and order per key."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class RecordingLoadGuard:
-    """The guard behind: it lets all through."""
+    """The wrapped load guard, which accepts all loads and stores the callbacks of their records."""
 
     def __init__(self) -> None:
         self.recorded_callbacks: list[Callable[[bool], None]] = []
@@ -61,7 +61,7 @@
 
 
 class World:
-    """One guard; the test says who owns what. It stands for the gateway, too."""
+    """One guard, with stand-ins for its router and gateway; the test sets the owner of all keys."""
 
     member, retry_after_ms = ME, 40.0
 
@@ -153,7 +153,7 @@
 
 
 def test_no_attempt_is_sent_once_another_member_owns_the_key() -> None:
-    """Before the disk is asked, and behind it."""
+    """The ownership is checked before an attempt is recorded, and again once the record is durable."""
     world = World()
     world.arrive("a")
     world.arrive("b")
@@ -182,7 +182,7 @@
         world.arrive(ref)
     world.advance(500)
     assert world.outcomes == []
-    world.guard.on_request_closed("b")  # its client left
+    world.guard.on_request_closed("b")  # as its client has disconnected
     world.current_route = OWNED_HERE
     world.advance(1)
     assert world.outcomes == [("a", "never"), ("c", "never")]
@@ -215,10 +215,10 @@
     world.end_forwarding("a", ForwardResult.NOT_OWNER, Y.to_bytes(8, "big"))
     world.arrive("b")
     assert world.forwarded == [("a", X), ("a", Y), ("b", Y)]
-    world.table.discard(Y)  # it was swapped
+    world.table.discard(Y)  # as its machine was replaced
     world.end_forwarding("a", ForwardResult.NOT_OWNER)
     world.advance(50)
-    assert len(world.forwarded) == 3  # the next of its key is still there
+    assert len(world.forwarded) == 3  # the key's next request is still at the previous owner
     world.end_forwarding("b", ForwardResult.NOT_OWNER)
     world.advance(50)
     assert world.forwarded[3:] == [("a", X), ("b", X)]
@@ -265,7 +265,7 @@
 
 
 def test_later_requests_of_a_returned_round_do_not_start_before_it() -> None:
-    """Both were handed on before their origin heard of it; of the next round all begin."""
+    """The origin forwarded the later ones before it received the first one back; a new round starts."""
     world = World()
     world.guard.origin_rounds |= {
         "a": OriginRound(Y, 1),
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -1,4 +1,4 @@
-"""The rim of loads that may have run, on a fake clock: key order while a retry is asked about, disk, ends."""
+"""The load recorder on a fake clock: order per key during a retry's query, disk errors, recorded results."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeLedger:
-    """Takes records and says that they are durable when told to."""
+    """A ledger whose writes end when the test calls `durable`."""
 
     boot_count = 3
 
@@ -47,13 +47,13 @@
         self.put_of = [(records, None) for records, _ in self.put_of]
 
     def states(self) -> list[LoadState]:
-        """States of loads, as they were put."""
+        """Return the states of the recorded loads, in the order of the writes."""
         every = [r for records, _ in self.put_of for r in records if r.value is not None]
         return [LoadRecord.decode(r.key, r.value).state for r in every if r.value is not None]
 
 
 class World:
-    """One of three dispatchers; the others say what the test has them say."""
+    """The load recorder of one of three dispatchers; the others don't answer queries."""
 
     def __init__(self) -> None:
         self.clock, self.ledger, self.outcomes = FakeClock(), FakeLedger(), list[tuple[str, str]]()
@@ -102,8 +102,8 @@
     world.arrive("d1", key="other")
     assert world.outcomes == [("d1", "never")]
     world.clock.run_until(world.clock.now() + 1500.0, lambda: None)
-    assert world.outcomes[1:] == [("c1", "later")]  # its own time ran out first
-    world.loads.on_request_closed("a1")  # its client left: it is no longer asked about
+    assert world.outcomes[1:] == [("c1", "later")]  # its own deadline passed first
+    world.loads.on_request_closed("a1")  # its client disconnects, which ends the queries
     assert world.outcomes[2:] == [("b1", "never")]
 
 
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("change", ["disk", "unheard"])
 def test_a_retry_unknown_to_others_is_not_postponed_for_long(change: str) -> None:
-    """It is told to come later at first; then whoever sent its load may have forgotten it soon."""
+    """It is told to retry later at first; later on, its load's sender may soon have removed the record."""
     world = World()
     if change == "disk":
         world.ledger.state = DiskState.FULL
@@ -171,7 +171,7 @@
 
 
 def test_a_load_in_the_history_stays_on_the_disk() -> None:
-    """Its own hold is over, but one that isn't gone can't be heard."""
+    """Its retention has passed, but an instance that is not proven silent is unreachable and may query it."""
     world, apart = World(), FleetState(True, True, MemoryState.INTACT, {}, is_partitioned=True)
     attempt, _ = world.send("a1")
     world.ledger.durable()
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -1,4 +1,4 @@
-"""Loads on a disk that fails, hangs and loses power: none runs twice, none is told as well that isn't."""
+"""Loads and disk errors, hangs and power losses: none runs twice, and no success is reported without one."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FaultyLedger:
-    """Its writes end when the test says so; a kill leaves some of them on the disk."""
+    """A ledger whose writes end when the test calls `answer`; a kill leaves some of them on the disk."""
 
     def __init__(self, disk: dict[bytes, bytes], boot_count: int) -> None:
         self.disk, self.boot_count, self.state = disk, boot_count, DiskState.HEALTHY
@@ -53,7 +53,7 @@
                 self.disk[record.key] = record.value
 
     def answer(self, succeeded: bool | None) -> None:
-        """The oldest write ends. None: it failed, and is there all the same."""
+        """End the oldest write; None: it reports a failure although its records are on the disk."""
         if not self.writes_in_flight:
             return
         records, done = self.writes_in_flight.pop(0)
@@ -65,7 +65,7 @@
             done(bool(succeeded))
 
     def kill(self, written_count: int) -> None:
-        """The process is killed; of the writes in flight the first ones have reached the disk."""
+        """Kill the process, with the first `written_count` writes in flight on the disk."""
         for records, _ in self.writes_in_flight[:written_count]:
             self.write(records)
 
@@ -76,7 +76,7 @@
 
     load: int
     attempt: Attempt
-    is_sent: bool = False  # at the engine
+    is_sent: bool = False  # to the engine
     is_over: bool = False
 
 
@@ -113,7 +113,7 @@
         )
 
     def send_request(self, load: int) -> None:
-        """A client's request; from the second on it is marked as a retry."""
+        """Send a client's request; later requests of the same load are marked as retries."""
         self.serial += 1
         now, body = self.clock.now(), b"INSERT %d" % load
         request_id, retry = f"r{self.serial}", load in self.requested_loads
@@ -150,7 +150,7 @@
             self.close(request, None)
 
     def close(self, request: Request, outcome: Outcome | None) -> None:
-        """The attempt has ended, and the request with it."""
+        """End an attempt together with its request."""
         request.is_over = True
         if outcome is Outcome.OK:
             self.ended_well.add(request.load)
@@ -165,7 +165,7 @@
             self.close(request, outcome)
 
     def leave(self) -> None:
-        """A client leaves, or its deadline passes, while its record is written."""
+        """Disconnect a client, or let its deadline pass, while its load's record is written."""
         for request in [r for r in self.requests if not r.is_sent][:1]:
             self.close(request, None)
 
@@ -193,7 +193,7 @@
         self.check_service_after_faults()
 
     def check_service_after_faults(self) -> None:
-        """Once the fault has passed, without a restart, new loads run and outlast a kill."""
+        """Check that after the faults, without a restart, a new load runs and its record survives a kill."""
         self.ledger.state = DiskState.HEALTHY
         self.send_request(99)
         while self.ledger.writes_in_flight:
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -1,4 +1,4 @@
-"""An installation whose folder can't be had: it starts, serves all else, and keeps loads once it can."""
+"""An unavailable state folder: the dispatcher serves, and accepts loads once the folder is usable."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 from tests.observe.test_metrics import FILE, FLEET
 from tests.support.scenario import FakeClock
 
-MAX_LOOP_TURNS = 2000  # of the event loop, each 10 ms at most: a bound for a test that has failed
+MAX_LOOP_TURNS = 2000  # bound of a test's wait in iterations, each of at most 10 ms
 
 
 class World:
-    """A node, and a folder that can be opened when the test says so."""
+    """A dispatcher with a folder whose opening the test can block or fail."""
 
     def __init__(self, folder: Path) -> None:
         self.path, self.log_text = folder / "n1.json", StringIO()
@@ -68,7 +68,7 @@
 
 
 async def wait_until_loads_are_recorded(node: StandaloneDispatcher) -> None:
-    """Until the folder is in use."""
+    """Wait until the folder's ledger is open and in use."""
     for _ in range(MAX_LOOP_TURNS):
         if node.recovery is not None:
             return
@@ -101,7 +101,7 @@
         assert (
             isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and node.recovery is None
         )
-        for _ in range(20):  # the loop goes on meanwhile
+        for _ in range(20):  # the event loop must not be blocked
             await asyncio.sleep(0.002)
         assert world.open_count == 1, "one try at a time"
         assert len(world.lines()) == 1 and "has not answered" in world.lines()[0]
@@ -116,7 +116,7 @@
 
 
 def test_a_disk_that_hangs_later_delays_loads_only(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the start it failed at once; the next try hangs."""
+    """The first attempt at the start fails immediately, and the second one hangs."""
     monkeypatch.setattr(ledger_access, "SLOW_OPENING_S", 0.0)
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
@@ -212,7 +212,7 @@
 
 
 def check_postponement(guard: UnavailableLoadGuard, clock: FakeClock) -> None:
-    """Its load was sent elsewhere, and is forgotten there after the retention."""
+    """Check that a retry is told to retry later only for as long as its load's sender keeps the record."""
     start, outcomes = clock.now(), list[str]()
     for second in range(8):
         clock.run_until(start + 1000.0 * second, lambda: None)
@@ -272,7 +272,7 @@
 
 
 def test_loads_of_a_full_folder_are_answered_by_what_could_be_read(world: World) -> None:
-    """A folder that could be read, but whose boot could not be counted."""
+    """The folder could be read, but its boot count could not be incremented."""
     body = b"INSERT a"
     record = LoadRecord(load_identity("load", "k", body), "r", "k", b"", "e1", 1, 0.0, LoadState.SENT)
     error = StoreError("full", Folder.COMPLETE, {RecordKind.LOAD: {record.identity: record.encode()}})
@@ -294,7 +294,7 @@
 
 
 def make_folder_with_drain(folder: Path, drain: dict[RecordKind, dict[bytes, bytes]]) -> None:
-    """A folder of an earlier incarnation."""
+    """Make the folder of an earlier incarnation, with the record of an engine drain."""
     ledger = Ledger.open(folder, str(FILE["name"]))
     ledger.put([Record(kind, key, value) for kind, kept in drain.items() for key, value in kept.items()])
     ledger.close(True)
@@ -304,7 +304,7 @@
 def test_drains_of_a_readable_folder_stay_in_force(
     world: World, monkeypatch: pytest.MonkeyPatch, had: bool
 ) -> None:
-    """Until its ledger holds them, or for as long as registers are waited for."""
+    """Engines stay quarantined until the ledger is open, or until the startup timeout."""
     monkeypatch.setattr(ledger_access, "RETRY_INTERVAL_MS", 1.0 if had else 1e6)
     drain = {RecordKind.ENGINE_DRAIN: {b"e1": Hint(b"", 0.0).encode()}}
     world.errors = [StoreError("full", Folder.COMPLETE, drain)]
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -1,4 +1,4 @@
-"""Records in order, again until the disk takes them; and voters on disks that fail for a while."""
+"""The ordered write queue: order of records, retries until they are durable, and voters on failing disks."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ScriptedLedger:
-    """Accepts writes while it is healthy; `answer` ends the oldest one."""
+    """A ledger that accepts writes while it is healthy; `answer` ends the oldest write."""
 
     def __init__(self) -> None:
         self.state = DiskState.HEALTHY
@@ -130,8 +130,7 @@
 
 
 def durable_in_order(steps: Iterable[Any]) -> None:
-    """Each key's durable values only grow, none is told as kept that isn't, and in the end the last of each
-    is there."""
+    """Check that records become durable in order, that none is reported too early, and that none is lost."""
     world, last = World(), dict[str, str]()
     for number, step in enumerate(steps):
         if step == "wait":
@@ -192,7 +191,7 @@
 
 
 class FailingLedger:
-    """A member's disk on the voters' network."""
+    """The ledger of one voter, which fails while the voter is in `fleet.failing`."""
 
     def __init__(self, fleet: FailingFleet, member: int) -> None:
         self.fleet, self.member = fleet, member
@@ -216,7 +215,7 @@
 
 
 class FailingFleet(Fleet):
-    """Voters whose promises go to disks that fail."""
+    """Voters whose promises are written to failing disks."""
 
     def __init__(self, failing: Iterable[int] = ()) -> None:
         self.failing, self.writers = set(failing), dict[int, OrderedWriteQueue]()
@@ -298,7 +297,7 @@
 
 
 def test_a_voter_returns_while_another_s_disk_failed_for_a_while() -> None:
-    """The one that greets writes the number of the return; that record failed once."""
+    """The voter that admits a returning one records the number of the return; that write fails once."""
     fleet = FailingFleet()
     fleet.run(1000)
     assert fleet.change(101, "a", 0, b"one").result is ChangeResult.WON
@@ -313,7 +312,7 @@
 
 
 def test_all_finished_registers_go_once_the_last_floor_is_durable() -> None:
-    """Of one record only the last write's end is reported; an earlier one may never have reached the disk."""
+    """Only a record's last write is reported; earlier writes may never have reached the disk."""
     voter = Acceptor(101, [101], 7, {}, 64, 200.0)
     voter.step(0.0)
     for _ in range(2):
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -1,5 +1,4 @@
-"""The adapter of the fleet: what the gateway tells it, orders and calls at the local socket, bad ones by
-name."""
+"""The adapter of the fleet's coordinator: attempts as evidence, operators' overrides, the status socket."""
 
 from __future__ import annotations
 
@@ -54,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, left",  # each bad end 1 ms after the attempt, whose usual time is 20 ms
+    "outcome, left",  # failed attempts end after 1 ms, successful ones after 20 ms
     [
         (Outcome.CONNECT_FAILED, True),
         (Outcome.RESET, True),
@@ -180,7 +179,7 @@
 
 
 def test_a_joining_member_is_announced_at_once() -> None:
-    """Looked for by each part at its next round, a late one knew of nobody for half a second."""
+    """Without this notification, a member that joined late would know no others for half a second."""
     clock, sent, joined = FakeClock(), list[bytes](), list[float]()
     swim = Swim("n0", PLACE, SwimSettings(), 1, 1)
     other = Swim("n1", Address("127.0.0.1", 7001), SwimSettings(), 1, 1, seeds=[PLACE])
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API, the lifecycle, and a drain as clients see it."""
+"""The admin API, the lifecycle, and the effects of a drain on clients."""
 
 from __future__ import annotations
 
@@ -163,7 +163,7 @@
 
 
 class Caller(FakeStream):
-    """An operator's end of a call."""
+    """The operator's side of an admin connection."""
 
     def __init__(self, call: AdminConnection) -> None:
         self.call, call.stream = call, self
@@ -251,17 +251,17 @@
     silent, half = Caller(api.open()), Caller(api.open())
     half.status(b"GET /health")
     quick = Caller(api.open())
-    assert silent.call.is_closed and not half.call.is_closed  # the oldest made room
+    assert silent.call.is_closed and not half.call.is_closed  # the oldest connection was closed
     assert quick.status(b"GET /healthcheck HTTP/1.1\r\n\r\n") == "200 OK"
     world.wait(CALL_TIMEOUT_MS)
     assert half.status() == "408 Request Timeout"
     Caller(api.open())
-    assert len(api.connections) == 2 and half.call.is_closed  # one that is answered makes room first
+    assert len(api.connections) == 2 and half.call.is_closed  # an answered connection is closed before others
 
 
 @pytest.mark.parametrize("response_state", ["unread", "unwritten"])
 def test_a_received_call_is_answered_before_its_connection_is_evicted(response_state: str) -> None:
-    """Whether its bytes lie unread or its answer waits for the next turn, it must not be cut off."""
+    """A call must be answered even if its bytes are unread or its response is unwritten at the eviction."""
 
     async def scenario() -> bytes:
         world, event_loop = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
@@ -297,7 +297,7 @@
 
 
 def test_queued_connections_are_accepted_before_a_listener_closes() -> None:
-    """What is in the queue of a listener that closes is reset, with its request written."""
+    """Closing a listener resets the connections in its queue, whose clients may have sent requests."""
 
     async def scenario() -> int:
         world, event_loop = World(), EventLoop(asyncio.get_running_loop(), Counters(), print)
--- a/tests/node/test_engine_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -1,4 +1,4 @@
-"""Engine list changes that cross a request: before its step, in its queue, in its connect."""
+"""Changes of the engine list while a request is pending: before its step, in the queue, in the connect."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def receive_query(world: World, number: int) -> None:
-    """Receive a query; nothing else happens yet."""
+    """Receive a query without running the scheduler's step."""
     world.client("c1").session.receive(packet(0, b"\x03" + QUERY % number))
 
 
 def requests_by_engine(world: World) -> dict[str, list[int]]:
-    """The requests that each engine got, by its name."""
+    """Return the numbers of the requests that each engine received, by the engine's name."""
     requests: dict[str, list[int]] = {name: [] for name in world.names}
     for stream in world.engine_streams:
         name = world.names[int(stream.engine[1:]) - 1]
@@ -45,7 +45,7 @@
 
 
 def after_step(world: World, change: Callable[[], None]) -> None:
-    """Decided, and queued at a connection that is up; nothing of it is written."""
+    """Apply a change after the step has queued the query at an open connection, before it is written."""
     receive_query(world, 1)
     world.gateway._step()
     assert any(c.queue for p in world.engines.endpoints.values() for c in p.connections)
@@ -66,10 +66,10 @@
 def test_nothing_is_sent_to_an_engine_that_leaves_while_a_request_is_being_sent(
     apply_change: Callable[[World, Callable[[], None]], None], state: str
 ) -> None:
-    """Whichever engine the query was for, both leave, and a new one arrives in the same change."""
+    """Both engines leave, including the one chosen for the query, and the same change adds a new one."""
     world = World(engines="a b")
     world.client("c1")
-    if apply_change is after_step:  # a connection to each that is up
+    if apply_change is after_step:  # opens a connection to each engine
         for name in ("a", "b"):
             world.engines.check_health(name)
             world.met(name)
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("in_one_change", [True, False])
 def test_a_new_engine_at_a_removed_engines_address_gets_its_own_connection(in_one_change: bool) -> None:
-    """The old one's answer to its attempt may still arrive, and counts once."""
+    """The removed engine may still answer its attempt; the answer is used once."""
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *")
     removed, new = Engine("a", state=EngineState.REMOVED), Engine("fresh", started_at=900.0)
     at = {"fresh": Address("a", 1)}
@@ -133,7 +133,7 @@
 def test_batched_events_have_the_same_result_as_single_ones(
     events: list[list[tuple[str, ServiceStatus]]], state: dict[str, str], one_by_one: bool
 ) -> None:
-    """All at one address: the last event of each engine counts."""
+    """The last event of each engine determines its state, even if all engines have the same address."""
     catalog = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1)
     here = Address("h", 1)
     reports = [
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -1,4 +1,4 @@
-"""The dispatcher between clients and engines, as scenarios on a fake clock."""
+"""The gateway between clients and engines, tested by scenarios on a fake clock."""
 
 from __future__ import annotations
 
@@ -275,7 +275,7 @@
 
 
 def test_shutdown_ends_every_request_before_sigkill_and_raises_priorities() -> None:
-    """No request may still be queued, or begun late, when SIGKILL comes."""
+    """At SIGKILL no request may be queued, or have an attempt that started too late to end."""
     key = "lookup=7f3a9c21e0b4d655 allow=20000"
     world = World(engines="a").run(
         f"c1 query lookup r1 allow=20000\nc2 query load r2 {key}\nc3 query load r3 {key}"
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -1,4 +1,4 @@
-"""Loads that are recorded before they are sent, and whose earlier executions are looked up."""
+"""The gateway with a load guard: loads are recorded before they are sent, and retries are looked up."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Guard:
-    """A load guard whose answers the scenario gives, when it says so."""
+    """A load guard whose answers are given by the steps of a scenario."""
 
     def __init__(self) -> None:
         self.pending_outcomes: list[LoadOutcomeCallback] = []
@@ -51,7 +51,7 @@
 
 
 class Guarded(World):
-    """A world with such a guard, and verbs for it."""
+    """A world with a `Guard`, and the scenario steps that control it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("cause", ["given up", "closed", "cut by the other side"])
 def test_an_attempt_reported_as_unsent_is_never_written(cause: str) -> None:
-    """It is queued for the stream's write as its connection ends."""
+    """The attempt is queued for the stream's next write when its connection ends."""
     world, outcomes = World(engines="a"), list[Outcome]()
     world.gateway.on_attempt_ended = lambda attempt, event: outcomes.append(event.outcome)  # type: ignore[method-assign]
     attempt = Attempt("r1", 0, "a", "load", b"insert", 1, world.clock.now(), world.clock.now() + 5000.0)
--- a/tests/node/test_log_table.py
+++ b/tests/node/test_log_table.py
@@ -1,4 +1,4 @@
-"""The operators' table of log events (docs/operators/log.md) names each event in the code and its fields."""
+"""The operators' table of log events (docs/operators/log.md) lists each event in the code and its fields."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def logged_events() -> Iterator[tuple[str, set[str]]]:
-    """Each event that is logged, with the names of its fields as far as the call spells them out."""
+    """Yield each event that is logged, with the names of the fields that the call passes as keywords."""
     for package in PACKAGES:
         for path in sorted((ROOT / "cottonhold" / package).rglob("*.py")):
             for call in ast.walk(ast.parse(path.read_text())):
@@ -32,7 +32,7 @@
 
 
 def documented_events() -> dict[str, set[str]]:
-    """The table's events, with the fields that it names."""
+    """Return the events of the table with their fields."""
     text = (ROOT / "docs" / "operators" / "log.md").read_text()
     return {
         event: set(re.findall(r"`([a-z_]+)`", fields))
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: never one where an earlier attempt may have run, whatever arrives late, twice or not at all."""
+"""Retries: none if an earlier attempt may have run, whether answers arrive late, twice or not at all."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def test_a_duplicate_answer_to_an_attempt_does_not_answer_the_next(
     duplicate: str, copies: int, name: str, site: str
 ) -> None:
-    """On a single engine, so that the next attempt goes there too."""
+    """A single engine gets both attempts, so a duplicate answer could be taken for the second one's."""
     world = Turns(SITES[site], engines="a")
     world.run(f"c1 query {name} r1 allow=20000\ne1 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500")
     second = next(stream for stream in world.engine_streams if stream.received)
@@ -38,7 +38,7 @@
 
 
 def keyed_world(group: str) -> World:
-    """Two engines of one cell, and a class whose duplicates they drop for a time."""
+    """Return a world with two engines of one cell that deduplicate a class's requests for WINDOW_MS."""
     cls = replace(
         READ,
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
@@ -53,7 +53,7 @@
 def test_a_retry_begins_within_the_deduplication_window_however_long_its_connect_takes(
     connected_at_ms: int, is_sent: bool, group: str, answer: str
 ) -> None:
-    """Counted from the first attempt that may have run, up to the first byte of the next one."""
+    """The window counts from the first attempt that may have run to the first byte of the next attempt."""
     world = keyed_world(group).run(
         "c1 query lookup r1\ne1 expect GET r1 *\ntime wait 900\ne2 will vanish\ne1 close"
     )
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("connect_ms", [0, 240])
 @pytest.mark.parametrize("gap_ms", [300, 980, 1020, 1200, 1270, 1600])
 def test_a_retry_budget_of_one_allows_no_two_retries_within_its_window(gap_ms: int, connect_ms: int) -> None:
-    """Counted when they begin, which a connect delays."""
+    """A retry counts from its start, which a connect delays."""
     rules = Rules(retry_budget_free=1, retry_budget_share=0.0, retry_budget_window_ms=BUDGET_WINDOW_MS)
     features = replace(SETTINGS.features, can_cancel=False)
     world = World(replace(SETTINGS, rules=rules, features=features, max_connect_ms=MAX_CONNECT_MS))
@@ -107,7 +107,7 @@
     ],
 )
 def test_a_late_answer_to_a_cancelled_attempt_is_ignored(late: str, before: bool) -> None:
-    """The first attempt was cancelled as it took far longer than planned."""
+    """The first attempt is cancelled because it takes far longer than estimated."""
     world = Turns(SITES["all features"])
     world.run("c1 query lookup r1 effort=20.0\ne1 expect GET r1 *\ntime wait 200\ne1 expect DROP r1")
     world.run("e2 expect GET r1 *\ne2 send r1 served count=2 a|b|c/\ne2 expect PAGE r1 1")
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("max_attempts", [1, 2, 3])
 @pytest.mark.parametrize("name", CLASS_NAMES)
 def test_no_request_has_more_attempts_than_the_settings_allow(name: str, max_attempts: int) -> None:
-    """Each is rejected, so that each could be retried."""
+    """The engine rejects each attempt, so that each could be retried."""
     site = SITES["few features"]
     world = Turns(
         replace(site, features=replace(site.features, max_attempts=max_attempts)), engines="a b c d"
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -1,4 +1,4 @@
-"""Faults in the scheduler: they end one request, and all others keep their answers."""
+"""Faults in the scheduler: each fails one request only, and all others are answered."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FaultyWorld(Turns):
-    """A world whose scheduler fails at a given event."""
+    """A world whose scheduler raises an exception at a given type of event of request 9."""
 
     def __init__(self, fails: str) -> None:
         super().__init__(SITES["all features"])
@@ -40,9 +40,8 @@
 
     def failing_events(self, events: Iterable[Event]) -> Iterator[Event]:
         for event in events:
-            has_ended = (
-                getattr(event, "outcome", None) is Outcome.NOT_STARTED
-            )  # which reports no more than that
+            # The containment itself reports an attempt with this outcome, which must not fail again.
+            has_ended = getattr(event, "outcome", None) is Outcome.NOT_STARTED
             if (
                 self.fails == type(event).__name__
                 and getattr(event, "query_id", "") == BAD_ID
@@ -56,7 +55,7 @@
         raise LookupError("planted")
 
     def assert_settled(self) -> None:
-        """Assert that all requests are answered, and that nothing is kept for one that is over."""
+        """Assert that all requests are answered, and that no state remains of closed ones."""
         for client in self.clients:
             self.run(f"{client} close")
         self.run("time wait 300")
@@ -131,7 +130,7 @@
 
 
 def test_a_queued_request_is_answered_in_time_after_a_failed_step() -> None:
-    """The failed step sets no timer: on an idle process nothing else would end the request."""
+    """The failed step sets no timer, and an idle process has no later events that would end the request."""
     world = FaultyWorld("")
     world.run("list tell e1 gone\nlist tell e2 gone\nc1 query lookup r1 allow=1000\nc1 expect nothing")
     world.fails = "behind the events"
@@ -160,7 +159,7 @@
 
 
 class FailingGuard(Guard):
-    """A load guard that fails at one of its calls."""
+    """A load guard that raises an exception in one of its methods."""
 
     def __init__(self, fails: str) -> None:
         super().__init__()
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are open, and files that must change nothing."""
+"""Changes of the settings while requests are open, and invalid files, which must change nothing."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
 
 
 def test_a_request_in_flight_at_a_reload_is_answered_by_its_deadline() -> None:
-    """Deadlines are checked the earlier, the longer a tick is; the change made it a short one."""
+    """Deadlines are checked earlier with a longer tick; the reload shortens the tick for an open request."""
     few = dataclasses.replace(PERMITS, can_cancel=False)
     long = dataclasses.replace(SETTINGS, features=few, tick_ms=50.0)
     world = World(long).run("c1 query load r1 allow=2000,effort=20.0\ne1 expect GET r1 *\ntime wait 1425")
@@ -132,8 +132,8 @@
 @pytest.mark.parametrize(
     ("after", "expected"),
     [
-        ((READ, LOOKUP), (None, 0)),  # moved behind a new one
-        ((dataclasses.replace(LOOKUP, name="other"), READ), (None, None)),  # renamed
+        ((READ, LOOKUP), (None, 0)),  # the class moves behind a new one
+        ((dataclasses.replace(LOOKUP, name="other"), READ), (None, None)),  # the class has another name
         ((dataclasses.replace(LOOKUP, idempotency=Idempotency.NOT_IDEMPOTENT),), (None,)),
         ((dataclasses.replace(LOOKUP, deadline_ms=LOOKUP.deadline_ms / 2),), (None,)),
     ],
@@ -154,7 +154,7 @@
 
 
 def test_an_attempt_of_a_removed_class_may_end() -> None:
-    """Also where nothing was learned yet of any class in force."""
+    """An attempt of a removed class ends without an error, also while no class in force has a history."""
     setup = settings(classes=(LOOKUP, LOAD))
     scheduler = Scheduler(setup, 1)
     scheduler.step(0.0, [engines("e1")])
@@ -194,7 +194,7 @@
 
 
 def test_a_sibling_process_halves_the_budget_for_a_warming_engine() -> None:
-    """Two processes stand for one gateway, and share what it may send to a cold engine."""
+    """Two processes run as one dispatcher, and share its budget for a cold engine."""
     scheduler = Scheduler(settings(), 1)
     scheduler.step(0.0, [engines("e1")])
     alone = slow_start.local_budget_rate(scheduler, scheduler.engines["e1"])
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The shutdown of a process as clients and engines see it: all requests are answered before SIGKILL."""
+"""The shutdown of a process, as observed by clients and engines: all requests are answered before SIGKILL."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tests.support.scenario import READ, SETTINGS, World, packet
 
 DEADLINES = (100.0, 400.0, 1000.0, 3000.0, 25000.0)
-ARRIVAL_MS = 600.0  # after SIGTERM, for which requests still arrive on open connections
+ARRIVAL_MS = 600.0  # time after SIGTERM during which requests arrive on open connections
 
 
 def world_with_deadline(deadline: float, effect: Idempotency = Idempotency.IDEMPOTENT) -> World:
@@ -35,7 +35,7 @@
 
 
 def kill_delay_ms(deadline: float) -> float:
-    """The shortest time from SIGTERM to SIGKILL by the protocol."""
+    """Return the shortest time from SIGTERM to SIGKILL that the platform guarantees, in ms."""
     return min(deadline, 3000.0) + 700.0
 
 
@@ -45,7 +45,7 @@
 def test_every_request_is_answered_at_shutdown_though_engines_hang(
     deadline: float, allow: float, effect: Idempotency
 ) -> None:
-    """Clients wait for a deadline, or for longer, as where a reload has made the deadlines shorter."""
+    """Clients wait until the deadline or longer; they wait longer if a reload has shortened the deadlines."""
     world, clients = world_with_deadline(deadline, effect), list[str]()
 
     def send_query() -> None:
@@ -63,7 +63,7 @@
     while world.clock.now() < started_at + ARRIVAL_MS - 25.0:
         send_query()
         world.wait(25.0)
-    world.run("c91 query lookup r91 allow=20000")  # may not be accepted any more
+    world.run("c91 query lookup r91 allow=20000")  # may be rejected
     world.wait(started_at + kill_delay_ms(deadline) - 100.0 - world.clock.now())
     assert [len(world.clients[name].received) for name in clients] == [1] * len(clients)
     assert (
@@ -113,13 +113,13 @@
         <= lifecycle.close_deadline()
         < lifecycle.answer_deadline()
     )
-    # What comes by the rules can be taken, however late, if its client can wait no longer than a deadline.
+    # Even the latest request is accepted if its client waits no longer than the class's deadline.
     assert lifecycle.accepts_query(1000.0 + ARRIVAL_MS, 1000.0 + ARRIVAL_MS + min(deadline, 3000.0))
     assert not lifecycle.accepts_query(1000.0 + ARRIVAL_MS, kill_at + 1.0)
 
 
 def test_a_second_sigterm_or_a_reload_does_not_postpone_the_shutdown() -> None:
-    """Neither may move the deadlines beyond SIGKILL."""
+    """A second SIGTERM or other settings must not move the deadlines beyond SIGKILL."""
     lifecycle = Lifecycle()
     lifecycle.begin_shutdown(1000.0, 400.0)
     lifecycle.begin_shutdown(1500.0, 5000.0)
@@ -150,19 +150,19 @@
 
 
 def sighup(node: Dispatcher, folder: Path, deadline: float) -> None:
-    """SIGHUP, with other settings in the file."""
+    """Reload as after SIGHUP, with another deadline in the file."""
     write(folder, listen=str(node.config.listen), **with_deadline(deadline))
     node.reload()
 
 
 def sighup_with_invalid_file(node: Dispatcher, folder: Path, deadline: float) -> None:
-    """SIGHUP, with a file that can't be used."""
+    """Reload as after SIGHUP, with an invalid file."""
     (folder / "config.json").write_bytes(b"{")
     node.reload()
 
 
 def sigterm(node: Dispatcher, folder: Path, deadline: float) -> None:
-    """SIGTERM."""
+    """Begin a shutdown as after SIGTERM."""
     node.begin_shutdown()
 
 
@@ -197,7 +197,7 @@
 def test_a_sigterm_before_serving_still_accepts_clients_and_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The new process of an upgrade may get it, and connections may have arrived there already."""
+    """The new process of an upgrade may get SIGTERM early, when clients may already have connected to it."""
 
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as spare:
@@ -222,7 +222,7 @@
 def test_shutdown_waits_for_a_newer_process_only_while_it_can_end_in_time(
     deadline: float, max_wait_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Clients are accepted no longer than the time of SIGKILL allows."""
+    """The wait for a newer process must leave enough time to answer all clients before SIGKILL."""
     monkeypatch.setattr("cottonhold.node.dispatcher.SHUTDOWN_POLL_S", 0.0)
     world = world_with_deadline(deadline).run("ops terminate")
     started_at = world.clock.now()
@@ -248,7 +248,7 @@
 def test_a_slot_that_cannot_be_written_costs_no_service(
     code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Neither the start may fail nor the periodic update of siblings end."""
+    """A write error must neither fail the start nor end the periodic update of sibling processes."""
     log: list[str] = []
     first = SiblingProcesses(str(tmp_path), "here", log.append)
     second = SiblingProcesses(str(tmp_path), "here", log.append)
@@ -287,7 +287,7 @@
 
 @pytest.mark.parametrize("is_shared", [False, True])
 def test_no_socket_delays_small_writes(is_shared: bool) -> None:
-    """What the system still holds back is lost with a reset."""
+    """Data that the kernel delays (Nagle's algorithm) would be lost in a connection reset."""
 
     async def scenario() -> None:
         event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
--- a/tests/node/test_sibling_process_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -1,4 +1,4 @@
-"""Slot files in $TMPDIR fail: the dispatcher starts, serves and updates its siblings all the same."""
+"""Errors of slot files in $TMPDIR: the dispatcher still starts, serves and updates its siblings."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecordedLog:
-    """A log whose lines are kept."""
+    """A log that stores its lines."""
 
     def __init__(self) -> None:
         self.lines = list[str]()
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("size", [1, 50, 1000])
 def test_the_event_stream_reports_each_change_once(size: int) -> None:
     stream, reports, _ = new_event_stream()
-    for _ in range(2):  # the same answer again, as after a broken link
+    for _ in range(2):  # the second answer is a duplicate, as after a reconnect
         stream.request()
         data = poll_answer(4, ENTRY)
         completions = [stream.receive(data[at : at + size]) for at in range(0, len(data), size)]
@@ -245,13 +245,13 @@
             sock.close()
         return calls
 
-    assert asyncio.run(scenario()) == 2  # the second one waits for more
+    assert asyncio.run(scenario()) == 2  # the second call waits for further connections
 
 
 def test_a_crowd_of_clients_that_turn_idle_is_accepted_without_long_pauses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Freed places are used at once: usual clients must not wait behind a crowd."""
+    """Freed connection slots are reused without a pause, so that other clients need not wait."""
 
     async def scenario() -> list[float]:
         world = World(sockets=64)
@@ -362,7 +362,8 @@
         environ = {**os.environ, **write(tmp_path, listen=f"127.0.0.1:{port}", bus=bus_at)}
         program = subprocess.Popen(PROGRAM, env=environ, stderr=subprocess.PIPE, text=True)
         try:
-            assert b"GET /bus/read?from=1&" in bus_server.accept()[0].recv(1000)  # it listens before it polls
+            # The dispatcher listens for clients before it polls the event bus.
+            assert b"GET /bus/read?from=1&" in bus_server.accept()[0].recv(1000)
             with socket.create_connection(("127.0.0.1", port)) as client:
                 client.sendall(packet(1, LOGIN) + packet(0, b"\x0e"))
                 assert [read_packet(client)[0] for _ in range(3)] == [0x0A, 0, 0]
--- a/tests/node/test_start_faults.py
+++ b/tests/node/test_start_faults.py
@@ -1,4 +1,4 @@
-"""The sockets of the start fail: for a moment, and it starts; for good, and it ends with one line, code 1."""
+"""Socket errors at the start: temporary ones delay it, and lasting ones end it with one line and status 1."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def config(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Config:
-    """Peers', operators' and clients' sockets, in this order; nobody is at the event bus."""
+    """Configure sockets for peers, operators and clients, opened in this order, and an unreachable bus."""
     monkeypatch.delenv("TMPDIR", raising=False)
     usual = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
     return dataclasses.replace(usual, listen=FREE, admin_listen=FREE, peer_listen=FREE)
@@ -78,7 +78,7 @@
     assert run_program("n0", make) == 1
     lines = [x for x in capsys.readouterr().err.splitlines() if not x.startswith("counters")]
     assert len(lines) == 1 and lines[0].startswith("cottonhold: n0: "), lines
-    assert not faults.open or call == "listen"  # the peers' socket, which has no listen
+    assert not faults.open or call == "listen"  # the peers' socket stays open, as it doesn't call listen
 
 
 def test_an_address_in_use_is_named(config: Config, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -1,4 +1,4 @@
-"""Timeouts of attempts, and requests with little time left: all are answered, few are sent."""
+"""Timeouts of attempts, and requests with little time left, which are rejected in time and not sent."""
 
 from __future__ import annotations
 
@@ -40,9 +40,8 @@
     world = Turns(SITES[site])
     for client in ("c1", "c9"):
         world.client(client)
-    world.gateway.scheduler.fleet_utilization = (
-        0.1  # else what can't be in time is not sent where the fleet may be full
-    )
+    # At a high utilization, the scheduler would already reject requests that may not end in time.
+    world.gateway.scheduler.fleet_utilization = 0.1
     world.run(MOMENTS[moment].replace("CLASS", name).replace("LEFT", remaining_ms))
     world.run("c1 expect error 1226 *\nany nothing there")
     assert not world.gateway.scheduler.ejected_engines
@@ -50,7 +49,7 @@
 
 
 def sent_timeout_ms(world: Turns) -> float:
-    """The timeout that the one request at an engine carries, in ms."""
+    """Return the timeout in the only request that an engine has received, in ms."""
     (stream,) = [stream for stream in world.engine_streams if stream.received]
     fields = stream.received.pop(0)[2].decode()
     return float(fields.partition("ms=")[2].partition(",")[0])
@@ -59,7 +58,7 @@
 @pytest.mark.parametrize("allow", [300, 1000, 3000, 20000])
 @pytest.mark.parametrize("delay", ["for a connect", "behind another one", "after a first attempt"])
 def test_an_attempts_timeout_is_at_most_its_clients_remaining_time(delay: str, allow: int) -> None:
-    """However the request waited: the time counts from its last byte."""
+    """The client's time counts from the request's last byte, whatever the request then waits for."""
     world = Turns(SITES["few features"])
     world.client("c1")
     world.gateway.scheduler.fleet_utilization = 0.1
@@ -85,7 +84,7 @@
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("name", CLASS_NAMES)
 def test_a_connect_that_outlasts_its_request_is_no_evidence_against_the_engine(name: str, site: str) -> None:
-    """Else one request that can't wait for its connect would have the engine ejected for seconds."""
+    """Otherwise, one request with less time than a connect takes would eject the engine for seconds."""
     world = Turns(SITES[site])
     world.client("c1")
     world.gateway.scheduler.fleet_utilization = 0.1
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes as one dispatcher: slots, ids, shared addresses, and real programs one after another."""
+"""Two processes as one dispatcher: slots, connection ids, a shared address, upgrades of real processes."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     )
     assert first.others() == [second.record] and second.others() == [first.record]
     assert not first.is_newer_starting()
-    os.close(first.file)  # as its process ends
+    os.close(first.file)  # as at the end of its process
     assert second.others() == []
     third = join_folder(tmp_path)
     assert third.slot == first.slot and third.record.start_number > second.record.start_number
@@ -75,7 +75,7 @@
 
 
 def test_connection_ids_of_two_processes_differ() -> None:
-    """A KILL QUERY that reaches the other process must not hit another client's query there."""
+    """A KILL QUERY that reaches the other process must not end another client's query there."""
     given = [ConnectionIdRange.for_slot(start, slot) for start in (0, 1, 1023) for slot in range(4)]
     assert sorted(b for ids in given for b in first_and_last_id(ids)) == [
         b for ids in given for b in sorted(first_and_last_id(ids))
@@ -136,7 +136,7 @@
 
 
 def test_new_connections_and_datagrams_go_to_the_newer_process_and_the_older_may_close() -> None:
-    """SO_REUSEPORT alone divides them, and what waits at the one that closes is reset."""
+    """SO_REUSEPORT alone would divide connections, and closing the older socket would reset queued ones."""
 
     async def scenario() -> list[int]:
         event_loops = [EventLoop(asyncio.get_running_loop(), Counters(), print) for _ in range(2)]
@@ -182,7 +182,7 @@
 
 
 class UpgradeSite:
-    """An event stream without events, one stand-in engine, and programs that serve one address."""
+    """An event stream without events, one stand-in engine, and dispatcher processes at one address."""
 
     def __init__(self, folder: Path, engine: StandInEngine, addresses: list[str]) -> None:
         self.folder, self.engine = folder, engine
@@ -191,7 +191,7 @@
         self.limits: dict[str, Any] = {}
 
     async def start(self) -> asyncio.subprocess.Process:
-        """Start one more program; returns once its health check succeeds."""
+        """Start one more dispatcher process; return once its health check succeeds."""
         ops = self.ops[len(self.programs)]
         entry = {**ENTRY, "hostPort": self.engine_at, "machineType": "a", "startedAtMs": 0}
         known = {"offset": 1, "batch": [{"offset": 1, "topology": {"reset": True, "instances": [entry]}}]}
@@ -211,7 +211,7 @@
 
 
 async def admin_call(at: str, request_line: str) -> str:
-    """The response to an operator's call; empty where nobody listens."""
+    """Return the response to an operator's call; empty if the address can't be reached."""
     host, _, port = at.partition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -224,7 +224,7 @@
 
 
 async def send_query(at: str, ref: int) -> bytes:
-    """The response to one request on a connection of its own."""
+    """Send one request on a new connection and return the response."""
     host, _, port = at.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     text = f"/* service=lookup,ref={ref:016x},allow=20000 */ SELECT a FROM s_7.t"
@@ -291,7 +291,7 @@
             sender.cancel()
             answers = await asyncio.gather(*queries)
             served = {f"{ref:016x}" for ref, answer in enumerate(answers) if b"s-1" in answer}
-            # On a slow machine the scheduler may reject one; but none may stay without an answer.
+            # On a slow machine the scheduler may reject requests, but each must be answered.
             assert all(b"s-1" in answer or b"\xff\xca\x04#42000" in answer for answer in answers)
             assert served and served <= site.engine.runs.keys() and set(site.engine.runs.values()) == {1}
 
@@ -300,7 +300,7 @@
 
 @pytest.mark.parametrize("end_signal", [signal.SIGKILL, signal.SIGTERM])
 def test_the_remaining_process_serves_on(tmp_path: Path, end_signal: signal.Signals) -> None:
-    """The newer one dies, or is told to end first: the older one serves on untouched."""
+    """If the newer process is killed or shut down, the older one continues to serve."""
 
     async def scenario() -> None:
         async with running_site(tmp_path, work_ms=1.0) as site:
@@ -320,12 +320,12 @@
     async def scenario() -> None:
         async with running_site(tmp_path, work_ms=1.0) as site:
             old = await site.start()
-            newer = SiblingProcesses(str(tmp_path), site.listen, print)  # starts, and does not serve yet
+            newer = SiblingProcesses(str(tmp_path), site.listen, print)  # a process that does not serve yet
             old.send_signal(signal.SIGTERM)
             assert old.stderr is not None
             while b"shutdown_started" not in await old.stderr.readline():
                 pass
-            await asyncio.sleep(1.2)  # longer than a process without a newer one accepts clients
+            await asyncio.sleep(1.2)  # longer than a process accepts clients if there is no newer one
             assert (await send_ping(site.listen)).endswith(b"\x00\x00\x00\x02\x00\x00\x00")
             newer.publish(ProcessRecord(newer.record.start_number, is_serving=True))
             _, errors = await old.communicate()
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The program on a machine whose wall clock is off: a warming engine, a warm one, and the timeouts sent."""
+"""The dispatcher on a machine with a wrong wall clock: budgets for cold and warm engines, sent timeouts."""
 
 from __future__ import annotations
 
@@ -31,14 +31,16 @@
 ALLOW_MS, WORK_MS, CLIENTS = 1900, 100, 200
 RULES = CONFIG["settings"]["obligations"]
 CORES = CONFIG["settings"]["domain"]["size_cores"][0]
-# What the cold budget lets through in its window, which the clients' time does not outlast.
+# Number of requests that the cold engine's budget permits in its window, which is longer than clients wait.
 WARM_UP_BUDGET = RULES["overload_factor"] * RULES["cold_from"] * CORES * RULES["tip_after"] / WORK_MS
 assert RULES["tip_after"] > ALLOW_MS
 
 
 class RecordingEngine(StandInEngine):
-    """An engine that records the timeout of each request, and needs a tenth of the work that it reports: so a
-    busy machine decides nothing."""
+    """An engine that records the timeout of each request.
+
+    It needs only a tenth of the time that it reports as work, so a busy test machine does not affect results.
+    """
 
     def __init__(self) -> None:
         super().__init__("s-1", WORK_MS / 10)
@@ -63,7 +65,7 @@
 
 
 async def connect(port: int, program: asyncio.subprocess.Process) -> Streams:
-    """A connection to the dispatcher, which may not listen yet."""
+    """Connect to the dispatcher; retry until it listens."""
     while program.returncode is None:
         try:
             return await asyncio.open_connection("127.0.0.1", port)
@@ -73,7 +75,7 @@
 
 
 async def send_query(streams: Streams, number: int) -> bytes:
-    """The response to one request, up to the end of the result or an error; empty if it is cut off."""
+    """Send one request and return the complete result or the error; empty if the response is incomplete."""
     reader, writer = streams
     fields = f"service=lookup,ref={number:016x},allow={ALLOW_MS},effort={WORK_MS}.0,room=1"
     writer.write(packet(1, LOGIN) + packet(0, f"\x03/* {fields} */ SELECT a FROM s_7.t".encode()))
@@ -91,9 +93,14 @@
 async def run_queries(
     folder: Path, clock_error_s: float, age_s: float, step_s: float = 0.0, shuts_down: bool = False
 ) -> RecordingEngine:
-    """Many requests in one moment, by way of a program whose wall clock is off, to an engine of some age.
-
-    step_s: the clock is stepped in service. shuts_down: it gets SIGTERM once the first request is in flight.
+    """Send many simultaneous requests to one engine through a dispatcher with a wrong wall clock.
+
+    Args:
+        folder: The folder for the configuration file.
+        clock_error_s: Error of the dispatcher's wall clock at its start, in s.
+        age_s: Time since the engine's start, in s.
+        step_s: Step of the wall clock after the start, in s.
+        shuts_down: Whether the dispatcher gets SIGTERM once the first request is in flight.
     """
     engine = RecordingEngine()
     ports = []
