--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -43,8 +43,8 @@
 }
 MODES = {name: mode for mode, name in MODE_NAMES.items()}
 MAX_OVERRIDE_MS = 7 * 86_400_000.0  # longest duration of an override, so that a forgotten one expires
-MIN_CHECK_AGE_MS = 3000.0  # lower limit of the age to which a successful health check counts
-CHECK_AGE_INTERVALS = 2.5  # the same age in health check intervals
+MIN_CHECK_AGE_MS = 3000.0  # lower bound of the maximum age of a successful health check
+CHECK_AGE_INTERVALS = 2.5  # maximum age of a successful health check, in health check intervals
 TIMER_SLACK_MS = 0.5  # added to timers, so that the step is due when its timer fires
 
 
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -165,11 +165,11 @@
             )
 
     def on_other_datagram(self, data: bytes, sender: Address) -> bool:
-        """Process a datagram that is not a peer message; return whether it was one. Here there are none."""
+        """Process a datagram of a subclass's protocols; return whether it is one. The base class has none."""
         return False
 
     def shutdown_tasks(self) -> Iterable[Awaitable[object]]:
-        """Return tasks to run at the begin of a shutdown, while requests are still served."""
+        """Return tasks to run at the start of a shutdown, while requests are still served."""
         return ()
 
     def update_siblings(self) -> None:
--- a/cottonhold/node/fault_containment.py
+++ b/cottonhold/node/fault_containment.py
@@ -82,7 +82,7 @@
             self.push(ClientDisconnected(request_id))
 
     def forget_attempt(self, request_id: str, engine: str) -> None:
-        """Tell the scheduler that an attempt has ended without being started, and nothing else."""
+        """Report to the scheduler that an attempt has ended without being started."""
         self.push(AttemptEnded(request_id, 0, engine, Outcome.NOT_STARTED, 0.0, is_final=True))
 
     def _expire_requests(self) -> None:
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -15,8 +15,8 @@
 from enum import Enum
 
 # A load balancer that checks every 0.1 s still opens connections for 0.2 s after a failed health check.
-DRAIN_IDLE_CLOSE_MS = 500.0  # time after the begin of a drain from which idle connections are closed
-# Time after the begin of a drain during which queries are accepted. 4 s after the begin of a drain, no open
+DRAIN_IDLE_CLOSE_MS = 500.0  # time after the start of a drain from which idle connections are closed
+# Time after the start of a drain during which queries are accepted. 4 s after the start of a drain, no open
 # request may be younger than 2 s.
 DRAIN_ACCEPT_QUERIES_MS = 1500.0
 # After SIGTERM, new connections arrive for 0.4 s, and requests on open connections for 0.2 s more.
--- a/cottonhold/node/notifications.py
+++ b/cottonhold/node/notifications.py
@@ -32,7 +32,7 @@
             self.on_fault(error)
 
     def attempt_not_started(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Notify both of the end of an attempt that was never started and says nothing about its engine."""
+        """Notify both of the end of an attempt that never started, which is no evidence about its engine."""
         if self.observer is not None:
             never_started = dataclasses.replace(event, outcome=Outcome.NOT_STARTED)
             self.observer.on_attempt_ended(attempt, never_started)
