--- a/cottonhold/cli/instance_socket.py
+++ b/cottonhold/cli/instance_socket.py
@@ -16,10 +16,10 @@
     """An instance's answer to a call, by default to `view`. Exits with code 1 if there is none, and with 2
     if the instance refuses the call.
     """
-    from cottonhold.node.status import ask
+    from cottonhold.node.status import call_instance
 
     try:
-        answer = ask(socket_path, call or {"call": "view"})
+        answer = call_instance(socket_path, call or {"call": "view"})
     except (OSError, ValueError) as error:
         print(f"{socket_path}: {error}", file=sys.stderr)
         raise typer.Exit(1) from None
--- a/cottonhold/emulator/fault_injection/faults.py
+++ b/cottonhold/emulator/fault_injection/faults.py
@@ -26,7 +26,7 @@
     zone_number,
 )
 from cottonhold.membership.codec import Codec, KeyRing, Message, MessageKind, member_id
-from cottonhold.node.status import ask
+from cottonhold.node.status import call_instance
 
 if TYPE_CHECKING:
     from cottonhold.emulator.fault_injection.harness import ScenarioRun
@@ -164,7 +164,7 @@
     async def _on_order(self, fault: Fault) -> None:
         call = {"call": "order", "for_ms": ORDER_DURATION_MS, "who": "rig", "why": "a trial", **fault.options}
         with contextlib.suppress(OSError, ValueError):
-            await asyncio.to_thread(ask, self.run.folder / f"{fault.target}.sock", call)
+            await asyncio.to_thread(call_instance, self.run.folder / f"{fault.target}.sock", call)
 
     def _on_traits(self, fault: Fault) -> None:
         for name in self._targets(fault):
--- a/cottonhold/emulator/fault_injection/operators.py
+++ b/cottonhold/emulator/fault_injection/operators.py
@@ -8,7 +8,7 @@
 
 from cottonhold.emulator.fault_injection.event_log import MarkVerb
 from cottonhold.emulator.fault_injection.script import Fault
-from cottonhold.node.status import ask
+from cottonhold.node.status import call_instance
 
 if TYPE_CHECKING:
     from cottonhold.emulator.fault_injection.harness import ScenarioRun
@@ -54,7 +54,7 @@
         path = self.scenario_run.folder / f"{self.instance}.sock"
         for _ in range(MAX_ATTEMPTS):
             with contextlib.suppress(OSError, ValueError):
-                answer: dict[str, Any] = await asyncio.to_thread(ask, path, self.call)
+                answer: dict[str, Any] = await asyncio.to_thread(call_instance, path, self.call)
                 result = str(answer.get("error", "asked"))
                 self.scenario_run.mark(MarkVerb.REPLACEMENT_REQUESTED, result)
                 self.scenario_run.timeline.append(f"swap asked at {self.instance}: {result}")
--- a/cottonhold/emulator/fault_injection/views.py
+++ b/cottonhold/emulator/fault_injection/views.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 from typing import Any
 
-from cottonhold.node.status import ask
+from cottonhold.node.status import call_instance
 
 
 def read_view(folder: Path, name: str) -> dict[str, Any]:
     """Return an instance's view of the fleet; empty if it does not answer."""
     try:
-        return ask(folder / f"{name}.sock", {"call": "view"})
+        return call_instance(folder / f"{name}.sock", {"call": "view"})
     except (OSError, ValueError):
         return {}
 
--- a/cottonhold/emulator/process_fleet.py
+++ b/cottonhold/emulator/process_fleet.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from cottonhold.emulator.engine import StandInEngine
-from cottonhold.node.status import ask
+from cottonhold.node.status import call_instance
 
 HEALTH_CHECK_INTERVAL_MS = 500
 ENGINE_COUNT = 6
@@ -147,7 +147,7 @@
 
     def view(self, number: int) -> dict[str, Any]:
         """What an instance shows at its local socket."""
-        return ask(self.folder / f"n{number}.sock", {"call": "view"})
+        return call_instance(self.folder / f"n{number}.sock", {"call": "view"})
 
     def views(self) -> dict[int, dict[str, Any]]:
         """The view of each running instance, by number."""
--- a/cottonhold/fleet_adapters/engine_drain.py
+++ b/cottonhold/fleet_adapters/engine_drain.py
@@ -63,7 +63,7 @@
         membership: The membership adapter.
         fleet: The fleet's coordinator.
         voters: The configured names of the voters.
-        hop: Calls a function in the event loop's thread; may be called in any thread.
+        call_in_loop: Calls a function in the event loop's thread; may be called in any thread.
     """
 
     def __init__(
@@ -73,10 +73,10 @@
         membership: MembershipAdapter,
         fleet: FleetCoordinator,
         voters: Iterable[str],
-        hop: Callable[[Callable[[], None]], object],
+        call_in_loop: Callable[[Callable[[], None]], object],
     ) -> None:
         self.owner, self.ledger, self.membership, self.fleet = owner, ledger, membership, fleet
-        self.records = OrderedWriteQueue(ledger, hop, membership.clock.call_in)
+        self.records = OrderedWriteQueue(ledger, call_in_loop, membership.clock.call_in)
         self.swim, self.clock = membership.instance.swim, membership.clock
         swim, self.voters = self.swim, {member_id(name) for name in voters}
         now, settings = self.clock.now(), DrainSettings()
@@ -120,7 +120,7 @@
                     slow_start.share(record.replacement) if record.replacement in slow_start.engines else 0.0,
                 )
 
-    def act(
+    def apply_action(
         self,
         now: float,
         replacement: ReplacementCoordinator,
@@ -157,7 +157,7 @@
                     if not self.owner.engines.check_liveness(engine, self._on_liveness_check(engine)):
                         drains.on_liveness_check(engine, False)
 
-    def row(self, now: float, replacement: ReplacementCoordinator, engine: str) -> dict[str, Any]:
+    def status_row(self, now: float, replacement: ReplacementCoordinator, engine: str) -> dict[str, Any]:
         """Return the engine-specific status of a replacement; empty for a dispatcher's replacement."""
         record = replacement.view.records.get(engine)
         if record is None or not record.has_flag(MachineFlag.ENGINE):
@@ -186,13 +186,13 @@
         self.pending_drains[engine] = record
         if not (records := self.drain_records.drain(engine)):
             on_record_settled()
-        for record_of in records:
+        for drain_record in records:
             # A failed write is retried, or the drain would be lost at the next restart.
-            self.records.put(record_of, on_record_settled, on_record_settled)
+            self.records.put(drain_record, on_record_settled, on_record_settled)
 
     def _release(self, now: float, engine: str, record: MachineRecord | None) -> None:
-        for record_of in self.drain_records.undrain(engine):
-            self.records.put(record_of)
+        for drain_record in self.drain_records.undrain(engine):
+            self.records.put(drain_record)
         self.owner.republish(self.owner.quarantine.release(engine, now if is_new_process(record) else 0.0))
 
     def _step_startup(self, now: float, replacement: ReplacementCoordinator, live: set[int]) -> None:
--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -69,9 +69,9 @@
         now: Returns the time of this process's clock, in ms.
         disk_now: Returns the time of the ledger's clock, in ms.
         call_in: Calls a function after a delay in ms.
-        hop: Calls a function in the event loop's thread; may be called in any thread.
+        call_in_loop: Calls a function in the event loop's thread; may be called in any thread.
         may_send: Returns whether this instance may send loads now.
-        carry_out: Executes actions of the load history.
+        execute: Executes actions of the load history.
     """
 
     def __init__(
@@ -84,21 +84,21 @@
         now: Callable[[], float],
         disk_now: Callable[[], float],
         call_in: Callable[[float, Callable[[], None]], object],
-        hop: Callable[[Callable[[], None]], object],
+        call_in_loop: Callable[[Callable[[], None]], object],
         may_send: Callable[[], bool],
-        carry_out: Callable[[Iterable[Action]], None],
+        execute: Callable[[Iterable[Action]], None],
         counters: Counters,
         log: Callable[..., None],
     ) -> None:
         self.history, self.ledger, self.records, self.classes = history, ledger, records, classes
-        self.retention_ms, self.now, self.disk_now, self.call_in, self.hop = (
+        self.retention_ms, self.now, self.disk_now, self.call_in, self.call_in_loop = (
             retention_ms,
             now,
             disk_now,
             call_in,
-            hop,
+            call_in_loop,
         )
-        self.may_send, self.carry_out, self.counters, self.log = may_send, carry_out, counters, log
+        self.may_send, self.execute, self.counters, self.log = may_send, execute, counters, log
         self.started_at = self.expired_at = now()
         self.runs: dict[str, LoadRun] = {}  # by request id
         self.pending: dict[str, SettlementWaiter] = {}  # by request id
@@ -158,7 +158,7 @@
         if key is not None:
             self.key_of_retry[request_id] = key
             self.queues[key] = deque()
-        self.carry_out(())
+        self.execute(())
 
     def _on_queue_timeout(self, queued: QueuedRequest) -> None:
         """Tell the client to retry later if its request is still queued at its deadline."""
@@ -210,7 +210,7 @@
         self.records[run.load] = record
 
         def on_written(durable: bool) -> None:
-            self.hop(lambda: on_recorded(durable))
+            self.call_in_loop(lambda: on_recorded(durable))
 
         self.ledger.put([record.to_record()], on_written)
 
@@ -302,7 +302,7 @@
 
         def on_written(durable: bool) -> None:
             if not durable:
-                self.hop(lambda: self._restore(removed))
+                self.call_in_loop(lambda: self._restore(removed))
 
         self.ledger.put([Record(RecordKind.LOAD, key, None) for key in removed], on_written)
 
--- a/cottonhold/fleet_adapters/membership.py
+++ b/cottonhold/fleet_adapters/membership.py
@@ -23,7 +23,7 @@
 from cottonhold.transport.clock import Clock, Timer
 
 HEALTH_CHECKS, FLEET_REPORT, FLEET_SUBJECT = "probe", "report", "fleet"
-NO_REPORT = 0xFFFFFFFF  # encoding of a missing load report
+NO_LOAD_REPORT = 0xFFFFFFFF  # encoding of a missing load report
 MAX_SCALED = 0xFFFE  # largest value of each 16-bit half of an encoded load report
 
 
@@ -31,13 +31,13 @@
     """Encode a health check's load report in 32 bits: queries in flight, and the fraction of busy cores."""
     inflight, util = report.get("inflight"), report.get("util")
     if inflight is None or util is None:
-        return NO_REPORT
+        return NO_LOAD_REPORT
     return (min(max(int(inflight), 0), MAX_SCALED) << 16) | round(min(max(util, 0.0), 1.0) * MAX_SCALED)
 
 
 def decode_load_report(detail: int) -> dict[str, float]:
     """Decode the load report of another instance's health check; empty if it had none."""
-    if detail == NO_REPORT:
+    if detail == NO_LOAD_REPORT:
         return {}
     return {"inflight": float(detail >> 16), "util": (detail & 0xFFFF) / MAX_SCALED}
 
@@ -124,7 +124,7 @@
     def start(self) -> None:
         """Run the first step, which contacts the configured peers."""
         now = self.clock.now()
-        self._carry_out(self.instance.on_subjects(now, FLEET_REPORT, [FLEET_SUBJECT]))
+        self._execute(self.instance.on_subjects(now, FLEET_REPORT, [FLEET_SUBJECT]))
         self._step()
 
     def on_datagram(self, data: bytes, sender: Address) -> bool:
@@ -142,7 +142,7 @@
 
     def set_engines(self, ids: Iterable[str]) -> None:
         """Replace the set of engines whose health checks are shared among the members."""
-        self._carry_out(self.instance.on_subjects(self.clock.now(), HEALTH_CHECKS, ids))
+        self._execute(self.instance.on_subjects(self.clock.now(), HEALTH_CHECKS, ids))
         self._schedule_step()
 
     def on_health_check_ended(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
@@ -153,7 +153,7 @@
         run = self.runs_by_engine.pop(engine, None)
         if run is not None:
             detail = encode_load_report(report) if outcome is Outcome.OK else None
-            self._carry_out(self.instance.on_run_ended(self.clock.now(), run, detail))
+            self._execute(self.instance.on_run_ended(self.clock.now(), run, detail))
             self._schedule_step()
 
     def send_payload(self, member: int, payload: bytes) -> None:
@@ -163,7 +163,7 @@
 
     def leave(self) -> None:
         """Announce to the other members that this instance leaves."""
-        self._carry_out(self.instance.leave(self.clock.now()))
+        self._execute(self.instance.leave(self.clock.now()))
 
     def status(self) -> dict[str, Any]:
         """Return the members and duties that this instance knows, for the status socket."""
@@ -201,7 +201,7 @@
     def _step(self) -> None:
         self.is_step_scheduled, received = False, self.received
         self.received = []
-        self._carry_out(self.instance.step(self.clock.now(), received))
+        self._execute(self.instance.step(self.clock.now(), received))
         self._schedule_step()
 
     def _schedule_step(self) -> None:
@@ -211,7 +211,7 @@
             max(self.instance.next_at() - self.clock.now(), 0.0) + 0.5, self._step
         )
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case SendDatagram(data, address):
@@ -250,8 +250,8 @@
                 duties=len(self.instance.duties.tasks),
                 duty_runs=str(self.runs),
             )
-            self._carry_out(self.instance.on_run_ended(now, run, 0))
+            self._execute(self.instance.on_run_ended(now, run, 0))
         elif self.check_health(run.subject):
             self.runs_by_engine[run.subject] = run
         else:
-            self._carry_out(self.instance.on_run_ended(now, run, None))
+            self._execute(self.instance.on_run_ended(now, run, None))
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -68,7 +68,7 @@
     MemoryState.INTACT: "kept",
     MemoryState.STALE: "old",
 }
-MIN_STEP_MS, MAX_STEP_MS = 5.0, 1000.0  # bounds of the interval between two steps
+MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 5.0, 1000.0  # bounds of the interval between two steps
 SILENCE_INTERVAL_MS = 200.0  # interval between two proofs of silence while a retry waits: a round of reports
 
 
@@ -96,13 +96,10 @@
     )
 
 
-def unavailable_guard(
+def make_unavailable_guard(
     installation: Installation, loads: Mapping[bytes, bytes], clock: Clock, counters: Counters
 ) -> UnavailableLoadGuard:
-    """Make the load guard for the time in which the state folder can't be used.
-
-    `loads` are the folder's records of loads, as far as they could be read.
-    """
+    """Make the load guard for an unusable state folder, from the records of loads that could be read."""
     file, settings = installation.file, LoadHistorySettings(retention_ms_of(installation))
     recorded, _ = recorded_loads(loads)
     history = LoadHistory(file.dispatcher_index, file.dispatcher_count, 0, clock.now(), recorded, settings, 0)
@@ -117,7 +114,7 @@
     Args:
         swim: The membership protocol; None without membership.
         fleet: The fleet's coordinator; None without one.
-        hop: Calls a function in the event loop's thread; may be called in any thread.
+        call_in_loop: Calls a function in the event loop's thread; may be called in any thread.
     """
 
     def __init__(
@@ -127,18 +124,18 @@
         swim: Swim | None,
         fleet: FleetCoordinator | None,
         clock: Clock,
-        hop: Callable[[Callable[[], None]], object],
+        call_in_loop: Callable[[Callable[[], None]], object],
         send: Callable[[int, bytes], None],
         counters: Counters,
         log: Callable[..., None],
     ) -> None:
         self.ledger, self.swim, self.fleet, self.clock = ledger, swim, fleet, clock
-        self.hop, self.send, self.counters, self.log = hop, send, counters, log
+        self.call_in_loop, self.send, self.counters, self.log = call_in_loop, send, counters, log
         self.retention_ms = retention_ms_of(installation)
-        self.may_send_loads_otherwise: Callable[[], bool] = lambda: True  # set by the dispatcher
+        self.are_engines_known: Callable[[], bool] = lambda: True  # set by the dispatcher
         self.timer: Timer | None = None
         self.silent: dict[int, ProvenSilence] = {}  # by dispatcher number
-        self.silent_at = -MAX_STEP_MS  # time at which `silent` was last computed, in ms of the clock
+        self.silent_at = -MAX_STEP_INTERVAL_MS  # time of the last computation of `silent`
         self.reported_loss = ReportedLoss(OutageVerdict.NOTHING, frozenset())
         cost = fleet.failover_cost if fleet is not None else None
         if cost is not None and not restore_site_report(ledger, cost):
@@ -195,9 +192,9 @@
             self.clock.now,
             lambda: ledger.clock(),
             self.clock.call_in,
-            self.hop,
+            self.call_in_loop,
             self._may_send_loads,
-            self._carry_out_soon,
+            self._execute_and_schedule_step,
             self.counters,
             self.log,
         )
@@ -208,7 +205,7 @@
 
     def on_member_joined(self) -> None:
         """Send this instance's report soon; called when another instance has joined."""
-        self._arm(MIN_STEP_MS)
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
 
     def on_message(self, member: int, payload: bytes) -> bool:
         """Apply a payload from another instance; return whether it is one of recovery, valid or malformed."""
@@ -226,7 +223,7 @@
         if number is None:
             self.counters.add("recovery_unbound")
             return True
-        self._carry_out(self.history.on_message(self.clock.now(), number, message))
+        self._execute(self.history.on_message(self.clock.now(), number, message))
         return True
 
     def _on_presence(self, member: int, presence: Presence) -> None:
@@ -234,9 +231,9 @@
         now = self.clock.now()
         self.survey.on_message(now, member, presence)
         if self.history.has_pending:
-            self._arm(MIN_STEP_MS)
+            self._schedule_step(MIN_STEP_INTERVAL_MS)
         elif not self.survey.view.is_settled:
-            self._arm(min(self.survey.next_at(), self.history.next_at()) - now)
+            self._schedule_step(min(self.survey.next_at(), self.history.next_at()) - now)
 
     def close(self) -> None:
         """Stop the timer and close the ledger as after a clean shutdown."""
@@ -267,16 +264,16 @@
             }
         }
 
-    def _carry_out_soon(self, actions: Iterable[load_history_interface.Action]) -> None:
-        self._carry_out(actions)
-        self._arm(MIN_STEP_MS)
+    def _execute_and_schedule_step(self, actions: Iterable[load_history_interface.Action]) -> None:
+        self._execute(actions)
+        self._schedule_step(MIN_STEP_INTERVAL_MS)
 
     def _step(self) -> None:
         now = self.clock.now()
         self.survey.set_members(now, self.swim.live_members() if self.swim is not None else ())
         if self.history.has_pending:
             self.survey.expedite(now)
-        self._carry_out(self.survey.step(now))
+        self._execute(self.survey.step(now))
         self._update_silent(now)
         fleet_state = FleetState(
             self._may_send_loads(),
@@ -285,11 +282,11 @@
             self.silent,
             self.survey.is_partitioned(self.silent),
         )
-        self._carry_out(self.history.step(now, fleet_state))
+        self._execute(self.history.step(now, fleet_state))
         self.load_guard.expire()
         if self.fleet is not None and self.fleet.failover_cost is not None:
             save_site_report(self.ledger, self.fleet.failover_cost, now)
-        self._arm(min(self.survey.next_at(), self.history.next_at()) - now)
+        self._schedule_step(min(self.survey.next_at(), self.history.next_at()) - now)
 
     def _update_silent(self, now: float) -> None:
         """Compute which dispatchers are proven silent, which visits each pair of dispatchers.
@@ -299,19 +296,21 @@
         is_needed_soon = self.history.has_pending
         if not is_needed_soon and not self.survey.view.missing:
             self.silent = {}
-        elif now - self.silent_at >= (SILENCE_INTERVAL_MS if is_needed_soon else MAX_STEP_MS):
+        elif now - self.silent_at >= (SILENCE_INTERVAL_MS if is_needed_soon else MAX_STEP_INTERVAL_MS):
             self.silent, self.silent_at = self.survey.proven_silent(now), now
 
     def _may_send_loads(self) -> bool:
         """Return whether loads may be sent now."""
-        return self.survey.may_send_loads(self.clock.now()) and self.may_send_loads_otherwise()
+        return self.survey.may_send_loads(self.clock.now()) and self.are_engines_known()
 
-    def _arm(self, ms: float) -> None:
+    def _schedule_step(self, delay_ms: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.clock.call_in(min(max(ms, MIN_STEP_MS), MAX_STEP_MS), self._step)
+        self.timer = self.clock.call_in(
+            min(max(delay_ms, MIN_STEP_INTERVAL_MS), MAX_STEP_INTERVAL_MS), self._step
+        )
 
-    def _carry_out(self, actions: Iterable[survey_results.Action | load_history_interface.Action]) -> None:
+    def _execute(self, actions: Iterable[survey_results.Action | load_history_interface.Action]) -> None:
         for action in actions:
             match action:
                 case SendSurveyMessage(member, data):
@@ -346,7 +345,7 @@
         """Store the checkpoint up to which the folder's loads are complete; tell the survey once durable."""
 
         def on_written(durable: bool) -> None:
-            self.hop(lambda: self._on_checkpoint_written(checkpoint, durable))
+            self.call_in_loop(lambda: self._on_checkpoint_written(checkpoint, durable))
 
         if checkpoint:
             self.ledger.mark_complete()
--- a/cottonhold/fleet_adapters/request_forwarding.py
+++ b/cottonhold/fleet_adapters/request_forwarding.py
@@ -82,11 +82,11 @@
 
     def on_message(self, now: float, member: int, payload: bytes) -> None:
         """Apply a member's message of request forwarding."""
-        self._carry_out(self.forwarder.on_message(now, member, payload))
+        self._execute(self.forwarder.on_message(now, member, payload))
 
     def step(self, now: float) -> None:
         """Resend unconfirmed messages, and give up requests that have reached their deadlines."""
-        self._carry_out(self.forwarder.step(now))
+        self._execute(self.forwarder.step(now))
 
     def next_at(self) -> float:
         """Return when `step` is due, in ms of the clock."""
@@ -119,11 +119,11 @@
         now = self.clock.now()
         actions = self.forwarder.forward(now, client_request.request_id, owner, body, deadline, queue_key=key)
         # An immediate result must reach the guard only after the guard has recorded the forwarding.
-        self.clock.call_soon(lambda: self._carry_out(actions))
+        self.clock.call_soon(lambda: self._execute(actions))
 
     def abandon(self, request_id: str) -> None:
         """Abandon a forwarded request: its client no longer waits for the answer."""
-        self._carry_out(self.forwarder.abandon(self.clock.now(), request_id))
+        self._execute(self.forwarder.abandon(self.clock.now(), request_id))
 
     def _on_request_accepted(self, action: forwarder.RequestAccepted) -> None:
         """Pass a request that another member forwarded to the gateway, or reject it."""
@@ -174,7 +174,7 @@
     def _reject(self, action: forwarder.RequestAccepted, retry_after_ms: float) -> None:
         now, result = self.clock.now(), ForwardResult.REJECTED
         actions = self.forwarder.on_request_ended(now, action.origin, action.number, result, retry_after_ms)
-        self._carry_out(actions)
+        self._execute(actions)
 
     def on_forwarded_ended(
         self, client: ForwardedClient, result: ForwardResult, retry_after_ms: float, data: bytes
@@ -184,7 +184,7 @@
         self.incoming_requests.pop(request_key, None)
         self.guard.origin_rounds.pop(client.request_id, None)
         self.guard.owners_by_returned.pop(client.request_id, None)
-        self._carry_out(
+        self._execute(
             self.forwarder.on_request_ended(self.clock.now(), *request_key, result, retry_after_ms, data)
         )
         self.schedule_step()
@@ -197,7 +197,7 @@
             self.guard.origin_rounds.pop(client.request_id, None)
             self.gateway.on_client_disconnected(request)
 
-    def _carry_out(self, actions: Iterable[forwarder.Action]) -> None:
+    def _execute(self, actions: Iterable[forwarder.Action]) -> None:
         for action in actions:
             match action:
                 case SendConsensusMessage(member, data):
--- a/cottonhold/fleet_adapters/rolling_replacement.py
+++ b/cottonhold/fleet_adapters/rolling_replacement.py
@@ -44,7 +44,7 @@
 from cottonhold.store.records import Record, RecordKind
 from cottonhold.transport.clock import Clock, Timer
 
-FIRST_KIND, LAST_KIND = 64, 79  # range of the first byte of the registers' messages
+FIRST_MESSAGE_TYPE, LAST_MESSAGE_TYPE = 64, 79  # range of the first byte of the registers' messages
 MIN_STEP_INTERVAL_MS, MAX_STEP_INTERVAL_MS = 5.0, 250.0
 WON_BY_RESULT = {  # whether a change took effect; None: not known
     ChangeResult.WON: True,
@@ -83,7 +83,7 @@
     Args:
         survey: The membership survey, which provides dispatcher numbers and incarnations.
         lifecycle: The lifecycle of this process, which a replacement of this machine drains.
-        hop: Calls a function in the event loop's thread; may be called in any thread.
+        call_in_loop: Calls a function in the event loop's thread; may be called in any thread.
         send: Sends a payload to a member.
         open_requests: Returns the number of open requests of this instance.
         log: Logs an event with its fields.
@@ -99,7 +99,7 @@
         survey: MembershipSurvey,
         lifecycle: Lifecycle,
         clock: Clock,
-        hop: Callable[[Callable[[], None]], object],
+        call_in_loop: Callable[[Callable[[], None]], object],
         send: Callable[[int, bytes], None],
         open_requests: Callable[[], int],
         counters: Counters,
@@ -109,7 +109,7 @@
         file, now = installation.file, clock.now()
         assert file.membership is not None
         self.swim, self.fleet, self.survey, self.lifecycle = swim, fleet, survey, lifecycle
-        self.record_writer = OrderedWriteQueue(ledger, hop, clock.call_in)
+        self.record_writer = OrderedWriteQueue(ledger, call_in_loop, clock.call_in)
         self.clock, self.send, self.open_requests = clock, send, open_requests
         self.counters, self.log, self.name, self.drains = counters, log, file.name, drains
         self.zones_by_number = file.peers.zones if file.peers is not None else ()
@@ -154,9 +154,9 @@
         """Apply a member's payload; return whether it is a register message or a drain report."""
         if self.drains.on_message(payload):
             return True
-        if not payload or not FIRST_KIND <= payload[0] <= LAST_KIND:
+        if not payload or not FIRST_MESSAGE_TYPE <= payload[0] <= LAST_MESSAGE_TYPE:
             return False
-        self._carry_out_registers(self.registers.on_message(self.clock.now(), member, payload))
+        self._execute_register_actions(self.registers.on_message(self.clock.now(), member, payload))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
         return True
 
@@ -198,7 +198,7 @@
                 "why": row.reasons,
                 "ready": self.ready_epochs.get(row.machine) == row.epoch,
             }
-            | self.drains.row(now, self.coordinator, row.machine)
+            | self.drains.status_row(now, self.coordinator, row.machine)
             for row in self.coordinator.status()
         ]
         return {"swap": {"machines": rows, "answers": self.answers[-4:], "votes": self.registers.is_voting()}}
@@ -207,9 +207,9 @@
         now = self.clock.now()
         self._update_view(now)
         self.registers.set_listeners(self.swim.live_members())
-        self._carry_out_registers(self.registers.step(now))
+        self._execute_register_actions(self.registers.step(now))
         for action in self.coordinator.step(now):
-            self._carry_out_replacement(now, action)
+            self._execute_replacement_action(now, action)
         self.drains.step(now, self.coordinator)
         self._schedule_step(min(self.registers.next_at(), self.coordinator.next_at()) - now)
 
@@ -265,7 +265,7 @@
         # Capacity planning covers engines only, so a dispatcher has 0 cores.
         return Machine(name, zone, 0.0, False, incarnation, member in self.voters)
 
-    def _carry_out_replacement(self, now: float, action: step_decision.Action) -> None:
+    def _execute_replacement_action(self, now: float, action: step_decision.Action) -> None:
         match action:
             case ChangeRegister() | ReadRegister():
                 self.use_register(action)
@@ -274,7 +274,7 @@
             ):
                 self.key_mover.move_keys(max_keys)
             case step_decision.Drain(machine) | step_decision.Undrain(machine) if machine != self.name:
-                self.drains.act(now, self.coordinator, action)
+                self.drains.apply_action(now, self.coordinator, action)
             case step_decision.Drain(machine):
                 self.counters.add("swap_drains")
                 self.lifecycle.drain(now)
@@ -296,13 +296,13 @@
         """Change or read a register for rolling replacement or session affinity; both receive the outcome."""
         now = self.clock.now()
         if isinstance(action, ReadRegister):
-            self._carry_out_registers(self.registers.read(now, action.name, action.token))
+            self._execute_register_actions(self.registers.read(now, action.name, action.token))
         else:
             change = action.name, action.version, action.value, action.token
-            self._carry_out_registers(self.registers.change(now, *change))
+            self._execute_register_actions(self.registers.change(now, *change))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
-    def _carry_out_registers(self, actions: Iterable[Action]) -> None:
+    def _execute_register_actions(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case SendConsensusMessage(member, data):
@@ -327,5 +327,5 @@
         self.record_writer.put(record, lambda: self._on_persisted(token))
 
     def _on_persisted(self, token: int) -> None:
-        self._carry_out_registers(self.registers.on_persisted(self.clock.now(), token))
+        self._execute_register_actions(self.registers.on_persisted(self.clock.now(), token))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
--- a/cottonhold/fleet_adapters/session_affinity.py
+++ b/cottonhold/fleet_adapters/session_affinity.py
@@ -61,7 +61,7 @@
     Args:
         replacement: Rolling replacement, which also provides the registers.
         loads: The load guard that prevents double execution.
-        hop: Calls a function in the event loop's thread; may be called in any thread.
+        call_in_loop: Calls a function in the event loop's thread; may be called in any thread.
         send: Sends a payload to a member.
         log: Logs an event with its fields.
     """
@@ -77,7 +77,7 @@
         loads: LoadGuard,
         gateway: Gateway,
         clock: Clock,
-        hop: Callable[[Callable[[], None]], object],
+        call_in_loop: Callable[[Callable[[], None]], object],
         send: Callable[[int, bytes], None],
         counters: Counters,
         log: Callable[..., None],
@@ -85,7 +85,7 @@
         now = clock.now()
         self.ledger, self.swim, self.fleet = ledger, swim, fleet
         self.survey, self.replacement = survey, replacement
-        self.gateway, self.clock, self.hop, self.send = gateway, clock, hop, send
+        self.gateway, self.clock, self.call_in_loop, self.send = gateway, clock, call_in_loop, send
         self.counters, self.log, self.name = counters, log, installation.file.name
         self.zones_by_number = installation.file.peers.zones if installation.file.peers is not None else ()
         records = {key.decode(): value for key, value in ledger.records(RecordKind.AFFINITY).items()}
@@ -136,7 +136,7 @@
         if payload[0] == REQUEST_FORWARDING:
             self.forwarding.on_message(now, member, payload)
         else:
-            self._carry_out(self.service.on_message(now, member, payload))
+            self._execute(self.service.on_message(now, member, payload))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
         return True
 
@@ -159,11 +159,11 @@
 
     def on_request_opened(self, key: bytes, load: int) -> None:
         """Record that a request with this key waits or runs here."""
-        self._carry_out(self.service.on_request_opened(self.clock.now(), key, load))
+        self._execute(self.service.on_request_opened(self.clock.now(), key, load))
 
     def on_request_ended(self, key: bytes, load: int, is_outcome_known: bool) -> None:
         """Record that a request has ended; without a known outcome it may still be running."""
-        self._carry_out(self.service.on_request_ended(self.clock.now(), key, load, is_outcome_known))
+        self._execute(self.service.on_request_ended(self.clock.now(), key, load, is_outcome_known))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
     def forward(
@@ -208,7 +208,7 @@
     def move_keys(self, max_keys: int) -> None:
         """Move at most `max_keys` keys to other members."""
         self.counters.add("pins_asked_to_move")
-        self._carry_out(self.service.move_keys(self.clock.now(), max_keys, self._target_capacities()))
+        self._execute(self.service.move_keys(self.clock.now(), max_keys, self._target_capacities()))
         self._schedule_step(MIN_STEP_INTERVAL_MS)
 
     def _target_capacities(self) -> dict[int, float]:
@@ -242,9 +242,9 @@
             DepartureState.MOVING_KEYS,
             DepartureState.DRAINING,
         ):
-            self._carry_out(self.service.cancel_moves(now))
+            self._execute(self.service.cancel_moves(now))
         previous_start_count = self.service.start_count
-        self._carry_out(self.service.step(now, surroundings))
+        self._execute(self.service.step(now, surroundings))
         if self.service.start_count != previous_start_count:
             self.log(
                 "session_affinity_started",
@@ -299,7 +299,7 @@
         self.timer_at = self.clock.now() + delay_ms
         self.timer = self.clock.call_in(delay_ms, self._step)
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case SendConsensusMessage(member, data):
@@ -314,7 +314,7 @@
         self.failed_writes.pop(name, None)
 
         def on_written(durable: bool) -> None:
-            self.hop(lambda: self._on_written(name, data, token, durable))
+            self.call_in_loop(lambda: self._on_written(name, data, token, durable))
 
         self.ledger.put([Record(RecordKind.AFFINITY, name.encode(), data or None)], on_written)
 
@@ -322,7 +322,7 @@
         if is_durable:
             if self.last_tokens.get(name) == token:
                 del self.last_tokens[name]
-            self._carry_out(self.service.on_persisted(self.clock.now(), token))
+            self._execute(self.service.on_persisted(self.clock.now(), token))
             self._schedule_step(MIN_STEP_INTERVAL_MS)
         elif self.last_tokens.get(name) == token:
             # The write is retried later, because the record's key is blocked until it is on disk.
--- a/cottonhold/fleet_adapters/write_queue.py
+++ b/cottonhold/fleet_adapters/write_queue.py
@@ -29,7 +29,7 @@
 
     record: Record
     on_durable: Callback  # called once the record is durable
-    on_refused: Callback  # called after each failed write; the write is retried nevertheless
+    on_failed: Callback  # called after each failed write; the write is retried nevertheless
 
 
 class OrderedWriteQueue:
@@ -37,37 +37,37 @@
 
     Args:
         ledger: The ledger that the records are written to.
-        hop: Calls a function in the event loop's thread; may be called in any thread.
+        call_in_loop: Calls a function in the event loop's thread; may be called in any thread.
         call_in: Calls a function after a delay in ms.
     """
 
     def __init__(
         self,
         ledger: Ledger,
-        hop: Callable[[Callback], object],
+        call_in_loop: Callable[[Callback], object],
         call_in: Callable[[float, Callback], object],
     ) -> None:
-        self.ledger, self.hop, self.call_in = ledger, hop, call_in
+        self.ledger, self.call_in_loop, self.call_in = ledger, call_in_loop, call_in
         self.pending: dict[tuple[RecordKind, bytes], PendingWrite] = {}
         self.in_flight: dict[tuple[RecordKind, bytes], PendingWrite] = {}
         self.is_paused = False
 
-    def put(self, record: Record, on_durable: Callback = _nothing, on_refused: Callback = _nothing) -> None:
+    def put(self, record: Record, on_durable: Callback = _nothing, on_failed: Callback = _nothing) -> None:
         """Queue a record for writing.
 
         Args:
             record: The record; it replaces a queued record with the same key.
             on_durable: Called once the record is durable, unless another record replaced it before that.
-            on_refused: Called each time that a write of the record fails, and soon after this call if the
+            on_failed: Called each time that a write of the record fails, and soon after this call if the
                 record has to wait and the disk is unhealthy.
         """
         row_key = record.kind, record.key
         self.pending.pop(row_key, None)
-        self.pending[row_key] = PendingWrite(record, on_durable, on_refused)
+        self.pending[row_key] = PendingWrite(record, on_durable, on_failed)
         if not self.in_flight and not self.is_paused:
             self._write()
         elif self.ledger.health(self.ledger.clock()).state is not DiskState.HEALTHY:
-            self.hop(on_refused)
+            self.call_in_loop(on_failed)
 
     def _write(self) -> None:
         self.in_flight = dict(list(self.pending.items())[:MAX_GROUP_RECORDS])
@@ -75,7 +75,7 @@
             del self.pending[row_key]
 
         def on_written(durable: bool) -> None:
-            self.hop(lambda: self._on_written(durable))
+            self.call_in_loop(lambda: self._on_written(durable))
 
         self.ledger.put([entry.record for entry in self.in_flight.values()], on_written)
 
@@ -95,7 +95,7 @@
         self.is_paused = True
         self.call_in(RETRY_MS, self._retry)
         for entry in writing.values():
-            entry.on_refused()
+            entry.on_failed()
 
     def _retry(self) -> None:
         self.is_paused = False
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -35,7 +35,7 @@
 # Whether an attempt's outcome is evidence for or against its engine. Attempts that were rejected, cancelled
 # or never sent are no evidence. Neither is a time-out, since the query may have spent its time in this
 # instance's queue: it counts as a cancelled attempt, with the time that the attempt itself ran.
-SUCCEEDED = {
+SUCCESS_BY_OUTCOME = {
     Outcome.OK: True,
     Outcome.ERROR: False,
     Outcome.CONNECT_FAILED: False,
@@ -134,7 +134,7 @@
     ) -> None:
         self.coordinator, self.swim, self.clock, self.counters = coordinator, swim, clock, counters
         self.send, self.push, self.log, self.check_health = send, push, log, check_health
-        self.dispatcher_number, self.started_at, self.checked_at = dispatcher_number, clock.now(), 0.0
+        self.dispatcher_number, self.started_at, self.last_check_at = dispatcher_number, clock.now(), 0.0
         self.timer: Timer | None = None
         self.open_requests: dict[str, ObservedRequest] = {}
 
@@ -179,7 +179,11 @@
 
     def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """Record the outcome of an attempt."""
-        now, succeeded, cost = self.clock.now(), SUCCEEDED.get(event.outcome), self.coordinator.failover_cost
+        now, succeeded, cost = (
+            self.clock.now(),
+            SUCCESS_BY_OUTCOME.get(event.outcome),
+            self.coordinator.failover_cost,
+        )
         actual_work_ms = event.actual_work_ms
         if cost is not None and succeeded:
             request = self.open_requests.get(attempt.request_id, NO_REQUEST)
@@ -217,8 +221,8 @@
 
     def on_message(self, member: int, payload: bytes) -> None:
         """Apply a fleet message from another instance."""
-        self._carry_out(self.coordinator.on_message(self.clock.now(), member, payload))
-        self._arm()
+        self._execute(self.coordinator.on_message(self.clock.now(), member, payload))
+        self._schedule_step()
 
     def set_process_count(self, processes: int) -> None:
         """Divide the engine quotas by the number of processes that now run as this dispatcher."""
@@ -233,27 +237,27 @@
             OverrideError: The call is invalid.
         """
         zone, mode = call.get("zone"), MODES.get(str(call.get("mode")))
-        lasts_ms, who, why = call.get("for_ms"), call.get("who"), call.get("why")
+        duration_ms, issued_by, reason = call.get("for_ms"), call.get("who"), call.get("why")
         if mode is None:
             raise OverrideError(f"mode {call.get('mode')!r} is none of {', '.join(MODES)}")
-        is_number = isinstance(lasts_ms, int | float) and not isinstance(lasts_ms, bool)
-        if not is_number or not 0 < float(lasts_ms or 0) <= MAX_OVERRIDE_MS:
+        is_number = isinstance(duration_ms, int | float) and not isinstance(duration_ms, bool)
+        if not is_number or not 0 < float(duration_ms or 0) <= MAX_OVERRIDE_MS:
             raise OverrideError("for_ms has to be a number above 0 and within a week")
-        if not isinstance(who, str) or not who or not isinstance(why, str) or not why:
+        if not isinstance(issued_by, str) or not issued_by or not isinstance(reason, str) or not reason:
             raise OverrideError("who and why have to be given")
-        known = self.coordinator.zone_numbers
-        if not isinstance(zone, str) or zone not in known:
-            raise OverrideError(f"there is no zone {zone!r}; there are: {', '.join(sorted(known))}")
-        lasts_ms = float(lasts_ms or 0)
-        self.coordinator.issue_override(self.clock.now(), zone, mode, lasts_ms, who, why)
+        zone_numbers = self.coordinator.zone_numbers
+        if not isinstance(zone, str) or zone not in zone_numbers:
+            raise OverrideError(f"there is no zone {zone!r}; there are: {', '.join(sorted(zone_numbers))}")
+        duration_ms = float(duration_ms or 0)
+        self.coordinator.issue_override(self.clock.now(), zone, mode, duration_ms, issued_by, reason)
         self.counters.add("zone_orders")
         self.log(
             "zone_override_issued",
             zone=zone,
             mode=MODE_NAMES[mode],
-            issued_by=who,
-            reason=why,
-            duration_ms=round(lasts_ms),
+            issued_by=issued_by,
+            reason=reason,
+            duration_ms=round(duration_ms),
         )
         self._step()
         return self.status()
@@ -304,16 +308,16 @@
         now = self.clock.now()
         departed = (member.id for member in self.swim.members_by_name() if member.status is MemberStatus.LEFT)
         self.coordinator.set_members(now, self.swim.live_members(), departed)
-        self._carry_out(self.coordinator.step(now))
-        self._check_unproven(now)
-        self._arm()
+        self._execute(self.coordinator.step(now))
+        self._check_unproven_engines(now)
+        self._schedule_step()
 
-    def _check_unproven(self, now: float) -> None:
+    def _check_unproven_engines(self, now: float) -> None:
         """Check engines that have not answered yet; each engine has one checking dispatcher per time slot."""
         slow_start = self.coordinator.slow_start
-        if slow_start is None or now - self.checked_at < slow_start.settings.checker_slot_ms:
+        if slow_start is None or now - self.last_check_at < slow_start.settings.checker_slot_ms:
             return
-        self.checked_at = now
+        self.last_check_at = now
         passed_ms, dispatchers = now - self.started_at, self.coordinator.settings.dispatchers
         for engine, warming in slow_start.warming.items():
             if warming.has_answered:
@@ -323,13 +327,13 @@
                 self.counters.add("first_probes")
                 self.check_health(engine)
 
-    def _arm(self) -> None:
+    def _schedule_step(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         delay_ms = max(self.coordinator.next_at() - self.clock.now(), 0.0) + TIMER_SLACK_MS
         self.timer = self.clock.call_in(delay_ms, self._step)
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case SendFleetMessage(member, data):
--- a/cottonhold/node/consul_client.py
+++ b/cottonhold/node/consul_client.py
@@ -82,7 +82,7 @@
         self.next_tick_at = now + LAG_TICK_INTERVAL_S
         self.loop.call_at(self.next_tick_at, self._tick)
 
-    def take_max_lag_ms(self) -> float:
+    def pop_max_lag_ms(self) -> float:
         """Return and reset the largest lag since the last call, including that of an overdue tick, in ms."""
         worst, self.max_lag_s = max(self.max_lag_s, self.loop.time() - self.next_tick_at, 0.0), 0.0
         return worst * 1000
@@ -96,7 +96,7 @@
         registration: The registration, which makes requests and interprets responses.
         tls: The TLS settings; None for plain HTTP.
         open_requests: Returns the number of the gateway's open requests.
-        note: Logs an event with its fields.
+        log_event: Logs an event with its fields.
     """
 
     def __init__(
@@ -105,9 +105,9 @@
         registration: Registration,
         tls: TlsSettings | None,
         open_requests: Callable[[], int],
-        note: Callable[..., None],
+        log_event: Callable[..., None],
     ) -> None:
-        self.event_loop, self.registration, self.note = event_loop, registration, note
+        self.event_loop, self.registration, self.log_event = event_loop, registration, log_event
         self.open_requests, self.lag_meter = open_requests, LoopLagMeter(event_loop.loop)
         self.connection = HttpConnection(event_loop, tls, MAX_AGENT_RESPONSE_BYTES)
         self.is_deregistering = asyncio.Event()
@@ -130,7 +130,7 @@
     async def _call_agent(self) -> None:
         registration = self.registration
         last_phase, last_error = registration.phase, registration.last_error
-        request = registration.next_request(self.lag_meter.take_max_lag_ms(), self.open_requests())
+        request = registration.next_request(self.lag_meter.pop_max_lag_ms(), self.open_requests())
         try:
             response: HttpResponse = await self.connection.request(registration.settings.agent, request)
         except (OSError, WireError) as error:
@@ -138,9 +138,11 @@
         else:
             registration.on_response(response)
         if registration.last_error and registration.last_error != last_error:
-            self.note("registration_failed", id=registration.settings.id, reason=registration.last_error)
+            self.log_event("registration_failed", id=registration.settings.id, reason=registration.last_error)
         elif registration.phase is not last_phase:
-            self.note("registration_changed", id=registration.settings.id, phase=registration.phase.value)
+            self.log_event(
+                "registration_changed", id=registration.settings.id, phase=registration.phase.value
+            )
 
     async def deregister(self) -> None:
         """Remove the entry; return once it is removed or the attempts are given up."""
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -80,18 +80,18 @@
         make_socket: MakeSocket = socket.socket,
     ) -> None:
         self.config, self.counters, self.log = config, counters, log
-        say = self.log.write_line
-        self.event_loop = EventLoop(loop, counters, say, make_socket)
+        log_line = self.log.write_line
+        self.event_loop = EventLoop(loop, counters, log_line, make_socket)
         self.event_loop.connector.timeout_s = config.connections.connect_timeout_ms / 1000
         clock = self.event_loop.clock
         self.lifecycle, self.descriptor_quotas = Lifecycle(), DescriptorQuotas.divide(config.max_descriptors)
-        self.sibling_processes = SiblingProcesses(os.environ.get("TMPDIR"), str(config.listen), say)
+        self.sibling_processes = SiblingProcesses(os.environ.get("TMPDIR"), str(config.listen), log_line)
         self.sibling_count = 0
         self.engines = EngineConnections(
-            config.connections, clock, counters, say, self.descriptor_quotas.engines
+            config.connections, clock, counters, log_line, self.descriptor_quotas.engines
         )
         self.engines.connect = self.event_loop.connector.connect
-        self.gateway = Gateway(config.settings, config.seed, clock, self.engines, counters, say)
+        self.gateway = Gateway(config.settings, config.seed, clock, self.engines, counters, log_line)
         self.sessions = ClientSessions(
             self.gateway,
             clock,
@@ -101,7 +101,7 @@
             self.sibling_processes.connection_ids(),
         )
         self.admin_api = AdminApi(self.lifecycle, clock, counters, log.note, self.descriptor_quotas.admin)
-        self.peer_datagrams = PeerDatagrams(config.peers, config.peers_all, counters, say)
+        self.peer_datagrams = PeerDatagrams(config.peers, config.peers_all, counters, log_line)
         self.gateway.send_to_peer = self.send_to_peer
         self.engine_catalog = EngineCatalog(sources, config.seed, clock.unix_offset)
         self.catalog_timer: Timer | None = None
@@ -175,13 +175,13 @@
     def update_siblings(self) -> None:
         """Publish this process's connection counts, and limit them to the descriptors that siblings leave."""
         others = self.sibling_processes.others()
-        own_record = ProcessRecord(
+        record = ProcessRecord(
             self.sibling_processes.record.start_number,
             len(self.sessions.sessions),
             self.engines.open_connections,
             self.is_serving,
         )
-        self.sibling_processes.publish(own_record)
+        self.sibling_processes.publish(record)
         quotas = self.descriptor_quotas.remaining_after(others)
         self.sessions.max_sessions, self.engines.max_connections = quotas.clients, quotas.engines
         if len(others) != self.sibling_count:
--- a/cottonhold/node/gateway.py
+++ b/cottonhold/node/gateway.py
@@ -78,7 +78,7 @@
         log: Callable[[str], None],
     ) -> None:
         self.clock, self.engines, self.counters, self.log = clock, engines, counters, log
-        self._adopt(settings)
+        self._set_settings(settings)
         self.scheduler = Scheduler(settings, seed)
         self.requests: dict[str, OpenRequest] = {}
         self.open_count = 0  # requests without a final response
@@ -96,10 +96,10 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Use other settings from now on; open requests keep the settings in force at their arrival."""
-        self._adopt(settings)
+        self._set_settings(settings)
         self.push(SettingsChanged(settings))
 
-    def _adopt(self, settings: Settings) -> None:
+    def _set_settings(self, settings: Settings) -> None:
         self.settings = settings
         self.decoder = RequestDecoder(settings)
 
@@ -276,13 +276,13 @@
             self.faults.on_step_failed(events, list(unconsumed))
         for action in actions:
             try:
-                self._carry_out(action)
+                self._execute(action)
             except Exception as error:
                 self.counters.add("action_faults")
                 self.log(f"{type(action).__name__}: {type(error).__name__}: {error}")
                 self.faults.on_action_failed(action)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send():
                 self.attempts.send(action)
--- a/cottonhold/node/http_client.py
+++ b/cottonhold/node/http_client.py
@@ -74,12 +74,12 @@
                 self.close()
                 await self._open(address)
             await self._send(request.encode(str(address)))
-            response, keeps_alive = await self._read_response(request)
+            response, is_reusable = await self._read_response(request)
         except BaseException:
             # The rest of an incomplete response would be read as the beginning of the next one.
             self.close()
             raise
-        if not keeps_alive:
+        if not is_reusable:
             self.close()
         return response
 
--- a/cottonhold/node/sibling_processes.py
+++ b/cottonhold/node/sibling_processes.py
@@ -138,8 +138,8 @@
 
     def is_newer_starting(self) -> bool:
         """Return whether a process that was started later does not serve yet."""
-        own_start = self.record.start_number
-        return any(other.start_number > own_start and not other.is_serving for other in self.others())
+        start_number = self.record.start_number
+        return any(other.start_number > start_number and not other.is_serving for other in self.others())
 
 
 def read_record(file: int) -> ProcessRecord | None:
--- a/cottonhold/node/standalone/adapter_factory.py
+++ b/cottonhold/node/standalone/adapter_factory.py
@@ -11,7 +11,7 @@
 from cottonhold.config.installation import Installation
 from cottonhold.fleet_adapters.engine_drain import EngineDrainAdapter, EngineListOwner
 from cottonhold.fleet_adapters.membership import MembershipAdapter, make_instance
-from cottonhold.fleet_adapters.recovery import RecoveryAdapter, unavailable_guard
+from cottonhold.fleet_adapters.recovery import RecoveryAdapter, make_unavailable_guard
 from cottonhold.fleet_adapters.recovery_folder import INCARNATIONS_PER_BOOT, incarnation_of
 from cottonhold.fleet_adapters.rolling_replacement import RollingReplacementAdapter
 from cottonhold.fleet_adapters.session_affinity import SessionAffinityAdapter
@@ -32,7 +32,7 @@
 
     def unavailable_load_guard(self, loads: Mapping[bytes, bytes]) -> UnavailableLoadGuard:
         """Make the load guard for the time without a ledger from the folder's readable records of loads."""
-        return unavailable_guard(self.installation(), loads, self.clock, self.counters)
+        return make_unavailable_guard(self.installation(), loads, self.clock, self.counters)
 
     def membership(
         self, ledger: Ledger | None, on_health_check: Callable[[str, dict[str, float]], None]
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -130,7 +130,7 @@
             self.engine_cache = EngineCache(ledger.records(RecordKind.ENGINE_ADDRESS), self.config.names)
             self.counters.add("recovery_malformed", self.engine_cache.malformed)
             # An engine may have been drained since it was cached, so loads wait for a source's list.
-            recovery.may_send_loads_otherwise = self.is_list_settled
+            recovery.are_engines_known = self.is_list_settled
         if membership is not None and fleet is not None:
             self._make_replacement(ledger, membership, fleet, recovery)
         if fleet is not None:
@@ -154,7 +154,7 @@
         )
         # Loads wait until the drained engines are known, since an engine may be about to be powered off.
         # Idempotent queries do not wait, since it may take seconds until a majority is reachable.
-        recovery.may_send_loads_otherwise = lambda: drains.may_send_loads() and self.is_list_settled()
+        recovery.are_engines_known = lambda: drains.may_send_loads() and self.is_list_settled()
         self.rolling_replacement = self.adapters.rolling_replacement(
             ledger, membership, fleet, recovery, drains
         )
--- a/cottonhold/node/status.py
+++ b/cottonhold/node/status.py
@@ -20,7 +20,7 @@
 
 SEND_TIMEOUT_S = 1.0
 CALL_TIMEOUT_S = 0.1  # time after which a caller that has sent nothing gets the view
-ASK_TIMEOUT_S = 5.0
+ANSWER_TIMEOUT_S = 5.0
 MAX_CALL_BYTES = 4096
 Answer = Callable[[dict[str, Any]], dict[str, Any]]
 
@@ -44,7 +44,7 @@
     return sock
 
 
-def ask(path: Path, call: dict[str, Any]) -> dict[str, Any]:
+def call_instance(path: Path, call: dict[str, Any]) -> dict[str, Any]:
     """Call an instance from another process, and return its answer.
 
     Args:
@@ -57,7 +57,7 @@
     """
     data = b""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        sock.settimeout(ASK_TIMEOUT_S)
+        sock.settimeout(ANSWER_TIMEOUT_S)
         sock.connect(str(path))
         sock.sendall(json.dumps(call).encode() + b"\n")
         while part := sock.recv(65536):
--- a/tests/conformance/protocol.py
+++ b/tests/conformance/protocol.py
@@ -203,7 +203,7 @@
 def sent_priority() -> None:
     world = World(engines="a").run("c1 query lookup r1 effort=100.0\ne1 expect GET * *order=1 *")
     request = world.gateway.requests[f"{1:016x}"]
-    world.gateway._carry_out(UpdateAttempt(request.client_request.request_id, 0, 3))
+    world.gateway._execute(UpdateAttempt(request.client_request.request_id, 0, 3))
     world.wait(0)
     world.run("e1 expect RANK r1 3")
 
--- a/tests/conformance/test_golden_socket.py
+++ b/tests/conformance/test_golden_socket.py
@@ -73,7 +73,7 @@
 
     def ask(self, call: str, **words: Any) -> dict[str, Any]:
         """What the first instance answers."""
-        return status.ask(self.folder / "n0.sock", {"call": call, **words})
+        return status.call_instance(self.folder / "n0.sock", {"call": call, **words})
 
     def until(self, holds: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
         """Waits for a state of the first instance's view."""
--- a/tests/discovery/test_consul_service.py
+++ b/tests/discovery/test_consul_service.py
@@ -380,7 +380,7 @@
         meter = LoopLagMeter(asyncio.get_running_loop())
         await asyncio.sleep(0)
         time.sleep(0.2)  # the loop stands still; a tick was due after 50 ms of it
-        return meter.take_max_lag_ms()
+        return meter.pop_max_lag_ms()
 
     assert uvloop.run(main()) > 100
 
--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -177,10 +177,10 @@
         node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.publish_initial_engines()
         assert node.recovery is not None
-        may = [node.recovery.may_send_loads_otherwise(), node.is_list_settled()]
+        may = [node.recovery.are_engines_known(), node.is_list_settled()]
         seen = Observation("e1", ServiceStatus.IN_SERVICE, address=Address("127.0.0.1", 3))
         node.on_discovery_events([SourceReport("dc1", 1, (seen,), is_complete=True)])
-        may += [node.recovery.may_send_loads_otherwise(), node.is_list_settled()]
+        may += [node.recovery.are_engines_known(), node.is_list_settled()]
         for part in (node.rolling_replacement, node.recovery):
             if part is not None:
                 part.close()
@@ -211,7 +211,7 @@
             "e1": plan.MachineRecord(ReplacementStep.DRAINING, 7)
         }
         adapter, replacement = node.rolling_replacement.drains, node.rolling_replacement.coordinator
-        adapter.act(0.0, replacement, Drain("e1"))
+        adapter.apply_action(0.0, replacement, Drain("e1"))
         assert set(node.quarantine.live_engines()) == {"e2"} and "e1" not in adapter.drains.drained, (
             "told before it is kept"
         )
@@ -263,7 +263,7 @@
         }
         adapter, replacement = node.rolling_replacement.drains, node.rolling_replacement.coordinator
         disk.orders = Orders(full=True) if fault == "full" else Orders(fail_sync=1.0)
-        adapter.act(0.0, replacement, Drain("e1"))
+        adapter.apply_action(0.0, replacement, Drain("e1"))
         while "e1" not in adapter.drains.drained:
             await asyncio.sleep(0)
         assert adapter.records.pending or adapter.records.in_flight, "not kept yet, and not given up"
@@ -287,7 +287,7 @@
         assert node.recovery is not None
         self.is_healthy, self.timers, self.put_of = False, list[Callable[[], None]](), list[list[Record]]()
         monkeypatch.setattr(node.recovery.ledger, "put", self.put)
-        monkeypatch.setattr(node.recovery, "hop", lambda then: then())
+        monkeypatch.setattr(node.recovery, "call_in_loop", lambda then: then())
         monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: self.timers.append(then))
 
     def put(self, records: list[Record], done: Callable[[bool], None] | None = None) -> None:
@@ -350,7 +350,7 @@
         assert adapter is not None
         with monkeypatch.context() as patched:
             disk, told = ScriptedDisk(node, patched), list[int]()
-            patched.setattr(adapter, "hop", lambda then: then())
+            patched.setattr(adapter, "call_in_loop", lambda then: then())
 
             def kept_as(_now: float, token: int) -> list[object]:
                 told.append(token)
--- a/tests/fleet/test_rolling_replacement_processes.py
+++ b/tests/fleet/test_rolling_replacement_processes.py
@@ -12,7 +12,7 @@
 from cottonhold.emulator.fault_injection.checker import check_run
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
-from cottonhold.node.status import ask
+from cottonhold.node.status import call_instance
 from tests.fleet.test_recovery_processes import ALL, SCENARIO, recovery_view, serve_more
 
 # Tests that start several processes slow one another, which looks like a fault: few run side by side.
@@ -28,7 +28,7 @@
 
 async def send_call(run: ScenarioRun, at: str, **words: Any) -> dict[str, Any]:
     """Return the answer to a call at an instance's socket."""
-    answer: dict[str, Any] = await asyncio.to_thread(ask, run.folder / f"{at}.sock", words)
+    answer: dict[str, Any] = await asyncio.to_thread(call_instance, run.folder / f"{at}.sock", words)
     return answer
 
 
--- a/tests/fleet_adapters/test_keyed_loads.py
+++ b/tests/fleet_adapters/test_keyed_loads.py
@@ -157,15 +157,15 @@
     world = World()
     world.arrive("a")
     world.arrive("b")
-    _, kept = world.send("a")
+    _, recorded = world.send("a")
     world.current_route = OwnedElsewhere(b"", X)
     world.loads.recorded_callbacks[0](True)
     _, other = world.send("b")
-    assert kept == other == [False] and len(world.loads.recorded_callbacks) == 1
+    assert recorded == other == [False] and len(world.loads.recorded_callbacks) == 1
     assert world.outcomes[2:] == [("a", "refused"), ("b", "refused")]
 
 
-def test_a_queued_request_is_rejected_when_its_key_is_lost() -> None:
+def test_a_queued_request_is_rejected_when_its_key_gets_another_owner() -> None:
     world = World()
     world.arrive("a")
     world.arrive("b")
@@ -238,7 +238,7 @@
     assert world.outcomes == [("a", "never"), ("b", "never")]
 
 
-def test_two_members_that_take_each_other_for_the_owner_pause() -> None:
+def test_forwarding_between_two_members_that_are_not_the_owner_pauses() -> None:
     world = World()
     world.current_route = OwnedElsewhere(b"", X)
     world.arrive("a")
@@ -291,16 +291,16 @@
 
 
 def test_forwarded_requests_and_rows_are_decoded_as_encoded() -> None:
-    asked = ForwardedRequest("00ff", "load", "k\u00e9y", 20.0, 0.5, -1, True, b"INSERT INTO t", 2**63)
-    assert decode_request(encode_request(asked)) == asked
+    request = ForwardedRequest("00ff", "load", "k\u00e9y", 20.0, 0.5, -1, True, b"INSERT INTO t", 2**63)
+    assert decode_request(encode_request(request)) == request
     for tenant, token in (("acme", ""), ("", "5c0f"), ("acme", "5c0f")):
-        named = replace(asked, tenant=tenant, idempotency_key=token)
+        named = replace(request, tenant=tenant, idempotency_key=token)
         assert decode_request(encode_request(named)) == named
     rows = [[b"a", b"", b"c" * 300], [], [b"\t\n"]]
     assert decode_rows(encode_rows(rows)) == rows and len(affinity_key("k")) == 8
     for cut in (0, 5, 25, 30):
         with pytest.raises(MessageError):
-            decode_request(encode_request(asked)[:cut])
+            decode_request(encode_request(request)[:cut])
     for bad in (b"", encode_rows(rows)[:-1], encode_rows(rows) + b"x"):
         with pytest.raises(MessageError):
             decode_rows(bad)
--- a/tests/fleet_adapters/test_load_records.py
+++ b/tests/fleet_adapters/test_load_records.py
@@ -29,7 +29,7 @@
     boot_count = 3
 
     def __init__(self) -> None:
-        self.state, self.put_of = (
+        self.state, self.writes = (
             DiskState.HEALTHY,
             list[tuple[Sequence[Record], Callable[[bool], None] | None]](),
         )
@@ -38,17 +38,17 @@
         return DiskHealth(self.state, "as told")
 
     def put(self, records: Sequence[Record], done: Callable[[bool], None] | None = None) -> None:
-        self.put_of.append((records, done))
+        self.writes.append((records, done))
 
-    def durable(self, ok: bool = True) -> None:
-        for _, done in self.put_of:
+    def finish_writes(self, ok: bool = True) -> None:
+        for _, done in self.writes:
             if done is not None:
                 done(ok)
-        self.put_of = [(records, None) for records, _ in self.put_of]
+        self.writes = [(records, None) for records, _ in self.writes]
 
     def states(self) -> list[LoadState]:
         """Return the states of the recorded loads, in the order of the writes."""
-        every = [r for records, _ in self.put_of for r in records if r.value is not None]
+        every = [r for records, _ in self.writes for r in records if r.value is not None]
         return [LoadRecord.decode(r.key, r.value).state for r in every if r.value is not None]
 
 
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, left",
+    "outcome, expected_state",
     [
         (Outcome.OK, LoadState.COMPLETED),
         (Outcome.ERROR, LoadState.FAILED),
@@ -119,18 +119,18 @@
         (None, LoadState.NEVER_SENT),
     ],
 )
-def test_a_result_is_recorded_as_what_it_proves(outcome: Outcome | None, left: LoadState) -> None:
+def test_a_result_is_recorded_as_what_it_proves(outcome: Outcome | None, expected_state: LoadState) -> None:
     world = World()
-    attempt, told = world.send("a1")
-    assert told == [] and world.ledger.states() == [LoadState.SENT]
-    world.ledger.durable()
-    assert told == [True]
+    attempt, recorded = world.send("a1")
+    assert recorded == [] and world.ledger.states() == [LoadState.SENT]
+    world.ledger.finish_writes()
+    assert recorded == [True]
     world.loads.on_attempt_ended(attempt, outcome)
     world.loads.on_request_closed("a1")
-    assert world.ledger.states() == [LoadState.SENT, left] and not world.loads.runs
+    assert world.ledger.states() == [LoadState.SENT, expected_state] and not world.loads.runs
 
 
-def test_a_result_is_not_recorded_while_the_load_runs_again() -> None:
+def test_a_result_is_not_recorded_while_another_run_of_the_load_is_open() -> None:
     world = World()
     first, _ = world.send("a1")
     second, _ = world.send("a2")
@@ -174,10 +174,10 @@
     """Its retention has passed, but an instance that is not proven silent is unreachable and may query it."""
     world, apart = World(), FleetState(True, True, MemoryState.INTACT, {}, is_partitioned=True)
     attempt, _ = world.send("a1")
-    world.ledger.durable()
+    world.ledger.finish_writes()
     world.loads.on_attempt_ended(attempt, Outcome.RESET)
     world.loads.on_request_closed("a1")
-    for ms, around, left in (
+    for ms, around, remaining_count in (
         (30_000.0, apart, 1),
         (60_000.0, apart, 1),
         (75_000.0, replace(apart, is_partitioned=False), 1),
@@ -186,43 +186,43 @@
         world.clock.run_until(world.start + ms, lambda: None)
         world.memory.step(world.clock.now(), around)
         world.loads.expire()
-        assert len(world.loads.records) == left, ms
+        assert len(world.loads.records) == remaining_count, ms
 
 
 def test_a_record_that_was_not_removed_is_removed_later() -> None:
     world = World()
     attempt, _ = world.send("a1")
-    world.ledger.durable()
+    world.ledger.finish_writes()
     world.loads.on_attempt_ended(attempt, Outcome.RESET)
     world.loads.on_request_closed("a1")
-    left = []
+    remaining_counts = []
     for ms, durable in ((30_000.0, False), (35_000.0, True), (40_000.0, True)):
         world.clock.run_until(world.start + ms, lambda: None)
         world.memory.step(world.clock.now(), world.memory.fleet)
         world.loads.expire()
-        left.append(len(world.loads.records))
-        world.ledger.durable(durable)
-    deletions = [r for records, _ in world.ledger.put_of for r in records if r.value is None]
-    assert left == [0, 0, 0] and len(deletions) == 2 and not world.loads.records
+        remaining_counts.append(len(world.loads.records))
+        world.ledger.finish_writes(durable)
+    deletions = [r for records, _ in world.ledger.writes for r in records if r.value is None]
+    assert remaining_counts == [0, 0, 0] and len(deletions) == 2 and not world.loads.records
 
 
-def test_a_load_sent_again_keeps_its_new_record() -> None:
+def test_a_failed_removal_does_not_replace_a_new_record() -> None:
     world = World()
     attempt, _ = world.send("a1")
-    world.ledger.durable()
+    world.ledger.finish_writes()
     world.loads.on_attempt_ended(attempt, Outcome.RESET)
     world.loads.on_request_closed("a1")
     world.clock.run_until(world.start + 30_000.0, lambda: None)
     world.memory.step(world.clock.now(), world.memory.fleet)
     world.loads.expire()
     world.send("a2")
-    world.ledger.durable(False)
+    world.ledger.finish_writes(False)
     (record,) = world.loads.records.values()
     assert record.request_id == "a2"
 
 
 def test_a_failed_write_is_reported() -> None:
     world = World()
-    _, told = world.send("a1")
-    world.ledger.durable(False)
-    assert told == [False]
+    _, recorded = world.send("a1")
+    world.ledger.finish_writes(False)
+    assert recorded == [False]
--- a/tests/fleet_adapters/test_unavailable_folder.py
+++ b/tests/fleet_adapters/test_unavailable_folder.py
@@ -30,7 +30,7 @@
 from tests.observe.test_metrics import FILE, FLEET
 from tests.support.scenario import FakeClock
 
-MAX_LOOP_TURNS = 2000  # bound of a test's wait in iterations, each of at most 10 ms
+MAX_LOOP_ITERATIONS = 2000  # bound of a test's wait in iterations, each of at most 10 ms
 
 
 class World:
@@ -69,7 +69,7 @@
 
 async def wait_until_loads_are_recorded(node: StandaloneDispatcher) -> None:
     """Wait until the folder's ledger is open and in use."""
-    for _ in range(MAX_LOOP_TURNS):
+    for _ in range(MAX_LOOP_ITERATIONS):
         if node.recovery is not None:
             return
         await asyncio.sleep(0.01)
@@ -82,9 +82,9 @@
             part.close()
 
 
-def play(story: Callable[[], Awaitable[None]]) -> None:
+def run_bounded(scenario: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
-        await asyncio.wait_for(story(), 60.0)
+        await asyncio.wait_for(scenario(), 60.0)
 
     asyncio.run(bounded())
 
@@ -96,7 +96,7 @@
     monkeypatch.setattr(ledger_access, "SLOW_OPENING_S", 0.0)
     world.may_open.clear()
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = world.make_node()
         assert (
             isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard) and node.recovery is None
@@ -112,7 +112,7 @@
         )
         close_parts(node)
 
-    play(story)
+    run_bounded(scenario)
 
 
 def test_a_disk_that_hangs_later_delays_loads_only(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -120,10 +120,10 @@
     monkeypatch.setattr(ledger_access, "SLOW_OPENING_S", 0.0)
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = world.make_node()
         world.may_open.clear()
-        for _ in range(MAX_LOOP_TURNS):
+        for _ in range(MAX_LOOP_ITERATIONS):
             if world.open_count == 2 and len(world.lines()) == 2:
                 break
             await asyncio.sleep(0.002)
@@ -135,7 +135,7 @@
         await wait_until_loads_are_recorded(node)
         close_parts(node)
 
-    play(story)
+    run_bounded(scenario)
 
 
 @pytest.mark.parametrize(
@@ -147,24 +147,24 @@
     ],
     ids=["full", "busy", "unknown"],
 )
-def test_an_unavailable_folder_is_one_log_line_and_is_retried(world: World, errors: list[Exception]) -> None:
+def test_an_unavailable_folder_is_logged_once_and_is_retried(world: World, errors: list[Exception]) -> None:
     world.errors = list(errors)
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = world.make_node()
         assert isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
         await wait_until_loads_are_recorded(node)
         assert world.open_count == len(errors) + 1 and len(world.lines()) == 1
         close_parts(node)
 
-    play(story)
+    run_bounded(scenario)
 
 
 def not_a_folder(path: Path) -> None:
     path.write_text("")
 
 
-def boot_file_is_a_folder(path: Path) -> None:
+def boot_count_file_is_a_folder(path: Path) -> None:
     path.mkdir()
     (path / f"{FILE['name']}.life").mkdir()
 
@@ -174,14 +174,14 @@
     (path / f"{FILE['name']}.1.db").mkdir()
 
 
-@pytest.mark.parametrize("wrong", [not_a_folder, boot_file_is_a_folder, record_file_is_a_folder])
+@pytest.mark.parametrize("wrong", [not_a_folder, boot_count_file_is_a_folder, record_file_is_a_folder])
 def test_an_unusable_folder_is_reported_and_used_once_it_can(
     world: World, wrong: Callable[[Path], None]
 ) -> None:
     folder = world.path.parent / str(FLEET["state_dir"])
     wrong(folder)
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = world.make_node()
         assert (
             isinstance(node.gateway.notifications.load_guard, UnavailableLoadGuard)
@@ -192,7 +192,7 @@
         await wait_until_loads_are_recorded(node)
         close_parts(node)
 
-    play(story)
+    run_bounded(scenario)
 
 
 def answer_to_retry(guard: UnavailableLoadGuard, body: bytes, retry: bool) -> str:
@@ -257,7 +257,7 @@
 def test_a_retry_counts_from_its_first_time_once_the_folder_is_available(world: World) -> None:
     world.errors = [StoreError("planted", Folder.UNKNOWN, {})]
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = world.make_node()
         assert node.unavailable_load_guard is not None
         node.unavailable_load_guard.history.answer_unavailable(
@@ -268,7 +268,7 @@
         assert node.recovery is not None and node.recovery.history.local.queried[b"x" * 16].first_at == first
         close_parts(node)
 
-    play(story)
+    run_bounded(scenario)
 
 
 def test_loads_of_a_full_folder_are_answered_by_what_could_be_read(world: World) -> None:
@@ -278,7 +278,7 @@
     error = StoreError("full", Folder.COMPLETE, {RecordKind.LOAD: {record.identity: record.encode()}})
     world.errors = [error]
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = world.make_node()
         assert node.unavailable_load_guard is not None
         assert (
@@ -290,7 +290,7 @@
         await wait_until_loads_are_recorded(node)
         close_parts(node)
 
-    play(story)
+    run_bounded(scenario)
 
 
 def make_folder_with_drain(folder: Path, drain: dict[RecordKind, dict[bytes, bytes]]) -> None:
@@ -310,19 +310,19 @@
     world.errors = [StoreError("full", Folder.COMPLETE, drain)]
     make_folder_with_drain(world.path.parent / "state", drain)
 
-    async def story() -> None:
-        node, due = world.make_node(), list[tuple[float, Callable[[], None]]]()
+    async def scenario() -> None:
+        node, timers = world.make_node(), list[tuple[float, Callable[[], None]]]()
         node.publish_initial_engines()
         assert set(node.quarantine.live_engines()) == {"e2"}
         if had:
             await wait_until_loads_are_recorded(node)
             assert set(node.quarantine.live_engines()) == {"e2"}
-        monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: due.append((ms, then)))
+        monkeypatch.setattr(node.event_loop.clock, "call_in", lambda ms, then: timers.append((ms, then)))
         node._quarantine_drained_engines(drain[RecordKind.ENGINE_DRAIN])
-        ((ms, let_go),) = due
+        ((ms, release),) = timers
         assert ms == DrainSettings().startup_timeout_ms
-        let_go()
+        release()
         assert set(node.quarantine.live_engines()) == ({"e2"} if had else {"e1", "e2"})
         close_parts(node)
 
-    play(story)
+    run_bounded(scenario)
--- a/tests/fleet_adapters/test_write_queue.py
+++ b/tests/fleet_adapters/test_write_queue.py
@@ -129,7 +129,7 @@
 )
 
 
-def durable_in_order(steps: Iterable[Any]) -> None:
+def check_durable_in_order(steps: Iterable[Any]) -> None:
     """Check that records become durable in order, that none is reported too early, and that none is lost."""
     world, last = World(), dict[str, str]()
     for number, step in enumerate(steps):
@@ -141,8 +141,8 @@
         else:
             last[step[1]] = f"{number:03}"
             world.put(step[1], last[step[1]])
-        kept = [name for name in world.notifications if not name.startswith("-")]
-        assert set(kept) <= {name.decode() for name in world.ledger.disk}
+        reported = [name for name in world.notifications if not name.startswith("-")]
+        assert set(reported) <= {name.decode() for name in world.ledger.disk}
     for _ in range(2 * len(last) + 2):
         world.wait(write_queue.RETRY_MS + 1)
         if world.ledger.pending_writes:
@@ -155,7 +155,7 @@
 @settings(max_examples=200, deadline=None)
 @given(STEPS)
 def test_any_history_is_durable_in_order(steps: list[Any]) -> None:
-    durable_in_order(steps)
+    check_durable_in_order(steps)
 
 
 PUT = [("put", "a"), "no", ("put", "b"), "wait", "ok"]
@@ -172,22 +172,22 @@
         if self.pending and not self.in_flight:
             self._write()
 
-    durable_in_order([("put", "a"), ("put", "b"), "no", "ok"])
+    check_durable_in_order([("put", "a"), ("put", "b"), "no", "ok"])
     monkeypatch.setattr(OrderedWriteQueue, "_on_written", behind)
     with pytest.raises(AssertionError, match="out of order"):
-        durable_in_order([("put", "a"), ("put", "b"), "no", "ok"])
+        check_durable_in_order([("put", "a"), ("put", "b"), "no", "ok"])
 
 
 def test_never_retrying_a_write_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def forgotten(self: OrderedWriteQueue, durable: bool) -> None:
         flying, self.in_flight = self.in_flight, {}
         for entry in flying.values():
-            (entry.on_durable if durable else entry.on_refused)()
+            (entry.on_durable if durable else entry.on_failed)()
 
-    durable_in_order(PUT)
+    check_durable_in_order(PUT)
     monkeypatch.setattr(OrderedWriteQueue, "_on_written", forgotten)
     with pytest.raises(AssertionError):
-        durable_in_order(PUT)
+        check_durable_in_order(PUT)
 
 
 class FailingLedger:
--- a/tests/fleet_adapters/test_zone_failover.py
+++ b/tests/fleet_adapters/test_zone_failover.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, left",  # failed attempts end after 1 ms, successful ones after 20 ms
+    "outcome, is_evacuated",  # failed attempts end after 1 ms, successful ones after 20 ms
     [
         (Outcome.CONNECT_FAILED, True),
         (Outcome.RESET, True),
@@ -64,7 +64,7 @@
         (Outcome.CANCELLED, False),
     ],
 )
-def test_the_results_of_attempts_decide_on_an_evacuation(outcome: Outcome, left: bool) -> None:
+def test_the_results_of_attempts_decide_on_an_evacuation(outcome: Outcome, is_evacuated: bool) -> None:
     clock = FakeClock()
     adapter, bounds = make(clock)
     for n in range(300):
@@ -74,15 +74,17 @@
             ClientRequest(f"q{n}", 0, "lookup", clock.now(), 1000.0, 0.0, 0.0, -1, None, False, b"")
         )
         adapter.on_attempt_sent(attempt, 0)
-        bad = n >= 100 and engine[0] == "a"
+        has_failed = n >= 100 and engine[0] == "a"
         end = AttemptEnded(
-            attempt.request_id, 0, engine, outcome if bad else Outcome.OK, 1.0 if bad else 20.0
+            attempt.request_id, 0, engine, outcome if has_failed else Outcome.OK, 1.0 if has_failed else 20.0
         )
         adapter.on_attempt_ended(attempt, end)
         clock.run_until(clock.now() + 5.0, lambda: None)
-    assert (adapter.coordinator.evacuation.states["a"].phase is ZonePhase.EVACUATED) is left
+    assert (adapter.coordinator.evacuation.states["a"].phase is ZonePhase.EVACUATED) is is_evacuated
     assert adapter.coordinator.evacuation.states["b"].phase is ZonePhase.IN_SERVICE
-    assert bool(bounds) is left and (not left or set(bounds[-1].work_rate_by_engine.values()) == {0.0})
+    assert bool(bounds) is is_evacuated and (
+        not is_evacuated or set(bounds[-1].work_rate_by_engine.values()) == {0.0}
+    )
 
 
 @pytest.mark.parametrize(
@@ -102,11 +104,11 @@
 )
 def test_an_invalid_override_is_rejected_with_its_reason(changes: dict[str, Any], wanted: str) -> None:
     adapter, bounds = make(FakeClock())
-    good = {"zone": "a", "mode": "leave", "for_ms": 1000, "who": "me", "why": "work"}
+    valid_call = {"zone": "a", "mode": "leave", "for_ms": 1000, "who": "me", "why": "work"}
     with pytest.raises(OverrideError, match=wanted):
-        adapter.issue_override(good | changes)
+        adapter.issue_override(valid_call | changes)
     assert not bounds
-    (row, _) = adapter.issue_override(good)["zones"]
+    (row, _) = adapter.issue_override(valid_call)["zones"]
     assert row["phase"] == "out" and row["order"]["why"] == "work" and bounds
 
 
@@ -132,7 +134,7 @@
 
         def call() -> dict[str, Any]:
             if sent.startswith(b"{"):
-                return status.ask(path, json.loads(sent))
+                return status.call_instance(path, json.loads(sent))
             data = b""
             with socket.socket(socket.AF_UNIX) as sock:
                 sock.settimeout(10)
@@ -167,14 +169,14 @@
                         if isinstance(r, SendDatagram)
                     ]
                     one.step(float(now), back)
-    said = here.payload_to(b"x" * here.codec.update_capacity(), there.id)
-    assert said is not None and len(said.data) == 256 and said.address == there.address
-    heard = [
+    sent = here.payload_to(b"x" * here.codec.update_capacity(), there.id)
+    assert sent is not None and len(sent.data) == 256 and sent.address == there.address
+    received = [
         a
-        for a in there.step(3000.0, [DatagramReceived(said.data, here.address)])
+        for a in there.step(3000.0, [DatagramReceived(sent.data, here.address)])
         if isinstance(a, MessageReceived)
     ]
-    assert [h.message.payload for h in heard] == [b"x" * here.codec.update_capacity()]
+    assert [h.message.payload for h in received] == [b"x" * here.codec.update_capacity()]
     assert here.payload_to(b"x" * (here.codec.update_capacity() + 1), there.id) is None
 
 
@@ -200,7 +202,7 @@
     clock.run_until(clock.now() + 150.0, lambda: None)
     assert not joined
     hello = next(a for a in other.step(clock.now()) if isinstance(a, SendDatagram))
-    came = clock.now()
+    joined_at = clock.now()
     assert adapter.on_datagram(hello.data, other.address)
-    clock.run_until(came + 1.0, lambda: None)
-    assert joined == [came] and [m.name for m in swim.members_by_name()] == ["n1"]
+    clock.run_until(joined_at + 1.0, lambda: None)
+    assert joined == [joined_at] and [m.name for m in swim.members_by_name()] == ["n1"]
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -126,7 +126,7 @@
     World().run(script)
 
 
-def test_a_shutdown_cannot_be_undone_and_keeps_a_drain() -> None:
+def test_a_shutdown_cannot_be_undone_and_does_not_end_a_drain() -> None:
     lifecycle = Lifecycle()
     assert lifecycle.drain(0.0) and not lifecycle.drain(50.0) and lifecycle.draining_since == 0.0
     assert lifecycle.restore() and lifecycle.restore() and lifecycle.phase() is Phase.SERVING
--- a/tests/node/test_engine_list_changes.py
+++ b/tests/node/test_engine_list_changes.py
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("in_one_change", [True, False])
-def test_a_new_engine_at_a_removed_engines_address_gets_its_own_connection(in_one_change: bool) -> None:
+def test_a_new_engine_at_a_removed_engines_address_gets_a_new_connection(in_one_change: bool) -> None:
     """The removed engine may still answer its attempt; the answer is used once."""
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *")
     removed, new = Engine("a", state=EngineState.REMOVED), Engine("fresh", started_at=900.0)
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("started_at", [0.0, 1200.0])
-def test_a_drained_engine_back_in_service_gets_requests_again(started_at: float) -> None:
+def test_a_drained_engine_that_returns_to_service_gets_requests(started_at: float) -> None:
     world = World(engines="a").run("c1 query lookup r1\ne1 expect GET r1 *\nlist tell e1 draining")
     world.run(f"c2 query lookup r2\ntime wait 300\ne1 expect nothing\ne1 send r1 {SERVED}")
     world.gateway.on_engine_list(
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -58,8 +58,8 @@
         self.gateway.notifications.load_guard = self.guard = Guard()
 
     def past_is(self, who: str, rest: str) -> None:
-        word, _, ms = rest.partition(" ")
-        self.guard.pending_outcomes.pop(0)(LoadOutcome(word), float(ms or 0))
+        outcome_name, _, ms = rest.partition(" ")
+        self.guard.pending_outcomes.pop(0)(LoadOutcome(outcome_name), float(ms or 0))
 
     def disk_goes(self, who: str, rest: str) -> None:
         self.guard.is_unavailable = True
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -89,7 +89,7 @@
         world.run("c2 expect error 1226 *")
 
 
-def test_settings_hold_the_longest_time_of_a_connect(tmp_path: Path) -> None:
+def test_settings_contain_the_connect_timeout(tmp_path: Path) -> None:
     config = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
     assert config.settings.max_connect_ms == config.connections.connect_timeout_ms > 0
 
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -18,7 +18,7 @@
 from tests.frontend.test_client_departure import SITES, Turns, assert_no_request_kept
 from tests.node.test_load_guard import Guard
 
-BAD_ID = f"{9:016x}"
+FAULTY_REQUEST_ID = f"{9:016x}"
 
 
 class FaultyWorld(Turns):
@@ -44,7 +44,7 @@
             has_ended = getattr(event, "outcome", None) is Outcome.NOT_STARTED
             if (
                 self.fails == type(event).__name__
-                and getattr(event, "query_id", "") == BAD_ID
+                and getattr(event, "query_id", "") == FAULTY_REQUEST_ID
                 and not has_ended
             ):
                 self.fail()
@@ -144,12 +144,12 @@
 ) -> None:
     world = FaultyWorld("")
     owner: object = world.gateway.attempts if name == "send" else world.gateway
-    carry_out = getattr(owner, name)
+    original = getattr(owner, name)
 
     def broken(action: Send | Reject) -> None:
-        if action.query_id == BAD_ID:
+        if action.query_id == FAULTY_REQUEST_ID:
             world.fail()
-        carry_out(action)
+        original(action)
 
     monkeypatch.setattr(owner, name, broken)
     world.run(f"turn begins now\nc9 query lookup r9 allow={allow}\nc1 query lookup r1\nturn ends now")
--- a/tests/node/test_sibling_process_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("error", ERRORS)
 @pytest.mark.parametrize("call", CALLS)
-def test_slot_files_are_used_again_after_errors(
+def test_slot_files_are_reused_after_errors(
     call: str, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     log = list[str]()
@@ -97,7 +97,9 @@
     os.close(second.file)
 
 
-def test_a_partly_written_record_is_written_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_write_of_a_partly_written_record_is_retried(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     log = list[str]()
     first, second = (SiblingProcesses(str(tmp_path), "here", log.append) for _ in range(2))
     pwrite = os.pwrite
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -220,7 +220,7 @@
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
 
 
-def test_queued_connections_are_accepted_in_one_turn() -> None:
+def test_queued_connections_are_accepted_in_one_iteration() -> None:
     async def scenario() -> int:
         world, calls = World(), 0
         event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
@@ -248,7 +248,7 @@
     assert asyncio.run(scenario()) == 2  # the second call waits for further connections
 
 
-def test_a_crowd_of_clients_that_turn_idle_is_accepted_without_long_pauses(
+def test_many_clients_that_become_idle_are_accepted_without_long_pauses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Freed connection slots are reused without a pause, so that other clients need not wait."""
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("name", CLASS_NAMES)
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_request_with_little_time_left_is_rejected_at_once_and_not_sent(
+def test_a_request_with_little_remaining_time_is_rejected_immediately_and_not_sent(
     moment: str, name: str, site: str, remaining_ms: str
 ) -> None:
     world = Turns(SITES[site])
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -56,8 +56,8 @@
     tmp_path: Path, content: bytes
 ) -> None:
     (tmp_path / "cottonhold-here.seat0").write_bytes(content)
-    taken = join_folder(tmp_path)
-    assert (taken.slot, taken.record.start_number) == (0, 8 if len(content) == 17 else 1)
+    claimed = join_folder(tmp_path)
+    assert (claimed.slot, claimed.record.start_number) == (0, 8 if len(content) == 17 else 1)
 
 
 def test_without_a_writable_folder_the_process_serves_and_logs_it(tmp_path: Path) -> None:
@@ -106,8 +106,8 @@
     sessions = ClientSessions(
         world.gateway, world.clock, world.counters, world.lifecycle, 99, ConnectionIdRange(1 << 20, 3)
     )
-    held = sessions.open()
-    numbers = [held.connection_id]
+    open_session = sessions.open()
+    numbers = [open_session.connection_id]
     for _ in range(4):
         session = sessions.open()
         numbers.append(session.connection_id)
@@ -123,7 +123,7 @@
         ([ProcessRecord(1, 400, 400)], (MIN_QUOTA, MIN_QUOTA)),
     ],
 )
-def test_two_processes_keep_within_one_descriptor_limit(
+def test_two_processes_stay_below_one_descriptor_limit(
     others: list[ProcessRecord], expected: tuple[int, int]
 ) -> None:
     quotas = DescriptorQuotas.divide(256)
@@ -165,12 +165,12 @@
 
 def count_waiting(sock: socket.socket) -> int:
     count = 0
-    while take_one(sock):
+    while receive_one(sock):
         count += 1
     return count
 
 
-def take_one(sock: socket.socket) -> bool:
+def receive_one(sock: socket.socket) -> bool:
     try:
         if sock.type == socket.SOCK_DGRAM:
             sock.recv(10)
@@ -248,11 +248,11 @@
     engine = StandInEngine("s-1", work_ms)
     await engine.start("127.0.0.1", int(addresses[2].rpartition(":")[2]))
 
-    async def hold_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def keep_connection_open(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
     host, _, port = addresses[1].partition(":")
-    bus = await asyncio.start_server(hold_connection, host, int(port))
+    bus = await asyncio.start_server(keep_connection_open, host, int(port))
     created = UpgradeSite(folder, engine, addresses)
     try:
         yield created
@@ -348,8 +348,8 @@
             for request_line in ("GET /healthcheck", "POST /healthcheck/fail", "POST /healthcheck/ok"):
                 assert (await admin_call(site.ops[0], request_line)).startswith("HTTP/1.1 200")
             assert b"s-1" in await send_query(site.listen, 1)
-            held = os.listdir(f"/proc/{site.programs[0].pid}/fd")
-            assert len(held) <= 64
+            open_descriptors = os.listdir(f"/proc/{site.programs[0].pid}/fd")
+            assert len(open_descriptors) <= 64
             for _, writer in crowd + slow:
                 writer.close()
 
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("clock_error_s", [0.0, 5.0, -5.0, HOUR, -HOUR])
-def test_warm_up_budget_and_deadlines_hold_whatever_the_wall_clock_shows(
+def test_warm_up_budget_and_deadlines_do_not_depend_on_the_wall_clock(
     tmp_path: Path, clock_error_s: float
 ) -> None:
     engine = asyncio.run(run_queries(tmp_path, clock_error_s, age_s=0.0))
