--- a/cottonhold/fleet_adapters/load_records.py
+++ b/cottonhold/fleet_adapters/load_records.py
@@ -70,7 +70,7 @@
         disk_now: Returns the time of the ledger's clock, in ms.
         call_in: Calls a function after a delay in ms.
         call_in_loop: Calls a function in the event loop's thread; may be called in any thread.
-        may_send: Returns whether this instance may send loads now.
+        may_send_loads: Returns whether this instance may send loads now.
         execute: Executes actions of the load history.
     """
 
@@ -85,7 +85,7 @@
         disk_now: Callable[[], float],
         call_in: Callable[[float, Callable[[], None]], object],
         call_in_loop: Callable[[Callable[[], None]], object],
-        may_send: Callable[[], bool],
+        may_send_loads: Callable[[], bool],
         execute: Callable[[Iterable[Action]], None],
         counters: Counters,
         log: Callable[..., None],
@@ -98,12 +98,12 @@
             call_in,
             call_in_loop,
         )
-        self.may_send, self.execute, self.counters, self.log = may_send, execute, counters, log
+        self.may_send_loads, self.execute, self.counters, self.log = may_send_loads, execute, counters, log
         self.started_at = self.expired_at = now()
         self.runs: dict[str, LoadRun] = {}  # by request id
         self.pending: dict[str, SettlementWaiter] = {}  # by request id
         self.queues: dict[str, deque[QueuedRequest]] = {}  # by ordering key of a retry without an outcome yet
-        self.key_of_retry: dict[str, str] = {}  # by request id
+        self.ordering_key_by_retry: dict[str, str] = {}  # by request id
         self.disk_state = DiskState.HEALTHY
 
     def guards(self, query_class: int) -> bool:
@@ -113,9 +113,9 @@
     def on_load_arrived(
         self, client_request: ClientRequest, deadline: float, on_outcome: LoadOutcomeCallback
     ) -> None:
-        """Reject a load, queue it, or call `on_outcome`; a retry first queries the other instances.
+        """Reject a load that can't be recorded, queue it behind a retry, or look up its earlier executions.
 
-        A load waits while a retry with its ordering key has no outcome, so that they run in order.
+        A load is queued while a retry with its ordering key has no outcome yet, so that loads run in order.
         """
         if self._reject_unrecordable(client_request, on_outcome):
             return
@@ -133,7 +133,7 @@
         The history records a retry, and limits the time for which it is told to retry later.
         """
         can_record = self._check_disk() is DiskState.HEALTHY
-        if can_record and (request.is_retry or self.may_send()):
+        if can_record and (request.is_retry or self.may_send_loads()):
             return False
         self.counters.add("loads_unheard" if can_record else "loads_unkept")
         knowledge = LoadKnowledge.NOT_KNOWN_YET
@@ -156,7 +156,7 @@
             self._answer(request_id, knowledge, self.history.settings.retry_after_ms)
             return
         if key is not None:
-            self.key_of_retry[request_id] = key
+            self.ordering_key_by_retry[request_id] = key
             self.queues[key] = deque()
         self.execute(())
 
@@ -169,7 +169,7 @@
 
     def _release_queue(self, request_id: str) -> None:
         """Process the loads that were queued behind a retry, up to the next retry with the same key."""
-        key = self.key_of_retry.pop(request_id, None)
+        key = self.ordering_key_by_retry.pop(request_id, None)
         queue = self.queues.pop(key, None) if key is not None else None
         while queue:
             queued = queue.popleft()
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -132,7 +132,8 @@
         self.ledger, self.swim, self.fleet, self.clock = ledger, swim, fleet, clock
         self.call_in_loop, self.send, self.counters, self.log = call_in_loop, send, counters, log
         self.retention_ms = retention_ms_of(installation)
-        self.are_engines_known: Callable[[], bool] = lambda: True  # set by the dispatcher
+        # A further condition for sending loads, which the dispatcher sets.
+        self.are_engines_known: Callable[[], bool] = lambda: True
         self.timer: Timer | None = None
         self.silent: dict[int, ProvenSilence] = {}  # by dispatcher number
         self.silent_at = -MAX_STEP_INTERVAL_MS  # time of the last computation of `silent`
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -144,10 +144,10 @@
         if self.catalog_timer is not None:
             self.catalog_timer.cancel()
             self.catalog_timer = None
-        at = self.engine_catalog.next_at()
-        if at < float("inf"):
+        next_at = self.engine_catalog.next_at()
+        if next_at < float("inf"):
             self.catalog_timer = self.event_loop.clock.call_in(
-                at - now + 1, lambda: self.on_discovery_events(())
+                next_at - now + 1, lambda: self.on_discovery_events(())
             )
 
     def on_engine_list(self, change: EngineListChange) -> None:
--- a/cottonhold/node/lifecycle.py
+++ b/cottonhold/node/lifecycle.py
@@ -71,7 +71,7 @@
 
         Args:
             now: The time in ms of the clock.
-            max_deadline_ms: The longest deadline in force, in ms; SIGKILL comes no earlier.
+            max_deadline_ms: The longest deadline in force, in ms, which determines when SIGKILL may come.
         """
         if self.shutdown_since == math.inf:
             self.shutdown_since = now
@@ -115,6 +115,6 @@
     def closes_answered(self, now: float) -> bool:
         """Return whether a connection is closed right after its response if no further request has arrived.
 
-        Otherwise, clients that are never idle would keep their connections open for ever.
+        Otherwise, clients that are never idle would keep their connections open indefinitely.
         """
         return now >= min(self.draining_since, self.shutdown_since)
--- a/cottonhold/node/standalone/consul_sources.py
+++ b/cottonhold/node/standalone/consul_sources.py
@@ -27,7 +27,7 @@
 class RunningWatch:
     """The watch of a source, and its task."""
 
-    watched: ConsulSource
+    source: ConsulSource
     watch: ServiceWatch
     task: asyncio.Task[None]
 
@@ -40,35 +40,35 @@
         self.counters, self.log, self.on_events = dispatcher.counters, dispatcher.log, on_events
         self.running: dict[str, RunningWatch] = {}  # by name of the source
 
-    def follow(self, watched: ConsulSource) -> None:
+    def follow(self, source: ConsulSource) -> None:
         """Start following a source."""
-        name = watched.watch_settings.name
+        name = source.watch_settings.name
         answers = HealthResponseDecoder(
-            self.config.names, watched.interpretation, lambda reason: self._on_malformed(name, reason)
+            self.config.names, source.interpretation, lambda reason: self._on_malformed(name, reason)
         )
-        watch = ServiceWatch(watched.watch_settings, answers, self.config.seed)
-        work = consul_client.follow_service(
-            self.event_loop, watch, client_tls(watched.tls), self.on_events, self.counters
+        watch = ServiceWatch(source.watch_settings, answers, self.config.seed)
+        watching = consul_client.follow_service(
+            self.event_loop, watch, client_tls(source.tls), self.on_events, self.counters
         )
-        self.running[name] = RunningWatch(watched, watch, self.event_loop.spawn(work))
+        self.running[name] = RunningWatch(source, watch, self.event_loop.spawn(watching))
 
     def replace_changed(self, sources: Sequence[ConsulSource]) -> None:
         """Stop sources that are no longer configured, and restart those whose settings have changed."""
-        configured = {watched.watch_settings.name: watched for watched in sources}
+        configured = {source.watch_settings.name: source for source in sources}
         for name, running in list(self.running.items()):
-            watched = configured.get(name)
-            if watched is None:
+            source = configured.get(name)
+            if source is None:
                 running.task.cancel()
                 del self.running[name]
-            elif watched != running.watched:
+            elif source != running.source:
                 running.task.cancel()
-                self.follow(watched)  # its first answer is a complete list, so removed engines are noticed
+                self.follow(source)  # its first answer is a complete list, so removed engines are noticed
 
     def follow_new(self, sources: Sequence[ConsulSource]) -> None:
         """Start following sources that are not followed yet."""
-        for watched in sources:
-            if watched.watch_settings.name not in self.running:
-                self.follow(watched)
+        for source in sources:
+            if source.watch_settings.name not in self.running:
+                self.follow(source)
 
     def confirm_absent(self, source: str, absent: tuple[str, ...]) -> None:
         """Query a source's catalog for engines missing from its last list, before its next health query."""
--- a/cottonhold/node/standalone/dispatcher.py
+++ b/cottonhold/node/standalone/dispatcher.py
@@ -1,6 +1,6 @@
 """A dispatcher with Consul sources, a structured log, a reloadable configuration file, and a fleet.
 
-Only `cottonhold serve --config` imports this module; `cottonhold run` on the platform does not use it.
+Only `cottonhold serve --config` imports this module, and not the platform's program (`python -m cottonhold`).
 """
 
 from __future__ import annotations
@@ -255,14 +255,14 @@
                 self.on_engine_list(action.change)
 
     def follow_sources(self) -> None:
-        """Publish the engines known so far, follow all sources, register, and start the fleet's parts."""
+        """Publish the initial engines, follow all sources, register, and start the fleet's parts."""
         if self.installation.file.sources:
             self.publish_initial_engines()
         elif self.installation.initial_engines:
             self.on_discovery_events([initial_report(self.installation)])
         super().follow_sources()
-        for watched in self.installation.consul_sources:
-            self.consul_sources.follow(watched)
+        for source in self.installation.consul_sources:
+            self.consul_sources.follow(source)
         self._register()
         if self.membership is not None:
             self.membership.start()
--- a/cottonhold/node/standalone/ledger_access.py
+++ b/cottonhold/node/standalone/ledger_access.py
@@ -47,7 +47,7 @@
         self.opening.wait(START_WAIT_S)
 
     def ledger(self) -> Ledger | None:
-        """Return the ledger if it is open; otherwise log the reason, each one once in a row."""
+        """Return the ledger if it is open, or else None; log each new reason why it is not open once."""
         reason = self._failure_reason()
         if reason and reason != self.logged_reason:
             self.logged_reason = reason
@@ -69,23 +69,23 @@
         error = self.opening.error if self.opening.is_over else None
         return error.records if error is not None else {}
 
-    def call_when_open(self, use: Callable[[Ledger], None]) -> None:
-        """Call `use` with the ledger once it is open; retry without limit."""
+    def call_when_open(self, on_open: Callable[[Ledger], None]) -> None:
+        """Call `on_open` with the ledger once it is open; retry without limit."""
         if self.opening.is_over and self.opening.ledger is None:
-            self.clock.call_in(RETRY_INTERVAL_MS, lambda: self._retry(use))
+            self.clock.call_in(RETRY_INTERVAL_MS, lambda: self._retry(on_open))
         else:
-            self.clock.call_in(POLL_INTERVAL_MS, lambda: self._poll(use))
+            self.clock.call_in(POLL_INTERVAL_MS, lambda: self._poll(on_open))
 
-    def _retry(self, use: Callable[[Ledger], None]) -> None:
+    def _retry(self, on_open: Callable[[Ledger], None]) -> None:
         self.opening = LedgerOpening(self._open)
-        self.call_when_open(use)
+        self.call_when_open(on_open)
 
-    def _poll(self, use: Callable[[Ledger], None]) -> None:
+    def _poll(self, on_open: Callable[[Ledger], None]) -> None:
         ledger = self.ledger()
         if ledger is None:
-            self.call_when_open(use)
+            self.call_when_open(on_open)
         else:
-            use(ledger)
+            on_open(ledger)
 
     def _open(self) -> Ledger | None:
         return open_ledger(self.installation(), self.folder)
--- a/tests/fleet_adapters/test_load_records_faults.py
+++ b/tests/fleet_adapters/test_load_records_faults.py
@@ -283,7 +283,7 @@
 
 def forgets_records_at_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        load_conversions, "decode_loads", lambda kept: replace(decode_loads(kept), by_identity={})
+        load_conversions, "decode_loads", lambda folder: replace(decode_loads(folder), by_identity={})
     )
 
 
