--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -67,11 +67,7 @@
 ) -> FleetCoordinator:
     """Make the coordinator of an installation that has a section `fleet`.
 
-    Args:
-        installation: The configuration in force.
-        self_id: Member id of this instance.
-        now: The time in ms of the clock.
-        incarnation: The incarnation from the ledger, or without a ledger the start's Unix time in seconds.
+    `incarnation` is that of the ledger, or without a ledger the Unix time of the start in s.
     """
     file, section = installation.file, installation.file.fleet
     assert section is not None and file.membership is not None
