--- a/cottonhold/fleet/zone_failover/__init__.py
+++ b/cottonhold/fleet/zone_failover/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving a failing zone as one fleet, and returning to it. Pure."""
+"""Evacuation of failing zones by the whole fleet, and the return to them; does no I/O."""
--- a/cottonhold/fleet/zone_failover/attempt_pool.py
+++ b/cottonhold/fleet/zone_failover/attempt_pool.py
@@ -1,4 +1,4 @@
-"""Attempts of several instances taken together, with bounds on what a single one may claim. Pure."""
+"""Combine the attempt counts of several instances, limiting the weight of each; does no I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from cottonhold.fleet.zone_failover.failure_evidence import AttemptCounts
 
-MAX_ALONE = 3.0  # attempts of one instance that count whatever the others report
+MAX_ALONE = 3.0  # number of attempts of one instance that are counted in any case
 
 
 class PooledCounts(NamedTuple):
-    """Weighted attempts of several instances, and how many of them report bad ones."""
+    """The weighted attempts of several instances, and the number of instances that report bad ones."""
 
     good: float
     late: float
@@ -20,13 +20,16 @@
 
     @property
     def total(self) -> float:
-        """Of all results."""
+        """Number of attempts with any result."""
         return self.good + self.late + self.bad
 
 
 def pool_counts(counts: Iterable[AttemptCounts]) -> PooledCounts:
-    """The sum of these counts, each of at most three attempts or half as many as all the others together: one
-    instance that claims hundreds does not outweigh the rest."""
+    """Return the weighted sum of the counts of several instances.
+
+    The counts of an instance are scaled down to at most three attempts, or half as many as all others report
+    together if that is more. So a single instance with hundreds of attempts does not outweigh the rest.
+    """
     reported = [each for each in counts if sum(each)]
     total = sum(map(sum, reported))
     good = late = bad = 0.0
@@ -39,5 +42,5 @@
 
 
 def lower_median(values: Sequence[float]) -> float:
-    """The middle value; of two middle ones the lower."""
+    """Return the median, or the lower of the two middle values."""
     return sorted(values)[(len(values) - 1) // 2]
--- a/cottonhold/fleet/zone_failover/electorate.py
+++ b/cottonhold/fleet/zone_failover/electorate.py
@@ -1,4 +1,4 @@
-"""Whose votes on zones count. Pure."""
+"""Determine which members vote on zones; does no I/O."""
 
 from __future__ import annotations
 
@@ -7,29 +7,30 @@
 
 
 class Electorate:
-    """All members that were alive within the last `memory_ms`; of many, `max_voters` chosen by hash.
+    """The members with a vote: all that were alive within the last `memory_ms`, but at most `max_voters`.
 
-    Members that are out of sight keep counting for a while: if only those that are seen now counted, each
-    half of a partitioned fleet would be a majority of its own. The number of voters is bounded so that the
+    If there are more, the voters are chosen by a hash of their ids, so that all instances choose the same.
+    Unreachable members stay in the electorate for `memory_ms`: if only reachable members were counted, each
+    half of a partitioned fleet would have a majority of its own. The number of voters is limited so that the
     cost of a vote does not grow with the fleet.
     """
 
     def __init__(self, self_id: int, memory_ms: float, max_voters: int) -> None:
         self.self_id, self.memory_ms, self.max_voters = self_id, memory_ms, max_voters
-        self.last_seen: dict[int, float] = {}  # other members, and when each was last alive
+        self.last_seen: dict[int, float] = {}  # other member -> time at which it was last alive, in ms
         self._chosen, self._chosen_from = [self_id], frozenset[int]()
 
     def see(self, now: float, live: Iterable[int]) -> None:
-        """These members are alive at `now`, in ms."""
+        """Record that these members are alive at `now`, in ms."""
         self.last_seen.update(dict.fromkeys(live, now))
 
     def remove(self, members: Iterable[int]) -> None:
-        """These members have left by their own announcement."""
+        """Remove members that announced that they leave."""
         for member in members:
             self.last_seen.pop(member, None)
 
     def voters(self, now: float) -> list[int]:
-        """The members that vote at `now`; this instance may be among them."""
+        """Return the members that vote at `now`, in ms; this instance is not always among them."""
         oldest = now - self.memory_ms
         self.remove([member for member, at in self.last_seen.items() if at < oldest])
         if self.last_seen.keys() != self._chosen_from:
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -1,9 +1,14 @@
-"""Which zones are evacuated, by this instance and by the fleet, and how much a returning zone may get. Pure.
+"""Decide which zones to evacuate and how much traffic a returning zone gets; does no I/O.
 
-Each instance has a state for each zone and reports it as a vote. It evacuates a zone at once by its own
-evidence, alone if need be. It joins where more than a third are certain and its own evidence does not say the
-contrary, and it follows where more than half of the electorate vote so. The return starts by the same count.
-See docs/design/zones.md.
+Each instance keeps a state for each zone and reports it to the others as a vote. An instance evacuates a zone
+in one of three cases:
+
+- its own evidence shows that the zone is unhealthy; this needs no agreement from others
+- more than a third of the electorate are certain, and its own attempts do not show a healthy zone
+- more than half of the electorate vote for the evacuation
+
+The fleet's evacuation of a zone begins when more than half of the electorate vote for it and ends when more
+than half vote against it; then the return may start. See docs/design/zones.md.
 """
 
 from __future__ import annotations
@@ -17,15 +22,18 @@
 from cottonhold.fleet.zone_failover.messages import Vote, ZoneReport
 from cottonhold.fleet.zone_failover.zone_state import LocalEvidence, PhaseChange, ZonePhase, ZoneState
 
-# What keeps an instance from joining others: so many served attempts, and at most this share of bad ones.
+# An instance does not join others in an evacuation while it sees at least this many served attempts and at
+# most this share of bad ones.
 MIN_HEALTHY_ATTEMPTS = 3
 MAX_HEALTHY_BAD_SHARE = 0.1
-MIN_CERTAIN = 2  # one instance alone, which lies or has a bad link, never moves another
-MIN_SUSPECTING = 3
-MIN_BAD_REPORTERS = 2  # instances that have to see a return fail
-MAX_BAD_SHARE_RATIO = 1.5  # times the share of bad attempts elsewhere that a return may show
-
-# Reasons as operators read them.
+# Certain votes needed to join others; a single instance may be faulty or have a bad network link.
+MIN_CERTAIN = 2
+MIN_SUSPECTING = 3  # suspecting instances needed to join others
+MIN_BAD_REPORTERS = 2  # instances with bad attempts needed to declare a return failed
+# A return may have this many times the share of bad attempts of the best zone in service.
+MAX_BAD_SHARE_RATIO = 1.5
+
+# Reasons for a change of phase, as shown to operators.
 BY_OPERATOR = "by hand"
 FLEET_EVACUATES = "the fleet leaves"
 OTHERS_CERTAIN = "others are sure"
@@ -42,20 +50,35 @@
 
 @dataclass(slots=True, frozen=True)
 class EvacuationSettings:
-    """Times in ms.
-
-    max_report_age_ms: older reports move nobody; several rounds of them, a lost one among them. hold_down_ms:
-    a zone stays evacuated at least so long; doubled by each return that failed, up to max_hold_down_ms, and
-    halved by each quiet_ms without one. initial_share: of its full load, with which a return begins. step_ms:
-    a return's share may double so often. idle_step_ms: without any attempt only so often, so that a fleet
-    without load is not bounded for good. max_bad_share: share of bad attempts over all instances from which a
-    return has failed. min_good_ratio: part of the share of good ones elsewhere from which the traffic share
-    doubles; under back_off_ratio it is halved. min_attempts: it takes so many at least, and max_bad_per_good:
-    at most so many bad ones to each good one. max_share_while_late: so far the share also rises while answers
-    are only late, since cold engines bear that much. usable_capacity_share: of the other zones' cores, what
-    an evacuation may plan with. isolation_ms: so long without a majority's reports, an isolated instance
-    decides on the return by itself. settle_ms: so long after a zone's return queues elsewhere may still be
-    long.
+    """Thresholds and times of evacuations and returns.
+
+    The traffic share of a returning zone is the part of its full load that it may get, from 0 to 1. "Bad" and
+    "good" attempts are those of `AttemptCounts`.
+
+    Attributes:
+        max_report_age_ms: Age above which reports of others are ignored, in ms. It covers several report
+            rounds, so that a lost message changes nothing.
+        hold_down_ms: Minimum time that a zone stays evacuated, in ms. Each failed return doubles it.
+        max_hold_down_ms: Upper limit of the doubled hold-down, in ms.
+        quiet_ms: Time without a failed return after which a doubled hold-down is halved, in ms. A return has
+            failed if the zone is evacuated again within this time of its start.
+        initial_share: Traffic share with which a return starts.
+        step_ms: Minimum time between two changes of the traffic share, in ms.
+        idle_step_ms: Time between two increases while the zone receives no attempts, in ms. Without them, a
+            fleet without load would stay limited for ever.
+        max_bad_share: Share of bad attempts, over all instances, above which a return has failed.
+        min_good_ratio: The traffic share doubles while the zone's share of good attempts is above this
+            fraction of that of the best zone in service.
+        back_off_ratio: The traffic share is halved while the zone's share of good attempts is below this
+            fraction of that of the best zone in service.
+        min_attempts: Minimum number of attempts, over all instances, for the traffic share to double.
+        max_bad_per_good: Maximum number of bad attempts for each good one for the traffic share to double.
+        max_share_while_late: Limit up to which the traffic share also doubles while attempts are late but
+            none is bad. Cold engines can serve that much.
+        usable_capacity_share: Fraction of the other zones' cores that an evacuation may plan to use.
+        isolation_ms: Time without reports from a majority after which an instance no longer waits for the
+            fleet's votes before a return, in ms.
+        settle_ms: Time after a zone's return during which queues in other zones may still be long, in ms.
     """
 
     max_report_age_ms: float = 2000.0
@@ -77,24 +100,27 @@
 
 
 def majority(electorate: int) -> int:
-    """The smallest number that is more than half."""
+    """Return the smallest number of voters that is more than half of the electorate."""
     return electorate // 2 + 1
 
 
 class Evacuation:
-    """The states of all zones. `step` with local evidence and the others' reports; then ask
-    `traffic_share`."""
+    """Keeps the state of each zone and decides on evacuations and returns.
+
+    Call `step` regularly with local evidence and the reports of other instances; `traffic_share` then returns
+    the traffic that each zone may get.
+    """
 
     def __init__(self, settings: EvacuationSettings | None = None) -> None:
         self.settings = settings or EvacuationSettings()
         self.states: dict[str, ZoneState] = {}
         self.changes: list[PhaseChange] = []
         self.now = 0.0
-        self.best_good_share = 1.0  # of the zones in service
-        self.best_bad_share = 0.0
+        self.best_good_share = 1.0  # highest share of good attempts among the zones in service
+        self.best_bad_share = 0.0  # lowest share of bad attempts among the zones in service
 
     def set_zones(self, names: Iterable[str]) -> None:
-        """Exactly these zones exist."""
+        """Replace the set of zones; zones that stay keep their state."""
         hold_down_ms = self.settings.hold_down_ms
         self.states = {name: self.states.get(name) or ZoneState(hold_down_ms=hold_down_ms) for name in names}
 
@@ -105,8 +131,17 @@
         reports: Mapping[str, list[ZoneReport]],
         electorate: int,
     ) -> list[PhaseChange]:
-        """Decide on each zone. reports: the others' fresh ones by zone; electorate: the number of voters,
-        with this one."""
+        """Update the state of each zone.
+
+        Args:
+            now: Current time, in ms.
+            evidence: This instance's evidence by zone; zones without an entry are not changed.
+            reports: Fresh reports of the other voters by zone.
+            electorate: Number of voters, including this instance.
+
+        Returns:
+            The zones whose phase changed in this step.
+        """
         self.now, self.changes = now, []
         self._compare_zones(evidence, reports)
         for name, state in self.states.items():
@@ -116,10 +151,10 @@
         return self.changes
 
     def traffic_share(self, name: str, reports: Iterable[ZoneReport] = ()) -> float:
-        """Share of its full load that all instances together may send to a zone, as this one sees it.
+        """Return the share of a zone's full load that all instances together may send to it.
 
-        For a returning zone the lower median of what all instances that serve it propose: one that lies, or
-        is quicker than the others, does not set the pace.
+        A returning zone gets at most the lower median of the shares that all instances serving it propose, so
+        that a single faulty or faster instance does not determine the result.
         """
         state = self.states.get(name)
         if state is None:
@@ -132,8 +167,11 @@
         return min(state.traffic_share, lower_median([state.traffic_share, *proposed]))
 
     def _count_votes(self, state: ZoneState, reports: list[ZoneReport], electorate: int) -> None:
-        """Whether the fleet evacuates a zone. An instance that is isolated for long goes by its own evidence,
-        within its own quota."""
+        """Count the votes and record whether the fleet evacuates the zone.
+
+        An instance that has been isolated for `isolation_ms` decides by its own evidence; the quota that it
+        owns limits what it can send.
+        """
         against = sum(r.vote is Vote.EVACUATE for r in reports) + (state.vote is Vote.EVACUATE)
         in_favour = len(reports) + 1 - against
         needed = majority(electorate)
@@ -149,7 +187,7 @@
     def _decide(
         self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> None:
-        """An operator's override first, then local evidence, then the fleet's votes."""
+        """Apply an operator's override first, then local evidence, then the votes of the fleet."""
         if state.phase is ZonePhase.EVACUATED:
             self._decide_return(name, state, evidence, reports, electorate)
         elif evidence.override is Vote.EVACUATE:
@@ -168,14 +206,17 @@
             self._reduce_hold_down(state)
 
     def _is_unhealthy(self, name: str, health: ZoneHealth) -> bool:
-        """Whether local evidence is enough. Slowness is not while another zone recovers: the zone that
-        carried its load still has a long queue."""
+        """Return whether local evidence alone is enough to evacuate the zone.
+
+        Slowness is not enough while another zone recovers: the zones that carried its load may still have
+        long queues.
+        """
         if health < ZoneHealth.FAILING and self._is_another_recovering(name):
             return False
         return health >= ZoneHealth.SLOW
 
     def _reduce_hold_down(self, state: ZoneState) -> None:
-        """Quiet time takes back what failed returns added to the hold-down."""
+        """Halve a hold-down that failed returns have doubled, once per quiet period."""
         s, quiet_since = self.settings, max(state.since, state.hold_down_reduced_at)
         if self.now - quiet_since > s.quiet_ms and state.hold_down_ms > s.hold_down_ms:
             state.hold_down_ms = max(s.hold_down_ms, state.hold_down_ms / 2)
@@ -184,10 +225,10 @@
     def _decide_return(
         self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> None:
-        """Whether it is time for the return.
+        """Start the return of an evacuated zone if it is due.
 
-        An instance whose hold-down is over votes for the return and goes with the majority: one that returned
-        by itself would find the zone still evacuated by the count, and take that for a failed return.
+        An instance whose hold-down is over votes for the return and waits for the majority. If it returned
+        alone, the fleet's votes would make it evacuate the zone again, which would count as a failed return.
         """
         state.retained_share = evidence.retained_share if evidence.override is None else 0.0
         if evidence.override is Vote.EVACUATE:
@@ -206,16 +247,16 @@
             state.traffic_share = max(state.traffic_share, proposed / 4)
 
     def _has_fleet_returned(self, state: ZoneState, reports: list[ZoneReport], electorate: int) -> bool:
-        """Whether more than half have returned while this one, without evidence of its own, has not.
+        """Return whether the fleet has returned to a zone that this instance evacuated by others' evidence.
 
-        Only after the fleet had evacuated the zone: before, the many that have not left it yet would look
-        like a fleet that returns.
+        This requires that the fleet had evacuated the zone. Before that, the instances that have not yet
+        evacuated it would look like a fleet that has returned.
         """
         returned = sum(report.vote is Vote.KEEP for report in reports)
         return state.was_fleet_evacuated and returned >= majority(electorate) and not state.is_certain
 
     def _is_another_recovering(self, name: str) -> bool:
-        """Whether another zone returns, or has just returned."""
+        """Return whether another zone is returning or returned less than `settle_ms` ago."""
         settled_before = self.now - self.settings.settle_ms
         others = [state for other, state in self.states.items() if other != name]
         return any(
@@ -226,12 +267,13 @@
     def _joins_others(
         self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> bool:
-        """Whether to evacuate a zone by others' evidence, as instances with little traffic have to.
+        """Return whether to evacuate a zone by the evidence of others.
 
-        It takes more than a third that are certain, or half of all that suspect the same. And it takes bad
-        attempts of its own, or too few attempts to judge by: a zone that is cut off from one half of the
-        fleet must not be evacuated by the other. What was seen since the others spoke counts until a bad
-        attempt.
+        Instances with little traffic depend on this. It requires that more than a third of the electorate are
+        certain or that more than half suspect a failure. This instance's own attempts must also not show a
+        healthy zone: a zone that only one half of the fleet cannot reach must not be evacuated by the other
+        half. Healthy attempts seen since the others began to report a failure block the evacuation until
+        there is a bad attempt.
         """
         if not self._is_joining_requested(evidence, reports, electorate):
             state.joining_requested_at = math.inf
@@ -259,8 +301,10 @@
     def _evacuate(
         self, name: str, state: ZoneState, evidence: LocalEvidence, reason: str, is_certain: bool
     ) -> None:
-        """Evacuate a zone; soon after a return that doubles its hold-down. A zone that serves nothing retains
-        nothing."""
+        """Evacuate a zone, and double its hold-down if that happens soon after the start of a return.
+
+        A zone that is down or evacuated by an operator retains no traffic.
+        """
         s = self.settings
         if self.now - state.return_started_at < s.quiet_ms and reason != BY_OPERATOR:
             state.hold_down_ms = min(state.hold_down_ms * 2, s.max_hold_down_ms)
@@ -281,12 +325,13 @@
     def _ramp_up(
         self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport]
     ) -> None:
-        """Double a returning zone's traffic share, keep it, halve it, or give the return up.
+        """Double, keep or halve a returning zone's traffic share, or evacuate the zone again.
 
-        By the attempts of all instances that serve it. Where all zones show bad attempts the fleet is
-        overloaded, so a return is judged against the best of the others. An instance whose own link is bad
-        does not raise its share, though the others report good attempts. While a queue forms the share is
-        halved, since it is the share itself that makes cold engines late.
+        The decision uses the attempts of all instances that serve the zone. It compares them with the best
+        zone in service, because bad attempts in all zones mean that the fleet is overloaded. An instance with
+        too many bad attempts of its own keeps its share even if the others report good ones, because its
+        network link may be faulty. The share is halved while a queue forms, because the traffic itself makes
+        cold engines late.
         """
         s = self.settings
         if state.phase is not ZonePhase.RETURNING or self.now - state.share_changed_at < s.step_ms:
@@ -321,7 +366,7 @@
     def _compare_zones(
         self, evidence: Mapping[str, LocalEvidence], reports: Mapping[str, list[ZoneReport]]
     ) -> None:
-        """Note the best shares of good and of bad attempts among the zones in service."""
+        """Record the best shares of good and of bad attempts among the zones in service."""
         good_shares, bad_shares = [0.0], list[float]()
         for name, state in self.states.items():
             if state.phase is not ZonePhase.IN_SERVICE or name not in evidence:
@@ -335,5 +380,5 @@
 
 
 def _counts_of(reports: Iterable[ZoneReport]) -> list[AttemptCounts]:
-    """Attempts of the instances that serve a zone."""
+    """Return the attempt counts of the instances that vote to keep the zone in service."""
     return [AttemptCounts(r.good, r.late, r.bad) for r in reports if r.vote is Vote.KEEP]
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -1,10 +1,11 @@
-"""What this instance's own attempts say of the health of each zone. Pure.
-
-Each attempt is judged once: good, late, or bad (it failed, or it lasts several times what its class usually
-takes here). For each engine a cumulative sum of log likelihoods (Page's CUSUM) weighs its results against
-those of the best other zone, so that a load that slows all zones alike speaks against none. A zone's score
-adds up its engines' sums, each up to a limit that half of the engines heard of have to reach: one faulty
-engine is no fault of its zone, however many attempts fail there.
+"""Estimate the health of each zone from the attempts of this instance; does no I/O.
+
+Each attempt is classified once as good, late or bad. It is bad if it failed or takes several times the usual
+duration of its query class. Each engine has a cumulative sum of log-likelihood ratios (Page's CUSUM) that
+compares its results with those of the best other zone, so that a load that slows down all zones equally
+counts against none of them. A zone's score is the sum over its engines. Each engine contributes at most the
+amount that half of the engines with recent results need to reach the threshold together: one faulty engine
+is not a fault of its zone, however many attempts fail there.
 """
 
 from __future__ import annotations
@@ -18,40 +19,46 @@
 
 from cottonhold.fleet.zone_failover.usual_duration import UsualDuration
 
-# Attempts at a slow zone are cancelled and retried elsewhere at two or three times the usual duration. One
-# that was cut short would have taken longer, nobody knows how much; it counts as so many times its duration.
+# Attempts in a slow zone are cancelled and retried elsewhere at two or three times the usual duration. Their
+# full duration is unknown; it is estimated as this multiple of the time until the cancellation.
 CANCELLED_DURATION_FACTOR = 2.0
-MIN_DURATIONS = 4  # fewer durations say nothing of a zone
-# How much more of an outlier a zone has to be while another one is evacuated: the rest are loaded.
+MIN_DURATIONS = 4  # durations needed to compare a zone with others
+# Factor on the outlier threshold while another zone is evacuated, because the other zones carry its load.
 LOADED_FACTOR = 1.5
-SLOW_CONFIRMATIONS = 3  # how often in a row a zone has to be an outlier by slowness
-MIN_SUSPECT_ATTEMPTS = 3  # bad attempts in the window that are worth a report
-MIN_SUSPECT_SHARE = 0.2  # and their share
-SCORE_TOLERANCE = 1e-9  # of rounding, where a sum of engines' parts equals the threshold
-FEW, MANY = 3, 8  # the newest durations of a zone that have to agree
+SLOW_CONFIRMATIONS = 3  # net assessments as an outlier after which a zone without failures counts as slow
+MIN_SUSPECT_ATTEMPTS = 3  # bad attempts in the window needed to report a suspected failure
+MIN_SUSPECT_SHARE = 0.2  # share of bad attempts in the window needed to report a suspected failure
+SCORE_TOLERANCE = 1e-9  # rounding error of a score that equals the threshold
+FEW, MANY = 3, 8  # a zone is slow if the median of its newest 3 and of its newest 8 durations both show it
 
 
 class AttemptResult(IntEnum):
-    """What one attempt says of its engine; the higher, the worse."""
+    """The result of one attempt; higher values are worse. SLOW and FAILED attempts are called bad."""
 
     GOOD = 0
-    LATE = 1  # well beyond the usual duration, yet no fault: a cold engine, or a queue that begins to form
+    LATE = 1  # clearly longer than usual but no fault: the engine is cold or a queue begins to form
     SLOW = 2
     FAILED = 3
 
 
 class ZoneHealth(IntEnum):
-    """What own evidence says of a zone; the higher, the worse."""
+    """The health of a zone by this instance's own evidence; higher values are worse."""
 
     UNKNOWN = 0  # too little evidence
     HEALTHY = 1
-    SLOW = 2  # or silent
-    FAILING = 3  # in part
-    DOWN = 4  # nothing is served
+    SLOW = 2  # attempts are slow or get no answer
+    FAILING = 3  # some attempts fail
+    DOWN = 4  # almost no attempt is served
 
 
 class AttemptCounts(NamedTuple):
-    """Recent attempts of a zone by result."""
+    """Numbers of recent attempts in a zone by result.
+
+    Attributes:
+        good: Attempts that were served and were not late.
+        late: Attempts that were served but took clearly longer than usual.
+        bad: Attempts that failed or were slow.
+    """
 
     good: int
     late: int
@@ -60,19 +67,29 @@
 
 @dataclass(slots=True, frozen=True)
 class EvidenceSettings:
-    """slow_factor, min_slow_excess_ms: an attempt that lasts so many times its usual duration, and so much
-    longer, is bad. late_factor: one that lasts so many times as long is late. returning_slow_factor: attempts
-    at a returning zone, whose engines may be cold, may last so many times longer still.
-
-    healthy_bad_share: share of bad attempts that a healthy zone shows at most. failing_bad_share: the share
-    to detect; three in ten failing is a fault. score_threshold: the score from which a zone is unhealthy:
-    about e^-threshold false alarms an excursion. down_bad_share: share of bad attempts from which a zone
-    serves nothing. outlier_factor: so many times longer than in the best other zone its attempts take, where
-    it is slow. min_good: good attempts in the window from which a zone without a score is healthy.
-
-    window_ms, returning_window_ms: older attempts do not count; a returning zone's traffic changes each
-    quarter of a second. learning_time_ms: the usual duration follows answers within so long; followed
-    quicker, a fault would become usual. served_samples: so many newest attempts say what a zone serves.
+    """Thresholds and times of the classification of attempts and zones.
+
+    Attributes:
+        slow_factor: Multiple of the usual duration from which an attempt is slow.
+        min_slow_excess_ms: Minimum excess over the usual duration for an attempt to be slow, in ms.
+        healthy_bad_share: Highest share of bad attempts that is normal for a healthy zone.
+        failing_bad_share: Share of bad attempts that has to be detected as a fault. Three failures in ten
+            attempts are a fault.
+        score_threshold: Score from which a zone may be unhealthy. The probability of a false alarm is about
+            exp(-score_threshold) for each excursion of the score.
+        window_ms: Age above which attempts are ignored, in ms.
+        min_good: Number of served attempts in the window from which a zone with a low score is healthy.
+        learning_time_ms: Time constant with which the usual duration follows the answers, in ms. With a
+            shorter one the durations during a fault would soon be the usual ones.
+        served_samples: Number of newest attempts from which the served share of a zone is computed.
+        down_bad_share: Share of bad attempts from which a zone is down.
+        outlier_factor: A zone is slow if its attempts take this many times longer, relative to their usual
+            duration, than in the best other zone.
+        returning_slow_factor: Additional factor on the slow limit in a returning zone, whose engines may be
+            cold.
+        late_factor: Multiple of the usual duration from which an attempt is late.
+        returning_window_ms: `window_ms` for a returning zone, in ms. It is shorter because the traffic share
+            of the zone changes every quarter of a second.
     """
 
     slow_factor: float = 3.0
@@ -93,7 +110,7 @@
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """An attempt that is in flight and not judged yet."""
+    """An attempt that is in flight and not classified yet."""
 
     zone: str
     engine: str
@@ -103,7 +120,7 @@
 
 @dataclass(slots=True)
 class EngineScore:
-    """An engine's cumulative sum, and when its last attempt was judged."""
+    """An engine's cumulative sum and the time of its last classified attempt, in ms."""
 
     value: float = 0.0
     updated_at: float = 0.0
@@ -111,25 +128,25 @@
 
 @dataclass(slots=True)
 class ZoneEvidence:
-    """What is known of one zone."""
+    """The recent attempts in one zone."""
 
     engine_count: int = 1
     is_evacuated: bool = False
     is_returning: bool = False
-    outlier_count: int = 0  # how often it was an outlier, less how often it was not
+    outlier_count: int = 0  # assessments as an outlier less those as none, never below 0
     engine_scores: dict[str, EngineScore] = field(default_factory=dict)
-    recent: deque[tuple[float, AttemptResult]] = field(default_factory=deque)  # when, and the result
-    # When, and the log of how many times the usual duration it took.
+    recent: deque[tuple[float, AttemptResult]] = field(default_factory=deque)  # time in ms and result
+    # Time in ms and logarithm of the ratio of the duration to the usual one.
     durations: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=8))
     newest: deque[AttemptResult] = field(default_factory=lambda: deque(maxlen=16))
 
     @property
     def bad_count(self) -> int:
-        """Bad attempts among the newest ones."""
+        """Number of bad attempts among the newest ones."""
         return self.newest.count(AttemptResult.SLOW) + self.newest.count(AttemptResult.FAILED)
 
     def expire(self, before: float) -> None:
-        """Drop what is older."""
+        """Drop results, durations and scores from before this time."""
         while self.recent and self.recent[0][0] < before:
             self.recent.popleft()
         while self.durations and self.durations[0][0] < before:
@@ -137,32 +154,36 @@
         self.engine_scores = {e: s for e, s in self.engine_scores.items() if s.updated_at >= before}
 
     def clear(self) -> None:
-        """Begin anew."""
+        """Drop all evidence on the zone."""
         self.outlier_count = 0
         for part in (self.engine_scores, self.recent, self.durations, self.newest):
             part.clear()
 
     def bad_share(self) -> float:
-        """Share of bad attempts among the newest ones: where a fault is common it changes in all zones."""
+        """Return the share of bad attempts among the newest ones; a fault common to all zones raises each."""
         return self.bad_count / len(self.newest) if self.newest else 0.0
 
     def median_log_ratio(self, count: int) -> float:
-        """Log of how many times their usual duration the newest attempts take, by the median of `count`."""
+        """Return the median over the newest `count` durations of log(duration / usual duration)."""
         log_ratios = sorted(log_ratio for _, log_ratio in list(self.durations)[-count:])
         return log_ratios[len(log_ratios) // 2] if log_ratios else 0.0
 
     def score(self, threshold: float) -> float:
-        """The engines' sums, each up to what half of the engines with results have to reach together.
+        """Return the sum of the engines' scores, each limited to threshold / half of the engines.
 
-        So no engine counts for more than its part, and one is never enough where there are two: a failed
-        engine and one bad answer of another are no fault of the zone.
+        Due to the limit at least half of the engines with results, and at least two if the zone has two, must
+        show a fault: a failed engine and a single bad answer of another one are not a fault of the zone.
         """
         half = max(math.ceil(len(self.engine_scores) / 2), min(2, self.engine_count))
         return sum(min(score.value, threshold / half) for score in self.engine_scores.values())
 
 
 class FailureEvidence:
-    """Feed it attempts; ask it for the health of each zone. All times are ms of one monotonic clock."""
+    """Collects the results of attempts and computes the health of each zone from them.
+
+    Report attempts by `on_sent` and `on_ended`, then call `assess`. All times are in ms of one monotonic
+    clock.
+    """
 
     def __init__(self, settings: EvidenceSettings | None = None) -> None:
         self.settings = settings or EvidenceSettings()
@@ -171,31 +192,32 @@
         self.open_attempts: dict[str, OpenAttempt] = {}
 
     def set_engines(self, engines: Mapping[str, Iterable[str]]) -> None:
-        """Exactly these zones with these engines exist; evidence on other zones is dropped."""
+        """Replace the zones and their engines; evidence on other zones is dropped."""
         zones = {name: self.zones.get(name) or ZoneEvidence() for name in engines}
         for name, zone_engines in engines.items():
             zones[name].engine_count = len(list(zone_engines))
         self.zones = zones
 
     def usual_work_ms(self, query_class: int) -> float:
-        """What an attempt of a class usually costs an engine; 0 while that is not known."""
+        """Return the usual work of an attempt of a class at an engine, in ms; 0 while it is unknown."""
         usual = self.usual_durations.get(query_class)
         return usual.work_ms() if usual is not None else 0.0
 
     def on_sent(self, now: float, attempt_id: str, engine: str, zone: str, query_class: int) -> None:
-        """An attempt has been sent."""
+        """Record that an attempt was sent."""
         if zone in self.zones:
             self.open_attempts[attempt_id] = OpenAttempt(zone, engine, query_class, now)
 
     def on_ended(self, now: float, attempt_id: str, succeeded: bool | None, elapsed_ms: float) -> None:
-        """An attempt has succeeded, failed, or was cancelled here (None)."""
+        """Record the end of an attempt: success, failure, or None if this instance cancelled it."""
         attempt = self.open_attempts.pop(attempt_id, None)
         if attempt is None or attempt.zone not in self.zones:
             return
         usual = self.usual_durations.setdefault(attempt.query_class, UsualDuration())
         is_late = elapsed_ms > usual.mean_ms() * self.settings.late_factor
         if succeeded is None:
-            # Attempts at a silent zone are cancelled before they are overdue here; a late one counts as slow.
+            # Attempts in a zone that does not answer are cancelled before they are overdue, so a cancelled
+            # attempt that is late counts as slow.
             if usual.is_known and is_late:
                 self._add_duration(now, attempt, CANCELLED_DURATION_FACTOR * elapsed_ms)
                 self._add_result(now, attempt, AttemptResult.SLOW)
@@ -208,14 +230,14 @@
             usual.update(now, elapsed_ms, self.settings.learning_time_ms)
 
     def reset(self, zone: str, is_evacuated: bool, is_returning: bool) -> None:
-        """A zone was evacuated, or its return begins or ends: earlier attempts no longer count."""
+        """Drop the attempts of a zone; called when it is evacuated and when its return starts or ends."""
         if zone in self.zones:
             self.zones[zone].clear()
             self.zones[zone].is_evacuated, self.zones[zone].is_returning = is_evacuated, is_returning
         self.open_attempts = {i: a for i, a in self.open_attempts.items() if a.zone != zone}
 
     def assess(self, now: float) -> dict[str, ZoneHealth]:
-        """The health of each zone."""
+        """Return the health of each zone."""
         self._record_overdue(now)
         s = self.settings
         for zone in self.zones.values():
@@ -223,18 +245,18 @@
         return {name: self._health(zone) for name, zone in self.zones.items()}
 
     def counts(self, zone: str) -> AttemptCounts:
-        """Attempts of a zone in the window."""
+        """Return the numbers of attempts in the zone's window, by result."""
         results = [result for _, result in self.zones[zone].recent] if zone in self.zones else []
         good, late = results.count(AttemptResult.GOOD), results.count(AttemptResult.LATE)
         return AttemptCounts(good, late, len(results) - good - late)
 
     def served_share(self, zone: str) -> float:
-        """Share of a zone's newest attempts that were served."""
+        """Return the share of a zone's newest attempts that were served (good or late)."""
         results = list(self.zones[zone].newest)[-self.settings.served_samples :]
         return sum(result < AttemptResult.SLOW for result in results) / max(len(results), 1)
 
     def suspects_failure(self, zone: str) -> bool:
-        """Whether there are enough bad attempts to report, if not to be certain."""
+        """Return whether there are enough bad attempts to report a suspected failure of the zone."""
         if not self._is_outlier(self.zones[zone]):
             return False
         counts = self.counts(zone)
@@ -244,7 +266,7 @@
         return counts.bad >= MIN_SUSPECT_ATTEMPTS and share >= min_share
 
     def _record_overdue(self, now: float) -> None:
-        """Judge attempts in flight that are overdue; their end says nothing more."""
+        """Classify overdue attempts in flight as slow; their later end is ignored."""
         for attempt_id, attempt in list(self.open_attempts.items()):
             if now - attempt.sent_at > self._overdue_after_ms(attempt):
                 del self.open_attempts[attempt_id]
@@ -252,7 +274,7 @@
                 self._add_result(now, attempt, AttemptResult.SLOW)
 
     def _overdue_after_ms(self, attempt: OpenAttempt) -> float:
-        """The age from which an attempt is bad; infinite while its usual duration is not known."""
+        """Return the age from which an attempt is slow, in ms; infinite while the usual one is unknown."""
         usual, zone = self.usual_durations.get(attempt.query_class), self.zones.get(attempt.zone)
         if usual is None or zone is None:
             return math.inf
@@ -266,7 +288,11 @@
             self.zones[attempt.zone].durations.append((now, usual.log_ratio(elapsed_ms)))
 
     def _add_result(self, now: float, attempt: OpenAttempt, result: AttemptResult) -> None:
-        """Weigh a result against the best of the other zones; without any, against what is usual."""
+        """Add a result to the score of its engine.
+
+        The share of bad attempts expected of a healthy zone is 1.5 times the lowest one among the other
+        zones, but at least `healthy_bad_share`.
+        """
         zone = self.zones.get(attempt.zone)
         if zone is None:
             return
@@ -283,11 +309,12 @@
         zone.newest.append(result)
 
     def _is_outlier(self, zone: ZoneEvidence) -> bool:
-        """Whether a zone's attempts fail, or take far longer than those of the best other zone do now.
+        """Return whether a zone's attempts fail or take far longer than those in the best other zone.
 
-        Without another zone in service nothing is an outlier: there is nowhere to go, and slowness may be
-        load. The median of the newest durations counts, since a loaded zone's few long waits say little, and
-        both ends of them have to agree, since a common fault begins and ends in all zones a moment apart.
+        Without another zone in service no zone is an outlier: traffic could not move, and the load may be the
+        reason for slowness. Medians are compared because a loaded zone has a few long waits. The medians over
+        few and over many durations have to agree because a fault common to all zones starts and ends at
+        slightly different times in each of them.
         """
         in_service = [
             z for z in self.zones.values() if z is not zone and not z.is_evacuated and not z.is_returning
@@ -307,8 +334,11 @@
         return len(zone.durations) >= MIN_DURATIONS and log_ratio >= min(others, default=0.0) + margin
 
     def _health(self, zone: ZoneEvidence) -> ZoneHealth:
-        """A zone's health. Slowness has to last a few looks: where all zones slow down at once, the evidence
-        on one of them arrives a moment before that on the others."""
+        """Return the health of a zone.
+
+        Slowness has to persist over several assessments: when all zones slow down together, the evidence on
+        one of them arrives slightly before that on the others.
+        """
         s, score = self.settings, zone.score(self.settings.score_threshold)
         is_outlier = score >= s.score_threshold - SCORE_TOLERANCE and self._is_outlier(zone)
         if is_outlier:
--- a/cottonhold/fleet/zone_failover/messages.py
+++ b/cottonhold/fleet/zone_failover/messages.py
@@ -1,9 +1,13 @@
-"""What instances report to one another on zones, and its wire format. Pure.
+"""Reports on zones that instances exchange, and their wire format; does no I/O.
 
-    kind 1 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | offered load 2 |
-    overrides digest 4 | zones 1 | zones, each: zone 2 | vote 1 | good 1 | late 1 | bad 1 | traffic share 1
+Fields and their sizes in bytes:
 
-The report of each member merges as `latest_reports` says.
+    kind 1 | report count 1 | reports, each:
+        member 8 | incarnation 4 | version 4 | offered load 2 | overrides digest 4 | zone count 1 |
+        zones, each:
+            zone 2 | vote 1 | good 1 | late 1 | bad 1 | traffic share 1
+
+Reports are merged by `latest_reports`.
 """
 
 from __future__ import annotations
@@ -30,11 +34,11 @@
 
 REPORT_HEADER = struct.Struct("!QIIHIB")
 ZONE_ENTRY = struct.Struct("!HBBBBB")
-MAX_ZONES = 16  # of one report
-MAX_REPORTS = 255  # of one message
-MAX_COUNT = 255  # of attempts as they are encoded
-MAX_CENTICORES = 0xFFFF
-SHARE_STEPS = 255  # of a traffic share of one
+MAX_ZONES = 16  # zones in one report
+MAX_REPORTS = 255  # reports in one message
+MAX_COUNT = 255  # largest number of attempts that can be encoded; higher numbers are sent as this one
+MAX_CENTICORES = 0xFFFF  # largest offered load that can be encoded, in hundredths of a core
+SHARE_STEPS = 255  # encoded value of a traffic share of 1
 
 # Bits of the field `vote`.
 EVACUATE_BIT = 1
@@ -44,7 +48,7 @@
 
 
 class Vote(IntEnum):
-    """What an instance votes for with a zone."""
+    """An instance's vote on a zone."""
 
     KEEP = 0
     EVACUATE = 1
@@ -54,9 +58,16 @@
 class ZoneReport:
     """One instance's report on one zone.
 
-    good, late, bad: its recent attempts there, by result. traffic_share: part of its full load, 0 to 1, that
-    the zone should get. is_certain: the vote rests on own evidence, and not on that of others.
-    suspects_failure: own evidence shows a failure, too little to be certain.
+    Attributes:
+        vote: Vote on whether the zone is evacuated.
+        good: Number of recent good attempts of the instance in the zone.
+        late: Number of recent late attempts.
+        bad: Number of recent attempts that failed or were slow.
+        traffic_share: Share of its full load, 0 to 1, that the zone should get.
+        is_certain: Whether a vote for evacuation is based on the instance's own evidence, a failed return or
+            an operator's override, and not on the votes of others.
+        suspects_failure: Whether the instance's own evidence suggests a failure without being sufficient
+            for a vote.
     """
 
     vote: Vote = Vote.KEEP
@@ -70,8 +81,16 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberReport:
-    """One instance's report. offered_centicores: work offered to it, in hundredths of a core.
-    overrides_digest: equal where the same operator overrides are known. zones: by `zone_number`."""
+    """One instance's report on all zones.
+
+    Attributes:
+        member: Id of the instance that reports.
+        incarnation: Number of the instance's process; grows with each start.
+        version: Number of the report within the incarnation.
+        offered_centicores: Work that clients offer to the instance, in hundredths of a core.
+        overrides_digest: Hash of the operator overrides that the instance has received.
+        zones: Reports on each zone by `zone_number`.
+    """
 
     member: int
     incarnation: int
@@ -82,17 +101,17 @@
 
     @property
     def stamp(self) -> Stamp:
-        """Incarnation and version: of two reports of a member the higher one is newer."""
+        """Incarnation and version; of two reports by a member the one with the higher stamp is newer."""
         return self.incarnation, self.version
 
 
 def zone_number(name: str) -> int:
-    """A zone's number on the wire, the same at every instance."""
+    """Return a zone's number in messages, which is the same at every instance."""
     return zlib.crc32(name.encode()) & 0xFFFF
 
 
 def encode_zone_report(report: MemberReport) -> bytes:
-    """A report's bytes."""
+    """Encode a report."""
     header = REPORT_HEADER.pack(
         report.member,
         report.incarnation,
@@ -111,7 +130,7 @@
 
 
 def encode_zone_reports(reports: Iterable[MemberReport], max_bytes: int) -> bytes:
-    """A message with as many of these reports as fit, first ones first."""
+    """Encode a message of at most max_bytes with as many reports as fit, in the given order."""
     parts, remaining = list[bytes](), max_bytes - LIST_HEADER_BYTES
     for report in reports:
         size = REPORT_HEADER.size + len(report.zones) * ZONE_ENTRY.size
@@ -124,22 +143,22 @@
 
 
 def decode_zone_reports(data: bytes) -> list[MemberReport]:
-    """The reports of a message. Raises MessageError; then none of them is applied."""
+    """Decode the reports of a message. Raises MessageError if any of them is malformed."""
     return decode_list(data, ZONE_REPORTS, "zone reports", _decode_report)
 
 
 def _decode_report(data: bytes, offset: int) -> tuple[MemberReport, int]:
-    """The report that begins at an offset, and where it ends."""
+    """Decode the report that begins at an offset, and return it with the offset of its end."""
     member, incarnation, version, centicores, digest, count = REPORT_HEADER.unpack_from(data, offset)
     offset += REPORT_HEADER.size
     if not member or count > MAX_ZONES:
-        raise MessageError("member or zones")
+        raise MessageError("zone report without a member or with too many zones")
     zones = {}
     for _ in range(count):
         number, bits, good, late, bad, share = ZONE_ENTRY.unpack_from(data, offset)
         offset += ZONE_ENTRY.size
         if bits > ALL_BITS:
-            raise MessageError("vote")
+            raise MessageError("unknown bits in the vote of a zone report")
         zones[number] = ZoneReport(
             Vote(bits & EVACUATE_BIT),
             good,
--- a/cottonhold/fleet/zone_failover/operator_overrides.py
+++ b/cottonhold/fleet/zone_failover/operator_overrides.py
@@ -1,11 +1,13 @@
-"""Zones that operators evacuate or return by hand: merged by the newest override of each zone. Pure.
+"""Overrides by which operators evacuate or return a zone, and their wire format; does no I/O.
 
-    kind 1 | count 1 | overrides, each: zone 2 | mode 1 | serial 4 | author 8 | remaining ms 4 |
-    requested by 1 + n | reason 1 + n
+Instances exchange their overrides and keep the newest one of each zone. Fields and their sizes in bytes:
 
-`serial` grows with each override of a zone that its author knew of; of equal ones the higher author counts.
-How long an override still holds travels as a remaining time, since clocks may differ: it expires by each
-instance's own clock.
+    kind 1 | override count 1 | overrides, each:
+        zone 2 | mode 1 | serial 4 | author 8 | remaining ms 4 | requested by 1 + n | reason 1 + n
+
+The author of an override gives it a higher serial than that of any override of the zone it has received. Of
+two overrides with equal serials, the one by the author with the higher id is newer. Messages contain the
+remaining time because clocks may differ; each instance expires an override by its own clock.
 """
 
 from __future__ import annotations
@@ -22,18 +24,18 @@
 ENTRY = struct.Struct("!HBIQI")
 MAX_REQUESTED_BY_BYTES = 24
 MAX_REASON_BYTES = 80
-MAX_OVERRIDES = 16
+MAX_OVERRIDES = 16  # overrides that an instance stores, and that one message may contain
 
 
 class OverrideMode(IntEnum):
-    """What is ordered."""
+    """The effect of an override."""
 
     EVACUATE = 1
-    RETURN = 2  # evidence against the zone is ignored until the override expires
-    CLEAR = 3  # the override before is withdrawn
+    RETURN = 2  # keeps the zone in service despite evidence against it, until the override expires
+    CLEAR = 3  # withdraws the previous override
 
 
-MODE_NAMES = {  # as operators know them
+MODE_NAMES = {  # names in commands and status output
     OverrideMode.EVACUATE: "leave",
     OverrideMode.RETURN: "return",
     OverrideMode.CLEAR: "free",
@@ -42,7 +44,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Override:
-    """An override of a zone, by its number. expires_at: in ms of this instance's clock."""
+    """An override of a zone.
+
+    Attributes:
+        zone: Number of the zone, see `zone_number`.
+        mode: Effect of the override.
+        serial: Higher than the serials of the zone's overrides that the author had received.
+        author: Id of the member at which the override was issued.
+        expires_at: Time at which the override expires, in ms of this instance's clock.
+        requested_by: Operator who requested it.
+        reason: Reason that the operator gave.
+    """
 
     zone: int
     mode: OverrideMode
@@ -54,17 +66,17 @@
 
     @property
     def stamp(self) -> tuple[int, int]:
-        """Of two overrides of a zone the one with the higher stamp is newer."""
+        """Serial and author; of two overrides of a zone the one with the higher stamp is newer."""
         return self.serial, self.author
 
 
 def truncate_utf8(text: str, max_bytes: int) -> str:
-    """So much of a text as fits so many bytes of UTF-8."""
+    """Return the longest beginning of a text that fits into max_bytes of UTF-8."""
     return text.encode()[:max_bytes].decode(errors="ignore")
 
 
 def encode_overrides(now: float, overrides: Iterable[Override], max_bytes: int) -> bytes:
-    """A message with as many of these overrides as fit."""
+    """Encode a message of at most max_bytes with as many of these overrides as fit."""
     parts, remaining = list[bytes](), max_bytes - 2
     for override in overrides:
         part = _encode(now, override)
@@ -85,21 +97,21 @@
 
 
 def decode_overrides(now: float, data: bytes) -> list[Override]:
-    """The overrides of a message. Raises MessageError."""
+    """Decode the overrides of a message that arrived at `now`. Raises MessageError if it is malformed."""
     overrides, offset = [], 2
     try:
         for _ in range(data[1]):
             override, offset = _decode(now, data, offset)
             overrides.append(override)
     except (struct.error, IndexError, ValueError):
-        raise MessageError("override") from None
+        raise MessageError("malformed or truncated override") from None
     if offset != len(data):
-        raise MessageError("too long")
+        raise MessageError("bytes after the last override")
     return overrides
 
 
 def _decode(now: float, data: bytes, offset: int) -> tuple[Override, int]:
-    """The override that begins at an offset, and where it ends."""
+    """Decode the override that begins at an offset, and return it with the offset of its end."""
     zone, mode, serial, author, remaining_ms = ENTRY.unpack_from(data, offset)
     offset += ENTRY.size
     requested_by, offset = _decode_text(data, offset, MAX_REQUESTED_BY_BYTES)
@@ -109,10 +121,10 @@
 
 
 def _decode_text(data: bytes, offset: int, max_bytes: int) -> tuple[str, int]:
-    """The text that begins at an offset, and where it ends."""
+    """Decode the text that begins at an offset, and return it with the offset of its end."""
     begin, end = offset + 1, offset + 1 + data[offset]
     if data[offset] > max_bytes or end > len(data):
-        raise MessageError("text")
+        raise MessageError("text of an override is too long or truncated")
     return data[begin:end].decode(), end
 
 
@@ -126,7 +138,7 @@
     def issue(
         self, zone: int, mode: OverrideMode, expires_at: float, requested_by: str, reason: str
     ) -> Override:
-        """A new override by this instance."""
+        """Issue a new override by this instance and return it; too long texts are truncated."""
         before = self.known.get(zone)
         override = Override(
             zone,
@@ -141,7 +153,7 @@
         return override
 
     def apply(self, override: Override) -> bool:
-        """Merge an override; returns whether it was news."""
+        """Merge a received override; return whether it replaced an older one or was the first of its zone."""
         before = self.known.get(override.zone)
         if before is not None and override.stamp <= before.stamp:
             return False
@@ -151,13 +163,13 @@
         return True
 
     def in_force(self, now: float, zone: int) -> Override | None:
-        """The override of a zone that has not expired or been withdrawn."""
+        """Return the override of a zone unless it has expired or been withdrawn."""
         override = self.known.get(zone)
         if override is None or override.mode is OverrideMode.CLEAR or now >= override.expires_at:
             return None
         return override
 
     def digest(self) -> int:
-        """Equal where the same overrides are known."""
+        """Return a hash that is equal at instances with the same overrides."""
         stamps = sorted((override.zone, *override.stamp) for override in self.known.values())
         return int.from_bytes(hashlib.blake2b(repr(stamps).encode(), digest_size=4).digest(), "big")
--- a/cottonhold/fleet/zone_failover/quota_lending.py
+++ b/cottonhold/fleet/zone_failover/quota_lending.py
@@ -1,25 +1,29 @@
-"""One budget in quotas that never add up to more than the whole, whatever any instance believes. Pure.
+"""Divide a budget among instances into quotas whose sum never exceeds the whole; does no I/O.
 
-Each configured dispatcher owns a fixed quota. What one does not need it lends for a time.
+Each configured dispatcher owns a fixed quota and lends the part that it does not need for a limited time.
 
-    usable(i) = own(i) - what i has lent and has not expired + what i has borrowed and has not expired
+    usable(i) = owned(i) - unexpired loans granted by i + unexpired loans borrowed by i
 
-Invariant: at each moment the usable quotas of all add up to at most 1. Sketch of the proof: the owned
-quotas add up to 1. A loan is taken from the lender at the moment of the grant, and counts there for
-`loan_ms` and the drift margin after the request arrived. The borrower counts it from when it *requested*
-it, which was earlier, for `loan_ms`. With clocks whose rates differ by less than the margin the borrower's
-time is over first. A grant that is lost, late, repeated or out of order makes the borrower use less, or the
-same once (terms are never reused). A lender that restarts has forgotten its loans: it uses and lends
-nothing until all that it may have granted has expired. A borrower that restarts has none. Two processes of
-one dispatcher use half each, and lend nothing; the second one waits as after a restart, and by then the
-first knows of it.
+Invariant: at any time the usable quotas of all instances add up to at most 1, even if instances have
+different information. Sketch of the proof:
 
-A share of the own quota may be `unlent`: never lent, by any incarnation of its owner. So a process that is
-known to be its dispatcher's only one uses it from the first moment: what earlier incarnations lent came from
-the rest. The quota of an owner that is missing stays idle. Lent by others, it would be used twice as soon as
-the owner is back, which nobody can know in time.
+- The owned quotas add up to 1.
+- The lender subtracts a loan from the moment of the grant until `loan_ms` plus the drift margin after the
+  request arrived. The borrower adds it until `loan_ms` after it *sent* the request, which was earlier. If the
+  rates of the clocks differ by less than the margin, the loan expires at the borrower first.
+- A grant that is lost, delayed, repeated or reordered makes the borrower use less, or is applied once: terms
+  are never reused.
+- A restarted lender does not remember its loans, so it uses and lends nothing until all loans that it may
+  have granted have expired. A restarted borrower has no loans.
+- Two processes of one dispatcher use half of its quota each and lend nothing. The second one waits as after a
+  restart; by the end of that time the first one has been informed of it.
 
-Times are ms of each instance's own monotonic clock.
+A share of the owned quota may be `unlent`, which means that no incarnation of its owner ever lends it. A
+process that is known to be the only one of its dispatcher may use that share immediately, because the loans
+of earlier incarnations came from the rest. The quota of a missing owner stays unused: if others lent it, it
+would be used twice when the owner returns, since they cannot learn of the return in time.
+
+Times are in ms of each instance's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -34,17 +38,23 @@
 from cottonhold.fleet.zone_failover.messages import QUOTA_GRANT, QUOTA_REQUEST
 
 MESSAGE = struct.Struct("!BHIH")  # kind, zone, term, amount in steps
-QUOTA_STEPS = 0xFFFF  # of the whole budget
-FIRST_TERM_MASK = 0x7FFFFFFF  # leaves half of the numbers for the terms that follow
-MIN_SHARE = 0.01  # a smaller lack or spare share is not worth a request
+QUOTA_STEPS = 0xFFFF  # number of steps in the whole budget
+FIRST_TERM_MASK = 0x7FFFFFFF  # leaves at least half of the 32-bit range for later terms
+MIN_SHARE = 0.01  # no request is sent if the missing or the spare share of the budget is at most this
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaSettings:
-    """loan_ms: how long a loan counts. renew_after_share: part of it after which the borrower requests it
-    again. clock_drift: margin for clocks' rates. restart_wait_loans: how many times `loan_ms` a restarted
-    process waits: its earlier incarnation lent until it ended, or until it knew of its successor.
-    unlent_share: share of the own quota that is never lent."""
+    """Times and shares of quota lending.
+
+    Attributes:
+        loan_ms: Time for which a loan is valid, in ms.
+        renew_after_share: Fraction of `loan_ms` after which the borrower requests the loan again.
+        clock_drift: Fraction of `loan_ms` by which the lender extends a loan, because clocks differ in rate.
+        restart_wait_loans: Time for which a started process does not use or lend its quota, as a multiple of
+            `loan_ms`. The earlier incarnation may have lent until it ended or learned of its successor.
+        unlent_share: Fraction of the owned quota that is never lent.
+    """
 
     loan_ms: float = 1000.0
     renew_after_share: float = 0.35
@@ -55,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaRequest:
-    """Requests part of a zone's budget, in steps, from a member."""
+    """A request for a loan from a zone's budget; `amount` is in steps."""
 
     zone: int
     term: int
@@ -64,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaGrant:
-    """The answer: so many steps of it, maybe none."""
+    """The answer to a QuotaRequest; `amount` is in steps and may be 0."""
 
     zone: int
     term: int
@@ -73,36 +83,36 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaMessage:
-    """A message for a member."""
+    """A quota message and the member to send it to."""
 
     member: int
     message: QuotaRequest | QuotaGrant
 
 
 class UsableQuota(NamedTuple):
-    """The part of a budget that may be used now, 0 to 1, and until when it holds unless renewed."""
+    """The fraction of a budget that may be used now, and when it expires unless loans are renewed, in ms."""
 
     share: float
     expires_at: float
 
 
 def encode_quota_message(message: QuotaRequest | QuotaGrant) -> bytes:
-    """A message's bytes."""
+    """Encode a quota message."""
     kind = QUOTA_REQUEST if isinstance(message, QuotaRequest) else QUOTA_GRANT
     return MESSAGE.pack(kind, message.zone, message.term, message.amount)
 
 
 def decode_quota_message(data: bytes) -> QuotaRequest | QuotaGrant:
-    """A message's meaning. Raises MessageError."""
+    """Decode a quota message. Raises MessageError if it is malformed."""
     if len(data) != MESSAGE.size or data[0] not in (QUOTA_REQUEST, QUOTA_GRANT):
-        raise MessageError("quota")
+        raise MessageError("wrong size or kind of a quota message")
     kind, zone, term, amount = MESSAGE.unpack(data)
     return QuotaRequest(zone, term, amount) if kind == QUOTA_REQUEST else QuotaGrant(zone, term, amount)
 
 
 @dataclass(slots=True)
 class BorrowedQuota:
-    """What is borrowed of a lender, in steps, and what was last requested of it."""
+    """A loan at its borrower and the last request for it; amounts are in steps."""
 
     expires_at: float = -math.inf
     amount: int = 0
@@ -112,7 +122,7 @@
 
 
 class LentQuota(NamedTuple):
-    """A loan at its lender, in steps."""
+    """A loan at its lender; `amount` is in steps."""
 
     expires_at: float
     amount: int
@@ -120,16 +130,16 @@
 
 @dataclass(slots=True)
 class ZoneLoans:
-    """One zone's budget at this instance."""
+    """The loans of one zone's budget at this instance."""
 
     lent: dict[int, list[LentQuota]] = field(default_factory=dict)  # by borrower
     borrowed: dict[int, BorrowedQuota] = field(default_factory=dict)  # by lender
 
     def reserved(self, now: float, borrower: int) -> int:
-        """The most that a borrower may use of the own quota: the largest loan that has not expired.
+        """Return the most that a borrower may be using of the owned quota, in steps.
 
-        A newer, smaller loan replaces nothing: where its grant was lost, the borrower still uses the one
-        before.
+        That is the largest unexpired loan. A newer, smaller loan does not replace a larger one: if its grant
+        was lost, the borrower still uses the earlier loan.
         """
         loans = [loan for loan in self.lent.get(borrower, ()) if loan.expires_at > now]
         self.lent[borrower] = loans
@@ -137,11 +147,15 @@
 
 
 class QuotaAccount:
-    """This instance's quota of each zone's budget.
-
-    own_quota: its fixed part, 0 to 1 over all; first_term: drawn at the start, so that a late grant to an
-    earlier incarnation is void; is_only_process: it is its dispatcher's one process, and no successor beside
-    an older one.
+    """Keeps this instance's quota of each zone's budget.
+
+    Args:
+        now: Time of the start, in ms.
+        own_quota: Owned fraction of each budget; those of all dispatchers add up to 1.
+        first_term: Random number from which terms are counted, so that a delayed grant to an earlier
+            incarnation is ignored.
+        settings: Times and shares; None for the defaults.
+        is_only_process: Whether no older process of the same dispatcher is still running.
     """
 
     def __init__(
@@ -158,11 +172,11 @@
         self.usable_from = now + self.settings.restart_wait_loans * self.settings.loan_ms
         self.unlent_usable_from = now if is_only_process else self.usable_from
         self.last_term = first_term & FIRST_TERM_MASK
-        self.process_count = 1  # processes that stand for this dispatcher
+        self.process_count = 1  # running processes of this dispatcher
         self.loans: dict[int, ZoneLoans] = {}
 
     def usable(self, now: float, zone: int) -> UsableQuota:
-        """The quota of a zone that may be used now."""
+        """Return the quota of a zone that may be used now."""
         amount, expires_at = self._available(now, zone), math.inf
         loans = self.loans.get(zone)
         for loan in loans.borrowed.values() if loans is not None else ():
@@ -173,10 +187,16 @@
     def request(
         self, now: float, zone: int, load_shares: Mapping[int, float], self_id: int
     ) -> list[QuotaMessage]:
-        """Request what this instance lacks from members with less load than quota.
+        """Return requests for the quota that this instance lacks, to members with less load than quota.
 
-        load_shares: by member, its part of the load; adds up to about 1. Two processes of one dispatcher
-        request nothing: to the lenders they are one borrower, and each would use the whole loan.
+        If two processes of one dispatcher are running, neither requests anything: the lenders could not
+        distinguish them, and each would use the whole loan.
+
+        Args:
+            now: Current time, in ms.
+            zone: Number of the zone or other budget.
+            load_shares: Share of the fleet's load by member; they add up to about 1.
+            self_id: Id of this instance among the members.
         """
         loans = self.loans.setdefault(zone, ZoneLoans())
         if self.process_count > 1 or now < self.usable_from or len(load_shares) < 2:
@@ -200,20 +220,21 @@
         return requests
 
     def on_message(self, now: float, sender: int, message: QuotaRequest | QuotaGrant) -> list[QuotaMessage]:
-        """A message from a member; returns the answer, if it takes one."""
+        """Handle a message from a member and return the answer, if there is one."""
         loans = self.loans.setdefault(message.zone, ZoneLoans())
         if isinstance(message, QuotaRequest):
             amount = self._grant(now, loans, sender, message)
             return [QuotaMessage(sender, QuotaGrant(message.zone, message.term, amount))]
         loan = loans.borrowed.get(sender)
-        # A grant of an earlier request, late or repeated, would count from the time of the newest one.
+        # A delayed or repeated grant of an earlier request must be ignored: its validity would be counted
+        # from the time of the newest request.
         if loan is not None and loan.term == message.term and message.amount <= loan.requested_amount:
             loan.amount = message.amount
             loan.expires_at = loan.requested_at + self.settings.loan_ms
         return []
 
     def forget(self, members: Iterable[int]) -> None:
-        """Drop what is borrowed of members that have left; what they borrowed expires by itself."""
+        """Drop loans borrowed from members that have left; loans granted to them expire by themselves."""
         departed = list(members)
         for loans in self.loans.values():
             for member in departed:
@@ -223,15 +244,15 @@
         return now - loan.requested_at >= self.settings.renew_after_share * self.settings.loan_ms
 
     def _new_request(self, now: float, zone: int, loan: BorrowedQuota, amount: int) -> QuotaRequest:
-        """A request under a new term, noted in the loan."""
+        """Return a request under a new term, and record it in the loan."""
         self.last_term = (self.last_term + 1) & MAX_UINT32
         loan.term, loan.requested_at, loan.requested_amount = self.last_term, now, amount
         return QuotaRequest(zone, self.last_term, amount)
 
     def _available(self, now: float, zone: int) -> int:
-        """What is not lent of the own quota, in steps.
+        """Return the part of the owned quota that is not lent, in steps.
 
-        Just after a start that is no more than the unlent share: an earlier incarnation may have lent the
+        Just after a start this is at most the unlent share, because an earlier incarnation may have lent the
         rest.
         """
         if now < self.usable_from:
@@ -241,7 +262,10 @@
         return self.own_quota // self.process_count - lent
 
     def _grant(self, now: float, loans: ZoneLoans, borrower: int, request: QuotaRequest) -> int:
-        """Lend what is spare, in steps; what the borrower has already counts as spare."""
+        """Lend up to the requested amount and return the amount lent, in steps.
+
+        A loan that the borrower already has is replaced, so it counts as available.
+        """
         if self.process_count > 1 or now < self.usable_from:
             return 0
         spare = self._available(now, request.zone) - self.unlent + loans.reserved(now, borrower)
--- a/cottonhold/fleet/zone_failover/reporting.py
+++ b/cottonhold/fleet/zone_failover/reporting.py
@@ -1,4 +1,4 @@
-"""What an instance reports to others on zones, when, and what it relays of theirs. Pure."""
+"""Exchange of reports on zones between instances, including the relaying of reports; does no I/O."""
 
 from __future__ import annotations
 
@@ -23,8 +23,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Reception:
-    """What follows from a received message. is_alarming: a new report calls for a round at once. reply: for a
-    sender that is behind its own reports."""
+    """The result of handling a received message.
+
+    Attributes:
+        is_alarming: Whether a new report requires that this instance reports without delay.
+        reply: Message for the sender if it has lost count of its own reports, else None.
+    """
 
     is_alarming: bool
     reply: bytes | None
@@ -32,8 +36,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportingSettings:
-    """gossip_from_members: with fewer members each report goes to all; from there on each round goes to
-    `gossip_fanout` of them and relays others' reports. max_report_age_ms: older ones are not relayed."""
+    """Settings of the exchange of reports.
+
+    Attributes:
+        gossip_from_members: Number of other members from which reports are spread by gossip. With fewer
+            members each report is sent to all of them.
+        gossip_fanout: Number of members to which each round of gossip is sent.
+        max_report_age_ms: Age above which reports are neither used nor relayed, in ms.
+    """
 
     gossip_from_members: int
     gossip_fanout: int
@@ -41,7 +51,7 @@
 
 
 class ZoneReporting:
-    """Keeps the latest report of each member, and makes this instance's own ones."""
+    """Keeps the latest report of each other member and builds this instance's reports."""
 
     def __init__(
         self, self_id: int, settings: ReportingSettings, overrides: Overrides, random_source: random.Random
@@ -52,11 +62,11 @@
         self.fresh: list[MemberReport] = []  # reports of live members, as of the last `refresh`
 
     def refresh(self, now: float, live: Iterable[int]) -> None:
-        """Look up which reports of live members are fresh."""
+        """Update the list of fresh reports of live members."""
         self.fresh = self.reports.fresh(now, self.settings.max_report_age_ms, live)
 
     def on_message(self, now: float, sender: int, data: bytes) -> Reception:
-        """Merge the reports of a message from a member. Raises MessageError."""
+        """Merge the reports of a message from a member. Raises MessageError if it is malformed."""
         reports = decode_zone_reports(data)
         news = [report for report in reports if self.reports.apply(now, report)]
         newer = self.reports.newer_than(sender, reports)
@@ -64,7 +74,10 @@
         return Reception(any(map(self.is_alarming, news)), reply)
 
     def is_alarming(self, report: MemberReport) -> bool:
-        """Whether a report calls for an exchange at each step: a zone has a fault, or overrides differ."""
+        """Return whether a report requires a round of reports in each step.
+
+        That is the case if the report shows a fault of a zone or other overrides than this instance's.
+        """
         if report.overrides_digest != self.overrides.digest():
             return True
         return any(z.vote or z.suspects_failure or z.traffic_share < 1.0 for z in report.zones.values())
@@ -72,7 +85,7 @@
     def by_zone(
         self, now: float, voters: Iterable[int], zone_numbers: Mapping[str, int]
     ) -> dict[str, list[ZoneReport]]:
-        """The fresh reports of the other voters on each zone."""
+        """Return the fresh reports of the other voters on each zone."""
         others = (member for member in voters if member != self.self_id)
         reports = self.reports.fresh(now, self.settings.max_report_age_ms, others)
         return {
@@ -88,7 +101,7 @@
         evidence: FailureEvidence,
         zone_numbers: Mapping[str, int],
     ) -> MemberReport:
-        """This instance's report."""
+        """Build this instance's report under the given stamp."""
         zones = {
             zone_numbers[zone]: ZoneReport(
                 state.vote,
@@ -105,7 +118,10 @@
     def messages(
         self, now: float, own_report: MemberReport, live: Iterable[int], voters: Iterable[int]
     ) -> list[tuple[int, bytes]]:
-        """One round, as (member, message): this instance's report, relayed ones, and missing overrides."""
+        """Return the messages of one round as (member, message).
+
+        They contain this instance's report, relayed reports, and overrides for members that lack some.
+        """
         targets, relayed = sorted(live), list[MemberReport]()
         if len(targets) >= self.settings.gossip_from_members:
             targets = self.random.sample(targets, self.settings.gossip_fanout)
@@ -118,7 +134,7 @@
         return messages
 
     def relayed(self, now: float, voters: Iterable[int]) -> list[MemberReport]:
-        """Others' reports worth relaying: those of voters first, then the newest."""
+        """Return the reports of others to relay: first those of voters, then the others, newest first."""
         oldest, voting = now - self.settings.max_report_age_ms, set(voters)
         votes = [self.reports.received[member] for member in voting if member in self.reports.received]
         votes.sort(key=lambda received: -received.received_at)
@@ -132,13 +148,13 @@
         return known is None or known.report.overrides_digest != self.overrides.digest()
 
     def _override_messages(self, now: float) -> list[bytes]:
-        """One message for each override, those that expire last first."""
+        """Encode each override as a message; those that expire last come first."""
         newest = sorted(self.overrides.known.values(), key=lambda override: -override.expires_at)
         return [encode_overrides(now, [override], MAX_MESSAGE_BYTES) for override in newest]
 
 
 def _traffic_share(state: ZoneState) -> float:
-    """The share of a zone's full load that this instance's state stands for."""
+    """Return the share of a zone's full load that corresponds to this instance's state of the zone."""
     if state.phase is ZonePhase.RETURNING:
         return state.traffic_share
     return 1.0 if state.phase is ZonePhase.IN_SERVICE else 0.0
--- a/cottonhold/fleet/zone_failover/status.py
+++ b/cottonhold/fleet/zone_failover/status.py
@@ -1,4 +1,4 @@
-"""The state of zones as `cottonhold zone show` prints it. Pure."""
+"""Build the rows that `cottonhold zone show` prints; does no I/O."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     traffic_share: float,
     override: dict[str, Any] | None,
 ) -> dict[str, Any]:
-    """One zone's row, under the keys that operators know."""
+    """Return one zone's row, under the keys of the local status socket."""
     evacuation_votes = sum(report.vote is Vote.EVACUATE for report in reports) + (state.vote is Vote.EVACUATE)
     return {
         "zone": zone,
@@ -50,7 +50,16 @@
     members: Mapping[int, float],
     names: Mapping[int, str],
 ) -> dict[str, Any]:
-    """An override in force. fresh: reports by member; members: those that should know of it."""
+    """Return the row of an override that is in force.
+
+    Args:
+        now: Current time, in ms.
+        override: The override.
+        digest: Hash of this instance's overrides.
+        fresh: Fresh reports by member.
+        members: Members that should have received the override; the values are not used.
+        names: Names of members by id.
+    """
     confirmed = {member for member, report in fresh.items() if report.overrides_digest == digest}
     return {
         "mode": MODE_NAMES[override.mode],
--- a/cottonhold/fleet/zone_failover/usual_duration.py
+++ b/cottonhold/fleet/zone_failover/usual_duration.py
@@ -1,33 +1,40 @@
-"""How long attempts of one query class usually take, and what they cost an engine. Pure."""
+"""Estimate the usual duration of a query class's attempts and their work at the engine; does no I/O."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-MIN_KNOWN = 5  # fewer answers do not show what is usual
-EARLY_COUNT = 30  # up to so many answers the plain mean of them all counts
-MIN_DURATION_MS = 0.1
-LOW_WEIGHT = 1 / 6  # of answers above the low expectile, against those below
-WORK_OVER_LOW = 1.25  # the mean work over its low expectile
+MIN_KNOWN = 5  # number of answers from which the usual duration is known
+EARLY_COUNT = 30  # the estimate is at least as fast as the plain mean up to this number of answers
+MIN_DURATION_MS = 0.1  # shorter durations are treated as this one
+LOW_WEIGHT = 1 / 6  # weight of answers above the low expectile, relative to those below it
+WORK_OVER_LOW = 1.25  # assumed ratio of the mean work to the low expectile of the durations
 
 
 @dataclass(slots=True)
 class UsualDuration:
-    """Estimated by the mean of logs, so that long attempts move it little."""
+    """The usual duration of attempts, averaged as logarithms so that a few long attempts have little effect.
+
+    Attributes:
+        mean_log_ms: Moving average of the logarithm of the duration in ms.
+        low_log_ms: Low expectile of the same logarithms; it excludes most of the time spent in queues.
+        count: Number of answers.
+        updated_at: Time of the last answer, in ms.
+    """
 
     mean_log_ms: float = 0.0
-    low_log_ms: float = 0.0  # a low expectile of the logs: without the time that others spend in a queue
+    low_log_ms: float = 0.0
     count: int = 0
     updated_at: float = 0.0
 
     @property
     def is_known(self) -> bool:
-        """Whether enough answers have been seen."""
+        """Whether there were enough answers for an estimate."""
         return self.count >= MIN_KNOWN
 
     def update(self, now: float, elapsed_ms: float, learning_time_ms: float) -> None:
-        """Take in the duration of a good answer."""
+        """Add the duration of a good answer; learning_time_ms is the time constant of the moving average."""
         self.count += 1
         gain = 1 - math.exp((self.updated_at - now) / learning_time_ms)
         gain = max(gain, 1 / self.count if self.count < EARLY_COUNT else 0.0)
@@ -38,20 +45,22 @@
         self.low_log_ms += gain * (log_ms - self.low_log_ms) * weight
 
     def mean_ms(self) -> float:
-        """The usual duration, queueing included; 1 while nothing is known."""
+        """Return the usual duration including queueing, in ms; 1 before the first answer."""
         return math.exp(self.mean_log_ms)
 
     def work_ms(self) -> float:
-        """What an attempt costs an engine; 0 while nothing is known. Without the time in a queue: counted
-        with it, the offered load would look higher than it is."""
+        """Return the work of an attempt at an engine, in ms; 0 before the first answer.
+
+        It excludes the time in queues, which would make the offered load look higher than it is.
+        """
         return WORK_OVER_LOW * math.exp(self.low_log_ms) if self.count else 0.0
 
     def slow_after_ms(self, factor: float, min_excess_ms: float) -> float:
-        """The duration from which an attempt is slow; infinite while too little is known."""
+        """Return the duration from which an attempt is slow, in ms; infinite until `is_known`."""
         if not self.is_known:
             return math.inf
         return max(self.mean_ms() * factor, self.mean_ms() + min_excess_ms)
 
     def log_ratio(self, elapsed_ms: float) -> float:
-        """Log of how many times the usual duration this is."""
+        """Return log(elapsed_ms / usual duration)."""
         return math.log(max(elapsed_ms, MIN_DURATION_MS)) - self.mean_log_ms
--- a/cottonhold/fleet/zone_failover/zone_assessment.py
+++ b/cottonhold/fleet/zone_failover/zone_assessment.py
@@ -1,4 +1,4 @@
-"""What this instance knows of each zone when it decides on its evacuation. Pure."""
+"""Collect this instance's evidence on each zone for the decision on its evacuation; does no I/O."""
 
 from __future__ import annotations
 
@@ -12,23 +12,38 @@
 from cottonhold.fleet.zone_failover.operator_overrides import OverrideMode, Overrides
 from cottonhold.fleet.zone_failover.zone_state import LocalEvidence, ZonePhase
 
-MIN_RETAINED_SHARE = 0.1  # a smaller part of a zone is not worth the queries that it delays
+MIN_RETAINED_SHARE = 0.1  # a smaller share of a zone's load delays more queries than it is worth
 
-PlannedShare = Callable[[float, str, float], float | None]  # now, zone, share served -> share to retain
+# Called with the time in ms, a zone and its served share; returns the share of its load to retain, or None.
+PlannedShare = Callable[[float, str, float], float | None]
 
 
 @dataclass(slots=True, frozen=True)
 class AssessmentSettings:
-    """checks_are_shared: membership divides the health checks, so that their results reach all instances.
-    max_check_age_ms: so old may the last good health check of an engine be."""
+    """Settings of the assessment of zones.
+
+    Attributes:
+        checks_are_shared: Whether the members divide the health checks among themselves and share the
+            results. Without that, health checks are not used.
+        max_check_age_ms: Maximum age of an engine's last successful health check, in ms.
+    """
 
     checks_are_shared: bool
     max_check_age_ms: float
 
 
 class ZoneAssessment:
-    """Feed it engines and health checks. planned_share: what the failover cost's plan would retain of a zone,
-    None without a plan."""
+    """Combines attempts, health checks, overrides and the failover plan into evidence on each zone.
+
+    Report engines by `set_engines` and health checks by `on_health_check`, then call `assess`.
+
+    Args:
+        settings: Settings of the assessment.
+        evidence: Results of this instance's attempts.
+        evacuation: States of the zones.
+        overrides: Overrides by operators.
+        planned_share: Returns the share of a zone's load that the failover plan retains, None without a plan.
+    """
 
     def __init__(
         self,
@@ -41,24 +56,25 @@
         self.settings, self.evidence, self.evacuation = settings, evidence, evacuation
         self.overrides, self.planned_share = overrides, planned_share
         self.engines: Mapping[str, Mapping[str, float]] = {}
-        self.checked_at: dict[str, float] = {}  # engine -> its last good health check
-        self.served_shares: dict[str, float] = {}  # zone -> share of good attempts when it was last in use
+        self.checked_at: dict[str, float] = {}  # engine -> time of its last successful health check
+        # zone -> share of served attempts at the last time that there were any
+        self.served_shares: dict[str, float] = {}
 
     def set_engines(self, engines: Mapping[str, Mapping[str, float]]) -> None:
-        """Cores by zone and engine."""
+        """Replace the engines, given as cores by zone and engine."""
         self.engines = engines
         known = {engine for there in engines.values() for engine in there}
         self.checked_at = {engine: at for engine, at in self.checked_at.items() if engine in known}
 
     def on_health_check(self, now: float, engine: str, succeeded: bool) -> None:
-        """A health check has ended."""
+        """Record the result of a health check."""
         if succeeded:
             self.checked_at[engine] = now
         else:
             self.checked_at.pop(engine, None)
 
     def assess(self, now: float, offered_cores: float) -> dict[str, LocalEvidence]:
-        """What is known of each zone; offered_cores: the load of the whole fleet."""
+        """Return the evidence on each zone; offered_cores is the load of the whole fleet."""
         health = self.evidence.assess(now)
         return {zone: self._assess(now, zone, health[zone], offered_cores) for zone in self.evacuation.states}
 
@@ -84,10 +100,10 @@
         return Vote.EVACUATE if override.mode is OverrideMode.EVACUATE else Vote.KEEP
 
     def _retained_share(self, now: float, offered_cores: float, zone: str) -> float:
-        """Share of a zone's full load that is best still sent there while it is evacuated.
+        """Return the share of a zone's full load to keep sending there while it is evacuated.
 
-        Never more than the zone serves: a share that is sent to a zone that answers nothing only keeps its
-        clients waiting.
+        It is never more than the share of attempts that the zone serves: requests beyond that would only wait
+        for answers that do not come.
         """
         served = self.served_shares.get(zone, 0.0)
         planned = self.planned_share(now, zone, served) if served > 0 else None
@@ -95,7 +111,7 @@
         return min(wanted, served)
 
     def _share_without_capacity(self, offered_cores: float, zone: str) -> float:
-        """Share of a zone's load that the other zones can't carry; sent there, it would overload them too."""
+        """Return the share of a zone's load that would overload the other zones."""
         capacity = sum(
             sum(cores.values()) * self.evacuation.traffic_share(other)
             for other, cores in self.engines.items()
@@ -105,7 +121,7 @@
         return min(max((offered_cores - usable) / sum(self.engines[zone].values()), 0.0), 1.0)
 
     def _engines_answer(self, now: float, zone: str, evacuated_at: float) -> bool:
-        """Whether half of a zone's engines have passed a recent health check since its evacuation."""
+        """Return whether half of a zone's engines have passed a recent health check since its evacuation."""
         if not self.settings.checks_are_shared:
             return True
         engines = self.engines[zone]
--- a/cottonhold/fleet/zone_failover/zone_state.py
+++ b/cottonhold/fleet/zone_failover/zone_state.py
@@ -1,4 +1,4 @@
-"""The state of one zone at this instance, and the evidence by which it changes. Pure."""
+"""The state of one zone at this instance and the evidence that changes it; does no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ZonePhase(Enum):
-    """What this instance does with a zone."""
+    """Whether this instance sends traffic to a zone; the values are shown to operators."""
 
     IN_SERVICE = "in"
     EVACUATED = "out"
@@ -20,14 +20,39 @@
 
 @dataclass(slots=True)
 class ZoneState:
-    """One zone at this instance. Times in ms."""
+    """The state of one zone at this instance.
+
+    Times are in ms of the instance's clock; shares are fractions of the zone's full load.
+
+    Attributes:
+        phase: The present phase.
+        since: Time of the last change of the phase.
+        is_certain: Whether the zone was evacuated due to this instance's own evidence, a failed return or an
+            operator's override, and not due to the votes of others.
+        votes_for_return: Whether this instance has evacuated the zone but votes for its return.
+        is_fleet_evacuated: Whether the votes of a majority evacuate the zone.
+        was_fleet_evacuated: Whether `is_fleet_evacuated` was set at some time since the last change of the
+            phase.
+        majority_reachable_at: Time at which reports of a majority were last available.
+        traffic_share: Share that the returning zone may get, as proposed by this instance.
+        share_changed_at: Time of the last change of `traffic_share`.
+        retained_share: Share that is still sent to the zone while it is evacuated.
+        hold_down_ms: Minimum time that the zone stays evacuated, in ms.
+        return_started_at: Time at which the last return started.
+        hold_down_reduced_at: Time at which `hold_down_ms` was last halved.
+        joining_requested_at: Time since which the reports of others are sufficient to join an evacuation;
+            infinite if they are not.
+        seen_healthy_at: Time at which this instance's own attempts last showed a healthy zone while the
+            reports of others were sufficient to join an evacuation.
+        reason: Reason for the last change of the phase, as shown to operators.
+    """
 
     phase: ZonePhase = ZonePhase.IN_SERVICE
     since: float = -math.inf
     is_certain: bool = False
-    votes_for_return: bool = False  # evacuated here, and votes for the return
-    is_fleet_evacuated: bool = False  # by a majority's votes
-    was_fleet_evacuated: bool = False  # at some time since this instance evacuated it
+    votes_for_return: bool = False
+    is_fleet_evacuated: bool = False
+    was_fleet_evacuated: bool = False
     majority_reachable_at: float = 0.0
     traffic_share: float = 1.0
     share_changed_at: float = 0.0
@@ -35,23 +60,28 @@
     hold_down_ms: float = 0.0
     return_started_at: float = -math.inf
     hold_down_reduced_at: float = 0.0
-    joining_requested_at: float = math.inf  # since when enough others want it evacuated
-    seen_healthy_at: float = -math.inf  # when own attempts last spoke against that
+    joining_requested_at: float = math.inf
+    seen_healthy_at: float = -math.inf
     reason: str = ""
 
     @property
     def vote(self) -> Vote:
-        """What this instance votes for."""
+        """This instance's vote on the zone."""
         is_against = self.phase is ZonePhase.EVACUATED and not self.votes_for_return
         return Vote.EVACUATE if is_against else Vote.KEEP
 
 
 @dataclass(slots=True, frozen=True)
 class LocalEvidence:
-    """What this instance brings to one zone's decision.
-
-    engines_answer: the zone's engines pass health checks, as far as there were any. retained_share: share of
-    the zone's load that the others can't carry and it still serves. override: an operator's, or None.
+    """This instance's evidence on one zone, on which `Evacuation` decides.
+
+    Attributes:
+        health: Health of the zone by this instance's attempts.
+        counts: Recent attempts in the zone by result.
+        suspects_failure: Whether the attempts suggest a failure without being sufficient proof.
+        engines_answer: Whether the engines of an evacuated zone pass health checks.
+        retained_share: Share of the zone's load to keep sending to it while it is evacuated.
+        override: Vote required by an operator's override; None without an override.
     """
 
     health: ZoneHealth
@@ -64,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PhaseChange:
-    """A zone's phase has changed here, for the log and the status."""
+    """A change of a zone's phase at this instance, for the log and the status."""
 
     zone: str
     phase: ZonePhase
