--- a/cottonhold/fleet/__init__.py
+++ b/cottonhold/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What all instances decide together: which zones are left, and how fast work returns to them. Pure."""
+"""Decisions that all instances make together, such as evacuations, admission and slow start; does no I/O."""
--- a/cottonhold/fleet/actions.py
+++ b/cottonhold/fleet/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the fleet coordinator returns to its caller. Pure."""
+"""Actions that the fleet coordinator returns to its caller; does no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendFleetMessage:
-    """A message for a member."""
+    """Send a message to a member."""
 
     member: int
     data: bytes
@@ -19,8 +19,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ThresholdUpdate:
-    """What is admitted until `expires_at`; all, without a threshold. retry_after_ms: when a request that is
-    rejected now should find capacity; 0: nothing is known."""
+    """Replace the admission threshold.
+
+    Attributes:
+        threshold: The threshold; None to admit all requests.
+        expires_at: Time at which the threshold expires, in ms.
+        retry_after_ms: Time after which a rejected request is likely to find capacity, in ms; 0 if unknown.
+    """
 
     threshold: DensityThreshold | None
     expires_at: float
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -1,8 +1,8 @@
-"""One instance's part in what the fleet decides together: puts the parts of `fleet` behind one step function.
+"""Combine all parts of `fleet` in one object that decides for one instance; does no I/O.
 
-Pure. Feed it engines, members, the results of attempts and health checks, and others' messages; call `step`
-at `next_at` at the latest. It returns what to send to whom, what the scheduler may send where, and what has
-changed.
+The caller reports engines, members, results of attempts and health checks, and received messages, and calls
+`step` no later than at `next_at`. The returned actions are messages to send, limits for the scheduler, and
+changes of zones.
 """
 
 from __future__ import annotations
@@ -38,14 +38,16 @@
 from cottonhold.fleet.zone_failover.zone_assessment import ZoneAssessment
 from cottonhold.fleet.zone_failover.zone_state import PhaseChange, ZonePhase
 
-HURRIED_STEPS = 4  # times more often an instance steps that has just started
+HURRIED_STEPS = 4  # factor by which steps are more frequent just after a start
 
 
 class FleetCoordinator:
-    """The state of one instance.
+    """Decides on zones, admission, slow start and engine limits for one instance. Times are in ms.
 
-    self_id: its id among members; incarnation: grows with each start; is_only_process: it is no successor
-    beside an older process of its dispatcher.
+    Args:
+        self_id: Id of this instance among the members.
+        incarnation: Number of this process; grows with each start.
+        is_only_process: Whether no older process of the same dispatcher is still running.
     """
 
     def __init__(
@@ -67,11 +69,7 @@
         self.reporting = ZoneReporting(self_id, settings.reporting, self.overrides, self.random)
         self.reports = self.reporting.reports
         self.assessment = ZoneAssessment(
-            settings.assessment,
-            self.evidence,
-            self.evacuation,
-            self.overrides,
-            self._planned_share,
+            settings.assessment, self.evidence, self.evacuation, self.overrides, self._planned_share
         )
         owned = 1 / settings.dispatchers
         self.quotas = QuotaAccount(now, owned, self.random.getrandbits(30), settings.quota)
@@ -89,7 +87,7 @@
         self.counters: dict[str, int] = {"words_sent": 0, "bytes_sent": 0, "malformed": 0}
 
     def _start_optional_parts(self, now: float, seed: int, is_only_process: bool) -> None:
-        """The parts that settings may switch off."""
+        """Create the parts that the settings may disable."""
         settings, self_id, incarnation = self.settings, self.self_id, self.incarnation
         self.demand: DemandSharing | None = None
         if settings.sheds_load:
@@ -108,7 +106,7 @@
             )
 
     def set_engines(self, engines: Mapping[str, Mapping[str, float]], now: float | None = None) -> None:
-        """Exactly these engines exist. engines: cores by zone and engine."""
+        """Replace the engines, given as cores by zone and engine."""
         self.engines = {zone: dict(there) for zone, there in engines.items() if there}
         self.zone_of = {engine: zone for zone, there in self.engines.items() for engine in there}
         self.zone_numbers = {zone: messages.zone_number(zone) for zone in self.engines}
@@ -124,22 +122,24 @@
     def on_loss(
         self, now: float, scope: OutageScope, zones: Iterable[str] | None = None, since: float = math.inf
     ) -> None:
-        """The membership survey has found an outage of this scope; since: when the first of those lost was
-        back."""
+        """Begin a slow start after an outage that the membership survey found.
+
+        zones: the affected zones, None for all; since: time at which the first lost member was back.
+        """
         if self.slow_start is not None:
             engines = None if zones is None else [e for zone in zones for e in self.engines.get(zone, ())]
             self.slow_start.on_loss(now, scope, engines, since)
             self.next_step = now
 
     def set_incarnation(self, incarnation: int) -> None:
-        """Reports carry this incarnation from now on; others know of a later one than this started with."""
+        """Use this incarnation in all reports; called when others have received a higher one than its own."""
         self.incarnation = incarnation & MAX_UINT32
         for part in (self.demand, self.slow_start, self.failover_cost):
             if part is not None:
                 part.incarnation = self.incarnation
 
     def set_members(self, now: float, live: Iterable[int], left: Iterable[int] = ()) -> None:
-        """Which other members are alive, and which have left by their own announcement."""
+        """Replace the members that are alive; `left` are those that announced that they leave."""
         self.live = set(live) - {self.self_id}
         self.electorate.see(now, self.live)
         departed = [member for member in left if member not in self.live]
@@ -148,18 +148,17 @@
         self.quotas.forget(departed)
 
     def on_request(self, now: float, query_class: int) -> None:
-        """A request has arrived; the usual work of its class counts as offered."""
+        """Add the usual work of a request's class to the offered load; called when the request arrives."""
         self.offered_load.add(now, self.evidence.usual_work_ms(query_class))
 
     def on_attempt_sent(self, now: float, attempt_id: str, engine: str, query_class: int) -> None:
-        """An attempt has been sent."""
+        """Record that an attempt was sent."""
         self.evidence.on_sent(now, attempt_id, engine, self.zone_of.get(engine, ""), query_class)
 
     def on_attempt_ended(
         self, now: float, attempt_id: str, succeeded: bool | None, elapsed_ms: float, work_ms: float = 0.0
     ) -> None:
-        """An attempt has succeeded, failed, or was cancelled here (None). work_ms: as the engine reports it,
-        0 where it does not."""
+        """Record an attempt's end: success, failure, or None if cancelled here; work_ms 0 if not reported."""
         attempt = self.evidence.open_attempts.get(attempt_id)
         if attempt is not None and succeeded is not None:
             if self.slow_start is not None:
@@ -170,7 +169,7 @@
         self.evidence.on_ended(now, attempt_id, succeeded, elapsed_ms)
 
     def on_health_check(self, now: float, engine: str, succeeded: bool) -> None:
-        """A health check by this instance has ended, or a good one by another."""
+        """Record a health check by this instance, or a successful one by another."""
         self.assessment.on_health_check(now, engine, succeeded)
         if self.slow_start is not None:
             self.slow_start.on_health_check(now, engine, succeeded)
@@ -178,7 +177,7 @@
             self.failover_cost.unstable_engines.on_result(now, engine, succeeded)
 
     def on_message(self, now: float, sender: int, data: bytes) -> list[Action]:
-        """A message from a member; a malformed one is counted and changes nothing."""
+        """Handle a message from a member; a malformed one is counted and changes nothing."""
         try:
             return self._dispatch(now, sender, data)
         except MessageError:
@@ -186,7 +185,7 @@
             return []
 
     def _dispatch(self, now: float, sender: int, data: bytes) -> list[Action]:
-        """Hand a message to the part that its kind is for. Raises MessageError."""
+        """Pass a message to the part that handles its kind. Raises MessageError if it is malformed."""
         kind = data[0] if data else 0
         reply: bytes | None = None
         if kind == messages.ZONE_REPORTS:
@@ -218,7 +217,7 @@
     def issue_override(
         self, now: float, zone: str, mode: OverrideMode, lasts_ms: float, requested_by: str, reason: str
     ) -> bool:
-        """An operator's override at this instance; returns false if there is no such zone."""
+        """Issue an operator's override at this instance; return False if the zone does not exist."""
         if zone not in self.zone_numbers:
             return False
         self.overrides.issue(self.zone_numbers[zone], mode, now + lasts_ms, requested_by, reason)
@@ -226,11 +225,11 @@
         return True
 
     def next_at(self) -> float:
-        """When `step` is due."""
+        """Return when `step` is due."""
         return self.next_step
 
     def step(self, now: float) -> list[Action]:
-        """Let each part decide, and return what follows."""
+        """Run the decisions of all parts if a step is due, and return the resulting actions."""
         if now < self.next_step:
             return []
         self.next_step = now + self._step_interval_ms(now)
@@ -252,18 +251,18 @@
         return actions
 
     def _step_interval_ms(self, now: float) -> float:
-        """Until the next step; shorter just after a start with cold engines, when no threshold is known yet
-        and each request would be admitted."""
+        """Return the time until the next step, which is shorter just after a start with cold engines."""
         interval_ms = self.settings.step_interval_ms
         if self.demand is None or self.slow_start is None or not self.slow_start.is_active:
             return interval_ms
+        # Every request is admitted until the first threshold is computed.
         just_started = now - self.started_at < self.slow_start.settings.settle_ms / 2
         return interval_ms / HURRIED_STEPS if just_started else interval_ms
 
     def _decide_zones(
         self, now: float, reports: Mapping[str, list[ZoneReport]], voter_count: int
     ) -> list[PhaseChange]:
-        """Evacuate zones and return to them. What is new is reported at once, without waiting for a round."""
+        """Evacuate zones and return to them; changes and new suspicions are reported immediately."""
         assessed = self.assessment.assess(now, self.fleet_load.total_cores(now, self.live))
         changes = self.evacuation.step(now, assessed, reports, voter_count)
         suspected = {zone for zone, evidence in assessed.items() if evidence.suspects_failure}
@@ -276,7 +275,7 @@
         return changes
 
     def _planned_share(self, now: float, zone: str, served_share: float) -> float | None:
-        """The share of a zone that the failover plan retains."""
+        """Return the share of a zone's load that the failover plan retains; None without a plan."""
         if self.failover_cost is None:
             return None
         return self.failover_cost.retained_share(now, zone, success_share=served_share)
@@ -298,7 +297,7 @@
         return [EngineBounds(bounds.work_rates, expires_at)]
 
     def _request_quota(self, now: float) -> list[Action]:
-        """Ask members with less than the mean load for quota of the budgets that are bounded."""
+        """Request quota of the limited budgets from members with less than the mean load."""
         zones = [zone for zone in self.engines if self.evacuation.traffic_share(zone) < 1.0]
         budgets = [self.zone_numbers[zone] for zone in zones]
         if self.slow_start is not None and self.slow_start.is_growing:
@@ -312,7 +311,7 @@
         return self._send_quota(requests)
 
     def _update_threshold(self, now: float) -> list[Action]:
-        """Compute the admission threshold, and report this instance's demand."""
+        """Compute the admission threshold and report this instance's demand."""
         if self.demand is None:
             return []
         capacity = self.available_capacity(now)
@@ -325,7 +324,7 @@
         return actions
 
     def available_capacity(self, now: float) -> AvailableCapacity:
-        """What the admission threshold may fill."""
+        """Return the capacity for which the admission threshold is computed."""
         if self.demand is None or self.slow_start is None or not self.slow_start.is_active:
             return steady_capacity(self.engines, self.evacuation)
         settling = now - self.started_at < self.slow_start.settings.settle_ms
@@ -339,12 +338,12 @@
         )
 
     def _account(self, budget: int) -> QuotaAccount:
-        """The quotas of a zone's budget, or of that of engines that warm up."""
+        """Return the quotas of a zone's budget or of the budget of warming engines."""
         return self.warmup_quotas if self.slow_start is not None and budget == WARMUP_BUDGET else self.quotas
 
     def _report(self, now: float) -> list[Action]:
-        """A round of reports, and when the next one is due: at the next step while a zone has a fault."""
-        # Drawn also where it is not used, and not in step with all others.
+        """Return a round of reports and schedule the next; with a faulty zone it is due at the next step."""
+        # Random, so that instances do not report simultaneously; always drawn, to keep the sequence the same.
         interval_ms = self.settings.report_interval_ms * (0.8 + 0.4 * self.random.random())
         self.next_report = now if self._has_fault() else now + interval_ms
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
@@ -358,7 +357,7 @@
         return self._send(self.reporting.messages(now, own_report, self.live, self.electorate.voters(now)))
 
     def _has_fault(self) -> bool:
-        """Whether any instance sees a zone that is not in full service."""
+        """Return whether a zone is not in full service at any instance."""
         if any(state.phase is not ZonePhase.IN_SERVICE for state in self.evacuation.states.values()):
             return True
         return any(map(self.reporting.is_alarming, self.reporting.fresh))
@@ -373,7 +372,7 @@
         return self._send([(r.member, quota_lending.encode_quota_message(r.message)) for r in requests])
 
     def status(self, now: float, names: Mapping[int, str]) -> list[dict[str, Any]]:
-        """What `cottonhold zone show` prints: one row a zone. names: of members."""
+        """Return the rows of `cottonhold zone show`, one for each zone; names are those of members by id."""
         voters = self.electorate.voters(now)
         reports = self.reporting.by_zone(now, voters, self.zone_numbers)
         return [
--- a/cottonhold/fleet/engine_bounds.py
+++ b/cottonhold/fleet/engine_bounds.py
@@ -1,6 +1,7 @@
-"""How much work this instance may send to engines. Pure.
+"""Compute how much work this instance may send to each engine; does no I/O.
 
-Zone failover, slow start and the failover plan each bound it; the lowest bound counts."""
+Zone failover, slow start and the failover plan each set upper bounds; the lowest one applies.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +16,26 @@
 from cottonhold.fleet.zone_failover.messages import ZoneReport
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount
 
-MIN_CORES = 1e-9  # keeps a zone without cores from dividing by nothing
+MIN_CORES = 1e-9  # avoids a division by zero for a zone without cores
 
 EngineCores = Mapping[str, Mapping[str, float]]  # zone -> engine -> cores
 
 
 @dataclass(slots=True, frozen=True)
 class EngineBounds:
-    """What may be sent to engines until `expires_at`, as work in ms a ms; engines not named are free."""
+    """Upper bounds of the work that may be sent to engines.
+
+    Attributes:
+        work_rates: Maximum work by engine, in ms of work for each ms of time. Other engines are unlimited.
+        expires_at: Time at which the bounds expire, in ms.
+    """
 
     work_rates: dict[str, float]
     expires_at: float
 
 
 def is_warming_up(slow_start: SharedSlowStart | None) -> bool:
-    """Whether any engine is under slow start."""
+    """Return whether any engine is in slow start."""
     return slow_start is not None and slow_start.is_active
 
 
@@ -41,7 +47,7 @@
     quotas: QuotaAccount,
     zone_numbers: Mapping[str, int],
 ) -> EngineBounds:
-    """This instance's quota of each zone that is evacuated or returning."""
+    """Return this instance's quotas of the zones that are evacuated or returning, as bounds of engines."""
     work, expires_at = dict[str, float](), math.inf
     for zone, cores_by_engine in engines.items():
         traffic_share = evacuation.traffic_share(zone, reports[zone])
@@ -58,7 +64,7 @@
 def add_warmup_bounds(
     now: float, bounds: EngineBounds, slow_start: SharedSlowStart, quotas: QuotaAccount
 ) -> EngineBounds:
-    """Bounds narrowed by this instance's quota of engines that warm up."""
+    """Return the bounds, lowered to this instance's quota of warming engines."""
     usable = quotas.usable(now, WARMUP_BUDGET)
     work = _narrowed(bounds.work_rates, slow_start.work_limits(usable.share))
     return EngineBounds(work, min(bounds.expires_at, usable.expires_at))
@@ -72,11 +78,16 @@
     slow_start: SharedSlowStart | None,
     cost: CostEstimator,
 ) -> EngineBounds:
-    """Bounds narrowed by the failover plan: where clients are served first, and by which other zones."""
+    """Return the bounds, lowered to those of the failover plan.
+
+    In an outage the plan limits the work that this instance may send to other zones than its clients' own.
+    While engines warm up in all zones, it also lowers the bounds to the work that is needed, in the order in
+    which zones serve these clients.
+    """
     work, remaining = bounds.work_rates, remaining_capacity(engines, evacuation, slow_start)
     if is_warming_up(slow_start) and remaining.keys() == engines.keys():
         work = cost.warmup_limits(now, work)
-    # A single engine that starts is no outage, and changes no instance's choice of zones.
+    # A single starting engine is no outage and must not change which zones an instance uses.
     is_outage = any(evacuation.traffic_share(zone) < 1.0 for zone in engines)
     work = _narrowed(work, cost.engine_limits(now, remaining if is_outage else {}))
     return EngineBounds(work, bounds.expires_at)
@@ -85,7 +96,7 @@
 def remaining_capacity(
     engines: EngineCores, evacuation: Evacuation, slow_start: SharedSlowStart | None
 ) -> dict[str, float]:
-    """By zone that has less than all, the part of its cores that the fleet may use now."""
+    """Return, for each zone with reduced capacity, the share of its cores that the fleet may use now."""
     remaining = {}
     for zone, cores_by_engine in engines.items():
         part = evacuation.traffic_share(zone)
@@ -98,7 +109,7 @@
 
 
 def _narrowed(work: Mapping[str, float], limits: Mapping[str, float]) -> dict[str, float]:
-    """The lower of both for each engine that either names."""
+    """Return the lower one of both bounds for each engine that has any."""
     narrowed = dict(work)
     for engine, limit in limits.items():
         narrowed[engine] = min(narrowed.get(engine, math.inf), limit)
--- a/cottonhold/fleet/fleet_load.py
+++ b/cottonhold/fleet/fleet_load.py
@@ -1,4 +1,4 @@
-"""The work that clients offer to each instance and to the whole fleet. Pure."""
+"""Estimate the work that clients offer to each instance and to the whole fleet; does no I/O."""
 
 from __future__ import annotations
 
@@ -10,10 +10,14 @@
 
 
 class FleetLoad:
-    """The load of all instances, by this one's own and by what others report.
-
-    declared_demand: the demand that requests declare themselves. With slow start it stands for the load where
-    it is shared, since after a restart an instance does not know the usual work of its requests; else None.
+    """Computes the load of all instances from this instance's own load and the reports of others.
+
+    Args:
+        self_id: Id of this instance.
+        offered_load: Load of this instance, from the usual work of its requests.
+        reporting: Reports of the other instances.
+        declared_demand: Demand from the work that requests declare, or None. If given, it is used for the
+            shares of the load: after a restart an instance does not know the usual work of its requests.
     """
 
     def __init__(
@@ -27,12 +31,14 @@
         self.declared_demand = declared_demand
 
     def total_cores(self, now: float, live: Collection[int]) -> float:
-        """Work offered to the whole fleet, in cores. live: the other members; those that do not report count
-        as the mean."""
+        """Return the work offered to the whole fleet, in cores.
+
+        live: the other members; those without a report are assumed to have the mean load.
+        """
         return _total(self._offered_cores(now), 1 + len(live))
 
     def shares(self, now: float, live: Collection[int]) -> dict[int, float]:
-        """By member, its share of the load of the whole fleet; empty without any load."""
+        """Return each member's share of the load of the whole fleet; empty without any load."""
         members = {self.self_id, *live}
         if self.declared_demand is not None:
             cores = self.declared_demand.offered_cores(now, live)
@@ -45,12 +51,12 @@
         return {member: cores.get(member, mean) / total for member in members}
 
     def _offered_cores(self, now: float) -> dict[int, float]:
-        """Work offered to each instance that reports, in cores."""
+        """Return the work offered to each instance with a fresh report and to this one, in cores."""
         own_cores = self.offered_load.cores(now)
         others = {report.member: report.offered_centicores / 100 for report in self.reporting.fresh}
         return {self.self_id: own_cores, **others}
 
 
 def _total(cores: dict[int, float], member_count: int) -> float:
-    """The sum over all members; those that are not named count as the mean of the others."""
+    """Return the sum over all members, assuming the mean for those without an entry."""
     return sum(cores.values()) * member_count / len(cores)
--- a/cottonhold/fleet/latest_reports.py
+++ b/cottonhold/fleet/latest_reports.py
@@ -1,7 +1,7 @@
-"""The latest report of each member, merged by version. Pure.
+"""Keep the latest report of each member; does no I/O.
 
-Reports merge by (incarnation, version): in any order and any number of times, with the same result. A report
-that is older than the known one changes nothing, so a replayed datagram has no effect.
+Of two reports of a member the one with the higher (incarnation, version) is kept. So the result depends
+neither on the order nor on repetitions, and a replayed datagram has no effect.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 from cottonhold.fleet.message_format import MAX_UINT32
 
-MAX_RELAYED_REPORTS = 16  # more than fit a datagram
+MAX_RELAYED_REPORTS = 16  # more than fit into one datagram
 
-Stamp = tuple[int, int]  # incarnation and version; of two reports of a member the higher one is newer
+Stamp = tuple[int, int]  # incarnation and version; a higher stamp marks a newer report of the same member
 
 
 class VersionedReport(Protocol):
-    """A report by a member on itself, sent each time with a higher version."""
+    """A report by a member on itself; each new report has a higher version."""
 
     @property
     def member(self) -> int:
-        """The id of the member that reports."""
+        """Id of the member that reports."""
 
     @property
     def version(self) -> int:
-        """Grows with each report of one incarnation."""
+        """Number of the report; grows with each report of one incarnation."""
 
     @property
     def stamp(self) -> Stamp:
@@ -39,25 +39,25 @@
 
 @dataclass(slots=True)
 class ReceivedReport(Generic[ReportT]):
-    """The latest report of a member, and when it arrived in ms."""
+    """The latest report of a member and the time of its arrival, in ms."""
 
     report: ReportT
     received_at: float
 
 
 class LatestReports(Generic[ReportT]):
-    """The latest report of each other member."""
+    """Keeps the latest report of each other member."""
 
     def __init__(self, self_id: int) -> None:
         self.self_id = self_id
         self.received: dict[int, ReceivedReport[ReportT]] = {}
-        self.highest_own_stamp: Stamp = (0, 0)  # of the reports that others relayed in this member's name
+        self.highest_own_stamp: Stamp = (0, 0)  # highest stamp that others sent in this member's name
 
     def apply(self, now: float, report: ReportT) -> bool:
-        """Merge a report that arrived at `now`, in ms; returns whether it is newer than the known one."""
+        """Merge a report that arrived at `now`, in ms; return whether it is newer than the known one."""
         if report.member == self.self_id:
-            # A forged report, or one of an earlier incarnation whose wall clock was ahead, would otherwise
-            # outrank this member's own ones for good; `next_stamp` exceeds whatever is recorded here.
+            # A forged report, or one by an earlier incarnation whose wall clock was ahead, would otherwise
+            # take precedence over this member's own reports for ever. `next_stamp` exceeds this stamp.
             self.highest_own_stamp = max(self.highest_own_stamp, report.stamp)
             return False
         known = self.received.get(report.member)
@@ -68,17 +68,20 @@
         return True
 
     def next_stamp(self, incarnation: int, version: int) -> Stamp:
-        """The stamp of this member's next report, above its last one and any relayed in its name."""
+        """Return the stamp of this member's next report, given the incarnation and version of its last one.
+
+        It is higher than that and than any stamp that others sent in this member's name.
+        """
         incarnation, version = max((incarnation, version), self.highest_own_stamp)
         if version < MAX_UINT32:
             return incarnation, version + 1
         return (incarnation + 1, 1) if incarnation < MAX_UINT32 else (incarnation, version)
 
     def newer_than(self, sender: int, reports: Iterable[ReportT]) -> ReportT | None:
-        """The known report of a sender that has just sent an older one of its own; None if it is up to date.
+        """Return the known report of a sender that has just sent an older one of its own, else None.
 
-        An incarnation may be numbered by a wall clock that was set back between two starts. Sent back to its
-        owner, the known report makes the owner continue above its stamp.
+        This happens if incarnations are numbered by a wall clock that was set back between two starts. When
+        the known report is sent back to the sender, the sender continues with a higher stamp.
         """
         known = self.received.get(sender)
         if known is None:
@@ -87,15 +90,15 @@
         return known.report if is_behind else None
 
     def newest(self) -> Iterable[ReceivedReport[ReportT]]:
-        """Reports worth relaying, the last received ones first."""
+        """Return the reports to relay, in the reverse order of their arrival."""
         return itertools.islice(reversed(self.received.values()), MAX_RELAYED_REPORTS)
 
     def fresh(self, now: float, max_age_ms: float, members: Iterable[int]) -> list[ReportT]:
-        """Reports of these members that are at most so old."""
+        """Return the reports of these members that arrived at most max_age_ms ago."""
         received = (self.received.get(member) for member in members)
         return [r.report for r in received if r is not None and now - r.received_at <= max_age_ms]
 
     def forget(self, members: Iterable[int]) -> None:
-        """Drop the reports of members that have left for good."""
+        """Drop the reports of members that have left the fleet."""
         for member in members:
             self.received.pop(member, None)
--- a/cottonhold/fleet/message_format.py
+++ b/cottonhold/fleet/message_format.py
@@ -1,8 +1,8 @@
-"""What all messages between instances of the fleet have in common: size limit, error, lists of reports. Pure.
+"""Size limit, error and list format of the messages between instances of the fleet; does no I/O.
 
-A list of reports is
+Format of a list of reports, with the size of each field in bytes:
 
-    kind 1 | count 1 | reports
+    kind 1 | report count 1 | reports
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from collections.abc import Callable, Iterable
 from typing import TypeVar
 
-MAX_MESSAGE_BYTES = 200  # a datagram of 256 bytes less membership's header and MAC
-MAX_UINT32 = 0xFFFFFFFF  # the highest incarnation and version that fit their fields
+MAX_MESSAGE_BYTES = 200  # a datagram of 256 bytes minus the header and the MAC of the membership protocol
+MAX_UINT32 = 0xFFFFFFFF  # highest incarnation and version, which are sent as 32-bit numbers
 LIST_HEADER_BYTES = 2
 
 ReportT = TypeVar("ReportT")
 
 
 class MessageError(Exception):
-    """A message from another instance is malformed; nothing of it is applied."""
+    """A message from another instance is malformed. No part of such a message is applied."""
 
 
 def encode_list(kind: int, reports: Iterable[bytes]) -> bytes:
-    """A message with as many of these encoded reports as fit, first ones first."""
+    """Return a message with as many of these encoded reports as fit, in the given order."""
     parts, remaining = list[bytes](), MAX_MESSAGE_BYTES - LIST_HEADER_BYTES
     for report in reports:
         if len(report) > remaining:
@@ -36,13 +36,20 @@
 def decode_list(
     data: bytes, kind: int, kind_name: str, decode_report: Callable[[bytes, int], tuple[ReportT, int]]
 ) -> list[ReportT]:
-    """The reports of a message. Raises MessageError; then none of them is applied.
+    """Decode the reports of a message.
 
-    kind_name: for the error's text. decode_report: the report that begins at an offset, and where it ends; it
-    may raise struct.error where the message ends too early.
+    Args:
+        data: The message.
+        kind: Expected kind of the message.
+        kind_name: Name of the kind for error messages.
+        decode_report: Decodes the report that begins at an offset of the message, and returns it with the
+            offset of its end. It may raise struct.error if the message ends too early.
+
+    Raises:
+        MessageError: The message is of another kind, or a report is malformed.
     """
     if len(data) < LIST_HEADER_BYTES or data[0] != kind:
-        raise MessageError(f"no {kind_name}")
+        raise MessageError(f"not a message of {kind_name}")
     reports, offset = [], LIST_HEADER_BYTES
     try:
         for _ in range(data[1]):
@@ -51,5 +58,5 @@
     except struct.error:
         raise MessageError("truncated") from None
     if offset != len(data):
-        raise MessageError("too long")
+        raise MessageError("bytes after the last report")
     return reports
--- a/cottonhold/fleet/settings.py
+++ b/cottonhold/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one instance's part in the fleet. Pure."""
+"""Settings of the fleet coordinator of one instance; does no I/O."""
 
 from __future__ import annotations
 
@@ -16,16 +16,31 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSettings:
-    """Times in ms.
-
-    dispatchers: configured ones; each owns one part of a budget. step_interval_ms: between two steps, and two
-    rounds of reports while a zone has a fault. report_interval_ms: between two rounds else.
-    gossip_from_members, gossip_fanout: see ReportingSettings. max_voters, electorate_memory_ms: see
-    Electorate. sheds_load: overload is handled by all together. bounds_ttl_ms: so long bounds hold; an
-    instance that was suspended must not go on by old ones. checks_are_shared, max_check_age_ms: see
-    AssessmentSettings. slow_start: engines that start get work as all instances see them warm up; None: off.
-    failover_cost: the cost of a zone's loss is estimated, and decides how much an evacuated zone retains and
-    which zones serve whose clients; None: off. home_zone: of this instance and its clients.
+    """Settings of the fleet coordinator and its parts.
+
+    Attributes:
+        dispatchers: Number of configured dispatchers. Each of them owns an equal part of every budget.
+        step_interval_ms: Time between two steps, and between two rounds of reports while a zone has a fault,
+            in ms.
+        report_interval_ms: Time between two rounds of reports while no zone has a fault, in ms.
+        gossip_from_members: Number of other members from which zone reports are spread by gossip.
+        gossip_fanout: Number of members to which each round of gossip is sent.
+        max_voters: Maximum number of members that vote on zones.
+        sheds_load: Whether all instances together reject requests under overload.
+        electorate_memory_ms: Time for which a member that is not alive keeps its vote, in ms.
+        bounds_ttl_ms: Time for which engine bounds are valid, in ms. They expire so that an instance that was
+            suspended does not continue with old ones.
+        checks_are_shared: Whether the members share the results of health checks.
+        max_check_age_ms: Maximum age of a health check, in ms.
+        evidence: Settings of the evidence on zones from attempts.
+        evacuation: Settings of evacuations and returns.
+        demand: Settings of the admission threshold.
+        quota: Settings of quota lending.
+        slow_start: Settings of the shared slow start, in which all instances limit the work of starting
+            engines together; None disables it.
+        failover_cost: Settings of the estimation of the cost of losing a zone. The estimate determines how
+            much traffic an evacuated zone retains and which zones serve which clients; None disables it.
+        home_zone: Zone of this instance and its clients.
     """
 
     dispatchers: int = 1
@@ -49,12 +64,12 @@
 
     @property
     def reporting(self) -> ReportingSettings:
-        """How zones are reported."""
+        """Settings of the exchange of zone reports."""
         return ReportingSettings(
             self.gossip_from_members, self.gossip_fanout, self.evacuation.max_report_age_ms
         )
 
     @property
     def assessment(self) -> AssessmentSettings:
-        """What zones are assessed by."""
+        """Settings of the assessment of zones."""
         return AssessmentSettings(self.checks_are_shared, self.max_check_age_ms)
--- a/cottonhold/fleet/zone_failover/reporting.py
+++ b/cottonhold/fleet/zone_failover/reporting.py
@@ -27,7 +27,8 @@
 
     Attributes:
         is_alarming: Whether a new report requires that this instance reports without delay.
-        reply: Message for the sender if it has lost count of its own reports, else None.
+        reply: Message for the sender if this instance has a newer report by it than the one it sent, else
+            None. It makes the sender number its next report higher.
     """
 
     is_alarming: bool
