--- a/cottonhold/fleet/admission/__init__.py
+++ b/cottonhold/fleet/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Overload handled by the fleet as one: the demand of all instances and the admission threshold. Pure."""
+"""Admission control by the whole fleet: shared demand and a common admission threshold; does no I/O."""
--- a/cottonhold/fleet/admission/capacity.py
+++ b/cottonhold/fleet/admission/capacity.py
@@ -1,4 +1,4 @@
-"""The capacity that the admission threshold is computed for, while engines warm up. Pure."""
+"""Compute the capacity that is available to admitted requests; does no I/O."""
 
 from __future__ import annotations
 
@@ -8,13 +8,20 @@
 from cottonhold.fleet.recovery.shared_slow_start import SharedSlowStart
 from cottonhold.fleet.zone_failover.evacuation import Evacuation
 
-MIN_OWNED_CORES = 1e-6  # so that an instance without any still counts as one that owns cores
+# While engines warm up each instance owns at least this, so that "owns cores" can be tested by a comparison
+# with 0.
+MIN_OWNED_CORES = 1e-6
 
 
 @dataclass(slots=True, frozen=True)
 class AvailableCapacity:
-    """free_cores: open to all instances. owned_cores: beside these, what each instance may use of engines
-    that warm up. retry_after_ms: when a request that is rejected now should find capacity."""
+    """The capacity for which the admission threshold is computed.
+
+    Attributes:
+        free_cores: Cores shared by all instances.
+        owned_cores: Additional cores, of warming engines, that each instance may use.
+        retry_after_ms: Time after which a rejected request is likely to find capacity, in ms; 0 if unknown.
+    """
 
     free_cores: float
     owned_cores: float = 0.0
@@ -22,7 +29,7 @@
 
 
 def steady_capacity(engines: Mapping[str, Mapping[str, float]], evacuation: Evacuation) -> AvailableCapacity:
-    """The capacity while no engine warms up. engines: cores by zone and engine."""
+    """Return the capacity while no engine warms up; `engines` are cores by zone and engine."""
     return AvailableCapacity(
         sum(sum(cores.values()) * evacuation.traffic_share(zone) for zone, cores in engines.items())
     )
@@ -36,11 +43,16 @@
     is_just_started: bool,
     offered_cores: Mapping[int, float],
 ) -> AvailableCapacity:
-    """The capacity while engines warm up.
+    """Return the capacity while engines warm up.
 
-    is_just_started: this instance has had no time yet to get reports on engines; they count for what they are
-    likely to bear, since with nothing known of them it would reject what all others serve. offered_cores: by
-    member.
+    Args:
+        engines: Cores by zone and engine.
+        evacuation: States of the zones.
+        slow_start: State of the warming engines.
+        dispatchers: Number of dispatchers that share the capacity of warming engines.
+        is_just_started: Whether this instance has not had the time to receive reports on engines. If so, it
+            assumes a likely capacity for them; otherwise it would reject what other instances serve.
+        offered_cores: Offered work by member, in cores.
     """
     free, owned, assumed = 0.0, 0.0, slow_start.assumed_share()
     for zone, cores_by_engine in engines.items():
--- a/cottonhold/fleet/admission/demand.py
+++ b/cottonhold/fleet/admission/demand.py
@@ -1,9 +1,9 @@
-"""What an instance was offered lately, as work by utility density. Pure.
+"""Histogram of the work that was recently offered to an instance, by utility density; does no I/O.
 
-The sketches of several instances add up.
-
-Density is utility a ms of work. A step is a quarter octave of it, so that a threshold is off by a fifth at
-most. Work is in cores: ms of work a ms. Messages carry the steps with the most work, two bytes each.
+Density is utility for each ms of work. A step of the histogram is a quarter octave of density, so the error
+of a threshold is at most a fifth. Work is measured in cores, that is, in ms of work for each ms of time.
+Messages contain the steps with the most work, in two bytes each. The histograms of several instances can be
+added.
 """
 
 from __future__ import annotations
@@ -12,17 +12,18 @@
 from collections.abc import Iterable, Mapping
 
 STEPS_PER_OCTAVE = 4
-MIN_DENSITY = 2.0**-24  # utility a ms; what is below counts as it
-DENSITY_STEPS = 160
-MIN_WORK_MS = 1e-3  # what takes less counts as it
-MIN_REMAINING_MS = 1e-3  # a step with less remaining work is dropped
-MAX_ENCODED_STEPS = 10  # of a message
-MAX_CODE = 255
-MIN_CODED_CORES, CODE_GROWTH = 0.002, 1.05  # cores on the wire: MIN * GROWTH ** byte, to 490 cores
+MIN_DENSITY = 2.0**-24  # utility for each ms of work; lower densities are treated as this one
+DENSITY_STEPS = 160  # number of steps
+MIN_WORK_MS = 1e-3  # less work is treated as this
+MIN_REMAINING_MS = 1e-3  # a step whose work has decayed to this or less is dropped
+MAX_ENCODED_STEPS = 10  # maximum number of steps in a message
+MAX_CODE = 255  # highest encoded value of a number of cores
+# Cores are encoded in one byte as MIN_CODED_CORES * CODE_GROWTH ** byte, at most 490 cores.
+MIN_CODED_CORES, CODE_GROWTH = 0.002, 1.05
 
 
 def density_step(utility: float, work_ms: float) -> int:
-    """The step of a request with so much utility and work; 0 for one without any utility."""
+    """Return the step of a request; 0 if it has no utility."""
     if utility <= 0:
         return 0
     octaves = math.log2(max(utility / max(work_ms, MIN_WORK_MS), MIN_DENSITY) / MIN_DENSITY)
@@ -30,12 +31,12 @@
 
 
 def density_of_step(step: int) -> float:
-    """The lowest utility a ms of work that belongs to a step; at the lowest one also nothing."""
+    """Return the lowest density of a step, in utility for each ms of work; 0 for the lowest step."""
     return MIN_DENSITY * 2 ** (step / STEPS_PER_OCTAVE) if step else 0.0
 
 
 class Demand:
-    """Work offered by step, forgotten with a time constant of `memory_ms`."""
+    """The offered work by step, with exponential decay by the time constant `memory_ms`."""
 
     def __init__(self, now: float, memory_ms: float = 2000.0) -> None:
         self.memory_ms = memory_ms
@@ -43,14 +44,18 @@
         self.work_ms_by_step: dict[int, float] = {}
 
     def add(self, now: float, step: int, work_ms: float) -> None:
-        """A request has arrived."""
-        # Weighed as of the last decay: a request must not cost a pass over all steps.
+        """Add the work of a request that arrived."""
+        # The sums are valid for the time of the last decay, so the work is scaled up to that time. This
+        # avoids an update of all steps for each request.
         weight = math.exp((now - self.updated_at) / self.memory_ms)
         self.work_ms_by_step[step] = self.work_ms_by_step.get(step, 0.0) + work_ms * weight
 
     def rates(self, now: float) -> dict[int, float]:
-        """Work offered by step, in cores. A sketch that has just started has seen less than its memory holds,
-        and is scaled up accordingly."""
+        """Return the offered work by step, in cores.
+
+        Just after the start, when requests were counted for less than `memory_ms`, the sums are scaled up
+        accordingly.
+        """
         self._decay(now)
         seen_ms = self.memory_ms * (1 - math.exp(-(now - self.started_at) / self.memory_ms))
         return {step: work_ms / max(seen_ms, 1.0) for step, work_ms in self.work_ms_by_step.items()}
@@ -65,8 +70,11 @@
 
 
 def encode_rates(rates: Mapping[int, float]) -> bytes:
-    """The steps with the most work. What is not encoded counts to the next lower step that is: left out,
-    small steps would make the demand look less than it is, and the threshold too low."""
+    """Encode the steps with the most work.
+
+    The work of other steps is added to the next lower encoded step. If it were left out, the demand would
+    look smaller than it is and the threshold would be too low.
+    """
     encoded = sorted(sorted(rates, key=lambda step: -rates[step])[:MAX_ENCODED_STEPS], reverse=True)
     sums = dict.fromkeys(encoded, 0.0)
     for step, cores in rates.items():
@@ -79,18 +87,18 @@
 
 
 def encode_cores(cores: float) -> int:
-    """Work in cores as a byte; the lowest one also for less."""
+    """Encode a number of cores as a byte; numbers out of range become the lowest or the highest code."""
     code = round(math.log(max(cores, MIN_CODED_CORES) / MIN_CODED_CORES) / math.log(CODE_GROWTH))
     return min(code, MAX_CODE)
 
 
 def decode_cores(code: int) -> float:
-    """What a byte says, in cores."""
+    """Return the number of cores that a byte encodes."""
     return MIN_CODED_CORES * CODE_GROWTH**code
 
 
 def decode_rates(data: bytes) -> dict[int, float] | None:
-    """Encoded rates; None if they are malformed."""
+    """Decode rates, as cores by step; return None if they are malformed."""
     steps, codes = data[::2], data[1::2]
     if len(data) % 2 or len(steps) > MAX_ENCODED_STEPS or any(step >= DENSITY_STEPS for step in steps):
         return None
@@ -98,10 +106,10 @@
 
 
 def merge_rates(demands: Iterable[Mapping[int, float]], max_cores_each: float) -> dict[int, float]:
-    """The sum of all; of each the densest `max_cores_each` count.
+    """Return the sum of several demands, using only the densest `max_cores_each` cores of each.
 
-    Scaled down as a whole, a demand with much of all kinds would count for less of the dense ones than it
-    has, and the threshold would be too low.
+    If a large demand were scaled down uniformly instead, its dense requests would be underestimated and the
+    threshold would be too low.
     """
     total: dict[int, float] = {}
     for rates in demands:
--- a/cottonhold/fleet/admission/demand_messages.py
+++ b/cottonhold/fleet/admission/demand_messages.py
@@ -1,10 +1,14 @@
-"""The format of demand reports between instances. Pure.
+"""Wire format of the demand reports between instances; does no I/O.
 
-    kind 5 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | gain 1 | finished requests 1 |
-    mean wait 1 | steps 1 | steps, each: step 1 | work 1
+Fields and their sizes in bytes:
 
-A kind of its own beside the zone reports: instances of a version that does not know it count it as malformed
-and go on. Reports merge as `latest_reports` says.
+    kind 5 | report count 1 | reports, each:
+        member 8 | incarnation 4 | version 4 | gain 1 | finished requests 1 | mean wait 1 | step count 1 |
+        steps, each:
+            step 1 | work 1
+
+Demand reports are a separate kind of message, not a part of the zone reports, so that instances of older
+versions can count them as malformed and ignore them. Reports are merged by `latest_reports`.
 """
 
 from __future__ import annotations
@@ -24,14 +28,14 @@
 from cottonhold.fleet.zone_failover.messages import DEMAND_REPORTS
 
 HEADER = struct.Struct("!QIIBBBB")
-GAIN_STEPS = 128.0  # of a gain of one
-WAIT_STEPS = 255.0  # of a whole wait
+GAIN_STEPS = 128.0  # encoded value of a gain of 1
+WAIT_STEPS = 255.0  # encoded value of a mean wait of 1
 MAX_BYTE = 255
 
 
 @dataclass(slots=True, frozen=True)
 class DemandReport:
-    """One instance's report."""
+    """One instance's report of its demand."""
 
     member: int
     incarnation: int
@@ -40,12 +44,12 @@
 
     @property
     def stamp(self) -> Stamp:
-        """Of two reports of a member the one with the higher stamp is newer."""
+        """Incarnation and version; of two reports by a member the one with the higher stamp is newer."""
         return self.incarnation, self.version
 
 
 def encode_demand_report(report: DemandReport) -> bytes:
-    """A report's bytes."""
+    """Encode a report."""
     load, steps = report.load, demand.encode_rates(report.load.rates)
     header = HEADER.pack(
         report.member,
@@ -60,22 +64,22 @@
 
 
 def encode_demand_reports(reports: Iterable[DemandReport]) -> bytes:
-    """A message with as many of these as fit, first ones first."""
+    """Encode a message with as many reports as fit, in the given order."""
     return encode_list(DEMAND_REPORTS, map(encode_demand_report, reports))
 
 
 def decode_demand_reports(data: bytes) -> list[DemandReport]:
-    """The reports of a message. Raises MessageError; then none of them is applied."""
+    """Decode the reports of a message. Raises MessageError if any of them is malformed."""
     return decode_list(data, DEMAND_REPORTS, "demand reports", _decode_report)
 
 
 def _decode_report(data: bytes, offset: int) -> tuple[DemandReport, int]:
-    """The report that begins at an offset, and where it ends."""
+    """Decode the report that begins at an offset, and return it with the offset of its end."""
     member, incarnation, version, gain, finished, wait, steps = HEADER.unpack_from(data, offset)
     begin = offset + HEADER.size
     end = begin + 2 * steps
     rates = demand.decode_rates(data[begin:end])
     if not member or rates is None or len(data) < end:
-        raise MessageError("demand report")
+        raise MessageError("malformed or truncated demand report")
     load = ReportedDemand(rates, gain / GAIN_STEPS, float(finished), wait / WAIT_STEPS)
     return DemandReport(member, incarnation, version, load), end
--- a/cottonhold/fleet/admission/demand_sharing.py
+++ b/cottonhold/fleet/admission/demand_sharing.py
@@ -1,4 +1,4 @@
-"""One instance's part in admission: its demand, the others' reports, and the threshold from both. Pure."""
+"""Share the demand of instances and compute the admission threshold from it; does no I/O."""
 
 from __future__ import annotations
 
@@ -26,10 +26,18 @@
 
 @dataclass(slots=True, frozen=True)
 class DemandSettings:
-    """Times in ms. max_report_age_ms: older reports do not count. report_interval_ms: between two rounds
-    while there is capacity; busy_share: part of the capacity from which a round is sent each step.
-    gossip_from_members: with fewer members each report goes to all; from there on each round goes to
-    `gossip_fanout` of them and relays the newest received ones. threshold_ttl_ms: so long a threshold holds.
+    """Settings of the exchange of demand reports.
+
+    Attributes:
+        max_report_age_ms: Age above which reports are ignored, in ms.
+        report_interval_ms: Time between two rounds of reports while there is free capacity, in ms.
+        busy_share: Share of the capacity that is in demand above which a round is sent in each step.
+        gossip_from_members: Number of other members from which reports are spread by gossip. With fewer
+            members each report is sent to all of them.
+        gossip_fanout: Number of members to which each round of gossip is sent. Its messages also contain the
+            newest reports of others.
+        threshold_ttl_ms: Time for which a threshold is valid, in ms.
+        threshold: Settings of the computation of the threshold.
     """
 
     max_report_age_ms: float = 2000.0
@@ -42,7 +50,11 @@
 
 
 class DemandSharing:
-    """Feed it requests and what became of those admitted; call `step` ten times a second."""
+    """Measures this instance's demand, exchanges it with others and keeps the admission threshold.
+
+    Report requests by `on_request`, the admitted ones also by `on_admitted`, and received messages by
+    `on_message`. Call `step` ten times a second and send the messages that it returns.
+    """
 
     def __init__(
         self,
@@ -62,24 +74,37 @@
 
     @property
     def threshold(self) -> DensityThreshold | None:
-        """The threshold in force."""
+        """The current threshold; None while all requests are admitted."""
         return self.controller.threshold
 
     def on_request(self, now: float, utility: float, work_ms: float, is_retry: bool) -> None:
-        """A request has arrived. is_retry: its client says that it has sent it before.
+        """Add a request to the demand, unless its client marked it as a retry.
 
-        A retry is no new demand: counted again, rejections would raise the demand, and with it the threshold.
+        A retry is no new demand: if it were added again, rejections would raise the demand and thereby the
+        threshold.
         """
         if not is_retry:
             self.demand.add(now, demand.density_step(utility, work_ms), work_ms)
 
     def on_admitted(self, wait: float, has_expired: bool) -> None:
-        """An admitted request was sent after `wait`, a part of the time to its deadline, or never."""
+        """Record that an admitted request was sent or expired.
+
+        Args:
+            wait: Time until it was sent, as a fraction of the time from its arrival to its deadline.
+            has_expired: Whether its deadline passed before it was sent.
+        """
         self.controller.on_admitted(wait, has_expired)
 
     def on_message(self, now: float, data: bytes, sender: int = 0) -> bytes | None:
-        """A message of demand reports; returns one for its sender if that is behind its own reports. Raises
-        MessageError."""
+        """Merge the reports of a message.
+
+        Returns:
+            A message for the sender if this instance has a newer report by it than the one it sent, else
+            None. It makes the sender number its next report higher.
+
+        Raises:
+            MessageError: The message is malformed.
+        """
         reports = decode_demand_reports(data)
         for report in reports:
             self.reports.apply(now, report)
@@ -89,11 +114,16 @@
     def step(
         self, now: float, live: Iterable[int], capacity: float, owned_capacity: float = 0.0
     ) -> list[tuple[int, bytes]]:
-        """Compute the threshold, and return the messages that are due, as (member, message).
+        """Compute the threshold and return the messages that are due, as (member, message).
+
+        Cores owned by missing instances stay unused, and each of the others uses its owned cores only for its
+        own requests. So with owned capacity the computation includes only the instances that report.
 
-        capacity: cores open to all; owned_capacity: cores beside these that each instance may use. What
-        missing instances own stays idle, and what the others own is for what they are offered, so with owned
-        capacity only the instances that report count.
+        Args:
+            now: Current time, in ms.
+            live: Members that are alive.
+            capacity: Cores shared by all instances.
+            owned_capacity: Additional cores that each instance may use.
         """
         members = sorted(set(live) - {self.self_id})
         others = self.reported_loads(now, members)
@@ -110,18 +140,18 @@
         return self._round(now, members, own_demand)
 
     def offered_cores(self, now: float, members: Iterable[int]) -> dict[int, float]:
-        """Work offered to this instance and to those of these members that reported it lately, in cores."""
+        """Return the offered work, in cores, of this instance and of each member with a fresh report."""
         reports = self.reports.fresh(now, self.settings.max_report_age_ms, members)
         others = {r.member: sum(r.load.rates.values()) for r in reports if r.member != self.self_id}
         return {self.self_id: sum(self.demand.rates(now).values()), **others}
 
     def reported_loads(self, now: float, members: Iterable[int]) -> list[ReportedDemand]:
-        """What these members reported lately."""
+        """Return the demand in the fresh reports of these members."""
         reports = self.reports.fresh(now, self.settings.max_report_age_ms, members)
         return [report.load for report in reports]
 
     def _round(self, now: float, members: list[int], own_demand: ReportedDemand) -> list[tuple[int, bytes]]:
-        """This instance's report to the others, as (member, message)."""
+        """Return the messages with this instance's report, as (member, message)."""
         s = self.settings
         self.next_round = now + s.report_interval_ms * (0.8 + 0.4 * self.random.random())
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
@@ -135,8 +165,9 @@
 
 
 def admission_draw(request_id: bytes, is_retry: bool) -> float:
-    """A request's draw, 0 to 1, by a hash of its id: of equal requests some are admitted and some rejected.
+    """Return a request's draw, from 0 to 1, which decides between requests of the same density.
 
-    A retry draws last: a second attempt, here or elsewhere, gains nothing until the threshold falls.
+    It is a hash of the request's id, so it is the same at every instance. A retry gets the highest draw, so
+    that sending a request again, to any instance, is of no use until the threshold falls.
     """
     return 1.0 if is_retry else zlib.crc32(request_id) / 2**32
--- a/cottonhold/fleet/admission/threshold.py
+++ b/cottonhold/fleet/admission/threshold.py
@@ -1,7 +1,8 @@
-"""One admission threshold for all instances: requests of less utility a ms of work are rejected. Pure.
+"""Compute a common admission threshold for all instances; does no I/O.
 
-See docs/design/overload.md. Each instance computes the threshold from the same reports, so small differences
-of what it knows move only the admitted share of one step, which is drawn by a hash of the request.
+Requests with less utility for each ms of work than the threshold are rejected. Each instance computes the
+threshold from the same reports. Small differences in the received reports change only the admitted share of
+one step, within which a hash of the request decides. See docs/design/overload.md.
 """
 
 from __future__ import annotations
@@ -13,20 +14,25 @@
 from cottonhold.fleet.admission import demand
 from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 
-MAX_COUNTED_REQUESTS = 200.0  # of one instance, when waits are averaged over all
-GAIN_RESET_S = 5.0  # so quickly the gain returns to one without a threshold
-MIN_REQUESTS = 1e-9  # keeps a mean of nothing from dividing by nothing
+MAX_COUNTED_REQUESTS = 200.0  # maximum weight of one instance in the mean wait of all, in requests
+GAIN_RESET_S = 5.0  # time constant with which the gain returns to 1 while there is no threshold, in s
+MIN_REQUESTS = 1e-9  # avoids a division by zero in the mean of no requests
 
 
 @dataclass(slots=True, frozen=True)
 class DensityThreshold:
-    """Requests above `step` are admitted, those below rejected; of its own `admitted_share` are admitted."""
+    """An admission threshold.
+
+    Attributes:
+        step: Density step of the threshold. Requests above it are admitted, those below it rejected.
+        admitted_share: Share of the requests in the step itself that is admitted, from 0 to 1.
+    """
 
     step: int
     admitted_share: float
 
     def admits(self, step: int, draw: float) -> bool:
-        """Whether a request is admitted. draw: 0 to 1, see admission_draw."""
+        """Return whether a request is admitted; `draw` is its result of `admission_draw`, from 0 to 1."""
         if step != self.step:
             return step > self.step
         return draw < self.admitted_share
@@ -34,14 +40,25 @@
 
 @dataclass(slots=True, frozen=True)
 class ThresholdSettings:
-    """usable_capacity_share: part of the engines' cores that a threshold fills, at a gain of one; full ones
-    have queues without end. begin_ratio, end_ratio: demand over that at which a threshold begins and ends.
-    max_claim_share: part of the capacity that one instance's demand counts for at most. target_wait: the mean
-    wait aimed at, as a part of the time to the deadline; a request whose time ran out counts as a whole one.
-    prior_requests: so many are taken to have ended besides, with just that wait. wait_correction: part of the
-    capacity, for each whole wait beyond the target. gain_rate: of the same a second, for the gain. min_gain,
-    max_gain: bounds of the gain, and of what waits change at once. quorum_share: part of all instances whose
-    reports it takes.
+    """Settings of the admission threshold.
+
+    Waits are fractions of the time from a request's arrival to its deadline. An expired request has a wait
+    of 1.
+
+    Attributes:
+        usable_capacity_share: Share of the engines' cores for which requests are admitted at a gain of 1. It
+            is below 1 because queues of fully used engines grow without limit.
+        begin_ratio: Ratio of demand to usable capacity above which a threshold begins.
+        end_ratio: Ratio of demand to usable capacity at which a threshold ends.
+        max_claim_share: Maximum demand of one instance that is counted, as a share of the capacity.
+        target_wait: Mean wait to aim for.
+        wait_correction: Reduction of the usable capacity for each unit of the mean wait above the target, as
+            a fraction of the capacity.
+        prior_requests: Number of hypothetical requests with the target wait that are added to the mean wait.
+        gain_rate: Decrease of the gain per second for each unit of the mean wait above the target.
+        min_gain: Lower bound of the gain and of the correction by waits.
+        max_gain: Upper bound of the gain and of the correction by waits.
+        quorum_share: The threshold is computed only with reports of more than this share of the instances.
     """
 
     usable_capacity_share: float = 0.97
@@ -59,8 +76,14 @@
 
 @dataclass(slots=True)
 class ReportedDemand:
-    """One instance's load: its demand by step in cores, its gain, how many requests that it admitted were
-    sent or ran out of time lately, and their mean wait as a part of the time to their deadline."""
+    """One instance's demand and the waits of its admitted requests.
+
+    Attributes:
+        rates: Offered work by density step, in cores.
+        gain: The instance's factor on the usable capacity.
+        finished_requests: Number of admitted requests that were recently sent or expired.
+        mean_wait: Mean wait of these requests, as a fraction of the time from arrival to deadline.
+    """
 
     rates: Mapping[int, float]
     gain: float = 1.0
@@ -69,7 +92,10 @@
 
 
 def threshold_for(rates: Mapping[int, float], capacity: float) -> DensityThreshold | None:
-    """Where the demand, densest first, exceeds the capacity; None if it never does. Both in cores."""
+    """Return the threshold that admits the densest demand up to the capacity, both in cores.
+
+    Returns None if the capacity is sufficient for the whole demand.
+    """
     remaining = capacity
     for step in sorted(rates, reverse=True):
         if rates[step] > remaining:
@@ -79,10 +105,12 @@
 
 
 class ThresholdController:
-    """One instance's threshold. Feed it what became of admitted requests; `step` it with others' reports.
+    """Controls the threshold of one instance.
 
-    The capacity is corrected by what admitted requests had to wait: at once by the wait itself, and slowly by
-    a gain, since a gain alone, a sum of waits that are themselves sums of excess load, would oscillate.
+    Report admitted requests by `on_admitted`, and call `step` regularly with the reports of the others. The
+    waits of admitted requests correct the capacity in two ways: immediately by the mean wait, and slowly by a
+    gain that integrates it. The gain alone would oscillate, because waits are themselves an integral of the
+    excess load.
     """
 
     def __init__(self, now: float, settings: ThresholdSettings | None = None) -> None:
@@ -90,15 +118,15 @@
         self.threshold: DensityThreshold | None = None
         self.gain = 1.0
         self.admitted_requests, self.waits = 0.0, 0.0
-        self.wait_error = 0.0  # mean wait beyond the target
+        self.wait_error = 0.0  # mean wait minus the target
 
     def on_admitted(self, wait: float, has_expired: bool) -> None:
-        """An admitted request was sent after `wait`, a part of the time to its deadline, or never."""
+        """Record that an admitted request was sent or expired; see `DemandSharing.on_admitted`."""
         self.admitted_requests += 1
         self.waits += 1.0 if has_expired else min(wait, 1.0)
 
     def report(self, rates: Mapping[int, float]) -> ReportedDemand:
-        """What to report to the others."""
+        """Return the report for the other instances; `rates` is the offered work by step, in cores."""
         mean_wait = self.waits / max(self.admitted_requests, MIN_REQUESTS)
         return ReportedDemand(rates, self.gain, self.admitted_requests, mean_wait)
 
@@ -110,10 +138,18 @@
         live_count: int,
         capacity: float,
     ) -> DensityThreshold | None:
-        """The threshold from now on. alive: instances with this one; capacity: cores of the engines in use.
-
-        None without the reports of a quorum: by those of a few, it would reject what the fleet can serve.
-        Within the hysteresis the threshold is one that rejects nothing, and the gain goes on.
+        """Compute, store and return the threshold.
+
+        There is none without reports of a quorum, because with only a few reports it would reject requests
+        that the fleet can serve. Between `end_ratio` and full use of the capacity the threshold continues
+        but rejects nothing, so that the gain is still adapted.
+
+        Args:
+            now: Current time, in ms.
+            own_demand: Report of this instance.
+            others: Reports of the other instances.
+            live_count: Number of live instances, including this one.
+            capacity: Cores of the engines in use.
         """
         s, reports = self.settings, [own_demand, *others]
         self._adapt(now, reports)
@@ -134,19 +170,24 @@
     def _fleet_demand(
         self, reports: Sequence[ReportedDemand], live_count: int, capacity: float
     ) -> dict[int, float]:
-        """Demand of all instances by step, in cores; those that do not report count as the mean."""
+        """Return the demand of all instances by step, in cores.
+
+        Instances without a report are assumed to have the mean demand.
+        """
         max_cores = self.settings.max_claim_share * capacity if len(reports) > 2 else math.inf
         rates = demand.merge_rates([report.rates for report in reports], max_cores)
         unheard_factor = live_count / len(reports)
         return {step: cores * unheard_factor for step, cores in rates.items()}
 
     def _adapt(self, now: float, reports: Sequence[ReportedDemand]) -> None:
-        """Let the gain follow the waits of admitted requests at all instances.
-
-        By those of all, since one that few clients use waits for nothing and its gain would run off. With
-        prior requests that waited as aimed at, since an instance that has just started has a few that were
-        sent at once, and would admit what the others reject. Without a threshold the gain returns to one:
-        kept, it would misjudge the next overload.
+        """Adapt the gain to the waits of admitted requests at all instances.
+
+        - The waits of all instances are used, because requests of an instance with few clients do not wait
+          and its gain would drift away.
+        - The mean includes hypothetical requests with the target wait. Otherwise an instance that has just
+          started, with a few requests that were sent immediately, would admit what others reject.
+        - Without a threshold the gain returns to 1, because the present value would be wrong for the next
+          overload.
         """
         s, passed_s = self.settings, min((now - self.updated_at) / 1000, 1.0)
         self.updated_at = now
--- a/cottonhold/fleet/request_forwarding/__init__.py
+++ b/cottonhold/fleet/request_forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Requests forwarded to the dispatcher that owns their key, and the answer back. Pure."""
+"""Forwarding of requests to the dispatcher that owns their key, and of the answers; does no I/O."""
--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -1,10 +1,10 @@
-"""Forwarding a client's request to the member that owns its key, and the one answer back. Pure.
+"""Forward clients' requests to the member that owns their key, and return the answers; does no I/O.
 
-Each dispatcher has one `RequestForwarder`. As origin it sends a request to one owner (origin.py), as owner
-it accepts it once and in time (owner.py). Messages (messages.py) may be lost, repeated, reordered, late, or
-from an incarnation that is over; bodies are sent in fragments (fragmentation.py). The adapter carries out
-the actions: `RequestAccepted` goes to the gateway, which reports the result by `on_request_ended`;
-`ForwardingEnded` is for the client.
+Each dispatcher has one `RequestForwarder`. As origin it sends each request to one owner (origin.py); as owner
+it accepts each request at most once and in time (owner.py). Messages (messages.py) may be lost, repeated,
+reordered or delayed, or come from an incarnation that has ended. Bodies are sent in fragments
+(fragmentation.py). The adapter carries out the actions: it passes `RequestAccepted` to the gateway, which
+reports the result by `on_request_ended`, and `ForwardingEnded` to the client.
 """
 
 from __future__ import annotations
@@ -49,16 +49,23 @@
 
 
 class RequestForwarder:
-    """One member's side of request forwarding.
+    """Forwards requests to other members and receives theirs.
 
-    incarnation: another one for each start of the process; its lower 32 bits count and are not 0. seed: of
-    the random part of retry times. Times are in ms of any clock that never goes back. Raises ValueError for
-    an unusable incarnation.
+    Times are in ms of a monotonic clock.
+
+    Args:
+        member: Id of this member.
+        incarnation: A different number for each start of the process. Only the lower 32 bits are used.
+        settings: Times and limits.
+        seed: Seed of the random part of retry intervals.
+
+    Raises:
+        ValueError: The lower 32 bits of the incarnation are 0.
     """
 
     def __init__(self, member: int, incarnation: int, settings: ForwardingSettings, seed: int) -> None:
         if not incarnation & U32:
-            raise ValueError("an incarnation whose lower 32 bits are 0")
+            raise ValueError("the lower 32 bits of the incarnation are 0")
         self.incarnation = incarnation & U32
         self.counts: Counter[str] = Counter()
         self.actions: list[Action] = []
@@ -70,14 +77,23 @@
     ) -> list[Action]:
         """Forward a client's request to the owner of its key; a ForwardingEnded follows before the deadline.
 
-        Requests with the same queue_key are accepted in the order in which they are forwarded. Raises
-        ValueError for an id in use, or if this member is the owner.
+        Args:
+            now: Current time, in ms.
+            request_id: Id of the request, unique among the open ones.
+            owner: Member that owns the key.
+            body: The encoded request.
+            deadline: Time at which the client stops waiting, in ms.
+            queue_key: Requests to one owner with the same key are accepted in the order of these calls; empty
+                if the order does not matter.
+
+        Raises:
+            ValueError: The id is in use, or this member is the owner.
         """
         self.origin.forward(now, request_id, owner, body, deadline, queue_key)
         return self._take_actions()
 
     def abandon(self, now: float, request_id: str) -> list[Action]:
-        """The client of a request left: there is no ForwardingEnded for it; its owner is informed."""
+        """Drop a request whose client disconnected and inform its owner; no ForwardingEnded follows."""
         self.origin.abandon(now, request_id)
         return self._take_actions()
 
@@ -90,16 +106,16 @@
         retry_after_ms: float = 0.0,
         data: bytes = b"",
     ) -> list[Action]:
-        """The gateway's result of a request from a RequestAccepted.
+        """Send the gateway's result of a request from a RequestAccepted to its origin.
 
-        REJECTED, NOT_OWNER and NOT_ACCEPTED promise that nothing ran. Data of more than MAX_BODY_BYTES, or
-        beyond max_answer_bytes for one origin, cannot be sent: the result is FAILED then.
+        REJECTED, NOT_OWNER and NOT_ACCEPTED guarantee that nothing ran. If the data exceeds MAX_BODY_BYTES,
+        or with the other unacknowledged answers to the origin max_answer_bytes, the result becomes FAILED.
         """
         self.owner.on_request_ended(now, origin, number, result, retry_after_ms, data)
         return self._take_actions()
 
     def on_message(self, now: float, sender: int, payload: bytes) -> list[Action]:
-        """Apply a message (first byte 79); a malformed one is counted and changes nothing."""
+        """Handle a message of kind REQUEST_FORWARDING; a malformed one is counted and changes nothing."""
         self.origin.expire(now)
         try:
             self._dispatch(now, sender, payload)
@@ -109,7 +125,7 @@
         return self._take_actions()
 
     def step(self, now: float) -> list[Action]:
-        """Do what is due; call at `next_at` at the latest."""
+        """Send and expire what is due; to be called no later than at `next_at`."""
         self.origin.step(now)
         self.owner.step(now)
         return self._take_actions()
@@ -119,7 +135,7 @@
         return min(self.origin.next_at(), self.owner.next_at(), math.inf)
 
     def status(self) -> dict[str, int]:
-        """Return what is open now, and the counts of events, by the names of the local socket."""
+        """Return numbers of open requests and counts of events, by their names in the local socket."""
         origins = self.owner.origins.values()
         incarnations = [incarnation for origin in origins for incarnation in origin.incarnations.values()]
         return {
--- a/cottonhold/fleet/request_forwarding/incoming.py
+++ b/cottonhold/fleet/request_forwarding/incoming.py
@@ -1,4 +1,4 @@
-"""What an owner remembers of requests that are forwarded to it, and of their origins. Pure."""
+"""State that an owner keeps of the requests forwarded to it and of their origins; does no I/O."""
 
 from __future__ import annotations
 
@@ -13,15 +13,22 @@
 
 @dataclass(slots=True, eq=False)
 class IncomingRequest:
-    """A request that is being received (`reassembly`), runs, or has an answer to be sent (`answer_body`).
+    """A request that is being received, is running, or has an answer that is being sent.
 
-    earliest_deadline: its deadline is not before it; latest_deadline: nor after it (own clock).
+    Attributes:
+        number: Number of the request.
+        reassembly: Received fragments; None once the request is accepted.
+        earliest_deadline: Proven lower bound of the deadline on this clock, in ms.
+        latest_deadline: Proven upper bound of the deadline on this clock, in ms.
+        is_abandoned: Whether no client waits for the request.
+        outcome: Result and retry delay in ms; None until the request has ended.
+        answer_body: Answer that is being sent; None until the request has ended.
     """
 
     number: int
     reassembly: Reassembly | None
-    earliest_deadline: float = -math.inf  # proven: its time is not over before
-    latest_deadline: float = -math.inf  # proven: its time is over by then
+    earliest_deadline: float = -math.inf
+    latest_deadline: float = -math.inf
     is_abandoned: bool = False
     outcome: tuple[ForwardResult, float] | None = None
     answer_body: FragmentedBody | None = None
@@ -29,9 +36,14 @@
 
 @dataclass(slots=True, eq=False)
 class OriginIncarnation:
-    """One incarnation of an origin. Requests below lowest_open_count are never accepted again.
+    """The requests of one incarnation of an origin.
 
-    was_accepted: for other requests that have ended, by count.
+    Attributes:
+        number: The incarnation.
+        lowest_open_count: Lowest count of a request that may still be accepted.
+        latest_deadline: Upper bound of the deadlines of all requests, in ms of this clock.
+        requests: Requests that have not ended, by count.
+        was_accepted: Whether an ended request was accepted, by count.
     """
 
     number: int
@@ -43,7 +55,7 @@
 
 @dataclass(slots=True, eq=False)
 class Origin:
-    """One origin: its incarnations, the memory that it uses, and the answers sent to it."""
+    """An origin: its incarnations, the memory that it uses, and the window of answers sent to it."""
 
     id: int
     window: SendWindow
--- a/cottonhold/fleet/request_forwarding/interface.py
+++ b/cottonhold/fleet/request_forwarding/interface.py
@@ -1,4 +1,4 @@
-"""Settings of request forwarding, and the actions that it returns to its adapter. Pure."""
+"""Settings of request forwarding and the actions that it returns to its adapter; does no I/O."""
 
 from __future__ import annotations
 
@@ -13,18 +13,32 @@
 class ForwardingSettings:
     """Times and limits of request forwarding.
 
-    retry_interval_ms: an unacknowledged fragment is sent again, less often up to max_retry_interval_ms.
-    max_timestamp_age_ms: an owner's timestamp is used no longer. liveness_interval_ms: a silent owner is
-    queried so often for its incarnation. withdraw_reserve_ms: so long before its deadline a request that was
-    not accepted is withdrawn. answer_reserve_ms: so long before it the client gets a result. max_timeout_ms:
-    a request's timeout is cut to it. max_clock_drift: relative error of a clock's rate. clock_margin_ms: by
-    which an owner shortens the remaining time. min_remaining_ms: with less, an owner accepts nothing.
-    retry_after_ms: for a client whose request cannot be forwarded.
-
-    max_open_requests is for this origin. All other limits are for one other member, so that a member that
-    sends false messages uses up no more than its own share: max_receiving_bytes (of incomplete requests),
-    max_answer_bytes (of unacknowledged answers), max_remembered_requests (whose state must not be forgotten),
-    max_origin_incarnations; and max_origins is the number of such members.
+    The limits of an owner apply to each origin separately, so that a member that sends invalid messages can
+    use up only its own share.
+
+    Attributes:
+        max_fragments_in_flight: Maximum number of fragments in flight to one member.
+        retry_interval_ms: Time after which an unacknowledged fragment is first sent again, in ms; it doubles
+            with each retry.
+        max_retry_interval_ms: Upper limit of the time between two retries, in ms.
+        max_timestamp_age_ms: Maximum age of an owner's timestamp for further use, in ms.
+        liveness_interval_ms: Time without a message from an owner after which its incarnation is queried, in
+            ms; also the time between two sweeps of expired requests.
+        withdraw_reserve_ms: Time before its deadline at which a request that was not accepted is withdrawn,
+            in ms.
+        answer_reserve_ms: Time before the deadline at which the client gets a result at the latest, in ms.
+        max_timeout_ms: Maximum time until a request's deadline, in ms; longer ones are reduced to it.
+        max_clock_drift: Maximum relative error of the rate of a member's clock.
+        clock_margin_ms: Time by which an owner shortens the remaining time of a request, in ms.
+        min_remaining_ms: Remaining time above which an owner accepts a request, in ms.
+        retry_after_ms: Delay for clients that are rejected because of max_open_requests, in ms.
+        max_open_requests: Maximum number of open requests of an origin, to all owners.
+        max_receiving_bytes: Maximum size of the incompletely received requests of one origin.
+        max_answer_bytes: Maximum size of the unacknowledged answers to one origin.
+        max_remembered_requests: Maximum number of requests for each incarnation of an origin, including
+            ended ones of which the owner stores whether they were accepted.
+        max_origin_incarnations: Maximum number of incarnations of one origin.
+        max_origins: Maximum number of origins.
     """
 
     max_fragments_in_flight: int = 64
@@ -47,13 +61,13 @@
     max_origins: int = 64
 
     def send_window(self) -> SendWindow:
-        """An empty window of fragments to one member."""
+        """Return an empty send window for one member."""
         return SendWindow(self.max_fragments_in_flight, self.retry_interval_ms, self.max_retry_interval_ms)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestAccepted:
-    """At the owner: its gateway gets this request; the origin waits for at least remaining_ms."""
+    """At the owner: pass the request to the gateway; the origin waits for at least remaining_ms."""
 
     origin: int
     number: int
@@ -63,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAbandoned:
-    """At the owner: no client waits any more for an accepted request."""
+    """At the owner: cancel an accepted request, because no client waits for it."""
 
     origin: int
     number: int
@@ -71,7 +85,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ForwardingEnded:
-    """At the origin: the result for the client; retry_after_ms for REJECTED."""
+    """At the origin: return the result to the client.
+
+    Attributes:
+        request_id: Id of the request.
+        result: How the forwarding ended.
+        retry_after_ms: Delay after which the client may retry if the result is REJECTED, in ms.
+        data: The owner's answer.
+    """
 
     request_id: str
     result: ForwardResult
@@ -79,7 +100,7 @@
     data: bytes = b""
 
 
-# How results are called in counters and in the local socket's status.
+# Names of the results in counters and in the status of the local socket.
 RESULT_NAMES = {
     ForwardResult.ANSWERED: "served",
     ForwardResult.REJECTED: "refused",
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -1,17 +1,16 @@
-"""The origin's side of request forwarding: each request goes to one owner, and its client gets one result.
-Pure.
+"""Origin side of request forwarding: send each request to one owner and return one result; does no I/O.
 
-    QUEUED ----> SENDING ------> ACCEPTED ----> ended by the answer, or FAILED when its time is over
+    QUEUED ----> SENDING ------> ACCEPTED ----> the owner's answer, or FAILED at the deadline
      (queue of     |                ^
      its key)      v                |
-               WITHDRAWING ---------+------> NOT_ACCEPTED once the owner says that it never accepts it,
-     (unless accepted)                       FAILED when its time is over
-
-Nothing is sent before the owner's incarnation is known. Each fragment names that incarnation, so a restarted
-owner accepts nothing that was meant for the one before. NOT_ACCEPTED is reported only if the owner cannot
-have all fragments (one was never sent) or says itself that it accepts the request no more. ABANDONED: the
-client has its result, or left; the owner is still informed, and the queue of the request's key waits until
-that is answered or the time is over.
+               WITHDRAWING ---------+------> NOT_ACCEPTED if the owner confirms that it will not accept it,
+     (if not accepted in time)               FAILED at the deadline
+
+Nothing is sent before the owner's incarnation is known. Each fragment contains that incarnation, so that a
+restarted owner accepts nothing that was sent to an earlier process. NOT_ACCEPTED is reported only if a
+fragment was never sent or if the owner confirms that it will not accept the request. In the phase ABANDONED
+the client has a result or disconnected, and the owner is being informed; the next request in the queue of the
+key waits until the owner confirms that or the deadline passes.
 """
 
 from __future__ import annotations
@@ -57,7 +56,7 @@
 
 
 class RequestOrigin:
-    """Requests that this member forwards to others. Actions are appended to `actions`, events are counted."""
+    """Forwards requests to other members; appends to `actions` and counts events in `counts`."""
 
     def __init__(
         self,
@@ -82,7 +81,7 @@
     def forward(
         self, now: float, request_id: str, owner_id: int, body: bytes, deadline: float, queue_key: bytes
     ) -> None:
-        """Forward a client's request. Raises ValueError for an id in use, or if this member is the owner."""
+        """Forward a client's request, see `RequestForwarder.forward`."""
         if request_id in self.requests_by_id or owner_id == self.member:
             raise ValueError(request_id)
         deadline = min(deadline, now + self.settings.max_timeout_ms)
@@ -106,7 +105,7 @@
         self._send_pending(now, owner)
 
     def _rejection(self, now: float, request_id: str, body: bytes, deadline: float) -> ForwardingEnded | None:
-        """Why a request can't be forwarded; None if it can."""
+        """Return the result of a request that cannot be forwarded; None if it can."""
         settings = self.settings
         if len(body) > MAX_BODY_BYTES:
             return ForwardingEnded(request_id, ForwardResult.TOO_LARGE)
@@ -118,14 +117,14 @@
         return None
 
     def _owner(self, owner_id: int) -> KnownOwner:
-        """An owner as it is known, or a new one."""
+        """Return the state kept for an owner, creating it if necessary."""
         owner = self.owners.get(owner_id)
         if owner is None:
             owner = self.owners[owner_id] = KnownOwner(owner_id, self.settings.send_window())
         return owner
 
     def abandon(self, now: float, request_id: str) -> None:
-        """The client left: there is no result for it."""
+        """Drop a request whose client disconnected; it gets no result."""
         request = self.requests_by_id.pop(request_id, None)
         if request is None:
             return
@@ -138,9 +137,9 @@
         self._send_pending(now, owner)
 
     def on_incarnation_reply(self, now: float, sender: int, reply: IncarnationReply) -> None:
-        """Apply an owner's incarnation. Raises MessageError."""
+        """Record an owner's incarnation and timestamp."""
         owner = self.owners.get(sender)
-        # A late reply to an earlier query may name an incarnation that is over already.
+        # A delayed reply to an earlier query may contain an incarnation that has already ended.
         if owner is None or reply.believed_incarnation != owner.incarnation:
             self.counts["stray"] += 1
             return
@@ -152,7 +151,7 @@
         self._send_pending(now, owner)
 
     def on_request_ack(self, now: float, sender: int, ack: RequestAck) -> None:
-        """Apply the state of a request at its owner. Raises MessageError."""
+        """Apply the state of a request at its owner. Raises MessageError if it is impossible."""
         owner, request = self._find(sender, ack.number)
         if owner is None or ack.owner_incarnation != owner.incarnation:
             return
@@ -161,7 +160,7 @@
             self._send_pending(now, owner)
             return
         if ack.state is RequestState.ACCEPTED and not request.body.is_fully_sent:
-            raise MessageError("taken before it was sent")
+            raise MessageError("request accepted before all fragments were sent")
         if request.phase is SendPhase.SENDING:
             owner.window.on_ack(ack.number, ack.received_bits)
         self._apply_timestamp(now, owner, ack.timestamp)
@@ -178,20 +177,20 @@
         self._send_pending(now, owner)
 
     def on_answer_fragment(self, now: float, sender: int, fragment: AnswerFragment) -> None:
-        """Apply a fragment of an answer. Raises MessageError."""
+        """Add a fragment of an answer. Raises MessageError if it cannot belong to the request."""
         owner, request = self._find(sender, fragment.number)
         if request is None or owner is None or request.is_ended:
             self._send_message(sender, AnswerAck(fragment.number, True))
             return
         if fragment.owner_incarnation != request.owner_incarnation or not request.body.is_fully_sent:
-            raise MessageError("answer to what was not asked")
+            raise MessageError("answer to a request that was not fully sent to this incarnation")
         if request.answer is None:
             request.answer, request.outcome = (
                 Reassembly(fragment.body_bytes, ANSWER_FRAGMENT_BYTES),
                 (fragment.result, fragment.retry_after_ms),
             )
         if request.outcome != (fragment.result, fragment.retry_after_ms):
-            raise MessageError("two ends")
+            raise MessageError("fragments of an answer have different results")
         is_complete = request.answer.add(fragment.body_bytes, fragment.index, fragment.data)
         if request.phase is not SendPhase.ACCEPTED:
             self._on_accepted(owner, request)
@@ -202,15 +201,13 @@
         self._send_pending(now, owner)
 
     def step(self, now: float) -> None:
-        """Do what is due."""
+        """Send and expire what is due."""
         self.expire(now)
         for owner in self.owners.values():
             self._send_pending(now, owner)
 
     def expire(self, now: float) -> None:
-        """Do what is due for single requests; called before a message is read, since a late answer must not
-        count.
-        """
+        """Run the due timers of requests; called before each message, so that late answers are ignored."""
         changed: set[int] = set()
         while self.action_timers and self.action_timers[0][0] <= now:
             action_at, owner_id, number = heapq.heappop(self.action_timers)
@@ -219,8 +216,8 @@
             if request is not None and request.next_action_at == action_at:
                 self._on_timer(now, owner, request)
                 changed.add(owner_id)
-        # Sent only after all that is overdue was handled: each withdrawn request would let the next overdue
-        # one be sent to a failed owner, and then it could not go elsewhere any more.
+        # Sending is postponed until all due timers have run. Otherwise each withdrawal would let the next
+        # overdue request be sent to a failed owner, after which it could not be sent elsewhere.
         for owner_id in changed:
             self._send_pending(now, self.owners[owner_id])
 
@@ -236,18 +233,18 @@
         return min(times, default=math.inf)
 
     def _apply_timestamp(self, now: float, owner: KnownOwner, timestamp: int) -> None:
-        """Keep a timestamp of the owner's present incarnation if it is the newest."""
+        """Record a timestamp of the owner's current incarnation if it is the newest."""
         if timestamp > owner.timestamp:
             owner.timestamp, owner.timestamp_received_at, owner.is_timestamp_fresh = timestamp, now, True
             owner.next_query_at, owner.query_count = now + self.settings.liveness_interval_ms, 0
 
     def _find(self, sender: int, number: int) -> tuple[KnownOwner | None, OutgoingRequest | None]:
-        """Find a request of this incarnation by its number. Raises MessageError if there never was one."""
+        """Return an owner and its open request. Raises MessageError if the number was never used."""
         owner = self.owners.get(sender)
         if number >> 32 != self.incarnation:
             return owner, None
         if owner is None or not 0 < number & U32 <= owner.request_count:
-            raise MessageError("number")
+            raise MessageError("unknown request number")
         return owner, owner.open_requests.get(number)
 
     def _schedule(self, request: OutgoingRequest, action_at: float) -> None:
@@ -255,7 +252,7 @@
         heapq.heappush(self.action_timers, ActionTimer(action_at, request.owner, request.number))
 
     def _enqueue(self, owner: KnownOwner, request: OutgoingRequest) -> None:
-        """Send a request once all before it in its queue are known to be accepted or over."""
+        """Start sending a request, or queue it until all earlier ones of its key are accepted or ended."""
         if request.queue_key:
             queue = owner.queues.setdefault(request.queue_key, deque())
             queue.append(request)
@@ -268,7 +265,7 @@
         owner.window.add(request.body)
 
     def _dequeue(self, owner: KnownOwner, request: OutgoingRequest) -> None:
-        """Remove a request from its queue, and send the next one."""
+        """Remove a request from its queue and start sending the next one."""
         queue = owner.queues.get(request.queue_key)
         if not request.queue_key or queue is None or request not in queue:
             return
@@ -280,14 +277,14 @@
             self._start_sending(owner, queue[0])
 
     def _on_accepted(self, owner: KnownOwner, request: OutgoingRequest) -> None:
-        """The owner has accepted the request."""
+        """Stop sending a request that the owner has accepted."""
         request.phase = SendPhase.ACCEPTED
         owner.window.on_fully_received(request.number)
         self._schedule(request, request.deadline - self.settings.answer_reserve_ms)
         self._dequeue(owner, request)
 
     def _on_owner_restarted(self, owner: KnownOwner, previous_incarnation: int) -> None:
-        """The incarnation to which fragments were sent is over, with all that it knew."""
+        """Fail the requests that were fully sent to an owner's previous process; resend the others."""
         self.counts["restarts"] += 1
         for request in list(owner.open_requests.values()):
             if request.owner_incarnation != previous_incarnation:
@@ -302,7 +299,7 @@
                 owner.window.add(request.body)
 
     def _on_timer(self, now: float, owner: KnownOwner, request: OutgoingRequest) -> None:
-        """Withdraw the request, give its client a result, or forget it."""
+        """Withdraw the request, report its result to the client, or drop it, depending on its phase."""
         settings = self.settings
         answer_deadline = request.deadline - settings.answer_reserve_ms
         if request.phase is SendPhase.ABANDONED and now >= request.deadline:
@@ -322,13 +319,13 @@
             self._send_withdraw(now, owner, request, answer_deadline)
 
     def _cancel(self, now: float, owner: KnownOwner, request: OutgoingRequest) -> None:
-        """No client waits for the request; its owner is to know that."""
+        """Inform the owner that no client waits for the request."""
         request.phase, request.withdraw_count = SendPhase.ABANDONED, 0
         owner.window.remove(request.number)
         self._send_withdraw(now, owner, request, request.deadline)
 
     def _send_withdraw(self, now: float, owner: KnownOwner, request: OutgoingRequest, latest: float) -> None:
-        """Withdraw the request, and again later."""
+        """Send a withdrawal, and schedule the next one no later than at `latest`."""
         is_abandoned = request.phase is SendPhase.ABANDONED
         self._send_message(owner.id, WithdrawRequest(self._header(now, owner, request), is_abandoned))
         backoff_ms = self._backoff_ms(request.withdraw_count)
@@ -336,7 +333,7 @@
         self._schedule(request, min(now + backoff_ms, latest))
 
     def _backoff_ms(self, send_count: int) -> float:
-        """Return the time until a message that was sent so often is sent again."""
+        """Return the time until a message that was already sent `send_count` times is sent again."""
         backoff_ms: float = self.settings.retry_interval_ms * 2**send_count
         backoff_ms = min(backoff_ms, self.settings.max_retry_interval_ms)
         return backoff_ms * self.random_source.uniform(0.9, 1.0)
@@ -344,7 +341,7 @@
     def _end(
         self, request: OutgoingRequest, result: ForwardResult, retry_after_ms: float = 0.0, data: bytes = b""
     ) -> None:
-        """Give the client its one result."""
+        """Report the result to the client unless it already has one."""
         if not request.is_ended:
             request.is_ended = True
             self.requests_by_id.pop(request.request_id, None)
@@ -352,7 +349,7 @@
             self.actions.append(ForwardingEnded(request.request_id, result, retry_after_ms, data))
 
     def _close(self, owner: KnownOwner, request: OutgoingRequest) -> None:
-        """Nothing is to be done about the request any more."""
+        """Drop a request that needs no further messages."""
         if owner.open_requests.pop(request.number, None) is not None:
             self.open_count -= 1
         owner.window.remove(request.number)
@@ -374,7 +371,7 @@
         )
 
     def _send_pending(self, now: float, owner: KnownOwner) -> None:
-        """Send fragments as far as the window allows; query an owner whose incarnation is not known."""
+        """Send fragments that fit into the window; query the incarnation of an owner that is silent."""
         if not owner.open_requests:
             return
         if now - owner.timestamp_received_at > self.settings.max_timestamp_age_ms:
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -1,14 +1,15 @@
-"""The owner's side of request forwarding: accepts each request once and in time, and answers it. Pure.
-
-Time. Each message of an origin returns the newest timestamp that it had from this owner, for how long it had
-held it, and how much time is left to the request. Whatever the network delays were, the request's deadline on
-this owner's clock is then not before timestamp + age + remaining time, less a part for clock drift. That is a
-proof, so the latest of several such bounds counts, and a message that was delayed for long, or waited here
-while this process was paused, gets nothing accepted.
-
-Memory. Whether a request was accepted is remembered until the origin's lowest open count has passed its
-count, or until its deadline is certainly over (arrival + remaining time). After that no message can prove
-any remaining time, so forgetting is safe. What exceeds a limit is not acknowledged and is sent again.
+"""Owner side of request forwarding: accept each request once and in time, and answer it; does no I/O.
+
+Time: each message of an origin contains the newest timestamp that the origin received from this owner, the
+time since then, and the remaining time of the request. Regardless of network delays, the request's deadline
+on this owner's clock is not before timestamp + age + remaining time, minus an allowance for clock drift. Of
+several such lower bounds the highest one is used. No request is accepted by a message that was delayed for
+too long, in the network or while this process was paused, because its lower bound has passed.
+
+Memory: the owner stores whether a request was accepted until the origin's lowest open count is above the
+request's count, or until its deadline has certainly passed (arrival + remaining time). After that no message
+can prove any remaining time, so the entry can be deleted safely. Messages that would exceed a memory limit
+are not acknowledged, and the origin sends them again.
 """
 
 from __future__ import annotations
@@ -45,11 +46,11 @@
     encode,
 )
 
-TIMESTAMPS_PER_MS = 1000.0
+TIMESTAMPS_PER_MS = 1000.0  # timestamps are in microseconds
 
 
 class RequestOwner:
-    """Requests that other members forward to this one. Appends to `actions` and counts events."""
+    """Receives requests from other members; appends to `actions` and counts events in `counts`."""
 
     def __init__(
         self, incarnation: int, settings: ForwardingSettings, counts: Counter[str], actions: list[Action]
@@ -62,13 +63,13 @@
         self.next_sweep_at = math.inf
 
     def on_incarnation_query(self, now: float, sender: int, believed_incarnation: int) -> None:
-        """An origin queries this owner's incarnation and a timestamp."""
+        """Reply to an origin with this owner's incarnation and a timestamp."""
         self._send_message(
             sender, IncarnationReply(believed_incarnation, self.incarnation, self._timestamp(now))
         )
 
     def on_request_fragment(self, now: float, sender: int, fragment: RequestFragment) -> None:
-        """Apply a fragment of a request. Raises MessageError."""
+        """Add a fragment of a request. Raises MessageError if it contradicts itself or an earlier one."""
         deadline = self._earliest_deadline(now, fragment.header)
         count = fragment.header.number & U32
         if fragment.header.owner_incarnation != self.incarnation:
@@ -85,7 +86,7 @@
             return self._send_ack(now, origin, incarnation, fragment.header.number)
         if request is None:
             if deadline <= now:
-                # With a newer timestamp the origin can prove more remaining time.
+                # With a newer timestamp the origin may be able to prove remaining time.
                 return self.on_incarnation_query(now, sender, self.incarnation)
             request = self._begin_request(origin, incarnation, fragment)
         if request is None or request.reassembly is None:
@@ -98,7 +99,7 @@
         return self._send_ack(now, origin, incarnation, fragment.header.number)
 
     def on_withdraw(self, now: float, sender: int, message: WithdrawRequest) -> None:
-        """Accept the request no more, or cancel it. Raises MessageError."""
+        """Stop accepting a request, or cancel an accepted one. Raises MessageError for impossible times."""
         self._earliest_deadline(now, message.header)
         count = message.header.number & U32
         if message.header.owner_incarnation != self.incarnation:
@@ -114,12 +115,12 @@
         elif count not in incarnation.was_accepted:
             if request is None and self._is_full(incarnation):
                 return None
-            # A late fragment must not be accepted after the origin reported NOT_ACCEPTED.
+            # A delayed fragment must not be accepted after the origin has reported NOT_ACCEPTED.
             self._close(origin, incarnation, count, False)
         return self._send_ack(now, origin, incarnation, message.header.number, message.is_abandoned)
 
     def on_answer_ack(self, sender: int, ack: AnswerAck) -> None:
-        """Apply what the origin has of an answer. Raises MessageError."""
+        """Record which fragments of an answer the origin has. Raises MessageError if one was never sent."""
         origin, incarnation, request = self._find(sender, ack.number)
         if origin is None or incarnation is None or request is None or request.answer_body is None:
             return
@@ -136,7 +137,7 @@
         retry_after_ms: float,
         data: bytes,
     ) -> None:
-        """An accepted request has ended here; a second result is ignored."""
+        """Send the result of an accepted request to its origin; a second result is ignored."""
         origin, incarnation, request = self._find(origin_id, number)
         if origin is None or incarnation is None or request is None or request.reassembly or request.outcome:
             self.counts["stray"] += 1
@@ -145,7 +146,7 @@
             self._close(origin, incarnation, number & U32, True)
             return
         if len(data) > MAX_BODY_BYTES or origin.answer_bytes + len(data) > self.settings.max_answer_bytes:
-            # The request ran, so no result but FAILED is true.
+            # The request may have run, so FAILED is the only correct result.
             self.counts["answers_too_large"] += 1
             result, retry_after_ms, data = ForwardResult.FAILED, 0.0, b""
         origin.answer_bytes += len(data)
@@ -156,13 +157,13 @@
         self._send_answers(now, origin)
 
     def after_message(self, now: float, sender: int) -> None:
-        """A message of this sender was applied: its window may have grown."""
+        """Send answers to a sender whose message was applied, since its window may have grown."""
         origin = self.origins.get(sender)
         if origin is not None:
             self._send_answers(now, origin)
 
     def step(self, now: float) -> None:
-        """Do what is due."""
+        """Send and expire what is due."""
         for origin in list(self.origins.values()):
             self._send_answers(now, origin)
         if self.next_sweep_at <= now:
@@ -176,17 +177,18 @@
         return max(int(now * TIMESTAMPS_PER_MS), 0)
 
     def _earliest_deadline(self, now: float, header: RequestHeader) -> float:
-        """Return a time on this clock before which the request's deadline is not. Raises MessageError if it
-        is impossible.
+        """Return a lower bound of the request's deadline on this clock; -inf for another incarnation.
+
+        Raises MessageError if the times in the header are impossible.
         """
         settings = self.settings
         if header.remaining_ms > settings.max_timeout_ms:
-            raise MessageError("time left")
+            raise MessageError("remaining time exceeds the maximum timeout")
         if header.owner_incarnation != self.incarnation:
             return -math.inf
         timestamp_ms, min_clock_rate = header.timestamp / TIMESTAMPS_PER_MS, 1.0 - settings.max_clock_drift
         if timestamp_ms + header.timestamp_age_ms * min_clock_rate > now:
-            raise MessageError("stamp")
+            raise MessageError("timestamp plus its age is in the future")
         return (
             timestamp_ms
             + (header.timestamp_age_ms + header.remaining_ms) * min_clock_rate
@@ -194,7 +196,7 @@
         )
 
     def _latest_deadline(self, now: float, header: RequestHeader) -> float:
-        """Return a time on this clock after which the request's deadline is not."""
+        """Return an upper bound of the request's deadline on this clock."""
         return (
             now + header.remaining_ms * (1.0 + self.settings.max_clock_drift) + self.settings.clock_margin_ms
         )
@@ -202,7 +204,10 @@
     def _incarnation_of(
         self, now: float, sender: int, header: RequestHeader, may_create: bool
     ) -> tuple[Origin, OriginIncarnation] | None:
-        """Return the origin and incarnation of a message; None if there are too many, or none is created."""
+        """Return the origin and its incarnation that sent a message, creating them if allowed.
+
+        Returns None if they are unknown and there are too many already or `may_create` is False.
+        """
         settings, number = self.settings, header.number >> 32
         origin = self.origins.get(sender)
         incarnation = origin.incarnations.get(number) if origin is not None else None
@@ -228,7 +233,7 @@
         return origin, incarnation
 
     def _forget_below(self, origin: Origin, incarnation: OriginIncarnation, lowest_open_count: int) -> None:
-        """All requests with a smaller count have ended at the origin."""
+        """Drop the requests with a smaller count, which have ended at the origin."""
         if lowest_open_count <= incarnation.lowest_open_count:
             return
         is_range_shorter = lowest_open_count - incarnation.lowest_open_count <= len(
@@ -257,7 +262,7 @@
     def _begin_request(
         self, origin: Origin, incarnation: OriginIncarnation, fragment: RequestFragment
     ) -> IncomingRequest | None:
-        """Begin to receive a request, if there is capacity for all of it."""
+        """Start to receive a request if the memory limits allow all of it; else return None."""
         if self._is_full(incarnation):
             return None
         if origin.receiving_bytes + fragment.body_bytes > self.settings.max_receiving_bytes:
@@ -272,7 +277,7 @@
     def _on_fully_received(
         self, now: float, origin: Origin, incarnation: OriginIncarnation, request: IncomingRequest
     ) -> None:
-        """Accept a request that has arrived in full, unless it is too late."""
+        """Accept a completely received request, unless it is too late."""
         remaining_ms = request.earliest_deadline - now
         if remaining_ms <= self.settings.min_remaining_ms or request.reassembly is None:
             self.counts["late"] += 1
@@ -287,20 +292,20 @@
         self.actions.append(RequestAccepted(origin.id, request.number, body, remaining_ms))
 
     def _abandon(self, origin: Origin, requests: Iterable[IncomingRequest]) -> None:
-        """No client waits for those of these requests that run."""
+        """Cancel those of these requests that are running, because no client waits for them."""
         for request in requests:
             if request.reassembly is None and request.outcome is None and not request.is_abandoned:
                 request.is_abandoned = True
                 self.actions.append(RequestAbandoned(origin.id, request.number))
 
     def _on_abandoned(self, origin: Origin, incarnation: OriginIncarnation, request: IncomingRequest) -> None:
-        """The client of an accepted request has left."""
+        """Cancel an accepted request, or drop its answer, because its client disconnected."""
         self._abandon(origin, [request])
         if request.outcome is not None:
             self._close(origin, incarnation, request.number & U32, True)
 
     def _close(self, origin: Origin, incarnation: OriginIncarnation, count: int, was_accepted: bool) -> None:
-        """Forget a request, but for whether it was accepted."""
+        """Drop a request, storing only whether it was accepted."""
         request = incarnation.requests.pop(count, None)
         incarnation.was_accepted[count] = was_accepted
         if request is None:
@@ -330,7 +335,7 @@
         number: int,
         is_cancelled: bool = False,
     ) -> None:
-        """Send a request's state."""
+        """Send the state of a request to its origin."""
         request, bits = incarnation.requests.get(number & U32), 0
         if request is not None and request.reassembly is not None:
             state, bits = RequestState.RECEIVING, request.reassembly.received_bits
@@ -341,7 +346,7 @@
         self._send_message(origin.id, RequestAck(number, self.incarnation, self._timestamp(now), state, bits))
 
     def _send_answers(self, now: float, origin: Origin) -> None:
-        """Send fragments of answers, as far as the window allows."""
+        """Send fragments of answers that fit into the window."""
         for body, index in origin.window.take_sendable(now):
             _, _, request = self._find(origin.id, body.number)
             if request is not None and request.outcome is not None:
@@ -350,7 +355,7 @@
                 self._send_message(origin.id, AnswerFragment(*shape, body.fragment(index)))
 
     def _sweep(self, now: float) -> None:
-        """Forget requests whose deadline is certainly over, so that no late message can bring them back."""
+        """Drop requests whose deadline has certainly passed, so that no late message can revive them."""
         for origin in list(self.origins.values()):
             for incarnation in list(origin.incarnations.values()):
                 for count in [c for c, r in incarnation.requests.items() if r.latest_deadline < now]:
