--- a/cottonhold/fleet/request_forwarding/fragmentation.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -1,10 +1,10 @@
-"""Bodies sent in fragments: a send window, selective acknowledgement, and retries with backoff. Pure.
+"""Transfer of bodies in fragments, with a send window, selective acknowledgement and retries; does no I/O.
 
-A `SendWindow` sends the bodies for one other member, the lowest number first. At most `max_in_flight`
-fragments of all of them are in flight at once, so that member is not flooded. A fragment whose retry time is
-over no longer counts as in flight and is sent before later ones. Acknowledged fragments grow the window up
-to that limit, silence halves it: most requests for a failed member are then not fully sent, and may go
-elsewhere.
+A `SendWindow` sends the bodies for one other member in the order of their numbers. To avoid flooding the
+member, at most `max_in_flight` fragments of all bodies are in flight at the same time. A fragment whose retry
+time has passed is no longer in flight and is sent again before later fragments. Acknowledgements grow the
+window up to `max_in_flight`. Silence halves it, so that most requests for a failed member are not fully sent
+and can still be sent elsewhere.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from cottonhold.fleet.message_format import MessageError
 from cottonhold.fleet.request_forwarding.messages import fragment_count
 
-INITIAL_WINDOW = 16.0  # fragments in flight to a member that has acknowledged nothing yet
-MIN_WINDOW = 4.0  # and to a silent one
-MAX_BACKOFF_DOUBLINGS = 16
+INITIAL_WINDOW = 16.0  # maximum number of fragments in flight before the first acknowledgement
+MIN_WINDOW = 4.0  # maximum number of fragments in flight to a member that no longer responds
+MAX_BACKOFF_DOUBLINGS = 16  # maximum number of times that a retry interval is doubled
 
 
 class FragmentTimer(NamedTuple):
-    """When a fragment is sent again."""
+    """The time at which a fragment is sent again, in ms, unless it is acknowledged before."""
 
     retry_at: float
     number: int
@@ -30,7 +30,7 @@
 
 
 class FragmentedBody:
-    """A body that is sent in fragments of `fragment_bytes` bytes."""
+    """A body that is sent in fragments of `fragment_bytes` bytes; the last one may be shorter."""
 
     def __init__(self, number: int, body: bytes, fragment_bytes: int) -> None:
         self.number = number
@@ -40,16 +40,16 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget all that was sent and acknowledged."""
+        """Reset the body to the state before its first fragment was sent."""
         self.next_unsent = 0
         self.acked_bits = 0
         self.overdue: list[int] = []  # heap of fragments to be sent again
-        self.in_flight: dict[int, float] = {}  # by fragment: when it is sent again
+        self.in_flight: dict[int, float] = {}  # fragment -> time at which it is sent again, in ms
         self.send_counts = [0] * self.fragment_count
 
     @property
     def is_fully_sent(self) -> bool:
-        """Whether each fragment was sent at least once: the receiver may have all of it."""
+        """Whether each fragment was sent at least once, so that the receiver may have the whole body."""
         return self.next_unsent >= self.fragment_count
 
     @property
@@ -62,7 +62,7 @@
         return self.body[index * self.fragment_bytes : (index + 1) * self.fragment_bytes]
 
     def take_next(self) -> int | None:
-        """Return the next fragment to send."""
+        """Remove and return the index of the next fragment to send; None if there is none."""
         while self.overdue:
             index = heapq.heappop(self.overdue)
             if not self.acked_bits >> index & 1:
@@ -73,13 +73,13 @@
         return None
 
     def ready(self) -> bool:
-        """Whether there may be a fragment to send."""
+        """Return whether there may be a fragment to send."""
         return bool(self.overdue) or self.next_unsent < self.fragment_count
 
     def on_ack(self, received_bits: int) -> None:
-        """Apply the bits of arrived fragments. Raises MessageError if one of them was never sent."""
+        """Record the received fragments. Raises MessageError if one of them was never sent."""
         if received_bits >> self.next_unsent:
-            raise MessageError("a part that was not sent")
+            raise MessageError("acknowledgement of a fragment that was not sent")
         self.acked_bits |= received_bits
         for index in [i for i in self.in_flight if received_bits >> i & 1]:
             del self.in_flight[index]
@@ -105,19 +105,19 @@
         self.next_shrink_at = -math.inf
 
     def add(self, body: FragmentedBody) -> None:
-        """Begin to send a body."""
+        """Start to send a body."""
         self.bodies[body.number] = body
         heapq.heappush(self.sendable_numbers, body.number)
 
     def remove(self, number: int) -> None:
-        """Send no more of a body."""
+        """Stop sending a body."""
         body = self.bodies.pop(number, None)
         if body is not None:
             self.in_flight_count -= len(body.in_flight)
             body.in_flight.clear()
 
     def on_ack(self, number: int, received_bits: int) -> None:
-        """Apply the bits of arrived fragments of a body. Raises MessageError if one was never sent."""
+        """Record the received fragments of a body. Raises MessageError if one of them was never sent."""
         body = self.bodies.get(number)
         if body is not None:
             before = len(body.in_flight)
@@ -126,9 +126,10 @@
             self._grow(before - len(body.in_flight))
 
     def on_fully_received(self, number: int) -> None:
-        """All of a body has arrived."""
+        """Record that the whole body was received, and stop sending it."""
         if number in self.bodies:
-            # A request of one fragment is accepted without acknowledged bits, so it counts here.
+            # A request that is accepted after its last fragment has no acknowledged bits for that fragment.
+            # Without this, requests of one fragment would never grow the window.
             self._grow(max(1, len(self.bodies[number].in_flight)))
             self.remove(number)
 
@@ -137,7 +138,7 @@
         self.window_size = min(self.window_size + arrived_count, float(self.max_in_flight))
 
     def take_sendable(self, now: float) -> list[tuple[FragmentedBody, int]]:
-        """Return the fragments to send now."""
+        """Return the fragments to send now as (body, index), and mark them as in flight."""
         self._collect_overdue(now)
         sendable: list[tuple[FragmentedBody, int]] = []
         while self.sendable_numbers and self.in_flight_count < int(self.window_size):
@@ -156,7 +157,7 @@
         return sendable
 
     def _collect_overdue(self, now: float) -> None:
-        """Collect the fragments without an acknowledgement for too long."""
+        """Move the fragments whose retry time has passed from those in flight to those to send."""
         while self.retry_timers and self.retry_timers[0][0] <= now:
             retry_at, number, index = heapq.heappop(self.retry_timers)
             body = self.bodies.get(number)
@@ -170,10 +171,10 @@
             heapq.heappush(self.sendable_numbers, number)
 
     def _shrink(self, now: float) -> None:
-        """Shrink the window if nothing has arrived since the last time.
+        """Halve the window if no acknowledgement has arrived since the last call.
 
-        Halving it at each loss would keep it at its minimum on a network that loses a third of all messages
-        but is otherwise sound.
+        If each loss halved it, the window would stay at its minimum on a working network that loses a third
+        of all messages.
         """
         if self.nothing_arrived:
             self.window_size = max(self.window_size / 2, MIN_WINDOW)
@@ -181,7 +182,7 @@
         self.next_shrink_at = now + self.retry_interval_ms
 
     def next_at(self) -> float:
-        """Return when `take_sendable` is due, apart from what was added since."""
+        """Return the time of the next retry, in ms; bodies added since `take_sendable` are not considered."""
         while self.retry_timers:
             retry_at, number, index = self.retry_timers[0]
             body = self.bodies.get(number)
@@ -192,7 +193,7 @@
 
 
 class Reassembly:
-    """A body that arrives in fragments; the first fragment determines its size."""
+    """A body that is received in fragments; the first received one determines its size."""
 
     def __init__(self, body_bytes: int, fragment_bytes: int) -> None:
         self.body_bytes = body_bytes
@@ -201,8 +202,9 @@
         self.received_bits = 0
 
     def add(self, body_bytes: int, index: int, data: bytes) -> bool:
-        """Add a fragment; return whether all have arrived. Raises MessageError if it contradicts an earlier
-        one.
+        """Add a fragment and return whether all have arrived.
+
+        Raises MessageError if the fragment contradicts an earlier one.
         """
         self.check(body_bytes, index, data)
         self.fragments[index] = data
@@ -212,7 +214,7 @@
     def check(self, body_bytes: int, index: int, data: bytes) -> None:
         """Raise MessageError if a fragment contradicts an earlier one."""
         if body_bytes != self.body_bytes or self.fragments.get(index, data) != data:
-            raise MessageError("contradicts an earlier part")
+            raise MessageError("fragment contradicts an earlier one")
 
     def body(self) -> bytes:
         """Return the whole body."""
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -1,17 +1,22 @@
-"""Codec of the messages that forward a request to the member that owns its key, and answer it. Pure.
+"""Codec of the messages that forward a request to the member that owns its key; does no I/O.
 
-    79 | 0 incarnation query  | incarnation that the owner is believed to have 4 79 | 1 incarnation reply  |
-    incarnation from the query 4, own incarnation 4, timestamp 8 79 | 2 request fragment   | header, index 1,
-    size of the request 2, bytes of the request 79 | 3 withdraw           | header, whether it is abandoned 1
-    79 | 4 request ack        | number 8, owner's incarnation 4, timestamp 8, state 1, received bits, counted
-    79 | 5 answer fragment    | number 8, owner's incarnation 4, result 1, retry after 4, size 2, index 1,
-    bytes 79 | 6 answer ack         | number 8, whether it is complete 1, received bits, counted
+Each message begins with the bytes 79 and its kind. Fields and their sizes in bytes:
 
-    header: number 8, owner's incarnation 4, timestamp 8, its age 4, remaining time 4, lowest open count 4
+    0 incarnation query   believed incarnation of the owner 4
+    1 incarnation reply   incarnation from the query 4 | owner's incarnation 4 | timestamp 8
+    2 request fragment    header | index 1 | size of the request 2 | bytes of the request
+    3 withdraw            header | is abandoned 1
+    4 request ack         number 8 | owner's incarnation 4 | timestamp 8 | state 1 | received bits 1 + n
+    5 answer fragment     number 8 | owner's incarnation 4 | result 1 | retry after 4 | size of the answer 2 |
+                          index 1 | bytes of the answer
+    6 answer ack          number 8 | is complete 1 | received bits 1 + n
 
-A number is the origin's incarnation (upper half) and its count of requests to this owner. A timestamp is of
-the owner's clock: the origin returns it with the time for which it held it. All times are durations, in
-hundredths of a ms, rounded down.
+    header: number 8 | owner's incarnation 4 | timestamp 8 | age of the timestamp 4 | remaining time 4 |
+            lowest open count 4
+
+A request's number consists of the origin's incarnation (upper half) and the count of its requests to this
+owner (lower half). A timestamp is a time of the owner's clock, in microseconds; the origin returns it with
+its age. The age and the remaining time are in hundredths of a ms, rounded down; the retry delay is in ms.
 """
 
 from __future__ import annotations
@@ -35,16 +40,20 @@
     ANSWER_ACK,
 ) = range(7)
 U32 = 0xFFFF_FFFF
-MAX_BODY_BYTES = 16 * 1024  # of a request or an answer
-TIME_UNIT_MS = 0.01
+MAX_BODY_BYTES = 16 * 1024  # maximum size of a request or an answer
+TIME_UNIT_MS = 0.01  # unit of the times in a header
 
 
 class ForwardResult(IntEnum):
     """How the forwarding of a request ended.
 
-    ANSWERED: with the owner's answer. REJECTED: nothing ran, retry after a delay. FAILED: it may have run.
-    NOT_OWNER: the receiver does not own the key, nothing ran. NOT_ACCEPTED: no owner accepted it, nor will.
-    TOO_LARGE: it cannot be forwarded, nothing ran.
+    Attributes:
+        ANSWERED: The owner answered it.
+        REJECTED: Nothing ran; the client may retry after a delay.
+        FAILED: There is no answer, but the request may have run.
+        NOT_OWNER: Nothing ran; the receiver does not own the key.
+        NOT_ACCEPTED: Nothing ran; no owner accepted the request or will accept it.
+        TOO_LARGE: Nothing ran; the request is too large to be forwarded.
     """
 
     ANSWERED = 0
@@ -58,8 +67,11 @@
 class RequestState(IntEnum):
     """The state of a request at its owner.
 
-    NOT_ACCEPTED: it is not accepted, and never will be. CANCELLED: it was accepted, and the owner knows that
-    no client waits for it.
+    Attributes:
+        RECEIVING: Fragments are missing.
+        ACCEPTED: The request was accepted.
+        NOT_ACCEPTED: The request was not accepted and never will be.
+        CANCELLED: The request was accepted, and the owner is informed that no client waits for it.
     """
 
     RECEIVING = 0
@@ -70,10 +82,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestHeader:
-    """What every message of an origin about a request holds.
-
-    timestamp: the newest of the owner's, held for timestamp_age_ms. lowest_open_count: all requests with a
-    smaller count have ended at the origin.
+    """The common part of an origin's messages about a request.
+
+    Attributes:
+        number: Number of the request.
+        owner_incarnation: Incarnation of the owner for which the message is intended.
+        timestamp: Newest timestamp that the origin received from the owner.
+        timestamp_age_ms: Time since its arrival at the origin, in ms.
+        remaining_ms: Time until the request's deadline, in ms.
+        lowest_open_count: Lowest count of an open request; all requests with a smaller count have ended at
+            the origin.
     """
 
     number: int
@@ -86,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestFragment:
-    """One fragment of a request of `body_bytes` bytes."""
+    """A fragment of a request whose body has `body_bytes` bytes."""
 
     header: RequestHeader
     index: int
@@ -96,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WithdrawRequest:
-    """Do not accept the request any more; is_abandoned: if it was accepted, no client waits for it."""
+    """Forbids the owner to accept a request; with is_abandoned it also cancels an accepted one."""
 
     header: RequestHeader
     is_abandoned: bool
@@ -104,14 +122,14 @@
 
 @dataclass(slots=True, frozen=True)
 class IncarnationQuery:
-    """A query for the incarnation and a timestamp of an owner; 0 for an unknown incarnation."""
+    """Queries an owner for its incarnation and a timestamp; believed_incarnation is 0 if unknown."""
 
     believed_incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
 class IncarnationReply:
-    """An owner's incarnation and timestamp, and the incarnation from the query."""
+    """An owner's incarnation and timestamp; believed_incarnation is that of the query."""
 
     believed_incarnation: int
     incarnation: int
@@ -120,7 +138,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAck:
-    """The state of a request at its owner, with the bits of the fragments received."""
+    """The state of a request at its owner; received_bits has bit i set if fragment i was received."""
 
     number: int
     owner_incarnation: int
@@ -131,7 +149,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerFragment:
-    """One fragment of an answer of `body_bytes` bytes."""
+    """A fragment of an answer whose body has `body_bytes` bytes."""
 
     number: int
     owner_incarnation: int
@@ -144,7 +162,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerAck:
-    """What an origin has received of an answer; is_complete: it needs no more of it."""
+    """The fragments of an answer that an origin has received; is_complete if it needs no more of them."""
 
     number: int
     is_complete: bool
@@ -170,11 +188,11 @@
 ANSWER_ACK_FORMAT = struct.Struct("!BBQB")
 REQUEST_FRAGMENT_BYTES = MAX_MESSAGE_BYTES - HEADER_FORMAT.size - FRAGMENT_FORMAT.size
 ANSWER_FRAGMENT_BYTES = MAX_MESSAGE_BYTES - ANSWER_FRAGMENT_FORMAT.size
-MAX_BITS_BYTES = 16  # enough for the fragments of MAX_BODY_BYTES
+MAX_BITS_BYTES = 16  # enough for one bit for each fragment of a body of MAX_BODY_BYTES
 
 
 def request_number(incarnation: int, count: int) -> int:
-    """Return a request's number from its origin's incarnation and count."""
+    """Return a request's number from its origin's incarnation and its count."""
     return (incarnation & U32) << 32 | count
 
 
@@ -184,12 +202,12 @@
 
 
 def encode_time(time_ms: float) -> int:
-    """Return a time in its unit on the wire: rounded down, within its field."""
+    """Return a time in units of TIME_UNIT_MS, rounded down and limited to 32 bits."""
     return int(min(max(time_ms / TIME_UNIT_MS, 0.0), U32))
 
 
 def encode_header(kind: int, header: RequestHeader) -> bytes:
-    """Encode the beginning of a request fragment or withdrawal."""
+    """Encode the beginning of a request fragment or a withdrawal."""
     return HEADER_FORMAT.pack(
         REQUEST_FORWARDING,
         kind,
@@ -203,7 +221,7 @@
 
 
 def encode_bits(bits: int) -> bytes:
-    """Encode bits in as few bytes as possible, after their count."""
+    """Encode bits in as few bytes as possible, preceded by the number of bytes."""
     size = (bits.bit_length() + 7) // 8
     return bytes((size,)) + bits.to_bytes(size, "big")
 
@@ -255,23 +273,23 @@
 
 
 def decode(data: bytes) -> Message:
-    """Decode a message. Raises MessageError."""
+    """Decode a message. Raises MessageError if it is malformed."""
     if not 2 <= len(data) <= MAX_MESSAGE_BYTES:
-        raise MessageError("kind")
+        raise MessageError("size of a request forwarding message out of range")
     if data[0] != REQUEST_FORWARDING or data[1] not in DECODERS:
-        raise MessageError("kind")
+        raise MessageError("unknown kind of request forwarding message")
     try:
         return DECODERS[data[1]](data)
     except struct.error:
         raise MessageError("truncated") from None
     except ValueError:
-        raise MessageError("end or state") from None
+        raise MessageError("unknown result or request state") from None
 
 
 def _decode_header(data: bytes) -> RequestHeader:
     _, _, number, incarnation, timestamp, age, remaining, lowest_open_count = HEADER_FORMAT.unpack_from(data)
     if not 0 < lowest_open_count <= number & U32 or not incarnation:
-        raise MessageError("floor or incarnation")
+        raise MessageError("invalid lowest open count or incarnation")
     age_ms, remaining_ms = age * TIME_UNIT_MS, remaining * TIME_UNIT_MS
     return RequestHeader(number, incarnation, timestamp, age_ms, remaining_ms, lowest_open_count)
 
@@ -284,37 +302,37 @@
 
 
 def _check_fragment(index: int, body_bytes: int, length: int, fragment_bytes: int) -> None:
-    """Check that every fragment but the last is full, and that the last has the rest."""
+    """Raise MessageError unless the index is valid and the length is that of this fragment of the body."""
     if body_bytes > MAX_BODY_BYTES or index >= fragment_count(body_bytes, fragment_bytes):
-        raise MessageError("part")
+        raise MessageError("body size or index of a fragment out of range")
     if length != min(fragment_bytes, body_bytes - index * fragment_bytes):
-        raise MessageError("part")
+        raise MessageError("wrong length of a fragment")
 
 
 def _decode_withdraw(data: bytes) -> WithdrawRequest:
     if len(data) != HEADER_FORMAT.size + 1 or data[-1] > 1:
-        raise MessageError("withdraw")
+        raise MessageError("malformed withdrawal")
     return WithdrawRequest(_decode_header(data), bool(data[-1]))
 
 
 def _decode_incarnation_query(data: bytes) -> IncarnationQuery:
     if len(data) != INCARNATION_QUERY_FORMAT.size:
-        raise MessageError("probe")
+        raise MessageError("wrong size of an incarnation query")
     return IncarnationQuery(INCARNATION_QUERY_FORMAT.unpack(data)[2])
 
 
 def _decode_incarnation_reply(data: bytes) -> IncarnationReply:
     if len(data) != INCARNATION_REPLY_FORMAT.size:
-        raise MessageError("incarnation")
+        raise MessageError("wrong size of an incarnation reply")
     _, _, believed_incarnation, incarnation, timestamp = INCARNATION_REPLY_FORMAT.unpack(data)
     if not incarnation:
-        raise MessageError("incarnation")
+        raise MessageError("incarnation reply without an incarnation")
     return IncarnationReply(believed_incarnation, incarnation, timestamp)
 
 
 def _decode_bits(data: bytes) -> int:
     if not data or data[0] > MAX_BITS_BYTES or len(data) != 1 + data[0]:
-        raise MessageError("bits")
+        raise MessageError("wrong number of bytes of received bits")
     return int.from_bytes(data[1:], "big")
 
 
@@ -330,14 +348,14 @@
     body = data[ANSWER_FRAGMENT_FORMAT.size :]
     _check_fragment(index, body_bytes, len(body), ANSWER_FRAGMENT_BYTES)
     if not (math.isfinite(retry_after_ms) and retry_after_ms >= 0.0):
-        raise MessageError("ms")
+        raise MessageError("retry delay is negative or not finite")
     return AnswerFragment(number, incarnation, ForwardResult(result), retry_after_ms, body_bytes, index, body)
 
 
 def _decode_answer_ack(data: bytes) -> AnswerAck:
     _, _, number, is_complete = ANSWER_ACK_FORMAT.unpack_from(data)
     if is_complete > 1:
-        raise MessageError("got")
+        raise MessageError("invalid flag in an answer acknowledgement")
     return AnswerAck(number, bool(is_complete), _decode_bits(data[ANSWER_ACK_FORMAT.size :]))
 
 
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -239,7 +239,7 @@
             owner.next_query_at, owner.query_count = now + self.settings.liveness_interval_ms, 0
 
     def _find(self, sender: int, number: int) -> tuple[KnownOwner | None, OutgoingRequest | None]:
-        """Return an owner and its open request. Raises MessageError if the number was never used."""
+        """Return an owner and its open request, if any. Raises MessageError for a number never used."""
         owner = self.owners.get(sender)
         if number >> 32 != self.incarnation:
             return owner, None
--- a/cottonhold/fleet/request_forwarding/request_codec.py
+++ b/cottonhold/fleet/request_forwarding/request_codec.py
@@ -1,4 +1,4 @@
-"""Codec of a forwarded request and of the rows that answer it. Pure."""
+"""Codec of a forwarded request and of the rows that answer it; does no I/O."""
 
 from __future__ import annotations
 
@@ -9,24 +9,34 @@
 
 from cottonhold.fleet.message_format import MessageError
 
-HEADER_FORMAT = struct.Struct("!BddiQ")  # flags, estimated work and memory, tables, round
-SIZE_FORMAT = struct.Struct("!H")
-MAX_ESTIMATE = 1e12
-IS_RETRY = 1  # flag: a client's retry
-HAS_TENANT = 2  # flag: the tenant and the idempotency key follow
+HEADER_FORMAT = struct.Struct("!BddiQ")  # flags, estimated work (ms) and memory (MB), table group, round
+SIZE_FORMAT = struct.Struct("!H")  # length of a text, number of rows, number of cells, or length of a cell
+MAX_ESTIMATE = 1e12  # upper limit of the estimated work in ms and memory in MB
+IS_RETRY = 1  # flag: the client sent the request as a retry
+HAS_TENANT = 2  # flag: the message contains the tenant and the idempotency key
 
 
 def affinity_key(key: str) -> bytes:
-    """Return the key of an ordering key in session affinity: 8 bytes, the same on every instance."""
+    """Return the 8-byte hash by which session affinity identifies an ordering key on every instance."""
     return hashlib.blake2b(key.encode(), digest_size=8).digest()
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardedRequest:
-    """A client's request as another dispatcher needs it; its remaining time is sent beside it.
-
-    round: all requests of a key that are with its owner at the same time have the same number, which is never
-    used again.
+    """A client's request as it is sent to another dispatcher; its remaining time is in the message header.
+
+    Attributes:
+        request_id: Id of the request at the origin.
+        class_name: Name of its query class.
+        ordering_key: Key whose requests have one owner.
+        estimated_work_ms: Estimated work at an engine, in ms.
+        estimated_memory_mb: Estimated memory at an engine, in MB.
+        tables: Table group of the statement; -1 if it names none.
+        is_retry: Whether the client sent it as a retry.
+        body: The query.
+        round: Number shared by all requests of a key that are at its owner at the same time; never reused.
+        tenant: Tenant of the client; empty if there is none.
+        idempotency_key: Key that is the same for all attempts of one request; empty if there is none.
     """
 
     request_id: str
@@ -56,7 +66,7 @@
 
 
 def decode_request(data: bytes) -> ForwardedRequest:
-    """Decode a request. Raises MessageError."""
+    """Decode a request. Raises MessageError if it is malformed."""
     try:
         flags, estimated_work_ms, estimated_memory_mb, tables, round_ = HEADER_FORMAT.unpack_from(data)
         position, texts = HEADER_FORMAT.size, list[str]()
@@ -64,14 +74,14 @@
             (size,) = SIZE_FORMAT.unpack_from(data, position)
             position += SIZE_FORMAT.size + size
             if position > len(data):
-                raise MessageError("truncated")
+                raise MessageError("truncated text in a forwarded request")
             texts.append(data[position - size : position].decode())
     except (struct.error, UnicodeDecodeError):
-        raise MessageError("request") from None
+        raise MessageError("malformed forwarded request") from None
     if not (0.0 <= estimated_work_ms < MAX_ESTIMATE and 0.0 <= estimated_memory_mb < MAX_ESTIMATE):
-        raise MessageError("request")
+        raise MessageError("estimate of a forwarded request out of range")
     if flags > IS_RETRY | HAS_TENANT or not all(texts[:3]):
-        raise MessageError("request")
+        raise MessageError("unknown flags or an empty text in a forwarded request")
     request_id, class_name, ordering_key, *tenant_texts = texts
     tenant, idempotency_key = tenant_texts or ("", "")
     return ForwardedRequest(
@@ -90,7 +100,7 @@
 
 
 def encode_rows(rows: Sequence[Sequence[bytes]]) -> bytes:
-    """Encode rows as cells with their sizes."""
+    """Encode the number of rows, and each row as its number of cells and the cells with their lengths."""
     parts = [SIZE_FORMAT.pack(len(rows))]
     for row in rows:
         parts.append(SIZE_FORMAT.pack(len(row)))
@@ -99,7 +109,7 @@
 
 
 def decode_rows(data: bytes) -> list[list[bytes]]:
-    """Decode rows. Raises MessageError."""
+    """Decode rows. Raises MessageError if they are malformed."""
     position, rows = SIZE_FORMAT.size, list[list[bytes]]()
     try:
         for _ in range(SIZE_FORMAT.unpack_from(data)[0]):
@@ -111,7 +121,7 @@
                 row.append(data[position - size : position])
             rows.append(row)
     except struct.error:
-        raise MessageError("rows") from None
+        raise MessageError("truncated rows") from None
     if position != len(data):
-        raise MessageError("rows")
+        raise MessageError("truncated rows or bytes after the last row")
     return rows
