--- a/cottonhold/fleet/admission/demand_sharing.py
+++ b/cottonhold/fleet/admission/demand_sharing.py
@@ -152,16 +152,18 @@
 
     def _round(self, now: float, members: list[int], own_demand: ReportedDemand) -> list[tuple[int, bytes]]:
         """Return the messages with this instance's report, as (member, message)."""
-        s = self.settings
-        self.next_round = now + s.report_interval_ms * (0.8 + 0.4 * self.random.random())
+        settings = self.settings
+        self.next_round = now + settings.report_interval_ms * (0.8 + 0.4 * self.random.random())
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
         report = DemandReport(self.self_id, self.incarnation, self.version, own_demand)
-        if len(members) < s.gossip_from_members:
+        if len(members) < settings.gossip_from_members:
             data = encode_demand_reports([report])
             return [(member, data) for member in members]
-        relayed = [r.report for r in self.reports.newest() if now - r.received_at <= s.max_report_age_ms]
+        relayed = [
+            r.report for r in self.reports.newest() if now - r.received_at <= settings.max_report_age_ms
+        ]
         data = encode_demand_reports([report, *relayed])
-        return [(member, data) for member in self.random.sample(members, s.gossip_fanout)]
+        return [(member, data) for member in self.random.sample(members, settings.gossip_fanout)]
 
 
 def admission_draw(request_id: bytes, is_retry: bool) -> float:
--- a/cottonhold/fleet/admission/threshold.py
+++ b/cottonhold/fleet/admission/threshold.py
@@ -151,16 +151,18 @@
             live_count: Number of live instances, including this one.
             capacity: Cores of the engines in use.
         """
-        s, reports = self.settings, [own_demand, *others]
+        settings, reports = self.settings, [own_demand, *others]
         self._adapt(now, reports)
-        if len(reports) <= s.quorum_share * live_count or capacity <= 0:
+        if len(reports) <= settings.quorum_share * live_count or capacity <= 0:
             self.threshold = None
             return None
         rates = self._fleet_demand(reports, live_count, capacity)
-        correction = min(max(1 - s.wait_correction * self.wait_error, s.min_gain), s.max_gain)
+        correction = min(
+            max(1 - settings.wait_correction * self.wait_error, settings.min_gain), settings.max_gain
+        )
         gain = lower_median([self.gain, *(report.gain for report in reports[1:])])
-        usable = capacity * s.usable_capacity_share * correction * gain
-        limit = s.end_ratio if self.threshold is not None else s.begin_ratio
+        usable = capacity * settings.usable_capacity_share * correction * gain
+        limit = settings.end_ratio if self.threshold is not None else settings.begin_ratio
         if sum(rates.values()) / usable > limit:
             self.threshold = threshold_for(rates, usable) or DensityThreshold(0, 1.0)
         else:
@@ -176,8 +178,8 @@
         """
         max_cores = self.settings.max_claim_share * capacity if len(reports) > 2 else math.inf
         rates = demand.merge_rates([report.rates for report in reports], max_cores)
-        unheard_factor = live_count / len(reports)
-        return {step: cores * unheard_factor for step, cores in rates.items()}
+        extrapolation_factor = live_count / len(reports)
+        return {step: cores * extrapolation_factor for step, cores in rates.items()}
 
     def _adapt(self, now: float, reports: Sequence[ReportedDemand]) -> None:
         """Adapt the gain to the waits of admitted requests at all instances.
@@ -189,16 +191,18 @@
         - Without a threshold the gain returns to 1, because the present value would be wrong for the next
           overload.
         """
-        s, passed_s = self.settings, min((now - self.updated_at) / 1000, 1.0)
+        settings, elapsed_s = self.settings, min((now - self.updated_at) / 1000, 1.0)
         self.updated_at = now
-        finished = sum(min(r.finished_requests, MAX_COUNTED_REQUESTS) for r in reports)
-        waits = sum(min(r.finished_requests, MAX_COUNTED_REQUESTS) * r.mean_wait for r in reports)
-        self.wait_error = (waits - s.target_wait * finished) / (finished + s.prior_requests)
+        request_count = sum(min(r.finished_requests, MAX_COUNTED_REQUESTS) for r in reports)
+        wait_sum = sum(min(r.finished_requests, MAX_COUNTED_REQUESTS) * r.mean_wait for r in reports)
+        self.wait_error = (wait_sum - settings.target_wait * request_count) / (
+            request_count + settings.prior_requests
+        )
         if self.threshold is None:
-            self.gain += (1.0 - self.gain) * min(passed_s / GAIN_RESET_S, 1.0)
+            self.gain += (1.0 - self.gain) * min(elapsed_s / GAIN_RESET_S, 1.0)
         else:
-            self.gain -= s.gain_rate * self.wait_error * passed_s
-        self.gain = min(max(self.gain, s.min_gain), s.max_gain)
-        remaining_share = math.exp(-passed_s)
+            self.gain -= settings.gain_rate * self.wait_error * elapsed_s
+        self.gain = min(max(self.gain, settings.min_gain), settings.max_gain)
+        remaining_share = math.exp(-elapsed_s)
         self.admitted_requests *= remaining_share
         self.waits *= remaining_share
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -71,8 +71,8 @@
         self.assessment = ZoneAssessment(
             settings.assessment, self.evidence, self.evacuation, self.overrides, self._planned_share
         )
-        owned = 1 / settings.dispatchers
-        self.quotas = QuotaAccount(now, owned, self.random.getrandbits(30), settings.quota)
+        owned_share = 1 / settings.dispatchers
+        self.quotas = QuotaAccount(now, owned_share, self.random.getrandbits(30), settings.quota)
         self._start_optional_parts(now, seed, is_only_process)
         declared_demand = self.demand if self.slow_start is not None else None
         self.fleet_load = FleetLoad(self_id, self.offered_load, self.reporting, declared_demand)
@@ -94,10 +94,10 @@
             self.demand = DemandSharing(self_id, incarnation, now, seed, settings.demand)
         self.slow_start: SharedSlowStart | None = None
         if settings.slow_start is not None:
-            owned, first_term = 1 / settings.dispatchers, self.random.getrandbits(30)
+            owned_share, first_term = 1 / settings.dispatchers, self.random.getrandbits(30)
             self.slow_start = SharedSlowStart(self_id, incarnation, now, settings.slow_start, seed)
             self.warmup_quotas = QuotaAccount(
-                now, owned, first_term, settings.slow_start.quota, is_only_process
+                now, owned_share, first_term, settings.slow_start.quota, is_only_process
             )
         self.failover_cost: CostEstimator | None = None
         if settings.failover_cost is not None:
@@ -107,8 +107,8 @@
 
     def set_engines(self, engines: Mapping[str, Mapping[str, float]], now: float | None = None) -> None:
         """Replace the engines, given as cores by zone and engine."""
-        self.engines = {zone: dict(there) for zone, there in engines.items() if there}
-        self.zone_of = {engine: zone for zone, there in self.engines.items() for engine in there}
+        self.engines = {zone: dict(by_engine) for zone, by_engine in engines.items() if by_engine}
+        self.zone_of = {engine: zone for zone, by_engine in self.engines.items() for engine in by_engine}
         self.zone_numbers = {zone: messages.zone_number(zone) for zone in self.engines}
         self.evidence.set_engines(self.engines)
         self.evacuation.set_zones(self.engines)
@@ -116,7 +116,7 @@
         if self.failover_cost is not None:
             self.failover_cost.set_engines(self.engines)
         if self.slow_start is not None:
-            cores = {engine: n for there in self.engines.values() for engine, n in there.items()}
+            cores = {engine: n for by_engine in self.engines.values() for engine, n in by_engine.items()}
             self.slow_start.set_engines(self.started_at if now is None else now, cores)
 
     def on_loss(
@@ -347,14 +347,14 @@
         interval_ms = self.settings.report_interval_ms * (0.8 + 0.4 * self.random.random())
         self.next_report = now if self._has_fault() else now + interval_ms
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
-        own_report = self.reporting.build_report(
+        report = self.reporting.build_report(
             (self.incarnation, self.version),
             self.offered_load.centicores(),
             self.evacuation,
             self.evidence,
             self.zone_numbers,
         )
-        return self._send(self.reporting.messages(now, own_report, self.live, self.electorate.voters(now)))
+        return self._send(self.reporting.messages(now, report, self.live, self.electorate.voters(now)))
 
     def _has_fault(self) -> bool:
         """Return whether a zone is not in full service at any instance."""
--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -149,8 +149,8 @@
 
     def _dispatch(self, now: float, sender: int, payload: bytes) -> None:
         match decode(payload):
-            case IncarnationQuery(life):
-                self.owner.on_incarnation_query(now, sender, life)
+            case IncarnationQuery(believed_incarnation):
+                self.owner.on_incarnation_query(now, sender, believed_incarnation)
             case RequestFragment() as message:
                 self.owner.on_request_fragment(now, sender, message)
             case WithdrawRequest() as message:
--- a/cottonhold/fleet/request_forwarding/messages.py
+++ b/cottonhold/fleet/request_forwarding/messages.py
@@ -230,8 +230,8 @@
     """Encode a message; the result has at most MAX_MESSAGE_BYTES bytes."""
     match message:
         case RequestFragment():
-            shape = FRAGMENT_FORMAT.pack(message.index, message.body_bytes)
-            return encode_header(REQUEST_FRAGMENT, message.header) + shape + message.data
+            fragment_header = FRAGMENT_FORMAT.pack(message.index, message.body_bytes)
+            return encode_header(REQUEST_FRAGMENT, message.header) + fragment_header + message.data
         case WithdrawRequest():
             return encode_header(WITHDRAW_REQUEST, message.header) + bytes((message.is_abandoned,))
         case IncarnationQuery():
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -171,7 +171,7 @@
 
     def next_at(self) -> float:
         """Return when `step` is due."""
-        return min([c.window.next_at() for c in self.origins.values()] + [self.next_sweep_at])
+        return min([origin.window.next_at() for origin in self.origins.values()] + [self.next_sweep_at])
 
     def _timestamp(self, now: float) -> int:
         return max(int(now * TIMESTAMPS_PER_MS), 0)
@@ -351,8 +351,8 @@
             _, _, request = self._find(origin.id, body.number)
             if request is not None and request.outcome is not None:
                 result, retry_after_ms = request.outcome
-                shape = (body.number, self.incarnation, result, retry_after_ms, len(body.body), index)
-                self._send_message(origin.id, AnswerFragment(*shape, body.fragment(index)))
+                header = (body.number, self.incarnation, result, retry_after_ms, len(body.body), index)
+                self._send_message(origin.id, AnswerFragment(*header, body.fragment(index)))
 
     def _sweep(self, now: float) -> None:
         """Drop requests whose deadline has certainly passed, so that no late message can revive them."""
--- a/cottonhold/fleet/request_forwarding/request_codec.py
+++ b/cottonhold/fleet/request_forwarding/request_codec.py
@@ -57,12 +57,12 @@
     has_tenant = bool(request.tenant or request.idempotency_key)
     tenant_texts = (request.tenant, request.idempotency_key) if has_tenant else ()
     flags = IS_RETRY * request.is_retry | HAS_TENANT * has_tenant
-    head = HEADER_FORMAT.pack(
+    header = HEADER_FORMAT.pack(
         flags, request.estimated_work_ms, request.estimated_memory_mb, request.tables, request.round
     )
     texts = (request.request_id, request.class_name, request.ordering_key, *tenant_texts)
     encoded = [text.encode() for text in texts]
-    return head + b"".join(SIZE_FORMAT.pack(len(text)) + text for text in encoded) + request.body
+    return header + b"".join(SIZE_FORMAT.pack(len(text)) + text for text in encoded) + request.body
 
 
 def decode_request(data: bytes) -> ForwardedRequest:
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -172,15 +172,15 @@
         An instance that has been isolated for `isolation_ms` decides by its own evidence; the quota that it
         owns limits what it can send.
         """
-        against = sum(r.vote is Vote.EVACUATE for r in reports) + (state.vote is Vote.EVACUATE)
-        in_favour = len(reports) + 1 - against
+        evacuate_votes = sum(r.vote is Vote.EVACUATE for r in reports) + (state.vote is Vote.EVACUATE)
+        serve_votes = len(reports) + 1 - evacuate_votes
         needed = majority(electorate)
         if len(reports) + 1 >= needed:
             state.majority_reachable_at = self.now
         is_isolated = self.now - state.majority_reachable_at > self.settings.isolation_ms
-        if against >= needed:
+        if evacuate_votes >= needed:
             state.is_fleet_evacuated = True
-        elif in_favour >= needed or is_isolated:
+        elif serve_votes >= needed or is_isolated:
             state.is_fleet_evacuated = False
         state.was_fleet_evacuated = state.was_fleet_evacuated or state.is_fleet_evacuated
 
@@ -217,9 +217,9 @@
 
     def _reduce_hold_down(self, state: ZoneState) -> None:
         """Halve a hold-down that failed returns have doubled, once per quiet period."""
-        s, quiet_since = self.settings, max(state.since, state.hold_down_reduced_at)
-        if self.now - quiet_since > s.quiet_ms and state.hold_down_ms > s.hold_down_ms:
-            state.hold_down_ms = max(s.hold_down_ms, state.hold_down_ms / 2)
+        settings, quiet_since = self.settings, max(state.since, state.hold_down_reduced_at)
+        if self.now - quiet_since > settings.quiet_ms and state.hold_down_ms > settings.hold_down_ms:
+            state.hold_down_ms = max(settings.hold_down_ms, state.hold_down_ms / 2)
             state.hold_down_reduced_at = self.now
 
     def _decide_return(
@@ -260,8 +260,10 @@
         settled_before = self.now - self.settings.settle_ms
         others = [state for other, state in self.states.items() if other != name]
         return any(
-            s.phase is ZonePhase.RETURNING or s.phase is ZonePhase.IN_SERVICE and s.since > settled_before
-            for s in others
+            state.phase is ZonePhase.RETURNING
+            or state.phase is ZonePhase.IN_SERVICE
+            and state.since > settled_before
+            for state in others
         )
 
     def _joins_others(
@@ -305,9 +307,9 @@
 
         A zone that is down or evacuated by an operator retains no traffic.
         """
-        s = self.settings
-        if self.now - state.return_started_at < s.quiet_ms and reason != BY_OPERATOR:
-            state.hold_down_ms = min(state.hold_down_ms * 2, s.max_hold_down_ms)
+        settings = self.settings
+        if self.now - state.return_started_at < settings.quiet_ms and reason != BY_OPERATOR:
+            state.hold_down_ms = min(state.hold_down_ms * 2, settings.max_hold_down_ms)
         retains_nothing = evidence.health is ZoneHealth.DOWN or evidence.override is Vote.EVACUATE
         state.retained_share = 0.0 if retains_nothing else evidence.retained_share
         state.is_certain = is_certain
@@ -333,34 +335,34 @@
         network link may be faulty. The share is halved while a queue forms, because the traffic itself makes
         cold engines late.
         """
-        s = self.settings
-        if state.phase is not ZonePhase.RETURNING or self.now - state.share_changed_at < s.step_ms:
+        settings = self.settings
+        if state.phase is not ZonePhase.RETURNING or self.now - state.share_changed_at < settings.step_ms:
             return
         pooled = pool_counts([evidence.counts, *_counts_of(reports)])
         good, bad, total = pooled.good, pooled.bad, pooled.total
-        max_bad_share = max(s.max_bad_share, MAX_BAD_SHARE_RATIO * self.best_bad_share)
+        max_bad_share = max(settings.max_bad_share, MAX_BAD_SHARE_RATIO * self.best_bad_share)
         has_failed = pooled.reporters_of_bad >= MIN_BAD_REPORTERS and bad >= 2 and bad > max_bad_share * total
         if evidence.override is None and has_failed:
             self._evacuate(name, state, evidence, RETURN_FAILED, is_certain=True)
             return
         if evidence.counts.bad > max_bad_share * sum(evidence.counts):
             return
-        has_enough = total >= s.min_attempts
+        has_enough = total >= settings.min_attempts
         is_healthy = (
             has_enough
-            and good > s.min_good_ratio * self.best_good_share * total
-            and bad <= good * s.max_bad_per_good
+            and good > settings.min_good_ratio * self.best_good_share * total
+            and bad <= good * settings.max_bad_per_good
         )
-        is_only_late = has_enough and bad == 0 and state.traffic_share * 2 <= s.max_share_while_late
-        is_idle = not total and self.now - state.share_changed_at >= s.idle_step_ms
+        is_only_late = has_enough and bad == 0 and state.traffic_share * 2 <= settings.max_share_while_late
+        is_idle = not total and self.now - state.share_changed_at >= settings.idle_step_ms
         if is_healthy or is_only_late or is_idle:
             state.traffic_share, state.share_changed_at = min(1.0, state.traffic_share * 2), self.now
             if state.traffic_share >= 1.0:
                 self._change(name, state, ZonePhase.IN_SERVICE, RETURNED)
             return
-        has_queue = bad or state.traffic_share > s.max_share_while_late
-        if has_queue and good < s.back_off_ratio * self.best_good_share * total:
-            state.traffic_share = max(s.initial_share, state.traffic_share / 2)
+        has_queue = bad or state.traffic_share > settings.max_share_while_late
+        if has_queue and good < settings.back_off_ratio * self.best_good_share * total:
+            state.traffic_share = max(settings.initial_share, state.traffic_share / 2)
             state.share_changed_at = self.now
 
     def _compare_zones(
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -239,9 +239,9 @@
     def assess(self, now: float) -> dict[str, ZoneHealth]:
         """Return the health of each zone."""
         self._record_overdue(now)
-        s = self.settings
+        settings = self.settings
         for zone in self.zones.values():
-            zone.expire(now - (s.returning_window_ms if zone.is_returning else s.window_ms))
+            zone.expire(now - (settings.returning_window_ms if zone.is_returning else settings.window_ms))
         return {name: self._health(zone) for name, zone in self.zones.items()}
 
     def counts(self, zone: str) -> AttemptCounts:
@@ -278,9 +278,9 @@
         usual, zone = self.usual_durations.get(attempt.query_class), self.zones.get(attempt.zone)
         if usual is None or zone is None:
             return math.inf
-        s = self.settings
-        factor = s.returning_slow_factor if zone.is_returning else 1.0
-        return factor * usual.slow_after_ms(s.slow_factor, s.min_slow_excess_ms)
+        settings = self.settings
+        factor = settings.returning_slow_factor if zone.is_returning else 1.0
+        return factor * usual.slow_after_ms(settings.slow_factor, settings.min_slow_excess_ms)
 
     def _add_duration(self, now: float, attempt: OpenAttempt, elapsed_ms: float) -> None:
         usual = self.usual_durations[attempt.query_class]
@@ -296,14 +296,16 @@
         zone = self.zones.get(attempt.zone)
         if zone is None:
             return
-        s = self.settings
-        others = [z.bad_share() for z in self.zones.values() if z is not zone and len(z.recent) >= s.min_good]
-        healthy = min(0.9, max(s.healthy_bad_share, 1.5 * min(others, default=0.0)))
-        failing = min(0.97, max(s.failing_bad_share, 2 * healthy))
+        settings = self.settings
+        others = [
+            z.bad_share() for z in self.zones.values() if z is not zone and len(z.recent) >= settings.min_good
+        ]
+        healthy = min(0.9, max(settings.healthy_bad_share, 1.5 * min(others, default=0.0)))
+        failing = min(0.97, max(settings.failing_bad_share, 2 * healthy))
         is_bad = result >= AttemptResult.SLOW
         step = math.log(failing / healthy) if is_bad else math.log((1 - failing) / (1 - healthy))
         score = zone.engine_scores.setdefault(attempt.engine, EngineScore())
-        score.value = min(max(score.value + step, 0.0), 1.5 * s.score_threshold)
+        score.value = min(max(score.value + step, 0.0), 1.5 * settings.score_threshold)
         score.updated_at = now
         zone.recent.append((now, result))
         zone.newest.append(result)
@@ -339,19 +341,19 @@
         Slowness has to persist over several assessments: when all zones slow down together, the evidence on
         one of them arrives slightly before that on the others.
         """
-        s, score = self.settings, zone.score(self.settings.score_threshold)
-        is_outlier = score >= s.score_threshold - SCORE_TOLERANCE and self._is_outlier(zone)
+        settings, score = self.settings, zone.score(self.settings.score_threshold)
+        is_outlier = score >= settings.score_threshold - SCORE_TOLERANCE and self._is_outlier(zone)
         if is_outlier:
             zone.outlier_count = min(zone.outlier_count + 1, 2 * SLOW_CONFIRMATIONS)
         else:
             zone.outlier_count = max(zone.outlier_count - 1, 0)
         failed = zone.newest.count(AttemptResult.FAILED)
         if zone.outlier_count and failed > 0 and 2 * failed >= zone.bad_count:
-            return ZoneHealth.DOWN if zone.bad_share() >= s.down_bad_share else ZoneHealth.FAILING
+            return ZoneHealth.DOWN if zone.bad_share() >= settings.down_bad_share else ZoneHealth.FAILING
         if zone.outlier_count >= SLOW_CONFIRMATIONS:
             return ZoneHealth.SLOW
         served = sum(result < AttemptResult.SLOW for _, result in zone.recent)
-        is_healthy = score < s.score_threshold / 4 and served >= s.min_good
+        is_healthy = score < settings.score_threshold / 4 and served >= settings.min_good
         return ZoneHealth.HEALTHY if is_healthy else ZoneHealth.UNKNOWN
 
 
--- a/cottonhold/fleet/zone_failover/operator_overrides.py
+++ b/cottonhold/fleet/zone_failover/operator_overrides.py
@@ -139,11 +139,11 @@
         self, zone: int, mode: OverrideMode, expires_at: float, requested_by: str, reason: str
     ) -> Override:
         """Issue a new override by this instance and return it; too long texts are truncated."""
-        before = self.known.get(zone)
+        previous = self.known.get(zone)
         override = Override(
             zone,
             mode,
-            (before.serial if before else 0) + 1,
+            (previous.serial if previous else 0) + 1,
             self.self_id,
             expires_at,
             truncate_utf8(requested_by, MAX_REQUESTED_BY_BYTES),
@@ -154,10 +154,10 @@
 
     def apply(self, override: Override) -> bool:
         """Merge a received override; return whether it replaced an older one or was the first of its zone."""
-        before = self.known.get(override.zone)
-        if before is not None and override.stamp <= before.stamp:
+        previous = self.known.get(override.zone)
+        if previous is not None and override.stamp <= previous.stamp:
             return False
-        if len(self.known) >= MAX_OVERRIDES and before is None:
+        if len(self.known) >= MAX_OVERRIDES and previous is None:
             return False
         self.known[override.zone] = override
         return True
--- a/cottonhold/fleet/zone_failover/quota_lending.py
+++ b/cottonhold/fleet/zone_failover/quota_lending.py
@@ -201,19 +201,23 @@
         loans = self.loans.setdefault(zone, ZoneLoans())
         if self.process_count > 1 or now < self.usable_from or len(load_shares) < 2:
             return []
-        fair = self.own_quota / QUOTA_STEPS
-        lacking = {member: share - fair for member, share in load_shares.items() if share > fair}
-        spare = {member: fair - share for member, share in load_shares.items() if share < fair}
-        own_lack, all_lacking, all_spare = (
+        owned_share = self.own_quota / QUOTA_STEPS
+        lacking = {
+            member: share - owned_share for member, share in load_shares.items() if share > owned_share
+        }
+        spare = {member: owned_share - share for member, share in load_shares.items() if share < owned_share}
+        missing_share, total_missing, total_spare = (
             lacking.get(self_id, 0.0),
             sum(lacking.values()),
             sum(spare.values()),
         )
-        if own_lack <= MIN_SHARE or all_spare <= MIN_SHARE:
+        if missing_share <= MIN_SHARE or total_spare <= MIN_SHARE:
             return []
         requests = []
         for lender, share in spare.items():
-            amount = int(QUOTA_STEPS * min(own_lack / all_lacking * share, own_lack * share / all_spare))
+            amount = int(
+                QUOTA_STEPS * min(missing_share / total_missing * share, missing_share * share / total_spare)
+            )
             loan = loans.borrowed.setdefault(lender, BorrowedQuota())
             if amount > 0 and self._needs_renewal(now, loan):
                 requests.append(QuotaMessage(lender, self._new_request(now, zone, loan, amount)))
--- a/cottonhold/fleet/zone_failover/reporting.py
+++ b/cottonhold/fleet/zone_failover/reporting.py
@@ -69,10 +69,10 @@
     def on_message(self, now: float, sender: int, data: bytes) -> Reception:
         """Merge the reports of a message from a member. Raises MessageError if it is malformed."""
         reports = decode_zone_reports(data)
-        news = [report for report in reports if self.reports.apply(now, report)]
+        newer_reports = [report for report in reports if self.reports.apply(now, report)]
         newer = self.reports.newer_than(sender, reports)
         reply = encode_zone_reports([newer], MAX_MESSAGE_BYTES) if newer is not None else None
-        return Reception(any(map(self.is_alarming, news)), reply)
+        return Reception(any(map(self.is_alarming, newer_reports)), reply)
 
     def is_alarming(self, report: MemberReport) -> bool:
         """Return whether a report requires a round of reports in each step.
--- a/cottonhold/fleet/zone_failover/zone_assessment.py
+++ b/cottonhold/fleet/zone_failover/zone_assessment.py
@@ -63,7 +63,7 @@
     def set_engines(self, engines: Mapping[str, Mapping[str, float]]) -> None:
         """Replace the engines, given as cores by zone and engine."""
         self.engines = engines
-        known = {engine for there in engines.values() for engine in there}
+        known = {engine for cores_by_engine in engines.values() for engine in cores_by_engine}
         self.checked_at = {engine: at for engine, at in self.checked_at.items() if engine in known}
 
     def on_health_check(self, now: float, engine: str, succeeded: bool) -> None:
@@ -107,8 +107,8 @@
         """
         served = self.served_shares.get(zone, 0.0)
         planned = self.planned_share(now, zone, served) if served > 0 else None
-        wanted = planned if planned is not None else self._share_without_capacity(offered_cores, zone)
-        return min(wanted, served)
+        share = planned if planned is not None else self._share_without_capacity(offered_cores, zone)
+        return min(share, served)
 
     def _share_without_capacity(self, offered_cores: float, zone: str) -> float:
         """Return the share of a zone's load that would overload the other zones."""
