--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -80,7 +80,7 @@
         self.zone_of: dict[str, str] = {}
         self.zone_numbers: dict[str, int] = {}
         self.live: set[int] = set()
-        self.suspected_zones: set[str] = set()  # as of the last step
+        self.suspected_zones: set[str] = set()  # zones with a suspected failure in the last step
         self.had_threshold = False
         self.last_bounds: dict[str, float] = {}
         self.next_step, self.next_report = now, now
@@ -158,7 +158,7 @@
     def on_attempt_ended(
         self, now: float, attempt_id: str, succeeded: bool | None, elapsed_ms: float, work_ms: float = 0.0
     ) -> None:
-        """Record an attempt's end: success, failure, or None if cancelled here; work_ms 0 if not reported."""
+        """Record an attempt's end; succeeded is None if cancelled here, work_ms is 0 if not reported."""
         attempt = self.evidence.open_attempts.get(attempt_id)
         if attempt is not None and succeeded is not None:
             if self.slow_start is not None:
--- a/cottonhold/fleet/request_forwarding/fragmentation.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -98,10 +98,10 @@
         self.max_retry_interval_ms = max_retry_interval_ms
         self.bodies: dict[int, FragmentedBody] = {}
         self.sendable_numbers: list[int] = []  # heap of numbers with something to send
-        self.retry_timers: list[FragmentTimer] = []  # heap
+        self.retry_timers: list[FragmentTimer] = []  # heap ordered by time
         self.in_flight_count = 0
         self.window_size = min(float(max_in_flight), INITIAL_WINDOW)
-        self.nothing_arrived = True  # since the window was last shrunk
+        self.nothing_arrived = True  # no fragment was acknowledged since the last call of _shrink
         self.next_shrink_at = -math.inf
 
     def add(self, body: FragmentedBody) -> None:
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -76,7 +76,7 @@
         self.owners: dict[int, KnownOwner] = {}
         self.requests_by_id: dict[str, OutgoingRequest] = {}
         self.open_count = 0
-        self.action_timers: list[ActionTimer] = []  # heap
+        self.action_timers: list[ActionTimer] = []  # heap ordered by time
 
     def forward(
         self, now: float, request_id: str, owner_id: int, body: bytes, deadline: float, queue_key: bytes
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -204,9 +204,10 @@
     def _incarnation_of(
         self, now: float, sender: int, header: RequestHeader, may_create: bool
     ) -> tuple[Origin, OriginIncarnation] | None:
-        """Return the origin and its incarnation that sent a message, creating them if allowed.
+        """Return the origin and incarnation that sent a message, updated from its header.
 
-        Returns None if they are unknown and there are too many already or `may_create` is False.
+        If they are unknown they are created; the result is None if there are too many already or `may_create`
+        is False.
         """
         settings, number = self.settings, header.number >> 32
         origin = self.origins.get(sender)
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -25,7 +25,7 @@
 MIN_DURATIONS = 4  # durations needed to compare a zone with others
 # Factor on the outlier threshold while another zone is evacuated, because the other zones carry its load.
 LOADED_FACTOR = 1.5
-SLOW_CONFIRMATIONS = 3  # net assessments as an outlier after which a zone without failures counts as slow
+SLOW_CONFIRMATIONS = 3  # value of outlier_count from which a zone without failed attempts is slow
 MIN_SUSPECT_ATTEMPTS = 3  # bad attempts in the window needed to report a suspected failure
 MIN_SUSPECT_SHARE = 0.2  # share of bad attempts in the window needed to report a suspected failure
 SCORE_TOLERANCE = 1e-9  # rounding error of a score that equals the threshold
@@ -133,7 +133,7 @@
     engine_count: int = 1
     is_evacuated: bool = False
     is_returning: bool = False
-    outlier_count: int = 0  # assessments as an outlier less those as none, never below 0
+    outlier_count: int = 0  # incremented by each assessment as an outlier, else decremented down to 0
     engine_scores: dict[str, EngineScore] = field(default_factory=dict)
     recent: deque[tuple[float, AttemptResult]] = field(default_factory=deque)  # time in ms and result
     # Time in ms and logarithm of the ratio of the duration to the usual one.
