--- a/tests/fleet/test_quota_lending.py
+++ b/tests/fleet/test_quota_lending.py
@@ -250,7 +250,7 @@
     assert search(DEPTH, settings)[1] > 1.0
 
 
-class Drawn(RuleBasedStateMachine):
+class RandomHistories(RuleBasedStateMachine):
     """Random histories, longer than those of the search, with clocks of different rates."""
 
     settings_used = SETTINGS
@@ -323,16 +323,16 @@
         assert used <= 1.0 + 1e-9
 
 
-class DrawnWithUnlentShare(Drawn):
+class RandomHistoriesWithUnlentShare(RandomHistories):
     """Random histories with a share that is never lent and may be used from the start."""
 
     settings_used = SETTINGS_WITH_UNLENT_SHARE
 
 
-TestDrawnWithUnlentShare = DrawnWithUnlentShare.TestCase
-TestDrawnWithUnlentShare.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
-TestDrawn = Drawn.TestCase
-TestDrawn.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
+TestRandomHistoriesWithUnlentShare = RandomHistoriesWithUnlentShare.TestCase
+TestRandomHistoriesWithUnlentShare.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
+TestRandomHistories = RandomHistories.TestCase
+TestRandomHistories.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
 
 
 def test_the_instance_with_most_load_gets_most_of_the_budget() -> None:
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -10,7 +10,7 @@
 from cottonhold.emulator.fleet import FleetWorld
 from cottonhold.fleet.zone_failover.zone_state import ZonePhase
 
-FAULT, MEND = 4000.0, 10_000.0
+FAULT_START, FAULT_END = 4000.0, 10_000.0
 SKEW = (1, 1, 1, 2, 3, 4, 2, 2)
 Fault = Callable[[FleetWorld, bool], None]
 
@@ -25,7 +25,7 @@
                 for name, value in fields.items():
                     setattr(engine, name, value if is_active else usual[name])
                 if not is_active and "is_dead" in fields:
-                    engine.busy_until, engine.cold_until = MEND, MEND + 3000.0
+                    engine.busy_until, engine.cold_until = FAULT_END, FAULT_END + 3000.0
 
     return fault
 
@@ -35,9 +35,9 @@
 ) -> FleetWorld:
     """Simulate a fleet with a fault from 4 s to 10 s."""
     world = FleetWorld(seed, instance_count, 270.0, skew=lambda i: SKEW[i], loss=loss)
-    world.run(FAULT)
+    world.run(FAULT_START)
     fault(world, True)
-    world.run(MEND)
+    world.run(FAULT_END)
     fault(world, False)
     world.run(end)
     return world
@@ -51,7 +51,7 @@
             for t, change in node.phase_changes
             if change.zone == zone and change.phase is ZonePhase.EVACUATED
         )
-        - FAULT
+        - FAULT_START
         for i, node in world.nodes.items()
         if any(
             change.zone == zone and change.phase is ZonePhase.EVACUATED for _, change in node.phase_changes
@@ -61,7 +61,7 @@
 
 FAULTS = {
     "killed": (set_zone(is_dead=True), 1000.0),
-    "silent": (set_zone(silent_until=MEND), 1000.0),
+    "silent": (set_zone(silent_until=FAULT_END), 1000.0),
     "ten times slower": (set_zone(slow_factor=10.0), 3000.0),
     "three in ten fail": (set_zone(failing_share=0.3), 3000.0),
 }
@@ -73,11 +73,11 @@
     fault, within_ms = FAULTS[name]
     world = play(fault, loss=loss)
     assert len(evacuated_at(world)) == 6 and max(evacuated_at(world).values()) <= within_ms
-    assert world.share("a", FAULT + within_ms, MEND) < 0.05
+    assert world.share("a", FAULT_START + within_ms, FAULT_END) < 0.05
     assert not evacuated_at(world, "b") and not evacuated_at(world, "c")
     assert set(world.phases("a").values()) == {"in"}, "all have returned"
-    usual_share = world.share("a", 1000.0, FAULT)
-    shares = [world.share("a", t, t + 1000) for t in range(int(MEND), 20_000, 500)]
+    usual_share = world.share("a", 1000.0, FAULT_START)
+    shares = [world.share("a", t, t + 1000) for t in range(int(FAULT_END), 20_000, 500)]
     assert max(shares) < 1.25 * usual_share and shares[0] < 0.5 * usual_share, "no burst in the first second"
 
 
@@ -92,15 +92,15 @@
 ) -> None:
     world = FleetWorld(2, 6, 270.0, skew=lambda i: SKEW[i])
     world.network.delay_ms = delay_ms
-    world.run(FAULT)
+    world.run(FAULT_START)
     FAULTS[name][0](world, True)
-    world.run(MEND)
+    world.run(FAULT_END)
     FAULTS[name][0](world, False)
     world.run(26_000.0)
     assert len(evacuated_at(world)) == 6 and max(evacuated_at(world).values()) <= within_ms
     assert not evacuated_at(world, "b") and not evacuated_at(world, "c")
-    usual_share = world.share("a", 1000.0, FAULT)
-    assert max(world.share("a", t, t + 1000) for t in range(int(MEND), 25_000, 500)) < 1.25 * usual_share
+    usual_share = world.share("a", 1000.0, FAULT_START)
+    assert max(world.share("a", t, t + 1000) for t in range(int(FAULT_END), 25_000, 500)) < 1.25 * usual_share
     assert set(world.phases("a").values()) == {"in"}
 
 
@@ -131,7 +131,7 @@
     def fault(world: FleetWorld, is_active: bool) -> None:
         set_zone(slow_factor=10.0)(world, is_active)
         for i in (5, 4, 0) if is_active else ():
-            world.network.call_at(FAULT + 300.0, lambda i=i: world.kill(i))  # type: ignore[misc]
+            world.network.call_at(FAULT_START + 300.0, lambda i=i: world.kill(i))  # type: ignore[misc]
 
     world = play(fault, instance_count=8)
     assert set(evacuated_at(world)) == {1, 2, 3, 6, 7} and max(evacuated_at(world).values()) <= 4000.0
@@ -145,7 +145,7 @@
             world.network.pause(Address("fleet", 6), 5000.0)
 
     world = play(fault)
-    sends = [t for t, zone, _, _ in world.log if zone == "a" and FAULT + 5600 < t < MEND]
+    sends = [t for t, zone, _, _ in world.log if zone == "a" and FAULT_START + 5600 < t < FAULT_END]
     assert len(sends) <= 12 and set(world.phases("a").values()) == {"in"}
 
 
@@ -196,9 +196,9 @@
 def test_a_zone_whose_load_the_others_cannot_carry_retains_a_share_unless_it_is_down() -> None:
     for failing_share, is_retained in ((0.4, True), (1.0, False)):
         world = FleetWorld(3, 6, 400.0)
-        world.run(FAULT)
+        world.run(FAULT_START)
         for engine in world.engines.values():
             engine.failing_share = failing_share if engine.zone == "a" else 0.0
-        world.run(FAULT + 2500.0)
-        share = world.share("a", FAULT + 1500.0, FAULT + 2500.0)
+        world.run(FAULT_START + 2500.0)
+        share = world.share("a", FAULT_START + 1500.0, FAULT_START + 2500.0)
         assert (share > 0.05) is is_retained, (failing_share, share)
