--- a/cottonhold/fleet/admission/demand_sharing.py
+++ b/cottonhold/fleet/admission/demand_sharing.py
@@ -127,17 +127,17 @@
         """
         members = sorted(set(live) - {self.self_id})
         others = self.reported_loads(now, members)
-        own_demand = self.controller.report(self.demand.rates(now))
+        local_demand = self.controller.report(self.demand.rates(now))
         live_count = 1 + len(members)
         if owned_capacity:
             live_count = 1 + len(others)
             capacity += owned_capacity * live_count
-        self.controller.step(now, own_demand, others, live_count, capacity)
-        offered = sum(own_demand.rates.values()) + sum(sum(load.rates.values()) for load in others)
+        self.controller.step(now, local_demand, others, live_count, capacity)
+        offered = sum(local_demand.rates.values()) + sum(sum(load.rates.values()) for load in others)
         is_busy = self.threshold is not None or offered > self.settings.busy_share * capacity
         if not members or now < self.next_round and not is_busy:
             return []
-        return self._round(now, members, own_demand)
+        return self._round(now, members, local_demand)
 
     def offered_cores(self, now: float, members: Iterable[int]) -> dict[int, float]:
         """Return the offered work, in cores, of this instance and of each member with a fresh report."""
@@ -150,12 +150,12 @@
         reports = self.reports.fresh(now, self.settings.max_report_age_ms, members)
         return [report.load for report in reports]
 
-    def _round(self, now: float, members: list[int], own_demand: ReportedDemand) -> list[tuple[int, bytes]]:
+    def _round(self, now: float, members: list[int], local_demand: ReportedDemand) -> list[tuple[int, bytes]]:
         """Return the messages with this instance's report, as (member, message)."""
         settings = self.settings
         self.next_round = now + settings.report_interval_ms * (0.8 + 0.4 * self.random.random())
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
-        report = DemandReport(self.self_id, self.incarnation, self.version, own_demand)
+        report = DemandReport(self.self_id, self.incarnation, self.version, local_demand)
         if len(members) < settings.gossip_from_members:
             data = encode_demand_reports([report])
             return [(member, data) for member in members]
--- a/cottonhold/fleet/admission/threshold.py
+++ b/cottonhold/fleet/admission/threshold.py
@@ -117,23 +117,23 @@
         self.settings, self.updated_at = settings or ThresholdSettings(), now
         self.threshold: DensityThreshold | None = None
         self.gain = 1.0
-        self.admitted_requests, self.waits = 0.0, 0.0
+        self.admitted_requests, self.wait_sum = 0.0, 0.0
         self.wait_error = 0.0  # mean wait minus the target
 
     def on_admitted(self, wait: float, has_expired: bool) -> None:
         """Record that an admitted request was sent or expired; see `DemandSharing.on_admitted`."""
         self.admitted_requests += 1
-        self.waits += 1.0 if has_expired else min(wait, 1.0)
+        self.wait_sum += 1.0 if has_expired else min(wait, 1.0)
 
     def report(self, rates: Mapping[int, float]) -> ReportedDemand:
         """Return the report for the other instances; `rates` is the offered work by step, in cores."""
-        mean_wait = self.waits / max(self.admitted_requests, MIN_REQUESTS)
+        mean_wait = self.wait_sum / max(self.admitted_requests, MIN_REQUESTS)
         return ReportedDemand(rates, self.gain, self.admitted_requests, mean_wait)
 
     def step(
         self,
         now: float,
-        own_demand: ReportedDemand,
+        local_demand: ReportedDemand,
         others: Iterable[ReportedDemand],
         live_count: int,
         capacity: float,
@@ -146,12 +146,12 @@
 
         Args:
             now: Current time, in ms.
-            own_demand: Report of this instance.
+            local_demand: Report of this instance.
             others: Reports of the other instances.
             live_count: Number of live instances, including this one.
             capacity: Cores of the engines in use.
         """
-        settings, reports = self.settings, [own_demand, *others]
+        settings, reports = self.settings, [local_demand, *others]
         self._adapt(now, reports)
         if len(reports) <= settings.quorum_share * live_count or capacity <= 0:
             self.threshold = None
@@ -205,4 +205,4 @@
         self.gain = min(max(self.gain, settings.min_gain), settings.max_gain)
         remaining_share = math.exp(-elapsed_s)
         self.admitted_requests *= remaining_share
-        self.waits *= remaining_share
+        self.wait_sum *= remaining_share
--- a/cottonhold/fleet/coordinator.py
+++ b/cottonhold/fleet/coordinator.py
@@ -38,7 +38,7 @@
 from cottonhold.fleet.zone_failover.zone_assessment import ZoneAssessment
 from cottonhold.fleet.zone_failover.zone_state import PhaseChange, ZonePhase
 
-HURRIED_STEPS = 4  # factor by which steps are more frequent just after a start
+STARTUP_STEP_FACTOR = 4  # factor by which steps are more frequent just after a start
 
 
 class FleetCoordinator:
@@ -73,7 +73,7 @@
         )
         owned_share = 1 / settings.dispatchers
         self.quotas = QuotaAccount(now, owned_share, self.random.getrandbits(30), settings.quota)
-        self._start_optional_parts(now, seed, is_only_process)
+        self._create_optional_parts(now, seed, is_only_process)
         declared_demand = self.demand if self.slow_start is not None else None
         self.fleet_load = FleetLoad(self_id, self.offered_load, self.reporting, declared_demand)
         self.engines: dict[str, dict[str, float]] = {}  # zone -> engine -> cores
@@ -86,7 +86,7 @@
         self.next_step, self.next_report = now, now
         self.counters: dict[str, int] = {"words_sent": 0, "bytes_sent": 0, "malformed": 0}
 
-    def _start_optional_parts(self, now: float, seed: int, is_only_process: bool) -> None:
+    def _create_optional_parts(self, now: float, seed: int, is_only_process: bool) -> None:
         """Create the parts that the settings may disable."""
         settings, self_id, incarnation = self.settings, self.self_id, self.incarnation
         self.demand: DemandSharing | None = None
@@ -138,11 +138,11 @@
             if part is not None:
                 part.incarnation = self.incarnation
 
-    def set_members(self, now: float, live: Iterable[int], left: Iterable[int] = ()) -> None:
-        """Replace the members that are alive; `left` are those that announced that they leave."""
+    def set_members(self, now: float, live: Iterable[int], departures: Iterable[int] = ()) -> None:
+        """Replace the members that are alive; `departures` are those that announced that they leave."""
         self.live = set(live) - {self.self_id}
-        self.electorate.see(now, self.live)
-        departed = [member for member in left if member not in self.live]
+        self.electorate.record_live(now, self.live)
+        departed = [member for member in departures if member not in self.live]
         self.electorate.remove(departed)
         self.reports.forget(departed)
         self.quotas.forget(departed)
@@ -210,7 +210,7 @@
 
     def _on_zone_reports(self, now: float, sender: int, data: bytes) -> bytes | None:
         reception = self.reporting.on_message(now, sender, data)
-        if reception.is_alarming:
+        if reception.is_urgent:
             self.next_report = min(self.next_report, self.next_step)
         return reception.reply
 
@@ -233,7 +233,7 @@
         if now < self.next_step:
             return []
         self.next_step = now + self._step_interval_ms(now)
-        self.electorate.see(now, self.live)
+        self.electorate.record_live(now, self.live)
         self.reporting.refresh(now, self.live)
         voters = self.electorate.voters(now)
         reports = self.reporting.by_zone(now, voters, self.zone_numbers)
@@ -257,7 +257,7 @@
             return interval_ms
         # Every request is admitted until the first threshold is computed.
         just_started = now - self.started_at < self.slow_start.settings.settle_ms / 2
-        return interval_ms / HURRIED_STEPS if just_started else interval_ms
+        return interval_ms / STARTUP_STEP_FACTOR if just_started else interval_ms
 
     def _decide_zones(
         self, now: float, reports: Mapping[str, list[ZoneReport]], voter_count: int
@@ -360,7 +360,7 @@
         """Return whether a zone is not in full service at any instance."""
         if any(state.phase is not ZonePhase.IN_SERVICE for state in self.evacuation.states.values()):
             return True
-        return any(map(self.reporting.is_alarming, self.reporting.fresh))
+        return any(map(self.reporting.is_urgent, self.reporting.fresh))
 
     def _send(self, outgoing: list[tuple[int, bytes]]) -> list[Action]:
         actions: list[Action] = [SendFleetMessage(member, data) for member, data in outgoing]
--- a/cottonhold/fleet/fleet_load.py
+++ b/cottonhold/fleet/fleet_load.py
@@ -52,9 +52,9 @@
 
     def _offered_cores(self, now: float) -> dict[int, float]:
         """Return the work offered to each instance with a fresh report and to this one, in cores."""
-        own_cores = self.offered_load.cores(now)
+        local_cores = self.offered_load.cores(now)
         others = {report.member: report.offered_centicores / 100 for report in self.reporting.fresh}
-        return {self.self_id: own_cores, **others}
+        return {self.self_id: local_cores, **others}
 
 
 def _total(cores: dict[int, float], member_count: int) -> float:
--- a/cottonhold/fleet/latest_reports.py
+++ b/cottonhold/fleet/latest_reports.py
@@ -51,14 +51,14 @@
     def __init__(self, self_id: int) -> None:
         self.self_id = self_id
         self.received: dict[int, ReceivedReport[ReportT]] = {}
-        self.highest_own_stamp: Stamp = (0, 0)  # highest stamp that others sent in this member's name
+        self.highest_received_stamp: Stamp = (0, 0)  # highest stamp that others sent in this member's name
 
     def apply(self, now: float, report: ReportT) -> bool:
         """Merge a report that arrived at `now`, in ms; return whether it is newer than the known one."""
         if report.member == self.self_id:
             # A forged report, or one by an earlier incarnation whose wall clock was ahead, would otherwise
             # take precedence over this member's own reports for ever. `next_stamp` exceeds this stamp.
-            self.highest_own_stamp = max(self.highest_own_stamp, report.stamp)
+            self.highest_received_stamp = max(self.highest_received_stamp, report.stamp)
             return False
         known = self.received.get(report.member)
         if known is not None and report.stamp <= known.report.stamp:
@@ -72,7 +72,7 @@
 
         It is higher than that and than any stamp that others sent in this member's name.
         """
-        incarnation, version = max((incarnation, version), self.highest_own_stamp)
+        incarnation, version = max((incarnation, version), self.highest_received_stamp)
         if version < MAX_UINT32:
             return incarnation, version + 1
         return (incarnation + 1, 1) if incarnation < MAX_UINT32 else (incarnation, version)
--- a/cottonhold/fleet/request_forwarding/forwarder.py
+++ b/cottonhold/fleet/request_forwarding/forwarder.py
@@ -90,12 +90,12 @@
             ValueError: The id is in use, or this member is the owner.
         """
         self.origin.forward(now, request_id, owner, body, deadline, queue_key)
-        return self._take_actions()
+        return self._pop_actions()
 
     def abandon(self, now: float, request_id: str) -> list[Action]:
         """Drop a request whose client disconnected and inform its owner; no ForwardingEnded follows."""
         self.origin.abandon(now, request_id)
-        return self._take_actions()
+        return self._pop_actions()
 
     def on_request_ended(
         self,
@@ -112,7 +112,7 @@
         or with the other unacknowledged answers to the origin max_answer_bytes, the result becomes FAILED.
         """
         self.owner.on_request_ended(now, origin, number, result, retry_after_ms, data)
-        return self._take_actions()
+        return self._pop_actions()
 
     def on_message(self, now: float, sender: int, payload: bytes) -> list[Action]:
         """Handle a message of kind REQUEST_FORWARDING; a malformed one is counted and changes nothing."""
@@ -122,13 +122,13 @@
         except MessageError:
             self.counts["malformed"] += 1
         self.owner.after_message(now, sender)
-        return self._take_actions()
+        return self._pop_actions()
 
     def step(self, now: float) -> list[Action]:
         """Send and expire what is due; to be called no later than at `next_at`."""
         self.origin.step(now)
         self.owner.step(now)
-        return self._take_actions()
+        return self._pop_actions()
 
     def next_at(self) -> float:
         """Return when `step` is due; infinite while nothing is open."""
@@ -164,7 +164,7 @@
             case AnswerFragment() as message:
                 self.origin.on_answer_fragment(now, sender, message)
 
-    def _take_actions(self) -> list[Action]:
+    def _pop_actions(self) -> list[Action]:
         actions = self.actions[:]
         self.actions.clear()
         return actions
--- a/cottonhold/fleet/request_forwarding/fragmentation.py
+++ b/cottonhold/fleet/request_forwarding/fragmentation.py
@@ -61,7 +61,7 @@
         """Return a fragment's bytes."""
         return self.body[index * self.fragment_bytes : (index + 1) * self.fragment_bytes]
 
-    def take_next(self) -> int | None:
+    def pop_next(self) -> int | None:
         """Remove and return the index of the next fragment to send; None if there is none."""
         while self.overdue:
             index = heapq.heappop(self.overdue)
@@ -101,7 +101,7 @@
         self.retry_timers: list[FragmentTimer] = []  # heap ordered by time
         self.in_flight_count = 0
         self.window_size = min(float(max_in_flight), INITIAL_WINDOW)
-        self.nothing_arrived = True  # no fragment was acknowledged since the last call of _shrink
+        self.nothing_acked = True  # no fragment was acknowledged since the last call of _shrink
         self.next_shrink_at = -math.inf
 
     def add(self, body: FragmentedBody) -> None:
@@ -134,16 +134,16 @@
             self.remove(number)
 
     def _grow(self, arrived_count: int) -> None:
-        self.nothing_arrived = self.nothing_arrived and not arrived_count
+        self.nothing_acked = self.nothing_acked and not arrived_count
         self.window_size = min(self.window_size + arrived_count, float(self.max_in_flight))
 
-    def take_sendable(self, now: float) -> list[tuple[FragmentedBody, int]]:
+    def pop_sendable(self, now: float) -> list[tuple[FragmentedBody, int]]:
         """Return the fragments to send now as (body, index), and mark them as in flight."""
         self._collect_overdue(now)
         sendable: list[tuple[FragmentedBody, int]] = []
         while self.sendable_numbers and self.in_flight_count < int(self.window_size):
             body = self.bodies.get(self.sendable_numbers[0])
-            index = body.take_next() if body is not None else None
+            index = body.pop_next() if body is not None else None
             if body is None or index is None:
                 heapq.heappop(self.sendable_numbers)
                 continue
@@ -176,13 +176,13 @@
         If each loss halved it, the window would stay at its minimum on a working network that loses a third
         of all messages.
         """
-        if self.nothing_arrived:
+        if self.nothing_acked:
             self.window_size = max(self.window_size / 2, MIN_WINDOW)
-        self.nothing_arrived = True
+        self.nothing_acked = True
         self.next_shrink_at = now + self.retry_interval_ms
 
     def next_at(self) -> float:
-        """Return the time of the next retry, in ms; bodies added since `take_sendable` are not considered."""
+        """Return the time of the next retry, in ms; bodies added since `pop_sendable` are not considered."""
         while self.retry_timers:
             retry_at, number, index = self.retry_timers[0]
             body = self.bodies.get(number)
--- a/cottonhold/fleet/request_forwarding/origin.py
+++ b/cottonhold/fleet/request_forwarding/origin.py
@@ -384,7 +384,7 @@
             owner.query_count = min(owner.query_count + 1, MAX_BACKOFF_DOUBLINGS)
         if not owner.is_timestamp_fresh:
             return
-        for body, index in owner.window.take_sendable(now):
+        for body, index in owner.window.pop_sendable(now):
             request = owner.open_requests[body.number]
             request.owner_incarnation = owner.incarnation
             header = self._header(now, owner, request)
--- a/cottonhold/fleet/request_forwarding/owner.py
+++ b/cottonhold/fleet/request_forwarding/owner.py
@@ -348,7 +348,7 @@
 
     def _send_answers(self, now: float, origin: Origin) -> None:
         """Send fragments of answers that fit into the window."""
-        for body, index in origin.window.take_sendable(now):
+        for body, index in origin.window.pop_sendable(now):
             _, _, request = self._find(origin.id, body.number)
             if request is not None and request.outcome is not None:
                 result, retry_after_ms = request.outcome
--- a/cottonhold/fleet/request_forwarding/request_codec.py
+++ b/cottonhold/fleet/request_forwarding/request_codec.py
@@ -44,7 +44,7 @@
     ordering_key: str
     estimated_work_ms: float
     estimated_memory_mb: float
-    tables: int
+    table_group: int
     is_retry: bool
     body: bytes
     round: int = 0
@@ -58,7 +58,7 @@
     tenant_texts = (request.tenant, request.idempotency_key) if has_tenant else ()
     flags = IS_RETRY * request.is_retry | HAS_TENANT * has_tenant
     header = HEADER_FORMAT.pack(
-        flags, request.estimated_work_ms, request.estimated_memory_mb, request.tables, request.round
+        flags, request.estimated_work_ms, request.estimated_memory_mb, request.table_group, request.round
     )
     texts = (request.request_id, request.class_name, request.ordering_key, *tenant_texts)
     encoded = [text.encode() for text in texts]
@@ -90,7 +90,7 @@
         ordering_key=ordering_key,
         estimated_work_ms=estimated_work_ms,
         estimated_memory_mb=estimated_memory_mb,
-        tables=tables,
+        table_group=tables,
         is_retry=bool(flags & IS_RETRY),
         body=data[position:],
         round=round_,
--- a/cottonhold/fleet/zone_failover/attempt_pool.py
+++ b/cottonhold/fleet/zone_failover/attempt_pool.py
@@ -7,7 +7,7 @@
 
 from cottonhold.fleet.zone_failover.failure_evidence import AttemptCounts
 
-MAX_ALONE = 3.0  # number of attempts of one instance that are counted in any case
+MAX_UNSCALED_ATTEMPTS = 3.0  # number of attempts of one instance that are counted in any case
 
 
 class PooledCounts(NamedTuple):
@@ -16,7 +16,7 @@
     good: float
     late: float
     bad: float
-    reporters_of_bad: int
+    bad_reporter_count: int
 
     @property
     def total(self) -> float:
@@ -34,7 +34,7 @@
     total = sum(map(sum, reported))
     good = late = bad = 0.0
     for each in reported:
-        weight = min(1.0, max(MAX_ALONE, (total - sum(each)) / 2) / sum(each))
+        weight = min(1.0, max(MAX_UNSCALED_ATTEMPTS, (total - sum(each)) / 2) / sum(each))
         good += each.good * weight
         late += each.late * weight
         bad += each.bad * weight
--- a/cottonhold/fleet/zone_failover/electorate.py
+++ b/cottonhold/fleet/zone_failover/electorate.py
@@ -20,7 +20,7 @@
         self.last_seen: dict[int, float] = {}  # other member -> time at which it was last alive, in ms
         self._chosen, self._chosen_from = [self_id], frozenset[int]()
 
-    def see(self, now: float, live: Iterable[int]) -> None:
+    def record_live(self, now: float, live: Iterable[int]) -> None:
         """Record that these members are alive at `now`, in ms."""
         self.last_seen.update(dict.fromkeys(live, now))
 
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -116,8 +116,8 @@
         self.states: dict[str, ZoneState] = {}
         self.changes: list[PhaseChange] = []
         self.now = 0.0
-        self.best_good_share = 1.0  # highest share of good attempts among the zones in service
-        self.best_bad_share = 0.0  # lowest share of bad attempts among the zones in service
+        self.highest_good_share = 1.0  # highest share of good attempts among the zones in service
+        self.lowest_bad_share = 0.0  # lowest share of bad attempts among the zones in service
 
     def set_zones(self, names: Iterable[str]) -> None:
         """Replace the set of zones; zones that stay keep their state."""
@@ -163,7 +163,7 @@
             return state.retained_share
         if state.phase is ZonePhase.IN_SERVICE:
             return 1.0
-        proposed = [report.traffic_share for report in reports if report.vote is Vote.KEEP]
+        proposed = [report.traffic_share for report in reports if report.vote is Vote.SERVE]
         return min(state.traffic_share, lower_median([state.traffic_share, *proposed]))
 
     def _count_votes(self, state: ZoneState, reports: list[ZoneReport], electorate: int) -> None:
@@ -192,13 +192,13 @@
             self._decide_return(name, state, evidence, reports, electorate)
         elif evidence.override is Vote.EVACUATE:
             self._evacuate(name, state, evidence, BY_OPERATOR, is_certain=True)
-        elif evidence.override is Vote.KEEP:
+        elif evidence.override is Vote.SERVE:
             self._ramp_up(name, state, evidence, reports)
         elif self._is_unhealthy(name, evidence.health):
             self._evacuate(name, state, evidence, EVIDENCE_REASONS[evidence.health], is_certain=True)
         elif state.is_fleet_evacuated:
             self._evacuate(name, state, evidence, FLEET_EVACUATES, is_certain=False)
-        elif self._joins_others(name, state, evidence, reports, electorate):
+        elif self._should_join_others(name, state, evidence, reports, electorate):
             self._evacuate(name, state, evidence, OTHERS_CERTAIN, is_certain=False)
         elif state.phase is ZonePhase.RETURNING:
             self._ramp_up(name, state, evidence, reports)
@@ -233,7 +233,7 @@
         state.retained_share = evidence.retained_share if evidence.override is None else 0.0
         if evidence.override is Vote.EVACUATE:
             return
-        if evidence.override is Vote.KEEP:
+        if evidence.override is Vote.SERVE:
             self._change(name, state, ZonePhase.RETURNING, BY_OPERATOR)
             return
         state.votes_for_return = self.now - state.since >= state.hold_down_ms and evidence.engines_answer
@@ -243,7 +243,7 @@
             self._change(name, state, ZonePhase.RETURNING, ENGINES_ANSWER)
         elif self._has_fleet_returned(state, reports, electorate):
             self._change(name, state, ZonePhase.RETURNING, FLEET_RETURNS)
-            proposed = lower_median([r.traffic_share for r in reports if r.vote is Vote.KEEP])
+            proposed = lower_median([r.traffic_share for r in reports if r.vote is Vote.SERVE])
             state.traffic_share = max(state.traffic_share, proposed / 4)
 
     def _has_fleet_returned(self, state: ZoneState, reports: list[ZoneReport], electorate: int) -> bool:
@@ -252,7 +252,7 @@
         This requires that the fleet had evacuated the zone. Before that, the instances that have not yet
         evacuated it would look like a fleet that has returned.
         """
-        returned = sum(report.vote is Vote.KEEP for report in reports)
+        returned = sum(report.vote is Vote.SERVE for report in reports)
         return state.was_fleet_evacuated and returned >= majority(electorate) and not state.is_certain
 
     def _is_another_recovering(self, name: str) -> bool:
@@ -266,7 +266,7 @@
             for state in others
         )
 
-    def _joins_others(
+    def _should_join_others(
         self, name: str, state: ZoneState, evidence: LocalEvidence, reports: list[ZoneReport], electorate: int
     ) -> bool:
         """Return whether to evacuate a zone by the evidence of others.
@@ -340,8 +340,10 @@
             return
         pooled = pool_counts([evidence.counts, *_counts_of(reports)])
         good, bad, total = pooled.good, pooled.bad, pooled.total
-        max_bad_share = max(settings.max_bad_share, MAX_BAD_SHARE_RATIO * self.best_bad_share)
-        has_failed = pooled.reporters_of_bad >= MIN_BAD_REPORTERS and bad >= 2 and bad > max_bad_share * total
+        max_bad_share = max(settings.max_bad_share, MAX_BAD_SHARE_RATIO * self.lowest_bad_share)
+        has_failed = (
+            pooled.bad_reporter_count >= MIN_BAD_REPORTERS and bad >= 2 and bad > max_bad_share * total
+        )
         if evidence.override is None and has_failed:
             self._evacuate(name, state, evidence, RETURN_FAILED, is_certain=True)
             return
@@ -350,7 +352,7 @@
         has_enough = total >= settings.min_attempts
         is_healthy = (
             has_enough
-            and good > settings.min_good_ratio * self.best_good_share * total
+            and good > settings.min_good_ratio * self.highest_good_share * total
             and bad <= good * settings.max_bad_per_good
         )
         is_only_late = has_enough and bad == 0 and state.traffic_share * 2 <= settings.max_share_while_late
@@ -361,7 +363,7 @@
                 self._change(name, state, ZonePhase.IN_SERVICE, RETURNED)
             return
         has_queue = bad or state.traffic_share > settings.max_share_while_late
-        if has_queue and good < settings.back_off_ratio * self.best_good_share * total:
+        if has_queue and good < settings.back_off_ratio * self.highest_good_share * total:
             state.traffic_share = max(settings.initial_share, state.traffic_share / 2)
             state.share_changed_at = self.now
 
@@ -377,10 +379,10 @@
             if pooled.total:
                 good_shares.append(pooled.good / pooled.total)
                 bad_shares.append(pooled.bad / pooled.total)
-        self.best_good_share = max(good_shares) or 1.0
-        self.best_bad_share = min(bad_shares, default=0.0)
+        self.highest_good_share = max(good_shares) or 1.0
+        self.lowest_bad_share = min(bad_shares, default=0.0)
 
 
 def _counts_of(reports: Iterable[ZoneReport]) -> list[AttemptCounts]:
     """Return the attempt counts of the instances that vote to keep the zone in service."""
-    return [AttemptCounts(r.good, r.late, r.bad) for r in reports if r.vote is Vote.KEEP]
+    return [AttemptCounts(r.good, r.late, r.bad) for r in reports if r.vote is Vote.SERVE]
--- a/cottonhold/fleet/zone_failover/failure_evidence.py
+++ b/cottonhold/fleet/zone_failover/failure_evidence.py
@@ -29,7 +29,8 @@
 MIN_SUSPECT_ATTEMPTS = 3  # bad attempts in the window needed to report a suspected failure
 MIN_SUSPECT_SHARE = 0.2  # share of bad attempts in the window needed to report a suspected failure
 SCORE_TOLERANCE = 1e-9  # rounding error of a score that equals the threshold
-FEW, MANY = 3, 8  # a zone is slow if the median of its newest 3 and of its newest 8 durations both show it
+# A zone is slow only if the medians over its newest 3 and over its newest 8 durations both show it.
+FEW_DURATIONS, MANY_DURATIONS = 3, 8
 
 
 class AttemptResult(IntEnum):
@@ -78,7 +79,8 @@
         score_threshold: Score from which a zone may be unhealthy. The probability of a false alarm is about
             exp(-score_threshold) for each excursion of the score.
         window_ms: Age above which attempts are ignored, in ms.
-        min_good: Number of served attempts in the window from which a zone with a low score is healthy.
+        min_samples: Number of served attempts in the window from which a zone with a low score is healthy,
+            and number of attempts from which others are compared with the zone.
         learning_time_ms: Time constant with which the usual duration follows the answers, in ms. With a
             shorter one the durations during a fault would soon be the usual ones.
         served_samples: Number of newest attempts from which the served share of a zone is computed.
@@ -98,7 +100,7 @@
     failing_bad_share: float = 0.25
     score_threshold: float = 8.0
     window_ms: float = 1500.0
-    min_good: int = 3
+    min_samples: int = 3
     learning_time_ms: float = 30_000.0
     served_samples: int = 8
     down_bad_share: float = 0.95
@@ -298,7 +300,9 @@
             return
         settings = self.settings
         others = [
-            z.bad_share() for z in self.zones.values() if z is not zone and len(z.recent) >= settings.min_good
+            z.bad_share()
+            for z in self.zones.values()
+            if z is not zone and len(z.recent) >= settings.min_samples
         ]
         healthy = min(0.9, max(settings.healthy_bad_share, 1.5 * min(others, default=0.0)))
         failing = min(0.97, max(settings.failing_bad_share, 2 * healthy))
@@ -326,11 +330,11 @@
         if 2 * zone.newest.count(AttemptResult.FAILED) >= zone.bad_count:
             return True
         others = [
-            max(z.median_log_ratio(FEW), z.median_log_ratio(MANY))
+            max(z.median_log_ratio(FEW_DURATIONS), z.median_log_ratio(MANY_DURATIONS))
             for z in in_service
             if len(z.durations) >= MIN_DURATIONS
         ]
-        log_ratio = min(zone.median_log_ratio(FEW), zone.median_log_ratio(MANY))
+        log_ratio = min(zone.median_log_ratio(FEW_DURATIONS), zone.median_log_ratio(MANY_DURATIONS))
         is_loaded = len(in_service) < len(self.zones) - 1
         margin = math.log(self.settings.outlier_factor * (LOADED_FACTOR if is_loaded else 1.0))
         return len(zone.durations) >= MIN_DURATIONS and log_ratio >= min(others, default=0.0) + margin
@@ -353,7 +357,7 @@
         if zone.outlier_count >= SLOW_CONFIRMATIONS:
             return ZoneHealth.SLOW
         served = sum(result < AttemptResult.SLOW for _, result in zone.recent)
-        is_healthy = score < settings.score_threshold / 4 and served >= settings.min_good
+        is_healthy = score < settings.score_threshold / 4 and served >= settings.min_samples
         return ZoneHealth.HEALTHY if is_healthy else ZoneHealth.UNKNOWN
 
 
--- a/cottonhold/fleet/zone_failover/messages.py
+++ b/cottonhold/fleet/zone_failover/messages.py
@@ -50,7 +50,7 @@
 class Vote(IntEnum):
     """An instance's vote on a zone."""
 
-    KEEP = 0
+    SERVE = 0
     EVACUATE = 1
 
 
@@ -70,7 +70,7 @@
             for a vote.
     """
 
-    vote: Vote = Vote.KEEP
+    vote: Vote = Vote.SERVE
     good: int = 0
     late: int = 0
     bad: int = 0
--- a/cottonhold/fleet/zone_failover/quota_lending.py
+++ b/cottonhold/fleet/zone_failover/quota_lending.py
@@ -18,7 +18,7 @@
 - Two processes of one dispatcher use half of its quota each and lend nothing. The second one waits as after a
   restart; by the end of that time the first one has been informed of it.
 
-A share of the owned quota may be `unlent`, which means that no incarnation of its owner ever lends it. A
+A share of the owned quota may be "unlent", which means that no incarnation of its owner ever lends it. A
 process that is known to be the only one of its dispatcher may use that share immediately, because the loans
 of earlier incarnations came from the rest. The quota of a missing owner stays unused: if others lent it, it
 would be used twice when the owner returns, since they cannot learn of the return in time.
@@ -151,7 +151,7 @@
 
     Args:
         now: Time of the start, in ms.
-        own_quota: Owned fraction of each budget; those of all dispatchers add up to 1.
+        owned_share: Owned fraction of each budget; those of all dispatchers add up to 1.
         first_term: Random number from which terms are counted, so that a delayed grant to an earlier
             incarnation is ignored.
         settings: Times and shares; None for the defaults.
@@ -161,14 +161,14 @@
     def __init__(
         self,
         now: float,
-        own_quota: float,
+        owned_share: float,
         first_term: int,
         settings: QuotaSettings | None = None,
         is_only_process: bool = False,
     ) -> None:
         self.settings = settings or QuotaSettings()
-        self.own_quota = int(own_quota * QUOTA_STEPS)
-        self.unlent = math.ceil(self.own_quota * self.settings.unlent_share)
+        self.owned_steps = int(owned_share * QUOTA_STEPS)
+        self.unlent_steps = math.ceil(self.owned_steps * self.settings.unlent_share)
         self.usable_from = now + self.settings.restart_wait_loans * self.settings.loan_ms
         self.unlent_usable_from = now if is_only_process else self.usable_from
         self.last_term = first_term & FIRST_TERM_MASK
@@ -201,7 +201,7 @@
         loans = self.loans.setdefault(zone, ZoneLoans())
         if self.process_count > 1 or now < self.usable_from or len(load_shares) < 2:
             return []
-        owned_share = self.own_quota / QUOTA_STEPS
+        owned_share = self.owned_steps / QUOTA_STEPS
         lacking = {
             member: share - owned_share for member, share in load_shares.items() if share > owned_share
         }
@@ -260,10 +260,10 @@
         rest.
         """
         if now < self.usable_from:
-            return self.unlent // self.process_count if now >= self.unlent_usable_from else 0
+            return self.unlent_steps // self.process_count if now >= self.unlent_usable_from else 0
         loans = self.loans.get(zone)
         lent = sum(loans.reserved(now, borrower) for borrower in list(loans.lent)) if loans else 0
-        return self.own_quota // self.process_count - lent
+        return self.owned_steps // self.process_count - lent
 
     def _grant(self, now: float, loans: ZoneLoans, borrower: int, request: QuotaRequest) -> int:
         """Lend up to the requested amount and return the amount lent, in steps.
@@ -272,7 +272,7 @@
         """
         if self.process_count > 1 or now < self.usable_from:
             return 0
-        spare = self._available(now, request.zone) - self.unlent + loans.reserved(now, borrower)
+        spare = self._available(now, request.zone) - self.unlent_steps + loans.reserved(now, borrower)
         amount = min(request.amount, max(spare, 0))
         if amount:
             expires_at = now + self.settings.loan_ms * (1 + self.settings.clock_drift)
--- a/cottonhold/fleet/zone_failover/reporting.py
+++ b/cottonhold/fleet/zone_failover/reporting.py
@@ -26,12 +26,12 @@
     """The result of handling a received message.
 
     Attributes:
-        is_alarming: Whether a new report requires that this instance reports without delay.
+        is_urgent: Whether a new report requires that this instance reports without delay.
         reply: Message for the sender if this instance has a newer report by it than the one it sent, else
             None. It makes the sender number its next report higher.
     """
 
-    is_alarming: bool
+    is_urgent: bool
     reply: bytes | None
 
 
@@ -72,9 +72,9 @@
         newer_reports = [report for report in reports if self.reports.apply(now, report)]
         newer = self.reports.newer_than(sender, reports)
         reply = encode_zone_reports([newer], MAX_MESSAGE_BYTES) if newer is not None else None
-        return Reception(any(map(self.is_alarming, newer_reports)), reply)
+        return Reception(any(map(self.is_urgent, newer_reports)), reply)
 
-    def is_alarming(self, report: MemberReport) -> bool:
+    def is_urgent(self, report: MemberReport) -> bool:
         """Return whether a report requires a round of reports in each step.
 
         That is the case if the report shows a fault of a zone or other overrides than this instance's.
@@ -117,7 +117,7 @@
         return MemberReport(self.self_id, *stamp, centicores, self.overrides.digest(), zones)
 
     def messages(
-        self, now: float, own_report: MemberReport, live: Iterable[int], voters: Iterable[int]
+        self, now: float, report: MemberReport, live: Iterable[int], voters: Iterable[int]
     ) -> list[tuple[int, bytes]]:
         """Return the messages of one round as (member, message).
 
@@ -127,7 +127,7 @@
         if len(targets) >= self.settings.gossip_from_members:
             targets = self.random.sample(targets, self.settings.gossip_fanout)
             relayed = self.relayed(now, voters)
-        data = encode_zone_reports([own_report, *relayed], MAX_MESSAGE_BYTES)
+        data = encode_zone_reports([report, *relayed], MAX_MESSAGE_BYTES)
         messages = [(member, data) for member in targets]
         for member in targets:
             if self._lacks_overrides(member):
--- a/cottonhold/fleet/zone_failover/usual_duration.py
+++ b/cottonhold/fleet/zone_failover/usual_duration.py
@@ -5,11 +5,11 @@
 import math
 from dataclasses import dataclass
 
-MIN_KNOWN = 5  # number of answers from which the usual duration is known
-EARLY_COUNT = 30  # the estimate is at least as fast as the plain mean up to this number of answers
+MIN_ANSWERS = 5  # number of answers from which the usual duration is known
+PLAIN_MEAN_ANSWERS = 30  # the estimate is at least as fast as the plain mean up to this number of answers
 MIN_DURATION_MS = 0.1  # shorter durations are treated as this one
-LOW_WEIGHT = 1 / 6  # weight of answers above the low expectile, relative to those below it
-WORK_OVER_LOW = 1.25  # assumed ratio of the mean work to the low expectile of the durations
+ABOVE_EXPECTILE_WEIGHT = 1 / 6  # weight of answers above the low expectile, relative to those below it
+WORK_TO_EXPECTILE_RATIO = 1.25  # assumed ratio of the mean work to the low expectile of the durations
 
 
 @dataclass(slots=True)
@@ -18,31 +18,31 @@
 
     Attributes:
         mean_log_ms: Moving average of the logarithm of the duration in ms.
-        low_log_ms: Low expectile of the same logarithms; it excludes most of the time spent in queues.
+        expectile_log_ms: Low expectile of the same logarithms; it excludes most of the time spent in queues.
         count: Number of answers.
         updated_at: Time of the last answer, in ms.
     """
 
     mean_log_ms: float = 0.0
-    low_log_ms: float = 0.0
+    expectile_log_ms: float = 0.0
     count: int = 0
     updated_at: float = 0.0
 
     @property
     def is_known(self) -> bool:
         """Whether there were enough answers for an estimate."""
-        return self.count >= MIN_KNOWN
+        return self.count >= MIN_ANSWERS
 
     def update(self, now: float, elapsed_ms: float, learning_time_ms: float) -> None:
         """Add the duration of a good answer; learning_time_ms is the time constant of the moving average."""
         self.count += 1
         gain = 1 - math.exp((self.updated_at - now) / learning_time_ms)
-        gain = max(gain, 1 / self.count if self.count < EARLY_COUNT else 0.0)
+        gain = max(gain, 1 / self.count if self.count < PLAIN_MEAN_ANSWERS else 0.0)
         self.updated_at = now
         log_ms = math.log(max(elapsed_ms, MIN_DURATION_MS))
-        weight = 1.0 if log_ms < self.low_log_ms or self.count == 1 else LOW_WEIGHT
+        weight = 1.0 if log_ms < self.expectile_log_ms or self.count == 1 else ABOVE_EXPECTILE_WEIGHT
         self.mean_log_ms += gain * (log_ms - self.mean_log_ms)
-        self.low_log_ms += gain * (log_ms - self.low_log_ms) * weight
+        self.expectile_log_ms += gain * (log_ms - self.expectile_log_ms) * weight
 
     def mean_ms(self) -> float:
         """Return the usual duration including queueing, in ms; 1 before the first answer."""
@@ -53,7 +53,7 @@
 
         It excludes the time in queues, which would make the offered load look higher than it is.
         """
-        return WORK_OVER_LOW * math.exp(self.low_log_ms) if self.count else 0.0
+        return WORK_TO_EXPECTILE_RATIO * math.exp(self.expectile_log_ms) if self.count else 0.0
 
     def slow_after_ms(self, factor: float, min_excess_ms: float) -> float:
         """Return the duration from which an attempt is slow, in ms; infinite until `is_known`."""
--- a/cottonhold/fleet/zone_failover/zone_assessment.py
+++ b/cottonhold/fleet/zone_failover/zone_assessment.py
@@ -97,7 +97,7 @@
         override = self.overrides.in_force(now, zone_number(zone))
         if override is None:
             return None
-        return Vote.EVACUATE if override.mode is OverrideMode.EVACUATE else Vote.KEEP
+        return Vote.EVACUATE if override.mode is OverrideMode.EVACUATE else Vote.SERVE
 
     def _retained_share(self, now: float, offered_cores: float, zone: str) -> float:
         """Return the share of a zone's full load to keep sending there while it is evacuated.
--- a/cottonhold/fleet/zone_failover/zone_state.py
+++ b/cottonhold/fleet/zone_failover/zone_state.py
@@ -68,7 +68,7 @@
     def vote(self) -> Vote:
         """This instance's vote on the zone."""
         is_against = self.phase is ZonePhase.EVACUATED and not self.votes_for_return
-        return Vote.EVACUATE if is_against else Vote.KEEP
+        return Vote.EVACUATE if is_against else Vote.SERVE
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/conformance/test_golden_bytes.py
+++ b/tests/conformance/test_golden_bytes.py
@@ -77,7 +77,7 @@
 def zone_words() -> bytes:
     """Words on zones of two instances."""
     failing = zone_messages.ZoneReport(zone_messages.Vote.EVACUATE, 1, 2, 300, 0.25, True, True)
-    healthy = zone_messages.ZoneReport(zone_messages.Vote.KEEP, 9, 0, 0, 1.0)
+    healthy = zone_messages.ZoneReport(zone_messages.Vote.SERVE, 9, 0, 0, 1.0)
     first = zone_messages.MemberReport(MEMBER, LIFE, VERSION, 70_000, 0x33, {9: failing, 4: healthy})
     return zone_messages.encode_zone_reports([first, zone_messages.MemberReport(2, 3, 4, 5, 6, {})], 200)
 
--- a/tests/fleet/test_quota_lending.py
+++ b/tests/fleet/test_quota_lending.py
@@ -216,9 +216,9 @@
 def lends_all(
     self: QuotaAccount, now: float, zone_loans: quota_lending.ZoneLoans, member: int, request: QuotaRequest
 ) -> int:
-    unlent, self.unlent = self.unlent, 0
+    unlent, self.unlent_steps = self.unlent_steps, 0
     amount = ORIGINAL_GRANT(self, now, zone_loans, member, request)
-    self.unlent = unlent
+    self.unlent_steps = unlent
     return amount
 
 
--- a/tests/fleet/test_zone_votes.py
+++ b/tests/fleet/test_zone_votes.py
@@ -125,7 +125,9 @@
 def test_an_instance_that_joined_does_not_mistake_late_voters_for_a_return() -> None:
     fleet = make_coordinator()
     drive(
-        fleet, 1500.0, lambda t: [encoded_report(m, int(t), Vote.KEEP, suspects=t < 500) for m in range(2, 7)]
+        fleet,
+        1500.0,
+        lambda t: [encoded_report(m, int(t), Vote.SERVE, suspects=t < 500) for m in range(2, 7)],
     )
     state = fleet.evacuation.states["a"]
     assert state.phase is ZonePhase.EVACUATED and not state.is_fleet_evacuated and state.since < 500.0
@@ -150,7 +152,7 @@
     fleet = make_coordinator(500)
     for member in range(2, 501):
         fleet.on_message(
-            float(member), member, encode_zone_reports([encoded_report(member, 1, Vote.KEEP)], 200)
+            float(member), member, encode_zone_reports([encoded_report(member, 1, Vote.SERVE)], 200)
         )
     voters = set(fleet.electorate.voters(600.0))
     relayed = fleet.reporting.relayed(600.0, voters)
@@ -165,7 +167,7 @@
         make_coordinator(),
         [encode_zone_reports([encoded_report(m, 5)], 200) for m in (2, 3, 4, 5)],
     )
-    drive(fleet, 3000.0, lambda t: [encoded_report(m, 1000 + int(t), Vote.KEEP) for m in (2, 3, 4, 5)])
+    drive(fleet, 3000.0, lambda t: [encoded_report(m, 1000 + int(t), Vote.SERVE) for m in (2, 3, 4, 5)])
     for data in old_messages:
         fleet.on_message(3000.0, 2, data)
     drive(fleet, 4000.0, lambda t: [], 3000.0)
@@ -174,7 +176,7 @@
 
 def test_half_of_a_partitioned_fleet_is_no_majority_for_a_minute() -> None:
     fleet = make_coordinator()
-    drive(fleet, 1000.0, lambda t: [encoded_report(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
+    drive(fleet, 1000.0, lambda t: [encoded_report(m, int(t), Vote.SERVE) for m in (2, 3, 4, 5, 6)])
     fleet.set_members(1000.0, [2, 3])
     drive(fleet, 5000.0, lambda t: [encoded_report(m, int(t), certain=False) for m in (2, 3)], 1000.0)
     assert not fleet.evacuation.states["a"].is_fleet_evacuated
@@ -184,8 +186,8 @@
 
 def test_a_member_that_left_by_announcement_counts_no_longer() -> None:
     fleet = make_coordinator()
-    drive(fleet, 1000.0, lambda t: [encoded_report(m, int(t), Vote.KEEP) for m in (2, 3, 4, 5, 6)])
-    fleet.set_members(1000.0, [2, 3], left=[4, 5, 6])
+    drive(fleet, 1000.0, lambda t: [encoded_report(m, int(t), Vote.SERVE) for m in (2, 3, 4, 5, 6)])
+    fleet.set_members(1000.0, [2, 3], departures=[4, 5, 6])
     drive(fleet, 3000.0, lambda t: [encoded_report(m, int(t)) for m in (2, 3)], 1000.0)
     assert fleet.evacuation.states["a"].is_fleet_evacuated
 
@@ -241,7 +243,7 @@
 def test_one_instance_cannot_dominate_pooled_counts() -> None:
     claims = [AttemptCounts(0, 0, 250), AttemptCounts(20, 0, 0), AttemptCounts(20, 0, 1)]
     pooled = pool_counts(claims)
-    assert pooled.reporters_of_bad == 2 and pooled.bad < 0.4 * (pooled.good + pooled.bad)
+    assert pooled.bad_reporter_count == 2 and pooled.bad < 0.4 * (pooled.good + pooled.bad)
 
 
 def test_the_traffic_share_is_the_lower_median_of_all() -> None:
@@ -249,7 +251,7 @@
     evacuation.set_zones(["a"])
     state = evacuation.states["a"]
     state.phase, state.traffic_share = ZonePhase.RETURNING, 0.8
-    reports = [ZoneReport(Vote.KEEP, traffic_share=p) for p in (0.1, 0.2, 1.0)]
+    reports = [ZoneReport(Vote.SERVE, traffic_share=p) for p in (0.1, 0.2, 1.0)]
     assert evacuation.traffic_share("a", reports) == 0.2 and evacuation.traffic_share("nowhere") == 1.0
 
 
@@ -263,7 +265,7 @@
     evacuation.set_zones("ab")
     state = evacuation.states["a"]
     state.phase, state.traffic_share, state.return_started_at = ZonePhase.RETURNING, 0.1, 0.0
-    reports = {"a": [ZoneReport(Vote.KEEP, 7, 0, 3)] * 3, "b": [ZoneReport(Vote.KEEP, *elsewhere)] * 3}
+    reports = {"a": [ZoneReport(Vote.SERVE, 7, 0, 3)] * 3, "b": [ZoneReport(Vote.SERVE, *elsewhere)] * 3}
     evidence = {
         name: LocalEvidence(ZoneHealth.UNKNOWN, counts, False, True)
         for name, counts in {"a": AttemptCounts(7, 0, 3), "b": elsewhere}.items()
