--- a/cottonhold/fleet/zone_failover/attempt_pool.py
+++ b/cottonhold/fleet/zone_failover/attempt_pool.py
@@ -11,12 +11,15 @@
 
 
 class PooledCounts(NamedTuple):
-    """The weighted attempts of several instances, and the number of instances that report bad ones."""
+    """The weighted attempts of several instances by result, see `AttemptCounts`.
+
+    `bad_reporters` is the number of instances that report bad attempts.
+    """
 
     good: float
     late: float
     bad: float
-    bad_reporter_count: int
+    bad_reporters: int
 
     @property
     def total(self) -> float:
--- a/cottonhold/fleet/zone_failover/evacuation.py
+++ b/cottonhold/fleet/zone_failover/evacuation.py
@@ -329,11 +329,10 @@
     ) -> None:
         """Double, keep or halve a returning zone's traffic share, or evacuate the zone again.
 
-        The decision uses the attempts of all instances that serve the zone. It compares them with the best
-        zone in service, because bad attempts in all zones mean that the fleet is overloaded. An instance with
-        too many bad attempts of its own keeps its share even if the others report good ones, because its
-        network link may be faulty. The share is halved while a queue forms, because the traffic itself makes
-        cold engines late.
+        The attempts of all instances that serve the zone are compared with the best zone in service, because
+        bad attempts in all zones mean overload. An instance with too many bad attempts of its own keeps its
+        share, because its network link may be faulty. The share is halved while a queue forms, because the
+        traffic itself makes cold engines late.
         """
         settings = self.settings
         if state.phase is not ZonePhase.RETURNING or self.now - state.share_changed_at < settings.step_ms:
@@ -341,9 +340,7 @@
         pooled = pool_counts([evidence.counts, *_counts_of(reports)])
         good, bad, total = pooled.good, pooled.bad, pooled.total
         max_bad_share = max(settings.max_bad_share, MAX_BAD_SHARE_RATIO * self.lowest_bad_share)
-        has_failed = (
-            pooled.bad_reporter_count >= MIN_BAD_REPORTERS and bad >= 2 and bad > max_bad_share * total
-        )
+        has_failed = pooled.bad_reporters >= MIN_BAD_REPORTERS and bad >= 2 and bad > max_bad_share * total
         if evidence.override is None and has_failed:
             self._evacuate(name, state, evidence, RETURN_FAILED, is_certain=True)
             return
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -34,7 +34,7 @@
 
 @unhurried
 @given(RATES)
-def test_encoded_demand_keeps_its_sum_and_its_dense_part(rates: dict[int, float]) -> None:
+def test_encoded_demand_preserves_its_sum_and_its_dense_part(rates: dict[int, float]) -> None:
     data = demand.encode_rates(rates)
     decoded = demand.decode_rates(data)
     assert decoded is not None and len(data) <= 2 * MAX_ENCODED_STEPS
--- a/tests/fleet/test_failure_evidence.py
+++ b/tests/fleet/test_failure_evidence.py
@@ -94,7 +94,7 @@
     assert [first(assessments, zone) for zone in ZONES] == [None, None, None]
 
 
-def test_a_zone_that_is_down_is_told_from_one_that_fails_in_part() -> None:
+def test_a_down_zone_is_distinguished_from_a_partly_failing_one() -> None:
     health_of_down = {health["a"] for t, health in play(in_zone("a", False, 1.0)) if t > 2000}
     health_of_failing = {health["a"] for t, health in play(in_zone("a", False, 1.0, share=0.6)) if t > 2000}
     assert (
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -96,7 +96,7 @@
 
 
 @given(st.lists(OVERRIDE, max_size=10), st.randoms())
-def test_overrides_merge_alike_and_are_decoded_as_encoded(
+def test_overrides_merge_in_any_order_and_are_decoded_as_encoded(
     overrides: list[Override], random_source: random.Random
 ) -> None:
     unique = list({(o.zone, o.stamp): o for o in overrides}.values())
@@ -127,7 +127,7 @@
         decode_zone_reports(data[:end] if end > 0 else data + b"\0")
 
 
-def test_a_replayed_report_changes_nothing_and_a_forged_own_one_is_outranked() -> None:
+def test_a_replayed_report_changes_nothing_and_a_forged_stamp_is_exceeded() -> None:
     reports = LatestReports[MemberReport](1)
     old, new = MemberReport(2, 1, 5, 0, 0, {}), MemberReport(2, 1, 6, 0, 0, {})
     assert reports.apply(1.0, new) and not reports.apply(2.0, old) and not reports.apply(3.0, new)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -124,7 +124,7 @@
     await until_phases(run, evacuated_by(), "all return")
 
 
-async def no_path_around_the_harness(run: ScenarioRun) -> None:
+async def all_datagrams_pass_through_the_harness(run: ScenarioRun) -> None:
     """With all links cut, all instances appear dead to each other: the harness relays every datagram."""
     await run.apply(Fault(0.0, "peers", "*", "*", {"cut": True}))
 
@@ -140,7 +140,9 @@
 
 
 @pytest.mark.parametrize(
-    "case", [killed, one_link, ordered_by_operator, no_path_around_the_harness], ids=lambda s: s.__name__
+    "case",
+    [killed, one_link, ordered_by_operator, all_datagrams_pass_through_the_harness],
+    ids=lambda s: s.__name__,
 )
 def test_a_fleet_of_processes(case: FleetCase, tmp_path: Path) -> None:
     run = ScenarioRun(SCENARIO, tmp_path)
--- a/tests/fleet/test_request_forwarding.py
+++ b/tests/fleet/test_request_forwarding.py
@@ -111,7 +111,7 @@
     monkeypatch.setattr(RequestOrigin, "_end", defect)
 
 
-def sends_again_what_an_earlier_incarnation_may_have_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
+def resends_what_an_earlier_incarnation_may_have_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     def defect(self: RequestOrigin, owner: Any, previous_incarnation: int) -> None:
         for request in owner.open_requests.values():
             if request.owner_incarnation == previous_incarnation and not request.is_ended:
@@ -136,7 +136,7 @@
     )
 
 
-def reports_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def reports_two_results(monkeypatch: pytest.MonkeyPatch) -> None:
     end = RequestOrigin._end
 
     def defect(
@@ -160,10 +160,10 @@
     accepts_a_request_for_an_earlier_incarnation: "accepted twice",
     does_not_reduce_the_remaining_time: "left_ms",
     reports_not_accepted_after_all_was_sent: "nobody|nothing ran",
-    sends_again_what_an_earlier_incarnation_may_have_accepted: "accepted twice",
+    resends_what_an_earlier_incarnation_may_have_accepted: "accepted twice",
     ignores_the_order: "order",
     reports_too_late: "in time",
-    reports_twice: "one end",
+    reports_two_results: "one end",
 }
 
 
@@ -256,7 +256,7 @@
 
 
 @pytest.mark.parametrize("is_accepted", [True, False])
-def test_the_owner_learns_that_the_client_left(is_accepted: bool) -> None:
+def test_the_owner_is_informed_that_the_client_disconnected(is_accepted: bool) -> None:
     net = ForwardingNetwork(7)
     net.serve = lambda: (5000.0, ForwardResult.ANSWERED)
     if not is_accepted:
@@ -270,7 +270,7 @@
     assert not attempt.results and not net.forwarder_of(A).status()["open"]
 
 
-def part(number: int, index: int = 0, size: int = 1000, remaining_ms: float = 500_000.0) -> bytes:
+def encoded_fragment(number: int, index: int = 0, size: int = 1000, remaining_ms: float = 500_000.0) -> bytes:
     header = messages.RequestHeader(number, 1, 0, 0.0, remaining_ms, 1)
     fragment_bytes = messages.REQUEST_FRAGMENT_BYTES
     return messages.encode(
@@ -286,8 +286,10 @@
     )
     owner = RequestForwarder(B, 1, settings, 1)
     for number in range(1, 5000):
-        owner.on_message(1.0, LIAR, part(messages.request_number(number % 7 + 1, number), size=16_000))
-        owner.on_message(1.0, 1000 + number, part(messages.request_number(1, 1)))
+        owner.on_message(
+            1.0, LIAR, encoded_fragment(messages.request_number(number % 7 + 1, number), size=16_000)
+        )
+        owner.on_message(1.0, 1000 + number, encoded_fragment(messages.request_number(1, 1)))
     status = owner.status()
     assert status["gathering_bytes"] <= 64 * 1024 + 3 * 1000 and status["here"] <= 8
     assert len(owner.owner.origins) == 4
@@ -308,11 +310,13 @@
     now_a, now_b = net.running[A].at(net.now), net.running[B].at(net.now)
     number = messages.request_number(origin.incarnation, 1)
     future = messages.RequestHeader(number + 1, owner.incarnation, int(now_b * 1000) + 10**9, 0.0, 100.0, 1)
-    too_old = messages.RequestHeader(number + 1, owner.incarnation, int(now_b * 1000), 1000.0, 100.0, 1)
+    impossible_age = messages.RequestHeader(
+        number + 1, owner.incarnation, int(now_b * 1000), 1000.0, 100.0, 1
+    )
     before = origin.status(), owner.status()
     for message in (
         messages.RequestFragment(future, 0, 0, b""),
-        messages.RequestFragment(too_old, 0, 0, b""),
+        messages.RequestFragment(impossible_age, 0, 0, b""),
         messages.WithdrawRequest(messages.RequestHeader(number + 1, owner.incarnation, 0, 0.0, 1e7, 1), True),
     ):
         assert owner.on_message(now_b, A, messages.encode(message)) == []
@@ -348,7 +352,7 @@
             messages.decode(data + b"\0")
 
 
-def test_duplicate_and_own_requests_are_errors_and_too_many_are_rejected() -> None:
+def test_duplicate_and_self_addressed_requests_are_errors_and_too_many_are_rejected() -> None:
     origin = RequestForwarder(A, 1, ForwardingSettings(max_open_requests=2), 1)
     origin.forward(0.0, "a", B, b"", 900.0)
     for request_id, owner in (("a", C), ("b", A)):
--- a/tests/fleet/test_zone_failover.py
+++ b/tests/fleet/test_zone_failover.py
@@ -107,7 +107,9 @@
 @pytest.mark.parametrize(
     "isolated, instance_count", [([5], 6), ([0, 1, 2, 3], 8)], ids=["one link", "half of the fleet"]
 )
-def test_instances_cut_off_from_a_zone_evacuate_it_alone(isolated: list[int], instance_count: int) -> None:
+def test_instances_that_cannot_reach_a_zone_evacuate_it_alone(
+    isolated: list[int], instance_count: int
+) -> None:
     def fault(world: FleetWorld, is_active: bool) -> None:
         for i in isolated:
             world.nodes[i].unreachable_zones = {"a"} if is_active else set()
@@ -117,7 +119,7 @@
     assert set(world.phases("a").values()) == {"in"}
 
 
-def test_a_partitioned_fleet_evacuates_by_own_evidence_and_converges_again() -> None:
+def test_a_partitioned_fleet_evacuates_by_local_evidence_and_converges_after_it() -> None:
     def fault(world: FleetWorld, is_active: bool) -> None:
         set_zone(is_dead=True)(world, is_active)
         world.network.is_cut = lambda a, b: is_active and (a.port <= 3) != (b.port <= 3)
--- a/tests/fleet/test_zone_votes.py
+++ b/tests/fleet/test_zone_votes.py
@@ -184,7 +184,7 @@
     assert fleet.evacuation.states["a"].is_fleet_evacuated, "the others no longer have votes"
 
 
-def test_a_member_that_left_by_announcement_counts_no_longer() -> None:
+def test_a_member_that_announced_its_departure_has_no_vote() -> None:
     fleet = make_coordinator()
     drive(fleet, 1000.0, lambda t: [encoded_report(m, int(t), Vote.SERVE) for m in (2, 3, 4, 5, 6)])
     fleet.set_members(1000.0, [2, 3], departures=[4, 5, 6])
@@ -243,7 +243,7 @@
 def test_one_instance_cannot_dominate_pooled_counts() -> None:
     claims = [AttemptCounts(0, 0, 250), AttemptCounts(20, 0, 0), AttemptCounts(20, 0, 1)]
     pooled = pool_counts(claims)
-    assert pooled.bad_reporter_count == 2 and pooled.bad < 0.4 * (pooled.good + pooled.bad)
+    assert pooled.bad_reporters == 2 and pooled.bad < 0.4 * (pooled.good + pooled.bad)
 
 
 def test_the_traffic_share_is_the_lower_median_of_all() -> None:
