--- a/cottonhold/fleet/zone_failover/operator_overrides.py
+++ b/cottonhold/fleet/zone_failover/operator_overrides.py
@@ -138,7 +138,7 @@
     def issue(
         self, zone: int, mode: OverrideMode, expires_at: float, requested_by: str, reason: str
     ) -> Override:
-        """Issue a new override by this instance and return it; too long texts are truncated."""
+        """Issue a new override by this instance and return it; texts that are too long are truncated."""
         previous = self.known.get(zone)
         override = Override(
             zone,
