--- a/cottonhold/fleet/recovery/__init__.py
+++ b/cottonhold/fleet/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet after a power loss: what is known from before, and the order in which service returns. Pure."""
+"""Recovery after a power loss: what is known from before it, and the order in which service returns. Pure."""
--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -1,8 +1,8 @@
-"""Engines that the own list named before a power loss, until a source of the list answers. Pure.
+"""Engines of the list before a power loss, used until a source of the list responds. Pure.
 
-A record is a hint where an engine was. Whether one is there now only its own answer tells: slow start sends
-nothing to it before. The first answer of a source replaces all of them. Engines that were draining, or had a
-fault, are not cached: nothing new was to be sent to them.
+A record is only a hint where an engine was: slow start sends nothing to it before it has answered. The first
+response of a source replaces all records. Engines that were draining or failing are not cached, since they
+were to receive nothing new.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordError, RecordKind
 
-REASON = "remembered from before the start"  # as operators read it
+REASON = "remembered from before the start"  # shown to operators
 
 
 class CachedEngine(msgspec.Struct, array_like=True, frozen=True):
-    """What is cached of one engine. Zone and machine type by name: their numbers are of one configuration."""
+    """What is cached of one engine. Zone and machine type are names, since their numbers depend on the
+    configuration."""
 
     address: str
     zone: str
@@ -30,10 +31,12 @@
 
 
 class EngineCache:
-    """Feed it changes of the list that a source has answered for; it returns the records to be written.
+    """The cached engines, and the records to write when the list changes.
 
-    recorded: the folder's records of engines, by id; names: of zones and machine types. `malformed` counts
-    records that can't be read.
+    Args:
+        recorded: Records of engines in the state folder, by engine id. `malformed` counts the unreadable
+            ones.
+        names: Configured names of zones and machine types.
     """
 
     def __init__(self, recorded: Mapping[bytes, bytes], names: ConfiguredNames) -> None:
@@ -48,10 +51,11 @@
                 self.malformed += 1
 
     def observations(self, known: tuple[Observation, ...] = ()) -> tuple[Observation, ...]:
-        """The list to begin with: engines that the configuration knows, and cached ones.
+        """Return the list to start with: the configured engines in `known`, then the cached ones.
 
-        An address has one engine: what was cached at one that the configuration gives to another is outdated.
-        One in a zone that is no longer configured would be taken for one of the first zone.
+        An address belongs to one engine, so a cached engine whose address the configuration assigns to
+        another is outdated. A cached engine of a zone that is no longer configured is dropped, because it
+        would be assigned to the first zone.
         """
         known_ids = {observation.id for observation in known}
         addresses = {observation.address for observation in known}
@@ -80,7 +84,7 @@
         return tuple(observations)
 
     def apply(self, change: EngineListChange) -> list[Record]:
-        """What has to be written for a change of the list."""
+        """Apply a change of the list, and return the records to write."""
         records = []
         if change.is_complete:
             removed = self.engines.keys() - {engine.id for engine in change.engines}
@@ -101,7 +105,7 @@
         return Record(RecordKind.ENGINE_ADDRESS, engine_id.encode(), None)
 
     def _cached(self, engine: Engine, address: Address | None) -> CachedEngine | None:
-        """What to cache of an engine; None where its address isn't known, or where too many are cached."""
+        """Return what to cache of an engine; None if its address is unknown or too many are cached."""
         known = self.engines.get(engine.id)
         known_address = known.address if known is not None else ""
         current_address = str(address) if address is not None else known_address
--- a/cottonhold/fleet/recovery/first_checker.py
+++ b/cottonhold/fleet/recovery/first_checker.py
@@ -1,4 +1,4 @@
-"""Which dispatcher checks an engine's health before membership has settled. Pure."""
+"""The choice of the dispatcher that checks an engine's health before membership has settled. Pure."""
 
 from __future__ import annotations
 
@@ -15,10 +15,16 @@
 
 
 def first_checker(engine: str, passed_ms: float, dispatchers: int, slot_ms: float = 100.0) -> int:
-    """The number of the configured dispatcher that checks an engine now.
+    """Return the number of the configured dispatcher that checks an engine now.
 
-    passed_ms: since this one's start, or since the loss. Each dispatcher gets a time slot, in an order by
-    hash, so that an engine is found though most of the others are not back yet.
+    Each dispatcher has time slots, in an order by hash, so that an engine is found even if most dispatchers
+    have not returned yet.
+
+    Args:
+        engine: The engine's id.
+        passed_ms: Time since this instance's start, or since the loss.
+        dispatchers: Number of configured dispatchers.
+        slot_ms: Length of a time slot, in ms.
     """
     order = _order(engine, dispatchers)
     return order[int(max(passed_ms, 0.0) / slot_ms) % dispatchers]
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -1,47 +1,35 @@
-"""Which loads may have run, as far as any dispatcher of the fleet remembers. Pure.
-
-A load is known by its `load_identity`, 16 bytes. The caller says what happens to it here:
-
-    begin(now, load)           before its record is made durable, for a request that is not marked as a retry.
-                               False: it must be queried first, as if it were marked
-    on_sent(now, load)         its record is durable and its first byte is sent now
-    on_ended(now, load, result)
-                               its end; NEVER_RAN with proof of that (also where nothing was sent after
-                               `begin`)
-    on_retry(now, request_id, load, deadline)
-                               a client's retry. Known at once, or None: then a LoadSettled follows from
-                               `step` or `on_message`, at the client's deadline at the latest
-    cancel(now, request_id)    its client has left, or the load will not be sent after all
-
-and what the membership survey found: `step(now, FleetState(...))`, at `next_at` and after each step of the
-survey. `on_message(now, number, message)` takes others' messages, by the number that the survey bound the
-sender to. Both return actions. LoadKnowledge: SUCCEEDED; MAY_HAVE_RUN: it is failed and never sent;
-NEVER_SENT: it is this instance's to send at once (`on_sent` follows, or `cancel`); NOT_KNOWN_YET within the
-client's deadline: it is rejected and may be retried after `retry_after_ms`.
-
-Rule: an own record decides at once. Else every other configured dispatcher has to have said that it never
-sent it, on a query of this very retry, or to be proven silent. One whose memory is empty or stale says
-UNKNOWN for a retention after its start, never NEVER_SENT; one whose memory nobody has confirmed yet says
-NOT_KNOWN_YET. While `has_pending`, the survey has to `expedite`: what it says of silent ones must be newer
-than the retry.
-
-No two send one load (proof). Whoever has a retry pending answers others' queries with MAY_HAVE_RUN, unless
-theirs ranks higher (by a hash of number and load): then it gives its own up, as MAY_HAVE_RUN. Of two that
-both got the other's NEVER_SENT, each would have answered before it began to query and so each before the
-other (Ricart and Agrawala, "An Optimal Algorithm for Mutual Exclusion in Computer Networks"). Where one is
-taken for silent, more than half of the configured ones have said so since, and have answered; two such
-queries meet at one of these, and the second is answered ALSO_QUERIED, which is MAY_HAVE_RUN where anybody is
-silent. A first request that is queued here and that another has queried is not sent: `begin` is False.
-
-Retention: a client sends its first request at t and waits for at most the longest deadline L; at t + L at the
-latest it knows that its load failed, and retries; that retry waits for at most L too. So what was sent at t
-is queried until t + 2 L, and a slack covers retries after a pause. A retry that was answered NOT_KNOWN_YET
-may be repeated after that: so a retry counts from the first time it was known, here or where it is queried.
+"""Decides whether a load that a client retries may already have run, from the records of all dispatchers.
+Pure.
+
+A load is identified by its 16-byte `load_identity`. The life of a load at one instance:
+
+    begin      before a load that isn't marked as a retry is recorded on disk and sent
+    on_sent    when its record is durable and its first byte is sent
+    on_ended   when it has ended; with NEVER_RAN also if nothing was sent after `begin`
+    on_retry   for a client's retry, which is answered immediately or by a LoadSettled action
+    cancel     when the client of a retry has disconnected, or the load will not be sent after all
+
+`step` processes the findings of the membership survey; call it at `next_at` and after each step of the
+survey. `on_message` processes messages of other dispatchers. Both return actions. While `has_pending`, the
+survey must be `expedite`d: its proofs of silence must be newer than the retry.
+
+Rule: if this instance has a record of the load, that record decides. Otherwise every other configured
+dispatcher must either answer a query about this retry that it never sent the load, or be proven silent. A
+dispatcher whose memory is empty or stale answers UNKNOWN for one retention after its start, never NEVER_SENT;
+one whose memory nobody has confirmed yet answers NOT_KNOWN_YET.
+
+Proof that no two dispatchers send one load: a dispatcher with a pending retry answers queries of others with
+MAY_HAVE_RUN, unless theirs has priority; then it settles its own retry as MAY_HAVE_RUN. If two dispatchers
+had both received NEVER_SENT from each other, each would have answered before it sent its own query, and so
+each before the other, which is impossible (Ricart and Agrawala, "An Optimal Algorithm for Mutual Exclusion in
+Computer Networks"). If a dispatcher is proven silent, more than half of the configured dispatchers have
+reported so since the retry, and have answered. Two such queries have one of these in common, which answers
+ALSO_QUERIED to the second; where any dispatcher is silent, ALSO_QUERIED is settled as MAY_HAVE_RUN. A first
+request that is still queued here and that another dispatcher has queried is not sent: `begin` returns False.
 """
 
 from __future__ import annotations
 
-import hashlib
 from collections.abc import Iterable
 
 from cottonhold.fleet.message_format import MAX_UINT32
@@ -52,7 +40,7 @@
     LoadSettled,
     SendToDispatcher,
 )
-from cottonhold.fleet.recovery.load_queries import QUERY_LIFETIME_RETRIES, LoadQueries, PendingRetry
+from cottonhold.fleet.recovery.load_queries import QUERY_LIFETIME_RETRIES, LoadQueries, PendingRetry, priority
 from cottonhold.fleet.recovery.local_loads import (
     LoadKnowledge,
     LoadResult,
@@ -75,8 +63,14 @@
 
 
 class LoadHistory:
-    """One instance's side. number: its own, of 0 to `dispatchers` - 1; boot_count: of this start; recorded:
-    the folder's loads; seed: for serials."""
+    """One instance's load history.
+
+    Args:
+        number: This instance's number, from 0 to `dispatchers` - 1.
+        boot_count: Boot count of this start.
+        recorded: The loads that the state folder recorded before this start.
+        seed: Seed for the serial numbers of queries.
+    """
 
     def __init__(
         self,
@@ -94,7 +88,7 @@
         self.fleet = FleetState(is_alone, is_alone, MemoryState.INTACT, {})
         self.local = LocalLoads(now, list(recorded), settings.retention_ms, settings.max_loads)
         self.pending: dict[bytes, PendingRetry] = {}
-        self.granted: dict[bytes, str] = {}  # settled as NEVER_SENT, and not sent yet: by which request
+        self.granted: dict[bytes, str] = {}  # request that may send a load settled as NEVER_SENT, until sent
         self.load_by_request: dict[str, bytes] = {}
         self.queries = LoadQueries(self.boot_count, seed)
         self.announced, self.next_announcement = 0, now
@@ -108,8 +102,11 @@
         return bool(self.pending)
 
     def begin(self, now: float, load: bytes) -> bool:
-        """A load that isn't marked as a retry is about to be made durable and sent. False if another has
-        queried it: its client may have given up here, and it runs elsewhere by this instance's answer."""
+        """Record that a load that isn't marked as a retry is about to be sent.
+
+        Returns False if it must be queried first as a retry: another dispatcher has queried it, so its client
+        may have given up here, and may run it elsewhere because of this instance's answer.
+        """
         if load in self.local.queried or load in self.granted:
             return False
         if self.local.is_full(load):
@@ -119,18 +116,22 @@
         return True
 
     def on_sent(self, now: float, load: bytes) -> None:
-        """It is sent now: after `begin`, or after a retry was answered NEVER_SENT."""
+        """Record that a load is being sent, after `begin` or after its retry was answered NEVER_SENT."""
         request_id = self.granted.pop(load, None)
         if request_id is not None:
             self.load_by_request.pop(request_id, None)
             self.local.begin(load)
 
     def on_ended(self, now: float, load: bytes, result: LoadResult) -> None:
-        """A run has ended."""
+        """Record the result of one run of a load."""
         self.local.end(now, load, result)
 
     def on_retry(self, now: float, request_id: str, load: bytes, deadline: float) -> LoadKnowledge | None:
-        """A client's retry of a load. None: a LoadSettled follows."""
+        """Return what is known of a load that a client retries.
+
+        None means that others are queried first; then `step` or `on_message` returns a LoadSettled, at
+        `deadline` at the latest. See LoadKnowledge for what the caller must do.
+        """
         knowledge = self._knowledge(now, load)
         if knowledge is not None:
             return knowledge
@@ -154,7 +155,7 @@
         return None
 
     def cancel(self, now: float, request_id: str) -> None:
-        """Whoever sent a retry went away."""
+        """Forget a retry whose client has disconnected or whose load will not be sent."""
         load = self.load_by_request.pop(request_id, None)
         if load is None:
             return
@@ -167,7 +168,7 @@
                 del self.pending[load]
 
     def answer_unavailable(self, now: float, load: bytes) -> LoadKnowledge:
-        """The answer to a client's retry while this instance can't accept its load at all."""
+        """Return the answer to a client's retry while this instance can't accept the load at all."""
         knowledge = self._knowledge(now, load)
         if knowledge is not None:
             return knowledge
@@ -176,13 +177,13 @@
         return self._unconfirmed(now, load)
 
     def _knowledge(self, now: float, load: bytes) -> LoadKnowledge | None:
-        """What this instance knows without a query, if that decides."""
+        """Return what this instance's own records decide; None if others must be queried."""
         return LoadKnowledge.MAY_HAVE_RUN if load in self.granted else self.local.knowledge(now, load)
 
     def on_message(
         self, now: float, number: int, message: LoadQuery | LoadAnswer | OpenLoads
     ) -> list[Action]:
-        """A message of another dispatcher."""
+        """Process a message of the dispatcher `number`, and return the actions that follow."""
         self.actions = []
         if number not in self.others:
             return []
@@ -200,19 +201,19 @@
         return self.actions
 
     def _statement(self, now: float, number: int, load: bytes) -> LoadStatement:
-        """What this instance says of a load to another that has a retry of it.
+        """Return this instance's answer to another dispatcher that has a retry of a load.
 
-        Never NEVER_SENT from an empty folder, which has no record of what its last boot sent.
+        With an empty folder, which has no record of what the last boot sent, it is never NEVER_SENT.
         """
         queried = self.local.note_query(now, load, number)
         if queried is None:
-            return LoadStatement.UNKNOWN  # nothing is noted of it here, while NOT_KNOWN_YET says that it is
+            return LoadStatement.UNKNOWN  # NOT_KNOWN_YET would mean that this query has been recorded
         knowledge = self._knowledge(now, load)
         if knowledge is not None:
             succeeded = knowledge is LoadKnowledge.SUCCEEDED
             return LoadStatement.SUCCEEDED if succeeded else LoadStatement.MAY_HAVE_RUN
         if load in self.pending:
-            if _rank(self.number, load) > _rank(number, load):
+            if priority(self.number, load) > priority(number, load):
                 return LoadStatement.MAY_HAVE_RUN
             self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
         if self.local.is_late(now, queried):
@@ -226,8 +227,8 @@
         return LoadStatement.ALSO_QUERIED if has_other else LoadStatement.NEVER_SENT
 
     def _on_answer(self, now: float, number: int, answer: LoadAnswer) -> None:
-        """An answer; void where it is of no query of this boot. One to a query from before the retry began
-        doesn't bind whoever gave it any more."""
+        """Process an answer to a query of this boot; any other is ignored. An answer to a query from before
+        the retry began is no longer binding for its sender."""
         query = self.queries.match(number, answer)
         if query is None:
             self.counters["void"] += 1
@@ -244,7 +245,7 @@
                 self._try_to_settle(now, load, pending)
 
     def next_at(self) -> float:
-        """When `step` is due."""
+        """Return the time at which `step` must be called again."""
         times = [self.next_cleanup]
         if self._has_announcement():
             times.append(self.next_announcement)
@@ -253,7 +254,7 @@
         return min(times)
 
     def step(self, now: float, fleet: FleetState) -> list[Action]:
-        """Time has passed, or the survey found something."""
+        """Process the survey's findings and all expired timers; return the actions that follow."""
         self.actions, self.fleet = [], fleet
         if fleet.is_partitioned:
             self.local.partitioned_at = now
@@ -273,7 +274,7 @@
         self.queries.expire(now - QUERY_LIFETIME_RETRIES * self.settings.max_retry_ms)
 
     def _try_to_settle(self, now: float, load: bytes, pending: PendingRetry) -> None:
-        """Settle a retry as soon as what is known decides."""
+        """Settle a retry if what is known suffices."""
         statements = pending.statements.values()
         if LoadStatement.SUCCEEDED in statements:
             self._settle(load, LoadKnowledge.SUCCEEDED)
@@ -282,7 +283,7 @@
             self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
             return
         unanswered = [number for number in self.others if number not in pending.statements]
-        # One that isn't proven silent may have sent it, and be back with its record in a moment.
+        # A dispatcher that isn't proven silent may have sent the load and may answer soon.
         if not all(self._cannot_have_sent(n, pending.started_at, pending) for n in unanswered):
             return
         queried = self.local.queried[load]
@@ -295,11 +296,11 @@
     def _is_in_doubt(
         self, now: float, queried: QueriedLoad, pending: PendingRetry, unanswered: list[int]
     ) -> bool:
-        """Whether a load may have run though nobody says so.
+        """Return whether a load may have run although nobody reports it.
 
-        One that answers doesn't know, or this instance's own memory is not intact. Or another has queried it
-        too, and both take each other for silent. Or the client has retried for so long that the sender, on
-        either side of a partition, may have forgotten its load.
+        This is so if a dispatcher answered UNKNOWN or this instance's own memory is not intact; if another
+        dispatcher has queried the load too, and both may consider each other silent; or if the client has
+        retried for so long that the sender, on either side of a partition, may have dropped its record.
         """
         statements = pending.statements.values()
         if LoadStatement.UNKNOWN in statements or self.local.is_late(now, queried):
@@ -312,15 +313,15 @@
         return not all(self._cannot_have_sent(n, queried.first_at, pending) for n in unanswered)
 
     def _cannot_have_sent(self, number: int, first_query_at: float, pending: PendingRetry) -> bool:
-        """Whether a dispatcher is proven silent since so long before the first query that whatever it sent
-        can't be the load in question."""
+        """Return whether a dispatcher is proven silent for so long before the first query that whatever it
+        sent can't be the queried load."""
         silence = self.fleet.silent.get(number)
         if silence is None or silence.valid_until < pending.started_at:
             return False
         return silence.nothing_sent_after + self.settings.retention_ms < first_query_at
 
     def _settle(self, load: bytes, knowledge: LoadKnowledge) -> None:
-        """All that wait for a load learn what is known; where nobody sent it, the first of them sends it."""
+        """Answer all requests that wait for a load; if nobody sent it, the first of them sends it."""
         for request_id in self.pending.pop(load).deadlines:
             if knowledge is not LoadKnowledge.NEVER_SENT:
                 self._conclude(request_id, load, knowledge)
@@ -339,11 +340,12 @@
             del self.pending[load]
 
     def _unsettled(self, now: float, load: bytes, pending: PendingRetry) -> LoadKnowledge:
-        """The answer to a retry that could not be settled in time.
+        """Return the answer to a retry that could not be settled before its deadline.
 
-        One that doesn't know may say NEVER_SENT later on, of what it sent before it lost its memory: so the
-        load is given up. Else the client may retry later, if half of the fleet knows of its retry: they are
-        among any that can settle it as NEVER_SENT, and say then for how long it has been queried.
+        A dispatcher that answered UNKNOWN may later answer NEVER_SENT for what it sent before it lost its
+        memory, so the load is given up. Otherwise the client may retry later if half of the fleet has
+        recorded the retry: any set of dispatchers that settles it as NEVER_SENT includes one of these, which
+        knows since when it is queried.
         """
         if LoadStatement.UNKNOWN in pending.statements.values():
             return LoadKnowledge.MAY_HAVE_RUN
@@ -351,8 +353,8 @@
         return LoadKnowledge.NOT_KNOWN_YET if is_noted else self._unconfirmed(now, load)
 
     def _unconfirmed(self, now: float, load: bytes) -> LoadKnowledge:
-        """The answer to a retry that too few others know of: to retry later, but not for long, since
-        whoever sent its load will forget it."""
+        """Return the answer to a retry that too few others have recorded: the client may retry later, but not
+        for long, since the sender of the load will drop its record."""
         queried_ms = now - self.local.queried[load].first_at
         may_retry = queried_ms <= self.settings.max_unconfirmed_ms
         return LoadKnowledge.NOT_KNOWN_YET if may_retry else LoadKnowledge.MAY_HAVE_RUN
@@ -364,7 +366,7 @@
         self.actions.append(LoadSettled(request_id, load, knowledge, retry_after_ms))
 
     def _send_queries(self, now: float) -> None:
-        """All queries that are due, a message for as many loads as fit."""
+        """Send all queries that are due, with as many loads in each message as fit."""
         loads_by_dispatcher: dict[int, list[bytes]] = {}
         for load, pending in self.pending.items():
             for number, query_at in pending.query_at.items():
@@ -382,7 +384,7 @@
         return bool(self.local.open) and self.announced < self.settings.announcements
 
     def _announce(self, now: float) -> None:
-        """Announce at once which loads of earlier boots have no end."""
+        """Announce the loads of earlier boots whose end is not known, if an announcement is due."""
         if not self._has_announcement() or now < self.next_announcement:
             return
         self.announced += 1
@@ -390,9 +392,3 @@
         for batch in batches(self.local.open):
             data = encode(OpenLoads(batch))
             self.actions += [SendToDispatcher(number, data) for number in self.others]
-
-
-def _rank(number: int, load: bytes) -> bytes:
-    """Which of two dispatchers with the same pending load goes on: the higher one; each as often as the
-    other."""
-    return hashlib.blake2b(number.to_bytes(2, "big") + load, digest_size=8).digest()
--- a/cottonhold/fleet/recovery/load_history_interface.py
+++ b/cottonhold/fleet/recovery/load_history_interface.py
@@ -1,4 +1,4 @@
-"""A load history's settings, what it has to know of the fleet, and the actions that it returns. Pure."""
+"""The settings of a load history, its input from the membership survey, and its actions. Pure."""
 
 from __future__ import annotations
 
@@ -16,12 +16,19 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadHistorySettings:
-    """Times in ms. retention_ms: see `retention_ms_for`. retry_ms, max_retry_ms: a query that isn't answered
-    is sent again after so long, doubled up to the second. retry_after_ms: sent with NOT_KNOWN_YET.
-    max_unconfirmed_ms: for so long a retry that too few others know of is answered NOT_KNOWN_YET; less than
-    the slack of `retention_ms_for` by a few pauses. announcements: how often loads of earlier boots are
-    announced. max_loads: remembered, queried and pending, each; beyond, retries are answered NOT_KNOWN_YET at
-    once."""
+    """Settings of a load history; times are in ms.
+
+    Attributes:
+        retention_ms: How long a load stays recorded; see `retention_ms_for`.
+        retry_ms: Time until an unanswered query is sent again, doubled with each repetition.
+        max_retry_ms: Longest time between two repetitions of a query, and between two announcements.
+        retry_after_ms: Advised pause before a client retries after NOT_KNOWN_YET.
+        max_unconfirmed_ms: How long a retry that too few others have recorded is answered NOT_KNOWN_YET.
+            Several pauses less than the slack of `retention_ms_for`.
+        announcements: How often open loads of earlier boots are announced.
+        max_loads: Maximum number of sent, of queried and of pending loads each; beyond it retries are
+            answered NOT_KNOWN_YET without a query.
+    """
 
     retention_ms: float
     retry_ms: float = 60.0
@@ -34,8 +41,15 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetState:
-    """What the survey knows. memory: this instance's, STALE once that was found out. silent: by number, those
-    proven so. is_partitioned: one that isn't is unreachable."""
+    """What the membership survey knows.
+
+    Attributes:
+        may_send_loads: Whether this instance may send loads now.
+        has_confirmed_memory: Whether others have confirmed that its memory is intact.
+        memory: State of this instance's memory; STALE once that is known.
+        silent: Proofs of silence, by the number of the silent dispatcher.
+        is_partitioned: Whether a dispatcher is unreachable that is not proven silent.
+    """
 
     may_send_loads: bool
     has_confirmed_memory: bool
@@ -46,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendToDispatcher:
-    """A message for a dispatcher's number."""
+    """Action: send a message to the dispatcher with this number."""
 
     number: int
     data: bytes
@@ -54,7 +68,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadSettled:
-    """What is known now of the load of a retry. retry_after_ms: with NOT_KNOWN_YET."""
+    """Action: answer a client's retry.
+
+    Attributes:
+        request_id: The retry's request.
+        load: The load that it repeats.
+        knowledge: What is known of the load now.
+        retry_after_ms: Advised pause with NOT_KNOWN_YET, otherwise 0.
+    """
 
     request_id: str
     load: bytes
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -1,9 +1,9 @@
-"""What one instance itself knows of loads: those it sent, and those that were queried here. Pure.
+"""One instance's records of loads: those that it sent, and those that were queried here. Pure.
 
-Times are ms of this instance's monotonic clock. An entry expires one retention after its end, or after this
-start where an earlier boot sent it; a queried load one retention after it was last queried. While an instance
-that isn't proven silent can't be heard, its clients are told to come later: so entries last until one more
-retention has passed since then, as long as they leave half of the capacity free.
+Times are ms of this instance's monotonic clock. The entry of a sent load expires one retention after the end
+of its last run, or after this start if an earlier boot sent it. A queried load expires one retention after
+its last query. While an instance is unreachable and not proven silent, clients are asked to retry later, so
+entries are kept until one retention after that, as long as half of the capacity is free.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def load_identity(class_name: str, key: str, body: bytes) -> bytes:
-    """A load's identity: the same wherever a client sends it again."""
+    """Return a load's identity, which is the same for each retry at every instance."""
     digest = hashlib.blake2b(digest_size=16)
     for part in (class_name.encode(), key.encode(), body):
         digest.update(len(part).to_bytes(LENGTH_BYTES, "big") + part)
@@ -26,12 +26,19 @@
 
 
 def retention_ms_for(deadlines_ms: Iterable[float], slack_ms: float = 10_000.0) -> float:
-    """How long after it was sent a load can still be queried: see load_history."""
+    """Return how long after it was sent a load must stay recorded, in ms.
+
+    A client that sends its first request at t waits for at most the longest deadline L. At t + L at the
+    latest it knows that the request failed and retries; that retry waits for at most L as well. So what was
+    sent at t is queried until t + 2 L. The slack covers retries after a pause. A retry that was answered
+    NOT_KNOWN_YET may be repeated after that, so the age of a retry counts from its first query here or at any
+    dispatcher queried.
+    """
     return 2 * max(deadlines_ms, default=0.0) + slack_ms
 
 
 class LoadResult(Enum):
-    """How a load ended. NEVER_RAN: with proof of that."""
+    """How one run of a load ended. NEVER_RAN requires proof that no engine executed it."""
 
     SUCCEEDED = "well"
     FAILED = "failed"
@@ -39,7 +46,13 @@
 
 
 class LoadKnowledge(IntEnum):
-    """What is known of a load that a client sends again."""
+    """What is known of a load that a client retries, and what follows for it.
+
+    NEVER_SENT      this instance must send it now (then call `on_sent`) or call `cancel`
+    SUCCEEDED       it has succeeded
+    MAY_HAVE_RUN    the retry fails; the load is never sent again
+    NOT_KNOWN_YET   the retry is rejected; the client may retry after `retry_after_ms`
+    """
 
     NEVER_SENT = 0
     SUCCEEDED = 1
@@ -49,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordedLoad:
-    """A load of an earlier boot, as the folder had it. result: None where it is not known."""
+    """A load of an earlier boot as recorded in the state folder; result is None if it is not known."""
 
     load: bytes
     result: LoadResult | None = None
@@ -57,8 +70,14 @@
 
 @dataclass(slots=True)
 class Entry:
-    """What this instance knows of a load. open_runs: without an end. may_have_run: one ended otherwise than
-    well."""
+    """What this instance knows of a load that it sent.
+
+    Attributes:
+        open_runs: Runs that have not ended.
+        may_have_run: Whether a run failed after the load may have been executed.
+        succeeded: Whether a run succeeded.
+        expires_at: Time at which the entry may be dropped, in ms.
+    """
 
     open_runs: int = 0
     may_have_run: bool = False
@@ -68,7 +87,7 @@
 
 @dataclass(slots=True)
 class QueriedLoad:
-    """Retries of a load that are known here: when first and last, and the dispatchers that queried it."""
+    """The times of the first and last query about a load, in ms, and the dispatchers that queried it."""
 
     first_at: float
     last_at: float
@@ -76,16 +95,16 @@
 
 
 class LocalLoads:
-    """This instance's records, `max_loads` of each kind at most."""
+    """The loads that this instance knows of: sent, queried and reported ones, at most `max_loads` of each."""
 
     def __init__(
         self, now: float, recorded: Sequence[RecordedLoad], retention_ms: float, max_loads: int
     ) -> None:
         self.retention_ms, self.max_loads, self.started_at = retention_ms, max_loads, now
-        self.partitioned_at = -math.inf  # when one that isn't proven silent was last unreachable
+        self.partitioned_at = -math.inf  # when an instance not proven silent was last unreachable
         self.entries: dict[bytes, Entry] = {}
         self.queried: dict[bytes, QueriedLoad] = {}
-        self.reported: dict[bytes, float] = {}  # others' loads of earlier boots, and when each expires
+        self.reported: dict[bytes, float] = {}  # expiry of each load that other instances reported as open
         for earlier in recorded:
             if earlier.result is not LoadResult.NEVER_RAN:
                 succeeded = earlier.result is LoadResult.SUCCEEDED
@@ -93,16 +112,16 @@
         self.open = [earlier.load for earlier in recorded if earlier.result is None]
 
     def is_full(self, load: bytes) -> bool:
-        """Whether there is no capacity for another load."""
+        """Return whether a load has no entry and there is no capacity for one."""
         return load not in self.entries and len(self.entries) >= self.max_loads
 
     def begin(self, load: bytes) -> None:
-        """It may be sent from now on."""
+        """Record that a run of a load may be sent from now on."""
         entry = self.entries.setdefault(load, Entry())
         entry.open_runs, entry.expires_at = entry.open_runs + 1, math.inf
 
     def end(self, now: float, load: bytes, result: LoadResult) -> None:
-        """A run has ended."""
+        """Record the result of a run."""
         entry = self.entries.get(load)
         if entry is None or not entry.open_runs:
             return
@@ -115,7 +134,7 @@
                 del self.entries[load]
 
     def knowledge(self, now: float, load: bytes) -> LoadKnowledge | None:
-        """What the records say, if they decide."""
+        """Return what the records say of a load; None if they don't decide."""
         entry = self.entries.get(load)
         may_run = entry is not None and (entry.open_runs or entry.may_have_run)
         if may_run or self.reported.get(load, -math.inf) > now:
@@ -123,7 +142,7 @@
         return LoadKnowledge.SUCCEEDED if entry is not None and entry.succeeded else None
 
     def note_query(self, now: float, load: bytes, dispatcher: int) -> QueriedLoad | None:
-        """Remember that a dispatcher has a retry of it pending; None where there is no capacity."""
+        """Record that a dispatcher has a retry of a load pending; return None if there is no capacity."""
         queried = self.queried.get(load)
         if queried is None:
             if len(self.queried) >= self.max_loads:
@@ -134,26 +153,28 @@
         return queried
 
     def add_reported(self, now: float, loads: Iterable[bytes]) -> None:
-        """Another instance's loads of earlier boots."""
+        """Record loads whose end another instance does not know; they may have run."""
         for load in loads:
             if len(self.reported) < self.max_loads:
                 self.reported.setdefault(load, now + self.retention_ms)
 
     def may_predate_start(self, queried: QueriedLoad) -> bool:
-        """Whether a load that was first queried then may have been sent before this start."""
+        """Return whether a queried load may have been sent before this start."""
         return queried.first_at <= self.started_at + self.retention_ms
 
     def is_late(self, now: float, queried: QueriedLoad) -> bool:
-        """Whether its client has retried for so long that whoever sent it may have forgotten it. What was
-        sent at s is kept until s + `retention_ms` at least; its client queried it first at s + the longest
-        deadline at the latest; and half a retention is no more than what remains."""
+        """Return whether a load has been queried for so long that its sender may have dropped its record.
+
+        A load sent at s is recorded until s + `retention_ms` at least, and its client first queries it at s +
+        the longest deadline at the latest. Half a retention is no more than the rest of that time.
+        """
         return now - queried.first_at > self.retention_ms / 2
 
     def expire(self, now: float, pending: Iterable[bytes]) -> None:
-        """Drop what can't be queried any more, but for pending loads.
+        """Drop what can't be queried any more, except pending loads.
 
-        During a partition, and one retention after it, entries are kept while there is capacity: the client
-        of one may have been told to retry later on the other side all the while.
+        During a partition and one retention after it, entries are kept while there is capacity: clients on
+        the other side may have been asked to retry later for all that time.
         """
         pending_loads, oldest = set(pending), now - self.retention_ms
         expired = {load for load, entry in self.entries.items() if entry.expires_at <= now}
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -1,28 +1,21 @@
-"""Who was away after a power loss or a restart: found by all instances alike, from the reports of all. Pure.
-
-Feed it the members that are alive (`set_members`) and their reports (`on_message`); call `step` at `next_at`
-at the latest and carry out the actions that it returns (see survey_results):
-
-    SendSurveyMessage     a datagram
-    ViewChanged           what was away, as far as it is known
-    RaiseBootCount        the folder is empty or a copy of an earlier day: store a boot count of at least so
-                          much, then call `on_boot_count_stored`; from then on it answers as one with such a
-                          memory
-    DuplicateIdentity     a second process stands for this number; the later one must not serve loads
-    PeerBootCountLearned  a hint for the folder: given back in `known_boot_counts` and `known_checkpoints` at
-                          the next start
-    StoreCheckpoint       store the checkpoint; once stored, call `on_checkpoint_stored`. A folder starts as
-                          EMPTY without a boot count, as STALE without a checkpoint, else as INTACT
-
-Each configured dispatcher has a number, and the first member that claims a number is bound to it: one name,
-one vote, whatever it says of others. A member that claims a second number isn't heard.
-
-An instance counts as restarted if it started less than `recent_start_ms` ago and its last incarnation had not
-ended by order. Uptimes are reported, so only each instance's own monotonic clock counts. Where more than half
-of the configured ones restarted the fleet was lost, from the start of the first of them, for
-`recent_start_ms`. So those that come back later join that outage, with its start.
-
-When others are proven to be silent: see silence_proof.
+"""Determines, from the reports of all instances, which were away after a power loss or a restart. Pure.
+
+All instances reach the same view. Pass in the live members (`set_members`) and their reports (`on_message`),
+call `step` at `next_at` at the latest, and carry out the actions that it returns (see survey_results). Call
+`on_boot_count_stored` after a RaiseBootCount action and `on_checkpoint_stored` after a StoreCheckpoint
+action, once the value is stored. At the next start pass the values of PeerBootCountLearned as
+`known_boot_counts` and `known_checkpoints`, and the memory as EMPTY if the folder has no boot count, as STALE
+if it has no checkpoint, otherwise as INTACT.
+
+Each configured dispatcher has a number, and the first member that claims a number is bound to it, so that
+each member has one vote whatever it reports. A member that claims a second number is ignored.
+
+An instance counts as restarted if it started less than `recent_start_ms` ago and its last incarnation was not
+shut down cleanly. Uptimes are reported, so the instances' clocks are never compared. If more than half of the
+configured instances restarted, the fleet counts as lost for `recent_start_ms` from the first of their starts.
+Instances that return later belong to that outage too.
+
+`silence_proof` describes when another instance is proven to be silent.
 """
 
 from __future__ import annotations
@@ -31,13 +24,7 @@
 from collections.abc import Iterable, Mapping
 
 from cottonhold.fleet.message_format import MAX_UINT32
-from cottonhold.fleet.recovery.messages import (
-    CHECKPOINTS_PER_BOOT,
-    MemoryState,
-    PeerState,
-    Presence,
-    encode,
-)
+from cottonhold.fleet.recovery.messages import CHECKPOINTS_PER_BOOT, MemoryState, PeerState, Presence, encode
 from cottonhold.fleet.recovery.peer_observations import PeerObservation, SilenceReport
 from cottonhold.fleet.recovery.silence_proof import prove_silence
 from cottonhold.fleet.recovery.survey_peers import (
@@ -61,17 +48,22 @@
     ViewChanged,
 )
 
-BATCHING_MS = 20.0  # after a report until what it changed is weighed, with those that arrive beside it
-EXPEDITED_MS = 1000.0  # how long reports go out faster once something waits for them
-MIN_WITNESSES = 2  # others that have to say the same of this instance; a single one may lie
+BATCHING_MS = 20.0  # delay from a report to the step that processes it, with others that arrive meanwhile
+EXPEDITED_MS = 1000.0  # how long reports are sent at the busy interval after `expedite`
+MIN_WITNESSES = 2  # others that must agree on this instance, since a single one may be faulty
 
 
 class MembershipSurvey:
-    """One instance's side.
-
-    number: its own, of 0 to `dispatchers` - 1; zones: of each number; boot_count: of this start, at least 1;
-    incarnation: drawn anew at each start; memory, was_clean_shutdown, checkpoint: what the folder showed;
-    known_boot_counts, known_checkpoints: those of others as the folder had them.
+    """One instance's survey of all configured dispatchers.
+
+    Args:
+        number: This instance's number, from 0 to `dispatchers` - 1.
+        zones: The zone of each dispatcher, by number.
+        boot_count: Boot count of this start, at least 1.
+        incarnation: A random number drawn at each start.
+        memory, was_clean_shutdown, checkpoint: What the state folder contained at this start.
+        known_boot_counts, known_checkpoints: Highest values of the other dispatchers that the folder
+            contained.
     """
 
     def __init__(
@@ -99,16 +91,16 @@
             for n in range(dispatchers)
             if n != number
         }
-        self.checkpoint = self.requested_checkpoint = checkpoint  # as reported, and as requested to be stored
+        self.checkpoint = self.requested_checkpoint = checkpoint  # stored; requested to be stored
         self.is_memory_confirmed = self.is_memory_doubted = False
         self.checkpoint_requested_at = now
         self.number_by_member: dict[int, int] = {}
         self.live: list[int] = []
-        self.next_target = 0  # who gets the next report
-        self.rotation = 0  # of the peers that a report names
+        self.next_target = 0  # index in `live` of the member that receives the next report
+        self.rotation = 0  # rotates the peers that a report contains
         self.view = SurveyView()
-        self.covered_until = -math.inf  # starts up to here belong to a loss of the fleet that is over
-        self.quorum_reachable_at = now  # when half of the configured ones were last reachable
+        self.covered_until = -math.inf  # starts up to this time belong to a loss of the fleet that is over
+        self.quorum_reachable_at = now  # when half of the configured dispatchers were last reachable
         self.duplicate: DuplicateIdentity | None = None
         self.actions: list[Action] = []
         self.next_step = self.next_report = now
@@ -116,30 +108,30 @@
         self.counters = {"here_sent": 0, "unbound": 0, "old": 0}
 
     def set_members(self, now: float, live: Iterable[int]) -> None:
-        """Which other members are alive."""
+        """Set which other members are alive."""
         members = sorted(set(live))
         if set(members) - set(self.live):
             self.next_step = self.next_report = now
         self.live = members
 
     def on_boot_count_stored(self, now: float, boot_count: int) -> None:
-        """A raised boot count is stored."""
+        """Use a raised boot count once it is stored."""
         self.boot_count = max(self.boot_count, boot_count)
         self.next_step = self.next_report = now
 
     def on_checkpoint_stored(self, now: float, checkpoint: int) -> None:
-        """A checkpoint is stored."""
+        """Report a checkpoint once it is stored."""
         self.checkpoint = checkpoint
 
     def expedite(self, now: float) -> None:
-        """Something waits for reports, so they go out faster for a second."""
+        """Send reports at the busy interval for EXPEDITED_MS, because a load waits for them."""
         self.expedited_until = now + EXPEDITED_MS
         self.next_report = min(self.next_report, now + self.settings.busy_interval_ms)
         self.next_step = min(self.next_step, self.next_report)
 
     def on_message(self, now: float, member: int, presence: Presence) -> None:
-        """A member's report on itself. One that has just started is answered at once: what it most needs is
-        what others know of it."""
+        """Process a member's report on itself. A new incarnation is answered immediately, since it needs to
+        learn what others know of it."""
         peer = self._bind(now, member, presence.number)
         if peer is None:
             self.counters["unbound"] += 1
@@ -160,8 +152,8 @@
         self.next_step = min(self.next_step, now + BATCHING_MS)
 
     def _bind(self, now: float, member: int, number: int) -> PeerObservation | None:
-        """The dispatcher that a member stands for; None where it stands for none, or for another already: a
-        member that claimed every number would be more than half of the fleet by itself."""
+        """Return the dispatcher that a member is bound to, binding it to `number` if that is free. Otherwise
+        None: a member that claimed every number would be a majority by itself."""
         peer = self.peers.get(number)
         if peer is None or self.number_by_member.get(member, number) != number:
             return None
@@ -176,27 +168,30 @@
         return peer
 
     def number_of(self, member: int) -> int | None:
-        """The number that a member stands for; None where it stands for none."""
+        """Return the number that a member is bound to, if any."""
         return self.number_by_member.get(member)
 
     def member_of(self, number: int) -> int | None:
-        """The member that stands for a number."""
+        """Return the member that is bound to a number, if any."""
         peer = self.peers.get(number)
         return peer.member or None if peer is not None else None
 
     def incarnation_of(self, number: int) -> int:
-        """The incarnation that stands for a number now; 0 where none has reported."""
+        """Return the latest known incarnation of a number; 0 if none has reported."""
         peer = self.peers.get(number)
         return peer.current.id if peer is not None and peer.current is not None else 0
 
     def other_numbers(self) -> list[int]:
-        """All other configured numbers."""
+        """Return all other configured numbers."""
         return list(self.peers)
 
     def may_send_loads(self, now: float) -> bool:
-        """Whether this instance may send loads: it is no second process of its number, its memory has been
-        judged by others (a folder that was copied before this incarnation has the same checkpoint), and half
-        of the configured ones receive its reports."""
+        """Return whether this instance may send loads.
+
+        It must not be the later process of its number, others must have checked its memory (a folder that was
+        copied before this incarnation has the same checkpoint), and half of the configured dispatchers must
+        receive its reports.
+        """
         if self.duplicate is not None and self.duplicate.is_later:
             return False
         if self.memory is MemoryState.INTACT and not (self.is_memory_confirmed or self.is_memory_doubted):
@@ -205,12 +200,12 @@
         return 2 * (1 + sum(peer.echoed_at > oldest for peer in self.peers.values())) >= self.dispatchers
 
     def has_confirmed_memory(self) -> bool:
-        """Whether this instance's memory is intact: others with intact memory know of no later checkpoint."""
+        """Return whether the memory is intact and others with intact memory know of no later checkpoint."""
         is_intact = self.memory is MemoryState.INTACT
         return is_intact and self.is_memory_confirmed and not self.is_memory_doubted
 
     def proven_silent(self, now: float) -> dict[int, ProvenSilence]:
-        """Others that are proven to have sent no load for a while."""
+        """Return the proofs that others have sent no load for a while, by number."""
         proofs = {}
         for number, peer in self.peers.items():
             if now - peer.received_at > self.settings.max_report_age_ms:
@@ -222,15 +217,15 @@
         return proofs
 
     def is_partitioned(self, silent: Mapping[int, ProvenSilence]) -> bool:
-        """Whether one is unreachable that isn't among the proven silent ones."""
+        """Return whether a dispatcher is unreachable that is not proven silent."""
         return not self.view.missing <= silent.keys()
 
     def next_at(self) -> float:
-        """When `step` is due."""
+        """Return the time at which `step` must be called again."""
         return self.next_step
 
     def step(self, now: float) -> list[Action]:
-        """Weigh what is known, and return what follows."""
+        """Update the view from all reports so far, and return the actions that follow."""
         if now < self.next_step:
             return []
         view = self._assess(now)
@@ -247,14 +242,15 @@
         return actions
 
     def _report_interval_ms(self, now: float) -> float:
-        """Until the next messages; several steps where there are more members than messages of a step."""
+        """Return the time until the next messages: a part of a round if there are more members than
+        messages."""
         view, s = self.view, self.settings
         is_busy = not view.is_settled or bool(view.restarted) or now < self.expedited_until
         steps = max(1, -(-len(self.live) // s.max_messages))
         return (s.busy_interval_ms if is_busy else s.idle_interval_ms) / steps
 
     def _assess(self, now: float) -> SurveyView:
-        """What was away, by the start times of all."""
+        """Return the view that follows from the start times of all instances."""
         starts = unclean_starts(self.peers)
         if not self.was_clean_shutdown:
             starts[self.number] = self.started_at
@@ -274,8 +270,8 @@
         return SurveyView(verdict, first_start, is_settled, zones, restarted, frozenset(reachable), missing)
 
     def _restarted_since(self, now: float) -> float:
-        """The time since when a start counts as a restart. While the fleet counts as lost that is its first
-        start; once that is over, what started up to then counts no longer."""
+        """Return the time since when a start counts as a restart: during a loss of the fleet its first start;
+        once it is over, only starts after its end."""
         since = max(now - self.settings.recent_start_ms, self.covered_until)
         if self.view.verdict is not OutageVerdict.FLEET:
             return since
@@ -297,12 +293,12 @@
         return OutageVerdict.SOME if restarted else OutageVerdict.NOTHING
 
     def _is_majority(self, numbers: frozenset[int]) -> bool:
-        """More than half of the configured ones: not of those that happen to be reachable."""
+        """Return whether these are more than half of the configured, not just the reachable, dispatchers."""
         return 2 * len(numbers) > self.dispatchers
 
     def _check_identity(self) -> None:
-        """What others know of this number that its folder doesn't. Two of them have to say it: one that lies
-        could use up the boot counts, and void a memory."""
+        """Raise the boot count, or report a duplicate, if MIN_WITNESSES others know more of this number than
+        its folder. A single faulty one could use up the boot counts and make the memory stale."""
         witnesses = min(MIN_WITNESSES, len(self.peers))
         if not witnesses:
             return
@@ -320,15 +316,15 @@
             self.actions.append(self.duplicate)
 
     def _exceeds_folder(self, view: PeerState) -> bool:
-        """Whether another knows of a later boot count or checkpoint of this number than its folder."""
+        """Return whether a peer knows a later boot count or checkpoint of this number than the folder."""
         if view.incarnation != self.incarnation:
             return False
         return view.boot_count > self.boot_count or view.is_stale and self.memory is MemoryState.INTACT
 
     def _check_memory(self, now: float) -> None:
-        """Whether the folder's loads are complete, and up to which checkpoint. A memory that nobody confirmed
-        within the retention is stale: what is reported from now on others confirm, what was queried before is
-        unknown."""
+        """Update the state of the memory, and the checkpoint to store. A memory that nobody confirmed within
+        the retention becomes stale. Once the retention is over all earlier loads have expired, so a
+        checkpoint is stored in any case."""
         self._confirm_memory(now)
         is_retention_over = now > self.started_at + self.settings.retention_ms
         if is_retention_over and self.memory is MemoryState.INTACT and not self.has_confirmed_memory():
@@ -343,11 +339,11 @@
             self.actions.append(StoreCheckpoint(checkpoint))
 
     def _confirm_memory(self, now: float) -> None:
-        """Whether others confirm this incarnation's memory.
+        """Determine whether others confirm the memory of this incarnation.
 
-        One that knows of a later checkpoint is enough to doubt it: those that were cut off when it was last
-        intact know of nothing later. A doubt costs at most one retention, in which retries wait. And the
-        views of all have arrived, or were waited for: the first to report may know the least.
+        A single peer that knows of a later checkpoint suffices to doubt it, since peers that were cut off
+        when it was last intact know nothing later. A doubt delays retries by at most one retention. All views
+        must have arrived or been waited for: the first peer to report may know the least.
         """
         witnesses = [
             peer
@@ -364,8 +360,8 @@
         self.is_memory_confirmed |= self.dispatchers == 1 or has_enough_views and len(views) >= needed
 
     def _next_checkpoint(self, now: float) -> int:
-        """The checkpoint of an intact memory. It grows with time, so that a backup made in this incarnation
-        and restored after it has a checkpoint that others know to be exceeded."""
+        """Return the checkpoint of an intact memory. It grows with time, so that others know a later one than
+        that of a backup made in this incarnation and restored after it."""
         s = self.settings
         interval_ms = max(
             s.checkpoint_interval_ms, s.checkpoint_interval_per_dispatcher_ms * self.dispatchers
@@ -374,8 +370,7 @@
         return max(self.requested_checkpoint + is_checkpoint_due, self.boot_count * CHECKPOINTS_PER_BOOT)
 
     def presence_for(self, now: float, receiver: int | None = None) -> Presence:
-        """This instance's report, for a number or for a member whose number is not known yet. Peers that
-        are silent come first: that is what others wait for."""
+        """Return this instance's report, for the given number or a member whose number is not known yet."""
         oldest = now - self.settings.max_report_age_ms
         numbers = peers_to_report(self.peers, oldest, receiver, self.rotation)
         states = tuple(self.peers[n].state(now, self.settings.min_alternations) for n in numbers)
@@ -391,7 +386,7 @@
         )
 
     def _send_reports(self, now: float) -> None:
-        """This instance's report to the next few members."""
+        """Send this instance's report to the next `max_messages` members."""
         if not self.live:
             return
         targets = rotated(self.live, self.next_target)[: self.settings.max_messages]
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -1,4 +1,5 @@
-"""What instances report to one another after a power loss: who is there, and which loads may have run. Pure.
+"""Messages between instances after a power loss: which instances are alive, and which loads may have run.
+Pure.
 
     PRESENCE     kind 1 | number 2 | boot count 4 | checkpoint 8 | incarnation 4 | uptime ms 4 |
                  memory and clean 1 | peers 1 | peers, each: number 2 | boot count 4 | incarnation 4 |
@@ -8,11 +9,12 @@
                  statement 1
     OPEN_LOADS   kind 1 | loads 1 | loads, each 16
 
-A peer's entry is what the sender knows of a dispatcher's number: the highest boot count that it ever knew of
-(stored on its disk too), the incarnation that it last heard, how long that one had been up by its own report,
-and how long ago that report arrived. A number that was never heard of has boot count 0. The entry for the
-receiver stands first, so each learns which of its reports were heard. All of it merges in any order, any
-number of times. Boots and incarnations are 32 bits, uptimes 49 days (more counts as that).
+Numbers after the names are sizes in bytes. A peer's entry is what the sender knows of a dispatcher's number:
+the highest known boot count (also stored on disk), the incarnation of its last report, the uptime in that
+report, and the time since it arrived. The boot count is 0 if the sender has never received a report of the
+number. The receiver's own entry is the first, so each instance learns which of its reports have arrived.
+Entries can be merged in any order and repeatedly. Boot counts and incarnations have 32 bits; uptimes are
+capped at 49 days.
 """
 
 from __future__ import annotations
@@ -37,10 +39,10 @@
 LOAD_ID_BYTES = 16
 MAX_PEER_STATES = (MAX_MESSAGE_BYTES - HEADER.size) // PEER.size
 MAX_LOADS = (MAX_MESSAGE_BYTES - SERIAL.size) // LOAD_ID_BYTES
-# Of one boot; the rest of a checkpoint counts the marks of that boot's incarnation.
+# A checkpoint is a boot count times this, plus the number of marks of that boot's incarnation.
 CHECKPOINTS_PER_BOOT = 1 << 32
 AGE_STEP_MS = 10.0
-AGE_NEVER = 0xFFFF  # the age of a report that never arrived
+AGE_NEVER = 0xFFFF  # encodes that no report has arrived
 
 # Bits of the flags.
 MEMORY_BITS = 3
@@ -54,27 +56,35 @@
 class MemoryState(IntEnum):
     """What an instance still knows of the time before its start."""
 
-    EMPTY = 0  # its folder was empty: what it sent before is unknown
-    INTACT = 1  # complete up to the power loss
-    STALE = 2  # a copy of an earlier day: what happened after it is unknown
+    EMPTY = 0  # the folder was empty, so what the instance sent before is unknown
+    INTACT = 1  # the folder is complete up to the power loss
+    STALE = 2  # the folder is an old copy, so what the instance sent after it was made is unknown
 
 
 class LoadStatement(IntEnum):
-    """What one instance says of a load; the higher, the more it weighs."""
+    """What one instance answers to a query about a load; of several answers the highest counts most."""
 
-    NEVER_SENT = 0  # it has not sent it and will not, unless it queries itself first
-    ALSO_QUERIED = 1  # as NEVER_SENT, and another than the sender of the query has queried it too
+    NEVER_SENT = 0  # it has not sent the load, and will query the others before it does
+    ALSO_QUERIED = 1  # as NEVER_SENT, and a dispatcher other than the querying one has queried it too
     NOT_KNOWN_YET = 2  # it doesn't know yet whether its memory is intact
-    UNKNOWN = 3  # it may have sent it in a time that it has no memory of
-    SUCCEEDED = 4  # it sent it, and it succeeded
-    MAY_HAVE_RUN = 5  # it sent it or is about to
+    UNKNOWN = 3  # it may have sent the load at a time of which it has no records
+    SUCCEEDED = 4  # it sent the load, which succeeded
+    MAY_HAVE_RUN = 5  # it sent the load or is about to
 
 
 @dataclass(slots=True, frozen=True)
 class PeerState:
-    """What the sender knows of a number. age_ms: since its report arrived, None: never in this incarnation of
-    the sender. is_duplicate: two incarnations stand for it at once; then `incarnation` is the one that was
-    there first. is_stale: it reports a lower checkpoint than once before: its folder is an old one."""
+    """What the sender of a report knows of a dispatcher.
+
+    Attributes:
+        number: The dispatcher's number.
+        boot_count: Highest known boot count; 0 if the dispatcher is unknown.
+        incarnation: Incarnation of its last report; if is_duplicate, the one that started first.
+        uptime_ms: Uptime in that report.
+        age_ms: Time since that report arrived; None if none has arrived in this incarnation of the sender.
+        is_duplicate: Whether two processes use the number at the same time.
+        is_stale: Whether it reports a lower checkpoint than before, so that its folder is an old copy.
+    """
 
     number: int
     boot_count: int
@@ -87,9 +97,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Presence:
-    """One instance's report on itself. checkpoint: the last boot in which its memory was intact, times
-    CHECKPOINTS_PER_BOOT, and the marks of that incarnation so far. was_clean_shutdown: its last incarnation
-    ended by order."""
+    """One instance's report on itself.
+
+    Attributes:
+        number: The sender's number.
+        boot_count: Boot count of its start.
+        checkpoint: The last boot in which its memory was intact, times CHECKPOINTS_PER_BOOT, plus the marks
+            of that incarnation so far.
+        incarnation: Number drawn at its start.
+        uptime_ms: Time since its start.
+        memory: State of its memory.
+        was_clean_shutdown: Whether its last incarnation was shut down cleanly.
+        peers: What it knows of other dispatchers, the receiver first.
+    """
 
     number: int
     boot_count: int
@@ -103,7 +123,8 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadQuery:
-    """Asks what is known of these loads. boot_count: the sender's; serial: never used twice in a boot."""
+    """Asks what the receiver knows of loads; `boot_count` is the sender's, and `serial` is unique in that
+    boot."""
 
     boot_count: int
     serial: int
@@ -112,7 +133,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadVerdict:
-    """What is said of one load of a query, by its index there."""
+    """The answer about one load of a query; `index` is its position in the query."""
 
     index: int
     statement: LoadStatement
@@ -120,7 +141,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadAnswer:
-    """The answer to a query, by the boot and serial of that."""
+    """The answer to the query with this boot count and serial."""
 
     boot_count: int
     serial: int
@@ -129,7 +150,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenLoads:
-    """Loads that the sender's earlier boots sent, and whose end it does not know."""
+    """Loads that earlier boots of the sender sent, and whose end it does not know."""
 
     loads: tuple[bytes, ...]
 
@@ -138,7 +159,8 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message's bytes; they fit MAX_MESSAGE_BYTES with at most MAX_PEER_STATES or MAX_LOADS in it."""
+    """Return a message's bytes; they fit MAX_MESSAGE_BYTES with at most MAX_PEER_STATES or MAX_LOADS
+    entries."""
     match message:
         case Presence():
             return _encode_presence(message)
@@ -181,7 +203,11 @@
 
 
 def decode(data: bytes) -> Message:
-    """A message's meaning. Raises MessageError; then nothing of it is applied."""
+    """Return the message that these bytes encode.
+
+    Raises:
+        MessageError: The bytes are no valid message of recovery; then nothing of it may be applied.
+    """
     try:
         if data[:1] == bytes((PRESENCE,)):
             return _decode_presence(data)
@@ -235,6 +261,6 @@
 
 
 def batches(loads: Iterable[bytes]) -> list[tuple[bytes, ...]]:
-    """Loads in batches that fit a message each."""
+    """Split loads into batches that fit into one message each."""
     all_loads = list(loads)
     return [tuple(all_loads[i : i + MAX_LOADS]) for i in range(0, len(all_loads), MAX_LOADS)]
--- a/cottonhold/fleet/recovery/peer_observations.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -1,9 +1,9 @@
-"""What one instance knows of another by its reports: incarnation, boot count, and its view of third ones.
+"""What one instance learns of another from its reports: incarnation, boot count, and its view of others.
 Pure.
 
-Incarnations are told apart by a number drawn at each start. Start times are on this instance's clock, from
-reported uptimes: at the latest, by how long a report was under way. Reports merge in any order: of one
-incarnation the one with the longest uptime counts.
+An incarnation is identified by a number drawn at each start. Start times are on this instance's clock. They
+are computed from reported uptimes, so they are too late by the transmission time of the report at most.
+Reports may arrive in any order: of one incarnation the one with the longest uptime is used.
 """
 
 from __future__ import annotations
@@ -16,8 +16,13 @@
 
 @dataclass(slots=True)
 class Incarnation:
-    """One process that stands for a number. started_at: at the latest, on this clock. uptime_ms: as last
-    reported."""
+    """One process that uses a number.
+
+    Attributes:
+        id: Number drawn at the start of the process.
+        started_at: Upper bound of its start time, in ms of this instance's clock.
+        uptime_ms: Uptime in its newest report.
+    """
 
     id: int
     started_at: float
@@ -26,8 +31,12 @@
 
 @dataclass(slots=True)
 class SilenceReport:
-    """When another last received a report of a number: at `last_contact_before` at the latest. It reported
-    that at `reported_after` at the earliest."""
+    """A peer's report on its last contact with a third dispatcher; times in ms of this instance's clock.
+
+    Attributes:
+        last_contact_before: Upper bound of the time at which the peer last received a report of it.
+        reported_after: Lower bound of the time at which the peer sent this information.
+    """
 
     last_contact_before: float
     reported_after: float
@@ -35,12 +44,23 @@
 
 @dataclass(slots=True)
 class PeerObservation:
-    """Another configured dispatcher. Times in ms.
-
-    boot_count, checkpoint: the highest known. previous: the incarnation before. alternations: how often the
-    two reported in turns. rivals: reports of other members in its name while it was there. has_stale_folder:
-    the incarnation began with a checkpoint that was exceeded already. echoed_at: when the newest of our
-    reports that it has received was sent. silences: by number, when it last received reports of third ones.
+    """What is known of another configured dispatcher; times in ms.
+
+    Attributes:
+        number: The dispatcher's number.
+        member: The member that is bound to the number; 0 if none is.
+        boot_count, checkpoint: The highest known values.
+        current: The current incarnation, if any has reported.
+        previous: The incarnation before the current one.
+        alternations: How often the current and the previous incarnation reported in turns.
+        rivals: Reports of other members for this number while the bound member was alive.
+        has_stale_folder: Whether the incarnation started with a lower checkpoint than a known one.
+        was_clean_shutdown: Whether the incarnation before the current one was shut down cleanly.
+        memory: The state of its memory, as last reported.
+        received_at: When its last report arrived.
+        echoed_at: When this instance sent the newest of its reports that the peer has received.
+        view_of_self: What it last reported of this instance.
+        silences: Its reports on dispatchers that it receives nothing from, by number.
     """
 
     number: int
@@ -60,10 +80,10 @@
     silences: dict[int, SilenceReport] = field(default_factory=dict)
 
     def apply(self, now: float, presence: Presence) -> bool:
-        """Merge a report; returns whether it is news.
+        """Merge a report; return whether it is newer than those before.
 
-        A folder is stale by its checkpoint: an old one that is started often enough comes to a boot count
-        that nobody knew, while its checkpoint stays.
+        A folder is recognized as stale by its checkpoint. Its boot count doesn't suffice: after enough starts
+        an old folder reaches a boot count that nobody knows, while its checkpoint stays.
         """
         incarnation = self._incarnation_of(now, presence)
         if incarnation is None:
@@ -81,7 +101,7 @@
         return True
 
     def _incarnation_of(self, now: float, presence: Presence) -> Incarnation | None:
-        """The incarnation that a report is of, which is the current one from now on; None where the report is
+        """Return the incarnation that sent a report, and make it the current one; None if the report is
         old."""
         current, previous = self.current, self.previous
         if current is not None and current.id == presence.incarnation:
@@ -89,7 +109,7 @@
         if previous is not None and previous.id == presence.incarnation:
             if presence.uptime_ms <= previous.uptime_ms:
                 return None
-            # Two processes on one folder look like restarts; only that they alternate gives them away.
+            # Two processes with one folder look like restarts; only their alternating reports reveal them.
             self.alternations += 1
             self.previous, self.current = current, previous
             return previous
@@ -99,15 +119,17 @@
         return self.current
 
     def on_view_of_self(self, state: PeerState, incarnation: int, started_at: float) -> None:
-        """What it knows of this instance, whose incarnation began at `started_at`."""
+        """Record what the peer reports of this instance, whose incarnation began at `started_at`."""
         self.view_of_self = state
         if state.incarnation == incarnation and state.age_ms is not None:
             self.echoed_at = max(self.echoed_at, started_at + state.uptime_ms)
 
     def on_view_of_third(self, now: float, state: PeerState, max_report_age_ms: float) -> None:
-        """What it knows of a third one. Call it after `on_view_of_self` of the same report.
+        """Record what the peer reports of a third dispatcher; called after `on_view_of_self` for the same
+        report.
 
-        One that has received none in its current incarnation may have received some until that began.
+        A peer that has received nothing from it in its current incarnation may have received reports until
+        that incarnation began.
         """
         assert self.current is not None
         if state.age_ms is not None and state.age_ms <= max_report_age_ms:
@@ -117,10 +139,14 @@
         self.silences[state.number] = SilenceReport(last_contact_before, self.echoed_at)
 
     def state(self, now: float, min_alternations: int) -> PeerState:
-        """What is known of it, for another. min_alternations: so many turns are two incarnations at once.
+        """Return what is known of this dispatcher, for a report to others.
+
+        Of two processes at the same time the one that started first is reported. If only another member
+        claims the number, it is the current one, since the previous incarnation has ended.
 
-        Of two at once the one that was there first is named; not where only another member claims the number,
-        since the incarnation before then has ended.
+        Args:
+            now: The current time.
+            min_alternations: Alternations or rival reports from which it counts as two processes.
         """
         incarnation = self.current
         if incarnation is None:
--- a/cottonhold/fleet/recovery/silence_proof.py
+++ b/cottonhold/fleet/recovery/silence_proof.py
@@ -1,11 +1,11 @@
 """The proof that a dispatcher has sent no load for a while. Pure.
 
 An instance sends loads only while at least half of the configured instances, itself included, confirm that
-they received a report that it sent less than `lease_ms` ago, by its own clock. Another instance takes it for
-silent when more than half report that they no longer hear it. Any half and any majority share a member: the
-silent instance can't have used that member's confirmation for longer than `lease_ms` after the member last
-heard it. The time of that last report is bounded from above: a report was sent at most as long before its
-arrival as the arrival came after the report that it answers.
+they received a report that it sent less than `lease_ms` ago by its own clock. Another instance considers it
+silent when more than half report that they no longer receive its reports. Any half and any majority have a
+member in common, so the silent instance can't have used that member's confirmation for longer than `lease_ms`
+after the member last received a report. The time of that report has an upper bound: it was sent no longer
+before its arrival than the arrival came after the report that it answers.
 """
 
 from __future__ import annotations
@@ -20,8 +20,13 @@
 def prove_silence(
     reports: Iterable[SilenceReport], dispatchers: int, settings: SurveySettings
 ) -> ProvenSilence | None:
-    """What follows from these reports on one dispatcher; None where they prove nothing. dispatchers: how many
-    are configured."""
+    """Return what reports on one dispatcher prove; None if they prove nothing.
+
+    Args:
+        reports: Reports of the others on the last contact with the dispatcher.
+        dispatchers: Number of configured dispatchers.
+        settings: Settings of the survey, of which the lease and the clock drift are used.
+    """
     needed = dispatchers // 2 + 1
     newest = sorted(reports, key=lambda report: -report.reported_after)[:needed]
     if len(newest) < needed or settings.lease_ms == math.inf:
--- a/cottonhold/fleet/recovery/survey_peers.py
+++ b/cottonhold/fleet/recovery/survey_peers.py
@@ -1,4 +1,4 @@
-"""What follows from the observations of all peers together: starts, lost zones, whom a report names. Pure."""
+"""Functions on the observations of all peers: unclean starts, lost zones, and the peers in a report. Pure."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from cottonhold.fleet.recovery.messages import MAX_PEER_STATES
 from cottonhold.fleet.recovery.peer_observations import PeerObservation
 
-MIN_REACHABLE_PEERS = 3  # entries of a report reserved for reachable peers
+MIN_REACHABLE_PEERS = 3  # entries in a report that are reserved for reachable peers
 
 
 def unclean_starts(peers: Mapping[int, PeerObservation]) -> dict[int, float]:
-    """When each peer started whose last incarnation had not ended by order."""
+    """Return the start time of each peer whose last incarnation was not shut down cleanly, by number."""
     return {
         number: peer.current.started_at
         for number, peer in peers.items()
@@ -20,7 +20,12 @@
 
 
 def zones_lost(zones: Mapping[int, str], restarted: Set[int]) -> frozenset[str]:
-    """Zones all of whose dispatchers restarted. zones: by dispatcher."""
+    """Return the zones all of whose dispatchers restarted.
+
+    Args:
+        zones: The zone of each dispatcher, by number.
+        restarted: Numbers of the restarted dispatchers.
+    """
     lost = {zones[number] for number in restarted if number in zones}
     intact = {zone for number, zone in zones.items() if number not in restarted}
     return frozenset(lost - intact)
@@ -29,10 +34,15 @@
 def peers_to_report(
     peers: Mapping[int, PeerObservation], oldest: float, receiver: int | None, rotation: int
 ) -> list[int]:
-    """The numbers that a report names: its receiver first, then silent peers, then reachable ones.
+    """Return the numbers that a report describes: its receiver, then silent peers, then reachable ones.
+
+    Silent peers have precedence because others wait for proofs of silence.
 
-    That a peer is silent is what others wait for. oldest: whoever last reported before is silent;
-    rotation: grows with each report, so that all peers are named in the course of time.
+    Args:
+        peers: All peers, by number.
+        oldest: A peer that last reported before this time is silent.
+        receiver: Number of the receiver, if known.
+        rotation: A number that grows with each report, so that every peer is included in some report.
     """
     numbers = [receiver] if receiver is not None else []
     silent = [n for n, peer in peers.items() if peer.received_at < oldest and n != receiver]
@@ -43,6 +53,6 @@
 
 
 def rotated(numbers: list[int], by: int) -> list[int]:
-    """A list that begins `by` places further on, so that each number comes first once in a round."""
+    """Return the list rotated left by `by` places, so that each number is first once in a full turn."""
     start = by % len(numbers) if numbers else 0
     return numbers[start:] + numbers[:start]
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -1,4 +1,4 @@
-"""Verdicts and actions of a membership survey, and its settings. Pure."""
+"""The settings, views and actions of the membership survey. Pure."""
 
 from __future__ import annotations
 
@@ -9,22 +9,31 @@
 
 @dataclass(slots=True, frozen=True)
 class SurveySettings:
-    """Times in ms.
-
-    recent_start_ms: so long after its start an instance counts as restarted: longer than the slowest start of
-    a machine after another of the same power loss, and than the warm-up of engines. settle_ms: so long those
-    missing are waited for before what is known counts as settled: a process's start and three rounds of
-    reports with a third of them lost. max_report_age_ms: whoever's last report is older counts as missing;
-    five idle rounds. busy_interval_ms: between two rounds while somebody is restarted or a load waits for
-    one; idle_interval_ms: else. max_messages: of a step; what others receive must not grow with the square of
-    the fleet. lease_ms: see silence_proof; infinity: never cut off, and nobody is ever proven silent.
-    clock_drift: margin for clocks' rates. rebind_ms: a number whose member was silent for so long is bound to
-    another that claims it: a machine that was replaced. retention_ms: as in LoadHistorySettings.
-    min_alternations: so often two incarnations must have reported in turns to be two at once; late datagrams
-    of an ended one arrive by themselves. checkpoint_interval_ms,
-    checkpoint_interval_per_dispatcher_ms: a checkpoint is raised so often, and for each configured dispatcher
-    so much less often, since all others record it: ten records a second at most. A copy of a folder is
-    detected if a checkpoint was made and reported after it.
+    """Settings of the membership survey; times are in ms.
+
+    Attributes:
+        recent_start_ms: Time after its start during which an instance counts as restarted. Longer than the
+            difference between the slowest and the fastest start of a machine after the same power loss, and
+            than the warm-up of engines.
+        settle_ms: Time after the start for which missing instances are waited for. It allows for the start of
+            a process and three rounds of reports of which a third is lost.
+        max_report_age_ms: Age of its last report from which an instance counts as missing: five idle rounds.
+        busy_interval_ms: Time between two rounds of reports while an instance counts as restarted or a load
+            waits for reports.
+        idle_interval_ms: Time between two rounds of reports otherwise.
+        max_messages: Messages per step, so that received messages don't grow with the square of the fleet.
+        lease_ms: How long a confirmed report allows an instance to send loads (see silence_proof). With
+            infinity no instance is ever proven silent, and a confirmation never expires.
+        clock_drift: Margin for different clock rates, as a share of the lease.
+        rebind_ms: Silence of the member bound to a number after which another may claim it, for instance
+            because its machine was replaced.
+        retention_ms: As in LoadHistorySettings.
+        min_alternations: How often two incarnations must have reported in turns to count as two processes at
+            the same time; delayed datagrams of an ended one arrive singly.
+        checkpoint_interval_ms: Minimum time between two checkpoints. A copy of a folder is detected if a
+            checkpoint was made and reported after the copy.
+        checkpoint_interval_per_dispatcher_ms: Minimum time between two checkpoints per configured dispatcher.
+            All others record each checkpoint; this limits them to ten records a second.
     """
 
     recent_start_ms: float = 60_000.0
@@ -43,9 +52,15 @@
 
 
 class OutageVerdict(Enum):
-    """What was away. ALONE: this instance and no other. SOME: one or several, no whole zone of them. ZONE:
-    all dispatchers of a zone or more. FLEET: more than half of the configured ones. CUT_OFF: fewer than half
-    are reachable, this one counted, and not more than half are known to have restarted."""
+    """What was away.
+
+    NOTHING   no instance
+    ALONE     only this instance
+    SOME      one or more instances, but no whole zone
+    ZONE      all dispatchers of one or more zones
+    FLEET     more than half of the configured dispatchers
+    CUT_OFF   fewer than half are reachable, including this one, and no majority has restarted
+    """
 
     NOTHING = "nothing"
     ALONE = "alone"
@@ -57,8 +72,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SurveyView:
-    """What is known. first_start: of those restarted, on this clock. is_settled: nobody is waited for any
-    more. restarted, reachable, missing: numbers; lost_zones: those of which all dispatchers restarted."""
+    """What the survey has found.
+
+    Attributes:
+        verdict: What was away.
+        first_start: Earliest start of the restarted instances, in ms of this instance's clock.
+        is_settled: Whether no instance is waited for any more.
+        lost_zones: Zones all of whose dispatchers restarted.
+        restarted: Numbers of the restarted instances.
+        reachable: Numbers of the instances with a recent report, including this one.
+        missing: Numbers of all other configured instances.
+    """
 
     verdict: OutageVerdict = OutageVerdict.NOTHING
     first_start: float = -math.inf
@@ -71,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendSurveyMessage:
-    """A message for a member."""
+    """Action: send a datagram to a member."""
 
     member: int
     data: bytes
@@ -79,28 +103,32 @@
 
 @dataclass(slots=True, frozen=True)
 class ViewChanged:
-    """What is known has changed."""
+    """Action: use a new view."""
 
     view: SurveyView
 
 
 @dataclass(slots=True, frozen=True)
 class RaiseBootCount:
-    """The boot count must be raised to at least this and stored."""
+    """Action: store a boot count of at least `min_boot_count`, since the folder was empty or outdated."""
 
     min_boot_count: int
 
 
 @dataclass(slots=True, frozen=True)
 class DuplicateIdentity:
-    """Another process stands for this number. is_later: this one started later, and must not serve loads."""
+    """Action: report that another process uses this number.
+
+    Attributes:
+        is_later: Whether this process started later; then it must not serve loads.
+    """
 
     is_later: bool
 
 
 @dataclass(slots=True, frozen=True)
 class PeerBootCountLearned:
-    """A hint to store: the highest boot count and checkpoint known of a number."""
+    """Action: store the highest known boot count and checkpoint of another number, for the next start."""
 
     number: int
     boot_count: int
@@ -109,9 +137,11 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreCheckpoint:
-    """To be stored as the folder's checkpoint: the boot, and the mark in it, up to which its loads are
-    complete; 0: they are not, so that an empty or old folder that is started twice is not taken for a
-    complete one."""
+    """Action: store the folder's checkpoint.
+
+    The checkpoint identifies the boot and the mark up to which the folder's loads are complete. 0 means that
+    they are incomplete, so that an empty or old folder that is started twice does not count as complete.
+    """
 
     checkpoint: int
 
@@ -128,7 +158,8 @@
 
 @dataclass(slots=True, frozen=True)
 class ProvenSilence:
-    """It sent no load after `nothing_sent_after`; what happens after `valid_until` is not known yet."""
+    """Proof that a dispatcher sent no load after `nothing_sent_after`; it covers the time up to
+    `valid_until`."""
 
     nothing_sent_after: float
     valid_until: float
