--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -1,10 +1,10 @@
-"""How engines get work again after a power loss or a restart, decided alike by all instances. Pure.
+"""Slow start of engines after a power loss or a restart, with the same limits at all instances. Pure.
 
-An engine that has just started, or may have, has a share of its full capacity that all instances together may
-send. Nothing, before it is listed or has answered. Then the share that a cold one bears. From there it grows
-with what its answers show, at all instances, and not by the clock; one that shows its full speed is warm and
-free. See docs/design/power-loss-order.md. Times are ms of this instance's monotonic clock; work is in ms as a
-warm engine would need.
+An engine that has just started, or may have, has a share: the part of its full capacity that all instances
+together may send to it. The share is 0 until the engine is listed or has answered; then it is what a cold
+engine can process. From there it grows with the results of the engine's answers at all instances, not with
+time. An engine that shows its full speed is warm and becomes free. See docs/design/power-loss-order.md. Times
+are ms of this instance's monotonic clock; work is in ms as a warm engine would need.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
     encode_warmup_reports,
 )
 
-MAX_WARM_ROWS = 5  # warm engines that others still bound, in a report of many members
-MIN_WARMUP_LIMIT = 1e-9  # stands for no work: the scheduler ignores bounds that leave no engine at all
-STEP_TOLERANCE_MS = 1.0  # of timers, where a step is due
-ROTATION = 0x9E3779B1  # the golden ratio of 32 bits: spreads successive versions over all engine numbers
+MAX_WARM_ROWS = 5  # maximum number of warm engines that others still limit, in a report of a large fleet
+MIN_WARMUP_LIMIT = 1e-9  # used instead of 0: the scheduler ignores limits if none allows any work
+STEP_TOLERANCE_MS = 1.0  # how much too early a timer may call `step`
+ROTATION = 0x9E3779B1  # 2^32 / golden ratio: spreads successive versions over all engine numbers
 
 
 class OutageScope(Enum):
-    """What the membership survey found to have been away."""
+    """What was away, as found by the membership survey."""
 
     ALONE = "alone"  # only this instance
     ZONE = "zone"
@@ -44,7 +44,11 @@
 
 
 class SharedSlowStart:
-    """Feed it what is listed, lost, checked and answered, and others' reports; ask for `share`."""
+    """The shares of all engines that are not known to be warm, as one instance computes them.
+
+    It processes the engine list, outages, health checks, answers and the reports of other instances; call
+    `step` ten times a second and read `share` or `work_limits`.
+    """
 
     def __init__(
         self, self_id: int, incarnation: int, now: float, settings: SlowStartSettings, seed: int
@@ -53,17 +57,17 @@
         self.settings, self.started_at = settings, now
         self.random = random.Random(seed)
         self.reports = LatestReports[WarmupReport](self_id)
-        self.engines: dict[str, float] = {}  # all, with their cores
-        self.numbers: set[int] = set()  # of these, on the wire
+        self.engines: dict[str, float] = {}  # cores of each engine
+        self.numbers: set[int] = set()  # numbers of these engines on the wire
         self.warming: dict[str, WarmingEngine] = {}
-        self.answering_since: dict[str, float] = {}  # by engine, without a fault, as seen here
-        self.is_listed = False  # the own list of engines has been received since the start
-        self.was_only_this_instance_away = False  # nobody else was away, as far as is known
-        self.reported_warming: set[int] = set()  # numbers of engines that others bound
+        self.answering_since: dict[str, float] = {}  # since when each engine answers here without a fault
+        self.is_listed = False  # whether a list of engines has been received since the start
+        self.was_only_this_instance_away = False  # whether no other instance is known to have been away
+        self.reported_warming: set[int] = set()  # numbers of engines that others limit
         self.stepped_at = -math.inf
 
     def set_engines(self, now: float, engines: Mapping[str, float]) -> None:
-        """Exactly these engines, with their cores, exist; new ones warm up."""
+        """Set which engines exist, with their cores; new ones start to warm up."""
         new = [engine for engine in engines if engine not in self.engines]
         self.engines = dict(engines)
         self.numbers = {warmup_messages.engine_number(engine) for engine in engines}
@@ -75,8 +79,11 @@
             self._start(now, engine, -math.inf)
 
     def on_list_received(self, now: float) -> None:
-        """The own list has been received: its engines may be tried without a health check, but for those that
-        have failed one; the list may still name engines of a zone that is down."""
+        """Record that this instance's sources have sent a list of engines since the start.
+
+        Listed engines may be used without a health check, except those that failed one, since the list may
+        still contain engines of a zone that is down.
+        """
         self.is_listed = True
         for engine, warming in list(self.warming.items()):
             if not warming.has_answered and not warming.was_tried:
@@ -89,13 +96,18 @@
         engines: Iterable[str] | None = None,
         since: float = math.inf,
     ) -> None:
-        """The membership survey has found an outage. engines: of its zones; since: when the first of those
-        lost was back.
-
-        After the loss of a zone or of all, each of its engines that is free counts as one that starts, and
-        has to answer first. One that has answered since then goes on as old as its first answer at least. So
-        does one that warms up already. Where this instance alone was away, engines are free that no other
-        bounds.
+        """Process an outage that the membership survey has found.
+
+        After the loss of a zone or of the fleet its free engines count as just started and must answer first.
+        An engine that has answered since then keeps at least the age that follows from its first answer, and
+        one that already warms up continues. If only this instance was away, engines that no other instance
+        limits become free.
+
+        Args:
+            now: The current time.
+            scope: What was away.
+            engines: Engines of the lost zones; None for all.
+            since: When the first of the lost instances was back.
         """
         affected = set(self.engines) if engines is None else set(engines) & set(self.engines)
         self.was_only_this_instance_away = scope is OutageScope.ALONE
@@ -106,7 +118,7 @@
             self._restart(now, engine, since)
 
     def _free_engines(self, engines: set[str]) -> None:
-        """Free these engines, but for those that others bound, and those that no list or answer proves."""
+        """Free these engines, except those that others limit and those that no list or answer confirms."""
         self.warming = {
             engine: warming
             for engine, warming in self.warming.items()
@@ -116,30 +128,32 @@
         }
 
     def _restart(self, now: float, engine: str, since: float) -> None:
-        """Put a free engine under slow start after a loss that is known only now."""
+        """Put a free engine under slow start after a loss that has been recognized only now."""
         answering_since = self.answering_since.get(engine, -math.inf)
         warming = self._start(now, engine, min(now, since))
         warming.has_answered = answering_since >= since
         if warming.has_answered:
-            # A loss of all is known when more than half are back; what warmed up meanwhile need not again.
+            # A loss of the fleet is recognized once more than half are back. Engines keep the share that
+            # they have reached by then.
             warming.started_at = answering_since
             of_age = min(warming.share_of_age(now, self.settings), self.settings.max_cold_share)
             warming.share = max(warming.share, of_age)
 
     def on_engine_started(self, now: float, engine: str) -> None:
-        """It has just started, as the list says, or passed a first health check after silence."""
+        """Process an engine's start that the list reports, or its first successful health check after
+        silence."""
         self.answering_since.pop(engine, None)
         if engine in self.engines:
             self._start(now, engine, now).has_answered = True
 
     def on_engine_unreachable(self, now: float, engine: str) -> None:
-        """Nothing goes there until it has answered, and then as to one that starts."""
+        """Block an engine until it has answered; then it counts as just started."""
         self.answering_since.pop(engine, None)
         if engine in self.engines:
             self._start(now, engine, now).has_answered = False
 
     def on_health_check(self, now: float, engine: str, succeeded: bool) -> None:
-        """A health check by this instance has ended, or a good one by another."""
+        """Process the end of a health check by this instance, or a successful one by another."""
         self._note_answering(now, engine, succeeded)
         warming = self.warming.get(engine)
         if warming is None:
@@ -151,15 +165,23 @@
             warming.has_answered = False
 
     def on_answer(self, now: float, engine: str, succeeded: bool, work_ms: float, elapsed_ms: float) -> None:
-        """An attempt has ended with an answer. work_ms: as the engine reports it, else as such a query
-        usually takes; 0: not known, and the answer only proves that the engine is there."""
+        """Process the answer to an attempt.
+
+        Args:
+            now: The current time.
+            engine: The engine that answered.
+            succeeded: Whether the attempt succeeded.
+            work_ms: The work as reported by the engine, or as estimated for the query; 0 if neither is known,
+                so that the answer only proves that the engine is there.
+            elapsed_ms: How long the answer took.
+        """
         self._note_answering(now, engine, succeeded)
         warming = self.warming.get(engine)
         if warming is None:
             return
         warming.was_tried = True
         if not succeeded:
-            # Without any good answer an engine that is only listed counts as capacity no longer.
+            # A listed engine that has failed before any successful answer no longer counts as capacity.
             warming.has_answered = warming.has_answered and bool(warming.answers)
             return
         if not warming.has_answered:
@@ -168,60 +190,71 @@
             warming.answers.append(Answer(now, work_ms, elapsed_ms))
 
     def on_message(self, now: float, data: bytes) -> None:
-        """A message of warm-up reports. Raises MessageError."""
+        """Process a message of warm-up reports. Raises MessageError."""
         for report in decode_warmup_reports(data):
             self.reports.apply(now, report)
 
     @property
     def is_active(self) -> bool:
-        """Whether any engine is bounded."""
+        """Return whether any engine is limited."""
         return bool(self.warming)
 
     @property
     def is_growing(self) -> bool:
-        """Whether any engine that has answered, or is listed, is bounded; others need no reports."""
+        """Return whether any limited engine is listed or has answered; the others need no reports."""
         return any(warming.has_answered for warming in self.warming.values())
 
     def share(self, engine: str) -> float:
-        """Share of its capacity that all instances together may send to an engine; 0 before it is proven."""
+        """Return the share of its capacity that all instances together may send to an engine."""
         warming = self.warming.get(engine)
         if warming is None:
             return UNLIMITED_SHARE
         return warming.share if warming.has_answered else 0.0
 
     def work_limits(self, quota: float) -> dict[str, float]:
-        """Work in ms a ms that may be sent to each engine that warms up. quota: of the budget of all."""
+        """Return the work in ms per ms that may be sent to each engine that warms up.
+
+        Args:
+            quota: This instance's part of the limits of all instances.
+        """
         limits = {e: warming.cores * self.share(e) * quota for e, warming in self.warming.items()}
         if len(limits) == len(self.engines) and not any(limits.values()):
             return dict.fromkeys(limits, MIN_WARMUP_LIMIT)
         return limits
 
     def cores(self) -> tuple[float, float]:
-        """Cores of free engines, and those of the others that may be used."""
+        """Return the cores of free engines, and the usable cores of engines that warm up."""
         warm = sum(cores for engine, cores in self.engines.items() if engine not in self.warming)
         return warm, sum(w.cores * w.share for w in self.warming.values() if w.has_answered)
 
     def assumed_share(self) -> float:
-        """What an engine that was not tried yet counts for just after a start: what engines bear, times the
-        part that answers of those tried. So engines of a zone that is down soon count for little."""
+        """Return the share that an untried engine counts for just after a start: what a cold engine can
+        process, times the part of the tried engines that answered. So engines of a zone that is down soon
+        count for little."""
         answered = [warming.has_answered for warming in self.warming.values() if warming.was_tried]
         return self.settings.max_cold_share * (sum(answered) + 1) / (len(answered) + 1)
 
     def share_after_start(self, engine: str, assumed_share: float) -> float:
-        """What an engine counts for just after this instance's start."""
+        """Return the share that an engine counts for just after this instance's start."""
         warming, share = self.warming.get(engine), self.share(engine)
         if warming is None or warming.was_tried:
             return max(share, self.settings.max_cold_share) if share else 0.0
         return assumed_share
 
     def retry_after_ms(self, lacking_cores: float) -> float:
-        """How long a client that is rejected now should wait. The same at all instances: one that has just
-        started and catches up would promise capacity before engines are warm."""
+        """Return how long a client that is rejected now should wait before it retries.
+
+        It is the same at all instances: one that has just started and still collects reports would promise
+        capacity before engines are warm.
+        """
         return self.settings.retry_after_ms if lacking_cores > 0 else 0.0
 
     def step(self, now: float, live: Iterable[int]) -> list[tuple[int, bytes]]:
-        """Let shares follow what engines show, and return the messages that are due, as (member, message).
-        Call it ten times a second."""
+        """Update all shares from the observations, and return the messages that are due, as (member,
+        message).
+
+        Call it ten times a second.
+        """
         members = sorted(set(live) - {self.self_id})
         next_step = self.stepped_at + self.settings.gossip_interval_ms - STEP_TOLERANCE_MS
         if len(members) >= self.settings.gossip_from_members and now < next_step:
@@ -255,14 +288,14 @@
         return warming
 
     def _mark_answering(self, engine: str, warming: WarmingEngine, since: float) -> None:
-        """An engine is there: a list names it, or it has answered. If only this instance was away it is
-        free."""
+        """Record that a list names an engine or that it has answered. It becomes free if only this instance
+        was away and no other limits it."""
         warming.has_answered, warming.started_at = True, since
         if self.was_only_this_instance_away and warming.number not in self.reported_warming:
             del self.warming[engine]
 
     def _note_answering(self, now: float, engine: str, succeeded: bool) -> None:
-        """Note since when an engine answers; after a fault it may have restarted."""
+        """Record since when an engine has answered without a fault; after a fault it may have restarted."""
         if not succeeded:
             self.answering_since.pop(engine, None)
         elif engine in self.engines:
@@ -276,7 +309,8 @@
         reported: list[EngineObservation],
         unheard_factor: float,
     ) -> None:
-        """An engine's share from now on; it is free once it is warm, by own or most others' observations."""
+        """Update an engine's share, and free it if it is warm by the observations of this or most
+        instances."""
         warming.adopt_age(now, reported)
         own_observation = warming.observation = warming.observe(now)
         is_overdue = now - warming.started_at > self.settings.max_duration_ms
@@ -298,11 +332,11 @@
             del self.warming[engine]
 
     def _follow(self, warming: WarmingEngine, pooled: PooledObservation, passed_ms: float) -> bool:
-        """Let an engine's share follow what it shows; returns whether it is warm."""
+        """Let an engine's share follow the pooled observation; return whether the engine is warm."""
         return warming.follow(self.stepped_at, pooled, passed_ms, self.settings)
 
     def _messages(self, now: float, members: list[int]) -> list[tuple[int, bytes]]:
-        """This instance's report to the others, as (member, message)."""
+        """Return this instance's report for the other members, as (member, message)."""
         if not members or not self.is_growing and not self.reported_warming & self.numbers:
             return []
         s, is_small_fleet = self.settings, len(members) < self.settings.gossip_from_members
@@ -318,10 +352,10 @@
         return [(member, data) for member in self.random.sample(members, s.gossip_fanout)]
 
     def _observations(self, is_small_fleet: bool) -> dict[int, EngineObservation]:
-        """What to report: engines with answers first, the others in rotation.
+        """Return what to report: engines with answers first, the others in rotation.
 
-        In a large fleet each instance has few answers; engines of which it saw nothing are left out, so that
-        others' reports can be relayed as well.
+        In a large fleet each instance has few answers, so engines without any are left out to make room for
+        reports of other instances that are relayed.
         """
         observations = {
             warming.number: warming.observation
--- a/cottonhold/fleet/recovery/slow_start_settings.py
+++ b/cottonhold/fleet/recovery/slow_start_settings.py
@@ -1,4 +1,4 @@
-"""The settings of slow start, and the budget that all engines under it share. Pure."""
+"""The settings of slow start, and the number of the budget that all engines under slow start share. Pure."""
 
 from __future__ import annotations
 
@@ -12,21 +12,32 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStartSettings:
-    """Times in ms; shares and speeds are parts of an engine's full capacity.
-
-    initial_share: what a cold engine bears. doubling_ms: a share doubles at most so often. growth_factor: so
-    much more than what was observed is tried, since a speed that rises shows only under load.
-    queueing_ratio: answers slower than this part of the work done mean a queue at the engine; then
-    drain_factor of what it does is sent until the queue is gone. max_cold_share: most that is sent to an
-    engine that is not warm yet, whatever it shows: it may be overloaded at once, and never by being slow
-    first. warm_speed: from this speed on, shown for warm_confirmation_ms, an engine is warm; under
-    doubtful_speed that begins anew. max_report_age_ms: older reports do not count. checker_slot_ms: how long
-    one dispatcher has to check an engine first. max_duration_ms: after so long an engine is free whatever it
-    shows: a slow one must not be bounded for good. warm_after_ms: so long after its start an engine is warm,
-    as the configuration says. gossip_from_members, gossip_fanout: as for zone reports; gossip_interval_ms:
-    between two steps with that many members. settle_ms: so long after the start little is known of engines,
-    and they count for what they are likely to bear. retry_after_ms: advice for a client that is rejected
-    meanwhile. quota: most of a quota is never lent.
+    """Settings of slow start; times are in ms, shares and speeds are parts of an engine's full capacity.
+
+    Attributes:
+        initial_share: What a cold engine can process.
+        doubling_ms: Minimum time in which a share may double.
+        growth_factor: Factor above the observed rate that is tried, since a higher speed shows only under
+            load.
+        queueing_ratio: A speed of answers below this part of the work done means that queries queue at the
+            engine.
+        drain_factor: Part of the observed rate that is sent while queries queue there.
+        max_cold_share: Highest share of an engine that is not warm, whatever it shows: it may become
+            overloaded abruptly, without slowing down first.
+        warm_speed: Speed from which an engine counts as warm if it lasts for `warm_confirmation_ms`.
+        doubtful_speed: Speed below which that time starts again.
+        warm_confirmation_ms: How long an engine must show `warm_speed`.
+        max_report_age_ms: Age from which reports are ignored.
+        checker_slot_ms: Time slot in which one dispatcher may check an engine first.
+        max_duration_ms: Time after which an engine is free whatever it shows, so that a slow one isn't
+            limited forever.
+        warm_after_ms: Time after its start at which an engine is warm according to the configuration.
+        gossip_from_members, gossip_fanout: As for zone reports.
+        gossip_interval_ms: Time between two steps with `gossip_from_members` or more members.
+        settle_ms: Time after this instance's start in which little is known of engines; they count for the
+            share that they probably can process.
+        retry_after_ms: Advised pause for a client that is rejected meanwhile.
+        quota: How the budget is divided among instances; most of a quota is never lent.
     """
 
     initial_share: float = 0.3
--- a/cottonhold/fleet/recovery/warming_engine.py
+++ b/cottonhold/fleet/recovery/warming_engine.py
@@ -1,4 +1,4 @@
-"""An engine under slow start: what this instance observes of it, and how its share follows. Pure."""
+"""An engine under slow start: this instance's observations of it, and how its share changes. Pure."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
     upper_quartile,
 )
 
-MIN_SEEN_MS = 100.0  # what an engine did within less says little of its rate
+MIN_SEEN_MS = 100.0  # minimum time over which a rate is computed
 MIN_ELAPSED_MS = 0.1
 
 
 class Answer(NamedTuple):
-    """A good answer: when it arrived, its work as a warm engine would need, and how long it took."""
+    """A successful answer: its time of arrival, its work as a warm engine would need, and how long it
+    took."""
 
     answered_at: float
     work_ms: float
@@ -30,13 +31,20 @@
 
 @dataclass(slots=True)
 class WarmingEngine:
-    """An engine that is not known to be warm. Times in ms.
-
-    number: on the wire; share: of its full capacity, that all instances together may send. not_before:
-    observations by an instance that holds it for started earlier are of an earlier incarnation of it.
-    has_answered: it is listed or has answered. was_tried: a health check or an attempt has ended, here or as
-    another reports. warm_since: since when it has shown the speed of a warm one. observation: as of the last
-    step.
+    """An engine that is not known to be warm; times are in ms.
+
+    Attributes:
+        cores: The engine's cores.
+        number: The engine's number on the wire.
+        share: Part of its full capacity that all instances together may send.
+        started_at: When it started, as far as is known.
+        not_before: Observations by instances that assume an earlier start belong to an earlier incarnation.
+        has_answered: Whether it is listed or has answered.
+        was_tried: Whether a health check or an attempt has ended, here or at another instance.
+        answers: Successful answers within the window.
+        updated_at: When its share was last updated.
+        warm_since: Since when it has shown the speed of a warm engine.
+        observation: This instance's observation at the last step.
     """
 
     cores: float
@@ -52,7 +60,7 @@
     observation: EngineObservation = EngineObservation(0.0, 0.0, 0.0, 0.0)
 
     def observe(self, now: float) -> EngineObservation:
-        """What this instance saw of it within the window."""
+        """Return what this instance observed within the window."""
         while self.answers and self.answers[0].answered_at <= now - WINDOW_MS:
             self.answers.popleft()
         age_ms = now - self.started_at
@@ -65,13 +73,14 @@
         return EngineObservation(speed, work_done, self.share, age_ms)
 
     def adopt_age(self, now: float, observations: list[EngineObservation]) -> None:
-        """Take it for as old as two other instances know it to be; a single one may lie."""
+        """Use the second highest age that other instances report, if it is higher; a single report may be
+        wrong."""
         ages_ms = sorted((o.age_ms for o in observations if o.share < UNLIMITED_SHARE), reverse=True)
         if len(ages_ms) > 1:
             self.started_at = min(self.started_at, now - ages_ms[1])
 
     def share_of_age(self, now: float, settings: SlowStartSettings) -> float:
-        """What the configuration says that an engine of its age bears, if it is as old as is known."""
+        """Return the share that the configuration allows an engine of this age."""
         s = settings
         return min(
             s.initial_share + (1 - s.initial_share) * (now - self.started_at) / s.warm_after_ms,
@@ -81,12 +90,13 @@
     def follow(
         self, now: float, pooled: PooledObservation, passed_ms: float, settings: SlowStartSettings
     ) -> bool:
-        """Let the share follow what all instances observed; returns whether the engine is warm.
+        """Update the share from what all instances observed; return whether the engine is warm.
 
-        Without an answer nothing grows: by the clock alone, a slow engine would be overloaded. A warm speed
-        has to last, since one that is not warm yet may show it for a moment. An engine that answers without a
-        queue bears at least what the configuration says of its age: with few requests, or late answers from a
-        busy machine, it shows less than it can do. While there is no queue the share does not fall.
+        Without an answer the share doesn't grow: if it grew with time alone, a slow engine would be
+        overloaded. The warm speed must last, since an engine that isn't warm yet may show it for a moment. An
+        engine without a queue gets at least the share that the configuration allows for its age: with few
+        requests, or with late answers because this machine is busy, it shows less than it can do. While there
+        is no queue the share doesn't fall.
         """
         s = settings
         if pooled.speed <= 0:
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -1,13 +1,14 @@
-"""What instances observe of engines that warm up, its wire format, and how observations are pooled. Pure.
+"""What instances observe of engines that warm up: the wire format, and how observations are pooled. Pure.
 
     kind 16 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | engines 1 | engines, each:
     engine 4 | speed 1 | work done 1 | share 1 | age 1
 
-speed: how fast good answers were, work done: how much work they were, both as a part of what the engine does
-when warm, within `WINDOW_MS`. Both are lower bounds of what it can do: an answer that waited in a queue looks
-slow, and nobody is served more than the engine does. So the larger of both counts. share: what the sender
-would let all instances together send there; age: since when it has taken the engine for started. Reports
-merge as `latest_reports` says.
+Numbers after the names are sizes in bytes, except the kind. Speed is how fast successful answers were, work
+done is how much work they were, both within `WINDOW_MS` and as a part of what the engine does when warm. Both
+are lower bounds of what it can do: an answer that waited in a queue looks slow, and the work done is limited
+by the work sent. So the larger of the two is used. Share is what the sender would let all instances together
+send to the engine; age is the time since the engine's start as the sender knows it. Reports are merged as
+described in `latest_reports`.
 """
 
 from __future__ import annotations
@@ -31,22 +32,22 @@
 WARMUP_REPORTS = 16  # the kind of message
 HEADER = struct.Struct("!QIIB")
 ENTRY = struct.Struct("!IBBBB")
-MAX_ENGINES = (MAX_MESSAGE_BYTES - LIST_HEADER_BYTES - HEADER.size) // ENTRY.size  # of a report
+MAX_ENGINES = (MAX_MESSAGE_BYTES - LIST_HEADER_BYTES - HEADER.size) // ENTRY.size  # per report
 MAX_BYTE = 255
 SHARE_STEPS = 255
-SPEED_STEPS = 170.0  # of a speed of one, so that 1.5 can be encoded
-WORK_STEPS = 1000.0  # of the work done; its square root is encoded, since one instance of many does little
+SPEED_STEPS = 170.0  # steps of a speed of one, so that 1.5 can be encoded
+WORK_STEPS = 1000.0  # scale of the work done; its square root is encoded, for resolution at small values
 ROOT_STEPS = 5
 AGE_STEP_MS = 100.0
-WINDOW_MS = 600.0  # of answers that an observation is of
-UNLIMITED_SHARE = 1.0  # a share that bounds nothing
-SHARE_QUORUM = 3  # observations that it takes to agree on a share
-CLAIM_FACTOR = 3  # times the median work done that one instance counts for at most
+WINDOW_MS = 600.0  # time that an observation covers
+UNLIMITED_SHARE = 1.0  # a share that limits nothing
+SHARE_QUORUM = 3  # observations that are needed to agree on a share
+CLAIM_FACTOR = 3  # the work done of one instance is capped at this many times the median
 
 
 @dataclass(slots=True, frozen=True)
 class EngineObservation:
-    """What one instance saw of one engine. No speed: it had no answer within the window."""
+    """What one instance observed of one engine; speed is 0 without an answer within the window."""
 
     speed: float
     work_done: float
@@ -65,17 +66,17 @@
 
     @property
     def stamp(self) -> Stamp:
-        """Of two reports of a member the one with the higher stamp is newer."""
+        """Return the stamp; of two reports of a member the one with the higher stamp is newer."""
         return self.incarnation, self.version
 
 
 def engine_number(engine: str) -> int:
-    """An engine's number on the wire, the same at every instance."""
+    """Return an engine's number on the wire, which is the same at every instance."""
     return zlib.crc32(engine.encode())
 
 
 def encode_warmup_reports(reports: Iterable[WarmupReport]) -> bytes:
-    """A message with as many of these reports as fit, first ones first."""
+    """Return a message with as many of these reports as fit, from the first on."""
     return encode_list(WARMUP_REPORTS, map(_encode_report, reports))
 
 
@@ -96,12 +97,12 @@
 
 
 def decode_warmup_reports(data: bytes) -> list[WarmupReport]:
-    """The reports of a message. Raises MessageError; then none of them is applied."""
+    """Return the reports of a message. Raises MessageError; then none of them may be applied."""
     return decode_list(data, WARMUP_REPORTS, "warm-up reports", _decode_report)
 
 
 def _decode_report(data: bytes, offset: int) -> tuple[WarmupReport, int]:
-    """The report that begins at an offset, and where it ends."""
+    """Return the report that begins at an offset, and the offset of its end."""
     member, incarnation, version, count = HEADER.unpack_from(data, offset)
     offset += HEADER.size
     if not member or count > MAX_ENGINES:
@@ -119,8 +120,13 @@
 
 @dataclass(slots=True, frozen=True)
 class PooledObservation:
-    """What all that report saw of an engine: its speed, the work done, and the share they would give. No
-    share: too few report."""
+    """What all reporting instances together observed of an engine.
+
+    Attributes:
+        speed: Speed of its answers.
+        work_done: Work that it did for all instances, extrapolated to those that did not report.
+        share: Median of the shares that they would allow; None if too few report.
+    """
 
     speed: float
     work_done: float
@@ -128,18 +134,26 @@
 
 
 def upper_quartile(values: Sequence[float]) -> float:
-    """The lowest value of the upper quarter. The median would call engines under full load slow, where most
-    answers waited; the highest may be one wrong estimate of work."""
+    """Return the lowest value of the upper quarter.
+
+    The median would make an engine under full load look slow, since most answers waited in its queue. The
+    highest value may be one wrong estimate of work.
+    """
     return sorted(values)[math.ceil(0.75 * len(values)) - 1]
 
 
 def pool_observations(
     observations: Sequence[EngineObservation], unheard_factor: float, quorum: int = SHARE_QUORUM
 ) -> PooledObservation:
-    """Observations of one engine taken together. unheard_factor: instances for each one that reported.
+    """Pool the observations of one engine.
+
+    No instance may claim far more work than the median, nor may its speed alone count: a faulty one must not
+    raise the share for all.
 
-    No instance may claim far more work than the median, nor be the one whose speed counts: one that lies must
-    not lift the share for all.
+    Args:
+        observations: The observations, one of each reporting instance.
+        unheard_factor: Number of instances for each one that reported.
+        quorum: Observations that are needed to agree on a share.
     """
     with_answers = [observation for observation in observations if observation.speed > 0]
     work = [observation.work_done for observation in with_answers]
