--- a/cottonhold/fleet/failover_cost/__init__.py
+++ b/cottonhold/fleet/failover_cost/__init__.py
@@ -1,1 +1,1 @@
-"""What an outage would cost, and what follows: who serves whose clients, and what may be taken out. Pure."""
+"""The cost of an outage, and what follows: which zones serve whose clients, and what may be removed. Pure."""
--- a/cottonhold/fleet/failover_cost/allocation.py
+++ b/cottonhold/fleet/failover_cost/allocation.py
@@ -1,16 +1,17 @@
-"""Which zones serve which clients, so that the utility is highest: a small linear program, solved here. Pure.
+"""The allocation of clients' work to zones with the highest utility, as a small linear program. Pure.
 
     x[home, zone, step]: work of clients at `home`, of a density step, that `zone` serves, in cores
     maximize   sum x * utility(step) * retained[home, zone] - sum e * congestion cost
     demand     sum over zones of x[home, ., step]                     <= demand[home, step]
     capacity   sum over homes and steps of x * cost factor[home, zone] <= capacity[zone] + e[zone]
-    congested  e[zone] <= congested capacity[zone], at a cost a core, since queues grow there
-    cross-zone the same as capacity, of other homes' clients alone     <= cross-zone capacity[zone]
-
-Solved by column generation (Dantzig and Wolfe): given shadow prices of capacity, each home answers alone with
-the best zone for each step; a revised simplex mixes such answers. It has three rows a zone and one a home,
-however many steps there are, and no random or unordered part: the same problem has the same solution, to the
-bit, everywhere. `allocation_reference.py` is what it is checked against.
+    congested  e[zone] <= congested capacity[zone], at a cost per core, since queues grow there
+    cross-zone as capacity, summed over the clients of other homes only <= cross-zone capacity[zone]
+
+It is solved by column generation (Dantzig and Wolfe): given shadow prices of capacity, each home responds
+independently with the best zone for each step, and a revised simplex method combines such responses. The
+program has three rows per zone and one per home, regardless of the number of steps. Nothing in it is random
+or unordered, so the same problem has the same solution everywhere, to the bit. Tests compare it with
+`allocation_reference.py`.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 from cottonhold.fleet.admission import demand as sketch
 
-STEP_MIDDLE = 2 ** (0.5 / sketch.STEPS_PER_OCTAVE)  # a step's middle over its lowest density
+STEP_MIDDLE = 2 ** (0.5 / sketch.STEPS_PER_OCTAVE)  # ratio of a step's middle density to its lowest
 EPSILON = 1e-9
 
 Flow = tuple[str, str, int]  # home, zone, step
@@ -29,16 +30,24 @@
 
 @functools.lru_cache(maxsize=sketch.DENSITY_STEPS)
 def utility_of_step(step: int) -> float:
-    """Utility a second of a core of work at a step; nothing at the lowest one."""
+    """Return the utility per second of a core of work at a step; 0 at the lowest step."""
     return 1000 * sketch.MIN_DENSITY * STEP_MIDDLE * 2 ** (step / sketch.STEPS_PER_OCTAVE) if step else 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class AllocationProblem:
-    """demand: cores by home and step. By zone, in cores: capacity; cross_zone_capacity: what other homes may
-    take; congested_capacity: on top, each core at a cost of `congestion_cost` in utility a second. By home
-    and zone: retained_utility: part that remains after distance and failures; cost_factors: cores that a core
-    of the home's work takes there, by cold data. Pairs that are not named retain all and cost one.
+    """A problem to solve. Pairs of home and zone that are not named retain all utility and have cost factor
+    1.
+
+    Attributes:
+        demand: Work by home and density step, in cores.
+        capacity: Cores of each zone.
+        cross_zone_capacity: Cores of each zone that other homes may use.
+        retained_utility: By home and zone, the part of the utility that remains after distance and failures.
+        cost_factors: By home and zone, the cores that a core of the home's work takes there because of cold
+            data.
+        congested_capacity: Further cores of each zone, at a cost.
+        congestion_cost: Cost of a congested core, in utility per second.
     """
 
     demand: Mapping[str, Mapping[int, float]]
@@ -50,11 +59,11 @@
     congestion_cost: float = 0.0
 
     def utility(self, flow: Flow) -> float:
-        """Utility a second of a core of this flow."""
+        """Return the utility per second of a core of this flow."""
         return utility_of_step(flow[2]) * self.retained_utility.get(flow[:2], 1.0)
 
     def open_zones(self, home: str) -> list[str]:
-        """Zones that may serve a home's clients, in order."""
+        """Return the zones that may serve a home's clients, in order of name."""
         return [zone for zone in sorted(self.capacity) if self._is_open(home, zone)]
 
     def _is_open(self, home: str, zone: str) -> bool:
@@ -65,8 +74,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Allocation:
-    """flows: work in cores, in order; utility: what it brings a second; upper_bound: no allocation brings
-    more."""
+    """A solution of an allocation problem.
+
+    Attributes:
+        flows: Work by home, zone and step in cores, in this order.
+        utility: Utility per second of these flows.
+        upper_bound: Upper bound on the utility of any allocation.
+    """
 
     flows: Mapping[Flow, float]
     utility: float
--- a/cottonhold/fleet/failover_cost/allocation_reference.py
+++ b/cottonhold/fleet/failover_cost/allocation_reference.py
@@ -1,4 +1,4 @@
-"""The same program handed to scipy's HiGHS: what `simplex` is checked against. Needs the extra `plan`."""
+"""The allocation problem solved by scipy's HiGHS, as a reference for `simplex`. Needs the extra `plan`."""
 
 from __future__ import annotations
 
@@ -6,8 +6,12 @@
 
 
 def allocate(problem: AllocationProblem) -> Allocation:
-    """The allocation of highest utility. Raises ImportError without scipy, RuntimeError without a
-    solution."""
+    """Return the allocation of highest utility.
+
+    Raises:
+        ImportError: scipy is not installed.
+        RuntimeError: The solver found no solution.
+    """
     from scipy.optimize import linprog
 
     flows: list[Flow] = [
@@ -40,7 +44,7 @@
 def _demand_rows(
     problem: AllocationProblem, flows: list[Flow], zone_count: int
 ) -> tuple[list[list[float]], list[float]]:
-    """No home is served more than its demand of a step: the rows, and the limit of each."""
+    """Return the rows that limit each home to its demand of a step, and their limits."""
     rows, limits = list[list[float]](), list[float]()
     for home in sorted(problem.demand):
         for step, work in sorted(problem.demand[home].items()):
--- a/cottonhold/fleet/failover_cost/cold_cache.py
+++ b/cottonhold/fleet/failover_cost/cold_cache.py
@@ -1,9 +1,10 @@
-"""How often work meets data that is not cached: at first, and for good where sets evict one another. Pure.
+"""How often requests use data that is not cached: at first, and permanently where data sets evict others.
+Pure.
 
-An engine caches so many data sets, the last used ones. A set that starts cold has its first use cold; later
-ones are cold where the set was evicted since. The time after which an unused set is evicted is the one in
-which as many sets are used as the engine caches (Che's approximation of LRU). Rates are uses a second over
-all engines of a zone, times are seconds.
+An engine caches a limited number of data sets, those used last. The first use of a cold set is cold; later
+uses are cold if the set has been evicted since. An unused set is evicted after the time in which as many sets
+are used as the engine caches (Che's approximation of LRU). Rates are uses per second over all engines of a
+zone; times are in seconds.
 """
 
 from __future__ import annotations
@@ -12,12 +13,18 @@
 from collections.abc import Iterable, Mapping
 
 MAX_SECONDS = 1e6
-EVICTION_ROUNDS = 40  # of bisection
-WARM_ROUNDS = 30
+EVICTION_ROUNDS = 40  # bisection steps for the eviction time
+WARM_ROUNDS = 30  # bisection steps for the warm-up time
 
 
 def seconds_until_evicted(rates: Iterable[float], engines: int, cached_sets: int) -> float:
-    """Seconds after which an unused set is evicted; infinite where all fit."""
+    """Return the time after which an unused set is evicted; infinity if all sets fit.
+
+    Args:
+        rates: Uses per second of each set, over all engines.
+        engines: Number of engines that share these uses.
+        cached_sets: Data sets that an engine caches; 0 for no limit.
+    """
     per_engine = sorted(rate / max(engines, 1) for rate in rates if rate > 0)
     if not cached_sets or len(per_engine) <= cached_sets:
         return math.inf
@@ -38,11 +45,17 @@
 
 
 def cold_uses(rate: float, engines: int, is_warm: bool, window: float, eviction: float) -> float:
-    """Cold uses of a set within so many seconds. is_warm: at the start, in all engines of the zone; eviction:
-    see seconds_until_evicted.
+    """Return the number of cold uses of a set within a time window.
 
-    A warm set may be evicted before its first use here, by when it was last used before: taken as half the
+    A warm set may be evicted before its first use in the window; it is assumed that its last use was half the
     eviction time ago.
+
+    Args:
+        rate: Uses per second, over all engines.
+        engines: Number of engines that share these uses.
+        is_warm: Whether the set is cached in all engines at the start.
+        window: Length of the window, in seconds.
+        eviction: Time after which an unused set is evicted, as returned by seconds_until_evicted.
     """
     if is_warm and eviction == math.inf:
         return 0.0
@@ -58,7 +71,8 @@
 def seconds_until_warm(
     rates: Mapping[int, float], engines: int, max_cold_share: float = 0.1, max_seconds: float = 600.0
 ) -> float:
-    """Seconds until at most `max_cold_share` of the uses of these cold sets are first ones at an engine."""
+    """Return the time until at most `max_cold_share` of the uses of these cold sets are the first at an
+    engine. `rates` are uses per second by data set; the result is at most `max_seconds`."""
     total = math.fsum(rates.values())
     if total <= 0:
         return 0.0
--- a/cottonhold/fleet/failover_cost/cold_work.py
+++ b/cottonhold/fleet/failover_cost/cold_work.py
@@ -1,4 +1,4 @@
-"""How much work on cold data an allocation makes, and how long it lasts. Pure."""
+"""How much work on cold data an allocation causes, and how long that lasts. Pure."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 ZoneFlows = Mapping[tuple[str, str], float]  # work in cores by home and zone
 
-COLD_SHARE = 0.1  # of uses, from which a zone counts as cold
-ALL_DATA_SECONDS = 600.0  # within which a home uses all of its data
+COLD_SHARE = 0.1  # a zone counts as cold if a larger share of its uses is cold
+ALL_DATA_SECONDS = 600.0  # time in which a home uses all of its data sets
 
 
 def home_uses(snapshot: FleetSnapshot, home: str, share: float) -> dict[int, float]:
-    """Uses of each data set a second by a part of a home's requests."""
+    """Return the uses per second of each data set by a part of a home's requests."""
     view = snapshot.homes[home]
     requests = view.requests_per_second * share
     return {number: requests * part for number, part in view.data_set_shares.items() if part > 0}
 
 
 def zone_uses(snapshot: FleetSnapshot, flows: ZoneFlows, zone: str) -> dict[int, float]:
-    """Uses of each data set a second in a zone, by what it serves."""
+    """Return the uses per second of each data set in a zone, by the work that it serves."""
     rates_by_data_set = dict[int, list[float]]()
     for (home, serving), work in flows.items():
         if serving == zone:
@@ -35,7 +35,7 @@
 
 
 def cold_share(snapshot: FleetSnapshot, home: str, zone: str, share: float, settings: CostSettings) -> float:
-    """Part of a home's uses that would be cold in a zone, if so much of its work went there."""
+    """Return the part of a home's uses that would be cold if this share of its work moved to a zone."""
     view, uses = snapshot.zones[zone], home_uses(snapshot, home, share)
     window = settings.window_ms / 1000
     total = snapshot.homes[home].requests_per_second * share * window
@@ -49,7 +49,10 @@
 
 
 def cold_work_cores(snapshot: FleetSnapshot, flows: ZoneFlows, zone: str, settings: CostSettings) -> float:
-    """Cores of cold work in a zone, mean of the window: sets not warm yet, and sets evicted by others."""
+    """Return the cores of cold work in a zone, as the mean over the window.
+
+    It includes data sets that are not warm yet, and data sets evicted by others.
+    """
     view, uses = snapshot.zones[zone], zone_uses(snapshot, flows, zone)
     eviction = cold_cache.seconds_until_evicted(uses.values(), view.engine_count, settings.cached_data_sets)
     window = settings.window_ms / 1000
@@ -64,7 +67,7 @@
 
 
 def warm_up_ms(snapshot: FleetSnapshot, moved: ZoneFlows) -> float:
-    """Until nine in ten of the moved uses are warm, in the slowest zone."""
+    """Return the time until nine in ten of the moved uses are warm, in the slowest zone."""
     slowest = 0.0
     for zone in sorted({zone for _, zone in moved}):
         view, uses = snapshot.zones[zone], zone_uses(snapshot, moved, zone)
@@ -77,13 +80,13 @@
 
 
 def home_warm_up_ms(snapshot: FleetSnapshot, zone: str) -> float:
-    """Until nine in ten uses of a zone's own clients are warm there, from nothing."""
+    """Return the time until nine in ten uses of a zone's own clients are warm there, if it starts cold."""
     uses = home_uses(snapshot, zone, 1.0)
     return 1000 * cold_cache.seconds_until_warm(uses, snapshot.zones[zone].engine_count)
 
 
 def home_cold_work_ms(snapshot: FleetSnapshot, zone: str, settings: CostSettings) -> float:
-    """Work to warm a zone for its own clients from nothing: each data set cold once in each engine."""
+    """Return the cold work to warm a zone for its own clients: each data set is cold once in each engine."""
     engines = snapshot.zones[zone].engine_count
     cold = math.fsum(
         cold_cache.cold_uses(rate, engines, False, ALL_DATA_SECONDS, math.inf)
--- a/cottonhold/fleet/failover_cost/cost_settings.py
+++ b/cottonhold/fleet/failover_cost/cost_settings.py
@@ -1,23 +1,33 @@
-"""What the cost of failovers is computed with. Pure."""
+"""The settings of the cost model of failovers. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MIN_AMOUNT = 1e-9  # keeps a share of nothing from dividing by nothing
+MIN_AMOUNT = 1e-9  # least divisor, so that a share of an empty total doesn't divide by zero
 
 
 @dataclass(slots=True, frozen=True)
 class CostSettings:
-    """usable_capacity_share: part of the cores that is filled; from uncongested_share on it costs
-    congestion_cost, as a part of the mean utility: queues form and work spills over. reserved_home_share: of
-    a zone's cores, which other homes' clients may not take. cost_per_round_trip_ms: part of a request's
-    utility that a ms of round trip counts as. cold_factor: how many times longer a request takes on data that
-    is not warm; cached_data_sets: that an engine keeps warm, 0 for all. window_ms: of the outage for which
-    cold work is counted. initial_share, doubling_ms: how a zone's return begins, as a part of its load, and
-    after how long that may double. negligible_share: part of the demand that has to be rejected before a
-    threshold is said to stand. max_rounds: of allocating anew by the cold work that an allocation makes.
-    tolerance: part of the utility that an allocation may be off, for its time."""
+    """Settings of the cost model.
+
+    Attributes:
+        usable_capacity_share: Part of the cores that may be used.
+        uncongested_share: Part of the cores above which use has the congestion cost: queues form, and work
+            moves to other zones.
+        congestion_cost: Cost of a congested core, as a part of the mean utility of a core.
+        reserved_home_share: Part of a zone's cores that other homes' clients may not use.
+        cost_per_round_trip_ms: Part of a request's utility that a ms of round trip costs.
+        cold_factor: How many times longer a request takes on cold data.
+        cached_data_sets: Data sets that an engine keeps warm; 0 for all.
+        window_ms: Time from the start of an outage over which cold work is averaged.
+        initial_share: Part of its load with which a zone's return begins.
+        doubling_ms: Time in which that part may double.
+        negligible_share: Part of the demand that may be rejected without an admission threshold being
+            projected.
+        max_rounds: Maximum number of allocations repeated for the cold work of the one before.
+        tolerance: Relative error of the utility that is accepted to save processor time.
+    """
 
     usable_capacity_share: float = 0.97
     uncongested_share: float = 0.85
--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -1,10 +1,9 @@
-"""What the loss of zones would cost, as one instance estimates it from all reports, and what follows. Pure.
+"""Estimates what the loss of zones would cost, from the reports of all instances, and decides by it. Pure.
 
-Once a second it takes a snapshot of the fleet. What follows of it is solved when it is asked for, once a
-snapshot (`snapshot_plan`), and makes four decisions: how much of an evacuated zone to retain, which zones
-serve whose clients during an outage, from where clients are served first after a power loss, and what may be
-taken out. An answer stands until another is clearly better or its plan is too old; see
-docs/design/outlook.md.
+Once a second the estimator takes a snapshot of the fleet, from which results are computed on request, once
+per snapshot (`snapshot_plan`). They decide how much of an evacuated zone's load to retain, which zones serve
+whose clients during an outage and first after a power loss, and what may be removed. A result stays until
+another is clearly better or its plan is too old; see docs/design/outlook.md.
 """
 
 from __future__ import annotations
@@ -14,7 +13,6 @@
 import random
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
-from enum import Enum
 
 from cottonhold.fleet.failover_cost.cost_settings import MIN_AMOUNT
 from cottonhold.fleet.failover_cost.cross_zone_limits import (
@@ -31,25 +29,27 @@
 from cottonhold.fleet.failover_cost.messages import SiteReport, decode_site_reports, encode_site_reports
 from cottonhold.fleet.failover_cost.projection import Projection
 from cottonhold.fleet.failover_cost.site_observations import SiteObservations
-from cottonhold.fleet.failover_cost.snapshot_plan import Shares, SnapshotPlan, largest_first, shares_by_zone
+from cottonhold.fleet.failover_cost.snapshot_plan import (
+    Question,
+    Shares,
+    SnapshotPlan,
+    largest_first,
+    shares_by_zone,
+)
 from cottonhold.fleet.latest_reports import LatestReports
 from cottonhold.fleet.message_format import MAX_UINT32
 
-ROUNDING = 1e-6  # so that a part of a tenth is not rounded down to the one below
-NO_PLAN = "no plan: too few instances have told of their sites lately"  # as operators read it
-
-
-class Question(Enum):
-    """A question to a plan about a zone's clients, or about a zone."""
-
-    OUTAGE = "outage"  # who serves them while their zone is out
-    FIRST = "first"  # who serves them first while all engines are cold
-    NOW = "now"  # who serves them in the present outage
-    RETAINED = "retained"  # how much an evacuated zone retains
+ROUNDING = 1e-6  # added so that a floating-point error doesn't round an exact tenth down to the one below
+NO_PLAN = "no plan: too few instances have told of their sites lately"  # shown to operators
 
 
 class CostEstimator:
-    """Feed it requests, answers and reports; call `step` ten times a second. home_zone: the instance's."""
+    """One instance's estimator of the cost of failovers.
+
+    It processes requests, answers and the reports of other instances; call `step` ten times a second.
+    `home_zone` is the zone of this instance and its clients; `seed` is for the times and receivers of
+    reports.
+    """
 
     def __init__(
         self,
@@ -65,24 +65,24 @@
         self.random = random.Random(seed)
         self.observations = SiteObservations(now, self.settings.memory_ms)
         self.reports = LatestReports[SiteReport](self_id)
-        self.restored_reports: dict[int, SiteReport] = {}  # from before a power loss
+        self.restored_reports: dict[int, SiteReport] = {}  # reports saved before a power loss, by member
         self.engines: dict[str, dict[str, float]] = {}
         self.last_report: SiteReport | None = None  # this instance's own
         self.next_report = self.next_snapshot = self.next_save = now
         self.is_capacity_missing = False
-        self.plan: SnapshotPlan | None = None  # the one in force
+        self.plan: SnapshotPlan | None = None
         self.stable_shares: dict[tuple[Question, str], StableShares] = {}
         self.unstable_engines = UnstableEngines(self.settings.cross_zone or CrossZoneSettings())
 
     def set_engines(self, engines: Mapping[str, Mapping[str, float]]) -> None:
-        """Exactly these zones with these engines exist. engines: cores by zone and engine."""
+        """Set which zones and engines exist, with the cores of each engine by zone."""
         self.engines = {zone: dict(engines[zone]) for zone in sorted(engines) if engines[zone]}
         self.unstable_engines.set_engines(engine for there in self.engines.values() for engine in there)
 
     def on_request(
         self, now: float, utility: float, work_ms: float, data_set: str = "", is_retry: bool = False
     ) -> None:
-        """A request of this instance's clients has arrived."""
+        """Count a request of this instance's clients."""
         if not is_retry:
             self.observations.on_request(now, utility, work_ms, data_set)
 
@@ -94,19 +94,19 @@
         round_trip_ms: float | None = None,
         excess_work_ms: float | None = None,
     ) -> None:
-        """A zone has answered a query on a data set. round_trip_ms: if known; excess_work_ms: that it took
-        beyond the estimate, if both are known."""
+        """Count the answer of a zone to a query on a data set. `round_trip_ms` and `excess_work_ms`, the work
+        beyond the estimate, are None if they are unknown."""
         self.observations.on_answer(now, zone, data_set, excess_work_ms)
         if round_trip_ms is not None:
             self.on_health_check_answer(zone, round_trip_ms)
 
     def on_health_check_answer(self, zone: str, round_trip_ms: float) -> None:
-        """A zone has answered a health check: its distance, without any work."""
+        """Record the round trip of a health check, which contains no work."""
         self.observations.on_round_trip(zone, round_trip_ms)
 
     def on_message(self, now: float, data: bytes, sender: int = 0) -> bytes | None:
-        """A message of site reports; returns one for its sender if that is behind its own reports. Raises
-        MessageError."""
+        """Apply a message of site reports; return one for its sender if the sender has lost its own newest
+        report. Raises MessageError."""
         reports = decode_site_reports(data)
         for report in reports:
             self.reports.apply(now, report)
@@ -114,11 +114,9 @@
         return encode_site_reports([newer]) if newer is not None else None
 
     def restore(self, data: bytes) -> None:
-        """A message of site reports that was saved before a power loss. Raises MessageError.
-
-        It may be of any age: so it counts only until there is a first plan, and only for where clients are
-        served first. What was warm is no longer.
-        """
+        """Apply a message of site reports saved before a power loss. Since its age is unknown, it is used
+        only for `first_serving_zones` until there is a first plan, and without its warm data sets. Raises
+        MessageError."""
         for report in decode_site_reports(data):
             known = self.restored_reports.get(report.member)
             if known is None or report.stamp > known.stamp:
@@ -126,8 +124,8 @@
                 self.restored_reports[report.member] = replace(report, zones=zones)
 
     def report_to_save(self, now: float) -> bytes:
-        """What `restore` is to be given after a power loss; empty where it isn't due, or where there is no
-        demand yet: just after a restart that would replace what is still needed."""
+        """Return what to pass to `restore` after a power loss; empty if it isn't due, or while there is no
+        demand: just after a restart it would replace a report that is still needed."""
         if now < self.next_save or self.last_report is None or not self.last_report.rates:
             return b""
         self.next_save = now + self.settings.save_interval_ms
@@ -138,11 +136,11 @@
     ) -> list[tuple[int, bytes]]:
         """Take a snapshot if it is due, and return the messages that are due, as (member, message).
 
-        remaining: by zone, the part that the fleet may use now; zones that are not named have all. Snapshots
-        are rarer while no capacity is missing, since what follows from them costs time.
+        `remaining` is the part of each zone that the fleet may use now; zones that are not named have all.
+        Snapshots are rarer while no capacity is missing, because their results take processor time.
         """
         s, members = self.settings, sorted(set(live) - {self.self_id})
-        self.observations.recent_demand.rates(now)  # decays, so that what follows is weighed as of now
+        self.observations.recent_demand.rates(now)  # applies the decay up to now
         if remaining and not self.is_capacity_missing:
             self.next_snapshot = min(self.next_snapshot, now)
         self.is_capacity_missing = bool(remaining)
@@ -157,8 +155,9 @@
         return self._messages(now, members)
 
     def _take_snapshot(self, now: float, members: list[int], remaining: Mapping[str, float]) -> None:
-        """A new plan, from all fresh reports. Of itself an instance takes what it last reported, rounded as
-        on the wire, so that all have the same snapshot. Without enough reports the plan before stands."""
+        """Make a new plan from all fresh reports; without enough of them keep the old one. An instance uses
+        its own report as it was sent, with the rounding of the wire format, so that all have the same
+        snapshot."""
         s = self.settings
         if not members:
             self.last_report = self._next_report(now)
@@ -176,7 +175,7 @@
         self._set_plan(SnapshotPlan(now, snapshot, known, s.cost, foreseen))
 
     def _plan_from_restored(self, now: float, remaining: Mapping[str, float]) -> None:
-        """Where there was never a plan, restored reports say from where clients are served first."""
+        """Determine from restored reports which zones serve clients first, if there never was a plan."""
         has_answer = any(question is Question.FIRST for question, _ in self.stable_shares)
         if self.plan is not None or not self.restored_reports or has_answer:
             return
@@ -190,8 +189,8 @@
             self._follow(now, Question.FIRST, home, shares_by_zone(flows, home))
 
     def _set_plan(self, plan: SnapshotPlan) -> None:
-        """This plan is in force from now on. Answers that nobody requested under the one before are dropped,
-        so that hysteresis does not weigh them against what is wanted now."""
+        """Use a new plan. Results that nobody requested under the old one are dropped, so that hysteresis
+        doesn't compare new results with them."""
         before, self.plan = self.plan, plan
         self.restored_reports.clear()
         if before is not None:
@@ -200,11 +199,12 @@
                     del self.stable_shares[key]
 
     def _while_warming(self, plan: SnapshotPlan) -> dict[str, float]:
-        """What remains of zones at first, if all engines were cold."""
+        """Return the part of each zone that is usable at first if all engines are cold."""
         share = self.settings.warming_share
         return {zone: min(share, plan.remaining.get(zone, 1.0)) for zone in self.engines}
 
     def _follow(self, now: float, question: Question, zone: str, wanted: dict[str, float]) -> None:
+        """Update the stable answer to a question with a new result."""
         stable = self.stable_shares.get((question, zone))
         if stable is None:
             self.stable_shares[question, zone] = StableShares(wanted)
@@ -212,23 +212,24 @@
             stable.follow(now, wanted, self.settings.hysteresis)
 
     def projection(self, *lost_zones: str) -> Projection | None:
-        """What it would cost if these zones were out now; None if that is not foreseen or too old."""
+        """Return the cost if these zones were out now; None if that is not foreseen or there is no plan."""
         return None if self.plan is None else self.plan.projection(tuple(sorted(lost_zones)))
 
     def projection_with(self, remaining: Mapping[str, float]) -> Projection | None:
-        """What it would cost if so much remained of these zones, on top of what is missing now."""
+        """Return the cost if only this part of these zones remained, in addition to the capacity missing
+        now."""
         return None if self.plan is None else self.plan.project({**self.plan.remaining, **remaining})
 
     def neighbours(self, zone: str) -> Shares:
-        """Which zones serve a zone's clients while it is out, and what part of their served work; most first.
-        Empty without a plan."""
+        """Return the zones that serve a zone's clients while it is out, with their parts of the served work,
+        largest first; empty without a plan."""
         if self.plan is not None and (zone,) in self.plan.foreseen:
             self._answer_once(self.plan, Question.OUTAGE, zone, self.plan.without(zone))
         return self._stable_answer(Question.OUTAGE, zone)
 
     def serving_zones(self, home: str, *lost_zones: str) -> Shares:
-        """Which zones are best to serve a zone's clients while these zones are out, beyond what remains of
-        them; most first. Empty without a plan, or where nothing is served."""
+        """Return the zones that serve a home's clients best, largest part first, while `lost_zones` are out
+        besides the capacity missing now; empty without a plan, or if nothing is served."""
         lost_zones = tuple(sorted(lost_zones))
         if len(lost_zones) == 1 and lost_zones[0] == home:
             return self.neighbours(home)
@@ -237,13 +238,14 @@
         return largest_first(shares_by_zone(self.plan.flows(self.plan.without(*lost_zones)), home))
 
     def useful_cores(self, *lost_zones: str) -> float | None:
-        """Cores that are left for work while these zones are out, once cold work is done; None if unknown."""
+        """Return the cores that remain for work besides cold work while these zones are out; None if
+        unknown."""
         projection = self.projection(*lost_zones)
         return None if projection is None else projection.useful_cores
 
     def first_serving_zones(self, home: str) -> Shares:
-        """From where a zone's clients are served first while all engines are cold; empty without a plan, or
-        where they are served by none at first. Until there is a plan, by restored reports."""
+        """Return the zones that serve a home's clients first while all engines are cold, largest part first;
+        empty if there are none. Until there is a plan, restored reports are used."""
         if self.plan is not None and home in self.plan.snapshot.homes:
             self._answer_once(self.plan, Question.FIRST, home, self._while_warming(self.plan))
         return self._stable_answer(Question.FIRST, home)
@@ -251,19 +253,20 @@
     def _answer_once(
         self, plan: SnapshotPlan, question: Question, zone: str, remaining: Mapping[str, float]
     ) -> None:
-        """Let a plan's answer count once, when it is first requested."""
+        """Update a stable answer with a plan's result when it is first requested."""
         if (question, zone) not in plan.followed:
             plan.followed.add((question, zone))
             self._follow(plan.made_at, question, zone, shares_by_zone(plan.flows(remaining), zone))
 
     def _stable_answer(self, question: Question, zone: str) -> Shares:
+        """Return the current stable answer to a question."""
         stable = self.stable_shares.get((question, zone))
         return largest_first(stable.shares) if stable is not None else ()
 
     def engine_limits(self, now: float, remaining: Mapping[str, float]) -> dict[str, float]:
-        """By engine, the work in ms a ms that this instance may send to other zones than its clients' own,
-        while so much remains of these zones; none for those themselves. Empty while no capacity is missing,
-        without a plan, or where no plan knows of this outage."""
+        """Return the work in ms per ms that this instance may send to each engine outside its home zone,
+        while only `remaining` is left of some zones; their own engines get no limit. Empty while no capacity
+        is missing, or without a plan for this outage."""
         s, home = self.settings.cross_zone, self.home_zone
         if s is None:
             return {}
@@ -285,9 +288,9 @@
         return limits
 
     def warmup_limits(self, now: float, limits: Mapping[str, float]) -> dict[str, float]:
-        """While all engines are cold, their limits narrowed to what is needed, in the order of
-        `first_serving_zones`; as they are where nothing says from where clients are served first. limits:
-        work in ms a ms by engine."""
+        """Return these limits, in ms of work per ms by engine, narrowed to what is needed while all engines
+        are cold. Zones are filled in the order of `first_serving_zones`; if there is none, the limits stay as
+        they are."""
         s, order = self.settings.cross_zone, [zone for zone, _ in self.first_serving_zones(self.home_zone)]
         if s is None or not order:
             return dict(limits)
@@ -300,7 +303,8 @@
         return {engine: x * parts.get(zone_of.get(engine, ""), 1.0) for engine, x in limits.items()}
 
     def _current_allocation(self, remaining: Mapping[str, float]) -> OutageAllocation | None:
-        """What the plan says of now; None if no capacity is missing, or the plan does not know of it."""
+        """Return the plan's allocation for the present outage; None if no capacity is missing or it has
+        none."""
         missing = sorted(zone for zone, x in remaining.items() if x < 1.0 and zone in self.engines)
         if self.plan is None or not missing and not self.settings.limits_when_calm:
             return None
@@ -309,12 +313,10 @@
     def retained_share(
         self, now: float, zone: str, available_share: float = 1.0, success_share: float = 1.0
     ) -> float | None:
-        """The part of a zone's full load that is best still sent there while it is evacuated; None without a
-        plan.
-
-        available_share: part of its cores that is still there; success_share: of its attempts. Both are
-        rounded to tenths: what differs by less is the same question, and is solved once.
-        """
+        """Return the part of a zone's full load that is best still sent there while it is evacuated; None
+        without a plan. `available_share` is the part of its cores that is available, `success_share` that
+        of its attempts that succeed; both are rounded to tenths, so that similar questions are solved
+        only once."""
         plan = self.plan
         if plan is None or zone not in plan.snapshot.zones:
             return None
@@ -330,7 +332,7 @@
     def _solve_retained(
         self, plan: SnapshotPlan, zone: str, available_share: float, success_share: float
     ) -> float:
-        """The part of a faulty zone's full load that an allocation sends there."""
+        """Return the part of a faulty zone's full load that the best allocation sends there."""
         remaining = {**plan.remaining, zone: available_share}
         flows = plan.solve(remaining, {zone: success_share}).allocation.flows
         used = math.fsum(cores for (_, at, _), cores in flows.items() if at == zone)
@@ -340,8 +342,8 @@
     def removal_objections(
         self, removed_cores: Mapping[str, float], additional_cores: Mapping[str, float] | None = None
     ) -> list[str]:
-        """Why so many cores by zone, and `additional_cores`, may not be removed now; empty if any single
-        zone's loss on top stays bearable."""
+        """Return the reasons against removing these cores by zone, with `additional_cores`; empty if
+        afterwards the loss of any single zone would be bearable."""
         plan = self.plan
         if plan is None:
             return [NO_PLAN]
@@ -361,7 +363,7 @@
         return objections
 
     def build_report(self, now: float) -> SiteReport:
-        """What this instance reports of itself now."""
+        """Return this instance's report on its site."""
         return self.observations.report(
             now,
             self.self_id,
@@ -372,16 +374,14 @@
         )
 
     def _next_report(self, now: float) -> SiteReport:
-        """This instance's next report, as others decode it."""
+        """Return this instance's next report as others decode it."""
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
         return decode_site_reports(encode_site_reports([self.build_report(now)]))[0]
 
     def _messages(self, now: float, members: list[int]) -> list[tuple[int, bytes]]:
-        """A round of reports, as (member, message).
-
-        A report nearly fills a message. In a large fleet each instance sends others' reports along in
-        messages of their own, so many that each gets reports of more than half of all while they are fresh.
-        """
+        """Return a round of reports, as (member, message). A report nearly fills a message, so in a large
+        fleet others' reports are relayed in separate messages: so many that each instance receives reports of
+        more than half of the fleet while they are fresh."""
         s = self.settings
         if not members or now < self.next_report:
             return []
--- a/cottonhold/fleet/failover_cost/estimator_settings.py
+++ b/cottonhold/fleet/failover_cost/estimator_settings.py
@@ -14,17 +14,26 @@
 
 @dataclass(slots=True, frozen=True)
 class CostEstimatorSettings:
-    """Times in ms. max_report_age_ms: older reports do not count. snapshot_interval_ms: between two snapshots
-    while capacity is missing or there is no plan yet; idle_snapshot_interval_ms: else. plan_ttl_ms: so long a
-    plan counts without fresh reports of enough instances. report_interval_ms: between two rounds of reports;
-    gossip_from_members, gossip_fanout: as for demand reports. memory_ms: of which data sets are warm where.
-    max_zones_for_pairs: up to so many zones the loss of pairs is foreseen.
+    """Settings of the cost estimator; times are in ms.
 
-    min_bearable_share: part of the utility offered, or of what is served now if that is less, that must be
-    served with any one zone lost. warming_share: part of the cores that cold engines give first.
-    min_retained_share: a smaller part of a zone is not worth the queries that it delays. cross_zone: which
-    zones serve whose clients while capacity is missing; None: any. limits_when_calm: also while none is.
-    save_interval_ms: between two reports for the disk.
+    Attributes:
+        max_report_age_ms: Age from which reports are ignored.
+        snapshot_interval_ms: Time between two snapshots while capacity is missing or there is no plan.
+        idle_snapshot_interval_ms: Time between two snapshots otherwise.
+        plan_ttl_ms: How long a plan is valid without fresh reports of enough instances.
+        report_interval_ms: Mean time between two rounds of reports.
+        gossip_from_members, gossip_fanout: As for demand reports.
+        memory_ms: Time constant of the record of which data sets are warm in which zones.
+        max_zones_for_pairs: Maximum number of zones with which the loss of each pair is foreseen.
+        min_bearable_share: Part of the utility offered, or of the utility served now if that is less, that
+            must be served if any one zone is lost.
+        warming_share: Part of the cores that cold engines provide at first.
+        min_retained_share: A smaller part of a zone isn't retained: it isn't worth the queries that it
+            delays.
+        snapshot, cost, hysteresis: Settings of these parts.
+        cross_zone: Settings of the limits for cross-zone work while capacity is missing; None for no limits.
+        limits_when_calm: Whether the limits apply even if no capacity is missing.
+        save_interval_ms: Time between two reports that are saved to disk.
     """
 
     max_report_age_ms: float = 5000.0
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -1,4 +1,4 @@
-"""Shares that stay until others are clearly wanted, and weights that are forgotten with time. Pure."""
+"""Shares that change only for a clear difference, and weights that decay with time. Pure."""
 
 from __future__ import annotations
 
@@ -6,13 +6,18 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-MIN_WEIGHT = 1e-3  # what has less left is dropped
+MIN_WEIGHT = 1e-3  # smaller weights are dropped
 
 
 @dataclass(slots=True, frozen=True)
 class HysteresisSettings:
-    """band: shares that differ by less don't change; confirmation_ms: a change that is wanted for so long is
-    made; jump: one that is so large is made at once."""
+    """Settings of stable shares.
+
+    Attributes:
+        band: Shares that differ by no more than this don't change.
+        confirmation_ms: How long a difference must last before the shares change, in ms.
+        jump: A difference from which the shares change immediately.
+    """
 
     band: float = 0.1
     confirmation_ms: float = 3000.0
@@ -21,13 +26,18 @@
 
 @dataclass(slots=True)
 class StableShares:
-    """Shares that stay until others are clearly wanted. differs_since: in ms, since when others are."""
+    """Shares that change only for a clear difference.
+
+    Attributes:
+        shares: The shares in force, by zone.
+        differs_since: Since when the wanted shares have differed by more than the band, in ms.
+    """
 
     shares: dict[str, float]
     differs_since: float = math.inf
 
     def follow(self, now: float, wanted: Mapping[str, float], settings: HysteresisSettings) -> None:
-        """Other shares are wanted. A zone that can serve nothing any more is dropped at once."""
+        """Process the shares that are wanted now. A zone whose share becomes 0 is dropped immediately."""
         names = wanted.keys() | self.shares.keys()
         difference = max(
             (abs(wanted.get(name, 0.0) - self.shares.get(name, 0.0)) for name in names), default=0.0
@@ -45,22 +55,22 @@
 
 
 class UsageWeights:
-    """Weights by zone and data set, forgotten with a time constant."""
+    """Weights by zone and data set that decay exponentially; `memory_ms` is the time constant."""
 
     def __init__(self, memory_ms: float) -> None:
         self.memory_ms = memory_ms
-        self.weights = dict[tuple[str, int], tuple[float, float]]()  # the weight, and as of when
+        self.weights = dict[tuple[str, int], tuple[float, float]]()  # weight and time of its last change
 
     def add(self, now: float, zone: str, number: int, weight: float) -> None:
-        """So much more."""
+        """Increase a weight."""
         self.weights[zone, number] = self.weight(now, zone, number) + weight, now
 
     def prune(self, now: float, min_weight: float = MIN_WEIGHT) -> None:
-        """Drop what has all but decayed, so that names that occur once do not accumulate."""
+        """Drop weights that have almost decayed, so that names which occur once don't accumulate."""
         for key in [key for key in self.weights if self.weight(now, *key) < min_weight]:
             del self.weights[key]
 
     def weight(self, now: float, zone: str, number: int) -> float:
-        """What is left of it."""
+        """Return a weight, decayed up to now."""
         weight, updated_at = self.weights.get((zone, number), (0.0, now))
         return weight * math.exp((updated_at - now) / self.memory_ms)
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -1,8 +1,9 @@
-"""What it would cost if zones were out now: who serves whose clients, what is lost, how far, how cold. Pure.
+"""Projects the cost of zones being out now: who serves whose clients, lost utility, distance, cold work.
+Pure.
 
-Each scenario is allocated by itself: a pair of zones is no sum of two, since both would lean on the same
-third one. What is reported as utility is what is served, undiscounted; distance and cold work only steer the
-allocation.
+Each scenario is allocated separately: the loss of two zones is not the sum of two losses, since both could
+rely on the same third zone. Reported utility is the served utility without discounts; distance and cold work
+influence only the allocation.
 """
 
 from __future__ import annotations
@@ -31,20 +32,29 @@
 from cottonhold.fleet.failover_cost.fleet_snapshot import FleetSnapshot, HomeZone
 from cottonhold.fleet.failover_cost.simplex import allocate
 
-MIN_RETAINED_UTILITY = 0.05  # of work that is served far away
-MIN_CORES = 1e-6  # less work moves nothing
+MIN_RETAINED_UTILITY = 0.05  # part of the utility that remains at any distance
+MIN_CORES = 1e-6  # less work counts as none
 
 
 @dataclass(slots=True, frozen=True)
 class Projection:
-    """One scenario. remaining: by zone, the part that is left of it. flows: work in cores by home and zone.
-
-    offered_utility, served_utility: a second; lost_utility: less than now. threshold: that would stand.
-    added_round_trip_ms: mean, on top, over the work that moves; moved_cores: that work. extra_cold_cores:
-    cores of cold work more than now, mean of the window; negative where sharing ends. free_cores: by zone.
-    warm_ms: until nine in ten of the moved uses are warm. return_ms, return_work_ms: the return if the zone
-    returns cold. useful_cores: that are left for work once cold work is done, which a threshold may count
-    on.
+    """The cost of one scenario.
+
+    Attributes:
+        remaining: The part that is left of each zone.
+        flows: Work by home and zone, in cores.
+        offered_utility, served_utility: Utility per second.
+        lost_utility: Utility per second that is served now but not in the scenario.
+        threshold: The admission threshold in the scenario; None if (almost) all demand is served.
+        added_round_trip_ms: Mean additional round trip of the moved work.
+        moved_cores: The moved work, in cores.
+        extra_cold_cores: Cores of cold work more than now, as the mean over the window; negative if sharing
+            of engines ends.
+        free_cores: Cores that are left in each zone.
+        warm_ms: Time until nine in ten of the moved uses are warm.
+        return_ms, return_work_ms: Duration and cold work of the zones' return if they return cold.
+        useful_cores: Cores that remain for work besides cold work; an admission threshold may rely on them.
+        flows_by_step: Work by home, zone and density step, in cores.
     """
 
     remaining: Mapping[str, float]
@@ -64,12 +74,12 @@
     flows_by_step: Mapping[Flow, float] = field(default_factory=dict)
 
     def served_share(self) -> float:
-        """Part of the offered utility that is served."""
+        """Return the part of the offered utility that is served."""
         return self.served_utility / self.offered_utility if self.offered_utility > 0 else 1.0
 
 
 class Solution(NamedTuple):
-    """A problem, with the cost of the cold work that its allocation makes, and that allocation."""
+    """An allocation, and its problem with the cost of the cold work that the allocation causes."""
 
     problem: AllocationProblem
     allocation: Allocation
@@ -81,9 +91,16 @@
     settings: CostSettings,
     success_shares: Mapping[str, float] | None = None,
 ) -> AllocationProblem:
-    """The problem to solve. remaining: part of each zone that is there; success_shares: of its attempts.
+    """Return the problem to solve.
 
-    What other homes may take of a zone in part is what exceeds its clients' own part of the whole zone.
+    Other homes may use of a partly available zone what exceeds the share of the whole zone that is reserved
+    for its own clients.
+
+    Args:
+        snapshot: The fleet as the reports describe it.
+        remaining: The part of each zone that remains.
+        settings: Settings of the cost model.
+        success_shares: The part of the attempts in each zone that succeed.
     """
     s, zones = settings, snapshot.zones
     available = {zone: view.available_share * remaining.get(zone, 1.0) for zone, view in zones.items()}
@@ -118,8 +135,8 @@
     settings: CostSettings,
     success_shares: Mapping[str, float],
 ) -> dict[tuple[str, str], float]:
-    """The part of a home's utility that remains in each zone, by distance beyond the nearest and by
-    failures."""
+    """Return the part of a home's utility that remains in each zone, given its distance beyond the nearest
+    one and its failures."""
     nearest = min((home.round_trips_ms.get(zone, 0.0) for zone in open_zones), default=0.0)
     retained = {}
     for zone in open_zones:
@@ -132,7 +149,8 @@
 def _cost_factors(
     snapshot: FleetSnapshot, name: str, open_zones: list[str], settings: CostSettings
 ) -> dict[tuple[str, str], float]:
-    """Cores that a core of a home's work takes in other zones, by the data that is cold there."""
+    """Return the cores that a core of a home's work takes in other zones, because of data that is cold
+    there."""
     others = [zone for zone in open_zones if zone != name]
     share = 1 / max(len(others), 1)
     return {
@@ -142,7 +160,7 @@
 
 
 def _mean_utility(snapshot: FleetSnapshot) -> float:
-    """Utility a second of a core of the demand."""
+    """Return the utility per second of a core of the demand."""
     return _offered_utility(snapshot) / max(math.fsum(snapshot.total_demand().values()), MIN_AMOUNT)
 
 
@@ -152,11 +170,11 @@
     settings: CostSettings,
     success_shares: Mapping[str, float] | None = None,
 ) -> Solution:
-    """The allocation, with the cold work that it makes itself.
+    """Return the best allocation, including the cold work that it causes itself.
 
-    Data sets evict one another only where much is moved together, so the cold work of each home alone would
-    make the last zone look able to serve far more than it can. So it is allocated anew by the cold work of
-    the allocation before, until that changes little.
+    Data sets evict one another only where much work is moved together. With the cold work of each home alone
+    the last zone would appear able to serve far more than it can. So the allocation is repeated with the cold
+    work of the one before, until that changes little.
     """
     s, problem = settings, allocation_problem(snapshot, remaining, settings, success_shares)
     separate_factors, allocation = problem.cost_factors, allocate(problem, s.tolerance)
@@ -177,8 +195,10 @@
     flows: ZoneFlows,
     settings: CostSettings,
 ) -> dict[tuple[str, str], float]:
-    """Cost factors half way to those of the cold work that these flows make. separate_factors: those of each
-    home by itself."""
+    """Return cost factors half way from the problem's to those of the cold work that these flows cause.
+
+    `separate_factors` are those of each home by itself.
+    """
     factors = dict(problem.cost_factors)
     for zone in snapshot.zones:
         work = math.fsum(x for (_, at), x in flows.items() if at == zone)
@@ -202,11 +222,17 @@
     current: Allocation | None = None,
     solution: Solution | None = None,
 ) -> Projection:
-    """What it would cost if so much remained of these zones. current: the allocation without that, if known;
-    solution: that of `solve_with_cold_work`, if known.
+    """Return the cost if these parts of zones remained.
 
-    Cold work counts beyond what requests take now beyond the estimate, where that is reported: what keeps
-    data from staying warm in calm is not known here.
+    If excess work beyond the estimates is reported, cold work counts relative to it: the reasons for which
+    data doesn't stay warm in normal operation are unknown here.
+
+    Args:
+        snapshot: The fleet as the reports describe it.
+        remaining: The part of each zone that remains.
+        settings: Settings of the cost model.
+        current: The allocation without the loss, if known.
+        solution: The result of `solve_with_cold_work`, if known.
     """
     s = settings or CostSettings()
     baseline = current or solve_with_cold_work(snapshot, {}, s).allocation
@@ -236,32 +262,32 @@
 
 
 def _moved_work(flows: ZoneFlows, usual: ZoneFlows) -> dict[tuple[str, str], float]:
-    """Work in cores that a home sends to a zone beyond what it usually does."""
+    """Return the work in cores that each home sends to each zone beyond the usual."""
     added = {pair: cores - usual.get(pair, 0.0) for pair, cores in flows.items()}
     return {pair: cores for pair, cores in added.items() if cores > MIN_CORES}
 
 
 def _cold_cores(snapshot: FleetSnapshot, flows: ZoneFlows, settings: CostSettings) -> float:
-    """Cores of cold work that these flows make in all zones."""
+    """Return the cores of cold work that these flows cause in all zones."""
     return math.fsum(cold_work_cores(snapshot, flows, zone, settings) for zone in snapshot.zones)
 
 
 def _usual_cold_cores(snapshot: FleetSnapshot, usual: ZoneFlows, settings: CostSettings) -> float:
-    """Cores of cold work now: as it is reported, else as the usual flows make it."""
+    """Return the cores of cold work now: as reported, otherwise as the usual flows cause it."""
     if snapshot.excess_cores is not None:
         return snapshot.excess_cores
     return _cold_cores(snapshot, usual, settings)
 
 
 def _available_cores(snapshot: FleetSnapshot, remaining: Mapping[str, float]) -> float:
-    """Cores that work gets in what remains of all zones."""
+    """Return the cores that work may use in what remains of all zones."""
     return math.fsum(
         view.cores * view.available_share * remaining.get(zone, 1.0) for zone, view in snapshot.zones.items()
     )
 
 
 def _offered_utility(snapshot: FleetSnapshot) -> float:
-    """Utility a second of all demand."""
+    """Return the utility per second of all demand."""
     return math.fsum(utility_of_step(step) * cores for step, cores in snapshot.total_demand().items())
 
 
@@ -270,7 +296,7 @@
 
 
 def free_cores(problem: AllocationProblem, flows: ZoneFlows) -> dict[str, float]:
-    """Cores that these flows leave free, by zone."""
+    """Return the cores that these flows leave free in each zone."""
     free = {}
     for zone, capacity in problem.capacity.items():
         used = math.fsum(
@@ -281,7 +307,7 @@
 
 
 def flows_by_pair(flows: Mapping[Flow, float]) -> dict[tuple[str, str], float]:
-    """Work by home and zone, in cores."""
+    """Return the work by home and zone, in cores."""
     flows_of_pair = dict[tuple[str, str], list[float]]()
     for (home, zone, _), cores in flows.items():
         flows_of_pair.setdefault((home, zone), []).append(cores)
@@ -289,8 +315,11 @@
 
 
 def flows_as_served(snapshot: FleetSnapshot, flows: ZoneFlows) -> dict[tuple[str, str], float]:
-    """What is served of each home now, by zone: as its instances report it, else as allocated. An allocation
-    serves each home in its own zone as far as possible, while in service all zones may serve it alike."""
+    """Return the work served now, by home and zone: as instances report it, otherwise as allocated.
+
+    An allocation serves each home in its own zone as far as possible, while in operation all zones may serve
+    it alike.
+    """
     served = dict[tuple[str, str], float]()
     for home, view in snapshot.homes.items():
         allocated = {pair: cores for pair, cores in flows.items() if pair[0] == home}
@@ -303,7 +332,7 @@
 
 
 def _added_round_trip_ms(snapshot: FleetSnapshot, moved: ZoneFlows, usual: ZoneFlows) -> float:
-    """Mean round trip on top of the usual one, over the work that moves."""
+    """Return the mean round trip in addition to the usual one, over the moved work."""
     added = []
     for (home, zone), work in moved.items():
         round_trips_ms = snapshot.homes[home].round_trips_ms
@@ -317,7 +346,7 @@
 def _threshold(
     snapshot: FleetSnapshot, allocation: Allocation, settings: CostSettings
 ) -> DensityThreshold | None:
-    """The threshold at which as much is admitted as an allocation serves."""
+    """Return the threshold that admits as much as an allocation serves; None if it rejects almost nothing."""
     demand, served = snapshot.total_demand(), math.fsum(allocation.flows.values())
     if served >= (1 - settings.negligible_share) * math.fsum(demand.values()):
         return None
@@ -329,7 +358,7 @@
 
 
 def _return_ms(snapshot: FleetSnapshot, remaining: Mapping[str, float], settings: CostSettings) -> float:
-    """How long the slowest zone's return takes: its traffic grows, and its data gets warm."""
+    """Return the duration of the slowest zone's return: its traffic grows, and its data becomes warm."""
     slowest = 0.0
     for zone in _returning_zones(snapshot, remaining):
         doublings = math.ceil(math.log2(1 / max(remaining[zone], settings.initial_share)))
@@ -339,6 +368,6 @@
 
 
 def _return_work_ms(snapshot: FleetSnapshot, remaining: Mapping[str, float], settings: CostSettings) -> float:
-    """The work on cold data that the return of all zones makes."""
+    """Return the work on cold data that the return of all zones causes."""
     zones = [zone for zone in _returning_zones(snapshot, remaining) if zone in snapshot.homes]
     return math.fsum(home_cold_work_ms(snapshot, zone, settings) for zone in zones)
--- a/cottonhold/fleet/failover_cost/simplex.py
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -1,6 +1,6 @@
-"""The solver of allocation problems: column generation round a revised simplex. Pure.
+"""The solver of allocation problems: column generation with a revised simplex method. Pure.
 
-See `allocation` for the program that it solves.
+The linear program that it solves is described in `allocation`.
 """
 
 from __future__ import annotations
@@ -20,19 +20,26 @@
 )
 
 MAX_ROUNDS = 600
-RATIO_TOLERANCE = 1e-12  # two ratios that differ by less are a tie
-MIN_GAIN_EPSILONS = 10  # a column that gains less than so many times the least utility is not entered
+RATIO_TOLERANCE = 1e-12  # ratios that differ by less count as equal
+MIN_GAIN_EPSILONS = 10  # minimum gain of an entering column, as a multiple of `min_utility`
 NO_ROW = -1
 
 
-# A zone, and the first and the end of a home's steps that it serves, by their place among them. A plain
-# tuple, since thousands are made for each problem.
+# A zone and the half-open range of indices of the home's steps that it serves. A plain tuple, since thousands
+# are created for each problem.
 Assignment = tuple[str, int, int]
 
 
 @dataclass(slots=True)
 class Column:
-    """One home's answer to prices, or what a row leaves unused. usage: by row."""
+    """A home's best response to prices, the congested capacity of a zone, or the slack of a row.
+
+    Attributes:
+        gain: Utility per second at level 1.
+        usage: What it uses of each row at level 1.
+        home: The home; empty for other columns.
+        assignments: The steps that each zone serves.
+    """
 
     gain: float
     usage: dict[int, float]
@@ -41,7 +48,14 @@
 
 
 class Demand(NamedTuple):
-    """A home's steps in order, the utility of each, and sums of work and of utility below each of them."""
+    """A home's demand; both sums have one entry more than there are steps.
+
+    Attributes:
+        steps: Its density steps in ascending order.
+        utilities: Utility per second of a core of each step.
+        work_below: Work below each step, in cores.
+        utility_below: Utility per second of that work.
+    """
 
     steps: list[int]
     utilities: list[float]
@@ -50,7 +64,15 @@
 
 
 class Option(NamedTuple):
-    """A zone that may serve a home. cross_zone_row: NO_ROW in its own zone."""
+    """A zone that may serve a home.
+
+    Attributes:
+        zone: The zone's name.
+        capacity_row: Row of its capacity.
+        cross_zone_row: Row of its cross-zone capacity; NO_ROW if it is the home's own zone.
+        cost_factor: Cores that a core of the home's work takes there.
+        retained: Part of the utility that remains there.
+    """
 
     zone: str
     capacity_row: int
@@ -70,7 +92,7 @@
 
 
 def _cost(column: Column, prices: list[float]) -> float:
-    """What a column uses, at these prices."""
+    """Return the cost of what a column uses, at these prices."""
     total = 0.0
     for row, amount in column.usage.items():
         total += prices[row] * amount
@@ -78,8 +100,11 @@
 
 
 class Simplex:
-    """The mix of columns. Rows: capacity, cross-zone capacity and congested capacity of each zone, then one
-    for each home."""
+    """The simplex tableau of one problem.
+
+    Its rows are the capacity, the cross-zone capacity and the congested capacity of all zones, in this order,
+    then one row for each home.
+    """
 
     def __init__(self, problem: AllocationProblem) -> None:
         self.problem = problem
@@ -92,7 +117,7 @@
         limits += [problem.congested_capacity.get(zone, 0.0) for zone in self.zones]
         self.limits = [max(limit, EPSILON) for limit in limits] + [1.0] * len(self.homes)
         size = len(self.limits)
-        self.levels = list(self.limits)  # of the columns in the basis
+        self.levels = list(self.limits)  # level of each column in the basis
         self.inverse = [[float(i == j) for j in range(size)] for i in range(size)]
         self.basis = [Column(0.0, {i: 1.0}) for i in range(size)]
         cost = problem.congestion_cost
@@ -117,7 +142,7 @@
         )
 
     def shadow_prices(self) -> list[float]:
-        """The shadow price of each row."""
+        """Return the shadow price of each row."""
         prices = [0.0] * len(self.limits)
         for column, row in zip(self.basis, self.inverse, strict=True):
             if gain := column.gain:
@@ -125,10 +150,11 @@
         return prices
 
     def best_column_of_home(self, home: str, prices: list[float]) -> Column:
-        """The best that a home can do at these prices.
+        """Return a home's best column at these prices.
 
-        Of the lines utility * retained - cost the one that is best at a step stays so until one that retains
-        more crosses it, so a home with many steps costs no more than one with few.
+        In each step the home uses the zone with the highest utility * retained - cost. A zone that is best at
+        one step stays best until the line of a zone with a larger `retained` crosses its line, so many steps
+        cost no more than few.
         """
         options = self.options[home]
         costs = [
@@ -139,7 +165,7 @@
         usage, gain, assignments = {self.home_row[home]: 1.0}, 0.0, list[Assignment]()
         begin, count = 0, len(steps)
         while begin < count:
-            # Kept in one loop: it runs for each step and zone of each home, hundreds of times a problem.
+            # One loop for speed: it runs for each step and zone of each home, hundreds of times a problem.
             utility, best, chosen = utilities[begin], self.min_utility, -1
             best_cost, best_retained, crossing = -self.min_utility, 0.0, math.inf
             for i, (cost, retained) in enumerate(costs):
@@ -162,7 +188,7 @@
         return Column(gain, usage, home, assignments)
 
     def best_column(self, prices: list[float]) -> tuple[Column | None, float]:
-        """The column that gains most, and the most that all homes could still gain together."""
+        """Return the column that gains most, if any does, and a bound on what all homes could still gain."""
         chosen, highest, all_gains = None, self.min_utility * MIN_GAIN_EPSILONS, 0.0
         for home in self.homes:
             column = self.best_column_of_home(home, prices)
@@ -180,7 +206,7 @@
         return chosen, all_gains
 
     def congestion_gain(self, prices: list[float]) -> float:
-        """The most that congested capacity could still gain at these prices."""
+        """Return the most that congested capacity could still gain at these prices."""
         gains = [column.gain - _cost(column, prices) for column in self.congestion]
         return sum(
             max(gain, 0.0) * self.problem.congested_capacity.get(zone, 0.0)
@@ -188,21 +214,22 @@
         )
 
     def congestion_cost(self) -> float:
-        """What the congested capacity in use costs a second."""
+        """Return the cost per second of the congested capacity in use."""
         used = zip(self.basis, self.levels, strict=True)
         return -sum(column.gain * level for column, level in used if column.gain < 0)
 
     def utility(self) -> float:
-        """What the mix brings a second."""
+        """Return the utility per second of the current solution."""
         return sum(column.gain * level for column, level in zip(self.basis, self.levels, strict=True))
 
     def bound(self, prices: list[float], gains: float) -> float:
-        """No mix brings more than this, by these prices and what homes could still gain at them."""
+        """Return an upper bound on the utility of any solution, from these prices and the homes' possible
+        gains."""
         value = sum(price * limit for price, limit in zip(prices, self.limits, strict=True))
         return value + gains + self.congestion_gain(prices)
 
     def enter(self, column: Column) -> bool:
-        """Take a column into the mix; returns false if it can't be."""
+        """Let a column enter the basis; return False if no row limits it."""
         direction = [_cost(column, row) for row in self.inverse]
         leaving, min_ratio = NO_ROW, math.inf
         for i, change in enumerate(direction):
@@ -211,7 +238,7 @@
         if leaving < 0:
             return False
         pivot = [x / direction[leaving] for x in self.inverse[leaving]]
-        non_zero = [(j, p) for j, p in enumerate(pivot) if p]  # few are
+        non_zero = [(j, p) for j, p in enumerate(pivot) if p]  # the row is sparse
         for i, change in enumerate(direction):
             if i != leaving and change:
                 row = self.inverse[i]
@@ -222,7 +249,7 @@
         return True
 
     def flows(self) -> dict[Flow, float]:
-        """The mix as work by home, zone and step."""
+        """Return the current solution as work by home, zone and step, in cores."""
         flows = dict[Flow, float]()
         for column, level in zip(self.basis, self.levels, strict=True):
             for zone, begin, end in column.assignments if level > EPSILON else ():
@@ -234,8 +261,7 @@
 
 
 def allocate(problem: AllocationProblem, tolerance: float = 0.0) -> Allocation:
-    """The allocation of highest utility, or one that is known to be off by no more than a part
-    `tolerance`."""
+    """Return the allocation of highest utility, or one within a part `tolerance` of the upper bound."""
     simplex, bound = Simplex(problem), math.inf
     for _ in range(MAX_ROUNDS):
         prices = simplex.shadow_prices()
--- a/cottonhold/fleet/failover_cost/snapshot_plan.py
+++ b/cottonhold/fleet/failover_cost/snapshot_plan.py
@@ -1,10 +1,11 @@
-"""What follows from one snapshot: each question is solved once, and on demand only. Pure."""
+"""Results that are computed from one snapshot, each on its first request only. Pure."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from enum import Enum
 
 from cottonhold.fleet.failover_cost.cost_settings import CostSettings
 from cottonhold.fleet.failover_cost.cross_zone_limits import OutageAllocation
@@ -18,20 +19,27 @@
     solve_with_cold_work,
 )
 
-Parts = tuple[tuple[str, float], ...]  # of zones that have less than all, in order
-Shares = tuple[tuple[str, float], ...]  # zones and parts of the work, largest first
-RetentionQuestion = tuple[
-    str, float, float
-]  # zone, part of its cores available, part of attempts that succeed
+Parts = tuple[tuple[str, float], ...]  # zones that have less than all, in order, and their parts
+Shares = tuple[tuple[str, float], ...]  # zones and their parts of the work, largest first
+RetentionQuestion = tuple[str, float, float]  # zone, available part of its cores, successful part of attempts
+
+
+class Question(Enum):
+    """A question that a plan answers about a zone or about the clients of a zone."""
+
+    OUTAGE = "outage"  # which zones serve the clients while their zone is out
+    FIRST = "first"  # which zones serve the clients first while all engines are cold
+    NOW = "now"  # which zones serve the clients in the present outage
+    RETAINED = "retained"  # which part of its load an evacuated zone retains
 
 
 def largest_first(shares: Mapping[str, float]) -> Shares:
-    """Zones with a share, the largest first."""
+    """Return the zones with a positive share, the largest first."""
     return tuple(sorted(((z, x) for z, x in shares.items() if x > 0), key=lambda p: (-p[1], p[0])))
 
 
 def shares_by_zone(flows: Mapping[tuple[str, str], float], home: str) -> dict[str, float]:
-    """Parts of a home's served work by zone."""
+    """Return the parts of a home's served work, by the zone that serves it."""
     served = {zone: cores for (h, zone), cores in flows.items() if h == home}
     total = math.fsum(served.values())
     return {zone: cores / total for zone, cores in served.items()} if total > 0 else {}
@@ -43,8 +51,17 @@
 
 @dataclass(slots=True)
 class SnapshotPlan:
-    """remaining: by zone, the part that there was of it. foreseen: outages on top that may be queried, by
-    zones in order. followed: questions whose answers were followed with hysteresis."""
+    """A snapshot and the results computed from it so far.
+
+    Attributes:
+        made_at: When the snapshot was taken, in ms.
+        snapshot: The fleet as the reports describe it.
+        remaining: The part of each zone that was usable then; zones that are not named had all.
+        settings: Settings of the cost model.
+        foreseen: Additional outages that may be asked for, each as the names of its zones in order.
+        retained_shares, outage_allocations, projections, solutions, flows_by_remaining: Results so far.
+        followed: Questions whose results have been applied to the stable answers.
+    """
 
     made_at: float
     snapshot: FleetSnapshot
@@ -61,7 +78,10 @@
     def solve(
         self, remaining: Mapping[str, float], success_shares: Mapping[str, float] | None = None
     ) -> Solution:
-        """The allocation with so much remaining of zones, and such a part of attempts that succeed there."""
+        """Return the best allocation if these parts of zones remain.
+
+        `success_shares` is the part of the attempts that succeed, by zone; zones that are not named have all.
+        """
         key = _parts(remaining), _parts(success_shares or {})
         if key not in self.solutions:
             self.solutions[key] = solve_with_cold_work(
@@ -71,44 +91,45 @@
 
     @property
     def current(self) -> Solution:
-        """The allocation of what remains, without any more loss."""
+        """Return the best allocation for what remains now."""
         return self.solve(self.remaining)
 
     @property
     def free_cores(self) -> Mapping[str, float]:
-        """Cores left by zone as things are now."""
+        """Return the cores left in each zone now."""
         return free_cores(self.current.problem, self.flows(self.remaining))
 
     def without(self, *zones: str) -> dict[str, float]:
-        """What remains with these zones out as well."""
+        """Return what remains if these zones are out as well."""
         return {**self.remaining, **dict.fromkeys(zones, 0.0)}
 
     def flows(self, remaining: Mapping[str, float]) -> dict[tuple[str, str], float]:
-        """Work by home and zone with so much remaining."""
+        """Return the work by home and zone if these parts of zones remain."""
         key = _parts(remaining)
         if key not in self.flows_by_remaining:
             self.flows_by_remaining[key] = flows_by_pair(self.solve(remaining).allocation.flows)
         return self.flows_by_remaining[key]
 
     def project(self, remaining: Mapping[str, float]) -> Projection:
-        """What it would cost if so much remained of zones."""
+        """Return the cost if these parts of zones remained."""
         current = self.current.allocation
         return project(self.snapshot, remaining, self.settings, current, self.solve(remaining))
 
     def projection(self, lost_zones: tuple[str, ...]) -> Projection | None:
-        """What it would cost if these zones, in order, were out too; None if that is not foreseen."""
+        """Return the cost if these zones, in order of name, were out too; None if that is not foreseen."""
         if lost_zones in self.foreseen and lost_zones not in self.projections:
             self.projections[lost_zones] = self.project(self.without(*lost_zones))
         return self.projections.get(lost_zones)
 
     def outage_allocation(self, lost_zones: tuple[str, ...]) -> OutageAllocation | None:
-        """What it says of an outage of these zones, whole or in part; None if it doesn't know of them."""
+        """Return the allocation for an outage of exactly these zones, whole or in part; None if it is not
+        foreseen."""
         if lost_zones not in self.outage_allocations:
             self.outage_allocations[lost_zones] = self._outage_allocation(lost_zones)
         return self.outage_allocations[lost_zones]
 
     def _outage_allocation(self, lost_zones: tuple[str, ...]) -> OutageAllocation | None:
-        """A zone that is out only since the snapshot counts as wholly so until there is a new one."""
+        """Compute an allocation. A zone whose outage began after the snapshot counts as wholly out."""
         is_current = self.remaining.keys() == set(lost_zones)
         if not is_current and lost_zones not in self.foreseen:
             return None
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -19,10 +19,10 @@
     cross_zone_work,
     divide_among_engines,
 )
-from cottonhold.fleet.failover_cost.estimator import CostEstimator, Question
+from cottonhold.fleet.failover_cost.estimator import CostEstimator
 from cottonhold.fleet.failover_cost.estimator_settings import CostEstimatorSettings
 from cottonhold.fleet.failover_cost.messages import encode_site_reports
-from cottonhold.fleet.failover_cost.snapshot_plan import SnapshotPlan
+from cottonhold.fleet.failover_cost.snapshot_plan import Question, SnapshotPlan
 from cottonhold.fleet.recovery.shared_slow_start import OutageScope, SharedSlowStart
 from cottonhold.fleet.recovery.slow_start_settings import SlowStartSettings
 from cottonhold.fleet.settings import FleetSettings
