--- a/cottonhold/fleet/failover_cost/cross_zone_limits.py
+++ b/cottonhold/fleet/failover_cost/cross_zone_limits.py
@@ -1,7 +1,7 @@
-"""How much one instance may send to zones other than its clients' own, while capacity is missing. Pure.
+"""How much one instance may send to zones other than its clients' home, while capacity is missing. Pure.
 
-Each instance takes its part by its own demand, which nobody else counts: so two instances of one home never
-both take the whole of what the plan gives that home. Work is in cores.
+Each instance takes a part by its own demand, which no other instance counts, so two instances of one home
+never both use the whole of what the plan allows that home. Work is in cores.
 """
 
 from __future__ import annotations
@@ -10,19 +10,24 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-MIN_CROSS_ZONE_LIMIT = 1e-6  # no limit is nothing: that would mean that the fleet has evacuated the engine
-MIN_CORES = 1e-9  # keeps a home without demand from dividing by nothing
+MIN_CROSS_ZONE_LIMIT = 1e-6  # used instead of 0, which would mean that the fleet has evacuated the engine
+MIN_CORES = 1e-9  # least divisor, so that a home without demand doesn't divide by zero
 
 ZoneFlows = Mapping[tuple[str, str], float]  # work in cores by home and zone
 
 
 @dataclass(slots=True, frozen=True)
 class CrossZoneSettings:
-    """slack: that much more than the plan says may go to a zone. spill_share: and that part of what the plan
-    leaves free there. min_share: the least part of its limits that an instance uses of a zone that is late
-    in the order. failures_until_unstable: so many failed attempts in a row mean that an engine is down;
-    warm_up_ms: so long it may be cold once it is back; cold_share: part of its cores that all cross-zone work
-    together may take then."""
+    """Settings of cross-zone limits.
+
+    Attributes:
+        slack: Part by which the limit of a zone exceeds the plan.
+        spill_share: Part of the cores which the plan leaves free in a zone that may be used in addition.
+        min_share: Least part of its limit that an instance uses of a zone late in the order of zones.
+        failures_until_unstable: Consecutive failed attempts after which an engine counts as down.
+        warm_up_ms: Time after its return during which an engine may be cold.
+        cold_share: Part of its cores that all cross-zone work together may use during that time.
+    """
 
     slack: float = 0.25
     spill_share: float = 0.5
@@ -34,8 +39,14 @@
 
 @dataclass(slots=True, frozen=True)
 class OutageAllocation:
-    """What a plan says of an outage. demand: by home; flows: by home and zone. By zone: cross_zone_capacity:
-    what other homes may take there; free_cores: what is left."""
+    """A plan's allocation for an outage.
+
+    Attributes:
+        demand: Demand of each home, in cores.
+        flows: Work by home and zone, in cores.
+        cross_zone_capacity: Cores of each zone that other homes may use.
+        free_cores: Cores left in each zone.
+    """
 
     demand: Mapping[str, float]
     flows: ZoneFlows
@@ -43,8 +54,11 @@
     free_cores: Mapping[str, float]
 
     def served_share(self, home: str) -> float:
-        """Part of a home's work that is admitted. Not less than that of all homes, since the admission
-        threshold is one for all: work that it admits needs a zone that serves it."""
+        """Return the part of a home's work that is admitted.
+
+        It is at least that of all homes: the admission threshold is the same for all, and the work that it
+        admits needs a zone that serves it.
+        """
         home_cores = math.fsum(cores for (h, _), cores in self.flows.items() if h == home)
         fleet_share = math.fsum(self.flows.values()) / max(math.fsum(self.demand.values()), MIN_CORES)
         return min(max(home_cores / max(self.demand.get(home, 0.0), MIN_CORES), fleet_share), 1.0)
@@ -58,11 +72,16 @@
     is_home_evacuated: bool,
     settings: CrossZoneSettings | None = None,
 ) -> dict[str, float]:
-    """By zone the work that an instance may send there; its own zone is not named, nor any if it has no work.
-
-    shares: parts of its home's served work by zone. instance_demand: this instance's, in cores.
-    is_home_evacuated: all of its work has to find a place elsewhere; what the limits of single zones cut off
-    goes to those with capacity.
+    """Return the work that an instance may send to each zone except its own; empty if it has no work.
+
+    Args:
+        home: The instance's zone.
+        shares: Parts of its home's served work, by zone.
+        instance_demand: Demand of this instance's clients, in cores.
+        allocation: The plan's allocation for the outage.
+        is_home_evacuated: Whether all of its work must be served elsewhere; then what exceeds the limits of
+            single zones goes to zones with spare capacity.
+        settings: Settings of cross-zone limits.
     """
     s = settings or CrossZoneSettings()
     needed = instance_demand * allocation.served_share(home) * (1 + s.slack)
@@ -93,8 +112,8 @@
     demand_share: float,
     allocation: OutageAllocation,
 ) -> float:
-    """What an instance's clients may take of a zone: its part of the plan, and by its demand of the
-    cross-zone capacity that the plan leaves free there."""
+    """Return what an instance's clients may use of a zone: its part of the plan, and a part by its demand of
+    the cross-zone capacity that the plan leaves free."""
     allocated = math.fsum(cores for (h, z), cores in allocation.flows.items() if z == zone and h != zone)
     other_demand = math.fsum(cores for h, cores in allocation.demand.items() if h != zone)
     free = max(capacity - allocated, 0.0) * instance_demand / max(other_demand, instance_demand)
@@ -103,26 +122,32 @@
 
 @dataclass(slots=True)
 class UnstableEngines:
-    """Engines that may have just started, by the results of attempts and health checks."""
+    """Engines that may have just started, according to the results of attempts and health checks.
+
+    Attributes:
+        settings: Settings of cross-zone limits.
+        failures: Consecutive failures of each engine.
+        unreachable_at: When each engine was last found to be down, in ms.
+    """
 
     settings: CrossZoneSettings = field(default_factory=CrossZoneSettings)
-    failures: dict[str, int] = field(default_factory=dict)  # in a row
-    unreachable_at: dict[str, float] = field(default_factory=dict)  # when it was last known to be
+    failures: dict[str, int] = field(default_factory=dict)
+    unreachable_at: dict[str, float] = field(default_factory=dict)
 
     def on_result(self, now: float, engine: str, succeeded: bool) -> None:
-        """An attempt, or a health check, has ended."""
+        """Count the result of an attempt or a health check."""
         self.failures[engine] = 0 if succeeded else self.failures.get(engine, 0) + 1
         if self.failures[engine] >= self.settings.failures_until_unstable:
             self.unreachable_at[engine] = now
 
     def set_engines(self, engines: Iterable[str]) -> None:
-        """Exactly these exist."""
+        """Set which engines exist."""
         known = set(engines)
         self.failures = {engine: count for engine, count in self.failures.items() if engine in known}
         self.unreachable_at = {engine: at for engine, at in self.unreachable_at.items() if engine in known}
 
     def may_be_cold(self, now: float, engine: str) -> bool:
-        """Whether an engine may have just restarted."""
+        """Return whether an engine may have just restarted."""
         return now - self.unreachable_at.get(engine, -math.inf) < self.settings.warm_up_ms
 
 
@@ -133,11 +158,18 @@
     demand_share: float,
     settings: CrossZoneSettings,
 ) -> dict[str, float]:
-    """A zone's work by engine. engines: cores of each; cold: those that may be; demand_share: this instance's
-    part of all demand.
-
-    A limited engine is not held to the scheduler's own slow start, so its limit has to be that of a cold one.
-    More than half of the engines cold at once is more likely a fault of the observer, and is ignored.
+    """Divide a zone's work among its engines.
+
+    A limit replaces the scheduler's own slow start, so an engine that may be cold gets the limit of a cold
+    one. If more than half of the engines appear cold, a fault of this instance is more likely, and that is
+    ignored.
+
+    Args:
+        work: Work for the zone, in cores.
+        engines: Cores of each engine.
+        cold: Engines that may be cold.
+        demand_share: This instance's part of all demand.
+        settings: Settings of cross-zone limits.
     """
     possibly_cold = [engine for engine in cold if engine in engines]
     possibly_cold = possibly_cold if 2 * len(possibly_cold) <= len(engines) else []
@@ -160,11 +192,15 @@
     limits: Mapping[str, float],
     settings: CrossZoneSettings | None = None,
 ) -> dict[str, float]:
-    """By zone, the part of its limit that an instance uses, so that zones first in the order are filled
-    first.
+    """Return the part of each zone's limit that an instance uses, so that zones are filled in order.
+
+    A zone is limited only if it can take the rest of the work together with those before it in the order.
 
-    needed: its work; limits: what it may send. No zone is limited before those first in the order can take
-    all of the work.
+    Args:
+        order: Zones in the order in which they are filled; all others follow by name.
+        needed: The instance's work, in cores.
+        limits: The limit of each zone, in cores.
+        settings: Settings of cross-zone limits.
     """
     s, parts = settings or CrossZoneSettings(), dict.fromkeys(limits, 1.0)
     remaining = needed * (1 + s.slack)
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -1,8 +1,9 @@
 """The fleet as all reports together describe it: homes with their demand, zones with their capacity. Pure.
 
-All that have the same reports have the same snapshot, to the bit, in whatever order they arrived: sums are
-exact ones (`fsum`) over sorted members, and where one value counts it is the lower median of those reported.
-What one instance reports is capped: see SnapshotSettings.
+A home is a zone as the place of clients: their work may be served by its own or by other zones. All instances
+with the same reports have the same snapshot, to the bit, in whatever order the reports arrived: sums are
+exact (`fsum`) over sorted members, and a single value is the lower median of those reported. The claims of
+one instance are capped (see SnapshotSettings).
 """
 
 from __future__ import annotations
@@ -17,14 +18,20 @@
 from cottonhold.fleet.zone_failover.attempt_pool import lower_median
 from cottonhold.fleet.zone_failover.messages import zone_number
 
-MIN_WORK_MS = 1e-3
+MIN_WORK_MS = 1e-3  # least mean work of a request, so that a rate of requests is finite
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotSettings:
-    """max_claim_share: part of all cores that one instance's demand counts for at most, its densest first;
-    max_skew: and no more than so many times an even part of them. quorum_share: part of the live instances
-    whose reports it takes. default_round_trip_ms: to a zone that nobody has measured."""
+    """Settings of snapshots.
+
+    Attributes:
+        max_claim_share: Maximum part of all cores that one instance's demand counts for; its densest work is
+            kept.
+        max_skew: Maximum of that part as a multiple of an even part per instance.
+        quorum_share: A snapshot needs the reports of more than this part of the live instances.
+        default_round_trip_ms: Round trip to a zone that nobody has measured.
+    """
 
     max_claim_share: float = 0.6
     max_skew: float = 2.0
@@ -34,8 +41,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneSnapshot:
-    """A zone. cores: in all; available_share: part of them that work gets, 0 to 1; warm_filter: the data sets
-    that are warm there."""
+    """The capacity of one zone.
+
+    Attributes:
+        cores: All cores of its engines.
+        engine_count: Number of its engines.
+        available_share: Part of the cores that may be used, from 0 to 1.
+        warm_filter: Bloom filter of the data sets that are warm there.
+    """
 
     cores: float
     engine_count: int
@@ -45,9 +58,15 @@
 
 @dataclass(frozen=True)
 class HomeZone:
-    """The clients of one zone. rates: cores by density step; mean_work_ms: of a request; data_set_shares:
-    parts of the work by number of data set; round_trips_ms: to each zone; served_shares: parts of what is
-    served of it now by zone; empty if nobody knows."""
+    """The clients of one zone.
+
+    Attributes:
+        rates: Their work by density step, in cores.
+        mean_work_ms: Mean work of a request.
+        data_set_shares: Parts of the work by number of data set.
+        round_trips_ms: Round trip to each zone.
+        served_shares: Parts of the work served now, by zone; empty if unknown.
+    """
 
     rates: Mapping[int, float]
     mean_work_ms: float = 20.0
@@ -57,26 +76,31 @@
 
     @functools.cached_property
     def cores(self) -> float:
-        """Work of all steps."""
+        """Return the work of all steps, in cores."""
         return math.fsum(self.rates.values())
 
     @functools.cached_property
     def requests_per_second(self) -> float:
-        """By the mean work of a request."""
+        """Return the rate of requests, estimated from their mean work."""
         return 1000 * self.cores / max(self.mean_work_ms, MIN_WORK_MS)
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSnapshot:
-    """Zones and homes by name, in order. excess_cores: that all requests take now beyond what was estimated;
-    None where nobody knows."""
+    """The fleet at one time.
+
+    Attributes:
+        zones: The zones by name, in order.
+        homes: The homes by name, in order.
+        excess_cores: Cores that all requests take now beyond the estimates; None if unknown.
+    """
 
     zones: Mapping[str, ZoneSnapshot]
     homes: Mapping[str, HomeZone]
     excess_cores: float | None = None
 
     def total_demand(self) -> dict[int, float]:
-        """Demand of all homes by step, in cores."""
+        """Return the demand of all homes by step, in cores."""
         steps = sorted({step for home in self.homes.values() for step in home.rates})
         return {s: math.fsum(h.rates.get(s, 0.0) for h in self.homes.values()) for s in steps}
 
@@ -88,10 +112,17 @@
     available_shares: Mapping[str, float] | None = None,
     settings: SnapshotSettings | None = None,
 ) -> FleetSnapshot | None:
-    """The snapshot; None where no more than `quorum_share` of the `live_count` instances report.
+    """Return a snapshot; None unless more than `quorum_share` of the `live_count` instances report.
+
+    The claims of one instance are capped, since an exaggerated demand would displace all others in every
+    plan.
 
-    engines: cores by zone and engine, as the list has them. available_shares: by zone, what the fleet lets a
-    zone have. What one instance claims is capped, since it would move all others out of every plan.
+    Args:
+        reports: One report of each instance.
+        engines: Cores by zone and engine, according to the list.
+        live_count: Number of live instances.
+        available_shares: The usable part of each zone; zones that are not named have all.
+        settings: Settings of snapshots.
     """
     s, sites = settings or SnapshotSettings(), sorted(reports, key=lambda site: site.member)
     if len(sites) <= s.quorum_share * live_count or not sites:
@@ -116,7 +147,7 @@
 def _homes(
     sites: list[SiteReport], zones: list[str], max_cores: float, live_count: int, settings: SnapshotSettings
 ) -> dict[str, HomeZone]:
-    """All homes by name, in order; one in a zone that isn't listed is named by its number."""
+    """Return all homes by name, in order; one in a zone that isn't listed is named by its number."""
     zone_names = {zone_number(zone): zone for zone in zones}
     rates = {site.member: demand.merge_rates([site.rates], max_cores) for site in sites}
     by_home: dict[str, list[SiteReport]] = {}
@@ -137,7 +168,15 @@
     round_trips_ms: dict[str, float],
     zone_names: Mapping[int, str],
 ) -> HomeZone:
-    """One home, from the sites there. rates: by member; zone_names: by number."""
+    """Return one home from the reports of its sites.
+
+    Args:
+        sites: The reports.
+        rates: The capped work by density step of each site, by member.
+        unheard_factor: Number of instances for each one that reported.
+        round_trips_ms: Round trip to each zone.
+        zone_names: Name of each zone, by number.
+    """
     steps = sorted({step for site in sites for step in rates[site.member]})
     total = {
         step: math.fsum(rates[site.member].get(step, 0.0) for site in sites) * unheard_factor
@@ -162,8 +201,8 @@
 
 
 def _round_trips(sites: list[SiteReport], home: int, zones: list[str], default_ms: float) -> dict[str, float]:
-    """Round trips from a home to each zone, by those at both ends: of two instances that live in a home one
-    that lies would decide how far it is."""
+    """Return the round trip from a home to each zone, from the reports of both ends. Of two instances in a
+    home a single faulty one could otherwise determine the distance."""
     round_trips = {}
     for zone in zones:
         zone_id = zone_number(zone)
@@ -180,8 +219,11 @@
 
 
 def _warm_filter(sites: list[SiteReport], number: int) -> int:
-    """The data sets that are warm in a zone: two must have seen it, or one that lives there alone, so that
-    one that lies can't make every zone look warm for all."""
+    """Return a filter of the data sets that are warm in a zone.
+
+    Two instances must have reported a data set, or the only instance in that zone, so that a single faulty
+    one can't make every zone look warm.
+    """
     is_alone = sum(site.home_zone == number for site in sites) < 2
     local_filter = seen_once = seen_twice = 0
     for site in sites:
--- a/cottonhold/fleet/failover_cost/messages.py
+++ b/cottonhold/fleet/failover_cost/messages.py
@@ -1,12 +1,14 @@
-"""What an instance reports of its site: its clients' demand, how far zones are, what they have cached. Pure.
+"""What an instance reports of its site: its clients' demand, the distance of zones, and their warm data.
+Pure.
 
     kind 49 | count 1 | reports, each: member 8 | incarnation 4 | version 4 | home zone 2 | mean work 1 |
     excess cores 1 | steps 1 | data sets 1 | zones 1 | steps, each: step 1 | work 1 | data sets, each:
     number 2 | share 1 | zones, each: zone 2 | round trip 1 | served share 1 | warm filter 12
 
-Reports merge as `latest_reports` says. Data sets are named by 16 bits of a hash of their name, and those that
-a zone has warm by a Bloom filter of 96 bits: with a dozen sets in it one in twenty others looks warm that is
-not.
+Numbers after the names are sizes in bytes, except the kind. Reports are merged as described in
+`latest_reports`. A data set is identified by a 16-bit hash of its name. The data sets that a zone has warm
+are sent as a Bloom filter of 96 bits: with a dozen sets in it, one in twenty others is wrongly reported as
+warm.
 """
 
 from __future__ import annotations
@@ -26,24 +28,30 @@
     encode_list,
 )
 
-SITE_REPORTS = 49  # kind of message; 48 was an earlier format
+SITE_REPORTS = 49  # the kind of message; 48 was an earlier format
 HEADER = struct.Struct("!QIIHBBBBB")
 ZONE_ENTRY = struct.Struct("!HBB12s")
 DATA_SET_ENTRY = struct.Struct("!HB")
 FILTER_BITS = 96
-SECOND_HASH_FACTOR = 31  # spreads what is left of a number over the filter
-MAX_DATA_SETS = 8  # of a report: those most used
-MAX_ZONES = 8  # of a report: the nearest
+SECOND_HASH_FACTOR = 31  # spreads the rest of a number's bits over the filter
+MAX_DATA_SETS = 8  # the most used data sets of a report
+MAX_ZONES = 8  # the nearest zones of a report
 MAX_BYTE = 255
-SHARE_STEPS = 255.0  # of a share of one
-MIN_CODED_MS, CODE_GROWTH = 0.1, 1.05  # times on the wire: MIN * GROWTH ** (byte - 1), to 24 s; 0 is none
+SHARE_STEPS = 255.0  # steps of a share of one
+# A byte b encodes the time MIN_CODED_MS * CODE_GROWTH ** (b - 1), up to 24 s; the byte 0 encodes 0 ms.
+MIN_CODED_MS, CODE_GROWTH = 0.1, 1.05
 UNKNOWN_CORES = -1.0
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneObservation:
-    """A zone as one instance sees it. served_share: part of this instance's served work, 0 to 1; warm_filter:
-    the data sets that the zone answered lately."""
+    """One instance's observation of a zone.
+
+    Attributes:
+        round_trip_ms: Round trip to the zone.
+        served_share: Part of this instance's served work, from 0 to 1.
+        warm_filter: Bloom filter of the data sets of which the zone recently answered queries.
+    """
 
     round_trip_ms: float = 0.0
     served_share: float = 0.0
@@ -52,10 +60,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SiteReport:
-    """One instance's report. home_zone: number of the zone of its clients; mean_work_ms: of their requests;
-    rates: work offered by density step, in cores; data_set_shares: parts of that work by number of data set;
-    zones: by number; excess_cores: that its clients' requests take now beyond what was estimated; negative:
-    not known."""
+    """One instance's report on its site.
+
+    Attributes:
+        member, incarnation, version: The sender, and the stamp of the report.
+        home_zone: Number of the zone of the instance's clients.
+        mean_work_ms: Mean work of their requests.
+        rates: Offered work by density step, in cores.
+        data_set_shares: Parts of that work by number of data set.
+        zones: Observations of zones, by number.
+        excess_cores: Cores that the clients' requests take now beyond the estimates; negative if unknown.
+    """
 
     member: int
     incarnation: int
@@ -69,24 +84,24 @@
 
     @property
     def stamp(self) -> Stamp:
-        """Of two reports of a member the one with the higher stamp is newer."""
+        """Return the stamp; of two reports of a member the one with the higher stamp is newer."""
         return self.incarnation, self.version
 
 
 def data_set_number(name: str) -> int:
-    """A data set's number, the same at every instance."""
+    """Return a data set's number, which is the same at every instance."""
     return zlib.crc32(name.encode()) & 0xFFFF
 
 
 @functools.lru_cache(maxsize=1024)
 def filter_bits(number: int) -> int:
-    """A data set's two bits in a filter of warm ones."""
+    """Return the two bits of a data set in a Bloom filter."""
     second = number // FILTER_BITS * SECOND_HASH_FACTOR % FILTER_BITS
     return 1 << number % FILTER_BITS | 1 << second
 
 
 def is_warm(warm_filter: int, number: int) -> bool:
-    """Whether a filter has a data set."""
+    """Return whether a filter contains a data set."""
     bits = filter_bits(number)
     return warm_filter & bits == bits
 
@@ -102,7 +117,7 @@
 
 
 def encode_site_report(report: SiteReport) -> bytes:
-    """A report's bytes, with its most used data sets and the nearest zones."""
+    """Return a report's bytes, with its most used data sets and its nearest zones."""
     steps = demand.encode_rates(report.rates) if report.rates else b""
     shares, zones = report.data_set_shares, report.zones
     used = sorted(shares, key=lambda n: (-shares[n], n))[:MAX_DATA_SETS]
@@ -136,17 +151,17 @@
 
 
 def encode_site_reports(reports: Iterable[SiteReport]) -> bytes:
-    """A message with as many of these as fit, first ones first."""
+    """Return a message with as many of these reports as fit, from the first on."""
     return encode_list(SITE_REPORTS, map(encode_site_report, reports))
 
 
 def decode_site_reports(data: bytes) -> list[SiteReport]:
-    """The reports of a message. Raises MessageError; then none of them is applied."""
+    """Return the reports of a message. Raises MessageError; then none of them may be applied."""
     return decode_list(data, SITE_REPORTS, "site reports", _decode_report)
 
 
 def _decode_report(data: bytes, offset: int) -> tuple[SiteReport, int]:
-    """The report that begins at an offset, and where it ends."""
+    """Return the report that begins at an offset, and the offset of its end."""
     fields = HEADER.unpack_from(data, offset)
     member, incarnation, version, home_zone, mean_work, excess, steps, data_sets, zones = fields
     begin = offset + HEADER.size
@@ -177,7 +192,7 @@
 
 
 def _decode_shares(data: bytes, offset: int, count: int) -> tuple[dict[int, float], int]:
-    """Shares by number of data set from an offset, and where they end."""
+    """Return the shares by number of data set that begin at an offset, and the offset of their end."""
     codes = dict[int, int]()
     for _ in range(count):
         number, code = DATA_SET_ENTRY.unpack_from(data, offset)
--- a/cottonhold/fleet/failover_cost/site_observations.py
+++ b/cottonhold/fleet/failover_cost/site_observations.py
@@ -1,4 +1,4 @@
-"""What an instance observes of its own site: its clients' demand, and what zones answer. Pure."""
+"""What an instance observes of its site: its clients' demand, and the answers of zones. Pure."""
 
 from __future__ import annotations
 
@@ -18,28 +18,29 @@
 from cottonhold.fleet.latest_reports import Stamp
 from cottonhold.fleet.zone_failover.messages import zone_number
 
-RECENT_MEMORY_MS = 700.0  # of the quicker count of the own demand
-DATA_SET_MEMORY_MS = 2000.0
-MEAN_DECAY = 0.999  # a request, of what the mean work of requests remembers
-ROUND_TRIP_GAIN = 0.1  # of a new round trip, against those before
-DEFAULT_WORK_MS = 20.0
-MIN_DATA_SET_SHARE = 1e-3  # of the demand; what has less is not reported
-MIN_KNOWN_PART = 4  # the excess work counts from a fourth of its memory on: by a few answers, chance would
+RECENT_MEMORY_MS = 700.0  # time constant of the recent demand
+DATA_SET_MEMORY_MS = 2000.0  # time constant of the use of data sets
+MEAN_DECAY = 0.999  # decay per request of the mean work of requests
+ROUND_TRIP_GAIN = 0.1  # weight of a new round trip in the mean
+DEFAULT_WORK_MS = 20.0  # mean work of a request before there is any
+MIN_DATA_SET_SHARE = 1e-3  # data sets with a smaller part of the demand are not reported
+MIN_KNOWN_PART = 4  # excess work is reported after a fourth of its time constant: few answers mean little
 
 
 class SiteObservations:
-    """Feed it requests and answers; it makes reports. memory_ms: of which data sets are warm where."""
+    """Counts requests and answers, and builds reports from them; `memory_ms` is the time constant of
+    answers."""
 
     def __init__(self, now: float, memory_ms: float) -> None:
         self.memory_ms = memory_ms
         self.demand, self.recent_demand = Demand(now), Demand(now, RECENT_MEMORY_MS)
         self.data_set_use, self.answer_use = UsageWeights(DATA_SET_MEMORY_MS), UsageWeights(memory_ms)
-        self.request_work_ms, self.request_count = 0.0, 0.0  # for the mean work of a request
+        self.request_work_ms, self.request_count = 0.0, 0.0  # both decayed
         self.excess_work, self.excess_known_since = UsageWeights(memory_ms), math.inf
         self.round_trips_ms: dict[str, float] = {}
 
     def on_request(self, now: float, utility: float, work_ms: float, data_set: str) -> None:
-        """A request of this instance's clients has arrived."""
+        """Count a request of this instance's clients."""
         self.demand.add(now, density_step(utility, work_ms), work_ms)
         self.recent_demand.add(now, 0, work_ms)
         self.data_set_use.add(now, "", data_set_number(data_set), work_ms)
@@ -47,21 +48,21 @@
         self.request_count = self.request_count * MEAN_DECAY + 1
 
     def on_answer(self, now: float, zone: str, data_set: str, excess_work_ms: float | None) -> None:
-        """A zone has answered a query on a data set. excess_work_ms: that it took beyond the estimate, if
-        both are known."""
+        """Count a zone's answer to a query on a data set. `excess_work_ms` is its work beyond the estimate,
+        None if unknown."""
         self.answer_use.add(now, zone, data_set_number(data_set), 1.0)
         if excess_work_ms is not None:
             self.excess_work.add(now, "", 0, excess_work_ms)
             self.excess_known_since = min(self.excess_known_since, now)
 
     def on_round_trip(self, zone: str, round_trip_ms: float) -> None:
-        """A zone has answered a health check: its distance, without any work."""
+        """Include a round trip to a zone in its mean."""
         mean_ms = self.round_trips_ms.get(zone, round_trip_ms)
         self.round_trips_ms[zone] = mean_ms * (1 - ROUND_TRIP_GAIN) + round_trip_ms * ROUND_TRIP_GAIN
 
     def offered_cores(self, now: float) -> float:
-        """The demand of this instance's clients. The quicker count matters after clients were led here: the
-        slower one knows only a part of them yet."""
+        """Return the demand of this instance's clients, in cores. After clients have been moved here the
+        recent demand matters, since the longer mean contains only a part of them yet."""
         return max(math.fsum(count.rates(now).values()) for count in (self.demand, self.recent_demand))
 
     def report(
@@ -73,7 +74,16 @@
         engines: Mapping[str, Iterable[str]],
         default_round_trip_ms: float,
     ) -> SiteReport:
-        """What this instance reports. engines: by zone; default_round_trip_ms: to zones not measured yet."""
+        """Return this instance's report.
+
+        Args:
+            now: The current time.
+            member: This instance's member id.
+            stamp: Incarnation and version of the report.
+            home_zone: The zone of this instance's clients.
+            engines: Engines by zone.
+            default_round_trip_ms: Round trip to zones that have not been measured yet.
+        """
         self.data_set_use.prune(now)
         self.answer_use.prune(now)
         mean_work_ms = (
@@ -91,7 +101,7 @@
         )
 
     def _data_set_shares(self, now: float) -> dict[int, float]:
-        """Parts of the demand by data set."""
+        """Return the parts of the demand by number of data set."""
         use = self.data_set_use
         weights = {number: use.weight(now, "", number) for _, number in sorted(use.weights)}
         total = math.fsum(weights.values())
@@ -102,7 +112,7 @@
     def _zones(
         self, now: float, engines: Mapping[str, Iterable[str]], default_round_trip_ms: float
     ) -> dict[int, ZoneObservation]:
-        """All zones as this instance sees them, by number."""
+        """Return this instance's observation of each zone, by number."""
         answers = dict[str, float]()
         for zone, number in self.answer_use.weights:
             answers[zone] = answers.get(zone, 0.0) + self.answer_use.weight(now, zone, number)
@@ -117,8 +127,8 @@
         }
 
     def _warm_filter(self, now: float, zone: str, engine_count: int) -> int:
-        """The data sets that a zone has warm: those that it answered as often as it has engines, since one
-        answer warms one engine."""
+        """Return the data sets that a zone has warm: those with at least as many answers as the zone has
+        engines, since one answer warms one engine."""
         warm_filter = 0
         for at, number in self.answer_use.weights:
             if at == zone and self.answer_use.weight(now, zone, number) >= engine_count:
@@ -126,7 +136,7 @@
         return warm_filter
 
     def _excess_cores(self, now: float) -> float:
-        """Cores that this instance's requests take beyond the estimate."""
+        """Return the cores that this instance's requests take beyond the estimates."""
         known_ms = now - self.excess_known_since
         if known_ms < self.memory_ms / MIN_KNOWN_PART:
             return UNKNOWN_CORES
