--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -40,7 +40,7 @@
 from cottonhold.fleet.message_format import MAX_UINT32
 
 ROUNDING = 1e-6  # added so that a floating-point error doesn't round an exact tenth down to the one below
-NO_PLAN = "no plan: too few instances have told of their sites lately"  # shown to operators
+NO_PLAN = "no plan: too few instances have recently reported on their sites"  # shown to operators
 
 
 class CostEstimator:
--- a/cottonhold/fleet/failover_cost/messages.py
+++ b/cottonhold/fleet/failover_cost/messages.py
@@ -168,7 +168,7 @@
     end = begin + 2 * steps
     rates = demand.decode_rates(data[begin:end])
     if not member or rates is None or data_sets > MAX_DATA_SETS or zones > MAX_ZONES:
-        raise MessageError("site report")
+        raise MessageError("invalid header of a site report")
     shares, offset = _decode_shares(data, end, data_sets)
     observations = {}
     for _ in range(zones):
@@ -199,5 +199,5 @@
         offset += DATA_SET_ENTRY.size
         codes[number] = code
     if len(data) < offset or len(codes) < count or sum(codes.values()) > SHARE_STEPS:
-        raise MessageError("data sets")
+        raise MessageError("invalid data set shares")
     return {number: code / SHARE_STEPS for number, code in codes.items()}, offset
--- a/cottonhold/fleet/recovery/load_queries.py
+++ b/cottonhold/fleet/recovery/load_queries.py
@@ -55,7 +55,7 @@
     def __init__(self, boot_count: int, seed: int) -> None:
         self.boot_count = boot_count
         self.serial = random.Random(seed).getrandbits(32)
-        self.sent: dict[int, SentQuery] = {}  # by serial
+        self.sent: dict[int, SentQuery] = {}  # queries by serial number
 
     def create(self, now: float, dispatcher: int, loads: Iterable[bytes]) -> list[LoadQuery]:
         """Create the queries about these loads to one dispatcher, with as many loads in each as fit a
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -220,15 +220,15 @@
             return LoadAnswer(boot_count, serial, _decode_verdicts(data, count))
     except (struct.error, IndexError):
         raise MessageError("truncated") from None
-    raise MessageError("no message of recovery")
+    raise MessageError("not a recovery message")
 
 
 def _decode_presence(data: bytes) -> Presence:
     _, number, boot_count, checkpoint, incarnation, uptime_ms, flags, count = HEADER.unpack_from(data)
     if len(data) != HEADER.size + count * PEER.size:
-        raise MessageError("length")
+        raise MessageError("wrong message length")
     if not boot_count or flags > PRESENCE_BITS or flags & MEMORY_BITS > MemoryState.STALE:
-        raise MessageError("boot or memory")
+        raise MessageError("invalid boot count or flags")
     memory, was_clean = MemoryState(flags & MEMORY_BITS), bool(flags & CLEAN_BIT)
     peers = tuple(_decode_peer(*fields) for fields in PEER.iter_unpack(data[HEADER.size :]))
     return Presence(number, boot_count, checkpoint, incarnation, uptime_ms, memory, was_clean, peers)
@@ -238,7 +238,7 @@
     number: int, boot_count: int, incarnation: int, uptime_ms: int, age: int, flags: int
 ) -> PeerState:
     if flags > PEER_BITS:
-        raise MessageError("peer")
+        raise MessageError("invalid peer flags")
     age_ms = None if age == AGE_NEVER else age * AGE_STEP_MS
     is_duplicate, is_stale = bool(flags & DUPLICATE_BIT), bool(flags & STALE_BIT)
     return PeerState(number, boot_count, incarnation, uptime_ms, age_ms, is_duplicate, is_stale)
@@ -246,18 +246,18 @@
 
 def _decode_loads(data: bytes, offset: int, count: int) -> tuple[bytes, ...]:
     if not count or len(data) != offset + count * LOAD_ID_BYTES:
-        raise MessageError("length")
+        raise MessageError("wrong message length")
     return tuple(data[at : at + LOAD_ID_BYTES] for at in range(offset, len(data), LOAD_ID_BYTES))
 
 
 def _decode_verdicts(data: bytes, count: int) -> tuple[LoadVerdict, ...]:
     if not count or len(data) != SERIAL.size + count * VERDICT.size:
-        raise MessageError("length")
+        raise MessageError("wrong message length")
     entries = VERDICT.iter_unpack(data[SERIAL.size :])
     try:
         return tuple(LoadVerdict(index, LoadStatement(statement)) for index, statement in entries)
     except ValueError:
-        raise MessageError("statement") from None
+        raise MessageError("unknown load statement") from None
 
 
 def batches(loads: Iterable[bytes]) -> list[tuple[bytes, ...]]:
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -106,7 +106,7 @@
     member, incarnation, version, count = HEADER.unpack_from(data, offset)
     offset += HEADER.size
     if not member or count > MAX_ENGINES:
-        raise MessageError("member or engines")
+        raise MessageError("invalid member or number of engines")
     engines = {}
     for _ in range(count):
         number, speed, root, share, age = ENTRY.unpack_from(data, offset)
