--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -1,4 +1,4 @@
-"""Engines remembered over a power loss: what is kept of a list, and what there is to begin with."""
+"""Cached engines: what is stored of an engine list, and the list with which an instance starts."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def change(*engines: tuple[str, int, EngineState], whole: bool = False, port: int = 7000) -> EngineListChange:
-    """Engines by name, number of the zone and state; each at a port of its own."""
+    """Return a change of these engines (id, number of the zone, state); each has a port of its own."""
     made = tuple(
         Engine(engine_id, zone=zone, machine_type=1, cell=3, state=state, size=2.0)
         for engine_id, zone, state in engines
@@ -48,7 +48,7 @@
 
 
 def folder_after(records: list[Record], before: dict[bytes, bytes] | None = None) -> dict[bytes, bytes]:
-    """The folder after these records."""
+    """Return the folder's contents after these records."""
     folder = dict(before or {})
     for record in records:
         assert record.kind is RecordKind.ENGINE_ADDRESS
@@ -103,7 +103,7 @@
     )
     assert ids(EngineCache(folder, ConfiguredNames(("b",), ("large",)))) == [
         "e2"
-    ]  # a's zone is no longer configured
+    ]  # zone a is no longer configured
 
 
 @pytest.mark.parametrize(
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("proof", ["probe", "attempt", "another's word of all", "the list"])
 def test_nothing_is_sent_to_a_cached_engine_before_it_is_proven(proof: str) -> None:
-    """Also by one that takes itself for the only one that was away: then it is free once it has answered."""
+    """This also holds if only this instance was away; then the engine is free once it has answered."""
     made = SharedSlowStart(1, 1, 0.0, SlowStartSettings(), 1)
     made.set_engines(0.0, {"e1": 1.0, "e2": 1.0})
     made.on_loss(20.0, OutageScope.ALONE)
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("voters", [True, False], ids=["with voters", "without voters"])
 def test_loads_wait_for_a_sources_first_answer(voters: bool, tmp_path: Path) -> None:
-    """With voters they wait for the registers of drained engines as well, which nobody answers here."""
+    """With voters loads also wait for the registers of drained engines, which no voter answers here."""
     path, membership = tmp_path / "n1.json", VOTERS if voters else {"keys": VOTERS["keys"]}
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False, "membership": membership}))
 
@@ -192,7 +192,7 @@
 def test_an_engine_that_was_drained_before_the_restart_gets_nothing_until_registers_are_read(
     tmp_path: Path,
 ) -> None:
-    """Nobody answers here, so its drain is let go after as long as loads wait, and not before."""
+    """No voter answers here, so the drain ends after the time for which loads wait, and not before."""
     path = tmp_path / "n1.json"
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
 
@@ -241,7 +241,7 @@
 def test_a_drain_that_the_disk_refused_is_recorded_once_it_can(
     tmp_path: Path, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It counts at once, and outlasts a kill after the fault has passed."""
+    """The drain is effective immediately, and survives a power loss once the disk fault has ended."""
     path = tmp_path / "n1.json"
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
     monkeypatch.setattr(ledger, "DEFAULT_VFS", "drains")
@@ -281,7 +281,7 @@
 
 
 class ScriptedDisk:
-    """A node's disk and timers: a write ends as told, a timer fires when told."""
+    """A node's disk and timers: writes succeed while `is_healthy`, and timers fire when `fire` is called."""
 
     def __init__(self, node: StandaloneDispatcher, monkeypatch: pytest.MonkeyPatch) -> None:
         assert node.recovery is not None
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -1,4 +1,4 @@
-"""Loads that may have run: what a client's retry is told, wherever it lands."""
+"""The load history: the answer to a client's retry at any instance, during and after faults."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
     world.clients[0].attempts = 6
     world.kill(1)
     told = []
-    for turn in range(30):  # a client of unusual patience, at another instance each time
+    for turn in range(30):  # a client that retries for very long, at another instance each time
         client = client_retries(world, (0, 2, 3, 4)[turn % 4], LOAD)
         world.run(LONGEST_DEADLINE_MS + 100.0)
         told.append(client.answer)
@@ -138,11 +138,11 @@
     world.run(HISTORY.retention_ms)
     fresh = client_retries(world, 1, local_loads.load_identity("orders", "10", b""))
     world.run(1000.0)
-    assert fresh.answer == "ran"  # by now nobody asks for what it has forgotten
+    assert fresh.answer == "ran"  # all loads that it has lost the records of have expired
 
 
 def test_a_folder_copied_while_in_use_is_detected() -> None:
-    """A backup of some time ago, of the same life: neither its boot nor its loads tell that it is old."""
+    """A backup made in the same incarnation: neither its boot count nor its loads show that it is old."""
     world = settled(5)
     world.run(3000.0)
     copied = copy.deepcopy(world.folders[1])
@@ -240,8 +240,8 @@
     never = (LoadVerdict(0, LoadStatement.NEVER_SENT),)
     serial = asks[1].serial
     for number, answer in [
-        (2, LoadAnswer(5, serial, never)),  # another's serial
-        (1, LoadAnswer(4, serial, never)),  # to an earlier boot
+        (2, LoadAnswer(5, serial, never)),  # a serial that was sent to another dispatcher
+        (1, LoadAnswer(4, serial, never)),  # an answer to an earlier boot
         (1, LoadAnswer(5, serial + 77, never)),
         (1, LoadAnswer(5, serial, (LoadVerdict(9, LoadStatement.NEVER_SENT),))),
         (7, LoadAnswer(5, serial, never)),
@@ -249,7 +249,7 @@
         assert memory.on_message(2.0, number, answer) == []
     memory.cancel(3.0, "a")
     memory.on_retry(4.0, "b", LOAD, 900.0)
-    for number, ask in asks.items():  # to a retry that is over
+    for number, ask in asks.items():  # answers to a cancelled retry
         assert memory.on_message(5.0, number, LoadAnswer(5, ask.serial, never)) == []
     assert not memory.pending[LOAD].statements
     for number, ask in sent_queries(memory, 5.0).items():
@@ -274,7 +274,7 @@
                 ),
             )
         )
-    assert sent[0] == (0.0, 2 * 5)  # 50 loads, 11 a datagram, to two
+    assert sent[0] == (0.0, 2 * 5)  # 50 loads, 11 per datagram, to two dispatchers
     gaps = [b[0] - a[0] for a, b in zip(sent, sent[1:], strict=False) if b[1]]
     assert gaps[:4] == [60.0, 120.0, 240.0, 480.0] and len(sent) < 30
     assert not memory.has_pending and not memory.load_by_request
@@ -316,12 +316,12 @@
     world.kill(1)
     world.start(1)
     world.run(100.0)
-    world.kill(1)  # gone again
+    world.kill(1)
     assert client_retries(world, 3, LOAD).answer == "MAY_HAVE_RUN"
 
 
 def history(count: int, seed: int, faults: list[tuple[int, int, int]], loss: float) -> World:
-    """Loads all the time, and one fault after another; then all are back."""
+    """Run loads throughout a sequence of faults, then start and connect all instances again."""
     world = settled(count, seed, loss=0.0)
     world.loss, world.again = loss, loss / 2
     draw = random.Random(seed)
@@ -339,7 +339,7 @@
     load()
     for i, (kind, which, after) in enumerate(faults):
         if kind == 4 and any(earlier[0] == 4 for earlier in faults[:i]):
-            continue  # two old folders bear each other out: see the page
+            continue  # two old folders would confirm each other's memory, which the design doesn't exclude
         fault(world, draw, kind, which)
         world.run(float(after))
     world.partition(range(count))
@@ -384,7 +384,7 @@
 
 
 def run_random_history(seed: int) -> World:
-    """A history from a seed."""
+    """Run a history whose faults are drawn from a seed."""
     draw = random.Random(seed)
     faults = [
         (draw.randint(0, 7), draw.randint(1, 511), draw.choice([20, 150, 700, 2500, 9000]))
@@ -396,9 +396,13 @@
 
 @pytest.mark.parametrize("seed", [216, 272, 426, 631, 949, 1536, 1625, 4419])
 def test_a_client_postponed_for_long_does_not_have_its_load_run_again(seed: int) -> None:
-    """Each ran a load twice: it was asked about across a cut for longer than its sender remembered it (216,
-    426, 1536, 1625; with those who had heard of it started again in the last two), at one that nobody heard
-    (272, 631, 949), or its sender was emptied and said at first that it did not know (4419)."""
+    """Each of these histories once ran a load twice.
+
+    The load was queried across a partition for longer than its sender kept the record (216, 426, 1536, 1625;
+    in the last two the dispatchers that knew of the query restarted as well); or it was queried at an
+    instance that no other received messages from (272, 631, 949); or the sender lost its folder and answered
+    at first that it did not know yet (4419).
+    """
     assert not run_random_history(seed).violations
 
 
@@ -414,7 +418,8 @@
 
 
 def count_violations(seeds: range = range(14, 22)) -> int:
-    """How often a fixed set of histories runs a load twice or tells NEVER of one that was sent."""
+    """Return how often a fixed set of histories runs a load twice, or answers NEVER_SENT for a load that was
+    sent."""
     found = 0
     for seed in seeds:
         draw = random.Random(seed)
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -1,4 +1,4 @@
-"""Who was away: what a survey tells after losses of power, and whom it believes."""
+"""The membership survey: its verdicts after power losses, and its resistance to false reports."""
 
 from __future__ import annotations
 
@@ -127,7 +127,7 @@
     back = world.now
     world.start(0, 1, 2)
     world.run(8000.0)
-    assert world.verdicts() == {OUTAGE.SOME}  # three of six are no more than half
+    assert world.verdicts() == {OUTAGE.SOME}  # three of six are not more than half
     assert all(n.survey.view.is_settled for n in world.live_nodes())
     world.start(3, 4, 5)
     world.run(2000.0)
@@ -135,7 +135,7 @@
     for node in world.live_nodes():
         assert node.world(node.survey.view.first_start) == pytest.approx(back, abs=100)
     world.run(SURVEY.recent_start_ms - 9500.0)
-    assert world.verdicts() == {OUTAGE.NOTHING}  # it ends for the late ones with the first ones
+    assert world.verdicts() == {OUTAGE.NOTHING}  # it ends for all instances at the same time
 
 
 def test_a_second_power_loss_is_a_new_outage() -> None:
@@ -214,7 +214,7 @@
     )
     boot = survey.boot_count
     world.run(5000.0)
-    assert survey.boot_count == boot  # once
+    assert survey.boot_count == boot  # it was raised only once
     assert all(world.nodes[n].survey.has_confirmed_memory() for n in (1, 2, 3, 4))
     assert world.nodes[1].folder.known[0].boot_count == boot
 
@@ -241,7 +241,7 @@
     world.run(SURVEY.retention_ms)
     assert (
         world.folders[0].checkpoint // CHECKPOINTS_PER_BOOT == survey.boot_count
-    )  # what it has forgotten is asked about no more
+    )  # all loads that it has lost the records of have expired
     world.kill(0)
     world.start(0)
     world.run(2000.0)
@@ -254,10 +254,10 @@
     lose(world, [0])
     world.run(SURVEY.settle_ms + 2000.0)
     world.kill(0, 1, 2)
-    world.run(100.0)  # nothing is under way any more
+    world.run(100.0)  # no datagram is in flight any more
     world.start(0, folder="old")
     world.partition(range(3))
-    world.start(1, 2)  # 1 alone knows better: one name
+    world.start(1, 2)  # only 1 knows a later checkpoint, and one witness is not enough
     world.run(SURVEY.retention_ms - 500.0)
     survey = world.nodes[0].survey
     assert survey.memory.name == "INTACT" and not survey.has_confirmed_memory()
@@ -323,7 +323,7 @@
         6000.0, 1002, presence(2, 6000.0, peers=(PeerState(0, 9, 11, 1.0, 10.0, is_stale=True),))
     )
     boots = [a.min_boot_count for a in survey.step(6100.0) if isinstance(a, survey_results.RaiseBootCount)]
-    assert boots == [10]  # two say that there was more: raised by what both bear out
+    assert boots == [10]  # raised above the boot count that two witnesses confirm
 
 
 def test_presence_reports_merge_in_any_order_and_old_ones_change_nothing() -> None:
@@ -335,7 +335,7 @@
 
 
 def test_a_clock_that_jumps_by_years_changes_nothing() -> None:
-    # The world gives each instance its own clock, years apart; a comparison across instances would show here.
+    # The clocks of the simulated instances are years apart, so comparing times between instances would fail.
     first, second = settled(5, seed=3), settled(5, seed=4)
     for world in (first, second):
         lose(world, range(5))
@@ -356,7 +356,7 @@
     def word(self: membership_survey.MembershipSurvey, now: float, to: int | None = None) -> Presence:
         return dataclasses.replace(
             plain(self, now, to), uptime_ms=now + 2e11
-        )  # a time, where time since a start is due
+        )  # the defect: a wall-clock time instead of an uptime
 
     monkeypatch.setattr(membership_survey.MembershipSurvey, "presence_for", word)
     with pytest.raises(AssertionError):
--- a/tests/fleet/test_recovery_processes.py
+++ b/tests/fleet/test_recovery_processes.py
@@ -1,4 +1,7 @@
-"""Power losses on several real instances: states, counts and what ran twice, and no times."""
+"""Power losses of several real processes: their states, their counters and loads that ran twice.
+
+Times are not checked.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 from cottonhold.emulator.fault_injection.harness import ScenarioRun
 from cottonhold.emulator.fault_injection.script import Fault, Scenario
 
-# Tests that start several processes slow one another, which looks like a fault: few run side by side.
+# Tests with several processes slow one another down, which looks like a fault, so few run at the same time.
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("fleet processes")]
 
 SCENARIO = Scenario(
@@ -26,7 +29,7 @@
     instances=3,
     engines_per_zone=1,
     requests_per_s=60.0,
-    duration_s=600.0,  # longer than any case takes on a busy machine: clients must not end before it
+    duration_s=600.0,  # longer than any case on a busy machine, since clients must not end first
     instance_weights=(1, 1, 1),
     request_classes=(RequestClass("cheap", 0.5, 2000.0, 20.0), RequestClass("load", 0.5, 8000.0, 20.0, True)),
     client_behaviour=ClientBehaviour(max_attempts=4, retries_unfinished_loads=True),
@@ -38,7 +41,7 @@
 
 
 def recovery_view(run: ScenarioRun, name: str) -> dict[str, Any]:
-    """Return what an instance reports of its recovery; empty if it does not answer."""
+    """Return what an instance reports of its recovery; empty if it doesn't answer."""
     findings: dict[str, Any] = run.view(name).get("recovery", {})
     return findings
 
@@ -46,7 +49,7 @@
 async def until_recovery(
     run: ScenarioRun, holds: Callable[[dict[str, Any]], bool], what: str, *names: str
 ) -> None:
-    """Wait until each of these instances (all by default) reports so."""
+    """Wait until the condition `holds` for the reports of these instances (all by default)."""
 
     def reported() -> bool:
         views = [recovery_view(run, name) for name in names or ALL]
@@ -62,13 +65,13 @@
 
 
 async def serve_more(run: ScenarioRun, kind: str, count: int = 20) -> None:
-    """Wait until so many more of a class are served."""
+    """Wait until `count` more requests of a class have been served."""
     before = served_count(run, kind)
     await run.until(lambda: served_count(run, kind) >= before + count, f"{kind} served", seconds=90.0)
 
 
 async def cut_power(run: ScenarioRun) -> None:
-    """Kill everything in one instant, with loads in flight."""
+    """Kill all processes at the same time, with loads in flight."""
     await run.apply(Fault(0.0, "power", "*"))
 
 
@@ -78,7 +81,8 @@
 
 
 async def all_at_once(run: ScenarioRun) -> None:
-    """All see one loss of the fleet, each with a whole memory and a higher boot; loads are served again."""
+    """All instances report one loss of the fleet, an intact memory and a higher boot count, and serve loads
+    again."""
     await until_recovery(run, lambda view: view["boot"] > 0, "all are there")
     boots = {name: recovery_view(run, name)["boot"] for name in ALL}
     await cut_power(run)
@@ -97,7 +101,7 @@
 
 
 async def power_losses_during_recovery(run: ScenarioRun) -> None:
-    """A second and a third cut in the middle of the return."""
+    """A second and a third power loss during the recovery from the first."""
     for _ in range(2):
         await cut_power(run)
         await start_all(run)
@@ -106,7 +110,8 @@
 
 
 async def an_empty_folder(run: ScenarioRun) -> None:
-    """One comes back with an empty folder: told as such, with a boot above what the others know of it."""
+    """An instance returns with an empty folder: it reports that, with a higher boot count than the others
+    know."""
     before = recovery_view(run, "n1")["boot"]
     await cut_power(run)
     await run.apply(Fault(0.0, "empty", "n1"))
@@ -118,7 +123,8 @@
 
 
 async def an_old_folder(run: ScenarioRun) -> None:
-    """One comes back with the folder of an earlier life: the others know of a later one."""
+    """An instance returns with the folder of an earlier incarnation, while the others know a later
+    checkpoint."""
     await run.apply(Fault(0.0, "keep", "n2"))
     for _ in range(2):
         await run.apply(Fault(0.0, "kill", "n2"))
@@ -135,7 +141,7 @@
 
 
 async def a_backup_made_while_it_ran(run: ScenarioRun) -> None:
-    """A copy of its folder was made while it served, and is put back after the next power loss."""
+    """A backup of an instance's folder, made while it served, is restored after the next power loss."""
     marks = recovery_view(run, "n2")["marks"]
     await run.apply(Fault(0.0, "keep", "n2"))
     await until_recovery(
@@ -151,7 +157,8 @@
 
 
 async def a_full_disk(run: ScenarioRun) -> None:
-    """Loads are refused there, all else goes on; with room again loads go out."""
+    """While disks are full, loads are rejected and all other requests are served; then loads are served
+    again."""
     for name in ALL:
         await run.apply(Fault(0.0, "disk", name, options={"state": "full"}))
     await until_recovery(run, lambda view: view["disk"] != "well", "disks are full")
@@ -163,7 +170,8 @@
 
 
 async def cut_off(run: ScenarioRun) -> None:
-    """One that is cut from the others is told apart from a loss, and serves safe queries on."""
+    """A partitioned instance reports that it is cut off, not a loss of the fleet, and still serves safe
+    queries."""
     await run.apply(Fault(0.0, "peers", "n0", "*", {"cut": True}))
     await until_recovery(run, lambda view: view["verdict"] == "cut_off", "it knows", "n0")
     assert recovery_view(run, "n1")["verdict"] != "fleet"
@@ -175,9 +183,11 @@
 
 
 async def rejected_by_an_instance_that_is_cut_off(run: ScenarioRun) -> None:
-    """A client whose load ran at another instance retries at one that is cut off: it is answered that its
-    load may have run before those that know of it have forgotten it, and is not rejected for as long as it
-    retries."""
+    """A client whose load ran at another instance retries it at one that is cut off.
+
+    It must be answered that the load may have run before the other instances have dropped their records of
+    it, and not be rejected for as long as it retries.
+    """
     load = "lookup=mine */ INSERT INTO sales_1.t VALUES ('mine', 0)"
 
     async def send_load(name: str, number: int, extra_fields: str = "") -> tuple[str, str]:
@@ -205,7 +215,7 @@
 
 
 async def the_engine_list_source_stays_away(run: ScenarioRun) -> None:
-    """Engines that were known before serve once they have answered; loads wait for the list."""
+    """Cached engines serve once they have answered, while loads wait for the list of a source."""
     await serve_more(run, "cheap")
     await run.apply(Fault(0.0, "source", "n*", options={"cut": True}))
     await cut_power(run)
@@ -237,5 +247,5 @@
 
     asyncio.run(play())
     findings = check_run(scenario, run.logs()).findings
-    # Asks are open at its end; times are no part of this.
+    # Requests are still open at the end of the run, so missing answers are no finding.
     assert [f for f in findings if not f.startswith("answers")] == []
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -1,4 +1,4 @@
-"""The order of return: the ramp of cold engines, its words, and instances in virtual time."""
+"""Slow start of cold engines: their shares, the messages, and whole fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from cottonhold.fleet.settings import FleetSettings
 from cottonhold.fleet.zone_failover.quota_lending import QuotaAccount, QuotaRequest
 
-unhurried = settings(deadline=None)  # the same verdict on a busy machine
+unhurried = settings(deadline=None)  # a busy machine must not change the result
 ENGINES = {f"a{i}": 1.0 for i in range(3)}
 NUMBER = warmup_messages.engine_number("a0")
 
@@ -52,7 +52,8 @@
     again: float | None = None,
     seed: int = 1,
 ) -> PowerReturn:
-    """Five instances that come within 2.5 s, nine engines, clients with 0.6 of what those do when warm."""
+    """Simulate five instances that return within 2.5 s, nine engines, and clients with 0.6 of their warm
+    capacity."""
     plan = PowerReturnPlan(lambda engine: engines, lambda i: 600.0 * i, warm, again)
     settings = FleetSettings(dispatchers=5, sheds_load=True, slow_start=SlowStartSettings() if on else None)
     world = PowerReturn(seed, times * 0.6 * 9 * 1000 / MEAN_WORK_MS, 5, 9, plan, settings)
@@ -96,7 +97,7 @@
     made = make_slow_start(warm_after_ms=60_000.0)
     made.on_list_received(0.0)
     for t in range(100, 5000, 100):
-        made.on_answer(float(t), "a0", True, 20.0, 60.0)  # stays three times slower
+        made.on_answer(float(t), "a0", True, 20.0, 60.0)  # stays three times slower than a warm engine
         made.on_answer(float(t), "a1", True, 20.0, 20.0 if t > 2000 else 60.0)
         made.step(float(t), [])
         assert (
@@ -111,7 +112,7 @@
     made = make_slow_start(warm_after_ms=3000.0)
     made.on_list_received(0.0)
     for t in range(100, 3400, 100):
-        made.on_answer(float(t), "a0", True, 20.0, 120.0)  # 20 ms of work, and a machine that is busy
+        made.on_answer(float(t), "a0", True, 20.0, 120.0)  # 20 ms of work, delayed by a busy machine
         made.step(float(t), [])
     assert made.share("a0") == 1.0 and made.share("a2") == made.settings.initial_share
 
@@ -124,7 +125,7 @@
     made.on_loss(10.0, OutageScope.ZONE, ["a1"])
     assert made.share("a1") == 0.0 and made.share("a0") == 1.0
     made.on_engine_started(20.0, "a1")
-    made.on_loss(30.0, OutageScope.FLEET)  # the one that has begun since goes on
+    made.on_loss(30.0, OutageScope.FLEET)  # an engine that has started since continues
     assert made.share("a1") == made.settings.initial_share and made.share("a0") == 0.0
 
 
@@ -136,7 +137,8 @@
 def test_an_engine_that_has_answered_since_the_loss_goes_on_as_old_as_that(
     since: float, failed: bool, share: float
 ) -> None:
-    """More than half of the fleet are back after two seconds, and only then all know that it was lost."""
+    """A loss of the fleet is recognized only when more than half of it has returned, here after two
+    seconds."""
     made = make_slow_start(warm_after_ms=3000.0)
     made.on_loss(0.0, OutageScope.ALONE)
     made.on_answer(100.0, "a0", True, 20.0, 60.0)
@@ -159,7 +161,7 @@
     for t in (100.0, 200.0, 300.0, 400.0, 500.0):
         made.on_answer(t, "a0", True, 20.0, 60.0)
         for member in range(2, 2 + tellers):
-            age = 60_000.0 if member == 2 else 1500.0 + t  # the first one lies
+            age = 60_000.0 if member == 2 else 1500.0 + t  # the first report is false
             row = EngineObservation(0.3, 0.02, 0.6, age)
             made.on_message(t, encode_warmup_reports([WarmupReport(member, 1, int(t), {NUMBER: row})]))
         made.step(t, range(2, 2 + tellers))
@@ -183,7 +185,7 @@
     made = make_slow_start()
     made.on_list_received(0.0)
     made.warming["a0"].share, made.warming["a0"].started_at = 0.48, -2000.0
-    for t in range(100, 1500, 20):  # 0.4 of its capacity, each after a line of half a second
+    for t in range(100, 1500, 20):  # 0.4 of its capacity, each answer after half a second in a queue
         made.on_answer(float(t), "a0", True, 8.0, 500.0)
         made.step(float(t), [])
     assert 0.3 < made.share("a0") < 0.4
@@ -196,7 +198,7 @@
         for engine in ENGINES:
             early.on_answer(float(t), engine, True, 20.0, 40.0)
         words = early.step(float(t), [2])
-        if t >= 2000:  # it hears of engines, and goes from nothing to where the other is
+        if t >= 2000:  # from here on the second instance receives the reports of the first
             for _, data in words:
                 late.on_message(float(t), data.replace(bytes(7) + b"\x01", bytes(7) + b"\x02", 1))
             late.on_list_received(float(t))
@@ -283,7 +285,7 @@
     made.slow_start.on_list_received(0.0)
     priced = list[ThresholdUpdate]()
     for t in range(0, 3000, 100):
-        # Of four configured two are there: half of 0.3 of six cores is for what those are offered.
+        # Two of four configured instances are alive, so they may use half of 0.3 of six cores.
         made.on_message(
             float(t),
             2,
@@ -310,7 +312,7 @@
         made.demand.on_request(due[-1], 6.0, 60.0, False)
         made.step(due[-1])
         assert made.demand.threshold is not None or due[-1] < 50.0
-    assert len(due) < 25  # not for long: words go out each step
+    assert len(due) < 25  # steps are this frequent only at first
 
 
 def test_unreachable_engines_are_no_capacity_to_a_restarted_instance() -> None:
@@ -323,7 +325,7 @@
     for engine, good in (("a0", False), ("a1", True)):
         made.on_health_check(20.0, engine, good)
         owned.append(made.available_capacity(20.0).owned_cores)
-    bears = made.slow_start.settings.max_cold_share / 2  # of an engine
+    bears = made.slow_start.settings.max_cold_share / 2  # part of an engine
     assert owned == pytest.approx([3 * bears, 2 * bears / 2, bears + bears * 2 / 3])
 
 
@@ -372,7 +374,7 @@
 
 
 def max_engine_load(world: PowerReturn) -> float:
-    """The most that came to any engine within its window, against what it does at the time."""
+    """Return the highest load of any engine within its window, relative to its capacity at the time."""
     return max(overload.max_load for overload in world.engine_overloads)
 
 
@@ -387,7 +389,7 @@
             3000.0,
             0.0,
         ),
-        # The largest of nine engines differs by chance, 1.25 to 1.35 by seed, so it is held to by the mean.
+        # The highest load of nine engines varies from 1.25 to 1.35 with the seed, so the mean is compared.
         ({"_follow": by_the_clock}, max_engine_load, 1.3, 8, 20_000.0, 0.0),
         ({"_start": trusting}, lambda w: w.blind_sends, 0.0, 1, 3000.0, 1000.0),
     ],
