--- a/tests/fleet/test_allocation.py
+++ b/tests/fleet/test_allocation.py
@@ -1,4 +1,4 @@
-"""The outlook's division: against HiGHS and against brute force, and what guests may not take."""
+"""Allocation: compared with HiGHS and with brute force, and the limits of cross-zone work."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def drawn(seed: int, zones: int, steps: int = 10) -> AllocationProblem:
-    """A case with zones out, cold and far ones."""
+    """Return a random problem in which some zones are out, cold or far away."""
     r = random.Random(seed)
     names = [f"z{i}" for i in range(zones)]
     demand = {n: {r.randint(40, 120): r.uniform(0.05, 2) for _ in range(r.randint(1, steps))} for n in names}
@@ -27,7 +27,7 @@
 
 
 def broken(case: AllocationProblem, flows: dict[tuple[str, str, int], float]) -> list[str]:
-    """What a division takes that it may not."""
+    """Return the limits of the problem that these flows violate."""
     found = []
     for zone in case.capacity:
         used = {f: x * case.cost_factors.get(f[:2], 1.0) for f, x in flows.items() if f[1] == zone}
@@ -53,7 +53,7 @@
 
 
 def brute(case: AllocationProblem, parts: int) -> float:
-    """The best of all divisions of each demand into so many parts."""
+    """Return the highest utility of all allocations that divide each demand into this many equal parts."""
     flows = [(h, s) for h in sorted(case.demand) for s in sorted(case.demand[h])]
     zones = sorted(case.capacity)
     ways = [w for w in itertools.product(range(parts + 1), repeat=len(zones)) if sum(w) <= parts]
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_small_allocation_matches_brute_force(seed: int) -> None:
-    # Whole cores and no cold work: the best division is then one of whole cores, so the grid holds it.
+    # With whole cores and without cold work the best allocation has whole cores, so the grid contains it.
     r = random.Random(seed)
     names = ["a", "b"] if seed % 2 else ["a", "b", "c"]
     parts = 4 if len(names) == 3 else 3
--- a/tests/fleet/test_cross_zone_limits.py
+++ b/tests/fleet/test_cross_zone_limits.py
@@ -1,4 +1,5 @@
-"""Which zones serve whose clients while something is out, as bounds: none too small, none taken twice."""
+"""Limits of cross-zone work during an outage: large enough for the plan, and never above a zone's
+capacity."""
 
 from __future__ import annotations
 
@@ -37,7 +38,7 @@
 
 
 def scene(load: float = 0.7, out: str = "a", rights: float = 2.4, **flows: float) -> OutageAllocation:
-    """Three zones of four cores with a load each; flows as `ab`: the work of a's clients in b."""
+    """Return an allocation for three zones of four cores; the flow `ab` is the work of a's clients in b."""
     demand = dict.fromkeys(ZONES, 4 * load)
     given_flows = {(pair[0], pair[1]): x for pair, x in flows.items()}
     there = [z for z in ZONES if z != out]
@@ -73,8 +74,8 @@
 def test_limits_never_hold_back_what_the_plan_serves(
     weights: list[float], near: float, grown: float, instances: int
 ) -> None:
-    # A home whose zone is out: its parts hold all that it is served, also while its demand is off by 20%,
-    # and all instances of all homes together never take more of a zone than guests may.
+    # Zone a is out: the limits of its instances must allow all work that the plan serves, even if the demand
+    # differs by 20%, and all instances of all homes together must not exceed a zone's cross-zone capacity.
     work = 4 * weights[0]
     ab = min(work * near, 2.4)
     ac = min(work - ab, 2.4)
@@ -92,7 +93,7 @@
 
 
 def test_work_beyond_one_zones_limit_goes_to_another_zone(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The plan of a moment ago sends all to b, where guests may take half of it.
+    # The stable shares send all work to b, whose cross-zone capacity suffices for half of it.
     tight = OutageAllocation(
         SPLIT.demand, {("a", "b"): 1.2, ("b", "b"): 2.8}, {"b": 1.2, "c": 2.4}, {"c": 3.9}
     )
@@ -112,12 +113,13 @@
     found = divide_among_engines(1.5, ENGINES["b"], cold, 0.5, S)
     assert found["b0"] == pytest.approx(S.cold_share / 2) and sum(found.values()) == pytest.approx(1.5)
     assert min(divide_among_engines(0.0, ENGINES["b"], cold, 0.5, S).values()) > 0
-    # Where most look so at once it is more likely the observer.
+    # If most engines appear cold at the same time, a fault of the observer is more likely.
     assert sum(divide_among_engines(1.5, ENGINES["b"], ENGINES["b"], 0.5, S).values()) == pytest.approx(1.5)
 
 
 def core(home: str, plan: bool = True, **fields: object) -> FleetCoordinator:
-    """One instance of `home` among six, with a plan by the words of the others."""
+    """Return the coordinator of one instance of `home` among seven, with a plan based on the others'
+    reports."""
     outlook = CostEstimatorSettings(**fields)  # type: ignore[arg-type]
     made = FleetCoordinator(
         99, 1, 0.0, FleetSettings(dispatchers=7, sheds_load=True, failover_cost=outlook, home_zone=home), 1
@@ -132,20 +134,20 @@
 
 
 def bound(made: FleetCoordinator, now: float) -> dict[str, float]:
-    """What a step bounds, by engine."""
+    """Return the work limit of each engine that a step sets."""
     [found] = [a for a in made.step(now) if isinstance(a, EngineBounds)] or [EngineBounds({}, 0.0)]
     return found.work_rates
 
 
 def leave(made: FleetCoordinator, zone: str) -> None:
-    """A zone is out."""
+    """Mark a zone as evacuated."""
     made.evacuation.states[zone].phase = ZonePhase.EVACUATED
 
 
 @pytest.mark.parametrize("home, bounded", [("a", {"b", "c"}), ("b", {"c"}), ("c", {"b"})])
 def test_during_an_outage_only_cross_zone_work_is_limited(home: str, bounded: set[str]) -> None:
     made = core(home)
-    assert not bound(made, 2600.0)  # in calm nobody is
+    assert not bound(made, 2600.0)  # no outage, no limits
     leave(made, "a")
     work = bound(made, 2700.0)
     assert all(work[engine] == 0 for engine in ENGINES["a"])
@@ -218,8 +220,10 @@
 
 
 def back(work: float, **fields: Any) -> tuple[FleetCoordinator, dict[str, float]]:
-    """An instance of zone a after a power loss of all, its engines proven, with so many cores of clients'
-    work; what it kept says that it is at home in a. And what it may send by engine."""
+    """Return a coordinator of zone a after a power loss of the fleet, and its work limits by engine.
+
+    All engines are proven, its clients offer `work` cores, and its restored report names zone a as its home.
+    """
     now, outlook = 10_000.0, CostEstimatorSettings(**fields)
     s = FleetSettings(dispatchers=6, slow_start=SlowStartSettings(), failover_cost=outlook, home_zone="a")
     made = FleetCoordinator(99, 2, now, s, 1)
@@ -237,7 +241,7 @@
 
 
 def zone_sums(work: dict[str, float]) -> dict[str, float]:
-    """By zone."""
+    """Return the work by zone."""
     return {zone: math.fsum(work[engine] for engine in ENGINES[zone]) for zone in ZONES}
 
 
@@ -248,7 +252,7 @@
     assert made.failover_cost is not None and made.failover_cost.first_serving_zones("a")[0][0] == "a"
     assert any_["a"] == pytest.approx(any_["c"]) and 0.08 <= near["a"] <= any_["a"]
     assert near["c"] == pytest.approx(S.min_share * any_["c"])
-    # Where all that cold engines bear is less than what clients ask for, none of it is held back.
+    # If the demand exceeds the capacity of all cold engines, none of that capacity is withheld.
     assert zone_sums(back(2.0)[1]) == pytest.approx(any_)
 
 
@@ -284,7 +288,7 @@
     try:
         assert restore_site_report(ledger, again) == well
         assert [bool(site.rates) for site in again.restored_reports.values()] == [True] * well
-        # What was warm has gone with the power.
+        # Data sets are no longer warm after a power loss.
         assert not any(
             seen.warm_filter for site in again.restored_reports.values() for seen in site.zones.values()
         )
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -1,4 +1,4 @@
-"""The outlook: its words, the picture that all draw alike, what it decides, and whether that comes true."""
+"""Failover cost: messages, snapshots that are equal at all instances, decisions, and their accuracy."""
 
 from __future__ import annotations
 
@@ -44,7 +44,8 @@
 
 
 def site(member: int, home: str, dear: float = 0.6, cheap: float = 0.8, **fields: object) -> SiteReport:
-    """One instance's word: so many cores of each kind, own data sets warm at home."""
+    """Return one instance's report: its work of high and low value in cores; its home has its own data sets
+    warm."""
     warm = 0
     for number in SETS[home]:
         warm |= filter_bits(number)
@@ -59,12 +60,12 @@
 
 
 def fleet(**fields: object) -> list[SiteReport]:
-    """Two instances a zone; 8.4 cores of work on twelve."""
+    """Return the reports of two instances per zone, with 8.4 cores of work on twelve."""
     return [site(i + 1, zone, **fields) for i, zone in enumerate((*ZONES, *ZONES))]  # type: ignore[arg-type]
 
 
 def projected(sites: list[SiteReport], **left: float) -> Projection:
-    """The projection of a fleet with so much left of zones."""
+    """Return the projection of a fleet if these parts of zones are left."""
     picture = take_snapshot(sites, ENGINES, len(sites))
     assert picture is not None
     return project(picture, left)
@@ -100,9 +101,7 @@
     for number, seen in read.zones.items():
         assert seen.warm_filter == told.zones[number].warm_filter
         assert math.isclose(seen.round_trip_ms, told.zones[number].round_trip_ms, rel_tol=0.03, abs_tol=0.11)
-    assert decode_site_reports(encode_site_reports([read])) == [
-        read
-    ]  # what was read is told on without change
+    assert decode_site_reports(encode_site_reports([read])) == [read]  # a relayed report is unchanged
 
 
 @pytest.mark.parametrize("cut", [0, 1, 2, 10, 30, -1], ids=str)
@@ -130,7 +129,7 @@
 
 
 def orders_matter(shuffles: int = 60) -> bool:
-    """Whether two instances that heard the same in another order project differently."""
+    """Return whether two instances with the same reports in a different order have different projections."""
     r = random.Random(3)
     sites = [site(i + 1, ZONES[i % 3], dear=r.random(), cheap=r.random()) for i in range(11)]
     first = projected(sites, a=0.0)
@@ -143,7 +142,7 @@
 
 def test_the_same_reports_give_the_same_projection_to_the_bit(monkeypatch: pytest.MonkeyPatch) -> None:
     assert not orders_matter()
-    # Planted: sums in the order in which words came.
+    # The planted defect: sums in the order in which reports arrived.
     monkeypatch.setattr(pictures, "sorted", lambda items, key=None: list(items), raising=False)
     monkeypatch.setattr(math, "fsum", sum)
     assert orders_matter()
@@ -170,7 +169,7 @@
 
 
 def max_deviation(lie: Callable[[SiteReport], SiteReport]) -> float:
-    """How much one liar of six shifts the part of the worth that is projected."""
+    """Return how much one false report of six changes the projected share of the utility."""
     honest, sites = projected(fleet(), a=0.0), fleet()
     return abs(projected([*sites[:5], lie(sites[5])], a=0.0).served_share() - honest.served_share())
 
@@ -241,7 +240,7 @@
 
 
 def spread(s: SiteReport) -> SiteReport:
-    """One whose clients are served in all zones alike."""
+    """Return a report of an instance whose clients are served in equal parts by all zones."""
     return replace(s, zones={n: replace(z, served_share=1 / len(ZONES)) for n, z in s.zones.items()})
 
 
@@ -264,11 +263,11 @@
     assert found.added_round_trip_ms == pytest.approx(added, abs=6.0)
     assert found.served_utility == pytest.approx(
         found.offered_utility, rel=0.01
-    )  # only what the loss adds differs
+    )  # only the added round trip differs
 
 
 @pytest.mark.parametrize(
-    "told, now",  # a liar counts for a third of the twelve cores at most
+    "told, now",  # a false claim counts for a third of the twelve cores at most
     [([-1.0] * 6, 0.0), ([0.2] * 6, 1.2), ([0.2] * 3 + [-1.0] * 3, 1.2), ([0.2] * 5 + [50.0], 1.0 + 12 / 3)],
     ids=["not known", "told by all", "told by half", "one lies"],
 )
@@ -284,19 +283,19 @@
 def test_excess_work_is_reported_once_it_is_known() -> None:
     made = make_estimator(fleet())
     assert made.build_report(2000.0).excess_cores == -1.0
-    for t in range(2000, 12_000, 50):  # each needs 20 ms; one in four takes 60
+    for t in range(2000, 12_000, 50):  # each is estimated at 20 ms; one in four takes 60 ms
         made.on_request(float(t), 6.0, 20.0, "x")
         made.on_answer(float(t), "a", "x", excess_work_ms=40.0 if t % 200 == 0 else 0.0)
         assert t > 4000 or made.build_report(float(t)).excess_cores == -1.0
     [read] = decode_site_reports(encode_site_reports([made.build_report(12_000.0)]))
-    assert read.excess_cores == pytest.approx(0.2, abs=0.03)  # five of 40 ms a second
+    assert read.excess_cores == pytest.approx(0.2, abs=0.03)  # five requests a second with 40 ms more each
 
 
 def test_a_false_served_share_moves_the_round_trip_by_its_part() -> None:
     honest = [spread(s) for s in fleet(dear=0.3, cheap=0.4)]
     far = {n: replace(z, served_share=float(n == zone_number("c"))) for n, z in honest[0].zones.items()}
     before, after = projected(honest, a=0.0), projected([replace(honest[0], zones=far), *honest[1:]], a=0.0)
-    # It is half of its home, whose mean way can seem longer by half of the longest one at most.
+    # It is half of its home, so it can raise the mean round trip by half of the longest one at most.
     assert abs(after.added_round_trip_ms - before.added_round_trip_ms) <= ROUND_TRIPS_MS["a", "c"] / 2
     assert after.served_utility == before.served_utility
 
@@ -304,7 +303,7 @@
 def make_estimator(
     sites: list[SiteReport], now: float = 0.0, me: str = "a", **fields: object
 ) -> CostEstimator:
-    """An outlook with a plan, by these words of the others."""
+    """Return an estimator with a plan that is based on these reports of the other instances."""
     made = CostEstimator(99, 1, now, me, 1, CostEstimatorSettings(**fields))  # type: ignore[arg-type]
     made.set_engines(ENGINES)
     run_steps(made, sites, now, 2000.0)
@@ -312,7 +311,7 @@
 
 
 def run_steps(made: CostEstimator, sites: list[SiteReport], begin: float, last: float, **left: float) -> None:
-    """So many ms of steps, in which these words come once a second, each time with a higher version."""
+    """Run steps for `last` ms, in which these reports arrive once a second with increasing versions."""
     for t in range(int(last // 100)):
         now = begin + t * 100.0
         if t % 10 == 0 and sites:
@@ -351,7 +350,7 @@
     )
     reasons = full.removal_objections({"a": 2.0}, {"b": 3.0})
     assert reasons and all("lost" in why for why in reasons)
-    assert CostEstimator(1, 1, 0.0, "a", 1).removal_objections({})  # nothing known: nothing may start
+    assert CostEstimator(1, 1, 0.0, "a", 1).removal_objections({})  # without a plan nothing may be removed
 
 
 def test_a_plan_stands_without_new_reports_and_expires() -> None:
@@ -390,7 +389,7 @@
     assert held.shares == {"b": 0.6, "c": 0.4}
     held.follow(3200.0, {"b": 0.4, "c": 0.6}, s)
     assert held.shares == {"b": 0.4, "c": 0.6}
-    held.follow(3300.0, {"b": 1.0}, s)  # c can serve nothing any more
+    held.follow(3300.0, {"b": 1.0}, s)  # c can't serve anything any more
     assert held.shares == {"b": 1.0}
 
 
@@ -422,7 +421,7 @@
                 sent += len(data)
                 instances[member].on_message(float(now), data)
     heard = [len(one.reports.fresh(10_000.0, 5000.0, instances)) for one in instances.values()]
-    assert min(heard) >= 22 and sent / 30 / 10 < 3000  # bytes a second
+    assert min(heard) >= 22 and sent / 30 / 10 < 3000  # bytes per second and instance
 
 
 def test_data_sets_used_once_are_forgotten() -> None:
@@ -435,7 +434,10 @@
 
 
 def run_zone_loss(seed: int, decides: str) -> tuple[Projection | None, float, float]:
-    """A day on which zone a is lost: what was projected, the part of the worth served, cold work on top."""
+    """Simulate a loss of zone a.
+
+    Return the projection, the share of the utility that was served, and the additional cold work in cores.
+    """
     plans = CostEstimatorSettings(snapshot_interval_ms=3000.0, cost=CostSettings(cached_data_sets=10))
     rates = dict.fromkeys(ZONES, 140.0)
     world = OutageWorld(
--- a/tests/fleet/test_snapshot_plan.py
+++ b/tests/fleet/test_snapshot_plan.py
@@ -1,4 +1,4 @@
-"""How often the outlook divides, by count, and how soon it sees what has changed."""
+"""How often the estimator solves allocations, and how soon a plan reflects a change."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def record_solutions(monkeypatch: pytest.MonkeyPatch) -> list[Mapping[str, float]]:
-    """What is divided from now on, by what is left of zones."""
+    """Record each allocation solved from now on, as the parts of zones that were left."""
     found = list[Mapping[str, float]]()
     settle = projection.solve_with_cold_work
 
@@ -34,8 +34,10 @@
 
 
 def run(made: FleetCoordinator, begin: float, last: float, sites: list[SiteReport], **out: float) -> None:
-    """So many ms of the core's steps, with words once a second. out: zones that are, and the part of their
-    attempts that ended well; others serve as they should."""
+    """Run steps of a coordinator for `last` ms, with reports once a second.
+
+    `out` are the evacuated zones with the part of their attempts that succeed; in other zones 0.97 succeed.
+    """
     assert made.failover_cost is not None
     for t in range(0, int(last), 100):
         now = begin + t
@@ -52,7 +54,7 @@
 def test_without_an_outage_each_snapshot_is_solved_once(monkeypatch: pytest.MonkeyPatch) -> None:
     made, found = core("a"), record_solutions(monkeypatch)
     run(made, 2600.0, 30_000.0, fleet())
-    assert 9 <= len(found) <= 11 and not any(found)  # each 3 s, of all that is left
+    assert 9 <= len(found) <= 11 and not any(found)  # one every 3 s, with all zones whole
 
 
 @pytest.mark.parametrize("good, each", [(0.0, 1), (0.5, 2)], ids=["dead", "ill"])
@@ -76,12 +78,12 @@
     for _ in range(3):
         assert made.projection("a", "b") is not None and made.serving_zones("a", "a", "b")
         assert made.neighbours("a") and made.first_serving_zones("a")
-    # The pair, what is left now, one zone, and all engines cold.
+    # The loss of both zones, the present state, the loss of one zone, and all engines cold.
     assert len(found) == 4 and {"a": 0.0, "b": 0.0} in found
 
 
 def more(home_a: float) -> list[SiteReport]:
-    """Words with so many times the demand of zone a's clients."""
+    """Return reports with this many times the demand of zone a's clients."""
     return [
         replace(s, rates={step: x * (home_a if s.member in (1, 4) else 1.0) for step, x in s.rates.items()})
         for s in fleet()
@@ -119,7 +121,7 @@
         run_steps(made, fleet(), 0.0, 2000.0)
         if asked:
             made.neighbours("a")
-        run_steps(made, more(1.2), 2000.0, 20_000.0)  # 0.15 other, which the band would hold for 3 s
+        run_steps(made, more(1.2), 2000.0, 20_000.0)  # differs by 0.15: delayed 3 s by hysteresis
         return dict(made.neighbours("a"))
 
     assert neighbours(True) == neighbours(False)
