--- a/tests/fleet/test_cached_engines.py
+++ b/tests/fleet/test_cached_engines.py
@@ -38,13 +38,17 @@
 NAMES = ConfiguredNames(("a", "b"), ("small", "large"))
 
 
-def change(*engines: tuple[str, int, EngineState], whole: bool = False, port: int = 7000) -> EngineListChange:
+def change(
+    *engines: tuple[str, int, EngineState], is_complete: bool = False, port: int = 7000
+) -> EngineListChange:
     """Return a change of these engines (id, number of the zone, state); each has a port of its own."""
-    made = tuple(
+    changed = tuple(
         Engine(engine_id, zone=zone, machine_type=1, cell=3, state=state, size=2.0)
         for engine_id, zone, state in engines
     )
-    return EngineListChange(made, {e.id: Address("10.0.0.1", port + int(e.id[1:])) for e in made}, whole)
+    return EngineListChange(
+        changed, {e.id: Address("10.0.0.1", port + int(e.id[1:])) for e in changed}, is_complete
+    )
 
 
 def folder_after(records: list[Record], before: dict[bytes, bytes] | None = None) -> dict[bytes, bytes]:
@@ -62,27 +66,27 @@
 FIRST = change(("e1", 0, LIVE), ("e2", 1, LIVE))
 
 
-def ids(remembered: EngineCache) -> list[str]:
-    return [o.id for o in remembered.observations()]
+def ids(cache: EngineCache) -> list[str]:
+    return [o.id for o in cache.observations()]
 
 
 @pytest.mark.parametrize(
-    "then, left",
+    "next_change, expected",
     [
         (change(("e3", 0, LIVE)), ["e1", "e2", "e3"]),
         (change(("e1", 0, DRAINING)), ["e2"]),
         (change(("e1", 0, REMOVED)), ["e2"]),
-        (change(("e2", 1, LIVE), whole=True), ["e2"]),
+        (change(("e2", 1, LIVE), is_complete=True), ["e2"]),
         (change(("e4", 0, DRAINING)), ["e1", "e2"]),
     ],
     ids=["one more", "drained", "gone", "a whole list", "met draining"],
 )
-def test_only_live_engines_are_cached(then: EngineListChange, left: list[str]) -> None:
-    made = EngineCache({}, NAMES)
-    folder = folder_after(made.apply(FIRST))
-    assert made.apply(FIRST) == []  # nothing is written twice
-    folder = folder_after(made.apply(then), folder)
-    assert ids(EngineCache(folder, NAMES)) == left == ids(made)
+def test_only_live_engines_are_cached(next_change: EngineListChange, expected: list[str]) -> None:
+    cache = EngineCache({}, NAMES)
+    folder = folder_after(cache.apply(FIRST))
+    assert cache.apply(FIRST) == []  # nothing is written twice
+    folder = folder_after(cache.apply(next_change), folder)
+    assert ids(EngineCache(folder, NAMES)) == expected == ids(cache)
 
 
 def test_a_cached_engine_is_restored_by_the_names_of_its_zone_and_type() -> None:
@@ -107,17 +111,17 @@
 
 
 @pytest.mark.parametrize(
-    "known, found",
+    "known, expected",
     [
         (Observation("e1", ServiceStatus.IN_SERVICE, address=Address("10.0.0.9", 1)), ["e1", "e2"]),
         (Observation("new", ServiceStatus.IN_SERVICE, address=Address("10.0.0.1", 7002)), ["new", "e1"]),
     ],
     ids=["the same engine elsewhere", "another engine at its address"],
 )
-def test_the_configuration_outranks_the_cache(known: Observation, found: list[str]) -> None:
-    made = EngineCache(folder_after(EngineCache({}, NAMES).apply(FIRST)), NAMES)
-    observations = made.observations((known,))
-    assert [o.id for o in observations] == found and observations[0] == known
+def test_the_configuration_outranks_the_cache(known: Observation, expected: list[str]) -> None:
+    cache = EngineCache(folder_after(EngineCache({}, NAMES).apply(FIRST)), NAMES)
+    observations = cache.observations((known,))
+    assert [o.id for o in observations] == expected and observations[0] == known
 
 
 @pytest.mark.parametrize(
@@ -133,37 +137,40 @@
 )
 def test_an_unreadable_record_is_counted_and_the_others_count(value: bytes) -> None:
     folder = folder_after(EngineCache({}, NAMES).apply(FIRST))
-    made = EngineCache({**folder, b"e1": value}, NAMES)
-    assert made.malformed == 1 and ids(made) == ["e2"]
+    cache = EngineCache({**folder, b"e1": value}, NAMES)
+    assert cache.malformed == 1 and ids(cache) == ["e2"]
 
 
 def test_the_cache_is_bounded_as_the_store_is() -> None:
-    made = EngineCache({}, NAMES)
+    cache = EngineCache({}, NAMES)
     many = change(*((f"e{i}", 0, LIVE) for i in range(1, MAX_RECORDS[RecordKind.ENGINE_ADDRESS] + 50)))
-    assert len(made.apply(many)) == MAX_RECORDS[RecordKind.ENGINE_ADDRESS] == len(ids(made))
+    assert len(cache.apply(many)) == MAX_RECORDS[RecordKind.ENGINE_ADDRESS] == len(ids(cache))
 
 
 @pytest.mark.parametrize("proof", ["probe", "attempt", "another's word of all", "the list"])
 def test_nothing_is_sent_to_a_cached_engine_before_it_is_proven(proof: str) -> None:
     """This also holds if only this instance was away; then the engine is free once it has answered."""
-    made = SharedSlowStart(1, 1, 0.0, SlowStartSettings(), 1)
-    made.set_engines(0.0, {"e1": 1.0, "e2": 1.0})
-    made.on_loss(20.0, OutageScope.ALONE)
-    assert made.share("e1") == made.share("e2") == 0.0 and max(made.work_limits(1.0).values()) < 1e-6
+    slow_start = SharedSlowStart(1, 1, 0.0, SlowStartSettings(), 1)
+    slow_start.set_engines(0.0, {"e1": 1.0, "e2": 1.0})
+    slow_start.on_loss(20.0, OutageScope.ALONE)
+    assert (
+        slow_start.share("e1") == slow_start.share("e2") == 0.0
+        and max(slow_start.work_limits(1.0).values()) < 1e-6
+    )
     if proof == "probe":
-        made.on_health_check(100.0, "e1", True)
+        slow_start.on_health_check(100.0, "e1", True)
     elif proof == "attempt":
-        made.on_answer(100.0, "e1", True, 20.0, 60.0)
+        slow_start.on_answer(100.0, "e1", True, 20.0, 60.0)
     elif proof == "another's word of all":
-        made.on_loss(100.0, OutageScope.FLEET, since=0.0)
-        made.on_health_check(110.0, "e1", True)
-        assert made.share("e1") == made.settings.initial_share
+        slow_start.on_loss(100.0, OutageScope.FLEET, since=0.0)
+        slow_start.on_health_check(110.0, "e1", True)
+        assert slow_start.share("e1") == slow_start.settings.initial_share
         return
     else:
-        made.on_list_received(100.0)
-        assert not made.is_active
+        slow_start.on_list_received(100.0)
+        assert not slow_start.is_active
         return
-    assert made.share("e1") == 1.0 and made.share("e2") == 0.0
+    assert slow_start.share("e1") == 1.0 and slow_start.share("e2") == 0.0
 
 
 @pytest.mark.parametrize("voters", [True, False], ids=["with voters", "without voters"])
@@ -177,14 +184,14 @@
         node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.publish_initial_engines()
         assert node.recovery is not None
-        may = [node.recovery.may_send_loads_otherwise(), node.is_list_settled()]
+        settled = [node.recovery.may_send_loads_otherwise(), node.is_list_settled()]
         seen = Observation("e1", ServiceStatus.IN_SERVICE, address=Address("127.0.0.1", 3))
         node.on_discovery_events([SourceReport("dc1", 1, (seen,), is_complete=True)])
-        may += [node.recovery.may_send_loads_otherwise(), node.is_list_settled()]
+        settled += [node.recovery.may_send_loads_otherwise(), node.is_list_settled()]
         for part in (node.rolling_replacement, node.recovery):
             if part is not None:
                 part.close()
-        return may
+        return settled
 
     assert asyncio.run(scenario()) == [False, False, not voters, True]
 
@@ -196,12 +203,12 @@
     path = tmp_path / "n1.json"
     path.write_text(json.dumps(FILE | FLEET | {"metrics": False}))
 
-    async def life(story: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
+    async def run_node(phase: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
         node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.publish_initial_engines()
         assert node.recovery is not None and node.rolling_replacement is not None
-        await story(node)
+        await phase(node)
         for part in (node.rolling_replacement, node.recovery):
             part.close()
 
@@ -233,8 +240,8 @@
     async def after(node: StandaloneDispatcher) -> None:
         assert set(node.quarantine.live_engines()) == {"e1", "e2"}
 
-    for story in (drained, back, after):
-        asyncio.run(life(story))
+    for phase in (drained, back, after):
+        asyncio.run(run_node(phase))
 
 
 @pytest.mark.parametrize("fault", ["full", "failed"])
@@ -247,12 +254,12 @@
     monkeypatch.setattr(ledger, "DEFAULT_VFS", "drains")
     monkeypatch.setattr(write_queue, "RETRY_MS", 1.0)
 
-    async def life(story: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
+    async def run_node(phase: Callable[[StandaloneDispatcher], Awaitable[None]]) -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
         node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
         node.publish_initial_engines()
         assert node.recovery is not None and node.rolling_replacement is not None
-        await asyncio.wait_for(story(node), 60.0)
+        await asyncio.wait_for(phase(node), 60.0)
         for part in (node.rolling_replacement, node.recovery):
             part.close()
 
@@ -275,9 +282,9 @@
     async def back(node: StandaloneDispatcher) -> None:
         assert set(node.quarantine.live_engines()) == {"e2"}
 
-    for story in (drained, back):
+    for phase in (drained, back):
         disk = install("drains")
-        asyncio.run(life(story))
+        asyncio.run(run_node(phase))
 
 
 class ScriptedDisk:
@@ -302,66 +309,70 @@
             then()
 
 
-def with_node(path: Path, more: dict[str, object], story: Callable[[StandaloneDispatcher], None]) -> None:
-    path.write_text(json.dumps(FILE | FLEET | {"metrics": False} | more))
+def with_node(
+    path: Path, options: dict[str, object], scenario: Callable[[StandaloneDispatcher], None]
+) -> None:
+    path.write_text(json.dumps(FILE | FLEET | {"metrics": False} | options))
 
-    async def life() -> None:
+    async def run_node() -> None:
         log = StructuredLog("logfmt", 100, 100, (), StringIO())
         node = StandaloneDispatcher(path, read_installation(path), log, asyncio.get_running_loop())
-        story(node)
+        scenario(node)
         for part in (node.session_affinity, node.rolling_replacement, node.recovery):
             if part is not None:
                 part.close()
 
-    asyncio.run(life())
+    asyncio.run(run_node())
 
 
-@pytest.mark.parametrize("later", [False, True], ids=["the last", "another came"])
+@pytest.mark.parametrize("is_replaced", [False, True], ids=["the last", "another came"])
 def test_a_checkpoint_that_the_disk_refused_is_written_again(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, later: bool
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, is_replaced: bool
 ) -> None:
-    def story(node: StandaloneDispatcher) -> None:
+    def scenario(node: StandaloneDispatcher) -> None:
         adapter = node.recovery
         assert adapter is not None
         with monkeypatch.context() as patched:
-            disk, told = ScriptedDisk(node, patched), list[int]()
+            disk, stored = ScriptedDisk(node, patched), list[int]()
             patched.setattr(
-                adapter.survey, "on_checkpoint_stored", lambda now, checkpoint: told.append(checkpoint)
+                adapter.survey, "on_checkpoint_stored", lambda now, checkpoint: stored.append(checkpoint)
             )
             adapter.survey.requested_checkpoint = 0
             adapter._store_checkpoint(0)
-            assert told == [] and len(disk.timers) == 1, "not told before it is kept"
+            assert stored == [] and len(disk.timers) == 1, "not told before it is kept"
             disk.fire()
-            assert told == [] and len(disk.timers) == 1, "and tried until it is"
+            assert stored == [] and len(disk.timers) == 1, "and tried until it is"
             disk.is_healthy = True
-            if later:
+            if is_replaced:
                 adapter.survey.requested_checkpoint = 7
             disk.fire()
-            assert told == ([] if later else [0]) and len(disk.put_of) == len(told) and not disk.timers
+            assert (
+                stored == ([] if is_replaced else [0]) and len(disk.put_of) == len(stored) and not disk.timers
+            )
 
-    with_node(tmp_path / "n1.json", {}, story)
+    with_node(tmp_path / "n1.json", {}, scenario)
 
 
 def test_an_ownership_record_that_the_disk_refused_is_written_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def story(node: StandaloneDispatcher) -> None:
+    def scenario(node: StandaloneDispatcher) -> None:
         adapter = node.session_affinity
         assert adapter is not None
         with monkeypatch.context() as patched:
-            disk, told = ScriptedDisk(node, patched), list[int]()
+            disk, stored = ScriptedDisk(node, patched), list[int]()
             patched.setattr(adapter, "hop", lambda then: then())
 
-            def kept_as(_now: float, token: int) -> list[object]:
-                told.append(token)
+            def on_persisted(_now: float, token: int) -> list[object]:
+                stored.append(token)
                 return []
 
-            patched.setattr(adapter.service, "on_persisted", kept_as)
+            patched.setattr(adapter.service, "on_persisted", on_persisted)
             adapter._persist("pin", b"one", 5)
             adapter._retry_failed_writes(1e12)
             adapter._persist("pin", b"two", 6)
             disk.is_healthy = True
             adapter._retry_failed_writes(3e12)
-            assert told == [6] and [[r.value for r in put] for put in disk.put_of] == [[b"two"]]
+            assert stored == [6] and [[r.value for r in put] for put in disk.put_of] == [[b"two"]]
 
-    with_node(tmp_path / "n1.json", {"fleet": {"pins": True}}, story)
+    with_node(tmp_path / "n1.json", {"fleet": {"pins": True}}, scenario)
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -40,9 +40,9 @@
     world.run(300.0)
     assert (client.answer, world.runs[LOAD], world.violations) == ("ran", 1, [])
     assert [client_retries(world, n, LOAD).answer for n in (2,)] == ["SUCCEEDED"]
-    again = client_retries(world, 4, LOAD)
+    later_client = client_retries(world, 4, LOAD)
     world.run(300.0)
-    assert again.answer == "SUCCEEDED" and world.runs[LOAD] == 1
+    assert later_client.answer == "SUCCEEDED" and world.runs[LOAD] == 1
 
 
 def test_in_flight_and_broken_may_have_run() -> None:
@@ -107,15 +107,15 @@
     world.first(1, LOAD, lasts=1900.0)
     world.clients[0].attempts = 6
     world.kill(1)
-    told = []
-    for turn in range(30):  # a client that retries for very long, at another instance each time
-        client = client_retries(world, (0, 2, 3, 4)[turn % 4], LOAD)
+    answers = []
+    for attempt in range(30):  # a client that retries for very long, at another instance each time
+        client = client_retries(world, (0, 2, 3, 4)[attempt % 4], LOAD)
         world.run(LONGEST_DEADLINE_MS + 100.0)
-        told.append(client.answer)
+        answers.append(client.answer)
     assert (
-        set(told) == {"NOT_KNOWN_YET", "MAY_HAVE_RUN"}
-        and told[0] == "NOT_KNOWN_YET"
-        and told[-1] == "MAY_HAVE_RUN"
+        set(answers) == {"NOT_KNOWN_YET", "MAY_HAVE_RUN"}
+        and answers[0] == "NOT_KNOWN_YET"
+        and answers[-1] == "MAY_HAVE_RUN"
     )
     assert world.runs[LOAD] == 1 and not world.violations
 
@@ -215,98 +215,98 @@
     assert other.answer == "ran" and not world.nodes[2].history.pending
 
 
-def make_history(count: int = 3, **changes: int) -> load_history.LoadHistory:
-    memory = load_history.LoadHistory(
-        0, count, 5, 0.0, [], load_history_interface.LoadHistorySettings(6000.0, **changes), seed=3
+def make_history(dispatchers: int = 3, **changes: int) -> load_history.LoadHistory:
+    load_records = load_history.LoadHistory(
+        0, dispatchers, 5, 0.0, [], load_history_interface.LoadHistorySettings(6000.0, **changes), seed=3
     )
-    memory.step(0.0, INTACT_FLEET)
-    return memory
+    load_records.step(0.0, INTACT_FLEET)
+    return load_records
 
 
-def sent_queries(memory: load_history.LoadHistory, now: float) -> dict[int, LoadQuery]:
-    found = {}
-    for action in memory.step(now, INTACT_FLEET):
+def sent_queries(load_records: load_history.LoadHistory, now: float) -> dict[int, LoadQuery]:
+    queries = {}
+    for action in load_records.step(now, INTACT_FLEET):
         if isinstance(action, load_history_interface.SendToDispatcher) and isinstance(
-            word := decode(action.data), LoadQuery
+            message := decode(action.data), LoadQuery
         ):
-            found[action.number] = word
-    return found
+            queries[action.number] = message
+    return queries
 
 
 def test_forged_late_and_strange_answers_settle_nothing() -> None:
-    memory = make_history()
-    memory.on_retry(1.0, "a", LOAD, 900.0)
-    asks = sent_queries(memory, 1.0)
-    never = (LoadVerdict(0, LoadStatement.NEVER_SENT),)
-    serial = asks[1].serial
+    load_records = make_history()
+    load_records.on_retry(1.0, "a", LOAD, 900.0)
+    queries = sent_queries(load_records, 1.0)
+    verdicts = (LoadVerdict(0, LoadStatement.NEVER_SENT),)
+    serial = queries[1].serial
     for number, answer in [
-        (2, LoadAnswer(5, serial, never)),  # a serial that was sent to another dispatcher
-        (1, LoadAnswer(4, serial, never)),  # an answer to an earlier boot
-        (1, LoadAnswer(5, serial + 77, never)),
+        (2, LoadAnswer(5, serial, verdicts)),  # a serial that was sent to another dispatcher
+        (1, LoadAnswer(4, serial, verdicts)),  # an answer to an earlier boot
+        (1, LoadAnswer(5, serial + 77, verdicts)),
         (1, LoadAnswer(5, serial, (LoadVerdict(9, LoadStatement.NEVER_SENT),))),
-        (7, LoadAnswer(5, serial, never)),
+        (7, LoadAnswer(5, serial, verdicts)),
     ]:
-        assert memory.on_message(2.0, number, answer) == []
-    memory.cancel(3.0, "a")
-    memory.on_retry(4.0, "b", LOAD, 900.0)
-    for number, ask in asks.items():  # answers to a cancelled retry
-        assert memory.on_message(5.0, number, LoadAnswer(5, ask.serial, never)) == []
-    assert not memory.pending[LOAD].statements
-    for number, ask in sent_queries(memory, 5.0).items():
-        found = memory.on_message(6.0, number, LoadAnswer(5, ask.serial, never))
-    assert found == [load_history_interface.LoadSettled("b", LOAD, local_loads.LoadKnowledge.NEVER_SENT)]
+        assert load_records.on_message(2.0, number, answer) == []
+    load_records.cancel(3.0, "a")
+    load_records.on_retry(4.0, "b", LOAD, 900.0)
+    for number, query in queries.items():  # answers to a cancelled retry
+        assert load_records.on_message(5.0, number, LoadAnswer(5, query.serial, verdicts)) == []
+    assert not load_records.pending[LOAD].statements
+    for number, query in sent_queries(load_records, 5.0).items():
+        actions = load_records.on_message(6.0, number, LoadAnswer(5, query.serial, verdicts))
+    assert actions == [load_history_interface.LoadSettled("b", LOAD, local_loads.LoadKnowledge.NEVER_SENT)]
 
 
 def test_queries_are_batched_retried_with_backoff_and_bounded() -> None:
-    memory = make_history(max_loads=50)
+    load_records = make_history(max_loads=50)
     loads = [local_loads.load_identity("x", str(n), b"") for n in range(60)]
-    known = [memory.on_retry(0.0, str(n), load, 5000.0) for n, load in enumerate(loads)]
-    assert known.count(local_loads.LoadKnowledge.NOT_KNOWN_YET) == 10
+    answers = [load_records.on_retry(0.0, str(n), load, 5000.0) for n, load in enumerate(loads)]
+    assert answers.count(local_loads.LoadKnowledge.NOT_KNOWN_YET) == 10
     sent, now = [], 0.0
     while now < 5000.0:
-        now = memory.next_at()
+        now = load_records.next_at()
         sent.append(
             (
                 now,
                 sum(
                     isinstance(a, load_history_interface.SendToDispatcher)
-                    for a in memory.step(now, INTACT_FLEET)
+                    for a in load_records.step(now, INTACT_FLEET)
                 ),
             )
         )
     assert sent[0] == (0.0, 2 * 5)  # 50 loads, 11 per datagram, to two dispatchers
     gaps = [b[0] - a[0] for a, b in zip(sent, sent[1:], strict=False) if b[1]]
     assert gaps[:4] == [60.0, 120.0, 240.0, 480.0] and len(sent) < 30
-    assert not memory.has_pending and not memory.load_by_request
-    memory.step(20_000.0, INTACT_FLEET)
-    assert not memory.local.queried and not memory.queries.sent
+    assert not load_records.has_pending and not load_records.load_by_request
+    load_records.step(20_000.0, INTACT_FLEET)
+    assert not load_records.local.queried and not load_records.queries.sent
 
 
 def test_an_entry_expires_one_retention_after_its_end() -> None:
-    kept = [
+    recorded = [
         local_loads.RecordedLoad(LOAD),
         local_loads.RecordedLoad(b"w" * 16, local_loads.LoadResult.SUCCEEDED),
         local_loads.RecordedLoad(b"n" * 16, local_loads.LoadResult.NEVER_RAN),
     ]
-    memory = load_history.LoadHistory(
-        0, 1, 5, 0.0, kept, load_history_interface.LoadHistorySettings(6000.0), seed=3
+    load_records = load_history.LoadHistory(
+        0, 1, 5, 0.0, recorded, load_history_interface.LoadHistorySettings(6000.0), seed=3
     )
-    around = [memory.on_retry(1.0, str(n), x.load, 9.0) for n, x in enumerate(kept)]
-    assert around == [
+    answers = [load_records.on_retry(1.0, str(n), x.load, 9.0) for n, x in enumerate(recorded)]
+    assert answers == [
         local_loads.LoadKnowledge.MAY_HAVE_RUN,
         local_loads.LoadKnowledge.SUCCEEDED,
         local_loads.LoadKnowledge.NEVER_SENT,
     ]
-    memory.on_sent(2.0, b"n" * 16)
-    memory.on_ended(3.0, b"n" * 16, local_loads.LoadResult.NEVER_RAN)
-    assert memory.begin(4.0, b"r" * 16)
-    memory.step(7001.0, INTACT_FLEET)
-    assert set(memory.local.entries) == {b"r" * 16}  # still running
-    memory.on_ended(8000.0, b"r" * 16, local_loads.LoadResult.SUCCEEDED)
-    memory.step(13_999.0, INTACT_FLEET)
-    assert set(memory.local.entries) == {b"r" * 16}
-    memory.step(15_000.0, INTACT_FLEET)
-    assert not memory.local.entries
+    load_records.on_sent(2.0, b"n" * 16)
+    load_records.on_ended(3.0, b"n" * 16, local_loads.LoadResult.NEVER_RAN)
+    assert load_records.begin(4.0, b"r" * 16)
+    load_records.step(7001.0, INTACT_FLEET)
+    assert set(load_records.local.entries) == {b"r" * 16}  # still running
+    load_records.on_ended(8000.0, b"r" * 16, local_loads.LoadResult.SUCCEEDED)
+    load_records.step(13_999.0, INTACT_FLEET)
+    assert set(load_records.local.entries) == {b"r" * 16}
+    load_records.step(15_000.0, INTACT_FLEET)
+    assert not load_records.local.entries
 
 
 def test_open_loads_are_announced_to_the_others() -> None:
@@ -320,27 +320,27 @@
     assert client_retries(world, 3, LOAD).answer == "MAY_HAVE_RUN"
 
 
-def history(count: int, seed: int, faults: list[tuple[int, int, int]], loss: float) -> World:
+def run_history(count: int, seed: int, faults: list[tuple[int, int, int]], loss: float) -> World:
     """Run loads throughout a sequence of faults, then start and connect all instances again."""
     world = settled(count, seed, loss=0.0)
     world.loss, world.again = loss, loss / 2
     draw = random.Random(seed)
     stop = world.now + 14_000.0
 
-    def load() -> None:
-        up = [n.number for n in world.nodes.values() if n.alive]
-        if up:
+    def send_load() -> None:
+        live = [n.number for n in world.nodes.values() if n.alive]
+        if live:
             lasts = draw.uniform(50.0, 1.5 * LONGEST_DEADLINE_MS)
             name = local_loads.load_identity("orders", str(next(world.names)), b"")
-            world.first(draw.choice(up), name, lasts, ends=draw.random() < 0.8)
+            world.first(draw.choice(live), name, lasts, ends=draw.random() < 0.8)
         if world.now < stop:
-            world.at(world.now + draw.uniform(20.0, 300.0), load)
+            world.at(world.now + draw.uniform(20.0, 300.0), send_load)
 
-    load()
-    for i, (kind, which, after) in enumerate(faults):
+    send_load()
+    for i, (kind, selection, after) in enumerate(faults):
         if kind == 4 and any(earlier[0] == 4 for earlier in faults[:i]):
             continue  # two old folders would confirm each other's memory, which the design doesn't exclude
-        fault(world, draw, kind, which)
+        fault(world, draw, kind, selection)
         world.run(float(after))
     world.partition(range(count))
     world.start(*[n for n in range(count) if not world.nodes[n].alive])
@@ -353,14 +353,14 @@
     return world
 
 
-def fault(world: World, draw: random.Random, kind: int, which: int) -> None:
-    numbers = [n for n in range(world.count) if which >> n & 1]
-    up = [n for n in numbers if world.nodes[n].alive]
+def fault(world: World, draw: random.Random, kind: int, selection: int) -> None:
+    numbers = [n for n in range(world.count) if selection >> n & 1]
+    live = [n for n in numbers if world.nodes[n].alive]
     down = [n for n in range(world.count) if not world.nodes[n].alive]
     if kind == 0:
         world.kill(*[n for n in range(world.count) if world.nodes[n].alive])
     elif kind == 1:
-        world.kill(*up)
+        world.kill(*live)
     elif kind == 2:
         world.start(*down)
     elif kind == 3 and down:
@@ -372,8 +372,8 @@
     elif kind == 6:
         world.partition(range(world.count))
     elif kind == 7:
-        world.kill(*up)
-        world.start(*up)
+        world.kill(*live)
+        world.start(*live)
 
 
 FAULTS = st.lists(
@@ -391,7 +391,7 @@
         for _ in range(draw.randint(2, 9))
     ]
     count, loss = draw.randint(3, 6), draw.choice([0.0, 0.1, 0.3])
-    return history(count, draw.randint(0, 10**6), faults, loss)
+    return run_history(count, draw.randint(0, 10**6), faults, loss)
 
 
 @pytest.mark.parametrize("seed", [216, 272, 426, 631, 949, 1536, 1625, 4419])
@@ -411,7 +411,7 @@
 def test_no_load_is_sent_twice_and_every_retry_is_settled(
     count: int, seed: int, faults: list[tuple[int, int, int]], loss: float
 ) -> None:
-    world = history(count, seed, faults, loss)
+    world = run_history(count, seed, faults, loss)
     assert not world.violations
     assert all(x.answer for x in world.clients)
     assert not any(n.history.has_pending for n in world.live_nodes())
@@ -420,15 +420,15 @@
 def count_violations(seeds: range = range(14, 22)) -> int:
     """Return how often a fixed set of histories runs a load twice, or answers NEVER_SENT for a load that was
     sent."""
-    found = 0
+    violations = 0
     for seed in seeds:
         draw = random.Random(seed)
         faults = [
             (draw.choice([0, 1, 2, 2, 3, 4, 5, 6, 7]), draw.randrange(1, 32), draw.choice([150, 700, 2500]))
             for _ in range(8)
         ]
-        found += len(history(5, seed, faults, 0.1).violations)
-    return found
+        violations += len(run_history(5, seed, faults, 0.1).violations)
+    return violations
 
 
 def test_fixed_histories_are_right() -> None:
@@ -436,7 +436,7 @@
 
 
 def test_planted_empty_folder_as_never_sent_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(LocalLoads, "may_predate_start", lambda self, asked: False)
+    monkeypatch.setattr(LocalLoads, "may_predate_start", lambda self, queried: False)
     with pytest.raises(AssertionError):
         test_an_emptied_folder_says_unknown_and_not_never_sent("empty")
 
@@ -448,23 +448,25 @@
 
 
 def test_planted_no_rank_between_two_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = load_history.LoadHistory._statement
+    original = load_history.LoadHistory._statement
 
-    def said(self: load_history.LoadHistory, now: float, number: int, load: bytes) -> LoadStatement:
+    def statement_without_priority(
+        self: load_history.LoadHistory, now: float, number: int, load: bytes
+    ) -> LoadStatement:
         pending = self.pending.pop(load, None)
-        told = plain(self, now, number, load)
+        statement = original(self, now, number, load)
         if pending is not None:
             self.pending[load] = pending
-        return told
+        return statement
 
-    monkeypatch.setattr(load_history.LoadHistory, "_statement", said)
-    wrong = 0
+    monkeypatch.setattr(load_history.LoadHistory, "_statement", statement_without_priority)
+    failures = 0
     for seed in range(12):
         try:
             test_of_two_concurrent_retries_one_is_sent(seed)
         except AssertionError:
-            wrong += 1
-    assert wrong
+            failures += 1
+    assert failures
 
 
 def test_planted_queue_that_ignores_queries_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -483,10 +485,10 @@
 
 
 @pytest.mark.parametrize(
-    "seed, of, name, defect",
+    "seed, owner, name, defect",
     [
-        (426, LocalLoads, "is_late", lambda self, now, asked: False),
-        (1536, MembershipSurvey, "is_partitioned", lambda self, gone: False),
+        (426, LocalLoads, "is_late", lambda self, now, queried: False),
+        (1536, MembershipSurvey, "is_partitioned", lambda self, silent: False),
         (
             631,
             load_history.LoadHistory,
@@ -497,8 +499,8 @@
     ids=["ages of retries", "holds while cut off", "later from one that nobody hears"],
 )
 def test_planted_endless_postponement_is_caught(
-    seed: int, of: type, name: str, defect: object, monkeypatch: pytest.MonkeyPatch
+    seed: int, owner: type, name: str, defect: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(of, name, defect)
+    monkeypatch.setattr(owner, name, defect)
     with pytest.raises(AssertionError):
         test_a_client_postponed_for_long_does_not_have_its_load_run_again(seed)
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -80,7 +80,7 @@
         decode(data)
 
 
-def lose(world: World, numbers: range | list[int]) -> None:
+def restart_after_power_loss(world: World, numbers: range | list[int]) -> None:
     world.kill(*numbers)
     world.run(2000.0)
     world.start(*numbers)
@@ -98,13 +98,13 @@
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 @pytest.mark.parametrize("case", CASES)
 def test_all_instances_find_the_same_outage(case: str, loss: float) -> None:
-    numbers, found = CASES[case]
+    numbers, expected = CASES[case]
     world = settled(6)
     assert world.verdicts() == {OUTAGE.NOTHING}
     world.loss = world.again = loss
-    lose(world, numbers)
+    restart_after_power_loss(world, numbers)
     world.run(SURVEY.settle_ms)
-    assert {n: world.nodes[n].survey.view.verdict for n in found} == found
+    assert {n: world.nodes[n].survey.view.verdict for n in expected} == expected
     if loss == 0:
         assert len({(n.survey.view.restarted, n.survey.view.lost_zones) for n in world.live_nodes()}) == 1
     world.loss = world.again = 0.0
@@ -124,7 +124,7 @@
     world = settled(6)
     world.kill(*range(6))
     world.run(1000.0)
-    back = world.now
+    returned_at = world.now
     world.start(0, 1, 2)
     world.run(8000.0)
     assert world.verdicts() == {OUTAGE.SOME}  # three of six are not more than half
@@ -133,7 +133,7 @@
     world.run(2000.0)
     assert world.verdicts() == {OUTAGE.FLEET}
     for node in world.live_nodes():
-        assert node.world(node.survey.view.first_start) == pytest.approx(back, abs=100)
+        assert node.world(node.survey.view.first_start) == pytest.approx(returned_at, abs=100)
     world.run(SURVEY.recent_start_ms - 9500.0)
     assert world.verdicts() == {OUTAGE.NOTHING}  # it ends for all instances at the same time
 
@@ -141,7 +141,7 @@
 def test_a_second_power_loss_is_a_new_outage() -> None:
     world = settled(5)
     for _ in range(3):
-        lose(world, range(5))
+        restart_after_power_loss(world, range(5))
         world.run(700.0)
         assert world.verdicts() == {OUTAGE.FLEET}
     world.kill(*range(5))
@@ -186,9 +186,12 @@
                 stopped.setdefault(n, world.now)
         for n in (2, 3, 4):
             node = world.nodes[n]
-            for number, gone in node.survey.proven_silent(node.clock(world.now)).items():
-                before, as_of = node.world(gone.nothing_sent_after), node.world(gone.valid_until)
-                assert before >= as_of or stopped[number] - 100 <= before
+            for number, proof in node.survey.proven_silent(node.clock(world.now)).items():
+                nothing_sent_after, valid_until = (
+                    node.world(proof.nothing_sent_after),
+                    node.world(proof.valid_until),
+                )
+                assert nothing_sent_after >= valid_until or stopped[number] - 100 <= nothing_sent_after
     last = world.nodes[3].survey.proven_silent(world.nodes[3].clock(world.now))
     assert set(last) == {0, 1} == set(stopped)
 
@@ -197,7 +200,7 @@
 def test_an_outdated_folder_is_detected_and_its_boot_count_raised(folder: str) -> None:
     world = settled(5)
     for _ in range(2):
-        lose(world, [0])
+        restart_after_power_loss(world, [0])
         world.run(2000.0)
     known = world.folders[0].boot_count
     world.kill(*range(5))
@@ -212,23 +215,23 @@
         and survey.boot_count > known
         and world.folders[0].boot_count == survey.boot_count
     )
-    boot = survey.boot_count
+    boot_count = survey.boot_count
     world.run(5000.0)
-    assert survey.boot_count == boot  # it was raised only once
+    assert survey.boot_count == boot_count  # it was raised only once
     assert all(world.nodes[n].survey.has_confirmed_memory() for n in (1, 2, 3, 4))
-    assert world.nodes[1].folder.known[0].boot_count == boot
+    assert world.nodes[1].folder.known[0].boot_count == boot_count
 
 
 @pytest.mark.parametrize("folder", ["empty", "old"])
-@pytest.mark.parametrize("lives", [60.0, 700.0])
-def test_an_outdated_folder_stays_so_however_often_it_is_started(folder: str, lives: float) -> None:
+@pytest.mark.parametrize("uptime_ms", [60.0, 700.0])
+def test_an_outdated_folder_stays_so_however_often_it_is_started(folder: str, uptime_ms: float) -> None:
     world = settled(5)
-    lose(world, [0])
+    restart_after_power_loss(world, [0])
     world.run(2000.0)
     world.kill(0)
     world.start(0, folder=folder)
     for _ in range(4):
-        world.run(lives)
+        world.run(uptime_ms)
         world.kill(0)
         world.start(0)
     world.run(2000.0)
@@ -251,7 +254,7 @@
 def test_an_unconfirmed_folder_is_stale_after_the_retention() -> None:
     world = settled(3)
     world.partition([0, 1], [2])
-    lose(world, [0])
+    restart_after_power_loss(world, [0])
     world.run(SURVEY.settle_ms + 2000.0)
     world.kill(0, 1, 2)
     world.run(100.0)  # no datagram is in flight any more
@@ -280,7 +283,7 @@
 def test_restarts_are_not_taken_for_duplicates() -> None:
     world = settled(5, again=0.3)
     for _ in range(6):
-        lose(world, [2])
+        restart_after_power_loss(world, [2])
         world.run(1500.0)
     assert not any(n.duplicates_seen for n in world.live_nodes())
 
@@ -293,9 +296,9 @@
     )
 
 
-def presence(number: int, up: float, **changes: object) -> Presence:
-    word = Presence(number, 8, 8, 100 + number, up, MemoryState.INTACT, False)
-    return dataclasses.replace(word, **changes)  # type: ignore[arg-type]
+def presence(number: int, uptime_ms: float, **changes: object) -> Presence:
+    report = Presence(number, 8, 8, 100 + number, uptime_ms, MemoryState.INTACT, False)
+    return dataclasses.replace(report, **changes)  # type: ignore[arg-type]
 
 
 def test_a_member_is_bound_to_one_number() -> None:
@@ -307,23 +310,27 @@
 
 
 def test_one_member_can_neither_make_a_memory_stale_nor_stop_an_instance() -> None:
-    def lie(up: float) -> tuple[PeerState, ...]:
-        return (PeerState(0, 4_000_000_000, 11, up, 0.0, is_duplicate=True, is_stale=True),)
+    def false_states(uptime_ms: float) -> tuple[PeerState, ...]:
+        return (PeerState(0, 4_000_000_000, 11, uptime_ms, 0.0, is_duplicate=True, is_stale=True),)
 
     survey = make_survey()
-    for up in range(1, 50):
-        survey.on_message(up * 100.0, 1001, presence(1, up * 100.0, peers=lie(up)))
+    for uptime_ms in range(1, 50):
+        survey.on_message(
+            uptime_ms * 100.0, 1001, presence(1, uptime_ms * 100.0, peers=false_states(uptime_ms))
+        )
         assert not [
             a
-            for a in survey.step(up * 100.0)
+            for a in survey.step(uptime_ms * 100.0)
             if isinstance(a, survey_results.RaiseBootCount | survey_results.DuplicateIdentity)
         ]
     assert survey.memory is MemoryState.INTACT
     survey.on_message(
         6000.0, 1002, presence(2, 6000.0, peers=(PeerState(0, 9, 11, 1.0, 10.0, is_stale=True),))
     )
-    boots = [a.min_boot_count for a in survey.step(6100.0) if isinstance(a, survey_results.RaiseBootCount)]
-    assert boots == [10]  # raised above the boot count that two witnesses confirm
+    boot_counts = [
+        a.min_boot_count for a in survey.step(6100.0) if isinstance(a, survey_results.RaiseBootCount)
+    ]
+    assert boot_counts == [10]  # raised above the boot count that two witnesses confirm
 
 
 def test_presence_reports_merge_in_any_order_and_old_ones_change_nothing() -> None:
@@ -338,27 +345,31 @@
     # The clocks of the simulated instances are years apart, so comparing times between instances would fail.
     first, second = settled(5, seed=3), settled(5, seed=4)
     for world in (first, second):
-        lose(world, range(5))
+        restart_after_power_loss(world, range(5))
         world.run(1000.0)
         assert world.verdicts() == {OUTAGE.FLEET}
         assert max(abs(n.offset) for n in world.live_nodes()) > 1e9
 
 
 def test_planted_verdict_by_one_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership_survey.MembershipSurvey, "_is_majority", lambda self, lost: bool(lost))
+    monkeypatch.setattr(
+        membership_survey.MembershipSurvey, "_is_majority", lambda self, restarted: bool(restarted)
+    )
     with pytest.raises(AssertionError):
         test_all_instances_find_the_same_outage("one", 0.0)
 
 
 def test_planted_wall_clock_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = membership_survey.MembershipSurvey.presence_for
+    original = membership_survey.MembershipSurvey.presence_for
 
-    def word(self: membership_survey.MembershipSurvey, now: float, to: int | None = None) -> Presence:
+    def presence_with_wall_clock(
+        self: membership_survey.MembershipSurvey, now: float, to: int | None = None
+    ) -> Presence:
         return dataclasses.replace(
-            plain(self, now, to), uptime_ms=now + 2e11
+            original(self, now, to), uptime_ms=now + 2e11
         )  # the defect: a wall-clock time instead of an uptime
 
-    monkeypatch.setattr(membership_survey.MembershipSurvey, "presence_for", word)
+    monkeypatch.setattr(membership_survey.MembershipSurvey, "presence_for", presence_with_wall_clock)
     with pytest.raises(AssertionError):
         test_all_instances_find_the_same_outage("all", 0.0)
 
