--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -145,9 +145,9 @@
             self.next_snapshot = min(self.next_snapshot, now)
         self.is_capacity_missing = bool(remaining)
         if now >= self.next_snapshot:
-            is_hurried = self.is_capacity_missing or self.plan is None
+            is_plan_urgent = self.is_capacity_missing or self.plan is None
             idle_ms = max(s.snapshot_interval_ms, s.idle_snapshot_interval_ms)
-            self.next_snapshot = now + (s.snapshot_interval_ms if is_hurried else idle_ms)
+            self.next_snapshot = now + (s.snapshot_interval_ms if is_plan_urgent else idle_ms)
             self._take_snapshot(now, members, remaining or {})
         if self.plan is not None and now - self.plan.made_at > s.plan_ttl_ms:
             self.plan = None
@@ -161,8 +161,8 @@
         s = self.settings
         if not members:
             self.last_report = self._next_report(now)
-        own_reports = [self.last_report] if self.last_report is not None else []
-        reports = [*own_reports, *self.reports.fresh(now, s.max_report_age_ms, members)]
+        local_reports = [self.last_report] if self.last_report is not None else []
+        reports = [*local_reports, *self.reports.fresh(now, s.max_report_age_ms, members)]
         snapshot = take_snapshot(reports, self.engines, 1 + len(members), None, s.snapshot)
         known = {zone: x for zone, x in sorted(remaining.items()) if x < 1.0 and zone in self.engines}
         if snapshot is None or not snapshot.total_demand():
@@ -305,7 +305,7 @@
     def _current_allocation(self, remaining: Mapping[str, float]) -> OutageAllocation | None:
         """Return the plan's allocation for the present outage; None if no capacity is missing or it has
         none."""
-        missing = sorted(zone for zone, x in remaining.items() if x < 1.0 and zone in self.engines)
+        missing = sorted(zone for zone, part in remaining.items() if part < 1.0 and zone in self.engines)
         if self.plan is None or not missing and not self.settings.limits_when_calm:
             return None
         return self.plan.outage_allocation(tuple(missing))
@@ -386,14 +386,14 @@
         if not members or now < self.next_report:
             return []
         self.next_report = now + s.report_interval_ms * (0.8 + 0.4 * self.random.random())
-        self.last_report = own_report = self._next_report(now)
+        self.last_report = local_report = self._next_report(now)
         if len(members) < s.gossip_from_members:
-            data = encode_site_reports([own_report])
+            data = encode_site_reports([local_report])
             return [(member, data) for member in members]
         max_relayed = math.ceil(
             len(members) / s.gossip_fanout * 2 * s.report_interval_ms / s.max_report_age_ms
         )
         fresh = [r.report for r in self.reports.newest() if now - r.received_at <= s.max_report_age_ms]
-        messages = [encode_site_reports([report]) for report in (own_report, *fresh[:max_relayed])]
+        messages = [encode_site_reports([report]) for report in (local_report, *fresh[:max_relayed])]
         targets = self.random.sample(members, s.gossip_fanout)
         return [(member, data) for member in targets for data in messages]
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -225,9 +225,9 @@
     one can't make every zone look warm.
     """
     is_alone = sum(site.home_zone == number for site in sites) < 2
-    local_filter = seen_once = seen_twice = 0
+    local_filter = reported_once = reported_twice = 0
     for site in sites:
-        seen = site.zones[number].warm_filter if number in site.zones else 0
-        local_filter |= seen if is_alone and site.home_zone == number else 0
-        seen_once, seen_twice = seen_once | seen, seen_twice | seen_once & seen
-    return local_filter | seen_twice if len(sites) > 2 else seen_once
+        reported = site.zones[number].warm_filter if number in site.zones else 0
+        local_filter |= reported if is_alone and site.home_zone == number else 0
+        reported_once, reported_twice = reported_once | reported, reported_twice | reported_once & reported
+    return local_filter | reported_twice if len(sites) > 2 else reported_once
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -46,11 +46,11 @@
             self.differs_since = math.inf
             return
         self.differs_since = min(self.differs_since, now)
-        has_lost_zone = any(
+        has_dropped_zone = any(
             not wanted.get(name) and part > settings.band for name, part in self.shares.items()
         )
         has_lasted = now - self.differs_since >= settings.confirmation_ms
-        if difference >= settings.jump or has_lost_zone or has_lasted:
+        if difference >= settings.jump or has_dropped_zone or has_lasted:
             self.shares, self.differs_since = dict(wanted), math.inf
 
 
--- a/cottonhold/fleet/failover_cost/site_observations.py
+++ b/cottonhold/fleet/failover_cost/site_observations.py
@@ -140,5 +140,5 @@
         known_ms = now - self.excess_known_since
         if known_ms < self.memory_ms / MIN_KNOWN_PART:
             return UNKNOWN_CORES
-        seen_ms = self.memory_ms * -math.expm1(-known_ms / self.memory_ms)
-        return max(self.excess_work.weight(now, "", 0) / seen_ms, 0.0)
+        observed_ms = self.memory_ms * -math.expm1(-known_ms / self.memory_ms)
+        return max(self.excess_work.weight(now, "", 0) / observed_ms, 0.0)
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -209,9 +209,9 @@
         proofs = {}
         for number, peer in self.peers.items():
             if now - peer.received_at > self.settings.max_report_age_ms:
-                own_report = SilenceReport(max(peer.received_at, self.started_at), now)
+                local_report = SilenceReport(max(peer.received_at, self.started_at), now)
                 peer_reports = [p.silences[number] for p in self.peers.values() if number in p.silences]
-                proof = prove_silence([*peer_reports, own_report], self.dispatchers, self.settings)
+                proof = prove_silence([*peer_reports, local_report], self.dispatchers, self.settings)
                 if proof is not None:
                     proofs[number] = proof
         return proofs
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -136,8 +136,8 @@
             # A loss of the fleet is recognized once more than half are back. Engines keep the share that
             # they have reached by then.
             warming.started_at = answering_since
-            of_age = min(warming.share_of_age(now, self.settings), self.settings.max_cold_share)
-            warming.share = max(warming.share, of_age)
+            age_based_share = min(warming.share_of_age(now, self.settings), self.settings.max_cold_share)
+            warming.share = max(warming.share, age_based_share)
 
     def on_engine_started(self, now: float, engine: str) -> None:
         """Process an engine's start that the list reports, or its first successful health check after
@@ -312,12 +312,12 @@
         """Update an engine's share, and free it if it is warm by the observations of this or most
         instances."""
         warming.adopt_age(now, reported)
-        own_observation = warming.observation = warming.observe(now)
+        local_observation = warming.observation = warming.observe(now)
         is_overdue = now - warming.started_at > self.settings.max_duration_ms
-        if not reported and not own_observation.speed and warming.has_answered and not is_overdue:
+        if not reported and not local_observation.speed and warming.has_answered and not is_overdue:
             warming.updated_at = now
             return
-        observations = [own_observation, *reported] if warming.has_answered else reported
+        observations = [local_observation, *reported] if warming.has_answered else reported
         pooled = warmup_messages.pool_observations(observations, unheard_factor)
         passed_ms, warming.updated_at = now - warming.updated_at, now
         if pooled.speed > 0 and not warming.has_answered:
@@ -341,14 +341,14 @@
             return []
         s, is_small_fleet = self.settings, len(members) < self.settings.gossip_from_members
         self.incarnation, self.version = self.reports.next_stamp(self.incarnation, self.version)
-        own_report = WarmupReport(
+        local_report = WarmupReport(
             self.self_id, self.incarnation, self.version, self._observations(is_small_fleet)
         )
         if is_small_fleet:
-            data = encode_warmup_reports([own_report])
+            data = encode_warmup_reports([local_report])
             return [(member, data) for member in members]
         relayed = [r.report for r in self.reports.newest() if now - r.received_at <= s.max_report_age_ms]
-        data = encode_warmup_reports([own_report, *relayed])
+        data = encode_warmup_reports([local_report, *relayed])
         return [(member, data) for member in self.random.sample(members, s.gossip_fanout)]
 
     def _observations(self, is_small_fleet: bool) -> dict[int, EngineObservation]:
--- a/cottonhold/fleet/recovery/survey_peers.py
+++ b/cottonhold/fleet/recovery/survey_peers.py
@@ -26,9 +26,9 @@
         zones: The zone of each dispatcher, by number.
         restarted: Numbers of the restarted dispatchers.
     """
-    lost = {zones[number] for number in restarted if number in zones}
+    affected = {zones[number] for number in restarted if number in zones}
     intact = {zone for number, zone in zones.items() if number not in restarted}
-    return frozenset(lost - intact)
+    return frozenset(affected - intact)
 
 
 def peers_to_report(
--- a/cottonhold/fleet/recovery/warming_engine.py
+++ b/cottonhold/fleet/recovery/warming_engine.py
@@ -68,8 +68,8 @@
             return EngineObservation(0.0, 0.0, self.share, age_ms)
         speed = upper_quartile([a.work_ms / max(a.elapsed_ms, MIN_ELAPSED_MS) for a in self.answers])
         # An engine that has answered for less than the window did its work in that shorter time.
-        seen_ms = min(max(age_ms, MIN_SEEN_MS), WINDOW_MS)
-        work_done = sum(answer.work_ms for answer in self.answers) / seen_ms / self.cores
+        observed_ms = min(max(age_ms, MIN_SEEN_MS), WINDOW_MS)
+        work_done = sum(answer.work_ms for answer in self.answers) / observed_ms / self.cores
         return EngineObservation(speed, work_done, self.share, age_ms)
 
     def adopt_age(self, now: float, observations: list[EngineObservation]) -> None:
@@ -101,21 +101,24 @@
         s = settings
         if pooled.speed <= 0:
             return False
-        best = max(pooled.speed, pooled.work_done)
+        observed_rate = max(pooled.speed, pooled.work_done)
         has_queue = pooled.speed < s.queueing_ratio * pooled.work_done
-        if best >= s.warm_speed:
+        if observed_rate >= s.warm_speed:
             self.warm_since = min(self.warm_since, now)
-        elif best < s.doubtful_speed:
+        elif observed_rate < s.doubtful_speed:
             self.warm_since = math.inf
         is_warm = now - self.warm_since >= s.warm_confirmation_ms
         max_share = UNLIMITED_SHARE if is_warm else s.max_cold_share
-        limit = min(best * (s.drain_factor if has_queue else s.growth_factor), max_share)
-        of_age = self.share_of_age(now, s)
-        limit, is_warm = max(limit, 0.0 if has_queue else of_age), is_warm or of_age >= UNLIMITED_SHARE
+        limit = min(observed_rate * (s.drain_factor if has_queue else s.growth_factor), max_share)
+        age_based_share = self.share_of_age(now, s)
+        limit, is_warm = (
+            max(limit, 0.0 if has_queue else age_based_share),
+            is_warm or age_based_share >= UNLIMITED_SHARE,
+        )
         max_factor = 2 ** (passed_ms / s.doubling_ms)
         if has_queue:
-            lowest = max(limit, self.share / max_factor, s.initial_share / 2)
-            self.share = min(lowest, self.share * max_factor)
+            reduced_share = max(limit, self.share / max_factor, s.initial_share / 2)
+            self.share = min(reduced_share, self.share * max_factor)
         else:
             self.share = max(min(limit, self.share * max_factor), self.share)
         return is_warm and self.share >= s.warm_speed
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -82,7 +82,9 @@
 
 def _encode_report(report: WarmupReport) -> bytes:
     header = HEADER.pack(report.member, report.incarnation, report.version, len(report.engines))
-    return header + b"".join(_encode_entry(number, seen) for number, seen in report.engines.items())
+    return header + b"".join(
+        _encode_entry(number, observation) for number, observation in report.engines.items()
+    )
 
 
 def _encode_entry(number: int, observation: EngineObservation) -> bytes:
