--- a/cottonhold/fleet/failover_cost/estimator.py
+++ b/cottonhold/fleet/failover_cost/estimator.py
@@ -102,7 +102,7 @@
 
     def on_health_check_answer(self, zone: str, round_trip_ms: float) -> None:
         """Record the round trip of a health check, which contains no work."""
-        self.observations.on_round_trip(zone, round_trip_ms)
+        self.observations.record_round_trip(zone, round_trip_ms)
 
     def on_message(self, now: float, data: bytes, sender: int = 0) -> bytes | None:
         """Apply a message of site reports; return one for its sender if the sender has lost its own newest
@@ -184,9 +184,9 @@
         if snapshot is None:
             return
         plan = SnapshotPlan(now, snapshot, remaining, self.settings.cost)
-        flows = plan.flows(self._while_warming(plan))
+        flows = plan.flows(self._remaining_while_cold(plan))
         for home in snapshot.homes:
-            self._follow(now, Question.FIRST, home, shares_by_zone(flows, home))
+            self._update_shares(now, Question.FIRST, home, shares_by_zone(flows, home))
 
     def _set_plan(self, plan: SnapshotPlan) -> None:
         """Use a new plan. Results that nobody requested under the old one are dropped, so that hysteresis
@@ -195,21 +195,21 @@
         self.restored_reports.clear()
         if before is not None:
             for key in list(self.stable_shares):
-                if key[0] in (Question.OUTAGE, Question.FIRST) and key not in before.followed:
+                if key[0] in (Question.OUTAGE, Question.FIRST) and key not in before.applied_questions:
                     del self.stable_shares[key]
 
-    def _while_warming(self, plan: SnapshotPlan) -> dict[str, float]:
+    def _remaining_while_cold(self, plan: SnapshotPlan) -> dict[str, float]:
         """Return the part of each zone that is usable at first if all engines are cold."""
         share = self.settings.warming_share
         return {zone: min(share, plan.remaining.get(zone, 1.0)) for zone in self.engines}
 
-    def _follow(self, now: float, question: Question, zone: str, wanted: dict[str, float]) -> None:
+    def _update_shares(self, now: float, question: Question, zone: str, wanted: dict[str, float]) -> None:
         """Update the stable answer to a question with a new result."""
         stable = self.stable_shares.get((question, zone))
         if stable is None:
             self.stable_shares[question, zone] = StableShares(wanted)
         else:
-            stable.follow(now, wanted, self.settings.hysteresis)
+            stable.update(now, wanted, self.settings.hysteresis)
 
     def projection(self, *lost_zones: str) -> Projection | None:
         """Return the cost if these zones were out now; None if that is not foreseen or there is no plan."""
@@ -220,11 +220,11 @@
         now."""
         return None if self.plan is None else self.plan.project({**self.plan.remaining, **remaining})
 
-    def neighbours(self, zone: str) -> Shares:
+    def failover_zones(self, zone: str) -> Shares:
         """Return the zones that serve a zone's clients while it is out, with their parts of the served work,
         largest first; empty without a plan."""
         if self.plan is not None and (zone,) in self.plan.foreseen:
-            self._answer_once(self.plan, Question.OUTAGE, zone, self.plan.without(zone))
+            self._apply_once(self.plan, Question.OUTAGE, zone, self.plan.without(zone))
         return self._stable_answer(Question.OUTAGE, zone)
 
     def serving_zones(self, home: str, *lost_zones: str) -> Shares:
@@ -232,7 +232,7 @@
         besides the capacity missing now; empty without a plan, or if nothing is served."""
         lost_zones = tuple(sorted(lost_zones))
         if len(lost_zones) == 1 and lost_zones[0] == home:
-            return self.neighbours(home)
+            return self.failover_zones(home)
         if self.plan is None or lost_zones and lost_zones not in self.plan.foreseen:
             return ()
         return largest_first(shares_by_zone(self.plan.flows(self.plan.without(*lost_zones)), home))
@@ -247,16 +247,16 @@
         """Return the zones that serve a home's clients first while all engines are cold, largest part first;
         empty if there are none. Until there is a plan, restored reports are used."""
         if self.plan is not None and home in self.plan.snapshot.homes:
-            self._answer_once(self.plan, Question.FIRST, home, self._while_warming(self.plan))
+            self._apply_once(self.plan, Question.FIRST, home, self._remaining_while_cold(self.plan))
         return self._stable_answer(Question.FIRST, home)
 
-    def _answer_once(
+    def _apply_once(
         self, plan: SnapshotPlan, question: Question, zone: str, remaining: Mapping[str, float]
     ) -> None:
         """Update a stable answer with a plan's result when it is first requested."""
-        if (question, zone) not in plan.followed:
-            plan.followed.add((question, zone))
-            self._follow(plan.made_at, question, zone, shares_by_zone(plan.flows(remaining), zone))
+        if (question, zone) not in plan.applied_questions:
+            plan.applied_questions.add((question, zone))
+            self._update_shares(plan.made_at, question, zone, shares_by_zone(plan.flows(remaining), zone))
 
     def _stable_answer(self, question: Question, zone: str) -> Shares:
         """Return the current stable answer to a question."""
@@ -274,7 +274,7 @@
         if allocation is None:
             self.stable_shares.pop((Question.NOW, home), None)
             return {}
-        self._follow(now, Question.NOW, home, shares_by_zone(allocation.flows, home))
+        self._update_shares(now, Question.NOW, home, shares_by_zone(allocation.flows, home))
         shares = self.stable_shares[Question.NOW, home].shares
         demand, is_home_evacuated = self.observations.offered_cores(now), remaining.get(home, 1.0) < 1.0
         by_zone = cross_zone_work(home, shares, demand, allocation, is_home_evacuated, s)
@@ -326,7 +326,7 @@
         if share is None:
             share = plan.retained_shares[question] = self._solve_retained(plan, *question)
         wanted = share if share >= self.settings.min_retained_share else 0.0
-        self._follow(now, Question.RETAINED, zone, {zone: wanted})
+        self._update_shares(now, Question.RETAINED, zone, {zone: wanted})
         return self.stable_shares[Question.RETAINED, zone].shares.get(zone, 0.0)
 
     def _solve_retained(
--- a/cottonhold/fleet/failover_cost/fleet_snapshot.py
+++ b/cottonhold/fleet/failover_cost/fleet_snapshot.py
@@ -153,18 +153,18 @@
     by_home: dict[str, list[SiteReport]] = {}
     for site in sites:
         by_home.setdefault(zone_names.get(site.home_zone, f"#{site.home_zone}"), []).append(site)
-    unheard_factor = max(live_count / len(sites), 1.0)
+    extrapolation_factor = max(live_count / len(sites), 1.0)
     homes = {}
     for home in sorted(by_home):
         round_trips = _round_trips(sites, by_home[home][0].home_zone, zones, settings.default_round_trip_ms)
-        homes[home] = _home(by_home[home], rates, unheard_factor, round_trips, zone_names)
+        homes[home] = _home(by_home[home], rates, extrapolation_factor, round_trips, zone_names)
     return homes
 
 
 def _home(
     sites: list[SiteReport],
     rates: Mapping[int, Mapping[int, float]],
-    unheard_factor: float,
+    extrapolation_factor: float,
     round_trips_ms: dict[str, float],
     zone_names: Mapping[int, str],
 ) -> HomeZone:
@@ -173,13 +173,13 @@
     Args:
         sites: The reports.
         rates: The capped work by density step of each site, by member.
-        unheard_factor: Number of instances for each one that reported.
+        extrapolation_factor: Number of instances for each one that reported.
         round_trips_ms: Round trip to each zone.
         zone_names: Name of each zone, by number.
     """
     steps = sorted({step for site in sites for step in rates[site.member]})
     total = {
-        step: math.fsum(rates[site.member].get(step, 0.0) for site in sites) * unheard_factor
+        step: math.fsum(rates[site.member].get(step, 0.0) for site in sites) * extrapolation_factor
         for step in steps
     }
     work = {site.member: math.fsum(rates[site.member].values()) for site in sites}
--- a/cottonhold/fleet/failover_cost/hysteresis.py
+++ b/cottonhold/fleet/failover_cost/hysteresis.py
@@ -36,7 +36,7 @@
     shares: dict[str, float]
     differs_since: float = math.inf
 
-    def follow(self, now: float, wanted: Mapping[str, float], settings: HysteresisSettings) -> None:
+    def update(self, now: float, wanted: Mapping[str, float], settings: HysteresisSettings) -> None:
         """Process the shares that are wanted now. A zone whose share becomes 0 is dropped immediately."""
         names = wanted.keys() | self.shares.keys()
         difference = max(
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -238,7 +238,7 @@
     baseline = current or solve_with_cold_work(snapshot, {}, s).allocation
     problem, allocation = solution or solve_with_cold_work(snapshot, remaining, s)
     flows = flows_by_pair(allocation.flows)
-    usual = flows_as_served(snapshot, flows_by_pair(baseline.flows))
+    usual = flows_served_now(snapshot, flows_by_pair(baseline.flows))
     served_utility = _utility(allocation.flows)
     moved = _moved_work(flows, usual)
     cold_cores = _cold_cores(snapshot, flows, s)
@@ -314,7 +314,7 @@
     return {pair: math.fsum(parts) for pair, parts in flows_of_pair.items()}
 
 
-def flows_as_served(snapshot: FleetSnapshot, flows: ZoneFlows) -> dict[tuple[str, str], float]:
+def flows_served_now(snapshot: FleetSnapshot, flows: ZoneFlows) -> dict[tuple[str, str], float]:
     """Return the work served now, by home and zone: as instances report it, otherwise as allocated.
 
     An allocation serves each home in its own zone as far as possible, while in operation all zones may serve
--- a/cottonhold/fleet/failover_cost/simplex.py
+++ b/cottonhold/fleet/failover_cost/simplex.py
@@ -47,7 +47,7 @@
     assignments: list[Assignment] = field(default_factory=list)
 
 
-class Demand(NamedTuple):
+class HomeDemand(NamedTuple):
     """A home's demand; both sums have one entry more than there are steps.
 
     Attributes:
@@ -63,7 +63,7 @@
     utility_below: list[float]
 
 
-class Option(NamedTuple):
+class ZoneOption(NamedTuple):
     """A zone that may serve a home.
 
     Attributes:
@@ -81,17 +81,17 @@
     retained: float
 
 
-def _demand(rates: Mapping[int, float]) -> Demand:
+def _home_demand(rates: Mapping[int, float]) -> HomeDemand:
     steps = sorted(step for step, work in rates.items() if work > 0)
     utilities = [utility_of_step(step) for step in steps]
     work_below, utility_below = [0.0], [0.0]
     for step, utility in zip(steps, utilities, strict=True):
         work_below.append(work_below[-1] + rates[step])
         utility_below.append(utility_below[-1] + rates[step] * utility)
-    return Demand(steps, utilities, work_below, utility_below)
+    return HomeDemand(steps, utilities, work_below, utility_below)
 
 
-def _cost(column: Column, prices: list[float]) -> float:
+def _column_cost(column: Column, prices: list[float]) -> float:
     """Return the cost of what a column uses, at these prices."""
     total = 0.0
     for row, amount in column.usage.items():
@@ -125,15 +125,15 @@
         self.options = {
             home: [self._option(home, zone) for zone in problem.open_zones(home)] for home in self.homes
         }
-        self.demand = {home: _demand(problem.demand[home]) for home in self.homes}
+        self.demand = {home: _home_demand(problem.demand[home]) for home in self.homes}
         highest = max(
             (utility_of_step(step) for rates in problem.demand.values() for step in rates), default=0.0
         )
         self.min_utility = EPSILON * max(highest, EPSILON)
 
-    def _option(self, home: str, zone: str) -> Option:
+    def _option(self, home: str, zone: str) -> ZoneOption:
         row, pair = self.zone_row[zone], (home, zone)
-        return Option(
+        return ZoneOption(
             zone,
             row,
             len(self.zones) + row if zone != home else NO_ROW,
@@ -192,12 +192,12 @@
         chosen, highest, all_gains = None, self.min_utility * MIN_GAIN_EPSILONS, 0.0
         for home in self.homes:
             column = self.best_column_of_home(home, prices)
-            gain = column.gain - _cost(column, prices)
+            gain = column.gain - _column_cost(column, prices)
             all_gains += max(gain, 0.0)
             if gain > highest:
                 chosen, highest = column, gain
         for column in self.congestion:
-            gain = column.gain - _cost(column, prices)
+            gain = column.gain - _column_cost(column, prices)
             if gain > highest:
                 chosen, highest = column, gain
         for row, price in enumerate(prices):
@@ -207,7 +207,7 @@
 
     def congestion_gain(self, prices: list[float]) -> float:
         """Return the most that congested capacity could still gain at these prices."""
-        gains = [column.gain - _cost(column, prices) for column in self.congestion]
+        gains = [column.gain - _column_cost(column, prices) for column in self.congestion]
         return sum(
             max(gain, 0.0) * self.problem.congested_capacity.get(zone, 0.0)
             for zone, gain in zip(self.zones, gains, strict=True)
@@ -230,7 +230,7 @@
 
     def enter(self, column: Column) -> bool:
         """Let a column enter the basis; return False if no row limits it."""
-        direction = [_cost(column, row) for row in self.inverse]
+        direction = [_column_cost(column, row) for row in self.inverse]
         leaving, min_ratio = NO_ROW, math.inf
         for i, change in enumerate(direction):
             if change > EPSILON and self.levels[i] / change < min_ratio - RATIO_TOLERANCE:
--- a/cottonhold/fleet/failover_cost/site_observations.py
+++ b/cottonhold/fleet/failover_cost/site_observations.py
@@ -55,7 +55,7 @@
             self.excess_work.add(now, "", 0, excess_work_ms)
             self.excess_known_since = min(self.excess_known_since, now)
 
-    def on_round_trip(self, zone: str, round_trip_ms: float) -> None:
+    def record_round_trip(self, zone: str, round_trip_ms: float) -> None:
         """Include a round trip to a zone in its mean."""
         mean_ms = self.round_trips_ms.get(zone, round_trip_ms)
         self.round_trips_ms[zone] = mean_ms * (1 - ROUND_TRIP_GAIN) + round_trip_ms * ROUND_TRIP_GAIN
--- a/cottonhold/fleet/failover_cost/snapshot_plan.py
+++ b/cottonhold/fleet/failover_cost/snapshot_plan.py
@@ -19,7 +19,7 @@
     solve_with_cold_work,
 )
 
-Parts = tuple[tuple[str, float], ...]  # zones that have less than all, in order, and their parts
+ZoneParts = tuple[tuple[str, float], ...]  # zones that have less than all, in order, and their parts
 Shares = tuple[tuple[str, float], ...]  # zones and their parts of the work, largest first
 RetentionQuestion = tuple[str, float, float]  # zone, available part of its cores, successful part of attempts
 
@@ -45,7 +45,7 @@
     return {zone: cores / total for zone, cores in served.items()} if total > 0 else {}
 
 
-def _parts(shares: Mapping[str, float]) -> Parts:
+def _parts(shares: Mapping[str, float]) -> ZoneParts:
     return tuple(sorted((zone, part) for zone, part in shares.items() if part != 1.0))
 
 
@@ -60,7 +60,7 @@
         settings: Settings of the cost model.
         foreseen: Additional outages that may be asked for, each as the names of its zones in order.
         retained_shares, outage_allocations, projections, solutions, flows_by_remaining: Results so far.
-        followed: Questions whose results have been applied to the stable answers.
+        applied_questions: Questions whose results have been applied to the stable answers.
     """
 
     made_at: float
@@ -71,9 +71,9 @@
     retained_shares: dict[RetentionQuestion, float] = field(default_factory=dict)
     outage_allocations: dict[tuple[str, ...], OutageAllocation | None] = field(default_factory=dict)
     projections: dict[tuple[str, ...], Projection] = field(default_factory=dict)
-    solutions: dict[tuple[Parts, Parts], Solution] = field(default_factory=dict)
-    flows_by_remaining: dict[Parts, dict[tuple[str, str], float]] = field(default_factory=dict)
-    followed: set[tuple[object, str]] = field(default_factory=set)
+    solutions: dict[tuple[ZoneParts, ZoneParts], Solution] = field(default_factory=dict)
+    flows_by_remaining: dict[ZoneParts, dict[tuple[str, str], float]] = field(default_factory=dict)
+    applied_questions: set[tuple[object, str]] = field(default_factory=set)
 
     def solve(
         self, remaining: Mapping[str, float], success_shares: Mapping[str, float] | None = None
--- a/cottonhold/fleet/recovery/cached_engines.py
+++ b/cottonhold/fleet/recovery/cached_engines.py
@@ -16,7 +16,7 @@
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.store.records import MAX_RECORDS, Hint, Record, RecordError, RecordKind
 
-REASON = "remembered from before the start"  # shown to operators
+CACHED_REASON = "remembered from before the start"  # shown to operators
 
 
 class CachedEngine(msgspec.Struct, array_like=True, frozen=True):
@@ -73,7 +73,7 @@
                 Observation(
                     engine_id,
                     ServiceStatus.IN_SERVICE,
-                    REASON,
+                    CACHED_REASON,
                     address,
                     zone,
                     machine_type,
@@ -88,23 +88,23 @@
         records = []
         if change.is_complete:
             removed = self.engines.keys() - {engine.id for engine in change.engines}
-            records += [self._forget(engine_id) for engine_id in sorted(removed)]
+            records += [self._remove(engine_id) for engine_id in sorted(removed)]
         for engine in change.engines:
             if engine.state is not EngineState.LIVE:
-                records += [self._forget(engine.id)] if engine.id in self.engines else []
+                records += [self._remove(engine.id)] if engine.id in self.engines else []
                 continue
-            cached = self._cached(engine, change.addresses.get(engine.id))
+            cached = self._to_cached(engine, change.addresses.get(engine.id))
             if cached is not None and cached != self.engines.get(engine.id):
                 self.engines[engine.id] = cached
                 data = Hint(msgspec.msgpack.encode(cached), 0.0).encode()
                 records.append(Record(RecordKind.ENGINE_ADDRESS, engine.id.encode(), data))
         return records
 
-    def _forget(self, engine_id: str) -> Record:
+    def _remove(self, engine_id: str) -> Record:
         del self.engines[engine_id]
         return Record(RecordKind.ENGINE_ADDRESS, engine_id.encode(), None)
 
-    def _cached(self, engine: Engine, address: Address | None) -> CachedEngine | None:
+    def _to_cached(self, engine: Engine, address: Address | None) -> CachedEngine | None:
         """Return what to cache of an engine; None if its address is unknown or too many are cached."""
         known = self.engines.get(engine.id)
         known_address = known.address if known is not None else ""
--- a/cottonhold/fleet/recovery/first_checker.py
+++ b/cottonhold/fleet/recovery/first_checker.py
@@ -10,7 +10,7 @@
 
 
 @functools.lru_cache(maxsize=CACHED_ORDERS)
-def _order(engine: str, dispatchers: int) -> tuple[int, ...]:
+def _check_order(engine: str, dispatchers: int) -> tuple[int, ...]:
     return tuple(sorted(range(dispatchers), key=lambda number: -score(number + 1, 1.0, engine)))
 
 
@@ -26,5 +26,5 @@
         dispatchers: Number of configured dispatchers.
         slot_ms: Length of a time slot, in ms.
     """
-    order = _order(engine, dispatchers)
+    order = _check_order(engine, dispatchers)
     return order[int(max(passed_ms, 0.0) / slot_ms) % dispatchers]
--- a/cottonhold/fleet/recovery/load_history.py
+++ b/cottonhold/fleet/recovery/load_history.py
@@ -139,7 +139,7 @@
         if pending is not None:
             pending.deadlines[request_id], self.load_by_request[request_id] = deadline, load
             return None
-        queried = None if self.local.is_full(load) else self.local.note_query(now, load, self.number)
+        queried = None if self.local.is_full(load) else self.local.record_query(now, load, self.number)
         if queried is None or len(self.pending) >= self.settings.max_loads:
             self.counters["full"] += 1
             return LoadKnowledge.NOT_KNOWN_YET
@@ -172,9 +172,9 @@
         knowledge = self._knowledge(now, load)
         if knowledge is not None:
             return knowledge
-        if self.local.note_query(now, load, self.number) is None:
+        if self.local.record_query(now, load, self.number) is None:
             return LoadKnowledge.MAY_HAVE_RUN
-        return self._unconfirmed(now, load)
+        return self._unconfirmed_answer(now, load)
 
     def _knowledge(self, now: float, load: bytes) -> LoadKnowledge | None:
         """Return what this instance's own records decide; None if others must be queried."""
@@ -205,7 +205,7 @@
 
         With an empty folder, which has no record of what the last boot sent, it is never NEVER_SENT.
         """
-        queried = self.local.note_query(now, load, number)
+        queried = self.local.record_query(now, load, number)
         if queried is None:
             return LoadStatement.UNKNOWN  # NOT_KNOWN_YET would mean that this query has been recorded
         knowledge = self._knowledge(now, load)
@@ -216,7 +216,7 @@
             if priority(self.number, load) > priority(number, load):
                 return LoadStatement.MAY_HAVE_RUN
             self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
-        if self.local.is_late(now, queried):
+        if self.local.may_be_forgotten(now, queried):
             return LoadStatement.UNKNOWN
         if self.local.may_predate_start(queried):
             if self.fleet.memory is not MemoryState.INTACT:
@@ -238,7 +238,7 @@
             pending = self.pending.get(load)
             if pending is None or query.sent_at < pending.started_at:
                 continue
-            pending.noted_by.add(number)
+            pending.recorded_by.add(number)
             if verdict.statement is not LoadStatement.NOT_KNOWN_YET:
                 pending.statements[number] = verdict.statement
                 pending.query_at.pop(number, None)
@@ -288,12 +288,12 @@
             return
         queried = self.local.queried[load]
         may_predate = self.local.may_predate_start(queried)
-        if self._is_in_doubt(now, queried, pending, unanswered):
+        if self._may_have_run(now, queried, pending, unanswered):
             self._settle(load, LoadKnowledge.MAY_HAVE_RUN)
         elif self.fleet.may_send_loads and (self.fleet.has_confirmed_memory or not may_predate):
             self._settle(load, LoadKnowledge.NEVER_SENT)
 
-    def _is_in_doubt(
+    def _may_have_run(
         self, now: float, queried: QueriedLoad, pending: PendingRetry, unanswered: list[int]
     ) -> bool:
         """Return whether a load may have run although nobody reports it.
@@ -303,7 +303,7 @@
         retried for so long that the sender, on either side of a partition, may have dropped its record.
         """
         statements = pending.statements.values()
-        if LoadStatement.UNKNOWN in statements or self.local.is_late(now, queried):
+        if LoadStatement.UNKNOWN in statements or self.local.may_be_forgotten(now, queried):
             return True
         if self.local.may_predate_start(queried) and self.fleet.memory is not MemoryState.INTACT:
             return True
@@ -335,11 +335,11 @@
         """Answer clients whose deadline has passed."""
         for request_id in [i for i, deadline in pending.deadlines.items() if deadline <= now]:
             del pending.deadlines[request_id]
-            self._conclude(request_id, load, self._unsettled(now, load, pending))
+            self._conclude(request_id, load, self._unsettled_answer(now, load, pending))
         if not pending.deadlines:
             del self.pending[load]
 
-    def _unsettled(self, now: float, load: bytes, pending: PendingRetry) -> LoadKnowledge:
+    def _unsettled_answer(self, now: float, load: bytes, pending: PendingRetry) -> LoadKnowledge:
         """Return the answer to a retry that could not be settled before its deadline.
 
         A dispatcher that answered UNKNOWN may later answer NEVER_SENT for what it sent before it lost its
@@ -349,10 +349,10 @@
         """
         if LoadStatement.UNKNOWN in pending.statements.values():
             return LoadKnowledge.MAY_HAVE_RUN
-        is_noted = 2 * (1 + len(pending.noted_by)) > len(self.others)
-        return LoadKnowledge.NOT_KNOWN_YET if is_noted else self._unconfirmed(now, load)
+        is_noted = 2 * (1 + len(pending.recorded_by)) > len(self.others)
+        return LoadKnowledge.NOT_KNOWN_YET if is_noted else self._unconfirmed_answer(now, load)
 
-    def _unconfirmed(self, now: float, load: bytes) -> LoadKnowledge:
+    def _unconfirmed_answer(self, now: float, load: bytes) -> LoadKnowledge:
         """Return the answer to a retry that too few others have recorded: the client may retry later, but not
         for long, since the sender of the load will drop its record."""
         queried_ms = now - self.local.queried[load].first_at
@@ -381,7 +381,7 @@
                 self.counters["asks"] += 1
 
     def _has_announcement(self) -> bool:
-        return bool(self.local.open) and self.announced < self.settings.announcements
+        return bool(self.local.unfinished) and self.announced < self.settings.announcements
 
     def _announce(self, now: float) -> None:
         """Announce the loads of earlier boots whose end is not known, if an announcement is due."""
@@ -389,6 +389,6 @@
             return
         self.announced += 1
         self.next_announcement = now + self.settings.max_retry_ms
-        for batch in batches(self.local.open):
+        for batch in batches(self.local.unfinished):
             data = encode(OpenLoads(batch))
             self.actions += [SendToDispatcher(number, data) for number in self.others]
--- a/cottonhold/fleet/recovery/load_queries.py
+++ b/cottonhold/fleet/recovery/load_queries.py
@@ -33,7 +33,7 @@
         statements: Final answer of each dispatcher, by its number.
         query_at: Time of the next query to each dispatcher that has not answered, in ms, by its number.
         retry_ms: Time from the next query to a dispatcher until it is repeated, by the dispatcher's number.
-        noted_by: Numbers of the dispatchers that have recorded this retry.
+        recorded_by: Numbers of the dispatchers that have recorded this retry.
     """
 
     started_at: float
@@ -41,7 +41,7 @@
     statements: dict[int, LoadStatement] = field(default_factory=dict)
     query_at: dict[int, float] = field(default_factory=dict)
     retry_ms: dict[int, float] = field(default_factory=dict)
-    noted_by: set[int] = field(default_factory=set)
+    recorded_by: set[int] = field(default_factory=set)
 
 
 class LoadQueries:
--- a/cottonhold/fleet/recovery/local_loads.py
+++ b/cottonhold/fleet/recovery/local_loads.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class SentLoad:
     """What this instance knows of a load that it sent.
 
     Attributes:
@@ -102,14 +102,14 @@
     ) -> None:
         self.retention_ms, self.max_loads, self.started_at = retention_ms, max_loads, now
         self.partitioned_at = -math.inf  # when an instance not proven silent was last unreachable
-        self.entries: dict[bytes, Entry] = {}
+        self.entries: dict[bytes, SentLoad] = {}
         self.queried: dict[bytes, QueriedLoad] = {}
         self.reported: dict[bytes, float] = {}  # expiry of each load that other instances reported as open
         for earlier in recorded:
             if earlier.result is not LoadResult.NEVER_RAN:
                 succeeded = earlier.result is LoadResult.SUCCEEDED
-                self.entries[earlier.load] = Entry(0, not succeeded, succeeded, now + retention_ms)
-        self.open = [earlier.load for earlier in recorded if earlier.result is None]
+                self.entries[earlier.load] = SentLoad(0, not succeeded, succeeded, now + retention_ms)
+        self.unfinished = [earlier.load for earlier in recorded if earlier.result is None]
 
     def is_full(self, load: bytes) -> bool:
         """Return whether a load has no entry and there is no capacity for one."""
@@ -117,7 +117,7 @@
 
     def begin(self, load: bytes) -> None:
         """Record that a run of a load may be sent from now on."""
-        entry = self.entries.setdefault(load, Entry())
+        entry = self.entries.setdefault(load, SentLoad())
         entry.open_runs, entry.expires_at = entry.open_runs + 1, math.inf
 
     def end(self, now: float, load: bytes, result: LoadResult) -> None:
@@ -141,7 +141,7 @@
             return LoadKnowledge.MAY_HAVE_RUN
         return LoadKnowledge.SUCCEEDED if entry is not None and entry.succeeded else None
 
-    def note_query(self, now: float, load: bytes, dispatcher: int) -> QueriedLoad | None:
+    def record_query(self, now: float, load: bytes, dispatcher: int) -> QueriedLoad | None:
         """Record that a dispatcher has a retry of a load pending; return None if there is no capacity."""
         queried = self.queried.get(load)
         if queried is None:
@@ -162,7 +162,7 @@
         """Return whether a queried load may have been sent before this start."""
         return queried.first_at <= self.started_at + self.retention_ms
 
-    def is_late(self, now: float, queried: QueriedLoad) -> bool:
+    def may_be_forgotten(self, now: float, queried: QueriedLoad) -> bool:
         """Return whether a load has been queried for so long that its sender may have dropped its record.
 
         A load sent at s is recorded until s + `retention_ms` at least, and its client first queries it at s +
--- a/cottonhold/fleet/recovery/membership_survey.py
+++ b/cottonhold/fleet/recovery/membership_survey.py
@@ -29,10 +29,10 @@
 from cottonhold.fleet.recovery.silence_proof import prove_silence
 from cottonhold.fleet.recovery.survey_peers import (
     MIN_REACHABLE_PEERS,
+    fully_restarted_zones,
     peers_to_report,
     rotated,
     unclean_starts,
-    zones_lost,
 )
 from cottonhold.fleet.recovery.survey_results import (
     Action,
@@ -92,14 +92,14 @@
             if n != number
         }
         self.checkpoint = self.requested_checkpoint = checkpoint  # stored; requested to be stored
-        self.is_memory_confirmed = self.is_memory_doubted = False
+        self.is_memory_confirmed = self.is_memory_disputed = False
         self.checkpoint_requested_at = now
         self.number_by_member: dict[int, int] = {}
         self.live: list[int] = []
         self.next_target = 0  # index in `live` of the member that receives the next report
         self.rotation = 0  # rotates the peers that a report contains
         self.view = SurveyView()
-        self.covered_until = -math.inf  # starts up to this time belong to a loss of the fleet that is over
+        self.past_outage_until = -math.inf  # starts up to then belong to an earlier loss of the fleet
         self.quorum_reachable_at = now  # when half of the configured dispatchers were last reachable
         self.duplicate: DuplicateIdentity | None = None
         self.actions: list[Action] = []
@@ -160,7 +160,7 @@
         if peer.member != member:
             silent_ms = now - peer.received_at
             if peer.member and silent_ms < self.settings.rebind_ms:
-                peer.rivals += silent_ms < self.settings.max_report_age_ms
+                peer.rival_reports += silent_ms < self.settings.max_report_age_ms
                 return None
             self.number_by_member.pop(peer.member, None)
             peer.member = member
@@ -194,15 +194,15 @@
         """
         if self.duplicate is not None and self.duplicate.is_later:
             return False
-        if self.memory is MemoryState.INTACT and not (self.is_memory_confirmed or self.is_memory_doubted):
+        if self.memory is MemoryState.INTACT and not (self.is_memory_confirmed or self.is_memory_disputed):
             return False
         oldest = now - self.settings.lease_ms
-        return 2 * (1 + sum(peer.echoed_at > oldest for peer in self.peers.values())) >= self.dispatchers
+        return 2 * (1 + sum(p.acknowledged_sent_at > oldest for p in self.peers.values())) >= self.dispatchers
 
     def has_confirmed_memory(self) -> bool:
         """Return whether the memory is intact and others with intact memory know of no later checkpoint."""
         is_intact = self.memory is MemoryState.INTACT
-        return is_intact and self.is_memory_confirmed and not self.is_memory_doubted
+        return is_intact and self.is_memory_confirmed and not self.is_memory_disputed
 
     def proven_silent(self, now: float) -> dict[int, ProvenSilence]:
         """Return the proofs that others have sent no load for a while, by number."""
@@ -261,7 +261,7 @@
         missing = frozenset(self.peers.keys() - reachable)
         if 2 * len(reachable) >= self.dispatchers:
             self.quorum_reachable_at = now
-        zones = zones_lost(self.zones, restarted)
+        zones = fully_restarted_zones(self.zones, restarted)
         verdict = self._verdict(now, restarted, zones)
         first_start = min((starts[number] for number in restarted), default=-math.inf)
         if verdict is self.view.verdict is OutageVerdict.FLEET:
@@ -272,12 +272,12 @@
     def _restarted_since(self, now: float) -> float:
         """Return the time since when a start counts as a restart: during a loss of the fleet its first start;
         once it is over, only starts after its end."""
-        since = max(now - self.settings.recent_start_ms, self.covered_until)
+        since = max(now - self.settings.recent_start_ms, self.past_outage_until)
         if self.view.verdict is not OutageVerdict.FLEET:
             return since
         if now > self.view.first_start + self.settings.recent_start_ms:
-            self.covered_until = max(self.covered_until, now)
-            return self.covered_until
+            self.past_outage_until = max(self.past_outage_until, now)
+            return self.past_outage_until
         return min(since, self.view.first_start - 1)
 
     def _verdict(self, now: float, restarted: frozenset[int], zones: frozenset[str]) -> OutageVerdict:
@@ -353,7 +353,7 @@
         views = [
             p.view_of_self for p in witnesses if p.memory is MemoryState.INTACT and p.view_of_self is not None
         ]
-        self.is_memory_doubted |= any(view.is_stale or view.boot_count > self.boot_count for view in views)
+        self.is_memory_disputed |= any(view.is_stale or view.boot_count > self.boot_count for view in views)
         has_waited = now - self.started_at >= self.settings.settle_ms
         has_enough_views = len(witnesses) == len(self.peers) or has_waited
         needed = max(1, (self.dispatchers + 1) // 2 - 1)
--- a/cottonhold/fleet/recovery/messages.py
+++ b/cottonhold/fleet/recovery/messages.py
@@ -32,13 +32,13 @@
 LOAD_ANSWER = 8
 OPEN_LOADS = 9
 
-HEADER = struct.Struct("!BHIQIIBB")
-PEER = struct.Struct("!HIIIHB")
-SERIAL = struct.Struct("!BIIB")
-VERDICT = struct.Struct("!BB")
+PRESENCE_HEADER = struct.Struct("!BHIQIIBB")
+PEER_ENTRY = struct.Struct("!HIIIHB")
+LOADS_HEADER = struct.Struct("!BIIB")
+VERDICT_ENTRY = struct.Struct("!BB")
 LOAD_ID_BYTES = 16
-MAX_PEER_STATES = (MAX_MESSAGE_BYTES - HEADER.size) // PEER.size
-MAX_LOADS = (MAX_MESSAGE_BYTES - SERIAL.size) // LOAD_ID_BYTES
+MAX_PEER_STATES = (MAX_MESSAGE_BYTES - PRESENCE_HEADER.size) // PEER_ENTRY.size
+MAX_LOADS = (MAX_MESSAGE_BYTES - LOADS_HEADER.size) // LOAD_ID_BYTES
 # A checkpoint is a boot count times this, plus the number of marks of that boot's incarnation.
 CHECKPOINTS_PER_BOOT = 1 << 32
 AGE_STEP_MS = 10.0
@@ -46,8 +46,8 @@
 
 # Bits of the flags.
 MEMORY_BITS = 3
-CLEAN_BIT = 4
-PRESENCE_BITS = MEMORY_BITS | CLEAN_BIT
+CLEAN_SHUTDOWN_BIT = 4
+PRESENCE_BITS = MEMORY_BITS | CLEAN_SHUTDOWN_BIT
 DUPLICATE_BIT = 1
 STALE_BIT = 2
 PEER_BITS = DUPLICATE_BIT | STALE_BIT
@@ -165,40 +165,40 @@
         case Presence():
             return _encode_presence(message)
         case LoadQuery(boot_count, serial, loads):
-            return SERIAL.pack(LOAD_QUERY, boot_count, serial, len(loads)) + b"".join(loads)
+            return LOADS_HEADER.pack(LOAD_QUERY, boot_count, serial, len(loads)) + b"".join(loads)
         case LoadAnswer(boot_count, serial, verdicts):
-            entries = [VERDICT.pack(verdict.index, verdict.statement) for verdict in verdicts]
-            return SERIAL.pack(LOAD_ANSWER, boot_count, serial, len(entries)) + b"".join(entries)
+            entries = [VERDICT_ENTRY.pack(verdict.index, verdict.statement) for verdict in verdicts]
+            return LOADS_HEADER.pack(LOAD_ANSWER, boot_count, serial, len(entries)) + b"".join(entries)
         case OpenLoads(loads):
             return bytes((OPEN_LOADS, len(loads))) + b"".join(loads)
 
 
 def _encode_presence(presence: Presence) -> bytes:
-    header = HEADER.pack(
+    header = PRESENCE_HEADER.pack(
         PRESENCE,
         presence.number,
         presence.boot_count,
         presence.checkpoint,
         presence.incarnation,
-        _steps(presence.uptime_ms, 1, MAX_UINT32),
-        presence.memory | presence.was_clean_shutdown * CLEAN_BIT,
+        _to_steps(presence.uptime_ms, 1, MAX_UINT32),
+        presence.memory | presence.was_clean_shutdown * CLEAN_SHUTDOWN_BIT,
         len(presence.peers),
     )
     return header + b"".join(map(_encode_peer, presence.peers))
 
 
 def _encode_peer(peer: PeerState) -> bytes:
-    return PEER.pack(
+    return PEER_ENTRY.pack(
         peer.number,
         peer.boot_count,
         peer.incarnation,
-        _steps(peer.uptime_ms, 1, MAX_UINT32),
-        AGE_NEVER if peer.age_ms is None else _steps(peer.age_ms, AGE_STEP_MS, AGE_NEVER - 1),
+        _to_steps(peer.uptime_ms, 1, MAX_UINT32),
+        AGE_NEVER if peer.age_ms is None else _to_steps(peer.age_ms, AGE_STEP_MS, AGE_NEVER - 1),
         peer.is_duplicate * DUPLICATE_BIT | peer.is_stale * STALE_BIT,
     )
 
 
-def _steps(ms: float, step_ms: float, max_steps: int) -> int:
+def _to_steps(ms: float, step_ms: float, max_steps: int) -> int:
     return min(max(int(ms / step_ms), 0), max_steps)
 
 
@@ -213,9 +213,9 @@
             return _decode_presence(data)
         if data[:1] == bytes((OPEN_LOADS,)):
             return OpenLoads(_decode_loads(data, 2, data[1]))
-        kind, boot_count, serial, count = SERIAL.unpack_from(data)
+        kind, boot_count, serial, count = LOADS_HEADER.unpack_from(data)
         if kind == LOAD_QUERY:
-            return LoadQuery(boot_count, serial, _decode_loads(data, SERIAL.size, count))
+            return LoadQuery(boot_count, serial, _decode_loads(data, LOADS_HEADER.size, count))
         if kind == LOAD_ANSWER:
             return LoadAnswer(boot_count, serial, _decode_verdicts(data, count))
     except (struct.error, IndexError):
@@ -224,13 +224,15 @@
 
 
 def _decode_presence(data: bytes) -> Presence:
-    _, number, boot_count, checkpoint, incarnation, uptime_ms, flags, count = HEADER.unpack_from(data)
-    if len(data) != HEADER.size + count * PEER.size:
+    _, number, boot_count, checkpoint, incarnation, uptime_ms, flags, count = PRESENCE_HEADER.unpack_from(
+        data
+    )
+    if len(data) != PRESENCE_HEADER.size + count * PEER_ENTRY.size:
         raise MessageError("wrong message length")
     if not boot_count or flags > PRESENCE_BITS or flags & MEMORY_BITS > MemoryState.STALE:
         raise MessageError("invalid boot count or flags")
-    memory, was_clean = MemoryState(flags & MEMORY_BITS), bool(flags & CLEAN_BIT)
-    peers = tuple(_decode_peer(*fields) for fields in PEER.iter_unpack(data[HEADER.size :]))
+    memory, was_clean = MemoryState(flags & MEMORY_BITS), bool(flags & CLEAN_SHUTDOWN_BIT)
+    peers = tuple(_decode_peer(*fields) for fields in PEER_ENTRY.iter_unpack(data[PRESENCE_HEADER.size :]))
     return Presence(number, boot_count, checkpoint, incarnation, uptime_ms, memory, was_clean, peers)
 
 
@@ -251,9 +253,9 @@
 
 
 def _decode_verdicts(data: bytes, count: int) -> tuple[LoadVerdict, ...]:
-    if not count or len(data) != SERIAL.size + count * VERDICT.size:
+    if not count or len(data) != LOADS_HEADER.size + count * VERDICT_ENTRY.size:
         raise MessageError("wrong message length")
-    entries = VERDICT.iter_unpack(data[SERIAL.size :])
+    entries = VERDICT_ENTRY.iter_unpack(data[LOADS_HEADER.size :])
     try:
         return tuple(LoadVerdict(index, LoadStatement(statement)) for index, statement in entries)
     except ValueError:
--- a/cottonhold/fleet/recovery/peer_observations.py
+++ b/cottonhold/fleet/recovery/peer_observations.py
@@ -53,12 +53,12 @@
         current: The current incarnation, if any has reported.
         previous: The incarnation before the current one.
         alternations: How often the current and the previous incarnation reported in turns.
-        rivals: Reports of other members for this number while the bound member was alive.
+        rival_reports: Reports of other members for this number while the bound member was alive.
         has_stale_folder: Whether the incarnation started with a lower checkpoint than a known one.
         was_clean_shutdown: Whether the incarnation before the current one was shut down cleanly.
         memory: The state of its memory, as last reported.
         received_at: When its last report arrived.
-        echoed_at: When this instance sent the newest of its reports that the peer has received.
+        acknowledged_sent_at: When this instance sent the newest of its reports that the peer has received.
         view_of_self: What it last reported of this instance.
         silences: Its reports on dispatchers that it receives nothing from, by number.
     """
@@ -70,12 +70,12 @@
     current: Incarnation | None = None
     previous: Incarnation | None = None
     alternations: int = 0
-    rivals: int = 0
+    rival_reports: int = 0
     has_stale_folder: bool = False
     was_clean_shutdown: bool = True
     memory: MemoryState = MemoryState.EMPTY
     received_at: float = -math.inf
-    echoed_at: float = -math.inf
+    acknowledged_sent_at: float = -math.inf
     view_of_self: PeerState | None = None
     silences: dict[int, SilenceReport] = field(default_factory=dict)
 
@@ -113,16 +113,16 @@
             self.alternations += 1
             self.previous, self.current = current, previous
             return previous
-        self.alternations, self.rivals, self.previous, self.has_stale_folder = 0, 0, current, False
+        self.alternations, self.rival_reports, self.previous, self.has_stale_folder = 0, 0, current, False
         self.current = Incarnation(presence.incarnation, now - presence.uptime_ms, -1.0)
-        self.silences, self.view_of_self, self.echoed_at = {}, None, -math.inf
+        self.silences, self.view_of_self, self.acknowledged_sent_at = {}, None, -math.inf
         return self.current
 
     def on_view_of_self(self, state: PeerState, incarnation: int, started_at: float) -> None:
         """Record what the peer reports of this instance, whose incarnation began at `started_at`."""
         self.view_of_self = state
         if state.incarnation == incarnation and state.age_ms is not None:
-            self.echoed_at = max(self.echoed_at, started_at + state.uptime_ms)
+            self.acknowledged_sent_at = max(self.acknowledged_sent_at, started_at + state.uptime_ms)
 
     def on_view_of_third(self, now: float, state: PeerState, max_report_age_ms: float) -> None:
         """Record what the peer reports of a third dispatcher; called after `on_view_of_self` for the same
@@ -136,7 +136,7 @@
             self.silences.pop(state.number, None)
             return
         last_contact_before = self.current.started_at if state.age_ms is None else now - state.age_ms
-        self.silences[state.number] = SilenceReport(last_contact_before, self.echoed_at)
+        self.silences[state.number] = SilenceReport(last_contact_before, self.acknowledged_sent_at)
 
     def state(self, now: float, min_alternations: int) -> PeerState:
         """Return what is known of this dispatcher, for a report to others.
@@ -152,7 +152,7 @@
         if incarnation is None:
             return PeerState(self.number, self.boot_count)
         alternates = self.alternations >= min_alternations
-        is_duplicate = alternates or self.rivals >= min_alternations
+        is_duplicate = alternates or self.rival_reports >= min_alternations
         previous = self.previous
         if alternates and previous is not None and previous.started_at < incarnation.started_at:
             incarnation = previous
--- a/cottonhold/fleet/recovery/shared_slow_start.py
+++ b/cottonhold/fleet/recovery/shared_slow_start.py
@@ -29,10 +29,10 @@
     encode_warmup_reports,
 )
 
-MAX_WARM_ROWS = 5  # maximum number of warm engines that others still limit, in a report of a large fleet
+MAX_WARM_ENTRIES = 5  # maximum number of warm engines that others still limit, in a report of a large fleet
 MIN_WARMUP_LIMIT = 1e-9  # used instead of 0: the scheduler ignores limits if none allows any work
 STEP_TOLERANCE_MS = 1.0  # how much too early a timer may call `step`
-ROTATION = 0x9E3779B1  # 2^32 / golden ratio: spreads successive versions over all engine numbers
+ROTATION_MULTIPLIER = 0x9E3779B1  # 2^32 / golden ratio: spreads successive versions over all engine numbers
 
 
 class OutageScope(Enum):
@@ -136,7 +136,7 @@
             # A loss of the fleet is recognized once more than half are back. Engines keep the share that
             # they have reached by then.
             warming.started_at = answering_since
-            age_based_share = min(warming.share_of_age(now, self.settings), self.settings.max_cold_share)
+            age_based_share = min(warming.share_for_age(now, self.settings), self.settings.max_cold_share)
             warming.share = max(warming.share, age_based_share)
 
     def on_engine_started(self, now: float, engine: str) -> None:
@@ -154,7 +154,7 @@
 
     def on_health_check(self, now: float, engine: str, succeeded: bool) -> None:
         """Process the end of a health check by this instance, or a successful one by another."""
-        self._note_answering(now, engine, succeeded)
+        self._record_answering(now, engine, succeeded)
         warming = self.warming.get(engine)
         if warming is None:
             return
@@ -175,7 +175,7 @@
                 so that the answer only proves that the engine is there.
             elapsed_ms: How long the answer took.
         """
-        self._note_answering(now, engine, succeeded)
+        self._record_answering(now, engine, succeeded)
         warming = self.warming.get(engine)
         if warming is None:
             return
@@ -270,11 +270,11 @@
             for number, observations in by_number.items()
             if any(observation.share < UNLIMITED_SHARE for observation in observations)
         }
-        unheard_factor = (1 + len(members)) / (1 + len(reports))
+        extrapolation_factor = (1 + len(members)) / (1 + len(reports))
         for engine, warming in list(self.warming.items()):
             oldest = warming.not_before - WINDOW_MS
             reported = [o for o in by_number.get(warming.number, ()) if now - o.age_ms >= oldest]
-            self._update(now, engine, warming, reported, unheard_factor)
+            self._update(now, engine, warming, reported, extrapolation_factor)
         return self._messages(now, members)
 
     def _start(self, now: float, engine: str, not_before: float) -> WarmingEngine:
@@ -294,7 +294,7 @@
         if self.was_only_this_instance_away and warming.number not in self.reported_warming:
             del self.warming[engine]
 
-    def _note_answering(self, now: float, engine: str, succeeded: bool) -> None:
+    def _record_answering(self, now: float, engine: str, succeeded: bool) -> None:
         """Record since when an engine has answered without a fault; after a fault it may have restarted."""
         if not succeeded:
             self.answering_since.pop(engine, None)
@@ -307,7 +307,7 @@
         engine: str,
         warming: WarmingEngine,
         reported: list[EngineObservation],
-        unheard_factor: float,
+        extrapolation_factor: float,
     ) -> None:
         """Update an engine's share, and free it if it is warm by the observations of this or most
         instances."""
@@ -318,7 +318,7 @@
             warming.updated_at = now
             return
         observations = [local_observation, *reported] if warming.has_answered else reported
-        pooled = warmup_messages.pool_observations(observations, unheard_factor)
+        pooled = warmup_messages.pool_observations(observations, extrapolation_factor)
         passed_ms, warming.updated_at = now - warming.updated_at, now
         if pooled.speed > 0 and not warming.has_answered:
             warming.has_answered, warming.started_at = True, now  # another instance's attempt was answered
@@ -328,12 +328,12 @@
             warming.share = pooled.share
         is_free = pooled.share is not None and pooled.share >= UNLIMITED_SHARE
         is_overdue = now - warming.started_at > self.settings.max_duration_ms
-        if is_free or self._follow(warming, pooled, passed_ms) or is_overdue:
+        if is_free or self._update_share(warming, pooled, passed_ms) or is_overdue:
             del self.warming[engine]
 
-    def _follow(self, warming: WarmingEngine, pooled: PooledObservation, passed_ms: float) -> bool:
+    def _update_share(self, warming: WarmingEngine, pooled: PooledObservation, passed_ms: float) -> bool:
         """Let an engine's share follow the pooled observation; return whether the engine is warm."""
-        return warming.follow(self.stepped_at, pooled, passed_ms, self.settings)
+        return warming.update_share(self.stepped_at, pooled, passed_ms, self.settings)
 
     def _messages(self, now: float, members: list[int]) -> list[tuple[int, bytes]]:
         """Return this instance's report for the other members, as (member, message)."""
@@ -364,10 +364,10 @@
         }
         bounded_here = {warming.number for warming in self.warming.values()}
         free = sorted((self.reported_warming & self.numbers) - bounded_here)
-        for number in free[:: 1 if is_small_fleet else max(len(free) // MAX_WARM_ROWS, 1)]:
+        for number in free[:: 1 if is_small_fleet else max(len(free) // MAX_WARM_ENTRIES, 1)]:
             observations[number] = EngineObservation(0.0, 0.0, UNLIMITED_SHARE, 0.0)
         if len(observations) <= warmup_messages.MAX_ENGINES:
             return observations
-        rotation = self.version * ROTATION
+        rotation = self.version * ROTATION_MULTIPLIER
         ranked = sorted(observations, key=lambda n: (observations[n].speed <= 0, n + rotation & MAX_UINT32))
         return {number: observations[number] for number in ranked[: warmup_messages.MAX_ENGINES]}
--- a/cottonhold/fleet/recovery/survey_peers.py
+++ b/cottonhold/fleet/recovery/survey_peers.py
@@ -19,7 +19,7 @@
     }
 
 
-def zones_lost(zones: Mapping[int, str], restarted: Set[int]) -> frozenset[str]:
+def fully_restarted_zones(zones: Mapping[int, str], restarted: Set[int]) -> frozenset[str]:
     """Return the zones all of whose dispatchers restarted.
 
     Args:
--- a/cottonhold/fleet/recovery/survey_results.py
+++ b/cottonhold/fleet/recovery/survey_results.py
@@ -78,7 +78,7 @@
         verdict: What was away.
         first_start: Earliest start of the restarted instances, in ms of this instance's clock.
         is_settled: Whether no instance is waited for any more.
-        lost_zones: Zones all of whose dispatchers restarted.
+        restarted_zones: Zones all of whose dispatchers restarted.
         restarted: Numbers of the restarted instances.
         reachable: Numbers of the instances with a recent report, including this one.
         missing: Numbers of all other configured instances.
@@ -87,7 +87,7 @@
     verdict: OutageVerdict = OutageVerdict.NOTHING
     first_start: float = -math.inf
     is_settled: bool = False
-    lost_zones: frozenset[str] = frozenset()
+    restarted_zones: frozenset[str] = frozenset()
     restarted: frozenset[int] = frozenset()
     reachable: frozenset[int] = frozenset()
     missing: frozenset[int] = frozenset()
--- a/cottonhold/fleet/recovery/warming_engine.py
+++ b/cottonhold/fleet/recovery/warming_engine.py
@@ -16,7 +16,7 @@
     upper_quartile,
 )
 
-MIN_SEEN_MS = 100.0  # minimum time over which a rate is computed
+MIN_OBSERVED_MS = 100.0  # minimum time over which a rate is computed
 MIN_ELAPSED_MS = 0.1
 
 
@@ -68,7 +68,7 @@
             return EngineObservation(0.0, 0.0, self.share, age_ms)
         speed = upper_quartile([a.work_ms / max(a.elapsed_ms, MIN_ELAPSED_MS) for a in self.answers])
         # An engine that has answered for less than the window did its work in that shorter time.
-        observed_ms = min(max(age_ms, MIN_SEEN_MS), WINDOW_MS)
+        observed_ms = min(max(age_ms, MIN_OBSERVED_MS), WINDOW_MS)
         work_done = sum(answer.work_ms for answer in self.answers) / observed_ms / self.cores
         return EngineObservation(speed, work_done, self.share, age_ms)
 
@@ -79,7 +79,7 @@
         if len(ages_ms) > 1:
             self.started_at = min(self.started_at, now - ages_ms[1])
 
-    def share_of_age(self, now: float, settings: SlowStartSettings) -> float:
+    def share_for_age(self, now: float, settings: SlowStartSettings) -> float:
         """Return the share that the configuration allows an engine of this age."""
         s = settings
         return min(
@@ -87,7 +87,7 @@
             UNLIMITED_SHARE,
         )
 
-    def follow(
+    def update_share(
         self, now: float, pooled: PooledObservation, passed_ms: float, settings: SlowStartSettings
     ) -> bool:
         """Update the share from what all instances observed; return whether the engine is warm.
@@ -110,7 +110,7 @@
         is_warm = now - self.warm_since >= s.warm_confirmation_ms
         max_share = UNLIMITED_SHARE if is_warm else s.max_cold_share
         limit = min(observed_rate * (s.drain_factor if has_queue else s.growth_factor), max_share)
-        age_based_share = self.share_of_age(now, s)
+        age_based_share = self.share_for_age(now, s)
         limit, is_warm = (
             max(limit, 0.0 if has_queue else age_based_share),
             is_warm or age_based_share >= UNLIMITED_SHARE,
--- a/cottonhold/fleet/recovery/warmup_messages.py
+++ b/cottonhold/fleet/recovery/warmup_messages.py
@@ -145,7 +145,7 @@
 
 
 def pool_observations(
-    observations: Sequence[EngineObservation], unheard_factor: float, quorum: int = SHARE_QUORUM
+    observations: Sequence[EngineObservation], extrapolation_factor: float, quorum: int = SHARE_QUORUM
 ) -> PooledObservation:
     """Pool the observations of one engine.
 
@@ -154,7 +154,7 @@
 
     Args:
         observations: The observations, one of each reporting instance.
-        unheard_factor: Number of instances for each one that reported.
+        extrapolation_factor: Number of instances for each one that reported.
         quorum: Observations that are needed to agree on a share.
     """
     with_answers = [observation for observation in observations if observation.speed > 0]
@@ -165,4 +165,4 @@
     speeds = sorted(observation.speed for observation in with_answers)
     credible = speeds[:-1] if len(speeds) > 2 else speeds
     speed = upper_quartile(credible) if speeds else 0.0
-    return PooledObservation(speed, sum(min(done, max_work) for done in work) * unheard_factor, share)
+    return PooledObservation(speed, sum(min(done, max_work) for done in work) * extrapolation_factor, share)
--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -372,7 +372,7 @@
         """Report a loss to the coordinator, and each only once: engines that have warmed up since must not be
         put under slow start again when the view changes."""
         now, before = self.clock.now(), self.reported_loss
-        lost_zones = view.lost_zones if view.verdict is OutageVerdict.ZONE else frozenset[str]()
+        lost_zones = view.restarted_zones if view.verdict is OutageVerdict.ZONE else frozenset[str]()
         self.reported_loss = ReportedLoss(view.verdict, lost_zones)
         new_zones = lost_zones - before.zones
         if view.verdict is OutageVerdict.FLEET and before.verdict is not OutageVerdict.FLEET:
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -278,7 +278,7 @@
                 rows[zone] = {
                     "cost": {name: round(amount, 3) for name, amount in _cost_row(projection).items()},
                     "room": {z: round(cores, 2) for z, cores in projection.free_cores.items()},
-                    "neighbours": cost.neighbours(zone),
+                    "neighbours": cost.failover_zones(zone),
                 }
         return rows
 
--- a/tests/fleet/test_failover_cost.py
+++ b/tests/fleet/test_failover_cost.py
@@ -351,15 +351,15 @@
 
 def test_neighbours_are_chosen_by_distance_and_free_cores() -> None:
     estimator = make_estimator(fleet(high_value=0.3, low_value=0.4))
-    [(nearest, part), *_] = estimator.neighbours("a")
+    [(nearest, part), *_] = estimator.failover_zones("a")
     assert nearest == "b" and part > 0.9
     with_full_b = make_estimator(
         [*fleet(high_value=0.3, low_value=0.4), site(7, "b", high_value=1.5, low_value=0.5)]
     )
-    assert dict(with_full_b.neighbours("a")).get("c", 0.0) > 0.1
+    assert dict(with_full_b.failover_zones("a")).get("c", 0.0) > 0.1
     assert dict(estimator.serving_zones("b")) == {"b": 1.0} and estimator.serving_zones(
         "a", "a"
-    ) == estimator.neighbours("a")
+    ) == estimator.failover_zones("a")
     assert estimator.projection("c", "a") is not None and estimator.projection("a", "b", "c") is None
 
 
@@ -392,12 +392,12 @@
 
 def test_a_plan_stands_without_new_reports_and_expires() -> None:
     estimator = make_estimator(fleet())
-    before = estimator.neighbours("a")
+    before = estimator.failover_zones("a")
     run_steps(estimator, [], 2000.0, 20_000.0)
-    assert before and estimator.neighbours("a") == before and estimator.projection("a") is not None
+    assert before and estimator.failover_zones("a") == before and estimator.projection("a") is not None
     run_steps(estimator, [], 22_000.0, 15_000.0)
     assert (
-        estimator.neighbours("a") == ()
+        estimator.failover_zones("a") == ()
         and estimator.removal_objections({})
         and estimator.retained_share(37_000.0, "a") is None
     )
@@ -413,20 +413,20 @@
     assert (
         estimator.first_serving_zones("b")
         and estimator.first_serving_zones("b")[0][0] == "b"
-        and estimator.neighbours("b") == ()
+        and estimator.failover_zones("b") == ()
     )
     assert estimator.removal_objections({})
 
 
 def test_small_changes_wait_and_large_ones_do_not() -> None:
     s, stable = HysteresisSettings(), StableShares({"b": 0.6, "c": 0.4})
-    stable.follow(0.0, {"b": 0.55, "c": 0.45}, s)
-    stable.follow(100.0, {"b": 0.4, "c": 0.6}, s)
-    stable.follow(3000.0, {"b": 0.4, "c": 0.6}, s)
+    stable.update(0.0, {"b": 0.55, "c": 0.45}, s)
+    stable.update(100.0, {"b": 0.4, "c": 0.6}, s)
+    stable.update(3000.0, {"b": 0.4, "c": 0.6}, s)
     assert stable.shares == {"b": 0.6, "c": 0.4}
-    stable.follow(3200.0, {"b": 0.4, "c": 0.6}, s)
+    stable.update(3200.0, {"b": 0.4, "c": 0.6}, s)
     assert stable.shares == {"b": 0.4, "c": 0.6}
-    stable.follow(3300.0, {"b": 1.0}, s)  # c can't serve anything any more
+    stable.update(3300.0, {"b": 1.0}, s)  # c can't serve anything any more
     assert stable.shares == {"b": 1.0}
 
 
@@ -510,7 +510,7 @@
 def test_six_instances_reach_one_plan_by_their_reports() -> None:
     world = OutageWorld(1, OutageSetup(dict.fromkeys(ZONES, 60.0), ROUND_TRIPS_MS, loss=0.3))
     world.run(6000)
-    plans = [i.estimator.neighbours("a") for i in world.instances]
+    plans = [i.estimator.failover_zones("a") for i in world.instances]
     assert all(plan and plan[0][0] == "b" for plan in plans)
     parts = [dict(plan).get("b", 0.0) for plan in plans]
     assert max(parts) - min(parts) < 0.2
--- a/tests/fleet/test_load_history.py
+++ b/tests/fleet/test_load_history.py
@@ -487,12 +487,12 @@
 @pytest.mark.parametrize(
     "seed, owner, name, defect",
     [
-        (426, LocalLoads, "is_late", lambda self, now, queried: False),
+        (426, LocalLoads, "may_be_forgotten", lambda self, now, queried: False),
         (1536, MembershipSurvey, "is_partitioned", lambda self, silent: False),
         (
             631,
             load_history.LoadHistory,
-            "_unconfirmed",
+            "_unconfirmed_answer",
             lambda self, now, load: local_loads.LoadKnowledge.NOT_KNOWN_YET,
         ),
     ],
--- a/tests/fleet/test_membership_survey.py
+++ b/tests/fleet/test_membership_survey.py
@@ -106,7 +106,9 @@
     world.run(SURVEY.settle_ms)
     assert {n: world.nodes[n].survey.view.verdict for n in expected} == expected
     if loss == 0:
-        assert len({(n.survey.view.restarted, n.survey.view.lost_zones) for n in world.live_nodes()}) == 1
+        assert (
+            len({(n.survey.view.restarted, n.survey.view.restarted_zones) for n in world.live_nodes()}) == 1
+        )
     world.loss = world.again = 0.0
     world.run(SURVEY.recent_start_ms + 2000.0)
     assert world.verdicts() == {OUTAGE.NOTHING}
--- a/tests/fleet/test_recovery_slow_start.py
+++ b/tests/fleet/test_recovery_slow_start.py
@@ -415,7 +415,7 @@
             0.0,
         ),
         # The highest load of nine engines varies from 1.25 to 1.35 with the seed, so the mean is compared.
-        ({"_follow": follow_time_only}, max_engine_load, 1.3, 8, 20_000.0, 0.0),
+        ({"_update_share": follow_time_only}, max_engine_load, 1.3, 8, 20_000.0, 0.0),
         ({"_start": start_as_proven}, lambda w: w.blind_sends, 0.0, 1, 3000.0, 1000.0),
     ],
     ids=["all of the budget for those present", "by the clock", "proof not awaited"],
--- a/tests/fleet/test_snapshot_plan.py
+++ b/tests/fleet/test_snapshot_plan.py
@@ -85,7 +85,7 @@
     assert not solved
     for _ in range(3):
         assert estimator.projection("a", "b") is not None and estimator.serving_zones("a", "a", "b")
-        assert estimator.neighbours("a") and estimator.first_serving_zones("a")
+        assert estimator.failover_zones("a") and estimator.first_serving_zones("a")
     # The loss of both zones, the present state, the loss of one zone, and all engines cold.
     assert len(solved) == 4 and {"a": 0.0, "b": 0.0} in solved
 
@@ -128,18 +128,18 @@
 
 
 def test_an_old_answer_does_not_delay_a_new_one() -> None:
-    def neighbours(is_requested_before: bool) -> dict[str, float]:
+    def failover_zones(is_requested_before: bool) -> dict[str, float]:
         estimator = CostEstimator(99, 1, 0.0, "a", 1)
         estimator.set_engines(ENGINES)
         run_steps(estimator, fleet(), 0.0, 2000.0)
         if is_requested_before:
-            estimator.neighbours("a")
+            estimator.failover_zones("a")
         run_steps(
             estimator, reports_with_demand(1.2), 2000.0, 20_000.0
         )  # differs by 0.15: delayed 3 s by hysteresis
-        return dict(estimator.neighbours("a"))
+        return dict(estimator.failover_zones("a"))
 
-    assert neighbours(True) == neighbours(False)
+    assert failover_zones(True) == failover_zones(False)
 
 
 def test_free_cores_are_those_of_the_current_allocation() -> None:
