--- a/cottonhold/fleet/failover_cost/cross_zone_limits.py
+++ b/cottonhold/fleet/failover_cost/cross_zone_limits.py
@@ -22,7 +22,7 @@
 
     Attributes:
         slack: Part by which the limit of a zone exceeds the plan.
-        spill_share: Part of the cores which the plan leaves free in a zone that may be used in addition.
+        spill_share: Part of a zone's free cores, according to the plan, that may be used in addition.
         min_share: Least part of its limit that an instance uses of a zone late in the order of zones.
         failures_until_unstable: Consecutive failed attempts after which an engine counts as down.
         warm_up_ms: Time after its return during which an engine may be cold.
--- a/cottonhold/fleet/failover_cost/projection.py
+++ b/cottonhold/fleet/failover_cost/projection.py
@@ -91,17 +91,9 @@
     settings: CostSettings,
     success_shares: Mapping[str, float] | None = None,
 ) -> AllocationProblem:
-    """Return the problem to solve.
-
-    Other homes may use of a partly available zone what exceeds the share of the whole zone that is reserved
-    for its own clients.
-
-    Args:
-        snapshot: The fleet as the reports describe it.
-        remaining: The part of each zone that remains.
-        settings: Settings of the cost model.
-        success_shares: The part of the attempts in each zone that succeed.
-    """
+    """Return the problem to solve if the part `remaining` of each zone is left and `success_shares` of the
+    attempts there succeed. Other homes may use of a partly available zone what exceeds the share of the whole
+    zone that is reserved for its own clients."""
     s, zones = settings, snapshot.zones
     available = {zone: view.available_share * remaining.get(zone, 1.0) for zone, view in zones.items()}
     capacity = {zone: view.cores * available[zone] * s.usable_capacity_share for zone, view in zones.items()}
@@ -222,17 +214,11 @@
     current: Allocation | None = None,
     solution: Solution | None = None,
 ) -> Projection:
-    """Return the cost if these parts of zones remained.
+    """Return the cost if the part `remaining` of these zones were left.
 
     If excess work beyond the estimates is reported, cold work counts relative to it: the reasons for which
-    data doesn't stay warm in normal operation are unknown here.
-
-    Args:
-        snapshot: The fleet as the reports describe it.
-        remaining: The part of each zone that remains.
-        settings: Settings of the cost model.
-        current: The allocation without the loss, if known.
-        solution: The result of `solve_with_cold_work`, if known.
+    data doesn't stay warm in normal operation are unknown here. `current` is the allocation without the loss,
+    and `solution` the result of `solve_with_cold_work`, if they are known.
     """
     s = settings or CostSettings()
     baseline = current or solve_with_cold_work(snapshot, {}, s).allocation
