--- a/cottonhold/fleet_adapters/recovery.py
+++ b/cottonhold/fleet_adapters/recovery.py
@@ -385,7 +385,7 @@
         A second report would put engines that have warmed up since then under slow start again.
         """
         now, before = self.clock.now(), self.reported_loss
-        lost_zones = view.lost_zones if view.verdict is OutageVerdict.ZONE else frozenset[str]()
+        lost_zones = view.restarted_zones if view.verdict is OutageVerdict.ZONE else frozenset[str]()
         self.reported_loss = ReportedLoss(view.verdict, lost_zones)
         new_zones = lost_zones - before.zones
         if view.verdict is OutageVerdict.FLEET and before.verdict is not OutageVerdict.FLEET:
