--- a/cottonhold/backend/connection.py
+++ b/cottonhold/backend/connection.py
@@ -33,7 +33,7 @@
     def drop_unsendable(self, connection: Connection) -> None:
         """Take queued attempts out where the engine may get nothing new."""
 
-    def on_answer(self, connection: Connection, words: list[bytes]) -> None:
+    def on_answer(self, connection: Connection, elements: list[bytes]) -> None:
         """An answer has arrived. Raises RespError where it can't be understood."""
 
     def on_connection_closed(self, connection: Connection) -> None:
@@ -68,12 +68,12 @@
         self.silent_since = now if self.attempts else math.inf
         self.owner.drop_unsendable(self)
 
-    def take_output(self) -> bytes:
+    def pop_output(self) -> bytes:
         """Take what is to be written now. Whether an attempt may still begin is checked only here.
 
         Little is taken at a time: what waited behind an engine that reads slowly would begin unchecked.
         """
-        self._look_for_end()
+        self._detect_close()
         if self.is_closed:
             return b""
         parts, size = list[bytes](), 0
@@ -90,7 +90,7 @@
             self.last_used_at = self.owner.clock.now()
         return b"".join(parts)
 
-    def _look_for_end(self) -> None:
+    def _detect_close(self) -> None:
         """Notice the engine's close of an idle connection before something is written there.
 
         What is written would count as possibly executed, and might not be repeated.
--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -33,7 +33,9 @@
 from cottonhold.transport.clock import Clock
 from cottonhold.transport.interface import StreamHandle
 
-SILENT_MS = 1000.0  # a connection silent this long, when its engine is removed, has lost what was in flight
+LOST_AFTER_SILENCE_MS = (
+    1000.0  # a connection silent this long, when its engine is removed, has lost what was in flight
+)
 MAX_PAGES = 64  # of at most 6,000 bytes; engines make at most 48,000
 MIN_ATTEMPT_MS = 1.0  # an attempt with less time left is not begun: no engine could answer it
 
@@ -102,7 +104,7 @@
 
     def _on_moved(self, endpoint: EngineEndpoint, started_at: float) -> None:
         """The engine has another address. What runs on connections to the former one goes on to its end."""
-        endpoint.close_where(lambda c: c.opened_at < started_at or c.is_unused() or not c.is_up)
+        endpoint.close_matching(lambda c: c.opened_at < started_at or c.is_unused() or not c.is_up)
 
     def _on_restarted(self, endpoint: EngineEndpoint, started_at: float) -> None:
         """Another process is at the address. Connections to a machine that vanished stay open and silent.
@@ -111,8 +113,8 @@
         that still answers is kept, but gets nothing new until it has answered again.
         """
         endpoint.restarted_at = self.clock.now()
-        silent_before = endpoint.restarted_at - SILENT_MS
-        endpoint.close_where(
+        silent_before = endpoint.restarted_at - LOST_AFTER_SILENCE_MS
+        endpoint.close_matching(
             lambda c: not c.is_up
             or c.opened_at < started_at
             and (c.is_unused() or c.last_received_at < silent_before)
@@ -125,23 +127,23 @@
             return
         for connection in list(endpoint.connections):
             self.drop_unsendable(connection)
-        endpoint.close_where(Connection.is_unused)
+        endpoint.close_matching(Connection.is_unused)
         if endpoint.engine.state is EngineState.REMOVED:
-            silent_before = self.clock.now() - SILENT_MS
-            endpoint.close_where(lambda c: c.last_received_at < silent_before or not c.attempts)
+            silent_before = self.clock.now() - LOST_AFTER_SILENCE_MS
+            endpoint.close_matching(lambda c: c.last_received_at < silent_before or not c.attempts)
             if not endpoint.connections:
                 del self.endpoints[endpoint.engine.id]
                 self.endpoints_in_use.pop(endpoint.engine.id, None)
 
-    def _open_endpoint(self, engine: str) -> EngineEndpoint | None:
+    def _available_endpoint(self, engine: str) -> EngineEndpoint | None:
         """The engine, if it may get something new."""
         endpoint = self.endpoints.get(engine)
-        return endpoint if endpoint is not None and endpoint.is_open() else None
+        return endpoint if endpoint is not None and endpoint.is_available() else None
 
     def send(self, attempt: Attempt) -> bool:
         """Start an attempt; false where the engine can't be sent anything, so that it surely never ran."""
         request_id = attempt.engine_request_id
-        endpoint = self._open_endpoint(attempt.engine)
+        endpoint = self._available_endpoint(attempt.engine)
         connection = self._connection(endpoint, request_id) if endpoint is not None else None
         if connection is None:
             return False
@@ -166,13 +168,13 @@
     def _connection(self, endpoint: EngineEndpoint, request_id: bytes) -> Connection | None:
         """A connection for a request, a new one if need be; None where no descriptor is left."""
         now = self.clock.now()
-        endpoint.close_where(lambda c: c.is_unused() and is_stale(c, self.settings, now))
+        endpoint.close_matching(lambda c: c.is_unused() and is_stale(c, self.settings, now))
         usable = endpoint.usable_connection(request_id, self.settings, now)
         if usable is not None:
             return usable
         if self.open_connections >= self.max_connections:
             for other in list(self.endpoints_in_use.values()):
-                other.close_where(Connection.is_unused)
+                other.close_matching(Connection.is_unused)
             if self.open_connections >= self.max_connections:
                 self.counters.add("engine_connections_lacking")
                 return None
@@ -195,7 +197,7 @@
         """
         now = self.clock.now()
         is_late = now > attempt.deadline - MIN_ATTEMPT_MS or now >= attempt.begin_deadline
-        if self._open_endpoint(attempt.engine) is None:
+        if self._available_endpoint(attempt.engine) is None:
             self._end(attempt, Outcome.CONNECT_FAILED)
         elif is_late or not self.listener.is_wanted(attempt):
             self._end(attempt, Outcome.NOT_STARTED)
@@ -215,7 +217,7 @@
 
     def drop_unsendable(self, connection: Connection) -> None:
         """End queued attempts of an engine that may get nothing new."""
-        if self._open_endpoint(connection.engine) is not None:
+        if self._available_endpoint(connection.engine) is not None:
             return
         for item in [i for i in connection.queue if isinstance(i, Attempt)]:
             connection.queue.remove(item)
@@ -282,9 +284,9 @@
         )
         self.listener.on_attempt_ended(attempt, event)
 
-    def on_answer(self, connection: Connection, words: list[bytes]) -> None:
+    def on_answer(self, connection: Connection, elements: list[bytes]) -> None:
         """An answer has arrived; one to nothing in flight is late, and ignored. Raises RespError."""
-        answer = decode_answer(words)
+        answer = decode_answer(elements)
         if check := connection.health_checks.pop(answer.request_id, None):
             if check.is_awaited:
                 outcome = Outcome.ERROR if answer.kind == FAILED_HEALTH_CHECK else Outcome.OK
@@ -349,7 +351,7 @@
 
     def check_health(self, engine: str) -> bool:
         """Check an engine's health, with its load report; false where it can't be asked."""
-        endpoint = self._open_endpoint(engine)
+        endpoint = self._available_endpoint(engine)
         connection = self._connection(endpoint, b"") if endpoint is not None else None
         if connection is not None:
             self.health_checker.send(connection)
--- a/cottonhold/backend/endpoint.py
+++ b/cottonhold/backend/endpoint.py
@@ -24,11 +24,11 @@
     connections: list[Connection] = field(default_factory=list)
     restarted_at: float = -math.inf  # when a new start was last announced
 
-    def is_open(self) -> bool:
+    def is_available(self) -> bool:
         """Whether the engine may get something new."""
         return self.address is not None and self.engine.state is EngineState.LIVE
 
-    def close_where(self, condition: Callable[[Connection], bool]) -> None:
+    def close_matching(self, condition: Callable[[Connection], bool]) -> None:
         """Close the connections that a condition holds for."""
         for connection in [c for c in self.connections if condition(c)]:
             connection.close()
@@ -51,7 +51,7 @@
         return (
             len(connection.attempts) < settings.max_streams
             and not is_stale(connection, settings, now)
-            and not is_doubtful(connection, settings, now)
+            and not is_health_check_overdue(connection, settings, now)
             and request_id not in connection.abandoned_ids
             and request_id not in connection.attempts
             and connection.address == self.address
@@ -69,6 +69,6 @@
     return connection.is_up and now - connection.last_used_at > settings.idle_timeout_ms - margin_ms
 
 
-def is_doubtful(connection: Connection, settings: ConnectionSettings, now: float) -> bool:
+def is_health_check_overdue(connection: Connection, settings: ConnectionSettings, now: float) -> bool:
     """Whether the answer to a health check is late, so that what is new goes elsewhere meanwhile."""
     return now - connection.health_check_since() > settings.connect_timeout_ms / 2
--- a/cottonhold/backend/engine_protocol.py
+++ b/cottonhold/backend/engine_protocol.py
@@ -79,18 +79,20 @@
     return encode_array(LOAD_REPORT, tag)
 
 
-def decode_answer(words: list[bytes]) -> Answer:
+def decode_answer(elements: list[bytes]) -> Answer:
     """An answer of an engine. Raises RespError."""
-    if len(words) not in (3, 4):
-        raise RespError(f"an answer of {len(words)} words")
-    return Answer(words[0], words[1], decode_fields(words[2]), words[3] if len(words) == 4 else b"")
+    if len(elements) not in (3, 4):
+        raise RespError(f"an answer of {len(elements)} words")
+    return Answer(
+        elements[0], elements[1], decode_fields(elements[2]), elements[3] if len(elements) == 4 else b""
+    )
 
 
-def decode_kind(word: bytes) -> AnswerKind:
+def decode_kind(kind: bytes) -> AnswerKind:
     """What an engine says of an attempt. Raises RespError."""
-    known = ANSWER_KINDS.get(word)
+    known = ANSWER_KINDS.get(kind)
     if known is None:
-        raise RespError(f"unknown word {word[:40]!r}")
+        raise RespError(f"unknown word {kind[:40]!r}")
     return known
 
 
--- a/cottonhold/backend/health_check.py
+++ b/cottonhold/backend/health_check.py
@@ -8,7 +8,7 @@
 from cottonhold.transport.clock import Timer
 
 COST_PER_ATTEMPT = 0.003  # of the result, that each attempt adds to the budget of liveness checks
-MAX_SAVED_CHECKS = 4.0  # as many connections as may fall silent at the same moment
+MAX_AVAILABLE_CHECKS = 4.0  # as many connections as may fall silent at the same moment
 
 
 @dataclass(slots=True, eq=False)
@@ -36,9 +36,9 @@
     def on_attempt_sent(self, check_cost: float) -> None:
         """An attempt has been sent; `check_cost` is the cost of a health check, 0 where it has none."""
         earned = COST_PER_ATTEMPT / max(check_cost, COST_PER_ATTEMPT)
-        self.available = min(MAX_SAVED_CHECKS, self.available + earned)
+        self.available = min(MAX_AVAILABLE_CHECKS, self.available + earned)
 
-    def take(self, check_cost: float) -> bool:
+    def try_spend(self, check_cost: float) -> bool:
         """Take a check out of the budget; false where there is none left."""
         if self.available < 1 and check_cost:
             return False
--- a/cottonhold/backend/liveness_monitor.py
+++ b/cottonhold/backend/liveness_monitor.py
@@ -15,7 +15,9 @@
 from cottonhold.transport.clock import Clock
 
 CHECK_INTERVAL_MS = 200.0
-QUIET_MS = 1200.0  # a connection silent this long with attempts in flight gets a liveness check
+LIVENESS_CHECK_AFTER_MS = (
+    1200.0  # a connection silent this long with attempts in flight gets a liveness check
+)
 LIVENESS_TIMEOUT_MS = 500.0  # of that check; also the longest time from an answer's first byte to its last
 MAX_ABANDONED_IDS = 256  # of a connection: each could only come again within its request's lifetime
 
@@ -56,7 +58,7 @@
         pool.clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
         for name, endpoint in list(pool.endpoints_in_use.items()):
             try:
-                quiet += [c for c in list(endpoint.connections) if self.needs_check(endpoint, c, now)]
+                quiet += [c for c in list(endpoint.connections) if self.check_connection(endpoint, c, now)]
                 pool.close_if_leaving(endpoint)
                 if not endpoint.connections:
                     pool.endpoints_in_use.pop(name, None)
@@ -64,10 +66,10 @@
                 pool.counters.add("check_faults")
                 pool.log(f"engine {endpoint.engine.id}: {type(error).__name__}: {error}")
         for connection in sorted(quiet, key=lambda c: c.silent_since):
-            if pool.liveness_budget.take(pool.settings.health_check_cost):
+            if pool.liveness_budget.try_spend(pool.settings.health_check_cost):
                 pool.health_checker.send(connection, is_awaited=False)
 
-    def needs_check(self, endpoint: EngineEndpoint, connection: Connection, now: float) -> bool:
+    def check_connection(self, endpoint: EngineEndpoint, connection: Connection, now: float) -> bool:
         """Abandon a connection that has failed; whether one ought to get a liveness check."""
         if not connection.is_up or connection.is_closed:
             return False
@@ -84,4 +86,8 @@
             del connection.abandoned_ids[request_id]
         is_live = endpoint.engine.state is EngineState.LIVE
         is_working = bool(connection.attempts) and not connection.health_checks and is_live
-        return not connection.is_closed and is_working and now - connection.silent_since > QUIET_MS
+        return (
+            not connection.is_closed
+            and is_working
+            and now - connection.silent_since > LIVENESS_CHECK_AFTER_MS
+        )
--- a/cottonhold/backend/resp.py
+++ b/cottonhold/backend/resp.py
@@ -5,7 +5,7 @@
 MAX_ELEMENTS = 8  # of an array; an answer has four
 MAX_ELEMENT_BYTES = 8 * 1024
 MAX_PAGE_BYTES = 6000
-MAX_LENGTH_LINE = 16  # bytes of a length with its mark and line end
+MAX_LENGTH_LINE_BYTES = 16  # bytes of a length with its mark and line end
 MAX_COUNT_DIGITS = 8
 COLUMNS = 3
 
@@ -42,7 +42,7 @@
         self.buffer += data
         arrays, at = list[list[bytes]](), 0
         try:
-            while (found := self._array(at)) is not None:
+            while (found := self._decode_array(at)) is not None:
                 elements, at = found
                 arrays.append(elements)
         except RespError:
@@ -52,15 +52,15 @@
             del self.buffer[:at]
         return arrays
 
-    def _array(self, at: int) -> tuple[list[bytes], int] | None:
+    def _decode_array(self, at: int) -> tuple[list[bytes], int] | None:
         """The array at a position and where it ends; None while it is incomplete."""
-        head = self._number(at, b"*", MAX_ELEMENTS)
+        head = self._decode_length(at, b"*", MAX_ELEMENTS)
         if head is None:
             return None
         count, at = head
         elements = []
         for _ in range(count):
-            head = self._number(at, b"$", MAX_ELEMENT_BYTES)
+            head = self._decode_length(at, b"$", MAX_ELEMENT_BYTES)
             if head is None:
                 return None
             size, at = head
@@ -72,13 +72,13 @@
             at += size + 2
         return elements, at
 
-    def _number(self, at: int, mark: bytes, maximum: int) -> tuple[int, int] | None:
+    def _decode_length(self, at: int, mark: bytes, maximum: int) -> tuple[int, int] | None:
         """The number behind a mark and where its line ends; None while that is incomplete."""
         if len(self.buffer) > at and self.buffer[at : at + 1] != mark:
             raise RespError(f"expected {mark!r}, got {bytes(self.buffer[at : at + 1])!r}")
-        end = self.buffer.find(b"\r\n", at, at + MAX_LENGTH_LINE)
+        end = self.buffer.find(b"\r\n", at, at + MAX_LENGTH_LINE_BYTES)
         if end < 0:
-            if len(self.buffer) >= at + MAX_LENGTH_LINE:
+            if len(self.buffer) >= at + MAX_LENGTH_LINE_BYTES:
                 raise RespError("a length without an end")
             return None
         digits = bytes(self.buffer[at + 1 : end])
--- a/cottonhold/frontend/client_sessions.py
+++ b/cottonhold/frontend/client_sessions.py
@@ -105,9 +105,9 @@
 
     def open(self) -> Session:
         """A session for a new connection."""
-        self.last_id = self.connection_ids.following(self.last_id)
+        self.last_id = self.connection_ids.next_id(self.last_id)
         while self.last_id in self.sessions:
-            self.last_id = self.connection_ids.following(self.last_id)
+            self.last_id = self.connection_ids.next_id(self.last_id)
         session = self.sessions[self.last_id] = Session(self, self.last_id)
         return session
 
--- a/cottonhold/frontend/connection_ids.py
+++ b/cottonhold/frontend/connection_ids.py
@@ -31,6 +31,6 @@
         bits = 32 - (max_pids - 1).bit_length()
         return cls(pid << bits, (1 << bits) - 1)
 
-    def following(self, connection_id: int) -> int:
+    def next_id(self, connection_id: int) -> int:
         """The id after another one of the range; after the last one comes the first."""
         return self.base + (connection_id - self.base) % self.count + 1
--- a/cottonhold/frontend/mysql_session.py
+++ b/cottonhold/frontend/mysql_session.py
@@ -118,7 +118,7 @@
                 self.partial_since = math.inf
             if self.buffer:
                 self.partial_since = min(self.partial_since, now)
-            self._carry_out_commands()
+            self._execute_commands()
         except ProtocolError as error:
             self._on_malformed(error)
 
@@ -142,7 +142,7 @@
         del buffer[:end]
         return packet
 
-    def take_output(self) -> bytes:
+    def pop_output(self) -> bytes:
         """Take what is to be written now."""
         data = bytes(self.output)
         self.output.clear()
@@ -152,7 +152,7 @@
 
     def _resume(self) -> None:
         try:
-            self._carry_out_commands()
+            self._execute_commands()
         except ProtocolError as error:
             self._on_malformed(error)
 
@@ -162,16 +162,16 @@
             return
         self.is_closed = self.is_closing = True
         self.registry.on_session_closed(self)
-        self._withdraw_request()
+        self._cancel_request()
 
-    def _withdraw_request(self) -> bool:
+    def _cancel_request(self) -> bool:
         """Nothing is owed any more for the open request; false if there is none."""
         withdraw, self.request = self.request, None
         if withdraw is not None:
             withdraw()
         return withdraw is not None
 
-    def _carry_out_commands(self) -> None:
+    def _execute_commands(self) -> None:
         """Carry out queued commands, one at a time, as far as the client reads the responses."""
         while (
             self.commands
@@ -186,12 +186,12 @@
             if not self.is_logged_in:
                 self._log_in(payload)
                 continue
-            self._carry_out(payload[0] if payload else -1, payload[1:], arrived_at)
+            self._execute(payload[0] if payload else -1, payload[1:], arrived_at)
 
-    def _carry_out(self, command: int, argument: bytes, arrived_at: float) -> None:
+    def _execute(self, command: int, argument: bytes, arrived_at: float) -> None:
         self.has_sent_command = True
         if command == COM_QUERY:
-            self._query(argument, arrived_at)
+            self._submit_query(argument, arrived_at)
         elif command == COM_PING and not self.registry.lifecycle.is_ready():
             self._send_error(SERVER_SHUTDOWN, "this dispatcher is drained")
             self._after_response()
@@ -214,7 +214,7 @@
         self.commands.clear()
         self._close()
 
-    def _query(self, text: bytes, arrived_at: float) -> None:
+    def _submit_query(self, text: bytes, arrived_at: float) -> None:
         if kill := decode_kill(text):
             self._kill(kill)
             return
@@ -249,7 +249,7 @@
 
     def interrupt(self) -> None:
         """The client gave its query up: nothing is owed for it, but its session goes on."""
-        if self._withdraw_request():
+        if self._cancel_request():
             self._send_error(QUERY_INTERRUPTED, "query execution was interrupted")
             self._after_response()
 
@@ -323,7 +323,7 @@
 
     def complete(self, rows: ResultRows) -> None:
         """Send the result set."""
-        if not self._take_request():
+        if not self._finish_request():
             return
         for payload in RESULT_HEAD:
             self._send(payload)
@@ -334,18 +334,18 @@
 
     def reject(self, retry_after_ms: float) -> None:
         """Send a rejection, with advice on when to retry."""
-        if self._take_request():
+        if self._finish_request():
             advice = f"; cooldown={math.ceil(retry_after_ms)}" if retry_after_ms > 0 else ""
             self._send_error(REJECTED, f"query refused, it did not run or may be repeated{advice}")
             self._after_response()
 
     def fail(self, reason: str) -> None:
         """Send a failure."""
-        if self._take_request():
+        if self._finish_request():
             self._send_error(QUERY_FAILED, reason)
             self._after_response()
 
-    def _take_request(self) -> bool:
+    def _finish_request(self) -> bool:
         """The open request is about to get its response; false if there is none."""
         is_open, self.request = self.request is not None, None
         self.last_received_at = self.registry.clock.now()
@@ -381,7 +381,7 @@
         """The client broke the protocol: report it where that can be done, and close this connection only."""
         self.registry.counters.add("client_malformed")
         self.commands.clear()
-        self._withdraw_request()
+        self._cancel_request()
         self._send_error(error.code, str(error))
         self._close()
 
--- a/cottonhold/node/admin_api.py
+++ b/cottonhold/node/admin_api.py
@@ -131,7 +131,7 @@
         if self.received_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
             self._respond(Response(413, f"at most {MAX_BODY_BYTES} bytes"))
 
-    def take_output(self) -> bytes:
+    def pop_output(self) -> bytes:
         """Take what is to be written now."""
         data, self.output = self.output, b""
         return data
--- a/cottonhold/transport/connector.py
+++ b/cottonhold/transport/connector.py
@@ -65,7 +65,7 @@
                 family, target = await self._resolve(address)
                 while True:
                     try:
-                        return await self._connected(family, target)
+                        return await self._connect_socket(family, target)
                     except OSError as error:
                         if error.errno not in CONNECT_RESOURCE_ERRORS:
                             raise
@@ -84,7 +84,7 @@
         family, _, _, _, target = found[0]
         return family, target[:2]
 
-    async def _connected(self, family: socket.AddressFamily, target: tuple[Any, ...]) -> socket.socket:
+    async def _connect_socket(self, family: socket.AddressFamily, target: tuple[Any, ...]) -> socket.socket:
         sock = tcp_socket(self.context.make_socket, family)
         try:
             await self.context.loop.sock_connect(sock, target)
--- a/cottonhold/transport/datagram.py
+++ b/cottonhold/transport/datagram.py
@@ -10,7 +10,7 @@
 from cottonhold.transport.socket_factory import RESOURCE_ERRORS
 from cottonhold.transport.sockets import bind, steer_to_newest
 
-MAX_DATAGRAMS_PER_TURN = 64  # so that a flood of them does not stop the rest
+MAX_DATAGRAMS_PER_READ = 64  # so that a flood of them does not stop the rest
 MAX_DATAGRAM_BYTES = 2048
 
 DatagramHandler = Callable[[bytes, Address], None]
@@ -57,7 +57,7 @@
     def _receive_some(self, sock: socket.socket, handler: DatagramHandler) -> bool:
         """Receive what has arrived, up to a limit; false where reading must pause."""
         failures = 0
-        for _ in range(MAX_DATAGRAMS_PER_TURN):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, sender = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, InterruptedError):
@@ -65,7 +65,7 @@
             except OSError as error:  # a datagram sent before reached nobody, or something lacks
                 self.context.counters.add("peer_broken")
                 failures += 1
-                if error.errno in RESOURCE_ERRORS or failures == MAX_DATAGRAMS_PER_TURN:
+                if error.errno in RESOURCE_ERRORS or failures == MAX_DATAGRAMS_PER_READ:
                     return False
                 continue
             handler(data, Address(sender[0], sender[1]))
--- a/cottonhold/transport/interface.py
+++ b/cottonhold/transport/interface.py
@@ -13,7 +13,7 @@
     def receive(self, data: bytes) -> None:
         """Bytes have arrived."""
 
-    def take_output(self) -> bytes:
+    def pop_output(self) -> bytes:
         """Take what is to be written now."""
 
     def on_closed(self) -> None:
--- a/cottonhold/transport/io_context.py
+++ b/cottonhold/transport/io_context.py
@@ -49,7 +49,7 @@
             try:
                 sent = sock.send(left)
             except (BlockingIOError, InterruptedError):
-                await self.until_writable(sock)
+                await self.wait_until_writable(sock)
             except OSError as error:
                 if error.errno not in RESOURCE_ERRORS:
                     raise
@@ -57,7 +57,7 @@
             else:
                 left = left[sent:]
 
-    async def until_writable(self, sock: socket.socket) -> None:
+    async def wait_until_writable(self, sock: socket.socket) -> None:
         """Wait until a socket takes bytes."""
         ready = asyncio.Event()
         self.loop.add_writer(sock, ready.set)
@@ -66,7 +66,7 @@
         finally:
             self.loop.remove_writer(sock)
 
-    async def until_readable(self, sock: socket.socket) -> None:
+    async def wait_until_readable(self, sock: socket.socket) -> None:
         """Wait until something has arrived, and leave it where it is.
 
         A connection accepted here would be lost if the task were cancelled before it is handed over.
--- a/cottonhold/transport/listener.py
+++ b/cottonhold/transport/listener.py
@@ -91,7 +91,7 @@
                 await asyncio.sleep(EVICTION_PAUSE_S if sessions.is_evicting() else ACCEPT_PAUSE_S)
                 continue
             try:
-                await self.context.until_readable(sock)
+                await self.context.wait_until_readable(sock)
                 while sessions.has_capacity() and (client := self._accept_now(sock)) is not None:
                     failures = 0
                     self.admit(client, sessions.open())
@@ -155,7 +155,7 @@
         failures = 0  # in a row
         while True:
             try:
-                await self.context.until_readable(sock)
+                await self.context.wait_until_readable(sock)
                 if (client := self._accept_now(sock)) is not None:
                     return client
             except OSError as error:
--- a/cottonhold/transport/stream.py
+++ b/cottonhold/transport/stream.py
@@ -81,7 +81,7 @@
         if self.sock is None or self.writing_since < math.inf:
             self.flush()  # nothing may go between the bytes of a write that is under way
             return
-        data, sock = self._take_output(), self.sock
+        data, sock = self._pop_output(), self.sock
         if sock is None:  # taking the output has ended the connection
             return
         try:
@@ -111,9 +111,9 @@
             with contextlib.suppress(OSError):  # the peer has gone: reading will show it
                 self.sock.shutdown(socket.SHUT_WR)
 
-    def _take_output(self) -> bytes:
+    def _pop_output(self) -> bytes:
         unsent, self.unsent = self.unsent, b""
-        return unsent + self.protocol.take_output()
+        return unsent + self.protocol.pop_output()
 
     def is_writing(self) -> bool:
         """Whether something is being written."""
@@ -222,7 +222,7 @@
 
     async def _write(self, sock: socket.socket) -> None:
         try:
-            while data := self._take_output():
+            while data := self._pop_output():
                 self.writing_since = self.context.loop.time()
                 await self.context.send_all(sock, data)
                 self.writing_since = math.inf
--- a/tests/backend/test_attempt_begin.py
+++ b/tests/backend/test_attempt_begin.py
@@ -63,7 +63,7 @@
     world.gateway.on_attempt_ended = lambda attempt, event: outcomes.append(event.outcome)  # type: ignore[method-assign]
     connection.is_up = True
     change(world, attempt)
-    assert connection.take_output() == b"" and outcomes == [CHANGES[change]]
+    assert connection.pop_output() == b"" and outcomes == [CHANGES[change]]
     assert not attempt.is_written and not connection.attempts and not connection.queue
 
 
@@ -72,5 +72,5 @@
     attempt = queued_attempt(world)
     assert isinstance(attempt.connection, Connection)
     attempt.connection.is_up = True
-    assert attempt.connection.take_output().startswith(b"*4\r\n$3\r\nGET\r\n") and attempt.is_written
-    assert attempt.connection.take_output() == b""
+    assert attempt.connection.pop_output().startswith(b"*4\r\n$3\r\nGET\r\n") and attempt.is_written
+    assert attempt.connection.pop_output() == b""
--- a/tests/conformance/test_golden_protocols.py
+++ b/tests/conformance/test_golden_protocols.py
@@ -91,7 +91,7 @@
     """Greeting, OK, error and a result set as a client is sent them."""
     world = World(engines="a")
     session = world.sessions.open()
-    written = [session.take_output()]
+    written = [session.pop_output()]
     wide = "x" * 300
     for sequence, payload in (
         (1, LOGIN),
@@ -106,11 +106,11 @@
     ):
         session.receive(packet(sequence, payload))
         world.wait(0)
-        written.append(session.take_output())
+        written.append(session.pop_output())
     world.run(f"e1 send r1 served count=1,ticks=1.0 a||c/{wide}|e|f/")
-    written.append(session.take_output())
+    written.append(session.pop_output())
     session.receive(packet(3, b"\x0e"))
-    written.append(session.take_output())
+    written.append(session.pop_output())
     return [data.hex() for data in written]
 
 
@@ -129,12 +129,12 @@
     ):
         call = calls.open()
         call.receive(f"{line} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-        written.append(call.take_output().decode())
+        written.append(call.pop_output().decode())
     lifecycle.begin_shutdown(0.0, 1000.0)
     for request in (b"POST /healthcheck/ok HTTP/1.1\r\nHost: x\r\n\r\n", b"nonsense\r\n\r\n"):
         call = calls.open()
         call.receive(request)
-        written.append(call.take_output().decode())
+        written.append(call.pop_output().decode())
     return written
 
 
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -191,7 +191,7 @@
     for at in range(0, len(data), pieces):
         call.receive(data[at : at + pieces])
     clock.run_until(clock.at + 5000, lambda: None)
-    assert call.is_closing and call.take_output().startswith(b"HTTP/1.1 ")
+    assert call.is_closing and call.pop_output().startswith(b"HTTP/1.1 ")
 
 
 def test_what_is_malformed_is_counted_and_told_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -40,7 +40,7 @@
 DEFECTS: list[tuple[type | object, str, Any, str]] = [
     (
         EngineConnections,
-        "_open_endpoint",
+        "_available_endpoint",
         lambda self, engine: self.endpoints.get(engine),
         "pro-bus-told-connect",
     ),
--- a/tests/frontend/test_client_sessions.py
+++ b/tests/frontend/test_client_sessions.py
@@ -81,7 +81,7 @@
     world.wait(500)
     session.receive(data)
     world.wait(2400)
-    assert session.is_closing and b"\xff\x87\x04#08S01" in session.take_output()
+    assert session.is_closing and b"\xff\x87\x04#08S01" in session.pop_output()
 
 
 def test_slow_requests_and_short_pauses_keep_a_connection_open() -> None:
@@ -137,7 +137,7 @@
     assert len(session.commands) == 1
     session.output.clear()
     world.clients["c1"].starts.append(1)
-    session.take_output()
+    session.pop_output()
     world.wait(0)
     assert world.clients["c1"].received == ["ok"]
 
--- a/tests/frontend/test_slow_readers.py
+++ b/tests/frontend/test_slow_readers.py
@@ -50,7 +50,7 @@
     for number, part in enumerate(repeated(parts)):
         session.receive(part)
         max_held = max(max_held, held_bytes(session))
-        taken_bytes = max(taken_bytes, len(session.take_output())) if number == 100 else taken_bytes
+        taken_bytes = max(taken_bytes, len(session.pop_output())) if number == 100 else taken_bytes
         if session.is_closing:
             break
         if number % 1000 == 0:
@@ -84,6 +84,6 @@
         served += 1
         assert held_bytes(session) < MAX_SESSION_BYTES / 2
     assert served == 1 and len(session.commands) == 15 and not session.is_closing
-    while session.take_output():  # once it reads, the next one is taken
+    while session.pop_output():  # once it reads, the next one is taken
         world.wait(0)
     assert len([1 for stream in world.engine_streams for words in stream.received if words[0] == b"GET"]) == 1
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -174,7 +174,7 @@
     def status(self, data: bytes = b"", size: int = 4096) -> str:
         for at in range(0, len(data), size):
             self.call.receive(data[at : at + size])
-        return self.call.take_output().partition(b"\r\n")[0].decode().removeprefix("HTTP/1.1 ")
+        return self.call.pop_output().partition(b"\r\n")[0].decode().removeprefix("HTTP/1.1 ")
 
 
 def make_api(world: World, max_connections: int = 4) -> AdminApi:
--- a/tests/node/test_load_guard.py
+++ b/tests/node/test_load_guard.py
@@ -202,4 +202,4 @@
     connection.on_connected()
     {"given up": connection.abandon, "closed": connection.close}.get(cause, connection.on_closed)()
     assert outcomes == [Outcome.CONNECT_FAILED]
-    assert connection.take_output() == b""
+    assert connection.pop_output() == b""
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -218,16 +218,16 @@
 ) -> None:
     world = Turns(SITES["few features"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
     world.run("list tell e1 draining\ne2 will mute\nc1 query load r1 allow=20000\ne2 expect GET r1 *")
-    needs_check = LivenessMonitor.needs_check
+    check_connection = LivenessMonitor.check_connection
 
     def broken(
         monitor: LivenessMonitor, endpoint: EngineEndpoint, connection: Connection, now: float
     ) -> bool:
         if connection is world.engine_streams[0].connection:
             raise LookupError("planted")
-        return needs_check(monitor, endpoint, connection, now)
+        return check_connection(monitor, endpoint, connection, now)
 
-    monkeypatch.setattr(LivenessMonitor, "needs_check", broken)
+    monkeypatch.setattr(LivenessMonitor, "check_connection", broken)
     world.run("time wait 2100\nc1 expect error 1105 *may have run*")
     world.run("e1 send r2 served count=1 a|b|c/\nc2 expect rows a|b|c")
     assert world.counters.counts["check_faults"]
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -226,14 +226,14 @@
         event_loop = EventLoop(asyncio.get_running_loop(), Counters(), print)
         listener = event_loop.listener.listen(Address("127.0.0.1", 0))
         clients = [socket.create_connection(listener.getsockname()) for _ in range(5)]
-        wait_for_one = event_loop.until_readable
+        wait_for_one = event_loop.wait_until_readable
 
         async def counted(sock: socket.socket) -> None:
             nonlocal calls
             calls += 1
             await wait_for_one(sock)
 
-        event_loop.until_readable = counted  # type: ignore[method-assign]
+        event_loop.wait_until_readable = counted  # type: ignore[method-assign]
         accepting = event_loop.spawn(event_loop.listener.accept(listener, world.sessions))
         while len(world.sessions.sessions) < 5:
             await asyncio.sleep(0)
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -143,7 +143,7 @@
         self.session.receive(data)
 
     def take(self) -> None:
-        self.buffer += self.session.take_output()
+        self.buffer += self.session.pop_output()
         while len(self.buffer) >= 4 + (size := int.from_bytes(self.buffer[:3], "little")) and self.buffer:
             sequence, payload = self.buffer[3], self.buffer[4 : 4 + size]
             self.buffer = self.buffer[4 + size :]
@@ -221,7 +221,7 @@
                     connection.on_connected()
                 elif how == "refuse":
                     connection.on_closed()
-            if connection.is_up and not connection.is_closed and (data := connection.take_output()):
+            if connection.is_up and not connection.is_closed and (data := connection.pop_output()):
                 for words in line.reader.feed(data):
                     if words[0] != b"LOAD":
                         line.received.append(words)
--- a/tests/transport/test_datagram_faults.py
+++ b/tests/transport/test_datagram_faults.py
@@ -15,7 +15,7 @@
 from cottonhold.node.peer_datagrams import PeerDatagrams
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.events import PeerMessage
-from cottonhold.transport.datagram import MAX_DATAGRAMS_PER_TURN
+from cottonhold.transport.datagram import MAX_DATAGRAMS_PER_READ
 from cottonhold.transport.event_loop import EventLoop
 from tests.support.faulty_sockets import Faults
 from tests.support.loopback import HANG_S
@@ -88,7 +88,7 @@
         async with asyncio.timeout(HANG_S):
             while reader_starts < 5:
                 await asyncio.sleep(0)
-        assert peer.faults.calls["recvfrom"] <= 6 * MAX_DATAGRAMS_PER_TURN
+        assert peer.faults.calls["recvfrom"] <= 6 * MAX_DATAGRAMS_PER_READ
         peer.faults.heal("recvfrom")
         await peer.expect_received(b"later")
         peer.close()
--- a/tests/transport/test_write_order.py
+++ b/tests/transport/test_write_order.py
@@ -267,7 +267,7 @@
     def receive(self, data: bytes) -> None:
         pass
 
-    def take_output(self) -> bytes:
+    def pop_output(self) -> bytes:
         self.stream.abort()
         return b""
 
