--- a/cottonhold/backend/attempt.py
+++ b/cottonhold/backend/attempt.py
@@ -14,22 +14,24 @@
 class AttemptConnection(Protocol):
     """The connection that an attempt is queued or in flight on."""
 
-    opened_at: float  # ms of the clock
+    opened_at: float  # in ms of the clock
     queue: deque[Attempt | bytes]
     attempts: dict[bytes, Attempt]
     abandoned_ids: dict[bytes, None]
 
     def enqueue(self, item: Attempt | bytes, /) -> None:
-        """Queue something to write."""
+        """Queue an attempt or encoded bytes for writing."""
 
     def write_now(self, item: bytes, /) -> None:
-        """Write something at once."""
+        """Write encoded bytes immediately."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt: what is sent, where it is, and what has come back of its result. Times are ms of the
-    clock."""
+    """One attempt: its request, its connection, and the part of its result received so far.
+
+    Times are in ms of the clock.
+    """
 
     request_id: str
     number: int  # 0 for the first attempt of its request
@@ -37,22 +39,22 @@
     class_name: str
     body: bytes
     priority: int
-    started_at: float  # when it was handed over to be sent
+    started_at: float  # when it was passed to the connection pool
     deadline: float
-    idempotency_key: str | None = None  # the client's, the same on each attempt
-    begin_deadline: float = math.inf  # its first byte has to be written before this
-    connection: AttemptConnection | None = None  # None before it is queued on one, and once it has ended
+    idempotency_key: str | None = None  # given by the client, identical on all attempts
+    begin_deadline: float = math.inf  # latest time at which its first byte may be written
+    connection: AttemptConnection | None = None  # None before it is queued and after it ended
     timer: Timer | None = None
     is_written: bool = False
     first_response_at: float = 0.0
     response_fields: dict[str, str] = field(default_factory=dict)
-    pages: list[Rows | None] = field(default_factory=list)  # empty until page 0 has come
+    pages: list[Rows | None] = field(default_factory=list)  # empty until page 0 was received
 
     @property
     def engine_request_id(self) -> bytes:
-        """The request's id as engines know it."""
+        """The request id as sent to engines."""
         return self.request_id.encode()
 
     def all_rows(self) -> Rows:
-        """The rows of all pages."""
+        """Return the rows of all pages that were received."""
         return [row for page in self.pages if page is not None for row in page]
--- a/cottonhold/backend/connection.py
+++ b/cottonhold/backend/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an engine: a state machine that is fed bytes and gives bytes to write."""
+"""One connection to an engine: a state machine that receives bytes and returns bytes to write."""
 
 from __future__ import annotations
 
@@ -14,64 +14,67 @@
 from cottonhold.transport.clock import Clock
 from cottonhold.transport.interface import StreamHandle
 
-MAX_READS_BEFORE_WRITE = 4  # of what arrived unasked, before something is written on an idle connection
-MAX_WRITE_BYTES = 16 * 1024  # that a write takes at once, and one attempt's more: a socket holds that much
+MAX_READS_BEFORE_WRITE = 4  # reads of unsolicited data before a write on an idle connection
+# A write ends with the item that reaches this size; a socket's send buffer holds that much.
+MAX_WRITE_BYTES = 16 * 1024
 
 
 class ConnectionOwner(Protocol):
-    """Who decides about attempts on a connection: the pool."""
+    """Owns the attempts on a connection; implemented by the connection pool."""
 
     clock: Clock
     counters: Counters
 
     def end_unless_sendable(self, attempt: Attempt) -> bool:
-        """Whether an attempt may still begin; called before its first byte. One that may not has ended."""
+        """Return whether an attempt may be sent, and end it if not; called before its first byte."""
 
     def encode_request(self, attempt: Attempt) -> bytes:
-        """The attempt's request as bytes."""
+        """Encode the attempt's request."""
 
     def drop_unsendable(self, connection: Connection) -> None:
-        """Take queued attempts out where the engine may get nothing new."""
+        """End attempts queued on a connection if its engine accepts no new ones."""
 
     def on_answer(self, connection: Connection, elements: list[bytes]) -> None:
-        """An answer has arrived. Raises RespError where it can't be understood."""
+        """Process an answer. Raises RespError if it is malformed."""
 
     def on_connection_closed(self, connection: Connection) -> None:
-        """The connection has ended, or never came up."""
+        """End everything on a connection that has ended or was never established."""
 
     def on_malformed_answer(self, reason: str) -> None:
-        """The engine has sent something that can't be understood."""
+        """Report a malformed answer of the engine."""
 
 
 class Connection:
-    """One connection with the attempts and health checks on it. Times are ms of the clock."""
+    """One connection with its attempts and health checks. Times are in ms of the clock."""
 
     def __init__(self, owner: ConnectionOwner, engine: str, address: Address, now: float) -> None:
         self.owner, self.engine, self.address = owner, engine, address
         self.reader = RespReader()
         self.stream: StreamHandle | None = None
         self.opened_at, self.last_received_at, self.last_used_at = now, now, now
-        self.partial_since = math.inf  # when an incomplete answer began
+        self.partial_since = math.inf  # when the first byte of an incomplete answer arrived
         self.answer_count = 0
-        self.silent_since = math.inf  # since when something that was sent waits for any answer
+        self.silent_since = math.inf  # since when attempts in flight have had no answer; inf without attempts
         self.is_up = self.is_closed = self.is_closing = False
-        self.lacked_local_resources = False  # it never came up, which is no evidence about the engine
+        self.lacked_local_resources = False  # the connect failed for a reason that isn't the engine's
         self.queue: deque[Attempt | bytes] = deque()
         self.attempts: dict[bytes, Attempt] = {}
-        self.abandoned_ids: dict[bytes, None] = {}  # that ended without a result: not used here again
+        # Ids of attempts that ended without a result, in this order; they are not reused on this connection.
+        self.abandoned_ids: dict[bytes, None] = {}
         self.health_checks: dict[bytes, HealthCheck] = {}
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """Record that the connection is established."""
         now = self.owner.clock.now()
         self.is_up, self.opened_at, self.last_received_at, self.last_used_at = True, now, now, now
         self.silent_since = now if self.attempts else math.inf
         self.owner.drop_unsendable(self)
 
     def pop_output(self) -> bytes:
-        """Take what is to be written now. Whether an attempt may still begin is checked only here.
+        """Remove and return the bytes to write; attempts that may not be sent any more end here.
 
-        Little is taken at a time: what waited behind an engine that reads slowly would begin unchecked.
+        This is the only place with that check. The size of a write is limited because attempts that are
+        already part of a write are not checked again while a slow engine reads it.
         """
         self._detect_close()
         if self.is_closed:
@@ -91,9 +94,9 @@
         return b"".join(parts)
 
     def _detect_close(self) -> None:
-        """Notice the engine's close of an idle connection before something is written there.
+        """Detect that the engine has closed an idle connection, before something is written on it.
 
-        What is written would count as possibly executed, and might not be repeated.
+        A request written there would count as possibly executed, so it might not be safe to retry.
         """
         if self.stream is None or not self.queue or any(a.is_written for a in self.attempts.values()):
             return
@@ -102,16 +105,16 @@
                 return
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the engine."""
+        """Process bytes from the engine; malformed data ends the connection."""
         if self.is_closing or self.is_closed:
             return
         now = self.last_received_at = self.last_used_at = self.owner.clock.now()
         try:
             while arrays := self.reader.feed(data):
                 data, self.partial_since = b"", math.inf
-                for words in arrays:
+                for elements in arrays:
                     self.answer_count += 1
-                    self.owner.on_answer(self, words)
+                    self.owner.on_answer(self, elements)
             self.silent_since = now if self.attempts else math.inf
             if self.reader.has_partial():
                 self.partial_since = min(self.partial_since, now)
@@ -120,23 +123,23 @@
             self.abandon()
 
     def abandon(self) -> None:
-        """Close a connection that is of no further use, and end what was in flight: it may have run."""
+        """Close a connection that has failed; attempts that were written may have run."""
         self.is_closing = True
         self.owner.counters.add("engine_connections_given_up")
         self.close()
 
     def close(self) -> None:
-        """Close at once, and end what was in flight."""
+        """Close immediately and end all attempts and health checks."""
         if self.stream is not None:
             self.stream.abort()
         self.on_closed()
 
     def is_unused(self) -> bool:
-        """Whether it is up with nothing in flight."""
+        """Return whether the connection is established without attempts or health checks."""
         return self.is_up and not self.attempts and not self.health_checks
 
     def health_check_since(self) -> float:
-        """Since when a health check waits without any answer here; infinity where none does."""
+        """Return when the oldest health check without a later answer was sent; infinity if there is none."""
         waiting = (
             check.sent_at
             for check in self.health_checks.values()
@@ -145,19 +148,19 @@
         return min(waiting, default=math.inf)
 
     def on_closed(self) -> None:
-        """The connection has ended, or never came up."""
+        """Notify the owner, once, that the connection has ended or was never established."""
         if not self.is_closed:
             self.is_closed = True
             self.owner.on_connection_closed(self)
 
     def enqueue(self, item: Attempt | bytes) -> None:
-        """Queue something to write."""
+        """Queue an attempt or encoded bytes for writing."""
         self.queue.append(item)
         if self.is_up and self.stream is not None:
             self.stream.flush()
 
     def write_now(self, item: bytes) -> None:
-        """Write at once what ends an attempt here, before the request's next attempt goes out elsewhere."""
+        """Write immediately: a cancellation must precede the request's next attempt on another engine."""
         self.queue.append(item)
         if self.is_up and self.stream is not None:
             self.stream.write_now()
--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -1,4 +1,4 @@
-"""All engines and their connections: sends attempts, cancels them, checks engines' health."""
+"""The connections to all engines: sends and cancels attempts and checks the engines' health."""
 
 from __future__ import annotations
 
@@ -33,30 +33,32 @@
 from cottonhold.transport.clock import Clock
 from cottonhold.transport.interface import StreamHandle
 
-LOST_AFTER_SILENCE_MS = (
-    1000.0  # a connection silent this long, when its engine is removed, has lost what was in flight
-)
-MAX_PAGES = 64  # of at most 6,000 bytes; engines make at most 48,000
-MIN_ATTEMPT_MS = 1.0  # an attempt with less time left is not begun: no engine could answer it
+# When an engine is removed, attempts on a connection that received nothing for this long are considered lost.
+LOST_AFTER_SILENCE_MS = 1000.0
+MAX_PAGES = 64  # pages have up to 6,000 bytes, and an engine's result up to 48,000
+MIN_ATTEMPT_MS = 1.0  # an attempt with less time left is not sent, since no engine could answer in time
 
 Connect = Callable[[Address, Connection], StreamHandle]
 
 
 class AttemptListener(Protocol):
-    """Who owns the attempts and is notified of their ends: the gateway."""
+    """Owns the attempts and is notified when they end; implemented by the gateway."""
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Whether an attempt that has not begun may still begin."""
+        """Return whether an attempt that was not sent yet may still be sent."""
 
     def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """An attempt has ended."""
+        """Process the end of an attempt; called once for each attempt that `send` accepted."""
 
     def on_health_check_completed(self, engine: str, outcome: Outcome, report: dict[str, float]) -> None:
-        """A health check has ended."""
+        """Process the outcome of a requested health check and the engine's load report, empty without one."""
 
 
 class EngineConnections:
-    """All engines; sends attempts, cancels them, and notifies the listener of their ends."""
+    """Sends attempts to engines, cancels them, and notifies the listener when they end.
+
+    `connect` and `listener` must be set before the first attempt or health check.
+    """
 
     def __init__(
         self,
@@ -66,9 +68,15 @@
         log: Callable[[str], None],
         max_connections: int,
     ) -> None:
+        """Start the periodic checks of connections.
+
+        Args:
+            settings: Limits and timeouts of engine connections; may be replaced later.
+            max_connections: Largest number of engine connections that may be open at the same time.
+        """
         self.settings, self.clock, self.counters, self.log = settings, clock, counters, log
         self.endpoints: dict[str, EngineEndpoint] = {}
-        self.endpoints_in_use: dict[str, EngineEndpoint] = {}  # with connections when last checked
+        self.endpoints_in_use: dict[str, EngineEndpoint] = {}  # had connections when last checked
         self.connect: Connect
         self.listener: AttemptListener
         self.max_connections, self.open_connections = max_connections, 0
@@ -83,7 +91,7 @@
         self.liveness_monitor = LivenessMonitor(self)
 
     def apply(self, change: EngineListChange) -> None:
-        """Apply a change of the engine list; what waits for an engine that has left ends at once."""
+        """Apply a change of the engine list; attempts queued for an engine that drains or left end."""
         for engine in change.engines:
             endpoint = self.endpoints.get(engine.id)
             if endpoint is None:
@@ -103,14 +111,15 @@
                 self.close_if_leaving(endpoint)
 
     def _on_moved(self, endpoint: EngineEndpoint, started_at: float) -> None:
-        """The engine has another address. What runs on connections to the former one goes on to its end."""
+        """Close idle and obsolete connections to a former address; attempts on the others continue."""
         endpoint.close_matching(lambda c: c.opened_at < started_at or c.is_unused() or not c.is_up)
 
     def _on_restarted(self, endpoint: EngineEndpoint, started_at: float) -> None:
-        """Another process is at the address. Connections to a machine that vanished stay open and silent.
+        """Close idle and silent connections opened before an engine's restart.
 
-        A start may be announced late, when connections to the new process exist already. So a connection
-        that still answers is kept, but gets nothing new until it has answered again.
+        Connections to a machine that vanished stay open but receive nothing. A restart may be announced late,
+        when connections to the new process already exist. So a connection that received an answer recently is
+        kept, but gets no new attempt until it has received another one.
         """
         endpoint.restarted_at = self.clock.now()
         silent_before = endpoint.restarted_at - LOST_AFTER_SILENCE_MS
@@ -121,8 +130,10 @@
         )
 
     def close_if_leaving(self, endpoint: EngineEndpoint) -> None:
-        """Nothing new goes to an engine that drains or is removed; what is in flight at a removed one that is
-        silent is lost."""
+        """Close what an engine that drains or was removed no longer needs.
+
+        Queued attempts end, unused connections close, and a removed engine's silent connections are lost.
+        """
         if endpoint.engine.state is EngineState.LIVE:
             return
         for connection in list(endpoint.connections):
@@ -136,12 +147,12 @@
                 self.endpoints_in_use.pop(endpoint.engine.id, None)
 
     def _available_endpoint(self, engine: str) -> EngineEndpoint | None:
-        """The engine, if it may get something new."""
+        """Return the endpoint of an engine if new attempts may be sent to it, else None."""
         endpoint = self.endpoints.get(engine)
         return endpoint if endpoint is not None and endpoint.is_available() else None
 
     def send(self, attempt: Attempt) -> bool:
-        """Start an attempt; false where the engine can't be sent anything, so that it surely never ran."""
+        """Queue an attempt on a connection; return false if there is none, so that it did not run."""
         request_id = attempt.engine_request_id
         endpoint = self._available_endpoint(attempt.engine)
         connection = self._connection(endpoint, request_id) if endpoint is not None else None
@@ -151,22 +162,22 @@
         connection.attempts[request_id] = attempt
         self.liveness_budget.on_attempt_sent(self.settings.health_check_cost)
         connection.silent_since = min(connection.silent_since, attempt.started_at)
-        left_ms = max(attempt.deadline - self.clock.now(), 0.0)
-        attempt.timer = self.clock.call_in(left_ms, lambda: self._on_timeout(attempt))
+        remaining_ms = max(attempt.deadline - self.clock.now(), 0.0)
+        attempt.timer = self.clock.call_in(remaining_ms, lambda: self._on_timeout(attempt))
         self.counters.add("attempts_sent")
         connection.enqueue(attempt)
         return True
 
     def unsent_outcome(self) -> Outcome:
-        """The outcome of an attempt or a health check that could not be started.
+        """Return the outcome of an attempt or a health check that could not be started.
 
-        Where this process has no descriptors left, that is no evidence about the engine.
+        If this process has no descriptors left, the failure is no evidence against the engine.
         """
         is_full = self.open_connections >= self.max_connections
         return Outcome.OVERLOADED if is_full else Outcome.CONNECT_FAILED
 
     def _connection(self, endpoint: EngineEndpoint, request_id: bytes) -> Connection | None:
-        """A connection for a request, a new one if need be; None where no descriptor is left."""
+        """Return a usable connection, opening one if necessary; None if no descriptor is left."""
         now = self.clock.now()
         endpoint.close_matching(lambda c: c.is_unused() and is_stale(c, self.settings, now))
         usable = endpoint.usable_connection(request_id, self.settings, now)
@@ -191,9 +202,10 @@
         return connection
 
     def end_unless_sendable(self, attempt: Attempt) -> bool:
-        """End an attempt that may not be sent any more, before its first byte; return whether it may be sent.
+        """Check an attempt right before its first byte is written; return whether it may be sent.
 
-        It may have been queued for long, as during a connect: its client may have left, its time may be over.
+        An attempt that may not be sent any more ends here. It may have been queued for long, for instance
+        during a connect, and meanwhile its client may have disconnected or its deadline may have passed.
         """
         now = self.clock.now()
         is_late = now > attempt.deadline - MIN_ATTEMPT_MS or now >= attempt.begin_deadline
@@ -204,7 +216,7 @@
         return attempt.connection is not None
 
     def encode_request(self, attempt: Attempt) -> bytes:
-        """The attempt's request as bytes, with the time that is left."""
+        """Encode the attempt's request with the time that remains until its deadline."""
         timeout_ms = max(1, int(attempt.deadline - self.clock.now()))
         return encode_execute(
             attempt.engine_request_id,
@@ -216,7 +228,7 @@
         )
 
     def drop_unsendable(self, connection: Connection) -> None:
-        """End queued attempts of an engine that may get nothing new."""
+        """End attempts queued on a connection if its engine accepts no new ones."""
         if self._available_endpoint(connection.engine) is not None:
             return
         for item in [i for i in connection.queue if isinstance(i, Attempt)]:
@@ -224,13 +236,13 @@
             self._end(item, Outcome.CONNECT_FAILED)
 
     def change_priority(self, attempt: Attempt, priority: int) -> None:
-        """Change the priority of an attempt in flight."""
+        """Change an attempt's priority; the engine is informed if it was sent and has no result yet."""
         attempt.priority = priority
         if attempt.connection is not None and attempt.is_written and not attempt.pages:
             attempt.connection.enqueue(encode_change_priority(attempt.engine_request_id, priority))
 
     def cancel(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Give an attempt up."""
+        """Cancel an attempt, which ends with this outcome; the engine is informed if it was sent."""
         connection = attempt.connection
         if connection is None:
             return
@@ -246,11 +258,14 @@
         """Set an earlier deadline for an attempt in flight; a later one changes nothing."""
         if deadline < attempt.deadline and attempt.timer is not None:
             attempt.timer.cancel()
-            attempt.deadline, left_ms = deadline, max(deadline - self.clock.now(), 0.0)
-            attempt.timer = self.clock.call_in(left_ms, lambda: self._on_timeout(attempt))
+            attempt.deadline, remaining_ms = deadline, max(deadline - self.clock.now(), 0.0)
+            attempt.timer = self.clock.call_in(remaining_ms, lambda: self._on_timeout(attempt))
 
     def _on_timeout(self, attempt: Attempt) -> None:
-        """The attempt's deadline. The engine is blamed only where a connect had its full time."""
+        """End an attempt whose deadline has passed.
+
+        A queued attempt counts as a failed connect only if the connect had its full timeout.
+        """
         connection = attempt.connection
         if connection is None or attempt not in connection.queue:
             self.cancel(attempt, Outcome.TIMEOUT)
@@ -259,7 +274,7 @@
         self.cancel(attempt, Outcome.NOT_STARTED if is_connecting else Outcome.CONNECT_FAILED)
 
     def _end(self, attempt: Attempt, outcome: Outcome, fields: dict[str, str] | None = None) -> None:
-        """Notify the listener of an attempt's end, once."""
+        """End an attempt and notify the listener; an attempt that already ended is ignored."""
         connection, attempt.connection = attempt.connection, None
         if connection is None:
             return
@@ -285,7 +300,7 @@
         self.listener.on_attempt_ended(attempt, event)
 
     def on_answer(self, connection: Connection, elements: list[bytes]) -> None:
-        """An answer has arrived; one to nothing in flight is late, and ignored. Raises RespError."""
+        """Process an answer; one without a matching attempt or check is ignored as late. Raises RespError."""
         answer = decode_answer(elements)
         if check := connection.health_checks.pop(answer.request_id, None):
             if check.is_awaited:
@@ -299,24 +314,27 @@
             self._on_attempt_answer(attempt, answer)
 
     def _on_attempt_answer(self, attempt: Attempt, answer: Answer) -> None:
-        """An answer to an attempt in flight; a copy of an earlier one is harmless. Raises RespError."""
-        word = decode_kind(answer.kind)
-        if word is AnswerKind.CRASHED:
+        """Process an answer to an attempt in flight; a duplicate is counted and ignored. Raises RespError."""
+        kind = decode_kind(answer.kind)
+        if kind is AnswerKind.CRASHED:
             self._end(attempt, Outcome.ERROR, answer.fields)
-        elif word is AnswerKind.PAGE and attempt.pages:
+        elif kind is AnswerKind.PAGE and attempt.pages:
             self._on_page(attempt, answer)
-        elif attempt.pages or word is AnswerKind.PAGE:
+        elif attempt.pages or kind is AnswerKind.PAGE:
             self.counters.add("answers_again")
-        elif word is AnswerKind.SERVED:
+        elif kind is AnswerKind.SERVED:
             self._on_first_page(attempt, answer)
-        elif word is AnswerKind.OVERLOADED:
+        elif kind is AnswerKind.OVERLOADED:
             self._end(attempt, Outcome.OVERLOADED, answer.fields)
         else:
             self._end(attempt, Outcome.NOT_STARTED, answer.fields)
 
     def _on_first_page(self, attempt: Attempt, answer: Answer) -> None:
-        """Request the other pages. All are collected and decoded before the first row goes to the client, so
-        that a lost or malformed page can still become a retry or a clean error."""
+        """Store the first page and request the others.
+
+        All pages are collected and decoded before the first row is sent to the client, so that a lost or
+        malformed page can still lead to a retry or to an error without partial rows.
+        """
         count, rows = decode_count(answer.fields, "count", 1, MAX_PAGES), decode_rows(answer.body)
         attempt.first_response_at, attempt.response_fields = self.clock.now(), answer.fields
         attempt.pages = [rows, *[None] * (count - 1)]
@@ -337,7 +355,7 @@
                 connection.enqueue(encode_close_result(attempt.engine_request_id))
 
     def on_connection_closed(self, connection: Connection) -> None:
-        """What was written may have run; what was still queued did not."""
+        """End everything on a closed connection: written attempts may have run, queued ones did not."""
         endpoint = self.endpoints.get(connection.engine)
         if endpoint is not None and connection in endpoint.connections:
             endpoint.connections.remove(connection)
@@ -350,7 +368,7 @@
             self._end(attempt, Outcome.RESET if attempt.is_written else never_ran)
 
     def check_health(self, engine: str) -> bool:
-        """Check an engine's health, with its load report; false where it can't be asked."""
+        """Request an engine's load report as a health check; return false if no connection is available."""
         endpoint = self._available_endpoint(engine)
         connection = self._connection(endpoint, b"") if endpoint is not None else None
         if connection is not None:
@@ -358,9 +376,10 @@
         return connection is not None
 
     def check_liveness(self, engine: str, callback: Callable[[bool], None]) -> bool:
-        """Check an engine that may get nothing new; false where it can't be asked.
+        """Check an engine even if it accepts no new attempts; return false if no connection is available.
 
-        Only the callback gets the outcome.
+        The outcome is passed to the callback instead of the listener: true if the engine answered without an
+        error.
         """
         endpoint = self.endpoints.get(engine)
         if endpoint is None or endpoint.address is None or endpoint.engine.state is EngineState.REMOVED:
@@ -371,11 +390,11 @@
         return connection is not None
 
     def attempts_in_flight(self, engine: str) -> int:
-        """Attempts at an engine, those that wait for a connection among them."""
+        """Return the number of attempts at an engine, including those queued during a connect."""
         endpoint = self.endpoints.get(engine)
         return sum(len(c.attempts) for c in endpoint.connections) if endpoint is not None else 0
 
     def on_malformed_answer(self, reason: str) -> None:
-        """What an engine sent that makes no sense is counted, logged and survived."""
+        """Count and log a malformed answer of an engine."""
         self.counters.add("engine_malformed")
         self.log(reason)
--- a/cottonhold/backend/endpoint.py
+++ b/cottonhold/backend/endpoint.py
@@ -1,4 +1,4 @@
-"""An engine of the list with its connections, and which of them a new attempt may use."""
+"""An engine with its connections, and the selection of a connection for a new attempt."""
 
 from __future__ import annotations
 
@@ -11,42 +11,44 @@
 from cottonhold.discovery.model import Address
 from cottonhold.scheduler.events import Engine, EngineState
 
-# An engine closes idle connections: close to its limit, or this fraction of a short one, nothing is sent.
+# Engines close idle connections. Nothing is sent on one that is this close to the engine's idle timeout; for
+# a short timeout the margin is this fraction of it.
 IDLE_MARGIN_MS, MAX_IDLE_MARGIN_FRACTION = 2000.0, 0.5
 
 
 @dataclass(slots=True, eq=False)
 class EngineEndpoint:
-    """An engine of the list with its connections. Times are ms of the clock."""
+    """An engine with its connections. Times are in ms of the clock."""
 
     engine: Engine
     address: Address | None
     connections: list[Connection] = field(default_factory=list)
-    restarted_at: float = -math.inf  # when a new start was last announced
+    restarted_at: float = -math.inf  # when a restart was last announced
 
     def is_available(self) -> bool:
-        """Whether the engine may get something new."""
+        """Return whether new attempts may be sent to the engine."""
         return self.address is not None and self.engine.state is EngineState.LIVE
 
     def close_matching(self, condition: Callable[[Connection], bool]) -> None:
-        """Close the connections that a condition holds for."""
+        """Close the connections that satisfy a condition."""
         for connection in [c for c in self.connections if condition(c)]:
             connection.close()
 
     def usable_connection(
         self, request_id: bytes, settings: ConnectionSettings, now: float
     ) -> Connection | None:
-        """The fullest connection that may take a request, so that spare ones run idle and close."""
+        """Return the busiest usable connection for a request, so that surplus ones become idle and close."""
         usable = [c for c in self.connections if self._is_usable(c, request_id, settings, now)]
         return max(usable, key=lambda c: (c.is_up, len(c.attempts))) if usable else None
 
     def _is_usable(
         self, connection: Connection, request_id: bytes, settings: ConnectionSettings, now: float
     ) -> bool:
-        """Whether a connection may take a request.
+        """Return whether a connection may carry a request.
 
-        Not under an id that is in use there or was abandoned: a late answer would be taken for the new
-        attempt's. Not to a former address, nor to a former process that has not answered since the restart.
+        A connection on which the request id is in use or was abandoned is excluded, since a late answer would
+        be attributed to the new attempt. So are connections to a former address, and those to a former
+        process on which nothing was received since the restart.
         """
         return (
             len(connection.attempts) < settings.max_streams
@@ -64,11 +66,11 @@
 
 
 def is_stale(connection: Connection, settings: ConnectionSettings, now: float) -> bool:
-    """Whether the engine may be closing an idle connection: what is written meanwhile may have run or not."""
+    """Return whether the engine may be closing an idle connection, so that a request may have run or not."""
     margin_ms = min(IDLE_MARGIN_MS, settings.idle_timeout_ms * MAX_IDLE_MARGIN_FRACTION)
     return connection.is_up and now - connection.last_used_at > settings.idle_timeout_ms - margin_ms
 
 
 def is_health_check_overdue(connection: Connection, settings: ConnectionSettings, now: float) -> bool:
-    """Whether the answer to a health check is late, so that what is new goes elsewhere meanwhile."""
+    """Return whether a health check is overdue, so that new attempts should use another connection."""
     return now - connection.health_check_since() > settings.connect_timeout_ms / 2
--- a/cottonhold/backend/engine_protocol.py
+++ b/cottonhold/backend/engine_protocol.py
@@ -1,6 +1,6 @@
-"""The engines' protocol: requests to engines are encoded and their answers decoded here alone.
+"""The protocol of the engines: encodes requests and decodes answers.
 
-An answer is an array of REQUEST-ID WORD FIELDS and, with results, BODY.
+An answer is an array of REQUEST-ID, KIND, FIELDS and, if it contains rows, BODY.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 EXECUTE, CHANGE_PRIORITY, CANCEL = b"GET", b"RANK", b"DROP"
 FETCH_PAGE, CLOSE_RESULT, LOAD_REPORT = b"PAGE", b"CLOSE", b"LOAD"
 FAILED_HEALTH_CHECK = b"red"
-MAX_REPORTED_NUMBER = 1e8  # of milliseconds or megabytes in an answer
+MAX_REPORTED_NUMBER = 1e8  # upper bound, in ms or MB, of numbers in an answer
 
 
 class AnswerKind(Enum):
-    """What an engine says of an attempt."""
+    """The kind of an engine's answer to an attempt."""
 
     SERVED = b"served"  # with page 0 of the result and the number of pages
     PAGE = b"rows"
@@ -27,11 +27,11 @@
     UNKNOWN_REQUEST = b"nobody"  # no attempt of this id runs there
 
 
-ANSWER_KINDS = {word.value: word for word in AnswerKind}
+ANSWER_KINDS = {kind.value: kind for kind in AnswerKind}
 
 
 class Answer(NamedTuple):
-    """An answer, its word not looked at yet."""
+    """An answer whose kind is not decoded yet."""
 
     request_id: bytes
     kind: bytes
@@ -47,7 +47,10 @@
     idempotency_key: str | None,
     statement: bytes,
 ) -> bytes:
-    """Execute a statement. By the idempotency key an engine tells a repeat from a new request."""
+    """Encode a request to execute a statement.
+
+    The idempotency key, if any, lets the engine recognize a retry of a request that it has already executed.
+    """
     fields = f"kind={class_name},ms={timeout_ms},order={priority}"
     if idempotency_key is not None:
         fields += f",token={idempotency_key}"
@@ -55,49 +58,49 @@
 
 
 def encode_change_priority(request_id: bytes, priority: int) -> bytes:
-    """Change the priority of an attempt."""
+    """Encode a request to change the priority of an attempt."""
     return encode_array(CHANGE_PRIORITY, request_id, b"%d" % priority)
 
 
 def encode_cancel(request_id: bytes) -> bytes:
-    """Cancel an attempt."""
+    """Encode a request to cancel an attempt."""
     return encode_array(CANCEL, request_id)
 
 
 def encode_fetch_page(request_id: bytes, page: int) -> bytes:
-    """Request a further page of a result."""
+    """Encode a request for another page of a result."""
     return encode_array(FETCH_PAGE, request_id, b"%d" % page)
 
 
 def encode_close_result(request_id: bytes) -> bytes:
-    """Release a result of several pages."""
+    """Encode a request to release a result of several pages."""
     return encode_array(CLOSE_RESULT, request_id)
 
 
 def encode_load_report_request(tag: bytes) -> bytes:
-    """Request a load report; the answer carries the tag as its request id."""
+    """Encode a request for a load report, whose answer has the tag as its request id."""
     return encode_array(LOAD_REPORT, tag)
 
 
 def decode_answer(elements: list[bytes]) -> Answer:
-    """An answer of an engine. Raises RespError."""
+    """Decode an answer. Raises RespError if the number of elements is wrong."""
     if len(elements) not in (3, 4):
-        raise RespError(f"an answer of {len(elements)} words")
+        raise RespError(f"an answer has {len(elements)} elements instead of 3 or 4")
     return Answer(
         elements[0], elements[1], decode_fields(elements[2]), elements[3] if len(elements) == 4 else b""
     )
 
 
 def decode_kind(kind: bytes) -> AnswerKind:
-    """What an engine says of an attempt. Raises RespError."""
-    known = ANSWER_KINDS.get(kind)
-    if known is None:
-        raise RespError(f"unknown word {kind[:40]!r}")
-    return known
+    """Decode the kind of an answer to an attempt. Raises RespError if it is unknown."""
+    answer_kind = ANSWER_KINDS.get(kind)
+    if answer_kind is None:
+        raise RespError(f"unknown kind of answer: {kind[:40]!r}")
+    return answer_kind
 
 
 def decode_number(text: str | None) -> float:
-    """A number of an answer; 0 where it is absent or makes no sense."""
+    """Decode a number of an answer; return 0 if it is absent, malformed or out of range."""
     try:
         value = float(text) if text else 0.0
     except ValueError:
@@ -106,7 +109,7 @@
 
 
 def decode_load_report(fields: dict[str, str]) -> dict[str, float]:
-    """An answer's load report, as in inflight:7;util:0.61, under the scheduler's names."""
+    """Decode an answer's load report, such as inflight:7;util:0.61, with the scheduler's names as keys."""
     report = {}
     for part in fields.get("gauges", "").split(";"):
         name, separator, value = part.partition(":")
--- a/cottonhold/backend/health_check.py
+++ b/cottonhold/backend/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks of engines, and the budget of those that connections ask for by themselves."""
+"""Health checks of engines, and the budget that limits liveness checks of connections."""
 
 from __future__ import annotations
 
@@ -7,39 +7,40 @@
 
 from cottonhold.transport.clock import Timer
 
-COST_PER_ATTEMPT = 0.003  # of the result, that each attempt adds to the budget of liveness checks
-MAX_AVAILABLE_CHECKS = 4.0  # as many connections as may fall silent at the same moment
+# Each attempt adds this cost to the budget of liveness checks, in the unit of the cost of a health check.
+COST_PER_ATTEMPT = 0.003
+MAX_AVAILABLE_CHECKS = 4.0  # several connections may become silent at the same time
 
 
 @dataclass(slots=True, eq=False)
 class HealthCheck:
-    """A health check in flight: one that was requested, or a liveness check of its connection."""
+    """A health check in flight: a requested check of an engine, or a liveness check of a connection."""
 
     engine: str
-    sent_at: float  # ms of the clock
-    answers_before: int  # answers on the connection before it; any further one shows life as well
+    sent_at: float  # in ms of the clock
+    answers_before: int  # the connection's answer count when it was sent; any later answer proves liveness
     was_connecting: bool
-    is_awaited: bool = True  # its outcome is to be reported
+    is_awaited: bool = True  # whether its outcome has to be reported
     timer: Timer | None = None
-    callback: Callable[[bool], None] | None = None  # who gets the outcome in the listener's place
+    callback: Callable[[bool], None] | None = None  # receives the outcome instead of the listener
 
 
 class LivenessBudget:
-    """How many liveness checks may be sent: each attempt pays for a part of one.
+    """Limits the number of liveness checks: each attempt that is sent pays for a fraction of one.
 
-    Without a limit most connections of a full fleet would be checked again and again.
+    Without a limit, most connections of a busy fleet would be checked repeatedly.
     """
 
     def __init__(self) -> None:
         self.available = 1.0
 
     def on_attempt_sent(self, check_cost: float) -> None:
-        """An attempt has been sent; `check_cost` is the cost of a health check, 0 where it has none."""
+        """Add an attempt's contribution; `check_cost` is the cost of a health check, 0 if checks are free."""
         earned = COST_PER_ATTEMPT / max(check_cost, COST_PER_ATTEMPT)
         self.available = min(MAX_AVAILABLE_CHECKS, self.available + earned)
 
     def try_spend(self, check_cost: float) -> bool:
-        """Take a check out of the budget; false where there is none left."""
+        """Spend one check; return false if the budget has none left. Free checks are always allowed."""
         if self.available < 1 and check_cost:
             return False
         self.available = max(self.available - 1, 0.0)
--- a/cottonhold/backend/health_checker.py
+++ b/cottonhold/backend/health_checker.py
@@ -16,14 +16,14 @@
 
 
 class Recheck(Protocol):
-    """Checks an engine once more, on a connection that is in order."""
+    """Repeats the health check of an engine on another connection."""
 
     def __call__(self, engine: str, /) -> bool:
-        """Whether the engine could be asked."""
+        """Start the check; return false if no connection is available."""
 
 
 class HealthChecker:
-    """All health checks in flight."""
+    """Sends health checks, handles their timeouts and reports their outcomes."""
 
     def __init__(
         self,
@@ -33,11 +33,19 @@
         recheck: Recheck,
         on_completed: HealthCheckCallback,
     ) -> None:
-        """`timeout_ms` is asked with each check: settings may change."""
+        """Create a health checker.
+
+        Args:
+            clock: Supplies time and timers.
+            counters: Counts checks and their outcomes.
+            timeout_ms: Returns the timeout of a check; called for each one because settings may change.
+            recheck: Repeats a check that timed out on a single silent connection.
+            on_completed: Receives the outcome of each requested check that has no callback of its own.
+        """
         self.clock, self.counters = clock, counters
         self.timeout_ms, self.recheck, self.on_completed = timeout_ms, recheck, on_completed
         self.count = 0
-        self.last_duration_ms = 0.0  # of the last check that ended
+        self.last_duration_ms = 0.0  # duration of the last check reported to `on_completed`
 
     def send(
         self,
@@ -45,10 +53,13 @@
         is_awaited: bool = True,
         callback: Callable[[bool], None] | None = None,
     ) -> None:
-        """Check the engine on a connection.
+        """Send a health check on a connection.
 
-        Where `is_awaited`, its outcome is reported to the callback, else to `on_completed`. Otherwise it
-        counts for the connection only.
+        Args:
+            connection: The connection to the engine.
+            is_awaited: Whether the outcome is reported; otherwise the check only shows whether the connection
+                is alive.
+            callback: Receives the outcome instead of `on_completed`.
         """
         self.count += 1
         tag = b"t%d" % self.count
@@ -67,10 +78,10 @@
             check.timer = self.clock.call_in(self.timeout_ms(), lambda: self._on_late(connection, check))
 
     def _on_late(self, connection: Connection, check: HealthCheck) -> None:
-        """A health check lacks its answer. From now on it counts for its connection only.
+        """Handle the timeout of a health check, which from now on only shows whether its connection is alive.
 
-        One silent connection is no evidence against the engine: where other answers arrive it lives, else it
-        is checked on a new connection.
+        One silent connection is no evidence against the engine. If the connection has received other answers,
+        the engine is alive; otherwise the check is repeated on another connection.
         """
         if not check.is_awaited:
             return
@@ -81,7 +92,7 @@
         check.is_awaited = False
 
     def end(self, check: HealthCheck, outcome: Outcome, report: dict[str, float] | None = None) -> None:
-        """A health check has ended."""
+        """Report the outcome of a health check to its callback or to `on_completed`."""
         if check.timer is not None:
             check.timer.cancel()
         self.counters.add(f"probes_{outcome.value}")
--- a/cottonhold/backend/liveness_monitor.py
+++ b/cottonhold/backend/liveness_monitor.py
@@ -1,4 +1,4 @@
-"""Looks after connections that are silent, and engines that leave, in a fixed interval."""
+"""Checks silent connections, and engines that drain or were removed, in a fixed interval."""
 
 from __future__ import annotations
 
@@ -15,72 +15,74 @@
 from cottonhold.transport.clock import Clock
 
 CHECK_INTERVAL_MS = 200.0
-LIVENESS_CHECK_AFTER_MS = (
-    1200.0  # a connection silent this long with attempts in flight gets a liveness check
-)
-LIVENESS_TIMEOUT_MS = 500.0  # of that check; also the longest time from an answer's first byte to its last
-MAX_ABANDONED_IDS = 256  # of a connection: each could only come again within its request's lifetime
+# A connection with attempts in flight that receives nothing for this long gets a liveness check.
+LIVENESS_CHECK_AFTER_MS = 1200.0
+# Timeout of a liveness check, and the longest time between the first and the last byte of an answer.
+LIVENESS_TIMEOUT_MS = 500.0
+# Limit for each connection; an id can only be reused during the lifetime of its request.
+MAX_ABANDONED_IDS = 256
 
 
 class MonitoredPool(Protocol):
-    """The connections that are looked after."""
+    """The connection pool that is monitored."""
 
     settings: ConnectionSettings
     clock: Clock
     counters: Counters
     log: Callable[[str], None]
-    endpoints_in_use: dict[str, EngineEndpoint]  # those without connections are taken out here
+    endpoints_in_use: dict[str, EngineEndpoint]  # the monitor removes those without connections
     health_checker: HealthChecker
     liveness_budget: LivenessBudget
 
     def close_if_leaving(self, endpoint: EngineEndpoint, /) -> None:
-        """Close what an engine that leaves no longer needs."""
+        """Close connections that an engine that drains or was removed no longer needs."""
 
     def on_malformed_answer(self, reason: str, /) -> None:
-        """An engine has sent something that can't be understood."""
+        """Report a malformed answer of an engine."""
 
 
 class LivenessMonitor:
-    """Checks the connections of one pool until the process ends."""
+    """Checks the connections of one pool periodically until the process ends."""
 
     def __init__(self, pool: MonitoredPool) -> None:
         self.pool = pool
         pool.clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
 
     def _check_periodically(self) -> None:
-        """Check connections that are open and silent, and engines that have left.
+        """Check all open connections, and engines that drain or were removed.
 
-        Only engines with connections are looked at, since most of a large list has none; a fault at one
-        leaves the others checked. Within their budget, liveness checks go to the most silent first.
+        Only engines with connections are visited, since most engines of a large list have none. An exception
+        at one engine does not keep the others from being checked. The connections that have been silent for
+        the longest time get a liveness check first, as far as the budget allows.
         """
-        pool, quiet = self.pool, list[Connection]()
+        pool, silent = self.pool, list[Connection]()
         now = pool.clock.now()
         pool.clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
         for name, endpoint in list(pool.endpoints_in_use.items()):
             try:
-                quiet += [c for c in list(endpoint.connections) if self.check_connection(endpoint, c, now)]
+                silent += [c for c in list(endpoint.connections) if self.check_connection(endpoint, c, now)]
                 pool.close_if_leaving(endpoint)
                 if not endpoint.connections:
                     pool.endpoints_in_use.pop(name, None)
             except Exception as error:
                 pool.counters.add("check_faults")
                 pool.log(f"engine {endpoint.engine.id}: {type(error).__name__}: {error}")
-        for connection in sorted(quiet, key=lambda c: c.silent_since):
+        for connection in sorted(silent, key=lambda c: c.silent_since):
             if pool.liveness_budget.try_spend(pool.settings.health_check_cost):
                 pool.health_checker.send(connection, is_awaited=False)
 
     def check_connection(self, endpoint: EngineEndpoint, connection: Connection, now: float) -> bool:
-        """Abandon a connection that has failed; whether one ought to get a liveness check."""
+        """Abandon a connection that has failed; return whether it needs a liveness check."""
         if not connection.is_up or connection.is_closed:
             return False
         for tag, check in list(connection.health_checks.items()):
             if not check.is_awaited and check.answers_before != connection.answer_count:
                 del connection.health_checks[tag]
         if now - connection.partial_since > LIVENESS_TIMEOUT_MS:
-            self.pool.on_malformed_answer(f"engine {connection.engine}: an answer that stops short")
+            self.pool.on_malformed_answer(f"engine {connection.engine}: an incomplete answer timed out")
             connection.abandon()
         elif now - connection.health_check_since() >= LIVENESS_TIMEOUT_MS:
-            self.pool.log(f"engine {connection.engine}: a connection does not answer its liveness check")
+            self.pool.log(f"engine {connection.engine}: a connection did not answer its liveness check")
             connection.abandon()
         for request_id in list(connection.abandoned_ids)[:-MAX_ABANDONED_IDS]:
             del connection.abandoned_ids[request_id]
--- a/cottonhold/backend/resp.py
+++ b/cottonhold/backend/resp.py
@@ -1,11 +1,11 @@
-"""RESP arrays of bulk strings, which carry the engines' protocol: a reader that is fed bytes, and codecs."""
+"""Encoding and incremental decoding of RESP arrays of bulk strings, the base of the engines' protocol."""
 
 from __future__ import annotations
 
-MAX_ELEMENTS = 8  # of an array; an answer has four
+MAX_ELEMENTS = 8  # limit of an array; an answer has at most four
 MAX_ELEMENT_BYTES = 8 * 1024
 MAX_PAGE_BYTES = 6000
-MAX_LENGTH_LINE_BYTES = 16  # bytes of a length with its mark and line end
+MAX_LENGTH_LINE_BYTES = 16  # type byte, digits and line end
 MAX_COUNT_DIGITS = 8
 COLUMNS = 3
 
@@ -13,11 +13,11 @@
 
 
 class RespError(Exception):
-    """Bytes that are no array of bulk strings, too large a one, or an answer without what it needs."""
+    """An array is malformed or too large, or an answer lacks a required part."""
 
 
 def encode_array(*elements: bytes) -> bytes:
-    """An array of bulk strings."""
+    """Encode an array of bulk strings."""
     parts = [b"*%d\r\n" % len(elements)]
     for element in elements:
         parts.append(b"$%d\r\n%b\r\n" % (len(element), element))
@@ -25,88 +25,90 @@
 
 
 class RespReader:
-    """Collects bytes and returns the arrays that are complete."""
+    """Decodes a stream of bytes into arrays."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def has_partial(self) -> bool:
-        """Whether an array has begun and is incomplete."""
+        """Return whether part of an array has been received."""
         return bool(self.buffer)
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """The arrays that these bytes complete. Raises RespError.
+        """Add received bytes and return the arrays that are now complete.
 
-        Malformed bytes behind complete arrays raise with the next call, so that those arrays are not lost.
+        Raises:
+            RespError: The data is malformed. If complete arrays precede the malformed bytes, those arrays are
+                returned and the next call raises the error.
         """
         self.buffer += data
-        arrays, at = list[list[bytes]](), 0
+        arrays, position = list[list[bytes]](), 0
         try:
-            while (found := self._decode_array(at)) is not None:
-                elements, at = found
+            while (decoded := self._decode_array(position)) is not None:
+                elements, position = decoded
                 arrays.append(elements)
         except RespError:
             if not arrays:
                 raise
-        if at:
-            del self.buffer[:at]
+        if position:
+            del self.buffer[:position]
         return arrays
 
-    def _decode_array(self, at: int) -> tuple[list[bytes], int] | None:
-        """The array at a position and where it ends; None while it is incomplete."""
-        head = self._decode_length(at, b"*", MAX_ELEMENTS)
-        if head is None:
+    def _decode_array(self, start: int) -> tuple[list[bytes], int] | None:
+        """Return the array that starts at a position, and its end; None while it is incomplete."""
+        header = self._decode_length(start, b"*", MAX_ELEMENTS)
+        if header is None:
             return None
-        count, at = head
+        count, position = header
         elements = []
         for _ in range(count):
-            head = self._decode_length(at, b"$", MAX_ELEMENT_BYTES)
-            if head is None:
+            header = self._decode_length(position, b"$", MAX_ELEMENT_BYTES)
+            if header is None:
                 return None
-            size, at = head
-            if len(self.buffer) < at + size + 2:
+            size, position = header
+            if len(self.buffer) < position + size + 2:
                 return None
-            if self.buffer[at + size : at + size + 2] != b"\r\n":
-                raise RespError("a bulk string does not end where it should")
-            elements.append(bytes(self.buffer[at : at + size]))
-            at += size + 2
-        return elements, at
-
-    def _decode_length(self, at: int, mark: bytes, maximum: int) -> tuple[int, int] | None:
-        """The number behind a mark and where its line ends; None while that is incomplete."""
-        if len(self.buffer) > at and self.buffer[at : at + 1] != mark:
-            raise RespError(f"expected {mark!r}, got {bytes(self.buffer[at : at + 1])!r}")
-        end = self.buffer.find(b"\r\n", at, at + MAX_LENGTH_LINE_BYTES)
+            if self.buffer[position + size : position + size + 2] != b"\r\n":
+                raise RespError("a bulk string is not followed by its line end")
+            elements.append(bytes(self.buffer[position : position + size]))
+            position += size + 2
+        return elements, position
+
+    def _decode_length(self, start: int, type_byte: bytes, maximum: int) -> tuple[int, int] | None:
+        """Return the length after a type byte, and the end of its line; None while the line is incomplete."""
+        if len(self.buffer) > start and self.buffer[start : start + 1] != type_byte:
+            raise RespError(f"expected {type_byte!r}, got {bytes(self.buffer[start : start + 1])!r}")
+        end = self.buffer.find(b"\r\n", start, start + MAX_LENGTH_LINE_BYTES)
         if end < 0:
-            if len(self.buffer) >= at + MAX_LENGTH_LINE_BYTES:
-                raise RespError("a length without an end")
+            if len(self.buffer) >= start + MAX_LENGTH_LINE_BYTES:
+                raise RespError(f"a length line exceeds {MAX_LENGTH_LINE_BYTES} bytes")
             return None
-        digits = bytes(self.buffer[at + 1 : end])
+        digits = bytes(self.buffer[start + 1 : end])
         if not digits.isdigit() or int(digits) > maximum:
-            raise RespError(f"a bad length: {digits!r}")
+            raise RespError(f"invalid length {digits!r}; the limit is {maximum}")
         return int(digits), end + 2
 
 
 def decode_rows(page: bytes) -> Rows:
-    """The rows of a page as their cells. Raises RespError."""
+    """Decode a page into rows of cells. Raises RespError."""
     if len(page) > MAX_PAGE_BYTES:
-        raise RespError(f"a page of {len(page)} bytes")
+        raise RespError(f"a page has {len(page)} bytes; the limit is {MAX_PAGE_BYTES}")
     if not page:
         return []
     if page[-1:] != b"\n":
-        raise RespError("a page does not end with a whole row")
+        raise RespError("a page does not end with a complete row")
     rows = [row.split(b"\t") for row in page[:-1].split(b"\n")]
     if any(len(row) != COLUMNS for row in rows):
-        raise RespError("a row that is not of three columns")
+        raise RespError(f"a row does not have {COLUMNS} columns")
     try:
         page.decode()
     except UnicodeDecodeError:
-        raise RespError("a page that is not text") from None
+        raise RespError("a page is not valid UTF-8") from None
     return rows
 
 
 def decode_count(fields: dict[str, str], name: str, minimum: int, maximum: int) -> int:
-    """A required whole number of an answer. Raises RespError."""
+    """Decode a required integer field of an answer. Raises RespError if it is missing or out of range."""
     text = fields.get(name, "")
     if not (
         text.isascii()
@@ -114,12 +116,12 @@
         and len(text) <= MAX_COUNT_DIGITS
         and minimum <= int(text) <= maximum
     ):
-        raise RespError(f"no use in {name}={text[:20]!r}")
+        raise RespError(f"field {name!r} is not an integer from {minimum} to {maximum}: {text[:20]!r}")
     return int(text)
 
 
 def decode_fields(text: bytes) -> dict[str, str]:
-    """A list name=value,name=value; `-` when there are none."""
+    """Decode a list such as name=value,name=value; `-` stands for an empty list."""
     if text in (b"-", b""):
         return {}
     pairs = (part.partition("=") for part in text.decode("utf-8", "replace").split(","))
--- a/cottonhold/frontend/__init__.py
+++ b/cottonhold/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""Client protocols as state machines that are fed bytes: MySQL."""
+"""The MySQL client protocol, implemented as state machines that do no I/O."""
--- a/cottonhold/frontend/client_sessions.py
+++ b/cottonhold/frontend/client_sessions.py
@@ -1,4 +1,4 @@
-"""All client sessions of this process: their ids, their limit, and who is evicted near it."""
+"""All client sessions of this process: connection ids, the session limit, and eviction near that limit."""
 
 from __future__ import annotations
 
@@ -13,15 +13,19 @@
 from cottonhold.transport.clock import Clock
 
 CHECK_INTERVAL_MS = 200.0
-HEADROOM_FRACTION = 8  # one part in this many of all places is kept free for those that arrive
-EVICTABLE_AFTER_MS = 50.0  # near the limit, a connection silent for this long may be evicted
-HALTED_EVICTABLE_AFTER_MS = 400.0  # and one halted in mid-packet: slow clients still send now and then
+HEADROOM_FRACTION = 8  # 1/8 of the maximum number of sessions is kept free for new connections
+EVICTABLE_AFTER_MS = 50.0  # near the limit, a connection that sent nothing for this long may be evicted
+# Longer for a connection that stopped within a packet: slow clients pause between its parts.
+HALTED_EVICTABLE_AFTER_MS = 400.0
 EVICTION_ORDER = {Activity.SILENT: 0, Activity.IDLE: 1, Activity.HALTED: 2}
 ALL_IDS = ConnectionIdRange()
 
 
 class EvictionCandidate(NamedTuple):
-    """A session that may be evicted; the smallest goes first. Ids are unique, so sessions never compare."""
+    """A session that may be evicted, ordered by who is evicted first.
+
+    Connection ids are unique, so comparing two candidates never compares their sessions.
+    """
 
     rank: int
     idle_since: float
@@ -30,8 +34,11 @@
 
 
 def eviction_order(sessions: Iterable[Session], now: float, count: int) -> list[Session]:
-    """At most `count` sessions to evict, in order: those that sent nothing, idle ones, halted ones, and the
-    longest idle of each first. One that is owed a response is never among them."""
+    """Return at most `count` sessions to evict, in this order.
+
+    Sessions that never sent anything come first, then idle ones, then those that stopped within a packet;
+    within each group the longest idle come first. Sessions with a response outstanding are never included.
+    """
     candidates = []
     for session in sessions:
         idle_since, activity = session.idle_since(now), session.activity()
@@ -43,7 +50,7 @@
 
 
 class ClientSessions:
-    """The sessions by connection id, and what they share."""
+    """The client sessions by connection id, and the services that they share."""
 
     def __init__(
         self,
@@ -54,20 +61,30 @@
         max_sessions: int,
         connection_ids: ConnectionIdRange = ALL_IDS,
     ) -> None:
+        """Start the periodic check of all sessions.
+
+        Args:
+            service: Runs the clients' queries.
+            clock: Supplies time and timers.
+            counters: Counts events of client connections.
+            lifecycle: Decides whether queries are accepted and when connections are closed.
+            max_sessions: Largest number of sessions that may exist at the same time.
+            connection_ids: Range that the ids of new sessions come from.
+        """
         self.service, self.clock, self.counters, self.lifecycle = service, clock, counters, lifecycle
         self.max_sessions, self.connection_ids = max_sessions, connection_ids
         self.sessions: dict[int, Session] = {}
         self.last_id = connection_ids.base
-        self.evicted_count = 0  # evicted sessions whose descriptors are not free yet
+        self.evicted_count = 0  # evicted sessions whose descriptors are still open
         clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
 
     def _check_periodically(self) -> None:
-        """One timer for all sessions costs less than one for each."""
+        """Check all sessions in a fixed interval; one timer costs less than one for each session."""
         self.clock.call_in(CHECK_INTERVAL_MS, self._check_periodically)
         self.check_timeouts()
 
     def check_timeouts(self) -> None:
-        """Close sessions that have timed out; a fault at one leaves the others checked."""
+        """Close sessions that have timed out; an exception in one session does not affect the others."""
         now = self.clock.now()
         for session in list(self.sessions.values()):
             try:
@@ -78,14 +95,14 @@
                 session.evict()
 
     def has_unfinished(self) -> bool:
-        """Whether the program may not end yet: someone has no response, or may still send a request."""
+        """Whether the process must keep running: a client awaits a response or may still send a request."""
         return any(session.is_unfinished() for session in self.sessions.values())
 
     def has_capacity(self) -> bool:
-        """Whether a further client may be accepted; near the limit, makes room for the next ones.
+        """Return whether another client may be accepted; near the limit, first evict inactive sessions.
 
-        Silent and idle connections must not hold all descriptors: clients would wait in the listener's queue,
-        and engines could not be connected to.
+        If silent and idle connections held all descriptors, new clients would wait in the listener's queue,
+        and no connection to an engine could be opened.
         """
         headroom = max(self.max_sessions // HEADROOM_FRACTION, 1)
         if len(self.sessions) - self.evicted_count > self.max_sessions - headroom:
@@ -93,7 +110,7 @@
         return len(self.sessions) < self.max_sessions
 
     def is_evicting(self) -> bool:
-        """Whether evicted sessions are about to free their places."""
+        """Whether descriptors of evicted sessions are about to be released."""
         return self.evicted_count > 0
 
     def _evict(self, count: int) -> None:
@@ -104,7 +121,7 @@
                 self.evicted_count += 1
 
     def open(self) -> Session:
-        """A session for a new connection."""
+        """Create the session of a new connection."""
         self.last_id = self.connection_ids.next_id(self.last_id)
         while self.last_id in self.sessions:
             self.last_id = self.connection_ids.next_id(self.last_id)
@@ -112,10 +129,10 @@
         return session
 
     def find(self, connection_id: int) -> Session | None:
-        """The session with an id."""
+        """Return the session with this connection id, or None."""
         return self.sessions.get(connection_id)
 
     def on_session_closed(self, session: Session) -> None:
-        """A session's connection has ended."""
+        """Remove a session whose connection has ended."""
         self.sessions.pop(session.connection_id, None)
         self.evicted_count -= session.was_evicted
--- a/cottonhold/frontend/connection_ids.py
+++ b/cottonhold/frontend/connection_ids.py
@@ -1,19 +1,20 @@
-"""Connection ids of client sessions, from ranges that no two processes of one dispatcher share."""
+"""Connection ids of client sessions, from ranges that differ between the processes of one dispatcher."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SLOTS = 4  # processes of one dispatcher that can run at the same time
-START_BITS, COUNT_BITS = 10, 20  # of an id; between them two bits for the slot
+SLOTS = 4  # processes of one dispatcher that may run at the same time
+# An id has 32 bits: the start number of the process, two bits for its slot, and a counter.
+START_BITS, COUNT_BITS = 10, 20
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionIdRange:
-    """The ids that a process gives to its clients' connections: from base + 1 to base + count.
+    """The ids that a process assigns to its client connections: from base + 1 to base + count.
 
-    KILL QUERY may reach another process of the dispatcher, where an id given by both would hit another
-    client's query. So the ranges of processes that live at the same time differ.
+    KILL QUERY may reach another process of the dispatcher. If both had assigned the same id, it would cancel
+    another client's query, so processes that run at the same time use disjoint ranges.
     """
 
     base: int = 0
@@ -21,16 +22,26 @@
 
     @classmethod
     def for_slot(cls, start_number: int, slot: int) -> ConnectionIdRange:
-        """The range of a process by its slot; a later start in the same slot has another number."""
+        """Return the range of a process that holds a slot.
+
+        Args:
+            start_number: Number of this start; successive starts in one slot have different numbers.
+            slot: Number of the slot, below SLOTS.
+        """
         high = (start_number % (1 << START_BITS)) * SLOTS + slot
         return cls(high << COUNT_BITS, (1 << COUNT_BITS) - 1)
 
     @classmethod
     def for_process(cls, pid: int, max_pids: int) -> ConnectionIdRange:
-        """The range of a process without a slot, by its process id."""
+        """Return the range of a process without a slot, derived from its process id.
+
+        Args:
+            pid: The process id.
+            max_pids: Exclusive upper bound of process ids on this system.
+        """
         bits = 32 - (max_pids - 1).bit_length()
         return cls(pid << bits, (1 << bits) - 1)
 
     def next_id(self, connection_id: int) -> int:
-        """The id after another one of the range; after the last one comes the first."""
+        """Return the id that follows another one; the first id of the range follows the last."""
         return self.base + (connection_id - self.base) % self.count + 1
--- a/cottonhold/frontend/mysql_handshake.py
+++ b/cottonhold/frontend/mysql_handshake.py
@@ -1,4 +1,4 @@
-"""The handshake of the MySQL client protocol 4.1: the greeting and the login. Knows no socket, no state."""
+"""The handshake of the MySQL client protocol 4.1: encodes the greeting and decodes the login."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 CAPABILITIES = (
     LONG_PASSWORD | LONG_FLAG | CONNECT_WITH_DB | PROTOCOL_41 | TRANSACTIONS | SECURE_CONNECTION | PLUGIN_AUTH
 )
-SALT = b"cottonhold-salt-0123"  # there is no password that it could protect
+SALT = b"cottonhold-salt-0123"  # constant, since no password has to be protected
 MIN_LOGIN_BYTES = 33
-USER, DATABASE = b"app", b"dw"  # the only ones
+USER, DATABASE = b"app", b"dw"  # the only user and the only database
 
 
 class Login(NamedTuple):
-    """What a client sends to log in."""
+    """The fields of a client's login packet."""
 
     user: bytes
     password: bytes
-    database: bytes  # empty where the client names none
+    database: bytes  # empty if the client names none
 
 
 def encode_greeting(connection_id: int) -> bytes:
-    """The payload of a server's first packet."""
+    """Encode the payload of the server's first packet."""
     low, high = CAPABILITIES & 0xFFFF, CAPABILITIES >> 16
     return b"".join(
         (
@@ -53,7 +53,11 @@
 
 
 def decode_login(payload: bytes) -> Login:
-    """A client's login packet. Raises ProtocolError."""
+    """Decode a client's login packet.
+
+    Raises:
+        ProtocolError: The payload is malformed, or the client does not support protocol 4.1.
+    """
     capabilities = int.from_bytes(payload[:4], "little")
     if len(payload) < MIN_LOGIN_BYTES or not capabilities & PROTOCOL_41:
         raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
@@ -72,7 +76,11 @@
 
 
 def check_login(login: Login) -> None:
-    """Raise ProtocolError for another user than the one there is, a password or another database."""
+    """Verify the user, the empty password and the database of a login.
+
+    Raises:
+        ProtocolError: The user or the database is unknown, or a password is given.
+    """
     if login.user != USER or login.password:
         raise ProtocolError(ACCESS_DENIED, f"access denied for user '{printable(login.user)}'")
     if login.database not in (b"", DATABASE):
--- a/cottonhold/frontend/mysql_packets.py
+++ b/cottonhold/frontend/mysql_packets.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of the MySQL client protocol 4.1, without state and without I/O."""
+"""Encoding and decoding of MySQL client protocol 4.1 packets, without state and I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 AUTOCOMMIT = b"\x02\x00"
 UTF8 = 33
 COM_QUIT, COM_INIT_DB, COM_QUERY, COM_PING, COM_RESET_CONNECTION = 0x01, 0x02, 0x03, 0x0E, 0x1F
-HEADER_BYTES = 4  # three of the payload's length, one of the sequence number
+HEADER_BYTES = 4  # three for the payload's length and one for the sequence number
 MAX_ERROR_TEXT_BYTES = 500
-MAX_SHORT_STRING = 250  # bytes of a string whose length is one byte
-ResultRows = list[list[bytes]]  # rows of text cells, as many as there are columns
+MAX_SHORT_STRING = 250  # longest string, in bytes, whose length is encoded in one byte
+ResultRows = list[list[bytes]]  # rows of text cells, one cell for each column
 COLUMNS = (b"c1", b"c2", b"c3")
-# No two parts can match the same blanks, and the digits are bounded: matching takes linear time.
+# Matching takes linear time: no two parts can match the same whitespace, and the number of digits is bounded.
 KILL = re.compile(rb"\s*KILL\s+(QUERY\s+|CONNECTION\s+)?(\d{1,20})\s*(?:;\s*)?\Z", re.IGNORECASE)
 
 
 class ErrorCode(NamedTuple):
-    """An error as MySQL clients know it."""
+    """A MySQL error number with its SQLSTATE."""
 
     number: int
     sql_state: bytes
@@ -39,7 +39,7 @@
 
 
 class ProtocolError(Exception):
-    """The client broke the protocol: it gets the error, then its connection is closed."""
+    """The client violated the protocol: the error is sent to it, then its connection is closed."""
 
     def __init__(self, code: ErrorCode, text: str) -> None:
         super().__init__(text)
@@ -47,14 +47,14 @@
 
 
 class KillCommand(NamedTuple):
-    """A KILL statement."""
+    """A decoded KILL statement."""
 
     connection_id: int
-    only_query: bool
+    only_query: bool  # KILL QUERY, which keeps the connection open
 
 
 def encode_string(text: bytes) -> bytes:
-    """A length-encoded string."""
+    """Encode a length-encoded string."""
     size = len(text)
     if size <= MAX_SHORT_STRING:
         return bytes((size,)) + text
@@ -64,18 +64,18 @@
 
 
 def encode_packet(payload: bytes, sequence: int) -> bytes:
-    """A payload with its header."""
+    """Prepend the packet header to a payload."""
     return len(payload).to_bytes(3, "little") + bytes((sequence,)) + payload
 
 
 def encode_column(name: bytes) -> bytes:
-    """The definition of a text column."""
+    """Encode the definition of a text column."""
     head = b"".join(encode_string(part) for part in (b"def", b"", b"", b"", name, b""))
     return head + b"\x0c" + UTF8.to_bytes(2, "little") + b"\xff\xff\xff\x00\xfd\x00\x00\x1f\x00\x00"
 
 
 def encode_error(code: ErrorCode, text: str) -> bytes:
-    """The payload of an error packet."""
+    """Encode the payload of an error packet; a long text is truncated."""
     return (
         b"\xff"
         + code.number.to_bytes(2, "little")
@@ -88,14 +88,20 @@
 EOF = b"\xfe\x00\x00" + AUTOCOMMIT
 OK = b"\x00\x00\x00" + AUTOCOMMIT + b"\x00\x00"
 RESULT_HEAD = (bytes((len(COLUMNS),)), *[encode_column(name) for name in COLUMNS], EOF)
-# Encoded once: short lengths, packets' lengths and sequence numbers, by value.
+# Precomputed encodings of short string lengths, packet lengths and sequence numbers, indexed by value.
 SHORT_LENGTHS = [bytes((size,)) for size in range(MAX_SHORT_STRING + 1)]
 PACKET_LENGTHS = [size.to_bytes(3, "little") for size in range(MAX_SHORT_STRING + 1)]
 SEQUENCE_NUMBERS = [bytes((number,)) for number in range(256)]
 
 
 def encode_rows(rows: ResultRows, sequence: int) -> list[bytes]:
-    """The rows of a result as packets, in pieces to be joined; short rows are encoded by tables alone."""
+    """Encode the rows of a result as packets.
+
+    Rows of up to MAX_SHORT_STRING bytes are encoded from the precomputed tables, which is faster.
+
+    Returns:
+        Pieces of the packets, to be joined by the caller.
+    """
     parts: list[bytes] = []
     for a, b, c in rows:
         number, size = SEQUENCE_NUMBERS[sequence & 0xFF], len(a) + len(b) + len(c) + 3
@@ -118,7 +124,7 @@
 
 
 def decode_kill(statement: bytes) -> KillCommand | None:
-    """A KILL statement; None for any other one."""
+    """Decode a KILL statement; return None for any other statement."""
     match = KILL.match(statement)
     if match is None:
         return None
@@ -126,5 +132,5 @@
 
 
 def printable(name: bytes) -> str:
-    """A name of a client's for an error's text, cut short."""
+    """Return a name sent by a client, truncated, for use in the text of an error."""
     return name.decode("utf-8", "replace")[:40]
--- a/cottonhold/frontend/mysql_session.py
+++ b/cottonhold/frontend/mysql_session.py
@@ -1,4 +1,4 @@
-"""A client's session of the MySQL protocol 4.1: a state machine that is fed bytes and knows no socket."""
+"""A client's session of the MySQL protocol 4.1: a state machine that receives bytes and does no I/O."""
 
 from __future__ import annotations
 
@@ -45,35 +45,36 @@
 from cottonhold.transport.clock import Clock
 from cottonhold.transport.interface import StreamHandle
 
-MAX_PACKET_BYTES = 64 * 1024  # of a client's packet: many clients share the memory
-MAX_UNREAD_BYTES = 32 * 1024  # written but not read by the client; above it no command is carried out
-MAX_QUEUED_COMMANDS = 16  # on one connection: clients send one at a time
+MAX_PACKET_BYTES = 64 * 1024  # limit of a client's packet, since many clients share the memory
+MAX_UNREAD_BYTES = 32 * 1024  # output not read by the client; above this no command is executed
+MAX_QUEUED_COMMANDS = 16  # per connection; most clients send one at a time
 MAX_QUEUED_BYTES = 2 * MAX_PACKET_BYTES
-# A client is owed an end within 3 s of connecting, so stalled connections are closed well before that.
-LOGIN_TIMEOUT_MS = 2000.0  # from connecting to the first command
-PARTIAL_PACKET_TIMEOUT_MS = 1200.0  # from a packet's first byte to its last
+# A client that stalls must have its connection closed within 3 s of connecting, so these limits are shorter.
+LOGIN_TIMEOUT_MS = 2000.0  # between connecting and the first command
+PARTIAL_PACKET_TIMEOUT_MS = 1200.0  # between a packet's first byte and its last
 IDLE_TIMEOUT_MS = 5000.0  # clients close an idle connection themselves after 4 s
-SETTLE_MS = 100.0  # a connection active this recently is not closed as idle: more may be on its way
+# While draining or shutting down, a connection active this recently stays open: a request may follow.
+SETTLE_MS = 100.0
 
 
 class Activity(Enum):
-    """How far a client without an open request has come; the values are part of counters' names."""
+    """State of a client without an open request; the values are part of counters' names."""
 
     SILENT = "silent"  # has sent nothing yet
-    IDLE = "idle"  # waits between two commands
+    IDLE = "idle"  # between two commands
     HALTED = "halted"  # has stopped within a packet or its login
 
 
 class Command(NamedTuple):
-    """A packet that waits to be carried out."""
+    """A received packet that has not been executed yet."""
 
     sequence: int
     payload: bytes
-    arrived_at: float  # ms of the clock
+    arrived_at: float  # in ms of the clock
 
 
 class SessionRegistry(Protocol):
-    """What a session shares with all others."""
+    """The services that all sessions share."""
 
     service: QueryService
     clock: Clock
@@ -81,14 +82,14 @@
     lifecycle: ServingState
 
     def find(self, connection_id: int) -> Session | None:
-        """The session with an id."""
+        """Return the session with this connection id, or None."""
 
     def on_session_closed(self, session: Session) -> None:
-        """A session's connection has ended."""
+        """Remove a session; called when its connection has ended."""
 
 
 class Session:
-    """One client's connection."""
+    """The protocol state of one client connection."""
 
     def __init__(self, registry: SessionRegistry, connection_id: int) -> None:
         self.registry, self.connection_id = registry, connection_id
@@ -100,13 +101,13 @@
         self.was_evicted = False
         self.opened_at = self.last_received_at = registry.clock.now()
         self.partial_since = math.inf  # when the first byte of an incomplete packet arrived
-        self.sequence = 0  # of the next packet to the client
-        self.request: Callable[[], None] | None = None  # the open one: withdraws it
+        self.sequence = 0  # sequence number of the next packet to the client
+        self.request: Callable[[], None] | None = None  # withdraws the open request; None if there is none
         self._send(encode_greeting(connection_id))
         registry.counters.add("client_connections")
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the client; a request is accepted with its last one."""
+        """Process bytes from the client; a request is accepted when its last byte has arrived."""
         if self.is_closing:
             return
         self.buffer += data
@@ -123,7 +124,11 @@
             self._on_malformed(error)
 
     def _decode_packet(self, now: float) -> Command | None:
-        """The first packet of the buffer; None while it is incomplete. Raises ProtocolError."""
+        """Remove and return the first packet of the buffer; None while it is incomplete.
+
+        Raises:
+            ProtocolError: The packet is too large, or too many commands are queued.
+        """
         buffer = self.buffer
         if len(buffer) < HEADER_BYTES:
             return None
@@ -143,7 +148,7 @@
         return packet
 
     def pop_output(self) -> bytes:
-        """Take what is to be written now."""
+        """Remove and return the bytes to write; queued commands are then executed soon."""
         data = bytes(self.output)
         self.output.clear()
         if self.commands and self.request is None and not self.is_closing:
@@ -157,7 +162,7 @@
             self._on_malformed(error)
 
     def on_closed(self) -> None:
-        """The connection has ended."""
+        """Withdraw the open request and leave the registry; called when the connection has ended."""
         if self.is_closed:
             return
         self.is_closed = self.is_closing = True
@@ -165,14 +170,14 @@
         self._cancel_request()
 
     def _cancel_request(self) -> bool:
-        """Nothing is owed any more for the open request; false if there is none."""
+        """Withdraw the open request, which gets no response; return false if there is none."""
         withdraw, self.request = self.request, None
         if withdraw is not None:
             withdraw()
         return withdraw is not None
 
     def _execute_commands(self) -> None:
-        """Carry out queued commands, one at a time, as far as the client reads the responses."""
+        """Execute queued commands, one at a time, while the client reads the responses."""
         while (
             self.commands
             and self.request is None
@@ -206,7 +211,7 @@
             self._send_error(UNKNOWN_COMMAND, "unknown command")
 
     def _quit(self) -> None:
-        """The client ends its session; queries that it sent behind that get an error: they did not run."""
+        """End the session; queries that the client sent after COM_QUIT are rejected, not executed."""
         for sequence, payload, _ in self.commands:
             if payload[:1] == bytes((COM_QUERY,)):
                 self.sequence = (sequence + 1) & 0xFF
@@ -248,7 +253,7 @@
         self._send(OK)
 
     def interrupt(self) -> None:
-        """The client gave its query up: nothing is owed for it, but its session goes on."""
+        """Interrupt the open query, if any, and report that to the client; the session continues."""
         if self._cancel_request():
             self._send_error(QUERY_INTERRUPTED, "query execution was interrupted")
             self._after_response()
@@ -265,7 +270,7 @@
             self._send_error(UNKNOWN_DATABASE, f"unknown database '{printable(name)}'")
 
     def idle_since(self, now: float) -> float:
-        """Since when nothing is owed here; now while something is."""
+        """Return when the client last sent something, or `now` while a response is due or being written."""
         if self.request is not None or self.commands or self.output:
             return now
         if self.stream is None or self.stream.is_writing():
@@ -273,13 +278,13 @@
         return self.last_received_at
 
     def activity(self) -> Activity:
-        """How far the client has come."""
+        """Return the state of a client without an open request."""
         if self.has_sent_command:
             return Activity.IDLE if self.partial_since == math.inf else Activity.HALTED
         return Activity.HALTED if self.has_received else Activity.SILENT
 
     def check_timeouts(self, now: float) -> None:
-        """Close a connection that only costs a descriptor; the client gets the reason where it can."""
+        """Close the connection if it stalled, was idle for too long, or the process shuts down."""
         if self.is_closing:
             return
         if self.registry.lifecycle.closes_all(now):
@@ -291,7 +296,7 @@
             self._close_unless_received()
 
     def _is_stalled(self, now: float) -> bool:
-        """Whether the client takes too long for a packet or its login."""
+        """Whether the client takes too long to send a packet or to log in."""
         if now - self.partial_since > PARTIAL_PACKET_TIMEOUT_MS:
             return True
         return not self.has_sent_command and now - self.opened_at > LOGIN_TIMEOUT_MS
@@ -301,7 +306,7 @@
         return self.partial_since == math.inf and now - self.idle_since(now) > timeout_ms
 
     def evict(self) -> bool:
-        """Close at once, to make room; false where the client has just sent something."""
+        """Close immediately to release the descriptor; return false if the client has just sent something."""
         if self.stream is not None and self.stream.read_available() or self.is_closed:
             return False
         self.is_closing = self.was_evicted = True
@@ -310,7 +315,7 @@
         return True
 
     def _close_for_shutdown(self) -> None:
-        """This process ends: close, unless a request is open, which has its response soon."""
+        """Close because this process ends, unless a request is open, whose response follows soon."""
         if self.stream is not None:
             self.stream.read_available()
         if self.request is not None or self.commands or self.is_closing:
@@ -333,20 +338,20 @@
         self._after_response()
 
     def reject(self, retry_after_ms: float) -> None:
-        """Send a rejection, with advice on when to retry."""
+        """Send a rejection; a positive `retry_after_ms` is included as advice on when to retry."""
         if self._finish_request():
             advice = f"; cooldown={math.ceil(retry_after_ms)}" if retry_after_ms > 0 else ""
             self._send_error(REJECTED, f"query refused, it did not run or may be repeated{advice}")
             self._after_response()
 
     def fail(self, reason: str) -> None:
-        """Send a failure."""
+        """Send an error whose text is `reason`."""
         if self._finish_request():
             self._send_error(QUERY_FAILED, reason)
             self._after_response()
 
     def _finish_request(self) -> bool:
-        """The open request is about to get its response; false if there is none."""
+        """Mark the open request as finished before its response is sent; return false if there is none."""
         is_open, self.request = self.request is not None, None
         self.last_received_at = self.registry.clock.now()
         return is_open
@@ -358,12 +363,12 @@
             self._close_unless_received()
 
     def is_unfinished(self) -> bool:
-        """Whether the program may not end yet: something is still to be answered, or to be written."""
+        """Return whether the process must keep running to send a response or to finish a write."""
         is_writing = self.stream is not None and self.stream.is_writing()
         return not self.is_closing or bool(self.output) or is_writing
 
     def _close_unless_received(self) -> None:
-        """Close, unless a request or a part of one has arrived meanwhile: it is owed a response."""
+        """Close, unless all or part of another request has arrived, which has to be answered."""
         has_received = self.stream is not None and self.stream.read_available()
         if not (has_received or self.buffer or self.is_closing):
             self._close()
@@ -378,7 +383,7 @@
         self._close_with_error(error)
 
     def _close_with_error(self, error: ProtocolError) -> None:
-        """The client broke the protocol: report it where that can be done, and close this connection only."""
+        """Send the error to the client and close this connection; other connections are not affected."""
         self.registry.counters.add("client_malformed")
         self.commands.clear()
         self._cancel_request()
--- a/cottonhold/frontend/query_comment.py
+++ b/cottonhold/frontend/query_comment.py
@@ -1,6 +1,6 @@
-"""Decodes the comment before a statement, which holds the request's fields, and finds its tables.
+"""Decodes the comment before a statement, which contains the request's fields, and finds the table group.
 
-The fields' names on the wire are mapped here to the code's terms.
+The names of fields on the wire are mapped here to the names that the code uses.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 COMMENT = re.compile(rb"\s*/\*(.*?)\*/\s*", re.DOTALL)
 REQUEST_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
-IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")  # passed on to engines as it is
+IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")  # sent to engines unchanged
 REQUIRED_FIELDS = ("service", "ref", "allow")
-NUMBER = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,20})?\Z")  # float() takes more, as nan or 1_0
-MAX_NUMBER = 3.6e6  # an hour; no query here may take or wait for longer
-# Strings and comments are matched first, so that names inside them do not count.
-# A string or comment without an end takes all that follows it, so that matching takes linear time.
+NUMBER = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,20})?\Z")  # float() accepts more, such as "nan" and "1_0"
+MAX_NUMBER = 3.6e6  # one hour in ms, the longest time that a query may run or wait
+# Strings and comments are matched first, so that names inside them are ignored.
+# An unterminated string or comment matches the rest of the text, so that matching takes linear time.
 SQL_TOKEN = re.compile(
     r"""'(?:[^'\\]|\\(?:.|\Z)|'')*+(?:'|\Z)|"(?:[^"\\]|\\(?:.|\Z)|"")*+(?:"|\Z)"""
     r"""|/\*.*?(?:\*/|\Z)|\#[^\n]*|--(?=\s|\Z)[^\n]*"""
@@ -32,12 +32,12 @@
 
 
 class FieldError(Exception):
-    """A field that is missing or can't be used; the text names it."""
+    """A field is missing or invalid; the message names it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Statement:
-    """A request's fields and its statement without the comment that held them."""
+    """A request's fields, and its statement without the comment that contained them."""
 
     class_name: str
     request_id: str
@@ -48,12 +48,16 @@
     ordering_key: str | None
     body: bytes
     table_group: int
-    tenant: str | None = None  # by name; None where the client names none
-    idempotency_key: str | None = None  # the same for all attempts of one request
+    tenant: str | None = None  # the tenant's name; None if the client names none
+    idempotency_key: str | None = None  # identical on all attempts of one request
 
 
 def parse(text: bytes) -> Statement:
-    """Decode a statement. Raises FieldError."""
+    """Decode a statement with the comment before it.
+
+    Raises:
+        FieldError: The comment or a required field is missing, or a field is invalid.
+    """
     comment = COMMENT.match(text)
     if comment is None:
         raise FieldError("no comment with fields before the statement: field 'service' is missing")
@@ -79,7 +83,11 @@
 
 
 def decode_fields(comment: bytes) -> dict[str, str]:
-    """The comment's fields by name. Raises FieldError where one is there twice with two values."""
+    """Return the comment's fields by name.
+
+    Raises:
+        FieldError: A field occurs twice with different values.
+    """
     fields: dict[str, str] = {}
     for part in comment.decode("utf-8", "replace").split(","):
         name, separator, value = part.strip().partition("=")
@@ -89,7 +97,7 @@
 
 
 def check_fields(fields: dict[str, str]) -> None:
-    """Raise FieldError where a required field is missing or the request's id has another form."""
+    """Raise FieldError if a required field is missing or the request id is malformed."""
     for name in REQUIRED_FIELDS:
         if name not in fields:
             raise FieldError(f"field '{name}' is missing")
@@ -98,7 +106,7 @@
 
 
 def decode_retry(fields: dict[str, str]) -> bool:
-    """Whether the client has sent the request before. Raises FieldError."""
+    """Return whether the client has sent the request before. Raises FieldError."""
     text = fields.get("dup", "0")
     if text not in ("0", "1"):
         raise FieldError("field 'dup' is neither 0 nor 1")
@@ -106,7 +114,7 @@
 
 
 def decode_idempotency_key(fields: dict[str, str]) -> str | None:
-    """The client's idempotency key, if it gives one. Raises FieldError."""
+    """Return the client's idempotency key, or None if there is none. Raises FieldError."""
     key = fields.get("replay")
     if key is not None and not IDEMPOTENCY_KEY.match(key):
         raise FieldError("field 'replay' can't be passed on as a key")
@@ -114,7 +122,7 @@
 
 
 def decode_number(fields: dict[str, str], name: str) -> float:
-    """A field that holds a number that is not negative; 0 where it is absent."""
+    """Return the value of a numeric, non-negative field, 0 if it is absent. Raises FieldError."""
     text = fields.get(name, "0")
     if not NUMBER.match(text) or (value := float(text)) > MAX_NUMBER:
         raise FieldError(f"field '{name}' is not a number, or out of range")
@@ -122,12 +130,14 @@
 
 
 def table_group(sql: str) -> int:
-    """The number after the underscore in the schema's name; -1 where no schema has one.
+    """Return the number at the end of the schema's name, as 7 in `s_7`; -1 if no schema has one.
 
-    A name behind FROM, INTO or the like is a table for certain; `a_1.x` elsewhere may be an alias's column.
+    A qualified name after one of TABLE_KEYWORDS is certainly a table and is preferred. Elsewhere `a_1.x` may
+    also be a column of a table alias, so it is only used if there is no such table.
     """
     plain = PLAIN_TABLE.search(sql)
-    if plain and not QUOTE_OR_COMMENT.search(sql, 0, plain.start()):  # true for most statements, and quick
+    # The fast path covers most statements.
+    if plain and not QUOTE_OR_COMMENT.search(sql, 0, plain.start()):
         return int(plain[1])
     tokens = [(m.lastgroup, m[0]) for m in SQL_TOKEN.finditer(sql) if m.lastgroup]
     fallback, is_table = -1, False
@@ -148,14 +158,14 @@
 
 
 def is_qualifier(tokens: Sequence[tuple[str, str]], position: int) -> bool:
-    """Whether the name at a position is the first part of a qualified name."""
+    """Return whether the token at a position is the first part of a qualified name."""
     if position + 1 >= len(tokens) or tokens[position + 1][0] != "dot":
         return False
     return position == 0 or tokens[position - 1][0] != "dot"
 
 
 def schema_group(text: str) -> int | None:
-    """The number in a schema's name; None where it has none, or is the staging schema."""
+    """Return the number at the end of a schema's name; None if it has none or is the staging schema."""
     name = text.strip("`")
     match = NUMBERED_SCHEMA.match(name)
     if name.lower() == "staging" or match is None:
--- a/cottonhold/frontend/query_service.py
+++ b/cottonhold/frontend/query_service.py
@@ -1,4 +1,4 @@
-"""What client protocols expect of the gateway and of the process's lifecycle."""
+"""Interfaces of the gateway and of the process lifecycle that client protocols depend on."""
 
 from __future__ import annotations
 
@@ -11,53 +11,63 @@
 
 
 class DuplicateRequestIdError(Exception):
-    """A request under an id that is still in use."""
+    """A request has the id of another request that is still open."""
 
 
 class ResponseSink(Protocol):
-    """The way back to the client of one request; one call, once."""
+    """Sends the response of one request to its client; exactly one method is called, once."""
 
     def complete(self, rows: ResultRows, /) -> None:
-        """Give the complete result."""
+        """Send the complete result."""
 
     def reject(self, retry_after_ms: float, /) -> None:
-        """Reject the request; repeating it is harmless."""
+        """Reject the request, which the client may safely repeat; 0 gives no advice on when to retry."""
 
     def fail(self, reason: str, /) -> None:
-        """Report a failure; the request may have run."""
+        """Report a failure of the request, which may have been executed."""
 
 
 class QueryService(Protocol):
-    """Accepts statements: the gateway."""
+    """Accepts statements for execution; implemented by the gateway."""
 
     def submit(self, statement: Statement, arrived_at: float, sink: ResponseSink) -> Callable[[], None]:
-        """Accept a statement; returns what to call when its client disconnects.
+        """Accept a statement.
 
-        Raises FieldError and DuplicateRequestIdError. `sink` is never called before this returns.
+        Args:
+            statement: The statement with its request's fields.
+            arrived_at: When its last byte arrived, in ms of the clock.
+            sink: Receives the response; never called before this method returns.
+
+        Returns:
+            A function that withdraws the request, to be called when its client disconnects or interrupts it.
+
+        Raises:
+            FieldError: A field of the request can't be used.
+            DuplicateRequestIdError: Another request with the same id is still open.
         """
 
     @property
     def log(self) -> Callable[[str], None]:
-        """Writes a line for the operators."""
+        """A function that writes a log line."""
 
 
 class ServingState(Protocol):
-    """Whether this process serves, drains or shuts down. All times are ms of the clock."""
+    """Whether this process serves, drains or shuts down. All times are in ms of the clock."""
 
     def phase(self) -> Enum:
-        """The phase; clients see its value."""
+        """Return the phase, whose value is part of error texts to clients."""
 
     def is_ready(self) -> bool:
-        """Whether health checks succeed."""
+        """Return whether health checks of this process succeed."""
 
     def accepts_query(self, now: float, deadline: float) -> bool:
-        """Whether a query that arrives now and has until `deadline` is accepted."""
+        """Return whether a query that arrives at `now` with this deadline is accepted."""
 
     def closes_idle(self, now: float) -> bool:
-        """Whether connections without an open request are closed."""
+        """Return whether connections without an open request are closed."""
 
     def closes_all(self, now: float) -> bool:
-        """Whether they are closed however recently they were active."""
+        """Return whether they are closed even if they were active recently."""
 
     def closes_answered(self, now: float) -> bool:
-        """Whether a connection is closed right after its response."""
+        """Return whether a connection is closed right after a response was sent on it."""
