--- a/cottonhold/transport/__init__.py
+++ b/cottonhold/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The only reader and writer of sockets."""
+"""Sockets, timers and the event loop: the only package that reads and writes sockets."""
--- a/cottonhold/transport/clock.py
+++ b/cottonhold/transport/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: milliseconds that only advance, and timers on it; wall time is known only as an offset."""
+"""The clock of this process: a monotonic clock in ms with timers, and its offset to wall time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-ORIGIN_MS = 1e9  # 0, which means long past in many places, lies twelve days before the machine's start
+# Value of the clock at the machine's start. It keeps 0, which often means "long ago", far in the past.
+ORIGIN_MS = 1e9
 
 
 class Timer(Protocol):
@@ -18,20 +19,20 @@
 
 
 class Clock(Protocol):
-    """What the parts that know no socket need of time."""
+    """Time and timers, as used by code that does no I/O."""
 
     def now(self) -> float:
-        """Milliseconds of a monotonic clock: only differences mean something, and only in this process."""
+        """Return monotonic time in ms; only differences within this process are meaningful."""
 
     def call_in(self, ms: float, action: Callable[[], None]) -> Timer:
-        """Call an action after some time."""
+        """Call an action after `ms` milliseconds."""
 
     def call_soon(self, action: Callable[[], None]) -> object:
-        """Call an action in the next turn of the event loop."""
+        """Call an action in the next iteration of the event loop."""
 
 
 class LoopClock:
-    """The monotonic clock, with timers on the event loop."""
+    """A monotonic clock with timers on the event loop."""
 
     def __init__(
         self,
@@ -40,22 +41,22 @@
         wall: Callable[[], float] | None = None,
     ) -> None:
         self.loop, self.monotonic = loop, monotonic
-        # Read once, so that steps of the wall clock do not show. It may be off by any amount: only engines'
-        # start times are compared with it, and a start without a folder is numbered by it.
+        # Read only once, so that steps of the wall clock have no effect. The wall clock may be wrong by any
+        # amount: it is only compared with start times of engines, and numbers a start without a state folder.
         self.unix_offset = (wall or time.time)() * 1000 - self.now()
 
     def now(self) -> float:
-        """Milliseconds of the monotonic clock, from an origin long before the machine's start."""
+        """Return monotonic time in ms, which is ORIGIN_MS at the machine's start."""
         return ORIGIN_MS + self.monotonic() * 1000
 
     def unix(self) -> float:
-        """Milliseconds of Unix time by the wall clock as it stood at the start; it may be off by hours."""
+        """Return Unix time in ms, based on the wall clock at the start, which may be wrong by hours."""
         return self.now() + self.unix_offset
 
     def call_in(self, ms: float, action: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call an action after some time."""
+        """Call an action after `ms` milliseconds."""
         return self.loop.call_later(max(ms, 0.0) / 1000, action)
 
     def call_soon(self, action: Callable[[], None]) -> asyncio.Handle:
-        """Call an action in the next turn of the event loop."""
+        """Call an action in the next iteration of the event loop."""
         return self.loop.call_soon(action)
--- a/cottonhold/transport/connector.py
+++ b/cottonhold/transport/connector.py
@@ -1,4 +1,4 @@
-"""Outgoing connections."""
+"""Opens outgoing connections, to engines and to the event stream."""
 
 from __future__ import annotations
 
@@ -13,28 +13,32 @@
 from cottonhold.transport.sockets import family_of, tcp_socket
 from cottonhold.transport.stream import Stream, StreamSet
 
-ENGINE_READ_BYTES = 32768  # that one read takes
+ENGINE_READ_BYTES = 32768  # largest size of one read
 DEFAULT_TIMEOUT_S = 0.25
 
 
 class ClientProtocol(StreamProtocol, Protocol):
     """The state machine of an outgoing connection."""
 
-    lacked_local_resources: bool  # set where this machine could not make the connection
+    lacked_local_resources: bool  # set if a connect failed for lack of a resource of this machine
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """Process that the connection is established."""
 
 
 class Connector:
-    """Opens outgoing connections."""
+    """Opens outgoing connections; `timeout_s` limits the connects of `connect`."""
 
     def __init__(self, context: IoContext, streams: StreamSet) -> None:
         self.context, self.streams = context, streams
         self.timeout_s = DEFAULT_TIMEOUT_S
 
     def connect(self, address: Address, protocol: ClientProtocol) -> Stream:
-        """Open a connection; the protocol is notified when it is up, or that it never came up."""
+        """Open a connection in the background.
+
+        The protocol's `on_connected` is called when the connection is established, `on_closed` if the connect
+        fails.
+        """
         stream = Stream(self.streams, protocol, ENGINE_READ_BYTES)
         stream.task = self.context.spawn(self._connect(address, protocol, stream))
         return stream
@@ -47,19 +51,23 @@
             is_local = isinstance(error, OSError) and error.errno in CONNECT_RESOURCE_ERRORS
             protocol.lacked_local_resources = is_local
             protocol.on_closed()
-            if not isinstance(error, OSError):  # a time-out is one
+            if not isinstance(error, OSError):  # TimeoutError is an OSError
                 raise
             return
         protocol.on_connected()
         stream.start(sock)
 
     async def dial(self, address: Address, timeout_s: float) -> socket.socket:
-        """A connected socket, the caller's. Raises OSError, a time-out too.
+        """Return a connected socket, which the caller has to close.
+
+        The timeout is needed because a machine that vanished never answers, and the system would retry for
+        minutes. If this machine lacks a resource, the connect is retried until the timeout.
 
-        A machine that vanished never answers, and the system would try for minutes. Where a resource of this
-        machine lacks, the connect is tried again within the time, and that error is raised at its end.
+        Raises:
+            OSError: The connect failed. TimeoutError: The connect timed out. If this machine lacked a
+            resource, that OSError is raised instead.
         """
-        lacking: OSError | None = None
+        resource_error: OSError | None = None
         try:
             async with asyncio.timeout(timeout_s):
                 family, target = await self._resolve(address)
@@ -71,24 +79,24 @@
                             raise
                         self.context.counters.add("connections_lacking")
                         self.context.log(f"connect: {error}")
-                        lacking = error
+                        resource_error = error
                     await asyncio.sleep(RESOURCE_RETRY_S)
         except TimeoutError:
-            raise lacking or TimeoutError from None
+            raise resource_error or TimeoutError from None
 
     async def _resolve(self, address: Address) -> tuple[socket.AddressFamily, tuple[Any, ...]]:
-        """An address's family and socket address. Only names are looked up; the platform has none."""
+        """Return the family and socket address of an address; a host name, unusual here, is looked up."""
         if address.host[-1:].isdigit() or ":" in address.host:
             return family_of(address), (address.host, address.port)
-        found = await self.context.loop.getaddrinfo(address.host, address.port, type=socket.SOCK_STREAM)
-        family, _, _, _, target = found[0]
+        candidates = await self.context.loop.getaddrinfo(address.host, address.port, type=socket.SOCK_STREAM)
+        family, _, _, _, target = candidates[0]
         return family, target[:2]
 
     async def _connect_socket(self, family: socket.AddressFamily, target: tuple[Any, ...]) -> socket.socket:
         sock = tcp_socket(self.context.make_socket, family)
         try:
             await self.context.loop.sock_connect(sock, target)
-            # A connect that could not begin (EAGAIN) looks like one that is up; this raises OSError for it.
+            # A connect that could not start (EAGAIN) looks established; getpeername raises OSError for it.
             sock.getpeername()
         except BaseException:
             sock.close()
--- a/cottonhold/transport/event_loop.py
+++ b/cottonhold/transport/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop with all that reads and writes sockets on it: asyncio's socket calls on uvloop."""
+"""The event loop with everything that reads and writes sockets on it, using asyncio's API on uvloop."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class EventLoop(IoContext):
-    """The sockets of one process, put together."""
+    """All network I/O of one process: streams, listener, connector, datagrams and the event stream."""
 
     def __init__(
         self,
--- a/cottonhold/transport/event_stream_client.py
+++ b/cottonhold/transport/event_stream_client.py
@@ -1,4 +1,4 @@
-"""Follows the event stream of engines by long polls."""
+"""Follows the event stream that reports engines, by long polling."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class EventStreamClient:
-    """Keeps a long poll open; owns its socket."""
+    """Keeps a long poll to the event stream open and owns its socket."""
 
     def __init__(self, context: IoContext, connector: Connector) -> None:
         self.context, self.connector = context, connector
 
     async def follow(self, stream: EventStream, address: Address) -> None:
-        """Poll until cancelled; a broken connection is opened anew, with exponential backoff."""
+        """Poll until cancelled; a broken connection is reopened with exponential backoff."""
         backoff_s = INITIAL_BACKOFF_S
         while True:
             sock = None
@@ -44,20 +44,20 @@
             backoff_s = await self._back_off(backoff_s)
 
     async def _poll_once(self, stream: EventStream, sock: socket.socket, backoff_s: float) -> float:
-        """One poll, with a pause behind it where the source did not hold it; returns the next backoff."""
-        began, known = self.context.loop.time(), stream.offset
+        """Poll once, then pause if the source answered early without news; return the next backoff, in s."""
+        started_at, previous_offset = self.context.loop.time(), stream.offset
         await self._poll(stream, sock)
-        if stream.offset > known or self.context.loop.time() - began > MAX_BACKOFF_S:
+        if stream.offset > previous_offset or self.context.loop.time() - started_at > MAX_BACKOFF_S:
             return INITIAL_BACKOFF_S
         return await self._back_off(backoff_s)
 
     async def _back_off(self, backoff_s: float) -> float:
-        """Wait before the next poll; returns the next backoff. Jitter spreads clients that broke together."""
+        """Wait before the next poll; return the next backoff, in s. Jitter spreads reconnects of clients."""
         await asyncio.sleep(backoff_s * (0.5 + 0.5 * random.random()))
         return min(backoff_s * 2, MAX_BACKOFF_S)
 
     async def _poll(self, stream: EventStream, sock: socket.socket) -> None:
-        """One request and its answer, which may arrive slowly as long as it arrives."""
+        """Send one request and receive its answer; reads extend the deadline, by at most MAX_ANSWER_MS."""
         loop = self.context.loop
         buffer = bytearray(READ_BYTES)
         deadline = loop.time() + stream.first_byte_timeout_ms() / 1000
--- a/cottonhold/transport/interface.py
+++ b/cottonhold/transport/interface.py
@@ -1,4 +1,4 @@
-"""What protocol state machines and the sockets that carry them expect of each other."""
+"""Interfaces between the state machines of protocols and the byte streams that carry them."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 
 
 class StreamProtocol(Protocol):
-    """A protocol's state machine behind a byte stream."""
+    """The state machine of a protocol that runs on a byte stream."""
 
-    is_closing: bool  # what is left to write ends the stream
+    is_closing: bool  # the stream is closed once the remaining output is written
 
     def receive(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Process bytes that have arrived."""
 
     def pop_output(self) -> bytes:
-        """Take what is to be written now."""
+        """Remove and return the bytes to write now."""
 
     def on_closed(self) -> None:
-        """The stream has ended."""
+        """Process the end of the stream; may be called more than once."""
 
 
 class StreamHandle(Protocol):
-    """A byte stream as its protocol's state machine uses it."""
+    """The interface of a byte stream for the state machine of its protocol."""
 
     def flush(self) -> None:
-        """There is something to write."""
+        """Schedule a write of the protocol's output."""
 
     def write_now(self) -> None:
-        """There is something to write before anything else is, on any stream."""
+        """Write the protocol's output immediately, before anything else is written on any stream."""
 
     def read_available(self) -> bool:
-        """Read what has arrived already; whether there were bytes."""
+        """Read what has already arrived; return whether the protocol received bytes."""
 
     def close_gracefully(self) -> None:
-        """Write what is left, then end the stream."""
+        """Write the remaining output, then close the stream."""
 
     def is_writing(self) -> bool:
-        """Whether something is being written."""
+        """Return whether output is still being written."""
 
     def abort(self) -> None:
-        """Close at once: the peer can see it before anything else is written on any stream."""
+        """Close immediately; the peer can see that before anything else is written on any stream."""
--- a/cottonhold/transport/io_context.py
+++ b/cottonhold/transport/io_context.py
@@ -1,4 +1,4 @@
-"""What all sockets of this process share: the event loop, its clock and tasks, and waiting for sockets."""
+"""Shared by all sockets of this process: the event loop, its clock and tasks, and waiting for readiness."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from cottonhold.transport.clock import LoopClock
 from cottonhold.transport.socket_factory import RESOURCE_ERRORS, MakeSocket
 
-# What one read discards of a client whose connection is being closed and who still sends; all reads share it.
+# Size of the buffer that all reads share, and of one read that discards data on a connection being closed.
 READ_BUFFER_BYTES = 256 * 1024
-RESOURCE_RETRY_S = 0.02  # before a call is made again for which the system lacked a resource
+RESOURCE_RETRY_S = 0.02  # pause before a call is retried for which the system lacked a resource
 
 
 class IoContext:
-    """The event loop with its clock, its tasks and the buffer that all reads share."""
+    """The event loop with its clock, background tasks and the shared read buffer."""
 
     def __init__(
         self,
@@ -32,22 +32,22 @@
         self.read_buffer = bytearray(READ_BUFFER_BYTES)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a task in the background; the loop itself keeps only weak references."""
+        """Run a task in the background and keep a reference to it; the event loop only keeps weak ones."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     async def send_all(self, sock: socket.socket, data: bytes) -> None:
-        """Write all. Raises OSError once nothing more can be written.
+        """Write all data. Raises OSError if the connection is broken.
 
-        A call for which the system lacks memory is repeated: the loop's own sock_sendall would fail, and not
-        tell how much had been written.
+        A call for which the system lacks memory is retried. The loop's own sock_sendall would fail without
+        reporting how much had been written.
         """
-        left = memoryview(data)
-        while left:
+        remaining = memoryview(data)
+        while remaining:
             try:
-                sent = sock.send(left)
+                sent = sock.send(remaining)
             except (BlockingIOError, InterruptedError):
                 await self.wait_until_writable(sock)
             except OSError as error:
@@ -55,10 +55,10 @@
                     raise
                 await asyncio.sleep(RESOURCE_RETRY_S)
             else:
-                left = left[sent:]
+                remaining = remaining[sent:]
 
     async def wait_until_writable(self, sock: socket.socket) -> None:
-        """Wait until a socket takes bytes."""
+        """Wait until a socket is writable."""
         ready = asyncio.Event()
         self.loop.add_writer(sock, ready.set)
         try:
@@ -67,9 +67,9 @@
             self.loop.remove_writer(sock)
 
     async def wait_until_readable(self, sock: socket.socket) -> None:
-        """Wait until something has arrived, and leave it where it is.
+        """Wait until a socket is readable, without reading or accepting.
 
-        A connection accepted here would be lost if the task were cancelled before it is handed over.
+        A connection accepted here would be lost if the waiting task were cancelled before receiving it.
         """
         ready = asyncio.Event()
         self.loop.add_reader(sock, ready.set)
--- a/cottonhold/transport/listener.py
+++ b/cottonhold/transport/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and the connections that arrive there."""
+"""Opens listening sockets and accepts connections on them."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from cottonhold.transport.sockets import bind, family_of, steer_to_newest, tcp_socket
 from cottonhold.transport.stream import Stream, StreamSet
 
-CLIENT_READ_BYTES = 4096  # that one read takes
+CLIENT_READ_BYTES = 4096  # largest size of one read
 BACKLOG = 512
 ACCEPT_PAUSE_S = 0.02  # after a failure, or while there is no capacity
-EVICTION_PAUSE_S = 0.001  # while evicted connections free their places
-OPEN_TIMEOUT_S = 3.0  # that a start waits at most for a resource: it has to be ready within 6 s
-MAX_BROKEN_CONNECTIONS = 64  # that broke in the queue, in a row, between two pauses
-MAX_QUEUE_PAUSES = 25  # that a listener's close waits at most for what accept lacks
+EVICTION_PAUSE_S = 0.001  # while descriptors of evicted connections are about to be released
+OPEN_TIMEOUT_S = 3.0  # longest wait for a resource at a start, which has to be ready within 6 s
+MAX_BROKEN_CONNECTIONS = 64  # consecutive connections that broke in the queue, between two pauses
+MAX_QUEUE_PAUSES = 25  # pauses for a resource that accept lacks, before a listener closes anyway
 
 
 class ServerProtocol(StreamProtocol, Protocol):
@@ -30,30 +30,37 @@
 
 
 class ProtocolFactory(Protocol):
-    """Makes the state machine of each connection."""
+    """Creates the state machine of each accepted connection."""
 
     def open(self) -> ServerProtocol:
-        """The state machine of a new connection."""
+        """Create the state machine of a new connection."""
 
 
 class AdmittingFactory(ProtocolFactory, Protocol):
-    """One that limits how many connections there are."""
+    """A protocol factory that limits the number of connections."""
 
     def has_capacity(self) -> bool:
-        """Whether a further connection may be accepted."""
+        """Return whether another connection may be accepted."""
 
     def is_evicting(self) -> bool:
-        """Whether evicted connections are about to free their places."""
+        """Return whether descriptors of evicted connections are about to be released."""
 
 
 class Listener:
-    """Opens listening sockets and accepts connections there; the sockets are the caller's."""
+    """Opens listening sockets and accepts connections; the caller closes the listening sockets."""
 
     def __init__(self, context: IoContext, streams: StreamSet) -> None:
         self.context, self.streams = context, streams
 
     async def open_with_retry(self, make: Callable[[], socket.socket]) -> socket.socket:
-        """A socket that this process can't do without, waited for where a resource lacks. Raises OSError."""
+        """Create a required socket, retrying for up to OPEN_TIMEOUT_S if a resource is lacking.
+
+        Args:
+            make: Creates the socket.
+
+        Raises:
+            OSError: The socket can't be created for another reason, or the resource is still lacking.
+        """
         loop = self.context.loop
         deadline = loop.time() + OPEN_TIMEOUT_S
         while True:
@@ -66,7 +73,15 @@
             await asyncio.sleep(RESOURCE_RETRY_S)
 
     def listen(self, address: Address, is_shared: bool = False) -> socket.socket:
-        """Listen at an address; a shared one also where another process listens. Raises OSError."""
+        """Open a socket that listens at an address.
+
+        Args:
+            address: The address to listen at. is_shared: Whether another process may listen there too; new
+            connections then go to the newer socket.
+
+        Raises:
+            OSError: The address can't be used, or a resource is lacking.
+        """
         sock = tcp_socket(self.context.make_socket, family_of(address))
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -82,10 +97,10 @@
     async def accept(self, sock: socket.socket, sessions: AdmittingFactory) -> None:
         """Accept clients until cancelled.
 
-        All that have arrived are accepted in one turn of the loop: one a turn, on a busy loop their requests
-        would be read after their deadlines.
+        All clients that have arrived are accepted in one iteration of the loop. With one per iteration, a
+        busy loop would read their requests after their deadlines.
         """
-        failures = 0  # in a row
+        failures = 0  # consecutive failures
         while True:
             if not sessions.has_capacity():
                 await asyncio.sleep(EVICTION_PAUSE_S if sessions.is_evicting() else ACCEPT_PAUSE_S)
@@ -100,10 +115,16 @@
                 await self._on_accept_failed(error, failures, "accept", "accept")
 
     async def _on_accept_failed(self, error: OSError, failures: int, counted_as: str, label: str) -> None:
-        """Count a failure of accept, log the first in a row, and wait for as long as it calls for.
+        """Count a failure of accept, log it if it is the first in a row, and pause if necessary.
+
+        If a resource is lacking, accept fails immediately, and retrying without a pause would be a busy loop.
+        A connection that broke in the queue needs no pause, since the next one may be accepted.
 
-        Where a resource lacks, accept fails at once and would spin. One connection that broke in the queue
-        says nothing of those behind it.
+        Args:
+            error: The error of accept.
+            failures: Number of consecutive failures.
+            counted_as: Beginning of the counter's name.
+            label: Beginning of the log line.
         """
         self.context.counters.add(f"{counted_as}_failed")
         is_of_connection = error.errno in CONNECTION_ERRORS
@@ -112,7 +133,7 @@
         await asyncio.sleep(0 if is_of_connection and failures % MAX_BROKEN_CONNECTIONS else ACCEPT_PAUSE_S)
 
     def _accept_now(self, sock: socket.socket) -> socket.socket | None:
-        """A connection that has arrived already; None where none has. Raises OSError as accept does."""
+        """Accept a connection that has already arrived; return None if there is none. Raises OSError."""
         try:
             client, _ = sock.accept()
         except BlockingIOError:
@@ -121,10 +142,9 @@
         return client
 
     def admit(self, client: socket.socket, protocol: ServerProtocol) -> None:
-        """Serve an accepted connection; takes over the socket.
+        """Serve an accepted connection and take ownership of its socket.
 
-        Where an option fails because the peer has gone, the first read shows it; else it is served like any
-        other.
+        A failing socket option is ignored: if the peer has disconnected, the first read detects that.
         """
         try:
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -138,7 +158,7 @@
         stream.start(client)
 
     async def accept_queued(self, sock: socket.socket, sessions: ProtocolFactory) -> None:
-        """Accept all that wait at a listener that is about to close: they would be reset with it."""
+        """Accept all queued connections of a listener that is about to close, which would reset them."""
         failures = pauses = 0
         while pauses < MAX_QUEUE_PAUSES:
             try:
@@ -151,7 +171,13 @@
                 await self._on_accept_failed(error, failures, "accept", "accept")
 
     async def accept_one(self, sock: socket.socket, counted_as: str, label: str) -> socket.socket:
-        """The next connection that arrives; failures meanwhile are counted, logged and waited out."""
+        """Wait for the next connection and return it; failures are counted, logged and retried.
+
+        Args:
+            sock: The listening socket.
+            counted_as: Beginning of the counter's name for failures.
+            label: Beginning of the log line of a failure.
+        """
         failures = 0  # in a row
         while True:
             try:
@@ -163,7 +189,7 @@
                 await self._on_accept_failed(error, failures, counted_as, label)
 
     async def serve_admin_api(self, sock: socket.socket, admin_api: ProtocolFactory) -> None:
-        """Accept operators' calls until cancelled."""
+        """Accept and serve calls of the admin API until cancelled."""
         while True:
             caller = await self.accept_one(sock, "ops_accept", "operators' calls")
             self._serve(caller, admin_api.open())
--- a/cottonhold/transport/socket_factory.py
+++ b/cottonhold/transport/socket_factory.py
@@ -1,7 +1,8 @@
-"""How sockets are made, so that a test can put in ones that fail by script; and the errors to expect of them.
+"""The type of functions that create sockets, and the classes of socket errors.
 
-The loop's own socket calls go through the methods of the socket that they are given. So a subclass of
-`socket.socket` sees each call on it, and on what it accepts, and a plain one costs nothing more.
+A test can pass a factory of sockets that fail as scripted. The event loop calls the methods of the socket
+that it is given, so a subclass of `socket.socket` intercepts each call on the socket and on those that it
+accepts. A plain socket has no overhead.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 MakeSocket = Callable[[socket.AddressFamily, socket.SocketKind], socket.socket]
 
-# Errors of accept(2) that concern one connection in the queue; the next call may serve the one behind it.
+# Errors of accept(2) that affect only one queued connection; the next call may return another one.
 CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -31,6 +32,6 @@
     }
 )
 
-# The system lacks a resource, as descriptors or memory: the call did nothing, a later one may succeed.
+# The system lacks a resource such as descriptors or memory: the call had no effect, a later one may succeed.
 RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-CONNECT_RESOURCE_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL}  # this machine's own ports
+CONNECT_RESOURCE_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL}  # no local port is free
--- a/cottonhold/transport/sockets.py
+++ b/cottonhold/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of this process, made and bound with the options that they need."""
+"""Creates and binds sockets with the options that this process needs."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from cottonhold.transport.socket_factory import MakeSocket
 
 SO_ATTACH_REUSEPORT_CBPF = 51
-# "return 1" in classic BPF: the second socket of the address. Where there is none the kernel picks by hash.
+# "return 1" in classic BPF: selects the second socket of the address. Without one, the kernel selects by
+# hash.
 SELECT_SECOND_SOCKET = struct.pack("@HBBI", 0x06, 0, 0, 1)
 
 
 def family_of(address: Address) -> socket.AddressFamily:
-    """The kind of socket that an address is reached by."""
+    """Return the address family of an address."""
     return socket.AF_INET6 if ":" in address.host else socket.AF_INET
 
 
 def bind(sock: socket.socket, address: Address, is_shared: bool) -> None:
-    """Bind a socket, a shared one also where another process of the same user has it. Raises OSError."""
+    """Bind a socket; with `is_shared`, processes of the same user may share the address. Raises OSError."""
     if is_shared:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     try:
@@ -32,7 +33,7 @@
 
 
 def tcp_socket(make: MakeSocket, family: socket.AddressFamily) -> socket.socket:
-    """A TCP socket that never blocks and never waits to fill a segment. Raises OSError."""
+    """Create a non-blocking TCP socket with TCP_NODELAY. Raises OSError."""
     sock = make(family, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
@@ -44,9 +45,10 @@
 
 
 def steer_to_newest(sock: socket.socket, counters: Counters, log: Callable[[str], None]) -> None:
-    """Steer new connections and datagrams to this socket, where an older process has one at the same address.
+    """Direct new connections and datagrams to this socket if an older process has one at the same address.
 
-    Otherwise the kernel divides them between both, and the older one's queue is reset when it closes.
+    Otherwise the kernel distributes them between both, and connections in the older socket's queue are reset
+    when it closes.
     """
     code = ctypes.create_string_buffer(SELECT_SECOND_SOCKET)
     program = struct.pack("@HP", 1, ctypes.addressof(code))
--- a/cottonhold/transport/stream.py
+++ b/cottonhold/transport/stream.py
@@ -1,4 +1,4 @@
-"""A connected socket and the state machine of its protocol."""
+"""Connected sockets, each with the state machine of its protocol."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from cottonhold.transport.socket_factory import RESOURCE_ERRORS
 
 SWEEP_INTERVAL_S = 5.0
-STUCK_S = 30.0  # a peer that takes nothing for so long is cut off
-LINGER_S, MAX_LINGER_S = 1.0, 5.0  # a peer has so long to read the last byte, more if it still sends
+STUCK_S = 30.0  # a connection is closed if a write takes longer, since its peer does not read
+# Time that a peer has to read the last byte, extended up to the maximum while it still sends.
+LINGER_S, MAX_LINGER_S = 1.0, 5.0
 
 
 class StreamSet:
-    """All open streams; cuts off peers that take nothing."""
+    """All open streams; closes those whose peer does not read."""
 
     def __init__(self, context: IoContext) -> None:
         self.context = context
@@ -29,60 +30,60 @@
         return iter(self._streams)
 
     def add(self, stream: Stream) -> None:
-        """A stream has been opened."""
+        """Add a stream that was opened."""
         self._streams.add(stream)
 
     def discard(self, stream: Stream) -> None:
-        """A stream has ended."""
+        """Remove a stream that has ended."""
         self._streams.discard(stream)
 
     def _sweep(self) -> None:
-        """Abort stuck streams; a timer for each write would cost more than the write."""
+        """Abort stuck streams periodically; a timer for each write would cost more than the write."""
         loop = self.context.loop
-        late = loop.time() - STUCK_S
-        for stream in [stream for stream in self._streams if stream.writing_since < late]:
+        stuck_before = loop.time() - STUCK_S
+        for stream in [stream for stream in self._streams if stream.writing_since < stuck_before]:
             self.context.counters.add("stuck_closed")
             stream.abort()
         loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
 
 class Stream:
-    """A connected socket and the state machine that it feeds. The stream's task closes the socket."""
+    """A connected socket and the state machine of its protocol; the stream closes the socket."""
 
     def __init__(self, streams: StreamSet, protocol: StreamProtocol, read_size: int) -> None:
-        """`read_size`: bytes that one read takes at most."""
+        """Create a stream that is not started yet; `read_size` is the largest size of one read, in bytes."""
         self.streams, self.context = streams, streams.context
         self.protocol, self.read_size = protocol, read_size
         self.sock: socket.socket | None = None
         self.writer: asyncio.Task[None] | None = None
         self.task: asyncio.Task[None] | None = None
-        self.writing_since = math.inf  # seconds of the loop's time
-        self.unsent = b""  # the rest of a write that did not fit
-        self.ended: asyncio.Future[None] | None = None  # by the peer, or by a fault
-        self.is_shut_down = False  # nothing more is written
+        self.writing_since = math.inf  # loop time, in s, at which the current write began; inf without one
+        self.unsent = b""  # rest of an immediate write that did not fit into the send buffer
+        self.ended: asyncio.Future[None] | None = None  # done when the peer has closed or a read failed
+        self.is_shut_down = False  # the write side is closed
         self.discarded_bytes = 0
 
     def start(self, sock: socket.socket) -> None:
-        """Read and write from now on; takes over the socket."""
+        """Start to read and write, and take ownership of the socket."""
         self.sock, self.ended = sock, self.context.loop.create_future()
         self.streams.add(self)
         self.task = self.context.spawn(self._serve(sock))
-        # Not in the task's own finally: one that is cancelled before its first step never runs.
+        # Not in a `finally` of the task: a task that is cancelled before its first step never runs.
         self.task.add_done_callback(lambda _: self._end(sock))
         self.flush()
 
     def flush(self) -> None:
-        """Write the protocol's output, in a task of its own."""
+        """Write the protocol's output in a background task."""
         if self.sock is not None and self.writer is None:
             self.writer = self.context.spawn(self._write(self.sock))
 
     def write_now(self) -> None:
-        """Write at once, before anything is written on another stream; what doesn't fit follows."""
+        """Write immediately, before anything is written on another stream; the rest follows later."""
         if self.sock is None or self.writing_since < math.inf:
-            self.flush()  # nothing may go between the bytes of a write that is under way
+            self.flush()  # output must not interrupt a write in progress
             return
         data, sock = self._pop_output(), self.sock
-        if sock is None:  # taking the output has ended the connection
+        if sock is None:  # the connection ended while the protocol produced its output
             return
         try:
             sent = sock.send(data) if data else 0
@@ -98,17 +99,20 @@
             self.flush()
 
     def close_gracefully(self) -> None:
-        """Write what is left, then end the stream: at once if all of it fits, so that no request that
-        arrives meanwhile is read and discarded."""
+        """Write the remaining output, then close the stream.
+
+        If all output fits into the send buffer, the write side is closed immediately, so that no request that
+        arrives in the meantime is read and discarded.
+        """
         self.write_now()
         if not self.unsent and self.writing_since == math.inf:
             self._shut_down()
-        self.flush()  # waits for the peer's end
+        self.flush()  # lingers until the peer has read the output
 
     def _shut_down(self) -> None:
         if self.sock is not None and not self.is_shut_down:
             self.is_shut_down = True
-            with contextlib.suppress(OSError):  # the peer has gone: reading will show it
+            with contextlib.suppress(OSError):  # the peer has disconnected, which the next read detects
                 self.sock.shutdown(socket.SHUT_WR)
 
     def _pop_output(self) -> bytes:
@@ -116,14 +120,14 @@
         return unsent + self.protocol.pop_output()
 
     def is_writing(self) -> bool:
-        """Whether something is being written."""
+        """Return whether output is still being written."""
         return self.writer is not None and not self.is_shut_down
 
     def abort(self) -> None:
-        """Close at once.
+        """Close immediately.
 
-        The task closes the socket some turns of the loop later; the shutdown lets the peer see the end before
-        anything is written elsewhere.
+        The task closes the socket a few iterations of the loop later. The shutdown here lets the peer see the
+        end before anything is written on another stream.
         """
         if self.sock is not None:
             with contextlib.suppress(OSError):
@@ -133,7 +137,7 @@
             self.task.cancel()
 
     async def _serve(self, sock: socket.socket) -> None:
-        """Read until the end. A fault on one stream ends neither the program nor other streams."""
+        """Read until the stream ends. An exception ends neither the process nor other streams."""
         try:
             await self._read(sock)
         except OSError:
@@ -166,10 +170,11 @@
             self.context.loop.remove_reader(sock)
 
     def read_available(self) -> bool:
-        """Read what has arrived already; whether there were bytes. The protocol gets an end at once.
+        """Read what has already arrived; return whether the protocol received bytes.
 
-        Bytes stay with the system until the protocol takes them, so that whoever is about to close the stream
-        can look there first.
+        If the stream has ended, the protocol is notified immediately. Unread bytes stay in the system's
+        buffer, so that code that is about to close the stream can call this first to see whether a request
+        has arrived.
         """
         sock, ended = self.sock, self.ended
         if sock is None or ended is None or ended.done():
@@ -191,10 +196,11 @@
         return False
 
     def _receive(self, sock: socket.socket, ended: asyncio.Future[None]) -> bool:
-        """One read; whether the protocol got bytes of it.
+        """Read once; return whether the protocol received bytes.
 
-        Behind the shutdown what still arrives is read and discarded: closed with bytes unread, the connection
-        would be reset and the client never see its last response.
+        After the shutdown of the write side, data that still arrives is read and discarded. If the socket
+        were closed with unread data, the connection would be reset, and the client might never receive its
+        last response.
         """
         buffer = self.context.read_buffer
         count = sock.recv_into(buffer, 0 if self.is_shut_down else self.read_size)
@@ -212,7 +218,7 @@
             self.ended.set_exception(error)
 
     def _pause(self, sock: socket.socket) -> None:
-        """Read no more for a moment: repeated at once, a read that lacks memory would spin."""
+        """Stop reading for RESOURCE_RETRY_S: retrying immediately without memory would be a busy loop."""
         self.context.loop.remove_reader(sock)
         self.context.loop.call_later(RESOURCE_RETRY_S, self._resume, sock)
 
@@ -239,7 +245,7 @@
             self.writer = None
 
     async def _linger(self) -> None:
-        """Give the peer time to read the last byte, and more while it still sends."""
+        """Give the peer LINGER_S to read the last byte, extended up to MAX_LINGER_S while it sends."""
         loop = self.context.loop
         deadline = loop.time() + MAX_LINGER_S
         discarded_before = -1
