--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -33,8 +33,8 @@
 from cottonhold.transport.clock import Clock
 from cottonhold.transport.interface import StreamHandle
 
-# When an engine is removed, attempts on a connection that received nothing for this long are considered lost.
-LOST_AFTER_SILENCE_MS = 1000.0
+# When an engine is removed or restarts, a connection that received nothing for this long is considered dead.
+INACTIVITY_LIMIT_MS = 1000.0
 MAX_PAGES = 64  # pages have up to 6,000 bytes, and an engine's result up to 48,000
 MIN_ATTEMPT_MS = 1.0  # an attempt with less time left is not sent, since no engine could answer in time
 
@@ -122,7 +122,7 @@
         kept, but gets no new attempt until it has received another one.
         """
         endpoint.restarted_at = self.clock.now()
-        silent_before = endpoint.restarted_at - LOST_AFTER_SILENCE_MS
+        silent_before = endpoint.restarted_at - INACTIVITY_LIMIT_MS
         endpoint.close_matching(
             lambda c: not c.is_up
             or c.opened_at < started_at
@@ -140,7 +140,7 @@
             self.drop_unsendable(connection)
         endpoint.close_matching(Connection.is_unused)
         if endpoint.engine.state is EngineState.REMOVED:
-            silent_before = self.clock.now() - LOST_AFTER_SILENCE_MS
+            silent_before = self.clock.now() - INACTIVITY_LIMIT_MS
             endpoint.close_matching(lambda c: c.last_received_at < silent_before or not c.attempts)
             if not endpoint.connections:
                 del self.endpoints[endpoint.engine.id]
--- a/cottonhold/frontend/mysql_handshake.py
+++ b/cottonhold/frontend/mysql_handshake.py
@@ -7,7 +7,7 @@
 from cottonhold.frontend.mysql_packets import (
     ACCESS_DENIED,
     AUTOCOMMIT,
-    BAD_HANDSHAKE,
+    HANDSHAKE_ERROR,
     MAX_SHORT_STRING,
     UNKNOWN_DATABASE,
     UTF8,
@@ -60,14 +60,14 @@
     """
     capabilities = int.from_bytes(payload[:4], "little")
     if len(payload) < MIN_LOGIN_BYTES or not capabilities & PROTOCOL_41:
-        raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+        raise ProtocolError(HANDSHAKE_ERROR, "bad handshake")
     user, terminator, rest = payload[MIN_LOGIN_BYTES - 1 :].partition(b"\x00")
     if not terminator:
-        raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+        raise ProtocolError(HANDSHAKE_ERROR, "bad handshake")
     if capabilities & (LENENC_AUTH | SECURE_CONNECTION):
         size = rest[0] if rest else 0
         if size > MAX_SHORT_STRING or len(rest) < 1 + size:
-            raise ProtocolError(BAD_HANDSHAKE, "bad handshake")
+            raise ProtocolError(HANDSHAKE_ERROR, "bad handshake")
         password, rest = rest[1 : 1 + size], rest[1 + size :]
     else:
         password, _, rest = rest.partition(b"\x00")
--- a/cottonhold/frontend/mysql_packets.py
+++ b/cottonhold/frontend/mysql_packets.py
@@ -24,7 +24,7 @@
     sql_state: bytes
 
 
-BAD_HANDSHAKE = ErrorCode(1043, b"08S01")
+HANDSHAKE_ERROR = ErrorCode(1043, b"08S01")
 ACCESS_DENIED = ErrorCode(1045, b"28000")
 UNKNOWN_COMMAND = ErrorCode(1047, b"08S01")
 UNKNOWN_DATABASE = ErrorCode(1049, b"42000")
--- a/tests/backend/test_attempt_begin.py
+++ b/tests/backend/test_attempt_begin.py
@@ -1,4 +1,4 @@
-"""The one check before the first byte of an attempt, at the connection that writes it."""
+"""The check that a connection makes before it writes the first byte of an attempt."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def queued_attempt(world: World) -> Attempt:
-    """An attempt that is queued at a connection which is not up yet."""
+    """Return an attempt that is queued on a connection that is not established yet."""
     world.run("e1 will vanish\nc1 query lookup r1")
     attempt = world.gateway.requests[f"{1:016x}"].attempt
     assert attempt is not None and attempt.connection is not None
--- a/tests/backend/test_connection_pool.py
+++ b/tests/backend/test_connection_pool.py
@@ -48,7 +48,7 @@
     assert world.engine_streams[0].connection.is_closed and not world.engine_streams[1].connection.is_closed
 
 
-def test_abandoned_ids_are_kept_in_bounded_number() -> None:
+def test_the_number_of_abandoned_ids_is_bounded() -> None:
     world = World().run("c1 query lookup r1\ne1 expect GET *")
     connection = world.engine_streams[0].connection
     connection.abandoned_ids = dict.fromkeys(b"%016x" % n for n in range(1000))
@@ -74,7 +74,7 @@
 def test_liveness_checks_stay_within_their_budget(
     check_cost: float, min_checks: int, max_checks: int
 ) -> None:
-    """Without a budget most connections of a busy fleet would get liveness checks again and again."""
+    """Without a budget, most connections of a busy fleet would be checked repeatedly."""
     world = World()
     world.engines.settings = dataclasses.replace(world.engines.settings, health_check_cost=check_cost)
     world.run("c1 query load r1 allow=20000\ne1 expect GET *\ntime wait 15000\nc1 expect nothing")
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("idle_ms", [400.0, 1500.0, 2000.0, 15000.0])
 def test_a_connection_is_reused_unless_its_engine_may_be_closing_it(idle_ms: float) -> None:
-    """Engines may close idle connections after less than the margin's 2 s."""
+    """The engine's idle timeout may be shorter than the fixed margin of 2 s."""
     world = World(engines="a")
     world.engines.settings = dataclasses.replace(world.engines.settings, idle_timeout_ms=idle_ms)
     for ref in range(1, 4):
--- a/tests/backend/test_engine_restarts.py
+++ b/tests/backend/test_engine_restarts.py
@@ -1,4 +1,4 @@
-"""An engine that restarts at its address: connections to the former process, and to the new one."""
+"""Connections to the former and to the new process of an engine that restarts at the same address."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.support.scenario import World
 
 UNIX_NOW_MS = 1_790_000_000_000.0
-CLOCK_ERRORS_S = [0.0, 5.0, -5.0, 3600.0, -3600.0]  # seconds that the wall clock is off by at the own start
+CLOCK_ERRORS_S = [0.0, 5.0, -5.0, 3600.0, -3600.0]  # error of the dispatcher's wall clock at its start, in s
 
 
 class WorldWithEngineStarts(World):
-    """A world whose one engine's starts are reported by the event stream, as Unix times of a right clock."""
+    """A world with one engine, whose starts the event stream reports as correct Unix times."""
 
     def __init__(self, clock_error_s: float) -> None:
         super().__init__(engines="a")
@@ -34,7 +34,7 @@
         self.report_start(0.0)
 
     def report_start(self, started: float) -> None:
-        """Report a start at a time of the own clock; 0: long ago."""
+        """Report a start at `started`, in ms of the dispatcher's clock; 0 stands for long ago."""
         stamp = started + self.unix_offset if started else 0.0
         engine = Observation("a", ServiceStatus.IN_SERVICE, "Ready", Address("a", 1), started_at=stamp)
         for action in self.catalog.step(self.clock.at, [SourceReport(SOURCE, 1, (engine,))]):
@@ -65,8 +65,8 @@
         c2 query lookup r2 allow=9000
         e1 expect nothing
     """)
-    later_requests = [words for line in world.engine_streams[1:] for words in line.received]
-    assert {words[1] for words in later_requests if words[0] == b"GET"} >= {b"%016x" % 2}
+    later_requests = [elements for stream in world.engine_streams[1:] for elements in stream.received]
+    assert {elements[1] for elements in later_requests if elements[0] == b"GET"} >= {b"%016x" % 2}
 
 
 @pytest.mark.parametrize("delay_ms", [100.0, 900.0])
@@ -99,7 +99,7 @@
 
 
 def test_a_connection_to_an_unknown_process_gets_nothing_new_until_it_answers() -> None:
-    """Whether it leads to the former process or to the new one is not known."""
+    """The connection may lead to the former or to the new process."""
     world = WorldWithEngineStarts(0.0)
     world.run("""
         c1 query lookup r1 allow=9000
--- a/tests/frontend/test_client_departure.py
+++ b/tests/frontend/test_client_departure.py
@@ -1,4 +1,7 @@
-"""Clients that leave at each moment between their request and its answer: nothing is started for them."""
+"""Clients that disconnect or kill their query at each moment between the request and its answer.
+
+After that no attempt is started for the request, and nothing is kept of it.
+"""
 
 from __future__ import annotations
 
@@ -22,34 +25,34 @@
 CLASS_NAMES = ("lookup", "load", "keyed")
 
 
-class Turns(World):
-    """A world in which several things can happen before the dispatcher's next turn."""
+class SteppedWorld(World):
+    """A world in which several events can happen before the dispatcher's next event-loop iteration."""
 
-    is_held = False
+    is_paused = False
 
     def wait(self, ms: float) -> None:
-        if not self.is_held:
+        if not self.is_paused:
             super().wait(ms)
 
     def turn_begins(self, who: str, rest: str) -> None:
-        self.is_held = True
+        self.is_paused = True
 
     def turn_decides(self, who: str, rest: str) -> None:
-        """The decisions of a turn, before anything is written."""
+        """Make the scheduling decisions of an iteration, before anything is written."""
         self.gateway._step()
 
     def turn_ends(self, who: str, rest: str) -> None:
-        self.is_held = False
+        self.is_paused = False
 
 
-def assert_nothing_kept(world: World) -> None:
-    """Assert that nothing is kept for a request that is over, and that nothing failed."""
-    assert_no_request_kept(world)
+def assert_no_leftovers(world: World) -> None:
+    """Assert that nothing is left of any finished request and that no step or action failed."""
+    assert_no_leftover_request(world)
     assert not world.counters.counts["step_faults"] + world.counters.counts["action_faults"], world.log
 
 
-def assert_no_request_kept(world: World) -> None:
-    """Assert that a request that is over holds no sink, attempt, capacity or ordering key."""
+def assert_no_leftover_request(world: World) -> None:
+    """Assert that no finished request holds a sink, attempt, capacity or ordering key."""
     world.wait(300)
     gateway, scheduler = world.gateway, world.gateway.scheduler
     assert gateway.open_count == 0 and not gateway.requests
@@ -59,7 +62,7 @@
     assert not [a for line in world.engine_streams for a in line.connection.attempts]
 
 
-# CLASS is the class of the request and LEAVES what its client does.
+# CLASS is replaced by the request's class, and LEAVES by the command with which its client leaves.
 MOMENTS = {
     "while its request is queued": """
         list tell e1 gone
@@ -167,9 +170,11 @@
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("name", CLASS_NAMES)
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_nothing_is_started_for_a_client_that_left(moment: str, name: str, site: str, departure: str) -> None:
-    world = Turns(SITES[site])
+def test_no_attempt_starts_after_the_client_disconnected(
+    moment: str, name: str, site: str, departure: str
+) -> None:
+    world = SteppedWorld(SITES[site])
     for client in ("c1", "c8", "c9"):
         world.client(client)
     world.run(MOMENTS[moment].replace("CLASS", name).replace("LEAVES", DEPARTURES[departure]))
-    assert_nothing_kept(world)
+    assert_no_leftovers(world)
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -1,4 +1,4 @@
-"""Clients that leave, on real sockets: however they end their connection, nothing is started for them."""
+"""Clients that disconnect in different ways, on real sockets: no attempt is started for them afterwards."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class DispatcherSockets:
-    """A dispatcher's protocols on the event loop: clients on loopback, an engine that accepts on demand."""
+    """A dispatcher on the event loop, with clients on loopback and an engine that accepts on demand."""
 
     def __init__(self) -> None:
         self.loop, counters = asyncio.get_running_loop(), Counters()
@@ -54,7 +54,7 @@
         return Stream(self.event_loop.streams, connection, 4096)
 
     def accept_connect(self) -> None:
-        """The engine accepts the connect that waits for it."""
+        """Let the engine accept the pending connect."""
         connection = self.connecting.pop()
         dispatcher_end, self.engine = socket.socketpair()
         dispatcher_end.setblocking(False)
@@ -64,7 +64,7 @@
         connection.stream.start(dispatcher_end)
 
     def client(self, *queries: str) -> socket.socket:
-        """A client that writes its login and these queries at once, as `CLASS REF`."""
+        """Connect a client that writes its login and these queries, given as `CLASS REF`, at once."""
         client_end = socket.create_connection(self.listener.getsockname())
         dispatcher_end, _ = self.listener.accept()
         dispatcher_end.setblocking(False)
@@ -84,10 +84,10 @@
             await asyncio.sleep(0)
 
     def received_now(self) -> list[bytes]:
-        """What has reached the engine at this moment, as verb and id."""
+        """Return the requests that have reached the engine so far, as verb and id."""
         assert self.engine is not None
         try:
-            return [b" ".join(words[:2]) for words in RespReader().feed(self.engine.recv(1 << 16))]
+            return [b" ".join(elements[:2]) for elements in RespReader().feed(self.engine.recv(1 << 16))]
         except BlockingIOError:
             return []
 
@@ -126,7 +126,7 @@
 
 
 def shut_down_writing(dispatcher: DispatcherSockets, client: socket.socket) -> None:
-    """It may still read, but looks like one that has closed; it is owed nothing, as at any server."""
+    """Close only the write side: the client could still read, but counts as disconnected, as usual."""
     client.shutdown(socket.SHUT_WR)
 
 
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("depart", DEPARTURES)
 @pytest.mark.parametrize("name", ["lookup", "load", "keyed"])
-def test_nothing_is_started_for_a_client_that_left_during_a_connect(
+def test_no_attempt_starts_after_the_client_disconnected_during_a_connect(
     name: str, depart: Callable[[DispatcherSockets, socket.socket], None]
 ) -> None:
     async def scenario(dispatcher: DispatcherSockets) -> None:
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("depart", [close_socket, reset_socket, shut_down_writing])
-def test_a_close_after_pipelined_commands_is_noticed(
+def test_a_close_after_pipelined_commands_is_detected(
     depart: Callable[[DispatcherSockets, socket.socket], None],
 ) -> None:
     async def scenario(dispatcher: DispatcherSockets) -> None:
@@ -177,10 +177,10 @@
 
 
 @pytest.mark.parametrize("depart", DEPARTURES)
-def test_an_answer_that_crosses_its_clients_close_harms_nobody(
+def test_an_answer_that_crosses_its_clients_close_affects_no_other_client(
     depart: Callable[[DispatcherSockets, socket.socket], None],
 ) -> None:
-    """The answer has arrived before the close is read; another client's request is still served."""
+    """The answer arrives before the close is read; afterwards, another client's request is served."""
 
     async def scenario(dispatcher: DispatcherSockets) -> None:
         client = dispatcher.client("load 1")
--- a/tests/frontend/test_client_sessions.py
+++ b/tests/frontend/test_client_sessions.py
@@ -84,7 +84,7 @@
     assert session.is_closing and b"\xff\x87\x04#08S01" in session.pop_output()
 
 
-def test_slow_requests_and_short_pauses_keep_a_connection_open() -> None:
+def test_a_connection_stays_open_during_slow_requests_and_short_pauses() -> None:
     world = World().run("c1 query load r1 allow=20000\ne1 expect GET *\ntime wait 9000\nc1 expect nothing")
     world.run("e1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c\ntime wait 4500")
     assert not world.clients["c1"].session.is_closing
@@ -92,7 +92,7 @@
 
 
 def test_idle_connections_are_evicted_in_order() -> None:
-    """Those that have sent nothing, then the longest idle, then those that stopped within a packet."""
+    """Silent connections are evicted first, then the longest idle, then those halted within a packet."""
     world = World(sockets=64).run("""
         c1 query lookup r1
         c2 send 010000000e
@@ -112,7 +112,7 @@
         world.sessions.has_capacity()
         evicted += [n for n in world.clients if world.clients[n].session.is_closed and n not in evicted]
         evicted += ["silent"] * (all(c.session.is_closed for c in silent) and "silent" not in evicted)
-    assert evicted == ["silent", "c2", "c5", "c3"]  # c4 may still be writing, and c1 is owed an answer
+    assert evicted == ["silent", "c2", "c5", "c3"]  # c4 may still be sending, and c1 has an open request
     assert world.sessions.evicted_count == 0
 
 
@@ -152,6 +152,6 @@
 
 @pytest.mark.parametrize("digits", [10, 11, 5000])
 def test_a_kill_of_an_impossible_connection_id_is_only_an_error(digits: int) -> None:
-    """Beyond 4,300 digits the number could not be read: the session was closed, with what it was owed."""
+    """int() fails for more than 4,300 digits, which closed the session with its responses outstanding."""
     world = World().run(f"c1 say KILL QUERY {'9' * digits}\nc1 expect error * *\nc1 query lookup r1")
     world.run("e1 expect GET r1 *\ne1 send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
--- a/tests/frontend/test_slow_readers.py
+++ b/tests/frontend/test_slow_readers.py
@@ -1,7 +1,6 @@
-"""Clients that do not read, stop within a packet or send everything at once cost little memory each.
+"""Memory per client is bounded, even if it does not read, stops within a packet or sends all at once.
 
-A session holds what its client sent and is not answered yet, what waits to be written, and as much again that
-the stream took to write last.
+A session holds unanswered input, unwritten output, and the output of the stream's write in progress.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 from cottonhold.frontend.mysql_session import Session
 from tests.support.scenario import LOGIN, World, packet
 
-MAX_SESSION_BYTES = 240 * 1024  # bytes, with the longest result under way
+MAX_SESSION_BYTES = 240 * 1024  # including the longest result while it is written
 ROWS = "/".join(["a" * 50 + "|" + "b" * 50 + "|" + "c" * 50] * 38) + "/"  # a page of nearly 6,000 bytes
 PING = packet(0, b"\x0e")
 LONG = packet(0, b"\x03SELECT " + b"x" * 4000)
@@ -30,8 +29,8 @@
 }
 
 
-def held_bytes(session: Session) -> int:
-    """The bytes that a session holds."""
+def buffered_bytes(session: Session) -> int:
+    """Return the size of a session's buffers, in bytes."""
     waiting = sum(len(payload) for _, payload, _ in session.commands)
     return len(session.buffer) + waiting + len(session.output)
 
@@ -42,26 +41,26 @@
 
 @pytest.mark.parametrize("parts", PARTS.values(), ids=PARTS)
 def test_memory_of_a_client_that_never_reads_is_bounded(parts: list[bytes]) -> None:
-    """It is served up to the bound; after that its connection is closed or not read any more."""
+    """Up to the limit it is served; then its connection is closed or its commands wait."""
     world = World()
-    session, max_held = world.sessions.open(), 0
+    session, max_buffered_bytes = world.sessions.open(), 0
     session.receive(packet(1, LOGIN))
-    taken_bytes = 0
+    output_bytes = 0
     for number, part in enumerate(repeated(parts)):
         session.receive(part)
-        max_held = max(max_held, held_bytes(session))
-        taken_bytes = max(taken_bytes, len(session.pop_output())) if number == 100 else taken_bytes
+        max_buffered_bytes = max(max_buffered_bytes, buffered_bytes(session))
+        output_bytes = max(output_bytes, len(session.pop_output())) if number == 100 else output_bytes
         if session.is_closing:
             break
         if number % 1000 == 0:
             world.wait(0)
-    assert taken_bytes + max_held < MAX_SESSION_BYTES
+    assert output_bytes + max_buffered_bytes < MAX_SESSION_BYTES
     world.wait(1500.0)
     assert session.is_closing and not world.counters.counts["action_faults"]
 
 
 def test_pipelined_queries_wait_until_earlier_results_are_read() -> None:
-    """Sixteen queries at once: each is accepted only once the results before it have been written."""
+    """Of sixteen pipelined queries, each is accepted only after the earlier results have been written."""
     world = World().run(
         "c1 query lookup r1\ne1 expect GET r1 *\ne1 send r1 served count=1 a|b|c/\nc1 expect rows *"
     )
@@ -71,10 +70,10 @@
     world.wait(0)
     served = 0
     while requests := [
-        (stream, words[1])
+        (stream, elements[1])
         for stream in world.engine_streams
-        for words in stream.received
-        if words[0] == b"GET"
+        for elements in stream.received
+        if elements[0] == b"GET"
     ]:
         stream, request_id = requests[0]
         stream.received.clear()
@@ -82,8 +81,11 @@
         for page in range(1, 8):
             world.run(f"{stream.engine} send {request_id.decode()} rows pos={page} {ROWS}")
         served += 1
-        assert held_bytes(session) < MAX_SESSION_BYTES / 2
+        assert buffered_bytes(session) < MAX_SESSION_BYTES / 2
     assert served == 1 and len(session.commands) == 15 and not session.is_closing
-    while session.pop_output():  # once it reads, the next one is taken
+    while session.pop_output():  # once the client reads, the next query is accepted
         world.wait(0)
-    assert len([1 for stream in world.engine_streams for words in stream.received if words[0] == b"GET"]) == 1
+    assert (
+        len([1 for stream in world.engine_streams for elements in stream.received if elements[0] == b"GET"])
+        == 1
+    )
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -10,7 +10,7 @@
 from cottonhold.config.relay import load
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import DeduplicationScope, Idempotency, Rules
-from tests.frontend.test_client_departure import CLASS_NAMES, SITES, Turns, assert_nothing_kept
+from tests.frontend.test_client_departure import CLASS_NAMES, SITES, SteppedWorld, assert_no_leftovers
 from tests.node.test_small_parts import write
 from tests.support.scenario import READ, SETTINGS, World
 
@@ -23,7 +23,7 @@
     duplicate: str, copies: int, name: str, site: str
 ) -> None:
     """On a single engine, so that the next attempt goes there too."""
-    world = Turns(SITES[site], engines="a")
+    world = SteppedWorld(SITES[site], engines="a")
     world.run(f"c1 query {name} r1 allow=20000\ne1 expect GET r1 *\ne1 send r1 overload -\ntime wait 1500")
     second = next(stream for stream in world.engine_streams if stream.received)
     second.received.clear()
@@ -31,7 +31,7 @@
         world.run(f"e1 send r1 {duplicate}\nc1 expect nothing\ntime wait 1500\nany nothing there")
     number = world.engine_streams.index(second) + 1
     world.run(f"e1.{number} send r1 served count=1 a|b|c/\nc1 expect rows a|b|c")
-    assert_nothing_kept(world)
+    assert_no_leftovers(world)
 
 
 WINDOW_MS = 1000.0
@@ -63,7 +63,7 @@
         world.run("e2 expect GET r1 *\nc1 expect nothing")
     else:
         world.run(f"any nothing there\nc1 expect error {answer} *\ntime wait 2000\nany nothing there")
-        assert_nothing_kept(world)
+        assert_no_leftovers(world)
 
 
 BUDGET_WINDOW_MS = 1000.0
@@ -108,14 +108,14 @@
 )
 def test_a_late_answer_to_a_cancelled_attempt_is_ignored(late: str, before: bool) -> None:
     """The first attempt was cancelled as it took far longer than planned."""
-    world = Turns(SITES["all features"])
+    world = SteppedWorld(SITES["all features"])
     world.run("c1 query lookup r1 effort=20.0\ne1 expect GET r1 *\ntime wait 200\ne1 expect DROP r1")
     world.run("e2 expect GET r1 *\ne2 send r1 served count=2 a|b|c/\ne2 expect PAGE r1 1")
     if before:
         world.run(f"e1 send r1 {late}\nc1 expect nothing")
     world.run("e2 send r1 rows pos=1 d|e|f/\nc1 expect rows a|b|c/d|e|f\ne2 expect CLOSE r1")
     world.run(f"e1 send r1 {late}\ne2 send r1 {late}\nc1 expect nothing\nany nothing there")
-    assert_nothing_kept(world)
+    assert_no_leftovers(world)
     world.run("c1 query lookup r2\nany expect GET r2 *")
 
 
@@ -124,7 +124,7 @@
 def test_no_request_has_more_attempts_than_the_settings_allow(name: str, max_attempts: int) -> None:
     """Each is rejected, so that each could be retried."""
     site = SITES["few features"]
-    world = Turns(
+    world = SteppedWorld(
         replace(site, features=replace(site.features, max_attempts=max_attempts)), engines="a b c d"
     )
     world.run(f"c1 query {name} r1 allow=20000")
@@ -133,4 +133,4 @@
         assert stream.received.pop()[0] == b"GET" and not stream.received
         world.run(f"c1 expect nothing\n{stream.engine} send r1 overload -")
     world.run("c1 expect error 1226 *\ntime wait 1000\nany nothing there")
-    assert_nothing_kept(world)
+    assert_no_leftovers(world)
--- a/tests/node/test_scheduler_faults.py
+++ b/tests/node/test_scheduler_faults.py
@@ -15,13 +15,13 @@
 from cottonhold.node.load_guard import LoadOutcome, LoadOutcomeCallback
 from cottonhold.scheduler.actions import Action, Reject, Send
 from cottonhold.scheduler.events import Event, Outcome
-from tests.frontend.test_client_departure import SITES, Turns, assert_no_request_kept
+from tests.frontend.test_client_departure import SITES, SteppedWorld, assert_no_leftover_request
 from tests.node.test_load_guard import Guard
 
 BAD_ID = f"{9:016x}"
 
 
-class FaultyWorld(Turns):
+class FaultyWorld(SteppedWorld):
     """A world whose scheduler fails at a given event."""
 
     def __init__(self, fails: str) -> None:
@@ -194,7 +194,7 @@
 )
 @pytest.mark.parametrize("end", ["served", "overload", "reset", "left"])
 def test_a_load_guard_fault_costs_no_request_its_answer(fails: str, end: str) -> None:
-    world = Turns(SITES["all features"])
+    world = SteppedWorld(SITES["all features"])
     world.gateway.notifications.load_guard = FailingGuard(fails)
     world.run("c1 query load r1 allow=1000,effort=20.0")
     if fails in ("on_load_arrived", "before_attempt_sent"):
@@ -208,7 +208,7 @@
         world.run("e1 expect GET r1 *\ne1 close\nc1 expect error 1105 *")
     else:
         world.run("e1 expect GET r1 *\nc1 close\ne1 send r1 served count=1 a|b|c/")
-    assert_no_request_kept(world)
+    assert_no_leftover_request(world)
     world.run("c2 query lookup r2\nany expect GET r2 *")
     assert world.counters.counts["watch_faults"] + world.counters.counts["action_faults"]
 
@@ -216,7 +216,7 @@
 def test_a_fault_in_checking_one_engine_leaves_the_others_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = Turns(SITES["few features"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
+    world = SteppedWorld(SITES["few features"]).run("c2 query load r2 allow=20000\ne1 expect GET r2 *")
     world.run("list tell e1 draining\ne2 will mute\nc1 query load r1 allow=20000\ne2 expect GET r1 *")
     check_connection = LivenessMonitor.check_connection
 
@@ -236,7 +236,7 @@
 def test_a_fault_in_checking_one_client_leaves_the_others_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = Turns(SITES["few features"])
+    world = SteppedWorld(SITES["few features"])
     world.client("c1"), world.client("c2")
     check = Session.check_timeouts
 
--- a/tests/node/test_time_left.py
+++ b/tests/node/test_time_left.py
@@ -6,7 +6,7 @@
 
 from cottonhold.node.attempt_sender import RESPONSE_MARGIN_MS
 from cottonhold.node.gateway import EVENT_LOOP_LAG_MS, MAX_LAG_FRACTION
-from tests.frontend.test_client_departure import CLASS_NAMES, SITES, Turns, assert_nothing_kept
+from tests.frontend.test_client_departure import CLASS_NAMES, SITES, SteppedWorld, assert_no_leftovers
 
 MOMENTS = {
     "with nothing else going on": """
@@ -37,7 +37,7 @@
 def test_a_request_with_little_time_left_is_rejected_at_once_and_not_sent(
     moment: str, name: str, site: str, remaining_ms: str
 ) -> None:
-    world = Turns(SITES[site])
+    world = SteppedWorld(SITES[site])
     for client in ("c1", "c9"):
         world.client(client)
     world.gateway.scheduler.fleet_utilization = (
@@ -46,10 +46,10 @@
     world.run(MOMENTS[moment].replace("CLASS", name).replace("LEFT", remaining_ms))
     world.run("c1 expect error 1226 *\nany nothing there")
     assert not world.gateway.scheduler.ejected_engines
-    assert_nothing_kept(world)
+    assert_no_leftovers(world)
 
 
-def sent_timeout_ms(world: Turns) -> float:
+def sent_timeout_ms(world: SteppedWorld) -> float:
     """The timeout that the one request at an engine carries, in ms."""
     (stream,) = [stream for stream in world.engine_streams if stream.received]
     fields = stream.received.pop(0)[2].decode()
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("delay", ["for a connect", "behind another one", "after a first attempt"])
 def test_an_attempts_timeout_is_at_most_its_clients_remaining_time(delay: str, allow: int) -> None:
     """However the request waited: the time counts from its last byte."""
-    world = Turns(SITES["few features"])
+    world = SteppedWorld(SITES["few features"])
     world.client("c1")
     world.gateway.scheduler.fleet_utilization = 0.1
     arrived_at, passed = world.clock.now(), min(allow / 5, 200)
@@ -86,10 +86,10 @@
 @pytest.mark.parametrize("name", CLASS_NAMES)
 def test_a_connect_that_outlasts_its_request_is_no_evidence_against_the_engine(name: str, site: str) -> None:
     """Else one request that can't wait for its connect would have the engine ejected for seconds."""
-    world = Turns(SITES[site])
+    world = SteppedWorld(SITES[site])
     world.client("c1")
     world.gateway.scheduler.fleet_utilization = 0.1
     world.run(f"e1 will vanish\nc1 query {name} r1 allow=160\nc1 expect nothing\ntime wait 115")
     world.run("c1 expect error 1226 *\nany nothing there")
     assert len(world.engine_streams) == 1 and not world.gateway.scheduler.ejected_engines
-    assert_nothing_kept(world)
+    assert_no_leftovers(world)
--- a/tests/scheduler/test_retry_matrix.py
+++ b/tests/scheduler/test_retry_matrix.py
@@ -9,7 +9,7 @@
 from cottonhold.discovery.model import Address, EngineListChange
 from cottonhold.scheduler.events import Engine, EngineState
 from cottonhold.scheduler.settings import DeduplicationScope, Idempotency
-from tests.frontend.test_client_departure import assert_nothing_kept
+from tests.frontend.test_client_departure import assert_no_leftovers
 from tests.support.scenario import PERMITS, READ, SETTINGS, World
 
 ALLOW_MS, WINDOW_MS = 4000, 2000.0
@@ -99,7 +99,7 @@
     else:
         world.run(f"c1 expect error {1226 if wanted == 'refusal' else 1105} *")
     world.run("any nothing there\ntime wait 1000\nany nothing there\nc1 expect nothing")
-    assert_nothing_kept(world)
+    assert_no_leftovers(world)
 
 
 @pytest.mark.parametrize("allow", [300, 1000, 4000])
--- a/tests/transport/test_accept_faults.py
+++ b/tests/transport/test_accept_faults.py
@@ -1,4 +1,4 @@
-"""accept and what follows it fail in the ways that Linux documents: the listener neither stops nor spins."""
+"""Errors of accept and of socket options that Linux documents neither stop the listener nor make it spin."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.support.faulty_sockets import ACCEPTED, OK
 from tests.support.loopback import GREETED, Loopback, run_scenario
 
-LACKING = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+RESOURCE_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-@pytest.mark.parametrize("error", [*LACKING, *sorted(CONNECTION_ERRORS), errno.EINVAL])
-def test_a_client_is_served_once_accept_works_again(error: int) -> None:
+@pytest.mark.parametrize("error", [*RESOURCE_ERRORS, *sorted(CONNECTION_ERRORS), errno.EINVAL])
+def test_a_client_is_served_after_accept_errors(error: int) -> None:
     async def scenario(loopback: Loopback) -> None:
         loopback.faults.plan("accept", *[error] * 3)
         client = loopback.client()
@@ -25,9 +25,9 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("error", [*LACKING, *sorted(CONNECTION_ERRORS - {errno.EINTR})])
+@pytest.mark.parametrize("error", [*RESOURCE_ERRORS, *sorted(CONNECTION_ERRORS - {errno.EINTR})])
 def test_a_lasting_accept_error_does_not_spin(error: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Counted by pauses, not by time: at most 64 calls for each pause of the task. (EINTR does not last.)"""
+    """At most 64 calls are made for each pause of the task. EINTR is left out, since it does not last."""
     sleep, pauses = asyncio.sleep, list[float]()
 
     async def recording_sleep(seconds: float) -> None:
@@ -52,8 +52,8 @@
 
 
 @pytest.mark.parametrize("error", sorted(CONNECTION_ERRORS))
-def test_broken_queued_connections_delay_nobody(error: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Those behind it must not wait 20 ms for each."""
+def test_broken_queued_connections_delay_no_other_client(error: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Clients queued after broken connections must not wait 20 ms for each of them."""
     sleep, pauses = asyncio.sleep, list[float]()
 
     async def recording_sleep(seconds: float) -> None:
@@ -93,14 +93,14 @@
         await loopback.until(
             lambda: loopback.counts["client_connections"] == 1 and not loopback.world.sessions.sessions
         )
-        assert len(loopback.faults.open) == 1 and not loopback.accepting.done()  # the listener
+        assert len(loopback.faults.open) == 1 and not loopback.accepting.done()  # only the listener
 
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("error", [*LACKING, *sorted(CONNECTION_ERRORS)])
+@pytest.mark.parametrize("error", [*RESOURCE_ERRORS, *sorted(CONNECTION_ERRORS)])
 def test_queued_clients_are_accepted_before_the_listener_closes_though_accept_fails(error: int) -> None:
-    """What is still in the queue would be reset, with its requests written."""
+    """Connections left in the queue would be reset, although their clients may have sent requests."""
 
     async def scenario(loopback: Loopback) -> None:
         loopback.accepting.cancel()
--- a/tests/transport/test_connect_faults.py
+++ b/tests/transport/test_connect_faults.py
@@ -1,4 +1,4 @@
-"""socket and connect fail in the ways that Linux documents: it proves that nothing ran."""
+"""Errors of socket and connect that Linux documents: each proves that the request did not run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.loopback import GREETED, REQUEST_ID, ROWS, Loopback, run_scenario
 from tests.support.scenario import World
 
-PROOFS = [
+CONNECT_ERRORS = [
     errno.ECONNREFUSED,
     errno.ENETUNREACH,
     errno.EHOSTUNREACH,
@@ -21,13 +21,13 @@
     errno.EACCES,
     errno.EPERM,
 ]
-LACKING = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+RESOURCE_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
 @pytest.mark.parametrize("call", ["connect", "so_error"])
-@pytest.mark.parametrize("error", PROOFS)
+@pytest.mark.parametrize("error", CONNECT_ERRORS)
 def test_a_failed_connect_proves_that_nothing_ran(call: str, error: int) -> None:
-    """So a load goes to the other engine, once."""
+    """Therefore even a load is retried on the other engine, where it runs once."""
 
     async def scenario(loopback: Loopback) -> None:
         loopback.faults.plan(call, error, on=MADE)
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("error", [errno.EAGAIN, errno.EINTR])
 def test_a_connect_in_progress_is_verified(error: int) -> None:
-    """EINTR leaves it in progress; EAGAIN has not begun it, and yet its socket is writable."""
+    """After EINTR the connect is in progress; after EAGAIN it has not started, but the socket is writable."""
 
     async def scenario(loopback: Loopback) -> None:
         loopback.faults.plan("connect", error, on=MADE)
@@ -57,7 +57,7 @@
     run_scenario(scenario, engines=2)
 
 
-@pytest.mark.parametrize("error", PROOFS)
+@pytest.mark.parametrize("error", CONNECT_ERRORS)
 def test_a_request_is_rejected_as_never_run_where_no_connect_succeeds(error: int) -> None:
     async def scenario(loopback: Loopback) -> None:
         loopback.faults.always("connect", error, on=MADE)
@@ -74,16 +74,16 @@
 @pytest.mark.parametrize(
     ("call", "error"),
     [
-        *(("socket", error) for error in LACKING),
+        *(("socket", error) for error in RESOURCE_ERRORS),
         ("connect", errno.EADDRNOTAVAIL),
         ("setsockopt", errno.ENOBUFS),
     ],
 )
 def test_an_engine_is_not_blamed_for_a_lack_of_local_resources(call: str, error: int) -> None:
-    """Without a free descriptor no engine may be reported as unreachable."""
+    """If this process lacks a descriptor or port, no engine may be reported as unreachable."""
 
     async def scenario(loopback: Loopback) -> None:
-        loopback.event_loop.connector.timeout_s = 5.0  # however slow the machine is
+        loopback.event_loop.connector.timeout_s = 5.0  # long enough for a slow machine
         loopback.faults.plan(call, error, error, error, on=MADE)
         client = loopback.client()
         client.send_query(1, "load")
@@ -95,7 +95,7 @@
     run_scenario(scenario, engines=2)
 
 
-@pytest.mark.parametrize("error", LACKING)
+@pytest.mark.parametrize("error", RESOURCE_ERRORS)
 def test_a_lasting_lack_of_resources_is_a_rejection_and_does_not_spin(error: int) -> None:
     async def scenario(loopback: Loopback) -> None:
         loopback.event_loop.connector.timeout_s = 0.1
@@ -106,7 +106,7 @@
         await loopback.turn()
         assert (loopback.counts["attempts_full"], loopback.counts["attempts_connect_failed"]) == (1, 0)
         assert not loopback.world.gateway.scheduler.engines["e0"].ejection_reason
-        assert 2 <= loopback.faults.calls["socket"] <= 8  # the listener's, and one each 20 ms
+        assert 2 <= loopback.faults.calls["socket"] <= 8  # one for the listener, then one every 20 ms
         await loopback.pass_ms(5000)
         await loopback.until(lambda: len(client.responses()) > 2)
         assert client.responses() == [*GREETED, "error 1226"] and not loopback.request_ids()
@@ -115,7 +115,7 @@
 
 
 def test_engines_are_not_blamed_when_all_connections_are_in_use() -> None:
-    """None may be reported as unreachable, to peers either."""
+    """No engine may be reported as unreachable, neither locally nor to peers."""
     world = World()
     world.engines.max_connections, world.engines.settings = 1, replace(world.engines.settings, max_streams=1)
     world.run("c1 query lookup r1\ne1 expect GET r1 *\nc2 query lookup r2\nany nothing\ntime wait 100")
--- a/tests/transport/test_datagram_faults.py
+++ b/tests/transport/test_datagram_faults.py
@@ -1,4 +1,4 @@
-"""recvfrom and sendto fail, and the local socket's accept: neither a spin nor an end."""
+"""Errors of recvfrom, sendto and the status socket's accept cause no busy loop and do not end the service."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Peer:
-    """A dispatcher's datagram socket, with one peer whose socket the test has."""
+    """A dispatcher's datagram socket, and the socket of one peer, which the test uses."""
 
     def __init__(self) -> None:
         self.faults, self.counters, self.received = Faults(), Counters(), list[PeerMessage]()
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("error", [*TRANSIENT, *ERRORS])
-def test_datagrams_are_received_again_after_errors(error: int) -> None:
+def test_receiving_resumes_after_errors(error: int) -> None:
     async def scenario() -> None:
         peer = Peer()
         peer.faults.plan("recvfrom", *[error] * 3)
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("error", ERRORS)
 def test_a_lasting_read_error_does_not_spin(error: int) -> None:
-    """Counted by pauses: each ends as the reader is added again."""
+    """The number of calls is limited for each pause; a pause ends when the reader is added again."""
 
     async def scenario() -> None:
         peer, reader_starts = Peer(), 0
@@ -114,7 +114,7 @@
     "error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.EINTR]
 )
 def test_local_calls_are_answered_after_accept_errors(error: int, tmp_path: Path) -> None:
-    """One moment without a descriptor must not close the socket for the program's lifetime."""
+    """A temporary lack of descriptors must not close the status socket until the process ends."""
 
     async def scenario() -> bytes:
         loop, faults = asyncio.get_running_loop(), Faults()
--- a/tests/transport/test_faulty_sockets.py
+++ b/tests/transport/test_faulty_sockets.py
@@ -1,4 +1,4 @@
-"""The scripted sockets themselves, under the loops that drive them: what is planned is what happens."""
+"""The scripted sockets of the fault tests: calls have the planned results under both event loops."""
 
 from __future__ import annotations
 
@@ -18,25 +18,27 @@
 def test_planned_steps_run_in_order_before_the_system_decides() -> None:
     faults = Faults()
     faults.plan("send", Short(2), errno.ENOBUFS, OK)
-    near, far = (
+    sender, receiver = (
         faults.make(socket.AF_INET, socket.SOCK_DGRAM),
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM),
     )
-    far.bind(("127.0.0.1", 0))
-    near.connect(far.getsockname())
-    assert near.send(b"abc") == 2
+    receiver.bind(("127.0.0.1", 0))
+    sender.connect(receiver.getsockname())
+    assert sender.send(b"abc") == 2
     with pytest.raises(OSError) as failed:
-        near.send(b"abc")
+        sender.send(b"abc")
     assert failed.value.errno == errno.ENOBUFS
-    assert [near.send(b"abc"), near.send(b"abc")] == [3, 3] and faults.calls["send"] == 4
+    assert [sender.send(b"abc"), sender.send(b"abc")] == [3, 3] and faults.calls["send"] == 4
     assert len(faults.open) == 1
-    near.close()
-    far.close()
+    sender.close()
+    receiver.close()
     assert not faults.open
 
 
 @pytest.mark.parametrize("new_loop", LOOPS)
-def test_the_loops_own_calls_go_through_the_script(new_loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
+def test_socket_calls_of_the_event_loop_are_scripted(
+    new_loop: Callable[[], asyncio.AbstractEventLoop],
+) -> None:
     async def scenario() -> tuple[bytes, int]:
         loop, faults = asyncio.get_running_loop(), Faults()
         listener, client = [faults.make(socket.AF_INET, socket.SOCK_STREAM) for _ in range(2)]
@@ -51,14 +53,14 @@
         faults.plan("send", Short(1), errno.EAGAIN, Short(2))
         faults.plan("recv_into", errno.EINTR, Short(2), on=ACCEPTED)
         await loop.sock_sendall(client, b"abcdef")
-        buffer, got = bytearray(10), b""
-        while len(got) < 6:
+        buffer, received = bytearray(10), b""
+        while len(received) < 6:
             count = await loop.sock_recv_into(server, buffer)
-            got += bytes(buffer[:count])
+            received += bytes(buffer[:count])
         for sock in (listener, client, server):
             sock.close()
         assert faults.calls["send"] >= 4 and faults.calls["recv_into"] >= 3 and not faults.open
-        return got, faults.calls["accept"]
+        return received, faults.calls["accept"]
 
     loop = new_loop()
     try:
--- a/tests/transport/test_transfer_faults.py
+++ b/tests/transport/test_transfer_faults.py
@@ -1,4 +1,4 @@
-"""Reads and writes fail in the ways that Linux documents: one answer each, and nothing doubled."""
+"""Errors of reads and writes that Linux documents: one answer per request, and no load runs twice."""
 
 from __future__ import annotations
 
@@ -10,12 +10,8 @@
 from tests.support.faulty_sockets import ACCEPTED, MADE, OK, Short, Step
 from tests.support.loopback import GREETED, REQUEST_ID, ROWS, Loopback, run_scenario
 
-TRANSIENT = [
-    errno.EAGAIN,
-    errno.EINTR,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-]  # the call did nothing, a later one may succeed
+# The call had no effect, and a later one may succeed.
+TRANSIENT = [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]
 FATAL = [
     errno.ECONNRESET,
     errno.EPIPE,
@@ -26,22 +22,22 @@
 ]
 
 
-SHAPES: dict[str, Callable[[int], list[Step]]] = {
+FAULT_SEQUENCES: dict[str, Callable[[int], list[Step]]] = {
     "at once": lambda error: [error],
     "after a part": lambda error: [Short(3), error],
     "again and again": lambda error: [Short(1), error, error, Short(2), error, Short(7)],
 }
 
 
-@pytest.mark.parametrize("shape", SHAPES)
+@pytest.mark.parametrize("sequence", FAULT_SEQUENCES)
 @pytest.mark.parametrize("error", TRANSIENT)
 @pytest.mark.parametrize("call", ["recv_into", "send"])
 @pytest.mark.parametrize("role", [ACCEPTED, MADE])
-def test_a_transient_error_costs_no_answer(role: str, call: str, error: int, shape: str) -> None:
+def test_a_transient_error_costs_no_answer(role: str, call: str, error: int, sequence: str) -> None:
     async def scenario(loopback: Loopback) -> None:
         client = loopback.client()
         await loopback.until(lambda: client.responses() == GREETED)
-        loopback.faults.plan(call, *SHAPES[shape](error), on=role)
+        loopback.faults.plan(call, *FAULT_SEQUENCES[sequence](error), on=role)
         client.send_query(1, "load")
         await loopback.serve(1)
         await loopback.until(lambda: client.responses() == ROWS)
@@ -55,9 +51,7 @@
 
 @pytest.mark.parametrize("error", FATAL)
 @pytest.mark.parametrize("call", ["recv_into", "send"])
-def test_a_client_whose_connection_breaks_is_forgotten_and_others_keep_their_answers(
-    call: str, error: int
-) -> None:
+def test_a_broken_client_connection_is_removed_without_affecting_others(call: str, error: int) -> None:
     async def scenario(loopback: Loopback) -> None:
         first, second = loopback.client(), loopback.client()
         await loopback.until(lambda: first.responses() == second.responses() == GREETED)
@@ -80,7 +74,7 @@
 def test_a_request_may_have_run_if_its_engine_connection_breaks_in_a_write(
     error: int, before: tuple[Short, ...]
 ) -> None:
-    """A load fails and is sent nowhere else, an idempotent query is; both get one answer."""
+    """A load fails without a retry, an idempotent query is retried elsewhere; both get one answer."""
 
     async def scenario(loopback: Loopback) -> None:
         clients = [loopback.client() for _ in range(2)]
@@ -115,7 +109,7 @@
 
 @pytest.mark.parametrize("error", TRANSIENT)
 def test_a_cancel_is_still_written_first_after_a_transient_error(error: int) -> None:
-    """EINTR in the immediate write must not end the connection, with all that is in flight on it."""
+    """EINTR in the immediate write must not end the connection and the other attempts on it."""
 
     async def scenario(loopback: Loopback) -> None:
         clients = [loopback.client() for _ in range(2)]
--- a/tests/transport/test_write_order.py
+++ b/tests/transport/test_write_order.py
@@ -21,19 +21,19 @@
 from tests.support.scenario import World
 
 SMALL = b"select"
-LARGE, LARGE_COUNT = b"s" * 8000, 24  # together more than a socket of so small a buffer takes at once
+LARGE, LARGE_COUNT = b"s" * 8000, 24  # together more than fits into the send buffer
 SEND_BUFFER_BYTES = 8192
 
 
 def tcp_pair() -> tuple[socket.socket, socket.socket]:
-    """Both ends of a connection over loopback."""
+    """Return both ends of a connection over loopback."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        near = socket.create_connection(listener.getsockname())
-        return near, listener.accept()[0]
+        dispatcher_end = socket.create_connection(listener.getsockname())
+        return dispatcher_end, listener.accept()[0]
 
 
 class EngineSockets:
-    """Engines on the event loop, each at the other end of a pair of sockets that the test has."""
+    """Connections to engines on the event loop; the test holds the engines' ends of the sockets."""
 
     def __init__(self) -> None:
         self.world = World(engines="a b")
@@ -48,14 +48,14 @@
         )
 
     def connect(self, address: Address, connection: Connection) -> Stream:
-        near, engine_end = tcp_pair() if self.uses_tcp else socket.socketpair()
-        near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-        near.setblocking(False)
+        dispatcher_end, engine_end = tcp_pair() if self.uses_tcp else socket.socketpair()
+        dispatcher_end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        dispatcher_end.setblocking(False)
         engine_end.setblocking(False)
         self.engine_ends[address.host] = engine_end
         connection.stream = stream = Stream(self.event_loop.streams, connection, 4096)
         connection.on_connected()
-        stream.start(near)
+        stream.start(dispatcher_end)
         return stream
 
     def send(self, engine: str, query: str, body: bytes = SMALL) -> Attempt:
@@ -65,21 +65,21 @@
         return attempt
 
     def received_now(self, engine: str) -> list[bytes]:
-        """The verbs that have reached an engine at this moment; "end" last where the connection has ended."""
+        """Return the verbs received by an engine so far, with "end" last if the connection has ended."""
         reader, verbs = RespReader(), list[bytes]()
         try:
             while data := self.engine_ends[engine].recv(1 << 16):
-                verbs += [words[0] for words in reader.feed(data)]
+                verbs += [elements[0] for elements in reader.feed(data)]
         except BlockingIOError:
             return verbs
         return [*verbs, b"end"]
 
     async def receive(self, engine: str, count: int) -> list[bytes]:
-        """Wait for the next verbs at an engine, so many."""
+        """Wait for `count` more verbs at an engine and return them."""
         reader, verbs = RespReader(), list[bytes]()
         while len(verbs) < count:
             data = await self.event_loop.loop.sock_recv(self.engine_ends[engine], 1 << 16)
-            verbs += [words[0] for words in reader.feed(data)]
+            verbs += [elements[0] for elements in reader.feed(data)]
         return verbs
 
     async def close(self) -> None:
@@ -115,7 +115,7 @@
 def test_a_cancel_is_on_the_wire_before_the_next_attempt_is_written(
     give_up: Callable[[EngineSockets, Attempt], None], verb: bytes
 ) -> None:
-    """Another query has made the next engine's connection ready to write before."""
+    """A write to the next attempt's engine is already scheduled for another query."""
 
     async def scenario(sockets: EngineSockets) -> None:
         first = sockets.send("a", "q1")
@@ -126,23 +126,23 @@
         sockets.send("b", "q1")
         assert (
             sockets.received_now("a") == [verb] and sockets.received_now("b") == []
-        )  # no turn of the loop has passed
+        )  # no iteration of the loop has passed
         assert await sockets.receive("b", 2) == [b"GET", b"GET"]
         assert sockets.outcomes == [Outcome.CANCELLED if verb == b"DROP" else Outcome.RESET]
 
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("is_begun", [True, False])
-def test_an_immediate_write_is_complete_and_in_order(is_begun: bool) -> None:
-    """Behind a write in progress, or together with everything that is queued."""
+@pytest.mark.parametrize("has_started", [True, False])
+def test_an_immediate_write_is_complete_and_in_order(has_started: bool) -> None:
+    """An immediate write follows a write in progress, or includes everything that is queued."""
 
     async def scenario(sockets: EngineSockets) -> None:
         first = sockets.send("a", "q0")
         assert await sockets.receive("a", 1) == [b"GET"]
         for number in range(LARGE_COUNT):
             sockets.send("a", f"q{number + 1}", LARGE)
-        for _ in range(3 if is_begun else 0):
+        for _ in range(3 if has_started else 0):
             await asyncio.sleep(0)
         cancel(sockets, first)
         sockets.send("a", "q99")
@@ -160,17 +160,17 @@
     engine_end.close()
 
 
-def close_within_a_line(engine_end: socket.socket) -> None:
+def close_during_an_answer(engine_end: socket.socket) -> None:
     engine_end.send(b"*4\r\n$2\r\nq9")
     engine_end.close()
 
 
 @pytest.mark.parametrize("uses_tcp", [False, True])
-@pytest.mark.parametrize("end", [close_end, reset_end, close_within_a_line])
+@pytest.mark.parametrize("end", [close_end, reset_end, close_during_an_answer])
 def test_a_request_that_crosses_an_engines_idle_close_never_ran(
     end: Callable[[socket.socket], None], uses_tcp: bool
 ) -> None:
-    """Written there it may have run, and a class that may not be repeated would fail."""
+    """If it were written there, it might have run, and a request of a class without retries would fail."""
 
     async def scenario(sockets: EngineSockets) -> None:
         sockets.uses_tcp = uses_tcp
@@ -180,7 +180,7 @@
         assert await sockets.receive("a", 1) == [b"DROP"]
         connection = sockets.world.engines.endpoints["a"].connections[0]
         end(sockets.engine_ends["a"])
-        sockets.send("a", "q2")  # the loop has not looked at the connection since
+        sockets.send("a", "q2")  # the loop has not read the connection since
         while len(sockets.outcomes) < 2:
             await asyncio.sleep(0)
         assert sockets.outcomes == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
@@ -189,7 +189,7 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("end", [close_end, reset_end, close_within_a_line])
+@pytest.mark.parametrize("end", [close_end, reset_end, close_during_an_answer])
 def test_an_attempt_in_flight_when_its_connection_ends_may_have_run(
     end: Callable[[socket.socket], None],
 ) -> None:
@@ -206,7 +206,7 @@
 
 
 def test_unread_bytes_of_an_abandoned_connection_are_never_read() -> None:
-    """The id may be in flight again by then, on another connection."""
+    """The request id may already be in flight on another connection."""
 
     async def scenario(sockets: EngineSockets) -> None:
         first = sockets.send("a", "q1")
@@ -237,7 +237,7 @@
     run_scenario(scenario)
 
 
-def test_attempts_queued_at_a_slow_reader_are_checked_again_before_they_begin() -> None:
+def test_attempts_queued_at_a_slow_reader_are_checked_before_they_are_sent() -> None:
     async def scenario(sockets: EngineSockets) -> None:
         wanted = True
         sockets.world.gateway.is_wanted = lambda attempt: wanted  # type: ignore[method-assign]
@@ -245,21 +245,21 @@
             sockets.send("a", f"q{number}", LARGE)
         for _ in range(3):
             await asyncio.sleep(0)
-        begun_count = MAX_WRITE_BYTES // len(LARGE) + 1
+        sent_count = MAX_WRITE_BYTES // len(LARGE) + 1
         wanted = False
-        assert await sockets.receive("a", begun_count) == [b"GET"] * begun_count
-        while len(sockets.outcomes) < LARGE_COUNT - begun_count:
+        assert await sockets.receive("a", sent_count) == [b"GET"] * sent_count
+        while len(sockets.outcomes) < LARGE_COUNT - sent_count:
             await asyncio.sleep(0)
         assert (
-            sockets.outcomes == [Outcome.NOT_STARTED] * (LARGE_COUNT - begun_count)
+            sockets.outcomes == [Outcome.NOT_STARTED] * (LARGE_COUNT - sent_count)
             and sockets.received_now("a") == []
         )
 
     run_scenario(scenario)
 
 
-class AbortsAsItWrites:
-    """A protocol that aborts its connection as its output is taken."""
+class AbortingProtocol:
+    """A protocol that aborts its stream while its output is requested."""
 
     is_closing = False
     stream: Stream
@@ -276,16 +276,16 @@
 
 
 def test_a_connection_that_ends_as_it_writes_is_no_fault() -> None:
-    """The rest of an earlier write must not be written to a connection that has ended."""
+    """The rest of an earlier write must not be written to a stream that has ended."""
 
     async def scenario(sockets: EngineSockets) -> None:
-        near, engine_end = socket.socketpair()
-        protocol = AbortsAsItWrites()
+        dispatcher_end, engine_end = socket.socketpair()
+        protocol = AbortingProtocol()
         protocol.stream = Stream(sockets.event_loop.streams, protocol, 4096)
-        protocol.stream.sock, protocol.stream.unsent = near, b"begun"
+        protocol.stream.sock, protocol.stream.unsent = dispatcher_end, b"begun"
         protocol.stream.write_now()
         assert protocol.stream.sock is None and engine_end.recv(10) == b""
-        near.close()
+        dispatcher_end.close()
         engine_end.close()
 
     run_scenario(scenario)
