--- a/cottonhold/backend/connection.py
+++ b/cottonhold/backend/connection.py
@@ -56,7 +56,7 @@
         self.answer_count = 0
         self.silent_since = math.inf  # since when attempts in flight have had no answer; inf without attempts
         self.is_up = self.is_closed = self.is_closing = False
-        self.lacked_local_resources = False  # the connect failed for a reason that isn't the engine's
+        self.lacked_local_resources = False  # set if a connect failed for lack of a resource of this machine
         self.queue: deque[Attempt | bytes] = deque()
         self.attempts: dict[bytes, Attempt] = {}
         # Ids of attempts that ended without a result, in this order; they are not reused on this connection.
--- a/cottonhold/backend/connection_pool.py
+++ b/cottonhold/backend/connection_pool.py
@@ -55,10 +55,7 @@
 
 
 class EngineConnections:
-    """Sends attempts to engines, cancels them, and notifies the listener when they end.
-
-    `connect` and `listener` must be set before the first attempt or health check.
-    """
+    """Sends and cancels attempts and notifies the listener; `connect` and `listener` must be set first."""
 
     def __init__(
         self,
--- a/cottonhold/backend/health_check.py
+++ b/cottonhold/backend/health_check.py
@@ -8,7 +8,7 @@
 from cottonhold.transport.clock import Timer
 
 # Each attempt adds this cost to the budget of liveness checks, in the unit of the cost of a health check.
-COST_PER_ATTEMPT = 0.003
+BUDGET_PER_ATTEMPT = 0.003
 MAX_AVAILABLE_CHECKS = 4.0  # several connections may become silent at the same time
 
 
@@ -36,7 +36,7 @@
 
     def on_attempt_sent(self, check_cost: float) -> None:
         """Add an attempt's contribution; `check_cost` is the cost of a health check, 0 if checks are free."""
-        earned = COST_PER_ATTEMPT / max(check_cost, COST_PER_ATTEMPT)
+        earned = BUDGET_PER_ATTEMPT / max(check_cost, BUDGET_PER_ATTEMPT)
         self.available = min(MAX_AVAILABLE_CHECKS, self.available + earned)
 
     def try_spend(self, check_cost: float) -> bool:
--- a/cottonhold/frontend/mysql_session.py
+++ b/cottonhold/frontend/mysql_session.py
@@ -47,7 +47,7 @@
 
 MAX_PACKET_BYTES = 64 * 1024  # limit of a client's packet, since many clients share the memory
 MAX_UNREAD_BYTES = 32 * 1024  # output not read by the client; above this no command is executed
-MAX_QUEUED_COMMANDS = 16  # per connection; most clients send one at a time
+MAX_QUEUED_COMMANDS = 16  # per connection; clients usually send one at a time
 MAX_QUEUED_BYTES = 2 * MAX_PACKET_BYTES
 # A client that stalls must have its connection closed within 3 s of connecting, so these limits are shorter.
 LOGIN_TIMEOUT_MS = 2000.0  # between connecting and the first command
@@ -102,7 +102,7 @@
         self.opened_at = self.last_received_at = registry.clock.now()
         self.partial_since = math.inf  # when the first byte of an incomplete packet arrived
         self.sequence = 0  # sequence number of the next packet to the client
-        self.request: Callable[[], None] | None = None  # withdraws the open request; None if there is none
+        self.withdraw_request: Callable[[], None] | None = None  # set while a request is open
         self._send(encode_greeting(connection_id))
         registry.counters.add("client_connections")
 
@@ -124,11 +124,7 @@
             self._on_malformed(error)
 
     def _decode_packet(self, now: float) -> Command | None:
-        """Remove and return the first packet of the buffer; None while it is incomplete.
-
-        Raises:
-            ProtocolError: The packet is too large, or too many commands are queued.
-        """
+        """Remove and return the first packet of the buffer; None if incomplete. Raises ProtocolError."""
         buffer = self.buffer
         if len(buffer) < HEADER_BYTES:
             return None
@@ -151,7 +147,7 @@
         """Remove and return the bytes to write; queued commands are then executed soon."""
         data = bytes(self.output)
         self.output.clear()
-        if self.commands and self.request is None and not self.is_closing:
+        if self.commands and self.withdraw_request is None and not self.is_closing:
             self.registry.clock.call_soon(self._resume)
         return data
 
@@ -167,11 +163,11 @@
             return
         self.is_closed = self.is_closing = True
         self.registry.on_session_closed(self)
-        self._cancel_request()
+        self._withdraw_open_request()
 
-    def _cancel_request(self) -> bool:
+    def _withdraw_open_request(self) -> bool:
         """Withdraw the open request, which gets no response; return false if there is none."""
-        withdraw, self.request = self.request, None
+        withdraw, self.withdraw_request = self.withdraw_request, None
         if withdraw is not None:
             withdraw()
         return withdraw is not None
@@ -180,7 +176,7 @@
         """Execute queued commands, one at a time, while the client reads the responses."""
         while (
             self.commands
-            and self.request is None
+            and self.withdraw_request is None
             and not self.is_closing
             and len(self.output) < MAX_UNREAD_BYTES
         ):
@@ -232,7 +228,7 @@
                 self._send_error(REJECTED, f"query refused, it did not run: this dispatcher is {phase}")
                 self._after_response()
                 return
-            self.request = self.registry.service.submit(statement, arrived_at, self)
+            self.withdraw_request = self.registry.service.submit(statement, arrived_at, self)
         except FieldError as error:
             self.registry.counters.add("requests_unusable")
             self._send_error(QUERY_FAILED, str(error))
@@ -254,7 +250,7 @@
 
     def interrupt(self) -> None:
         """Interrupt the open query, if any, and report that to the client; the session continues."""
-        if self._cancel_request():
+        if self._withdraw_open_request():
             self._send_error(QUERY_INTERRUPTED, "query execution was interrupted")
             self._after_response()
 
@@ -271,7 +267,7 @@
 
     def idle_since(self, now: float) -> float:
         """Return when the client last sent something, or `now` while a response is due or being written."""
-        if self.request is not None or self.commands or self.output:
+        if self.withdraw_request is not None or self.commands or self.output:
             return now
         if self.stream is None or self.stream.is_writing():
             return now
@@ -306,7 +302,7 @@
         return self.partial_since == math.inf and now - self.idle_since(now) > timeout_ms
 
     def evict(self) -> bool:
-        """Close immediately to release the descriptor; return false if the client has just sent something."""
+        """Close now to release the descriptor; return false if data has just arrived or it is closed."""
         if self.stream is not None and self.stream.read_available() or self.is_closed:
             return False
         self.is_closing = self.was_evicted = True
@@ -318,7 +314,7 @@
         """Close because this process ends, unless a request is open, whose response follows soon."""
         if self.stream is not None:
             self.stream.read_available()
-        if self.request is not None or self.commands or self.is_closing:
+        if self.withdraw_request is not None or self.commands or self.is_closing:
             return
         if self.buffer:
             self.registry.counters.add("queries_turned_away")
@@ -352,7 +348,7 @@
 
     def _finish_request(self) -> bool:
         """Mark the open request as finished before its response is sent; return false if there is none."""
-        is_open, self.request = self.request is not None, None
+        is_open, self.withdraw_request = self.withdraw_request is not None, None
         self.last_received_at = self.registry.clock.now()
         return is_open
 
@@ -386,7 +382,7 @@
         """Send the error to the client and close this connection; other connections are not affected."""
         self.registry.counters.add("client_malformed")
         self.commands.clear()
-        self._cancel_request()
+        self._withdraw_open_request()
         self._send_error(error.code, str(error))
         self._close()
 
--- a/cottonhold/transport/listener.py
+++ b/cottonhold/transport/listener.py
@@ -36,7 +36,7 @@
         """Create the state machine of a new connection."""
 
 
-class AdmittingFactory(ProtocolFactory, Protocol):
+class LimitingProtocolFactory(ProtocolFactory, Protocol):
     """A protocol factory that limits the number of connections."""
 
     def has_capacity(self) -> bool:
@@ -94,7 +94,7 @@
             steer_to_newest(sock, self.context.counters, self.context.log)
         return sock
 
-    async def accept(self, sock: socket.socket, sessions: AdmittingFactory) -> None:
+    async def accept(self, sock: socket.socket, sessions: LimitingProtocolFactory) -> None:
         """Accept clients until cancelled.
 
         All clients that have arrived are accepted in one iteration of the loop. With one per iteration, a
@@ -114,7 +114,9 @@
                 failures += 1
                 await self._on_accept_failed(error, failures, "accept", "accept")
 
-    async def _on_accept_failed(self, error: OSError, failures: int, counted_as: str, label: str) -> None:
+    async def _on_accept_failed(
+        self, error: OSError, failures: int, counter_prefix: str, log_prefix: str
+    ) -> None:
         """Count a failure of accept, log it if it is the first in a row, and pause if necessary.
 
         If a resource is lacking, accept fails immediately, and retrying without a pause would be a busy loop.
@@ -123,13 +125,13 @@
         Args:
             error: The error of accept.
             failures: Number of consecutive failures.
-            counted_as: Beginning of the counter's name.
-            label: Beginning of the log line.
+            counter_prefix: Beginning of the counter's name.
+            log_prefix: Beginning of the log line.
         """
-        self.context.counters.add(f"{counted_as}_failed")
+        self.context.counters.add(f"{counter_prefix}_failed")
         is_of_connection = error.errno in CONNECTION_ERRORS
         if failures == 1 and not is_of_connection:
-            self.context.log(f"{label}: {error}")
+            self.context.log(f"{log_prefix}: {error}")
         await asyncio.sleep(0 if is_of_connection and failures % MAX_BROKEN_CONNECTIONS else ACCEPT_PAUSE_S)
 
     def _accept_now(self, sock: socket.socket) -> socket.socket | None:
@@ -170,15 +172,15 @@
                 pauses += error.errno not in CONNECTION_ERRORS or failures % MAX_BROKEN_CONNECTIONS == 0
                 await self._on_accept_failed(error, failures, "accept", "accept")
 
-    async def accept_one(self, sock: socket.socket, counted_as: str, label: str) -> socket.socket:
+    async def accept_one(self, sock: socket.socket, counter_prefix: str, log_prefix: str) -> socket.socket:
         """Wait for the next connection and return it; failures are counted, logged and retried.
 
         Args:
             sock: The listening socket.
-            counted_as: Beginning of the counter's name for failures.
-            label: Beginning of the log line of a failure.
+            counter_prefix: Beginning of the counter's name for failures.
+            log_prefix: Beginning of the log line of a failure.
         """
-        failures = 0  # in a row
+        failures = 0  # consecutive failures
         while True:
             try:
                 await self.context.wait_until_readable(sock)
@@ -186,7 +188,7 @@
                     return client
             except OSError as error:
                 failures += 1
-                await self._on_accept_failed(error, failures, counted_as, label)
+                await self._on_accept_failed(error, failures, counter_prefix, log_prefix)
 
     async def serve_admin_api(self, sock: socket.socket, admin_api: ProtocolFactory) -> None:
         """Accept and serve calls of the admin API until cancelled."""
--- a/tests/frontend/test_client_departure_sockets.py
+++ b/tests/frontend/test_client_departure_sockets.py
@@ -126,7 +126,7 @@
 
 
 def shut_down_writing(dispatcher: DispatcherSockets, client: socket.socket) -> None:
-    """Close only the write side: the client could still read, but counts as disconnected, as usual."""
+    """Close only the write side: the client could still read, but counts as gone, as at any server."""
     client.shutdown(socket.SHUT_WR)
 
 
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -98,7 +98,7 @@
         world.run("c1 query load r1 allow=20000\ne1 expect GET r1 *")
     other = worlds[1].clients["c1"].session.connection_id
     worlds[0].run(f"c2 say KILL QUERY {other}\nc2 expect error 1094 *")
-    assert all(w.clients["c1"].session.request is not None for w in worlds)
+    assert all(w.clients["c1"].session.withdraw_request is not None for w in worlds)
 
 
 def test_connection_ids_in_use_are_skipped_when_they_wrap() -> None:
--- a/tests/transport/test_connection_close.py
+++ b/tests/transport/test_connection_close.py
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 100_000, 3_000_000])
-def test_an_answer_is_not_lost_if_its_client_is_still_sending(size: int) -> None:
+def test_an_answer_is_not_lost_while_its_client_sends(size: int) -> None:
     """A connection that is closed with unread bytes is reset, and output already written is lost."""
 
     async def scenario(server: SessionServer) -> None:
