--- a/cottonhold/node/admin_api.py
+++ b/cottonhold/node/admin_api.py
@@ -139,7 +139,7 @@
         if self.received_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
             self._respond(Response(413, f"at most {MAX_BODY_BYTES} bytes"))
 
-    def take_output(self) -> bytes:
+    def pop_output(self) -> bytes:
         """Return and clear the bytes to be written to the caller."""
         data, self.output = self.output, b""
         return data
--- a/tests/backend/test_attempt_begin.py
+++ b/tests/backend/test_attempt_begin.py
@@ -1,4 +1,4 @@
-"""The one check before the first byte of an attempt, at the connection that writes it."""
+"""The check that a connection makes before it writes the first byte of an attempt."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def queued_attempt(world: World) -> Attempt:
-    """An attempt that is queued at a connection which is not up yet."""
+    """Return an attempt that is queued on a connection that is not established yet."""
     world.run("e1 will vanish\nc1 query lookup r1")
     attempt = world.gateway.requests[f"{1:016x}"].attempt
     assert attempt is not None and attempt.connection is not None
@@ -63,7 +63,7 @@
     world.gateway.on_attempt_ended = lambda attempt, event: outcomes.append(event.outcome)  # type: ignore[method-assign]
     connection.is_up = True
     change(world, attempt)
-    assert connection.take_output() == b"" and outcomes == [CHANGES[change]]
+    assert connection.pop_output() == b"" and outcomes == [CHANGES[change]]
     assert not attempt.is_written and not connection.attempts and not connection.queue
 
 
@@ -72,5 +72,5 @@
     attempt = queued_attempt(world)
     assert isinstance(attempt.connection, Connection)
     attempt.connection.is_up = True
-    assert attempt.connection.take_output().startswith(b"*4\r\n$3\r\nGET\r\n") and attempt.is_written
-    assert attempt.connection.take_output() == b""
+    assert attempt.connection.pop_output().startswith(b"*4\r\n$3\r\nGET\r\n") and attempt.is_written
+    assert attempt.connection.pop_output() == b""
