--- a/cottonhold/__main__.py
+++ b/cottonhold/__main__.py
@@ -10,7 +10,7 @@
 import os
 import sys
 
-from cottonhold.config.relay import ConfigError, load
+from cottonhold.config.relay import ConfigError, load_config
 from cottonhold.node.dispatcher import Dispatcher, run_program
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.log import Log
@@ -20,7 +20,7 @@
     """Run one dispatcher; 2 if its configuration can't be used, 1 if its address can't."""
     counters = Counters()
     try:
-        config = load(os.environ, counters)
+        config = load_config(os.environ, counters)
     except ConfigError as error:
         print(f"cottonhold: configuration: {error}", file=sys.stderr)
         return 2
--- a/cottonhold/cli/trial.py
+++ b/cottonhold/cli/trial.py
@@ -50,7 +50,7 @@
                 seed=scenario.seed if seed is None else seed,
                 has_fleet=fleet and scenario.has_fleet,
             )
-            verdicts.append((scenario.name, _play(changed, folder)))
+            verdicts.append((scenario.name, _run_scenario(changed, folder)))
     except (script.ScriptError, ScenarioRunError) as error:
         print(error)
         raise typer.Exit(2) from None
@@ -81,7 +81,7 @@
     return script.decode_scenario(path.read_bytes())
 
 
-def _play(scenario: Scenario, folder: Path) -> Verdict:
+def _run_scenario(scenario: Scenario, folder: Path) -> Verdict:
     """Run a scenario with a progress bar, and print its timeline and what is wrong."""
     from cottonhold.emulator.fault_injection.harness import play
     from cottonhold.emulator.fault_injection.projection_check import missed_projections
--- a/cottonhold/cli/zone.py
+++ b/cottonhold/cli/zone.py
@@ -102,7 +102,7 @@
 
 
 def _format_override(override: dict[str, Any]) -> str:
-    missing = ", ".join(override["unconfirmed"])
-    time_left = f"{override['left_ms'] / 1000:.0f} s left"
-    state = f"not confirmed by: {missing}" if missing else "confirmed by all that are there"
-    return f"{override['mode']} by {override['who']} ({override['why']}), {time_left}, {state}"
+    unconfirmed_by = ", ".join(override["unconfirmed"])
+    remaining = f"{override['left_ms'] / 1000:.0f} s left"
+    state = f"not confirmed by: {unconfirmed_by}" if unconfirmed_by else "confirmed by all that are there"
+    return f"{override['mode']} by {override['who']} ({override['why']}), {remaining}, {state}"
--- a/cottonhold/config/consistency.py
+++ b/cottonhold/config/consistency.py
@@ -199,8 +199,8 @@
     if len(file.zones) > MAX_ZONES:
         report(("zones",), f"names {len(file.zones)}; a datagram has room for {MAX_ZONES}")
     _check_zone_numbers(file, report)
-    if fleet.max_evacuation_hold_ms < fleet.evacuation_hold_ms:
-        report(("fleet", "hold_ms"), f"is longer than hold_most_ms, {fleet.max_evacuation_hold_ms:g}")
+    if fleet.max_hold_down_ms < fleet.hold_down_ms:
+        report(("fleet", "hold_ms"), f"is longer than hold_most_ms, {fleet.max_hold_down_ms:g}")
 
 
 def _check_zone_numbers(file: ConfigFile, report: ReportProblem) -> None:
--- a/cottonhold/config/decode.py
+++ b/cottonhold/config/decode.py
@@ -38,11 +38,11 @@
     elif isinstance(bare_type, type) and issubclass(bare_type, msgspec.Struct):
         _check_section(value, bare_type, path, report)
     elif get_origin(bare_type) is tuple and isinstance(value, list):
-        _check_leaf([None] * len(value), _length_bounds(expected), path, report)
+        _check_scalar([None] * len(value), _length_bounds(expected), path, report)
         for i, element in enumerate(value):
             _check(element, get_args(bare_type)[0], (*path, i), report)
     else:
-        _check_leaf(value, expected, path, report)
+        _check_scalar(value, expected, path, report)
 
 
 def _length_bounds(expected: Any) -> Any:
@@ -52,17 +52,17 @@
     return tuple[Any, ...]
 
 
-def _check_leaf(value: Any, expected: Any, path: FieldPath, report: ReportProblem) -> None:
+def _check_scalar(value: Any, expected: Any, path: FieldPath, report: ReportProblem) -> None:
     try:
         msgspec.convert(value, expected, strict=True)
     except msgspec.ValidationError as error:
         reason = str(error).split(" - at `")[0]
         if get_origin(expected) is Literal:
             reason = f"must be one of {', '.join(repr(a) for a in get_args(expected))}, is {value!r}"
-        report(path, _in_plain_words(reason))
+        report(path, _replace_type_names(reason))
 
 
-def _in_plain_words(reason: str) -> str:
+def _replace_type_names(reason: str) -> str:
     """msgspec's text with the file's terms for types."""
     for name, plain_name in PLAIN_TYPE_NAMES.items():
         reason = reason.replace(f"`{name}`", plain_name)
@@ -82,8 +82,8 @@
     if not isinstance(value, dict):
         report(path, f"Expected a section, got {type(value).__name__}")
     elif value.get(tag_field) not in by_tag:
-        found = f"is {value[tag_field]!r}" if tag_field in value else "is missing"
-        report((*path, tag_field), f"must be one of {', '.join(map(repr, sorted(by_tag)))}, {found}")
+        problem = f"is {value[tag_field]!r}" if tag_field in value else "is missing"
+        report((*path, tag_field), f"must be one of {', '.join(map(repr, sorted(by_tag)))}, {problem}")
     else:
         _check(value, by_tag[value[tag_field]], path, report)
 
--- a/cottonhold/config/installation.py
+++ b/cottonhold/config/installation.py
@@ -60,13 +60,13 @@
 
     def report(field: FieldPath, reason: str) -> None:
         # A field whose reason says that it is missing has no line of its own: its section's is shown.
-        line = _line_of(field, lines, is_missing="is missing" in reason)
+        line = _find_line(field, lines, is_missing="is missing" in reason)
         problems.append(Problem(str(path), format_field_path(field), reason, line))
 
     file: schema.ConfigFile | None = decode_section(values, schema.ConfigFile, report)
     if file is not None:
         check_consistency(file, report)
-        installation = _build(file, path.resolve().parent, report)
+        installation = _build_installation(file, path.resolve().parent, report)
         if not problems:
             return installation
     raise UnusableConfigError(sorted(problems, key=lambda p: (p.line == 0, p.line, p.path)))
@@ -80,7 +80,7 @@
     return values
 
 
-def _line_of(field: FieldPath, lines: dict[FieldPath, int], is_missing: bool) -> int:
+def _find_line(field: FieldPath, lines: dict[FieldPath, int], is_missing: bool) -> int:
     """The line of a field; of a missing one, the line of the section that lacks it; 0 if unknown."""
     line = lines.get(field, 0)
     while is_missing and not line and len(field) > 1:
@@ -89,7 +89,7 @@
     return line
 
 
-def _build(file: schema.ConfigFile, folder: Path, report: ReportProblem) -> Installation:
+def _build_installation(file: schema.ConfigFile, folder: Path, report: ReportProblem) -> Installation:
     files = ReferencedFiles(folder, report)
     names = ConfiguredNames(file.zones, tuple(m.name for m in file.machine_types))
     consul_sources = {
--- a/cottonhold/config/jsonnet_template.py
+++ b/cottonhold/config/jsonnet_template.py
@@ -47,9 +47,11 @@
 
 def _evaluation_problem(path: Path, text: str) -> Problem:
     """The first line of the library's text, which goes on with a stack, and the line number that it names."""
-    place = re.search(re.escape(str(path)) + r":\(?(\d+)", text)
+    line_match = re.search(re.escape(str(path)) + r":\(?(\d+)", text)
     lines = [line.strip() for line in text.splitlines() if line.strip()]
     reason = lines[0] if lines else "no reason given"
     reason = re.sub(r"^(STATIC|RUNTIME) ERROR: ", "", reason)
     reason = re.sub(re.escape(str(path)) + r":\S+ ?", "", reason).strip(" :")
-    return Problem(str(path), "", reason or "the template is not valid", int(place.group(1)) if place else 0)
+    return Problem(
+        str(path), "", reason or "the template is not valid", int(line_match.group(1)) if line_match else 0
+    )
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -72,7 +72,7 @@
     connections: ConnectionSettings
 
 
-def load(environ: Mapping[str, str], counters: Counters) -> Config:
+def load_config(environ: Mapping[str, str], counters: Counters) -> Config:
     """Read the file that RELAY_CONFIG names. Raises ConfigError."""
     path = environ.get("RELAY_CONFIG")
     if not path:
@@ -81,7 +81,7 @@
         source = orjson.loads(read_file(path))
         if not isinstance(source, dict):
             raise WireError("not an object")
-        return decode(source, environ, counters)
+        return decode_config(source, environ, counters)
     except (OSError, orjson.JSONDecodeError, WireError, ValueError, TypeError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
@@ -108,27 +108,27 @@
         for field in dataclasses.fields(value):
             check_numbers(getattr(value, field.name), f"{name}.{field.name}")
     elif isinstance(value, tuple):
-        for place, part in enumerate(value):
-            check_numbers(part, f"{name}[{place}]")
+        for index, element in enumerate(value):
+            check_numbers(element, f"{name}[{index}]")
 
 
 def check_complete(settings: Json) -> None:
     """Raise WireError for the first required key that is missing, or a class that is there twice."""
     for section, keys in REQUIRED_KEYS.items():
-        part = read(settings, section, dict) if section else settings
+        section_values = read(settings, section, dict) if section else settings
         for key in keys.split():
-            if part.get(key) is None:
+            if section_values.get(key) is None:
                 raise WireError(f"field 'settings.{section}{'.' if section else ''}{key}' is missing")
     if read(settings["caps"], "most_tries", int) <= 0:
         raise WireError("field 'settings.caps.most_tries' is not over 0")
     names = set()
-    for place, entry in enumerate(read_list(settings, "classes", dict)):
+    for index, entry in enumerate(read_list(settings, "classes", dict)):
         for key in REQUIRED_CLASS_KEYS.split():
             if entry.get(key) is None:
-                raise WireError(f"field 'settings.classes[{place}].{key}' is missing")
+                raise WireError(f"field 'settings.classes[{index}].{key}' is missing")
         for key in ("aim", "hard_limit"):
             if read(entry, key, NUMBER) <= 0:
-                raise WireError(f"field 'settings.classes[{place}].{key}' is not over 0")
+                raise WireError(f"field 'settings.classes[{index}].{key}' is not over 0")
         if entry["name"] in names:
             raise WireError(f"class '{entry['name']}' is there twice")
         names.add(entry["name"])
@@ -139,7 +139,7 @@
 
     These are a dispatcher's place in the fleet, and the names by which engine entries are decoded.
     """
-    pairs = {
+    fixed_values = {
         "settings.me": (old.settings.gateway_index, new.settings.gateway_index),
         "settings.siblings": (old.settings.gateway_count, new.settings.gateway_count),
         "settings.zone": (old.settings.zone, new.settings.zone),
@@ -150,17 +150,17 @@
             new.settings.machine_types,
         ),
     }
-    for key, (was, now) in pairs.items():
-        if was != now:
+    for key, (old_value, new_value) in fixed_values.items():
+        if old_value != new_value:
             raise ConfigError(f"field '{key}' changes only with a restart")
 
 
-def decode(source: Json, environ: Mapping[str, str], counters: Counters) -> Config:
+def decode_config(source: Json, environ: Mapping[str, str], counters: Counters) -> Config:
     """The configuration's JSON as typed values. Raises WireError, ValueError or TypeError."""
-    listen = _address(source, "listen", environ.get("RELAY_LISTEN"))
+    listen = _read_address(source, "listen", environ.get("RELAY_LISTEN"))
     if listen is None:
         raise WireError("field 'listen' is missing")
-    event_stream = _address(source, "bus")
+    event_stream = _read_address(source, "bus")
     if event_stream is None:
         raise WireError("field 'bus' is missing")
     params, limits = read(source, "settings", dict), read(source, "limits", dict, {})
@@ -176,10 +176,10 @@
         listen=listen,
         seed=int(read(source, "seed", str, "0"), 16),
         max_descriptors=read(limits, "sockets", int, 1024),
-        admin_listen=_address(source, "ops", environ.get("RELAY_OPS")),
-        peer_listen=_address(source, "peer_listen"),
+        admin_listen=_read_address(source, "ops", environ.get("RELAY_OPS")),
+        peer_listen=_read_address(source, "peer_listen"),
         peers=tuple(Address.parse(p) for p in read_list(source, "peers", str)),
-        peers_all=_address(source, "peers_all"),
+        peers_all=_read_address(source, "peers_all"),
         event_stream=event_stream,
         event_offset=event_offset,
         initial_reports=tuple(initial_reports),
@@ -194,7 +194,7 @@
     )
 
 
-def _address(source: Json, key: str, default: str | None = None) -> Address | None:
+def _read_address(source: Json, key: str, default: str | None = None) -> Address | None:
     """The address in a field, else the default; None if there is neither. Raises WireError."""
     text = read(source, key, str, None) or default
     try:
--- a/cottonhold/config/schema.py
+++ b/cottonhold/config/schema.py
@@ -126,9 +126,9 @@
     # A query that takes this many times its usual time counts as failure evidence against its zone.
     slow_factor: Annotated[float, Meta(ge=1.5)] = field(default=3.0, name="slow")
     # The least time that a zone stays evacuated: longer than a burst of losses.
-    evacuation_hold_ms: Positive = field(default=2000.0, name="hold_ms")
+    hold_down_ms: Positive = field(default=2000.0, name="hold_ms")
     # Each failed return doubles the hold up to this.
-    max_evacuation_hold_ms: Positive = field(default=30_000.0, name="hold_most_ms")
+    max_hold_down_ms: Positive = field(default=30_000.0, name="hold_most_ms")
     # The share of its full load that a return begins with, and how often that share may double.
     initial_return_share: Annotated[float, Meta(gt=0, le=1)] = field(default=0.03, name="first_share")
     return_step_ms: Annotated[float, Meta(ge=100)] = field(default=250.0, name="step_ms")
--- a/cottonhold/config/settings.py
+++ b/cottonhold/config/settings.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from cottonhold.message_validation import NUMBER, Json, read, read_list, word
+from cottonhold.message_validation import NUMBER, Json, read, read_list, read_mapped
 from cottonhold.scheduler.settings import (
     DeduplicationScope,
     Features,
@@ -30,12 +30,12 @@
 LOAD_REPORT_FIELDS = {"active": "inflight", "waiting": "queue", "cpu": "util"}
 
 
-def decode_class(source: Json, domain: Json, position: int) -> QueryClass:
+def decode_class(source: Json, domain: Json, index: int) -> QueryClass:
     """One entry of the settings' classes, with what the domain says of it."""
 
-    def of_class(key: str, default: Any) -> Any:
+    def read_class_value(key: str, default: Any) -> Any:
         values = read_list(domain, key, type(default))
-        return values[position] if position < len(values) else default
+        return values[index] if index < len(values) else default
 
     zones = read(source, "zones_open", list, None)
     machine_types = read(source, "models_open", list, None)
@@ -46,16 +46,16 @@
         utility=read(source, "worth", NUMBER, 1.0),
         late_utility=read(source, "late_worth", NUMBER, 0.0),
         latency_objective_stretch=read(source, "aim_stretch", NUMBER, 0.0),
-        idempotency=word(source, "effect", IDEMPOTENCY),
+        idempotency=read_mapped(source, "effect", IDEMPOTENCY),
         deduplication_scope=DeduplicationScope(read(source, "group", str, "all")),
         deduplication_window_ms=read(source, "window", NUMBER, 0.0),
         is_ordered_by_key=read(source, "by_arrival", bool, False),
         is_streamed=read(source, "stream", bool, False),
         zones=None if zones is None else tuple(zones),
         machine_types=None if machine_types is None else tuple(machine_types),
-        threads=of_class("parallelism", 1),
-        is_load=of_class("holds_tables", False),
-        waits_for_loads=of_class("class_waits", False),
+        threads=read_class_value("parallelism", 1),
+        is_load=read_class_value("holds_tables", False),
+        waits_for_loads=read_class_value("class_waits", False),
     )
 
 
@@ -138,7 +138,7 @@
         over_quota_utility=read(params, "over_share_worth", NUMBER, 1.0),
         load_report_fields=tuple(LOAD_REPORT_FIELDS.get(name, name) for name in fields),
         reports_on_health_check=read(report, "how", str, "off") == "on_probe",
-        on_memory_shortage=word(domain, "when_short", MEMORY_SHORTAGE, default=MemoryShortage.WAIT),
+        on_memory_shortage=read_mapped(domain, "when_short", MEMORY_SHORTAGE, default=MemoryShortage.WAIT),
         max_grant_share=read(domain, "max_grant_share", NUMBER, 1.0),
         progress_interval_ms=read(domain, "note_period", NUMBER, 0.0),
         reports_actual_work=read(domain, "cost_in_answers", bool, False),
--- a/cottonhold/discovery/event_stream.py
+++ b/cottonhold/discovery/event_stream.py
@@ -9,7 +9,7 @@
 import orjson
 
 from cottonhold.discovery.model import Address, ConfiguredNames, Observation, ServiceStatus, SourceReport
-from cottonhold.message_validation import NUMBER, WireError, read, word
+from cottonhold.message_validation import NUMBER, WireError, read, read_mapped
 from cottonhold.observe.counters import Counters
 
 # Short, so that a silently cut link is noticed well within the 7 s in which a change must be known.
@@ -34,7 +34,7 @@
     address = read(source, "hostPort", str, "")
     return Observation(
         id=read(source, "instanceId", str),
-        status=word(source, "lifecycle", STATUS_BY_LIFECYCLE),
+        status=read_mapped(source, "lifecycle", STATUS_BY_LIFECYCLE),
         reason=read(source, "lifecycle", str),
         address=Address.parse(address) if address else None,
         zone=names.zone_index(read(source, "zone", str, "")),
--- a/cottonhold/fleet_adapters/zone_failover.py
+++ b/cottonhold/fleet_adapters/zone_failover.py
@@ -83,8 +83,8 @@
         ),
         evidence=EvidenceSettings(slow_factor=section.slow_factor),
         evacuation=EvacuationSettings(
-            hold_down_ms=section.evacuation_hold_ms,
-            max_hold_down_ms=section.max_evacuation_hold_ms,
+            hold_down_ms=section.hold_down_ms,
+            max_hold_down_ms=section.max_hold_down_ms,
             initial_share=section.initial_return_share,
             step_ms=section.return_step_ms,
             usable_capacity_share=section.usable_capacity_share,
--- a/cottonhold/message_validation.py
+++ b/cottonhold/message_validation.py
@@ -7,35 +7,37 @@
 Json = dict[str, Any]
 
 NUMBER = (int, float)
-MISSING = object()
+REQUIRED = object()
 
 
 class WireError(Exception):
     """A line that does not follow the wire, with what is wrong in it."""
 
 
-def read(source: Json, key: str, kinds: type | tuple[type, ...], default: Any = MISSING) -> Any:
+def read(source: Json, key: str, expected: type | tuple[type, ...], default: Any = REQUIRED) -> Any:
     """The field's value if it has the right type; the default where it is absent or null."""
     value = source.get(key)
     if value is None:
-        if default is MISSING:
+        if default is REQUIRED:
             raise WireError(f"field '{key}' is missing")
         return default
-    wanted = kinds if isinstance(kinds, tuple) else (kinds,)
-    if not isinstance(value, wanted) or (isinstance(value, bool) and bool not in wanted):
+    accepted_types = expected if isinstance(expected, tuple) else (expected,)
+    if not isinstance(value, accepted_types) or (isinstance(value, bool) and bool not in accepted_types):
         raise WireError(f"field '{key}' has the wrong type: {value!r}"[:200])
     return value
 
 
-def read_list(source: Json, key: str, kinds: type | tuple[type, ...]) -> list[Any]:
+def read_list(source: Json, key: str, expected: type | tuple[type, ...]) -> list[Any]:
     """The field's list if all in it has the right type; empty where it is absent or null."""
     values = read(source, key, list, [])
-    for place, value in enumerate(values):
-        read({f"{key}[{place}]": value}, f"{key}[{place}]", kinds)
+    for index, value in enumerate(values):
+        read({f"{key}[{index}]": value}, f"{key}[{index}]", expected)
     return list(values)
 
 
-def word(source: Json, key: str, table: dict[Any, Any], kind: type = str, default: Any = MISSING) -> Any:
+def read_mapped(
+    source: Json, key: str, table: dict[Any, Any], kind: type = str, default: Any = REQUIRED
+) -> Any:
     """The field's value translated by a table of the wire's words."""
     value = read(source, key, kind, default)
     if value is default:
--- a/cottonhold/node/dispatcher.py
+++ b/cottonhold/node/dispatcher.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from cottonhold.backend.connection_pool import EngineConnections
-from cottonhold.config.relay import Config, ConfigError, check_change, load
+from cottonhold.config.relay import Config, ConfigError, check_change, load_config
 from cottonhold.discovery.engine_catalog import EngineCatalog
 from cottonhold.discovery.event_stream import SOURCE, EventStream
 from cottonhold.discovery.model import (
@@ -301,7 +301,7 @@
         A file that can't be used changes nothing.
         """
         try:
-            config = load(os.environ, self.counters)
+            config = load_config(os.environ, self.counters)
             check_change(self.config, config)
         except ConfigError as error:
             self.counters.add("reloads_failed")
@@ -337,7 +337,7 @@
 
     def print_counters(self) -> None:
         """Print the counters, whatever the log's rate."""
-        print(self.counters.line(), file=sys.stderr, flush=True)
+        print(self.counters.format_line(), file=sys.stderr, flush=True)
 
     async def run_until_stopped(self) -> None:
         """Run as a program: signals, serving, and the counters at the end."""
--- a/cottonhold/node/standalone/operator_calls.py
+++ b/cottonhold/node/standalone/operator_calls.py
@@ -20,7 +20,7 @@
 from cottonhold.scheduler.events import EngineState
 
 if TYPE_CHECKING:
-    from cottonhold.observe.metrics import Metrics, Readings
+    from cottonhold.observe.metrics import Metrics, MetricsSnapshot
 
 
 class Instance(Protocol):
@@ -100,22 +100,26 @@
 
 def make_metrics(instance: Instance, view: Callable[[], dict[str, Any]]) -> Metrics:
     """The instance's metrics. view: the status of its parts, from which their gauges are read."""
-    from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
+    from cottonhold.observe.metrics import Metrics, MetricsSnapshot, count_by_label, enum_labels
 
-    def read() -> Readings:
+    def read() -> MetricsSnapshot:
         status = view()
         engine_states = (endpoint.engine.state.value for endpoint in instance.engines.endpoints.values())
         members, verdicts, steps = dict[str, int](), dict[str, int](), dict[str, int]()
         if "members" in status:
-            members = tally(names_of(MemberStatus), (member["status"] for member in status["members"]))
+            members = count_by_label(
+                enum_labels(MemberStatus), (member["status"] for member in status["members"])
+            )
         if "recovery" in status:
-            verdicts = tally(names_of(OutageVerdict), (status["recovery"]["verdict"],))
+            verdicts = count_by_label(enum_labels(OutageVerdict), (status["recovery"]["verdict"],))
         if "swap" in status:
-            steps = tally(names_of(ReplacementStep), (row["step"] for row in status["swap"]["machines"]))
-        return Readings(
+            steps = count_by_label(
+                enum_labels(ReplacementStep), (row["step"] for row in status["swap"]["machines"])
+            )
+        return MetricsSnapshot(
             instance.counters.counts,
             instance.gateway.open_count,
-            tally((state.value for state in EngineState), engine_states),
+            count_by_label((state.value for state in EngineState), engine_states),
             members,
             verdicts,
             steps,
--- a/cottonhold/observe/counters.py
+++ b/cottonhold/observe/counters.py
@@ -15,6 +15,6 @@
         """Count something that happened."""
         self.counts[name] += amount
 
-    def line(self) -> str:
+    def format_line(self) -> str:
         """All counts on one line, by name."""
         return "counters " + " ".join(f"{name}={n}" for name, n in sorted(self.counts.items()))
--- a/cottonhold/observe/metrics.py
+++ b/cottonhold/observe/metrics.py
@@ -15,39 +15,39 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-Tally = Mapping[str, int]
+CountsByLabel = Mapping[str, int]
 
 
 @dataclass(slots=True, frozen=True)
-class Readings:
+class MetricsSnapshot:
     """What one instance reports at one moment.
 
     counts: since the start, by counter. engines: by state. members: the others, by status. verdicts: 1 for
     the present one. steps: machines by the step of their replacement. A part that is off has an empty tally.
     """
 
-    counts: Tally
+    counts: CountsByLabel
     open_requests: int
-    engines: Tally = field(default_factory=dict)
-    members: Tally = field(default_factory=dict)
-    verdicts: Tally = field(default_factory=dict)
-    steps: Tally = field(default_factory=dict)
+    engines: CountsByLabel = field(default_factory=dict)
+    members: CountsByLabel = field(default_factory=dict)
+    verdicts: CountsByLabel = field(default_factory=dict)
+    steps: CountsByLabel = field(default_factory=dict)
 
 
-def tally(labels: Iterable[str], seen: Iterable[str]) -> dict[str, int]:
+def count_by_label(labels: Iterable[str], seen: Iterable[str]) -> dict[str, int]:
     """How often each label occurs; 0 for one that doesn't, as a series that ends would look lost."""
     return dict.fromkeys(labels, 0) | Counter(seen)
 
 
-def names_of(kind: type[Enum]) -> list[str]:
+def enum_labels(kind: type[Enum]) -> list[str]:
     """The labels of an enumeration: its members' names in lower case."""
     return [member.name.lower() for member in kind]
 
 
-class Reader(Collector):
+class SnapshotCollector(Collector):
     """What the registry calls at each scrape."""
 
-    def __init__(self, read: Callable[[], Readings]) -> None:
+    def __init__(self, read: Callable[[], MetricsSnapshot]) -> None:
         self.read = read
 
     def collect(self) -> Iterator[Metric]:
@@ -77,9 +77,9 @@
 class Metrics:
     """One instance's registry; the library's own, of process and interpreter, is left out."""
 
-    def __init__(self, read: Callable[[], Readings]) -> None:
+    def __init__(self, read: Callable[[], MetricsSnapshot]) -> None:
         self.registry = CollectorRegistry()
-        self.registry.register(Reader(read))
+        self.registry.register(SnapshotCollector(read))
 
     def text(self) -> str:
         """The exposition format, version 0.0.4."""
--- a/cottonhold/observe/structured.py
+++ b/cottonhold/observe/structured.py
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        form: str = "logfmt",
+        line_format: str = "logfmt",
         per_second: float = 20.0,
         burst: float = 100.0,
         secrets: Iterable[str] = (),
@@ -85,13 +85,13 @@
         self.seconds, self.stream, self.context = seconds, stream or sys.stderr, context
         self.redactor = Redactor(secrets)
         self.limiter = Limiter(per_second, burst, seconds)
-        self.set_format(form)
+        self.set_format(line_format)
 
-    def set_format(self, form: str) -> None:
+    def set_format(self, line_format: str) -> None:
         """Write logfmt or JSON from now on."""
         renderer: Any = (
             structlog.processors.JSONRenderer(default=str)
-            if form == "json"
+            if line_format == "json"
             else structlog.processors.LogfmtRenderer(
                 key_order=["ts", "event"], drop_missing=True, bool_as_flag=False
             )
@@ -106,11 +106,11 @@
             ],
         ).bind(**self.context)
 
-    def reconfigure(self, form: str, per_second: float, burst: float, secrets: Iterable[str]) -> None:
+    def reconfigure(self, line_format: str, per_second: float, burst: float, secrets: Iterable[str]) -> None:
         """Apply other settings after a reload. Old secrets stay hidden, as a line may still hold them."""
         self.redactor.secrets = tuple({*self.redactor.secrets, *secrets})
         self.limiter.per_second, self.limiter.burst = per_second, burst
-        self.set_format(form)
+        self.set_format(line_format)
 
     def write_line(self, text: str) -> None:
         """A line of text."""
--- a/cottonhold/simulator_adapter.py
+++ b/cottonhold/simulator_adapter.py
@@ -12,7 +12,7 @@
 from typing import TextIO
 
 from cottonhold.config.settings import decode_settings
-from cottonhold.message_validation import NUMBER, Json, WireError, read, word
+from cottonhold.message_validation import NUMBER, Json, WireError, read, read_mapped
 from cottonhold.scheduler.actions import (
     Action,
     Cancel,
@@ -77,7 +77,7 @@
         zone=read(source, "campus", int, 0),
         machine_type=read(source, "type", int, 0),
         cell=read(source, "pod", int, 0),
-        state=word(source, "stage_state", STATES),
+        state=read_mapped(source, "stage_state", STATES),
         size=read(source, "heft", NUMBER, 1.0),
         started_at=read(source, "ready_at", NUMBER, 0.0),
     )
@@ -123,7 +123,7 @@
         query_id=read(message, "req", str),
         attempt=read(message, "attempt", int),
         engine=read(message, "node", str),
-        outcome=word(message, "ending", OUTCOMES, int),
+        outcome=read_mapped(message, "ending", OUTCOMES, int),
         elapsed_ms=read(message, "elapsed", NUMBER, 0.0),
         is_final=read(message, "last", bool, False),
         actual_work_ms=float(used >> USED_WORK_SHIFT),
@@ -139,7 +139,7 @@
         read(message, "req", str),
         read(message, "attempt", int),
         read(message, "node", str),
-        word(message, "kind", kinds, int),
+        read_mapped(message, "kind", kinds, int),
         read(message, "x", NUMBER, 0.0),
     )
 
@@ -163,7 +163,7 @@
 
 def decode_health_check(message: Json, settings: Settings) -> Event:
     """Decode the result of a health check."""
-    outcome = word(message, "ending", OUTCOMES, int)
+    outcome = read_mapped(message, "ending", OUTCOMES, int)
     return HealthCheckCompleted(read(message, "node", str), outcome, decode_load_report(message, settings))
 
 
--- a/tests/config/test_bad_relay.py
+++ b/tests/config/test_bad_relay.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from cottonhold.__main__ import serve
-from cottonhold.config.relay import ConfigError, decode, load
+from cottonhold.config.relay import ConfigError, decode_config, load_config
 from cottonhold.message_validation import WireError
 from cottonhold.node.dispatcher import Dispatcher
 from cottonhold.observe.counters import Counters
@@ -34,7 +34,7 @@
 ) -> None:
     """It can't be used, or a dispatcher under it decides without a fault."""
     try:
-        config = decode(changed(USABLE, path, value), {}, Counters())
+        config = decode_config(changed(USABLE, path, value), {}, Counters())
     except (WireError, ValueError, TypeError):  # what load gives out as ConfigError
         return
     world = World(config.settings)
@@ -57,18 +57,18 @@
 
 
 @pytest.mark.parametrize("content", FILES.values(), ids=FILES)
-def test_an_unusable_file_is_one_short_line(content: bytes, tmp_path: Path) -> None:
+def test_the_error_for_an_unusable_file_is_one_short_line(content: bytes, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(content)
     with pytest.raises(ConfigError) as error:
-        load({"RELAY_CONFIG": str(path)}, Counters())
+        load_config({"RELAY_CONFIG": str(path)}, Counters())
     assert len(str(error.value).splitlines()) == 1 and len(str(error.value)) < 500
 
 
-def test_a_path_that_is_no_regular_file_is_one_line(tmp_path: Path) -> None:
+def test_the_error_for_a_path_that_is_no_regular_file_is_one_line(tmp_path: Path) -> None:
     for path in (tmp_path, tmp_path / "none", Path("/dev/zero"), Path("a\0b")):
         with pytest.raises(ConfigError) as error:
-            load({"RELAY_CONFIG": str(path)}, Counters())
+            load_config({"RELAY_CONFIG": str(path)}, Counters())
         assert len(str(error.value).splitlines()) == 1
 
 
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("key", NOT_POSITIVE)
 def test_a_class_without_a_positive_objective_and_deadline_is_refused(key: str, value: Any) -> None:
     with pytest.raises(WireError, match=key):
-        decode(changed(USABLE, ("settings", "classes", 0, key), value), {}, Counters())
+        decode_config(changed(USABLE, ("settings", "classes", 0, key), value), {}, Counters())
 
 
 def write_usable_config(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
@@ -104,7 +104,7 @@
     content: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, counters = write_usable_config(tmp_path, monkeypatch), Counters()
-    config = load(os.environ, counters)
+    config = load_config(os.environ, counters)
 
     async def scenario() -> None:
         dispatcher = Dispatcher(config, counters, asyncio.get_running_loop(), Log())
--- a/tests/conformance/test_golden_names.py
+++ b/tests/conformance/test_golden_names.py
@@ -32,7 +32,7 @@
 from cottonhold.node.lifecycle import Phase
 from cottonhold.node.load_guard import LoadOutcome
 from cottonhold.observe.counters import Counters
-from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
+from cottonhold.observe.metrics import Metrics, MetricsSnapshot, count_by_label, enum_labels
 from cottonhold.scheduler.events import EngineState, Outcome
 from cottonhold.store.health import DiskState
 from tests.conformance.golden import RECORD
@@ -121,13 +121,13 @@
 
 def metrics_text() -> str:
     """The exposition with one of each series."""
-    readings = Readings(
+    readings = MetricsSnapshot(
         {"attempts_ok": 3, "members_alive": 2},
         4,
-        tally([state.value for state in EngineState], ["live"]),
-        tally(names_of(MemberStatus), ["alive"]),
-        tally(names_of(OutageVerdict), [next(iter(OutageVerdict)).value]),
-        tally(names_of(ReplacementStep), ["out"]),
+        count_by_label([state.value for state in EngineState], ["live"]),
+        count_by_label(enum_labels(MemberStatus), ["alive"]),
+        count_by_label(enum_labels(OutageVerdict), [next(iter(OutageVerdict)).value]),
+        count_by_label(enum_labels(ReplacementStep), ["out"]),
     )
     return Metrics(lambda: readings).text()
 
@@ -140,7 +140,7 @@
     counters = Counters()
     counters.add("b", 2)
     counters.add("a")
-    assert counters.line() == "counters a=1 b=2"
+    assert counters.format_line() == "counters a=1 b=2"
 
 
 def commands(command: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
@@ -251,7 +251,7 @@
         "settings": {**PARAMS, "tenants": tenants},
     }
     seen = set[str]()
-    relay.decode(Watched(source, "", seen), {}, Counters())
+    relay.decode_config(Watched(source, "", seen), {}, Counters())
     return sorted(key for key in seen if not key.startswith((".", "[")))
 
 
@@ -263,10 +263,10 @@
     """A name and an address may come from the environment instead."""
     source = {"listen": None, "bus": "127.0.0.1:2", "known": {"offset": 0, "batch": []}, "settings": PARAMS}
     environment = {"RELAY_LISTEN": "127.0.0.1:9", "RELAY_NAME": "n9", "RELAY_OPS": "127.0.0.1:8"}
-    read = relay.decode(source, environment, Counters())
+    read = relay.decode_config(source, environment, Counters())
     assert (read.name, str(read.listen), str(read.admin_listen)) == ("n9", "127.0.0.1:9", "127.0.0.1:8")
     with pytest.raises(relay.ConfigError, match="RELAY_CONFIG"):
-        relay.load({}, Counters())
+        relay.load_config({}, Counters())
 
 
 def test_keys_of_consuls_answers() -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import settings
 
-from tests.known_red import NAME, KnownRed, KnownRedError, missing, parse
+from tests.known_red import NAME, KnownRed, KnownRedError, check_all_collected, parse_known_red
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.register_profile("draw", derandomize=False, deadline=None, database=None, print_blob=True)
@@ -25,7 +25,7 @@
     """Reads the list of known failing tests; one that can't be used ends the run."""
     path = config.rootpath / NAME
     try:
-        config.stash[KNOWN] = parse(path.read_text(encoding="utf-8")) if path.exists() else {}
+        config.stash[KNOWN] = parse_known_red(path.read_text(encoding="utf-8")) if path.exists() else {}
     except (KnownRedError, UnicodeDecodeError) as error:
         raise pytest.UsageError(str(error)) from None
 
@@ -34,9 +34,9 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Listed tests have to fail: one that passes fails the run, so that its line goes."""
     known = config.stash[KNOWN]
-    if _whole(config):
+    if _collects_all_tests(config):
         try:
-            missing(known, [item.nodeid for item in items])
+            check_all_collected(known, [item.nodeid for item in items])
         except KnownRedError as error:
             raise pytest.UsageError(str(error)) from None
     for item in items:
@@ -52,7 +52,7 @@
             terminalreporter.write_line(str(entry))
 
 
-def _whole(config: pytest.Config) -> bool:
+def _collects_all_tests(config: pytest.Config) -> bool:
     """Whether all tests are collected. Those chosen by -k or -m are taken out of them only later."""
     places = config.getini("testpaths")
     given = [arg.rstrip("/") for arg in config.args]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 NAME = "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 
 
 class KnownRedError(Exception):
@@ -28,7 +28,7 @@
         return f"{self.test}: {self.cause} ({self.issue})"
 
 
-def parse(text: str) -> dict[str, KnownRed]:
+def parse_known_red(text: str) -> dict[str, KnownRed]:
     """The known failing tests by node id. Raises KnownRedError."""
     found: dict[str, KnownRed] = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -42,12 +42,12 @@
         if entry.test in found:
             raise KnownRedError(f"{NAME}, line {number}: {entry.test} is there twice")
         found[entry.test] = entry
-    if len(found) > MOST:
-        raise KnownRedError(f"{NAME}: {len(found)} tests, {MOST} at most may be known to fail")
+    if len(found) > MAX_ENTRIES:
+        raise KnownRedError(f"{NAME}: {len(found)} tests, {MAX_ENTRIES} at most may be known to fail")
     return found
 
 
-def missing(known: Collection[str], collected: Collection[str]) -> None:
+def check_all_collected(known: Collection[str], collected: Collection[str]) -> None:
     """Raises KnownRedError where a listed test isn't among those collected."""
     if unknown := sorted(set(known) - set(collected)):
         raise KnownRedError(f"{NAME}: no such test: {', '.join(unknown)}")
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cottonhold.config.relay import decode
+from cottonhold.config.relay import decode_config
 from cottonhold.discovery.model import Address
 from cottonhold.message_validation import WireError
 from cottonhold.node.admin_api import (
@@ -291,9 +291,9 @@
 @pytest.mark.parametrize("text", ["nowhere", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:99999"])
 def test_an_invalid_admin_address_is_named(text: str) -> None:
     with pytest.raises(WireError, match="field 'ops': .* is no address"):
-        decode({**SOURCE, "ops": text}, {}, Counters())
+        decode_config({**SOURCE, "ops": text}, {}, Counters())
     with pytest.raises(WireError, match="field 'ops': .* is no address"):
-        decode(SOURCE, {"RELAY_OPS": text}, Counters())
+        decode_config(SOURCE, {"RELAY_OPS": text}, Counters())
 
 
 def test_queued_connections_are_accepted_before_a_listener_closes() -> None:
--- a/tests/node/test_retries.py
+++ b/tests/node/test_retries.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cottonhold.config.relay import load
+from cottonhold.config.relay import load_config
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import DeduplicationScope, Idempotency, Rules
 from tests.frontend.test_client_departure import CLASS_NAMES, SITES, Turns, assert_nothing_kept
@@ -90,7 +90,7 @@
 
 
 def test_settings_hold_the_longest_time_of_a_connect(tmp_path: Path) -> None:
-    config = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
+    config = load_config(write(tmp_path, listen="127.0.0.1:80"), Counters())
     assert config.settings.max_connect_ms == config.connections.connect_timeout_ms > 0
 
 
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -12,7 +12,7 @@
 import pytest
 
 from cottonhold import Scheduler
-from cottonhold.config.relay import ConfigError, load
+from cottonhold.config.relay import ConfigError, load_config
 from cottonhold.node.dispatcher import Dispatcher
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler import slow_start
@@ -271,7 +271,7 @@
     async def scenario() -> None:
         monkeypatch.setenv("RELAY_CONFIG", write(tmp_path, **VALID)["RELAY_CONFIG"])
         lines, counters = RecordedLog(), Counters()
-        config = load({"RELAY_CONFIG": str(tmp_path / "config.json")}, counters)
+        config = load_config({"RELAY_CONFIG": str(tmp_path / "config.json")}, counters)
         node = Dispatcher(config, counters, asyncio.get_running_loop(), lines)
         before = (
             node.gateway.settings,
@@ -314,4 +314,4 @@
 def test_the_start_names_the_same_problems(tmp_path: Path, change: Any, problem: str) -> None:
     (tmp_path / "config.json").write_bytes(invalid_content(change))
     with pytest.raises(ConfigError, match=problem):
-        load({"RELAY_CONFIG": str(tmp_path / "config.json")}, Counters())
+        load_config({"RELAY_CONFIG": str(tmp_path / "config.json")}, Counters())
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from cottonhold.config.relay import load
+from cottonhold.config.relay import load_config
 from cottonhold.discovery.model import Address
 from cottonhold.node.dispatcher import MAX_NEWER_START_MS, Dispatcher
 from cottonhold.node.lifecycle import Lifecycle
@@ -146,7 +146,7 @@
     monkeypatch.setenv("RELAY_CONFIG", write(folder, **changes)["RELAY_CONFIG"])
     monkeypatch.delenv("TMPDIR", raising=False)
     counters = Counters()
-    return Dispatcher(load(os.environ, counters), counters, asyncio.get_running_loop(), RecordedLog())
+    return Dispatcher(load_config(os.environ, counters), counters, asyncio.get_running_loop(), RecordedLog())
 
 
 def sighup(node: Dispatcher, folder: Path, deadline: float) -> None:
--- a/tests/node/test_sibling_process_faults.py
+++ b/tests/node/test_sibling_process_faults.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cottonhold.config.relay import load
+from cottonhold.config.relay import load_config
 from cottonhold.node.dispatcher import Dispatcher
 from cottonhold.node.sibling_processes import ProcessRecord, SiblingProcesses
 from cottonhold.observe.counters import Counters
@@ -51,7 +51,7 @@
     call: str, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    config = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
+    config = load_config(write(tmp_path, listen="127.0.0.1:80"), Counters())
     log, descriptors_before = RecordedLog(), descriptors()
 
     async def scenario() -> None:
--- a/tests/node/test_small_parts.py
+++ b/tests/node/test_small_parts.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cottonhold.backend.resp import RespError, RespReader, encode_array
-from cottonhold.config.relay import ConfigError, load
+from cottonhold.config.relay import ConfigError, load_config
 from cottonhold.discovery.event_stream import EventStream
 from cottonhold.discovery.model import Address, ConfiguredNames, Observation, ServiceStatus, SourceReport
 from cottonhold.frontend.query_comment import parse, table_group
@@ -197,7 +197,7 @@
 
 
 def test_a_configuration_is_loaded_completely(tmp_path: Path) -> None:
-    received = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
+    received = load_config(write(tmp_path, listen="127.0.0.1:80"), Counters())
     assert (received.event_offset, received.seed, received.initial_reports[0].is_complete) == (
         1,
         0x8C1F30D27A5BE964,
@@ -215,7 +215,7 @@
 def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
     environ = {**os.environ, **write(tmp_path, **{"listen": "127.0.0.1:80", **changes})}
     with pytest.raises(ConfigError):
-        load(environ, Counters())
+        load_config(environ, Counters())
     done = subprocess.run(PROGRAM, env=environ, capture_output=True, text=True, check=False)
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
 
--- a/tests/node/test_start_faults.py
+++ b/tests/node/test_start_faults.py
@@ -10,7 +10,7 @@
 import pytest
 import uvloop
 
-from cottonhold.config.relay import Config, load
+from cottonhold.config.relay import Config, load_config
 from cottonhold.discovery.model import Address
 from cottonhold.node.dispatcher import Dispatcher, run_program
 from cottonhold.observe.counters import Counters
@@ -36,7 +36,7 @@
 def config(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Config:
     """Peers', operators' and clients' sockets, in this order; nobody is at the event bus."""
     monkeypatch.delenv("TMPDIR", raising=False)
-    usual = load(write(tmp_path, listen="127.0.0.1:80"), Counters())
+    usual = load_config(write(tmp_path, listen="127.0.0.1:80"), Counters())
     return dataclasses.replace(usual, listen=FREE, admin_listen=FREE, peer_listen=FREE)
 
 
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -14,7 +14,7 @@
 
 from cottonhold.config.installation import UnusableConfigError, read_installation
 from cottonhold.node.standalone.dispatcher import StandaloneDispatcher
-from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
+from cottonhold.observe.metrics import Metrics, MetricsSnapshot, count_by_label, enum_labels
 from cottonhold.observe.structured import StructuredLog
 
 FILE: dict[str, Any] = {
@@ -52,7 +52,9 @@
 
 def test_series_are_current_and_any_counter_name_is_escaped() -> None:
     counts = {"answers_served": 3, 'odd "name"\n': 1}
-    metrics = Metrics(lambda: Readings(counts, 7, steps=tally(names_of(Step), ["some", "some"])))
+    metrics = Metrics(
+        lambda: MetricsSnapshot(counts, 7, steps=count_by_label(enum_labels(Step), ["some", "some"]))
+    )
     counts["answers_served"] += 1
     assert parse_series(metrics.text()) == {
         ("cottonhold_events_total", "answers_served"): 4,
--- a/tests/observe/test_structured.py
+++ b/tests/observe/test_structured.py
@@ -31,7 +31,7 @@
         assert wanted in stream.getvalue() and stream.getvalue().count("\n") == 1
 
 
-def test_a_storm_is_limited_and_the_next_line_counts_what_was_dropped() -> None:
+def test_a_burst_is_limited_and_the_next_line_reports_the_dropped_events() -> None:
     made, stream, clock = make_log()
     for i in range(1000):
         made.note("storm" if i % 10 else "other", i=i)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.known_red import KnownRed, KnownRedError, missing, parse
+from tests.known_red import KnownRed, KnownRedError, check_all_collected, parse_known_red
 
 CONFTEST = (Path(__file__).parent / "conftest.py").read_text()
 READER = (Path(__file__).parent / "known_red.py").read_text()
@@ -43,12 +43,12 @@
 
 
 def test_a_line_is_a_test_its_cause_and_its_issue() -> None:
-    found = parse(f"{FAILS}\n\n{EACH}\n")
+    found = parse_known_red(f"{FAILS}\n\n{EACH}\n")
     assert list(found.values()) == [
         KnownRed("tests/test_some.py::test_fails", "a planted fault", "issue 7"),
         KnownRed("tests/test_some.py::test_each[a|b]", "another one", "issue 8"),
     ]
-    assert parse("") == parse("\n \n") == {}
+    assert parse_known_red("") == parse_known_red("\n \n") == {}
 
 
 @pytest.mark.parametrize(
@@ -64,15 +64,15 @@
 )
 def test_a_list_that_can_t_be_used_says_why(text: str, why: str) -> None:
     with pytest.raises(KnownRedError, match=why) as told:
-        parse(text)
+        parse_known_red(text)
     assert "\n" not in str(told.value)
 
 
 def test_a_listed_test_has_to_be_there() -> None:
-    missing([], ["a"])
-    missing(["a"], ["b", "a"])
+    check_all_collected([], ["a"])
+    check_all_collected(["a"], ["b", "a"])
     with pytest.raises(KnownRedError, match="no such test: c, d"):
-        missing(["d", "a", "c"], ["a", "b"])
+        check_all_collected(["d", "a", "c"], ["a", "b"])
 
 
 @pytest.mark.parametrize("content", [None, "", "\n"])
