--- a/cottonhold/__init__.py
+++ b/cottonhold/__init__.py
@@ -1,4 +1,4 @@
-"""cottonhold: the decisions of a workload manager in front of analytic query engines."""
+"""A dispatcher that schedules the queries of MySQL clients on a fleet of analytic query engines."""
 
 from cottonhold.scheduler.scheduler import Scheduler
 
--- a/cottonhold/__main__.py
+++ b/cottonhold/__main__.py
@@ -17,7 +17,11 @@
 
 
 def serve() -> int:
-    """Run one dispatcher; 2 if its configuration can't be used, 1 if its address can't."""
+    """Run one dispatcher.
+
+    Returns:
+        The exit code: 2 if the configuration can't be used, 1 if the address can't, else 0.
+    """
     counters = Counters()
     try:
         config = load_config(os.environ, counters)
@@ -28,7 +32,7 @@
 
 
 def main() -> int:
-    """The command line."""
+    """Parse the command line and run the command."""
     parser = argparse.ArgumentParser(prog="cottonhold", description=__doc__)
     commands = parser.add_subparsers(dest="command")
     commands.add_parser("serve", help="run one dispatcher (the default)")
--- a/cottonhold/cli/__init__.py
+++ b/cottonhold/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: parses, calls, prints."""
+"""The command line of standalone dispatchers."""
--- a/cottonhold/cli/instance_socket.py
+++ b/cottonhold/cli/instance_socket.py
@@ -1,4 +1,4 @@
-"""Calls of a running instance's local socket, and tables of its answers."""
+"""Calls a running instance through its local socket and prints its answers as tables."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 
 
 def call_instance(socket_path: Path, call: dict[str, Any] | None = None) -> dict[str, Any]:
-    """An instance's answer to a call, by default to `view`. Exits with code 1 if there is none, and with 2
-    if the instance refuses the call.
+    """Call an instance and return its answer; the default call is `view`.
+
+    Raises:
+        typer.Exit: With code 1 if the instance doesn't answer, and with code 2 if it refuses the call.
     """
     from cottonhold.node.status import ask
 
--- a/cottonhold/cli/main.py
+++ b/cottonhold/cli/main.py
@@ -1,6 +1,6 @@
-"""`cottonhold`: the command line of standalone dispatchers. Each command parses, calls one part, and prints.
+"""`cottonhold`: the command line of standalone dispatchers.
 
-Exit codes: 0 done, 1 failed, 2 the configuration or the command can't be used.
+Exit codes: 0 for success, 1 for a failure, 2 if the configuration or the command can't be used.
 """
 
 from __future__ import annotations
@@ -108,7 +108,7 @@
 
 
 def _hide_secrets(value: object) -> object:
-    """The values without secrets, at any depth; the names of secret files stay."""
+    """Return values without secrets, at any depth; the names of secret files are kept."""
     if isinstance(value, dict):
         return {
             key: "(hidden)" if key in SECRET_KEYS and inner else _hide_secrets(inner)
@@ -118,7 +118,7 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Run the command line; the entry point of the console script."""
     app()
 
 
--- a/cottonhold/cli/trial.py
+++ b/cottonhold/cli/trial.py
@@ -1,4 +1,4 @@
-"""`cottonhold trial`: scenario runs, several real processes with scripted faults, checked from outside."""
+"""`cottonhold trial`: runs scenarios of scripted faults on several real processes and checks the results."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def _chosen_scenarios(names: list[str]) -> list[Scenario]:
-    """The scenarios by names or files; `all` stands for every one that comes with the program."""
+    """Return scenarios by name or file; `all` selects every built-in scenario."""
     from cottonhold.emulator.fault_injection.scenarios import SCENARIOS
 
     chosen: list[Scenario] = []
@@ -82,7 +82,7 @@
 
 
 def _run_scenario(scenario: Scenario, folder: Path) -> Verdict:
-    """Run a scenario with a progress bar, and print its timeline and what is wrong."""
+    """Run a scenario with a progress bar, and print its timeline and findings."""
     from cottonhold.emulator.fault_injection.harness import play
     from cottonhold.emulator.fault_injection.projection_check import missed_projections
 
--- a/cottonhold/cli/zone.py
+++ b/cottonhold/cli/zone.py
@@ -1,4 +1,4 @@
-"""`cottonhold zone`: what the fleet does with each zone, and operators' overrides of it."""
+"""`cottonhold zone`: shows the state of each zone and sets operators' overrides."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def parse_duration_ms(text: str) -> int:
-    """The milliseconds of a duration like 10m. Raises typer.BadParameter."""
+    """Return a duration such as `10m` in ms. Raises typer.BadParameter."""
     match = re.fullmatch(r"(\d{1,6})([smh])", text)
     if not match or not int(match[1]):
         raise typer.BadParameter(f"'{text}' is no time like 90s, 10m or 2h")
@@ -69,7 +69,11 @@
 def _set_override(
     mode: str, zone: str, path: SocketOption, duration_text: str, reason: str, operator: str
 ) -> None:
-    """Set an override and wait for the other instances to confirm it; exits with code 1 if not all do."""
+    """Set an override and wait for the other instances to confirm it.
+
+    Raises:
+        typer.Exit: Code 1 if an instance has not confirmed within CONFIRM_TIMEOUT_S, else 0.
+    """
     call = {
         "call": "order",
         "mode": mode,
--- a/cottonhold/config/consistency.py
+++ b/cottonhold/config/consistency.py
@@ -1,4 +1,7 @@
-"""Checks between the fields of a configuration file: contradictions and broken rules. Pure."""
+"""Checks that the fields of a configuration file don't contradict each other; without I/O.
+
+The types and ranges of single fields are checked earlier, by `config.decode`.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,11 @@
 from cottonhold.fleet.zone_failover.messages import MAX_ZONES, zone_number
 
 MAX_MEMBER_NAME_BYTES = 32
-MIN_VOTERS = 3  # fewer can't lose one and still have a majority
+MIN_VOTERS = 3  # fewer have no majority after the loss of one
 
 
 def check_consistency(file: ConfigFile, report: ReportProblem) -> None:
-    """Report each contradiction with the path of the field that would have to change."""
+    """Report each contradiction with the path of the field that has to change."""
     for i, section in enumerate(file.classes):
         _check_class(("classes", i), section, file, report)
     _check_unique_names(file, report)
@@ -61,7 +64,7 @@
 
 
 def announced_address(peers: PeersConfig) -> str:
-    """Where the other dispatchers reach this one."""
+    """Return the address at which the other dispatchers reach this one."""
     return peers.announce or peers.listen
 
 
@@ -112,7 +115,7 @@
 
 
 def _addresses(file: ConfigFile) -> Iterable[tuple[FieldPath, str]]:
-    """All addresses in the file, with the paths of their fields; that of peers.listen may be any."""
+    """Yield the addresses to check with the paths of their fields; peers.listen may have any port."""
     yield ("listen",), file.listen
     for i, engine in enumerate(file.initial_engines):
         yield ("known", i, "address"), engine.address
@@ -204,7 +207,7 @@
 
 
 def _check_zone_numbers(file: ConfigFile, report: ReportProblem) -> None:
-    """Datagrams carry a zone's hash in place of its name, so that no two may have the same."""
+    """Report zones whose numbers collide; datagrams carry a hash of the name in place of the name."""
     first_zones: dict[int, str] = {}
     for i, zone in enumerate(file.zones):
         first = first_zones.setdefault(zone_number(zone), zone)
--- a/cottonhold/config/decode.py
+++ b/cottonhold/config/decode.py
@@ -1,7 +1,7 @@
-"""Decodes plain values to a typed section and reports every problem at once.
+"""Decodes plain values to a typed section and reports all problems together.
 
-msgspec stops at the first error, so this walks sections and lists itself and leaves only the leaves to
-msgspec.
+msgspec stops at the first error. Therefore sections and lists are traversed here, and msgspec checks only
+scalar values and the lengths of lists.
 """
 
 from __future__ import annotations
@@ -19,7 +19,16 @@
 
 
 def decode_section(value: Any, section_type: type[Any], report: ReportProblem) -> Any:
-    """The typed section; None if problems were reported."""
+    """Decode a section.
+
+    Args:
+        value: Plain values: dicts, lists and scalars.
+        section_type: Type of the section, a msgspec Struct.
+        report: Called for each problem.
+
+    Returns:
+        The typed section, or None if a problem was reported.
+    """
     problems: list[FieldPath] = []
 
     def count_and_report(path: FieldPath, reason: str) -> None:
@@ -31,7 +40,7 @@
 
 
 def _check(value: Any, expected: Any, path: FieldPath, report: ReportProblem) -> None:
-    """Report what keeps a value from being of the expected type."""
+    """Report each reason why a value does not have the expected type."""
     bare_type = get_args(expected)[0] if get_origin(expected) is Annotated else expected
     if get_origin(bare_type) in (Union, types.UnionType):
         _check_union(value, bare_type, path, report)
@@ -46,7 +55,7 @@
 
 
 def _length_bounds(expected: Any) -> Any:
-    """The type of a list with the same bounds on its length, but with any elements."""
+    """Return a list type with the same bounds on its length, but elements of any type."""
     if get_origin(expected) is Annotated:
         return Annotated[tuple[Any, ...], *get_args(expected)[1:]]
     return tuple[Any, ...]
@@ -63,14 +72,14 @@
 
 
 def _replace_type_names(reason: str) -> str:
-    """msgspec's text with the file's terms for types."""
+    """Replace the type names in a message of msgspec by those of configuration files."""
     for name, plain_name in PLAIN_TYPE_NAMES.items():
         reason = reason.replace(f"`{name}`", plain_name)
     return reason.replace("`", "'")
 
 
 def _check_union(value: Any, expected: Any, path: FieldPath, report: ReportProblem) -> None:
-    """Check a value that may be None, or one of several sections that a tag distinguishes."""
+    """Report problems of a value that may be None, or one of several sections that a tag distinguishes."""
     options = [option for option in get_args(expected) if option is not types.NoneType]
     if value is None and len(options) < len(get_args(expected)):
         return
--- a/cottonhold/config/installation.py
+++ b/cottonhold/config/installation.py
@@ -1,4 +1,7 @@
-"""Loads the configuration of a standalone dispatcher: template, values, typed sections, settings."""
+"""Loads the configuration file of a standalone dispatcher.
+
+The file is evaluated as a Jsonnet template, decoded to typed sections, checked, and converted to settings.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +26,11 @@
 from cottonhold.discovery.model import Address, ConfiguredNames, Observation, SourceGuard, SourceReport
 from cottonhold.membership.codec import KeyRing
 
-INITIAL_SOURCE = "known"  # the source's name where engines are known from the file only
+INITIAL_SOURCE = "known"  # name of the source in an installation whose engines are only in the file
 
 
 class UnusableConfigError(Exception):
-    """A configuration that can't be used, with all its problems."""
+    """A configuration can't be used; holds all of its problems."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
@@ -36,8 +39,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Installation:
-    """All that `serve` needs. `sources` are in the order of their precedence; `secrets` must never be
-    printed.
+    """The configuration of a standalone dispatcher.
+
+    Attributes:
+        file: The typed sections of the file.
+        config: The settings that standalone dispatchers share with those of the platform.
+        sources: Name and guard of each source, in the order of their precedence.
+        consul_sources: The sources in Consul.
+        initial_engines: The engines in the file, which are used until a source has answered.
+        registration: Settings of the dispatcher's own entry in Consul; None for no entry.
+        registration_tls: TLS settings for the registration; None for plain HTTP.
+        key_ring: Keys that authenticate datagrams between dispatchers.
+        secrets: All tokens and keys, which must never be printed.
+        announced_address: Address at which other instances reach this one; None if it is the address on
+            which it listens.
     """
 
     file: schema.ConfigFile
@@ -49,17 +64,21 @@
     registration_tls: schema.TlsConfig | None
     key_ring: KeyRing
     secrets: tuple[str, ...]
-    announced_address: Address | None = None  # where other instances reach this one, if not where it listens
+    announced_address: Address | None = None
 
 
 def read_installation(path: Path) -> Installation:
-    """The configuration in a file. Raises UnusableConfigError with every problem found."""
+    """Read and check a configuration file.
+
+    Raises:
+        UnusableConfigError: The file has problems; the error holds all of them, in the order of their lines.
+    """
     values = evaluate_values(path)
     lines = find_field_lines(path.read_text(encoding="utf-8"))
     problems: list[Problem] = []
 
     def report(field: FieldPath, reason: str) -> None:
-        # A field whose reason says that it is missing has no line of its own: its section's is shown.
+        # A missing field has no line, so the line of its section is reported.
         line = _find_line(field, lines, is_missing="is missing" in reason)
         problems.append(Problem(str(path), format_field_path(field), reason, line))
 
@@ -73,7 +92,7 @@
 
 
 def evaluate_values(path: Path) -> Any:
-    """The values of a file before they are decoded, for `show`. Raises UnusableConfigError."""
+    """Return the evaluated values of a file before they are decoded. Raises UnusableConfigError."""
     values, problems = evaluate_template(path)
     if problems:
         raise UnusableConfigError(problems)
@@ -81,7 +100,7 @@
 
 
 def _find_line(field: FieldPath, lines: dict[FieldPath, int], is_missing: bool) -> int:
-    """The line of a field; of a missing one, the line of the section that lacks it; 0 if unknown."""
+    """Return the line of a field, or of the innermost section that lacks a missing one; 0 if unknown."""
     line = lines.get(field, 0)
     while is_missing and not line and len(field) > 1:
         field = field[:-1]
@@ -122,7 +141,7 @@
 
 
 def _dispatcher_config(file: schema.ConfigFile, names: ConfiguredNames) -> Config:
-    """What a standalone dispatcher has in common with the platform's."""
+    """Return the settings that standalone dispatchers share with those of the platform."""
     peers = file.peers
     streams = [source for source in file.sources if isinstance(source, schema.EventStreamConfig)]
     return Config(
@@ -146,7 +165,7 @@
 def _guarded_sources(
     file: schema.ConfigFile, consul_sources: dict[int, ConsulSource]
 ) -> tuple[tuple[str, SourceGuard], ...]:
-    """All sources by name, in the order of their precedence, and how far each is trusted."""
+    """Return the name and guard of each source, in the order of their precedence."""
     guarded = [
         (source.name, consul_sources[i].guard)
         if isinstance(source, schema.ConsulConfig)
@@ -157,12 +176,12 @@
 
 
 def initial_report(installation: Installation) -> SourceReport:
-    """The initial engines as the one report of an installation without sources."""
+    """Return the initial engines as the only report of an installation without sources."""
     return SourceReport(installation.sources[0][0], 0, installation.initial_engines, is_complete=True)
 
 
 def changed_keys(old: schema.ConfigFile, new: schema.ConfigFile) -> list[str]:
-    """The top-level keys whose values differ between two files."""
+    """Return the top-level keys whose values differ between two files."""
     return [
         field.encode_name
         for field in msgspec.structs.fields(schema.ConfigFile)
--- a/cottonhold/config/jsonnet_template.py
+++ b/cottonhold/config/jsonnet_template.py
@@ -1,4 +1,4 @@
-"""Evaluates Jsonnet templates by the official bindings; imports are limited to the file's own folder."""
+"""Evaluates Jsonnet templates with the official bindings; a template can import only from its own folder."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from cottonhold.config.problems import Problem
 
-MAX_STACK_FRAMES = 200  # ends a template that recurses without end
+MAX_STACK_FRAMES = 200  # stops templates with endless recursion
 
 
 def evaluate_template(path: Path) -> tuple[Any, list[Problem]]:
-    """The template's values, or None and the problem that prevents them."""
+    """Return the values of a template and no problem, or None and the problem that prevents evaluation."""
     try:
         source = path.read_text(encoding="utf-8")
         text = _jsonnet.evaluate_snippet(
@@ -31,9 +31,10 @@
 
 
 def _importer(folder: Path) -> Callable[[str, str], tuple[str, bytes]]:
-    """The library's callback for imports, which allows files in the folder only.
+    """Return an import callback that allows only files in a folder.
 
-    The content of another file, such as /etc/passwd, could show in an error text or in `show`.
+    Otherwise the content of any file, such as /etc/passwd, could appear in an error message or in the output
+    of `show`.
     """
 
     def load(importing_folder: str, name: str) -> tuple[str, bytes]:
@@ -46,7 +47,11 @@
 
 
 def _evaluation_problem(path: Path, text: str) -> Problem:
-    """The first line of the library's text, which goes on with a stack, and the line number that it names."""
+    """Convert an error of the library to a problem.
+
+    Only the first line of the text is used, since a stack trace follows it; the line number is taken from the
+    text.
+    """
     line_match = re.search(re.escape(str(path)) + r":\(?(\d+)", text)
     lines = [line.strip() for line in text.splitlines() if line.strip()]
     reason = lines[0] if lines else "no reason given"
--- a/cottonhold/config/problems.py
+++ b/cottonhold/config/problems.py
@@ -1,17 +1,24 @@
-"""Problems of a configuration: each is one line, with the place of the field that has to change."""
+"""Problems of a configuration file, each with the location of the field that has to change."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-FieldPath = tuple[str | int, ...]  # keys and list positions, from the file's top level
-ReportProblem = Callable[[FieldPath, str], None]  # takes a field's path and what is wrong with it
+FieldPath = tuple[str | int, ...]  # keys and list indices from the top level of the file to the field
+ReportProblem = Callable[[FieldPath, str], None]  # takes the path of a field and the reason for the problem
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Problem:
-    """One problem: the file, the field's path (empty: the whole file), the reason, the line (0: unknown)."""
+    """A problem of a configuration file; its string is one line.
+
+    Attributes:
+        file: Name of the file.
+        path: Formatted path of the field; empty for the whole file.
+        reason: What is wrong.
+        line: Line number of the field; 0 if unknown.
+    """
 
     file: str
     path: str
@@ -24,7 +31,7 @@
 
 
 def format_field_path(path: FieldPath) -> str:
-    """A path as in sources[0].guard.floor."""
+    """Format a path as in `sources[0].guard.floor`."""
     text = ""
     for part in path:
         if isinstance(part, int):
--- a/cottonhold/config/referenced_files.py
+++ b/cottonhold/config/referenced_files.py
@@ -1,4 +1,4 @@
-"""Files that a configuration refers to: secrets, certificates and keys."""
+"""Files that a configuration file names: secrets, certificates and keys."""
 
 from __future__ import annotations
 
@@ -11,13 +11,21 @@
 
 
 class ReferencedFiles:
-    """Reads the files that a configuration names relative to its own folder."""
+    """Reads files that are named relative to the configuration file's folder, and reports problems."""
 
     def __init__(self, folder: Path, report: ReportProblem) -> None:
         self.folder, self.report = folder, report
 
     def read_secret(self, name: str, path: FieldPath) -> str:
-        """The secret in a file; empty if no file is named, or after a problem at `path` was reported."""
+        """Read a secret from a file.
+
+        Args:
+            name: Name of the file; may be empty.
+            path: Path of the field that names the file, for reporting problems.
+
+        Returns:
+            The secret; empty if no file is named or the file can't be read.
+        """
         if not name:
             return ""
         try:
@@ -31,8 +39,13 @@
         return text
 
     def resolve_tls(self, tls: TlsConfig | None, path: FieldPath) -> TlsConfig | None:
-        """The TLS section of the section at `path`, with absolute file names. A missing file is reported now
-        and not at the first connection.
+        """Return a copy of a TLS section with absolute file names.
+
+        A missing file is reported here, instead of failing at the first connection.
+
+        Args:
+            tls: The TLS section, or None.
+            path: Path of the section that contains it, for reporting problems.
         """
         if tls is None:
             return None
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -1,6 +1,6 @@
-"""RELAY_CONFIG: the platform's configuration file, decoded once into the values that the dispatcher uses.
+"""Decodes RELAY_CONFIG, the platform's configuration file, into the values that the dispatcher uses.
 
-The file's names are mapped here to the code's terms.
+The keys of the file differ from the code's terms and are mapped here and in `config.settings`.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import Settings
 
-# The keys that the platform's settings always hold, of those used here: a file without one was cut off. The
-# simulator's adapter and other installations read settings that hold fewer.
+# The keys used here that the platform always writes, by section; a file that lacks one was truncated.
+# Settings from elsewhere, such as the simulator's, are decoded without this check and may have fewer keys.
 REQUIRED_KEYS = {
     "": "caps classes costs discovery domain me models obligations report siblings tick zone zones",
     "caps": "conn_idle connect_timeout max_retry_after may_cancel most_tries peers probes retry_after"
@@ -34,27 +34,51 @@
     "report": "fields how",
 }
 REQUIRED_CLASS_KEYS = "name aim hard_limit effect worth late_worth"
-MAX_NUMBER = 1e12  # of any figure in the settings
-MAX_FILE_BYTES = 4 << 20  # of the file: 3,200 engines in its list take under one
+MAX_NUMBER = 1e12  # upper limit of every number in the settings
+MAX_FILE_BYTES = 4 << 20  # a file with 3,200 engines is smaller than 1 MiB
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used; the text is the one line to print."""
+    """A configuration can't be used; the message is one line, which is printed as it is."""
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionSettings:
-    """The settings of connections to engines."""
+    """The settings of connections to engines.
+
+    Attributes:
+        idle_timeout_ms: Time without requests after which a connection is closed, in ms.
+        connect_timeout_ms: Longest time to open a connection, in ms.
+        max_streams: Largest number of requests in progress on one connection.
+        health_check_cost: Cost of one health check, in the utility of one accepted query.
+    """
 
     idle_timeout_ms: float
     connect_timeout_ms: float
     max_streams: int
-    health_check_cost: float = 0.0  # off the result, for each health check a request
+    health_check_cost: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The configuration of a dispatcher."""
+    """The configuration of a dispatcher.
+
+    Attributes:
+        name: Name of the dispatcher.
+        listen: Address on which clients connect.
+        seed: Seed of the random generators.
+        max_descriptors: Largest number of file descriptors that the process may use.
+        admin_listen: Address of the admin API; None disables it.
+        peer_listen: Address on which messages from the other dispatchers are received; None for none.
+        peers: Addresses of all dispatchers by their index.
+        peers_all: Address to which messages for all other dispatchers are sent; None for none.
+        event_stream: Address of the event stream; None for none.
+        event_offset: Offset of the last event of the stream that `initial_reports` contain.
+        initial_reports: Reports of the engines that are known at the start.
+        names: Names of zones and machine types, by which engine entries are decoded.
+        settings: Settings of the scheduler.
+        connections: Settings of connections to engines.
+    """
 
     name: str
     listen: Address
@@ -73,7 +97,16 @@
 
 
 def load_config(environ: Mapping[str, str], counters: Counters) -> Config:
-    """Read the file that RELAY_CONFIG names. Raises ConfigError."""
+    """Read the configuration file that RELAY_CONFIG names.
+
+    Args:
+        environ: Environment variables; besides RELAY_CONFIG they may hold defaults for the file's addresses
+            and name.
+        counters: Counts the malformed entries of the engine list.
+
+    Raises:
+        ConfigError: The file can't be read, is malformed or holds unusable values.
+    """
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -87,9 +120,13 @@
 
 
 def read_file(path: str) -> bytes:
-    """A regular file's content, up to a limit: a pipe would block, a huge file take all memory.
+    """Return the content of a regular file of limited size.
+
+    Other files are refused, since a pipe would block and a huge file would take all memory.
 
-    Raises OSError and WireError.
+    Raises:
+        OSError: The file can't be read.
+        WireError: The file is not a regular file, or is too large.
     """
     with open(os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC), "rb") as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
@@ -101,7 +138,11 @@
 
 
 def check_numbers(value: Any, name: str) -> None:
-    """Raise WireError for the first number that is negative or out of range."""
+    """Check all numbers in a value, including nested fields and elements.
+
+    Raises:
+        WireError: A number is negative or above MAX_NUMBER.
+    """
     if isinstance(value, NUMBER) and not 0 <= value <= MAX_NUMBER:
         raise WireError(f"'{name}' is {value!r}, not from 0 to {MAX_NUMBER:g}")
     if dataclasses.is_dataclass(value):
@@ -113,7 +154,11 @@
 
 
 def check_complete(settings: Json) -> None:
-    """Raise WireError for the first required key that is missing, or a class that is there twice."""
+    """Check that all required keys are present and that the classes are valid.
+
+    Raises:
+        WireError: A key is missing, a limit is not positive, or two classes have the same name.
+    """
     for section, keys in REQUIRED_KEYS.items():
         section_values = read(settings, section, dict) if section else settings
         for key in keys.split():
@@ -135,9 +180,13 @@
 
 
 def check_change(old: Config, new: Config) -> None:
-    """Raise ConfigError for a setting that changes only with a restart.
+    """Check that a reload changes no setting that requires a restart.
 
-    These are a dispatcher's place in the fleet, and the names by which engine entries are decoded.
+    These settings are the dispatcher's position in the fleet, and the names of zones and machine types, by
+    which engine entries are decoded.
+
+    Raises:
+        ConfigError: Such a setting differs between the two configurations.
     """
     fixed_values = {
         "settings.me": (old.settings.gateway_index, new.settings.gateway_index),
@@ -156,7 +205,13 @@
 
 
 def decode_config(source: Json, environ: Mapping[str, str], counters: Counters) -> Config:
-    """The configuration's JSON as typed values. Raises WireError, ValueError or TypeError."""
+    """Decode the JSON of a configuration file.
+
+    Raises:
+        WireError: A field is missing, malformed or out of range.
+        ValueError: A setting is out of range, or the seed is not a hexadecimal number.
+        TypeError: A value has a type that the settings can't hold.
+    """
     listen = _read_address(source, "listen", environ.get("RELAY_LISTEN"))
     if listen is None:
         raise WireError("field 'listen' is missing")
@@ -195,7 +250,7 @@
 
 
 def _read_address(source: Json, key: str, default: str | None = None) -> Address | None:
-    """The address in a field, else the default; None if there is neither. Raises WireError."""
+    """Return the address in a field, else the default; None without both. Raises WireError."""
     text = read(source, key, str, None) or default
     try:
         return Address.parse(text) if text else None
--- a/cottonhold/config/sections.py
+++ b/cottonhold/config/sections.py
@@ -1,4 +1,4 @@
-"""Converts the sections of a configuration file to the settings that the program's parts take."""
+"""Converts the sections of a configuration file to the settings of the dispatcher's components."""
 
 from __future__ import annotations
 
@@ -34,7 +34,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ConsulSource:
-    """A Consul source: what is watched, how its entries are interpreted, how far it is trusted, its TLS."""
+    """A Consul source of engines.
+
+    Attributes:
+        watch_settings: The watched service, and timeouts and limits of the requests.
+        interpretation: How entries are converted to engines.
+        guard: Limits on how quickly the source's reports are applied.
+        tls: TLS settings; None for plain HTTP.
+    """
 
     watch_settings: WatchSettings
     interpretation: EntryInterpretation
@@ -43,13 +50,13 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address in HOST:PORT or [HOST]:PORT, which the schema has checked."""
+    """Parse HOST:PORT or [HOST]:PORT; the schema has checked the format already."""
     host, _, port = text.rpartition(":")
     return Address(host.strip("[]"), int(port))
 
 
 def scheduler_settings(file: schema.ConfigFile) -> Settings:
-    """The scheduler's settings."""
+    """Return the settings of the scheduler."""
     return Settings(
         classes=tuple(_query_class(section, file) for section in file.classes),
         machine_types=tuple(MachineType(m.cores, m.memory_mb) for m in file.machine_types)
@@ -84,7 +91,7 @@
 
 
 def _indices(names: Sequence[str] | None, all_names: Sequence[str]) -> tuple[int, ...] | None:
-    """The positions of names in a list; unknown ones, which are reported elsewhere, are left out."""
+    """Return the positions of names in a list, without unknown names, which check_consistency reports."""
     if names is None:
         return None
     return tuple(all_names.index(name) for name in names if name in all_names)
@@ -116,12 +123,12 @@
 
 
 def connection_settings(section: schema.ConnectionsConfig) -> ConnectionSettings:
-    """The settings of connections to engines."""
+    """Return the settings of connections to engines."""
     return ConnectionSettings(section.idle_timeout_ms, section.connect_timeout_ms, section.max_streams)
 
 
 def consul_source(section: schema.ConsulConfig, path: FieldPath, files: ReferencedFiles) -> ConsulSource:
-    """A Consul source, with its token and TLS files."""
+    """Return a Consul source; reads its token file and resolves its TLS files."""
     return ConsulSource(
         watch_settings=_watch_settings(section, path, files),
         interpretation=EntryInterpretation(
@@ -169,7 +176,7 @@
 def registration_settings(
     file: schema.ConfigFile, section: schema.RegistrationConfig, files: ReferencedFiles
 ) -> RegistrationSettings:
-    """The dispatcher's own entry in Consul."""
+    """Return the settings of the dispatcher's own entry in Consul; reads its token file."""
     return RegistrationSettings(
         agent=parse_address(section.agent),
         id=section.id or file.name,
@@ -187,7 +194,10 @@
 def key_ring(
     section: schema.MembershipConfig | None, files: ReferencedFiles, report: ReportProblem
 ) -> KeyRing:
-    """The keys of the datagrams; the first one is sent with, unless another is named."""
+    """Return the keys that authenticate datagrams; the first one signs them unless the section names another.
+
+    Secrets that are too short or too long are reported.
+    """
     secrets: dict[int, bytes] = {}
     for i, key in enumerate(section.keys if section else ()):
         path: FieldPath = ("membership", "keys", i)
@@ -200,7 +210,7 @@
 
 
 def initial_observation(engine: schema.InitialEngineConfig, names: ConfiguredNames) -> Observation:
-    """An engine that is named in the file, as in service."""
+    """Return an engine of the file as an observation that it is in service."""
     return Observation(
         engine.id,
         ServiceStatus.IN_SERVICE,
--- a/cottonhold/config/settings.py
+++ b/cottonhold/config/settings.py
@@ -1,6 +1,6 @@
-"""The codec of a gateway's settings: the JSON object that the simulator and RELAY_CONFIG share.
+"""Decodes a gateway's settings from the JSON object that the simulator and RELAY_CONFIG share.
 
-Raises WireError for a value of the wrong type or an unknown word, by the object's own names.
+All functions raise WireError for a value that has the wrong type or is unknown; the message has the JSON key.
 """
 
 from __future__ import annotations
@@ -31,7 +31,13 @@
 
 
 def decode_class(source: Json, domain: Json, index: int) -> QueryClass:
-    """One entry of the settings' classes, with what the domain says of it."""
+    """Decode one query class.
+
+    Args:
+        source: The entry in the settings' list of classes.
+        domain: The settings' section `domain`, which holds further properties as one list for all classes.
+        index: Position of the class in those lists.
+    """
 
     def read_class_value(key: str, default: Any) -> Any:
         values = read_list(domain, key, type(default))
@@ -60,7 +66,7 @@
 
 
 def decode_rules(source: Json) -> Rules:
-    """The figures of the rules."""
+    """Decode the limits that the deployment sets."""
     return Rules(
         answer_slack_ms=read(source, "answer_slack", NUMBER, 20.0),
         drain_grace_ms=read(source, "stop_sending_within", NUMBER, 0.0),
@@ -77,7 +83,7 @@
 
 
 def decode_machine_types(params: Json, domain: Json) -> tuple[MachineType, ...]:
-    """The machine types, with the cores and memory that the domain knows; at least one, of unknown size."""
+    """Decode the machine types; without any, return one whose cores and memory are unknown."""
     cores = read_list(domain, "size_cores", NUMBER)
     memory_mb = read_list(domain, "ram_of_kind_mb", NUMBER)
     names = read_list(params, "models", str)
@@ -91,7 +97,7 @@
 
 
 def decode_features(params: Json, domain: Json) -> Features:
-    """What the deployment lets a gateway do."""
+    """Decode what the deployment permits a gateway to do."""
     caps = read(params, "caps", dict)
     return Features(
         can_cancel=read(caps, "may_cancel", bool, False),
@@ -107,7 +113,7 @@
 
 
 def decode_overhead_costs(source: Json) -> OverheadCosts:
-    """What the deployment charges for health checks and messages to peers."""
+    """Decode the costs of health checks and of messages to peers."""
     return OverheadCosts(
         per_health_check=read(source, "probe", NUMBER, 0.0),
         per_peer_message=read(source, "peer", NUMBER, 0.0),
@@ -115,12 +121,17 @@
 
 
 def decode_tenant(source: Json) -> Tenant:
-    """One entry of the tenants."""
+    """Decode one tenant and its quota."""
     return Tenant(read(source, "name", str, ""), read(source, "quota_per_s", NUMBER, 0.0))
 
 
 def decode_settings(params: Json) -> Settings:
-    """All settings. Raises ValueError for a value that makes no sense."""
+    """Decode all settings of a gateway.
+
+    Raises:
+        WireError: A value is missing, has the wrong type or is unknown.
+        ValueError: A value is out of range.
+    """
     domain = read(params, "domain", dict, {})
     report = read(params, "report", dict, {})
     classes = read_list(params, "classes", dict)
--- a/cottonhold/config/source_lines.py
+++ b/cottonhold/config/source_lines.py
@@ -1,8 +1,8 @@
-"""Finds on which line of a Jsonnet template a field is written literally.
+"""Finds the lines of the fields that a Jsonnet template contains literally.
 
-This parses Jsonnet's structure and evaluates nothing: it follows objects, arrays and objects that are merged
-over another value (`base + { ... }`, `base { ... }`), and skips all else. A computed field has no line;
-nothing is guessed, since a wrong line is worse than none.
+The template is parsed but not evaluated. The parser handles objects, arrays and objects that are merged with
+another value (`base + { ... }`, `base { ... }`), and skips everything else. Computed fields have no line,
+since a wrong line would be worse than none.
 """
 
 from __future__ import annotations
@@ -29,7 +29,13 @@
 
 
 class Token(NamedTuple):
-    """A lexical element: the name of its group in TOKEN (or "end"), its text and its line."""
+    """A token of a template.
+
+    Attributes:
+        kind: Name of the group in TOKEN that matched, or "end".
+        text: The text of the token.
+        line: The line on which it starts, from 1.
+    """
 
     kind: str
     text: str
@@ -37,7 +43,7 @@
 
     @property
     def is_end(self) -> bool:
-        """Whether the source has ended."""
+        """Whether this is the end of the template."""
         return self.kind == "end"
 
     @property
@@ -55,14 +61,14 @@
 
 
 def find_field_lines(source: str) -> dict[FieldPath, int]:
-    """The line of each field and element that is written literally."""
+    """Return the line of each field and list element that a template contains literally."""
     parser = _Parser(tokenize(source))
     parser.parse_template()
     return parser.lines
 
 
 def tokenize(source: str) -> list[Token]:
-    """The tokens of a template, without blanks and comments."""
+    """Split a template into tokens, without whitespace and comments."""
     tokens: list[Token] = []
     line = 1
     for match in TOKEN.finditer(source):
@@ -90,7 +96,7 @@
         return self.tokens[position] if position < len(self.tokens) else END
 
     def _parse_value(self, path: FieldPath, terminators: str) -> None:
-        """Pass one expression, up to a terminator outside of its brackets."""
+        """Parse one expression, up to a terminator outside its brackets; records the lines of its fields."""
         is_first = True
         while not (token := self._peek()).is_end and not (token.text and token.text in terminators):
             if token.text == "{":
@@ -111,7 +117,7 @@
                 self._parse_value((*path, name), terminators=",}")
             elif token.text == ",":
                 self.position += 1
-            else:  # a local, an assert, a computed name or a comprehension
+            else:  # a local, an assert, a computed field name or a comprehension
                 self._skip_to(",}")
         self.position += 1
 
@@ -130,17 +136,17 @@
         self.position += 1
 
     def _forget_elements(self, path: FieldPath) -> None:
-        """Drop the lines of a comprehension, whose elements are computed."""
+        """Remove the lines recorded in a list comprehension, since its elements are computed."""
         for inner in [p for p in self.lines if p[: len(path)] == path and len(p) > len(path)]:
             del self.lines[inner]
 
     def _skip_to(self, terminators: str) -> None:
-        """Skip to a terminator outside of brackets, or to the end."""
+        """Skip to a terminator outside brackets, or to the end."""
         while not (token := self._peek()).is_end and not (token.text and token.text in terminators):
             self._skip()
 
     def _skip(self) -> None:
-        """Skip one token, or a bracket with all that it encloses."""
+        """Skip one token, or an opening bracket and everything up to its closing bracket."""
         depth = 0
         while not (token := self._peek()).is_end:
             self.position += 1
--- a/cottonhold/message_validation.py
+++ b/cottonhold/message_validation.py
@@ -1,4 +1,7 @@
-"""Checks of words that come by wire: a field's presence, type and meaning. On the ground floor."""
+"""Reads fields of received JSON objects and checks their presence, type and value.
+
+This module imports no other part of the program, so that every layer can use it.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,21 @@
 
 
 class WireError(Exception):
-    """A line that does not follow the wire, with what is wrong in it."""
+    """A received message does not follow the protocol; the text gives the reason."""
 
 
 def read(source: Json, key: str, expected: type | tuple[type, ...], default: Any = REQUIRED) -> Any:
-    """The field's value if it has the right type; the default where it is absent or null."""
+    """Return the value of a field.
+
+    Args:
+        source: The JSON object.
+        key: Name of the field.
+        expected: The accepted type or types; a bool is accepted only if `bool` is among them.
+        default: Value if the field is absent or null; without a default the field is required.
+
+    Raises:
+        WireError: A required field is missing, or the value has the wrong type.
+    """
     value = source.get(key)
     if value is None:
         if default is REQUIRED:
@@ -28,7 +41,11 @@
 
 
 def read_list(source: Json, key: str, expected: type | tuple[type, ...]) -> list[Any]:
-    """The field's list if all in it has the right type; empty where it is absent or null."""
+    """Return the list in a field; empty if the field is absent or null.
+
+    Raises:
+        WireError: The value is not a list, or an element has the wrong type.
+    """
     values = read(source, key, list, [])
     for index, value in enumerate(values):
         read({f"{key}[{index}]": value}, f"{key}[{index}]", expected)
@@ -38,7 +55,18 @@
 def read_mapped(
     source: Json, key: str, table: dict[Any, Any], kind: type = str, default: Any = REQUIRED
 ) -> Any:
-    """The field's value translated by a table of the wire's words."""
+    """Return what a table assigns to the value of a field.
+
+    Args:
+        source: The JSON object.
+        key: Name of the field.
+        table: The known values of the field and what each is decoded to.
+        expected: The accepted type.
+        default: Result if the field is absent or null; without a default the field is required.
+
+    Raises:
+        WireError: A required field is missing, or its value has the wrong type or is unknown.
+    """
     value = read(source, key, kind, default)
     if value is default:
         return default
--- a/cottonhold/observe/__init__.py
+++ b/cottonhold/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see: log lines and counts."""
+"""Logs, counters and metrics for operators."""
--- a/cottonhold/observe/counters.py
+++ b/cottonhold/observe/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the dispatcher receives, sends and answers."""
+"""Counters of events in the dispatcher, such as messages received, sent and answered."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class Counters:
-    """Named counts, printed on request and at exit."""
+    """Named counters, printed on request and at exit."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, amount: int = 1) -> None:
-        """Count something that happened."""
+        """Increase a counter."""
         self.counts[name] += amount
 
     def format_line(self) -> str:
-        """All counts on one line, by name."""
+        """Return all counters on one line, sorted by name."""
         return "counters " + " ".join(f"{name}={n}" for name, n in sorted(self.counts.items()))
--- a/cottonhold/observe/log.py
+++ b/cottonhold/observe/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error, rate-limited so that a storm of errors costs neither time nor memory."""
+"""Log lines on standard error, rate-limited so that a burst of errors costs little time and no memory."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Log:
-    """A token bucket: lines without a token are only counted."""
+    """A log with a token bucket as its rate limit; lines beyond the limit are counted and dropped."""
 
     def __init__(self, seconds: Callable[[], float] = time.monotonic) -> None:
         self.seconds, self.tokens, self.filled_at, self.dropped_count = seconds, BURST_LINES, seconds(), 0
 
     def write_line(self, text: str) -> None:
-        """Print a line, unless the bucket is empty."""
+        """Print a line, unless the rate limit is exceeded."""
         now = self.seconds()
         self.tokens = min(BURST_LINES, self.tokens + (now - self.filled_at) * LINES_PER_SECOND)
         self.filled_at = now
--- a/cottonhold/observe/metrics.py
+++ b/cottonhold/observe/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and gauges as text for a scraper, by the library's registry.
+"""Counters and gauges in the Prometheus text format.
 
-Loaded only if `metrics` is on, as the library takes up to 3 MB and 50 ms of the start. It listens nowhere;
-the local socket serves it.
+Imported only if `metrics` is enabled, since prometheus_client takes up to 3 MB and 50 ms at the start. No
+port is opened; the local socket serves the text.
 """
 
 from __future__ import annotations
@@ -20,10 +20,15 @@
 
 @dataclass(slots=True, frozen=True)
 class MetricsSnapshot:
-    """What one instance reports at one moment.
-
-    counts: since the start, by counter. engines: by state. members: the others, by status. verdicts: 1 for
-    the present one. steps: machines by the step of their replacement. A part that is off has an empty tally.
+    """The values of one instance's metrics; those of a disabled component are empty.
+
+    Attributes:
+        counts: Counters since the start, by name.
+        open_requests: Requests without an answer.
+        engines: Number of engines by state.
+        members: Number of other instances by membership status.
+        verdicts: The recovery verdicts, with 1 for the present one and 0 for the others.
+        steps: Number of machines by the step of their replacement.
     """
 
     counts: CountsByLabel
@@ -35,24 +40,26 @@
 
 
 def count_by_label(labels: Iterable[str], seen: Iterable[str]) -> dict[str, int]:
-    """How often each label occurs; 0 for one that doesn't, as a series that ends would look lost."""
+    """Count how often each label occurs; absent labels get 0, since a series that ends would look lost."""
     return dict.fromkeys(labels, 0) | Counter(seen)
 
 
 def enum_labels(kind: type[Enum]) -> list[str]:
-    """The labels of an enumeration: its members' names in lower case."""
+    """Return the labels of an enum: the names of its members in lower case."""
     return [member.name.lower() for member in kind]
 
 
 class SnapshotCollector(Collector):
-    """What the registry calls at each scrape."""
+    """Collector that reads a new snapshot at each scrape."""
 
     def __init__(self, read: Callable[[], MetricsSnapshot]) -> None:
         self.read = read
 
     def collect(self) -> Iterator[Metric]:
-        """All series. Counters are one family: their names are made where they are counted, and none may
-        clash with the text's own rules.
+        """Yield all metrics.
+
+        The counters are one metric with their names as a label: the names are made at run time and may
+        contain characters that metric names can't.
         """
         readings = self.read()
         events = CounterMetricFamily("cottonhold_events", "What happened since the start.", labels=["event"])
@@ -75,12 +82,12 @@
 
 
 class Metrics:
-    """One instance's registry; the library's own, of process and interpreter, is left out."""
+    """The metrics registry of one instance, without the library's own process and interpreter metrics."""
 
     def __init__(self, read: Callable[[], MetricsSnapshot]) -> None:
         self.registry = CollectorRegistry()
         self.registry.register(SnapshotCollector(read))
 
     def text(self) -> str:
-        """The exposition format, version 0.0.4."""
+        """Return the metrics in the Prometheus text format, version 0.0.4."""
         return generate_latest(self.registry).decode()
--- a/cottonhold/observe/structured.py
+++ b/cottonhold/observe/structured.py
@@ -1,4 +1,4 @@
-"""Structured log lines, by structlog: logfmt or JSON, rate-limited, and never with a secret in them."""
+"""Structured log lines in logfmt or JSON by structlog, rate-limited and without secrets."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 import structlog
 
 HIDDEN = "(hidden)"
-MAX_DROPPED_EVENTS = 64  # counted apart; all others together
+MAX_DROPPED_EVENTS = 64  # event names whose dropped lines are counted separately
 SECRET_NAME_PARTS = ("token", "secret", "password", "key_file_text", "authorization")
 
 
 class Redactor:
-    """Removes secrets from a line: fields that are named like one, and known values anywhere."""
+    """Hides secrets in log lines: fields whose names suggest a secret, and known secrets in all values."""
 
     def __init__(self, secrets: Iterable[str] = ()) -> None:
         self.secrets = tuple(secrets)
 
     def __call__(self, _: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        """Return the line without secrets (structlog processor)."""
+        """Return the event without secrets; called by structlog as a processor."""
         for key, value in event.items():
             if any(word in key.lower() for word in SECRET_NAME_PARTS):
                 event[key] = HIDDEN
@@ -30,7 +30,7 @@
         return event
 
     def redact(self, value: Any) -> Any:
-        """The value without secrets, at any depth."""
+        """Return a value without secrets, at any depth of dicts and lists."""
         if isinstance(value, str):
             for secret in self.secrets:
                 value = value.replace(secret, HIDDEN)
@@ -42,7 +42,7 @@
 
 
 class Limiter:
-    """A token bucket: lines without a token are counted by event, and the next line gives the counts."""
+    """A token bucket as rate limit; dropped lines are counted by event, and the next line reports them."""
 
     def __init__(self, per_second: float, burst: float, seconds: Callable[[], float]) -> None:
         self.per_second, self.burst, self.seconds = per_second, burst, seconds
@@ -50,13 +50,17 @@
         self.dropped: dict[str, int] = {}
 
     def __call__(self, _: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        """Pass a line on, or drop it if the bucket is empty (structlog processor)."""
+        """Return the event unless the bucket is empty; called by structlog as a processor.
+
+        Raises:
+            structlog.DropEvent: The bucket is empty.
+        """
         now = self.seconds()
         self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.per_second)
         self.filled_at = now
         if self.tokens < 1:
             name = str(event.get("event", ""))
-            # A storm of different events must not take memory without bound.
+            # Bounds the memory for a burst of events with many different names.
             if len(self.dropped) >= MAX_DROPPED_EVENTS and name not in self.dropped:
                 name = "others"
             self.dropped[name] = self.dropped.get(name, 0) + 1
@@ -70,7 +74,7 @@
 
 
 class StructuredLog:
-    """The log of standalone dispatchers, with the same methods as the platform's lean one."""
+    """The log of standalone dispatchers, with the same methods as `observe.log.Log`."""
 
     def __init__(
         self,
@@ -88,7 +92,7 @@
         self.set_format(line_format)
 
     def set_format(self, line_format: str) -> None:
-        """Write logfmt or JSON from now on."""
+        """Use a format, "logfmt" or "json", for all further lines."""
         renderer: Any = (
             structlog.processors.JSONRenderer(default=str)
             if line_format == "json"
@@ -107,15 +111,15 @@
         ).bind(**self.context)
 
     def reconfigure(self, line_format: str, per_second: float, burst: float, secrets: Iterable[str]) -> None:
-        """Apply other settings after a reload. Old secrets stay hidden, as a line may still hold them."""
+        """Apply new settings after a reload; old secrets stay hidden, as later lines may contain them."""
         self.redactor.secrets = tuple({*self.redactor.secrets, *secrets})
         self.limiter.per_second, self.limiter.burst = per_second, burst
         self.set_format(line_format)
 
     def write_line(self, text: str) -> None:
-        """A line of text."""
+        """Write a line of text."""
         self.note("note", text=text)
 
     def note(self, event: str, **fields: object) -> None:
-        """An event with its fields."""
+        """Write an event with its fields."""
         self.logger.info(event, **fields)
--- a/tests/config/test_bad_relay.py
+++ b/tests/config/test_bad_relay.py
@@ -1,4 +1,4 @@
-"""RELAY_CONFIG files that can't be used: each is refused in one line."""
+"""Tests that an unusable RELAY_CONFIG file is rejected with an error of one line."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 def test_a_drawn_configuration_is_refused_or_a_dispatcher_works_under_it(
     path: tuple[Any, ...], value: Any
 ) -> None:
-    """It can't be used, or a dispatcher under it decides without a fault."""
+    """Guards against values that are accepted and make the dispatcher fail later."""
     try:
         config = decode_config(changed(USABLE, path, value), {}, Counters())
-    except (WireError, ValueError, TypeError):  # what load gives out as ConfigError
+    except (WireError, ValueError, TypeError):  # load_config raises ConfigError in their place
         return
     world = World(config.settings)
     world.run("c1 query lookup r1" if "lookup" in world.gateway.decoder.class_indexes else "")
--- a/tests/config/test_installation.py
+++ b/tests/config/test_installation.py
@@ -1,4 +1,4 @@
-"""Configuration files: all problems at once with their lines; no imports from outside the folder."""
+"""Tests of configuration files: settings, problems with their lines, imports and hidden secrets."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     )
 
 
-# A text of the valid file, its replacement, and how the problems' lines begin.
+# Text in the valid file, its replacement, and the beginnings of the expected problems.
 INVALID_CHANGES: list[tuple[str, str, list[str]]] = [
     (
         "seed: 7",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""Drawn tests draw the same each time, so that a verdict is the program's and not the draw's.
+"""Configures Hypothesis and the tests that are known to fail.
 
-`pytest --hypothesis-profile=draw` draws anew; what it finds becomes a test of its own.
+Hypothesis generates the same examples in each run, so that a result depends only on the program.
+`pytest --hypothesis-profile=draw` generates new ones; a failure found so is added as a test of its own.
 
-Tests in KNOWN-RED.txt at the root have to fail, and are printed with their causes.
+Tests listed in KNOWN-RED.txt at the root must fail, and are printed with their causes.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Reads the list of known failing tests; one that can't be used ends the run."""
+    """Read the list of known failing tests; a list that can't be used ends the run."""
     path = config.rootpath / NAME
     try:
         config.stash[KNOWN] = parse_known_red(path.read_text(encoding="utf-8")) if path.exists() else {}
@@ -32,7 +33,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Listed tests have to fail: one that passes fails the run, so that its line goes."""
+    """Mark listed tests as strictly expected to fail; one that passes fails the run until it is unlisted."""
     known = config.stash[KNOWN]
     if _collects_all_tests(config):
         try:
@@ -45,7 +46,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Prints what is known to fail, also where it wasn't run."""
+    """Print the tests that are known to fail, including those that were not run."""
     if known := config.stash[KNOWN]:
         terminalreporter.section("known to fail")
         for entry in known.values():
@@ -53,7 +54,7 @@
 
 
 def _collects_all_tests(config: pytest.Config) -> bool:
-    """Whether all tests are collected. Those chosen by -k or -m are taken out of them only later."""
+    """Whether the whole suite is collected; the selection by -k or -m happens after the collection."""
     places = config.getini("testpaths")
     given = [arg.rstrip("/") for arg in config.args]
     return config.args_source is not pytest.Config.ArgsSource.ARGS or given == places
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""Reads the list of known failing tests. Pure.
+"""Parses KNOWN-RED.txt, the list of tests that are known to fail.
 
-One line each: `test node id | cause | issue`. Empty lines mean nothing.
+Each line is `test node id | cause | issue`; empty lines are ignored.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class KnownRedError(Exception):
-    """The list can't be used; the text says why, in one line."""
+    """The list can't be used; the message gives the reason in one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class KnownRed:
-    """A test that fails for a known fault."""
+    """A test that fails because of a known fault."""
 
     test: str
     cause: str
@@ -29,12 +29,19 @@
 
 
 def parse_known_red(text: str) -> dict[str, KnownRed]:
-    """The known failing tests by node id. Raises KnownRedError."""
+    """Parse the list of known failing tests.
+
+    Returns:
+        The entries by node id.
+
+    Raises:
+        KnownRedError: A line is malformed, a test is listed twice, or there are more than MAX_ENTRIES.
+    """
     found: dict[str, KnownRed] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
-        # A parametrised test's id may have the separator in it: the last two are the line's.
+        # The id of a parametrised test may contain the separator, so only the last two separate fields.
         parts = [part.strip() for part in line.rsplit("|", 2)]
         if len(parts) != 3 or not all(parts):
             raise KnownRedError(f"{NAME}, line {number}: not `test node id | cause | issue`")
@@ -48,6 +55,10 @@
 
 
 def check_all_collected(known: Collection[str], collected: Collection[str]) -> None:
-    """Raises KnownRedError where a listed test isn't among those collected."""
+    """Check that all listed tests exist.
+
+    Raises:
+        KnownRedError: A listed test is not among the collected ones.
+    """
     if unknown := sorted(set(known) - set(collected)):
         raise KnownRedError(f"{NAME}: no such test: {', '.join(unknown)}")
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges as a scraper parses them."""
+"""Tests of the metrics as a Prometheus client parses them."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def query_metrics(folder: Path, **changes: Any) -> dict[str, Any]:
-    """The answer of a new instance's socket to the call `metrics`."""
+    """Return a new instance's answer to the call `metrics`."""
     path = folder / "n1.json"
     path.write_text(json.dumps(FILE | changes))
 
--- a/tests/observe/test_structured.py
+++ b/tests/observe/test_structured.py
@@ -1,4 +1,4 @@
-"""Structured log lines: formats, rate limit and secrets."""
+"""Tests of structured log lines: formats, rate limit and secrets."""
 
 from __future__ import annotations
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failing tests: what it passes over, what it prints, and what ends the run."""
+"""Tests of the list of known failing tests: expected failures, printed entries and errors in the list."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def project(pytester: pytest.Pytester) -> pytest.Pytester:
-    """A project of its own with this hook, and tests that fail."""
+    """A separate project with the hooks of conftest.py and some failing tests."""
     pytester.makeini("[pytest]\ntestpaths = tests")
     folder = pytester.mkpydir("tests")
     for name, content in (("conftest", CONFTEST), ("known_red", READER), ("test_some", TESTS)):
