--- a/cottonhold/cli/trial.py
+++ b/cottonhold/cli/trial.py
@@ -29,7 +29,9 @@
 
 @app.command()
 def run(
-    days: Annotated[list[str], typer.Argument(help="Days by name, files of days, or `all`.", metavar="DAY")],
+    scenario_names: Annotated[
+        list[str], typer.Argument(help="Days by name, files of days, or `all`.", metavar="DAY")
+    ],
     out: Annotated[Path | None, typer.Option(help="Where to keep the runs; else a new folder.")] = None,
     seed: Annotated[int | None, typer.Option(help="Another seed.")] = None,
     fleet: Annotated[bool, typer.Option(help="With the section `fleet` on.")] = True,
@@ -44,13 +46,13 @@
     folder = out or Path(tempfile.mkdtemp(prefix="cottonhold-trial-"))
     verdicts: list[tuple[str, Verdict]] = []
     try:
-        for scenario in _chosen_scenarios(days):
-            changed = msgspec.structs.replace(
+        for scenario in _select_scenarios(scenario_names):
+            configured = msgspec.structs.replace(
                 scenario,
                 seed=scenario.seed if seed is None else seed,
                 has_fleet=fleet and scenario.has_fleet,
             )
-            verdicts.append((scenario.name, _run_scenario(changed, folder)))
+            verdicts.append((scenario.name, _run_scenario(configured, folder)))
     except (script.ScriptError, ScenarioRunError) as error:
         print(error)
         raise typer.Exit(2) from None
@@ -59,7 +61,7 @@
     raise typer.Exit(1 if any(verdict.findings for _, verdict in verdicts) else 0)
 
 
-def _chosen_scenarios(names: list[str]) -> list[Scenario]:
+def _select_scenarios(names: list[str]) -> list[Scenario]:
     """Return scenarios by name or file; `all` selects every built-in scenario."""
     from cottonhold.emulator.fault_injection.scenarios import SCENARIOS
 
--- a/cottonhold/cli/zone.py
+++ b/cottonhold/cli/zone.py
@@ -14,9 +14,9 @@
 
 app = typer.Typer(help="Show zones; leave one or return to it by hand, as a fleet.", no_args_is_help=True)
 ZoneArgument = Annotated[str, typer.Argument(help="The zone's name.")]
-ForOption = Annotated[str, typer.Option("--for", help="How long the order holds, as 90s, 10m or 2h.")]
-WhyOption = Annotated[str, typer.Option("--why", help="The reason, for the others on call.")]
-WhoOption = Annotated[str, typer.Option("--who", help="Who orders it; the user, if not given.")]
+DurationOption = Annotated[str, typer.Option("--for", help="How long the order holds, as 90s, 10m or 2h.")]
+ReasonOption = Annotated[str, typer.Option("--why", help="The reason, for the others on call.")]
+OperatorOption = Annotated[str, typer.Option("--who", help="Who orders it; the user, if not given.")]
 UNIT_MS = {"s": 1000, "m": 60_000, "h": 3_600_000}
 CONFIRM_TIMEOUT_S = 3.0
 POLL_INTERVAL_S = 0.1
@@ -46,24 +46,32 @@
 
 @app.command()
 def leave(
-    zone: ZoneArgument, path: SocketOption, last: ForOption, why: WhyOption, who: WhoOption = ""
+    zone: ZoneArgument,
+    path: SocketOption,
+    duration: DurationOption,
+    reason: ReasonOption,
+    operator: OperatorOption = "",
 ) -> None:
     """Have all instances send nothing there until the time is over, whatever its engines answer."""
-    _set_override("leave", zone, path, last, why, who)
+    _set_override("leave", zone, path, duration, reason, operator)
 
 
 @app.command(name="return")
 def return_(
-    zone: ZoneArgument, path: SocketOption, last: ForOption, why: WhyOption, who: WhoOption = ""
+    zone: ZoneArgument,
+    path: SocketOption,
+    duration: DurationOption,
+    reason: ReasonOption,
+    operator: OperatorOption = "",
 ) -> None:
     """Have all instances return to a zone, at its pace, and pass over evidence until the time is over."""
-    _set_override("return", zone, path, last, why, who)
+    _set_override("return", zone, path, duration, reason, operator)
 
 
 @app.command()
-def free(zone: ZoneArgument, path: SocketOption, why: WhyOption, who: WhoOption = "") -> None:
+def free(zone: ZoneArgument, path: SocketOption, reason: ReasonOption, operator: OperatorOption = "") -> None:
     """Take the order on a zone back: evidence counts again."""
-    _set_override("free", zone, path, "1h", why, who)
+    _set_override("free", zone, path, "1h", reason, operator)
 
 
 def _set_override(
--- a/cottonhold/config/__init__.py
+++ b/cottonhold/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: files decoded once into typed values, and checked as a whole."""
+"""Configuration files: decoded into typed values and checked for contradictions."""
--- a/cottonhold/config/settings.py
+++ b/cottonhold/config/settings.py
@@ -83,7 +83,7 @@
 
 
 def decode_machine_types(params: Json, domain: Json) -> tuple[MachineType, ...]:
-    """Decode the machine types; without any, return one whose cores and memory are unknown."""
+    """Decode the machine types, at least one; cores and memory that are not given are 0, for unknown."""
     cores = read_list(domain, "size_cores", NUMBER)
     memory_mb = read_list(domain, "ram_of_kind_mb", NUMBER)
     names = read_list(params, "models", str)
--- a/cottonhold/observe/log.py
+++ b/cottonhold/observe/log.py
@@ -13,12 +13,12 @@
 class Log:
     """A log with a token bucket as its rate limit; lines beyond the limit are counted and dropped."""
 
-    def __init__(self, seconds: Callable[[], float] = time.monotonic) -> None:
-        self.seconds, self.tokens, self.filled_at, self.dropped_count = seconds, BURST_LINES, seconds(), 0
+    def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
+        self.clock, self.tokens, self.filled_at, self.dropped_count = clock, BURST_LINES, clock(), 0
 
     def write_line(self, text: str) -> None:
         """Print a line, unless the rate limit is exceeded."""
-        now = self.seconds()
+        now = self.clock()
         self.tokens = min(BURST_LINES, self.tokens + (now - self.filled_at) * LINES_PER_SECOND)
         self.filled_at = now
         if self.tokens < 1:
--- a/cottonhold/observe/structured.py
+++ b/cottonhold/observe/structured.py
@@ -41,12 +41,12 @@
         return value
 
 
-class Limiter:
+class RateLimiter:
     """A token bucket as rate limit; dropped lines are counted by event, and the next line reports them."""
 
-    def __init__(self, per_second: float, burst: float, seconds: Callable[[], float]) -> None:
-        self.per_second, self.burst, self.seconds = per_second, burst, seconds
-        self.tokens, self.filled_at = burst, seconds()
+    def __init__(self, per_second: float, burst: float, clock: Callable[[], float]) -> None:
+        self.per_second, self.burst, self.clock = per_second, burst, clock
+        self.tokens, self.filled_at = burst, clock()
         self.dropped: dict[str, int] = {}
 
     def __call__(self, _: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
@@ -55,7 +55,7 @@
         Raises:
             structlog.DropEvent: The bucket is empty.
         """
-        now = self.seconds()
+        now = self.clock()
         self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.per_second)
         self.filled_at = now
         if self.tokens < 1:
@@ -83,12 +83,12 @@
         burst: float = 100.0,
         secrets: Iterable[str] = (),
         stream: TextIO | None = None,
-        seconds: Callable[[], float] = time.monotonic,
+        clock: Callable[[], float] = time.monotonic,
         **context: object,
     ) -> None:
-        self.seconds, self.stream, self.context = seconds, stream or sys.stderr, context
+        self.clock, self.stream, self.context = clock, stream or sys.stderr, context
         self.redactor = Redactor(secrets)
-        self.limiter = Limiter(per_second, burst, seconds)
+        self.limiter = RateLimiter(per_second, burst, clock)
         self.set_format(line_format)
 
     def set_format(self, line_format: str) -> None:
--- a/tests/config/test_installation.py
+++ b/tests/config/test_installation.py
@@ -44,7 +44,7 @@
     return [str(p).replace(str(path), "F") for p in caught.value.problems]
 
 
-def test_a_valid_file_becomes_the_settings_of_all_parts(tmp_path: Path) -> None:
+def test_a_valid_file_becomes_the_settings_of_all_components(tmp_path: Path) -> None:
     got = read_installation(write_config(tmp_path, VALID_CONFIG))
     assert got.config.listen == Address("127.0.0.1", 3306) and got.config.seed == 7
     assert [c.name for c in got.config.settings.classes] == ["lookup", "load"]
@@ -223,19 +223,19 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, wanted",
+    "old, new, expected",
     INVALID_CHANGES,
     ids=[f"{i}-{new[:24]}" for i, (_, new, _) in enumerate(INVALID_CHANGES)],
 )
 def test_an_invalid_file_is_refused_with_the_line_of_each_problem(
-    tmp_path: Path, old: str, new: str, wanted: list[str]
+    tmp_path: Path, old: str, new: str, expected: list[str]
 ) -> None:
     (tmp_path / "good.token").write_text("t")
     assert old in VALID_CONFIG
     got = read_problems(write_config(tmp_path, VALID_CONFIG.replace(old, new, 1)))
-    assert len(got) == len(wanted), got
-    for line, begin in zip(got, wanted, strict=True):
-        assert line.startswith(begin)
+    assert len(got) == len(expected), got
+    for line, beginning in zip(got, expected, strict=True):
+        assert line.startswith(beginning)
 
 
 def test_all_problems_are_reported_at_once_in_the_order_of_lines(tmp_path: Path) -> None:
@@ -295,12 +295,12 @@
         tmp_path, VALID_CONFIG.replace("service: 'engine'", "service: 'engine', token: 'hush-hush'")
     )
     run = CliRunner().invoke
-    good = run(app, ["check", str(path)])
-    assert good.exit_code == 0 and "good: n1, sources dc1, classes lookup, load" in good.output
-    for more in ([], ["--defaults"]):
-        shown = run(app, ["show", str(path), *more])
-        assert shown.exit_code == 0 and "hush" not in shown.output
-        assert json.loads(shown.output)["sources"][0]["token"] == "(hidden)"
-    bad = run(app, ["check", str(write_config(tmp_path, "{", "bad.jsonnet"))])
-    assert bad.exit_code == 2 and bad.output.count("\n") == 1 and "bad.jsonnet:1" in bad.output
+    valid = run(app, ["check", str(path)])
+    assert valid.exit_code == 0 and "good: n1, sources dc1, classes lookup, load" in valid.output
+    for options in ([], ["--defaults"]):
+        result = run(app, ["show", str(path), *options])
+        assert result.exit_code == 0 and "hush" not in result.output
+        assert json.loads(result.output)["sources"][0]["token"] == "(hidden)"
+    invalid = run(app, ["check", str(write_config(tmp_path, "{", "bad.jsonnet"))])
+    assert invalid.exit_code == 2 and invalid.output.count("\n") == 1 and "bad.jsonnet:1" in invalid.output
     assert run(app, ["serve", "--config", str(tmp_path / "none")]).exit_code == 2
--- a/tests/conformance/test_malformed_bytes.py
+++ b/tests/conformance/test_malformed_bytes.py
@@ -196,7 +196,7 @@
 
 def test_what_is_malformed_is_counted_and_told_at_a_limited_rate(capsys: pytest.CaptureFixture[str]) -> None:
     """All of it within one moment: the log's bucket is never filled again."""
-    log, world = Log(seconds=lambda: 0.0), World(engines="a")
+    log, world = Log(clock=lambda: 0.0), World(engines="a")
     world.gateway.log = world.engines.log = log.write_line
     peers = PeerDatagrams((Address("a", 1),), None, world.counters, log.write_line)
     entries = [{"instanceId": "s-1", "lifecycle": "Odd"}] * 50
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import settings
 
-from tests.known_red import NAME, KnownRed, KnownRedError, check_all_collected, parse_known_red
+from tests.known_red import FILE_NAME, KnownRed, KnownRedError, check_all_collected, parse_known_red
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.register_profile("draw", derandomize=False, deadline=None, database=None, print_blob=True)
@@ -19,14 +19,14 @@
 
 pytest_plugins = ["pytester"]
 
-KNOWN = pytest.StashKey[dict[str, KnownRed]]()
+KNOWN_RED = pytest.StashKey[dict[str, KnownRed]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
     """Read the list of known failing tests; a list that can't be used ends the run."""
-    path = config.rootpath / NAME
+    path = config.rootpath / FILE_NAME
     try:
-        config.stash[KNOWN] = parse_known_red(path.read_text(encoding="utf-8")) if path.exists() else {}
+        config.stash[KNOWN_RED] = parse_known_red(path.read_text(encoding="utf-8")) if path.exists() else {}
     except (KnownRedError, UnicodeDecodeError) as error:
         raise pytest.UsageError(str(error)) from None
 
@@ -34,7 +34,7 @@
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Mark listed tests as strictly expected to fail; one that passes fails the run until it is unlisted."""
-    known = config.stash[KNOWN]
+    known = config.stash[KNOWN_RED]
     if _collects_all_tests(config):
         try:
             check_all_collected(known, [item.nodeid for item in items])
@@ -47,7 +47,7 @@
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     """Print the tests that are known to fail, including those that were not run."""
-    if known := config.stash[KNOWN]:
+    if known := config.stash[KNOWN_RED]:
         terminalreporter.section("known to fail")
         for entry in known.values():
             terminalreporter.write_line(str(entry))
@@ -55,6 +55,6 @@
 
 def _collects_all_tests(config: pytest.Config) -> bool:
     """Whether the whole suite is collected; the selection by -k or -m happens after the collection."""
-    places = config.getini("testpaths")
-    given = [arg.rstrip("/") for arg in config.args]
-    return config.args_source is not pytest.Config.ArgsSource.ARGS or given == places
+    default_paths = config.getini("testpaths")
+    given_paths = [arg.rstrip("/") for arg in config.args]
+    return config.args_source is not pytest.Config.ArgsSource.ARGS or given_paths == default_paths
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-NAME = "KNOWN-RED.txt"
+FILE_NAME = "KNOWN-RED.txt"
 MAX_ENTRIES = 3
 
 
@@ -37,21 +37,21 @@
     Raises:
         KnownRedError: A line is malformed, a test is listed twice, or there are more than MAX_ENTRIES.
     """
-    found: dict[str, KnownRed] = {}
+    entries: dict[str, KnownRed] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         # The id of a parametrised test may contain the separator, so only the last two separate fields.
         parts = [part.strip() for part in line.rsplit("|", 2)]
         if len(parts) != 3 or not all(parts):
-            raise KnownRedError(f"{NAME}, line {number}: not `test node id | cause | issue`")
+            raise KnownRedError(f"{FILE_NAME}, line {number}: not `test node id | cause | issue`")
         entry = KnownRed(*parts)
-        if entry.test in found:
-            raise KnownRedError(f"{NAME}, line {number}: {entry.test} is there twice")
-        found[entry.test] = entry
-    if len(found) > MAX_ENTRIES:
-        raise KnownRedError(f"{NAME}: {len(found)} tests, {MAX_ENTRIES} at most may be known to fail")
-    return found
+        if entry.test in entries:
+            raise KnownRedError(f"{FILE_NAME}, line {number}: {entry.test} is listed twice")
+        entries[entry.test] = entry
+    if len(entries) > MAX_ENTRIES:
+        raise KnownRedError(f"{FILE_NAME}: {len(entries)} tests, {MAX_ENTRIES} at most may be known to fail")
+    return entries
 
 
 def check_all_collected(known: Collection[str], collected: Collection[str]) -> None:
@@ -61,4 +61,4 @@
         KnownRedError: A listed test is not among the collected ones.
     """
     if unknown := sorted(set(known) - set(collected)):
-        raise KnownRedError(f"{NAME}: no such test: {', '.join(unknown)}")
+        raise KnownRedError(f"{FILE_NAME}: no such test: {', '.join(unknown)}")
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -27,12 +27,12 @@
     "status_socket": "n1.sock",
 }
 VOTERS = {"keys": [{"number": 1, "secret": "a shared key"}], "voters": ["n1", "n2", "n3"]}
-PLACES = ["127.0.0.1:5", "127.0.0.1:6", "127.0.0.1:7"]
+PEER_ADDRESSES = ["127.0.0.1:5", "127.0.0.1:6", "127.0.0.1:7"]
 FLEET = {
     "metrics": True,
     "dispatchers": 3,
     "zones": ["a", "b"],
-    "peers": {"listen": PLACES[0], "all": PLACES, "zones": ["a", "b", "b"]},
+    "peers": {"listen": PEER_ADDRESSES[0], "all": PEER_ADDRESSES, "zones": ["a", "b", "b"]},
     "membership": VOTERS,
     "fleet": {},
     "state_dir": "state",
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"metrics": True}, FLEET], ids=["one alone", "one of a fleet"])
-def test_an_instance_reports_its_counters_and_the_parts_that_it_has(
+def test_an_instance_reports_its_counters_and_its_enabled_components(
     tmp_path: Path, changes: dict[str, Any]
 ) -> None:
     got = parse_series(query_metrics(tmp_path, **changes)["metrics"])
@@ -92,13 +92,13 @@
     assert got["cottonhold_open_requests", ""] == 0
     assert got["cottonhold_engines", "live"] == 2 and got["cottonhold_engines", "draining"] == 0
     names = {name.removeprefix("cottonhold_") for name, _ in got}
-    more = {"members", "recovery_verdict", "swap_machines"}
-    assert names & more == (more if "fleet" in changes else set())
+    fleet_metrics = {"members", "recovery_verdict", "swap_machines"}
+    assert names & fleet_metrics == (fleet_metrics if "fleet" in changes else set())
     if "fleet" in changes:
         assert sum(value for (name, _), value in got.items() if name.endswith("recovery_verdict")) == 1
 
 
-def test_metrics_that_are_off_are_an_error_and_need_a_socket(tmp_path: Path) -> None:
+def test_disabled_metrics_are_an_error_and_enabled_ones_need_a_socket(tmp_path: Path) -> None:
     assert "off" in query_metrics(tmp_path)["error"]
     with pytest.raises(UnusableConfigError, match="metrics: needs status_socket"):
         query_metrics(tmp_path, status_socket="", metrics=True)
--- a/tests/observe/test_structured.py
+++ b/tests/observe/test_structured.py
@@ -25,35 +25,35 @@
 
 
 def test_an_event_is_one_line_in_either_format() -> None:
-    for form, wanted in (("json", '"event": "engine_out"'), ("logfmt", "event=engine_out")):
-        made, stream, _ = make_log(form)
-        made.note("engine_out", engine="e 1", why='a "quoted"\nreason')
-        assert wanted in stream.getvalue() and stream.getvalue().count("\n") == 1
+    for form, expected in (("json", '"event": "engine_out"'), ("logfmt", "event=engine_out")):
+        log, stream, _ = make_log(form)
+        log.note("engine_out", engine="e 1", why='a "quoted"\nreason')
+        assert expected in stream.getvalue() and stream.getvalue().count("\n") == 1
 
 
 def test_a_burst_is_limited_and_the_next_line_reports_the_dropped_events() -> None:
-    made, stream, clock = make_log()
+    log, stream, clock = make_log()
     for i in range(1000):
-        made.note("storm" if i % 10 else "other", i=i)
+        log.note("storm" if i % 10 else "other", i=i)
     clock.now = 1.0
-    made.write_line("calm")
+    log.write_line("calm")
     got = read_lines(stream)
     assert len(got) == 6 and got[-1]["dropped"] == 995 and got[-1]["dropped_most"] == "storm"
 
 
 def test_dropped_events_of_many_names_are_counted_in_bounded_memory() -> None:
-    made, _, _ = make_log()
+    log, _, _ = make_log()
     for i in range(5000):
-        made.note(f"event {i}")
-    assert len(made.limiter.dropped) <= 65 and sum(made.limiter.dropped.values()) == 4995
+        log.note(f"event {i}")
+    assert len(log.limiter.dropped) <= 65 and sum(log.limiter.dropped.values()) == 4995
 
 
 def test_secrets_are_never_printed_in_any_field() -> None:
-    made, stream, _ = make_log(secrets=("s3cr3t",))
-    made.note("call", token="x", X_Consul_Token="y", why="403 for s3cr3t", deep={"list": ["s3cr3t!"]})
-    made.write_line("s3cr3t")
+    log, stream, _ = make_log(secrets=("s3cr3t",))
+    log.note("call", token="x", X_Consul_Token="y", why="403 for s3cr3t", deep={"list": ["s3cr3t!"]})
+    log.write_line("s3cr3t")
     text = stream.getvalue()
     assert "s3cr3t" not in text and text.count("(hidden)") == 5
-    made.reconfigure("logfmt", 10.0, 5.0, ["new-one"])
-    made.note("after", why="s3cr3t and new-one")
+    log.reconfigure("logfmt", 10.0, 5.0, ["new-one"])
+    log.note("after", why="s3cr3t and new-one")
     assert "s3cr3t" not in stream.getvalue() and "new-one" not in stream.getvalue()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,7 +9,7 @@
 from tests.known_red import KnownRed, KnownRedError, check_all_collected, parse_known_red
 
 CONFTEST = (Path(__file__).parent / "conftest.py").read_text()
-READER = (Path(__file__).parent / "known_red.py").read_text()
+KNOWN_RED_MODULE = (Path(__file__).parent / "known_red.py").read_text()
 TESTS = """
 import pytest
 def test_fails():
@@ -20,8 +20,8 @@
 def test_each(way):
     assert way == "c"
 """
-FAILS = "tests/test_some.py::test_fails | a planted fault | issue 7"
-EACH = "tests/test_some.py::test_each[a|b] | another one | issue 8"
+FAILING_ENTRY = "tests/test_some.py::test_fails | a planted fault | issue 7"
+PARAMETRISED_ENTRY = "tests/test_some.py::test_each[a|b] | another one | issue 8"
 
 
 @pytest.fixture
@@ -29,22 +29,22 @@
     """A separate project with the hooks of conftest.py and some failing tests."""
     pytester.makeini("[pytest]\ntestpaths = tests")
     folder = pytester.mkpydir("tests")
-    for name, content in (("conftest", CONFTEST), ("known_red", READER), ("test_some", TESTS)):
+    for name, content in (("conftest", CONFTEST), ("known_red", KNOWN_RED_MODULE), ("test_some", TESTS)):
         (folder / f"{name}.py").write_text(content)
     return pytester
 
 
-def listed(project: pytest.Pytester, *lines: str) -> None:
+def write_known_red(project: pytest.Pytester, *lines: str) -> None:
     (project.path / "KNOWN-RED.txt").write_text("\n".join(lines))
 
 
-def run(project: pytest.Pytester, *arguments: str) -> pytest.RunResult:
+def run_pytest(project: pytest.Pytester, *arguments: str) -> pytest.RunResult:
     return project.runpytest_subprocess("-q", "-p", "no:cacheprovider", *arguments)
 
 
-def test_a_line_is_a_test_its_cause_and_its_issue() -> None:
-    found = parse_known_red(f"{FAILS}\n\n{EACH}\n")
-    assert list(found.values()) == [
+def test_each_line_has_a_test_a_cause_and_an_issue() -> None:
+    entries = parse_known_red(f"{FAILING_ENTRY}\n\n{PARAMETRISED_ENTRY}\n")
+    assert list(entries.values()) == [
         KnownRed("tests/test_some.py::test_fails", "a planted fault", "issue 7"),
         KnownRed("tests/test_some.py::test_each[a|b]", "another one", "issue 8"),
     ]
@@ -52,23 +52,23 @@
 
 
 @pytest.mark.parametrize(
-    "text, why",
+    "text, reason",
     [
         ("tests/test_some.py::test_fails", "line 1: not"),
-        (f"{FAILS}\ntests/test_some.py::test_passes | cause", "line 2: not"),
+        (f"{FAILING_ENTRY}\ntests/test_some.py::test_passes | cause", "line 2: not"),
         ("tests/test_some.py::test_fails || issue 7", "line 1: not"),
         ("tests/test_some.py::test_fails | cause |", "line 1: not"),
-        (f"{FAILS}\n{FAILS}", "line 2: tests/test_some.py::test_fails is there twice"),
+        (f"{FAILING_ENTRY}\n{FAILING_ENTRY}", "line 2: tests/test_some.py::test_fails is listed twice"),
         ("\n".join(f"t::{n} | c | i" for n in range(4)), "4 tests, 3 at most"),
     ],
 )
-def test_a_list_that_can_t_be_used_says_why(text: str, why: str) -> None:
-    with pytest.raises(KnownRedError, match=why) as told:
+def test_the_error_for_an_unusable_list_gives_the_reason(text: str, reason: str) -> None:
+    with pytest.raises(KnownRedError, match=reason) as caught:
         parse_known_red(text)
-    assert "\n" not in str(told.value)
+    assert "\n" not in str(caught.value)
 
 
-def test_a_listed_test_has_to_be_there() -> None:
+def test_a_listed_test_must_exist() -> None:
     check_all_collected([], ["a"])
     check_all_collected(["a"], ["b", "a"])
     with pytest.raises(KnownRedError, match="no such test: c, d"):
@@ -76,18 +76,18 @@
 
 
 @pytest.mark.parametrize("content", [None, "", "\n"])
-def test_without_lines_nothing_is_passed_over(project: pytest.Pytester, content: str | None) -> None:
+def test_without_entries_all_failures_count(project: pytest.Pytester, content: str | None) -> None:
     if content is not None:
-        listed(project, content)
-    result = run(project)
+        write_known_red(project, content)
+    result = run_pytest(project)
     result.assert_outcomes(failed=2, passed=2)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.stdout.no_fnmatch_line("*known to fail*")
 
 
-def test_just_the_listed_ones_are_passed_over_and_printed(project: pytest.Pytester) -> None:
-    listed(project, FAILS, EACH)
-    result = run(project)
+def test_only_listed_tests_may_fail_and_are_printed(project: pytest.Pytester) -> None:
+    write_known_red(project, FAILING_ENTRY, PARAMETRISED_ENTRY)
+    result = run_pytest(project)
     result.assert_outcomes(xfailed=2, passed=2)
     assert result.ret == pytest.ExitCode.OK
     result.stdout.fnmatch_lines(
@@ -99,40 +99,42 @@
     )
 
 
-def test_one_that_fails_beside_them_fails_the_run(project: pytest.Pytester) -> None:
-    listed(project, FAILS)
-    result = run(project)
+def test_an_unlisted_failure_fails_the_run(project: pytest.Pytester) -> None:
+    write_known_red(project, FAILING_ENTRY)
+    result = run_pytest(project)
     result.assert_outcomes(xfailed=1, failed=1, passed=2)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
 
 
 def test_a_listed_test_that_passes_fails_the_run(project: pytest.Pytester) -> None:
-    listed(project, FAILS, EACH, "tests/test_some.py::test_passes | mended since | issue 9")
-    result = run(project)
+    write_known_red(
+        project, FAILING_ENTRY, PARAMETRISED_ENTRY, "tests/test_some.py::test_passes | mended since | issue 9"
+    )
+    result = run_pytest(project)
     result.assert_outcomes(xfailed=2, failed=1, passed=1)
     result.stdout.fnmatch_lines(["*XPASS(strict)*mended since (issue 9)*"])
 
 
 @pytest.mark.parametrize(
-    "line, why",
+    "line, reason",
     [
         ("tests/test_some.py::test_fails", "line 2: not `test node id | cause | issue`"),
-        (FAILS, "line 2: tests/test_some.py::test_fails is there twice"),
+        (FAILING_ENTRY, "line 2: tests/test_some.py::test_fails is listed twice"),
         ("tests/test_some.py::test_gone | cause | issue 7", "no such test: tests/test_some.py::test_gone"),
     ],
 )
 @pytest.mark.parametrize("arguments", [(), ("tests",), ("-k", "passes")], ids=["bare", "folder", "chosen"])
-def test_a_bad_line_ends_the_run(
-    project: pytest.Pytester, line: str, why: str, arguments: tuple[str, ...]
+def test_an_invalid_entry_ends_the_run(
+    project: pytest.Pytester, line: str, reason: str, arguments: tuple[str, ...]
 ) -> None:
-    listed(project, FAILS, line)
-    result = run(project, *arguments)
+    write_known_red(project, FAILING_ENTRY, line)
+    result = run_pytest(project, *arguments)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
-    told = [line for line in result.outlines + result.errlines if "KNOWN-RED" in line]
-    assert len(told) == 1 and why in told[0]
+    messages = [line for line in result.outlines + result.errlines if "KNOWN-RED" in line]
+    assert len(messages) == 1 and reason in messages[0]
 
 
-def test_a_part_of_the_suite_needs_not_have_the_listed_ones(project: pytest.Pytester) -> None:
-    listed(project, FAILS)
-    result = run(project, "tests/test_some.py::test_passes")
+def test_a_part_of_the_suite_need_not_contain_the_listed_tests(project: pytest.Pytester) -> None:
+    write_known_red(project, FAILING_ENTRY)
+    result = run_pytest(project, "tests/test_some.py::test_passes")
     result.assert_outcomes(passed=1)
