--- a/cottonhold/observe/structured.py
+++ b/cottonhold/observe/structured.py
@@ -20,10 +20,12 @@
     def __init__(self, secrets: Iterable[str] = ()) -> None:
         self.secrets = tuple(secrets)
 
-    def __call__(self, _: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    def __call__(
+        self, _logger: Any, _method_name: str, event: MutableMapping[str, Any]
+    ) -> MutableMapping[str, Any]:
         """Return the event without secrets; called by structlog as a processor."""
         for key, value in event.items():
-            if any(word in key.lower() for word in SECRET_NAME_PARTS):
+            if any(part in key.lower() for part in SECRET_NAME_PARTS):
                 event[key] = HIDDEN
             else:
                 event[key] = self.redact(value)
@@ -49,7 +51,9 @@
         self.tokens, self.filled_at = burst, clock()
         self.dropped: dict[str, int] = {}
 
-    def __call__(self, _: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    def __call__(
+        self, _logger: Any, _method_name: str, event: MutableMapping[str, Any]
+    ) -> MutableMapping[str, Any]:
         """Return the event unless the bucket is empty; called by structlog as a processor.
 
         Raises:
