--- a/cottonhold/__main__.py
+++ b/cottonhold/__main__.py
@@ -10,17 +10,21 @@
 import os
 import sys
 
-from cottonhold.config.relay import ConfigError, load
+from cottonhold.config.relay import ConfigError, load_config
 from cottonhold.node.dispatcher import Dispatcher, run_program
 from cottonhold.observe.counters import Counters
 from cottonhold.observe.log import Log
 
 
 def serve() -> int:
-    """Run one dispatcher; 2 if its configuration can't be used, 1 if its address can't."""
+    """Run one dispatcher.
+
+    Returns:
+        The exit code: 2 if the configuration can't be used, 1 if the address can't, else 0.
+    """
     counters = Counters()
     try:
-        config = load(os.environ, counters)
+        config = load_config(os.environ, counters)
     except ConfigError as error:
         print(f"cottonhold: configuration: {error}", file=sys.stderr)
         return 2
@@ -28,7 +32,7 @@
 
 
 def main() -> int:
-    """The command line."""
+    """Parse the command line and run the command."""
     parser = argparse.ArgumentParser(prog="cottonhold", description=__doc__)
     commands = parser.add_subparsers(dest="command")
     commands.add_parser("serve", help="run one dispatcher (the default)")
--- a/cottonhold/cli/zone.py
+++ b/cottonhold/cli/zone.py
@@ -1,4 +1,4 @@
-"""`cottonhold zone`: what the fleet does with each zone, and operators' overrides of it."""
+"""`cottonhold zone`: shows the state of each zone and sets operators' overrides."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 app = typer.Typer(help="Show zones; leave one or return to it by hand, as a fleet.", no_args_is_help=True)
 ZoneArgument = Annotated[str, typer.Argument(help="The zone's name.")]
-ForOption = Annotated[str, typer.Option("--for", help="How long the order holds, as 90s, 10m or 2h.")]
-WhyOption = Annotated[str, typer.Option("--why", help="The reason, for the others on call.")]
-WhoOption = Annotated[str, typer.Option("--who", help="Who orders it; the user, if not given.")]
+DurationOption = Annotated[str, typer.Option("--for", help="How long the order holds, as 90s, 10m or 2h.")]
+ReasonOption = Annotated[str, typer.Option("--why", help="The reason, for the others on call.")]
+OperatorOption = Annotated[str, typer.Option("--who", help="Who orders it; the user, if not given.")]
 UNIT_MS = {"s": 1000, "m": 60_000, "h": 3_600_000}
 CONFIRM_TIMEOUT_S = 3.0
 POLL_INTERVAL_S = 0.1
 
 
 def parse_duration_ms(text: str) -> int:
-    """The milliseconds of a duration like 10m. Raises typer.BadParameter."""
+    """Return a duration such as `10m` in ms. Raises typer.BadParameter."""
     match = re.fullmatch(r"(\d{1,6})([smh])", text)
     if not match or not int(match[1]):
         raise typer.BadParameter(f"'{text}' is no time like 90s, 10m or 2h")
@@ -46,30 +46,42 @@
 
 @app.command()
 def leave(
-    zone: ZoneArgument, path: SocketOption, last: ForOption, why: WhyOption, who: WhoOption = ""
+    zone: ZoneArgument,
+    path: SocketOption,
+    duration: DurationOption,
+    reason: ReasonOption,
+    operator: OperatorOption = "",
 ) -> None:
     """Have all instances send nothing there until the time is over, whatever its engines answer."""
-    _set_override("leave", zone, path, last, why, who)
+    _set_override("leave", zone, path, duration, reason, operator)
 
 
 @app.command(name="return")
 def return_(
-    zone: ZoneArgument, path: SocketOption, last: ForOption, why: WhyOption, who: WhoOption = ""
+    zone: ZoneArgument,
+    path: SocketOption,
+    duration: DurationOption,
+    reason: ReasonOption,
+    operator: OperatorOption = "",
 ) -> None:
     """Have all instances return to a zone, at its pace, and pass over evidence until the time is over."""
-    _set_override("return", zone, path, last, why, who)
+    _set_override("return", zone, path, duration, reason, operator)
 
 
 @app.command()
-def free(zone: ZoneArgument, path: SocketOption, why: WhyOption, who: WhoOption = "") -> None:
+def free(zone: ZoneArgument, path: SocketOption, reason: ReasonOption, operator: OperatorOption = "") -> None:
     """Take the order on a zone back: evidence counts again."""
-    _set_override("free", zone, path, "1h", why, who)
+    _set_override("free", zone, path, "1h", reason, operator)
 
 
 def _set_override(
     mode: str, zone: str, path: SocketOption, duration_text: str, reason: str, operator: str
 ) -> None:
-    """Set an override and wait for the other instances to confirm it; exits with code 1 if not all do."""
+    """Set an override and wait for the other instances to confirm it.
+
+    Raises:
+        typer.Exit: Code 1 if an instance has not confirmed within CONFIRM_TIMEOUT_S, else 0.
+    """
     call = {
         "call": "order",
         "mode": mode,
@@ -102,7 +114,7 @@
 
 
 def _format_override(override: dict[str, Any]) -> str:
-    missing = ", ".join(override["unconfirmed"])
-    time_left = f"{override['left_ms'] / 1000:.0f} s left"
-    state = f"not confirmed by: {missing}" if missing else "confirmed by all that are there"
-    return f"{override['mode']} by {override['who']} ({override['why']}), {time_left}, {state}"
+    unconfirmed_by = ", ".join(override["unconfirmed"])
+    remaining = f"{override['left_ms'] / 1000:.0f} s left"
+    state = f"not confirmed by: {unconfirmed_by}" if unconfirmed_by else "confirmed by all that are there"
+    return f"{override['mode']} by {override['who']} ({override['why']}), {remaining}, {state}"
--- a/cottonhold/config/relay.py
+++ b/cottonhold/config/relay.py
@@ -1,6 +1,6 @@
-"""RELAY_CONFIG: the platform's configuration file, decoded once into the values that the dispatcher uses.
+"""Decodes RELAY_CONFIG, the platform's configuration file, into the values that the dispatcher uses.
 
-The file's names are mapped here to the code's terms.
+The keys of the file differ from the code's terms and are mapped here and in `config.settings`.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from cottonhold.observe.counters import Counters
 from cottonhold.scheduler.settings import Settings
 
-# The keys that the platform's settings always hold, of those used here: a file without one was cut off. The
-# simulator's adapter and other installations read settings that hold fewer.
+# The keys used here that the platform always writes, by section; a file that lacks one was truncated.
+# Settings from elsewhere, such as the simulator's, are decoded without this check and may have fewer keys.
 REQUIRED_KEYS = {
     "": "caps classes costs discovery domain me models obligations report siblings tick zone zones",
     "caps": "conn_idle connect_timeout max_retry_after may_cancel most_tries peers probes retry_after"
@@ -34,27 +34,51 @@
     "report": "fields how",
 }
 REQUIRED_CLASS_KEYS = "name aim hard_limit effect worth late_worth"
-MAX_NUMBER = 1e12  # of any figure in the settings
-MAX_FILE_BYTES = 4 << 20  # of the file: 3,200 engines in its list take under one
+MAX_NUMBER = 1e12  # upper limit of every number in the settings
+MAX_FILE_BYTES = 4 << 20  # a file with 3,200 engines is smaller than 1 MiB
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used; the text is the one line to print."""
+    """A configuration can't be used; the message is one line, which is printed as it is."""
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionSettings:
-    """The settings of connections to engines."""
+    """The settings of connections to engines.
+
+    Attributes:
+        idle_timeout_ms: Time without requests after which a connection is closed, in ms.
+        connect_timeout_ms: Longest time to open a connection, in ms.
+        max_streams: Largest number of requests in progress on one connection.
+        health_check_cost: Cost of one health check, in the utility of one accepted query.
+    """
 
     idle_timeout_ms: float
     connect_timeout_ms: float
     max_streams: int
-    health_check_cost: float = 0.0  # off the result, for each health check a request
+    health_check_cost: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The configuration of a dispatcher."""
+    """The configuration of a dispatcher.
+
+    Attributes:
+        name: Name of the dispatcher.
+        listen: Address on which clients connect.
+        seed: Seed of the random generators.
+        max_descriptors: Largest number of file descriptors that the process may use.
+        admin_listen: Address of the admin API; None disables it.
+        peer_listen: Address on which messages from the other dispatchers are received; None for none.
+        peers: Addresses of all dispatchers by their index.
+        peers_all: Address to which messages for all other dispatchers are sent; None for none.
+        event_stream: Address of the event stream; None for none.
+        event_offset: Offset of the last event of the stream that `initial_reports` contain.
+        initial_reports: Reports of the engines that are known at the start.
+        names: Names of zones and machine types, by which engine entries are decoded.
+        settings: Settings of the scheduler.
+        connections: Settings of connections to engines.
+    """
 
     name: str
     listen: Address
@@ -72,8 +96,17 @@
     connections: ConnectionSettings
 
 
-def load(environ: Mapping[str, str], counters: Counters) -> Config:
-    """Read the file that RELAY_CONFIG names. Raises ConfigError."""
+def load_config(environ: Mapping[str, str], counters: Counters) -> Config:
+    """Read the configuration file that RELAY_CONFIG names.
+
+    Args:
+        environ: Environment variables; besides RELAY_CONFIG they may hold defaults for the file's addresses
+            and name.
+        counters: Counts the malformed entries of the engine list.
+
+    Raises:
+        ConfigError: The file can't be read, is malformed or holds unusable values.
+    """
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -81,15 +114,19 @@
         source = orjson.loads(read_file(path))
         if not isinstance(source, dict):
             raise WireError("not an object")
-        return decode(source, environ, counters)
+        return decode_config(source, environ, counters)
     except (OSError, orjson.JSONDecodeError, WireError, ValueError, TypeError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
 def read_file(path: str) -> bytes:
-    """A regular file's content, up to a limit: a pipe would block, a huge file take all memory.
+    """Return the content of a regular file of limited size.
+
+    Other files are refused, since a pipe would block and a huge file would take all memory.
 
-    Raises OSError and WireError.
+    Raises:
+        OSError: The file can't be read.
+        WireError: The file is not a regular file, or is too large.
     """
     with open(os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC), "rb") as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
@@ -101,45 +138,57 @@
 
 
 def check_numbers(value: Any, name: str) -> None:
-    """Raise WireError for the first number that is negative or out of range."""
+    """Check all numbers in a value, including nested fields and elements.
+
+    Raises:
+        WireError: A number is negative or above MAX_NUMBER.
+    """
     if isinstance(value, NUMBER) and not 0 <= value <= MAX_NUMBER:
         raise WireError(f"'{name}' is {value!r}, not from 0 to {MAX_NUMBER:g}")
     if dataclasses.is_dataclass(value):
         for field in dataclasses.fields(value):
             check_numbers(getattr(value, field.name), f"{name}.{field.name}")
     elif isinstance(value, tuple):
-        for place, part in enumerate(value):
-            check_numbers(part, f"{name}[{place}]")
+        for index, element in enumerate(value):
+            check_numbers(element, f"{name}[{index}]")
 
 
 def check_complete(settings: Json) -> None:
-    """Raise WireError for the first required key that is missing, or a class that is there twice."""
+    """Check that all required keys are present and that the classes are valid.
+
+    Raises:
+        WireError: A key is missing, a limit is not positive, or two classes have the same name.
+    """
     for section, keys in REQUIRED_KEYS.items():
-        part = read(settings, section, dict) if section else settings
+        section_values = read(settings, section, dict) if section else settings
         for key in keys.split():
-            if part.get(key) is None:
+            if section_values.get(key) is None:
                 raise WireError(f"field 'settings.{section}{'.' if section else ''}{key}' is missing")
     if read(settings["caps"], "most_tries", int) <= 0:
         raise WireError("field 'settings.caps.most_tries' is not over 0")
     names = set()
-    for place, entry in enumerate(read_list(settings, "classes", dict)):
+    for index, entry in enumerate(read_list(settings, "classes", dict)):
         for key in REQUIRED_CLASS_KEYS.split():
             if entry.get(key) is None:
-                raise WireError(f"field 'settings.classes[{place}].{key}' is missing")
+                raise WireError(f"field 'settings.classes[{index}].{key}' is missing")
         for key in ("aim", "hard_limit"):
             if read(entry, key, NUMBER) <= 0:
-                raise WireError(f"field 'settings.classes[{place}].{key}' is not over 0")
+                raise WireError(f"field 'settings.classes[{index}].{key}' is not over 0")
         if entry["name"] in names:
             raise WireError(f"class '{entry['name']}' is there twice")
         names.add(entry["name"])
 
 
 def check_change(old: Config, new: Config) -> None:
-    """Raise ConfigError for a setting that changes only with a restart.
+    """Check that a reload changes no setting that requires a restart.
 
-    These are a dispatcher's place in the fleet, and the names by which engine entries are decoded.
+    These settings are the dispatcher's position in the fleet, and the names of zones and machine types, by
+    which engine entries are decoded.
+
+    Raises:
+        ConfigError: Such a setting differs between the two configurations.
     """
-    pairs = {
+    fixed_values = {
         "settings.me": (old.settings.gateway_index, new.settings.gateway_index),
         "settings.siblings": (old.settings.gateway_count, new.settings.gateway_count),
         "settings.zone": (old.settings.zone, new.settings.zone),
@@ -150,17 +199,23 @@
             new.settings.machine_types,
         ),
     }
-    for key, (was, now) in pairs.items():
-        if was != now:
+    for key, (old_value, new_value) in fixed_values.items():
+        if old_value != new_value:
             raise ConfigError(f"field '{key}' changes only with a restart")
 
 
-def decode(source: Json, environ: Mapping[str, str], counters: Counters) -> Config:
-    """The configuration's JSON as typed values. Raises WireError, ValueError or TypeError."""
-    listen = _address(source, "listen", environ.get("RELAY_LISTEN"))
+def decode_config(source: Json, environ: Mapping[str, str], counters: Counters) -> Config:
+    """Decode the JSON of a configuration file.
+
+    Raises:
+        WireError: A field is missing, malformed or out of range.
+        ValueError: A setting is out of range, or the seed is not a hexadecimal number.
+        TypeError: A value has a type that the settings can't hold.
+    """
+    listen = _read_address(source, "listen", environ.get("RELAY_LISTEN"))
     if listen is None:
         raise WireError("field 'listen' is missing")
-    event_stream = _address(source, "bus")
+    event_stream = _read_address(source, "bus")
     if event_stream is None:
         raise WireError("field 'bus' is missing")
     params, limits = read(source, "settings", dict), read(source, "limits", dict, {})
@@ -176,10 +231,10 @@
         listen=listen,
         seed=int(read(source, "seed", str, "0"), 16),
         max_descriptors=read(limits, "sockets", int, 1024),
-        admin_listen=_address(source, "ops", environ.get("RELAY_OPS")),
-        peer_listen=_address(source, "peer_listen"),
+        admin_listen=_read_address(source, "ops", environ.get("RELAY_OPS")),
+        peer_listen=_read_address(source, "peer_listen"),
         peers=tuple(Address.parse(p) for p in read_list(source, "peers", str)),
-        peers_all=_address(source, "peers_all"),
+        peers_all=_read_address(source, "peers_all"),
         event_stream=event_stream,
         event_offset=event_offset,
         initial_reports=tuple(initial_reports),
@@ -194,8 +249,8 @@
     )
 
 
-def _address(source: Json, key: str, default: str | None = None) -> Address | None:
-    """The address in a field, else the default; None if there is neither. Raises WireError."""
+def _read_address(source: Json, key: str, default: str | None = None) -> Address | None:
+    """Return the address in a field, else the default; None without both. Raises WireError."""
     text = read(source, key, str, None) or default
     try:
         return Address.parse(text) if text else None
--- a/cottonhold/config/settings.py
+++ b/cottonhold/config/settings.py
@@ -1,13 +1,13 @@
-"""The codec of a gateway's settings: the JSON object that the simulator and RELAY_CONFIG share.
+"""Decodes a gateway's settings from the JSON object that the simulator and RELAY_CONFIG share.
 
-Raises WireError for a value of the wrong type or an unknown word, by the object's own names.
+All functions raise WireError for a value that has the wrong type or is unknown; the message has the JSON key.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-from cottonhold.message_validation import NUMBER, Json, read, read_list, word
+from cottonhold.message_validation import NUMBER, Json, read, read_list, read_mapped
 from cottonhold.scheduler.settings import (
     DeduplicationScope,
     Features,
@@ -30,12 +30,18 @@
 LOAD_REPORT_FIELDS = {"active": "inflight", "waiting": "queue", "cpu": "util"}
 
 
-def decode_class(source: Json, domain: Json, position: int) -> QueryClass:
-    """One entry of the settings' classes, with what the domain says of it."""
+def decode_class(source: Json, domain: Json, index: int) -> QueryClass:
+    """Decode one query class.
 
-    def of_class(key: str, default: Any) -> Any:
+    Args:
+        source: The entry in the settings' list of classes.
+        domain: The settings' section `domain`, which holds further properties as one list for all classes.
+        index: Position of the class in those lists.
+    """
+
+    def read_class_value(key: str, default: Any) -> Any:
         values = read_list(domain, key, type(default))
-        return values[position] if position < len(values) else default
+        return values[index] if index < len(values) else default
 
     zones = read(source, "zones_open", list, None)
     machine_types = read(source, "models_open", list, None)
@@ -46,21 +52,21 @@
         utility=read(source, "worth", NUMBER, 1.0),
         late_utility=read(source, "late_worth", NUMBER, 0.0),
         latency_objective_stretch=read(source, "aim_stretch", NUMBER, 0.0),
-        idempotency=word(source, "effect", IDEMPOTENCY),
+        idempotency=read_mapped(source, "effect", IDEMPOTENCY),
         deduplication_scope=DeduplicationScope(read(source, "group", str, "all")),
         deduplication_window_ms=read(source, "window", NUMBER, 0.0),
         is_ordered_by_key=read(source, "by_arrival", bool, False),
         is_streamed=read(source, "stream", bool, False),
         zones=None if zones is None else tuple(zones),
         machine_types=None if machine_types is None else tuple(machine_types),
-        threads=of_class("parallelism", 1),
-        is_load=of_class("holds_tables", False),
-        waits_for_loads=of_class("class_waits", False),
+        threads=read_class_value("parallelism", 1),
+        is_load=read_class_value("holds_tables", False),
+        waits_for_loads=read_class_value("class_waits", False),
     )
 
 
 def decode_rules(source: Json) -> Rules:
-    """The figures of the rules."""
+    """Decode the limits that the deployment sets."""
     return Rules(
         answer_slack_ms=read(source, "answer_slack", NUMBER, 20.0),
         drain_grace_ms=read(source, "stop_sending_within", NUMBER, 0.0),
@@ -77,7 +83,7 @@
 
 
 def decode_machine_types(params: Json, domain: Json) -> tuple[MachineType, ...]:
-    """The machine types, with the cores and memory that the domain knows; at least one, of unknown size."""
+    """Decode the machine types, at least one; cores and memory that are not given are 0, for unknown."""
     cores = read_list(domain, "size_cores", NUMBER)
     memory_mb = read_list(domain, "ram_of_kind_mb", NUMBER)
     names = read_list(params, "models", str)
@@ -91,7 +97,7 @@
 
 
 def decode_features(params: Json, domain: Json) -> Features:
-    """What the deployment lets a gateway do."""
+    """Decode what the deployment permits a gateway to do."""
     caps = read(params, "caps", dict)
     return Features(
         can_cancel=read(caps, "may_cancel", bool, False),
@@ -107,7 +113,7 @@
 
 
 def decode_overhead_costs(source: Json) -> OverheadCosts:
-    """What the deployment charges for health checks and messages to peers."""
+    """Decode the costs of health checks and of messages to peers."""
     return OverheadCosts(
         per_health_check=read(source, "probe", NUMBER, 0.0),
         per_peer_message=read(source, "peer", NUMBER, 0.0),
@@ -115,12 +121,17 @@
 
 
 def decode_tenant(source: Json) -> Tenant:
-    """One entry of the tenants."""
+    """Decode one tenant and its quota."""
     return Tenant(read(source, "name", str, ""), read(source, "quota_per_s", NUMBER, 0.0))
 
 
 def decode_settings(params: Json) -> Settings:
-    """All settings. Raises ValueError for a value that makes no sense."""
+    """Decode all settings of a gateway.
+
+    Raises:
+        WireError: A value is missing, has the wrong type or is unknown.
+        ValueError: A value is out of range.
+    """
     domain = read(params, "domain", dict, {})
     report = read(params, "report", dict, {})
     classes = read_list(params, "classes", dict)
@@ -138,7 +149,7 @@
         over_quota_utility=read(params, "over_share_worth", NUMBER, 1.0),
         load_report_fields=tuple(LOAD_REPORT_FIELDS.get(name, name) for name in fields),
         reports_on_health_check=read(report, "how", str, "off") == "on_probe",
-        on_memory_shortage=word(domain, "when_short", MEMORY_SHORTAGE, default=MemoryShortage.WAIT),
+        on_memory_shortage=read_mapped(domain, "when_short", MEMORY_SHORTAGE, default=MemoryShortage.WAIT),
         max_grant_share=read(domain, "max_grant_share", NUMBER, 1.0),
         progress_interval_ms=read(domain, "note_period", NUMBER, 0.0),
         reports_actual_work=read(domain, "cost_in_answers", bool, False),
--- a/cottonhold/observe/log.py
+++ b/cottonhold/observe/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error, rate-limited so that a storm of errors costs neither time nor memory."""
+"""Log lines on standard error, rate-limited so that a burst of errors costs little time and no memory."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Log:
-    """A token bucket: lines without a token are only counted."""
+    """A log with a token bucket as its rate limit; lines beyond the limit are counted and dropped."""
 
-    def __init__(self, seconds: Callable[[], float] = time.monotonic) -> None:
-        self.seconds, self.tokens, self.filled_at, self.dropped_count = seconds, BURST_LINES, seconds(), 0
+    def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
+        self.clock, self.tokens, self.filled_at, self.dropped_count = clock, BURST_LINES, clock(), 0
 
     def write_line(self, text: str) -> None:
-        """Print a line, unless the bucket is empty."""
-        now = self.seconds()
+        """Print a line, unless the rate limit is exceeded."""
+        now = self.clock()
         self.tokens = min(BURST_LINES, self.tokens + (now - self.filled_at) * LINES_PER_SECOND)
         self.filled_at = now
         if self.tokens < 1:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""Drawn tests draw the same each time, so that a verdict is the program's and not the draw's.
+"""Configures Hypothesis and the tests that are known to fail.
 
-`pytest --hypothesis-profile=draw` draws anew; what it finds becomes a test of its own.
+Hypothesis generates the same examples in each run, so that a result depends only on the program.
+`pytest --hypothesis-profile=draw` generates new ones; a failure found so is added as a test of its own.
 
-Tests in KNOWN-RED.txt at the root have to fail, and are printed with their causes.
+Tests listed in KNOWN-RED.txt at the root must fail, and are printed with their causes.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import pytest
 from hypothesis import settings
 
-from tests.known_red import NAME, KnownRed, KnownRedError, missing, parse
+from tests.known_red import FILE_NAME, KnownRed, KnownRedError, check_all_collected, parse_known_red
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.register_profile("draw", derandomize=False, deadline=None, database=None, print_blob=True)
@@ -18,25 +19,25 @@
 
 pytest_plugins = ["pytester"]
 
-KNOWN = pytest.StashKey[dict[str, KnownRed]]()
+KNOWN_RED = pytest.StashKey[dict[str, KnownRed]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Reads the list of known failing tests; one that can't be used ends the run."""
-    path = config.rootpath / NAME
+    """Read the list of known failing tests; a list that can't be used ends the run."""
+    path = config.rootpath / FILE_NAME
     try:
-        config.stash[KNOWN] = parse(path.read_text(encoding="utf-8")) if path.exists() else {}
+        config.stash[KNOWN_RED] = parse_known_red(path.read_text(encoding="utf-8")) if path.exists() else {}
     except (KnownRedError, UnicodeDecodeError) as error:
         raise pytest.UsageError(str(error)) from None
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Listed tests have to fail: one that passes fails the run, so that its line goes."""
-    known = config.stash[KNOWN]
-    if _whole(config):
+    """Mark listed tests as strictly expected to fail; one that passes fails the run until it is unlisted."""
+    known = config.stash[KNOWN_RED]
+    if _collects_all_tests(config):
         try:
-            missing(known, [item.nodeid for item in items])
+            check_all_collected(known, [item.nodeid for item in items])
         except KnownRedError as error:
             raise pytest.UsageError(str(error)) from None
     for item in items:
@@ -45,15 +46,15 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Prints what is known to fail, also where it wasn't run."""
-    if known := config.stash[KNOWN]:
+    """Print the tests that are known to fail, including those that were not run."""
+    if known := config.stash[KNOWN_RED]:
         terminalreporter.section("known to fail")
         for entry in known.values():
             terminalreporter.write_line(str(entry))
 
 
-def _whole(config: pytest.Config) -> bool:
-    """Whether all tests are collected. Those chosen by -k or -m are taken out of them only later."""
-    places = config.getini("testpaths")
-    given = [arg.rstrip("/") for arg in config.args]
-    return config.args_source is not pytest.Config.ArgsSource.ARGS or given == places
+def _collects_all_tests(config: pytest.Config) -> bool:
+    """Whether the whole suite is collected; the selection by -k or -m happens after the collection."""
+    default_paths = config.getini("testpaths")
+    given_paths = [arg.rstrip("/") for arg in config.args]
+    return config.args_source is not pytest.Config.ArgsSource.ARGS or given_paths == default_paths
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges as a scraper parses them."""
+"""Tests of the metrics as a Prometheus client parses them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from cottonhold.config.installation import UnusableConfigError, read_installation
 from cottonhold.node.standalone.dispatcher import StandaloneDispatcher
-from cottonhold.observe.metrics import Metrics, Readings, names_of, tally
+from cottonhold.observe.metrics import Metrics, MetricsSnapshot, count_by_label, enum_labels
 from cottonhold.observe.structured import StructuredLog
 
 FILE: dict[str, Any] = {
@@ -27,12 +27,12 @@
     "status_socket": "n1.sock",
 }
 VOTERS = {"keys": [{"number": 1, "secret": "a shared key"}], "voters": ["n1", "n2", "n3"]}
-PLACES = ["127.0.0.1:5", "127.0.0.1:6", "127.0.0.1:7"]
+PEER_ADDRESSES = ["127.0.0.1:5", "127.0.0.1:6", "127.0.0.1:7"]
 FLEET = {
     "metrics": True,
     "dispatchers": 3,
     "zones": ["a", "b"],
-    "peers": {"listen": PLACES[0], "all": PLACES, "zones": ["a", "b", "b"]},
+    "peers": {"listen": PEER_ADDRESSES[0], "all": PEER_ADDRESSES, "zones": ["a", "b", "b"]},
     "membership": VOTERS,
     "fleet": {},
     "state_dir": "state",
@@ -52,7 +52,9 @@
 
 def test_series_are_current_and_any_counter_name_is_escaped() -> None:
     counts = {"answers_served": 3, 'odd "name"\n': 1}
-    metrics = Metrics(lambda: Readings(counts, 7, steps=tally(names_of(Step), ["some", "some"])))
+    metrics = Metrics(
+        lambda: MetricsSnapshot(counts, 7, steps=count_by_label(enum_labels(Step), ["some", "some"]))
+    )
     counts["answers_served"] += 1
     assert parse_series(metrics.text()) == {
         ("cottonhold_events_total", "answers_served"): 4,
@@ -64,7 +66,7 @@
 
 
 def query_metrics(folder: Path, **changes: Any) -> dict[str, Any]:
-    """The answer of a new instance's socket to the call `metrics`."""
+    """Return a new instance's answer to the call `metrics`."""
     path = folder / "n1.json"
     path.write_text(json.dumps(FILE | changes))
 
@@ -82,7 +84,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"metrics": True}, FLEET], ids=["one alone", "one of a fleet"])
-def test_an_instance_reports_its_counters_and_the_parts_that_it_has(
+def test_an_instance_reports_its_counters_and_its_enabled_components(
     tmp_path: Path, changes: dict[str, Any]
 ) -> None:
     got = parse_series(query_metrics(tmp_path, **changes)["metrics"])
@@ -90,13 +92,13 @@
     assert got["cottonhold_open_requests", ""] == 0
     assert got["cottonhold_engines", "live"] == 2 and got["cottonhold_engines", "draining"] == 0
     names = {name.removeprefix("cottonhold_") for name, _ in got}
-    more = {"members", "recovery_verdict", "swap_machines"}
-    assert names & more == (more if "fleet" in changes else set())
+    fleet_metrics = {"members", "recovery_verdict", "swap_machines"}
+    assert names & fleet_metrics == (fleet_metrics if "fleet" in changes else set())
     if "fleet" in changes:
         assert sum(value for (name, _), value in got.items() if name.endswith("recovery_verdict")) == 1
 
 
-def test_metrics_that_are_off_are_an_error_and_need_a_socket(tmp_path: Path) -> None:
+def test_disabled_metrics_are_an_error_and_enabled_ones_need_a_socket(tmp_path: Path) -> None:
     assert "off" in query_metrics(tmp_path)["error"]
     with pytest.raises(UnusableConfigError, match="metrics: needs status_socket"):
         query_metrics(tmp_path, status_socket="", metrics=True)
