--- a/cottonhold/discovery/__init__.py
+++ b/cottonhold/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What is believed of engines, and the sources that tell of them."""
+"""Service discovery: the sources that report engines, and the engine list merged from them."""
--- a/cottonhold/discovery/consul/__init__.py
+++ b/cottonhold/discovery/consul/__init__.py
@@ -1,1 +1,1 @@
-"""Consul's catalogue and health API: what its answers mean, and the calls that are made. Free of I/O."""
+"""Consul's catalogue and health API: requests and the interpretation of responses, without I/O."""
--- a/cottonhold/discovery/consul/health_entry.py
+++ b/cottonhold/discovery/consul/health_entry.py
@@ -2,18 +2,18 @@
 
 | what Consul reports | status | reason |
 | --- | --- | --- |
-| a check `_node_maintenance` | drained | an operator has set the node to maintenance |
-| a check `_service_maintenance:ID` | drained | an operator has set the engine to maintenance |
-| `serfHealth` critical | unhealthy | gossip suspects the node, perhaps wrongly |
-| any check critical | unhealthy | a symptom |
-| any check with an unknown status | unhealthy | what can't be read doesn't count as healthy |
-| any check warning | `status_if_warning` | in service by default, as in Consul's own DNS |
-| no check of its own | `status_if_unchecked` | in service by default, as Consul counts it as passing |
+| a check `_node_maintenance` | drained | an operator has put the node into maintenance mode |
+| a check `_service_maintenance:ID` | drained | an operator has put the engine into maintenance mode |
+| `serfHealth` critical | unhealthy | the gossip protocol suspects the node, perhaps wrongly |
+| any check critical | unhealthy | a check fails |
+| any check with an unknown status | unhealthy | an unknown status isn't proof of health |
+| any check warning | `status_if_warning` | in service by default, as in Consul's DNS interface |
+| no check of the service | `status_if_unchecked` | in service by default, as Consul regards it as passing |
 | all passing | in service | |
-| no longer listed | ended | limited by min_in_service, then confirmed by the catalogue |
+| no longer listed | ended | limited by `min_in_service`, then confirmed by the catalogue |
 
-The first line that applies decides. Source: the pages on health endpoints, checks and maintenance mode of
-Consul's published HTTP API.
+The first row that applies decides. Source: the pages on health endpoints, checks and maintenance mode in the
+documentation of Consul's HTTP API.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 SERVICE_MAINTENANCE_PREFIX = "_service_maintenance:"
 SERF_HEALTH = "serfHealth"
 MAX_META_NUMBER = 1e14
-MAX_REASON_CHARS = 120  # of a check's output, which may be a page of HTML
+MAX_REASON_CHARS = 120  # length to which a check's output is cut, since it may be a page of HTML
 
 Metadata = dict[str, str]
 
@@ -45,14 +45,17 @@
 
 
 class Weights(msgspec.Struct, rename="pascal", frozen=True):
-    """How much of the traffic an instance is to get, by its status."""
+    """An instance's share of the traffic relative to other instances, by the status of its checks."""
 
     passing: float = 1.0
     warning: float = 1.0
 
 
 class Service(msgspec.Struct, rename="pascal", frozen=True):
-    """The service instance of an entry. Its create index is new with each first registration."""
+    """The service instance of an entry.
+
+    `create_index` changes when the instance is registered for the first time, also after a deregistration.
+    """
 
     id: str = msgspec.field(name="ID")
     address: str = ""
@@ -73,7 +76,7 @@
 
 
 class Entry(msgspec.Struct, rename="pascal", frozen=True):
-    """One line of /v1/health/service."""
+    """One element of the list that /v1/health/service returns."""
 
     node: Node
     service: Service
@@ -84,9 +87,13 @@
 class EntryInterpretation:
     """How entries are interpreted.
 
-    status_if_warning, status_if_unchecked: for the two lines of the table that are configurable.
-    ids_include_node: an engine's id is node/service-id, for installations with one service id on many nodes.
-    zone: the zone of all engines of this source; if empty, the meta field `zone`, else the datacentre's name.
+    Attributes:
+        status_if_warning: Status of an engine with a check in state warning and none critical.
+        status_if_unchecked: Status of an engine without a check of its service.
+        ids_include_node: Whether an engine's id is `node/service-id`, for installations that use the same
+            service id on many nodes.
+        zone: The zone of all engines of this source; if empty, the meta field `zone` names it, or else the
+            datacentre's name is used.
     """
 
     status_if_warning: ServiceStatus = ServiceStatus.IN_SERVICE
@@ -98,15 +105,15 @@
 def service_status(
     service: Service, checks: Sequence[Check], interpretation: EntryInterpretation
 ) -> tuple[ServiceStatus, str]:
-    """The status by the table above, and the reason for it."""
+    """Return the status by the table in the module's docstring, and the reason for it."""
     critical = warning = ""
-    has_own_check = False
+    has_service_check = False
     for check in checks:
         if check.check_id == NODE_MAINTENANCE:
             return ServiceStatus.DRAINED, f"node maintenance: {_check_output(check)}"
         if check.check_id.startswith(SERVICE_MAINTENANCE_PREFIX):
             return ServiceStatus.DRAINED, f"service maintenance: {_check_output(check)}"
-        has_own_check = has_own_check or check.service_id == service.id
+        has_service_check = has_service_check or check.service_id == service.id
         if check.status == "passing":
             continue
         if check.status == "warning":
@@ -121,7 +128,7 @@
         return ServiceStatus.UNHEALTHY, critical
     if warning:
         return interpretation.status_if_warning, warning
-    if not has_own_check:
+    if not has_service_check:
         return interpretation.status_if_unchecked, "no check of its own"
     return ServiceStatus.IN_SERVICE, "passing"
 
@@ -132,16 +139,16 @@
 
 
 def engine_id(node_name: str, service_id: str, interpretation: EntryInterpretation) -> str:
-    """The id under which the dispatcher knows an instance."""
+    """Return the engine id of a service instance."""
     return f"{node_name}/{service_id}" if interpretation.ids_include_node else service_id
 
 
 def observe(entry: Entry, names: ConfiguredNames, interpretation: EntryInterpretation) -> Observation:
-    """An entry as an observation. Raises WireError for an address that can't be used."""
+    """Convert an entry to an observation. Raises WireError if its address or port is invalid."""
     node, service = entry.node, entry.service
     host = service.address or node.address
     if not host or not 0 < service.port < 65536:
-        raise WireError(f"'{host}:{service.port}' is no address")
+        raise WireError(f"'{host}:{service.port}' isn't a valid address")
     meta = {**(node.meta or {}), **(service.meta or {})}
     status, reason = service_status(service, entry.checks, interpretation)
     started_at_ms = parse_meta_number(meta.get("started_at_ms"))
@@ -161,7 +168,7 @@
 
 
 def _size(entry: Entry, status: ServiceStatus) -> float:
-    """The instance's weight by its checks; 1 where the weight is no positive number."""
+    """Return the instance's weight for its status; 1 if the weight isn't positive."""
     has_warning = any(check.status == "warning" for check in entry.checks)
     weights = entry.service.weights
     uses_warning_weight = has_warning and status is not ServiceStatus.UNHEALTHY
@@ -170,7 +177,7 @@
 
 
 def parse_meta_number(text: str | None) -> float:
-    """A number of an instance's meta fields, which are free text; 0 if there is none in range."""
+    """Parse a number in a meta field, which is free text; return 0 if it is missing or out of range."""
     try:
         value = float(text or 0)
     except ValueError:
--- a/cottonhold/discovery/consul/health_response.py
+++ b/cottonhold/discovery/consul/health_response.py
@@ -1,8 +1,8 @@
-"""Decodes responses of the health and catalogue endpoints at a cost of what has changed. Free of I/O.
+"""Decodes responses of the health and catalogue endpoints incrementally. Free of I/O.
 
-Consul sends the whole list each time. It is split into the bytes of each entry without decoding them; entries
-are recognized by a digest, and only those with new bytes are decoded. So one change in a list of ten thousand
-costs the splitting, one decoding, and nothing in the parts behind.
+Consul sends the complete list each time. The list is split into the bytes of its entries without decoding
+them; entries are compared by a digest, and only those whose bytes are new are decoded. One change in a list
+of ten thousand entries costs splitting the list, decoding one entry, and nothing in the later stages.
 """
 
 from __future__ import annotations
@@ -20,16 +20,19 @@
 
 
 class CatalogEntry(msgspec.Struct, frozen=True):
-    """What is needed of one line of /v1/catalog/service."""
+    """The fields used of one element of the list that /v1/catalog/service returns."""
 
     node_name: str = msgspec.field(name="Node")
     service_id: str = msgspec.field(name="ServiceID")
 
 
 class CatalogChanges(msgspec.Struct, frozen=True):
-    """What a response changes: observations that are new, and ids that are no longer listed.
+    """The differences between a response and the previous one.
 
-    is_complete: the observations are all engines there are, since there was no response to compare with.
+    Attributes:
+        observations: The entries that are new or changed.
+        absent_ids: Ids of engines that are no longer listed.
+        is_complete: Whether `observations` are all engines, since there was no response to compare with.
     """
 
     observations: tuple[Observation, ...]
@@ -38,7 +41,7 @@
 
 
 class _DecodedList(msgspec.Struct, frozen=True):
-    """A list whose new entries have been decoded."""
+    """A response whose new entries have been decoded."""
 
     engine_ids_by_digest: dict[bytes, str]
     observations: list[Observation]
@@ -55,22 +58,29 @@
 
 
 class HealthResponseDecoder:
-    """Compares each response with the one before."""
+    """Decodes health responses, each compared with the previous one, and catalogue responses.
+
+    Args:
+        names: The configured zones and machine types.
+        interpretation: How entries are interpreted.
+        report_malformed: Called with a description of each entry that can't be decoded.
+    """
 
     def __init__(
         self, names: ConfiguredNames, interpretation: EntryInterpretation, report_malformed: ReportMalformed
     ) -> None:
         self.names, self.interpretation, self.report_malformed = names, interpretation, report_malformed
         self.engine_ids_by_digest: dict[bytes, str] = {}  # of the last response's entries
-        self.last_body_digest = b""  # of the last response without unreadable entries
-        # Whether a complete response has been read, so that what the next one lacks is absent.
+        # Digest of the last response; empty if some of its entries couldn't be decoded.
+        self.last_body_digest = b""
+        # Whether a response has been decoded completely, so that engines missing in the next one are absent.
         self.has_complete_response = False
         self.decoded_count = 0
 
     def decode_health_response(self, body: bytes) -> CatalogChanges:
-        """What a response changes. Raises WireError, and keeps its state, for a body that can't be used."""
-        # An index that hasn't moved doesn't prove that nothing changed: a server that lost its data may send
-        # an empty list under the index of the full one. Only equal bytes prove it.
+        """Return what a response changes. Raises WireError, without a change of state, if it is invalid."""
+        # An unchanged index doesn't prove that nothing changed: a server that lost its data may send an empty
+        # list with the index of the full one. Only equal bytes prove it.
         body_digest = xxhash.xxh3_128_digest(body)
         if body_digest == self.last_body_digest:
             return CatalogChanges((), ())
@@ -79,7 +89,8 @@
         decoded = self._decode_new_entries(self._split_entries(body))
         absent_ids = self._find_absent(decoded)
         if decoded.unreadable_count and absent_ids:
-            # It is unknown which engine an unreadable entry belongs to, so none counts as absent.
+            # The unreadable entry may belong to any of the missing engines, so none of them is reported
+            # absent.
             unlisted_ids = set(absent_ids)
             for digest, known_id in self.engine_ids_by_digest.items():
                 if known_id in unlisted_ids:
@@ -87,8 +98,8 @@
             absent_ids = ()
         self.engine_ids_by_digest = decoded.engine_ids_by_digest
         self.last_body_digest = b"" if decoded.unreadable_count else body_digest
-        # The first complete response also ends what was known before it, from the configuration or by another
-        # interpretation. One with unreadable entries proves no absence.
+        # The first complete response replaces the engines known from the configuration or by a previous
+        # interpretation. A response with unreadable entries proves no absence.
         is_complete = not self.has_complete_response and not decoded.unreadable_count
         self.has_complete_response = self.has_complete_response or is_complete
         return CatalogChanges(tuple(_latest_registrations(decoded.observations)), absent_ids, is_complete)
@@ -114,7 +125,7 @@
         return _DecodedList(engine_ids_by_digest, observations, unreadable_count)
 
     def _find_absent(self, decoded: _DecodedList) -> tuple[str, ...]:
-        """The ids of the last response that this one doesn't list."""
+        """Return the ids that the previous response listed and this one doesn't."""
         has_same_entries = len(decoded.engine_ids_by_digest) == len(self.engine_ids_by_digest)
         if has_same_entries and not decoded.observations and not decoded.unreadable_count:
             return ()
@@ -124,26 +135,26 @@
         )
 
     def reset(self) -> None:
-        """Compare the next response with none, as after a change of the interpretation."""
+        """Discard the previous response, as after a change of the interpretation."""
         self.engine_ids_by_digest, self.last_body_digest, self.has_complete_response = {}, b"", False
 
     def _split_entries(self, body: bytes) -> list[msgspec.Raw]:
         try:
             return _ENTRIES_DECODER.decode(body) or []
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            raise WireError(f"the health answer can't be read: {error}") from error
+            raise WireError(f"the health response can't be decoded: {error}") from error
 
     def decode_catalog_response(self, body: bytes) -> frozenset[str]:
-        """The ids that a catalogue response lists. Raises WireError."""
+        """Return the engine ids that a catalogue response lists. Raises WireError if it is invalid."""
         try:
             entries = _CATALOG_DECODER.decode(body) or []
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            raise WireError(f"the catalogue's answer can't be read: {error}") from error
+            raise WireError(f"the catalogue response can't be decoded: {error}") from error
         return frozenset(engine_id(e.node_name, e.service_id, self.interpretation) for e in entries)
 
 
 def _latest_registrations(observations: list[Observation]) -> list[Observation]:
-    """One observation an id: while an engine moves, two nodes may list it; the later registration counts."""
+    """Return one observation for each id: of an engine listed on two nodes, that registered later."""
     by_id: dict[str, Observation] = {}
     for observation in observations:
         other = by_id.get(observation.id)
--- a/cottonhold/discovery/consul/registration.py
+++ b/cottonhold/discovery/consul/registration.py
@@ -1,8 +1,8 @@
-"""The dispatcher's own entry in Consul: registered with a TTL check, passing while it serves. Pure.
+"""Registers the dispatcher itself in Consul, with a TTL check that it updates while it serves. Pure.
 
-The dispatcher sets the check itself: passing while its event loop keeps up, critical while it lags, so that
-proxies which read Consul send it less. An agent that restarted without its data reports the entry as unknown
-at the next heartbeat; the entry is then registered anew.
+The dispatcher sets the check's status: passing normally, and critical while its event loop lags, so that
+proxies which read Consul send it fewer requests. An agent that restarted without its data rejects the next
+heartbeat, as the check is unknown to it; the dispatcher is then registered again.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from cottonhold.discovery.consul.http_exchange import HttpRequest, HttpResponse
 from cottonhold.discovery.model import Address
 
-HEARTBEATS_PER_TTL = 3.0  # two may be lost before Consul sets the check to critical
-CALL_TIMEOUT_TTLS = 0.25  # of a TTL, so that another call fits in
-MIN_HEARTBEATS_WITHOUT_LAG = 2  # before it is passing again, so that it doesn't flap
-UNKNOWN_CHECK_STATUSES = (404, 500)  # agents' responses for an unknown check, by version
+HEARTBEATS_PER_TTL = 3.0  # two in a row may be lost before Consul sets the check to critical
+CALL_TIMEOUT_TTLS = 0.25  # timeout of a call as a fraction of the TTL, which leaves time for another call
+MIN_HEARTBEATS_WITHOUT_LAG = 2  # consecutive heartbeats before the check is passing again, against flapping
+UNKNOWN_CHECK_STATUSES = (404, 500)  # the agent's responses for an unknown check, depending on its version
 FIRST_RETRY_MS = 100.0
 MAX_DEREGISTRATION_ATTEMPTS = 3
 
 
 class RegistrationPhase(Enum):
-    """The state of the entry; the values stand in the log."""
+    """The state of the registration. The values are written to the log."""
 
     ABSENT = "absent"
     REGISTERED = "there"
@@ -36,10 +36,20 @@
 
 @dataclass(slots=True, frozen=True)
 class RegistrationSettings:
-    """The entry.
-
-    max_loop_lag_ms: with a larger lag of the event loop the check is critical.
-    deregister_after_ms: how long the check is critical before Consul removes the entry, as after a crash.
+    """Settings of the registration.
+
+    Attributes:
+        agent: The address of the Consul agent.
+        id: The service id.
+        service: The service name.
+        address: The address under which clients reach the dispatcher.
+        tags: The tags of the service instance.
+        meta: The meta fields of the service instance.
+        token: The ACL token; empty if none is needed.
+        ttl_ms: Time after the last heartbeat after which Consul sets the check to critical, in ms.
+        max_loop_lag_ms: Lag of the event loop above which the check is set to critical, in ms.
+        deregister_after_ms: Time for which the check is critical before Consul removes the registration, as
+            after a crash, in ms.
     """
 
     agent: Address
@@ -55,10 +65,10 @@
 
 
 class Registration:
-    """Keeps the entry registered.
+    """Keeps the dispatcher registered.
 
-    Each `next_request` is followed by `on_response` or `on_failure` and a pause of `next_call_in_ms`, until
-    `is_finished`.
+    The caller sends `next_request`, passes the result to `on_response` or `on_failure`, waits for
+    `next_call_in_ms`, and repeats this until `is_finished`.
     """
 
     def __init__(self, settings: RegistrationSettings) -> None:
@@ -67,19 +77,24 @@
         self.next_call_in_ms = 0.0
         self.heartbeats_without_lag = MIN_HEARTBEATS_WITHOUT_LAG
         self.is_critical = False
-        self.last_error = ""  # of the last call; empty after a success
+        self.last_error = ""  # the error of the last call; empty after a success
 
     def begin_deregistration(self) -> None:
-        """Have the next call remove the entry."""
+        """Make the next request a deregistration."""
         if self.phase is not RegistrationPhase.DEREGISTERED:
             self.phase, self.failure_count = RegistrationPhase.DEREGISTERING, 0
 
     def is_finished(self) -> bool:
-        """Whether the entry has been removed, or its removal given up."""
+        """Whether the dispatcher has been deregistered, or the attempts to do so have been given up."""
         return self.phase is RegistrationPhase.DEREGISTERED
 
     def next_request(self, lag_ms: float, open_requests: int) -> HttpRequest:
-        """The next call. lag_ms: the largest lag of the event loop since the last one."""
+        """Return the next request.
+
+        Args:
+            lag_ms: The largest lag of the event loop since the last request, in ms.
+            open_requests: The number of requests in progress, shown in the check's output.
+        """
         s = self.settings
         if self.phase is RegistrationPhase.DEREGISTERING:
             return self._put_request(f"/v1/agent/service/deregister/{quote(s.id, safe='')}", None)
@@ -114,7 +129,7 @@
                 "CheckID": f"service:{s.id}",
                 "Name": "the dispatcher's own word",
                 "TTL": f"{round(s.ttl_ms)}ms",
-                # It serves already, and the first heartbeat is a third of the TTL away.
+                # The dispatcher already serves, and its first heartbeat is sent a third of the TTL later.
                 "Status": "critical" if self.is_critical else "passing",
                 "DeregisterCriticalServiceAfter": f"{round(s.deregister_after_ms)}ms",
             },
@@ -144,7 +159,7 @@
         text = " ".join(response.body[:200].decode("utf-8", "replace").split())
         if self.phase is RegistrationPhase.REGISTERED and response.status in UNKNOWN_CHECK_STATUSES:
             self.phase = RegistrationPhase.ABSENT
-            self.on_failure(f"the agent has forgotten the entry: status {response.status}: {text}")
+            self.on_failure(f"the agent no longer has the registration: status {response.status}: {text}")
             self.next_call_in_ms = 0.0 if self.failure_count == 1 else self.next_call_in_ms
         elif self.phase is RegistrationPhase.DEREGISTERING and response.status == 404:
             self.phase, self.next_call_in_ms = RegistrationPhase.DEREGISTERED, 0.0
@@ -152,7 +167,10 @@
             self.on_failure(f"status {response.status}: {text}")
 
     def on_failure(self, reason: str) -> None:
-        """Back off up to the heartbeat's interval; deregistration is given up after some attempts."""
+        """Record a failed call and back off, for a heartbeat interval at most.
+
+        Deregistration is given up after `MAX_DEREGISTRATION_ATTEMPTS`.
+        """
         self.failure_count, self.last_error = self.failure_count + 1, reason
         self.next_call_in_ms = min(
             FIRST_RETRY_MS * 2.0 ** min(self.failure_count - 1, 20), self.settings.ttl_ms / HEARTBEATS_PER_TTL
--- a/cottonhold/discovery/consul/watch.py
+++ b/cottonhold/discovery/consul/watch.py
@@ -1,8 +1,9 @@
-"""Follows one service's health by blocking queries: the next request, and what a response means. Pure.
+"""Watches one service's health by blocking queries: builds requests and interprets responses. Pure.
 
-As Consul's page on blocking queries says, an index that goes backwards starts anew from 0, one that is 0
-counts as 1, and a response may take the wait and a sixteenth more. After any failure the next request doesn't
-block: what changed meanwhile must be known at once, and the next agent may lag behind.
+As Consul's documentation of blocking queries requires, the index is reset to 0 when it goes backwards, and an
+index of 0 is treated as 1. A response may take the wait time and a sixteenth of it longer. After any failure
+the next request doesn't block: changes made in the meantime must be received immediately, and the next agent
+may lag behind.
 """
 
 from __future__ import annotations
@@ -14,25 +15,41 @@
 
 from cottonhold.discovery.consul.health_response import HealthResponseDecoder
 from cottonhold.discovery.consul.http_exchange import HttpRequest, HttpResponse
-from cottonhold.discovery.model import Address, Event, SourceLost, SourceReport
+from cottonhold.discovery.model import Address, Event, SourceReport, SourceUnavailable
 from cottonhold.message_validation import WireError
 
-MAX_WAIT_JITTER = 1 / 16  # of the wait; Consul adds it so that not all watchers wake at once
+MAX_WAIT_JITTER = (
+    1 / 16
+)  # fraction of the wait that Consul adds at most, so that not all watchers wake together
 FORBIDDEN = 403
 TOO_MANY_REQUESTS = 429
 
 
 @dataclass(slots=True, frozen=True)
 class WatchSettings:
-    """What is watched, and how.
-
-    max_wait_ms: how long Consul holds a response back while nothing changes; a silently broken connection
-    goes unnoticed for as long.
-    first_byte_timeout_ms: how much later than that the first byte may come. body_timeout_ms: for the rest.
-    min_backoff_ms, max_backoff_ms: after a failure, doubled with each further one, with jitter of a half.
-    min_interval_ms: between two responses, so that a list that keeps changing doesn't take the whole core.
-    max_staleness_ms: a response of a server that heard of its leader longer ago is requested again, from the
-    leader.
+    """Settings of a watch.
+
+    Attributes:
+        name: The name of the source.
+        addresses: The Consul agents, used in turn after failures.
+        service: The service to watch.
+        datacenter: The datacentre to query; empty for the agent's own.
+        filter: A filter expression for Consul; empty for none.
+        tag: A tag that instances must have; empty for none.
+        consistency: Consul's consistency mode: default, stale or consistent.
+        token: The ACL token; empty if none is needed.
+        max_wait_ms: Time for which Consul delays a response while nothing changes, in ms. A silently broken
+            connection remains undetected for as long.
+        first_byte_timeout_ms: Time after that wait in which the first byte must be received, in ms.
+        body_timeout_ms: Time in which the rest of the response must be received, in ms.
+        min_backoff_ms: Backoff after the first failure, in ms; it doubles each time that all agents have
+            failed again. Up to half of it is randomly subtracted.
+        max_backoff_ms: The upper limit of the backoff, in ms.
+        min_interval_ms: Time between a response and the next request, in ms, so that a list that changes all
+            the time doesn't use a whole core.
+        max_staleness_ms: Time since a server's last contact with its leader, in ms, above which its response
+            is discarded and requested from the leader instead.
+        max_body_bytes: The largest accepted body of a response.
     """
 
     name: str
@@ -56,32 +73,34 @@
 class ServiceWatch:
     """The watch of one service in one datacentre.
 
-    Each `next_request` goes to `address` and is followed by `on_response` or `on_failure` and a pause of
-    `next_call_in_ms`.
+    The caller sends `next_request` to `address`, passes the result to `on_response` or `on_failure`, waits
+    for `next_call_in_ms`, and repeats this.
     """
 
     def __init__(self, settings: WatchSettings, decoder: HealthResponseDecoder, seed: int) -> None:
         self.settings, self.decoder = settings, decoder
         self.random = random.Random(f"{seed}/{settings.name}/watch")
-        self.wait_index = 0  # the index to wait for a change of; 0: don't wait
-        self.last_index = 0  # of the last response that was applied
+        self.wait_index = (
+            0  # the index of which the next query waits for a change; 0 to query without waiting
+        )
+        self.last_index = 0  # the index of the last applied response
         self.agent_index = 0
         self.failure_count = 0
         self.next_call_in_ms = 0.0
-        self.queries_leader = False  # followers may lag behind
+        self.queries_leader = False  # whether the next query must be answered by the leader
         self.unconfirmed_ids: tuple[str, ...] = ()  # absent ids that the catalogue has to confirm
 
     @property
     def address(self) -> Address:
-        """The agent that the next request goes to."""
+        """The agent that the next request is sent to."""
         return self.settings.addresses[self.agent_index % len(self.settings.addresses)]
 
     def confirm_absence(self, absent_ids: tuple[str, ...]) -> None:
-        """Before the next health request, ask the catalogue at the leader whether these are really absent."""
+        """Query the leader's catalogue for these ids before the next health request."""
         self.unconfirmed_ids = absent_ids
 
     def next_request(self) -> HttpRequest:
-        """The next request."""
+        """Return the next request: of the catalogue if there are ids to confirm, else of the health."""
         return self._catalog_request() if self.unconfirmed_ids else self._health_request()
 
     def _catalog_request(self) -> HttpRequest:
@@ -115,7 +134,7 @@
         return {"X-Consul-Token": self.settings.token} if self.settings.token else {}
 
     def on_response(self, response: HttpResponse) -> list[Event]:
-        """Apply a complete response; the events that it brings."""
+        """Apply a complete response, and return the events that result from it."""
         if response.status != 200:
             return self._on_error_status(response)
         try:
@@ -136,9 +155,11 @@
         staleness_ms = response.integer_header("x-consul-lastcontact") or 0
         has_no_leader = response.headers.get("x-consul-knownleader", "true") == "false"
         if has_no_leader or staleness_ms > self.settings.max_staleness_ms:
-            # A server cut off from its leader sends an old state, which lacks a later drain.
+            # A server that is separated from its leader sends an old state, which may lack a recent drain.
             if self.queries_leader:
-                raise WireError(f"the server knows no leader, or heard of it {staleness_ms} ms ago")
+                raise WireError(
+                    f"the server has no leader, or had its last contact with it {staleness_ms} ms ago"
+                )
             self.queries_leader = True
             return []
         self.queries_leader = False
@@ -158,7 +179,7 @@
         listed_ids = self.decoder.decode_catalog_response(response.body)
         absent_ids = tuple(engine_id for engine_id in queried_ids if engine_id not in listed_ids)
         if not listed_ids or not absent_ids:
-            # An empty catalogue proves nothing: a server that lost its data sends one.
+            # An empty catalogue proves nothing: a server that lost its data sends one as well.
             return []
         return [SourceReport(self.settings.name, self.last_index, absent=absent_ids, is_confirmed=True)]
 
@@ -174,14 +195,14 @@
         return events
 
     def on_failure(self, reason: str) -> list[Event]:
-        """Back off, and send the next request to the next agent; the events that this brings."""
+        """Record a failure: back off, and select the next agent; return the events that result from it."""
         settings = self.settings
         failed_agent = str(self.address)
         self.failure_count += 1
         self.agent_index = (self.agent_index + 1) % len(settings.addresses)
         self.wait_index, self.unconfirmed_ids, self.queries_leader = 0, (), False
-        # The backoff grows only once each agent has failed: one that is down must not delay changes.
+        # The backoff grows only after all agents have failed: a single failed agent must not delay changes.
         rounds = (self.failure_count - 1) // len(settings.addresses)
         backoff_ms = min(settings.min_backoff_ms * 2.0 ** min(rounds, 30), settings.max_backoff_ms)
         self.next_call_in_ms = backoff_ms * (0.5 + 0.5 * self.random.random())
-        return [SourceLost(settings.name, f"{failed_agent}: {reason}")]
+        return [SourceUnavailable(settings.name, f"{failed_agent}: {reason}")]
--- a/cottonhold/discovery/damping.py
+++ b/cottonhold/discovery/damping.py
@@ -1,8 +1,9 @@
-"""How long an engine that went out of service must stay healthy before it returns. Pure.
+"""Flap damping: how long an engine that failed must stay healthy before it returns to service. Pure.
 
-Each failure adds one to a count that decays; the quiet time doubles with each failure that still counts. So a
-single failure costs the shortest quiet time, and an engine that flaps ten times in ten seconds returns once
-or twice, not ten times."""
+Each failure adds one to a count that decays exponentially, and the quiet time doubles with each failure in
+the count. After a single failure the quiet time is the shortest; an engine that flaps ten times in ten
+seconds returns once or twice instead of ten times.
+"""
 
 from __future__ import annotations
 
@@ -12,39 +13,39 @@
 
 from cottonhold.discovery.model import SourceGuard
 
-NEGLIGIBLE_COUNT = 0.05  # a count this small lengthens the quiet time by less than a thirtieth
-MAX_HISTORIES = 20_000  # the oldest are evicted first, so that ids that never return cost no memory
+NEGLIGIBLE_COUNT = 0.05  # a smaller count would lengthen the quiet time by less than a thirtieth
+MAX_HISTORIES = 20_000  # engines tracked; the oldest are evicted, since ids that never return would add up
 
 
 @dataclass(slots=True)
 class DecayingCount:
-    """A count of failures that decays by half in each half life."""
+    """A count of failures that decays by half in each half-life. updated_at: in ms on the local clock."""
 
     count: float
     updated_at: float
 
     def value(self, now: float, half_life_ms: float) -> float:
-        """The count as it has decayed by now."""
+        """Return the count as decayed until now."""
         return float(self.count * 0.5 ** (max(now - self.updated_at, 0.0) / half_life_ms))
 
 
 class FlapDamping:
-    """The failures of one source's engines."""
+    """Tracks the failures of one source's engines, and derives their quiet times."""
 
     def __init__(self, guard: SourceGuard, draw: random.Random) -> None:
         self.guard, self.random = guard, draw
         self.counts: dict[str, DecayingCount] = {}
 
     def on_failure(self, engine: str, now: float) -> None:
-        """Count a failure."""
+        """Record that an engine failed."""
         count = self.failure_count(engine, now)
-        self.counts.pop(engine, None)  # reinserted at the end: the order is that of the last failures
+        self.counts.pop(engine, None)  # reinserted at the end, so that the order is that of the last failures
         self.counts[engine] = DecayingCount(count + 1.0, now)
         while len(self.counts) > MAX_HISTORIES:
             del self.counts[next(iter(self.counts))]
 
     def failure_count(self, engine: str, now: float) -> float:
-        """Failures that still count."""
+        """Return the decayed count of an engine's failures; 0 once it is negligible."""
         decaying = self.counts.get(engine)
         if decaying is None:
             return 0.0
@@ -55,7 +56,7 @@
         return value
 
     def quiet_ms(self, engine: str, now: float) -> float:
-        """How long the engine must stay healthy from now on; 0 where no failure counts."""
+        """Return how long the engine must stay healthy from now on, in ms; 0 without recent failures."""
         count = self.failure_count(engine, now)
         if count == 0.0:
             return 0.0
--- a/cottonhold/discovery/engine_catalog.py
+++ b/cottonhold/discovery/engine_catalog.py
@@ -1,15 +1,18 @@
-"""The one list of engines, merged from the claims of all sources. Pure.
+"""The engine list, merged from the claims of all sources. Pure.
 
 `EngineCatalog.step` takes the time and the sources' events, and returns what to publish, confirm and log.
-Where sources disagree:
-
-1. *The most cautious claim wins.* An engine that any source lists as draining or unhealthy gets nothing new.
-2. *A reported end drains at once*, also where other sources still list the engine. It serves again only once
-   each of those has reported it anew, after the end; it is removed once none lists it.
-3. *Address, zone, machine type and size* come from the first source, in the order of the configuration, that
-   lists it.
-4. *One address, one engine.* Of two ids at one address the one registered later wins; between sources that
-   can't be compared, the one of the earlier source. The other gets nothing new: it would be the same process.
+Conflicts between sources are resolved by these rules:
+
+1. *The most cautious claim wins.* An engine that any source lists as draining or unhealthy receives no new
+   queries.
+2. *A reported end drains the engine immediately*, even if other sources still list it. It returns to service
+   only after each of these sources has listed it in an answer received after the end; it is removed when no
+   source lists it.
+3. *Address, zone, machine type and size* are taken from the first source in the order of the configuration
+   that lists the engine.
+4. *One address belongs to one engine.* If two ids have the same address, that of the source with precedence
+   wins, and within one source the later registration. The other receives no new queries, since they would
+   reach the same process.
 """
 
 from __future__ import annotations
@@ -18,6 +21,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
+from cottonhold.discovery.claim import Claim
 from cottonhold.discovery.model import (
     Action,
     Address,
@@ -27,10 +31,10 @@
     Observation,
     PublishChange,
     SourceGuard,
-    SourceLost,
     SourceReport,
+    SourceUnavailable,
 )
-from cottonhold.discovery.source_view import Claim, SourceView
+from cottonhold.discovery.source_view import SourceView
 from cottonhold.scheduler.events import Engine, EngineState
 
 SourceClaim = tuple[SourceView, Claim]
@@ -38,8 +42,18 @@
 
 @dataclass(slots=True, frozen=True)
 class CatalogRow:
-    """A row for operators: the state of one engine, the reason, since when, and the deciding claim with
-    its age.
+    """The state of one engine and the claim that decides it, as shown to operators.
+
+    Attributes:
+        id: The engine's id.
+        state: The published state.
+        address: The published address.
+        reason: The deciding source's reason for the state.
+        source: The name of the deciding source.
+        index: The index of that source's answer.
+        since: When the claim's state last changed, in ms on the local clock.
+        age_ms: Time since the source's last answer, in ms.
+        is_loss_deferred: Whether `min_in_service` defers a loss of the engine.
     """
 
     id: str
@@ -50,21 +64,28 @@
     index: int
     since: float
     age_ms: float
-    is_held: bool
+    is_loss_deferred: bool
 
 
 @dataclass(slots=True)
 class PublishedEngine:
-    """What was published of an engine, and when a source last reported its end."""
+    """The published state of an engine.
+
+    Attributes:
+        engine: The engine as published.
+        address: Its published address.
+        ended_at: When a source last reported its end, in ms on the local clock.
+        address_rivals: Ids of engines that also claim the address, which this engine owns.
+    """
 
     engine: Engine
     address: Address | None
     ended_at: float = -math.inf
-    address_rivals: set[str] = field(default_factory=set)  # ids that claim its address in vain
+    address_rivals: set[str] = field(default_factory=set)
 
 
 class EngineCatalog:
-    """The one list, and the sources that it is merged from, in the order of their precedence."""
+    """The engine list and the views of its sources, in the order of their precedence."""
 
     def __init__(
         self, sources: Sequence[tuple[str, SourceGuard]], seed: int, unix_offset: float = 0.0
@@ -73,18 +94,30 @@
         self.views = {name: self._view(name, i, guard) for i, (name, guard) in enumerate(sources)}
         self.published: dict[str, PublishedEngine] = {}
         self.owner_by_address: dict[Address, str] = {}
-        # Engines with a reported end that other sources have not answered yet; evaluated in each step.
+        # Engines with a reported end which another source still lists by an older answer; evaluated again in
+        # each step.
         self.unresolved: set[str] = set()
 
     def _view(self, name: str, precedence: int, guard: SourceGuard) -> SourceView:
         return SourceView(name, precedence, guard, self.seed, self.unix_offset)
 
     def step(self, now: float, events: Iterable[Event] = ()) -> list[Action]:
-        """Apply the sources' events; returns what is to be done. Raises KeyError for an unknown source."""
+        """Apply the sources' events.
+
+        Args:
+            now: The time on the local clock, in ms.
+            events: Reports and failures of the sources, in the order in which they were received.
+
+        Returns:
+            The change to publish, if any, followed by absences to confirm and events to log.
+
+        Raises:
+            KeyError: An event names a source that isn't configured.
+        """
         actions: list[Action] = []
         events = list(events)
-        # All start stamps are learned before any is converted: a list may come in many reports, and its
-        # latest stamp decides.
+        # All start stamps are learned before any of them is converted: a list may be divided into many
+        # reports, and the clock offset follows from the latest stamp.
         for event in events:
             if isinstance(event, SourceReport):
                 self.views[event.source].start_times.learn(now, (o.started_at for o in event.observations))
@@ -93,10 +126,10 @@
             match event:
                 case SourceReport():
                     view.on_report(now, event)
-                case SourceLost():
-                    view.on_lost(now, event)
+                case SourceUnavailable():
+                    view.on_source_unavailable(now, event)
         for view in self.views.values():
-            if view.return_times or view.held_losses:
+            if view.return_times or view.deferred_losses:
                 view.step(now)
             actions += view.actions
             view.actions.clear()
@@ -106,24 +139,24 @@
         return actions + log_events
 
     def set_initial(self, now: float, observations: Sequence[Observation]) -> list[Action]:
-        """Begin with a list before any source has answered, as if every source had reported it."""
+        """Apply an initial engine list before any source has answered, as if every source had reported it."""
         for view in self.views.values():
             view.on_report(now, SourceReport(view.name, 0, tuple(observations), is_complete=True))
-            view.answer_count = 0  # the first real answer still lists engines that were there before
+            view.answer_count = 0  # the source's first own answer still counts as the first
             view.start_times.on_complete_answer(-math.inf)
         return self.step(now)
 
     def on_complete_answer(self, now: float, source: str) -> None:
-        """A complete answer of a trusted source was applied; it may have brought nothing new."""
+        """Record that a complete answer of a trusted source was applied, even if it changed nothing."""
         if source in self.views:
             self.views[source].start_times.on_complete_answer(now)
 
     def next_at(self) -> float:
-        """When `step` is due even if nothing is reported; infinity if never."""
+        """Return the time at which `step` is due even without events; infinity if there is none."""
         return min((view.next_at() for view in self.views.values()), default=math.inf)
 
     def reload(self, now: float, sources: Sequence[tuple[str, SourceGuard]]) -> list[Action]:
-        """Change sources or guards. A source that stays retains its claims; those of a removed one end."""
+        """Apply changed settings: a source that remains keeps its claims, those of a removed one end."""
         old = self.views
         self.views = {}
         for precedence, (name, guard) in enumerate(sources):
@@ -145,7 +178,7 @@
         self.unresolved.clear()
         changed: dict[str, Engine] = {}
         log_events: list[Action] = []
-        # An engine that leaves an address is evaluated before one that arrives there, whatever their names.
+        # Engines without claims come first: they release their addresses before others claim these.
         queue = sorted(changed_by, key=lambda engine_id: (bool(self._claims(engine_id)), engine_id))
         while queue:
             engine_id = queue.pop(0)
@@ -170,7 +203,7 @@
         log_events: list[Action],
         queue: list[str],
     ) -> None:
-        """Determine one engine's state; appends to `queue` the engines that this concerns as well."""
+        """Determine the state of one engine, and append to `queue` the engines that are affected by it."""
         claims, entry = self._claims(engine_id), self.published.get(engine_id)
         if not claims:
             if entry is not None:
@@ -198,7 +231,7 @@
             changed[engine_id] = engine
 
     def _claims(self, engine_id: str) -> list[SourceClaim]:
-        """The claims on an engine, by precedence."""
+        """Return the claims on an engine, in the order of precedence."""
         return [
             (view, claim)
             for view in self.views.values()
@@ -208,20 +241,21 @@
     def _state(self, claims: list[SourceClaim], entry: PublishedEngine) -> EngineState:
         if any(claim.state is not EngineState.LIVE for _, claim in claims):
             return EngineState.DRAINING
-        # An end is answered by a report that came after it; one of the same moment may be older.
+        # Only an answer received after the reported end proves that the engine is in service again; one
+        # received at the same time may be older.
         if any(view.last_answer_at <= entry.ended_at for view, _ in claims):
             self.unresolved.add(entry.engine.id)
             return EngineState.DRAINING
         return EngineState.LIVE
 
     def _addresses_are_exclusive(self) -> bool:
-        """Whether addresses are compared; a single trusted source has compared its own."""
+        """Whether an address may belong to one engine only; a single trusted source ensures that itself."""
         return len(self.views) > 1 or not all(view.guard.is_trusted for view in self.views.values())
 
     def _may_use_address(
         self, engine_id: str, claims: list[SourceClaim], address: Address | None, queue: list[str]
     ) -> bool:
-        """Whether no other engine keeps the address; claims it for this one."""
+        """Claim the address for the engine; return false if another engine owns it."""
         if address is None or not self._addresses_are_exclusive():
             return True
         return self._claim_address(engine_id, claims, address, queue)
@@ -229,48 +263,48 @@
     def _claim_address(
         self, engine_id: str, claims: list[SourceClaim], address: Address, queue: list[str]
     ) -> bool:
-        """Whether the address is this engine's now; one that loses it is evaluated anew."""
+        """Claim the address, and queue a former owner for evaluation; return false if the owner keeps it."""
         owner = self.owner_by_address.get(address)
         if owner is None or owner == engine_id:
             self.owner_by_address[address] = engine_id
             return True
         others = self._claims(owner)
-        holder = self.published.get(owner)
+        owner_entry = self.published.get(owner)
         if others and self._address_rank(claims) <= self._address_rank(others):
-            if holder is not None:
-                holder.address_rivals.add(engine_id)
+            if owner_entry is not None:
+                owner_entry.address_rivals.add(engine_id)
             return False
         self.owner_by_address[address] = engine_id
         entry = self.published[engine_id]
         entry.address_rivals.add(owner)
-        if holder is not None:
-            entry.address_rivals |= holder.address_rivals - {engine_id}
-            holder.address_rivals.clear()
+        if owner_entry is not None:
+            entry.address_rivals |= owner_entry.address_rivals - {engine_id}
+            owner_entry.address_rivals.clear()
         if owner not in queue:
             queue.append(owner)
         return True
 
     def _address_rank(self, claims: list[SourceClaim]) -> tuple[int, int]:
-        """Which claim keeps an address: the earlier source's, and within one the later registration."""
+        """Return the rank of a claim on an address: by precedence of the source, then by registration."""
         view, claim = claims[0]
         return (-view.precedence, claim.observation.registration_index)
 
     def _release_address(self, engine_id: str, entry: PublishedEngine, queue: list[str]) -> None:
-        """The engine leaves its address: those that claim it are evaluated anew."""
+        """Release the engine's address, and queue the other engines that claim it for evaluation."""
         if entry.address is not None and self.owner_by_address.get(entry.address) == engine_id:
             del self.owner_by_address[entry.address]
             queue += [rival for rival in sorted(entry.address_rivals) if rival not in queue]
             entry.address_rivals.clear()
 
     def status_rows(self, now: float) -> list[CatalogRow]:
-        """All engines that a source lists, by id."""
+        """Return a row for each engine that a source lists, sorted by id."""
         rows = []
         for engine_id, entry in sorted(self.published.items()):
             claims = self._claims(engine_id)
             if not claims:
                 continue
-            worst = next((n for n in claims if n[1].state is not EngineState.LIVE), claims[0])
-            view, claim = worst
+            deciding_claim = next((n for n in claims if n[1].state is not EngineState.LIVE), claims[0])
+            view, claim = deciding_claim
             rows.append(
                 CatalogRow(
                     id=engine_id,
@@ -281,14 +315,14 @@
                     index=claim.index,
                     since=claim.since,
                     age_ms=now - view.last_answer_at,
-                    is_held=claim.is_held,
+                    is_loss_deferred=claim.is_loss_deferred,
                 )
             )
         return rows
 
 
 def _merge(engine_id: str, claims: list[SourceClaim], state: EngineState) -> Engine:
-    """The engine as the first claim describes it, with the latest start of all."""
+    """Return the engine as the first claim describes it, with the latest start of all claims."""
     observation = claims[0][1].observation
     return Engine(
         engine_id,
--- a/cottonhold/discovery/event_stream.py
+++ b/cottonhold/discovery/event_stream.py
@@ -1,4 +1,4 @@
-"""The event stream: changes of the engine list, read by a long poll that is always open."""
+"""The event stream: changes of the engine list, received by continuous long polling. Free of I/O."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from cottonhold.message_validation import NUMBER, WireError, read, word
 from cottonhold.observe.counters import Counters
 
-# Short, so that a silently cut link is noticed well within the 7 s in which a change must be known.
+# Short enough to detect a silently broken link well within the 7 s in which a change must be received.
 LONG_POLL_MS = 2000
-# The first call of a connection is shorter: a link that broke may come back dead, and a change must be known
-# within 2 s of a break, or of another process taking over.
+# The first poll of a connection is shorter: a new connection after a broken link may be dead as well, and a
+# change must be received within 2 s of the break, or of another process taking over.
 FIRST_POLL_MS = 500
-# An answer that hasn't begun so long after the poll's time, or pauses so long, means a dead link.
+# The link is regarded as dead if an answer begins later than this after the poll's time, or pauses as long.
 FIRST_BYTE_TIMEOUT_MS = 1000.0
-MAX_ANSWER_MS = 4000.0  # from then on, however steadily it comes
+MAX_ANSWER_MS = 4000.0  # from the deadline of an answer's first byte to its end, even if it never pauses
 MAX_ANSWER_BYTES = 4 << 20
 STATUS_BY_LIFECYCLE = {
     "Ready": ServiceStatus.IN_SERVICE,
@@ -30,7 +30,15 @@
 
 
 def decode_engine(source: dict[str, Any], names: ConfiguredNames) -> Observation:
-    """One entry of the list; a zone or machine type that the settings do not name counts as the first."""
+    """Decode one entry of the engine list.
+
+    Args:
+        source: The entry, as parsed from JSON.
+        names: The configured zones and machine types; an unknown name is replaced by the first.
+
+    Raises:
+        WireError: A field is missing or invalid.
+    """
     address = read(source, "hostPort", str, "")
     return Observation(
         id=read(source, "instanceId", str),
@@ -48,11 +56,18 @@
 def decode_events(
     source: Any, names: ConfiguredNames, counters: Counters, log: Callable[[str], None] = lambda text: None
 ) -> tuple[int, list[SourceReport]]:
-    """The last event's sequence number and the report of each; an invalid entry is counted and skipped."""
+    """Decode an answer of the event stream; invalid events and entries are counted, logged and skipped.
+
+    Returns:
+        The sequence number of the last event, and a report for each event that changes the engine list.
+
+    Raises:
+        WireError: The answer as a whole is invalid.
+    """
 
     def malformed(error: Exception) -> None:
         counters.add("bus_malformed")
-        log(f"event bus: passed over: {str(error)!r}")
+        log(f"event bus: skipped an invalid entry: {str(error)!r}")
 
     if not isinstance(source, dict):
         raise WireError("not an object")
@@ -60,7 +75,7 @@
     for event in read(source, "batch", list, []):
         try:
             topology = read(event, "topology", dict, None) if isinstance(event, dict) else None
-            if topology is None:  # another kind of event
+            if topology is None:  # an event of another kind
                 continue
             entries = read(topology, "instances", list, [])
             is_complete = read(topology, "reset", bool, False) or event.get("offset") == 1
@@ -80,7 +95,12 @@
 
 
 class EventStream:
-    """Polls for what follows the last event and passes reports on; knows no socket."""
+    """Polls for the events after `offset`, and passes their reports to `on_report`.
+
+    The caller owns the connection: it sends `request()`, and passes received bytes to `receive` and the
+    connection's end to `on_connection_closed`. It continues with the next request while
+    `is_connection_reusable`, and calls `restart` for each new connection.
+    """
 
     def __init__(
         self,
@@ -93,36 +113,39 @@
     ) -> None:
         self.host, self.offset, self.names, self.counters = host, offset, names, counters
         self.on_report, self.log = on_report, log
-        self.is_short_call_unanswered = False  # the last call, a short one
-        # Called for each complete answer, even if it brings nothing new.
+        self.is_short_poll_unanswered = False  # whether the last poll was short and had no answer
+        # Called for each complete answer, even if it contains nothing new.
         self.on_complete_answer: Callable[[], None] = lambda: None
         self.restart()
 
     def restart(self) -> None:
-        """Begin a new connection: a partial answer of the old one is dropped."""
+        """Prepare for a new connection, and discard a partial answer of the previous one."""
         self.parser = httptools.HttpResponseParser(self)
-        self.body, self.is_complete, self.keeps_connection, self.has_length = bytearray(), False, True, False
-        # If answers are slow, a short call might never get one, so that every second call is long.
-        self.max_poll_ms = LONG_POLL_MS if self.is_short_call_unanswered else FIRST_POLL_MS
-        self.is_short_call_unanswered = False
+        self.body, self.is_complete, self.is_connection_reusable, self.has_length = (
+            bytearray(),
+            False,
+            True,
+            False,
+        )
+        # If answers are slow, a short poll might never be answered: the poll after it is long.
+        self.max_poll_ms = LONG_POLL_MS if self.is_short_poll_unanswered else FIRST_POLL_MS
+        self.is_short_poll_unanswered = False
 
     def request(self) -> bytes:
-        """The next call."""
+        """Return the bytes of the next poll."""
         self.is_complete = self.has_length = False
-        self.is_short_call_unanswered = self.max_poll_ms == FIRST_POLL_MS
+        self.is_short_poll_unanswered = self.max_poll_ms == FIRST_POLL_MS
         call = (
             f"GET /bus/read?from={self.offset}&hold={self.max_poll_ms} HTTP/1.1\r\nHost: {self.host}\r\n\r\n"
         )
         return call.encode()
 
     def first_byte_timeout_ms(self) -> float:
-        """How long the answer to a call may take to begin."""
+        """Return how long after the request the answer may begin, in ms."""
         return self.max_poll_ms + FIRST_BYTE_TIMEOUT_MS
 
     def receive(self, data: bytes) -> bool:
-        """Parse received bytes; true once the answer is complete. Raises WireError for one that can't be
-        used.
-        """
+        """Parse received bytes; return whether the answer is complete. Raises WireError if it is invalid."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -132,15 +155,19 @@
         return self.is_complete
 
     def on_connection_closed(self) -> None:
-        """The connection has ended, and with it an answer without a length. Else raises WireError."""
+        """Process the end of the connection, which also ends an answer without a length.
+
+        Raises:
+            WireError: There is no such answer.
+        """
         if self.has_length or not self.body:
             raise WireError("the event bus closed the connection")
-        self.keeps_connection = False
+        self.is_connection_reusable = False
         self._on_answer()
 
     def _on_answer(self) -> None:
-        """Pass on the reports of a complete answer."""
-        self.is_short_call_unanswered, self.max_poll_ms = False, LONG_POLL_MS
+        """Decode a complete answer and pass on its reports."""
+        self.is_short_poll_unanswered, self.max_poll_ms = False, LONG_POLL_MS
         status, body = self.parser.get_status_code(), bytes(self.body)
         self.body.clear()
         try:
@@ -149,7 +176,7 @@
             offset, reports = decode_events(orjson.loads(body), self.names, self.counters, self.log)
         except (orjson.JSONDecodeError, WireError) as error:
             self._malformed(error)
-        if offset > self.offset:  # an answer that brings nothing new must not be passed on twice
+        if offset > self.offset:  # events that were already passed on must not be passed on again
             self._report(offset, reports)
         if offset == self.offset:
             self.on_complete_answer()
@@ -157,7 +184,7 @@
     def _report(self, offset: int, reports: list[SourceReport]) -> None:
         last_offset, self.offset = self.offset, offset
         for report in sorted(reports, key=lambda report: report.index):
-            # A repeated event of an engine before its drain must not put it back in service.
+            # A repeated event from before an engine's drain must not return it to service.
             if not 0 < report.index <= last_offset:
                 self.on_report(report)
 
@@ -166,16 +193,16 @@
         raise WireError(f"event bus: {error}") from error
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header of the answer (httptools calls this)."""
+        """Process a header of the answer; called by httptools."""
         self.has_length = self.has_length or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_body(self, data: bytes) -> None:
-        """Part of the answer (httptools calls this)."""
+        """Process a part of the answer's body; called by httptools."""
         if len(self.body) + len(data) > MAX_ANSWER_BYTES:
-            raise WireError("an answer too large")
+            raise WireError("the answer is too large")
         self.body += data
 
     def on_message_complete(self) -> None:
-        """The answer is complete (httptools calls this); an interim one doesn't count."""
+        """Record that the answer is complete, unless it is an interim one; called by httptools."""
         self.is_complete = self.parser.get_status_code() >= 200
-        self.keeps_connection = self.parser.should_keep_alive()
+        self.is_connection_reusable = self.parser.should_keep_alive()
--- a/cottonhold/discovery/model.py
+++ b/cottonhold/discovery/model.py
@@ -1,8 +1,9 @@
-"""What sources report of engines, in one form whatever the source, and what is published of it. Pure.
+"""Types shared by all discovery sources: what they report, and what is published. Pure.
 
-Times are milliseconds of the caller's clock, but for an observation's `started_at`. An *observation* is what
-one answer of one source says of one engine; a *report* is such an answer; a *change* is what the dispatcher's
-other parts receive."""
+An *observation* is the state of one engine in one answer of one source. A *report* is one answer. A *change*
+is what the other parts of the dispatcher receive. Times are in ms on the caller's clock, except for an
+observation's `started_at`.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +25,13 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """An address written as host:port, with an IPv6 host in brackets. Raises WireError."""
+        """Parse `host:port`, with an IPv6 host in brackets. Raises WireError if the text isn't valid."""
         host, mark, port = text.rpartition(":")
         if host.startswith("[") and host.endswith("]"):
             host = host[1:-1]
         elif ":" in host:
-            host = ""  # without brackets the end of an IPv6 address is unknown
-        # isascii() too, since isdigit() is true of digits that int() does not take.
+            host = ""  # ambiguous: an IPv6 address without brackets
+        # isdigit() is also true for some characters that int() rejects, such as superscripts.
         port_number = int(port) if port.isascii() and port.isdigit() and len(port) < 6 else 0
         if not mark or not host or not 0 < port_number < 65536:
             raise WireError(f"'{text}' is no address")
@@ -40,7 +41,7 @@
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
     def is_ip_address(self) -> bool:
-        """Whether the host is an IP address, so that no name need be looked up."""
+        """Whether the host is an IP address, so that no DNS lookup is needed."""
         try:
             ipaddress.ip_address(self.host)
         except ValueError:
@@ -50,7 +51,13 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineListChange:
-    """Engines as they count from now on: the complete list or what changed, with the addresses."""
+    """The engines' new states.
+
+    Attributes:
+        engines: The complete engine list, or only the engines that changed.
+        addresses: The address of each engine by its id, as far as it is known.
+        is_complete: Whether `engines` replaces the whole list.
+    """
 
     engines: tuple[Engine, ...]
     addresses: dict[str, Address]
@@ -59,40 +66,51 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfiguredNames:
-    """The settings' names of zones and machine types, which engine lists use."""
+    """The configured names of zones and machine types, which sources refer to."""
 
     zones: tuple[str, ...]
     machine_types: tuple[str, ...]
 
     def zone_index(self, name: str) -> int:
-        """A zone's position; one that the settings do not name counts as the first."""
+        """Return the position of a zone; 0 if the name isn't configured."""
         return self.zones.index(name) if name in self.zones else 0
 
     def machine_type_index(self, name: str) -> int:
-        """A machine type's position; one that the settings do not name counts as the first."""
+        """Return the position of a machine type; 0 if the name isn't configured."""
         return self.machine_types.index(name) if name in self.machine_types else 0
 
 
 class ServiceStatus(Enum):
-    """What a source says of an engine.
-
-    UNHEALTHY is a symptom (a check fails), and symptoms of many engines at once are more likely the
-    observer's own. DRAINED and ENDED are somebody's decisions and are not weighed against anything."""
+    """The status of an engine as a source reports it."""
 
     IN_SERVICE = "in service"
+    # A health check fails. If that is reported of many engines at the same time, the observer is more likely
+    # to be at fault, so `SourceGuard.min_in_service` limits the effect.
     UNHEALTHY = "troubled"
+    # Drained on purpose; always applied.
     DRAINED = "drained"
+    # Ended or no longer listed.
     ENDED = "ended"
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """What an answer says of one engine.
-
-    `process_id` distinguishes processes: equal texts that are not empty prove that it is the same one.
-    `registration_index` orders the registrations of one id or one address, where the source knows.
-    `started_at` is a stamp of a clock elsewhere, in milliseconds of Unix time, and 0 where there is none;
-    `start_times` converts it."""
+    """The state of one engine in one answer of a source.
+
+    Attributes:
+        id: The engine's id.
+        status: The reported status.
+        reason: The source's reason for the status, for the log.
+        address: The engine's address, if known.
+        zone: The position of the zone in the configuration.
+        machine_type: The position of the machine type in the configuration.
+        cell: The number of the cell.
+        size: The engine's capacity relative to others.
+        process_id: Identifies the process; equal and not empty means that it is the same process.
+        registration_index: Orders the registrations of one id or one address; 0 if unknown.
+        started_at: When the process started, in ms of Unix time on a remote clock; 0 if unknown.
+            `start_times` converts it to the local clock.
+    """
 
     id: str
     status: ServiceStatus
@@ -109,10 +127,16 @@
 
 @dataclass(slots=True, frozen=True)
 class SourceReport:
-    """One answer of a source: what has changed since its last one, or with `is_complete` all there is.
+    """One answer of a source.
 
-    `absent` names engines that a source which compares its own answers no longer lists. `is_confirmed`: a
-    second, consistent reading agrees on what is absent."""
+    Attributes:
+        source: The name of the source.
+        index: The source's index or sequence number of the answer.
+        observations: The engines that changed since the last answer, or all if `is_complete`.
+        absent: Ids of engines that are no longer listed.
+        is_complete: Whether engines that `observations` doesn't name are absent.
+        is_confirmed: Whether a consistent read has confirmed that the `absent` engines are absent.
+    """
 
     source: str
     index: int
@@ -123,8 +147,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SourceLost:
-    """A source can't be reached, or what it answers can't be used: its last list stays in force."""
+class SourceUnavailable:
+    """A source can't be reached, or its answer can't be used; its last list remains in effect."""
 
     source: str
     reason: str
@@ -132,13 +156,20 @@
 
 @dataclass(slots=True, frozen=True)
 class SourceGuard:
-    """How far one source is trusted.
-
-    is_trusted: what it reports counts as it is (the event stream: its entries are decisions, not symptoms).
-    min_in_service: of the engines not drained, the share that symptoms and absences can't take out of
-    service. min_quiet_ms: how long the first return must wait; it doubles with each recent failure, up to
-    `max_quiet_ms`. flap_half_life_ms: of the count of failures. jitter: up to this part more quiet time, so
-    that dispatchers which saw the same failure don't all return to a cold engine at the same moment."""
+    """The safeguards that apply to one source.
+
+    Attributes:
+        is_trusted: Apply all reports without the safeguards below, as for the event stream, whose entries are
+            decisions and not the results of checks.
+        min_in_service: The share of the engines not drained, 0 to 1, that failed checks and absences can't
+            take out of service.
+        min_quiet_ms: Time for which an engine must be healthy before it returns after a single failure, in
+            ms. It doubles with each further recent failure.
+        max_quiet_ms: The upper limit of that time before jitter, in ms.
+        flap_half_life_ms: Time in which the count of an engine's failures decays by half, in ms.
+        jitter: The largest random addition to the quiet time, as a fraction of it, so that dispatchers which
+            saw the same failure don't all send queries to a cold engine at the same moment.
+    """
 
     is_trusted: bool = False
     min_in_service: float = 0.5
@@ -150,14 +181,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PublishChange:
-    """Tell the gateway of a change of the list."""
+    """Publish a change of the engine list to the gateway."""
 
     change: EngineListChange
 
 
 @dataclass(slots=True, frozen=True)
 class ConfirmAbsence:
-    """Query the source once more, by a consistent reading, whether these engines are really absent."""
+    """Query the source again, by a consistent read, to confirm that these engines are absent."""
 
     source: str
     absent: tuple[str, ...]
@@ -165,12 +196,18 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """An event for the operators' log, with its fields. counted_as: its counter's name, if not the event."""
+    """An event for the operators' log.
+
+    Attributes:
+        event: The name of the event.
+        fields: The fields of the log line.
+        counted_as: The name of the event's counter, if it differs from the event's name.
+    """
 
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
     counted_as: str = ""
 
 
-Event = SourceReport | SourceLost
+Event = SourceReport | SourceUnavailable
 Action = PublishChange | ConfirmAbsence | LogEvent
--- a/cottonhold/discovery/quarantine.py
+++ b/cottonhold/discovery/quarantine.py
@@ -1,8 +1,9 @@
-"""Engines that get nothing new whatever sources report, since the fleet replaces them. Pure.
+"""Quarantined engines: published as draining while the fleet replaces them, whatever sources report. Pure.
 
-A quarantine lies over the list of `engine_catalog`, so no source's guard, address or end is affected by it,
-and what the list says counts again once it ends. It only ever makes a live engine a draining one: the most
-cautious statement wins here too."""
+The quarantine is applied to the output of `engine_catalog`, so it affects neither the sources' safeguards nor
+the ownership of addresses, and the catalog's state applies again once the quarantine ends. It can only change
+a live engine to a draining one: the most cautious state wins, as in the catalog.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +15,19 @@
 
 
 class Quarantine:
-    """Feed it each change of the list; it returns what is published instead."""
+    """Replaces quarantined engines in each change of the engine list.
+
+    `on_change` must receive every change; `quarantine` and `release` return an additional change to publish.
+    """
 
     def __init__(self) -> None:
-        self.listed: dict[str, Engine] = {}  # as the list has them, without those that were removed
+        self.listed: dict[str, Engine] = {}  # the catalog's engines, without removed ones
         self.quarantined: set[str] = set()
-        self.started_at: dict[str, float] = {}  # by engine: start of its present process, on the own clock
+        # Start times of processes that replaced the one listed, by engine, on the local clock.
+        self.started_at: dict[str, float] = {}
 
     def on_change(self, change: EngineListChange) -> EngineListChange:
-        """A change of the list, as it is to be published."""
+        """Return a change of the engine list as it is to be published."""
         if change.is_complete:
             self.listed.clear()
         for engine in change.engines:
@@ -34,16 +39,23 @@
         return replace(change, engines=tuple(self._published(engine) for engine in change.engines))
 
     def quarantine(self, engine: str) -> EngineListChange | None:
-        """Send nothing new to an engine from now on, listed or not; returns what is to be published, if
-        anything."""
+        """Start a quarantine of an engine, listed or not; return the change to publish, if any."""
         if engine in self.quarantined:
             return None
         self.quarantined.add(engine)
         return self._republish(engine)
 
     def release(self, engine: str, restarted_at: float = 0.0) -> EngineListChange | None:
-        """End a quarantine. restarted_at: start of another process, on the own clock; 0: it is the same
-        one."""
+        """End the quarantine of an engine.
+
+        Args:
+            engine: The engine's id.
+            restarted_at: When its new process started, in ms on the local clock; 0 if the process is the same
+                as before.
+
+        Returns:
+            The change to publish, if any.
+        """
         if engine not in self.quarantined:
             return None
         self.quarantined.discard(engine)
@@ -52,7 +64,7 @@
         return self._republish(engine)
 
     def live_engines(self) -> Mapping[str, Engine]:
-        """Engines that the list has in service and that are not quarantined."""
+        """Return the engines that are in service and not quarantined, by id."""
         return {
             engine_id: engine
             for engine_id, engine in self.listed.items()
@@ -69,6 +81,6 @@
         if engine.state is EngineState.REMOVED:
             return engine
         started_at = max(engine.started_at, self.started_at.get(engine.id, 0.0))
-        is_held_back = engine.state is EngineState.LIVE and engine.id in self.quarantined
-        state = EngineState.DRAINING if is_held_back else engine.state
+        is_quarantined = engine.state is EngineState.LIVE and engine.id in self.quarantined
+        state = EngineState.DRAINING if is_quarantined else engine.state
         return replace(engine, state=state, started_at=started_at)
--- a/cottonhold/discovery/source_view.py
+++ b/cottonhold/discovery/source_view.py
@@ -1,15 +1,16 @@
-"""One source's claims on engines, after its guards: the floor, flap damping, and cold starts. Pure.
-
-A source that is not trusted is guarded in three ways:
-
-- *Floor*: symptoms and absences can't take more than a share of the engines out of service. Losses beyond
-  that are held: the engine stays in service until enough others are, it recovers, or a second reading
-  confirms that it is absent. One observer that sees everything fail is more likely broken than everything
-  is, and the scheduler's own failure evidence (refused connects, silence, errors) still shows which engines
-  really are.
-- *Flap damping*: a loss takes effect at once; a return needs quiet time (damping.py).
-- *Cold start*: an engine that returns counts as a new process, which has nothing cached, unless the source
-  proves that it is the old one.
+"""One source's view of the engines, with the safeguards against a faulty source applied. Pure.
+
+Three safeguards apply to a source that is not trusted:
+
+- *Minimum in service*: failed checks and absences can't take more than a configured share of the engines out
+  of service. Losses beyond that are deferred: the engine stays in service until enough other engines are in
+  service, it recovers, or a consistent read confirms that it is absent. If all engines seem to fail at the
+  same time, the observer is more likely to be at fault than the engines, and the scheduler still detects the
+  engines that really failed (refused connections, time-outs, errors).
+- *Flap damping*: a loss takes effect immediately; an engine returns only after it was healthy for a quiet
+  time (damping.py).
+- *Cold start*: an engine that returns is treated as a new process with empty caches, unless the source proves
+  that it is the same process as before.
 """
 
 from __future__ import annotations
@@ -17,19 +18,18 @@
 import math
 import random
 from collections.abc import Iterable
-from dataclasses import dataclass, replace
-from typing import NamedTuple
+from dataclasses import replace
 
+from cottonhold.discovery.claim import Claim, PastStart
 from cottonhold.discovery.damping import FlapDamping
 from cottonhold.discovery.model import (
-    Address,
     ConfirmAbsence,
     LogEvent,
     Observation,
     ServiceStatus,
     SourceGuard,
-    SourceLost,
     SourceReport,
+    SourceUnavailable,
 )
 from cottonhold.discovery.start_times import StartTimes
 from cottonhold.scheduler.events import EngineState
@@ -40,60 +40,34 @@
     ServiceStatus.DRAINED: EngineState.DRAINING,
     ServiceStatus.ENDED: EngineState.REMOVED,
 }
-LOSSES = (ServiceStatus.UNHEALTHY, ServiceStatus.ENDED)  # what the floor limits
-MAX_PAST_STARTS = 1024  # removed engines whose starts are remembered
-
-
-class PastStart(NamedTuple):
-    """The start of an engine that was removed: the source's stamp, and the time on the own clock."""
-
-    stamp: float
-    started_at: float
-
-
-@dataclass(slots=True)
-class Claim:
-    """What a source says of an engine and what follows from it.
-
-    observation: the last one; state: what it amounts to now. returns_at: when a return counts (infinity: none
-    is due). is_held: the floor keeps the last observation from counting. process_id, registration_index and
-    address are of the process that served last; started_at is its start on the own clock, derived from
-    start_stamp."""
-
-    observation: Observation
-    state: EngineState
-    since: float
-    last_seen_at: float
-    index: int
-    started_at: float
-    start_stamp: float
-    process_id: str
-    registration_index: int
-    address: Address | None
-    returns_at: float = math.inf
-    is_held: bool = False
+LOSSES = (ServiceStatus.UNHEALTHY, ServiceStatus.ENDED)  # the statuses that `min_in_service` limits
+MAX_PAST_STARTS = 1024  # number of removed engines whose start times are kept
 
 
 class SourceView:
-    """All claims of one source."""
+    """All claims of one source, with its safeguards applied.
+
+    `on_report`, `on_source_unavailable` and `step` change the claims. Afterwards `changed_engines` names the
+    engines to evaluate again, and `actions` holds log events and reads to request; the caller clears both.
+    """
 
     def __init__(self, name: str, precedence: int, guard: SourceGuard, seed: int, unix_offset: float) -> None:
         self.name, self.precedence, self.guard = name, precedence, guard
         self.start_times = StartTimes(unix_offset)
         self.damping = FlapDamping(guard, random.Random(f"{seed}/{name}"))
         self.claims: dict[str, Claim] = {}
-        self.return_times: dict[str, float] = {}  # by engine: when its return counts
-        self.held_losses: dict[str, Claim] = {}
+        self.return_times: dict[str, float] = {}  # by engine: when its quiet time ends
+        self.deferred_losses: dict[str, Claim] = {}
         self.past_starts: dict[str, PastStart] = {}  # of removed engines
-        self.in_service_count = 0  # by the last observations that count
-        self.unhealthy_count = 0
+        self.in_service_count = 0  # engines whose last applied observation is IN_SERVICE
+        self.unhealthy_count = 0  # engines whose last applied observation is in LOSSES
         self.index, self.answer_count, self.last_answer_at = 0, 0, 0.0
         self.unreachable_since, self.unreachable_reason = math.inf, ""
         self.changed_engines: set[str] = set()
         self.actions: list[LogEvent | ConfirmAbsence] = []
 
     def on_report(self, now: float, report: SourceReport) -> None:
-        """Apply a report. The engines that may have changed are in `changed_engines` afterwards."""
+        """Apply a report, and add the engines that may have changed to `changed_engines`."""
         if self.unreachable_since < math.inf:
             self._log(
                 "source_recovered", counted_as="source_back", after_ms=round(now - self.unreachable_since)
@@ -105,7 +79,7 @@
         if report.is_complete:
             named = {observation.id for observation in report.observations}
             absent += [engine_id for engine_id in self.claims if engine_id not in named]
-        lost = [
+        absences = [
             (engine_id, self._as_absent(engine_id))
             for engine_id in dict.fromkeys(absent)
             if engine_id in self.claims
@@ -115,16 +89,17 @@
             if self._on_observation(now, observation, report.index, is_first):
                 losses.append((observation.id, observation))
         if report.is_confirmed:
-            for engine_id, observation in lost:
+            for engine_id, observation in absences:
                 self._remove(now, engine_id, observation, "a consistent reading agrees")
         else:
-            losses += lost
+            losses += absences
         self._on_losses(now, losses, report.index, report.is_confirmed)
-        if not self.guard.is_trusted:  # of the event stream many reports may make up one answer
+        # A complete answer of the event stream, which is trusted, may be divided into many reports.
+        if not self.guard.is_trusted:
             self.start_times.on_complete_answer(now)
 
-    def on_lost(self, now: float, event: SourceLost) -> None:
-        """The source can't be reached: log it once, and again if the reason changes; keep all claims."""
+    def on_source_unavailable(self, now: float, event: SourceUnavailable) -> None:
+        """Log that the source is unavailable, and again only if the reason changes; keep all claims."""
         if self.unreachable_since == math.inf:
             self.unreachable_since = now
             self._log("source_lost", reason=event.reason, known_engines=len(self.claims), index=self.index)
@@ -133,16 +108,16 @@
         self.unreachable_reason = event.reason
 
     def step(self, now: float) -> None:
-        """Return engines to service that have been quiet for long enough, and count held losses that may."""
+        """Return engines to service whose quiet time has ended, and apply deferred losses if possible."""
         for engine_id in [engine_id for engine_id, at in self.return_times.items() if at <= now]:
             claim = self.claims[engine_id]
             del self.return_times[engine_id]
             claim.returns_at = math.inf
             self._put_in_service(now, claim, claim.observation, "quiet for long enough")
-        self._apply_held_losses(now)
+        self._apply_deferred_losses(now)
 
     def next_at(self) -> float:
-        """When `step` has something to do; infinity if never."""
+        """Return the time at which `step` is due; infinity if there is none."""
         return min(self.return_times.values(), default=math.inf)
 
     def _as_absent(self, engine_id: str) -> Observation:
@@ -151,12 +126,13 @@
         )
 
     def _on_observation(self, now: float, observation: Observation, index: int, is_first: bool) -> bool:
-        """Apply an observation of one engine; true for a loss that min_in_service must allow first."""
+        """Apply an observation of one engine; return true for a loss that `min_in_service` may defer."""
         claim = self.claims.get(observation.id)
         if claim is None:
             return self._add_claim(now, observation, index, is_first)
         claim.last_seen_at, claim.index = now, index
-        # A loss is kept apart: an engine in service only because its loss is held must not count as healthy.
+        # A loss isn't stored as the observation yet: an engine that is in service only because its loss is
+        # deferred must not be counted as healthy.
         if observation.status in LOSSES:
             if self.guard.is_trusted or claim.state is not EngineState.LIVE:
                 self._apply_loss(now, claim, observation)
@@ -172,16 +148,17 @@
         return False
 
     def _add_claim(self, now: float, observation: Observation, index: int, is_first: bool) -> bool:
-        """Add a new engine. It counts as cold, unless it was listed at this dispatcher's own start.
+        """Add a new engine; one without a stamp in the first answer is regarded as started long ago.
 
-        One that is unhealthy from the start is out of service: no earlier list could stay in force.
+        An engine whose first observation is unhealthy is out of service: there is no earlier state that could
+        remain in effect.
         """
         if observation.status is ServiceStatus.ENDED:
             return False
         started = 0.0 if is_first and observation.started_at <= 0 else self._derive_start(now, observation)
         past = self.past_starts.pop(observation.id, PastStart(0.0, 0.0))
         if self.guard.is_trusted and observation.started_at == past.stamp > 0:
-            # An engine that was off the list for a while but kept running is no new process.
+            # The same stamp proves that the engine kept running while it wasn't listed.
             started = past.started_at
         state = STATE_BY_STATUS[observation.status]
         claim = Claim(
@@ -206,14 +183,13 @@
         return False
 
     def _on_still_in_service(self, now: float, claim: Claim, observation: Observation) -> None:
-        """An engine in service is reported again: the same process, or another under its id."""
+        """Update an engine in service that is reported again, by the same or by a new process."""
         if self.guard.is_trusted:
             started = self._trusted_start(now, claim, observation)
         elif self._is_same_process(claim, observation):
             started = claim.started_at
             if started <= 0 < observation.started_at:
-                # A list from before this dispatcher's start knows no starts; an engine may have restarted
-                # since.
+                # The initial list has no start times, and the engine may have restarted since then.
                 started = self._derive_start(now, observation)
         else:
             started = self._derive_start(now, observation)
@@ -227,24 +203,26 @@
         self.changed_engines.add(observation.id)
 
     def _is_same_process(self, claim: Claim, observation: Observation) -> bool:
-        """Whether it can still be the process that served last, as nothing else was reported in between."""
+        """Whether the observation can be of the process that served last."""
         if claim.process_id and observation.process_id:
             return claim.process_id == observation.process_id and claim.address == observation.address
-        # A list from the configuration has no registrations (0), so only the address is compared.
+        # An engine list from the configuration has no registration indexes (0): compare the address only.
         return (
             claim.registration_index in (0, observation.registration_index)
             and claim.address == observation.address
         )
 
     def _derive_start(self, now: float, observation: Observation) -> float:
-        """When a process not seen before started, on the own clock. Without a stamp it started long ago where
-        the source is trusted, and now where it isn't."""
+        """Return the start of a new process on the local clock.
+
+        Without a stamp that is long ago (0) for a trusted source, and `now` for any other.
+        """
         if observation.started_at > 0:
             return self.start_times.local_start(now, observation.started_at)
         return 0.0 if self.guard.is_trusted else now
 
     def _trusted_start(self, now: float, claim: Claim, observation: Observation) -> float:
-        """The start of an engine reported again: the same stamp is the same process, and its start stays."""
+        """Return the start of an engine reported again; an unchanged stamp means the same process."""
         if observation.started_at == claim.start_stamp:
             return claim.started_at
         return self._derive_start(now, observation)
@@ -285,7 +263,7 @@
         )
 
     def _drain(self, now: float, claim: Claim, observation: Observation) -> None:
-        """Send nothing new from now on; what runs there may end."""
+        """Drain the engine: no new queries; those in progress may finish."""
         if claim.state is EngineState.LIVE or claim.returns_at < math.inf:
             self._count_failure(observation.id, now)
             self._log(
@@ -303,7 +281,7 @@
 
     def _remove(self, now: float, engine_id: str, observation: Observation, reason: str) -> None:
         claim = self.claims.pop(engine_id)
-        self._release_loss(engine_id, claim)
+        self._end_deferral(engine_id, claim)
         self._count_status(claim.observation.status, -1)
         self.return_times.pop(engine_id, None)
         if claim.start_stamp > 0:
@@ -321,32 +299,32 @@
             self.damping.on_failure(engine_id, now)
 
     def _apply_loss(self, now: float, claim: Claim, observation: Observation) -> None:
-        """Let a loss count."""
+        """Take the engine out of service, or remove it if it ended."""
         if observation.status is ServiceStatus.ENDED:
             self._remove(now, observation.id, observation, "")
         else:
-            self._release_loss(observation.id, claim)
+            self._end_deferral(observation.id, claim)
             self._set_observation(claim, observation)
             self._drain(now, claim, observation)
 
     def _on_losses(
         self, now: float, losses: Iterable[tuple[str, Observation]], index: int, is_confirmed: bool
     ) -> None:
-        """Apply the losses of one answer: together with those held before, all of them count or none."""
+        """Apply the losses of one answer and all deferred ones, either all together or none of them."""
         known = [(engine_id, observation) for engine_id, observation in losses if engine_id in self.claims]
         for engine_id, observation in known:
             claim = self.claims[engine_id]
             if claim.state is not EngineState.LIVE or self.guard.is_trusted:
                 self._apply_loss(now, claim, observation)
-            elif claim.is_held:
+            elif claim.is_loss_deferred:
                 claim.observation = observation
             else:
-                self._hold_loss(claim, observation)
-        if self._apply_held_losses(now) and known:
+                self._defer_loss(claim, observation)
+        if self._apply_deferred_losses(now) and known:
             self._log(
                 "engine_losses_held",
                 counted_as="floor_holds",
-                held=len(self.held_losses),
+                held=len(self.deferred_losses),
                 unhealthy=self.unhealthy_count,
                 in_service=self.in_service_count,
                 index=index,
@@ -354,39 +332,39 @@
         absent = tuple(
             sorted(
                 engine_id
-                for engine_id, c in self.held_losses.items()
+                for engine_id, c in self.deferred_losses.items()
                 if c.observation.status is ServiceStatus.ENDED
             )
         )
         if absent and not is_confirmed:
             self.actions.append(ConfirmAbsence(self.name, absent))
 
-    def _apply_held_losses(self, now: float) -> bool:
-        """Let held losses count if enough engines stay in service without them; whether some are still held.
+    def _apply_deferred_losses(self, now: float) -> bool:
+        """Apply all deferred losses if enough engines remain in service; return whether any remain deferred.
 
-        Healthy engines that wait for their quiet time serve nothing yet, so they don't count as in service.
+        Healthy engines in their quiet time receive no queries, so they don't count as in service.
         """
-        listed = self.in_service_count + self.unhealthy_count + len(self.held_losses)
+        listed = self.in_service_count + self.unhealthy_count + len(self.deferred_losses)
         remaining = self.in_service_count - len(self.return_times)
         if remaining >= max(1, math.ceil(listed * self.guard.min_in_service - 1e-9)):
-            for engine_id in list(self.held_losses):
-                self._apply_loss(now, self.claims[engine_id], self.held_losses[engine_id].observation)
-        return bool(self.held_losses)
+            for engine_id in list(self.deferred_losses):
+                self._apply_loss(now, self.claims[engine_id], self.deferred_losses[engine_id].observation)
+        return bool(self.deferred_losses)
 
-    def _hold_loss(self, claim: Claim, observation: Observation) -> None:
+    def _defer_loss(self, claim: Claim, observation: Observation) -> None:
         self._count_status(claim.observation.status, -1)
-        claim.is_held, claim.observation = True, observation
-        self.held_losses[observation.id] = claim
-
-    def _release_loss(self, engine_id: str, claim: Claim) -> None:
-        """Hold a loss no longer. Its status isn't counted until `_set_observation` or the removal."""
-        if claim.is_held:
-            del self.held_losses[engine_id]
-            claim.is_held = False
+        claim.is_loss_deferred, claim.observation = True, observation
+        self.deferred_losses[observation.id] = claim
+
+    def _end_deferral(self, engine_id: str, claim: Claim) -> None:
+        """End the deferral of a loss, and count the claim's status again until the caller replaces it."""
+        if claim.is_loss_deferred:
+            del self.deferred_losses[engine_id]
+            claim.is_loss_deferred = False
             self._count_status(claim.observation.status, 1)
 
     def _set_observation(self, claim: Claim, observation: Observation) -> None:
-        self._release_loss(observation.id, claim)
+        self._end_deferral(observation.id, claim)
         self._count_status(claim.observation.status, -1)
         claim.observation = observation
         self._count_status(observation.status, 1)
--- a/cottonhold/membership/__init__.py
+++ b/cottonhold/membership/__init__.py
@@ -1,3 +1,1 @@
-"""Who the other instances are and who does which duty: pure step functions and the codec of their
-datagrams.
-"""
+"""Membership of the instances and assignment of their duties: pure step functions, and the datagram codec."""
--- a/cottonhold/membership/codec.py
+++ b/cottonhold/membership/codec.py
@@ -1,11 +1,13 @@
-"""Datagrams between instances: at most 256 bytes, versioned, with an optional MAC. Free of I/O.
+"""Codec of the datagrams between instances: at most 256 bytes, versioned, with an optional MAC. Free of I/O.
+
+The fields, with their sizes in bytes:
 
     magic 1 | version 1 | key 1 | session 4 | count 4 | sender 8 | kind 1 | sequence 4 | subject 8 | updates |
     MAC 12
 
-The first byte tells them apart from the scheduler's own messages, which begin with 1 or 2. `session` is drawn
-at the sender's start and `count` grows with each datagram, so a receiver can tell a replay. The MAC is
-keyed BLAKE2b over all before it; key 0 means that there is none.
+The first byte distinguishes them from the scheduler's messages, which begin with 1 or 2. `session` is a
+random number drawn when the sender starts, and `count` is incremented for each datagram, so a receiver can
+detect replays. The MAC is keyed BLAKE2b over all bytes before it; key 0 means that there is no MAC.
 """
 
 from __future__ import annotations
@@ -28,12 +30,13 @@
 UPDATE = struct.Struct("!BQQ")
 MAC_BYTES = 12
 MAX_NAME_BYTES = 32
-REPLAY_WINDOW = 256  # datagrams that may overtake one another: more than one full exchange sends at once
+# Number of datagrams by which one may be overtaken; larger than the number sent together in one full sync.
+REPLAY_WINDOW = 256
 MAX_TRACKED_SESSIONS = 4096
 
 
 class CodecError(Exception):
-    """A datagram that can't be used; `reason` is a short name under which it is counted."""
+    """A datagram is malformed or rejected. `reason` is a short word that becomes part of a counter's name."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -41,24 +44,24 @@
 
 
 class MessageKind(IntEnum):
-    """The kinds of datagrams. The numbers are on the wire."""
+    """The kinds of datagrams. The numbers are part of the wire format."""
 
     PING = 1
     ACK = 2
     PING_REQ = 3
     NACK = 4
-    SYNC = 5  # part of the sender's table; the receiver answers with part of its own
+    SYNC = 5  # part of the sender's member table; the receiver replies with part of its own
     SYNC_REPLY = 6
-    LEASE_REQUEST = 7  # in all four, the sequence is the term, the subject the number of the lease
+    LEASE_REQUEST = 7  # for all LEASE kinds, the sequence is the term and the subject the lease number
     LEASE_RELEASE = 8
     LEASE_GRANT = 9
     LEASE_DENY = 10
-    DUTY_DONE = 11  # a duty's subject was done; the sequence is the duty's own detail
-    FLEET = 12  # a message of fleet/, as bytes of its own in place of updates
+    DUTY_DONE = 11  # a run of a duty's subject is complete; the sequence is a detail that the duty defines
+    FLEET = 12  # a message of the package `fleet`; its payload takes the place of the updates
 
 
 class MemberStatus(IntEnum):
-    """A member's status, as one instance knows it. The numbers are on the wire."""
+    """A member's status in the view of one instance. The numbers are part of the wire format."""
 
     ALIVE = 1
     SUSPECT = 2
@@ -68,8 +71,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Update:
-    """A change of one member. Address and name are present with ALIVE only. source: the member that suspects
-    it or declares it dead.
+    """A change of one member's status.
+
+    Attributes:
+        status: The new status.
+        member: The member's id.
+        incarnation: The member's incarnation that the status applies to.
+        source: The id of the member that suspects it or declares it dead; 0 with ALIVE.
+        address: The member's address; present with ALIVE only.
+        name: The member's name; present with ALIVE only.
     """
 
     status: MemberStatus
@@ -82,8 +92,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """A decoded datagram. subject: the member that a ping is for, so that a new process at an old address
-    doesn't answer.
+    """A decoded datagram.
+
+    Attributes:
+        kind: The kind of the datagram.
+        sender: The sender's id.
+        sequence: Matches a reply with its request; other kinds define their own meaning.
+        subject: The id of the member that a ping is meant for, so that another process which has taken over
+            its address doesn't reply; other kinds define their own meaning.
+        updates: The piggybacked updates of members.
+        payload: The payload of a FLEET message.
     """
 
     kind: MessageKind
@@ -91,16 +109,16 @@
     sequence: int
     subject: int = 0
     updates: tuple[Update, ...] = ()
-    payload: bytes = b""  # of a FLEET message
+    payload: bytes = b""
 
 
 def member_id(name: str) -> int:
-    """The 64-bit id of a member's name; the same on every instance."""
+    """Return the 64-bit id of a member's name, which is the same on every instance."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") or 1
 
 
 def encode_update(update: Update) -> bytes:
-    """An update's bytes. Raises ValueError for an address that is no IP address, or a name too long."""
+    """Encode an update. Raises ValueError if the host isn't an IP address or the name is too long."""
     head = UPDATE.pack(update.status, update.member, update.incarnation)
     if update.status is not MemberStatus.ALIVE:
         return head + struct.pack("!Q", update.source)
@@ -114,11 +132,13 @@
 
 
 def update_capacity(has_key: bool) -> int:
-    """Bytes that a datagram has for updates."""
+    """Return how many bytes of updates fit into a datagram, which has a MAC if `has_key`."""
     return MAX_DATAGRAM_BYTES - HEAD.size - BODY.size - (MAC_BYTES if has_key else 0)
 
 
 class _Reader:
+    """Reads the updates in a datagram."""
+
     def __init__(self, data: bytes) -> None:
         self.data, self.position = data, 0
 
@@ -152,13 +172,18 @@
 
 @dataclass(slots=True)
 class _ReplayWindow:
-    """The counts received in one session of a sender: the highest, and a bit for each of the last ones."""
+    """The counts received in one session of a sender.
+
+    Attributes:
+        highest: The highest count received; -1 if none.
+        seen: A bit for each of the last `REPLAY_WINDOW` counts, the lowest bit for `highest`.
+    """
 
     highest: int = -1
     seen: int = 0
 
     def accept(self, count: int) -> bool:
-        """Whether the count is new; it is remembered."""
+        """Record the count; return whether it was new."""
         if count > self.highest:
             self.seen = ((self.seen << (count - self.highest)) | 1) & ((1 << REPLAY_WINDOW) - 1)
             self.highest = count
@@ -172,25 +197,28 @@
 
 @dataclass(slots=True)
 class KeyRing:
-    """Shared keys by number, 1 to 255. All are accepted; datagrams are sent with `send_key_id`. Without keys
-    there is no MAC.
+    """The shared keys of the MACs; without keys there is no MAC.
+
+    To rotate keys without interruption, add the new key on all instances, then let all instances send with
+    it, then remove the old key.
 
-    A rotation without a gap: give all instances the new key in addition to the old one, then have all send
-    with the new one, then remove the old one.
+    Attributes:
+        keys: The accepted keys by id, 1 to 255.
+        send_key_id: The id of the key with which datagrams are sent.
     """
 
     keys: Mapping[int, bytes] = field(default_factory=dict)
     send_key_id: int = 0
 
     def mac(self, key_id: int, data: bytes) -> bytes:
-        """The MAC under a key. Raises CodecError for a key that isn't there."""
+        """Return the MAC of data under a key. Raises CodecError for an unknown key."""
         if key_id not in self.keys:
             raise CodecError("key")
         return hashlib.blake2b(data, key=self.keys[key_id], digest_size=MAC_BYTES).digest()
 
 
 class Codec:
-    """Encodes one sender's datagrams, and decodes all senders' with their replay windows."""
+    """Encodes this instance's datagrams; decodes those of other instances, and rejects replays."""
 
     def __init__(self, sender: int, session: int, key_ring: KeyRing | None = None) -> None:
         self.sender, self.session, self.datagram_count = sender, session & 0xFFFFFFFF, 0
@@ -198,41 +226,41 @@
         self.replay_windows: OrderedDict[tuple[int, int], _ReplayWindow] = OrderedDict()
 
     def update_capacity(self) -> int:
-        """Bytes that a datagram has for updates."""
+        """Return how many bytes of updates fit into a datagram."""
         return update_capacity(bool(self.key_ring.keys))
 
     def encode(self, message: Message, updates: bytes) -> bytes:
-        """A datagram, with its updates or its payload already encoded."""
-        number = self.key_ring.send_key_id if self.key_ring.keys else 0
+        """Encode a datagram. updates: the encoded updates, or the payload of a FLEET message."""
+        key_id = self.key_ring.send_key_id if self.key_ring.keys else 0
         self.datagram_count = (self.datagram_count + 1) & 0xFFFFFFFF
         data = b"".join(
             (
-                HEAD.pack(MAGIC, VERSION, number, self.session, self.datagram_count, self.sender),
+                HEAD.pack(MAGIC, VERSION, key_id, self.session, self.datagram_count, self.sender),
                 BODY.pack(message.kind, message.sequence, message.subject),
                 updates,
             )
         )
-        data += self.key_ring.mac(number, data) if self.key_ring.keys else b""
+        data += self.key_ring.mac(key_id, data) if self.key_ring.keys else b""
         assert len(data) <= MAX_DATAGRAM_BYTES
         return data
 
     def decode(self, data: bytes) -> Message:
-        """The message in a datagram. Raises CodecError, and then no state has changed."""
+        """Decode a datagram. Raises CodecError, without a change of state, if it is malformed or rejected."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise CodecError("long")
         if len(data) < HEAD.size + BODY.size:
             raise CodecError("truncated")
-        magic, version, number, session, count, sender = HEAD.unpack_from(data)
+        magic, version, key_id, session, count, sender = HEAD.unpack_from(data)
         if magic != MAGIC:
             raise CodecError("magic")
         if version != VERSION:
             raise CodecError("version")
         if self.key_ring.keys:
             data, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-            # In constant time: else the time of the reply would show how many bytes of a forgery were right.
-            if not hmac.compare_digest(mac, self.key_ring.mac(number, data)):
+            # A comparison in variable time would let a forger find out how many bytes of a MAC are right.
+            if not hmac.compare_digest(mac, self.key_ring.mac(key_id, data)):
                 raise CodecError("mac")
-        elif number:
+        elif key_id:
             raise CodecError("key")
         message = self._decode_body(data, sender)
         if not self._is_new(sender, session, count):
@@ -257,8 +285,9 @@
         return Message(MessageKind(kind), sender, sequence, subject, tuple(updates))
 
     def _is_new(self, sender: int, session: int, count: int) -> bool:
-        """Whether a datagram is no replay. A replay of an unknown session isn't recognized; its incarnations
-        are old, and so it changes nothing.
+        """Record a datagram's count; return whether it isn't a replay.
+
+        A replay from an unknown session isn't detected, but it has no effect since its incarnations are old.
         """
         key = (sender, session)
         window = self.replay_windows.pop(key, None) or _ReplayWindow()
--- a/cottonhold/membership/dissemination.py
+++ b/cottonhold/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Updates that ride along with other messages, those that were sent least often first."""
+"""Queue of membership updates that are piggybacked on other messages, the least often sent first."""
 
 from __future__ import annotations
 
@@ -7,15 +7,19 @@
 
 from cottonhold.membership.codec import Update, encode_update
 
-MIN_UPDATE_BYTES = 25  # the shortest update
-MAX_TRIED_PER_COUNT = 16  # updates considered for a datagram among those sent equally often; it holds nine
+MIN_UPDATE_BYTES = 25  # size of the shortest update
+# Number of updates sent equally often that are considered for one datagram, into which at most nine fit.
+MAX_TRIED_PER_COUNT = 16
 
 
 class UpdateQueue:
-    """Updates to disseminate, one for each member, by how often each was sent.
+    """The updates to disseminate, at most one for each member.
 
-    There is one mapping for each number of times, so that choosing the least sent doesn't look at all of
-    them.
+    They are grouped by the number of times that they were sent, so that the least often sent ones are found
+    without a search of all updates.
+
+    Args:
+        retransmit_factor: An update is sent this many times log10 of the number of members.
     """
 
     def __init__(self, retransmit_factor: float) -> None:
@@ -24,7 +28,7 @@
         self._times_sent: dict[int, int] = {}  # by member
 
     def add(self, update: Update) -> None:
-        """Disseminate an update; it replaces an older one of the same member."""
+        """Queue an update; it replaces a queued update of the same member."""
         times = self._times_sent.get(update.member)
         if times is not None:
             del self._updates_by_times_sent[times][update.member]
@@ -37,8 +41,11 @@
         self._times_sent[member] = times
 
     def next_batch(self, capacity: int, member_count: int) -> list[bytes]:
-        """Encoded updates for one datagram, which count as sent. capacity: in bytes; member_count: the
-        others.
+        """Return encoded updates for one datagram, and record that they were sent.
+
+        Args:
+            capacity: The free space in the datagram, in bytes.
+            member_count: The number of other members.
         """
         max_times_sent = math.ceil(self.retransmit_factor * math.log10(member_count + 2))
         batch: list[tuple[int, bytes, int]] = []
--- a/cottonhold/membership/duties.py
+++ b/cottonhold/membership/duties.py
@@ -1,14 +1,16 @@
-"""Periodic duties divided among instances: who runs what, and when. Pure.
+"""Periodic duties divided among instances: which instance runs which duty, and when. Pure.
 
-A duty has a name, an interval, a set of subjects that changes, and one of two guarantees:
+A duty has a name, an interval, a set of subjects that may change, and one of two guarantees:
 
-- *At least once*: the member that rendezvous hashing assigns, on its own view, runs it. While views differ,
-  two members may run it; it is never left undone, since each view assigns a member that is in it.
-- *At most once*: the assigned member also needs a lease (leases.py), and starts a run only while enough of
-  the lease is left for it. It may be left undone while there is no majority; it never runs twice.
+- *At least once*: each instance runs the subjects that rendezvous hashing assigns to it by its own view of
+  the members. While views differ, two instances may run the same subject; it is never skipped, since each
+  view assigns it to a member of that view.
+- *At most once*: the assigned instance also needs a lease (leases.py), and starts a run only if the lease is
+  valid for long enough. A subject may be skipped while there is no majority; it never runs twice at a time.
 
-Results are announced: a member that learns that a subject was done counts its interval from then. So a
-takeover doesn't repeat what has just been done, and a new subject is served by one instance, not by all.
+Completed runs are announced: an instance that receives an announcement starts the subject's interval from
+then. So a takeover doesn't repeat a run that has just completed, and a new subject is run by one instance,
+not by all.
 """
 
 from __future__ import annotations
@@ -34,16 +36,22 @@
 
 
 class Guarantee(Enum):
-    """How often a duty's subject is served where views of the membership differ."""
+    """How often a duty's subject is run while the instances' views of the membership differ."""
 
-    AT_LEAST_ONCE = "at least once"  # never left undone
-    AT_MOST_ONCE = "at most once"  # never done by two at a time
+    AT_LEAST_ONCE = "at least once"  # never skipped, but perhaps run by two instances
+    AT_MOST_ONCE = "at most once"  # never run by two instances at a time, but perhaps skipped
 
 
 @dataclass(slots=True, frozen=True)
 class Duty:
-    """A duty. max_run_ms: of one run; an at-most-once run starts only with that much of its lease left, and
-    the interval must be longer.
+    """A periodic duty.
+
+    Attributes:
+        name: The name of the duty.
+        interval_ms: Time from the end of a subject's run to its next run, in ms.
+        guarantee: How often a subject is run while views differ.
+        max_run_ms: The longest duration of a run, in ms; shorter than the interval. An at-most-once run
+            starts only if its lease is valid for at least as long.
     """
 
     name: str
@@ -52,15 +60,19 @@
     max_run_ms: float = 250.0
 
     def __post_init__(self) -> None:
-        """Raise ValueError for a duty whose runs don't fit its interval."""
+        """Raise ValueError if `max_run_ms` isn't between 0 and the interval."""
         if not 0 < self.max_run_ms < self.interval_ms:
-            raise ValueError(f"duty '{self.name}': its longest run must lie between 0 and its interval")
+            raise ValueError(f"duty '{self.name}': max_run_ms must be above 0 and below interval_ms")
 
 
 @dataclass(slots=True, frozen=True)
 class RunDuty:
-    """Run the duty on the subject now. epoch: a fencing token that `on_run_ended` gets back, by which a late
-    run is recognized.
+    """Run the duty on the subject now.
+
+    Attributes:
+        duty: The name of the duty.
+        subject: The subject to run it on.
+        epoch: A fencing token, passed back to `on_run_ended`, by which a run that ends too late is detected.
     """
 
     duty: str
@@ -70,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StopDuty:
-    """The subject is no longer this instance's: a run in progress must have no further effect."""
+    """The subject is no longer assigned to this instance: the run in progress must have no further effect."""
 
     duty: str
     subject: str
@@ -79,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AnnounceDone:
-    """Announce to the others that the subject was done."""
+    """Announce to the other instances that a run of the subject is complete."""
 
     duty: str
     subject: str
@@ -92,21 +104,31 @@
 
 @dataclass(slots=True)
 class Task:
-    """One subject of one duty as this instance sees it. epoch: above 0 while it is assigned to this one."""
+    """The state of one subject of one duty on this instance.
+
+    Attributes:
+        epoch: The fencing token of the current assignment to this instance; 0 if there is none.
+        done_at: When any instance last completed a run, on this instance's clock.
+        next_run_at: When the next run is due; infinity if none is.
+        is_running: Whether this instance is running it.
+    """
 
     epoch: int = 0
-    done_at: float = -math.inf  # by anyone, on this instance's clock
+    done_at: float = -math.inf
     next_run_at: float = math.inf
     is_running: bool = False
 
 
 def lease_number(key: DutySubject) -> int:
-    """The number under which a subject of a duty is leased; the same on every instance."""
+    """Return the lease number of a duty's subject, which is the same on every instance."""
     return int(xxhash.xxh3_64_intdigest(f"{key[0]}\0{key[1]}".encode()))
 
 
 class DutyScheduler:
-    """One instance's duties. `step` is to be called at `next_at` at the latest."""
+    """Schedules one instance's duties.
+
+    Each method returns the actions to perform; call `step` at `next_at` at the latest.
+    """
 
     def __init__(
         self,
@@ -129,7 +151,7 @@
         self.actions: list[Action] = []
 
     def on_members(self, now: float, live: Mapping[int, float]) -> list[Action]:
-        """Exactly these members are live now, each with its weight; this instance is always one of them."""
+        """Replace the live members, each with its weight; this instance is always one of them."""
         self.actions = []
         wanted = {**live, self.self_id: live.get(self.self_id, 1.0)}
         for name, assignment in self.assignments.items():
@@ -144,7 +166,7 @@
         return self._start_due_runs(now)
 
     def on_subjects(self, now: float, name: str, subjects: Iterable[str]) -> list[Action]:
-        """Exactly these subjects belong to the duty now."""
+        """Replace the subjects of a duty."""
         self.actions = []
         assignment, wanted = self.assignments[name], set(subjects)
         for subject in sorted(assignment.holders.keys() - wanted):
@@ -161,7 +183,7 @@
         return self._start_due_runs(now)
 
     def on_run_ended(self, now: float, run: RunDuty) -> list[Action]:
-        """A run of this instance has ended. One that was fenced meanwhile is not announced."""
+        """Record the end of a run of this instance, and announce it unless it was fenced in the meantime."""
         self.actions = []
         task = self.tasks.get((run.duty, run.subject))
         if task is not None and task.epoch == run.epoch:
@@ -171,46 +193,46 @@
         return self._start_due_runs(now)
 
     def on_done_elsewhere(self, now: float, duty: str, subject: str, age_ms: float) -> list[Action]:
-        """Another instance has done the subject, `age_ms` ago."""
+        """Record that another instance completed a run of the subject, `age_ms` ago."""
         self.actions = []
         if (duty, subject) in self.tasks and age_ms >= 0:
             self._on_done(now, (duty, subject), now - age_ms)
         return self._start_due_runs(now)
 
     def on_lease_message(self, now: float, sender: int, message: LeaseRequest | LeaseReply) -> list[Action]:
-        """A message on leases has arrived."""
+        """Process a received lease message."""
         self.actions = []
         self._on_lease_actions(now, self.leases.on_message(now, sender, message))
         return self._start_due_runs(now)
 
     def step(self, now: float) -> list[Action]:
-        """Run what is due."""
+        """Process due timers, and start the runs that are due."""
         self.actions = []
         self._on_lease_actions(now, self.leases.step(now))
         return self._start_due_runs(now)
 
     def next_at(self) -> float:
-        """When `step` is due."""
+        """Return the time at which `step` is due."""
         return min(self.leases.next_at(), self.run_queue[0][0] if self.run_queue else math.inf)
 
     def active_subjects(self) -> list[DutySubject]:
-        """The subjects that are this instance's to run."""
+        """Return the subjects that this instance runs at present."""
         return sorted(key for key, task in self.tasks.items() if task.epoch)
 
     def _is_assigned(self, key: DutySubject) -> bool:
         return self.assignments[key[0]].holder(key[1]) == self.self_id
 
     def _on_assignment(self, now: float, key: DutySubject) -> None:
-        """The member that a subject is assigned to may have changed."""
+        """Begin or end this instance's assignment after a change of the member that a subject belongs to."""
         if self.duties[key[0]].guarantee is Guarantee.AT_MOST_ONCE:
-            return  # the lease decides
+            return  # `_claim_leases` requests a lease, and the assignment begins when it is granted
         if not self._is_assigned(key):
             self._end_assignment(key)
         elif not self.tasks[key].epoch:
             self._begin_assignment(now, key)
 
     def _claim_leases(self, now: float) -> None:
-        """Claim exactly the leases of the subjects that are assigned to this instance."""
+        """Claim the leases of the at-most-once subjects assigned to this instance, and release all others."""
         wanted = [
             lease
             for lease, key in self.subject_by_lease.items()
@@ -264,10 +286,14 @@
             run_at, key = heapq.heappop(self.run_queue)
             task = self.tasks.get(key)
             if task is None or not task.epoch or task.is_running or task.next_run_at != run_at:
-                continue  # scheduled anew since, or no longer this instance's
+                continue  # rescheduled in the meantime, or no longer assigned to this instance
             duty = self.duties[key[0]]
-            if duty.guarantee is Guarantee.AT_MOST_ONCE and self._lease_left_ms(now, key) < duty.max_run_ms:
-                # A run that outlives its lease overlaps with the next holder's. Renewal extends the lease.
+            if (
+                duty.guarantee is Guarantee.AT_MOST_ONCE
+                and self._remaining_lease_ms(now, key) < duty.max_run_ms
+            ):
+                # A run that outlives its lease could overlap with one of the next holder. Try again soon: a
+                # renewal extends the lease.
                 task.next_run_at = now + duty.max_run_ms / 4
                 heapq.heappush(self.run_queue, (task.next_run_at, key))
                 continue
@@ -275,5 +301,5 @@
             self.actions.append(RunDuty(*key, task.epoch))
         return self.actions
 
-    def _lease_left_ms(self, now: float, key: DutySubject) -> float:
+    def _remaining_lease_ms(self, now: float, key: DutySubject) -> float:
         return self.lease_expiry.get(key, -math.inf) - now
--- a/cottonhold/membership/events.py
+++ b/cottonhold/membership/events.py
@@ -1,4 +1,4 @@
-"""What goes into the membership protocol and what comes out of it."""
+"""Events and actions of the membership protocol."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DatagramReceived:
-    """A datagram has arrived."""
+    """A datagram was received from `address`."""
 
     data: bytes
     address: Address
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendDatagram:
-    """Send a datagram."""
+    """Send a datagram to `address`."""
 
     data: bytes
     address: Address
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberChanged:
-    """A member's status has changed."""
+    """A member's status changed."""
 
     member: int
     name: str
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
-    """A message that is not about membership has arrived."""
+    """A message of a layer above the membership protocol was received."""
 
     message: Message
 
--- a/cottonhold/membership/instance.py
+++ b/cottonhold/membership/instance.py
@@ -1,7 +1,7 @@
-"""One instance's membership and duties as one step function. Pure.
+"""One instance's membership and duties, combined in one step function. Pure.
 
-The live members of the view become the duties' members; leases and announced results travel as datagrams of
-the same codec.
+Duties are divided among the live members that SWIM reports. Lease messages and announcements of completed
+runs are sent as datagrams of the same codec.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DutyDone:
-    """Another instance has done a duty's subject. detail: 32 bits of the duty's own."""
+    """Another instance completed a run of a duty's subject. detail: 32 bits that the duty defines."""
 
     duty: str
     subject: str
@@ -30,23 +30,27 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetMessageReceived:
-    """A message of another instance's fleet/ has arrived."""
+    """A message of the package `fleet` was received from another instance."""
 
     member: int
     payload: bytes
 
 
 Action = SendDatagram | MemberChanged | RunDuty | StopDuty | DutyDone | FleetMessageReceived
-SETTLING_INTERVALS = 3.0  # probe intervals after the start: two attempts to reach a seed, and the replies
+# Probe intervals after the start until duties are assigned: time for two attempts to reach a seed.
+SETTLING_INTERVALS = 3.0
 
 
 class MembershipInstance:
-    """Membership and duties of one instance: datagrams and the time in, actions out."""
+    """Membership and duties of one instance.
+
+    Each method returns the actions to perform; call `step` at `next_at` at the latest.
+    """
 
     def __init__(self, swim: Swim, duties: DutyScheduler) -> None:
         self.swim, self.duties = swim, duties
         self.actions: list[Action] = []
-        self.reported_members: list[int] = []  # what the duties got last
+        self.reported_members: list[int] = []  # the members last passed to the duties
         self.settled_at = -math.inf if not swim.seeds else math.inf
 
     def step(self, now: float, datagrams: Iterable[DatagramReceived] = ()) -> list[Action]:
@@ -58,7 +62,7 @@
             else:
                 self.actions.append(action)
         if self.settled_at == math.inf:
-            # An instance that has just started knows no others yet, and would assign all duties to itself.
+            # An instance that has just started knows no other members, and would assign all duties to itself.
             self.settled_at = now + SETTLING_INTERVALS * self.swim.settings.probe_interval_ms
         live = self.swim.live_members()
         if live != self.reported_members and now >= self.settled_at:
@@ -68,13 +72,19 @@
         return self.actions
 
     def on_subjects(self, now: float, duty: str, subjects: Iterable[str]) -> list[Action]:
-        """Exactly these subjects belong to a duty now."""
+        """Replace the subjects of a duty."""
         self.actions = []
         self._on_duty_actions(self.duties.on_subjects(now, duty, subjects))
         return self.actions
 
     def on_run_ended(self, now: float, run: RunDuty, detail: int | None) -> list[Action]:
-        """A run has ended. Its result is announced to the others unless `detail` is None (it failed)."""
+        """Record the end of a run, and announce it unless it failed.
+
+        Args:
+            now: The time in ms.
+            run: The action that started the run.
+            detail: 32 bits for the announcement that the duty defines; None if the run failed.
+        """
         self.actions = []
         duty_actions = self.duties.on_run_ended(now, run)
         self._on_duty_actions([a for a in duty_actions if not isinstance(a, AnnounceDone)])
@@ -85,11 +95,11 @@
         return self.actions
 
     def leave(self, now: float) -> list[Action]:
-        """Announce the end of this instance."""
+        """Announce that this instance leaves."""
         return [a for a in self.swim.leave(now) if not isinstance(a, MessageReceived)]
 
     def next_at(self) -> float:
-        """When `step` is due."""
+        """Return the time at which `step` is due."""
         settles = math.inf if self.reported_members else self.settled_at
         return min(self.swim.next_at(), self.duties.next_at(), settles)
 
@@ -110,7 +120,7 @@
                 lease_message = LeaseReply(number, term, message.kind is MessageKind.LEASE_GRANT)
             case _:
                 key = self.duties.subject_by_lease.get(number)
-                if key is not None:  # else a subject that this instance doesn't know of yet, or any more
+                if key is not None:  # None if the subject isn't known yet, or has been removed
                     self._on_duty_actions(self.duties.on_done_elsewhere(now, *key, 0.0))
                     self.actions.append(DutyDone(*key, sender, term))
                 return
--- a/cottonhold/membership/leases.py
+++ b/cottonhold/membership/leases.py
@@ -1,18 +1,17 @@
-"""Leases for duties that must not run twice: a majority grants one, and it ends before its grants expire.
-Pure.
+"""Majority leases for duties that must not run twice; a lease ends before the grants behind it expire. Pure.
 
-The member named by rendezvous hashing requests the lease of one term from every voter. A voter grants it
-unless another's grant is still valid there. With a majority of all *configured* voters (not of those that
-happen to be seen) the holder works; two majorities share a voter, so two holders would need that voter's
-grant at the same time.
+The member chosen by rendezvous hashing requests a lease, under a new term, from all voters. A voter grants it
+unless its grant to another member is still valid. The holder needs grants of a majority of all *configured*
+voters, not only of the reachable ones. Two majorities have a voter in common, so two holders would need valid
+grants of this voter at the same time.
 
-Time: the holder counts its lease from the moment of its request, less a margin for clocks that run at
-different rates; a voter counts from the moment at which the request arrived, which is later. So the holder's
-lease ends first on anyone's clock. Only differences of each one's own monotonic clock count: clocks may
-differ and be set.
+The holder measures its lease from the sending of its request, minus a margin for clocks that run at different
+rates; a voter measures its grant from the receipt of the request, which is later. So the lease ends before
+the grants expire. Each instance uses only differences of its own monotonic clock, so wall clocks may differ
+and may be changed.
 
-A voter that restarts has lost what it granted, so it grants nothing for one whole lease after its start. A
-term is never used twice by one incarnation, and late replies to an old term are void: that fences late work.
+A voter loses its grants when it restarts, so it grants nothing for the duration of one lease after its start.
+An incarnation never uses a term twice, and replies to an earlier term are ignored, which fences late replies.
 """
 
 from __future__ import annotations
@@ -24,12 +23,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseSettings:
-    """Times of leases.
-
-    duration_ms: of one grant; a takeover can't be faster.
-    renew_fraction: the part of it after which the holder requests again.
-    max_clock_drift: the margin for differing clock rates, as a fraction.
-    retry_interval_ms: how long after a request without a majority the next one follows.
+    """Timing of leases.
+
+    Attributes:
+        duration_ms: Duration of a voter's grant, in ms; also the shortest time in which a lease can be taken
+            over without a release.
+        renew_fraction: Fraction of the duration after which the holder renews its lease.
+        max_clock_drift: Margin for clocks that run at different rates, as a fraction of the duration.
+        retry_interval_ms: Time from a request that no majority grants to the next request, in ms.
     """
 
     duration_ms: float = 1200.0
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """Requests a term of a duty from a voter, or releases it (`is_release`)."""
+    """A request for a duty's lease under a term, or its release (`is_release`)."""
 
     duty: int
     term: int
@@ -49,7 +50,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseReply:
-    """A voter's reply. retry_after_ms: how long its grant to another is still valid."""
+    """A voter's reply.
+
+    Attributes:
+        duty: The lease number of the duty.
+        term: The term of the request.
+        is_granted: Whether the voter grants the lease.
+        retry_after_ms: Time until the voter can grant the lease, in ms, if it is denied.
+    """
 
     duty: int
     term: int
@@ -59,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseHeld:
-    """The duty is this instance's until `expires_at` on its own clock; sent again with each renewal."""
+    """This instance holds the duty's lease until `expires_at` on its clock; repeated with each renewal."""
 
     duty: int
     term: int
@@ -68,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseLost:
-    """The duty is no longer this instance's: work on it stops now."""
+    """This instance no longer holds the duty's lease, and must stop working on it now."""
 
     duty: int
     term: int
@@ -76,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendToMember:
-    """A message for one voter, or for the member that sent a request."""
+    """Send a request to a voter, or a reply to the member that sent a request."""
 
     member: int
     message: LeaseRequest | LeaseReply
@@ -87,7 +95,7 @@
 
 @dataclass(slots=True)
 class Grant:
-    """What a voter granted: to whom, for which term, until when on its own clock."""
+    """A voter's grant of a lease. expires_at: in ms on the voter's clock."""
 
     holder: int
     term: int
@@ -96,7 +104,15 @@
 
 @dataclass(slots=True)
 class LeaseClaim:
-    """This instance's side of one duty that it claims."""
+    """A lease that this instance claims.
+
+    Attributes:
+        term: The term of the last request.
+        requested_at: When the last request was sent.
+        granted_by: The voters that have granted the last request.
+        expires_at: When the lease expires; minus infinity if it isn't held.
+        next_request_at: When the next request is due.
+    """
 
     term: int
     requested_at: float
@@ -106,28 +122,39 @@
 
 
 class LeaseManager:
-    """One instance's side of all leases: as a voter, and as one that claims duties."""
+    """One instance's part in all leases, both as a voter and as a member that claims them.
+
+    Each method returns the actions to perform; call `step` at `next_at` at the latest.
+
+    Args:
+        self_id: The id of this instance.
+        voters: The ids of all configured voters.
+        settings: The timing of leases.
+        now: The time in ms.
+        first_term: The term before the first; chosen at random, so that a late reply to a previous
+            incarnation matches no term of this one.
+    """
 
     def __init__(
         self, self_id: int, voters: Iterable[int], settings: LeaseSettings, now: float, first_term: int
     ) -> None:
-        # A late reply to the last incarnation must not fit a term of this one: `first_term` is drawn anew.
         self.self_id, self.voters, self.settings = self_id, tuple(sorted(set(voters))), settings
         self.majority = len(self.voters) // 2 + 1
-        self.votes_after = now + settings.duration_ms * (1 + settings.max_clock_drift)
+        # Grants of a previous incarnation, which are lost, may be valid until then.
+        self.first_grant_at = now + settings.duration_ms * (1 + settings.max_clock_drift)
         self.grants: dict[int, Grant] = {}
         self.claims: dict[int, LeaseClaim] = {}
         self.last_term = first_term
         self.actions: list[Action] = []
 
     def claim(self, now: float, duties: Iterable[int]) -> list[Action]:
-        """Claim exactly these duties from now on: others are released, new ones requested."""
+        """Set the duties to claim: request the leases of new ones, and release all others."""
         self.actions, wanted = [], set(duties)
         for duty in [duty for duty in self.claims if duty not in wanted]:
             claim = self.claims.pop(duty)
             if claim.expires_at > now:
                 self.actions.append(LeaseLost(duty, claim.term))
-            # Work stops before the release is sent: the next holder may begin as soon as that arrives.
+            # Work must stop before the release is sent, since the next holder may begin when it is received.
             self._request(LeaseRequest(duty, claim.term, is_release=True), now)
         for duty in sorted(wanted - self.claims.keys()):
             self.claims[duty] = LeaseClaim(0, now)
@@ -135,7 +162,7 @@
         return self.actions
 
     def on_message(self, now: float, sender: int, message: LeaseRequest | LeaseReply) -> list[Action]:
-        """A request for this voter, or a voter's reply, has arrived."""
+        """Process a received request or reply."""
         self.actions = []
         if isinstance(message, LeaseRequest):
             self._on_request(now, sender, message)
@@ -144,19 +171,19 @@
         return self.actions
 
     def step(self, now: float) -> list[Action]:
-        """Renew and end leases as time passes; call at `next_at` at the latest."""
+        """Renew leases that are due, and end those that expired."""
         self.actions = []
         self._renew_claims(now)
         return self.actions
 
     def next_at(self) -> float:
-        """When `step` is due."""
+        """Return the time at which `step` is due."""
         times = [c.next_request_at for c in self.claims.values()]
         times += [c.expires_at for c in self.claims.values() if c.expires_at > -math.inf]
         return min(times, default=math.inf)
 
     def held_duties(self, now: float) -> list[int]:
-        """The duties that are this instance's at this moment."""
+        """Return the duties whose leases this instance holds."""
         return sorted(duty for duty, claim in self.claims.items() if claim.expires_at > now)
 
     def _renew_claims(self, now: float) -> None:
@@ -179,7 +206,7 @@
 
     def _on_reply(self, now: float, sender: int, reply: LeaseReply) -> None:
         claim = self.claims.get(reply.duty)
-        # A late reply to an earlier term would count time that is over at the voter.
+        # A reply to an earlier term belongs to a grant that began earlier than the current request.
         if claim is None or claim.term != reply.term or sender not in self.voters:
             return
         if not reply.is_granted:
@@ -203,8 +230,8 @@
             if grant is not None and grant.holder == sender and grant.term <= request.term:
                 del self.grants[request.duty]
             return
-        if now < self.votes_after:
-            self._reply(now, sender, LeaseReply(request.duty, request.term, False, self.votes_after - now))
+        if now < self.first_grant_at:
+            self._reply(now, sender, LeaseReply(request.duty, request.term, False, self.first_grant_at - now))
             return
         if grant is not None and grant.expires_at > now and grant.holder != sender:
             self._reply(now, sender, LeaseReply(request.duty, request.term, False, grant.expires_at - now))
--- a/cottonhold/membership/member.py
+++ b/cottonhold/membership/member.py
@@ -1,4 +1,4 @@
-"""One other instance, as this one knows it."""
+"""Another instance in the view of this one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,17 @@
 
 @dataclass(slots=True)
 class Member:
-    """One other instance, as this one knows it. status_since: in ms, on this instance's clock."""
+    """Another instance in the view of this one.
+
+    Attributes:
+        id: The id, derived from the name.
+        name: The name.
+        address: The address to which datagrams are sent.
+        status: The status.
+        incarnation: The incarnation to which the status applies.
+        status_since: When the status last changed, in ms on this instance's clock.
+        suspicion: The suspicion while the status is SUSPECT.
+    """
 
     id: int
     name: str
@@ -23,14 +33,14 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether it is alive, or only suspected."""
+        """Whether the member is alive or suspected."""
         return self.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
     def as_update(self, source: int) -> Update:
-        """Its row in a full exchange.
+        """Return the member's row in a full sync, with `source` as the member that suspects it.
 
-        A dead member is passed on as a suspect, which it can refute: otherwise, when a partition heals, one
-        side's error would have the other declared dead.
+        A dead member is sent as a suspect, which it can refute. Otherwise, when a partition heals, each side
+        would be declared dead because of the other side's error.
         """
         if self.status is MemberStatus.ALIVE:
             return Update(MemberStatus.ALIVE, self.id, self.incarnation, 0, self.address, self.name)
--- a/cottonhold/membership/rendezvous.py
+++ b/cottonhold/membership/rendezvous.py
@@ -1,12 +1,13 @@
-"""Which member holds which subject: weighted rendezvous hashing, updated at the cost of the change. Pure.
+"""Weighted rendezvous hashing, updated incrementally: assigns each subject to a member. Pure.
 
-Each member draws a score for each subject from a hash of both, scaled by its weight; the highest holds it. A
-member that joins takes only what it wins, and one that leaves gives up only what it held ("Using Name-Based
-Mappings to Increase Hit Rates", Thaler and Ravishankar; weights as in "Weighted Distributed Hash Tables",
-Schindelhauer and Schomaker). All instances that see the same members agree without a message.
+Each member's score for a subject is a hash of both, scaled by the member's weight; the member with the
+highest score holds the subject. A member that joins takes over only the subjects for which it has the highest
+score, and a member that leaves releases only its own ("Using Name-Based Mappings to Increase Hit Rates",
+Thaler and Ravishankar; weights as in "Weighted Distributed Hash Tables", Schindelhauer and Schomaker).
+Instances with the same view of the members agree without communication.
 
-Costs: a member that joins costs one hash a subject; one that leaves costs members x (what it held); a subject
-costs one hash a member. Sorting all pairs anew would cost members x subjects each time.
+Cost in hashes: one for each subject when a member joins, one for each member when a subject is added, and
+members x released subjects when a member leaves. A complete recomputation would need members x subjects.
 """
 
 from __future__ import annotations
@@ -19,31 +20,31 @@
 
 
 def score(member: int, weight: float, subject: str) -> float:
-    """A member's score for a subject: the larger its weight, the more often it is the highest."""
+    """Return a member's score for a subject; it is the highest in proportion to the weight."""
     digest = xxhash.xxh3_64_intdigest(subject.encode(), member & 0x7FFFFFFFFFFFFFFF)
     return -weight / math.log((digest + 0.5) / SCALE)
 
 
 class Rendezvous:
-    """The holders of a set of subjects among a set of members."""
+    """Assigns a set of subjects to a set of members."""
 
     def __init__(self) -> None:
         self.members: dict[int, float] = {}
-        self.holders: dict[str, tuple[float, int]] = {}  # by subject: the highest score and whose it is
+        self.holders: dict[str, tuple[float, int]] = {}  # by subject: the highest score and its member
         self.subjects_by_member: dict[int, set[str]] = {}
-        self.score_count = 0  # scores computed so far, the measure of the cost
+        self.score_count = 0  # number of scores computed so far, as a measure of the cost
 
     def holder(self, subject: str) -> int | None:
-        """The member that holds a subject; None where there is no member or no such subject."""
+        """Return the member that holds a subject; None without members or for an unknown subject."""
         entry = self.holders.get(subject)
         return entry[1] if entry is not None and entry[1] else None
 
     def subjects_of(self, member: int) -> frozenset[str]:
-        """The subjects that a member holds."""
+        """Return the subjects that a member holds."""
         return frozenset(self.subjects_by_member.get(member, ()))
 
     def add_member(self, member: int, weight: float = 1.0) -> set[str]:
-        """Add a member, or change its weight; returns the subjects that have another holder now."""
+        """Add a member, or change its weight; return the subjects whose holder changed."""
         if self.members.get(member) == weight:
             return set()
         released = self.remove_member(member)
@@ -57,7 +58,7 @@
         return released ^ gained
 
     def remove_member(self, member: int) -> set[str]:
-        """Remove a member; returns the subjects that it held."""
+        """Remove a member; return the subjects that it held."""
         if self.members.pop(member, None) is None:
             return set()
         released = self.subjects_by_member.pop(member, set())
@@ -66,7 +67,7 @@
         return released
 
     def add_subject(self, subject: str) -> bool:
-        """Add a subject; false if it was there."""
+        """Add a subject; return false if it already existed."""
         if subject in self.holders:
             return False
         self.holders[subject] = (-math.inf, 0)
@@ -74,7 +75,7 @@
         return True
 
     def remove_subject(self, subject: str) -> int | None:
-        """Remove a subject; returns the member that held it."""
+        """Remove a subject; return the member that held it, if any."""
         entry = self.holders.pop(subject, None)
         if entry is None:
             return None
--- a/cottonhold/membership/suspicion.py
+++ b/cottonhold/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions of members: long while one instance alone has one, shorter with each confirmation."""
+"""Suspicions of members, which become shorter with each independent confirmation (Lifeguard)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,15 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspicion of one member: its sources, and when it ends. Times in ms."""
+    """A suspicion of one member.
+
+    Attributes:
+        started_at: When the suspicion began, in ms.
+        min_ms: Duration once it has enough confirmations, in ms.
+        max_ms: Duration without confirmations, in ms.
+        confirmations_needed: Number of confirmations that reduce the duration to `min_ms`.
+        sources: The ids of the members that suspect it.
+    """
 
     started_at: float
     min_ms: float
@@ -21,7 +29,7 @@
     sources: set[int] = field(default_factory=set)
 
     def ends_at(self) -> float:
-        """Late while one instance alone has it; as early as possible once enough others confirm it."""
+        """Return when the suspicion ends: the earlier, the more members have confirmed it."""
         confirmations = max(len(self.sources) - 1, 0)
         if self.confirmations_needed < 1 or confirmations >= self.confirmations_needed:
             return self.started_at + self.min_ms
@@ -30,9 +38,16 @@
 
 
 def begin_suspicion(now: float, source: int, live_count: int, settings: SwimSettings) -> Suspicion:
-    """A suspicion by one source, where so many members are live, this instance included.
+    """Return a new suspicion by one source.
+
+    Its duration grows with the logarithm of the number of members, as does the time in which a refutation
+    reaches all of them.
 
-    Its length grows with the logarithm of the members, since a refutation needs that long to spread.
+    Args:
+        now: The time in ms.
+        source: The id of the member that suspects.
+        live_count: The number of live members, including this instance.
+        settings: The settings of the membership protocol.
     """
     spread = max(1.0, math.log10(live_count + 1))
     min_ms = settings.min_suspicion_intervals * settings.probe_interval_ms * spread
@@ -43,24 +58,27 @@
 
 
 class SuspicionTimers:
-    """Members by when their suspicions end. An end may have moved since: the caller checks it again."""
+    """A queue of members by the ends of their suspicions.
+
+    An entry isn't removed when the suspicion's end changes, so the caller must check a due member again.
+    """
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int]] = []
 
     def schedule(self, member: int, ends_at: float) -> None:
-        """Look at a member's suspicion again at this time."""
+        """Add an entry for a member whose suspicion ends at this time."""
         heapq.heappush(self._heap, (ends_at, member))
 
     def has(self, member: int, ends_at: float) -> bool:
-        """Whether exactly this is scheduled."""
+        """Whether there is an entry for this member and time."""
         return (ends_at, member) in self._heap
 
     def next_at(self) -> float:
-        """When the next one is due."""
+        """Return the time of the next entry; infinity if there is none."""
         return self._heap[0][0] if self._heap else math.inf
 
     def pop_due(self, now: float) -> Iterator[int]:
-        """Members whose time is over, one by one."""
+        """Remove all due entries, and yield their members."""
         while self._heap and self._heap[0][0] <= now:
             yield heapq.heappop(self._heap)[1]
--- a/cottonhold/membership/swim.py
+++ b/cottonhold/membership/swim.py
@@ -1,16 +1,18 @@
-"""Which other instances are live: SWIM with the Lifeguard additions, as a pure step function.
+"""Membership and failure detection: SWIM with the Lifeguard extensions, as a pure step function.
 
-From "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das, Gupta,
+It follows "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das, Gupta,
 Motivala) and "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar, Phillips,
 Currey).
 
-In each probe interval one member is pinged, in an order shuffled anew each round. One that doesn't ack is
-pinged through others; then it is *suspect*, which it may refute by a higher incarnation; then it is *dead*.
-Updates are piggybacked on pings and acks. The Lifeguard additions: an instance that misses acks suspects
-itself first (it waits longer and probes less often); a suspicion begins long and shortens with each
-independent confirmation; a suspect is notified of it in every ping.
+In each probe interval one member is pinged, in an order that is shuffled for each round. A member that
+doesn't ack is pinged indirectly through others. If there is still no ack, it becomes *suspect*, which it may
+refute with a higher incarnation; otherwise it becomes *dead*. Updates are piggybacked on pings and acks.
 
-Times are milliseconds on the caller's clock, of which only differences count.
+The Lifeguard extensions: an instance that misses acks first assumes a local problem, so it waits longer and
+probes less often; a suspicion becomes shorter with each independent confirmation; and every ping to a suspect
+notifies it of the suspicion.
+
+Times are in ms on the caller's clock; only differences are used.
 """
 
 from __future__ import annotations
@@ -47,13 +49,22 @@
 from cottonhold.membership.table_sync import TableSender, sync_targets
 
 SEQUENCE_MASK = 0xFFFFFFFF
-MAX_RELAYS = 64  # indirect pings that are waited for at once
-NO_HELPERS = -1  # in place of the number of helpers, where an indirect ping found none
+MAX_RELAYS = 64  # largest number of indirect pings for other instances in progress
+NO_HELPERS = -1  # value of `Probe.helper_count` if no member could help with an indirect ping
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe in progress. helper_count: 0 before its indirect part."""
+    """The probe in progress.
+
+    Attributes:
+        sequence: The sequence of its pings.
+        target: The id of the probed member.
+        indirect_at: When indirect pings are due.
+        ends_at: When the probe fails.
+        helper_count: The number of members asked to ping indirectly; 0 before that.
+        nacks: The ids of the helpers that have sent a nack.
+    """
 
     sequence: int
     target: int
@@ -65,14 +76,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Relay:
-    """An indirect ping for another instance: its sequence there, and where the answer goes."""
+    """An indirect ping for another instance: the sequence of its request, and its address for the reply."""
 
     sequence: int
     address: Address
 
 
 class Swim:
-    """One instance's view: `step` takes received datagrams and the time, and returns actions."""
+    """One instance's membership protocol.
+
+    Each method returns the actions to perform; call `step` at `next_at` at the latest.
+
+    Args:
+        name: The name of this instance.
+        address: The address at which other members reach it.
+        settings: The settings of the protocol.
+        seed: The seed of its random numbers.
+        incarnation: Its first incarnation; should be higher than any of a previous process of the same name.
+        keys: The keys of the datagrams' MACs; None for none.
+        seeds: Addresses through which it joins the other members.
+    """
 
     def __init__(
         self,
@@ -93,9 +116,9 @@
         self._table = MemberTable(self.id, settings, self.random, self._updates, self._on_member_changed)
         self.members = self._table.members
         self._probe: Probe | None = None
-        self._relays: dict[int, Relay] = {}  # by own sequence
+        self._relays: dict[int, Relay] = {}  # by the sequence of the ping that this instance sent
         self._sequence = itertools.count(self.random.getrandbits(16))
-        self.awareness = 0  # Lifeguard's local health multiplier; 0 is healthy
+        self.awareness = 0  # Lifeguard's local health multiplier; 0 if healthy
         self._next_probe_at = self._next_sync_at = self._next_step_at = -math.inf
         self._table_sender = TableSender(self.id)
         self._is_leaving = False
@@ -104,7 +127,7 @@
         self._now = 0.0
 
     def step(self, now: float, events: Iterable[DatagramReceived] = ()) -> list[Action]:
-        """Process received datagrams and due timers; call again at `next_at` at the latest."""
+        """Process received datagrams and due timers."""
         self._actions = []
         if self._next_probe_at == -math.inf:
             self._next_probe_at = now + self.settings.probe_interval_ms * self.random.random()
@@ -122,7 +145,7 @@
         return self._actions
 
     def next_at(self) -> float:
-        """When the next step is due."""
+        """Return the time at which `step` is due."""
         times = [math.inf if self._is_leaving else self._next_sync_at, self._table.next_suspicion_at()]
         probe = self._probe
         if probe is None:
@@ -132,7 +155,7 @@
         return min(times)
 
     def leave(self, now: float) -> list[Action]:
-        """Announce the end of this instance, so that nobody has to detect it."""
+        """Announce that this instance leaves, so that other members needn't detect it."""
         self._actions, self._now, self._is_leaving = [], now, True
         self._updates.add(Update(MemberStatus.LEFT, self.id, self.incarnation, self.id))
         count = self.settings.indirect_probes * 2
@@ -141,15 +164,15 @@
         return self._actions
 
     def members_by_name(self) -> list[Member]:
-        """All members but this one, by name."""
+        """Return all other members, sorted by name."""
         return sorted(self.members.values(), key=lambda m: m.name)
 
     def live_members(self) -> list[int]:
-        """The ids of this instance and of all that are alive or only suspected."""
+        """Return the ids of this instance and of all members that are alive or suspected."""
         return self._table.live_ids()
 
     def message_to(self, kind: MessageKind, sequence: int, subject: int, member: int) -> SendDatagram | None:
-        """A message of the layers above to a member; None if its address isn't known."""
+        """Return a datagram with a message of a layer above; None if the member isn't known."""
         receiver = self.members.get(member)
         if receiver is None:
             return None
@@ -158,24 +181,25 @@
         return SendDatagram(data, receiver.address)
 
     def payload_to(self, payload: bytes, member: int) -> SendDatagram | None:
-        """A payload of fleet/ to a member; None if its address isn't known or the payload is too long."""
+        """Return a datagram with a FLEET payload; None if the member is unknown or the payload too long."""
         receiver = self.members.get(member)
         if receiver is None or len(payload) > self.codec.update_capacity():
             return None
         data = self.codec.encode(Message(MessageKind.FLEET, self.id, 0), payload)
         return SendDatagram(data, receiver.address)
 
-    def _on_stall(self, now: float, late_ms: float) -> None:
-        """This instance did not run for a while, so what it didn't receive meanwhile proves nothing.
+    def _on_stall(self, now: float, stalled_ms: float) -> None:
+        """Postpone all timers after a time in which this instance did not run.
 
-        A process that was stopped and continued finds all its time-outs over and its answers still unread.
-        Its clocks are moved by the time that it missed, so that it doesn't declare everyone dead."""
+        When a stopped process continues, all its time-outs have expired and the replies are still unread.
+        Without the postponement it would declare all other members dead.
+        """
         self._count("stalls")
         self._adjust_awareness(1)
         if self._probe is not None:
-            self._probe.indirect_at += late_ms
-            self._probe.ends_at += late_ms
-        self._table.postpone_suspicions(late_ms)
+            self._probe.indirect_at += stalled_ms
+            self._probe.ends_at += stalled_ms
+        self._table.postpone_suspicions(stalled_ms)
         self._next_probe_at = max(self._next_probe_at, now)
 
     def _adjust_awareness(self, by: int) -> None:
@@ -214,14 +238,15 @@
         for helper in helpers:
             self._send(MessageKind.PING_REQ, probe.sequence, helper.address, probe.target)
         target = self.members.get(probe.target)
-        if target is not None:  # a datagram that was lost once is seldom lost twice
+        if target is not None:  # ping again directly, in case only the first datagram was lost
             self._send(MessageKind.PING, probe.sequence, target.address, target.id)
 
     def _on_probe_missed(self, probe: Probe) -> None:
-        """No answer, direct or indirect: the target is suspect, and this instance suspects itself a little.
+        """Suspect the target of a probe without an ack, and adjust the local health multiplier.
 
-        A helper that sends a nack shows that this instance's own link works; one that sends nothing at all
-        shows the contrary, and weighs against this instance."""
+        A nack from a helper proves that this instance's own link works. A helper that sends nothing suggests
+        that it doesn't, and increases the multiplier.
+        """
         self._probe = None
         self._next_probe_at = max(self._next_probe_at, self._now)
         silent_helpers = max(probe.helper_count, 0) - len(probe.nacks)
@@ -256,13 +281,14 @@
             case MessageKind.SYNC:
                 self._send_table(event.address, MessageKind.SYNC_REPLY)
             case MessageKind.SYNC_REPLY:
-                pass  # its updates are all it has
+                pass  # contains nothing but updates
             case _:
                 self._actions.append(MessageReceived(message))
 
     def _on_ping(self, message: Message, address: Address) -> None:
         if message.subject != self.id:
-            self._count("misdirected")  # another process had this address; an ack would keep it alive
+            # Meant for another process that had this address; an ack would make it look alive.
+            self._count("misdirected")
             return
         if not self._is_leaving:
             self._send(MessageKind.ACK, message.sequence, address, self.id, receiver=message.sender)
@@ -273,10 +299,10 @@
             return
         sequence = self._next_sequence()
         self._relays[sequence] = Relay(message.sequence, address)
-        while len(self._relays) > MAX_RELAYS:  # one that is never answered goes when newer ones come
+        while len(self._relays) > MAX_RELAYS:  # those that were never acked are removed by newer ones
             del self._relays[next(iter(self._relays))]
         self._send(MessageKind.PING, sequence, target.address, target.id)
-        # The requester learns at once that its own link works; an ack follows if the target answers.
+        # The nack proves to the requester that its own link works; an ack follows if the target replies.
         self._send(MessageKind.NACK, message.sequence, address, message.subject)
 
     def _on_ack(self, message: Message) -> None:
@@ -290,9 +316,10 @@
             self._send(MessageKind.ACK, relay.sequence, relay.address, message.subject)
 
     def _on_update_of_self(self, update: Update) -> None:
-        """Another instance suspects this one: refute it by a higher incarnation."""
+        """Refute a suspicion of this instance with a higher incarnation."""
         if update.status is MemberStatus.ALIVE or self._is_leaving or update.incarnation < self.incarnation:
-            # After a wall clock went back, this start may have a lower incarnation than the last one had.
+            # If the wall clock went backwards before this start, a previous process of this instance may have
+            # had a higher incarnation.
             if update.incarnation > self.incarnation:
                 self.incarnation = update.incarnation + 1
                 self._updates.add(self._self_update())
@@ -301,8 +328,8 @@
         self._count("refuted")
         self._adjust_awareness(1)
         self._updates.add(self._self_update())
-        # Some members are notified at once: with much loss, a refutation that waits for the next ping would
-        # arrive after the suspicion's end.
+        # Some members are notified immediately: with high packet loss, a refutation that waits for the next
+        # pings might arrive after the suspicion's end.
         for member in self._table.sample(
             self.settings.indirect_probes, lambda m: m.status is MemberStatus.ALIVE
         ):
@@ -316,7 +343,7 @@
         self._actions.append(MemberChanged(member.id, member.name, member.status, member.incarnation))
 
     def _next_updates(self, receiver: int) -> bytes:
-        """Updates to piggyback: a suspect's own suspicion first, then those that were sent least often."""
+        """Return the updates to piggyback: the receiver's own suspicion first, then the least often sent."""
         capacity = self.codec.update_capacity()
         parts: list[bytes] = []
         suspect = self.members.get(receiver)
@@ -328,7 +355,7 @@
     def _send(
         self, kind: MessageKind, sequence: int, address: Address, subject: int, receiver: int | None = None
     ) -> None:
-        """Send a message with updates. receiver: the member at the address, where it isn't the subject."""
+        """Send a message with updates. receiver: the member at the address, if it isn't the subject."""
         updates = self._next_updates(subject if receiver is None else receiver)
         message = Message(kind, self.id, sequence, subject)
         self._actions.append(SendDatagram(self.codec.encode(message, updates), address))
@@ -337,7 +364,7 @@
         return next(self._sequence) & SEQUENCE_MASK
 
     def _sync(self) -> None:
-        """Exchange tables with one member or seed, and with one believed dead, so that halves meet again."""
+        """Sync tables with a live member, with a dead one so that partitions can heal, and with a seed."""
         self._table.remove_expired(self._now)
         is_alone = not any(m.status is MemberStatus.ALIVE for m in self.members.values())
         if is_alone:
@@ -349,7 +376,7 @@
             self._send_table(address, MessageKind.SYNC)
 
     def _send_table(self, address: Address, kind: MessageKind) -> None:
-        """This instance and a part of the table; only the first of several datagrams asks for a reply."""
+        """Send this instance's row and a part of the table; only the first datagram may request a reply."""
         capacity, max_parts = self.codec.update_capacity(), self.settings.max_sync_datagrams
         for rows in self._table_sender.parts(self._self_update(), self.members, address, capacity, max_parts):
             message = Message(kind, self.id, self._next_sequence())
--- a/cottonhold/membership/swim_settings.py
+++ b/cottonhold/membership/swim_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the membership protocol, with the reasons for their defaults."""
+"""Settings of the membership protocol."""
 
 from __future__ import annotations
 
@@ -7,23 +7,29 @@
 
 @dataclass(slots=True, frozen=True)
 class SwimSettings:
-    """Time-outs and bounds of the membership protocol.
+    """Time-outs and limits of the membership protocol.
 
-    probe_interval_ms: of one probe; with five members each is probed within a second.
-    ping_timeout_ms: the direct ping's part of it, several round trips in one site.
-    indirect_probes: members that are requested to ping indirectly.
-    min_suspicion_intervals: the shortest suspicion, in probe intervals times log10 of the members: a
-    refutation needs that long to spread.
-    max_suspicion_factor: the longest suspicion, in shortest ones; without Lifeguard the shortest counts.
-    max_confirmations: independent ones that bring a suspicion to its shortest.
-    max_awareness: the local health multiplier at its worst.
-    retransmit_factor: an update is sent this many times log10 of the members.
-    sync_interval_ms, max_sync_datagrams: of the full exchange of tables, also with members that count as
-    dead, so that the halves of a partition find each other again.
-    retention_ms: of ended members; longer than any replay or late update is under way.
-    stall_threshold_ms: a step that is later than this means that this instance did not run, and that its own
-    time-outs prove nothing.
-    uses_lifeguard: with the Lifeguard additions.
+    Attributes:
+        probe_interval_ms: Time from one probe to the next, in ms; with five members, each is probed within a
+            second.
+        ping_timeout_ms: Time for the ack of a direct ping before indirect pings are sent, in ms; several
+            round trips within one site.
+        indirect_probes: Number of members that are asked to ping a member indirectly.
+        min_suspicion_intervals: The shortest suspicion, in probe intervals times log10 of the number of
+            members, as a refutation needs that long to spread.
+        max_suspicion_factor: The longest suspicion, as a multiple of the shortest. Without Lifeguard all
+            suspicions are the shortest.
+        max_confirmations: Number of independent confirmations that reduce a suspicion to the shortest.
+        max_awareness: The upper limit of the local health multiplier.
+        retransmit_factor: An update is sent this many times log10 of the number of members.
+        sync_interval_ms: Mean time between full syncs of the member table, in ms. They include dead members,
+            so that the parts of a partition find each other again.
+        max_sync_datagrams: Largest number of datagrams in which a full sync sends the table.
+        retention_ms: Time for which dead and departed members are kept, in ms; longer than any replay or late
+            update takes to arrive.
+        stall_threshold_ms: If a step is later than this, in ms, this instance did not run for a while, so
+            that the time-outs which expired meanwhile prove nothing.
+        uses_lifeguard: Whether the Lifeguard extensions are used.
     """
 
     probe_interval_ms: float = 200.0
--- a/cottonhold/node/http_client.py
+++ b/cottonhold/node/http_client.py
@@ -160,6 +160,6 @@
             timeout.reschedule(loop.time() + request.body_timeout_ms / 1000)
             while data:
                 if (response := parser.receive(data)) is not None:
-                    return response, parser.keeps_alive
+                    return response, parser.is_connection_reusable
                 data = await self._read()
         raise WireError("the connection was closed in the middle of an answer")
--- a/cottonhold/transport/event_stream_client.py
+++ b/cottonhold/transport/event_stream_client.py
@@ -30,7 +30,7 @@
             try:
                 sock = await self.connector.dial(address, FIRST_BYTE_TIMEOUT_MS / 1000)
                 stream.restart()
-                while stream.keeps_connection:
+                while stream.is_connection_reusable:
                     backoff_s = await self._poll_once(stream, sock, backoff_s)
             except (OSError, WireError) as error:
                 self.context.counters.add("bus_broken")
--- a/tests/discovery/test_consul_parts.py
+++ b/tests/discovery/test_consul_parts.py
@@ -1,4 +1,4 @@
-"""Consul's protocol without sockets: status table, responses, HTTP, the watch and the registration."""
+"""Consul's protocol without sockets: service statuses, responses, HTTP, the watch and the registration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,13 @@
 from cottonhold.discovery.consul.http_exchange import HttpRequest, HttpResponse, HttpResponseParser
 from cottonhold.discovery.consul.registration import Registration, RegistrationPhase, RegistrationSettings
 from cottonhold.discovery.consul.watch import ServiceWatch, WatchSettings
-from cottonhold.discovery.model import Address, ConfiguredNames, ServiceStatus, SourceLost, SourceReport
+from cottonhold.discovery.model import (
+    Address,
+    ConfiguredNames,
+    ServiceStatus,
+    SourceReport,
+    SourceUnavailable,
+)
 from cottonhold.message_validation import WireError
 from tests.support.drawn_cases import ODD, changed, places
 
@@ -27,11 +33,11 @@
 def entry(
     engine_id: str = "e1", *checks: dict[str, Any], service: dict[str, Any] | None = None, **meta: str
 ) -> Any:
-    own = {"CheckID": f"check:{engine_id}", "Status": "passing", "Output": "ok", "ServiceID": engine_id}
+    own_check = {"CheckID": f"check:{engine_id}", "Status": "passing", "Output": "ok", "ServiceID": engine_id}
     return {
         "Node": {"Node": "node-1", "Address": "10.0.0.1", "Datacenter": "z1"},
         "Service": {"ID": engine_id, "Port": 1000, "CreateIndex": 5, "Meta": meta, **(service or {})},
-        "Checks": [SERF, *(checks or [own])],
+        "Checks": [SERF, *(checks or [own_check])],
     }
 
 
@@ -137,12 +143,12 @@
     assert reader.decode_health_response(body(entry("e2"))).absent_ids == ("e1",)
 
 
-@pytest.mark.parametrize("bad", [b"", b"{}", b"[", b'[{"Node":\xff}]', b"7"])
-def test_an_unreadable_response_changes_nothing(bad: bytes) -> None:
+@pytest.mark.parametrize("malformed_value", [b"", b"{}", b"[", b'[{"Node":\xff}]', b"7"])
+def test_an_unreadable_response_changes_nothing(malformed_value: bytes) -> None:
     reader, _ = make_decoder()
     reader.decode_health_response(body(entry("e1")))
     with pytest.raises(WireError):
-        reader.decode_health_response(bad)
+        reader.decode_health_response(malformed_value)
     assert reader.decode_health_response(body(entry("e1"))).observations == ()
 
 
@@ -158,7 +164,7 @@
 
 
 def test_the_first_response_is_complete_unless_an_entry_is_unreadable() -> None:
-    """Found by reading: engines known from the file stayed for good if Consul's first answer lacked them."""
+    """Guards against configured engines that stay forever although Consul's first answer lacks them."""
     reader, _ = make_decoder()
     assert not reader.decode_health_response(body(entry("e1"), 7)).is_complete
     second = reader.decode_health_response(body(entry("e1"), entry("e2")))
@@ -194,7 +200,12 @@
 def test_a_response_is_parsed_however_it_is_split(wire: bytes, size: int) -> None:
     exchange = HttpResponseParser(1000)
     got = [exchange.receive(wire[i : i + size]) for i in range(0, len(wire), size)]
-    assert got[-1] is not None and got[-1].body == b"some text" and not any(got[:-1]) and exchange.keeps_alive
+    assert (
+        got[-1] is not None
+        and got[-1].body == b"some text"
+        and not any(got[:-1])
+        and exchange.is_connection_reusable
+    )
 
 
 BOMB = gzip.compress(b"0" * 1_000_000, mtime=0)
@@ -207,10 +218,10 @@
         (response(b"x" * 1001), "more than 1000 bytes"),
         (response(BOMB, f"Content-Length: {len(BOMB)}", "Content-Encoding: gzip"), "more than 1000 bytes"),
         (response(b"12345", "Content-Length: 5", "Content-Encoding: gzip"), "compressed body can't be read"),
-        (response(b"12345", "Content-Length: 5", "Content-Encoding: br"), "wasn't asked for"),
+        (response(b"12345", "Content-Length: 5", "Content-Encoding: br"), "wasn't requested"),
         (
             response(gzip.compress(b"abc", mtime=0)[:-9], "Content-Length: 14", "Content-Encoding: gzip"),
-            "cut short",
+            "body is truncated",
         ),
         (response(b"", *[f"X-{i}: 1" for i in range(200)]), "too many headers"),
         (response(b"a") + response(b"b"), "can't be read|more bytes"),
@@ -240,14 +251,14 @@
 )
 def test_an_entry_of_odd_values_affects_only_itself(path: tuple[Any, ...], value: Any) -> None:
     odd, malformed = make_decoder()
-    told = odd.decode_health_response(body(changed(ENTRY, path, value), entry("e2"))).observations
-    assert "e2" in [o.id for o in told] and len(malformed) <= 1
+    observations = odd.decode_health_response(body(changed(ENTRY, path, value), entry("e2"))).observations
+    assert "e2" in [o.id for o in observations] and len(malformed) <= 1
     catalogue = {"Node": "n", "ServiceID": "e1"}
     with contextlib.suppress(WireError):
         odd.decode_catalog_response(body(changed(catalogue, (("Node", "ServiceID")[len(path) % 2],), value)))
 
 
-def test_a_header_with_a_line_end_is_refused() -> None:
+def test_a_header_with_a_line_break_is_rejected() -> None:
     with pytest.raises(WireError):
         HttpRequest("GET", "/", {"X-Consul-Token": "a\r\nX: b"}).encode("h")
 
@@ -274,9 +285,8 @@
     (report,) = w.on_response(ok_response(body(entry())))
     assert isinstance(report, SourceReport) and [o.id for o in report.observations] == ["e1"]
     second = w.next_request()
-    assert (
-        "index=7&wait=8000ms" in second.target and second.first_byte_timeout_ms == 9500
-    )  # the wait, a sixteenth, a second
+    # The timeout is the wait time, a sixteenth of it, and a second.
+    assert "index=7&wait=8000ms" in second.target and second.first_byte_timeout_ms == 9500
 
 
 def test_an_equal_response_after_the_wait_reports_no_change() -> None:
@@ -288,7 +298,7 @@
 
 
 def test_a_full_list_after_an_empty_one_under_the_same_index_is_read() -> None:
-    """Found against the stand-in: the index alone was taken as proof that nothing had changed."""
+    """Guards against the assumption that an unchanged index alone proves an unchanged list."""
     w = make_watch()
     w.on_response(ok_response(body(entry())))
     assert w.on_response(ok_response(b"[]")) == [SourceReport("dc1", 7, absent=("e1",))]
@@ -310,39 +320,39 @@
     assert "index=1&" in w.next_request().target
 
 
-@pytest.mark.parametrize("bad", [{"x-consul-index": "x"}, {}, {"x-consul-index": "-1"}])
-def test_a_response_without_a_usable_index_is_a_failure(bad: dict[str, str]) -> None:
-    (event,) = make_watch().on_response(HttpResponse(200, bad, body(entry())))
-    assert isinstance(event, SourceLost) and "X-Consul-Index" in event.reason
+@pytest.mark.parametrize("malformed_value", [{"x-consul-index": "x"}, {}, {"x-consul-index": "-1"}])
+def test_a_response_without_a_usable_index_is_a_failure(malformed_value: dict[str, str]) -> None:
+    (event,) = make_watch().on_response(HttpResponse(200, malformed_value, body(entry())))
+    assert isinstance(event, SourceUnavailable) and "X-Consul-Index" in event.reason
 
 
 @pytest.mark.parametrize("headers", [{"x_consul_knownleader": "false"}, {"x_consul_lastcontact": "5000"}])
-def test_a_stale_response_is_requested_again_from_the_leader(headers: dict[str, str]) -> None:
+def test_after_a_stale_response_the_leader_is_queried(headers: dict[str, str]) -> None:
     w = make_watch()
     assert w.on_response(ok_response(b"[]", **headers)) == [] and "stale" not in w.next_request().target
     (event,) = w.on_response(ok_response(b"[]", **headers))
-    assert isinstance(event, SourceLost)
+    assert isinstance(event, SourceUnavailable)
     assert w.next_request().target.endswith("?stale")
 
 
 def test_after_a_failure_the_next_agent_is_tried_and_the_backoff_grows_once_all_have_failed() -> None:
     w = make_watch(min_backoff_ms=100.0, max_backoff_ms=400.0)
     w.on_response(ok_response(body(entry())))
-    pauses, asked = [], []
+    pauses, addresses = [], []
     for _ in range(10):
-        asked.append(w.address)
+        addresses.append(w.address)
         w.on_failure("refused")
         pauses.append(w.next_call_in_ms)
         assert "index" not in w.next_request().target
-    assert asked[:4] == [*AGENTS, *AGENTS]
-    for i, most in enumerate([100, 100, 200, 200, 400, 400, 400, 400]):
-        assert most / 2 <= pauses[i] <= most
+    assert addresses[:4] == [*AGENTS, *AGENTS]
+    for i, max_ms in enumerate([100, 100, 200, 200, 400, 400, 400, 400]):
+        assert max_ms / 2 <= pauses[i] <= max_ms
     w.on_response(ok_response(body(entry())))
     assert w.next_call_in_ms == 20.0
 
 
 @pytest.mark.parametrize(
-    "status, headers, least, most",
+    "status, headers, min_ms, max_ms",
     [
         (403, {}, 1000, 1000),
         (429, {"retry-after": "3"}, 3000, 3000),
@@ -351,12 +361,12 @@
     ],
 )
 def test_an_error_status_is_a_failure_with_a_pause(
-    status: int, headers: dict[str, str], least: float, most: float
+    status: int, headers: dict[str, str], min_ms: float, max_ms: float
 ) -> None:
     w = make_watch()
     (event,) = w.on_response(HttpResponse(status, headers, b"Permission\ndenied"))
-    assert event == SourceLost("dc1", f"10.0.0.1:8500: status {status}: Permission denied")
-    assert least <= w.next_call_in_ms <= most
+    assert event == SourceUnavailable("dc1", f"10.0.0.1:8500: status {status}: Permission denied")
+    assert min_ms <= w.next_call_in_ms <= max_ms
 
 
 def test_an_absence_is_confirmed_at_the_leader_and_an_empty_catalogue_proves_nothing() -> None:
@@ -375,7 +385,7 @@
     assert "health" in w.next_request().target
     w.confirm_absence(("e1",))
     w.on_failure("cut")
-    assert "health" in w.next_request().target  # another answer decides first what is still absent
+    assert "health" in w.next_request().target  # a new answer must show first what is still absent
 
 
 def make_registration(**more: Any) -> Registration:
@@ -385,50 +395,50 @@
     return Registration(settings)
 
 
-GOOD = HttpResponse(200, {}, b"")
+OK_RESPONSE = HttpResponse(200, {}, b"")
 
 
-def test_the_entry_is_registered_kept_passing_and_deregistered() -> None:
+def test_the_dispatcher_registers_sends_heartbeats_and_deregisters() -> None:
     r = make_registration()
     made = r.next_request(0, 0)
     assert made.target == "/v1/agent/service/register?replace-existing-checks=true"
     wanted = json.loads(made.body)
     assert (wanted["ID"], wanted["Port"], wanted["Check"]["TTL"]) == ("n 1", 3306, "6000ms")
-    r.on_response(GOOD)
+    r.on_response(OK_RESPONSE)
     beat = r.next_request(12, 3)
     assert beat.target == "/v1/agent/check/update/service%3An%201" and r.next_call_in_ms == 2000
     assert json.loads(beat.body) == {
         "Status": "passing",
         "Output": "loop at most 12 ms late; 3 requests open",
     }
-    r.on_response(GOOD)
+    r.on_response(OK_RESPONSE)
     r.begin_deregistration()
     assert r.next_request(0, 0).target == "/v1/agent/service/deregister/n%201"
-    r.on_response(GOOD)
+    r.on_response(OK_RESPONSE)
     assert r.phase is RegistrationPhase.DEREGISTERED
 
 
 def test_a_lagging_loop_is_critical_until_two_heartbeats_without_lag() -> None:
     r = make_registration()
     r.next_request(0, 0)
-    r.on_response(GOOD)
+    r.on_response(OK_RESPONSE)
     states = []
     for lag in (0, 800, 10, 10, 10):
         states.append(json.loads(r.next_request(lag, 0).body)["Status"])
-        r.on_response(GOOD)
+        r.on_response(OK_RESPONSE)
     assert states == ["passing", "critical", "critical", "passing", "passing"]
 
 
 @pytest.mark.parametrize("status", [404, 500])
-def test_an_agent_that_lost_the_entry_gets_it_registered_at_once(status: int) -> None:
+def test_an_agent_without_the_registration_gets_it_again_immediately(status: int) -> None:
     r = make_registration()
     r.next_request(0, 0)
-    r.on_response(GOOD)
+    r.on_response(OK_RESPONSE)
     r.next_request(0, 0)
     r.on_response(HttpResponse(status, {}, b'Unknown check ID "service:n 1"'))
     assert r.phase is RegistrationPhase.ABSENT and r.next_call_in_ms == 0
     assert "register" in r.next_request(0, 0).target
-    r.on_response(GOOD)
+    r.on_response(OK_RESPONSE)
     assert r.registration_count == 2
 
 
--- a/tests/discovery/test_event_stream.py
+++ b/tests/discovery/test_event_stream.py
@@ -1,4 +1,4 @@
-"""The watch on the engine list over loopback sockets: a bus that breaks off, falls silent, drips, repeats."""
+"""The event stream client on loopback sockets, with servers that disconnect, stay silent, drip or repeat."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 from cottonhold.transport.event_loop import EventLoop
 from cottonhold.transport.event_stream_client import INITIAL_BACKOFF_S, EventStreamClient
 
-BREAK_TOLD_MS, RELOAD_TOLD_MS, STOP_TOLD_MS = 2000.0, 4000.0, 2000.0  # when news counts as told
-LIMIT_MS = 300.0  # of a call that an answer outlasts
-SHORT_MS = 40.0  # stands for each limit of the calls where a test has to let one run out
+# Time in which a change must be received after a broken link, a reload of the address and a stopped server.
+MAX_DELAY_AFTER_BREAK_MS, MAX_DELAY_AFTER_RELOAD_MS, MAX_DELAY_AFTER_STOP_MS = 2000.0, 4000.0, 2000.0
+LIMIT_MS = 300.0  # the first-byte timeout in the test of an answer that takes longer
+SHORT_MS = 40.0  # replaces the time limits of polls in tests that have to wait for their expiry
 
 
 def batch(offset: int, *events: tuple[int, str]) -> bytes:
-    """A body: events by number, each of one engine and its state."""
-    told = [
+    """Return the body of an answer. events: the sequence number and the state of the one engine."""
+    reports = [
         {"offset": number, "topology": {"instances": [{"instanceId": "e", "lifecycle": state}]}}
         for number, state in events
     ]
-    return orjson.dumps({"offset": offset, "batch": told})
+    return orjson.dumps({"offset": offset, "batch": reports})
 
 
 def answer(offset: int, *events: tuple[int, str], head: str = "Content-Length: {}") -> bytes:
@@ -42,7 +43,7 @@
 
 
 class ServerConnection:
-    """One connection that the bus has taken, with the first call on it."""
+    """One connection that the server accepted, with the last request on it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, text: bytes) -> None:
         self.loop, self.sock, self.text = loop, sock, text
@@ -51,60 +52,62 @@
         await self.loop.sock_sendall(self.sock, data)
 
     async def next(self) -> bytes:
-        """The next call on the same connection; empty where the dispatcher has closed it."""
+        """Return the next request on this connection; empty if the dispatcher closed it."""
         self.text = await self.loop.sock_recv(self.sock, 1000)
         return self.text
 
 
 class StreamHarness:
-    """A driver that follows a bus whose connections play a script each, one after the other."""
+    """A client of a server that runs one script for each connection, one after another."""
 
     def __init__(self, offset: int = 3) -> None:
         self.loop = asyncio.get_running_loop()
-        self.told: list[SourceReport] = []
+        self.reports: list[SourceReport] = []
         self.counters = Counters()
-        self.bus = EventStream("h", offset, ConfiguredNames(("z",), ("m",)), self.counters, self.told.append)
-        self.driver = EventLoop(self.loop, self.counters, lambda line: None)
+        self.bus = EventStream(
+            "h", offset, ConfiguredNames(("z",), ("m",)), self.counters, self.reports.append
+        )
+        self.driver = EventLoop(self.loop, self.counters, lambda text: None)
         self.calls: list[bytes] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
 
     async def play(self, *scripts: Play) -> None:
-        """Follow the bus until every script has been played to its end."""
+        """Follow the server until all scripts have ended."""
         host, port = self.listener.getsockname()
         following = self.loop.create_task(self.driver.event_stream.follow(self.bus, Address(host, port)))
-        held = []
+        sockets = []
         for script in scripts:
             sock, _ = await self.loop.sock_accept(self.listener)
-            held.append(sock)
+            sockets.append(sock)
             call = ServerConnection(self.loop, sock, await self.loop.sock_recv(sock, 1000))
             self.calls.append(call.text)
             await script(call)
         following.cancel()
         with suppress(asyncio.CancelledError):
             await following
-        for sock in held:
+        for sock in sockets:
             sock.close()
         self.listener.close()
 
     def states(self) -> list[str]:
-        return [o.reason for report in self.told for o in report.observations]
+        return [o.reason for report in self.reports for o in report.observations]
 
 
-def run(story: Callable[[], Awaitable[Any]]) -> Any:
+def run(scenario: Callable[[], Awaitable[Any]]) -> Any:
     async def limited() -> Any:
-        return await asyncio.wait_for(story(), 30)
+        return await asyncio.wait_for(scenario(), 30)
 
     return asyncio.run(limited())
 
 
 async def send_nothing(call: ServerConnection) -> None:
-    """Say nothing until the dispatcher gives the connection up."""
+    """Send nothing until the dispatcher closes the connection."""
     assert await call.next() == b""
 
 
 def respond_with(*parts: bytes, close: bool = False) -> Play:
-    """Say these, a part at a time, then close or wait for the next call."""
+    """Return a script that sends these parts one by one, and then closes or waits for the next request."""
 
     async def script(call: ServerConnection) -> None:
         for part in parts:
@@ -126,29 +129,33 @@
     monkeypatch.setattr(client_module, "FIRST_BYTE_TIMEOUT_MS", SHORT_MS)
 
 
-def test_a_dead_connection_is_left_within_the_time_of_a_poll() -> None:
-    """A break, or a new bus, may be followed by one connection that comes up and says nothing."""
+def test_a_dead_connection_is_abandoned_within_the_time_of_a_poll() -> None:
+    """After a break or a change of the server, the first new connection may be silent."""
     pause = 1000 * INITIAL_BACKOFF_S
-    assert pause + FIRST_POLL_MS + FIRST_BYTE_TIMEOUT_MS + 2 * pause < BREAK_TOLD_MS < RELOAD_TOLD_MS
-    assert LONG_POLL_MS + FIRST_BYTE_TIMEOUT_MS + pause < LONG_POLL_MS + STOP_TOLD_MS
+    assert (
+        pause + FIRST_POLL_MS + FIRST_BYTE_TIMEOUT_MS + 2 * pause
+        < MAX_DELAY_AFTER_BREAK_MS
+        < MAX_DELAY_AFTER_RELOAD_MS
+    )
+    assert LONG_POLL_MS + FIRST_BYTE_TIMEOUT_MS + pause < LONG_POLL_MS + MAX_DELAY_AFTER_STOP_MS
 
 
 @pytest.mark.usefixtures("shorten_waits")
-def test_silent_polls_in_a_row_are_left_and_every_second_one_is_long() -> None:
-    async def story() -> StreamHarness:
+def test_consecutive_silent_polls_are_abandoned_and_every_second_one_is_long() -> None:
+    async def scenario() -> StreamHarness:
         harness = StreamHarness()
         await harness.play(
             send_nothing, send_nothing, send_nothing, respond_with(answer(4, (4, "Terminating")))
         )
         return harness
 
-    harness = run(story)
+    harness = run(scenario)
     holds = [int(call.split(b"hold=")[1].split(b".")[0].split(b" ")[0]) for call in harness.calls]
     assert holds == [SHORT_MS, 2 * SHORT_MS, SHORT_MS, 2 * SHORT_MS] and harness.states() == ["Terminating"]
 
 
-GONE = batch(5, (5, "Gone"))
-CHUNKS = [b"%x\r\n%b\r\n" % (len(part), part) for part in (GONE[:9], GONE[9:])]
+GONE_BODY = batch(5, (5, "Gone"))
+CHUNKS = [b"%x\r\n%b\r\n" % (len(part), part) for part in (GONE_BODY[:9], GONE_BODY[9:])]
 FORMS = {
     "byte by byte": ([bytes([byte]) for byte in answer(5, (5, "Gone"))], False),
     "until the end": ([answer(5, (5, "Gone"), head="X: {}")], True),
@@ -160,24 +167,24 @@
 
 @pytest.mark.parametrize("parts, close", FORMS.values(), ids=FORMS)
 def test_a_response_in_any_form_is_applied_at_its_end(parts: list[bytes], close: bool) -> None:
-    async def story() -> StreamHarness:
+    async def scenario() -> StreamHarness:
         harness = StreamHarness()
         await harness.play(respond_with(*parts, close=close), respond_with(answer(6, (6, "Ready"))))
         return harness
 
-    async def kept() -> StreamHarness:
+    async def scenario_without_close() -> StreamHarness:
         harness = StreamHarness()
         await harness.play(respond_with(*parts))
         return harness
 
-    harness = run(story if close else kept)
+    harness = run(scenario if close else scenario_without_close)
     assert harness.states()[0] == "Gone" and harness.counters.counts["bus_broken"] == 0
     assert all(b"from=5&" in call for call in harness.calls[1:])
 
 
 @pytest.mark.usefixtures("shorten_waits")
 @pytest.mark.parametrize(
-    "half",
+    "script",
     [
         pytest.param(respond_with(answer(4, (4, "Gone"))[:-9], close=True), id="broken off"),
         pytest.param(respond_with(answer(4, (4, "Gone"), head="X: {}")[:-9], close=True), id="no length"),
@@ -187,20 +194,20 @@
         pytest.param(respond_with(close=True), id="nothing"),
     ],
 )
-def test_half_a_response_changes_nothing_and_is_requested_again(half: Play) -> None:
-    async def story() -> StreamHarness:
+def test_a_partial_response_changes_nothing_and_is_requested_again(script: Play) -> None:
+    async def scenario() -> StreamHarness:
         harness = StreamHarness()
-        await harness.play(half, half, respond_with(answer(4, (4, "Gone"))))
+        await harness.play(script, script, respond_with(answer(4, (4, "Gone"))))
         return harness
 
-    harness = run(story)
+    harness = run(scenario)
     assert harness.states() == ["Gone"] and all(b"from=3&" in call for call in harness.calls)
 
 
 def test_a_slow_response_is_awaited_as_long_as_bytes_arrive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It comes for longer than the call's own limit, with no pause as long as the limit on one."""
+    """The answer takes longer than the poll's timeout, but no pause in it reaches the limit for pauses."""
     monkeypatch.setattr(EventStream, "first_byte_timeout_ms", lambda self: LIMIT_MS)
     data = answer(4, (4, "Gone"))
 
@@ -210,19 +217,19 @@
             await asyncio.sleep(LIMIT_MS / 3000)
         assert b"from=4&" in await call.next()
 
-    async def story() -> StreamHarness:
+    async def scenario() -> StreamHarness:
         harness = StreamHarness()
         await harness.play(drip)
         return harness
 
-    assert run(story).states() == ["Gone"]
+    assert run(scenario).states() == ["Gone"]
 
 
 def test_a_source_that_answers_polls_at_once_is_polled_with_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     pauses: list[float] = []
     real = EventStreamClient._back_off
 
-    async def noted(self: EventStreamClient, pause: float) -> float:
+    async def recorded_back_off(self: EventStreamClient, pause: float) -> float:
         pauses.append(pause)
         return await real(self, pause)
 
@@ -237,14 +244,14 @@
             assert await call.next()
         call.sock.close()
 
-    async def story() -> StreamHarness:
+    async def scenario() -> StreamHarness:
         harness = StreamHarness()
-        monkeypatch.setattr(EventStreamClient, "_back_off", noted)
+        monkeypatch.setattr(EventStreamClient, "_back_off", recorded_back_off)
         monkeypatch.setattr(asyncio, "sleep", no_sleep)
         await harness.play(empty, respond_with(answer(4, (4, "Gone"))))
         return harness
 
-    assert run(story).states() == ["Gone"]
+    assert run(scenario).states() == ["Gone"]
     assert pauses[:6] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.0]
 
 
@@ -260,18 +267,18 @@
 def test_events_count_once_and_in_the_order_of_their_sequence_numbers(
     events: list[tuple[int, str]], states: list[str]
 ) -> None:
-    told: list[SourceReport] = []
-    bus = EventStream("h", 3, ConfiguredNames(("z",), ("m",)), Counters(), told.append)
+    reports: list[SourceReport] = []
+    bus = EventStream("h", 3, ConfiguredNames(("z",), ("m",)), Counters(), reports.append)
     bus.request()
     assert bus.receive(answer(max(number for number, _ in events), *events))
-    assert [o.reason for report in told for o in report.observations] == states
+    assert [o.reason for report in reports for o in report.observations] == states
 
 
 def test_a_client_that_is_moved_applies_nothing_more_of_the_old_source() -> None:
-    """Moved twice, the second time before the first new bus was reached; the old one answers late."""
+    """The address changes twice, before the first new server is reached; the old server answers late."""
 
-    async def story() -> tuple[StreamHarness, bytes]:
-        harness, held = StreamHarness(), list[socket.socket]()
+    async def scenario() -> tuple[StreamHarness, bytes]:
+        harness, sockets = StreamHarness(), list[socket.socket]()
         buses = [harness.listener, *(socket.create_server(("127.0.0.1", 0)) for _ in range(2))]
         following: asyncio.Task[None] | None = None
         for listener in buses:
@@ -282,30 +289,30 @@
                 harness.driver.event_stream.follow(harness.bus, Address(*listener.getsockname()))
             )
             if listener is not buses[1]:
-                held.append((await harness.loop.sock_accept(listener))[0])
-                harness.calls.append(await harness.loop.sock_recv(held[-1], 1000))
+                sockets.append((await harness.loop.sock_accept(listener))[0])
+                harness.calls.append(await harness.loop.sock_recv(sockets[-1], 1000))
             if listener is buses[0]:
-                await harness.loop.sock_sendall(held[0], answer(5, (5, "Gone")))
-                harness.calls.append(await harness.loop.sock_recv(held[0], 1000))
+                await harness.loop.sock_sendall(sockets[0], answer(5, (5, "Gone")))
+                harness.calls.append(await harness.loop.sock_recv(sockets[0], 1000))
         with suppress(OSError):
-            await harness.loop.sock_sendall(held[0], answer(6, (6, "Ready")))
-        await harness.loop.sock_sendall(held[1], answer(7, (6, "Terminating"), (7, "Gone")))
-        last = await harness.loop.sock_recv(held[1], 1000)
+            await harness.loop.sock_sendall(sockets[0], answer(6, (6, "Ready")))
+        await harness.loop.sock_sendall(sockets[1], answer(7, (6, "Terminating"), (7, "Gone")))
+        last = await harness.loop.sock_recv(sockets[1], 1000)
         assert following is not None
         following.cancel()
         await asyncio.gather(following, return_exceptions=True)
-        for sock in (*held, *buses):
+        for sock in (*sockets, *buses):
             sock.close()
         return harness, last
 
-    harness, last = run(story)
+    harness, last = run(scenario)
     assert harness.states() == ["Gone", "Terminating", "Gone"]
     assert [b"from=%d&" % n in call for n, call in zip((3, 5, 5), harness.calls, strict=True)] == [True] * 3
     assert b"from=7&" in last
 
 
 def test_a_new_address_that_refuses_is_retried_until_it_answers() -> None:
-    async def story() -> StreamHarness:
+    async def scenario() -> StreamHarness:
         harness = StreamHarness()
         address = harness.listener.getsockname()
         harness.listener.close()
@@ -325,4 +332,4 @@
             sock.close()
         return harness
 
-    assert run(story).states() == ["Gone"]
+    assert run(scenario).states() == ["Gone"]
