--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -1,4 +1,4 @@
-"""What an HTTP server may do wrong, byte by byte and on real sockets: counted, refused and survived."""
+"""Faulty HTTP servers, byte by byte and on real sockets: their responses are rejected and counted."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     HttpResponseParser,
 )
 from cottonhold.discovery.consul.watch import ServiceWatch, WatchSettings
-from cottonhold.discovery.model import Address, ConfiguredNames, Event, SourceLost, SourceReport
+from cottonhold.discovery.model import Address, ConfiguredNames, Event, SourceReport, SourceUnavailable
 from cottonhold.message_validation import WireError
 from cottonhold.node.consul_client import follow_service
 from cottonhold.node.http_client import HttpConnection, TlsSettings
@@ -29,8 +29,8 @@
 from cottonhold.transport.event_loop import EventLoop
 
 OK = "HTTP/1.1 200 OK\r\nX-Consul-Index: 7\r\n"
-GOOD = f"{OK}Content-Length: 2\r\n\r\n[]".encode()
-LEFT = f"{OK}Content-Length: 2\r\nConnection: close\r\n\r\n[]".encode()
+COMPLETE_RESPONSE = f"{OK}Content-Length: 2\r\n\r\n[]".encode()
+CLOSING_RESPONSE = f"{OK}Content-Length: 2\r\nConnection: close\r\n\r\n[]".encode()
 CHUNKS = f"{OK}Transfer-Encoding: chunked\r\n\r\n".encode()
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
@@ -49,14 +49,14 @@
 @pytest.mark.parametrize(
     "wire",
     [
-        CONTINUE + GOOD,
-        CONTINUE + HINTS + CONTINUE + GOOD,
+        CONTINUE + COMPLETE_RESPONSE,
+        CONTINUE + HINTS + CONTINUE + COMPLETE_RESPONSE,
         CHUNKS + b'1;name="a;b";more\r\n[\r\n1;x\r\n]\r\n0;last=1\r\nTrailer: t\r\n\r\n',
         CHUNKS + b"0001\r\n[\r\n1\r\n]\r\n000\r\n\r\n",
     ],
     ids=["100", "three interim", "chunk extensions", "lengths with zeros"],
 )
-def test_a_response_in_an_unusual_form_is_parsed_alike(wire: bytes, size: int) -> None:
+def test_a_response_in_an_unusual_form_is_parsed_correctly(wire: bytes, size: int) -> None:
     answer = receive(wire, size)
     assert answer is not None and (answer.status, answer.body) == (200, b"[]")
     assert answer.integer_header("x-consul-index") == 7 and "link" not in answer.headers
@@ -66,9 +66,9 @@
 @pytest.mark.parametrize(
     "wire, why",
     [
-        (GOOD + GOOD, "more bytes than the answer has"),
-        (GOOD + b"HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\nhalf", "more bytes"),
-        (GOOD + b"x", "more bytes"),
+        (COMPLETE_RESPONSE + COMPLETE_RESPONSE, "more bytes than the answer has"),
+        (COMPLETE_RESPONSE + b"HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\nhalf", "more bytes"),
+        (COMPLETE_RESPONSE + b"x", "more bytes"),
         (OK.encode() + b"Content-Length: 1\r\n\r\n[]", "more bytes"),
         (OK.encode() + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\n[]", "Duplicate Content-Length"),
         (OK.encode() + b"Content-Length: -2\r\n\r\n[]", "Content-Length"),
@@ -77,12 +77,12 @@
         (CHUNKS + b"1\r\n[]\r\n", "can't be read"),
         (CHUNKS + b"x\r\n[]\r\n", "can't be read"),
         (b"HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n", "another protocol"),
-        (OK.encode() + b"X: " + LONG, "no further"),
-        (OK.encode() + LONG, "no further"),
-        (b"HTTP/1.1 200 " + LONG, "no further"),
-        (CHUNKS + b"1;" + LONG, "no further"),
-        (CHUNKS + b"1\r\n[\r\n0\r\nX: " + LONG, "no further"),
-        (CONTINUE * (MAX_HEADER_BYTES // len(CONTINUE) + 1), "no further"),
+        (OK.encode() + b"X: " + LONG, "bytes received without body data"),
+        (OK.encode() + LONG, "bytes received without body data"),
+        (b"HTTP/1.1 200 " + LONG, "bytes received without body data"),
+        (CHUNKS + b"1;" + LONG, "bytes received without body data"),
+        (CHUNKS + b"1\r\n[\r\n0\r\nX: " + LONG, "bytes received without body data"),
+        (CONTINUE * (MAX_HEADER_BYTES // len(CONTINUE) + 1), "bytes received without body data"),
     ],
     ids=[
         "two answers",
@@ -112,7 +112,7 @@
 def test_bytes_after_a_compressed_body_are_not_retained() -> None:
     packed = gzip.compress(b"[]")
     head = f"{OK}Content-Encoding: gzip\r\nContent-Length: {len(packed) + 1}\r\n\r\n".encode()
-    with pytest.raises(WireError, match="behind the end"):
+    with pytest.raises(WireError, match="after the end"):
         receive(head + packed + b"x")
 
 
@@ -123,25 +123,25 @@
     assert last is not None and len(last.body) == 20_000
 
 
-HOLD = b""  # in a script: say nothing more and keep the connection
+STAY_SILENT = b""  # in a script: send nothing more and keep the connection open
 Scripts = list[list[bytes]]
 
 
 class ScriptedServer:
-    """A server that answers each call on each connection with the next bytes of that connection's script."""
+    """A server that answers each request with the next part of the connection's script."""
 
     def __init__(self, scripts: Scripts) -> None:
-        self.scripts, self.taken = scripts, 0
+        self.scripts, self.connection_count = scripts, 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        script = self.scripts[min(self.taken, len(self.scripts) - 1)]
-        self.taken += 1
+        script = self.scripts[min(self.connection_count, len(self.scripts) - 1)]
+        self.connection_count += 1
         try:
             for part in script:
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(part)
                 await writer.drain()
-                if part is HOLD:
+                if part is STAY_SILENT:
                     await reader.read()
         except (OSError, asyncio.IncompleteReadError):
             pass
@@ -150,7 +150,7 @@
 
 
 async def listen(server: ScriptedServer, context: ssl.SSLContext | None) -> asyncio.Server:
-    # asyncio keeps a TLS connection that it closes for 30 s, in case the other end still talks
+    # By default asyncio waits up to 30 s for the peer when it closes a TLS connection.
     wait = None if context is None else 0.01
     return await asyncio.start_server(server.serve, "127.0.0.1", 0, ssl=context, ssl_shutdown_timeout=wait)
 
@@ -175,15 +175,15 @@
 @pytest.mark.parametrize(
     "script",
     [
-        [GOOD[:-1]],
+        [COMPLETE_RESPONSE[:-1]],
         [OK.encode() + b"Content-Length: 3\r\n\r\n[]"],
         [CHUNKS + b"2\r\n[]\r\n"],
-        [OK.encode() + b"\r\n[]"],  # no length at all: its end could not be told from a cut
-        [b"HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n", HOLD],
-        [OK.encode() + b"X: " + LONG, HOLD],
+        [OK.encode() + b"\r\n[]"],  # without a length, the end looks like a broken connection
+        [b"HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n", STAY_SILENT],
+        [OK.encode() + b"X: " + LONG, STAY_SILENT],
         [CONTINUE],
-        [b"\0" * 10, HOLD],
-        [GOOD + GOOD.replace(b"7", b"8"), HOLD],
+        [b"\0" * 10, STAY_SILENT],
+        [COMPLETE_RESPONSE + COMPLETE_RESPONSE.replace(b"7", b"8"), STAY_SILENT],
     ],
     ids=["short body", "long length", "no last chunk", "no length", "101", "endless", "100", "junk", "two"],
 )
@@ -201,24 +201,24 @@
         watch = ServiceWatch(
             settings, HealthResponseDecoder(names, EntryInterpretation(), lambda why: None), 1
         )
-        told: list[Event] = []
-        work = asyncio.create_task(follow_service(driver, watch, None, told.extend, driver.counters))
-        while not any(isinstance(event, SourceReport) for event in told) and not work.done():
+        events: list[Event] = []
+        work = asyncio.create_task(follow_service(driver, watch, None, events.extend, driver.counters))
+        while not any(isinstance(event, SourceReport) for event in events) and not work.done():
             await asyncio.sleep(0.001)
-        assert not work.done() and [type(event) for event in told][:2] == [SourceLost, SourceReport]
+        assert not work.done() and [type(event) for event in events][:2] == [SourceUnavailable, SourceReport]
         assert driver.counters.counts["consul_failures"] == 1
         work.cancel()
 
-    play(ScriptedServer([script, [GOOD, HOLD]]), scenario)
+    play(ScriptedServer([script, [COMPLETE_RESPONSE, STAY_SILENT]]), scenario)
 
 
 @pytest.mark.parametrize("secure", [False, True], ids=["plain", "tls"])
 @pytest.mark.parametrize(
     "scripts, connections",
     [
-        ([[GOOD, GOOD, GOOD]], 1),
-        ([[LEFT], [GOOD, GOOD]], 2),
-        ([[GOOD], [GOOD, GOOD]], 2),
+        ([[COMPLETE_RESPONSE, COMPLETE_RESPONSE, COMPLETE_RESPONSE]], 1),
+        ([[CLOSING_RESPONSE], [COMPLETE_RESPONSE, COMPLETE_RESPONSE]], 2),
+        ([[COMPLETE_RESPONSE], [COMPLETE_RESPONSE, COMPLETE_RESPONSE]], 2),
     ],
     ids=["kept", "said to close", "closed between calls"],
 )
@@ -231,7 +231,7 @@
             assert (await link.request(address, CALL)).body == b"[]"
             if call == 0 and connections == 2 and link.sock is not None:
                 await asyncio.to_thread(select.select, [link.sock], [], [])
-        assert server.taken == connections
+        assert server.connection_count == connections
         link.close()
 
     server = ScriptedServer(scripts)
@@ -241,20 +241,20 @@
 
 @pytest.mark.parametrize("secure", [False, True], ids=["plain", "tls"])
 def test_a_response_that_precedes_its_request_is_not_used(secure: bool, tmp_path: Path) -> None:
-    """Found by reading: a second answer that came late was read as the answer to the next call."""
+    """Guards against a late second response that is read as the response to the next request."""
 
     class Early(ScriptedServer):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.taken += 1
+            self.connection_count += 1
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(GOOD)
-            if self.taken == 1:
+            writer.write(COMPLETE_RESPONSE)
+            if self.connection_count == 1:
                 await answered.wait()
-                writer.write(GOOD.replace(b": 7", b": 8"))
+                writer.write(COMPLETE_RESPONSE.replace(b": 7", b": 8"))
             await reader.read()
             writer.close()
 
-    answered, early = asyncio.Event(), Early([])
+    answered, server = asyncio.Event(), Early([])
 
     async def scenario(driver: EventLoop, address: Address) -> None:
         link = HttpConnection(driver, tls, 1000)
@@ -262,11 +262,14 @@
         answered.set()
         await asyncio.to_thread(select.select, [link.sock], [], [])
         second = await link.request(address, CALL)
-        assert [a.integer_header("x-consul-index") for a in (first, second)] == [7, 7] and early.taken == 2
+        assert [a.integer_header("x-consul-index") for a in (first, second)] == [
+            7,
+            7,
+        ] and server.connection_count == 2
         link.close()
 
     tls, context = make_certificates(tmp_path) if secure else (None, None)
-    play(early, scenario, context)
+    play(server, scenario, context)
 
 
 def make_certificates(folder: Path) -> tuple[TlsSettings, ssl.SSLContext]:
--- a/tests/discovery/test_malformed_lists.py
+++ b/tests/discovery/test_malformed_lists.py
@@ -1,4 +1,4 @@
-"""Drawn bytes for the event bus: what can be read of them counts, and no number in it breaks a decision."""
+"""Random bytes from the event stream: valid parts are applied, and no number causes a later failure."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 @example(answered(orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": [
     {**ENTRY, "hostPort": "a:²"}, ENTRY]}}]})))  # fmt: skip
 def test_an_event_list_of_any_bytes_is_applied_or_refused(data: bytes) -> None:
-    """What can be read of it reaches the gateway, and no number in it breaks a decision."""
+    """Valid parts reach the gateway, and no number in them makes the scheduler fail."""
     reports, counters = list[SourceReport](), Counters()
     try:
         bus(reports, counters).receive(data)
@@ -67,9 +67,9 @@
         assert counters.counts["bus_malformed"]
     world = World().run("c1 query lookup r1\ne1 expect GET r1 *")
     world.met = lambda name: name  # type: ignore[method-assign]  # any engine comes up, and never answers
-    belief = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1)
+    catalog = EngineCatalog(((SOURCE, SourceGuard(is_trusted=True)),), 1)
     for report in reports:
-        for action in belief.step(world.clock.now(), [report]):
+        for action in catalog.step(world.clock.now(), [report]):
             if isinstance(action, PublishChange):
                 world.gateway.on_engine_list(action.change)
     world.wait(50.0)
@@ -81,7 +81,7 @@
 
 
 def test_an_unreadable_entry_affects_only_itself() -> None:
-    """Danger: one address with a digit of another script hid all that its answer told, again and again."""
+    """Guards against an invalid entry (a port with a non-ASCII digit) that makes a whole answer unusable."""
     entries = [{**ENTRY, "hostPort": "a:²"}, {**ENTRY, "hostPort": "a:" + "9" * 5000}, ENTRY]
     body = orjson.dumps({"offset": 2, "batch": [{"offset": 2, "topology": {"instances": entries}}]})
     reports, counters = list[SourceReport](), Counters()
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams: small, versioned, authenticated; what is malformed, forged or replayed changes nothing."""
+"""The datagram codec: malformed, forged and replayed datagrams are rejected and change no state."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     tail = b"".join(map(encode_update, updates))
     data = a.encode(Message(kind, a.sender, sequence, subject), tail)
     assert len(data) <= MAX_DATAGRAM_BYTES and data[0] == MAGIC not in (1, 2)
-    if kind is MessageKind.FLEET:  # bytes of another part's in place of updates
+    if kind is MessageKind.FLEET:  # a payload in place of updates
         assert b.decode(data) == Message(kind, a.sender, sequence, subject, payload=tail)
     else:
         assert b.decode(data) == Message(kind, a.sender, sequence, subject, tuple(updates))
@@ -76,7 +76,7 @@
     try:
         b.decode(data)
     except CodecError as error:
-        assert error.reason and not b.replay_windows  # nothing was remembered of it
+        assert error.reason and not b.replay_windows  # no state was changed
 
 
 @settings(max_examples=200, deadline=None)
@@ -88,7 +88,7 @@
     assert rejection_reason(b, bytes(data)) in ("mac", "key", "magic", "version") and not b.replay_windows
 
 
-def test_truncated_long_and_unknown_datagrams_have_reasons_of_their_own() -> None:
+def test_truncated_long_and_unknown_datagrams_have_distinct_reasons() -> None:
     a, b = make_codecs()
     data = ping(a, encode_update(Update(MemberStatus.DEAD, 1, 2, 3)))
     assert {rejection_reason(b, data[:n]) for n in range(1, 32)} == {"truncated"}
@@ -96,7 +96,7 @@
     assert rejection_reason(b, b"\x01" + data[1:]) == "magic"
     assert rejection_reason(b, data[:1] + b"\x02" + data[2:]) == "version"
     assert rejection_reason(b, data[:19] + b"\x63" + data[20:]) == "kind"
-    assert rejection_reason(a, ping(a)) == "sender"  # one's own, come back
+    assert rejection_reason(a, ping(a)) == "sender"  # the codec's own datagram
 
 
 def test_a_replay_is_refused_and_a_reordered_datagram_is_not() -> None:
@@ -107,9 +107,9 @@
         b.decode(datagrams[i])
     for i in (200, 100, 299):
         assert rejection_reason(b, datagrams[i]) == "replay"
-    assert rejection_reason(b, datagrams[1]) == "replay"  # further behind than any datagram can be late
-    again = Codec(a.sender, 8, KEYS)
-    b.decode(ping(again))  # a new life begins anew
+    assert rejection_reason(b, datagrams[1]) == "replay"  # outside of the replay window
+    restarted = Codec(a.sender, 8, KEYS)
+    b.decode(ping(restarted))  # the counts of a new session are independent
     assert rejection_reason(b, datagrams[299]) == "replay"
 
 
--- a/tests/membership/test_duties.py
+++ b/tests/membership/test_duties.py
@@ -1,4 +1,4 @@
-"""Who holds what: rendezvous hashing at the cost of the change, and leases that are never held twice."""
+"""Assignment of duties: the result and cost of rendezvous hashing, and leases with at most one holder."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 
 def make_rendezvous(members: dict[int, float], subjects: Iterable[str] = SUBJECTS) -> Rendezvous:
-    made = Rendezvous()
+    rendezvous = Rendezvous()
     for member, weight in members.items():
-        made.add_member(member, weight)
+        rendezvous.add_member(member, weight)
     for subject in subjects:
-        made.add_subject(subject)
-    return made
+        rendezvous.add_subject(subject)
+    return rendezvous
 
 
 def holders_by_all_pairs(members: dict[int, float], subjects: Iterable[str]) -> dict[str, int]:
-    """The holder of each subject, by the definition of rendezvous hashing."""
+    """Return the holder of each subject by the definition of rendezvous hashing."""
     return {s: max(((score(m, w, s), m) for m, w in members.items()))[1] for s in subjects}
 
 
@@ -53,52 +53,52 @@
 @settings(max_examples=150, deadline=None, phases=PHASES)
 @given(st.lists(CHANGE, max_size=40))
 def test_after_any_changes_the_holders_equal_those_by_all_pairs(changes: list[Any]) -> None:
-    made, members = Rendezvous(), dict[int, float]()
+    rendezvous, members = Rendezvous(), dict[int, float]()
     for kind, number, weight in changes:
-        before = {s: made.holder(s) for s in made.holders}
+        before = {s: rendezvous.holder(s) for s in rendezvous.holders}
         moved: set[str] | None = None
         if kind == "add":
             members[number] = weight
-            moved = made.add_member(number, weight)
+            moved = rendezvous.add_member(number, weight)
         elif kind == "drop":
             members.pop(number, None)
-            moved = made.remove_member(number)
+            moved = rendezvous.remove_member(number)
         elif kind == "subject":
-            made.add_subject(f"s{number}")
+            rendezvous.add_subject(f"s{number}")
         else:
-            made.remove_subject(f"s{number}")
-        after = {s: made.holder(s) for s in made.holders}
+            rendezvous.remove_subject(f"s{number}")
+        after = {s: rendezvous.holder(s) for s in rendezvous.holders}
         assert after == (holders_by_all_pairs(members, after) if members else dict.fromkeys(after))
         if moved is not None:
             assert moved == {s for s in after if after[s] != before[s]}
-        assert all(made.subjects_of(m) == {s for s, h in after.items() if h == m} for m in members)
+        assert all(rendezvous.subjects_of(m) == {s for s, h in after.items() if h == m} for m in members)
 
 
-def test_a_member_that_joins_or_leaves_moves_only_its_own_subjects() -> None:
-    made = make_rendezvous(dict.fromkeys(range(1, 11), 1.0))
-    went = made.subjects_of(3)
-    assert made.remove_member(3) == went and 5 <= len(went) <= 40
-    assert made.add_member(3) == went
+def test_joining_or_leaving_moves_only_the_subjects_of_that_member() -> None:
+    rendezvous = make_rendezvous(dict.fromkeys(range(1, 11), 1.0))
+    released = rendezvous.subjects_of(3)
+    assert rendezvous.remove_member(3) == released and 5 <= len(released) <= 40
+    assert rendezvous.add_member(3) == released
 
 
 def test_a_change_costs_no_scores_of_unaffected_subjects() -> None:
-    made = make_rendezvous(dict.fromkeys(range(1, 51), 1.0))
-    made.score_count = 0
-    held = len(made.subjects_of(7))
-    made.remove_member(7)
-    assert made.score_count == held * 49  # all pairs would be 200 x 49
-    made.score_count = 0
-    made.add_member(7)
-    assert made.score_count == 200
+    rendezvous = make_rendezvous(dict.fromkeys(range(1, 51), 1.0))
+    rendezvous.score_count = 0
+    released_count = len(rendezvous.subjects_of(7))
+    rendezvous.remove_member(7)
+    assert rendezvous.score_count == released_count * 49  # a complete recomputation would need 200 x 49
+    rendezvous.score_count = 0
+    rendezvous.add_member(7)
+    assert rendezvous.score_count == 200
 
 
 def test_subjects_are_shared_by_weight() -> None:
-    made = make_rendezvous({1: 1.0, 2: 3.0}, [f"s{i}" for i in range(4000)])
-    assert 0.7 < len(made.subjects_of(2)) / 4000 < 0.8
+    rendezvous = make_rendezvous({1: 1.0, 2: 3.0}, [f"s{i}" for i in range(4000)])
+    assert 0.7 < len(rendezvous.subjects_of(2)) / 4000 < 0.8
 
 
 class Voter:
-    """One instance: claims the leases in `wanted`, and reports those that it acquires and loses."""
+    """One instance that claims the leases in `wanted`, and reports those that it acquires and loses."""
 
     def __init__(self, number: int, site: LeaseNetwork, now: float, first_term: int) -> None:
         self.number, self.site = number, site
@@ -108,56 +108,56 @@
     def step(self, now: float, received: list[tuple[bytes, Address]]) -> Iterable[tuple[bytes, Address]]:
         actions = list(self.leases.step(now))
         for data, sender in received:
-            what = self.site.messages[int.from_bytes(data, "big")]
-            actions += self.leases.on_message(now, self.site.numbers[sender], what)
+            message = self.site.messages[int.from_bytes(data, "big")]
+            actions += self.leases.on_message(now, self.site.numbers[sender], message)
         if self.wanted != set(self.leases.claims):
             actions += self.leases.claim(now, self.wanted)
-        out = []
+        datagrams = []
         for action in actions:
             if isinstance(action, SendToMember):
                 self.site.messages.append(action.message)
                 index = len(self.site.messages) - 1
-                out.append((index.to_bytes(8, "big"), self.site.addresses[action.member]))
+                datagrams.append((index.to_bytes(8, "big"), self.site.addresses[action.member]))
             elif isinstance(action, LeaseHeld):
                 self.site.on_lease_held(self.number, action.duty, action.expires_at - now)
             elif isinstance(action, LeaseLost):
                 self.site.on_lease_lost(self.number, action.duty)
-        return out
+        return datagrams
 
     def next_at(self) -> float:
         return self.leases.next_at()
 
 
 class LeaseNetwork:
-    """Five voters; checks after each message that no two hold a lease at the same time."""
+    """Five voters; checks at each acquisition that no other instance holds the lease."""
 
     def __init__(self, seed: int, loss: float = 0.0) -> None:
         self.network, self.settings = Network(seed, loss=loss), LeaseSettings()
         self.messages: list[LeaseRequest | LeaseReply] = []
-        self.addresses = {n: Address(f"10.0.0.{n}", 1) for n in range(1, 6)}
-        self.numbers = {a: n for n, a in self.addresses.items()}
-        self.holds: dict[int, tuple[int, float]] = {}  # by duty: who, and until when by true time
+        self.addresses = {number: Address(f"10.0.0.{number}", 1) for number in range(1, 6)}
+        self.numbers = {a: number for number, a in self.addresses.items()}
+        self.holds: dict[int, tuple[int, float]] = {}  # by duty: the holder, and the expiry on the true clock
         self.takeovers = 0
         self.voters: dict[int, Voter] = {}
-        for n in self.addresses:
-            self.start(n)
+        for number in self.addresses:
+            self.start(number)
 
-    def start(self, n: int, skew: float = 0.0) -> None:
+    def start(self, number: int, skew: float = 0.0) -> None:
         now = self.network.now + skew
-        self.voters[n] = Voter(n, self, now, self.network.draw.getrandbits(20))
-        self.network.add(self.addresses[n], self.voters[n], skew)
+        self.voters[number] = Voter(number, self, now, self.network.draw.getrandbits(20))
+        self.network.add(self.addresses[number], self.voters[number], skew)
 
     def claim(self, duty: int, *numbers: int) -> None:
-        for n, voter in self.voters.items():
-            (voter.wanted.add if n in numbers else voter.wanted.discard)(duty)
-            host = self.network.hosts[self.addresses[n]]
+        for number, voter in self.voters.items():
+            (voter.wanted.add if number in numbers else voter.wanted.discard)(duty)
+            host = self.network.hosts[self.addresses[number]]
             self.network.call_at(self.network.now, lambda host=host: self.network.step(host))  # type: ignore[misc]
 
-    def on_lease_held(self, number: int, duty: int, left: float) -> None:
+    def on_lease_held(self, number: int, duty: int, remaining_ms: float) -> None:
         holder, until = self.holds.get(duty, (number, 0.0))
         assert holder == number or until <= self.network.now, (duty, holder, number)
         self.takeovers += holder != number
-        self.holds[duty] = (number, self.network.now + left)
+        self.holds[duty] = (number, self.network.now + remaining_ms)
 
     def on_lease_lost(self, number: int, duty: int) -> None:
         if self.holds.get(duty, (0, 0.0))[0] == number:
@@ -179,7 +179,7 @@
     site.run(10_000)
     assert site.holder(1) == 2 and site.takeovers == 0
     site.claim(1, 4)
-    site.run(400)  # told as given back, so that nobody waits for the end of a lease
+    site.run(400)  # shorter than a lease: a release is sent, so there is no wait for its expiry
     assert site.holder(1) == 4
 
 
@@ -201,7 +201,7 @@
     site.run(3000)
     minority = {site.addresses[1], site.addresses[2]}
     site.network.is_cut = lambda a, b: (a in minority) is not (b in minority)
-    site.claim(1, 2, 4)  # each half believes that it is its own
+    site.claim(1, 2, 4)  # each side of the partition assigns the duty to one of its members
     site.run(3000)
     assert site.holder(1) == 4
 
@@ -227,15 +227,13 @@
         assert not [
             a for a in leases.on_message(5300.0, voter, LeaseReply(7, 101, True)) if isinstance(a, LeaseHeld)
         ]
-    told = [a for voter in (2, 3) for a in leases.on_message(5300.0, voter, LeaseReply(7, 102, True))]
-    assert told == [LeaseHeld(7, 102, 5200.0 + 1200.0 * 0.9)]
+    actions = [a for voter in (2, 3) for a in leases.on_message(5300.0, voter, LeaseReply(7, 102, True))]
+    assert actions == [LeaseHeld(7, 102, 5200.0 + 1200.0 * 0.9)]
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_under_any_faults_no_lease_is_held_twice(seed: int) -> None:
-    """Contenders that disagree about who should hold, under loss, splits, stops, deaths and clocks that
-    differ.
-    """
+def test_under_any_faults_a_lease_has_at_most_one_holder(seed: int) -> None:
+    """Instances claim the same leases, under packet loss, partitions, pauses, crashes and clock skew."""
     site, draw = LeaseNetwork(seed, loss=0.1), random.Random(seed)
     for _ in range(40):
         kind = draw.choice(["want", "want", "stop", "kill", "start", "split", "heal", "loss"])
@@ -249,9 +247,12 @@
             site.network.kill(site.addresses[number])
             del site.voters[number]
             for duty in [d for d, (holder, _) in site.holds.items() if holder == number]:
-                site.on_lease_lost(number, duty)  # a dead process does no work
+                site.on_lease_lost(number, duty)  # a process that was killed does no work
         elif kind == "start" and len(running) < 5:
-            site.start(draw.choice([n for n in range(1, 6) if n not in running]), draw.uniform(-1e6, 1e6))
+            site.start(
+                draw.choice([number for number in range(1, 6) if number not in running]),
+                draw.uniform(-1e6, 1e6),
+            )
         elif kind == "split":
             half = set(draw.sample(sorted(site.numbers, key=str), 2))
             site.network.is_cut = lambda a, b, half=half: (a in half) is not (b in half)  # type: ignore[misc]
@@ -277,7 +278,7 @@
     d = make_only_member(PROBE)
     d.on_members(0.0, {})
     (run,) = [a for a in d.on_subjects(0.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
-    assert not d.step(500.0)  # it runs already
+    assert not d.step(500.0)  # the run is still in progress
     assert d.on_run_ended(600.0, run) == [AnnounceDone("probe", "e1", 600.0)] and d.next_at() == 1600.0
     assert subjects_run(d.step(1600.0)) == ["e1"]
 
@@ -296,12 +297,12 @@
 
 def test_a_new_engine_is_checked_by_exactly_one_of_five() -> None:
     members = dict.fromkeys(range(1, 6), 1.0)
-    greeted = []
+    run_subjects = []
     for me in members:
         d = DutyScheduler(me, [PROBE], members, LeaseSettings(), 0.0, 0)
         d.on_members(0.0, members)
-        greeted += subjects_run(d.on_subjects(0.0, "probe", [f"e{i}" for i in range(40)]))
-    assert sorted(greeted) == sorted(f"e{i}" for i in range(40))
+        run_subjects += subjects_run(d.on_subjects(0.0, "probe", [f"e{i}" for i in range(40)]))
+    assert sorted(run_subjects) == sorted(f"e{i}" for i in range(40))
 
 
 def test_a_late_run_is_fenced_even_if_its_subject_was_removed() -> None:
@@ -310,26 +311,25 @@
     (run,) = [a for a in d.on_subjects(0.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
     assert d.on_subjects(100.0, "probe", []) == [StopDuty("probe", "e1", run.epoch)]
     assert d.on_run_ended(200.0, run) == []
-    (again,) = [a for a in d.on_subjects(300.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
-    assert d.on_run_ended(400.0, run) == [] and d.on_run_ended(500.0, again) == [
+    (second_run,) = [a for a in d.on_subjects(300.0, "probe", ["e1"]) if isinstance(a, RunDuty)]
+    assert d.on_run_ended(400.0, run) == [] and d.on_run_ended(500.0, second_run) == [
         AnnounceDone("probe", "e1", 500.0)
     ]
 
 
 def test_an_at_most_once_run_starts_only_with_enough_of_its_lease_left() -> None:
-    d = make_only_member(
-        WATCH
-    )  # the only voter: its own word is the majority, once one lease has passed since its start
+    # Its own grant is a majority, but it grants nothing for one lease after its start.
+    d = make_only_member(WATCH)
     d.on_members(0.0, {})
     assert subjects_run(d.on_subjects(0.0, "watch", ["dc1"])) == []
-    began, now = -1.0, 0.0
-    while now < 5000.0 and began < 0:
+    began_at, now = -1.0, 0.0
+    while now < 5000.0 and began_at < 0:
         now = max(d.next_at(), now + 1.0)
         if subjects_run(d.step(now)):
-            began = now
-    assert 1200.0 <= began < 2000.0 and d.lease_expiry["watch", "dc1"] - began >= WATCH.max_run_ms
-    d.leases.voters, d.leases.majority = (1, 2, 3), 2  # the others are gone: no renewal
-    stopped = [a for t in range(int(began), int(began) + 1500, 10) for a in d.step(float(t))]
+            began_at = now
+    assert 1200.0 <= began_at < 2000.0 and d.lease_expiry["watch", "dc1"] - began_at >= WATCH.max_run_ms
+    d.leases.voters, d.leases.majority = (1, 2, 3), 2  # the other voters don't reply: no renewal
+    stopped = [a for t in range(int(began_at), int(began_at) + 1500, 10) for a in d.step(float(t))]
     assert [a for a in stopped if isinstance(a, StopDuty)] == [
         StopDuty("watch", "dc1", 1)
     ] and d.active_subjects() == []
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,6 +1,7 @@
-"""Five real instances on loopback: two killed, one stopped and continued, one returned; counted at engines.
+"""Five instance processes on loopback: two are killed, one is stopped and continued, one is restarted.
 
-Waits for states, not for times; benchmarks/membership measures the times.
+The health checks are counted at the engines. The test waits for states only; benchmarks/membership measures
+the times.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from cottonhold.cli.main import app
 from cottonhold.emulator.process_fleet import ProcessFleet
 
-# Tests that start several processes slow one another, which looks like a fault: few run side by side.
+# Tests that start several processes slow each other down, which looks like a fault: run few in parallel.
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("fleet processes")]
 
 
@@ -31,24 +32,24 @@
 def test_five_instances_share_health_checks_through_kills_a_stop_and_a_restart(tier: ProcessFleet) -> None:
     for i in range(5):
         tier.start(i)
-    tier.wait_until(tier.has_converged, "all five know one another")
-    assert all(len(ports) == 1 for ports in tier.checkers().values()), "an engine is probed by one of all"
+    tier.wait_until(tier.has_converged, "all five see each other")
+    assert all(len(ports) == 1 for ports in tier.checkers().values()), "one instance probes each engine"
     tier.kill(1)
     tier.kill(3)
-    tier.wait_until(tier.has_converged, "three know that two are gone, and hold their duties")
+    tier.wait_until(tier.has_converged, "three have detected two deaths and have taken over their duties")
     assert all(len(ports) == 1 for ports in tier.checkers().values())
     stopped = tier.processes[2]
     stopped.send_signal(signal.SIGSTOP)
     try:
         others = [i for i in tier.processes if i != 2]
         tier.wait_until(
-            lambda: all(status(tier.view(i), "n2") != "alive" for i in others), "the stopped one is missed"
+            lambda: all(status(tier.view(i), "n2") != "alive" for i in others), "the stop is detected"
         )
     finally:
         stopped.send_signal(signal.SIGCONT)
-    tier.wait_until(tier.has_converged, "it is back, and nobody is dead for it")
+    tier.wait_until(tier.has_converged, "it is alive again, and it regards no other as dead")
     tier.start(1)
-    tier.wait_until(tier.has_converged, "one returned from nothing")
+    tier.wait_until(tier.has_converged, "the instance restarted without state is alive")
     assert all(len(ports) == 1 for ports in tier.checkers().values())
     members = CliRunner().invoke(app, ["members", "--socket", str(tier.folder / "n0.sock")])
     assert members.exit_code == 0 and "n1" in members.output and "alive" in members.output
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -1,5 +1,6 @@
-"""Membership in virtual time: deaths, returns, stalls, splits, loss, one-way links. One seed replays it
-all.
+"""The membership protocol in virtual time: crashes, restarts, stalls, partitions, packet loss, one-way links.
+
+A seed repeats a run exactly.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 from cottonhold.membership.swim import Swim
 from cottonhold.membership.swim_settings import SwimSettings
 
-EPOCH = 10_000_000  # Unix time of a start is an incarnation: never near 0
+EPOCH = 10_000_000  # added to start times, since real incarnations are Unix times and never near 0
 
 
 class Instance:
-    """A Swim on the network, with what it has told."""
+    """A `Swim` on the emulated network, with the status changes that it reported."""
 
     def __init__(self, swim: Swim) -> None:
         self.swim = swim
-        self.told: list[tuple[float, MemberChanged]] = []
+        self.status_changes: list[tuple[float, MemberChanged]] = []
 
     def step(self, now: float, received: list[tuple[bytes, Address]]) -> Iterable[tuple[bytes, Address]]:
         actions = self.swim.step(now, [DatagramReceived(data, sender) for data, sender in received])
-        self.told += [(now, action) for action in actions if isinstance(action, MemberChanged)]
+        self.status_changes += [(now, action) for action in actions if isinstance(action, MemberChanged)]
         return [(action.data, action.address) for action in actions if isinstance(action, SendDatagram)]
 
     def next_at(self) -> float:
@@ -35,33 +36,33 @@
 
 
 class Fleet:
-    """Instances n0, n1, ... that know one another's addresses as seeds."""
+    """Instances n0, n1, ... whose seeds are the first three of them."""
 
     def __init__(self, size: int, seed: int, loss: float = 0.0, settings: SwimSettings | None = None) -> None:
         self.network = Network(seed, loss=loss)
         self.settings = settings or SwimSettings()
-        self.seed, self.lives = seed, 0
+        self.seed, self.start_count = seed, 0
         self.addresses = [Address(f"10.0.{i // 250}.{i % 250 + 1}", 7946) for i in range(size)]
         self.instances: dict[int, Instance] = {}
         for i in range(size):
             self.start(i)
 
     def start(self, i: int, skew: float = 0.0) -> Instance:
-        self.lives += 1
-        begun = int(self.network.now + skew) + EPOCH
+        self.start_count += 1
+        started_at = int(self.network.now + skew) + EPOCH
         seeds = self.addresses[:3]
         swim = Swim(
             f"n{i}",
             self.addresses[i],
             self.settings,
-            self.seed * 1000 + self.lives,
-            begun,
+            self.seed * 1000 + self.start_count,
+            started_at,
             KeyRing({1: b"k"}, 1),
             seeds,
         )
-        made = self.instances[i] = Instance(swim)
-        self.network.add(self.addresses[i], made, skew)
-        return made
+        instance = self.instances[i] = Instance(swim)
+        self.network.add(self.addresses[i], instance, skew)
+        return instance
 
     def kill(self, *numbers: int) -> None:
         for i in numbers:
@@ -72,16 +73,16 @@
         self.network.run(self.network.now + ms)
 
     def agree(self) -> bool:
-        """Whether all that run know exactly all that run."""
+        """Whether each running instance sees exactly the running instances as live."""
         ids = sorted(member_id(f"n{i}") for i in self.instances)
         return all(instance.swim.live_members() == ids for instance in self.instances.values())
 
-    def until_agreed(self, most: float, step: float = 20.0) -> float:
-        begun = self.network.now
+    def until_agreed(self, timeout_ms: float, step: float = 20.0) -> float:
+        started_at = self.network.now
         while not self.agree():
-            assert self.network.now - begun < most, self.views()
+            assert self.network.now - started_at < timeout_ms, self.views()
             self.run(step)
-        return self.network.now - begun
+        return self.network.now - started_at
 
     def views(self) -> dict[str, dict[str, str]]:
         return {
@@ -90,10 +91,16 @@
         }
 
     def deaths(self) -> int:
-        return sum(c.status is MemberStatus.DEAD for i in self.instances.values() for _, c in i.told)
+        return sum(
+            c.status is MemberStatus.DEAD for i in self.instances.values() for _, c in i.status_changes
+        )
 
     def trace(self) -> list[tuple[int, float, str, str]]:
-        return [(i, t, c.name, c.status.name) for i, n in sorted(self.instances.items()) for t, c in n.told]
+        return [
+            (i, t, c.name, c.status.name)
+            for i, n in sorted(self.instances.items())
+            for t, c in n.status_changes
+        ]
 
 
 def run_until_agreed(
@@ -127,18 +134,18 @@
     fleet.run(5000)
     stopped = fleet.instances[2]
     fleet.until_agreed(5000)
-    assert not [c for _, c in stopped.told if c.status is MemberStatus.DEAD]
+    assert not [c for _, c in stopped.status_changes if c.status is MemberStatus.DEAD]
     fleet.run(20_000)
     assert fleet.agree()
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_an_instance_that_stalls_half_of_the_time_is_seen_alive_again(seed: int) -> None:
+def test_an_instance_that_stalls_half_of_the_time_becomes_alive_again(seed: int) -> None:
     fleet = run_until_agreed(seed=seed)
     for _ in range(10):
         fleet.network.pause(fleet.addresses[2], 1500)
         fleet.run(3000)
-    assert not [c for _, c in fleet.instances[2].told if c.status is MemberStatus.DEAD]
+    assert not [c for _, c in fleet.instances[2].status_changes if c.status is MemberStatus.DEAD]
     fleet.until_agreed(5000)
     fleet.run(20_000)
     assert fleet.agree()
@@ -147,13 +154,13 @@
 @pytest.mark.parametrize("end", ["suspected", "dead", "left"])
 @pytest.mark.parametrize("skew", [0.0, 5000.0, -5000.0, 3_600_000.0, -3_600_000.0])
 def test_a_restart_without_state_outranks_its_earlier_incarnation(skew: float, end: str) -> None:
-    """Also where its clock has gone back: it learns of its old incarnation and passes it."""
+    """Also if its clock went backwards: it receives its old incarnation and chooses a higher one."""
     fleet = run_until_agreed()
     fleet.run(3_000)
     if end == "left":
-        for farewell in fleet.instances[2].swim.leave(fleet.network.now):
-            assert isinstance(farewell, SendDatagram)
-            fleet.network.send(fleet.addresses[2], farewell.address, farewell.data)
+        for action in fleet.instances[2].swim.leave(fleet.network.now):
+            assert isinstance(action, SendDatagram)
+            fleet.network.send(fleet.addresses[2], action.address, action.data)
         fleet.run(100)
     fleet.kill(2)
     fleet.run(15_000 if end == "dead" else 600)
@@ -181,10 +188,10 @@
     fleet.until_agreed(15_000)
 
 
-def test_a_one_way_link_is_bridged_by_indirect_pings() -> None:
+def test_indirect_pings_compensate_for_a_one_way_link() -> None:
     fleet = run_until_agreed()
-    deaf, heard = fleet.addresses[0], fleet.addresses[1]
-    fleet.network.is_cut = lambda a, b: a == heard and b == deaf
+    receiver_address, sender_address = fleet.addresses[0], fleet.addresses[1]
+    fleet.network.is_cut = lambda a, b: a == sender_address and b == receiver_address
     fleet.run(60_000)
     assert fleet.deaths() == 0
 
@@ -206,13 +213,13 @@
         fleet.network.send(fleet.addresses[2], action.address, action.data)
     fleet.network.kill(fleet.addresses[2])
     fleet.until_agreed(1000)
-    assert {c.status for i in fleet.instances.values() for _, c in i.told if c.name == "n2"} == {
+    assert {c.status for i in fleet.instances.values() for _, c in i.status_changes if c.name == "n2"} == {
         MemberStatus.ALIVE,
         MemberStatus.LEFT,
     }
 
 
-def test_ten_members_restarted_in_turn_are_all_alive_again() -> None:
+def test_ten_members_restarted_one_by_one_are_all_alive_afterwards() -> None:
     fleet = run_until_agreed(10)
     for i in range(10):
         fleet.kill(i)
@@ -244,7 +251,7 @@
 
 
 def run_with_faults(seed: int) -> Fleet:
-    """A day of faults drawn from a seed: kills, returns, stops, loss, splits; then quiet."""
+    """Random faults by a seed (crashes, restarts, pauses, packet loss, partitions), then none for a while."""
     fleet = Fleet(5, seed)
     draw = fleet.network.draw
     fleet.run(3000)
@@ -268,15 +275,15 @@
             fleet.network.is_cut, fleet.network.loss = lambda a, b: False, 0.0
         fleet.run(draw.uniform(200, 4000))
     fleet.network.is_cut, fleet.network.loss = lambda a, b: False, 0.0
-    fleet.run(6000)  # whoever was stopped runs again
+    fleet.run(6000)  # all pauses are over
     return fleet
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_after_any_faults_all_agree_again_and_a_seed_repeats_the_run(seed: int) -> None:
+def test_views_converge_after_any_faults_and_a_seed_repeats_the_run(seed: int) -> None:
     fleet = run_with_faults(seed)
     fleet.until_agreed(30_000)
     if seed % 8 == 0:
-        again = run_with_faults(seed)
-        again.until_agreed(30_000)
-        assert again.trace() == fleet.trace()
+        repeated = run_with_faults(seed)
+        repeated.until_agreed(30_000)
+        assert repeated.trace() == fleet.trace()
